--- a/lemonshunt/__main__.py
+++ b/lemonshunt/__main__.py
@@ -42,7 +42,11 @@
     again = True
     while again:
         claiming = asyncio.create_task(claim(lock, config.state))
-        for number, heed in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
+        for number, heed in (
+            (signal.SIGTERM, stop),
+            (signal.SIGINT, stop),
+            (signal.SIGHUP, reload),
+        ):
             loop.add_signal_handler(number, heed)
         end = asyncio.create_task(leaving.wait())
         await asyncio.wait({claiming, end}, return_when=asyncio.FIRST_COMPLETED)
@@ -55,8 +59,12 @@
         successor = claiming.result()
         try:  # the file may have changed, with a SIGHUP to this process or to the one that served till now
             new = replacement(config)
-            config = replace(new, known=config.known, seed=config.seed,
-                             **{f: getattr(config, f) for f in FIXED})
+            config = replace(
+                new,
+                known=config.known,
+                seed=config.seed,
+                **{f: getattr(config, f) for f in FIXED},
+            )
         except ConfigError as error:
             log.error("the configuration as first read is kept: %s", error)
         admin.operated = engine = Engine(config, lock, successor)
@@ -72,10 +80,15 @@
 
 
 def main() -> int:
-    asked: list[bool] = []  # a SIGHUP before there is an engine must neither end the process nor be lost
+    asked: list[
+        bool
+    ] = []  # a SIGHUP before there is an engine must neither end the process nor be lost
     signal.signal(signal.SIGHUP, lambda *_: asked.append(True))
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO,
-                        format="%(asctime)s %(levelname)s %(name)s: %(message)s")
+    logging.basicConfig(
+        stream=sys.stderr,
+        level=logging.INFO,
+        format="%(asctime)s %(levelname)s %(name)s: %(message)s",
+    )
     try:
         config = load()
     except ConfigError as error:
@@ -84,9 +97,13 @@
     if config.log_json:
         try:
             from lemonshunt.net.logjson import install
+
             install(config.name)
         except ImportError:
-            print("lemonshunt: log_format 'json' needs structlog (requirements.txt)", file=sys.stderr)
+            print(
+                "lemonshunt: log_format 'json' needs structlog (requirements.txt)",
+                file=sys.stderr,
+            )
             return 2
     try:
         asyncio.run(serve(config, asked))
--- a/lemonshunt/budget/aim.py
+++ b/lemonshunt/budget/aim.py
@@ -9,7 +9,9 @@
 from lemonshunt.lease.token import Token
 
 SOON = 4  # a member with work and no share waits for a pause over this at most
-STEPS = 8  # raises are made in so many steps of a window, not for each call that gets free
+STEPS = (
+    8  # raises are made in so many steps of a window, not for each call that gets free
+)
 TURN = 2  # windows that a turn lasts: a new process waits out the first
 
 
@@ -35,7 +37,9 @@
 def redivide(aim: Aim, book: Book, now_us: int) -> None:
     """Divide anew if there is cause to."""
     members = book.in_force()
-    if aim.settled_us is None and all(a.acked == a.newest() and a.calls() == target(aim, a) for a in members):
+    if aim.settled_us is None and all(
+        a.acked == a.newest() and a.calls() == target(aim, a) for a in members
+    ):
         aim.settled_us, aim.credit = now_us, aim.credit_next
     why = _cause(aim, book, members, now_us)
     if not why:
@@ -45,7 +49,9 @@
     if why == "demand" and _gain(book, members, fresh.shares) < least:
         return
     for a in members:
-        a.lent_us = 0 if why == "whole" else a.lent_us  # a lowered whole binds what was lent as well
+        a.lent_us = (
+            0 if why == "whole" else a.lent_us
+        )  # a lowered whole binds what was lent as well
     aim.shares, aim.scarce, aim.credit_next = fresh.shares, fresh.scarce, fresh.credit
     aim.why, aim.divided_us, aim.settled_us, aim.lowered = why, now_us, None, False
 
@@ -62,10 +68,14 @@
     if aim.lowered:
         return "whole"
     since, pause = now_us - aim.divided_us, book.budget.pause_us
-    unserved = any(a.work() and not a.calls() and not aim.shares.get(a.token) for a in members)
+    unserved = any(
+        a.work() and not a.calls() and not aim.shares.get(a.token) for a in members
+    )
     if aim.scarce and unserved:
         turn_us = max(TURN * book.window_us(), pause)
-        left = since >= pause // SOON and any(a.calls() > a.reserve() and not a.work() for a in members)
+        left = since >= pause // SOON and any(
+            a.calls() > a.reserve() and not a.work() for a in members
+        )
         if aim.settled_us is not None and (left or now_us - aim.settled_us >= turn_us):
             return "turn"
     elif unserved and since >= pause // SOON:
@@ -74,8 +84,12 @@
         return ""
     if {a.token for a in members} != set(aim.shares):
         return "members"
-    thought = now_us - aim.thought_us >= pause // SOON  # needs change with every beat: not thought of at each
-    return "demand" if book.stirred and thought and not (aim.scarce and unserved) else ""
+    thought = (
+        now_us - aim.thought_us >= pause // SOON
+    )  # needs change with every beat: not thought of at each
+    return (
+        "demand" if book.stirred and thought and not (aim.scarce and unserved) else ""
+    )
 
 
 def _divided(aim: Aim, book: Book, members: list[Account]) -> Division[Token]:
@@ -84,13 +98,23 @@
     # Reserves of all others are no part of what can be divided: of the lost, and of those who may yet come.
     others = sum(a.reserve() for a in book.accounts.values() if a.token not in floors)
     whole = max(budget.calls - others - book.unseated(), sum(floors.values()))
-    return divide(whole, {a.token: a.needs for a in members}, budget.weights, floors, budget.least,
-                  aim.credit, int(budget.loose * budget.calls))
+    return divide(
+        whole,
+        {a.token: a.needs for a in members},
+        budget.weights,
+        floors,
+        budget.least,
+        aim.credit,
+        int(budget.loose * budget.calls),
+    )
 
 
 def _gain(book: Book, members: list[Account], shares: dict[Token, int]) -> int:
     """Calls that would find room and do not now, or belong to another by fairness."""
-    return sum(max(0, min(a.work(), shares[a.token]) - min(a.work(), a.calls())) for a in members)
+    return sum(
+        max(0, min(a.work(), shares[a.token]) - min(a.work(), a.calls()))
+        for a in members
+    )
 
 
 def moves(aim: Aim, book: Book, now_us: int) -> dict[Token, Grant]:
@@ -115,13 +139,19 @@
     def now_has(a: Account) -> int:
         return proposed[a.token].calls if a.token in proposed else a.calls()
 
-    short = [Want(a.token, 1, 0, max(0, aim.shares.get(a.token, 0) - now_has(a))) for a in members]
+    short = [
+        Want(a.token, 1, 0, max(0, aim.shares.get(a.token, 0) - now_has(a)))
+        for a in members
+    ]
     waited = aim.moved_us is None or now_us - aim.moved_us >= book.window_us() // STEPS
     if not waited and sum(w.high for w in short) > free:
         return proposed
     given, _ = fill(free, short, {})
     free -= sum(given.values())
-    bursts = [Want(a.token, 1, 0, max(0, a.work() - now_has(a) - given[a.token])) for a in members]
+    bursts = [
+        Want(a.token, 1, 0, max(0, a.work() - now_has(a) - given[a.token]))
+        for a in members
+    ]
     lent, _ = fill(free, bursts, {})
     for a in members:
         if given[a.token] + lent[a.token] > 0:
@@ -134,7 +164,9 @@
     return proposed
 
 
-def _seat_and_lower(aim: Aim, book: Book, a: Account, seat: bool, now_us: int) -> Grant | None:
+def _seat_and_lower(
+    aim: Aim, book: Book, a: Account, seat: bool, now_us: int
+) -> Grant | None:
     """A reserve where a seat is left, and no more than the aim. None where it has that already."""
     wanted = book.budget.reserve
     newest = a.grants[-1].reserve if a.grants else 0
@@ -147,4 +179,8 @@
     aimed = max(aim.shares.get(a.token, 0), reserve)
     if calls > aimed and now_us >= a.lent_us:
         calls = aimed
-    return Grant(a.newest() + 1, calls, reserve) if calls != a.calls() or reserve != newest else None
+    return (
+        Grant(a.newest() + 1, calls, reserve)
+        if calls != a.calls() or reserve != newest
+        else None
+    )
--- a/lemonshunt/budget/book.py
+++ b/lemonshunt/budget/book.py
@@ -57,7 +57,9 @@
         return self.grants[-1].number if self.grants else self.acked
 
     def reserve(self) -> int:
-        if len(self.grants) == 1:  # nearly always, and asked for all members at each plan
+        if (
+            len(self.grants) == 1
+        ):  # nearly always, and asked for all members at each plan
             return self.grants[0].reserve
         return max((g.reserve for g in self.grants), default=0)
 
@@ -76,7 +78,9 @@
         self.grants.append(grant)
         if len(self.grants) > MOST_OPEN:
             a, b = self.grants[0], self.grants[1]
-            self.grants[:2] = [Grant(b.number, max(a.calls, b.calls), max(a.reserve, b.reserve))]
+            self.grants[:2] = [
+                Grant(b.number, max(a.calls, b.calls), max(a.reserve, b.reserve))
+            ]
 
 
 class Book:
@@ -126,7 +130,14 @@
         if not kept or kept[0].number > number or kept[0].calls < calls:
             if kept and kept[0].number == number:
                 kept.pop(0)
-            kept.insert(0, Grant(number, calls, min(max(account.reserve(), self.budget.reserve), calls)))
+            kept.insert(
+                0,
+                Grant(
+                    number,
+                    calls,
+                    min(max(account.reserve(), self.budget.reserve), calls),
+                ),
+            )
         account.grants, account.acked = kept, number
         self._cools(before - account.most(), now_us)
 
@@ -140,7 +151,9 @@
             account.over_us = now_us + self.window_us()
         self._ends(account, State.OVER, now_us)
 
-    def follows(self, account: Account, old: Account | None, keeps: int, now_us: int) -> None:
+    def follows(
+        self, account: Account, old: Account | None, keeps: int, now_us: int
+    ) -> None:
         """The same process under a new token, or the one that took over its folder: it may act on the old
         one's reserve before it is told anything, so the reserve moves, and the rest is over. Where the old
         one is not known (this service lost its folder), it is as it says: it `keeps` so much."""
@@ -170,8 +183,13 @@
         """Let go what has cooled, and processes that can act on nothing. Their end is on disk by then: else
         a restart would take them for holders of what others were granted since."""
         self.cooling = [c for c in self.cooling if c[0] > now_us]
-        ended = [a.token for a in self.accounts.values() if a.state is not State.IN and a.noted
-                 and (not a.reserve() or (a.state is State.OVER and a.over_us <= now_us))]
+        ended = [
+            a.token
+            for a in self.accounts.values()
+            if a.state is not State.IN
+            and a.noted
+            and (not a.reserve() or (a.state is State.OVER and a.over_us <= now_us))
+        ]
         for token in ended:
             del self.accounts[token]
 
@@ -181,7 +199,9 @@
 
     def unseated(self, soon: int = 0) -> int:
         """Set aside for the reserves of processes that have none yet, nor are about to (`soon`)."""
-        return self.budget.reserve * max(0, self.budget.members_max - self.seats() - soon)
+        return self.budget.reserve * max(
+            0, self.budget.members_max - self.seats() - soon
+        )
 
     def counted(self) -> int:
         """All that is not free: what processes may still act on, what cools, what is set aside."""
@@ -190,7 +210,17 @@
     def free_with(self, proposed: Mapping[Token, Grant]) -> int:
         """What may be granted besides the proposed grants; below 0 while a lowered whole waits for shares to
         run out."""
-        held = sum(max(a.most(), proposed[t].calls) if t in proposed else a.most()
-                   for t, a in self.accounts.items())
-        soon = sum(g.reserve > 0 and not self.accounts[t].reserve() for t, g in proposed.items())
-        return self.budget.calls - held - sum(c for _, c in self.cooling) - self.unseated(soon)
+        held = sum(
+            max(a.most(), proposed[t].calls) if t in proposed else a.most()
+            for t, a in self.accounts.items()
+        )
+        soon = sum(
+            g.reserve > 0 and not self.accounts[t].reserve()
+            for t, g in proposed.items()
+        )
+        return (
+            self.budget.calls
+            - held
+            - sum(c for _, c in self.cooling)
+            - self.unseated(soon)
+        )
--- a/lemonshunt/budget/config.py
+++ b/lemonshunt/budget/config.py
@@ -11,8 +11,13 @@
 MOST_PARTS = 64
 TOP = 1 << 40
 NUMBERS = {  # name: (least, most); times in ms
-    "calls": (1, TOP), "span_ms": (1, 86_400_000), "reserve": (0, TOP), "members_max": (1, 100_000),
-    "least": (1, TOP), "pause_ms": (0, 3_600_000), "slack_ms": (0, 60_000),
+    "calls": (1, TOP),
+    "span_ms": (1, 86_400_000),
+    "reserve": (0, TOP),
+    "members_max": (1, 100_000),
+    "least": (1, TOP),
+    "pause_ms": (0, 3_600_000),
+    "slack_ms": (0, 60_000),
 }
 PARTS = {"change": (0.0, 1.0), "loose": (0.0, 0.5)}
 DEFAULT = Budget("", 1, 1)
@@ -40,7 +45,9 @@
         if len(faults) > before:
             continue
         if entry["destination"] in found:
-            faults.append(f"{where}.destination: {entry['destination']} has a budget already")
+            faults.append(
+                f"{where}.destination: {entry['destination']} has a budget already"
+            )
         found[entry["destination"]] = _budget(entry)
     if faults:
         raise Faults(faults)
@@ -49,11 +56,18 @@
 
 def _budget(entry: dict[str, Any]) -> Budget:
     return Budget(
-        entry["destination"], entry["calls"], entry["span_ms"] * 1000, entry.get("reserve", 0),
-        entry["members_max"], dict(entry.get("weights", {})), entry.get("least", DEFAULT.least),
-        entry.get("change", DEFAULT.change), entry.get("loose", DEFAULT.loose),
+        entry["destination"],
+        entry["calls"],
+        entry["span_ms"] * 1000,
+        entry.get("reserve", 0),
+        entry["members_max"],
+        dict(entry.get("weights", {})),
+        entry.get("least", DEFAULT.least),
+        entry.get("change", DEFAULT.change),
+        entry.get("loose", DEFAULT.loose),
         entry["pause_ms"] * 1000 if "pause_ms" in entry else DEFAULT.pause_us,
-        entry["slack_ms"] * 1000 if "slack_ms" in entry else DEFAULT.slack_us)
+        entry["slack_ms"] * 1000 if "slack_ms" in entry else DEFAULT.slack_us,
+    )
 
 
 def _faults(entry: Any, where: str) -> list[str]:
@@ -68,17 +82,27 @@
             faults.append(f"{where}.{name}: a whole number from {low} to {top}")
     for name, (least, most) in PARTS.items():
         value = entry.get(name, least)
-        fits = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
+        fits = (
+            isinstance(value, int | float)
+            and not isinstance(value, bool)
+            and math.isfinite(value)
+        )
         if not fits or not least <= value <= most:
             faults.append(f"{where}.{name}: a number from {least} to {most}")
     weights = entry.get("weights", {})
     if not isinstance(weights, dict) or len(weights) > MOST_PARTS:
         faults.append(f"{where}.weights: an object of at most {MOST_PARTS} weights")
     else:
-        faults.extend(f"{where}.weights.{name}: a whole number from 1 to 1000"
-                      for name in sorted(weights) if not _whole(weights[name], 1, 1000))
-        faults.extend(f"{where}.weights.{name}: a class or a tenant, without /"
-                      for name in sorted(weights) if "/" in name)
+        faults.extend(
+            f"{where}.weights.{name}: a whole number from 1 to 1000"
+            for name in sorted(weights)
+            if not _whole(weights[name], 1, 1000)
+        )
+        faults.extend(
+            f"{where}.weights.{name}: a class or a tenant, without /"
+            for name in sorted(weights)
+            if "/" in name
+        )
     known = {"destination", "weights", *NUMBERS, *PARTS}
     faults.extend(f"{where}.{name}: not known" for name in sorted(set(entry) - known))
     return faults or _together(entry, where)
@@ -86,10 +110,16 @@
 
 def _together(entry: dict[str, Any], where: str) -> list[str]:
     faults: list[str] = []
-    calls, reserve, members = entry["calls"], entry.get("reserve", 0), entry["members_max"]
+    calls, reserve, members = (
+        entry["calls"],
+        entry.get("reserve", 0),
+        entry["members_max"],
+    )
     if reserve * members > calls:
-        faults.append(f"{where}.reserve: {reserve} for each of {members} members are {reserve * members},"
-                      f" more than the whole of {calls}")
+        faults.append(
+            f"{where}.reserve: {reserve} for each of {members} members are {reserve * members},"
+            f" more than the whole of {calls}"
+        )
     if entry.get("least", 1) > calls:
         faults.append(f"{where}.least: more than the whole of {calls}")
     if entry.get("slack_ms", 0) > entry["span_ms"]:
@@ -109,7 +139,9 @@
             faults.append(f"needs.{name}: at most {MOST_PARTS} parts")
         for part, calls in parts.items():
             if not _whole(calls, 0, TOP):
-                faults.append(f"needs.{name}{'.' * bool(part)}{part}: a whole number from 0 to {TOP}")
+                faults.append(
+                    f"needs.{name}{'.' * bool(part)}{part}: a whole number from 0 to {TOP}"
+                )
         needs[name] = parts
     if faults:
         raise Faults(faults)
@@ -120,8 +152,15 @@
     """A beat's `holds`: {destination: [calls, number]}. Raises Faults."""
     if not isinstance(raw, dict) or len(raw) > MOST_BUDGETS:
         raise Faults([f"holds: an object of at most {MOST_BUDGETS} destinations"])
-    faults = [f"holds.{name}: [calls, number], whole numbers from 0 to {TOP}" for name, told in raw.items()
-              if not (isinstance(told, list) and len(told) == 2 and all(_whole(n, 0, TOP) for n in told))]
+    faults = [
+        f"holds.{name}: [calls, number], whole numbers from 0 to {TOP}"
+        for name, told in raw.items()
+        if not (
+            isinstance(told, list)
+            and len(told) == 2
+            and all(_whole(n, 0, TOP) for n in told)
+        )
+    ]
     if faults:
         raise Faults(faults)
     return {name: (told[0], told[1]) for name, told in raw.items()}
--- a/lemonshunt/budget/divide.py
+++ b/lemonshunt/budget/divide.py
@@ -14,7 +14,9 @@
 
 K = TypeVar("K")
 UNIT = 1_000_000  # credit is counted in millionths of a call
-CREDIT_MOST = 2 * UNIT  # owed or in debt at most: a long wait earns a turn, not a row of them
+CREDIT_MOST = (
+    2 * UNIT
+)  # owed or in debt at most: a long wait earns a turn, not a row of them
 
 
 class Want(NamedTuple, Generic[K]):
@@ -37,7 +39,9 @@
     """Fewer calls than members with work: some have none, and are served in turn by later divisions."""
 
 
-def fill(whole: int, wants: Sequence[Want[K]], credit: Mapping[K, int]) -> tuple[dict[K, int], dict[K, int]]:
+def fill(
+    whole: int, wants: Sequence[Want[K]], credit: Mapping[K, int]
+) -> tuple[dict[K, int], dict[K, int]]:
     """Water-filling: each is given clamp(weight * level, low, high), with the level that uses up `whole`.
     Rounded to whole numbers; a call left over goes where the lost fraction and `credit` together are most,
     then by order. Returns what each is given and what rounding owes each. O(n log n).
@@ -67,7 +71,9 @@
 
 def _level(whole: int, low: int, wants: Sequence[Want[K]]) -> tuple[int, int]:
     """The level as a fraction: each taker grows with it from low/weight to high/weight, one sweep."""
-    scale = math.lcm(*(w.weight for w in wants))  # so that the turning points are whole numbers
+    scale = math.lcm(
+        *(w.weight for w in wants)
+    )  # so that the turning points are whole numbers
     turns: list[tuple[int, int, int]] = []
     for w in wants:
         if w.high > w.low:
@@ -82,8 +88,15 @@
     return (whole - fixed, growing) if growing else (0, 1)
 
 
-def divide(whole: int, needs: Mapping[K, Mapping[str, int]], weights: Mapping[str, int],
-           floors: Mapping[K, int], least: int, credit: Mapping[K, int], loose: int = 0) -> Division[K]:
+def divide(
+    whole: int,
+    needs: Mapping[K, Mapping[str, int]],
+    weights: Mapping[str, int],
+    floors: Mapping[K, int],
+    least: int,
+    credit: Mapping[K, int],
+    loose: int = 0,
+) -> Division[K]:
     """Divide `whole` among the members of `needs` (calls wanted in a span, by typed part of demand).
 
     In this order: each keeps its floor (its reserve); each with work has `least` (or all it needs), in turns
@@ -106,8 +119,15 @@
             shares[key] -= served
             by_part.setdefault(part, []).append(Want(key, 1, served, wanted))
     over = sum(shares.values())  # above all need: fixed, no part's
-    parts = [Want(p, weight(p, weights), sum(w.low for w in by_part[p]), sum(w.high for w in by_part[p]))
-             for p in sorted(by_part)]
+    parts = [
+        Want(
+            p,
+            weight(p, weights),
+            sum(w.low for w in by_part[p]),
+            sum(w.high for w in by_part[p]),
+        )
+        for p in sorted(by_part)
+    ]
     to_parts, _ = fill(whole - over, parts, {})
     for name in sorted(by_part):
         given, owes = fill(to_parts[name], by_part[name], credit)
@@ -120,12 +140,20 @@
     spread, _ = fill(unused - kept, [Want(k, 1, 0, whole) for k in needs], {})
     for key, calls in spread.items():
         shares[key] += calls
-    return Division(shares, kept, _carried(needs, work, credit, owed),
-                    any(work[k] and not shares[k] for k in needs))
-
-
-def _carried(needs: Mapping[K, Mapping[str, int]], work: Mapping[K, int], credit: Mapping[K, int],
-             owed: Mapping[K, int]) -> dict[K, int]:
+    return Division(
+        shares,
+        kept,
+        _carried(needs, work, credit, owed),
+        any(work[k] and not shares[k] for k in needs),
+    )
+
+
+def _carried(
+    needs: Mapping[K, Mapping[str, int]],
+    work: Mapping[K, int],
+    credit: Mapping[K, int],
+    owed: Mapping[K, int],
+) -> dict[K, int]:
     """Credit is earned by waiting with work; without work none is kept, but a debt is."""
     carried: dict[K, int] = {}
     for key in needs:
--- a/lemonshunt/budget/keep.py
+++ b/lemonshunt/budget/keep.py
@@ -13,15 +13,39 @@
 
 def snapshot(ledger: Ledger) -> dict[str, Any]:
     """All that a start needs; changes up to `number` are in it, one pending is not."""
-    return {"number": ledger.number, "opened": ledger.opened, "shut": ledger.shut, "books": {
-        destination: {"cooling": sum(c for _, c in book.cooling), "accounts": [
-            [a.name, t.told(), a.acked, a.state.value, [[g.number, g.calls, g.reserve] for g in a.grants]]
-            for t, a in sorted(book.accounts.items()) if a.grants]}
-        for destination, book in sorted(ledger.books.items())}}
+    return {
+        "number": ledger.number,
+        "opened": ledger.opened,
+        "shut": ledger.shut,
+        "books": {
+            destination: {
+                "cooling": sum(c for _, c in book.cooling),
+                "accounts": [
+                    [
+                        a.name,
+                        t.told(),
+                        a.acked,
+                        a.state.value,
+                        [[g.number, g.calls, g.reserve] for g in a.grants],
+                    ]
+                    for t, a in sorted(book.accounts.items())
+                    if a.grants
+                ],
+            }
+            for destination, book in sorted(ledger.books.items())
+        },
+    }
 
 
-def restored(budgets: Iterable[Budget], lease_us: int, drift: float, now_us: int,
-             snap: Mapping[str, Any] | None, lines: Iterable[Mapping[str, Any]], sure: bool = True) -> Ledger:
+def restored(
+    budgets: Iterable[Budget],
+    lease_us: int,
+    drift: float,
+    now_us: int,
+    snap: Mapping[str, Any] | None,
+    lines: Iterable[Mapping[str, Any]],
+    sure: bool = True,
+) -> Ledger:
     """After a start: what was granted counts as held, by leases renewed just now; acknowledgements after the
     snapshot are not known and come again with the beats; what cooled begins to cool anew. `sure`: these are
     surely the newest records; where they may be an older copy, or there are none, nothing is granted for a
@@ -30,7 +54,11 @@
     changes = [Change.of(line) for line in lines]
     last = max(changes, key=lambda c: c.number, default=None)
     # No records, or the wait after lost ones had not ended: it begins anew.
-    newest = last.opened if last and (not snap or last.number > snap["number"]) else snap and snap["opened"]
+    newest = (
+        last.opened
+        if last and (not snap or last.number > snap["number"])
+        else snap and snap["opened"]
+    )
     sure = sure and bool(newest)
     ledger = Ledger(budgets, lease_us, drift, now_us, sure)
     ends: list[tuple[str, Token, State]] = []
@@ -50,19 +78,25 @@
         if change.number <= ledger.number:
             continue  # in the snapshot, or written twice
         for g in change.grants:
-            _book(ledger, g.destination).accounts.setdefault(g.token, Account(g.name, g.token))
+            _book(ledger, g.destination).accounts.setdefault(
+                g.token, Account(g.name, g.token)
+            )
         ledger.commit(change)
         shut = change.shut
         ends.extend(change.ends)
     for destination, token, state in ends:
         book = ledger.books[destination]
         if token in book.accounts:
-            (book.out if state is State.OUT else book.over)(book.accounts[token], now_us)
+            (book.out if state is State.OUT else book.over)(
+                book.accounts[token], now_us
+            )
             book.accounts[token].noted = True
     for book in ledger.books.values():
         for token, a in book.accounts.items():
             if a.state is State.IN:
-                a.needs = {"": a.calls()}  # until it is heard: a restart is no cause to take a share away
+                a.needs = {
+                    "": a.calls()
+                }  # until it is heard: a restart is no cause to take a share away
                 ledger.names[token] = a.name
                 ledger.presumed[token] = now_us + wide(lease_us, drift)
     ledger.shut = shut or not sure
--- a/lemonshunt/budget/ledger.py
+++ b/lemonshunt/budget/ledger.py
@@ -35,19 +35,39 @@
     shut: bool = False
 
     def line(self) -> dict[str, Any]:
-        return {"budgets": self.number, "opened": self.opened, "shut": self.shut,
-                "grants": [[g.destination, g.name, g.token.told(),
-                            g.grant.number, g.grant.calls, g.grant.reserve] for g in self.grants],
-                "ends": [[destination, token.told(), state.value] for destination, token, state in self.ends]}
+        return {
+            "budgets": self.number,
+            "opened": self.opened,
+            "shut": self.shut,
+            "grants": [
+                [
+                    g.destination,
+                    g.name,
+                    g.token.told(),
+                    g.grant.number,
+                    g.grant.calls,
+                    g.grant.reserve,
+                ]
+                for g in self.grants
+            ],
+            "ends": [
+                [destination, token.told(), state.value]
+                for destination, token, state in self.ends
+            ],
+        }
 
     @staticmethod
     def of(raw: Mapping[str, Any]) -> Change:
         return Change(
             int(raw["budgets"]),
-            tuple(Granted(str(d), str(n), Token.of(t), Grant(int(a), int(c), int(r)))
-                  for d, n, t, a, c, r in raw["grants"]),
+            tuple(
+                Granted(str(d), str(n), Token.of(t), Grant(int(a), int(c), int(r)))
+                for d, n, t, a, c, r in raw["grants"]
+            ),
             tuple((str(d), Token.of(t), State(s)) for d, t, s in raw["ends"]),
-            bool(raw["opened"]), bool(raw["shut"]))
+            bool(raw["opened"]),
+            bool(raw["shut"]),
+        )
 
 
 class Ledger:
@@ -55,8 +75,14 @@
     copy), nothing is granted until every lease and window that may be unknown here is over, and no reserve to
     a process that does not say it had one, until the operator says that all who have are known."""
 
-    def __init__(self, budgets: Iterable[Budget], lease_us: int, drift: float, now_us: int,
-                 sure: bool = False) -> None:
+    def __init__(
+        self,
+        budgets: Iterable[Budget],
+        lease_us: int,
+        drift: float,
+        now_us: int,
+        sure: bool = False,
+    ) -> None:
         self.lease_us, self.drift = lease_us, drift
         self.opens_us = now_us if sure else now_us + wide(lease_us, drift)
         self.sure = self.opened = sure
@@ -96,8 +122,14 @@
 
     # -- members ------------------------------------------------------------------------------------------
 
-    def joined(self, token: Token, name: str, follows: Token | None, now_us: int,
-               keeps: Mapping[str, int] | None = None) -> None:
+    def joined(
+        self,
+        token: Token,
+        name: str,
+        follows: Token | None,
+        now_us: int,
+        keeps: Mapping[str, int] | None = None,
+    ) -> None:
         """A process is in force under this token. `follows`: the token it, or the process whose folder it
         took over under lock, had before, and the reserves it `keeps` from then. May be said again; is said
         for all members after a restart."""
@@ -106,12 +138,22 @@
         for destination, book in self.books.items():
             account = book.accounts.setdefault(token, Account(name, token))
             if follows is not None and follows != token:
-                book.follows(account, book.accounts.get(follows), (keeps or {}).get(destination, 0), now_us)
+                book.follows(
+                    account,
+                    book.accounts.get(follows),
+                    (keeps or {}).get(destination, 0),
+                    now_us,
+                )
         if follows is not None and follows != token:
             self.names.pop(follows, None)
 
-    def beat(self, token: Token, needs: Mapping[str, Mapping[str, int]],
-             holds: Mapping[str, tuple[int, int]], now_us: int) -> bool:
+    def beat(
+        self,
+        token: Token,
+        needs: Mapping[str, Mapping[str, int]],
+        holds: Mapping[str, tuple[int, int]],
+        now_us: int,
+    ) -> bool:
         """A beat as it arrives: calls needed in a span by destination and part, (calls, number) held. False
         where no such process is in force: it is to be told that it is lost."""
         if token not in self.names:
@@ -155,7 +197,9 @@
         replaced. `frozen`: nothing is divided or moved. O(members log members) for each budget."""
         if self.pending is not None:
             return self.pending
-        if not self.opened and all(now_us >= book.opens_us for book in self.books.values()):
+        if not self.opened and all(
+            now_us >= book.opens_us for book in self.books.values()
+        ):
             self.opened, self.noted = True, False
         for token in sorted(t for t, until in self.presumed.items() if until <= now_us):
             self.out(token, now_us)
@@ -164,16 +208,27 @@
         for destination, book in sorted(self.books.items()):
             book.settle(now_us)
             news = [a for a in book.accounts.values() if not a.noted]
-            grants.extend(Granted(destination, a.name, a.token, g)
-                          for a in news if a.state is State.IN for g in a.grants)
-            ends.extend((destination, a.token, a.state) for a in news if a.state is not State.IN)
+            grants.extend(
+                Granted(destination, a.name, a.token, g)
+                for a in news
+                if a.state is State.IN
+                for g in a.grants
+            )
+            ends.extend(
+                (destination, a.token, a.state) for a in news if a.state is not State.IN
+            )
             if frozen or book.closed or not self.opened or now_us < book.opens_us:
                 continue
             redivide(self.aims[destination], book, now_us)
             steps = moves(self.aims[destination], book, now_us)
-            grants.extend(Granted(destination, book.accounts[t].name, t, g) for t, g in sorted(steps.items()))
+            grants.extend(
+                Granted(destination, book.accounts[t].name, t, g)
+                for t, g in sorted(steps.items())
+            )
         if grants or ends or not self.noted:
-            self.pending = Change(self.number + 1, tuple(grants), tuple(ends), self.opened, self.shut)
+            self.pending = Change(
+                self.number + 1, tuple(grants), tuple(ends), self.opened, self.shut
+            )
             self.noted = True
         return self.pending
 
@@ -201,11 +256,23 @@
         shares: dict[str, Share] = {}
         for destination, book in sorted(self.books.items()):
             account, budget = book.accounts.get(token), book.budget
-            if book.closed or account is None or account.state is not State.IN or not account.newest():
+            if (
+                book.closed
+                or account is None
+                or account.state is not State.IN
+                or not account.newest()
+            ):
                 continue
             newest = account.grants[-1]
-            shares[destination] = Share(token, newest.number, newest.calls, newest.reserve, budget.calls,
-                                        budget.span_us, budget.slack_us)
+            shares[destination] = Share(
+                token,
+                newest.number,
+                newest.calls,
+                newest.reserve,
+                budget.calls,
+                budget.span_us,
+                budget.slack_us,
+            )
         return shares
 
     def state(self, now_us: int) -> dict[str, Any]:
@@ -214,12 +281,29 @@
         for destination, book in sorted(self.books.items()):
             aim = self.aims[destination]
             told[destination] = {
-                "whole": book.budget.calls, "counted": book.counted(), "free": book.free_with({}),
-                "cooling": sum(c for _, c in book.cooling), "set_aside": book.unseated(),
-                "scarce": aim.scarce, "why": aim.why, "opens_in_us": max(0, book.opens_us - now_us),
+                "whole": book.budget.calls,
+                "counted": book.counted(),
+                "free": book.free_with({}),
+                "cooling": sum(c for _, c in book.cooling),
+                "set_aside": book.unseated(),
+                "scarce": aim.scarce,
+                "why": aim.why,
+                "opens_in_us": max(0, book.opens_us - now_us),
                 "shut": book.shut,
-                "members": [{"name": a.name, "token": t.told(), "state": a.state.value, "calls": a.calls(),
-                             "acts_on": a.most(), "number": a.newest(), "acked": a.acked,
-                             "reserve": a.reserve(), "aim": aim.shares.get(t, 0), "needs": a.work()}
-                            for t, a in sorted(book.accounts.items())]}
+                "members": [
+                    {
+                        "name": a.name,
+                        "token": t.told(),
+                        "state": a.state.value,
+                        "calls": a.calls(),
+                        "acts_on": a.most(),
+                        "number": a.newest(),
+                        "acked": a.acked,
+                        "reserve": a.reserve(),
+                        "aim": aim.shares.get(t, 0),
+                        "needs": a.work(),
+                    }
+                    for t, a in sorted(book.accounts.items())
+                ],
+            }
         return told
--- a/lemonshunt/budget/model.py
+++ b/lemonshunt/budget/model.py
@@ -15,7 +15,16 @@
 from lemonshunt.budget.keep import restored, snapshot
 from lemonshunt.budget.ledger import Ledger
 from lemonshunt.budget.model_bugs import BUGS, Bare, Gullible, Hasty, Trusting
-from lemonshunt.budget.model_state import Process, World, changed_to, copied, key, purse_copy, put, said
+from lemonshunt.budget.model_state import (
+    Process,
+    World,
+    changed_to,
+    copied,
+    key,
+    purse_copy,
+    put,
+    said,
+)
 from lemonshunt.budget.purse import Purse
 from lemonshunt.budget.terms import Budget, Share
 from lemonshunt.explore.net import Net
@@ -29,16 +38,50 @@
     folder gone). `moves`: from now on the first needs nothing and all others the whole, where else each beat
     may say either. `first`: what is counted of members happens to the first only."""
 
-    def __init__(self, whole: int = 3, reserve: int = 0, members: int = 2, seats: int = 0, delays: int = 0,
-                 slows: int = 0, crashes: int = 0, restarts: int = 0, lost: bool = False,
-                 moves: bool = False, first: bool = False, ttl: int = 3, span: int = 2,
-                 drift: float = 0.0, bug: str = "") -> None:
+    def __init__(
+        self,
+        whole: int = 3,
+        reserve: int = 0,
+        members: int = 2,
+        seats: int = 0,
+        delays: int = 0,
+        slows: int = 0,
+        crashes: int = 0,
+        restarts: int = 0,
+        lost: bool = False,
+        moves: bool = False,
+        first: bool = False,
+        ttl: int = 3,
+        span: int = 2,
+        drift: float = 0.0,
+        bug: str = "",
+    ) -> None:
         if bug and bug not in BUGS:
             raise ValueError(f"no bug {bug}")
-        self.budget = Budget("d", whole, span, reserve, seats or members, change=0.0, loose=0.0, pause_us=0,
-                             slack_us=0)
-        self.members, self.bug, self.lost, self.moves, self.first = members, bug, lost, moves, first
-        self.delays, self.slows, self.crashes, self.restarts = delays, slows, crashes, restarts
+        self.budget = Budget(
+            "d",
+            whole,
+            span,
+            reserve,
+            seats or members,
+            change=0.0,
+            loose=0.0,
+            pause_us=0,
+            slack_us=0,
+        )
+        self.members, self.bug, self.lost, self.moves, self.first = (
+            members,
+            bug,
+            lost,
+            moves,
+            first,
+        )
+        self.delays, self.slows, self.crashes, self.restarts = (
+            delays,
+            slows,
+            crashes,
+            restarts,
+        )
         self.drift, self.ttl = drift, ttl
         # Ticks by the holder's clock, from when it asked; by the service's, from when it answered.
         self.kept, self.out = int(ttl * (1 - drift)), math.ceil(ttl * (1 + drift))
@@ -50,8 +93,19 @@
     def start(self) -> World:
         ledger = Ledger([self.budget], self.out, self.drift, 0, sure=True)
         ledger = self._bugged(ledger)
-        world = World(0, ledger, {}, {}, (), Net(), (), self.delays, self.slows, self.crashes,
-                      self.restarts)
+        world = World(
+            0,
+            ledger,
+            {},
+            {},
+            (),
+            Net(),
+            (),
+            self.delays,
+            self.slows,
+            self.crashes,
+            self.restarts,
+        )
         tokens = [Token(1, n + 1) for n in range(self.members)]
         for n, token in enumerate(tokens):
             ledger.joined(token, f"f{n}", None, 0)
@@ -68,8 +122,14 @@
             ledger.beat(token, {"d": {"": need}}, {"d": holds} if holds else {}, 0)
             members.append(Process(n, token, None, purse, window))
         ledger.plan(window)
-        return changed_to(world, now=window, leases={t: window + self.out for t in tokens}, disk=disk,
-                       members=tuple(members), tokens=self.members)
+        return changed_to(
+            world,
+            now=window,
+            leases={t: window + self.out for t in tokens},
+            disk=disk,
+            members=tuple(members),
+            tokens=self.members,
+        )
 
     def _purse(self, at: int, record: dict[str, Any] | None = None) -> Purse:
         kind = Gullible if self.bug == "older answer adopted" else Purse
@@ -82,13 +142,19 @@
         return purse
 
     def _bugged(self, ledger: Ledger) -> Ledger:
-        kinds = {"span not waited for": Hasty, "freed when told": Trusting, "reserve not counted": Bare}
+        kinds = {
+            "span not waited for": Hasty,
+            "freed when told": Trusting,
+            "reserve not counted": Bare,
+        }
         if self.bug in kinds:
             for book in ledger.books.values():
                 book.__class__ = kinds[self.bug]
         return ledger
 
-    def _planned(self, ledger: Ledger, now: int, disk: dict[str, Any]) -> dict[str, Any]:
+    def _planned(
+        self, ledger: Ledger, now: int, disk: dict[str, Any]
+    ) -> dict[str, Any]:
         change = ledger.plan(now)
         if change is None:
             return disk
@@ -108,13 +174,25 @@
             purse = purse_copy(p.purse)
             went = sum(purse.spend(p.at) for _ in range(limit))
             if went:
-                yield f"f{n} sends {went}", changed_to(
-                    w, members=put(w.members, n, changed_to(p, purse=purse)), sent=(*w.sent, (w.now, went)))
+                yield (
+                    f"f{n} sends {went}",
+                    changed_to(
+                        w,
+                        members=put(w.members, n, changed_to(p, purse=purse)),
+                        sent=(*w.sent, (w.now, went)),
+                    ),
+                )
             if w.crashes and struck:
                 purse = self._purse(p.at, p.purse.standing())
-                fresh = Process(p.pid + 10, None, p.token or p.follows, purse, p.at, p.slow)
-                yield f"f{n} crashes and starts again", changed_to(
-                    w, members=put(w.members, n, fresh), crashes=w.crashes - 1)
+                fresh = Process(
+                    p.pid + 10, None, p.token or p.follows, purse, p.at, p.slow
+                )
+                yield (
+                    f"f{n} crashes and starts again",
+                    changed_to(
+                        w, members=put(w.members, n, fresh), crashes=w.crashes - 1
+                    ),
+                )
         if w.restarts:
             yield "the service starts again", self._restart(w)
         for message, net in w.net.arrivals():
@@ -125,29 +203,55 @@
 
     def _tick(self, w: World, slow: int) -> World:
         now = w.now + 1
-        members = tuple(changed_to(p, slow=n == slow, at=p.at + (n != slow)) for n, p in enumerate(w.members))
+        members = tuple(
+            changed_to(p, slow=n == slow, at=p.at + (n != slow))
+            for n, p in enumerate(w.members)
+        )
         ledger, leases = copied(w.ledger), dict(w.leases)
         for token in sorted(t for t, until in w.leases.items() if until <= now):
             del leases[token]
             ledger.out(token, now)
         sent = tuple(s for s in w.sent if s[0] > now - self.budget.span_us)
         disk = self._planned(ledger, now, w.disk)
-        return changed_to(w, now=now, ledger=ledger, leases=leases, members=members, sent=sent, disk=disk,
-                       slows=w.slows - (slow >= 0))
+        return changed_to(
+            w,
+            now=now,
+            ledger=ledger,
+            leases=leases,
+            members=members,
+            sent=sent,
+            disk=disk,
+            slows=w.slows - (slow >= 0),
+        )
 
     def _beats(self, w: World, n: int, p: Process) -> Iterator[tuple[str, World]]:
         holds = p.purse.holds(p.token) if p.token else None
         needs = (0, self.budget.calls)
         for need in needs if not self.moves else needs[1:] if n else needs[:1]:
-            message = ("beat", n, p.pid, p.token, p.follows, p.at, need, holds, p.purse.share.reserve)
+            message = (
+                "beat",
+                n,
+                p.pid,
+                p.token,
+                p.follows,
+                p.at,
+                need,
+                holds,
+                p.purse.share.reserve,
+            )
             after, answer = self._arrives(w, message)
             done = self._arrives(after, answer)[0]
             yield f"f{n} beats, needs {need}, holds {holds}; {said(answer)}", done
             if w.delays and not (self.first and n):
                 late = changed_to(w, delays=w.delays - 1, net=w.net.send(message))
                 yield f"f{n} beats, needs {need}, holds {holds}; it is under way", late
-                late = changed_to(after, delays=w.delays - 1, net=after.net.send(answer))
-                yield f"f{n} beats, needs {need}, holds {holds}; under way: {said(answer)}", late
+                late = changed_to(
+                    after, delays=w.delays - 1, net=after.net.send(answer)
+                )
+                yield (
+                    f"f{n} beats, needs {need}, holds {holds}; under way: {said(answer)}",
+                    late,
+                )
 
     def _restart(self, w: World) -> World:
         disk: dict[str, Any] | None = copy.deepcopy(w.disk)
@@ -157,13 +261,21 @@
         epoch = w.epoch
         if self.lost:
             disk, epoch = None, w.epoch + 1
-        ledger = restored([self.budget], self.out, self.drift, w.now, disk, [], sure=not self.lost)
+        ledger = restored(
+            [self.budget], self.out, self.drift, w.now, disk, [], sure=not self.lost
+        )
         if self.bug == "lost folder grants at once":
             ledger.opened, ledger.books["d"].opens_us = True, w.now
         leases = {} if self.lost else dict.fromkeys(sorted(w.leases), w.now + self.out)
         for token in leases:
             ledger.joined(token, w.ledger.names[token], None, w.now)
-        return changed_to(w, ledger=self._bugged(ledger), leases=leases, epoch=epoch, restarts=w.restarts - 1)
+        return changed_to(
+            w,
+            ledger=self._bugged(ledger),
+            leases=leases,
+            epoch=epoch,
+            restarts=w.restarts - 1,
+        )
 
     def _arrives(self, w: World, message: Any) -> tuple[World, Any]:
         """The world after a message was taken, and the answer to it, if it asks for one."""
@@ -180,7 +292,9 @@
             return changed_to(w, members=put(w.members, n, fenced)), None
         for share in shares:
             purse.told(share, asked + self.kept, p.at)
-        return changed_to(w, members=put(w.members, n, changed_to(p, token=token, purse=purse))), None
+        return changed_to(
+            w, members=put(w.members, n, changed_to(p, token=token, purse=purse))
+        ), None
 
     def _served(self, w: World, message: Any) -> tuple[World, Any]:
         _, n, pid, token, follows, asked, need, holds, keeps = message
@@ -195,7 +309,9 @@
         disk = w.disk
         if token in leases:
             leases[token] = w.now + self.out
-            assert ledger.beat(token, {"d": {"": need}}, {"d": holds} if holds else {}, w.now)
+            assert ledger.beat(
+                token, {"d": {"": need}}, {"d": holds} if holds else {}, w.now
+            )
             disk = self._planned(ledger, w.now, disk)
             shares = tuple(ledger.told(token).values())
         after = changed_to(w, ledger=ledger, leases=leases, tokens=tokens, disk=disk)
--- a/lemonshunt/budget/model_bugs.py
+++ b/lemonshunt/budget/model_bugs.py
@@ -9,9 +9,16 @@
 from lemonshunt.budget.purse import Purse
 from lemonshunt.budget.terms import Share
 
-BUGS = ("span not waited for", "freed when told", "no drift margin", "reserve not counted",
-        "new process sends at once", "older answer adopted", "restart forgets what is unacknowledged",
-        "lost folder grants at once")
+BUGS = (
+    "span not waited for",
+    "freed when told",
+    "no drift margin",
+    "reserve not counted",
+    "new process sends at once",
+    "older answer adopted",
+    "restart forgets what is unacknowledged",
+    "lost folder grants at once",
+)
 
 
 class Hasty(Book):
--- a/lemonshunt/budget/model_state.py
+++ b/lemonshunt/budget/model_state.py
@@ -54,41 +54,87 @@
     base = {p.purse.share.token: p.purse.share.number for p in w.members}
     base.update((t, a.acked) for t, a in book.accounts.items())
     accounts = tuple(
-        (ranks[t], a.state, a.noted, a.work(),
-         tuple((g.number - a.acked, g.calls, g.reserve) for g in a.grants),
-         a.lent_us > 0, max(0, a.lent_us - w.now),
-         max(0, a.over_us - w.now), w.leases.get(t, w.now) - w.now) for t, a in book.accounts.items())
-    settled = -1 if aim.settled_us is None else min(w.now - aim.settled_us, 2 * book.window_us())
-    ledger = (accounts, tuple(sorted((until - w.now, c) for until, c in book.cooling)),
-              max(0, book.opens_us - w.now), settled, aim.scarce, aim.divided_us is None, book.stirred,
-              tuple((ranks[t], c) for t, c in aim.shares.items() if t in ranks),
-              tuple((ranks[t], c) for t, c in aim.credit.items() if t in ranks),
-              tuple((ranks[t], c) for t, c in aim.credit_next.items() if t in ranks),
-              tuple((ranks[t], until - w.now) for t, until in w.ledger.presumed.items()))
+        (
+            ranks[t],
+            a.state,
+            a.noted,
+            a.work(),
+            tuple((g.number - a.acked, g.calls, g.reserve) for g in a.grants),
+            a.lent_us > 0,
+            max(0, a.lent_us - w.now),
+            max(0, a.over_us - w.now),
+            w.leases.get(t, w.now) - w.now,
+        )
+        for t, a in book.accounts.items()
+    )
+    settled = (
+        -1
+        if aim.settled_us is None
+        else min(w.now - aim.settled_us, 2 * book.window_us())
+    )
+    ledger = (
+        accounts,
+        tuple(sorted((until - w.now, c) for until, c in book.cooling)),
+        max(0, book.opens_us - w.now),
+        settled,
+        aim.scarce,
+        aim.divided_us is None,
+        book.stirred,
+        tuple((ranks[t], c) for t, c in aim.shares.items() if t in ranks),
+        tuple((ranks[t], c) for t, c in aim.credit.items() if t in ranks),
+        tuple((ranks[t], c) for t, c in aim.credit_next.items() if t in ranks),
+        tuple((ranks[t], until - w.now) for t, until in w.ledger.presumed.items()),
+    )
     members = tuple(
-        (p.token and ranks[p.token], p.follows and ranks.get(p.follows), p.slow,
-         ranks[p.purse.share.token], p.purse.share.number - base[p.purse.share.token],
-         p.purse.share.calls, p.purse.share.reserve, ranks.get(p.purse.lost),
-         max(0, p.purse.valid_until_us - p.at),
-         max(0, p.purse.window.known_us + p.purse.window.us - p.at),
-         tuple((p.at - at, c) for _, at, c in p.purse.window.entries if at > p.at - p.purse.window.us))
-        for p in w.members)
+        (
+            p.token and ranks[p.token],
+            p.follows and ranks.get(p.follows),
+            p.slow,
+            ranks[p.purse.share.token],
+            p.purse.share.number - base[p.purse.share.token],
+            p.purse.share.calls,
+            p.purse.share.reserve,
+            ranks.get(p.purse.lost),
+            max(0, p.purse.valid_until_us - p.at),
+            max(0, p.purse.window.known_us + p.purse.window.us - p.at),
+            tuple(
+                (p.at - at, c)
+                for _, at, c in p.purse.window.entries
+                if at > p.at - p.purse.window.us
+            ),
+        )
+        for p in w.members
+    )
     bag = tuple(sorted(repr(_plain(w, m, ranks, base, ttl)) for m in w.net.bag))
     disk = repr(w.disk) if w.restarts else ""
     sent = tuple((w.now - at, c) for at, c in w.sent)
     return (ledger, members, bag, sent, disk, w.delays, w.slows, w.crashes, w.restarts)
 
 
-def _plain(w: World, message: Any, ranks: dict[Token, int], base: dict[Token, int], ttl: int) -> Any:
+def _plain(
+    w: World, message: Any, ranks: dict[Token, int], base: dict[Token, int], ttl: int
+) -> Any:
     """A message by what it can still do: one asked longer ago than any lease is as old as any."""
     if message[0] == "beat":
         _, n, pid, token, follows, asked, need, holds, keeps = message
         said = holds and (holds[0], holds[1] - base.get(token, holds[1]))
-        rest: tuple[Any, ...] = (ranks.get(token), ranks.get(follows), need, said, keeps)
+        rest: tuple[Any, ...] = (
+            ranks.get(token),
+            ranks.get(follows),
+            need,
+            said,
+            keeps,
+        )
     else:
         _, n, pid, token, asked, shares = message
-        rest = (ranks.get(token), shares and [(s.calls, s.reserve, s.number - base.get(token, s.number))
-                                              for s in shares])
+        rest = (
+            ranks.get(token),
+            shares
+            and [
+                (s.calls, s.reserve, s.number - base.get(token, s.number))
+                for s in shares
+            ],
+        )
     p = w.members[n]
     return (message[0], n, pid == p.pid, min(p.at - asked, ttl + 1), rest)
 
@@ -106,12 +152,16 @@
     if message[0] == "beat":
         return f"f{message[1]}'s beat of {message[5]}, needs {message[6]}, holds {message[7]}"
     shares = message[5]
-    told = "lost" if shares is None else ", ".join(f"{s.calls} (number {s.number})" for s in shares)
+    told = (
+        "lost"
+        if shares is None
+        else ", ".join(f"{s.calls} (number {s.number})" for s in shares)
+    )
     return f"f{message[1]}'s answer to {message[4]}: {told or 'nothing'}"
 
 
 def put(members: tuple[Process, ...], n: int, p: Process) -> tuple[Process, ...]:
-    return (*members[:n], p, *members[n + 1:])
+    return (*members[:n], p, *members[n + 1 :])
 
 
 def _twin(one: T) -> T:
@@ -141,8 +191,19 @@
     for destination, book in ledger.books.items():
         twin = fresh.books[destination] = _twin(book)
         twin.accounts = {
-            t: Account(a.name, t, list(a.grants), a.acked, a.state, a.over_us, a.lent_us, a.noted, a.needs)
-            for t, a in book.accounts.items()}
+            t: Account(
+                a.name,
+                t,
+                list(a.grants),
+                a.acked,
+                a.state,
+                a.over_us,
+                a.lent_us,
+                a.noted,
+                a.needs,
+            )
+            for t, a in book.accounts.items()
+        }
         twin.cooling = list(book.cooling)
         fresh.aims[destination] = replace(ledger.aims[destination])
     return fresh
--- a/lemonshunt/budget/purse.py
+++ b/lemonshunt/budget/purse.py
@@ -34,7 +34,10 @@
     def told(self, share: Share, valid_until_us: int, now_us: int) -> bool:
         """From an answered beat; valid until the lease is out by the own clock, counted from when it was
         asked. False where it is older than what is held, and nothing of it counts."""
-        if (share.token, share.number) < (self.share.token, self.share.number) or share.token <= self.lost:
+        if (share.token, share.number) < (
+            self.share.token,
+            self.share.number,
+        ) or share.token <= self.lost:
             return False
         if share.token == self.share.token:
             valid_until_us = max(valid_until_us, self.valid_until_us)
@@ -47,12 +50,16 @@
     def fenced(self, now_us: int) -> None:
         """The lease is lost or given up: from now only the reserve acts."""
         self.valid_until_us = min(self.valid_until_us, now_us)
-        self.lost = self.share.token  # an answer of before, still under way, brings nothing back
+        self.lost = (
+            self.share.token
+        )  # an answer of before, still under way, brings nothing back
 
     def holds(self, token: Token) -> tuple[int, int] | None:
         """(calls, number) of the newest share told to the incarnation `token`, which binds already. None
         before the first: what an earlier incarnation was told must not be acknowledged by this one."""
-        return (self.share.calls, self.share.number) if self.share.token == token else None
+        return (
+            (self.share.calls, self.share.number) if self.share.token == token else None
+        )
 
     # -- what may leave -----------------------------------------------------------------------------
 
@@ -66,8 +73,10 @@
         """Whether so many calls may leave now; they are counted if so. Their first bytes leave within
         `slack_us`: see `late`."""
         self.window.forget(now_us)
-        if (now_us - self.window.us < self.window.known_us
-                or self.window.inside + calls > self.limit(now_us)):
+        if (
+            now_us - self.window.us < self.window.known_us
+            or self.window.inside + calls > self.limit(now_us)
+        ):
             return False
         self.window.add(now_us, calls)
         return True
@@ -86,7 +95,9 @@
                 return at
         if self.closed or calls > self.share.reserve:
             return None
-        return self.window.free_at(max(now_us, self.valid_until_us), calls, self.share.reserve)
+        return self.window.free_at(
+            max(now_us, self.valid_until_us), calls, self.share.reserve
+        )
 
     # -- over a restart -----------------------------------------------------------------------------
 
@@ -94,8 +105,15 @@
         """To be on disk before the first call under a new share: what a successor may go by after a crash.
         It acts on the reserve then, but only after a whole window, since what was spent is not in it."""
         s = self.share
-        return {"form": FORM, "token": s.token.told(), "number": s.number, "reserve": s.reserve,
-                "whole": s.whole, "span_us": s.span_us, "slack_us": s.slack_us}
+        return {
+            "form": FORM,
+            "token": s.token.told(),
+            "number": s.number,
+            "reserve": s.reserve,
+            "whole": s.whole,
+            "span_us": s.span_us,
+            "slack_us": s.slack_us,
+        }
 
     def close(self, now_us: int, leaving: bool = False) -> dict[str, Any]:
         """End it: nothing leaves any more. The record has what was spent, so that a successor on the same
@@ -106,8 +124,12 @@
         self.closed = True
         if leaving:
             self.share = replace(self.share, reserve=0)
-        return {**self.standing(), "closed_us": now_us, "known_us": self.window.known_us,
-                "spent": [list(entry) for entry in self.window.entries]}
+        return {
+            **self.standing(),
+            "closed_us": now_us,
+            "known_us": self.window.known_us,
+            "spent": [list(entry) for entry in self.window.entries],
+        }
 
     @staticmethod
     def restored(record: Mapping[str, Any], start_us: int, drift: float) -> Purse:
@@ -117,10 +139,14 @@
         try:
             if record["form"] != FORM:
                 raise ValueError(f"form {record['form']} is not known")
-            numbers = {name: int(record[name]) for name in
-                       ("number", "reserve", "whole", "span_us", "slack_us")}
+            numbers = {
+                name: int(record[name])
+                for name in ("number", "reserve", "whole", "span_us", "slack_us")
+            }
             # It holds nothing under its old token but the reserve.
-            purse.share = Share(Token.of(record["token"]), calls=numbers["reserve"], **numbers)
+            purse.share = Share(
+                Token.of(record["token"]), calls=numbers["reserve"], **numbers
+            )
             purse.window.us = window(numbers["span_us"], numbers["slack_us"], drift)
             if record.get("closed_us", start_us + 1) <= start_us:
                 purse.window.known_us = int(record["known_us"])
--- a/lemonshunt/budget/wants.py
+++ b/lemonshunt/budget/wants.py
@@ -36,8 +36,13 @@
         parts = {part for _, counts in self.steps for part in counts}
         for part in sorted(parts):
             needs[part] = max(
-                sum(counts.get(part, 0) for at, counts in self.steps if end - STEPS < at <= end)
-                for end, _ in self.steps)
+                sum(
+                    counts.get(part, 0)
+                    for at, counts in self.steps
+                    if end - STEPS < at <= end
+                )
+                for end, _ in self.steps
+            )
         for part in sorted(waiting):
             known = part if part in needs or len(needs) < MOST_PARTS else ""
             needs[known] = needs.get(known, 0) + waiting[part]
--- a/lemonshunt/budget/window.py
+++ b/lemonshunt/budget/window.py
@@ -6,7 +6,9 @@
 from dataclasses import dataclass, field
 
 EXACT = 1_024  # single stamps kept before they are gathered into grains
-GRAINS = 1_024  # grains in a window: a call counts so much of the window too long at most
+GRAINS = (
+    1_024  # grains in a window: a call counts so much of the window too long at most
+)
 
 
 @dataclass(slots=True)
--- a/lemonshunt/choice/books.py
+++ b/lemonshunt/choice/books.py
@@ -8,7 +8,19 @@
 
 from lemonshunt import interface as i
 from lemonshunt.choice.shares import Share
-from lemonshunt.state import Agenda, Attempt, Call, Held, Lane, LaneKey, Line, Message, Place, Target, Wakes
+from lemonshunt.state import (
+    Agenda,
+    Attempt,
+    Call,
+    Held,
+    Lane,
+    LaneKey,
+    Line,
+    Message,
+    Place,
+    Target,
+    Wakes,
+)
 
 SECOND = 1_000_000  # us
 NEVER = 1 << 62  # us; a gate that only an event can open
@@ -18,7 +30,9 @@
 LOOK_US = 40_000  # least time between two looks at a destination where nothing happened
 FEW = 8  # forwarders; where more share the targets, what all do at once adds up: connections, returns
 AIM_PER_CALL = 10  # D_multiplier of the paper: a class's aim is taken for this many usual calls (the seed)
-EASE_US = 2 * SECOND  # half-life by which an expected call eases back to its seed while nothing is out
+EASE_US = (
+    2 * SECOND
+)  # half-life by which an expected call eases back to its seed while nothing is out
 SHARE_START = 1.0  # even shares of a limit that each of very many takes at first
 SHARE_ROOM = 3.0  # over the number of forwarders: so many times more where few tell each more of the limit
 IDLE_LEAST_US = 200_000  # a connection without use for longer counts as idle
@@ -116,7 +130,10 @@
         self.apart = max(0.0, 1 - SHARE_ROOM / settings.balancers)
         self.kinds = {k.name: k for k in settings.kinds}
         self.tenants = {t.name: t for t in settings.tenants}
-        self.idle_top = min(settings.conn_idle_us, IDLE_LEAST_US if settings.balancers > FEW else FORGET_US)
+        self.idle_top = min(
+            settings.conn_idle_us,
+            IDLE_LEAST_US if settings.balancers > FEW else FORGET_US,
+        )
 
     def place(self, destination: int, target: int, apart: bool) -> Place:
         whose = (destination, target if apart else -1)
@@ -126,11 +143,19 @@
     def usable(self, m: Message) -> list[Target]:
         """Serving targets of the message's destination within its key's scope."""
         targets = self.by_destination.get(m.destination, [])
-        if m.ran_at < 0 or m.cls.effect is not i.Effect.KEYED or m.cls.scope is i.Scope.ALL:
+        if (
+            m.ran_at < 0
+            or m.cls.effect is not i.Effect.KEYED
+            or m.cls.scope is i.Scope.ALL
+        ):
             return targets
         first = self.targets.get(m.ran_on)  # of before a restart, it may be gone
-        return [t for t in targets if t is first or (
-            first and m.cls.scope is i.Scope.ZONE and t.zone == first.zone)]
+        return [
+            t
+            for t in targets
+            if t is first
+            or (first and m.cls.scope is i.Scope.ZONE and t.zone == first.zone)
+        ]
 
     def may_repeat(self, m: Message) -> bool:
         """Rule 2: whether a further attempt is allowed at all."""
@@ -151,14 +176,19 @@
             return seed
         if place.out:
             return place.mean
-        return float(seed + (place.mean - seed) * 0.5 ** ((self.now - place.mean_at) / EASE_US))
+        return float(
+            seed + (place.mean - seed) * 0.5 ** ((self.now - place.mean_at) / EASE_US)
+        )
 
     def soonest(self, m: Message) -> float:
         """The shortest expected call among the message's targets; worked out once for all that share them."""
         usable = self.usable(m)
         if usable is not self.by_destination.get(m.destination):
             return min((self.expected(t.place, m.cls) for t in usable), default=0.0)
-        whose = (m.destination, m.cls.aim_us)  # two classes of one name may be open, one of before a SIGHUP
+        whose = (
+            m.destination,
+            m.cls.aim_us,
+        )  # two classes of one name may be open, one of before a SIGHUP
         known = self.usual.get(whose)
         if known is None:
             known = min((self.expected(t.place, m.cls) for t in usable), default=0.0)
--- a/lemonshunt/choice/dispatcher.py
+++ b/lemonshunt/choice/dispatcher.py
@@ -11,7 +11,16 @@
 from typing import Any
 
 from lemonshunt import interface as i
-from lemonshunt.choice import giving, health, learning, memory, order, queues, routes, shares
+from lemonshunt.choice import (
+    giving,
+    health,
+    learning,
+    memory,
+    order,
+    queues,
+    routes,
+    shares,
+)
 from lemonshunt.choice.books import Books
 from lemonshunt.state import Target
 
--- a/lemonshunt/choice/giving.py
+++ b/lemonshunt/choice/giving.py
@@ -13,7 +13,9 @@
 STALL_CALLS = 8  # usual calls after which one is held to be lost where some later ones have been delivered
 STALL_US = 600_000  # and this at least
 PASSED = 3  # so many later ones: a single one may just have been quick
-LEAST_AWAY_US = SECOND  # a refused client always hears when to come back, and not at once
+LEAST_AWAY_US = (
+    SECOND  # a refused client always hears when to come back, and not at once
+)
 BUFFER_MARK = 0.85  # share of the buffer above which the largest pile is cut
 
 
@@ -47,7 +49,16 @@
     key = event.key if cls.in_order else None
     # What was held before a start came over a while: all at once it would be far beyond any tenant's share.
     beyond = isinstance(event, i.Arrived) and over_share(b, event.tenant)
-    m = Message(event.message, event.destination, cls, event.due_us, b.newest, key, beyond, b.s.max_attempts)
+    m = Message(
+        event.message,
+        event.destination,
+        cls,
+        event.due_us,
+        b.newest,
+        key,
+        beyond,
+        b.s.max_attempts,
+    )
     m.kept, m.position, m.tenant = b.s.balancers > FEW, b.newest, event.tenant
     return m
 
@@ -101,8 +112,14 @@
     """The only place that gives final answers. Refuse where a new try does no harm, else fail. A keyed one
     that may have run does none while its client comes back within the window."""
     wait = retry_after(b, m)
-    safe = m.cls.effect is i.Effect.REPEATABLE or (m.ran_at < 0 and not m.out) or (
-        m.cls.scope is i.Scope.ALL and b.now + max(wait, LEAST_AWAY_US) < b.repeat_by(m))
+    safe = (
+        m.cls.effect is i.Effect.REPEATABLE
+        or (m.ran_at < 0 and not m.out)
+        or (
+            m.cls.scope is i.Scope.ALL
+            and b.now + max(wait, LEAST_AWAY_US) < b.repeat_by(m)
+        )
+    )
     b.actions.append(i.Refuse(m.id, wait, cause) if safe else i.Fail(m.id, cause))
     if m.key is not None and b.s.ends_told:
         owe(b, m.id, m.key)
@@ -131,7 +148,9 @@
     that may not be sent again fail by this, so their aim must have passed as well."""
     if not (b.s.may_cancel and b.overtaken):
         return
-    for (name, number), attempt in sorted(b.overtaken.items(), key=lambda item: item[1].number):
+    for (name, number), attempt in sorted(
+        b.overtaken.items(), key=lambda item: item[1].number
+    ):
         m, call = attempt.message, attempt.call
         if not attempt.recalled:
             usual = STALL_CALLS * b.expected(call.target.place, m.cls)
@@ -144,7 +163,9 @@
 def passed(b: Books, call: Call) -> None:
     """A call that enough later ones have passed is looked at in each round."""
     if call.passed >= PASSED:
-        b.overtaken.update((named, b.attempts[named]) for named in call.attempts if named in b.attempts)
+        b.overtaken.update(
+            (named, b.attempts[named]) for named in call.attempts if named in b.attempts
+        )
 
 
 def drop(b: Books) -> None:
@@ -157,14 +178,26 @@
         pile = b.held.piles[destination]
         opens = next_call(b, destination)
         opens = b.now if opens >= NEVER else opens
-        fading = [lane for lane in pile.lanes.values() if b.now > lane.fades_at(lane.held[0].due)]
+        fading = [
+            lane
+            for lane in pile.lanes.values()
+            if b.now > lane.fades_at(lane.held[0].due)
+        ]
         jam = bool(fading) and is_jammed(b, pile)
-        leaving = [m for lane in pile.lanes.values() for m in front(b, lane, opens, jam)]
+        leaving = [
+            m for lane in pile.lanes.values() for m in front(b, lane, opens, jam)
+        ]
         for m in sorted(leaving, key=lambda m: m.position):
             if not b.may_repeat(m):
                 answer(b, m, "may not be sent again")
             elif opens >= b.drop_at(m):
-                answer(b, m, "no call could end in time" if b.now >= b.drop_at(m) else "no share in time")
+                answer(
+                    b,
+                    m,
+                    "no call could end in time"
+                    if b.now >= b.drop_at(m)
+                    else "no share in time",
+                )
             else:
                 answer(b, m, "makes way for fresh ones")
     if len(b.messages) > BUFFER_MARK * b.s.max_open and b.held.piles:
@@ -179,15 +212,24 @@
 def is_jammed(b: Books, pile: Pile) -> bool:
     """Whether a message has waited for more than half of its aim, and not yet for all of it."""
     b.visited += len(pile.lanes)
-    youngest = ((lane, lane.first_younger(b.now, lane.cls.aim_us)) for lane in pile.lanes.values())
-    return any(m is not None and lane.cls.aim_us / 2 < age(m, b.now) for lane, m in youngest)
+    youngest = (
+        (lane, lane.first_younger(b.now, lane.cls.aim_us))
+        for lane in pile.lanes.values()
+    )
+    return any(
+        m is not None and lane.cls.aim_us / 2 < age(m, b.now) for lane, m in youngest
+    )
 
 
 def front(b: Books, lane: Lane, opens: int, jam: bool) -> Iterator[Message]:
     """The messages of a lane that are given up now."""
     for m in lane.held:
         b.visited += 1
-        if opens < b.drop_at(m) and not (jam and b.now > lane.fades_at(m.due)) and not lane.key.spent:
+        if (
+            opens < b.drop_at(m)
+            and not (jam and b.now > lane.fades_at(m.due))
+            and not lane.key.spent
+        ):
             return
         yield m
 
@@ -196,11 +238,17 @@
     """One jammed destination must not fill the buffer: of the largest pile, what came in this round is turned
     away at the door. What was taken on stays: its client would hear of its end only by a notice."""
     worst = b.held.largest()
-    pile = [m for m in b.fresh if m.lane is not None and m.destination == worst and not m.before]
+    pile = [
+        m
+        for m in b.fresh
+        if m.lane is not None and m.destination == worst and not m.before
+    ]
     pile.sort(key=lambda m: (m.over_share, m.due, m.number))
     if pile and b.now - b.shed_at >= FORGET_US:
         b.shed_at = b.now
-        b.actions.append(i.Note(f"buffer nearly full: destination {worst} takes on no more"))
+        b.actions.append(
+            i.Note(f"buffer nearly full: destination {worst} takes on no more")
+        )
     if len(b.held.piles[worst]) > 1:
-        for m in pile[-max(1, int(len(b.messages) - BUFFER_MARK * b.s.max_open)):]:
+        for m in pile[-max(1, int(len(b.messages) - BUFFER_MARK * b.s.max_open)) :]:
             answer(b, m, "buffer nearly full")
--- a/lemonshunt/choice/health.py
+++ b/lemonshunt/choice/health.py
@@ -12,7 +12,9 @@
 FAIL_MARK = 0.5  # failing share above which a target is in an outage: two failures running, or most calls
 SURE_MARK = 0.56  # failing share above which once-only messages hold off: more than one failure tells
 BUDGET_PART = 0.8  # part of the cold budget that is used in the mean where it is large; the rest is slack
-SLACK_CALLS = 4.0  # and calls in fall_us that are made at most in the mean where it is small
+SLACK_CALLS = (
+    4.0  # and calls in fall_us that are made at most in the mean where it is small
+)
 CHANCE = 2.0  # times the root of the budget, and as many calls beside: what is borne beyond it as chance
 SIGMAS = 3.5  # standard deviations of all forwarders' calls in fall_us that have to stay within that
 SPREAD = 0.5  # each turn is that much longer or shorter, by chance: forwarders must not meet again and again
@@ -30,7 +32,9 @@
 def cold(b: Books, t: Target) -> bool:
     """Whether the target is in an outage, or back from one and not yet surely warm: it may have come back by
     half of fall_us later than was taken."""
-    return t.outage_at >= 0 and (t.back_at < 0 or b.now - t.back_at < b.s.warm_us + b.s.fall_us // 2)
+    return t.outage_at >= 0 and (
+        t.back_at < 0 or b.now - t.back_at < b.s.warm_us + b.s.fall_us // 2
+    )
 
 
 def avoids(b: Books, target: int) -> bool:
@@ -46,7 +50,9 @@
 
 def sharing(b: Books, t: Target) -> int:
     """How many turns the budget is parted among: of all forwarders, at all that shares its limit."""
-    return b.s.balancers * (1 if t.apart else max(1, len(b.by_destination.get(t.destination, ()))))
+    return b.s.balancers * (
+        1 if t.apart else max(1, len(b.by_destination.get(t.destination, ())))
+    )
 
 
 def budget(b: Books, t: Target) -> tuple[float, float]:
@@ -78,8 +84,8 @@
 
 def within(most: float, fixed: float, grows: float) -> float:
     """The mean m with m + SIGMAS * root(fixed + grows * m) = most; 0 where there is none."""
-    half = most + SIGMAS ** 2 * grows / 2
-    return max(0.0, half - math.sqrt(max(0.0, half ** 2 - most ** 2 + SIGMAS ** 2 * fixed)))
+    half = most + SIGMAS**2 * grows / 2
+    return max(0.0, half - math.sqrt(max(0.0, half**2 - most**2 + SIGMAS**2 * fixed)))
 
 
 def weight(messages: int) -> float:
@@ -90,7 +96,9 @@
 def may_join(b: Books, t: Target, joined: int) -> bool:
     """Whether one more message may travel in a call to a cold target: its turns are as much further
     apart, but some such calls of each forwarder may meet in fall_us."""
-    return t.back_at >= 0 and JOIN_PART * sharing(b, t) * weight(joined + 1) <= bound(b, t)
+    return t.back_at >= 0 and JOIN_PART * sharing(b, t) * weight(joined + 1) <= bound(
+        b, t
+    )
 
 
 def drawn(b: Books) -> float:
@@ -118,7 +126,9 @@
         if not cold(b, target):
             b.actions.append(i.Note(f"target {target.id} in outage: {outcome.value}"))
             target.outage_at = b.now
-            target.spread = b.random.random()  # from the middle of a turn: many may have learned at once
+            target.spread = (
+                b.random.random()
+            )  # from the middle of a turn: many may have learned at once
             if outcome is not Outcome.FULL:
                 doubt(b, target)
         if target.back_at >= 0 or target.outage_at == b.now:
@@ -130,7 +140,12 @@
     """Outages mostly take all that share a limit. Where many forwarders share it, those that have not
     answered since the call that failed are held to be out as well: what all send over to them adds up."""
     for t in b.by_destination.get(target.destination, ()):
-        if b.s.balancers > FEW and t.place is target.place and not cold(b, t) and t.well_at < target.tried_at:
+        if (
+            b.s.balancers > FEW
+            and t.place is target.place
+            and not cold(b, t)
+            and t.well_at < target.tried_at
+        ):
             t.outage_at, t.back_at, t.spread = b.now, -1, b.random.random()
             t.tried_at = max(t.tried_at, target.tried_at)
             b.actions.append(i.Outage(t.id, t.outage_at))
--- a/lemonshunt/choice/order.py
+++ b/lemonshunt/choice/order.py
@@ -13,9 +13,13 @@
 from lemonshunt.choice.limits import has_room, opens_at, paced, room_at
 from lemonshunt.state import Attempt, Call, Deadline, Lane, Message, Place, Target
 
-GROUP_RANGE = 0.4  # Gr, share of the least time left: the paper's value; larger was no better
+GROUP_RANGE = (
+    0.4  # Gr, share of the least time left: the paper's value; larger was no better
+)
 GROUP_LEAST_US = 0.5  # times are whole: those due with the first go with it also when their time is over
-TIMEOUT_CALLS = 6  # expected calls that an attempt may take, and its class's aim at least
+TIMEOUT_CALLS = (
+    6  # expected calls that an attempt may take, and its class's aim at least
+)
 RETRY_TIMES = 2  # after a time-out the next attempt may take so many times as long: the work may be long
 
 
@@ -36,8 +40,14 @@
 
 def appoint(b: Books, destination: int) -> None:
     """When to look again at a destination where messages stay, whatever happens till then."""
-    opens = min((room_at(b, t) for t in b.by_destination.get(destination, ())), default=NEVER)
-    ends = min(at for lane in b.held.piles[destination].lanes.values() for at in changes(b, lane))
+    opens = min(
+        (room_at(b, t) for t in b.by_destination.get(destination, ())), default=NEVER
+    )
+    ends = min(
+        at
+        for lane in b.held.piles[destination].lanes.values()
+        for at in changes(b, lane)
+    )
     b.agenda.add(max(b.now + LOOK_US, int(min(opens, ends)) + 1), destination)
     watch_opening(b, destination)
 
@@ -64,7 +74,9 @@
     """The group rule: the least time left and all within Gr of it first; in a group the shortest call.
     Messages that have no open target, and whole destinations of these, are skipped."""
     lanes: list[Lane] = []
-    for destination in (b.looks | b.may_open if b.jammed else b.looks) & b.held.piles.keys():
+    for destination in (
+        b.looks | b.may_open if b.jammed else b.looks
+    ) & b.held.piles.keys():
         b.visited += 1
         if has_room(b, destination):
             lanes += b.held.piles[destination].lanes.values()
@@ -74,7 +86,9 @@
         yield from by_deadline(b, lanes[0], shut)
         return
     for beyond in sorted({lane.key.over_share for lane in lanes}):
-        yield from by_groups(b, [lane for lane in lanes if lane.key.over_share is beyond], shut)
+        yield from by_groups(
+            b, [lane for lane in lanes if lane.key.over_share is beyond], shut
+        )
 
 
 def by_deadline(b: Books, lane: Lane, shut: set[int]) -> Iterator[Message]:
@@ -93,10 +107,18 @@
     ready = [lane for lane in lanes if lane.ready]
     while ready:
         b.visited += len(lanes) + len(ready)
-        firsts = [m for lane in lanes if (m := lane.held.first_after(end[lane.destination > 0])) is not None]
+        firsts = [
+            m
+            for lane in lanes
+            if (m := lane.held.first_after(end[lane.destination > 0])) is not None
+        ]
         due, start = min(firsts).due, end
         end = group_end(b, due + max(GROUP_LEAST_US, GROUP_RANGE * (due - b.now)))
-        group = [(b.soonest(m), m, lane) for lane in ready if (m := lane.next_ready(start, end)) is not None]
+        group = [
+            (b.soonest(m), m, lane)
+            for lane in ready
+            if (m := lane.next_ready(start, end)) is not None
+        ]
         heapify(group)
         stuck: set[Lane] = set()
         while group:
@@ -110,8 +132,13 @@
                     heapreplace(group, (call_us, later, lane))
                     continue
             heappop(group)
-        ready = [lane for lane in ready if lane not in stuck and can_call(b, lane, shut)
-                 and lane.ready.first_after(end[lane.destination > 0]) is not None]
+        ready = [
+            lane
+            for lane in ready
+            if lane not in stuck
+            and can_call(b, lane, shut)
+            and lane.ready.first_after(end[lane.destination > 0]) is not None
+        ]
 
 
 def group_end(b: Books, limit: float) -> tuple[Deadline, Deadline]:
@@ -122,7 +149,9 @@
 
 def can_call(b: Books, lane: Lane, shut: set[int]) -> bool:
     """Whether a destination may still have room: for another call, or in one that begins in this round."""
-    return lane.destination not in shut and (b.calls_out < b.s.slots or lane.destination in b.called)
+    return lane.destination not in shut and (
+        b.calls_out < b.s.slots or lane.destination in b.called
+    )
 
 
 def gate(b: Books, m: Message, t: Target) -> bool:
@@ -139,8 +168,15 @@
 def preference(b: Books, m: Message, t: Target) -> tuple[float, ...]:
     """Which open target is best: a sound one, a call already forming, a cheap one, a quiet one."""
     fee = b.s.zone_fees.get(t.zone, 0.0) if t.apart else 0.0
-    return (in_outage(t), t.id == m.avoid, t.id not in b.round_calls, fee, t.failing, t.out,
-            b.random.random())
+    return (
+        in_outage(t),
+        t.id == m.avoid,
+        t.id not in b.round_calls,
+        fee,
+        t.failing,
+        t.out,
+        b.random.random(),
+    )
 
 
 def send(b: Books, m: Message, t: Target) -> None:
@@ -186,5 +222,9 @@
     """How long an attempt may take. One after which there is no other is waited for till its end: of a
     once-only message, or one that outlasts the window in which its key is known."""
     left = m.due - b.now
-    patience = max(m.cls.aim_us, int(TIMEOUT_CALLS * b.expected(place, m.cls)), RETRY_TIMES * m.waited)
+    patience = max(
+        m.cls.aim_us,
+        int(TIMEOUT_CALLS * b.expected(place, m.cls)),
+        RETRY_TIMES * m.waited,
+    )
     return left if b.now + patience >= b.repeat_by(m, b.now) else min(left, patience)
--- a/lemonshunt/choice/queues.py
+++ b/lemonshunt/choice/queues.py
@@ -45,8 +45,15 @@
 def lane_key(b: Books, m: Message) -> LaneKey:
     ran = m.ran_at >= 0
     bound = ran and m.cls.effect is i.Effect.KEYED and m.cls.scope is not i.Scope.ALL
-    return LaneKey(id(m.cls), m.over_share, m.ran_on if bound else -1, m.before and not m.attempts,
-                   m.kept and not ran, m.key is not None, (ran or m.attempts > 0) and not b.may_repeat(m))
+    return LaneKey(
+        id(m.cls),
+        m.over_share,
+        m.ran_on if bound else -1,
+        m.before and not m.attempts,
+        m.kept and not ran,
+        m.key is not None,
+        (ran or m.attempts > 0) and not b.may_repeat(m),
+    )
 
 
 def retune(b: Books, old: i.Settings) -> None:
@@ -56,7 +63,9 @@
     for lane in lanes:
         lane.fades_after_us = b.fades_after(lane.cls)
     if b.s.max_attempts != old.max_attempts:
-        for m in [m for lane in lanes for m in lane.held if b.may_repeat(m) is lane.key.spent]:
+        for m in [
+            m for lane in lanes for m in lane.held if b.may_repeat(m) is lane.key.spent
+        ]:
             hold(b, m)
 
 
--- a/lemonshunt/choice/shares.py
+++ b/lemonshunt/choice/shares.py
@@ -16,7 +16,15 @@
 class Share:
     """Times are microseconds of the module's clock. Memory: some GRAINS entries, whatever is sent."""
 
-    __slots__ = ("calls", "span_us", "until_us", "reserve", "inside", "entries", "known_us")
+    __slots__ = (
+        "calls",
+        "span_us",
+        "until_us",
+        "reserve",
+        "inside",
+        "entries",
+        "known_us",
+    )
 
     def __init__(self, span_us: int) -> None:
         self.calls, self.span_us, self.until_us, self.reserve = 0, span_us, 0, 0
@@ -49,7 +57,11 @@
             at = self.free_at(now, self.calls)
             if at < self.until_us:
                 return at
-        return self.free_at(max(now, self.until_us), self.reserve) if self.reserve > 0 else NEVER
+        return (
+            self.free_at(max(now, self.until_us), self.reserve)
+            if self.reserve > 0
+            else NEVER
+        )
 
     def free_at(self, now: int, most: int) -> int:
         """When one more makes at most `most` (above 0) in a span."""
--- a/lemonshunt/explore/__main__.py
+++ b/lemonshunt/explore/__main__.py
@@ -12,8 +12,12 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Exit 0 where no invariant was broken, 1 with the steps to it where one was, 2 for a wrong call."""
-    ask = argparse.ArgumentParser(prog="python -m lemonshunt.explore", description=__doc__)
-    ask.add_argument("model", help="such as lemonshunt.lease.model:Leases, made without arguments")
+    ask = argparse.ArgumentParser(
+        prog="python -m lemonshunt.explore", description=__doc__
+    )
+    ask.add_argument(
+        "model", help="such as lemonshunt.lease.model:Leases, made without arguments"
+    )
     ask.add_argument("--depth", type=int, default=12, help="steps from the start")
     ask.add_argument("--states", type=int, default=1_000_000, help="states at most")
     args = ask.parse_args(argv)
--- a/lemonshunt/explore/net.py
+++ b/lemonshunt/explore/net.py
@@ -39,4 +39,4 @@
     def _each(self) -> Iterator[tuple[Hashable, tuple[Hashable, ...]]]:
         for n, message in enumerate(self.bag):
             if n == 0 or self.bag[n - 1] != message:
-                yield message, self.bag[:n] + self.bag[n + 1:]
+                yield message, self.bag[:n] + self.bag[n + 1 :]
--- a/lemonshunt/interface.py
+++ b/lemonshunt/interface.py
@@ -135,13 +135,19 @@
         check(self.warm_us >= 0, "warm_us")
         check(self.key_rest_us >= 0, "key_rest_us")
         check(0.0 <= self.cold_from <= 1.0, "cold_from")
-        check(len({c.name for c in self.classes}) == len(self.classes), "classes: a name twice")
+        check(
+            len({c.name for c in self.classes}) == len(self.classes),
+            "classes: a name twice",
+        )
         for c in self.classes:
             check(c.aim_us > 0, f"classes {c.name}: aim_us")
             check(c.deadline_us > 0, f"classes {c.name}: deadline_us")
             check(isinstance(c.effect, Effect), f"classes {c.name}: effect")
             check(isinstance(c.scope, Scope), f"classes {c.name}: scope")
-            check(c.effect is not Effect.KEYED or c.window_us >= 0, f"classes {c.name}: window_us")
+            check(
+                c.effect is not Effect.KEYED or c.window_us >= 0,
+                f"classes {c.name}: window_us",
+            )
         for k in self.kinds:
             check(k.batch >= 1, f"kinds {k.name}: batch")
         for t in self.tenants:
@@ -315,8 +321,23 @@
     report: LoadReport | None = None
 
 
-Event = (Listed | Arrived | Recalled | OutageRecalled | Ended | Withdrawn | EndOwed | EndTold | Detached
-         | Attached | Shares | Retuned | Remembered | TimerDue | Probed)
+Event = (
+    Listed
+    | Arrived
+    | Recalled
+    | OutageRecalled
+    | Ended
+    | Withdrawn
+    | EndOwed
+    | EndTold
+    | Detached
+    | Attached
+    | Shares
+    | Retuned
+    | Remembered
+    | TimerDue
+    | Probed
+)
 
 
 # Actions
@@ -386,4 +407,15 @@
     back_us: int = -1
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | CloseIdle | SetTimer | Subscribe | Outage | Note
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | Probe
+    | CloseIdle
+    | SetTimer
+    | Subscribe
+    | Outage
+    | Note
+)
--- a/lemonshunt/journal/__main__.py
+++ b/lemonshunt/journal/__main__.py
@@ -52,14 +52,21 @@
     if not r.version:
         print("empty: a forwarder would start with nothing")
         return WHOLE
-    print(f"version {r.version}, generation {r.generation}, level {'power' if r.power else 'process'}: "
-          f"{r.records} records in {r.size} bytes; {len(state.messages)} messages held, "
-          f"{len(state.owed)} ends not told")
+    print(
+        f"version {r.version}, generation {r.generation}, level {'power' if r.power else 'process'}: "
+        f"{r.records} records in {r.size} bytes; {len(state.messages)} messages held, "
+        f"{len(state.owed)} ends not told"
+    )
     if r.torn:
-        print(f"at byte {r.size - r.torn}: {r.torn} bytes of a write that did not come to its end; nothing "
-              "was promised on it")
+        print(
+            f"at byte {r.size - r.torn}: {r.torn} bytes of a write that did not come to its end; nothing "
+            "was promised on it"
+        )
     if r.head_damaged:
-        print("at byte 0: a head is damaged" + ("" if r.records else "; nothing can be read"))
+        print(
+            "at byte 0: a head is damaged"
+            + ("" if r.records else "; nothing can be read")
+        )
     for at, size, missing in r.gaps:
         many = f"{missing} records" if missing >= 0 else "records of an unknown number"
         print(f"at byte {at}: {size} bytes cannot be read; {many} lost")
@@ -69,8 +76,10 @@
         print(f"lost, though taken on: {len(r.lost)} messages: {_named(r.lost)}")
     if r.doubted or r.ended:
         names = [m.id for m in state.messages.values() if m.doubt]
-        print(f"in doubt, as an attempt or an end may be lost: {len(names)} messages ({r.ended} ordered, "
-              f"which a start ends as failed): {_named(names)}")
+        print(
+            f"in doubt, as an attempt or an end may be lost: {len(names)} messages ({r.ended} ordered, "
+            f"which a start ends as failed): {_named(names)}"
+        )
     print("damaged" if r.damaged else "whole")
     return DAMAGED if r.damaged else WHOLE
 
@@ -83,13 +92,20 @@
     state, r = read(where)
     if state.rules:
         rules = state.rules[state.current]
-        print(f"classes {', '.join(c.name for c in rules.classes)}; {rules.attempts} attempts")
-    print(f"list {state.seq} of {state.source or 'unknown'}: {len(state.hosts)} endpoints; taken out by "
-          f"operators: {', '.join(state.detached) or 'none'}")
+        print(
+            f"classes {', '.join(c.name for c in rules.classes)}; {rules.attempts} attempts"
+        )
+    print(
+        f"list {state.seq} of {state.source or 'unknown'}: {len(state.hosts)} endpoints; taken out by "
+        f"operators: {', '.join(state.detached) or 'none'}"
+    )
     for m in state.messages.values():
         print(message(m, bodies))
     for name, end in state.owed.items():
-        print(f"owed {name}: {end.state}" + (f", after {end.after_ms} ms" if end.after_ms else ""))
+        print(
+            f"owed {name}: {end.state}"
+            + (f", after {end.after_ms} ms" if end.after_ms else "")
+        )
     if r.damaged:
         print("damaged: see check")
     return DAMAGED if r.damaged else WHOLE
@@ -97,9 +113,13 @@
 
 def message(m: Taken, bodies: bool) -> str:
     due = datetime.fromtimestamp(m.due_us / 1e6, UTC).isoformat(timespec="milliseconds")
-    parts = [f"held {m.id}: {m.class_name} to {m.destination}, due {due}, {m.attempts} attempts"]
+    parts = [
+        f"held {m.id}: {m.class_name} to {m.destination}, due {due}, {m.attempts} attempts"
+    ]
     if m.out:
-        parts.append("out to " + ", ".join(host or "unknown" for _, host in m.out.values()))
+        parts.append(
+            "out to " + ", ".join(host or "unknown" for _, host in m.out.values())
+        )
     if m.ran_at_us >= 0:
         parts.append(f"may have run at {m.ran_on or 'unknown'}")
     if m.order_key is not None:
@@ -113,18 +133,31 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m lemonshunt.journal", description=__doc__)
+    parser = argparse.ArgumentParser(
+        prog="python -m lemonshunt.journal", description=__doc__
+    )
     calls = parser.add_subparsers(dest="call", required=True)
-    for name, text in (("check", "whether it is whole: exit 0 whole, 1 damaged, 2 unusable call"),
-                       ("show", "what it holds; message bodies only with --bodies")):
+    for name, text in (
+        ("check", "whether it is whole: exit 0 whole, 1 damaged, 2 unusable call"),
+        ("show", "what it holds; message bodies only with --bodies"),
+    ):
         one = calls.add_parser(name, help=text, description=text)
-        one.add_argument("where", type=Path, metavar="DIR", help="a forwarder's folder, or a journal file")
+        one.add_argument(
+            "where",
+            type=Path,
+            metavar="DIR",
+            help="a forwarder's folder, or a journal file",
+        )
         if name == "show":
-            one.add_argument("--bodies", action="store_true", help="print message bodies too")
+            one.add_argument(
+                "--bodies", action="store_true", help="print message bodies too"
+            )
     told = parser.parse_args(words)  # ends with 2 by itself
     logging.disable(logging.CRITICAL)  # what it would say is in the report
     try:
-        return check(told.where) if told.call == "check" else show(told.where, told.bodies)
+        return (
+            check(told.where) if told.call == "check" else show(told.where, told.bodies)
+        )
     except (BadCall, Unusable) as error:
         print(f"journal: {error}", file=sys.stderr)
         return UNUSABLE
--- a/lemonshunt/journal/format.py
+++ b/lemonshunt/journal/format.py
@@ -96,19 +96,26 @@
 def frame(salt: int, number: int, payload: bytes, at: int) -> bytes:
     first = (MARK << 24 | len(payload)).to_bytes(4) + number.to_bytes(4)
     check = begun(first, at, salt)
-    return first + (check & 0xFFFF).to_bytes(2) + zlib.crc32(payload, check).to_bytes(4) + payload
+    return (
+        first
+        + (check & 0xFFFF).to_bytes(2)
+        + zlib.crc32(payload, check).to_bytes(4)
+        + payload
+    )
 
 
 def read_head(data: bytes, at: int = 0) -> Head | None:
     """The head that stands there, if it is sound; NewerVersion where it is of a later program."""
-    if data[at:at + len(MAGIC)] != MAGIC or len(data) < at + HEAD.size:
+    if data[at : at + len(MAGIC)] != MAGIC or len(data) < at + HEAD.size:
         return None
     _, *parts, check = HEAD.unpack_from(data, at)
     head = Head(*parts)
-    if check != zlib.crc32(data[at:at + HEAD.size - 4]):
+    if check != zlib.crc32(data[at : at + HEAD.size - 4]):
         return None
     if head.version > VERSION:
-        raise NewerVersion(f"version {head.version}; this program knows up to {VERSION}")
+        raise NewerVersion(
+            f"version {head.version}; this program knows up to {VERSION}"
+        )
     return head
 
 
@@ -131,12 +138,14 @@
     length = word & 0xFFFFFF
     if word >> 24 != MARK or length > MOST_RECORD:
         return None
-    first = begun(data[at:at + 8], at, salt)
+    first = begun(data[at : at + 8], at, salt)
     end = at + FRAME.size + length
     if first & 0xFFFF != half or end > len(data):
         return None
-    payload = data[at + FRAME.size:end]
-    return Frame(at, number, payload, end) if zlib.crc32(payload, first) == check else None
+    payload = data[at + FRAME.size : end]
+    return (
+        Frame(at, number, payload, end) if zlib.crc32(payload, first) == check else None
+    )
 
 
 def next_frame(data: bytes, at: int, salt: int, least: int) -> Frame | None:
@@ -153,23 +162,32 @@
 def unfinished(data: bytes, at: int, salt: int, number: int) -> bool:
     """Whether what stands there is a write that never came to its end, so that nothing was promised on it:
     the beginning of just the next frame."""
-    rest = data[at:at + FRAME.size]
+    rest = data[at : at + FRAME.size]
     expected = MARK.to_bytes(1)
     if len(rest) < FRAME.size:  # the length may be any, the number may not
-        return rest[:1] == expected[:len(rest)] and rest[4:8] == number.to_bytes(4)[:len(rest[4:8])]
+        return (
+            rest[:1] == expected[: len(rest)]
+            and rest[4:8] == number.to_bytes(4)[: len(rest[4:8])]
+        )
     word, told, half, _ = FRAME.unpack_from(data, at)
-    sound = word >> 24 == MARK and told == number and begun(rest[:8], at, salt) & 0xFFFF == half
+    sound = (
+        word >> 24 == MARK
+        and told == number
+        and begun(rest[:8], at, salt) & 0xFFFF == half
+    )
     return bool(sound and at + FRAME.size + (word & 0xFFFFFF) > len(data))
 
 
 def scan(data: bytes) -> Scan:
     """Read a file of either version."""
     head = read_head(data)
-    if head is None and data[:len(MAGIC)] == MAGIC:
+    if head is None and data[: len(MAGIC)] == MAGIC:
         told = int.from_bytes(data[8:10])
         head = find_head(data)
         if head is None and told > VERSION and len(data) >= HEAD.size:
-            raise NewerVersion(f"version {told}, or its head is damaged; this program knows up to {VERSION}")
+            raise NewerVersion(
+                f"version {told}, or its head is damaged; this program knows up to {VERSION}"
+            )
         return _scan(data, head, damaged=True)
     if head is not None:
         return _scan(data, head)
@@ -191,8 +209,10 @@
     while at < len(data):
         if number == head.checkpoint and not copied:  # here it has to stand
             copied = True
-            if data[at:at + HEAD.size] == copy or _spoilt_copy(data, head, at, number):
-                found.head_damaged |= data[at:at + HEAD.size] != copy
+            if data[at : at + HEAD.size] == copy or _spoilt_copy(
+                data, head, at, number
+            ):
+                found.head_damaged |= data[at : at + HEAD.size] != copy
                 at = found.end = at + HEAD.size
                 continue
         next_one = frame_at(data, at, head.salt)
@@ -206,7 +226,9 @@
             at, number = begin, head.checkpoint
             continue
         if next_one.at > at or next_one.number > number:
-            found.parts.append(Gap(at, next_one.at - at, number, next_one.number - number))
+            found.parts.append(
+                Gap(at, next_one.at - at, number, next_one.number - number)
+            )
         found.parts.append(next_one)
         at, number = next_one.end, next_one.number + 1
         found.end = at
@@ -226,12 +248,16 @@
 def _tail(found: Scan, data: bytes, head: Head, at: int, number: int) -> None:
     rest = data[at:]
     if not rest:
-        if number < head.checkpoint:  # cut off within what was whole when the file got its name
+        if (
+            number < head.checkpoint
+        ):  # cut off within what was whole when the file got its name
             found.parts.append(Gap(at, 0, number, head.checkpoint - number))
         return
     copy = number == head.checkpoint and head.bytes().startswith(rest)
     zeros = head.power and not rest.strip(b"\0")
-    if number >= head.checkpoint and (copy or zeros or unfinished(data, at, head.salt, number)):
+    if number >= head.checkpoint and (
+        copy or zeros or unfinished(data, at, head.salt, number)
+    ):
         found.torn = len(rest)
     else:
         found.parts.append(Gap(at, len(rest), number, -1))
@@ -247,7 +273,7 @@
     end = at + OLD_FRAME.size + length
     if not 2 < length <= MOST_OLD_RECORD or end > len(data):
         return None
-    payload = data[at + OLD_FRAME.size:end]
+    payload = data[at + OLD_FRAME.size : end]
     return Frame(at, -1, payload, end) if zlib.crc32(payload) == check else None
 
 
@@ -284,8 +310,12 @@
 
 def _old_unfinished(data: bytes, at: int) -> bool:
     """As far as version 1 lets tell: a length that can be, and less than that of what begins as all do."""
-    rest = data[at + OLD_FRAME.size:at + OLD_FRAME.size + 2]
+    rest = data[at + OLD_FRAME.size : at + OLD_FRAME.size + 2]
     if at + OLD_FRAME.size > len(data):
         return True
     length, _ = OLD_FRAME.unpack_from(data, at)
-    return length <= MOST_OLD_RECORD and at + OLD_FRAME.size + length > len(data) and b'["'.startswith(rest)
+    return (
+        length <= MOST_OLD_RECORD
+        and at + OLD_FRAME.size + length > len(data)
+        and b'["'.startswith(rest)
+    )
--- a/lemonshunt/journal/recovery.py
+++ b/lemonshunt/journal/recovery.py
@@ -70,26 +70,38 @@
         kept = asdict(self)
         for name in ("gaps", "lost", "end", "number", "generation", "salt"):
             del kept[name]
-        return {**kept, "gaps": len(self.gaps), "skipped": self.skipped, "missing": self.missing,
-                "lost": len(self.lost), "took_ms": round(self.took_ms, 1)}
+        return {
+            **kept,
+            "gaps": len(self.gaps),
+            "skipped": self.skipped,
+            "missing": self.missing,
+            "lost": len(self.lost),
+            "took_ms": round(self.took_ms, 1),
+        }
 
     def line(self) -> str:
         if not self.version:
             return f"journal: none; an empty start in {self.took_ms:.0f} ms"
-        more = [f"{self.records} records of version {self.version} from {self.size} bytes"]
+        more = [
+            f"{self.records} records of version {self.version} from {self.size} bytes"
+        ]
         if self.torn:
             more.append(f"a torn tail of {self.torn} bytes cut")
         if self.head_damaged:
             more.append("its head damaged")
         if self.gaps:
-            more.append(f"{self.skipped} damaged bytes skipped in {len(self.gaps)} places, "
-                        f"at least {self.missing} records lost")
+            more.append(
+                f"{self.skipped} damaged bytes skipped in {len(self.gaps)} places, "
+                f"at least {self.missing} records lost"
+            )
         if self.unknown:
             more.append(f"{self.unknown} records of unknown form passed over")
         if self.another_boot:
             more.append("the machine went down since it was written")
         if self.doubted or self.ended:
-            more.append(f"{self.doubted} messages in doubt, and {self.ended} ordered ones ended for it")
+            more.append(
+                f"{self.doubted} messages in doubt, and {self.ended} ordered ones ended for it"
+            )
         if self.lost:
             more.append(f"{len(self.lost)} messages lost")
         if self.shifted_us:
@@ -114,7 +126,9 @@
         elif part.missing < 0 or part.number < 0 or part.number + part.missing > last:
             state.doubt()
         else:
-            state.damaged = True  # within the checkpoint: whole messages are lost, and no attempts
+            state.damaged = (
+                True  # within the checkpoint: whole messages are lost, and no attempts
+            )
 
 
 def look(data: bytes, into: State | None = None) -> tuple[State, Report]:
@@ -126,9 +140,16 @@
     except NewerVersion as error:
         raise Unusable(f"the journal is of a newer program: {error}") from None
     interpret(found, state)
-    report = Report(version=found.version if data else 0, size=len(data), head_damaged=found.head_damaged,
-                    gaps=[(g.at, g.size, g.missing) for g in found.gaps], torn=found.torn,
-                    unknown=state.unknown, lost=list(state.lost), end=found.end)
+    report = Report(
+        version=found.version if data else 0,
+        size=len(data),
+        head_damaged=found.head_damaged,
+        gaps=[(g.at, g.size, g.missing) for g in found.gaps],
+        torn=found.torn,
+        unknown=state.unknown,
+        lost=list(state.lost),
+        end=found.end,
+    )
     for f in found.frames:
         report.records += 1
         report.number = f.number + 1
@@ -139,8 +160,15 @@
     return state, report
 
 
-def recover(files: Files, folder: Path, state: State, base_us: int, boot: str, mono_us: int,
-            follow: bool = False) -> Report:
+def recover(
+    files: Files,
+    folder: Path,
+    state: State,
+    base_us: int,
+    boot: str,
+    mono_us: int,
+    follow: bool = False,
+) -> Report:
     """Fill the state with what the folder holds, safe to go on from. Writes nothing. One that follows a
     process which still runs goes by that one's clock."""
     began = time.monotonic()
@@ -177,7 +205,9 @@
     times = [at for m in state.messages.values() for at, _ in m.out.values()]
     times += [m.ran_at_us for m in state.messages.values()]
     times += [at for pair in state.outages.values() for at in pair]
-    for m in state.messages.values():  # it was taken on no sooner than its longest time before its end
+    for m in (
+        state.messages.values()
+    ):  # it was taken on no sooner than its longest time before its end
         cls = state.class_of(m)
         if cls is not None:
             times.append(m.due_us - cls.deadline_us)
--- a/lemonshunt/journal/state.py
+++ b/lemonshunt/journal/state.py
@@ -35,7 +35,9 @@
 PER_MESSAGE = 400  # what a held message's further records may add to a compacted file
 MOST_LOST = 10_000  # ids of lost messages that are named: about what 3 MB of journal name; 100 bytes each
 PLAIN_LIST = 64 * 1024  # bytes of a list's record; one that is longer is compressed
-COMPRESSION = 1  # zlib's fastest: 8 MB of hosts take 14 ms, and a fourteenth of the room
+COMPRESSION = (
+    1  # zlib's fastest: 8 MB of hosts take 14 ms, and a fourteenth of the room
+)
 log = logging.getLogger("lemonshunt.store")
 
 
@@ -105,12 +107,32 @@
         """Messages that later records name and that nothing tells more of."""
         self.damaged = False
         self.readers: dict[str, Callable[[list[Any], bytes], None]] = {
-            "n": self._new, "t": self._taken, "taken": self._taken, "a": self._attempt,
-            "attempt": self._attempt, "o": self._outcome, "outcome": self._outcome, "x": self._over,
-            "over": self._over, "e": self._owed, "owed": self._owed, "d": self._told, "told": self._told,
-            "l": self._list, "list": self._list, "g": self._outage, "outage": self._outage, "r": self._rules,
-            "rules": self._rules, "h": self._out, "out": self._out, "c": self._clock, "z": self._closed,
-            "p": self._packed, "u": self._update}
+            "n": self._new,
+            "t": self._taken,
+            "taken": self._taken,
+            "a": self._attempt,
+            "attempt": self._attempt,
+            "o": self._outcome,
+            "outcome": self._outcome,
+            "x": self._over,
+            "over": self._over,
+            "e": self._owed,
+            "owed": self._owed,
+            "d": self._told,
+            "told": self._told,
+            "l": self._list,
+            "list": self._list,
+            "g": self._outage,
+            "outage": self._outage,
+            "r": self._rules,
+            "rules": self._rules,
+            "h": self._out,
+            "out": self._out,
+            "c": self._clock,
+            "z": self._closed,
+            "p": self._packed,
+            "u": self._update,
+        }
 
     # Reading
 
@@ -153,18 +175,50 @@
             if m.ran_at_us >= 0:
                 m.ran_at_us = max(0, m.ran_at_us + by_us)
             m.out = {n: (max(0, at + by_us), host) for n, (at, host) in m.out.items()}
-        self.outages = {h: (max(0, since + by_us), back + by_us if back >= 0 else back)
-                        for h, (since, back) in self.outages.items()}
+        self.outages = {
+            h: (max(0, since + by_us), back + by_us if back >= 0 else back)
+            for h, (since, back) in self.outages.items()
+        }
 
     def _new(self, rest: list[Any], body: bytes) -> None:
         name, cls, destination, due, key, tenant, order_key, rules = rest
-        self._keep(Taken(name, cls, destination, due, key, tenant, body, order_key, rules=rules))
+        self._keep(
+            Taken(
+                name, cls, destination, due, key, tenant, body, order_key, rules=rules
+            )
+        )
 
     def _taken(self, rest: list[Any], body: bytes) -> None:
-        name, cls, destination, due, key, tenant, attempts, ran_at, ran_on, out, *later = rest
-        self._keep(Taken(name, cls, destination, due, key, tenant, body, later[0] if later else None,
-                         attempts, ran_at, ran_on,
-                         {n: (at, host) for n, at, host in out}, later[1] if len(later) > 1 else -1))
+        (
+            name,
+            cls,
+            destination,
+            due,
+            key,
+            tenant,
+            attempts,
+            ran_at,
+            ran_on,
+            out,
+            *later,
+        ) = rest
+        self._keep(
+            Taken(
+                name,
+                cls,
+                destination,
+                due,
+                key,
+                tenant,
+                body,
+                later[0] if later else None,
+                attempts,
+                ran_at,
+                ran_on,
+                {n: (at, host) for n, at, host in out},
+                later[1] if len(later) > 1 else -1,
+            )
+        )
 
     def _keep(self, m: Taken) -> None:
         old = self.messages.get(m.id)
@@ -230,7 +284,11 @@
 
     def _list(self, rest: list[Any], body: bytes = b"") -> None:
         hosts = {h["host"]: h for h in rest[1]}
-        self.seq, self.source, self.hosts = rest[0], rest[2] if len(rest) > 2 else "", hosts
+        self.seq, self.source, self.hosts = (
+            rest[0],
+            rest[2] if len(rest) > 2 else "",
+            hosts,
+        )
         self.list_size = 200 * len(self.hosts)
 
     def _packed(self, rest: list[Any], body: bytes) -> None:
@@ -277,12 +335,20 @@
 
     def class_of(self, m: Taken) -> i.MessageClass | None:
         rules = self.rules.get(m.rules)
-        return next((c for c in rules.classes if c.name == m.class_name), None) if rules else None
+        return (
+            next((c for c in rules.classes if c.name == m.class_name), None)
+            if rules
+            else None
+        )
 
     def checkpoint(self) -> Iterator[bytes]:
         """The records that say just this state. Rules that nobody names any more are left out."""
-        named = {m.rules for m in self.messages.values()}  # the one in force stands last
-        self.rules = {n: r for n, r in self.rules.items() if n in named or n == self.current}
+        named = {
+            m.rules for m in self.messages.values()
+        }  # the one in force stands last
+        self.rules = {
+            n: r for n, r in self.rules.items() if n in named or n == self.current
+        }
         if self.clock is not None:
             yield record("c", *self.clock)
         for number in sorted(self.rules, key=lambda n: (n == self.current, n)):
@@ -303,19 +369,53 @@
 
     def facts(self) -> dict[str, Any]:
         """All that must be the same after a recovery, to compare."""
-        return {"messages": list(self.messages.values()), "owed": self.owed, "outages": self.outages,
-                "hosts": self.hosts, "detached": list(self.detached), "list": (self.seq, self.source),
-                "rules": {n: r for n, r in self.rules.items()
-                          if n == self.current or any(m.rules == n for m in self.messages.values())}}
+        return {
+            "messages": list(self.messages.values()),
+            "owed": self.owed,
+            "outages": self.outages,
+            "hosts": self.hosts,
+            "detached": list(self.detached),
+            "list": (self.seq, self.source),
+            "rules": {
+                n: r
+                for n, r in self.rules.items()
+                if n == self.current
+                or any(m.rules == n for m in self.messages.values())
+            },
+        }
 
 
 def kept(m: Taken) -> bytes:
     if not m.attempts:
-        return record("n", m.id, m.class_name, m.destination, m.due_us, m.key, m.tenant, m.order_key, m.rules,
-                      body=m.body)
+        return record(
+            "n",
+            m.id,
+            m.class_name,
+            m.destination,
+            m.due_us,
+            m.key,
+            m.tenant,
+            m.order_key,
+            m.rules,
+            body=m.body,
+        )
     out = [[n, at, host] for n, (at, host) in m.out.items()]
-    return record("t", m.id, m.class_name, m.destination, m.due_us, m.key, m.tenant, m.attempts, m.ran_at_us,
-                  m.ran_on, out, m.order_key, m.rules, body=m.body)
+    return record(
+        "t",
+        m.id,
+        m.class_name,
+        m.destination,
+        m.due_us,
+        m.key,
+        m.tenant,
+        m.attempts,
+        m.ran_at_us,
+        m.ran_on,
+        out,
+        m.order_key,
+        m.rules,
+        body=m.body,
+    )
 
 
 def _word(value: object) -> str:
@@ -336,10 +436,16 @@
 def kept_list(seq: int, hosts: dict[str, dict[str, Any]], source: str) -> bytes:
     """The record of a list, compressed where it is long: it stands in each file, and the disk is small."""
     plain = record("l", seq, [*hosts.values()], source)
-    return plain if len(plain) <= PLAIN_LIST else record("p", body=zlib.compress(plain, COMPRESSION))
+    return (
+        plain
+        if len(plain) <= PLAIN_LIST
+        else record("p", body=zlib.compress(plain, COMPRESSION))
+    )
 
 
 def _class(told: dict[str, Any]) -> i.MessageClass:
     """A class as it was written; what a later program added to it is passed over."""
     known = {f.name: told[f.name] for f in fields(i.MessageClass) if f.name in told}
-    return i.MessageClass(**{**known, "effect": i.Effect(told["effect"]), "scope": i.Scope(told["scope"])})
+    return i.MessageClass(
+        **{**known, "effect": i.Effect(told["effect"]), "scope": i.Scope(told["scope"])}
+    )
--- a/lemonshunt/journal/worker.py
+++ b/lemonshunt/journal/worker.py
@@ -15,7 +15,9 @@
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.jobs: queue.SimpleQueue[tuple[Callable[[], None], Done]] = queue.SimpleQueue()
+        self.jobs: queue.SimpleQueue[tuple[Callable[[], None], Done]] = (
+            queue.SimpleQueue()
+        )
         threading.Thread(target=self.run, name="journal-sync", daemon=True).start()
 
     def __call__(self, job: Callable[[], None], done: Done) -> None:
--- a/lemonshunt/journal/writer.py
+++ b/lemonshunt/journal/writer.py
@@ -20,9 +20,15 @@
 from lemonshunt.journal.recovery import ASIDE, JOURNAL, SPARE
 
 LEAST_REWRITE = 256 * 1024  # below this size the file is left to grow
-ROOM = 128 * 1024  # kept free for the small records that follow a message that was taken on
+ROOM = (
+    128 * 1024
+)  # kept free for the small records that follow a message that was taken on
 RETRY_S = 0.5  # between two tries to write a file anew after a failure
-FULL = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # at a start too: what is held is still delivered
+FULL = (
+    errno.ENOSPC,
+    errno.EDQUOT,
+    errno.EIO,
+)  # at a start too: what is held is still delivered
 Done = Callable[[OSError | None], None]
 Worker = Callable[[Callable[[], None], Done], None]
 """Does a job elsewhere and tells in the loop how it ended."""
@@ -32,12 +38,23 @@
 class Log:
     """The file in use. Before `begin` and after `let_go` nothing is written, only gathered."""
 
-    def __init__(self, folder: Path, files: Files, most: int, worker: Worker | None,
-                 checkpoint: Callable[[], Iterable[bytes]], live: Callable[[], int],
-                 clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        files: Files,
+        most: int,
+        worker: Worker | None,
+        checkpoint: Callable[[], Iterable[bytes]],
+        live: Callable[[], int],
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self.folder, self.files, self.most, self.worker = folder, files, most, worker
         self.checkpoint, self.live, self.clock = checkpoint, live, clock
-        self.path, self.spare, self.aside_path = folder / JOURNAL, folder / SPARE, folder / ASIDE
+        self.path, self.spare, self.aside_path = (
+            folder / JOURNAL,
+            folder / SPARE,
+            folder / ASIDE,
+        )
         self.fd, self.size, self.number, self.salt, self.generation = -1, 0, 0, 0, 0
         self.aside = 0
         self.writing = False
@@ -63,7 +80,9 @@
         with suppress(OSError):
             self.aside = self.files.size(self.aside_path)
         self.writing = True
-        if head is None or self.worker is not None:  # the file's own pages may never have reached the disk
+        if (
+            head is None or self.worker is not None
+        ):  # the file's own pages may never have reached the disk
             self.rewrite(first=True)
             return
         self.salt, self.generation, self.number = head
@@ -117,10 +136,17 @@
             self.pending.clear()  # memory holds all that a new file needs
             return
         after = self.size + sum(map(len, self.pending)) + FRAME.size * len(self.pending)
-        if after > max(LEAST_REWRITE, 4 * self.live()) or after + self.live() + ROOM // 2 > self.most:
+        if (
+            after > max(LEAST_REWRITE, 4 * self.live())
+            or after + self.live() + ROOM // 2 > self.most
+        ):
             if self.busy:
                 return  # they wait for its end anyway
-            if not self.failed and self.rewrite() and (self.switching or not self.pending):
+            if (
+                not self.failed
+                and self.rewrite()
+                and (self.switching or not self.pending)
+            ):
                 return
         if after + self.aside > self.most:
             self.drop_aside()
@@ -143,7 +169,9 @@
             # A full disk must not end the process: what is held is delivered, new work is refused.
             self.fail("cannot write", error)
             self.behind = True
-            with suppress(OSError):  # else the torn write stays, and is cut at the next start
+            with suppress(
+                OSError
+            ):  # else the torn write stays, and is cut at the next start
                 self.files.cut(self.fd, self.size)
             self.pending.clear()
             return
@@ -165,8 +193,13 @@
             return False
         self.retry_at = self.clock() + RETRY_S
         payloads = list(self.checkpoint())
-        head = Head(VERSION, POWER if self.worker else 0, secrets.randbits(32), self.generation + 1,
-                    len(payloads))
+        head = Head(
+            VERSION,
+            POWER if self.worker else 0,
+            secrets.randbits(32),
+            self.generation + 1,
+            len(payloads),
+        )
         data = bytearray(head.bytes())
         for number, payload in enumerate(payloads):
             data += frame(head.salt, number, payload, len(data))
@@ -308,7 +341,12 @@
 
     def tend(self) -> None:
         """From time to time: a failure must not last because nothing more is written."""
-        if self.writing and self.failed and not self.busy and self.clock() >= self.retry_at:
+        if (
+            self.writing
+            and self.failed
+            and not self.busy
+            and self.clock() >= self.retry_at
+        ):
             if not self.rewrite():
                 self.refuse()
             self.go_on()
--- a/lemonshunt/lab/__main__.py
+++ b/lemonshunt/lab/__main__.py
@@ -13,21 +13,45 @@
 
 
 def arguments(argv: list[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="python -m lemonshunt.lab", description=__doc__)
+    parser = argparse.ArgumentParser(
+        prog="python -m lemonshunt.lab", description=__doc__
+    )
     sub = parser.add_subparsers(dest="command", required=True)
-    check = sub.add_parser("check", help="check an experiment file and say what it would start")
+    check = sub.add_parser(
+        "check", help="check an experiment file and say what it would start"
+    )
     check.add_argument("experiment", type=Path)
-    check.add_argument("--seed", type=int, help="also list the faults that this seed gives")
+    check.add_argument(
+        "--seed", type=int, help="also list the faults that this seed gives"
+    )
     play = sub.add_parser("run", help="play an experiment; exit 1 on any breach")
     play.add_argument("experiment", type=Path)
-    play.add_argument("--out", type=Path, required=True, help="folder for records, verdict, logs and report")
-    play.add_argument("--seed", type=int, help="the seed of load and faults (default: the file's)")
+    play.add_argument(
+        "--out",
+        type=Path,
+        required=True,
+        help="folder for records, verdict, logs and report",
+    )
+    play.add_argument(
+        "--seed", type=int, help="the seed of load and faults (default: the file's)"
+    )
     play.add_argument("--no-report", action="store_true", help="skip the plots")
-    many = sub.add_parser("sweep", help="play an experiment under many seeds; exit 1 on any breach")
+    many = sub.add_parser(
+        "sweep", help="play an experiment under many seeds; exit 1 on any breach"
+    )
     many.add_argument("experiment", type=Path)
-    many.add_argument("--seeds", type=sweep.seeds, required=True, help="such as 1-100 or 3,7,20-29")
-    many.add_argument("--jobs", type=sweep.jobs, default=1, help="runs at a time (default 1)")
-    many.add_argument("--out", type=Path, required=True, help="folder for summary.json and a folder a seed")
+    many.add_argument(
+        "--seeds", type=sweep.seeds, required=True, help="such as 1-100 or 3,7,20-29"
+    )
+    many.add_argument(
+        "--jobs", type=sweep.jobs, default=1, help="runs at a time (default 1)"
+    )
+    many.add_argument(
+        "--out",
+        type=Path,
+        required=True,
+        help="folder for summary.json and a folder a seed",
+    )
     many.add_argument(
         "--keep",
         choices=("all", "failures", "none"),
@@ -36,9 +60,13 @@
     )
     again = sub.add_parser("report", help="draw the report of a run again")
     again.add_argument("folder", type=Path)
-    way = sub.add_parser("path", help="one message's way across processes, as JSON lines in time order")
+    way = sub.add_parser(
+        "path", help="one message's way across processes, as JSON lines in time order"
+    )
     way.add_argument("folder", type=Path)
-    way.add_argument("key", help="the message's name (its idempotency key), as in verdict.json")
+    way.add_argument(
+        "key", help="the message's name (its idempotency key), as in verdict.json"
+    )
     return parser.parse_args(argv)
 
 
@@ -69,7 +97,11 @@
         f"{experiment.load.rate_per_s:g} messages a second for {experiment.duration_s:g} s"
     )
     for f in timeline(experiment, seed) if seed is not None else ():
-        how = f"{f.for_s:g} s" if not f.restart else f"restart {f.restart} after {f.after_s:g} s"
+        how = (
+            f"{f.for_s:g} s"
+            if not f.restart
+            else f"restart {f.restart} after {f.after_s:g} s"
+        )
         print(f"{f.at_s:9.3f} s  {f.kind:8} {f.target or 'zone ' + f.zone}  {how}")
     return 0
 
@@ -81,12 +113,21 @@
     try:
         result = asyncio.run(run(experiment, seed, out))
     except (StartError, RuntimeError, TimeoutError, OSError) as error:
-        return _fail(f"{error or 'the run took too long'}; every process it started was ended")
+        return _fail(
+            f"{error or 'the run took too long'}; every process it started was ended"
+        )
     except (KeyboardInterrupt, asyncio.CancelledError):
         return _fail("interrupted; every process it started was ended", 130)
     if draw:
         report.draw(out)
-    print(json.dumps({k: result[k] for k in ("total", "lost", "doubled", "lag_ms", "valid", "breaches")}))
+    print(
+        json.dumps(
+            {
+                k: result[k]
+                for k in ("total", "lost", "doubled", "lag_ms", "valid", "breaches")
+            }
+        )
+    )
     return 1 if result["breaches"] else 0
 
 
@@ -104,7 +145,9 @@
         return _check(experiment, args.seed)
     if args.command == "sweep":
         try:
-            return sweep.sweep(experiment, args.experiment, args.seeds, args.jobs, args.out, args.keep)
+            return sweep.sweep(
+                experiment, args.experiment, args.seeds, args.jobs, args.out, args.keep
+            )
         except OSError as error:
             return _fail(error)
     seed = experiment.seed if args.seed is None else args.seed
--- a/lemonshunt/lab/checker.py
+++ b/lemonshunt/lab/checker.py
@@ -72,7 +72,11 @@
 
     def lost(self, noticed: Mapping[str, str], wiped: Mapping[str, int]) -> bool:
         """Taken on, without an end; ``wiped``: when a forwarder last lost its folder."""
-        if not self.accepted or self.delivered_at or any(i in noticed for i in self.ids):
+        if (
+            not self.accepted
+            or self.delivered_at
+            or any(i in noticed for i in self.ids)
+        ):
             return False
         return not self.gone(wiped)
 
@@ -80,15 +84,18 @@
         return all(wiped.get(member, -1) >= at for _, member, at in self.taken)
 
     def doubled(self, effect: str) -> bool:
-        return effect == "once" and len(set(self.delivered_ids)) < len(self.delivered_ids)
+        return effect == "once" and len(set(self.delivered_ids)) < len(
+            self.delivered_ids
+        )
 
 
 def _latency(histogram: HdrHistogram) -> dict[str, float]:
     if not histogram.get_total_count():
         return {}
-    return {f"p{q:g}": histogram.get_value_at_percentile(q) / 1000 for q in (50, 90, 99, 99.9)} | {
-        "max": histogram.get_max_value() / 1000
-    }
+    return {
+        f"p{q:g}": histogram.get_value_at_percentile(q) / 1000
+        for q in (50, 90, 99, 99.9)
+    } | {"max": histogram.get_max_value() / 1000}
 
 
 @dataclass(slots=True)
@@ -102,7 +109,9 @@
     phantoms: list[str] = field(default_factory=list)
 
 
-def join(records: Iterable[Mapping[str, Any]], deadlines_ns: Mapping[str, int]) -> Joined:
+def join(
+    records: Iterable[Mapping[str, Any]], deadlines_ns: Mapping[str, int]
+) -> Joined:
     j = Joined()
     calls: list[Mapping[str, Any]] = []
     for r in records:
@@ -118,7 +127,9 @@
     for c in calls:
         m = j.messages.get(c.get("key") or owner.get(c["id"], ""))
         if m is None:
-            j.phantoms.append(c["id"])  # no client handed it in: PROTOCOL voids such a run
+            j.phantoms.append(
+                c["id"]
+            )  # no client handed it in: PROTOCOL voids such a run
             continue
         m.wrong_place |= c["destination"] != m.destination
         if c["status"] == 200:
@@ -128,7 +139,9 @@
 
 
 def _try(j: Joined, r: Mapping[str, Any], deadlines_ns: Mapping[str, int]) -> None:
-    ready = r.get("ready_ns", r["due_ns"])  # one that had to wait for its session's turn was due only then
+    ready = r.get(
+        "ready_ns", r["due_ns"]
+    )  # one that had to wait for its session's turn was due only then
     m = j.messages.get(r["key"])
     if m is None:
         m = j.messages[r["key"]] = Message(
@@ -174,7 +187,12 @@
     for value in j.lags:
         lag.record_value(max(1, value // 1000))
     lag_ms = (
-        {"p99": lag.get_value_at_percentile(99) / 1000, "max": lag.get_max_value() / 1000} if j.lags else {}
+        {
+            "p99": lag.get_value_at_percentile(99) / 1000,
+            "max": lag.get_max_value() / 1000,
+        }
+        if j.lags
+        else {}
     )
     return {
         "classes": {cls: asdict(t) for cls, t in sorted(tallies.items())},
--- a/lemonshunt/lab/configure.py
+++ b/lemonshunt/lab/configure.py
@@ -67,8 +67,16 @@
         "balancers": exp.fleet.forwarders,
         "discovery": "on_request",
         "host_types": ["plain"],
-        "contract": {"grace_to_answer_us": 20_000, "drain_grace_us": 500_000, "ask_within_us": 10_000_000},
-        "family_info": {"slots": exp.fleet.slots, "kind_batch": [1], "routes_apart": [False]},
+        "contract": {
+            "grace_to_answer_us": 20_000,
+            "drain_grace_us": 500_000,
+            "ask_within_us": 10_000_000,
+        },
+        "family_info": {
+            "slots": exp.fleet.slots,
+            "kind_batch": [1],
+            "routes_apart": [False],
+        },
         "orgs": [{"name": "acme", "allowance_per_s": 100_000.0, "fraction": 1.0}],
         "over_share_worth": 0.1,
         "services": services,
--- a/lemonshunt/lab/experiment.py
+++ b/lemonshunt/lab/experiment.py
@@ -14,7 +14,16 @@
 from lemonshunt.lab.reader import ExperimentError, Reader
 from lemonshunt.lab.shapes import Experiment, Fault, Fleet, Load, LoadClass
 
-__all__ = ["Experiment", "ExperimentError", "Fault", "Fleet", "Load", "LoadClass", "parse", "read"]
+__all__ = [
+    "Experiment",
+    "ExperimentError",
+    "Fault",
+    "Fleet",
+    "Load",
+    "LoadClass",
+    "parse",
+    "read",
+]
 
 
 def parse(text: str, source: str = "experiment") -> Experiment:
@@ -30,16 +39,28 @@
         name=r.take(top, "name", str, "", "experiment"),
         seed=r.take(top, "seed", int, "", 1),
         duration_s=r.take(
-            top, "duration_s", float, "", None, lambda v: 0 < v <= 3600, "must be over 0, 3600 at most"
+            top,
+            "duration_s",
+            float,
+            "",
+            None,
+            lambda v: 0 < v <= 3600,
+            "must be over 0, 3600 at most",
         ),
         settle_s=r.take(top, "settle_s", float, "", 5.0, lambda v: 0 <= v <= 600),
         fleet=fleet,
         load=sections.load(r, r.table(top, "load", ""), fleet.forwarders),
-        budgets=sections.budgets(r, r.take(top, "budgets", list, "", []), fleet.destinations),
+        budgets=sections.budgets(
+            r, r.take(top, "budgets", list, "", []), fleet.destinations
+        ),
     )
     raw = r.take(top, "faults", list, "", [])
     made = [faults.fault(r, t, f"faults[{n}]", exp) for n, t in enumerate(raw)]
-    nemesis = faults.nemesis(r, r.table(top, "nemesis", ""), exp.duration_s) if "nemesis" in top else None
+    nemesis = (
+        faults.nemesis(r, r.table(top, "nemesis", ""), exp.duration_s)
+        if "nemesis" in top
+        else None
+    )
     if r.faults:
         raise ExperimentError(r.faults)
     known = tuple(sorted((f for f in made if f), key=lambda f: f.at_s))
--- a/lemonshunt/lab/faults.py
+++ b/lemonshunt/lab/faults.py
@@ -23,10 +23,24 @@
         r.faults.append(f"{path}: a table is wanted")
         return None
     r.unknown(t, set(Fault.__dataclass_fields__), path)
-    kind = r.take(t, "kind", str, path, None, lambda v: v in KINDS, f"is none of {', '.join(KINDS)}")
+    kind = r.take(
+        t,
+        "kind",
+        str,
+        path,
+        None,
+        lambda v: v in KINDS,
+        f"is none of {', '.join(KINDS)}",
+    )
     made = Fault(
         at_s=r.take(
-            t, "at_s", float, path, None, lambda v: 0 <= v <= exp.duration_s, "is not within the run"
+            t,
+            "at_s",
+            float,
+            path,
+            None,
+            lambda v: 0 <= v <= exp.duration_s,
+            "is not within the run",
         ),
         kind=kind,
         target=r.take(t, "target", str, path, ""),
@@ -37,7 +51,13 @@
         share=r.take(t, "share", float, path, 1.0, lambda v: 0 <= v <= 1),
         limit=r.take(t, "limit", int, path, 1, lambda v: 0 <= v <= 10_000),
         restart=r.take(
-            t, "restart", str, path, "", lambda v: v in ("", "keep", "lose"), "is 'keep' or 'lose'"
+            t,
+            "restart",
+            str,
+            path,
+            "",
+            lambda v: v in ("", "keep", "lose"),
+            "is 'keep' or 'lose'",
         ),
         after_s=r.take(t, "after_s", float, path, 0.5, lambda v: 0 <= v <= 600),
     )
@@ -64,18 +84,40 @@
 def nemesis(r: Reader, t: Mapping[str, Any], duration_s: float) -> Nemesis:
     r.unknown(t, set(Nemesis.__dataclass_fields__), "nemesis")
     every = PROCESS_KINDS + LINK_KINDS
-    kinds = r.take(t, "kinds", list, "nemesis", list(every), lambda v: len(v) > 0, "must name a kind")
+    kinds = r.take(
+        t,
+        "kinds",
+        list,
+        "nemesis",
+        list(every),
+        lambda v: len(v) > 0,
+        "must name a kind",
+    )
     for n, kind in enumerate(kinds):
         if kind not in every:
-            r.faults.append(f"nemesis.kinds[{n}]: {kind!r} is none of {', '.join(every)}")
+            r.faults.append(
+                f"nemesis.kinds[{n}]: {kind!r} is none of {', '.join(every)}"
+            )
     return Nemesis(
-        rate_per_s=r.take(t, "rate_per_s", float, "nemesis", None, lambda v: 0 < v <= 100),
+        rate_per_s=r.take(
+            t, "rate_per_s", float, "nemesis", None, lambda v: 0 < v <= 100
+        ),
         kinds=tuple(dict.fromkeys(k for k in kinds if k in every)) or every,
-        longest_s=r.take(t, "longest_s", float, "nemesis", 2.0, lambda v: 0.1 <= v <= 600),
+        longest_s=r.take(
+            t, "longest_s", float, "nemesis", 2.0, lambda v: 0.1 <= v <= 600
+        ),
         quiet_s=r.take(
-            t, "quiet_s", float, "nemesis", 2.0, lambda v: 0 <= v < duration_s, "leaves no time for faults"
+            t,
+            "quiet_s",
+            float,
+            "nemesis",
+            2.0,
+            lambda v: 0 <= v < duration_s,
+            "leaves no time for faults",
         ),
         lose=r.take(t, "lose", float, "nemesis", 0.0, lambda v: 0 <= v <= 1),
-        service_lose=r.take(t, "service_lose", float, "nemesis", 0.0, lambda v: 0 <= v <= 1),
+        service_lose=r.take(
+            t, "service_lose", float, "nemesis", 0.0, lambda v: 0 <= v <= 1
+        ),
         all_at_once=r.take(t, "all_at_once", bool, "nemesis", False),
     )
--- a/lemonshunt/lab/fleet.py
+++ b/lemonshunt/lab/fleet.py
@@ -34,7 +34,9 @@
 
 
 async def ready(
-    port: int, process: asyncio.subprocess.Process | None = None, deadline_s: float = READY_S
+    port: int,
+    process: asyncio.subprocess.Process | None = None,
+    deadline_s: float = READY_S,
 ) -> None:
     """Wait until the operators' address answers /_ready with 200; TimeoutError past the deadline, StartError
     as soon as the process has ended."""
@@ -42,10 +44,14 @@
         while True:
             if process is not None and process.returncode is not None:
                 raise StartError(f"ended with {process.returncode}")
-            with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
+            with contextlib.suppress(
+                OSError, asyncio.IncompleteReadError, TimeoutError
+            ):
                 async with asyncio.timeout(1.0):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(b"GET /_ready HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n")
+                    writer.write(
+                        b"GET /_ready HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n"
+                    )
                     first = await reader.readline()
                     writer.close()
                 if first.split(b" ")[1:2] == [b"200"]:
@@ -105,8 +111,12 @@
         try:
             await ready(self.ready_port(), self.process)
         except (TimeoutError, StartError):
-            text = path.read_text(errors="replace").strip().splitlines()[-1:] or ["it wrote no line"]
-            raise StartError(f"{self.name} did not come up: {text[0][:300]} ({path})") from None
+            text = path.read_text(errors="replace").strip().splitlines()[-1:] or [
+                "it wrote no line"
+            ]
+            raise StartError(
+                f"{self.name} did not come up: {text[0][:300]} ({path})"
+            ) from None
 
     def alive(self) -> bool:
         return self.process is not None and self.process.returncode is None
--- a/lemonshunt/lab/harvest.py
+++ b/lemonshunt/lab/harvest.py
@@ -20,8 +20,13 @@
 KINDS = ("sent", "acted", "granted", "owns", "session")
 
 
-def _sent(line: Mapping[str, Any], t0: int, destination: Callable[[str], int]) -> dict[str, Any]:
-    return {"destination": destination(str(line["target"])), "id": str(line["message_id"])}
+def _sent(
+    line: Mapping[str, Any], t0: int, destination: Callable[[str], int]
+) -> dict[str, Any]:
+    return {
+        "destination": destination(str(line["target"])),
+        "id": str(line["message_id"]),
+    }
 
 
 def _owns(line: Mapping[str, Any], t0: int) -> dict[str, Any]:
--- a/lemonshunt/lab/load.py
+++ b/lemonshunt/lab/load.py
@@ -29,20 +29,28 @@
     """Idle client connections per forwarder, as a front that keeps them and opens more when all are busy."""
 
     ports: list[int]
-    idle: list[list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = field(default_factory=list)
+    idle: list[list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = field(
+        default_factory=list
+    )
 
     def __post_init__(self) -> None:
         self.idle = [[] for _ in self.ports]
 
-    async def take(self, n: int, limit_s: float) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def take(
+        self, n: int, limit_s: float
+    ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         while self.idle[n]:
             reader, writer = self.idle[n].pop()
             if not writer.is_closing() and not reader.at_eof():
                 return reader, writer
         async with asyncio.timeout(limit_s):
-            return await asyncio.open_connection("127.0.0.1", self.ports[n], limit=HEAD_LIMIT)
+            return await asyncio.open_connection(
+                "127.0.0.1", self.ports[n], limit=HEAD_LIMIT
+            )
 
-    def give_back(self, n: int, pair: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> None:
+    def give_back(
+        self, n: int, pair: tuple[asyncio.StreamReader, asyncio.StreamWriter]
+    ) -> None:
         self.idle[n].append(pair)
 
     def close(self) -> None:
@@ -84,7 +92,9 @@
     deadlines_ns: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.deadlines_ns = {c.name: int(c.deadline_s * 1e9) for c in self.experiment.load.classes}
+        self.deadlines_ns = {
+            c.name: int(c.deadline_s * 1e9) for c in self.experiment.load.classes
+        }
         self.body = b"x" * self.experiment.load.body_bytes
 
     async def run(self, planned: list[Planned]) -> None:
@@ -94,7 +104,9 @@
         for p in planned:
             await self._until(p.due_ns)
             if p.session:
-                task = last[p.session] = asyncio.create_task(self.in_turn(p, last.get(p.session)))
+                task = last[p.session] = asyncio.create_task(
+                    self.in_turn(p, last.get(p.session))
+                )
             else:
                 task = asyncio.create_task(self.send(p, p.due_ns))
             tasks.add(task)
@@ -129,7 +141,9 @@
             left = (ready_ns + self.deadlines_ns[p.cls] - sent) / 1e9
             name = f"{p.key}.{n}"
             target = (p.forwarder + n) % forwarders
-            status, error = await self._try(target, request(p, name, left, self.body, n > 0), timeout)
+            status, error = await self._try(
+                target, request(p, name, left, self.body, n > 0), timeout
+            )
             self.record(
                 {
                     "kind": "try",
@@ -143,7 +157,11 @@
                     "answer_ns": self.clock(),
                     "status": status,
                     "error": error,
-                    **({"session": p.session, "number": p.number, "ready_ns": ready_ns} if p.session else {}),
+                    **(
+                        {"session": p.session, "number": p.number, "ready_ns": ready_ns}
+                        if p.session
+                        else {}
+                    ),
                 }
             )
             if status or left <= timeout:
@@ -159,7 +177,13 @@
             writer.write(data)
             async with asyncio.timeout(timeout):
                 status = await status_of(reader)
-        except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, IndexError) as error:
+        except (
+            OSError,
+            TimeoutError,
+            asyncio.IncompleteReadError,
+            ValueError,
+            IndexError,
+        ) as error:
             with contextlib.suppress(OSError):
                 writer.close()
             return 0, type(error).__name__
@@ -167,7 +191,9 @@
         return status, ""
 
 
-def drive(experiment: Experiment, seed: int, ports: list[int], pipe: Any, path: str) -> None:
+def drive(
+    experiment: Experiment, seed: int, ports: list[int], pipe: Any, path: str
+) -> None:
     """The load process: plan the messages, tell their number on ``pipe``, take the start time from it (ns of
     time.monotonic_ns), send, write the records to ``path`` as JSON lines, then say 'done'."""
     try:
@@ -181,12 +207,16 @@
 
         async def play() -> None:
             try:
-                await Driver(experiment, front, records.append, lambda: time.monotonic_ns() - t0).run(planned)
+                await Driver(
+                    experiment, front, records.append, lambda: time.monotonic_ns() - t0
+                ).run(planned)
             finally:
                 front.close()
 
         asyncio.run(play())
-        Path(path).write_text("".join(json.dumps(r, separators=(",", ":")) + "\n" for r in records))
+        Path(path).write_text(
+            "".join(json.dumps(r, separators=(",", ":")) + "\n" for r in records)
+        )
         pipe.send("done")
     except Exception as error:  # told to the lab, which ends the run with it
         pipe.send(f"{type(error).__name__}: {error}")
--- a/lemonshunt/lab/logs.py
+++ b/lemonshunt/lab/logs.py
@@ -10,7 +10,9 @@
 import structlog
 
 
-def _monotonic(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+def _monotonic(
+    _: Any, __: str, event: MutableMapping[str, Any]
+) -> MutableMapping[str, Any]:
     event["t_ns"] = time.monotonic_ns()
     return event
 
@@ -19,7 +21,11 @@
     """Send the lab's log lines to ``path``; the caller closes what is returned at the end."""
     sink = path.open("a")
     structlog.configure(
-        processors=[structlog.processors.add_log_level, _monotonic, structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            _monotonic,
+            structlog.processors.JSONRenderer(),
+        ],
         logger_factory=structlog.WriteLoggerFactory(file=sink),
         cache_logger_on_first_use=False,
     )
--- a/lemonshunt/lab/nemesis.py
+++ b/lemonshunt/lab/nemesis.py
@@ -44,25 +44,42 @@
     members = set(exp.forwarder_names())
     if fault.kind in LINK_KINDS:
         links = frozenset(chosen_links(exp, fault))
-        out = {m for m in members if _cut(exp, m, links)} if fault.kind != "delay" else set()
+        out = (
+            {m for m in members if _cut(exp, m, links)}
+            if fault.kind != "delay"
+            else set()
+        )
         return Booked(fault.at_s, fault.at_s + fault.for_s, links, frozenset(out))
     if fault.kind not in PROCESS_KINDS:
-        return Booked(fault.at_s, fault.at_s + fault.for_s, frozenset({fault.target}), frozenset())
+        return Booked(
+            fault.at_s, fault.at_s + fault.for_s, frozenset({fault.target}), frozenset()
+        )
     if fault.kind == "pause":
         end = fault.at_s + fault.for_s
     elif fault.restart:
-        end = fault.at_s + fault.after_s + START_S + (TERM_S if fault.kind == "term" else 0.0)
+        end = (
+            fault.at_s
+            + fault.after_s
+            + START_S
+            + (TERM_S if fault.kind == "term" else 0.0)
+        )
     else:
         end = float("inf")
-    return Booked(fault.at_s, end, frozenset({fault.target}), frozenset({fault.target} & members))
+    return Booked(
+        fault.at_s, end, frozenset({fault.target}), frozenset({fault.target} & members)
+    )
 
 
 def _cut(exp: Experiment, member: str, links: frozenset[str]) -> bool:
     """A forwarder is out of use without its clients or without every endpoint; not without the list."""
-    return f"client>{member}" in links or all(f"{member}>{e}" in links for e in exp.endpoint_names())
+    return f"client>{member}" in links or all(
+        f"{member}>{e}" in links for e in exp.endpoint_names()
+    )
 
 
-def allowed(exp: Experiment, nemesis: Nemesis, known: list[Booked], new: Booked) -> bool:
+def allowed(
+    exp: Experiment, nemesis: Nemesis, known: list[Booked], new: Booked
+) -> bool:
     """Whether a fault may join those booked. O(booked)."""
     if new.end_s > exp.duration_s - nemesis.quiet_s:
         return False
@@ -97,7 +114,9 @@
     return tuple(sorted(faults, key=lambda f: f.at_s))
 
 
-def _draw(exp: Experiment, nemesis: Nemesis, chance: random.Random, at_s: float) -> Fault:
+def _draw(
+    exp: Experiment, nemesis: Nemesis, chance: random.Random, at_s: float
+) -> Fault:
     kind = chance.choice(nemesis.kinds)
     length = round(chance.uniform(SHORTEST_S, nemesis.longest_s), 3)
     if kind in LINK_KINDS:
--- a/lemonshunt/lab/plan.py
+++ b/lemonshunt/lab/plan.py
@@ -45,7 +45,9 @@
         if at * 1e9 >= end_ns:
             return planned
         if len(planned) >= MAX_MESSAGES:
-            raise ValueError(f"more than {MAX_MESSAGES} messages: lower the rate or the duration")
+            raise ValueError(
+                f"more than {MAX_MESSAGES} messages: lower the rate or the duration"
+            )
         cls = chance.choices(classes, weights)[0]
         destination = chance.choice(experiment.fleet.destinations)
         forwarder = chance.randrange(fronts)
@@ -54,7 +56,9 @@
             n = chance.randrange(load.sessions)
             session, number = f"s{seed:x}-{n}", numbers.get(n, 0)
             numbers[n] = number + 1
-            destination = experiment.fleet.destinations[n % len(experiment.fleet.destinations)]
+            destination = experiment.fleet.destinations[
+                n % len(experiment.fleet.destinations)
+            ]
             forwarder = n % fronts if load.sessions_at == "home" else forwarder
         planned.append(
             Planned(
--- a/lemonshunt/lab/proxy.py
+++ b/lemonshunt/lab/proxy.py
@@ -32,7 +32,9 @@
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
         if sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            sock.setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+            )
     writer.transport.abort()
 
 
@@ -73,7 +75,9 @@
         with contextlib.suppress(ValueError, OSError):
             resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
             soft = hard
-    free = (1 << 20 if soft == resource.RLIM_INFINITY else soft) - len(os.listdir("/proc/self/fd"))
+    free = (1 << 20 if soft == resource.RLIM_INFINITY else soft) - len(
+        os.listdir("/proc/self/fd")
+    )
     return max(16, min(100_000, (free - SPARE) // 4))
 
 
@@ -127,7 +131,12 @@
         """Put the link in a state; ValueError for an unknown one."""
         if state not in STATES:
             raise ValueError(f"no proxy state {state!r}")
-        before, self.state, self.delay_ms, self.jitter_ms = self.state, state, delay_ms, jitter_ms
+        before, self.state, self.delay_ms, self.jitter_ms = (
+            self.state,
+            state,
+            delay_ms,
+            jitter_ms,
+        )
         if state == "oneway":
             self.healed.clear()
         if state == "drop" or (before == "silence" and state == "pass"):
@@ -136,7 +145,9 @@
         if state == "pass":
             self.healed.set()
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.connections += 1
         if self.state == "drop":
             reset(writer)
@@ -148,7 +159,12 @@
         self.pairs.add(pair)
         try:
             await self._carry(pair, reader)
-        except (OSError, asyncio.IncompleteReadError, TimeoutError, asyncio.CancelledError):
+        except (
+            OSError,
+            asyncio.IncompleteReadError,
+            TimeoutError,
+            asyncio.CancelledError,
+        ):
             pair.cut()  # the lab ends or a side broke: both sides see a reset
         finally:
             self.pairs.discard(pair)
@@ -169,7 +185,11 @@
             down.cancel()
 
     async def _pump(
-        self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, pair: _Pair, up: bool
+        self,
+        source: asyncio.StreamReader,
+        sink: asyncio.StreamWriter,
+        pair: _Pair,
+        up: bool,
     ) -> None:
         while chunk := await source.read(CHUNK):
             if not await self._pass(chunk, sink, pair, up):
@@ -177,7 +197,9 @@
         with contextlib.suppress(OSError):
             sink.write_eof()
 
-    async def _pass(self, chunk: bytes, sink: asyncio.StreamWriter, pair: _Pair, up: bool) -> bool:
+    async def _pass(
+        self, chunk: bytes, sink: asyncio.StreamWriter, pair: _Pair, up: bool
+    ) -> bool:
         state = self.state
         if state == "silence":
             return True  # read and forgotten
@@ -185,7 +207,9 @@
             pair.cut()
             return False
         if state == "delay":
-            await asyncio.sleep((self.delay_ms + self.chance.uniform(0, self.jitter_ms)) / 1000)
+            await asyncio.sleep(
+                (self.delay_ms + self.chance.uniform(0, self.jitter_ms)) / 1000
+            )
         if state == "oneway" and not up:
             await self.healed.wait()
         sink.write(chunk)
--- a/lemonshunt/lab/relay.py
+++ b/lemonshunt/lab/relay.py
@@ -19,7 +19,9 @@
 from lemonshunt.lab.proxy import DIAL_S, reset
 
 HEAD = 16384
-BODY = 32 * 1024 * 1024  # bytes; a list of 44,000 endpoints, written out for reading, is 14 MB
+BODY = (
+    32 * 1024 * 1024
+)  # bytes; a list of 44,000 endpoints, written out for reading, is 14 MB
 NAMES = {"hosts": "host", "members": "name"}
 """Lists in the service's answers whose entries have a dial, and the field that names the entry."""
 
@@ -85,7 +87,9 @@
     server: asyncio.Server | None = None
 
     async def start(self) -> Self:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=HEAD)
+        self.server = await asyncio.start_server(
+            self._serve, "127.0.0.1", 0, limit=HEAD
+        )
         self.listen = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -95,14 +99,18 @@
         for writer in list(self.writers):
             reset(writer)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.writers.add(writer)
         peer: asyncio.StreamWriter | None = None
         asked: deque[bytes] = deque()
         tasks: list[asyncio.Task[None]] = []
         try:
             async with asyncio.timeout(DIAL_S):
-                answers, peer = await asyncio.open_connection("127.0.0.1", self.port, limit=HEAD)
+                answers, peer = await asyncio.open_connection(
+                    "127.0.0.1", self.port, limit=HEAD
+                )
             self.writers.add(peer)
             tasks = [
                 asyncio.create_task(self._up(reader, peer, asked)),
@@ -126,7 +134,10 @@
                     reset(end)
 
     async def _up(
-        self, reader: asyncio.StreamReader, peer: asyncio.StreamWriter, asked: deque[bytes]
+        self,
+        reader: asyncio.StreamReader,
+        peer: asyncio.StreamWriter,
+        asked: deque[bytes],
     ) -> None:
         while (got := await message(reader)) is not None:
             lines, body = got
@@ -135,7 +146,10 @@
             await peer.drain()
 
     async def _down(
-        self, answers: asyncio.StreamReader, writer: asyncio.StreamWriter, asked: deque[bytes]
+        self,
+        answers: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        asked: deque[bytes],
     ) -> None:
         while (got := await message(answers)) is not None:
             lines, body = got
--- a/lemonshunt/lab/report.py
+++ b/lemonshunt/lab/report.py
@@ -54,7 +54,11 @@
 
 
 def load(folder: Path) -> tuple[list[dict[str, Any]], dict[str, Any]]:
-    records = [json.loads(line) for line in (folder / "records.jsonl").read_text().splitlines() if line]
+    records = [
+        json.loads(line)
+        for line in (folder / "records.jsonl").read_text().splitlines()
+        if line
+    ]
     return records, json.loads((folder / "verdict.json").read_text())
 
 
@@ -69,13 +73,22 @@
     figure, (top, low) = plt.subplots(2, 1, figsize=(11, 6.5), sharex=True)
     series = buckets(records)
     span = [x for counts in series.values() for x in counts] or [0]
-    xs = list(range(min(span), max(span) + 1))  # empty buckets are drawn as 0, not left out
+    xs = list(
+        range(min(span), max(span) + 1)
+    )  # empty buckets are drawn as 0, not left out
     for name, counts in series.items():
-        top.plot([x / 10 for x in xs], [counts.get(x, 0) for x in xs], label=name, linewidth=1.2)
+        top.plot(
+            [x / 10 for x in xs],
+            [counts.get(x, 0) for x in xs],
+            label=name,
+            linewidth=1.2,
+        )
     lat = latencies(records)
     xs = sorted(lat)
     for q, style in ((50, "-"), (99, "--")):
-        ys = [sorted(lat[x])[min(len(lat[x]) - 1, int(len(lat[x]) * q / 100))] for x in xs]
+        ys = [
+            sorted(lat[x])[min(len(lat[x]) - 1, int(len(lat[x]) * q / 100))] for x in xs
+        ]
         low.plot([x / 10 for x in xs], ys, style, label=f"p{q}", color="tab:purple")
     for r in records:
         if r["kind"] == "fault":
@@ -154,7 +167,8 @@
     lines = [
         {"t_ns": r.get("sent_ns", r.get("at_ns")), "process": "lab", **r}
         for r in records
-        if r["kind"] != "sent" and (r.get("key") == key or r.get("id") in ids)  # sent: a log line has it
+        if r["kind"] != "sent"
+        and (r.get("key") == key or r.get("id") in ids)  # sent: a log line has it
     ]
     for log in sorted((folder / "members").glob("*/log-*.txt")):
         for text in log.read_text(errors="replace").splitlines():
--- a/lemonshunt/lab/runner.py
+++ b/lemonshunt/lab/runner.py
@@ -14,7 +14,16 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lab import checker, harvest, interrupt, logs, nemesis, pids, timeline, verdicts
+from lemonshunt.lab import (
+    checker,
+    harvest,
+    interrupt,
+    logs,
+    nemesis,
+    pids,
+    timeline,
+    verdicts,
+)
 from lemonshunt.lab.experiment import Experiment
 from lemonshunt.lab.load import drive
 from lemonshunt.lab.stage import Stage
@@ -63,27 +72,39 @@
         context = multiprocessing.get_context("spawn")
         ours, theirs = context.Pipe()
         path = self.out / "load.jsonl"
-        process = context.Process(target=drive, args=(exp, self.seed, ports, theirs, str(path)))
+        process = context.Process(
+            target=drive, args=(exp, self.seed, ports, theirs, str(path))
+        )
         process.start()
         theirs.close()
         self.load = Load(process, ours)
         pids.note(self.out, "load", process.pid or 0)
-        messages = await self.load.told(READY_S)  # the load is ready: it has planned its messages
+        messages = await self.load.told(
+            READY_S
+        )  # the load is ready: it has planned its messages
         if not isinstance(messages, int):
             raise RuntimeError(f"the load failed: {messages}")
         began = time.monotonic_ns() + LEAD_NS
-        for r in self.records:  # what was recorded before the start is before it on the run's clock too
+        for r in (
+            self.records
+        ):  # what was recorded before the start is before it on the run's clock too
             r["at_ns"] += self.t0 - began
         self.t0 = began
         ours.send(began)
-        self.log.info("load begins", messages=messages, faults=len(faults), pid=process.pid)
+        self.log.info(
+            "load begins", messages=messages, faults=len(faults), pid=process.pid
+        )
         tail = max((f.at_s + f.for_s + f.after_s for f in faults), default=0.0)
         limit = max(exp.duration_s, tail) + exp.load.answer_timeout_s * 3 + 30
         async with asyncio.timeout(limit):
-            done, _ = await asyncio.gather(self.load.told(limit), timeline.play(self, faults))
+            done, _ = await asyncio.gather(
+                self.load.told(limit), timeline.play(self, faults)
+            )
         if done != "done":
             raise RuntimeError(f"the load failed: {done}")
-        self.records += [json.loads(line) for line in path.read_text().splitlines() if line]
+        self.records += [
+            json.loads(line) for line in path.read_text().splitlines() if line
+        ]
         await self._settle()
 
     async def _settle(self) -> None:
@@ -108,16 +129,27 @@
 
     def write(self) -> dict[str, Any]:
         """Merge the processes' own records, write all of them and the verdict."""
-        known = {e: self.experiment.destination_of(e) for e in self.experiment.endpoint_names()}
+        known = {
+            e: self.experiment.destination_of(e)
+            for e in self.experiment.endpoint_names()
+        }
         starts = {p.name: p.starts for p in self.processes()}
-        own, unread = harvest.merged(harvest.logs(self.out, starts), self.t0, known.__getitem__)
+        own, unread = harvest.merged(
+            harvest.logs(self.out, starts), self.t0, known.__getitem__
+        )
         self.records += own
         self.dump()
         result = self.checked() | verdicts.sections(self.records, self.experiment)
-        result |= {"experiment": self.experiment.name, "seed": self.seed, "t0_ns": self.t0}
+        result |= {
+            "experiment": self.experiment.name,
+            "seed": self.seed,
+            "t0_ns": self.t0,
+        }
         result |= {"unread_lines": unread, **self.figures()}
         if self.gate.refused and not self.experiment.fleet.most_connections:
-            result["valid"] = False  # the lab's own descriptors were the bottleneck, not the fleet
+            result["valid"] = (
+                False  # the lab's own descriptors were the bottleneck, not the fleet
+            )
         result["breaches"] = verdicts.breaches(result)
         (self.out / "verdict.json").write_text(json.dumps(result, indent=1))
         return result
@@ -127,7 +159,9 @@
     """Play an experiment into ``out`` (created) and give its verdict; processes are ended also on errors, at
     SIGINT and at SIGTERM (CancelledError then)."""
     out.mkdir(parents=True, exist_ok=True)
-    if (out / pids.FILE).exists():  # a run's folder, played into again: what members kept is not this run's
+    if (
+        out / pids.FILE
+    ).exists():  # a run's folder, played into again: what members kept is not this run's
         shutil.rmtree(out / "members", ignore_errors=True)
         (out / pids.FILE).unlink()
     sink = logs.configure(out / "lab.jsonl")
--- a/lemonshunt/lab/service.py
+++ b/lemonshunt/lab/service.py
@@ -28,7 +28,11 @@
         stderr=asyncio.subprocess.DEVNULL,
     )
     told, _ = await asked.communicate()
-    return frozenset(word.strip("[],=") for word in told.decode().split() if word.startswith(("--", "[--")))
+    return frozenset(
+        word.strip("[],=")
+        for word in told.decode().split()
+        if word.startswith(("--", "[--"))
+    )
 
 
 @dataclass
@@ -47,7 +51,12 @@
 
     def command(self) -> tuple[list[str], dict[str, str]]:
         words = ["-m", "lemonshunt.registry", "--state", str(self.state)]
-        words += ["--listen", f"127.0.0.1:{self.listen}", "--write", f"127.0.0.1:{self.write}"]
+        words += [
+            "--listen",
+            f"127.0.0.1:{self.listen}",
+            "--write",
+            f"127.0.0.1:{self.write}",
+        ]
         if "--fleet" in self.options:
             words += ["--fleet", f"127.0.0.1:{self.fleet}"]
         empty = not self.state.is_dir() or not any(self.state.iterdir())
@@ -60,13 +69,25 @@
 
     async def start(self) -> None:
         await super().start()
-        ops = [{"op": "register", **{k: v for k, v in h.items() if k != "health"}} for h in self.hosts]
+        ops = [
+            {"op": "register", **{k: v for k, v in h.items() if k != "health"}}
+            for h in self.hosts
+        ]
         try:
             status, text = await post(self.write, "/v1/hosts", {"ops": ops})
-        except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError) as error:
-            raise StartError(f"{self.name} did not take the endpoints: {type(error).__name__}") from None
+        except (
+            OSError,
+            TimeoutError,
+            asyncio.IncompleteReadError,
+            ValueError,
+        ) as error:
+            raise StartError(
+                f"{self.name} did not take the endpoints: {type(error).__name__}"
+            ) from None
         if status != 200:
-            raise StartError(f"{self.name} refused the endpoints: {status} {text[:300]!r}")
+            raise StartError(
+                f"{self.name} refused the endpoints: {status} {text[:300]!r}"
+            )
 
 
 async def post(port: int, path: str, body: dict[str, Any]) -> tuple[int, bytes]:
--- a/lemonshunt/lab/shapes.py
+++ b/lemonshunt/lab/shapes.py
@@ -132,7 +132,12 @@
         return [f"f{n}" for n in range(self.fleet.forwarders)]
 
     def endpoint_names(self) -> list[str]:
-        return [f"e{n}" for n in range(len(self.fleet.destinations) * self.fleet.endpoints_per_destination)]
+        return [
+            f"e{n}"
+            for n in range(
+                len(self.fleet.destinations) * self.fleet.endpoints_per_destination
+            )
+        ]
 
     def process_names(self) -> list[str]:
         return [*self.forwarder_names(), *([SERVICE] if self.fleet.service else [])]
@@ -142,7 +147,9 @@
         return self.fleet.zones[int(member[1:]) % len(self.fleet.zones)]
 
     def destination_of(self, endpoint: str) -> int:
-        return self.fleet.destinations[int(endpoint[1:]) // self.fleet.endpoints_per_destination]
+        return self.fleet.destinations[
+            int(endpoint[1:]) // self.fleet.endpoints_per_destination
+        ]
 
     def effect_of(self, cls: str) -> str:
         return next(c.effect for c in self.load.classes if c.name == cls)
@@ -153,10 +160,16 @@
     and with peers ``f0>f1``."""
     names: list[str] = []
     for fwd in experiment.forwarder_names():
-        names += [f"client>{fwd}", f"{fwd}>{SERVICE}", *(f"{fwd}>{e}" for e in experiment.endpoint_names())]
+        names += [
+            f"client>{fwd}",
+            f"{fwd}>{SERVICE}",
+            *(f"{fwd}>{e}" for e in experiment.endpoint_names()),
+        ]
         names += [f"{fwd}>{FLEET}"] if experiment.fleet.service else []
         if experiment.fleet.peers:
-            names += [f"{fwd}>{peer}" for peer in experiment.forwarder_names() if peer != fwd]
+            names += [
+                f"{fwd}>{peer}" for peer in experiment.forwarder_names() if peer != fwd
+            ]
     return names
 
 
@@ -167,7 +180,8 @@
 
         def inside(name: str) -> bool:
             return any(
-                end not in ("client", SERVICE, FLEET) and experiment.zone_of(end) == fault.zone
+                end not in ("client", SERVICE, FLEET)
+                and experiment.zone_of(end) == fault.zone
                 for end in name.split(">")
             )
 
--- a/lemonshunt/lab/stage.py
+++ b/lemonshunt/lab/stage.py
@@ -56,16 +56,30 @@
         return logs.logger(experiment=self.experiment.name, seed=self.seed)
 
     def _full(self) -> None:
-        self.log.warning("proxied connections are refused beyond the bound", most=self.gate.most)
+        self.log.warning(
+            "proxied connections are refused beyond the bound", most=self.gate.most
+        )
 
     def _told(self, name: str, did: str, pid: int) -> None:
         if did == "started":
             pids.note(self.out, name, pid)
-        self.record({"kind": "process", "member": name, "did": did, "pid": pid, "at_ns": self.clock()})
+        self.record(
+            {
+                "kind": "process",
+                "member": name,
+                "did": did,
+                "pid": pid,
+                "at_ns": self.clock(),
+            }
+        )
 
     async def start(self) -> None:
         exp = self.experiment
-        meters = {b.destination: Meter(b.calls, b.span_ms * 1_000_000) for b in exp.budgets if b.enforce}
+        meters = {
+            b.destination: Meter(b.calls, b.span_ms * 1_000_000)
+            for b in exp.budgets
+            if b.enforce
+        }
         for n, name in enumerate(exp.endpoint_names()):
             self.endpoints[name] = await Endpoint(
                 name=name,
@@ -78,10 +92,16 @@
         if exp.fleet.service:
             self.service = await self._service()
         listens = {fwd: reserve(self.held) for fwd in exp.forwarder_names()}
-        peers = {fwd: reserve(self.held) for fwd in exp.forwarder_names()} if exp.fleet.peers else {}
+        peers = (
+            {fwd: reserve(self.held) for fwd in exp.forwarder_names()}
+            if exp.fleet.peers
+            else {}
+        )
         for n, fwd in enumerate(exp.forwarder_names()):
             self.members.append(await self._member(n, fwd, listens[fwd], peers))
-        for held in self.held:  # every server of the lab is up: the processes may bind these now
+        for held in (
+            self.held
+        ):  # every server of the lab is up: the processes may bind these now
             held.close()
         if self.service is not None:
             await self.service.start()
@@ -95,13 +115,20 @@
             await asyncio.gather(*tasks, return_exceptions=True)
             raise
         for member in self.members:
-            self.log.info("member ready", member=member.name, role=member.role, pid=member.pids[-1])
+            self.log.info(
+                "member ready",
+                member=member.name,
+                role=member.role,
+                pid=member.pids[-1],
+            )
         self.log.info("started", forwarders=len(self.members), links=len(self.links))
 
     async def _service(self) -> ServiceProcess:
         """The list service; its entries' dials are the endpoints' own, which no forwarder is ever told."""
         exp = self.experiment
-        own = {e: f"127.0.0.1:{endpoint.port}" for e, endpoint in self.endpoints.items()}
+        own = {
+            e: f"127.0.0.1:{endpoint.port}" for e, endpoint in self.endpoints.items()
+        }
         return ServiceProcess(
             SERVICE,
             self.out / "members" / SERVICE,
@@ -114,25 +141,44 @@
             hosts=configure.hosts(exp, own),
         )
 
-    async def _member(self, n: int, fwd: str, listen: int, peers: dict[str, int]) -> Forwarder:
+    async def _member(
+        self, n: int, fwd: str, listen: int, peers: dict[str, int]
+    ) -> Forwarder:
         exp = self.experiment
-        dials = {e: await self._link(f"{fwd}>{e}", end.port) for e, end in self.endpoints.items()}
-        others = {p: await self._link(f"{fwd}>{p}", port) for p, port in peers.items() if p != fwd}
-        at = configure.Addresses(listen=f"127.0.0.1:{listen}", discovery="", dials=dials, peers=others)
+        dials = {
+            e: await self._link(f"{fwd}>{e}", end.port)
+            for e, end in self.endpoints.items()
+        }
+        others = {
+            p: await self._link(f"{fwd}>{p}", port)
+            for p, port in peers.items()
+            if p != fwd
+        }
+        at = configure.Addresses(
+            listen=f"127.0.0.1:{listen}", discovery="", dials=dials, peers=others
+        )
         if fwd in peers:
             at.peer_listen = f"127.0.0.1:{peers[fwd]}"
         if self.service is None:
-            listing = ListService(hosts=configure.hosts(exp, dials), clock=self.clock, record=self.record)
+            listing = ListService(
+                hosts=configure.hosts(exp, dials), clock=self.clock, record=self.record
+            )
             self.servers.append(await listing.start())
             at.discovery = await self._link(f"{fwd}>{SERVICE}", listing.port)
         else:
             told = {**dials, **others}
-            at.discovery = await self._link(f"{fwd}>{SERVICE}", await self._relay(self.service.listen, told))
-            at.fleet = await self._link(f"{fwd}>{FLEET}", await self._relay(self.service.fleet, told))
+            at.discovery = await self._link(
+                f"{fwd}>{SERVICE}", await self._relay(self.service.listen, told)
+            )
+            at.fleet = await self._link(
+                f"{fwd}>{FLEET}", await self._relay(self.service.fleet, told)
+            )
         await self._link(f"client>{fwd}", listen)
         folder = self.out / "members" / fwd
         config = configure.forwarder(exp, self.seed, n, at)
-        return Forwarder(fwd, folder, self._told, config=config, admin=reserve(self.held))
+        return Forwarder(
+            fwd, folder, self._told, config=config, admin=reserve(self.held)
+        )
 
     async def _relay(self, port: int, dials: dict[str, str]) -> int:
         relay = await Relay(port, dials, self._noticed).start()
@@ -141,7 +187,14 @@
 
     def _noticed(self, notice: dict[str, Any]) -> None:
         state = str(notice.get("state"))
-        self.record({"kind": "notice", "id": str(notice["id"]), "state": state, "at_ns": self.clock()})
+        self.record(
+            {
+                "kind": "notice",
+                "id": str(notice["id"]),
+                "state": state,
+                "at_ns": self.clock(),
+            }
+        )
 
     async def _link(self, name: str, port: int) -> str:
         """A proxied link to a port; its own address."""
@@ -157,7 +210,11 @@
         await end_all(self.processes())
         for held in self.held:
             held.close()
-        servers: list[Link | Server | Relay] = [*self.links.values(), *self.endpoints.values(), *self.servers]
+        servers: list[Link | Server | Relay] = [
+            *self.links.values(),
+            *self.endpoints.values(),
+            *self.servers,
+        ]
         for server in servers:
             await server.stop()
 
@@ -169,5 +226,7 @@
         }
 
     def dump(self) -> None:
-        text = "".join(json.dumps(r, separators=(",", ":")) + "\n" for r in self.records)
+        text = "".join(
+            json.dumps(r, separators=(",", ":")) + "\n" for r in self.records
+        )
         (self.out / "records.jsonl").write_text(text)
--- a/lemonshunt/lab/standins.py
+++ b/lemonshunt/lab/standins.py
@@ -20,7 +20,9 @@
 Record = Callable[[dict[str, Any]], None]
 
 
-async def read_request(reader: asyncio.StreamReader) -> tuple[str, str, dict[str, str], bytes] | None:
+async def read_request(
+    reader: asyncio.StreamReader,
+) -> tuple[str, str, dict[str, str], bytes] | None:
     """One HTTP/1.1 message: the first two words of its first line (of a request its method and path, of an
     answer its version and status), headers (lower-case names), body; None at a clean end, ValueError for a
     head or body past its limit."""
@@ -33,7 +35,8 @@
     lines = head.decode("latin-1").split("\r\n")
     method, path, _ = (lines[0].split(" ", 2) + ["", ""])[:3]
     headers = {
-        k.strip().lower(): v.strip() for k, _, v in (line.partition(":") for line in lines[1:] if line)
+        k.strip().lower(): v.strip()
+        for k, _, v in (line.partition(":") for line in lines[1:] if line)
     }
     length = int(headers.get("content-length", "0") or 0)
     if not 0 <= length <= BODY_LIMIT:
@@ -59,7 +62,9 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> Self:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=HEAD_LIMIT)
+        self.server = await asyncio.start_server(
+            self._serve, "127.0.0.1", self.port, limit=HEAD_LIMIT
+        )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -70,16 +75,25 @@
         for writer in list(self.writers):
             reset(writer)
 
-    async def handle(self, method: str, path: str, headers: dict[str, str], body: bytes) -> bytes:
+    async def handle(
+        self, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> bytes:
         raise NotImplementedError
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.writers.add(writer)
         try:
             while (request := await read_request(reader)) is not None:
                 writer.write(await self.handle(*request))
                 await writer.drain()
-        except (OSError, ValueError, asyncio.IncompleteReadError, asyncio.CancelledError):
+        except (
+            OSError,
+            ValueError,
+            asyncio.IncompleteReadError,
+            asyncio.CancelledError,
+        ):
             pass  # a peer gone, or the lab ending: the connection ends with it
         finally:
             self.writers.discard(writer)
@@ -133,7 +147,9 @@
         self.chance = random.Random(self.seed)
         self.busy = 0
 
-    async def handle(self, method: str, path: str, headers: dict[str, str], body: bytes) -> bytes:
+    async def handle(
+        self, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> bytes:
         if method == "GET" and path == "/alive":
             return answer(200)
         if method != "POST" or path != "/hook":
@@ -181,20 +197,33 @@
         Server.__init__(self)
         self.changed = asyncio.Event()
 
-    async def handle(self, method: str, path: str, headers: dict[str, str], body: bytes) -> bytes:
+    async def handle(
+        self, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> bytes:
         if method == "POST" and path == "/v1/notices":
             return self._notices(body)
         if method != "GET" or not path.startswith("/discovery/hosts"):
             return answer(404)
-        query = dict(p.partition("=")[::2] for p in path.partition("?")[2].split("&") if p)
-        since, hold = int(query.get("from", "-1") or -1), min(int(query.get("hold_ms", "0") or 0), 60_000)
+        query = dict(
+            p.partition("=")[::2] for p in path.partition("?")[2].split("&") if p
+        )
+        since, hold = (
+            int(query.get("from", "-1") or -1),
+            min(int(query.get("hold_ms", "0") or 0), 60_000),
+        )
         if 0 <= since == self.seq and hold:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(hold / 1000):
                     await self.changed.wait()
             if since == self.seq:
-                return answer(200, json.dumps({"seq": self.seq, "whole": False, "hosts": []}).encode())
-        return answer(200, json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode())
+                return answer(
+                    200,
+                    json.dumps({"seq": self.seq, "whole": False, "hosts": []}).encode(),
+                )
+        return answer(
+            200,
+            json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode(),
+        )
 
     def _notices(self, body: bytes) -> bytes:
         try:
--- a/lemonshunt/lab/summary.py
+++ b/lemonshunt/lab/summary.py
@@ -65,7 +65,16 @@
     "lag_max_ms": lambda v: _at(v, "lag_ms", "max"),
 }
 """Figures of which a sweep tells the worst only: the greatest, of ``used`` the least."""
-SHOWN = ("messages", "delivered", "lost", "doubled", "out_of_order", "over", "overlaps", "tokens_back")
+SHOWN = (
+    "messages",
+    "delivered",
+    "lost",
+    "doubled",
+    "out_of_order",
+    "over",
+    "overlaps",
+    "tokens_back",
+)
 SHOWN_WORST = ("worst_span", "used", "refused_per_delivery", "lag_max_ms")
 
 
@@ -101,7 +110,11 @@
                 "breaches": p.breaches,
                 "valid": p.verdict.get("valid"),
                 "figures": figures.get(p.seed),
-                **{k: p.verdict[k] for k in ("budgets", "leases", "shards", "sessions") if k in p.verdict},
+                **{
+                    k: p.verdict[k]
+                    for k in ("budgets", "leases", "shards", "sessions")
+                    if k in p.verdict
+                },
             }
             for p in runs
         ],
@@ -110,7 +123,9 @@
 
 
 def _figures(v: Mapping[str, Any]) -> dict[str, Any]:
-    every = {key: figure(v) for key, figure in COUNTS.items()} | {k: f(v) for k, f in WORST.items()}
+    every = {key: figure(v) for key, figure in COUNTS.items()} | {
+        k: f(v) for k, f in WORST.items()
+    }
     return {key: value for key, value in every.items() if value != math.inf}
 
 
@@ -121,13 +136,34 @@
     for r in told["runs"]:
         f = r["figures"] or {}
         cells = [f.get(k, "-") for k in (*SHOWN, *SHOWN_WORST)]
-        rows.append([str(c) for c in (r["seed"], r["exit"], r["wall_s"], *cells, r["valid"])])
+        rows.append(
+            [str(c) for c in (r["seed"], r["exit"], r["wall_s"], *cells, r["valid"])]
+        )
     total = [told["totals"].get(k, "-") for k in SHOWN]
     worst = [told["worst"].get(k, {}).get("value", "-") for k in SHOWN_WORST]
-    rows.append([str(c) for c in ("all", told["exit"], "", *total, *worst, len(told["invalid"]) == 0)])
+    rows.append(
+        [
+            str(c)
+            for c in (
+                "all",
+                told["exit"],
+                "",
+                *total,
+                *worst,
+                len(told["invalid"]) == 0,
+            )
+        ]
+    )
     widths = [max(len(row[n]) for row in rows) for n in range(len(heads))]
-    lines = ["  ".join(cell.rjust(w) for cell, w in zip(row, widths, strict=True)) for row in rows]
-    lines += [f"seed {r['seed']}: {'; '.join(r['breaches'])}" for r in told["runs"] if r["breaches"]]
+    lines = [
+        "  ".join(cell.rjust(w) for cell, w in zip(row, widths, strict=True))
+        for row in rows
+    ]
+    lines += [
+        f"seed {r['seed']}: {'; '.join(r['breaches'])}"
+        for r in told["runs"]
+        if r["breaches"]
+    ]
     if told["not_played"]:
         lines.append(f"not played: {', '.join(map(str, told['not_played']))}")
     return "\n".join(lines)
--- a/lemonshunt/lab/sweep.py
+++ b/lemonshunt/lab/sweep.py
@@ -33,14 +33,24 @@
     found: dict[int, None] = {}
     for part in text.split(","):
         first, _, last = part.partition("-")
-        if not first.isdecimal() or not (last or first).isdecimal() or part.endswith("-"):
-            raise argparse.ArgumentTypeError(f"{part!r} is no seed and no range such as 1-100")
+        if (
+            not first.isdecimal()
+            or not (last or first).isdecimal()
+            or part.endswith("-")
+        ):
+            raise argparse.ArgumentTypeError(
+                f"{part!r} is no seed and no range such as 1-100"
+            )
         begin, end = int(first), int(last or first)
         if begin > end or end - begin >= MOST_SEEDS:
-            raise argparse.ArgumentTypeError(f"{part!r} is no range of 1 to {MOST_SEEDS} seeds")
+            raise argparse.ArgumentTypeError(
+                f"{part!r} is no range of 1 to {MOST_SEEDS} seeds"
+            )
         found |= dict.fromkeys(range(begin, end + 1))
     if len(found) > MOST_SEEDS:
-        raise argparse.ArgumentTypeError(f"{len(found)} seeds, where {MOST_SEEDS} are the most")
+        raise argparse.ArgumentTypeError(
+            f"{len(found)} seeds, where {MOST_SEEDS} are the most"
+        )
     return list(found)
 
 
@@ -59,8 +69,15 @@
 
 
 class Sweep:
-    def __init__(self, experiment: Experiment, path: Path, out: Path, keep: str) -> None:
-        self.experiment, self.path, self.out, self.keep = experiment, path.resolve(), out.resolve(), keep
+    def __init__(
+        self, experiment: Experiment, path: Path, out: Path, keep: str
+    ) -> None:
+        self.experiment, self.path, self.out, self.keep = (
+            experiment,
+            path.resolve(),
+            out.resolve(),
+            keep,
+        )
         self.limit_s = limit_s(experiment)
         self.runs: list[Played] = []
 
@@ -72,7 +89,9 @@
             for seed in waiting:
                 self.runs.append(await self.one(seed))
 
-        workers = [asyncio.create_task(worker()) for _ in range(min(at_once, len(wanted)))]
+        workers = [
+            asyncio.create_task(worker()) for _ in range(min(at_once, len(wanted)))
+        ]
         try:
             # Not gather: cancelled, it cancels the workers and returns with the first of them, and a second
             # cancel would break off the ending in another.
@@ -100,7 +119,9 @@
     async def one(self, seed: int) -> Played:
         folder = self.out / f"seed-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "verdict.json").unlink(missing_ok=True)  # an earlier sweep's says nothing of this one
+        (folder / "verdict.json").unlink(
+            missing_ok=True
+        )  # an earlier sweep's says nothing of this one
         begin = time.monotonic()
         with (folder / "run.log").open("wb") as log:
             starting = asyncio.ensure_future(
@@ -125,19 +146,30 @@
             finally:  # also where the interrupt came while the run was being started
                 process = await starting
                 await end(process, folder)
-        played = self.read(seed, folder, process.returncode or 0, time.monotonic() - begin, why)
+        played = self.read(
+            seed, folder, process.returncode or 0, time.monotonic() - begin, why
+        )
         if self.keep == "none" or (self.keep == "failures" and not played.breaches):
             shutil.rmtree(folder, ignore_errors=True)
         return played
 
-    def read(self, seed: int, folder: Path, code: int, wall_s: float, why: str) -> Played:
+    def read(
+        self, seed: int, folder: Path, code: int, wall_s: float, why: str
+    ) -> Played:
         verdict: dict[str, Any] = {}
         with contextlib.suppress(OSError, ValueError):
             verdict = json.loads((folder / "verdict.json").read_text())
         if why or code not in (0, 1) or not verdict:
-            last = (folder / "run.log").read_text(errors="replace").strip().splitlines()[-1:]
+            last = (
+                (folder / "run.log")
+                .read_text(errors="replace")
+                .strip()
+                .splitlines()[-1:]
+            )
             why = why or f"no verdict, exit {code}: {' '.join(last)[:300]}"
-            return Played(seed, code, wall_s, {}, [why])  # a verdict of half a run is none
+            return Played(
+                seed, code, wall_s, {}, [why]
+            )  # a verdict of half a run is none
         return Played(seed, code, wall_s, verdict, list(verdict["breaches"]))
 
 
@@ -162,7 +194,12 @@
 
 
 def sweep(
-    experiment: Experiment, path: Path, wanted: list[int], at_once: int, out: Path, keep: str = "all"
+    experiment: Experiment,
+    path: Path,
+    wanted: list[int],
+    at_once: int,
+    out: Path,
+    keep: str = "all",
 ) -> int:
     """Play, write ``summary.json``, print the table; 0, 1 on any breach, 130 where it was interrupted."""
     out.mkdir(parents=True, exist_ok=True)
--- a/lemonshunt/lab/timeline.py
+++ b/lemonshunt/lab/timeline.py
@@ -51,7 +51,9 @@
 
 async def _process(stage: Stage, fault: Fault) -> None:
     process = stage.process(fault.target)
-    async with process.turn:  # one fault on a process at a time: no pause in the middle of a start
+    async with (
+        process.turn
+    ):  # one fault on a process at a time: no pause in the middle of a start
         if fault.kind == "pause":
             process.signal(signal.SIGSTOP)
             try:
@@ -63,7 +65,12 @@
         if fault.restart:
             await asyncio.sleep(fault.after_s)
             await process.restart(keep=fault.restart == "keep")
-            stage.log.info("member ready", member=process.name, role=process.role, pid=process.pids[-1])
+            stage.log.info(
+                "member ready",
+                member=process.name,
+                role=process.role,
+                pid=process.pids[-1],
+            )
 
 
 async def _endpoint(stage: Stage, endpoint: Endpoint, fault: Fault) -> None:
@@ -75,7 +82,10 @@
     elif fault.kind == "limit":
         b.limit = fault.limit
     else:  # cold: a restart, whose first calls are slow
-        b.cold_ms, b.cold_until_ns = fault.delay_ms, stage.clock() + int(fault.for_s * 1e9)
+        b.cold_ms, b.cold_until_ns = (
+            fault.delay_ms,
+            stage.clock() + int(fault.for_s * 1e9),
+        )
     if fault.for_s:
         await asyncio.sleep(fault.for_s)
         if fault.kind != "cold":
--- a/lemonshunt/lab/verdicts/__init__.py
+++ b/lemonshunt/lab/verdicts/__init__.py
@@ -20,7 +20,9 @@
     end_ns = int(exp.duration_s * 1e9)
     return {
         "budgets": {
-            str(b.destination): budgets.check(records, b.destination, b.calls, b.span_ms, end_ns)
+            str(b.destination): budgets.check(
+                records, b.destination, b.calls, b.span_ms, end_ns
+            )
             for b in exp.budgets
         },
         "leases": leases.check(records),
@@ -46,7 +48,11 @@
 
 def breaches(result: Mapping[str, Any]) -> list[str]:
     """Each rule that a verdict shows broken, as 'name: how much'; empty for a clean run."""
-    found = [f"{name}: {result[name]}" for name in ("lost", "doubled", "phantoms") if result[name]]
+    found = [
+        f"{name}: {result[name]}"
+        for name in ("lost", "doubled", "phantoms")
+        if result[name]
+    ]
     for destination, b in sorted(result.get("budgets", {}).items()):
         if b["over"]:
             found.append(f"budgets.{destination}.over: {b['over']}")
--- a/lemonshunt/lab/verdicts/budgets.py
+++ b/lemonshunt/lab/verdicts/budgets.py
@@ -32,7 +32,11 @@
 
 
 def check(
-    records: Iterable[Mapping[str, Any]], destination: int, calls: int, span_ms: int, end_ns: int
+    records: Iterable[Mapping[str, Any]],
+    destination: int,
+    calls: int,
+    span_ms: int,
+    end_ns: int,
 ) -> dict[str, Any]:
     """The figures of one destination. ``over`` is by how many calls the worst sliding span passes the whole,
     ``calls_over`` how many calls left beyond it, ``used`` the part of the whole sent from the load's start to
@@ -48,7 +52,9 @@
     span_ns = span_ms * 1_000_000
     worst, at = worst_span(sent, span_ns)
     whole = calls * end_ns / span_ns
-    accepted = sum(1 for t, status in at_endpoints if 0 <= t < end_ns and status not in REFUSED)
+    accepted = sum(
+        1 for t, status in at_endpoints if 0 <= t < end_ns and status not in REFUSED
+    )
     delivered = sum(1 for _, status in at_endpoints if status == 200)
     refused = sum(1 for _, status in at_endpoints if status in REFUSED)
     return {
--- a/lemonshunt/lab/verdicts/leases.py
+++ b/lemonshunt/lab/verdicts/leases.py
@@ -28,7 +28,10 @@
     higher token, or acted on by it under the same); ``tokens_back``: grants that do not rise, and acts under
     a token below one acted under before. Of records of one moment the grants count first."""
     kinds = {"granted": 0, "acted": 1}
-    every = sorted((r for r in records if r["kind"] in kinds), key=lambda r: (r["at_ns"], kinds[r["kind"]]))
+    every = sorted(
+        (r for r in records if r["kind"] in kinds),
+        key=lambda r: (r["at_ns"], kinds[r["kind"]]),
+    )
     leases: dict[str, _Lease] = {}
     overlaps: list[dict[str, Any]] = []
     back: list[dict[str, Any]] = []
@@ -36,7 +39,9 @@
         now = leases.setdefault(r["lease"], _Lease())
         token: Token = (int(r["token"][0]), int(r["token"][1]))
         if r["kind"] == "granted":
-            same = token == now.granted and r["holder"] == now.holder  # told again, nothing new
+            same = (
+                token == now.granted and r["holder"] == now.holder
+            )  # told again, nothing new
             if token <= now.granted and not same:
                 back.append(dict(r))
             if token > now.granted:
--- a/lemonshunt/lab/verdicts/sessions.py
+++ b/lemonshunt/lab/verdicts/sessions.py
@@ -57,7 +57,9 @@
 def hand_overs(records: Iterable[Mapping[str, Any]]) -> HandOvers:
     """A hand-over of a key goes from ``offered`` to the next ``offered`` of that key. Its pause is from
     ``frozen`` to the first ``committed`` or ``aborted`` after it."""
-    steps = sorted((r for r in records if r["kind"] == "session"), key=lambda r: r["at_ns"])
+    steps = sorted(
+        (r for r in records if r["kind"] == "session"), key=lambda r: r["at_ns"]
+    )
     found = HandOvers()
     ends: dict[str, set[str]] = {}
     frozen: dict[str, int] = {}
@@ -88,7 +90,9 @@
 
 
 def check(
-    records: Sequence[Mapping[str, Any]], effects: Mapping[str, str], deadlines_ns: Mapping[str, int]
+    records: Sequence[Mapping[str, Any]],
+    effects: Mapping[str, str],
+    deadlines_ns: Mapping[str, int],
 ) -> dict[str, Any]:
     """``seen`` counts the forwarders' records, ``messages`` the keyed ones of the load; lost, doubled and
     out of order are of those."""
@@ -106,6 +110,8 @@
         "lost": sum(m.lost(joined.noticed, joined.wiped) for m in keyed),
         "doubled": sum(m.doubled(effects[m.cls]) for m in keyed),
         "out_of_order": len(late),
-        "out_of_order_records": [f"{session} {number}" for session, number in late[:SHOWN]],
+        "out_of_order_records": [
+            f"{session} {number}" for session, number in late[:SHOWN]
+        ],
         "longest_pause_ms": moves.longest_ns / 1e6,
     }
--- a/lemonshunt/lab/verdicts/shards.py
+++ b/lemonshunt/lab/verdicts/shards.py
@@ -34,13 +34,22 @@
         if r["kind"] == "process" and r["did"] == "ended":
             ends.setdefault(r["member"], []).append(r["at_ns"])
         elif r["kind"] == "owns":
-            key = (r["member"], int(r["from"], 16), int(r["to"], 16), int(r["generation"]), r["begin_ns"])
+            key = (
+                r["member"],
+                int(r["from"], 16),
+                int(r["to"], 16),
+                int(r["generation"]),
+                r["begin_ns"],
+            )
             if open_until.get(key) is None:
                 open_until[key] = r["end_ns"]
     stretches = []
     for (member, first, last, generation, begin), until in open_until.items():
         if until is None:
-            until = min((at for at in ends.get(member, []) if at >= begin), default=max(end_ns, begin))
+            until = min(
+                (at for at in ends.get(member, []) if at >= begin),
+                default=max(end_ns, begin),
+            )
         if until > begin:  # an owner for no time acted for no key
             stretches.append(Owned(member, first, last, generation, begin, until))
     return sorted(stretches, key=lambda s: (s.begin_ns, s.first, s.member))
@@ -48,10 +57,14 @@
 
 def pieces(stretches: list[Owned]) -> list[tuple[int, int, list[Owned]]]:
     """The key space cut at the ranges' ends: (first, last, the stretches that hold those keys)."""
-    cuts = sorted({0, 1 << 64} | {s.first for s in stretches} | {s.last + 1 for s in stretches})
+    cuts = sorted(
+        {0, 1 << 64} | {s.first for s in stretches} | {s.last + 1 for s in stretches}
+    )
     held: list[list[Owned]] = [[] for _ in cuts]
     for s in stretches:
-        for n in range(bisect.bisect_left(cuts, s.first), bisect.bisect_left(cuts, s.last + 1)):
+        for n in range(
+            bisect.bisect_left(cuts, s.first), bisect.bisect_left(cuts, s.last + 1)
+        ):
             held[n].append(s)
     return [(cuts[n], cuts[n + 1] - 1, held[n]) for n in range(len(cuts) - 1)]
 
--- a/lemonshunt/lease/guard.py
+++ b/lemonshunt/lease/guard.py
@@ -23,7 +23,11 @@
         one is higher than any before: keep a snapshot before acting where the guard is to outlive a crash."""
         before = self.seen(name)
         if token < before:
-            raise Refused(409, [f"token: {token.told()} of {name} is below {before.told()}"], before)
+            raise Refused(
+                409,
+                [f"token: {token.told()} of {name} is below {before.told()}"],
+                before,
+            )
         grown = self._seen.get(name) != token
         self._seen[name] = token
         self._seen.move_to_end(name)
@@ -39,7 +43,10 @@
         return max(self._seen.values(), default=self.floor)
 
     def snapshot(self) -> dict[str, Any]:
-        return {"floor": self.floor.told(), "seen": [[n, t.told()] for n, t in self._seen.items()]}
+        return {
+            "floor": self.floor.told(),
+            "seen": [[n, t.told()] for n, t in self._seen.items()],
+        }
 
     @staticmethod
     def restored(raw: Mapping[str, Any], most: int = 10_000) -> Guard:
--- a/lemonshunt/lease/holder.py
+++ b/lemonshunt/lease/holder.py
@@ -85,7 +85,12 @@
         self._clock(now_us)
         ask = self._asks.pop(sent, None)
         self.seen = max(self.seen, token)
-        if ask is None or sent < self._newest or token <= self._out or token < (self.token or NEVER):
+        if (
+            ask is None
+            or sent < self._newest
+            or token <= self._out
+            or token < (self.token or NEVER)
+        ):
             return False
         self._newest, self._fails = sent, 0
         self.token, self.ttl_us = token, ttl_us
@@ -106,7 +111,9 @@
         over a third of a lease so that those who wait for one moment do not come at one."""
         self._clock(now_us)
         self._asks.pop(sent, None)
-        self.next_renewal_us = now_us + retry_us + int(self._third_us() * self._random())
+        self.next_renewal_us = (
+            now_us + retry_us + int(self._third_us() * self._random())
+        )
 
     def failed(self, now_us: int) -> None:
         """No answer: try again with full jitter, at most a third of a lease later."""
