--- a/lemonshunt/peer/frames.py
+++ b/lemonshunt/peer/frames.py
@@ -109,13 +109,13 @@
         found: list[AnyFrame] = []
         at = 0
         while len(self.held) - at >= HEAD:
-            size = int.from_bytes(self.held[at:at + HEAD], "big")
+            size = int.from_bytes(self.held[at : at + HEAD], "big")
             if size > FRAME:
                 raise Malformed(f"a frame of {size} bytes; at most {FRAME} are taken")
             end = at + HEAD + size
             if len(self.held) < end:
                 break
-            found.append(decode(bytes(self.held[at + HEAD:end])))
+            found.append(decode(bytes(self.held[at + HEAD : end])))
             at = end
         del self.held[:at]
         return found
--- a/lemonshunt/peer/links.py
+++ b/lemonshunt/peer/links.py
@@ -148,8 +148,14 @@
         sent, and it may be refused or go elsewhere."""
         if len(self.pending) >= self.most_pending or not self.stamped_us:
             return None
-        sent = self.send(msgspec.structs.replace(
-            frame, number=self.number + 1, stamp_us=self.stamp_us, item=leaving(frame.item, self.stamped_us)))
+        sent = self.send(
+            msgspec.structs.replace(
+                frame,
+                number=self.number + 1,
+                stamp_us=self.stamp_us,
+                item=leaving(frame.item, self.stamped_us),
+            )
+        )
         if sent is None:
             return None
         self.number += 1
--- a/lemonshunt/registry/bodies.py
+++ b/lemonshunt/registry/bodies.py
@@ -15,7 +15,9 @@
 import msgspec
 from msgspec import Meta, Struct, ValidationError, structs
 
-MOST_OPS = 10_000  # in one change; the body's 1 MiB holds half as many, so that binds first
+MOST_OPS = (
+    10_000  # in one change; the body's 1 MiB holds half as many, so that binds first
+)
 VERSIONS = 1 << 53  # a version is below: what JSON readers hold exactly
 T = TypeVar("T")
 
@@ -61,7 +63,12 @@
 
 
 Op = Register | Drain | Remove | Weigh
-OPS: dict[str, type[Op]] = {"register": Register, "drain": Drain, "remove": Remove, "share": Weigh}
+OPS: dict[str, type[Op]] = {
+    "register": Register,
+    "drain": Drain,
+    "remove": Remove,
+    "share": Weigh,
+}
 
 
 class Ask(Struct, rename={"since": "from"}):
@@ -107,25 +114,39 @@
         told = dict(found)
         if len(told) < len(found):
             times = Counter(name for name, _ in found)
-            told.update((name, mark("the key comes twice")) for name in told if times[name] > 1)
+            told.update(
+                (name, mark("the key comes twice")) for name in told if times[name] > 1
+            )
         return told
 
     def number(text: str) -> Any:
         value = float(text)
-        return mark(f"{text} is past what a number can hold") if value in (_INF, -_INF) else value
+        return (
+            mark(f"{text} is past what a number can hold")
+            if value in (_INF, -_INF)
+            else value
+        )
 
     try:
-        value = json.loads(data.decode(), object_pairs_hook=pairs, parse_float=number,
-                           parse_constant=lambda name: mark(f"{name} is not a number JSON allows"))
+        value = json.loads(
+            data.decode(),
+            object_pairs_hook=pairs,
+            parse_float=number,
+            parse_constant=lambda name: mark(f"{name} is not a number JSON allows"),
+        )
         if b"\\ud" in data.lower():
-            json.dumps(value, ensure_ascii=False, default=str).encode()  # half of a pair cannot be written
+            json.dumps(
+                value, ensure_ascii=False, default=str
+            ).encode()  # half of a pair cannot be written
         found = list(_marked(value, "")) if marks else []
     except UnicodeEncodeError:
         raise Refused(400, ["a text holds half of a surrogate pair"]) from None
     except (ValueError, RecursionError) as error:
         raise Refused(400, [f"not JSON: {error}"]) from None
     if marks:
-        raise Refused(400, found or [mark.why for mark in marks])  # what a doubled key hid has no path
+        raise Refused(
+            400, found or [mark.why for mark in marks]
+        )  # what a doubled key hid has no path
     return value
 
 
@@ -156,7 +177,9 @@
 
 def _inner(raw: Any, kind: Any, where: str, strict: bool) -> list[str]:
     while typing.get_origin(kind) is Annotated or isinstance(kind, types.UnionType):
-        kind = typing.get_args(kind)[0]  # `X | None` is the only union among these types
+        kind = typing.get_args(kind)[
+            0
+        ]  # `X | None` is the only union among these types
     found: list[str] = []
     if isinstance(kind, type) and issubclass(kind, Struct) and isinstance(raw, dict):
         for field in structs.fields(kind):
@@ -167,10 +190,19 @@
                 found.append(f"{at}: is missing")
     elif typing.get_origin(kind) is list and isinstance(raw, list):
         for n, value in enumerate(raw):
-            found.extend(faults(value, typing.get_args(kind)[0], f"{where}[{n}]", strict))
+            found.extend(
+                faults(value, typing.get_args(kind)[0], f"{where}[{n}]", strict)
+            )
     elif typing.get_origin(kind) is dict and isinstance(raw, dict):
         for key, value in raw.items():
-            found.extend(faults(value, typing.get_args(kind)[1], f"{where}.{key}" if where else key, strict))
+            found.extend(
+                faults(
+                    value,
+                    typing.get_args(kind)[1],
+                    f"{where}.{key}" if where else key,
+                    strict,
+                )
+            )
     return found
 
 
@@ -183,7 +215,9 @@
 
 def query(given: typing.Mapping[str, str], kind: type[T]) -> T:
     """A query string as a `kind`; an empty value counts as not given."""
-    return taken({key: value for key, value in given.items() if value}, kind, strict=False)
+    return taken(
+        {key: value for key, value in given.items() if value}, kind, strict=False
+    )
 
 
 def change(body: Any) -> tuple[list[Op], str]:
@@ -197,7 +231,11 @@
         raise Refused(400, [*found, f"ops: a list of 1 to {MOST_OPS} changes"])
     ops: list[Op] = []
     for n, op in enumerate(raw):
-        kind = OPS.get(op["op"]) if isinstance(op, dict) and isinstance(op.get("op"), str) else None
+        kind = (
+            OPS.get(op["op"])
+            if isinstance(op, dict) and isinstance(op.get("op"), str)
+            else None
+        )
         if kind is None:
             found.append(f"ops[{n}].op: one of {', '.join(OPS)}")
         elif wrong := faults(op, kind, f"ops[{n}]"):
--- a/lemonshunt/registry/book.py
+++ b/lemonshunt/registry/book.py
@@ -11,7 +11,9 @@
 from lemonshunt.registry.rider import Row
 
 LEASE = "lease"  # of the table's rows
-REWRITE_EVERY = 1_000  # lines at least before it is written anew, and twice what it then holds
+REWRITE_EVERY = (
+    1_000  # lines at least before it is written anew, and twice what it then holds
+)
 Rows = list[tuple[str, Row]]
 """Each with the part it is of: the table, or a rider's name."""
 log = logging.getLogger("lemonshunt.registry")
@@ -29,7 +31,9 @@
         kept, found = dict[str, Row](), dict[str, list[Row]]()
         for number, line in enumerate(self.log.load(), 1):
             if "of" not in line or not {"snapshot", "row"} & line.keys():
-                raise Damaged(f"{self.log.path.name} line {number} is none of this file")
+                raise Damaged(
+                    f"{self.log.path.name} line {number} is none of this file"
+                )
             if "snapshot" in line:
                 kept[line["of"]] = line["snapshot"]
             else:
@@ -53,7 +57,9 @@
     def rewrite(self, parts: Mapping[str, Row]) -> None:
         """Snapshots in place of all rows. Raises OSError, leaving the file as it was."""
         self.least = self.log.count  # not tried again at once where it fails
-        self.log.rewrite([{"of": of, "snapshot": snapshot} for of, snapshot in parts.items()])
+        self.log.rewrite(
+            [{"of": of, "snapshot": snapshot} for of, snapshot in parts.items()]
+        )
         self.least = self.log.count
 
     def whole(self, number: int) -> bool:
--- a/lemonshunt/registry/budgets.py
+++ b/lemonshunt/registry/budgets.py
@@ -45,14 +45,18 @@
         self._due_us: int | None = None
         # What each member said last and the ledger has. Forgotten where that may mean something else now.
         self._last: dict[Token, tuple[Any, Any]] = {}
-        self._turning = False  # budgets were put in force, and no plan by them is on disk yet
+        self._turning = (
+            False  # budgets were put in force, and no plan by them is on disk yet
+        )
 
     # -- the start -------------------------------------------------------------------------------------
 
     def lifted(self, epoch: int) -> None:
         self._epoch = epoch
 
-    def restored(self, now_us: int, sure: bool, snapshot: Row | None, rows: list[Row]) -> None:
+    def restored(
+        self, now_us: int, sure: bool, snapshot: Row | None, rows: list[Row]
+    ) -> None:
         self._now_us = now_us
         configs = [] if snapshot is None else [snapshot]
         configs += [row for row in rows if "config" in row]
@@ -60,9 +64,15 @@
         for row in configs:
             self._taken(row)
         steady = _steady(histories, self.drift, snapshot["opening"] if snapshot else ())
-        self.ledger = keep.restored(steady, self.lease_us, self.drift, now_us,
-                                    snapshot["ledger"] if snapshot else None,
-                                    [row for row in rows if "budgets" in row], sure)
+        self.ledger = keep.restored(
+            steady,
+            self.lease_us,
+            self.drift,
+            now_us,
+            snapshot["ledger"] if snapshot else None,
+            [row for row in rows if "budgets" in row],
+            sure,
+        )
         # Those whose window grew, or that were away, open only a whole window after this.
         self.ledger.configure(histories[-1] if histories else (), now_us)
 
@@ -81,15 +91,31 @@
                 found.extend(error.faults)
         return found
 
-    def joined(self, now_us: int, name: str, token: Token, follows: Token | None) -> None:
+    def joined(
+        self, now_us: int, name: str, token: Token, follows: Token | None
+    ) -> None:
         self._last.pop(token, None)
         self.ledger.joined(token, name, follows, now_us)
 
-    def said(self, now_us: int, name: str, token: Token, shown: Token, keeps: Mapping[str, int]) -> None:
+    def said(
+        self,
+        now_us: int,
+        name: str,
+        token: Token,
+        shown: Token,
+        keeps: Mapping[str, int],
+    ) -> None:
         self._last.pop(token, None)
         self.ledger.joined(token, name, shown, now_us, keeps)
 
-    def heard(self, now_us: int, until_us: int, name: str, token: Token, beat: Mapping[str, Any]) -> Heard:
+    def heard(
+        self,
+        now_us: int,
+        until_us: int,
+        name: str,
+        token: Token,
+        beat: Mapping[str, Any],
+    ) -> Heard:
         needs = config.beat_needs(beat.get("needs", {}))
         holds = config.beat_holds(beat.get("holds", {}))
         self._now_us = now_us
@@ -100,14 +126,26 @@
         waits = self._turning
         if changed and not waits and needs and self.raw:
             told = self.ledger.told(token)
-            waits = any(sum(parts.values()) > told[d].calls if d in told else d in self.ledger.books
-                        for d, parts in needs.items())
+            waits = any(
+                sum(parts.values()) > told[d].calls
+                if d in told
+                else d in self.ledger.books
+                for d, parts in needs.items()
+            )
         return Heard(changed, waits, lambda: {"shares": self.shares(token)})
 
     def shares(self, token: Token) -> dict[str, Any]:
-        return {destination: {"calls": s.calls, "number": s.number, "reserve": s.reserve, "whole": s.whole,
-                              "span_ms": s.span_us // 1_000, "slack_ms": s.slack_us // 1_000}
-                for destination, s in self.ledger.told(token).items()}
+        return {
+            destination: {
+                "calls": s.calls,
+                "number": s.number,
+                "reserve": s.reserve,
+                "whole": s.whole,
+                "span_ms": s.span_us // 1_000,
+                "slack_ms": s.slack_us // 1_000,
+            }
+            for destination, s in self.ledger.told(token).items()
+        }
 
     def out(self, now_us: int, token: Token) -> None:
         self._last.pop(token, None)
@@ -131,20 +169,36 @@
 
     def _due(self, now_us: int) -> int | None:
         """While something cools, opens or is missing it is looked at again; at rest only a beat stirs."""
-        spans = [book.budget.span_us for destination, book in self.ledger.books.items()
-                 if not book.closed and _unsettled(book, self.ledger.aims[destination], now_us)]
+        spans = [
+            book.budget.span_us
+            for destination, book in self.ledger.books.items()
+            if not book.closed
+            and _unsettled(book, self.ledger.aims[destination], now_us)
+        ]
         ends = sorted(self.ledger.presumed.values())[:1]
-        return min([*ends, *(now_us + min(max(span // STEPS, LEAST_US), MOST_US) for span in spans)],
-                   default=None)
+        return min(
+            [
+                *ends,
+                *(
+                    now_us + min(max(span // STEPS, LEAST_US), MOST_US)
+                    for span in spans
+                ),
+            ],
+            default=None,
+        )
 
     def next_us(self) -> int | None:
         return self._due_us
 
-    def configured(self, now_us: int, raw: list[dict[str, Any]], source: str) -> list[Row]:
+    def configured(
+        self, now_us: int, raw: list[dict[str, Any]], source: str
+    ) -> list[Row]:
         """The rows that put checked budgets in force. A plan whose write failed is written again before them,
         since it was made by those before."""
         first = [] if self.ledger.pending is None else [self.ledger.pending.line()]
-        version = max(self.version + 1, self._epoch << 20)  # never one that a lost folder had
+        version = max(
+            self.version + 1, self._epoch << 20
+        )  # never one that a lost folder had
         return [*first, {"config": raw, "version": version, "source": source}]
 
     def forget(self, now_us: int, token: Token | None) -> list[Row]:
@@ -171,8 +225,16 @@
         self.ledger.configure(budgets, now_us)
         self._last.clear()  # a budget that came has not heard what was said before
         self._turning, self._due_us = True, now_us
-        log.info("budgets", extra={"version": self.version, "source": self.source, "wholes": {
-            b.destination: [b.calls, b.span_us // 1_000] for b in budgets}})
+        log.info(
+            "budgets",
+            extra={
+                "version": self.version,
+                "source": self.source,
+                "wholes": {
+                    b.destination: [b.calls, b.span_us // 1_000] for b in budgets
+                },
+            },
+        )
 
     def abandon(self, row: Row) -> None:
         """The ledger plans it again as it is: a write that failed may have reached the disk."""
@@ -182,7 +244,11 @@
         return None if "config" in row else {grant[1] for grant in row["grants"]}
 
     def _taken(self, row: Row) -> None:
-        self.raw, self.version, self.source = row["config"], int(row["version"]), str(row["source"])
+        self.raw, self.version, self.source = (
+            row["config"],
+            int(row["version"]),
+            str(row["source"]),
+        )
         self.file = self.raw if self.source == "file" else row.get("file", self.file)
 
     def _log(self, row: Row) -> None:
@@ -190,19 +256,39 @@
         by: dict[str, dict[str, list[Any]]] = {}
         for destination, name, _, number, calls, reserve in row["grants"]:
             by.setdefault(destination, {"grants": [], "ends": []})["grants"].append(
-                [name, number, calls, reserve])
+                [name, number, calls, reserve]
+            )
         for destination, token, how in row["ends"]:
-            by.setdefault(destination, {"grants": [], "ends": []})["ends"].append([token, how])
+            by.setdefault(destination, {"grants": [], "ends": []})["ends"].append(
+                [token, how]
+            )
         for destination, told in by.items():
-            log.info("shares", extra={"budget": destination, "change": row["budgets"],
-                                      "why": self.ledger.aims[destination].why, **told})
+            log.info(
+                "shares",
+                extra={
+                    "budget": destination,
+                    "change": row["budgets"],
+                    "why": self.ledger.aims[destination].why,
+                    **told,
+                },
+            )
 
     # -- what is told of it ----------------------------------------------------------------------------
 
     def snapshot(self) -> Row:
-        opening = [d for d, book in sorted(self.ledger.books.items()) if book.opens_us > self._now_us]
-        return {"config": self.raw, "version": self.version, "source": self.source, "file": self.file,
-                "opening": opening, "ledger": keep.snapshot(self.ledger)}
+        opening = [
+            d
+            for d, book in sorted(self.ledger.books.items())
+            if book.opens_us > self._now_us
+        ]
+        return {
+            "config": self.raw,
+            "version": self.version,
+            "source": self.source,
+            "file": self.file,
+            "opening": opening,
+            "ledger": keep.snapshot(self.ledger),
+        }
 
     def state(self, now_us: int) -> dict[str, Any]:
         """By destination: as `Ledger.state`, and what cools, with when it has cooled."""
@@ -210,24 +296,38 @@
         for destination, figures in told.items():
             book = self.ledger.books[destination]
             figures["in_force"] = not book.closed
-            figures["cooling_until"] = [{"calls": calls, "in_ms": max(until - now_us, 0) // 1_000}
-                                        for until, calls in sorted(book.cooling)]
+            figures["cooling_until"] = [
+                {"calls": calls, "in_ms": max(until - now_us, 0) // 1_000}
+                for until, calls in sorted(book.cooling)
+            ]
         return told
 
     def figures(self, now_us: int) -> dict[str, dict[str, int]]:
         """Whole numbers, by destination, for /_vars and /metrics."""
-        return {destination: {
-            "whole": t["whole"], "counted": t["counted"], "free": t["free"], "cooling": t["cooling"],
-            "set_aside": t["set_aside"], "needed": sum(m["needs"] for m in t["members"]),
-            "shared": sum(m["calls"] for m in t["members"] if m["state"] == "in"),
-            "reserves": sum(m["reserve"] for m in t["members"]),
-            "holders": sum(m["acts_on"] > 0 for m in t["members"]),
-            "unacknowledged": sum(m["acked"] < m["number"] for m in t["members"] if m["state"] == "in"),
-            "scarce": int(t["scarce"]), "shut": int(t["shut"]),
-        } for destination, t in self.ledger.state(now_us).items()}
-
-
-def _steady(histories: list[tuple[Budget, ...]], drift: float, opening: Collection[str]) -> list[Budget]:
+        return {
+            destination: {
+                "whole": t["whole"],
+                "counted": t["counted"],
+                "free": t["free"],
+                "cooling": t["cooling"],
+                "set_aside": t["set_aside"],
+                "needed": sum(m["needs"] for m in t["members"]),
+                "shared": sum(m["calls"] for m in t["members"] if m["state"] == "in"),
+                "reserves": sum(m["reserve"] for m in t["members"]),
+                "holders": sum(m["acts_on"] > 0 for m in t["members"]),
+                "unacknowledged": sum(
+                    m["acked"] < m["number"] for m in t["members"] if m["state"] == "in"
+                ),
+                "scarce": int(t["scarce"]),
+                "shut": int(t["shut"]),
+            }
+            for destination, t in self.ledger.state(now_us).items()
+        }
+
+
+def _steady(
+    histories: list[tuple[Budget, ...]], drift: float, opening: Collection[str]
+) -> list[Budget]:
     """Those in force at the end whose window never grew and that were never away: what was free before a
     start is free after it. Of all others a call may be in a window that was not waited for."""
     windows: dict[str, int] = {}
@@ -236,7 +336,9 @@
         named = {b.destination: b.window_us(drift) for b in budgets}
         unsteady.update(d for d in windows if windows[d] < named.get(d, 1 << 62))
         windows = {**windows, **named}
-    return [b for b in (histories[-1] if histories else ()) if b.destination not in unsteady]
+    return [
+        b for b in (histories[-1] if histories else ()) if b.destination not in unsteady
+    ]
 
 
 def _unsettled(book: Book, aim: Aim, now_us: int) -> bool:
@@ -247,4 +349,7 @@
     members = book.in_force()
     if any(account.calls() != target(aim, account) for account in members):
         return True
-    return any(account.work() > account.calls() for account in members) and book.free_with({}) > 0
+    return (
+        any(account.work() > account.calls() for account in members)
+        and book.free_with({}) > 0
+    )
--- a/lemonshunt/registry/calls.py
+++ b/lemonshunt/registry/calls.py
@@ -71,7 +71,12 @@
 
 def _joined(made: Grant | Held, call: Beat) -> Grant | Held:
     """What the join says of the process before it goes to disk with the lease: riders may need it again."""
-    if call.shown is not None and isinstance(made, Grant) and made.record and made.record["kind"] == "grant":
+    if (
+        call.shown is not None
+        and isinstance(made, Grant)
+        and made.record
+        and made.record["kind"] == "grant"
+    ):
         made.record.update(shown=call.shown, keeps=call.keeps)
     return made
 
@@ -83,19 +88,40 @@
         raw = await json_body(request, house.bounds)
         found = bodies.faults(raw, Beat, "")
         if isinstance(raw, dict):
-            found.extend(fault for rider in fleet.riders.values() for fault in rider.faults(raw))
+            found.extend(
+                fault for rider in fleet.riders.values() for fault in rider.faults(raw)
+            )
         if found:
             raise Refused(400, found)
         call = bodies.taken(raw, Beat)
         token, seen = _token(call.token), _token(call.seen)
         if call.leave and call.token is not None:
-            await _settled(fleet, lambda now_us: fleet.roster.leave(now_us, call.name, token))
-            return answer(200, {"sent": call.sent, "state": "left", "version": fleet.version})
+            await _settled(
+                fleet, lambda now_us: fleet.roster.leave(now_us, call.name, token)
+            )
+            return answer(
+                200, {"sent": call.sent, "state": "left", "version": fleet.version}
+            )
         if call.token is None:
-            made = await _settled(fleet, lambda now_us: _joined(fleet.roster.join(
-                now_us, call.name, call.site, call.dial, call.run, _token(call.shown), seen), call))
+            made = await _settled(
+                fleet,
+                lambda now_us: _joined(
+                    fleet.roster.join(
+                        now_us,
+                        call.name,
+                        call.site,
+                        call.dial,
+                        call.run,
+                        _token(call.shown),
+                        seen,
+                    ),
+                    call,
+                ),
+            )
         else:
-            made = await _settled(fleet, lambda now_us: fleet.roster.beat(now_us, call.name, token, seen))
+            made = await _settled(
+                fleet, lambda now_us: fleet.roster.beat(now_us, call.name, token, seen)
+            )
         if isinstance(made, Held):
             return _held(made)
         assert isinstance(made, Grant)
@@ -108,11 +134,20 @@
         epoch, since = call.list or (None, None)
         whole, members = fleet.roster.owed_members(since, epoch)
         member = fleet.roster.members.get(call.name)
-        return answer(200, {
-            "token": made.token.told(), "ttl_ms": made.ttl_us // 1_000, "sent": call.sent,
-            "version": fleet.version, "state": "lost" if member is None else member.state,
-            "list": [fleet.roster.epoch, fleet.roster.version], "whole": whole,
-            "members": member_list.encoded(members), **parts})
+        return answer(
+            200,
+            {
+                "token": made.token.told(),
+                "ttl_ms": made.ttl_us // 1_000,
+                "sent": call.sent,
+                "version": fleet.version,
+                "state": "lost" if member is None else member.state,
+                "list": [fleet.roster.epoch, fleet.roster.version],
+                "whole": whole,
+                "members": member_list.encoded(members),
+                **parts,
+            },
+        )
 
     async def watch(request: web.Request) -> web.StreamResponse:
         ask = bodies.query(request.query, Watch)
@@ -128,24 +163,53 @@
     async def acquire(request: web.Request) -> web.StreamResponse:
         name = _name(request)
         call = bodies.taken(await json_body(request, house.bounds), Acquire)
-        made = await _settled(fleet, lambda now_us: fleet.table.acquire(
-            now_us, name, call.holder, call.ttl_ms * 1_000, _token(call.seen), _token(call.shown), call.note))
+        made = await _settled(
+            fleet,
+            lambda now_us: fleet.table.acquire(
+                now_us,
+                name,
+                call.holder,
+                call.ttl_ms * 1_000,
+                _token(call.seen),
+                _token(call.shown),
+                call.note,
+            ),
+        )
         return _told(made)
 
     async def renew(request: web.Request) -> web.StreamResponse:
-        name, call = _name(request), bodies.taken(await json_body(request, house.bounds), Renew)
-        return _told(await _settled(fleet, lambda now_us: fleet.table.renew(
-            now_us, name, _token(call.token), _token(call.seen))))
+        name, call = (
+            _name(request),
+            bodies.taken(await json_body(request, house.bounds), Renew),
+        )
+        return _told(
+            await _settled(
+                fleet,
+                lambda now_us: fleet.table.renew(
+                    now_us, name, _token(call.token), _token(call.seen)
+                ),
+            )
+        )
 
     async def release(request: web.Request) -> web.StreamResponse:
-        name, call = _name(request), bodies.taken(await json_body(request, house.bounds), Renew)
-        await _settled(fleet, lambda now_us: fleet.table.release(now_us, name, _token(call.token)))
+        name, call = (
+            _name(request),
+            bodies.taken(await json_body(request, house.bounds), Renew),
+        )
+        await _settled(
+            fleet, lambda now_us: fleet.table.release(now_us, name, _token(call.token))
+        )
         return answer(200, {"name": name, "released": True})
 
     lease = "/v1/leases/{name:.+}"
-    return [web.post("/v1/fleet/beat", beat), get("/v1/fleet/watch", watch), *reads(fleet),
-            web.post(f"{lease}/acquire", acquire), web.post(f"{lease}/renew", renew),
-            web.post(f"{lease}/release", release)]
+    return [
+        web.post("/v1/fleet/beat", beat),
+        get("/v1/fleet/watch", watch),
+        *reads(fleet),
+        web.post(f"{lease}/acquire", acquire),
+        web.post(f"{lease}/renew", renew),
+        web.post(f"{lease}/release", release),
+    ]
 
 
 def reads(fleet: Fleet) -> list[web.RouteDef]:
@@ -153,15 +217,28 @@
     house = fleet.house
 
     def told(lease: Lease) -> dict[str, Any]:
-        return {"name": lease.name, "holder": lease.holder, "token": lease.token.told(),
-                "ttl_ms": lease.ttl_us // 1_000, "note": dict(lease.note), "revoked": lease.revoked,
-                "left_ms": max(lease.until_us - house.now_us(), 0) // 1_000}
+        return {
+            "name": lease.name,
+            "holder": lease.holder,
+            "token": lease.token.told(),
+            "ttl_ms": lease.ttl_us // 1_000,
+            "note": dict(lease.note),
+            "revoked": lease.revoked,
+            "left_ms": max(lease.until_us - house.now_us(), 0) // 1_000,
+        }
 
     async def members(_: web.Request) -> web.StreamResponse:
         return answer(200, {**fleet.roster.owed(None, None), **fleet.state()})
 
     async def leases(request: web.Request) -> web.StreamResponse:
-        return answer(200, {"leases": [told(x) for x in fleet.table.under(request.query.get("prefix", ""))]})
+        return answer(
+            200,
+            {
+                "leases": [
+                    told(x) for x in fleet.table.under(request.query.get("prefix", ""))
+                ]
+            },
+        )
 
     async def lease(request: web.Request) -> web.StreamResponse:
         name = request.match_info["name"]
@@ -170,17 +247,24 @@
             raise Refused(404, [f"name: nobody holds {name}"])
         return answer(200, told(found))
 
-    return [get("/v1/fleet", members), get("/v1/leases", leases), get("/v1/leases/{name:.+}", lease)]
+    return [
+        get("/v1/fleet", members),
+        get("/v1/leases", leases),
+        get("/v1/leases/{name:.+}", lease),
+    ]
 
 
 def by_hand(fleet: Fleet) -> list[web.RouteDef]:
     """At the write address: the reads, and revoking (a member too, as `member/NAME`)."""
+
     async def revoke(request: web.Request) -> web.StreamResponse:
         name = request.match_info["name"]
         await _settled(fleet, lambda now_us: fleet.table.revoke(now_us, name))
         lease, now_us = fleet.table.read(name), fleet.house.now_us()
         left_us = 0 if lease is None else max(lease.until_us - now_us, 0)
-        return answer(200, {"name": name, "revoked": True, "free_in_ms": left_us // 1_000})
+        return answer(
+            200, {"name": name, "revoked": True, "free_in_ms": left_us // 1_000}
+        )
 
     return [*reads(fleet), web.post("/v1/leases/{name:.+}/revoke", revoke)]
 
@@ -188,7 +272,9 @@
 def _name(request: web.Request) -> str:
     name = request.match_info["name"]
     if name.startswith(PREFIX):
-        raise Refused(403, [f"name: {PREFIX}... is joined, renewed and left by beats alone"])
+        raise Refused(
+            403, [f"name: {PREFIX}... is joined, renewed and left by beats alone"]
+        )
     return name
 
 
@@ -197,7 +283,10 @@
 
     def __init__(self, error: terms.Refused) -> None:
         super().__init__(error.status, error.faults)
-        self.more = {"error": "lost" if error.status == 409 else "refused", "seen": error.seen.told()}
+        self.more = {
+            "error": "lost" if error.status == 409 else "refused",
+            "seen": error.seen.told(),
+        }
 
 
 async def _settled(fleet: Fleet, decide: Any) -> Any:
@@ -216,10 +305,17 @@
 def _told(made: Grant | Held) -> web.Response:
     if isinstance(made, Held):
         return _held(made)
-    return answer(200, {"name": made.name, "token": made.token.told(), "ttl_ms": made.ttl_us // 1_000})
+    return answer(
+        200,
+        {"name": made.name, "token": made.token.told(), "ttl_ms": made.ttl_us // 1_000},
+    )
 
 
 def _held(made: Held) -> web.Response:
     """Not now. `error` tells it from `lost`: whoever holds something may run out what it has."""
-    return fault(409, [made.why], {"Retry-After": f"{made.retry_us / 1e6:.3f}"},
-                 {"error": "held", "retry_ms": -(-made.retry_us // 1_000)})
+    return fault(
+        409,
+        [made.why],
+        {"Retry-After": f"{made.retry_us / 1e6:.3f}"},
+        {"error": "held", "retry_ms": -(-made.retry_us // 1_000)},
+    )
--- a/lemonshunt/registry/core.py
+++ b/lemonshunt/registry/core.py
@@ -20,7 +20,9 @@
 MOST_TOMBSTONES = 10_000  # removed entries kept so that watchers are told of them
 MOST_IDS = 10_000  # change ids kept for idempotent repeats
 EPOCH_STEP = 1_000  # a new epoch's first version is at least now_ms * EPOCH_STEP
-BELIEVED = 1 << 52  # claims from here on are not gone past: one of them must not use up all numbers there are
+BELIEVED = (
+    1 << 52
+)  # claims from here on are not gone past: one of them must not use up all numbers there are
 
 
 @dataclass
@@ -50,8 +52,15 @@
 
     @staticmethod
     def of(raw: dict[str, Any]) -> Change:
-        return Change(int(raw["seq"]), int(raw["epoch"]), str(raw["id"]), str(raw["digest"]),
-                      tuple(raw["hosts"]), int(raw.get("base", 0)), int(raw.get("fence", 0)))
+        return Change(
+            int(raw["seq"]),
+            int(raw["epoch"]),
+            str(raw["id"]),
+            str(raw["digest"]),
+            tuple(raw["hosts"]),
+            int(raw.get("base", 0)),
+            int(raw.get("fence", 0)),
+        )
 
 
 @dataclass
@@ -72,7 +81,9 @@
     floor: int = 0
     fence: int = 0
     entries: dict[str, Entry] = field(default_factory=dict)
-    ids: OrderedDict[str, tuple[str, int]] = field(default_factory=OrderedDict)  # id -> (digest, seq)
+    ids: OrderedDict[str, tuple[str, int]] = field(
+        default_factory=OrderedDict
+    )  # id -> (digest, seq)
 
     def listed(self) -> int:
         return sum(not e.removed for e in self.entries.values())
@@ -105,7 +116,10 @@
             claim = version, 0
         else:
             return None
-        claim = claim[0] if claim[0] < BELIEVED else 0, claim[1] if claim[1] < BELIEVED else 0
+        claim = (
+            claim[0] if claim[0] < BELIEVED else 0,
+            claim[1] if claim[1] < BELIEVED else 0,
+        )
         return claim if any(claim) else None
 
     # -- changing --------------------------------------------------------------------------------
@@ -119,15 +133,26 @@
     def begun(self, now_ms: int) -> Change:
         """The change an operator's word begins a history with: no state is there, and none is missed."""
         first = self.new_epoch(now_ms)
-        return Change(first.seq, first.epoch, base=first.base, fence=max(self.fence + 1, now_ms // 1_000))
+        return Change(
+            first.seq,
+            first.epoch,
+            base=first.base,
+            fence=max(self.fence + 1, now_ms // 1_000),
+        )
 
     def lifted(self, above: int) -> Change | int:
         """The change that raises the fence past `above`, or the version in force where it is past it."""
         if above > self.fence + MOST_LEAP:
             raise Refused(422, [f"{above} is further ahead than any fence can be"])
-        return self.seq if self.fence > above else Change(self.seq, self.epoch, fence=above + 1)
-
-    def prepare(self, body: Any, digest: str, pending: Pending | None = None) -> Change | int:
+        return (
+            self.seq
+            if self.fence > above
+            else Change(self.seq, self.epoch, fence=above + 1)
+        )
+
+    def prepare(
+        self, body: Any, digest: str, pending: Pending | None = None
+    ) -> Change | int:
         """Check a change against what is in force and what is `pending` (checked, not yet on disk).
         Returns the Change, or the version in force when it alters nothing or repeats a kept id; the
         Change is added to `pending`. Raises Refused."""
@@ -198,7 +223,12 @@
 
     @staticmethod
     def restored(raw: dict[str, Any]) -> Registry:
-        found = Registry(int(raw["epoch"]), int(raw["seq"]), int(raw["floor"]), int(raw.get("fence", 0)))
+        found = Registry(
+            int(raw["epoch"]),
+            int(raw["seq"]),
+            int(raw["floor"]),
+            int(raw.get("fence", 0)),
+        )
         for seq, fields in raw["entries"]:
             found.entries[fields["host"]] = Entry(fields, int(seq))
         for key, digest, seq in raw["ids"]:
@@ -217,8 +247,15 @@
 
     def wait_us(self, now_us: int) -> int:
         """How long until one may be had; 0 now."""
-        back = min(self.used, (now_us - self.since_us) // self.every_us) if self.used else 0
-        self.used, self.since_us = self.used - back, self.since_us + back * self.every_us
+        back = (
+            min(self.used, (now_us - self.since_us) // self.every_us)
+            if self.used
+            else 0
+        )
+        self.used, self.since_us = (
+            self.used - back,
+            self.since_us + back * self.every_us,
+        )
         return 0 if self.used < self.burst else self.since_us + self.every_us - now_us
 
     def take(self, now_us: int) -> bool:
@@ -235,8 +272,16 @@
 
 def _applied(op: Op, now: dict[str, Any] | None, where: str) -> dict[str, Any]:
     if isinstance(op, Register):
-        return {"host": op.host, "dial": op.dial, "site": op.site, "class": op.kind, "block": op.block,
-                "share": op.share, "born_ms": op.born_ms, "health": op.health}
+        return {
+            "host": op.host,
+            "dial": op.dial,
+            "site": op.site,
+            "class": op.kind,
+            "block": op.block,
+            "share": op.share,
+            "born_ms": op.born_ms,
+            "health": op.health,
+        }
     if now is None:
         raise Refused(404, [f"{where}.host: {op.host} is not listed"])
     if isinstance(op, Drain):
--- a/lemonshunt/registry/disk.py
+++ b/lemonshunt/registry/disk.py
@@ -56,12 +56,16 @@
     def load(self) -> list[dict[str, Any]]:
         """The rows on disk; a torn last line is cut off. Raises Damaged or OSError."""
         there = self.path.exists()
-        found, self.at = lines(self.files.read(self.path) if there else b"", self.path.name)
+        found, self.at = lines(
+            self.files.read(self.path) if there else b"", self.path.name
+        )
         self.count = len(found)
         self.fd = self.files.open(self.path)
         self.files.cut(self.fd, self.at)
         if not there:
-            self.files.sync_folder(self.path.parent)  # a name that is not synced goes with the power
+            self.files.sync_folder(
+                self.path.parent
+            )  # a name that is not synced goes with the power
         return found
 
     def append(self, rows: list[dict[str, Any]]) -> None:
@@ -94,7 +98,12 @@
         data = b"".join(map(line, rows))
         fd = replaced(self.files, self.path, data)
         self.files.close(self.fd)
-        self.fd, self.at, self.count, self.syncs = fd, len(data), len(rows), self.syncs + 2
+        self.fd, self.at, self.count, self.syncs = (
+            fd,
+            len(data),
+            len(rows),
+            self.syncs + 2,
+        )
 
 
 def replaced(files: Files, path: Path, data: bytes) -> int:
@@ -118,7 +127,10 @@
 
     def __init__(self, folder: Path, files: Files | None = None) -> None:
         self.folder, self.files = folder, files or SystemFiles()
-        self.snap, self.log = folder / "state.json", Log(folder / "changes.log", self.files)
+        self.snap, self.log = (
+            folder / "state.json",
+            Log(folder / "changes.log", self.files),
+        )
         self.noted = Log(folder / "notices.log", self.files)
         self.snaps = 0  # syncs of snapshots
         self.kept: deque[dict[str, Any]] = deque(maxlen=KEPT_NOTICES)
@@ -159,7 +171,9 @@
 
     def snapshot(self, registry: Registry) -> None:
         """Write the whole state, then begin the log anew. A failure leaves the old snapshot and the log."""
-        self.files.close(replaced(self.files, self.snap, json.dumps(registry.snapshot()).encode()))
+        self.files.close(
+            replaced(self.files, self.snap, json.dumps(registry.snapshot()).encode())
+        )
         self.log.clear()
         self.snaps += 2
 
@@ -179,7 +193,10 @@
             self.noted.load()
             self.noted.syncs = syncs
         first = self.notice_count
-        rows = [{"n": first + n, "at_ms": at_ms, "notice": notice} for n, notice in enumerate(told)]
+        rows = [
+            {"n": first + n, "at_ms": at_ms, "notice": notice}
+            for n, notice in enumerate(told)
+        ]
         self.noted.append(rows)
         self.notice_count += len(rows)
         self.kept.extend(rows)
--- a/lemonshunt/registry/figures.py
+++ b/lemonshunt/registry/figures.py
@@ -9,7 +9,10 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 from prometheus_client.registry import Collector
 
-NOW = ("watches_held", "connections")  # what stands, and falls again; all else only grows
+NOW = (
+    "watches_held",
+    "connections",
+)  # what stands, and falls again; all else only grows
 
 
 @dataclass
@@ -34,8 +37,12 @@
     """`/metrics`: the figures, and what `state` tells at that moment, from a registry of its own (the
     client library's global one would add the process's, and would be shared by two services in a test)."""
 
-    def __init__(self, figures: Figures, state: Callable[[], Mapping[str, int]],
-                 tables: Mapping[str, tuple[str, Callable[[], dict[str, dict[str, int]]]]]) -> None:
+    def __init__(
+        self,
+        figures: Figures,
+        state: Callable[[], Mapping[str, int]],
+        tables: Mapping[str, tuple[str, Callable[[], dict[str, dict[str, int]]]]],
+    ) -> None:
         self.figures, self.state, self.tables = figures, state, tables
         self.registry = CollectorRegistry()
         self.registry.register(self)
@@ -53,7 +60,9 @@
             else:
                 yield CounterMetricFamily(name, f"{said} since the start", value)
         for name, value in self.state().items():
-            yield GaugeMetricFamily(f"lemonshunt_registry_{name}", f"{name.replace('_', ' ')} now", value)
+            yield GaugeMetricFamily(
+                f"lemonshunt_registry_{name}", f"{name.replace('_', ' ')} now", value
+            )
         for part, (label, told) in self.tables.items():
             yield from _table(part, label, told())
 
@@ -61,11 +70,16 @@
         return generate_latest(self.registry)
 
 
-def _table(part: str, label: str, told: Mapping[str, Mapping[str, int]]) -> Iterator[GaugeMetricFamily]:
+def _table(
+    part: str, label: str, told: Mapping[str, Mapping[str, int]]
+) -> Iterator[GaugeMetricFamily]:
     names = {name: None for figures in told.values() for name in figures}
     for name in names:
-        family = GaugeMetricFamily(f"lemonshunt_registry_{part}_{name}",
-                                   f"{name.replace('_', ' ')} of a {part} now", labels=[label])
+        family = GaugeMetricFamily(
+            f"lemonshunt_registry_{part}_{name}",
+            f"{name.replace('_', ' ')} of a {part} now",
+            labels=[label],
+        )
         for which, figures in told.items():
             family.add_metric([which], figures[name])
         yield family
--- a/lemonshunt/registry/fleet.py
+++ b/lemonshunt/registry/fleet.py
@@ -35,8 +35,15 @@
     """`start` once, before its door opens. `mark`: a file outside the state folder (such as under /run) that
     holds the last number written; a folder that does not agree with it is taken for an older copy."""
 
-    def __init__(self, house: House, path: Path, terms: Terms, ttl_us: int, riders: Iterable[Rider] = (),
-                 mark: Path | None = None) -> None:
+    def __init__(
+        self,
+        house: House,
+        path: Path,
+        terms: Terms,
+        ttl_us: int,
+        riders: Iterable[Rider] = (),
+        mark: Path | None = None,
+    ) -> None:
         self.house, self.ttl_us, self.terms = house, ttl_us, terms
         self.book = Book(path, house.disk.files, mark)
         self.riders = {rider.name: rider for rider in riders}
@@ -45,9 +52,17 @@
         self.watchers = Watchers()
         self.rounds: Rounds[Rows] = Rounds(self._round, house.bounds.queued)
         # A record a lease at most, and one plan at a time: queued past the bound of calls.
-        self.plans = Plans(house.now_us, self._ends, self._make,
-                           lambda rows: self.rounds.add(rows, bounded=False), self._next_us)
-        self._shown = (0, 0)  # the roster's epoch and version that the watchers' version tells of
+        self.plans = Plans(
+            house.now_us,
+            self._ends,
+            self._make,
+            lambda rows: self.rounds.add(rows, bounded=False),
+            self._next_us,
+        )
+        self._shown = (
+            0,
+            0,
+        )  # the roster's epoch and version that the watchers' version tells of
         self._epoch = 0  # that riders were told
         self._tasks: set[asyncio.Future[Any]] = set()
 
@@ -75,10 +90,15 @@
             for name, rider in self.riders.items():
                 rider.restored(now_us, sure, kept.get(name), found.get(name, []))
         except (KeyError, TypeError, ValueError) as error:
-            raise Damaged(f"{self.book.log.path.name} cannot be read: {error!r}") from None
+            raise Damaged(
+                f"{self.book.log.path.name} cannot be read: {error!r}"
+            ) from None
         await asyncio.shield(self.rounds.add([(LEASE, record)]))
         self.roster.started(now_us)
-        members = [(m, self.table.leases[PREFIX + m.name].until_us) for m in self.roster.in_force()]
+        members = [
+            (m, self.table.leases[PREFIX + m.name].until_us)
+            for m in self.roster.in_force()
+        ]
         for riding in self._riding():
             riding.started(now_us, members)
         for row in found.get(LEASE, []):
@@ -91,11 +111,20 @@
         self.house.on_end.append(self._end)
         self.house.on_fence.append(self._fence)
         self.plans.alarmed()
-        log.info("fleet", extra={"epoch": self.table.epoch, "sure": sure, "leases": len(self.table.leases)})
+        log.info(
+            "fleet",
+            extra={
+                "epoch": self.table.epoch,
+                "sure": sure,
+                "leases": len(self.table.leases),
+            },
+        )
 
     # -- what calls ask for ----------------------------------------------------------------------------
 
-    async def settle(self, decide: Callable[[int], Grant | Held | Record]) -> Grant | Held | Record:
+    async def settle(
+        self, decide: Callable[[int], Grant | Held | Record]
+    ) -> Grant | Held | Record:
         """Let the table decide, and return what it says once its record is on disk and committed. Raises
         Full, OSError, and Refused after its record (what a client has seen) is kept too."""
         if self.rounds.ended or len(self.rounds.queue) >= self.rounds.most:
@@ -114,14 +143,25 @@
             raise refused
         return made  # type: ignore[no-any-return]
 
-    async def beaten(self, name: str, token: Token, body: dict[str, Any]) -> dict[str, Any]:
+    async def beaten(
+        self, name: str, token: Token, body: dict[str, Any]
+    ) -> dict[str, Any]:
         """Hand a beat to the riders, and their parts of the answer back. An answer that rests on what is not
         planned or not written yet waits for it: better than a further beat. Raises OSError, Refused."""
         now_us, parts = self.house.now_us(), dict[str, Any]()
         lease = self.table.read(PREFIX + name)
-        if lease is None or lease.token != token:  # another took its place while it waited for the disk
-            raise Refused(409, [f"token: the lease on {name} is another's"], lease.token if lease else token)
-        made = [heard(rider, now_us, lease.until_us, name, token, body) for rider in self.riders.values()]
+        if (
+            lease is None or lease.token != token
+        ):  # another took its place while it waited for the disk
+            raise Refused(
+                409,
+                [f"token: the lease on {name} is another's"],
+                lease.token if lease else token,
+            )
+        made = [
+            heard(rider, now_us, lease.until_us, name, token, body)
+            for rider in self.riders.values()
+        ]
         if any(h.plan for h in made):
             self.plans.soon()
         if any(h.waits for h in made):
@@ -162,7 +202,9 @@
             return
         for of, row in rows:
             with self._guarded(of):
-                self._commit_lease(row) if of == LEASE else self.riders[of].commit(self.house.now_us(), row)
+                self._commit_lease(row) if of == LEASE else self.riders[of].commit(
+                    self.house.now_us(), row
+                )
         self._show(rows)
         for asked in batch:
             asked.tell(None)
@@ -172,7 +214,10 @@
             await self._rewrite()
 
     async def _rewrite(self) -> None:
-        parts = {LEASE: self.table.snapshot(), **{n: r.snapshot() for n, r in self.riders.items()}}
+        parts = {
+            LEASE: self.table.snapshot(),
+            **{n: r.snapshot() for n, r in self.riders.items()},
+        }
         try:
             await asyncio.to_thread(self.book.rewrite, parts)
         except OSError as error:
@@ -188,26 +233,43 @@
             self._lift(self.table.epoch)
         if not name.startswith(PREFIX):
             return
-        after, member = self.table.read(name), name[len(PREFIX):]
+        after, member = self.table.read(name), name[len(PREFIX) :]
         log.info("lease", extra={"record": record})
         for rider in self.riders.values():
             if record["kind"] == "grant" and after is not None:
                 out = before is not None and now_us >= before.until_us
                 if before is not None and out:
                     rider.out(now_us, before.token)
-                rider.joined(now_us, member, after.token, None if before is None or out else before.token)
+                rider.joined(
+                    now_us,
+                    member,
+                    after.token,
+                    None if before is None or out else before.token,
+                )
             elif record["kind"] == "end" and before is not None:
-                (rider.ended if record["why"] == "released" else rider.out)(now_us, before.token)
+                (rider.ended if record["why"] == "released" else rider.out)(
+                    now_us, before.token
+                )
         self._said(record, now_us)
         self.plans.soon()
 
     def _said(self, record: Record, now_us: int) -> None:
         """What a join said of the process before it stands beside the lease's record, for riders alone."""
-        name = str(record.get("name", ""))[len(PREFIX):]
+        name = str(record.get("name", ""))[len(PREFIX) :]
         member = self.roster.members.get(name)
-        if "shown" in record and member is not None and member.token.number == record["n"]:
+        if (
+            "shown" in record
+            and member is not None
+            and member.token.number == record["n"]
+        ):
             for riding in self._riding():
-                riding.said(now_us, name, member.token, Token.of(record["shown"]), record["keeps"])
+                riding.said(
+                    now_us,
+                    name,
+                    member.token,
+                    Token.of(record["shown"]),
+                    record["keeps"],
+                )
 
     def _lifted(self, epoch: int) -> None:
         if epoch > self._epoch:
@@ -229,11 +291,16 @@
     # -- time ------------------------------------------------------------------------------------------
 
     def _next_us(self) -> int | None:
-        due = (self.roster.next_us(), *(rider.next_us() for rider in self.riders.values()))
+        due = (
+            self.roster.next_us(),
+            *(rider.next_us() for rider in self.riders.values()),
+        )
         return min((at for at in due if at is not None), default=None)
 
     def _ends(self) -> Rows:
-        ends: Rows = [(LEASE, record) for record in self.roster.tick(self.house.now_us())]
+        ends: Rows = [
+            (LEASE, record) for record in self.roster.tick(self.house.now_us())
+        ]
         self._show()
         return ends
 
@@ -276,6 +343,7 @@
 
     def _lift(self, fence: int) -> None:
         """The list's folder knows it too: a help for a start without this log, and no more than that."""
+
         async def lift() -> None:
             with contextlib.suppress(OSError, Full):  # counted and logged by the writer
                 await self.house.lift(fence - 1)
@@ -288,8 +356,12 @@
 
     def state(self) -> dict[str, int]:
         states = [member.state for member in self.roster.in_force()]
-        return {"fleet_epoch": self.table.epoch, "fleet_version": self.version,
-                "fleet_syncs": self.book.log.syncs, "leases": len(self.table.leases),
-                "members_alive": states.count("alive"),
-                "members_suspect": states.count("suspect"),
-                "frozen_ms": self.frozen_us(self.house.now_us()) // 1_000}
+        return {
+            "fleet_epoch": self.table.epoch,
+            "fleet_version": self.version,
+            "fleet_syncs": self.book.log.syncs,
+            "leases": len(self.table.leases),
+            "members_alive": states.count("alive"),
+            "members_suspect": states.count("suspect"),
+            "frozen_ms": self.frozen_us(self.house.now_us()) // 1_000,
+        }
--- a/lemonshunt/registry/house.py
+++ b/lemonshunt/registry/house.py
@@ -17,7 +17,9 @@
 from lemonshunt.registry.figures import Figures, Metrics
 from lemonshunt.registry.writer import Asked, Full, Rounds, Wish, Writer
 
-MOST_KEPT_BYTES = 64 * 1024 * 1024  # of encoded answers kept until the next change: seven lists of 44,000
+MOST_KEPT_BYTES = (
+    64 * 1024 * 1024
+)  # of encoded answers kept until the next change: seven lists of 44,000
 log = logging.getLogger("lemonshunt.registry")
 
 
@@ -32,25 +34,45 @@
 class House:
     """`now_ms` is the wall clock (it only helps new versions to be high), `now_us` an own monotonic one."""
 
-    def __init__(self, disk: Disk, registry: Registry, now_ms: Callable[[], int] = wall_ms,
-                 bounds: Bounds | None = None, now_us: Callable[[], int] = own_us) -> None:
-        self.disk, self.registry, self.now_ms, self.now_us = disk, registry, now_ms, now_us
+    def __init__(
+        self,
+        disk: Disk,
+        registry: Registry,
+        now_ms: Callable[[], int] = wall_ms,
+        bounds: Bounds | None = None,
+        now_us: Callable[[], int] = own_us,
+    ) -> None:
+        self.disk, self.registry, self.now_ms, self.now_us = (
+            disk,
+            registry,
+            now_ms,
+            now_us,
+        )
         self.bounds, self.figures = bounds or Bounds(), Figures()
         self.tables: dict[str, tuple[str, Callable[[], dict[str, dict[str, int]]]]] = {}
         """Figures of several things alike, by part: the label they are told apart by, and each one's own."""
         self.metrics = Metrics(self.figures, self.state, self.tables)
-        self.writer = Writer(disk, registry, self.bounds.queued, self._kept, self._failed)
-        self.noting: Rounds[list[dict[str, Any]]] = Rounds(self._note, self.bounds.queued)
+        self.writer = Writer(
+            disk, registry, self.bounds.queued, self._kept, self._failed
+        )
+        self.noting: Rounds[list[dict[str, Any]]] = Rounds(
+            self._note, self.bounds.queued
+        )
         self.changed = asyncio.get_running_loop().create_future()
         self.stopping = False
         self.rounds: list[Rounds[Any]] = [self.writer.rounds, self.noting]
-        self.parts: list[Callable[[], dict[str, int]]] = []  # figures of what is built on this
+        self.parts: list[
+            Callable[[], dict[str, int]]
+        ] = []  # figures of what is built on this
         self.on_end: list[Callable[[], None]] = []
         self.on_fence: list[Callable[[int], None]] = []
         self._answers: dict[int | None, bytes] = {}
         self._answer_bytes = 0
         self._spaced = Spaced(self.bounds.lifts, int(self.bounds.lift_s * 1_000_000))
-        self._claim = (0, 0)  # highest version and epoch that readers showed, not gone past yet
+        self._claim = (
+            0,
+            0,
+        )  # highest version and epoch that readers showed, not gone past yet
         self._claiming = asyncio.Lock()
         self._later: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
@@ -102,8 +124,14 @@
             for told in self.on_fence if change.fence else ():
                 told(self.registry.fence)
             if change.base or change.fence:
-                log.warning("new epoch" if change.base else "new fence", extra={
-                    "epoch": change.epoch, "base": change.base, "fence": self.registry.fence})
+                log.warning(
+                    "new epoch" if change.base else "new fence",
+                    extra={
+                        "epoch": change.epoch,
+                        "base": change.base,
+                        "fence": self.registry.fence,
+                    },
+                )
         if any(change.base or change.hosts for change in changes):
             self.wake()
 
@@ -118,7 +146,9 @@
 
     async def begin_epoch(self, asked: int = 0, seen: int = 0) -> None:
         """Begin an epoch past a version and an epoch; durable when this returns. Raises OSError."""
-        await self.writer.ask(Wish(lambda _: self.registry.new_epoch(self.now_ms(), asked, seen), True))
+        await self.writer.ask(
+            Wish(lambda _: self.registry.new_epoch(self.now_ms(), asked, seen), True)
+        )
 
     async def lift(self, above: int) -> int:
         """Raise the fence past `above` where it is not: for tokens that members have seen, and operators,
@@ -145,12 +175,17 @@
             self.figures.lifts_put_off += 1
             if self._later is None and not self.stopping:
                 loop = asyncio.get_running_loop()
-                self._later = loop.call_later(self._spaced.wait_us(now) / 1e6, self._due)
+                self._later = loop.call_later(
+                    self._spaced.wait_us(now) / 1e6, self._due
+                )
             return
         claim, self._claim = self._claim, (0, 0)
         try:
             await asyncio.shield(asyncio.ensure_future(self.begin_epoch(*claim)))
-        except (OSError, Full):  # counted by the writer; the next reader who is ahead tries again
+        except (
+            OSError,
+            Full,
+        ):  # counted by the writer; the next reader who is ahead tries again
             self._claim = claim
 
     def _due(self) -> None:
@@ -158,8 +193,10 @@
 
         async def past() -> None:
             async with self._claiming:
-                if self._claim > (0, 0) and (self._claim[0] > self.registry.seq
-                                             or self._claim[1] > self.registry.epoch):
+                if self._claim > (0, 0) and (
+                    self._claim[0] > self.registry.seq
+                    or self._claim[1] > self.registry.epoch
+                ):
                     await self._past_claims()
                 else:
                     self._claim = (0, 0)
@@ -170,6 +207,7 @@
 
     async def change(self, body: Any, digest: str, match: int | None) -> Change | int:
         """Raises Refused, Full, OSError."""
+
         def make(pending: Pending) -> Change | int:
             if match is not None and match != pending.seq:
                 raise Refused(412, [f"version {pending.seq} is in force"])
@@ -215,4 +253,8 @@
         self.wake()
         for end in self.on_end:
             end()
-        return all(await asyncio.gather(*(rounds.finish(self.bounds.stop_s) for rounds in self.rounds)))
+        return all(
+            await asyncio.gather(
+                *(rounds.finish(self.bounds.stop_s) for rounds in self.rounds)
+            )
+        )
--- a/lemonshunt/registry/map_calls.py
+++ b/lemonshunt/registry/map_calls.py
@@ -16,7 +16,9 @@
 from lemonshunt.shard.maps import BITS, Unreadable, decode, hexed, key_from
 
 
-async def put_map(fleet: Fleet, maps: Maps, make: Callable[[], Any], why: str, match: int | None) -> bool:
+async def put_map(
+    fleet: Fleet, maps: Maps, make: Callable[[], Any], why: str, match: int | None
+) -> bool:
     """Put the map that `make` gives (as decoded from JSON) in force if `shard.check` finds no fault in it;
     durable when this returns. False: it is in force already. Raises Refused (412, 422), Full, OSError."""
     changed = False
@@ -24,8 +26,12 @@
     def rows(_: int) -> list[Row]:
         nonlocal changed
         current = maps.moves.map
-        if match is not None and match != (0 if current is None else current.generation):
-            raise Refused(412, [f"generation {current.generation if current else 0} is in force"])
+        if match is not None and match != (
+            0 if current is None else current.generation
+        ):
+            raise Refused(
+                412, [f"generation {current.generation if current else 0} is in force"]
+            )
         members = {member.name for member in fleet.roster.in_force()}
         new, faults = judged(make(), members, current, MOST_MOVED, BITS)
         if faults:
@@ -39,6 +45,7 @@
 
 def routes(fleet: Fleet, maps: Maps) -> list[web.RouteDef]:
     """At the write address: the reads, and what changes."""
+
     async def put(request: web.Request) -> web.StreamResponse:
         try:
             raw = decode(await whole_body(request, fleet.house.bounds))
@@ -60,21 +67,38 @@
                     cells.append((r.first, min(r.last, first - 1), r.owner))
                 if r.last > last:
                     cells.append((max(r.first, last + 1), r.last, r.owner))
-            return {"generation": current.generation + 1, "ranges": [
-                {"from": hexed(a), "to": hexed(b), "owner": name} for a, b, name in sorted(cells)]}
+            return {
+                "generation": current.generation + 1,
+                "ranges": [
+                    {"from": hexed(a), "to": hexed(b), "owner": name}
+                    for a, b, name in sorted(cells)
+                ],
+            }
 
         return await _put(request, made, "moved by hand")
 
-    async def _put(request: web.Request, make: Callable[[], Any], why: str) -> web.StreamResponse:
+    async def _put(
+        request: web.Request, make: Callable[[], Any], why: str
+    ) -> web.StreamResponse:
         match = whole_number(request.headers.get("If-Match", ""), "If-Match")
         try:
             changed = await put_map(fleet, maps, make, why, match)
         except OSError as error:
-            raise Refused(507, [f"it could not be kept: {error.strerror or error}"]) from None
+            raise Refused(
+                507, [f"it could not be kept: {error.strerror or error}"]
+            ) from None
         generation = maps.map.generation if maps.map else 0
-        return answer(200, {"generation": generation, "changed": changed}, {"ETag": f'"{generation}"'})
+        return answer(
+            200,
+            {"generation": generation, "changed": changed},
+            {"ETag": f'"{generation}"'},
+        )
 
-    return [*reads(fleet, maps), web.put("/v1/map", put), web.post("/v1/map/move", move)]
+    return [
+        *reads(fleet, maps),
+        web.put("/v1/map", put),
+        web.post("/v1/map/move", move),
+    ]
 
 
 def reads(fleet: Fleet, maps: Maps) -> list[web.RouteDef]:
@@ -85,15 +109,39 @@
 
     async def moves(_: web.Request) -> web.StreamResponse:
         now_us = fleet.house.now_us()
-        return answer(200, {
-            "generation": maps.map.generation if maps.map else 0,
-            "quiet_ms": max(maps.moves.quiet_until_us - now_us, 0) // 1_000,
-            "holders": [{"name": h.name, "token": token.told(), "left_ms": max(h.out_us - now_us, 0) // 1_000,
-                         "ranges": [{"from": hexed(x.first), "to": hexed(x.last), "token": x.token.told(),
-                                     "begun": x.begun} for x in h.holds]}
-                        for token, h in sorted(maps.moves.holders.items())],
-            "moving": [{"from": hexed(first), "to": hexed(last), "held_by": held_by, "owner": owner}
-                       for first, last, held_by, owner in maps.moves.moving()]})
+        return answer(
+            200,
+            {
+                "generation": maps.map.generation if maps.map else 0,
+                "quiet_ms": max(maps.moves.quiet_until_us - now_us, 0) // 1_000,
+                "holders": [
+                    {
+                        "name": h.name,
+                        "token": token.told(),
+                        "left_ms": max(h.out_us - now_us, 0) // 1_000,
+                        "ranges": [
+                            {
+                                "from": hexed(x.first),
+                                "to": hexed(x.last),
+                                "token": x.token.told(),
+                                "begun": x.begun,
+                            }
+                            for x in h.holds
+                        ],
+                    }
+                    for token, h in sorted(maps.moves.holders.items())
+                ],
+                "moving": [
+                    {
+                        "from": hexed(first),
+                        "to": hexed(last),
+                        "held_by": held_by,
+                        "owner": owner,
+                    }
+                    for first, last, held_by, owner in maps.moves.moving()
+                ],
+            },
+        )
 
     return [get("/v1/map", show), get("/v1/map/moves", moves)]
 
@@ -103,11 +151,16 @@
     if not isinstance(call, dict):
         raise Refused(400, ["an object with from, to and owner"])
     ends = key_from(call.get("from")), key_from(call.get("to"))
-    faults = [f"{name}: 16 lower-case hexadecimal digits"
-              for name, key in zip(("from", "to"), ends, strict=True) if key is None]
+    faults = [
+        f"{name}: 16 lower-case hexadecimal digits"
+        for name, key in zip(("from", "to"), ends, strict=True)
+        if key is None
+    ]
     if not isinstance(call.get("owner"), str):
         faults.append("owner: a member's name")
-    faults += [f"{name}: not known" for name in sorted(set(call) - {"from", "to", "owner"})]
+    faults += [
+        f"{name}: not known" for name in sorted(set(call) - {"from", "to", "owner"})
+    ]
     first, last = ends
     if faults or first is None or last is None or first > last:
         raise Refused(400, faults or ["to: before from"])
--- a/lemonshunt/registry/planner.py
+++ b/lemonshunt/registry/planner.py
@@ -31,12 +31,18 @@
     def leading(self, now_us: int) -> bool:
         """The table is this process's own, and so is its clock: what it says is so."""
         lease = self.fleet.table.read(LEASE) if self.fleet is not None else None
-        return (lease is not None and lease.token == self.token and not lease.revoked
-                and now_us < lease.until_us)
+        return (
+            lease is not None
+            and lease.token == self.token
+            and not lease.revoked
+            and now_us < lease.until_us
+        )
 
     def start(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.holder = f"list service, epoch {fleet.table.epoch}"  # this run of it and no other
+        self.holder = (
+            f"list service, epoch {fleet.table.epoch}"  # this run of it and no other
+        )
         self._task = asyncio.get_running_loop().create_task(self._run(fleet))
         fleet.house.on_end.append(self._stop)
 
@@ -56,8 +62,12 @@
             return
         try:
             made = await fleet.settle(
-                lambda now_us: fleet.table.acquire(now_us, LEASE, self.holder, self.ttl_us)
-                if self.token is None else fleet.table.renew(now_us, LEASE, self.token))
+                lambda now_us: (
+                    fleet.table.acquire(now_us, LEASE, self.holder, self.ttl_us)
+                    if self.token is None
+                    else fleet.table.renew(now_us, LEASE, self.token)
+                )
+            )
             if isinstance(made, Grant):
                 if self.token != made.token:
                     log.info("planner", extra={"token": made.token.told()})
--- a/lemonshunt/registry/plans.py
+++ b/lemonshunt/registry/plans.py
@@ -17,13 +17,27 @@
     """Lives on the running loop. `ends` makes the rows of leases that are out, `make` those of a plan,
     `write` writes them, `next_us` says when something is due next."""
 
-    def __init__(self, now_us: Callable[[], int], ends: Callable[[], Rows], make: Callable[[], Rows],
-                 write: Callable[[Rows], asyncio.Future[Any]], next_us: Callable[[], int | None]) -> None:
-        self.now_us, self.ends, self.make, self.write, self.next_us = now_us, ends, make, write, next_us
+    def __init__(
+        self,
+        now_us: Callable[[], int],
+        ends: Callable[[], Rows],
+        make: Callable[[], Rows],
+        write: Callable[[Rows], asyncio.Future[Any]],
+        next_us: Callable[[], int | None],
+    ) -> None:
+        self.now_us, self.ends, self.make, self.write, self.next_us = (
+            now_us,
+            ends,
+            make,
+            write,
+            next_us,
+        )
         self.stopped = False
         self.flying: asyncio.Future[Any] | None = None
         """A plan that is being written."""
-        self._ending: asyncio.Future[Any] | None = None  # ends of leases that are being written
+        self._ending: asyncio.Future[Any] | None = (
+            None  # ends of leases that are being written
+        )
         self._alarm: asyncio.TimerHandle | None = None
         self._soon: asyncio.TimerHandle | None = None
         self._next: asyncio.Future[None] = asyncio.get_running_loop().create_future()
--- a/lemonshunt/registry/reads.py
+++ b/lemonshunt/registry/reads.py
@@ -17,7 +17,11 @@
         house.figures.reads += 1
         await house.seen(ask.since, ask.epoch)
         hold = min(ask.hold_ms, MOST_HOLD_MS)
-        if hold > 0 and house.registry.waits(ask.since, ask.epoch) and not house.stopping:
+        if (
+            hold > 0
+            and house.registry.waits(ask.since, ask.epoch)
+            and not house.stopping
+        ):
             await house.hold(house.changed, hold)
         return await long_answer(request, house.answer(ask.since, ask.epoch))
 
@@ -25,6 +29,12 @@
         told = bodies.notices(await whole_body(request, house.bounds))
         house.noting.add(told)
         house.figures.notices += len(told)
-        return answer(204)  # at once, as PROTOCOL asks; keeping them is the service's own work
-
-    return [get("/discovery/hosts", hosts), get("/v1/hosts", hosts), web.post("/v1/notices", notices)]
+        return answer(
+            204
+        )  # at once, as PROTOCOL asks; keeping them is the service's own work
+
+    return [
+        get("/discovery/hosts", hosts),
+        get("/v1/hosts", hosts),
+        web.post("/v1/notices", notices),
+    ]
--- a/lemonshunt/registry/rider.py
+++ b/lemonshunt/registry/rider.py
@@ -33,18 +33,24 @@
     name: str
     """Of its rows on disk; never changed."""
 
-    def restored(self, now_us: int, sure: bool, snapshot: Row | None, rows: list[Row]) -> None:
+    def restored(
+        self, now_us: int, sure: bool, snapshot: Row | None, rows: list[Row]
+    ) -> None:
         """Once, at the start. `sure`: the folder is whole as the last process left it. Raises KeyError,
         TypeError or ValueError where the rows are none of its own."""
 
     def faults(self, beat: Mapping[str, Any]) -> list[str]:
         """All faults of its part of a beat, each with its path; nothing is changed where anyone has one."""
 
-    def joined(self, now_us: int, name: str, token: Token, follows: Token | None) -> None:
+    def joined(
+        self, now_us: int, name: str, token: Token, follows: Token | None
+    ) -> None:
         """A member is in force from now on. `follows`: the same member's token that this one replaces while
         its lease was not out; the process that had it acts under it no more."""
 
-    def beat(self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]) -> bool:
+    def beat(
+        self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
+    ) -> bool:
         """A member in force has beaten; `beat` is the whole body, checked. True: `plan` is asked soon."""
 
     def told(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
@@ -77,12 +83,25 @@
 class Riding(Rider):
     """A rider that asks for more than members' lives. Each of these has a default that asks for nothing."""
 
-    def heard(self, now_us: int, until_us: int, name: str, token: Token, beat: Mapping[str, Any]) -> Heard:
+    def heard(
+        self,
+        now_us: int,
+        until_us: int,
+        name: str,
+        token: Token,
+        beat: Mapping[str, Any],
+    ) -> Heard:
         """In place of `beat` and `told`, where an answer must be that of one beat. `until_us`: the lease is
         surely out then. May raise bodies.Refused: the beat renewed the lease, and did nothing else."""
-        return Heard(self.beat(now_us, name, token, beat), False, lambda: self.told(now_us, name, token))
-
-    def beat(self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]) -> bool:
+        return Heard(
+            self.beat(now_us, name, token, beat),
+            False,
+            lambda: self.told(now_us, name, token),
+        )
+
+    def beat(
+        self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
+    ) -> bool:
         return False
 
     def told(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
@@ -94,7 +113,14 @@
     def started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
         """Once, after `restored`: who is in force, as if renewed now, and when each lease is surely out."""
 
-    def said(self, now_us: int, name: str, token: Token, shown: Token, keeps: Mapping[str, int]) -> None:
+    def said(
+        self,
+        now_us: int,
+        name: str,
+        token: Token,
+        shown: Token,
+        keeps: Mapping[str, int],
+    ) -> None:
         """After `joined`, also after a start again: the same process, or the one whose folder it took over
         under lock, was known by the token `shown` before, and keeps so much of each reserve from then."""
 
@@ -103,9 +129,19 @@
         return None
 
 
-def heard(rider: Rider, now_us: int, until_us: int, name: str, token: Token,
-          beat: Mapping[str, Any]) -> Heard:
+def heard(
+    rider: Rider,
+    now_us: int,
+    until_us: int,
+    name: str,
+    token: Token,
+    beat: Mapping[str, Any],
+) -> Heard:
     """A beat at any rider."""
     if isinstance(rider, Riding):
         return rider.heard(now_us, until_us, name, token, beat)
-    return Heard(rider.beat(now_us, name, token, beat), False, lambda: rider.told(now_us, name, token))
+    return Heard(
+        rider.beat(now_us, name, token, beat),
+        False,
+        lambda: rider.told(now_us, name, token),
+    )
--- a/lemonshunt/registry/server.py
+++ b/lemonshunt/registry/server.py
@@ -25,13 +25,21 @@
 class Service(House):
     """A house with doors. `listen` for each address, `stop` once."""
 
-    def __init__(self, disk: Disk, registry: Registry, now_ms: Callable[[], int] = wall_ms,
-                 bounds: Bounds | None = None, now_us: Callable[[], int] = own_us) -> None:
+    def __init__(
+        self,
+        disk: Disk,
+        registry: Registry,
+        now_ms: Callable[[], int] = wall_ms,
+        bounds: Bounds | None = None,
+        now_us: Callable[[], int] = own_us,
+    ) -> None:
         super().__init__(disk, registry, now_ms, bounds, now_us)
         self.doors: list[Door] = []
         self.fleet: Fleet | None = None
 
-    async def listen(self, host: str, port: int, write: bool, more: Iterable[web.RouteDef] = ()) -> int:
+    async def listen(
+        self, host: str, port: int, write: bool, more: Iterable[web.RouteDef] = ()
+    ) -> int:
         """Open the discovery address, or the write address; the port taken. `more`: routes that riders
         bring. Raises OSError."""
         if not write:
@@ -39,14 +47,23 @@
         fleet = calls.by_hand(self.fleet) if self.fleet is not None else []
         return await self._open(host, port, [*writes.routes(self), *more, *fleet])
 
-    async def lead(self, terms: Terms, ttl_us: int, riders: Iterable[Rider] = (),
-                   mark: Path | None = None) -> Fleet:
+    async def lead(
+        self,
+        terms: Terms,
+        ttl_us: int,
+        riders: Iterable[Rider] = (),
+        mark: Path | None = None,
+    ) -> Fleet:
         """Take on the fleet, before the write address is opened. Raises Damaged, OSError."""
-        self.fleet = Fleet(self, self.disk.folder / "fleet.log", terms, ttl_us, riders, mark)
+        self.fleet = Fleet(
+            self, self.disk.folder / "fleet.log", terms, ttl_us, riders, mark
+        )
         await self.fleet.start()
         return self.fleet
 
-    async def listen_fleet(self, host: str, port: int, more: Iterable[web.RouteDef] = ()) -> int:
+    async def listen_fleet(
+        self, host: str, port: int, more: Iterable[web.RouteDef] = ()
+    ) -> int:
         """Open the fleet's address; the port taken. Raises OSError."""
         assert self.fleet is not None
         return await self._open(host, port, [*more, *calls.routes(self.fleet)])
--- a/lemonshunt/registry/watch.py
+++ b/lemonshunt/registry/watch.py
@@ -23,7 +23,9 @@
         self._all = 0  # the version of the last change that concerned all
         self._of: dict[str, int] = {}  # and of those since that concerned one
         self._held: dict[asyncio.Future[None], str] = {}
-        self._due: dict[asyncio.Future[None], None] = {}  # in the order in which they are woken
+        self._due: dict[
+            asyncio.Future[None], None
+        ] = {}  # in the order in which they are woken
         self._timer: asyncio.TimerHandle | None = None
 
     def began(self, version: int) -> None:
@@ -55,7 +57,11 @@
             self._of.clear()
         else:
             self._of.update(dict.fromkeys(concerned, self.version))
-        woken = [f for f, name in self._held.items() if not name or concerned is None or name in concerned]
+        woken = [
+            f
+            for f, name in self._held.items()
+            if not name or concerned is None or name in concerned
+        ]
         # Whom a change is about comes before those who were only to hear that there is one.
         first = {} if concerned is None else {f: None for f in woken if self._held[f]}
         self._due = {**first, **self._due, **dict.fromkeys(woken)}
--- a/lemonshunt/registry/web.py
+++ b/lemonshunt/registry/web.py
@@ -24,17 +24,31 @@
 BACKLOG = 1_024  # connections not yet accepted, as a whole fleet's at once; allocates nothing ahead
 PIECE = 256 * 1024  # bytes of a long answer written at once
 MOST_LINE = 8 * 1024  # the request line, or one header
-FULL = (b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n"
-        b"Connection: close\r\n\r\n")
+FULL = (
+    b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n"
+    b"Connection: close\r\n\r\n"
+)
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 log = logging.getLogger("lemonshunt.registry")
 
 
-def answer(status: int, body: Any = None, headers: dict[str, str] | None = None) -> web.Response:
+def answer(
+    status: int, body: Any = None, headers: dict[str, str] | None = None
+) -> web.Response:
     """A whole answer; a body that is not bytes is written as JSON."""
-    data = body if isinstance(body, bytes) else b"" if body is None else msgspec.json.encode(body)
-    return web.Response(status=status, body=data or None, headers=headers,
-                        content_type="application/json" if data else None)
+    data = (
+        body
+        if isinstance(body, bytes)
+        else b""
+        if body is None
+        else msgspec.json.encode(body)
+    )
+    return web.Response(
+        status=status,
+        body=data or None,
+        headers=headers,
+        content_type="application/json" if data else None,
+    )
 
 
 async def long_answer(request: web.Request, body: bytes) -> web.StreamResponse:
@@ -50,16 +64,26 @@
     with connection.waiting_past(piece):
         await told.prepare(request)
         for at in range(0, len(body), piece):
-            await told.write(memoryview(body)[at:at + piece])
+            await told.write(memoryview(body)[at : at + piece])
         await told.write_eof()
     return told
 
 
-def fault(status: int, faults: list[str], headers: dict[str, str] | None = None,
-          more: dict[str, Any] | None = None) -> web.Response:
-    told = faults[:MOST_FAULTS] + ([f"and {len(faults) - MOST_FAULTS} more"] if faults[MOST_FAULTS:] else [])
+def fault(
+    status: int,
+    faults: list[str],
+    headers: dict[str, str] | None = None,
+    more: dict[str, Any] | None = None,
+) -> web.Response:
+    told = faults[:MOST_FAULTS] + (
+        [f"and {len(faults) - MOST_FAULTS} more"] if faults[MOST_FAULTS:] else []
+    )
     headers = {**(headers or {}), **({"Retry-After": "1"} if status == 503 else {})}
-    return answer(status, {"error": HTTPStatus(status).phrase, "faults": told, **(more or {})}, headers)
+    return answer(
+        status,
+        {"error": HTTPStatus(status).phrase, "faults": told, **(more or {})},
+        headers,
+    )
 
 
 async def json_body(request: web.Request, bounds: Bounds) -> Any:
@@ -89,10 +113,16 @@
     def __init__(self, house: House, server: web.Server) -> None:
         bounds, loop = house.bounds, asyncio.get_running_loop()
         silent: Any = None  # no log line a request
-        super().__init__(server, loop=loop, keepalive_timeout=bounds.idle_s,
-                         lingering_time=min(1.0, bounds.body_s),
-                         access_log=silent, max_line_size=MOST_LINE, max_field_size=MOST_LINE,
-                         auto_decompress=False)
+        super().__init__(
+            server,
+            loop=loop,
+            keepalive_timeout=bounds.idle_s,
+            lingering_time=min(1.0, bounds.body_s),
+            access_log=silent,
+            max_line_size=MOST_LINE,
+            max_field_size=MOST_LINE,
+            auto_decompress=False,
+        )
         self.house, self.counted, self.cut = house, False, False
         self.waits = False
         """Past what may be held its writer waits; the connection is not cut."""
@@ -112,7 +142,9 @@
             return
         sock = transport.get_extra_info("socket")
         with contextlib.suppress(OSError, AttributeError):
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(bounds.unread_s * 1000))
+            sock.setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(bounds.unread_s * 1000)
+            )
         transport.set_write_buffer_limits(high=bounds.held_bytes)
         super().connection_made(transport)
 
@@ -146,14 +178,21 @@
             self.house.figures.connections -= 1
         super().connection_lost(exc)
 
-    def handle_error(self, request: web.BaseRequest, status: int = 500, exc: BaseException | None = None,
-                     message: str | None = None) -> web.StreamResponse:
+    def handle_error(
+        self,
+        request: web.BaseRequest,
+        status: int = 500,
+        exc: BaseException | None = None,
+        message: str | None = None,
+    ) -> web.StreamResponse:
         """What could not be read (400), or a fault of ours (500): told as all else is, and closed."""
         if request.writer.output_size > 0:
             raise ConnectionError("an answer has begun already")
         if status >= 500:
             log.error("a call failed", exc_info=exc)
-        told = fault(status, [(message or "the call failed").strip().partition("\n")[0]])
+        told = fault(
+            status, [(message or "the call failed").strip().partition("\n")[0]]
+        )
         told.force_close()
         return told
 
@@ -163,7 +202,9 @@
     """Every refusal as JSON."""
     house = request.app[HOUSE]
     try:
-        head = len(request.raw_path) + sum(len(name) + len(value) for name, value in request.raw_headers)
+        head = len(request.raw_path) + sum(
+            len(name) + len(value) for name, value in request.raw_headers
+        )
         if head > house.bounds.head:
             raise Refused(400, [f"headers past {house.bounds.head} bytes"], True)
         told = await handler(request)
@@ -176,10 +217,16 @@
         house.figures.busy += 1
         told = fault(503, ["too much waits to be written"])
     except Unknown:
-        told = fault(500, ["nobody knows whether it was kept: ask again with the same id"])
+        told = fault(
+            500, ["nobody knows whether it was kept: ask again with the same id"]
+        )
     except web.HTTPException as error:  # no such path, or not with this method
-        headers = {"Allow": error.headers["Allow"]} if "Allow" in error.headers else None
-        told = fault(error.status, [f"{request.method} {request.path}: {error.reason}"], headers)
+        headers = (
+            {"Allow": error.headers["Allow"]} if "Allow" in error.headers else None
+        )
+        told = fault(
+            error.status, [f"{request.method} {request.path}: {error.reason}"], headers
+        )
     if house.stopping:
         told.force_close()
     return told
@@ -190,6 +237,7 @@
 
 def app(house: House, routes: Iterable[web.RouteDef]) -> web.Application:
     """An address's routes, and those that every address has: `/_ready`, `/_vars`, `/metrics`."""
+
     async def ready(_: web.Request) -> web.StreamResponse:
         return answer(503 if house.stopping else 200, {"ready": not house.stopping})
 
@@ -197,12 +245,21 @@
         return answer(200, house.vars())
 
     async def metrics(_: web.Request) -> web.StreamResponse:
-        return web.Response(body=house.metrics.text(),
-                            headers={"Content-Type": "text/plain; version=0.0.4; charset=utf-8"})
+        return web.Response(
+            body=house.metrics.text(),
+            headers={"Content-Type": "text/plain; version=0.0.4; charset=utf-8"},
+        )
 
     made = web.Application(middlewares=[_told], client_max_size=house.bounds.body)
     made[HOUSE] = house
-    made.add_routes([get("/_ready", ready), get("/_vars", figures), get("/metrics", metrics), *routes])
+    made.add_routes(
+        [
+            get("/_ready", ready),
+            get("/_vars", figures),
+            get("/metrics", metrics),
+            *routes,
+        ]
+    )
     return made
 
 
@@ -216,7 +273,9 @@
     def __init__(self, house: House, routes: Iterable[web.RouteDef]) -> None:
         self.house = house
         # A watcher that leaves cancels its handler; what a handler asked of the writer is done all the same.
-        self.runner = web.AppRunner(app(house, routes), handler_cancellation=True, shutdown_timeout=1.0)
+        self.runner = web.AppRunner(
+            app(house, routes), handler_cancellation=True, shutdown_timeout=1.0
+        )
         self.listener: asyncio.Server | None = None
 
     async def open(self, host: str, port: int) -> int:
@@ -225,8 +284,9 @@
         server = self.runner.server
         assert server is not None
         loop = asyncio.get_running_loop()
-        self.listener = await loop.create_server(lambda: Connection(self.house, server), host, port,
-                                                 backlog=BACKLOG)
+        self.listener = await loop.create_server(
+            lambda: Connection(self.house, server), host, port, backlog=BACKLOG
+        )
         return int(self.listener.sockets[0].getsockname()[1])
 
     def shut(self) -> None:
--- a/lemonshunt/registry/writer.py
+++ b/lemonshunt/registry/writer.py
@@ -33,7 +33,9 @@
     """One thing that waits, and where its outcome is told. Whoever waits may have left meanwhile."""
 
     what: T
-    done: asyncio.Future[Any] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
+    done: asyncio.Future[Any] = field(
+        default_factory=lambda: asyncio.get_running_loop().create_future()
+    )
 
     def tell(self, outcome: Any) -> None:
         if self.done.done():
@@ -48,7 +50,9 @@
 class Rounds(Generic[T]):
     """`write` is given all that came since the last round, in order; it tells each."""
 
-    def __init__(self, write: Callable[[list[Asked[T]]], Awaitable[None]], most: int) -> None:
+    def __init__(
+        self, write: Callable[[list[Asked[T]]], Awaitable[None]], most: int
+    ) -> None:
         self.write, self.most, self.ended = write, most, False
         self.queue: list[Asked[T]] = []
         self.batch: list[Asked[T]] = []
@@ -82,7 +86,9 @@
             self.batch, self.queue = self.queue, []
             try:
                 await self.write(self.batch)
-            except Exception as error:  # a fault of ours must not leave its askers waiting for good
+            except (
+                Exception
+            ) as error:  # a fault of ours must not leave its askers waiting for good
                 log.exception("a round failed")
                 for asked in self.batch:
                     asked.tell(error)
@@ -101,8 +107,14 @@
 class Writer:
     """The only one who changes the registry and writes its log."""
 
-    def __init__(self, disk: Disk, registry: Registry, most: int, kept: Callable[[list[Change]], None],
-                 failed: Callable[[OSError], None]) -> None:
+    def __init__(
+        self,
+        disk: Disk,
+        registry: Registry,
+        most: int,
+        kept: Callable[[list[Change]], None],
+        failed: Callable[[OSError], None],
+    ) -> None:
         self.disk, self.registry, self.kept, self.failed = disk, registry, kept, failed
         self.rounds: Rounds[Wish] = Rounds(self._round, most)
 
@@ -112,7 +124,10 @@
         return told
 
     async def _round(self, batch: list[Asked[Wish]]) -> None:
-        pending, made = Pending(self.registry.seq), list[tuple[Asked[Wish], Change | int | Refused]]()
+        pending, made = (
+            Pending(self.registry.seq),
+            list[tuple[Asked[Wish], Change | int | Refused]](),
+        )
         for asked in batch:
             if asked.what.alone:
                 await self._keep(made)
@@ -126,7 +141,9 @@
                 pending, made = Pending(self.registry.seq), []
         await self._keep(made)
 
-    async def _keep(self, made: list[tuple[Asked[Wish], Change | int | Refused]]) -> None:
+    async def _keep(
+        self, made: list[tuple[Asked[Wish], Change | int | Refused]]
+    ) -> None:
         changes = [told for _, told in made if isinstance(told, Change)]
         if changes:
             try:
--- a/lemonshunt/registry/writes.py
+++ b/lemonshunt/registry/writes.py
@@ -23,7 +23,11 @@
         except OSError as error:
             raise _unkept(error) from None
         seq = told.seq if isinstance(told, Change) else told
-        made = {"seq": seq, "epoch": house.registry.epoch, "changed": isinstance(told, Change)}
+        made = {
+            "seq": seq,
+            "epoch": house.registry.epoch,
+            "changed": isinstance(told, Change),
+        }
         return answer(200, made, {"ETag": f'"{seq}"'})
 
     async def epoch(request: web.Request) -> web.StreamResponse:
@@ -42,8 +46,12 @@
         after = rows[-1]["n"] + 1 if rows else max(ask.since, house.disk.notice_count)
         return answer(200, {"next": after, "notices": rows})
 
-    return [*reads.routes(house), web.post("/v1/hosts", change), web.post("/v1/epoch", epoch),
-            get("/v1/notices", notices)]
+    return [
+        *reads.routes(house),
+        web.post("/v1/hosts", change),
+        web.post("/v1/epoch", epoch),
+        get("/v1/notices", notices),
+    ]
 
 
 def _unkept(error: OSError) -> Refused:
--- a/lemonshunt/session/arbiter.py
+++ b/lemonshunt/session/arbiter.py
@@ -68,7 +68,9 @@
         if known.confirmed:
             del self.decided[told.hand]
         else:
-            self.decided[told.hand] = Entry(known.ruling, known.at_us, known.confirmed | {told.side})
+            self.decided[told.hand] = Entry(
+                known.ruling, known.at_us, known.confirmed | {told.side}
+            )
         return True
 
     def _make_room(self, now_us: int) -> bool:
--- a/lemonshunt/session/choose.py
+++ b/lemonshunt/session/choose.py
@@ -85,15 +85,22 @@
 
     def why(self, here: Here) -> Why:
         """The strongest reason to hand sessions over now."""
-        self.going = here.load >= self.table.over or (self.going and here.load >= self.table.under)
+        self.going = here.load >= self.table.over or (
+            self.going and here.load >= self.table.under
+        )
         if here.draining:
             return "drain"
         if not here.endpoints:
             return "out"
         return "over" if self.going else ""
 
-    def choose(self, here: Here, sessions: Iterable[Session], peers: Sequence[Peer],
-               now_us: int) -> list[Plan]:
+    def choose(
+        self,
+        here: Here,
+        sessions: Iterable[Session],
+        peers: Sequence[Peer],
+        now_us: int,
+    ) -> list[Plan]:
         """What to offer now: smallest sessions first (they pause for the shortest time), to the neighbour
         that costs least and has most room. `now_us` is one clock, like all times here."""
         why = self.why(here)
@@ -111,30 +118,60 @@
             to = self._to(here, one, peers, room, why, now_us)
             if to is not None:
                 told = room[to.name]
-                told[0], told[1], told[2] = told[0] - 1, told[1] - one.bytes, told[2] + one.load
+                told[0], told[1], told[2] = (
+                    told[0] - 1,
+                    told[1] - one.bytes,
+                    told[2] + one.load,
+                )
                 load -= one.load
                 plans.append(Plan(one.key, to.name, to.site, why))
         return plans
 
     def _may_go(self, one: Session, why: Why, now_us: int) -> bool:
-        if one.least_left_us < self.table.limits.least_left_us or one.bytes > self.table.limits.session_bytes:
+        if (
+            one.least_left_us < self.table.limits.least_left_us
+            or one.bytes > self.table.limits.session_bytes
+        ):
             return False
         return why == "drain" or now_us - one.came_us >= self.table.least_stay_ms * 1000
 
-    def _to(self, here: Here, one: Session, peers: Sequence[Peer], room: dict[str, list[float]], why: Why,
-            now_us: int) -> Peer | None:
+    def _to(
+        self,
+        here: Here,
+        one: Session,
+        peers: Sequence[Peer],
+        room: dict[str, list[float]],
+        why: Why,
+        now_us: int,
+    ) -> Peer | None:
         costs = self.table.sites.get(here.site, {})
-        able = [p for p in peers if p.site in costs and self._fits(p, one, room[p.name], why, now_us)]
-        return min(able, key=lambda p: (costs[p.site], -room[p.name][0], p.name), default=None)
-
-    def _fits(self, p: Peer, one: Session, room: list[float], why: Why, now_us: int) -> bool:
-        if not p.alive or p.draining or not p.endpoints or now_us - p.told_us > FRESH_US:
+        able = [
+            p
+            for p in peers
+            if p.site in costs and self._fits(p, one, room[p.name], why, now_us)
+        ]
+        return min(
+            able, key=lambda p: (costs[p.site], -room[p.name][0], p.name), default=None
+        )
+
+    def _fits(
+        self, p: Peer, one: Session, room: list[float], why: Why, now_us: int
+    ) -> bool:
+        if (
+            not p.alive
+            or p.draining
+            or not p.endpoints
+            or now_us - p.told_us > FRESH_US
+        ):
             return False
         if room[0] < 1 or room[1] < one.bytes or room[2] + one.load >= self.table.under:
             return False
         if now_us < self.refused.get((one.key, p.name), 0):
             return False
-        if p.site == one.came_from and now_us - one.came_us < self.table.pause_ms * 1000:
+        if (
+            p.site == one.came_from
+            and now_us - one.came_us < self.table.pause_ms * 1000
+        ):
             return False
         return why != "over" or now_us >= self.given.get(p.site, 0)
 
--- a/lemonshunt/session/desk.py
+++ b/lemonshunt/session/desk.py
@@ -14,7 +14,9 @@
 from lemonshunt.session.states import Actions, Limits, State
 from lemonshunt.session.taker import Taker
 
-MOST_PAST = 10_000  # hand-overs remembered after their end, of a fleet's; 250 bytes each
+MOST_PAST = (
+    10_000  # hand-overs remembered after their end, of a fleet's; 250 bytes each
+)
 Done = list[tuple[str, s.Action]]
 """Actions in order, each with the order key of the session that it is about ("" where there is none)."""
 
@@ -39,7 +41,16 @@
 
     # Giving
 
-    def give(self, key: str, taker: str, site: str, why: str, moves: int, asked: s.Give, now_us: int) -> Done:
+    def give(
+        self,
+        key: str,
+        taker: str,
+        site: str,
+        why: str,
+        moves: int,
+        asked: s.Give,
+        now_us: int,
+    ) -> Done:
         """Offer a session. Nothing is done, and () returned, while we hold no lease, have as many out as
         `at_once` or as many bytes as `all_bytes`, or the session itself is in a hand-over."""
         size = sum(g.asked.bytes for g in self.giving.values()) + asked.bytes
@@ -48,8 +59,15 @@
         if self.life is None or key in self.keys or full:
             return []
         self.count += 1
-        core = Giver(w.Hand(self.name, *self.life, self.count), self.limits, key=key, taker=taker, site=site,
-                     why=why, moves=moves)
+        core = Giver(
+            w.Hand(self.name, *self.life, self.count),
+            self.limits,
+            key=key,
+            taker=taker,
+            site=site,
+            why=why,
+            moves=moves,
+        )
         self.giving[core.hand], self.keys[key] = core, core.hand
         return self.act(core, asked, now_us)
 
@@ -84,16 +102,35 @@
                 why = self._against(frame, floor)
                 if why:
                     return [("", s.Send(w.No(hand, why)))]
-                core = Taker(hand, frame.key, frame.moves, self.limits, self.life, now_us, now_us,
-                             room=frame.bytes)
+                core = Taker(
+                    hand,
+                    frame.key,
+                    frame.moves,
+                    self.limits,
+                    self.life,
+                    now_us,
+                    now_us,
+                    room=frame.bytes,
+                )
                 core.open(now_us)
                 self.taking[hand], self.keys[frame.key] = core, hand
                 return self._done(core, core.accept(frame, now_us))
             case w.Copy():
                 return [("", s.Send(w.No(hand, "unknown")))]
-            case w.Drop() | w.Commit():  # the giver waits for our word that it never will begin here
+            case (
+                w.Drop() | w.Commit()
+            ):  # the giver waits for our word that it never will begin here
                 if hand in self.past:
-                    return [("", s.Send(w.Begun(hand, now_us) if self.past[hand] else w.Dropped(hand)))]
+                    return [
+                        (
+                            "",
+                            s.Send(
+                                w.Begun(hand, now_us)
+                                if self.past[hand]
+                                else w.Dropped(hand)
+                            ),
+                        )
+                    ]
                 if floor is not None and hand <= floor:
                     return []
                 return [("", s.Journal(w.Refused(hand)))]
@@ -107,8 +144,12 @@
             return "known"
         busy = sum(t.state is not State.TAIL for t in self.taking.values())
         size = sum(t.room for t in self.taking.values()) + offer.bytes
-        if (busy >= self.limits.at_once or size > self.limits.all_bytes
-                or offer.messages > self.limits.session_messages or offer.bytes > self.limits.session_bytes):
+        if (
+            busy >= self.limits.at_once
+            or size > self.limits.all_bytes
+            or offer.messages > self.limits.session_messages
+            or offer.bytes > self.limits.session_bytes
+        ):
             return "full"
         return ""
 
@@ -120,7 +161,11 @@
         core = self.giving.get(hand) or self.taking.get(hand)
         if core is not None:
             return self.act(core, s.Kept(record) if ok else s.NotKept(record), now_us)
-        return [("", s.Send(w.Dropped(hand)))] if ok and isinstance(record, w.Refused) else []
+        return (
+            [("", s.Send(w.Dropped(hand)))]
+            if ok and isinstance(record, w.Refused)
+            else []
+        )
 
     def verdict(self, verdict: s.Verdict, now_us: int) -> Done:
         core = self.giving.get(verdict.hand) or self.taking.get(verdict.hand)
@@ -143,7 +188,11 @@
     def drain(self, now_us: int) -> Done:
         """We drain: no offer is taken any more; what is copied and not committed is asked to be dropped."""
         self.draining = True
-        return [a for t in list(self.taking.values()) for a in self.act(t, s.Drain(), now_us)]
+        return [
+            a
+            for t in list(self.taking.values())
+            for a in self.act(t, s.Drain(), now_us)
+        ]
 
     def tick(self, now_us: int) -> Done:
         return [a for core in self.cores() for a in self._done(core, core.tick(now_us))]
@@ -165,7 +214,11 @@
 
     def _done(self, core: Giver | Taker, actions: Actions) -> Done:
         if any(isinstance(a, s.Over) for a in actions):
-            if core.sure if isinstance(core, Taker) else core.state is State.DONE and not core.nobodys:
+            if (
+                core.sure
+                if isinstance(core, Taker)
+                else core.state is State.DONE and not core.nobodys
+            ):
                 self._remember(core.hand, True)
             self.giving.pop(core.hand, None)
             self.taking.pop(core.hand, None)
@@ -191,7 +244,9 @@
         are in a hand-over. The engine halts each, but for those that we take and that are in `tail`: they are
         ours for good."""
         kept: dict[w.Hand, dict[type, w.Record]] = {}
-        newest: dict[str, w.Hand] = {}  # an earlier one of the same key is over, whatever is missing of it
+        newest: dict[
+            str, w.Hand
+        ] = {}  # an earlier one of the same key is over, whatever is missing of it
         for record in records:
             if isinstance(record, (w.Stored, w.Refused)):
                 self._floor(record)
@@ -204,12 +259,15 @@
             of = kept[hand]
             sealed, stored, took = of.get(w.Sealed), of.get(w.Stored), of.get(w.Took)
             if isinstance(sealed, w.Sealed) and not (w.Gone in of or w.Back in of):
-                self.giving[hand] = Giver.recover(sealed, w.Committed in of, self.limits, now_us)
+                self.giving[hand] = Giver.recover(
+                    sealed, w.Committed in of, self.limits, now_us
+                )
                 self.keys[sealed.key] = hand
             elif isinstance(stored, w.Stored) and w.Refused not in of:
                 number = took.number if isinstance(took, w.Took) else 0
-                self.taking[hand] = Taker.recover(stored, w.Began in of, w.Shut in of, number, self.limits,
-                                                  now_us)
+                self.taking[hand] = Taker.recover(
+                    stored, w.Began in of, w.Shut in of, number, self.limits, now_us
+                )
                 self.keys[stored.key] = hand
         return {core.key: core.state for core in self.cores()}
 
--- a/lemonshunt/session/giver.py
+++ b/lemonshunt/session/giver.py
@@ -58,7 +58,9 @@
         return self.on(s.Timeout() if late else s.Retry(), now_us)
 
     @staticmethod
-    def recover(record: w.Sealed, committed: bool, limits: Limits, now_us: int) -> Giver:
+    def recover(
+        record: w.Sealed, committed: bool, limits: Limits, now_us: int
+    ) -> Giver:
         """After a restart, from the journal. The session's messages stay with the engine, frozen."""
         core = Giver(record.hand, limits, key=record.key, taker=record.taker)
         core.doubt = committed
@@ -66,9 +68,14 @@
         return core
 
     def _enter(self, state: State, now_us: int) -> None:
-        within = {State.OFFERED: self.limits.offer_us, State.FROZEN: self.limits.freeze_us,
-                  State.COPIED: self.limits.copy_us, State.COMMITTED: self.limits.commit_us,
-                  State.ABORTED: self.limits.commit_us, State.TAIL: self.limits.tail_us}.get(state)
+        within = {
+            State.OFFERED: self.limits.offer_us,
+            State.FROZEN: self.limits.freeze_us,
+            State.COPIED: self.limits.copy_us,
+            State.COMMITTED: self.limits.commit_us,
+            State.ABORTED: self.limits.commit_us,
+            State.TAIL: self.limits.tail_us,
+        }.get(state)
         self.state, self.since_us = state, now_us
         self.until_us = None if within is None else now_us + within
 
@@ -83,8 +90,19 @@
             self.asked = event
             self._enter(State.OFFERED, now_us)
         asked = self.asked
-        return (s.Send(w.Offer(self.hand, self.key, self.site, self.why, asked.messages, asked.bytes,
-                               self.moves)),)
+        return (
+            s.Send(
+                w.Offer(
+                    self.hand,
+                    self.key,
+                    self.site,
+                    self.why,
+                    asked.messages,
+                    asked.bytes,
+                    self.moves,
+                )
+            ),
+        )
 
     def unoffer(self, event: object, now_us: int) -> Actions:
         self._enter(State.HELD, now_us)
@@ -100,7 +118,9 @@
         return (*self._shed(now_us), *((s.CloseCalls(),) if out else ()))
 
     def thaw(self, event: object, now_us: int) -> Actions:
-        if self.record is not None:  # the seal may reach the disk: from there on the taker has to agree
+        if (
+            self.record is not None
+        ):  # the seal may reach the disk: from there on the taker has to agree
             self.unwanted = True
             return ()
         return s.Send(w.No(self.hand)), *self._resume(now_us)
@@ -108,14 +128,25 @@
     def seal(self, event: s.Quiet, now_us: int) -> Actions:
         if self.record is not None:
             return ()
-        small = (len(event.items) <= self.limits.session_messages
-                 and sum(i.size for i in event.items) <= self.limits.session_bytes)
-        left = min((i.due_us for i in event.items), default=now_us + self.limits.least_left_us) - now_us
+        small = (
+            len(event.items) <= self.limits.session_messages
+            and sum(i.size for i in event.items) <= self.limits.session_bytes
+        )
+        left = (
+            min(
+                (i.due_us for i in event.items),
+                default=now_us + self.limits.least_left_us,
+            )
+            - now_us
+        )
         if not small or left < self.limits.least_left_us:
             return self.thaw(event, now_us)
         items = [w.leaving(i, self.heard_us) for i in event.items]
-        parts = list(w.in_parts(items, event.memory[-self.limits.memory:]))
-        self.parts = tuple(w.Copy(self.hand, self.stamp_us, n, len(parts), *p) for n, p in enumerate(parts))
+        parts = list(w.in_parts(items, event.memory[-self.limits.memory :]))
+        self.parts = tuple(
+            w.Copy(self.hand, self.stamp_us, n, len(parts), *p)
+            for n, p in enumerate(parts)
+        )
         return self._write(w.Sealed(self.hand, self.key, self.taker))
 
     # Sealed: the taker may hold a copy.
@@ -138,7 +169,12 @@
                 return s.LetGo(), *self._confirm(), *self._leave(now_us)
             case w.Gone():
                 self._enter(State.TAIL, now_us)
-                told = (s.LetGo(), s.Send(w.Closed(self.hand)), *self._confirm(), s.Tail())
+                told = (
+                    s.LetGo(),
+                    s.Send(w.Closed(self.hand)),
+                    *self._confirm(),
+                    s.Tail(),
+                )
                 return *told, *self._pump(now_us)
             case _:
                 return *self._confirm(), *self._resume(now_us)
@@ -198,7 +234,12 @@
     def handed(self, event: w.Begun, now_us: int) -> Actions:
         if self.record is not None:
             return ()
-        self.stamp_us, self.heard_us, self.parts, self.begun = event.stamp_us, now_us, (), True
+        self.stamp_us, self.heard_us, self.parts, self.begun = (
+            event.stamp_us,
+            now_us,
+            (),
+            True,
+        )
         return self._cede() if self.doubt else self._gone(now_us)
 
     def _gone(self, now_us: int) -> Actions:
@@ -207,16 +248,24 @@
 
     def judged(self, event: s.Verdict, now_us: int) -> Actions:
         committed = self.state is State.COMMITTED
-        if self.record is not None or event.ruling == "wait" or (committed and self.settled):
+        if (
+            self.record is not None
+            or event.ruling == "wait"
+            or (committed and self.settled)
+        ):
             return ()
         if event.ruling == "taker":
             self.settled, self.doubt = True, False
             if committed:
                 return self._gone(now_us) if self.begun else self._commit()
-            self._enter(State.COMMITTED, now_us)  # no record: after a restart the same word is given again
+            self._enter(
+                State.COMMITTED, now_us
+            )  # no record: after a restart the same word is given again
             return self._commit()
         self.settled = True
-        return self.doubted(event, now_us) if committed else self._write(w.Back(self.hand))
+        return (
+            self.doubted(event, now_us) if committed else self._write(w.Back(self.hand))
+        )
 
     def push(self, event: object, now_us: int) -> Actions:
         """What was not answered is said again; a record that may not be on disk is written again."""
@@ -270,17 +319,55 @@
 _DISK: dict[type, Handler] = {s.Kept: _G.kept, s.NotKept: _G.unkept}
 TABLE: dict[State, dict[type, Handler]] = {
     State.HELD: {s.Give: _G.offer, Arrived: _G.through},
-    State.OFFERED: {**dict.fromkeys(_AGAINST, _G.unoffer), w.Accept: _G.freeze, Arrived: _G.through,
-                    s.Retry: _G.offer},
-    State.FROZEN: {**dict.fromkeys(_AGAINST, _G.thaw), **_WAITS, **_DISK, s.Quiet: _G.seal,
-                   s.Retry: _G.close_calls},
-    State.COPIED: {**dict.fromkeys(_AGAINST, _G.want_back), **_WAITS, **_DISK, w.Copied: _G.commit,
-                   w.Begun: _G.handed, s.Retry: _G.push},
-    State.COMMITTED: {**_WAITS, **_DISK, w.Copied: _G.recommit, w.Begun: _G.handed, w.Dropped: _G.doubted,
-                      s.Verdict: _G.judged, s.Retry: _G.push, s.Timeout: _G.expire},
-    State.TAIL: {**_WAITS, w.Copied: _G.close, w.Begun: _G.close, w.Passed: _G.passed, s.TailOver: _G.over,
-                 s.Retry: _G.push, s.Timeout: _G.finish},
+    State.OFFERED: {
+        **dict.fromkeys(_AGAINST, _G.unoffer),
+        w.Accept: _G.freeze,
+        Arrived: _G.through,
+        s.Retry: _G.offer,
+    },
+    State.FROZEN: {
+        **dict.fromkeys(_AGAINST, _G.thaw),
+        **_WAITS,
+        **_DISK,
+        s.Quiet: _G.seal,
+        s.Retry: _G.close_calls,
+    },
+    State.COPIED: {
+        **dict.fromkeys(_AGAINST, _G.want_back),
+        **_WAITS,
+        **_DISK,
+        w.Copied: _G.commit,
+        w.Begun: _G.handed,
+        s.Retry: _G.push,
+    },
+    State.COMMITTED: {
+        **_WAITS,
+        **_DISK,
+        w.Copied: _G.recommit,
+        w.Begun: _G.handed,
+        w.Dropped: _G.doubted,
+        s.Verdict: _G.judged,
+        s.Retry: _G.push,
+        s.Timeout: _G.expire,
+    },
+    State.TAIL: {
+        **_WAITS,
+        w.Copied: _G.close,
+        w.Begun: _G.close,
+        w.Passed: _G.passed,
+        s.TailOver: _G.over,
+        s.Retry: _G.push,
+        s.Timeout: _G.finish,
+    },
     State.DONE: {w.Copied: _G.close, w.Begun: _G.close, Arrived: _G.refuse},
-    State.ABORTED: {**_WAITS, **_DISK, w.Copied: _G.drop, w.Begun: _G.handed, w.Dropped: _G.back,
-                    s.Verdict: _G.judged, s.Retry: _G.push, s.Timeout: _G.expire},
+    State.ABORTED: {
+        **_WAITS,
+        **_DISK,
+        w.Copied: _G.drop,
+        w.Begun: _G.handed,
+        w.Dropped: _G.back,
+        s.Verdict: _G.judged,
+        s.Retry: _G.push,
+        s.Timeout: _G.expire,
+    },
 }
--- a/lemonshunt/session/incoming.py
+++ b/lemonshunt/session/incoming.py
@@ -50,9 +50,12 @@
     """Set by who runs it while there is no room for a message that is passed on."""
 
     def _enter(self, state: State, now_us: int) -> None:
-        within = {State.OFFERED: 2 * self.limits.freeze_us + self.limits.copy_us,
-                  State.COPIED: self.limits.commit_us, State.COMMITTED: self.limits.commit_us,
-                  State.TAIL: 2 * self.limits.tail_us}.get(state)
+        within = {
+            State.OFFERED: 2 * self.limits.freeze_us + self.limits.copy_us,
+            State.COPIED: self.limits.commit_us,
+            State.COMMITTED: self.limits.commit_us,
+            State.TAIL: 2 * self.limits.tail_us,
+        }.get(state)
         self.state, self.since_us = state, now_us
         self.until_us = None if within is None else now_us + within
 
@@ -84,10 +87,18 @@
             return (s.Send(w.No(self.hand, "restarted")),)
         if all(p.part != event.part for p in self.parts):
             self.parts = tuple(sorted((*self.parts, event), key=lambda p: p.part))
-        items = tuple(w.arriving(i, self.stamp_us, self.limits.drift) for p in self.parts for i in p.items)
+        items = tuple(
+            w.arriving(i, self.stamp_us, self.limits.drift)
+            for p in self.parts
+            for i in p.items
+        )
         memory = tuple(m for p in self.parts for m in p.memory)
-        if (len(items) > self.limits.session_messages or len(memory) > self.limits.memory
-                or sum(i.size for i in items) > min(self.limits.session_bytes, 2 * self.room + w.PART)):
+        if (
+            len(items) > self.limits.session_messages
+            or len(memory) > self.limits.memory
+            or sum(i.size for i in items)
+            > min(self.limits.session_bytes, 2 * self.room + w.PART)
+        ):
             return s.Send(w.No(self.hand, "too large")), *self._over(now_us)
         if len(self.parts) < event.parts:
             return ()
--- a/lemonshunt/session/model.py
+++ b/lemonshunt/session/model.py
@@ -18,28 +18,83 @@
 from lemonshunt.session.arbiter import Arbiter
 from lemonshunt.session.model_fair import Fair, Step
 from lemonshunt.session.model_site import Site
-from lemonshunt.session.model_world import Mail, World, answered, end, mail, name_of, to_arbiter
+from lemonshunt.session.model_world import (
+    Mail,
+    World,
+    answered,
+    end,
+    mail,
+    name_of,
+    to_arbiter,
+)
 
-BUGS = ("lets go early", "begins early", "forgets repeats", "fate untold", "tail overtakes", "stale commit",
-        "takes back alone", "forgets refusals", "late due", "takes an old pass")
-COUNTS = {"give": 1, "late": 1, "retry": 0, "crash_g": 0, "crash_t": 0, "lease_g": 0, "lease_t": 0,
-          "fault": 0, "arrive": 0, "repeat": 0, "full": 0, "due": 0, "amnesia": 0}
+BUGS = (
+    "lets go early",
+    "begins early",
+    "forgets repeats",
+    "fate untold",
+    "tail overtakes",
+    "stale commit",
+    "takes back alone",
+    "forgets refusals",
+    "late due",
+    "takes an old pass",
+)
+COUNTS = {
+    "give": 1,
+    "late": 1,
+    "retry": 0,
+    "crash_g": 0,
+    "crash_t": 0,
+    "lease_g": 0,
+    "lease_t": 0,
+    "fault": 0,
+    "arrive": 0,
+    "repeat": 0,
+    "full": 0,
+    "due": 0,
+    "amnesia": 0,
+}
 """How often each may happen. A limit that is over is `late`; `due` takes 3; `amnesia` is the arbiter's."""
 HARM = ("crash_g", "crash_t", "lease_g", "lease_t", "due", "amnesia")
-WRITES = (("kept", True, True), ("not kept", False, False), ("not sure of", False, True))
+WRITES = (
+    ("kept", True, True),
+    ("not kept", False, False),
+    ("not sure of", False, True),
+)
 
 
 class Sessions(Fair):
     """A hand-over with these counts of what may go wrong. `gone`: who may die for good."""
 
-    def __init__(self, bug: str = "", *, gone: str = "", messages: int = 1, most: int = 3, losses: int = 0,
-                 copies: int = 0, begin: tuple[str, ...] = (), **counts: int) -> None:
+    def __init__(
+        self,
+        bug: str = "",
+        *,
+        gone: str = "",
+        messages: int = 1,
+        most: int = 3,
+        losses: int = 0,
+        copies: int = 0,
+        begin: tuple[str, ...] = (),
+        **counts: int,
+    ) -> None:
         """`begin`: steps that have happened already, by their names."""
-        self.begin, self.bug, self.gone, self.ids = begin, bug, gone, tuple(range(1, messages + 1))
+        self.begin, self.bug, self.gone, self.ids = (
+            begin,
+            bug,
+            gone,
+            tuple(range(1, messages + 1)),
+        )
         self.net = Net(most=most, losses=losses, copies=copies)
         if unknown := sorted(set(counts) - set(COUNTS)):
             raise ValueError(f"no such counts: {unknown}")
-        self.left = {**COUNTS, **counts, "gone": int(bool(gone)), "leave": counts.get("arrive", 0)}
+        self.left = {
+            **COUNTS,
+            **counts,
+            "gone": int(bool(gone)),
+            "leave": counts.get("arrive", 0),
+        }
         self.calm = not gone and not any(counts.get(n) for n in HARM)
         super().__init__()
 
@@ -60,7 +115,11 @@
         for message, net in state.net.arrivals():
             assert isinstance(message, Mail)
             to, what = message.what
-            yield "fair", f"{to} hears {name_of(what)}", self._hear(state.fork(to), net, to, what)
+            yield (
+                "fair",
+                f"{to} hears {name_of(what)}",
+                self._hear(state.fork(to), net, to, what),
+            )
         for message, net in state.net.lost():
             assert isinstance(message, Mail)
             yield "foul", f"lost: {name_of(message.what)}", replace(state, net=net)
@@ -77,7 +136,11 @@
             self._join(after, n)
             yield "fair", f"{n} starts again", after
         if state.lease[n] == "held":
-            yield "fair", f"{n}'s lease is lost", replace(state, lease={**state.lease, n: "lost"})
+            yield (
+                "fair",
+                f"{n}'s lease is lost",
+                replace(state, lease={**state.lease, n: "lost"}),
+            )
 
     def _site(self, state: World, n: str, at: Site) -> Iterator[Step]:
         if at.writing:
@@ -85,7 +148,11 @@
                 if ok or state.left["fault"]:
                     after = state.fork(n, "" if ok else "fault")
                     self._do(after, n, after.sites[n].write(ok, reached))
-                    yield "fair" if ok else "foul", f"{n}: {how} {name_of(at.writing[0])}", after
+                    yield (
+                        "fair" if ok else "foul",
+                        f"{n}: {how} {name_of(at.writing[0])}",
+                        after,
+                    )
         for kind, event in at.events():
             if kind != "fair" and not state.left[kind]:
                 continue
@@ -94,7 +161,13 @@
             yield kind, f"{n}: {type(event).__name__}", after
         if at.out is None and at.freezing:
             after = state.fork(n)
-            self._do(after, n, after.sites[n].quiet(self.bug == "fate untold", self.bug == "forgets repeats"))
+            self._do(
+                after,
+                n,
+                after.sites[n].quiet(
+                    self.bug == "fate untold", self.bug == "forgets repeats"
+                ),
+            )
             yield "fair", f"{n} is quiet", after
         if at.out is not None:
             after = state.fork(n)
@@ -104,7 +177,12 @@
             after = state.fork(n)
             self._release(after, n, after.sites[n])
             yield "fair", f"{n} works on {at.queue[0][0]}", after
-        if n == "g" and not at.runs and state.clock >= 2 and any(q[0] == 2 for q in at.queue):
+        if (
+            n == "g"
+            and not at.runs
+            and state.clock >= 2
+            and any(q[0] == 2 for q in at.queue)
+        ):
             after = state.fork(n)
             end(after, after.sites[n], 2, "failed")
             yield "fair", "g ends 2 by its time", after
@@ -114,7 +192,11 @@
         if state.left[f"crash_{n}"]:
             yield "foul", f"{n} dies", self._die(state, n, f"crash_{n}", False)
             if at.writing:
-                yield "foul", f"{n} dies, its write done", self._die(state, n, f"crash_{n}", True)
+                yield (
+                    "foul",
+                    f"{n} dies, its write done",
+                    self._die(state, n, f"crash_{n}", True),
+                )
         if self.gone == n and state.left["gone"]:
             yield "foul", f"{n} dies for good", self._die(state, n, "gone", False)
         if state.lease[n] == "held":
@@ -125,7 +207,11 @@
                 yield "foul", f"{n}'s lease is out by its clock", after
             return
         if state.lease[n] == "out":
-            yield "foul", f"{n}'s lease is lost", replace(state, lease={**state.lease, n: "lost"})
+            yield (
+                "foul",
+                f"{n}'s lease is lost",
+                replace(state, lease={**state.lease, n: "lost"}),
+            )
         after = state.fork(n)
         self._join(after, n)
         yield "fair", f"{n} joins again", after
@@ -159,8 +245,12 @@
             yield "foul", "t has no room", after
         if left["amnesia"]:
             after = state.fork(spend="amnesia")
-            calls = tuple(m for m in state.net.bag if to_arbiter(m))  # they end with its process
-            after.net = replace(state.net, bag=tuple(m for m in state.net.bag if m not in calls))
+            calls = tuple(
+                m for m in state.net.bag if to_arbiter(m)
+            )  # they end with its process
+            after.net = replace(
+                state.net, bag=tuple(m for m in state.net.bag if m not in calls)
+            )
             after.decided, after.epoch = (), 2
             yield "foul", "the arbiter forgets", after
         if left["due"]:
@@ -185,7 +275,11 @@
             state.decided = tuple(arbiter.decided.items())
         elif state.sites[to].alive:
             at = state.sites[to]
-            if self.bug == "stale commit" and isinstance(what, w.Commit) and at.desk.life:
+            if (
+                self.bug == "stale commit"
+                and isinstance(what, w.Commit)
+                and at.desk.life
+            ):
                 what = w.Commit(what.hand, at.desk.life)
             self._do(state, to, at.hear(what))
         return state
@@ -231,17 +325,26 @@
         elif self.bug == "begins early" and isinstance(frame, w.Copied) and core.items:
             at.recall(core.items, core.memory)
             at.runs, core.items = True, ()
-        elif self.bug == "takes back alone" and isinstance(frame, w.Drop) and core.record is None:
+        elif (
+            self.bug == "takes back alone"
+            and isinstance(frame, w.Drop)
+            and core.record is None
+        ):
             self._do(state, n, [("", a) for a in core.back(None, 0)])
 
     def _send(self, state: World, message: Hashable) -> None:
         one = mail(message)
-        if one not in state.net.bag:  # a second one alike adds nothing that a copy does not
+        if (
+            one not in state.net.bag
+        ):  # a second one alike adds nothing that a copy does not
             state.net = state.net.send(one)
 
     def _release(self, state: World, n: str, at: Site) -> None:
         number, ran = at.queue[0]
-        up = number == 2 and state.clock >= {"g": 2, "t": 3 if self.bug == "late due" else 1}[n]
+        up = (
+            number == 2
+            and state.clock >= {"g": 2, "t": 3 if self.bug == "late due" else 1}[n]
+        )
         if ran or up:
             end(state, at, number, "failed")
             return
--- a/lemonshunt/session/model_fair.py
+++ b/lemonshunt/session/model_fair.py
@@ -25,12 +25,29 @@
         raise NotImplementedError
 
     def key(self, state: World) -> Hashable:
-        return self._core(state), state.net.losses, state.net.copies, tuple(state.left.values())
+        return (
+            self._core(state),
+            state.net.losses,
+            state.net.copies,
+            tuple(state.left.values()),
+        )
 
     def _core(self, state: World) -> Hashable:
-        return (state.net.bag, state.decided, state.sites["g"].key(), state.sites["t"].key(),
-                tuple(state.lease.values()), state.sent, tuple(sorted(state.ends.items())), state.promised,
-                state.client, state.clock, state.why, state.epoch, state.left["gone"])
+        return (
+            state.net.bag,
+            state.decided,
+            state.sites["g"].key(),
+            state.sites["t"].key(),
+            tuple(state.lease.values()),
+            state.sent,
+            tuple(sorted(state.ends.items())),
+            state.promised,
+            state.client,
+            state.clock,
+            state.why,
+            state.epoch,
+            state.left["gone"],
+        )
 
     def broken(self, state: World) -> str:
         return unsafe(state) or self._unsettled(state)
@@ -43,7 +60,9 @@
         while (key := self._core(state)) not in self.good:
             after = self._late(state) if key in passed else self._next(state)
             passed.add(key)
-            if after is None or len(passed) < steps - 50:  # the end, or it goes round and round
+            if (
+                after is None or len(passed) < steps - 50
+            ):  # the end, or it goes round and round
                 if why := not_whole(state):
                     return why
                 break
--- a/lemonshunt/session/model_site.py
+++ b/lemonshunt/session/model_site.py
@@ -14,7 +14,18 @@
 
 KEY = "k"
 LIMITS = Limits(ask_us=0, calls_us=0, least_left_us=1, drift=0.0)
-ALIKE = ("since_us", "until_us", "limits", "hand", "key", "taker", "site", "why", "asked", "heard_us")
+ALIKE = (
+    "since_us",
+    "until_us",
+    "limits",
+    "hand",
+    "key",
+    "taker",
+    "site",
+    "why",
+    "asked",
+    "heard_us",
+)
 
 
 X = TypeVar("X")
@@ -25,7 +36,9 @@
 
 def _getter(cls: type, but: tuple[str, ...] = ()) -> Callable[[Any], tuple[Any, ...]]:
     if (cls, but) not in _getters:
-        _getters[cls, but] = attrgetter(*(f.name for f in fields(cls) if f.name not in but))
+        _getters[cls, but] = attrgetter(
+            *(f.name for f in fields(cls) if f.name not in but)
+        )
     return _getters[cls, but]
 
 
@@ -66,14 +79,24 @@
 
     @staticmethod
     def of(name: str, owns: bool, ids: tuple[int, ...] = ()) -> Site:
-        return Site(name, runs=owns, queue=tuple((i, False) for i in ids), memory=("0",) if owns else (),
-                    owns=owns, desk=Desk(name, LIMITS, life=(1, 1)))
+        return Site(
+            name,
+            runs=owns,
+            queue=tuple((i, False) for i in ids),
+            memory=("0",) if owns else (),
+            owns=owns,
+            desk=Desk(name, LIMITS, life=(1, 1)),
+        )
 
     def fork(self) -> Site:
         twin, desk = _copy(self), _copy(self.desk)
         desk.giving = {h: _copy(c) for h, c in desk.giving.items()}
         desk.taking = {h: _copy(c) for h, c in desk.taking.items()}
-        desk.floors, desk.keys, desk.past = dict(desk.floors), dict(desk.keys), dict(desk.past)
+        desk.floors, desk.keys, desk.past = (
+            dict(desk.floors),
+            dict(desk.keys),
+            dict(desk.past),
+        )
         twin.desk, twin.told = desk, None
         return twin
 
@@ -82,10 +105,25 @@
         if self.told is None:
             desk = self.desk
             cores = tuple((c.hand, _getter(type(c), ALIKE)(c)) for c in desk.cores())
-            self.told = _alike((
-                self.life, self.runs, self.alive, self.freezing, self.out, self.queue, self.memory, self.disk,
-                self.unseen, self.writing, cores, tuple(desk.floors.items()), tuple(desk.past.items()),
-                desk.life, desk.count))
+            self.told = _alike(
+                (
+                    self.life,
+                    self.runs,
+                    self.alive,
+                    self.freezing,
+                    self.out,
+                    self.queue,
+                    self.memory,
+                    self.disk,
+                    self.unseen,
+                    self.writing,
+                    cores,
+                    tuple(desk.floors.items()),
+                    tuple(desk.past.items()),
+                    desk.life,
+                    desk.count,
+                )
+            )
         return self.told
 
     # What the desk hears
@@ -100,16 +138,22 @@
         return self.desk.heard("t" if self.name == "g" else "g", what, self.life)
 
     def arrive(self, name: str) -> Done | None:
-        return self.desk.to_session(KEY, s.Arrived(w.Item(name, "", 0, 100), self.life), self.life)
+        return self.desk.to_session(
+            KEY, s.Arrived(w.Item(name, "", 0, 100), self.life), self.life
+        )
 
     def tell(self, event: object) -> Done:
         if isinstance(event, (s.Retry, s.Timeout, s.Due)):
-            return [a for c in self.desk.cores() for a in self.desk.act(c, event, self.life)]
+            return [
+                a for c in self.desk.cores() for a in self.desk.act(c, event, self.life)
+            ]
         return self.desk.to_session(KEY, event, self.life) or []
 
     def quiet(self, fateless: bool, forgetful: bool) -> Done:
-        items = tuple(w.Item(str(n), "", 0, 100, ran_us=0 if ran and not fateless else None)
-                      for n, ran in self.queue)
+        items = tuple(
+            w.Item(str(n), "", 0, 100, ran_us=0 if ran and not fateless else None)
+            for n, ran in self.queue
+        )
         self.freezing = False
         return self.tell(s.Quiet(items, () if forgetful else self.memory))
 
@@ -118,10 +162,13 @@
         if self.desk.cores():
             yield "retry", s.Retry()
         limited = [s.State.OFFERED, s.State.TAIL, s.State.FROZEN, s.State.COPIED]
-        if (any(c.state in limited for c in self.desk.giving.values())
-                or any(c.state in limited[:2] for c in self.desk.taking.values())):
+        if any(c.state in limited for c in self.desk.giving.values()) or any(
+            c.state in limited[:2] for c in self.desk.taking.values()
+        ):
             yield "late", s.Timeout()
-        if any(c.state is s.State.TAIL and not c.last for c in self.desk.giving.values()):
+        if any(
+            c.state is s.State.TAIL and not c.last for c in self.desk.giving.values()
+        ):
             yield "fair", s.TailOver()
 
     # What the desk wants of this site alone
@@ -155,18 +202,32 @@
         self.writing = tuple(rest)
         if reached:
             self.disk = (*self.disk, record)
-            self.unseen = tuple(r for r in self.unseen if r != record) if ok else (*self.unseen, record)
+            self.unseen = (
+                tuple(r for r in self.unseen if r != record)
+                if ok
+                else (*self.unseen, record)
+            )
         return self.desk.written(record, ok, self.life)
 
     def crash(self, reached: bool) -> None:
         """What was being written may be on disk. The queue is on disk too, and what the records say of it."""
         if reached:
-            self.disk, self.unseen = (*self.disk, *self.writing), (*self.unseen, *self.writing)
+            self.disk, self.unseen = (
+                (*self.disk, *self.writing),
+                (*self.unseen, *self.writing),
+            )
         for record in self.unseen:
             match record:
                 case w.Began(hand) if w.Refused(hand) not in self.disk:
-                    stored = next(r for r in self.disk if isinstance(r, w.Stored) and r.hand == hand)
-                    if all(str(n) not in [i.id for i in stored.items] for n, _ in self.queue):
+                    stored = next(
+                        r
+                        for r in self.disk
+                        if isinstance(r, w.Stored) and r.hand == hand
+                    )
+                    if all(
+                        str(n) not in [i.id for i in stored.items]
+                        for n, _ in self.queue
+                    ):
                         self.recall(stored.items, stored.memory)
                 case w.Took(_, _, item) if (int(item.id), False) not in self.queue:
                     self.queue = (*self.queue, (int(item.id), False))
--- a/lemonshunt/session/model_world.py
+++ b/lemonshunt/session/model_world.py
@@ -55,11 +55,27 @@
         """A copy in which the sites named may be changed."""
         left = {**self.left, spend: self.left[spend] - 1} if spend else self.left
         sites = {n: x.fork() if n in touched else x for n, x in self.sites.items()}
-        return World(self.net, sites, self.decided, dict(self.lease), self.sent, dict(self.ends),
-                     self.promised, self.client, self.clock, left, self.why, self.epoch)
+        return World(
+            self.net,
+            sites,
+            self.decided,
+            dict(self.lease),
+            self.sent,
+            dict(self.ends),
+            self.promised,
+            self.client,
+            self.clock,
+            left,
+            self.why,
+            self.epoch,
+        )
 
     def acts(self, name: str) -> bool:
-        return self.sites[name].alive and self.sites[name].runs and self.lease[name] == "held"
+        return (
+            self.sites[name].alive
+            and self.sites[name].runs
+            and self.lease[name] == "held"
+        )
 
 
 def end(state: World, at: Site, number: int, how: str) -> None:
@@ -87,8 +103,12 @@
     """No hand-over is open, or only one that time ends (`commit_us`): the arbiter gave it to who is dead, or
     forgot what it said, and the one who could tell is dead or went on alone."""
     if forgot:
-        return len(live) < 2 or all(isinstance(c, Taker) and not at.runs for c in at.desk.cores())
-    return all(len(live) < 2 and isinstance(c, Giver) and c.settled for c in at.desk.cores())
+        return len(live) < 2 or all(
+            isinstance(c, Taker) and not at.runs for c in at.desk.cores()
+        )
+    return all(
+        len(live) < 2 and isinstance(c, Giver) and c.settled for c in at.desk.cores()
+    )
 
 
 def not_whole(state: World) -> str:
@@ -110,7 +130,9 @@
     if isinstance(what, tuple):
         return f"{what[0]}: {name_of(what[1])}"
     if isinstance(what, (w.Frame, w.Record)):
-        told = [str(getattr(what, f)) for f in ("number", "life", "how") if hasattr(what, f)]
+        told = [
+            str(getattr(what, f)) for f in ("number", "life", "how") if hasattr(what, f)
+        ]
         return " ".join((type(what).__name__, *told))
     return f"{what.ruling}" if isinstance(what, s.Verdict) else type(what).__name__
 
--- a/lemonshunt/session/states.py
+++ b/lemonshunt/session/states.py
@@ -245,8 +245,25 @@
     """This core is done with; the desk may forget it."""
 
 
-Action = (Send | Journal | Freeze | CloseCalls | Resume | Begin | Halt | LetGo | FailAll | Fail | Take
-          | Answer | Refuse | Tail | Ask | Confirm | Over)
+Action = (
+    Send
+    | Journal
+    | Freeze
+    | CloseCalls
+    | Resume
+    | Begin
+    | Halt
+    | LetGo
+    | FailAll
+    | Fail
+    | Take
+    | Answer
+    | Refuse
+    | Tail
+    | Ask
+    | Confirm
+    | Over
+)
 Actions = tuple[Action, ...]
 
 
@@ -285,10 +302,19 @@
 
     def faults(self) -> list[str]:
         """All of them, each beginning with its field; empty where the limits hold."""
-        found = [f"{f.name}: must be above 0" for f in fields(self) if not getattr(self, f.name) > 0]
-        for low, high in (("calls_us", "freeze_us"), ("retry_us", "offer_us"), ("hold_bytes", "all_bytes"),
-                          ("session_bytes", "all_bytes"), ("offer_us", "least_left_us"),
-                          ("tail_us", "commit_us")):
+        found = [
+            f"{f.name}: must be above 0"
+            for f in fields(self)
+            if not getattr(self, f.name) > 0
+        ]
+        for low, high in (
+            ("calls_us", "freeze_us"),
+            ("retry_us", "offer_us"),
+            ("hold_bytes", "all_bytes"),
+            ("session_bytes", "all_bytes"),
+            ("offer_us", "least_left_us"),
+            ("tail_us", "commit_us"),
+        ):
             if getattr(self, low) >= getattr(self, high):
                 found.append(f"{low}: must be below {high}")
         if self.drift >= 0.5:
--- a/lemonshunt/session/table.py
+++ b/lemonshunt/session/table.py
@@ -1,7 +1,7 @@
 """The table of sites and the rules of choosing: the configuration's `session`; all faults with their paths.
 
-    {"sites": {"a": {"neighbours": {"b": 1.0, "c": 2.5}}, "b": {...}}, "at_once": 8, "least_stay_ms": 5000,
-     "pause_ms": 30000, "pair_ms": 10000, "over": 0.9, "under": 0.7, "limits": {"offer_us": 200000, ...}}
+{"sites": {"a": {"neighbours": {"b": 1.0, "c": 2.5}}, "b": {...}}, "at_once": 8, "least_stay_ms": 5000,
+ "pause_ms": 30000, "pair_ms": 10000, "over": 0.9, "under": 0.7, "limits": {"offer_us": 200000, ...}}
 """
 
 from __future__ import annotations
@@ -18,8 +18,14 @@
 Cost = Annotated[float, Meta(ge=0, le=1e6)]
 Millis = Annotated[int, Meta(ge=1, le=86_400_000)]
 Share = Annotated[float, Meta(gt=0, le=1)]
-KINDS: dict[str, Any] = {"at_once": Annotated[int, Meta(ge=1, le=10_000)], "least_stay_ms": Millis,
-                         "pause_ms": Millis, "pair_ms": Millis, "over": Share, "under": Share}
+KINDS: dict[str, Any] = {
+    "at_once": Annotated[int, Meta(ge=1, le=10_000)],
+    "least_stay_ms": Millis,
+    "pause_ms": Millis,
+    "pair_ms": Millis,
+    "over": Share,
+    "under": Share,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +58,11 @@
     """The table that `raw` (decoded JSON) says, or Malformed with every fault in it."""
     if not isinstance(raw, dict):
         raise Malformed([f"{path}: must be an object"])
-    faults = [f"{path}.{k}: unknown" for k in raw if k not in KINDS and k not in ("sites", "limits")]
+    faults = [
+        f"{path}.{k}: unknown"
+        for k in raw
+        if k not in KINDS and k not in ("sites", "limits")
+    ]
     values: dict[str, Any] = {}
     for name, kind in KINDS.items():
         if name in raw:
@@ -82,9 +92,15 @@
     found: dict[str, dict[str, float]] = {}
     for site, entry in raw.items():
         at = f"{path}.{site}"
-        near = entry.get("neighbours") if isinstance(entry, dict) and len(entry) == 1 else None
+        near = (
+            entry.get("neighbours")
+            if isinstance(entry, dict) and len(entry) == 1
+            else None
+        )
         if not isinstance(near, dict):
-            faults.append(f"{at}: must be an object with neighbours alone, themselves an object")
+            faults.append(
+                f"{at}: must be an object with neighbours alone, themselves an object"
+            )
             continue
         found[site] = {}
         for other, cost in near.items():
@@ -104,7 +120,11 @@
     kinds = {f.name: float if f.name == "drift" else int for f in fields(Limits)}
     faults += [f"{path}.{k}: unknown" for k in raw if k not in kinds]
     before = len(faults)
-    values = {k: _value(v, kinds[k], f"{path}.{k}", faults) for k, v in raw.items() if k in kinds}
+    values = {
+        k: _value(v, kinds[k], f"{path}.{k}", faults)
+        for k, v in raw.items()
+        if k in kinds
+    }
     if len(faults) > before:
         return Limits()
     limits = Limits(**values)
--- a/lemonshunt/session/taker.py
+++ b/lemonshunt/session/taker.py
@@ -28,14 +28,29 @@
         return self.on(s.Timeout() if late else s.Retry(), now_us)
 
     @staticmethod
-    def recover(record: w.Stored, began: bool, shut: bool, number: int, limits: Limits,
-                now_us: int) -> Taker:
+    def recover(
+        record: w.Stored,
+        began: bool,
+        shut: bool,
+        number: int,
+        limits: Limits,
+        now_us: int,
+    ) -> Taker:
         """After a restart. What had begun stays halted until it is known to be ours; what is shut is."""
-        core = Taker(record.hand, record.key, record.moves, limits, None, born_us=now_us)
-        core.began, core.sure, core.number, core.how = began, shut, number, "taken" if number else ""
+        core = Taker(
+            record.hand, record.key, record.moves, limits, None, born_us=now_us
+        )
+        core.began, core.sure, core.number, core.how = (
+            began,
+            shut,
+            number,
+            "taken" if number else "",
+        )
         if not began:
             core.items, core.memory = record.items, record.memory
-        core._enter(State.TAIL if shut else State.COMMITTED if began else State.COPIED, now_us)
+        core._enter(
+            State.TAIL if shut else State.COMMITTED if began else State.COPIED, now_us
+        )
         return core
 
     # Copied: on disk, and not ours yet.
@@ -79,10 +94,16 @@
 
     def orphan(self, event: object, now_us: int) -> Actions:
         """The giver has no record: it lost its journal, took it back by the arbiter's word, or let go."""
-        return () if self.sure else (s.Ask(self.hand, "taker", self.hand.giver, forgot=True),)
+        return (
+            ()
+            if self.sure
+            else (s.Ask(self.hand, "taker", self.hand.giver, forgot=True),)
+        )
 
     def judged(self, event: s.Verdict, now_us: int) -> Actions:
-        acting = self.state is State.TAIL  # by the giver's word to this very life of ours
+        acting = (
+            self.state is State.TAIL
+        )  # by the giver's word to this very life of ours
         if event.ruling == "wait" or self.sure or (acting and event.ruling != "taker"):
             return ()
         self.settled = True
@@ -119,7 +140,9 @@
         """The giver has had its time to answer."""
         if self.sure or now_us - self.since_us < self.limits.ask_us:
             return ()
-        return (s.Ask(self.hand, "taker", self.hand.giver, cede=self.state is State.TAIL),)
+        return (
+            s.Ask(self.hand, "taker", self.hand.giver, cede=self.state is State.TAIL),
+        )
 
     def plead(self, event: object, now_us: int) -> Actions:
         return (s.Send(w.No(self.hand, "draining")),)
@@ -135,13 +158,23 @@
                 self._enter(State.COPIED, now_us)
                 return self.hold(event, now_us)
             case w.Began():
-                items, memory, self.items, self.memory, self.began = self.items, self.memory, (), (), True
+                items, memory, self.items, self.memory, self.began = (
+                    self.items,
+                    self.memory,
+                    (),
+                    (),
+                    True,
+                )
                 return s.Begin(items, memory), *self._begin(now_us)
             case w.Took(number=number, item=item):
                 self.number, self.how = number, "taken"
                 return s.Take(item, answer=False), self._passed(number, "taken", now_us)
             case w.Refused():
-                return s.Send(w.Dropped(self.hand)), *self._confirm(), *self._over(now_us)
+                return (
+                    s.Send(w.Dropped(self.hand)),
+                    *self._confirm(),
+                    *self._over(now_us),
+                )
             case _:
                 return self._confirm()
 
@@ -169,7 +202,11 @@
 
     def remind(self, event: object, now_us: int) -> Actions:
         again = self.rewrite(event, now_us)
-        return again if self.sure else (*again, *self.begun(event, now_us), *self._ask(now_us))
+        return (
+            again
+            if self.sure
+            else (*again, *self.begun(event, now_us), *self._ask(now_us))
+        )
 
     def shut(self, event: object, now_us: int) -> Actions:
         """We act by the giver's word to this life, and it keeps nothing: it never can take it back."""
@@ -181,8 +218,14 @@
     def take(self, event: w.Pass, now_us: int) -> Actions:
         """One passed message at a time; one that was answered is answered alike, and an older one is over."""
         if event.number <= self.number:
-            return (self._passed(event.number, self.how, now_us),) if event.number == self.number else ()
-        if event.stamp_us < self.born_us:  # it may be one that we refused before the restart
+            return (
+                (self._passed(event.number, self.how, now_us),)
+                if event.number == self.number
+                else ()
+            )
+        if (
+            event.stamp_us < self.born_us
+        ):  # it may be one that we refused before the restart
             return (self._passed(event.number, "again", now_us),)
         if any(isinstance(r, w.Took) for r in self.records):
             return ()
@@ -203,7 +246,11 @@
         if self.sure and not self.records:
             return self._over(now_us)
         self._enter(State.TAIL, now_us)
-        return self.shut(event, now_us) if isinstance(event, w.End) else self.remind(event, now_us)
+        return (
+            self.shut(event, now_us)
+            if isinstance(event, w.End)
+            else self.remind(event, now_us)
+        )
 
     # Our lease
 
@@ -211,7 +258,11 @@
         self.life = event.life
         if self.state is State.COMMITTED and self.sure:
             return self._begin(now_us)
-        return self.hold(event, now_us) if self.state in (State.COPIED, State.COMMITTED) else ()
+        return (
+            self.hold(event, now_us)
+            if self.state in (State.COPIED, State.COMMITTED)
+            else ()
+        )
 
     def unlease(self, event: object, now_us: int) -> Actions:
         self.life = self.to = None
@@ -227,19 +278,45 @@
 
 
 _T = Taker
-_ANY: dict[type, Handler] = {s.Kept: _T.kept, s.NotKept: _T.unkept, s.LeaseLost: _T.unlease,
-                             s.LeaseBack: _T.lease}
+_ANY: dict[type, Handler] = {
+    s.Kept: _T.kept,
+    s.NotKept: _T.unkept,
+    s.LeaseLost: _T.unlease,
+    s.LeaseBack: _T.lease,
+}
 _DOUBT: dict[type, Handler] = {
-    **_ANY, w.Commit: _T.commit, w.Closed: _T.own, w.Forgot: _T.orphan, s.Verdict: _T.judged, s.Due: _T.fail,
-    s.Retry: _T.ask, s.Timeout: _T.expire}
+    **_ANY,
+    w.Commit: _T.commit,
+    w.Closed: _T.own,
+    w.Forgot: _T.orphan,
+    s.Verdict: _T.judged,
+    s.Due: _T.fail,
+    s.Retry: _T.ask,
+    s.Timeout: _T.expire,
+}
 TABLE: dict[State, dict[type, Handler]] = {
-    State.OFFERED: {**_ANY, **dict.fromkeys((w.No, s.Timeout, s.LinkLost, s.Drain), _T.release),
-                    w.Offer: _T.accept, w.Copy: _T.collect, w.Drop: _T.drop},
+    State.OFFERED: {
+        **_ANY,
+        **dict.fromkeys((w.No, s.Timeout, s.LinkLost, s.Drain), _T.release),
+        w.Offer: _T.accept,
+        w.Copy: _T.collect,
+        w.Drop: _T.drop,
+    },
     State.COPIED: {**_DOUBT, w.Copy: _T.hold, w.Drop: _T.drop, s.Drain: _T.plead},
     State.COMMITTED: _DOUBT,
-    State.TAIL: {**_ANY, s.LeaseLost: _T.stop, w.Commit: _T.begun, w.Drop: _T.begun, w.Closed: _T.shut,
-                 w.Forgot: _T.shut, w.Pass: _T.take, w.End: _T.end, s.Verdict: _T.judged,
-                 s.Retry: _T.remind, s.Timeout: _T.end},
+    State.TAIL: {
+        **_ANY,
+        s.LeaseLost: _T.stop,
+        w.Commit: _T.begun,
+        w.Drop: _T.begun,
+        w.Closed: _T.shut,
+        w.Forgot: _T.shut,
+        w.Pass: _T.take,
+        w.End: _T.end,
+        s.Verdict: _T.judged,
+        s.Retry: _T.remind,
+        s.Timeout: _T.end,
+    },
     State.DONE: {},
     State.ABORTED: {**_ANY, w.Drop: _T.drop, s.Retry: _T.rewrite},
 }
--- a/lemonshunt/session/waiting.py
+++ b/lemonshunt/session/waiting.py
@@ -37,7 +37,10 @@
 
     def wait(self, event: Arrived, now_us: int) -> Actions:
         size = sum(m.item.size for m in self.waiting) + event.item.size
-        if len(self.waiting) >= self.limits.hold_messages or size > self.limits.hold_bytes:
+        if (
+            len(self.waiting) >= self.limits.hold_messages
+            or size > self.limits.hold_bytes
+        ):
             return self.refuse(event, now_us)
         self.waiting, self.last = (*self.waiting, event), False
         return self._pump(now_us) if self.state is State.TAIL else ()
@@ -55,9 +58,15 @@
         """Whoever has waited `hold_us` is refused, before its client leaves; one passed on cannot be."""
         late = {m for m in self.waiting if now_us - m.at_us >= self.limits.hold_us}
         self.waiting = tuple(m for m in self.waiting if m not in late)
-        if self.passing is not None and now_us - self.passing.at_us >= self.limits.hold_us:
+        if (
+            self.passing is not None
+            and now_us - self.passing.at_us >= self.limits.hold_us
+        ):
             self.passing = None
-        return tuple(s.Refuse(m.item.id, self.limits.refuse_us) for m in sorted(late, key=lambda m: m.at_us))
+        return tuple(
+            s.Refuse(m.item.id, self.limits.refuse_us)
+            for m in sorted(late, key=lambda m: m.at_us)
+        )
 
     # The tail: one message at a time is passed on, so that none overtakes another.
 
@@ -78,11 +87,19 @@
         return (s.Send(w.Pass(self.hand, self.stamp_us, self.number, until_us, item)),)
 
     def passed(self, event: w.Passed, now_us: int) -> Actions:
-        if event.number != self.number or self.passing is None or event.stamp_us < self.stamp_us:
+        if (
+            event.number != self.number
+            or self.passing is None
+            or event.stamp_us < self.stamp_us
+        ):
             return ()  # the last: said before a restart, after which it may be taken all the same
         self.stamp_us, self.heard_us = event.stamp_us, now_us
         if event.how == "again":
             return self._pass(now_us)
         name, self.passing = self.passing.item.id, None
-        told = s.Answer(name) if event.how == "taken" else s.Refuse(name, self.limits.refuse_us)
+        told = (
+            s.Answer(name)
+            if event.how == "taken"
+            else s.Refuse(name, self.limits.refuse_us)
+        )
         return told, *self._pump(now_us)
--- a/lemonshunt/session/where.py
+++ b/lemonshunt/session/where.py
@@ -37,7 +37,9 @@
             self.notes.popitem(last=False)
         return True
 
-    def route(self, key: str, by_map: str | None, came: tuple[str, ...], now_us: int) -> str | None:
+    def route(
+        self, key: str, by_map: str | None, came: tuple[str, ...], now_us: int
+    ) -> str | None:
         """The forwarder to go on to (our own name: take it on here), or None: refuse it 503, with nothing
         taken on. `came`: who passed it on until here, first first; nobody is asked twice."""
         note = self.notes.get(key)
--- a/lemonshunt/session/words.py
+++ b/lemonshunt/session/words.py
@@ -68,7 +68,9 @@
     """With its times by our clock, in which `stamp_us` was given. The stamp was heard later than it was
     given, so no time comes out later than it truly is; the drift of two clocks is taken off as well."""
     ran = None if item.ran_us is None else our_time(item.ran_us, stamp_us, drift)
-    return msgspec.structs.replace(item, due_us=our_time(item.due_us, stamp_us, drift), ran_us=ran)
+    return msgspec.structs.replace(
+        item, due_us=our_time(item.due_us, stamp_us, drift), ran_us=ran
+    )
 
 
 def our_time(told_us: int, stamp_us: int, drift: float) -> int:
--- a/lemonshunt/shard/__main__.py
+++ b/lemonshunt/shard/__main__.py
@@ -32,7 +32,9 @@
     except OSError as error:
         raise Unreadable(f"cannot read {_shown(path)}: {error.strerror}") from None
     except ValueError:  # a NUL in the name
-        raise Unreadable(f"cannot read {_shown(path)}: no file can have that name") from None
+        raise Unreadable(
+            f"cannot read {_shown(path)}: no file can have that name"
+        ) from None
 
 
 def read_object(path: str) -> dict[str, Any]:
@@ -53,16 +55,24 @@
     """What to compare with. Gaps and overlaps are let pass (a new map may be the mend), its form is not."""
     faults, generation, alone = look(read_object(path))
     if bad := [f for f in faults if f.kind in ("malformed", "inverted")]:
-        raise Unreadable(f"cannot read {_shown(path)} as the old map: {bad[0]}"
-                         + (f" and {len(bad) - 1} more faults" if len(bad) > 1 else ""))
+        raise Unreadable(
+            f"cannot read {_shown(path)} as the old map: {bad[0]}"
+            + (f" and {len(bad) - 1} more faults" if len(bad) > 1 else "")
+        )
     return Old(generation, alone)
 
 
 def read_figures(given: str) -> dict[str, float]:
     """A JSON object of numbers, in a file or as it stands: weights by member, loads by range."""
-    raw = decode(given.encode()) if given.lstrip().startswith("{") else read_object(given)
-    if isinstance(raw, Doubled) or not all(type(n) in (int, float) for n in raw.values()):
-        raise Unreadable(f"{_shown(given)} is no JSON object of numbers, each name once")
+    raw = (
+        decode(given.encode()) if given.lstrip().startswith("{") else read_object(given)
+    )
+    if isinstance(raw, Doubled) or not all(
+        type(n) in (int, float) for n in raw.values()
+    ):
+        raise Unreadable(
+            f"{_shown(given)} is no JSON object of numbers, each name once"
+        )
     return dict(raw)
 
 
@@ -81,7 +91,9 @@
     faults, generation, alone = look(raw, members, old, args.most_moved)
     if faults:
         return tell(faults)
-    return SOUND, [f"{len(alone)} ranges, {len({a[2] for a in alone})} owners, generation {generation}"]
+    return SOUND, [
+        f"{len(alone)} ranges, {len({a[2] for a in alone})} owners, generation {generation}"
+    ]
 
 
 def run_plan(args: argparse.Namespace) -> Told:
@@ -96,13 +108,19 @@
         if faults := look(raw)[0]:
             return tell(faults)
         old = checked(raw)
-    loads = {span_from(name): load for name, load in read_figures(args.load).items()} if args.load else None
+    loads = (
+        {span_from(name): load for name, load in read_figures(args.load).items()}
+        if args.load
+        else None
+    )
     done = plan(weights, old, loads, args.most_ranges)
     write(Path(args.out), done.map.text())
     new = done.map
-    return SOUND, [f"{len(new.ranges)} ranges, {len(new.owners())} owners, generation {new.generation}; "
-                   f"{done.moved} keys move ({done.moved / 2**64:.2%})"
-                   + ("" if loads else f", {done.least} at the least")]
+    return SOUND, [
+        f"{len(new.ranges)} ranges, {len(new.owners())} owners, generation {new.generation}; "
+        f"{done.moved} keys move ({done.moved / 2**64:.2%})"
+        + ("" if loads else f", {done.least} at the least")
+    ]
 
 
 def write(path: Path, text: str) -> None:
@@ -116,7 +134,9 @@
         beside.replace(path)
     except OSError as error:
         beside.unlink(missing_ok=True)
-        raise Unreadable(f"cannot write {_shown(str(path))}: {error.strerror}") from None
+        raise Unreadable(
+            f"cannot write {_shown(str(path))}: {error.strerror}"
+        ) from None
 
 
 def tell(faults: list[Fault]) -> Told:
@@ -124,8 +144,13 @@
 
 
 def _share(text: str) -> Fraction:
-    if not re.fullmatch(r"\d?\.\d{1,18}|\d\.?", text, re.ASCII) or Fraction(text.rstrip(".")) > 1:
-        raise argparse.ArgumentTypeError(f"{text!r} is no part from 0 to 1, such as 0.25")
+    if (
+        not re.fullmatch(r"\d?\.\d{1,18}|\d\.?", text, re.ASCII)
+        or Fraction(text.rstrip(".")) > 1
+    ):
+        raise argparse.ArgumentTypeError(
+            f"{text!r} is no part from 0 to 1, such as 0.25"
+        )
     return Fraction(text.rstrip("."))
 
 
@@ -141,23 +166,48 @@
     subs = ask.add_subparsers(required=True, metavar="check|plan")
     sub = subs.add_parser("check", help="every key exactly once, no gaps")
     sub.add_argument("map", metavar="MAP")
-    sub.add_argument("--members", metavar="FILE", help="a JSON array of names: who may own a range")
-    sub.add_argument("--against", metavar="OLD", help="the map in force: the new generation is above its")
-    sub.add_argument("--most-moved", metavar="PART", type=_share, default=MOST_MOVED,
-                     help="of the keys that may change their owner against OLD (default 0.5)")
+    sub.add_argument(
+        "--members", metavar="FILE", help="a JSON array of names: who may own a range"
+    )
+    sub.add_argument(
+        "--against",
+        metavar="OLD",
+        help="the map in force: the new generation is above its",
+    )
+    sub.add_argument(
+        "--most-moved",
+        metavar="PART",
+        type=_share,
+        default=MOST_MOVED,
+        help="of the keys that may change their owner against OLD (default 0.5)",
+    )
     sub.set_defaults(run=run_check)
     sub = subs.add_parser("plan", help="a new map that moves the fewest keys")
-    sub.add_argument("--members", metavar="FILE", required=True, help="a JSON array of names")
-    sub.add_argument("--from", dest="old", metavar="MAP", help="the map in force (without: the first map)")
-    sub.add_argument("--weights", metavar="FILE|JSON", help='such as {"n1": 2.0}; 1 where not named')
-    sub.add_argument("--load", metavar="FILE|JSON", help='by range of MAP, such as {"FROM-TO": 12.5}')
+    sub.add_argument(
+        "--members", metavar="FILE", required=True, help="a JSON array of names"
+    )
+    sub.add_argument(
+        "--from",
+        dest="old",
+        metavar="MAP",
+        help="the map in force (without: the first map)",
+    )
+    sub.add_argument(
+        "--weights", metavar="FILE|JSON", help='such as {"n1": 2.0}; 1 where not named'
+    )
+    sub.add_argument(
+        "--load", metavar="FILE|JSON", help='by range of MAP, such as {"FROM-TO": 12.5}'
+    )
     sub.add_argument("--most-ranges", metavar="N", type=_count, default=MOST_RANGES)
     sub.add_argument("--out", metavar="FILE", required=True)
     sub.set_defaults(run=run_plan)
     args = ask.parse_args(argv)
     try:
         verdict, lines = args.run(args)
-    except (Unreadable, ValueError) as error:  # BadPlan, and a range in a file of loads, are ValueErrors
+    except (
+        Unreadable,
+        ValueError,
+    ) as error:  # BadPlan, and a range in a file of loads, are ValueErrors
         print(f"shard: {error}", file=sys.stderr)
         return UNREADABLE
     try:
--- a/lemonshunt/shard/auto.py
+++ b/lemonshunt/shard/auto.py
@@ -55,16 +55,26 @@
             known.swings += weight is not None and known.weight is None
             known.weight, known.since_us = weight, now_us
         for name, known in list(self.seen.items()):
-            if known.weight is None and now_us - known.since_us >= self.pauses.forget_us:
+            if (
+                known.weight is None
+                and now_us - known.since_us >= self.pauses.forget_us
+            ):
                 del self.seen[name]
 
-    def wanted(self, owners: Mapping[str, float], now_us: int, leading: bool,
-               held: bool) -> dict[str, float] | None:
+    def wanted(
+        self, owners: Mapping[str, float], now_us: int, leading: bool, held: bool
+    ) -> dict[str, float] | None:
         """Members and weights to plan for now; None: nothing to do yet. `owners`: those that the map in force
         was planned for. `leading`: this process holds `shard-planner`. `held`: the guard against mass loss
         holds everything fleet-wide as it is."""
         due = self._due(owners)
-        if not leading or held or not due or now_us < self._free_us() or min(due.values()) > now_us:
+        if (
+            not leading
+            or held
+            or not due
+            or now_us < self._free_us()
+            or min(due.values()) > now_us
+        ):
             return None
         # Only what has stayed long enough changes; the rest stays as planned and has its turn later.
         target = dict(owners)
@@ -88,7 +98,9 @@
         return max(min(due.values()), self._free_us()) if due else None
 
     def _free_us(self) -> int:
-        return 0 if self.planned_us is None else self.planned_us + self.pauses.between_us
+        return (
+            0 if self.planned_us is None else self.planned_us + self.pauses.between_us
+        )
 
     def _due(self, owners: Mapping[str, float]) -> dict[str, int]:
         """When each change that the map does not have yet has lasted long enough."""
@@ -103,5 +115,7 @@
                 due[name] = self.began_us + self.pauses.gone_us
                 continue
             pause = self.pauses.gone_us if known.weight is None else self.pauses.come_us
-            due[name] = known.since_us + min(pause << min(known.swings, 30), self.pauses.most_us)
+            due[name] = known.since_us + min(
+                pause << min(known.swings, 30), self.pauses.most_us
+            )
         return due
--- a/lemonshunt/shard/check.py
+++ b/lemonshunt/shard/check.py
@@ -15,9 +15,25 @@
 from typing import Any
 
 from lemonshunt.shard.cover import Entry, cover
-from lemonshunt.shard.maps import BITS, MOST_GENERATION, Doubled, Range, ShardMap, key_from, span_text
-
-KINDS = ("malformed", "inverted", "unknown-owner", "gap", "overlap", "stale-generation", "moves-too-much")
+from lemonshunt.shard.maps import (
+    BITS,
+    MOST_GENERATION,
+    Doubled,
+    Range,
+    ShardMap,
+    key_from,
+    span_text,
+)
+
+KINDS = (
+    "malformed",
+    "inverted",
+    "unknown-owner",
+    "gap",
+    "overlap",
+    "stale-generation",
+    "moves-too-much",
+)
 MOST_MOVED = Fraction(1, 2)
 NAMED = 1_000_000  # entries named in all overlaps of one check; past that each names the first few
 FEW = 16
@@ -50,8 +66,13 @@
 """Keys that one entry alone covers: first, last, owner, index."""
 
 
-def check(raw: Any, members: Collection[str] | None = None, against: ShardMap | None = None,
-          most_moved: Fraction | None = MOST_MOVED, bits: int = BITS) -> list[Fault]:
+def check(
+    raw: Any,
+    members: Collection[str] | None = None,
+    against: ShardMap | None = None,
+    most_moved: Fraction | None = MOST_MOVED,
+    bits: int = BITS,
+) -> list[Fault]:
     """All faults of the map that `raw`, a decoded JSON value, holds; none: it may come into force.
 
     `members`: who may own a range. `against`: the map in force; the new one's generation is above its, and at
@@ -60,8 +81,13 @@
     return look(raw, members, _old(against), most_moved, bits)[0]
 
 
-def checked(raw: Any, members: Collection[str] | None = None, against: ShardMap | None = None,
-            most_moved: Fraction | None = MOST_MOVED, bits: int = BITS) -> ShardMap:
+def checked(
+    raw: Any,
+    members: Collection[str] | None = None,
+    against: ShardMap | None = None,
+    most_moved: Fraction | None = MOST_MOVED,
+    bits: int = BITS,
+) -> ShardMap:
     """The map that `raw` holds; Faulty with all faults where it has any."""
     faults, generation, alone = look(raw, members, _old(against), most_moved, bits)
     if faults:
@@ -69,13 +95,22 @@
     return ShardMap(generation, tuple(Range(*a[:3]) for a in alone), bits)
 
 
-def judged(raw: Any, members: Collection[str] | None, against: ShardMap | None, most_moved: Fraction | None,
-           bits: int) -> tuple[ShardMap | None, list[Fault]]:
+def judged(
+    raw: Any,
+    members: Collection[str] | None,
+    against: ShardMap | None,
+    most_moved: Fraction | None,
+    bits: int,
+) -> tuple[ShardMap | None, list[Fault]]:
     """The map to put in force and its faults. Neither where it is the very one in force."""
     old = _old(against)
     faults, generation, alone = look(raw, members, old, most_moved, bits)
-    if (old is not None and generation == old.generation and [f.kind for f in faults] == ["stale-generation"]
-            and joined(alone) == joined(old.alone)):
+    if (
+        old is not None
+        and generation == old.generation
+        and [f.kind for f in faults] == ["stale-generation"]
+        and joined(alone) == joined(old.alone)
+    ):
         return None, []
     if faults:
         return None, faults
@@ -92,15 +127,23 @@
 
     @staticmethod
     def of(old: ShardMap) -> Old:
-        return Old(old.generation, [(r.first, r.last, r.owner, n) for n, r in enumerate(old.ranges)])
+        return Old(
+            old.generation,
+            [(r.first, r.last, r.owner, n) for n, r in enumerate(old.ranges)],
+        )
 
 
 def _old(against: ShardMap | None) -> Old | None:
     return None if against is None else Old.of(against)
 
 
-def look(raw: Any, members: Collection[str] | None = None, old: Old | None = None,
-         most_moved: Fraction | None = MOST_MOVED, bits: int = BITS) -> tuple[list[Fault], int, list[Alone]]:
+def look(
+    raw: Any,
+    members: Collection[str] | None = None,
+    old: Old | None = None,
+    most_moved: Fraction | None = MOST_MOVED,
+    bits: int = BITS,
+) -> tuple[list[Fault], int, list[Alone]]:
     """The faults, the generation (-1 where it has none), and what exactly one entry covers, in order."""
     if not isinstance(raw, dict):
         return [Fault("malformed", f"map: {_quoted(raw)} is no JSON object")], -1, []
@@ -112,18 +155,40 @@
     for index, entry in enumerate(listed if type(listed) is list else ()):
         told = _entry(entry, bits)
         if isinstance(told, str):
-            bad.append(Fault("malformed", told.replace("entry", f"entry {index}", 1), entries=(index,)))
+            bad.append(
+                Fault(
+                    "malformed",
+                    told.replace("entry", f"entry {index}", 1),
+                    entries=(index,),
+                )
+            )
             continue
         first, last, owner = told
         if first <= last:
             sound.append((first, last, index))
             owners[index] = owner
         else:
-            inverted.append(Fault("inverted", f"{span_text(first, last, bits)}: entry {index} ends before it "
-                                  "begins", first, last, (index,)))
+            inverted.append(
+                Fault(
+                    "inverted",
+                    f"{span_text(first, last, bits)}: entry {index} ends before it "
+                    "begins",
+                    first,
+                    last,
+                    (index,),
+                )
+            )
         if known is not None and owner not in known:
-            strangers.append(Fault("unknown-owner", f"{span_text(first, last, bits)}: entry {index} names "
-                                   f"{_quoted(owner)}, which is no member", first, last, (index,)))
+            strangers.append(
+                Fault(
+                    "unknown-owner",
+                    f"{span_text(first, last, bits)}: entry {index} names "
+                    f"{_quoted(owner)}, which is no member",
+                    first,
+                    last,
+                    (index,),
+                )
+            )
     holes, alone = _cover(sound, owners, bits)
     generation: int = raw["generation"] if _is_generation(raw.get("generation")) else -1
     faults = [*shapes, *bad, *inverted, *strangers, *holes]
@@ -155,11 +220,17 @@
 
 def _shape(raw: dict[str, Any]) -> Iterator[Fault]:
     if isinstance(raw, Doubled):
-        yield Fault("malformed", f"map: twice the same field: {_names(raw.twice)} (the last is judged)")
+        yield Fault(
+            "malformed",
+            f"map: twice the same field: {_names(raw.twice)} (the last is judged)",
+        )
     if "generation" not in raw:
         yield Fault("malformed", "generation: it is missing")
     elif not _is_generation(raw["generation"]):
-        yield Fault("malformed", f"generation: {_quoted(raw['generation'])} is no whole number below 2**63")
+        yield Fault(
+            "malformed",
+            f"generation: {_quoted(raw['generation'])} is no whole number below 2**63",
+        )
     if "ranges" not in raw:
         yield Fault("malformed", "ranges: they are missing")
     elif type(raw["ranges"]) is not list:
@@ -171,8 +242,18 @@
 def _entry(raw: Any, bits: int) -> tuple[int, int, str] | str:
     """A sound entry's ends and owner, or all that is wrong with its form in one line."""
     if type(raw) is dict and len(raw) == 3:
-        first, last, owner = key_from(raw.get("from"), bits), key_from(raw.get("to"), bits), raw.get("owner")
-        if first is not None and last is not None and type(owner) is str and owner and owner.isprintable():
+        first, last, owner = (
+            key_from(raw.get("from"), bits),
+            key_from(raw.get("to"), bits),
+            raw.get("owner"),
+        )
+        if (
+            first is not None
+            and last is not None
+            and type(owner) is str
+            and owner
+            and owner.isprintable()
+        ):
             return first, last, owner
     if not isinstance(raw, dict):
         return f"entry: {_quoted(raw)} is no object"
@@ -184,8 +265,12 @@
         wrong.append(f"a field of unknown name: {_names(others)}")
     for name in ("from", "to"):
         if name in raw and key_from(raw[name], bits) is None:
-            wrong.append(f'"{name}" {_quoted(raw[name])} is not {bits // 4} lower-case hexadecimal digits')
-    if "owner" in raw and not (type(raw["owner"]) is str and raw["owner"] and raw["owner"].isprintable()):
+            wrong.append(
+                f'"{name}" {_quoted(raw[name])} is not {bits // 4} lower-case hexadecimal digits'
+            )
+    if "owner" in raw and not (
+        type(raw["owner"]) is str and raw["owner"] and raw["owner"].isprintable()
+    ):
         wrong.append(f'"owner" {_quoted(raw["owner"])} is no name')
     ends = [f"{name} {_quoted(raw[name])}" for name in ("from", "to") if name in raw]
     return f"entry ({' '.join(ends)}): " + "; ".join(wrong)
@@ -194,7 +279,9 @@
 # -- the keys ------------------------------------------------------------------------------------
 
 
-def _cover(sound: list[Entry], owners: dict[int, str], bits: int) -> tuple[list[Fault], list[Alone]]:
+def _cover(
+    sound: list[Entry], owners: dict[int, str], bits: int
+) -> tuple[list[Fault], list[Alone]]:
     faults: list[Fault] = []
     alone: list[Alone] = []
     left = NAMED
@@ -213,9 +300,17 @@
             named = tuple(indexes if len(indexes) <= left else indexes[:FEW])
             left -= len(named)
             more = len(indexes) - len(named)
-            faults.append(Fault("overlap", f"{span_text(first, last, bits)}: entries "
-                                f"{', '.join(map(str, named))}{f' and {more} more' if more else ''} cover it",
-                                first, last, named, more))
+            faults.append(
+                Fault(
+                    "overlap",
+                    f"{span_text(first, last, bits)}: entries "
+                    f"{', '.join(map(str, named))}{f' and {more} more' if more else ''} cover it",
+                    first,
+                    last,
+                    named,
+                    more,
+                )
+            )
         before = indexes[0]
     if gap:
         faults.append(_gap(*gap, before, -1, bits))
@@ -224,10 +319,22 @@
 
 def _gap(first: int, last: int, before: int, after: int, bits: int) -> Fault:
     beside = tuple(index for index in (before, after) if index >= 0)
-    where = (f"between entries {before} and {after}" if len(beside) == 2 else
-             f"before entry {after}" if after >= 0 else
-             f"after entry {before}" if before >= 0 else "there is no sound entry")
-    return Fault("gap", f"{span_text(first, last, bits)}: no entry covers it, {where}", first, last, beside)
+    where = (
+        f"between entries {before} and {after}"
+        if len(beside) == 2
+        else f"before entry {after}"
+        if after >= 0
+        else f"after entry {before}"
+        if before >= 0
+        else "there is no sound entry"
+    )
+    return Fault(
+        "gap",
+        f"{span_text(first, last, bits)}: no entry covers it, {where}",
+        first,
+        last,
+        beside,
+    )
 
 
 # -- against the map before ------------------------------------------------------------------------
@@ -254,7 +361,9 @@
     return out
 
 
-def changes(alone: list[Alone], old: list[Alone]) -> Iterator[tuple[int, int, str, int]]:
+def changes(
+    alone: list[Alone], old: list[Alone]
+) -> Iterator[tuple[int, int, str, int]]:
     """Stretches whose owner changes: first, last, the old owner, the new entry's index."""
     n = 0
     for first, last, owner, index in alone:
@@ -267,16 +376,27 @@
             at += 1
 
 
-def _moves(alone: list[Alone], old: Old, known: frozenset[str] | None, most: Fraction,
-           bits: int) -> Iterator[Fault]:
+def _moves(
+    alone: list[Alone],
+    old: Old,
+    known: frozenset[str] | None,
+    most: Fraction,
+    bits: int,
+) -> Iterator[Fault]:
     moved = [c for c in changes(alone, old.alone) if known is None or c[2] in known]
     keys = sum(last - first + 1 for first, last, _, _ in moved)
     if keys > most * (1 << bits):
         entries = tuple(sorted({index for _, _, _, index in moved}))
         first, last = moved[0][0], moved[-1][1]
-        yield Fault("moves-too-much", f"{span_text(first, last, bits)}: {keys} keys change their owner, "
-                    f"{keys / (1 << bits):.2%} of the space, more than {float(most):.2%}: entries "
-                    f"{', '.join(map(str, entries))}", first, last, entries)
+        yield Fault(
+            "moves-too-much",
+            f"{span_text(first, last, bits)}: {keys} keys change their owner, "
+            f"{keys / (1 << bits):.2%} of the space, more than {float(most):.2%}: entries "
+            f"{', '.join(map(str, entries))}",
+            first,
+            last,
+            entries,
+        )
 
 
 def moved_keys(new: ShardMap, old: ShardMap) -> int:
--- a/lemonshunt/shard/cover.py
+++ b/lemonshunt/shard/cover.py
@@ -9,7 +9,9 @@
 """First key, last key (not below the first), and the entry's index in the file."""
 
 
-def cover(entries: Sequence[Entry], top: int) -> Iterator[tuple[int, int, Sequence[int]]]:
+def cover(
+    entries: Sequence[Entry], top: int
+) -> Iterator[tuple[int, int, Sequence[int]]]:
     """The whole space from 0 to `top`, in order, cut wherever the set of entries that cover a key changes:
     (first, last, their indexes in order). No index: a gap. More than one: an overlap, named once.
 
--- a/lemonshunt/shard/maps.py
+++ b/lemonshunt/shard/maps.py
@@ -44,7 +44,11 @@
 def key_from(text: Any, bits: int = BITS) -> int | None:
     """The key that exactly `bits / 4` lower-case hexadecimal digits name; None for anything else."""
     # int() alone would also take 0x, signs, spaces and underscores; strip finds any other character.
-    if type(text) is str and len(text) == bits // 4 and not text.strip("0123456789abcdef"):
+    if (
+        type(text) is str
+        and len(text) == bits // 4
+        and not text.strip("0123456789abcdef")
+    ):
         return int(text, 16)
     return None
 
@@ -54,7 +58,9 @@
     first, dash, last = text.partition("-") if type(text) is str else ("", "", "")
     ends = key_from(first, bits), key_from(last, bits)
     if not dash or ends[0] is None or ends[1] is None or ends[0] > ends[1]:
-        raise ValueError(f"a range is FROM-TO, {bits // 4} lower-case hexadecimal digits each, not inverted")
+        raise ValueError(
+            f"a range is FROM-TO, {bits // 4} lower-case hexadecimal digits each, not inverted"
+        )
     return ends[0], ends[1]
 
 
@@ -80,7 +86,9 @@
     ranges: tuple[Range, ...]
     bits: int = BITS
     firsts: tuple[int, ...] = field(init=False, repr=False, compare=False)
-    _digest: list[int] = field(default_factory=list, init=False, repr=False, compare=False)
+    _digest: list[int] = field(
+        default_factory=list, init=False, repr=False, compare=False
+    )
 
     def __post_init__(self) -> None:
         object.__setattr__(self, "firsts", tuple(r.first for r in self.ranges))
@@ -97,13 +105,23 @@
 
     def over(self, first: int, last: int) -> Sequence[Range]:
         """The ranges that hold any key from `first` to `last`."""
-        return self.ranges[bisect_right(self.firsts, first) - 1:bisect_right(self.firsts, last)]
+        return self.ranges[
+            bisect_right(self.firsts, first) - 1 : bisect_right(self.firsts, last)
+        ]
 
     def told(self) -> dict[str, Any]:
         """As JSON holds it, the ranges in order of their keys."""
-        return {"generation": self.generation, "ranges": [
-            {"from": hexed(r.first, self.bits), "to": hexed(r.last, self.bits), "owner": r.owner}
-            for r in self.ranges]}
+        return {
+            "generation": self.generation,
+            "ranges": [
+                {
+                    "from": hexed(r.first, self.bits),
+                    "to": hexed(r.last, self.bits),
+                    "owner": r.owner,
+                }
+                for r in self.ranges
+            ],
+        }
 
     def text(self) -> str:
         """The file: one range a line, so that two maps can be compared by eye and by diff."""
@@ -117,7 +135,9 @@
             for r in self.ranges:
                 if not rows or rows[-1][1] != r.owner:
                     rows.append((r.first, r.owner))
-            self._digest.append(xxhash.xxh3_64_intdigest(json.dumps([self.generation, rows]).encode()))
+            self._digest.append(
+                xxhash.xxh3_64_intdigest(json.dumps([self.generation, rows]).encode())
+            )
         return self._digest[0]
 
 
@@ -148,8 +168,12 @@
 def decode(data: bytes) -> Any:
     """JSON, strictly, with doubled fields kept as `Doubled`. Unreadable where it is not JSON."""
     try:
-        return json.loads(data.decode(), object_pairs_hook=_object, parse_int=_whole,
-                          parse_constant=_constant)
+        return json.loads(
+            data.decode(),
+            object_pairs_hook=_object,
+            parse_int=_whole,
+            parse_constant=_constant,
+        )
     except UnicodeDecodeError as error:
         raise Unreadable(f"not UTF-8 at byte {error.start}") from None
     except ValueError as error:
--- a/lemonshunt/shard/model.py
+++ b/lemonshunt/shard/model.py
@@ -35,7 +35,11 @@
         for holder in self.holders.values():
             mine = [(r.first, r.last) for r in new.ranges if r.owner == holder.name]
             held = [(h.first, h.last) for h in holder.holds]
-            holder.holds = [part for h in holder.holds for part in h.cut(both([(h.first, h.last)], mine))]
+            holder.holds = [
+                part
+                for h in holder.holds
+                for part in h.cut(both([(h.first, h.last)], mine))
+            ]
             kept = [(h.first, h.last) for h in holder.holds]
             self._release([span for span in held if span not in kept])
 
@@ -81,19 +85,42 @@
 
     def fork(self) -> Fleet:
         """Shares the cores with this state: whoever changes one takes its own from `service` or `member`."""
-        return Fleet(self.moves, dict(self.members), dict(self.clocks), self.net, self.now, self.maps,
-                     self.incarnations, dict(self.left))
+        return Fleet(
+            self.moves,
+            dict(self.members),
+            dict(self.clocks),
+            self.net,
+            self.now,
+            self.maps,
+            self.incarnations,
+            dict(self.left),
+        )
 
     def service(self) -> Moves:
         m = self.moves
-        holders = {t: Holder(h.name, h.out_us, list(h.holds), h.sent) for t, h in m.holders.items()}
-        self.moves = type(m)(m.map, m.epoch, m.quiet_until_us, m.number, holders, dict(m.free), m.bits)
+        holders = {
+            t: Holder(h.name, h.out_us, list(h.holds), h.sent)
+            for t, h in m.holders.items()
+        }
+        self.moves = type(m)(
+            m.map, m.epoch, m.quiet_until_us, m.number, holders, dict(m.free), m.bits
+        )
         return self.moves
 
     def member(self, name: str) -> Owned:
         o = self.members[name]
-        self.members[name] = type(o)(o.name, o.map, o.incarnation, o.until_us, list(o.owns), o.sent, o.heard,
-                                     o.wanted, o.bits, list(o._firsts))
+        self.members[name] = type(o)(
+            o.name,
+            o.map,
+            o.incarnation,
+            o.until_us,
+            list(o.owns),
+            o.sent,
+            o.heard,
+            o.wanted,
+            o.bits,
+            list(o._firsts),
+        )
         return self.members[name]
 
     def spend(self, what: str) -> bool:
@@ -105,25 +132,58 @@
     """`maps`: the maps that come, one after another. `asked`: beats that each member may send. `past`: steps
     taken from the start before the search begins, to search deeper around them."""
 
-    def __init__(self, maps: Sequence[str] = MOVE_THERE_AND_BACK, asked: int | dict[str, int] = 3,
-                 ticks: int = 0, slow: int = 0, crashes: int = 0, restarts: int = 0, losses: int = 0,
-                 copies: int = 0, most: int = 2, past: Sequence[str] = (), bug: str = "") -> None:
+    def __init__(
+        self,
+        maps: Sequence[str] = MOVE_THERE_AND_BACK,
+        asked: int | dict[str, int] = 3,
+        ticks: int = 0,
+        slow: int = 0,
+        crashes: int = 0,
+        restarts: int = 0,
+        losses: int = 0,
+        copies: int = 0,
+        most: int = 2,
+        past: Sequence[str] = (),
+        bug: str = "",
+    ) -> None:
         assert not bug or bug in BUGS, bug
-        self.past, self.bug, self.net = past, bug, Net(most=most, losses=losses, copies=copies)
-        self.left = {"tick": ticks, "slow": slow, "crash": crashes, "join": crashes, "restart": restarts}
+        self.past, self.bug, self.net = (
+            past,
+            bug,
+            Net(most=most, losses=losses, copies=copies),
+        )
+        self.left = {
+            "tick": ticks,
+            "slow": slow,
+            "crash": crashes,
+            "join": crashes,
+            "restart": restarts,
+        }
         self.names = sorted(set("".join(maps)))
         asked = asked if isinstance(asked, dict) else dict.fromkeys(self.names, asked)
         self.left |= {f"beat {name}": asked[name] for name in self.names}
         half = 1 << (BITS - 1)
-        self.maps = [ShardMap(n + 1, tuple(Range(at * half, at * half + half - 1, owner)
-                                           for at, owner in enumerate(owners)), BITS)
-                     for n, owners in enumerate(maps)]
+        self.maps = [
+            ShardMap(
+                n + 1,
+                tuple(
+                    Range(at * half, at * half + half - 1, owner)
+                    for at, owner in enumerate(owners)
+                ),
+                BITS,
+            )
+            for n, owners in enumerate(maps)
+        ]
 
     def start(self) -> Fleet:
         """The first map is in force and all begun, and all leases were asked for and answered just now."""
-        moves = {"early": Early, "stale": Stale}.get(self.bug, Moves)(self.maps[0], 1, bits=BITS)
+        moves = {"early": Early, "stale": Stale}.get(self.bug, Moves)(
+            self.maps[0], 1, bits=BITS
+        )
         owned = {"unfrozen": Unfrozen, "unsaid": Unsaid}.get(self.bug, Owned)
-        fleet = Fleet(moves, {}, {}, Net(), left={f"beat {name}": 1 for name in self.names})
+        fleet = Fleet(
+            moves, {}, {}, Net(), left={f"beat {name}": 1 for name in self.names}
+        )
         for name in self.names:
             fleet.members[name] = owned(name, bits=BITS)
             fleet.clocks[name] = 0
@@ -184,7 +244,10 @@
             if member.frozen():
                 yield f"{name} drained", partial(self._drain, name=name)
             for n in range(member.map.generation if member.map else 0, state.maps):
-                yield f"{name} adopts map {n + 1}", partial(self._adopt, name=name, number=n)
+                yield (
+                    f"{name} adopts map {n + 1}",
+                    partial(self._adopt, name=name, number=n),
+                )
 
     def _next_map(self, s: Fleet) -> bool:
         s.service().put(self.maps[s.maps])
@@ -199,8 +262,12 @@
         return s.spend("tick") and (not stands or s.spend("slow"))
 
     def _restart(self, s: Fleet) -> bool:
-        again = Moves.of(s.moves.told(), s.moves.epoch, s.now + self._margin(), bits=BITS)
-        s.moves = type(s.moves)(again.map, again.epoch, 0, again.number, again.holders, again.free, BITS)
+        again = Moves.of(
+            s.moves.told(), s.moves.epoch, s.now + self._margin(), bits=BITS
+        )
+        s.moves = type(s.moves)(
+            again.map, again.epoch, 0, again.number, again.holders, again.free, BITS
+        )
         return s.spend("restart")
 
     def _crash(self, s: Fleet, name: str) -> bool:
@@ -225,16 +292,31 @@
         if member.incarnation is None:
             return False
         word = member.word()
-        s.net = s.net.send((name, member.incarnation.number, word.sent, s.clocks[name], "asks",
-                            word.generation, word.digest, word.gave))
+        s.net = s.net.send(
+            (
+                name,
+                member.incarnation.number,
+                word.sent,
+                s.clocks[name],
+                "asks",
+                word.generation,
+                word.digest,
+                word.gave,
+            )
+        )
         return s.spend(f"beat {name}")
 
     def _arrive(self, s: Fleet, message: Any) -> None:
         name, number, sent, asked, kind, generation, *rest = message
         token = Token(1, number)
         if kind == "is told":
-            holds = [Hold(first, last, Token(1, n), begun) for first, last, n, begun in rest[0]]
-            s.member(name).answered(token, sent, generation, holds, asked + TTL - MARGIN)
+            holds = [
+                Hold(first, last, Token(1, n), begun)
+                for first, last, n, begun in rest[0]
+            ]
+            s.member(name).answered(
+                token, sent, generation, holds, asked + TTL - MARGIN
+            )
             return
         try:
             digest, gave = rest
@@ -243,7 +325,9 @@
             return
         s.moves.alive(token, name, s.now + self._margin())
         told = tuple((h.first, h.last, h.token.number, h.begun) for h in answer.holds)
-        s.net = s.net.send((name, number, sent, asked, "is told", answer.generation, told))
+        s.net = s.net.send(
+            (name, number, sent, asked, "is told", answer.generation, told)
+        )
 
     # -- what has to hold --------------------------------------------------------------------------
 
@@ -255,30 +339,54 @@
         for (a, who), (b, other) in zip(spans, spans[1:], strict=False):
             if b[0] <= a[1]:
                 return f"{who} and {other} both act on keys {b[0]:x} to {min(a[1], b[1]):x}"
-        held = [(h.first, h.last) for holder in state.moves.holders.values() for h in holder.holds]
+        held = [
+            (h.first, h.last)
+            for holder in state.moves.holders.values()
+            for h in holder.holds
+        ]
         free = [span for owned in state.moves.free.values() for span in owned]
         sizes = sum(last - first + 1 for first, last in held + free)
         if sizes != 1 << BITS or union(held + free) != [(0, (1 << BITS) - 1)]:
-            return "a key is held twice by the service's table, or neither held nor free"
+            return (
+                "a key is held twice by the service's table, or neither held nor free"
+            )
         return ""
 
     def key(self, state: Fleet) -> Hashable:
         """Times as what is left of them; a lease out is out, by however much."""
         moves = state.moves
         return (
-            moves.map.generation if moves.map else 0, moves.number,
-            tuple((t, h.name, max(0, h.out_us - state.now), tuple(h.holds), h.sent)
-                  for t, h in sorted(moves.holders.items())),
-            tuple((m.map.generation if m.map else 0, m.incarnation, max(0, m.until_us - state.clocks[n]),
-                   tuple(m.owns), m.sent, m.heard) for n, m in sorted(state.members.items())),
+            moves.map.generation if moves.map else 0,
+            moves.number,
+            tuple(
+                (t, h.name, max(0, h.out_us - state.now), tuple(h.holds), h.sent)
+                for t, h in sorted(moves.holders.items())
+            ),
+            tuple(
+                (
+                    m.map.generation if m.map else 0,
+                    m.incarnation,
+                    max(0, m.until_us - state.clocks[n]),
+                    tuple(m.owns),
+                    m.sent,
+                    m.heard,
+                )
+                for n, m in sorted(state.members.items())
+            ),
             tuple(self._message(state, message) for message in state.net.bag),
-            state.net.losses, state.net.copies, tuple(sorted(state.left.items())),
+            state.net.losses,
+            state.net.copies,
+            tuple(sorted(state.left.items())),
         )
 
     def _message(self, state: Fleet, message: Any) -> Hashable:
         """As it counts from here on: when it was asked by what the lease it brings has left."""
         name, _, _, asked, *_ = message
-        return (*message[:3], max(0, asked + TTL - MARGIN - state.clocks[name]), *message[4:])
+        return (
+            *message[:3],
+            max(0, asked + TTL - MARGIN - state.clocks[name]),
+            *message[4:],
+        )
 
 
 def _said(message: Any) -> str:
