--- a/lemonshunt/shard/moves.py
+++ b/lemonshunt/shard/moves.py
@@ -18,7 +18,9 @@
 from lemonshunt.shard.maps import BITS, MOST_GENERATION, ShardMap, hexed, key_from
 from lemonshunt.shard.spans import Span, both, minus, union
 
-MOST_AHEAD = 1 << 32  # a member's map is at most so far above the service's: no beat uses up all of them
+MOST_AHEAD = (
+    1 << 32
+)  # a member's map is at most so far above the service's: no beat uses up all of them
 
 
 class Fenced(Exception):
@@ -83,8 +85,12 @@
 
     # -- maps ------------------------------------------------------------------------------------
 
-    def write(self, raw: Any, members: Collection[str] | None = None,
-              most_moved: Fraction | None = MOST_MOVED) -> list[Fault]:
+    def write(
+        self,
+        raw: Any,
+        members: Collection[str] | None = None,
+        most_moved: Fraction | None = MOST_MOVED,
+    ) -> list[Fault]:
         """Put a map in force, as decoded from JSON. With any fault (422) the old one stays whole. The map in
         force, written again, is no fault and changes nothing. Has to be on disk before it is answered."""
         new, faults = judged(raw, members, self.map, most_moved, self.bits)
@@ -111,7 +117,9 @@
                 owned.setdefault("", []).append((first, last))
                 continue
             for r in self.map.over(first, last):
-                owned.setdefault(r.owner, []).append((max(first, r.first), min(last, r.last)))
+                owned.setdefault(r.owner, []).append(
+                    (max(first, r.first), min(last, r.last))
+                )
         for owner, more in owned.items():
             self.free[owner] = union([*self.free.get(owner, ()), *more])
 
@@ -138,8 +146,15 @@
         """When `expire` has something to do next."""
         return min((h.out_us for h in self.holders.values()), default=None)
 
-    def beat(self, token: Token, sent: int, generation: int, digest: int, gave: Iterable[Span],
-             now_us: int) -> Answer:
+    def beat(
+        self,
+        token: Token,
+        sent: int,
+        generation: int,
+        digest: int,
+        gave: Iterable[Span],
+        now_us: int,
+    ) -> Answer:
         """A member's word: the map it has (generation 0 where none) and its digest, and the keys that it does
         not act on, though it was told they are its own. Fenced, Late; ValueError where it cannot be."""
         current = self.map
@@ -153,12 +168,16 @@
         holder.sent = sent
         before = self.map, tuple(holder.holds)
         self._take_back(holder, generation, union(gave))
-        if current is not None and (generation > current.generation or (
-                generation == current.generation and digest != current.digest())):
+        if current is not None and (
+            generation > current.generation
+            or (generation == current.generation and digest != current.digest())
+        ):
             self._lift(generation)
         self._begin(token, holder, generation, now_us)
         after = self.map, tuple(holder.holds)
-        return Answer(0 if self.map is None else self.map.generation, after[1], after != before)
+        return Answer(
+            0 if self.map is None else self.map.generation, after[1], after != before
+        )
 
     def _take_back(self, holder: Holder, generation: int, gave: Sequence[Span]) -> None:
         """A give-up said under `generation` ends the holds that began before it, and none that began with it
@@ -179,28 +198,50 @@
     def counts(self, hold: Hold, generation: int) -> bool:
         return generation > hold.begun
 
-    def _begin(self, token: Token, holder: Holder, generation: int, now_us: int) -> None:
+    def _begin(
+        self, token: Token, holder: Holder, generation: int, now_us: int
+    ) -> None:
         """What is free and this member's by the map is now held by it, if it has the map. Of two
         incarnations of one name only the newest is given anything."""
-        if self.map is None or generation != self.map.generation or now_us < self.quiet_until_us:
+        if (
+            self.map is None
+            or generation != self.map.generation
+            or now_us < self.quiet_until_us
+        ):
             return
         if not self.free.get(holder.name) or any(
-                h.name == holder.name and t > token for t, h in self.holders.items()):
+            h.name == holder.name and t > token for t, h in self.holders.items()
+        ):
             return
         self.number += 1
         given = Token(self.epoch, self.number)
         spans = self.free.pop(holder.name)
-        holder.holds = sorted([*holder.holds, *(Hold(*span, given, generation) for span in spans)])
+        holder.holds = sorted(
+            [*holder.holds, *(Hold(*span, given, generation) for span in spans)]
+        )
 
     def moving(self) -> list[tuple[int, int, str, str]]:
         """For staff: keys that their owner in the map does not hold: first, last, who holds them ("" nobody),
         whose they are to be."""
-        out = [(first, last, "", owner) for owner, spans in self.free.items() for first, last in spans]
+        out = [
+            (first, last, "", owner)
+            for owner, spans in self.free.items()
+            for first, last in spans
+        ]
         for holder in self.holders.values():
             for hold in holder.holds:
-                for r in self.map.over(hold.first, hold.last) if self.map is not None else ():
+                for r in (
+                    self.map.over(hold.first, hold.last) if self.map is not None else ()
+                ):
                     if r.owner != holder.name:
-                        out.append((max(hold.first, r.first), min(hold.last, r.last), holder.name, r.owner))
+                        out.append(
+                            (
+                                max(hold.first, r.first),
+                                min(hold.last, r.last),
+                                holder.name,
+                                r.owner,
+                            )
+                        )
         return sorted(out)
 
     # -- on disk ---------------------------------------------------------------------------------
@@ -208,26 +249,55 @@
     def told(self) -> dict[str, Any]:
         """All that a restart needs, as JSON. What is free follows from it."""
         return {
-            "map": None if self.map is None else self.map.told(), "number": self.number,
-            "holders": [{"token": token.told(), "name": holder.name, "holds": [
-                [hexed(h.first, self.bits), hexed(h.last, self.bits), h.token.told(), h.begun]
-                for h in holder.holds]} for token, holder in sorted(self.holders.items())],
+            "map": None if self.map is None else self.map.told(),
+            "number": self.number,
+            "holders": [
+                {
+                    "token": token.told(),
+                    "name": holder.name,
+                    "holds": [
+                        [
+                            hexed(h.first, self.bits),
+                            hexed(h.last, self.bits),
+                            h.token.told(),
+                            h.begun,
+                        ]
+                        for h in holder.holds
+                    ],
+                }
+                for token, holder in sorted(self.holders.items())
+            ],
         }
 
     @staticmethod
-    def of(raw: Any, epoch: int, out_us: int, quiet_until_us: int = 0, bits: int = BITS) -> Moves:
+    def of(
+        raw: Any, epoch: int, out_us: int, quiet_until_us: int = 0, bits: int = BITS
+    ) -> Moves:
         """After a restart: each lease known counts as renewed just now, so it is out at `out_us` at the
         earliest. ValueError (Faulty among the causes) where `raw` is not what `told` gave."""
         try:
-            made = Moves(checked(raw["map"], bits=bits) if raw["map"] is not None else None, epoch,
-                         quiet_until_us, int(raw["number"]), bits=bits)
+            made = Moves(
+                checked(raw["map"], bits=bits) if raw["map"] is not None else None,
+                epoch,
+                quiet_until_us,
+                int(raw["number"]),
+                bits=bits,
+            )
             held: list[Span] = []
             for row in raw["holders"]:
-                holds = [Hold(_key(first, bits), _key(last, bits), Token.of(token), int(begun))
-                         for first, last, token, begun in row["holds"]]
-                made.holders[Token.of(row["token"])] = Holder(str(row["name"]), out_us, sorted(holds))
+                holds = [
+                    Hold(
+                        _key(first, bits), _key(last, bits), Token.of(token), int(begun)
+                    )
+                    for first, last, token, begun in row["holds"]
+                ]
+                made.holders[Token.of(row["token"])] = Holder(
+                    str(row["name"]), out_us, sorted(holds)
+                )
                 held += [(h.first, h.last) for h in holds]
-        except Exception as error:  # whatever is wrong with it, it is not what this service wrote
+        except (
+            Exception
+        ) as error:  # whatever is wrong with it, it is not what this service wrote
             raise ValueError(f"no state of moves: {error!r}") from error
         if sum(b - a + 1 for a, b in held) != sum(b - a + 1 for a, b in union(held)):
             raise ValueError("no state of moves: keys held twice")
--- a/lemonshunt/shard/owned.py
+++ b/lemonshunt/shard/owned.py
@@ -37,7 +37,10 @@
         return self.hold.first, self.hold.last
 
     def cut(self, spans: Sequence[Span], state: State | None = None) -> list[Own]:
-        return [replace(self, hold=h, state=state or self.state) for h in self.hold.cut(spans)]
+        return [
+            replace(self, hold=h, state=state or self.state)
+            for h in self.hold.cut(spans)
+        ]
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,16 +77,28 @@
     def may_act(self, key: int, now_us: int) -> Token | None:
         """The token to take on a new message of `key` under; None: it is not this member's now."""
         own = self._at(key)
-        return own.hold.token if own and own.state == "acting" and now_us < self.until_us else None
+        return (
+            own.hold.token
+            if own and own.state == "acting" and now_us < self.until_us
+            else None
+        )
 
     def may_end(self, key: int, now_us: int) -> Token | None:
         """The token under which a message already taken on may be carried to its end; None: stop at once."""
         own = self._at(key)
-        return own.hold.token if own and own.state != "gave" and now_us < self.until_us else None
+        return (
+            own.hold.token
+            if own and own.state != "gave" and now_us < self.until_us
+            else None
+        )
 
     def holding(self, now_us: int) -> list[Own]:
         """All that is acted on or still being ended."""
-        return [own for own in self.owns if own.state != "gave"] if now_us < self.until_us else []
+        return (
+            [own for own in self.owns if own.state != "gave"]
+            if now_us < self.until_us
+            else []
+        )
 
     def frozen(self) -> list[Span]:
         """What has to come to its end: `drained` is owed for it."""
@@ -144,13 +159,26 @@
     def word(self) -> Word:
         """For a beat that leaves now."""
         self.sent += 1
-        generation, digest = (0, 0) if self.map is None else (self.map.generation, self.map.digest())
-        self._set([replace(own, gave_at=generation) if own.state == "gave" else own for own in self.owns])
+        generation, digest = (
+            (0, 0) if self.map is None else (self.map.generation, self.map.digest())
+        )
+        self._set(
+            [
+                replace(own, gave_at=generation) if own.state == "gave" else own
+                for own in self.owns
+            ]
+        )
         gave = union(own.span for own in self.owns if own.state == "gave")
         return Word(self.sent, generation, digest, tuple(gave))
 
-    def answered(self, token: Token, sent: int, generation: int, holds: Sequence[Hold],
-                 until_us: int) -> bool:
+    def answered(
+        self,
+        token: Token,
+        sent: int,
+        generation: int,
+        holds: Sequence[Hold],
+        until_us: int,
+    ) -> bool:
         """The answer to beat `sent`, with the lease's end counted from when that beat was asked. False where
         it is late or another incarnation's: nothing is done on it."""
         if token != self.incarnation or sent <= self.heard:
@@ -182,12 +210,15 @@
         since it was said of the one before, under a map newer than this hold."""
         doubtful = self.said(hold.begun)
         begun = minus(both(spans, self._mine()), doubtful)
-        return ([Own(h, "acting") for h in hold.cut(begun)]
-                + [Own(h, "gave") for h in hold.cut(minus(spans, begun))])
+        return [Own(h, "acting") for h in hold.cut(begun)] + [
+            Own(h, "gave") for h in hold.cut(minus(spans, begun))
+        ]
 
     def said(self, begun: int) -> list[Span]:
         """Keys that a beat has given up under a generation above `begun`."""
-        return union(own.span for own in self.owns if own.state == "gave" and own.gave_at > begun)
+        return union(
+            own.span for own in self.owns if own.state == "gave" and own.gave_at > begun
+        )
 
     def _set(self, owns: list[Own]) -> None:
         self.owns = sorted(owns, key=lambda own: own.hold)
--- a/lemonshunt/shard/plan.py
+++ b/lemonshunt/shard/plan.py
@@ -17,8 +17,12 @@
 from lemonshunt.shard.ranges import Cell, fewer, join, split_hot
 
 MOST_RANGES = 65_536
-SLACK = Fraction(1, 10)  # a load this far over its target is left: loads swing, and a move costs a pause
-COLD = Fraction(1, 100)  # of the weight goes by keys, so that ranges without load are spread as well
+SLACK = Fraction(
+    1, 10
+)  # a load this far over its target is left: loads swing, and a move costs a pause
+COLD = Fraction(
+    1, 100
+)  # of the weight goes by keys, so that ranges without load are spread as well
 LOAD_UNITS = 1 << 48  # the whole load in whole units, so that sums are exact
 
 
@@ -37,9 +41,13 @@
     targets: dict[str, int]
 
 
-def plan(members: Mapping[str, float], old: ShardMap | None = None,
-         loads: Mapping[tuple[int, int], float] | None = None, most_ranges: int = MOST_RANGES,
-         bits: int = BITS) -> Planned:
+def plan(
+    members: Mapping[str, float],
+    old: ShardMap | None = None,
+    loads: Mapping[tuple[int, int], float] | None = None,
+    most_ranges: int = MOST_RANGES,
+    bits: int = BITS,
+) -> Planned:
     """A map one generation above `old` for `members`, name to weight (0: owns nothing, gives all away).
     `loads`: by range of `old`, in any one unit. BadPlan where there is none."""
     names = sorted(name for name, weight in members.items() if weight > 0)
@@ -47,7 +55,9 @@
         raise BadPlan("a weight is a finite number from 0")
     most = min(most_ranges, 1 << bits)
     if not 0 < len(names) <= most:
-        raise BadPlan(f"{len(names)} members with a weight, where 1 to {most} can own ranges")
+        raise BadPlan(
+            f"{len(names)} members with a weight, where 1 to {most} can own ranges"
+        )
     if old is not None and old.generation >= MOST_GENERATION:
         raise BadPlan("the old map has the last generation there is")
     weights = {name: Fraction(members[name]) for name in names}
@@ -66,28 +76,45 @@
     if total:
         cells = split_hot(cells, max(1, total // (4 * len(names))), most_ranges)
     cells = fewer(cells, most_ranges)
-    raw = {"generation": 1 if old is None else old.generation + 1, "ranges": [
-        {"from": hexed(c.first, bits), "to": hexed(c.last, bits), "owner": c.owner} for c in cells]}
+    raw = {
+        "generation": 1 if old is None else old.generation + 1,
+        "ranges": [
+            {"from": hexed(c.first, bits), "to": hexed(c.last, bits), "owner": c.owner}
+            for c in cells
+        ],
+    }
     new = checked(raw, names, old, None, bits)
-    return Planned(new, 0 if old is None else moved_keys(new, old), 0 if old is None else least, targets)
+    return Planned(
+        new,
+        0 if old is None else moved_keys(new, old),
+        0 if old is None else least,
+        targets,
+    )
 
 
-def shares(total: int, weights: Mapping[str, Fraction], have: Mapping[str, int]) -> dict[str, int]:
+def shares(
+    total: int, weights: Mapping[str, Fraction], have: Mapping[str, int]
+) -> dict[str, int]:
     """`total` divided by weight into whole parts that add up: the largest rests are rounded up, among equal
     ones of whoever has more already (so that an even map stays as it is), then by name."""
     whole = sum(weights.values())
     exact = {name: total * weight / whole for name, weight in weights.items()}
     parts = {name: int(e) for name, e in exact.items()}
     order = sorted(exact, key=lambda n: (parts[n] - exact[n], parts[n] - have[n], n))
-    for name in order[:total - sum(parts.values())]:
+    for name in order[: total - sum(parts.values())]:
         parts[name] += 1
     return parts
 
 
-def _cells(old: ShardMap | None, weights: Mapping[str, Fraction], bits: int) -> list[Cell]:
+def _cells(
+    old: ShardMap | None, weights: Mapping[str, Fraction], bits: int
+) -> list[Cell]:
     if old is None:
         return [Cell(0, (1 << bits) - 1, None, 1 << bits)]
-    return [Cell(r.first, r.last, r.owner if r.owner in weights else None, r.size) for r in old.ranges]
+    return [
+        Cell(r.first, r.last, r.owner if r.owner in weights else None, r.size)
+        for r in old.ranges
+    ]
 
 
 def _have(cells: list[Cell], weights: Mapping[str, Fraction]) -> dict[str, int]:
@@ -98,11 +125,15 @@
     return have
 
 
-def _weigh(cells: list[Cell], old: ShardMap | None, loads: Mapping[tuple[int, int], float]) -> int:
+def _weigh(
+    cells: list[Cell], old: ShardMap | None, loads: Mapping[tuple[int, int], float]
+) -> int:
     """Cells weighed by their loads instead of their keys; the whole, 0 where there is no load at all."""
     known = {(r.first, r.last) for r in old.ranges} if old is not None else set()
     if strange := sorted(set(loads) - known):
-        raise BadPlan(f"a load for {strange[0][0]:x}-{strange[0][1]:x}, which is no range of the old map")
+        raise BadPlan(
+            f"a load for {strange[0][0]:x}-{strange[0][1]:x}, which is no range of the old map"
+        )
     if any(not math.isfinite(load) or load < 0 for load in loads.values()):
         raise BadPlan("a load is a finite number from 0")
     whole = sum(map(Fraction, loads.values()))
@@ -111,17 +142,25 @@
     space = sum(cell.size for cell in cells)
     for cell in cells:
         part = Fraction(loads.get((cell.first, cell.last), 0)) / whole
-        cell.units = round((part * (1 - COLD) + Fraction(cell.size, space) * COLD) * LOAD_UNITS)
+        cell.units = round(
+            (part * (1 - COLD) + Fraction(cell.size, space) * COLD) * LOAD_UNITS
+        )
     return sum(cell.units for cell in cells)
 
 
 # -- giving and taking ---------------------------------------------------------------------------
 
 
-def _level(cells: list[Cell], have: dict[str, int], goals: Mapping[str, int], slack: Fraction) -> list[Cell]:
+def _level(
+    cells: list[Cell], have: dict[str, int], goals: Mapping[str, int], slack: Fraction
+) -> list[Cell]:
     """The cells with owners for all: what is over a goal is given up, then handed to who is below."""
     short = {name: goals[name] - n for name, n in have.items() if n < goals[name]}
-    over = {name: n - goals[name] for name, n in have.items() if n > goals[name] * (1 + slack)}
+    over = {
+        name: n - goals[name]
+        for name, n in have.items()
+        if n > goals[name] * (1 + slack)
+    }
     cells = _given_up(cells, over, short)
     # A neighbour first: its range grows, and there is no new one.
     cells = _to_neighbours(cells, short)
@@ -129,7 +168,9 @@
     return _to_the_rest(cells, short, {name: have[name] - goals[name] for name in have})
 
 
-def _given_up(cells: list[Cell], over: dict[str, int], short: Mapping[str, int]) -> list[Cell]:
+def _given_up(
+    cells: list[Cell], over: dict[str, int], short: Mapping[str, int]
+) -> list[Cell]:
     """Each member with too much gives whole cells, the densest first and the small before the large, and the
     rest from one end of one cell. (Comparing cross-wise keeps densities exact.)"""
     theirs: dict[str, list[int]] = {}
@@ -138,7 +179,9 @@
             theirs.setdefault(str(cell.owner), []).append(n)
     out: dict[int, list[Cell]] = {}
     for name, numbers in theirs.items():
-        numbers.sort(key=lambda n: (-Fraction(cells[n].units, cells[n].size), cells[n].size, n))
+        numbers.sort(
+            key=lambda n: (-Fraction(cells[n].units, cells[n].size), cells[n].size, n)
+        )
         for n in numbers:
             cell, left = cells[n], over[name]
             if cell.units <= left:
@@ -154,7 +197,9 @@
     return [part for n, cell in enumerate(cells) for part in out.get(n, [cell])]
 
 
-def _to_neighbours(cells: list[Cell], short: dict[str, int], from_end: bool = False) -> list[Cell]:
+def _to_neighbours(
+    cells: list[Cell], short: dict[str, int], from_end: bool = False
+) -> list[Cell]:
     """Cells without an owner to the owner just before them (in the order given), as far as it is short."""
     out: list[Cell] = []
     for cell in cells:
@@ -173,17 +218,23 @@
     return out
 
 
-def _to_the_rest(cells: list[Cell], short: dict[str, int], above: Mapping[str, int]) -> list[Cell]:
+def _to_the_rest(
+    cells: list[Cell], short: dict[str, int], above: Mapping[str, int]
+) -> list[Cell]:
     """What no neighbour took: the largest cell to who is shortest, cut where it is more than is short."""
     out = [c for c in cells if c.owner is not None]
-    homeless = sorted((c for c in cells if c.owner is None), key=lambda c: (c.units, -c.first))
+    homeless = sorted(
+        (c for c in cells if c.owner is None), key=lambda c: (c.units, -c.first)
+    )
     waiting = sorted(short, key=lambda name: (-short[name], name))
     while homeless:
         cell = homeless.pop()
         while len(waiting) > 1 and short[waiting[0]] <= 0:
             waiting.pop(0)
         # Nobody is short at all only where loads were rounded: then to who has least above its goal.
-        name = waiting[0] if waiting else min(above, key=lambda name: (above[name], name))
+        name = (
+            waiting[0] if waiting else min(above, key=lambda name: (above[name], name))
+        )
         keys = cell.keys_for(short[name]) if len(waiting) > 1 else cell.size
         if 0 < keys < cell.size:
             cell, rest = cell.cut(keys)
--- a/lemonshunt/shard/ranges.py
+++ b/lemonshunt/shard/ranges.py
@@ -24,13 +24,19 @@
 
     def keys_for(self, units: int) -> int:
         """Keys that carry `units` of this cell's, to the nearest, its load taken as even. Exact for keys."""
-        return self.size if units >= self.units else (2 * units * self.size + self.units) // (2 * self.units)
+        return (
+            self.size
+            if units >= self.units
+            else (2 * units * self.size + self.units) // (2 * self.units)
+        )
 
     def cut(self, keys: int) -> tuple[Cell, Cell]:
         """The first `keys` keys, and the rest: from 1 to all but one."""
         units = self.units * keys // self.size
-        return (Cell(self.first, self.first + keys - 1, self.owner, units),
-                Cell(self.first + keys, self.last, self.owner, self.units - units))
+        return (
+            Cell(self.first, self.first + keys - 1, self.owner, units),
+            Cell(self.first + keys, self.last, self.owner, self.units - units),
+        )
 
 
 def join(cells: list[Cell]) -> list[Cell]:
@@ -38,7 +44,9 @@
     out: list[Cell] = []
     for cell in cells:
         if out and out[-1].owner == cell.owner:
-            out[-1] = Cell(out[-1].first, cell.last, cell.owner, out[-1].units + cell.units)
+            out[-1] = Cell(
+                out[-1].first, cell.last, cell.owner, out[-1].units + cell.units
+            )
         else:
             out.append(cell)
     return out
@@ -75,7 +83,9 @@
     def absorb(into: int, gone: int) -> None:
         """Two neighbours become one, under the first one's owner."""
         a, b = cells[into], cells[gone]
-        cells[into] = Cell(min(a.first, b.first), max(a.last, b.last), a.owner, a.units + b.units)
+        cells[into] = Cell(
+            min(a.first, b.first), max(a.last, b.last), a.owner, a.units + b.units
+        )
         alive[gone] = False
         of[b.owner] -= 1
         low, high = before[gone], after[gone]
@@ -89,11 +99,18 @@
         size, n = heapq.heappop(heap)
         if not alive[n] or cells[n].size != size or of[cells[n].owner] < 2:
             continue
-        into = max((m for m in (before[n], after[n]) if m >= 0), key=lambda m: (cells[m].size, -m))
+        into = max(
+            (m for m in (before[n], after[n]) if m >= 0),
+            key=lambda m: (cells[m].size, -m),
+        )
         absorb(into, n)
         count -= 1
         for beside in (before[into], after[into]):
-            if beside >= 0 and cells[beside].owner == cells[into].owner and count > most:
+            if (
+                beside >= 0
+                and cells[beside].owner == cells[into].owner
+                and count > most
+            ):
                 absorb(into, beside)
                 count -= 1
     return [c for n, c in enumerate(cells) if alive[n]]
--- a/lemonshunt/shard/route.py
+++ b/lemonshunt/shard/route.py
@@ -30,12 +30,22 @@
 class Refuse:
     """503 with `Retry-After`: nothing was taken on. `why` is for logs and figures."""
 
-    why: Literal["no map", "late", "not begun", "loop", "generation", "unknown owner", "link out"]
+    why: Literal[
+        "no map", "late", "not begun", "loop", "generation", "unknown owner", "link out"
+    ]
     after_s: int
 
 
-def route(owned: Owned, key: int, now_us: int, until_us: int, passed: int | None, members: Collection[str],
-          link_up: Callable[[str], bool], after_s: int = 1) -> Here | Pass | Refuse:
+def route(
+    owned: Owned,
+    key: int,
+    now_us: int,
+    until_us: int,
+    passed: int | None,
+    members: Collection[str],
+    link_up: Callable[[str], bool],
+    after_s: int = 1,
+) -> Here | Pass | Refuse:
     """`until_us`: the end of the message's own time. `passed`: None, or the map generation of the member that
     passed it here. `members`: names that this member knows of.
 
@@ -48,8 +58,14 @@
     if owned.map is None:
         return Refuse("no map", after_s)
     if passed is not None:
-        return Refuse("loop" if passed == owned.map.generation and owned.map.owner(key) != owned.name else
-                      "not begun" if passed == owned.map.generation else "generation", after_s)
+        return Refuse(
+            "loop"
+            if passed == owned.map.generation and owned.map.owner(key) != owned.name
+            else "not begun"
+            if passed == owned.map.generation
+            else "generation",
+            after_s,
+        )
     owner = owned.map.owner(key)
     if owner == owned.name:
         return Refuse("not begun", after_s)
--- a/lemonshunt/state.py
+++ b/lemonshunt/state.py
@@ -14,9 +14,29 @@
 from lemonshunt.interface import MessageClass
 
 # What a process that takes over is told of each record; the rest is in the journal or counted anew.
-TARGET_KEPT = ("failing", "failed_at", "well_at", "tried_at", "outage_at", "back_at", "spread")
-PLACE_KEPT = ("window", "mean", "seed", "mean_at", "wait_until", "rest_until", "rest", "cut_at", "limit",
-              "left", "shares", "pace_at")
+TARGET_KEPT = (
+    "failing",
+    "failed_at",
+    "well_at",
+    "tried_at",
+    "outage_at",
+    "back_at",
+    "spread",
+)
+PLACE_KEPT = (
+    "window",
+    "mean",
+    "seed",
+    "mean_at",
+    "wait_until",
+    "rest_until",
+    "rest",
+    "cut_at",
+    "limit",
+    "left",
+    "shares",
+    "pace_at",
+)
 MESSAGE_KEPT = ("over_share", "waited", "avoid")
 CALL_KEPT = ("sent_at", "idle", "gap", "joined", "judged", "passed")
 
@@ -45,7 +65,8 @@
 
     def __lt__(self, other: Deadline | Message) -> bool:
         return self.deadline < other.deadline or (
-            self.deadline == other.deadline and self.number < other.number)
+            self.deadline == other.deadline and self.number < other.number
+        )
 
 
 class Demand(NamedTuple):
@@ -91,7 +112,8 @@
 
     def __lt__(self, other: Deadline | Message) -> bool:
         return self.deadline < other.deadline or (
-            self.deadline == other.deadline and self.number < other.number)
+            self.deadline == other.deadline and self.number < other.number
+        )
 
     @property
     def demand(self) -> Demand:
@@ -315,7 +337,9 @@
         kept_until = 0 if self.kept_us is None else due - self.kept_us
         return max(due - self.cls.deadline_us + self.fades_after_us, kept_until)
 
-    def next_ready(self, starts: Sequence[Deadline | Message], ends: Sequence[Deadline]) -> Message | None:
+    def next_ready(
+        self, starts: Sequence[Deadline | Message], ends: Sequence[Deadline]
+    ) -> Message | None:
         """The first ready message behind one place and not behind another: each is given for destinations up
         to 0 and for those above."""
         m = self.ready.first_after(starts[self.destination > 0])
@@ -331,7 +355,9 @@
         if self.fades_at(first.due) > now:
             return self.held.head()
         dues = range(first.due, last.due + 1)
-        due = first.due + bisect_left(dues, True, key=lambda due: self.fades_at(due) > now)
+        due = first.due + bisect_left(
+            dues, True, key=lambda due: self.fades_at(due) > now
+        )
         return self.held.first_from(Deadline(due, -1))
 
 
@@ -371,8 +397,10 @@
         """How many are held, by destination and by whose demand they are: counted whole when that is first
         asked for, and kept from then on."""
         if self.demands is None:
-            self.demands = {destination: Counter(m.demand for m in pile.values())
-                            for destination, pile in self.piles.items()}
+            self.demands = {
+                destination: Counter(m.demand for m in pile.values())
+                for destination, pile in self.piles.items()
+            }
         return self.demands
 
     def count_demand(self, m: Message, change: int) -> None:
@@ -389,7 +417,10 @@
         """The destination with the largest pile, of equal ones the last by number. There must be one."""
         if self.largest_size:
             return max(self.by_size[self.largest_size])
-        return max(self.piles, key=lambda destination: (self.piles[destination].size, destination))
+        return max(
+            self.piles,
+            key=lambda destination: (self.piles[destination].size, destination),
+        )
 
     def resize(self, destination: int, size: int, change: int) -> None:
         """Book that a pile which had `size` messages has one more or less."""
@@ -400,10 +431,14 @@
                 del self.by_size[size]
         if changed >= LARGE_PILE:
             self.by_size.setdefault(changed, set()).add(destination)
-        if changed > self.largest_size or (size == self.largest_size and size not in self.by_size):
+        if changed > self.largest_size or (
+            size == self.largest_size and size not in self.by_size
+        ):
             self.largest_size = changed if changed >= LARGE_PILE else 0
 
-    def add(self, m: Message, key: LaneKey, make: Callable[[Message, LaneKey], Lane]) -> None:
+    def add(
+        self, m: Message, key: LaneKey, make: Callable[[Message, LaneKey], Lane]
+    ) -> None:
         """Hold a message in the lane of a key; where there is none, one is made."""
         pile = self.piles.get(m.destination)
         if pile is None:
--- a/lemonshunt/wirehost.py
+++ b/lemonshunt/wirehost.py
@@ -31,7 +31,11 @@
     "SAVED": i.ListKind.SAVED,
     "FAILED": i.ListKind.FAILED,
 }
-EFFECTS = {"repeatable": i.Effect.REPEATABLE, "by_key": i.Effect.KEYED, "once": i.Effect.ONCE}
+EFFECTS = {
+    "repeatable": i.Effect.REPEATABLE,
+    "by_key": i.Effect.KEYED,
+    "once": i.Effect.ONCE,
+}
 SCOPES = {"all": i.Scope.ALL, "zone": i.Scope.ZONE, "cell": i.Scope.ALL}
 
 
@@ -49,7 +53,9 @@
     if kind is float and isinstance(value, int):
         value = float(value)
     if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
-        raise Malformed(f"field {key!r} is not of type {kind.__name__} in {_brief(obj)}")
+        raise Malformed(
+            f"field {key!r} is not of type {kind.__name__} in {_brief(obj)}"
+        )
     return value
 
 
@@ -77,7 +83,9 @@
             aim_us=need(c, "aim_us", int),
             deadline_us=need(c, "deadline_us", int),
             effect=word(EFFECTS, c, "effect"),
-            scope=SCOPES.get(c.get("key_scope", ""), i.Scope.TARGET),  # untold, only the same surely drops it
+            scope=SCOPES.get(
+                c.get("key_scope", ""), i.Scope.TARGET
+            ),  # untold, only the same surely drops it
             window_us=int(c.get("window_us", 0)),
             in_order=bool(c.get("by_arrival", False)),
             worth=float(c.get("gain", 1.0)),
@@ -94,14 +102,17 @@
         for n, name in enumerate(names)
     )
     tenants = tuple(
-        i.Tenant(need(t, "name", str), float(t.get("allowance_per_s", 0.0))) for t in facts.get("orgs") or []
+        i.Tenant(need(t, "name", str), float(t.get("allowance_per_s", 0.0)))
+        for t in facts.get("orgs") or []
     )
     return i.Settings(
         slots=need(family, "slots", int),
         classes=classes,
         kinds=kinds,
         tenants=tenants,
-        zone_fees=dict(zip(facts.get("zones", []), family.get("carriage") or [], strict=False)),
+        zone_fees=dict(
+            zip(facts.get("zones", []), family.get("carriage") or [], strict=False)
+        ),
         balancers=int(facts.get("balancers", 1)),
         max_open=int(allowed.get("max_open", 1_000_000)),
         max_attempts=int(allowed.get("max_attempts", 1_000_000)),
@@ -156,7 +167,9 @@
 
     def __init__(self, up: dict[str, Any], now: int) -> None:
         facts = need(up, "facts", dict)
-        self.fields: list[str] = list((facts.get("telemetry") or {}).get("fields") or [])
+        self.fields: list[str] = list(
+            (facts.get("telemetry") or {}).get("fields") or []
+        )
         self.dispatcher = Dispatcher(settings(facts), need(up, "entropy", int), now)
         self.inbox: list[i.Event] = []
 
@@ -191,7 +204,10 @@
 
 def _probed(inst: Instance, e: Any) -> i.Event:
     return i.Probed(
-        need(e, "target", int), word(OUTCOMES, e, "result"), need(e, "lag_us", int), report(inst.fields, e)
+        need(e, "target", int),
+        word(OUTCOMES, e, "result"),
+        need(e, "lag_us", int),
+        report(inst.fields, e),
     )
 
 
@@ -207,16 +223,36 @@
 def action(name: str, a: i.Action) -> dict[str, Any]:
     """One action in the words of the wire."""
     if isinstance(a, i.Send):
-        return {"type": "ISSUE", "forwarder_id": name, "msg_id": a.message, "target": a.target,
-                "try_for_us": a.timeout_us}
+        return {
+            "type": "ISSUE",
+            "forwarder_id": name,
+            "msg_id": a.message,
+            "target": a.target,
+            "try_for_us": a.timeout_us,
+        }
     if isinstance(a, i.SetTimer):
-        return {"type": "ARM", "forwarder_id": name, "offset_us": a.delay_us, "token": a.token}
+        return {
+            "type": "ARM",
+            "forwarder_id": name,
+            "offset_us": a.delay_us,
+            "token": a.token,
+        }
     if isinstance(a, i.Refuse):
-        return {"type": "TURN_AWAY", "forwarder_id": name, "msg_id": a.message, "wait_us": a.wait_us}
+        return {
+            "type": "TURN_AWAY",
+            "forwarder_id": name,
+            "msg_id": a.message,
+            "wait_us": a.wait_us,
+        }
     if isinstance(a, i.Fail):
         return {"type": "END_FAILED", "forwarder_id": name, "msg_id": a.message}
     if isinstance(a, i.Cancel):
-        return {"type": "ABANDON", "forwarder_id": name, "msg_id": a.message, "try": a.attempt}
+        return {
+            "type": "ABANDON",
+            "forwarder_id": name,
+            "msg_id": a.message,
+            "try": a.attempt,
+        }
     if isinstance(a, i.Probe):
         return {"type": "POLL", "forwarder_id": name, "target": a.target}
     if isinstance(a, i.CloseIdle):
@@ -251,15 +287,25 @@
             try:
                 actions = inst.dispatcher.handle(now, inbox)
                 # An instance of the simulator comes up empty: there is nothing to remember an outage in.
-                done.extend(action(name, a) for a in actions if not isinstance(a, i.Outage))
+                done.extend(
+                    action(name, a) for a in actions if not isinstance(a, i.Outage)
+                )
             except Exception as error:  # any failure of the decisions is reported on the wire, in one line
                 done.append(fault(name, error))
         return json.dumps({"do": done}, separators=(",", ":"))
 
-    def event(self, now: int, event: Any, touched: dict[str, Instance], done: list[dict[str, Any]]) -> None:
+    def event(
+        self,
+        now: int,
+        event: Any,
+        touched: dict[str, Instance],
+        done: list[dict[str, Any]],
+    ) -> None:
         kind = need(event, "type", str)
         if kind == "TABLE":
-            self.tables[need(event, "buffer", int)] = tuple(entry(e) for e in need(event, "elements", list))
+            self.tables[need(event, "buffer", int)] = tuple(
+                entry(e) for e in need(event, "elements", list)
+            )
             return
         if kind not in ("UP", "DOWN", "MEMBERS") and kind not in READERS:
             return
@@ -269,7 +315,9 @@
             touched.pop(name, None)
             return
         if kind == "UP":
-            self.instances.pop(name, None)  # whatever becomes of this one, none of before goes on
+            self.instances.pop(
+                name, None
+            )  # whatever becomes of this one, none of before goes on
             touched.pop(name, None)
             try:
                 self.instances[name] = touched[name] = Instance(event, now)
--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -44,14 +44,19 @@
         self.dead = False
         self.beats = 0
         self.said_us = self.said = 0  # the last beat, and what it said was needed
-        self.due = 0  # which planned beat and which planned look at the queue are the newest
+        self.due = (
+            0  # which planned beat and which planned look at the queue are the newest
+        )
         self.look = 0
 
     def now(self) -> int:
         return int(self.fleet.now * self.rate)
 
     def after(self, own_us: int, what: Callable[[], None]) -> None:
-        self.fleet.at(self.fleet.now + int(own_us / self.rate) + 1, lambda: None if self.dead else what())
+        self.fleet.at(
+            self.fleet.now + int(own_us / self.rate) + 1,
+            lambda: None if self.dead else what(),
+        )
 
     def beat(self) -> None:
         self.due += 1
@@ -62,8 +67,12 @@
         holds = self.purse.holds(self.token)
         self.beats += 1
         self.said_us, self.said = asked, sum(needs.values())
-        self.fleet.wire += len(json.dumps({"needs": {"7": needs.get("", 0)}, "holds": {"7": holds}}))
-        self.fleet.at(self.fleet.now + LINK, lambda: self.fleet.served(self, asked, needs, holds))
+        self.fleet.wire += len(
+            json.dumps({"needs": {"7": needs.get("", 0)}, "holds": {"7": holds}})
+        )
+        self.fleet.at(
+            self.fleet.now + LINK, lambda: self.fleet.served(self, asked, needs, holds)
+        )
         wait = int(LEASE / 3 * self.fleet.rng.uniform(0.9, 1.0))
         self.after(wait, lambda: self.beat() if due == self.due else None)
 
@@ -83,10 +92,14 @@
             self.wants.arrived(self.now())
             self.send()
             if self.waiting and self.now() - self.said_us >= SOON:
-                needs = sum(self.wants.needs(self.now(), {"": len(self.waiting)}).values())
+                needs = sum(
+                    self.wants.needs(self.now(), {"": len(self.waiting)}).values()
+                )
                 if needs > 1.2 * self.said:
                     self.beat()  # its share does not do and more is needed than was said: say so at once
-            self.after(int(SECOND / self.per_s * self.fleet.rng.uniform(0.5, 1.5)), self.arrive)
+            self.after(
+                int(SECOND / self.per_s * self.fleet.rng.uniform(0.5, 1.5)), self.arrive
+            )
 
     def send(self) -> None:
         now = self.now()
@@ -97,7 +110,9 @@
         if at is not None:
             self.look += 1
             look = self.look
-            self.after(max(1, at - now), lambda: self.send() if look == self.look else None)
+            self.after(
+                max(1, at - now), lambda: self.send() if look == self.look else None
+            )
 
     def wants_per_s(self, calls: float) -> None:
         before, self.per_s = self.per_s, calls
@@ -117,7 +132,10 @@
         self.sent: list[tuple[int, int]] = []
         self.wire = self.records = self.disk = self.plans = 0
         self.planned, self.spent = False, 0.0
-        self.members = [Member(self, n, 1 + DRIFT * self.rng.uniform(-0.5, 0.5)) for n in range(members)]
+        self.members = [
+            Member(self, n, 1 + DRIFT * self.rng.uniform(-0.5, 0.5))
+            for n in range(members)
+        ]
         for member in self.members:
             self.ledger.joined(member.token, f"f{member.token.number}", None, 0)
             self.at(self.rng.randrange(LEASE // 3), member.beat)
@@ -147,17 +165,38 @@
             woken = {g.token for g in change.grants}
             for member in self.members:  # their watch tells them that there is news
                 if member.token in woken:
-                    self.at(self.now + LINK, lambda m=member: None if m.dead else m.beat())  # type: ignore[misc]
+                    self.at(
+                        self.now + LINK, lambda m=member: None if m.dead else m.beat()
+                    )  # type: ignore[misc]
         self.at(self.now + PLAN, self.tick)
 
-    def served(self, member: Member, asked: int, needs: dict[str, int],
-               holds: tuple[int, int] | None) -> None:
-        if self.ledger.beat(member.token, {"7": needs}, {"7": holds} if holds else {}, self.now):
+    def served(
+        self,
+        member: Member,
+        asked: int,
+        needs: dict[str, int],
+        holds: tuple[int, int] | None,
+    ) -> None:
+        if self.ledger.beat(
+            member.token, {"7": needs}, {"7": holds} if holds else {}, self.now
+        ):
             self.leases[member.token] = self.now + int(LEASE * (1 + DRIFT))
             shares = self.ledger.told(member.token)
-            self.wire += len(json.dumps({d: {"calls": s.calls, "number": s.number, "reserve": s.reserve,
-                                             "whole": s.whole, "span_ms": s.span_us // 1000,
-                                             "slack_ms": s.slack_us // 1000} for d, s in shares.items()}))
+            self.wire += len(
+                json.dumps(
+                    {
+                        d: {
+                            "calls": s.calls,
+                            "number": s.number,
+                            "reserve": s.reserve,
+                            "whole": s.whole,
+                            "span_ms": s.span_us // 1000,
+                            "slack_ms": s.slack_us // 1000,
+                        }
+                        for d, s in shares.items()
+                    }
+                )
+            )
             self.at(self.now + LINK, lambda: member.answered(asked, shares))
 
     def counts(self) -> tuple[float, ...]:
@@ -190,8 +229,12 @@
     took = []
     for repeat in range(repeats):
         rng = random.Random(repeat)
-        needs = {n: {"gold": rng.randrange(50), "free": rng.randrange(50)} if n % 3 == 0 else {}
-                 for n in range(members)}
+        needs = {
+            n: {"gold": rng.randrange(50), "free": rng.randrange(50)}
+            if n % 3 == 0
+            else {}
+            for n in range(members)
+        }
         floors = dict.fromkeys(needs, 1)
         began = time.perf_counter()
         divide(members * 6, needs, {"gold": 3}, floors, 1, {}, members // 3)
@@ -209,7 +252,11 @@
     a.wants_per_s(70)
     b.wants_per_s(70)
     most = 100 - 8 * reserve
-    arrived = until(fleet, lambda: a.purse.limit(a.now()) + b.purse.limit(b.now()) >= 0.9 * most, 20 * SECOND)
+    arrived = until(
+        fleet,
+        lambda: a.purse.limit(a.now()) + b.purse.limit(b.now()) >= 0.9 * most,
+        20 * SECOND,
+    )
     fleet.run(fleet.now + 5 * SECOND)
     before, began = len(fleet.sent), fleet.now
     fleet.run(began + 100 * SECOND)
@@ -217,12 +264,16 @@
     b.wants_per_s(150)
     fleet.run(fleet.now + fleet.rng.randrange(SECOND))
     a.dead = True
-    freed = until(fleet, lambda: b.purse.limit(b.now()) >= 0.9 * (most - reserve), 30 * SECOND)
+    freed = until(
+        fleet, lambda: b.purse.limit(b.now()) >= 0.9 * (most - reserve), 30 * SECOND
+    )
     at_most = (LEASE * (1 + DRIFT) + budget.window_us(DRIFT)) / 1000
     return used, arrived, freed, at_most, fleet.worst()
 
 
-def swings(members: int, seconds: int, steady: bool) -> tuple[float, float, float, float, float, float]:
+def swings(
+    members: int, seconds: int, steady: bool
+) -> tuple[float, float, float, float, float, float]:
     """A fifth of the members have work; not `steady`: another fifth every 5 s. Records and bytes a second on
     disk, beats and bytes a second of their budget part, ms of a plan, worst span over the whole."""
     fleet = Fleet(members, Budget("7", members * 10, SECOND, 1, members), members)
@@ -236,9 +287,17 @@
             for n, member in enumerate(fleet.members):
                 member.wants_per_s(30 if n % 5 == (second // 5 + 1) % 5 else 0)
         fleet.run((10 + second + 5) * SECOND)
-    records, disk, beats, wire, spent, plans = (e - m for e, m in zip(fleet.counts(), marks, strict=True))
-    return (records / seconds, disk / seconds, beats / seconds, wire / seconds, spent / plans * 1000,
-            fleet.worst() / (members * 10))
+    records, disk, beats, wire, spent, plans = (
+        e - m for e, m in zip(fleet.counts(), marks, strict=True)
+    )
+    return (
+        records / seconds,
+        disk / seconds,
+        beats / seconds,
+        wire / seconds,
+        spent / plans * 1000,
+        fleet.worst() / (members * 10),
+    )
 
 
 def main(repeats: int) -> None:
@@ -248,17 +307,28 @@
         runs = [two_of_ten(reserve, seed) for seed in range(repeats)]
         name = f"2 of 10 with work, whole 100 a second, reserve {reserve}"
         print(row(f"{name}: part of the whole used", [r[0] for r in runs]))
-        print(row(f"{name}: ms until nine tenths of its share came", [r[1] for r in runs]))
-        print(row(f"{name}: ms from a death until its share works with the other", [r[2] for r in runs]))
-        print(f"  lease + drift + span and slack: {runs[0][3]:.0f} ms; "
-              f"fullest span: {max(r[4] for r in runs)}")
+        print(
+            row(f"{name}: ms until nine tenths of its share came", [r[1] for r in runs])
+        )
+        print(
+            row(
+                f"{name}: ms from a death until its share works with the other",
+                [r[2] for r in runs],
+            )
+        )
+        print(
+            f"  lease + drift + span and slack: {runs[0][3]:.0f} ms; "
+            f"fullest span: {max(r[4] for r in runs)}"
+        )
     for members in (10, 200, 1_000):
         for steady in (True, False):
             records, disk, beats, wire, plan, full = swings(members, 10, steady)
             how = "steady" if steady else "another fifth every 5 s"
-            print(f"{members} members, {how}: {records:.1f} records and {disk / 1000:.1f} kB a second to "
-                  f"disk, {beats:.0f} beats a second with {wire / 1000:.1f} kB of budget, "
-                  f"{plan:.2f} ms a plan, fullest span {full:.3f} of the whole")
+            print(
+                f"{members} members, {how}: {records:.1f} records and {disk / 1000:.1f} kB a second to "
+                f"disk, {beats:.0f} beats a second with {wire / 1000:.1f} kB of budget, "
+                f"{plan:.2f} ms a plan, fullest span {full:.3f} of the whole"
+            )
 
 
 if __name__ == "__main__":
--- a/measure/cold_fleet.py
+++ b/measure/cold_fleet.py
@@ -25,17 +25,28 @@
     over = sum(v.part > 1 for v in verdicts)
     found = [v.found_us / 1e6 for v in verdicts if v.found_us >= 0]
     first = f"{statistics.median(found):5.1f} s" if found else "  never"
-    return (f"{worst.count:6.1f} / {worst.limit:6.1f} = {worst.part:4.2f}  over {over:3d} of "
-            f"{len(verdicts)}  pushed {sum(v.pushed for v in verdicts):3d}  "
-            f"all {max(v.whole for v in verdicts):5.2f}  first {first}  "
-            f"delivered {statistics.fmean(v.delivered for v in verdicts):7.1f}")
+    return (
+        f"{worst.count:6.1f} / {worst.limit:6.1f} = {worst.part:4.2f}  over {over:3d} of "
+        f"{len(verdicts)}  pushed {sum(v.pushed for v in verdicts):3d}  "
+        f"all {max(v.whole for v in verdicts):5.2f}  first {first}  "
+        f"delivered {statistics.fmean(v.delivered for v in verdicts):7.1f}"
+    )
 
 
 def main(seeds: int, fleets: list[int], scenes: list[str]) -> None:
     with ProcessPoolExecutor(2) as pool:
-        rows = [(f"{scene:14} {forwarders:3d} forwarders, N {n:4.1f}:",
-                 [pool.submit(played, play) for play in plays(forwarders, n, scene, seeds)])
-                for scene in scenes for forwarders in fleets for n in NS]
+        rows = [
+            (
+                f"{scene:14} {forwarders:3d} forwarders, N {n:4.1f}:",
+                [
+                    pool.submit(played, play)
+                    for play in plays(forwarders, n, scene, seeds)
+                ],
+            )
+            for scene in scenes
+            for forwarders in fleets
+            for n in NS
+        ]
         for name, verdicts in rows:
             print(name, row([v.result() for v in verdicts]), flush=True)
 
@@ -43,4 +54,8 @@
 if __name__ == "__main__":
     given = [a for a in sys.argv[1:] if a in SCENES]
     numbers = [int(a) for a in sys.argv[1:] if a.isdigit()]
-    main(numbers[0] if numbers else 10, numbers[1:] or [1, 2, 4, 30, 200], given or list(SCENES))
+    main(
+        numbers[0] if numbers else 10,
+        numbers[1:] or [1, 2, 4, 30, 200],
+        given or list(SCENES),
+    )
--- a/measure/figures.py
+++ b/measure/figures.py
@@ -10,8 +10,10 @@
 
 def row(name: str, values: Sequence[float]) -> str:
     """Median and spread over the repeats."""
-    return (f"{name}: median {statistics.median(values):.2f}, from {min(values):.2f} to {max(values):.2f} "
-            f"({len(values)} repeats)")
+    return (
+        f"{name}: median {statistics.median(values):.2f}, from {min(values):.2f} to {max(values):.2f} "
+        f"({len(values)} repeats)"
+    )
 
 
 async def end_peers() -> None:
--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -27,7 +27,10 @@
 sys.path.insert(0, str(ROOT))
 
 LEASE_MS, SPAN_MS, DRIFT = 3_000, 1_000, 0.02
-CALLS_A_MEMBER, RESERVE = 50, 5  # a whole is so many calls for each member: more than all need together
+CALLS_A_MEMBER, RESERVE = (
+    50,
+    5,
+)  # a whole is so many calls for each member: more than all need together
 STEADY_S, CHANGE_S = 4.0, 5.0  # how long is counted at rest, and after a change
 BUSY, REST = 120, 10  # calls needed in a span
 QUIET_S = 60.0  # until all shares rest, at the latest
@@ -47,7 +50,9 @@
     if resource.RLIM_INFINITY in (soft, hard) and soft >= needed:
         return
     if hard != resource.RLIM_INFINITY and hard < needed:
-        raise Stuck(f"{count} members need {needed} descriptors, and the limit is {hard}")
+        raise Stuck(
+            f"{count} members need {needed} descriptors, and the limit is {hard}"
+        )
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, needed), hard))
 
 
@@ -63,10 +68,17 @@
             self.streams = await asyncio.open_connection("127.0.0.1", self.port)
         reader, writer = self.streams
         data = b"" if body is None else json.dumps(body).encode()
-        sent = f"{method} {path} HTTP/1.1\r\nHost: r\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
+        sent = (
+            f"{method} {path} HTTP/1.1\r\nHost: r\r\nContent-Length: {len(data)}\r\n\r\n".encode()
+            + data
+        )
         writer.write(sent)
         head = await reader.readuntil(b"\r\n\r\n")
-        length = next(int(x[15:]) for x in head.split(b"\r\n") if x.lower().startswith(b"content-length:"))
+        length = next(
+            int(x[15:])
+            for x in head.split(b"\r\n")
+            if x.lower().startswith(b"content-length:")
+        )
         told = await reader.readexactly(length)
         self.count[0] += 1
         self.count[1] += len(sent) + len(head) + length
@@ -76,7 +88,9 @@
 class Member:
     """Beats a third of its lease apart, and at once for news, a new need, and a share to acknowledge."""
 
-    def __init__(self, n: int, port: int, named: bool, counts: dict[str, list[int]]) -> None:
+    def __init__(
+        self, n: int, port: int, named: bool, counts: dict[str, list[int]]
+    ) -> None:
         self.name, self.named = f"f{n}", named
         self.beats, self.watch = Link(port, counts["beat"]), Link(port, counts["watch"])
         self.rng, self.go = random.Random(n), asyncio.Event()
@@ -92,10 +106,23 @@
         watching: asyncio.Task[None] | None = None
         while True:
             self.sent += 1
-            status, told = await self.beats.call("POST", "/v1/fleet/beat", {
-                "name": self.name, "site": "a", "dial": "127.0.0.1:1", "run": self.name, "token": self.token,
-                "sent": self.sent, "needs": self.needs, "list": self.list,
-                "holds": {d: [s["calls"], s["number"]] for d, s in self.shares.items()}})
+            status, told = await self.beats.call(
+                "POST",
+                "/v1/fleet/beat",
+                {
+                    "name": self.name,
+                    "site": "a",
+                    "dial": "127.0.0.1:1",
+                    "run": self.name,
+                    "token": self.token,
+                    "sent": self.sent,
+                    "needs": self.needs,
+                    "list": self.list,
+                    "holds": {
+                        d: [s["calls"], s["number"]] for d, s in self.shares.items()
+                    },
+                },
+            )
             if status == 409 and told["error"] == "held":
                 await asyncio.sleep(told["retry_ms"] / 1000)
                 continue
@@ -107,14 +134,20 @@
             if self.shares != told["shares"]:
                 self.at = time.perf_counter()
                 self.go.set()  # acknowledged at once
-            self.token, self.list, self.version = told["token"], told["list"], told["version"]
+            self.token, self.list, self.version = (
+                told["token"],
+                told["list"],
+                told["version"],
+            )
             self.shares = told["shares"]
             if watching is None or watching.done():
                 if watching is not None:
                     watching.result()
                 watching = asyncio.create_task(self.news())
             try:
-                await asyncio.wait_for(self.go.wait(), LEASE_MS / 3e3 * self.rng.uniform(0.9, 1.0))
+                await asyncio.wait_for(
+                    self.go.wait(), LEASE_MS / 3e3 * self.rng.uniform(0.9, 1.0)
+                )
             except TimeoutError:
                 pass
             self.go.clear()
@@ -131,31 +164,71 @@
         self.go.set()
 
 
-async def quiet(members: list[Member], tasks: list[asyncio.Task[None]], for_s: float) -> None:
+async def quiet(
+    members: list[Member], tasks: list[asyncio.Task[None]], for_s: float
+) -> None:
     """Until no share of any has changed for so long, and all have theirs. Raises Stuck where that does not
     come, and what a member's task failed with."""
     until = time.perf_counter() + QUIET_S
-    while not all(m.shares for m in members) or time.perf_counter() - max(m.at for m in members) < for_s:
+    while (
+        not all(m.shares for m in members)
+        or time.perf_counter() - max(m.at for m in members) < for_s
+    ):
         for task in tasks:
             if task.done():
                 task.result()
         if time.perf_counter() > until:
-            have, lost = sum(bool(m.shares) for m in members), sum(m.lost for m in members)
-            raise Stuck(f"after {QUIET_S:g} s {have} of {len(members)} members have shares, and leases were"
-                        f" lost {lost} times")
+            have, lost = (
+                sum(bool(m.shares) for m in members),
+                sum(m.lost for m in members),
+            )
+            raise Stuck(
+                f"after {QUIET_S:g} s {have} of {len(members)} members have shares, and leases were"
+                f" lost {lost} times"
+            )
         await asyncio.sleep(0.1)
 
 
 async def play(count: int, named: bool, folder: Path) -> dict[str, float]:
-    budgets = [{"destination": str(n), "calls": CALLS_A_MEMBER * count, "span_ms": SPAN_MS,
-                "reserve": RESERVE, "members_max": count} for n in range(3)]
+    budgets = [
+        {
+            "destination": str(n),
+            "calls": CALLS_A_MEMBER * count,
+            "span_ms": SPAN_MS,
+            "reserve": RESERVE,
+            "members_max": count,
+        }
+        for n in range(3)
+    ]
     (folder / "b.json").write_text(json.dumps({"budgets": budgets}))
-    words = ["--state", folder / "s", "--listen", "127.0.0.1:0", "--write", "127.0.0.1:0", "--fleet",
-             "127.0.0.1:0", "--new", "--reserves-known", "--budgets", folder / "b.json", "--ports",
-             folder / "ports", "--lease-ms", LEASE_MS, "--longest-ms", LEASE_MS, "--drift", DRIFT]
+    words = [
+        "--state",
+        folder / "s",
+        "--listen",
+        "127.0.0.1:0",
+        "--write",
+        "127.0.0.1:0",
+        "--fleet",
+        "127.0.0.1:0",
+        "--new",
+        "--reserves-known",
+        "--budgets",
+        folder / "b.json",
+        "--ports",
+        folder / "ports",
+        "--lease-ms",
+        LEASE_MS,
+        "--longest-ms",
+        LEASE_MS,
+        "--drift",
+        DRIFT,
+    ]
     with (folder / "log").open("w") as log:
-        service = subprocess.Popen([sys.executable, "-m", "lemonshunt.registry", *map(str, words)], cwd=ROOT,
-                                   stderr=log)
+        service = subprocess.Popen(
+            [sys.executable, "-m", "lemonshunt.registry", *map(str, words)],
+            cwd=ROOT,
+            stderr=log,
+        )
     try:
         while not (folder / "ports").exists() or not (folder / "ports").read_text():
             await asyncio.sleep(0.05)
@@ -167,7 +240,12 @@
 
         async def marks() -> tuple[float, ...]:
             syncs = (await staff.call("GET", "/_vars"))[1]["fleet_syncs"]
-            cpu = Path(f"/proc/{service.pid}/stat").read_text().rpartition(")")[2].split()[11:13]
+            cpu = (
+                Path(f"/proc/{service.pid}/stat")
+                .read_text()
+                .rpartition(")")[2]
+                .split()[11:13]
+            )
             return (*counts["beat"], *counts["watch"], syncs, sum(map(int, cpu)) / 100)
 
         await quiet(members, tasks, 2.5)
@@ -175,16 +253,17 @@
         await asyncio.sleep(STEADY_S)
         rest = [b - a for a, b in zip(before, await marks(), strict=True)]
         before, began = await marks(), time.perf_counter()
-        for member in members[:count // 10]:
+        for member in members[: count // 10]:
             member.needs = {**member.needs, "0": BUSY}
             member.go.set()
         await asyncio.sleep(CHANGE_S)
         after = [b - a for a, b in zip(before, await marks(), strict=True)]
-        served = [m for m in members[:count // 10] if m.shares["0"]["calls"] >= BUSY]
+        served = [m for m in members[: count // 10] if m.shares["0"]["calls"] >= BUSY]
         for task in tasks:
             task.cancel()
         return {
-            "ms until the last share was told": (max(m.at for m in members) - began) * 1000,
+            "ms until the last share was told": (max(m.at for m in members) - began)
+            * 1000,
             "part of those who asked that got all": len(served) / (count // 10),
             "members whose share changed": sum(m.at > began for m in members),
             "leases lost": sum(m.lost for m in members),
@@ -205,20 +284,31 @@
 
 async def main(repeats: int, count: int) -> None:
     allow_descriptors(count)
-    for said, named in (("watches that name their member", True), ("watches that do not", False)):
+    for said, named in (
+        ("watches that name their member", True),
+        ("watches that do not", False),
+    ):
         found = []
         for repeat in range(repeats):
             with tempfile.TemporaryDirectory() as folder:
                 found.append(await play(count, named, Path(folder)))
-            print(f"{said}: run {repeat + 1} of {repeats} done", file=sys.stderr, flush=True)
+            print(
+                f"{said}: run {repeat + 1} of {repeats} done",
+                file=sys.stderr,
+                flush=True,
+            )
         print(f"{count} members, 3 budgets, {said}, {repeats} runs:")
         for name in found[0]:
             values = [figures[name] for figures in found]
-            print(f"  {name}: median {statistics.median(values):.2f}, {min(values):.2f} to {max(values):.2f}")
+            print(
+                f"  {name}: median {statistics.median(values):.2f}, {min(values):.2f} to {max(values):.2f}"
+            )
 
 
 if __name__ == "__main__":
     try:
-        asyncio.run(main(*map(int, (sys.argv[1:] + ["5", "200"][len(sys.argv) - 1:])[:2])))
+        asyncio.run(
+            main(*map(int, (sys.argv[1:] + ["5", "200"][len(sys.argv) - 1 :])[:2]))
+        )
     except Stuck as error:
         sys.exit(f"fleet_service: {error}")
--- a/measure/import_time.py
+++ b/measure/import_time.py
@@ -31,8 +31,13 @@
 
 def once(tree: Path, module: str) -> tuple[list[float], dict[str, int]]:
     """ms by the wall and of the processor; modules imported, and how many of these are our own."""
-    done = subprocess.run([sys.executable, "-c", CODE.format(module=module)], cwd=tree, check=True,
-                          capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-c", CODE.format(module=module)],
+        cwd=tree,
+        check=True,
+        capture_output=True,
+        text=True,
+    )
     took, spent, modules, own = done.stdout.split()
     return [float(took), float(spent)], {"modules": int(modules), "own": int(own)}
 
@@ -51,9 +56,12 @@
         values = {name: [row[column] for row in rows] for name, rows in times.items()}
         by_pair = [b - a for a, b in zip(values["old"], values["new"], strict=True)]
         low, middle, high = statistics.quantiles(by_pair, n=4)
-        found[clock] = {"old": round(statistics.median(values["old"]), 2),
-                        "new": round(statistics.median(values["new"]), 2),
-                        "difference": round(middle, 2), "quartiles": [round(low, 2), round(high, 2)]}
+        found[clock] = {
+            "old": round(statistics.median(values["old"]), 2),
+            "new": round(statistics.median(values["new"]), 2),
+            "difference": round(middle, 2),
+            "quartiles": [round(low, 2), round(high, 2)],
+        }
     return found
 
 
@@ -62,8 +70,12 @@
     ask.add_argument("--old", default="250e431", help="the commit to compare with")
     ask.add_argument("--pairs", type=int, default=11)
     args = ask.parse_args()
-    packed = subprocess.run(["git", "archive", args.old, "lemonshunt"], cwd=ROOT, check=True,
-                            capture_output=True).stdout
+    packed = subprocess.run(
+        ["git", "archive", args.old, "lemonshunt"],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+    ).stdout
     with tempfile.TemporaryDirectory() as folder:
         with tarfile.open(fileobj=BytesIO(packed)) as tar:
             tar.extractall(folder, filter="data")
--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -29,8 +29,13 @@
 
 
 def old_store() -> Any:
-    text = subprocess.run(["git", "show", f"{BEFORE}:lemonshunt/net/store.py"], cwd=ROOT, check=True,
-                          capture_output=True, text=True).stdout
+    text = subprocess.run(
+        ["git", "show", f"{BEFORE}:lemonshunt/net/store.py"],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+        text=True,
+    ).stdout
     module = types.ModuleType("old_store")
     sys.modules["old_store"] = module
     exec(compile(text, "old_store.py", "exec"), module.__dict__)
@@ -43,6 +48,7 @@
         store = made.Store(Path(folder), 3_000_000)
         written = 0
         if hasattr(store, "log"):
+
             def count() -> int:
                 return int(store.log.bytes)
         else:
@@ -52,12 +58,18 @@
                 nonlocal written
                 written += len(data)
                 return int(write(fd, data))
+
             made.os = types.SimpleNamespace(**{**vars(made.os), "write": counted})
 
             def count() -> int:
                 return written
-        classes = (i.MessageClass("status-notice", 1_000_000, 5_000_000),
-                   i.MessageClass("fee-payment", 3_000_000, 28_000_000, i.Effect.ONCE, in_order=True))
+
+        classes = (
+            i.MessageClass("status-notice", 1_000_000, 5_000_000),
+            i.MessageClass(
+                "fee-payment", 3_000_000, 28_000_000, i.Effect.ONCE, in_order=True
+            ),
+        )
         store.settle(made.Rules(8, classes))
         began = time.process_time()
         for n in range(0, MESSAGES, EACH_ROUND):
@@ -65,8 +77,16 @@
             for k in range(n, n + EACH_ROUND):
                 name = f"{k:016x}"
                 order = f"{k % 50:016x}" if k % 4 == 0 else None
-                m = made.Taken(name, classes[k % 4 == 0].name, k % 12, NOW + k, name * 2, None, BODY,
-                               order)
+                m = made.Taken(
+                    name,
+                    classes[k % 4 == 0].name,
+                    k % 12,
+                    NOW + k,
+                    name * 2,
+                    None,
+                    BODY,
+                    order,
+                )
                 store.take(m)
                 store.attempt(m, 0, NOW + k, "s-5be2a07c")
                 batch.append(m)
@@ -93,13 +113,20 @@
     old = old_store()
     results: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
     for n in range(repeats):
-        for name, made in (("before", old), ("now", new_store))[::1 if n % 2 else -1]:
+        for name, made in (("before", old), ("now", new_store))[:: 1 if n % 2 else -1]:
             results[name].append(history(made))
     for name, pairs in results.items():
         print(row(f"{name}: processor time a message, us", [p[0] for p in pairs]))
         print(row(f"{name}: bytes a message", [p[1] for p in pairs]))
-    print(row("now less before, us, by pairs", [b[0] - a[0] for a, b in
-                                               zip(results["before"], results["now"], strict=True)]))
+    print(
+        row(
+            "now less before, us, by pairs",
+            [
+                b[0] - a[0]
+                for a, b in zip(results["before"], results["now"], strict=True)
+            ],
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/measure/lab_load.py
+++ b/measure/lab_load.py
@@ -59,8 +59,18 @@
         held = 0.0
         for rate in RATES[3:] if repeats == 1 else RATES:
             runs = [once(size, rate) for _ in range(repeats)]
-            print(row(f"{size} forwarders, {rate:g}/s, lag p99 ms", [r["p99"] for r in runs]))
-            print(row(f"{size} forwarders, {rate:g}/s, lag max ms", [r["max"] for r in runs]))
+            print(
+                row(
+                    f"{size} forwarders, {rate:g}/s, lag p99 ms",
+                    [r["p99"] for r in runs],
+                )
+            )
+            print(
+                row(
+                    f"{size} forwarders, {rate:g}/s, lag max ms",
+                    [r["max"] for r in runs],
+                )
+            )
             print(
                 row(
                     f"{size} forwarders, {rate:g}/s, share delivered",
--- a/measure/lab_proxy.py
+++ b/measure/lab_proxy.py
@@ -58,7 +58,12 @@
     repeats = int(sys.argv[1]) if len(sys.argv) > 1 else 5
     runs = [asyncio.run(once()) for _ in range(repeats)]
     for n, name in enumerate(
-        ("straight, median us", "straight, p90 us", "proxied, median us", "proxied, p90 us")
+        (
+            "straight, median us",
+            "straight, p90 us",
+            "proxied, median us",
+            "proxied, p90 us",
+        )
     ):
         print(row(name, [r[n] for r in runs]))
     print(row("added by the proxy, median us", [r[2] - r[0] for r in runs]))
--- a/measure/power_cost.py
+++ b/measure/power_cost.py
@@ -33,7 +33,9 @@
     with tempfile.TemporaryDirectory() as name:
         node = Node(Path(name), platform, max_open=2000)
         path = Path(name) / "config.json"
-        path.write_text(json.dumps({**json.loads(path.read_text()), "durability": level}))
+        path.write_text(
+            json.dumps({**json.loads(path.read_text()), "durability": level})
+        )
         await node.start()
         clients = [await node.client() for _ in range(16)]
         free: asyncio.Queue[int] = asyncio.Queue()
@@ -62,14 +64,20 @@
         await node.end()
     many = max(1, len(times))
     await end_peers()
-    return (statistics.median(times), (after["syncs"] - before["syncs"]) / many,
-            (after["bytes"] - before["bytes"]) / many)
+    return (
+        statistics.median(times),
+        (after["syncs"] - before["syncs"]) / many,
+        (after["bytes"] - before["bytes"]) / many,
+    )
 
 
 def main() -> None:
     repeats = min(20, int(sys.argv[1]) if len(sys.argv) > 1 else 3)
     for rate in RATES:
-        found: dict[str, list[tuple[float, float, float]]] = {"process": [], "power": []}
+        found: dict[str, list[tuple[float, float, float]]] = {
+            "process": [],
+            "power": [],
+        }
         for _ in range(repeats):
             for level, results in found.items():
                 results.append(asyncio.run(once(level, rate)))
--- a/measure/queue_cost.py
+++ b/measure/queue_cost.py
@@ -27,9 +27,14 @@
 
 S = 1_000_000
 LIFE = 7200 * S
-KEYED = i.MessageClass("notice", 900 * S, LIFE, i.Effect.KEYED, i.Scope.ALL, 2 * LIFE, True, late_worth=0.5)
-CLASSES = (i.MessageClass("reminder", 900 * S, LIFE, late_worth=0.5),
-           i.MessageClass("receipt", 900 * S, LIFE, late_worth=0.5), KEYED)
+KEYED = i.MessageClass(
+    "notice", 900 * S, LIFE, i.Effect.KEYED, i.Scope.ALL, 2 * LIFE, True, late_worth=0.5
+)
+CLASSES = (
+    i.MessageClass("reminder", 900 * S, LIFE, late_worth=0.5),
+    i.MessageClass("receipt", 900 * S, LIFE, late_worth=0.5),
+    KEYED,
+)
 BATCH = 1000
 """Messages taken on in one round while a pile is filled."""
 EVENTS, REPEATS = 200, 5
@@ -41,22 +46,37 @@
 
     def __init__(self, make: Make, held: int, own_keys: bool = False) -> None:
         self.now, self.taken, self.own_keys = 0, 0, own_keys
-        settings = i.Settings(slots=4, classes=CLASSES, max_open=1 << 40, tenants=(i.Tenant("city", 1e9),),
-                              over_share_worth=0.5, max_attempts=4)
+        settings = i.Settings(
+            slots=4,
+            classes=CLASSES,
+            max_open=1 << 40,
+            tenants=(i.Tenant("city", 1e9),),
+            over_share_worth=0.5,
+            max_attempts=4,
+        )
         self.dispatcher = make(settings, 1, 0)
-        self.dispatcher.handle(0, [i.Listed(i.ListKind.SAVED, (i.TargetEntry(1, 10), i.TargetEntry(2, 10)))])
-        self.dispatcher.handle(0, [i.Shares(10, 0, 1000 * S, 1 << 50, 0)])  # nothing may go
+        self.dispatcher.handle(
+            0,
+            [i.Listed(i.ListKind.SAVED, (i.TargetEntry(1, 10), i.TargetEntry(2, 10)))],
+        )
+        self.dispatcher.handle(
+            0, [i.Shares(10, 0, 1000 * S, 1 << 50, 0)]
+        )  # nothing may go
         self.waiting: deque[i.Event] = deque()
         while self.taken < held:
             self.now += 1000
-            self.dispatcher.handle(self.now, [self.arrival() for _ in range(min(BATCH, held - self.taken))])
+            self.dispatcher.handle(
+                self.now, [self.arrival() for _ in range(min(BATCH, held - self.taken))]
+            )
 
     def arrival(self) -> i.Arrived:
         self.taken += 1
         n = self.taken
         name = "notice" if self.own_keys else CLASSES[n % 2].name
         due = self.now + 3600 * S + n * 7919 % 3000 * S
-        return i.Arrived(f"message {n}", 10, name, due, f"key {n}" if self.own_keys else None, "city")
+        return i.Arrived(
+            f"message {n}", 10, name, due, f"key {n}" if self.own_keys else None, "city"
+        )
 
     def open(self) -> float:
         """Any call may go from now on; the processor seconds of the round."""
@@ -64,8 +84,13 @@
 
     def serve(self, events: int) -> float:
         """So many rounds of one event each, arrivals and outcomes; processor seconds for an event."""
-        return sum(self.round(self.waiting.popleft() if self.waiting else self.arrival())
-                   for _ in range(events)) / events
+        return (
+            sum(
+                self.round(self.waiting.popleft() if self.waiting else self.arrival())
+                for _ in range(events)
+            )
+            / events
+        )
 
     def round(self, event: i.Event) -> float:
         self.now += 5_000
@@ -74,8 +99,10 @@
         spent = time.process_time() - start
         for a in actions:
             if isinstance(a, i.Send):
-                self.waiting += [i.Ended(a.message, 0, a.target, i.Outcome.DELIVERED, 20_000, True),
-                                 self.arrival()]
+                self.waiting += [
+                    i.Ended(a.message, 0, a.target, i.Outcome.DELIVERED, 20_000, True),
+                    self.arrival(),
+                ]
         return spent
 
 
@@ -87,12 +114,16 @@
         site.serve(10)
         before = site.dispatcher.visited
         spent = site.serve(EVENTS)
-        print(f"  {held:>9,} held: {(site.dispatcher.visited - before) / EVENTS:.1f}, {spent * 1e6:.0f} us")
+        print(
+            f"  {held:>9,} held: {(site.dispatcher.visited - before) / EVENTS:.1f}, {spent * 1e6:.0f} us"
+        )
 
 
 def times(turn: int) -> None:
     """In short turns the processor's caches are full of what the old one has just visited."""
-    print(f"processor time for an event, old and new in turns of {turn} events, median of {REPEATS}:")
+    print(
+        f"processor time for an event, old and new in turns of {turn} events, median of {REPEATS}:"
+    )
     for held in (0, 100, 1000, 3000):
         spent: tuple[list[float], list[float]] = ([], [])
         for _ in range(REPEATS):
@@ -105,8 +136,10 @@
             for which, each in zip(spent, zip(*seconds, strict=True), strict=True):
                 which.append(sum(each) / turns * 1e6)
         old, new = (statistics.median(which) for which in spent)
-        print(f"  {held:>9,} held: {old:.0f} us, {new:.0f} us: {old / new:.2f} times"
-              f" (old {min(spent[0]):.0f}-{max(spent[0]):.0f}, new {min(spent[1]):.0f}-{max(spent[1]):.0f})")
+        print(
+            f"  {held:>9,} held: {old:.0f} us, {new:.0f} us: {old / new:.2f} times"
+            f" (old {min(spent[0]):.0f}-{max(spent[0]):.0f}, new {min(spent[1]):.0f}-{max(spent[1]):.0f})"
+        )
 
 
 def memory(held: int) -> None:
@@ -126,7 +159,9 @@
 def opening(sizes: Sequence[int]) -> None:
     print("processor time of the round in which a full pile opens (old, new):")
     for held in sizes:
-        spent = [Site(make, held).open() * 1e3 for make in (reference.Dispatcher, Dispatcher)]
+        spent = [
+            Site(make, held).open() * 1e3 for make in (reference.Dispatcher, Dispatcher)
+        ]
         print(f"  {held:>9,} held: {spent[0]:.2f} ms, {spent[1]:.2f} ms")
 
 
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -43,7 +43,9 @@
     return held
 
 
-async def once(live: int, history: int, overdue: bool) -> tuple[float, float, float, int]:
+async def once(
+    live: int, history: int, overdue: bool
+) -> tuple[float, float, float, int]:
     platform = Platform()
     await platform.start()
     peer = await Peer(always(OK)).start()
@@ -64,7 +66,9 @@
             if (await client.hand_in("fresh", dest=8))[0] == 202:
                 break
             await asyncio.sleep(0.01)
-        await peer.until(lambda: any(r.headers["x-correlation-id"] == "fresh" for r in peer.requests))
+        await peer.until(
+            lambda: any(r.headers["x-correlation-id"] == "fresh" for r in peer.requests)
+        )
         first = time.perf_counter() - began
         took = (await node.figures())["journal"]["recovered"]["took_ms"]
         client.writer.close()
@@ -75,8 +79,14 @@
 
 def main() -> None:
     repeats = min(20, int(sys.argv[1]) if len(sys.argv) > 1 else 5)
-    cases = [(10, 0, False), (1000, 0, False), (FULL, 0, False), (FULL, 0, True), (10, 1000, False),
-             (10, 20_000, False)]
+    cases = [
+        (10, 0, False),
+        (1000, 0, False),
+        (FULL, 0, False),
+        (FULL, 0, True),
+        (10, 1000, False),
+        (10, 20_000, False),
+    ]
     for live, history, overdue in cases:
         found = [asyncio.run(once(live, history, overdue)) for _ in range(repeats)]
         what = f"{found[0][3]} live{', all overdue' if overdue else ''}, {history} past"
--- a/measure/registry_writes.py
+++ b/measure/registry_writes.py
@@ -43,7 +43,8 @@
 async def ask(port: int, head: str, data: bytes = b"") -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(
-        f"{head}\r\nHost: r\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n".encode() + data
+        f"{head}\r\nHost: r\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n".encode()
+        + data
     )
     answer = await reader.read()
     writer.close()
@@ -53,7 +54,9 @@
 async def writes(service: Service, port: int, together: bool, first: int) -> float:
     """Syncs a change when WRITERS changes come at once, or one after another."""
     before = service.disk.syncs
-    calls = [ask(port, "POST /v1/hosts HTTP/1.1", body(first + n)) for n in range(WRITERS)]
+    calls = [
+        ask(port, "POST /v1/hosts HTTP/1.1", body(first + n)) for n in range(WRITERS)
+    ]
     if together:
         await asyncio.gather(*calls)
     else:
@@ -66,7 +69,9 @@
     """Milliseconds from a change being asked for until WRITERS held watches have all been answered."""
     seq = service.registry.seq
     held = [
-        asyncio.ensure_future(ask(listen, f"GET /discovery/hosts?from={seq}&hold_ms=20000 HTTP/1.1"))
+        asyncio.ensure_future(
+            ask(listen, f"GET /discovery/hosts?from={seq}&hold_ms=20000 HTTP/1.1")
+        )
         for _ in range(WRITERS)
     ]
     while service.figures.watches_held < WRITERS:
@@ -77,13 +82,22 @@
     return (time.perf_counter() - began) * 1000
 
 
-async def beat(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, body: dict[str, Any]) -> Any:
+async def beat(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, body: dict[str, Any]
+) -> Any:
     """One beat on a kept connection: the answer, and the bytes of both."""
     data = json.dumps(body).encode()
-    sent = f"POST /v1/fleet/beat HTTP/1.1\r\nHost: r\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
+    sent = (
+        f"POST /v1/fleet/beat HTTP/1.1\r\nHost: r\r\nContent-Length: {len(data)}\r\n\r\n".encode()
+        + data
+    )
     writer.write(sent)
     head = await reader.readuntil(b"\r\n\r\n")
-    length = next(int(x[15:]) for x in head.split(b"\r\n") if x.lower().startswith(b"content-length:"))
+    length = next(
+        int(x[15:])
+        for x in head.split(b"\r\n")
+        if x.lower().startswith(b"content-length:")
+    )
     return json.loads(await reader.readexactly(length)), len(sent), len(head) + length
 
 
@@ -92,27 +106,41 @@
     disk = Disk(folder)
     registry, _ = disk.load()
     ahead = [0]
-    service = Service(disk, registry, now_us=lambda: time.monotonic_ns() // 1000 + ahead[0])
+    service = Service(
+        disk, registry, now_us=lambda: time.monotonic_ns() // 1000 + ahead[0]
+    )
     await service.begin()
     await service.lead(Terms(0.02, 1_000, 60_000_000), 60_000_000)
     ahead[0] = 62_000_000  # the wait after a start on an empty folder
     port = await service.listen_fleet("127.0.0.1", 0)
     links = [await asyncio.open_connection("127.0.0.1", port) for _ in range(WRITERS)]
     bodies: list[dict[str, Any]] = [
-        {"name": f"f{n}", "site": "a", "dial": f"127.0.0.1:{n}", "token": None, "sent": 0}
+        {
+            "name": f"f{n}",
+            "site": "a",
+            "dial": f"127.0.0.1:{n}",
+            "token": None,
+            "sent": 0,
+        }
         for n in range(WRITERS)
     ]
     began = time.perf_counter()
-    joined = await asyncio.gather(*(beat(*link, body) for link, body in zip(links, bodies, strict=True)))
+    joined = await asyncio.gather(
+        *(beat(*link, body) for link, body in zip(links, bodies, strict=True))
+    )
     joins = (time.perf_counter() - began) * 1000
     for body, (told, _, _) in zip(bodies, joined, strict=True):
         body.update(token=told["token"], list=told["list"])
     out = back = 0
     began = time.perf_counter()
     for _ in range(rounds):
-        for body, (told, sent, got) in zip(bodies, await asyncio.gather(
-            *(beat(*link, body) for link, body in zip(links, bodies, strict=True))
-        ), strict=True):
+        for body, (told, sent, got) in zip(
+            bodies,
+            await asyncio.gather(
+                *(beat(*link, body) for link, body in zip(links, bodies, strict=True))
+            ),
+            strict=True,
+        ):
             body["list"] = told["list"]
             out, back = out + sent, back + got
     took, count = time.perf_counter() - began, rounds * WRITERS
--- a/measure/scale/__main__.py
+++ b/measure/scale/__main__.py
@@ -36,11 +36,16 @@
 
 def show(series: Series) -> None:
     """Print each point, and what the growth comes to."""
-    print(f"  {series.name}, {series.value_unit} against {series.size_unit} ({series.role}):")
+    print(
+        f"  {series.name}, {series.value_unit} against {series.size_unit} ({series.role}):"
+    )
     for point in series.points:
         least, most = min(point.values), max(point.values)
         print(f"    {point.size:>12,g}: {point.median:.4g} ({least:.4g} to {most:.4g})")
-    print(f"    {fit(series).describe(series)}; bound: {series.bound or 'not said'}", flush=True)
+    print(
+        f"    {fit(series).describe(series)}; bound: {series.bound or 'not said'}",
+        flush=True,
+    )
 
 
 def run(measurement: Measurement, path: Path) -> None:
@@ -57,10 +62,21 @@
 
 def main(arguments: Sequence[str] | None = None) -> None:
     parser = argparse.ArgumentParser(prog="python -m measure.scale")
-    parser.add_argument("names", nargs="*", metavar="NAME", help="what to run; all where none is named")
-    parser.add_argument("--list", action="store_true", help="name the measurements there are")
-    parser.add_argument("--merge", type=Path, metavar="FILE", help="take over the entries of another file")
-    parser.add_argument("--results", type=Path, default=results.RESULTS, help="where figures are kept")
+    parser.add_argument(
+        "names", nargs="*", metavar="NAME", help="what to run; all where none is named"
+    )
+    parser.add_argument(
+        "--list", action="store_true", help="name the measurements there are"
+    )
+    parser.add_argument(
+        "--merge",
+        type=Path,
+        metavar="FILE",
+        help="take over the entries of another file",
+    )
+    parser.add_argument(
+        "--results", type=Path, default=results.RESULTS, help="where figures are kept"
+    )
     options = parser.parse_args(arguments)
     if options.merge:
         results.merge(results.load(options.merge).values(), options.results)
--- a/measure/scale/control_config.py
+++ b/measure/scale/control_config.py
@@ -24,8 +24,12 @@
 BUDGETS = (10, 100, 300, MOST_BUDGETS)
 PEERS = (10, 100, 300, FORWARDERS, MOST_PEERS)
 REPEATS = 3
-UNITS = {"bytes": "bytes", "load_ms": "ms of processor time", "examine_ms": "ms of processor time",
-         "apply_ms": "ms of processor time"}
+UNITS = {
+    "bytes": "bytes",
+    "load_ms": "ms of processor time",
+    "examine_ms": "ms of processor time",
+    "apply_ms": "ms of processor time",
+}
 
 
 @contextlib.contextmanager
@@ -60,7 +64,9 @@
         engine.fleet.tell()
     path.write_text(json.dumps(changed(told)))
     ms = probe.processor_ms(engine.reload)
-    assert engine.figures.accepted == 1 and not engine.figures.invalid, "the file was not taken"
+    assert engine.figures.accepted == 1 and not engine.figures.invalid, (
+        "the file was not taken"
+    )
     return ms
 
 
@@ -81,29 +87,53 @@
             }
 
 
-def run_sizes(name: str, unit: str, sizes: Iterable[int], made: Any, progress: Progress) -> Iterable[Series]:
+def run_sizes(
+    name: str, unit: str, sizes: Iterable[int], made: Any, progress: Progress
+) -> Iterable[Series]:
     growth = grow(sizes, lambda size: file_once(made(size)), progress, REPEATS)
     for key, value_unit in UNITS.items():
-        yield Series(f"config_{name}_{key}", Role.CONFIGURATION, unit, value_unit, growth.of(key),
-                     growth.bound)
+        yield Series(
+            f"config_{name}_{key}",
+            Role.CONFIGURATION,
+            unit,
+            value_unit,
+            growth.of(key),
+            growth.bound,
+        )
 
 
 def run_endpoints(progress: Progress) -> Iterable[Series]:
-    yield from run_sizes("endpoints", "endpoints in the file", ENDPOINTS, worlds.configuration, progress)
+    yield from run_sizes(
+        "endpoints", "endpoints in the file", ENDPOINTS, worlds.configuration, progress
+    )
 
 
 def run_budgets(progress: Progress) -> Iterable[Series]:
-    yield from run_sizes("budgets", "budgets in the file", BUDGETS,
-                         lambda size: worlds.configuration(100, worlds.fleet_part(budgets=size)), progress)
+    yield from run_sizes(
+        "budgets",
+        "budgets in the file",
+        BUDGETS,
+        lambda size: worlds.configuration(100, worlds.fleet_part(budgets=size)),
+        progress,
+    )
 
 
 def run_peers(progress: Progress) -> Iterable[Series]:
-    yield from run_sizes("peers", "peers in the file", PEERS,
-                         lambda size: worlds.configuration(100, worlds.fleet_part(peers=size)), progress)
+    yield from run_sizes(
+        "peers",
+        "peers in the file",
+        PEERS,
+        lambda size: worlds.configuration(100, worlds.fleet_part(peers=size)),
+        progress,
+    )
 
 
 MEASUREMENTS = (
-    Measurement("control_config_endpoints", "a file against the endpoints it lists", run_endpoints),
+    Measurement(
+        "control_config_endpoints",
+        "a file against the endpoints it lists",
+        run_endpoints,
+    ),
     Measurement("control_config_budgets", "a file against its budgets", run_budgets),
     Measurement("control_config_peers", "a file against its peers", run_peers),
 )
--- a/measure/scale/control_demand.py
+++ b/measure/scale/control_demand.py
@@ -27,16 +27,28 @@
 VALID_US = NOW_US + worlds.LEASE_US
 TOKEN = worlds.token(0)
 UNITS = {
-    "beat_bytes": "bytes", "answer_bytes": "bytes", "file_bytes": "bytes", "purse_bytes": "bytes",
-    "ask_ms": "ms of processor time", "answer_ms": "ms of processor time",
-    "keep_ms": "ms of processor time", "tell_ms": "ms of processor time", "tick_ms": "ms of processor time",
+    "beat_bytes": "bytes",
+    "answer_bytes": "bytes",
+    "file_bytes": "bytes",
+    "purse_bytes": "bytes",
+    "ask_ms": "ms of processor time",
+    "answer_ms": "ms of processor time",
+    "keep_ms": "ms of processor time",
+    "tell_ms": "ms of processor time",
+    "tick_ms": "ms of processor time",
 }
 
 
 def answer(budgets: int) -> bytes:
     """The answer to a beat, with a share of each budget."""
-    told = {"token": TOKEN.told(), "ttl_ms": 3_000, "sent": 1, "version": 1, "list": [1, 1],
-            "shares": {str(n): worlds.share() for n in range(budgets)}}
+    told = {
+        "token": TOKEN.told(),
+        "ttl_ms": 3_000,
+        "sent": 1,
+        "version": 1,
+        "list": [1, 1],
+        "shares": {str(n): worlds.share() for n in range(budgets)},
+    }
     return msgspec.json.encode(told)
 
 
@@ -49,7 +61,12 @@
 def hear(books: Books, data: bytes) -> None:
     """The answer's way into the books."""
     shares = msgspec.json.decode(data, type=Answer).shares
-    books.told(TOKEN, {int(d): msgspec.structs.asdict(s) for d, s in shares.items()}, VALID_US, NOW_US)
+    books.told(
+        TOKEN,
+        {int(d): msgspec.structs.asdict(s) for d, s in shares.items()},
+        VALID_US,
+        NOW_US,
+    )
 
 
 def told_books(budgets: int) -> Books:
@@ -61,7 +78,9 @@
 
 def tell(books: Books) -> list[Any]:
     """What the module is told after each answered beat, and the lines for what changed."""
-    return [books.event(d, NOW_US, 0) for d in sorted(books.accounts)] + books.changes(NOW_US)
+    return [books.event(d, NOW_US, 0) for d in sorted(books.accounts)] + books.changes(
+        NOW_US
+    )
 
 
 def purse_bytes(budgets: int) -> int:
@@ -91,12 +110,17 @@
 
         keep_ms = probe.processor_ms_each(kept)
     return {
-        "beat_bytes": len(beat_part(books)), "answer_bytes": len(data), "file_bytes": file_bytes,
+        "beat_bytes": len(beat_part(books)),
+        "answer_bytes": len(data),
+        "file_bytes": file_bytes,
         "purse_bytes": isolated(purse_bytes, budgets),
         "ask_ms": probe.processor_ms_each(lambda: beat_part(books)),
         "answer_ms": probe.processor_ms_each(lambda: hear(books, data)),
-        "keep_ms": keep_ms, "tell_ms": probe.processor_ms_each(lambda: tell(books)),
-        "tick_ms": probe.processor_ms_each(lambda: (books.grown({}, NOW_US), books.changes(NOW_US))),
+        "keep_ms": keep_ms,
+        "tell_ms": probe.processor_ms_each(lambda: tell(books)),
+        "tick_ms": probe.processor_ms_each(
+            lambda: (books.grown({}, NOW_US), books.changes(NOW_US))
+        ),
     }
 
 
@@ -109,24 +133,52 @@
             books.wanted(destination, "status/acme", NOW_US)
 
     wanted_ms = probe.processor_ms_each(one_each)
-    return {"wanted_ms": wanted_ms, "ask_ms": probe.processor_ms_each(lambda: beat_part(books)),
-            "beat_bytes": len(beat_part(books))}
+    return {
+        "wanted_ms": wanted_ms,
+        "ask_ms": probe.processor_ms_each(lambda: beat_part(books)),
+        "beat_bytes": len(beat_part(books)),
+    }
 
 
 def run_books(progress: Progress) -> Iterable[Series]:
     growth = grow(SIZES, books_once, progress, REPEATS)
     for key, unit in UNITS.items():
-        yield Series(f"books_{key}", Role.CONTROL_PART, "budgets", unit, growth.of(key), growth.bound)
+        yield Series(
+            f"books_{key}",
+            Role.CONTROL_PART,
+            "budgets",
+            unit,
+            growth.of(key),
+            growth.bound,
+        )
 
 
 def run_demand(progress: Progress) -> Iterable[Series]:
     growth = grow(WANTED, demand_once, progress, REPEATS)
-    for key, unit in (("wanted_ms", UNITS["ask_ms"]), ("ask_ms", UNITS["ask_ms"]), ("beat_bytes", "bytes")):
-        yield Series(f"demand_{key}", Role.CONTROL_PART, "destinations in use", unit, growth.of(key),
-                     "the books count no more destinations")
+    for key, unit in (
+        ("wanted_ms", UNITS["ask_ms"]),
+        ("ask_ms", UNITS["ask_ms"]),
+        ("beat_bytes", "bytes"),
+    ):
+        yield Series(
+            f"demand_{key}",
+            Role.CONTROL_PART,
+            "destinations in use",
+            unit,
+            growth.of(key),
+            "the books count no more destinations",
+        )
 
 
 MEASUREMENTS = (
-    Measurement("control_books", "a forwarder's budgets, all of them named in each beat", run_books),
-    Measurement("control_demand", "a forwarder's demand of destinations without a budget", run_demand),
+    Measurement(
+        "control_books",
+        "a forwarder's budgets, all of them named in each beat",
+        run_books,
+    ),
+    Measurement(
+        "control_demand",
+        "a forwarder's demand of destinations without a budget",
+        run_demand,
+    ),
 )
--- a/measure/scale/control_division.py
+++ b/measure/scale/control_division.py
@@ -27,20 +27,31 @@
 def needs(members: int, seed: int) -> dict[int, dict[str, int]]:
     """A third of the members has work, in two parts."""
     chance = random.Random(seed)
-    return {n: {"gold": chance.randrange(50), "free": chance.randrange(50)} if n % 3 == 0 else {}
-            for n in range(members)}
+    return {
+        n: {"gold": chance.randrange(50), "free": chance.randrange(50)}
+        if n % 3 == 0
+        else {}
+        for n in range(members)
+    }
 
 
 def divide_once(members: int) -> dict[str, float]:
     """One division of one budget alone."""
     wanted, floors = needs(members, members), dict.fromkeys(range(members), 1)
-    return {"ms": probe.processor_ms_each(
-        lambda: divide(members * CALLS_EACH, wanted, {"gold": 3}, floors, 1, {}, members // 3))}
+    return {
+        "ms": probe.processor_ms_each(
+            lambda: divide(
+                members * CALLS_EACH, wanted, {"gold": 3}, floors, 1, {}, members // 3
+            )
+        )
+    }
 
 
 def ledger(members: int, budgets: int) -> Ledger:
     """All in force, nothing granted yet."""
-    named = checked([worlds.budget(n, members * CALLS_EACH, members, 1) for n in range(budgets)])
+    named = checked(
+        [worlds.budget(n, members * CALLS_EACH, members, 1) for n in range(budgets)]
+    )
     made = Ledger(named, worlds.LEASE_US, worlds.DRIFT, 0, sure=True)
     for n in range(members):
         made.joined(worlds.token(n), worlds.member(n), None, 0)
@@ -53,7 +64,9 @@
         made.commit(change)
         for token in list(made.names):
             told = made.told(token)
-            made.beat(token, {}, {d: (s.calls, s.number) for d, s in told.items()}, now_us)
+            made.beat(
+                token, {}, {d: (s.calls, s.number) for d, s in told.items()}, now_us
+            )
         now_us += worlds.SECOND_US
     return now_us
 
@@ -95,18 +108,33 @@
             made.commit(change)
 
     stirred_ms = probe.processor_ms(stirred)
-    return {"rest_ms": rest_ms, "service_rest_ms": service_ms, "beat_ms": beat_ms, "told_ms": told_ms,
-            "stirred_ms": stirred_ms, "kept_bytes": isolated(ledger_bytes, members, budgets)}
+    return {
+        "rest_ms": rest_ms,
+        "service_rest_ms": service_ms,
+        "beat_ms": beat_ms,
+        "told_ms": told_ms,
+        "stirred_ms": stirred_ms,
+        "kept_bytes": isolated(ledger_bytes, members, budgets),
+    }
 
 
 def series(prefix: str, size_unit: str, growth: Growth) -> Iterable[Series]:
     for key in growth.points:
         unit = "bytes" if key.endswith("_bytes") else MS
-        yield Series(f"{prefix}_{key}", Role.BUDGETS, size_unit, unit, growth.of(key), growth.bound)
+        yield Series(
+            f"{prefix}_{key}",
+            Role.BUDGETS,
+            size_unit,
+            unit,
+            growth.of(key),
+            growth.bound,
+        )
 
 
 def run_division(progress: Progress) -> Iterable[Series]:
-    yield from series("division", "members", grow(MEMBERS, divide_once, progress, REPEATS))
+    yield from series(
+        "division", "members", grow(MEMBERS, divide_once, progress, REPEATS)
+    )
 
 
 def run_members(progress: Progress) -> Iterable[Series]:
@@ -115,12 +143,24 @@
 
 
 def run_budgets(progress: Progress) -> Iterable[Series]:
-    growth = grow(BUDGETS, lambda size: ledger_once(FEW_MEMBERS, size), progress, 3, point_s=30.0)
+    growth = grow(
+        BUDGETS, lambda size: ledger_once(FEW_MEMBERS, size), progress, 3, point_s=30.0
+    )
     yield from series("ledger_budgets", "budgets", growth)
 
 
 MEASUREMENTS = (
-    Measurement("control_division", "one division of one budget against members", run_division),
-    Measurement("control_ledger_members", "plan, beat and answer of one budget against members", run_members),
-    Measurement("control_ledger_budgets", f"the same at {FEW_MEMBERS} members against budgets", run_budgets),
+    Measurement(
+        "control_division", "one division of one budget against members", run_division
+    ),
+    Measurement(
+        "control_ledger_members",
+        "plan, beat and answer of one budget against members",
+        run_members,
+    ),
+    Measurement(
+        "control_ledger_budgets",
+        f"the same at {FEW_MEMBERS} members against budgets",
+        run_budgets,
+    ),
 )
--- a/measure/scale/control_list.py
+++ b/measure/scale/control_list.py
@@ -70,8 +70,15 @@
         kept = probe.resident_bytes() - before
         known = {"reachable": reachable(engine), "recovered": recovered(engine, folder)}
         sweep_ms = probe.processor_ms(gc.collect, freeze=False)
-        return {"read_ms": read_ms, "take_ms": take_ms, "peak_bytes": peak, "kept_bytes": kept,
-                "sweep_ms": sweep_ms, **known, **follow_change(engine)}
+        return {
+            "read_ms": read_ms,
+            "take_ms": take_ms,
+            "peak_bytes": peak,
+            "kept_bytes": kept,
+            "sweep_ms": sweep_ms,
+            **known,
+            **follow_change(engine),
+        }
 
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(scene(Path(folder)))
@@ -116,7 +123,9 @@
 
 def entries(count: int) -> tuple[i.TargetEntry, ...]:
     """The whole list as the module hears it."""
-    listed = host_list({"seq": 1, "whole": True, "hosts": [worlds.endpoint(n) for n in range(count)]})
+    listed = host_list(
+        {"seq": 1, "whole": True, "hosts": [worlds.endpoint(n) for n in range(count)]}
+    )
     return tuple(host.entry(number) for number, host in enumerate(listed.hosts, 1))
 
 
@@ -127,23 +136,36 @@
     whole = i.Listed(i.ListKind.WHOLE, entries(size))
     one = i.Listed(i.ListKind.CHANGES, whole.entries[size // 2 : size // 2 + 1])
     whole_ms = probe.processor_ms(lambda: dispatcher.handle(1, [whole]))
-    return {"whole_ms": whole_ms, "change_ms": probe.processor_ms_each(lambda: dispatcher.handle(2, [one]))}
+    return {
+        "whole_ms": whole_ms,
+        "change_ms": probe.processor_ms_each(lambda: dispatcher.handle(2, [one])),
+    }
 
 
 def service_once(size: int) -> dict[str, float]:
     """The list service's own work: the whole list, and from a change that was asked for to its answer."""
     registry = worlds.registry(size)
-    whole_ms = probe.processor_ms_each(lambda: msgspec.json.encode(registry.owed(None, None)))
+    whole_ms = probe.processor_ms_each(
+        lambda: msgspec.json.encode(registry.owed(None, None))
+    )
     shares = itertools.cycle((100.0, 200.0))
 
     def change() -> None:
-        op = {"op": "share", "host": worlds.endpoint(size // 2)["host"], "share": next(shares)}
+        op = {
+            "op": "share",
+            "host": worlds.endpoint(size // 2)["host"],
+            "share": next(shares),
+        }
         registry.commit(registry.prepare({"ops": [op]}, ""))  # type: ignore[arg-type]
 
     change_ms = probe.processor_ms_each(change)
     tell_ms = probe.processor_ms_each(lambda: change_for_watcher(registry))
-    return {"whole_ms": whole_ms, "change_ms": change_ms, "tell_ms": tell_ms,
-            "tell_bytes": len(change_for_watcher(registry))}
+    return {
+        "whole_ms": whole_ms,
+        "change_ms": change_ms,
+        "tell_ms": tell_ms,
+        "tell_bytes": len(change_for_watcher(registry)),
+    }
 
 
 def change_for_watcher(registry: Registry) -> bytes:
@@ -161,7 +183,9 @@
         client = Client(Address("127.0.0.1", port))
         try:
             answer = await client.ask("GET", "/discovery/hosts", 10 * ANSWER_S)
-            return answer.status == 200 and len(json.loads(answer.body)["hosts"]) == count
+            return (
+                answer.status == 200 and len(json.loads(answer.body)["hosts"]) == count
+            )
         except (OSError, BadAnswer):
             return False
         finally:
@@ -177,7 +201,9 @@
     growth = grow(SIZES, read_once, progress, REPEATS)
 
     def series(name: str, key: str, unit: str) -> Series:
-        return Series(name, Role.CONTROL_PART, "endpoints", unit, growth.of(key), growth.bound)
+        return Series(
+            name, Role.CONTROL_PART, "endpoints", unit, growth.of(key), growth.bound
+        )
 
     yield series("list_whole_bytes", "bytes", "bytes")
     yield series("list_read_ms", "read_ms", "ms of processor time")
@@ -194,15 +220,23 @@
 def run_module(progress: Progress) -> Iterable[Series]:
     growth = grow(SIZES, module_once, progress, REPEATS)
     for key in ("whole_ms", "change_ms"):
-        yield Series(f"list_module_{key}", Role.CONTROL_PART, "endpoints", "ms of processor time",
-                     growth.of(key), growth.bound)
+        yield Series(
+            f"list_module_{key}",
+            Role.CONTROL_PART,
+            "endpoints",
+            "ms of processor time",
+            growth.of(key),
+            growth.bound,
+        )
 
 
 def run_service(progress: Progress) -> Iterable[Series]:
     growth = grow(SIZES, service_once, progress, REPEATS)
 
     def series(name: str, key: str, unit: str) -> Series:
-        return Series(name, Role.LIST_SERVICE, "endpoints", unit, growth.of(key), growth.bound)
+        return Series(
+            name, Role.LIST_SERVICE, "endpoints", unit, growth.of(key), growth.bound
+        )
 
     yield series("list_service_whole_ms", "whole_ms", "ms of processor time")
     yield series("list_service_change_ms", "change_ms", "ms of processor time")
@@ -212,13 +246,31 @@
 
 def run_arrival(progress: Progress) -> Iterable[Series]:
     growth = grow([*sizes_by(11_000, 2, LARGEST)], arrival_once, progress, 3)
-    yield Series("list_arrives", Role.LIST_SERVICE, "endpoints", "share of whole lists that arrive",
-                 growth.of("arrived"), growth.bound)
+    yield Series(
+        "list_arrives",
+        Role.LIST_SERVICE,
+        "endpoints",
+        "share of whole lists that arrive",
+        growth.of("arrived"),
+        growth.bound,
+    )
 
 
 MEASUREMENTS = (
-    Measurement("control_list_read", "a forwarder reads the whole list, and one change of it", run_read),
+    Measurement(
+        "control_list_read",
+        "a forwarder reads the whole list, and one change of it",
+        run_read,
+    ),
     Measurement("control_list_module", "the module's share of that", run_module),
-    Measurement("control_list_service", "the service makes the whole list, a change, its news", run_service),
-    Measurement("control_list_arrival", "whole lists over loopback from the service", run_arrival),
+    Measurement(
+        "control_list_service",
+        "the service makes the whole list, a change, its news",
+        run_service,
+    ),
+    Measurement(
+        "control_list_arrival",
+        "whole lists over loopback from the service",
+        run_arrival,
+    ),
 )
--- a/measure/scale/control_members.py
+++ b/measure/scale/control_members.py
@@ -25,11 +25,18 @@
 REPEATS = 5
 LATER_US = 4 * worlds.LEASE_US
 UNITS = {
-    "beat_ms": "ms of processor time", "tick_ms": "ms of processor time", "due_ms": "ms of processor time",
-    "told_whole_ms": "ms of processor time", "told_whole_bytes": "bytes",
-    "told_change_ms": "ms of processor time", "told_change_bytes": "bytes",
-    "beat_log_bytes": "bytes", "join_log_bytes": "bytes",
-    "log_bytes": "bytes", "compact_ms": "ms of processor time", "recover_ms": "ms of processor time",
+    "beat_ms": "ms of processor time",
+    "tick_ms": "ms of processor time",
+    "due_ms": "ms of processor time",
+    "told_whole_ms": "ms of processor time",
+    "told_whole_bytes": "bytes",
+    "told_change_ms": "ms of processor time",
+    "told_change_bytes": "bytes",
+    "beat_log_bytes": "bytes",
+    "join_log_bytes": "bytes",
+    "log_bytes": "bytes",
+    "compact_ms": "ms of processor time",
+    "recover_ms": "ms of processor time",
 }
 
 
@@ -53,7 +60,9 @@
 
 def join_record(members: int) -> dict[str, Any]:
     """The record of one more join."""
-    made = worlds.roster(members).join(LATER_US, "one-more", "zone-0", worlds.dial(0), "run-0")
+    made = worlds.roster(members).join(
+        LATER_US, "one-more", "zone-0", worlds.dial(0), "run-0"
+    )
     assert made.record is not None
     return made.record
 
@@ -65,12 +74,18 @@
         log = book(Path(folder))
         log.append([(LEASE, join_record(members))])
         join_bytes = log.log.at
-        compact_ms = probe.processor_ms_each(lambda: log.rewrite({LEASE: roster.table.snapshot()}))
+        compact_ms = probe.processor_ms_each(
+            lambda: log.rewrite({LEASE: roster.table.snapshot()})
+        )
         recover_ms = probe.processor_ms_each(lambda: recover(Path(folder)))
         found = recover(Path(folder))
         assert len(found.in_force()) == members
-        return {"join_log_bytes": join_bytes, "log_bytes": log.log.at, "compact_ms": compact_ms,
-                "recover_ms": recover_ms}
+        return {
+            "join_log_bytes": join_bytes,
+            "log_bytes": log.log.at,
+            "compact_ms": compact_ms,
+            "recover_ms": recover_ms,
+        }
 
 
 def members_once(members: int) -> dict[str, float]:
@@ -86,10 +101,13 @@
         "beat_ms": probe.processor_ms_each(lambda: roster.beat(now_us, name, token)),
         "tick_ms": probe.processor_ms_each(lambda: roster.tick(now_us)),
         "due_ms": probe.processor_ms_each(roster.next_us),
-        "told_whole_ms": probe.processor_ms_each(lambda: msgspec.json.encode(roster.owed(None, None))),
+        "told_whole_ms": probe.processor_ms_each(
+            lambda: msgspec.json.encode(roster.owed(None, None))
+        ),
         "told_whole_bytes": len(msgspec.json.encode(whole)),
         "told_change_ms": probe.processor_ms_each(
-            lambda: msgspec.json.encode(roster.owed(since, roster.epoch))),
+            lambda: msgspec.json.encode(roster.owed(since, roster.epoch))
+        ),
         "told_change_bytes": len(msgspec.json.encode(change)),
         "beat_log_bytes": 0 if made.record is None else len(json.dumps(made.record)),
         **log_once(members),
@@ -99,9 +117,20 @@
 def run_members(progress: Progress) -> Iterable[Series]:
     growth = grow(SIZES, members_once, progress, REPEATS)
     for key, unit in UNITS.items():
-        yield Series(f"members_{key}", Role.MEMBERS, "members", unit, growth.of(key), growth.bound)
+        yield Series(
+            f"members_{key}",
+            Role.MEMBERS,
+            "members",
+            unit,
+            growth.of(key),
+            growth.bound,
+        )
 
 
 MEASUREMENTS = (
-    Measurement("control_members", "leases, members, their list and the log against members", run_members),
+    Measurement(
+        "control_members",
+        "leases, members, their list and the log against members",
+        run_members,
+    ),
 )
--- a/measure/scale/control_shards.py
+++ b/measure/scale/control_shards.py
@@ -29,8 +29,10 @@
     """A sound map of so many ranges at the target's owners."""
     raw = told(shuffled(ranges, random.Random(ranges)), FORWARDERS)
     names = {f"n{n}" for n in range(FORWARDERS)}
-    return {"check_ms": probe.processor_ms_each(lambda: check(raw, names)),
-            "map_bytes": len(msgspec.json.encode(raw))}
+    return {
+        "check_ms": probe.processor_ms_each(lambda: check(raw, names)),
+        "map_bytes": len(msgspec.json.encode(raw)),
+    }
 
 
 def even(members: int) -> ShardMap:
@@ -39,8 +41,15 @@
 
 def told_bytes(shards: ShardMap, name: str) -> int:
     """A member's own ranges in the answer to each of its beats."""
-    own = [{"keys": span_text(r.first, r.last), "token": worlds.token(1).told(), "begun": shards.generation}
-           for r in shards.ranges if r.owner == name]
+    own = [
+        {
+            "keys": span_text(r.first, r.last),
+            "token": worlds.token(1).told(),
+            "begun": shards.generation,
+        }
+        for r in shards.ranges
+        if r.owner == name
+    ]
     return len(msgspec.json.encode({"map": shards.generation, "ranges": own}))
 
 
@@ -51,51 +60,85 @@
     found = []
     ms = probe.processor_ms(lambda: found.append(plan(after, base)))
     made = found[0]
-    return {"ms": ms, "moved": made.moved / SPACE, "above_least": (made.moved - made.least) / SPACE,
-            "ranges": len(made.map.ranges), "map_bytes": len(msgspec.json.encode(made.map.told()))}
+    return {
+        "ms": ms,
+        "moved": made.moved / SPACE,
+        "above_least": (made.moved - made.least) / SPACE,
+        "ranges": len(made.map.ranges),
+        "map_bytes": len(msgspec.json.encode(made.map.told())),
+    }
 
 
 def owners_once(owners: int) -> dict[str, float]:
     """A first plan, one join and one leave."""
     base = even(owners)
-    one = {"plan_ms": probe.processor_ms_each(lambda: even(owners)),
-           "told_bytes": told_bytes(base, worlds.member(owners // 2)),
-           "map_bytes": len(msgspec.json.encode(base.told()))}
+    one = {
+        "plan_ms": probe.processor_ms_each(lambda: even(owners)),
+        "told_bytes": told_bytes(base, worlds.member(owners // 2)),
+        "map_bytes": len(msgspec.json.encode(base.told())),
+    }
     for what, joined, left in (("join", 1, 0), ("leave", 0, 1)):
-        one |= {f"{what}_{key}": value for key, value in moved(owners, joined, left).items()}
+        one |= {
+            f"{what}_{key}": value for key, value in moved(owners, joined, left).items()
+        }
     return one
 
 
 def group_once(group: int) -> dict[str, float]:
     """So many of the target's forwarders join, or leave, at once."""
-    return {f"{what}_{key}": value
-            for what, joined, left in (("join", group, 0), ("leave", 0, group))
-            for key, value in moved(FORWARDERS - joined, joined, left).items()}
+    return {
+        f"{what}_{key}": value
+        for what, joined, left in (("join", group, 0), ("leave", 0, group))
+        for key, value in moved(FORWARDERS - joined, joined, left).items()
+    }
 
 
 def unit(key: str) -> str:
-    return {"ms": MS, "bytes": "bytes", "ranges": "ranges"}.get(key.rpartition("_")[2], "part of all keys")
+    return {"ms": MS, "bytes": "bytes", "ranges": "ranges"}.get(
+        key.rpartition("_")[2], "part of all keys"
+    )
 
 
 def series(prefix: str, size_unit: str, growth: Growth) -> Iterable[Series]:
     for key in growth.points:
-        yield Series(f"{prefix}_{key}", Role.SHARD_MAP, size_unit, unit(key), growth.of(key), growth.bound)
+        yield Series(
+            f"{prefix}_{key}",
+            Role.SHARD_MAP,
+            size_unit,
+            unit(key),
+            growth.of(key),
+            growth.bound,
+        )
 
 
 def run_check(progress: Progress) -> Iterable[Series]:
-    yield from series("shard_ranges", "ranges", grow(RANGES, check_once, progress, REPEATS))
+    yield from series(
+        "shard_ranges", "ranges", grow(RANGES, check_once, progress, REPEATS)
+    )
 
 
 def run_owners(progress: Progress) -> Iterable[Series]:
-    yield from series("shard_owners", "owners", grow(OWNERS, owners_once, progress, REPEATS))
+    yield from series(
+        "shard_owners", "owners", grow(OWNERS, owners_once, progress, REPEATS)
+    )
 
 
 def run_groups(progress: Progress) -> Iterable[Series]:
-    yield from series("shard_group", "forwarders at once", grow(GROUPS, group_once, progress, REPEATS))
+    yield from series(
+        "shard_group", "forwarders at once", grow(GROUPS, group_once, progress, REPEATS)
+    )
 
 
 MEASUREMENTS = (
-    Measurement("control_shard_check", "bytes and check of a map against its ranges", run_check),
-    Measurement("control_shard_owners", "plans, one join, one leave against owners", run_owners),
-    Measurement("control_shard_groups", f"several of {FORWARDERS} join or leave at once", run_groups),
+    Measurement(
+        "control_shard_check", "bytes and check of a map against its ranges", run_check
+    ),
+    Measurement(
+        "control_shard_owners", "plans, one join, one leave against owners", run_owners
+    ),
+    Measurement(
+        "control_shard_groups",
+        f"several of {FORWARDERS} join or leave at once",
+        run_groups,
+    ),
 )
--- a/measure/scale/control_worlds.py
+++ b/measure/scale/control_worlds.py
@@ -23,18 +23,35 @@
 DISK_BYTES = 1 << 30
 """Room enough for any list, so that no write is left out."""
 SETTINGS: dict[str, Any] = {
-    "allowed": {"conn_idle_us": 5_000_000, "dial_timeout_us": 1_000_000, "max_attempts": 6,
-                "max_open": 1_000_000, "max_retry_after_us": 3_000_000, "retry_after": True,
-                "may_cancel": True},
+    "allowed": {
+        "conn_idle_us": 5_000_000,
+        "dial_timeout_us": 1_000_000,
+        "max_attempts": 6,
+        "max_open": 1_000_000,
+        "max_retry_after_us": 3_000_000,
+        "retry_after": True,
+        "may_cancel": True,
+    },
     "balancers": 540,
-    "contract": {"grace_to_answer_us": 20_000, "drain_grace_us": 500_000, "ask_within_us": 10_000_000},
+    "contract": {
+        "grace_to_answer_us": 20_000,
+        "drain_grace_us": 500_000,
+        "ask_within_us": 10_000_000,
+    },
     "discovery": "on_request",
     "family_info": {"slots": 64, "kind_batch": [1], "routes_apart": [False]},
     "host_types": ["plain"],
     "orgs": [{"name": "acme", "allowance_per_s": 1_000.0, "fraction": 1.0}],
     "over_share_worth": 0.1,
-    "services": [{"name": "status", "aim_us": 400_000, "deadline_us": 4_000_000, "effect": "repeatable",
-                  "by_arrival": False}],
+    "services": [
+        {
+            "name": "status",
+            "aim_us": 400_000,
+            "deadline_us": 4_000_000,
+            "effect": "repeatable",
+            "by_arrival": False,
+        }
+    ],
     "telemetry": {"fields": [], "how": "none"},
     "weight_source": "nominal",
 }
@@ -47,16 +64,29 @@
 
 def endpoint(number: int, health: str = "up") -> dict[str, Any]:
     """One entry of the list: a destination of its own for each."""
-    return {"host": f"endpoint-{number}.zone-{number % ZONES}", "dial": dial(number),
-            "site": f"zone-{number % ZONES}", "class": "plain", "block": number, "share": 200.0,
-            "born_ms": 1_764_000_000_000 + number, "health": health}
+    return {
+        "host": f"endpoint-{number}.zone-{number % ZONES}",
+        "dial": dial(number),
+        "site": f"zone-{number % ZONES}",
+        "class": "plain",
+        "block": number,
+        "share": 200.0,
+        "born_ms": 1_764_000_000_000 + number,
+        "health": health,
+    }
 
 
 def registry(count: int) -> Registry:
     """A list service's state with so many endpoints, one change each."""
     made = Registry(epoch=1, seq=count)
-    changes = {"epoch": 1, "seq": count, "floor": 0, "fence": 1, "ids": [],
-               "entries": [[n + 1, endpoint(n)] for n in range(count)]}
+    changes = {
+        "epoch": 1,
+        "seq": count,
+        "floor": 0,
+        "fence": 1,
+        "ids": [],
+        "entries": [[n + 1, endpoint(n)] for n in range(count)],
+    }
     return made.restored(changes)
 
 
@@ -69,7 +99,9 @@
     opened_us = now_us + 2 * table.longest_us
     for number in range(count):
         zone = f"zone-{number % ZONES}"
-        grant = made.join(opened_us, member(number), zone, dial(number), f"run-{number:x}")
+        grant = made.join(
+            opened_us, member(number), zone, dial(number), f"run-{number:x}"
+        )
         made.commit(grant.record)  # type: ignore[arg-type]
     return made
 
@@ -84,34 +116,67 @@
 
 def budget(number: int, calls: int, members: int, reserve: int = 0) -> dict[str, Any]:
     """One budget as the list service's file has it."""
-    return {"destination": str(number), "calls": calls, "span_ms": 1_000, "reserve": reserve,
-            "members_max": members}
+    return {
+        "destination": str(number),
+        "calls": calls,
+        "span_ms": 1_000,
+        "reserve": reserve,
+        "members_max": members,
+    }
 
 
 def share(calls: int = 7, number: int = 12) -> dict[str, int]:
     """A share of one budget as the answer to a beat tells it."""
-    return {"calls": calls, "number": number, "reserve": 1, "whole": 2_000, "span_ms": 1_000, "slack_ms": 5}
+    return {
+        "calls": calls,
+        "number": number,
+        "reserve": 1,
+        "whole": 2_000,
+        "span_ms": 1_000,
+        "slack_ms": 5,
+    }
 
 
 def fleet_part(budgets: int = 0, peers: int = 0) -> dict[str, Any]:
     """The `fleet` object of a forwarder's configuration."""
-    made: dict[str, Any] = {"service": "127.0.0.1:9", "site": "zone-0", "lease_ms": LEASE_US // 1_000,
-                            "drift": DRIFT}
+    made: dict[str, Any] = {
+        "service": "127.0.0.1:9",
+        "site": "zone-0",
+        "lease_ms": LEASE_US // 1_000,
+        "drift": DRIFT,
+    }
     if budgets:
-        made["budgets"] = [{"destination": n, "span_ms": 1_000, "calls": 2_000, "members": 540, "reserve": 1}
-                           for n in range(budgets)]
+        made["budgets"] = [
+            {
+                "destination": n,
+                "span_ms": 1_000,
+                "calls": 2_000,
+                "members": 540,
+                "reserve": 1,
+            }
+            for n in range(budgets)
+        ]
     if peers:
         made["listen"] = "127.0.0.1:9"
         made["peers"] = {member(n): dial(n) for n in range(peers)}
     return made
 
 
-def configuration(endpoints: int = 0, fleet: Mapping[str, Any] | None = None) -> dict[str, Any]:
+def configuration(
+    endpoints: int = 0, fleet: Mapping[str, Any] | None = None
+) -> dict[str, Any]:
     """A forwarder's whole file."""
     made: dict[str, Any] = {
-        "name": member(0), "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1",
+        "name": member(0),
+        "listen": "127.0.0.1:9",
+        "discovery": "127.0.0.1:9",
+        "seed": "1",
         "limits": {"cores": 1, "memory_mb": 256, "sockets": 1024, "disk_mb": 1_000},
-        "known": {"seq": 1, "whole": True, "hosts": [endpoint(n) for n in range(endpoints)]},
+        "known": {
+            "seq": 1,
+            "whole": True,
+            "hosts": [endpoint(n) for n in range(endpoints)],
+        },
         "settings": SETTINGS,
     }
     return made if fleet is None else made | {"fleet": dict(fleet)}
@@ -129,10 +194,24 @@
 
 def whole_list(count: int) -> bytes:
     """What a reader of the whole list is answered."""
-    return json.dumps({"seq": count, "whole": True, "epoch": 1, "hosts": [endpoint(n) for n in range(count)]},
-                      separators=(",", ":")).encode()
+    return json.dumps(
+        {
+            "seq": count,
+            "whole": True,
+            "epoch": 1,
+            "hosts": [endpoint(n) for n in range(count)],
+        },
+        separators=(",", ":"),
+    ).encode()
 
 
 def changed_entry(count: int, number: int, health: str) -> HostList:
     """News of one endpoint of so many, as read from the wire."""
-    return host_list({"seq": count + 1, "whole": False, "epoch": 1, "hosts": [endpoint(number, health)]})
+    return host_list(
+        {
+            "seq": count + 1,
+            "whole": False,
+            "epoch": 1,
+            "hosts": [endpoint(number, health)],
+        }
+    )
--- a/measure/scale/failures.py
+++ b/measure/scale/failures.py
@@ -65,8 +65,14 @@
         0,
         "each region for its own destinations; the rest is held",
         (
-            ("share left on the service's side", f"{SPLIT}: part of the whole that the others have"),
-            ("heal to last share, s", f"{SPLIT}: seconds from the heal to the last share"),
+            (
+                "share left on the service's side",
+                f"{SPLIT}: part of the whole that the others have",
+            ),
+            (
+                "heal to last share, s",
+                f"{SPLIT}: seconds from the heal to the last share",
+            ),
         ),
         target.MESSAGES_PER_S * target.CROSSING_SHARE,
         target.SPLIT_S,
@@ -76,7 +82,10 @@
         0,
         "all forwarders on the last list; shares run to their reserve; a second list service is missing",
         (
-            ("all leases renewed, s", "failure: service restart: seconds until all renewed"),
+            (
+                "all leases renewed, s",
+                "failure: service restart: seconds until all renewed",
+            ),
             ("leases lost", "failure: service restart: leases lost"),
         ),
     ),
@@ -86,7 +95,10 @@
         "all forwarders on the last list, with their reserve of each budget",
         (
             ("leases lost after 5 s away", "failure: service away 5 s: leases lost"),
-            ("all leases renewed, s", "failure: service away 5 s: seconds until all renewed"),
+            (
+                "all leases renewed, s",
+                "failure: service away 5 s: seconds until all renewed",
+            ),
         ),
     ),
 )
@@ -104,8 +116,13 @@
 
 def held_messages(failure: Failure) -> float:
     """Messages held that nobody can send meanwhile, or that come to be held."""
-    return failure.forwarders * target.FORWARDER_BACKLOG + failure.held_back_per_s * failure.for_s
+    return (
+        failure.forwarders * target.FORWARDER_BACKLOG
+        + failure.held_back_per_s * failure.for_s
+    )
 
 
-def control_figures(failure: Failure, entries: dict[str, Entry]) -> list[tuple[str, Found | None]]:
+def control_figures(
+    failure: Failure, entries: dict[str, Entry]
+) -> list[tuple[str, Found | None]]:
     return [(label, find(entries, series)) for label, series in failure.control]
--- a/measure/scale/fit.py
+++ b/measure/scale/fit.py
@@ -119,7 +119,11 @@
     after = next(n for n, point in enumerate(points) if point.size >= size)
     above = points[after]
     below = points[max(0, after - 1)]
-    part = (size - below.size) / (above.size - below.size) if above.size > below.size else 1.0
+    part = (
+        (size - below.size) / (above.size - below.size)
+        if above.size > below.size
+        else 1.0
+    )
     ends = [(below.median, above.median), (min(below.values), min(above.values))]
     ends.append((max(below.values), max(above.values)))
     return Span(*(start + part * (end - start) for start, end in ends))
@@ -138,7 +142,8 @@
     mean_term = sum(w * t for w, t in zip(weights, terms, strict=True)) / whole
     mean_value = sum(w * v for w, v in zip(weights, values, strict=True)) / whole
     above = sum(
-        w * (t - mean_term) * (v - mean_value) for w, t, v in zip(weights, terms, values, strict=True)
+        w * (t - mean_term) * (v - mean_value)
+        for w, t, v in zip(weights, terms, values, strict=True)
     )
     below = sum(w * (t - mean_term) ** 2 for w, t in zip(weights, terms, strict=True))
     slope = above / below if below else 0.0
@@ -151,7 +156,9 @@
     return weighted_line([TERMS[shape](size) for size in sizes], values)
 
 
-def residual(shape: Shape, line: Line, sizes: Sequence[float], values: Sequence[float]) -> float:
+def residual(
+    shape: Shape, line: Line, sizes: Sequence[float], values: Sequence[float]
+) -> float:
     """Root mean square of the relative residuals."""
     squares = [
         ((value_of(shape, line, size) - value) / (value or 1.0)) ** 2
@@ -180,15 +187,26 @@
     error = residual(Shape.CONSTANT, line, sizes, medians)
     if error > FLAT_WITHIN or len(sizes) < 2:
         lines = {tried: fit_line(tried, sizes, medians) for tried in TERMS}
-        errors = {tried: residual(tried, lines[tried], sizes, medians) for tried in TERMS}
+        errors = {
+            tried: residual(tried, lines[tried], sizes, medians) for tried in TERMS
+        }
         best = min(errors, key=lambda tried: errors[tried])
         line, error = lines[best], errors[best]
         plain = error <= PLAIN_WITHIN and len(sizes) >= LEAST_SIZES and line.slope > 0
         shape = best if plain else None
     if shape is None:
-        return Fit(None, line, Span(0.0, 0.0, 0.0), error, (), last_exponent(points), tuple(points))
+        return Fit(
+            None,
+            line,
+            Span(0.0, 0.0, 0.0),
+            error,
+            (),
+            last_exponent(points),
+            tuple(points),
+        )
     repeats = tuple(
-        fit_line(shape, sizes, [point.values[n] for point in points]) for n in range(series.repeats)
+        fit_line(shape, sizes, [point.values[n] for point in points])
+        for n in range(series.repeats)
     )
     flat = shape is Shape.CONSTANT
     slopes = [one.base if flat else one.slope for one in repeats]
--- a/measure/scale/growth.py
+++ b/measure/scale/growth.py
@@ -65,7 +65,9 @@
             growth.bound = f"time: size {size:,} is expected to take over {point_s:g} s"
             break
         if used * factor > MEMORY_SHARE * memory_bytes():
-            growth.bound = f"memory: size {size:,} is expected to take over half of the machine's"
+            growth.bound = (
+                f"memory: size {size:,} is expected to take over half of the machine's"
+            )
             break
         began = time.perf_counter()
         runs = [once(size) for _ in range(repeats)]
@@ -74,7 +76,9 @@
         for name in runs[0]:
             point = Point(size, tuple(run[name] for run in runs))
             growth.points.setdefault(name, []).append(point)
-        told = ", ".join(f"{name} {points[-1].median:.4g}" for name, points in growth.points.items())
+        told = ", ".join(
+            f"{name} {points[-1].median:.4g}" for name, points in growth.points.items()
+        )
         progress(f"size {size:,}: {told} ({took:.1f} s)")
     return growth
 
--- a/measure/scale/hollow_fleet.py
+++ b/measure/scale/hollow_fleet.py
@@ -53,7 +53,9 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = members * CONNECTIONS + SPARE_DESCRIPTORS
     if hard != resource.RLIM_INFINITY and hard < needed:
-        raise Stuck(f"{members} members need {needed} descriptors of the service, and the limit is {hard}")
+        raise Stuck(
+            f"{members} members need {needed} descriptors of the service, and the limit is {hard}"
+        )
     if soft != resource.RLIM_INFINITY and soft < needed:
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
@@ -97,7 +99,11 @@
     def __init__(self, setup: Setup) -> None:
         command = [sys.executable, "-m", "measure.scale.hollow_process"]
         self.process = subprocess.Popen(
-            command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, bufsize=1 << 20
+            command,
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            bufsize=1 << 20,
         )
         self.names: set[str] = set()
         self.write(setup)
@@ -126,10 +132,14 @@
 class HollowFleet:
     """`members` of them with `budgets` budgets, `wanted` of which each needs calls of."""
 
-    def __init__(self, folder: Path, members: int, budgets: int = 3, wanted: int | None = None) -> None:
+    def __init__(
+        self, folder: Path, members: int, budgets: int = 3, wanted: int | None = None
+    ) -> None:
         allow_descriptors(members)
         self.folder, self.budgets = folder, budgets
-        self.needs = {number: NEED for number in range(budgets if wanted is None else wanted)}
+        self.needs = {
+            number: NEED for number in range(budgets if wanted is None else wanted)
+        }
         self.service = ListService(folder, members, budgets)
         self.service.start()
         self.service.change_hosts([host_entry(number) for number in range(HOSTS)])
@@ -175,7 +185,9 @@
 
     # Waiting
 
-    def until(self, what: str, test: Callable[[Totals], bool], patience_s: float = PATIENCE_S) -> Totals:
+    def until(
+        self, what: str, test: Callable[[Totals], bool], patience_s: float = PATIENCE_S
+    ) -> Totals:
         """The totals once they are so, with the samples of all the time until then. Raises Stuck."""
         end = time.monotonic() + patience_s
         samples: list[list[Sample]] = [[] for _ in self.workers]
@@ -187,8 +199,10 @@
             if test(totals):
                 return totals
             if time.monotonic() > end:
-                raise Stuck(f"{what}: not within {patience_s:g} s; {totals.alive()} members are alive, leases"
-                            f" were lost {totals.lost()} times")
+                raise Stuck(
+                    f"{what}: not within {patience_s:g} s; {totals.alive()} members are alive, leases"
+                    f" were lost {totals.lost()} times"
+                )
             time.sleep(LOOK_S)
 
     def until_settled(self) -> Totals:
@@ -203,7 +217,9 @@
 
 
 @contextmanager
-def running_fleet(members: int, budgets: int = 3, wanted: int | None = None) -> Iterator[HollowFleet]:
+def running_fleet(
+    members: int, budgets: int = 3, wanted: int | None = None
+) -> Iterator[HollowFleet]:
     """A fleet that has settled."""
     with TemporaryDirectory(prefix="hollow-fleet-") as folder:
         fleet = HollowFleet(Path(folder), members, budgets, wanted)
--- a/measure/scale/hollow_member.py
+++ b/measure/scale/hollow_member.py
@@ -37,7 +37,11 @@
     LIST = "list"
 
 
-PATHS = {b"/v1/fleet/beat": Call.BEAT, b"/v1/fleet/watch": Call.WATCH, b"/discovery/hosts": Call.LIST}
+PATHS = {
+    b"/v1/fleet/beat": Call.BEAT,
+    b"/v1/fleet/watch": Call.WATCH,
+    b"/discovery/hosts": Call.LIST,
+}
 
 
 def call_of(request: bytes) -> Call:
@@ -91,7 +95,9 @@
 
     def demand(self) -> dict[int, Counter[Demand]]:
         return {
-            destination: Counter(Demand(message.cls.name, None) for message in pile.values())
+            destination: Counter(
+                Demand(message.cls.name, None) for message in pile.values()
+            )
             for destination, pile in self.piles.items()
         }
 
@@ -141,7 +147,9 @@
         if before is None or (before.calls, before.whole) != (event.calls, share.whole):
             self.changed_ns = time.monotonic_ns()
             known = before is not None and before.whole == share.whole
-            whole_ns = before.whole_ns if before is not None and known else self.changed_ns
+            whole_ns = (
+                before.whole_ns if before is not None and known else self.changed_ns
+            )
             self.acted[event.destination] = Acted(event.calls, share.whole, whole_ns)
 
     def wait_for(self, destination: int, calls: int) -> None:
@@ -165,7 +173,12 @@
     another one may be made on the same folder."""
 
     def __init__(
-        self, name: str, site: str, service: ServiceAddresses, folder: Path, needs: dict[int, int]
+        self,
+        name: str,
+        site: str,
+        service: ServiceAddresses,
+        folder: Path,
+        needs: dict[int, int],
     ) -> None:
         self.name, self.service = name, service
         self.random = random.Random(name)
@@ -174,7 +187,9 @@
             self.desk.wait_for(destination, calls)
         config = fleet_config.read({"service": str(service.fleet), "site": site}, name)
         self.fleet = self.desk.fleet = Fleet(config, cast(Desk, self.desk))
-        self.watch = Watch(service.discovery, NO_VERSION, self.listed, self.random.getrandbits(32))
+        self.watch = Watch(
+            service.discovery, NO_VERSION, self.listed, self.random.getrandbits(32)
+        )
         self.list_version, self.listed_ns = NO_VERSION, 0
         self.retry: asyncio.TimerHandle | None = None
 
@@ -196,6 +211,8 @@
         """A list came, or could not be had: then it is asked for again, as the dispatcher would have it."""
         if told is None:
             wait_s = self.random.random() * ASK_MOST_US / 1e6
-            self.retry = asyncio.get_running_loop().call_later(wait_s, self.watch.subscribe)
+            self.retry = asyncio.get_running_loop().call_later(
+                wait_s, self.watch.subscribe
+            )
         elif told.seq != self.list_version:
             self.list_version, self.listed_ns = told.seq, time.monotonic_ns()
--- a/measure/scale/hollow_peaks.py
+++ b/measure/scale/hollow_peaks.py
@@ -34,7 +34,9 @@
 
 
 def most_within(
-    processes: Sequence[Sequence[Sample]], count: Callable[[Sample], int], window_ns: int
+    processes: Sequence[Sequence[Sample]],
+    count: Callable[[Sample], int],
+    window_ns: int,
 ) -> int:
     """The greatest growth of a count within a window."""
     sampled = [samples for samples in processes if samples]
@@ -47,11 +49,15 @@
         for at_ns in range(first, last + 1, STEP_NS)
     ]
     width = window_ns // STEP_NS
-    grown = [later - earlier for earlier, later in zip(totals, totals[width:], strict=False)]
+    grown = [
+        later - earlier for earlier, later in zip(totals, totals[width:], strict=False)
+    ]
     return max(grown, default=0)
 
 
-def value_at(samples: Sequence[Sample], count: Callable[[Sample], int], at_ns: int) -> int:
+def value_at(
+    samples: Sequence[Sample], count: Callable[[Sample], int], at_ns: int
+) -> int:
     """The count of the last sample that is not later."""
     index = bisect_right(samples, at_ns, key=lambda sample: sample.at_ns)
     return count(samples[max(0, index - 1)])
--- a/measure/scale/hollow_process.py
+++ b/measure/scale/hollow_process.py
@@ -17,7 +17,13 @@
 
 from lemonshunt.lease.terms import surely_held_us
 from lemonshunt.net.config import Address
-from measure.scale.hollow_member import Call, CountedChannel, HollowMember, ServiceAddresses, count_calls
+from measure.scale.hollow_member import (
+    Call,
+    CountedChannel,
+    HollowMember,
+    ServiceAddresses,
+    count_calls,
+)
 from measure.scale.memory import resident_bytes
 
 TICK_S = 0.1
@@ -116,7 +122,8 @@
 
     def __init__(self, setup: Setup) -> None:
         self.service = ServiceAddresses(
-            Address("127.0.0.1", setup.fleet_port), Address("127.0.0.1", setup.discovery_port)
+            Address("127.0.0.1", setup.fleet_port),
+            Address("127.0.0.1", setup.discovery_port),
         )
         self.folder = Path(setup.folder)
         self.members: dict[str, HollowMember] = {}
@@ -142,7 +149,9 @@
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
         self.joined_ns.pop(name, None)
-        member = self.members[name] = HollowMember(name, command.site, self.service, folder, command.needs)
+        member = self.members[name] = HollowMember(
+            name, command.site, self.service, folder, command.needs
+        )
         member.start()
 
     def close(self) -> None:
@@ -154,10 +163,14 @@
         turn = 0
         while True:
             began = time.monotonic()
-            for member in list(self.members.values())[turn % TICK_GROUPS :: TICK_GROUPS]:
+            for member in list(self.members.values())[
+                turn % TICK_GROUPS :: TICK_GROUPS
+            ]:
                 member.tick()
             turn += 1
-            await asyncio.sleep(max(0.0, TICK_S / TICK_GROUPS - (time.monotonic() - began)))
+            await asyncio.sleep(
+                max(0.0, TICK_S / TICK_GROUPS - (time.monotonic() - began))
+            )
 
     async def sample(self) -> None:
         while True:
@@ -165,14 +178,18 @@
             alive = [name for name, member in self.members.items() if is_alive(member)]
             for name in alive:
                 self.joined_ns.setdefault(name, now_ns)
-            traffic = sum(CountedChannel.sent.values()) + sum(CountedChannel.received.values())
+            traffic = sum(CountedChannel.sent.values()) + sum(
+                CountedChannel.received.values()
+            )
             beats, opened = CountedChannel.calls[Call.BEAT], CountedChannel.opened
             self.samples.append(Sample(now_ns, beats, traffic, opened, len(alive)))
             del self.samples[:-MOST_SAMPLES]
             await asyncio.sleep(SAMPLE_S)
 
     def report(self, destination: int) -> Report:
-        members = [self.told_of(member, destination) for member in self.members.values()]
+        members = [
+            self.told_of(member, destination) for member in self.members.values()
+        ]
         samples, self.samples = self.samples, []
         return Report(
             members,
@@ -217,7 +234,9 @@
 async def serve() -> None:
     loop = asyncio.get_running_loop()
     commands = asyncio.StreamReader(limit=1 << 24)
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
+    await loop.connect_read_pipe(
+        lambda: asyncio.StreamReaderProtocol(commands), sys.stdin
+    )
     process = HollowProcess(msgspec.json.decode(await commands.readline(), type=Setup))
     tasks = [loop.create_task(process.tick()), loop.create_task(process.sample())]
     while line := await commands.readline():
@@ -231,7 +250,9 @@
 
 
 def main() -> None:
-    logging.disable(logging.ERROR)  # a line for each share of each member would be what is measured
+    logging.disable(
+        logging.ERROR
+    )  # a line for each share of each member would be what is measured
     count_calls()
     asyncio.run(serve())
 
--- a/measure/scale/journal_growth.py
+++ b/measure/scale/journal_growth.py
@@ -31,7 +31,9 @@
 
 def taken(number: int) -> Taken:
     name = f"{number:016x}"
-    return Taken(name, FREE.name, number % target.DESTINATIONS, DUE_US, name * 2, None, BODY)
+    return Taken(
+        name, FREE.name, number % target.DESTINATIONS, DUE_US, name * 2, None, BODY
+    )
 
 
 def opened(folder: Path) -> Store:
@@ -66,7 +68,13 @@
         size, peak = store.size, peak_bytes()
         store.close()
         read = isolated(recover, name)
-    return {"seconds": spent, "size": float(size), "held": float(held), "peak": float(peak), **read}
+    return {
+        "seconds": spent,
+        "size": float(size),
+        "held": float(held),
+        "peak": float(peak),
+        **read,
+    }
 
 
 def recover(folder: str) -> Mapping[str, float]:
@@ -91,10 +99,21 @@
 
 def checkpoint_series(progress: Progress) -> Iterator[Series]:
     growth = grow(
-        LIVE, lambda live: isolated(checkpoint, live), progress, point_s=240.0, memory=lambda run: run["peak"]
+        LIVE,
+        lambda live: isolated(checkpoint, live),
+        progress,
+        point_s=240.0,
+        memory=lambda run: run["peak"],
     )
     for name, title, unit in CHECKPOINT:
-        yield Series(f"journal: {title}", Role.JOURNAL, "live message", unit, growth.of(name), growth.bound)
+        yield Series(
+            f"journal: {title}",
+            Role.JOURNAL,
+            "live message",
+            unit,
+            growth.of(name),
+            growth.bound,
+        )
 
 
 def passing(live: int) -> Mapping[str, float]:
@@ -127,7 +146,14 @@
         ("bytes", "bytes written a message, rewriting included", "byte"),
         ("message", "processor time a message, rewriting included", "us"),
     ):
-        yield Series(f"journal: {title}", Role.JOURNAL, "live message", unit, growth.of(name), growth.bound)
+        yield Series(
+            f"journal: {title}",
+            Role.JOURNAL,
+            "live message",
+            unit,
+            growth.of(name),
+            growth.bound,
+        )
 
 
 def endpoint(number: int) -> dict[str, object]:
@@ -162,23 +188,38 @@
         written = store.log.bytes - before
         store.close()
         record = float(store.list_size)
-    return {"bytes": written / LIST_CHANGES, "seconds": spent / LIST_CHANGES, "record": record}
+    return {
+        "bytes": written / LIST_CHANGES,
+        "seconds": spent / LIST_CHANGES,
+        "record": record,
+    }
 
 
 def list_series(progress: Progress) -> Iterator[Series]:
-    growth = grow(ENDPOINTS, lambda endpoints: isolated(list_changes, endpoints), progress)
+    growth = grow(
+        ENDPOINTS, lambda endpoints: isolated(list_changes, endpoints), progress
+    )
     for name, title, unit in (
         ("bytes", "bytes written a change of the list, rewriting included", "byte"),
         ("seconds", "processor time a change of the list, rewriting included", "s"),
         ("record", "size of the list's record", "byte"),
     ):
         yield Series(
-            f"journal: {title}", Role.JOURNAL, "listed endpoint", unit, growth.of(name), growth.bound
+            f"journal: {title}",
+            Role.JOURNAL,
+            "listed endpoint",
+            unit,
+            growth.of(name),
+            growth.bound,
         )
 
 
 MEASUREMENTS = (
-    Measurement("journal-checkpoint", "rewriting and reading all that lives", checkpoint_series),
-    Measurement("journal-passing", "messages that pass through beside live ones", passing_series),
+    Measurement(
+        "journal-checkpoint", "rewriting and reading all that lives", checkpoint_series
+    ),
+    Measurement(
+        "journal-passing", "messages that pass through beside live ones", passing_series
+    ),
     Measurement("journal-list", "changes of the list of endpoints", list_series),
 )
--- a/measure/scale/journal_ready.py
+++ b/measure/scale/journal_ready.py
@@ -71,8 +71,20 @@
 
 def series(progress: Progress) -> Iterator[Series]:
     growth = grow(LIVE, lambda live: isolated(run_start, live), progress)
-    for name, title in (("ready", "time until ready"), ("processor", "processor time until ready")):
-        yield Series(f"forwarder: {title}", Role.JOURNAL, "live message", "s", growth.of(name), growth.bound)
+    for name, title in (
+        ("ready", "time until ready"),
+        ("processor", "processor time until ready"),
+    ):
+        yield Series(
+            f"forwarder: {title}",
+            Role.JOURNAL,
+            "live message",
+            "s",
+            growth.of(name),
+            growth.bound,
+        )
 
 
-MEASUREMENTS = (Measurement("journal-ready", "the real program's start on live messages", series),)
+MEASUREMENTS = (
+    Measurement("journal-ready", "the real program's start on live messages", series),
+)
--- a/measure/scale/message_decisions.py
+++ b/measure/scale/message_decisions.py
@@ -108,7 +108,10 @@
         batch = [traffic.recollection(piles[n % len(piles)]) for n in numbers]
         traffic.now += RECALL_US
         traffic.decide([*batch, *traffic.due()], spent)
-    return {"seconds": spent.processor_s, "message": spent.processor_s / messages * SECOND}
+    return {
+        "seconds": spent.processor_s,
+        "message": spent.processor_s / messages * SECOND,
+    }
 
 
 def recall_series(pattern: str, progress: Progress) -> Iterator[Series]:
--- a/measure/scale/message_list.py
+++ b/measure/scale/message_list.py
@@ -44,7 +44,18 @@
         ("change", Role.CONTROL_PART, "processor time a change of the list", "s"),
         ("memory", Role.CONTROL_PART, "memory of a process with a list alone", "byte"),
     ):
-        yield Series(f"dispatcher: {title}", role, "listed endpoint", unit, growth.of(name), growth.bound)
-
-
-MEASUREMENTS = (Measurement("message-list", "decisions and changes against listed endpoints", series),)
+        yield Series(
+            f"dispatcher: {title}",
+            role,
+            "listed endpoint",
+            unit,
+            growth.of(name),
+            growth.bound,
+        )
+
+
+MEASUREMENTS = (
+    Measurement(
+        "message-list", "decisions and changes against listed endpoints", series
+    ),
+)
--- a/measure/scale/message_load.py
+++ b/measure/scale/message_load.py
@@ -64,13 +64,16 @@
     return head.encode() + BODY
 
 
-def serve_endpoints(ports: Connection, count: int, delivered: Synchronized[int]) -> None:
+def serve_endpoints(
+    ports: Connection, count: int, delivered: Synchronized[int]
+) -> None:
     """Serve so many endpoints until the process is ended; their ports are told first."""
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
         servers = [
-            await loop.create_server(lambda: Endpoint(delivered), "127.0.0.1", 0) for _ in range(count)
+            await loop.create_server(lambda: Endpoint(delivered), "127.0.0.1", 0)
+            for _ in range(count)
         ]
         ports.send([server.sockets[0].getsockname()[1] for server in servers])
         await asyncio.Event().wait()
@@ -78,7 +81,9 @@
     asyncio.run(serve())
 
 
-def hand_in(port: int, per_s: float, destinations: int, taken: Synchronized[int]) -> None:
+def hand_in(
+    port: int, per_s: float, destinations: int, taken: Synchronized[int]
+) -> None:
     """Hand messages in at the rate until the process is ended; what no connection is idle for is left out."""
 
     async def drive() -> None:
--- a/measure/scale/message_rate.py
+++ b/measure/scale/message_rate.py
@@ -29,7 +29,12 @@
 CLOSED_PORT = 1
 """Nobody listens there."""
 AIM_US = 360_000_000
-OUTAGE = {"fall_us": 2_000_000, "cold_from": 0.2, "warm_after_us": 2_000_000, "overload_factor": 1.5}
+OUTAGE = {
+    "fall_us": 2_000_000,
+    "cold_from": 0.2,
+    "warm_after_us": 2_000_000,
+    "overload_factor": 1.5,
+}
 """By which calls to an endpoint that is down take turns."""
 SLOTS = 256
 WARM_S, MEASURED_S = 2.0, 4.0
@@ -53,7 +58,9 @@
     context = multiprocessing.get_context("spawn")
     taken, delivered = context.Value("q", 0), context.Value("q", 0)
     here, there = context.Pipe()
-    started = [message_load.start(message_load.serve_endpoints, there, destinations, delivered)]
+    started = [
+        message_load.start(message_load.serve_endpoints, there, destinations, delivered)
+    ]
     try:
         platform = Platform()
         await platform.start()
@@ -63,7 +70,9 @@
         if held:
             platform.host("down", CLOSED_PORT, block=destinations)
         with tempfile.TemporaryDirectory() as name:
-            node = Node(Path(name), platform, max_open=1_000_000, max_attempts=1_000_000)
+            node = Node(
+                Path(name), platform, max_open=1_000_000, max_attempts=1_000_000
+            )
             roomy(node)
             if held:
                 fill(node.folder / "state", held, range(destinations, destinations + 1))
@@ -98,7 +107,12 @@
 
 
 def series(progress: Progress) -> Iterator[Series]:
-    growth = grow(RATES, lambda per_s: isolated(run_forward, per_s, 0, DESTINATIONS), progress, point_s=120.0)
+    growth = grow(
+        RATES,
+        lambda per_s: isolated(run_forward, per_s, 0, DESTINATIONS),
+        progress,
+        point_s=120.0,
+    )
     for name, title, unit in (
         ("taken", "messages taken on a second", "message/s"),
         ("delivered", "messages delivered a second", "message/s"),
@@ -139,6 +153,12 @@
 
 
 MEASUREMENTS = (
-    Measurement("message-rate", "the real forwarder on sockets at rising rates", series),
-    Measurement("message-rate-held", "the same beside messages held for one destination", held_series),
+    Measurement(
+        "message-rate", "the real forwarder on sockets at rising rates", series
+    ),
+    Measurement(
+        "message-rate-held",
+        "the same beside messages held for one destination",
+        held_series,
+    ),
 )
--- a/measure/scale/message_traffic.py
+++ b/measure/scale/message_traffic.py
@@ -81,7 +81,11 @@
     """
 
     def __init__(
-        self, destinations: int, down: Collection[int] = (), silent: Collection[int] = (), seed: int = 0
+        self,
+        destinations: int,
+        down: Collection[int] = (),
+        silent: Collection[int] = (),
+        seed: int = 0,
     ) -> None:
         self.down, self.silent = sorted(down), frozenset(silent)
         apart = frozenset(down) | self.silent
@@ -99,11 +103,15 @@
         entries = tuple(i.TargetEntry(n, n) for n in range(destinations))
         self.decide([i.Listed(i.ListKind.WHOLE, entries)])
 
-    def arrival(self, destination: int, keyed: bool = False, age_us: int = 0) -> i.Arrived:
+    def arrival(
+        self, destination: int, keyed: bool = False, age_us: int = 0
+    ) -> i.Arrived:
         number = next(self.names)
         cls = ORDERED if keyed else FREE
         key = f"{destination}/{number // KEY_MESSAGES}" if keyed else None
-        return i.Arrived(f"{number:016x}", destination, cls.name, self.now + HOUR_US - age_us, key)
+        return i.Arrived(
+            f"{number:016x}", destination, cls.name, self.now + HOUR_US - age_us, key
+        )
 
     def recollection(self, destination: int) -> i.Recalled:
         number = next(self.names)
@@ -112,7 +120,9 @@
     def hold(self, messages: int, keyed: bool = False) -> None:
         """Let messages for the destinations that are down arrive in one round, all past their aim."""
         where = itertools.cycle(self.down)
-        self.decide(self.arrival(next(where), keyed, 2 * FREE.aim_us) for _ in range(messages))
+        self.decide(
+            self.arrival(next(where), keyed, 2 * FREE.aim_us) for _ in range(messages)
+        )
 
     def decide(self, events: Iterable[i.Event], spent: Spent | None = None) -> None:
         """One round: hand the events over and do what is decided."""
@@ -127,7 +137,12 @@
                 case i.SetTimer():
                     self.later(action.delay_us, i.TimerDue(action.token))
                 case i.Cancel():
-                    self.later(REFUSED_US, i.Ended(action.message, action.attempt, 0, i.Outcome.CANCELED, 0))
+                    self.later(
+                        REFUSED_US,
+                        i.Ended(
+                            action.message, action.attempt, 0, i.Outcome.CANCELED, 0
+                        ),
+                    )
                 case i.Refuse() | i.Fail():
                     self.ended[action.cause] = self.ended.get(action.cause, 0) + 1
 
@@ -137,13 +152,19 @@
         if action.target in self.silent:
             return
         refused = action.target in self.refusing
-        outcome, took = (i.Outcome.NO_CONNECTION, REFUSED_US) if refused else (i.Outcome.DELIVERED, CALL_US)
+        outcome, took = (
+            (i.Outcome.NO_CONNECTION, REFUSED_US)
+            if refused
+            else (i.Outcome.DELIVERED, CALL_US)
+        )
         self.later(took, i.Ended(action.message, attempt, action.target, outcome, took))
         if not refused:
             del self.attempts[action.message]
 
     def fresh_destination(self) -> int:
-        down = not self.sound or (self.down and self.random.random() < target.DOWN_SHARE)
+        down = not self.sound or (
+            self.down and self.random.random() < target.DOWN_SHARE
+        )
         return self.random.choice(self.down if down else self.sound)
 
     def later(self, delay_us: int, event: i.Event) -> None:
@@ -156,7 +177,11 @@
         return events
 
     def run(
-        self, simulated_us: int, processor_s: float, least_us: int, per_s: float = target.FORWARDER_PER_S
+        self,
+        simulated_us: int,
+        processor_s: float,
+        least_us: int,
+        per_s: float = target.FORWARDER_PER_S,
     ) -> Spent:
         """Fresh messages, `per_s` of them, for `simulated_us`. Where that takes
         over `processor_s` of processor time it ends sooner, after `least_us` at the earliest."""
--- a/measure/scale/message_watch.py
+++ b/measure/scale/message_watch.py
@@ -27,7 +27,9 @@
 LIVE = sizes_by(250, 4, 1_000_000)
 NOWHERE = Address("127.0.0.1", 9)
 LIFE_US = 3_600_000_000
-CLASSES = tuple(i.MessageClass(name, 900_000_000, LIFE_US) for name in ("reminder", "receipt"))
+CLASSES = tuple(
+    i.MessageClass(name, 900_000_000, LIFE_US) for name in ("reminder", "receipt")
+)
 TENANTS = tuple(i.Tenant(name, 0) for name in ("city", "county"))
 SETTINGS = i.Settings(slots=4, classes=CLASSES, max_open=1 << 40, tenants=TENANTS)
 BODY = b"x" * 200
@@ -51,7 +53,11 @@
 def filled(folder: Path, live: int) -> Engine:
     """A forwarder that holds so many messages, spread over destinations that have no target."""
     known = HostList(1, True, ())
-    engine = Engine(Config("n", NOWHERE, NOWHERE, folder, 1, 1 << 20, 256, 10**12, known, SETTINGS, ()))
+    engine = Engine(
+        Config(
+            "n", NOWHERE, NOWHERE, folder, 1, 1 << 20, 256, 10**12, known, SETTINGS, ()
+        )
+    )
     take_on(engine, 0, live)
     return engine
 
@@ -64,8 +70,16 @@
         for number in range(start, min(first + count, start + BATCH)):
             taken = message(number, now)
             engine.store.take(taken)
-            arrivals.append(i.Arrived(taken.id, taken.destination, taken.class_name, taken.due_us, None,
-                                      taken.tenant))
+            arrivals.append(
+                i.Arrived(
+                    taken.id,
+                    taken.destination,
+                    taken.class_name,
+                    taken.due_us,
+                    None,
+                    taken.tenant,
+                )
+            )
         engine.store.flush()
         engine.dispatcher.handle(now, arrivals)
 
@@ -73,8 +87,15 @@
 def message(number: int, now_us: int) -> Taken:
     name = f"{number:016x}"
     due_us = now_us + LIFE_US // 2 + number * 7_919 % (LIFE_US // 2)
-    return Taken(name, CLASSES[number % 2].name, number % target.DOWN_DESTINATIONS, due_us, name * 2,
-                 TENANTS[number // 2 % 2].name, BODY)
+    return Taken(
+        name,
+        CLASSES[number % 2].name,
+        number % target.DOWN_DESTINATIONS,
+        due_us,
+        name * 2,
+        TENANTS[number // 2 % 2].name,
+        BODY,
+    )
 
 
 def seconds(work: Callable[[], object]) -> float:
@@ -121,11 +142,26 @@
 
 
 def series(progress: Progress) -> Iterator[Series]:
-    growth = grow(LIVE, lambda live: isolated(regular, live), progress, point_s=POINT_S,
-                  memory=lambda run: run["memory"])
+    growth = grow(
+        LIVE,
+        lambda live: isolated(regular, live),
+        progress,
+        point_s=POINT_S,
+        memory=lambda run: run["memory"],
+    )
     for name, (title, role) in WORK.items():
-        yield Series(f"forwarder: processor time of a {title}", role, "live message", "s", growth.of(name),
-                     growth.bound)
-
-
-MEASUREMENTS = (Measurement("message-watch", "a forwarder's regular work beside live messages", series),)
+        yield Series(
+            f"forwarder: processor time of a {title}",
+            role,
+            "live message",
+            "s",
+            growth.of(name),
+            growth.bound,
+        )
+
+
+MEASUREMENTS = (
+    Measurement(
+        "message-watch", "a forwarder's regular work beside live messages", series
+    ),
+)
--- a/measure/scale/needs.py
+++ b/measure/scale/needs.py
@@ -118,8 +118,12 @@
         Role.MESSAGE_PATH,
         Kind.PROCESSOR,
         f"whole forwarder at {message_rate.HELD_PER_S} a second, only {message_rate.HELD[-1]:,} held in one",
-        (f"forwarder: cores kept busy, {message_rate.HELD_PER_S} offered, held for one destination",),
-        message_rate.HELD[-1],  # past it the process is busy all the time, and its cores grow no more
+        (
+            f"forwarder: cores kept busy, {message_rate.HELD_PER_S} offered, held for one destination",
+        ),
+        message_rate.HELD[
+            -1
+        ],  # past it the process is busy all the time, and its cores grow no more
         target.FORWARDER_CORES,
         Source.ASSUMED,
         "core",
@@ -147,7 +151,9 @@
         Role.MESSAGE_PATH,
         Kind.PROCESSOR,
         "decisions, ordered backlog in 3.2% of destinations",
-        ("dispatcher: cores at 1,000 messages a second, held in 3.2% of the destinations, with order keys",),
+        (
+            "dispatcher: cores at 1,000 messages a second, held in 3.2% of the destinations, with order keys",
+        ),
         HELD,
         target.FORWARDER_CORES,
         Source.ASSUMED,
--- a/measure/scale/needs_control.py
+++ b/measure/scale/needs_control.py
@@ -15,7 +15,11 @@
 """Real forwarders that run beside hollow members; each one's need is not of their number."""
 DAY_S = 86_400.0
 BUDGETS = float(target.DESTINATIONS)
-CORE, BYTES, WIRE = target.CONTROL_CORE_SHARE, target.CONTROL_BYTES, target.CONTROL_BYTES_PER_S
+CORE, BYTES, WIRE = (
+    target.CONTROL_CORE_SHARE,
+    target.CONTROL_BYTES,
+    target.CONTROL_BYTES_PER_S,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +32,9 @@
 
 WHOLES = (
     Whole("endpoints of the list that a forwarder may call", "list_reachable"),
-    Whole("endpoints of the list that a restart reads from the journal", "list_recovered"),
+    Whole(
+        "endpoints of the list that a restart reads from the journal", "list_recovered"
+    ),
     Whole("whole lists that arrive at a forwarder's client", "list_arrives"),
 )
 
@@ -299,7 +305,11 @@
         Role.CONFIGURATION,
         Kind.PROCESSOR,
         "a day's files, each read, examined and put in force",
-        ("config_endpoints_load_ms", "config_endpoints_examine_ms", "config_endpoints_apply_ms"),
+        (
+            "config_endpoints_load_ms",
+            "config_endpoints_examine_ms",
+            "config_endpoints_apply_ms",
+        ),
         ENDPOINTS,
         CORE,
         Source.STATED,
--- a/measure/scale/page.py
+++ b/measure/scale/page.py
@@ -12,7 +12,14 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from measure.scale import results, target
-from measure.scale.failures import FAILURES, Failure, control_figures, held_messages, lost_per_s, others_per_s
+from measure.scale.failures import (
+    FAILURES,
+    Failure,
+    control_figures,
+    held_messages,
+    lost_per_s,
+    others_per_s,
+)
 from measure.scale.fit import Span, fit
 from measure.scale.needs import MESSAGE_NEEDS, Answer, Kind, Need, Use, answer
 from measure.scale.needs_control import CONTROL_NEEDS, WHOLES
@@ -22,7 +29,9 @@
 PAGE = results.ROOT / "docs" / "CAPACITY.md"
 NOT_MEASURED = "not measured"
 RATE_SERIES = "forwarder: processor time a message"
-BLOCK = re.compile(r"(<!-- table: (?P<name>[a-z]+) -->\n).*?(<!-- end of table -->)", re.S)
+BLOCK = re.compile(
+    r"(<!-- table: (?P<name>[a-z]+) -->\n).*?(<!-- end of table -->)", re.S
+)
 NEEDS: tuple[Need, ...] = MESSAGE_NEEDS + CONTROL_NEEDS
 
 
@@ -74,7 +83,9 @@
 def ordered(entries: dict[str, Entry]) -> list[Answer]:
     """The largest ratio first; what was not measured last."""
     answers = [answer(need, entries) for need in NEEDS]
-    return sorted(answers, key=lambda found: -(found.ratio if found.ratio is not None else -1.0))
+    return sorted(
+        answers, key=lambda found: -(found.ratio if found.ratio is not None else -1.0)
+    )
 
 
 def first_table(entries: dict[str, Entry]) -> str:
@@ -85,13 +96,17 @@
             (
                 number(found.ratio) if found.ratio is not None else "-",
                 f"{need.role}: {need.what}",
-                f"{quantity(value.middle, need.unit)} ({spread(value)})" if value else NOT_MEASURED,
+                f"{quantity(value.middle, need.unit)} ({spread(value)})"
+                if value
+                else NOT_MEASURED,
                 allowance(need),
                 grounds(found),
                 need.mechanism,
             )
         )
-    return table(("ratio", "need", "comes to (spread)", "allowed", "grounds", "carried by"), rows)
+    return table(
+        ("ratio", "need", "comes to (spread)", "allowed", "grounds", "carried by"), rows
+    )
 
 
 def roles_table(entries: dict[str, Entry]) -> str:
@@ -133,7 +148,16 @@
                 f"`{origin.command}` at {origin.commit}",
             )
         )
-    return table(("series", "slope (spread over repeats), shape", "range, repeats", "bound", "run"), rows)
+    return table(
+        (
+            "series",
+            "slope (spread over repeats), shape",
+            "range, repeats",
+            "bound",
+            "run",
+        ),
+        rows,
+    )
 
 
 def whole_table(entries: dict[str, Entry]) -> str:
@@ -146,11 +170,21 @@
             continue
         points = sorted(found.series.points, key=lambda point: point.size)
         sound = [point.size for point in points if min(point.values) >= 1]
-        at_target = next((point for point in points if point.size == target.DESTINATIONS), None)
+        at_target = next(
+            (point for point in points if point.size == target.DESTINATIONS), None
+        )
         share = NOT_MEASURED if at_target is None else f"{at_target.median:.2%}"
         run = f"`{found.origin.command}` at {found.origin.commit}"
         rows.append((whole.what, f"{max(sound, default=0.0):,.0f}", share, run))
-    return table(("share of endpoints or lists", "whole up to", "at the target's endpoints", "run"), rows)
+    return table(
+        (
+            "share of endpoints or lists",
+            "whole up to",
+            "at the target's endpoints",
+            "run",
+        ),
+        rows,
+    )
 
 
 def others_cores(failure: Failure, entries: dict[str, Entry]) -> str:
@@ -174,7 +208,10 @@
 
 def control_text(failure: Failure, entries: dict[str, Entry]) -> str:
     figures = control_figures(failure, entries)
-    return "; ".join(control_figure(label, found) for label, found in figures) or NOT_MEASURED
+    return (
+        "; ".join(control_figure(label, found) for label, found in figures)
+        or NOT_MEASURED
+    )
 
 
 def failures_table(entries: dict[str, Entry]) -> str:
@@ -196,7 +233,14 @@
                 failure.goes_on,
             )
         )
-    heads = ("failure", "peak cost", "each other forwarder", "held meanwhile", "control", "who goes on")
+    heads = (
+        "failure",
+        "peak cost",
+        "each other forwarder",
+        "held meanwhile",
+        "control",
+        "who goes on",
+    )
     return table(heads, rows)
 
 
@@ -211,7 +255,12 @@
 
 def filled(text: str, entries: dict[str, Entry]) -> str:
     """The page with every table as the results give it."""
-    return BLOCK.sub(lambda block: block[1] + "\n" + TABLES[block["name"]](entries) + "\n" + block[3], text)
+    return BLOCK.sub(
+        lambda block: (
+            block[1] + "\n" + TABLES[block["name"]](entries) + "\n" + block[3]
+        ),
+        text,
+    )
 
 
 def main(arguments: Sequence[str]) -> int:
--- a/measure/scale/results.py
+++ b/measure/scale/results.py
@@ -109,7 +109,9 @@
 
 
 def git(*words: str) -> str:
-    told = subprocess.run(["git", *words], cwd=ROOT, check=True, capture_output=True, text=True)
+    told = subprocess.run(
+        ["git", *words], cwd=ROOT, check=True, capture_output=True, text=True
+    )
     return told.stdout.strip()
 
 
@@ -127,7 +129,9 @@
 def origin(command: str) -> Origin:
     changed = "+" if git("status", "--porcelain", "--", *MEASURED) else ""
     now = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
-    return Origin(git("rev-parse", "--short=7", "HEAD") + changed, command, machine(), now)
+    return Origin(
+        git("rev-parse", "--short=7", "HEAD") + changed, command, machine(), now
+    )
 
 
 def decode(told: dict[str, Any]) -> Entry:
--- a/measure/scale/service_failures.py
+++ b/measure/scale/service_failures.py
@@ -15,7 +15,13 @@
 from measure.scale.hollow_member import Call
 from measure.scale.hollow_peaks import Peaks, peaks
 from measure.scale.results import Measurement, Progress, Series
-from measure.scale.service_members import REST_S, Figures, beats_beyond_rest, look, rest_stretches
+from measure.scale.service_members import (
+    REST_S,
+    Figures,
+    beats_beyond_rest,
+    look,
+    rest_stretches,
+)
 from measure.scale.target import Role
 
 SIZES = (target.FORWARDERS,)
@@ -56,9 +62,13 @@
     lost_before = fleet.totals().lost()
     began, began_ns = time.monotonic(), time.monotonic_ns()
     fleet.kill(zone)
-    ended = fleet.until("the zone's leases", lambda _: fleet.service.figures()["leases"] == len(others))
+    ended = fleet.until(
+        "the zone's leases", lambda _: fleet.service.figures()["leases"] == len(others)
+    )
     figures.add("zone: lease seconds", size, time.monotonic() - began)
-    moved = fleet.until("a share that moves", lambda totals: totals.changed_ns() > began_ns)
+    moved = fleet.until(
+        "a share that moves", lambda totals: totals.changed_ns() > began_ns
+    )
     settled = fleet.until_settled()
     figures.add("zone: share seconds", size, (settled.changed_ns() - began_ns) / 1e9)
     figures.add("zone: others' leases lost", size, settled.lost() - lost_before)
@@ -68,10 +78,17 @@
     fleet.start(zone)
     back = fleet.until("the zone's return", lambda totals: totals.alive() == size)
     figures.add("zone: return seconds", size, time.monotonic() - began)
-    add_peaks(figures, "zone's return", size, peaks(joined(fleet, back, fleet.until_settled()).samples))
+    add_peaks(
+        figures,
+        "zone's return",
+        size,
+        peaks(joined(fleet, back, fleet.until_settled()).samples),
+    )
 
 
-def restart_members(fleet: HollowFleet, size: int, count: int, figures: Figures) -> None:
+def restart_members(
+    fleet: HollowFleet, size: int, count: int, figures: Figures
+) -> None:
     """Members are killed and started again with their folders, one after another."""
     before, began = look(fleet), time.monotonic()
     fleet.totals()
@@ -86,16 +103,30 @@
     settled = fleet.until_settled()
     after = look(fleet)
     for name, at_ns in started_ns.items():
-        figures.add("restart: seconds", size, (settled.members[name].joined_ns - at_ns) / 1e9)
+        figures.add(
+            "restart: seconds", size, (settled.members[name].joined_ns - at_ns) / 1e9
+        )
     extra = beats_beyond_rest(before.totals, after.totals, figures, size)
     figures.add("restart: beats", size, extra / count)
-    spent_bytes = sum(after.totals.bytes[call] - before.totals.bytes[call] for call in Call)
+    spent_bytes = sum(
+        after.totals.bytes[call] - before.totals.bytes[call] for call in Call
+    )
     took_s = after.totals.at_s - before.totals.at_s
-    at_rest = sum(median_rest(figures, size, f"{call} bytes") for call in Call) * size * took_s
+    at_rest = (
+        sum(median_rest(figures, size, f"{call} bytes") for call in Call)
+        * size
+        * took_s
+    )
     figures.add("restart: bytes", size, (spent_bytes - at_rest) / count)
-    figures.add("restart: syncs", size, (after.service.syncs - before.service.syncs) / count)
-    others = [member for member in settled.members.values() if member.name not in started_ns]
-    figures.add("restart: others' leases lost", size, sum(member.lost for member in others))
+    figures.add(
+        "restart: syncs", size, (after.service.syncs - before.service.syncs) / count
+    )
+    others = [
+        member for member in settled.members.values() if member.name not in started_ns
+    ]
+    figures.add(
+        "restart: others' leases lost", size, sum(member.lost for member in others)
+    )
 
 
 def median_rest(figures: Figures, size: int, name: str) -> float:
@@ -103,7 +134,9 @@
     return values[len(values) // 2]
 
 
-def restart_service(fleet: HollowFleet, size: int, away_s: float, figures: Figures) -> None:
+def restart_service(
+    fleet: HollowFleet, size: int, away_s: float, figures: Figures
+) -> None:
     """The service is killed; until each member has renewed its lease at the new process."""
     what = "service restart" if not away_s else f"service away {away_s:g} s"
     lost_before = fleet.totals().lost()
@@ -113,7 +146,8 @@
     fleet.service.start()
     figures.add(f"{what}: seconds until it listens", size, time.monotonic() - began)
     renewed = fleet.until(
-        "all leases", lambda totals: all(m.renewed_us > began_us for m in totals.members.values())
+        "all leases",
+        lambda totals: all(m.renewed_us > began_us for m in totals.members.values()),
     )
     figures.add(f"{what}: seconds until all renewed", size, time.monotonic() - began)
     figures.add(f"{what}: service core seconds", size, fleet.service.processor_s())
@@ -140,7 +174,14 @@
 def series_of(figures: Figures, names: Callable[[str], bool]) -> Iterator[Series]:
     for name in filter(names, figures.values):
         title, unit = f"failure: {name}", unit_of(name)
-        yield Series(title, Role.MEMBERS, "member", unit, figures.points(name), "largest size wanted")
+        yield Series(
+            title,
+            Role.MEMBERS,
+            "member",
+            unit,
+            figures.points(name),
+            "largest size wanted",
+        )
 
 
 def measure_zone(progress: Progress) -> Iterator[Series]:
@@ -170,12 +211,24 @@
             for away_s in OUTAGES_S:
                 for _ in range(REPEATS):
                     restart_service(fleet, size, away_s, figures)
-                progress(f"{size} members, the service killed {REPEATS} times for {away_s:g} s")
+                progress(
+                    f"{size} members, the service killed {REPEATS} times for {away_s:g} s"
+                )
     yield from series_of(figures, lambda name: True)
 
 
 MEASUREMENTS = (
-    Measurement("fleet-zone", "a zone of members is gone at once, and comes back", measure_zone),
-    Measurement("fleet-restarts", "a day's restarts of members, in half a minute", measure_restarts),
-    Measurement("fleet-service-restart", "the list service is killed and started again", measure_service),
+    Measurement(
+        "fleet-zone", "a zone of members is gone at once, and comes back", measure_zone
+    ),
+    Measurement(
+        "fleet-restarts",
+        "a day's restarts of members, in half a minute",
+        measure_restarts,
+    ),
+    Measurement(
+        "fleet-service-restart",
+        "the list service is killed and started again",
+        measure_service,
+    ),
 )
--- a/measure/scale/service_forwarders.py
+++ b/measure/scale/service_forwarders.py
@@ -37,7 +37,9 @@
 class Forwarder:
     """One process of the real program on a folder of its own; `fleet` is its configuration's object."""
 
-    def __init__(self, folder: Path, number: int, service: ListService, fleet: bool) -> None:
+    def __init__(
+        self, folder: Path, number: int, service: ListService, fleet: bool
+    ) -> None:
         folder.mkdir()
         self.admin_port = free_port()
         config: dict[str, Any] = {
@@ -50,13 +52,19 @@
             "settings": SETTINGS,
         }
         if fleet:
-            config["fleet"] = {"service": f"127.0.0.1:{service.fleet_port}", "site": "zone-1"}
+            config["fleet"] = {
+                "service": f"127.0.0.1:{service.fleet_port}",
+                "site": "zone-1",
+            }
         path = folder / "config.json"
         path.write_text(json.dumps(config))
         environment = {**os.environ, "LB_CONFIG": str(path), "LB_STATE": str(folder)}
         with (folder / "log").open("w") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "lemonshunt"], cwd=ROOT, env=environment, stderr=log
+                [sys.executable, "-m", "lemonshunt"],
+                cwd=ROOT,
+                env=environment,
+                stderr=log,
             )
 
     def figures(self) -> dict[str, Any]:
@@ -65,7 +73,12 @@
             return dict(json.load(answer))
 
     def processor_s(self) -> float:
-        fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+        fields = (
+            Path(f"/proc/{self.process.pid}/stat")
+            .read_text()
+            .rpartition(")")[2]
+            .split()
+        )
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
     def resident_bytes(self) -> int:
@@ -86,7 +99,9 @@
 
 
 @contextmanager
-def running_forwarders(folder: Path, service: ListService, fleet: bool) -> Iterator[list[Forwarder]]:
+def running_forwarders(
+    folder: Path, service: ListService, fleet: bool
+) -> Iterator[list[Forwarder]]:
     """Real ones, all ready and, with `fleet`, all members."""
     forwarders: list[Forwarder] = []
     try:
@@ -115,15 +130,23 @@
     time.sleep(STRETCH_S)
     after = [forwarder.processor_s() for forwarder in forwarders]
     took_s = time.monotonic() - began
-    figures.add(f"{what}: part of a core at rest", count, (sum(after) - sum(spent)) / took_s / count)
-    figures.add(f"{what}: memory", count, sum(f.resident_bytes() for f in forwarders) / count)
+    figures.add(
+        f"{what}: part of a core at rest",
+        count,
+        (sum(after) - sum(spent)) / took_s / count,
+    )
+    figures.add(
+        f"{what}: memory", count, sum(f.resident_bytes() for f in forwarders) / count
+    )
     if fleet:
         more = sum(f.figures()["fleet"]["beats"] for f in forwarders) - beats
         figures.add(f"{what}: beats a second", count, more / took_s / count)
 
 
 def unit_of(name: str) -> str:
-    return "byte" if name.endswith("memory") else "beat/s" if "beats" in name else "core"
+    return (
+        "byte" if name.endswith("memory") else "beat/s" if "beats" in name else "core"
+    )
 
 
 def measure_forwarders(progress: Progress) -> Iterator[Series]:
@@ -134,7 +157,9 @@
             fleet.start(fleet.names)
             fleet.until_settled()
             for member in (True, False):
-                with running_forwarders(Path(name), fleet.service, member) as forwarders:
+                with running_forwarders(
+                    Path(name), fleet.service, member
+                ) as forwarders:
                     for _ in range(REPEATS):
                         stretch(forwarders, member, figures)
                 progress(f"{FORWARDERS} real forwarders, member: {member}")
@@ -145,7 +170,13 @@
             fleet.close()
     for title in figures.values:
         points = figures.points(title)
-        yield Series(f"real forwarder, {title}", Role.CONTROL_PART, "forwarder", unit_of(title), points)
+        yield Series(
+            f"real forwarder, {title}",
+            Role.CONTROL_PART,
+            "forwarder",
+            unit_of(title),
+            points,
+        )
     yield Series(
         "hollow member beside real forwarders: part of a core at rest",
         Role.CONTROL_PART,
@@ -156,5 +187,7 @@
 
 
 MEASUREMENTS = (
-    Measurement("fleet-forwarders", "real forwarders beside hollow members", measure_forwarders),
+    Measurement(
+        "fleet-forwarders", "real forwarders beside hollow members", measure_forwarders
+    ),
 )
--- a/measure/scale/service_members.py
+++ b/measure/scale/service_members.py
@@ -32,13 +32,17 @@
 class Figures:
     """Values of each figure, by size."""
 
-    values: dict[str, dict[int, list[float]]] = field(default_factory=lambda: defaultdict(dict))
+    values: dict[str, dict[int, list[float]]] = field(
+        default_factory=lambda: defaultdict(dict)
+    )
 
     def add(self, name: str, size: int, value: float) -> None:
         self.values[name].setdefault(size, []).append(value)
 
     def points(self, name: str) -> tuple[Point, ...]:
-        return tuple(Point(size, tuple(values)) for size, values in self.values[name].items())
+        return tuple(
+            Point(size, tuple(values)) for size, values in self.values[name].items()
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +70,9 @@
     for _ in range(REPEATS):
         rest(fleet, size, figures)
     after = look(fleet)
-    figures.add("watch bytes", size, bytes_per_s(before, after, Call.WATCH) / len(fleet.names))
+    figures.add(
+        "watch bytes", size, bytes_per_s(before, after, Call.WATCH) / len(fleet.names)
+    )
 
 
 def rest(fleet: HollowFleet, size: int, figures: Figures) -> None:
@@ -90,7 +96,9 @@
     figures.add("leases lost", size, after.totals.lost())
 
 
-def beats_beyond_rest(before: Totals, after: Totals, figures: Figures, size: int) -> float:
+def beats_beyond_rest(
+    before: Totals, after: Totals, figures: Figures, size: int
+) -> float:
     """Beats between two moments beyond those that are sent at rest."""
     rests = figures.values["beats"][size]
     expected = sum(rests) / len(rests) * (after.at_s - before.at_s)
@@ -131,7 +139,8 @@
     before, began_ns = fleet.totals(), time.monotonic_ns()
     fleet.service.reload()
     told = fleet.until(
-        "the new whole", lambda totals: all(m.whole == whole for m in totals.members.values())
+        "the new whole",
+        lambda totals: all(m.whole == whole for m in totals.members.values()),
     )
     last_ns = max(member.whole_ns for member in told.members.values())
     figures.add("budget seconds", size, (last_ns - began_ns) / 1e9)
@@ -152,37 +161,88 @@
 
 SERIES: dict[str, tuple[str, Role, str]] = {
     "beat bytes": ("member: bytes a second of beats at rest", Role.MEMBERS, "byte/s"),
-    "watch bytes": ("member: bytes a second of the fleet's watch at rest", Role.MEMBERS, "byte/s"),
-    "list bytes": ("member: bytes a second of the list's watch at rest", Role.MEMBERS, "byte/s"),
+    "watch bytes": (
+        "member: bytes a second of the fleet's watch at rest",
+        Role.MEMBERS,
+        "byte/s",
+    ),
+    "list bytes": (
+        "member: bytes a second of the list's watch at rest",
+        Role.MEMBERS,
+        "byte/s",
+    ),
     "beat size": ("member: bytes of a beat with its answer", Role.MEMBERS, "byte"),
     "beats": ("list service: beats a second at rest", Role.LIST_SERVICE, "beat/s"),
-    "member core": ("member: part of a core for control at rest", Role.CONTROL_PART, "core"),
-    "member memory": ("member: memory, its part of a process of hollow members", Role.CONTROL_PART, "byte"),
+    "member core": (
+        "member: part of a core for control at rest",
+        Role.CONTROL_PART,
+        "core",
+    ),
+    "member memory": (
+        "member: memory, its part of a process of hollow members",
+        Role.CONTROL_PART,
+        "byte",
+    ),
     "service core": ("list service: part of a core at rest", Role.LIST_SERVICE, "core"),
-    "service syncs": ("list service: syncs a second at rest", Role.LIST_SERVICE, "sync/s"),
-    "service memory": ("list service: memory with its members at rest", Role.LIST_SERVICE, "byte"),
-    "leases lost": ("list service: leases lost at rest since the start", Role.MEMBERS, "lease"),
-    "needs seconds": ("budgets: wall seconds until the last share moved after new needs", Role.BUDGETS, "s"),
-    "needs beats": ("budgets: beats beyond those at rest after new needs", Role.BUDGETS, "beat"),
+    "service syncs": (
+        "list service: syncs a second at rest",
+        Role.LIST_SERVICE,
+        "sync/s",
+    ),
+    "service memory": (
+        "list service: memory with its members at rest",
+        Role.LIST_SERVICE,
+        "byte",
+    ),
+    "leases lost": (
+        "list service: leases lost at rest since the start",
+        Role.MEMBERS,
+        "lease",
+    ),
+    "needs seconds": (
+        "budgets: wall seconds until the last share moved after new needs",
+        Role.BUDGETS,
+        "s",
+    ),
+    "needs beats": (
+        "budgets: beats beyond those at rest after new needs",
+        Role.BUDGETS,
+        "beat",
+    ),
     "list seconds": (
         "configuration: wall seconds until the last member has a changed list entry",
         Role.CONFIGURATION,
         "s",
     ),
-    "list change bytes": ("member: bytes of the list's watch during a change", Role.CONFIGURATION, "byte"),
+    "list change bytes": (
+        "member: bytes of the list's watch during a change",
+        Role.CONFIGURATION,
+        "byte",
+    ),
     "budget seconds": (
         "configuration: wall seconds until the last member has a changed budget",
         Role.CONFIGURATION,
         "s",
     ),
-    "budget beats": ("budgets: beats beyond those at rest after a changed budget", Role.BUDGETS, "beat"),
+    "budget beats": (
+        "budgets: beats beyond those at rest after a changed budget",
+        Role.BUDGETS,
+        "beat",
+    ),
 }
 
 
 def series_of(figures: Figures, size_unit: str, ending: str = "") -> Iterator[Series]:
     for name in figures.values:
         title, role, unit = SERIES[name]
-        yield Series(title + ending, role, size_unit, unit, figures.points(name), "largest size wanted")
+        yield Series(
+            title + ending,
+            role,
+            size_unit,
+            unit,
+            figures.points(name),
+            "largest size wanted",
+        )
 
 
 def progress_line(figures: Figures, size: int) -> str:
@@ -194,7 +254,9 @@
     return f"size {size}: " + ", ".join(medians)
 
 
-def measure_members(progress: Progress, sizes: Iterable[int] = MEMBERS) -> Iterator[Series]:
+def measure_members(
+    progress: Progress, sizes: Iterable[int] = MEMBERS
+) -> Iterator[Series]:
     figures = Figures()
     for size in sizes:
         measure_size(size, figures)
@@ -214,8 +276,16 @@
 
 
 MEASUREMENTS = (
-    Measurement("fleet-members", "control at rest and until the last member acts", measure_members),
-    Measurement("fleet-budgets", "control at rest against budgets that all want", measure_budgets),
+    Measurement(
+        "fleet-members",
+        "control at rest and until the last member acts",
+        measure_members,
+    ),
+    Measurement(
+        "fleet-budgets",
+        "control at rest against budgets that all want",
+        measure_budgets,
+    ),
     Measurement(
         "fleet-budgets-few",
         "control at rest against budgets of which each member wants three",
--- a/measure/scale/service_process.py
+++ b/measure/scale/service_process.py
@@ -74,19 +74,40 @@
         ports_file.unlink(missing_ok=True)
         ports = self.listen_port, self.write_port, self.fleet_port
         listen, write, fleet = (f"127.0.0.1:{port}" for port in ports)
-        words = ["--state", self.folder / "service", "--listen", listen, "--write", write, "--fleet", fleet]
-        words += ["--budgets", self.folder / "budgets.json", "--ports", ports_file, "--reserves-known"]
+        words = [
+            "--state",
+            self.folder / "service",
+            "--listen",
+            listen,
+            "--write",
+            write,
+            "--fleet",
+            fleet,
+        ]
+        words += [
+            "--budgets",
+            self.folder / "budgets.json",
+            "--ports",
+            ports_file,
+            "--reserves-known",
+        ]
         words += ["--lease-ms", LEASE_MS, "--longest-ms", LEASE_MS, "--new"]
         with (self.folder / "service.log").open("a") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "lemonshunt.registry", *map(str, words)], cwd=ROOT, stderr=log
+                [sys.executable, "-m", "lemonshunt.registry", *map(str, words)],
+                cwd=ROOT,
+                stderr=log,
             )
         until = time.monotonic() + START_S
         while not ports_file.exists() or not ports_file.read_text().endswith("\n"):
             if time.monotonic() > until or self.process.poll() is not None:
-                raise RuntimeError(f"the list service did not start: {self.last_lines()}")
+                raise RuntimeError(
+                    f"the list service did not start: {self.last_lines()}"
+                )
             time.sleep(0.02)
-        self.listen_port, self.write_port, self.fleet_port = map(int, ports_file.read_text().split())
+        self.listen_port, self.write_port, self.fleet_port = map(
+            int, ports_file.read_text().split()
+        )
 
     def last_lines(self) -> str:
         return (self.folder / "service.log").read_text()[-500:]
@@ -116,12 +137,16 @@
         finally:
             link.close()
         if answer.status != 200:
-            raise RuntimeError(f"{method} {path}: status {answer.status}: {text[:300]!r}")
+            raise RuntimeError(
+                f"{method} {path}: status {answer.status}: {text[:300]!r}"
+            )
         return json.loads(text)
 
     def change_hosts(self, operations: list[Mapping[str, Any]]) -> int:
         """Change entries of the list; the version that has them."""
-        return int(self.call(self.write_port, "POST", "/v1/hosts", {"ops": operations})["seq"])
+        return int(
+            self.call(self.write_port, "POST", "/v1/hosts", {"ops": operations})["seq"]
+        )
 
     def figures(self) -> dict[str, Any]:
         return dict(self.call(self.write_port, "GET", "/_vars"))
@@ -133,7 +158,12 @@
     def processor_s(self) -> float:
         """User and system time of the process, from the kernel; its steps are 10 ms."""
         assert self.process is not None
-        fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+        fields = (
+            Path(f"/proc/{self.process.pid}/stat")
+            .read_text()
+            .rpartition(")")[2]
+            .split()
+        )
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
     def resident_bytes(self) -> int:
--- a/measure/scale/service_split.py
+++ b/measure/scale/service_split.py
@@ -82,7 +82,13 @@
         ask = member.ask
         if ask.token is None:
             made = self.roster.join(
-                now_us, member.name, "zone-0", "h:1", member.name, member.shown, ask.seen
+                now_us,
+                member.name,
+                "zone-0",
+                "h:1",
+                member.name,
+                member.shown,
+                ask.seen,
             )
         else:
             made = self.roster.beat(now_us, member.name, ask.token, ask.seen)
@@ -118,9 +124,13 @@
 
     def limit(self, now_us: int) -> int:
         """Calls in a span that it may send now."""
-        return sum(account.purse.limit(now_us) for account in self.books.accounts.values())
+        return sum(
+            account.purse.limit(now_us) for account in self.books.accounts.values()
+        )
 
-    def answered(self, now_us: int, token: Token, shares: dict[int, dict[str, int]]) -> bool:
+    def answered(
+        self, now_us: int, token: Token, shares: dict[int, dict[str, int]]
+    ) -> bool:
         """Whether a share shrank, so that the next beat is due at once."""
         self.holder.answered(now_us, self.ask.sent, token, TTL_US)
         return self.books.told(token, shares, self.holder.valid_until_us, now_us)
@@ -152,7 +162,9 @@
         chance = random.Random(seed)
         self.now_us, self.whole = 0, CALLS_A_MEMBER * members
         self.service = ServiceCore(members)
-        self.members = [MemberCore(f"member-{number}", chance) for number in range(members)]
+        self.members = [
+            MemberCore(f"member-{number}", chance) for number in range(members)
+        ]
         self.counts = Counts()
         self.moved_us = 0
         self.limits: dict[str, int] = {}
@@ -201,14 +213,23 @@
             return member.holder.next_renewal_us
         if member.ask.token is None:
             self.counts.joins[self.now_us // (SECOND_US // 10)] += 1
-        shrank = member.answered(self.now_us, made.token, self.shares(member, made.token))
+        shrank = member.answered(
+            self.now_us, made.token, self.shares(member, made.token)
+        )
         self.note(member)
-        return self.now_us + SECOND_US // 10 if shrank else member.holder.next_renewal_us
+        return (
+            self.now_us + SECOND_US // 10 if shrank else member.holder.next_renewal_us
+        )
 
     def shares(self, member: MemberCore, token: Token) -> dict[int, dict[str, int]]:
         said = {"needs": {DESTINATION: NEED}, "holds": member.books.holds(token)}
-        heard = self.service.budgets.heard(self.now_us, self.now_us + TTL_US, member.name, token, said)
-        return {int(destination): share for destination, share in heard.tell()["shares"].items()}
+        heard = self.service.budgets.heard(
+            self.now_us, self.now_us + TTL_US, member.name, token, said
+        )
+        return {
+            int(destination): share
+            for destination, share in heard.tell()["shares"].items()
+        }
 
     def note(self, member: MemberCore) -> None:
         limit = member.limit(self.now_us)
@@ -216,7 +237,9 @@
             self.limits[member.name], self.moved_us = limit, self.now_us
 
 
-def split(members: int, part: float, for_us: int, seed: int, figures: Figures, what: str) -> None:
+def split(
+    members: int, part: float, for_us: int, seed: int, figures: Figures, what: str
+) -> None:
     """Come to rest, lose a part of the members for so long, and come to rest again."""
     fleet = SplitFleet(members, seed)
     fleet.run(SETTLED_US)
@@ -229,7 +252,9 @@
     calls = sum(member.limit(fleet.now_us) for member in there)
     moved_s = (fleet.moved_us - began_us) / SECOND_US
     figures.add(f"{what}: seconds until the last share moved", members, moved_s)
-    figures.add(f"{what}: part of the whole that the others have", members, calls / fleet.whole)
+    figures.add(
+        f"{what}: part of the whole that the others have", members, calls / fleet.whole
+    )
     unanswered = fleet.counts.unanswered * SECOND_US / for_us
     figures.add(f"{what}: calls a second that nobody answers", members, unanswered)
     healed_us = fleet.now_us
@@ -239,16 +264,24 @@
     joins = fleet.counts.joins
     joined_s = max(joins, default=0) / 10 - healed_us / SECOND_US
     figures.add(f"{what}: seconds from the heal to the last join", members, joined_s)
-    figures.add(f"{what}: most joins in a tenth of a second", members, max(joins.values(), default=0))
+    figures.add(
+        f"{what}: most joins in a tenth of a second",
+        members,
+        max(joins.values(), default=0),
+    )
     moved_s = (fleet.moved_us - healed_us) / SECOND_US
     figures.add(f"{what}: seconds from the heal to the last share", members, moved_s)
-    figures.add(f"{what}: most calls allowed, part of the whole", members, fleet.counts.most)
+    figures.add(
+        f"{what}: most calls allowed, part of the whole", members, fleet.counts.most
+    )
 
 
 def unit_of(name: str) -> str:
     if ": seconds" in name:
         return "s"
-    return "call/s" if "a second that" in name else "join" if "joins" in name else "part"
+    return (
+        "call/s" if "a second that" in name else "join" if "joins" in name else "part"
+    )
 
 
 def measure_split(progress: Progress) -> Iterator[Series]:
@@ -260,9 +293,19 @@
                 split(members, part, for_us, seed, figures, what)
             progress(f"{members} members, {what}")
     for name in figures.values:
-        yield Series(f"split: {name}", Role.MEMBERS, "member", unit_of(name), figures.points(name))
+        yield Series(
+            f"split: {name}",
+            Role.MEMBERS,
+            "member",
+            unit_of(name),
+            figures.points(name),
+        )
 
 
 MEASUREMENTS = (
-    Measurement("fleet-split", "regions that lose each other, by an injected clock", measure_split),
+    Measurement(
+        "fleet-split",
+        "regions that lose each other, by an injected clock",
+        measure_split,
+    ),
 )
--- a/measure/shard_check.py
+++ b/measure/shard_check.py
@@ -32,15 +32,22 @@
     """`count` ranges that fill the space, in any order."""
     cuts: list[int] = []
     while len(cuts) < count - 1:
-        cuts = sorted({*cuts, *(rng.randrange(1, SPACE) for _ in range(count - 1 - len(cuts)))})
+        cuts = sorted(
+            {*cuts, *(rng.randrange(1, SPACE) for _ in range(count - 1 - len(cuts)))}
+        )
     ranges = list(zip([0, *cuts], [cut - 1 for cut in cuts] + [SPACE - 1], strict=True))
     rng.shuffle(ranges)
     return ranges
 
 
 def told(ranges: list[tuple[int, int]], owners: int) -> dict[str, Any]:
-    return {"generation": 7, "ranges": [
-        {"from": hexed(first), "to": hexed(last), "owner": f"n{first % owners}"} for first, last in ranges]}
+    return {
+        "generation": 7,
+        "ranges": [
+            {"from": hexed(first), "to": hexed(last), "owner": f"n{first % owners}"}
+            for first, last in ranges
+        ],
+    }
 
 
 def timed(act: Callable[[], Any]) -> float:
@@ -54,8 +61,13 @@
     rng = random.Random(1)
     ranges = shuffled(count, rng)
     sound = told(ranges, 100)
-    faulty = told([(first, min(SPACE - 1, last + 1)) if n % 2 else (first, last)
-                   for n, (first, last) in enumerate(ranges)], 100)
+    faulty = told(
+        [
+            (first, min(SPACE - 1, last + 1)) if n % 2 else (first, last)
+            for n, (first, last) in enumerate(ranges)
+        ],
+        100,
+    )
     text = json.dumps(sound).encode()
     entries = [(first, last, n) for n, (first, last) in enumerate(ranges)]
     names = {f"n{n}" for n in range(100)}
@@ -72,11 +84,15 @@
             ("json.loads of it, for comparison", lambda: json.loads(text)),
         ):
             rows.setdefault(name, []).append(timed(act) / sort)
-    print(f"{count} ranges, {len(text) / 1e6:.1f} MB; to sort: median {statistics.median(sorts):.0f} ms, "
-          f"{min(sorts):.0f} to {max(sorts):.0f} over {REPEATS} runs")
+    print(
+        f"{count} ranges, {len(text) / 1e6:.1f} MB; to sort: median {statistics.median(sorts):.0f} ms, "
+        f"{min(sorts):.0f} to {max(sorts):.0f} over {REPEATS} runs"
+    )
     for name, figures in rows.items():
-        print(f"{name}: median {statistics.median(figures):.1f} times the sort, "
-              f"{min(figures):.1f} to {max(figures):.1f} over {REPEATS} runs")
+        print(
+            f"{name}: median {statistics.median(figures):.1f} times the sort, "
+            f"{min(figures):.1f} to {max(figures):.1f} over {REPEATS} runs"
+        )
 
 
 def sizes(shards: ShardMap) -> dict[str, int]:
@@ -88,8 +104,12 @@
 
 def moved(old: ShardMap, new: ShardMap) -> int:
     """Counted key range by key range here, not taken from the plan."""
-    return sum(min(r.last, s.last) - max(r.first, s.first) + 1
-               for r in old.ranges for s in new.over(r.first, r.last) if s.owner != r.owner)
+    return sum(
+        min(r.last, s.last) - max(r.first, s.first) + 1
+        for r in old.ranges
+        for s in new.over(r.first, r.last)
+        if s.owner != r.owner
+    )
 
 
 def fewest(old: ShardMap, new: ShardMap) -> int:
@@ -100,15 +120,20 @@
 def moves(count: int) -> None:
     names = [f"n{n}" for n in range(count)]
     base = plan(dict.fromkeys(names, 1.0)).map
-    for what, members in (("join", [*names, "new"]), ("leave", names[:count // 2] + names[count // 2 + 1:])):
+    for what, members in (
+        ("join", [*names, "new"]),
+        ("leave", names[: count // 2] + names[count // 2 + 1 :]),
+    ):
         began = time.perf_counter()
         new = plan(dict.fromkeys(members, 1.0), base).map
         took = time.perf_counter() - began
         get = sizes(new)
-        print(f"{count} members, a {what}: {moved(base, new) / SPACE:.4%} of the keys move, "
-              f"{moved(base, new) - fewest(base, new)} keys more than the fewest; parts differ by "
-              f"{max(get.values()) - min(get.values())} keys; {len(base.ranges)} ranges become "
-              f"{len(new.ranges)}; {took * 1000:.0f} ms")
+        print(
+            f"{count} members, a {what}: {moved(base, new) / SPACE:.4%} of the keys move, "
+            f"{moved(base, new) - fewest(base, new)} keys more than the fewest; parts differ by "
+            f"{max(get.values()) - min(get.values())} keys; {len(base.ranges)} ranges become "
+            f"{len(new.ranges)}; {took * 1000:.0f} ms"
+        )
 
 
 def churn(count: int, changes: int, most_ranges: int) -> None:
@@ -126,9 +151,11 @@
         done = plan(dict.fromkeys(names, 1.0), at, most_ranges=most_ranges)
         extra, total, at = extra + done.moved - done.least, total + done.moved, done.map
     get = sizes(at)
-    print(f"{count} members, {changes} changes, at most {most_ranges} ranges: {len(at.ranges)} ranges at the "
-          f"end, {extra / total:.3%} of what moved was past the fewest, largest part "
-          f"{max(get.values()) * len(get) / SPACE:.3f} of the even one")
+    print(
+        f"{count} members, {changes} changes, at most {most_ranges} ranges: {len(at.ranges)} ranges at the "
+        f"end, {extra / total:.3%} of what moved was past the fewest, largest part "
+        f"{max(get.values()) * len(get) / SPACE:.3f} of the even one"
+    )
 
 
 if __name__ == "__main__":
