--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -14,7 +14,9 @@
 from lemonshunt.choice import Dispatcher
 
 MS, S = 1_000, 1_000_000
-ITEM_WEIGHT = 0.23  # of each further message of a call: the most that the given sites name
+ITEM_WEIGHT = (
+    0.23  # of each further message of a call: the most that the given sites name
+)
 FALL_US, WARM_US, COLD_FROM, FACTOR = 3 * S, 11 * S, 0.14, 2.5
 DESTINATION = 10
 
@@ -106,30 +108,56 @@
         """(when, unit, weight, whether its forwarder had learned) of each call that reached it since."""
         self.delivered = 0
         settings = self.settings()
-        self.fleet = [Forwarder(Dispatcher(settings, self.r.randrange(1 << 30), 0), n)
-                      for n in range(play.forwarders)]
+        self.fleet = [
+            Forwarder(Dispatcher(settings, self.r.randrange(1 << 30), 0), n)
+            for n in range(play.forwarders)
+        ]
         for f in self.fleet:
             late = play.late_list and f.number % 2
-            at = self.returns + self.r.randrange(-3 * S, 3 * S) if late else self.r.randrange(100 * MS)
+            at = (
+                self.returns + self.r.randrange(-3 * S, 3 * S)
+                if late
+                else self.r.randrange(100 * MS)
+            )
             self.put(at, "list", f.number, None)
             self.put(max(at, self.r.randrange(play.every_us)), "ask", f.number, None)
             if self.r.random() < play.restart:
-                at = self.returns + (2 * S if play.restart_late else -S) + self.r.randrange(S)
+                at = (
+                    self.returns
+                    + (2 * S if play.restart_late else -S)
+                    + self.r.randrange(S)
+                )
                 self.put(at, "restart", f.number, None)
 
     def settings(self) -> i.Settings:
         p = self.p
         return i.Settings(
-            slots=8, classes=(i.MessageClass("safe", S, 5 * S), i.MessageClass("long", 4 * S, 16 * S)),
-            kinds=(i.DestinationKind("kind", p.batch, p.apart),), balancers=p.forwarders, max_open=200,
-            max_attempts=8, may_cancel=True, retry_after=True, max_retry_after_us=3 * S,
-            weights_told=p.told > 0, overload_factor=FACTOR, fall_us=FALL_US, cold_from=COLD_FROM,
-            warm_us=WARM_US, conn_idle_us=10 * S)
+            slots=8,
+            classes=(
+                i.MessageClass("safe", S, 5 * S),
+                i.MessageClass("long", 4 * S, 16 * S),
+            ),
+            kinds=(i.DestinationKind("kind", p.batch, p.apart),),
+            balancers=p.forwarders,
+            max_open=200,
+            max_attempts=8,
+            may_cancel=True,
+            retry_after=True,
+            max_retry_after_us=3 * S,
+            weights_told=p.told > 0,
+            overload_factor=FACTOR,
+            fall_us=FALL_US,
+            cold_from=COLD_FROM,
+            warm_us=WARM_US,
+            conn_idle_us=10 * S,
+        )
 
     def entries(self) -> tuple[i.TargetEntry, ...]:
         weight = self.p.capacity * self.p.told if self.p.told else 1.0
-        return tuple(i.TargetEntry(n, DESTINATION, "", "kind", weight=weight)
-                     for n in range(self.p.endpoints))
+        return tuple(
+            i.TargetEntry(n, DESTINATION, "", "kind", weight=weight)
+            for n in range(self.p.endpoints)
+        )
 
     def put(self, at: int, what: str, number: int, more: object) -> None:
         self.count += 1
@@ -143,10 +171,17 @@
             match what:
                 case "ask":
                     self.handle(f, now, self.arrivals(f, now))
-                    self.put(now + 1 + int(self.r.expovariate(1 / self.p.every_us)), "ask", number, None)
+                    self.put(
+                        now + 1 + int(self.r.expovariate(1 / self.p.every_us)),
+                        "ask",
+                        number,
+                        None,
+                    )
                 case "list":
                     self.handle(f, now, [i.Listed(i.ListKind.WHOLE, self.entries())])
-                    for place in f.d.places.values():  # as after hours of successes: the pace bounds little
+                    for place in (
+                        f.d.places.values()
+                    ):  # as after hours of successes: the pace bounds little
                         place.shares = float(self.p.forwarders)
                 case "timer" if more == f.version:
                     self.handle(f, now, [i.TimerDue("look")])
@@ -160,8 +195,14 @@
         events: list[i.Event] = []
         for _ in range(self.p.burst):
             self.count += 1
-            name, life = (f"m{self.count}", 5 * S) if self.r.random() < 0.5 else (f"l{self.count}", 16 * S)
-            event = i.Arrived(name, DESTINATION, "safe" if life == 5 * S else "long", now + life)
+            name, life = (
+                (f"m{self.count}", 5 * S)
+                if self.r.random() < 0.5
+                else (f"l{self.count}", 16 * S)
+            )
+            event = i.Arrived(
+                name, DESTINATION, "safe" if life == 5 * S else "long", now + life
+            )
             f.open[name] = event
             events.append(event)
         return events
@@ -200,7 +241,12 @@
             unit = target if self.p.apart else -1
             self.seen.append((now, unit, 0.0, unit in f.learned))
             self.put(now, "end", f.number, (f.d, (whole, len(self.seen) - 1), None))
-        self.put(now + max(took, 1), "end", f.number, (f.d, (whole, outcome, now, took), None))
+        self.put(
+            now + max(took, 1),
+            "end",
+            f.number,
+            (f.d, (whole, outcome, now, took), None),
+        )
 
     def end(self, f: Forwarder, now: int, call: tuple, _: object) -> None:  # type: ignore[type-arg]
         if len(call) == 2:  # the round is over: so many joined
@@ -211,7 +257,12 @@
         whole, outcome, sent, took = call
         if took < 0:
             longest = min(a.timeout_us for a in whole)
-            self.put(sent + longest, "end", f.number, (f.d, (whole, outcome, sent, longest), None))
+            self.put(
+                sent + longest,
+                "end",
+                f.number,
+                (f.d, (whole, outcome, sent, longest), None),
+            )
             return
         events: list[i.Event] = []
         for a in whole:
@@ -219,7 +270,11 @@
             if closed:
                 f.open.pop(a.message, None)
                 self.delivered += now >= self.returns
-            events.append(i.Ended(a.message, f.attempts[a.message], a.target, outcome, took, closed))
+            events.append(
+                i.Ended(
+                    a.message, f.attempts[a.message], a.target, outcome, took, closed
+                )
+            )
             f.attempts[a.message] += 1
         if outcome is not i.Outcome.DELIVERED:
             f.learned.add(whole[0].target if self.p.apart else -1)
@@ -227,16 +282,30 @@
 
     def restart(self, f: Forwarder, now: int) -> None:
         """Killed; the calls that were out are lost, what was told by Outage is kept."""
-        f.d, f.version = Dispatcher(self.settings(), self.r.randrange(1 << 30), now), f.version + 1
+        f.d, f.version = (
+            Dispatcher(self.settings(), self.r.randrange(1 << 30), now),
+            f.version + 1,
+        )
         f.attempts = Counter()
-        self.handle(f, now, [i.Listed(i.ListKind.WHOLE, self.entries()),
-                             *(i.Recalled(m.message, m.destination, m.class_name, m.due_us)
-                               for m in f.open.values() if m.due_us > now),
-                             *(i.OutageRecalled(n, *o) for n, o in f.outages.items() if o[0] >= 0)])
+        self.handle(
+            f,
+            now,
+            [
+                i.Listed(i.ListKind.WHOLE, self.entries()),
+                *(
+                    i.Recalled(m.message, m.destination, m.class_name, m.due_us)
+                    for m in f.open.values()
+                    if m.due_us > now
+                ),
+                *(i.OutageRecalled(n, *o) for n, o in f.outages.items() if o[0] >= 0),
+            ],
+        )
 
     def verdict(self) -> Verdict:
         best = Verdict(calls=len(self.seen), delivered=self.delivered)
-        best.found_us = min((at - self.returns for at, _, _, knew in self.seen if knew), default=-1)
+        best.found_us = min(
+            (at - self.returns for at, _, _, knew in self.seen if knew), default=-1
+        )
         for unit in {unit for _, unit, _, _ in self.seen}:
             calls = [(at, w, knew) for at, u, w, knew in self.seen if u == unit]
             times, sums, known = [at for at, _, _ in calls], [0.0], [0.0]
@@ -266,6 +335,7 @@
 def scene(times: int = 1, **more: object) -> Callable[[int, float, int], Play]:
     def play(forwarders: int, n: float, seed: int) -> Play:
         return Play(forwarders, n, seed, times * every(forwarders), **more)  # type: ignore[arg-type]
+
     return play
 
 
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -20,7 +20,7 @@
     def put(self, at: int, piece: bytes) -> None:
         if len(self.data) < at:
             self.data += bytes(at - len(self.data))
-        self.data[at:at + len(piece)] = piece
+        self.data[at : at + len(piece)] = piece
         self.writes.append((at, piece))
 
 
@@ -31,7 +31,9 @@
         self.random = random.Random(seed)
         self.names: dict[str, Inode] = {}
         self.synced_names: dict[str, Inode] = {}
-        self.renames: list[dict[str, Inode]] = []  # the folder after each change since its last sync
+        self.renames: list[
+            dict[str, Inode]
+        ] = []  # the folder after each change since its last sync
         self.open_files: dict[int, Inode] = {}
         self.fuse = -1
         self.room = 1 << 40
@@ -72,14 +74,16 @@
         return fd
 
     def used(self) -> int:
-        return sum(len(i.data) for i in {id(i): i for i in self.names.values()}.values())
+        return sum(
+            len(i.data) for i in {id(i): i for i in self.names.values()}.values()
+        )
 
     def write(self, fd: int, data: memoryview, at: int) -> int:
         inode, piece = self.open_files[fd], bytes(data)
         try:
             self.step()
         except Died:
-            inode.put(at, piece[:self.random.randint(0, len(piece))])
+            inode.put(at, piece[: self.random.randint(0, len(piece))])
             raise
         free = max(0, self.room - self.used())
         if free < len(piece):
@@ -144,12 +148,12 @@
             for at, piece in inode.writes:
                 keep = self.random.choice(("all", "none", "part"))
                 if keep == "part":
-                    piece = piece[:self.random.randint(0, len(piece))]
+                    piece = piece[: self.random.randint(0, len(piece))]
                 if not piece and keep != "none":
                     del data[at:]
                 elif keep != "none":
                     data.extend(bytes(max(0, at - len(data))))
-                    data[at:at + len(piece)] = piece
+                    data[at : at + len(piece)] = piece
                 elif self.random.random() < 0.3:  # its size is known, its bytes are not
                     data.extend(bytes(max(0, at + len(piece) - len(data))))
             inode.data, inode.synced, inode.writes = data, bytes(data), []
@@ -166,9 +170,13 @@
     """Does the jobs of the sync thread when a test says so."""
 
     def __init__(self) -> None:
-        self.jobs: list[tuple[Callable[[], None], Callable[[OSError | None], None]]] = []
+        self.jobs: list[
+            tuple[Callable[[], None], Callable[[OSError | None], None]]
+        ] = []
 
-    def __call__(self, job: Callable[[], None], done: Callable[[OSError | None], None]) -> None:
+    def __call__(
+        self, job: Callable[[], None], done: Callable[[OSError | None], None]
+    ) -> None:
         self.jobs.append((job, done))
 
     def work(self) -> bool:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -19,7 +19,16 @@
 MOST = 3
 TEST = re.compile(r"[^\s:|]+\.py(::\w+)+(\[.+\])?")
 ISSUE = re.compile(r"(issue |#)?[0-9]+")
-NARROWED = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf", "failedfirst", "collectonly")
+NARROWED = (
+    "keyword",
+    "markexpr",
+    "deselect",
+    "ignore",
+    "ignore_glob",
+    "lf",
+    "failedfirst",
+    "collectonly",
+)
 """Options by which a run is not of all tests."""
 
 
@@ -45,8 +54,15 @@
         if not line.strip():
             continue
         parts = [part.strip() for part in line.rsplit(" | ", 2)]
-        if len(parts) != 3 or not TEST.fullmatch(parts[0]) or not parts[1] or not ISSUE.fullmatch(parts[2]):
-            raise Faulty(f"{path.name}:{number}: not 'test | cause | issue': {line.strip()[:200]}")
+        if (
+            len(parts) != 3
+            or not TEST.fullmatch(parts[0])
+            or not parts[1]
+            or not ISSUE.fullmatch(parts[2])
+        ):
+            raise Faulty(
+                f"{path.name}:{number}: not 'test | cause | issue': {line.strip()[:200]}"
+            )
         if parts[0] in known:
             raise Faulty(f"{path.name}:{number}: listed twice: {parts[0]}")
         known[parts[0]] = Known(*parts)
@@ -67,7 +83,8 @@
 
     @pytest.hookimpl(wrapper=True, tryfirst=True)
     def pytest_runtest_makereport(
-            self, item: pytest.Item) -> Generator[None, pytest.TestReport, pytest.TestReport]:
+        self, item: pytest.Item
+    ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
         report = yield
         entry = self.known.get(item.nodeid)
         if entry is None:
@@ -91,17 +108,33 @@
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
         if hasattr(session.config, "workerinput"):
             return
-        self.faults = [f"{test}: listed, and {self.ran[test]}: strike it from the list"
-                       for test in self.known if self.ran.get(test, "red") != "red"]
+        self.faults = [
+            f"{test}: listed, and {self.ran[test]}: strike it from the list"
+            for test in self.known
+            if self.ran.get(test, "red") != "red"
+        ]
         if self.whole:
-            self.faults += [f"{test}: listed, and not run" for test in self.known if test not in self.ran]
-        if self.faults and session.exitstatus in (pytest.ExitCode.OK, pytest.ExitCode.NO_TESTS_COLLECTED):
+            self.faults += [
+                f"{test}: listed, and not run"
+                for test in self.known
+                if test not in self.ran
+            ]
+        if self.faults and session.exitstatus in (
+            pytest.ExitCode.OK,
+            pytest.ExitCode.NO_TESTS_COLLECTED,
+        ):
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
-    def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        passed_over = [entry for test, entry in self.known.items() if self.ran.get(test) == "red"]
+    def pytest_terminal_summary(
+        self, terminalreporter: pytest.TerminalReporter
+    ) -> None:
+        passed_over = [
+            entry for test, entry in self.known.items() if self.ran.get(test) == "red"
+        ]
         if passed_over:
-            terminalreporter.section(f"known red, passed over: {len(passed_over)}", red=True)
+            terminalreporter.section(
+                f"known red, passed over: {len(passed_over)}", red=True
+            )
             for entry in passed_over:
                 terminalreporter.write_line(str(entry))
         if self.faults:
@@ -117,5 +150,6 @@
         raise pytest.UsageError(" ".join(str(error).split())) from None
     if known:
         whole = config.args_source is not pytest.Config.ArgsSource.ARGS and not any(
-            getattr(config.option, name, None) for name in NARROWED)
+            getattr(config.option, name, None) for name in NARROWED
+        )
         config.pluginmanager.register(KnownRed(known, whole), "known-red-list")
--- a/tests/reference/crowd.py
+++ b/tests/reference/crowd.py
@@ -16,11 +16,19 @@
         base = super().settings()
         aims = (301 * MS + 1, 500 * MS, S)
         worths = (0.0, 0.5, 0.9, 1.0)
-        classes = tuple(replace(c, aim_us=self.pick(c.aim_us, *aims), late_worth=self.pick(*worths))
-                        for c in base.classes)
-        return replace(base, classes=classes, slots=self.pick(1, 2, 6, 30, 200),
-                       balancers=self.pick(1, 2, 8, 9, 60, 500), max_open=self.pick(150, 10**6, 10**6),
-                       max_attempts=self.pick(1, 2, 4, 10**6), conn_idle_us=self.pick(0, S, 60 * S))
+        classes = tuple(
+            replace(c, aim_us=self.pick(c.aim_us, *aims), late_worth=self.pick(*worths))
+            for c in base.classes
+        )
+        return replace(
+            base,
+            classes=classes,
+            slots=self.pick(1, 2, 6, 30, 200),
+            balancers=self.pick(1, 2, 8, 9, 60, 500),
+            max_open=self.pick(150, 10**6, 10**6),
+            max_attempts=self.pick(1, 2, 4, 10**6),
+            conn_idle_us=self.pick(0, S, 60 * S),
+        )
 
     def pick_time(self, time: int) -> int:
         return time // GRAIN * GRAIN if self.seed % 2 else time
@@ -28,8 +36,12 @@
     def arrival(self) -> i.Arrived:
         event = super().arrival()
         key = self.pick(event.key, f"key {self.r.randrange(12)}", "k")
-        changed = replace(event, key=key, due_us=self.pick_time(event.due_us),
-                          destination=self.pick(event.destination, event.destination, 0, 10))
+        changed = replace(
+            event,
+            key=key,
+            due_us=self.pick_time(event.due_us),
+            destination=self.pick(event.destination, event.destination, 0, 10),
+        )
         if event.message in self.open:
             self.open[event.message].event = changed
         return changed
@@ -51,8 +63,14 @@
     def share(self) -> i.Shares:
         span = self.pick(0, 0, S, 5 * S)
         spent = self.pick((), ((self.now - S // 2, 2), (self.now, 1)))
-        return i.Shares(10 + self.r.randrange(5), self.pick(0, 1, 4, 50), span,
-                        self.now + self.pick(-S, 2 * S, 90 * S), self.pick(0, 0, 1, 3), spent)
+        return i.Shares(
+            10 + self.r.randrange(5),
+            self.pick(0, 1, 4, 50),
+            span,
+            self.now + self.pick(-S, 2 * S, 90 * S),
+            self.pick(0, 0, 1, 3),
+            spent,
+        )
 
     def withdrawal(self) -> i.Withdrawn:
         name = self.pick(*self.open)
--- a/tests/reference/giving.py
+++ b/tests/reference/giving.py
@@ -12,7 +12,9 @@
 STALL_CALLS = 8  # usual calls after which one is held to be lost where some later ones have been delivered
 STALL_US = 600_000  # and this at least
 PASSED = 3  # so many later ones: a single one may just have been quick
-LEAST_AWAY_US = SECOND  # a refused client always hears when to come back, and not at once
+LEAST_AWAY_US = (
+    SECOND  # a refused client always hears when to come back, and not at once
+)
 BUFFER_MARK = 0.85  # share of the buffer above which the largest pile is cut
 KEEP_LEAST = 0.7  # share of its time; in a large fleet what was taken on and handed back sooner is priced
 LATE_LEAST = 0.6  # where fresh ones near their aims, one in their pile with less worth left is given up
@@ -46,8 +48,17 @@
     key = event.key if cls.in_order else None
     # What was held before a start came over a while: all at once it would be far beyond any tenant's share.
     beyond = isinstance(event, i.Arrived) and over_share(b, event.tenant)
-    m = Message(event.message, event.destination, cls, event.due_us, b.now, b.taken, key, beyond,
-                b.s.max_attempts)
+    m = Message(
+        event.message,
+        event.destination,
+        cls,
+        event.due_us,
+        b.now,
+        b.taken,
+        key,
+        beyond,
+        b.s.max_attempts,
+    )
     if b.s.balancers > FEW:
         m.keep_until = m.due - int((1 - KEEP_LEAST) * cls.deadline_us)
     b.messages[m.id] = m
@@ -92,8 +103,14 @@
     """The only place that gives final answers. Refuse where a new try does no harm, else fail. A keyed one
     that may have run does none while its client comes back within the window."""
     wait = retry_after(b, m)
-    safe = m.cls.effect is i.Effect.REPEATABLE or (m.ran_at < 0 and not m.out) or (
-        m.cls.scope is i.Scope.ALL and b.now + max(wait, LEAST_AWAY_US) < b.repeat_by(m))
+    safe = (
+        m.cls.effect is i.Effect.REPEATABLE
+        or (m.ran_at < 0 and not m.out)
+        or (
+            m.cls.scope is i.Scope.ALL
+            and b.now + max(wait, LEAST_AWAY_US) < b.repeat_by(m)
+        )
+    )
     b.actions.append(i.Refuse(m.id, wait, cause) if safe else i.Fail(m.id, cause))
     if m.key is not None and b.s.ends_told:
         owe(b, m.id, m.key)
@@ -137,8 +154,11 @@
     pile that moves too slowly for its fresh ones it gives way to them before: else all end late."""
     if b.now - b.cleared_at >= SECOND:
         b.cleared_at = b.now
-        b.lines = {k: n for k, n in b.lines.items()
-                   if n.queue or n.out or n.owed or n.rest_until > b.now}
+        b.lines = {
+            k: n
+            for k, n in b.lines.items()
+            if n.queue or n.out or n.owed or n.rest_until > b.now
+        }
     for destination in sorted(b.looks):
         pile = list(b.held.piles.get(destination, {}).values())
         opens = next_call(b, destination)
@@ -148,7 +168,13 @@
             if not b.may_repeat(m):
                 answer(b, m, "may not be sent again")
             elif opens >= b.drop_at(m):
-                answer(b, m, "no call could end in time" if b.now >= b.drop_at(m) else "no share in time")
+                answer(
+                    b,
+                    m,
+                    "no call could end in time"
+                    if b.now >= b.drop_at(m)
+                    else "no share in time",
+                )
             elif jam and b.now > fades_at(m, b.s.late_halves):
                 answer(b, m, "makes way for fresh ones")
     if len(b.messages) > BUFFER_MARK * b.s.max_open and b.held.piles:
@@ -177,11 +203,15 @@
     """One jammed destination must not fill the buffer: of the largest pile, what came in this round is turned
     away at the door. What was taken on stays: its client would hear of its end only by a notice."""
     worst = max(b.held.piles, key=lambda d: (len(b.held.piles[d]), d))
-    pile = [m for m in b.held.piles[worst].values() if m.arrived == b.now and not m.before]
+    pile = [
+        m for m in b.held.piles[worst].values() if m.arrived == b.now and not m.before
+    ]
     pile.sort(key=lambda m: (m.over_share, m.due, m.number))
     if pile and b.now - b.shed_at >= FORGET_US:
         b.shed_at = b.now
-        b.actions.append(i.Note(f"buffer nearly full: destination {worst} takes on no more"))
+        b.actions.append(
+            i.Note(f"buffer nearly full: destination {worst} takes on no more")
+        )
     if len(b.held.piles[worst]) > 1:
-        for m in pile[-max(1, int(len(b.messages) - BUFFER_MARK * b.s.max_open)):]:
+        for m in pile[-max(1, int(len(b.messages) - BUFFER_MARK * b.s.max_open)) :]:
             answer(b, m, "buffer nearly full")
--- a/tests/reference/learning.py
+++ b/tests/reference/learning.py
@@ -84,12 +84,17 @@
 def judge(b: Books, call: Call, m: Message, event: i.Ended) -> None:
     """Learn from one call: expected call, window, pace, and whether the target is in an outage."""
     target, place, outcome = call.target, call.target.place, event.outcome
-    if (outcome is Outcome.TIMED_OUT and event.took_us < m.cls.aim_us) or idle_lost(b, call, outcome):
+    if (outcome is Outcome.TIMED_OUT and event.took_us < m.cls.aim_us) or idle_lost(
+        b, call, outcome
+    ):
         return  # neither late messages nor dead connections must make a sound target look hung
     # A call that was passed by others until its time-out was lost alone: its target does answer.
     weak = event.weak or (outcome is Outcome.TIMED_OUT and call.passed > 0)
-    cut = call.sent_at > place.cut_at and not weak and outcome in (
-        Outcome.FULL, Outcome.TIMED_OUT, Outcome.NO_CONNECTION)
+    cut = (
+        call.sent_at > place.cut_at
+        and not weak
+        and outcome in (Outcome.FULL, Outcome.TIMED_OUT, Outcome.NO_CONNECTION)
+    )
     news = min(NEWS_TOP, 1 - 0.5 ** (call.gap / EASE_US))
     place.mean, place.mean_at = b.expected(place, m.cls), b.now
     place.seed = m.cls.aim_us / AIM_PER_CALL
@@ -102,13 +107,19 @@
     if cut and outcome is Outcome.FULL:
         place.shares = max(SHARE_LEAST, place.shares * SHARE_CUT)
         crowd = max(1, min(CROWD_TOP, b.s.balancers // FEW))
-        place.rest = min(crowd * REST_TOP_US, max(crowd * REST_US, REST_TIMES * place.rest))
+        place.rest = min(
+            crowd * REST_TOP_US, max(crowd * REST_US, REST_TIMES * place.rest)
+        )
     if outcome is Outcome.FULL and not event.wait_us:
         rest = int(place.rest * b.random.uniform(0.5, 1.5))
         place.rest_until = max(place.rest_until, b.now + rest)
     step = FULL_STEP if weak or outcome is Outcome.FULL else max(FAIL_STEP, news)
-    failing = target.failing + step * ((outcome is not Outcome.DELIVERED) - target.failing)
-    if outcome is Outcome.FULL and pace(b, target):  # the share follows, also down to an outage's
+    failing = target.failing + step * (
+        (outcome is not Outcome.DELIVERED) - target.failing
+    )
+    if outcome is Outcome.FULL and pace(
+        b, target
+    ):  # the share follows, also down to an outage's
         failing = min(failing, max(FAIL_MARK, target.failing))
     target.failing = failing
     watch_outage(b, target, outcome)
--- a/tests/reference/limits.py
+++ b/tests/reference/limits.py
@@ -11,7 +11,9 @@
 SLOW_TIMES = 4  # times its seed: an expected call above this counts as slow
 BURST_US = 700_000  # the pace lets through at once what it earns in this time
 PURSE_US = 2 * SECOND  # a tenant may run ahead of its share by this much
-PURSE_LEAST = 4.0  # messages, and by these at least: our part of a share may be far under one
+PURSE_LEAST = (
+    4.0  # messages, and by these at least: our part of a share may be far under one
+)
 
 
 def spend(now: int, spent_until: int, each: float, ahead: float) -> int:
@@ -27,14 +29,19 @@
     each = SECOND * b.s.balancers / tenant.allowance_per_s
     spent_until = b.purses.get(tenant.name, -NEVER)
     if spent_until <= b.now:
-        b.purses[tenant.name] = spend(b.now, spent_until, each, max(PURSE_US, PURSE_LEAST * each))
+        b.purses[tenant.name] = spend(
+            b.now, spent_until, each, max(PURSE_US, PURSE_LEAST * each)
+        )
     return spent_until > b.now
 
 
 def pace(b: Books, t: Target) -> float:
     """The time between our calls by which the limit holds for all forwarders together. An even share of a
     told limit may be one call in a minute: what is left of it tells more, so none lapses for that."""
-    limit, share = t.place.limit or (t.weight if b.s.weights_told else 0.0), t.place.shares
+    limit, share = (
+        t.place.limit or (t.weight if b.s.weights_told else 0.0),
+        t.place.shares,
+    )
     if not limit:
         return 0.0
     each = SECOND * b.s.balancers / limit / share
@@ -53,7 +60,9 @@
 def cap(b: Books, place: Place) -> float:
     """The window's top: three quarters of the slots, half while failing or slow, never under one."""
     sick = place.mean > SLOW_TIMES * place.seed > 0 or any(
-        cold(b, t) and t.place is place for t in b.by_destination.get(place.destination, ()))
+        cold(b, t) and t.place is place
+        for t in b.by_destination.get(place.destination, ())
+    )
     return max(1.0, (SICK_CAP if sick else HEALTHY_CAP) * b.s.slots)
 
 
@@ -64,8 +73,11 @@
     if call is not None and joins and (not cold(b, t) or may_join(b, t, call.joined)):
         return b.now
     here = sum(other.out for other in b.by_destination[t.destination])
-    if not joins and (b.calls_out >= b.s.slots or here >= max(1, int(HEALTHY_CAP * b.s.slots))
-                      or place.out >= int(min(place.window, cap(b, place)))):
+    if not joins and (
+        b.calls_out >= b.s.slots
+        or here >= max(1, int(HEALTHY_CAP * b.s.slots))
+        or place.out >= int(min(place.window, cap(b, place)))
+    ):
         return NEVER
     share = b.shares.get(t.destination)
     paced_at = place.pace_at if share is None else share.room_at(b.now)
--- a/tests/reference/memory.py
+++ b/tests/reference/memory.py
@@ -30,12 +30,18 @@
         if named in out:
             calls.setdefault(id(attempt.call), (attempt.call, []))[1].append(named)
     return {
-        "targets": [[t.id, t.destination, t.kind, kept(t, TARGET_KEPT)] for t in b.targets.values()],
+        "targets": [
+            [t.id, t.destination, t.kind, kept(t, TARGET_KEPT)]
+            for t in b.targets.values()
+        ],
         "places": [[*whose, kept(p, PLACE_KEPT)] for whose, p in b.places.items()],
         "messages": [[m.id, kept(m, MESSAGE_KEPT)] for m in b.messages.values()],
         "lines": [[key, line.rest_until] for key, line in b.lines.items()],
-        "calls": [[c.target.id, kept(c, CALL_KEPT), names] for c, names in calls.values()],
-        "purses": b.purses, "idle_us": b.idle_us,
+        "calls": [
+            [c.target.id, kept(c, CALL_KEPT), names] for c, names in calls.values()
+        ],
+        "purses": b.purses,
+        "idle_us": b.idle_us,
     }
 
 
@@ -44,14 +50,24 @@
     for number, destination, kind, known in told.get("targets", []):
         if number not in b.targets:  # gone from the list, perhaps with a call still out
             apart = b.kinds.get(kind, i.DestinationKind(kind)).routes_apart
-            b.targets[number] = Target(number, destination, "", 0.0,
-                                       b.place(destination, number, apart), kind, 1, apart, False)
+            b.targets[number] = Target(
+                number,
+                destination,
+                "",
+                0.0,
+                b.place(destination, number, apart),
+                kind,
+                1,
+                apart,
+                False,
+            )
         learn(b.targets[number], known, TARGET_KEPT)
     for destination, number, known in told.get("places", []):
         if (destination, number) in b.places:
             learn(b.places[destination, number], known, PLACE_KEPT)
             b.places[destination, number].shares = min(
-                b.places[destination, number].shares, float(b.s.balancers))
+                b.places[destination, number].shares, float(b.s.balancers)
+            )
         else:  # routes stand apart now, or no longer: a wait that was told binds whatever it may be of
             for whose, place in b.places.items():
                 if whose[0] == destination and -1 in (number, whose[1]):
@@ -64,12 +80,16 @@
         line.rest_until = max(line.rest_until, rest_until)
         next_in(b, line)
     for number, known, names in told.get("calls", []):
-        still_out(b, number, known, [(name, n) for name, n in names if name in b.messages])
+        still_out(
+            b, number, known, [(name, n) for name, n in names if name in b.messages]
+        )
     b.purses.update(told.get("purses", {}))
     b.idle_us = min(b.idle_top, told.get("idle_us", b.idle_us))
 
 
-def still_out(b: Books, number: int, known: Mapping[str, Any], names: list[tuple[str, int]]) -> None:
+def still_out(
+    b: Books, number: int, known: Mapping[str, Any], names: list[tuple[str, int]]
+) -> None:
     """A call of the process before takes its slot here until its outcomes are told."""
     target = b.targets.get(number)
     if target is None or not names:
--- a/tests/reference/order.py
+++ b/tests/reference/order.py
@@ -12,15 +12,21 @@
 from tests.reference.limits import has_room, paced, room_at
 from tests.reference.state import Attempt, Call, Message, Place, Target
 
-GROUP_RANGE = 0.4  # Gr, share of the least time left: the paper's value; larger was no better
-TIMEOUT_CALLS = 6  # expected calls that an attempt may take, and its class's aim at least
+GROUP_RANGE = (
+    0.4  # Gr, share of the least time left: the paper's value; larger was no better
+)
+TIMEOUT_CALLS = (
+    6  # expected calls that an attempt may take, and its class's aim at least
+)
 RETRY_TIMES = 2  # after a time-out the next attempt may take so many times as long: the work may be long
 
 
 def release(b: Books) -> None:
     """Release once: in the group rule's order, each to the best target whose gate is open."""
     if b.calls_out < b.s.slots:
-        shut: set[int] = set()  # within a round a destination only closes, and each pile may be long
+        shut: set[int] = (
+            set()
+        )  # within a round a destination only closes, and each pile may be long
         for m in order(b):
             if m.destination in shut:
                 continue
@@ -38,23 +44,45 @@
     """When to look again at a destination where messages stay, whatever happens till then."""
     now, pile = b.now, b.held.piles[destination].values()
     first_drop = min(b.drop_at(m) for m in pile)
-    opens = min((room_at(b, t) for t in b.by_destination.get(destination, ())), default=NEVER)
-    gives_way = min((at for m in pile for at in (now + m.cls.aim_us / 2 - age(m, now),
-                                                 fades_at(m, b.s.late_halves)) if at > now), default=NEVER)
-    b.agenda.add(max(now + LOOK_US, int(min(first_drop, opens, gives_way)) + 1), destination)
+    opens = min(
+        (room_at(b, t) for t in b.by_destination.get(destination, ())), default=NEVER
+    )
+    gives_way = min(
+        (
+            at
+            for m in pile
+            for at in (
+                now + m.cls.aim_us / 2 - age(m, now),
+                fades_at(m, b.s.late_halves),
+            )
+            if at > now
+        ),
+        default=NEVER,
+    )
+    b.agenda.add(
+        max(now + LOOK_US, int(min(first_drop, opens, gives_way)) + 1), destination
+    )
 
 
 def order(b: Books) -> Iterator[Message]:
     """The group rule: the least time left and all within Gr of it first; in a group the shortest call.
     Messages that have no open target, and whole destinations of these, are skipped."""
-    looks = sorted(d for d in (b.held.piles if b.jammed else b.looks & b.held.piles.keys())
-                   if has_room(b, d))
-    held = sorted((m.over_share, m.due, m.number, m.destination)
-                  for destination in looks for m in b.held.piles[destination].values())
+    looks = sorted(
+        d
+        for d in (b.held.piles if b.jammed else b.looks & b.held.piles.keys())
+        if has_room(b, d)
+    )
+    held = sorted(
+        (m.over_share, m.due, m.number, m.destination)
+        for destination in looks
+        for m in b.held.piles[destination].values()
+    )
     first = 0
     while first < len(held):
         beyond, due, *_ = held[first]
-        end = bisect_right(held, (beyond, due + GROUP_RANGE * (due - b.now), b.taken, 0), first)
+        end = bisect_right(
+            held, (beyond, due + GROUP_RANGE * (due - b.now), b.taken, 0), first
+        )
         group = [b.held.piles[d][number] for _, _, number, d in held[first:end]]
         yield from sorted(group, key=lambda m: (b.soonest(m), m.due, m.number))
         first = end
@@ -77,8 +105,15 @@
 def preference(b: Books, m: Message, t: Target) -> tuple[float, ...]:
     """Which open target is best: a sound one, a call already forming, a cheap one, a quiet one."""
     fee = b.s.zone_fees.get(t.zone, 0.0) if t.apart else 0.0
-    return (in_outage(t), t.id == m.avoid, t.id not in b.round_calls, fee, t.failing, t.out,
-            b.random.random())
+    return (
+        in_outage(t),
+        t.id == m.avoid,
+        t.id not in b.round_calls,
+        fee,
+        t.failing,
+        t.out,
+        b.random.random(),
+    )
 
 
 def send(b: Books, m: Message, t: Target) -> None:
@@ -119,5 +154,9 @@
     """How long an attempt may take. One after which there is no other is waited for till its end: of a
     once-only message, or one that outlasts the window in which its key is known."""
     left = m.due - b.now
-    patience = max(m.cls.aim_us, int(TIMEOUT_CALLS * b.expected(place, m.cls)), RETRY_TIMES * m.waited)
+    patience = max(
+        m.cls.aim_us,
+        int(TIMEOUT_CALLS * b.expected(place, m.cls)),
+        RETRY_TIMES * m.waited,
+    )
     return left if b.now + patience >= b.repeat_by(m, b.now) else min(left, patience)
--- a/tests/reference/routes.py
+++ b/tests/reference/routes.py
@@ -29,10 +29,26 @@
             kind = b.kinds.get(e.kind, i.DestinationKind(e.kind))
             place = b.place(e.destination, e.target, kind.routes_apart)
             known = b.targets[e.target] = Target(
-                e.target, e.destination, e.zone, e.weight, place, e.kind, kind.batch, kind.routes_apart)
-        known.zone, known.weight, known.serving = e.zone, e.weight, e.state is i.TargetState.SERVING
-    gone = [t for t in b.targets.values() if not (t.serving or t.out or t.id in b.detached)]
-    for t in gone[:max(0, len(gone) - MOST_GONE)]:  # replaced targets must not pile up over months
+                e.target,
+                e.destination,
+                e.zone,
+                e.weight,
+                place,
+                e.kind,
+                kind.batch,
+                kind.routes_apart,
+            )
+        known.zone, known.weight, known.serving = (
+            e.zone,
+            e.weight,
+            e.state is i.TargetState.SERVING,
+        )
+    gone = [
+        t for t in b.targets.values() if not (t.serving or t.out or t.id in b.detached)
+    ]
+    for t in gone[
+        : max(0, len(gone) - MOST_GONE)
+    ]:  # replaced targets must not pile up over months
         del b.targets[t.id]
         if t.apart:
             b.places.pop((t.destination, t.id), None)
@@ -69,7 +85,9 @@
         t.outage_at = t.back_at = -1
     b.actions.append(i.Outage(t.id, t.outage_at, t.back_at))
     t.failing, t.idle_at = 0.0, -1
-    t.spread = b.random.random() if cold(b, t) else 1.0  # it comes back to all forwarders at once
+    t.spread = (
+        b.random.random() if cold(b, t) else 1.0
+    )  # it comes back to all forwarders at once
     if t.apart:
         t.place.window, t.place.mean, t.place.mean_at, t.place.rest = 1.0, 0.0, -1, 0
 
@@ -91,7 +109,10 @@
             place.out += t.out
             place.wait_until = max(place.wait_until, t.place.wait_until)
             t.place = place
-        if (settings.balancers, settings.weights_told) != (old.balancers, old.weights_told):
+        if (settings.balancers, settings.weights_told) != (
+            old.balancers,
+            old.weights_told,
+        ):
             t.place.shares = min(t.place.shares, float(settings.balancers))
             t.place.pace_at = min(t.place.pace_at, b.now + int(pace(b, t)))
     b.looks.update(b.held.piles)
--- a/tests/reference/state.py
+++ b/tests/reference/state.py
@@ -11,9 +11,29 @@
 from lemonshunt.interface import MessageClass
 
 # What a process that takes over is told of each record; the rest is in the journal or counted anew.
-TARGET_KEPT = ("failing", "failed_at", "well_at", "tried_at", "outage_at", "back_at", "spread")
-PLACE_KEPT = ("window", "mean", "seed", "mean_at", "wait_until", "rest_until", "rest", "cut_at", "limit",
-              "left", "shares", "pace_at")
+TARGET_KEPT = (
+    "failing",
+    "failed_at",
+    "well_at",
+    "tried_at",
+    "outage_at",
+    "back_at",
+    "spread",
+)
+PLACE_KEPT = (
+    "window",
+    "mean",
+    "seed",
+    "mean_at",
+    "wait_until",
+    "rest_until",
+    "rest",
+    "cut_at",
+    "limit",
+    "left",
+    "shares",
+    "pace_at",
+)
 MESSAGE_KEPT = ("over_share", "waited", "avoid")
 CALL_KEPT = ("sent_at", "idle", "gap", "joined", "judged", "passed")
 
--- a/tests/riders.py
+++ b/tests/riders.py
@@ -27,8 +27,14 @@
 TTL, DRIFT, SPAN, SLACK = 1_000_000, 0.02, 400_000, 5_000
 TOP = (1 << 64) - 1
 RUNS = itertools.count()
-BUDGET = {"destination": "7", "calls": 100, "span_ms": SPAN // 1_000, "reserve": 5, "members_max": 4,
-          "pause_ms": 100}
+BUDGET = {
+    "destination": "7",
+    "calls": 100,
+    "span_ms": SPAN // 1_000,
+    "reserve": 5,
+    "members_max": 4,
+    "pause_ms": 100,
+}
 
 
 class Whole(Run):
@@ -37,17 +43,23 @@
     async def up(self, **more: Any) -> Whole:
         if not self.had:
             await self.service.begin()
-        self.parts: Any = await lead(self.service, Terms(DRIFT, 1_000, TTL), TTL, **more)
+        self.parts: Any = await lead(
+            self.service, Terms(DRIFT, 1_000, TTL), TTL, **more
+        )
         self.write = await self.parts.listen_write("127.0.0.1", 0)
         self.fleet = await self.parts.listen_fleet("127.0.0.1", 0)
         return self
 
-    async def call(self, method: str, path: str, body: Any = None, match: Any = "",
-                   port: int = 0) -> tuple[int, Any]:
+    async def call(
+        self, method: str, path: str, body: Any = None, match: Any = "", port: int = 0
+    ) -> tuple[int, Any]:
         reader, writer = await asyncio.open_connection("127.0.0.1", port or self.write)
         data = b"" if body is None else json.dumps(body).encode()
-        writer.write(f"{method} {path} HTTP/1.1\r\nHost: r\r\nIf-Match: {match}\r\n"
-                     f"Content-Length: {len(data)}\r\n\r\n".encode() + data)
+        writer.write(
+            f"{method} {path} HTTP/1.1\r\nHost: r\r\nIf-Match: {match}\r\n"
+            f"Content-Length: {len(data)}\r\n\r\n".encode()
+            + data
+        )
         try:
             status, _, answer = await told(reader)
         finally:
@@ -64,15 +76,22 @@
 class Process:
     """A member as the pages say it behaves: it sends all that it may, and acts on all keys that it may."""
 
-    def __init__(self, name: str, rate: float, clock: Clock, before: Process | None = None) -> None:
+    def __init__(
+        self, name: str, rate: float, clock: Clock, before: Process | None = None
+    ) -> None:
         self.name, self.rate, self.clock = name, rate, clock
         self.run = f"{name}-{next(RUNS)}"
         self.token, self.shown = NEVER, before.known() if before else NEVER
         self.seen = before.seen if before else NEVER  # its folder keeps it
-        self.share: dict[str, Any] = {"calls": 0, "number": 0,
-                                      "reserve": before.share["reserve"] if before else 0}
+        self.share: dict[str, Any] = {
+            "calls": 0,
+            "number": 0,
+            "reserve": before.share["reserve"] if before else 0,
+        }
         self.until = 0
-        self.idle = self.own() + window(SPAN, SLACK, DRIFT)  # what was sent before it is not known
+        self.idle = self.own() + window(
+            SPAN, SLACK, DRIFT
+        )  # what was sent before it is not known
         self.sent: list[tuple[int, int, int]] = []
         self.owned: Any = Owned(name)
         self.need = 0
@@ -85,7 +104,9 @@
 
     def most(self) -> int:
         """Calls in a span that it may act on at this moment, or could if it were running."""
-        return int(self.share["calls"] if self.own() < self.until else self.share["reserve"])
+        return int(
+            self.share["calls"] if self.own() < self.until else self.share["reserve"]
+        )
 
     def send(self) -> None:
         now, span = self.own(), window(SPAN, SLACK, DRIFT)
@@ -96,13 +117,27 @@
     def body(self) -> dict[str, Any]:
         word = self.owned.word()
         joins = self.token == NEVER
-        return {"name": self.name, "site": "a", "dial": "h:1", "run": self.run, "sent": word.sent,
-                "token": None if joins else self.token.told(), "seen": self.seen.told(),
-                **({"shown": self.shown.told(), "keeps": {"7": self.share["reserve"]}}
-                   if joins and self.shown != NEVER else {}),
-                "needs": {"7": self.need}, "map": word.generation, "digest": hexed(word.digest),
-                "gave": [span_text(*span) for span in word.gave],
-                "holds": {"7": [self.share["calls"], self.share["number"]]} if self.share["number"] else {}}
+        return {
+            "name": self.name,
+            "site": "a",
+            "dial": "h:1",
+            "run": self.run,
+            "sent": word.sent,
+            "token": None if joins else self.token.told(),
+            "seen": self.seen.told(),
+            **(
+                {"shown": self.shown.told(), "keeps": {"7": self.share["reserve"]}}
+                if joins and self.shown != NEVER
+                else {}
+            ),
+            "needs": {"7": self.need},
+            "map": word.generation,
+            "digest": hexed(word.digest),
+            "gave": [span_text(*span) for span in word.gave],
+            "holds": {"7": [self.share["calls"], self.share["number"]]}
+            if self.share["number"]
+            else {},
+        }
 
     async def beat(self, run: Whole, lost: bool = False, drain: bool = True) -> int:
         if drain:
@@ -118,24 +153,40 @@
             self.shown, self.token, self.until = self.token, NEVER, 0
             self.share = {**self.share, "number": 0}
             self.owned.lost()
-        assert status in (200, 507) or (status == 409 and answer["error"] in ("lost", "held")), answer
+        assert status in (200, 507) or (
+            status == 409 and answer["error"] in ("lost", "held")
+        ), answer
         if status != 200:
             return
-        token, until_own = Token.of(answer["token"]), asked + int(answer["ttl_ms"] * 1_000 * (1 - DRIFT))
+        token, until_own = (
+            Token.of(answer["token"]),
+            asked + int(answer["ttl_ms"] * 1_000 * (1 - DRIFT)),
+        )
         if token != self.token:
             self.token = token
             self.run += "+"
             self.owned.joined(token, until_own)
-        self.seen = max(self.seen, token, Token(answer["list"][0], 0),
-                        *(Token.of(r["token"]) for r in answer["ranges"]))
+        self.seen = max(
+            self.seen,
+            token,
+            Token(answer["list"][0], 0),
+            *(Token.of(r["token"]) for r in answer["ranges"]),
+        )
         if "7" in answer["shares"]:
             assert answer["shares"]["7"]["number"] >= self.share["number"]
             self.share, self.until = answer["shares"]["7"], until_own
         if "shards" in answer:
             assert not self.owned.adopt(answer["shards"])
-        self.owned.answered(token, sent, answer["map"], [
-            Hold(*span_from(r["keys"]), Token.of(r["token"]), r["begun"])
-            for r in answer["ranges"]], until_own)
+        self.owned.answered(
+            token,
+            sent,
+            answer["map"],
+            [
+                Hold(*span_from(r["keys"]), Token.of(r["token"]), r["begun"])
+                for r in answer["ranges"]
+            ],
+            until_own,
+        )
 
 
 class World:
@@ -143,11 +194,15 @@
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.rng, self.folder, self.clock = random.Random(seed), folder, Clock()
-        self.wholes = [100]  # in force since what a larger one granted had surely run out
+        self.wholes = [
+            100
+        ]  # in force since what a larger one granted had surely run out
         self.all: list[Process] = []  # that may run, cut off or not
         self.here: list[Process] = []  # those that beat
         self.gone: list[tuple[int, int, int]] = []  # what ended processes sent
-        self.fence: set[tuple[int, int, Token]] = set()  # what a resource that is guarded by key has seen
+        self.fence: set[tuple[int, int, Token]] = (
+            set()
+        )  # what a resource that is guarded by key has seen
 
     async def start(self) -> None:
         self.run = await Whole(self.folder, Bounds(), self.clock).up()
@@ -173,32 +228,57 @@
         assert sum_ <= max(self.wholes), (now, sum_)
         spent = [*self.gone, *(s for p in self.all for s in p.sent)]
         assert sum(n for at, _, n in spent if at > now - SPAN) <= max(self.wholes), now
-        acting = [(*own.span, own.hold.token) for p in self.all for own in p.owned.holding(p.own())]
-        assert not any(a <= last and first <= b for n, (a, b, _) in enumerate(acting)
-                       for first, last, _ in acting[:n]), (now, acting)
-        assert not any(a <= last and first <= b and token < other for a, b, token in acting
-                       for first, last, other in self.fence), (now, acting)
+        acting = [
+            (*own.span, own.hold.token)
+            for p in self.all
+            for own in p.owned.holding(p.own())
+        ]
+        assert not any(
+            a <= last and first <= b
+            for n, (a, b, _) in enumerate(acting)
+            for first, last, _ in acting[:n]
+        ), (now, acting)
+        assert not any(
+            a <= last and first <= b and token < other
+            for a, b, token in acting
+            for first, last, other in self.fence
+        ), (now, acting)
         self.fence.update(acting)
 
     def raw_map(self, generation: int, owners: list[str]) -> dict[str, Any]:
         cuts = [0, *sorted(self.rng.randrange(1, TOP) for _ in owners[1:])]
-        return {"generation": generation, "ranges": [
-            {"from": hexed(first), "to": hexed(last - 1), "owner": owner}
-            for first, last, owner in zip(cuts, [*cuts[1:], TOP + 1], owners, strict=True)]}
+        return {
+            "generation": generation,
+            "ranges": [
+                {"from": hexed(first), "to": hexed(last - 1), "owner": owner}
+                for first, last, owner in zip(
+                    cuts, [*cuts[1:], TOP + 1], owners, strict=True
+                )
+            ],
+        }
 
     async def operate(self) -> None:
         if self.rng.random() < 0.2:
             calls = self.rng.choice((80, 100))
-            status, _ = await self.run.call("PUT", "/v1/budgets", {"budgets": [{**BUDGET, "calls": calls}]})
+            status, _ = await self.run.call(
+                "PUT", "/v1/budgets", {"budgets": [{**BUDGET, "calls": calls}]}
+            )
             if status == 200:
                 self.wholes.append(calls)
         else:
             first = self.rng.randrange(16) << 60
-            status, answer = await self.run.call("POST", "/v1/map/move", {
-                "from": hexed(first), "to": hexed(min(first + (self.rng.randrange(1, 5) << 60), TOP)),
-                "owner": self.rng.choice(self.here).name})
-            assert status in (200, 404, 507) or {fault.split()[0] for fault in answer["faults"]} <= {
-                "moves-too-much", "unknown-owner"}, answer
+            status, answer = await self.run.call(
+                "POST",
+                "/v1/map/move",
+                {
+                    "from": hexed(first),
+                    "to": hexed(min(first + (self.rng.randrange(1, 5) << 60), TOP)),
+                    "owner": self.rng.choice(self.here).name,
+                },
+            )
+            assert status in (200, 404, 507) or {
+                fault.split()[0] for fault in answer["faults"]
+            } <= {"moves-too-much", "unknown-owner"}, answer
 
     async def step(self) -> None:
         rng, run = self.rng, self.run
@@ -206,10 +286,16 @@
         self.check()
         dice = rng.random()
         if dice < 0.04:
-            self.add((old := rng.choice(self.here)).name, old)  # restarted, with its folder
+            self.add(
+                (old := rng.choice(self.here)).name, old
+            )  # restarted, with its folder
         elif dice < 0.07 and len(self.here) > 2:
-            cut = self.here.pop(rng.randrange(len(self.here)))  # cut off, and goes on by what it has
-            self.add(cut.name)  # and another process of its name is started without its folder
+            cut = self.here.pop(
+                rng.randrange(len(self.here))
+            )  # cut off, and goes on by what it has
+            self.add(
+                cut.name
+            )  # and another process of its name is started without its folder
         elif dice < 0.17:
             await self.operate()
         elif dice < 0.21:
@@ -222,8 +308,12 @@
                 await self.start()
         else:
             for process in rng.sample(self.here, rng.randrange(1, len(self.here) + 1)):
-                process.need = rng.choice((0, 5, 40, 200)) if rng.random() < 0.3 else process.need
-                await process.beat(run, lost=rng.random() < 0.1, drain=rng.random() < 0.8)
+                process.need = (
+                    rng.choice((0, 5, 40, 200)) if rng.random() < 0.3 else process.need
+                )
+                await process.beat(
+                    run, lost=rng.random() < 0.1, drain=rng.random() < 0.8
+                )
                 self.check()
         await self.run.settle()
 
@@ -250,7 +340,9 @@
 
     async def up(self, *names: str, **more: Any) -> list[Process]:
         world = self.world
-        self.run = world.run = await Whole(world.folder, Bounds(), world.clock).up(**more)
+        self.run = world.run = await Whole(world.folder, Bounds(), world.clock).up(
+            **more
+        )
         for name in names:
             world.add(name)
         return world.here
@@ -272,4 +364,6 @@
         await self.up()
 
     async def put(self, match: Any = "", **more: Any) -> tuple[int, Any]:
-        return await self.run.call("PUT", "/v1/budgets", {"budgets": [{**BUDGET, **more}]}, match)
+        return await self.run.call(
+            "PUT", "/v1/budgets", {"budgets": [{**BUDGET, **more}]}, match
+        )
--- a/tests/scripts.py
+++ b/tests/scripts.py
@@ -22,10 +22,15 @@
             i.MessageClass("keyed", 2 * S, 10 * S, i.Effect.KEYED, i.Scope.ALL, 3 * S),
             i.MessageClass("zoned", 2 * S, 10 * S, i.Effect.KEYED, i.Scope.ZONE, 3 * S),
             i.MessageClass("once", 2 * S, 8 * S, i.Effect.ONCE),
-            i.MessageClass("turns", 2 * S, 9 * S, i.Effect.KEYED, i.Scope.ALL, 4 * S, in_order=True),
+            i.MessageClass(
+                "turns", 2 * S, 9 * S, i.Effect.KEYED, i.Scope.ALL, 4 * S, in_order=True
+            ),
+        ),
+        "kinds": (
+            i.DestinationKind("plain"),
+            i.DestinationKind("lots", batch=4),
+            i.DestinationKind("ways", routes_apart=True),
         ),
-        "kinds": (i.DestinationKind("plain"), i.DestinationKind("lots", batch=4),
-                  i.DestinationKind("ways", routes_apart=True)),
         "tenants": (i.Tenant("big", 20.0), i.Tenant("small", 2.0)),
         "over_share_worth": 0.1,
         "balancers": 2,
@@ -44,9 +49,11 @@
 
 
 ENTRIES = (
-    i.TargetEntry(1, 10, "north", "plain"), i.TargetEntry(2, 10, "south", "plain"),
+    i.TargetEntry(1, 10, "north", "plain"),
+    i.TargetEntry(2, 10, "south", "plain"),
     i.TargetEntry(3, 11, "north", "lots"),
-    i.TargetEntry(4, 12, "north", "ways"), i.TargetEntry(5, 12, "south", "ways"),
+    i.TargetEntry(4, 12, "north", "ways"),
+    i.TargetEntry(5, 12, "south", "ways"),
 )
 
 
@@ -64,13 +71,23 @@
     return [a for a in actions if isinstance(a, i.Refuse | i.Fail)]
 
 
-def ask(name: str, dest: int = 10, cls: str = "safe", due: int = 6 * S, **more: Any) -> i.Arrived:
+def ask(
+    name: str, dest: int = 10, cls: str = "safe", due: int = 6 * S, **more: Any
+) -> i.Arrived:
     return i.Arrived(name, dest, cls, due, **more)
 
 
-def end(send: i.Send, outcome: i.Outcome, attempt: int = 0, took: int = 100 * MS, **more: Any) -> i.Ended:
+def end(
+    send: i.Send,
+    outcome: i.Outcome,
+    attempt: int = 0,
+    took: int = 100 * MS,
+    **more: Any,
+) -> i.Ended:
     closed = more.pop("closed", outcome is i.Outcome.DELIVERED)
-    return i.Ended(send.message, attempt, send.target, outcome, took, closed=closed, **more)
+    return i.Ended(
+        send.message, attempt, send.target, outcome, took, closed=closed, **more
+    )
 
 
 class Script:
@@ -106,9 +123,18 @@
         cls = self.r.choice(self.s.classes)
         name = f"m{len(self.asked)}"
         key = f"k{self.r.randrange(4)}" if cls.in_order else None
-        life = self.r.choice([cls.deadline_us, self.r.randrange(-5 * MS, cls.deadline_us)])
+        life = self.r.choice(
+            [cls.deadline_us, self.r.randrange(-5 * MS, cls.deadline_us)]
+        )
         tenant = self.r.choice(["big", "small", "stranger", None])
-        event = i.Arrived(name, self.r.choice([10, 11, 12, 99]), cls.name, self.now + life, key, tenant)
+        event = i.Arrived(
+            name,
+            self.r.choice([10, 11, 12, 99]),
+            cls.name,
+            self.now + life,
+            key,
+            tenant,
+        )
         self.asked[name] = self.open[name] = event
         if key:
             self.taken[key].append(name)
@@ -118,19 +144,35 @@
         self.out.remove(a)
         a["outcome"] = outcome
         m = self.asked[a["message"]]
-        wait = self.r.choice([0, 0, 200 * MS, 900 * MS]) if outcome is i.Outcome.FULL else 0
+        wait = (
+            self.r.choice([0, 0, 200 * MS, 900 * MS])
+            if outcome is i.Outcome.FULL
+            else 0
+        )
         if wait:
             place = self.place(a["target"])
             self.waits[place] = max(self.waits[place], self.now + wait)
-        if m.key and outcome in (i.Outcome.TIMED_OUT, i.Outcome.RESET, i.Outcome.CANCELED):
+        if m.key and outcome in (
+            i.Outcome.TIMED_OUT,
+            i.Outcome.RESET,
+            i.Outcome.CANCELED,
+        ):
             self.rests[m.key] = max(self.rests[m.key], self.now + self.s.key_rest_us)
         if outcome is i.Outcome.DELIVERED and m.message in self.open:
             self.close(m.message)
             self.delivered += 1
         limit = self.r.choice([0.0, 3.0, 20.0])
         told = i.LoadReport(self.r.random(), limit) if self.r.random() < 0.5 else None
-        return i.Ended(m.message, a["attempt"], a["target"], outcome, self.now - a["at"],
-                       closed=m.message in self.over, wait_us=wait, report=told)
+        return i.Ended(
+            m.message,
+            a["attempt"],
+            a["target"],
+            outcome,
+            self.now - a["at"],
+            closed=m.message in self.over,
+            wait_us=wait,
+            report=told,
+        )
 
     def close(self, name: str) -> None:
         assert name in self.open, f"{name} ended twice"
@@ -149,14 +191,22 @@
                 luck = self.r.random()
                 outcome = i.Outcome.DELIVERED if luck < 0.5 else mood
                 if luck > 0.9:
-                    outcome = self.r.choice([o for o in i.Outcome if o is not i.Outcome.CANCELED])
+                    outcome = self.r.choice(
+                        [o for o in i.Outcome if o is not i.Outcome.CANCELED]
+                    )
                 events.append(self.finish(a, outcome))
         if self.r.random() < 0.01:
             t = self.r.choice(list(self.entries))
-            state = self.r.choice([i.TargetState.SERVING, i.TargetState.DRAINING, i.TargetState.GONE])
+            state = self.r.choice(
+                [i.TargetState.SERVING, i.TargetState.DRAINING, i.TargetState.GONE]
+            )
             old = self.entries[t]
-            events.append(i.Listed(i.ListKind.CHANGES, (
-                i.TargetEntry(t, old.destination, old.zone, old.kind, state),)))
+            events.append(
+                i.Listed(
+                    i.ListKind.CHANGES,
+                    (i.TargetEntry(t, old.destination, old.zone, old.kind, state),),
+                )
+            )
             if state is i.TargetState.SERVING:
                 self.left_at.pop(t, None)
             else:
@@ -177,7 +227,9 @@
         if events:
             self.step(events)
         for name, m in self.open.items():
-            assert self.now <= max(m.due_us, 0) + self.s.answer_grace_us, f"{name} not answered in time"
+            assert self.now <= max(m.due_us, 0) + self.s.answer_grace_us, (
+                f"{name} not answered in time"
+            )
 
     def step(self, events: list[i.Event]) -> None:
         actions = self.d.handle(self.now, events)
@@ -204,7 +256,9 @@
         if cls.effect is i.Effect.ONCE:
             assert not self.ran(a.message), "refused, though it may have run"
         if cls.effect is i.Effect.KEYED and cls.scope is not i.Scope.ALL:
-            assert not self.ran(a.message), "refused, though a repeat elsewhere would take effect"
+            assert not self.ran(a.message), (
+                "refused, though a repeat elsewhere would take effect"
+            )
 
     def check_send(self, a: i.Send) -> None:
         assert a.message in self.open, "sent after its end"
@@ -212,7 +266,9 @@
         cls, entry = self.classes[m.class_name], self.entries[a.target]
         assert entry.destination == m.destination
         told = self.left_at.get(a.target)
-        assert told is None or self.now <= told + self.s.drain_grace_us, "sent to a drained target"
+        assert told is None or self.now <= told + self.s.drain_grace_us, (
+            "sent to a drained target"
+        )
         assert self.now >= self.waits[self.place(a.target)], "sent inside a wait"
         before = self.attempts[a.message]
         if not self.s.parallel_tries:
@@ -223,29 +279,46 @@
         if ran and cls.effect is i.Effect.KEYED:
             assert self.now <= ran[0]["at"] + cls.window_us, "outside its window"
             if cls.scope is i.Scope.ZONE:
-                assert entry.zone == self.entries[ran[0]["target"]].zone, "outside its scope"
+                assert entry.zone == self.entries[ran[0]["target"]].zone, (
+                    "outside its scope"
+                )
         if m.key:
             mine = self.taken[m.key].index(m.message)
             for name in self.taken[m.key][:mine]:
                 assert name in self.over, "out of order"
-                assert all(x["outcome"] is not None for x in self.attempts[name]), "an earlier attempt is out"
+                assert all(x["outcome"] is not None for x in self.attempts[name]), (
+                    "an earlier attempt is out"
+                )
             others = [n for n in self.taken[m.key][:mine] if self.attempts[n]]
             if others and not before:
                 assert self.now >= self.rests[m.key], "the key still rests"
         assert a.timeout_us > 0 and self.now + a.timeout_us <= m.due_us
-        x = {"message": a.message, "attempt": len(before), "target": a.target, "at": self.now,
-             "until": self.now + a.timeout_us, "outcome": None}
+        x = {
+            "message": a.message,
+            "attempt": len(before),
+            "target": a.target,
+            "at": self.now,
+            "until": self.now + a.timeout_us,
+            "outcome": None,
+        }
         before.append(x)
         self.out.append(x)
         assert len(before) <= self.s.max_attempts
-        assert len({(y["target"], y["at"]) for y in self.out}) <= self.s.slots, "more calls than slots"
+        assert len({(y["target"], y["at"]) for y in self.out}) <= self.s.slots, (
+            "more calls than slots"
+        )
         self.sent += 1
 
     def run(self, rounds: int) -> None:
         for n in range(rounds):
-            mood = (i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.FAILED,
-                    i.Outcome.NO_CONNECTION, i.Outcome.RESET)[n // 200 % 5]
+            mood = (
+                i.Outcome.DELIVERED,
+                i.Outcome.FULL,
+                i.Outcome.FAILED,
+                i.Outcome.NO_CONNECTION,
+                i.Outcome.RESET,
+            )[n // 200 % 5]
             self.round((0.1, 0.5, 0.02)[n // 300 % 3], mood)
         while self.open or self.out:
             self.round(0.0, i.Outcome.FAILED)
-            assert self.now < 10 ** 9
+            assert self.now < 10**9
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -35,10 +35,19 @@
     body: bytes = b""
 
 
-async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+async def read_message(
+    reader: asyncio.StreamReader,
+) -> tuple[str, dict[str, str], bytes]:
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
-    return head[0], headers, await reader.readexactly(int(headers.get("content-length", 0)))
+    headers = {
+        k.lower(): v.strip()
+        for k, _, v in (line.partition(":") for line in head[1:] if line)
+    }
+    return (
+        head[0],
+        headers,
+        await reader.readexactly(int(headers.get("content-length", 0))),
+    )
 
 
 Handler = Callable[[Request], Awaitable[Answer | bytes | None]]
@@ -71,7 +80,9 @@
         await self.until(lambda: len(self.requests) >= count)
         return self.requests
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         try:
             while True:
                 first, headers, body = await read_message(reader)
@@ -83,8 +94,11 @@
                 if answer is None:
                     break
                 if isinstance(answer, Answer):
-                    lines = [f"HTTP/1.1 {answer.status} X", f"Content-Length: {len(answer.body)}",
-                             *(f"{k}: {v}" for k, v in answer.headers.items())]
+                    lines = [
+                        f"HTTP/1.1 {answer.status} X",
+                        f"Content-Length: {len(answer.body)}",
+                        *(f"{k}: {v}" for k, v in answer.headers.items()),
+                    ]
                     answer = "\r\n".join(lines).encode() + b"\r\n\r\n" + answer.body
                 writer.write(answer)
                 await writer.drain()
@@ -102,6 +116,7 @@
 
     async def handler(request: Request) -> Answer | bytes | None:
         return left.pop(0) if len(left) > 1 else left[0]
+
     return handler
 
 
@@ -125,9 +140,24 @@
 
     hosts: dict[str, dict[str, Any]]
 
-    def host(self, name: str, port: int, block: int = 7, health: str = "up", kind: str = "plain") -> None:
-        self.hosts[name] = {"host": name, "dial": f"127.0.0.1:{port}", "site": "x", "class": kind,
-                            "block": block, "health": health, "share": 100.0, "born_ms": 0}
+    def host(
+        self,
+        name: str,
+        port: int,
+        block: int = 7,
+        health: str = "up",
+        kind: str = "plain",
+    ) -> None:
+        self.hosts[name] = {
+            "host": name,
+            "dial": f"127.0.0.1:{port}",
+            "site": "x",
+            "class": kind,
+            "block": block,
+            "health": health,
+            "share": 100.0,
+            "born_ms": 0,
+        }
 
     def listing(self) -> dict[str, Any]:
         return {"seq": self.seq, "whole": True, "hosts": list(self.hosts.values())}
@@ -157,8 +187,13 @@
                 await self.changed.wait_for(lambda: self.seq > since)
         except TimeoutError:
             pass
-        hosts = [h for seq in range(since + 1, self.seq + 1) for h in self.news.get(seq, [])]
-        return Answer(200, body=json.dumps({"seq": self.seq, "whole": False, "hosts": hosts}).encode())
+        hosts = [
+            h for seq in range(since + 1, self.seq + 1) for h in self.news.get(seq, [])
+        ]
+        return Answer(
+            200,
+            body=json.dumps({"seq": self.seq, "whole": False, "hosts": hosts}).encode(),
+        )
 
     async def notice(self, name: str) -> dict[str, Any]:
         await self.until(lambda: any(n["id"] == name for n in self.notices))
@@ -172,37 +207,90 @@
 
 
 SETTINGS: dict[str, Any] = {
-    "allowed": {"conn_idle_us": 5_000_000, "dial_timeout_us": 1_000_000, "max_attempts": 6, "max_open": 50,
-                "max_retry_after_us": 3_000_000, "retry_after": True, "may_cancel": True},
-    "balancers": 1, "discovery": "on_request", "host_types": ["plain", "lots"],
-    "contract": {"grace_to_answer_us": 20_000, "drain_grace_us": 500_000, "ask_within_us": 10_000_000},
+    "allowed": {
+        "conn_idle_us": 5_000_000,
+        "dial_timeout_us": 1_000_000,
+        "max_attempts": 6,
+        "max_open": 50,
+        "max_retry_after_us": 3_000_000,
+        "retry_after": True,
+        "may_cancel": True,
+    },
+    "balancers": 1,
+    "discovery": "on_request",
+    "host_types": ["plain", "lots"],
+    "contract": {
+        "grace_to_answer_us": 20_000,
+        "drain_grace_us": 500_000,
+        "ask_within_us": 10_000_000,
+    },
     "family_info": {"slots": 8, "kind_batch": [1, 5], "routes_apart": [False, False]},
-    "orgs": [{"name": "acme", "allowance_per_s": 1000.0, "fraction": 1.0}], "over_share_worth": 0.1,
+    "orgs": [{"name": "acme", "allowance_per_s": 1000.0, "fraction": 1.0}],
+    "over_share_worth": 0.1,
     "services": [
-        {"name": "order", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "by_key",
-         "key_scope": "all", "window_us": 30_000_000},
-        {"name": "status", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "repeatable"},
-        {"name": "turns", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "repeatable",
-         "by_arrival": True},
-        {"name": "pay", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "once"},
+        {
+            "name": "order",
+            "aim_us": 2_000_000,
+            "deadline_us": 60_000_000,
+            "effect": "by_key",
+            "key_scope": "all",
+            "window_us": 30_000_000,
+        },
+        {
+            "name": "status",
+            "aim_us": 2_000_000,
+            "deadline_us": 60_000_000,
+            "effect": "repeatable",
+        },
+        {
+            "name": "turns",
+            "aim_us": 2_000_000,
+            "deadline_us": 60_000_000,
+            "effect": "repeatable",
+            "by_arrival": True,
+        },
+        {
+            "name": "pay",
+            "aim_us": 2_000_000,
+            "deadline_us": 60_000_000,
+            "effect": "once",
+        },
     ],
-    "telemetry": {"fields": ["x0", "x1"], "how": "piggyback"}, "weight_source": "nominal",
+    "telemetry": {"fields": ["x0", "x1"], "how": "piggyback"},
+    "weight_source": "nominal",
 }
 
 
 class Node:
     """The real program, on its folder."""
 
-    def __init__(self, folder: Path, platform: Platform, known: dict[str, Any] | None = None,
-                 disk_mb: float = 3, **allowed: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        platform: Platform,
+        known: dict[str, Any] | None = None,
+        disk_mb: float = 3,
+        **allowed: Any,
+    ) -> None:
         self.folder, self.port, self.admin = folder, free_port(), free_port()
         self.log: list[str] = []
         (folder / "state").mkdir(exist_ok=True)
         settings = {**SETTINGS, "allowed": {**SETTINGS["allowed"], **allowed}}
-        config = {"name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{platform.port}",
-                  "seed": "5", "limits": {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": disk_mb},
-                  "admin_addr": f"127.0.0.1:{self.admin}", "known": known or platform.listing(),
-                  "settings": settings}
+        config = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{platform.port}",
+            "seed": "5",
+            "limits": {
+                "cores": 1,
+                "memory_mb": 192,
+                "sockets": 256,
+                "disk_mb": disk_mb,
+            },
+            "admin_addr": f"127.0.0.1:{self.admin}",
+            "known": known or platform.listing(),
+            "settings": settings,
+        }
         (folder / "config.json").write_text(json.dumps(config))
         self.listener: socket.socket | None = None
 
@@ -222,14 +310,24 @@
         return await self.until_ready()
 
     async def spawn(self) -> None:
-        env = {**os.environ, "LB_CONFIG": str(self.folder / "config.json"),
-               "LB_STATE": str(self.folder / "state"), "LB_ADMIN_ADDR": f"127.0.0.1:{self.admin}"}
+        env = {
+            **os.environ,
+            "LB_CONFIG": str(self.folder / "config.json"),
+            "LB_STATE": str(self.folder / "state"),
+            "LB_ADMIN_ADDR": f"127.0.0.1:{self.admin}",
+        }
         fds = () if self.listener is None else (self.listener.fileno(),)
         if fds:
             env["LB_INHERITED_FD"] = str(fds[0])
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lemonshunt", cwd=ROOT, env=env,
-            stderr=asyncio.subprocess.PIPE, pass_fds=fds)
+            sys.executable,
+            "-m",
+            "lemonshunt",
+            cwd=ROOT,
+            env=env,
+            stderr=asyncio.subprocess.PIPE,
+            pass_fds=fds,
+        )
         self.drain = asyncio.create_task(self.read_log())
         self.ready = asyncio.Event()
 
@@ -263,7 +361,9 @@
         await self.end(sign)
         await self.start()
 
-    async def operate(self, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
+    async def operate(
+        self, method: str, path: str, body: bytes = b""
+    ) -> tuple[int, str]:
         """One call at the operators' address."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -289,7 +389,9 @@
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def hand_in(self, name: str, cls: str = "order", **more: Any) -> tuple[int, dict[str, str]]:
+    async def hand_in(
+        self, name: str, cls: str = "order", **more: Any
+    ) -> tuple[int, dict[str, str]]:
         client = await self.client()
         try:
             return await client.hand_in(name, cls, **more)
@@ -298,7 +400,9 @@
 
 
 class Client:
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.reader, self.writer = reader, writer
 
     async def answer(self) -> tuple[int, dict[str, str]]:
@@ -306,17 +410,39 @@
             first, headers, _ = await read_message(self.reader)
         return int(first.split(" ")[1]), headers
 
-    async def hand_in(self, name: str, cls: str = "order", left: str = "50", dest: object = 7,
-                      body: bytes = b"hello", **headers: str) -> tuple[int, dict[str, str]]:
+    async def hand_in(
+        self,
+        name: str,
+        cls: str = "order",
+        left: str = "50",
+        dest: object = 7,
+        body: bytes = b"hello",
+        **headers: str,
+    ) -> tuple[int, dict[str, str]]:
         self.writer.write(message(name, cls, left, dest, body, **headers))
         return await self.answer()
 
 
-def message(name: str, cls: str = "order", left: str = "50", dest: object = 7, body: bytes = b"hello",
-            **changes: str | None) -> bytes:
+def message(
+    name: str,
+    cls: str = "order",
+    left: str = "50",
+    dest: object = 7,
+    body: bytes = b"hello",
+    **changes: str | None,
+) -> bytes:
     headers: dict[str, str | None] = {
-        "Host": "origin.svc", "X-Correlation-Id": name, "X-Account": "acme", "X-Time-Left": left,
-        "Idempotency-Key": f"key-{name}", "Content-Length": str(len(body)), "X-Addressing": f"dest={dest}"}
+        "Host": "origin.svc",
+        "X-Correlation-Id": name,
+        "X-Account": "acme",
+        "X-Time-Left": left,
+        "Idempotency-Key": f"key-{name}",
+        "Content-Length": str(len(body)),
+        "X-Addressing": f"dest={dest}",
+    }
     headers |= {k.replace("_", "-"): v for k, v in changes.items()}
-    lines = [f"POST /{cls} HTTP/1.1", *(f"{k}: {v}" for k, v in headers.items() if v is not None)]
+    lines = [
+        f"POST /{cls} HTTP/1.1",
+        *(f"{k}: {v}" for k, v in headers.items() if v is not None),
+    ]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -46,15 +46,33 @@
 LEAST = 1_024
 ENDPOINTS = 44_000
 LISTS = {
-    "budget.config.MOST_BUDGETS", "choice.routes.MOST_GONE", "journal.state.MOST_LOST",
-    "lab.sweep.MOST_SEEDS", "member.roster.MOST_GONE", "net.client.MOST_WAITS", "net.desk.MOST_DESTINATIONS",
-    "net.desk.MOST_GONE", "net.desk.MOST_RECENT", "net.discovery.MOST_NOTICES", "net.fleet_books.MOST_SPENT",
-    "net.fleet_config.MOST_PEERS", "net.reconfigure.MOST_TOLD", "net.server.BACKLOG",
-    "registry.bodies.MOST_OPS", "registry.core.MOST_IDS", "registry.core.MOST_TOMBSTONES",
+    "budget.config.MOST_BUDGETS",
+    "choice.routes.MOST_GONE",
+    "journal.state.MOST_LOST",
+    "lab.sweep.MOST_SEEDS",
+    "member.roster.MOST_GONE",
+    "net.client.MOST_WAITS",
+    "net.desk.MOST_DESTINATIONS",
+    "net.desk.MOST_GONE",
+    "net.desk.MOST_RECENT",
+    "net.discovery.MOST_NOTICES",
+    "net.fleet_books.MOST_SPENT",
+    "net.fleet_config.MOST_PEERS",
+    "net.reconfigure.MOST_TOLD",
+    "net.server.BACKLOG",
+    "registry.bodies.MOST_OPS",
+    "registry.core.MOST_IDS",
+    "registry.core.MOST_TOMBSTONES",
     "registry.disk.KEPT_NOTICES",
-    "registry.disk.MOST_NOTICES", "registry.maps.MOST_RANGES", "registry.web.BACKLOG",
-    "registry.web.MOST_FAULTS", "session.desk.MOST_PAST", "session.words.ITEMS", "shard.plan.MOST_RANGES",
-    "registry.member_list.MOST_KNOWN", "state.MOST_SPARE_PILES",
+    "registry.disk.MOST_NOTICES",
+    "registry.maps.MOST_RANGES",
+    "registry.web.BACKLOG",
+    "registry.web.MOST_FAULTS",
+    "session.desk.MOST_PAST",
+    "session.words.ITEMS",
+    "shard.plan.MOST_RANGES",
+    "registry.member_list.MOST_KNOWN",
+    "state.MOST_SPARE_PILES",
 }
 TEXT = "bytes or characters, no list"
 NUMBER = "a time or a number that is told, no list"
@@ -127,13 +145,24 @@
     """The named bounds, by the module that defines them."""
     for module, tree in sources():
         for node in tree.body:
-            names = [n.id for target in getattr(node, "targets", []) for n in ast.walk(target)
-                     if isinstance(n, ast.Name)]
-            yield from (f"{module}.{name}" for name in names if f"{module}.{name}" in ALSO
-                        or "BACKLOG" in name or {"MOST", "MAX"} & set(name.split("_")))
-
-
-def test_each_named_bound_is_of_a_list_and_not_below_1024_or_exempt_for_a_reason() -> None:
+            names = [
+                n.id
+                for target in getattr(node, "targets", [])
+                for n in ast.walk(target)
+                if isinstance(n, ast.Name)
+            ]
+            yield from (
+                f"{module}.{name}"
+                for name in names
+                if f"{module}.{name}" in ALSO
+                or "BACKLOG" in name
+                or {"MOST", "MAX"} & set(name.split("_"))
+            )
+
+
+def test_each_named_bound_is_of_a_list_and_not_below_1024_or_exempt_for_a_reason() -> (
+    None
+):
     assert set(constants()) == LISTS | set(EXEMPT) and not LISTS & set(EXEMPT)
     found = {}
     for full in LISTS:
@@ -151,40 +180,72 @@
         for node in ast.walk(tree):
             given: list[ast.expr | None] = []
             if isinstance(node, ast.Call):
-                given = [k.value for k in node.keywords if k.arg in ("maxlen", "backlog", "maxsize")]
+                given = [
+                    k.value
+                    for k in node.keywords
+                    if k.arg in ("maxlen", "backlog", "maxsize")
+                ]
                 if isinstance(node.func, ast.Attribute) and node.func.attr == "listen":
                     given += node.args
-            elif isinstance(node, ast.Compare) and isinstance(node.left, ast.Call) and getattr(
-                    node.left.func, "id", "") == "len" and isinstance(node.ops[0], ast.Gt | ast.GtE):
+            elif (
+                isinstance(node, ast.Compare)
+                and isinstance(node.left, ast.Call)
+                and getattr(node.left.func, "id", "") == "len"
+                and isinstance(node.ops[0], ast.Gt | ast.GtE)
+            ):
                 given = [*node.comparators]
-            numbers = [v.value for v in given if isinstance(v, ast.Constant) and isinstance(v.value, int)]
-            found += [f"{module}: {ast.unparse(node)}" for number in numbers if 16 < number < LEAST]
-    assert [line for line in found if not re.search(r"len\((key|text|order_key)\)", line)] == []
+            numbers = [
+                v.value
+                for v in given
+                if isinstance(v, ast.Constant) and isinstance(v.value, int)
+            ]
+            found += [
+                f"{module}: {ast.unparse(node)}"
+                for number in numbers
+                if 16 < number < LEAST
+            ]
+    assert [
+        line for line in found if not re.search(r"len\((key|text|order_key)\)", line)
+    ] == []
 
 
 # The configuration's file and a beat
 
 
 def fleet(budgets: int, peers: int) -> dict[str, Any]:
-    return {"service": "127.0.0.1:1", "site": "a",
-            "budgets": [{"destination": n, "span_ms": 1_000, "calls": 10, "members": 5}
-                        for n in range(budgets)],
-            "peers": {f"forwarder-{n}": f"127.0.0.1:{n + 1}" for n in range(peers)}}
+    return {
+        "service": "127.0.0.1:1",
+        "site": "a",
+        "budgets": [
+            {"destination": n, "span_ms": 1_000, "calls": 10, "members": 5}
+            for n in range(budgets)
+        ],
+        "peers": {f"forwarder-{n}": f"127.0.0.1:{n + 1}" for n in range(peers)},
+    }
 
 
 @pytest.mark.parametrize("budgets, peers", [(LEAST, LEAST), (MOST_BUDGETS, 10_000)])
-def test_a_file_with_so_many_budgets_and_peers_is_taken(budgets: int, peers: int) -> None:
+def test_a_file_with_so_many_budgets_and_peers_is_taken(
+    budgets: int, peers: int
+) -> None:
     told = read(fleet(budgets, peers), "f")
     assert len(told.budgets) == budgets and len(told.peers) == peers
 
 
 def test_a_file_with_so_many_faults_is_told_of_1024(tmp_path: Path) -> None:
-    file = {"name": "f", "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "settings": SETTINGS}
+    file = {
+        "name": "f",
+        "listen": "127.0.0.1:9",
+        "discovery": "127.0.0.1:9",
+        "settings": SETTINGS,
+    }
     old = parse({**file, "fleet": fleet(MOST_BUDGETS, 0)}, {"LB_STATE": str(tmp_path)})
     bad = fleet(MOST_BUDGETS, 0)
     for budget in bad["budgets"]:
         budget["calls"] = 0
-    found = examine(json.dumps({**file, "fleet": bad}).encode(), old, {"LB_STATE": str(tmp_path)}).faults
+    found = examine(
+        json.dumps({**file, "fleet": bad}).encode(), old, {"LB_STATE": str(tmp_path)}
+    ).faults
     assert len(found) == MOST_TOLD >= LEAST
     assert {tuple(fault) for fault in found} == {("path", "fault")}
     assert len({fault["path"] for fault in found}) == MOST_TOLD
@@ -194,7 +255,9 @@
     books = Books((), 0.0, {}, 0)
     for destination in range(ENDPOINTS):
         books.wanted(destination, "order/a-tenant", 10)
-    told = books.needs({ENDPOINTS + n: {"pay/another-tenant": 1} for n in range(10)}, 20)
+    told = books.needs(
+        {ENDPOINTS + n: {"pay/another-tenant": 1} for n in range(10)}, 20
+    )
     assert len(told) == MOST_BUDGETS and beat_needs(told)
     assert len(books.wants) == MOST_BUDGETS
 
@@ -206,12 +269,16 @@
         for tenant in range(20):
             books.wanted(destination, f"a-class-of-messages/tenant-{tenant}", 10)
     told = books.needs({}, 20)
-    assert len(told) == MOST_BUDGETS and {sum(parts.values()) for parts in told.values()} == {20}
+    assert len(told) == MOST_BUDGETS and {
+        sum(parts.values()) for parts in told.values()
+    } == {20}
     holds = {str(d): [10**6, 10**6] for d in range(MOST_BUDGETS)}
     assert len(json.dumps({"needs": told, "holds": holds})) < Bounds().body
 
 
-def test_parts_that_wait_past_those_told_apart_count_as_one_and_none_is_left_out() -> None:
+def test_parts_that_wait_past_those_told_apart_count_as_one_and_none_is_left_out() -> (
+    None
+):
     wants = Wants(1_000)
     for n in range(100):
         wants.arrived(10, f"come-{n}")
@@ -219,7 +286,9 @@
     assert len(needs) <= MOST_PARTS and sum(needs.values()) == 200
 
 
-def test_what_a_successor_needs_of_10000_budgets_takes_a_small_part_of_the_disk(tmp_path: Path) -> None:
+def test_what_a_successor_needs_of_10000_budgets_takes_a_small_part_of_the_disk(
+    tmp_path: Path,
+) -> None:
     books = Books(read(fleet(MOST_BUDGETS, 0), "f").budgets, 0.0, {}, 0)
     for account in books.accounts.values():
         for at in range(50):
@@ -265,10 +334,16 @@
 
 
 def endpoint(n: int, health: str = "up") -> dict[str, Any]:
-    return {"host": f"endpoint-{n:08}.zone-{n % 5}.example.internal",
-            "dial": f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080", "site": f"zone-{n % 5}",
-            "class": "standard", "block": n, "share": 0.000123456789, "born_ms": 1_790_000_000_000 + n,
-            "health": health}
+    return {
+        "host": f"endpoint-{n:08}.zone-{n % 5}.example.internal",
+        "dial": f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080",
+        "site": f"zone-{n % 5}",
+        "class": "standard",
+        "block": n,
+        "share": 0.000123456789,
+        "born_ms": 1_790_000_000_000 + n,
+        "health": health,
+    }
 
 
 def listing(numbers: range, health: str = "up", whole: bool = True) -> HostList:
@@ -277,21 +352,39 @@
 
 def engine(folder: Path) -> Engine:
     where = Address("127.0.0.1", 9)
-    return Engine(Config("f1", where, where, folder, 1, 192, 40, 64_000_000, HostList(0, True, ()),
-                         settings(SETTINGS), ()))
+    return Engine(
+        Config(
+            "f1",
+            where,
+            where,
+            folder,
+            1,
+            192,
+            40,
+            64_000_000,
+            HostList(0, True, ()),
+            settings(SETTINGS),
+            (),
+        )
+    )
 
 
 def known_by(e: Engine, told: HostList) -> None:
     """Each target that was told goes by one number, that leads back to its name."""
     entries = e.entries(told)
     e.take_list(told)
-    hosts: dict[int, Host] = {entry.target: h for entry, h in zip(entries, told.hosts, strict=True)}
+    hosts: dict[int, Host] = {
+        entry.target: h for entry, h in zip(entries, told.hosts, strict=True)
+    }
     assert len(hosts) == len(told.hosts) and {n: e.names.get(n) for n in hosts} == {
-        n: h.name for n, h in hosts.items()}
+        n: h.name for n, h in hosts.items()
+    }
     assert all(e.numbers[h.name] == n for n, h in hosts.items())
 
 
-def test_a_first_list_of_44000_endpoints_goes_by_one_number_each(tmp_path: Path) -> None:
+def test_a_first_list_of_44000_endpoints_goes_by_one_number_each(
+    tmp_path: Path,
+) -> None:
     async def scene() -> None:
         e = engine(tmp_path)
         known_by(e, listing(range(ENDPOINTS)))
@@ -299,10 +392,13 @@
         known_by(e, listing(range(ENDPOINTS)))
         assert len(e.destinations) == ENDPOINTS
         e.store.close()
+
     asyncio.run(scene())
 
 
-def test_endpoints_that_left_are_remembered_and_forgotten_in_time(tmp_path: Path) -> None:
+def test_endpoints_that_left_are_remembered_and_forgotten_in_time(
+    tmp_path: Path,
+) -> None:
     async def scene() -> None:
         e = engine(tmp_path)
         known_by(e, listing(range(LEAST * 2)))
@@ -314,12 +410,18 @@
         for n in range(3 * MOST_GONE):
             e.number(f"gone{n}")
             assert len(e.numbers) == len(e.names) <= len(e.hosts) + MOST_GONE + 1
-        assert before.items() <= e.numbers.items() and f"gone{3 * MOST_GONE - LEAST}" in e.numbers
+        assert (
+            before.items() <= e.numbers.items()
+            and f"gone{3 * MOST_GONE - LEAST}" in e.numbers
+        )
         e.store.close()
+
     asyncio.run(scene())
 
 
-def test_a_list_of_44000_endpoints_outlasts_a_restart_on_a_small_disk(tmp_path: Path) -> None:
+def test_a_list_of_44000_endpoints_outlasts_a_restart_on_a_small_disk(
+    tmp_path: Path,
+) -> None:
     store = Store(tmp_path, 3_000_000)
     hosts = {h["host"]: h for h in map(endpoint, range(ENDPOINTS))}
     store.list(7, hosts, 0, "127.0.0.1:1")
@@ -328,9 +430,15 @@
         store.take(Taken(f"m{n}", "order", 7, 10**15, None, None, b"x" * 1_000))
         store.over(f"m{n}")
         store.flush()
-    assert not store.failed and store.log.rewrites <= 2  # not each round writes the list anew
+    assert (
+        not store.failed and store.log.rewrites <= 2
+    )  # not each round writes the list anew
     back = Store(tmp_path, 3_000_000)
-    assert (back.hosts, back.seq, back.source) == (hosts, 7, "127.0.0.1:1") and not back.report.damaged
+    assert (back.hosts, back.seq, back.source) == (
+        hosts,
+        7,
+        "127.0.0.1:1",
+    ) and not back.report.damaged
     assert back.compact() and Store(tmp_path, 3_000_000, write=False).hosts == hosts
 
 
@@ -342,7 +450,10 @@
     before = store.log.bytes
     for n in range(100):  # one drained, one gone, one new
         hosts.pop(endpoint(n)["host"])
-        hosts.update((h["host"], h) for h in (endpoint(n + 1_000, "draining"), endpoint(n + 4_000)))
+        hosts.update(
+            (h["host"], h)
+            for h in (endpoint(n + 1_000, "draining"), endpoint(n + 4_000))
+        )
         store.list(8 + n, hosts, 0, "127.0.0.1:1")
         store.flush()
     assert store.log.bytes - before < 100 * 1_000
@@ -350,7 +461,9 @@
     assert (back.hosts, back.seq) == (hosts, 107) and not back.report.damaged
 
 
-def test_a_change_whose_list_was_lost_leaves_no_version_to_go_on_from(tmp_path: Path) -> None:
+def test_a_change_whose_list_was_lost_leaves_no_version_to_go_on_from(
+    tmp_path: Path,
+) -> None:
     store = Store(tmp_path, 3_000_000)
     hosts = {h["host"]: h for h in map(endpoint, range(10))}
     store.list(7, hosts, 0, "127.0.0.1:1")
@@ -366,9 +479,15 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2, 4])
-def test_a_list_of_44000_endpoints_is_taken_whole_over_a_socket(indent: int | None) -> None:
+def test_a_list_of_44000_endpoints_is_taken_whole_over_a_socket(
+    indent: int | None,
+) -> None:
     async def scene() -> None:
-        told = {"seq": 1, "whole": True, "hosts": [endpoint(n) for n in range(ENDPOINTS)]}
+        told = {
+            "seq": 1,
+            "whole": True,
+            "hosts": [endpoint(n) for n in range(ENDPOINTS)],
+        }
         body = json.dumps(told, indent=indent).encode()
         assert len(body) > ENDPOINTS * 190 and len(body) < MOST_LIST
         peer = await Peer(always(Answer(200, body=body))).start()
@@ -376,26 +495,41 @@
         answer = await client.ask("GET", "/discovery/hosts", 20.0)
         assert len(host_list(json.loads(answer.body)).hosts) == ENDPOINTS
         client.close()
+
     asyncio.run(scene())
 
 
-def test_the_list_service_tells_44000_endpoints_whole_and_holds_few_of_their_bytes(tmp_path: Path) -> None:
+def test_the_list_service_tells_44000_endpoints_whole_and_holds_few_of_their_bytes(
+    tmp_path: Path,
+) -> None:
     held = 1024 * 1024
 
     async def test(run: Run) -> None:
         for first in range(0, ENDPOINTS, 4_000):
-            ops = [{"op": "register", **endpoint(n)} for n in range(first, first + 4_000)]
+            ops = [
+                {"op": "register", **endpoint(n)} for n in range(first, first + 4_000)
+            ]
             assert (await run.ask("/v1/hosts", {"ops": ops}))[0] == 200
         client = Client(Address("127.0.0.1", run.list))
         answer = await client.ask("GET", "/discovery/hosts", PATIENCE)
-        assert len(host_list(json.loads(answer.body)).hosts) == ENDPOINTS and len(answer.body) > held
+        assert (
+            len(host_list(json.loads(answer.body)).hosts) == ENDPOINTS
+            and len(answer.body) > held
+        )
         client.close()
         taken, most = await slowly(run.list)
-        assert taken > len(answer.body) and 0 < most <= held and run.service.figures.slow_closed == 0
+        assert (
+            taken > len(answer.body)
+            and 0 < most <= held
+            and run.service.figures.slow_closed == 0
+        )
+
     play(tmp_path, test, held_bytes=held)
 
 
-def test_kept_answers_are_bounded_by_their_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_kept_answers_are_bounded_by_their_bytes(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(house, "MOST_KEPT_BYTES", 20_000)
 
     async def test(run: Run) -> None:
@@ -404,9 +538,17 @@
             ops = [{"op": "register", **endpoint(10 * n + m)} for m in range(10)]
             versions.append((await run.ask("/v1/hosts", {"ops": ops}))[2]["seq"])
         for version in versions:
-            assert (await run.ask(f"/discovery/hosts?from={version - 1}"))[2]["seq"] == versions[-1]
-            kept = [a for h in gc.get_objects() if isinstance(h, house.House) for a in h._answers.values()]
+            assert (await run.ask(f"/discovery/hosts?from={version - 1}"))[2][
+                "seq"
+            ] == versions[-1]
+            kept = [
+                a
+                for h in gc.get_objects()
+                if isinstance(h, house.House)
+                for a in h._answers.values()
+            ]
             assert kept and sum(map(len, kept)) <= 20_000
+
     play(tmp_path, test)
 
 
@@ -420,9 +562,17 @@
         await loop.sock_connect(sock, ("127.0.0.1", port))
         await loop.sock_sendall(sock, ask)
         taken += len(await loop.sock_recv(sock, 1))
-        open_here = [c for c in gc.get_objects() if isinstance(c, Connection) and c.transport is not None]
+        open_here = [
+            c
+            for c in gc.get_objects()
+            if isinstance(c, Connection) and c.transport is not None
+        ]
         while data := await loop.sock_recv(sock, 64 * 1024):
             taken += len(data)
-            sizes = [c.transport.get_write_buffer_size() for c in open_here if c.transport is not None]
+            sizes = [
+                c.transport.get_write_buffer_size()
+                for c in open_here
+                if c.transport is not None
+            ]
             most = max([most, *sizes])
     return taken, most
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -29,8 +29,13 @@
 
 NEEDS = st.dictionaries(
     st.sampled_from("abcdefg"),
-    st.dictionaries(st.sampled_from(["", "gold", "free/acme", "gold/acme"]), st.integers(0, 12), max_size=3),
-    min_size=1)
+    st.dictionaries(
+        st.sampled_from(["", "gold", "free/acme", "gold/acme"]),
+        st.integers(0, 12),
+        max_size=3,
+    ),
+    min_size=1,
+)
 WEIGHTS = st.dictionaries(st.sampled_from(["gold", "free", "acme"]), st.integers(1, 5))
 
 
@@ -46,8 +51,17 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=120)
-@given(st.integers(0, 60), NEEDS, WEIGHTS, st.integers(1, 4), st.integers(0, 2), st.integers(0, 5))
-def test_divided_by_demand_floors_and_weights(whole, needs, weights, least, floor, loose):
+@given(
+    st.integers(0, 60),
+    NEEDS,
+    WEIGHTS,
+    st.integers(1, 4),
+    st.integers(0, 2),
+    st.integers(0, 5),
+)
+def test_divided_by_demand_floors_and_weights(
+    whole, needs, weights, least, floor, loose
+):
     whole = max(whole, floor * len(needs))
     needs = dict(sorted(needs.items()))
     work = {m: sum(parts.values()) for m, parts in needs.items()}
@@ -56,19 +70,27 @@
     assert sum(got.shares.values()) + got.loose == whole and got.loose <= loose
     low = poured(whole, {m: max(floor, min(least, work[m])) for m in needs}, floors)
     assert all(got.shares[m] >= low[m] for m in needs)
-    assert sum(min(got.shares[m], max(work[m], floor)) for m in needs) >= min(whole, sum(work.values()))
+    assert sum(min(got.shares[m], max(work[m], floor)) for m in needs) >= min(
+        whole, sum(work.values())
+    )
     assert got.scarce == any(work[m] and not got.shares[m] for m in needs)
     # All demand in one part: member for member as if poured, but for who gets what is left over.
-    one = divide(whole, {m: {"": n} for m, n in work.items()}, {}, floors, least, {}, whole)
+    one = divide(
+        whole, {m: {"": n} for m, n in work.items()}, {}, floors, least, {}, whole
+    )
     slow = poured(whole, work, low)
     assert Counter(one.shares.values()) == Counter(slow.values())
     assert all(abs(one.shares[m] - slow[m]) <= 1 for m in needs)
 
 
 @settings(derandomize=True, deadline=None, max_examples=80)
-@given(st.integers(30, 200),
-       st.lists(st.tuples(st.sampled_from("abc"), st.integers(1, 90)), min_size=2, max_size=6),
-       st.dictionaries(st.sampled_from("abc"), st.integers(1, 6)))
+@given(
+    st.integers(30, 200),
+    st.lists(
+        st.tuples(st.sampled_from("abc"), st.integers(1, 90)), min_size=2, max_size=6
+    ),
+    st.dictionaries(st.sampled_from("abc"), st.integers(1, 6)),
+)
 def test_parts_share_by_weight(whole, told, weights):
     """No part has more for its weight than one that wants more still, by above a call and the least parts."""
     needs = {n: {part: calls} for n, (part, calls) in enumerate(told)}
@@ -79,7 +101,9 @@
     for p in parts:
         for q in parts:
             if has[p] < asks[p] and has[q] > len(told):
-                assert Fraction(has[q] - 1, weight(q, weights)) <= Fraction(has[p] + 1, weight(p, weights))
+                assert Fraction(has[q] - 1, weight(q, weights)) <= Fraction(
+                    has[p] + 1, weight(p, weights)
+                )
 
 
 @settings(derandomize=True, deadline=None, max_examples=25)
@@ -107,17 +131,31 @@
     """True time in microseconds; each clock runs by its own rate. Every choice comes from `rng`."""
 
     def __init__(self, rng, names, whole, reserve, seats):
-        self.rng, self.now, self.names, self.seats, self.reserve = rng, 0, names, seats, reserve
-        self.rates = {n: 1 + DRIFT * rng.uniform(-0.49, 0.49) for n in [*names, "service"]}
+        self.rng, self.now, self.names, self.seats, self.reserve = (
+            rng,
+            0,
+            names,
+            seats,
+            reserve,
+        )
+        self.rates = {
+            n: 1 + DRIFT * rng.uniform(-0.49, 0.49) for n in [*names, "service"]
+        }
         self.wholes, self.sent, self.late, self.writes = [(0, whole)], [], [], []
         self.stopped, self.joins = [], {}
         self.tokens, self.epoch, self.leases, self.owner = 0, 1, {}, {}
-        self.ledger = Ledger([self.budget(whole)], self.kept(1 + DRIFT), DRIFT, 0, sure=True)
+        self.ledger = Ledger(
+            [self.budget(whole)], self.kept(1 + DRIFT), DRIFT, 0, sure=True
+        )
         self.snap, self.lines = None, []
-        self.procs = {n: [Purse(0, DRIFT), None, None] for n in names}  # purse, token, follows
+        self.procs = {
+            n: [Purse(0, DRIFT), None, None] for n in names
+        }  # purse, token, follows
 
     def budget(self, whole):
-        return Budget("d", whole, SPAN, self.reserve, self.seats, {}, 1, 0.05, 0.05, 400, SLACK)
+        return Budget(
+            "d", whole, SPAN, self.reserve, self.seats, {}, 1, 0.05, 0.05, 400, SLACK
+        )
 
     def kept(self, factor):
         return int(TTL * factor)
@@ -147,7 +185,9 @@
         holds = {"d": purse.holds(token)} if token and purse.holds(token) else {}
         asked = self.clock(name)
         keeps = {"d": purse.share.reserve}
-        self.post(lambda: self.served(name, purse, token, follows, asked, need, holds, keeps))
+        self.post(
+            lambda: self.served(name, purse, token, follows, asked, need, holds, keeps)
+        )
 
     def post(self, what):
         if self.rng.random() < 0.85:
@@ -186,7 +226,9 @@
             return
         proc[1] = token
         if self.rng.random() < 0.7:
-            self.send(name, purse)  # as much as can be, just before less is told and just after more is
+            self.send(
+                name, purse
+            )  # as much as can be, just before less is told and just after more is
         for share in shares.values():
             purse.told(share, asked + self.kept(1 - DRIFT), self.clock(name))
         if self.rng.random() < 0.7:
@@ -200,7 +242,9 @@
                 at = purse.room_at(self.clock(name))
                 assert at is None or at > self.clock(name)
                 break
-            self.sent.append(self.now + int(self.rng.uniform(0, SLACK - 1) / self.rates[name]))
+            self.sent.append(
+                self.now + int(self.rng.uniform(0, SLACK - 1) / self.rates[name])
+            )
 
     def crash(self, name):
         """Killed, ended with a record, or gone for good; the one that takes its folder over starts at once.
@@ -212,7 +256,11 @@
             self.stopped.append((name, purse))
             self.procs[name] = [Purse(at, DRIFT), None, None]
             return
-        record = purse.standing() if how == "killed" else purse.close(at, leaving=how == "left")
+        record = (
+            purse.standing()
+            if how == "killed"
+            else purse.close(at, leaving=how == "left")
+        )
         if how == "left" and token:
             self.post(lambda: self.ended(token))
         fresh = Purse.restored(json.loads(json.dumps(record)), at, DRIFT)
@@ -230,15 +278,24 @@
         elif self.rng.random() < 0.5 and self.ledger.pending is None:
             self.snap, self.lines = json.loads(json.dumps(snapshot(self.ledger))), []
         at = self.clock("service")
-        self.ledger = restored([self.budget(self.wholes[-1][1])], self.kept(1 + DRIFT), DRIFT, at, self.snap,
-                               self.lines, sure=not lost)
+        self.ledger = restored(
+            [self.budget(self.wholes[-1][1])],
+            self.kept(1 + DRIFT),
+            DRIFT,
+            at,
+            self.snap,
+            self.lines,
+            sure=not lost,
+        )
         for token in self.leases:
             self.leases[token] = at + self.kept(1 + DRIFT)
             self.ledger.joined(token, self.owner[token], None, at)
 
     def step(self):
         self.now += self.rng.choice([0, 10, 20, 30, 50, 200, 900])
-        for due in sorted((d for d in self.late if d[0] <= self.now), key=lambda d: d[0]):
+        for due in sorted(
+            (d for d in self.late if d[0] <= self.now), key=lambda d: d[0]
+        ):
             self.late.remove(due)
             due[1]()
         name, what = self.rng.choice(self.names), self.rng.random()
@@ -270,13 +327,21 @@
             since = max(0, at - 2 * TTL - 4 * SPAN)
             before = [w for t, w in self.wholes if t <= since][-1]
             whole = max([before] + [w for t, w in self.wholes if t > since])
-            assert n - first < whole, f"{n - first + 1} calls in the span up to {at}, the whole is {whole}"
+            assert n - first < whole, (
+                f"{n - first + 1} calls in the span up to {at}, the whole is {whole}"
+            )
             full = max(full, (n - first + 1) / whole)
         return full
 
 
 @settings(derandomize=True, deadline=None, max_examples=40)
-@given(st.integers(0, 1 << 30), st.integers(1, 4), st.integers(0, 2), st.integers(0, 1), st.integers(0, 20))
+@given(
+    st.integers(0, 1 << 30),
+    st.integers(1, 4),
+    st.integers(0, 2),
+    st.integers(0, 1),
+    st.integers(0, 20),
+)
 def test_no_sliding_span_is_over_the_whole(seed, members, reserve, spare, more):
     seats = members + spare
     names, whole = [f"f{n}" for n in range(members)], reserve * seats + 1 + more
@@ -299,9 +364,21 @@
 
 def pair(whole=4, reserve=0, seats=2, sure=True):
     """Two members at time 0, the first with work and all that can be had."""
-    ledger = Ledger([Budget("d", whole, SPAN, reserve, seats, loose=0.0, pause_us=0, slack_us=SLACK)], TTL,
-                    DRIFT, 0, sure=sure)
-    tokens, purses = [Token(1, 1), Token(1, 2)], [Purse(-10 * SPAN, DRIFT) for _ in range(2)]
+    ledger = Ledger(
+        [
+            Budget(
+                "d", whole, SPAN, reserve, seats, loose=0.0, pause_us=0, slack_us=SLACK
+            )
+        ],
+        TTL,
+        DRIFT,
+        0,
+        sure=sure,
+    )
+    tokens, purses = (
+        [Token(1, 1), Token(1, 2)],
+        [Purse(-10 * SPAN, DRIFT) for _ in range(2)],
+    )
     for token, purse, need in zip(tokens, purses, (9, 0), strict=True):
         ledger.joined(token, f"f{token.number}", None, 0)
         purse.wanted = {"": need}
@@ -322,7 +399,11 @@
     ledger, (a, b), (old, new) = pair()
     old.wanted, new.wanted = {"": 0}, {"": 9}
     acted(ledger, new, b, 0)
-    assert all(old.spend(0) for _ in range(4)) and old.late(0, SLACK + 1) and not old.late(0, SLACK)
+    assert (
+        all(old.spend(0) for _ in range(4))
+        and old.late(0, SLACK + 1)
+        and not old.late(0, SLACK)
+    )
     last = SLACK / sender  # true time of the last first byte
     acted(ledger, old, a, 0)
     acted(ledger, old, a, 0)
@@ -334,10 +415,16 @@
     if restart:
         begins = SPAN // 2
         budgets = [book.budget for book in ledger.books.values()]
-        ledger = restored(budgets, TTL, DRIFT, begins, json.loads(json.dumps(snapshot(ledger))), [])
+        ledger = restored(
+            budgets, TTL, DRIFT, begins, json.loads(json.dumps(snapshot(ledger))), []
+        )
         for token in (a, b):
             ledger.joined(token, "f", None, begins)
-    told = next(at for at in range(begins, 4 * SPAN, 7) if acted(ledger, new, b, at) or new.spend(at))
+    told = next(
+        at
+        for at in range(begins, 4 * SPAN, 7)
+        if acted(ledger, new, b, at) or new.spend(at)
+    )
     assert told / service - last >= SPAN
 
 
@@ -350,7 +437,9 @@
     ledger.ended(a, 0)
     assert not gone.spend(5 * SPAN) and not old.spend(5 * SPAN)
     new.wanted = {"": 1}
-    told = next(at for at in range(4 * SPAN) if acted(ledger, new, b, at) or new.spend(at))
+    told = next(
+        at for at in range(4 * SPAN) if acted(ledger, new, b, at) or new.spend(at)
+    )
     assert told >= (SPAN + SLACK) * (1 + DRIFT)
 
 
@@ -381,7 +470,10 @@
     share = ledger.told(a)["d"]
     old.fenced(5)
     assert not old.told(share, 10**9, 6) and old.limit(7) == 1
-    assert old.told(replace(share, token=Token(1, 9)), 10**9, 8) and old.limit(8) == share.calls
+    assert (
+        old.told(replace(share, token=Token(1, 9)), 10**9, 8)
+        and old.limit(8) == share.calls
+    )
     assert not old.told(replace(share, token=Token(1, 9), number=0), 10**9, 9)
 
 
@@ -393,7 +485,11 @@
     assert sends >= (SPAN + SLACK) * (1 + DRIFT) and following.limit(1) == 1
     ledger.joined(Token(1, 3), "f1", a, 1, {"d": 1})
     book = ledger.books["d"]
-    assert book.accounts[Token(1, 3)].most() == 1 and book.seats() == 2 and book.counted() == 3
+    assert (
+        book.accounts[Token(1, 3)].most() == 1
+        and book.seats() == 2
+        and book.counted() == 3
+    )
     assert book.free_with({}) == 0 and not ledger.beat(a, {}, {}, 1)
 
 
@@ -407,10 +503,21 @@
     ledger.joined(late, "f3", Token(0, 9), 0, {"d": 1})
     claimed = ledger.plan(0)
     ledger.commit(claimed)
-    again = restored([ledger.books["d"].budget], TTL, DRIFT, 0, before, [granted.line(), claimed.line()])
+    again = restored(
+        [ledger.books["d"].budget],
+        TTL,
+        DRIFT,
+        0,
+        before,
+        [granted.line(), claimed.line()],
+    )
     for one in (ledger, again):
         account = one.books["d"].accounts[late]
-        assert Grant(1, 2, 0) in account.grants and account.reserve() == 1 and account.most() >= 2
+        assert (
+            Grant(1, 2, 0) in account.grants
+            and account.reserve() == 1
+            and account.most() >= 2
+        )
 
 
 def test_after_a_lost_folder_only_reserves_that_are_claimed_act():
@@ -418,7 +525,14 @@
     budgets = [Budget("d", 6, SPAN, 1, 3, loose=0.0, pause_us=0, slack_us=SLACK)]
     first = restored(budgets, TTL, DRIFT, 0, None, [])
     first.out(Token(1, 1), 0)
-    again = restored(budgets, TTL, DRIFT, 1_000, None, [first.plan(0).line()] if first.plan(0) else [])
+    again = restored(
+        budgets,
+        TTL,
+        DRIFT,
+        1_000,
+        None,
+        [first.plan(0).line()] if first.plan(0) else [],
+    )
     claims, fresh = Token(2, 1), Token(2, 2)
     again.joined(claims, "f1", Token(1, 1), 1_000, {"d": 1})
     again.joined(fresh, "f2", None, 1_000)
@@ -444,7 +558,9 @@
     ledger, tokens, purses = pair(whole=12, reserve=1, seats=3)
     purses[1].wanted = {"": 9}
     for whole, times, limits in ((12, (0, 0, 0, 3), [6, 5]), (4, (6, 6, 9), [2, 1])):
-        ledger.configure([replace(ledger.books["d"].budget, calls=whole)], times[0] * SPAN)
+        ledger.configure(
+            [replace(ledger.books["d"].budget, calls=whole)], times[0] * SPAN
+        )
         for at in times:
             for token, purse in zip(tokens, purses, strict=True):
                 acted(ledger, purse, token, at * SPAN)
@@ -465,9 +581,13 @@
 
 def test_a_purse_forgets_on_the_safe_side():
     """Far more calls than stamps are kept for: memory bounded, never over, late by a grain at most."""
-    purse = Purse(-10**9, 0.0)
+    purse = Purse(-(10**9), 0.0)
     purse.told(Share(Token(1, 1), 1, 5_000, 0, 5_000, 1 << 20, 0), 10**12, 0)
-    stamps = [at for at in [*range(0, 1 << 20, 150), *range(1 << 20, 3 << 20, 40)] if purse.spend(at)]
+    stamps = [
+        at
+        for at in [*range(0, 1 << 20, 150), *range(1 << 20, 3 << 20, 40)]
+        if purse.spend(at)
+    ]
     assert len(purse.window.entries) <= EXACT + GRAINS + 2
     for first, after in zip(stamps, stamps[5_000:], strict=False):
         assert 1 << 20 <= after - first <= (1 << 20) + 1024 + 150
@@ -479,20 +599,59 @@
     for at in range(0, 800, 10):
         wants.arrived(at, "gold" if at < 400 else "free")
     assert wants.needs(799, {"gold": 3, "new": 2}) == {"gold": 43, "free": 40, "new": 2}
-    assert wants.needs(1_250, {}) == {"free": 30} and wants.needs(1_700, {}) == {} and not wants.steps
+    assert (
+        wants.needs(1_250, {}) == {"free": 30}
+        and wants.needs(1_700, {}) == {}
+        and not wants.steps
+    )
     for n in range(1_000):
         wants.arrived(1_700, f"part {n}")
-    assert len(wants.needs(1_700, {})) == MOST_PARTS + 1 and sum(wants.needs(1_700, {}).values()) == 1_000
+    assert (
+        len(wants.needs(1_700, {})) == MOST_PARTS + 1
+        and sum(wants.needs(1_700, {}).values()) == 1_000
+    )
 
 
 FAULTS = [
     ({"budgets": 1}, ["budgets: a list"]),
-    ([{"destination": "7", "calls": 10, "span_ms": 100, "members_max": 20, "reserve": 1}],
-     ["budgets[0].reserve: 1 for each of 20 members are 20"]),
-    ([{"destination": "", "calls": 0, "span_ms": True, "weights": {"a": 0, "b/c": 1}, "w": 1, "change": "x"}],
-     ["budgets[0].destination", "budgets[0].calls", "budgets[0].span_ms", "budgets[0].members_max",
-      "budgets[0].change", "budgets[0].weights.a", "budgets[0].weights.b/c", "budgets[0].w"]),
-    ([{"destination": "7", "calls": 1, "span_ms": 1, "members_max": 1}] * 2, ["budgets[1].destination"]),
+    (
+        [
+            {
+                "destination": "7",
+                "calls": 10,
+                "span_ms": 100,
+                "members_max": 20,
+                "reserve": 1,
+            }
+        ],
+        ["budgets[0].reserve: 1 for each of 20 members are 20"],
+    ),
+    (
+        [
+            {
+                "destination": "",
+                "calls": 0,
+                "span_ms": True,
+                "weights": {"a": 0, "b/c": 1},
+                "w": 1,
+                "change": "x",
+            }
+        ],
+        [
+            "budgets[0].destination",
+            "budgets[0].calls",
+            "budgets[0].span_ms",
+            "budgets[0].members_max",
+            "budgets[0].change",
+            "budgets[0].weights.a",
+            "budgets[0].weights.b/c",
+            "budgets[0].w",
+        ],
+    ),
+    (
+        [{"destination": "7", "calls": 1, "span_ms": 1, "members_max": 1}] * 2,
+        ["budgets[1].destination"],
+    ),
 ]
 
 
@@ -507,7 +666,8 @@
 # -- the model searched -------------------------------------------------------------------------------------
 
 PLANTED = {
-    "span not waited for": {}, "freed when told": {},
+    "span not waited for": {},
+    "freed when told": {},
     "restart forgets what is unacknowledged": {"restarts": 1},
     "reserve not counted": {"reserve": 1, "seats": 3, "whole": 4},
     "new process sends at once": {"reserve": 1, "whole": 2, "crashes": 1},
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,14 +6,25 @@
 from lemonshunt.choice import Dispatcher
 from tests.scripts import MS, S, ask, end, finals, sends, settings, started
 
-OK, FULL, LATE, FAILED = i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.TIMED_OUT, i.Outcome.FAILED
+OK, FULL, LATE, FAILED = (
+    i.Outcome.DELIVERED,
+    i.Outcome.FULL,
+    i.Outcome.TIMED_OUT,
+    i.Outcome.FAILED,
+)
 ONE = (i.TargetEntry(1, 10, "north", "plain"),)
 CLASS = {c.name: c for c in settings().classes}
 
 
-def sweep(d: Dispatcher, start: int, stop: int, step: int = 20 * MS) -> list[tuple[int, i.Action]]:
+def sweep(
+    d: Dispatcher, start: int, stop: int, step: int = 20 * MS
+) -> list[tuple[int, i.Action]]:
     """Nothing but timers for a while."""
-    return [(t, a) for t in range(start, stop, step) for a in d.handle(t, [i.TimerDue("look")])]
+    return [
+        (t, a)
+        for t in range(start, stop, step)
+        for a in d.handle(t, [i.TimerDue("look")])
+    ]
 
 
 def test_group_leaves_by_deadline_and_shortest_call_within_it() -> None:
@@ -21,7 +32,14 @@
     first = sends(d.handle(0, [ask("warm", 11)]))[0]
     d.handle(900 * MS, [end(first, OK, took=900 * MS)])  # destination 11 now looks slow
     first = sends(d.handle(901 * MS, [ask("busy")]))[0]
-    d.handle(902 * MS, [ask("long", 11, due=6 * S), ask("short", 12, due=7 * S), ask("far", 12, due=30 * S)])
+    d.handle(
+        902 * MS,
+        [
+            ask("long", 11, due=6 * S),
+            ask("short", 12, due=7 * S),
+            ask("far", 12, due=30 * S),
+        ],
+    )
     order = []
     for n in range(3):
         send = sends(d.handle(903 * MS + n, [end(first, OK, took=MS)]))[0]
@@ -39,7 +57,9 @@
     assert len(out) == 2
 
 
-def test_window_is_halved_by_a_refusal_and_a_destination_never_takes_all_slots() -> None:
+def test_window_is_halved_by_a_refusal_and_a_destination_never_takes_all_slots() -> (
+    None
+):
     d = started(ONE)
     out, most, now = sends(d.handle(0, [ask(f"m{n}") for n in range(60)])), 0, 0
     while len(out) < 6 and now < 3 * S:
@@ -77,7 +97,15 @@
 
 def test_drained_target_gets_nothing_and_an_empty_list_drops_all() -> None:
     d = started(ONE)
-    d.handle(0, [i.Listed(i.ListKind.CHANGES, (i.TargetEntry(1, 10, state=i.TargetState.DRAINING),))])
+    d.handle(
+        0,
+        [
+            i.Listed(
+                i.ListKind.CHANGES,
+                (i.TargetEntry(1, 10, state=i.TargetState.DRAINING),),
+            )
+        ],
+    )
     assert not sends(d.handle(1, [ask("a", due=500 * MS)]))
     answered = [(t, a) for t, a in sweep(d, 20 * MS, S) if isinstance(a, i.Refuse)]
     assert answered and answered[0][0] <= 500 * MS
@@ -104,7 +132,15 @@
 def test_keyed_resend_keeps_to_scope_and_window() -> None:
     d = started()
     send = sends(d.handle(0, [ask("a", cls="zoned", due=10 * S)]))[0]
-    d.handle(5, [i.Listed(i.ListKind.CHANGES, (i.TargetEntry(send.target, 10, state=i.TargetState.GONE),))])
+    d.handle(
+        5,
+        [
+            i.Listed(
+                i.ListKind.CHANGES,
+                (i.TargetEntry(send.target, 10, state=i.TargetState.GONE),),
+            )
+        ],
+    )
     d.handle(50 * MS, [end(send, FAILED)])
     later = [a for _, a in sweep(d, 60 * MS, 4 * S)]
     assert not [a for a in later if isinstance(a, i.Send)]
@@ -124,10 +160,19 @@
 
 def test_key_waits_until_the_final_answer_of_the_one_before_has_arrived() -> None:
     d = started(ends_told=True)
-    d.handle(0, [i.EndOwed("z", "l"), ask("a", 10, "turns", 20 * MS, key="k"),
-                 ask("b", 11, "turns", 9 * S, key="k"), ask("c", 12, "turns", 9 * S, key="l")])
+    d.handle(
+        0,
+        [
+            i.EndOwed("z", "l"),
+            ask("a", 10, "turns", 20 * MS, key="k"),
+            ask("b", 11, "turns", 9 * S, key="k"),
+            ask("c", 12, "turns", 9 * S, key="l"),
+        ],
+    )
     assert not [a for _, a in sweep(d, MS, 500 * MS) if isinstance(a, i.Send)]
-    assert [s.message for s in sends(d.handle(S, [i.EndTold("a"), i.EndTold("stranger")]))] == ["b"]
+    assert [
+        s.message for s in sends(d.handle(S, [i.EndTold("a"), i.EndTold("stranger")]))
+    ] == ["b"]
     assert [s.message for s in sends(d.handle(S + MS, [i.EndTold("z")]))] == ["c"]
     assert not d.owed
 
@@ -158,14 +203,20 @@
     d.handle(0, [i.Recalled(f"r{n}", 10, "safe", 6 * S) for n in range(2)])
     d.handle(0, [ask(f"a{n}", due=6 * S) for n in range(13)] + [ask("b", 12)])
     came = [ask(f"n{n}", due=6 * S) for n in range(4)]
-    actions = d.handle(MS, [*came, ask("c", 12), ask("d", 12), i.Recalled("r2", 10, "safe", 6 * S)])
+    actions = d.handle(
+        MS, [*came, ask("c", 12), ask("d", 12), i.Recalled("r2", 10, "safe", 6 * S)]
+    )
     refused = {a.message for a in finals(actions)}
     assert refused == {"n0", "n1", "n2", "n3"}
-    assert not finals(d.handle(2 * MS, [ask("e", 12)])), "nothing of the largest pile came in this round"
+    assert not finals(d.handle(2 * MS, [ask("e", 12)])), (
+        "nothing of the largest pile came in this round"
+    )
 
 
 @pytest.mark.parametrize("balancers, least", [(2, 0), (200, 4_200)])
-def test_in_a_large_fleet_what_was_taken_on_is_kept_for_its_time(balancers: int, least: int) -> None:
+def test_in_a_large_fleet_what_was_taken_on_is_kept_for_its_time(
+    balancers: int, least: int
+) -> None:
     """Fresh ones in the pile make late ones give way, but what has not run and is handed back before seven
     tenths of its time is priced there; what may have run is not."""
     d = started(ONE, balancers=balancers)
@@ -191,7 +242,9 @@
         out = sends(d.handle(100 * MS + n * 20 * MS, [ask(f"m{n}", due=60 * S)]))
         count += len(out)
         for o in out:
-            d.handle(100 * MS + n * 20 * MS + MS, [end(o, OK, report=i.LoadReport(0.1, 2.0))])
+            d.handle(
+                100 * MS + n * 20 * MS + MS, [end(o, OK, report=i.LoadReport(0.1, 2.0))]
+            )
     assert 3 <= count <= 8  # our half of two a second, for four seconds
 
 
@@ -202,18 +255,26 @@
     for _ in range(12):
         d.handle(now, [i.Listed(i.ListKind.FAILED)])
         asked = now
-        while not any(isinstance(a, i.Subscribe) for a in d.handle(now, [i.TimerDue("look")])):
+        while not any(
+            isinstance(a, i.Subscribe) for a in d.handle(now, [i.TimerDue("look")])
+        ):
             now += 10 * MS
             assert now < 60 * S
         times.append(now - asked)
     assert min(times) >= 200 * MS and max(times) <= 410 * MS and len(set(times)) > 3
 
 
-@pytest.mark.parametrize("bad", [
-    {"slots": 0}, {"balancers": 0}, {"max_open": 0}, {"cold_from": 2.0},
-    {"classes": (i.MessageClass("x", 1, 0),)},
-    {"classes": (i.MessageClass("x", 1, 5, "twice"),)},  # type: ignore[arg-type]
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        {"slots": 0},
+        {"balancers": 0},
+        {"max_open": 0},
+        {"cold_from": 2.0},
+        {"classes": (i.MessageClass("x", 1, 0),)},
+        {"classes": (i.MessageClass("x", 1, 5, "twice"),)},  # type: ignore[arg-type]
+    ],
+)
 def test_settings_that_cannot_hold_name_the_setting(bad: dict[str, object]) -> None:
     with pytest.raises(ValueError) as told:
         settings(**bad)
@@ -224,7 +285,9 @@
 def test_odd_but_legal() -> None:
     d = started()
     assert finals(d.handle(0, [ask("due", due=-5)])) == [i.Refuse("due", S)]
-    assert finals(d.handle(0, [ask("stranger", cls="no such class")])) == [i.Fail("stranger")]
+    assert finals(d.handle(0, [ask("stranger", cls="no such class")])) == [
+        i.Fail("stranger")
+    ]
     assert not sends(d.handle(0, [ask("nowhere", 99, due=300 * MS)]))
     assert [a for _, a in sweep(d, MS, 400 * MS) if isinstance(a, i.Refuse)]
     send = sends(d.handle(S, [ask("a")]))[0]
@@ -236,19 +299,37 @@
 
 def test_recalled_message_keeps_what_it_did_before_the_restart() -> None:
     d = started(ONE)
-    told = d.handle(MS, [i.Recalled("once", 10, "once", 8 * S, attempts=1, ran_at_us=0, ran_on=1)])
+    told = d.handle(
+        MS, [i.Recalled("once", 10, "once", 8 * S, attempts=1, ran_at_us=0, ran_on=1)]
+    )
     assert not sends(told) and finals(told) == [i.Fail("once")]
-    send = sends(d.handle(S, [i.Recalled("k", 10, "keyed", 8 * S, attempts=2, ran_at_us=0, ran_on=1)]))[0]
-    told = d.handle(3 * S, [end(send, FAILED, attempt=2)])  # its key is remembered for 3 s from the first
+    send = sends(
+        d.handle(
+            S, [i.Recalled("k", 10, "keyed", 8 * S, attempts=2, ran_at_us=0, ran_on=1)]
+        )
+    )[0]
+    told = d.handle(
+        3 * S, [end(send, FAILED, attempt=2)]
+    )  # its key is remembered for 3 s from the first
     assert not sends(told) and [a.message for a in finals(told)] == ["k"]
-    told = d.handle(8 * S, [i.Recalled("z", 10, "zoned", 9 * S, attempts=1, ran_at_us=7 * S, ran_on=99)])
-    assert not sends(told)  # its first target is gone, and only that one's zone knows the key
+    told = d.handle(
+        8 * S,
+        [i.Recalled("z", 10, "zoned", 9 * S, attempts=1, ran_at_us=7 * S, ran_on=99)],
+    )
+    assert not sends(
+        told
+    )  # its first target is gone, and only that one's zone knows the key
 
 
 def test_key_rests_after_a_restart_cut_off_its_attempt() -> None:
     d = started(ONE)
-    told = d.handle(0, [i.Recalled("a", 10, "turns", 8 * S, "k", None, 6, 0, 1, True),
-                        ask("b", cls="turns", due=8 * S, key="k")])
+    told = d.handle(
+        0,
+        [
+            i.Recalled("a", 10, "turns", 8 * S, "k", None, 6, 0, 1, True),
+            ask("b", cls="turns", due=8 * S, key="k"),
+        ],
+    )
     assert [a.message for a in finals(told)] == ["a"] and not sends(told)
     got = [t for t, a in sweep(d, 20 * MS, 2 * S) if isinstance(a, i.Send)]
     assert got and got[0] >= 300 * MS
@@ -260,7 +341,9 @@
     out = sends(d.handle(0, [ask(f"m{n}", due=60 * S) for n in range(3)]))
     for _ in range(40):
         now += 100 * MS
-        actions = d.handle(now, [end(o, FAILED, attempt=0) for o in out] + [i.TimerDue("look")])
+        actions = d.handle(
+            now, [end(o, FAILED, attempt=0) for o in out] + [i.TimerDue("look")]
+        )
         told += [a for a in actions if isinstance(a, i.Outage)]
         out = [o for o in sends(actions) if o.message not in {x.message for x in out}]
     assert told and told[0].target == 1 and told[0].back_us == -1
@@ -268,7 +351,11 @@
     d.handle(S, [i.OutageRecalled(1, 0)])
     assert d.cold(d.targets[1])
     count = len(sends(d.handle(S, [ask(f"n{n}") for n in range(5)])))
-    assert count + sum(isinstance(a, i.Send) for _, a in sweep(d, S + 20 * MS, S + 400 * MS)) <= 1
+    assert (
+        count
+        + sum(isinstance(a, i.Send) for _, a in sweep(d, S + 20 * MS, S + 400 * MS))
+        <= 1
+    )
 
 
 def test_silent_call_is_recalled_once_later_ones_are_answered() -> None:
@@ -300,7 +387,9 @@
         d.handle(now + 100 * MS, [end(other, OK)])
     window = d.targets[1].place.window
     d.handle(6 * S, [end(silent, LATE, took=5900 * MS)])
-    assert (d.targets[1].failing < 0.3) is passed and (d.targets[1].place.window >= window) is passed
+    assert (d.targets[1].failing < 0.3) is passed and (
+        d.targets[1].place.window >= window
+    ) is passed
 
 
 def test_a_message_that_timed_out_is_waited_for_twice_as_long() -> None:
@@ -308,21 +397,36 @@
     d = started(ONE)
     first = sends(d.handle(0, [ask("a", due=30 * S, cls="safe")]))[0]
     later = d.handle(first.timeout_us, [end(first, LATE, took=first.timeout_us)])
-    again = sends(later) or [a for _, a in sweep(d, first.timeout_us + MS, 9 * S) if isinstance(a, i.Send)]
+    again = sends(later) or [
+        a for _, a in sweep(d, first.timeout_us + MS, 9 * S) if isinstance(a, i.Send)
+    ]
     assert again[0].timeout_us >= 2 * first.timeout_us
 
 
 @pytest.mark.parametrize("sick", [False, True])
-def test_detached_target_is_out_whatever_the_list_says_and_comes_back_as_new(sick: bool) -> None:
+def test_detached_target_is_out_whatever_the_list_says_and_comes_back_as_new(
+    sick: bool,
+) -> None:
     """One that was in an outage when it was taken out is warmed: we had learned of it."""
-    two = (i.TargetEntry(1, 10, "north", "plain"), i.TargetEntry(2, 10, "north", "plain"))
+    two = (
+        i.TargetEntry(1, 10, "north", "plain"),
+        i.TargetEntry(2, 10, "north", "plain"),
+    )
     d = started(two)
     if sick:
         d.handle(0, [i.OutageRecalled(1, 0)])
     d.targets[1].failing = 0.4
     d.handle(0, [i.Detached(1), i.Detached(1)])
     assert d.avoids(1)
-    d.handle(1, [i.Listed(i.ListKind.CHANGES, (i.TargetEntry(1, 10, "north", "plain", i.TargetState.GONE),))])
+    d.handle(
+        1,
+        [
+            i.Listed(
+                i.ListKind.CHANGES,
+                (i.TargetEntry(1, 10, "north", "plain", i.TargetState.GONE),),
+            )
+        ],
+    )
     d.handle(2, [i.Listed(i.ListKind.WHOLE, two)])
     for n in range(20):
         out = sends(d.handle(n * S + 3, [ask(f"m{n}", due=60 * S)]))
@@ -330,7 +434,9 @@
         d.handle(n * S + 100 * MS, [end(out[0], OK)])
     back = d.handle(21 * S, [i.Attached(1)])
     assert (i.Outage(1, 0, 21 * S) if sick else i.Outage(1, -1, -1)) in back
-    assert d.cold(d.targets[1]) is sick and not d.avoids(1) and d.targets[1].failing == 0
+    assert (
+        d.cold(d.targets[1]) is sick and not d.avoids(1) and d.targets[1].failing == 0
+    )
     d.handle(22 * S, [i.Detached(2)])
     assert [s.target for s in sends(d.handle(29 * S, [ask("late", due=60 * S)]))] == [1]
 
@@ -352,7 +458,9 @@
     assert not d.cold(d.targets[1])
 
 
-def test_once_only_call_on_a_silent_connection_gives_its_slot_back_past_its_aim() -> None:
+def test_once_only_call_on_a_silent_connection_gives_its_slot_back_past_its_aim() -> (
+    None
+):
     """It used to be waited for till its end, and a few of them held every slot."""
     d = started(ONE, may_cancel=True)
     now, free = 0, sends(d.handle(0, [ask("first")]))
@@ -366,7 +474,9 @@
         actions = d.handle(now + 50 * MS, [end(s, OK, took=50 * MS) for s in sent])
         cancels = [a for a in actions if isinstance(a, i.Cancel)]
     assert [c.message for c in cancels] == ["pay"] and now >= CLASS["once"].aim_us
-    assert finals(d.handle(now + 60 * MS, [end(lost, i.Outcome.CANCELED)])) == [i.Fail("pay")]
+    assert finals(d.handle(now + 60 * MS, [end(lost, i.Outcome.CANCELED)])) == [
+        i.Fail("pay")
+    ]
 
 
 def test_late_ones_give_way_where_fresh_ones_near_their_aims() -> None:
@@ -376,9 +486,15 @@
     d.handle(0, [end(out[0], FULL, wait_us=60 * S)])
     d.handle(0, [ask("old", due=6 * S)])
     d.handle(3_700 * MS, [ask("fresh", due=9_700 * MS)])
-    ends = [(t, a.message) for t, a in sweep(d, 3_700 * MS, 5_700 * MS) if isinstance(a, i.Refuse)]
+    ends = [
+        (t, a.message)
+        for t, a in sweep(d, 3_700 * MS, 5_700 * MS)
+        if isinstance(a, i.Refuse)
+    ]
     assert sorted(name for _, name in ends) == ["old", "out"]
-    assert {t for t, _ in ends} == {4_720 * MS}  # not while the fresh one has not waited for half of its aim
+    assert {t for t, _ in ends} == {
+        4_720 * MS
+    }  # not while the fresh one has not waited for half of its aim
 
 
 def test_late_ones_are_kept_where_nothing_fresh_waits() -> None:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -16,24 +16,50 @@
 CALM = [s for s in SCENES if s not in ("untold", "batch")]
 
 
-def dispatcher(seed: int = 7, entries: int = 1, kind: str = "plain", weight: float = 4.0,
-               **changes: object) -> Dispatcher:
+def dispatcher(
+    seed: int = 7,
+    entries: int = 1,
+    kind: str = "plain",
+    weight: float = 4.0,
+    **changes: object,
+) -> Dispatcher:
     d = Dispatcher(settings(**{"weights_told": True, **changes}), seed, 0)
-    d.handle(0, [i.Listed(i.ListKind.SAVED, tuple(
-        i.TargetEntry(n, 10, "north", kind, weight=weight) for n in range(1, entries + 1)))])
+    d.handle(
+        0,
+        [
+            i.Listed(
+                i.ListKind.SAVED,
+                tuple(
+                    i.TargetEntry(n, 10, "north", kind, weight=weight)
+                    for n in range(1, entries + 1)
+                ),
+            )
+        ],
+    )
     return d
 
 
 @pytest.mark.parametrize("scene", CALM)
 @pytest.mark.parametrize("forwarders, n, seed", [(2, 1.0, 1), (4, 0.3, 1)])
-def test_few_forwarders_keep_to_the_bound(scene: str, forwarders: int, n: float, seed: int) -> None:
+def test_few_forwarders_keep_to_the_bound(
+    scene: str, forwarders: int, n: float, seed: int
+) -> None:
     verdict = played(SCENES[scene](forwarders, n, seed))
     assert verdict.part <= 1 and not verdict.pushed, verdict
 
 
-@pytest.mark.parametrize("scene, n, seed", [
-    ("long", 1.0, 2), ("short", 0.3, 3), ("batch", 4.0, 1), ("shared", 0.3, 1), ("apart", 1.0, 3),
-    ("restart", 1.0, 2), ("untold", 1.0, 2)])
+@pytest.mark.parametrize(
+    "scene, n, seed",
+    [
+        ("long", 1.0, 2),
+        ("short", 0.3, 3),
+        ("batch", 4.0, 1),
+        ("shared", 0.3, 1),
+        ("apart", 1.0, 3),
+        ("restart", 1.0, 2),
+        ("untold", 1.0, 2),
+    ],
+)
 def test_thirty_forwarders_keep_to_the_bound(scene: str, n: float, seed: int) -> None:
     verdict = played(SCENES[scene](30, n, seed))
     assert verdict.part <= 1 and not verdict.pushed, verdict
@@ -41,7 +67,9 @@
 
 @pytest.mark.parametrize("forwarders, n", [(2, 1.0), (4, 4.0)])
 @pytest.mark.parametrize("scene", ["batch", "untold"])
-def test_silent_weights_and_batches_keep_few_to_the_bound(scene: str, forwarders: int, n: float) -> None:
+def test_silent_weights_and_batches_keep_few_to_the_bound(
+    scene: str, forwarders: int, n: float
+) -> None:
     play = SCENES[scene](forwarders, n if scene == "batch" else max(1.0, n), 1)
     verdict = played(play)
     assert verdict.part <= 1 and not verdict.pushed, verdict
@@ -67,7 +95,9 @@
         d.handle(0, [i.OutageRecalled(1, 0)])
         turns.append(d.turn(d.targets[1]))
         assert 1_500 * MS * forwarders / turns[-1] <= health.bound(d, d.targets[1])
-    assert turns[1] == pytest.approx(2 * turns[0]) and turns[2] == pytest.approx(200 / 30 * turns[0])
+    assert turns[1] == pytest.approx(2 * turns[0]) and turns[2] == pytest.approx(
+        200 / 30 * turns[0]
+    )
 
 
 @pytest.mark.parametrize("forwarders", [1, 2, 3, 4, 20, 30, 200])
@@ -76,9 +106,12 @@
     d = dispatcher(balancers=forwarders, weight=weight)
     d.handle(0, [i.OutageRecalled(1, 0)])
     t = d.targets[1]
-    n, mean = 2 * 0.2 * weight * 1.5 / 1.5, health.calls(d, t)  # a weight may be half too high
+    n, mean = (
+        2 * 0.2 * weight * 1.5 / 1.5,
+        health.calls(d, t),
+    )  # a weight may be half too high
     assert 0 < mean <= max(0.8 * 1.5 * n, 4)
-    assert mean + 3 * min(mean, mean / 12 + forwarders / 6) ** 0.5 <= n + 2 * n ** 0.5 + 2
+    assert mean + 3 * min(mean, mean / 12 + forwarders / 6) ** 0.5 <= n + 2 * n**0.5 + 2
 
 
 def test_endpoints_that_share_a_limit_share_the_turns() -> None:
@@ -92,7 +125,9 @@
 @pytest.mark.parametrize("cold_from", [0.0, 0.01])
 @pytest.mark.parametrize("told", [True, False])
 def test_a_turn_is_known_whatever_the_settings(cold_from: float, told: bool) -> None:
-    d = dispatcher(cold_from=cold_from, weights_told=told, weight=0.0, overload_factor=0.0)
+    d = dispatcher(
+        cold_from=cold_from, weights_told=told, weight=0.0, overload_factor=0.0
+    )
     d.handle(0, [i.OutageRecalled(1, 0)])
     assert 0 < d.turn(d.targets[1]) < 100 * S
 
@@ -115,7 +150,9 @@
         d = dispatcher(seed, balancers=40)
         out = sends(d.handle(3 * S, [ask("a", due=100 * S)]))
         out = sends(d.handle(3 * S + MS, [end(out[0], FAILED, took=MS)]))
-        d.handle(3 * S + 2 * MS, [end(out[0], FAILED, attempt=1, took=MS)] if out else [])
+        d.handle(
+            3 * S + 2 * MS, [end(out[0], FAILED, attempt=1, took=MS)] if out else []
+        )
         assert d.avoids(1)
         first.append(d.targets[1].spread)
     quarters = [sum(n / 4 <= at < (n + 1) / 4 for at in first) for n in range(4)]
@@ -165,13 +202,17 @@
 
 
 @pytest.mark.parametrize("balancers, free", [(40, False), (2, True)])
-def test_in_a_fleet_what_shares_a_limit_shares_its_outage(balancers: int, free: bool) -> None:
+def test_in_a_fleet_what_shares_a_limit_shares_its_outage(
+    balancers: int, free: bool
+) -> None:
     """Outages mostly take all that share a limit; messages of the first used to go over to the others."""
     d = dispatcher(entries=2, balancers=balancers, weight=400.0)
     out = sends(d.handle(3 * S, [ask("m", due=30 * S)]))[0]
     told = d.handle(4 * S, [end(out, FAILED, took=S)])
     assert d.avoids(out.target) and d.avoids(3 - out.target) is not free
-    assert {a.target for a in told if isinstance(a, i.Outage)} == ({out.target} if free else {1, 2})
+    assert {a.target for a in told if isinstance(a, i.Outage)} == (
+        {out.target} if free else {1, 2}
+    )
     assert not free or sends(told)
 
 
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -24,7 +24,9 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 FULL = b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
 HUGE = b"x" * (24 << 20)  # more than all buffers between the two sides hold
-BOTH = json.dumps([{"id": "a", "state": "accepted"}, {"id": "b", "state": "deferred"}]).encode()
+BOTH = json.dumps(
+    [{"id": "a", "state": "accepted"}, {"id": "b", "state": "deferred"}]
+).encode()
 
 
 class Target:
@@ -32,7 +34,9 @@
 
     def __init__(self) -> None:
         self.listener = socket.socket()
-        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # connections inherit it
+        self.listener.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, 4096
+        )  # connections inherit it
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(16)
         self.listener.settimeout(PATIENCE)
@@ -115,7 +119,9 @@
     def __init__(self, target: Target, idle_us: int = 5_000_000) -> None:
         self.target, self.ends, self.now = target, [], 0
         self.clock: Callable[[], int] = Clock()
-        self.pool = Pool(lambda: self.clock(), self.told, ("x0", "x1"), idle_us, 1_000_000, 10)
+        self.pool = Pool(
+            lambda: self.clock(), self.told, ("x0", "x1"), idle_us, 1_000_000, 10
+        )
         self.pool.serving({1: target.where})
         self.on_told: Callable[[i.Ended], None] = lambda event: None
 
@@ -128,13 +134,20 @@
     def outcomes(self) -> list[Outcome]:
         return [e.outcome for e in self.ends]
 
-    def call(self, *names: str, left_us: int = 60_000_000, body: bytes = b"x", number: int = 1) -> Call:
+    def call(
+        self,
+        *names: str,
+        left_us: int = 60_000_000,
+        body: bytes = b"x",
+        number: int = 1,
+    ) -> Call:
         now = self.clock()
         items = [Item(n, 0, None, body, now + left_us) for n in names or ("m",)]
         return Call(number, (7, -1), now, items)
 
-    async def out(self, *names: str, body: bytes = b"x", left_us: int = 60_000_000) -> tuple[
-            Call, socket.socket]:
+    async def out(
+        self, *names: str, body: bytes = b"x", left_us: int = 60_000_000
+    ) -> tuple[Call, socket.socket]:
         """A call that its target has whole."""
         call = self.call(*names, body=body, left_us=left_us)
         self.pool.start(call)
@@ -168,15 +181,19 @@
         async with asyncio.timeout(PATIENCE):
             await scene()
         await asyncio.sleep(0)
+
     asyncio.run(whole())
 
 
 # A call is given up, and its copy goes out
 
 
-@pytest.mark.parametrize("how", ["time-out", "cancel", "noise", "never whole", "batch canceled"])
+@pytest.mark.parametrize(
+    "how", ["time-out", "cancel", "noise", "never whole", "batch canceled"]
+)
 def test_call_given_up_has_left_its_connection_before_its_end_is_told(
-        how: str, target: Target, monkeypatch: pytest.MonkeyPatch) -> None:
+    how: str, target: Target, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The round that hears of the end may send the copy in the very next turn, ahead of a close that was only
     put down for that turn: a second copy while the first is out on an open connection."""
     monkeypatch.setattr(client, "WHOLE_S", 0.01)
@@ -184,7 +201,9 @@
     async def scene() -> None:
         s = Scene(target)
         names = ("a", "b") if how == "batch canceled" else ("m",)
-        call, side = await s.out(*names, left_us=20_000 if how == "time-out" else 60_000_000)
+        call, side = await s.out(
+            *names, left_us=20_000 if how == "time-out" else 60_000_000
+        )
         closed: list[bool] = []
         s.on_told = lambda event: closed.append(ended(side))
         if how in ("cancel", "batch canceled"):
@@ -195,8 +214,13 @@
             side.sendall(b"HTTP/1.1 500 No\r\nContent-Le")
         await until(lambda: s.ends)
         assert closed == [True] * len(names)
-        assert set(s.outcomes()) <= {Outcome.TIMED_OUT, Outcome.CANCELED, Outcome.SPOILT}
+        assert set(s.outcomes()) <= {
+            Outcome.TIMED_OUT,
+            Outcome.CANCELED,
+            Outcome.SPOILT,
+        }
         s.done()
+
     play(scene)
 
 
@@ -204,8 +228,11 @@
 
 
 @pytest.mark.parametrize("rested", [False, True])
-def test_reset_between_the_last_look_and_the_write_never_ran(rested: bool, target: Target) -> None:
+def test_reset_between_the_last_look_and_the_write_never_ran(
+    rested: bool, target: Target
+) -> None:
     """The write fails, and the socket took no byte."""
+
     async def scene() -> None:
         s = Scene(target)
         sides = await s.rested() if rested else []
@@ -214,18 +241,27 @@
             reset(sides[0] if sides else target.accept())
             arrived(s.only())
             return 0
+
         s.pool.leaves = leaves
         s.pool.start(s.call())
         await until(lambda: s.ends)
-        assert s.outcomes() == [Outcome.NO_CONNECTION] and s.ends[0].weak and s.pool.relayed == len(sides)
+        assert (
+            s.outcomes() == [Outcome.NO_CONNECTION]
+            and s.ends[0].weak
+            and s.pool.relayed == len(sides)
+        )
         await until(lambda: not s.pool.all)
         s.done()
+
     play(scene)
 
 
 @pytest.mark.parametrize("rested", [False, True])
-def test_end_between_the_last_look_and_the_write_may_have_run(rested: bool, target: Target) -> None:
+def test_end_between_the_last_look_and_the_write_may_have_run(
+    rested: bool, target: Target
+) -> None:
     """A half-close takes what is written after it: nothing here tells that nobody reads it."""
+
     async def scene() -> None:
         s = Scene(target)
         sides = await s.rested() if rested else []
@@ -235,18 +271,22 @@
             side.shutdown(socket.SHUT_WR)
             arrived(s.only())
             return 0
+
         s.pool.leaves = leaves
         s.pool.start(s.call())
         await until(lambda: s.ends)
         assert s.outcomes() == [Outcome.RESET]
         s.done()
+
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "half a line"])
 def test_connection_that_breaks_as_it_comes_up_carries_no_call(
-        how: str, target: Target, monkeypatch: pytest.MonkeyPatch) -> None:
+    how: str, target: Target, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A target that holds only so many accepts and lets go: what is known before the write never ran."""
+
     async def scene() -> None:
         s = Scene(target)
         seen: list[bytes] = []
@@ -262,6 +302,7 @@
             else:
                 reset(side)
             arrived(self)
+
         monkeypatch.setattr(Connection, "connection_made", connection_made)
         s.pool.start(s.call())
         await until(lambda: s.ends)
@@ -274,11 +315,14 @@
                 seen.append(b"")
             assert seen == [b""]
         s.done()
+
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "noise"])
-def test_connection_that_breaks_under_a_half_written_call_never_ran(how: str, target: Target) -> None:
+def test_connection_that_breaks_under_a_half_written_call_never_ran(
+    how: str, target: Target
+) -> None:
     async def scene() -> None:
         s = Scene(target)
         call = s.call(body=HUGE)
@@ -288,24 +332,38 @@
         assert side.recv(1) and not call.written
         if how == "reset":
             reset(side)
-        elif how == "end":  # it reads no more either: what is left must not be waited for
+        elif (
+            how == "end"
+        ):  # it reads no more either: what is left must not be waited for
             side.shutdown(socket.SHUT_WR)
         else:
             side.sendall(b"\0\1 what nobody speaks\r\n\r\n")
         async with asyncio.timeout(5):
             await until(lambda: s.ends)
-        assert s.outcomes() == [Outcome.NO_CONNECTION] and s.ends[0].weak and s.pool.relayed == 0
+        assert (
+            s.outcomes() == [Outcome.NO_CONNECTION]
+            and s.ends[0].weak
+            and s.pool.relayed == 0
+        )
         s.done()
+
     play(scene)
 
 
-@pytest.mark.parametrize("answer, outcome", [
-    (FULL, Outcome.FULL), (OK, Outcome.DELIVERED),
-    (b"HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n", Outcome.FAILED)])
+@pytest.mark.parametrize(
+    "answer, outcome",
+    [
+        (FULL, Outcome.FULL),
+        (OK, Outcome.DELIVERED),
+        (b"HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n", Outcome.FAILED),
+    ],
+)
 def test_answer_before_the_request_is_written_ends_its_connection(
-        answer: bytes, outcome: Outcome, target: Target) -> None:
+    answer: bytes, outcome: Outcome, target: Target
+) -> None:
     """What is left of the request must not follow, else a call that was turned away starts after all, and the
     next one's bytes come behind it."""
+
     async def scene() -> None:
         s = Scene(target)
         call = s.call(body=HUGE)
@@ -325,10 +383,13 @@
             pass
         assert size < len(HUGE)
         s.done()
+
     play(scene)
 
 
-def test_first_line_with_200_before_the_request_is_written_is_a_delivery(target: Target) -> None:
+def test_first_line_with_200_before_the_request_is_written_is_a_delivery(
+    target: Target,
+) -> None:
     async def scene() -> None:
         s = Scene(target)
         call = s.call(body=HUGE)
@@ -339,6 +400,7 @@
         s.pool.cancel("m", 0)
         assert s.outcomes() == [Outcome.DELIVERED]
         s.done()
+
     play(scene)
 
 
@@ -346,17 +408,24 @@
 
 
 UNREAD = [
-    (OK, Outcome.DELIVERED), (FULL, Outcome.FULL), (b"HTTP/1.1 200 OK\r\nContent-Le", Outcome.DELIVERED),
-    (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Outcome.FAILED), (b"HTTP/1.1 2", None), (b"", None),
-    (b"end", Outcome.RESET)]
+    (OK, Outcome.DELIVERED),
+    (FULL, Outcome.FULL),
+    (b"HTTP/1.1 200 OK\r\nContent-Le", Outcome.DELIVERED),
+    (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Outcome.FAILED),
+    (b"HTTP/1.1 2", None),
+    (b"", None),
+    (b"end", Outcome.RESET),
+]
 
 
 @pytest.mark.parametrize("how", ["time-out", "cancel"])
 @pytest.mark.parametrize("answer, outcome", UNREAD)
 def test_answer_that_lies_unread_goes_before_giving_up(
-        answer: bytes, outcome: Outcome | None, how: str, target: Target) -> None:
+    answer: bytes, outcome: Outcome | None, how: str, target: Target
+) -> None:
     """A message is delivered once its first line with 200 was written to the forwarder, also where the loop
     was busy and has not read it."""
+
     async def scene() -> None:
         s = Scene(target)
         call, side = await s.out()
@@ -377,11 +446,14 @@
         assert s.outcomes() == [outcome or given_up]
         await asyncio.sleep(0)
         s.done()
+
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["time-out", "cancel", "cut short"])
-def test_shared_answer_that_lies_unread_goes_before_giving_up(how: str, target: Target) -> None:
+def test_shared_answer_that_lies_unread_goes_before_giving_up(
+    how: str, target: Target
+) -> None:
     async def scene() -> None:
         s = Scene(target)
         call, side = await s.out("a", "b")
@@ -400,14 +472,19 @@
             call.items[0].until_us = 0
             s.pool.timed_out(call)
         await until(lambda: len(s.ends) == 2)
-        assert {e.message: e.outcome for e in s.ends} == {"a": Outcome.DELIVERED, "b": Outcome.FULL}
+        assert {e.message: e.outcome for e in s.ends} == {
+            "a": Outcome.DELIVERED,
+            "b": Outcome.FULL,
+        }
         s.done()
+
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["time-out", "cancel"])
 def test_end_that_was_read_goes_before_giving_up(how: str, target: Target) -> None:
     """An answer without a length is whole by it; the transport tells of it in the next turn."""
+
     async def scene() -> None:
         s = Scene(target)
         call, side = await s.out("a", "b")
@@ -424,29 +501,57 @@
         await until(lambda: len(s.ends) == 2)
         assert s.outcomes() == [Outcome.DELIVERED, Outcome.FULL]
         s.done()
+
     play(scene)
 
 
 # Two events in one turn
 
 
-def events(s: Scene, call: Call, connection: Connection) -> dict[str, Callable[[], None]]:
+def events(
+    s: Scene, call: Call, connection: Connection
+) -> dict[str, Callable[[], None]]:
     def timed_out() -> None:
         for item in call.items:
             item.until_us = 0
         s.pool.timed_out(call)
-    return {
-        "answer": lambda: None if connection.closing() else connection.data_received(OK),
-        "half": lambda: None if connection.closing() else connection.data_received(b"HTTP/1.1 500 No\r\nA:"),
-        "time-out": timed_out, "cancel": lambda: s.pool.cancel("m", 0),
-        "lost": lambda: connection.transport.abort() if connection.transport is not None else None,
-        "drained": lambda: s.pool.serving({}), "moved": lambda: s.pool.serving({1: Address("127.0.0.1", 9)}),
-        "wait": lambda: s.pool.bind((7, -1), s.clock() + 1_000_000), "cut": lambda: s.pool.cut_short(call),
-        "dials cut": s.pool.cut_dials, "retired": s.pool.retire}
 
-
-NAMES = ("answer", "half", "time-out", "cancel", "lost", "drained", "moved", "wait", "cut", "dials cut",
-         "retired")
+    return {
+        "answer": lambda: (
+            None if connection.closing() else connection.data_received(OK)
+        ),
+        "half": lambda: (
+            None
+            if connection.closing()
+            else connection.data_received(b"HTTP/1.1 500 No\r\nA:")
+        ),
+        "time-out": timed_out,
+        "cancel": lambda: s.pool.cancel("m", 0),
+        "lost": lambda: (
+            connection.transport.abort() if connection.transport is not None else None
+        ),
+        "drained": lambda: s.pool.serving({}),
+        "moved": lambda: s.pool.serving({1: Address("127.0.0.1", 9)}),
+        "wait": lambda: s.pool.bind((7, -1), s.clock() + 1_000_000),
+        "cut": lambda: s.pool.cut_short(call),
+        "dials cut": s.pool.cut_dials,
+        "retired": s.pool.retire,
+    }
+
+
+NAMES = (
+    "answer",
+    "half",
+    "time-out",
+    "cancel",
+    "lost",
+    "drained",
+    "moved",
+    "wait",
+    "cut",
+    "dials cut",
+    "retired",
+)
 
 
 @pytest.mark.parametrize("first", NAMES)
@@ -461,10 +566,22 @@
             do[second]()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            if not s.ends:  # nothing of this ends a call: it is still out, and its answer counts
-                assert call.open and not {first, second} & {"answer", "time-out", "cancel", "lost"}
-                assert (first, second) != ("half", "cut")  # without a half answer there is none to cut
-                connection.data_received(b"\r\nContent-Length: 0\r\n\r\n" if call.begun else OK)
+            if (
+                not s.ends
+            ):  # nothing of this ends a call: it is still out, and its answer counts
+                assert call.open and not {first, second} & {
+                    "answer",
+                    "time-out",
+                    "cancel",
+                    "lost",
+                }
+                assert (first, second) != (
+                    "half",
+                    "cut",
+                )  # without a half answer there is none to cut
+                connection.data_received(
+                    b"\r\nContent-Length: 0\r\n\r\n" if call.begun else OK
+                )
             assert len(s.ends) == 1, (first, second)
             if first == "answer":
                 assert s.outcomes() == [Outcome.DELIVERED]
@@ -474,6 +591,7 @@
             s.pool.close()
             await until(lambda s=s: not s.pool.all)
             side.close()
+
     play(scene)
 
 
@@ -490,13 +608,25 @@
     (b"HTTP/1.1 200 OK\r", Outcome.SPOILT, Outcome.SPOILT),
     (b"HTTP/1.1 200 OK\r\n", Outcome.DELIVERED, Outcome.SPOILT),
     (b"HTTP/1.1 200 OK\r\nContent-Le", Outcome.DELIVERED, Outcome.SPOILT),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n" + BOTH[:30], Outcome.DELIVERED, Outcome.SPOILT),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"%x\r\n%b\r\n" % (len(BOTH), BOTH),
-     Outcome.DELIVERED, Outcome.SPOILT),
+    (
+        b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n" + BOTH[:30],
+        Outcome.DELIVERED,
+        Outcome.SPOILT,
+    ),
+    (
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + b"%x\r\n%b\r\n" % (len(BOTH), BOTH),
+        Outcome.DELIVERED,
+        Outcome.SPOILT,
+    ),
     (b"HTTP/1.1 200 OK\r\nNo colon\r\n\r\n", Outcome.DELIVERED, Outcome.SPOILT),
     (b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 6000", Outcome.SPOILT, Outcome.SPOILT),
     (b"HTTP/1.1 429 No\r\nContent-Length: 5\r\n\r\nab", Outcome.SPOILT, Outcome.SPOILT),
-    (b"HTTP/1.1 503 No\r\nX-Over-Slots: 1\r\nContent-Length: 5\r\n\r\n", Outcome.SPOILT, Outcome.SPOILT),
+    (
+        b"HTTP/1.1 503 No\r\nX-Over-Slots: 1\r\nContent-Length: 5\r\n\r\n",
+        Outcome.SPOILT,
+        Outcome.SPOILT,
+    ),
     (b"HTTP/1.1 103 Early\r\n\r\n", Outcome.SPOILT, Outcome.SPOILT),
     (b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 O", Outcome.SPOILT, Outcome.SPOILT),
     (b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\n", Outcome.DELIVERED, Outcome.SPOILT),
@@ -506,15 +636,23 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("begin, one, two", CUTS)
 def test_answer_that_breaks_off_may_have_run_unless_its_first_line_says_200(
-        begin: bytes, one: Outcome, two: Outcome, how: str, target: Target) -> None:
+    begin: bytes, one: Outcome, two: Outcome, how: str, target: Target
+) -> None:
     async def scene() -> None:
         for names, outcome in ((("m",), one), (("a", "b"), two)):
             s = Scene(target)
             call, side = await s.out(*names)
             if begin:
                 side.sendall(begin)
-                await until(lambda s=s, call=call: s.ends or (
-                    call.connection is not None and call.connection.reader.started))
+                await until(
+                    lambda s=s, call=call: (
+                        s.ends
+                        or (
+                            call.connection is not None
+                            and call.connection.reader.started
+                        )
+                    )
+                )
             if how == "end":
                 side.shutdown(socket.SHUT_WR)
             else:
@@ -524,34 +662,56 @@
             assert all(e.wait_us == 0 and e.report is None for e in s.ends)
             await until(lambda s=s: not s.pool.all)
             s.done()
+
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_answer_without_a_length_is_whole_by_an_end_and_not_by_a_reset(how: str, target: Target) -> None:
+def test_answer_without_a_length_is_whole_by_an_end_and_not_by_a_reset(
+    how: str, target: Target
+) -> None:
     async def scene() -> None:
         s = Scene(target)
         call, side = await s.out("a", "b")
         side.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + BOTH)
-        await until(lambda: call.connection is not None and call.connection.reader.body == BOTH)
+        await until(
+            lambda: call.connection is not None and call.connection.reader.body == BOTH
+        )
         if how == "end":
             side.shutdown(socket.SHUT_WR)
         else:
             reset(side)
         await until(lambda: len(s.ends) == 2)
-        told = [Outcome.DELIVERED, Outcome.FULL] if how == "end" else [Outcome.SPOILT] * 2
+        told = (
+            [Outcome.DELIVERED, Outcome.FULL] if how == "end" else [Outcome.SPOILT] * 2
+        )
         assert s.outcomes() == told
         s.done()
+
     play(scene)
 
 
-@pytest.mark.parametrize("names, first, outcome", [
-    (("m",), b"HTTP/1.1 200 OK\r\nA: ", Outcome.DELIVERED),
-    (("m",), b"HTTP/1.1 500 No\r\nA: ", Outcome.SPOILT),
-    (("m",), b"HTT", Outcome.SPOILT), (("a", "b"), b"HTTP/1.1 200 OK\r\nA: ", Outcome.SPOILT),
-    (("a", "b"), b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n", Outcome.SPOILT)])
-def test_answer_without_end_is_cut_byte_by_byte(names: tuple[str, ...], first: bytes, outcome: Outcome,
-                                                target: Target, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "names, first, outcome",
+    [
+        (("m",), b"HTTP/1.1 200 OK\r\nA: ", Outcome.DELIVERED),
+        (("m",), b"HTTP/1.1 500 No\r\nA: ", Outcome.SPOILT),
+        (("m",), b"HTT", Outcome.SPOILT),
+        (("a", "b"), b"HTTP/1.1 200 OK\r\nA: ", Outcome.SPOILT),
+        (
+            ("a", "b"),
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n",
+            Outcome.SPOILT,
+        ),
+    ],
+)
+def test_answer_without_end_is_cut_byte_by_byte(
+    names: tuple[str, ...],
+    first: bytes,
+    outcome: Outcome,
+    target: Target,
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(client, "WHOLE_S", 0.05)
 
     async def scene() -> None:
@@ -564,21 +724,27 @@
         assert s.outcomes() == [outcome] * len(names)
         assert ended(side, PATIENCE)
         s.done()
+
     play(scene)
 
 
 def test_answers_ahead_begin_no_answer(target: Target) -> None:
     """A target may say at once that it has the request, and answer when the work is done."""
+
     async def scene() -> None:
         s = Scene(target)
         call, side = await s.out()
         side.sendall(b"HTTP/1.1 102 Processing\r\n\r\n")
-        await until(lambda: call.connection is not None and call.connection.reader.started)
+        await until(
+            lambda: call.connection is not None and call.connection.reader.started
+        )
         assert not call.begun
         side.sendall(b"HTTP/1.1 103 Ear")
         await until(lambda: call.begun)
         side.sendall(b"ly\r\n\r\n")
-        await until(lambda: call.connection is not None and not call.connection.reader.begun)
+        await until(
+            lambda: call.connection is not None and not call.connection.reader.begun
+        )
         s.pool.cut_short(call)
         assert not call.begun and call.open
         side.sendall(b"HTTP/1.1 2")
@@ -588,20 +754,35 @@
         assert s.outcomes() == [Outcome.DELIVERED]
         s.done()
         s.pool.close()
+
     play(scene)
 
 
-@pytest.mark.parametrize("body", [
-    b'[{"id":"a","state":"deferred"},{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]',
-    b'{"id":"a","state":"accepted"}', b'[{"id":"a","state":"accepted"},{"id":"b"', b"[1]", b"", b"\xff",
-    b'[{"id":"a"}]', b'[{"id":["a"],"state":"accepted"}]'])
-def test_shared_answer_that_cannot_be_read_may_have_run(body: bytes, target: Target) -> None:
+@pytest.mark.parametrize(
+    "body",
+    [
+        b'[{"id":"a","state":"deferred"},{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]',
+        b'{"id":"a","state":"accepted"}',
+        b'[{"id":"a","state":"accepted"},{"id":"b"',
+        b"[1]",
+        b"",
+        b"\xff",
+        b'[{"id":"a"}]',
+        b'[{"id":["a"],"state":"accepted"}]',
+    ],
+)
+def test_shared_answer_that_cannot_be_read_may_have_run(
+    body: bytes, target: Target
+) -> None:
     async def scene() -> None:
         s = Scene(target)
         _, side = await s.out("a", "b")
-        side.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+        side.sendall(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        )
         await until(lambda: s.ends)
         assert s.outcomes() == [Outcome.SPOILT] * 2
         s.done()
         s.pool.close()
+
     play(scene)
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -35,10 +35,14 @@
     """The journal's worker: its jobs wait until they are let go."""
 
     def __init__(self) -> None:
-        self.jobs: list[tuple[Callable[[], None], Callable[[OSError | None], None]]] = []
+        self.jobs: list[
+            tuple[Callable[[], None], Callable[[OSError | None], None]]
+        ] = []
         self.holding = False
 
-    def __call__(self, job: Callable[[], None], done: Callable[[OSError | None], None]) -> None:
+    def __call__(
+        self, job: Callable[[], None], done: Callable[[OSError | None], None]
+    ) -> None:
         self.jobs.append((job, done))
         if not self.holding:
             asyncio.get_running_loop().call_soon(self.go)
@@ -53,8 +57,15 @@
 class Scene:
     """A forwarder in the test's loop, with its endpoint. It makes no round by itself."""
 
-    def __init__(self, platform: Platform, endpoint: Endpoint, peer: Peer, run: Running) -> None:
-        self.platform, self.endpoint, self.peer, self.run = platform, endpoint, peer, run
+    def __init__(
+        self, platform: Platform, endpoint: Endpoint, peer: Peer, run: Running
+    ) -> None:
+        self.platform, self.endpoint, self.peer, self.run = (
+            platform,
+            endpoint,
+            peer,
+            run,
+        )
         self.engine = run.engine
 
     def gate(self) -> None:
@@ -64,8 +75,13 @@
     def client(self) -> Caller:
         return Caller(self.run.port)
 
-    async def arrives(self, name: str, client: Caller | None = None, cls: str = "order",
-                      **headers: str) -> Caller:
+    async def arrives(
+        self,
+        name: str,
+        client: Caller | None = None,
+        cls: str = "order",
+        **headers: str,
+    ) -> Caller:
         """A client whose message waits for the next round."""
         client = client or self.client()
         client.say(message(name, cls, **headers))
@@ -90,10 +106,13 @@
         platform, endpoint = Platform(), Endpoint()
         await platform.start()
         peer = await target(platform, endpoint.handle)
-        s = Scene(platform, endpoint, peer, await Running(folder, platform, **more).ready())
+        s = Scene(
+            platform, endpoint, peer, await Running(folder, platform, **more).ready()
+        )
         s.gate()
         await scene(s)
         await s.run.end()
+
     asyncio.run(run())
 
 
@@ -113,25 +132,37 @@
 @pytest.mark.parametrize("how", HOWS)
 @pytest.mark.parametrize("again", ["m", "n"])
 def test_message_whose_client_leaves_before_its_round_is_not_ours(
-        tmp_path: Path, how: str, again: str) -> None:
+    tmp_path: Path, how: str, again: str
+) -> None:
     """And is taken on when it comes again at once, under the same or a new id."""
+
     async def scene(s: Scene) -> None:
         client = await s.arrives("m")
         leave(client, how)
-        if how == "half-close":  # who has only ended its side hears that it may hand the message in again
+        if (
+            how == "half-close"
+        ):  # who has only ended its side hears that it may hand the message in again
             assert (await client.answer())[0] == 503 and await client.end() == b""
         await s.run.until(lambda: not s.engine.arriving)
         second = await s.arrives(again, X_Repeat="again", Idempotency_Key="key-m")
         s.engine.round()
         assert (await second.answer())[0] == 202
-        assert list(s.engine.store.messages) == list(s.engine.dispatcher.messages) == [again]
+        assert (
+            list(s.engine.store.messages)
+            == list(s.engine.dispatcher.messages)
+            == [again]
+        )
         await s.delivered(again)
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("how", HOWS)
-def test_message_whose_client_leaves_in_the_turn_of_its_answer_is_ours(tmp_path: Path, how: str) -> None:
+def test_message_whose_client_leaves_in_the_turn_of_its_answer_is_ours(
+    tmp_path: Path, how: str
+) -> None:
     """The round comes before the loop reads that the client has gone."""
+
     async def scene(s: Scene) -> None:
         client = await s.arrives("m", cls="status")
         leave(client, how)
@@ -141,11 +172,14 @@
             assert (await client.answer())[0] == 202 and await client.end() == b""
         await s.run.until(lambda: not s.engine.server.connections)
         await s.delivered("m")
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("how", HOWS)
-def test_message_whose_client_leaves_after_its_answer_is_ours(tmp_path: Path, how: str) -> None:
+def test_message_whose_client_leaves_after_its_answer_is_ours(
+    tmp_path: Path, how: str
+) -> None:
     async def scene(s: Scene) -> None:
         client = await s.arrives("m")
         s.engine.round()
@@ -154,10 +188,13 @@
         leave(client, how)
         await s.run.until(lambda: not s.engine.server.connections)
         await s.delivered("m")
+
     play(scene, tmp_path)
 
 
-def test_message_withdrawn_before_its_round_holds_up_none_of_its_key(tmp_path: Path) -> None:
+def test_message_withdrawn_before_its_round_holds_up_none_of_its_key(
+    tmp_path: Path,
+) -> None:
     async def scene(s: Scene) -> None:
         first = await s.arrives("a", cls="turns", X_Session_Key="k")
         second = await s.arrives("b", cls="turns", X_Session_Key="k")
@@ -166,10 +203,13 @@
         s.engine.round()
         assert (await second.answer())[0] == 202
         await s.delivered("b")
+
     play(scene, tmp_path)
 
 
-def test_message_left_here_and_handed_in_elsewhere_is_sent_from_there_alone(tmp_path: Path) -> None:
+def test_message_left_here_and_handed_in_elsewhere_is_sent_from_there_alone(
+    tmp_path: Path,
+) -> None:
     async def scene(s: Scene) -> None:
         (tmp_path / "other").mkdir()
         other = await Running(tmp_path / "other", s.platform).ready()
@@ -183,6 +223,7 @@
         await other.until(lambda: not other.engine.store.messages)
         await s.delivered("n")
         await other.end()
+
     play(scene, tmp_path)
 
 
@@ -202,7 +243,8 @@
 
 @pytest.mark.parametrize("how", HOWS)
 def test_message_whose_client_leaves_while_its_record_is_synced_is_gone_before_it_is_refused(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
     """A process killed just then must not find it again, as its client may have handed it in elsewhere."""
     sync = powered(monkeypatch)
 
@@ -222,11 +264,13 @@
         s.engine.round()
         assert (await again.answer())[0] == 202
         await s.delivered("n")
+
     play(scene, tmp_path, power=True)
 
 
 def test_same_id_while_its_record_is_synced_is_refused_and_the_first_taken_on(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     sync = powered(monkeypatch)
 
     async def scene(s: Scene) -> None:
@@ -241,11 +285,13 @@
         sync.go()
         assert (await first.answer())[0] == 202
         await s.delivered("m")
+
     play(scene, tmp_path, power=True)
 
 
 def test_same_id_while_the_first_is_taken_back_is_refused_and_taken_on_later(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It used to be answered as taken on, by the record of the first that was about to go."""
     sync = powered(monkeypatch)
 
@@ -266,12 +312,14 @@
             sync.holding = False
             sync.go()
         await s.delivered("m")
+
     play(scene, tmp_path, power=True)
 
 
 @pytest.mark.parametrize("step", ["freeze", "exit"])
 def test_call_whose_record_is_synced_after_the_freeze_is_left_to_the_next_process(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
+) -> None:
     sync = powered(monkeypatch)
     monkeypatch.setattr("lemonshunt.net.starting.SETTLE_S", PATIENCE)
 
@@ -299,11 +347,13 @@
         s.endpoint.held.set()
         await s.run.until(lambda: not s.run.engine.store.messages)
         assert s.sent() == ["m"] and not s.platform.notices
+
     play(scene, tmp_path, power=True)
 
 
 def test_message_whose_record_cannot_be_synced_till_the_end_is_refused_and_gone(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     sync = powered(monkeypatch)
 
     async def scene(s: Scene) -> None:
@@ -318,13 +368,16 @@
         assert kept(tmp_path) == [] and not s.peer.requests
         s.run = await Running(tmp_path, s.platform).ready()
         sync.jobs.clear()  # the process is gone
+
     play(scene, tmp_path, power=True)
 
 
 # Repeats
 
 
-def test_same_id_before_the_first_is_decided_is_refused_and_the_first_goes_on(tmp_path: Path) -> None:
+def test_same_id_before_the_first_is_decided_is_refused_and_the_first_goes_on(
+    tmp_path: Path,
+) -> None:
     async def scene(s: Scene) -> None:
         first = await s.arrives("m")
         again = s.client()
@@ -335,12 +388,14 @@
         s.engine.round()
         assert (await first.answer())[0] == 202
         await s.delivered("m")
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("cls", ["order", "status", "pay"])
 def test_same_id_after_the_first_is_taken_on_sent_and_delivered_is_answered_and_not_sent(
-        tmp_path: Path, cls: str) -> None:
+    tmp_path: Path, cls: str
+) -> None:
     async def scene(s: Scene) -> None:
         async def again() -> None:
             client = s.client()
@@ -348,6 +403,7 @@
             assert (await client.answer())[0] == 202
             client.socket.close()
             s.engine.round()
+
         first = await s.arrives("m", cls=cls)
         s.engine.round()
         assert (await first.answer())[0] == 202
@@ -357,6 +413,7 @@
         await s.delivered("m")
         await again()  # delivered
         await s.delivered("m")
+
     play(scene, tmp_path)
 
 
@@ -377,11 +434,14 @@
         assert not s.engine.arriving and list(s.engine.store.messages) == ["m"]
         assert s.engine.figures.taken == 1  # the one of before, and none beside it
         await s.delivered("m")
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("moment", ["arrived", "journaled", "delivered"])
-def test_repeat_under_a_new_id_is_a_message_of_its_own_at_each_moment(tmp_path: Path, moment: str) -> None:
+def test_repeat_under_a_new_id_is_a_message_of_its_own_at_each_moment(
+    tmp_path: Path, moment: str
+) -> None:
     async def scene(s: Scene) -> None:
         first = await s.arrives("m")
         if moment != "arrived":
@@ -394,14 +454,18 @@
         assert (await second.answer())[0] == 202
         await s.delivered("m", "n")
         assert {r.headers["idempotency-key"] for r in s.peer.requests} == {"key-m"}
+
     play(scene, tmp_path)
 
 
 # Who sends much and goes
 
 
-def test_client_that_sends_many_and_is_gone_has_few_of_them_taken_on(tmp_path: Path) -> None:
+def test_client_that_sends_many_and_is_gone_has_few_of_them_taken_on(
+    tmp_path: Path,
+) -> None:
     """From the answer on that cannot be written, none is taken in."""
+
     async def scene(s: Scene) -> None:
         client = s.client()
         client.say(b"".join(message(f"m{n}", "status") for n in range(20)))
@@ -413,6 +477,7 @@
                 await asyncio.sleep(0.001)
         assert list(s.engine.store.messages) == ["m0"] and not s.engine.arriving
         await s.delivered("m0")
+
     play(scene, tmp_path)
 
 
@@ -423,24 +488,38 @@
         client.socket.shutdown(socket.SHUT_WR)
         answers = [await client.answer() for _ in range(3)]
         assert [status for status, _ in answers] == [503, 503, 503]
-        assert ["Connection: close" in head for _, head in answers] == [False, False, True]
+        assert ["Connection: close" in head for _, head in answers] == [
+            False,
+            False,
+            True,
+        ]
         assert await client.end() == b"" and not s.engine.arriving
         s.engine.round()
         assert not s.engine.store.messages
+
     play(scene, tmp_path)
 
 
-def test_much_that_cannot_be_read_behind_a_message_leaves_that_its_answer(tmp_path: Path) -> None:
+def test_much_that_cannot_be_read_behind_a_message_leaves_that_its_answer(
+    tmp_path: Path,
+) -> None:
     """The connection used to be closed over the answer that was still to come."""
+
     async def scene(s: Scene) -> None:
         client = await s.arrives("m")
-        rest = asyncio.create_task(asyncio.get_running_loop().sock_sendall(
-            client.socket, b"\0" * (LINGER_BYTES + LINGER_BYTES // 2)))
+        rest = asyncio.create_task(
+            asyncio.get_running_loop().sock_sendall(
+                client.socket, b"\0" * (LINGER_BYTES + LINGER_BYTES // 2)
+            )
+        )
         (held,) = s.engine.server.connections
-        await s.run.until(lambda: held.transport is None or not held.transport.is_reading())
+        await s.run.until(
+            lambda: held.transport is None or not held.transport.is_reading()
+        )
         s.engine.round()
         assert [(await client.answer())[0] for _ in range(2)] == [202, 400]
         async with asyncio.timeout(PATIENCE):
             await rest
         await s.delivered("m")
+
     play(scene, tmp_path)
--- a/tests/test_crossing_door.py
+++ b/tests/test_crossing_door.py
@@ -46,7 +46,9 @@
         assert self.listener is not None
         return int(self.listener.sockets[0].getsockname()[1])
 
-    async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
+    async def connect(
+        self,
+    ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
         """A client, and the door's side of its connection."""
         known = set(self.connections)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port())
@@ -58,7 +60,9 @@
             while not test():
                 await asyncio.sleep(0.001)
 
-    async def say(self, writer: asyncio.StreamWriter, side: ClientConnection, data: bytes) -> None:
+    async def say(
+        self, writer: asyncio.StreamWriter, side: ClientConnection, data: bytes
+    ) -> None:
         """Send, and wait until it was read."""
         seen = side.raw
         writer.write(data)
@@ -78,6 +82,7 @@
             await scene(server)
         finally:
             await server.close()
+
     asyncio.run(run())
 
 
@@ -87,23 +92,34 @@
     assert door.SILENT_US + SWEEP_US <= room
     assert door.STALLED_US + SWEEP_US <= room
     assert door.SILENT_US + SWEEP_US + door.FIRST_US + SWEEP_US <= room
-    assert door.STALLED_US + SWEEP_US + LINGER_US + SWEEP_US <= OWED_US  # the end of its connection, too
+    assert (
+        door.STALLED_US + SWEEP_US + LINGER_US + SWEEP_US <= OWED_US
+    )  # the end of its connection, too
 
 
 HEAD = b"POST /order HTTP/1.1\r\nHost: x\r\n"
 
 
 @pytest.mark.parametrize("begins_us", [0, 1_500_000, 1_999_999, 2_100_000])
-@pytest.mark.parametrize(("says", "goes_on"), [
-    (b"P", b""), (b"\r\n", b"\r\n"), (HEAD + b"X-", b"a"), (HEAD + b"X-A: ", b"a"),
-    (HEAD + b"Content-Length: 60000\r\n\r\nhel", b"l"),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n5000\r\nhe", b"l"),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n5;a=", b"b"),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-", b"b")])
+@pytest.mark.parametrize(
+    ("says", "goes_on"),
+    [
+        (b"P", b""),
+        (b"\r\n", b"\r\n"),
+        (HEAD + b"X-", b"a"),
+        (HEAD + b"X-A: ", b"a"),
+        (HEAD + b"Content-Length: 60000\r\n\r\nhel", b"l"),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n5000\r\nhe", b"l"),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n5;a=", b"b"),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-", b"b"),
+    ],
+)
 def test_a_first_request_that_stands_half_read_has_its_error_within_3_s_of_connecting(
-        says: bytes, goes_on: bytes, begins_us: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    says: bytes, goes_on: bytes, begins_us: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It begins as late as a silent connection may, goes on byte by byte, and each sweep comes just short of
     a limit: the clock for its error runs from connecting."""
+
     async def scene(server: Door) -> None:
         _, writer, side = await server.connect()
         start = server.now
@@ -118,16 +134,21 @@
                 server.now = sweep
                 server.sweep()
                 sweep += SWEEP_US
-            assert server.now - start <= OWED_US - 200_000, "neither an error nor a close"
+            assert server.now - start <= OWED_US - 200_000, (
+                "neither an error nor a close"
+            )
         assert not server.taken
         writer.close()
+
     play(scene, monkeypatch)
 
 
 def test_a_client_that_asks_without_end_and_reads_nothing_is_let_go_before_its_answers_pile_up(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Each request is answered, and none of the answers is taken: what waits for it stays bounded, and its
     connection ends."""
+
     async def scene(server: Door) -> None:
         kept = await server.connect()
         with socket.socket() as sock:
@@ -147,11 +168,15 @@
                         most = max(most, side.transport.get_write_buffer_size())
         assert most <= 2 * MOST_UNREAD
         assert kept[2].open()
+
     play(scene, monkeypatch)
 
 
-def test_who_reads_late_still_has_all_its_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_who_reads_late_still_has_all_its_answers(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Some requests at once, as no client should send them: each has its answer, in order."""
+
     async def scene(server: Door) -> None:
         reader, writer, _ = await server.connect()
         writer.write(b"".join(message(f"m{n}") for n in range(40)))
@@ -161,6 +186,7 @@
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
         assert server.taken == [f"m{n}" for n in range(40)]
         writer.close()
+
     play(scene, monkeypatch)
 
 
@@ -168,12 +194,28 @@
 ONE_CHUNK = b"5\r\nhello\r\n0\r\n\r\n"
 
 
-def post(more: bytes = b"", body: bytes = b"hello", line: bytes = b"POST /order HTTP/1.1",
-         host: bytes = b"Host: origin.svc\r\n", account: bytes = b"acme", dest: bytes = b"dest=7") -> bytes:
+def post(
+    more: bytes = b"",
+    body: bytes = b"hello",
+    line: bytes = b"POST /order HTTP/1.1",
+    host: bytes = b"Host: origin.svc\r\n",
+    account: bytes = b"acme",
+    dest: bytes = b"dest=7",
+) -> bytes:
     """A message that is whole but for what a test spoils."""
-    return (line + b"\r\n" + host + b"X-Correlation-Id: bad\r\nX-Account: " + account
-            + b"\r\nX-Time-Left: 50\r\nIdempotency-Key: k\r\nX-Addressing: " + dest + b"\r\n" + more + b"\r\n"
-            + body)
+    return (
+        line
+        + b"\r\n"
+        + host
+        + b"X-Correlation-Id: bad\r\nX-Account: "
+        + account
+        + b"\r\nX-Time-Left: 50\r\nIdempotency-Key: k\r\nX-Addressing: "
+        + dest
+        + b"\r\n"
+        + more
+        + b"\r\n"
+        + body
+    )
 
 
 SPOILT = {
@@ -189,8 +231,12 @@
     "a length without end": post(b"Content-Length: " + b"9" * 200 + b"\r\n"),
     "a length of 60 MB": post(b"Content-Length: 60000000\r\n"),
     "two codings": post(CHUNKED + CHUNKED, ONE_CHUNK),
-    "another coding, then chunked": post(b"Transfer-Encoding: gzip\r\n" + CHUNKED, ONE_CHUNK),
-    "chunked, then another coding": post(CHUNKED + b"Transfer-Encoding: gzip\r\n", ONE_CHUNK),
+    "another coding, then chunked": post(
+        b"Transfer-Encoding: gzip\r\n" + CHUNKED, ONE_CHUNK
+    ),
+    "chunked, then another coding": post(
+        CHUNKED + b"Transfer-Encoding: gzip\r\n", ONE_CHUNK
+    ),
     "a list of codings": post(b"Transfer-Encoding: gzip, chunked\r\n", ONE_CHUNK),
     "a coding by nearly the name": post(b"Transfer-Encoding: xchunked\r\n", ONE_CHUNK),
     "a coding that is empty": post(b"Transfer-Encoding: \r\n" + FIVE),
@@ -202,7 +248,9 @@
     "a chunk size that is empty": post(CHUNKED, b"\r\nhello\r\n0\r\n\r\n"),
     "a chunk longer than its size": post(CHUNKED, b"5\r\nhelloX0\r\n\r\n"),
     "chunks with bare LF": post(CHUNKED, b"5\nhello\n0\n\n"),
-    "a length in a trailer": post(CHUNKED, b"5\r\nhello\r\n0\r\nContent-Length: 9\r\n\r\n"),
+    "a length in a trailer": post(
+        CHUNKED, b"5\r\nhello\r\n0\r\nContent-Length: 9\r\n\r\n"
+    ),
     "a folded header": post(b"X-A: a\r\n b\r\n" + FIVE),
     "bare LF throughout": post(FIVE).replace(b"\r\n", b"\n"),
     "a bare LF in the head": post(b"X-A: a\n" + FIVE),
@@ -228,14 +276,24 @@
     "a method in small letters": post(FIVE, line=b"post /order HTTP/1.1"),
     "a method that is not known": post(FIVE, line=b"SEND /order HTTP/1.1"),
     "a space before the method": b" " + post(FIVE),
-    "a path without end": post(FIVE, line=b"POST /order/" + 70_000 * b"a" + b" HTTP/1.1"),
+    "a path without end": post(
+        FIVE, line=b"POST /order/" + 70_000 * b"a" + b" HTTP/1.1"
+    ),
     "a header without end": post(b"X-A: " + 70_000 * b"a" + b"\r\n" + FIVE),
     "a name without end": post(70_000 * b"X" + b": a\r\n" + FIVE),
-    "headers without end": post(b"".join(b"X-%d: a\r\n" % n for n in range(3000)) + FIVE),
+    "headers without end": post(
+        b"".join(b"X-%d: a\r\n" % n for n in range(3000)) + FIVE
+    ),
     "a body that is too large": post(b"Content-Length: 65537\r\n", 65537 * b"a"),
-    "chunks that are too large": post(CHUNKED, b"10001\r\n" + 65537 * b"a" + b"\r\n0\r\n\r\n"),
-    "trailers without end": post(CHUNKED, b"5\r\nhello\r\n0\r\n" + 6000 * b"X-A: a\r\n" + b"\r\n"),
-    "chunk extensions without end": post(CHUNKED, b"5;" + 2_000_000 * b"a" + b"\r\nhello\r\n0\r\n\r\n"),
+    "chunks that are too large": post(
+        CHUNKED, b"10001\r\n" + 65537 * b"a" + b"\r\n0\r\n\r\n"
+    ),
+    "trailers without end": post(
+        CHUNKED, b"5\r\nhello\r\n0\r\n" + 6000 * b"X-A: a\r\n" + b"\r\n"
+    ),
+    "chunk extensions without end": post(
+        CHUNKED, b"5;" + 2_000_000 * b"a" + b"\r\nhello\r\n0\r\n\r\n"
+    ),
 }
 
 
@@ -258,9 +316,11 @@
 
 @pytest.mark.parametrize("in_pieces", [False, True])
 def test_what_is_spoilt_has_an_error_at_once_and_nothing_of_it_or_behind_it_is_taken_on(
-        in_pieces: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    in_pieces: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Whole and in two pieces that are read apart; behind each stands a good message that only who reads it
     wrong would see. What was refused so ends its connection."""
+
     async def scene(server: Door) -> None:
         passed = {}
         for name, data in SPOILT.items():
@@ -280,13 +340,16 @@
         server.now += LINGER_US
         server.sweep()
         await server.until(lambda: not server.connections)
+
     play(scene, monkeypatch, most=1000)
 
 
 def test_what_is_whole_and_wrong_has_an_error_at_once_and_is_not_taken_on(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Where such a request ends is beyond doubt: its connection may go on, and a good message behind it is
     one of its own."""
+
     async def scene(server: Door) -> None:
         passed = {}
         for name, data in WRONG.items():
@@ -296,6 +359,7 @@
                 passed[name] = first
             writer.close()
         assert not passed and not server.taken, f"{passed}, taken on: {server.taken}"
+
     play(scene, monkeypatch, most=1000)
 
 
@@ -317,7 +381,9 @@
     askers: list[Asker]
 
 
-def play_holding(scene: Callable[[Holding], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
+def play_holding(
+    scene: Callable[[Holding], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def run() -> None:
         monkeypatch.setattr(door, "SWEEP_S", 3600.0)
         server = Holding()
@@ -327,15 +393,20 @@
             await scene(server)
         finally:
             await server.close()
+
     asyncio.run(run())
 
 
 def test_what_stands_behind_a_spoilt_request_is_not_read_and_what_stands_before_it_has_its_answer(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The spoilt one is read while the message before it waits for its answer: the answers come in order."""
+
     async def scene(server: Holding) -> None:
         reader, writer, side = await server.connect()
-        writer.write(message("before") + post(FIVE + CHUNKED, ONE_CHUNK) + message("behind"))
+        writer.write(
+            message("before") + post(FIVE + CHUNKED, ONE_CHUNK) + message("behind")
+        )
         await server.until(lambda: side.broken)
         writer.write(message("later"))
         await server.until(lambda: side.raw > 0)
@@ -350,11 +421,15 @@
         server.sweep()
         await server.until(lambda: not server.connections)
         writer.close()
+
     play_holding(scene, monkeypatch)
 
 
-def test_requests_ahead_are_few_however_many_come_in_one_piece(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_ahead_are_few_however_many_come_in_one_piece(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """One message waits for its answer, and behind it as many requests as one read can hold."""
+
     async def scene(server: Holding) -> None:
         reader, writer, side = await server.connect()
         writer.write(message("first"))
@@ -366,11 +441,20 @@
                 nonlocal most
                 super().append(request)
                 most = max(most, len(self))
+
         side.waiting = Watched()
         writer.write(20_000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n")
-        await server.until(lambda: most > 0 and (side.broken or not side.open()
-                                                 or side.transport is not None
-                                                 and not side.transport.is_reading()))
+        await server.until(
+            lambda: (
+                most > 0
+                and (
+                    side.broken
+                    or not side.open()
+                    or side.transport is not None
+                    and not side.transport.is_reading()
+                )
+            )
+        )
         assert most <= 100
         assert server.taken == ["first"] and side.open()
         server.askers[0].answer(HTTPStatus.ACCEPTED)
@@ -378,12 +462,15 @@
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 404")
         writer.close()
+
     play_holding(scene, monkeypatch)
 
 
 def test_who_goes_on_sending_behind_its_error_is_read_for_so_many_bytes_and_so_long_only(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Nothing of it is kept; the clock stands for the one that sends much, and moves for the slow one."""
+
     async def scene(server: Door) -> None:
         reader, writer, much = await server.connect()
         other, drips, slow = await server.connect()
@@ -408,26 +495,40 @@
         writer.close()
         drips.close()
         del reader, other
+
     play(scene, monkeypatch)
 
 
-def test_peers_that_send_much_and_go_leave_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peers_that_send_much_and_go_leave_nothing_behind(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Each sends a large piece of something and goes in the same moment, some by a reset."""
+
     async def scene(server: Door) -> None:
         kept = await server.connect()
-        kinds = [60_000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n", 1_000_000 * b"\0", HEAD + 1_000_000 * b"X",
-                 post(b"Content-Length: 65000\r\n", 64_000 * b"a"),
-                 post(CHUNKED, 100_000 * b"1\r\na\r\n"), 500_000 * b"\r\n"]
+        kinds = [
+            60_000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n",
+            1_000_000 * b"\0",
+            HEAD + 1_000_000 * b"X",
+            post(b"Content-Length: 65000\r\n", 64_000 * b"a"),
+            post(CHUNKED, 100_000 * b"1\r\na\r\n"),
+            500_000 * b"\r\n",
+        ]
         for n, data in enumerate(2 * kinds):
             _, writer, side = await server.connect()
             if n % 2:
-                assert isinstance(sock := writer.get_extra_info("socket"), TransportSocket)
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                assert isinstance(
+                    sock := writer.get_extra_info("socket"), TransportSocket
+                )
+                sock.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+                )
             writer.write(data)
             writer.transport.abort() if n % 2 else writer.close()
             await server.until(lambda side=side: side.transport is None)  # type: ignore[misc]
             assert not side.waiting and side.parser is None
         assert not server.taken and server.connections == {kept[2]}
+
     play(scene, monkeypatch)
 
 
@@ -436,9 +537,12 @@
     return int(text.partition("VmHWM:")[2].split()[0])
 
 
-def test_what_many_bad_clients_send_at_once_costs_little_memory_and_others_are_served(tmp_path: Path) -> None:
+def test_what_many_bad_clients_send_at_once_costs_little_memory_and_others_are_served(
+    tmp_path: Path,
+) -> None:
     """The process stands still while each bad client sends as much as the system takes; then it goes on, and
     all of it lies there at once. Good clients come in the middle and behind them."""
+
     async def scene() -> None:
         platform = Platform()
         await platform.start()
@@ -446,7 +550,13 @@
         platform.host("t", peer.port)
         node = await Node(tmp_path, platform, max_open=1000).start()
         pid, bad = node.process.pid, list[socket.socket]()
-        ends = [HEAD + b"X-", post(b"Content-Length: 60000000\r\n"), post(CHUNKED), b"\x16\x03", b""]
+        ends = [
+            HEAD + b"X-",
+            post(b"Content-Length: 60000000\r\n"),
+            post(CHUNKED),
+            b"\x16\x03",
+            b"",
+        ]
         filler = [b"a", b"a", b"1\r\na\r\n", b"\0", b"GET /no HTTP/1.1\r\n\r\n"]
         try:
             await node.hand_in("first", "status")
@@ -460,24 +570,36 @@
                     ahead = message(f"ahead{n}", "status") if n % 2 else b""
                     sock.sendall(ahead + begin + 1_000_000 // len(more) * more)
                 bad.append(sock)
-            good = [asyncio.create_task(node.hand_in(f"good{n}", "status")) for n in range(20)]
+            good = [
+                asyncio.create_task(node.hand_in(f"good{n}", "status"))
+                for n in range(20)
+            ]
             os.kill(pid, signal.SIGCONT)
             async with asyncio.timeout(PATIENCE):
-                assert {status for status, _ in await asyncio.gather(*good)} <= {202, 429, 503}
+                assert {status for status, _ in await asyncio.gather(*good)} <= {
+                    202,
+                    429,
+                    503,
+                }
             assert (await node.hand_in("last", "status"))[0] == 202
             assert peak_kb(pid) - before < 16 * 1024
         finally:
             for sock in bad:
                 sock.close()
             await node.end()
+
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("says", [b"", b"P", b"\r\n", HEAD, HEAD + FIVE + b"\r\nhel",
-                                  HEAD + CHUNKED + b"\r\n1"])
+@pytest.mark.parametrize(
+    "says",
+    [b"", b"P", b"\r\n", HEAD, HEAD + FIVE + b"\r\nhel", HEAD + CHUNKED + b"\r\n1"],
+)
 def test_half_a_request_with_its_end_behind_it_is_closed_at_once(
-        says: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    says: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The end of the client's side comes before its request's, so nothing more can come. The clock stands."""
+
     async def scene(server: Door) -> None:
         reader, writer, _ = await server.connect()
         writer.write(says)
@@ -487,4 +609,5 @@
         await server.until(lambda: not server.connections)
         assert not server.taken
         writer.close()
+
     play(scene, monkeypatch)
