--- a/tests/test_list_told_in_time.py
+++ b/tests/test_list_told_in_time.py
@@ -20,7 +20,13 @@
 from lemonshunt.net import discovery
 from lemonshunt.net.config import Address, HostList
 from lemonshunt.net.desk import ROUND_US
-from lemonshunt.net.discovery import MOVED_S, TOLD_S, Watch, told_after_move_s, told_within_s
+from lemonshunt.net.discovery import (
+    MOVED_S,
+    TOLD_S,
+    Watch,
+    told_after_move_s,
+    told_within_s,
+)
 from lemonshunt.wirehost import settings
 from tests.sockets import SETTINGS, Answer, Peer, Request
 
@@ -46,7 +52,10 @@
     jumps = Jumps()
     loop = asyncio.SelectorEventLoop(jumps)
     loop.time = lambda: jumps.now  # type: ignore[method-assign]
-    with (pytest.MonkeyPatch.context() as patch, asyncio.Runner(loop_factory=lambda: loop) as runner):
+    with (
+        pytest.MonkeyPatch.context() as patch,
+        asyncio.Runner(loop_factory=lambda: loop) as runner,
+    ):
         patch.setattr(discovery, "time", SimpleNamespace(monotonic=loop.time))
         runner.run(scene())
 
@@ -56,7 +65,9 @@
 
     def __init__(self, where: Address, pushed: bool, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
-        known = replace(settings({**SETTINGS, "discovery": "pushed" if pushed else "on_request"}))
+        known = replace(
+            settings({**SETTINGS, "discovery": "pushed" if pushed else "on_request"})
+        )
         self.dispatcher = Dispatcher(known, seed, self.now())
         self.watch = Watch(where, 0, self.listed, seed, pushed=pushed)
         self.events: list[i.Event] = []
@@ -75,7 +86,11 @@
         events, self.events = self.events, []
         for action in self.dispatcher.handle(self.now(), events):
             if isinstance(action, i.SetTimer):
-                self.loop.call_later(action.delay_us / SECOND + 0.001, self.post, i.TimerDue(action.token))
+                self.loop.call_later(
+                    action.delay_us / SECOND + 0.001,
+                    self.post,
+                    i.TimerDue(action.token),
+                )
             elif isinstance(action, i.Subscribe):
                 self.watch.subscribe()
 
@@ -99,14 +114,29 @@
 
 
 def listing(seq: int, health: str | None, whole: bool = True) -> Answer:
-    hosts = [] if health is None else [
-        {"host": "s1", "dial": "127.0.0.1:9", "site": "x", "class": "plain", "block": 7, "health": health,
-         "share": 1.0, "born_ms": 0}]
-    return Answer(200, body=json.dumps({"seq": seq, "whole": whole, "hosts": hosts}).encode())
+    hosts = (
+        []
+        if health is None
+        else [
+            {
+                "host": "s1",
+                "dial": "127.0.0.1:9",
+                "site": "x",
+                "class": "plain",
+                "block": 7,
+                "health": health,
+                "share": 1.0,
+                "born_ms": 0,
+            }
+        ]
+    )
+    return Answer(
+        200, body=json.dumps({"seq": seq, "whole": whole, "hosts": hosts}).encode()
+    )
 
 
 SILENT = b""
-HALF = b"HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{\"seq\": 2, "
+HALF = b'HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{"seq": 2, '
 
 
 class Agent:
@@ -138,12 +168,16 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_the_longest_way_stays_under_the_time_from_which_a_change_binds(pushed: bool) -> None:
+def test_the_longest_way_stays_under_the_time_from_which_a_change_binds(
+    pushed: bool,
+) -> None:
     assert told_within_s(pushed) <= TOLD_S - ROOM_S
     assert told_after_move_s(pushed) <= MOVED_S - 0.4
     answer = discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S
     held = discovery.HOLD_MS / 1000 + discovery.LATE_S
-    pause = discovery.SPREAD * discovery.PUSHED_PAUSE_S if pushed else ASK_MOST_US / SECOND
+    pause = (
+        discovery.SPREAD * discovery.PUSHED_PAUSE_S if pushed else ASK_MOST_US / SECOND
+    )
     assert told_within_s(pushed) >= held + 3 * (pause + answer)
     # A watch continues only where the next call comes within 200 ms, and counts for 2 s after its wait.
     assert discovery.LEAST_WATCH_S <= 0.1
@@ -157,15 +191,19 @@
         answer = discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S
         assert watch.call() == ("/discovery/hosts?from=5&hold_ms=0", answer)
         watch.sure = True
-        assert watch.call() == (f"/discovery/hosts?from=5&hold_ms={discovery.HOLD_MS}",
-                                discovery.HOLD_MS / 1000 + discovery.LATE_S)
+        assert watch.call() == (
+            f"/discovery/hosts?from=5&hold_ms={discovery.HOLD_MS}",
+            discovery.HOLD_MS / 1000 + discovery.LATE_S,
+        )
         watch.seq = discovery.NO_VERSION
         assert watch.call() == ("/discovery/hosts", answer)
         most = SimpleNamespace(uniform=lambda a, b: b)
         watch.random = most  # type: ignore[assignment]
         for watch.failures in range(11):
             assert watch.pause_s() == discovery.SPREAD * (
-                discovery.PUSHED_PAUSE_S if pushed else discovery.INSIST_PAUSE_S)
+                discovery.PUSHED_PAUSE_S if pushed else discovery.INSIST_PAUSE_S
+            )
+
     asyncio.run(scene())
 
 
@@ -199,12 +237,17 @@
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("last", ["status", "half", "cut", "stale", "garbage"])
 def test_a_change_reaches_the_module_in_time_on_the_longest_way(
-        pushed: bool, failures: int, last: str) -> None:
+    pushed: bool, failures: int, last: str
+) -> None:
     """So many failures, then one good answer; the watch after it goes silent, and discovery gets the drain in
     that moment. The next call is silent, the one after is spoilt, the last is as late as it may."""
     spoilt: dict[str, Answer | bytes | None] = {
-        "status": Answer(503), "half": HALF, "cut": None, "stale": listing(0, None, whole=False),
-        "garbage": Answer(200, body=b"{")}
+        "status": Answer(503),
+        "half": HALF,
+        "cut": None,
+        "stale": listing(0, None, whole=False),
+        "garbage": Answer(200, body=b"{"),
+    }
 
     async def scene() -> None:
         agent = Agent()
@@ -222,20 +265,27 @@
         had = rig.loop.time()  # the held watch is dead, and now the drain comes
         agent.health, agent.seq = "draining", 2
         agent.left = [SILENT, spoilt[last]]
-        agent.slow = 0.95 * (discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S)
+        agent.slow = 0.95 * (
+            discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S
+        )
         await rig.until(lambda: not rig.serves())
         took = rig.loop.time() - had
-        assert discovery.HOLD_MS / 1000 < took <= told_within_s(pushed) <= TOLD_S - ROOM_S
+        assert (
+            discovery.HOLD_MS / 1000 < took <= told_within_s(pushed) <= TOLD_S - ROOM_S
+        )
         rig.watch.pause()
         peer.server.close()
+
     in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("silent", [0.1, 1.0, 1.7, 2.1, 3.0, 20.0])
 @pytest.mark.parametrize("pushed", [False, True])
 def test_an_agent_that_was_silent_is_heard_at_once_on_its_return(
-        pushed: bool, silent: float) -> None:
+    pushed: bool, silent: float
+) -> None:
     """However many calls it left unanswered, what it has then is heard within a call, a pause, a call."""
+
     async def scene() -> None:
         agent = Agent()
         peer = await Peer(agent).start()
@@ -248,22 +298,35 @@
         agent.health, agent.seq, agent.left = "draining", 2, []
         back = rig.loop.time()
         await rig.until(lambda: not rig.serves())
-        answer, pause = (discovery.PUSHED_ANSWER_S, discovery.SPREAD * discovery.PUSHED_PAUSE_S) if pushed \
+        answer, pause = (
+            (discovery.PUSHED_ANSWER_S, discovery.SPREAD * discovery.PUSHED_PAUSE_S)
+            if pushed
             else (discovery.ANSWER_S, ASK_MOST_US / SECOND)
+        )
         held = max(0.0, discovery.HOLD_MS / 1000 + discovery.LATE_S - silent)
         assert rig.loop.time() - back <= max(held, answer) + pause + discovery.ROUND_S
         rig.watch.pause()
         peer.server.close()
+
     in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-@pytest.mark.parametrize("first, second", [
-    (SILENT, SILENT), (SILENT, Answer(503)), (HALF, Answer(200, body=b"[")), (None, HALF),
-    (listing(3, None, whole=False), SILENT)])
+@pytest.mark.parametrize(
+    "first, second",
+    [
+        (SILENT, SILENT),
+        (SILENT, Answer(503)),
+        (HALF, Answer(200, body=b"[")),
+        (None, HALF),
+        (listing(3, None, whole=False), SILENT),
+    ],
+)
 def test_after_sighup_the_new_address_is_heard_in_time(
-        pushed: bool, first: Answer | bytes | None, second: Answer | bytes | None) -> None:
+    pushed: bool, first: Answer | bytes | None, second: Answer | bytes | None
+) -> None:
     """Two calls there that fail as late as they may; the module may be pausing after failures of before."""
+
     async def scene() -> None:
         old, new = Agent(), Agent()
         old.left = [listing(1, "up"), *[SILENT] * 10_000]
@@ -282,12 +345,14 @@
         rig.watch.pause()
         for peer in peers:
             peer.server.close()
+
     in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_after_sighup_a_watch_that_goes_silent_at_once_is_found_out_in_time(
-        pushed: bool) -> None:
+    pushed: bool,
+) -> None:
     async def scene() -> None:
         old, new = Agent(), Agent()
         peers = [await Peer(agent).start() for agent in (old, new)]
@@ -305,4 +370,5 @@
         rig.watch.pause()
         for peer in peers:
             peer.server.close()
+
     in_virtual_time(scene)
--- a/tests/test_live_work.py
+++ b/tests/test_live_work.py
@@ -31,7 +31,11 @@
     for step in range(600):
         kind = draw.randrange(5)
         if kind < 3 or not state.messages:  # also of a name that lives already
-            state._keep(live(f"m{draw.randrange(200)}", draw.randrange(4), draw.randrange(2 * S)))
+            state._keep(
+                live(
+                    f"m{draw.randrange(200)}", draw.randrange(4), draw.randrange(2 * S)
+                )
+            )
         elif kind == 3:
             state._over([draw.choice(list(state.messages))])
         else:
@@ -41,15 +45,22 @@
             state.shift(draw.randrange(-S, S))
         at = draw.randrange(-S, 3 * S)
         assert sorted(state.index.due_before(at)) == sorted(
-            m.id for m in state.messages.values() if m.due_us < at)
-        assert state.index.by_destination == Counter(m.destination for m in state.messages.values())
+            m.id for m in state.messages.values() if m.due_us < at
+        )
+        assert state.index.by_destination == Counter(
+            m.destination for m in state.messages.values()
+        )
 
 
 def test_messages_given_away_are_in_no_index() -> None:
     state = State()
     state._keep(live("m", 7, 5))
     state.forget_messages()
-    assert not state.messages and not state.index.due_before(S) and not state.index.by_destination
+    assert (
+        not state.messages
+        and not state.index.due_before(S)
+        and not state.index.by_destination
+    )
 
 
 def test_the_watch_over_ends_visits_only_what_is_due() -> None:
@@ -77,23 +88,35 @@
         events: list[i.Event] = [i.TimerDue("look")]
         if draw.random() < 0.7:
             tenant = draw.choice(("city", "county", None))
-            events.append(ask(f"m{number}", dest=draw.choice((10, 11)), cls=draw.choice(("safe", "keyed")),
-                              due=now + draw.randrange(200, 4000) * MS, tenant=tenant))
+            events.append(
+                ask(
+                    f"m{number}",
+                    dest=draw.choice((10, 11)),
+                    cls=draw.choice(("safe", "keyed")),
+                    due=now + draw.randrange(200, 4000) * MS,
+                    tenant=tenant,
+                )
+            )
         elif out:
             send = out.pop(draw.randrange(len(out)))
             attempt = dispatcher.messages[send.message].attempts - 1
-            outcome = draw.choice((i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.NOT_SENT))
+            outcome = draw.choice(
+                (i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.NOT_SENT)
+            )
             events.append(end(send, outcome, attempt, 5 * MS))
         actions = dispatcher.handle(now, events)
         out += sends(actions)
-        walked = {destination: Counter((m.cls.name, m.tenant) for m in pile.values())
-                  for destination, pile in dispatcher.held.piles.items()}
+        walked = {
+            destination: Counter((m.cls.name, m.tenant) for m in pile.values())
+            for destination, pile in dispatcher.held.piles.items()
+        }
         assert dispatcher.held.demand() == walked
     assert dispatcher.counted > 150
 
 
 def test_past_a_bound_of_messages_the_collector_looks_through_what_is_new_alone(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     e, rounds = engine(tmp_path), list[int]()
     monkeypatch.setattr(starting, "FULL_ROUND_UP_TO", 2)
     monkeypatch.setattr(gc, "collect", rounds.append)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -9,13 +9,23 @@
 from lemonshunt.state import Message
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 
-OK, FULL, LATE, FAILED = i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.TIMED_OUT, i.Outcome.FAILED
+OK, FULL, LATE, FAILED = (
+    i.Outcome.DELIVERED,
+    i.Outcome.FULL,
+    i.Outcome.TIMED_OUT,
+    i.Outcome.FAILED,
+)
 COLD_CALLS = 6.0  # 10 calls a second x 0.2 cold x factor 2 x 1.5 s: what a cold target 1 can take in fall_us
 TOLD = (i.TargetEntry(1, 10, "north", "plain", weight=10.0),)
 
 
 def fleet(number: int, **changes: object) -> list[Dispatcher]:
-    base = {"balancers": number, "weights_told": True, "slots": 3, "max_attempts": 10**6}
+    base = {
+        "balancers": number,
+        "weights_told": True,
+        "slots": 3,
+        "max_attempts": 10**6,
+    }
     known = settings(**base | changes)
     made = [Dispatcher(known, seed, 0) for seed in range(number)]
     for d in made:
@@ -67,7 +77,9 @@
                 last = [t for t in last if t > now - S] + [now]
                 attempt = tries[a.message] = tries.get(a.message, -1) + 1
                 good += len(last) <= limit
-                pending[n].append(end(a, OK if len(last) <= limit else FULL, attempt, 20 * MS))
+                pending[n].append(
+                    end(a, OK if len(last) <= limit else FULL, attempt, 20 * MS)
+                )
     return good
 
 
@@ -78,17 +90,25 @@
 
 @pytest.mark.parametrize("number", [1, 3, 60, 300])
 @pytest.mark.parametrize("outcome", [FAILED, i.Outcome.NO_CONNECTION, i.Outcome.RESET])
-def test_cold_budget_holds_for_all_forwarders_together(number: int, outcome: i.Outcome) -> None:
+def test_cold_budget_holds_for_all_forwarders_together(
+    number: int, outcome: i.Outcome
+) -> None:
     """Rule 4: whenever after 12 s the target returns, what the informed send stays about its cold budget."""
     times = failing(number, outcome, 20 * S)
     assert times, "none tried at all"
-    holders = number * 3 / 12  # where every forwarder holds three messages: far more than a target's traffic
+    holders = (
+        number * 3 / 12
+    )  # where every forwarder holds three messages: far more than a target's traffic
     assert most_in_window(times, 12 * S, 1500 * MS) <= max(2 * COLD_CALLS, holders)
 
 
-@pytest.mark.parametrize(("number", "times", "least"), [(4, 4.0, 0.4), (40, 1.2, 0.56), (40, 4.0, 0.5),
-                                                        (80, 1.2, 0.5), (80, 4.0, 0.4)])
-def test_refused_calls_leave_a_limit_that_counts_them_in_use(number: int, times: float, least: float) -> None:
+@pytest.mark.parametrize(
+    ("number", "times", "least"),
+    [(4, 4.0, 0.4), (40, 1.2, 0.56), (40, 4.0, 0.5), (80, 1.2, 0.5), (80, 4.0, 0.4)],
+)
+def test_refused_calls_leave_a_limit_that_counts_them_in_use(
+    number: int, times: float, least: float
+) -> None:
     """Routes that count refused calls delivered nothing for 10 s: all came back for each refusal, and began
     and grew so fast that what came near the limit went over it."""
     assert served(number, 10, 20 * S, times) >= least * 10 * 20
@@ -170,12 +190,16 @@
     assert actions.index(i.CloseIdle(1)) < actions.index(sends(actions)[0])
 
 
-def test_an_event_costs_what_its_destination_holds(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_event_costs_what_its_destination_holds(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """At full size days were cut off for CPU: each event scanned and sorted all that was held."""
     entries = tuple(i.TargetEntry(n, n, "north", "plain") for n in range(2000))
     d = Dispatcher(settings(slots=4000), 1, 0)
     d.handle(0, [i.Listed(i.ListKind.SAVED, entries)])
-    d.handle(0, [ask(f"m{n}-{k}", n, due=60 * S) for n in range(2000) for k in range(3)])
+    d.handle(
+        0, [ask(f"m{n}-{k}", n, due=60 * S) for n in range(2000) for k in range(3)]
+    )
     looked: list[int] = []
     plain = Dispatcher.drop_at
 
@@ -205,7 +229,15 @@
 def test_routes_apart_together_leave_a_quarter_of_the_slots() -> None:
     """Each route has a window of its own: together they must not take every slot from other destinations."""
     d = Dispatcher(settings(), 1, 0)
-    d.handle(0, [i.Listed(i.ListKind.SAVED, tuple(i.TargetEntry(n, 12, "north", "ways") for n in range(4)))])
+    d.handle(
+        0,
+        [
+            i.Listed(
+                i.ListKind.SAVED,
+                tuple(i.TargetEntry(n, 12, "north", "ways") for n in range(4)),
+            )
+        ],
+    )
     out = sends(d.handle(0, [ask(f"m{n}", 12, due=60 * S) for n in range(90)]))
     most = now = 0
     while now < 2 * S:
@@ -223,7 +255,10 @@
     d.handle(100 * MS, [end(out, OK)])
     out = sends(d.handle(2 * S, [ask("b", due=9 * S)]))[0]
     d.handle(4 * S, [end(out, i.Outcome.TIMED_OUT, took=2 * S), i.Withdrawn("b")])
-    assert d.targets[1].failing > 0 and d.expected(d.targets[1].place, d.classes["safe"]) > 400 * MS
+    assert (
+        d.targets[1].failing > 0
+        and d.expected(d.targets[1].place, d.classes["safe"]) > 400 * MS
+    )
     actions = d.handle(6 * S, [ask("c", due=15 * S)])
     assert sends(actions) and i.CloseIdle(1) not in actions
 
@@ -242,13 +277,17 @@
     assert d.targets[1].place.shares == pytest.approx(0.1)
 
 
-def test_a_target_is_held_to_have_come_back_before_the_first_call_that_tells_so() -> None:
+def test_a_target_is_held_to_have_come_back_before_the_first_call_that_tells_so() -> (
+    None
+):
     """Each calls it every 10 s, and all warmed it from when they heard of it: it got half of what it took."""
     d = fleet(40)[0]
     outs = []
     for n, now in enumerate((0, 5 * S)):
         outs += sends(d.handle(now, [ask(f"m{n}", due=60 * S)]))
-        d.handle(now + MS, [end(outs[-1], i.Outcome.NO_CONNECTION), i.Withdrawn(f"m{n}")])
+        d.handle(
+            now + MS, [end(outs[-1], i.Outcome.NO_CONNECTION), i.Withdrawn(f"m{n}")]
+        )
     assert d.cold(d.targets[1])
     actions, now = d.handle(6 * S, [ask("back", due=60 * S)]), 6 * S
     while not sends(actions):
@@ -264,13 +303,24 @@
 def test_endpoints_that_share_a_limit_are_held_to_have_come_back_together() -> None:
     """Each of three was tried first at its own next turn, up to 9 s later, while messages were given up."""
     d = fleet(40)[0]
-    d.handle(0, [i.Listed(i.ListKind.SAVED, tuple(i.TargetEntry(n, 10, "north", "plain", weight=30.0)
-                                                  for n in (1, 2)))])
+    d.handle(
+        0,
+        [
+            i.Listed(
+                i.ListKind.SAVED,
+                tuple(
+                    i.TargetEntry(n, 10, "north", "plain", weight=30.0) for n in (1, 2)
+                ),
+            )
+        ],
+    )
     now = 0
     for n in range(8):
         now += 4 * S
         for a in sends(d.handle(now, [ask(f"m{n}", due=now + 60 * S)])):
-            d.handle(now + MS, [end(a, i.Outcome.NO_CONNECTION), i.Withdrawn(a.message)])
+            d.handle(
+                now + MS, [end(a, i.Outcome.NO_CONNECTION), i.Withdrawn(a.message)]
+            )
     assert all(d.cold(t) and t.back_at < 0 for t in d.targets.values())
     d.handle(now, [ask("back", due=now + 60 * S)])
     actions: list[i.Action] = []
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -86,7 +86,9 @@
     fleet.beat(138, *TEN[7:])
     fleet.pass_to(138)
     assert list(fleet.states().values()) == ["lost"] * 7 + ["alive"] * 3
-    assert fleet.roster.frozen_until(138) == 138 + OUT  # counted from a renewal after the last loss
+    assert (
+        fleet.roster.frozen_until(138) == 138 + OUT
+    )  # counted from a renewal after the last loss
     fleet.beat(140, *TEN[7:])
     for name in TEN[:7]:
         assert isinstance(fleet.join(141, name), Grant)
@@ -94,19 +96,27 @@
     assert fleet.roster.frozen_until(140 + OUT) == 140 + OUT
 
 
-def test_nothing_is_divided_while_nobody_renews_however_long_the_service_is_up() -> None:
+def test_nothing_is_divided_while_nobody_renews_however_long_the_service_is_up() -> (
+    None
+):
     fleet = ten(100)
     fleet.pass_to(200)
     assert fleet.roster.frozen_until(10_000) == 10_000 + OUT
     fleet.join(10_001, "f1")
     assert fleet.roster.frozen_until(10_001 + OUT) == 10_001 + OUT
     assert fleet.roster.frozen_until(10_001 + OUT + 1) == 10_001 + 2 * OUT + 1
-    fleet.join(10_001 + OUT + 1, "f2")  # the first renewed too late: the time up is counted anew
+    fleet.join(
+        10_001 + OUT + 1, "f2"
+    )  # the first renewed too late: the time up is counted anew
     assert fleet.roster.frozen_until(10_001 + OUT + 1) == 10_001 + 2 * OUT + 1
 
 
-@pytest.mark.parametrize("gone", ["left", "revoked", "one lost", "five lost", "six lost"])
-def test_only_many_that_are_lost_freeze_not_those_that_leave_or_are_revoked(gone: str) -> None:
+@pytest.mark.parametrize(
+    "gone", ["left", "revoked", "one lost", "five lost", "six lost"]
+)
+def test_only_many_that_are_lost_freeze_not_those_that_leave_or_are_revoked(
+    gone: str,
+) -> None:
     fleet = ten(100)
     if gone == "one lost":
         fleet.roster.at_once = 0.05  # more than this share, but never one alone
@@ -128,7 +138,7 @@
     fleet = ten(100)
     for n in range(6):
         for now in range(100 + n * 70, 170 + n * 70, 10):
-            fleet.beat(now, *TEN[n + 1:])
+            fleet.beat(now, *TEN[n + 1 :])
             fleet.pass_to(now)
             assert fleet.roster.frozen_until(now) <= now
     assert len(fleet.roster.in_force()) == 4
@@ -138,14 +148,20 @@
     fleet = ten(100)
     fleet.beat(130, *TEN[6:])
     for name in TEN[:6]:
-        assert fleet.roster.frozen_until(135) <= 135 and isinstance(fleet.join(135, name), Grant)
+        assert fleet.roster.frozen_until(135) <= 135 and isinstance(
+            fleet.join(135, name), Grant
+        )
     assert fleet.roster.frozen_until(135) == 135 + OUT
 
 
 def test_two_processes_of_one_name_and_the_restart_of_the_same() -> None:
     fleet = Fleet()
     first = fleet.join(40, "f1", run="one")
-    assert isinstance(first, Grant) and first == fleet.join(41, "f1", run="one") or first.record
+    assert (
+        isinstance(first, Grant)
+        and first == fleet.join(41, "f1", run="one")
+        or first.record
+    )
     for run in ("two", ""):
         other = fleet.join(42, "f1", run=run)
         assert isinstance(other, Held) and other.retry_us == 41 + OUT - 42
@@ -155,11 +171,18 @@
         fleet.roster.beat(44, "f1", first.token)
     assert told.value.status == 409 and told.value.seen == again.token
     fleet.keep(fleet.roster.beat(44, "f1", again.token, Token(99, 1)).record)
-    assert fleet.roster.owed(fleet.roster.version, 1)["whole"] and fleet.roster.epoch == 100
-    assert isinstance(fleet.join(45, "f2"), Grant) and isinstance(fleet.join(45, "f2"), Held)
-
-
-def test_after_a_restart_all_count_as_renewed_and_a_fenced_member_is_not_taken_back() -> None:
+    assert (
+        fleet.roster.owed(fleet.roster.version, 1)["whole"]
+        and fleet.roster.epoch == 100
+    )
+    assert isinstance(fleet.join(45, "f2"), Grant) and isinstance(
+        fleet.join(45, "f2"), Held
+    )
+
+
+def test_after_a_restart_all_count_as_renewed_and_a_fenced_member_is_not_taken_back() -> (
+    None
+):
     fleet = Fleet()
     tokens = {name: fleet.join(40, name).token for name in ("f1", "f2")}
     fleet.beat(60, "f1")
@@ -175,14 +198,23 @@
     with pytest.raises(Refused):
         fleet.roster.beat(525, "f2", tokens["f2"])
     fleet.start(600, False)
-    assert fleet.states() == {} and isinstance(fleet.roster.beat(601, "f1", tokens["f1"]), Held)
+    assert fleet.states() == {} and isinstance(
+        fleet.roster.beat(601, "f1", tokens["f1"]), Held
+    )
 
 
-steps = st.lists(st.one_of(
-    st.tuples(st.sampled_from(["join", "join", "beat", "beat", "beat", "leave"]), st.sampled_from(TEN[:3])),
-    st.tuples(st.just("pass"), st.sampled_from([1, 6, 13, 20, 33])),
-    st.tuples(st.just("read"), st.integers(0, 2)),
-), min_size=15, max_size=40)
+steps = st.lists(
+    st.one_of(
+        st.tuples(
+            st.sampled_from(["join", "join", "beat", "beat", "beat", "leave"]),
+            st.sampled_from(TEN[:3]),
+        ),
+        st.tuples(st.just("pass"), st.sampled_from([1, 6, 13, 20, 33])),
+        st.tuples(st.just("read"), st.integers(0, 2)),
+    ),
+    min_size=15,
+    max_size=40,
+)
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -212,10 +244,15 @@
                     gone[what] = "left"
                     del last[what]
             except Refused as error:
-                assert what not in last and error.status == (409 if kind == "beat" else 404)
+                assert what not in last and error.status == (
+                    409 if kind == "beat" else 404
+                )
         elif kind == "pass":
             due = fleet.roster.next_us()
-            assert due == min((t + (LATE if now - t < LATE else OUT) for t in last.values()), default=None)
+            assert due == min(
+                (t + (LATE if now - t < LATE else OUT) for t in last.values()),
+                default=None,
+            )
             now, before = now + what, (fleet.roster.version, fleet.states())
             fleet.pass_to(now)
             assert (fleet.roster.version > before[0]) == (fleet.states() != before[1])
@@ -225,14 +262,20 @@
             told = fleet.roster.owed(*at[what])
             lists[what] = {} if told["whole"] else lists[what]
             lists[what].update((m["name"], m) for m in told["members"])
-            lists[what] = {n: m for n, m in lists[what].items() if m["state"] in ("alive", "suspect")}
+            lists[what] = {
+                n: m
+                for n, m in lists[what].items()
+                if m["state"] in ("alive", "suspect")
+            }
             at[what] = (told["version"], told["epoch"])
             assert lists[what] == {m.name: m.told() for m in fleet.roster.in_force()}
         want = {n: "suspect" if now - t >= LATE else "alive" for n, t in last.items()}
         assert fleet.states() == {**want, **gone}
 
 
-def test_a_reader_from_before_what_is_still_told_of_gets_all(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_reader_from_before_what_is_still_told_of_gets_all(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(module, "MOST_GONE", 2)
     fleet = Fleet()
     versions = []
@@ -241,7 +284,12 @@
         versions.append(fleet.roster.version)
         fleet.keep(fleet.roster.leave(40, name, fleet.token(name)))
     epoch = fleet.roster.epoch
-    assert [fleet.roster.owed(v, epoch)["whole"] for v in versions] == [True, True, False, False]
+    assert [fleet.roster.owed(v, epoch)["whole"] for v in versions] == [
+        True,
+        True,
+        False,
+        False,
+    ]
     assert len(fleet.roster.members) == 2
     assert fleet.roster.owed(fleet.roster.version + 1, epoch)["whole"]
     assert fleet.roster.owed(versions[-1], epoch + 1)["whole"]
@@ -251,7 +299,12 @@
     with pytest.raises(Refused) as told:
         Fleet().roster.join(40, "", "s" * 181, 7, "r" * 181)  # type: ignore[arg-type]
     assert told.value.status == 400
-    assert [f.split(":")[0] for f in told.value.faults] == ["name", "site", "dial", "run"]
+    assert [f.split(":")[0] for f in told.value.faults] == [
+        "name",
+        "site",
+        "dial",
+        "run",
+    ]
     with pytest.raises(Refused) as told:
         Roster(Table(TERMS), 9, 1.0, 0.0)
     assert [f.split(":")[0] for f in told.value.faults] == ["late", "at_once", "ttl_us"]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -35,7 +35,9 @@
     return Taken(name, "order", 7, 10**15, f"k-{name}", "acme", b"\n\0" * (size // 2))
 
 
-def test_store_gives_back_what_it_was_told_also_after_compacting(tmp_path: Path) -> None:
+def test_store_gives_back_what_it_was_told_also_after_compacting(
+    tmp_path: Path,
+) -> None:
     store = Store(tmp_path, 3_000_000)
     for name in "abcd":
         store.take(taken(name))
@@ -53,10 +55,21 @@
         store.flush()
         back = Store(tmp_path, 3_000_000)
         assert list(back.messages) == ["a", "b"] and back.messages == store.messages
-        assert (a.attempts, a.ran_at_us, a.ran_on, a.out) == (2, 50, "s1", {1: (60, "s2")})
+        assert (a.attempts, a.ran_at_us, a.ran_on, a.out) == (
+            2,
+            50,
+            "s1",
+            {1: (60, "s2")},
+        )
         assert (back.messages["b"].attempts, back.messages["b"].ran_at_us) == (1, -1)
-        assert back.owed == {"d": Owed("returned", 500)} and back.outages == {"s1": (5, -1)}
-        assert (back.seq, back.source, back.hosts) == (41, "127.0.0.1:8500", store.hosts)
+        assert back.owed == {"d": Owed("returned", 500)} and back.outages == {
+            "s1": (5, -1)
+        }
+        assert (back.seq, back.source, back.hosts) == (
+            41,
+            "127.0.0.1:8500",
+            store.hosts,
+        )
         assert back.live == store.live
         assert store.compact()
 
@@ -91,7 +104,9 @@
     return Call(1, (7, -1), clock(), [Item(name, 0, None, b"x", clock() + left_us)])
 
 
-def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> None:
+def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> (
+    None
+):
     async def scene() -> None:
         ends: list[i.Ended] = []
         peer = await Peer(always(OK)).start()
@@ -102,13 +117,16 @@
         await peer.until(lambda: peer.closed == 1)
         assert not peer.requests and [e.outcome for e in ends] == [i.Outcome.NOT_SENT]
         assert p.out == 0
+
     asyncio.run(scene())
 
 
 def test_send_that_waits_for_its_connection_heeds_a_wait_told_meanwhile() -> None:
     async def scene() -> None:
         ends: list[i.Ended] = []
-        peer = await Peer(always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)).start()
+        peer = await Peer(
+            always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)
+        ).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "a"))
@@ -121,6 +139,7 @@
             await asyncio.sleep(0.005)
         assert ends[1].outcome is i.Outcome.NOT_SENT and len(peer.requests) == 1
         p.close()
+
     asyncio.run(scene())
 
 
@@ -128,13 +147,16 @@
     d = Dispatcher(settings(SETTINGS), 1, 0)
     replaced = 512  # at once
     for first in range(0, 4 * MOST_TARGETS_GONE, replaced):
-        newest = tuple(i.TargetEntry(n, 7, kind="plain") for n in range(first, first + replaced))
+        newest = tuple(
+            i.TargetEntry(n, 7, kind="plain") for n in range(first, first + replaced)
+        )
         d.handle(first, [i.Listed(i.ListKind.WHOLE, newest)])
         assert len(d.targets) <= MOST_TARGETS_GONE + replaced and first in d.targets
 
 
 def test_idle_connection_is_closed_before_its_target_would() -> None:
     """The module closes some by itself; the pool must close what it leaves."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
         peer = await Peer(always(OK)).start()
@@ -142,7 +164,12 @@
         p.serving({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
-        assert [e.outcome for e in ends] == [i.Outcome.DELIVERED] and not p.idle and not p.sweeping
+        assert (
+            [e.outcome for e in ends] == [i.Outcome.DELIVERED]
+            and not p.idle
+            and not p.sweeping
+        )
+
     asyncio.run(scene())
 
 
@@ -162,7 +189,9 @@
     def get_write_buffer_size(self) -> int:
         return 1
 
-    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+    def set_write_buffer_limits(
+        self, high: int | None = None, low: int | None = None
+    ) -> None:
         pass
 
     def is_closing(self) -> bool:
@@ -187,6 +216,7 @@
             connection.connection_lost(None)
         assert [e.outcome for e in ends] == [i.Outcome.NO_CONNECTION, i.Outcome.RESET]
         p.idle.clear()
+
     asyncio.run(scene())
 
 
@@ -210,55 +240,83 @@
         p.cancel("n", 0)
         assert ends[1].outcome is i.Outcome.CANCELED
         p.close()
+
     asyncio.run(scene())
 
 
 def test_shared_call_is_given_up_as_a_whole_with_its_connection() -> None:
     """One message used to be given up while the call stayed open for the others: what came for these later
     did not count, and the next of a key went out while the target still had the one before."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
         peer = await Peer(hang).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
         now = Clock()()
-        p.start(Call(1, (7, -1), now, [Item("long", 0, None, b"", now + 10**9),
-                                       Item("short", 0, None, b"", now + 10**7)]))
+        p.start(
+            Call(
+                1,
+                (7, -1),
+                now,
+                [
+                    Item("long", 0, None, b"", now + 10**9),
+                    Item("short", 0, None, b"", now + 10**7),
+                ],
+            )
+        )
         request = (await peer.got(1))[0]
         assert float(request.headers["x-time-left"]) <= 10
         p.cancel("short", 0)
         assert {(e.message, e.outcome) for e in ends} == {
-            ("long", i.Outcome.CANCELED), ("short", i.Outcome.CANCELED)}
+            ("long", i.Outcome.CANCELED),
+            ("short", i.Outcome.CANCELED),
+        }
         while p.all:
             await asyncio.sleep(0.005)
         assert p.out == 0 and not p.calls
         p.close()
+
     asyncio.run(scene())
 
 
-def test_shared_call_ends_for_all_with_the_first_of_its_messages_to_run_out_of_time() -> None:
+def test_shared_call_ends_for_all_with_the_first_of_its_messages_to_run_out_of_time() -> (
+    None
+):
     """It used to stay out for the others. An endpoint that hung may answer when the platform holds the first
     to be over: what it said of the others counted here, and for nobody else."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
         peer = await Peer(hang).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
         now = Clock()()
-        p.start(Call(1, (7, -1), now, [Item("long", 0, None, b"", now + 10**9),
-                                       Item("short", 0, None, b"", now + 300_000),
-                                       Item("later", 0, None, b"", now + 10**7)]))
+        p.start(
+            Call(
+                1,
+                (7, -1),
+                now,
+                [
+                    Item("long", 0, None, b"", now + 10**9),
+                    Item("short", 0, None, b"", now + 300_000),
+                    Item("later", 0, None, b"", now + 10**7),
+                ],
+            )
+        )
         request = (await peer.got(1))[0]
         assert float(request.headers["x-time-left"]) <= 0.3
         async with asyncio.timeout(10):
             while not ends:
                 await asyncio.sleep(0.005)
         assert [(e.message, e.outcome) for e in ends] == [
-            (name, i.Outcome.TIMED_OUT) for name in ("long", "short", "later")]
+            (name, i.Outcome.TIMED_OUT) for name in ("long", "short", "later")
+        ]
         assert p.out == 0 and not p.calls
         while p.all:
             await asyncio.sleep(0.005)
         p.close()
+
     asyncio.run(scene())
 
 
@@ -276,6 +334,7 @@
         p.close_idle(1)
         await peer.until(lambda: peer.closed == 1)
         p.close()
+
     asyncio.run(scene())
 
 
@@ -287,6 +346,7 @@
         def hand_in(handed: Handed, door: ClientConnection) -> None:
             door.left = gone.set
             came.put_nowait(handed)
+
         server = Server(settings(SETTINGS), Clock(), 10, hand_in)
         await server.listen("127.0.0.1", 0)
         assert server.listener is not None
@@ -298,6 +358,7 @@
         async with asyncio.timeout(20):
             await gone.wait()
         await server.close()
+
     asyncio.run(scene())
 
 
@@ -307,13 +368,16 @@
         await server.listen("127.0.0.1", 0)
         assert server.listener is not None
         port = server.listener.sockets[0].getsockname()[1]
-        first, *others = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
+        first, *others = [
+            await asyncio.open_connection("127.0.0.1", port) for _ in range(3)
+        ]
         async with asyncio.timeout(20):
             assert await first[0].read() == b""
         others[1][1].write(b"GET /up HTTP/1.1\r\n\r\n")
         async with asyncio.timeout(20):
             assert (await others[1][0].readline()).startswith(b"HTTP/1.1 200")
         await server.close()
+
     asyncio.run(scene())
 
 
@@ -322,6 +386,7 @@
     good = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
     copy = b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
     for more in (copy, b"\0\1noise\r\n"):
+
         async def scene(more: bytes = more) -> None:
             ends: list[i.Ended] = []
             peer = await Peer(always(good + more, OK)).start()
@@ -332,9 +397,12 @@
             p.start(call(Clock(), "n"))
             while len(ends) < 2:
                 await asyncio.sleep(0.005)
-            assert [e.outcome for e in ends] == [i.Outcome.DELIVERED] * 2 and ends[0].wait_us == 0
+            assert [e.outcome for e in ends] == [i.Outcome.DELIVERED] * 2 and ends[
+                0
+            ].wait_us == 0
             assert len({r.writer for r in peer.requests}) == 2
             p.close()
+
         asyncio.run(scene())
 
 
@@ -350,7 +418,9 @@
         connection = p.idle[1][0]
         assert connection.transport is not None
         connection.transport.pause_reading()  # as if it had come this very moment
-        peer.requests[0].writer.write(b"HTTP/1.1 500 Not yours\r\nContent-Length: 0\r\n\r\n")
+        peer.requests[0].writer.write(
+            b"HTTP/1.1 500 Not yours\r\nContent-Length: 0\r\n\r\n"
+        )
         await peer.requests[0].writer.drain()
         while connection.quiet():
             await asyncio.sleep(0.005)
@@ -359,6 +429,7 @@
             await asyncio.sleep(0.005)
         assert [e.outcome for e in ends] == [i.Outcome.DELIVERED] * 2
         p.close()
+
     asyncio.run(scene())
 
 
@@ -369,8 +440,15 @@
     for wait in ("nan", "inf", "-5", "1e9", "9" * 40, "", "x", "1_0"):
         reader.headers = {"x-ratelimit-wait-ms": wait}
         assert wait_us(reader) == 0
-    for report in ("x0=nan,x1=1", "x0=0.5,x1=inf", "x0=-1,x1=5", "x0=0.5,x1=" + "9" * 30, "x0=0.5", "=,=",
-                   "\xff"):
+    for report in (
+        "x0=nan,x1=1",
+        "x0=0.5,x1=inf",
+        "x0=-1,x1=5",
+        "x0=0.5,x1=" + "9" * 30,
+        "x0=0.5",
+        "=,=",
+        "\xff",
+    ):
         reader.headers = {"x-backend-load": report}
         assert p.report(reader) is None
     reader.headers = {"x-backend-load": "x0=0.4, x1=25", "x-ratelimit-wait-ms": "12.5"}
@@ -378,14 +456,20 @@
 
 
 def test_answers_ahead_are_left_out_and_an_end_may_stand_for_a_length() -> None:
-    for data in (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\n",
-                 b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"):
+    for data in (
+        b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\n",
+        b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
+    ):
         reader = ResponseReader()
         for byte in data + b"HTTP/1.1 503 Full\r\nX-Over-Slots: 1\r\n\r\n":
             reader.feed(bytes([byte]))
         assert not reader.complete and reader.first_line == 503
         reader.ended()
-        assert reader.complete and reader.status == 503 and reader.headers == {"x-over-slots": "1"}
+        assert (
+            reader.complete
+            and reader.status == 503
+            and reader.headers == {"x-over-slots": "1"}
+        )
     with pytest.raises(BadAnswer):
         ResponseReader().feed(b"HTTP/1.1 100 Continue\r\n\r\n" * 5000)
 
@@ -402,8 +486,13 @@
         p.start(two)
         while len(ends) < 2:
             await asyncio.sleep(0.005)
-        assert {e.outcome for e in ends} == {i.Outcome.SPOILT} and p.out == 0 and not p.calls
+        assert (
+            {e.outcome for e in ends} == {i.Outcome.SPOILT}
+            and p.out == 0
+            and not p.calls
+        )
         p.close()
+
     asyncio.run(scene())
 
 
@@ -419,17 +508,23 @@
             async with asyncio.timeout(20):
                 assert (await reader.readline()).startswith(b"HTTP/1.1 200")
                 await reader.readuntil(b"up\n")
-            silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(40)]
+            silent = [
+                await asyncio.open_connection("127.0.0.1", port) for _ in range(40)
+            ]
             async with asyncio.timeout(20):
                 for r, _ in silent[:-5]:
                     assert await r.read() == b""
         await server.close()
+
     asyncio.run(scene())
 
 
 def test_broken_connections_are_weak_signs_of_an_outage() -> None:
     """Two resets running used to make a sound target cold for seconds; refused connections still do."""
-    for outcome, weak, marked in ((i.Outcome.RESET, True, False), (i.Outcome.NO_CONNECTION, False, True)):
+    for outcome, weak, marked in (
+        (i.Outcome.RESET, True, False),
+        (i.Outcome.NO_CONNECTION, False, True),
+    ):
         d = Dispatcher(settings(SETTINGS), 1, 0)
         d.handle(0, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(1, 7, kind="plain"),))])
         seen: list[i.Action] = []
@@ -439,7 +534,13 @@
             sent = d.handle(now, [i.Arrived(f"m{n}", 7, "status", now + 9_000_000)])
             assert n and marked or any(isinstance(a, i.Send) for a in sent)
             now += 20_000
-            seen += d.handle(now, [i.Ended(f"m{n}", 0, 1, outcome, 20_000, weak=weak), i.Withdrawn(f"m{n}")])
+            seen += d.handle(
+                now,
+                [
+                    i.Ended(f"m{n}", 0, 1, outcome, 20_000, weak=weak),
+                    i.Withdrawn(f"m{n}"),
+                ],
+            )
         assert any(isinstance(a, i.Outage) for a in seen) is marked
 
 
@@ -462,6 +563,7 @@
         async def late(request: object) -> Answer:
             await free.wait()
             return OK
+
         old, new = await Peer(late).start(), await Peer(always(OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", old.port)})
@@ -473,19 +575,38 @@
         p.start(call(Clock(), "n"))
         await new.got(1)
         p.close()
+
     asyncio.run(scene())
 
 
 def engine(folder: Path) -> Engine:
     listen = Address("127.0.0.1", 9)
-    hosts = tuple(host({"host": f"s{n}", "dial": f"127.0.0.1:{n}", "block": 7, "health": "up"})
-                  for n in range(1, 4))
-    return Engine(Config("n", listen, listen, folder, 1, 192, 256, 3_000_000, HostList(1, True, hosts),
-                         settings(SETTINGS), ("x0", "x1")))
-
-
-def test_fault_in_a_decision_costs_its_event_only(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    hosts = tuple(
+        host({"host": f"s{n}", "dial": f"127.0.0.1:{n}", "block": 7, "health": "up"})
+        for n in range(1, 4)
+    )
+    return Engine(
+        Config(
+            "n",
+            listen,
+            listen,
+            folder,
+            1,
+            192,
+            256,
+            3_000_000,
+            HostList(1, True, hosts),
+            settings(SETTINGS),
+            ("x0", "x1"),
+        )
+    )
+
+
+def test_fault_in_a_decision_costs_its_event_only(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The other events of its round used to be dropped: ends among them, and with these their slots."""
+
     async def scene() -> None:
         e = engine(tmp_path)
         started: list[Call] = []
@@ -501,6 +622,7 @@
 
         def faulty(d: Dispatcher, event: i.Listed) -> None:
             raise RuntimeError("a fault")
+
         monkeypatch.setattr(Dispatcher, "listed", faulty)
         out = e.dispatcher.calls_out
         e.post(i.Listed(i.ListKind.CHANGES))
@@ -512,11 +634,15 @@
         assert sent not in e.store.messages and sent not in e.dispatcher.messages
         assert e.dispatcher.calls_out == sum(len(c.items) > 0 for c in started) - 1
         e.store.close()
+
     asyncio.run(scene())
 
 
-def test_once_only_messages_share_no_call_with_those_that_may_be_repeated(tmp_path: Path) -> None:
+def test_once_only_messages_share_no_call_with_those_that_may_be_repeated(
+    tmp_path: Path,
+) -> None:
     """They are waited for till their end, the others are not, and a call is given up as a whole."""
+
     async def scene() -> None:
         e = engine(tmp_path)
         e.batches[""] = e.batches["None"] = 20
@@ -525,8 +651,12 @@
         for n, name in enumerate(["status", "pay", "order", "pay"]):
             e.store.take(Taken(f"m{n}", name, 7, 10**16, None, None, b""))
             e.send(i.Send(f"m{n}", 1, 10**6), 0, forming, calls)
-        assert [[item.id for item in c.items] for c in calls] == [["m0", "m2"], ["m1", "m3"]]
+        assert [[item.id for item in c.items] for c in calls] == [
+            ["m0", "m2"],
+            ["m1", "m3"],
+        ]
         e.store.close()
+
     asyncio.run(scene())
 
 
@@ -538,15 +668,20 @@
             e.ended(f"m{n}", "delivered")
         assert len(e.numbers) == len(e.names) <= MOST_GONE + len(e.hosts) + 1
         assert len(e.recent) == MOST_RECENT and "m2999" in e.recent
-        e.send(i.Send("m0", 1, 5), 0, {}, [])  # of a target and a message that are forgotten
+        e.send(
+            i.Send("m0", 1, 5), 0, {}, []
+        )  # of a target and a message that are forgotten
         e.store.take(taken("m"))
         e.send(i.Send("m", 10**6, 5), 0, {}, [])
         assert e.store.messages["m"].attempts == 1
         e.store.close()
+
     asyncio.run(scene())
 
 
-def test_closed_connections_do_not_wait_for_the_rare_full_round_of_the_collector(tmp_path: Path) -> None:
+def test_closed_connections_do_not_wait_for_the_rare_full_round_of_the_collector(
+    tmp_path: Path,
+) -> None:
     class Ring:
         me: object = None
 
@@ -564,11 +699,13 @@
         finally:
             gc.enable()
         e.store.close()
+
     asyncio.run(scene())
 
 
 def test_a_line_sums_up_what_was_done_and_starts_anew(
-        tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     async def scene() -> None:
         e = engine(tmp_path)
         e.store.take(taken("m"))
@@ -577,7 +714,10 @@
             e.sum_up(e.summed_s + 5)
             e.sum_up(e.summed_s + 5)
         first, second = caplog.messages
-        assert "in 5 s: 1 full; held 1, 1 for destination 7; calls out 0 of 8 slots" in first
+        assert (
+            "in 5 s: 1 full; held 1, 1 for destination 7; calls out 0 of 8 slots"
+            in first
+        )
         assert "in 5 s: nothing; held 1" in second
         now = e.clock()
         e.dispatcher.handle(now, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(1, 7),))])
@@ -585,26 +725,37 @@
         caplog.clear()
         with caplog.at_level("INFO"):
             e.sum_up(e.summed_s + 5)
-        assert "destination 7: target 1 has 0 out, window 1, wait 5" in caplog.messages[1]
+        assert (
+            "destination 7: target 1 has 0 out, window 1, wait 5" in caplog.messages[1]
+        )
         e.store.close()
+
     asyncio.run(scene())
 
 
-def test_nothing_is_taken_out_before_the_journal_is_this_process_s(tmp_path: Path) -> None:
+def test_nothing_is_taken_out_before_the_journal_is_this_process_s(
+    tmp_path: Path,
+) -> None:
     """A process that is still taking over has read the journal, and must not write it."""
+
     async def scene() -> None:
         e = engine(tmp_path)
         e.store.let_go()
         said: list[int] = []
         e.rotate("s1", True, lambda status, text: said.append(status.value))
         assert said == [503] and not e.store.detached
+
     asyncio.run(scene())
 
 
-def test_journal_of_before_the_rules_is_read_under_those_in_force(tmp_path: Path) -> None:
+def test_journal_of_before_the_rules_is_read_under_those_in_force(
+    tmp_path: Path,
+) -> None:
     line = ["taken", "m", "order", 7, 1 << 60, None, None, 0, -1, "", [], None]
     payload = json.dumps(line).encode() + b"\nhello"
-    (tmp_path / "journal").write_bytes(OLD_FRAME.pack(len(payload), zlib.crc32(payload)) + payload)
+    (tmp_path / "journal").write_bytes(
+        OLD_FRAME.pack(len(payload), zlib.crc32(payload)) + payload
+    )
 
     async def scene() -> None:
         e = engine(tmp_path)
@@ -617,6 +768,7 @@
         again = Store(tmp_path, 3_000_000)
         assert again.class_of(again.messages["m"]) == e.config.settings.classes[0]
         again.close()
+
     asyncio.run(scene())
 
 
@@ -641,42 +793,91 @@
     assert all(0 < n.pause_s(10**6) <= NOTICE_TOP_S for n in fleet)
 
 
-def test_pushed_lists_are_asked_for_through_silence_and_refusals_without_the_module() -> None:
+def test_pushed_lists_are_asked_for_through_silence_and_refusals_without_the_module() -> (
+    None
+):
     """What the agent has binds as soon as it speaks again; the pauses of the module were seconds by then."""
+
     async def main() -> None:
         asked: list[str] = []
         told: list[HostList | None] = []
 
         def listing(seq: int, health: str) -> Answer:
-            return Answer(200, body=json.dumps({"seq": seq, "whole": True, "hosts": [
-                {"host": "s1", "dial": "127.0.0.1:9", "site": "x", "class": "plain", "block": 7,
-                 "health": health, "share": 1.0, "born_ms": 0}]}).encode())
-        answers = [listing(1, "up"), None, Answer(503), Answer(503), None, listing(2, "draining")]
+            return Answer(
+                200,
+                body=json.dumps(
+                    {
+                        "seq": seq,
+                        "whole": True,
+                        "hosts": [
+                            {
+                                "host": "s1",
+                                "dial": "127.0.0.1:9",
+                                "site": "x",
+                                "class": "plain",
+                                "block": 7,
+                                "health": health,
+                                "share": 1.0,
+                                "born_ms": 0,
+                            }
+                        ],
+                    }
+                ).encode(),
+            )
+
+        answers = [
+            listing(1, "up"),
+            None,
+            Answer(503),
+            Answer(503),
+            None,
+            listing(2, "draining"),
+        ]
 
         async def agent(request: Any) -> Answer | None:
             asked.append(request.path.partition("?")[2])
             if len(asked) > len(answers):
                 await hang(request)
-            return answers[len(asked) - 1] if answers[len(asked) - 1] else await hang(request)
+            return (
+                answers[len(asked) - 1]
+                if answers[len(asked) - 1]
+                else await hang(request)
+            )
+
         peer = await Peer(agent).start()
         watch = Watch(Address("127.0.0.1", peer.port), 0, told.append, 1, pushed=True)
-        watch.client.ask, ask = (lambda m, p, wait: ask(m, p, min(wait, 0.2))), watch.client.ask  # type: ignore
+        watch.client.ask, ask = (
+            (lambda m, p, wait: ask(m, p, min(wait, 0.2))),
+            watch.client.ask,
+        )  # type: ignore
         watch.subscribe()
         await peer.got(7)
         watch.pause()
         held = f"from=1&hold_ms={HOLD_MS}"
-        assert asked == ["from=0&hold_ms=0", held, *["from=1&hold_ms=0"] * 4, f"from=2&hold_ms={HOLD_MS}"]
-        assert [t and t.hosts[0].health for t in told] == ["up", "draining"]  # no failure reached the module
+        assert asked == [
+            "from=0&hold_ms=0",
+            held,
+            *["from=1&hold_ms=0"] * 4,
+            f"from=2&hold_ms={HOLD_MS}",
+        ]
+        assert [t and t.hosts[0].health for t in told] == [
+            "up",
+            "draining",
+        ]  # no failure reached the module
+
     asyncio.run(main())
 
 
 def test_a_refused_handover_socket_does_not_keep_it_from_serving(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     async def main() -> None:
         async def refused(*args: Any, **more: Any) -> None:
             raise OSError(38, "Function not implemented")
 
-        monkeypatch.setattr(asyncio.get_running_loop(), "create_unix_server", refused, raising=False)
+        monkeypatch.setattr(
+            asyncio.get_running_loop(), "create_unix_server", refused, raising=False
+        )
         engine: Any = None
         predecessor = Predecessor(engine)
         await predecessor.listen(tmp_path)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -46,6 +46,7 @@
             for node in nodes:
                 await node.end()
             folder_nodes.pop()
+
     asyncio.run(run())
 
 
@@ -59,7 +60,9 @@
     return node
 
 
-async def target(platform: Platform, handler: Any, name: str = "s1", **more: Any) -> Peer:
+async def target(
+    platform: Platform, handler: Any, name: str = "s1", **more: Any
+) -> Peer:
     peer = await Peer(handler).start()
     platform.host(name, peer.port, **more)
     return peer
@@ -73,17 +76,23 @@
         assert (await node.hand_in("a1", body=body))[0] == 202
         call = (await peer.got(1))[0]
         assert (call.method, call.path, call.body) == ("POST", "/hook", body)
-        assert call.headers["x-correlation-id"] == "a1" and call.headers["idempotency-key"] == "key-a1"
+        assert (
+            call.headers["x-correlation-id"] == "a1"
+            and call.headers["idempotency-key"] == "key-a1"
+        )
         assert 0 < float(call.headers["x-time-left"]) <= 50
         assert (await node.hand_in("a2", "pay"))[0] == 202
         await peer.got(2)
         await asyncio.sleep(0)
         assert await node.end(signal.SIGTERM) == 0
         assert not platform.notices
+
     play(scene, tmp_path)
 
 
-def test_refused_in_its_round_is_429_with_a_time_and_never_taken(tmp_path: Path) -> None:
+def test_refused_in_its_round_is_429_with_a_time_and_never_taken(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -92,11 +101,13 @@
         assert (await node.hand_in("good"))[0] == 202
         await peer.got(1)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["good"]
+
     play(scene, tmp_path)
 
 
 def test_what_is_given_up_ends_at_once_by_one_notice(tmp_path: Path) -> None:
     """The message has 50 s left: a notice within the test's patience was not held back to its deadline."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(Answer(500)))
         node = await node_on(folder, platform)
@@ -106,32 +117,43 @@
         told = await platform.notice("spent")
         assert told["state"] == "returned" and told["after_ms"] > 0
         assert [n["id"] for n in platform.notices] == ["once", "spent"]
+
     play(scene, tmp_path)
 
 
-def test_drained_target_gets_nothing_more_also_after_a_restart_with_an_old_list(tmp_path: Path) -> None:
+def test_drained_target_gets_nothing_more_also_after_a_restart_with_an_old_list(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         one = await target(platform, always(OK))
         two = await target(platform, always(OK), "s2")
         node = await node_on(folder, platform, known=platform.listing())
         await platform.got(1)
         await platform.change("s1", "draining")
-        await platform.until(lambda: any("from=2" in r.path for r in platform.requests))  # it was told
+        await platform.until(
+            lambda: any("from=2" in r.path for r in platform.requests)
+        )  # it was told
         before = len(one.requests)
         for n in range(8):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
         await two.got(8)
-        platform.garbage = 10**6  # discovery is of no help: what the journal tells must do
+        platform.garbage = (
+            10**6
+        )  # discovery is of no help: what the journal tells must do
         await node.restart()
         for n in range(8, 16):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
         await two.got(16)
         assert len(one.requests) == before
+
     play(scene, tmp_path)
 
 
-def test_list_is_followed_also_where_the_settings_say_that_it_is_pushed(tmp_path: Path) -> None:
+def test_list_is_followed_also_where_the_settings_say_that_it_is_pushed(
+    tmp_path: Path,
+) -> None:
     """It used to be asked for only where they say 'on_request': drains were never heard of."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         one = await target(platform, always(OK))
         two = await target(platform, always(OK), "s2")
@@ -139,32 +161,50 @@
         folder_nodes[-1].append(node)
         configure(node, settings={**SETTINGS, "discovery": "pushed"})
         await node.start()
-        await platform.until(lambda: any("from=1&" in r.path for r in platform.requests))
+        await platform.until(
+            lambda: any("from=1&" in r.path for r in platform.requests)
+        )
         await platform.change("s1", "draining")
-        await platform.until(lambda: any("from=2&" in r.path for r in platform.requests))  # it was told
+        await platform.until(
+            lambda: any("from=2&" in r.path for r in platform.requests)
+        )  # it was told
         before = len(one.requests)
         for n in range(4):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
         await two.got(4)
         assert len(one.requests) == before
+
     play(scene, tmp_path)
 
 
 def test_watch_waits_also_on_version_0(tmp_path: Path) -> None:
     """Version 0 used to stand for none: the whole list was asked for again and again, at full speed."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         platform.seq = 0
         await target(platform, always(OK))
         node = await node_on(folder, platform)
-        await platform.until(lambda: any("from=0&" in r.path for r in platform.requests))
+        await platform.until(
+            lambda: any("from=0&" in r.path for r in platform.requests)
+        )
         assert (await node.hand_in("m", "status"))[0] == 202
         platform.host("s2", 9, health="draining")
         await platform.change("s2", "draining")
-        await platform.until(lambda: any("from=1&" in r.path for r in platform.requests))
-        paths = [r.path.partition("?")[2] for r in platform.requests if r.path.startswith("/discovery")]
+        await platform.until(
+            lambda: any("from=1&" in r.path for r in platform.requests)
+        )
+        paths = [
+            r.path.partition("?")[2]
+            for r in platform.requests
+            if r.path.startswith("/discovery")
+        ]
         assert list(dict.fromkeys(paths)) == [
-            "from=0&hold_ms=0", f"from=0&hold_ms={HOLD_MS}", f"from=1&hold_ms={HOLD_MS}"]
+            "from=0&hold_ms=0",
+            f"from=0&hold_ms={HOLD_MS}",
+            f"from=1&hold_ms={HOLD_MS}",
+        ]
         assert len(paths) < 10  # one more for each hold that ends
+
     play(scene, tmp_path)
 
 
@@ -179,14 +219,21 @@
         assert len(breaks.requests) == 1
         assert (await node.hand_in("refused", "pay", left="2"))[0] == 202
         assert (await platform.notice("refused"))["state"] == "returned"
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("garbage", [b"\x16\x03\x01 not http\r\n\r\n", b"HTTP/1.1 2x0 ?\r\n\r\n",
-                                     b"HTTP/1.1 500 OK\r\nContent-Length: zz\r\n\r\n",
-                                     b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 9999\r\n\0\r\n\r\n",
-                                     b"HTTP/1.1 503 No\r\nX: " + b"x" * 200_000,
-                                     b"HTTP/1.1 500 No\r\nContent-Length: 3000000000\r\n\r\nxxxx"])
+@pytest.mark.parametrize(
+    "garbage",
+    [
+        b"\x16\x03\x01 not http\r\n\r\n",
+        b"HTTP/1.1 2x0 ?\r\n\r\n",
+        b"HTTP/1.1 500 OK\r\nContent-Length: zz\r\n\r\n",
+        b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 9999\r\n\0\r\n\r\n",
+        b"HTTP/1.1 503 No\r\nX: " + b"x" * 200_000,
+        b"HTTP/1.1 500 No\r\nContent-Length: 3000000000\r\n\r\nxxxx",
+    ],
+)
 def test_garbage_from_a_target_is_an_outcome(tmp_path: Path, garbage: bytes) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(garbage, OK))
@@ -195,41 +242,60 @@
         await peer.got(2)
         assert (await node.hand_in("n", "order"))[0] == 202
         await peer.got(3)
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("garbage", [
-    b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 1\r\nContent-Length: zz\r\n\r\n",
-    b"HTTP/1.1 410 No\r\n\0\r\n\r\n",
-    b"HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\n",
-    b"HTTP/1.1 504 No\r\nContent-Length: 9\r\n\r\nabc"])
-def test_spoilt_answer_may_have_run_whatever_its_first_line_says(tmp_path: Path, garbage: bytes) -> None:
+@pytest.mark.parametrize(
+    "garbage",
+    [
+        b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 1\r\nContent-Length: zz\r\n\r\n",
+        b"HTTP/1.1 410 No\r\n\0\r\n\r\n",
+        b"HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\n",
+        b"HTTP/1.1 504 No\r\nContent-Length: 9\r\n\r\nabc",
+    ],
+)
+def test_spoilt_answer_may_have_run_whatever_its_first_line_says(
+    tmp_path: Path, garbage: bytes
+) -> None:
     """A once-only message must fail then: its status used to be believed, and it was sent again."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         async def spoil(request: Any) -> bytes:
             return garbage
+
         peer = await target(platform, spoil)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "pay"))[0] == 202
         assert (await platform.notice("m"))["state"] == "failed"
         assert len(peer.requests) == 1
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("rest", [
-    b"Content-Length: 5\r\n\r\nab", b"Content-Length: zz\r\n\r\n", b"Content-Length: -1\r\n\r\n",
-    b"\0\1\2\r\n\r\n",
-    b"X: " + b"x" * 200_000, b"Content-Length: 3000000000\r\n\r\nx",
-    b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"])
+@pytest.mark.parametrize(
+    "rest",
+    [
+        b"Content-Length: 5\r\n\r\nab",
+        b"Content-Length: zz\r\n\r\n",
+        b"Content-Length: -1\r\n\r\n",
+        b"\0\1\2\r\n\r\n",
+        b"X: " + b"x" * 200_000,
+        b"Content-Length: 3000000000\r\n\r\nx",
+        b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+    ],
+)
 @pytest.mark.parametrize("stays_open", [False, True])
 def test_first_line_with_200_is_a_delivery_though_the_rest_is_spoilt(
-        tmp_path: Path, rest: bytes, stays_open: bool) -> None:
+    tmp_path: Path, rest: bytes, stays_open: bool
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         async def cut(request: Any) -> None:
             request.writer.write(b"HTTP/1.1 200 OK\r\n" + rest)
             if stays_open:
                 await request.writer.drain()
                 await request.peer.until(lambda: len(request.peer.requests) > 1)
+
         peer = await target(platform, cut)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "status"))[0] == 202
@@ -240,25 +306,35 @@
         assert (await node.hand_in("n", "status"))[0] == 202
         await peer.got(2)
         assert peer.requests[0].writer is not peer.requests[1].writer
-        assert await node.end(signal.SIGTERM) == 0  # at once, as nothing is held any more
+        assert (
+            await node.end(signal.SIGTERM) == 0
+        )  # at once, as nothing is held any more
         assert any("stopped: 0 messages" in line for line in node.log)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["m", "n"]
+
     play(scene, tmp_path)
 
 
 def test_expired_spent_and_over_slots_each_as_told(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK))
+        peer = await target(
+            platform, always(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK)
+        )
         node = await node_on(folder, platform)
         assert (await node.hand_in("expired", "pay"))[0] == 202
         await peer.got(1)
         assert (await node.hand_in("slots", "pay"))[0] == 202
         await peer.got(3)
-        assert [r.headers["x-correlation-id"] for r in peer.requests] == ["expired", "slots", "slots"]
+        assert [r.headers["x-correlation-id"] for r in peer.requests] == [
+            "expired",
+            "slots",
+            "slots",
+        ]
         peer.handler = always(Answer(504))
         assert (await node.hand_in("spent", "status", left="3"))[0] == 202
         assert (await platform.notice("spent"))["state"] == "returned"
         assert not [n for n in platform.notices if n["id"] != "spent"]
+
     play(scene, tmp_path)
 
 
@@ -268,7 +344,10 @@
 
         async def handler(request: Any) -> Answer:
             times.append(asyncio.get_running_loop().time())
-            return Answer(429, {"X-RateLimit-Wait-Ms": "700"}) if len(times) == 1 else OK
+            return (
+                Answer(429, {"X-RateLimit-Wait-Ms": "700"}) if len(times) == 1 else OK
+            )
+
         peer = await target(platform, handler)
         node = await node_on(folder, platform)
         assert (await node.hand_in("a", "status"))[0] == 202
@@ -276,10 +355,13 @@
         assert (await node.hand_in("b", "status"))[0] == 202
         await peer.got(3)
         assert times[1] - times[0] >= 0.69
+
     play(scene, tmp_path)
 
 
-def test_messages_of_one_round_travel_together_and_each_has_its_own_end(tmp_path: Path) -> None:
+def test_messages_of_one_round_travel_together_and_each_has_its_own_end(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
 
@@ -289,23 +371,34 @@
                 return OK
             items = json.loads(request.body)
             states = {"b": "accepted", "c": "fault", "d": "expired", "e": "no_more"}
-            return Answer(200, body=json.dumps(
-                [{"id": x["id"], "state": states[x["id"]]} for x in items]).encode())
+            return Answer(
+                200,
+                body=json.dumps(
+                    [{"id": x["id"], "state": states[x["id"]]} for x in items]
+                ).encode(),
+            )
+
         peer = await target(platform, handler, kind="lots")
         node = await node_on(folder, platform)
         assert (await node.hand_in("a", "pay"))[0] == 202
         await peer.got(1)
         for name in "bcd":
-            assert (await node.hand_in(name, "pay", body=b"\0\xff" + name.encode()))[0] == 202
+            assert (await node.hand_in(name, "pay", body=b"\0\xff" + name.encode()))[
+                0
+            ] == 202
         free.set()
         call = (await peer.got(2))[1]
         assert call.path == "/hook/batch"
         items = {x["id"]: x for x in json.loads(call.body)}
         assert set(items) == {"b", "c", "d"}
-        assert base64.b64decode(items["c"]["body"]) == b"\0\xffc" and items["c"]["key"] == "key-c"
+        assert (
+            base64.b64decode(items["c"]["body"]) == b"\0\xffc"
+            and items["c"]["key"] == "key-c"
+        )
         assert (await platform.notice("c"))["state"] == "failed"
         assert await node.end(signal.SIGTERM) == 0
         assert [n["id"] for n in platform.notices] == ["c"]
+
     play(scene, tmp_path)
 
 
@@ -325,12 +418,40 @@
     (message("m", Content_Length="+5"), 400),
     (message("m", Content_Length="-5"), 400),
     (message("m", Transfer_Encoding="chunked"), 400),
-    (message("m", body=b"0\r\n\r\n" + message("h"), Content_Length=None,
-             Transfer_Encoding="gzip, chunked"), 501),
-    (message("m", body=b"hello" + message("h"), Content_Length="5", Connection="upgrade",
-             Upgrade="h2c"), 501),
-    (message("m", body=b"hello" + message("h"), Content_Length="5\r\nContent-Length: 5"), 400),
-    (message("m", body=b"-1\r\n" + message("h"), Content_Length=None, Transfer_Encoding="chunked"), 400),
+    (
+        message(
+            "m",
+            body=b"0\r\n\r\n" + message("h"),
+            Content_Length=None,
+            Transfer_Encoding="gzip, chunked",
+        ),
+        501,
+    ),
+    (
+        message(
+            "m",
+            body=b"hello" + message("h"),
+            Content_Length="5",
+            Connection="upgrade",
+            Upgrade="h2c",
+        ),
+        501,
+    ),
+    (
+        message(
+            "m", body=b"hello" + message("h"), Content_Length="5\r\nContent-Length: 5"
+        ),
+        400,
+    ),
+    (
+        message(
+            "m",
+            body=b"-1\r\n" + message("h"),
+            Content_Length=None,
+            Transfer_Encoding="chunked",
+        ),
+        400,
+    ),
     (b"what is this\r\n\r\n" + message("h"), 400),
     (b"CONNECT a:1 HTTP/1.1\r\n\r\n" + message("h"), 501),
     (message("m", dest="x"), 400),
@@ -341,7 +462,12 @@
     (message("m", dest=4_000_000_000), 503),
     (message("m", body=b"x" * 65_537), 413),
     (message("m", body=b"x" * 8_000_000), 413),
-    (b"POST /order HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + b"x" * 70_000 + b"\r\n", 413),
+    (
+        b"POST /order HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n"
+        + b"x" * 70_000
+        + b"\r\n",
+        413,
+    ),
     (b"GET /up HTTP/1.1\r\nA: " + b"x" * 20_000 + b"\r\n\r\n", 431),
     (b"GET /up HTTP/1.1\r\nA: " + b"x" * 400_000, 431),
     (b"\r\n" * 200_000, 431),
@@ -368,7 +494,11 @@
         client = await node.client()
         client.writer.write(message("p1") + message("p2", body=b"x" * 65_536))
         assert [(await client.answer())[0], (await client.answer())[0]] == [202, 202]
-        assert {r.headers["x-correlation-id"] for r in await peer.got(2)} == {"p1", "p2"}
+        assert {r.headers["x-correlation-id"] for r in await peer.got(2)} == {
+            "p1",
+            "p2",
+        }
+
     play(scene, tmp_path)
 
 
@@ -379,11 +509,13 @@
         assert (await node.hand_in("a"))[0] == 202
         status, headers = await node.hand_in("b")
         assert status == 503 and float(headers["retry-after"]) > 0
+
     play(scene, tmp_path)
 
 
 def test_folder_stays_within_its_limit(tmp_path: Path) -> None:
     """Large bodies fill the journal before the buffer: new work is refused, the folder never overflows."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform, disk_mb=1)
@@ -391,11 +523,14 @@
         for n in range(40):
             status, _ = await node.hand_in(f"m{n}", "status", body=b"x" * 60_000)
             seen.add(status)
-            assert sum(f.stat().st_size for f in (folder / "state").iterdir()) < 1_000_000
+            assert (
+                sum(f.stat().st_size for f in (folder / "state").iterdir()) < 1_000_000
+            )
         assert seen == {202, 503}
         peer.handler = always(OK)
         await node.restart()
         await peer.got(3)
+
     play(scene, tmp_path)
 
 
@@ -404,11 +539,14 @@
         peer = await target(platform, always(OK))
         known = platform.listing()
         platform.garbage = 2
-        node = await node_on(folder, platform, known={**known, "hosts": []} | {"seq": 0})
+        node = await node_on(
+            folder, platform, known={**known, "hosts": []} | {"seq": 0}
+        )
         while (await node.hand_in("m"))[0] != 202:
             await asyncio.sleep(0.05)
         await peer.got(1)
         assert sum("the list cannot be had" in line for line in node.log) == 2
+
     play(scene, tmp_path)
 
 
@@ -424,24 +562,47 @@
         assert status == 202
         while not any("stopping" in line for line in node.log):
             await asyncio.sleep(0.01)
-        assert (await node.hand_in("c", "status"))[0] == 202  # a new connection is still served
+        assert (await node.hand_in("c", "status"))[
+            0
+        ] == 202  # a new connection is still served
         assert await node.end(signal.SIGTERM) == 0
         peer.handler = always(OK)
         await node.start()
         await peer.until(
-            lambda: {"a", "b", "c"} <= {r.headers["x-correlation-id"] for r in peer.requests[1:]})
+            lambda: (
+                {"a", "b", "c"}
+                <= {r.headers["x-correlation-id"] for r in peer.requests[1:]}
+            )
+        )
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("config", [None, "{", "{}", json.dumps({"settings": {**SETTINGS, "services": 3}}),
-                                    json.dumps({"settings": SETTINGS, "listen": "here", "name": "n"})])
+@pytest.mark.parametrize(
+    "config",
+    [
+        None,
+        "{",
+        "{}",
+        json.dumps({"settings": {**SETTINGS, "services": 3}}),
+        json.dumps({"settings": SETTINGS, "listen": "here", "name": "n"}),
+    ],
+)
 def test_bad_configuration_is_one_line(tmp_path: Path, config: str | None) -> None:
-    env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"LB_STATE": str(tmp_path)}
+    env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {
+        "LB_STATE": str(tmp_path)
+    }
     if config is not None:
         (tmp_path / "config.json").write_text(config)
         env["LB_CONFIG"] = str(tmp_path / "config.json")
-    done = subprocess.run([sys.executable, "-m", "lemonshunt"], cwd=ROOT, env=env, capture_output=True,
-                          text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "lemonshunt"],
+        cwd=ROOT,
+        env=env,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
     assert done.stderr.startswith("lemonshunt: ")
 
@@ -454,20 +615,29 @@
     new.replace(path)
 
 
-def test_new_configuration_moves_watch_and_owed_ends_and_loses_nothing(tmp_path: Path) -> None:
+def test_new_configuration_moves_watch_and_owed_ends_and_loses_nothing(
+    tmp_path: Path,
+) -> None:
     """SIGHUP used to end the process. The new address counts its versions anew, and lists a drain."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(Answer(500)))
         platform.seq, platform.accepts = 40, False
         node = await node_on(folder, platform)
         assert (await node.hand_in("owed", "pay"))[0] == 202
-        await platform.until(lambda: any(r.path == "/v1/notices" for r in platform.requests)
-                             and any("from=" in r.path for r in platform.requests))
+        await platform.until(
+            lambda: (
+                any(r.path == "/v1/notices" for r in platform.requests)
+                and any("from=" in r.path for r in platform.requests)
+            )
+        )
         moved, last = Platform(), Platform()
         moved.accepts = False
         for new in (moved, last):
             await new.start()
-            new.hosts = {k: dict(v, health="draining") for k, v in platform.hosts.items()}
+            new.hosts = {
+                k: dict(v, health="draining") for k, v in platform.hosts.items()
+            }
         second = await target(last, hang, "s2", block=7)
         for new in (moved, last):  # several in a row
             configure(node, discovery=f"127.0.0.1:{new.port}")
@@ -476,7 +646,9 @@
         assert (await last.notice("owed"))["state"] == "failed"
         await last.until(lambda: any("from=1&" in r.path for r in last.requests))
         await platform.change("s1", "up")  # the held watch would be answered now
-        await platform.until(lambda: platform.closed >= 2)  # but it and a kept connection were let go
+        await platform.until(
+            lambda: platform.closed >= 2
+        )  # but it and a kept connection were let go
         assert (await node.hand_in("held", "status"))[0] == 202
         await second.got(1)
         assert len(peer.requests) == 1
@@ -486,8 +658,12 @@
         second.handler = always(OK)
         before = len(platform.requests)
         await node.start()
-        assert [r.headers["x-correlation-id"] for r in await second.got(2)] == ["held", "held"]
+        assert [r.headers["x-correlation-id"] for r in await second.got(2)] == [
+            "held",
+            "held",
+        ]
         assert len(platform.requests) == before
+
     play(scene, tmp_path)
 
 
@@ -495,19 +671,29 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
-        for text in ("{", "[]", json.dumps({"settings": SETTINGS, "discovery": "nowhere"})):
+        for text in (
+            "{",
+            "[]",
+            json.dumps({"settings": SETTINGS, "discovery": "nowhere"}),
+        ):
             (folder / "config.json").write_text(text)
             seen = len(node.log)
             node.process.send_signal(signal.SIGHUP)
-            while not any("old configuration is kept" in line for line in node.log[seen:]):
+            while not any(
+                "old configuration is kept" in line for line in node.log[seen:]
+            ):
                 await asyncio.sleep(0.01)
         assert (await node.hand_in("m"))[0] == 202
         await peer.got(1)
+
     play(scene, tmp_path)
 
 
-def test_first_call_at_a_new_address_that_fails_is_repeated_at_once(tmp_path: Path) -> None:
+def test_first_call_at_a_new_address_that_fails_is_repeated_at_once(
+    tmp_path: Path,
+) -> None:
     """The module pauses ever longer after failures; after a move there is no time for that."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -518,10 +704,13 @@
         node.process.send_signal(signal.SIGHUP)
         await moved.until(lambda: any("from=" in r.path for r in moved.requests))
         assert [r.path for r in moved.requests[:4]] == ["/discovery/hosts"] * 4
+
     play(scene, tmp_path)
 
 
-def test_copy_of_a_message_that_had_its_end_is_not_taken_on_again(tmp_path: Path) -> None:
+def test_copy_of_a_message_that_had_its_end_is_not_taken_on_again(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -531,18 +720,27 @@
         await peer.got(2)
         assert (await node.hand_in("m", body=b"another"))[0] == 202
         assert (await node.hand_in("o"))[0] == 202
-        assert [r.headers["x-correlation-id"] for r in await peer.got(3)] == ["m", "n", "o"]
+        assert [r.headers["x-correlation-id"] for r in await peer.got(3)] == [
+            "m",
+            "n",
+            "o",
+        ]
+
     play(scene, tmp_path)
 
 
-def test_nothing_of_before_is_sent_on_until_the_list_of_now_is_known(tmp_path: Path) -> None:
+def test_nothing_of_before_is_sent_on_until_the_list_of_now_is_known(
+    tmp_path: Path,
+) -> None:
     """A start used to play its first round on the list of before: what had been drained while no process was
     here got the messages that the journal held."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         answers: list[Answer | None] = [Answer(503)]
 
         async def until_told(request: Any) -> Answer | None:
             return answers[-1]
+
         old = await target(platform, until_told)
         node = await node_on(folder, platform, known=platform.listing())
         assert (await node.hand_in("m", "status"))[0] == 202
@@ -557,4 +755,5 @@
         await node.start()
         await new.got(1)
         assert len(old.requests) == before
+
     play(scene, tmp_path)
--- a/tests/test_node_restart.py
+++ b/tests/test_node_restart.py
@@ -16,6 +16,7 @@
 @pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
 def test_call_cut_by_a_restart_may_have_run(tmp_path: Path, sign: int) -> None:
     """A keyed message goes again under its key, one that may not be repeated never does."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
@@ -33,14 +34,20 @@
         assert (await platform.notice("first"))["state"] == "failed"
         again = (await other.got(2))[1]
         assert again.headers["x-correlation-id"] == "keyed"
-        assert again.headers["idempotency-key"] == "key-keyed" and again.body == b"hello"
+        assert (
+            again.headers["idempotency-key"] == "key-keyed" and again.body == b"hello"
+        )
         assert len(peer.requests) == 1
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_one_session_key_goes_one_by_one_also_across_a_restart(tmp_path: Path, restart: bool) -> None:
+def test_one_session_key_goes_one_by_one_also_across_a_restart(
+    tmp_path: Path, restart: bool
+) -> None:
     """The key was not read from the request: a later message overtook an earlier one of its key."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         done = asyncio.Event()
         early: list[str] = []
@@ -53,6 +60,7 @@
             if not done.is_set():
                 early.append(request.headers["x-correlation-id"])
             return OK
+
         first = await target(platform, slow)
         other = await target(platform, quick, "s2", block=8)
         node = await node_on(folder, platform)
@@ -68,13 +76,16 @@
         await other.got(2)
         assert early == ["c"]
         assert [r.headers["x-correlation-id"] for r in other.requests] == ["c", "b"]
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("restart", [False, True])
 def test_a_key_goes_on_only_when_the_notice_of_the_one_before_is_answered(
-        tmp_path: Path, restart: bool) -> None:
+    tmp_path: Path, restart: bool
+) -> None:
     """The next of the key used to leave together with the notice, and could overtake it."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         platform.accepts = False
         early: list[str] = []
@@ -83,13 +94,16 @@
             if not platform.accepts:
                 early.append(request.headers["x-correlation-id"])
             return OK
+
         first = await target(platform, always(Answer(504)))
         other = await target(platform, note, "s2", block=8)
         node = await node_on(folder, platform, max_attempts=2)
         assert (await node.hand_in("a", "turns", X_Session_Key="k"))[0] == 202
         assert (await node.hand_in("b", "turns", dest=8, X_Session_Key="k"))[0] == 202
         await first.got(2)
-        await platform.until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
+        await platform.until(
+            lambda: any(r.path == "/v1/notices" for r in platform.requests)
+        )
         if restart:
             await node.restart()
         assert (await node.hand_in("c", "turns", dest=8, X_Session_Key="l"))[0] == 202
@@ -98,6 +112,7 @@
         await other.got(2)
         assert early == ["c"]
         assert [r.headers["x-correlation-id"] for r in other.requests] == ["c", "b"]
+
     play(scene, tmp_path)
 
 
@@ -112,16 +127,21 @@
         await node.restart()
         assert (await platform.notice("m"))["state"] == "returned"
         assert len(peer.requests) == 2
+
     play(scene, tmp_path)
 
 
-def test_owed_end_outlasts_the_process_until_the_platform_has_it(tmp_path: Path) -> None:
+def test_owed_end_outlasts_the_process_until_the_platform_has_it(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(Answer(500)))
         platform.accepts = False
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "pay"))[0] == 202
-        await platform.until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
+        await platform.until(
+            lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2
+        )
         await node.end()
         platform.accepts = True
         await node.start()
@@ -132,6 +152,7 @@
         assert (await node.hand_in("o", "pay"))[0] == 202
         await platform.notice("o")
         assert [n["id"] for n in platform.notices].count("m") == 1
+
     play(scene, tmp_path)
 
 
@@ -146,6 +167,7 @@
         await node.start()
         assert (await platform.notice("m"))["state"] == "returned"
         assert len(peer.requests) == 1
+
     play(scene, tmp_path)
 
 
@@ -162,9 +184,12 @@
         await node.start()
         assert (await peer.got(2))[1].headers["x-correlation-id"] == "m"
         assert any("torn tail" in line for line in node.log)
-        peer.handler = hang  # and what is written after the cut can be read at the start after it
+        peer.handler = (
+            hang  # and what is written after the cut can be read at the start after it
+        )
         assert (await node.hand_in("n", "status"))[0] == 202
         await peer.got(3)
         await node.restart()
         assert (await peer.got(4))[3].headers["x-correlation-id"] == "n"
+
     play(scene, tmp_path)
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -13,7 +13,18 @@
 
 import pytest
 
-from tests.sockets import OK, PATIENCE, ROOT, SETTINGS, Answer, Node, Platform, always, free_port, hang
+from tests.sockets import (
+    OK,
+    PATIENCE,
+    ROOT,
+    SETTINGS,
+    Answer,
+    Node,
+    Platform,
+    always,
+    free_port,
+    hang,
+)
 from tests.test_node import configure, node_on, play, target
 
 
@@ -24,7 +35,12 @@
         if change is None:
             del kept[name]
         else:
-            kept[name] = {**SETTINGS["services"][0], **kept.get(name, {}), "name": name, **change}
+            kept[name] = {
+                **SETTINGS["services"][0],
+                **kept.get(name, {}),
+                "name": name,
+                **change,
+            }
     return {**SETTINGS, "services": list(kept.values())}
 
 
@@ -37,7 +53,9 @@
     await node.shows(lambda f: f[key] > before)
 
 
-def test_each_end_is_counted_once_and_what_was_taken_is_ended_or_open(tmp_path: Path) -> None:
+def test_each_end_is_counted_once_and_what_was_taken_is_ended_or_open(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         await target(platform, always(Answer(500)), "s2", block=8)
@@ -61,7 +79,11 @@
         assert f["throttled"] == {**zero, "status": 3}
         await node.restart()  # counts start with the process; what is open goes on
         f = await node.shows(lambda f: f["relayed"] == 1)
-        assert f["open_requests"] == 1 and f["fulfilled"] == f["faulted"] == f["throttled"] == zero
+        assert (
+            f["open_requests"] == 1
+            and f["fulfilled"] == f["faulted"] == f["throttled"] == zero
+        )
+
     play(scene, tmp_path)
 
 
@@ -84,6 +106,7 @@
             assert (await reader.read(12)).startswith(b"HTTP/1.1 4")
             writer.close()
         assert (await node.operate("GET", "/_ready"))[0] == 200
+
     play(scene, tmp_path)
 
 
@@ -91,12 +114,18 @@
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = await node_on(folder, platform)
-        held = [await asyncio.open_connection("127.0.0.1", node.admin) for _ in range(40)]
+        held = [
+            await asyncio.open_connection("127.0.0.1", node.admin) for _ in range(40)
+        ]
         for _, writer in held:
-            writer.write(b"POST /_endpoints/detach HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf")
+            writer.write(
+                b"POST /_endpoints/detach HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
+            )
         assert (await node.operate("GET", "/_ready"))[0] == 200
         assert (await node.hand_in("m"))[0] == 202
-        async with asyncio.timeout(PATIENCE):  # none is held for ever, and the newest hear why
+        async with asyncio.timeout(
+            PATIENCE
+        ):  # none is held for ever, and the newest hear why
             assert (await held[-1][0].read()).startswith(b"HTTP/1.1 408")
             for reader, _ in held:
                 try:
@@ -105,6 +134,7 @@
                     pass
         for _, writer in held:
             writer.close()
+
     play(scene, tmp_path)
 
 
@@ -122,22 +152,48 @@
         client.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         assert (await client.answer())[0] == 503
         client.writer.close()
+
     play(scene, tmp_path)
 
 
 def test_bad_operators_address_is_one_line(tmp_path: Path) -> None:
-    (tmp_path / "config.json").write_text(json.dumps({
-        "name": "n", "listen": f"127.0.0.1:{free_port()}", "discovery": "127.0.0.1:1", "settings": SETTINGS}))
-    env = {**os.environ, "LB_CONFIG": str(tmp_path / "config.json"), "LB_STATE": str(tmp_path),
-           "LB_ADMIN_ADDR": "here"}
-    done = subprocess.run([sys.executable, "-m", "lemonshunt"], cwd=ROOT, env=env, capture_output=True,
-                          text=True, timeout=60)
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and "'here'" in done.stderr
+    (tmp_path / "config.json").write_text(
+        json.dumps(
+            {
+                "name": "n",
+                "listen": f"127.0.0.1:{free_port()}",
+                "discovery": "127.0.0.1:1",
+                "settings": SETTINGS,
+            }
+        )
+    )
+    env = {
+        **os.environ,
+        "LB_CONFIG": str(tmp_path / "config.json"),
+        "LB_STATE": str(tmp_path),
+        "LB_ADMIN_ADDR": "here",
+    }
+    done = subprocess.run(
+        [sys.executable, "-m", "lemonshunt"],
+        cwd=ROOT,
+        env=env,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
+    assert (
+        done.returncode == 2
+        and len(done.stderr.splitlines()) == 1
+        and "'here'" in done.stderr
+    )
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_open_messages_keep_a_class_that_is_dropped_or_changed(tmp_path: Path, restart: bool) -> None:
+def test_open_messages_keep_a_class_that_is_dropped_or_changed(
+    tmp_path: Path, restart: bool
+) -> None:
     """A payment must not go twice though its class may be repeated now, nor a status lack its class."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         pays = await target(platform, hang)
         other = await target(platform, hang, "s2", block=8)
@@ -147,11 +203,19 @@
         await pays.got(1)
         await other.got(1)
         assert (await node.hand_in("n", "fresh"))[0] == 404
-        await hang_up(node, settings=classes(pay={"effect": "repeatable"}, status=None, fresh={}))
+        await hang_up(
+            node, settings=classes(pay={"effect": "repeatable"}, status=None, fresh={})
+        )
         assert (await node.hand_in("n", "fresh"))[0] == 202
         assert (await node.hand_in("o", "status"))[0] == 404
         f = await node.figures()
-        assert f["fulfilled"] == {"order": 0, "status": 0, "turns": 0, "pay": 0, "fresh": 0}
+        assert f["fulfilled"] == {
+            "order": 0,
+            "status": 0,
+            "turns": 0,
+            "pay": 0,
+            "fresh": 0,
+        }
         if restart:
             pays.handler = other.handler = always(OK)
             await node.restart()
@@ -164,23 +228,35 @@
             await other.got(2)
         assert (await platform.notice("pay"))["state"] == "failed"
         assert [r.headers["x-correlation-id"] for r in pays.requests].count("pay") == 1
-        assert (await node.hand_in("p", "pay", dest=8))[0] == 202  # and a new one has the new effect
+        assert (await node.hand_in("p", "pay", dest=8))[
+            0
+        ] == 202  # and a new one has the new effect
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_open_messages_keep_the_attempts_they_came_with(tmp_path: Path, restart: bool) -> None:
+def test_open_messages_keep_the_attempts_they_came_with(
+    tmp_path: Path, restart: bool
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         wait = always(Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), Answer(500))
         peer = await target(platform, wait)
         node = await node_on(folder, platform, max_attempts=2)
         assert (await node.hand_in("m", "status"))[0] == 202
         await peer.got(1)
-        await hang_up(node, settings={**SETTINGS, "allowed": {**SETTINGS["allowed"], "max_attempts": 6}})
+        await hang_up(
+            node,
+            settings={
+                **SETTINGS,
+                "allowed": {**SETTINGS["allowed"], "max_attempts": 6},
+            },
+        )
         if restart:
             await node.restart()
         assert (await platform.notice("m"))["state"] == "returned"
         assert len(peer.requests) == 2
+
     play(scene, tmp_path)
 
 
@@ -190,21 +266,28 @@
 
     def settings(**changes: Any) -> str:
         return json.dumps({**whole, "settings": {**whole["settings"], **changes}})
+
     some = whole["settings"]["services"]
     allowed = whole["settings"]["allowed"]
     return [
-        "", text[:len(text) // 2], json.dumps({k: v for k, v in whole.items() if k != "settings"}),
+        "",
+        text[: len(text) // 2],
+        json.dumps({k: v for k, v in whole.items() if k != "settings"}),
         json.dumps({k: v for k, v in whole.items() if k != "limits"}),
         settings(allowed={k: v for k, v in allowed.items() if k != "max_attempts"}),
-        settings(allowed={**allowed, "max_attempts": 0}), settings(allowed={**allowed, "max_attempts": -3}),
+        settings(allowed={**allowed, "max_attempts": 0}),
+        settings(allowed={**allowed, "max_attempts": -3}),
         settings(services=[{**some[0], "name": "new", "deadline_us": 0}, *some[1:]]),
-        settings(services=[{k: v for k, v in some[0].items() if k != "aim_us"}, *some[1:]]),
+        settings(
+            services=[{k: v for k, v in some[0].items() if k != "aim_us"}, *some[1:]]
+        ),
         settings(services=[{**some[0], "aim_us": "1"}]),
     ]
 
 
 def test_broken_files_change_nothing_and_are_counted(tmp_path: Path) -> None:
     """None of what they hold may take hold, and a default must not stand in for a key."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -217,18 +300,22 @@
         await peer.got(len(files))
         f = await node.figures()
         assert (f["cfg_accepted"], f["cfg_invalid"]) == (0, len(files))
+
     play(scene, tmp_path)
 
 
 async def relist(platform: Platform, name: str, health: str) -> None:
     """Discovery's own word on an endpoint, until the forwarder has asked for what comes after it."""
     await platform.change(name, health)
-    await platform.until(lambda: any(f"from={platform.seq}&" in r.path for r in platform.requests))
+    await platform.until(
+        lambda: any(f"from={platform.seq}&" in r.path for r in platform.requests)
+    )
 
 
 @pytest.mark.parametrize("restart", [False, True])
 def test_detached_endpoint_gets_nothing_until_put_back_whatever_discovery_says(
-        tmp_path: Path, restart: bool) -> None:
+    tmp_path: Path, restart: bool
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         first = await target(platform, always(OK))
         other = await target(platform, always(OK), "s2")
@@ -252,6 +339,7 @@
         await node.restart()
         assert (await node.operate("POST", "/_endpoints/attach", b"s2"))[0] == 200
         assert (await node.figures())["out_of_rotation"] == 0
+
     play(scene, tmp_path)
 
 
@@ -266,4 +354,5 @@
         assert (await node.operate("POST", "/_endpoints/attach", b"s1"))[0] == 200
         assert (await node.hand_in("b"))[0] == 202
         await first.got(2)
+
     play(scene, tmp_path)
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -14,29 +14,50 @@
 HAND = w.Hand("g", 1, 2, 3)
 ITEM = w.Item("m1", "cart", 7, 250_000, b"\x00\xffbody", "idem", None, 2, 9, -5, "s-1")
 ALL: list[Any] = [
-    f.Hello(1, "g", "a", (1, 2)), f.Room(5, 1, 2, 0.5, False, True), f.Moved("k", "t", 3),
-    f.Forward(1, "k", 6, ("x",), 5, ITEM, True), f.Forwarded(1, "refused", 500, 6),
-    w.Offer(HAND, "k", "a", "over", 1, 2, 3), w.Accept(HAND, 9), w.No(HAND, "full"),
-    w.Copy(HAND, 9, 0, 2, (ITEM,), ("m0",)), w.Copied(HAND, (1, 2)),
-    w.Commit(HAND, (1, 2)), w.Begun(HAND, 9), w.Closed(HAND), w.Drop(HAND), w.Dropped(HAND), w.Forgot(HAND),
-    w.Pass(HAND, 9, 4, 100, ITEM), w.Passed(HAND, 4, "taken", 9), w.End(HAND)]
+    f.Hello(1, "g", "a", (1, 2)),
+    f.Room(5, 1, 2, 0.5, False, True),
+    f.Moved("k", "t", 3),
+    f.Forward(1, "k", 6, ("x",), 5, ITEM, True),
+    f.Forwarded(1, "refused", 500, 6),
+    w.Offer(HAND, "k", "a", "over", 1, 2, 3),
+    w.Accept(HAND, 9),
+    w.No(HAND, "full"),
+    w.Copy(HAND, 9, 0, 2, (ITEM,), ("m0",)),
+    w.Copied(HAND, (1, 2)),
+    w.Commit(HAND, (1, 2)),
+    w.Begun(HAND, 9),
+    w.Closed(HAND),
+    w.Drop(HAND),
+    w.Dropped(HAND),
+    w.Forgot(HAND),
+    w.Pass(HAND, 9, 4, 100, ITEM),
+    w.Passed(HAND, 4, "taken", 9),
+    w.End(HAND),
+]
 
 
 @settings(derandomize=True, deadline=None, max_examples=80)
-@given(st.lists(st.sampled_from(ALL), max_size=12), st.lists(st.integers(1, 40), min_size=1, max_size=20))
-def test_frames_come_whole_however_the_bytes_do(sent: list[Any], cuts: list[int]) -> None:
+@given(
+    st.lists(st.sampled_from(ALL), max_size=12),
+    st.lists(st.integers(1, 40), min_size=1, max_size=20),
+)
+def test_frames_come_whole_however_the_bytes_do(
+    sent: list[Any], cuts: list[int]
+) -> None:
     data, splitter, found, at, n = b"".join(map(f.encode, sent)), f.Splitter(), [], 0, 0
     while at < len(data):
-        found += splitter.feed(data[at:at + cuts[n % len(cuts)]])
+        found += splitter.feed(data[at : at + cuts[n % len(cuts)]])
         at, n = at + cuts[n % len(cuts)], n + 1
     assert found == sent and not splitter.held
 
 
 @settings(derandomize=True, deadline=None, max_examples=100)
 @given(st.sampled_from(ALL), st.integers(0, 10**6), st.binary(min_size=1, max_size=6))
-def test_spoilt_bytes_are_a_frame_or_malformed(frame: Any, at: int, junk: bytes) -> None:
-    data = bytearray(f.encode(frame)[f.HEAD:])
-    data[at % len(data):at % len(data) + len(junk)] = junk
+def test_spoilt_bytes_are_a_frame_or_malformed(
+    frame: Any, at: int, junk: bytes
+) -> None:
+    data = bytearray(f.encode(frame)[f.HEAD :])
+    data[at % len(data) : at % len(data) + len(junk)] = junk
     try:
         assert f.decode(bytes(data))
     except f.Malformed as error:
@@ -47,13 +68,23 @@
     return msgspec.structs.replace(one, **fields)
 
 
-@pytest.mark.parametrize("frame, path", [
-    (but(ALL[3], item=but(ITEM, body=bytes(w.BODY + 1))), "$[6][4]"), (but(ALL[5], key="k" * 201), "$[2]"),
-    (w.Commit(HAND, (1, -2)), "$[2][1]"), (w.Commit(w.Hand("", 1, 1, 1), (1, 2)), "$[1][0]"),
-    (w.Copy(HAND, 9, 0, 0), "$[4]"), (but(ALL[17], how="eaten"), "$[3]"), (but(ALL[1], load=-1.0), "$[4]")])
+@pytest.mark.parametrize(
+    "frame, path",
+    [
+        (but(ALL[3], item=but(ITEM, body=bytes(w.BODY + 1))), "$[6][4]"),
+        (but(ALL[5], key="k" * 201), "$[2]"),
+        (w.Commit(HAND, (1, -2)), "$[2][1]"),
+        (w.Commit(w.Hand("", 1, 1, 1), (1, 2)), "$[1][0]"),
+        (w.Copy(HAND, 9, 0, 0), "$[4]"),
+        (but(ALL[17], how="eaten"), "$[3]"),
+        (but(ALL[1], load=-1.0), "$[4]"),
+    ],
+)
 def test_a_field_out_of_bounds_is_told_with_its_path(frame: Any, path: str) -> None:
-    with pytest.raises(f.Malformed, match=r"`" + path.replace("$", r"\$").replace("[", r"\[") + "`"):
-        f.decode(f.encode(frame)[f.HEAD:])
+    with pytest.raises(
+        f.Malformed, match=r"`" + path.replace("$", r"\$").replace("[", r"\[") + "`"
+    ):
+        f.decode(f.encode(frame)[f.HEAD :])
 
 
 def test_no_frame_is_held_or_sent_that_is_too_long() -> None:
@@ -66,7 +97,9 @@
         f.decode(b"\x91" * 100_000)
 
 
-def up(life: w.Life = (1, 2), seen: links.Seen | None = None, **more: Any) -> links.Link:
+def up(
+    life: w.Life = (1, 2), seen: links.Seen | None = None, **more: Any
+) -> links.Link:
     link = links.Link(f.Hello(1, "t", "b", (1, 1)), seen or links.Seen(), **more)
     assert isinstance(link.opened(0)[0], links.Write)
     link.fed(f.encode(f.Hello(1, "g", "a", life)), 0)
@@ -76,7 +109,13 @@
 def test_who_may_be_at_the_other_end() -> None:
     seen = links.Seen()
     lives: list[w.Life] = [(1, 5), (1, 4), (0, 0), (2, 0), (1, 9)]
-    assert [bool(up(life, seen).peer) for life in lives] == [True, False, True, True, False]
+    assert [bool(up(life, seen).peer) for life in lives] == [
+        True,
+        False,
+        True,
+        True,
+        False,
+    ]
     assert not up(expected="other").peer and up(expected="g").peer
     for first in (f.Hello(2, "g", "a", (1, 1)), f.Hello(1, "t", "a", (1, 1)), ALL[1]):
         link = links.Link(f.Hello(1, "t", "b", (1, 1)), links.Seen())
@@ -91,12 +130,22 @@
     link.fed(f.encode(f.Room(77, 1, 1, 0.1, False, True)), 500)
     first = link.forward(ask)
     assert first is not None and isinstance(first[1][0], links.Write)
-    sent = f.decode(first[1][0].data[f.HEAD:])
-    assert isinstance(sent, f.Forward) and (sent.number, sent.stamp_us, sent.item.due_us) == (1, 77, 400)
+    sent = f.decode(first[1][0].data[f.HEAD :])
+    assert isinstance(sent, f.Forward) and (
+        sent.number,
+        sent.stamp_us,
+        sent.item.due_us,
+    ) == (1, 77, 400)
     assert link.forward(ask) and link.forward(ask) and link.forward(ask) is None
     answer = f.encode(f.Forwarded(1, "taken"))
-    assert link.fed(answer, 1) == [links.Became(1, "taken", 0)] and link.fed(answer, 1) == []
-    assert [d.how for d in link.ended("broke") if isinstance(d, links.Became)] == ["unknown", "unknown"]
+    assert (
+        link.fed(answer, 1) == [links.Became(1, "taken", 0)]
+        and link.fed(answer, 1) == []
+    )
+    assert [d.how for d in link.ended("broke") if isinstance(d, links.Became)] == [
+        "unknown",
+        "unknown",
+    ]
     assert link.ended("broke") == [] and link.fed(answer, 1) == []
 
 
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -12,14 +12,27 @@
 from tests.reference.pair import Pair
 from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
 
-OK, FULL, LATE, FAILED = i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.TIMED_OUT, i.Outcome.FAILED
-LONG = replace(settings().classes[0], name="long", aim_us=600 * S, deadline_us=7200 * S, late_worth=0.5)
+OK, FULL, LATE, FAILED = (
+    i.Outcome.DELIVERED,
+    i.Outcome.FULL,
+    i.Outcome.TIMED_OUT,
+    i.Outcome.FAILED,
+)
+LONG = replace(
+    settings().classes[0],
+    name="long",
+    aim_us=600 * S,
+    deadline_us=7200 * S,
+    late_worth=0.5,
+)
 LINE = replace(settings().classes[4], deadline_us=7200 * S, window_us=9000 * S)
 SHUT, OPEN = i.Shares(10, 0, 9000 * S, 1 << 50, 0), i.Shares(10, 0, 0, 0, 0)
 HOUR = 3600 * S
 
 
-def site(make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher, **changes: object) -> Dispatcher:
+def site(
+    make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher, **changes: object
+) -> Dispatcher:
     base = {"classes": (*settings().classes[:4], LINE, LONG), "max_open": 1 << 40}
     d = make(settings(**base | changes), 7, 0)
     d.handle(0, [i.Listed(i.ListKind.SAVED, ENTRIES)])
@@ -57,7 +70,10 @@
         return
     for n in range(4):
         for send in sends(d.handle((n + 1) * 50 * MS, [OPEN])):
-            d.handle((n + 1) * 50 * MS + MS, [end(send, FULL if n % 2 else OK, wait_us=n * 5 * MS)])
+            d.handle(
+                (n + 1) * 50 * MS + MS,
+                [end(send, FULL if n % 2 else OK, wait_us=n * 5 * MS)],
+            )
     assert len(finals(d.handle(6 * S - 10 * MS, []))) > 9_900
 
 
@@ -65,7 +81,9 @@
     counts = []
     for held in (100, 10_000):
         d = site()
-        d.handle(0, [SHUT, *(ask(f"m{n}", cls="long", due=2 * HOUR) for n in range(held))])
+        d.handle(
+            0, [SHUT, *(ask(f"m{n}", cls="long", due=2 * HOUR) for n in range(held))]
+        )
         d.handle(MS, [OPEN])
         now = 90 * 60 * S  # they have lost much of their worth, and none gives way
         counts.append(work(d, now, ask("new", cls="long", due=now + HOUR)))
@@ -75,17 +93,33 @@
 def test_an_expected_call_that_changes_with_each_answer() -> None:
     """What is given up, and which class goes first, follow each answer."""
     d, draw = pair(max_attempts=4), Random(5)
-    out = sends(d.handle(0, [ask(f"m{n}", 10 + n % 3, ("safe", "keyed", "once")[n % 3], 3 * S + n * 20 * MS)
-                             for n in range(300)]))
+    out = sends(
+        d.handle(
+            0,
+            [
+                ask(
+                    f"m{n}",
+                    10 + n % 3,
+                    ("safe", "keyed", "once")[n % 3],
+                    3 * S + n * 20 * MS,
+                )
+                for n in range(300)
+            ],
+        )
+    )
     tries = {send.message: 1 for send in out}
     given_up = now = 0
     while now < 9 * S:
         now += 25 * MS
-        back = out.pop(draw.randrange(len(out))) if out and draw.random() < 0.8 else None
+        back = (
+            out.pop(draw.randrange(len(out))) if out and draw.random() < 0.8 else None
+        )
         events: list[i.Event] = []
         if back is not None:
             outcome = draw.choice((OK, OK, LATE, FAILED))
-            events = [end(back, outcome, tries[back.message] - 1, draw.randrange(MS, 2 * S))]
+            events = [
+                end(back, outcome, tries[back.message] - 1, draw.randrange(MS, 2 * S))
+            ]
         actions = d.handle(now, events)
         given_up += len(finals(actions))
         for send in sends(actions):
@@ -106,14 +140,22 @@
     counts = []
     for held in (100, 1_000, 20_000):
         d = filled(held)
-        counts.append((work(d, MS, long("new", 1)), work(d, 2 * MS, i.Withdrawn("m7")),
-                       work(d, S, i.TimerDue("look")), work(d, 2 * S, OPEN)))
-        (name, attempt), = d.attempts
+        counts.append(
+            (
+                work(d, MS, long("new", 1)),
+                work(d, 2 * MS, i.Withdrawn("m7")),
+                work(d, S, i.TimerDue("look")),
+                work(d, 2 * S, OPEN),
+            )
+        )
+        ((name, attempt),) = d.attempts
         back = i.Ended(name, attempt, 1, FULL, MS, wait_us=S)
         counts[-1] += (work(d, 3 * S, back), work(d, 4 * S, i.TimerDue("look")))
     assert all(count < 40 for count in counts[0])
     for other in counts[1:]:
-        assert all(late <= 2 * first for first, late in zip(counts[0], other, strict=True)), counts
+        assert all(
+            late <= 2 * first for first, late in zip(counts[0], other, strict=True)
+        ), counts
 
 
 def jammed(destinations: int, held: int, shut: int = 0) -> tuple[Dispatcher, i.Ended]:
@@ -122,8 +164,19 @@
     entries = tuple(i.TargetEntry(1000 + n, 1000 + n) for n in range(destinations))
     d.handle(0, [i.Listed(i.ListKind.CHANGES, entries)])
     d.handle(0, [replace(SHUT, destination=1000 + n) for n in range(shut)])
-    first = sends(d.handle(0, [long(f"{n} out", n, 1000 + destinations - 1 - n) for n in range(4)]))
-    d.handle(0, [long(f"{n} {k}", k, 1000 + n) for n in range(destinations) for k in range(held)])
+    first = sends(
+        d.handle(
+            0, [long(f"{n} out", n, 1000 + destinations - 1 - n) for n in range(4)]
+        )
+    )
+    d.handle(
+        0,
+        [
+            long(f"{n} {k}", k, 1000 + n)
+            for n in range(destinations)
+            for k in range(held)
+        ],
+    )
     d.handle(S, [])
     assert d.jammed and len(first) == 4
     return d, end(first[0], OK)
@@ -141,14 +194,29 @@
 
 def test_a_jam_over_all_destinations_comes_out_the_same() -> None:
     d = pair(slots=3, classes=settings().classes)
-    d.handle(0, [ask(f"m{n}", 10 + n % 3, ("safe", "keyed", "once", "zoned")[n % 4], 6 * S + n % 17 * 9 * MS,
-                     tenant="small") for n in range(400)])
+    d.handle(
+        0,
+        [
+            ask(
+                f"m{n}",
+                10 + n % 3,
+                ("safe", "keyed", "once", "zoned")[n % 4],
+                6 * S + n % 17 * 9 * MS,
+                tenant="small",
+            )
+            for n in range(400)
+        ],
+    )
     tries: dict[str, int] = {}
     out: list[i.Send] = []
     jams = now = 0
     while now < 6 * S:
         now += 10 * MS
-        back = [end(out[0], OK if now % 70 else FULL, tries.get(out[0].message, 0))] if out else []
+        back = (
+            [end(out[0], OK if now % 70 else FULL, tries.get(out[0].message, 0))]
+            if out
+            else []
+        )
         if back and not back[0].closed:
             tries[out[0].message] = tries.get(out[0].message, 0) + 1
         out = out[1:] + sends(d.handle(now, back))
@@ -158,8 +226,16 @@
 
 def test_a_tenant_past_its_share_goes_last_and_gives_way_alike() -> None:
     d = pair()
-    asked = [ask(f"m{n}", 10, "safe", 5 * S + n % 9 * 100 * MS, tenant=("small", "big", None)[n % 3])
-             for n in range(200)]
+    asked = [
+        ask(
+            f"m{n}",
+            10,
+            "safe",
+            5 * S + n % 9 * 100 * MS,
+            tenant=("small", "big", None)[n % 3],
+        )
+        for n in range(200)
+    ]
     out = sends(d.handle(0, asked))
     beyond: list[bool] = []
     for n in range(1, 150):
@@ -171,11 +247,17 @@
 
 def test_one_key_with_ten_thousand_in_line() -> None:
     d = site()
-    d.handle(0, [ask(f"m{n}", cls="turns", due=2 * HOUR - n * MS, key="k") for n in range(10_000)])
+    d.handle(
+        0,
+        [
+            ask(f"m{n}", cls="turns", due=2 * HOUR - n * MS, key="k")
+            for n in range(10_000)
+        ],
+    )
     counts = [work(d, MS, i.Withdrawn("m5000")), work(d, 2 * MS, i.Withdrawn("m9999"))]
     now = 3 * MS
     for n in range(20):
-        (name, attempt), = d.attempts
+        ((name, attempt),) = d.attempts
         assert name == f"m{n}"
         now += 50 * MS
         counts.append(work(d, now, i.Ended(name, attempt, 1, OK, 50 * MS, True)))
@@ -186,11 +268,19 @@
 
 def test_lines_come_out_the_same_with_rests_ends_told_and_withdrawals() -> None:
     d, draw = pair(ends_told=True, max_attempts=3), Random(3)
-    d.handle(0, [ask(f"m{n}", 10 + n % 2, "turns", 9 * S + n * 10 * MS, key=f"k{n % 5}") for n in range(200)])
+    d.handle(
+        0,
+        [
+            ask(f"m{n}", 10 + n % 2, "turns", 9 * S + n * 10 * MS, key=f"k{n % 5}")
+            for n in range(200)
+        ],
+    )
     out: list[tuple[i.Send, int]] = []
     tries: dict[str, int] = {}
     for n in range(400):
-        events: list[i.Event] = [i.Withdrawn(f"m{draw.randrange(200)}")] if draw.random() < 0.1 else []
+        events: list[i.Event] = (
+            [i.Withdrawn(f"m{draw.randrange(200)}")] if draw.random() < 0.1 else []
+        )
         if out:
             send, attempt = out.pop(0)
             events.append(end(send, draw.choice((OK, OK, LATE, FULL)), attempt))
@@ -205,17 +295,41 @@
 
 def test_lines_that_are_over_are_forgotten_without_a_sweep() -> None:
     d = site()
-    d.handle(0, [SHUT, *(ask(f"m{n}", cls="turns", due=2 * HOUR, key=f"k{n}") for n in range(5_000))])
+    d.handle(
+        0,
+        [
+            SHUT,
+            *(
+                ask(f"m{n}", cls="turns", due=2 * HOUR, key=f"k{n}")
+                for n in range(5_000)
+            ),
+        ],
+    )
     d.handle(S, [i.Withdrawn("m7")])
-    assert work(d, 3 * S, i.TimerDue("look")) < 20 and "k7" not in d.lines and len(d.lines) == 4_999
+    assert (
+        work(d, 3 * S, i.TimerDue("look")) < 20
+        and "k7" not in d.lines
+        and len(d.lines) == 4_999
+    )
 
 
 def test_other_classes_and_shares_under_a_full_pile() -> None:
     d = pair()
     names = ("safe", "keyed", "once", "zoned")
-    d.handle(0, [SHUT, *(ask(f"m{n}", 10 + n % 3, names[n % 4], 6 * S + n * 3 * MS) for n in range(600))])
+    d.handle(
+        0,
+        [
+            SHUT,
+            *(
+                ask(f"m{n}", 10 + n % 3, names[n % 4], 6 * S + n * 3 * MS)
+                for n in range(600)
+            ),
+        ],
+    )
     old = d.new.s
-    shorter = tuple(replace(c, aim_us=c.aim_us // 3, late_worth=0.5) for c in old.classes)
+    shorter = tuple(
+        replace(c, aim_us=c.aim_us // 3, late_worth=0.5) for c in old.classes
+    )
     out: list[i.Send] = []
     for n in range(240):
         now, events = n * 25 * MS, [end(send, (OK, FAILED)[n % 2]) for send in out]
@@ -223,7 +337,8 @@
             20: [OPEN, i.Retuned(replace(old, classes=shorter, late_halves=True))],
             60: [i.Retuned(replace(old, classes=shorter, max_attempts=1))],
             100: [i.Shares(10, 3, S, 9 * S, 1), i.Retuned(replace(old, balancers=40))],
-            140: [i.Retuned(replace(old, max_attempts=9, late_halves=True))]}.get(n, [])
+            140: [i.Retuned(replace(old, max_attempts=9, late_halves=True))],
+        }.get(n, [])
         more += [ask(f"n{n}", 10, "safe", now + 2 * S)]
         out = sends(d.handle(now, [*events, *more]))
     d.compare_whole()
@@ -231,27 +346,65 @@
 
 def test_a_restart_that_recalls_many() -> None:
     first = site()
-    first.handle(0, [ask(f"m{n}", 10 + n % 3, "long", HOUR + n * S, tenant="small") for n in range(900)])
+    first.handle(
+        0,
+        [
+            ask(f"m{n}", 10 + n % 3, "long", HOUR + n * S, tenant="small")
+            for n in range(900)
+        ],
+    )
     out = {named for named in first.attempts}
     memory = first.memory(out)
     d = pair()
-    recalled = [i.Recalled(m.id, m.destination, "long", m.due, None, "small", n % 3, (-1, 5)[n % 3 > 1], 1,
-                           cls=replace(LONG)) for n, m in enumerate(first.messages.values())]
+    recalled = [
+        i.Recalled(
+            m.id,
+            m.destination,
+            "long",
+            m.due,
+            None,
+            "small",
+            n % 3,
+            (-1, 5)[n % 3 > 1],
+            1,
+            cls=replace(LONG),
+        )
+        for n, m in enumerate(first.messages.values())
+    ]
     sent = sends(d.handle(S, [*recalled, i.Remembered(memory)]))
     for n in range(1, 60):
-        sent = sends(d.handle(S + n * 50 * MS, [end(s, OK, d.new.messages[s.message].attempts - 1)
-                                                 for s in sent]))
+        sent = sends(
+            d.handle(
+                S + n * 50 * MS,
+                [end(s, OK, d.new.messages[s.message].attempts - 1) for s in sent],
+            )
+        )
     d.compare_whole()
     lanes = [lane for pile in d.new.held.piles.values() for lane in pile.lanes.values()]
-    assert len(lanes) <= 3 * 2 * 2  # equal classes that were read anew for each message share their lanes
+    assert (
+        len(lanes) <= 3 * 2 * 2
+    )  # equal classes that were read anew for each message share their lanes
 
 
 def test_the_clock_leaps_while_the_machine_is_suspended() -> None:
     d = pair()
-    d.handle(0, [ask(f"m{n}", 10 + n % 3, ("safe", "keyed", "turns", "long")[n % 4], (5 + n % 900) * S,
-                     key=f"k{n % 7}") for n in range(600)])
-    ended = sum(len(finals(d.handle(now, [i.TimerDue("look")])))
-                for now in (S, 700 * S, 700 * S + 20 * MS, 3 * HOUR, 3 * HOUR))
+    d.handle(
+        0,
+        [
+            ask(
+                f"m{n}",
+                10 + n % 3,
+                ("safe", "keyed", "turns", "long")[n % 4],
+                (5 + n % 900) * S,
+                key=f"k{n % 7}",
+            )
+            for n in range(600)
+        ],
+    )
+    ended = sum(
+        len(finals(d.handle(now, [i.TimerDue("look")])))
+        for now in (S, 700 * S, 700 * S + 20 * MS, 3 * HOUR, 3 * HOUR)
+    )
     assert ended > 500
 
 
@@ -269,14 +422,28 @@
 def test_the_first_that_does_not_give_way_is_found_as_by_looking_at_all() -> None:
     draw = Random(11)
     for _ in range(300):
-        cls = replace(LONG, aim_us=draw.randrange(1, 10**7), deadline_us=draw.randrange(10**7, 10**8))
+        cls = replace(
+            LONG,
+            aim_us=draw.randrange(1, 10**7),
+            deadline_us=draw.randrange(10**7, 10**8),
+        )
         now = draw.randrange(10**9)
         untried, kept = draw.random() < 0.2, draw.random() < 0.3
         key = LaneKey(0, False, -1, untried, kept, False, False)
-        lane = Lane(10, cls, key, (draw.random() - 0.3) * 10**8, draw.randrange(10**7) if kept else None)
+        lane = Lane(
+            10,
+            cls,
+            key,
+            (draw.random() - 0.3) * 10**8,
+            draw.randrange(10**7) if kept else None,
+        )
         near = now + (0 if untried else cls.deadline_us - int(lane.fades_after_us))
         for n in range(30):
-            lane.held.add(Message(str(n), 10, cls, near + draw.randrange(-9, 9), n, None, False, 1))
+            lane.held.add(
+                Message(
+                    str(n), 10, cls, near + draw.randrange(-9, 9), n, None, False, 1
+                )
+            )
         plain = next((m for m in lane.held if lane.fades_at(m.due) > now), None)
         assert lane.first_fresh(now) is plain
 
@@ -294,9 +461,14 @@
 @pytest.mark.parametrize("cls", ["safe", "turns"])
 def test_a_deadline_that_is_changed_while_its_message_is_held(cls: str) -> None:
     d = site()
-    d.handle(0, [SHUT, *(ask(f"m{n}", cls=cls, due=6 * S + n, key=f"k{n}") for n in range(5))])
+    d.handle(
+        0,
+        [SHUT, *(ask(f"m{n}", cls=cls, due=6 * S + n, key=f"k{n}") for n in range(5))],
+    )
     d.messages["m3"].due = 2 * S
-    assert [a.message for a in finals(d.handle(2 * S, [i.Listed(i.ListKind.CHANGES)]))] == ["m3"]
+    assert [
+        a.message for a in finals(d.handle(2 * S, [i.Listed(i.ListKind.CHANGES)]))
+    ] == ["m3"]
     d.messages["m0"].due = 7 * S
     assert [s.message for s in sends(d.handle(3 * S, [OPEN]))] == ["m1"]
 
@@ -307,11 +479,22 @@
     for n in range(3_000):
         if draw.random() < (0.7 if n % 1_000 < 500 else 0.3) or not held:
             held.append(f"m{n}")
-            d.handle(0, [SHUT, replace(SHUT, destination=11), replace(SHUT, destination=12),
-                         long(held[-1], n, 10 + draw.randrange(3))])
+            d.handle(
+                0,
+                [
+                    SHUT,
+                    replace(SHUT, destination=11),
+                    replace(SHUT, destination=12),
+                    long(held[-1], n, 10 + draw.randrange(3)),
+                ],
+            )
         else:
             d.handle(0, [i.Withdrawn(held.pop(draw.randrange(len(held))))])
         piles = d.held.piles
-        assert not piles or d.held.largest() == max(piles, key=lambda name: (len(piles[name]), name))
+        assert not piles or d.held.largest() == max(
+            piles, key=lambda name: (len(piles[name]), name)
+        )
         large = sorted(name for name, pile in piles.items() if len(pile) >= 64)
-        assert sorted(name for names in d.held.by_size.values() for name in names) == large
+        assert (
+            sorted(name for names in d.held.by_size.values() for name in names) == large
+        )
--- a/tests/test_queue_corners.py
+++ b/tests/test_queue_corners.py
@@ -7,7 +7,12 @@
 from tests.reference.pair import Pair
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 
-OK, FULL, LATE, FAILED = i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.TIMED_OUT, i.Outcome.FAILED
+OK, FULL, LATE, FAILED = (
+    i.Outcome.DELIVERED,
+    i.Outcome.FULL,
+    i.Outcome.TIMED_OUT,
+    i.Outcome.FAILED,
+)
 ONE = (i.TargetEntry(1, 10, "north", "plain"),)
 TWO = (*ONE, i.TargetEntry(2, 11, "north", "plain"))
 WAYS = (i.TargetEntry(4, 12, "north", "ways"), i.TargetEntry(5, 12, "south", "ways"))
@@ -44,7 +49,11 @@
         d.handle(2 * MS, [i.Retuned(replace(d.new.s, late_halves=late_halves))])
         d.handle(3 * MS, [ask("old", due=6 * S)])
         d.handle(2_900 * MS, [ask("fresh", due=8_900 * MS)])
-        ends = [n for n in range(3_000, 6_000, 20) if finals(d.handle(n * MS, [i.TimerDue("look")]))]
+        ends = [
+            n
+            for n in range(3_000, 6_000, 20)
+            if finals(d.handle(n * MS, [i.TimerDue("look")]))
+        ]
         assert ends
 
 
@@ -75,7 +84,9 @@
     """It waits where nothing else is looked at in that round; as slots were out, it is found all the same."""
     d = pair(TWO, slots=1)
     told = {"calls": [[1, {"sent_at": 0}, [["moved", 0]]]]}
-    d.handle(0, [i.Recalled("moved", 11, "safe", 30 * S, attempts=1), i.Remembered(told)])
+    d.handle(
+        0, [i.Recalled("moved", 11, "safe", 30 * S, attempts=1), i.Remembered(told)]
+    )
     assert d.new.jammed
     again = d.handle(2 * MS, [i.Ended("moved", 0, 1, i.Outcome.NO_CONNECTION, MS)])
     assert [(s.message, s.target) for s in sends(again)] == [("moved", 2)]
@@ -94,8 +105,13 @@
         actions = d.handle(n * MS, [i.TimerDue("look")])
         for s in sends(actions):
             sent[s.message] += 1
-            back = end(s, FULL, d.new.messages[s.message].attempts - 1, MS, wait_us=5 * S)
-            d.handle(n * MS + 1, [back if s.target == first.target else replace(back, wait_us=0)])
+            back = end(
+                s, FULL, d.new.messages[s.message].attempts - 1, MS, wait_us=5 * S
+            )
+            d.handle(
+                n * MS + 1,
+                [back if s.target == first.target else replace(back, wait_us=0)],
+            )
     assert sent[other.message] > sent[first.message]
 
 
@@ -113,8 +129,10 @@
     answered(10, 5)
     answered(11, 5)
     now += MS
-    silent = [*sends(d.handle(now, [ask("first", 10, due=60 * S)])),
-              *sends(d.handle(now, [ask("second", 11, due=60 * S)]))]
+    silent = [
+        *sends(d.handle(now, [ask("first", 10, due=60 * S)])),
+        *sends(d.handle(now, [ask("second", 11, due=60 * S)])),
+    ]
     assert [s.message for s in silent] == ["first", "second"]
     answered(11, 3)
     answered(10, 3)
@@ -126,15 +144,23 @@
 def test_a_call_that_was_passed_in_the_process_before_is_recalled_here() -> None:
     d = pair(may_cancel=True)
     told = {"calls": [[1, {"sent_at": -60 * S, "passed": 3}, [["out", 0]]]]}
-    actions = d.handle(0, [i.Recalled("out", 10, "safe", 30 * S, attempts=1), i.Remembered(told)])
+    actions = d.handle(
+        0, [i.Recalled("out", 10, "safe", 30 * S, attempts=1), i.Remembered(told)]
+    )
     assert i.Cancel("out", 0) in actions
 
 
 def test_a_key_whose_second_is_still_out_lets_none_go() -> None:
     d = pair(TWO)
     told = {"calls": [[2, {}, [["second", 0]]]]}
-    actions = d.handle(0, [i.Recalled("first", 10, "turns", 8 * S, "k"),
-                           i.Recalled("second", 11, "turns", 9 * S, "k", attempts=1), i.Remembered(told)])
+    actions = d.handle(
+        0,
+        [
+            i.Recalled("first", 10, "turns", 8 * S, "k"),
+            i.Recalled("second", 11, "turns", 9 * S, "k", attempts=1),
+            i.Remembered(told),
+        ],
+    )
     assert not sends(actions) and not sends(d.handle(S, []))
     again = d.handle(2 * S, [i.Ended("second", 0, 2, i.Outcome.NO_CONNECTION, S)])
     assert [s.message for s in sends(again)] == ["first"]
@@ -144,7 +170,10 @@
     d = pair(max_open=10)
     d.handle(0, [shut(), *(ask(f"m{n}", due=60 * S) for n in range(6))])
     d.handle(S, [ask("n0", due=60 * S), ask("n1", due=50 * S)])
-    assert [a.message for a in finals(d.handle(S, [ask("n2", due=40 * S), i.Withdrawn("m1")]))] == []
+    assert [
+        a.message
+        for a in finals(d.handle(S, [ask("n2", due=40 * S), i.Withdrawn("m1")]))
+    ] == []
     over = finals(d.handle(S, [ask("n3", due=30 * S), ask("n4", due=20 * S)]))
     assert [a.message for a in over] == ["n0"]
 
@@ -153,14 +182,28 @@
     d = pair()
     for n in range(6):
         copies = tuple(replace(c) for c in settings().classes)
-        d.handle(n * MS, [shut(), i.Retuned(replace(d.new.s, classes=copies)), ask(f"m{n}", due=60 * S)])
+        d.handle(
+            n * MS,
+            [
+                shut(),
+                i.Retuned(replace(d.new.s, classes=copies)),
+                ask(f"m{n}", due=60 * S),
+            ],
+        )
     assert [len(pile.lanes) for pile in d.new.held.piles.values()] == [1]
 
 
 def test_one_whose_aim_is_beyond_its_deadline_gives_way_to_none_but_itself() -> None:
-    odd = replace(settings().classes[0], aim_us=4 * S, deadline_us=3 * S, late_worth=0.9)
-    odder = replace(odd, name="odder", late_worth=1.0)  # it has faded since before the clock began
+    odd = replace(
+        settings().classes[0], aim_us=4 * S, deadline_us=3 * S, late_worth=0.9
+    )
+    odder = replace(
+        odd, name="odder", late_worth=1.0
+    )  # it has faded since before the clock began
     d = pair(classes=(odd, odder))
-    d.handle(MS, [shut(11), *(ask(f"m{n}", 11, cls="odder", due=9 * S + n) for n in range(2))])
+    d.handle(
+        MS,
+        [shut(11), *(ask(f"m{n}", 11, cls="odder", due=9 * S + n) for n in range(2))],
+    )
     actions = d.handle(S, [shut(), ask("alone", due=1_500 * MS)])
     assert [a.cause for a in finals(actions)] == ["makes way for fresh ones"]
--- a/tests/test_ready_in_time.py
+++ b/tests/test_ready_in_time.py
@@ -16,7 +16,13 @@
 from tests.sockets import OK, SETTINGS, Answer, Node, Peer, Platform, Request
 
 READY_S = 10.0  # STANDING.md, What has to hold: nine in ten restarted forwarders are ready within this
-BAD = (b"", b"\r\n", b"POST /order HTTP/1.1\r\nX-", b"\x16\x03\x01", b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n")
+BAD = (
+    b"",
+    b"\r\n",
+    b"POST /order HTTP/1.1\r\nX-",
+    b"\x16\x03\x01",
+    b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n",
+)
 
 
 def full_journal(folder: Path, most_bytes: int) -> int:
@@ -27,7 +33,17 @@
     store.settle(Rules(made.max_attempts, made.classes))
     held = 0
     while store.has_room(200):
-        store.take(Taken(f"m{held}", "status", 7, 10**16 if held % 2 else 1, None, "acme", b"a" * 200))
+        store.take(
+            Taken(
+                f"m{held}",
+                "status",
+                7,
+                10**16 if held % 2 else 1,
+                None,
+                "acme",
+                b"a" * 200,
+            )
+        )
         held += 1
         if not held % 100:
             store.flush()
@@ -53,12 +69,16 @@
             sock.close()
 
 
-@pytest.mark.parametrize(("lists", "level"), [("on_request", "process"), ("pushed", "process"),
-                                              ("on_request", "power")])
+@pytest.mark.parametrize(
+    ("lists", "level"),
+    [("on_request", "process"), ("pushed", "process"), ("on_request", "power")],
+)
 def test_ready_before_the_agent_speaks_and_the_old_work_ends_and_the_flood_does(
-        lists: str, level: str, tmp_path: Path) -> None:
+    lists: str, level: str, tmp_path: Path
+) -> None:
     """The agent has been asked and is silent, for the list and for notices; the target has a call and holds
     it; the door's backlog is full of bad clients from before the start, and more come at each step."""
+
     async def scene() -> None:
         gate = asyncio.Event()
 
@@ -72,6 +92,7 @@
         async def silent(request: Request) -> Answer | bytes | None:
             await gate.wait()
             return await told(request)
+
         platform.handler = silent
         await platform.start()
         await peer.start()
@@ -98,7 +119,9 @@
                 assert (await client.answer())[0] == 200
                 status, _ = await node.hand_in("fresh", "status")
                 assert status in (202, 503)  # it may have room for one more
-            await platform.until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
+            await platform.until(
+                lambda: any(r.path == "/v1/notices" for r in platform.requests)
+            )
             await peer.got(1)
             assert not gate.is_set()
             gate.set()  # and now all of it comes to its end
@@ -112,4 +135,5 @@
             await node.end()
             assert node.listener is not None
             node.listener.close()
+
     asyncio.run(scene())
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -18,8 +18,13 @@
 
 ENV = {"LB_STATE": "/state"}
 FILE: dict[str, Any] = {
-    "name": "n0", "listen": "127.0.0.1:3000", "discovery": "127.0.0.1:8500", "seed": "5",
-    "limits": {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3}, "settings": SETTINGS}
+    "name": "n0",
+    "listen": "127.0.0.1:3000",
+    "discovery": "127.0.0.1:8500",
+    "seed": "5",
+    "limits": {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
+    "settings": SETTINGS,
+}
 
 
 def force() -> Config:
@@ -49,40 +54,60 @@
         c["settings"]["services"][3]["name"] = "order"
         c["limits"]["sockets"] = "many"
         c["settings"]["balancers"] = float("nan")
+
     assert faults(changed(spoil)) == {
         "settings.allowed.max_open": "missing",
         "settings.services[1].deadline_us": "not over 0",
         "settings.services[3].name": "'order' stands there twice",
         "limits.sockets": "a string in place of a number",
-        "settings.balancers": "not a finite number"}
-
-
-@pytest.mark.parametrize("change, path", [
-    (lambda c: c.update(discovery="nowhere"), ""),
-    (lambda c: c.update(durability="most"), ""),
-    (lambda c: c["settings"]["services"][0].update(effect="sometimes"), ""),
-    (lambda c: c["limits"].update(disk_mb=-1), "limits.disk_mb"),
-    (lambda c: c["settings"].update(services=3), "settings.services"),
-    (lambda c: c["settings"]["services"].append({"name": "new"}), "settings.services[4].aim_us"),
-    (lambda c: c.pop("limits"), "limits"),
-])
+        "settings.balancers": "not a finite number",
+    }
+
+
+@pytest.mark.parametrize(
+    "change, path",
+    [
+        (lambda c: c.update(discovery="nowhere"), ""),
+        (lambda c: c.update(durability="most"), ""),
+        (lambda c: c["settings"]["services"][0].update(effect="sometimes"), ""),
+        (lambda c: c["limits"].update(disk_mb=-1), "limits.disk_mb"),
+        (lambda c: c["settings"].update(services=3), "settings.services"),
+        (
+            lambda c: c["settings"]["services"].append({"name": "new"}),
+            "settings.services[4].aim_us",
+        ),
+        (lambda c: c.pop("limits"), "limits"),
+    ],
+)
 def test_each_bad_value_is_a_fault(change: Callable[[Any], object], path: str) -> None:
     found = faults(changed(change))
     assert path in found and found[path]
 
 
 def test_doubled_keys_and_numbers_without_end_are_faults() -> None:
-    text = json.dumps(FILE).replace('"balancers": 1', '"balancers": 1, "balancers": 2').replace(
-        '"over_share_worth": 0.1', '"over_share_worth": 1e999').encode()
-    assert faults(text) == {"settings.balancers": "the key stands there twice",
-                            "settings.over_share_worth": "not a finite number"}
-
-
-@pytest.mark.parametrize("text", [
-    b"", b"  ", b"{", b'{"name": "n0"', b"\xff\xfe", b"[1]", b"3", b"[" * 100_000])
+    text = (
+        json.dumps(FILE)
+        .replace('"balancers": 1', '"balancers": 1, "balancers": 2')
+        .replace('"over_share_worth": 0.1', '"over_share_worth": 1e999')
+        .encode()
+    )
+    assert faults(text) == {
+        "settings.balancers": "the key stands there twice",
+        "settings.over_share_worth": "not a finite number",
+    }
+
+
+@pytest.mark.parametrize(
+    "text",
+    [b"", b"  ", b"{", b'{"name": "n0"', b"\xff\xfe", b"[1]", b"3", b"[" * 100_000],
+)
 def test_what_is_no_configuration_at_all_is_unreadable(text: bytes) -> None:
     verdict = examine(text, force(), ENV)
-    assert verdict.unreadable and not verdict.valid and verdict.told()["faults"][0]["fault"]
+    assert (
+        verdict.unreadable
+        and not verdict.valid
+        and verdict.told()["faults"][0]["fault"]
+    )
 
 
 def test_changes_warnings_and_what_waits_for_a_start_are_told() -> None:
@@ -91,12 +116,21 @@
         c["settings"]["services"][3] = {**c["settings"]["services"][3], "name": "fee"}
         c.update(listen="127.0.0.1:3001", durability="power", colour="red")
         c["limits"]["shoes"] = 2
+
     verdict = examine(changed(change), force(), ENV)
     assert verdict.valid and verdict.restart == ["listen", "durability"]
-    assert verdict.warnings == [f"{k}: not known to this version" for k in ("colour", "limits.shoes")]
+    assert verdict.warnings == [
+        f"{k}: not known to this version" for k in ("colour", "limits.shoes")
+    ]
     assert verdict.changes == [
-        "listen", "limits.shoes", "settings.services[0]: order", "settings.services[3]: new, fee",
-        "settings.services: pay dropped", "durability", "colour"]
+        "listen",
+        "limits.shoes",
+        "settings.services[0]: order",
+        "settings.services[3]: new, fee",
+        "settings.services: pay dropped",
+        "durability",
+        "colour",
+    ]
 
 
 def test_paths_are_general_without_their_places() -> None:
@@ -105,7 +139,13 @@
 
 def test_a_digest_goes_by_what_is_run_and_not_by_how_it_is_written() -> None:
     other = {key: FILE[key] for key in reversed(FILE)}
-    other |= {"name": "n1", "listen": "127.0.0.1:3009", "seed": "6", "known": None, "admin_addr": "x:1"}
+    other |= {
+        "name": "n1",
+        "listen": "127.0.0.1:3009",
+        "seed": "6",
+        "known": None,
+        "admin_addr": "x:1",
+    }
     assert digest(other) == digest(FILE) == digest(force().raw)
     assert digest({**FILE, "discovery": "127.0.0.1:8501"}) != digest(FILE)
 
@@ -122,17 +162,24 @@
         assert (await in_force())["origin"] == "start"
         await hang_up(node, durability="process")
         first = await in_force()
-        assert first["origin"] == "SIGHUP" and len(first["digest"]) == 64 and first["since"]
+        assert (
+            first["origin"] == "SIGHUP"
+            and len(first["digest"]) == 64
+            and first["since"]
+        )
         await hang_up(node, settings=classes(fresh={}))
         second = await in_force()
         assert second["origin"] == "SIGHUP" and second["digest"] != first["digest"]
         await hang_up(node, "cfg_invalid", settings=3)
         assert await in_force() == second
-        await hang_up(node, settings=classes(fresh={}), durability="power")  # waits for a start
+        await hang_up(
+            node, settings=classes(fresh={}), durability="power"
+        )  # waits for a start
         assert (await in_force())["digest"] == second["digest"]
         await hang_up(node, settings=SETTINGS, durability="process")
         assert (await in_force())["digest"] == first["digest"]
         assert (await node.operate("POST", "/_config"))[0] == 405
+
     play(scene, tmp_path)
 
 
@@ -143,18 +190,32 @@
         good = (folder / "config.json").read_bytes()
         status, text = await node.operate("POST", "/_config/check", good)
         assert status == 200 and json.loads(text) == {
-            "valid": True, "faults": [], "warnings": [], "changes": [], "restart": []}
+            "valid": True,
+            "faults": [],
+            "warnings": [],
+            "changes": [],
+            "restart": [],
+        }
         told = json.loads(good)
         told["settings"]["services"][0]["deadline_us"] = -5
-        large = {**told, "known": {"seq": 1, "whole": True, "hosts": [platform.hosts["s1"]] * 600}}
-        status, text = await node.operate("POST", "/_config/check", json.dumps(large).encode())
+        large = {
+            **told,
+            "known": {"seq": 1, "whole": True, "hosts": [platform.hosts["s1"]] * 600},
+        }
+        status, text = await node.operate(
+            "POST", "/_config/check", json.dumps(large).encode()
+        )
         assert status == 422 and json.loads(text)["faults"] == [
-            {"path": "settings.services[0].deadline_us", "fault": "not over 0"}]
+            {"path": "settings.services[0].deadline_us", "fault": "not over 0"}
+        ]
         assert (await node.operate("POST", "/_config/check", good[:-20]))[0] == 400
         assert (await node.operate("POST", "/_config/check"))[0] == 400
         assert (await node.operate("GET", "/_config/check"))[0] == 405
-        assert (await node.operate("POST", "/_config/check", b"x" * 1_100_000))[0] == 413
+        assert (await node.operate("POST", "/_config/check", b"x" * 1_100_000))[
+            0
+        ] == 413
         figures = await node.figures()
         assert figures["cfg_accepted"] == figures["cfg_invalid"] == 0
         assert (await node.hand_in("m"))[0] == 202
+
     play(scene, tmp_path)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -19,9 +19,11 @@
 
 FOLDER = Path("/state")
 SECOND = 1_000_000
-CLASSES = (i.MessageClass("status", SECOND, 10 * SECOND),
-           i.MessageClass("pay", SECOND, 10 * SECOND, i.Effect.ONCE),
-           i.MessageClass("turn", SECOND, 10 * SECOND, in_order=True))
+CLASSES = (
+    i.MessageClass("status", SECOND, 10 * SECOND),
+    i.MessageClass("pay", SECOND, 10 * SECOND, i.Effect.ONCE),
+    i.MessageClass("turn", SECOND, 10 * SECOND, in_order=True),
+)
 RULES = Rules(6, CLASSES)
 
 
@@ -34,7 +36,9 @@
     return Taken(name, cls, 7, 10**15, None, None, b"\xb7" * size, key)
 
 
-def opened(disk: Disk, hands: Hands | None = None, most: int = 200_000, **more: int) -> Store:
+def opened(
+    disk: Disk, hands: Hands | None = None, most: int = 200_000, **more: int
+) -> Store:
     store = Store(FOLDER, most, files=disk, worker=hands, base_us=more.get("base", 0))
     store.settle(RULES)
     return store
@@ -79,6 +83,7 @@
                     t.gone = True
                 else:
                     t.accepted = True
+
         self.store.commit(then)
 
     def act(self) -> None:
@@ -121,7 +126,7 @@
     def attempt(self, t: Told) -> None:
         key = t.m.order_key
         if key:
-            before = self.lines[key][:self.lines[key].index(t.m.id)]
+            before = self.lines[key][: self.lines[key].index(t.m.id)]
             if any(n in self.store.messages or n in self.store.owed for n in before):
                 return  # the module sends one at a time
         if t.m.class_name == "pay" and (t.m.out or t.m.ran_at_us >= 0):
@@ -151,8 +156,14 @@
             self.note([t], end=True)
 
     def check(self, back: Store, most_lost: int = 0) -> None:
-        lost = [t for t in self.told.values() if t.accepted and not t.over
-                and t.m.id not in back.messages and t.m.id not in back.owed]
+        lost = [
+            t
+            for t in self.told.values()
+            if t.accepted
+            and not t.over
+            and t.m.id not in back.messages
+            and t.m.id not in back.owed
+        ]
         assert len(lost) <= most_lost, [t.m.id for t in lost]
         for t in self.told.values():
             m = back.messages.get(t.m.id)
@@ -161,13 +172,17 @@
             if t.m.class_name == "pay":
                 hidden = set(t.left) - t.never
                 assert not hidden or m.out or m.ran_at_us >= 0, f"{m.id} would go twice"
-                assert not t.gone or m.out or m.ran_at_us >= 0, f"{m.id} was told to be returned"
+                assert not t.gone or m.out or m.ran_at_us >= 0, (
+                    f"{m.id} was told to be returned"
+                )
             elif not most_lost:
                 assert not t.gone, f"{m.id} was told to be returned"
             if m.order_key:
                 line = self.lines[m.order_key]
-                later = line[line.index(m.id) + 1:]
-                assert not any(self.told[n].left for n in later), f"{m.id} would be overtaken"
+                later = line[line.index(m.id) + 1 :]
+                assert not any(self.told[n].left for n in later), (
+                    f"{m.id} would be overtaken"
+                )
         order = [n for n in back.messages]
         assert order == sorted(order, key=lambda n: int(n[1:]))
         if not most_lost:
@@ -197,12 +212,16 @@
     else:
         world.disk.killed()
     again = world.recovered()
-    assert again.facts() == facts and not again.report.damaged and not again.report.doubted
+    assert (
+        again.facts() == facts and not again.report.damaged and not again.report.doubted
+    )
 
 
 @settings(derandomize=True, deadline=None, max_examples=250)
 @given(st.integers(0, 2**32), st.integers(0, 60), st.integers(0, 150))
-def test_a_killed_process_loses_nothing_and_doubles_nothing(seed: int, steps: int, fuse: int) -> None:
+def test_a_killed_process_loses_nothing_and_doubles_nothing(
+    seed: int, steps: int, fuse: int
+) -> None:
     world = World(seed, power=False)
     world.disk.fuse = fuse
     world.run(steps)
@@ -215,7 +234,9 @@
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(st.integers(0, 2**32), st.integers(0, 60), st.integers(0, 200))
-def test_a_lost_machine_loses_nothing_that_was_promised_under_power(seed: int, steps: int, fuse: int) -> None:
+def test_a_lost_machine_loses_nothing_that_was_promised_under_power(
+    seed: int, steps: int, fuse: int
+) -> None:
     world = World(seed, power=True)
     world.disk.fuse = fuse
     world.run(steps)
@@ -227,7 +248,9 @@
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(st.integers(0, 2**32), st.integers(5, 60), st.booleans())
-def test_a_flipped_bit_costs_one_message_at_most_and_no_rule(seed: int, steps: int, power: bool) -> None:
+def test_a_flipped_bit_costs_one_message_at_most_and_no_rule(
+    seed: int, steps: int, power: bool
+) -> None:
     world = World(seed, power)
     world.run(steps)
     world.disk.killed()
@@ -288,6 +311,7 @@
 
 def f_inode(data: bytes):  # type: ignore[no-untyped-def]
     from tests.disk import Inode
+
     inode = Inode()
     inode.data = bytearray(data)
     return inode
@@ -445,8 +469,12 @@
         back = opened(disk, most=most)
         assert back.report.gaps and ("journal.damaged" in disk.names) is kept
         if kept:
-            assert disk.read(FOLDER / "journal.damaged") == spoilt and back.log.aside == len(spoilt)
-            back.most = 2 * (back.live + 10_000) + 131_072 + 3_000  # messages want the room: it makes way
+            assert disk.read(
+                FOLDER / "journal.damaged"
+            ) == spoilt and back.log.aside == len(spoilt)
+            back.most = (
+                2 * (back.live + 10_000) + 131_072 + 3_000
+            )  # messages want the room: it makes way
             assert back.has_room(10_000) and "journal.damaged" not in disk.names
 
 
@@ -454,7 +482,11 @@
     """The attempt of a once-only message stands in the damaged record."""
     disk = Disk()
     store = opened(disk)
-    for name, cls, key in (("p", "pay", None), ("s", "status", None), ("t", "turn", "K")):
+    for name, cls, key in (
+        ("p", "pay", None),
+        ("s", "status", None),
+        ("t", "turn", "K"),
+    ):
         store.take(taken(name, cls, key))
     store.attempt(store.messages["p"], 0, 5, "hidden")
     store.take(taken("later"))
@@ -463,7 +495,11 @@
     data = disk.names["journal"].data
     data[data.index(b"hidden")] ^= 1
     back = opened(disk)
-    assert back.messages["p"].out and back.messages["s"].out and not back.messages["later"].out
+    assert (
+        back.messages["p"].out
+        and back.messages["s"].out
+        and not back.messages["later"].out
+    )
     assert back.owed == {"t": Owed("failed", 0, "K")} and "t" not in back.messages
     assert (back.report.doubted, back.report.ended) == (2, 1)
 
@@ -486,8 +522,14 @@
     assert again.messages["a"].due_us == m.due_us and not again.report.shifted_us
 
 
-def test_another_boot_leaves_the_end_in_doubt_unless_all_was_synced(monkeypatch: pytest.MonkeyPatch) -> None:
-    for power, closed, doubted in ((False, False, 1), (False, True, 0), (True, False, 0)):
+def test_another_boot_leaves_the_end_in_doubt_unless_all_was_synced(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    for power, closed, doubted in (
+        (False, False, 1),
+        (False, True, 0),
+        (True, False, 0),
+    ):
         monkeypatch.setattr("lemonshunt.net.store.this_boot", lambda: "boot 1")
         disk, hands = Disk(), Hands() if power else None
         store = opened(disk, hands)
@@ -504,7 +546,9 @@
         assert bool(back.messages["a"].out) is bool(doubted)
 
 
-def test_time_does_not_run_backwards_over_a_boot(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_time_does_not_run_backwards_over_a_boot(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Set back by a day, the clock would have kept a message of ten seconds for a day."""
     disk = Disk()
     store = opened(disk)
--- a/tests/test_registry_bounds.py
+++ b/tests/test_registry_bounds.py
@@ -54,7 +54,9 @@
         self.files, self.clock = Files(), clock
         disk = Disk(folder, self.files)
         registry, self.had = disk.load()
-        self.service = Service(disk, registry, lambda: clock.ms, bounds, lambda: clock.us)
+        self.service = Service(
+            disk, registry, lambda: clock.ms, bounds, lambda: clock.us
+        )
 
     async def open(self, lead: Callable[[Service], Awaitable[Any]] | None) -> Run:
         if not self.had:
@@ -66,7 +68,9 @@
         self.write = await self.service.listen("127.0.0.1", 0, True)
         return self
 
-    async def ask(self, path: str, body: Any = None, port: int = 0) -> tuple[int, dict[str, str], Any]:
+    async def ask(
+        self, path: str, body: Any = None, port: int = 0
+    ) -> tuple[int, dict[str, str], Any]:
         reader, writer = await asyncio.open_connection("127.0.0.1", port or self.write)
         data = b"" if body is None else json.dumps(body).encode()
         head = f"{'POST' if data else 'GET'} {path} HTTP/1.1\r\nHost: r\r\n"
@@ -76,16 +80,32 @@
         finally:
             writer.close()
 
-    def change(self, *hosts: str, key: str = "") -> Awaitable[tuple[int, dict[str, str], Any]]:
-        ops = [{"op": "register", "host": h, "dial": "h:1", "site": "a", "class": "m", "block": 0,
-                "share": 1.0, "born_ms": 0} for h in hosts]
+    def change(
+        self, *hosts: str, key: str = ""
+    ) -> Awaitable[tuple[int, dict[str, str], Any]]:
+        ops = [
+            {
+                "op": "register",
+                "host": h,
+                "dial": "h:1",
+                "site": "a",
+                "class": "m",
+                "block": 0,
+                "share": 1.0,
+                "born_ms": 0,
+            }
+            for h in hosts
+        ]
         return self.ask("/v1/hosts", {"id": key, "ops": ops})
 
 
 async def told(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], Any]:
     async with asyncio.timeout(5):
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-        headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
+        headers = {
+            k.lower(): v.strip()
+            for k, _, v in (line.partition(":") for line in head[1:] if line)
+        }
         body = await reader.readexactly(int(headers.get("content-length", 0)))
     return int(head[0].split()[1]), headers, json.loads(body or b"null")
 
@@ -96,8 +116,13 @@
             await asyncio.sleep(0.005)
 
 
-def play(folder: Path, test: Callable[[Run], Awaitable[None]], clock: Clock | None = None,
-         lead: Callable[[Service], Awaitable[Any]] | None = None, **bounds: Any) -> None:
+def play(
+    folder: Path,
+    test: Callable[[Run], Awaitable[None]],
+    clock: Clock | None = None,
+    lead: Callable[[Service], Awaitable[Any]] | None = None,
+    **bounds: Any,
+) -> None:
     async def whole() -> None:
         run = await Run(folder, Bounds(**bounds), clock or Clock()).open(lead)
         try:
@@ -111,7 +136,10 @@
 
 def test_watches_are_bounded_and_one_that_left_counts_no_more(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
-        figures, path = run.service.figures, f"/discovery/hosts?from={run.service.registry.seq}&hold_ms=60000"
+        figures, path = (
+            run.service.figures,
+            f"/discovery/hosts?from={run.service.registry.seq}&hold_ms=60000",
+        )
         _, gone = await asyncio.open_connection("127.0.0.1", run.list)
         gone.write(f"GET {path} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
         stays = asyncio.ensure_future(run.ask(path))
@@ -125,7 +153,11 @@
         await until(lambda: figures.watches_held == 2)
         await run.change("s-1")
         for status, _, answer in await asyncio.gather(stays, other):
-            assert status == 200 and [h["host"] for h in answer["hosts"]] == ["s-1"] and not answer["whole"]
+            assert (
+                status == 200
+                and [h["host"] for h in answer["hosts"]] == ["s-1"]
+                and not answer["whole"]
+            )
 
     play(tmp_path, test, watchers=2)
 
@@ -135,7 +167,11 @@
         held = [await asyncio.open_connection("127.0.0.1", run.list) for _ in range(2)]
         await until(lambda: run.service.figures.connections == 2)
         status, headers, _ = await run.ask("/_ready")
-        assert status == 503 and headers["retry-after"] == "1" and run.service.figures.busy == 1
+        assert (
+            status == 503
+            and headers["retry-after"] == "1"
+            and run.service.figures.busy == 1
+        )
         for reader, writer in held:
             assert await asyncio.wait_for(reader.read(), 5) == b""  # idle past its time
             writer.close()
@@ -149,11 +185,17 @@
     async def test(run: Run) -> None:
         assert (await run.change(*(f"s-{n}" for n in range(1000))))[0] == 200
         sock = socket.create_connection(("127.0.0.1", run.list))
-        sock.sendall(b"GET /discovery/hosts HTTP/1.1\r\nHost: r\r\n\r\n" * 200)  # 25 MB of answers
+        sock.sendall(
+            b"GET /discovery/hosts HTTP/1.1\r\nHost: r\r\n\r\n" * 200
+        )  # 25 MB of answers
         await until(lambda: run.service.figures.slow_closed == 1)
         status, _, answer = await run.ask("/discovery/hosts")
-        assert status == 200 and len(answer["hosts"]) == 1000  # one that reads is told the same list whole
-        await until(lambda: run.service.figures.connections == 0)  # its own end never closed
+        assert (
+            status == 200 and len(answer["hosts"]) == 1000
+        )  # one that reads is told the same list whole
+        await until(
+            lambda: run.service.figures.connections == 0
+        )  # its own end never closed
         sock.close()
 
     play(tmp_path, test, held_bytes=256 * 1024)
@@ -168,7 +210,14 @@
             (400, b"GET /" + b"a" * 20_000 + b" HTTP/1.1\r\n\r\n"),
             (400, b"no request\r\n\r\n"),
             (413, post + b"Content-Length: 2000000\r\n\r\n"),
-            (413, post + b"Transfer-Encoding: chunked\r\n\r\n" + b"800\r\n" + b" " * 2048 + b"\r\n0\r\n\r\n"),
+            (
+                413,
+                post
+                + b"Transfer-Encoding: chunked\r\n\r\n"
+                + b"800\r\n"
+                + b" " * 2048
+                + b"\r\n0\r\n\r\n",
+            ),
             (400, post + b"Content-Length: 9\r\n\r\n{"),  # and then nothing
         ):
             reader, writer = await asyncio.open_connection("127.0.0.1", run.write)
@@ -181,9 +230,13 @@
     play(tmp_path, test, body=1024, body_s=0.1)
 
 
-def test_changes_that_wait_are_bounded_and_kept_and_answered_at_the_end(tmp_path: Path) -> None:
+def test_changes_that_wait_are_bounded_and_kept_and_answered_at_the_end(
+    tmp_path: Path,
+) -> None:
     async def test(run: Run) -> None:
-        held = asyncio.ensure_future(run.ask(f"/v1/hosts?from={run.service.registry.seq}&hold_ms=60000"))
+        held = asyncio.ensure_future(
+            run.ask(f"/v1/hosts?from={run.service.registry.seq}&hold_ms=60000")
+        )
         await until(lambda: run.service.figures.watches_held == 1)
         run.files.free.clear()
         waiting = [asyncio.ensure_future(run.change("s-0"))]
@@ -210,7 +263,9 @@
         await until(lambda: len(run.service.writer.rounds.batch) == 1)
         assert not await run.service.stop()
         status, _, answer = await waiting
-        assert status == 500 and "nobody knows" in answer["faults"][0]  # neither yes nor no
+        assert (
+            status == 500 and "nobody knows" in answer["faults"][0]
+        )  # neither yes nor no
 
     play(tmp_path, test, stop_s=0.1)
 
@@ -221,8 +276,12 @@
         run.files.free.clear()
         first = asyncio.ensure_future(run.change("s-9"))
         await until(lambda: len(run.service.writer.rounds.batch) == 1)
-        calls = [run.change("s-0", key="k"), run.change("s-0", key="k"), run.change("s-0"),
-                 run.ask("/v1/hosts", {"ops": [{"op": "drain", "host": "s-0"}]})]
+        calls = [
+            run.change("s-0", key="k"),
+            run.change("s-0", key="k"),
+            run.change("s-0"),
+            run.ask("/v1/hosts", {"ops": [{"op": "drain", "host": "s-0"}]}),
+        ]
         waiting = [asyncio.ensure_future(call) for call in calls]
         await until(lambda: len(run.service.writer.rounds.queue) == 4)
         run.files.failing = True
@@ -245,10 +304,14 @@
         log.append([{"n": 1}, {"n": 2}])
     files.failing = files.uncut = False
     log.append([{"n": 3}])
-    assert Log(tmp_path / "log").load() == [{"n": 3}]  # nothing of the failed ones behind it
+    assert Log(tmp_path / "log").load() == [
+        {"n": 3}
+    ]  # nothing of the failed ones behind it
 
 
-def test_a_watch_of_the_same_version_in_another_epoch_is_told_the_whole_list_at_once(tmp_path: Path) -> None:
+def test_a_watch_of_the_same_version_in_another_epoch_is_told_the_whole_list_at_once(
+    tmp_path: Path,
+) -> None:
     async def test(run: Run) -> None:
         await run.change("s-1")
         now = run.service.registry
@@ -261,7 +324,9 @@
     play(tmp_path, test)
 
 
-def test_a_history_lost_twice_with_the_clock_set_back_goes_past_what_readers_saw(tmp_path: Path) -> None:
+def test_a_history_lost_twice_with_the_clock_set_back_goes_past_what_readers_saw(
+    tmp_path: Path,
+) -> None:
     clock, seen = Clock(), dict[str, int]()
 
     async def first(run: Run) -> None:
@@ -269,15 +334,20 @@
         seen.update((await run.ask("/v1/hosts"))[2])
 
     async def second(run: Run) -> None:
-        assert (await run.ask("/v1/hosts"))[2]["seq"] < seen["seq"]  # the clock alone went back
-        status, _, answer = await run.ask(f"/v1/hosts?from={seen['seq']}&epoch={seen['epoch']}&hold_ms=60000")
+        assert (await run.ask("/v1/hosts"))[2]["seq"] < seen[
+            "seq"
+        ]  # the clock alone went back
+        status, _, answer = await run.ask(
+            f"/v1/hosts?from={seen['seq']}&epoch={seen['epoch']}&hold_ms=60000"
+        )
         assert status == 200 and answer["whole"]
         assert answer["epoch"] > seen["epoch"] and answer["seq"] > seen["seq"]
         seen.update(answer)
 
     async def kept(run: Run) -> None:
-        assert run.had and {k: run.service.registry.owed(None, None)[k] for k in ("seq", "epoch")} == {
-            k: seen[k] for k in ("seq", "epoch")}
+        assert run.had and {
+            k: run.service.registry.owed(None, None)[k] for k in ("seq", "epoch")
+        } == {k: seen[k] for k in ("seq", "epoch")}
 
     for n, step in enumerate((first, second, second)):
         clock.ms = 1_000_000 - 1_000 * n
@@ -285,7 +355,9 @@
     play(tmp_path / "2", kept, clock)  # what was told was on disk
 
 
-def test_readers_ahead_lift_the_list_only_so_often_and_never_the_fence(tmp_path: Path) -> None:
+def test_readers_ahead_lift_the_list_only_so_often_and_never_the_fence(
+    tmp_path: Path,
+) -> None:
     clock = Clock()
 
     async def test(run: Run) -> None:
@@ -296,13 +368,17 @@
             _, _, answer = await run.ask(f"/v1/hosts?from={claimed}&epoch={now.epoch}")
             assert answer["whole"]
             at.append(answer["seq"])
-        assert at[0] < at[1] < at[2] == at[3] == at[4]  # two lifts at once, then the whole list alone
+        assert (
+            at[0] < at[1] < at[2] == at[3] == at[4]
+        )  # two lifts at once, then the whole list alone
         assert run.service.figures.lifts_put_off == 2 and now.fence == fence
         clock.us += 100_000  # the time of one more: the claim that was put off is gone past by itself
         await until(lambda: now.seq > claimed)
         for path in (f"from={BELIEVED}", f"epoch={BELIEVED}"):  # no service told that
             seq = now.seq
-            assert (await run.ask(f"/v1/hosts?{path}&hold_ms=60000"))[2]["whole"] and now.seq == seq
+            assert (await run.ask(f"/v1/hosts?{path}&hold_ms=60000"))[2][
+                "whole"
+            ] and now.seq == seq
         assert now.fence == fence
 
     play(tmp_path, test, clock, lifts=2, lift_s=0.1)
@@ -312,7 +388,10 @@
     async def test(run: Run) -> None:
         now = run.service.registry
         fence, seq = now.fence, now.seq
-        assert await run.service.lift(fence - 1) == fence and run.service.figures.fence_lifts == 1
+        assert (
+            await run.service.lift(fence - 1) == fence
+            and run.service.figures.fence_lifts == 1
+        )
         assert await run.service.lift(fence + 7) == fence + 8 and now.seq == seq
         with pytest.raises(Refused):
             await run.service.lift(1 << 60)
@@ -323,7 +402,9 @@
             await run.service.lift(fence + 30)
         assert now.fence == fence + 21
         status, _, answer = await run.ask(f"/v1/hosts?from={now.seq + 9}")
-        assert status == 200 and answer["whole"] and answer["seq"] == now.seq  # told, though not lifted
+        assert (
+            status == 200 and answer["whole"] and answer["seq"] == now.seq
+        )  # told, though not lifted
         run.files.failing = False
         await run.service.lift(fence + 40)
         run.service.disk.snapshot(now)
@@ -341,16 +422,42 @@
         assert refused.value.status == 400
         return refused.value.faults
 
-    assert [f.partition(":")[0] for f in faults(
-        '{"id": 7, "ops": [{"op":"drain"}, {"op":"register","host":"","dial":"x","site":"a","class":5,'
-        '"block":true,"share":1001,"born_ms":-1,"health":"gone"}, {"op":"no"}, 3,'
-        '{"op":"share","host":"a","share":"1"}]}')] == [
-        "id", "ops[0].host", "ops[1].host", "ops[1].dial", "ops[1].class", "ops[1].block", "ops[1].share",
-        "ops[1].born_ms", "ops[1].health", "ops[2].op", "ops[3].op", "ops[4].share"]
-    assert [f.partition(":")[0] for f in faults(
-        '{"id":"a","id":"b","ops":[{"op":"share","host":"s","host":"t","share":NaN},{"share":1e999}]}')] == [
-        "id", "ops[0].host", "ops[0].share", "ops[1].share"]
-    for broken in ("", "{", "[" * 100_000, '{"id":"\\ud800"}', "[]", '{"ops":[]}', "9" * 5000):
+    assert [
+        f.partition(":")[0]
+        for f in faults(
+            '{"id": 7, "ops": [{"op":"drain"}, {"op":"register","host":"","dial":"x","site":"a","class":5,'
+            '"block":true,"share":1001,"born_ms":-1,"health":"gone"}, {"op":"no"}, 3,'
+            '{"op":"share","host":"a","share":"1"}]}'
+        )
+    ] == [
+        "id",
+        "ops[0].host",
+        "ops[1].host",
+        "ops[1].dial",
+        "ops[1].class",
+        "ops[1].block",
+        "ops[1].share",
+        "ops[1].born_ms",
+        "ops[1].health",
+        "ops[2].op",
+        "ops[3].op",
+        "ops[4].share",
+    ]
+    assert [
+        f.partition(":")[0]
+        for f in faults(
+            '{"id":"a","id":"b","ops":[{"op":"share","host":"s","host":"t","share":NaN},{"share":1e999}]}'
+        )
+    ] == ["id", "ops[0].host", "ops[0].share", "ops[1].share"]
+    for broken in (
+        "",
+        "{",
+        "[" * 100_000,
+        '{"id":"\\ud800"}',
+        "[]",
+        '{"ops":[]}',
+        "9" * 5000,
+    ):
         assert len(faults(broken)) == 1
 
 
@@ -366,13 +473,17 @@
         assert lists[0].whole and [h.name for h in lists[1].hosts] == ["s-1"]
         watch.pause()
         client = Client(where)
-        for body, status in ((b'{"id":"a","state":"failed"}\n{"id":"b"}\n', 204),
-                             (b'{"id":"a"}\n{"x":1}\nno', 400)):
+        for body, status in (
+            (b'{"id":"a","state":"failed"}\n{"id":"b"}\n', 204),
+            (b'{"id":"a"}\n{"x":1}\nno', 400),
+        ):
             assert (await client.ask("POST", "/v1/notices", 2.0, body)).status == status
         client.close()
         await until(lambda: run.service.disk.notice_count == 2)
         rows = (await run.ask("/v1/notices?from=1"))[2]
-        assert rows["next"] == 2 and [r["notice"]["id"] for r in rows["notices"]] == ["b"]
+        assert rows["next"] == 2 and [r["notice"]["id"] for r in rows["notices"]] == [
+            "b"
+        ]
         reader, writer = await asyncio.open_connection("127.0.0.1", run.list)
         writer.write(b"GET /metrics HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")
         text = (await reader.read()).decode()
@@ -386,7 +497,24 @@
 def test_an_empty_folder_starts_only_at_the_operators_word(tmp_path: Path) -> None:
     state = tmp_path / "state"
     run = subprocess.run(
-        [sys.executable, "-m", "lemonshunt.registry", "--state", str(state), "--listen", "127.0.0.1:0",
-         "--write", "127.0.0.1:0"], capture_output=True, text=True, timeout=20)
-    assert run.returncode == 2 and len(run.stderr.splitlines()) == 1 and "--new" in run.stderr
+        [
+            sys.executable,
+            "-m",
+            "lemonshunt.registry",
+            "--state",
+            str(state),
+            "--listen",
+            "127.0.0.1:0",
+            "--write",
+            "127.0.0.1:0",
+        ],
+        capture_output=True,
+        text=True,
+        timeout=20,
+    )
+    assert (
+        run.returncode == 2
+        and len(run.stderr.splitlines()) == 1
+        and "--new" in run.stderr
+    )
     assert not state.exists()
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -23,7 +23,11 @@
     name = "tally"
 
     def __init__(self) -> None:
-        self.asked, self.held, self.heard = dict[str, int](), dict[str, int](), list[tuple[str, Any]]()
+        self.asked, self.held, self.heard = (
+            dict[str, int](),
+            dict[str, int](),
+            list[tuple[str, Any]](),
+        )
         self.flying = 0  # rows of a plan that are not on disk yet
 
     def restored(self, now_us: int, sure: bool, snapshot: Any, rows: list[Any]) -> None:
@@ -33,7 +37,9 @@
             self.held[row["name"]] = row["calls"]
 
     def faults(self, beat: Any) -> list[str]:
-        return [] if isinstance(beat.get("calls", 0), int) else ["calls: a whole number"]
+        return (
+            [] if isinstance(beat.get("calls", 0), int) else ["calls: a whole number"]
+        )
 
     def beat(self, now_us: int, name: str, token: Any, beat: Any) -> bool:
         self.asked[name] = beat.get("calls", 0)
@@ -49,8 +55,11 @@
         if self.flying:
             self.heard.append(("planned twice", None))
         names = [m.name for m in members]
-        rows = [{"name": n, "calls": c} for n, c in self.asked.items()
-                if c > self.held.get(n, 0) and n in names]
+        rows = [
+            {"name": n, "calls": c}
+            for n, c in self.asked.items()
+            if c > self.held.get(n, 0) and n in names
+        ]
         self.flying = len(rows)
         return rows
 
@@ -112,8 +121,11 @@
             await beat(run, "f1", tokens[0], calls=calls)
             await until(lambda: tally.flying == 1)
             await asyncio.sleep(2 * fleet.PLAN_S)
-        decided = asyncio.ensure_future(run.service.fleet.decide(
-            "tally", lambda _: [] if tally.flying else [{"name": "x", "calls": 1}]))
+        decided = asyncio.ensure_future(
+            run.service.fleet.decide(
+                "tally", lambda _: [] if tally.flying else [{"name": "x", "calls": 1}]
+            )
+        )
         await asyncio.sleep(0.01)
         run.files.free.set()
         await decided
@@ -121,16 +133,25 @@
         assert ("planned twice", None) not in tally.heard
         status, told = await beat(run, "f1", [1, 2, 3], sent=-1, seen="no", calls="x")
         assert status == 400 and [f.partition(":")[0] for f in told["faults"]] == [
-            "token", "sent", "seen", "calls"]
+            "token",
+            "sent",
+            "seen",
+            "calls",
+        ]
         tokens.append((await beat(run, "f1", shown=tokens[0]))[1]["token"])
         assert (await beat(run, "f1", tokens[1], leave=True))[1]["state"] == "left"
         tokens.append((await beat(run, "f1"))[1]["token"])
         version = run.service.fleet.version
         clock.us += 2 * TTL_US
-        while (await run.ask(f"/v1/fleet/watch?from={version}&hold_ms=9000", port=run.fleet))[2] == {
-                "version": version}:
+        while (
+            await run.ask(
+                f"/v1/fleet/watch?from={version}&hold_ms=9000", port=run.fleet
+            )
+        )[2] == {"version": version}:
             pass
-        await until(lambda: ("out", _of(tokens[2])) in tally.heard)  # woken as it was suspect already
+        await until(
+            lambda: ("out", _of(tokens[2])) in tally.heard
+        )  # woken as it was suspect already
         status, told = await beat(run, "f1", tokens[2])
         assert status == 409 and told["error"] == "lost"
         monkeypatch.setattr(book, "REWRITE_EVERY", 1)
@@ -141,8 +162,12 @@
     play(tmp_path, first, clock, lead(tally))
     one, two, three = map(_of, tokens)
     assert [h for h in tally.heard if h[0] in ("joined", "ended", "out")][:5] == [
-        ("joined", "f1", one, None), ("joined", "f1", two, one), ("ended", two),
-        ("joined", "f1", three, None), ("out", three)]
+        ("joined", "f1", one, None),
+        ("joined", "f1", two, one),
+        ("ended", two),
+        ("joined", "f1", three, None),
+        ("out", three),
+    ]
     again = Tally()
 
     async def second(run: Run) -> None:
@@ -156,7 +181,9 @@
     return fleet.Token(*pair)
 
 
-def test_a_grant_that_is_not_kept_is_not_told_and_ends_are_tried_again(tmp_path: Path) -> None:
+def test_a_grant_that_is_not_kept_is_not_told_and_ends_are_tried_again(
+    tmp_path: Path,
+) -> None:
     clock = Clock()
 
     async def test(run: Run) -> None:
@@ -178,13 +205,20 @@
         token = (await acquire(run, "c/d"))[1]["token"]
         assert token[0] == above + 1
         assert (await run.ask("/v1/leases/c/d/revoke", {}))[0] == 200
-        assert (await run.ask("/v1/leases/c/d/renew", {"token": token}, run.fleet))[0] == 409
+        assert (await run.ask("/v1/leases/c/d/renew", {"token": token}, run.fleet))[
+            0
+        ] == 409
 
     play(tmp_path, test, clock, lead())
 
 
 def test_an_older_copy_is_known_by_the_mark_outside_of_it(tmp_path: Path) -> None:
-    clock, log, mark, top = Clock(), tmp_path / "s" / "fleet.log", tmp_path / "mark", [0, 0]
+    clock, log, mark, top = (
+        Clock(),
+        tmp_path / "s" / "fleet.log",
+        tmp_path / "mark",
+        [0, 0],
+    )
 
     async def grants(run: Run) -> None:
         clock.us += 2 * TTL_US
@@ -205,4 +239,6 @@
     log.write_bytes(copy)
     play(tmp_path / "s", held, clock, lead(mark=mark))
     assert len(Log(log).load()) < count  # it was the copy that it started on
-    play(tmp_path / "s", grants, clock, lead(mark=mark))  # above all before, though the copy never knew them
+    play(
+        tmp_path / "s", grants, clock, lead(mark=mark)
+    )  # above all before, though the copy never knew them
--- a/tests/test_registry_riders.py
+++ b/tests/test_registry_riders.py
@@ -37,7 +37,9 @@
         for name in ("f1", "f2", "f3"):
             world.add(name)
         await world.calm(25)
-        assert (await world.run.call("PUT", "/v1/map", world.raw_map(1, ["f1", "f2"])))[0] == 200
+        assert (await world.run.call("PUT", "/v1/map", world.raw_map(1, ["f1", "f2"])))[
+            0
+        ] == 200
         for turn in range(2):
             for _ in range(80):
                 await world.step()
@@ -49,20 +51,27 @@
                 await world.run.call("PUT", "/v1/budgets", {"budgets": [BUDGET]})
                 seen = max(p.seen.epoch for p in world.all)
                 assert world.run.parts.fleet.table.epoch <= seen
-                if max(p.seen.epoch for p in world.here) < seen:  # the operator knows better
+                if (
+                    max(p.seen.epoch for p in world.here) < seen
+                ):  # the operator knows better
                     await world.run.call("POST", "/v1/epoch", {"above": seen})
             await world.calm(38)
             # A lowered whole binds by now. What is safe is also of use: nearly all is had, by who is there.
             del world.wholes[:-1]
             world.check()
             whole = world.wholes[0]
-            assert sum(p.most() for p in world.all) >= 0.8 * whole - 20, (whole, [p.share for p in world.all])
+            assert sum(p.most() for p in world.all) >= 0.8 * whole - 20, (
+                whole,
+                [p.share for p in world.all],
+            )
             if turn:
                 assert (await world.run.call("GET", "/v1/map"))[0] == 404
                 raw = world.raw_map(1, sorted({p.name for p in world.here}))
                 assert (await world.run.call("PUT", "/v1/map", raw))[0] == 200
                 await world.calm(12)
-            acting = union(own.span for p in world.here for own in p.owned.holding(p.own()))
+            acting = union(
+                own.span for p in world.here for own in p.owned.holding(p.own())
+            )
             assert acting == [(0, TOP)]
         await world.run.service.stop()
 
@@ -73,14 +82,28 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file, known = tmp_path / "b.toml", {"reserves_known": True}
-    file.write_text("[[budgets]]\ndestination = '7'\ncalls = 0\nspan_ms = 400\n[[budgets]]\n")
-    args = [*"--listen 127.0.0.1:0 --write 127.0.0.1:0 --fleet 127.0.0.1:0 --new".split(),
-            "--state", str(tmp_path / "s"), "--budgets", str(file)]
+    file.write_text(
+        "[[budgets]]\ndestination = '7'\ncalls = 0\nspan_ms = 400\n[[budgets]]\n"
+    )
+    args = [
+        *"--listen 127.0.0.1:0 --write 127.0.0.1:0 --fleet 127.0.0.1:0 --new".split(),
+        "--state",
+        str(tmp_path / "s"),
+        "--budgets",
+        str(file),
+    ]
     assert command.main(args) == 2 and not (tmp_path / "s").exists()
     faults = capsys.readouterr().err.splitlines()
     assert [line.split(": ")[2] for line in faults] == [
-        f"budgets[{n}].{name}" for n, names in enumerate((("calls", "members_max"), (
-            "destination", "calls", "span_ms", "members_max"))) for name in names]
+        f"budgets[{n}].{name}"
+        for n, names in enumerate(
+            (
+                ("calls", "members_max"),
+                ("destination", "calls", "span_ms", "members_max"),
+            )
+        )
+        for name in names
+    ]
     play = Play(tmp_path / "s", monkeypatch)
 
     async def test() -> None:
@@ -94,14 +117,23 @@
         play.run.files.failing = False
         assert await play.run.call("GET", "/v1/budgets") == calm
         await play.calm(25, f1=80, f2=20)
-        assert (f1.most(), f2.most()) == (70, 20) and f1.share["reserve"] == f2.share["reserve"] == 5
+        assert (f1.most(), f2.most()) == (70, 20) and f1.share["reserve"] == f2.share[
+            "reserve"
+        ] == 5
         held = (await play.run.call("GET", "/v1/budgets"))[1]["held"]["7"]
-        assert [(m["name"], m["calls"], m["acked"], m["left_ms"] > 900) for m in held["members"]] == [
-            (p.name, p.most(), p.share["number"], True) for p in (f1, f2)]
-        assert (await play.run.call("GET", "/_vars"))[1]["budget"]["7"]["set_aside"] == 10
+        assert [
+            (m["name"], m["calls"], m["acked"], m["left_ms"] > 900)
+            for m in held["members"]
+        ] == [(p.name, p.most(), p.share["number"], True) for p in (f1, f2)]
+        assert (await play.run.call("GET", "/_vars"))[1]["budget"]["7"][
+            "set_aside"
+        ] == 10
         # A lowered whole binds at the next beat.
         version = calm[1]["version"]
-        assert (await play.put(match=version, calls=40))[1] == {"version": version + 1, "changed": True}
+        assert (await play.put(match=version, calls=40))[1] == {
+            "version": version + 1,
+            "changed": True,
+        }
         await asyncio.gather(f1.beat(play.run), f2.beat(play.run))
         assert f1.most() + f2.most() <= 40
         # A plan whose write failed, made by the budgets before, is written before those that come after it.
@@ -117,9 +149,14 @@
         number = play.run.parts.budgets.ledger.pending.number
         play.run.files.failing = False
         assert (await play.put(calls=40))[0] == 200
-        rows = [line["row"] for line in lines((tmp_path / "s" / "fleet.log").read_bytes(), "log")[0]]
+        rows = [
+            line["row"]
+            for line in lines((tmp_path / "s" / "fleet.log").read_bytes(), "log")[0]
+        ]
         at = max(n for n, row in enumerate(rows) if "config" in row)
-        assert rows[at]["config"][0]["calls"] == 40 and rows[at - 1]["budgets"] == number
+        assert (
+            rows[at]["config"][0]["calls"] == 40 and rows[at - 1]["budgets"] == number
+        )
         # Those in force outlive the process. A file counts where it says something new, or at SIGHUP.
         await play.again()
         assert play.run.parts.budgets.raw[0]["calls"] == 40
@@ -138,9 +175,15 @@
         # An operator's word frees what a process that never comes back keeps.
         cut = play.world.here.pop(0)
         await play.calm(15)
-        assert (await play.run.call("POST", "/v1/budgets/ended", {"token": f2.token.told()}))[0] == 409
+        assert (
+            await play.run.call("POST", "/v1/budgets/ended", {"token": f2.token.told()})
+        )[0] == 409
         play.world.all.remove(cut)
-        assert (await play.run.call("POST", "/v1/budgets/ended", {"token": cut.token.told()}))[0] == 200
+        assert (
+            await play.run.call(
+                "POST", "/v1/budgets/ended", {"token": cut.token.told()}
+            )
+        )[0] == 200
         await play.calm(6, f2=90)
         assert f2.most() == 75
         # What a beat asks for is in its own answer, where it can be had.
@@ -174,7 +217,10 @@
             play.world.clock.us += 200_000
         await play.again()  # nothing is divided for a lease
         await play.calm(8)
-        assert f1.most() < 20 and play.run.parts.budgets.figures(play.world.clock.us)["7"]["free"] > 50
+        assert (
+            f1.most() < 20
+            and play.run.parts.budgets.figures(play.world.clock.us)["7"]["free"] > 50
+        )
         # What f1 gave up has cooled by the short span. The log is written anew, before or after the change.
         if before:
             await play.run.parts.fleet._rewrite()
@@ -250,9 +296,13 @@
 
     def raw(generation: int, *owners: str) -> dict[str, Any]:
         cuts = [n * (TOP + 1) // len(owners) for n in range(len(owners) + 1)]
-        return {"generation": generation, "ranges": [
-            {"from": hexed(a), "to": hexed(b - 1), "owner": owner}
-            for a, b, owner in zip(cuts, cuts[1:], owners, strict=False)]}
+        return {
+            "generation": generation,
+            "ranges": [
+                {"from": hexed(a), "to": hexed(b - 1), "owner": owner}
+                for a, b, owner in zip(cuts, cuts[1:], owners, strict=False)
+            ],
+        }
 
     def has(process: Process) -> list[tuple[int, int]]:
         return union(own.span for own in process.owned.holding(process.own()))
@@ -263,8 +313,14 @@
         call = play.run.call
         assert (await call("GET", "/v1/map"))[0] == 404 and f1.owned.map is None
         whole = raw(3, "f1", "f2")
-        assert (await call("PUT", "/v1/map", whole)) == (200, {"generation": 3, "changed": True})
-        assert (await call("PUT", "/v1/map", whole)) == (200, {"generation": 3, "changed": False})
+        assert (await call("PUT", "/v1/map", whole)) == (
+            200,
+            {"generation": 3, "changed": True},
+        )
+        assert (await call("PUT", "/v1/map", whole)) == (
+            200,
+            {"generation": 3, "changed": False},
+        )
         await play.calm(2)
         assert has(f1) == [(0, TOP // 2)] and has(f2) == [(TOP // 2 + 1, TOP)]
         # Refused, each with all its faults: the old one is whole and in force.
@@ -272,11 +328,19 @@
         other["ranges"][0] |= {"owner": "f9", "to": "7000000000000000"}
         status, answer = await call("PUT", "/v1/map", other)
         assert status == 422 and [f.split()[0] for f in answer["faults"]] == [
-            "unknown-owner", "gap", "stale-generation", "moves-too-much"]
-        assert [f.split()[0] for f in (await call("PUT", "/v1/map", raw(3, "f1", "f3")))[1]["faults"]] == [
-            "stale-generation"]
+            "unknown-owner",
+            "gap",
+            "stale-generation",
+            "moves-too-much",
+        ]
+        assert [
+            f.split()[0]
+            for f in (await call("PUT", "/v1/map", raw(3, "f1", "f3")))[1]["faults"]
+        ] == ["stale-generation"]
         assert (await call("PUT", "/v1/map", raw(4, "f1", "f3"), match=2))[0] == 412
-        status, answer = await call("POST", "/v1/map/move", {"from": "f", "to": "g", "who": 1})
+        status, answer = await call(
+            "POST", "/v1/map/move", {"from": "f", "to": "g", "who": 1}
+        )
         assert status == 400 and len(answer["faults"]) == 4
         play.run.files.failing = True
         assert (await call("PUT", "/v1/map", raw(4, "f1", "f3")))[0] == 507
@@ -289,7 +353,9 @@
         await f2.beat(play.run, drain=False)
         await f1.beat(play.run)
         assert has(f2) == [(TOP // 2 + 1, TOP)] and not f2.owned.may_act(TOP, f2.own())
-        assert (await call("POST", "/v1/map/move", {**top, "owner": "f3"}))[1]["generation"] == 5
+        assert (await call("POST", "/v1/map/move", {**top, "owner": "f3"}))[1][
+            "generation"
+        ] == 5
         moves = (await call("GET", "/v1/map/moves"))[1]["moving"]
         assert moves == [{**top, "held_by": "f2", "owner": "f3"}]
         await f3.beat(play.run)
@@ -302,20 +368,46 @@
         play.run.files.failing = False
         await play.run.settle()
         await play.calm(2)
-        assert (has(f1), has(f2), has(f3)) == ([(0, TOP // 2)], [], [(TOP // 2 + 1, TOP)])
+        assert (has(f1), has(f2), has(f3)) == (
+            [(0, TOP // 2)],
+            [],
+            [(TOP // 2 + 1, TOP)],
+        )
         # A member with another map of this generation is given nothing; the map goes above both.
-        f1.owned.turn(ShardMap(5, tuple(Range(r.first, r.last, "f1") for r in f1.owned.map.ranges)))
+        f1.owned.turn(
+            ShardMap(
+                5, tuple(Range(r.first, r.last, "f1") for r in f1.owned.map.ranges)
+            )
+        )
         f1.owned.lost()
         f1.token, f1.shown = NEVER, f1.token
         await play.calm(3)
-        assert (await call("GET", "/v1/map"))[1]["generation"] == 6 and has(f1) == [(0, TOP // 2)]
+        assert (await call("GET", "/v1/map"))[1]["generation"] == 6 and has(f1) == [
+            (0, TOP // 2)
+        ]
         body = f1.body()
         beat = ("POST", "/v1/fleet/beat")
-        assert (await call(*beat, {**body, "sent": 1}, port=play.run.fleet))[1]["error"] == "late"
-        status, answer = await call(*beat, {**body, "map": 1 << 40, "digest": 3, "gave": ["1"], "needs": 3,
-                                            "holds": {"7": [1]}}, port=play.run.fleet)
+        assert (await call(*beat, {**body, "sent": 1}, port=play.run.fleet))[1][
+            "error"
+        ] == "late"
+        status, answer = await call(
+            *beat,
+            {
+                **body,
+                "map": 1 << 40,
+                "digest": 3,
+                "gave": ["1"],
+                "needs": 3,
+                "holds": {"7": [1]},
+            },
+            port=play.run.fleet,
+        )
         assert status == 400 and [f.partition(":")[0] for f in answer["faults"]] == [
-            "map", "gave[0]", "needs", "holds.7"]
+            "map",
+            "gave[0]",
+            "needs",
+            "holds.7",
+        ]
         # Revoked: nobody acts on its keys until its lease is surely out.
         assert (await call("POST", "/v1/leases/member/f3/revoke", {}))[0] == 200
         play.world.here.remove(f3)
@@ -327,11 +419,23 @@
         # Two processes of one name: while the one's beat waits for the disk, the other takes its place.
         body = {**f2.body(), "seen": [f2.token.epoch + 3, 0]}
         play.run.files.free.clear()
-        waits = [asyncio.ensure_future(call("POST", "/v1/leases/x/acquire", {"holder": "x", "ttl_ms": 500},
-                                            port=play.run.fleet))]  # so that both are written in one round
+        waits = [
+            asyncio.ensure_future(
+                call(
+                    "POST",
+                    "/v1/leases/x/acquire",
+                    {"holder": "x", "ttl_ms": 500},
+                    port=play.run.fleet,
+                )
+            )
+        ]  # so that both are written in one round
         for more in ({}, {"token": None, "shown": f2.token.told(), "run": "other"}):
             await asyncio.sleep(0.02)
-            waits.append(asyncio.ensure_future(call(*beat, {**body, **more}, port=play.run.fleet)))
+            waits.append(
+                asyncio.ensure_future(
+                    call(*beat, {**body, **more}, port=play.run.fleet)
+                )
+            )
         await asyncio.sleep(0.02)
         play.run.files.free.set()
         _, (status, answer), (after, _) = await asyncio.gather(*waits)
@@ -341,7 +445,9 @@
     asyncio.run(test())
 
 
-def test_the_holder_of_shard_planner_plans_by_itself(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_holder_of_shard_planner_plans_by_itself(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     play = Play(tmp_path / "s", monkeypatch)
     auto = AutoPlanner(Pauses(gone_us=500_000, come_us=800_000, between_us=1_000_000))
 
@@ -355,7 +461,9 @@
         await play.run.call("POST", "/v1/leases/shard-planner/revoke", {})
 
         async def lease(how: str, **body: Any) -> tuple[int, Any]:
-            return await play.run.call("POST", f"/v1/leases/shard-planner/{how}", body, port=play.run.fleet)
+            return await play.run.call(
+                "POST", f"/v1/leases/shard-planner/{how}", body, port=play.run.fleet
+            )
 
         while (await lease("acquire", holder="op", ttl_ms=1000))[0] != 200:
             await play.calm(1)
@@ -367,7 +475,9 @@
         await lease("release", token=token)
         while play.world.clock.us < play.run.parts.planner.rest_us - 200_000:
             await play.calm(1)
-        play.world.add("f3")  # asked for again, the lease lets the service divide among all
+        play.world.add(
+            "f3"
+        )  # asked for again, the lease lets the service divide among all
         await play.calm(5)
         maps = play.run.parts.maps
         assert maps.map.generation == 1 and maps.map.owners() == {"f1", "f2", "f3"}
@@ -392,14 +502,22 @@
         version, held = play.run.parts.fleet.version, []
         for name in ("f1", "f2", ""):
             path = f"/v1/fleet/watch?from={version}&hold_ms=9000&name={name}"
-            held.append(asyncio.ensure_future(play.run.call("GET", path, port=play.run.fleet)))
+            held.append(
+                asyncio.ensure_future(play.run.call("GET", path, port=play.run.fleet))
+            )
         await until(lambda: play.run.service.figures.watches_held == 3)
         f1 = play.world.here[0]
-        f1.need = f1.most() + 3  # lent from the loose rest, so that nobody else's share changes
+        f1.need = (
+            f1.most() + 3
+        )  # lent from the loose rest, so that nobody else's share changes
         await f1.beat(play.run)
         await play.run.settle()
         done, _ = await asyncio.wait([held[0], held[2]], timeout=5)
-        assert len(done) == 2 and not held[1].done() and play.run.parts.fleet.version > version
+        assert (
+            len(done) == 2
+            and not held[1].done()
+            and play.run.parts.fleet.version > version
+        )
         await play.run.call("PUT", "/v1/map", play.world.raw_map(1, ["f1"]))
         assert (await asyncio.wait_for(held[1], 5))[0] == 200
         watchers = Watchers()
@@ -410,7 +528,11 @@
         assert [f.done() for f in several] == [True, True, False, False, False, False]
         await until(lambda: any(f.done() for f in several[2:]))
         assert [f.done() for f in several] == [True, True, True, False, False, True]
-        assert watchers.behind(1, "f5") and not watchers.behind(1, "f4") and watchers.behind(0, "f4")
+        assert (
+            watchers.behind(1, "f5")
+            and not watchers.behind(1, "f4")
+            and watchers.behind(0, "f4")
+        )
         await until(lambda: all(f.done() for f in several))
         await play.run.service.stop()
 
