--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -29,37 +29,62 @@
 
 def short(window: int = WINDOW, scope: i.Scope = i.Scope.ALL) -> dict[str, object]:
     """Settings with one keyed class whose window is no longer than a client's shortest absence."""
-    return {"classes": (i.MessageClass("keyed", 2 * S, 20 * S, i.Effect.KEYED, scope, window),
-                        i.MessageClass("safe", 2 * S, 20 * S))}
+    return {
+        "classes": (
+            i.MessageClass("keyed", 2 * S, 20 * S, i.Effect.KEYED, scope, window),
+            i.MessageClass("safe", 2 * S, 20 * S),
+        )
+    }
 
 
 def failed_once(d: Dispatcher, at: int, then: i.Outcome = FAILED) -> list[i.Action]:
     """One keyed message whose first call is sent at 0 and ends so at that time."""
     first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    return d.handle(at, [end(first, then, took=at, weak=True)])  # weak: no outage in the way of a repeat
+    return d.handle(
+        at, [end(first, then, took=at, weak=True)]
+    )  # weak: no outage in the way of a repeat
 
 
 # What is decided
 
 
-@pytest.mark.parametrize("at, again", [
-    (300 * MS, True), (WINDOW - WIRE_US - 1, True), (WINDOW - WIRE_US, False), (WINDOW, False)])
-@pytest.mark.parametrize("how", [FAILED, LATE, i.Outcome.RESET, i.Outcome.SPOILT, i.Outcome.CANCELED])
-def test_a_repeat_is_decided_only_with_time_left_for_its_way(at: int, again: bool, how: i.Outcome) -> None:
+@pytest.mark.parametrize(
+    "at, again",
+    [
+        (300 * MS, True),
+        (WINDOW - WIRE_US - 1, True),
+        (WINDOW - WIRE_US, False),
+        (WINDOW, False),
+    ],
+)
+@pytest.mark.parametrize(
+    "how", [FAILED, LATE, i.Outcome.RESET, i.Outcome.SPOILT, i.Outcome.CANCELED]
+)
+def test_a_repeat_is_decided_only_with_time_left_for_its_way(
+    at: int, again: bool, how: i.Outcome
+) -> None:
     d = started(ONE, **short())
     actions = failed_once(d, at, how)
     assert bool(sends(actions)) is again
     assert finals(actions) == ([] if again else [i.Fail("m")])
 
 
-def test_the_window_runs_from_the_first_call_that_may_have_run_and_from_no_later_one() -> None:
+def test_the_window_runs_from_the_first_call_that_may_have_run_and_from_no_later_one() -> (
+    None
+):
     d = started(ONE, **short())
     first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    never = sends(d.handle(400 * MS, [end(first, i.Outcome.NO_CONNECTION, weak=True)]))[0]  # ran not
-    ran = sends(d.handle(800 * MS, [end(never, FAILED, 1, weak=True)]))  # that was sent at 0.4 s
+    never = sends(d.handle(400 * MS, [end(first, i.Outcome.NO_CONNECTION, weak=True)]))[
+        0
+    ]  # ran not
+    ran = sends(
+        d.handle(800 * MS, [end(never, FAILED, 1, weak=True)])
+    )  # that was sent at 0.4 s
     assert ran
     assert not finals(d.handle(1300 * MS, [i.TimerDue("look")]))
-    actions = d.handle(1350 * MS, [end(ran[0], FAILED, 2, weak=True)])  # this one's own runs to 1.8 s
+    actions = d.handle(
+        1350 * MS, [end(ran[0], FAILED, 2, weak=True)]
+    )  # this one's own runs to 1.8 s
     assert not sends(actions) and finals(actions) == [i.Fail("m")]
 
 
@@ -67,21 +92,37 @@
     """Refused, it would come back from its client under a new id and run a second time."""
     d = started(ONE, **short())
     first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    d.handle(100 * MS, [end(first, FAILED), i.Listed(i.ListKind.WHOLE, ())])  # nowhere to go
-    given = [a for t in range(120 * MS, 3 * S, 20 * MS) for a in finals(d.handle(t, [i.TimerDue("look")]))]
+    d.handle(
+        100 * MS, [end(first, FAILED), i.Listed(i.ListKind.WHOLE, ())]
+    )  # nowhere to go
+    given = [
+        a
+        for t in range(120 * MS, 3 * S, 20 * MS)
+        for a in finals(d.handle(t, [i.TimerDue("look")]))
+    ]
     assert given == [i.Fail("m")]
 
 
-@pytest.mark.parametrize("window, final", [
-    (LEAST_AWAY_US, i.Fail), (LEAST_AWAY_US + WIRE_US + 300 * MS, i.Fail), (10 * S, i.Refuse)])
-def test_a_client_that_would_come_back_after_the_window_is_not_sent_away(window: int, final: type) -> None:
+@pytest.mark.parametrize(
+    "window, final",
+    [
+        (LEAST_AWAY_US, i.Fail),
+        (LEAST_AWAY_US + WIRE_US + 300 * MS, i.Fail),
+        (10 * S, i.Refuse),
+    ],
+)
+def test_a_client_that_would_come_back_after_the_window_is_not_sent_away(
+    window: int, final: type
+) -> None:
     """All its tries spent early, a message may be refused only where the client's return is in the window."""
     d = started(ONE, max_attempts=1, **short(window))
     assert [type(a) for a in finals(failed_once(d, 300 * MS))] == [final]
 
 
 @pytest.mark.parametrize("scope", [i.Scope.ZONE, i.Scope.TARGET])
-def test_a_key_that_other_targets_do_not_know_is_never_refused_once_it_may_have_run(scope: i.Scope) -> None:
+def test_a_key_that_other_targets_do_not_know_is_never_refused_once_it_may_have_run(
+    scope: i.Scope,
+) -> None:
     d = started(ONE, max_attempts=1, **short(10 * S, scope))
     assert finals(failed_once(d, 300 * MS)) == [i.Fail("m")]
 
@@ -89,38 +130,80 @@
 # Over restarts and hand-overs
 
 
-@pytest.mark.parametrize("at, again", [(-900 * MS, True), (-WINDOW, False), (-3 * S, False)])
+@pytest.mark.parametrize(
+    "at, again", [(-900 * MS, True), (-WINDOW, False), (-3 * S, False)]
+)
 def test_a_restart_counts_from_the_first_call_of_before(at: int, again: bool) -> None:
     now = 50 * S
     d = Dispatcher(settings(**short()), 7, now)
-    actions = d.handle(now, [i.Listed(i.ListKind.WHOLE, ONE), i.Recalled(
-        "m", 10, "keyed", now + 15 * S, attempts=1, ran_at_us=now + at, ran_on=1, cut_off=True)])
-    assert bool(sends(actions)) is again and finals(actions) == ([] if again else [i.Fail("m")])
+    actions = d.handle(
+        now,
+        [
+            i.Listed(i.ListKind.WHOLE, ONE),
+            i.Recalled(
+                "m",
+                10,
+                "keyed",
+                now + 15 * S,
+                attempts=1,
+                ran_at_us=now + at,
+                ran_on=1,
+                cut_off=True,
+            ),
+        ],
+    )
+    assert bool(sends(actions)) is again and finals(actions) == (
+        [] if again else [i.Fail("m")]
+    )
 
 
 @pytest.mark.parametrize("at, again", [(600 * MS, True), (WINDOW, False)])
-def test_a_call_that_was_out_at_a_hand_over_keeps_its_time(at: int, again: bool) -> None:
+def test_a_call_that_was_out_at_a_hand_over_keeps_its_time(
+    at: int, again: bool
+) -> None:
     old = started(ONE, **short())
     first = sends(old.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
     memory = json.loads(json.dumps(old.memory({("m", 0)})))
     d = Dispatcher(settings(**short()), 8, 500 * MS)
-    told = [i.Listed(i.ListKind.SAVED, ONE), i.Recalled("m", 10, "keyed", 20 * S, attempts=1),
-            i.Remembered(memory)]
-    assert not sends(d.handle(500 * MS, told))  # its call is still out at the process before
+    told = [
+        i.Listed(i.ListKind.SAVED, ONE),
+        i.Recalled("m", 10, "keyed", 20 * S, attempts=1),
+        i.Remembered(memory),
+    ]
+    assert not sends(
+        d.handle(500 * MS, told)
+    )  # its call is still out at the process before
     actions = d.handle(at, [end(first, i.Outcome.RESET, took=at)])
-    assert bool(sends(actions)) is again and finals(actions) == ([] if again else [i.Fail("m")])
+    assert bool(sends(actions)) is again and finals(actions) == (
+        [] if again else [i.Fail("m")]
+    )
 
 
 def configured(folder: Path, platform: Platform, window_us: int) -> Config:
-    made = {**SETTINGS, "services": [{**s, "window_us": window_us} for s in SETTINGS["services"]]}
+    made = {
+        **SETTINGS,
+        "services": [{**s, "window_us": window_us} for s in SETTINGS["services"]],
+    }
     hosts = tuple(host(h) for h in platform.hosts.values())
-    return Config("n", Address("127.0.0.1", 0), Address("127.0.0.1", platform.port), folder, 1, 192, 256,
-                  3_000_000, HostList(1, True, hosts), read_settings(made), ("x0", "x1"))
+    return Config(
+        "n",
+        Address("127.0.0.1", 0),
+        Address("127.0.0.1", platform.port),
+        folder,
+        1,
+        192,
+        256,
+        3_000_000,
+        HostList(1, True, hosts),
+        read_settings(made),
+        ("x0", "x1"),
+    )
 
 
 @pytest.mark.parametrize("ago, window, again", [(S, S, False), (S, 60 * S, True)])
 def test_a_repeat_after_a_kill_goes_out_only_within_the_journaled_window(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ago: int, window: int, again: bool) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ago: int, window: int, again: bool
+) -> None:
     """Killed with a call out: it may have run when the journal says it left. The start reads that time, and
     the class it was taken on under, from the file."""
     monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.0)
@@ -153,6 +236,7 @@
         async with asyncio.timeout(PATIENCE):
             await run
         assert len(peer.requests) == (1 if again else 0)
+
     asyncio.run(scene())
 
 
@@ -169,12 +253,17 @@
     for slewed in (-400 * MS, 400 * MS):
         disk.killed()
         back = opened(disk, base=base + slewed)
-        assert back.clock is not None and back.clock[0] == base and not back.report.shifted_us
+        assert (
+            back.clock is not None
+            and back.clock[0] == base
+            and not back.report.shifted_us
+        )
         assert back.messages["a"].out == {0: (5 * S, "s1")}
 
 
 def test_the_engine_goes_by_the_clock_that_its_journal_goes_by(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def scene() -> None:
         platform = Platform()
         platform.port = 9
@@ -188,16 +277,24 @@
         after = Engine(configured(tmp_path, platform, S))
         assert after.clock.base // 1000 == base
         after.store.let_go()
+
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("window, least, most", [(60 * S, 600 * MS, 1600 * MS), (500 * MS, 2 * S, 20 * S)])
+@pytest.mark.parametrize(
+    "window, least, most", [(60 * S, 600 * MS, 1600 * MS), (500 * MS, 2 * S, 20 * S)]
+)
 def test_a_silent_call_that_outlasts_its_window_is_waited_for_as_a_once_only_one(
-        window: int, least: int, most: int) -> None:
+    window: int, least: int, most: int
+) -> None:
     """Called off once later calls are answered, it could not be sent again: it has to have its aim first."""
     d = started(ONE, may_cancel=True, **short(window))
-    d.handle(MS, [end(sends(d.handle(0, [ask("first")]))[0], i.Outcome.DELIVERED)])  # the window lets two go
-    assert sends(d.handle(2 * MS, [ask("m", cls="keyed", due=60 * S)]))[0].message == "m"
+    d.handle(
+        MS, [end(sends(d.handle(0, [ask("first")]))[0], i.Outcome.DELIVERED)]
+    )  # the window lets two go
+    assert (
+        sends(d.handle(2 * MS, [ask("m", cls="keyed", due=60 * S)]))[0].message == "m"
+    )
     now, cancels = 0, []
     while not cancels and now < 30 * S:
         now += 100 * MS
@@ -209,15 +306,20 @@
 
 
 @pytest.mark.parametrize("window, whole", [(S, True), (60 * S, False)])
-def test_a_call_that_outlasts_its_window_is_waited_for_till_its_end(window: int, whole: bool) -> None:
+def test_a_call_that_outlasts_its_window_is_waited_for_till_its_end(
+    window: int, whole: bool
+) -> None:
     """Given up after its aim of 2 s it could not be sent again, and would have failed by that alone."""
     d = started(ONE, **short(window))
     send = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
     assert (send.timeout_us == 20 * S) is whole and send.timeout_us >= 2 * S
 
 
-def test_what_is_waited_for_till_its_end_shares_no_call_with_what_is_not(tmp_path: Path) -> None:
+def test_what_is_waited_for_till_its_end_shares_no_call_with_what_is_not(
+    tmp_path: Path,
+) -> None:
     """A call is given up as a whole: the shorter patience would end them all."""
+
     async def scene() -> None:
         platform = Platform()
         platform.port = 9
@@ -226,14 +328,20 @@
         e.batches["plain"] = 20
         calls: list[i.CloseIdle | Call | i.Cancel] = []
         forming: dict[tuple[int, bool], Call] = {}
-        for name, cls, wait in (("a", "status", 2 * S), ("b", "order", 50 * S), ("c", "order", 2 * S),
-                                ("d", "pay", 50 * S), ("e", "status", 50 * S)):
+        for name, cls, wait in (
+            ("a", "status", 2 * S),
+            ("b", "order", 50 * S),
+            ("c", "order", 2 * S),
+            ("d", "pay", 50 * S),
+            ("e", "status", 50 * S),
+        ):
             e.store.take(Taken(name, cls, 7, 50 * S, None, None, b""))
             e.send(i.Send(name, 1, wait), 0, forming, calls)
         made = [c for c in calls if isinstance(c, Call)]
         assert [[x.id for x in c.items] for c in made] == [["a", "c", "e"], ["b", "d"]]
         assert [min(x.until_us for x in c.items) for c in made] == [2 * S, 50 * S]
         e.store.close()
+
     asyncio.run(scene())
 
 
@@ -251,7 +359,9 @@
 
 
 def repeat(clock: Hand, window_us: int, *, beside: bool = False) -> Call:
-    items = [Item("m", 1, "key-m", b"x", clock() + 60 * S, leave_by_us=clock() + window_us)]
+    items = [
+        Item("m", 1, "key-m", b"x", clock() + 60 * S, leave_by_us=clock() + window_us)
+    ]
     if beside:
         items.append(Item("n", 0, "key-n", b"y", clock() + 60 * S))
     return Call(1, (7, -1), clock(), items)
@@ -259,9 +369,11 @@
 
 @pytest.mark.parametrize("beside", [False, True])
 def test_a_repeat_whose_connection_comes_up_after_the_window_does_not_leave(
-        monkeypatch: pytest.MonkeyPatch, beside: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, beside: bool
+) -> None:
     """Decided in its window, it would have waited for its connection for longer than that lasts. What shares
     its call goes on without it."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
         peer = await Peer(always(OK)).start()
@@ -288,6 +400,7 @@
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["n"] * beside
         assert p.out == 0 and not p.calls
         p.close()
+
     asyncio.run(scene())
 
 
@@ -310,8 +423,13 @@
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.001)
-        assert ends[0].outcome is i.Outcome.NOT_SENT and not peer.requests and len(asked) == 1
+        assert (
+            ends[0].outcome is i.Outcome.NOT_SENT
+            and not peer.requests
+            and len(asked) == 1
+        )
         p.close()
+
     asyncio.run(scene())
 
 
@@ -330,7 +448,9 @@
         p.start(repeat(clock, 20 * MS))
         await peer.got(1)
         clock.now += S
-        await asyncio.sleep(0.2)  # past the moment at which it is looked after: a lower bound, no race
+        await asyncio.sleep(
+            0.2
+        )  # past the moment at which it is looked after: a lower bound, no race
         assert not ends
         gate.set()
         async with asyncio.timeout(PATIENCE):
@@ -338,12 +458,14 @@
                 await asyncio.sleep(0.001)
         assert ends[0].outcome is i.Outcome.DELIVERED
         p.close()
+
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize("ran, bound", [(True, True), (False, False)])
 def test_the_engine_tells_how_long_a_repeat_may_leave(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ran: bool, bound: bool) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ran: bool, bound: bool
+) -> None:
     async def scene() -> None:
         platform = Platform()
         platform.port = 9
@@ -356,10 +478,20 @@
         e.store.take(m)
         e.store.attempt(m, 0, now, "s1")
         e.store.outcome(m, 0, ran)
-        e.post(i.Recalled("m", 7, "order", m.due_us, attempts=1, ran_at_us=m.ran_at_us,
-                          ran_on=e.numbers["s1"]))
+        e.post(
+            i.Recalled(
+                "m",
+                7,
+                "order",
+                m.due_us,
+                attempts=1,
+                ran_at_us=m.ran_at_us,
+                ran_on=e.numbers["s1"],
+            )
+        )
         e.round()
         (item,) = calls[0].items
         assert item.leave_by_us == (now + 30 * S - WIRE_US if bound else 0)
         e.store.close()
+
     asyncio.run(scene())
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -11,7 +11,9 @@
 from lemonshunt import interface as i
 from tests.worlds import SEEDS, Round, play
 
-RECORDED: list[dict[str, Any]] = json.loads((Path(__file__).parent / "replay.json").read_text())
+RECORDED: list[dict[str, Any]] = json.loads(
+    (Path(__file__).parent / "replay.json").read_text()
+)
 
 
 @cache
@@ -19,15 +21,21 @@
     return list(play(seed))
 
 
-@pytest.mark.parametrize("recorded", RECORDED, ids=[f"world-{r['seed']}" for r in RECORDED])
+@pytest.mark.parametrize(
+    "recorded", RECORDED, ids=[f"world-{r['seed']}" for r in RECORDED]
+)
 def test_every_action_is_as_recorded(recorded: dict[str, Any]) -> None:
     rounds, were = played(recorded["seed"]), recorded["actions"]
     kinds = Counter(type(a).__name__ for r in rounds for a in r.actions)
-    differ = {kind: f"{were.get(kind, 0)} recorded, {kinds[kind]} now"
-              for kind in sorted(kinds.keys() | were.keys()) if kinds[kind] != were.get(kind)}
+    differ = {
+        kind: f"{were.get(kind, 0)} recorded, {kinds[kind]} now"
+        for kind in sorted(kinds.keys() | were.keys())
+        if kinds[kind] != were.get(kind)
+    }
     for n, r in enumerate(rounds):
-        assert recorded["rounds"][4 * n:4 * n + 4] == r.digest[:4], (
-            f"first differs in round {n} at {r.now} us, events {r.events}, actions now {r.actions}; {differ}")
+        assert recorded["rounds"][4 * n : 4 * n + 4] == r.digest[:4], (
+            f"first differs in round {n} at {r.now} us, events {r.events}, actions now {r.actions}; {differ}"
+        )
     assert rounds[-1].digest == recorded["sha256"] and not differ
     assert len(recorded["rounds"]) == 4 * len(rounds)
 
@@ -38,4 +46,6 @@
     seen = {type(x) for r in rounds for x in (*r.events, *r.actions)}
     # No decision asks for a probe, and shares are newer than the record.
     assert seen >= {*get_args(i.Event), *get_args(i.Action)} - {i.Probe, i.Shares}
-    assert {e.outcome for r in rounds for e in r.events if isinstance(e, i.Ended)} == set(i.Outcome)
+    assert {
+        e.outcome for r in rounds for e in r.events if isinstance(e, i.Ended)
+    } == set(i.Outcome)
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -12,16 +12,34 @@
 
 def test_policy_names_every_decision_module_and_each_stays_short() -> None:
     """No module outgrows 300 lines of code and text, no function a screen and a half."""
-    parts = {str(p.relative_to(ROOT)): p.read_text()
-             for p in sorted((ROOT / "lemonshunt/choice").rglob("*.py"))}
-    assert tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"] == list(parts)
-    assert max(sum(map(bool, map(str.strip, text.splitlines()))) for text in parts.values()) <= 300
-    functions = [node for text in parts.values() for node in ast.walk(ast.parse(text))
-                 if isinstance(node, ast.FunctionDef)]
+    parts = {
+        str(p.relative_to(ROOT)): p.read_text()
+        for p in sorted((ROOT / "lemonshunt/choice").rglob("*.py"))
+    }
+    assert tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"] == list(
+        parts
+    )
+    assert (
+        max(
+            sum(map(bool, map(str.strip, text.splitlines()))) for text in parts.values()
+        )
+        <= 300
+    )
+    functions = [
+        node
+        for text in parts.values()
+        for node in ast.walk(ast.parse(text))
+        if isinstance(node, ast.FunctionDef)
+    ]
     assert max((node.end_lineno or 0) - node.lineno + 1 for node in functions) <= 75
-    assert max(len(line) for text in parts.values() for line in text.splitlines()) <= 110
+    assert (
+        max(len(line) for text in parts.values() for line in text.splitlines()) <= 110
+    )
     for entrance in ("__init__", "dispatcher"):
-        assert "lemonshunt/interface.py" in parts[f"lemonshunt/choice/{entrance}.py"].splitlines()[0]
+        assert (
+            "lemonshunt/interface.py"
+            in parts[f"lemonshunt/choice/{entrance}.py"].splitlines()[0]
+        )
 
 
 def test_readme_example_runs() -> None:
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -11,7 +11,13 @@
 import pytest
 
 from lemonshunt.net.engine import Engine
-from lemonshunt.net.room import LEAST_BYTES, MESSAGE_BYTES, Bound, bytes_for_held, memory_left
+from lemonshunt.net.room import (
+    LEAST_BYTES,
+    MESSAGE_BYTES,
+    Bound,
+    bytes_for_held,
+    memory_left,
+)
 from lemonshunt.net.server import Handed
 from tests.test_net import engine as small_engine
 
@@ -31,7 +37,9 @@
     """The answer to a message, or None where it waits for the round that is not made."""
     client = Client()
     due_us = engine.clock() + 60 * SECONDS
-    engine.hand_in(Handed(name, "order", 7, due_us, None, None, None, False, b"x" * 200), client)
+    engine.hand_in(
+        Handed(name, "order", 7, due_us, None, None, None, False, b"x" * 200), client
+    )
     if decide:
         engine.round()
     if not client.answers:
@@ -61,9 +69,12 @@
     async def scene() -> None:
         first = small_engine(tmp_path / "none").config
         config = replace(
-            first, state=tmp_path / "state", settings=replace(first.settings, max_open=10**6, slots=1),
+            first,
+            state=tmp_path / "state",
+            settings=replace(first.settings, max_open=10**6, slots=1),
             memory_mb=1 if bound is Bound.MEMORY else 10**5,
-            disk_bytes=400_000 if bound is Bound.DISK else 10**9)
+            disk_bytes=400_000 if bound is Bound.DISK else 10**9,
+        )
         engine = Engine(config)
         engine.pool.start = lambda call: None  # type: ignore[method-assign]
         most = LEAST_BYTES // MESSAGE_BYTES
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -24,8 +24,19 @@
 
 @profile(derandomize=True, max_examples=15, deadline=None)
 @given(st.integers(0, 10**6), st.sampled_from([1, 2, 40]), st.sampled_from([1, 3]))
-def test_rules_hold_with_few_or_many_of_everything(seed: int, slots: int, attempts: int) -> None:
-    play(seed, 500, slots=slots, max_attempts=attempts, tenants=(), balancers=1, kinds=(), retry_after=False)
+def test_rules_hold_with_few_or_many_of_everything(
+    seed: int, slots: int, attempts: int
+) -> None:
+    play(
+        seed,
+        500,
+        slots=slots,
+        max_attempts=attempts,
+        tenants=(),
+        balancers=1,
+        kinds=(),
+        retry_after=False,
+    )
 
 
 def test_scripts_see_every_kind_of_answer() -> None:
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -61,7 +61,9 @@
     grows_at_most(lambda count: len(told(count)), 0)
 
 
-def test_a_change_of_the_list_is_checked_and_taken_without_a_look_at_the_others() -> None:
+def test_a_change_of_the_list_is_checked_and_taken_without_a_look_at_the_others() -> (
+    None
+):
     def change(count: int) -> int:
         registry = worlds.registry(count)
         op = {"op": "drain", "host": worlds.endpoint(7)["host"]}
@@ -75,8 +77,11 @@
     grows_at_most(lambda count: steps(lambda: lists.told(worlds.whole_list(count))), 1)
 
 
-def test_one_changed_entry_costs_a_forwarder_no_more_than_the_list_grows(tmp_path: Path) -> None:
+def test_one_changed_entry_costs_a_forwarder_no_more_than_the_list_grows(
+    tmp_path: Path,
+) -> None:
     """Not better than that today: the whole list is journaled, and each turn goes through all targets."""
+
     async def follow(size: int) -> tuple[int, float]:
         engine = worlds.engine(tmp_path / str(size), worlds.configuration(size))
         engine.recover()
@@ -92,7 +97,9 @@
 # Budgets
 
 
-def test_each_budget_named_adds_a_fixed_number_of_bytes_to_a_beat_and_its_answer() -> None:
+def test_each_budget_named_adds_a_fixed_number_of_bytes_to_a_beat_and_its_answer() -> (
+    None
+):
     def named(budgets: int) -> Books:
         books = demand.told_books(budgets)
         for destination in range(budgets):
@@ -102,7 +109,9 @@
     assert len(demand.beat_part(named(1_000))) <= 1_000 * BEAT_BYTES
     assert len(demand.answer(1_000)) <= 1_000 * ANSWER_BYTES
     grows_at_most(lambda budgets: len(demand.beat_part(named(budgets))), 1)
-    grows_at_most(lambda budgets: steps(lambda: demand.beat_part(named(budgets))), 1, 20, 200)
+    grows_at_most(
+        lambda budgets: steps(lambda: demand.beat_part(named(budgets))), 1, 20, 200
+    )
 
 
 def test_demand_without_budgets_is_told_of_so_many_destinations_at_most() -> None:
@@ -119,17 +128,23 @@
     def lines(count: int) -> int:
         needs = division.needs(count, 1)
         floors = dict.fromkeys(needs, 1)
-        return steps(lambda: divide(count * 6, needs, {"gold": 3}, floors, 1, {}, count // 3))
+        return steps(
+            lambda: divide(count * 6, needs, {"gold": 3}, floors, 1, {}, count // 3)
+        )
 
     grows_at_most(lines, 1, 30, FORWARDERS)
 
 
-def test_a_plan_at_rest_and_a_beat_grow_with_budgets_and_members_no_faster_than_these() -> None:
+def test_a_plan_at_rest_and_a_beat_grow_with_budgets_and_members_no_faster_than_these() -> (
+    None
+):
     def at_rest(count: int, budgets: int) -> tuple[int, int]:
         ledger = division.ledger(count, budgets)
         now_us = division.settle(ledger, 0)
         token: Token = worlds.token(0)
-        return steps(lambda: ledger.plan(now_us)), steps(lambda: ledger.beat(token, {}, {}, now_us))
+        return steps(lambda: ledger.plan(now_us)), steps(
+            lambda: ledger.beat(token, {}, {}, now_us)
+        )
 
     grows_at_most(lambda count: at_rest(count, 1)[0], 1, 10, 100)
     grows_at_most(lambda budgets: at_rest(5, budgets)[0], 1, 5, 50)
@@ -144,7 +159,9 @@
     def beat(count: int) -> int:
         roster = worlds.roster(count)
         member = roster.members[worlds.member(7)]
-        now_us = roster.table.leases["member/" + member.name].until_us - worlds.LEASE_US // 2
+        now_us = (
+            roster.table.leases["member/" + member.name].until_us - worlds.LEASE_US // 2
+        )
         made = roster.beat(now_us, member.name, member.token)
         assert made.record is None  # type: ignore[union-attr]
         return steps(lambda: roster.beat(now_us, member.name, member.token))
@@ -158,7 +175,9 @@
         return len(msgspec.json.encode(roster.owed(roster.version - 1, roster.epoch)))
 
     grows_at_most(told, 0, 30, FORWARDERS)
-    grows_at_most(lambda count: len(json.dumps(members.join_record(count))), 0, 30, FORWARDERS)
+    grows_at_most(
+        lambda count: len(json.dumps(members.join_record(count))), 0, 30, FORWARDERS
+    )
 
 
 def test_a_start_reads_so_much_a_member(tmp_path: Path) -> None:
@@ -184,7 +203,12 @@
 
 
 def test_a_beat_tells_a_member_its_own_ranges_whoever_else_there_is() -> None:
-    grows_at_most(lambda count: shards.told_bytes(shards.even(count), worlds.member(7)), 0, 30, FORWARDERS)
+    grows_at_most(
+        lambda count: shards.told_bytes(shards.even(count), worlds.member(7)),
+        0,
+        30,
+        FORWARDERS,
+    )
 
 
 def test_a_plan_grows_with_its_owners_no_faster_than_they_do() -> None:
@@ -199,7 +223,9 @@
 # The configuration
 
 
-def test_a_file_is_read_in_lines_that_grow_with_its_budgets_and_peers(tmp_path: Path) -> None:
+def test_a_file_is_read_in_lines_that_grow_with_its_budgets_and_peers(
+    tmp_path: Path,
+) -> None:
     def lines(budgets: int, peers: int) -> int:
         told = worlds.configuration(10, worlds.fleet_part(budgets, peers))
         return steps(lambda: worlds.config(tmp_path, told))
--- a/tests/test_scale_frame.py
+++ b/tests/test_scale_frame.py
@@ -14,21 +14,30 @@
 from measure.scale.target import Role
 
 SIZES = (100, 1_000, 10_000, 100_000)
-ORIGIN = Origin("0123abc", "python -m measure.scale x", "2 cores", "2026-01-01T00:00:00Z")
+ORIGIN = Origin(
+    "0123abc", "python -m measure.scale x", "2 cores", "2026-01-01T00:00:00Z"
+)
 
 
-def series(of: Callable[[float], float], name: str = "cost", sizes: tuple[int, ...] = SIZES) -> Series:
+def series(
+    of: Callable[[float], float], name: str = "cost", sizes: tuple[int, ...] = SIZES
+) -> Series:
     points = tuple(Point(n, (of(n) * 0.97, of(n), of(n) * 1.04)) for n in sizes)
-    return Series(name, Role.MESSAGE_PATH, "message", "us", points, "largest size wanted")
-
-
-@pytest.mark.parametrize(("shape", "of"), [
-    (Shape.CONSTANT, lambda n: 7.0),
-    (Shape.LOGARITHM, lambda n: 3 * n.bit_length()),
-    (Shape.LINEAR, lambda n: 50 + 2 * n),
-    (Shape.LOG_LINEAR, lambda n: n * n.bit_length()),
-    (Shape.QUADRATIC, lambda n: 10 + n * n / 100),
-])
+    return Series(
+        name, Role.MESSAGE_PATH, "message", "us", points, "largest size wanted"
+    )
+
+
+@pytest.mark.parametrize(
+    ("shape", "of"),
+    [
+        (Shape.CONSTANT, lambda n: 7.0),
+        (Shape.LOGARITHM, lambda n: 3 * n.bit_length()),
+        (Shape.LINEAR, lambda n: 50 + 2 * n),
+        (Shape.LOG_LINEAR, lambda n: n * n.bit_length()),
+        (Shape.QUADRATIC, lambda n: 10 + n * n / 100),
+    ],
+)
 def test_fit_tells_shapes_apart(shape: Shape, of: Callable[[float], float]) -> None:
     found = fit(series(of))
     assert found.shape is shape
@@ -49,19 +58,31 @@
 
 def test_growth_stops_at_its_bounds() -> None:
     told: list[str] = []
-    whole = grow(sizes_by(10, 10, 500), lambda n: {"twice": 2.0 * n}, told.append, repeats=2)
+    whole = grow(
+        sizes_by(10, 10, 500), lambda n: {"twice": 2.0 * n}, told.append, repeats=2
+    )
     assert [point.size for point in whole.of("twice")] == [10, 100, 500]
     assert whole.bound == "largest size wanted" and len(told) == 3
-    held = grow((1, 2, 3), lambda n: {"bytes": 1e15}, told.append, repeats=1, memory=lambda run: run["bytes"])
+    held = grow(
+        (1, 2, 3),
+        lambda n: {"bytes": 1e15},
+        told.append,
+        repeats=1,
+        memory=lambda run: run["bytes"],
+    )
     assert len(held.of("bytes")) == 1 and held.bound.startswith("memory: size 2")
-    assert expected_s(15.5, 15.0, 10.0) == pytest.approx(20.5)  # what every size takes does not grow
+    assert expected_s(15.5, 15.0, 10.0) == pytest.approx(
+        20.5
+    )  # what every size takes does not grow
     late = grow((1, 2), lambda n: {"one": 1.0}, told.append, repeats=1, point_s=0.0)
     assert late.bound.startswith("time: size 2")
 
 
 def test_a_run_replaces_only_its_own_entry(tmp_path: Path) -> None:
     path = tmp_path / "results.json"
-    first, other = (Entry(name, ORIGIN, (series(float, name),)) for name in ("first", "other"))
+    first, other = (
+        Entry(name, ORIGIN, (series(float, name),)) for name in ("first", "other")
+    )
     results.merge([first, other], path)
     again = Entry("first", ORIGIN, (series(lambda n: 5.0, "first"),))
     results.merge([again], path)
@@ -81,13 +102,31 @@
 def test_the_page_has_what_the_results_give() -> None:
     text = page.PAGE.read_text()
     assert {block["name"] for block in page.BLOCK.finditer(text)} == set(page.TABLES)
-    assert page.filled(text, results.load()) == text, "python -m measure.scale.page writes it anew"
+    assert page.filled(text, results.load()) == text, (
+        "python -m measure.scale.page writes it anew"
+    )
 
 
 def test_a_need_is_the_sum_of_its_series_at_the_targets_size() -> None:
-    entries = {"x": Entry("x", ORIGIN, (series(lambda n: 2 * n, "out"), series(lambda n: 3 * n, "back")))}
-    need = Need(Role.MEMBERS, Kind.MESSAGES, "both ways", ("out", "back"), 1_000_000, 1e7, Source.STATED,
-                "byte/s", "beats", 4.0)
+    entries = {
+        "x": Entry(
+            "x",
+            ORIGIN,
+            (series(lambda n: 2 * n, "out"), series(lambda n: 3 * n, "back")),
+        )
+    }
+    need = Need(
+        Role.MEMBERS,
+        Kind.MESSAGES,
+        "both ways",
+        ("out", "back"),
+        1_000_000,
+        1e7,
+        Source.STATED,
+        "byte/s",
+        "beats",
+        4.0,
+    )
     found = answer(need, entries)
     assert found.value and found.value.middle == pytest.approx(2e7)
     assert found.ratio == pytest.approx(2.0)
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -25,7 +25,12 @@
 from lemonshunt.net.fleet_books import Books
 from lemonshunt.registry.budgets import Budgets
 from lemonshunt.registry.watch import Watchers
-from measure.scale.hollow_member import Call, CountedChannel, HollowMember, ServiceAddresses
+from measure.scale.hollow_member import (
+    Call,
+    CountedChannel,
+    HollowMember,
+    ServiceAddresses,
+)
 from measure.scale.hollow_peaks import STEP_NS, peaks
 from measure.scale.hollow_process import Sample, is_alive
 from tests.test_registry_bounds import Clock, Run, play, until
@@ -48,15 +53,35 @@
 PATIENCE_S = 20.0
 
 
-async def service_process(folder: Path, descriptors: int) -> tuple[asyncio.subprocess.Process, int]:
+async def service_process(
+    folder: Path, descriptors: int
+) -> tuple[asyncio.subprocess.Process, int]:
     """A list service with a hard limit of descriptors, and the port of its fleet address."""
     address = "127.0.0.1:0"
-    words = ["--state", folder / "state", "--listen", address, "--write", address, "--fleet", address,
-             "--new", "--ports", folder / "ports"]
+    words = [
+        "--state",
+        folder / "state",
+        "--listen",
+        address,
+        "--write",
+        address,
+        "--fleet",
+        address,
+        "--new",
+        "--ports",
+        folder / "ports",
+    ]
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "lemonshunt.registry", *map(str, words), cwd=ROOT,
+        sys.executable,
+        "-m",
+        "lemonshunt.registry",
+        *map(str, words),
+        cwd=ROOT,
         stderr=asyncio.subprocess.DEVNULL,
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)))
+        preexec_fn=lambda: resource.setrlimit(
+            resource.RLIMIT_NOFILE, (descriptors, descriptors)
+        ),
+    )
     async with asyncio.timeout(PATIENCE_S):
         while not (folder / "ports").exists() or not (folder / "ports").read_text():
             await asyncio.sleep(0.02)
@@ -64,12 +89,17 @@
 
 
 @pytest.mark.parametrize("descriptors", [96])
-def test_with_few_descriptors_whoever_finds_no_place_is_answered(tmp_path: Path, descriptors: int) -> None:
+def test_with_few_descriptors_whoever_finds_no_place_is_answered(
+    tmp_path: Path, descriptors: int
+) -> None:
     async def run() -> list[bytes]:
         process, port = await service_process(tmp_path, descriptors)
         try:
             async with asyncio.timeout(PATIENCE_S):
-                links = [await asyncio.open_connection("127.0.0.1", port) for _ in range(descriptors)]
+                links = [
+                    await asyncio.open_connection("127.0.0.1", port)
+                    for _ in range(descriptors)
+                ]
                 for _, writer in links:
                     writer.write(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
                 return [await reader.readline() for reader, _ in links]
@@ -89,12 +119,22 @@
         self.service, self.now_us = Budgets(LEASE_US, 0.02), 10 * SECOND_US
         self.service.lifted(1)
         self.service.restored(0, True, None, [])
-        raw = [{"destination": str(number), "calls": 50 * members, "span_ms": 1_000, "reserve": 1,
-                "members_max": 2 * members} for number in range(budgets)]
+        raw = [
+            {
+                "destination": str(number),
+                "calls": 50 * members,
+                "span_ms": 1_000,
+                "reserve": 1,
+                "members_max": 2 * members,
+            }
+            for number in range(budgets)
+        ]
         self.commit(self.service.configured(0, raw, "file"))
         self.commit(self.service.forget(0, None))
         self.needs = {str(number): {"order": 2} for number in range(budgets)}
-        self.members = {Token(1, number + 1): Books((), 0.02, {}, 0) for number in range(members)}
+        self.members = {
+            Token(1, number + 1): Books((), 0.02, {}, 0) for number in range(members)
+        }
         for token in self.members:
             self.service.joined(0, f"member-{token.number}", token, None)
         for _ in range(12):
@@ -115,13 +155,28 @@
         """Bytes of one beat's body and of the budgets in its answer."""
         books, holder = self.members[token], Holder(LEASE_US, 0.02, lambda: 0.5)
         holder.token = holder.seen = token
-        config = fleet_config.read({"service": "127.0.0.1:1", "site": "zone-0"}, f"member-{token.number}")
-        sent = body(config, "127.0.0.1:1", "0" * 16, holder.asked(self.now_us), self.needs,
-                    {"list": [1, 1], "holds": books.holds(token)})
-        heard = self.service.heard(self.now_us, self.now_us + LEASE_US, config.name, token,
-                                   msgspec.json.decode(sent))
+        config = fleet_config.read(
+            {"service": "127.0.0.1:1", "site": "zone-0"}, f"member-{token.number}"
+        )
+        sent = body(
+            config,
+            "127.0.0.1:1",
+            "0" * 16,
+            holder.asked(self.now_us),
+            self.needs,
+            {"list": [1, 1], "holds": books.holds(token)},
+        )
+        heard = self.service.heard(
+            self.now_us,
+            self.now_us + LEASE_US,
+            config.name,
+            token,
+            msgspec.json.decode(sent),
+        )
         told = heard.tell()
-        shares = {int(destination): share for destination, share in told["shares"].items()}
+        shares = {
+            int(destination): share for destination, share in told["shares"].items()
+        }
         books.told(token, shares, self.now_us + LEASE_US, self.now_us)
         return len(sent) + len(msgspec.json.encode(told))
 
@@ -143,9 +198,11 @@
 
 
 def test_a_beat_grows_with_the_budgets_there_are_and_not_with_the_members() -> None:
-    sizes = {(members, budgets): fleet.beat(Token(1, 1))
-             for members, budgets in ((4, 1), (4, 10), (4, 100), (40, 10))
-             for fleet in [BudgetFleet(members, budgets)]}
+    sizes = {
+        (members, budgets): fleet.beat(Token(1, 1))
+        for members, budgets in ((4, 1), (4, 10), (4, 100), (40, 10))
+        for fleet in [BudgetFleet(members, budgets)]
+    }
     for (_, budgets), size in sizes.items():
         assert size <= BARE_BEAT_BYTES + A_BUDGET_BYTES * budgets
     assert abs(sizes[40, 10] - sizes[4, 10]) <= 10 * 4, "digits of numbers, no more"
@@ -156,7 +213,10 @@
         fleet = BudgetFleet(members, budgets)
         calls = function_calls(partial(fleet.service.plan, fleet.now_us + 1, False, []))
         assert calls <= CALLS_AN_ACCOUNT * members * budgets
-        assert function_calls(fleet.service.snapshot) <= CALLS_A_SNAPSHOT * members * budgets
+        assert (
+            function_calls(fleet.service.snapshot)
+            <= CALLS_A_SNAPSHOT * members * budgets
+        )
 
 
 def test_a_beat_that_says_nothing_new_does_not_go_through_the_budgets_again() -> None:
@@ -164,26 +224,40 @@
         fleet = BudgetFleet(4, budgets)
         token = Token(1, 1)
         said = {"needs": fleet.needs, "holds": fleet.members[token].holds(token)}
-        hear = partial(fleet.service.heard, fleet.now_us, fleet.now_us + LEASE_US, "member-1", token)
+        hear = partial(
+            fleet.service.heard,
+            fleet.now_us,
+            fleet.now_us + LEASE_US,
+            "member-1",
+            token,
+        )
         assert not hear(said).plan
         again = function_calls(partial(hear, said))
         assert again <= CALLS_A_BUDGET * budgets + CALLS_A_BEAT, again
         raw = [*fleet.service.raw, {**fleet.service.raw[0], "destination": "new"}]
         fleet.commit(fleet.service.configured(fleet.now_us, raw, "file"))
         assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan
-        fleet.commit(fleet.service.configured(fleet.now_us, fleet.service.raw[:-1], "file"))
+        fleet.commit(
+            fleet.service.configured(fleet.now_us, fleet.service.raw[:-1], "file")
+        )
         fleet.commit(fleet.service.configured(fleet.now_us, raw, "file"))
-        assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan, "the budget that came back hears it"
+        assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan, (
+            "the budget that came back hears it"
+        )
         assert fleet.service.ledger.books["new"].accounts[token].work() == 5
 
 
-def test_a_new_configuration_of_budgets_concerns_every_member_and_a_share_its_own() -> None:
+def test_a_new_configuration_of_budgets_concerns_every_member_and_a_share_its_own() -> (
+    None
+):
     service = BudgetFleet(4, 1).service
     longer = [{**service.raw[0], "span_ms": 2_000}]
     rows = service.configured(0, longer, "file")
     assert [service.concerns(row) for row in rows] == [None]
     grant = ["0", "member-1", [1, 1], 9, 5, 1]
-    assert service.concerns({"budgets": 9, "grants": [grant], "ends": []}) == {"member-1"}
+    assert service.concerns({"budgets": 9, "grants": [grant], "ends": []}) == {
+        "member-1"
+    }
 
 
 def test_one_change_tells_one_entry_to_one_watcher_at_any_size() -> None:
@@ -193,11 +267,15 @@
         table.commit(table.start(0, True))
         roster.started(0)
         for number in range(members):
-            made = roster.join(AFTER_START_US, f"member-{number}", "zone-0", "h:1", f"run-{number}")
+            made = roster.join(
+                AFTER_START_US, f"member-{number}", "zone-0", "h:1", f"run-{number}"
+            )
             assert isinstance(made, Grant) and made.record is not None
             roster.commit(made.record)
         before, epoch = roster.version, roster.epoch
-        roster.commit(roster.leave(AFTER_START_US, "member-7", roster.members["member-7"].token))
+        roster.commit(
+            roster.leave(AFTER_START_US, "member-7", roster.members["member-7"].token)
+        )
         whole, told = roster.owed_members(before, epoch)
         assert not whole and [member.name for member in told] == ["member-7"]
         assert roster.owed_members(roster.version, epoch) == (False, [])
@@ -214,7 +292,9 @@
 ) -> None:
     clock, members, encoded = Clock(), 30, list[str]()
     told_of = Member.told
-    monkeypatch.setattr(Member, "told", lambda member: encoded.append(member.name) or told_of(member))
+    monkeypatch.setattr(
+        Member, "told", lambda member: encoded.append(member.name) or told_of(member)
+    )
 
     async def run(service: Run) -> None:
         clock.us += AFTER_START_US
@@ -222,7 +302,8 @@
             status, told = await beat(service, f"member-{number}")
             assert status == 200 and told["whole"]
             assert [member["name"] for member in told["members"]] == sorted(
-                f"member-{known}" for known in range(number + 1))
+                f"member-{known}" for known in range(number + 1)
+            )
         assert len(encoded) == members
 
     play(tmp_path, run, clock, lead())
@@ -238,7 +319,9 @@
 
     async def run(service: Run) -> None:
         clock.us += AFTER_START_US
-        addresses = ServiceAddresses(Address("127.0.0.1", service.fleet), Address("127.0.0.1", service.list))
+        addresses = ServiceAddresses(
+            Address("127.0.0.1", service.fleet), Address("127.0.0.1", service.list)
+        )
         member = HollowMember("member-0", "zone-0", addresses, tmp_path, {7: 3})
         member.start()
         try:
@@ -257,7 +340,10 @@
 
 def test_peaks_are_of_all_processes_together() -> None:
     def samples(first_ns: int, beats: list[int]) -> list[Sample]:
-        return [Sample(first_ns + number * STEP_NS, count, 0, count, 1) for number, count in enumerate(beats)]
+        return [
+            Sample(first_ns + number * STEP_NS, count, 0, count, 1)
+            for number, count in enumerate(beats)
+        ]
 
     quiet, burst = [0] * 10 + [5] * 20, [0] * 10 + [40] * 20
     found = peaks([samples(0, quiet), samples(STEP_NS // 2, burst)])
--- a/tests/test_scale_messages.py
+++ b/tests/test_scale_messages.py
@@ -18,7 +18,9 @@
     assert many == pytest.approx(few, rel=NEAR)
 
 
-def test_a_checkpoint_has_a_record_for_each_live_message_and_little_beside(tmp_path: Path) -> None:
+def test_a_checkpoint_has_a_record_for_each_live_message_and_little_beside(
+    tmp_path: Path,
+) -> None:
     sizes: dict[int, int] = {}
     beside: dict[int, int] = {}
     for live in (FEW, MANY):
@@ -38,12 +40,16 @@
 
 
 def test_a_change_of_the_list_writes_one_endpoint_and_not_the_list() -> None:
-    few, many = (journal_growth.list_changes(endpoints)["bytes"] for endpoints in (FEW, MANY))
+    few, many = (
+        journal_growth.list_changes(endpoints)["bytes"] for endpoints in (FEW, MANY)
+    )
     assert many == pytest.approx(few, rel=NEAR)
 
 
 def test_a_list_within_the_longest_record_is_read_again(tmp_path: Path) -> None:
-    hosts = {str(told["host"]): told for told in map(journal_growth.endpoint, range(10_000))}
+    hosts = {
+        str(told["host"]): told for told in map(journal_growth.endpoint, range(10_000))
+    }
     store = journal_growth.opened(tmp_path)
     store.list(1, hosts, journal_growth.NOW_US, "127.0.0.1:1")
     store.close()
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -35,34 +35,99 @@
     part = PAGE.read_text().split(title)[1].split("\n## ")[0]
     lines = re.findall(r"^\|.*\|$", part, re.M)
     head, _, *rows = [[c.strip() for c in line.strip("|").split("|")] for line in lines]
-    told = {(event, state): cell for row in rows for event in row[0].split(", ")
-            for state, cell in zip(head[1:], row[1:], strict=True)}
-    built = {(event.__name__, state.value): handler.__name__
-             for state, events in core.TABLE.items() for event, handler in events.items()}
+    told = {
+        (event, state): cell
+        for row in rows
+        for event in row[0].split(", ")
+        for state, cell in zip(head[1:], row[1:], strict=True)
+    }
+    built = {
+        (event.__name__, state.value): handler.__name__
+        for state, events in core.TABLE.items()
+        for event, handler in events.items()
+    }
     assert {pair: cell for pair, cell in told.items() if cell != "-"} == built
 
 
 # The model
 
 
-PART = ("g gives", "t hears Offer", "g hears Accept", "g is quiet", "g: kept Sealed", "t hears Copy",
-        "t: kept Stored", "g hears Copied (1, 1)", "g: kept Committed")
-TAIL = (*PART, "t hears Commit (1, 1)", "t: kept Began", "g hears Begun", "g: kept Gone", "t hears Closed",
-        "t: kept Shut")
-
-
-@pytest.mark.parametrize("counts, states", [
-    ({"fault": 1}, 1_000), ({"gone": "g", "late": 0}, 200), ({"gone": "t", "late": 0}, 200),
-    ({"copies": 1, "late": 0}, 400), ({"crash_t": 1, "late": 0}, 1_200), ({"lease_g": 1, "late": 0}, 400),
-    ({"arrive": 1, "late": 0}, 900), ({"messages": 2, "due": 3, "late": 0}, 1_000),
-    ({"gone": "g", "amnesia": 1, "late": 0}, 300),
-    ({"crash_g": 1, "late": 0}, 400),
-    ({"crash_g": 1, "retry": 1, "late": 0, "most": 2, "messages": 0, "begin": PART[:-1]}, 1_000),
-    ({"lease_t": 1, "retry": 1, "late": 0, "begin": (*TAIL[:11], "t works on 1", "t's call 1 is delivered",
-                                                     "t's lease is out by its clock")}, 1_000),
-    ({"begin": TAIL[:-1], "messages": 0, "arrive": 1, "crash_t": 1}, 1_500),
-    ({"begin": TAIL, "messages": 0, "arrive": 2, "full": 1, "crash_t": 1, "fault": 1, "retry": 1, "late": 0},
-     3_000)])
+PART = (
+    "g gives",
+    "t hears Offer",
+    "g hears Accept",
+    "g is quiet",
+    "g: kept Sealed",
+    "t hears Copy",
+    "t: kept Stored",
+    "g hears Copied (1, 1)",
+    "g: kept Committed",
+)
+TAIL = (
+    *PART,
+    "t hears Commit (1, 1)",
+    "t: kept Began",
+    "g hears Begun",
+    "g: kept Gone",
+    "t hears Closed",
+    "t: kept Shut",
+)
+
+
+@pytest.mark.parametrize(
+    "counts, states",
+    [
+        ({"fault": 1}, 1_000),
+        ({"gone": "g", "late": 0}, 200),
+        ({"gone": "t", "late": 0}, 200),
+        ({"copies": 1, "late": 0}, 400),
+        ({"crash_t": 1, "late": 0}, 1_200),
+        ({"lease_g": 1, "late": 0}, 400),
+        ({"arrive": 1, "late": 0}, 900),
+        ({"messages": 2, "due": 3, "late": 0}, 1_000),
+        ({"gone": "g", "amnesia": 1, "late": 0}, 300),
+        ({"crash_g": 1, "late": 0}, 400),
+        (
+            {
+                "crash_g": 1,
+                "retry": 1,
+                "late": 0,
+                "most": 2,
+                "messages": 0,
+                "begin": PART[:-1],
+            },
+            1_000,
+        ),
+        (
+            {
+                "lease_t": 1,
+                "retry": 1,
+                "late": 0,
+                "begin": (
+                    *TAIL[:11],
+                    "t works on 1",
+                    "t's call 1 is delivered",
+                    "t's lease is out by its clock",
+                ),
+            },
+            1_000,
+        ),
+        ({"begin": TAIL[:-1], "messages": 0, "arrive": 1, "crash_t": 1}, 1_500),
+        (
+            {
+                "begin": TAIL,
+                "messages": 0,
+                "arrive": 2,
+                "full": 1,
+                "crash_t": 1,
+                "fault": 1,
+                "retry": 1,
+                "late": 0,
+            },
+            3_000,
+        ),
+    ],
+)
 def test_searched_whole(counts: dict[str, Any], states: int) -> None:
     """One owner, no message lost, sent twice or overtaken, and from each state it ends whole at one side."""
     found = explore(Sessions(**counts), 80, 20_000)
@@ -71,12 +136,25 @@
 
 
 PLANTED: dict[str, dict[str, Any]] = {
-    "lets go early": {}, "begins early": {}, "forgets repeats": {"repeat": 1}, "fate untold": {"retry": 1},
-    "tail overtakes": {"arrive": 1}, "stale commit": {"lease_t": 1, "retry": 1, "begin": PART},
-    "takes back alone": {"gone": "g"}, "forgets refusals": {"copies": 1},
+    "lets go early": {},
+    "begins early": {},
+    "forgets repeats": {"repeat": 1},
+    "fate untold": {"retry": 1},
+    "tail overtakes": {"arrive": 1},
+    "stale commit": {"lease_t": 1, "retry": 1, "begin": PART},
+    "takes back alone": {"gone": "g"},
+    "forgets refusals": {"copies": 1},
     "late due": {"messages": 2, "due": 3},
-    "takes an old pass": {"arrive": 2, "crash_t": 1, "full": 1, "messages": 0, "copies": 1, "late": 0,
-                          "begin": TAIL}}
+    "takes an old pass": {
+        "arrive": 2,
+        "crash_t": 1,
+        "full": 1,
+        "messages": 0,
+        "copies": 1,
+        "late": 0,
+        "begin": TAIL,
+    },
+}
 """Where each shows, with the least that has to go wrong."""
 
 
@@ -84,7 +162,9 @@
 def test_planted_bug_is_found(bug: str) -> None:
     found = explore(Sessions(bug, **PLANTED[bug]), 60, 20_000)
     assert found.why and found.trace
-    assert not explore(Sessions(**PLANTED[bug]), len(found.trace), 20_000).why, "it is the bug that is found"
+    assert not explore(Sessions(**PLANTED[bug]), len(found.trace), 20_000).why, (
+        "it is the bug that is found"
+    )
 
 
 # Long play: many sessions, several forwarders, real frames, time, restarts
@@ -145,8 +225,14 @@
             self.now, _, what = heapq.heappop(self.heap)
             what()
             for key in self.sent:
-                acting = [n for n, x in self.nodes.items()
-                          if x.alive and x.held and x.desk.life and x.lines.get(key, Line()).runs]
+                acting = [
+                    n
+                    for n, x in self.nodes.items()
+                    if x.alive
+                    and x.held
+                    and x.desk.life
+                    and x.lines.get(key, Line()).runs
+                ]
                 assert len(acting) <= 1, f"{key}: {acting} act"
 
     def mischief(self) -> None:
@@ -164,11 +250,19 @@
         elif chance < 0.15 and x.desk.life:
             self.do(n, x.desk.lease(None, self.now))
             self.at(100_000, lambda life=x.life: self.lose(n, life))
-            self.at(self.random.choice([60_000, 900_000]), lambda life=x.life: self.join(n, life))
+            self.at(
+                self.random.choice([60_000, 900_000]),
+                lambda life=x.life: self.join(n, life),
+            )
         else:
-            mine = [k for k, line in x.lines.items() if line.runs and k not in x.desk.keys]
+            mine = [
+                k for k, line in x.lines.items() if line.runs and k not in x.desk.keys
+            ]
             if mine and x.desk.life:
-                to, key = self.random.choice([o for o in "abc" if o != n]), self.random.choice(mine)
+                to, key = (
+                    self.random.choice([o for o in "abc" if o != n]),
+                    self.random.choice(mine),
+                )
                 self.do(n, x.desk.give(key, to, "", "", 1, s.Give(9, 90_000), self.now))
         self.at(self.random.randrange(10_000, 200_000), self.mischief)
 
@@ -182,12 +276,18 @@
 
     def work(self, n: str, key: str) -> None:
         x, line = self.nodes[n], self.nodes[n].lines[key]
-        for item, _ in [q for q in line.queue if q[0].due_us <= self.now and q[0].id != line.out]:
+        for item, _ in [
+            q for q in line.queue if q[0].due_us <= self.now and q[0].id != line.out
+        ]:
             self.end(n, key, item.id, "failed")
         if line.freezing and not line.out:
             line.freezing = False
-            items = tuple(replace_ran(i, self.now) if ran else i for i, ran in line.queue)
-            self.do(n, x.desk.to_session(key, s.Quiet(items, line.memory), self.now) or [])
+            items = tuple(
+                replace_ran(i, self.now) if ran else i for i, ran in line.queue
+            )
+            self.do(
+                n, x.desk.to_session(key, s.Quiet(items, line.memory), self.now) or []
+            )
         if not (line.runs and x.desk.life and line.queue and not line.out):
             return
         item, ran = line.queue[0]
@@ -197,12 +297,15 @@
         assert item.id not in self.ends, f"{item.id} is sent by {n} after its end"
         line.out, line.queue[0] = item.id, (item, True)
         self.sent[key].append(int(item.id.split(".")[1]))
-        self.at(self.random.randrange(5_000, 60_000), lambda at=x.start: self.delivered(n, key, item.id, at))
+        self.at(
+            self.random.randrange(5_000, 60_000),
+            lambda at=x.start: self.delivered(n, key, item.id, at),
+        )
 
     def delivered(self, n: str, key: str, name: str, start: int) -> None:
         x = self.nodes[n]
         if x.alive and x.start == start and x.lines[key].out == name:
-            x.lines[key].memory = (*x.lines[key].memory, name)[-LIMITS.memory:]
+            x.lines[key].memory = (*x.lines[key].memory, name)[-LIMITS.memory :]
             self.end(n, key, name, "delivered")
 
     def end(self, n: str, key: str, name: str, how: str) -> None:
@@ -218,7 +321,9 @@
             return
         name, n = f"{key}.{number}", self.random.choice("abc")
         x = self.nodes[n]
-        item = w.Item(name, "m", 1, self.now + 3_000_000, bytes(self.random.choice([10, 30_000])))
+        item = w.Item(
+            name, "m", 1, self.now + 3_000_000, bytes(self.random.choice([10, 30_000]))
+        )
         if not x.alive:
             self.at(50_000, lambda: self.hand_in(key, number))
             return
@@ -232,7 +337,10 @@
     def give_up(self, n: str, key: str, mine: tuple[int, str]) -> None:
         if self.client.get(key) is mine:
             if self.nodes[n].alive:
-                self.do(n, self.nodes[n].desk.to_session(key, s.Left(mine[1]), self.now) or [])
+                self.do(
+                    n,
+                    self.nodes[n].desk.to_session(key, s.Left(mine[1]), self.now) or [],
+                )
             self.answer(key, mine[1], None)
 
     def answer(self, key: str, name: str, yes: bool | None) -> None:
@@ -241,8 +349,12 @@
         number, _ = self.client.pop(key)
         if yes:
             self.promised[name] = self.now
-        again = number if yes is False else number + 1  # silence: the old id counts for nothing any more
-        self.at(self.random.randrange(20_000, 120_000), lambda: self.hand_in(key, again))
+        again = (
+            number if yes is False else number + 1
+        )  # silence: the old id counts for nothing any more
+        self.at(
+            self.random.randrange(20_000, 120_000), lambda: self.hand_in(key, again)
+        )
 
     # What the desks want
 
@@ -254,8 +366,10 @@
                 case s.Send(frame):
                     self.send(n, frame)
                 case s.Journal(record):
-                    self.at(self.random.randrange(1_000, 30_000),
-                            lambda r=record, start=x.start: self.written(n, r, start))
+                    self.at(
+                        self.random.randrange(1_000, 30_000),
+                        lambda r=record, start=x.start: self.written(n, r, start),
+                    )
                 case s.Ask() | s.Confirm():
                     if self.random.random() < 0.8:
                         slow = self.random.randrange(2_000, 300_000)
@@ -308,7 +422,7 @@
     def heard(self, came: str, n: str, data: bytes) -> None:
         x = self.nodes[n]
         if x.alive:
-            frame = frames.decode(data[frames.HEAD:])
+            frame = frames.decode(data[frames.HEAD :])
             assert isinstance(frame, w.Frame)
             self.do(n, x.desk.heard(came, frame, self.now))
 
@@ -322,7 +436,9 @@
 
     def written(self, n: str, record: w.Record, start: int) -> None:
         x = self.nodes[n]
-        if not x.alive and self.random.random() < 0.5:  # it was on its way when the process died
+        if (
+            not x.alive and self.random.random() < 0.5
+        ):  # it was on its way when the process died
             x.disk, x.unseen = [*x.disk, record], [*x.unseen, record]
         if not x.alive or x.start != start:
             return
@@ -330,7 +446,9 @@
         reached = ok or self.random.random() < 0.5
         if reached:
             x.disk.append(w.unpack(w.pack(record)))
-            x.unseen = [r for r in x.unseen if what(r) != what(record)] + [record] * (not ok)
+            x.unseen = [r for r in x.unseen if what(r) != what(record)] + [record] * (
+                not ok
+            )
         if isinstance(record, w.Began) and ok:
             x.begun.add(str(record.hand))
         self.do(n, x.desk.written(record, ok, self.now))
@@ -355,7 +473,10 @@
                 self.answer(key, name, None)
         for line in x.lines.values():
             line.runs = line.freezing = False
-        self.at(self.random.choice([100_000, 700_000]), lambda life=x.life: self.lose(n, life))
+        self.at(
+            self.random.choice([100_000, 700_000]),
+            lambda life=x.life: self.lose(n, life),
+        )
 
     def start(self, n: str) -> None:
         x = self.nodes[n]
@@ -367,9 +488,17 @@
             key = next((r.key for r in of if isinstance(r, (w.Stored, w.Sealed))), "")
             line = x.lines.setdefault(key, Line()) if key else Line()
             refused = w.Refused(record.hand) in of
-            if isinstance(record, w.Began) and not refused and str(record.hand) not in x.begun:
+            if (
+                isinstance(record, w.Began)
+                and not refused
+                and str(record.hand) not in x.begun
+            ):
                 stored = next(r for r in of if isinstance(r, w.Stored))
-                line.queue += [(i, i.ran_us is not None) for i in stored.items if i.id not in self.ends]
+                line.queue += [
+                    (i, i.ran_us is not None)
+                    for i in stored.items
+                    if i.id not in self.ends
+                ]
                 line.memory = stored.memory
                 x.begun.add(str(record.hand))
             elif isinstance(record, w.Took) and not refused:
@@ -397,7 +526,14 @@
 
 
 def replace_ran(item: w.Item, now_us: int) -> w.Item:
-    return w.Item(item.id, item.class_name, item.destination, item.due_us, item.body, ran_us=now_us)
+    return w.Item(
+        item.id,
+        item.class_name,
+        item.destination,
+        item.due_us,
+        item.body,
+        ran_us=now_us,
+    )
 
 
 @settings(derandomize=True, deadline=None, max_examples=4)
@@ -409,7 +545,9 @@
         assert len(sent) == len(set(sent)), f"{key}: {sent}"
         heard = [n for n in sent if f"{key}.{n}" in play.promised]
         assert heard == sorted(heard), f"{key}: {sent}"
-        assert [n for n, x in play.nodes.items() if x.lines.get(key, Line()).runs].__len__() == 1, key
+        assert [
+            n for n, x in play.nodes.items() if x.lines.get(key, Line()).runs
+        ].__len__() == 1, key
     assert not [name for name in play.promised if name not in play.ends]
     assert not [x.desk.cores() for x in play.nodes.values() if x.desk.cores()]
 
@@ -418,16 +556,31 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=120)
-@given(st.integers(-10**12, 10**12), st.floats(-0.019, 0.019), st.integers(0, 200_000), st.integers(0, 10**6),
-       st.integers(1, 60 * 10**6))
-def test_a_due_is_never_later_at_the_taker(apart: int, runs: float, way: int, wait: int, left: int) -> None:
+@given(
+    st.integers(-(10**12), 10**12),
+    st.floats(-0.019, 0.019),
+    st.integers(0, 200_000),
+    st.integers(0, 10**6),
+    st.integers(1, 60 * 10**6),
+)
+def test_a_due_is_never_later_at_the_taker(
+    apart: int, runs: float, way: int, wait: int, left: int
+) -> None:
     """By whatever clock: at most the accept's way and the drift earlier, and never later."""
+
     def there(true_us: int) -> int:  # the taker's clock; the giver's is the true one
         return apart + round(true_us * (1 + runs))
+
     stamp, heard = there(0), way
     due = heard + wait + left
-    item = w.arriving(w.leaving(w.Item("1", "", 0, due, ran_us=heard), heard), stamp, 0.02)
-    assert item.due_us <= there(due) + 1 and item.ran_us is not None and item.ran_us <= there(heard) + 1
+    item = w.arriving(
+        w.leaving(w.Item("1", "", 0, due, ran_us=heard), heard), stamp, 0.02
+    )
+    assert (
+        item.due_us <= there(due) + 1
+        and item.ran_us is not None
+        and item.ran_us <= there(heard) + 1
+    )
     assert item.due_us >= there(due - way) - round(0.04 * (wait + left)) - 2
 
 
@@ -436,8 +589,11 @@
 
 
 def told(done: list[tuple[str, s.Action]], kind: type) -> list[Any]:
-    return [a.frame if isinstance(a, s.Send) else a for _, a in done
-            if isinstance(a, kind) or (isinstance(a, s.Send) and isinstance(a.frame, kind))]
+    return [
+        a.frame if isinstance(a, s.Send) else a
+        for _, a in done
+        if isinstance(a, kind) or (isinstance(a, s.Send) and isinstance(a.frame, kind))
+    ]
 
 
 def frozen(at: Desk) -> w.Hand:
@@ -448,20 +604,33 @@
 
 
 def test_no_session_goes_over_with_50_ms_left_or_too_large() -> None:
-    for items in ((w.Item("1", "", 0, 51_000),), tuple(w.Item(str(n), "", 0, 9**9) for n in range(1_001))):
+    for items in (
+        (w.Item("1", "", 0, 51_000),),
+        tuple(w.Item(str(n), "", 0, 9**9) for n in range(1_001)),
+    ):
         at = desk("g")
         frozen(at)
         done = at.to_session("k", s.Quiet(items, ()), 1_000) or []
-        assert told(done, s.Resume) and told(done, w.No) and not told(done, s.Journal) and not at.giving
+        assert (
+            told(done, s.Resume)
+            and told(done, w.No)
+            and not told(done, s.Journal)
+            and not at.giving
+        )
 
 
 def test_what_waits_is_bounded_and_refused_in_time() -> None:
     at = desk("g", hold_messages=3, hold_bytes=2_000)
     hand = frozen(at)
-    done = [at.to_session("k", s.Arrived(w.Item(str(n), "", 0, 9**9), n), n) or [] for n in range(5)]
+    done = [
+        at.to_session("k", s.Arrived(w.Item(str(n), "", 0, 9**9), n), n) or []
+        for n in range(5)
+    ]
     assert [len(told(d, s.Refuse)) for d in done] == [0, 0, 0, 1, 1]
     assert [r.id for r in told(at.tick(LIMITS.hold_us + 1), s.Refuse)] == ["0", "1"]
-    assert [t.item.id for t in told(at.heard("t", w.No(hand), 300_000), s.Take)] == ["2"]
+    assert [t.item.id for t in told(at.heard("t", w.No(hand), 300_000), s.Take)] == [
+        "2"
+    ]
     at = desk("g", hold_bytes=2_000)
     frozen(at)
     big = w.Item("x", "", 0, 9**9, bytes(700))
@@ -469,7 +638,9 @@
     assert [len(told(d, s.Refuse)) for d in large] == [0, 1]
 
 
-def kept(at: Desk, kind: type, done: list[tuple[str, s.Action]]) -> list[tuple[str, s.Action]]:
+def kept(
+    at: Desk, kind: type, done: list[tuple[str, s.Action]]
+) -> list[tuple[str, s.Action]]:
     (asked,) = told(done, s.Journal)
     assert isinstance(asked.record, kind)
     return at.written(asked.record, True, 2_000)
@@ -482,14 +653,25 @@
     assert at.to_session("k", s.Stop(), 1_500) == []
     assert told(kept(at, w.Sealed, sealing), w.Frame) == [w.Drop(hand)]
     back = at.heard("t", w.Dropped(hand), 3_000)
-    assert not told(back, s.Resume) and told(kept(at, w.Back, back), s.Resume) and not at.giving
+    assert (
+        not told(back, s.Resume)
+        and told(kept(at, w.Back, back), s.Resume)
+        and not at.giving
+    )
 
 
 def test_a_copy_made_for_the_process_before_is_refused() -> None:
     """It counts from a stamp of that process, and its dues would come out late by the time between."""
     at, hand = desk("t"), w.Hand("g", 1, 1, 1)
-    assert told(at.heard("g", w.Offer(hand, "k", "a", "", 1, 9, 1), 9_000), w.Accept)[0].stamp_us == 9_000
-    assert told(at.heard("g", w.Copy(hand, 10, 0, 1), 9_500), w.Frame) == [w.No(hand, "restarted")]
+    assert (
+        told(at.heard("g", w.Offer(hand, "k", "a", "", 1, 9, 1), 9_000), w.Accept)[
+            0
+        ].stamp_us
+        == 9_000
+    )
+    assert told(at.heard("g", w.Copy(hand, 10, 0, 1), 9_500), w.Frame) == [
+        w.No(hand, "restarted")
+    ]
     assert told(at.heard("g", w.Copy(hand, 9_000, 0, 1), 9_500), s.Journal)
 
 
@@ -499,14 +681,23 @@
     at.written(stored, True, 0)
     for late in (hand, w.Hand("g", 1, 1, 4)):
         assert told(at.heard("g", w.Offer(late, key, "a", "", 1, 9, 1), 1), w.No)
-    assert at.heard("g", w.Drop(hand), 1) == [], "it may have been ours: only the arbiter can say"
+    assert at.heard("g", w.Drop(hand), 1) == [], (
+        "it may have been ours: only the arbiter can say"
+    )
     before = w.Hand("t", 1, 1, 1)
-    assert desk("t").recover([w.Sealed(before, key, "x"), w.Sealed(hand, key, "x"), w.Gone(hand)], 0) == {}
+    assert (
+        desk("t").recover(
+            [w.Sealed(before, key, "x"), w.Sealed(hand, key, "x"), w.Gone(hand)], 0
+        )
+        == {}
+    )
     at = Desk("t", LIMITS)
     assert at.recover([stored, w.Began(hand), w.Shut(hand)], 0) == {key: s.State.TAIL}
     at.lease((1, 1), 0)
     late_pass = w.Pass(hand, 10, 1, 500, w.Item("1", "", 0, 9**9))
-    assert told(at.heard("g", late_pass, 511), w.Passed)[0].how == "refused", "its client may have left"
+    assert told(at.heard("g", late_pass, 511), w.Passed)[0].how == "refused", (
+        "its client may have left"
+    )
     assert told(at.tick(2 * LIMITS.tail_us), s.Over) and not at.taking
     for frame in (w.Drop(hand), w.Commit(hand, (1, 1))):
         assert told(at.heard("g", frame, 9), w.Begun)
@@ -517,12 +708,17 @@
     hand = w.Hand("g", 1, 0, 1)
     at.recover([w.Sealed(hand, "k", "t"), w.Committed(hand)], 0)
     assert told(at.heard("t", w.Copied(hand, (2, 2)), 1), s.Ask)[0].cede
-    assert not told(at.heard("t", w.Begun(hand, 1), 1), s.Journal), "what was asked may be answered yet"
+    assert not told(at.heard("t", w.Begun(hand, 1), 1), s.Journal), (
+        "what was asked may be answered yet"
+    )
     assert told(kept(at, w.Gone, at.verdict(s.Verdict(hand, "taker"), 1)), w.Closed)
     at = desk("g")
     at.recover([w.Sealed(hand, "k", "t"), w.Committed(hand)], 0)
     assert told(at.verdict(s.Verdict(hand, "taker"), 1), w.Commit)
-    assert at.verdict(s.Verdict(hand, "giver"), 1) == [] and told(at.tick(2), s.FailAll) == []
+    assert (
+        at.verdict(s.Verdict(hand, "giver"), 1) == []
+        and told(at.tick(2), s.FailAll) == []
+    )
 
 
 def test_the_tail_passes_one_at_a_time_and_never_a_number_twice() -> None:
@@ -538,21 +734,49 @@
     second = told(at.to_session("k", s.Left("1"), 2_600) or [], w.Pass)
     assert [(p.number, p.item.id) for p in second] == [(2, "2")]
     assert at.heard("t", w.Passed(hand, 1, "taken", 80), 2_700) == []
-    assert at.heard("t", w.Passed(hand, 2, "refused", 69), 2_700) == [], "said before a restart"
-    assert at.heard("x", w.Passed(hand, 2, "taken", 81), 2_700) == [], "not the one it was given to"
-    assert told(at.heard("t", w.Passed(hand, 2, "taken", 81), 2_700), s.Answer) == [s.Answer("2")]
+    assert at.heard("t", w.Passed(hand, 2, "refused", 69), 2_700) == [], (
+        "said before a restart"
+    )
+    assert at.heard("x", w.Passed(hand, 2, "taken", 81), 2_700) == [], (
+        "not the one it was given to"
+    )
+    assert told(at.heard("t", w.Passed(hand, 2, "taken", 81), 2_700), s.Answer) == [
+        s.Answer("2")
+    ]
     assert told(at.to_session("k", s.TailOver(), 2_800) or [], w.End) and not at.giving
-    assert told(at.heard("t", w.Copied(hand, (4, 5)), 2_900), w.Closed), "it is remembered whose it is"
+    assert told(at.heard("t", w.Copied(hand, (4, 5)), 2_900), w.Closed), (
+        "it is remembered whose it is"
+    )
 
 
 def test_hand_overs_are_bounded_both_ways() -> None:
-    giving, taking = desk("g", at_once=2, all_bytes=9_000_000), desk("t", at_once=2, all_bytes=9_000_000)
-    offers = [told(giving.give(f"k{n}", "t", "a", "", 1, s.Give(1, 100), 0), w.Offer) for n in range(3)]
-    assert [len(o) for o in offers] == [1, 1, 0] and giving.give("k0", "t", "a", "", 1, s.Give(1, 1), 0) == []
-    assert not desk("g", all_bytes=9_000_000).give("k", "t", "a", "", 1, s.Give(1, 9_000_001), 0)
-    answers = [taking.heard("g", w.Offer(w.Hand("g", 1, 1, n), f"k{n}", "a", "", 1, size, 1), 0)
-               for n, size in enumerate((5_000_000, 8_388_609, 5_000_000, 10, 10))]
-    assert [bool(told(a, w.Accept)) for a in answers] == [True, False, False, True, False]
+    giving, taking = (
+        desk("g", at_once=2, all_bytes=9_000_000),
+        desk("t", at_once=2, all_bytes=9_000_000),
+    )
+    offers = [
+        told(giving.give(f"k{n}", "t", "a", "", 1, s.Give(1, 100), 0), w.Offer)
+        for n in range(3)
+    ]
+    assert [len(o) for o in offers] == [1, 1, 0] and giving.give(
+        "k0", "t", "a", "", 1, s.Give(1, 1), 0
+    ) == []
+    assert not desk("g", all_bytes=9_000_000).give(
+        "k", "t", "a", "", 1, s.Give(1, 9_000_001), 0
+    )
+    answers = [
+        taking.heard(
+            "g", w.Offer(w.Hand("g", 1, 1, n), f"k{n}", "a", "", 1, size, 1), 0
+        )
+        for n, size in enumerate((5_000_000, 8_388_609, 5_000_000, 10, 10))
+    ]
+    assert [bool(told(a, w.Accept)) for a in answers] == [
+        True,
+        False,
+        False,
+        True,
+        False,
+    ]
     taking.drain(0)
     late = w.Offer(w.Hand("g", 1, 1, 9), "k9", "a", "", 1, 1, 1)
     assert told(taking.heard("g", late, 0), w.No)[0].why == "draining"
@@ -560,14 +784,32 @@
 
 
 def test_largest_session_fits_its_frames() -> None:
-    items = [w.Item(f"{n:0200}", "c" * 200, n, -n, bytes(w.BODY), "i" * 200, "t" * 200, ran_us=-n)
-             for n in range(9)]
+    items = [
+        w.Item(
+            f"{n:0200}",
+            "c" * 200,
+            n,
+            -n,
+            bytes(w.BODY),
+            "i" * 200,
+            "t" * 200,
+            ran_us=-n,
+        )
+        for n in range(9)
+    ]
     memory = [f"{n:0200}" for n in range(256)]
     parts = list(w.in_parts(items, memory))
     assert [i for part in parts for i in part[0]] == items
     assert [m for part in parts for m in part[1]] == memory
     for n, part in enumerate(parts):
-        assert len(frames.encode(w.Copy(w.Hand("g" * 200, 1, 1, 1), 1, n, len(parts), *part))) < frames.FRAME
+        assert (
+            len(
+                frames.encode(
+                    w.Copy(w.Hand("g" * 200, 1, 1, 1), 1, n, len(parts), *part)
+                )
+            )
+            < frames.FRAME
+        )
 
 
 def test_arbiter_is_bounded_and_forgets_only_what_is_safe() -> None:
@@ -578,33 +820,67 @@
     assert arbiter.rule(s.Ask(one, "giver", "t"), 0) == (s.Verdict(one, "giver"), True)
     alive["g"] = False
     assert arbiter.rule(s.Ask(one, "taker", "g"), 0) == (s.Verdict(one, "giver"), False)
-    assert arbiter.rule(s.Ask(two, "taker", "g"), KEPT_US - 1)[0].ruling == "wait", "no room"
-    assert arbiter.rule(s.Ask(two, "taker", "g"), KEPT_US) == (s.Verdict(two, "taker"), True)
-    assert arbiter.confirm(s.Confirm(two, "taker")) and not arbiter.confirm(s.Confirm(two, "taker"))
+    assert arbiter.rule(s.Ask(two, "taker", "g"), KEPT_US - 1)[0].ruling == "wait", (
+        "no room"
+    )
+    assert arbiter.rule(s.Ask(two, "taker", "g"), KEPT_US) == (
+        s.Verdict(two, "taker"),
+        True,
+    )
+    assert arbiter.confirm(s.Confirm(two, "taker")) and not arbiter.confirm(
+        s.Confirm(two, "taker")
+    )
     assert arbiter.confirm(s.Confirm(two, "giver")) and not arbiter.decided
     for later in (arbiter, Arbiter(2, alive.__getitem__)):
-        assert later.rule(s.Ask(one, "taker", "g"), KEPT_US)[0].ruling == "wait", "forgotten: nobody knows"
-        assert later.rule(s.Ask(one, "giver", "t", True, cede=True), KEPT_US)[0].ruling == "taker"
+        assert later.rule(s.Ask(one, "taker", "g"), KEPT_US)[0].ruling == "wait", (
+            "forgotten: nobody knows"
+        )
+        assert (
+            later.rule(s.Ask(one, "giver", "t", True, cede=True), KEPT_US)[0].ruling
+            == "taker"
+        )
 
 
 def test_a_third_forwarder_passes_on_once() -> None:
     third, old, new = Where("x"), Where("g"), Where("t")
-    assert old.learn("k", "t", 1, 100) and new.learn("k", "t", 1, 100) and not old.learn("k", "g", 0, 100)
+    assert (
+        old.learn("k", "t", 1, 100)
+        and new.learn("k", "t", 1, 100)
+        and not old.learn("k", "g", 0, 100)
+    )
     assert third.route("k", "g", (), 0) == "g" and old.route("k", "g", ("x",), 0) == "t"
     assert new.route("k", "g", ("x", "g"), 0) == "t", "its own: taken on"
-    assert old.route("k", "g", ("t",), 0) is None and third.route("k", "g", ("x",), 0) is None, "a loop"
-    assert third.route("k", None, (), 0) is None and old.route("k", "g", (), 100) == "g", "the note is old"
+    assert (
+        old.route("k", "g", ("t",), 0) is None
+        and third.route("k", "g", ("x",), 0) is None
+    ), "a loop"
+    assert (
+        third.route("k", None, (), 0) is None and old.route("k", "g", (), 100) == "g"
+    ), "the note is old"
 
 
 def test_all_faults_of_the_table_are_told_with_their_paths() -> None:
-    raw = {"sites": {"a": {"neighbours": {"a": 1, "z": 1, "b": -1}}, "b": 3}, "over": 2, "at_once": "x",
-           "what": 1, "limits": {"calls_us": 700_000, "none": 1}}
+    raw = {
+        "sites": {"a": {"neighbours": {"a": 1, "z": 1, "b": -1}}, "b": 3},
+        "over": 2,
+        "at_once": "x",
+        "what": 1,
+        "limits": {"calls_us": 700_000, "none": 1},
+    }
     with pytest.raises(table.Malformed) as found:
         table.read(raw)
     paths = [fault.split(":")[0] for fault in found.value.faults]
-    assert paths == ["session.what", "session.at_once", "session.over", "session.sites.a.neighbours.a",
-                     "session.sites.a.neighbours.z", "session.sites.a.neighbours.b", "session.sites.b",
-                     "session.limits.none", "session.limits.calls_us"]
+    assert paths == [
+        "session.what",
+        "session.at_once",
+        "session.over",
+        "session.sites.a.neighbours.a",
+        "session.sites.a.neighbours.z",
+        "session.sites.a.neighbours.b",
+        "session.sites.b",
+        "session.limits.none",
+        "session.limits.calls_us",
+    ]
     sound = {"sites": {"a": {"neighbours": {"b": 1}}, "b": {"neighbours": {}}}}
     assert table.read(sound).sites == {"a": {"b": 1.0}, "b": {}}
 
@@ -615,44 +891,85 @@
     """Loads, drains and outages at random: who drains gets nothing, nothing returns within the pause or
     leaves too soon, and no more than `at_once` are out."""
     rng = random.Random(seed)
-    rules = table.read({"sites": {n: {"neighbours": {o: 1.0 for o in "abc" if o != n}} for n in "abc"}})
+    rules = table.read(
+        {"sites": {n: {"neighbours": {o: 1.0 for o in "abc" if o != n}} for n in "abc"}}
+    )
     choosers = {n: choose.Chooser(rules) for n in "abc"}
-    home = {f"k{n}": choose.Session(f"k{n}", rng.randrange(1, 9_000), 1, 0, "", 0.03) for n in range(30)}
+    home = {
+        f"k{n}": choose.Session(f"k{n}", rng.randrange(1, 9_000), 1, 0, "", 0.03)
+        for n in range(30)
+    }
     place = {key: rng.choice("abc") for key in home}
     for now in range(0, 60_000_000, 500_000):
-        load = {n: 0.03 * list(place.values()).count(n) + rng.choice([0, 0.3, 0.6]) for n in "abc"}
-        here = {n: choose.Here(n, rng.random() < 0.1, load[n], rng.random() < 0.9, rng.randrange(3))
-                for n in "abc"}
-        peers = [choose.Peer(n, n, rng.random() < 0.9, h.draining, now - rng.choice([0, 4_000_000]), 5,
-                             20_000, h.load, h.endpoints) for n, h in here.items()]
+        load = {
+            n: 0.03 * list(place.values()).count(n) + rng.choice([0, 0.3, 0.6])
+            for n in "abc"
+        }
+        here = {
+            n: choose.Here(
+                n, rng.random() < 0.1, load[n], rng.random() < 0.9, rng.randrange(3)
+            )
+            for n in "abc"
+        }
+        peers = [
+            choose.Peer(
+                n,
+                n,
+                rng.random() < 0.9,
+                h.draining,
+                now - rng.choice([0, 4_000_000]),
+                5,
+                20_000,
+                h.load,
+                h.endpoints,
+            )
+            for n, h in here.items()
+        ]
         for n in "abc":
             mine = [home[k] for k in place if place[k] == n]
-            plans = choosers[n].choose(here[n], mine, [p for p in peers if p.name != n], now)
+            plans = choosers[n].choose(
+                here[n], mine, [p for p in peers if p.name != n], now
+            )
             assert len(plans) <= rules.at_once - here[n].out
             for plan in plans:
                 one, to = home[plan.key], here[plan.taker]
                 assert plan.taker != n and not to.draining and to.endpoints
-                back = one.came_from == to.site and now - one.came_us < rules.pause_ms * 1000
-                stays = now - one.came_us < rules.least_stay_ms * 1000 and plan.why != "drain"
+                back = (
+                    one.came_from == to.site
+                    and now - one.came_us < rules.pause_ms * 1000
+                )
+                stays = (
+                    now - one.came_us < rules.least_stay_ms * 1000
+                    and plan.why != "drain"
+                )
                 assert not back and not stays
                 taken = not choosers[plan.taker].welcome(to, n, plan.why, now)
                 choosers[n].ended(plan, taken, now)
                 if taken:
-                    home[plan.key], place[plan.key] = replace(one, came_us=now, came_from=n), plan.taker
+                    home[plan.key], place[plan.key] = (
+                        replace(one, came_us=now, came_from=n),
+                        plan.taker,
+                    )
 
 
 def test_two_sites_over_their_budget_hand_each_other_nothing() -> None:
-    rules = table.read({"sites": {"a": {"neighbours": {"b": 1}}, "b": {"neighbours": {"a": 1}}}})
+    rules = table.read(
+        {"sites": {"a": {"neighbours": {"b": 1}}, "b": {"neighbours": {"a": 1}}}}
+    )
     full, easy = choose.Here("a", load=0.95), choose.Here("b", load=0.5)
     one = choose.Session("k", 10, 1, 0, load=0.1)
     taker = choose.Peer("f", "b", True, False, 9_000_000, 5, 100, 0.5)
     first, second = choose.Chooser(rules), choose.Chooser(rules)
     assert [p.taker for p in first.choose(full, [one], [taker], 9_000_000)] == ["f"]
     assert not first.choose(full, [one], [replace(taker, draining=True)], 9_000_000)
-    assert not first.choose(full, [one], [replace(taker, load=0.65)], 9_000_000), "it would be over itself"
+    assert not first.choose(full, [one], [replace(taker, load=0.65)], 9_000_000), (
+        "it would be over itself"
+    )
     assert second.welcome(easy, "a", "over", 9_000_000) == ""
     assert second.welcome(full, "a", "over", 0) == "over"
     back = replace(taker, name="g", site="a")
-    assert not second.choose(replace(easy, load=0.95), [one], [back], 9_500_000), "it has just given us some"
+    assert not second.choose(replace(easy, load=0.95), [one], [back], 9_500_000), (
+        "it has just given us some"
+    )
     drains = replace(easy, load=0.95, draining=True)
     assert second.choose(drains, [one], [back], 9_500_000), "but a drain goes"
--- a/tests/test_settings_kept.py
+++ b/tests/test_settings_kept.py
@@ -18,7 +18,9 @@
 def dispatcher(weight: float = 0.0, **told: Any) -> Dispatcher:
     base: dict[str, Any] = {"slots": 1, "max_attempts": 5, "classes": (order(),)}
     d = Dispatcher(i.Settings(**{**base, **told}), 1, 0)
-    d.handle(0, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(1, 7, kind="k", weight=weight),))])
+    d.handle(
+        0, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(1, 7, kind="k", weight=weight),))]
+    )
     return d
 
 
@@ -38,13 +40,17 @@
     d.handle(3, [i.Retuned(replace(d.s, classes=(order(aim_us=SECOND),)))])
     actions = d.handle(4, [i.Arrived("c", 7, "order", 3 * SECOND)])
     assert not [a for a in actions if isinstance(a, i.Refuse | i.Fail)]
-    assert d.drop_at(d.messages["c"]) > 2 * SECOND and d.drop_at(d.messages["b"]) < 57 * SECOND
+    assert (
+        d.drop_at(d.messages["c"]) > 2 * SECOND
+        and d.drop_at(d.messages["b"]) < 57 * SECOND
+    )
 
 
 @pytest.mark.parametrize("apart", [False, True])
 def test_a_told_wait_outlasts_settings_that_part_or_join_routes(apart: bool) -> None:
     def kinds(apart: bool) -> tuple[i.DestinationKind, ...]:
         return (i.DestinationKind("k", routes_apart=apart),)
+
     d = dispatcher(kinds=kinds(not apart))
     assert sent(d.handle(1, [i.Arrived("a", 7, "order", 60 * SECOND)])) == ["a"]
     d.handle(2, [i.Ended("a", 0, 1, i.Outcome.FULL, 1, wait_us=5 * SECOND)])
@@ -63,9 +69,11 @@
     assert sent(d.handle(2 * SECOND, [i.TimerDue("look")])) == ["b"]
 
 
-def test_a_share_of_many_forwarders_is_not_taken_by_each_of_the_few_that_are_left() -> None:
+def test_a_share_of_many_forwarders_is_not_taken_by_each_of_the_few_that_are_left() -> (
+    None
+):
     d = dispatcher(balancers=200, weights_told=True, weight=1.0, slots=8)
-    place, = d.places.values()
+    (place,) = d.places.values()
     place.shares = 150.0  # as it grows where few tell each more of the limit
     d.handle(1, [i.Retuned(replace(d.s, balancers=2))])
     assert place.shares <= 2.0
@@ -91,14 +99,19 @@
 
 
 @pytest.mark.parametrize("apart", [False, True])
-def test_a_told_wait_is_handed_over_to_settings_that_part_or_join_routes(apart: bool) -> None:
+def test_a_told_wait_is_handed_over_to_settings_that_part_or_join_routes(
+    apart: bool,
+) -> None:
     def kinds(apart: bool) -> tuple[i.DestinationKind, ...]:
         return (i.DestinationKind("k", routes_apart=apart),)
+
     old, new = dispatcher(kinds=kinds(not apart)), dispatcher(kinds=kinds(apart))
     assert sent(old.handle(1, [i.Arrived("a", 7, "order", 60 * SECOND)])) == ["a"]
     old.handle(2, [i.Ended("a", 0, 1, i.Outcome.FULL, 1, wait_us=5 * SECOND)])
     memory = json.loads(json.dumps(old.memory(set())))
-    assert not sent(new.handle(3, [i.Remembered(memory), i.Arrived("b", 7, "order", 60 * SECOND)]))
+    assert not sent(
+        new.handle(3, [i.Remembered(memory), i.Arrived("b", 7, "order", 60 * SECOND)])
+    )
     assert sent(new.handle(6 * SECOND, [i.TimerDue("look")]))
 
 
--- a/tests/test_suspect_answers.py
+++ b/tests/test_suspect_answers.py
@@ -15,8 +15,11 @@
 
 
 @pytest.mark.parametrize("length", [*range(1, len(FIRST_LINE) + 1)])
-def test_part_of_a_first_line_that_crosses_the_time_out_is_no_delivery(length: int, target: Target) -> None:
+def test_part_of_a_first_line_that_crosses_the_time_out_is_no_delivery(
+    length: int, target: Target
+) -> None:
     """Booked as a delivery, its message was never ended, and its endpoint had not said so yet."""
+
     async def scene() -> None:
         s = Scene(target)
         call, side = await s.out()
@@ -26,13 +29,20 @@
         s.pool.timed_out(call)
         for _ in range(5):
             await asyncio.sleep(0)
-        assert s.outcomes() == [Outcome.DELIVERED if length == len(FIRST_LINE) else Outcome.TIMED_OUT]
+        assert s.outcomes() == [
+            Outcome.DELIVERED if length == len(FIRST_LINE) else Outcome.TIMED_OUT
+        ]
         s.done()
+
     play(scene)
 
 
-def test_first_line_without_end_is_bounded(target: Target, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client, "WHOLE_S", 3600)  # by its size, and not by the time it takes
+def test_first_line_without_end_is_bounded(
+    target: Target, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(
+        client, "WHOLE_S", 3600
+    )  # by its size, and not by the time it takes
 
     async def scene() -> None:
         s = Scene(target)
@@ -41,15 +51,26 @@
         await until(lambda: s.ends)
         assert s.outcomes() == [Outcome.SPOILT]
         s.done()
+
     play(scene)
 
 
-@pytest.mark.parametrize("status, outcome", [
-    (410, Outcome.FAILED), (504, Outcome.FAILED), (413, Outcome.FAILED), (500, Outcome.FAILED),
-    (503, Outcome.FULL), (429, Outcome.FULL)])
+@pytest.mark.parametrize(
+    "status, outcome",
+    [
+        (410, Outcome.FAILED),
+        (504, Outcome.FAILED),
+        (413, Outcome.FAILED),
+        (500, Outcome.FAILED),
+        (503, Outcome.FULL),
+        (429, Outcome.FULL),
+    ],
+)
 def test_shared_call_is_over_for_none_of_its_messages_by_its_status(
-        status: int, outcome: Outcome, target: Target) -> None:
+    status: int, outcome: Outcome, target: Target
+) -> None:
     """A 410 was taken for the end of all, and nothing more was owed for any of them."""
+
     async def scene() -> None:
         s = Scene(target)
         _, side = await s.out("a", "b")
@@ -57,4 +78,5 @@
         await until(lambda: s.ends)
         assert s.outcomes() == [outcome] * 2 and not any(e.closed for e in s.ends)
         s.done()
+
     play(scene)
--- a/tests/test_suspect_clients.py
+++ b/tests/test_suspect_clients.py
@@ -14,12 +14,15 @@
 @pytest.mark.parametrize("read", [True, False])
 def test_connection_with_an_unread_request_makes_no_room(read: bool) -> None:
     """The one that has rested longest was cut over what lay unread at its socket, which resets it."""
+
     async def scene(door: Door) -> None:
         first, second = await door.resting(), await door.resting()
         door.at_once = HTTPStatus.ACCEPTED
         if not read:
             first.say(message("m"))
-        door.server.joined(ClientConnection(door.server))  # one more than there is room for
+        door.server.joined(
+            ClientConnection(door.server)
+        )  # one more than there is room for
         if read:
             assert await first.more() == b""
             second.say(message("m"))
@@ -27,4 +30,5 @@
         else:
             assert (await first.answer())[0] == 202
             assert await second.more() == b""
+
     play(scene, most=2)
--- a/tests/test_suspect_half_close.py
+++ b/tests/test_suspect_half_close.py
@@ -14,6 +14,7 @@
 
 def test_answer_is_there_for_as_long_as_its_client_waits_after_the_half_close() -> None:
     """With bytes behind its request, which would reset the connection if that were closed over them."""
+
     async def scene(door: Door) -> None:
         client = await door.busy()
         door.server.leaving = True
@@ -27,9 +28,12 @@
         for _ in range(10):
             await asyncio.sleep(0)
         status, head = await client.answer()
-        assert status == 202 and "Connection: close" in head and await client.end() == b""
+        assert (
+            status == 202 and "Connection: close" in head and await client.end() == b""
+        )
         door.server.clock = lambda: closes
         door.server.sweep()
         await door.gone()
         door.server.clock = clock
+
     play(scene)
--- a/tests/test_suspect_kill.py
+++ b/tests/test_suspect_kill.py
@@ -30,8 +30,10 @@
 
 @pytest.mark.parametrize("cls", ["pay", "order", "status"])
 def test_message_whose_connection_was_coming_up_at_the_kill_is_tried_by_the_next_process(
-        tmp_path: Path, cls: str) -> None:
+    tmp_path: Path, cls: str
+) -> None:
     """Its attempt stood in the journal from the decision on: a once-only message was failed with no call."""
+
     async def scene(site: Site) -> None:
         dial = LateDial(await site.start())
         assert await site.hand_in("m", cls, 8) == 202
@@ -42,10 +44,13 @@
         await site.until(lambda: site.came("m"))
         await site.passes("other")
         assert not site.told("m")
+
     play(scene, Site(tmp_path))
 
 
-def test_attempt_is_in_the_file_before_its_first_byte_also_behind_a_late_connection(tmp_path: Path) -> None:
+def test_attempt_is_in_the_file_before_its_first_byte_also_behind_a_late_connection(
+    tmp_path: Path,
+) -> None:
     async def scene(site: Site) -> None:
         dial = LateDial(await site.start())
         kept: list[bool] = []
@@ -53,19 +58,23 @@
         async def side(request: Any) -> Answer:
             kept.append(0 in on_disk(tmp_path).messages["m"].out)
             return Answer(200)
+
         site.sides[1].handler = side
         assert await site.hand_in("m", "pay", 8) == 202
         await dial.begun.wait()
         dial.up.set()
         await site.until(lambda: bool(kept))
         assert kept == [True]
+
     play(scene, Site(tmp_path))
 
 
 @pytest.mark.parametrize("cls, goes", [("pay", False), ("status", True)])
 def test_call_whose_attempt_cannot_be_kept_leaves_only_if_it_may_be_repeated(
-        tmp_path: Path, cls: str, goes: bool) -> None:
+    tmp_path: Path, cls: str, goes: bool
+) -> None:
     """The disk filled while its connection came up. The other is tried once there is room."""
+
     async def scene(site: Site) -> None:
         engine = await site.start()
         dial = LateDial(engine)
@@ -75,11 +84,15 @@
 
         def full(fd: int, data: memoryview, at: int) -> int:
             raise OSError(errno.ENOSPC, "no space left")
+
         engine.store.files.write = full  # type: ignore[method-assign]
         dial.up.set()
-        await site.until(lambda: engine.store.failed and (site.came("m") or not engine.pool.out))
+        await site.until(
+            lambda: engine.store.failed and (site.came("m") or not engine.pool.out)
+        )
         assert site.came("m") is goes
         engine.store.files.write = write  # type: ignore[method-assign]
         await site.until(lambda: site.came("m"))
         assert not site.told("m")
+
     play(scene, Site(tmp_path))
--- a/tests/test_suspect_late_loop.py
+++ b/tests/test_suspect_late_loop.py
@@ -16,13 +16,22 @@
 from lemonshunt.net.server import BEAT_S
 from lemonshunt.net.starting import OVERDUE_US
 from tests.sockets import Platform, hang, message
-from tests.test_crossing_stopping import Caller, Door, Running, engine_play, play, target
+from tests.test_crossing_stopping import (
+    Caller,
+    Door,
+    Running,
+    engine_play,
+    play,
+    target,
+)
 from tests.test_suspect_stopping import rounds_by_hand
 
 MS = 1_000
 S = 1_000_000
 BEAT_US = int(BEAT_S * S)
-OWED_US = 300 * MS  # after its time a message must have been delivered or ended (PROTOCOL)
+OWED_US = (
+    300 * MS
+)  # after its time a message must have been delivered or ended (PROTOCOL)
 
 
 class HandClock:
@@ -54,8 +63,11 @@
 
 
 @pytest.mark.parametrize("new", [True, False])
-def test_time_left_counts_from_when_the_request_came_and_not_from_when_it_was_read(new: bool) -> None:
+def test_time_left_counts_from_when_the_request_came_and_not_from_when_it_was_read(
+    new: bool,
+) -> None:
     """Its end was due by so much later here than at its client, and the time for its notice was gone."""
+
     async def scene(door: Door) -> None:
         rested = await door.resting()
         clock = by_hand(door)
@@ -68,6 +80,7 @@
         await door.until(lambda: bool(door.handed))
         assert 0 <= door.handed[0][0].due_us - (sent + 500 * MS) <= BEAT_US
         door.handed[0][1].answer(HTTPStatus.ACCEPTED)
+
     play(scene)
 
 
@@ -80,11 +93,13 @@
         await door.until(lambda: bool(door.handed))
         assert door.handed[0][0].due_us == clock.now + 500 * MS
         door.handed[0][1].answer(HTTPStatus.ACCEPTED)
+
     play(scene)
 
 
 def test_a_process_that_begins_to_listen_is_not_late() -> None:
     """Its start took 10 s, and that is no lateness of the loop."""
+
     async def scene() -> None:
         door = Door()
         door.server.clock = clock = HandClock()
@@ -92,13 +107,16 @@
         await door.open()
         assert door.server.late_us == door.server.expected_late_us == 0
         await door.server.close()
+
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize("outcome", [i.Outcome.DELIVERED, i.Outcome.TIMED_OUT])
 def test_end_that_waits_for_its_round_goes_before_the_watch_for_overdue_messages(
-        tmp_path: Path, outcome: i.Outcome, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, outcome: i.Outcome, caplog: pytest.LogCaptureFixture
+) -> None:
     """The loop stood still past the message's time; its call's end is read, and its round comes next."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         run = await Running(folder, platform).ready()
@@ -111,13 +129,25 @@
         m = engine.store.messages["m"]
         past = engine.dispatcher.messages["m"].due = engine.clock() - OVERDUE_US - S
         engine.store.move_deadline(m, past)
-        engine.post(i.Ended("m", 0, engine.numbers["s1"], outcome, 5, closed=outcome is i.Outcome.DELIVERED))
+        engine.post(
+            i.Ended(
+                "m",
+                0,
+                engine.numbers["s1"],
+                outcome,
+                5,
+                closed=outcome is i.Outcome.DELIVERED,
+            )
+        )
         engine.end_overdue()
         assert "m" not in engine.store.messages
         owed = engine.store.owed.get("m")
-        assert (owed and owed.state) == (None if outcome is i.Outcome.DELIVERED else "returned")
+        assert (owed and owed.state) == (
+            None if outcome is i.Outcome.DELIVERED else "returned"
+        )
         client.socket.close()
         await run.end()
+
     with caplog.at_level(logging.ERROR, "lemonshunt"):
         engine_play(scene, tmp_path)
     assert not [r for r in caplog.records if "without an end" in r.message]
@@ -133,10 +163,18 @@
     assert OWED_US - (OVERDUE_US + int(TICK_S * S) + rounds) >= 70 * MS
 
 
-@pytest.mark.parametrize("late_us, left_s, sooner_us", [
-    (0, 50, 0), (30 * MS, 50, 30 * MS), (900 * MS, 50, MOST_SOONER_US), (900 * MS, 0.4, 100 * MS)])
+@pytest.mark.parametrize(
+    "late_us, left_s, sooner_us",
+    [
+        (0, 50, 0),
+        (30 * MS, 50, 30 * MS),
+        (900 * MS, 50, MOST_SOONER_US),
+        (900 * MS, 0.4, 100 * MS),
+    ],
+)
 def test_a_call_ends_sooner_by_as_much_as_the_loop_is_late(
-        tmp_path: Path, late_us: int, left_s: float, sooner_us: int) -> None:
+    tmp_path: Path, late_us: int, left_s: float, sooner_us: int
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         run = await Running(folder, platform).ready()
@@ -156,4 +194,5 @@
         client.socket.close()
         await run.end()
         assert len(peer.requests) <= 1
+
     engine_play(scene, tmp_path)
--- a/tests/test_suspect_stopping.py
+++ b/tests/test_suspect_stopping.py
@@ -20,10 +20,13 @@
     await run.until(lambda: not run.engine.scheduled)
 
 
-def test_call_that_comes_back_unsent_in_the_freeze_is_booked_as_unsent(tmp_path: Path) -> None:
+def test_call_that_comes_back_unsent_in_the_freeze_is_booked_as_unsent(
+    tmp_path: Path,
+) -> None:
     """The freeze decides for the last time. A call of that round that cannot leave comes back at once, to an
     engine that makes no round any more: left open in the journal, its message may have run, and one that
     must not run twice was given up with no call."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         run = await Running(folder, platform).ready()
@@ -32,25 +35,34 @@
         client = Caller(run.port)
         client.say(message("m", "pay", Idempotency_Key=None))
         await run.until(lambda: bool(engine.arriving))
-        engine.pool.serving({})  # its target has just left the list, which the module has not read yet
+        engine.pool.serving(
+            {}
+        )  # its target has just left the list, which the module has not read yet
         run.told_to_stop(stopping.FREEZE_S)
         engine.stop_step()
         assert (await client.answer())[0] == 202
-        assert engine.store.messages["m"].out == {} and engine.store.messages["m"].ran_at_us < 0
+        assert (
+            engine.store.messages["m"].out == {}
+            and engine.store.messages["m"].ran_at_us < 0
+        )
         client.socket.close()
         await run.end()
         kept = on_disk(folder).messages["m"]
         assert not peer.requests and (kept.attempts, kept.out) == (1, {})
         again = await Running(folder, platform).ready()
         await peer.got(1)
-        assert peer.requests[0].headers["x-correlation-id"] == "m" and not platform.notices
+        assert (
+            peer.requests[0].headers["x-correlation-id"] == "m" and not platform.notices
+        )
         await again.end()
+
     engine_play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("cls", ["status", "pay"])
 def test_answer_that_lies_unread_at_the_end_is_booked(tmp_path: Path, cls: str) -> None:
     """Cut with its connection, a delivery was sent again by the next process, or ended there as failed."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         run = await Running(folder, platform).ready()
@@ -63,16 +75,23 @@
         await run.end()  # in the turn in which the answer came
         assert not run.engine.store.messages and not run.engine.store.owed
         again = await Running(folder, platform).ready()
-        assert not again.engine.store.messages and not platform.notices and len(peer.requests) == 1
+        assert (
+            not again.engine.store.messages
+            and not platform.notices
+            and len(peer.requests) == 1
+        )
         await again.end()
+
     engine_play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("cls", ["status", "pay"])
 @pytest.mark.parametrize("half", [True, False])
 def test_shared_call_that_is_out_at_the_end_costs_none_of_its_messages(
-        tmp_path: Path, cls: str, half: bool) -> None:
+    tmp_path: Path, cls: str, half: bool
+) -> None:
     """With nothing or half of its answer there. The next process sends them again, or ends each."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await Peer(hang).start()
         platform.host("s1", peer.port, kind="lots")
@@ -89,10 +108,16 @@
         await peer.got(1)
         assert peer.requests[0].path == "/hook/batch"
         if half:
-            whole = json.dumps([{"id": f"m{n}", "state": "accepted"} for n in range(3)]).encode()
-            peer.requests[0].writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Backend-Load: x0=0.4"
-                                          b",x1=25\r\n\r\n%b" % (len(whole), whole[:-1]))
-            await run.until(lambda: any(c.begun for c in run.engine.pool.calls.values()))
+            whole = json.dumps(
+                [{"id": f"m{n}", "state": "accepted"} for n in range(3)]
+            ).encode()
+            peer.requests[0].writer.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Backend-Load: x0=0.4"
+                b",x1=25\r\n\r\n%b" % (len(whole), whole[:-1])
+            )
+            await run.until(
+                lambda: any(c.begun for c in run.engine.pool.calls.values())
+            )
         run.told_to_stop(stopping.EXIT_S)
         run.engine.stop_step()
         await run.end()
@@ -104,10 +129,20 @@
                 assert (await platform.notice(name))["state"] == "failed"
             assert len(peer.requests) == 1
         else:
-            await peer.until(lambda: names <= {
-                e["id"] for r in peer.requests[1:] if r.path == "/hook/batch" for e in json.loads(r.body)}
-                | {r.headers.get("x-correlation-id", "") for r in peer.requests[1:]})
+            await peer.until(
+                lambda: (
+                    names
+                    <= {
+                        e["id"]
+                        for r in peer.requests[1:]
+                        if r.path == "/hook/batch"
+                        for e in json.loads(r.body)
+                    }
+                    | {r.headers.get("x-correlation-id", "") for r in peer.requests[1:]}
+                )
+            )
         await again.end()
+
     engine_play(scene, tmp_path)
 
 
--- a/tests/test_terms_list.py
+++ b/tests/test_terms_list.py
@@ -10,7 +10,15 @@
 from lemonshunt.net.config import Address
 from lemonshunt.net.discovery import TOLD_S, told_within_s
 from tests.sockets import Answer, Peer, Request
-from tests.test_list_told_in_time import ROOM_S, SILENT, Agent, Longest, Rig, in_virtual_time, listing
+from tests.test_list_told_in_time import (
+    ROOM_S,
+    SILENT,
+    Agent,
+    Longest,
+    Rig,
+    in_virtual_time,
+    listing,
+)
 
 LATE_S = 13.0
 
@@ -38,7 +46,11 @@
         assert isinstance(answer, Answer)
         told = json.loads(answer.body)
         if self.whole and not told["whole"]:
-            told = {**told, "whole": True, "hosts": json.loads(listing(self.seq, self.health).body)["hosts"]}
+            told = {
+                **told,
+                "whole": True,
+                "hosts": json.loads(listing(self.seq, self.health).body)["hosts"],
+            }
         return Answer(200, body=json.dumps(told, indent=4).encode())
 
 
@@ -46,7 +58,8 @@
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize("pushed", [False, True])
 def test_a_watch_that_falls_silent_after_13_s_costs_no_more_than_one_that_does_at_once(
-        pushed: bool, whole: bool, into_hold: float) -> None:
+    pushed: bool, whole: bool, into_hold: float
+) -> None:
     async def scene() -> None:
         agent = SilentLater(whole)
         peer = await Peer(agent).start()
@@ -62,4 +75,5 @@
         assert rig.loop.time() - fell <= told_within_s(pushed) <= TOLD_S - ROOM_S
         rig.watch.pause()
         peer.server.close()
+
     in_virtual_time(scene)
--- a/tests/test_terms_requests.py
+++ b/tests/test_terms_requests.py
@@ -20,22 +20,55 @@
     return "\r\n".join(["POST /order HTTP/1.1", *lines]).encode() + b"\r\n\r\n"
 
 
-NAMED = ("Host: origin.svc", "X-Correlation-Id: m", "X-Account: acme", "X-Time-Left: 0.480",
-         "Idempotency-Key: key-m", "X-Addressing: dest=7")
+NAMED = (
+    "Host: origin.svc",
+    "X-Correlation-Id: m",
+    "X-Account: acme",
+    "X-Time-Left: 0.480",
+    "Idempotency-Key: key-m",
+    "X-Addressing: dest=7",
+)
 PLAIN = head(*NAMED, f"Content-Length: {len(BODY)}") + BODY
 CHUNKS = head(*NAMED, "Transfer-Encoding: chunked") + (
-    b"%x;note=1\r\n%b\r\n%X\r\n%b\r\n0\r\nX-Trailer: a\r\n\r\n" % (4, BODY[:4], len(BODY) - 4, BODY[4:]))
+    b"%x;note=1\r\n%b\r\n%X\r\n%b\r\n0\r\nX-Trailer: a\r\n\r\n"
+    % (4, BODY[:4], len(BODY) - 4, BODY[4:])
+)
 FORMS = {
-    "small letters": head(*(line.replace(line.partition(":")[0], line.partition(":")[0].lower())
-                            for line in NAMED), f"content-length: {len(BODY)}") + BODY,
-    "capitals": head(*(line.replace(line.partition(":")[0], line.partition(":")[0].upper())
-                       for line in NAMED), f"CONTENT-LENGTH: {len(BODY)}") + BODY,
-    "no space": head(*(line.replace(": ", ":") for line in NAMED), f"Content-Length:{len(BODY)}") + BODY,
-    "spaces and tabs": head(*(line.replace(": ", ": \t ") + " \t" for line in NAMED),
-                            f"Content-Length: {len(BODY)}  ") + BODY,
+    "small letters": head(
+        *(
+            line.replace(line.partition(":")[0], line.partition(":")[0].lower())
+            for line in NAMED
+        ),
+        f"content-length: {len(BODY)}",
+    )
+    + BODY,
+    "capitals": head(
+        *(
+            line.replace(line.partition(":")[0], line.partition(":")[0].upper())
+            for line in NAMED
+        ),
+        f"CONTENT-LENGTH: {len(BODY)}",
+    )
+    + BODY,
+    "no space": head(
+        *(line.replace(": ", ":") for line in NAMED), f"Content-Length:{len(BODY)}"
+    )
+    + BODY,
+    "spaces and tabs": head(
+        *(line.replace(": ", ": \t ") + " \t" for line in NAMED),
+        f"Content-Length: {len(BODY)}  ",
+    )
+    + BODY,
     "another order": head(f"Content-Length: {len(BODY)}", *reversed(NAMED)) + BODY,
-    "others between": head("Accept: */*", *NAMED, "X-Empty:", f"Content-Length: {len(BODY)}", "Via: a",
-                           "Via: b") + BODY,
+    "others between": head(
+        "Accept: */*",
+        *NAMED,
+        "X-Empty:",
+        f"Content-Length: {len(BODY)}",
+        "Via: a",
+        "Via: b",
+    )
+    + BODY,
     "a blank line ahead": b"\r\n" + PLAIN,
     "a query": PLAIN.replace(b"/order", b"/order?a=b", 1),
     "a longer path": PLAIN.replace(b"/order", b"/order/of/today", 1),
@@ -47,8 +80,14 @@
 
 
 def same(handed: Handed) -> bool:
-    return (handed.id, handed.class_name, handed.destination, handed.key, handed.tenant, handed.body) == (
-        "m", "order", 7, "key-m", "acme", BODY)
+    return (
+        handed.id,
+        handed.class_name,
+        handed.destination,
+        handed.key,
+        handed.tenant,
+        handed.body,
+    ) == ("m", "order", 7, "key-m", "acme", BODY)
 
 
 async def read(client: Caller, data: bytes) -> None:
@@ -68,12 +107,14 @@
             client.say(FORMS[form])
             assert (await client.answer())[0] == 202
         assert len(door.handed) == 2 and all(same(handed) for handed, _ in door.handed)
+
     play(scene)
 
 
 @pytest.mark.parametrize("form", ["plain", "chunks", "spaces and tabs"])
 def test_each_split_of_a_request_is_the_same_message(form: str) -> None:
     """In two pieces that are read apart; nothing is taken in before the last byte."""
+
     async def scene(door: Door) -> None:
         door.at_once = HTTPStatus.ACCEPTED
         client, data = await door.resting(), FORMS[form]
@@ -83,6 +124,7 @@
             client.say(data[place:])
             assert (await client.answer())[0] == 202, place
             assert same(door.handed.pop()[0]) and not door.handed
+
     play(scene)
 
 
@@ -92,10 +134,11 @@
         door.at_once = HTTPStatus.ACCEPTED
         client, data = Caller(door.port), FORMS[form]
         for place in range(len(data) - 1):
-            await read(client, data[place:place + 1])
+            await read(client, data[place : place + 1])
         assert not door.handed
         client.say(data[-1:])
         assert (await client.answer())[0] == 202 and same(door.handed[0][0])
+
     play(scene)
 
 
@@ -103,6 +146,7 @@
 @pytest.mark.parametrize("step", ["leave", "sweep"])
 def test_request_in_pieces_around_sigterm_has_its_answer(place: int, step: str) -> None:
     """Its last byte comes after the shutdown was decided: it is answered, and its connection ends then."""
+
     async def scene(door: Door) -> None:
         door.at_once = HTTPStatus.ACCEPTED
         client = await door.resting()
@@ -113,8 +157,11 @@
         getattr(door.server, step)()
         client.say(PLAIN[-1:])
         status, text = await client.answer()
-        assert status == 202 and "Connection: close" in text and await client.end() == b""
+        assert (
+            status == 202 and "Connection: close" in text and await client.end() == b""
+        )
         assert same(door.handed[0][0])
+
     play(scene)
 
 
@@ -127,4 +174,5 @@
         assert door.handed[0][0].due_us <= door.server.clock() + 1_000
         door.handed[0][1].answer(HTTPStatus.TOO_MANY_REQUESTS)
         assert (await client.answer())[0] == 429
+
     play(scene)
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -21,7 +21,10 @@
 ROUNDS = 300
 ASKED = 20
 """Rounds between two looks at what the dispatcher remembers and says of its targets."""
-MOODS = (*[o for o in i.Outcome if o is not i.Outcome.CANCELED], *[i.Outcome.DELIVERED] * 9)
+MOODS = (
+    *[o for o in i.Outcome if o is not i.Outcome.CANCELED],
+    *[i.Outcome.DELIVERED] * 9,
+)
 
 
 @dataclass
@@ -49,16 +52,27 @@
 class World:
     """What happens follows from the seed and from what the dispatcher does."""
 
-    def __init__(self, seed: int, make: Callable[[i.Settings, int, int], Dispatcher]) -> None:
+    def __init__(
+        self, seed: int, make: Callable[[i.Settings, int, int], Dispatcher]
+    ) -> None:
         self.seed, self.make, self.r = seed, make, Random(seed)
         self.now = self.r.randrange(100 * S)
         self.s = self.settings()
         self.d = make(self.s, seed, self.now)
         self.busy, self.full = self.pick(0.1, 0.4, 0.7), self.pick(0.0, 0.0, 0.9)
         self.entries = {
-            n: i.TargetEntry(n, 10 + n % 5, self.pick("north", "north", "south"), KINDS[n % 5],
-                             weight=self.pick(0.0, 3.0, 99.0)) for n in range(self.pick(4, 8, 14))}
-        self.moods = dict.fromkeys(self.entries, i.Outcome.FULL if self.full else i.Outcome.DELIVERED)
+            n: i.TargetEntry(
+                n,
+                10 + n % 5,
+                self.pick("north", "north", "south"),
+                KINDS[n % 5],
+                weight=self.pick(0.0, 3.0, 99.0),
+            )
+            for n in range(self.pick(4, 8, 14))
+        }
+        self.moods = dict.fromkeys(
+            self.entries, i.Outcome.FULL if self.full else i.Outcome.DELIVERED
+        )
         self.limits = {n: self.pick(0.0, 0.0, 9.0, 99.0) for n in self.entries}
         self.open: dict[str, Told] = {}
         self.out: list[Out] = []
@@ -67,8 +81,12 @@
         self.outages: dict[int, tuple[int, int]] = {}
         self.owed: deque[tuple[str, str]] = deque()
         self.asked = 0
-        self.next: list[i.Event] = [i.Listed(self.pick(i.ListKind.SAVED, i.ListKind.WHOLE),
-                                             tuple(self.entries.values()))]
+        self.next: list[i.Event] = [
+            i.Listed(
+                self.pick(i.ListKind.SAVED, i.ListKind.WHOLE),
+                tuple(self.entries.values()),
+            )
+        ]
 
     def pick(self, *among: Any) -> Any:
         return among[int(self.r.random() * len(among))]
@@ -80,23 +98,57 @@
         aim, deadline = self.pick(300 * MS, S, 2 * S), self.pick(3 * S, 8 * S)
         late, keyed = self.pick(0.0, 0.5), i.Effect.KEYED
         return i.Settings(
-            slots=self.pick(1, 4, 16, 80), balancers=(1, 2, 3, 9, 40, 300)[self.seed % 6],
-            classes=(i.MessageClass("safe", aim, deadline, late_worth=late),
-                     *(i.MessageClass(scope.value, aim, deadline + S, keyed, scope,
-                                      self.pick(100 * MS, 4 * S)) for scope in i.Scope),
-                     i.MessageClass("once", 2 * aim, deadline, i.Effect.ONCE),
-                     i.MessageClass("turns", aim, deadline, keyed, i.Scope.ALL, 9 * S, in_order=True),
-                     i.MessageClass("single", aim, deadline, i.Effect.ONCE, in_order=True)),
-            kinds=(i.DestinationKind("lots", batch=self.pick(2, 4)),
-                   i.DestinationKind("ways", routes_apart=self.luck(0.8)),
-                   i.DestinationKind("plain", batch=self.pick(1, 1, 3), routes_apart=self.luck(0.1))),
-            tenants=(i.Tenant("big", 20.0), i.Tenant("small", self.pick(0.5, 5.0)), i.Tenant("free", 0.0)),
-            zone_fees={"north": 0.5}, max_open=self.pick(20, 1000), max_attempts=self.pick(2, 6, 10**6),
-            may_cancel=self.luck(0.8), retry_after=self.luck(0.8), max_retry_after_us=2 * S,
-            subscribe=self.luck(0.5), weights_told=self.luck(0.3), over_share_worth=self.pick(0.1, 0.1, 1.0),
-            late_halves=self.luck(0.5), overload_factor=self.pick(0.0, 2.0), fall_us=self.pick(0, 400 * MS),
-            cold_from=self.pick(0.02, 0.2, 1.0), warm_us=self.pick(0, 3 * S), key_rest_us=300 * MS,
-            conn_idle_us=self.pick(0, 5 * S, 60 * S), ends_told=self.luck(0.5))
+            slots=self.pick(1, 4, 16, 80),
+            balancers=(1, 2, 3, 9, 40, 300)[self.seed % 6],
+            classes=(
+                i.MessageClass("safe", aim, deadline, late_worth=late),
+                *(
+                    i.MessageClass(
+                        scope.value,
+                        aim,
+                        deadline + S,
+                        keyed,
+                        scope,
+                        self.pick(100 * MS, 4 * S),
+                    )
+                    for scope in i.Scope
+                ),
+                i.MessageClass("once", 2 * aim, deadline, i.Effect.ONCE),
+                i.MessageClass(
+                    "turns", aim, deadline, keyed, i.Scope.ALL, 9 * S, in_order=True
+                ),
+                i.MessageClass("single", aim, deadline, i.Effect.ONCE, in_order=True),
+            ),
+            kinds=(
+                i.DestinationKind("lots", batch=self.pick(2, 4)),
+                i.DestinationKind("ways", routes_apart=self.luck(0.8)),
+                i.DestinationKind(
+                    "plain", batch=self.pick(1, 1, 3), routes_apart=self.luck(0.1)
+                ),
+            ),
+            tenants=(
+                i.Tenant("big", 20.0),
+                i.Tenant("small", self.pick(0.5, 5.0)),
+                i.Tenant("free", 0.0),
+            ),
+            zone_fees={"north": 0.5},
+            max_open=self.pick(20, 1000),
+            max_attempts=self.pick(2, 6, 10**6),
+            may_cancel=self.luck(0.8),
+            retry_after=self.luck(0.8),
+            max_retry_after_us=2 * S,
+            subscribe=self.luck(0.5),
+            weights_told=self.luck(0.3),
+            over_share_worth=self.pick(0.1, 0.1, 1.0),
+            late_halves=self.luck(0.5),
+            overload_factor=self.pick(0.0, 2.0),
+            fall_us=self.pick(0, 400 * MS),
+            cold_from=self.pick(0.02, 0.2, 1.0),
+            warm_us=self.pick(0, 3 * S),
+            key_rest_us=300 * MS,
+            conn_idle_us=self.pick(0, 5 * S, 60 * S),
+            ends_told=self.luck(0.5),
+        )
 
     def play(self, rounds: int) -> Iterator[tuple[int, list[i.Event], list[i.Action]]]:
         for n in range(rounds):
@@ -124,7 +176,9 @@
             events.append(i.TimerDue("look"))
         if self.luck(0.06):
             target = self.pick(*self.entries)
-            self.moods[target] = i.Outcome.FULL if self.luck(self.full) else self.pick(*MOODS)
+            self.moods[target] = (
+                i.Outcome.FULL if self.luck(self.full) else self.pick(*MOODS)
+            )
             if self.luck(0.2):
                 self.moods = dict.fromkeys(self.entries, self.moods[target])
         while self.owed and self.luck(0.3):
@@ -136,9 +190,19 @@
     def arrival(self) -> i.Arrived:
         cls = self.pick(*self.s.classes)
         self.asked += 1
-        life = cls.deadline_us if self.luck(0.8) else self.r.randrange(-5 * MS, cls.deadline_us)
-        event = i.Arrived(f"m{self.asked}", 10 + int(6 * self.r.random() ** 2), cls.name, self.now + life,
-                          self.pick("k", "l", None), self.pick("big", "small", "free", "other", None))
+        life = (
+            cls.deadline_us
+            if self.luck(0.8)
+            else self.r.randrange(-5 * MS, cls.deadline_us)
+        )
+        event = i.Arrived(
+            f"m{self.asked}",
+            10 + int(6 * self.r.random() ** 2),
+            cls.name,
+            self.now + life,
+            self.pick("k", "l", None),
+            self.pick("big", "small", "free", "other", None),
+        )
         if self.luck(0.01):
             return replace(event, class_name="unheard of")
         self.open[event.message] = Told(event, cls, self.s.max_attempts)
@@ -147,7 +211,11 @@
     def end(self, o: Out) -> i.Ended:
         self.out.remove(o)
         outcome = o.outcome
-        closed = outcome is i.Outcome.DELIVERED or o.message not in self.open or self.luck(0.02)
+        closed = (
+            outcome is i.Outcome.DELIVERED
+            or o.message not in self.open
+            or self.luck(0.02)
+        )
         wait = self.pick(0, 0, 400 * MS, 3 * S) if outcome is i.Outcome.FULL else 0
         limit = self.limits.get(o.target, 0.0)
         told = i.LoadReport(self.r.random(), limit) if self.luck(0.3) else None
@@ -156,8 +224,17 @@
             m.ran_at, m.ran_on = o.sent, o.target
         if closed:
             self.open.pop(o.message, None)
-        return i.Ended(o.message, o.attempt, o.target, outcome, self.now - o.sent, closed, wait, told,
-                       self.luck(0.1))
+        return i.Ended(
+            o.message,
+            o.attempt,
+            o.target,
+            outcome,
+            self.now - o.sent,
+            closed,
+            wait,
+            told,
+            self.luck(0.1),
+        )
 
     def odd(self) -> list[i.Event]:
         """What clients, the list and operators do now and then."""
@@ -166,14 +243,23 @@
         what = int(self.r.random() * 12)
         if what == 0:
             state = self.pick(*i.TargetState, i.TargetState.SERVING)
-            moved = replace(entry, destination=10 + int(5 * self.r.random()), weight=self.pick(0.0, 9.0))
-            self.entries[target] = replace(moved if self.luck(0.2) else entry, state=state)
+            moved = replace(
+                entry,
+                destination=10 + int(5 * self.r.random()),
+                weight=self.pick(0.0, 9.0),
+            )
+            self.entries[target] = replace(
+                moved if self.luck(0.2) else entry, state=state
+            )
             return [i.Listed(i.ListKind.CHANGES, (self.entries[target],))]
         if what == 1:
             left = tuple(e for e in self.entries.values() if self.luck(0.9))
             return [i.Listed(i.ListKind.WHOLE, left)]
         if what == 2:
-            self.entries = {n: replace(e, state=i.TargetState.SERVING) for n, e in self.entries.items()}
+            self.entries = {
+                n: replace(e, state=i.TargetState.SERVING)
+                for n, e in self.entries.items()
+            }
             return [i.Listed(i.ListKind.WHOLE, tuple(self.entries.values()))]
         if what == 3:
             return [i.Listed(i.ListKind.FAILED) for _ in range(self.pick(1, 3))]
@@ -190,30 +276,59 @@
         if what == 9:
             self.s = replace(self.settings(), max_open=self.s.max_open)
             return [i.Retuned(self.s)]
-        if what == 10 and self.seed % 4 == 0:  # a list that replaces its targets again and again
-            fresh = {n: i.TargetEntry(n, 12, "north", self.pick("ways", "plain"))
-                     for n in range(self.asked * 1000, self.asked * 1000 + 150)}
-            return [i.Listed(i.ListKind.CHANGES, tuple(fresh.values())),
-                    i.Listed(i.ListKind.WHOLE, tuple(self.entries.values()))]
-        return [i.EndTold("stranger"), i.Probed(target, i.Outcome.DELIVERED, 5), i.Attached(999),
-                i.Ended("stranger", 0, target, i.Outcome.FAILED, 9), i.OutageRecalled(999, 0)]
+        if (
+            what == 10 and self.seed % 4 == 0
+        ):  # a list that replaces its targets again and again
+            fresh = {
+                n: i.TargetEntry(n, 12, "north", self.pick("ways", "plain"))
+                for n in range(self.asked * 1000, self.asked * 1000 + 150)
+            }
+            return [
+                i.Listed(i.ListKind.CHANGES, tuple(fresh.values())),
+                i.Listed(i.ListKind.WHOLE, tuple(self.entries.values())),
+            ]
+        return [
+            i.EndTold("stranger"),
+            i.Probed(target, i.Outcome.DELIVERED, 5),
+            i.Attached(999),
+            i.Ended("stranger", 0, target, i.Outcome.FAILED, 9),
+            i.OutageRecalled(999, 0),
+        ]
 
     def carry_out(self, actions: list[i.Action]) -> None:
         ends: dict[int, tuple[i.Outcome, int]] = {}
         for a in actions:
-            if isinstance(a, i.Send) and a.message in self.open:  # not so where too little was remembered
+            if (
+                isinstance(a, i.Send) and a.message in self.open
+            ):  # not so where too little was remembered
                 m = self.open[a.message]
                 if a.target not in ends:
                     mood = self.moods.get(a.target, i.Outcome.DELIVERED)
                     slow = self.luck(0.1) or mood is i.Outcome.TIMED_OUT
-                    took = self.r.randrange(2 * S) if slow else self.r.randrange(MS, 100 * MS)
-                    ends[a.target] = (mood if self.luck(0.8) else i.Outcome.DELIVERED, took)
+                    took = (
+                        self.r.randrange(2 * S)
+                        if slow
+                        else self.r.randrange(MS, 100 * MS)
+                    )
+                    ends[a.target] = (
+                        mood if self.luck(0.8) else i.Outcome.DELIVERED,
+                        took,
+                    )
                     if self.luck(0.04):  # its connection is lost and tells nothing
                         ends[a.target] = (i.Outcome.TIMED_OUT, 0)
                 outcome, took = ends[a.target]
                 if outcome is i.Outcome.TIMED_OUT or took >= a.timeout_us:
                     outcome, took = i.Outcome.TIMED_OUT, a.timeout_us
-                self.out.append(Out(a.message, m.attempts, a.target, self.now, outcome, self.now + took))
+                self.out.append(
+                    Out(
+                        a.message,
+                        m.attempts,
+                        a.target,
+                        self.now,
+                        outcome,
+                        self.now + took,
+                    )
+                )
                 m.attempts += 1
             elif isinstance(a, i.Refuse | i.Fail):
                 over = self.open.pop(a.message, None)
@@ -222,24 +337,47 @@
             elif isinstance(a, i.SetTimer):
                 self.timer = self.now + a.delay_us
             elif isinstance(a, i.Cancel):
-                out = [o for o in self.out if (o.message, o.attempt) == (a.message, a.attempt)]
+                out = [
+                    o
+                    for o in self.out
+                    if (o.message, o.attempt) == (a.message, a.attempt)
+                ]
                 assert out or a.message not in self.open  # sent though over: see above
                 for o in out:
-                    o.outcome, o.ends = i.Outcome.CANCELED, self.now + self.pick(0, 100 * MS)
+                    o.outcome, o.ends = (
+                        i.Outcome.CANCELED,
+                        self.now + self.pick(0, 100 * MS),
+                    )
             elif isinstance(a, i.Outage):
                 self.outages[a.target] = (a.since_us, a.back_us)
 
     def recalled(self, cut_off: set[str]) -> Iterator[i.Event]:
-        yield i.Listed(i.ListKind.WHOLE, tuple(e for e in self.entries.values() if self.luck(0.9)))
+        yield i.Listed(
+            i.ListKind.WHOLE, tuple(e for e in self.entries.values() if self.luck(0.9))
+        )
         yield from map(i.Detached, sorted(self.detached))
         for name, m in self.open.items():
             e = m.event
             cls, most = self.pick(m.cls, None), self.pick(m.most, 0)
-            yield i.Recalled(name, e.destination, e.class_name, e.due_us, e.key, e.tenant, m.attempts,
-                             m.ran_at, m.ran_on, name in cut_off, cls, most)
+            yield i.Recalled(
+                name,
+                e.destination,
+                e.class_name,
+                e.due_us,
+                e.key,
+                e.tenant,
+                m.attempts,
+                m.ran_at,
+                m.ran_on,
+                name in cut_off,
+                cls,
+                most,
+            )
         yield i.Recalled("old", 10, "unheard of", self.now + S)
         yield from (i.EndOwed(name, key) for name, key in self.owed)
-        yield from (i.OutageRecalled(n, *o) for n, o in self.outages.items() if o[0] >= 0)
+        yield from (
+            i.OutageRecalled(n, *o) for n, o in self.outages.items() if o[0] >= 0
+        )
 
     def restart(self) -> None:
         """Killed: what was out may have run."""
@@ -274,7 +412,9 @@
     """Of all until then."""
 
 
-def play(seed: int, make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher) -> Iterator[Round]:
+def play(
+    seed: int, make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher
+) -> Iterator[Round]:
     """Every action of one world with its time, and now and then what its dispatcher remembers and says."""
     world, sum_of_all = World(seed, make), hashlib.sha256()
     for n, (now, events, actions) in enumerate(world.play(ROUNDS)):
@@ -289,12 +429,18 @@
         yield Round(now, events, actions, sum_of_all.hexdigest())
 
 
-def record(seed: int, make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher) -> dict[str, Any]:
+def record(
+    seed: int, make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher
+) -> dict[str, Any]:
     """What is kept of one world: the first digits of each round's digest, the last whole, actions by kind."""
     rounds = list(play(seed, make))
     kinds = Counter(type(a).__name__ for r in rounds for a in r.actions)
-    return {"seed": seed, "sha256": rounds[-1].digest, "actions": dict(sorted(kinds.items())),
-            "rounds": "".join(r.digest[:4] for r in rounds)}
+    return {
+        "seed": seed,
+        "sha256": rounds[-1].digest,
+        "actions": dict(sorted(kinds.items())),
+        "rounds": "".join(r.digest[:4] for r in rounds),
+    }
 
 
 if __name__ == "__main__":
