--- a/lemonshunt/__main__.py
+++ b/lemonshunt/__main__.py
@@ -21,7 +21,9 @@
 
 
 async def serve(config: Config, asked: list[bool] | None = None) -> None:
-    """`asked` gets a SIGHUP that comes while there is no engine to read the configuration again."""
+    """`asked` gets a SIGHUP that comes while there is no engine to read the
+    configuration again.
+    """
     sighups: list[bool] = [] if asked is None else asked
     admin = Admin()
     if config.admin is not None:
@@ -57,7 +59,9 @@
                 before.answer_from_journal()
             break
         successor = claiming.result()
-        try:  # the file may have changed, with a SIGHUP to this process or to the one that served till now
+        # the file may have changed, with a SIGHUP to this process or to the one that
+        # served till now
+        try:
             new = replacement(config)
             config = replace(
                 new,
@@ -73,7 +77,8 @@
         if sighups:
             sighups.clear()
             engine.reload()
-        gc.freeze()  # what is made at the start stays: it need not be looked through again and again
+        # what is made at the start stays: it need not be looked through again and again
+        gc.freeze()
         again = await engine.run()
         config, before, engine = engine.config, engine, None
     admin.close()
@@ -82,7 +87,8 @@
 def main() -> int:
     asked: list[
         bool
-    ] = []  # a SIGHUP before there is an engine must neither end the process nor be lost
+        # a SIGHUP before there is an engine must neither end the process nor be lost
+    ] = []
     signal.signal(signal.SIGHUP, lambda *_: asked.append(True))
     logging.basicConfig(
         stream=sys.stderr,
--- a/lemonshunt/budget/__init__.py
+++ b/lemonshunt/budget/__init__.py
@@ -1,1 +1,3 @@
-"""Fleet-wide budgets: a destination's whole divided among members so that no sliding span ever exceeds it."""
+"""Fleet-wide budgets: a destination's whole divided among members so that no sliding
+span ever exceeds it.
+"""
--- a/lemonshunt/budget/aim.py
+++ b/lemonshunt/budget/aim.py
@@ -1,4 +1,6 @@
-"""When a budget is divided anew, to what, and which grants lead there. Decides; the book keeps it safe."""
+"""When a budget is divided anew, to what, and which grants lead there. Decides; the
+book keeps it safe.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +33,9 @@
     """The whole was lowered since."""
     credit: dict[Token, int] = field(default_factory=dict)
     credit_next: dict[Token, int] = field(default_factory=dict)
-    """Comes to count once the division is carried out: a turn that was never had is not paid for."""
+    """Comes to count once the division is carried out: a turn that was never had is not
+    paid for.
+    """
 
 
 def redivide(aim: Aim, book: Book, now_us: int) -> None:
@@ -95,7 +99,8 @@
 def _divided(aim: Aim, book: Book, members: list[Account]) -> Division[Token]:
     budget = book.budget
     floors = {a.token: a.reserve() for a in members}
-    # Reserves of all others are no part of what can be divided: of the lost, and of those who may yet come.
+    # Reserves of all others are no part of what can be divided: of the lost, and of
+    # those who may yet come.
     others = sum(a.reserve() for a in book.accounts.values() if a.token not in floors)
     whole = max(budget.calls - others - book.unseated(), sum(floors.values()))
     return divide(
@@ -118,14 +123,17 @@
 
 
 def moves(aim: Aim, book: Book, now_us: int) -> dict[Token, Grant]:
-    """The next grants towards the aim: lower at once, raise from what is free, lend what is left of it."""
+    """The next grants towards the aim: lower at once, raise from what is free, lend
+    what is left of it.
+    """
     members = book.in_force()
     proposed: dict[Token, Grant] = {}
     missed = any(a.calls() < target(aim, a) for a in members) or book.free_with({}) < 0
     seats = 0 if book.shut else book.budget.members_max - book.seats()
     for a in members:
         if 0 < a.lent_us <= now_us:
-            # Lent on while the burst goes on and nobody misses it; what was never lent is no loan.
+            # Lent on while the burst goes on and nobody misses it; what was never lent
+            # is no loan.
             on = not missed and a.work() >= a.calls() > target(aim, a)
             a.lent_us = now_us + book.window_us() if on else 0
         grant = _seat_and_lower(aim, book, a, seats > 0, now_us)
@@ -167,7 +175,9 @@
 def _seat_and_lower(
     aim: Aim, book: Book, a: Account, seat: bool, now_us: int
 ) -> Grant | None:
-    """A reserve where a seat is left, and no more than the aim. None where it has that already."""
+    """A reserve where a seat is left, and no more than the aim. None where it has that
+    already.
+    """
     wanted = book.budget.reserve
     newest = a.grants[-1].reserve if a.grants else 0
     reserve = newest
--- a/lemonshunt/budget/book.py
+++ b/lemonshunt/budget/book.py
@@ -1,6 +1,8 @@
-"""One budget's accounts at the list service: what each process may still act on, what cools, what is free.
+"""One budget's accounts at the list service: what each process may still act on, what
+cools, what is free.
 
-The one rule: a place is free only once its old holder can no longer use it, and a whole window after that.
+The one rule: a place is free only once its old holder can no longer use it, and a whole
+window after that.
 """
 
 from __future__ import annotations
@@ -12,14 +14,19 @@
 from lemonshunt.budget.terms import Budget
 from lemonshunt.lease.token import Token
 
-MOST_OPEN = 8  # grants not acknowledged that are kept apart for a process; older ones count as one
+# grants not acknowledged that are kept apart for a process; older ones count as one
+MOST_OPEN = 8
 
 
 class State(Enum):
     IN = "in"
-    """Its lease may be valid: it may act on any share it was told and did not give up."""
+    """Its lease may be valid: it may act on any share it was told and did not give
+    up.
+    """
     OUT = "out"
-    """Its lease is surely out: it acts on its reserve, for ever as far as anybody knows."""
+    """Its lease is surely out: it acts on its reserve, for ever as far as anybody
+    knows.
+    """
     OVER = "over"
     """It acts no more, but its last call may just have left."""
 
@@ -38,7 +45,9 @@
     name: str
     token: Token
     grants: list[Grant] = field(default_factory=list)
-    """Those it may act on, by number; the last is the newest, and the only one it is told."""
+    """Those it may act on, by number; the last is the newest, and the only one it is
+    told.
+    """
     acked: int = 0
     state: State = State.IN
     over_us: int = 0
@@ -64,7 +73,9 @@
         return max((g.reserve for g in self.grants), default=0)
 
     def most(self) -> int:
-        """Calls in a span that it may act on at this moment, whatever of its messages came or was lost."""
+        """Calls in a span that it may act on at this moment, whatever of its messages
+        came or was lost.
+        """
         if self.state is not State.IN:
             return self.reserve()
         if len(self.grants) == 1:
@@ -89,15 +100,21 @@
     def __init__(self, budget: Budget, drift: float, opens_us: int) -> None:
         self.budget, self.drift = budget, drift
         self.opens_us = opens_us
-        """Nothing is granted before: shares that are not known here may be acted on until then."""
+        """Nothing is granted before: shares that are not known here may be acted on
+        until then.
+        """
         self.closed = False
         self.shut = False
-        """No process is given a reserve that had none: who has one is not known to the last."""
+        """No process is given a reserve that had none: who has one is not known to the
+        last.
+        """
         self.accounts: dict[Token, Account] = {}
         self.stirred = True
         """What a division rests on changed since the last one was thought of."""
         self.cooling: list[tuple[int, int]] = []
-        """(until, calls): given up or run out, but a window that holds their last call is not over."""
+        """(until, calls): given up or run out, but a window that holds their last call
+        is not over.
+        """
 
     def window_us(self) -> int:
         return self.budget.window_us(self.drift)
@@ -114,15 +131,18 @@
         """In the order they came in, which is the same wherever the same was said."""
         return [a for a in self.accounts.values() if a.state is State.IN]
 
-    # -- what members say, and what is known of them --------------------------------------------------
+    # -- what members say, and what is known of them
+    # --------------------------------------------------
 
     def needs(self, account: Account, needs: Mapping[str, int]) -> None:
         if needs != account.needs:
             account.needs, self.stirred = needs, True
 
     def acked(self, account: Account, calls: int, number: int, now_us: int) -> None:
-        """It holds this share, and from now on no older one. A beat that came late says nothing new. More
-        than was granted here (this service was restored from an older copy) counts as it is said."""
+        """It holds this share, and from now on no older one. A beat that came late says
+        nothing new. More than was granted here (this service was restored from an older
+        copy) counts as it is said.
+        """
         if account.state is not State.IN or number < account.acked:
             return
         before = account.most()
@@ -154,9 +174,11 @@
     def follows(
         self, account: Account, old: Account | None, keeps: int, now_us: int
     ) -> None:
-        """The same process under a new token, or the one that took over its folder: it may act on the old
-        one's reserve before it is told anything, so the reserve moves, and the rest is over. Where the old
-        one is not known (this service lost its folder), it is as it says: it `keeps` so much."""
+        """The same process under a new token, or the one that took over its folder: it
+        may act on the old one's reserve before it is told anything, so the reserve
+        moves, and the rest is over. Where the old one is not known (this service lost
+        its folder), it is as it says: it `keeps` so much.
+        """
         reserve = max(keeps, old.reserve() if old else 0)
         if reserve > account.reserve() and not account.acked:
             # Also where it was granted something meanwhile: it may never hear of that.
@@ -177,11 +199,14 @@
         if calls > 0:
             self.cooling.append((now_us + self.window_us(), calls))
 
-    # -- what there is ------------------------------------------------------------------------------------
+    # -- what there is
+    # ------------------------------------------------------------------------------------
 
     def settle(self, now_us: int) -> None:
-        """Let go what has cooled, and processes that can act on nothing. Their end is on disk by then: else
-        a restart would take them for holders of what others were granted since."""
+        """Let go what has cooled, and processes that can act on nothing. Their end is
+        on disk by then: else a restart would take them for holders of what others were
+        granted since.
+        """
         self.cooling = [c for c in self.cooling if c[0] > now_us]
         ended = [
             a.token
@@ -198,18 +223,23 @@
         return sum(a.reserve() > 0 for a in self.accounts.values())
 
     def unseated(self, soon: int = 0) -> int:
-        """Set aside for the reserves of processes that have none yet, nor are about to (`soon`)."""
+        """Set aside for the reserves of processes that have none yet, nor are about to
+        (`soon`).
+        """
         return self.budget.reserve * max(
             0, self.budget.members_max - self.seats() - soon
         )
 
     def counted(self) -> int:
-        """All that is not free: what processes may still act on, what cools, what is set aside."""
+        """All that is not free: what processes may still act on, what cools, what is
+        set aside.
+        """
         return self.budget.calls - self.free_with({})
 
     def free_with(self, proposed: Mapping[Token, Grant]) -> int:
-        """What may be granted besides the proposed grants; below 0 while a lowered whole waits for shares to
-        run out."""
+        """What may be granted besides the proposed grants; below 0 while a lowered
+        whole waits for shares to run out.
+        """
         held = sum(
             max(a.most(), proposed[t].calls) if t in proposed else a.most()
             for t, a in self.accounts.items()
--- a/lemonshunt/budget/config.py
+++ b/lemonshunt/budget/config.py
@@ -1,4 +1,6 @@
-"""Budgets as configured and a beat's part as sent: checked whole, every fault with its path."""
+"""Budgets as configured and a beat's part as sent: checked whole, every fault with its
+path.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +34,10 @@
 
 
 def checked(raw: Any, path: str = "budgets") -> tuple[Budget, ...]:
-    """From configuration: a list of {destination, calls, span_ms, reserve?, members_max, weights?, least?,
-    change?, loose?, pause_ms?, slack_ms?}. Raises Faults with every fault."""
+    """From configuration: a list of {destination, calls, span_ms, reserve?,
+    members_max, weights?, least?, change?, loose?, pause_ms?, slack_ms?}. Raises Faults
+    with every fault.
+    """
     if not isinstance(raw, list) or len(raw) > MOST_BUDGETS:
         raise Faults([f"{path}: a list of at most {MOST_BUDGETS} budgets"])
     faults: list[str] = []
--- a/lemonshunt/budget/divide.py
+++ b/lemonshunt/budget/divide.py
@@ -1,6 +1,8 @@
-"""Max-min fair division of a whole number of calls: by demand, weights, floors, and turns where it is scarce.
+"""Max-min fair division of a whole number of calls: by demand, weights, floors, and
+turns where it is scarce.
 
-All is integer arithmetic, so that equal input divides equally everywhere and the shares add up exactly.
+All is integer arithmetic, so that equal input divides equally everywhere and the shares
+add up exactly.
 """
 
 from __future__ import annotations
@@ -20,7 +22,9 @@
 
 
 class Want(NamedTuple, Generic[K]):
-    """One taker: it is given at least `low` and at most `high`, in proportion to `weight` between them."""
+    """One taker: it is given at least `low` and at most `high`, in proportion to
+    `weight` between them.
+    """
 
     key: K
     weight: int
@@ -34,18 +38,24 @@
     loose: int
     """Not given to anybody; shares and this add up to the whole."""
     credit: dict[K, int]
-    """To be handed to the next division: what rounding and turns still owe, in millionths of a call."""
+    """To be handed to the next division: what rounding and turns still owe, in
+    millionths of a call.
+    """
     scarce: bool
-    """Fewer calls than members with work: some have none, and are served in turn by later divisions."""
+    """Fewer calls than members with work: some have none, and are served in turn by
+    later divisions.
+    """
 
 
 def fill(
     whole: int, wants: Sequence[Want[K]], credit: Mapping[K, int]
 ) -> tuple[dict[K, int], dict[K, int]]:
-    """Water-filling: each is given clamp(weight * level, low, high), with the level that uses up `whole`.
-    Rounded to whole numbers; a call left over goes where the lost fraction and `credit` together are most,
-    then by order. Returns what each is given and what rounding owes each. O(n log n).
-    ValueError where the lows are more than the whole."""
+    """Water-filling: each is given clamp(weight * level, low, high), with the level
+    that uses up `whole`. Rounded to whole numbers; a call left over goes where the lost
+    fraction and `credit` together are most, then by order. Returns what each is given
+    and what rounding owes each. O(n log n). ValueError where the lows are more than the
+    whole.
+    """
     low = sum(w.low for w in wants)
     if low > whole:
         raise ValueError("the least parts are more than the whole")
@@ -70,7 +80,9 @@
 
 
 def _level(whole: int, low: int, wants: Sequence[Want[K]]) -> tuple[int, int]:
-    """The level as a fraction: each taker grows with it from low/weight to high/weight, one sweep."""
+    """The level as a fraction: each taker grows with it from low/weight to high/weight,
+    one sweep.
+    """
     scale = math.lcm(
         *(w.weight for w in wants)
     )  # so that the turning points are whole numbers
@@ -97,12 +109,15 @@
     credit: Mapping[K, int],
     loose: int = 0,
 ) -> Division[K]:
-    """Divide `whole` among the members of `needs` (calls wanted in a span, by typed part of demand).
-
-    In this order: each keeps its floor (its reserve); each with work has `least` (or all it needs), in turns
-    by `credit` where that is more than there is; the parts share by weight what their demand asks, and
-    within a part its members share evenly; what nobody needs is spread evenly as headroom, but for `loose`.
-    Members count in the order of `needs`. ValueError where the floors are more than the whole."""
+    """Divide `whole` among the members of `needs` (calls wanted in a span, by typed
+    part of demand).
+
+    In this order: each keeps its floor (its reserve); each with work has `least` (or
+    all it needs), in turns by `credit` where that is more than there is; the parts
+    share by weight what their demand asks, and within a part its members share evenly;
+    what nobody needs is spread evenly as headroom, but for `loose`. Members count in
+    the order of `needs`. ValueError where the floors are more than the whole.
+    """
     work = {key: sum(parts.values()) for key, parts in needs.items()}
     floor = {key: floors.get(key, 0) for key in needs}
     firsts = [Want(k, 1, floor[k], max(floor[k], min(least, work[k]))) for k in needs]
@@ -111,7 +126,8 @@
     by_part: dict[str, list[Want[K]]] = {}
     for key in needs:
         taken = base[key]
-        # What a member has at least serves its weightiest parts first, and counts as given to them.
+        # What a member has at least serves its weightiest parts first, and counts as
+        # given to them.
         for part in sorted(needs[key], key=lambda p: (-weight(p, weights), p)):
             wanted = needs[key][part]
             served = min(taken, wanted)
@@ -154,7 +170,9 @@
     credit: Mapping[K, int],
     owed: Mapping[K, int],
 ) -> dict[K, int]:
-    """Credit is earned by waiting with work; without work none is kept, but a debt is."""
+    """Credit is earned by waiting with work; without work none is kept, but a debt
+    is.
+    """
     carried: dict[K, int] = {}
     for key in needs:
         now = credit.get(key, 0) + owed.get(key, 0)
--- a/lemonshunt/budget/keep.py
+++ b/lemonshunt/budget/keep.py
@@ -1,4 +1,6 @@
-"""A ledger on disk: a snapshot and the changes after it, and what is made of them after a start."""
+"""A ledger on disk: a snapshot and the changes after it, and what is made of them after
+a start.
+"""
 
 from __future__ import annotations
 
@@ -46,11 +48,13 @@
     lines: Iterable[Mapping[str, Any]],
     sure: bool = True,
 ) -> Ledger:
-    """After a start: what was granted counts as held, by leases renewed just now; acknowledgements after the
-    snapshot are not known and come again with the beats; what cooled begins to cool anew. `sure`: these are
-    surely the newest records; where they may be an older copy, or there are none, nothing is granted for a
-    lease and a window. `joined` is said next for each member of the roster.
-    Raises KeyError, TypeError or ValueError where the records cannot be read."""
+    """After a start: what was granted counts as held, by leases renewed just now;
+    acknowledgements after the snapshot are not known and come again with the beats;
+    what cooled begins to cool anew. `sure`: these are surely the newest records; where
+    they may be an older copy, or there are none, nothing is granted for a lease and a
+    window. `joined` is said next for each member of the roster. Raises KeyError,
+    TypeError or ValueError where the records cannot be read.
+    """
     changes = [Change.of(line) for line in lines]
     last = max(changes, key=lambda c: c.number, default=None)
     # No records, or the wait after lost ones had not ended: it begins anew.
@@ -102,7 +106,8 @@
     ledger.shut = shut or not sure
     for book in ledger.books.values():
         book.shut = ledger.shut
-    # A process in force is known to every budget, also to those that granted it nothing.
+    # A process in force is known to every budget, also to those that granted it
+    # nothing.
     for token, name in ledger.names.items():
         for book in ledger.books.values():
             book.accounts.setdefault(token, Account(name, token))
--- a/lemonshunt/budget/ledger.py
+++ b/lemonshunt/budget/ledger.py
@@ -1,7 +1,9 @@
-"""All budgets at the list service: members come and go, beats acknowledge, plans become durable, then told.
+"""All budgets at the list service: members come and go, beats acknowledge, plans become
+durable, then told.
 
-Sans I/O, like registry/core.py: `plan` prepares a change, its line goes to disk, `commit` takes it into
-force; only what is committed is told. The caller decides who is a member and when a lease is surely out.
+Sans I/O, like registry/core.py: `plan` prepares a change, its line goes to disk,
+`commit` takes it into force; only what is committed is told. The caller decides who is
+a member and when a lease is surely out.
 """
 
 from __future__ import annotations
@@ -26,7 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What goes to disk as one: new shares, and ends of processes that others' new shares rest on."""
+    """What goes to disk as one: new shares, and ends of processes that others' new
+    shares rest on.
+    """
 
     number: int
     grants: tuple[Granted, ...]
@@ -71,9 +75,11 @@
 
 
 class Ledger:
-    """`lease_us`: the longest lease there is. Where `sure` is not said (folder lost, or perhaps an older
-    copy), nothing is granted until every lease and window that may be unknown here is over, and no reserve to
-    a process that does not say it had one, until the operator says that all who have are known."""
+    """`lease_us`: the longest lease there is. Where `sure` is not said (folder lost, or
+    perhaps an older copy), nothing is granted until every lease and window that may be
+    unknown here is over, and no reserve to a process that does not say it had one,
+    until the operator says that all who have are known.
+    """
 
     def __init__(
         self,
@@ -98,8 +104,9 @@
         self.configure(budgets, now_us)
 
     def configure(self, budgets: Iterable[Budget], now_us: int) -> None:
-        """Take checked budgets into force. One no longer named is told to nobody, but what was granted of it
-        goes on being counted, so that it can come back."""
+        """Take checked budgets into force. One no longer named is told to nobody, but
+        what was granted of it goes on being counted, so that it can come back.
+        """
         named = {b.destination: b for b in budgets}
         for destination, budget in sorted(named.items()):
             book = self.books.get(destination)
@@ -120,7 +127,8 @@
         self.aims[budget.destination] = Aim()
         return book
 
-    # -- members ------------------------------------------------------------------------------------------
+    # -- members
+    # ------------------------------------------------------------------------------------------
 
     def joined(
         self,
@@ -130,9 +138,11 @@
         now_us: int,
         keeps: Mapping[str, int] | None = None,
     ) -> None:
-        """A process is in force under this token. `follows`: the token it, or the process whose folder it
-        took over under lock, had before, and the reserves it `keeps` from then. May be said again; is said
-        for all members after a restart."""
+        """A process is in force under this token. `follows`: the token it, or the
+        process whose folder it took over under lock, had before, and the reserves it
+        `keeps` from then. May be said again; is said for all members after a
+        restart.
+        """
         self.names[token] = name
         self.presumed.pop(token, None)
         for destination, book in self.books.items():
@@ -154,8 +164,10 @@
         holds: Mapping[str, tuple[int, int]],
         now_us: int,
     ) -> bool:
-        """A beat as it arrives: calls needed in a span by destination and part, (calls, number) held. False
-        where no such process is in force: it is to be told that it is lost."""
+        """A beat as it arrives: calls needed in a span by destination and part, (calls,
+        number) held. False where no such process is in force: it is to be told that it
+        is lost.
+        """
         if token not in self.names:
             return False
         self.presumed.pop(token, None)
@@ -171,12 +183,16 @@
         self._ended(token, Book.out, now_us)
 
     def ended(self, token: Token, now_us: int) -> None:
-        """The process is surely at its end: it said so last of all, or the operator did."""
+        """The process is surely at its end: it said so last of all, or the operator
+        did.
+        """
         self._ended(token, Book.over, now_us)
 
     def reserves_known(self) -> None:
-        """The operator's word after a lost folder: no process that was cut off through it has a reserve that
-        is not listed in `state`. New processes are given theirs again."""
+        """The operator's word after a lost folder: no process that was cut off through
+        it has a reserve that is not listed in `state`. New processes are given theirs
+        again.
+        """
         self.noted = self.noted and not self.shut
         self.shut = False
         for book in self.books.values():
@@ -189,12 +205,15 @@
             if token in book.accounts:
                 how(book, book.accounts[token], now_us)
 
-    # -- shares -------------------------------------------------------------------------------------------
+    # -- shares
+    # -------------------------------------------------------------------------------------------
 
     def plan(self, now_us: int, frozen: bool = False) -> Change | None:
-        """The next change, to be written and then committed, or None where nothing is due. While one is
-        pending it is returned again: a write that failed may have reached the disk, so it is repeated, never
-        replaced. `frozen`: nothing is divided or moved. O(members log members) for each budget."""
+        """The next change, to be written and then committed, or None where nothing is
+        due. While one is pending it is returned again: a write that failed may have
+        reached the disk, so it is repeated, never replaced. `frozen`: nothing is
+        divided or moved. O(members log members) for each budget.
+        """
         if self.pending is not None:
             return self.pending
         if not self.opened and all(
@@ -233,7 +252,9 @@
         return self.pending
 
     def commit(self, change: Change) -> None:
-        """Take a change that is on disk into force: the next one, or while restoring, any in its order."""
+        """Take a change that is on disk into force: the next one, or while restoring,
+        any in its order.
+        """
         self.pending, self.number = None, change.number
         for g in change.grants:
             account = self.books[g.destination].accounts.get(g.token)
@@ -251,8 +272,9 @@
                 account.noted = True
 
     def told(self, token: Token) -> dict[str, Share]:
-        """What a member is answered; valid as long as its lease. A budget that is not in it is no longer
-        renewed."""
+        """What a member is answered; valid as long as its lease. A budget that is not
+        in it is no longer renewed.
+        """
         shares: dict[str, Share] = {}
         for destination, book in sorted(self.books.items()):
             account, budget = book.accounts.get(token), book.budget
--- a/lemonshunt/budget/model.py
+++ b/lemonshunt/budget/model.py
@@ -1,8 +1,10 @@
-"""Budgets for `lemonshunt.explore`: a service and members, on the cores that the processes run.
+"""Budgets for `lemonshunt.explore`: a service and members, on the cores that the
+processes run.
 
-A tick is one microsecond of the service's clock. A member's clock may miss ticks, as far as `drift` allows. A
-pause needs no step: nobody has to do anything at any time. A breach is told by what was really sent and by
-what purses would really let go, never by what the ledger thinks.
+A tick is one microsecond of the service's clock. A member's clock may miss ticks, as
+far as `drift` allows. A pause needs no step: nobody has to do anything at any time. A
+breach is told by what was really sent and by what purses would really let go, never by
+what the ledger thinks.
 """
 
 from __future__ import annotations
@@ -32,11 +34,14 @@
 
 
 class Budgets:
-    """The model. A beat and its answer come at once, or are under way from then on: to come at any time, in
-    any order, or never. Counted: how often one is held up (`delays`), ticks that members' clocks miss
-    (`slows`, with a `drift` that allows them), crashes of members, restarts of the service (`lost`: with its
-    folder gone). `moves`: from now on the first needs nothing and all others the whole, where else each beat
-    may say either. `first`: what is counted of members happens to the first only."""
+    """The model. A beat and its answer come at once, or are under way from then on: to
+    come at any time, in any order, or never. Counted: how often one is held up
+    (`delays`), ticks that members' clocks miss (`slows`, with a `drift` that allows
+    them), crashes of members, restarts of the service (`lost`: with its folder gone).
+    `moves`: from now on the first needs nothing and all others the whole, where else
+    each beat may say either. `first`: what is counted of members happens to the first
+    only.
+    """
 
     def __init__(
         self,
@@ -83,12 +88,14 @@
             restarts,
         )
         self.drift, self.ttl = drift, ttl
-        # Ticks by the holder's clock, from when it asked; by the service's, from when it answered.
+        # Ticks by the holder's clock, from when it asked; by the service's, from when
+        # it answered.
         self.kept, self.out = int(ttl * (1 - drift)), math.ceil(ttl * (1 + drift))
         if bug == "no drift margin":
             self.kept = self.out = ttl
 
-    # -- the start: all joined, the first member holds what can be had ------------------------------------
+    # -- the start: all joined, the first member holds what can be had
+    # ------------------------------------
 
     def start(self) -> World:
         ledger = Ledger([self.budget], self.out, self.drift, 0, sure=True)
@@ -161,7 +168,8 @@
         ledger.commit(change)
         return snapshot(ledger)
 
-    # -- what can happen ---------------------------------------------------------------------------------
+    # -- what can happen
+    # ---------------------------------------------------------------------------------
 
     def steps(self, w: World) -> Iterator[tuple[str, World]]:
         yield "tick", self._tick(w, -1)
@@ -278,7 +286,9 @@
         )
 
     def _arrives(self, w: World, message: Any) -> tuple[World, Any]:
-        """The world after a message was taken, and the answer to it, if it asks for one."""
+        """The world after a message was taken, and the answer to it, if it asks for
+        one.
+        """
         if message[0] == "beat":
             return self._served(w, message)
         _, n, pid, token, asked, shares = message
@@ -317,7 +327,8 @@
         after = changed_to(w, ledger=ledger, leases=leases, tokens=tokens, disk=disk)
         return after, ("answer", n, pid, token, asked, shares)
 
-    # -- what must hold ----------------------------------------------------------------------------------
+    # -- what must hold
+    # ----------------------------------------------------------------------------------
 
     def broken(self, w: World) -> str:
         whole, reserve = self.budget.calls, self.budget.reserve
--- a/lemonshunt/budget/model_state.py
+++ b/lemonshunt/budget/model_state.py
@@ -1,4 +1,6 @@
-"""What a model of budgets is made of: its states, copies of them, and when two of them are alike."""
+"""What a model of budgets is made of: its states, copies of them, and when two of them
+are alike.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +50,9 @@
 
 
 def key(w: World, ttl: int) -> Hashable:
-    """Times as ages, tokens by rank, numbers counted from what the ledger knows as acknowledged."""
+    """Times as ages, tokens by rank, numbers counted from what the ledger knows as
+    acknowledged.
+    """
     book, aim = w.ledger.books["d"], w.ledger.aims["d"]
     ranks = _ranks(w)
     base = {p.purse.share.token: p.purse.share.number for p in w.members}
@@ -114,7 +118,9 @@
 def _plain(
     w: World, message: Any, ranks: dict[Token, int], base: dict[Token, int], ttl: int
 ) -> Any:
-    """A message by what it can still do: one asked longer ago than any lease is as old as any."""
+    """A message by what it can still do: one asked longer ago than any lease is as old
+    as any.
+    """
     if message[0] == "beat":
         _, n, pid, token, follows, asked, need, holds, keeps = message
         said = holds and (holds[0], holds[1] - base.get(token, holds[1]))
--- a/lemonshunt/budget/purse.py
+++ b/lemonshunt/budget/purse.py
@@ -1,7 +1,8 @@
-"""A member's side of one budget: what it may send now, what it says it holds, what it needs.
+"""A member's side of one budget: what it may send now, what it says it holds, what it
+needs.
 
-Safe by itself: whatever it is told, late, twice or out of order, in every sliding span it lets at most its
-share leave, and what it says it holds is true from that moment on.
+Safe by itself: whatever it is told, late, twice or out of order, in every sliding span
+it lets at most its share leave, and what it says it holds is true from that moment on.
 """
 
 from __future__ import annotations
@@ -18,7 +19,9 @@
 
 
 class Purse:
-    """One budget at one process. `now_us` is the process's own monotonic clock and never goes back."""
+    """One budget at one process. `now_us` is the process's own monotonic clock and
+    never goes back.
+    """
 
     def __init__(self, start_us: int, drift: float) -> None:
         self.drift = drift
@@ -26,14 +29,18 @@
         self.valid_until_us = start_us
         self.closed = False
         self.lost = NEVER
-        # A process of this name may have sent until just now: nothing leaves before a window has passed.
+        # A process of this name may have sent until just now: nothing leaves before a
+        # window has passed.
         self.window = Window(0, start_us)
 
-    # -- what it is told ---------------------------------------------------------------------------
+    # -- what it is told
+    # ---------------------------------------------------------------------------
 
     def told(self, share: Share, valid_until_us: int, now_us: int) -> bool:
-        """From an answered beat; valid until the lease is out by the own clock, counted from when it was
-        asked. False where it is older than what is held, and nothing of it counts."""
+        """From an answered beat; valid until the lease is out by the own clock, counted
+        from when it was asked. False where it is older than what is held, and nothing
+        of it counts.
+        """
         if (share.token, share.number) < (
             self.share.token,
             self.share.number,
@@ -42,7 +49,8 @@
         if share.token == self.share.token:
             valid_until_us = max(valid_until_us, self.valid_until_us)
         self.share, self.valid_until_us = share, valid_until_us
-        # Forget by the old window first: what a longer one reaches back to is then known to be unknown.
+        # Forget by the old window first: what a longer one reaches back to is then
+        # known to be unknown.
         self.window.forget(now_us)
         self.window.us = window(share.span_us, share.slack_us, self.drift)
         return True
@@ -55,13 +63,16 @@
         )  # an answer of before, still under way, brings nothing back
 
     def holds(self, token: Token) -> tuple[int, int] | None:
-        """(calls, number) of the newest share told to the incarnation `token`, which binds already. None
-        before the first: what an earlier incarnation was told must not be acknowledged by this one."""
+        """(calls, number) of the newest share told to the incarnation `token`, which
+        binds already. None before the first: what an earlier incarnation was told must
+        not be acknowledged by this one.
+        """
         return (
             (self.share.calls, self.share.number) if self.share.token == token else None
         )
 
-    # -- what may leave -----------------------------------------------------------------------------
+    # -- what may leave
+    # -----------------------------------------------------------------------------
 
     def limit(self, now_us: int) -> int:
         """Calls in a span that may leave now."""
@@ -70,8 +81,9 @@
         return self.share.calls if now_us < self.valid_until_us else self.share.reserve
 
     def spend(self, now_us: int, calls: int = 1) -> bool:
-        """Whether so many calls may leave now; they are counted if so. Their first bytes leave within
-        `slack_us`: see `late`."""
+        """Whether so many calls may leave now; they are counted if so. Their first
+        bytes leave within `slack_us`: see `late`.
+        """
         self.window.forget(now_us)
         if (
             now_us - self.window.us < self.window.known_us
@@ -82,12 +94,16 @@
         return True
 
     def late(self, spent_us: int, now_us: int) -> bool:
-        """A call spent for at `spent_us` that has not left by now must be spent for again (the process was
-        stopped between): to be asked last before its first byte leaves."""
+        """A call spent for at `spent_us` that has not left by now must be spent for
+        again (the process was stopped between): to be asked last before its first byte
+        leaves.
+        """
         return now_us - spent_us > self.share.slack_us
 
     def room_at(self, now_us: int, calls: int = 1) -> int | None:
-        """When so many calls may leave at the earliest by what is held now; None: not before being told."""
+        """When so many calls may leave at the earliest by what is held now; None: not
+        before being told.
+        """
         self.window.forget(now_us)
         if now_us < self.valid_until_us and calls <= self.limit(now_us):
             at = self.window.free_at(now_us, calls, self.share.calls)
@@ -99,11 +115,14 @@
             max(now_us, self.valid_until_us), calls, self.share.reserve
         )
 
-    # -- over a restart -----------------------------------------------------------------------------
+    # -- over a restart
+    # -----------------------------------------------------------------------------
 
     def standing(self) -> dict[str, Any]:
-        """To be on disk before the first call under a new share: what a successor may go by after a crash.
-        It acts on the reserve then, but only after a whole window, since what was spent is not in it."""
+        """To be on disk before the first call under a new share: what a successor may
+        go by after a crash. It acts on the reserve then, but only after a whole window,
+        since what was spent is not in it.
+        """
         s = self.share
         return {
             "form": FORM,
@@ -116,10 +135,12 @@
         }
 
     def close(self, now_us: int, leaving: bool = False) -> dict[str, Any]:
-        """End it: nothing leaves any more. The record has what was spent, so that a successor on the same
-        clock (one boot) need not wait. It must be replaced by `standing` before that one's first call.
-        `leaving`: for good; the service may be told so (`Ledger.ended`) once this record is on disk, since a
-        successor has no reserve by it."""
+        """End it: nothing leaves any more. The record has what was spent, so that a
+        successor on the same clock (one boot) need not wait. It must be replaced by
+        `standing` before that one's first call. `leaving`: for good; the service may be
+        told so (`Ledger.ended`) once this record is on disk, since a successor has no
+        reserve by it.
+        """
         self.window.forget(now_us)
         self.closed = True
         if leaving:
@@ -133,8 +154,10 @@
 
     @staticmethod
     def restored(record: Mapping[str, Any], start_us: int, drift: float) -> Purse:
-        """A successor's purse, from either record. ValueError where it cannot be read. A `closed` record of
-        a later moment than now (another boot's clock) counts as one without what was spent."""
+        """A successor's purse, from either record. ValueError where it cannot be read.
+        A `closed` record of a later moment than now (another boot's clock) counts as
+        one without what was spent.
+        """
         purse = Purse(start_us, drift)
         try:
             if record["form"] != FORM:
--- a/lemonshunt/budget/wants.py
+++ b/lemonshunt/budget/wants.py
@@ -6,7 +6,9 @@
 from collections.abc import Mapping
 
 STEPS = 4  # a span is counted in so many steps
-SPANS = 2  # and so many spans are kept: a pause between two bursts is bridged, an older burst forgotten
+# and so many spans are kept: a pause between two bursts is bridged, an older burst
+# forgotten
+SPANS = 2
 MOST_PARTS = 32  # parts told apart; any further one counts as ""
 
 
@@ -28,8 +30,9 @@
         counts[known] = counts.get(known, 0) + calls
 
     def needs(self, now_us: int, waiting: Mapping[str, int]) -> dict[str, int]:
-        """By part: the most that came in a span of the last two, and what waits unsent, which is wanted
-        besides. Parts without need are left out."""
+        """By part: the most that came in a span of the last two, and what waits unsent,
+        which is wanted besides. Parts without need are left out.
+        """
         step = now_us // self.step_us
         self._forget(step)
         needs: dict[str, int] = {}
--- a/lemonshunt/choice/__init__.py
+++ b/lemonshunt/choice/__init__.py
@@ -1,8 +1,8 @@
-"""Every decision of lemonshunt. Types, events and actions: lemonshunt/interface.py. Begin at dispatcher.py.
+"""Every decision of lemonshunt. Types, events and actions: lemonshunt/interface.py.
+Begin at dispatcher.py.
 
-A module here imports only those named before it:
-`shares` < `books` < `queues` < `health` < `limits` < `giving` < `learning`, `order`, `routes`, `memory`
-< `dispatcher`.
+A module here imports only those named before it: `shares` < `books` < `queues` <
+`health` < `limits` < `giving` < `learning`, `order`, `routes`, `memory` < `dispatcher`.
 """
 
 from lemonshunt.choice.dispatcher import Dispatcher
--- a/lemonshunt/choice/dispatcher.py
+++ b/lemonshunt/choice/dispatcher.py
@@ -1,7 +1,9 @@
-"""One round of decisions, read top to bottom. Types, events and actions: lemonshunt/interface.py.
+"""One round of decisions, read top to bottom. Types, events and actions:
+lemonshunt/interface.py.
 
-The ordinary path: held messages leave by groups of near deadlines, shortest expected call first in each;
-what cannot finish in time is refused unsent; a window that grows with success bounds each destination.
+The ordinary path: held messages leave by groups of near deadlines, shortest expected
+call first in each; what cannot finish in time is refused unsent; a window that grows
+with success bounds each destination.
 """
 
 from __future__ import annotations
@@ -26,10 +28,11 @@
 
 
 class Dispatcher(Books):
-    """Decides for one forwarder. Feed it every event; carry out, in order, the actions it returns.
+    """Decides for one forwarder. Feed it every event; carry out, in order, the actions
+    it returns.
 
-    Where a decision raises, `actions` holds what was decided until then, and `absorbed` how many events
-    of the round were read, the one at fault included.
+    Where a decision raises, `actions` holds what was decided until then, and `absorbed`
+    how many events of the round were read, the one at fault included.
     """
 
     def __init__(self, settings: i.Settings, seed: int, now: int) -> None:
@@ -64,7 +67,9 @@
         return self.actions
 
     def absorb(self, event: i.Event) -> None:
-        """Book one event. Of what is not known, or needs no booking, nothing is made."""
+        """Book one event. Of what is not known, or needs no booking, nothing is
+        made.
+        """
         match event:
             case i.Arrived():
                 giving.arrived(self, event)
--- a/lemonshunt/choice/giving.py
+++ b/lemonshunt/choice/giving.py
@@ -1,4 +1,6 @@
-"""Messages taken on, given up and over, and whose turn it is in their keys. All final answers are here."""
+"""Messages taken on, given up and over, and whose turn it is in their keys. All final
+answers are here.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,9 @@
 from lemonshunt.choice.limits import over_share
 from lemonshunt.state import Call, Lane, Line, Message, Pile
 
-STALL_CALLS = 8  # usual calls after which one is held to be lost where some later ones have been delivered
+# usual calls after which one is held to be lost where some later ones have been
+# delivered
+STALL_CALLS = 8
 STALL_US = 600_000  # and this at least
 PASSED = 3  # so many later ones: a single one may just have been quick
 LEAST_AWAY_US = (
@@ -29,7 +33,9 @@
 
 
 def recalled(b: Books, event: i.Recalled) -> None:
-    """Go on with a message of before a restart: what it may do depends on what it did till then."""
+    """Go on with a message of before a restart: what it may do depends on what it did
+    till then.
+    """
     cls = event.cls or b.classes.get(event.class_name)
     if cls is None:
         b.actions.append(i.Fail(event.message, "unknown class"))
@@ -47,7 +53,8 @@
     b.counted += 1
     b.newest = b.counted
     key = event.key if cls.in_order else None
-    # What was held before a start came over a while: all at once it would be far beyond any tenant's share.
+    # What was held before a start came over a while: all at once it would be far beyond
+    # any tenant's share.
     beyond = isinstance(event, i.Arrived) and over_share(b, event.tenant)
     m = Message(
         event.message,
@@ -74,7 +81,9 @@
 
 
 def over(b: Books, m: Message) -> None:
-    """A message has ended: nothing more goes out for it, and its key turns to the next."""
+    """A message has ended: nothing more goes out for it, and its key turns to the
+    next.
+    """
     del b.messages[m.id]
     queues.remove(b, m)
     if m.key is not None:
@@ -83,7 +92,9 @@
 
 
 def next_in(b: Books, key: str) -> None:
-    """The key's turn may have come to its next message, perhaps for another destination."""
+    """The key's turn may have come to its next message, perhaps for another
+    destination.
+    """
     line = b.lines[key]
     queues.offer(b, key)
     if line.queue and not line.out and not line.owed:
@@ -93,7 +104,9 @@
 
 
 def owe(b: Books, name: str, key: str) -> None:
-    """Rule 6: until its final answer has arrived, a message is not over for those behind it."""
+    """Rule 6: until its final answer has arrived, a message is not over for those
+    behind it.
+    """
     line = b.lines.setdefault(key, Line())
     line.owed += b.owed.get(name) != key
     b.owed[name] = key
@@ -109,8 +122,10 @@
 
 
 def answer(b: Books, m: Message, cause: str) -> None:
-    """The only place that gives final answers. Refuse where a new try does no harm, else fail. A keyed one
-    that may have run does none while its client comes back within the window."""
+    """The only place that gives final answers. Refuse where a new try does no harm,
+    else fail. A keyed one that may have run does none while its client comes back
+    within the window.
+    """
     wait = retry_after(b, m)
     safe = (
         m.cls.effect is i.Effect.REPEATABLE
@@ -127,7 +142,9 @@
 
 
 def retry_after(b: Books, m: Message) -> int:
-    """How long the client should stay away: until the destination's wait or rest is over."""
+    """How long the client should stay away: until the destination's wait or rest is
+    over.
+    """
     ends = [max(t.place.wait_until, t.place.rest_until) for t in b.usable(m)]
     opens = next_call(b, m.destination)
     ends_at = max(min(ends, default=b.now + SECOND), opens if opens < NEVER else 0)
@@ -136,16 +153,19 @@
 
 
 def next_call(b: Books, destination: int) -> int:
-    """When the share of a destination lets the next call go: now where it has none, NEVER where it is not
-    known, as another may be told at any moment."""
+    """When the share of a destination lets the next call go: now where it has none,
+    NEVER where it is not known, as another may be told at any moment.
+    """
     share = b.shares.get(destination)
     return b.now if share is None else share.room_at(b.now)
 
 
 def recall(b: Books) -> None:
-    """A call that stays silent while later ones to the same target are answered has lost its connection,
-    and not its target: its messages need not wait for the time-out, and it says nothing of health. Those
-    that may not be sent again fail by this, so their aim must have passed as well."""
+    """A call that stays silent while later ones to the same target are answered has
+    lost its connection, and not its target: its messages need not wait for the
+    time-out, and it says nothing of health. Those that may not be sent again fail by
+    this, so their aim must have passed as well.
+    """
     if not (b.s.may_cancel and b.overtaken):
         return
     for (name, number), attempt in sorted(
@@ -169,8 +189,10 @@
 
 
 def drop(b: Books) -> None:
-    """The unsent drop: a held message whose time left is below its expected call is answered now. In a
-    pile that moves too slowly for its fresh ones it gives way to them before: else all end late."""
+    """The unsent drop: a held message whose time left is below its expected call is
+    answered now. In a pile that moves too slowly for its fresh ones it gives way to
+    them before: else all end late.
+    """
     if b.now - b.cleared_at >= SECOND:
         b.cleared_at = b.now
         queues.forget_lines(b)
@@ -205,12 +227,16 @@
 
 
 def age(m: Message, now: int) -> int:
-    """How much of its time has passed, also where it came to another forwarder first."""
+    """How much of its time has passed, also where it came to another forwarder
+    first.
+    """
     return m.cls.deadline_us - (m.due - now)
 
 
 def is_jammed(b: Books, pile: Pile) -> bool:
-    """Whether a message has waited for more than half of its aim, and not yet for all of it."""
+    """Whether a message has waited for more than half of its aim, and not yet for all
+    of it.
+    """
     b.visited += len(pile.lanes)
     youngest = (
         (lane, lane.first_younger(b.now, lane.cls.aim_us))
@@ -235,8 +261,10 @@
 
 
 def shed(b: Books) -> None:
-    """One jammed destination must not fill the buffer: of the largest pile, what came in this round is turned
-    away at the door. What was taken on stays: its client would hear of its end only by a notice."""
+    """One jammed destination must not fill the buffer: of the largest pile, what came
+    in this round is turned away at the door. What was taken on stays: its client would
+    hear of its end only by a notice.
+    """
     worst = b.held.largest()
     pile = [
         m
--- a/lemonshunt/choice/limits.py
+++ b/lemonshunt/choice/limits.py
@@ -1,4 +1,6 @@
-"""How much may go out now: slots, windows, the pace by our share of a limit, and a tenant's share."""
+"""How much may go out now: slots, windows, the pace by our share of a limit, and a
+tenant's share.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +8,8 @@
 from lemonshunt.choice.health import cold, may_join, turn
 from lemonshunt.state import Call, Place, Target
 
-HEALTHY_CAP = 0.75  # share of the slots that one destination may hold: the design's three quarters
+# share of the slots that one destination may hold: the design's three quarters
+HEALTHY_CAP = 0.75
 SICK_CAP = 0.5  # and while it fails or is slow: the design's half
 SLOW_TIMES = 4  # times its seed: an expected call above this counts as slow
 BURST_US = 700_000  # the pace lets through at once what it earns in this time
@@ -17,12 +20,16 @@
 
 
 def spend(now: int, spent_until: int, each: float, ahead: float) -> int:
-    """When the next one may go, where each takes its time and what was saved counts some time back."""
+    """When the next one may go, where each takes its time and what was saved counts
+    some time back.
+    """
     return int(max(spent_until, now - max(0.0, ahead - each)) + each)
 
 
 def over_share(b: Books, name: str | None) -> bool:
-    """Whether a tenant has spent our part of its share; what goes beyond is worth little."""
+    """Whether a tenant has spent our part of its share; what goes beyond is worth
+    little.
+    """
     tenant = b.tenants.get(name or "")
     if tenant is None or not tenant.allowance_per_s or b.s.over_share_worth >= 1:
         return False
@@ -36,8 +43,10 @@
 
 
 def pace(b: Books, t: Target) -> float:
-    """The time between our calls by which the limit holds for all forwarders together. An even share of a
-    told limit may be one call in a minute: what is left of it tells more, so none lapses for that."""
+    """The time between our calls by which the limit holds for all forwarders together.
+    An even share of a told limit may be one call in a minute: what is left of it tells
+    more, so none lapses for that.
+    """
     limit, share = (
         t.place.limit or (t.weight if b.s.weights_told else 0.0),
         t.place.shares,
@@ -58,7 +67,9 @@
 
 
 def cap(b: Books, place: Place) -> float:
-    """The window's top: three quarters of the slots, half while failing or slow, never under one."""
+    """The window's top: three quarters of the slots, half while failing or slow, never
+    under one.
+    """
     sick = place.mean > SLOW_TIMES * place.seed > 0 or any(
         t.place is place and cold(b, t)
         for t in b.by_destination.get(place.destination, ())
@@ -67,17 +78,22 @@
 
 
 def room_at(b: Books, t: Target) -> int:
-    """The gate's part that is the same for every message: slots, window, pace, rest, turn."""
+    """The gate's part that is the same for every message: slots, window, pace, rest,
+    turn.
+    """
     return room_in(b, t, b.round_calls.get(t.id), b.calls_out < b.s.slots)
 
 
 def room_in(b: Books, t: Target, call: Call | None, slots_left: bool) -> int:
-    """When a target has room, given the call to it that begins in this round and whether slots are left."""
+    """When a target has room, given the call to it that begins in this round and
+    whether slots are left.
+    """
     place, joins = t.place, call is not None and call.joined < t.batch
     if call is not None and joins and (not cold(b, t) or may_join(b, t, call.joined)):
         return b.now
     here = sum(other.out for other in b.by_destination[t.destination])
-    # A window and its top are one call at least: with nothing out there is no need to work them out.
+    # A window and its top are one call at least: with nothing out there is no need to
+    # work them out.
     if not joins and (
         not slots_left
         or here >= max(1, int(HEALTHY_CAP * b.s.slots))
@@ -92,8 +108,10 @@
 
 
 def opens_at(b: Books, destination: int) -> int:
-    """No later than when a call to a destination could begin, slots aside: NEVER where that takes an event
-    there. While a target warms, what it takes changes all the time."""
+    """No later than when a call to a destination could begin, slots aside: NEVER where
+    that takes an event there. While a target warms, what it takes changes all the
+    time.
+    """
     targets = b.by_destination.get(destination, ())
     if any(t.back_at >= 0 and cold(b, t) for t in targets):
         return b.now
--- a/lemonshunt/choice/memory.py
+++ b/lemonshunt/choice/memory.py
@@ -24,8 +24,9 @@
 
 
 def memory(b: Books, out: Set[tuple[str, int]]) -> dict[str, Any]:
-    """What a process that takes over must know beside the messages; the attempts `out` are on their way.
-    Numbers of targets are as they are here."""
+    """What a process that takes over must know beside the messages; the attempts `out`
+    are on their way. Numbers of targets are as they are here.
+    """
     calls: dict[int, tuple[Call, list[tuple[str, int]]]] = {}
     for named, attempt in b.attempts.items():
         if named in out:
@@ -47,7 +48,9 @@
 
 
 def remember(b: Books, told: Mapping[str, Any]) -> None:
-    """Go on where the process before stopped. What it does not tell, or of what is gone, is left out."""
+    """Go on where the process before stopped. What it does not tell, or of what is
+    gone, is left out.
+    """
     for number, destination, kind, known in told.get("targets", []):
         if number not in b.targets:  # gone from the list, perhaps with a call still out
             apart = b.kinds.get(kind, i.DestinationKind(kind)).routes_apart
@@ -69,7 +72,9 @@
             b.places[destination, number].shares = min(
                 b.places[destination, number].shares, float(b.s.balancers)
             )
-        else:  # routes stand apart now, or no longer: a wait that was told binds whatever it may be of
+        # routes stand apart now, or no longer: a wait that was told binds whatever it
+        # may be of
+        else:
             for whose, place in b.places.items():
                 if whose[0] == destination and -1 in (number, whose[1]):
                     place.wait_until = max(place.wait_until, known.get("wait_until", 0))
--- a/lemonshunt/choice/order.py
+++ b/lemonshunt/choice/order.py
@@ -1,4 +1,6 @@
-"""Which message goes next and where: the group rule, the one gate, the best target, the send."""
+"""Which message goes next and where: the group rule, the one gate, the best target, the
+send.
+"""
 
 from __future__ import annotations
 
@@ -16,15 +18,19 @@
 GROUP_RANGE = (
     0.4  # Gr, share of the least time left: the paper's value; larger was no better
 )
-GROUP_LEAST_US = 0.5  # times are whole: those due with the first go with it also when their time is over
+# times are whole: those due with the first go with it also when their time is over
+GROUP_LEAST_US = 0.5
 TIMEOUT_CALLS = (
     6  # expected calls that an attempt may take, and its class's aim at least
 )
-RETRY_TIMES = 2  # after a time-out the next attempt may take so many times as long: the work may be long
+# after a time-out the next attempt may take so many times as long: the work may be long
+RETRY_TIMES = 2
 
 
 def release(b: Books) -> None:
-    """Release once: in the group rule's order, each to the best target whose gate is open."""
+    """Release once: in the group rule's order, each to the best target whose gate is
+    open.
+    """
     if b.calls_out < b.s.slots:
         shut: set[int] = set()  # within a round a destination only closes
         for m in order(b, shut):
@@ -39,7 +45,9 @@
 
 
 def appoint(b: Books, destination: int) -> None:
-    """When to look again at a destination where messages stay, whatever happens till then."""
+    """When to look again at a destination where messages stay, whatever happens till
+    then.
+    """
     opens = min(
         (room_at(b, t) for t in b.by_destination.get(destination, ())), default=NEVER
     )
@@ -53,7 +61,9 @@
 
 
 def changes(b: Books, lane: Lane) -> Iterator[float]:
-    """When the first of a lane is given up, the next one has waited for half its aim, and the next fades."""
+    """When the first of a lane is given up, the next one has waited for half its aim,
+    and the next fades.
+    """
     b.visited += 3
     yield b.drop_at(lane.held.head())
     if (young := lane.first_younger(b.now, (lane.cls.aim_us - 1) // 2)) is not None:
@@ -71,8 +81,10 @@
 
 
 def order(b: Books, shut: set[int]) -> Iterator[Message]:
-    """The group rule: the least time left and all within Gr of it first; in a group the shortest call.
-    Messages that have no open target, and whole destinations of these, are skipped."""
+    """The group rule: the least time left and all within Gr of it first; in a group the
+    shortest call. Messages that have no open target, and whole destinations of these,
+    are skipped.
+    """
     lanes: list[Lane] = []
     for destination in (
         b.looks | b.may_open if b.jammed else b.looks
@@ -101,8 +113,10 @@
 
 
 def by_groups(b: Books, lanes: list[Lane], shut: set[int]) -> Iterator[Message]:
-    """Parts all held messages into groups by the time left, and yields the ready ones of each in turn. A
-    message that is still held afterwards found no open target, nor will any behind it in its lane."""
+    """Parts all held messages into groups by the time left, and yields the ready ones
+    of each in turn. A message that is still held afterwards found no open target, nor
+    will any behind it in its lane.
+    """
     end = group_end(b, -NEVER)
     ready = [lane for lane in lanes if lane.ready]
     while ready:
@@ -142,13 +156,16 @@
 
 
 def group_end(b: Books, limit: float) -> tuple[Deadline, Deadline]:
-    """The end of a group at destination 0 or below, and at others: of those that are due just at the limit,
-    the newest of all messages goes to the next group there."""
+    """The end of a group at destination 0 or below, and at others: of those that are
+    due just at the limit, the newest of all messages goes to the next group there.
+    """
     return Deadline(limit, b.newest), Deadline(limit, b.newest - 1)
 
 
 def can_call(b: Books, lane: Lane, shut: set[int]) -> bool:
-    """Whether a destination may still have room: for another call, or in one that begins in this round."""
+    """Whether a destination may still have room: for another call, or in one that
+    begins in this round.
+    """
     return lane.destination not in shut and (
         b.calls_out < b.s.slots or lane.destination in b.called
     )
@@ -166,7 +183,9 @@
 
 
 def preference(b: Books, m: Message, t: Target) -> tuple[float, ...]:
-    """Which open target is best: a sound one, a call already forming, a cheap one, a quiet one."""
+    """Which open target is best: a sound one, a call already forming, a cheap one, a
+    quiet one.
+    """
     fee = b.s.zone_fees.get(t.zone, 0.0) if t.apart else 0.0
     return (
         in_outage(t),
@@ -219,8 +238,10 @@
 
 
 def timeout(b: Books, m: Message, place: Place) -> int:
-    """How long an attempt may take. One after which there is no other is waited for till its end: of a
-    once-only message, or one that outlasts the window in which its key is known."""
+    """How long an attempt may take. One after which there is no other is waited for
+    till its end: of a once-only message, or one that outlasts the window in which its
+    key is known.
+    """
     left = m.due - b.now
     patience = max(
         m.cls.aim_us,
--- a/lemonshunt/choice/queues.py
+++ b/lemonshunt/choice/queues.py
@@ -1,7 +1,9 @@
-"""Held messages in queues by deadline, and whose turn it is in each key. Nothing is given up or sent here.
+"""Held messages in queues by deadline, and whose turn it is in each key. Nothing is
+given up or sent here.
 
-A lane holds the messages of one destination for which every rule gives the same figure up to the deadline:
-what a rule concerns is the front of a lane, and what stays is not visited.
+A lane holds the messages of one destination for which every rule gives the same figure
+up to the deadline: what a rule concerns is the front of a lane, and what stays is not
+visited.
 """
 
 from __future__ import annotations
@@ -12,7 +14,9 @@
 
 
 def put_back(b: Books, m: Message) -> None:
-    """Hold a message again, behind all of its destination; one that is held already stays where it was."""
+    """Hold a message again, behind all of its destination; one that is held already
+    stays where it was.
+    """
     if m.lane is None:
         b.counted += 1
         m.position = b.counted
@@ -57,7 +61,9 @@
 
 
 def retune(b: Books, old: i.Settings) -> None:
-    """Other settings hold: only another number of attempts concerns each message by itself."""
+    """Other settings hold: only another number of attempts concerns each message by
+    itself.
+    """
     b.held.forget_spare()
     lanes = [lane for pile in b.held.piles.values() for lane in pile.lanes.values()]
     for lane in lanes:
@@ -70,7 +76,9 @@
 
 
 def offer(b: Books, key: str) -> None:
-    """Let the head of a key's line go unless something blocks the key, and note when time changes that."""
+    """Let the head of a key's line go unless something blocks the key, and note when
+    time changes that.
+    """
     line = b.lines[key]
     head = line.head() if line.queue and not (line.out or line.owed) else None
     if head is not None and b.now < line.rest_until and not head.attempts:
@@ -82,7 +90,9 @@
 
 
 def advance(b: Books) -> None:
-    """Book what the time alone has changed: rests that are over, and messages that may not be repeated."""
+    """Book what the time alone has changed: rests that are over, and messages that may
+    not be repeated.
+    """
     for key in b.resting.due(b.now) if b.resting.entries else ():
         b.visited += 1
         if key in b.lines:
--- a/lemonshunt/choice/routes.py
+++ b/lemonshunt/choice/routes.py
@@ -1,4 +1,6 @@
-"""Which targets there are: by the list, by the operators' word, and by other settings."""
+"""Which targets there are: by the list, by the operators' word, and by other
+settings.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +12,14 @@
 from lemonshunt.state import Target
 
 ASK_LEAST_US, ASK_MOST_US = 200_000, 400_000
-"""Between a call for the list that failed and the next, by chance between both. It does not grow with the
-failures: whatever the number, a change binds 6 s after discovery had it. The sum is in net/discovery.py."""
+"""Between a call for the list that failed and the next, by chance between both. It does
+not grow with the failures: whatever the number, a change binds 6 s after discovery had
+it. The sum is in net/discovery.py.
+"""
 THE_LIST = -1  # stands among the destinations' appointments for asking for the list
-MOST_GONE = 8_192  # targets that left the list and are still remembered, as many as net/desk.py; 0.8 KB each
+# targets that left the list and are still remembered, as many as net/desk.py; 0.8 KB
+# each
+MOST_GONE = 8_192
 
 
 def listed(b: Books, event: i.Listed) -> None:
@@ -71,8 +77,9 @@
 
 
 def attached(b: Books, target: int) -> None:
-    """Back from a restart: nothing of before holds, and a route's window grows from one call. Turns start
-    slowly only where it was seen in an outage before (rule 4)."""
+    """Back from a restart: nothing of before holds, and a route's window grows from one
+    call. Turns start slowly only where it was seen in an outage before (rule 4).
+    """
     if target not in b.detached:
         return
     b.detached.discard(target)
@@ -94,7 +101,9 @@
 
 
 def retuned(b: Books, settings: i.Settings) -> None:
-    """Other settings hold. What was worked out by those before binds no more; what a target told does."""
+    """Other settings hold. What was worked out by those before binds no more; what a
+    target told does.
+    """
     old = b.s
     b.adopt(settings)
     b.idle_us = min(b.idle_us, b.idle_top) if old.conn_idle_us else b.idle_top
--- a/lemonshunt/choice/shares.py
+++ b/lemonshunt/choice/shares.py
@@ -1,6 +1,8 @@
-"""The forwarder's share of a destination's whole: a number of calls in every sliding span, told from outside.
+"""The forwarder's share of a destination's whole: a number of calls in every sliding
+span, told from outside.
 
-Where one is in force it takes the place of the pace that is guessed from limits and refusals.
+Where one is in force it takes the place of the pace that is guessed from limits and
+refusals.
 """
 
 from __future__ import annotations
@@ -10,11 +12,14 @@
 from lemonshunt import interface as i
 
 NEVER = 1 << 62  # us; only another share can open it
-GRAINS = 1_024  # in a span: calls of one grain count from its last one on, so a count is never too low
+# in a span: calls of one grain count from its last one on, so a count is never too low
+GRAINS = 1_024
 
 
 class Share:
-    """Times are microseconds of the module's clock. Memory: some GRAINS entries, whatever is sent."""
+    """Times are microseconds of the module's clock. Memory: some GRAINS entries,
+    whatever is sent.
+    """
 
     __slots__ = (
         "calls",
@@ -33,7 +38,9 @@
         self.entries: deque[tuple[int, int, int]] = deque()
         """(first, last, calls), oldest first."""
         self.known_us = -NEVER
-        """Calls up to then were let go: a span that comes to reach back there has to pass first."""
+        """Calls up to then were let go: a span that comes to reach back there has to
+        pass first.
+        """
 
     def forget(self, now: int) -> None:
         while self.entries and self.entries[0][1] <= now - self.span_us:
@@ -51,7 +58,9 @@
             self.entries.append((now, now, 1))
 
     def room_at(self, now: int) -> int:
-        """When the next call may go, by what is told now; NEVER where nothing is left to go by."""
+        """When the next call may go, by what is told now; NEVER where nothing is left
+        to go by.
+        """
         self.forget(now)
         if self.calls > 0 and now < self.until_us:
             at = self.free_at(now, self.calls)
@@ -75,7 +84,9 @@
 
 
 def told(shares: dict[int, Share], now: int, event: i.Shares) -> None:
-    """Another share, or a span of 0: none any more. What was sent under the one before still counts."""
+    """Another share, or a span of 0: none any more. What was sent under the one before
+    still counts.
+    """
     if event.span_us <= 0:
         shares.pop(event.destination, None)
         return
--- a/lemonshunt/explore/__init__.py
+++ b/lemonshunt/explore/__init__.py
@@ -1,1 +1,3 @@
-"""Exhaustive search of small models of the fleet's protocols, run on the cores that the processes run."""
+"""Exhaustive search of small models of the fleet's protocols, run on the cores that the
+processes run.
+"""
--- a/lemonshunt/explore/__main__.py
+++ b/lemonshunt/explore/__main__.py
@@ -1,4 +1,6 @@
-"""`python -m lemonshunt.explore MODULE:MODEL --depth N`: search a model deeper than the tests do."""
+"""`python -m lemonshunt.explore MODULE:MODEL --depth N`: search a model deeper than the
+tests do.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Exit 0 where no invariant was broken, 1 with the steps to it where one was, 2 for a wrong call."""
+    """Exit 0 where no invariant was broken, 1 with the steps to it where one was, 2 for
+    a wrong call.
+    """
     ask = argparse.ArgumentParser(
         prog="python -m lemonshunt.explore", description=__doc__
     )
--- a/lemonshunt/explore/net.py
+++ b/lemonshunt/explore/net.py
@@ -1,4 +1,6 @@
-"""Messages under way in a model: any may arrive next, be lost, or (where allowed) arrive twice."""
+"""Messages under way in a model: any may arrive next, be lost, or (where allowed)
+arrive twice.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Net:
-    """A bag of messages. Order does not count: whatever is under way may come next, however late."""
+    """A bag of messages. Order does not count: whatever is under way may come next,
+    however late.
+    """
 
     bag: tuple[Hashable, ...] = ()
     most: int = 4
-    """Messages under way at most; a send past that is as good as lost (it bounds the search)."""
+    """Messages under way at most; a send past that is as good as lost (it bounds the
+    search).
+    """
     losses: int = 0
     """Messages that may still be lost."""
     copies: int = 0
--- a/lemonshunt/explore/search.py
+++ b/lemonshunt/explore/search.py
@@ -1,7 +1,9 @@
-"""Breadth-first search of every state a model can reach, to a stated depth and count of states.
+"""Breadth-first search of every state a model can reach, to a stated depth and count of
+states.
 
-A model drives the same sans-I/O cores that the processes run; it adds only what surrounds them: messages
-under way, clocks, crashes. Breadth first, so that the trace of a breach is the shortest there is.
+A model drives the same sans-I/O cores that the processes run; it adds only what
+surrounds them: messages under way, clocks, crashes. Breadth first, so that the trace of
+a breach is the shortest there is.
 """
 
 from __future__ import annotations
@@ -15,7 +17,9 @@
 
 
 class Model(Protocol[S]):
-    """What is searched. States are never changed once given: `steps` works on copies."""
+    """What is searched. States are never changed once given: `steps` works on
+    copies.
+    """
 
     def start(self) -> S:
         """The one state that everything begins in."""
@@ -24,7 +28,9 @@
         """Each thing that can happen next: its name, and the state after it."""
 
     def key(self, state: S) -> Hashable:
-        """Equal for states that behave alike from here on (leave out names, history, absolute times)."""
+        """Equal for states that behave alike from here on (leave out names, history,
+        absolute times).
+        """
 
     def broken(self, state: S) -> str:
         """Which invariant does not hold here; empty where all do."""
@@ -37,9 +43,13 @@
     states: int
     """Distinct states visited."""
     depth: int
-    """Longest path searched whole: every state reachable in so many steps was visited."""
+    """Longest path searched whole: every state reachable in so many steps was
+    visited.
+    """
     complete: bool
-    """Nothing was left: not one state beyond those visited can be reached at any depth."""
+    """Nothing was left: not one state beyond those visited can be reached at any
+    depth.
+    """
     why: str = ""
     """The invariant that was broken; empty where none was."""
     trace: tuple[str, ...] = ()
@@ -47,11 +57,14 @@
 
 
 def explore(model: Model[S], depth: int, most_states: int = 1_000_000) -> Found:
-    """Visit all states within `depth` steps, or up to `most_states` of them, and stop at the first breach."""
+    """Visit all states within `depth` steps, or up to `most_states` of them, and stop
+    at the first breach.
+    """
     first = model.start()
     if why := model.broken(first):
         return Found(1, 0, False, why)
-    # A state's way back is kept as (number of the state before, step): traces cost one entry a state.
+    # A state's way back is kept as (number of the state before, step): traces cost one
+    # entry a state.
     ways: list[tuple[int, str]] = [(-1, "")]
     seen = {model.key(first)}
     edge: deque[tuple[int, int, S]] = deque([(0, 0, first)])
--- a/lemonshunt/interface.py
+++ b/lemonshunt/interface.py
@@ -1,4 +1,5 @@
-"""What goes into and comes out of lemonshunt.choice.Dispatcher. Types only; nothing is decided here.
+"""What goes into and comes out of lemonshunt.choice.Dispatcher. Types only; nothing is
+decided here.
 
 All times are integer microseconds of the caller's clock.
 """
@@ -37,7 +38,9 @@
     NO_CONNECTION = "no connection"
     RESET = "reset"
     SPOILT = "spoilt"
-    """An answer came that cannot be read: it may have run, and tells little of its target."""
+    """An answer came that cannot be read: it may have run, and tells little of its
+    target.
+    """
     CANCELED = "canceled"
     NOT_SENT = "not sent"
 
@@ -107,7 +110,9 @@
     refused_price: float = 0.0
     over_share_worth: float = 1.0
     late_halves: bool = False
-    """Worth past the aim halves with each further aim (else it falls evenly until the deadline)."""
+    """Worth past the aim halves with each further aim (else it falls evenly until the
+    deadline).
+    """
     answer_grace_us: int = 0
     drain_grace_us: int = 0
     ask_within_us: int = 0
@@ -118,9 +123,13 @@
     key_rest_us: int = 0
     dial_timeout_us: int = 0
     conn_idle_us: int = 0
-    """Idle connections are closed after this; 0 where none are kept or it is not known."""
+    """Idle connections are closed after this; 0 where none are kept or it is not
+    known.
+    """
     ends_told: bool = False
-    """A final answer ends its message only once `EndTold` says so: it may be on its way for a while."""
+    """A final answer ends its message only once `EndTold` says so: it may be on its way
+    for a while.
+    """
 
     def __post_init__(self) -> None:
         def check(good: bool, name: str) -> None:
@@ -188,7 +197,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Recalled:
-    """A message that was taken on before a restart, with what is known of its attempts until then."""
+    """A message that was taken on before a restart, with what is known of its attempts
+    until then.
+    """
 
     message: str
     destination: int
@@ -198,13 +209,17 @@
     tenant: str | None = None
     attempts: int = 0
     ran_at_us: int = -1
-    """When its first attempt that may have run was sent, by the same clock; -1 while none may have."""
+    """When its first attempt that may have run was sent, by the same clock; -1 while
+    none may have.
+    """
     ran_on: int = -1
     """That attempt's target."""
     cut_off: bool = False
     """An attempt was out when the process ended: it may still run."""
     cls: MessageClass | None = None
-    """Its class as it was taken on under; None where that is not known and the one of that name now holds."""
+    """Its class as it was taken on under; None where that is not known and the one of
+    that name now holds.
+    """
     most_attempts: int = 0
     """The attempts it was taken on with; 0 where that is not known."""
 
@@ -228,7 +243,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """One attempt has its outcome; attempts of a message count from 0 in the order of their sends."""
+    """One attempt has its outcome; attempts of a message count from 0 in the order of
+    their sends.
+    """
 
     message: str
     attempt: int
@@ -249,7 +266,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndOwed:
-    """A message of this order key had its final answer before a restart, and that is still on its way."""
+    """A message of this order key had its final answer before a restart, and that is
+    still on its way.
+    """
 
     message: str
     key: str
@@ -257,29 +276,37 @@
 
 @dataclass(frozen=True, slots=True)
 class EndTold:
-    """A final answer has arrived; only now is its message over for those behind it in its key."""
+    """A final answer has arrived; only now is its message over for those behind it in
+    its key.
+    """
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class Detached:
-    """Operators take a target out: it counts as draining until they put it back, whatever the list says."""
+    """Operators take a target out: it counts as draining until they put it back,
+    whatever the list says.
+    """
 
     target: int
 
 
 @dataclass(frozen=True, slots=True)
 class Attached:
-    """Operators put a target back. It was restarted meanwhile: it is cold, and what was learned is void."""
+    """Operators put a target back. It was restarted meanwhile: it is cold, and what was
+    learned is void.
+    """
 
     target: int
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """How many calls this forwarder may make of what a destination takes from all of them together. It holds
-    in every sliding span, from now on and until told anew; what was decided before counts."""
+    """How many calls this forwarder may make of what a destination takes from all of
+    them together. It holds in every sliding span, from now on and until told anew; what
+    was decided before counts.
+    """
 
     destination: int
     calls: int
@@ -290,20 +317,25 @@
     """From then on `reserve` holds, for as long as nothing else is told."""
     reserve: int
     spent: tuple[tuple[int, int], ...] = ()
-    """(when, calls), oldest first: what left of which the module does not know, in a process before."""
+    """(when, calls), oldest first: what left of which the module does not know, in a
+    process before.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Retuned:
-    """Other settings hold from now on. Messages taken on before keep their class and their attempts."""
+    """Other settings hold from now on. Messages taken on before keep their class and
+    their attempts.
+    """
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class Remembered:
-    """What `Dispatcher.memory` told in the process before, of whose calls some are still out. Comes after the
-    list and all that was recalled."""
+    """What `Dispatcher.memory` told in the process before, of whose calls some are
+    still out. Comes after the list and all that was recalled.
+    """
 
     memory: Mapping[str, Any]
 
@@ -400,7 +432,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """To be remembered across a restart: since when a target is in an outage, and back from it (-1: not)."""
+    """To be remembered across a restart: since when a target is in an outage, and back
+    from it (-1: not).
+    """
 
     target: int
     since_us: int
--- a/lemonshunt/journal/__main__.py
+++ b/lemonshunt/journal/__main__.py
@@ -1,4 +1,6 @@
-"""For staff: python -m lemonshunt.journal check|show DIR. Reads only, also beside a running forwarder."""
+"""For staff: python -m lemonshunt.journal check|show DIR. Reads only, also beside a
+running forwarder.
+"""
 
 from __future__ import annotations
 
--- a/lemonshunt/journal/format.py
+++ b/lemonshunt/journal/format.py
@@ -1,6 +1,8 @@
-"""The journal's bytes: a head, then frames. What is in the frames, `state` knows; see docs/parts.md.
+"""The journal's bytes: a head, then frames. What is in the frames, `state` knows; see
+docs/parts.md.
 
-Version 1 has no head; its frames are a length, a checksum and the payload, all little-endian.
+Version 1 has no head; its frames are a length, a checksum and the payload, all
+little-endian.
 """
 
 from __future__ import annotations
@@ -105,7 +107,9 @@
 
 
 def read_head(data: bytes, at: int = 0) -> Head | None:
-    """The head that stands there, if it is sound; NewerVersion where it is of a later program."""
+    """The head that stands there, if it is sound; NewerVersion where it is of a later
+    program.
+    """
     if data[at : at + len(MAGIC)] != MAGIC or len(data) < at + HEAD.size:
         return None
     _, *parts, check = HEAD.unpack_from(data, at)
@@ -120,7 +124,9 @@
 
 
 def find_head(data: bytes) -> Head | None:
-    """The first head of which a frame in the file is: a body may hold something that looks like one."""
+    """The first head of which a frame in the file is: a body may hold something that
+    looks like one.
+    """
     at = data.find(MAGIC)
     while at >= 0:
         head = read_head(data, at)
@@ -160,8 +166,9 @@
 
 
 def unfinished(data: bytes, at: int, salt: int, number: int) -> bool:
-    """Whether what stands there is a write that never came to its end, so that nothing was promised on it:
-    the beginning of just the next frame."""
+    """Whether what stands there is a write that never came to its end, so that nothing
+    was promised on it: the beginning of just the next frame.
+    """
     rest = data[at : at + FRAME.size]
     expected = MARK.to_bytes(1)
     if len(rest) < FRAME.size:  # the length may be any, the number may not
@@ -309,7 +316,9 @@
 
 
 def _old_unfinished(data: bytes, at: int) -> bool:
-    """As far as version 1 lets tell: a length that can be, and less than that of what begins as all do."""
+    """As far as version 1 lets tell: a length that can be, and less than that of what
+    begins as all do.
+    """
     rest = data[at + OLD_FRAME.size : at + OLD_FRAME.size + 2]
     if at + OLD_FRAME.size > len(data):
         return True
--- a/lemonshunt/journal/live.py
+++ b/lemonshunt/journal/live.py
@@ -1,4 +1,6 @@
-"""Finds live messages by their deadlines, and counts them by destination, without a walk over all of them."""
+"""Finds live messages by their deadlines, and counts them by destination, without a
+walk over all of them.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +13,21 @@
 
 
 class LiveIndex:
-    """Live messages by deadline and by destination. A call takes time by what it adds, removes or returns."""
+    """Live messages by deadline and by destination. A call takes time by what it adds,
+    removes or returns.
+    """
 
     def __init__(self) -> None:
         self.spans: SortedDict = SortedDict()
-        """The number of a span: the names in it, each with its deadline in microseconds."""
+        """The number of a span: the names in it, each with its deadline in
+        microseconds.
+        """
         self.by_destination: Counter[int] = Counter()
         """How many are live, for destinations that have any."""
         self.visited = 0
-        """Entries looked at in search of deadlines until now: what that work is measured by."""
+        """Entries looked at in search of deadlines until now: what that work is
+        measured by.
+        """
 
     def add(self, name: str, destination: int, due_us: int) -> None:
         """A message lives from now on; it must not do so already."""
@@ -27,7 +35,9 @@
         self.by_destination[destination] += 1
 
     def remove(self, name: str, destination: int, due_us: int) -> None:
-        """A message has ended; its deadline is given as it was when it was added or moved."""
+        """A message has ended; its deadline is given as it was when it was added or
+        moved.
+        """
         self._drop(name, due_us)
         self.by_destination[destination] -= 1
         if not self.by_destination[destination]:
@@ -39,7 +49,9 @@
         self.spans.setdefault(later_us // SPAN_US, {})[name] = later_us
 
     def due_before(self, at_us: int) -> list[str]:
-        """The live messages whose deadlines are before a time, the earliest spans first."""
+        """The live messages whose deadlines are before a time, the earliest spans
+        first.
+        """
         found: list[str] = []
         for span in self.spans.irange(maximum=(at_us - 1) // SPAN_US):
             names = self.spans[span]
--- a/lemonshunt/journal/recovery.py
+++ b/lemonshunt/journal/recovery.py
@@ -1,4 +1,6 @@
-"""From the bytes in the folder to a state that is safe to go on from, and a report of what was found."""
+"""From the bytes in the folder to a state that is safe to go on from, and a report of
+what was found.
+"""
 
 from __future__ import annotations
 
@@ -63,7 +65,9 @@
 
     @property
     def missing(self) -> int:
-        """Records that are known to be missing; a gap of an unknown number counts as one."""
+        """Records that are known to be missing; a gap of an unknown number counts as
+        one.
+        """
         return sum(max(1, n) for _, _, n in self.gaps)
 
     def figures(self) -> dict[str, Any]:
@@ -110,7 +114,9 @@
 
 
 def this_boot() -> str:
-    """What tells this run of the machine from the one before; empty where that is not told."""
+    """What tells this run of the machine from the one before; empty where that is not
+    told.
+    """
     try:
         return BOOT.read_text().strip()
     except OSError:
@@ -118,7 +124,9 @@
 
 
 def interpret(found: Scan, state: State) -> None:
-    """Make the state what the records add up to, with what damage leaves in doubt marked."""
+    """Make the state what the records add up to, with what damage leaves in doubt
+    marked.
+    """
     last = found.head.checkpoint if found.head is not None else 0
     for part in found.parts:
         if isinstance(part, Frame):
@@ -169,8 +177,9 @@
     mono_us: int,
     follow: bool = False,
 ) -> Report:
-    """Fill the state with what the folder holds, safe to go on from. Writes nothing. One that follows a
-    process which still runs goes by that one's clock."""
+    """Fill the state with what the folder holds, safe to go on from. Writes nothing.
+    One that follows a process which still runs goes by that one's clock.
+    """
     began = time.monotonic()
     try:
         data = files.read(folder / JOURNAL)
@@ -181,13 +190,16 @@
         base, before = state.clock
         report.another_boot = bool(before and boot and before != boot)
         if report.another_boot and not state.closed and not report.power:
-            state.doubt()  # what was not synced may be missing at the end without a trace
+            # what was not synced may be missing at the end without a trace
+            state.doubt()
         if follow and before == boot:
             base_us = base
         if before == boot:
             set_by = base_us - base
             if abs(set_by) < LEAST_SHIFT_US:
-                base_us = base  # the monotonic clock tells how much time has passed: it is gone by still
+                # the monotonic clock tells how much time has passed: it is gone by
+                # still
+                base_us = base
         else:  # time has not run backwards: so much the clock was set back at least
             set_by = min(0, base_us + mono_us - latest(state))
         if abs(set_by) >= LEAST_SHIFT_US:
--- a/lemonshunt/journal/state.py
+++ b/lemonshunt/journal/state.py
@@ -1,22 +1,29 @@
-"""What the journal's records mean: the state that they add up to, and how each is written.
-
-A record is a line of JSON, `[kind, ...]`, and for a taken message its body. Kinds (version 1's names):
-  n [id, class, destination, due, key, tenant, order key, rules] + body: a message was taken on
-  t (taken) [id, class, destination, due, key, tenant, attempts, ran_at, ran_on, [[number, at, host]...],
-    order key, rules] + body: the same within a checkpoint; older journals end before the last two
-  r (rules) [number, attempts, [class...]]: the classes that messages were taken on under, and their attempts
-  a (attempt) [id, number, at, host], before the call's first byte; o (outcome) [id, number, may have run]
-  x (over) [id]; e (owed) [id, state, after_ms, order key], an end that the platform has not acknowledged;
+"""What the journal's records mean: the state that they add up to, and how each is
+written.
+
+A record is a line of JSON, `[kind, ...]`, and for a taken message its body. Kinds
+(version 1's names):
+  n [id, class, destination, due, key, tenant, order key, rules] + body: a message was
+  taken on t (taken) [id, class, destination, due, key, tenant, attempts, ran_at,
+  ran_on, [[number, at, host]...],
+    order key, rules] + body: the same within a checkpoint; older journals end before
+    the last two
+  r (rules) [number, attempts, [class...]]: the classes that messages were taken on
+  under, and their attempts a (attempt) [id, number, at, host], before the call's first
+  byte; o (outcome) [id, number, may have run] x (over) [id]; e (owed) [id, state,
+  after_ms, order key], an end that the platform has not acknowledged;
     d (told) [id]
-  l (list) [seq, hosts, source]: the last list and the discovery that told it, since `known` may be older than
+  l (list) [seq, hosts, source]: the last list and the discovery that told it, since
+  `known` may be older than
     what this forwarder was told of drains
-  p [] + another record, compressed: a list of many hosts
-  u (update) [seq before, seq, hosts, names gone, source]: what changed in the list of that version and source
-  h (out) [host, whether]: taken out by operators, or put back
-  g (outage) [host, since, back]: a target seen in an outage; its cold budget must hold across a restart too
-  c [base, boot]: a process began; its clock is the machine's monotonic one, plus the base
+  p [] + another record, compressed: a list of many hosts u (update) [seq before, seq,
+  hosts, names gone, source]: what changed in the list of that version and source h
+  (out) [host, whether]: taken out by operators, or put back g (outage) [host, since,
+  back]: a target seen in an outage; its cold budget must hold across a restart too c
+  [base, boot]: a process began; its clock is the machine's monotonic one, plus the base
   z []: it came to its end in order, and all that it wrote is synced
-Waits are not kept: a restart ends them. Windows and means are not either: they are soon learned anew.
+Waits are not kept: a restart ends them. Windows and means are not either: they are soon
+learned anew.
 """
 
 from __future__ import annotations
@@ -33,7 +40,8 @@
 from lemonshunt.journal.live import LiveIndex
 
 PER_MESSAGE = 400  # what a held message's further records may add to a compacted file
-MOST_LOST = 10_000  # ids of lost messages that are named: about what 3 MB of journal name; 100 bytes each
+# ids of lost messages that are named: about what 3 MB of journal name; 100 bytes each
+MOST_LOST = 10_000
 PLAIN_LIST = 64 * 1024  # bytes of a list's record; one that is longer is compressed
 COMPRESSION = (
     1  # zlib's fastest: 8 MB of hosts take 14 ms, and a fourteenth of the room
@@ -70,7 +78,9 @@
 
 
 class Rules(NamedTuple):
-    """What a message keeps, also when the settings change: its class, and how many attempts it has."""
+    """What a message keeps, also when the settings change: its class, and how many
+    attempts it has.
+    """
 
     attempts: int
     classes: tuple[i.MessageClass, ...]
@@ -147,14 +157,17 @@
             log.error("journal: a record of unknown form is passed over: %r", error)
 
     def doubt(self) -> None:
-        """Records are missing here, that may tell more of what has been taken on until now."""
+        """Records are missing here, that may tell more of what has been taken on until
+        now.
+        """
         self.damaged = True
         for m in self.messages.values():
             m.doubt = True
 
     def resolve(self) -> tuple[int, int]:
-        """All is read. What is still in doubt gets an attempt that may have run, or its end. Returns how many
-        got which."""
+        """All is read. What is still in doubt gets an attempt that may have run, or its
+        end. Returns how many got which.
+        """
         doubted = [m for m in self.messages.values() if m.doubt]
         ended = [m for m in doubted if m.order_key is not None]
         for m in ended:  # one behind it may have gone already
@@ -169,7 +182,9 @@
         return len(doubted) - len(ended), len(ended)
 
     def shift(self, by_us: int) -> None:
-        """The wall clock was set, or it is that of another boot: all times move with it."""
+        """The wall clock was set, or it is that of another boot: all times move with
+        it.
+        """
         for m in self.messages.values():
             self.move_deadline(m, m.due_us + by_us)
             if m.ran_at_us >= 0:
@@ -250,7 +265,8 @@
             self._missing(name)
             return
         if number == m.attempts:
-            m.doubt = False  # the next one that was due: none stood in between, and no end either
+            # the next one that was due: none stood in between, and no end either
+            m.doubt = False
         m.out[number] = (at, host)
         m.attempts = max(m.attempts, number + 1)
 
@@ -298,7 +314,9 @@
     def _update(self, rest: list[Any], body: bytes) -> None:
         before, seq, changed, gone, source = rest
         if (before, source) != (self.seq, self.source):
-            self.seq = -1  # damage took what it builds on: no version of the list is known, all is asked for
+            # damage took what it builds on: no version of the list is known, all is
+            # asked for
+            self.seq = -1
             return
         for name in gone:
             self.hosts.pop(name, None)
@@ -342,7 +360,9 @@
         )
 
     def checkpoint(self) -> Iterator[bytes]:
-        """The records that say just this state. Rules that nobody names any more are left out."""
+        """The records that say just this state. Rules that nobody names any more are
+        left out.
+        """
         named = {
             m.rules for m in self.messages.values()
         }  # the one in force stands last
@@ -434,7 +454,9 @@
 
 
 def kept_list(seq: int, hosts: dict[str, dict[str, Any]], source: str) -> bytes:
-    """The record of a list, compressed where it is long: it stands in each file, and the disk is small."""
+    """The record of a list, compressed where it is long: it stands in each file, and
+    the disk is small.
+    """
     plain = record("l", seq, [*hosts.values()], source)
     return (
         plain
--- a/lemonshunt/journal/writer.py
+++ b/lemonshunt/journal/writer.py
@@ -1,7 +1,9 @@
-"""Appends records to the journal, writes it anew when it has grown, and says when a record is kept.
+"""Appends records to the journal, writes it anew when it has grown, and says when a
+record is kept.
 
-Under the level `process` a record is kept once it is written. Under `power` it is once it is synced: syncs
-are done by a worker, one at a time, and all that wait when one begins are served by it. See docs/parts.md.
+Under the level `process` a record is kept once it is written. Under `power` it is once
+it is synced: syncs are done by a worker, one at a time, and all that wait when one
+begins are served by it. See docs/parts.md.
 """
 
 from __future__ import annotations
@@ -36,7 +38,9 @@
 
 
 class Log:
-    """The file in use. Before `begin` and after `let_go` nothing is written, only gathered."""
+    """The file in use. Before `begin` and after `let_go` nothing is written, only
+    gathered.
+    """
 
     def __init__(
         self,
@@ -64,7 +68,9 @@
         self.failed = False
         """No new work is taken on."""
         self.behind = False
-        """The file lacks records that are in memory: only a new one can hold them all."""
+        """The file lacks records that are in memory: only a new one can hold them
+        all.
+        """
         self.busy = self.switching = False
         self.retry_at = 0.0
         self.waiters: deque[tuple[int, Callable[[bool], None]]] = deque()
@@ -74,8 +80,9 @@
     # Beginning and ending
 
     def begin(self, end: int, torn: int, head: tuple[int, int, int] | None) -> None:
-        """Become the writer: behind what is there (its salt, generation and next number are told), or with a
-        new file where that cannot be built on."""
+        """Become the writer: behind what is there (its salt, generation and next number
+        are told), or with a new file where that cannot be built on.
+        """
         self.files.unlink(self.spare)
         with suppress(OSError):
             self.aside = self.files.size(self.aside_path)
@@ -92,7 +99,9 @@
         self.size = end
 
     def set_aside(self, size: int, live: int) -> bool:
-        """Keep a damaged file under another name where that leaves the room that messages need."""
+        """Keep a damaged file under another name where that leaves the room that
+        messages need.
+        """
         with suppress(OSError):
             self.files.unlink(self.aside_path)
         if size + 2 * live + ROOM > self.most:
@@ -125,7 +134,9 @@
         self.appended += 1
 
     def flush(self) -> None:
-        """Write what was gathered. Writes anew where old and new together would come near the limit."""
+        """Write what was gathered. Writes anew where old and new together would come
+        near the limit.
+        """
         if not self.pending or not self.writing or self.switching:
             return
         if self.failed and self.clock() >= self.retry_at and not self.busy:
@@ -166,7 +177,8 @@
         try:
             write_all(self.files, self.fd, bytes(data), self.size)
         except OSError as error:
-            # A full disk must not end the process: what is held is delivered, new work is refused.
+            # A full disk must not end the process: what is held is delivered, new work
+            # is refused.
             self.fail("cannot write", error)
             self.behind = True
             with suppress(
@@ -187,8 +199,10 @@
     # A new file
 
     def rewrite(self, first: bool = False) -> bool:
-        """Write what still counts into a new file and put it in the old one's place. Returns whether that is
-        done, or under way; while a sync is, nothing is begun."""
+        """Write what still counts into a new file and put it in the old one's place.
+        Returns whether that is done, or under way; while a sync is, nothing is
+        begun.
+        """
         if self.busy:
             return False
         self.retry_at = self.clock() + RETRY_S
@@ -247,8 +261,9 @@
         self.rewrites += 1
 
     def switch(self, fd: int, head: Head, size: int) -> None:
-        """Sync the new file and its name. What is gathered meanwhile waits for the end of that: it goes into
-        the new file, or into the old one where that stays."""
+        """Sync the new file and its name. What is gathered meanwhile waits for the end
+        of that: it goes into the new file, or into the old one where that stays.
+        """
         assert self.worker is not None
         position, covered, replaced = self.appended, len(self.pending), False
         self.busy = self.switching = True
@@ -286,8 +301,9 @@
         self.longest_sync_s = max(self.longest_sync_s, took)
 
     def commit(self, then: Callable[[bool], None]) -> None:
-        """Call `then` once all that was gathered is kept as the level promises, or with False once that has
-        failed. In the order of the calls."""
+        """Call `then` once all that was gathered is kept as the level promises, or with
+        False once that has failed. In the order of the calls.
+        """
         self.flush()
         if self.worker is None:
             then(not self.behind)
@@ -330,7 +346,8 @@
             if error is None:
                 self.kept = max(self.kept, position)
             else:
-                # The kernel may have dropped the pages: a second sync of this file would tell nothing.
+                # The kernel may have dropped the pages: a second sync of this file
+                # would tell nothing.
                 self.fail("cannot sync", error)
                 self.behind = True
                 if self.writing and not self.rewrite():
@@ -340,7 +357,9 @@
         self.worker(job, done)
 
     def tend(self) -> None:
-        """From time to time: a failure must not last because nothing more is written."""
+        """From time to time: a failure must not last because nothing more is
+        written.
+        """
         if (
             self.writing
             and self.failed
--- a/lemonshunt/lab/__main__.py
+++ b/lemonshunt/lab/__main__.py
@@ -1,4 +1,6 @@
-"""``python -m lemonshunt.lab``: check, run, sweep and report experiments of the fleet lab."""
+"""``python -m lemonshunt.lab``: check, run, sweep and report experiments of the fleet
+lab.
+"""
 
 from __future__ import annotations
 
--- a/lemonshunt/lab/checker.py
+++ b/lemonshunt/lab/checker.py
@@ -1,19 +1,24 @@
 """What became of every message of a lab run, from the records of both sides.
 
-Records are dicts (one JSON line each), all times in ns of one monotonic clock from the start of the load:
+Records are dicts (one JSON line each), all times in ns of one monotonic clock from the
+start of the load:
 
-- ``try``: the load's hand-in of message ``key`` as ``id`` to ``forwarder``: ``due_ns``, ``sent_ns``,
+- ``try``: the load's hand-in of message ``key`` as ``id`` to ``forwarder``: ``due_ns``,
+  ``sent_ns``,
   ``status`` (the HTTP status, 0 where no answer came) and ``cls``;
-- ``call``: a call at endpoint ``endpoint`` of ``destination``: ``key``, ``id``, ``status``, ``at_ns``;
+- ``call``: a call at endpoint ``endpoint`` of ``destination``: ``key``, ``id``,
+  ``status``, ``at_ns``;
 - ``notice``: a notice (PROTOCOL, Notices) for ``id`` with ``state``;
-- ``process``: what became of a process: ``member``, ``did`` (``started``, ``ended``, ``wiped``), ``at_ns``.
-
-A message is *lost* when a forwarder took it on (200 or 202) and no endpoint answered 200 for it and no notice
-ended it; where each forwarder that took it on lost its folder later it is *wiped* instead (PROTOCOL: it is
-owed its end while the disk lasts); *doubled* when endpoints answered 200 to one hand-in (one ``id``) more
-than once in a class whose effect is ``once``. A message that the client handed in again after no answer
-(PROTOCOL: what is sent under the old id then counts for nothing) and that was delivered under two ids is
-counted apart, as *resent*.
+- ``process``: what became of a process: ``member``, ``did`` (``started``, ``ended``,
+  ``wiped``), ``at_ns``.
+
+A message is *lost* when a forwarder took it on (200 or 202) and no endpoint answered
+200 for it and no notice ended it; where each forwarder that took it on lost its folder
+later it is *wiped* instead (PROTOCOL: it is owed its end while the disk lasts);
+*doubled* when endpoints answered 200 to one hand-in (one ``id``) more than once in a
+class whose effect is ``once``. A message that the client handed in again after no
+answer (PROTOCOL: what is sent under the old id then counts for nothing) and that was
+delivered under two ids is counted apart, as *resent*.
 """
 
 from __future__ import annotations
@@ -71,7 +76,9 @@
     """Each hand-in that was taken on: id, forwarder, when."""
 
     def lost(self, noticed: Mapping[str, str], wiped: Mapping[str, int]) -> bool:
-        """Taken on, without an end; ``wiped``: when a forwarder last lost its folder."""
+        """Taken on, without an end; ``wiped``: when a forwarder last lost its
+        folder.
+        """
         if (
             not self.accepted
             or self.delivered_at
@@ -166,8 +173,10 @@
     deadlines_ns: Mapping[str, int],
     max_lag_ms: float,
 ) -> dict[str, Any]:
-    """The verdict as a JSON-ready dict: a tally per class and in all, the names of lost and doubled messages,
-    the load's lag behind its schedule, and ``valid`` (False where the lag passed ``max_lag_ms``)."""
+    """The verdict as a JSON-ready dict: a tally per class and in all, the names of lost
+    and doubled messages, the load's lag behind its schedule, and ``valid`` (False where
+    the lag passed ``max_lag_ms``).
+    """
     j = join(records, deadlines_ns)
     tallies: dict[str, Tally] = defaultdict(Tally)
     histograms: dict[str, HdrHistogram] = {}
@@ -246,6 +255,7 @@
 
 
 def bad(result: Mapping[str, Any]) -> bool:
-    """Whether the run lost or doubled anything, or an endpoint got a message that nobody handed in: the
-    lab's exit is 1 then."""
+    """Whether the run lost or doubled anything, or an endpoint got a message that
+    nobody handed in: the lab's exit is 1 then.
+    """
     return bool(result["lost"] or result["doubled"] or result["phantoms"])
--- a/lemonshunt/lab/configure.py
+++ b/lemonshunt/lab/configure.py
@@ -1,5 +1,6 @@
-"""Everything that the lab writes into a forwarder's configuration, and nothing else: the one file to change
-where the form of a configuration changes."""
+"""Everything that the lab writes into a forwarder's configuration, and nothing else:
+the one file to change where the form of a configuration changes.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +13,9 @@
 
 @dataclass(slots=True)
 class Addresses:
-    """Where one forwarder listens and whom it dials, as HOST:PORT; all dials are its own proxies."""
+    """Where one forwarder listens and whom it dials, as HOST:PORT; all dials are its
+    own proxies.
+    """
 
     listen: str
     discovery: str
@@ -43,7 +46,9 @@
 
 
 def settings(exp: Experiment) -> dict[str, Any]:
-    """The forwarders' settings (PROTOCOL: 'the settings') for the experiment's classes."""
+    """The forwarders' settings (PROTOCOL: 'the settings') for the experiment's
+    classes.
+    """
     services = [
         {
             "name": c.name,
@@ -86,7 +91,9 @@
 
 
 def fleet(exp: Experiment, name: str, at: Addresses) -> dict[str, Any] | None:
-    """The ``fleet`` object, or None where the experiment asks for none: with peers, or with parts named."""
+    """The ``fleet`` object, or None where the experiment asks for none: with peers, or
+    with parts named.
+    """
     if not exp.fleet.peers and not exp.fleet.parts:
         return None
     made: dict[str, Any] = {"name": name, "site": exp.zone_of(name)}
--- a/lemonshunt/lab/experiment.py
+++ b/lemonshunt/lab/experiment.py
@@ -1,7 +1,8 @@
 """The experiment file of the fleet lab: TOML, checked whole before anything starts.
 
-Every fault in a file is told with its path (``faults[2].at_s``), all of them in one ``ExperimentError``.
-What an experiment is made of stands in ``shapes.py``, its names given here too.
+Every fault in a file is told with its path (``faults[2].at_s``), all of them in one
+``ExperimentError``. What an experiment is made of stands in ``shapes.py``, its names
+given here too.
 """
 
 from __future__ import annotations
@@ -27,7 +28,9 @@
 
 
 def parse(text: str, source: str = "experiment") -> Experiment:
-    """The experiment that a TOML text stands for, or ExperimentError naming every fault."""
+    """The experiment that a TOML text stands for, or ExperimentError naming every
+    fault.
+    """
     try:
         top = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
--- a/lemonshunt/lab/fleet.py
+++ b/lemonshunt/lab/fleet.py
@@ -1,4 +1,6 @@
-"""The processes of a lab run: the real programs, each started, signalled and ended by its id."""
+"""The processes of a lab run: the real programs, each started, signalled and ended by
+its id.
+"""
 
 from __future__ import annotations
 
@@ -25,8 +27,10 @@
 
 
 def reserve(held: list[socket.socket]) -> int:
-    """A port on 127.0.0.1 for a forwarder to bind itself. Its socket stays bound in ``held`` until the lab's
-    own servers are up, so that none of them is handed the same port by the kernel."""
+    """A port on 127.0.0.1 for a forwarder to bind itself. Its socket stays bound in
+    ``held`` until the lab's own servers are up, so that none of them is handed the same
+    port by the kernel.
+    """
     s = socket.socket()
     s.bind(("127.0.0.1", 0))
     held.append(s)
@@ -38,8 +42,9 @@
     process: asyncio.subprocess.Process | None = None,
     deadline_s: float = READY_S,
 ) -> None:
-    """Wait until the operators' address answers /_ready with 200; TimeoutError past the deadline, StartError
-    as soon as the process has ended."""
+    """Wait until the operators' address answers /_ready with 200; TimeoutError past the
+    deadline, StartError as soon as the process has ended.
+    """
     async with asyncio.timeout(deadline_s):
         while True:
             if process is not None and process.returncode is not None:
@@ -66,7 +71,9 @@
     name: str
     folder: Path
     told: Callable[[str, str, int], None] = lambda name, did, pid: None
-    """Hears of each start and end: ``started``, ``ended`` (by SIGKILL or SIGTERM), ``wiped`` (its folder)."""
+    """Hears of each start and end: ``started``, ``ended`` (by SIGKILL or SIGTERM),
+    ``wiped`` (its folder).
+    """
     process: asyncio.subprocess.Process | None = None
     starts: int = 0
     pids: list[int] = field(default_factory=list)
@@ -88,7 +95,9 @@
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Start the program and wait for its yes at /_ready; StartError where that does not come."""
+        """Start the program and wait for its yes at /_ready; StartError where that does
+        not come.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         words, environ = self.command()
         self.starts += 1
--- a/lemonshunt/lab/harvest.py
+++ b/lemonshunt/lab/harvest.py
@@ -1,12 +1,17 @@
-"""Records from the processes' own JSON log lines, merged into ``records.jsonl`` after a run.
+"""Records from the processes' own JSON log lines, merged into ``records.jsonl`` after a
+run.
 
-A line whose ``event`` is a kind below becomes a record: ``t_ns`` (CLOCK_MONOTONIC, one clock for the
-machine) becomes ``at_ns`` from the start of the load, the process's name ``member``. Taken from lines:
+A line whose ``event`` is a kind below becomes a record: ``t_ns`` (CLOCK_MONOTONIC, one
+clock for the machine) becomes ``at_ns`` from the start of the load, the process's name
+``member``. Taken from lines:
 
 - ``sent``: ``message_id`` becomes ``id``, ``target`` (an endpoint) its ``destination``;
-- ``acted``: ``lease``, ``token`` ([epoch, number]); ``granted``: ``lease``, ``holder``, ``token``;
-- ``owns``: ``from``, ``to``, ``generation``, ``begin_ns`` and ``end_ns`` (the machine's clock; null or absent
-  while it lasts: the later line of one beginning wins, and a process's end ends what it owned);
+- ``acted``: ``lease``, ``token`` ([epoch, number]); ``granted``: ``lease``, ``holder``,
+  ``token``;
+- ``owns``: ``from``, ``to``, ``generation``, ``begin_ns`` and ``end_ns`` (the machine's
+  clock; null or absent
+  while it lasts: the later line of one beginning wins, and a process's end ends what it
+  owned);
 - ``session``: ``key``, ``step``.
 """
 
@@ -43,7 +48,9 @@
 def record(
     line: Mapping[str, Any], member: str, t0: int, destination: Callable[[str], int]
 ) -> dict[str, Any]:
-    """The record of one line of a known kind; KeyError, TypeError or ValueError where it is malformed."""
+    """The record of one line of a known kind; KeyError, TypeError or ValueError where
+    it is malformed.
+    """
     kind = line["event"]
     made: dict[str, Any] = {"kind": kind, "member": str(line.get("process", member))}
     if kind == "sent":
@@ -63,8 +70,10 @@
 def merged(
     texts: Iterable[tuple[str, str]], t0: int, destination: Callable[[str], int]
 ) -> tuple[list[dict[str, Any]], int]:
-    """Records of (member, log text) pairs in order of time, and how many lines of a known kind could not be
-    read: a process killed in the middle of a line leaves one, more than that is a fault of the processes."""
+    """Records of (member, log text) pairs in order of time, and how many lines of a
+    known kind could not be read: a process killed in the middle of a line leaves one,
+    more than that is a fault of the processes.
+    """
     records: list[dict[str, Any]] = []
     unread = 0
     for member, text in texts:
@@ -81,7 +90,9 @@
 
 
 def logs(folder: Path, starts: Mapping[str, int]) -> Iterable[tuple[str, str]]:
-    """The log texts of each process of a run, by its name and how often it was started, one at a time."""
+    """The log texts of each process of a run, by its name and how often it was started,
+    one at a time.
+    """
     for name, count in sorted(starts.items()):
         for n in range(1, count + 1):
             path = folder / "members" / name / f"log-{n}.txt"
--- a/lemonshunt/lab/interrupt.py
+++ b/lemonshunt/lab/interrupt.py
@@ -7,9 +7,11 @@
 
 
 def once() -> None:
-    """The first SIGINT or SIGTERM cancels the current task; those that follow are passed over, since a second
-    cancel would break off the ending of the processes that the first began. It works too where a shell
-    started us with SIGINT ignored, as it does in the background."""
+    """The first SIGINT or SIGTERM cancels the current task; those that follow are
+    passed over, since a second cancel would break off the ending of the processes that
+    the first began. It works too where a shell started us with SIGINT ignored, as it
+    does in the background.
+    """
     task = asyncio.current_task()
     assert task is not None
     came: list[int] = []
--- a/lemonshunt/lab/load.py
+++ b/lemonshunt/lab/load.py
@@ -1,5 +1,7 @@
-"""The load side of a lab run: clients that hand messages in as PROTOCOL (Clients to forwarders) says, each at
-its planned time whatever the fleet does, with a try on the next forwarder where no answer came."""
+"""The load side of a lab run: clients that hand messages in as PROTOCOL (Clients to
+forwarders) says, each at its planned time whatever the fleet does, with a try on the
+next forwarder where no answer came.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +28,9 @@
 
 @dataclass
 class Front:
-    """Idle client connections per forwarder, as a front that keeps them and opens more when all are busy."""
+    """Idle client connections per forwarder, as a front that keeps them and opens more
+    when all are busy.
+    """
 
     ports: list[int]
     idle: list[list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = field(
@@ -76,7 +80,9 @@
 
 
 async def status_of(reader: asyncio.StreamReader) -> int:
-    """The status of the next answer; IncompleteReadError where the connection ends first."""
+    """The status of the next answer; IncompleteReadError where the connection ends
+    first.
+    """
     got = await read_request(reader)
     if got is None:
         raise asyncio.IncompleteReadError(b"", None)
@@ -98,7 +104,9 @@
         self.body = b"x" * self.experiment.load.body_bytes
 
     async def run(self, planned: list[Planned]) -> None:
-        """Send every message at its time; returns when all have their answers or gave up."""
+        """Send every message at its time; returns when all have their answers or gave
+        up.
+        """
         tasks: set[asyncio.Task[None]] = set()
         last: dict[str, asyncio.Task[None]] = {}
         for p in planned:
@@ -115,9 +123,11 @@
             await asyncio.gather(*tasks)
 
     async def _until(self, due_ns: int) -> None:
-        """Wait for a send time. The loop's timers wake a few ms late once other timers are about (its waits
-        are whole ms), so the last SPIN_S are spent yielding: the load process gives a core for a schedule
-        held to well under a millisecond (3 ms at the 99th percentile with 3 ms of yielding, 0.07 with 8)."""
+        """Wait for a send time. The loop's timers wake a few ms late once other timers
+        are about (its waits are whole ms), so the last SPIN_S are spent yielding: the
+        load process gives a core for a schedule held to well under a millisecond (3 ms
+        at the 99th percentile with 3 ms of yielding, 0.07 with 8).
+        """
         wait = (due_ns - self.clock()) / 1e9
         if wait > SPIN_S:
             await asyncio.sleep(wait - SPIN_S)
@@ -125,8 +135,10 @@
             await asyncio.sleep(0)
 
     async def in_turn(self, p: Planned, before: asyncio.Task[None] | None) -> None:
-        """PROTOCOL: messages of one key are handed in in sequence, each once the one before has its answer.
-        A message that has waited for that is due when it may go, and has its whole time from then."""
+        """PROTOCOL: messages of one key are handed in in sequence, each once the one
+        before has its answer. A message that has waited for that is due when it may go,
+        and has its whole time from then.
+        """
         if before is None or before.done():
             await self.send(p, p.due_ns)
         else:
@@ -194,14 +206,18 @@
 def drive(
     experiment: Experiment, seed: int, ports: list[int], pipe: Any, path: str
 ) -> None:
-    """The load process: plan the messages, tell their number on ``pipe``, take the start time from it (ns of
-    time.monotonic_ns), send, write the records to ``path`` as JSON lines, then say 'done'."""
+    """The load process: plan the messages, tell their number on ``pipe``, take the
+    start time from it (ns of time.monotonic_ns), send, write the records to ``path`` as
+    JSON lines, then say 'done'.
+    """
     try:
         planned = plan.messages(experiment, seed)
         pipe.send(len(planned))
         t0 = int(pipe.recv())
         gc.freeze()  # what is made before the start is never looked through again,
-        gc.disable()  # and no collection falls in the middle of the schedule; the process ends after it
+        # and no collection falls in the middle of the schedule; the process ends after
+        # it
+        gc.disable()
         records: list[dict[str, Any]] = []
         front = Front(ports)
 
--- a/lemonshunt/lab/logs.py
+++ b/lemonshunt/lab/logs.py
@@ -1,4 +1,6 @@
-"""Structured log lines of the lab (JSON, one an event), with the time on the lab's one monotonic clock."""
+"""Structured log lines of the lab (JSON, one an event), with the time on the lab's one
+monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,9 @@
 
 
 def configure(path: Path) -> IO[str]:
-    """Send the lab's log lines to ``path``; the caller closes what is returned at the end."""
+    """Send the lab's log lines to ``path``; the caller closes what is returned at the
+    end.
+    """
     sink = path.open("a")
     structlog.configure(
         processors=[
--- a/lemonshunt/lab/nemesis.py
+++ b/lemonshunt/lab/nemesis.py
@@ -1,10 +1,11 @@
 """A nemesis: faults drawn from a run's seed, by rules that keep the run worth judging.
 
-Rules, whatever is drawn: the same seed gives the same faults; no two faults are on one process or one link
-at a time (a heal would end the other one early); unless ``all_at_once``, some forwarder is neither stopped
-nor cut at each moment (the file's own faults counted); every fault, a restart's way to ready included, is
-over ``quiet_s`` before the load ends. A draw that breaks a rule is dropped, not drawn again, so the rate is
-a bound.
+Rules, whatever is drawn: the same seed gives the same faults; no two faults are on one
+process or one link at a time (a heal would end the other one early); unless
+``all_at_once``, some forwarder is neither stopped nor cut at each moment (the file's
+own faults counted); every fault, a restart's way to ready included, is over ``quiet_s``
+before the load ends. A draw that breaks a rule is dropped, not drawn again, so the rate
+is a bound.
 """
 
 from __future__ import annotations
@@ -32,7 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Booked:
-    """What one fault takes, and until when. ``out``: forwarders that it stops or cuts."""
+    """What one fault takes, and until when. ``out``: forwarders that it stops or
+    cuts.
+    """
 
     begin_s: float
     end_s: float
@@ -71,7 +74,9 @@
 
 
 def _cut(exp: Experiment, member: str, links: frozenset[str]) -> bool:
-    """A forwarder is out of use without its clients or without every endpoint; not without the list."""
+    """A forwarder is out of use without its clients or without every endpoint; not
+    without the list.
+    """
     return f"client>{member}" in links or all(
         f"{member}>{e}" in links for e in exp.endpoint_names()
     )
@@ -88,7 +93,8 @@
         return False
     if nemesis.all_at_once or not new.out:
         return True
-    # Who is out is greatest as some fault begins: each such moment within the new one is looked at.
+    # Who is out is greatest as some fault begins: each such moment within the new one
+    # is looked at.
     for at in [new.begin_s, *(b.begin_s for b in beside if b.begin_s > new.begin_s)]:
         out = set(new.out).union(*(b.out for b in beside if b.begin_s <= at < b.end_s))
         if len(out) >= exp.fleet.forwarders:
@@ -97,7 +103,9 @@
 
 
 def timeline(exp: Experiment, seed: int) -> tuple[Fault, ...]:
-    """The faults of a run in order of time: the file's own and, where it has a nemesis, the drawn ones."""
+    """The faults of a run in order of time: the file's own and, where it has a nemesis,
+    the drawn ones.
+    """
     nemesis = exp.nemesis
     if nemesis is None:
         return exp.faults
@@ -137,7 +145,9 @@
 
 
 def _link(exp: Experiment, chance: random.Random) -> str:
-    """One link, one member's links outward (its machine's line), or all members' links to one peer."""
+    """One link, one member's links outward (its machine's line), or all members' links
+    to one peer.
+    """
     name = chance.choice(links_of(exp))
     near, _, far = name.partition(">")
     how = chance.choice(("one", "one", "out", "in"))
--- a/lemonshunt/lab/pids.py
+++ b/lemonshunt/lab/pids.py
@@ -1,5 +1,7 @@
-"""The ids of every process that a run started, kept in its folder: whoever finds a run that could not end
-its own ends exactly those, and no other that the kernel has given the same id since."""
+"""The ids of every process that a run started, kept in its folder: whoever finds a run
+that could not end its own ends exactly those, and no other that the kernel has given
+the same id since.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,9 @@
 
 
 def born(pid: int) -> int:
-    """When a process was started, in the kernel's ticks since boot; 0 where it is no more."""
+    """When a process was started, in the kernel's ticks since boot; 0 where it is no
+    more.
+    """
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -45,7 +49,9 @@
 
 
 async def end(folder: Path) -> list[int]:
-    """SIGKILL to each of them that still lives, and wait until they are gone (GONE_S at most); their ids."""
+    """SIGKILL to each of them that still lives, and wait until they are gone (GONE_S at
+    most); their ids.
+    """
     living = left(folder)
     for pid in living:
         with contextlib.suppress(ProcessLookupError):
--- a/lemonshunt/lab/plan.py
+++ b/lemonshunt/lab/plan.py
@@ -1,8 +1,10 @@
-"""The load of an experiment, fixed in advance: open loop, so a slow forwarder cannot slow the load.
+"""The load of an experiment, fixed in advance: open loop, so a slow forwarder cannot
+slow the load.
 
-Send times are a Poisson process at the experiment's rate, drawn from ``--seed``; each message has its class,
-destination and first forwarder drawn too. The same seed gives the same messages at the same times.
-A session's messages go to one destination, each handed in once the one before has its answer (``load.py``).
+Send times are a Poisson process at the experiment's rate, drawn from ``--seed``; each
+message has its class, destination and first forwarder drawn too. The same seed gives
+the same messages at the same times. A session's messages go to one destination, each
+handed in once the one before has its answer (``load.py``).
 """
 
 from __future__ import annotations
@@ -26,12 +28,16 @@
     forwarder: int
     """Index of the forwarder that the front hands it to first."""
     session: str = ""
-    """The key of its order, of a class that keeps it; ``number`` counts that session's messages from 0."""
+    """The key of its order, of a class that keeps it; ``number`` counts that session's
+    messages from 0.
+    """
     number: int = 0
 
 
 def messages(experiment: Experiment, seed: int) -> list[Planned]:
-    """Every message of the run in order of its send time; ValueError past MAX_MESSAGES."""
+    """Every message of the run in order of its send time; ValueError past
+    MAX_MESSAGES.
+    """
     chance = random.Random(seed)
     load, classes = experiment.load, experiment.load.classes
     fronts = load.forwarders or experiment.fleet.forwarders
--- a/lemonshunt/lab/proxy.py
+++ b/lemonshunt/lab/proxy.py
@@ -1,9 +1,11 @@
-"""A fault proxy for one link of the lab: TCP on loopback, bytes passed on or held, delayed, cut or reset.
-
-States (``docs/parts.md``, the fleet lab): ``pass``; ``delay`` each chunk by ``delay_ms`` plus a uniform
-jitter; ``drop`` (open connections and new ones are reset); ``reset`` (the next chunk to the peer is passed
-on and then both sides are reset, so a request may have run); ``silence`` (connections are accepted and read,
-nothing is passed on, and they are reset at the end, as a machine that was cut off and comes back);
+"""A fault proxy for one link of the lab: TCP on loopback, bytes passed on or held,
+delayed, cut or reset.
+
+States (``docs/parts.md``, the fleet lab): ``pass``; ``delay`` each chunk by
+``delay_ms`` plus a uniform jitter; ``drop`` (open connections and new ones are reset);
+``reset`` (the next chunk to the peer is passed on and then both sides are reset, so a
+request may have run); ``silence`` (connections are accepted and read, nothing is passed
+on, and they are reset at the end, as a machine that was cut off and comes back);
 ``oneway`` (bytes toward the peer pass, answers are held until the link heals).
 """
 
@@ -40,9 +42,11 @@
 
 @dataclass(slots=True)
 class Gate:
-    """The bound on connections open through all links together. A connection that is taken up costs this
-    process four descriptors at most (both ends of the link and, for a stand-in, of its server); with no
-    bound the accept loop meets the descriptors' end and logs that again and again."""
+    """The bound on connections open through all links together. A connection that is
+    taken up costs this process four descriptors at most (both ends of the link and, for
+    a stand-in, of its server); with no bound the accept loop meets the descriptors' end
+    and logs that again and again.
+    """
 
     most: int
     refusing: Callable[[], None] = lambda: None
@@ -69,7 +73,9 @@
 
 
 def room() -> int:
-    """Proxied connections that this process's descriptors allow, its limit raised as far as it goes."""
+    """Proxied connections that this process's descriptors allow, its limit raised as
+    far as it goes.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         with contextlib.suppress(ValueError, OSError):
@@ -94,7 +100,9 @@
 
 @dataclass
 class Link:
-    """One proxied link: ``listen`` is where its user dials, ``host:port`` the peer behind it."""
+    """One proxied link: ``listen`` is where its user dials, ``host:port`` the peer
+    behind it.
+    """
 
     name: str
     host: str
--- a/lemonshunt/lab/reader.py
+++ b/lemonshunt/lab/reader.py
@@ -1,4 +1,6 @@
-"""Taking values out of an experiment file by path, with every fault kept instead of stopping at the first."""
+"""Taking values out of an experiment file by path, with every fault kept instead of
+stopping at the first.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +19,9 @@
 
 
 class Reader:
-    """``take`` always gives a value of the wanted kind, so that reading goes on past a fault."""
+    """``take`` always gives a value of the wanted kind, so that reading goes on past a
+    fault.
+    """
 
     def __init__(self) -> None:
         self.faults: list[str] = []
--- a/lemonshunt/lab/relay.py
+++ b/lemonshunt/lab/relay.py
@@ -1,9 +1,10 @@
-"""One forwarder's way to the list service's process: HTTP passed on, each dial that the service tells
-replaced by this forwarder's own proxy.
+"""One forwarder's way to the list service's process: HTTP passed on, each dial that the
+service tells replaced by this forwarder's own proxy.
 
-PROTOCOL lets ``dial`` vary by forwarder, the service tells all of them one; so each forwarder has a relay
-between its proxied link and the service. It changes dials and the answer's length, nothing else: it keeps
-no list, answers nothing by itself, and its connections end with the service's.
+PROTOCOL lets ``dial`` vary by forwarder, the service tells all of them one; so each
+forwarder has a relay between its proxied link and the service. It changes dials and the
+answer's length, nothing else: it keeps no list, answers nothing by itself, and its
+connections end with the service's.
 """
 
 from __future__ import annotations
@@ -23,11 +24,15 @@
     32 * 1024 * 1024
 )  # bytes; a list of 44,000 endpoints, written out for reading, is 14 MB
 NAMES = {"hosts": "host", "members": "name"}
-"""Lists in the service's answers whose entries have a dial, and the field that names the entry."""
+"""Lists in the service's answers whose entries have a dial, and the field that names
+the entry.
+"""
 
 
 def rewritten(body: bytes, dials: Mapping[str, str]) -> bytes:
-    """An answer's body with the dials of known hosts and members replaced; as it was if it holds none."""
+    """An answer's body with the dials of known hosts and members replaced; as it was if
+    it holds none.
+    """
     if b'"dial"' not in body:
         return body
     try:
@@ -45,7 +50,9 @@
 
 
 async def message(reader: asyncio.StreamReader) -> tuple[list[str], bytes] | None:
-    """One HTTP/1.1 message as its head's lines and its body; None at a clean end, ValueError past a bound."""
+    """One HTTP/1.1 message as its head's lines and its body; None at a clean end,
+    ValueError past a bound.
+    """
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as error:
@@ -76,8 +83,9 @@
 
 @dataclass
 class Relay:
-    """Listens at ``listen`` for one forwarder; ``port`` is the service's. ``noticed`` hears each notice that
-    the service answered with 2xx."""
+    """Listens at ``listen`` for one forwarder; ``port`` is the service's. ``noticed``
+    hears each notice that the service answered with 2xx.
+    """
 
     port: int
     dials: Mapping[str, str]
@@ -116,7 +124,8 @@
                 asyncio.create_task(self._up(reader, peer, asked)),
                 asyncio.create_task(self._down(answers, writer, asked)),
             ]
-            # Either side's end is the other's: a forwarder that leaves frees its watch, a dead service shows.
+            # Either side's end is the other's: a forwarder that leaves frees its watch,
+            # a dead service shows.
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             if tasks[1].done() and tasks[1].exception() is None:
                 writer.write_eof()  # all that it said has been passed on
--- a/lemonshunt/lab/report.py
+++ b/lemonshunt/lab/report.py
@@ -1,5 +1,7 @@
-"""The report of a lab run: outcomes and latency per 100 ms over the timeline, the faults drawn on it (PNG),
-and a page of figures (Markdown). Made from the records alone, so ``report DIR`` can draw it again."""
+"""The report of a lab run: outcomes and latency per 100 ms over the timeline, the
+faults drawn on it (PNG), and a page of figures (Markdown). Made from the records alone,
+so ``report DIR`` can draw it again.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +19,9 @@
 
 
 def buckets(records: Iterable[Mapping[str, Any]]) -> dict[str, dict[int, int]]:
-    """Counts per 100 ms bucket: tries by their answer (by send time), deliveries by their time."""
+    """Counts per 100 ms bucket: tries by their answer (by send time), deliveries by
+    their time.
+    """
     counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in SERIES}
     for r in records:
         if r["kind"] == "try":
@@ -35,7 +39,9 @@
 
 
 def latencies(records: Iterable[Mapping[str, Any]]) -> dict[int, list[float]]:
-    """Milliseconds from the first send to the first delivery, by the bucket of the send."""
+    """Milliseconds from the first send to the first delivery, by the bucket of the
+    send.
+    """
     first: dict[str, int] = {}
     done: dict[str, int] = {}
     owner: dict[str, str] = {}
@@ -63,7 +69,9 @@
 
 
 def draw(folder: Path) -> Path:
-    """Write ``report.png`` and ``report.md`` into the folder of a run; FileNotFoundError if it holds none."""
+    """Write ``report.png`` and ``report.md`` into the folder of a run;
+    FileNotFoundError if it holds none.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
@@ -160,8 +168,10 @@
 
 
 def path(folder: Path, key: str) -> list[dict[str, Any]]:
-    """One message's way across processes, in time order: the lab's records of its tries, calls and notices,
-    and every forwarder's JSON log lines of its ids, all in ns from the start of the load."""
+    """One message's way across processes, in time order: the lab's records of its
+    tries, calls and notices, and every forwarder's JSON log lines of its ids, all in ns
+    from the start of the load.
+    """
     records, result = load(folder)
     ids = {r["id"] for r in records if r["kind"] == "try" and r["key"] == key}
     lines = [
--- a/lemonshunt/lab/runner.py
+++ b/lemonshunt/lab/runner.py
@@ -1,5 +1,7 @@
-"""A whole lab run: the stage set, the load and the faults driven on one clock, the records written and
-checked. Every process started is ended by its id on every way out."""
+"""A whole lab run: the stage set, the load and the faults driven on one clock, the
+records written and checked. Every process started is ended by its id on every way
+out.
+"""
 
 from __future__ import annotations
 
@@ -37,14 +39,17 @@
 
 @dataclass
 class Load:
-    """The load in a process of its own, so that the proxies' work cannot delay its sends."""
+    """The load in a process of its own, so that the proxies' work cannot delay its
+    sends.
+    """
 
     process: BaseProcess
     pipe: Connection
 
     async def told(self, limit_s: float) -> Any:
-        """What the load says next. Polled, not waited for in a thread: a thread that waits cannot be
-        cancelled, and would keep an interrupted lab from ending."""
+        """What the load says next. Polled, not waited for in a thread: a thread that
+        waits cannot be cancelled, and would keep an interrupted lab from ending.
+        """
         async with asyncio.timeout(limit_s):
             while not self.pipe.poll():
                 if not self.process.is_alive() and not self.pipe.poll():
@@ -65,7 +70,9 @@
     load: Load | None = None
 
     async def play(self) -> None:
-        """The load and the faults, on the same clock (CLOCK_MONOTONIC is one for the machine)."""
+        """The load and the faults, on the same clock (CLOCK_MONOTONIC is one for the
+        machine).
+        """
         exp = self.experiment
         faults = nemesis.timeline(exp, self.seed)
         ports = [self.links[f"client>{f}"].listen for f in exp.forwarder_names()]
@@ -108,7 +115,9 @@
         await self._settle()
 
     async def _settle(self) -> None:
-        """Wait until every message taken on has its end, or the settle time has passed."""
+        """Wait until every message taken on has its end, or the settle time has
+        passed.
+        """
         limit = self.clock() + int(self.experiment.settle_s * 1e9)
         while self.clock() < limit and self.checked()["lost"]:
             await asyncio.sleep(POLL_S)
@@ -156,12 +165,14 @@
 
 
 async def run(experiment: Experiment, seed: int, out: Path) -> dict[str, Any]:
-    """Play an experiment into ``out`` (created) and give its verdict; processes are ended also on errors, at
-    SIGINT and at SIGTERM (CancelledError then)."""
+    """Play an experiment into ``out`` (created) and give its verdict; processes are
+    ended also on errors, at SIGINT and at SIGTERM (CancelledError then).
+    """
     out.mkdir(parents=True, exist_ok=True)
     if (
         out / pids.FILE
-    ).exists():  # a run's folder, played into again: what members kept is not this run's
+        # a run's folder, played into again: what members kept is not this run's
+    ).exists():
         shutil.rmtree(out / "members", ignore_errors=True)
         (out / pids.FILE).unlink()
     sink = logs.configure(out / "lab.jsonl")
--- a/lemonshunt/lab/sections.py
+++ b/lemonshunt/lab/sections.py
@@ -1,4 +1,6 @@
-"""The tables ``[fleet]``, ``[load]`` and ``[[budgets]]`` of an experiment file, checked."""
+"""The tables ``[fleet]``, ``[load]`` and ``[[budgets]]`` of an experiment file,
+checked.
+"""
 
 from __future__ import annotations
 
@@ -111,7 +113,9 @@
 
 
 def _parts(r: Reader, t: Mapping[str, Any]) -> Mapping[str, Any]:
-    """Values that a forwarder's configuration (JSON) can hold: TOML's dates are none."""
+    """Values that a forwarder's configuration (JSON) can hold: TOML's dates are
+    none.
+    """
     try:
         return dict(json.loads(json.dumps(t, allow_nan=False)))
     except (TypeError, ValueError) as error:
--- a/lemonshunt/lab/service.py
+++ b/lemonshunt/lab/service.py
@@ -1,5 +1,6 @@
-"""The list service as a process of the lab: ``python -m lemonshunt.registry``, its endpoints registered
-through its write address, as the servers' operators do."""
+"""The list service as a process of the lab: ``python -m lemonshunt.registry``, its
+endpoints registered through its write address, as the servers' operators do.
+"""
 
 from __future__ import annotations
 
@@ -37,8 +38,10 @@
 
 @dataclass
 class ServiceProcess(Process):
-    """The process ``list``. It keeps its ports over its restarts; ``hosts`` are registered at each start,
-    which changes nothing where its folder still lists them."""
+    """The process ``list``. It keeps its ports over its restarts; ``hosts`` are
+    registered at each start, which changes nothing where its folder still lists
+    them.
+    """
 
     listen: int = 0
     write: int = 0
--- a/lemonshunt/lab/shapes.py
+++ b/lemonshunt/lab/shapes.py
@@ -1,6 +1,8 @@
-"""What an experiment of the fleet lab is made of: members, links, load, faults, budgets.
+"""What an experiment of the fleet lab is made of: members, links, load, faults,
+budgets.
 
-Times are seconds from the start of the load, rates messages a second; see ``docs/operations.md``.
+Times are seconds from the start of the load, rates messages a second; see
+``docs/operations.md``.
 """
 
 from __future__ import annotations
@@ -17,10 +19,14 @@
 EFFECTS = ("once", "repeatable")
 MAX_FORWARDERS = 64
 MAX_PEERS = 32
-"""Forwarders at most where each has a proxied link to each other one: their links grow with the square."""
+"""Forwarders at most where each has a proxied link to each other one: their links grow
+with the square.
+"""
 MAX_RATE = 20_000.0
 SERVICE = "list"
-"""The name of the list service's process, and of the discovery end of the links to it."""
+"""The name of the list service's process, and of the discovery end of the links to
+it.
+"""
 FLEET = "fleet"
 """The name of the fleet end (beats) of the links to the list service."""
 
@@ -46,14 +52,17 @@
     """How many forwarders, from ``f0`` on, are handed messages; 0 for all."""
     sessions: int = 0
     sessions_at: str = "home"
-    """``home``: a session's clients stay at one forwarder; ``any``: each message comes at any."""
+    """``home``: a session's clients stay at one forwarder; ``any``: each message comes
+    at any.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One event of the timeline. ``target`` names a forwarder, an endpoint or the list service (``f1``,
-    ``e3``, ``list``), or is a glob of link names (``f1>e*``, ``*>list``) for link faults; ``zone`` hits
-    every link into or out of a zone."""
+    """One event of the timeline. ``target`` names a forwarder, an endpoint or the list
+    service (``f1``, ``e3``, ``list``), or is a glob of link names (``f1>e*``,
+    ``*>list``) for link faults; ``zone`` hits every link into or out of a zone.
+    """
 
     at_s: float
     kind: str
@@ -70,8 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """The whole of a destination: at most ``calls`` in any sliding ``span_ms``, from all forwarders
-    together. ``enforce``: its endpoints refuse (429 with a wait) what they are called beyond it."""
+    """The whole of a destination: at most ``calls`` in any sliding ``span_ms``, from
+    all forwarders together. ``enforce``: its endpoints refuse (429 with a wait) what
+    they are called beyond it.
+    """
 
     destination: int
     calls: int
@@ -81,9 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Nemesis:
-    """Faults drawn from the seed (``nemesis.py``): how many a second, of which kinds, the longest stop or
-    cut, how long before the load's end the last one is over, and the shares of restarts that lose the
-    folder (of a forwarder, of the service)."""
+    """Faults drawn from the seed (``nemesis.py``): how many a second, of which kinds,
+    the longest stop or cut, how long before the load's end the last one is over, and
+    the shares of restarts that lose the folder (of a forwarder, of the service).
+    """
 
     rate_per_s: float
     kinds: tuple[str, ...]
@@ -105,13 +117,17 @@
     endpoint_rate: float = 200.0
     """Calls a second that each endpoint is listed for (its ``share`` in the list)."""
     service: bool = False
-    """The list service is a process of its own (``python -m lemonshunt.registry``), not a stand-in."""
+    """The list service is a process of its own (``python -m lemonshunt.registry``), not
+    a stand-in.
+    """
     service_args: tuple[str, ...] = ()
     """Added to its command line, such as ``["--lease-ms", "900"]``."""
     peers: bool = False
     """Each forwarder has a proxied link to each other one."""
     most_connections: int = 0
-    """Proxied connections open at once; 0 for what the descriptors of the lab's process allow."""
+    """Proxied connections open at once; 0 for what the descriptors of the lab's process
+    allow.
+    """
     parts: Mapping[str, Any] = field(default_factory=dict)
     """Copied into the ``fleet`` object of every forwarder's configuration."""
 
@@ -143,7 +159,9 @@
         return [*self.forwarder_names(), *([SERVICE] if self.fleet.service else [])]
 
     def zone_of(self, member: str) -> str:
-        """Members are spread over the zones in turn: f0 and e0 in the first, f1 and e1 in the second."""
+        """Members are spread over the zones in turn: f0 and e0 in the first, f1 and e1
+        in the second.
+        """
         return self.fleet.zones[int(member[1:]) % len(self.fleet.zones)]
 
     def destination_of(self, endpoint: str) -> int:
@@ -156,8 +174,9 @@
 
 
 def links_of(experiment: Experiment) -> list[str]:
-    """Every link's name: ``client>f0``, ``f0>e1``, ``f0>list``; with the service as a process ``f0>fleet``,
-    and with peers ``f0>f1``."""
+    """Every link's name: ``client>f0``, ``f0>e1``, ``f0>list``; with the service as a
+    process ``f0>fleet``, and with peers ``f0>f1``.
+    """
     names: list[str] = []
     for fwd in experiment.forwarder_names():
         names += [
@@ -174,7 +193,9 @@
 
 
 def chosen_links(experiment: Experiment, fault: Fault) -> list[str]:
-    """The links that a link fault hits: by glob, or all those with one end in its zone."""
+    """The links that a link fault hits: by glob, or all those with one end in its
+    zone.
+    """
     every = links_of(experiment)
     if fault.zone:
 
--- a/lemonshunt/lab/stage.py
+++ b/lemonshunt/lab/stage.py
@@ -1,5 +1,7 @@
-"""What stands around the load of a run: stand-ins, proxied links, the list service and the forwarders,
-built and ended. Every process started is noted on disk by its id and ended by it on every way out."""
+"""What stands around the load of a run: stand-ins, proxied links, the list service and
+the forwarders, built and ended. Every process started is noted on disk by its id and
+ended by it on every way out.
+"""
 
 from __future__ import annotations
 
@@ -124,7 +126,9 @@
         self.log.info("started", forwarders=len(self.members), links=len(self.links))
 
     async def _service(self) -> ServiceProcess:
-        """The list service; its entries' dials are the endpoints' own, which no forwarder is ever told."""
+        """The list service; its entries' dials are the endpoints' own, which no
+        forwarder is ever told.
+        """
         exp = self.experiment
         own = {
             e: f"127.0.0.1:{endpoint.port}" for e, endpoint in self.endpoints.items()
--- a/lemonshunt/lab/standins.py
+++ b/lemonshunt/lab/standins.py
@@ -1,5 +1,7 @@
-"""Stand-ins for what the forwarder serves, written from PROTOCOL: endpoints (Forwarders to endpoints) and
-the platform's list and notices (Discovery, Notices). They run in the lab's process, on its clock."""
+"""Stand-ins for what the forwarder serves, written from PROTOCOL: endpoints (Forwarders
+to endpoints) and the platform's list and notices (Discovery, Notices). They run in the
+lab's process, on its clock.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +25,10 @@
 async def read_request(
     reader: asyncio.StreamReader,
 ) -> tuple[str, str, dict[str, str], bytes] | None:
-    """One HTTP/1.1 message: the first two words of its first line (of a request its method and path, of an
-    answer its version and status), headers (lower-case names), body; None at a clean end, ValueError for a
-    head or body past its limit."""
+    """One HTTP/1.1 message: the first two words of its first line (of a request its
+    method and path, of an answer its version and status), headers (lower-case names),
+    body; None at a clean end, ValueError for a head or body past its limit.
+    """
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -54,7 +57,9 @@
 
 
 class Server:
-    """A keep-alive HTTP server on loopback whose ``handle`` gives the bytes of each answer."""
+    """A keep-alive HTTP server on loopback whose ``handle`` gives the bytes of each
+    answer.
+    """
 
     def __init__(self) -> None:
         self.port = 0
@@ -116,14 +121,18 @@
 
 @dataclass
 class Meter:
-    """A destination's limit, shared by its endpoints: ``calls`` in any sliding ``span_ns``."""
+    """A destination's limit, shared by its endpoints: ``calls`` in any sliding
+    ``span_ns``.
+    """
 
     calls: int
     span_ns: int
     taken: deque[int] = field(default_factory=deque)
 
     def wait_ns(self, now_ns: int) -> int:
-        """0 where a call is within the limit (and counts for it), else the time until one will be."""
+        """0 where a call is within the limit (and counts for it), else the time until
+        one will be.
+        """
         while self.taken and now_ns - self.taken[0] >= self.span_ns:
             self.taken.popleft()
         if len(self.taken) < self.calls:
@@ -186,7 +195,9 @@
 
 @dataclass
 class ListService(Server):
-    """The platform's list for one forwarder (its dials are that forwarder's proxies), and the notices."""
+    """The platform's list for one forwarder (its dials are that forwarder's proxies),
+    and the notices.
+    """
 
     hosts: list[dict[str, Any]] = field(default_factory=list)
     clock: Callable[[], int] = time.monotonic_ns
--- a/lemonshunt/lab/summary.py
+++ b/lemonshunt/lab/summary.py
@@ -10,7 +10,9 @@
 
 @dataclass(slots=True)
 class Played:
-    """One seed's run. ``verdict`` is empty where it wrote none; ``breaches`` then says why."""
+    """One seed's run. ``verdict`` is empty where it wrote none; ``breaches`` then says
+    why.
+    """
 
     seed: int
     code: int
@@ -30,7 +32,9 @@
 
 
 def _least_used(v: Mapping[str, Any]) -> Any:
-    """Infinite where no budget is named, so that it is never the least; such figures are left out."""
+    """Infinite where no budget is named, so that it is never the least; such figures
+    are left out.
+    """
     return min((b["used"] for b in v.get("budgets", {}).values()), default=math.inf)
 
 
@@ -64,7 +68,9 @@
     "longest_pause_ms": lambda v: _at(v, "sessions", "longest_pause_ms"),
     "lag_max_ms": lambda v: _at(v, "lag_ms", "max"),
 }
-"""Figures of which a sweep tells the worst only: the greatest, of ``used`` the least."""
+"""Figures of which a sweep tells the worst only: the greatest, of ``used`` the
+least.
+"""
 SHOWN = (
     "messages",
     "delivered",
@@ -79,8 +85,9 @@
 
 
 def summary(name: str, wanted: Sequence[int], runs: Sequence[Played]) -> dict[str, Any]:
-    """Per seed its figures, the totals, the worst of each with its seed, and ``exit``: 1 on any breach and
-    where a seed was not played."""
+    """Per seed its figures, the totals, the worst of each with its seed, and ``exit``:
+    1 on any breach and where a seed was not played.
+    """
     runs = sorted(runs, key=lambda p: p.seed)
     whole = [p for p in runs if p.verdict]
     figures = {p.seed: _figures(p.verdict) for p in whole}
--- a/lemonshunt/lab/sweep.py
+++ b/lemonshunt/lab/sweep.py
@@ -1,7 +1,9 @@
-"""Many runs of one experiment, each seed a process of its own, some at a time; one summary of all.
+"""Many runs of one experiment, each seed a process of its own, some at a time; one
+summary of all.
 
-A run has a bounded time. It is ended by SIGTERM to its id (it then ends what it started itself); should it
-not, by SIGKILL, and what it had started by the ids that it noted in its folder.
+A run has a bounded time. It is ended by SIGTERM to its id (it then ends what it started
+itself); should it not, by SIGKILL, and what it had started by the ids that it noted in
+its folder.
 """
 
 from __future__ import annotations
@@ -29,7 +31,9 @@
 
 
 def seeds(text: str) -> list[int]:
-    """``1-3,7`` is 1, 2, 3, 7; ArgumentTypeError where it is not so written, or beyond MOST_SEEDS."""
+    """``1-3,7`` is 1, 2, 3, 7; ArgumentTypeError where it is not so written, or beyond
+    MOST_SEEDS.
+    """
     found: dict[int, None] = {}
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -61,7 +65,9 @@
 
 
 def limit_s(experiment: Experiment) -> float:
-    """The longest that a run may take: its starts, its load, its faults' ends, its settling, and slack."""
+    """The longest that a run may take: its starts, its load, its faults' ends, its
+    settling, and slack.
+    """
     tail = max((f.for_s + f.after_s for f in experiment.faults), default=0.0)
     if experiment.nemesis is not None:
         tail = max(tail, experiment.nemesis.longest_s)
@@ -82,7 +88,9 @@
         self.runs: list[Played] = []
 
     async def play(self, wanted: list[int], at_once: int) -> None:
-        """Every seed once, ``at_once`` at a time; cancelled, it ends the runs that it started."""
+        """Every seed once, ``at_once`` at a time; cancelled, it ends the runs that it
+        started.
+        """
         waiting = iter(wanted)
 
         async def worker() -> None:
@@ -93,8 +101,8 @@
             asyncio.create_task(worker()) for _ in range(min(at_once, len(wanted)))
         ]
         try:
-            # Not gather: cancelled, it cancels the workers and returns with the first of them, and a second
-            # cancel would break off the ending in another.
+            # Not gather: cancelled, it cancels the workers and returns with the first
+            # of them, and a second cancel would break off the ending in another.
             await asyncio.wait(workers, return_when=asyncio.FIRST_EXCEPTION)
         finally:
             for task in workers:
@@ -132,7 +140,8 @@
                     stdin=asyncio.subprocess.DEVNULL,
                     stdout=log,
                     stderr=log,
-                    start_new_session=True,  # an interrupt from the terminal comes to the sweep alone
+                    # an interrupt from the terminal comes to the sweep alone
+                    start_new_session=True,
                 )
             )
             why = ""
@@ -201,7 +210,9 @@
     out: Path,
     keep: str = "all",
 ) -> int:
-    """Play, write ``summary.json``, print the table; 0, 1 on any breach, 130 where it was interrupted."""
+    """Play, write ``summary.json``, print the table; 0, 1 on any breach, 130 where it
+    was interrupted.
+    """
     out.mkdir(parents=True, exist_ok=True)
     work = Sweep(experiment, path, out, keep)
     interrupted = False
--- a/lemonshunt/lab/timeline.py
+++ b/lemonshunt/lab/timeline.py
@@ -1,4 +1,6 @@
-"""The faults of a run, each applied at its time and healed: on links, processes and endpoints."""
+"""The faults of a run, each applied at its time and healed: on links, processes and
+endpoints.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +14,9 @@
 
 
 async def play(stage: Stage, faults: Iterable[Fault]) -> None:
-    """Every fault at its time; returns when all are over, and ends them all where it is cancelled."""
+    """Every fault at its time; returns when all are over, and ends them all where it is
+    cancelled.
+    """
     tasks = [asyncio.create_task(_fault(stage, f)) for f in faults]
     try:
         await asyncio.gather(*tasks)
--- a/lemonshunt/lab/verdicts/__init__.py
+++ b/lemonshunt/lab/verdicts/__init__.py
@@ -1,7 +1,9 @@
-"""What the processes' own records show of a run, part by part, and what of it is a breach.
+"""What the processes' own records show of a run, part by part, and what of it is a
+breach.
 
-Each part's check is a pure function over records (dicts; times in ns from the start of the load) in a file
-of its own; ``sections`` puts them together as they stand in ``verdict.json``.
+Each part's check is a pure function over records (dicts; times in ns from the start of
+the load) in a file of its own; ``sections`` puts them together as they stand in
+``verdict.json``.
 """
 
 from __future__ import annotations
@@ -47,7 +49,9 @@
 
 
 def breaches(result: Mapping[str, Any]) -> list[str]:
-    """Each rule that a verdict shows broken, as 'name: how much'; empty for a clean run."""
+    """Each rule that a verdict shows broken, as 'name: how much'; empty for a clean
+    run.
+    """
     found = [
         f"{name}: {result[name]}"
         for name in ("lost", "doubled", "phantoms")
--- a/lemonshunt/lab/verdicts/budgets.py
+++ b/lemonshunt/lab/verdicts/budgets.py
@@ -1,4 +1,6 @@
-"""Whether the calls that left all forwarders stayed within a destination's whole in every sliding span."""
+"""Whether the calls that left all forwarders stayed within a destination's whole in
+every sliding span.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +11,10 @@
 
 
 def worst_span(times_ns: Sequence[int], span_ns: int) -> tuple[int, int]:
-    """The most of the (sorted) times in any half-open window [t, t + span), and where it begins first.
-    Exact: a fullest window can always be moved right until it begins at one of the times. O(n)."""
+    """The most of the (sorted) times in any half-open window [t, t + span), and where
+    it begins first. Exact: a fullest window can always be moved right until it begins
+    at one of the times. O(n).
+    """
     worst, at, last = 0, 0, 0
     for first, begin in enumerate(times_ns):
         while last < len(times_ns) and times_ns[last] - begin < span_ns:
@@ -21,8 +25,9 @@
 
 
 def spans_over(times_ns: Sequence[int], span_ns: int, calls: int) -> int:
-    """How many of the calls were beyond the whole as they left: each with ``calls`` others in the span that
-    ends with it."""
+    """How many of the calls were beyond the whole as they left: each with ``calls``
+    others in the span that ends with it.
+    """
     over, first = 0, 0
     for n, at in enumerate(times_ns):
         while at - times_ns[first] >= span_ns:
@@ -38,9 +43,11 @@
     span_ms: int,
     end_ns: int,
 ) -> dict[str, Any]:
-    """The figures of one destination. ``over`` is by how many calls the worst sliding span passes the whole,
-    ``calls_over`` how many calls left beyond it, ``used`` the part of the whole sent from the load's start to
-    its end, ``used_accepted`` the part that endpoints did not refuse."""
+    """The figures of one destination. ``over`` is by how many calls the worst sliding
+    span passes the whole, ``calls_over`` how many calls left beyond it, ``used`` the
+    part of the whole sent from the load's start to its end, ``used_accepted`` the part
+    that endpoints did not refuse.
+    """
     sent: list[int] = []
     at_endpoints: list[tuple[int, int]] = []
     for r in records:
--- a/lemonshunt/lab/verdicts/leases.py
+++ b/lemonshunt/lab/verdicts/leases.py
@@ -1,7 +1,8 @@
 """Whether any lease was acted on by two, or its token went back.
 
-``granted`` is the service's record that a lease has a holder under a token (a renewal grants nothing new),
-``acted`` a member's record of what it did under one. Tokens are [epoch, number] and compare in that order.
+``granted`` is the service's record that a lease has a holder under a token (a renewal
+grants nothing new), ``acted`` a member's record of what it did under one. Tokens are
+[epoch, number] and compare in that order.
 """
 
 from __future__ import annotations
@@ -24,9 +25,11 @@
 
 
 def check(records: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
-    """``overlaps``: acts by one member while the lease was another's (granted to that one before, under a
-    higher token, or acted on by it under the same); ``tokens_back``: grants that do not rise, and acts under
-    a token below one acted under before. Of records of one moment the grants count first."""
+    """``overlaps``: acts by one member while the lease was another's (granted to that
+    one before, under a higher token, or acted on by it under the same);
+    ``tokens_back``: grants that do not rise, and acts under a token below one acted
+    under before. Of records of one moment the grants count first.
+    """
     kinds = {"granted": 0, "acted": 1}
     every = sorted(
         (r for r in records if r["kind"] in kinds),
--- a/lemonshunt/lab/verdicts/sessions.py
+++ b/lemonshunt/lab/verdicts/sessions.py
@@ -1,8 +1,9 @@
 """Whether keyed sessions kept their order, whole, through hand-overs.
 
-From the load's ``try`` records with ``session`` and ``number``, the endpoints' ``call`` records, and the
-forwarders' ``session`` records (``key``, ``step``, ``member``, ``at_ns``), whose steps are those of
-``docs/parts.md``: held, offered, frozen, copied, committed, tail, done, aborted.
+From the load's ``try`` records with ``session`` and ``number``, the endpoints' ``call``
+records, and the forwarders' ``session`` records (``key``, ``step``, ``member``,
+``at_ns``), whose steps are those of ``docs/parts.md``: held, offered, frozen, copied,
+committed, tail, done, aborted.
 """
 
 from __future__ import annotations
@@ -17,9 +18,11 @@
 
 
 def out_of_order(records: Iterable[Mapping[str, Any]]) -> list[tuple[str, int]]:
-    """(session, number) of each message that an endpoint was called for, before its delivery, after a later
-    one of its session was delivered. Only hand-ins that were taken on have an order: what was sent under an
-    id that no answer came to counts for nothing (PROTOCOL)."""
+    """(session, number) of each message that an endpoint was called for, before its
+    delivery, after a later one of its session was delivered. Only hand-ins that were
+    taken on have an order: what was sent under an id that no answer came to counts for
+    nothing (PROTOCOL).
+    """
     place: dict[str, tuple[str, int]] = {}
     calls: list[Mapping[str, Any]] = []
     for r in records:
@@ -55,8 +58,9 @@
 
 
 def hand_overs(records: Iterable[Mapping[str, Any]]) -> HandOvers:
-    """A hand-over of a key goes from ``offered`` to the next ``offered`` of that key. Its pause is from
-    ``frozen`` to the first ``committed`` or ``aborted`` after it."""
+    """A hand-over of a key goes from ``offered`` to the next ``offered`` of that key.
+    Its pause is from ``frozen`` to the first ``committed`` or ``aborted`` after it.
+    """
     steps = sorted(
         (r for r in records if r["kind"] == "session"), key=lambda r: r["at_ns"]
     )
@@ -94,8 +98,9 @@
     effects: Mapping[str, str],
     deadlines_ns: Mapping[str, int],
 ) -> dict[str, Any]:
-    """``seen`` counts the forwarders' records, ``messages`` the keyed ones of the load; lost, doubled and
-    out of order are of those."""
+    """``seen`` counts the forwarders' records, ``messages`` the keyed ones of the load;
+    lost, doubled and out of order are of those.
+    """
     joined = checker.join(records, deadlines_ns)
     keyed = [m for m in joined.messages.values() if m.session]
     late, moves = out_of_order(records), hand_overs(records)
--- a/lemonshunt/lab/verdicts/shards.py
+++ b/lemonshunt/lab/verdicts/shards.py
@@ -1,8 +1,9 @@
 """Whether any key had two owners acting, and for how long keys had none.
 
-An ``owns`` record: ``member`` acts for every key from ``from`` to ``to`` (16 hexadecimal digits, inclusive)
-from ``begin_ns`` to ``end_ns``, which is null while it lasts. The keys are cut at every range's ends, so
-that within one piece all keys have the same owners at each moment: the result is exact for all 2**64.
+An ``owns`` record: ``member`` acts for every key from ``from`` to ``to`` (16
+hexadecimal digits, inclusive) from ``begin_ns`` to ``end_ns``, which is null while it
+lasts. The keys are cut at every range's ends, so that within one piece all keys have
+the same owners at each moment: the result is exact for all 2**64.
 """
 
 from __future__ import annotations
@@ -26,8 +27,9 @@
 
 
 def owned(records: Iterable[Mapping[str, Any]], end_ns: int) -> list[Owned]:
-    """The stretches of owning. Of records of one beginning an ended one counts over an open one; an open one
-    ends where its process next does, else with the run."""
+    """The stretches of owning. Of records of one beginning an ended one counts over an
+    open one; an open one ends where its process next does, else with the run.
+    """
     open_until: dict[tuple[str, int, int, int, int], int | None] = {}
     ends: dict[str, list[int]] = {}
     for r in records:
@@ -56,7 +58,9 @@
 
 
 def pieces(stretches: list[Owned]) -> list[tuple[int, int, list[Owned]]]:
-    """The key space cut at the ranges' ends: (first, last, the stretches that hold those keys)."""
+    """The key space cut at the ranges' ends: (first, last, the stretches that hold
+    those keys).
+    """
     cuts = sorted(
         {0, 1 << 64} | {s.first for s in stretches} | {s.last + 1 for s in stretches}
     )
@@ -70,10 +74,12 @@
 
 
 def check(records: Iterable[Mapping[str, Any]], end_ns: int) -> dict[str, Any]:
-    """``two_owners``: how many times a piece had two members acting at once, with ``two_owners_keys`` keys
-    ever and ``two_owners_longest_ms``; ``unowned_keys`` had none at some time between their first owner and
-    the end of the load, ``unowned_longest_ms`` at most; ``never_owned_keys`` none at all (0 where none was
-    seen)."""
+    """``two_owners``: how many times a piece had two members acting at once, with
+    ``two_owners_keys`` keys ever and ``two_owners_longest_ms``; ``unowned_keys`` had
+    none at some time between their first owner and the end of the load,
+    ``unowned_longest_ms`` at most; ``never_owned_keys`` none at all (0 where none was
+    seen).
+    """
     stretches = owned(records, end_ns)
     doubled: list[dict[str, Any]] = []
     doubled_keys = gap_keys = never = longest = gap_longest = 0
@@ -110,7 +116,9 @@
 
 
 def _overlaps(here: list[Owned]) -> list[tuple[Owned, Owned, int, int]]:
-    """Pairs of stretches of different members that share time; each pair once, ``here`` by beginning."""
+    """Pairs of stretches of different members that share time; each pair once, ``here``
+    by beginning.
+    """
     found = []
     active: list[Owned] = []
     for s in here:
--- a/lemonshunt/lease/guard.py
+++ b/lemonshunt/lease/guard.py
@@ -1,4 +1,6 @@
-"""What stands before whatever a lease guards: it serves no token below one that it has seen for the name."""
+"""What stands before whatever a lease guards: it serves no token below one that it has
+seen for the name.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +13,20 @@
 
 
 class Guard:
-    """Highest token seen for each name, `most` names at most. Past that the name seen longest ago is let
-    go and its token becomes the floor: a name not known is refused below it, never served on trust."""
+    """Highest token seen for each name, `most` names at most. Past that the name seen
+    longest ago is let go and its token becomes the floor: a name not known is refused
+    below it, never served on trust.
+    """
 
     def __init__(self, most: int = 10_000) -> None:
         self.most, self.floor = max(most, 1), NEVER
         self._seen: OrderedDict[str, Token] = OrderedDict()
 
     def check(self, name: str, token: Token) -> bool:
-        """Before the action. Refused(409), with the token `seen`, where a higher one was; else True if this
-        one is higher than any before: keep a snapshot before acting where the guard is to outlive a crash."""
+        """Before the action. Refused(409), with the token `seen`, where a higher one
+        was; else True if this one is higher than any before: keep a snapshot before
+        acting where the guard is to outlive a crash.
+        """
         before = self.seen(name)
         if token < before:
             raise Refused(
--- a/lemonshunt/lease/holder.py
+++ b/lemonshunt/lease/holder.py
@@ -1,4 +1,6 @@
-"""The member's own view of its lease: whether it may act now, by its own clock and nobody's word."""
+"""The member's own view of its lease: whether it may act now, by its own clock and
+nobody's word.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """One request, noted before it leaves. `token` is None where a lease is acquired, not renewed."""
+    """One request, noted before it leaves. `token` is None where a lease is acquired,
+    not renewed.
+    """
 
     sent: int
     at_us: int
@@ -23,8 +27,10 @@
 
 
 class Holder:
-    """One lease of one process. Call `asked` before a request leaves, then one of `answered`, `held`,
-    `refused` or `failed` with its `sent`. `random` gives floats from 0 below 1."""
+    """One lease of one process. Call `asked` before a request leaves, then one of
+    `answered`, `held`, `refused` or `failed` with its `sent`. `random` gives floats
+    from 0 below 1.
+    """
 
     def __init__(self, ttl_us: int, drift: float, random: Callable[[], float]) -> None:
         self.ttl_us, self.drift, self._random = ttl_us, drift, random
@@ -34,13 +40,16 @@
         self.next_renewal_us = 0
         """Own clock; when to ask again."""
         self.seen = NEVER
-        """Highest token met anywhere: goes with every call and lifts a service that is behind."""
+        """Highest token met anywhere: goes with every call and lifts a service that is
+        behind.
+        """
         self._out = NEVER  # this token and all below are over, whatever comes late
         self._asks: dict[int, Ask] = {}
         self._sent = self._newest = self._fails = 0
         self._now_us = 0
 
-    # -- may it act ----------------------------------------------------------------------------------
+    # -- may it act
+    # ----------------------------------------------------------------------------------
 
     def may_act(self, now_us: int) -> bool:
         """Ask again right before each guarded action, and send `token` with it."""
@@ -48,8 +57,10 @@
         return self._valid(now_us)
 
     def doubt(self) -> None:
-        """The clock cannot be trusted (it went back, the machine slept): nothing asked or answered so far
-        counts, the lease acts again only after an answer to a new request."""
+        """The clock cannot be trusted (it went back, the machine slept): nothing asked
+        or answered so far counts, the lease acts again only after an answer to a new
+        request.
+        """
         self.valid_until_us = self.next_renewal_us = 0
         self._asks.clear()
 
@@ -60,13 +71,16 @@
             self._over(self.token)
 
     def let_go(self) -> Token | None:
-        """Stop acting, for good under this token, which is returned to be released at the service."""
+        """Stop acting, for good under this token, which is returned to be released at
+        the service.
+        """
         token, self.seen = self.token, max(self.seen, self.token or NEVER)
         if token is not None:
             self._over(token)
         return token
 
-    # -- asking --------------------------------------------------------------------------------------
+    # -- asking
+    # --------------------------------------------------------------------------------------
 
     def asked(self, now_us: int) -> Ask:
         """Before the request leaves: the lease will count from this moment."""
@@ -75,13 +89,15 @@
         ask = self._asks[self._sent] = Ask(self._sent, now_us, self.token, self.seen)
         while len(self._asks) > MOST_ASKS:
             del self._asks[min(self._asks)]
-        # A third of the lease, less up to a quarter of that: two more tries fit before it is out.
+        # A third of the lease, less up to a quarter of that: two more tries fit before
+        # it is out.
         self.next_renewal_us = now_us + int(self._third_us() * (1 - self._random() / 4))
         return ask
 
     def answered(self, now_us: int, sent: int, token: Token, ttl_us: int) -> bool:
-        """Granted or renewed. False where the answer counts for nothing: its request is not known, a later
-        one was answered, or its token is over."""
+        """Granted or renewed. False where the answer counts for nothing: its request is
+        not known, a later one was answered, or its token is over.
+        """
         self._clock(now_us)
         ask = self._asks.pop(sent, None)
         self.seen = max(self.seen, token)
@@ -98,7 +114,9 @@
         return True
 
     def refused(self, now_us: int, sent: int, seen: Token = NEVER) -> None:
-        """409 for the token that was sent: over at once and for good, in whatever order answers come."""
+        """409 for the token that was sent: over at once and for good, in whatever order
+        answers come.
+        """
         self._clock(now_us)
         ask = self._asks.pop(sent, None)
         self.seen = max(self.seen, seen)
@@ -107,8 +125,10 @@
             self.next_renewal_us = now_us + int(self._third_us() * self._random())
 
     def held(self, now_us: int, sent: int, retry_us: int) -> None:
-        """Not now: what is had runs out as it would, and the next request leaves after `retry_us`, spread
-        over a third of a lease so that those who wait for one moment do not come at one."""
+        """Not now: what is had runs out as it would, and the next request leaves after
+        `retry_us`, spread over a third of a lease so that those who wait for one moment
+        do not come at one.
+        """
         self._clock(now_us)
         self._asks.pop(sent, None)
         self.next_renewal_us = (
@@ -122,7 +142,8 @@
         most_us = min(self._third_us(), LEAST_PAUSE_US << min(self._fails - 1, 20))
         self.next_renewal_us = now_us + int(most_us * self._random())
 
-    # -- helpers -------------------------------------------------------------------------------------
+    # -- helpers
+    # -------------------------------------------------------------------------------------
 
     def _over(self, token: Token) -> None:
         self._out, self.seen = max(self._out, token), max(self.seen, token)
--- a/lemonshunt/lease/model.py
+++ b/lemonshunt/lease/model.py
@@ -1,8 +1,10 @@
-"""Leases as a model for `lemonshunt.explore`: two holders, a forgetful service, a guarded resource.
+"""Leases as a model for `lemonshunt.explore`: two holders, a forgetful service, a
+guarded resource.
 
-The cores are those that the processes run. Around them: messages that are lost, doubled and late without
-bound, clocks a quarter apart, a service killed and started with its folder whole, lost, or two versions old,
-and holders that may stand still between the check and the guarded action for as long as the search lasts.
+The cores are those that the processes run. Around them: messages that are lost, doubled
+and late without bound, clocks a quarter apart, a service killed and started with its
+folder whole, lost, or two versions old, and holders that may stand still between the
+check and the guarded action for as long as the search lasts.
 """
 
 from __future__ import annotations
@@ -82,10 +84,12 @@
 
 
 class Leases:
-    """`wall`: the wall clock goes on, so the service's hint grows with each start; without it the hint is
-    none at all. `unnoticed`: an older copy is taken for the whole folder. `held`: the first holder has its
-    lease at the start, just asked for. The rest counts what may happen;
-    time is not counted: states alike but for when they are reached are one, so a search can be complete."""
+    """`wall`: the wall clock goes on, so the service's hint grows with each start;
+    without it the hint is none at all. `unnoticed`: an older copy is taken for the
+    whole folder. `held`: the first holder has its lease at the start, just asked for.
+    The rest counts what may happen; time is not counted: states alike but for when they
+    are reached are one, so a search can be complete.
+    """
 
     def __init__(
         self,
@@ -115,7 +119,9 @@
         self.guard = NoGuard if bug == "no guard" else Guard
 
     def start(self) -> State:
-        """A service that was up for long; nobody holds anything, and a lease of another name was given up."""
+        """A service that was up for long; nobody holds anything, and a lease of another
+        name was given up.
+        """
         table = self.table(self.terms)
         table.commit(table.start(-100, False))
         made = table.acquire(-50, "y", "C", TTL)
@@ -139,7 +145,8 @@
             )
         return state
 
-    # -- steps ---------------------------------------------------------------------------------------
+    # -- steps
+    # ---------------------------------------------------------------------------------------
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
         """Everything that may happen next."""
@@ -214,7 +221,8 @@
             holder.fenced(error.seen)
             return self._with(state, who, holder)
         why = ""
-        # Without a hint a token may come twice where nobody who saw it speaks: only the operator can help.
+        # Without a hint a token may come twice where nobody who saw it speaks: only the
+        # operator can help.
         if self.wall and (token < before[0] or token == before[0] and who != before[1]):
             why = f"{token} of {'AB'[who]} was served after {before[0]}"
         return state._replace(
@@ -297,10 +305,13 @@
         state = state._replace(starts=starts, told=state.told if whole else NEVER)
         return self._written(state, table, [record], record)
 
-    # -- what must hold ------------------------------------------------------------------------------
+    # -- what must hold
+    # ------------------------------------------------------------------------------
 
     def broken(self, state: State) -> str:
-        """Tokens that went back, and two that may act at once (by time alone: whatever the guard says)."""
+        """Tokens that went back, and two that may act at once (by time alone: whatever
+        the guard says).
+        """
         if state.why:
             return state.why
         both = not self.unnoticed and all(
@@ -350,7 +361,8 @@
             state.starts < self.starts and tuple(map(folder_key, state.disk)),
         )
 
-    # -- helpers -------------------------------------------------------------------------------------
+    # -- helpers
+    # -------------------------------------------------------------------------------------
 
     @staticmethod
     def _at(state: State) -> int:
@@ -375,7 +387,9 @@
 
 
 def fork(core: T) -> T:
-    """A copy that shares only what never changes: the cores keep plain values and flat dictionaries."""
+    """A copy that shares only what never changes: the cores keep plain values and flat
+    dictionaries.
+    """
     copy = object.__new__(type(core))
     found = copy.__dict__
     found.update(core.__dict__)
--- a/lemonshunt/lease/table.py
+++ b/lemonshunt/lease/table.py
@@ -1,8 +1,10 @@
-"""The service's table of leases: who holds which name, until when, under which fencing token.
+"""The service's table of leases: who holds which name, until when, under which fencing
+token.
 
-A change that must outlive the process is *prepared* here as a record, written and synced by the caller, and
-only then taken by `commit` and told. Renewals are not written: a start counts every known lease as renewed.
-All numbers come from one counter that the folder keeps, so no name need be remembered for its token to grow.
+A change that must outlive the process is *prepared* here as a record, written and
+synced by the caller, and only then taken by `commit` and told. Renewals are not
+written: a start counts every known lease as renewed. All numbers come from one counter
+that the folder keeps, so no name need be remembered for its token to grow.
 """
 
 from __future__ import annotations
@@ -26,7 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """One lease as the service sees it. `until_us`: from then on it is out on every clock."""
+    """One lease as the service sees it. `until_us`: from then on it is out on every
+    clock.
+    """
 
     name: str
     holder: str
@@ -49,7 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The lease is the caller's. A `record` is to be on disk and committed before this is told."""
+    """The lease is the caller's. A `record` is to be on disk and committed before this
+    is told.
+    """
 
     name: str
     token: Token
@@ -59,7 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """Not now: come again in `retry_us`, the soonest that it can change. A `record` is to be written."""
+    """Not now: come again in `retry_us`, the soonest that it can change. A `record` is
+    to be written.
+    """
 
     retry_us: int
     why: str
@@ -67,7 +75,9 @@
 
 
 class Table:
-    """Named leases. Make it empty or with `restored`, `commit` what the log holds, then `start`."""
+    """Named leases. Make it empty or with `restored`, `commit` what the log holds, then
+    `start`.
+    """
 
     def __init__(self, terms: Terms) -> None:
         if faults := terms.faults():
@@ -76,7 +86,9 @@
         self.leases: dict[str, Lease] = {}
         self.epoch = self.number = 0
         self.unsure = True
-        """The folder's history is not known to be whole, and nothing was granted since."""
+        """The folder's history is not known to be whole, and nothing was granted
+        since.
+        """
         self.longest_us = 0
         """The longest lease that may run beside an unsure history."""
         self.started = False
@@ -88,13 +100,16 @@
         self._start_us = 0
         self._from_us = 0
 
-    # -- the start -----------------------------------------------------------------------------------
+    # -- the start
+    # -----------------------------------------------------------------------------------
 
     def start(self, now_us: int, sure: bool, least_epoch: int = 0) -> Record:
-        """Begin an epoch; nothing is granted or renewed before its record is committed. `sure`: the folder is
-        the one the last process left, a torn last line at most. Where it is not, no known lease goes on, and
-        one longest lease passes before the first grant. `least_epoch` is a hint (a wall clock in seconds, an
-        operator's number) that only ever raises."""
+        """Begin an epoch; nothing is granted or renewed before its record is committed.
+        `sure`: the folder is the one the last process left, a torn last line at most.
+        Where it is not, no known lease goes on, and one longest lease passes before the
+        first grant. `least_epoch` is a hint (a wall clock in seconds, an operator's
+        number) that only ever raises.
+        """
         self._now_us = self._start_us = now_us
         self.unsure = self.unsure or not sure or not self.epoch
         self.longest_us = max(
@@ -115,8 +130,10 @@
         return record
 
     def lift(self, seen: Token) -> Record | None:
-        """What a client has seen: an epoch above it where it is above all this service gave. Ends no lease.
-        Acquire and renew do it by themselves. Refused(422) where it leaps further than any epoch can be."""
+        """What a client has seen: an epoch above it where it is above all this service
+        gave. Ends no lease. Acquire and renew do it by themselves. Refused(422) where
+        it leaps further than any epoch can be.
+        """
         if seen <= self._top:
             return None
         if seen.epoch > self._top.epoch + MOST_LEAP:
@@ -132,7 +149,8 @@
         return self._record("epoch", epoch=self._top.epoch)
 
     def _doubt(self) -> None:
-        # A history that is not ours may hold leases until one longest lease after this process began.
+        # A history that is not ours may hold leases until one longest lease after this
+        # process began.
         self._from_us = self._start_us + surely_out_us(
             self.longest_us, self.terms.drift
         )
@@ -140,7 +158,8 @@
     def _raise_epoch(self, above: int) -> None:
         self._top = Token(above + 1, self._top.number)
 
-    # -- calls ---------------------------------------------------------------------------------------
+    # -- calls
+    # ---------------------------------------------------------------------------------------
 
     def acquire(
         self,
@@ -152,10 +171,12 @@
         shown: Token = NEVER,
         note: Mapping[str, str] | None = None,
     ) -> Grant | Held:
-        """A lease on `name`. `holder` names one run of one process and no other: asked again by it, its
-        lease is told again, and a new one granted where it has `seen` that one and let go of it. `shown` is
-        the lease's own token, as its process after a restart knows it: then it is granted anew at once.
-        Refused: 400 faults of the call, 422 too many leases."""
+        """A lease on `name`. `holder` names one run of one process and no other: asked
+        again by it, its lease is told again, and a new one granted where it has `seen`
+        that one and let go of it. `shown` is the lease's own token, as its process
+        after a restart knows it: then it is granted anew at once. Refused: 400 faults
+        of the call, 422 too many leases.
+        """
         note = {} if note is None else note
         if faults := ask_faults(self.terms, name, holder, ttl_us, note):
             raise Refused(400, faults)
@@ -196,8 +217,10 @@
     def renew(
         self, now_us: int, name: str, token: Token, seen: Token = NEVER
     ) -> Grant | Held:
-        """The same lease for a whole ttl more. Refused(409) once it is out, revoked or another's: final for
-        this token. Held while it cannot be known: the holder may run out what it has."""
+        """The same lease for a whole ttl more. Refused(409) once it is out, revoked or
+        another's: final for this token. Held while it cannot be known: the holder may
+        run out what it has.
+        """
         now_us, lifted = self._clock(now_us), self.lift(max(seen, token))
         if not self.started or self.unsure and self._closed_us(now_us):
             return Held(
@@ -217,13 +240,17 @@
         return self._renewed(now_us, lease, lifted)
 
     def release(self, now_us: int, name: str, token: Token) -> Record:
-        """Given up by its holder, which acts on it no more: free at once. Refused: 404, 409."""
+        """Given up by its holder, which acts on it no more: free at once. Refused: 404,
+        409.
+        """
         self._clock(now_us)
         return self._ended(self._own(name, token, None, 404), "released")
 
     def revoke(self, now_us: int, name: str) -> Record:
-        """By hand: renewed no more, and free once surely out (its holder may act until then, unless what it
-        guards has seen a higher token). Refused: 404 nobody holds it, 409 a change is being written."""
+        """By hand: renewed no more, and free once surely out (its holder may act until
+        then, unless what it guards has seen a higher token). Refused: 404 nobody holds
+        it, 409 a change is being written.
+        """
         self._clock(now_us)
         lease = self.leases.get(name)
         if lease is None:
@@ -260,10 +287,13 @@
         """When `expire` next has something to do; None with no lease."""
         return min((lease.until_us for lease in self.leases.values()), default=None)
 
-    # -- records -------------------------------------------------------------------------------------
+    # -- records
+    # -------------------------------------------------------------------------------------
 
     def commit(self, record: Record) -> None:
-        """Take a record that is on disk, in the order of `n`; one that was taken before is left out."""
+        """Take a record that is on disk, in the order of `n`; one that was taken before
+        is left out.
+        """
         n, name = int(record["n"]), record.get("name", "")
         if n <= self.number:
             return
@@ -291,7 +321,9 @@
             self._begin(n, bool(record["sure"]), int(record["longest_us"]))
 
     def abandon(self, record: Record) -> None:
-        """A record that could not be written: nothing is told, its number is never used again."""
+        """A record that could not be written: nothing is told, its number is never used
+        again.
+        """
         if self._pending.get(record.get("name", "")) == record["n"]:
             del self._pending[record["name"]]
 
@@ -318,7 +350,8 @@
         """Of the record that is made next: never used before in this history."""
         return self._top.number + 1
 
-    # -- helpers -------------------------------------------------------------------------------------
+    # -- helpers
+    # -------------------------------------------------------------------------------------
 
     def _clock(self, now_us: int) -> int:
         # A clock that went back would end nothing too soon if it stood still instead.
@@ -357,10 +390,13 @@
         )
         return Grant(lease.name, lease.token, lease.ttl_us, lifted)
 
-    # -- snapshot ------------------------------------------------------------------------------------
+    # -- snapshot
+    # ------------------------------------------------------------------------------------
 
     def snapshot(self) -> dict[str, Any]:
-        """What is committed, for JSON; when leases end is left out: a start counts them as renewed."""
+        """What is committed, for JSON; when leases end is left out: a start counts them
+        as renewed.
+        """
         return {
             "epoch": self.epoch,
             "number": self.number,
@@ -371,7 +407,9 @@
 
     @staticmethod
     def restored(raw: Mapping[str, Any], terms: Terms) -> Table:
-        """From a snapshot; KeyError, TypeError or ValueError where it is none. `start` is still owed."""
+        """From a snapshot; KeyError, TypeError or ValueError where it is none. `start`
+        is still owed.
+        """
         table = Table(terms)
         table.epoch, table.number = int(raw["epoch"]), int(raw["number"])
         table.unsure, table.longest_us = bool(raw["unsure"]), int(raw["longest_us"])
--- a/lemonshunt/lease/terms.py
+++ b/lemonshunt/lease/terms.py
@@ -16,13 +16,16 @@
 MOST_NOTE = 8  # entries of a note, each of two strings of MOST_TEXT characters
 MOST_LEAP = (
     1 << 33
-)  # epochs one client may lift: past any clock in seconds, far below the end of the range
+    # epochs one client may lift: past any clock in seconds, far below the end of the range
+)
 
 
 class Refused(Exception):
-    """A change that is not made. `status` is the HTTP answer (400, 404, 409 or 422), `faults` name each
-    fault with its path. `seen` is the token that was in the way. `record`, where there is one, is to be
-    written all the same (what the client said it saw lifts the epoch, also where the call is refused)."""
+    """A change that is not made. `status` is the HTTP answer (400, 404, 409 or 422),
+    `faults` name each fault with its path. `seen` is the token that was in the way.
+    `record`, where there is one, is to be written all the same (what the client said it
+    saw lifts the epoch, also where the call is refused).
+    """
 
     def __init__(
         self,
@@ -37,7 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Bounds of a table. Times in microseconds; `drift` is the share by which two clocks may run apart."""
+    """Bounds of a table. Times in microseconds; `drift` is the share by which two
+    clocks may run apart.
+    """
 
     drift: float = 0.02
     least_ttl_us: int = 100_000
@@ -45,7 +50,9 @@
     most_leases: int = 10_000
 
     def faults(self) -> list[str]:
-        """What is wrong with these terms themselves, each with its path; empty where nothing is."""
+        """What is wrong with these terms themselves, each with its path; empty where
+        nothing is.
+        """
         found = []
         if not 0 <= self.drift < 0.5:
             found.append("drift: a share from 0 below 0.5")
@@ -57,7 +64,9 @@
 
 
 def surely_out_us(ttl_us: int, drift: float) -> int:
-    """How long after the last answer the service waits until the lease is out on every clock."""
+    """How long after the last answer the service waits until the lease is out on every
+    clock.
+    """
     return math.ceil(ttl_us * (1 + drift))
 
 
--- a/lemonshunt/member/__init__.py
+++ b/lemonshunt/member/__init__.py
@@ -1,1 +1,3 @@
-"""Who is in the fleet: decided by the list service alone, from the leases its members renew."""
+"""Who is in the fleet: decided by the list service alone, from the leases its members
+renew.
+"""
