--- a/lemonshunt/member/roster.py
+++ b/lemonshunt/member/roster.py
@@ -1,7 +1,9 @@
-"""The service's roster: members as leases named `member/NAME`, their states, and the list that is watched.
+"""The service's roster: members as leases named `member/NAME`, their states, and the
+list that is watched.
 
-All that outlives the process is in the lease table (site and dial addresses are the lease's note); the roster
-is a view of it and can be made anew at any start. Versions count within `epoch`, the table's at the start.
+All that outlives the process is in the lease table (site and dial addresses are the
+lease's note); the roster is a view of it and can be made anew at any start. Versions
+count within `epoch`, the table's at the start.
 """
 
 from __future__ import annotations
@@ -15,13 +17,15 @@
 
 PREFIX = "member/"
 MOST_NAME = 180  # characters of a name and of a run
-MOST_GONE = 8_192  # members lost or left that are still told of, so a whole fleet; 350 bytes each
+# members lost or left that are still told of, so a whole fleet; 350 bytes each
+MOST_GONE = 8_192
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member as it is told. `token` is its incarnation, `state` alive, suspect, lost or left, `version`
-    the one that last changed it."""
+    """One member as it is told. `token` is its incarnation, `state` alive, suspect,
+    lost or left, `version` the one that last changed it.
+    """
 
     name: str
     site: str
@@ -42,7 +46,9 @@
 
 @dataclass(slots=True)
 class Quiet:
-    """The renewed guard: how long the service has been up, unbroken, with members renewing."""
+    """The renewed guard: how long the service has been up, unbroken, with members
+    renewing.
+    """
 
     whole_us: int
     began_us: int | None = None
@@ -62,16 +68,20 @@
             del self.lost[oldest]
 
     def until_us(self, now_us: int) -> int:
-        """When it is over at the soonest; a whole lease from now where members do not renew."""
+        """When it is over at the soonest; a whole lease from now where members do not
+        renew.
+        """
         if self.began_us is None or now_us - self.last_us > self.whole_us:
             return now_us + self.whole_us
         return self.began_us + self.whole_us
 
 
 class Roster:
-    """Over a table that the caller starts. Every record the table makes, whoever asked for it, goes through
-    `commit` here. `late`: the share of the ttl without a renewal that makes a member suspect. `at_once`: the
-    share of members that, lost within one lease, stops every division."""
+    """Over a table that the caller starts. Every record the table makes, whoever asked
+    for it, goes through `commit` here. `late`: the share of the ttl without a renewal
+    that makes a member suspect. `at_once`: the share of members that, lost within one
+    lease, stops every division.
+    """
 
     def __init__(
         self, table: Table, ttl_us: int, late: float = 2 / 3, at_once: float = 0.5
@@ -101,13 +111,16 @@
         self._now_us = 0
 
     def started(self, now_us: int) -> None:
-        """Right after the table's start record was committed: all it knows count as renewed now."""
+        """Right after the table's start record was committed: all it knows count as
+        renewed now.
+        """
         self._now_us, self.epoch = now_us, self.table.epoch
         self.version = self.floor = 1
         for lease in self.table.under(PREFIX):
             self._put(lease)
 
-    # -- what members call ----------------------------------------------------------------------------
+    # -- what members call
+    # ----------------------------------------------------------------------------
 
     def join(
         self,
@@ -119,10 +132,12 @@
         shown: Token = NEVER,
         seen: Token = NEVER,
     ) -> Grant | Held:
-        """A lease on the name; its token is the incarnation. Held (to be told as 409, with when to come
-        again) while another process's lease is in force, unless its token is `shown`. `run` names this run
-        of the process and no other: a join sent again with it, its answer lost, is told the same token.
-        Refused: 400, 422 as the table's."""
+        """A lease on the name; its token is the incarnation. Held (to be told as 409,
+        with when to come again) while another process's lease is in force, unless its
+        token is `shown`. `run` names this run of the process and no other: a join sent
+        again with it, its answer lost, is told the same token. Refused: 400, 422 as the
+        table's.
+        """
         now_us = self._clock(now_us)
         if faults := [
             f"{path}: a string of {least} to {MOST_NAME} characters"
@@ -135,7 +150,8 @@
             if not isinstance(value, str) or not least <= len(value) <= MOST_NAME
         ]:
             raise Refused(400, faults)
-        # Without a run two joins of one name cannot be told apart, so neither is taken for the other.
+        # Without a run two joins of one name cannot be told apart, so neither is taken
+        # for the other.
         holder = f"run {run}" if run else f"join {self.table.next_number()}"
         made = self.table.acquire(
             now_us,
@@ -153,7 +169,9 @@
     def beat(
         self, now_us: int, name: str, token: Token, seen: Token = NEVER
     ) -> Grant | Held:
-        """Renewed. Refused(409): the lease is out or another's, the member is fenced and joins anew."""
+        """Renewed. Refused(409): the lease is out or another's, the member is fenced
+        and joins anew.
+        """
         now_us = self._clock(now_us)
         made = self.table.renew(now_us, PREFIX + name, token, seen)
         if isinstance(made, Grant):
@@ -164,11 +182,13 @@
         """In order: gone at once, and not counted as lost. Refused: 404, 409."""
         return self.table.release(self._clock(now_us), PREFIX + name, token)
 
-    # -- time ------------------------------------------------------------------------------------------
+    # -- time
+    # ------------------------------------------------------------------------------------------
 
     def tick(self, now_us: int) -> list[Record]:
-        """Late members become suspect; records for all leases of the table that are surely out. Call it by
-        `next_us` and before anything is divided."""
+        """Late members become suspect; records for all leases of the table that are
+        surely out. Call it by `next_us` and before anything is divided.
+        """
         now_us = self._clock(now_us)
         for name in sorted(self._renewed_us):
             member = self.members[name]
@@ -190,20 +210,27 @@
         return min([*late, *([] if out is None else [out])], default=None)
 
     def frozen_until(self, now_us: int) -> int:
-        """Before this nothing fleet-wide is divided anew, at the soonest; `now_us` or less: it may be. So for
-        a whole lease after a start or a loss of many, counted from where members renew again."""
+        """Before this nothing fleet-wide is divided anew, at the soonest; `now_us` or
+        less: it may be. So for a whole lease after a start or a loss of many, counted
+        from where members renew again.
+        """
         return self._quiet.until_us(self._clock(now_us))
 
-    # -- the list --------------------------------------------------------------------------------------
+    # -- the list
+    # --------------------------------------------------------------------------------------
 
     def in_force(self) -> list[Member]:
-        """Alive and suspect, by name: among these, and only these, the fleet is divided."""
+        """Alive and suspect, by name: among these, and only these, the fleet is
+        divided.
+        """
         return [self.members[name] for name in sorted(self._renewed_us)]
 
     def owed(self, since: int | None, epoch: int | None) -> dict[str, Any]:
-        """The answer to a reader who has version `since` of `epoch`: `{"epoch", "version", "whole",
-        "members"}`. Changes since then, merged, those that are gone included; the whole list, without them,
-        to a reader from another epoch, from ahead, or from before what is still told of."""
+        """The answer to a reader who has version `since` of `epoch`: `{"epoch",
+        "version", "whole", "members"}`. Changes since then, merged, those that are gone
+        included; the whole list, without them, to a reader from another epoch, from
+        ahead, or from before what is still told of.
+        """
         whole, found = self.owed_members(since, epoch)
         return {
             "epoch": self.epoch,
@@ -215,7 +242,9 @@
     def owed_members(
         self, since: int | None, epoch: int | None
     ) -> tuple[bool, list[Member]]:
-        """Whether these are the whole list, and the members that `owed` tells of, by name."""
+        """Whether these are the whole list, and the members that `owed` tells of, by
+        name.
+        """
         if (
             since is None
             or epoch != self.epoch
@@ -227,10 +256,13 @@
         changed = [m for m in self.members.values() if m.version > since]
         return False, sorted(changed, key=lambda m: m.name)
 
-    # -- records ---------------------------------------------------------------------------------------
+    # -- records
+    # ---------------------------------------------------------------------------------------
 
     def commit(self, record: Record) -> None:
-        """Take a record that is on disk into the table, and into the list where it is a member's."""
+        """Take a record that is on disk into the table, and into the list where it is a
+        member's.
+        """
         full = str(record.get("name", ""))
         before = self.table.read(full)
         self.table.commit(record)
@@ -255,7 +287,8 @@
             self._gone[name] = None
             self._forget()
 
-    # -- helpers ---------------------------------------------------------------------------------------
+    # -- helpers
+    # ---------------------------------------------------------------------------------------
 
     def _lost(self, name: str) -> None:
         quiet, now_us = self._quiet, self._now_us
@@ -264,7 +297,8 @@
             quiet.began_us is None
         ):  # many at once: those before this one have stopped it already
             return
-        # Those whose renewals are late already will be lost in moments: waiting for them would divide twice.
+        # Those whose renewals are late already will be lost in moments: waiting for
+        # them would divide twice.
         gone = {
             *quiet.lost,
             *(n for n in self._renewed_us if self.members[n].state == "suspect"),
@@ -293,7 +327,9 @@
         self.members[member.name] = replace(member, state=state, version=self.version)
 
     def _forget(self) -> None:
-        """The one that has been gone longest, past MOST_GONE of them: without a look at all the others."""
+        """The one that has been gone longest, past MOST_GONE of them: without a look at
+        all the others.
+        """
         while len(self._gone) > MOST_GONE:
             name = next(iter(self._gone))
             del self._gone[name]
--- a/lemonshunt/net/__init__.py
+++ b/lemonshunt/net/__init__.py
@@ -1,1 +1,3 @@
-"""The real forwarder around lemonshunt.choice: sockets, journal and timers. Decides nothing."""
+"""The real forwarder around lemonshunt.choice: sockets, journal and timers. Decides
+nothing.
+"""
--- a/lemonshunt/net/admin.py
+++ b/lemonshunt/net/admin.py
@@ -1,5 +1,7 @@
-"""The operators' address: readiness, the figures, and endpoints taken out and put back. One call to a
-connection; it holds few descriptors, and those of its own, so that no load of clients delays an answer."""
+"""The operators' address: readiness, the figures, and endpoints taken out and put back.
+One call to a connection; it holds few descriptors, and those of its own, so that no
+load of clients delays an answer.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,8 @@
 MOST_BODY = 1024
 MOST_CONFIG = 1 << 20  # a whole configuration
 HALF_CALL_S = 2.0  # a call that is not whole after this is answered 408
-LINGER_S = 0.5  # after an answer to what was not read to its end, so that the caller can read it
+# after an answer to what was not read to its end, so that the caller can read it
+LINGER_S = 0.5
 BACKLOG = 64
 Answer = Callable[[HTTPStatus, str], None]
 log = logging.getLogger("lemonshunt.admin")
@@ -33,7 +36,9 @@
 
 @dataclass
 class Figures:
-    """What became of messages, counted once, where each ends. A class once seen keeps its count."""
+    """What became of messages, counted once, where each ends. A class once seen keeps
+    its count.
+    """
 
     fulfilled: Counter[str] = field(default_factory=Counter)
     throttled: Counter[str] = field(default_factory=Counter)
@@ -88,7 +93,9 @@
         sock.listen(BACKLOG)
 
     def joined(self, call: AdminCall) -> None:
-        """One more than may be: the oldest that is still not whole goes, and does not delay who asks."""
+        """One more than may be: the oldest that is still not whole goes, and does not
+        delay who asks.
+        """
         self.calls[call] = None
         if len(self.calls) > MOST_CALLS:
             oldest = next(
--- a/lemonshunt/net/answers.py
+++ b/lemonshunt/net/answers.py
@@ -1,4 +1,6 @@
-"""What calls' answers say: outcomes, waits, a target's limit. Garbage counts as nothing said."""
+"""What calls' answers say: outcomes, waits, a target's limit. Garbage counts as nothing
+said.
+"""
 
 from __future__ import annotations
 
@@ -57,14 +59,17 @@
 
 
 def same_for_all(reader: ResponseReader) -> Result:
-    """The outcome that a status other than 200 stands for where a call has several messages. That one is
-    over, or has had all its attempts, can only be told of each: what says so of all may have run."""
+    """The outcome that a status other than 200 stands for where a call has several
+    messages. That one is over, or has had all its attempts, can only be told of each:
+    what says so of all may have run.
+    """
     return single(reader) if reader.status in SAME_FOR_ALL else Result(Outcome.FAILED)
 
 
 def several(reader: ResponseReader) -> dict[str, Result]:
-    """The ends of a batch call's messages, by id; those not named failed. Raises ValueError, TypeError,
-    KeyError or RecursionError where its body cannot be read."""
+    """The ends of a batch call's messages, by id; those not named failed. Raises
+    ValueError, TypeError, KeyError or RecursionError where its body cannot be read.
+    """
     wait, ends = wait_us(reader), {}
     for name, state in [(e["id"], e["state"]) for e in json.loads(reader.body)]:
         if name in ends:
--- a/lemonshunt/net/client.py
+++ b/lemonshunt/net/client.py
@@ -1,4 +1,6 @@
-"""Calls to targets: a pool of connections for each, one call at a time on a connection, no resend."""
+"""Calls to targets: a pool of connections for each, one call at a time on a connection,
+no resend.
+"""
 
 from __future__ import annotations
 
@@ -26,10 +28,12 @@
 
 __all__ = ["Call", "Connection", "Item", "Pool", "fits", "wait_us"]
 SECOND = 1_000_000
-MOST_WAITS = 2048  # kept before those that are over are looked for: some hundred endpoints tell one each
+# kept before those that are over are looked for: some hundred endpoints tell one each
+MOST_WAITS = 2048
 SPOILT_LOG_US = 5 * SECOND
 NOT_SOON = -1
-HELD_US = 50_000  # how long the last gate holds a call at most, rather than send it back undone
+# how long the last gate holds a call at most, rather than send it back undone
+HELD_US = 50_000
 WHOLE_S = 0.5  # an answer that has begun and is not whole after this is spoilt
 OURS = (
     errno.EMFILE,
@@ -64,10 +68,13 @@
         self.spoilt_us = -SPOILT_LOG_US
         self.calls: dict[tuple[str, int], Call] = {}
         self.recorded: Callable[[Call], bool] | None = None
-        """Asked once its connection is up: whether what must be kept of a call before it leaves is."""
+        """Asked once its connection is up: whether what must be kept of a call before
+        it leaves is.
+        """
         self.leaves: Callable[[Call], int] | None = None
-        """Asked last before a call's first byte: 0, it leaves; else when to ask again, in microseconds; below
-        0, not soon."""
+        """Asked last before a call's first byte: 0, it leaves; else when to ask again,
+        in microseconds; below 0, not soon.
+        """
         self.left: Callable[[Call], None] | None = None
         """Told right after its first byte."""
 
@@ -119,7 +126,8 @@
                 )
         except (OSError, TimeoutError) as error:
             ours = isinstance(error, OSError) and error.errno in OURS
-            # A dial that had less time than the settings give one may just have been cut by its own call.
+            # A dial that had less time than the settings give one may just have been
+            # cut by its own call.
             cut = isinstance(error, TimeoutError) and left < self.dial_us
             self.finish(
                 call,
@@ -131,16 +139,18 @@
             return
         self.all.add(connection)
         if not connection.quiet():
-            # It came up and broke, perhaps unread as yet: a target that holds only so many lets go of more.
-            # That it is there is known, and what breaks before the first byte never ran.
+            # It came up and broke, perhaps unread as yet: a target that holds only so
+            # many lets go of more. That it is there is known, and what breaks before
+            # the first byte never ran.
             self.finish(call, Result(Outcome.NO_CONNECTION, weak=True))
             connection.close()
         else:
             self.go_on(call, connection)
 
     def go_on(self, call: Call, connection: Connection) -> None:
-        """What was told since the call was decided binds it, too, on whichever connection it came here; and
-        so does the time that this took."""
+        """What was told since the call was decided binds it, too, on whichever
+        connection it came here; and so does the time that this took.
+        """
         now = self.clock()
         late = [item for item in call.open.values() if 0 < item.leave_by_us <= now]
         for item in late:
@@ -148,7 +158,8 @@
         if late:
             self.arm(call)
         if self.where.get(call.target) != connection.where:
-            # Drained while the connection was coming up: what was queued for it must not leave any more.
+            # Drained while the connection was coming up: what was queued for it must
+            # not leave any more.
             self.finish(call, Result(Outcome.NOT_SENT))
             connection.close()
         elif not call.open or now < self.waits.get(call.place, 0):
@@ -158,8 +169,10 @@
             self.launch(call, connection)
 
     def launch(self, call: Call, connection: Connection) -> None:
-        """The last gate: nothing stands between its yes and the socket. A call that comes a moment early, as
-        those before it left later than they were decided, is held for that moment."""
+        """The last gate: nothing stands between its yes and the socket. A call that
+        comes a moment early, as those before it left later than they were decided, is
+        held for that moment.
+        """
         data = self.render(call)
         recorded = self.recorded is None or self.recorded(call)
         wait = (
@@ -218,8 +231,9 @@
             call.timer.cancel()
             call.timer = None
         if call.open:
-            # The first of its messages to run out of time ends it for all: what comes for the others while it
-            # is still out for one whose end was told counts for nobody.
+            # The first of its messages to run out of time ends it for all: what comes
+            # for the others while it is still out for one whose end was told counts for
+            # nobody.
             call.until_us = min(item.until_us for item in call.open.values())
             delay = max(0, call.until_us - self.clock()) / SECOND
             call.timer = asyncio.get_running_loop().call_later(
@@ -235,9 +249,11 @@
             self.give_up(call, Outcome.CANCELED)
 
     def unread(self, call: Call, then: Callable[[], None]) -> bool:
-        """Whether a call is not to be given up as yet. What a busy loop has not read counts first, as the
-        answer may lie at the socket: it is read in the next turn, which sees to sockets before timers. Then
-        this goes on, however much more lies there by that time."""
+        """Whether a call is not to be given up as yet. What a busy loop has not read
+        counts first, as the answer may lie at the socket: it is read in the next turn,
+        which sees to sockets before timers. Then this goes on, however much more lies
+        there by that time.
+        """
         if not call.open or call.connection is None:
             return not call.open
         if call.connection.closing():  # its end was read, and is on its way to the call
@@ -253,8 +269,10 @@
         return True
 
     def give_up(self, call: Call, outcome: Outcome, looked: bool = False) -> None:
-        """Stop waiting for a call, all its messages together: while its connection is open each of them is
-        still out, and once it is closed, as a late answer must not be taken for the next call's, none is."""
+        """Stop waiting for a call, all its messages together: while its connection is
+        open each of them is still out, and once it is closed, as a late answer must not
+        be taken for the next call's, none is.
+        """
         if not looked and self.unread(call, lambda: self.give_up(call, outcome, True)):
             return
         sent = call.connection is not None and call.written
@@ -268,7 +286,9 @@
         self.finish(call, Result(outcome))
 
     def true_200(self, call: Call) -> bool:
-        """Whether the first line of a call with one message says 200: it is delivered, whatever follows."""
+        """Whether the first line of a call with one message says 200: it is delivered,
+        whatever follows.
+        """
         return (
             not call.batched
             and call.connection is not None
@@ -276,7 +296,9 @@
         )
 
     def begun(self, call: Call) -> None:
-        """Some of the answer is here: the rest must follow soon, and not hold a slot until a time-out."""
+        """Some of the answer is here: the rest must follow soon, and not hold a slot
+        until a time-out.
+        """
         if not call.begun:
             call.begun = True
             asyncio.get_running_loop().call_later(WHOLE_S, self.cut_short, call)
@@ -311,8 +333,10 @@
     def finish(
         self, call: Call, result: Result, report: i.LoadReport | None = None
     ) -> None:
-        """The same end for all that is still open. What hears of it may send the copy at once: while the call
-        is out on an open connection, that would be a second one."""
+        """The same end for all that is still open. What hears of it may send the copy
+        at once: while the call is out on an open connection, that would be a second
+        one.
+        """
         self.drop(call)
         for item in list(call.open.values()):
             self.tell(call, item, result, report)
@@ -347,10 +371,11 @@
             call.timer = None
         many = call.batched
         if broken:
-            # A first line with 200 is a delivery though the rest is spoilt; of several, only the whole answer
-            # tells. Whatever else it says, a spoilt answer shows that the call may have run, also where its
-            # first line denies it, and its report and wait are not to be believed. A call that is not whole
-            # has not started.
+            # A first line with 200 is a delivery though the rest is spoilt; of several,
+            # only the whole answer tells. Whatever else it says, a spoilt answer shows
+            # that the call may have run, also where its first line denies it, and its
+            # report and wait are not to be believed. A call that is not whole has not
+            # started.
             if reader.first_line == 200 and not many:
                 outcome = Outcome.DELIVERED
             elif not call.written:
--- a/lemonshunt/net/client_connection.py
+++ b/lemonshunt/net/client_connection.py
@@ -1,4 +1,6 @@
-"""One client's connection: reads requests, hands them on in turn, writes answers; and the end of all."""
+"""One client's connection: reads requests, hands them on in turn, writes answers; and
+the end of all.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +19,14 @@
 MOST_WAITING = 8  # requests read ahead on one connection before reading stops
 MOST_AHEAD = 64  # and in one piece at most: clients send one request at a time
 LINGER_BYTES = 1 << 20  # read at most of what comes behind a refusal
-FRESH_US = 300_000  # a new connection is left so long for its first request, also by a process that stops
-TURNS = 4  # of the loop, till what was accepted before has a transport, and what had come by then is read
-CLOSE_S = 0.1  # at the end of the process, the least time for clients to read their answers and to let go
+# a new connection is left so long for its first request, also by a process that stops
+FRESH_US = 300_000
+# of the loop, till what was accepted before has a transport, and what had come by then
+# is read
+TURNS = 4
+# at the end of the process, the least time for clients to read their answers and to let
+# go
+CLOSE_S = 0.1
 VERSIONS = ("1.0", "1.1")
 SINGLE = frozenset(
     (
@@ -32,7 +39,9 @@
         "x-repeat",
     )
 )
-"""Headers that must not stand twice: whoever reads the other one reads another message."""
+"""Headers that must not stand twice: whoever reads the other one reads another
+message.
+"""
 FRAMING = frozenset(("host", "transfer-encoding", "content-length"))
 """Nor must these, and what follows such a request is not to be trusted."""
 
@@ -56,7 +65,9 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection. Requests are answered one at a time, in the order they came."""
+    """One client's connection. Requests are answered one at a time, in the order they
+    came.
+    """
 
     def __init__(self, server: Connections) -> None:
         self.server = server
@@ -76,8 +87,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        # asyncio sets it only where the listener was made with the protocol's number, and ours was not. An
-        # answer that the system holds back goes with a connection that is reset.
+        # asyncio sets it only where the listener was made with the protocol's number,
+        # and ours was not. An answer that the system holds back goes with a connection
+        # that is reset.
         with suppress(OSError):
             transport.get_extra_info("socket").setsockopt(
                 socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
@@ -93,7 +105,9 @@
         )
 
     def eof_received(self) -> bool:
-        """A client that ends its side no longer waits; what it may still read is a refusal."""
+        """A client that ends its side no longer waits; what it may still read is a
+        refusal.
+        """
         self.ended = True
         self.refuse("withdrawn")
         return False
@@ -119,7 +133,8 @@
             if self.raw > LINGER_BYTES and self.transport is not None:
                 if self.until_us:
                     self.transport.close()
-                else:  # an answer before the refusal is still to come, and must not be reset
+                # an answer before the refusal is still to come, and must not be reset
+                else:
                     self.transport.pause_reading()
             return
         begun = self.requests
@@ -129,8 +144,9 @@
             self.parser.feed_data(data)
             if self.requests != begun:
                 self.raw = 0
-            # The parser tells a header only once it is whole: a head without end, and blank lines before one,
-            # show in the raw bytes alone. Small chunks make a body's raw bytes some times its size.
+            # The parser tells a header only once it is whole: a head without end, and
+            # blank lines before one, show in the raw bytes alone. Small chunks make a
+            # body's raw bytes some times its size.
             elif self.raw > (MOST_HEAD if self.in_head else MOST_HEAD + 8 * MOST_BODY):
                 raise BadRequest(
                     HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -141,8 +157,9 @@
             httptools.HttpParserUpgrade,
             BadRequest,
         ) as error:
-            # After a request that cannot be read, nothing on this connection can be trusted to begin where
-            # it seems to: it is answered, in its turn, and the connection closed.
+            # After a request that cannot be read, nothing on this connection can be
+            # trusted to begin where it seems to: it is answered, in its turn, and the
+            # connection closed.
             cause = (
                 error.__context__
                 if isinstance(error.__context__, BadRequest)
@@ -203,8 +220,9 @@
                     HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here"
                 )
             coding = headers.get("transfer-encoding")
-            # Where the body ends must not be open to argument, or it may hide a request that another reads:
-            # the parser refuses both lengths at once, repeated and signed ones; the rest is refused here.
+            # Where the body ends must not be open to argument, or it may hide a request
+            # that another reads: the parser refuses both lengths at once, repeated and
+            # signed ones; the rest is refused here.
             if coding is not None and (
                 coding.lower() != "chunked"
                 or "content-length" in headers
@@ -268,8 +286,9 @@
             or self.until_us
         ):
             return
-        # What was read whole behind it is answered too, and the last of those answers tells of the end:
-        # behind an answer with Connection: close a client reads no other.
+        # What was read whole behind it is answered too, and the last of those answers
+        # tells of the end: behind an answer with Connection: close a client reads no
+        # other.
         ending = self.server.leaving or self.server.moving or self.ended
         keep = request.keep_alive and (bool(self.waiting) or not ending)
         body = (text + "\n").encode() if text else b""
@@ -293,8 +312,9 @@
     # Ending
 
     def finish(self) -> None:
-        """Graceful shutdown. To close with something unread would reset the connection, and what the client
-        has not read of its answers would go: end this side, read on and discard for a while, then close.
+        """Graceful shutdown. To close with something unread would reset the connection,
+        and what the client has not read of its answers would go: end this side, read on
+        and discard for a while, then close.
         """
         if self.transport is None or not self.open() or self.until_us:
             return
@@ -310,7 +330,9 @@
         self.server.linger(self)
 
     def unread(self) -> bool:
-        """Whether the socket holds what the loop has not read yet: it came before the end, and goes first."""
+        """Whether the socket holds what the loop has not read yet: it came before the
+        end, and goes first.
+        """
         return (
             self.transport is not None
             and not self.transport.is_closing()
@@ -324,7 +346,9 @@
         return self.busy is None and self.reading is None and not self.waiting
 
     def stalled_us(self, now: int) -> int:
-        """How long a request has stood half read, with none before it that is not answered."""
+        """How long a request has stood half read, with none before it that is not
+        answered.
+        """
         before = self.busy is not None or self.waiting
         return (
             now - self.reading.came_us if self.reading is not None and not before else 0
@@ -336,7 +360,9 @@
             self.finish()
 
     def end(self, at_once: bool) -> None:
-        """The process ends. What has no answer is waited for, and at last refused, if it is whole or not."""
+        """The process ends. What has no answer is waited for, and at last refused, if
+        it is whole or not.
+        """
         if self.idle():
             self.close()
         elif at_once and self.open():
@@ -374,7 +400,9 @@
         raise NotImplementedError
 
     def leave(self) -> None:
-        """Go on answering; let go of connections between requests only, and of new ones not at once."""
+        """Go on answering; let go of connections between requests only, and of new ones
+        not at once.
+        """
         self.leaving = True
         fresh = self.clock() - FRESH_US
         for connection in list(self.connections):
@@ -384,13 +412,17 @@
                 connection.close()
 
     def move(self) -> None:
-        """Another process takes the connections from now on; those held here end after their next answer."""
+        """Another process takes the connections from now on; those held here end after
+        their next answer.
+        """
         self.moving = True
         self.stop_listening()
 
     def stop_listening(self) -> None:
-        """No connection comes from now on. What asyncio accepted in this very turn has no transport yet, and
-        would be dropped without a word if its listener closed before it has."""
+        """No connection comes from now on. What asyncio accepted in this very turn has
+        no transport yet, and would be dropped without a word if its listener closed
+        before it has.
+        """
         listener, self.listener = self.listener, None
         if listener is not None:
             loop = asyncio.get_running_loop()
@@ -399,7 +431,9 @@
             loop.call_soon(self.take_last, listener)
 
     def take_last(self, listener: asyncio.Server) -> None:
-        """Clients in the backlog are connected already: the listener's close would reset them."""
+        """Clients in the backlog are connected already: the listener's close would
+        reset them.
+        """
         loop = asyncio.get_running_loop()
         for sock in listener.sockets:
             last = socket.socket(
@@ -425,7 +459,9 @@
             accepted.close()
 
     async def close(self, patience_s: float = CLOSE_S) -> None:
-        """The process ends: each request gets an answer, and clients a while to read it and to let go."""
+        """The process ends: each request gets an answer, and clients a while to read it
+        and to let go.
+        """
         loop = asyncio.get_running_loop()
         until = loop.time() + patience_s
         self.leaving = True
--- a/lemonshunt/net/config.py
+++ b/lemonshunt/net/config.py
@@ -1,4 +1,6 @@
-"""What a forwarder is told: LB_CONFIG and the environment, checked at the start and on SIGHUP."""
+"""What a forwarder is told: LB_CONFIG and the environment, checked at the start and on
+SIGHUP.
+"""
 
 from __future__ import annotations
 
@@ -85,7 +87,9 @@
     power: bool = False
     """What is promised outlasts the machine, not only the process."""
     log_json: bool = False
-    """Log lines as JSON, with a line for each message's arrival, send and end (``log_format = "json"``)."""
+    """Log lines as JSON, with a line for each message's arrival, send and end
+    (``log_format = "json"``).
+    """
     fleet: FleetConfig | None = None
     """This forwarder as a member of a fleet; None where none is named."""
     raw: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)
@@ -169,7 +173,9 @@
 def comparable(
     old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> tuple[Mapping[str, Any], Mapping[str, Any]]:
-    """Without `fleet` where only one has it: to turn it on or off is no fault, and waits for a start."""
+    """Without `fleet` where only one has it: to turn it on or off is no fault, and
+    waits for a start.
+    """
     if (old.get("fleet") is None) is (new.get("fleet") is None):
         return old, new
     return (
@@ -179,8 +185,10 @@
 
 
 def short_of(old: Any, new: Any, where: str = "") -> str:
-    """The first key that the file in force has and the new one lacks; of named entries, each needs the keys
-    that all of those in force share. Without this a default would stand in for what was cut off."""
+    """The first key that the file in force has and the new one lacks; of named entries,
+    each needs the keys that all of those in force share. Without this a default would
+    stand in for what was cut off.
+    """
     if isinstance(old, Mapping):
         if not isinstance(new, Mapping):
             return where
@@ -216,7 +224,9 @@
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """The configuration; but for discovery the environment's names go before those in the file."""
+    """The configuration; but for discovery the environment's names go before those in
+    the file.
+    """
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
@@ -240,7 +250,8 @@
         return Config(
             name=name,
             listen=address(environ.get("LB_LISTEN") or need(told, "listen", str)),
-            # The file first: it can be replaced while the process runs (SIGHUP), its environment cannot.
+            # The file first: it can be replaced while the process runs (SIGHUP), its
+            # environment cannot.
             discovery=address(told.get("discovery") or environ.get("LB_DISCOVERY")),
             state=Path(state),
             seed=zlib.crc32(str(told.get("seed", "")).encode()),
--- a/lemonshunt/net/connection.py
+++ b/lemonshunt/net/connection.py
@@ -1,7 +1,8 @@
 """One connection to a target, and the call that is out on it.
 
-What parts 'could not connect' (it never ran) from 'reset' (it may have run) is whether the call's last byte
-was handed to the socket; so every byte is written here and no library below keeps or resends one.
+What parts 'could not connect' (it never ran) from 'reset' (it may have run) is whether
+the call's last byte was handed to the socket; so every byte is written here and no
+library below keeps or resends one.
 """
 
 from __future__ import annotations
@@ -33,7 +34,9 @@
     body: bytes
     until_us: int
     leave_by_us: int = 0
-    """When it may have run before: after this its receivers may have forgotten its key. 0: at any time."""
+    """When it may have run before: after this its receivers may have forgotten its key.
+    0: at any time.
+    """
 
 
 @dataclass(slots=True)
@@ -124,12 +127,15 @@
         return self.transport is None or self.transport.is_closing()
 
     def quiet(self) -> bool:
-        """Whether nothing has come on it unasked. An end, a second answer or noise that waits unread would be
-        taken for the next call's."""
+        """Whether nothing has come on it unasked. An end, a second answer or noise that
+        waits unread would be taken for the next call's.
+        """
         return not self.closing() and not self.unread()
 
     def unread(self) -> bool:
-        """Whether something lies at its socket that the loop has not read: bytes, an end, a reset."""
+        """Whether something lies at its socket that the loop has not read: bytes, an
+        end, a reset.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
         return unread(self.transport)
@@ -142,7 +148,8 @@
         self.idle_us = -1
         self.call, call.connection = call, self
         self.transport.write(data)
-        # A write that fails leaves the buffer empty, too: then the socket did not take the last byte.
+        # A write that fails leaves the buffer empty, too: then the socket did not take
+        # the last byte.
         if (
             self.transport.get_write_buffer_size() == 0
             and not self.transport.is_closing()
@@ -154,8 +161,10 @@
             self.transport.abort()
 
     def give_up(self) -> None:
-        """Close it with its call out. A transport closes in the loop's next turn, and by then the call's copy
-        may have left: so the sending ends here and now, which gives the call up as well."""
+        """Close it with its call out. A transport closes in the loop's next turn, and
+        by then the call's copy may have left: so the sending ends here and now, which
+        gives the call up as well.
+        """
         if self.transport is not None and not self.transport.is_closing():
             with suppress(OSError):  # the target was first
                 self.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
@@ -171,7 +180,9 @@
         except BadAnswer as error:
             self.pool.spoilt(call, error)
             self.call, call.connection = None, None
-            self.give_up()  # before its end is told: the call may still be out, and its copy leave at once
+            # before its end is told: the call may still be out, and its copy leave at
+            # once
+            self.give_up()
             self.pool.ended(call, self.reader, broken=True)
             return
         if not self.reader.complete:
@@ -181,15 +192,17 @@
             self.pool.was_stale(self.age_us, False)
             self.call, call.connection = None, None
             self.pool.ended(call, self.reader)
-            # What is left of a request that was answered early must not follow: its call would start yet.
+            # What is left of a request that was answered early must not follow: its
+            # call would start yet.
             if self.reader.keep_alive and call.written and not self.closing():
                 self.pool.keep(self, call.target)
             else:
                 self.close()
 
     def eof_received(self) -> None:
-        """The target's end. A transport would go on and write what is left of a request before it closes; and
-        what is not whole by now must not become so."""
+        """The target's end. A transport would go on and write what is left of a request
+        before it closes; and what is not whole by now must not become so.
+        """
         if self.call is not None and not self.call.written:
             self.close()
 
@@ -225,7 +238,9 @@
 
 
 def fits(items: list[Item], item: Item) -> bool:
-    """Whether one more message leaves the body of a batch call within what targets take."""
+    """Whether one more message leaves the body of a batch call within what targets
+    take.
+    """
     return (
         sum(
             4 * len(x.body) // 3 + len(x.id) + len(x.key or "") + 64
--- a/lemonshunt/net/desk.py
+++ b/lemonshunt/net/desk.py
@@ -1,4 +1,6 @@
-"""What all parts of the engine share: its state, events on their way to the next round, targets by number."""
+"""What all parts of the engine share: its state, events on their way to the next round,
+targets by number.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +28,8 @@
 if TYPE_CHECKING:
     from lemonshunt.net.fleet import Fleet
 
-ROUND_US = 5_000  # least time between rounds: what goes to one target in one round travels together
+# least time between rounds: what goes to one target in one round travels together
+ROUND_US = 5_000
 AWAY_S = "1"  # when to come again after a refusal at the door
 FULL_LOG_US = 10_000_000
 TICK_S = 0.1
@@ -37,23 +40,30 @@
     MOST_GONE // 8
 )  # forgotten at once, so that not each new name looks through all of them
 MOST_RECENT = 2_048  # messages remembered by id after their end; 100 bytes each
-MOST_DESTINATIONS = 100_000  # heard of, and still taken on for: 44,000 and those that left; 70 bytes each
+# heard of, and still taken on for: 44,000 and those that left; 70 bytes each
+MOST_DESTINATIONS = 100_000
 OWN = 24
-"""Descriptors that the process holds beside clients, operators' calls and calls to targets: 3 standard ones;
-the loop's 3; the clients' listener, the platform's own of it, the operators'; the journal, its new file, its
-folder; the lock and its folder; the handover's listener and connection; discovery's and the notices'
-connections, each with the one before it that is just closing; the configuration read again; some to spare."""
+"""Descriptors that the process holds beside clients, operators' calls and calls to
+targets: 3 standard ones; the loop's 3; the clients' listener, the platform's own of it,
+the operators'; the journal, its new file, its folder; the lock and its folder; the
+handover's listener and connection; discovery's and the notices' connections, each with
+the one before it that is just closing; the configuration read again; some to spare.
+"""
 OPERATORS = 1 + MOST_CALLS + ACCEPT_TURNS * admin.ACCEPTS
 """And those of the operators' address."""
 SECOND = 1_000_000
 log = logging.getLogger("lemonshunt.engine")
 trace = logging.getLogger("lemonshunt.trace")
-"""A line for each message's arrival, send and end; off unless the configuration asks (net/logjson.py)."""
+"""A line for each message's arrival, send and end; off unless the configuration asks
+(net/logjson.py).
+"""
 trace.setLevel(logging.WARNING)
 
 
 class Clock:
-    """Microseconds of Unix time, so that the journal's times hold after a restart, but never going back."""
+    """Microseconds of Unix time, so that the journal's times hold after a restart, but
+    never going back.
+    """
 
     def __init__(self) -> None:
         self.base = time.time_ns() - time.monotonic_ns()
@@ -68,8 +78,9 @@
 
 
 class Desk:
-    """The engine's parts are classes over this one, for reading apart; `Engine` is all of them, and sets what
-    is declared here."""
+    """The engine's parts are classes over this one, for reading apart; `Engine` is all
+    of them, and sets what is declared here.
+    """
 
     config: Config
     clock: Clock
@@ -100,7 +111,9 @@
     unanswered: set[str]
     """Taken on, and not yet kept as the level promises."""
     withdrawing: set[str]
-    """Of these, those whose client left: until their sync is over nobody may hand the same id in."""
+    """Of these, those whose client left: until their sync is over nobody may hand the
+    same id in.
+    """
     events: list[i.Event]
     recent: OrderedDict[str, None]
     counts: Counter[str]
@@ -143,7 +156,9 @@
 
     def post(self, event: i.Event) -> None:
         if self.closed:
-            return  # calls that end as the process does are left open in the journal: they may have run
+            # calls that end as the process does are left open in the journal: they may
+            # have run
+            return
         if self.predecessor.given:
             if isinstance(event, i.Ended):
                 self.predecessor.ended(event)
@@ -172,7 +187,9 @@
         )
 
     def timer(self, at_us: int, token: str) -> None:
-        """A loop's timers may be a little early; the module's never are, or it would not ask for another."""
+        """A loop's timers may be a little early; the module's never are, or it would
+        not ask for another.
+        """
         if self.clock() < at_us:
             asyncio.get_running_loop().call_later(0.001, self.timer, at_us, token)
         else:
@@ -208,13 +225,17 @@
                 self.fleet.wanted(m.destination, m.class_name, m.tenant)
 
     def book_waiting(self) -> None:
-        """Journal the outcomes that wait for a round, where none may read them any more."""
+        """Journal the outcomes that wait for a round, where none may read them any
+        more.
+        """
         for event in self.events:
             if isinstance(event, i.Ended):
                 self.book(event)
 
     def left(self, call: Call) -> None:
-        """A call's first byte was handed to its socket: this moment is the one that is told."""
+        """A call's first byte was handed to its socket: this moment is the one that is
+        told.
+        """
         at_ns = time.monotonic_ns()
         if self.fleet is not None:
             self.fleet.left(call)
@@ -232,7 +253,9 @@
                 )
 
     def ended(self, name: str, how: str) -> None:
-        """Remember for a while what has had its end: ids are new each time, so one seen again is a copy."""
+        """Remember for a while what has had its end: ids are new each time, so one seen
+        again is a copy.
+        """
         if trace.isEnabledFor(logging.INFO):
             trace.info("ended", extra={"message_id": name, "outcome": how})
         self.recent[name] = None
@@ -269,13 +292,17 @@
         )
 
     def number(self, name: str) -> int:
-        """The module's number for a target that may be in no list. Those long gone are forgotten."""
+        """The module's number for a target that may be in no list. Those long gone are
+        forgotten.
+        """
         self.forget_gone()
         return self.numbered_as(name)
 
     def forget_gone(self) -> None:
-        """Past MOST_GONE of them, the oldest names that are in no list. Not while a list is taken in: until
-        that is whole, each of its names looks like one that is gone."""
+        """Past MOST_GONE of them, the oldest names that are in no list. Not while a
+        list is taken in: until that is whole, each of its names looks like one that is
+        gone.
+        """
         if len(self.numbers) <= len(self.hosts) + MOST_GONE:
             return
         gone = [
@@ -301,9 +328,11 @@
         self.apart = {k.name for k in s.kinds if k.routes_apart}
 
     def share_sockets(self, sockets: int) -> None:
-        """A share of the descriptors for each side. What all others need is left, also while clients come
-        faster than room is made; clients that ask use a third at most (TERMS), and those that do not are let
-        go for them. A limit of the process that is lower than the configuration's goes before it."""
+        """A share of the descriptors for each side. What all others need is left, also
+        while clients come faster than room is made; clients that ask use a third at
+        most (TERMS), and those that do not are let go for them. A limit of the process
+        that is lower than the configuration's goes before it.
+        """
         with suppress(OSError, ValueError):
             limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
             sockets = (
@@ -314,5 +343,7 @@
         self.server.most = max(8, sockets // 4, min(sockets // 2, sockets - others))
 
     def ready(self) -> bool:
-        """The one truth for clients and operators: not before the journal is read, nor while leaving."""
+        """The one truth for clients and operators: not before the journal is read, nor
+        while leaving.
+        """
         return self.serving and not self.leaving_s
--- a/lemonshunt/net/discovery.py
+++ b/lemonshunt/net/discovery.py
@@ -1,4 +1,6 @@
-"""Discovery: the list of targets by a watch that is renewed at once, and notices until acknowledged."""
+"""Discovery: the list of targets by a watch that is renewed at once, and notices until
+acknowledged.
+"""
 
 from __future__ import annotations
 
@@ -16,19 +18,25 @@
 from lemonshunt.net.store import Owed
 
 NO_VERSION = -1  # of a list that is not known yet; discovery counts from 0
-HOLD_MS = 1_500  # how long a watch waits for something newer; an answer without entries costs nothing
+# how long a watch waits for something newer; an answer without entries costs nothing
+HOLD_MS = 1_500
 LATE_S = (
     0.5  # a watch silent for so long after that is dead; the agent is on this machine
 )
-ANSWER_S = 0.6  # how long another answer may take, with its connection; the agent answers at once
+# how long another answer may take, with its connection; the agent answers at once
+ANSWER_S = 0.6
 LEAST_WATCH_S = 0.1  # the next watch must come within 0.2 s of the last answer
-INSIST_S = 4.0  # after a move, what discovery tells binds so soon that the module's pauses are not waited out
+# after a move, what discovery tells binds so soon that the module's pauses are not
+# waited out
+INSIST_S = 4.0
 INSIST_PAUSE_S = 0.2
-PUSHED_ANSWER_S = 0.2  # where lists are pushed, an agent on this machine answers at once or is silent, ...
+# where lists are pushed, an agent on this machine answers at once or is silent, ...
+PUSHED_ANSWER_S = 0.2
 PUSHED_PAUSE_S = (
     0.03  # ... and from the moment that it has news they bind: it is asked all the time
 )
-SPREAD = 1.5  # a pause of the watch is drawn from what it adds to 2 up to so many times its length
+# a pause of the watch is drawn from what it adds to 2 up to so many times its length
+SPREAD = 1.5
 ROUND_S = (
     0.03  # that the loop's timers and the rounds of a failure and of its answer take
 )
@@ -52,11 +60,13 @@
 
 
 def told_within_s(pushed: bool) -> float:
-    """The longest way from "discovery had it" to the round that heeds it, from the constants alone: a held
-    watch goes silent right after it was asked and is found out; the call after it is silent too; the next
-    ends as late as it may in an error status, half an answer, or a version that went back; and the one after
-    that is answered as late as it may. No pause grows with the failures, so this holds at any number of
-    them. The dial is within each answer's time. Must stay under TOLD_S, with room."""
+    """The longest way from "discovery had it" to the round that heeds it, from the
+    constants alone: a held watch goes silent right after it was asked and is found out;
+    the call after it is silent too; the next ends as late as it may in an error status,
+    half an answer, or a version that went back; and the one after that is answered as
+    late as it may. No pause grows with the failures, so this holds at any number of
+    them. The dial is within each answer's time. Must stay under TOLD_S, with room.
+    """
     answer, pause = (
         (PUSHED_ANSWER_S, SPREAD * PUSHED_PAUSE_S)
         if pushed
@@ -66,9 +76,11 @@
 
 
 def told_after_move_s(pushed: bool) -> float:
-    """The same from SIGHUP on, at the address that it named: what was held is cut off and the whole list
-    asked for at once. Either two calls for it fail as late as they may, or it comes late and the watch after
-    it goes silent at once. Must stay under MOVED_S, with room."""
+    """The same from SIGHUP on, at the address that it named: what was held is cut off
+    and the whole list asked for at once. Either two calls for it fail as late as they
+    may, or it comes late and the watch after it goes silent at once. Must stay under
+    MOVED_S, with room.
+    """
     answer, pause = (
         (PUSHED_ANSWER_S, SPREAD * PUSHED_PAUSE_S)
         if pushed
@@ -82,8 +94,9 @@
 
 
 def notice_within_s() -> float:
-    """From the kick to the 204 where a post falls silent and the next one ends in an error: under the 0.3 s
-    by which a notice is overdue."""
+    """From the kick to the 204 where a post falls silent and the next one ends in an
+    error: under the 0.3 s by which a notice is overdue.
+    """
     return NOTICE_ANSWER_S + NOTICE_LEAST_S + NOTICE_FIRST_S + ROUND_S
 
 
@@ -136,7 +149,9 @@
             self.transport.abort()
 
     def retire(self) -> None:
-        """Nothing is asked or heard here any more; its descriptor is kept for the connection after it."""
+        """Nothing is asked or heard here any more; its descriptor is kept for the
+        connection after it.
+        """
         self.retired = True
         if self.transport is not None:
             self.transport.pause_reading()
@@ -148,8 +163,9 @@
         return self.open() and not self.retired
 
     async def ask(self, data: bytes, until: float) -> ResponseReader:
-        """One answer, by the loop's clock `until` then. One that has come by the time that a loop which
-        stood still looks again is in time."""
+        """One answer, by the loop's clock `until` then. One that has come by the time
+        that a loop which stood still looks again is in time.
+        """
         assert self.transport is not None
         loop = asyncio.get_running_loop()
         self.reader.renew()
@@ -169,8 +185,9 @@
 
 
 class Client:
-    """Requests to discovery on one kept connection. One that ended while idle is replaced once: all that is
-    asked of discovery may be asked twice."""
+    """Requests to discovery on one kept connection. One that ended while idle is
+    replaced once: all that is asked of discovery may be asked twice.
+    """
 
     def __init__(self, where: Address) -> None:
         self.where, self.channel = where, Channel()
@@ -178,9 +195,11 @@
     async def ask(
         self, method: str, path: str, timeout_s: float, body: bytes = b""
     ) -> ResponseReader:
-        """A call that fails, or is not waited for any longer, takes its own connection with it, so that a
-        late answer is never the next call's, and no connection but its own. One that says nothing is held
-        until the next is dialled: where clients hold all other descriptors, it must not become theirs."""
+        """A call that fails, or is not waited for any longer, takes its own connection
+        with it, so that a late answer is never the next call's, and no connection but
+        its own. One that says nothing is held until the next is dialled: where clients
+        hold all other descriptors, it must not become theirs.
+        """
         data = request(method, path, f"{self.where.host}:{self.where.port}", (), body)
         loop = asyncio.get_running_loop()
         until, channel = loop.time() + timeout_s, self.channel
@@ -215,9 +234,11 @@
 
 
 class Watch:
-    """Follows the list from a version on. Where lists must be asked for, it tells a failure and ends, and the
-    module asks again. Where they are `pushed`, what the agent has counts as told whether or not it is asked,
-    so a failure is not told and it asks again at once."""
+    """Follows the list from a version on. Where lists must be asked for, it tells a
+    failure and ends, and the module asks again. Where they are `pushed`, what the agent
+    has counts as told whether or not it is asked, so a failure is not told and it asks
+    again at once.
+    """
 
     def __init__(
         self,
@@ -244,8 +265,10 @@
             self.task = asyncio.get_running_loop().create_task(self.follow())
 
     def move(self, where: Address) -> None:
-        """Discovery has another address: the held call and its connection are let go, and the whole list is
-        asked for there at once. Its versions may be others, and the module may be pausing after a failure."""
+        """Discovery has another address: the held call and its connection are let go,
+        and the whole list is asked for there at once. Its versions may be others, and
+        the module may be pausing after a failure.
+        """
         if self.task is not None:
             self.task.cancel()
         self.client.close()
@@ -292,15 +315,19 @@
                 )  # a discovery that answers at once must not spin us
 
     def check(self, told: HostList) -> None:
-        """Changes are good for the list that they build on only. Where the version went back, discovery is
-        not what it was (it was restored): what it held since is gone, and only the whole list tells all."""
+        """Changes are good for the list that they build on only. Where the version went
+        back, discovery is not what it was (it was restored): what it held since is
+        gone, and only the whole list tells all.
+        """
         if not told.whole and (told.seq < self.seq or self.seq <= NO_VERSION):
             was, self.seq = self.seq, NO_VERSION
             raise BadAnswer(f"changes of version {told.seq} to a list of version {was}")
 
     def call(self) -> tuple[str, float]:
-        """What to ask, and how long its answer may take. The first call, and one after a failure, does not
-        wait for news: no answer to it means silence, where a held watch looks the same with nothing new."""
+        """What to ask, and how long its answer may take. The first call, and one after
+        a failure, does not wait for news: no answer to it means silence, where a held
+        watch looks the same with nothing new.
+        """
         at_once = PUSHED_ANSWER_S if self.pushed else ANSWER_S
         if self.seq <= NO_VERSION:
             return "/discovery/hosts", at_once
@@ -321,7 +348,9 @@
         return insists or self.pushed
 
     def pause_s(self) -> float:
-        """Before it asks again itself. By chance, so that many do not ask in step; it never grows."""
+        """Before it asks again itself. By chance, so that many do not ask in step; it
+        never grows.
+        """
         pause = PUSHED_PAUSE_S if self.pushed else INSIST_PAUSE_S
         return self.random.uniform(2 - SPREAD, SPREAD) * pause
 
@@ -337,7 +366,9 @@
 
 
 class Notices:
-    """Posts the ends that are owed, again and again until the platform has answered 204."""
+    """Posts the ends that are owed, again and again until the platform has answered
+    204.
+    """
 
     def __init__(self, where: Address, book: Platform, seed: int) -> None:
         self.client, self.book, self.random = Client(where), book, random.Random(seed)
@@ -351,7 +382,9 @@
             self.task = asyncio.get_running_loop().create_task(self.run())
 
     def move(self, where: Address) -> None:
-        """What is owed goes to the new address. A post that is cut off is made again: that does no harm."""
+        """What is owed goes to the new address. A post that is cut off is made again:
+        that does no harm.
+        """
         if self.task is not None:
             self.task.cancel()
         self.client.close()
@@ -360,7 +393,9 @@
             self.kick()
 
     def pause(self) -> None:
-        """Post nothing until the next kick. A post that is cut off is made again: that does no harm."""
+        """Post nothing until the next kick. A post that is cut off is made again: that
+        does no harm.
+        """
         if self.task is not None:
             self.task.cancel()
             self.task = None
@@ -369,16 +404,20 @@
 
     @staticmethod
     def patience_s(silent: int) -> float:
-        """How long a 204 is waited for, after so many in a row that did not come. It is short, as a
-        connection that says nothing must not hold up what is overdue 0.3 s after its time; but a platform
-        that is slow all the time is heard in the end. A notice that is posted twice does no harm."""
+        """How long a 204 is waited for, after so many in a row that did not come. It is
+        short, as a connection that says nothing must not hold up what is overdue 0.3 s
+        after its time; but a platform that is slow all the time is heard in the end. A
+        notice that is posted twice does no harm.
+        """
         return float(
             min(NOTICE_PATIENCE_S, NOTICE_ANSWER_S * 2 ** min(max(0, silent - 1), 8))
         )
 
     def pause_s(self, failures: int) -> float:
-        """By chance up to a time that doubles: many that failed at once must not ask again in step. It stays
-        short, as a notice is overdue 300 ms after its message's time."""
+        """By chance up to a time that doubles: many that failed at once must not ask
+        again in step. It stays short, as a notice is overdue 300 ms after its message's
+        time.
+        """
         return self.random.uniform(
             NOTICE_LEAST_S, min(NOTICE_TOP_S, NOTICE_FIRST_S * 2 ** min(failures, 8))
         )
@@ -416,7 +455,9 @@
 
 
 def post_body(owed: dict[str, Owed]) -> tuple[list[str], bytes]:
-    """The first of the ends that are owed, as many as one body holds: their ids and the body."""
+    """The first of the ends that are owed, as many as one body holds: their ids and the
+    body.
+    """
     names: list[str] = []
     body = bytearray()
     for name, end in owed.items():
--- a/lemonshunt/net/engine.py
+++ b/lemonshunt/net/engine.py
@@ -1,7 +1,9 @@
-"""The one loop that owns the Dispatcher: gathers events into rounds, carries out its actions in order.
+"""The one loop that owns the Dispatcher: gathers events into rounds, carries out its
+actions in order.
 
-It decides nothing. In each round what must be journaled is written before anything leaves that it precedes:
-a message before its 202, an attempt before its call's first byte, an end before its notice.
+It decides nothing. In each round what must be journaled is written before anything
+leaves that it precedes: a message before its 202, an attempt before its call's first
+byte, an end before its notice.
 """
 
 from __future__ import annotations
@@ -40,9 +42,11 @@
 __all__ = ["MOST_GONE", "MOST_RECENT", "RECALL", "Clock", "Engine"]
 RECALL = 100  # messages of before that the module is told of in one round, ...
 RECALL_S = 0.01  # ... and between two such rounds
-MOST_SOONER_US = 150_000  # a call ends so much before its message's time at most where the loop is late, ...
+# a call ends so much before its message's time at most where the loop is late, ...
+MOST_SOONER_US = 150_000
 SOONER_PART = 4  # ... and by no more than this part of what is left of it
-UNKEPT_S = 0.25  # before a call that could not leave for want of its record is decided on again; doubles
+# before a call that could not leave for want of its record is decided on again; doubles
+UNKEPT_S = 0.25
 
 
 def sync_thread() -> Worker:
@@ -54,8 +58,10 @@
 
 
 class Engine(Starting):
-    """With a `successor`, it takes over from a process that still runs: nothing is written until that has let
-    go of the journal. The clock, the numbers of targets and what the module knows go on from there."""
+    """With a `successor`, it takes over from a process that still runs: nothing is
+    written until that has let go of the journal. The clock, the numbers of targets and
+    what the module knows go on from there.
+    """
 
     def __init__(
         self,
@@ -127,7 +133,8 @@
             self.fleet = Fleet(config.fleet, self)
             self.pool.leaves = self.fleet.leaves
         seq = self.recover()
-        # Another address than the list came from may count its versions anew: the whole list is asked for.
+        # Another address than the list came from may count its versions anew: the whole
+        # list is asked for.
         same = self.store.source in ("", str(config.discovery))
         self.watch = Watch(
             config.discovery,
@@ -148,7 +155,9 @@
             self.events.append(self.backlog.pop(name))
 
     def recall_more(self) -> None:
-        """In batches between rounds, so that what comes now does not wait for all of before."""
+        """In batches between rounds, so that what comes now does not wait for all of
+        before.
+        """
         if self.backlog and not self.frozen:
             if not self.holding:
                 self.recall_some()
@@ -236,7 +245,9 @@
             self.store.flush()
 
     def untried(self, a: i.Refuse | i.Fail, now: int) -> None:
-        """Taken on and given up with no call: one count for each cause, and a line of the message."""
+        """Taken on and given up with no call: one count for each cause, and a line of
+        the message.
+        """
         m = self.store.messages[a.message]
         if m.attempts > m.unsent:
             return
@@ -257,7 +268,9 @@
         arriving: dict[str, tuple[Handed, Asker]],
         calls: list[i.CloseIdle | Call | i.Cancel],
     ) -> None:
-        """What a round decided is kept, or cannot be: answers and calls leave, or do not."""
+        """What a round decided is kept, or cannot be: answers and calls leave, or do
+        not.
+        """
         for name, (handed, door) in arriving.items():
             if ok and name in self.unanswered:
                 self.counts["taken"] += 1
@@ -290,12 +303,14 @@
             self.notices.kick()
 
     def cleared(self, call: Call, ok: bool) -> bool:
-        """Leave out of a call what must not leave: what was taken back meanwhile, and where attempts are not
-        kept, those that a restart must not make again. Their slots come free after a while, or a disk that
-        fails would have them tried without a pause."""
+        """Leave out of a call what must not leave: what was taken back meanwhile, and
+        where attempts are not kept, those that a restart must not make again. Their
+        slots come free after a while, or a disk that fails would have them tried
+        without a pause.
+        """
         kept: list[Item] = []
-        # A wait may have been told while the record was synced, or the process may have come to its freeze:
-        # then it is left, as never sent, to the one after it.
+        # A wait may have been told while the record was synced, or the process may have
+        # come to its freeze: then it is left, as never sent, to the one after it.
         waits = self.frozen or (
             self.config.power and self.clock() < self.pool.waits.get(call.place, 0)
         )
@@ -322,8 +337,10 @@
         return bool(kept)
 
     def recorded(self, call: Call) -> bool:
-        """Journal a call's attempts right before its first byte, and no sooner: of one whose connection comes
-        up while the process is killed it is known that it never ran. Whether it may leave."""
+        """Journal a call's attempts right before its first byte, and no sooner: of one
+        whose connection comes up while the process is killed it is known that it never
+        ran. Whether it may leave.
+        """
         if self.config.power:
             return True
         messages = [
@@ -338,7 +355,9 @@
         return not self.store.log.behind or all(map(self.harmless, messages))
 
     def book(self, event: i.Ended) -> None:
-        """Journal an outcome, and an attempt that came back before it was recorded: it counts as one."""
+        """Journal an outcome, and an attempt that came back before it was recorded: it
+        counts as one.
+        """
         m = self.store.messages.get(event.message)
         if m is not None and event.attempt not in m.out and not event.closed:
             self.store.attempt(
@@ -347,13 +366,17 @@
         super().book(event)
 
     def unkept_s(self, m: Taken, attempt: int) -> float:
-        """Each one uses up an attempt: at a steady pace a full disk would use up all before it has room."""
+        """Each one uses up an attempt: at a steady pace a full disk would use up all
+        before it has room.
+        """
         return max(
             0.0, min(UNKEPT_S * 2.0**attempt, (m.due_us - self.clock()) / SECOND)
         )
 
     def harmless(self, m: Taken) -> bool:
-        """Whether an attempt may leave that a restart would not know of. Under `power` none does."""
+        """Whether an attempt may leave that a restart would not know of. Under `power`
+        none does.
+        """
         cls = self.store.class_of(m)
         return (
             not self.config.power
@@ -365,9 +388,10 @@
     def faulted(
         self, events: list[i.Event], arriving: dict[str, tuple[Handed, Asker]]
     ) -> list[i.Action]:
-        """A fault in a decision must cost its event and neither the process, which holds all the others, nor
-        a slot: what was decided till then is booked in the module and so carried out, and the events that it
-        has not read come again."""
+        """A fault in a decision must cost its event and neither the process, which
+        holds all the others, nor a slot: what was decided till then is booked in the
+        module and so carried out, and the events that it has not read come again.
+        """
         if self.clock() - self.fault_us >= FULL_LOG_US:
             self.fault_us = self.clock()
             log.exception("a decision failed")
@@ -392,13 +416,17 @@
 
     @staticmethod
     def leave_by_us(m: Taken, cls: i.MessageClass | None) -> int:
-        """When the last byte of a keyed message that may have run must have left; 0 where it is not bound."""
+        """When the last byte of a keyed message that may have run must have left; 0
+        where it is not bound.
+        """
         bound = cls is not None and cls.effect is i.Effect.KEYED and m.ran_at_us >= 0
         return m.ran_at_us + cls.window_us - WIRE_US if cls is not None and bound else 0
 
     def patience_us(self, m: Taken, now: int) -> int:
-        """How long a call may be waited for. A loop that is late ends it so much sooner, or its message would
-        be past its time by then; an attempt with little time keeps most of it."""
+        """How long a call may be waited for. A loop that is late ends it so much
+        sooner, or its message would be past its time by then; an attempt with little
+        time keeps most of it.
+        """
         left = m.due_us - now
         return left - min(
             self.server.expected_late_us, MOST_SOONER_US, left // SOONER_PART
@@ -411,9 +439,11 @@
         forming: dict[tuple[int, bool], Call],
         calls: list[i.CloseIdle | Call | i.Cancel],
     ) -> None:
-        """Count an attempt and put it into a call: those of one round to one target travel together. A call
-        is given up as a whole, so messages that are waited for till their end, as once-only ones are, share
-        none with those that may be sent again sooner."""
+        """Count an attempt and put it into a call: those of one round to one target
+        travel together. A call is given up as a whole, so messages that are waited for
+        till their end, as once-only ones are, share none with those that may be sent
+        again sooner.
+        """
         m = self.store.messages.get(a.message)
         if m is None:  # only after a fault: the slot must come free again
             self.post(
@@ -423,7 +453,8 @@
         name, number = self.names.get(a.target, ""), m.attempts
         target = self.hosts.get(name)
         if target is None or target.destination != m.destination:
-            # A message that reaches a stranger cannot be called back: the last check before the wire.
+            # A message that reaches a stranger cannot be called back: the last check
+            # before the wire.
             log.error(
                 "held back: %s is no target of destination %d", name, m.destination
             )
@@ -434,7 +465,9 @@
             self.config.power
         ):  # which has to be synced: its connection comes up meanwhile
             self.store.attempt(m, number, now, name)
-        else:  # a record that says nothing yet, which shows whether there is room for those to come
+        # a record that says nothing yet, which shows whether there is room for those to
+        # come
+        else:
             m.attempts = number + 1
             self.store.outcome(m, number, False)
         cls = self.store.class_of(m)
--- a/lemonshunt/net/fleet.py
+++ b/lemonshunt/net/fleet.py
@@ -1,7 +1,9 @@
-"""This forwarder as a member of the fleet: joins, beats, watches for changes, and keeps its calls within what
-its lease and its shares allow. Imported only where the configuration has `fleet`; see docs/parts/node.md.
+"""This forwarder as a member of the fleet: joins, beats, watches for changes, and keeps
+its calls within what its lease and its shares allow. Imported only where the
+configuration has `fleet`; see docs/parts/node.md.
 
-One path on which authority moves: the answer to a beat. The watch only says that a beat is worth it.
+One path on which authority moves: the answer to a beat. The watch only says that a beat
+is worth it.
 """
 
 from __future__ import annotations
@@ -58,7 +60,9 @@
 
 
 class Fleet:
-    """`open` before the first round, `pause` and `resume` around a handover, `close` at the end."""
+    """`open` before the first round, `pause` and `resume` around a handover, `close` at
+    the end.
+    """
 
     def __init__(self, config: FleetConfig, forwarder: Forwarder) -> None:
         self.config, self.forwarder = config, forwarder
@@ -82,14 +86,16 @@
 
     def open(self) -> None:
         """Write what a successor goes by, tell the module, and begin to beat."""
-        self.forwarder.dispatcher.held.demand()  # kept from here on, while little is held
+        # kept from here on, while little is held
+        self.forwarder.dispatcher.held.demand()
         self.write(self.books.standing())
         self.tell()
         self.talk.begin(self.config.service)
 
     def pause(self) -> None:
-        """Nothing leaves from here on; what a successor needs is on disk. A lease that is not renewed runs
-        out, or is taken over by who shows its token."""
+        """Nothing leaves from here on; what a successor needs is on disk. A lease that
+        is not renewed runs out, or is taken over by who shows its token.
+        """
         self.talk.end()
         if self.books.kept:
             self.write(self.books.close(now_us()))
@@ -125,7 +131,9 @@
             )
 
     def reload(self, config: FleetConfig) -> None:
-        """Another address of the service, other reserves, another lease, between two rounds."""
+        """Another address of the service, other reserves, another lease, between two
+        rounds.
+        """
         old, self.config = self.config, config
         self.holder.ttl_us = config.lease_us
         for destination in self.books.configure(config.budgets, now_us()):
@@ -257,7 +265,8 @@
         self.tell()
         self.talk.beaten.set()
         if shrank:
-            self.talk.kicked.set()  # the service hands on what was given up once it hears that it binds
+            # the service hands on what was given up once it hears that it binds
+            self.talk.kicked.set()
 
     def refused(self, ask: Ask, told: Refusal) -> None:
         """Not now: what is had runs out as it would. Or lost."""
@@ -283,7 +292,9 @@
         self.fence(now, "; ".join(told.faults))
 
     def fence(self, now: int, why: str) -> None:
-        """The lease is over: whatever rests on it stops here, and the process joins as a new member."""
+        """The lease is over: whatever rests on it stops here, and the process joins as
+        a new member.
+        """
         self.counts["lost"] += 1
         self.state, self.list = "lost", None
         self.books.fenced(now)
--- a/lemonshunt/net/fleet_beat.py
+++ b/lemonshunt/net/fleet_beat.py
@@ -1,4 +1,6 @@
-"""A beat on the wire: what is sent, and the types of what comes back (docs/parts.md, "What all share")."""
+"""A beat on the wire: what is sent, and the types of what comes back (docs/parts.md,
+"What all share").
+"""
 
 from __future__ import annotations
 
--- a/lemonshunt/net/fleet_books.py
+++ b/lemonshunt/net/fleet_books.py
@@ -1,4 +1,5 @@
-"""A member's budgets: what it may send now, what the module is told of that, and the service of its needs.
+"""A member's budgets: what it may send now, what the module is told of that, and the
+service of its needs.
 
 Sans-I/O. `now_us` is the member's own monotonic clock, the one its lease goes by.
 """
@@ -42,7 +43,9 @@
     static: Reserve | None
     why: str = "the configuration's reserve"
     barred: tuple[int, int] = (0, 0)
-    """Of which unknown time the module was told: its end, and the window it counts in."""
+    """Of which unknown time the module was told: its end, and the window it counts
+    in.
+    """
     opened: bool = False
     """The module knows of it."""
     noted: tuple[Any, ...] = ()
@@ -76,9 +79,11 @@
         self.configure(budgets, now_us)
 
     def configure(self, budgets: Iterable[Reserve], now_us: int) -> list[int]:
-        """Budgets from the configuration, at the start and at SIGHUP. They hold where nothing was told yet;
-        where a share was, a lower reserve binds at once, and a higher one waits for the service. Returns
-        those that are no budgets any more: named neither here nor by the service's last answer."""
+        """Budgets from the configuration, at the start and at SIGHUP. They hold where
+        nothing was told yet; where a share was, a lower reserve binds at once, and a
+        higher one waits for the service. Returns those that are no budgets any more:
+        named neither here nor by the service's last answer.
+        """
         named, gone = {b.destination: b for b in budgets}, []
         for destination, account in list(self.accounts.items()):
             account.static = named.get(destination)
@@ -120,8 +125,9 @@
         valid_until_us: int,
         now_us: int,
     ) -> bool:
-        """Shares from an answered beat that counts. Whether one came to be less: the service waits to hear
-        that it binds."""
+        """Shares from an answered beat that counts. Whether one came to be less: the
+        service waits to hear that it binds.
+        """
         shrank, self.last = False, set(shares)
         for destination, s in shares.items():
             account = self.accounts.get(destination)
@@ -172,8 +178,9 @@
     # The last gate
 
     def leaves(self, destination: int, now_us: int) -> int:
-        """0: one call may leave now, and is counted. Else so many microseconds from now at the earliest; -1
-        where that is not known."""
+        """0: one call may leave now, and is counted. Else so many microseconds from now
+        at the earliest; -1 where that is not known.
+        """
         account = self.accounts.get(destination)
         if account is None:
             return 0
@@ -183,7 +190,9 @@
         return -1 if at is None else max(at - now_us, 1)
 
     def left(self, destination: int, spent_us: int, now_us: int) -> None:
-        """Its first byte is out. Where the process was stopped since it was counted, it counts from now."""
+        """Its first byte is out. Where the process was stopped since it was counted, it
+        counts from now.
+        """
         account = self.accounts.get(destination)
         if account is not None and account.purse.late(spent_us, now_us):
             account.purse.window.add(now_us, 1)
@@ -230,8 +239,9 @@
     def needs(
         self, waiting: Mapping[int, Mapping[str, int]], now_us: int
     ) -> dict[str, dict[str, int]]:
-        """For a beat, of as many destinations as the service takes: those with a budget here first. What is
-        not wanted any more is forgotten."""
+        """For a beat, of as many destinations as the service takes: those with a budget
+        here first. What is not wanted any more is forgotten.
+        """
         found: dict[str, dict[str, int]] = {}
         for destination in sorted(
             {*self.wants, *waiting}, key=lambda d: (d not in self.accounts, d)
@@ -246,7 +256,9 @@
         return told
 
     def grown(self, waiting: Mapping[int, int], now_us: int) -> bool:
-        """Whether more is needed of a budget than its share, and much more than was told."""
+        """Whether more is needed of a budget than its share, and much more than was
+        told.
+        """
         for destination, account in self.accounts.items():
             wants, piled = self.wants.get(destination), waiting.get(destination, 0)
             if not piled:
@@ -299,7 +311,9 @@
         return "lease" if now_us < account.purse.valid_until_us else "reserve"
 
     def changes(self, now_us: int) -> list[tuple[int, dict[str, Any]]]:
-        """Budgets that stand otherwise than when this was last asked, with their figures."""
+        """Budgets that stand otherwise than when this was last asked, with their
+        figures.
+        """
         found, figures = [], None
         for destination, a in sorted(self.accounts.items()):
             share = a.purse.share
@@ -326,8 +340,9 @@
 
 
 def without_long_parts(needs: dict[str, dict[str, int]]) -> dict[str, dict[str, int]]:
-    """Needs by destination and part. Where the parts' names would make a beat too large, each destination's
-    whole need stands under the part "" instead."""
+    """Needs by destination and part. Where the parts' names would make a beat too
+    large, each destination's whole need stands under the part "" instead.
+    """
     size = sum(
         len(part) * (1 if part.isascii() else ESCAPED)
         for parts in needs.values()
@@ -341,7 +356,9 @@
 
 
 def gathered(spent: list[list[int]], most: int) -> list[list[int]]:
-    """(first, latest, calls) in so many entries at most: calls of one count as made at its latest."""
+    """(first, latest, calls) in so many entries at most: calls of one count as made at
+    its latest.
+    """
     step = max(1, -(-len(spent) // most))
     return [
         [group[0][0], group[-1][1], sum(calls for _, _, calls in group)]
--- a/lemonshunt/net/fleet_config.py
+++ b/lemonshunt/net/fleet_config.py
@@ -1,5 +1,6 @@
-"""The `fleet` object of a configuration: checked whole, every fault with its path. Imported only where a
-configuration names it, as it brings msgspec with it."""
+"""The `fleet` object of a configuration: checked whole, every fault with its path.
+Imported only where a configuration names it, as it brings msgspec with it.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Reserve:
-    """What this forwarder may send of a destination's whole while it has not been told of a share."""
+    """What this forwarder may send of a destination's whole while it has not been told
+    of a share.
+    """
 
     destination: int
     reserve: int
@@ -67,7 +70,9 @@
 
 
 def read(raw: Any, name: str) -> FleetConfig:
-    """The object that stands at `fleet`, of the forwarder `name`. Raises FleetFault with all faults."""
+    """The object that stands at `fleet`, of the forwarder `name`. Raises FleetFault
+    with all faults.
+    """
     faults: list[tuple[str, str]] = []
     told = _struct(raw, RawFleet, "fleet", faults)
     budgets = [
@@ -122,8 +127,9 @@
 def _struct(
     raw: Any, kind: type[Struct], path: str, faults: list[tuple[str, str]]
 ) -> dict[str, Any]:
-    """The fields that convert, defaults in place of missing ones. msgspec stops at a fault, so where there is
-    one they are taken one by one."""
+    """The fields that convert, defaults in place of missing ones. msgspec stops at a
+    fault, so where there is one they are taken one by one.
+    """
     if not isinstance(raw, dict):
         faults.append((path, "not an object"))
         return {}
@@ -158,7 +164,9 @@
 
 
 def joined(old: FleetConfig, new: FleetConfig) -> tuple[FleetConfig, list[str]]:
-    """What of a new one can be in force now, and the paths of what waits for a start."""
+    """What of a new one can be in force now, and the paths of what waits for a
+    start.
+    """
     return (
         replace(old, service=new.service, lease_us=new.lease_us, budgets=new.budgets),
         [f"fleet.{name}" for name in FIXED if getattr(old, name) != getattr(new, name)],
--- a/lemonshunt/net/fleet_file.py
+++ b/lemonshunt/net/fleet_file.py
@@ -1,7 +1,9 @@
-"""What a member keeps for its successor, in `fleet.json` of the state folder: its token, and each purse.
+"""What a member keeps for its successor, in `fleet.json` of the state folder: its
+token, and each purse.
 
-Bounded by the budgets; written beside and renamed, so that a crash leaves the old or the new one. The folder
-may hold 3 MB in all, so the records of many budgets are compressed.
+Bounded by the budgets; written beside and renamed, so that a crash leaves the old or
+the new one. The folder may hold 3 MB in all, so the records of many budgets are
+compressed.
 """
 
 from __future__ import annotations
@@ -39,8 +41,10 @@
         self.number = self.newest = 0
 
     def read(self) -> tuple[Token, Records]:
-        """The token of the process before and its purses' records, by destination. A file that cannot be read
-        counts as none: its process's lease runs out first, and a purse without a record waits a window."""
+        """The token of the process before and its purses' records, by destination. A
+        file that cannot be read counts as none: its process's lease runs out first, and
+        a purse without a record waits a window.
+        """
         try:
             if self.files.size(self.path) > MOST_BYTES:
                 raise ValueError("too large")
@@ -92,8 +96,10 @@
         )
 
     def write(self, number: int, data: bytes) -> OSError | None:
-        """Returns once it is on disk, as the level promises, or why it is not; the file before stays then.
-        From any thread: an older one never takes a newer one's place."""
+        """Returns once it is on disk, as the level promises, or why it is not; the file
+        before stays then. From any thread: an older one never takes a newer one's
+        place.
+        """
         with self.lock:
             if number < self.newest:
                 return None
@@ -123,5 +129,7 @@
 
 
 def plain(data: bytes) -> bytes:
-    """A file's JSON. Raises zlib.error where it neither begins as an object nor can be unpacked."""
+    """A file's JSON. Raises zlib.error where it neither begins as an object nor can be
+    unpacked.
+    """
     return data if data.startswith(b"{") else zlib.decompress(data)
--- a/lemonshunt/net/fleet_talk.py
+++ b/lemonshunt/net/fleet_talk.py
@@ -1,4 +1,6 @@
-"""When a member speaks to the list service: beats by its lease's clock or for a reason, and a held watch."""
+"""When a member speaks to the list service: beats by its lease's clock or for a reason,
+and a held watch.
+"""
 
 from __future__ import annotations
 
@@ -17,18 +19,23 @@
 
 LEAST_S = 0.1  # between two beats, whatever changes
 SPREAD_S = 0.05  # a change is told to all members at once: they beat within so long
-HOLD_MS = 10_000  # how long a watch waits for a change; one that is lost costs the time to the next beat
+# how long a watch waits for a change; one that is lost costs the time to the next beat
+HOLD_MS = 10_000
 LATE_S = 1.0  # after which it is silent
 log = logging.getLogger("lemonshunt.fleet")
 
 
 def now_us() -> int:
-    """The member's own clock. It counts on while the machine sleeps, as the service's lease does."""
+    """The member's own clock. It counts on while the machine sleeps, as the service's
+    lease does.
+    """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 class Talk:
-    """`beat` makes one call over the client it is given, and settles with the holder what came of it."""
+    """`beat` makes one call over the client it is given, and settles with the holder
+    what came of it.
+    """
 
     def __init__(
         self,
@@ -40,7 +47,9 @@
         self.reachable, self.version = False, -1
         """Whether the service answered the last beat, and the version that it told."""
         self.patient = False
-        """The service is away, or said when to come: nothing brings the next beat forward."""
+        """The service is away, or said when to come: nothing brings the next beat
+        forward.
+        """
         self.kicked, self.beaten = asyncio.Event(), asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
         self.clients: list[Client] = []
@@ -82,8 +91,9 @@
             self.kicked.clear()
 
     async def follow(self) -> None:
-        """Hear of changes as they come. None is told here, so whatever goes wrong costs no more than the time
-        to the next beat."""
+        """Hear of changes as they come. None is told here, so whatever goes wrong costs
+        no more than the time to the next beat.
+        """
         while True:
             self.beaten.clear()
             if not self.reachable or self.holder.token is None:
--- a/lemonshunt/net/handover.py
+++ b/lemonshunt/net/handover.py
@@ -1,5 +1,6 @@
-"""Handing over to a new version that starts while this one serves: the talk of the two processes over a Unix
-socket in the shared folder. What is handed over, the engine knows.
+"""Handing over to a new version that starts while this one serves: the talk of the two
+processes over a Unix socket in the shared folder. What is handed over, the engine
+knows.
 
   new: ask                    old: memory, or no
   new: prepared               old: yours, once the lock is free
@@ -27,7 +28,8 @@
 
 __all__ = ["Line", "Link", "Lock", "Predecessor", "Proxy", "Successor", "claim"]
 SOCKET = "handover"
-HOLD_S = 1.5  # a new process that takes longer to read the journal is not waited for: clients are
+# a new process that takes longer to read the journal is not waited for: clients are
+HOLD_S = 1.5
 MOST_HOLD_S = (
     3.0  # one that comes again gets twice the time; its yes is due 6 s after its start
 )
@@ -67,7 +69,9 @@
         self.rotations: dict[int, Answer] = {}
 
     async def listen(self, folder: Path) -> None:
-        """Where such a socket cannot be had, this process serves without: a new one waits for its end."""
+        """Where such a socket cannot be had, this process serves without: a new one
+        waits for its end.
+        """
         try:
             with short_path(folder / SOCKET) as path:
                 self.listener = await asyncio.get_running_loop().create_unix_server(
@@ -106,8 +110,9 @@
             self.engine.call_off(*line["cancel"])
 
     def ask(self, link: Link) -> None:
-        # Also while the engine still stands still for one that has gone meanwhile, and a while after one that
-        # was too slow: asked again at once, it would stand still for good.
+        # Also while the engine still stands still for one that has gone meanwhile, and
+        # a while after one that was too slow: asked again at once, it would stand still
+        # for good.
         busy = self.link is not None or self.given or not self.stood
         if busy or time.monotonic() < self.rest_until:
             self.refuse(link)
@@ -138,7 +143,9 @@
             self.timer = None
 
     def too_slow(self) -> None:
-        """Who waits is served for as long as all stood still; then the next try has longer."""
+        """Who waits is served for as long as all stood still; then the next try has
+        longer.
+        """
         self.rest_until = time.monotonic() + self.hold_s
         self.hold_s = min(2 * self.hold_s, MOST_HOLD_S)
         self.abort()
@@ -172,7 +179,9 @@
             self.link.send(yours=True)
 
     def hand_in(self, handed: Handed, door: Asker) -> None:
-        """A request that came over a connection of this process is answered by the new one."""
+        """A request that came over a connection of this process is answered by the new
+        one.
+        """
         if self.link is None:
             door.answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", Retry_After="1")
             return
@@ -276,8 +285,10 @@
         return await self.request("ask", ASK_S)
 
     async def prepared(self) -> bool:
-        """Whether all is this process's from now on. The old one says so, ends the talk, or dies: to give up
-        before might cross its yes, and then each would leave all to the other."""
+        """Whether all is this process's from now on. The old one says so, ends the
+        talk, or dies: to give up before might cross its yes, and then each would leave
+        all to the other.
+        """
         return await self.request("prepared", None)
 
     async def request(self, word: str, patience_s: float | None) -> bool:
@@ -363,8 +374,10 @@
             self.part(self.engine)
 
     def part(self, engine: Taker) -> None:
-        """The clients of the process before went with it, also those whose requests were told before there
-        was an engine to take them: none of them can hear an answer."""
+        """The clients of the process before went with it, also those whose requests
+        were told before there was an engine to take them: none of them can hear an
+        answer.
+        """
         for proxy in list(self.proxies.values()):
             if proxy.left is not None:
                 proxy.left()
@@ -373,8 +386,10 @@
 
 
 async def claim(lock: Lock, folder: Path) -> Successor | None:
-    """Become the one that holds the journal: at once where nobody does, else by asking who does. A process
-    that neither answers nor ends is waited for: two writers would cost what is held."""
+    """Become the one that holds the journal: at once where nobody does, else by asking
+    who does. A process that neither answers nor ends is waited for: two writers would
+    cost what is held.
+    """
     waited = False
     while not lock.take():
         successor = Successor()
--- a/lemonshunt/net/http.py
+++ b/lemonshunt/net/http.py
@@ -1,7 +1,9 @@
-"""HTTP/1.1 answers as they arrive: httptools parses, this collects. One answer at a time on a connection.
+"""HTTP/1.1 answers as they arrive: httptools parses, this collects. One answer at a
+time on a connection.
 
-Nothing here trusts the peer: every byte counts against a limit, also those of a head that never ends, and an
-answer that was spoilt stays spoilt whatever its first line says.
+Nothing here trusts the peer: every byte counts against a limit, also those of a head
+that never ends, and an answer that was spoilt stays spoilt whatever its first line
+says.
 """
 
 from __future__ import annotations
@@ -28,9 +30,11 @@
 
 
 class ResponseReader:
-    """Collects one answer after the other. `first_line` is the status as the first line says it, from when
-    that line is whole, though the rest may yet turn out spoilt: one that breaks off inside it promises
-    nothing. `status` counts once the answer is `complete`."""
+    """Collects one answer after the other. `first_line` is the status as the first line
+    says it, from when that line is whole, though the rest may yet turn out spoilt: one
+    that breaks off inside it promises nothing. `status` counts once the answer is
+    `complete`.
+    """
 
     def __init__(self, most: int = MOST_BODY) -> None:
         self.most = most
@@ -58,12 +62,16 @@
         self.parts: list[bytes] = []
 
     def let_go(self) -> None:
-        """The connection is over. The parser refers back: the collector need not find the ring."""
+        """The connection is over. The parser refers back: the collector need not find
+        the ring.
+        """
         self.parser = None
 
     @property
     def begun(self) -> bool:
-        """Whether some of the answer itself has come: those ahead of it are no part of it."""
+        """Whether some of the answer itself has come: those ahead of it are no part of
+        it.
+        """
         return bool(self.first_line or self.start)
 
     @property
@@ -88,18 +96,23 @@
                     "the answer is too large" if self.too_large else str(error)
                 ) from None
             self.keep_alive = False
-        if self.extra:  # a second answer or noise behind a good one: that one holds, the connection does not
+        # a second answer or noise behind a good one: that one holds, the connection
+        # does not
+        if self.extra:
             self.keep_alive = False
         self.raw += len(data)
-        # The parser tells a header only once it is whole: a head without end shows in the raw bytes alone.
-        # Chunks may be small, so a body's raw bytes are allowed to be some times its size.
+        # The parser tells a header only once it is whole: a head without end shows in
+        # the raw bytes alone. Chunks may be small, so a body's raw bytes are allowed to
+        # be some times its size.
         if not self.complete and self.raw > (
             MOST_HEAD if self.in_head else MOST_HEAD + 8 * self.most
         ):
             raise BadAnswer("the answer is too large")
 
     def begin(self, data: bytes) -> bytes:
-        """Gather the first line's status. 1xx answers ahead have no body and are left out, also a 101."""
+        """Gather the first line's status. 1xx answers ahead have no body and are left
+        out, also a 101.
+        """
         data, self.start = self.start + data, b""
         while True:
             match = FIRST_LINE.match(data)
@@ -192,7 +205,9 @@
 
 
 def unread(transport: asyncio.Transport) -> bool:
-    """Whether its socket holds something that the loop has not read yet: bytes, an end, a reset."""
+    """Whether its socket holds something that the loop has not read yet: bytes, an end,
+    a reset.
+    """
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
     return bool(poll.poll(0))
--- a/lemonshunt/net/idle.py
+++ b/lemonshunt/net/idle.py
@@ -1,4 +1,6 @@
-"""Connections to targets that are open without a call: kept, and let go before their targets do."""
+"""Connections to targets that are open without a call: kept, and let go before their
+targets do.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +11,8 @@
 from lemonshunt.net.connection import Connection
 
 SECOND = 1_000_000
-IDLE_MARGIN_US = 700_000  # an idle connection is closed so long before its target would: a reset costs a try
+# an idle connection is closed so long before its target would: a reset costs a try
+IDLE_MARGIN_US = 700_000
 SWEEP_S = 0.2
 STALE_STEP = (
     0.2  # weight of the newest call in the share of idle connections that were stale
@@ -39,7 +42,9 @@
         self.idle_us = max(0, (idle_us or 60 * SECOND) - IDLE_MARGIN_US)
 
     def serving(self, where: dict[int, Address]) -> None:
-        """The list changed: what is not in it any more gets no new call, and keeps no idle connection."""
+        """The list changed: what is not in it any more gets no new call, and keeps no
+        idle connection.
+        """
         for target, old in self.where.items():
             if where.get(target) != old:
                 self.close_idle(target)
@@ -61,15 +66,18 @@
         return True
 
     def was_stale(self, age_us: int, stale: bool) -> None:
-        """Whether a kept connection broke at once under its call. Some targets let go of idle ones sooner
-        than the settings say, and tell only who writes to them: it is learned for each age, by powers of two.
+        """Whether a kept connection broke at once under its call. Some targets let go
+        of idle ones sooner than the settings say, and tell only who writes to them: it
+        is learned for each age, by powers of two.
         """
         if age_us >= 0:
             share = self.stale[age_us.bit_length()]
             self.stale[age_us.bit_length()] += STALE_STEP * (stale - share)
 
     def trusted(self, age_us: int) -> bool:
-        """Whether a connection idle for so long may be used; one that may not is tried again in a while."""
+        """Whether a connection idle for so long may be used; one that may not is tried
+        again in a while.
+        """
         share = self.stale[age_us.bit_length()]
         if share > STALE_MARK:
             self.stale[age_us.bit_length()] = share * STALE_FADE
@@ -77,7 +85,8 @@
 
     def keep(self, connection: Connection, target: int) -> None:
         held = self.idle.setdefault(target, [])
-        # A target may have moved during the call: who is at its old address now is another.
+        # A target may have moved during the call: who is at its old address now is
+        # another.
         if (
             self.where.get(target) != connection.where
             or self.idle_us <= 0
--- a/lemonshunt/net/leaving.py
+++ b/lemonshunt/net/leaving.py
@@ -1,4 +1,6 @@
-"""The engine's part in handing over to a new process and in taking over from an old one."""
+"""The engine's part in handing over to a new process and in taking over from an old
+one.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +19,11 @@
 
 class Leaving(Desk):
     def hold(self, then: Callable[[Line | None], None]) -> None:
-        """A new process asks for all: stand still, with everything in the journal, and tell what that lacks.
-        None where it cannot be had now. While the disk fails it cannot: who asks again and again must not cut
-        what is being dialed, the watch and the posts each time."""
+        """A new process asks for all: stand still, with everything in the journal, and
+        tell what that lacks. None where it cannot be had now. While the disk fails it
+        cannot: who asks again and again must not cut what is being dialed, the watch
+        and the posts each time.
+        """
         if (
             not self.serving
             or self.leaving_s
@@ -37,8 +41,10 @@
         self.store.commit(lambda ok: self.still(then))
 
     def still(self, then: Callable[[Line | None], None]) -> None:
-        """All that was decided has left. What has ended since is journaled, and that must have its end too:
-        the new process reads the file, and a sync under way might put another in its place."""
+        """All that was decided has left. What has ended since is journaled, and that
+        must have its end too: the new process reads the file, and a sync under way
+        might put another in its place.
+        """
         self.pool.cut_dials()
         if self.fleet is not None:
             self.fleet.pause()
@@ -54,7 +60,8 @@
             self.pool.out,
         )
         now = self.clock()
-        # The module has not been told of these: its successor is, as of calls that end later.
+        # The module has not been told of these: its successor is, as of calls that end
+        # later.
         ended = {(e.message, e.attempt) for e in self.events if isinstance(e, i.Ended)}
         return {
             "numbers": self.numbers,
@@ -70,7 +77,9 @@
         }
 
     def resume(self) -> None:
-        """The new process is gone before it had anything: go on as if it had not asked."""
+        """The new process is gone before it had anything: go on as if it had not
+        asked.
+        """
         if not self.holding:
             return
         self.holding = False
@@ -87,7 +96,9 @@
             call()
 
     def give(self) -> None:
-        """The new process has read all: from here on it is the writer, and this one only ends what it has."""
+        """The new process has read all: from here on it is the writer, and this one
+        only ends what it has.
+        """
         assert self.lock is not None
         self.server.move()
         self.store.let_go()
@@ -104,7 +115,9 @@
         self.catch_up()
 
     def bereft(self) -> None:
-        """The new process is gone, though all was its: the journal says how far it got."""
+        """The new process is gone, though all was its: the journal says how far it
+        got.
+        """
         if not self.leaving_s:
             log.error("the new process is gone; starting again from the journal")
             self.again = True
@@ -116,7 +129,9 @@
         self.answer_from_journal()
 
     def answer_from_journal(self) -> None:
-        """No engine comes after this one here: who waits for an answer gets it before the process ends."""
+        """No engine comes after this one here: who waits for an answer gets it before
+        the process ends.
+        """
         doors, self.predecessor.doors = self.predecessor.doors, {}
         if not doors:
             return
@@ -135,7 +150,9 @@
                 )
 
     def reread(self) -> None:
-        """SIGHUP when all is the new process's: the doors that are still here go by the same file."""
+        """SIGHUP when all is the new process's: the doors that are still here go by the
+        same file.
+        """
         with suppress(ConfigError):  # the new process counts it and says what is wrong
             self.server.settings = replace(
                 replacement(self.config).settings, ends_told=True
--- a/lemonshunt/net/link.py
+++ b/lemonshunt/net/link.py
@@ -1,4 +1,6 @@
-"""What two processes on one machine say to each other: lines of JSON over a Unix socket."""
+"""What two processes on one machine say to each other: lines of JSON over a Unix
+socket.
+"""
 
 from __future__ import annotations
 
@@ -68,8 +70,10 @@
         self.lost(self)
 
     def read_on(self, transport: asyncio.Transport) -> None:
-        """The other process was gone as this one wrote to it. Such a failed write ends the connection, and
-        asyncio reads no more of what came before: how calls ended, and what was taken on."""
+        """The other process was gone as this one wrote to it. Such a failed write ends
+        the connection, and asyncio reads no more of what came before: how calls ended,
+        and what was taken on.
+        """
         fd = transport.get_extra_info("socket").fileno()
         with suppress(OSError):
             while data := os.read(fd, CHUNK):
--- a/lemonshunt/net/lock.py
+++ b/lemonshunt/net/lock.py
@@ -12,7 +12,9 @@
 
 
 class Lock:
-    """Whoever holds it may write the journal. It goes with its process, however that ends."""
+    """Whoever holds it may write the journal. It goes with its process, however that
+    ends.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.path, self.fd = folder / LOCK, -1
--- a/lemonshunt/net/logjson.py
+++ b/lemonshunt/net/logjson.py
@@ -1,8 +1,10 @@
-"""The forwarder's log lines as JSON, one an event, where the configuration says ``log_format = "json"``.
+"""The forwarder's log lines as JSON, one an event, where the configuration says
+``log_format = "json"``.
 
-Each line has ``event``, ``level``, ``logger``, ``process`` (the forwarder's name), ``role``, ``pid`` and
-``t_ns`` (``time.monotonic_ns``, the one clock of the machine, so that the fleet lab can order lines of
-several processes), and ``message_id`` where the line is of one message. structlog is imported only here.
+Each line has ``event``, ``level``, ``logger``, ``process`` (the forwarder's name),
+``role``, ``pid`` and ``t_ns`` (``time.monotonic_ns``, the one clock of the machine, so
+that the fleet lab can order lines of several processes), and ``message_id`` where the
+line is of one message. structlog is imported only here.
 """
 
 from __future__ import annotations
@@ -16,8 +18,10 @@
 
 
 def install(name: str) -> None:
-    """Put JSON lines on standard error in place of the plain ones, and turn on the lines of each message.
-    ImportError where structlog is missing: the caller says so and does not start."""
+    """Put JSON lines on standard error in place of the plain ones, and turn on the
+    lines of each message. ImportError where structlog is missing: the caller says so
+    and does not start.
+    """
     import structlog
 
     def stamp(
--- a/lemonshunt/net/operators.py
+++ b/lemonshunt/net/operators.py
@@ -1,4 +1,6 @@
-"""The engine's part for operators: figures, endpoints taken out, another configuration; and owed ends."""
+"""The engine's part for operators: figures, endpoints taken out, another configuration;
+and owed ends.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +41,9 @@
         }
 
     def rotate(self, name: str, out: bool, answer: Answer) -> None:
-        """Operators take a target out or put it back; the yes comes once it is journaled and in force."""
+        """Operators take a target out or put it back; the yes comes once it is
+        journaled and in force.
+        """
         if self.predecessor.given:
             self.predecessor.rotate(name, out, answer)
             return
@@ -109,7 +113,9 @@
     # A new configuration
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration again. One that cannot hold leaves all as it is."""
+        """SIGHUP: read the configuration again. One that cannot hold leaves all as it
+        is.
+        """
         old = self.config
         if self.predecessor.given:
             log.info("the new process reads the configuration")
@@ -158,7 +164,9 @@
         )
 
     def retune(self, new: Config) -> None:
-        """New settings take hold everywhere between two rounds. Open messages keep what they came under."""
+        """New settings take hold everywhere between two rounds. Open messages keep what
+        they came under.
+        """
         s, apart = replace(new.settings, ends_told=True), self.apart
         self.derive(s)
         if self.apart != apart:
@@ -175,7 +183,9 @@
             self.round()
 
     def regroup(self, before: set[str]) -> None:
-        """Routes stand apart now, or no longer: a wait that was told binds whatever it may be the wait of."""
+        """Routes stand apart now, or no longer: a wait that was told binds whatever it
+        may be the wait of.
+        """
         places = {}
         for name, host in self.hosts.items():
             kind, number = str(host.raw.get("class")), self.numbers[name]
--- a/lemonshunt/net/reconfigure.py
+++ b/lemonshunt/net/reconfigure.py
@@ -1,5 +1,6 @@
-"""Configurations looked at whole before anything is touched: every fault with its path, what would change,
-and what waits for a start. See docs/parts.md."""
+"""Configurations looked at whole before anything is touched: every fault with its path,
+what would change, and what waits for a start. See docs/parts.md.
+"""
 
 from __future__ import annotations
 
@@ -134,7 +135,9 @@
 
 
 def digest(raw: Mapping[str, Any]) -> str:
-    """The same for all forwarders that run the same, however their files are written."""
+    """The same for all forwarders that run the same, however their files are
+    written.
+    """
     told = {key: value for key, value in raw.items() if key not in OWN}
     if isinstance(told.get("fleet"), Mapping):
         told["fleet"] = {
@@ -208,8 +211,9 @@
 def joint(
     old: FleetConfig | None, new: FleetConfig | None
 ) -> tuple[FleetConfig | None, list[str]]:
-    """What of a new `fleet` can be in force now, and the paths of what waits for a start: all of it where it
-    is turned on or off."""
+    """What of a new `fleet` can be in force now, and the paths of what waits for a
+    start: all of it where it is turned on or off.
+    """
     if old is None or new is None:
         return old, [] if old is new else ["fleet"]
     from lemonshunt.net.fleet_config import joined
@@ -273,7 +277,9 @@
 
 
 def _compare(verdict: Verdict, path: str, old: Any, new: Any) -> None:
-    """Missing keys and other types are faults, as at SIGHUP; other values are changes."""
+    """Missing keys and other types are faults, as at SIGHUP; other values are
+    changes.
+    """
     if old is None or isinstance(new, Constant):
         if old is None and new is not None:
             verdict.changes.append(path)
--- a/lemonshunt/net/room.py
+++ b/lemonshunt/net/room.py
@@ -1,7 +1,9 @@
-"""Which bound keeps the forwarder from taking on one more message: their number, the disk, or the memory.
+"""Which bound keeps the forwarder from taking on one more message: their number, the
+disk, or the memory.
 
-The memory of a held message was measured (docs/CAPACITY.md): some 340 bytes in the module, 630 in the
-journal's state, and at most 1,740 with both while a checkpoint is written; its body comes on top.
+The memory of a held message was measured (docs/CAPACITY.md): some 340 bytes in the
+module, 630 in the journal's state, and at most 1,740 with both while a checkpoint is
+written; its body comes on top.
 """
 
 from __future__ import annotations
@@ -11,7 +13,8 @@
 MEGABYTE = 1_000_000  # bytes
 PROCESS_BYTES = 24 * MEGABYTE  # of the process with nothing held
 MESSAGE_BYTES = 1_800  # of a held message beside what the journal keeps of it, at most
-HELD_PART = 0.8  # of what the process leaves of its memory; the rest is for clients, calls and answers
+# of what the process leaves of its memory; the rest is for clients, calls and answers
+HELD_PART = 0.8
 LEAST_BYTES = MEGABYTE  # where a limit is hardly above the process's own need
 
 
@@ -24,11 +27,14 @@
 
 
 def bytes_for_held(memory_mb: int) -> int:
-    """The bytes that held messages may take within a limit of the process in megabytes."""
+    """The bytes that held messages may take within a limit of the process in
+    megabytes.
+    """
     return max(LEAST_BYTES, int(HELD_PART * (memory_mb * MEGABYTE - PROCESS_BYTES)))
 
 
 def memory_left(memory_mb: int, messages: int, live_bytes: int) -> bool:
-    """Whether one more message is within the memory, beside so many held whose journal records have so many
-    bytes; the new one is counted among both."""
+    """Whether one more message is within the memory, beside so many held whose journal
+    records have so many bytes; the new one is counted among both.
+    """
     return messages * MESSAGE_BYTES + live_bytes <= bytes_for_held(memory_mb)
--- a/lemonshunt/net/server.py
+++ b/lemonshunt/net/server.py
@@ -1,4 +1,6 @@
-"""The clients' side: listens, bounds connections in number and time, checks messages and hands them on."""
+"""The clients' side: listens, bounds connections in number and time, checks messages
+and hands them on.
+"""
 
 from __future__ import annotations
 
@@ -20,18 +22,24 @@
     Request,
 )
 
-# A peer that sends no proper request, or nothing, is owed an error or a close within 3 s of connecting
-# (TERMS). The longest ways there, and the rest is for a loop that is late (a test computes them):
+# A peer that sends no proper request, or nothing, is owed an error or a close within 3
+# s of connecting (TERMS). The longest ways there, and the rest is for a loop that is
+# late (a test computes them):
 # - it says nothing: SILENT_US + SWEEP_S = 2.2 s;
 # - it stands half read from the start: STALLED_US + SWEEP_S = 2.2 s;
-# - it begins at the last moment and stands half read: SILENT_US + SWEEP_S + FIRST_US + SWEEP_S = 2.7 s.
-STALLED_US = 2_000_000  # a request that stands half read for longer is answered 408; the first on a ...
-FIRST_US = 300_000  # ... connection so long after connecting, if it has stood for this: clients wait 0.4 s
-SILENT_US = 2_000_000  # a connection on which nothing was ever asked is closed after this, and never sooner
+# - it begins at the last moment and stands half read: SILENT_US + SWEEP_S + FIRST_US +
+# SWEEP_S = 2.7 s.
+# a request that stands half read for longer is answered 408; the first on a ...
+STALLED_US = 2_000_000
+# ... connection so long after connecting, if it has stood for this: clients wait 0.4 s
+FIRST_US = 300_000
+# a connection on which nothing was ever asked is closed after this, and never sooner
+SILENT_US = 2_000_000
 IDLE_US = 10_000_000  # as is one on which nothing has been asked for so long
 UNASKED_US = 400_000  # clients send at once, and wait for the answer so long
 SWEEP_S = 0.2
-BEAT_S = 0.05  # between two looks at how late the loop is: what it reads may have waited for so long
+# between two looks at how late the loop is: what it reads may have waited for so long
+BEAT_S = 0.05
 LATE_FADE = (
     0.98  # each look's share of the latest that is still expected: it halves in 1.7 s
 )
@@ -42,9 +50,12 @@
     64 * 1024
 )  # bytes of answers that a client has not taken: whoever waits for one answer has few
 BIND_TRIES, BIND_PAUSE_S = 100, 0.05
-BACKLOG = 1024  # connections that wait in the system: hundreds of clients may come again in one moment
+# connections that wait in the system: hundreds of clients may come again in one moment
+BACKLOG = 1024
 ACCEPTS = 4  # connections taken at a time, ...
-ACCEPT_TURNS = 4  # ... and the turns of the loop from its accept until the descriptor that makes room is free
+# ... and the turns of the loop from its accept until the descriptor that makes room is
+# free
+ACCEPT_TURNS = 4
 TIME_LEFT = re.compile(
     r"-?[0-9]{1,9}(\.[0-9]{0,9})?", re.ASCII
 )  # float() reads more: nan, 1e9, 1_0
@@ -62,14 +73,18 @@
     due_us: int
     key: str | None
     order_key: str | None
-    """Where its class keeps its order: those that share it go one at a time, as handed in."""
+    """Where its class keeps its order: those that share it go one at a time, as handed
+    in.
+    """
     tenant: str | None
     resent: bool
     body: bytes
 
 
 class Asker(Protocol):
-    """Who handed a message in and waits to hear of it; `left` is called if that ends."""
+    """Who handed a message in and waits to hear of it; `left` is called if that
+    ends.
+    """
 
     left: Callable[[], None] | None
 
@@ -139,7 +154,9 @@
 
 
 async def bind(host: str, port: int) -> socket.socket:
-    """A listening socket; the process before may still be going, so it is tried for a while."""
+    """A listening socket; the process before may still be going, so it is tried for a
+    while.
+    """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     for attempt in range(BIND_TRIES):
         try:
@@ -152,7 +169,9 @@
 
 
 class Server(Connections):
-    """Listens for clients. `hand_in` gets each well-formed message together with its connection."""
+    """Listens for clients. `hand_in` gets each well-formed message together with its
+    connection.
+    """
 
     def __init__(
         self,
@@ -177,12 +196,14 @@
         loop = asyncio.get_running_loop()
         if inherited is None:
             sock = await bind(host, port)
-        else:  # a copy: to stop accepting closes it, and the platform's own stays as it is
+        # a copy: to stop accepting closes it, and the platform's own stays as it is
+        else:
             sock = socket.socket(fileno=os.dup(inherited))
             if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 raise OSError(f"descriptor {inherited} is no listening socket")
-        # asyncio takes as many connections at a time as its backlog says, before it tells of the first: with
-        # a long one a flood would use up the descriptors before anything could make room.
+        # asyncio takes as many connections at a time as its backlog says, before it
+        # tells of the first: with a long one a flood would use up the descriptors
+        # before anything could make room.
         self.listener = await loop.create_server(
             lambda: ClientConnection(self), sock=sock, backlog=ACCEPTS
         )
@@ -192,7 +213,9 @@
         self.beat()
 
     def beat(self) -> None:
-        """Measure how late the loop is. It stands still while it works, or while others have its core."""
+        """Measure how late the loop is. It stands still while it works, or while others
+        have its core.
+        """
         if self.closed:
             return
         now = self.clock()
@@ -204,13 +227,17 @@
         self.beat_timer = asyncio.get_running_loop().call_later(BEAT_S, self.beat)
 
     def came_us(self) -> int:
-        """When what is read now came, at the earliest: a client counts its time from then. The beat runs
-        behind what is read in its turn, and before the first bytes of what was accepted in it."""
+        """When what is read now came, at the earliest: a client counts its time from
+        then. The beat runs behind what is read in its turn, and before the first bytes
+        of what was accepted in it.
+        """
         now = self.clock()
         return now - max(self.late_us, now - self.beat_due_us, 0)
 
     def joined(self, connection: ClientConnection) -> None:
-        """Bound the sockets. Who waits for an answer stays; of the others the first by `rank` goes."""
+        """Bound the sockets. Who waits for an answer stays; of the others the first by
+        `rank` goes.
+        """
         self.connections.add(connection)
         if len(self.connections) > self.most:
             spare = [
@@ -218,7 +245,8 @@
                 for c in self.connections
                 if c is not connection and c.busy is None and not c.waiting
             ]
-            # What lies unread may be a request, and a close over it resets the connection.
+            # What lies unread may be a request, and a close over it resets the
+            # connection.
             first = next(
                 (
                     c
@@ -228,17 +256,20 @@
                 connection,
             )
             first.abort()
-            # Its descriptor is closed in the loop's next turn: counted till then, it would be picked again
-            # by each other that joins in this one, and none of them would make room.
+            # Its descriptor is closed in the loop's next turn: counted till then, it
+            # would be picked again by each other that joins in this one, and none of
+            # them would make room.
             self.connections.discard(first)
 
     def rank(
         self, spare: list[ClientConnection]
     ) -> Callable[[ClientConnection], tuple[int, int]]:
-        """Who makes room first: those that were refused already; then those that never came to the end of a
-        request, the oldest first, while they are many or have had the time to, so that neither silence nor
-        half requests without end push out who comes with whole ones; then the one idle longest. So resting
-        connections cannot push out who has just come and was not read yet, either."""
+        """Who makes room first: those that were refused already; then those that never
+        came to the end of a request, the oldest first, while they are many or have had
+        the time to, so that neither silence nor half requests without end push out who
+        comes with whole ones; then the one idle longest. So resting connections cannot
+        push out who has just come and was not read yet, either.
+        """
         unasked = [c.came_us for c in spare if not c.requests and not c.broken]
         first = (
             2 * len(unasked) > self.most
@@ -255,12 +286,16 @@
         return rank
 
     def linger(self, connection: ClientConnection) -> None:
-        """Close in a while: the client may read meanwhile what it did wrong. A flood shortens that."""
+        """Close in a while: the client may read meanwhile what it did wrong. A flood
+        shortens that.
+        """
         connection.until_us = self.clock() + int(LINGER_S * 1_000_000)
 
     def sweep(self) -> None:
-        """No connection holds its socket for ever: not one that was refused, nor one that says nothing, that
-        stands half read or that has long been idle (a client that stays asks again, or opens a new one)."""
+        """No connection holds its socket for ever: not one that was refused, nor one
+        that says nothing, that stands half read or that has long been idle (a client
+        that stays asks again, or opens a new one).
+        """
         if self.closed:
             return
         now = self.clock()
@@ -294,7 +329,8 @@
             connection.transport is not None
             and connection.transport.get_write_buffer_size() > MOST_UNREAD
         ):
-            connection.abort()  # it asks on and on and reads nothing: its answers would fill the memory
+            # it asks on and on and reads nothing: its answers would fill the memory
+            connection.abort()
             return
         if request.bad is not None:
             connection.answer(request.bad.status, request.bad.text)
--- a/lemonshunt/net/starting.py
+++ b/lemonshunt/net/starting.py
@@ -1,5 +1,6 @@
-"""The engine's part from its start on: what the journal and the process before tell, serving, and its watch
-over itself."""
+"""The engine's part from its start on: what the journal and the process before tell,
+serving, and its watch over itself.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +25,8 @@
 LAG_S = 0.1  # the loop stood still for so long: worth a line
 LAG_LOG_S = 10.0
 SUMMARY_S = 5.0  # between two lines that sum up what was done
-SWEEP_S = 2.0  # between rounds of the collector; what was made at the start is left out of them
+# between rounds of the collector; what was made at the start is left out of them
+SWEEP_S = 2.0
 FULL_ROUND_UP_TO = (
     10_000  # messages held by which a full round stays near a hundredth of a second
 )
@@ -32,14 +34,20 @@
     2,
     1,
 )  # the collector's generations that a round looks through, up to this one
-OVERDUE_US = 120_000  # past its time by so much, a message without an end is ended by the engine itself
-FIRST_S = 0.5  # what the agent has binds from the first moment: so long a start waits to hear it
-SETTLE_S = 0.2  # at the end, for what waits to be kept: a disk that does not answer must not keep the process
+# past its time by so much, a message without an end is ended by the engine itself
+OVERDUE_US = 120_000
+# what the agent has binds from the first moment: so long a start waits to hear it
+FIRST_S = 0.5
+# at the end, for what waits to be kept: a disk that does not answer must not keep the
+# process
+SETTLE_S = 0.2
 
 
 class Starting(Taking, Operating, Leaving, Stopping):
     def recover(self) -> int:
-        """Tell the module what the journal holds. Returns the version of the list that is newest."""
+        """Tell the module what the journal holds. Returns the version of the list that
+        is newest.
+        """
         known, kept = self.config.known, self.store
         memory = self.successor.memory if self.successor is not None else {}
         self.remember(memory)
@@ -135,7 +143,8 @@
         if self.successor is not None and not await self.take_over():
             self.closed = True
             return True
-        self.watch.subscribe()  # over sockets the list comes to nobody who does not ask, 'pushed' or not
+        # over sockets the list comes to nobody who does not ask, 'pushed' or not
+        self.watch.subscribe()
         await self.first_list()
         if self.fleet is not None:
             self.fleet.open()
@@ -143,7 +152,8 @@
         await self.settled()
         self.notices.kick()
         await self.server.listen(where.host, where.port, self.config.inherited)
-        self.serving = True  # the journal is ours: operators' calls passed on by the process before count
+        # the journal is ours: operators' calls passed on by the process before count
+        self.serving = True
         if self.successor is not None:
             self.successor.attach(self)
         if self.lock is not None:
@@ -180,7 +190,9 @@
         return False
 
     async def first_list(self) -> None:
-        """Before anything of before is sent on: the list may have changed while no process was here."""
+        """Before anything of before is sent on: the list may have changed while no
+        process was here.
+        """
         try:
             async with asyncio.timeout(FIRST_S):
                 await self.watch.answered.wait()
@@ -188,8 +200,9 @@
             log.info("no list yet; going on with version %d", self.watch.seq)
 
     def answer_for(self, before: Desk) -> None:
-        """Who handed a message in to a process that had taken over and is gone: the journal knows whether it
-        was taken on."""
+        """Who handed a message in to a process that had taken over and is gone: the
+        journal knows whether it was taken on.
+        """
         before.predecessor.close()
         for name, door in before.predecessor.doors.values():
             if name in self.store.messages or name in self.store.owed:
@@ -202,7 +215,9 @@
     # Watching over itself
 
     def tick(self, due: float) -> None:
-        """Watch the loop, and that no message is past its time without an end: that would break a promise."""
+        """Watch the loop, and that no message is past its time without an end: that
+        would break a promise.
+        """
         now = time.monotonic()
         if self.closed:
             return
@@ -210,8 +225,9 @@
             self.lag_s = now
             log.warning("the loop stood still for %d ms", (now - due) * 1000)
         if now - self.swept_s >= SWEEP_S:
-            # asyncio's transports refer to themselves: with ever new clients, hundreds of closed ones would
-            # wait for the collector's rare full round, and the memory in use would grow for minutes.
+            # asyncio's transports refer to themselves: with ever new clients, hundreds
+            # of closed ones would wait for the collector's rare full round, and the
+            # memory in use would grow for minutes.
             self.swept_s = now
             self.collect()
         if now - self.summed_s >= SUMMARY_S:
@@ -223,8 +239,10 @@
         asyncio.get_running_loop().call_later(TICK_S, self.tick, now + TICK_S)
 
     def collect(self) -> None:
-        """A round of the collector. A full one walks all that is held: past so many messages only what is new
-        since the last rounds is looked through, and full ones are left to come with the growth of all."""
+        """A round of the collector. A full one walks all that is held: past so many
+        messages only what is new since the last rounds is looked through, and full ones
+        are left to come with the growth of all.
+        """
         gc.collect(
             FULL_ROUND if len(self.store.messages) <= FULL_ROUND_UP_TO else YOUNG_ROUND
         )
@@ -239,8 +257,9 @@
         ]
 
     def end_overdue(self) -> None:
-        """End what the module has left without an end. Where the loop stood still, its end may be among the
-        events that came meanwhile: these go first."""
+        """End what the module has left without an end. Where the loop stood still, its
+        end may be among the events that came meanwhile: these go first.
+        """
         if self.events and self.overdue():
             self.round()
         for m in self.overdue():
@@ -252,7 +271,9 @@
             self.post(i.Withdrawn(m.id))
 
     def sum_up(self, now: float) -> None:
-        """One line now and then for who must tell from the log alone where messages stay."""
+        """One line now and then for who must tell from the log alone where messages
+        stay.
+        """
         piles = self.store.index.by_destination
         most = "".join(f", {n} for destination {d}" for d, n in piles.most_common(1))
         done = (
--- a/lemonshunt/net/stopping.py
+++ b/lemonshunt/net/stopping.py
@@ -1,4 +1,6 @@
-"""The engine's part in stopping: SIGTERM, what is still answered and sent, and when the process ends."""
+"""The engine's part in stopping: SIGTERM, what is still answered and sent, and when the
+process ends.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +16,16 @@
 LET_GO_S = (
     0.5  # where there is time, clients have so long to read their answers and let go
 )
-# The longest way from SIGTERM to the end: EXIT_S, one step, the last sync (SETTLE_S 0.2, under `power` alone)
-# and CLOSE_S for the clients: 3.65 s.
+# The longest way from SIGTERM to the end: EXIT_S, one step, the last sync (SETTLE_S
+# 0.2, under `power` alone) and CLOSE_S for the clients: 3.65 s.
 STEP_S = 0.05
 
 
 class Stopping(Desk):
     def stop(self) -> None:
-        """SIGTERM: go on as before while clients still come, then only wait for what is out."""
+        """SIGTERM: go on as before while clients still come, then only wait for what is
+        out.
+        """
         if self.leaving_s:
             return
         self.predecessor.abort()
@@ -62,19 +66,23 @@
                 len(self.store.messages),
                 len(self.store.owed),
             )
-            # From this moment on: what comes before `run` goes on would be taken in and never decided on.
+            # From this moment on: what comes before `run` goes on would be taken in and
+            # never decided on.
             self.frozen = True
             self.done.set()
             return
         asyncio.get_running_loop().call_later(STEP_S, self.stop_step)
 
     def freeze(self) -> None:
-        """Decide for the last time. What has not left by now never does: else a call could go out just before
-        the end, which the process after this one must take as run. Unsent, it is tried there."""
+        """Decide for the last time. What has not left by now never does: else a call
+        could go out just before the end, which the process after this one must take as
+        run. Unsent, it is tried there.
+        """
         if self.arriving or self.events:
             self.round()
         self.frozen = True
-        # Calls of that round that could not leave have come back, and no round reads it any more.
+        # Calls of that round that could not leave have come back, and no round reads it
+        # any more.
         self.book_waiting()
         self.store.flush()
         self.pool.cut_dials()
--- a/lemonshunt/net/store.py
+++ b/lemonshunt/net/store.py
@@ -1,4 +1,5 @@
-"""What was taken on, and how far it got, outlasts the process: the engine's hand on the journal in $LB_STATE.
+"""What was taken on, and how far it got, outlasts the process: the engine's hand on the
+journal in $LB_STATE.
 
 What the records mean, `journal.state` says; how they reach the disk, `journal.writer`.
 """
@@ -40,8 +41,10 @@
 
 
 class Store(State):
-    """Records are gathered; `flush` writes them, and `commit` tells when they are kept, before anything that
-    they precede leaves. With a `worker` that is once they are synced (the level `power`)."""
+    """Records are gathered; `flush` writes them, and `commit` tells when they are kept,
+    before anything that they precede leaves. With a `worker` that is once they are
+    synced (the level `power`).
+    """
 
     def __init__(
         self,
@@ -152,7 +155,9 @@
         self.append("o", m.id, number, int(ran))
 
     def over(self, name: str) -> None:
-        """Delivered, withdrawn or told by a target to be over: nothing is owed for it any more."""
+        """Delivered, withdrawn or told by a target to be over: nothing is owed for it
+        any more.
+        """
         if name in self.messages:
             self._over([name])
             self.append("x", name)
@@ -172,8 +177,10 @@
             self.append("d", name)
 
     def owed_now(self, now_us: int) -> dict[str, Owed]:
-        """The ends that may be told: a restart that does not know of one could send its message on, which
-        its client was told to hand in again. Past the message's time no restart does."""
+        """The ends that may be told: a restart that does not know of one could send its
+        message on, which its client was told to hand in again. Past the message's time
+        no restart does.
+        """
         if not self.ends:
             return self.owed
         self.ends = {
@@ -186,7 +193,9 @@
     def list(
         self, seq: int, hosts: dict[str, dict[str, Any]], now_us: int, source: str
     ) -> None:
-        """A target may leave the list in an outage and come back cold: its outage is kept for a time."""
+        """A target may leave the list in an outage and come back cold: its outage is
+        kept for a time.
+        """
         self.log.append(self.list_record(seq, hosts, source))
         self.seq, self.source, self.hosts = seq, source, dict(hosts)
         self.outages = {
@@ -196,7 +205,9 @@
     def list_record(
         self, seq: int, hosts: dict[str, dict[str, Any]], source: str
     ) -> bytes:
-        """What makes the list in force this one: its changes alone where they are few."""
+        """What makes the list in force this one: its changes alone where they are
+        few.
+        """
         old = self.hosts
         changed = [
             h
@@ -228,7 +239,9 @@
         return self.live + self.list_size
 
     def has_room(self, more: int) -> bool:
-        """Whether one more message of that size leaves room for a compacted file beside the old one."""
+        """Whether one more message of that size leaves room for a compacted file beside
+        the old one.
+        """
         others = (
             200 * len(self.owed)
             + self.list_size
@@ -249,8 +262,9 @@
         return self.log.rewrite()
 
     def close(self) -> None:
-        """The process ends in order. Synced, whatever the level: then the next start need not wonder whether
-        something is missing at the end."""
+        """The process ends in order. Synced, whatever the level: then the next start
+        need not wonder whether something is missing at the end.
+        """
         self.flush()
         if (
             self.log.busy
--- a/lemonshunt/net/taking.py
+++ b/lemonshunt/net/taking.py
@@ -1,4 +1,6 @@
-"""The engine's part at the door: messages handed in, turned away, taken back; and news of the list."""
+"""The engine's part at the door: messages handed in, turned away, taken back; and news
+of the list.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,9 @@
 
 class Taking(Desk):
     def hand_in(self, handed: Handed, door: Asker) -> None:
-        """A message came in. At the door only what the module never sees is turned away."""
+        """A message came in. At the door only what the module never sees is turned
+        away.
+        """
         if self.predecessor.given:
             self.predecessor.hand_in(handed, door)
             return
@@ -77,7 +81,9 @@
             )
 
     def bound_met(self, handed: Handed) -> Bound | None:
-        """The bound that one more message would pass, if any. What was taken on stays whatever is full."""
+        """The bound that one more message would pass, if any. What was taken on stays
+        whatever is full.
+        """
         held = len(self.store.messages) + len(self.arriving)
         size = len(handed.body) + sum(
             len(other.body) for other, _ in self.arriving.values()
@@ -94,11 +100,14 @@
             self.events.append(self.backlog.pop(name))
 
     def withdrawn(self, name: str) -> None:
-        """The client has gone before its answer: it may hand the message in elsewhere, so it is not ours."""
+        """The client has gone before its answer: it may hand the message in elsewhere,
+        so it is not ours.
+        """
         if self.arriving.pop(name, None) is not None:
             self.post(i.Withdrawn(name))
         if name in self.unanswered:
-            # Its record may be in the file, and waits to be synced: a process killed now must not find it.
+            # Its record may be in the file, and waits to be synced: a process killed
+            # now must not find it.
             self.unanswered.discard(name)
             self.withdrawing.add(name)
             if name in self.store.messages:
@@ -107,7 +116,9 @@
                 self.post(i.Withdrawn(name))
 
     def take_back(self, handed: Handed, door: Asker) -> None:
-        """Its client has gone before the answer, or it could not be kept: it was never taken on."""
+        """Its client has gone before the answer, or it could not be kept: it was never
+        taken on.
+        """
         if handed.id in self.unanswered:
             self.figures.throttled[handed.class_name] += 1
             door.answer(
@@ -123,7 +134,9 @@
             self.post(i.EndTold(handed.id))
 
     def turn_away(self, handed: Handed, door: Asker, a: i.Refuse | i.Fail) -> None:
-        """Given up in the round in which it came: the client hears so, and it was never taken on."""
+        """Given up in the round in which it came: the client hears so, and it was never
+        taken on.
+        """
         self.counts["turned away"] += 1
         counts = (
             self.figures.faulted if isinstance(a, i.Fail) else self.figures.throttled
@@ -141,7 +154,9 @@
             door.answer(HTTPStatus.TOO_MANY_REQUESTS, "refused")
 
     def listed(self, told: HostList | None) -> None:
-        """News of the list reaches the module at once: a drained target must get nothing from now on."""
+        """News of the list reaches the module at once: a drained target must get
+        nothing from now on.
+        """
         if told is None:
             self.post(i.Listed(i.ListKind.FAILED))
             return
--- a/lemonshunt/peer/frames.py
+++ b/lemonshunt/peer/frames.py
@@ -1,7 +1,9 @@
-"""The frames between forwarders: msgpack arrays with a tag, each behind its length in four bytes.
+"""The frames between forwarders: msgpack arrays with a tag, each behind its length in
+four bytes.
 
-Bodies go as raw bytes. A frame is never longer than `FRAME`; what is longer, of no known kind, or has a field
-out of bounds ends the link, and the fault is told with its path (`$[2]` is the frame's third element).
+Bodies go as raw bytes. A frame is never longer than `FRAME`; what is longer, of no
+known kind, or has a field out of bounds ends the link, and the fault is told with its
+path (`$[2]` is the frame's third element).
 """
 
 from __future__ import annotations
@@ -16,12 +18,16 @@
 
 VERSION = 1
 FRAME = 131_072
-"""Bytes of a frame at most: a whole body of 64 KiB and all that may stand beside it, with room to spare."""
+"""Bytes of a frame at most: a whole body of 64 KiB and all that may stand beside it,
+with room to spare.
+"""
 HEAD = 4
 
 
 class Malformed(ValueError):
-    """A frame that cannot be taken; the text is one line and names the field by its path."""
+    """A frame that cannot be taken; the text is one line and names the field by its
+    path.
+    """
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
@@ -35,7 +41,9 @@
 
 
 class Room(msgspec.Struct, frozen=True, array_like=True, tag="room"):
-    """What the sender has room for, and its stamp, from which times in frames to it count. It lives."""
+    """What the sender has room for, and its stamp, from which times in frames to it
+    count. It lives.
+    """
 
     stamp_us: Time
     sessions: Count
@@ -46,7 +54,9 @@
 
 
 class Forward(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
-    """A message of a key that the sender does not own. Its due counts from `stamp_us`, the receiver's own."""
+    """A message of a key that the sender does not own. Its due counts from `stamp_us`,
+    the receiver's own.
+    """
 
     number: Count
     key: Name
@@ -60,7 +70,9 @@
 
 
 class Forwarded(msgspec.Struct, frozen=True, array_like=True, tag="forwarded"):
-    """What became of it: taken on (its client is owed 202), or refused and not taken on anywhere (503)."""
+    """What became of it: taken on (its client is owed 202), or refused and not taken on
+    anywhere (503).
+    """
 
     number: Count
     how: Literal["taken", "refused"]
@@ -82,7 +94,9 @@
 
 
 def encode(frame: msgspec.Struct) -> bytes:
-    """With its length in front. Malformed where it would be too long for the other side to take."""
+    """With its length in front. Malformed where it would be too long for the other side
+    to take.
+    """
     data = _encoder.encode(frame)
     if len(data) > FRAME:
         raise Malformed(f"a frame of {len(data)} bytes; at most {FRAME} are taken")
@@ -104,7 +118,9 @@
         self.held = bytearray()
 
     def feed(self, data: bytes) -> list[AnyFrame]:
-        """The frames that are whole now. Malformed ends the stream: what follows cannot be told apart."""
+        """The frames that are whole now. Malformed ends the stream: what follows cannot
+        be told apart.
+        """
         self.held += data
         found: list[AnyFrame] = []
         at = 0
--- a/lemonshunt/peer/links.py
+++ b/lemonshunt/peer/links.py
@@ -1,8 +1,10 @@
-"""One link between two forwarders, without I/O: who is at the other end, whether it lives, and what is owed.
+"""One link between two forwarders, without I/O: who is at the other end, whether it
+lives, and what is owed.
 
-A link is one connection. Both say `Hello` first; a name that was seen under a later lease is refused, so a
-process that was stopped and woke up, or a second one of that name, is not heard. When the link ends, every
-forwarded message without an answer is `unknown`: it may have been taken on, and its client is left alone.
+A link is one connection. Both say `Hello` first; a name that was seen under a later
+lease is refused, so a process that was stopped and woke up, or a second one of that
+name, is not heard. When the link ends, every forwarded message without an answer is
+`unknown`: it may have been taken on, and its client is left alone.
 """
 
 from __future__ import annotations
@@ -36,7 +38,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Became:
-    """A forwarded message's end here: `taken` (202), `refused` (503) or `unknown` (no answer)."""
+    """A forwarded message's end here: `taken` (202), `refused` (503) or `unknown` (no
+    answer).
+    """
 
     number: int
     how: str
@@ -53,7 +57,9 @@
     lives: dict[str, Life] = field(default_factory=dict)
 
     def fresh(self, name: str, life: Life) -> bool:
-        """False for one that is over. A peer without a lease is heard: it may say what it holds, and asks."""
+        """False for one that is over. A peer without a lease is heard: it may say what
+        it holds, and asks.
+        """
         if life == NOBODY:
             return True
         if life < self.lives.get(name, NOBODY):
@@ -64,7 +70,9 @@
 
 @dataclass(slots=True)
 class Link:
-    """`expected`: the name that was dialled, "" for a link that came to us. All times are of one clock."""
+    """`expected`: the name that was dialled, "" for a link that came to us. All times
+    are of one clock.
+    """
 
     me: f.Hello
     seen: Seen
@@ -138,14 +146,17 @@
         return [Heard(frame)]
 
     def send(self, frame: msgspec.Struct) -> list[Do] | None:
-        """What to write; None where the link is not up, is over, or has too much waiting: as good as lost."""
+        """What to write; None where the link is not up, is over, or has too much
+        waiting: as good as lost.
+        """
         if self.over or self.peer is None or self.unwritten >= self.most_bytes:
             return None
         return [Write(self._bytes(frame))]
 
     def forward(self, frame: f.Forward) -> tuple[int, list[Do]] | None:
-        """Send it (its due by our clock) under the next number; its end comes as `Became`. None: nothing was
-        sent, and it may be refused or go elsewhere."""
+        """Send it (its due by our clock) under the next number; its end comes as
+        `Became`. None: nothing was sent, and it may be refused or go elsewhere.
+        """
         if len(self.pending) >= self.most_pending or not self.stamped_us:
             return None
         sent = self.send(
--- a/lemonshunt/registry/__main__.py
+++ b/lemonshunt/registry/__main__.py
@@ -1,4 +1,6 @@
-"""`python -m lemonshunt.registry`: the list service, one primary (docs/parts.md, docs/operations.md)."""
+"""`python -m lemonshunt.registry`: the list service, one primary (docs/parts.md,
+docs/operations.md).
+"""
 
 from __future__ import annotations
 
@@ -37,7 +39,9 @@
 
 
 def logs() -> None:
-    """JSON lines on standard error: event, level, logger, role, pid, t_ns, and what the line adds."""
+    """JSON lines on standard error: event, level, logger, role, pid, t_ns, and what the
+    line adds.
+    """
     import structlog
 
     def stamp(
@@ -149,8 +153,9 @@
 
 
 def allowed_bounds() -> Bounds:
-    """The usual bounds, as far as this process's limit of descriptors goes once it is raised as far as it is
-    needed and allowed."""
+    """The usual bounds, as far as this process's limit of descriptors goes once it is
+    raised as far as it is needed and allowed.
+    """
     wanted = Bounds()
     needed = wanted.connections + OWN_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -234,7 +239,9 @@
         logging.shutdown()
         os._exit(
             1
-        )  # a thread that waits for a disk that does not answer would keep the process for good
+            # a thread that waits for a disk that does not answer would keep the process for
+            # good
+        )
     log.info("stopped", extra={"seq": registry.seq})
     return 0
 
--- a/lemonshunt/registry/bodies.py
+++ b/lemonshunt/registry/bodies.py
@@ -1,7 +1,9 @@
-"""What callers send, as msgspec types, and the reading that tells every fault of a body with its path.
+"""What callers send, as msgspec types, and the reading that tells every fault of a body
+with its path.
 
-msgspec stops at the first fault. So a body is first read loosely (doubled keys and NaN are marked where they
-stand), then converted part by part, and each part's fault is kept with the path to it.
+msgspec stops at the first fault. So a body is first read loosely (doubled keys and NaN
+are marked where they stand), then converted part by part, and each part's fault is kept
+with the path to it.
 """
 
 from __future__ import annotations
@@ -27,8 +29,10 @@
 
 
 class Refused(Exception):
-    """A call that is not carried out. `status` is the HTTP answer; `faults` name each fault with its path;
-    `closes` where what still comes on the connection cannot be read as a next request."""
+    """A call that is not carried out. `status` is the HTTP answer; `faults` name each
+    fault with its path; `closes` where what still comes on the connection cannot be
+    read as a next request.
+    """
 
     def __init__(self, status: int, faults: list[str], closes: bool = False) -> None:
         super().__init__("; ".join(faults))
@@ -72,7 +76,9 @@
 
 
 class Ask(Struct, rename={"since": "from"}):
-    """The query of a read: from which version and epoch on, and how long to wait for news (ms)."""
+    """The query of a read: from which version and epoch on, and how long to wait for
+    news (ms).
+    """
 
     since: Version | None = None
     epoch: Version | None = None
@@ -102,8 +108,9 @@
 
 
 def read(data: bytes) -> Any:
-    """The JSON value of a body. Raises Refused(400) naming every doubled key and every number that JSON does
-    not allow, each with its path."""
+    """The JSON value of a body. Raises Refused(400) naming every doubled key and every
+    number that JSON does not allow, each with its path.
+    """
     marks: list[_Mark] = []
 
     def mark(why: str) -> _Mark:
@@ -165,7 +172,9 @@
 
 
 def faults(raw: Any, kind: Any, where: str, strict: bool = True) -> list[str]:
-    """Every fault of `raw` against a msgspec type, each with its path; empty where it converts."""
+    """Every fault of `raw` against a msgspec type, each with its path; empty where it
+    converts.
+    """
     try:
         msgspec.convert(raw, kind, strict=strict)
         return []
@@ -221,7 +230,9 @@
 
 
 def change(body: Any) -> tuple[list[Op], str]:
-    """The ops and id of a change's body, or Refused(400) listing every fault with its path."""
+    """The ops and id of a change's body, or Refused(400) listing every fault with its
+    path.
+    """
     if not isinstance(body, dict):
         raise Refused(400, ["the change must be a JSON object"])
     key = body.get("id", "")
@@ -248,7 +259,9 @@
 
 
 def notices(body: bytes) -> list[dict[str, Any]]:
-    """The notices of a post, a JSON object a line; Refused(400) naming each line that cannot be read."""
+    """The notices of a post, a JSON object a line; Refused(400) naming each line that
+    cannot be read.
+    """
     told, found = [], []
     for n, line in enumerate(body.splitlines(), 1):
         if line.strip():
--- a/lemonshunt/registry/book.py
+++ b/lemonshunt/registry/book.py
@@ -1,4 +1,6 @@
-"""`fleet.log`: records of the lease table and of riders, in the order they were made; the mark beside it."""
+"""`fleet.log`: records of the lease table and of riders, in the order they were made;
+the mark beside it.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +29,9 @@
         self.least = 0  # lines after it was last written anew
 
     def load(self) -> tuple[dict[str, Row], dict[str, list[Row]]]:
-        """By part: its last snapshot, where there is one, and its rows since. Raises Damaged, OSError."""
+        """By part: its last snapshot, where there is one, and its rows since. Raises
+        Damaged, OSError.
+        """
         kept, found = dict[str, Row](), dict[str, list[Row]]()
         for number, line in enumerate(self.log.load(), 1):
             if "of" not in line or not {"snapshot", "row"} & line.keys():
@@ -55,7 +59,9 @@
         return self.log.count >= max(REWRITE_EVERY, 2 * self.least)
 
     def rewrite(self, parts: Mapping[str, Row]) -> None:
-        """Snapshots in place of all rows. Raises OSError, leaving the file as it was."""
+        """Snapshots in place of all rows. Raises OSError, leaving the file as it
+        was.
+        """
         self.least = self.log.count  # not tried again at once where it fails
         self.log.rewrite(
             [{"of": of, "snapshot": snapshot} for of, snapshot in parts.items()]
@@ -63,7 +69,9 @@
         self.least = self.log.count
 
     def whole(self, number: int) -> bool:
-        """Whether a folder whose last number this is is not known to be older than what was last written."""
+        """Whether a folder whose last number this is is not known to be older than what
+        was last written.
+        """
         try:
             return self.mark is None or number >= int(self.mark.read_text())
         except (OSError, ValueError):
--- a/lemonshunt/registry/bounds.py
+++ b/lemonshunt/registry/bounds.py
@@ -1,27 +1,36 @@
-"""What the list service may hold at once. Each bound is a field, so that tests reach it with a small one."""
+"""What the list service may hold at once. Each bound is a field, so that tests reach it
+with a small one.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
 OWN_DESCRIPTORS = 24
-"""Descriptors that the process holds beside connections: the standard ones, the loop's, listeners, files."""
+"""Descriptors that the process holds beside connections: the standard ones, the loop's,
+listeners, files.
+"""
 LEAST_CONNECTIONS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Past a bound the peer is answered (413, 400, 503 with `Retry-After: 1`) or its connection is closed."""
+    """Past a bound the peer is answered (413, 400, 503 with `Retry-After: 1`) or its
+    connection is closed.
+    """
 
     watchers: int = 10_000
     """Watches held at once, of the list and of the fleet together."""
     connections: int = 20_000
     """Open connections at all addresses."""
     held_bytes: int = 4 * 1024 * 1024
-    """Answers that one connection has not taken yet; past it the connection is cut. A list that is longer is
-    written in pieces, as its reader takes them."""
+    """Answers that one connection has not taken yet; past it the connection is cut. A
+    list that is longer is written in pieces, as its reader takes them.
+    """
     unread_s: float = 30.0
-    """How long a peer may take none of what was sent to it before the kernel cuts the connection."""
+    """How long a peer may take none of what was sent to it before the kernel cuts the
+    connection.
+    """
     queued: int = 10_000
     """Changes that wait for the writer; notices' posts that wait for theirs."""
     body: int = 1024 * 1024
@@ -41,7 +50,9 @@
 
 
 def within_descriptors(bounds: Bounds, descriptors: int) -> Bounds:
-    """Bounds with no more connections than so many descriptors allow. Past the kernel's limit a connection
-    would stand unaccepted, with no answer; past this bound it is answered 503."""
+    """Bounds with no more connections than so many descriptors allow. Past the kernel's
+    limit a connection would stand unaccepted, with no answer; past this bound it is
+    answered 503.
+    """
     most = max(LEAST_CONNECTIONS, descriptors - OWN_DESCRIPTORS)
     return replace(bounds, connections=min(bounds.connections, most))
--- a/lemonshunt/registry/budget_calls.py
+++ b/lemonshunt/registry/budget_calls.py
@@ -1,4 +1,6 @@
-"""Budgets from a file, and by hand: `GET`, `PUT /v1/budgets`, the operator's word on lost processes."""
+"""Budgets from a file, and by hand: `GET`, `PUT /v1/budgets`, the operator's word on
+lost processes.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +32,9 @@
 
 
 def listed(body: Any) -> list[dict[str, Any]]:
-    """The list in `{"budgets": [...]}`, checked whole. Raises Faults with every fault."""
+    """The list in `{"budgets": [...]}`, checked whole. Raises Faults with every
+    fault.
+    """
     if not isinstance(body, dict):
         raise Faults(["an object that holds budgets"])
     found = [f"{name}: not known" for name in body if name != "budgets"]
@@ -47,7 +51,9 @@
 
 
 def read_file(path: Path) -> list[dict[str, Any]]:
-    """The budgets in a file: JSON where its name ends so, else TOML. Raises Faults (all), OSError."""
+    """The budgets in a file: JSON where its name ends so, else TOML. Raises Faults
+    (all), OSError.
+    """
     data = path.read_bytes()
     try:
         body = (
@@ -69,7 +75,9 @@
     source: str,
     match: int | None = None,
 ) -> None:
-    """Put checked budgets in force; durable when this returns. Raises Refused(412), Full, OSError."""
+    """Put checked budgets in force; durable when this returns. Raises Refused(412),
+    Full, OSError.
+    """
 
     def make(now_us: int) -> list[Row]:
         if match is not None and match != budgets.version:
--- a/lemonshunt/registry/budgets.py
+++ b/lemonshunt/registry/budgets.py
@@ -1,7 +1,9 @@
-"""Budgets on the beats: what members need and hold goes to the ledger, their shares come back from it.
+"""Budgets on the beats: what members need and hold goes to the ledger, their shares
+come back from it.
 
-The ledger (`budget/`) decides the division and keeps it within the whole; here its changes are written before
-they are told, its configuration is kept with them, and it is asked again when something falls due.
+The ledger (`budget/`) decides the division and keeps it within the whole; here its
+changes are written before they are told, its configuration is kept with them, and it is
+asked again when something falls due.
 """
 
 from __future__ import annotations
@@ -25,8 +27,10 @@
 
 
 class Budgets(Riding):
-    """`lease_us`: the longest lease there may be. Budgets are put in force by a row that `configured` makes,
-    through `Fleet.decide`; they go on over restarts, with all that was granted."""
+    """`lease_us`: the longest lease there may be. Budgets are put in force by a row
+    that `configured` makes, through `Fleet.decide`; they go on over restarts, with all
+    that was granted.
+    """
 
     name = "budgets"
 
@@ -38,18 +42,22 @@
         self.source = ""
         """Where it came from: `file` or `hand`."""
         self.file: list[dict[str, Any]] | None = None
-        """What was last taken from the file: it counts again at a start only if it is another then."""
+        """What was last taken from the file: it counts again at a start only if it is
+        another then.
+        """
         self.ledger = Ledger((), lease_us, drift, 0)
         self._epoch = 0
         self._now_us = 0
         self._due_us: int | None = None
-        # What each member said last and the ledger has. Forgotten where that may mean something else now.
+        # What each member said last and the ledger has. Forgotten where that may mean
+        # something else now.
         self._last: dict[Token, tuple[Any, Any]] = {}
         self._turning = (
             False  # budgets were put in force, and no plan by them is on disk yet
         )
 
-    # -- the start -------------------------------------------------------------------------------------
+    # -- the start
+    # -------------------------------------------------------------------------------------
 
     def lifted(self, epoch: int) -> None:
         self._epoch = epoch
@@ -73,14 +81,16 @@
             [row for row in rows if "budgets" in row],
             sure,
         )
-        # Those whose window grew, or that were away, open only a whole window after this.
+        # Those whose window grew, or that were away, open only a whole window after
+        # this.
         self.ledger.configure(histories[-1] if histories else (), now_us)
 
     def started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
         for member, _ in members:
             self.ledger.joined(member.token, member.name, None, now_us)
 
-    # -- members ---------------------------------------------------------------------------------------
+    # -- members
+    # ---------------------------------------------------------------------------------------
 
     def faults(self, beat: Mapping[str, Any]) -> list[str]:
         found: list[str] = []
@@ -155,7 +165,8 @@
         self._last.pop(token, None)
         self.ledger.ended(token, now_us)
 
-    # -- plans -----------------------------------------------------------------------------------------
+    # -- plans
+    # -----------------------------------------------------------------------------------------
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
         self._now_us = now_us
@@ -168,7 +179,9 @@
         return [change.line()]
 
     def _due(self, now_us: int) -> int | None:
-        """While something cools, opens or is missing it is looked at again; at rest only a beat stirs."""
+        """While something cools, opens or is missing it is looked at again; at rest
+        only a beat stirs.
+        """
         spans = [
             book.budget.span_us
             for destination, book in self.ledger.books.items()
@@ -193,8 +206,9 @@
     def configured(
         self, now_us: int, raw: list[dict[str, Any]], source: str
     ) -> list[Row]:
-        """The rows that put checked budgets in force. A plan whose write failed is written again before them,
-        since it was made by those before."""
+        """The rows that put checked budgets in force. A plan whose write failed is
+        written again before them, since it was made by those before.
+        """
         first = [] if self.ledger.pending is None else [self.ledger.pending.line()]
         version = max(
             self.version + 1, self._epoch << 20
@@ -202,8 +216,9 @@
         return [*first, {"config": raw, "version": version, "source": source}]
 
     def forget(self, now_us: int, token: Token | None) -> list[Row]:
-        """The operator's word: the process of this token is surely at its end; None: after a lost folder,
-        all who have a reserve are known."""
+        """The operator's word: the process of this token is surely at its end; None:
+        after a lost folder, all who have a reserve are known.
+        """
         if token is None:
             self.ledger.reserves_known()
         else:
@@ -237,10 +252,14 @@
         )
 
     def abandon(self, row: Row) -> None:
-        """The ledger plans it again as it is: a write that failed may have reached the disk."""
+        """The ledger plans it again as it is: a write that failed may have reached the
+        disk.
+        """
 
     def concerns(self, row: Row) -> Collection[str] | None:
-        """A new configuration concerns all, also who gets no other share: whole and span may be others."""
+        """A new configuration concerns all, also who gets no other share: whole and
+        span may be others.
+        """
         return None if "config" in row else {grant[1] for grant in row["grants"]}
 
     def _taken(self, row: Row) -> None:
@@ -273,7 +292,8 @@
                 },
             )
 
-    # -- what is told of it ----------------------------------------------------------------------------
+    # -- what is told of it
+    # ----------------------------------------------------------------------------
 
     def snapshot(self) -> Row:
         opening = [
@@ -291,7 +311,9 @@
         }
 
     def state(self, now_us: int) -> dict[str, Any]:
-        """By destination: as `Ledger.state`, and what cools, with when it has cooled."""
+        """By destination: as `Ledger.state`, and what cools, with when it has
+        cooled.
+        """
         told = self.ledger.state(now_us)
         for destination, figures in told.items():
             book = self.ledger.books[destination]
@@ -328,8 +350,10 @@
 def _steady(
     histories: list[tuple[Budget, ...]], drift: float, opening: Collection[str]
 ) -> list[Budget]:
-    """Those in force at the end whose window never grew and that were never away: what was free before a
-    start is free after it. Of all others a call may be in a window that was not waited for."""
+    """Those in force at the end whose window never grew and that were never away: what
+    was free before a start is free after it. Of all others a call may be in a window
+    that was not waited for.
+    """
     windows: dict[str, int] = {}
     unsteady = set(opening)
     for budgets in histories:
@@ -342,8 +366,9 @@
 
 
 def _unsettled(book: Book, aim: Aim, now_us: int) -> bool:
-    """Whether time alone may let something move. Asked after each plan for all budgets and members, so it
-    looks at the accounts and makes nothing of them."""
+    """Whether time alone may let something move. Asked after each plan for all budgets
+    and members, so it looks at the accounts and makes nothing of them.
+    """
     if book.opens_us > now_us or book.cooling or aim.scarce:
         return True
     members = book.in_force()
--- a/lemonshunt/registry/calls.py
+++ b/lemonshunt/registry/calls.py
@@ -1,4 +1,6 @@
-"""The fleet's address: beats, the watch, and leases by name (docs/parts.md, "What all of them share")."""
+"""The fleet's address: beats, the watch, and leases by name (docs/parts.md, "What all
+of them share").
+"""
 
 from __future__ import annotations
 
@@ -26,10 +28,13 @@
 
 
 class Beat(Struct):
-    """`token` null joins. Beside the page's fields: `run` names this run of the process, so that a join whose
-    answer was lost may be sent again; `shown`, in a join, is the token its process had before a restart;
-    `keeps` the reserves it acts on from then, by destination; `list` is the [epoch, version] of members that
-    it has (then only changes are told); `leave` gives all up. What riders read stands beside these."""
+    """`token` null joins. Beside the page's fields: `run` names this run of the
+    process, so that a join whose answer was lost may be sent again; `shown`, in a join,
+    is the token its process had before a restart; `keeps` the reserves it acts on from
+    then, by destination; `list` is the [epoch, version] of members that it has (then
+    only changes are told); `leave` gives all up. What riders read stands beside
+    these.
+    """
 
     name: Name
     site: Name
@@ -58,7 +63,9 @@
 
 
 class Watch(Struct, rename={"since": "from"}):
-    """`name`: the member who watches; it is woken by what concerns it, others by every change."""
+    """`name`: the member who watches; it is woken by what concerns it, others by every
+    change.
+    """
 
     since: Version
     hold_ms: int = 0
@@ -70,7 +77,9 @@
 
 
 def _joined(made: Grant | Held, call: Beat) -> Grant | Held:
-    """What the join says of the process before it goes to disk with the lease: riders may need it again."""
+    """What the join says of the process before it goes to disk with the lease: riders
+    may need it again.
+    """
     if (
         call.shown is not None
         and isinstance(made, Grant)
@@ -213,7 +222,9 @@
 
 
 def reads(fleet: Fleet) -> list[web.RouteDef]:
-    """Who is in force, and who holds what: at the fleet's address and at the write address."""
+    """Who is in force, and who holds what: at the fleet's address and at the write
+    address.
+    """
     house = fleet.house
 
     def told(lease: Lease) -> dict[str, Any]:
@@ -255,7 +266,9 @@
 
 
 def by_hand(fleet: Fleet) -> list[web.RouteDef]:
-    """At the write address: the reads, and revoking (a member too, as `member/NAME`)."""
+    """At the write address: the reads, and revoking (a member too, as
+    `member/NAME`).
+    """
 
     async def revoke(request: web.Request) -> web.StreamResponse:
         name = request.match_info["name"]
@@ -312,7 +325,9 @@
 
 
 def _held(made: Held) -> web.Response:
-    """Not now. `error` tells it from `lost`: whoever holds something may run out what it has."""
+    """Not now. `error` tells it from `lost`: whoever holds something may run out what
+    it has.
+    """
     return fault(
         409,
         [made.why],
--- a/lemonshunt/registry/core.py
+++ b/lemonshunt/registry/core.py
@@ -1,10 +1,13 @@
-"""The list service's state without I/O: entries, versions, epochs, the fence, and what a reader is owed.
+"""The list service's state without I/O: entries, versions, epochs, the fence, and what
+a reader is owed.
 
-Shapes follow PROTOCOL "Discovery": an entry is `host, dial, site, class, block, share, born_ms, health`; an
-answer is `{"seq", "whole", "hosts"}` with `epoch` beside it. Times are milliseconds.
+Shapes follow PROTOCOL "Discovery": an entry is `host, dial, site, class, block, share,
+born_ms, health`; an answer is `{"seq", "whole", "hosts"}` with `epoch` beside it. Times
+are milliseconds.
 
-The epoch names a stretch of the list's history proved continuous; the fence is the highest epoch of fencing
-tokens. They are kept apart: any reader can make the epoch rise (within a bound), none the fence.
+The epoch names a stretch of the list's history proved continuous; the fence is the
+highest epoch of fencing tokens. They are kept apart: any reader can make the epoch rise
+(within a bound), none the fence.
 """
 
 from __future__ import annotations
@@ -22,7 +25,9 @@
 EPOCH_STEP = 1_000  # a new epoch's first version is at least now_ms * EPOCH_STEP
 BELIEVED = (
     1 << 52
-)  # claims from here on are not gone past: one of them must not use up all numbers there are
+    # claims from here on are not gone past: one of them must not use up all numbers there
+    # are
+)
 
 
 @dataclass
@@ -37,7 +42,9 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One change as it goes to disk: its version and epoch, the id it came with, the new entries."""
+    """One change as it goes to disk: its version and epoch, the id it came with, the
+    new entries.
+    """
 
     seq: int
     epoch: int
@@ -65,7 +72,9 @@
 
 @dataclass
 class Pending:
-    """Changes checked and waiting for one sync: the version they reach, their entries and ids."""
+    """Changes checked and waiting for one sync: the version they reach, their entries
+    and ids.
+    """
 
     seq: int
     overlay: dict[str, Entry] = field(default_factory=dict)
@@ -74,7 +83,9 @@
 
 @dataclass
 class Registry:
-    """What is in force. `seq` is the newest version on disk; `floor` the oldest one a delta is told from."""
+    """What is in force. `seq` is the newest version on disk; `floor` the oldest one a
+    delta is told from.
+    """
 
     epoch: int = 0
     seq: int = 0
@@ -88,11 +99,14 @@
     def listed(self) -> int:
         return sum(not e.removed for e in self.entries.values())
 
-    # -- reading ---------------------------------------------------------------------------------
+    # -- reading
+    # ---------------------------------------------------------------------------------
 
     def owed(self, since: int | None, epoch: int | None) -> dict[str, Any]:
-        """The answer to a reader from version `since` (None: the whole list). Whole when `since` is below
-        the floor, ahead of `seq`, or of another epoch; otherwise the entries changed after it, merged."""
+        """The answer to a reader from version `since` (None: the whole list). Whole
+        when `since` is below the floor, ahead of `seq`, or of another epoch; otherwise
+        the entries changed after it, merged.
+        """
         whole = since is None or since < self.floor or since > self.seq
         whole = whole or (epoch is not None and epoch != self.epoch)
         if whole:
@@ -102,13 +116,16 @@
         return {"seq": self.seq, "whole": whole, "epoch": self.epoch, "hosts": hosts}
 
     def waits(self, since: int | None, epoch: int | None) -> bool:
-        """Whether a watch from `since` has nothing to be told yet. The same version of another epoch is
-        another list: that reader is told the whole at once."""
+        """Whether a watch from `since` has nothing to be told yet. The same version of
+        another epoch is another list: that reader is told the whole at once.
+        """
         return since == self.seq and epoch in (None, self.epoch)
 
     def overtaken(self, since: int | None, epoch: int | None) -> tuple[int, int] | None:
-        """What a reader has seen and this service cannot have told, as (version, epoch) to go past; None
-        where nothing. It shows an older copy of the state, or a lost one: our history is not its history."""
+        """What a reader has seen and this service cannot have told, as (version, epoch)
+        to go past; None where nothing. It shows an older copy of the state, or a lost
+        one: our history is not its history.
+        """
         version = since or 0
         if epoch is not None and epoch > self.epoch:
             claim = version if version > self.seq else 0, epoch
@@ -122,16 +139,21 @@
         )
         return claim if any(claim) else None
 
-    # -- changing --------------------------------------------------------------------------------
+    # -- changing
+    # --------------------------------------------------------------------------------
 
     def new_epoch(self, now_ms: int, asked: int = 0, seen: int = 0) -> Change:
-        """The change that begins an epoch past version `asked` and epoch `seen`; it carries the whole list
-        again at its first version. The clock only helps: where it was set back, what was seen decides."""
+        """The change that begins an epoch past version `asked` and epoch `seen`; it
+        carries the whole list again at its first version. The clock only helps: where
+        it was set back, what was seen decides.
+        """
         base = max(self.seq + 1, asked + 1, now_ms * EPOCH_STEP)
         return Change(base, max(self.epoch + 1, seen + 1, now_ms), base=base)
 
     def begun(self, now_ms: int) -> Change:
-        """The change an operator's word begins a history with: no state is there, and none is missed."""
+        """The change an operator's word begins a history with: no state is there, and
+        none is missed.
+        """
         first = self.new_epoch(now_ms)
         return Change(
             first.seq,
@@ -141,7 +163,9 @@
         )
 
     def lifted(self, above: int) -> Change | int:
-        """The change that raises the fence past `above`, or the version in force where it is past it."""
+        """The change that raises the fence past `above`, or the version in force where
+        it is past it.
+        """
         if above > self.fence + MOST_LEAP:
             raise Refused(422, [f"{above} is further ahead than any fence can be"])
         return (
@@ -153,9 +177,10 @@
     def prepare(
         self, body: Any, digest: str, pending: Pending | None = None
     ) -> Change | int:
-        """Check a change against what is in force and what is `pending` (checked, not yet on disk).
-        Returns the Change, or the version in force when it alters nothing or repeats a kept id; the
-        Change is added to `pending`. Raises Refused."""
+        """Check a change against what is in force and what is `pending` (checked, not
+        yet on disk). Returns the Change, or the version in force when it alters nothing
+        or repeats a kept id; the Change is added to `pending`. Raises Refused.
+        """
         pending = pending or Pending(self.seq)
         ops, key = bodies.change(body)
         kept = pending.ids.get(key) or self.ids.get(key)
@@ -185,7 +210,9 @@
         return change.seq > self.seq or change.fence > self.fence
 
     def commit(self, change: Change) -> None:
-        """Take a change that is on disk. Changes come in the order of their versions."""
+        """Take a change that is on disk. Changes come in the order of their
+        versions.
+        """
         self.fence = max(self.fence, change.fence)
         if change.base:
             self.epoch, self.floor = change.epoch, change.base
@@ -209,7 +236,8 @@
             del self.entries[host]
             self.floor = max(self.floor, at)
 
-    # -- snapshot ----------------------------------------------------------------------------------
+    # -- snapshot
+    # ----------------------------------------------------------------------------------
 
     def snapshot(self) -> dict[str, Any]:
         return {
--- a/lemonshunt/registry/disk.py
+++ b/lemonshunt/registry/disk.py
@@ -1,6 +1,8 @@
-"""The list service's state folder: a snapshot, logs of lines synced in groups, and the notices.
+"""The list service's state folder: a snapshot, logs of lines synced in groups, and the
+notices.
 
-Goes through the journal's `Files` so that tests can fail any step (see docs/parts/registry.md, "On disk").
+Goes through the journal's `Files` so that tests can fail any step (see
+docs/parts/registry.md, "On disk").
 """
 
 from __future__ import annotations
@@ -20,7 +22,9 @@
 
 
 class Damaged(Exception):
-    """The state folder cannot be read as it was written. One plain line; the service does not start."""
+    """The state folder cannot be read as it was written. One plain line; the service
+    does not start.
+    """
 
 
 def line(raw: dict[str, Any]) -> bytes:
@@ -29,8 +33,9 @@
 
 
 def lines(data: bytes, name: str) -> tuple[list[dict[str, Any]], int]:
-    """The whole lines of a log and the length they take; a torn last line is left out, damage before the
-    end raises Damaged."""
+    """The whole lines of a log and the length they take; a torn last line is left out,
+    damage before the end raises Damaged.
+    """
     found, used = [], 0
     parts = data.split(b"\n")
     for number, part in enumerate(parts[:-1], 1):
@@ -46,7 +51,9 @@
 
 
 class Log:
-    """One file of lines. `load` once, then `append`, `clear` and `rewrite`, one at a time."""
+    """One file of lines. `load` once, then `append`, `clear` and `rewrite`, one at a
+    time.
+    """
 
     def __init__(self, path: Path, files: Files | None = None) -> None:
         self.path, self.files = path, files or SystemFiles()
@@ -107,7 +114,9 @@
 
 
 def replaced(files: Files, path: Path, data: bytes) -> int:
-    """Write a file beside the old one and rename it over; the descriptor. OSError: the old one stays."""
+    """Write a file beside the old one and rename it over; the descriptor. OSError: the
+    old one stays.
+    """
     new = path.with_name(path.name + ".new")
     fd = files.open(new, anew=True)
     try:
@@ -122,8 +131,9 @@
 
 
 class Disk:
-    """Owns the folder. `load` once, then `write` and `snapshot` from one thread at a time, `notices` from
-    one thread at a time."""
+    """Owns the folder. `load` once, then `write` and `snapshot` from one thread at a
+    time, `notices` from one thread at a time.
+    """
 
     def __init__(self, folder: Path, files: Files | None = None) -> None:
         self.folder, self.files = folder, files or SystemFiles()
@@ -170,7 +180,9 @@
         return self.log.count >= SNAPSHOT_EVERY
 
     def snapshot(self, registry: Registry) -> None:
-        """Write the whole state, then begin the log anew. A failure leaves the old snapshot and the log."""
+        """Write the whole state, then begin the log anew. A failure leaves the old
+        snapshot and the log.
+        """
         self.files.close(
             replaced(self.files, self.snap, json.dumps(registry.snapshot()).encode())
         )
@@ -185,7 +197,9 @@
         self.notice_count = self.kept[-1]["n"] + 1 if self.kept else 0
 
     def notices(self, told: list[dict[str, Any]], at_ms: int) -> None:
-        """Keep notices as they came, numbered, and sync them. Raises OSError, with none of them kept."""
+        """Keep notices as they came, numbered, and sync them. Raises OSError, with none
+        of them kept.
+        """
         if self.noted.count >= MOST_NOTICES:
             self.files.close(self.noted.fd)
             self.files.replace(self.noted.path, self.folder / "notices.old")
--- a/lemonshunt/registry/figures.py
+++ b/lemonshunt/registry/figures.py
@@ -1,4 +1,6 @@
-"""The list service's figures: counted in one place, told as JSON (`/_vars`) and as Prometheus text."""
+"""The list service's figures: counted in one place, told as JSON (`/_vars`) and as
+Prometheus text.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +36,10 @@
 
 
 class Metrics(Collector):
-    """`/metrics`: the figures, and what `state` tells at that moment, from a registry of its own (the
-    client library's global one would add the process's, and would be shared by two services in a test)."""
+    """`/metrics`: the figures, and what `state` tells at that moment, from a registry
+    of its own (the client library's global one would add the process's, and would be
+    shared by two services in a test).
+    """
 
     def __init__(
         self,
--- a/lemonshunt/registry/fleet.py
+++ b/lemonshunt/registry/fleet.py
@@ -1,7 +1,9 @@
-"""The fleet at the list service: leases and members run on disk and clock, and what rides on their beats.
+"""The fleet at the list service: leases and members run on disk and clock, and what
+rides on their beats.
 
-`lease.Table` and `member.Roster` decide; this writes each record they make to `fleet.log`, synced in groups,
-commits it, and only then lets its answer be told; it ticks them by a timer, and wakes who watches.
+`lease.Table` and `member.Roster` decide; this writes each record they make to
+`fleet.log`, synced in groups, commits it, and only then lets its answer be told; it
+ticks them by a timer, and wakes who watches.
 """
 
 from __future__ import annotations
@@ -32,8 +34,10 @@
 
 
 class Fleet:
-    """`start` once, before its door opens. `mark`: a file outside the state folder (such as under /run) that
-    holds the last number written; a folder that does not agree with it is taken for an older copy."""
+    """`start` once, before its door opens. `mark`: a file outside the state folder
+    (such as under /run) that holds the last number written; a folder that does not
+    agree with it is taken for an older copy.
+    """
 
     def __init__(
         self,
@@ -51,7 +55,8 @@
         self.roster = Roster(self.table, ttl_us)
         self.watchers = Watchers()
         self.rounds: Rounds[Rows] = Rounds(self._round, house.bounds.queued)
-        # A record a lease at most, and one plan at a time: queued past the bound of calls.
+        # A record a lease at most, and one plan at a time: queued past the bound of
+        # calls.
         self.plans = Plans(
             house.now_us,
             self._ends,
@@ -70,10 +75,13 @@
     def version(self) -> int:
         return self.watchers.version
 
-    # -- the start -------------------------------------------------------------------------------------
+    # -- the start
+    # -------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Read the log, begin an epoch, and have it on disk. Raises Damaged, OSError."""
+        """Read the log, begin an epoch, and have it on disk. Raises Damaged,
+        OSError.
+        """
         kept, found = self.book.load()
         now_us = self.house.now_us()
         try:
@@ -82,7 +90,8 @@
                 self.roster = Roster(self.table, self.ttl_us)
             for row in found.get(LEASE, []):
                 self.table.commit(row)
-            # A wall clock and the list's own folder only help: what members have seen lifts past both.
+            # A wall clock and the list's own folder only help: what members have seen
+            # lifts past both.
             least = max(self.house.registry.fence + 1, self.house.now_ms() // 1_000)
             record = self.table.start(now_us, self.book.whole(self.table.number), least)
             sure = bool(record["sure"])
@@ -120,13 +129,16 @@
             },
         )
 
-    # -- what calls ask for ----------------------------------------------------------------------------
+    # -- what calls ask for
+    # ----------------------------------------------------------------------------
 
     async def settle(
         self, decide: Callable[[int], Grant | Held | Record]
     ) -> Grant | Held | Record:
-        """Let the table decide, and return what it says once its record is on disk and committed. Raises
-        Full, OSError, and Refused after its record (what a client has seen) is kept too."""
+        """Let the table decide, and return what it says once its record is on disk and
+        committed. Raises Full, OSError, and Refused after its record (what a client has
+        seen) is kept too.
+        """
         if self.rounds.ended or len(self.rounds.queue) >= self.rounds.most:
             raise Full
         refused: Refused | None = None
@@ -137,7 +149,8 @@
             refused, record = error, error.record
         self._show()
         if record is not None:
-            # Queued with no await since it was made: records go to disk in the order of their numbers.
+            # Queued with no await since it was made: records go to disk in the order of
+            # their numbers.
             await asyncio.shield(self.rounds.add([(LEASE, record)]))
         if refused is not None:
             raise refused
@@ -146,8 +159,10 @@
     async def beaten(
         self, name: str, token: Token, body: dict[str, Any]
     ) -> dict[str, Any]:
-        """Hand a beat to the riders, and their parts of the answer back. An answer that rests on what is not
-        planned or not written yet waits for it: better than a further beat. Raises OSError, Refused."""
+        """Hand a beat to the riders, and their parts of the answer back. An answer that
+        rests on what is not planned or not written yet waits for it: better than a
+        further beat. Raises OSError, Refused.
+        """
         now_us, parts = self.house.now_us(), dict[str, Any]()
         lease = self.table.read(PREFIX + name)
         if (
@@ -171,8 +186,10 @@
         return parts
 
     async def decide(self, name: str, make: Callable[[int], list[Row]]) -> None:
-        """Rows that a call brings a rider (an operator's map), made between two plans, never on top of one,
-        and kept. Raises what `make` raises, and Full, OSError where they are not kept."""
+        """Rows that a call brings a rider (an operator's map), made between two plans,
+        never on top of one, and kept. Raises what `make` raises, and Full, OSError
+        where they are not kept.
+        """
         if self.rounds.ended or len(self.rounds.queue) >= self.rounds.most:
             raise Full
         while self.plans.flying is not None:
@@ -184,7 +201,8 @@
         """For how long nothing is divided anew, at the least; 0: it may be."""
         return max(self.roster.frozen_until(now_us) - now_us, 0)
 
-    # -- the log ---------------------------------------------------------------------------------------
+    # -- the log
+    # ---------------------------------------------------------------------------------------
 
     async def _round(self, batch: list[Asked[Rows]]) -> None:
         rows = [row for asked in batch for row in asked.what]
@@ -254,7 +272,9 @@
         self.plans.soon()
 
     def _said(self, record: Record, now_us: int) -> None:
-        """What a join said of the process before it stands beside the lease's record, for riders alone."""
+        """What a join said of the process before it stands beside the lease's record,
+        for riders alone.
+        """
         name = str(record.get("name", ""))[len(PREFIX) :]
         member = self.roster.members.get(name)
         if (
@@ -282,13 +302,16 @@
 
     @contextlib.contextmanager
     def _guarded(self, part: str) -> Iterator[None]:
-        """A fault in one part must not keep the others' rows, or the ends of leases, from being taken."""
+        """A fault in one part must not keep the others' rows, or the ends of leases,
+        from being taken.
+        """
         try:
             yield
         except Exception:
             log.exception("a part of the fleet failed", extra={"part": part})
 
-    # -- time ------------------------------------------------------------------------------------------
+    # -- time
+    # ------------------------------------------------------------------------------------------
 
     def _next_us(self) -> int | None:
         due = (
@@ -313,10 +336,13 @@
                 rows.extend((name, row) for row in rider.plan(now_us, frozen, members))
         return rows
 
-    # -- who watches -----------------------------------------------------------------------------------
+    # -- who watches
+    # -----------------------------------------------------------------------------------
 
     def _show(self, rows: Rows | None = None) -> None:
-        """A new version where what members would be told has changed, for those whom it concerns."""
+        """A new version where what members would be told has changed, for those whom it
+        concerns.
+        """
         now, concerned = (self.roster.epoch, self.roster.version), set[str]()
         told, all_of_them = now != self._shown, now != self._shown
         self._shown = now
@@ -342,7 +368,9 @@
                 self.rounds.add([(LEASE, record)], bounded=False)
 
     def _lift(self, fence: int) -> None:
-        """The list's folder knows it too: a help for a start without this log, and no more than that."""
+        """The list's folder knows it too: a help for a start without this log, and no
+        more than that.
+        """
 
         async def lift() -> None:
             with contextlib.suppress(OSError, Full):  # counted and logged by the writer
@@ -352,7 +380,8 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # -- figures --------------------------------------------------------------------------------------
+    # -- figures
+    # --------------------------------------------------------------------------------------
 
     def state(self) -> dict[str, int]:
         states = [member.state for member in self.roster.in_force()]
