--- a/lemonshunt/registry/house.py
+++ b/lemonshunt/registry/house.py
@@ -1,4 +1,6 @@
-"""What all addresses of the list service share: the registry, its writer, who waits, epochs, the fence."""
+"""What all addresses of the list service share: the registry, its writer, who waits,
+epochs, the fence.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +34,9 @@
 
 
 class House:
-    """`now_ms` is the wall clock (it only helps new versions to be high), `now_us` an own monotonic one."""
+    """`now_ms` is the wall clock (it only helps new versions to be high), `now_us` an
+    own monotonic one.
+    """
 
     def __init__(
         self,
@@ -50,7 +54,9 @@
         )
         self.bounds, self.figures = bounds or Bounds(), Figures()
         self.tables: dict[str, tuple[str, Callable[[], dict[str, dict[str, int]]]]] = {}
-        """Figures of several things alike, by part: the label they are told apart by, and each one's own."""
+        """Figures of several things alike, by part: the label they are told apart by,
+        and each one's own.
+        """
         self.metrics = Metrics(self.figures, self.state, self.tables)
         self.writer = Writer(
             disk, registry, self.bounds.queued, self._kept, self._failed
@@ -77,7 +83,8 @@
         self._later: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
 
-    # -- reading and waiting ---------------------------------------------------------------------------
+    # -- reading and waiting
+    # ---------------------------------------------------------------------------
 
     def answer(self, since: int | None, epoch: int | None) -> bytes:
         """What a reader is owed, encoded once for all who are owed the same."""
@@ -96,8 +103,10 @@
         self._answer_bytes = 0
 
     async def hold(self, changed: asyncio.Future[None], hold_ms: int) -> None:
-        """Wait until `changed` (taken with no await since the check, so that no change falls between). A
-        watcher that leaves is cancelled here, and counts no more. Raises Refused past the bound."""
+        """Wait until `changed` (taken with no await since the check, so that no change
+        falls between). A watcher that leaves is cancelled here, and counts no more.
+        Raises Refused past the bound.
+        """
         if self.figures.watches_held >= self.bounds.watchers:
             self.figures.busy += 1
             raise Refused(503, ["too many watches are held"])
@@ -138,28 +147,37 @@
     def _failed(self, _: OSError) -> None:
         self.figures.write_failures += 1
 
-    # -- epochs and the fence --------------------------------------------------------------------------
+    # -- epochs and the fence
+    # --------------------------------------------------------------------------
 
     async def begin(self) -> None:
-        """Begin a history on an empty folder, at the operator's word. Raises OSError."""
+        """Begin a history on an empty folder, at the operator's word. Raises
+        OSError.
+        """
         await self.writer.ask(Wish(lambda _: self.registry.begun(self.now_ms()), True))
 
     async def begin_epoch(self, asked: int = 0, seen: int = 0) -> None:
-        """Begin an epoch past a version and an epoch; durable when this returns. Raises OSError."""
+        """Begin an epoch past a version and an epoch; durable when this returns. Raises
+        OSError.
+        """
         await self.writer.ask(
             Wish(lambda _: self.registry.new_epoch(self.now_ms(), asked, seen), True)
         )
 
     async def lift(self, above: int) -> int:
-        """Raise the fence past `above` where it is not: for tokens that members have seen, and operators,
-        never for a reader of the list. Durable when this returns the fence. Raises Refused, OSError."""
+        """Raise the fence past `above` where it is not: for tokens that members have
+        seen, and operators, never for a reader of the list. Durable when this returns
+        the fence. Raises Refused, OSError.
+        """
         await self.writer.ask(Wish(lambda _: self.registry.lifted(above), True))
         return self.registry.fence
 
     async def seen(self, since: int | None, epoch: int | None) -> None:
-        """A reader shows what it has seen. Where that is past us, a new epoch goes past it and is on disk
-        before the reader is told; but only so often, as anyone may claim anything. A claim put off is gone
-        past when its time comes; its reader is told the whole list meanwhile."""
+        """A reader shows what it has seen. Where that is past us, a new epoch goes past
+        it and is on disk before the reader is told; but only so often, as anyone may
+        claim anything. A claim put off is gone past when its time comes; its reader is
+        told the whole list meanwhile.
+        """
         if self.registry.overtaken(since, epoch) is None:
             return
         async with self._claiming:
@@ -203,7 +221,8 @@
 
         self._task = asyncio.get_running_loop().create_task(past())
 
-    # -- changes and notices ---------------------------------------------------------------------------
+    # -- changes and notices
+    # ---------------------------------------------------------------------------
 
     async def change(self, body: Any, digest: str, match: int | None) -> Change | int:
         """Raises Refused, Full, OSError."""
@@ -225,7 +244,8 @@
             self.figures.write_failures += 1
             log.error("notices not kept", extra={"why": str(error), "count": len(told)})
 
-    # -- figures and the end ---------------------------------------------------------------------------
+    # -- figures and the end
+    # ---------------------------------------------------------------------------
 
     def state(self) -> dict[str, int]:
         more = {name: value for part in self.parts for name, value in part().items()}
@@ -246,7 +266,9 @@
         return {**self.state(), **vars(self.figures), **tables}
 
     async def finish(self) -> bool:
-        """Answer every held watch, and keep what was asked; False where the disk did not end in time."""
+        """Answer every held watch, and keep what was asked; False where the disk did
+        not end in time.
+        """
         self.stopping = True
         if self._later is not None:
             self._later.cancel()
--- a/lemonshunt/registry/map_calls.py
+++ b/lemonshunt/registry/map_calls.py
@@ -1,4 +1,6 @@
-"""The map by hand: `GET` and `PUT /v1/map`, a range moved, and who holds what while it moves."""
+"""The map by hand: `GET` and `PUT /v1/map`, a range moved, and who holds what while it
+moves.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +21,10 @@
 async def put_map(
     fleet: Fleet, maps: Maps, make: Callable[[], Any], why: str, match: int | None
 ) -> bool:
-    """Put the map that `make` gives (as decoded from JSON) in force if `shard.check` finds no fault in it;
-    durable when this returns. False: it is in force already. Raises Refused (412, 422), Full, OSError."""
+    """Put the map that `make` gives (as decoded from JSON) in force if `shard.check`
+    finds no fault in it; durable when this returns. False: it is in force already.
+    Raises Refused (412, 422), Full, OSError.
+    """
     changed = False
 
     def rows(_: int) -> list[Row]:
--- a/lemonshunt/registry/maps.py
+++ b/lemonshunt/registry/maps.py
@@ -1,7 +1,8 @@
-"""The shard map on the beats: who has which map, who gave up what, and the ranges each may act on from now.
+"""The shard map on the beats: who has which map, who gave up what, and the ranges each
+may act on from now.
 
-`shard.moves` decides; a hold it gives in memory is told only once it is on disk, with all that it rests on.
-A map comes into force in `commit`, when its row is written.
+`shard.moves` decides; a hold it gives in memory is told only once it is on disk, with
+all that it rests on. A map comes into force in `commit`, when its row is written.
 """
 
 from __future__ import annotations
@@ -31,14 +32,16 @@
 from lemonshunt.shard.moves import MOST_AHEAD, Answer, Late, Moves
 from lemonshunt.shard.plan import BadPlan
 
-MOST_RANGES = 8_192  # of a map that the service plans: written out it is within the bound of a body
+# of a map that the service plans: written out it is within the bound of a body
+MOST_RANGES = 8_192
 AGAIN_US = 250_000  # between two looks at what the planner could not do yet
 log = logging.getLogger("lemonshunt.registry")
 
 
 class Maps(Riding):
-    """`lease_us`: the longest lease there may be. `leading`: whether this process holds `shard-planner` at a
-    time; None: it plans nothing by itself."""
+    """`lease_us`: the longest lease there may be. `leading`: whether this process holds
+    `shard-planner` at a time; None: it plans nothing by itself.
+    """
 
     name = "maps"
 
@@ -65,7 +68,8 @@
         self._flying: tuple[set[Token], ShardMap | None] = set(), None
         self._text: tuple[ShardMap | None, msgspec.Raw] = None, msgspec.Raw()
 
-    # -- the start -------------------------------------------------------------------------------------
+    # -- the start
+    # -------------------------------------------------------------------------------------
 
     def lifted(self, epoch: int) -> None:
         self._epoch = self.moves.epoch = epoch
@@ -93,7 +97,8 @@
             if member.token in self.moves.holders:
                 self.moves.alive(member.token, member.name, until_us)
 
-    # -- members ---------------------------------------------------------------------------------------
+    # -- members
+    # ---------------------------------------------------------------------------------------
 
     def faults(self, beat: Mapping[str, Any]) -> list[str]:
         if "map" not in beat:
@@ -205,7 +210,8 @@
             self._text = self.map, msgspec.Raw(msgspec.json.encode(self.map.told()))
         return self._text[1]
 
-    # -- plans -----------------------------------------------------------------------------------------
+    # -- plans
+    # -----------------------------------------------------------------------------------------
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
         if out := self.moves.expire(now_us):
@@ -272,7 +278,8 @@
             new = checked(row["put"])
             before = self.moves.map
             if before is not None and new.generation <= before.generation:
-                # Meanwhile a member showed a later one: this goes above that, and is written as it then is.
+                # Meanwhile a member showed a later one: this goes above that, and is
+                # written as it then is.
                 new = ShardMap(before.generation + 1, new.ranges)
                 self.moves.put(new)
                 self._touch(set())
@@ -326,7 +333,8 @@
     def _unkept(self) -> set[Token]:
         return self._touched | self._flying[0]
 
-    # -- what is told of it ----------------------------------------------------------------------------
+    # -- what is told of it
+    # ----------------------------------------------------------------------------
 
     def snapshot(self) -> Row:
         return self.moves.told()
--- a/lemonshunt/registry/member_list.py
+++ b/lemonshunt/registry/member_list.py
@@ -1,7 +1,9 @@
-"""Members as they stand in answers to beats: each is encoded once for each state it is in.
+"""Members as they stand in answers to beats: each is encoded once for each state it is
+in.
 
-A member that joins is told of all others, and after a start of the service each is. With every answer encoded
-from the ground up, what a fleet's start costs would grow with the square of its members many times over.
+A member that joins is told of all others, and after a start of the service each is.
+With every answer encoded from the ground up, what a fleet's start costs would grow with
+the square of its members many times over.
 """
 
 from __future__ import annotations
@@ -13,7 +15,9 @@
 from lemonshunt.member.roster import Member
 
 MOST_KNOWN = 20_000
-"""Names kept, twice as many as may hold leases; past so many all are encoded anew as they are asked for."""
+"""Names kept, twice as many as may hold leases; past so many all are encoded anew as
+they are asked for.
+"""
 
 
 class MemberList:
@@ -23,7 +27,9 @@
         self._known: dict[str, tuple[Member, msgspec.Raw]] = {}
 
     def encoded(self, members: Iterable[Member]) -> list[msgspec.Raw]:
-        """JSON of each, in the same order. A member object never changes: a new state is a new object."""
+        """JSON of each, in the same order. A member object never changes: a new state
+        is a new object.
+        """
         if len(self._known) > MOST_KNOWN:
             self._known.clear()
         return [self._of(member) for member in members]
--- a/lemonshunt/registry/parts.py
+++ b/lemonshunt/registry/parts.py
@@ -1,4 +1,6 @@
-"""The fleet with all that rides on it: built, led, and its routes given to the service's addresses."""
+"""The fleet with all that rides on it: built, led, and its routes given to the
+service's addresses.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +34,9 @@
         return await self._service.listen(host, port, True, more)
 
     async def listen_fleet(self, host: str, port: int) -> int:
-        """The fleet's address, where budgets and map can be read too; the port taken. Raises OSError."""
+        """The fleet's address, where budgets and map can be read too; the port taken.
+        Raises OSError.
+        """
         more = [
             *budget_calls.reads(self.fleet, self.budgets),
             *map_calls.reads(self.fleet, self.maps),
@@ -56,9 +60,11 @@
     auto: AutoPlanner | None = None,
     reserves_known: bool = False,
 ) -> Parts:
-    """Take on the fleet with its parts, before any address is opened. `budgets`: the file's, checked; they
-    come into force here if they are others than were last taken from a file. `reserves_known`: the operator's
-    word that no process acts on a reserve that is not known here. Raises Damaged, OSError."""
+    """Take on the fleet with its parts, before any address is opened. `budgets`: the
+    file's, checked; they come into force here if they are others than were last taken
+    from a file. `reserves_known`: the operator's word that no process acts on a reserve
+    that is not known here. Raises Damaged, OSError.
+    """
     planner = Planner(ttl_us) if plan_shards else None
     riders = (
         Maps(
--- a/lemonshunt/registry/plans.py
+++ b/lemonshunt/registry/plans.py
@@ -1,4 +1,6 @@
-"""When riders plan: at most once in a while for the beats of all, never on top of a plan being written."""
+"""When riders plan: at most once in a while for the beats of all, never on top of a
+plan being written.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +16,9 @@
 
 
 class Plans:
-    """Lives on the running loop. `ends` makes the rows of leases that are out, `make` those of a plan,
-    `write` writes them, `next_us` says when something is due next."""
+    """Lives on the running loop. `ends` makes the rows of leases that are out, `make`
+    those of a plan, `write` writes them, `next_us` says when something is due next.
+    """
 
     def __init__(
         self,
@@ -43,7 +46,9 @@
         self._next: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def alarmed(self, least_s: float = LEAST_S) -> None:
-        """Plan when something is due next. Renewals only put that off, and need not come here."""
+        """Plan when something is due next. Renewals only put that off, and need not
+        come here.
+        """
         next_us = self.next_us()
         if self._alarm is not None:
             self._alarm.cancel()
@@ -53,7 +58,9 @@
             self._alarm = asyncio.get_running_loop().call_later(wait_s, self._plan)
 
     def soon(self, wait_s: float | None = None) -> None:
-        """Plan after `wait_s`, PLAN_S where nothing is said; sooner where that was asked for already."""
+        """Plan after `wait_s`, PLAN_S where nothing is said; sooner where that was
+        asked for already.
+        """
         if self._soon is None and not self.stopped:
             wait_s = PLAN_S if wait_s is None else wait_s
             self._soon = asyncio.get_running_loop().call_later(wait_s, self._plan)
--- a/lemonshunt/registry/reads.py
+++ b/lemonshunt/registry/reads.py
@@ -1,4 +1,6 @@
-"""The discovery address: the list, its watches, and notices, as PROTOCOL "Discovery" and "Notices" say."""
+"""The discovery address: the list, its watches, and notices, as PROTOCOL "Discovery"
+and "Notices" say.
+"""
 
 from __future__ import annotations
 
--- a/lemonshunt/registry/rider.py
+++ b/lemonshunt/registry/rider.py
@@ -1,4 +1,6 @@
-"""What may ride on a member's beat: budgets, the shard map, whatever else rests on who is in force."""
+"""What may ride on a member's beat: budgets, the shard map, whatever else rests on who
+is in force.
+"""
 
 from __future__ import annotations
 
@@ -20,15 +22,20 @@
     plan: bool
     """`plan` is asked soon."""
     waits: bool
-    """The answer waits until the next plan was made and written, or a second has gone."""
+    """The answer waits until the next plan was made and written, or a second has
+    gone.
+    """
     tell: Callable[[], dict[str, Any]]
-    """The rider's part of the answer to this very beat, by key. Raises OSError where what it would tell is
-    not on disk: the beat is answered 507, and comes again."""
+    """The rider's part of the answer to this very beat, by key. Raises OSError where
+    what it would tell is not on disk: the beat is answered 507, and comes again.
+    """
 
 
 class Rider(Protocol):
-    """Called from the service's loop only; times are its own clock's. Nothing a rider decides is told before
-    the rows of it are on disk: it makes rows in `plan`, and changes what it tells in `commit`."""
+    """Called from the service's loop only; times are its own clock's. Nothing a rider
+    decides is told before the rows of it are on disk: it makes rows in `plan`, and
+    changes what it tells in `commit`.
+    """
 
     name: str
     """Of its rows on disk; never changed."""
@@ -36,36 +43,47 @@
     def restored(
         self, now_us: int, sure: bool, snapshot: Row | None, rows: list[Row]
     ) -> None:
-        """Once, at the start. `sure`: the folder is whole as the last process left it. Raises KeyError,
-        TypeError or ValueError where the rows are none of its own."""
+        """Once, at the start. `sure`: the folder is whole as the last process left it.
+        Raises KeyError, TypeError or ValueError where the rows are none of its own.
+        """
 
     def faults(self, beat: Mapping[str, Any]) -> list[str]:
-        """All faults of its part of a beat, each with its path; nothing is changed where anyone has one."""
+        """All faults of its part of a beat, each with its path; nothing is changed
+        where anyone has one.
+        """
 
     def joined(
         self, now_us: int, name: str, token: Token, follows: Token | None
     ) -> None:
-        """A member is in force from now on. `follows`: the same member's token that this one replaces while
-        its lease was not out; the process that had it acts under it no more."""
+        """A member is in force from now on. `follows`: the same member's token that
+        this one replaces while its lease was not out; the process that had it acts
+        under it no more.
+        """
 
     def beat(
         self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
     ) -> bool:
-        """A member in force has beaten; `beat` is the whole body, checked. True: `plan` is asked soon."""
+        """A member in force has beaten; `beat` is the whole body, checked. True: `plan`
+        is asked soon.
+        """
 
     def told(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
         """Its part of the answer, by key."""
 
     def out(self, now_us: int, token: Token) -> None:
-        """The lease is surely out on every clock: nothing more is done under this token."""
+        """The lease is surely out on every clock: nothing more is done under this
+        token.
+        """
 
     def ended(self, now_us: int, token: Token) -> None:
         """The member itself said that it does nothing more under this token."""
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
-        """What is to change, to be written. Not asked again before all rows of the last plan were committed
-        or abandoned. `frozen`: after a mass loss or a start; nothing is divided anew
-        among members, though what makes things safer may go on."""
+        """What is to change, to be written. Not asked again before all rows of the last
+        plan were committed or abandoned. `frozen`: after a mass loss or a start;
+        nothing is divided anew among members, though what makes things safer may go
+        on.
+        """
 
     def commit(self, now_us: int, row: Row) -> None:
         """A row is on disk: from now on it holds, and may be told."""
@@ -74,14 +92,18 @@
         """A row could not be written, and does not hold."""
 
     def next_us(self) -> int | None:
-        """When `plan` has something to do though nobody beats; None where only a beat can bring it."""
+        """When `plan` has something to do though nobody beats; None where only a beat
+        can bring it.
+        """
 
     def snapshot(self) -> Row:
         """All that is committed."""
 
 
 class Riding(Rider):
-    """A rider that asks for more than members' lives. Each of these has a default that asks for nothing."""
+    """A rider that asks for more than members' lives. Each of these has a default that
+    asks for nothing.
+    """
 
     def heard(
         self,
@@ -91,8 +113,10 @@
         token: Token,
         beat: Mapping[str, Any],
     ) -> Heard:
-        """In place of `beat` and `told`, where an answer must be that of one beat. `until_us`: the lease is
-        surely out then. May raise bodies.Refused: the beat renewed the lease, and did nothing else."""
+        """In place of `beat` and `told`, where an answer must be that of one beat.
+        `until_us`: the lease is surely out then. May raise bodies.Refused: the beat
+        renewed the lease, and did nothing else.
+        """
         return Heard(
             self.beat(now_us, name, token, beat),
             False,
@@ -108,10 +132,14 @@
         return {}
 
     def lifted(self, epoch: int) -> None:
-        """The epoch of tokens given from now on: once before `restored`, and whenever it rises."""
+        """The epoch of tokens given from now on: once before `restored`, and whenever
+        it rises.
+        """
 
     def started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
-        """Once, after `restored`: who is in force, as if renewed now, and when each lease is surely out."""
+        """Once, after `restored`: who is in force, as if renewed now, and when each
+        lease is surely out.
+        """
 
     def said(
         self,
@@ -121,11 +149,15 @@
         shown: Token,
         keeps: Mapping[str, int],
     ) -> None:
-        """After `joined`, also after a start again: the same process, or the one whose folder it took over
-        under lock, was known by the token `shown` before, and keeps so much of each reserve from then."""
+        """After `joined`, also after a start again: the same process, or the one whose
+        folder it took over under lock, was known by the token `shown` before, and keeps
+        so much of each reserve from then.
+        """
 
     def concerns(self, row: Row) -> Collection[str] | None:
-        """Names of the members who are told something new by a row just committed; None: all."""
+        """Names of the members who are told something new by a row just committed;
+        None: all.
+        """
         return None
 
 
--- a/lemonshunt/registry/server.py
+++ b/lemonshunt/registry/server.py
@@ -40,8 +40,9 @@
     async def listen(
         self, host: str, port: int, write: bool, more: Iterable[web.RouteDef] = ()
     ) -> int:
-        """Open the discovery address, or the write address; the port taken. `more`: routes that riders
-        bring. Raises OSError."""
+        """Open the discovery address, or the write address; the port taken. `more`:
+        routes that riders bring. Raises OSError.
+        """
         if not write:
             return await self._open(host, port, [*reads.routes(self), *more])
         fleet = calls.by_hand(self.fleet) if self.fleet is not None else []
@@ -54,7 +55,9 @@
         riders: Iterable[Rider] = (),
         mark: Path | None = None,
     ) -> Fleet:
-        """Take on the fleet, before the write address is opened. Raises Damaged, OSError."""
+        """Take on the fleet, before the write address is opened. Raises Damaged,
+        OSError.
+        """
         self.fleet = Fleet(
             self, self.disk.folder / "fleet.log", terms, ttl_us, riders, mark
         )
@@ -74,8 +77,10 @@
         return await door.open(host, port)
 
     async def stop(self) -> bool:
-        """Take no more, answer every watch, keep and answer what was asked, close. False where the disk
-        did not end in time: what then waits is told that nobody knows whether it was kept."""
+        """Take no more, answer every watch, keep and answer what was asked, close.
+        False where the disk did not end in time: what then waits is told that nobody
+        knows whether it was kept.
+        """
         for door in self.doors:
             door.shut()
         ended = await self.finish()
--- a/lemonshunt/registry/watch.py
+++ b/lemonshunt/registry/watch.py
@@ -1,8 +1,10 @@
-"""Who waits for news of the fleet, and whom a change wakes: those it concerns, a few at a time.
+"""Who waits for news of the fleet, and whom a change wakes: those it concerns, a few at
+a time.
 
-A version is of the whole fleet. Members themselves and the map concern all; a share concerns one. A watcher
-that names itself sleeps through what does not concern it. All that are woken beat at once, so they are woken
-in slices: with 1,000 watchers the last hears half a second after the first.
+A version is of the whole fleet. Members themselves and the map concern all; a share
+concerns one. A watcher that names itself sleeps through what does not concern it. All
+that are woken beat at once, so they are woken in slices: with 1,000 watchers the last
+hears half a second after the first.
 """
 
 from __future__ import annotations
@@ -32,13 +34,17 @@
         self.version = self._all = version
 
     def behind(self, since: int, name: str = "") -> bool:
-        """Whether there is news for a watcher from version `since`; one without a name is told of all."""
+        """Whether there is news for a watcher from version `since`; one without a name
+        is told of all.
+        """
         if not name or since > self.version:
             return since != self.version
         return since < max(self._all, self._of.get(name, 0))
 
     def add(self, name: str = "") -> asyncio.Future[None]:
-        """Done when there is news for it; to be given to `drop` when it waits no more."""
+        """Done when there is news for it; to be given to `drop` when it waits no
+        more.
+        """
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._held[future] = name
         if self.stopped:
@@ -62,7 +68,8 @@
             for f, name in self._held.items()
             if not name or concerned is None or name in concerned
         ]
-        # Whom a change is about comes before those who were only to hear that there is one.
+        # Whom a change is about comes before those who were only to hear that there is
+        # one.
         first = {} if concerned is None else {f: None for f in woken if self._held[f]}
         self._due = {**first, **self._due, **dict.fromkeys(woken)}
         if self._timer is None:
--- a/lemonshunt/registry/web.py
+++ b/lemonshunt/registry/web.py
@@ -1,4 +1,6 @@
-"""HTTP of the list service on aiohttp: bounded connections, answers in JSON, faults with their paths."""
+"""HTTP of the list service on aiohttp: bounded connections, answers in JSON, faults
+with their paths.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +23,8 @@
 from lemonshunt.registry.writer import Full, Unknown
 
 MOST_FAULTS = 1_024  # in one answer
-BACKLOG = 1_024  # connections not yet accepted, as a whole fleet's at once; allocates nothing ahead
+# connections not yet accepted, as a whole fleet's at once; allocates nothing ahead
+BACKLOG = 1_024
 PIECE = 256 * 1024  # bytes of a long answer written at once
 MOST_LINE = 8 * 1024  # the request line, or one header
 FULL = (
@@ -52,8 +55,10 @@
 
 
 async def long_answer(request: web.Request, body: bytes) -> web.StreamResponse:
-    """A body that may be longer than what one connection may hold: it is then written in pieces, each once
-    the reader has taken those before. So all readers of a list share its bytes."""
+    """A body that may be longer than what one connection may hold: it is then written
+    in pieces, each once the reader has taken those before. So all readers of a list
+    share its bytes.
+    """
     held_bytes = request.app[HOUSE].bounds.held_bytes
     if len(body) <= held_bytes:
         return answer(200, body)
@@ -105,8 +110,9 @@
 
 
 class Connection(web.RequestHandler):
-    """One connection, within the bounds: past the count of them it is answered 503 at once, and one that
-    does not take what it is owed is cut."""
+    """One connection, within the bounds: past the count of them it is answered 503 at
+    once, and one that does not take what it is owed is cut.
+    """
 
     __slots__ = ("house", "counted", "cut", "waits")
 
@@ -137,7 +143,8 @@
             self.force_close()  # reads nothing from now on
             transport.write(FULL)
             transport.write_eof()
-            # Closed at once, what the peer has sent unread would turn into a reset and eat the answer.
+            # Closed at once, what the peer has sent unread would turn into a reset and
+            # eat the answer.
             asyncio.get_running_loop().call_later(1.0, transport.abort)
             return
         sock = transport.get_extra_info("socket")
@@ -150,8 +157,9 @@
 
     @contextlib.contextmanager
     def waiting_past(self, held: int) -> Iterator[None]:
-        """Within this a writer waits where so many bytes are not taken yet. A reader that takes none of them
-        is cut by the kernel (`unread_s`)."""
+        """Within this a writer waits where so many bytes are not taken yet. A reader
+        that takes none of them is cut by the kernel (`unread_s`).
+        """
         self.waits = True
         self._hold(held)
         try:
@@ -165,7 +173,9 @@
             self.transport.set_write_buffer_limits(high=held)
 
     def pause_writing(self) -> None:
-        """Past the bytes that may be held for it: it asks again from its version on a new connection."""
+        """Past the bytes that may be held for it: it asks again from its version on a
+        new connection.
+        """
         super().pause_writing()
         if self.transport is not None and not self.cut and not self.waits:
             self.cut = True
@@ -185,7 +195,9 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """What could not be read (400), or a fault of ours (500): told as all else is, and closed."""
+        """What could not be read (400), or a fault of ours (500): told as all else is,
+        and closed.
+        """
         if request.writer.output_size > 0:
             raise ConnectionError("an answer has begun already")
         if status >= 500:
@@ -236,7 +248,9 @@
 
 
 def app(house: House, routes: Iterable[web.RouteDef]) -> web.Application:
-    """An address's routes, and those that every address has: `/_ready`, `/_vars`, `/metrics`."""
+    """An address's routes, and those that every address has: `/_ready`, `/_vars`,
+    `/metrics`.
+    """
 
     async def ready(_: web.Request) -> web.StreamResponse:
         return answer(503 if house.stopping else 200, {"ready": not house.stopping})
@@ -272,7 +286,8 @@
 
     def __init__(self, house: House, routes: Iterable[web.RouteDef]) -> None:
         self.house = house
-        # A watcher that leaves cancels its handler; what a handler asked of the writer is done all the same.
+        # A watcher that leaves cancels its handler; what a handler asked of the writer
+        # is done all the same.
         self.runner = web.AppRunner(
             app(house, routes), handler_cancellation=True, shutdown_timeout=1.0
         )
@@ -295,12 +310,16 @@
             self.listener.close()
 
     async def close(self) -> None:
-        """Let what is being answered end, within a second, and close all connections."""
+        """Let what is being answered end, within a second, and close all
+        connections.
+        """
         await self.runner.cleanup()
 
 
 def whole_number(text: str, name: str) -> int | None:
-    """An If-Match: a version, quoted or not; None where there is none. Raises Refused."""
+    """An If-Match: a version, quoted or not; None where there is none. Raises
+    Refused.
+    """
     text = text.strip('" ')
     if not text:
         return None
--- a/lemonshunt/registry/writer.py
+++ b/lemonshunt/registry/writer.py
@@ -1,7 +1,8 @@
-"""Group sync: one task takes whatever was asked since its last round, writes it, and then tells it.
+"""Group sync: one task takes whatever was asked since its last round, writes it, and
+then tells it.
 
-Nothing is told before it is on disk: not a change, not that a change alters nothing beside one that waits,
-and no refusal that rests on one that waits.
+Nothing is told before it is on disk: not a change, not that a change alters nothing
+beside one that waits, and no refusal that rests on one that waits.
 """
 
 from __future__ import annotations
@@ -25,12 +26,16 @@
 
 
 class Unknown(Exception):
-    """The process ends before the disk has answered: what was asked may be kept, or not."""
+    """The process ends before the disk has answered: what was asked may be kept, or
+    not.
+    """
 
 
 @dataclass(slots=True)
 class Asked(Generic[T]):
-    """One thing that waits, and where its outcome is told. Whoever waits may have left meanwhile."""
+    """One thing that waits, and where its outcome is told. Whoever waits may have left
+    meanwhile.
+    """
 
     what: T
     done: asyncio.Future[Any] = field(
@@ -42,7 +47,8 @@
             return
         if isinstance(outcome, BaseException):
             self.done.set_exception(outcome)
-            self.done.exception()  # seen: its asker may have left, and the loop would complain of that
+            # seen: its asker may have left, and the loop would complain of that
+            self.done.exception()
         else:
             self.done.set_result(outcome)
 
@@ -60,8 +66,9 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def add(self, what: T, bounded: bool = True) -> asyncio.Future[Any]:
-        """Raises Full (never where not `bounded`). Whoever awaits the future shields it: what was asked is
-        done though its asker left."""
+        """Raises Full (never where not `bounded`). Whoever awaits the future shields
+        it: what was asked is done though its asker left.
+        """
         if bounded and (self.ended or len(self.queue) >= self.most):
             raise Full
         asked = Asked(what)
@@ -97,8 +104,10 @@
 
 @dataclass(slots=True)
 class Wish:
-    """A change to be made once its turn comes, from what is then in force and pending. `alone` begins a new
-    epoch or fence: what comes after it is checked against what it left."""
+    """A change to be made once its turn comes, from what is then in force and pending.
+    `alone` begins a new epoch or fence: what comes after it is checked against what it
+    left.
+    """
 
     make: Callable[[Pending], Change | int]
     alone: bool = False
@@ -119,7 +128,9 @@
         self.rounds: Rounds[Wish] = Rounds(self._round, most)
 
     async def ask(self, wish: Wish) -> Change | int:
-        """The change made, on disk; or the version in force. Raises Full, Refused, OSError."""
+        """The change made, on disk; or the version in force. Raises Full, Refused,
+        OSError.
+        """
         told: Change | int = await asyncio.shield(self.rounds.add(wish))
         return told
 
@@ -151,7 +162,8 @@
             except OSError as error:
                 self.failed(error)
                 log.error("changes not kept", extra={"why": str(error)})
-                resting = False  # from the first lost change on, each outcome rests on what is not there
+                # from the first lost change on, each outcome rests on what is not there
+                resting = False
                 for asked, told in made:
                     resting = resting or isinstance(told, Change)
                     asked.tell(error if resting else told)
--- a/lemonshunt/registry/writes.py
+++ b/lemonshunt/registry/writes.py
@@ -1,4 +1,6 @@
-"""The write address, for staff and servers: all that the discovery address has, changes, notices to read."""
+"""The write address, for staff and servers: all that the discovery address has,
+changes, notices to read.
+"""
 
 from __future__ import annotations
 
--- a/lemonshunt/session/__init__.py
+++ b/lemonshunt/session/__init__.py
@@ -1,1 +1,3 @@
-"""Sessions handed, alive, to a forwarder of a neighbouring site: see docs/parts/session.md."""
+"""Sessions handed, alive, to a forwarder of a neighbouring site: see
+docs/parts/session.md.
+"""
--- a/lemonshunt/session/arbiter.py
+++ b/lemonshunt/session/arbiter.py
@@ -1,7 +1,8 @@
 """The list service's word on hand-overs in doubt: one side for each, and for good.
 
-It is asked only where one side cannot reach the other, restarted, or lost its lease; what goes well never
-asks. The service journals each new entry before it answers (`decided`), and reads them back at its start.
+It is asked only where one side cannot reach the other, restarted, or lost its lease;
+what goes well never asks. The service journals each new entry before it answers
+(`decided`), and reads them back at its start.
 """
 
 from __future__ import annotations
@@ -14,7 +15,9 @@
 from lemonshunt.session.words import Hand
 
 KEPT_US = 3_600_000_000
-"""An entry whose missing side has been silent for so long may make room: no message lives as long."""
+"""An entry whose missing side has been silent for so long may make room: no message
+lives as long.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,18 +29,24 @@
 
 @dataclass(slots=True)
 class Arbiter:
-    """`in_force(name)`: a lease of that member is not surely out, as the service sees it."""
+    """`in_force(name)`: a lease of that member is not surely out, as the service sees
+    it.
+    """
 
     epoch: int
     in_force: Callable[[str], bool]
     most: int = 10_000
     decided: OrderedDict[Hand, Entry] = field(default_factory=OrderedDict)
     floors: dict[str, Hand] = field(default_factory=dict)
-    """By giver, the highest hand-over that was forgotten before both sides confirmed it."""
+    """By giver, the highest hand-over that was forgotten before both sides confirmed
+    it.
+    """
 
     def rule(self, ask: Ask, now_us: int) -> tuple[Verdict, bool]:
-        """The word, and whether it is new: then it must be on disk before it is told. The caller has checked
-        that whoever asks holds a lease, and is the giver or the taker by name."""
+        """The word, and whether it is new: then it must be on disk before it is told.
+        The caller has checked that whoever asks holds a lease, and is the giver or the
+        taker by name.
+        """
         known = self.decided.get(ask.hand)
         ruling = self._rule(ask, known)
         new = known is None and ruling != "wait"
@@ -51,17 +60,21 @@
         if known is not None:
             return known.ruling
         if ask.cede:
-            return "taker"  # whatever was forgotten: nobody was told otherwise, or it would not ask so
+            # whatever was forgotten: nobody was told otherwise, or it would not ask so
+            return "taker"
         alone = not self.in_force(ask.other)
         floor = self.floors.get(ask.hand.giver)
         if ask.hand.epoch < self.epoch or (floor is not None and ask.hand <= floor):
-            return "wait"  # what was said then is not known: they have each other, and `commit_us`
+            # what was said then is not known: they have each other, and `commit_us`
+            return "wait"
         if ask.side == "giver":
             return "giver" if alone or not ask.committed else "wait"
         return "taker" if alone or ask.forgot else "wait"
 
     def confirm(self, told: Confirm) -> bool:
-        """That side has carried it out. True where something changed that belongs on disk."""
+        """That side has carried it out. True where something changed that belongs on
+        disk.
+        """
         known = self.decided.get(told.hand)
         if known is None or told.side in known.confirmed:
             return False
--- a/lemonshunt/session/choose.py
+++ b/lemonshunt/session/choose.py
@@ -1,9 +1,11 @@
-"""When a session is handed over, which, to whom, how many at once. Without I/O; decides, and does nothing.
-
-So that nothing swings: a session that came stays `least_stay_ms`; it does not go back to the site that it
-came from for `pause_ms`; a site that gave us sessions because it was over its budget gets none from us for
-that reason for `pair_ms`; and going away begins at `over` and ends at `under`. A site that drains, or has
-told us nothing for a while, gets nothing at all. `Chooser.welcome` is the same rule on the taker's side, so
+"""When a session is handed over, which, to whom, how many at once. Without I/O;
+decides, and does nothing.
+
+So that nothing swings: a session that came stays `least_stay_ms`; it does not go back
+to the site that it came from for `pause_ms`; a site that gave us sessions because it
+was over its budget gets none from us for that reason for `pair_ms`; and going away
+begins at `over` and ends at `under`. A site that drains, or has told us nothing for a
+while, gets nothing at all. `Chooser.welcome` is the same rule on the taker's side, so
 that two sites that choose each other at the same moment both refuse.
 """
 
@@ -79,7 +81,9 @@
     refused: dict[tuple[str, str], int] = field(default_factory=dict)
     """Session and forwarder: not offered there before then."""
     given: dict[str, int] = field(default_factory=dict)
-    """Sites that gave us sessions as they were over: nothing goes back for that reason before then."""
+    """Sites that gave us sessions as they were over: nothing goes back for that reason
+    before then.
+    """
     going: bool = False
     """Between `over` and `under` on the way down."""
 
@@ -101,8 +105,10 @@
         peers: Sequence[Peer],
         now_us: int,
     ) -> list[Plan]:
-        """What to offer now: smallest sessions first (they pause for the shortest time), to the neighbour
-        that costs least and has most room. `now_us` is one clock, like all times here."""
+        """What to offer now: smallest sessions first (they pause for the shortest
+        time), to the neighbour that costs least and has most room. `now_us` is one
+        clock, like all times here.
+        """
         why = self.why(here)
         left = self.table.at_once - here.out
         if not why or left <= 0:
@@ -176,7 +182,9 @@
         return why != "over" or now_us >= self.given.get(p.site, 0)
 
     def welcome(self, here: Here, site: str, why: str, now_us: int) -> str:
-        """Why an offer of that site is not taken; empty where it is. To be asked before the desk is."""
+        """Why an offer of that site is not taken; empty where it is. To be asked before
+        the desk is.
+        """
         if here.draining:
             return "draining"
         if not here.endpoints:
@@ -188,7 +196,9 @@
         return ""
 
     def ended(self, plan: Plan, taken: bool, now_us: int) -> None:
-        """A hand-over is over. One that was given up is not tried again there for a while."""
+        """A hand-over is over. One that was given up is not tried again there for a
+        while.
+        """
         if not taken:
             self.refused = {k: at for k, at in self.refused.items() if at > now_us}
             if len(self.refused) < self.most:
--- a/lemonshunt/session/desk.py
+++ b/lemonshunt/session/desk.py
@@ -1,6 +1,8 @@
-"""All hand-overs of one forwarder: which core a frame is for, how many, how large, what a restart finds.
+"""All hand-overs of one forwarder: which core a frame is for, how many, how large, what
+a restart finds.
 
-The shell that runs it carries out the actions, calls `tick` every `retry_us`, and hands in what it hears.
+The shell that runs it carries out the actions, calls `tick` every `retry_us`, and hands
+in what it hears.
 """
 
 from __future__ import annotations
@@ -18,7 +20,9 @@
     10_000  # hand-overs remembered after their end, of a fleet's; 250 bytes each
 )
 Done = list[tuple[str, s.Action]]
-"""Actions in order, each with the order key of the session that it is about ("" where there is none)."""
+"""Actions in order, each with the order key of the session that it is about ("" where
+there is none).
+"""
 
 
 @dataclass(slots=True)
@@ -34,8 +38,10 @@
     floors: dict[str, w.Hand] = field(default_factory=dict)
     """By giver: at or below it, what is not known is never taken on."""
     past: dict[w.Hand, bool] = field(default_factory=dict)
-    """The newest that are over here: whether they went to the taker for good, or (given back, refused) never
-    will. Of one that is at its giver's floor and not in it we know nothing, and say nothing."""
+    """The newest that are over here: whether they went to the taker for good, or (given
+    back, refused) never will. Of one that is at its giver's floor and not in it we know
+    nothing, and say nothing.
+    """
     keys: dict[str, w.Hand] = field(default_factory=dict)
     """Whose session is being handed over."""
 
@@ -51,8 +57,10 @@
         asked: s.Give,
         now_us: int,
     ) -> Done:
-        """Offer a session. Nothing is done, and () returned, while we hold no lease, have as many out as
-        `at_once` or as many bytes as `all_bytes`, or the session itself is in a hand-over."""
+        """Offer a session. Nothing is done, and () returned, while we hold no lease,
+        have as many out as `at_once` or as many bytes as `all_bytes`, or the session
+        itself is in a hand-over.
+        """
         size = sum(g.asked.bytes for g in self.giving.values()) + asked.bytes
         busy = sum(g.state is not State.TAIL for g in self.giving.values())
         full = busy >= self.limits.at_once or size > self.limits.all_bytes
@@ -72,15 +80,18 @@
         return self.act(core, asked, now_us)
 
     def to_session(self, key: str, event: object, now_us: int) -> Done | None:
-        """`Quiet`, `Arrived`, `Left`, `TailOver`, `Stop`: for a session by its key. None where it is not
-        being given away: then the event is the engine's alone."""
+        """`Quiet`, `Arrived`, `Left`, `TailOver`, `Stop`: for a session by its key.
+        None where it is not being given away: then the event is the engine's alone.
+        """
         core = self.giving.get(self.keys[key]) if key in self.keys else None
         return None if core is None else self.act(core, event, now_us)
 
     # What comes from outside
 
     def heard(self, peer: str, frame: w.Frame, now_us: int) -> Done:
-        """A frame of the forwarder `peer`. Of a hand-over that is not between us two it is passed over."""
+        """A frame of the forwarder `peer`. Of a hand-over that is not between us two it
+        is passed over.
+        """
         if frame.hand.giver == self.name:
             giver = self.giving.get(frame.hand)
             if giver is None:
@@ -134,7 +145,8 @@
                 if floor is not None and hand <= floor:
                     return []
                 return [("", s.Journal(w.Refused(hand)))]
-        return []  # a Pass too: it may have been taken before we forgot, so it cannot be refused
+        # a Pass too: it may have been taken before we forgot, so it cannot be refused
+        return []
 
     def _against(self, offer: w.Offer, floor: w.Hand | None) -> str:
         """Why an offer is not taken; empty where it is."""
@@ -186,7 +198,9 @@
         return self._all(s.LeaseLost() if life is None else s.LeaseBack(life), now_us)
 
     def drain(self, now_us: int) -> Done:
-        """We drain: no offer is taken any more; what is copied and not committed is asked to be dropped."""
+        """We drain: no offer is taken any more; what is copied and not committed is
+        asked to be dropped.
+        """
         self.draining = True
         return [
             a
@@ -240,9 +254,10 @@
     # After a restart
 
     def recover(self, records: Iterable[w.Record], now_us: int) -> Mapping[str, State]:
-        """Before anything is heard or sent: what the journal holds, in its order. Returns the sessions that
-        are in a hand-over. The engine halts each, but for those that we take and that are in `tail`: they are
-        ours for good."""
+        """Before anything is heard or sent: what the journal holds, in its order.
+        Returns the sessions that are in a hand-over. The engine halts each, but for
+        those that we take and that are in `tail`: they are ours for good.
+        """
         kept: dict[w.Hand, dict[type, w.Record]] = {}
         newest: dict[
             str, w.Hand
@@ -272,5 +287,7 @@
         return {core.key: core.state for core in self.cores()}
 
     def checkpoint(self) -> list[w.Record]:
-        """What must stay when the journal is compacted, beside the records of the open hand-overs."""
+        """What must stay when the journal is compacted, beside the records of the open
+        hand-overs.
+        """
         return [w.Refused(hand) for _, hand in sorted(self.floors.items())]
--- a/lemonshunt/session/giver.py
+++ b/lemonshunt/session/giver.py
@@ -1,4 +1,6 @@
-"""The giving side of one hand-over. Every pair of state and event is in `docs/parts/session.md`."""
+"""The giving side of one hand-over. Every pair of state and event is in
+`docs/parts/session.md`.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +19,9 @@
 
 @dataclass(slots=True)
 class Giver(Queue):
-    """`on(event, now_us)` gives what to do, in order. Fields hold values that are never changed in place, so
-    `copy.copy` forks it."""
+    """`on(event, now_us)` gives what to do, in order. Fields hold values that are never
+    changed in place, so `copy.copy` forks it.
+    """
 
     key: str = ""
     taker: str = ""
@@ -37,10 +40,14 @@
     settled: bool = False
     """The arbiter's word decided."""
     doubt: bool = False
-    """Committed, and the arbiter was asked, perhaps before a restart. What it was asked may reach it late, so
-    from now on only its word moves us: we neither let go nor commit to another life of the taker alone."""
+    """Committed, and the arbiter was asked, perhaps before a restart. What it was asked
+    may reach it late, so from now on only its word moves us: we neither let go nor
+    commit to another life of the taker alone.
+    """
     nobodys: bool = False
-    """Nobody could say whose it is until it was over: neither side has it by this hand-over."""
+    """Nobody could say whose it is until it was over: neither side has it by this
+    hand-over.
+    """
     begun: bool = False
     """The taker has told that it began."""
     parts: tuple[w.Copy, ...] = ()
@@ -48,12 +55,16 @@
     """The taker's lease under which it last said that it holds the copy."""
 
     def on(self, event: object, now_us: int) -> Actions:
-        """What follows from an event. One that means nothing in this state does nothing."""
+        """What follows from an event. One that means nothing in this state does
+        nothing.
+        """
         handler = TABLE[self.state].get(type(event))
         return handler(self, event, now_us) if handler else ()
 
     def tick(self, now_us: int) -> Actions:
-        """To be called every `retry_us`: `Timeout` where the state's limit is over, `Retry` otherwise."""
+        """To be called every `retry_us`: `Timeout` where the state's limit is over,
+        `Retry` otherwise.
+        """
         late = self.until_us is not None and now_us >= self.until_us
         return self.on(s.Timeout() if late else s.Retry(), now_us)
 
@@ -61,7 +72,9 @@
     def recover(
         record: w.Sealed, committed: bool, limits: Limits, now_us: int
     ) -> Giver:
-        """After a restart, from the journal. The session's messages stay with the engine, frozen."""
+        """After a restart, from the journal. The session's messages stay with the
+        engine, frozen.
+        """
         core = Giver(record.hand, limits, key=record.key, taker=record.taker)
         core.doubt = committed
         core._enter(State.COMMITTED if committed else State.ABORTED, now_us)
@@ -183,7 +196,9 @@
         return (s.Confirm(self.hand, "giver"),) if self.settled else ()
 
     def unkept(self, event: s.NotKept, now_us: int) -> Actions:
-        """It may be on disk all the same: a seal is harmless, any other is written until it surely is."""
+        """It may be on disk all the same: a seal is harmless, any other is written
+        until it surely is.
+        """
         if event.record != self.record:
             return ()
         self.writing = False
@@ -197,7 +212,9 @@
         return () if self.record is not None else self._write(w.Committed(self.hand))
 
     def _commit(self) -> Actions:
-        """Where we do not know the taker's life (a restart, the arbiter's word), it only wants an answer."""
+        """Where we do not know the taker's life (a restart, the arbiter's word), it
+        only wants an answer.
+        """
         return (s.Send(w.Commit(self.hand, self.to or NOBODY)),)
 
     def recommit(self, event: w.Copied, now_us: int) -> Actions:
@@ -225,7 +242,9 @@
         return () if self.record is not None else self._write(w.Back(self.hand))
 
     def doubted(self, event: object, now_us: int) -> Actions:
-        """We had committed, and the taker does not have it: what it ran of the copies nobody knows."""
+        """We had committed, and the taker does not have it: what it ran of the copies
+        nobody knows.
+        """
         if self.record is not None:
             return ()
         self._enter(State.ABORTED, now_us)
@@ -268,7 +287,9 @@
         )
 
     def push(self, event: object, now_us: int) -> Actions:
-        """What was not answered is said again; a record that may not be on disk is written again."""
+        """What was not answered is said again; a record that may not be on disk is
+        written again.
+        """
         shed = self._shed(now_us)
         if self.record is not None:
             return shed if self.writing else (*shed, *self._write(self.record))
@@ -284,7 +305,9 @@
         return *shed, *again, s.Ask(self.hand, "giver", self.taker, committed)
 
     def expire(self, event: object, now_us: int) -> Actions:
-        """No copy is alive any more, wherever it is; only ends that nobody told may be missing."""
+        """No copy is alive any more, wherever it is; only ends that nobody told may be
+        missing.
+        """
         if self.record is not None:
             return self.push(event, now_us)
         self.nobodys = self.state is State.ABORTED
--- a/lemonshunt/session/incoming.py
+++ b/lemonshunt/session/incoming.py
@@ -1,4 +1,6 @@
-"""The taking side until it has the copy: nothing is on disk yet, and nothing is owed."""
+"""The taking side until it has the copy: nothing is on disk yet, and nothing is
+owed.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +23,9 @@
     """The lease we hold now; None while we hold none, and then nothing begins."""
     stamp_us: int = 0
     born_us: int = 0
-    """When this process learned of the hand-over: stamps before it were given by the one before."""
+    """When this process learned of the hand-over: stamps before it were given by the
+    one before.
+    """
     state: State = State.OFFERED
     since_us: int = 0
     until_us: int | None = None
@@ -45,7 +49,9 @@
     unsure: int = 0
     """A message passed on of which nobody knows whether it is on disk."""
     room: int = 0
-    """Bytes that the offer named; the copy may have a little more, but not twice that and a body."""
+    """Bytes that the offer named; the copy may have a little more, but not twice that
+    and a body.
+    """
     full: bool = False
     """Set by who runs it while there is no room for a message that is passed on."""
 
--- a/lemonshunt/session/model.py
+++ b/lemonshunt/session/model.py
@@ -1,9 +1,11 @@
-"""One session handed over, as a model for `lemonshunt.explore`: two desks, the arbiter, an unsound link
-between them, disks that survive crashes, leases that run out, one message in the middle, a call that is out.
+"""One session handed over, as a model for `lemonshunt.explore`: two desks, the arbiter,
+an unsound link between them, disks that survive crashes, leases that run out, one
+message in the middle, a call that is out.
 
-The messages are of the kind that must never run twice, and one key's, so that the calls that left must have
-rising numbers: a repeat and an overtaking both show. From each state reached it also plays on with nothing
-more going wrong: then one side must end up with the session, and every message taken on with its end.
+The messages are of the kind that must never run twice, and one key's, so that the calls
+that left must have rising numbers: a repeat and an overtaking both show. From each
+state reached it also plays on with nothing more going wrong: then one side must end up
+with the session, and every message taken on with its end.
 """
 
 from __future__ import annotations
@@ -55,7 +57,9 @@
     "due": 0,
     "amnesia": 0,
 }
-"""How often each may happen. A limit that is over is `late`; `due` takes 3; `amnesia` is the arbiter's."""
+"""How often each may happen. A limit that is over is `late`; `due` takes 3; `amnesia`
+is the arbiter's.
+"""
 HARM = ("crash_g", "crash_t", "lease_g", "lease_t", "due", "amnesia")
 WRITES = (
     ("kept", True, True),
@@ -65,7 +69,9 @@
 
 
 class Sessions(Fair):
-    """A hand-over with these counts of what may go wrong. `gone`: who may die for good."""
+    """A hand-over with these counts of what may go wrong. `gone`: who may die for
+    good.
+    """
 
     def __init__(
         self,
@@ -374,7 +380,9 @@
 
 
 class Rough(Sessions):
-    """For `python -m lemonshunt.explore`: either side may die, the taker's lease run out, a write fail."""
+    """For `python -m lemonshunt.explore`: either side may die, the taker's lease run
+    out, a write fail.
+    """
 
     def __init__(self) -> None:
         super().__init__(crash_g=1, crash_t=1, lease_t=1, fault=1, arrive=1)
--- a/lemonshunt/session/model_fair.py
+++ b/lemonshunt/session/model_fair.py
@@ -1,4 +1,6 @@
-"""What must hold in the model of a hand-over, and that it ends well from each state reached."""
+"""What must hold in the model of a hand-over, and that it ends well from each state
+reached.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +11,9 @@
 from lemonshunt.session.model_world import World, not_whole, unsafe
 
 Step = tuple[str, str, World]
-"""Its kind: `fair` (comes of itself in the end), `retry`, `late` (when nothing else does), `foul` (may
-happen); its name; the state after."""
+"""Its kind: `fair` (comes of itself in the end), `retry`, `late` (when nothing else
+does), `foul` (may happen); its name; the state after.
+"""
 
 
 class Fair:
@@ -53,7 +56,9 @@
         return unsafe(state) or self._unsettled(state)
 
     def _unsettled(self, state: World) -> str:
-        """Play on with nothing more going wrong, to the end or to a state known to end well."""
+        """Play on with nothing more going wrong, to the end or to a state known to end
+        well.
+        """
         state = replace(state, net=replace(state.net, most=20))
         passed: set[Hashable] = set()
         steps = 0
@@ -73,8 +78,9 @@
         return ""
 
     def _next(self, state: World) -> World | None:
-        """The first thing that comes of itself and changes something; where none does, all say again what
-        was not answered."""
+        """The first thing that comes of itself and changes something; where none does,
+        all say again what was not answered.
+        """
         core = self._core(state)
         for kind, _, after in self._all(state):
             if kind == "fair" and self._core(after) != core:
--- a/lemonshunt/session/model_site.py
+++ b/lemonshunt/session/model_site.py
@@ -1,4 +1,6 @@
-"""One forwarder in the model: the real desk, and the least engine and disk around it that can go wrong."""
+"""One forwarder in the model: the real desk, and the least engine and disk around it
+that can go wrong.
+"""
 
 from __future__ import annotations
 
@@ -59,7 +61,9 @@
 class Site:
     name: str
     life: int = 1
-    """Also its clock: all that the cores compare are stamps of this start with those of the one before."""
+    """Also its clock: all that the cores compare are stamps of this start with those of
+    the one before.
+    """
     runs: bool = False
     """Its engine may begin a call of the session, if the lease allows it."""
     alive: bool = True
@@ -158,7 +162,9 @@
         return self.tell(s.Quiet(items, () if forgetful else self.memory))
 
     def events(self) -> Iterator[tuple[str, object]]:
-        """What can come to its cores of itself. A limit that no message outlives is none of the model's."""
+        """What can come to its cores of itself. A limit that no message outlives is
+        none of the model's.
+        """
         if self.desk.cores():
             yield "retry", s.Retry()
         limited = [s.State.OFFERED, s.State.TAIL, s.State.FROZEN, s.State.COPIED]
@@ -210,7 +216,9 @@
         return self.desk.written(record, ok, self.life)
 
     def crash(self, reached: bool) -> None:
-        """What was being written may be on disk. The queue is on disk too, and what the records say of it."""
+        """What was being written may be on disk. The queue is on disk too, and what the
+        records say of it.
+        """
         if reached:
             self.disk, self.unseen = (
                 (*self.disk, *self.writing),
--- a/lemonshunt/session/model_world.py
+++ b/lemonshunt/session/model_world.py
@@ -18,7 +18,9 @@
 
 @dataclass(slots=True, eq=False)
 class Mail:
-    """One message under way. Equal ones are one object, so that comparing and sorting them costs little."""
+    """One message under way. Equal ones are one object, so that comparing and sorting
+    them costs little.
+    """
 
     what: Any
     text: str
@@ -38,7 +40,9 @@
     sites: dict[str, Site]
     decided: tuple[tuple[w.Hand, Entry], ...] = ()
     lease: dict[str, str] = field(default_factory=lambda: {"g": "held", "t": "held"})
-    """`held`; `out` by the member's own clock; `lost` by the service's, never before it is out."""
+    """`held`; `out` by the member's own clock; `lost` by the service's, never before it
+    is out.
+    """
     sent: tuple[int, ...] = (0,)
     ends: dict[int, str] = field(default_factory=dict)
     promised: tuple[int, ...] = ()
@@ -100,8 +104,10 @@
 
 
 def theirs(at: Site, live: dict[str, Site], forgot: bool) -> bool:
-    """No hand-over is open, or only one that time ends (`commit_us`): the arbiter gave it to who is dead, or
-    forgot what it said, and the one who could tell is dead or went on alone."""
+    """No hand-over is open, or only one that time ends (`commit_us`): the arbiter gave
+    it to who is dead, or forgot what it said, and the one who could tell is dead or
+    went on alone.
+    """
     if forgot:
         return len(live) < 2 or all(
             isinstance(c, Taker) and not at.runs for c in at.desk.cores()
--- a/lemonshunt/session/states.py
+++ b/lemonshunt/session/states.py
@@ -1,4 +1,6 @@
-"""States of a hand-over, what its cores hear beside frames, what they want done, and their limits."""
+"""States of a hand-over, what its cores hear beside frames, what they want done, and
+their limits.
+"""
 
 from __future__ import annotations
 
@@ -36,8 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Quiet:
-    """After `Freeze`: no call of the session is out. All its messages in order (times by our clock; one whose
-    call was closed without an answer says that it may have run) and the ids it remembers against repeats."""
+    """After `Freeze`: no call of the session is out. All its messages in order (times
+    by our clock; one whose call was closed without an answer says that it may have run)
+    and the ids it remembers against repeats.
+    """
 
     items: tuple[Item, ...]
     memory: tuple[str, ...]
@@ -52,7 +56,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NotKept:
-    """It could not be written, or nobody knows whether it was: a disk that is full, or failed."""
+    """It could not be written, or nobody knows whether it was: a disk that is full, or
+    failed.
+    """
 
     record: Record
 
@@ -82,12 +88,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TailOver:
-    """After `Tail`: no connection that has brought messages of this key is open any more."""
+    """After `Tail`: no connection that has brought messages of this key is open any
+    more.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """The time of a copied message is up, for a taker in doubt (`offer_us` after its due)."""
+    """The time of a copied message is up, for a taker in doubt (`offer_us` after its
+    due).
+    """
 
     id: str
 
@@ -146,8 +156,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Freeze:
-    """No further call of the session leaves; say `Quiet` once none is out. Until told otherwise the engine
-    only ends messages whose time is up."""
+    """No further call of the session leaves; say `Quiet` once none is out. Until told
+    otherwise the engine only ends messages whose time is up.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,7 +173,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """The session is to be ours: recall these messages in order and these ids, and wait for `Resume`."""
+    """The session is to be ours: recall these messages in order and these ids, and wait
+    for `Resume`.
+    """
 
     items: tuple[Item, ...]
     memory: tuple[str, ...]
@@ -213,8 +226,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Tail:
-    """The taker has it (`where` learns it): say `TailOver` once no client's connection is left, which may be
-    at once."""
+    """The taker has it (`where` learns it): say `TailOver` once no client's connection
+    is left, which may be at once.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -225,11 +239,15 @@
     side: Side
     other: str
     committed: bool = False
-    """The giver has committed: only where the taker is lost may it have the session back."""
+    """The giver has committed: only where the taker is lost may it have the session
+    back.
+    """
     forgot: bool = False
     """The giver, asked by the taker, has no record of it."""
     cede: bool = False
-    """The giver, which asked before, wants the taker to have it for good; or the taker acts by its word."""
+    """The giver, which asked before, wants the taker to have it for good; or the taker
+    acts by its word.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -272,13 +290,17 @@
     """Microseconds, counts and bytes. `faults` names what cannot hold."""
 
     offer_us: int = 200_000
-    """An answer to an offer that comes later is not used; it bounds by how much a taker's due is early."""
+    """An answer to an offer that comes later is not used; it bounds by how much a
+    taker's due is early.
+    """
     calls_us: int = 300_000
     """How long calls that are out are waited for."""
     freeze_us: int = 600_000
     copy_us: int = 1_000_000
     commit_us: int = 600_000_000
-    """Longer than any message may live: a doubt that nobody could end is over then, and all it was about."""
+    """Longer than any message may live: a doubt that nobody could end is over then, and
+    all it was about.
+    """
     tail_us: int = 30_000_000
     retry_us: int = 100_000
     ask_us: int = 500_000
--- a/lemonshunt/session/table.py
+++ b/lemonshunt/session/table.py
@@ -1,7 +1,10 @@
-"""The table of sites and the rules of choosing: the configuration's `session`; all faults with their paths.
+"""The table of sites and the rules of choosing: the configuration's `session`; all
+faults with their paths.
 
-{"sites": {"a": {"neighbours": {"b": 1.0, "c": 2.5}}, "b": {...}}, "at_once": 8, "least_stay_ms": 5000,
- "pause_ms": 30000, "pair_ms": 10000, "over": 0.9, "under": 0.7, "limits": {"offer_us": 200000, ...}}
+{"sites": {"a": {"neighbours": {"b": 1.0, "c": 2.5}}, "b": {...}}, "at_once": 8,
+"least_stay_ms": 5000,
+ "pause_ms": 30000, "pair_ms": 10000, "over": 0.9, "under": 0.7, "limits": {"offer_us":
+ 200000, ...}}
 """
 
 from __future__ import annotations
@@ -36,13 +39,19 @@
     least_stay_ms: int = 5_000
     """A session that came stays so long, but where its forwarder drains."""
     pause_ms: int = 30_000
-    """For so long it is not handed back to the site that it came from, nor offered again where refused."""
+    """For so long it is not handed back to the site that it came from, nor offered
+    again where refused.
+    """
     pair_ms: int = 10_000
-    """After a site gave us sessions because it was over its budget, none goes there for that reason."""
+    """After a site gave us sessions because it was over its budget, none goes there for
+    that reason.
+    """
     over: float = 0.9
     """Sessions go from this part of the budget on..."""
     under: float = 0.7
-    """...until we are below this one; a neighbour has room while it would stay below it."""
+    """...until we are below this one; a neighbour has room while it would stay below
+    it.
+    """
     limits: Limits = field(default_factory=Limits)
 
 
--- a/lemonshunt/session/taker.py
+++ b/lemonshunt/session/taker.py
@@ -1,4 +1,6 @@
-"""The taking side of one hand-over. Every pair of state and event is in `docs/parts/session.md`."""
+"""The taking side of one hand-over. Every pair of state and event is in
+`docs/parts/session.md`.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +18,9 @@
 
 @dataclass(slots=True)
 class Taker(Incoming):
-    """`on(event, now_us)` gives what to do, in order. Like `Giver`, forked by `copy.copy`."""
+    """`on(event, now_us)` gives what to do, in order. Like `Giver`, forked by
+    `copy.copy`.
+    """
 
     def on(self, event: object, now_us: int) -> Actions:
         handler = TABLE[self.state].get(type(event))
@@ -36,7 +40,9 @@
         limits: Limits,
         now_us: int,
     ) -> Taker:
-        """After a restart. What had begun stays halted until it is known to be ours; what is shut is."""
+        """After a restart. What had begun stays halted until it is known to be ours;
+        what is shut is.
+        """
         core = Taker(
             record.hand, record.key, record.moves, limits, None, born_us=now_us
         )
@@ -62,7 +68,9 @@
         return (s.Send(w.Copied(self.hand, self.life)),)
 
     def fail(self, event: s.Due, now_us: int) -> Actions:
-        """Whoever it belongs to, nobody may deliver it any more, and the giver may be dead."""
+        """Whoever it belongs to, nobody may deliver it any more, and the giver may be
+        dead.
+        """
         if all(i.id != event.id for i in self.items):
             return ()
         self.items = tuple(i for i in self.items if i.id != event.id)
@@ -93,7 +101,9 @@
         return s.Resume(), s.Send(w.Begun(self.hand, now_us)), *shut
 
     def orphan(self, event: object, now_us: int) -> Actions:
-        """The giver has no record: it lost its journal, took it back by the arbiter's word, or let go."""
+        """The giver has no record: it lost its journal, took it back by the arbiter's
+        word, or let go.
+        """
         return (
             ()
             if self.sure
@@ -112,15 +122,19 @@
         return self.expire(event, now_us)
 
     def expire(self, event: object, now_us: int) -> Actions:
-        """It is not ours, or whose it is nobody could say until it was over. What we took on since we began
-        is nobody else's; and a giver that takes back what had begun ends the copies as well."""
+        """It is not ours, or whose it is nobody could say until it was over. What we
+        took on since we began is nobody else's; and a giver that takes back what had
+        begun ends the copies as well.
+        """
         if self.sure or w.Refused(self.hand) in self.records:
             return self.rewrite(event, now_us)
         return *((s.FailAll(),) if self.began else ()), *self.drop(event, now_us)
 
     def drop(self, event: object, now_us: int) -> Actions:
         if self.state is State.OFFERED and self.records:
-            return ()  # the copy may be on disk soon: what refuses it is written after it, when asked again
+            # the copy may be on disk soon: what refuses it is written after it, when
+            # asked again
+            return ()
         record = w.Refused(self.hand)
         if record in self.records and record not in self.failed:
             return ()
@@ -182,7 +196,9 @@
         return (s.Confirm(self.hand, "taker"),) if self.settled else ()
 
     def unkept(self, event: s.NotKept, now_us: int) -> Actions:
-        """It may be on disk all the same. A copy of which we have not said that we hold it, we may refuse."""
+        """It may be on disk all the same. A copy of which we have not said that we hold
+        it, we may refuse.
+        """
         if event.record not in self.records:
             return ()
         if isinstance(event.record, w.Took):  # not answered, so the giver says it again
@@ -209,14 +225,18 @@
         )
 
     def shut(self, event: object, now_us: int) -> Actions:
-        """We act by the giver's word to this life, and it keeps nothing: it never can take it back."""
+        """We act by the giver's word to this life, and it keeps nothing: it never can
+        take it back.
+        """
         if self.sure:
             return ()
         self.sure = True
         return self._write(w.Shut(self.hand))
 
     def take(self, event: w.Pass, now_us: int) -> Actions:
-        """One passed message at a time; one that was answered is answered alike, and an older one is over."""
+        """One passed message at a time; one that was answered is answered alike, and an
+        older one is over.
+        """
         if event.number <= self.number:
             return (
                 (self._passed(event.number, self.how, now_us),)
@@ -233,7 +253,8 @@
         until_us = w.our_time(event.until_us, event.stamp_us, self.limits.drift)
         if self.life is None or self.full or min(item.due_us, until_us) <= now_us:
             if event.number == self.unsure:
-                return ()  # it may be on disk, and go after a restart: it cannot be refused
+                # it may be on disk, and go after a restart: it cannot be refused
+                return ()
             self.number, self.how = event.number, "refused"
             return (self._passed(event.number, "refused", now_us),)
         return self._write(w.Took(self.hand, event.number, item))
@@ -242,7 +263,9 @@
         return s.Send(w.Passed(self.hand, number, how, now_us))
 
     def end(self, event: object, now_us: int) -> Actions:
-        """The giver ends its tail only once it has let go, so `End` says `Closed` as well."""
+        """The giver ends its tail only once it has let go, so `End` says `Closed` as
+        well.
+        """
         if self.sure and not self.records:
             return self._over(now_us)
         self._enter(State.TAIL, now_us)
@@ -269,7 +292,9 @@
         return ()
 
     def stop(self, event: object, now_us: int) -> Actions:
-        """While we are lost the giver may take it back, unless it is shut: then only the lease is missing."""
+        """While we are lost the giver may take it back, unless it is shut: then only
+        the lease is missing.
+        """
         self.life = self.to = None
         if self.sure:
             return ()
--- a/lemonshunt/session/waiting.py
+++ b/lemonshunt/session/waiting.py
@@ -1,7 +1,8 @@
-"""Messages that come while a session is handed over: they wait in order, and in the tail they are passed on.
+"""Messages that come while a session is handed over: they wait in order, and in the
+tail they are passed on.
 
-None of them is taken on while it waits, so whatever dies here, no promise is broken: a client that was not
-answered hands its message in again.
+None of them is taken on while it waits, so whatever dies here, no promise is broken: a
+client that was not answered hands its message in again.
 """
 
 from __future__ import annotations
@@ -51,11 +52,14 @@
     def forget(self, event: s.Left, now_us: int) -> Actions:
         self.waiting = tuple(m for m in self.waiting if m.item.id != event.id)
         if self.passing is not None and self.passing.item.id == event.id:
-            self.passing = None  # its number is never used again; whether it was taken, nobody needs to know
+            # its number is never used again; whether it was taken, nobody needs to know
+            self.passing = None
         return self._pump(now_us) if self.state is State.TAIL else ()
 
     def _shed(self, now_us: int) -> Actions:
-        """Whoever has waited `hold_us` is refused, before its client leaves; one passed on cannot be."""
+        """Whoever has waited `hold_us` is refused, before its client leaves; one passed
+        on cannot be.
+        """
         late = {m for m in self.waiting if now_us - m.at_us >= self.limits.hold_us}
         self.waiting = tuple(m for m in self.waiting if m not in late)
         if (
@@ -92,7 +96,8 @@
             or self.passing is None
             or event.stamp_us < self.stamp_us
         ):
-            return ()  # the last: said before a restart, after which it may be taken all the same
+            # the last: said before a restart, after which it may be taken all the same
+            return ()
         self.stamp_us, self.heard_us = event.stamp_us, now_us
         if event.how == "again":
             return self._pass(now_us)
--- a/lemonshunt/session/where.py
+++ b/lemonshunt/session/where.py
@@ -1,7 +1,9 @@
-"""Who has a session now, for a message that comes to a forwarder that does not: pass it on, or refuse it.
+"""Who has a session now, for a message that comes to a forwarder that does not: pass it
+on, or refuse it.
 
-What a forwarder learns of a hand-over (it gave, took, or was told) outranks the map until the map moves on or
-the note is old. Of two notes the one with more moves of the session behind it is the later.
+What a forwarder learns of a hand-over (it gave, took, or was told) outranks the map
+until the map moves on or the note is old. Of two notes the one with more moves of the
+session behind it is the later.
 """
 
 from __future__ import annotations
@@ -10,7 +12,9 @@
 from dataclasses import dataclass, field
 
 MOST_HOPS = 1
-"""The owner by the map may have given it away: it says so by passing on once more than the first."""
+"""The owner by the map may have given it away: it says so by passing on once more than
+the first.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +31,9 @@
     notes: OrderedDict[str, Note] = field(default_factory=OrderedDict)
 
     def learn(self, key: str, owner: str, moves: int, until_us: int) -> bool:
-        """False where something later is known already. The note longest known makes room."""
+        """False where something later is known already. The note longest known makes
+        room.
+        """
         known = self.notes.get(key)
         if known is not None and known.moves > moves:
             return False
@@ -40,8 +46,10 @@
     def route(
         self, key: str, by_map: str | None, came: tuple[str, ...], now_us: int
     ) -> str | None:
-        """The forwarder to go on to (our own name: take it on here), or None: refuse it 503, with nothing
-        taken on. `came`: who passed it on until here, first first; nobody is asked twice."""
+        """The forwarder to go on to (our own name: take it on here), or None: refuse it
+        503, with nothing taken on. `came`: who passed it on until here, first first;
+        nobody is asked twice.
+        """
         note = self.notes.get(key)
         if note is not None and note.until_us <= now_us:
             del self.notes[key]
--- a/lemonshunt/session/words.py
+++ b/lemonshunt/session/words.py
@@ -1,7 +1,8 @@
 """What the two sides of a hand-over say to each other, and what each writes down first.
 
-All are msgspec structs that stand on the wire and on disk as arrays with a tag; bodies are raw bytes. Times
-in a frame are microseconds from the zero point the frame names, never another machine's clock.
+All are msgspec structs that stand on the wire and on disk as arrays with a tag; bodies
+are raw bytes. Times in a frame are microseconds from the zero point the frame names,
+never another machine's clock.
 """
 
 from __future__ import annotations
@@ -13,7 +14,8 @@
 from msgspec import Meta
 
 BODY = 65_536  # bytes of a message's body at most
-PART = 72_000  # bytes of one Copy frame's content at most: a whole body and all beside it fit
+# bytes of one Copy frame's content at most: a whole body and all beside it fit
+PART = 72_000
 ITEMS = 4_096  # messages or remembered ids in one frame at most
 PER_ITEM = 400  # what an item costs beside its body and names
 
@@ -23,11 +25,15 @@
 Body = Annotated[bytes, Meta(max_length=BODY)]
 Time = Annotated[int, Meta(gt=-(1 << 60), lt=1 << 60)]
 Life = tuple[Count, Count]
-"""A member's lease token, `(epoch, number)`; a later life of the same name is higher."""
+"""A member's lease token, `(epoch, number)`; a later life of the same name is
+higher.
+"""
 
 
 class Hand(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One hand-over's name. For one giver names only grow: its lease token, then a count within it."""
+    """One hand-over's name. For one giver names only grow: its lease token, then a
+    count within it.
+    """
 
     giver: Name
     epoch: Count
@@ -39,7 +45,9 @@
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """A message as it goes over. `ran_us` is when it first may have run, None where it cannot have."""
+    """A message as it goes over. `ran_us` is when it first may have run, None where it
+    cannot have.
+    """
 
     id: Name
     class_name: Text
@@ -59,14 +67,18 @@
 
 
 def leaving(item: Item, zero_us: int) -> Item:
-    """With its times counted from when the other side's stamp was heard (our clock, `zero_us`)."""
+    """With its times counted from when the other side's stamp was heard (our clock,
+    `zero_us`).
+    """
     ran = None if item.ran_us is None else item.ran_us - zero_us
     return msgspec.structs.replace(item, due_us=item.due_us - zero_us, ran_us=ran)
 
 
 def arriving(item: Item, stamp_us: int, drift: float) -> Item:
-    """With its times by our clock, in which `stamp_us` was given. The stamp was heard later than it was
-    given, so no time comes out later than it truly is; the drift of two clocks is taken off as well."""
+    """With its times by our clock, in which `stamp_us` was given. The stamp was heard
+    later than it was given, so no time comes out later than it truly is; the drift of
+    two clocks is taken off as well.
+    """
     ran = None if item.ran_us is None else our_time(item.ran_us, stamp_us, drift)
     return msgspec.structs.replace(
         item, due_us=our_time(item.due_us, stamp_us, drift), ran_us=ran
@@ -81,7 +93,9 @@
 
 
 def in_parts(items: Iterable[Item], memory: Iterable[str]) -> Iterator[Piece]:
-    """A session in pieces that each fit a frame, in order; one empty piece where there is nothing."""
+    """A session in pieces that each fit a frame, in order; one empty piece where there
+    is nothing.
+    """
     held: list[Item] = []
     ids: list[str] = []
     size, any_yet = 0, False
@@ -105,7 +119,9 @@
 
 
 class Offer(Frame, frozen=True, tag="offer"):
-    """May I hand you this session? `moves`: how often it was handed over, this time included."""
+    """May I hand you this session? `moves`: how often it was handed over, this time
+    included.
+    """
 
     key: Name
     site: Text
@@ -134,7 +150,9 @@
 
 
 class Copied(Frame, frozen=True, tag="copied"):
-    """The copy is on disk. Said again by a taker that does not know what holds: it asks."""
+    """The copy is on disk. Said again by a taker that does not know what holds: it
+    asks.
+    """
 
     life: Life
 
--- a/lemonshunt/shard/__main__.py
+++ b/lemonshunt/shard/__main__.py
@@ -1,4 +1,6 @@
-"""For staff: python -m lemonshunt.shard check|plan. The forms of all files are in docs/parts/shard.md."""
+"""For staff: python -m lemonshunt.shard check|plan. The forms of all files are in
+docs/parts/shard.md.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +26,9 @@
 
 
 def read(path: str) -> Any:
-    """The JSON value in a file; Unreadable, with the file's name, where there is none."""
+    """The JSON value in a file; Unreadable, with the file's name, where there is
+    none.
+    """
     try:
         return decode(Path(path).read_bytes())
     except Unreadable as error:
@@ -52,7 +56,9 @@
 
 
 def read_old(path: str) -> Old:
-    """What to compare with. Gaps and overlaps are let pass (a new map may be the mend), its form is not."""
+    """What to compare with. Gaps and overlaps are let pass (a new map may be the mend),
+    its form is not.
+    """
     faults, generation, alone = look(read_object(path))
     if bad := [f for f in faults if f.kind in ("malformed", "inverted")]:
         raise Unreadable(
@@ -63,7 +69,9 @@
 
 
 def read_figures(given: str) -> dict[str, float]:
-    """A JSON object of numbers, in a file or as it stands: weights by member, loads by range."""
+    """A JSON object of numbers, in a file or as it stands: weights by member, loads by
+    range.
+    """
     raw = (
         decode(given.encode()) if given.lstrip().startswith("{") else read_object(given)
     )
@@ -124,7 +132,9 @@
 
 
 def write(path: Path, text: str) -> None:
-    """Whole or not at all: what stood there stays until all of the new map is on disk."""
+    """Whole or not at all: what stood there stays until all of the new map is on
+    disk.
+    """
     beside = path.with_name(f".{path.name}.{os.getpid()}.new")
     try:
         with beside.open("w") as file:
@@ -161,7 +171,9 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Exit 0 where all is well, 1 with all faults of a map, one a line, 2 with one line on stderr."""
+    """Exit 0 where all is well, 1 with all faults of a map, one a line, 2 with one line
+    on stderr.
+    """
     ask = Parser(prog="python -m lemonshunt.shard", description=__doc__)
     subs = ask.add_subparsers(required=True, metavar="check|plan")
     sub = subs.add_parser("check", help="every key exactly once, no gaps")
@@ -214,7 +226,8 @@
         sys.stdout.writelines(f"{line}\n" for line in lines)
         sys.stdout.flush()
     except BrokenPipeError:
-        # Whoever read the lines has seen enough; the verdict stays. Python would complain at its own flush.
+        # Whoever read the lines has seen enough; the verdict stays. Python would
+        # complain at its own flush.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     return int(verdict)
 
--- a/lemonshunt/shard/auto.py
+++ b/lemonshunt/shard/auto.py
@@ -1,4 +1,6 @@
-"""When the holder of the lease `shard-planner` makes a new map by itself: members came or went for good."""
+"""When the holder of the lease `shard-planner` makes a new map by itself: members came
+or went for good.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +13,17 @@
     """All in microseconds."""
 
     gone_us: int = 2_000_000
-    """A member that left stays away so long before its keys are divided: nobody acts on them meanwhile."""
+    """A member that left stays away so long before its keys are divided: nobody acts on
+    them meanwhile.
+    """
     come_us: int = 10_000_000
-    """A member that joined stays so long before it is given keys: every move costs its keys a pause."""
+    """A member that joined stays so long before it is given keys: every move costs its
+    keys a pause.
+    """
     most_us: int = 320_000_000
-    """Both double, to this at most, each time the same member comes back before it is forgotten."""
+    """Both double, to this at most, each time the same member comes back before it is
+    forgotten.
+    """
     between_us: int = 30_000_000
     """From one plan to the next."""
     forget_us: int = 600_000_000
@@ -32,7 +40,9 @@
 
 @dataclass(slots=True)
 class AutoPlanner:
-    """Hysteresis by waiting: `saw` with every change of members, `wanted` whenever `next_us` has come."""
+    """Hysteresis by waiting: `saw` with every change of members, `wanted` whenever
+    `next_us` has come.
+    """
 
     pauses: Pauses = field(default_factory=Pauses)
     planned_us: int | None = None
@@ -64,9 +74,11 @@
     def wanted(
         self, owners: Mapping[str, float], now_us: int, leading: bool, held: bool
     ) -> dict[str, float] | None:
-        """Members and weights to plan for now; None: nothing to do yet. `owners`: those that the map in force
-        was planned for. `leading`: this process holds `shard-planner`. `held`: the guard against mass loss
-        holds everything fleet-wide as it is."""
+        """Members and weights to plan for now; None: nothing to do yet. `owners`: those
+        that the map in force was planned for. `leading`: this process holds
+        `shard-planner`. `held`: the guard against mass loss holds everything fleet-wide
+        as it is.
+        """
         due = self._due(owners)
         if (
             not leading
@@ -76,7 +88,8 @@
             or min(due.values()) > now_us
         ):
             return None
-        # Only what has stayed long enough changes; the rest stays as planned and has its turn later.
+        # Only what has stayed long enough changes; the rest stays as planned and has
+        # its turn later.
         target = dict(owners)
         for name, due_us in due.items():
             if due_us > now_us:
--- a/lemonshunt/shard/check.py
+++ b/lemonshunt/shard/check.py
@@ -1,9 +1,11 @@
-"""The check of a map: every key exactly once, no gaps. One function for the tool, for what the service is
-asked to write, and for each forwarder before it adopts a map, whoever sent it.
-
-All faults are told, in this order: `malformed` (the map, then its entries by index), `inverted` and
-`unknown-owner` by index, `gap` and `overlap` in order of their keys, `stale-generation`, `moves-too-much`.
-A malformed or an inverted entry covers no key: gaps and overlaps are those of the sound entries.
+"""The check of a map: every key exactly once, no gaps. One function for the tool, for
+what the service is asked to write, and for each forwarder before it adopts a map,
+whoever sent it.
+
+All faults are told, in this order: `malformed` (the map, then its entries by index),
+`inverted` and `unknown-owner` by index, `gap` and `overlap` in order of their keys,
+`stale-generation`, `moves-too-much`. A malformed or an inverted entry covers no key:
+gaps and overlaps are those of the sound entries.
 """
 
 from __future__ import annotations
@@ -35,15 +37,18 @@
     "moves-too-much",
 )
 MOST_MOVED = Fraction(1, 2)
-NAMED = 1_000_000  # entries named in all overlaps of one check; past that each names the first few
+# entries named in all overlaps of one check; past that each names the first few
+NAMED = 1_000_000
 FEW = 16
 FIELDS = ("from", "to", "owner")
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault. `first` and `last` are the keys it is about, None where it is about none; `entries` are
-    indexes in the file; `more` counts those left out (only past a million in one check)."""
+    """One fault. `first` and `last` are the keys it is about, None where it is about
+    none; `entries` are indexes in the file; `more` counts those left out (only past a
+    million in one check).
+    """
 
     kind: str
     text: str
@@ -73,11 +78,14 @@
     most_moved: Fraction | None = MOST_MOVED,
     bits: int = BITS,
 ) -> list[Fault]:
-    """All faults of the map that `raw`, a decoded JSON value, holds; none: it may come into force.
-
-    `members`: who may own a range. `against`: the map in force; the new one's generation is above its, and at
-    most `most_moved` of the key space changes its owner (None: any part), where a member that is not among
-    `members` any more does not count as an owner."""
+    """All faults of the map that `raw`, a decoded JSON value, holds; none: it may come
+    into force.
+
+    `members`: who may own a range. `against`: the map in force; the new one's
+    generation is above its, and at most `most_moved` of the key space changes its owner
+    (None: any part), where a member that is not among `members` any more does not count
+    as an owner.
+    """
     return look(raw, members, _old(against), most_moved, bits)[0]
 
 
@@ -102,7 +110,9 @@
     most_moved: Fraction | None,
     bits: int,
 ) -> tuple[ShardMap | None, list[Fault]]:
-    """The map to put in force and its faults. Neither where it is the very one in force."""
+    """The map to put in force and its faults. Neither where it is the very one in
+    force.
+    """
     old = _old(against)
     faults, generation, alone = look(raw, members, old, most_moved, bits)
     if (
@@ -119,8 +129,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Old:
-    """What a new map is held against. A file's own gaps and overlaps are not the new map's fault: keys that
-    it gave to none or several have not changed their owner."""
+    """What a new map is held against. A file's own gaps and overlaps are not the new
+    map's fault: keys that it gave to none or several have not changed their owner.
+    """
 
     generation: int
     alone: list[Alone]
@@ -144,7 +155,9 @@
     most_moved: Fraction | None = MOST_MOVED,
     bits: int = BITS,
 ) -> tuple[list[Fault], int, list[Alone]]:
-    """The faults, the generation (-1 where it has none), and what exactly one entry covers, in order."""
+    """The faults, the generation (-1 where it has none), and what exactly one entry
+    covers, in order.
+    """
     if not isinstance(raw, dict):
         return [Fault("malformed", f"map: {_quoted(raw)} is no JSON object")], -1, []
     shapes, bad, inverted, strangers = list(_shape(raw)), [], [], []
@@ -199,7 +212,8 @@
     return faults, generation, alone
 
 
-# -- the form ------------------------------------------------------------------------------------
+# -- the form
+# ------------------------------------------------------------------------------------
 
 
 def _is_generation(value: Any) -> bool:
@@ -240,7 +254,9 @@
 
 
 def _entry(raw: Any, bits: int) -> tuple[int, int, str] | str:
-    """A sound entry's ends and owner, or all that is wrong with its form in one line."""
+    """A sound entry's ends and owner, or all that is wrong with its form in one
+    line.
+    """
     if type(raw) is dict and len(raw) == 3:
         first, last, owner = (
             key_from(raw.get("from"), bits),
@@ -276,7 +292,8 @@
     return f"entry ({' '.join(ends)}): " + "; ".join(wrong)
 
 
-# -- the keys ------------------------------------------------------------------------------------
+# -- the keys
+# ------------------------------------------------------------------------------------
 
 
 def _cover(
@@ -337,7 +354,8 @@
     )
 
 
-# -- against the map before ------------------------------------------------------------------------
+# -- against the map before
+# ------------------------------------------------------------------------
 
 
 def _against(generation: int, alone: list[Alone], old: Old) -> Iterator[Fault]:
@@ -364,7 +382,9 @@
 def changes(
     alone: list[Alone], old: list[Alone]
 ) -> Iterator[tuple[int, int, str, int]]:
-    """Stretches whose owner changes: first, last, the old owner, the new entry's index."""
+    """Stretches whose owner changes: first, last, the old owner, the new entry's
+    index.
+    """
     n = 0
     for first, last, owner, index in alone:
         while n < len(old) and old[n][1] < first:
--- a/lemonshunt/shard/cover.py
+++ b/lemonshunt/shard/cover.py
@@ -1,4 +1,6 @@
-"""Which entries cover which keys: one pass over the sorted entries, the core of the check."""
+"""Which entries cover which keys: one pass over the sorted entries, the core of the
+check.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +14,14 @@
 def cover(
     entries: Sequence[Entry], top: int
 ) -> Iterator[tuple[int, int, Sequence[int]]]:
-    """The whole space from 0 to `top`, in order, cut wherever the set of entries that cover a key changes:
-    (first, last, their indexes in order). No index: a gap. More than one: an overlap, named once.
-
-    The indexes of an overlap are read before the next step: it is one list, changed in place, since copies
-    of it would make a file of nested entries cost the square of its length."""
+    """The whole space from 0 to `top`, in order, cut wherever the set of entries that
+    cover a key changes: (first, last, their indexes in order). No index: a gap. More
+    than one: an overlap, named once.
+
+    The indexes of an overlap are read before the next step: it is one list, changed in
+    place, since copies of it would make a file of nested entries cost the square of its
+    length.
+    """
     entries = sorted(entries)
     at = 0  # every key below it has been told
     n = 0
--- a/lemonshunt/shard/maps.py
+++ b/lemonshunt/shard/maps.py
@@ -1,9 +1,11 @@
 """The map's form: ranges of the key space, inclusive at both ends, each with one owner.
 
-    {"generation": 7, "ranges": [{"from": "0000000000000000", "to": "ffffffffffffffff", "owner": "n1"}]}
+    {"generation": 7, "ranges": [{"from": "0000000000000000", "to": "ffffffffffffffff",
+    "owner": "n1"}]}
 
-The key space is 64 bits wide in every process. The cores take its width as `bits` (a multiple of 4), so
-that tests and models can hold a whole space of 4 or 8 bits in their hands.
+The key space is 64 bits wide in every process. The cores take its width as `bits` (a
+multiple of 4), so that tests and models can hold a whole space of 4 or 8 bits in their
+hands.
 """
 
 from __future__ import annotations
@@ -37,13 +39,18 @@
 
 
 def span_text(first: int, last: int, bits: int = BITS) -> str:
-    """`FROM-TO`, as a range stands in faults, in a beat's `gave` and in a file of loads."""
+    """`FROM-TO`, as a range stands in faults, in a beat's `gave` and in a file of
+    loads.
+    """
     return f"{hexed(first, bits)}-{hexed(last, bits)}"
 
 
 def key_from(text: Any, bits: int = BITS) -> int | None:
-    """The key that exactly `bits / 4` lower-case hexadecimal digits name; None for anything else."""
-    # int() alone would also take 0x, signs, spaces and underscores; strip finds any other character.
+    """The key that exactly `bits / 4` lower-case hexadecimal digits name; None for
+    anything else.
+    """
+    # int() alone would also take 0x, signs, spaces and underscores; strip finds any
+    # other character.
     if (
         type(text) is str
         and len(text) == bits // 4
@@ -79,8 +86,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardMap:
-    """A map without faults: `ranges` in order of their keys, every key in exactly one. Only `check.checked`
-    and `plan.plan` make one of what came from elsewhere."""
+    """A map without faults: `ranges` in order of their keys, every key in exactly one.
+    Only `check.checked` and `plan.plan` make one of what came from elsewhere.
+    """
 
     generation: int
     ranges: tuple[Range, ...]
@@ -124,12 +132,16 @@
         }
 
     def text(self) -> str:
-        """The file: one range a line, so that two maps can be compared by eye and by diff."""
+        """The file: one range a line, so that two maps can be compared by eye and by
+        diff.
+        """
         rows = ",\n".join(json.dumps(entry) for entry in self.told()["ranges"])
         return f'{{"generation": {self.generation}, "ranges": [\n{rows}\n]}}\n'
 
     def digest(self) -> int:
-        """Tells two maps of one generation apart: xxh3 of who owns what, however it is written."""
+        """Tells two maps of one generation apart: xxh3 of who owns what, however it is
+        written.
+        """
         if not self._digest:
             rows: list[Any] = []
             for r in self.ranges:
@@ -142,7 +154,9 @@
 
 
 class Doubled(dict[str, Any]):
-    """A JSON object that named a field twice: which of the two is meant cannot be known."""
+    """A JSON object that named a field twice: which of the two is meant cannot be
+    known.
+    """
 
     def __init__(self, pairs: Iterable[tuple[str, Any]], twice: list[str]) -> None:
         super().__init__(pairs)
@@ -166,7 +180,9 @@
 
 
 def decode(data: bytes) -> Any:
-    """JSON, strictly, with doubled fields kept as `Doubled`. Unreadable where it is not JSON."""
+    """JSON, strictly, with doubled fields kept as `Doubled`. Unreadable where it is not
+    JSON.
+    """
     try:
         return json.loads(
             data.decode(),
--- a/lemonshunt/shard/model.py
+++ b/lemonshunt/shard/model.py
@@ -1,8 +1,10 @@
-"""A model of moves for `lemonshunt.explore`: the service's `Moves` and the members' `Owned`, with beats and
-answers lost, doubled, late and out of order, maps that change in the middle, leases that run out on clocks
-that run apart, members that crash and come back, a service that restarts from its disk.
+"""A model of moves for `lemonshunt.explore`: the service's `Moves` and the members'
+`Owned`, with beats and answers lost, doubled, late and out of order, maps that change
+in the middle, leases that run out on clocks that run apart, members that crash and come
+back, a service that restarts from its disk.
 
-A stopped member needs no step of its own: it is one that takes no step while the clocks go on.
+A stopped member needs no step of its own: it is one that takes no step while the clocks
+go on.
 """
 
 from __future__ import annotations
@@ -23,7 +25,8 @@
 MOVE_THERE_AND_BACK = ("ab", "bb", "ab", "bb")
 """The owners of the two halves of the space in one map after another."""
 TTL = 3  # ticks
-MARGIN = 1  # of drift, to either side: the holder counts TTL - MARGIN, the service TTL + MARGIN
+# of drift, to either side: the holder counts TTL - MARGIN, the service TTL + MARGIN
+MARGIN = 1
 BUGS = ("early", "unfrozen", "no margin", "stale", "unsaid")
 
 
@@ -52,7 +55,9 @@
 
 
 class Unfrozen(Owned):
-    """Planted: keys that a new map takes away are given up while messages of theirs are still out."""
+    """Planted: keys that a new map takes away are given up while messages of theirs are
+    still out.
+    """
 
     def word(self) -> Any:
         had = self.owns
@@ -71,7 +76,9 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """One state. Clocks only matter against each other and against what was said in them."""
+    """One state. Clocks only matter against each other and against what was said in
+    them.
+    """
 
     moves: Moves
     members: dict[str, Owned]
@@ -81,10 +88,14 @@
     maps: int = 1
     incarnations: int = 0
     left: dict[str, int] = field(default_factory=dict)
-    """What may still happen, by its name: ticks, slow ticks, crashes, joins, restarts."""
+    """What may still happen, by its name: ticks, slow ticks, crashes, joins,
+    restarts.
+    """
 
     def fork(self) -> Fleet:
-        """Shares the cores with this state: whoever changes one takes its own from `service` or `member`."""
+        """Shares the cores with this state: whoever changes one takes its own from
+        `service` or `member`.
+        """
         return Fleet(
             self.moves,
             dict(self.members),
@@ -129,8 +140,10 @@
 
 
 class Shards:
-    """`maps`: the maps that come, one after another. `asked`: beats that each member may send. `past`: steps
-    taken from the start before the search begins, to search deeper around them."""
+    """`maps`: the maps that come, one after another. `asked`: beats that each member
+    may send. `past`: steps taken from the start before the search begins, to search
+    deeper around them.
+    """
 
     def __init__(
         self,
@@ -176,7 +189,9 @@
         ]
 
     def start(self) -> Fleet:
-        """The first map is in force and all begun, and all leases were asked for and answered just now."""
+        """The first map is in force and all begun, and all leases were asked for and
+        answered just now.
+        """
         moves = {"early": Early, "stale": Stale}.get(self.bug, Moves)(
             self.maps[0], 1, bits=BITS
         )
@@ -207,7 +222,8 @@
     def _margin(self) -> int:
         return TTL - MARGIN if self.bug == "no margin" else TTL + MARGIN
 
-    # -- steps -----------------------------------------------------------------------------------
+    # -- steps
+    # -----------------------------------------------------------------------------------
 
     def steps(self, state: Fleet) -> Iterator[tuple[str, Fleet]]:
         for name, act in self._acts(state):
@@ -329,7 +345,8 @@
             (name, number, sent, asked, "is told", answer.generation, told)
         )
 
-    # -- what has to hold --------------------------------------------------------------------------
+    # -- what has to hold
+    # --------------------------------------------------------------------------
 
     def broken(self, state: Fleet) -> str:
         spans: list[tuple[Span, str]] = []
@@ -380,7 +397,9 @@
         )
 
     def _message(self, state: Fleet, message: Any) -> Hashable:
-        """As it counts from here on: when it was asked by what the lease it brings has left."""
+        """As it counts from here on: when it was asked by what the lease it brings has
+        left.
+        """
         name, _, _, asked, *_ = message
         return (
             *message[:3],
--- a/lemonshunt/shard/moves.py
+++ b/lemonshunt/shard/moves.py
@@ -1,9 +1,10 @@
 """The service's side of a move: who holds which keys, and when the next one may begin.
 
-A key is either held by one incarnation of one member, or free. Only two things free it: its holder's word
-that it has stopped (a give-up, said under a map newer than the one the hold began under), or that the
-holder's lease is surely out. Only a free key is given to its owner in the map in force, under a new token,
-and only in the answer to a beat that says the owner has that very map. A new map changes no hold.
+A key is either held by one incarnation of one member, or free. Only two things free it:
+its holder's word that it has stopped (a give-up, said under a map newer than the one
+the hold began under), or that the holder's lease is surely out. Only a free key is
+given to its owner in the map in force, under a new token, and only in the answer to a
+beat that says the owner has that very map. A new map changes no hold.
 """
 
 from __future__ import annotations
@@ -24,7 +25,9 @@
 
 
 class Fenced(Exception):
-    """The incarnation is not (any more) one that may hold anything: 409, it stops and joins anew."""
+    """The incarnation is not (any more) one that may hold anything: 409, it stops and
+    joins anew.
+    """
 
 
 class Late(Exception):
@@ -33,7 +36,9 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Hold:
-    """Keys that one incarnation may act on under `token`, given while generation `begun` was in force."""
+    """Keys that one incarnation may act on under `token`, given while generation
+    `begun` was in force.
+    """
 
     first: int
     last: int
@@ -51,13 +56,17 @@
     """From here on its lease is surely out, by the service's clock."""
     holds: list[Hold] = field(default_factory=list)
     sent: int = -1
-    """The last beat answered. Not on disk: beats under way die with the connections of a restart."""
+    """The last beat answered. Not on disk: beats under way die with the connections of
+    a restart.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What now holds for one member: everything it may act on, so that what is missing here is not its own.
-    `dirty`: holds were given or ended, or the map lifted: that has to be on disk before this is told."""
+    """What now holds for one member: everything it may act on, so that what is missing
+    here is not its own. `dirty`: holds were given or ended, or the map lifted: that has
+    to be on disk before this is told.
+    """
 
     generation: int
     holds: tuple[Hold, ...]
@@ -66,24 +75,31 @@
 
 @dataclass(slots=True)
 class Moves:
-    """Built by `Moves(map, epoch, quiet_until_us)` or, after a restart, by `Moves.of`."""
+    """Built by `Moves(map, epoch, quiet_until_us)` or, after a restart, by
+    `Moves.of`.
+    """
 
     map: ShardMap | None
     epoch: int
     quiet_until_us: int = 0
-    """Nothing is given before. Where holds may be forgotten: one longest lease (and drift) from now."""
+    """Nothing is given before. Where holds may be forgotten: one longest lease (and
+    drift) from now.
+    """
     number: int = 0
     """Of the last token given."""
     holders: dict[Token, Holder] = field(default_factory=dict)
     free: dict[str, list[Span]] = field(default_factory=dict)
-    """Keys that nobody holds, by their owner in the map in force ("" where there is no map)."""
+    """Keys that nobody holds, by their owner in the map in force ("" where there is no
+    map).
+    """
     bits: int = BITS
 
     def __post_init__(self) -> None:
         if not self.free and not self.holders:
             self._release([(0, (1 << self.bits) - 1)])
 
-    # -- maps ------------------------------------------------------------------------------------
+    # -- maps
+    # ------------------------------------------------------------------------------------
 
     def write(
         self,
@@ -91,8 +107,10 @@
         members: Collection[str] | None = None,
         most_moved: Fraction | None = MOST_MOVED,
     ) -> list[Fault]:
-        """Put a map in force, as decoded from JSON. With any fault (422) the old one stays whole. The map in
-        force, written again, is no fault and changes nothing. Has to be on disk before it is answered."""
+        """Put a map in force, as decoded from JSON. With any fault (422) the old one
+        stays whole. The map in force, written again, is no fault and changes nothing.
+        Has to be on disk before it is answered.
+        """
         new, faults = judged(raw, members, self.map, most_moved, self.bits)
         if new is not None and not faults:
             self.put(new)
@@ -105,8 +123,10 @@
         self._release(free)
 
     def _lift(self, generation: int) -> None:
-        """A member has a map of a generation that this service never gave out (its folder was lost or is a
-        copy): what is in force here goes on, above whatever was seen."""
+        """A member has a map of a generation that this service never gave out (its
+        folder was lost or is a copy): what is in force here goes on, above whatever was
+        seen.
+        """
         if self.map is not None and generation < MOST_GENERATION:
             self.put(ShardMap(generation + 1, self.map.ranges, self.bits))
 
@@ -123,10 +143,13 @@
         for owner, more in owned.items():
             self.free[owner] = union([*self.free.get(owner, ()), *more])
 
-    # -- members ---------------------------------------------------------------------------------
+    # -- members
+    # ---------------------------------------------------------------------------------
 
     def alive(self, token: Token, name: str, out_us: int) -> None:
-        """The member joined or renewed: it acts until its lease is out, at `out_us` at the latest."""
+        """The member joined or renewed: it acts until its lease is out, at `out_us` at
+        the latest.
+        """
         holder = self.holders.setdefault(token, Holder(name, out_us))
         holder.out_us = max(holder.out_us, out_us)
 
@@ -138,7 +161,9 @@
         return out
 
     def left(self, token: Token) -> None:
-        """The incarnation said itself that it has stopped acting on everything, for good."""
+        """The incarnation said itself that it has stopped acting on everything, for
+        good.
+        """
         if holder := self.holders.pop(token, None):
             self._release([(h.first, h.last) for h in holder.holds])
 
@@ -155,8 +180,10 @@
         gave: Iterable[Span],
         now_us: int,
     ) -> Answer:
-        """A member's word: the map it has (generation 0 where none) and its digest, and the keys that it does
-        not act on, though it was told they are its own. Fenced, Late; ValueError where it cannot be."""
+        """A member's word: the map it has (generation 0 where none) and its digest, and
+        the keys that it does not act on, though it was told they are its own. Fenced,
+        Late; ValueError where it cannot be.
+        """
         current = self.map
         if generation > (current.generation if current else 0) + MOST_AHEAD:
             raise ValueError("map: a generation far above any that there was")
@@ -180,8 +207,10 @@
         )
 
     def _take_back(self, holder: Holder, generation: int, gave: Sequence[Span]) -> None:
-        """A give-up said under `generation` ends the holds that began before it, and none that began with it
-        or later: then it was said of an earlier hold, and is only late."""
+        """A give-up said under `generation` ends the holds that began before it, and
+        none that began with it or later: then it was said of an earlier hold, and is
+        only late.
+        """
         if not gave:
             return
         freed: list[Span] = []
@@ -201,8 +230,9 @@
     def _begin(
         self, token: Token, holder: Holder, generation: int, now_us: int
     ) -> None:
-        """What is free and this member's by the map is now held by it, if it has the map. Of two
-        incarnations of one name only the newest is given anything."""
+        """What is free and this member's by the map is now held by it, if it has the
+        map. Of two incarnations of one name only the newest is given anything.
+        """
         if (
             self.map is None
             or generation != self.map.generation
@@ -221,8 +251,9 @@
         )
 
     def moving(self) -> list[tuple[int, int, str, str]]:
-        """For staff: keys that their owner in the map does not hold: first, last, who holds them ("" nobody),
-        whose they are to be."""
+        """For staff: keys that their owner in the map does not hold: first, last, who
+        holds them ("" nobody), whose they are to be.
+        """
         out = [
             (first, last, "", owner)
             for owner, spans in self.free.items()
@@ -244,7 +275,8 @@
                         )
         return sorted(out)
 
-    # -- on disk ---------------------------------------------------------------------------------
+    # -- on disk
+    # ---------------------------------------------------------------------------------
 
     def told(self) -> dict[str, Any]:
         """All that a restart needs, as JSON. What is free follows from it."""
@@ -273,8 +305,10 @@
     def of(
         raw: Any, epoch: int, out_us: int, quiet_until_us: int = 0, bits: int = BITS
     ) -> Moves:
-        """After a restart: each lease known counts as renewed just now, so it is out at `out_us` at the
-        earliest. ValueError (Faulty among the causes) where `raw` is not what `told` gave."""
+        """After a restart: each lease known counts as renewed just now, so it is out at
+        `out_us` at the earliest. ValueError (Faulty among the causes) where `raw` is
+        not what `told` gave.
+        """
         try:
             made = Moves(
                 checked(raw["map"], bits=bits) if raw["map"] is not None else None,
--- a/lemonshunt/shard/owned.py
+++ b/lemonshunt/shard/owned.py
@@ -1,12 +1,15 @@
-"""A member's side of a move: which keys it may act on right now, and what it says of those it may not.
-
-    acting -> frozen: a new map gives the keys to another; nothing new is taken, what is out comes to its end
-    frozen -> acting: a newer map gives them back before anything was said
-    frozen -> gave:   all is ended; from the next beat on the service is told, and this hold never acts again
+"""A member's side of a move: which keys it may act on right now, and what it says of
+those it may not.
+
+    acting -> frozen: a new map gives the keys to another; nothing new is taken, what is
+    out comes to its end frozen -> acting: a newer map gives them back before anything
+    was said
+    frozen -> gave:   all is ended; from the next beat on the service is told, and this
+      hold never acts again
     any    -> gone:   the service no longer lists them, or the lease is out
 
-Keys begin to be acted on only where the service's answer lists them, under a token, and this member's own
-map, of the answer's generation, says that they are its own.
+Keys begin to be acted on only where the service's answer lists them, under a token, and
+this member's own map, of the answer's generation, says that they are its own.
 """
 
 from __future__ import annotations
@@ -45,7 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """What a beat says of the map: its generation (0: none), its digest, and the keys not acted on."""
+    """What a beat says of the map: its generation (0: none), its digest, and the keys
+    not acted on.
+    """
 
     sent: int
     generation: int
@@ -55,8 +60,10 @@
 
 @dataclass(slots=True)
 class Owned:
-    """The shell hands in every answer, and the lease's end by its own clock; it acts only on what `may_act`
-    gives a token for, and ends what is out once the lease is (`holding` is empty from then on)."""
+    """The shell hands in every answer, and the lease's end by its own clock; it acts
+    only on what `may_act` gives a token for, and ends what is out once the lease is
+    (`holding` is empty from then on).
+    """
 
     name: str
     map: ShardMap | None = None
@@ -72,10 +79,13 @@
     bits: int = BITS
     _firsts: list[int] = field(default_factory=list)
 
-    # -- what the shell asks ---------------------------------------------------------------------
+    # -- what the shell asks
+    # ---------------------------------------------------------------------
 
     def may_act(self, key: int, now_us: int) -> Token | None:
-        """The token to take on a new message of `key` under; None: it is not this member's now."""
+        """The token to take on a new message of `key` under; None: it is not this
+        member's now.
+        """
         own = self._at(key)
         return (
             own.hold.token
@@ -84,7 +94,9 @@
         )
 
     def may_end(self, key: int, now_us: int) -> Token | None:
-        """The token under which a message already taken on may be carried to its end; None: stop at once."""
+        """The token under which a message already taken on may be carried to its end;
+        None: stop at once.
+        """
         own = self._at(key)
         return (
             own.hold.token
@@ -104,12 +116,15 @@
         """What has to come to its end: `drained` is owed for it."""
         return [own.span for own in self.owns if own.state == "frozen"]
 
-    # -- maps ------------------------------------------------------------------------------------
+    # -- maps
+    # ------------------------------------------------------------------------------------
 
     def adopt(self, raw: Any) -> list[Fault]:
-        """Take a map, whoever sent it. With any fault it is refused, all faults are told and the old one
-        stays; the very map in force is no fault. How much it moves is the service's affair: a member that was
-        away may have missed any number of maps."""
+        """Take a map, whoever sent it. With any fault it is refused, all faults are
+        told and the old one stays; the very map in force is no fault. How much it moves
+        is the service's affair: a member that was away may have missed any number of
+        maps.
+        """
         new, faults = judged(raw, None, self.map, None, self.bits)
         if new is not None and not faults:
             self.turn(new)
@@ -120,7 +135,9 @@
         return [(r.first, r.last) for r in ranges if r.owner == self.name]
 
     def turn(self, new: ShardMap) -> None:
-        """By a checked map: freeze what is another's now, thaw what is given back before it was given up."""
+        """By a checked map: freeze what is another's now, thaw what is given back
+        before it was given up.
+        """
         self.map = new
         mine = self._mine()
         turned: list[Own] = []
@@ -133,7 +150,9 @@
         self._set(turned)
 
     def drained(self, spans: Sequence[Span]) -> None:
-        """Of these frozen keys nothing is out and nothing is held any more: they can be given up."""
+        """Of these frozen keys nothing is out and nothing is held any more: they can be
+        given up.
+        """
         done = union(spans)
         after: list[Own] = []
         for own in self.owns:
@@ -144,7 +163,8 @@
                 after.append(own)
         self._set(after)
 
-    # -- beats -----------------------------------------------------------------------------------
+    # -- beats
+    # -----------------------------------------------------------------------------------
 
     def joined(self, token: Token, until_us: int) -> None:
         """A new incarnation holds nothing."""
@@ -179,12 +199,15 @@
         holds: Sequence[Hold],
         until_us: int,
     ) -> bool:
-        """The answer to beat `sent`, with the lease's end counted from when that beat was asked. False where
-        it is late or another incarnation's: nothing is done on it."""
+        """The answer to beat `sent`, with the lease's end counted from when that beat
+        was asked. False where it is late or another incarnation's: nothing is done on
+        it.
+        """
         if token != self.incarnation or sent <= self.heard:
             return False
         self.heard = sent
-        self.until_us = until_us  # asked later than what it replaces; where it is shorter, the lease is
+        # asked later than what it replaces; where it is shorter, the lease is
+        self.until_us = until_us
         self.wanted = generation
         had: dict[Token, list[Own]] = {}
         for own in self.owns:
@@ -205,9 +228,11 @@
         return True
 
     def _begin(self, hold: Hold, spans: Sequence[Span]) -> list[Own]:
-        """Keys newly listed under one token. What is another's by the map was given before a newer map and
-        never acted on: it is given up. So is what a beat still under way may give up in this hold's stead,
-        since it was said of the one before, under a map newer than this hold."""
+        """Keys newly listed under one token. What is another's by the map was given
+        before a newer map and never acted on: it is given up. So is what a beat still
+        under way may give up in this hold's stead, since it was said of the one before,
+        under a map newer than this hold.
+        """
         doubtful = self.said(hold.begun)
         begun = minus(both(spans, self._mine()), doubtful)
         return [Own(h, "acting") for h in hold.cut(begun)] + [
--- a/lemonshunt/shard/plan.py
+++ b/lemonshunt/shard/plan.py
@@ -1,8 +1,9 @@
 """A new map for given members and weights that moves the fewest keys.
 
-Each member's target is its weight's part of the space in whole keys. Whoever has more gives only what is
-over, and keys without an owner go only to who has less: no map with these targets moves fewer. With loads
-the target is a part of the load instead, and who has too much gives its densest ranges first.
+Each member's target is its weight's part of the space in whole keys. Whoever has more
+gives only what is over, and keys without an owner go only to who has less: no map with
+these targets moves fewer. With loads the target is a part of the load instead, and who
+has too much gives its densest ranges first.
 """
 
 from __future__ import annotations
@@ -32,8 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Planned:
-    """`moved`: keys whose owner changes. `least`: the fewest that any map with these `targets` (keys of each
-    member) moves; more are moved only to stay within the bound on ranges, or where loads were given."""
+    """`moved`: keys whose owner changes. `least`: the fewest that any map with these
+    `targets` (keys of each member) moves; more are moved only to stay within the bound
+    on ranges, or where loads were given.
+    """
 
     map: ShardMap
     moved: int
@@ -48,8 +51,10 @@
     most_ranges: int = MOST_RANGES,
     bits: int = BITS,
 ) -> Planned:
-    """A map one generation above `old` for `members`, name to weight (0: owns nothing, gives all away).
-    `loads`: by range of `old`, in any one unit. BadPlan where there is none."""
+    """A map one generation above `old` for `members`, name to weight (0: owns nothing,
+    gives all away). `loads`: by range of `old`, in any one unit. BadPlan where there is
+    none.
+    """
     names = sorted(name for name, weight in members.items() if weight > 0)
     if any(not math.isfinite(weight) or weight < 0 for weight in members.values()):
         raise BadPlan("a weight is a finite number from 0")
@@ -95,8 +100,10 @@
 def shares(
     total: int, weights: Mapping[str, Fraction], have: Mapping[str, int]
 ) -> dict[str, int]:
-    """`total` divided by weight into whole parts that add up: the largest rests are rounded up, among equal
-    ones of whoever has more already (so that an even map stays as it is), then by name."""
+    """`total` divided by weight into whole parts that add up: the largest rests are
+    rounded up, among equal ones of whoever has more already (so that an even map stays
+    as it is), then by name.
+    """
     whole = sum(weights.values())
     exact = {name: total * weight / whole for name, weight in weights.items()}
     parts = {name: int(e) for name, e in exact.items()}
@@ -128,7 +135,9 @@
 def _weigh(
     cells: list[Cell], old: ShardMap | None, loads: Mapping[tuple[int, int], float]
 ) -> int:
-    """Cells weighed by their loads instead of their keys; the whole, 0 where there is no load at all."""
+    """Cells weighed by their loads instead of their keys; the whole, 0 where there is
+    no load at all.
+    """
     known = {(r.first, r.last) for r in old.ranges} if old is not None else set()
     if strange := sorted(set(loads) - known):
         raise BadPlan(
@@ -148,13 +157,16 @@
     return sum(cell.units for cell in cells)
 
 
-# -- giving and taking ---------------------------------------------------------------------------
+# -- giving and taking
+# ---------------------------------------------------------------------------
 
 
 def _level(
     cells: list[Cell], have: dict[str, int], goals: Mapping[str, int], slack: Fraction
 ) -> list[Cell]:
-    """The cells with owners for all: what is over a goal is given up, then handed to who is below."""
+    """The cells with owners for all: what is over a goal is given up, then handed to
+    who is below.
+    """
     short = {name: goals[name] - n for name, n in have.items() if n < goals[name]}
     over = {
         name: n - goals[name]
@@ -171,8 +183,10 @@
 def _given_up(
     cells: list[Cell], over: dict[str, int], short: Mapping[str, int]
 ) -> list[Cell]:
-    """Each member with too much gives whole cells, the densest first and the small before the large, and the
-    rest from one end of one cell. (Comparing cross-wise keeps densities exact.)"""
+    """Each member with too much gives whole cells, the densest first and the small
+    before the large, and the rest from one end of one cell. (Comparing cross-wise keeps
+    densities exact.)
+    """
     theirs: dict[str, list[int]] = {}
     for n, cell in enumerate(cells):
         if cell.owner in over and cell.units:
@@ -200,7 +214,9 @@
 def _to_neighbours(
     cells: list[Cell], short: dict[str, int], from_end: bool = False
 ) -> list[Cell]:
-    """Cells without an owner to the owner just before them (in the order given), as far as it is short."""
+    """Cells without an owner to the owner just before them (in the order given), as far
+    as it is short.
+    """
     out: list[Cell] = []
     for cell in cells:
         beside = out[-1].owner if out else None
@@ -221,7 +237,9 @@
 def _to_the_rest(
     cells: list[Cell], short: dict[str, int], above: Mapping[str, int]
 ) -> list[Cell]:
-    """What no neighbour took: the largest cell to who is shortest, cut where it is more than is short."""
+    """What no neighbour took: the largest cell to who is shortest, cut where it is more
+    than is short.
+    """
     out = [c for c in cells if c.owner is not None]
     homeless = sorted(
         (c for c in cells if c.owner is None), key=lambda c: (c.units, -c.first)
@@ -231,7 +249,8 @@
         cell = homeless.pop()
         while len(waiting) > 1 and short[waiting[0]] <= 0:
             waiting.pop(0)
-        # Nobody is short at all only where loads were rounded: then to who has least above its goal.
+        # Nobody is short at all only where loads were rounded: then to who has least
+        # above its goal.
         name = (
             waiting[0] if waiting else min(above, key=lambda name: (above[name], name))
         )
--- a/lemonshunt/shard/ranges.py
+++ b/lemonshunt/shard/ranges.py
@@ -1,4 +1,6 @@
-"""Ranges while a map is planned: cut, joined, split where they are hot, merged where there are too many."""
+"""Ranges while a map is planned: cut, joined, split where they are hot, merged where
+there are too many.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,9 @@
 
 @dataclass(slots=True)
 class Cell:
-    """Keys `first` to `last`; `owner` None while they have none; `units` weigh them (keys, or load)."""
+    """Keys `first` to `last`; `owner` None while they have none; `units` weigh them
+    (keys, or load).
+    """
 
     first: int
     last: int
@@ -23,7 +27,9 @@
         return self.last - self.first + 1
 
     def keys_for(self, units: int) -> int:
-        """Keys that carry `units` of this cell's, to the nearest, its load taken as even. Exact for keys."""
+        """Keys that carry `units` of this cell's, to the nearest, its load taken as
+        even. Exact for keys.
+        """
         return (
             self.size
             if units >= self.units
@@ -53,8 +59,10 @@
 
 
 def split_hot(cells: list[Cell], hot: int, most: int) -> list[Cell]:
-    """Cells of more than `hot` units halved, hottest first, while there are fewer than `most`: the parts stay
-    with their owner, so nothing moves, but the next figures tell them apart."""
+    """Cells of more than `hot` units halved, hottest first, while there are fewer than
+    `most`: the parts stay with their owner, so nothing moves, but the next figures tell
+    them apart.
+    """
     left = most - len(cells)
     out: list[Cell] = []
     for cell in sorted(cells, key=lambda c: (-c.units, c.first)):
@@ -69,8 +77,10 @@
 
 
 def fewer(cells: list[Cell], most: int) -> list[Cell]:
-    """At most `most` cells: while there are more, the smallest joins its larger neighbour. An owner's last
-    one stays, so `most` has to be at least the count of owners."""
+    """At most `most` cells: while there are more, the smallest joins its larger
+    neighbour. An owner's last one stays, so `most` has to be at least the count of
+    owners.
+    """
     count = len(cells)
     if count <= most:
         return cells
--- a/lemonshunt/shard/route.py
+++ b/lemonshunt/shard/route.py
@@ -1,4 +1,6 @@
-"""What becomes of a message at the member that has it: taken on, passed to the owner once, or refused."""
+"""What becomes of a message at the member that has it: taken on, passed to the owner
+once, or refused.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Pass:
-    """To the owner, with the generation of this member's map and what is left of the message's own time."""
+    """To the owner, with the generation of this member's map and what is left of the
+    message's own time.
+    """
 
     to: str
     generation: int
@@ -46,11 +50,14 @@
     link_up: Callable[[str], bool],
     after_s: int = 1,
 ) -> Here | Pass | Refuse:
-    """`until_us`: the end of the message's own time. `passed`: None, or the map generation of the member that
-    passed it here. `members`: names that this member knows of.
+    """`until_us`: the end of the message's own time. `passed`: None, or the map
+    generation of the member that passed it here. `members`: names that this member
+    knows of.
 
-    Whoever acts on the key takes it, whatever map the sender had: there is no other who acts. A message that
-    was passed is never passed on, so a loop cannot form; where the two maps differ, `why` says so."""
+    Whoever acts on the key takes it, whatever map the sender had: there is no other who
+    acts. A message that was passed is never passed on, so a loop cannot form; where the
+    two maps differ, `why` says so.
+    """
     if until_us <= now_us:
         return Refuse("late", after_s)
     if token := owned.may_act(key, now_us):
--- a/lemonshunt/state.py
+++ b/lemonshunt/state.py
@@ -13,7 +13,8 @@
 
 from lemonshunt.interface import MessageClass
 
-# What a process that takes over is told of each record; the rest is in the journal or counted anew.
+# What a process that takes over is told of each record; the rest is in the journal or
+# counted anew.
 TARGET_KEPT = (
     "failing",
     "failed_at",
@@ -58,7 +59,9 @@
 
 @dataclass(slots=True)
 class Deadline:
-    """A place in the order by deadline, to look there: before or after a message, or between two."""
+    """A place in the order by deadline, to look there: before or after a message, or
+    between two.
+    """
 
     deadline: float
     number: int
@@ -78,7 +81,9 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """Sorts by deadline, and among equal ones by the number under which it was taken."""
+    """Sorts by deadline, and among equal ones by the number under which it was
+    taken.
+    """
 
     id: str
     destination: int
@@ -101,7 +106,9 @@
     avoid: int = -1
     """The target that last failed it."""
     kept: bool = False
-    """While it has surely not run, it does not give way to fresher ones before a part of its time."""
+    """While it has surely not run, it does not give way to fresher ones before a part
+    of its time.
+    """
     before: bool = False
     """A process before took it on."""
     position: int = 0
@@ -169,7 +176,9 @@
 
 @dataclass(slots=True)
 class Place:
-    """What shares a limit, a wait and a pace: a destination, or one route where routes are apart."""
+    """What shares a limit, a wait and a pace: a destination, or one route where routes
+    are apart.
+    """
 
     destination: int
     window: float
@@ -224,7 +233,9 @@
 
 @dataclass(slots=True, eq=False)
 class Line:
-    """The messages of one key, in the order they were taken, and what still blocks the key."""
+    """The messages of one key, in the order they were taken, and what still blocks the
+    key.
+    """
 
     queue: OrderedDict[int, Message] = field(default_factory=OrderedDict)
     """By the number under which they were taken."""
@@ -249,7 +260,9 @@
         self.offered = None
 
     def offer(self, head: Message | None) -> None:
-        """Its head may go, as far as the key is concerned; None where something blocks the key."""
+        """Its head may go, as far as the key is concerned; None where something blocks
+        the key.
+        """
         if head is not self.offered:
             self.withdraw()
             if head is not None and head.lane is not None:
@@ -258,7 +271,9 @@
 
 
 class MessageQueue(SortedList):  # type: ignore[misc]
-    """Messages by deadline. Adding, removing and looking up take time logarithmic in their number."""
+    """Messages by deadline. Adding, removing and looking up take time logarithmic in
+    their number.
+    """
 
     def remove(self, m: Message) -> None:
         """Take out a message; it must be there."""
@@ -309,18 +324,26 @@
 
 @dataclass(slots=True, eq=False)
 class Lane:
-    """Held messages of one destination for which every rule gives the same figure, up to their deadline."""
+    """Held messages of one destination for which every rule gives the same figure, up
+    to their deadline.
+    """
 
     destination: int
     cls: MessageClass
     key: LaneKey
     fades_after_us: float
-    """From when its time began until a message has lost so much of its worth that it may give way."""
+    """From when its time began until a message has lost so much of its worth that it
+    may give way.
+    """
     kept_us: int | None
-    """It does not give way until so long before its deadline; None where that does not bind."""
+    """It does not give way until so long before its deadline; None where that does not
+    bind.
+    """
     held: MessageQueue = field(default_factory=MessageQueue)
     ready: MessageQueue = field(init=False)
-    """Those whose turn it is; the same queue as `held` where messages wait for no others."""
+    """Those whose turn it is; the same queue as `held` where messages wait for no
+    others.
+    """
 
     def __post_init__(self) -> None:
         self.ready = MessageQueue() if self.key.keyed or self.key.spent else self.held
@@ -331,7 +354,9 @@
         return [self.held, self.ready] if apart else [self.held]
 
     def fades_at(self, due: int) -> float:
-        """When a message of a given deadline may give way. It never does before its deadline if untried."""
+        """When a message of a given deadline may give way. It never does before its
+        deadline if untried.
+        """
         if self.key.untried:
             return due
         kept_until = 0 if self.kept_us is None else due - self.kept_us
@@ -340,8 +365,9 @@
     def next_ready(
         self, starts: Sequence[Deadline | Message], ends: Sequence[Deadline]
     ) -> Message | None:
-        """The first ready message behind one place and not behind another: each is given for destinations up
-        to 0 and for those above."""
+        """The first ready message behind one place and not behind another: each is
+        given for destinations up to 0 and for those above.
+        """
         m = self.ready.first_after(starts[self.destination > 0])
         return None if m is None or ends[self.destination > 0] < m else m
 
@@ -385,17 +411,22 @@
 
     piles: dict[int, Pile] = field(default_factory=dict)
     spare: dict[int, Pile] = field(default_factory=dict)
-    """Piles that are empty, to be filled again: where messages are served at once, each fills one."""
+    """Piles that are empty, to be filled again: where messages are served at once, each
+    fills one.
+    """
     by_size: dict[int, set[int]] = field(default_factory=dict)
     """The destinations of large piles by the number of their messages."""
     largest_size: int = 0
     """The greatest number in `by_size`; 0 where there is none."""
     demands: dict[int, Counter[Demand]] | None = None
-    """By destination, how many are held for each class and tenant; None until it is asked for."""
+    """By destination, how many are held for each class and tenant; None until it is
+    asked for.
+    """
 
     def demand(self) -> dict[int, Counter[Demand]]:
-        """How many are held, by destination and by whose demand they are: counted whole when that is first
-        asked for, and kept from then on."""
+        """How many are held, by destination and by whose demand they are: counted whole
+        when that is first asked for, and kept from then on.
+        """
         if self.demands is None:
             self.demands = {
                 destination: Counter(m.demand for m in pile.values())
@@ -414,7 +445,9 @@
             del self.demands[m.destination]
 
     def largest(self) -> int:
-        """The destination with the largest pile, of equal ones the last by number. There must be one."""
+        """The destination with the largest pile, of equal ones the last by number.
+        There must be one.
+        """
         if self.largest_size:
             return max(self.by_size[self.largest_size])
         return max(
@@ -457,7 +490,9 @@
             self.count_demand(m, 1)
 
     def remove(self, m: Message) -> None:
-        """Take a message out of its lane, if it is held. It is not offered by its line any more."""
+        """Take a message out of its lane, if it is held. It is not offered by its line
+        any more.
+        """
         lane = m.lane
         if lane is None:
             return
@@ -487,7 +522,9 @@
 
 @dataclass(slots=True)
 class Wakes:
-    """Names, each with a time at which to look at it, earliest first. One may stand there several times."""
+    """Names, each with a time at which to look at it, earliest first. One may stand
+    there several times.
+    """
 
     entries: list[tuple[int, str]] = field(default_factory=list)
 
--- a/lemonshunt/wirehost.py
+++ b/lemonshunt/wirehost.py
@@ -1,4 +1,6 @@
-"""Hosts dispatchers on the simulator's wire: JSON lines in, JSON lines out. Translates; decides nothing."""
+"""Hosts dispatchers on the simulator's wire: JSON lines in, JSON lines out. Translates;
+decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -264,7 +266,9 @@
 
 
 class Host:
-    """Many instances on one wire. They share nothing but the numbered tables of the wire itself."""
+    """Many instances on one wire. They share nothing but the numbered tables of the
+    wire itself.
+    """
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
@@ -286,11 +290,13 @@
             inbox, inst.inbox = inst.inbox, []
             try:
                 actions = inst.dispatcher.handle(now, inbox)
-                # An instance of the simulator comes up empty: there is nothing to remember an outage in.
+                # An instance of the simulator comes up empty: there is nothing to
+                # remember an outage in.
                 done.extend(
                     action(name, a) for a in actions if not isinstance(a, i.Outage)
                 )
-            except Exception as error:  # any failure of the decisions is reported on the wire, in one line
+            # any failure of the decisions is reported on the wire, in one line
+            except Exception as error:
                 done.append(fault(name, error))
         return json.dumps({"do": done}, separators=(",", ":"))
 
--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -1,5 +1,6 @@
-"""Budgets on injected clocks, at 10, 200 and 1,000 members: what a division costs, what goes to disk and over
-the wire, how much of the whole is used, and how long a share takes to arrive or to come free after a death.
+"""Budgets on injected clocks, at 10, 200 and 1,000 members: what a division costs, what
+goes to disk and over the wire, how much of the whole is used, and how long a share
+takes to arrive or to come free after a death.
 
     python measure/budget_division.py [REPEATS]
 """
@@ -96,7 +97,9 @@
                     self.wants.needs(self.now(), {"": len(self.waiting)}).values()
                 )
                 if needs > 1.2 * self.said:
-                    self.beat()  # its share does not do and more is needed than was said: say so at once
+                    # its share does not do and more is needed than was said: say so at
+                    # once
+                    self.beat()
             self.after(
                 int(SECOND / self.per_s * self.fleet.rng.uniform(0.5, 1.5)), self.arrive
             )
@@ -121,7 +124,9 @@
 
 
 class Fleet:
-    """A service and members on clocks of their own, in simulated time; links lose nothing."""
+    """A service and members on clocks of their own, in simulated time; links lose
+    nothing.
+    """
 
     def __init__(self, members: int, budget: Budget, seed: int = 0) -> None:
         self.rng, self.now, self.budget = random.Random(seed), 0, budget
@@ -225,7 +230,9 @@
 
 
 def division(members: int, repeats: int) -> list[float]:
-    """Milliseconds of one division, a third of the members with work in two weighted parts."""
+    """Milliseconds of one division, a third of the members with work in two weighted
+    parts.
+    """
     took = []
     for repeat in range(repeats):
         rng = random.Random(repeat)
@@ -243,8 +250,10 @@
 
 
 def two_of_ten(reserve: int, seed: int) -> tuple[float, float, float, float, int]:
-    """Part of the whole used, ms until the demand's share came, ms from a death until its share works with
-    the other, against at most so many, and calls in the fullest span."""
+    """Part of the whole used, ms until the demand's share came, ms from a death until
+    its share works with the other, against at most so many, and calls in the fullest
+    span.
+    """
     budget = Budget("7", 100, SECOND, reserve, 10)
     fleet = Fleet(10, budget, seed)
     fleet.run(10 * SECOND)
@@ -274,8 +283,10 @@
 def swings(
     members: int, seconds: int, steady: bool
 ) -> tuple[float, float, float, float, float, float]:
-    """A fifth of the members have work; not `steady`: another fifth every 5 s. Records and bytes a second on
-    disk, beats and bytes a second of their budget part, ms of a plan, worst span over the whole."""
+    """A fifth of the members have work; not `steady`: another fifth every 5 s. Records
+    and bytes a second on disk, beats and bytes a second of their budget part, ms of a
+    plan, worst span over the whole.
+    """
     fleet = Fleet(members, Budget("7", members * 10, SECOND, 1, members), members)
     fleet.run(4 * SECOND)
     for n in range(0, members, 5):
--- a/measure/cold_fleet.py
+++ b/measure/cold_fleet.py
@@ -2,7 +2,8 @@
 
 `python -m measure.cold_fleet [seeds] [forwarders...] [scenes...]`
 
-A line for each scene, number of forwarders and N (calls in the settings' time that the very return allows).
+A line for each scene, number of forwarders and N (calls in the settings' time that the
+very return allows).
 """
 
 from __future__ import annotations
--- a/measure/figures.py
+++ b/measure/figures.py
@@ -17,7 +17,9 @@
 
 
 async def end_peers() -> None:
-    """End what still serves in this loop, so that nothing is said of it at the loop's end."""
+    """End what still serves in this loop, so that nothing is said of it at the loop's
+    end.
+    """
     logging.disable(logging.CRITICAL)  # that they were cancelled is no news
     rest = [t for t in asyncio.all_tasks() if t is not asyncio.current_task()]
     for task in rest:
--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -1,12 +1,14 @@
-"""200 members, each with a connection for its beats and one for its watch, on one list service process with 3
-budgets: how long a changed need takes until the last share it moves was told, and what it costs.
+"""200 members, each with a connection for its beats and one for its watch, on one list
+service process with 3 budgets: how long a changed need takes until the last share it
+moves was told, and what it costs.
 
     python measure/fleet_service.py [REPEATS] [MEMBERS]
 
-A change: a tenth of the members needs twelve times as much of one budget as before, so that shares of all
-others shrink, cool for a span, and move. Twice: watches that name their member (woken by what concerns it),
-and watches that do not (woken by every change). Wall times hold for a machine that is not loaded otherwise;
-the service's part of a core is its processor time.
+A change: a tenth of the members needs twelve times as much of one budget as before, so
+that shares of all others shrink, cool for a span, and move. Twice: watches that name
+their member (woken by what concerns it), and watches that do not (woken by every
+change). Wall times hold for a machine that is not loaded otherwise; the service's part
+of a core is its processor time.
 """
 
 from __future__ import annotations
@@ -43,8 +45,10 @@
 
 
 def allow_descriptors(count: int) -> None:
-    """Raise this process's limit, which the service inherits, as far as the run needs and is allowed. Raises
-    Stuck where that is not enough: connections past the limit would fail one by one."""
+    """Raise this process's limit, which the service inherits, as far as the run needs
+    and is allowed. Raises Stuck where that is not enough: connections past the limit
+    would fail one by one.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = count * CONNECTIONS + SPARE
     if resource.RLIM_INFINITY in (soft, hard) and soft >= needed:
@@ -86,7 +90,9 @@
 
 
 class Member:
-    """Beats a third of its lease apart, and at once for news, a new need, and a share to acknowledge."""
+    """Beats a third of its lease apart, and at once for news, a new need, and a share
+    to acknowledge.
+    """
 
     def __init__(
         self, n: int, port: int, named: bool, counts: dict[str, list[int]]
@@ -167,8 +173,9 @@
 async def quiet(
     members: list[Member], tasks: list[asyncio.Task[None]], for_s: float
 ) -> None:
-    """Until no share of any has changed for so long, and all have theirs. Raises Stuck where that does not
-    come, and what a member's task failed with."""
+    """Until no share of any has changed for so long, and all have theirs. Raises Stuck
+    where that does not come, and what a member's task failed with.
+    """
     until = time.perf_counter() + QUIET_S
     while (
         not all(m.shares for m in members)
--- a/measure/import_time.py
+++ b/measure/import_time.py
@@ -1,7 +1,8 @@
-"""How long the forwarder takes to import, old against new, in alternation: ``python measure/import_time.py
-[--old REV] [--pairs N]``. The old tree is written from git into a temporary folder. Times in ms, by the wall
-and of the processor (which other work on the machine moves less): medians, and the quartiles of the pairs'
-differences."""
+"""How long the forwarder takes to import, old against new, in alternation: ``python
+measure/import_time.py [--old REV] [--pairs N]``. The old tree is written from git into
+a temporary folder. Times in ms, by the wall and of the processor (which other work on
+the machine moves less): medians, and the quartiles of the pairs' differences.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +31,9 @@
 
 
 def once(tree: Path, module: str) -> tuple[list[float], dict[str, int]]:
-    """ms by the wall and of the processor; modules imported, and how many of these are our own."""
+    """ms by the wall and of the processor; modules imported, and how many of these are
+    our own.
+    """
     done = subprocess.run(
         [sys.executable, "-c", CODE.format(module=module)],
         cwd=tree,
--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -1,5 +1,6 @@
-"""What a message costs in the journal: the journal of before (from the repository's history) and this one, in
-pairs. A message is taken on, tried, settled and over, as on an even day: some are tried twice, some returned.
+"""What a message costs in the journal: the journal of before (from the repository's
+history) and this one, in pairs. A message is taken on, tried, settled and over, as on
+an even day: some are tried twice, some returned.
 
     python measure/journal_cost.py [REPEATS]
 """
--- a/measure/lab_load.py
+++ b/measure/lab_load.py
@@ -1,6 +1,7 @@
-"""How fast the lab's load side holds its schedule: the 99th percentile and the largest lag of a send behind
-its planned time, at rising rates, with 3 and with 30 forwarders (no faults). The load, proxies and stand-ins
-share the lab's one process, so a lag here is the lab's own limit, not the fleet's.
+"""How fast the lab's load side holds its schedule: the 99th percentile and the largest
+lag of a send behind its planned time, at rising rates, with 3 and with 30 forwarders
+(no faults). The load, proxies and stand-ins share the lab's one process, so a lag here
+is the lab's own limit, not the fleet's.
 
     python measure/lab_load.py [REPEATS]
 """
--- a/measure/lab_proxy.py
+++ b/measure/lab_proxy.py
@@ -1,5 +1,6 @@
-"""What the lab's fault proxy adds to one call: calls straight to a stand-in endpoint and through a proxy in
-`pass`, taken in turn in the same run, each on its own kept connection.
+"""What the lab's fault proxy adds to one call: calls straight to a stand-in endpoint
+and through a proxy in `pass`, taken in turn in the same run, each on its own kept
+connection.
 
     python measure/lab_proxy.py [REPEATS]
 """
--- a/measure/power_cost.py
+++ b/measure/power_cost.py
@@ -1,5 +1,6 @@
-"""What durability 'power' costs beside 'process': syncs a message and the time to the 202, at several rates,
-the two levels in turn. The folder is where TMPDIR says: the disk below it decides.
+"""What durability 'power' costs beside 'process': syncs a message and the time to the
+202, at several rates, the two levels in turn. The folder is where TMPDIR says: the disk
+below it decides.
 
     python measure/power_cost.py [REPEATS]
 """
--- a/measure/queue_cost.py
+++ b/measure/queue_cost.py
@@ -1,10 +1,12 @@
-"""What held messages cost: the former piles, which every event sorted (tests/reference), and the queues now.
+"""What held messages cost: the former piles, which every event sorted
+(tests/reference), and the queues now.
 
     python measure/queue_cost.py [LARGEST]
 
-Prints the entries visited for an event by messages held (LARGEST, 1,000,000 at first, sets the last size);
-processor time for an event, in turn, old and new; memory of a held message; and the time of a round in which
-a full pile opens. An event is an outcome or an arrival at one destination that takes a call at a time.
+Prints the entries visited for an event by messages held (LARGEST, 1,000,000 at first,
+sets the last size); processor time for an event, in turn, old and new; memory of a held
+message; and the time of a round in which a full pile opens. An event is an outcome or
+an arrival at one destination that takes a call at a time.
 """
 
 from __future__ import annotations
@@ -42,7 +44,9 @@
 
 
 class Site:
-    """One destination that takes three calls at a time, and the messages that are held for it."""
+    """One destination that takes three calls at a time, and the messages that are held
+    for it.
+    """
 
     def __init__(self, make: Make, held: int, own_keys: bool = False) -> None:
         self.now, self.taken, self.own_keys = 0, 0, own_keys
@@ -83,7 +87,9 @@
         return self.round(i.Shares(10, 0, 0, 0, 0))
 
     def serve(self, events: int) -> float:
-        """So many rounds of one event each, arrivals and outcomes; processor seconds for an event."""
+        """So many rounds of one event each, arrivals and outcomes; processor seconds
+        for an event.
+        """
         return (
             sum(
                 self.round(self.waiting.popleft() if self.waiting else self.arrival())
@@ -120,7 +126,9 @@
 
 
 def times(turn: int) -> None:
-    """In short turns the processor's caches are full of what the old one has just visited."""
+    """In short turns the processor's caches are full of what the old one has just
+    visited.
+    """
     print(
         f"processor time for an event, old and new in turns of {turn} events, median of {REPEATS}:"
     )
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -1,6 +1,7 @@
-"""How soon service returns: the real program is started on folders with so many live messages, and with so
-much history behind few. Time to ready, to the first delivery of a fresh message to another destination, and
-what the journal told of itself. On a folder that is full the fresh message is handed in until it is taken.
+"""How soon service returns: the real program is started on folders with so many live
+messages, and with so much history behind few. Time to ready, to the first delivery of a
+fresh message to another destination, and what the journal told of itself. On a folder
+that is full the fresh message is handed in until it is taken.
 
     python measure/recovery_time.py [REPEATS]
 """
--- a/measure/registry_writes.py
+++ b/measure/registry_writes.py
@@ -1,6 +1,7 @@
-"""The list service's cost of a change: syncs per change with 200 writers at once (grouped) and one at a
-time (each alone), the time until 200 held watches are all answered after one change, and what the beats of
-200 members cost, each on a connection of its own. Same run, in turn.
+"""The list service's cost of a change: syncs per change with 200 writers at once
+(grouped) and one at a time (each alone), the time until 200 held watches are all
+answered after one change, and what the beats of 200 members cost, each on a connection
+of its own. Same run, in turn.
 
     python measure/registry_writes.py [REPEATS]
 """
@@ -66,7 +67,9 @@
 
 
 async def wake(service: Service, listen: int, write: int, n: int) -> float:
-    """Milliseconds from a change being asked for until WRITERS held watches have all been answered."""
+    """Milliseconds from a change being asked for until WRITERS held watches have all
+    been answered.
+    """
     seq = service.registry.seq
     held = [
         asyncio.ensure_future(
@@ -102,7 +105,9 @@
 
 
 async def members(folder: Path, rounds: int) -> tuple[float, float, float, float]:
-    """Milliseconds for WRITERS joins at once, then beats a second and bytes of a beat and of its answer."""
+    """Milliseconds for WRITERS joins at once, then beats a second and bytes of a beat
+    and of its answer.
+    """
     disk = Disk(folder)
     registry, _ = disk.load()
     ahead = [0]
--- a/measure/scale/control_config.py
+++ b/measure/scale/control_config.py
@@ -1,4 +1,6 @@
-"""A forwarder's configuration: its bytes, the time to read and examine it, the loop's pause at a SIGHUP."""
+"""A forwarder's configuration: its bytes, the time to read and examine it, the loop's
+pause at a SIGHUP.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +48,9 @@
 
 
 def changed(told: Mapping[str, Any]) -> dict[str, Any]:
-    """The same file with another deadline and, where it has budgets, another whole of each."""
+    """The same file with another deadline and, where it has budgets, another whole of
+    each.
+    """
     made = json.loads(json.dumps(told))
     made["settings"]["services"][0]["deadline_us"] += 1_000_000
     for budget in made.get("fleet", {}).get("budgets", []):
@@ -55,7 +59,9 @@
 
 
 async def apply_ms(folder: Path, path: Path, told: Mapping[str, Any]) -> float:
-    """One turn of the loop: a SIGHUP's way from the signal until the settings are in force."""
+    """One turn of the loop: a SIGHUP's way from the signal until the settings are in
+    force.
+    """
     engine = worlds.engine(folder, told)
     engine.recover()
     engine.round()
--- a/measure/scale/control_demand.py
+++ b/measure/scale/control_demand.py
@@ -1,4 +1,6 @@
-"""Budgets at a forwarder: its part of a beat and of the answer, its purses and demand books, its file."""
+"""Budgets at a forwarder: its part of a beat and of the answer, its purses and demand
+books, its file.
+"""
 
 from __future__ import annotations
 
@@ -77,7 +79,9 @@
 
 
 def tell(books: Books) -> list[Any]:
-    """What the module is told after each answered beat, and the lines for what changed."""
+    """What the module is told after each answered beat, and the lines for what
+    changed.
+    """
     return [books.event(d, NOW_US, 0) for d in sorted(books.accounts)] + books.changes(
         NOW_US
     )
@@ -94,7 +98,9 @@
 
 
 def books_once(budgets: int) -> dict[str, float]:
-    """All budgets named in each beat and answer, one call wanted of each in the running span."""
+    """All budgets named in each beat and answer, one call wanted of each in the running
+    span.
+    """
     books, data = told_books(budgets), answer(budgets)
     books.wants.clear()
     for destination in range(budgets):
@@ -125,7 +131,9 @@
 
 
 def demand_once(destinations: int) -> dict[str, float]:
-    """Demand of destinations without any budget here: counted and told all the same, up to a bound."""
+    """Demand of destinations without any budget here: counted and told all the same, up
+    to a bound.
+    """
     books = Books((), worlds.DRIFT, {}, 0)
 
     def one_each() -> None:
--- a/measure/scale/control_division.py
+++ b/measure/scale/control_division.py
@@ -1,4 +1,6 @@
-"""Budgets at the list service: one division, a plan, a member's beat, against members and against budgets."""
+"""Budgets at the list service: one division, a plan, a member's beat, against members
+and against budgets.
+"""
 
 from __future__ import annotations
 
@@ -80,15 +82,18 @@
 
 
 def service_rest_ms(made: Ledger, now_us: int) -> float:
-    """A plan at rest as the list service makes it: it also looks for when something falls due next."""
+    """A plan at rest as the list service makes it: it also looks for when something
+    falls due next.
+    """
     rider = Budgets(worlds.LEASE_US, worlds.DRIFT)
     rider.ledger = made
     return probe.processor_ms_each(lambda: rider.plan(now_us, False, []))
 
 
 def ledger_once(members: int, budgets: int) -> dict[str, float]:
-    """At rest: a plan that finds nothing due, a beat that says nothing new, its answer. Then a plan after a
-    member's need changed in one budget; and the memory."""
+    """At rest: a plan that finds nothing due, a beat that says nothing new, its answer.
+    Then a plan after a member's need changed in one budget; and the memory.
+    """
     made = ledger(members, budgets)
     now_us = settle(made, 0)
     token = worlds.token(0)
--- a/measure/scale/control_list.py
+++ b/measure/scale/control_list.py
@@ -1,5 +1,6 @@
-"""The list of endpoints: what it weighs, what a forwarder pays to read and to follow it, what the list
-service pays to tell it."""
+"""The list of endpoints: what it weighs, what a forwarder pays to read and to follow
+it, what the list service pays to tell it.
+"""
 
 from __future__ import annotations
 
@@ -54,8 +55,9 @@
 
 
 def follow_whole(path: str) -> dict[str, float]:
-    """In a process of its own: a forwarder that knows no endpoint reads a whole list from a file and takes
-    it, then hears of single changes."""
+    """In a process of its own: a forwarder that knows no endpoint reads a whole list
+    from a file and takes it, then hears of single changes.
+    """
     body = Path(path).read_bytes()
 
     async def scene(folder: Path) -> dict[str, float]:
@@ -85,20 +87,25 @@
 
 
 def reachable(engine: Engine) -> float:
-    """The share of the listed endpoints that the module and the engine know by the same number: all others
-    are held back when a message is sent to them."""
+    """The share of the listed endpoints that the module and the engine know by the same
+    number: all others are held back when a message is sent to them.
+    """
     targets = engine.dispatcher.targets.values()
     names = {engine.names.get(t.id) for t in targets if t.serving}
     return len(names & engine.hosts.keys()) / len(engine.hosts)
 
 
 def recovered(engine: Engine, folder: Path) -> float:
-    """The share of the listed endpoints that a start after a kill finds in the journal."""
+    """The share of the listed endpoints that a start after a kill finds in the
+    journal.
+    """
     return len(Store(folder, worlds.DISK_BYTES, write=False).hosts) / len(engine.hosts)
 
 
 def follow_change(engine: Engine) -> dict[str, float]:
-    """One changed entry, from the parsed answer on: the turn of the loop it takes, the bytes it journals."""
+    """One changed entry, from the parsed answer on: the turn of the loop it takes, the
+    bytes it journals.
+    """
     count, written = len(engine.hosts), engine.store.figures()["bytes"]
     news = changes(count)
     rounds = 4
@@ -143,7 +150,9 @@
 
 
 def service_once(size: int) -> dict[str, float]:
-    """The list service's own work: the whole list, and from a change that was asked for to its answer."""
+    """The list service's own work: the whole list, and from a change that was asked for
+    to its answer.
+    """
     registry = worlds.registry(size)
     whole_ms = probe.processor_ms_each(
         lambda: msgspec.json.encode(registry.owed(None, None))
@@ -169,12 +178,16 @@
 
 
 def change_for_watcher(registry: Registry) -> bytes:
-    """What a watcher who knows all but the last change is answered; made once for all who know the same."""
+    """What a watcher who knows all but the last change is answered; made once for all
+    who know the same.
+    """
     return msgspec.json.encode(registry.owed(registry.seq - 1, registry.epoch))
 
 
 async def arrives(count: int) -> bool:
-    """Whether a forwarder's own client gets the whole list from the real service over a loopback socket."""
+    """Whether a forwarder's own client gets the whole list from the real service over a
+    loopback socket.
+    """
     with tempfile.TemporaryDirectory() as folder:
         disk = Disk(Path(folder))
         disk.load()
--- a/measure/scale/control_members.py
+++ b/measure/scale/control_members.py
@@ -1,4 +1,6 @@
-"""Leases and members at the list service: beats, the tick, the list of members, the log, a restart."""
+"""Leases and members at the list service: beats, the tick, the list of members, the
+log, a restart.
+"""
 
 from __future__ import annotations
 
--- a/measure/scale/control_probe.py
+++ b/measure/scale/control_probe.py
@@ -1,4 +1,6 @@
-"""What one act costs a process: processor time (the machine may be shared), memory, steps of the program."""
+"""What one act costs a process: processor time (the machine may be shared), memory,
+steps of the program.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +24,9 @@
 
 @contextlib.contextmanager
 def collected() -> Iterator[None]:
-    """What was made before is left out of the collector's rounds, as the program does at its start."""
+    """What was made before is left out of the collector's rounds, as the program does
+    at its start.
+    """
     gc.collect()
     gc.freeze()
     try:
@@ -32,8 +36,9 @@
 
 
 def processor_ms(act: Callable[[], Any], freeze: bool = True) -> float:
-    """Milliseconds of processor time of one act, run once. Without `freeze` the collector goes through what
-    was made before as well."""
+    """Milliseconds of processor time of one act, run once. Without `freeze` the
+    collector goes through what was made before as well.
+    """
     with collected() if freeze else contextlib.nullcontext():
         began = time.process_time_ns()
         act()
@@ -41,7 +46,9 @@
 
 
 def processor_ms_each(act: Callable[[], Any], least_ms: float = LEAST_MS) -> float:
-    """Milliseconds of processor time of one act, run as often as takes `least_ms` together."""
+    """Milliseconds of processor time of one act, run as often as takes `least_ms`
+    together.
+    """
     rounds = 1
     while True:
         with collected():
@@ -77,7 +84,9 @@
 
 
 def steps(act: Callable[[], Any]) -> int:
-    """Lines of the program that one act runs, one loop's turn counting each time: the same on any machine."""
+    """Lines of the program that one act runs, one loop's turn counting each time: the
+    same on any machine.
+    """
     count = 0
 
     def on_line(_: FrameType, event: str, __: Any) -> Any:
--- a/measure/scale/control_shards.py
+++ b/measure/scale/control_shards.py
@@ -1,4 +1,6 @@
-"""The shard map: its bytes, its check, plans, the keys that move when members come and go, what is told."""
+"""The shard map: its bytes, its check, plans, the keys that move when members come and
+go, what is told.
+"""
 
 from __future__ import annotations
 
--- a/measure/scale/control_worlds.py
+++ b/measure/scale/control_worlds.py
@@ -188,7 +188,9 @@
 
 
 def engine(folder: Path, told: Mapping[str, Any] | None = None) -> Engine:
-    """A forwarder without any connection, in a running loop, with a journal that has room."""
+    """A forwarder without any connection, in a running loop, with a journal that has
+    room.
+    """
     return Engine(config(folder, told))
 
 
--- a/measure/scale/failures.py
+++ b/measure/scale/failures.py
@@ -1,4 +1,6 @@
-"""What each failure of the target costs at its peak, and what control then has to do."""
+"""What each failure of the target costs at its peak, and what control then has to
+do.
+"""
 
 from __future__ import annotations
 
@@ -110,7 +112,9 @@
 
 
 def others_per_s(failure: Failure) -> float:
-    """Messages a second that each other forwarder then takes, if all clients go elsewhere evenly."""
+    """Messages a second that each other forwarder then takes, if all clients go
+    elsewhere evenly.
+    """
     return target.MESSAGES_PER_S / (target.FORWARDERS - failure.forwarders)
 
 
--- a/measure/scale/fit.py
+++ b/measure/scale/fit.py
@@ -1,7 +1,7 @@
 """Which shape a figure's growth has, its slope, and what it comes to at another size.
 
-Each shape is `value = base + slope * f(size)`, fitted by least squares on the medians. Residuals are relative
-to the median, so that each decade of sizes counts the same.
+Each shape is `value = base + slope * f(size)`, fitted by least squares on the medians.
+Residuals are relative to the median, so that each decade of sizes counts the same.
 """
 
 from __future__ import annotations
@@ -71,7 +71,9 @@
     """None where no shape is plain."""
     line: Line
     slope: Span
-    """A step of the value for a step of the shape's term; for `CONSTANT` the value itself."""
+    """A step of the value for a step of the shape's term; for `CONSTANT` the value
+    itself.
+    """
     residual: float
     """Root mean square of the relative residuals of the best shape."""
     repeats: tuple[Line, ...]
@@ -90,8 +92,10 @@
         return self.shape is not None
 
     def at(self, size: float) -> Span:
-        """The value at another size. Where no shape is plain it is between those of the sizes around it, and
-        past the largest the last two sizes' power law goes on, or the last value where that falls."""
+        """The value at another size. Where no shape is plain it is between those of the
+        sizes around it, and past the largest the last two sizes' power law goes on, or
+        the last value where that falls.
+        """
         if self.shape is None and self.points[0].size <= size <= self.last.size:
             return between(self.points, size)
         if self.shape is None:
--- a/measure/scale/growth.py
+++ b/measure/scale/growth.py
@@ -1,5 +1,6 @@
-"""Runs a measurement at sizes that go up by factors until the largest wanted or a bound is met, each in a
-process of its own where memory is measured."""
+"""Runs a measurement at sizes that go up by factors until the largest wanted or a bound
+is met, each in a process of its own where memory is measured.
+"""
 
 from __future__ import annotations
 
@@ -55,8 +56,9 @@
     point_s: float = POINT_S,
     memory: Callable[[Mapping[str, float]], float] | None = None,
 ) -> Growth:
-    """Measure each size `repeats` times. `once` tells values by name; `memory` tells from these how many
-    bytes the run took, where that can come near the bound."""
+    """Measure each size `repeats` times. `once` tells values by name; `memory` tells
+    from these how many bytes the run took, where that can come near the bound.
+    """
     growth = Growth()
     before, took, took_before, used = 0, 0.0, 0.0, 0.0
     for size in sizes:
@@ -84,7 +86,9 @@
 
 
 def isolated(function: Callable[..., Result], *arguments: Any) -> Result:
-    """Call a module's function in a fresh process, so that nothing before it counts in its memory."""
+    """Call a module's function in a fresh process, so that nothing before it counts in
+    its memory.
+    """
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(max_workers=1, mp_context=context) as pool:
         return pool.submit(function, *arguments).result()
--- a/measure/scale/hollow_fleet.py
+++ b/measure/scale/hollow_fleet.py
@@ -1,4 +1,6 @@
-"""A whole fleet of hollow members: processes of some hundred each, beside one list service process."""
+"""A whole fleet of hollow members: processes of some hundred each, beside one list
+service process.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +41,9 @@
 """Calls in a span that a member at rest needs of each budget."""
 HOSTS = 20
 SETTLED_S = 2.5
-"""Shares that have not changed for so long rest: over two windows, by which what was given up moves."""
+"""Shares that have not changed for so long rest: over two windows, by which what was
+given up moves.
+"""
 PATIENCE_S = 90.0
 LOOK_S = 0.2
 
@@ -49,7 +53,9 @@
 
 
 def allow_descriptors(members: int) -> None:
-    """Raise this process's limit, which all that it starts inherit, as far as the fleet needs it."""
+    """Raise this process's limit, which all that it starts inherit, as far as the fleet
+    needs it.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = members * CONNECTIONS + SPARE_DESCRIPTORS
     if hard != resource.RLIM_INFINITY and hard < needed:
@@ -130,7 +136,9 @@
 
 
 class HollowFleet:
-    """`members` of them with `budgets` budgets, `wanted` of which each needs calls of."""
+    """`members` of them with `budgets` budgets, `wanted` of which each needs calls
+    of.
+    """
 
     def __init__(
         self, folder: Path, members: int, budgets: int = 3, wanted: int | None = None
@@ -157,7 +165,9 @@
     # Commands
 
     def tell(self, make: Callable[[list[str]], Command], names: Iterable[str]) -> None:
-        """One command to every process that has some of these members; all begin at once."""
+        """One command to every process that has some of these members; all begin at
+        once.
+        """
         wanted = set(names)
         told = [worker for worker in self.workers if worker.names & wanted]
         for worker in told:
@@ -188,7 +198,9 @@
     def until(
         self, what: str, test: Callable[[Totals], bool], patience_s: float = PATIENCE_S
     ) -> Totals:
-        """The totals once they are so, with the samples of all the time until then. Raises Stuck."""
+        """The totals once they are so, with the samples of all the time until then.
+        Raises Stuck.
+        """
         end = time.monotonic() + patience_s
         samples: list[list[Sample]] = [[] for _ in self.workers]
         while True:
--- a/measure/scale/hollow_member.py
+++ b/measure/scale/hollow_member.py
@@ -1,8 +1,9 @@
-"""A forwarder's control part without its message path: lease, beats, watches, purses and the list's watch are
-the program's own classes on real sockets; the engine's place is taken by `HollowDesk`.
+"""A forwarder's control part without its message path: lease, beats, watches, purses
+and the list's watch are the program's own classes on real sockets; the engine's place
+is taken by `HollowDesk`.
 
-What is left out: messages, the dispatcher, the journal, clients and endpoints. Needs are stated by messages
-that wait for ever.
+What is left out: messages, the dispatcher, the journal, clients and endpoints. Needs
+are stated by messages that wait for ever.
 """
 
 from __future__ import annotations
@@ -51,8 +52,9 @@
 
 
 class CountedChannel(Channel):
-    """A connection to the list service that counts calls and bytes of HTTP, both ways, of all members of
-    this process."""
+    """A connection to the list service that counts calls and bytes of HTTP, both ways,
+    of all members of this process.
+    """
 
     calls: ClassVar[Counter[Call]] = Counter()
     sent: ClassVar[Counter[Call]] = Counter()
@@ -75,7 +77,9 @@
 
 
 def count_calls() -> None:
-    """From here on each new connection of this process to the list service is a counted one."""
+    """From here on each new connection of this process to the list service is a counted
+    one.
+    """
     vars(discovery)["Channel"] = CountedChannel
 
 
@@ -130,7 +134,9 @@
 
 
 class HollowDesk:
-    """As much of the engine's desk as its fleet part uses. Events end here; shares are remembered."""
+    """As much of the engine's desk as its fleet part uses. Events end here; shares are
+    remembered.
+    """
 
     def __init__(self, config: HollowConfig) -> None:
         self.config, self.clock = config, Clock()
@@ -169,8 +175,9 @@
 
 
 class HollowMember:
-    """One member. `start` on the running loop; `tick` ten times a second; `kill` as by SIGKILL, after which
-    another one may be made on the same folder."""
+    """One member. `start` on the running loop; `tick` ten times a second; `kill` as by
+    SIGKILL, after which another one may be made on the same folder.
+    """
 
     def __init__(
         self,
@@ -208,7 +215,9 @@
         self.watch.pause()
 
     def listed(self, told: HostList | None) -> None:
-        """A list came, or could not be had: then it is asked for again, as the dispatcher would have it."""
+        """A list came, or could not be had: then it is asked for again, as the
+        dispatcher would have it.
+        """
         if told is None:
             wait_s = self.random.random() * ASK_MOST_US / 1e6
             self.retry = asyncio.get_running_loop().call_later(
--- a/measure/scale/hollow_peaks.py
+++ b/measure/scale/hollow_peaks.py
@@ -14,7 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Peaks:
-    """The most of all processes together: in a second, and for connections also in a tenth of one."""
+    """The most of all processes together: in a second, and for connections also in a
+    tenth of one.
+    """
 
     beats: int
     bytes: int
@@ -23,8 +25,9 @@
 
 
 def peaks(processes: Sequence[Sequence[Sample]]) -> Peaks:
-    """From the samples of each process, in the order of their times. A count stands until the next sample, so
-    a peak is off by at most one sample of each process."""
+    """From the samples of each process, in the order of their times. A count stands
+    until the next sample, so a peak is off by at most one sample of each process.
+    """
     return Peaks(
         most_within(processes, lambda sample: sample.beats, SECOND_NS),
         most_within(processes, lambda sample: sample.bytes, SECOND_NS),
--- a/measure/scale/hollow_process.py
+++ b/measure/scale/hollow_process.py
@@ -1,7 +1,7 @@
 """One process of hollow members, told what to do by JSON lines at its standard input.
 
-Run by `hollow_fleet`, as `python -m measure.scale.hollow_process`. The first line is a `Setup`, each later
-one a command; each is answered by one line at standard output.
+Run by `hollow_fleet`, as `python -m measure.scale.hollow_process`. The first line is a
+`Setup`, each later one a command; each is answered by one line at standard output.
 """
 
 from __future__ import annotations
@@ -29,7 +29,9 @@
 TICK_S = 0.1
 """Between two ticks of one member."""
 TICK_GROUPS = 10
-"""Members tick in so many groups, one after another, as processes of their own would not in step."""
+"""Members tick in so many groups, one after another, as processes of their own would
+not in step.
+"""
 SAMPLE_S = 0.1
 MOST_SAMPLES = 6_000
 
@@ -82,7 +84,9 @@
 
 
 class MemberReport(Struct, array_like=True):
-    """One member; times in monotonic ns, 0 for never. `calls`, `whole`, `whole_ns` are of one destination."""
+    """One member; times in monotonic ns, 0 for never. `calls`, `whole`, `whole_ns` are
+    of one destination.
+    """
 
     name: str
     alive: bool
@@ -95,7 +99,9 @@
     list_version: int
     listed_ns: int
     renewed_us: int
-    """When its lease in force was asked for, by the clock that leases go by; 0 without one."""
+    """When its lease in force was asked for, by the clock that leases go by; 0 without
+    one.
+    """
 
 
 class Report(Struct):
--- a/measure/scale/journal_growth.py
+++ b/measure/scale/journal_growth.py
@@ -1,4 +1,6 @@
-"""What the journal writes, keeps in memory and reads against live messages and listed endpoints."""
+"""What the journal writes, keeps in memory and reads against live messages and listed
+endpoints.
+"""
 
 from __future__ import annotations
 
@@ -117,7 +119,9 @@
 
 
 def passing(live: int) -> Mapping[str, float]:
-    """Messages pass through beside live ones, from one rewriting until the next but one."""
+    """Messages pass through beside live ones, from one rewriting until the next but
+    one.
+    """
     with tempfile.TemporaryDirectory() as name:
         store = filled(Path(name), live)
         store.compact()
--- a/measure/scale/journal_ready.py
+++ b/measure/scale/journal_ready.py
@@ -1,4 +1,6 @@
-"""Time and processor time from the start of the real program until it is ready, against live messages."""
+"""Time and processor time from the start of the real program until it is ready, against
+live messages.
+"""
 
 from __future__ import annotations
 
--- a/measure/scale/message_decisions.py
+++ b/measure/scale/message_decisions.py
@@ -1,4 +1,6 @@
-"""What decisions cost against the messages held, the calls out and the messages recalled after a restart."""
+"""What decisions cost against the messages held, the calls out and the messages
+recalled after a restart.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +21,17 @@
 CALLS_OUT = (1, 5, 50, 500, 2_000)
 WARM_US, MEASURED_US = 1_100 * MILLISECOND, SECOND
 LEAST_WARM_US, LEAST_US = 120 * MILLISECOND, 500 * MILLISECOND
-"""Simulated time before and while it is measured, and how much of it there is where that is cut short."""
+"""Simulated time before and while it is measured, and how much of it there is where
+that is cut short.
+"""
 WARM_PROCESSOR_S, PROCESSOR_S = 2.0, 6.0
-"""What the stretches before and while it is measured may take before they are cut short."""
+"""What the stretches before and while it is measured may take before they are cut
+short.
+"""
 BATCH = 100
-"""Messages of before a restart that the engine tells the dispatcher of in one round, ..."""
+"""Messages of before a restart that the engine tells the dispatcher of in one round,
+...
+"""
 RECALL_US = 10 * MILLISECOND
 """... and how far apart such rounds are."""
 
--- a/measure/scale/message_list.py
+++ b/measure/scale/message_list.py
@@ -1,4 +1,6 @@
-"""What listed endpoints cost a dispatcher: to take the list, to change one, in memory and at each event."""
+"""What listed endpoints cost a dispatcher: to take the list, to change one, in memory
+and at each event.
+"""
 
 from __future__ import annotations
 
--- a/measure/scale/message_load.py
+++ b/measure/scale/message_load.py
@@ -1,5 +1,7 @@
-"""Load for one forwarder on loopback: clients that hand messages in at a steady rate, and endpoints that take
-every call. Each runs in a process of its own, so that the forwarder's processor time is its own alone."""
+"""Load for one forwarder on loopback: clients that hand messages in at a steady rate,
+and endpoints that take every call. Each runs in a process of its own, so that the
+forwarder's processor time is its own alone.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +21,9 @@
 
 
 class Endpoint(asyncio.Protocol):
-    """Answers each request with 200 as soon as its head is there; bodies have no empty line."""
+    """Answers each request with 200 as soon as its head is there; bodies have no empty
+    line.
+    """
 
     def __init__(self, delivered: Synchronized[int]) -> None:
         self.delivered, self.tail = delivered, b""
@@ -38,7 +42,9 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection; it is idle until it hands a message in, and again from the answer on."""
+    """One connection; it is idle until it hands a message in, and again from the answer
+    on.
+    """
 
     def __init__(self, idle: deque[Client], taken: Synchronized[int]) -> None:
         self.idle, self.taken = idle, taken
@@ -67,7 +73,9 @@
 def serve_endpoints(
     ports: Connection, count: int, delivered: Synchronized[int]
 ) -> None:
-    """Serve so many endpoints until the process is ended; their ports are told first."""
+    """Serve so many endpoints until the process is ended; their ports are told
+    first.
+    """
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
@@ -84,7 +92,9 @@
 def hand_in(
     port: int, per_s: float, destinations: int, taken: Synchronized[int]
 ) -> None:
-    """Hand messages in at the rate until the process is ended; what no connection is idle for is left out."""
+    """Hand messages in at the rate until the process is ended; what no connection is
+    idle for is left out.
+    """
 
     async def drive() -> None:
         loop = asyncio.get_running_loop()
--- a/measure/scale/message_rate.py
+++ b/measure/scale/message_rate.py
@@ -1,4 +1,6 @@
-"""What one forwarder process takes on and delivers: the real program on sockets, at rising rates."""
+"""What one forwarder process takes on and delivers: the real program on sockets, at
+rising rates.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +25,9 @@
 RATES = (50, 100, 200, 400, 800, 1_600, 3_200)
 DESTINATIONS = 8
 SOUND_BESIDE_HELD = 30
-"""Sound destinations beside the one that is down: that has 3.2% of the load, as in the target."""
+"""Sound destinations beside the one that is down: that has 3.2% of the load, as in the
+target.
+"""
 HELD = (100, 400, 1_600, 6_400, 25_600)
 HELD_PER_S = 400
 CLOSED_PORT = 1
@@ -41,7 +45,9 @@
 
 
 def roomy(node: Node) -> None:
-    """Let neither slots, sockets, attempts nor time bound what the forwarder holds and does."""
+    """Let neither slots, sockets, attempts nor time bound what the forwarder holds and
+    does.
+    """
     path = node.folder / "config.json"
     config: dict[str, Any] = json.loads(path.read_text())
     config["settings"]["family_info"]["slots"] = SLOTS
@@ -53,8 +59,10 @@
 
 
 async def forward(per_s: int, held: int, destinations: int) -> Mapping[str, float]:
-    """Load at a rate; what the forwarder did in the measured stretch. With `held`, so many messages of before
-    its start are held for one destination more, which is down and has its part of the load too."""
+    """Load at a rate; what the forwarder did in the measured stretch. With `held`, so
+    many messages of before its start are held for one destination more, which is down
+    and has its part of the load too.
+    """
     context = multiprocessing.get_context("spawn")
     taken, delivered = context.Value("q", 0), context.Value("q", 0)
     here, there = context.Pipe()
--- a/measure/scale/message_traffic.py
+++ b/measure/scale/message_traffic.py
@@ -1,7 +1,9 @@
-"""A simulated forwarder's day for `choice.Dispatcher`: messages arrive, calls end, timers come due.
+"""A simulated forwarder's day for `choice.Dispatcher`: messages arrive, calls end,
+timers come due.
 
-Only public events go in and actions come out, so that it runs on any way the dispatcher keeps its books.
-Time is simulated (integer microseconds); the processor time of `handle` alone is counted.
+Only public events go in and actions come out, so that it runs on any way the dispatcher
+keeps its books. Time is simulated (integer microseconds); the processor time of
+`handle` alone is counted.
 """
 
 from __future__ import annotations
@@ -76,8 +78,8 @@
 class Traffic:
     """One dispatcher with an endpoint for each destination, numbered alike from 0.
 
-    Calls to `down` destinations are refused, those to `silent` ones never end. Of fresh messages the target's
-    share is for those that are down, or all where none is sound.
+    Calls to `down` destinations are refused, those to `silent` ones never end. Of fresh
+    messages the target's share is for those that are down, or all where none is sound.
     """
 
     def __init__(
@@ -118,7 +120,9 @@
         return i.Recalled(f"{number:016x}", destination, FREE.name, self.now + HOUR_US)
 
     def hold(self, messages: int, keyed: bool = False) -> None:
-        """Let messages for the destinations that are down arrive in one round, all past their aim."""
+        """Let messages for the destinations that are down arrive in one round, all past
+        their aim.
+        """
         where = itertools.cycle(self.down)
         self.decide(
             self.arrival(next(where), keyed, 2 * FREE.aim_us) for _ in range(messages)
@@ -183,8 +187,10 @@
         least_us: int,
         per_s: float = target.FORWARDER_PER_S,
     ) -> Spent:
-        """Fresh messages, `per_s` of them, for `simulated_us`. Where that takes
-        over `processor_s` of processor time it ends sooner, after `least_us` at the earliest."""
+        """Fresh messages, `per_s` of them, for `simulated_us`. Where that takes over
+        `processor_s` of processor time it ends sooner, after `least_us` at the
+        earliest.
+        """
         spent, began, arrived = Spent(), self.now, 0
         while spent.simulated_us < simulated_us and (
             spent.processor_s < processor_s or spent.simulated_us < least_us
--- a/measure/scale/message_watch.py
+++ b/measure/scale/message_watch.py
@@ -1,5 +1,7 @@
-"""What a forwarder's regular work costs against the messages it holds: the watch over their ends, the line
-that sums up, rounds of the collector, and the demand that a beat tells."""
+"""What a forwarder's regular work costs against the messages it holds: the watch over
+their ends, the line that sums up, rounds of the collector, and the demand that a beat
+tells.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +53,9 @@
 
 
 def filled(folder: Path, live: int) -> Engine:
-    """A forwarder that holds so many messages, spread over destinations that have no target."""
+    """A forwarder that holds so many messages, spread over destinations that have no
+    target.
+    """
     known = HostList(1, True, ())
     engine = Engine(
         Config(
@@ -110,7 +114,9 @@
 
 
 def regular_round(engine: Engine, live: int) -> float:
-    """Processor time of a round of the collector that comes after the traffic between two."""
+    """Processor time of a round of the collector that comes after the traffic between
+    two.
+    """
     count, spent = round(SWEEP_S * target.FORWARDER_PER_S), []
     for turn in range(ROUNDS):
         take_on(engine, live + turn * count, count)
--- a/measure/scale/needs.py
+++ b/measure/scale/needs.py
@@ -1,4 +1,6 @@
-"""What each role needs at the target's size: which series says it, what is allowed, and what carries it."""
+"""What each role needs at the target's size: which series says it, what is allowed, and
+what carries it.
+"""
 
 from __future__ import annotations
 
--- a/measure/scale/needs_control.py
+++ b/measure/scale/needs_control.py
@@ -1,4 +1,6 @@
-"""What control needs at the target's size: members, budgets, list service, configuration, shard map."""
+"""What control needs at the target's size: members, budgets, list service,
+configuration, shard map.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +14,9 @@
 FLEET = float(target.FORWARDERS)
 ENDPOINTS = float(target.DESTINATIONS)
 REAL_FORWARDERS = 20.0
-"""Real forwarders that run beside hollow members; each one's need is not of their number."""
+"""Real forwarders that run beside hollow members; each one's need is not of their
+number.
+"""
 DAY_S = 86_400.0
 BUDGETS = float(target.DESTINATIONS)
 CORE, BYTES, WIRE = (
@@ -24,7 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Whole:
-    """A share that has to be 1 at every size: of less, something is lost and not merely slow."""
+    """A share that has to be 1 at every size: of less, something is lost and not merely
+    slow.
+    """
 
     what: str
     series: str
--- a/measure/scale/page.py
+++ b/measure/scale/page.py
@@ -1,8 +1,10 @@
-"""Writes the tables of `docs/CAPACITY.md` from the kept results, each between its markers.
+"""Writes the tables of `docs/CAPACITY.md` from the kept results, each between its
+markers.
 
     python -m measure.scale.page [--check]
 
-With `--check` nothing is written; the exit status says whether the page has what the results give.
+With `--check` nothing is written; the exit status says whether the page has what the
+results give.
 """
 
 from __future__ import annotations
@@ -62,7 +64,9 @@
 
 
 def grounds(found: Answer) -> str:
-    """How far the need lies past what was measured, and whether the shape there was seen."""
+    """How far the need lies past what was measured, and whether the shape there was
+    seen.
+    """
     if found.value is None:
         return NOT_MEASURED
     past = max(use.past_range(found.need.size) for use in found.uses)
@@ -161,7 +165,9 @@
 
 
 def whole_table(entries: dict[str, Entry]) -> str:
-    """Shares that have to be 1: the largest size measured where they are, and what they are at the target."""
+    """Shares that have to be 1: the largest size measured where they are, and what they
+    are at the target.
+    """
     rows = []
     for whole in WHOLES:
         found = find(entries, whole.series)
@@ -198,7 +204,9 @@
 
 
 def control_figure(label: str, found: Found | None) -> str:
-    """A figure of control at the target's forwarders, or where it was measured if that is fewer."""
+    """A figure of control at the target's forwarders, or where it was measured if that
+    is fewer.
+    """
     if found is None:
         return f"{label}: {NOT_MEASURED}"
     size = min(float(target.FORWARDERS), found.series.range[1])
--- a/measure/scale/results.py
+++ b/measure/scale/results.py
@@ -1,7 +1,8 @@
 """The records of a measurement, and the file that keeps them.
 
-A `Measurement` is run by its name and yields `Series`; the frame adds the `Origin` (commit, command, machine,
-time). In the file each measurement has one entry: running it again replaces that entry alone.
+A `Measurement` is run by its name and yields `Series`; the frame adds the `Origin`
+(commit, command, machine, time). In the file each measurement has one entry: running it
+again replaces that entry alone.
 """
 
 from __future__ import annotations
@@ -84,7 +85,9 @@
     """Where figures come from."""
 
     commit: str
-    """Short hash; `+` follows it where what is measured, or measures, differed from the commit."""
+    """Short hash; `+` follows it where what is measured, or measures, differed from the
+    commit.
+    """
     command: str
     machine: str
     at: str
@@ -151,7 +154,9 @@
 
 
 def encode(entry: Entry) -> str:
-    """An entry as text; each series is one line, so that histories of the file can be merged."""
+    """An entry as text; each series is one line, so that histories of the file can be
+    merged.
+    """
     lines = []
     for series in entry.series:
         fields = {name: getattr(series, name) for name in PLAIN_FIELDS}
@@ -178,7 +183,9 @@
 
 
 def merge(new: Iterable[Entry], path: Path = RESULTS) -> None:
-    """Put entries into the file in place of those of the same measurements; all others stay."""
+    """Put entries into the file in place of those of the same measurements; all others
+    stay.
+    """
     entries = load(path)
     entries.update({entry.measurement: entry for entry in new})
     save(entries, path)
--- a/measure/scale/service_failures.py
+++ b/measure/scale/service_failures.py
@@ -1,8 +1,9 @@
-"""What failures of the target's kinds come to in a whole fleet of hollow members: a zone gone at once, the
-restarts of a day, the list service killed and started again.
+"""What failures of the target's kinds come to in a whole fleet of hollow members: a
+zone gone at once, the restarts of a day, the list service killed and started again.
 
-Seconds are wall times of a shared machine. A day's restarts are played in half a minute, so over two
-thousand times as dense as they come; what one of them costs is the figure, not how often they come.
+Seconds are wall times of a shared machine. A day's restarts are played in half a
+minute, so over two thousand times as dense as they come; what one of them costs is the
+figure, not how often they come.
 """
 
 from __future__ import annotations
@@ -28,7 +29,9 @@
 REPEATS = 3
 RESTART_EVERY_S = 0.5
 OUTAGES_S = (0.0, 5.0)
-"""How long the service stays away: as soon as it can be up again, and longer than a lease."""
+"""How long the service stays away: as soon as it can be up again, and longer than a
+lease.
+"""
 JOINED_S = 60.0
 
 
@@ -57,7 +60,9 @@
 
 
 def lose_zone(fleet: HollowFleet, size: int, figures: Figures) -> None:
-    """A sixth of the members is gone at once; then its processes come back with their folders."""
+    """A sixth of the members is gone at once; then its processes come back with their
+    folders.
+    """
     zone, others = fleet.names[: zone_size(size)], fleet.names[zone_size(size) :]
     lost_before = fleet.totals().lost()
     began, began_ns = time.monotonic(), time.monotonic_ns()
@@ -137,7 +142,9 @@
 def restart_service(
     fleet: HollowFleet, size: int, away_s: float, figures: Figures
 ) -> None:
-    """The service is killed; until each member has renewed its lease at the new process."""
+    """The service is killed; until each member has renewed its lease at the new
+    process.
+    """
     what = "service restart" if not away_s else f"service away {away_s:g} s"
     lost_before = fleet.totals().lost()
     fleet.service.kill()
