--- a/measure/scale/service_forwarders.py
+++ b/measure/scale/service_forwarders.py
@@ -1,7 +1,9 @@
-"""Real forwarders beside hollow members: what a hollow member leaves out of a forwarder's control part.
+"""Real forwarders beside hollow members: what a hollow member leaves out of a
+forwarder's control part.
 
-The control part of a real one is the difference between forwarders that are members and the same ones that
-are not, both at rest and without messages. Processor time and memory are read from the processes.
+The control part of a real one is the difference between forwarders that are members and
+the same ones that are not, both at rest and without messages. Processor time and memory
+are read from the processes.
 """
 
 from __future__ import annotations
@@ -35,7 +37,9 @@
 
 
 class Forwarder:
-    """One process of the real program on a folder of its own; `fleet` is its configuration's object."""
+    """One process of the real program on a folder of its own; `fleet` is its
+    configuration's object.
+    """
 
     def __init__(
         self, folder: Path, number: int, service: ListService, fleet: bool
--- a/measure/scale/service_members.py
+++ b/measure/scale/service_members.py
@@ -1,9 +1,10 @@
-"""What a fleet's control costs at rest and until the last member acts on a change, against the number of
-members and of budgets: hollow members on real sockets, the real list service process.
+"""What a fleet's control costs at rest and until the last member acts on a change,
+against the number of members and of budgets: hollow members on real sockets, the real
+list service process.
 
-Processor time is read from the processes, so it holds on a shared machine; the seconds until a member acts
-are wall times and grow with whatever else the machine does. Repeats of a size are stretches of one fleet's
-life.
+Processor time is read from the processes, so it holds on a shared machine; the seconds
+until a member acts are wall times and grow with whatever else the machine does. Repeats
+of a size are stretches of one fleet's life.
 """
 
 from __future__ import annotations
@@ -64,8 +65,10 @@
 
 
 def rest_stretches(fleet: HollowFleet, size: int, figures: Figures) -> None:
-    """Stretches in which nothing changes. The fleet's watches are counted over all of them together: they are
-    held for longer than one stretch, and those woken together come back together."""
+    """Stretches in which nothing changes. The fleet's watches are counted over all of
+    them together: they are held for longer than one stretch, and those woken together
+    come back together.
+    """
     before = look(fleet)
     for _ in range(REPEATS):
         rest(fleet, size, figures)
@@ -106,7 +109,9 @@
 
 
 def change_needs(fleet: HollowFleet, size: int, turn: int, figures: Figures) -> None:
-    """Another tenth of the members needs more of one budget than its share: until the last share moved."""
+    """Another tenth of the members needs more of one budget than its share: until the
+    last share moved.
+    """
     part = size // 10
     before = fleet.totals()
     began_ns = time.monotonic_ns()
@@ -265,7 +270,9 @@
 
 
 def measure_budgets(progress: Progress, wanted: int | None = None) -> Iterator[Series]:
-    """At rest, against the budgets there are. `wanted`: how many of them each member needs; all if None."""
+    """At rest, against the budgets there are. `wanted`: how many of them each member
+    needs; all if None.
+    """
     figures = Figures()
     for size in BUDGETS:
         with running_fleet(BUDGET_MEMBERS, size, wanted) as fleet:
--- a/measure/scale/service_process.py
+++ b/measure/scale/service_process.py
@@ -22,7 +22,9 @@
 CALLS_A_MEMBER = 50
 """A budget's whole is so many calls for each member: more than all need together."""
 SEATS = 2
-"""Processes with a reserve of one call, for each member: restarts without a folder find one."""
+"""Processes with a reserve of one call, for each member: restarts without a folder find
+one.
+"""
 START_S = 20.0
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
@@ -43,7 +45,9 @@
 
 
 class ListService:
-    """`start` once, and again after `kill`; `close` at the end. Ports stay the same over restarts."""
+    """`start` once, and again after `kill`; `close` at the end. Ports stay the same
+    over restarts.
+    """
 
     def __init__(self, folder: Path, members: int, budgets: int) -> None:
         self.folder, self.members = folder, members
--- a/measure/scale/service_split.py
+++ b/measure/scale/service_split.py
@@ -1,6 +1,7 @@
-"""Two regions that lose each other for an hour, on an injected clock: the cores of the list service and of
-its members, without sockets, disk or real time. Calls take no time; one that is lost is waited for as long as
-a forwarder waits. What is counted is counted exactly; nothing here is a wall time.
+"""Two regions that lose each other for an hour, on an injected clock: the cores of the
+list service and of its members, without sockets, disk or real time. Calls take no time;
+one that is lost is waited for as long as a forwarder waits. What is counted is counted
+exactly; nothing here is a wall time.
 """
 
 from __future__ import annotations
@@ -35,14 +36,17 @@
 LONG_US = round(target.SPLIT_S) * SECOND_US
 SHORT_US = 30 * SECOND_US
 PARTS = (0.5, 0.6)
-"""Of the members that are cut off: as many as stay, and more, so that the guard against mass loss stops
-divisions."""
+"""Of the members that are cut off: as many as stay, and more, so that the guard against
+mass loss stops divisions.
+"""
 LONG_MEMBERS, SHORT_MEMBERS = 54, target.FORWARDERS
 SEEDS = (1, 2)
 
 
 class ServiceCore:
-    """Leases, members and budgets of the list service; each record counts as written at once."""
+    """Leases, members and budgets of the list service; each record counts as written at
+    once.
+    """
 
     def __init__(self, members: int) -> None:
         self.table = Table(Terms(DRIFT, most_ttl_us=TTL_US))
--- a/measure/scale/target.py
+++ b/measure/scale/target.py
@@ -1,7 +1,7 @@
 """The size the program is meant to reach, and what it may spend there.
 
-The first part was stated by the operators, the second follows from it, the last is assumed, with the reason.
-Nothing here is measured.
+The first part was stated by the operators, the second follows from it, the last is
+assumed, with the reason. Nothing here is measured.
 """
 
 from __future__ import annotations
@@ -70,38 +70,65 @@
 """Destinations that are down at any time."""
 
 MEMBERS_BEAT_S = 1.0
-"""Seconds between two beats of a member: a third of a lease of 3 s (`docs/parts.md`)."""
+"""Seconds between two beats of a member: a third of a lease of 3 s
+(`docs/parts.md`).
+"""
 
 # Assumed: the operators stated no allowance for messages themselves
 
 MACHINE_BYTES = 24 * 2**30
-"""Memory of a machine, assumed: one of the size that the figures are measured on. (TERMS states 32 to 192 MB,
-for the bench's days of some thousand messages.)"""
+"""Memory of a machine, assumed: one of the size that the figures are measured on.
+(TERMS states 32 to 192 MB, for the bench's days of some thousand messages.)
+"""
 MACHINE_DISK_BYTES = 250 * 10**9
-"""Disk of a machine, assumed: one of the size that the figures are measured on. (TERMS' days have 3 MB.)"""
+"""Disk of a machine, assumed: one of the size that the figures are measured on. (TERMS'
+days have 3 MB.)
+"""
 FORWARDER_CORES = 1.0
-"""Cores that a forwarder's messages may take, assumed: its process runs one event loop, thus one core."""
+"""Cores that a forwarder's messages may take, assumed: its process runs one event loop,
+thus one core.
+"""
 SERVICE_CORES = 1.0
-"""Cores that the list service may take, assumed: its process runs one event loop, thus one core."""
+"""Cores that the list service may take, assumed: its process runs one event loop, thus
+one core.
+"""
 READY_S = 10.0
-"""Seconds from start to ready: FLEET's bound for nine in ten restarted forwarders, whatever they hold."""
+"""Seconds from start to ready: FLEET's bound for nine in ten restarted forwarders,
+whatever they hold.
+"""
 RECALLED_S = 60.0
-"""Seconds from ready until all that was held is decided on again, assumed: the operators did not say."""
+"""Seconds from ready until all that was held is decided on again, assumed: the
+operators did not say.
+"""
 PAUSE_S = 0.1
-"""Seconds that the loop may stand still, assumed: `docs/parts.md` names a tenth of a second as the most."""
+"""Seconds that the loop may stand still, assumed: `docs/parts.md` names a tenth of a
+second as the most.
+"""
 CALLS_OUT = 500
-"""Calls that a forwarder has out, assumed: its messages a second at half a second a call."""
+"""Calls that a forwarder has out, assumed: its messages a second at half a second a
+call.
+"""
 LIST_CHANGES_PER_S = 1.0
-"""Changes of the list a second, assumed: each of the 44,000 endpoints is drained and returns once a day."""
+"""Changes of the list a second, assumed: each of the 44,000 endpoints is drained and
+returns once a day.
+"""
 RECORD_BYTES = 2**21
 """The longest record that the journal reads again (`journal.format.MOST_RECORD`)."""
 JOURNAL_BYTES_PER_S = 100 * 10**6
 """Bytes a second to disk, assumed: what an ordinary disk writes steadily."""
 SHARES_MOVED_S = 4.0
-"""Seconds until a need has its share, assumed: as long as a change of configuration may take."""
+"""Seconds until a need has its share, assumed: as long as a change of configuration may
+take.
+"""
 RACK_FORWARDERS = 20
-"""Forwarders that a rack or switch takes with it, assumed: the operators did not say."""
+"""Forwarders that a rack or switch takes with it, assumed: the operators did not
+say.
+"""
 RESTARTS_AT_ONCE = 1
-"""Forwarders of the day's restarts that are away at once, assumed: they are replaced one after another."""
+"""Forwarders of the day's restarts that are away at once, assumed: they are replaced
+one after another.
+"""
 CROSSING_SHARE = 0.5
-"""Part of the messages for destinations in the other region, assumed: no region is preferred."""
+"""Part of the messages for destinations in the other region, assumed: no region is
+preferred.
+"""
--- a/measure/shard_check.py
+++ b/measure/shard_check.py
@@ -1,6 +1,7 @@
-"""The shard map's check at 100,000 ranges, as a multiple of the time to sort them (in turn, same run), on a
-sound map and on one where every second range is at fault; and the keys that a join and a leave move, beside
-the fewest possible: what members have above their new part, and all that a leaving one had.
+"""The shard map's check at 100,000 ranges, as a multiple of the time to sort them (in
+turn, same run), on a sound map and on one where every second range is at fault; and the
+keys that a join and a leave move, beside the fewest possible: what members have above
+their new part, and all that a leaving one had.
 
     python measure/shard_check.py [RANGES]
 """
@@ -137,7 +138,9 @@
 
 
 def churn(count: int, changes: int, most_ranges: int) -> None:
-    """Members come and go at random: what the bound on ranges costs in keys moved past the fewest."""
+    """Members come and go at random: what the bound on ranges costs in keys moved past
+    the fewest.
+    """
     rng, serial = random.Random(2), count
     names = [f"n{n}" for n in range(count)]
     at = plan(dict.fromkeys(names, 1.0)).map
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,4 +1,6 @@
-"""A fleet of dispatchers against one destination that goes down and returns cold, by an injected clock."""
+"""A fleet of dispatchers against one destination that goes down and returns cold, by an
+injected clock.
+"""
 
 from __future__ import annotations
 
@@ -75,7 +77,9 @@
     whole: float = 0.0
     """The same of the calls of all forwarders, as a part of its bound."""
     pushed: bool = False
-    """Some span was over its bound with more than two thirds from forwarders that had learned."""
+    """Some span was over its bound with more than two thirds from forwarders that had
+    learned.
+    """
 
     @property
     def part(self) -> float:
@@ -89,7 +93,9 @@
     timer: int = -1
     version: int = 0
     learned: set[int] = field(default_factory=set)
-    """Endpoints (or -1, the destination) of which it was told a failure in the outage."""
+    """Endpoints (or -1, the destination) of which it was told a failure in the
+    outage.
+    """
     outages: dict[int, tuple[int, int]] = field(default_factory=dict)
     open: dict[str, i.Arrived] = field(default_factory=dict)
     attempts: Counter[str] = field(default_factory=Counter)
@@ -105,7 +111,9 @@
         self.heap: list[tuple[int, int, str, int, object]] = []
         self.count = 0
         self.seen: list[tuple[int, int, float, bool]] = []
-        """(when, unit, weight, whether its forwarder had learned) of each call that reached it since."""
+        """(when, unit, weight, whether its forwarder had learned) of each call that
+        reached it since.
+        """
         self.delivered = 0
         settings = self.settings()
         self.fleet = [
@@ -229,7 +237,9 @@
                     pass
 
     def begin(self, f: Forwarder, now: int, target: int, whole: list[i.Send]) -> None:
-        """What becomes of a call follows from when it is sent; its messages join until the round ends."""
+        """What becomes of a call follows from when it is sent; its messages join until
+        the round ends.
+        """
         up = not self.down <= now < self.returns
         if up:
             took, outcome = 100 * MS, i.Outcome.DELIVERED
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -1,4 +1,6 @@
-"""A disk in memory that keeps what a real one must and loses, on request, all that it may."""
+"""A disk in memory that keeps what a real one must and loses, on request, all that it
+may.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,9 @@
 
 
 class Disk:
-    """Files in memory. `fuse` calls from now the process dies; a write may then be torn."""
+    """Files in memory. `fuse` calls from now the process dies; a write may then be
+    torn.
+    """
 
     def __init__(self, seed: int = 0) -> None:
         self.random = random.Random(seed)
@@ -139,7 +143,9 @@
         self.open_files, self.fuse = {}, -1
 
     def power_lost(self) -> None:
-        """Of what was not synced any part may be gone; changes of the folder go in their order."""
+        """Of what was not synced any part may be gone; changes of the folder go in
+        their order.
+        """
         self.killed()
         states = [self.synced_names, *self.renames]
         self.names = dict(states[self.random.randrange(len(states))])
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,10 @@
-"""Pytest plugin: passes over the red tests that KNOWN-RED.txt at the root lists, prints exactly these, and
-fails the run where the list does not hold.
+"""Pytest plugin: passes over the red tests that KNOWN-RED.txt at the root lists, prints
+exactly these, and fails the run where the list does not hold.
 
-One line each: `tests/test_x.py::test_y | cause | issue 26`; three at most. The run fails on a listed test
-that is green or skipped, on one that was not run where nothing was selected, and, before any is run, on a
-list that cannot be read. An absent or empty file changes nothing.
+One line each: `tests/test_x.py::test_y | cause | issue 26`; three at most. The run
+fails on a listed test that is green or skipped, on one that was not run where nothing
+was selected, and, before any is run, on a list that cannot be read. An absent or empty
+file changes nothing.
 """
 
 from __future__ import annotations
@@ -72,7 +73,9 @@
 
 
 class KnownRed:
-    """In every process that runs tests it judges the listed ones; in the one that reports, it sums up."""
+    """In every process that runs tests it judges the listed ones; in the one that
+    reports, it sums up.
+    """
 
     def __init__(self, known: dict[str, Known], whole: bool) -> None:
         self.known, self.whole = known, whole
--- a/tests/reference/books.py
+++ b/tests/reference/books.py
@@ -1,4 +1,6 @@
-"""What one dispatcher knows, and the plain questions that its decisions ask of it. Never draws or acts."""
+"""What one dispatcher knows, and the plain questions that its decisions ask of it.
+Never draws or acts.
+"""
 
 from __future__ import annotations
 
@@ -22,20 +24,28 @@
 NEVER = 1 << 62  # us; a gate that only an event can open
 FORGET_US = 30 * SECOND  # idle destinations are forgotten after this
 LOOK_US = 40_000  # least time between two looks at a destination where nothing happened
-FEW = 8  # forwarders; where more share the targets, what all do at once adds up: connections, returns
-AIM_PER_CALL = 10  # D_multiplier of the paper: a class's aim is taken for this many usual calls (the seed)
+# forwarders; where more share the targets, what all do at once adds up: connections,
+# returns
+FEW = 8
+# D_multiplier of the paper: a class's aim is taken for this many usual calls (the seed)
+AIM_PER_CALL = 10
 EASE_US = (
     2 * SECOND
 )  # half-life by which an expected call eases back to its seed while nothing is out
 SHARE_START = 1.0  # even shares of a limit that each of very many takes at first
-SHARE_ROOM = 3.0  # over the number of forwarders: so many times more where few tell each more of the limit
+# over the number of forwarders: so many times more where few tell each more of the
+# limit
+SHARE_ROOM = 3.0
 IDLE_LEAST_US = 200_000  # a connection without use for longer counts as idle
-WIRE_US = 50_000  # what the protocol grants each limit on sockets: a repeat may be on its way for so long
+# what the protocol grants each limit on sockets: a repeat may be on its way for so long
+WIRE_US = 50_000
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Books:
-    """Times are integer microseconds of the caller's clock; `now` is that of the round."""
+    """Times are integer microseconds of the caller's clock; `now` is that of the
+    round.
+    """
 
     now: int
     random: Random
@@ -47,7 +57,9 @@
     least_time: int = field(init=False)
     room: float = field(init=False)
     apart: float = field(init=False)
-    """How much of a pace is left to chance: many that begin at once must not meet again and again."""
+    """How much of a pace is left to chance: many that begin at once must not meet again
+    and again.
+    """
     idle_top: int = field(init=False)
     # The targets
     targets: dict[int, Target] = field(default_factory=dict)
@@ -91,7 +103,9 @@
         self.cleared_at, self.shed_at = self.now, self.now - FORGET_US
 
     def adopt(self, settings: i.Settings) -> None:
-        """Settings and all that follows from them. What a message was taken on under stays with it."""
+        """Settings and all that follows from them. What a message was taken on under
+        stays with it.
+        """
         self.s = settings
         self.classes = {c.name: c for c in settings.classes}
         self.least_time = min((c.deadline_us for c in settings.classes), default=SECOND)
@@ -132,14 +146,18 @@
         return free and m.attempts < min(m.most, self.s.max_attempts)
 
     def repeat_by(self, m: Message, sent_at: int = -NEVER) -> int:
-        """Until when a message that may have run, or may by a call sent then, can be sent again: its target
-        counts a key's window from when the first call came, which is no sooner than that was sent."""
+        """Until when a message that may have run, or may by a call sent then, can be
+        sent again: its target counts a key's window from when the first call came,
+        which is no sooner than that was sent.
+        """
         if m.cls.effect is not i.Effect.KEYED:
             return NEVER if m.cls.effect is i.Effect.REPEATABLE else -NEVER
         return (m.ran_at if m.ran_at >= 0 else sent_at) + m.cls.window_us - WIRE_US
 
     def expected(self, place: Place, cls: i.MessageClass) -> float:
-        """The expected call: decayed mean, seeded from the class aim, easing back while nothing is out."""
+        """The expected call: decayed mean, seeded from the class aim, easing back while
+        nothing is out.
+        """
         seed = cls.aim_us / AIM_PER_CALL
         if place.mean_at < 0:
             return seed
@@ -150,7 +168,9 @@
         )
 
     def soonest(self, m: Message) -> float:
-        """The shortest expected call among the message's targets; worked out once for all that share them."""
+        """The shortest expected call among the message's targets; worked out once for
+        all that share them.
+        """
         usable = self.usable(m)
         if usable is not self.by_destination.get(m.destination):
             return min((self.expected(t.place, m.cls) for t in usable), default=0.0)
--- a/tests/reference/crowd.py
+++ b/tests/reference/crowd.py
@@ -1,4 +1,6 @@
-"""Worlds with long piles: bursts, shares of a whole, equal deadlines, jams, leaps of the clock."""
+"""Worlds with long piles: bursts, shares of a whole, equal deadlines, jams, leaps of
+the clock.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +10,9 @@
 from tests.worlds import MS, S, World
 
 GRAIN = 10 * MS
-"""Deadlines and times of rounds fall on the same marks in half of the worlds: many are equal."""
+"""Deadlines and times of rounds fall on the same marks in half of the worlds: many are
+equal.
+"""
 
 
 class Crowd(World):
--- a/tests/reference/giving.py
+++ b/tests/reference/giving.py
@@ -1,4 +1,6 @@
-"""Messages taken on, given up and over, and whose turn it is in their keys. All final answers are here."""
+"""Messages taken on, given up and over, and whose turn it is in their keys. All final
+answers are here.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +11,19 @@
 from tests.reference.limits import over_share
 from tests.reference.state import Line, Message
 
-STALL_CALLS = 8  # usual calls after which one is held to be lost where some later ones have been delivered
+# usual calls after which one is held to be lost where some later ones have been
+# delivered
+STALL_CALLS = 8
 STALL_US = 600_000  # and this at least
 PASSED = 3  # so many later ones: a single one may just have been quick
 LEAST_AWAY_US = (
     SECOND  # a refused client always hears when to come back, and not at once
 )
 BUFFER_MARK = 0.85  # share of the buffer above which the largest pile is cut
-KEEP_LEAST = 0.7  # share of its time; in a large fleet what was taken on and handed back sooner is priced
-LATE_LEAST = 0.6  # where fresh ones near their aims, one in their pile with less worth left is given up
+# share of its time; in a large fleet what was taken on and handed back sooner is priced
+KEEP_LEAST = 0.7
+# where fresh ones near their aims, one in their pile with less worth left is given up
+LATE_LEAST = 0.6
 
 
 def arrived(b: Books, event: i.Arrived) -> None:
@@ -30,7 +36,9 @@
 
 
 def recalled(b: Books, event: i.Recalled) -> None:
-    """Go on with a message of before a restart: what it may do depends on what it did till then."""
+    """Go on with a message of before a restart: what it may do depends on what it did
+    till then.
+    """
     cls = event.cls or b.classes.get(event.class_name)
     if cls is None:
         b.actions.append(i.Fail(event.message, "unknown class"))
@@ -46,7 +54,8 @@
 def take(b: Books, event: i.Arrived | i.Recalled, cls: i.MessageClass) -> Message:
     b.taken += 1
     key = event.key if cls.in_order else None
-    # What was held before a start came over a while: all at once it would be far beyond any tenant's share.
+    # What was held before a start came over a while: all at once it would be far beyond
+    # any tenant's share.
     beyond = isinstance(event, i.Arrived) and over_share(b, event.tenant)
     m = Message(
         event.message,
@@ -70,7 +79,9 @@
 
 
 def over(b: Books, m: Message) -> None:
-    """A message has ended: nothing more goes out for it, and its key turns to the next."""
+    """A message has ended: nothing more goes out for it, and its key turns to the
+    next.
+    """
     del b.messages[m.id]
     b.held.remove(m)
     if m.key is not None:
@@ -79,14 +90,18 @@
 
 
 def next_in(b: Books, line: Line) -> None:
-    """The key's turn may have come to its next message, perhaps for another destination."""
+    """The key's turn may have come to its next message, perhaps for another
+    destination.
+    """
     if line.queue and not line.out and not line.owed:
         b.looks.add(line.queue[0].destination)
         b.agenda.add(max(b.now, line.rest_until), line.queue[0].destination)
 
 
 def owe(b: Books, name: str, key: str) -> None:
-    """Rule 6: until its final answer has arrived, a message is not over for those behind it."""
+    """Rule 6: until its final answer has arrived, a message is not over for those
+    behind it.
+    """
     b.owed[name] = key
     b.lines.setdefault(key, Line()).owed.add(name)
 
@@ -100,8 +115,10 @@
 
 
 def answer(b: Books, m: Message, cause: str) -> None:
-    """The only place that gives final answers. Refuse where a new try does no harm, else fail. A keyed one
-    that may have run does none while its client comes back within the window."""
+    """The only place that gives final answers. Refuse where a new try does no harm,
+    else fail. A keyed one that may have run does none while its client comes back
+    within the window.
+    """
     wait = retry_after(b, m)
     safe = (
         m.cls.effect is i.Effect.REPEATABLE
@@ -118,7 +135,9 @@
 
 
 def retry_after(b: Books, m: Message) -> int:
-    """How long the client should stay away: until the destination's wait or rest is over."""
+    """How long the client should stay away: until the destination's wait or rest is
+    over.
+    """
     ends = [max(t.place.wait_until, t.place.rest_until) for t in b.usable(m)]
     opens = next_call(b, m.destination)
     ends_at = max(min(ends, default=b.now + SECOND), opens if opens < NEVER else 0)
@@ -127,16 +146,19 @@
 
 
 def next_call(b: Books, destination: int) -> int:
-    """When the share of a destination lets the next call go: now where it has none, NEVER where it is not
-    known, as another may be told at any moment."""
+    """When the share of a destination lets the next call go: now where it has none,
+    NEVER where it is not known, as another may be told at any moment.
+    """
     share = b.shares.get(destination)
     return b.now if share is None else share.room_at(b.now)
 
 
 def recall(b: Books) -> None:
-    """A call that stays silent while later ones to the same target are answered has lost its connection,
-    and not its target: its messages need not wait for the time-out, and it says nothing of health. Those
-    that may not be sent again fail by this, so their aim must have passed as well."""
+    """A call that stays silent while later ones to the same target are answered has
+    lost its connection, and not its target: its messages need not wait for the
+    time-out, and it says nothing of health. Those that may not be sent again fail by
+    this, so their aim must have passed as well.
+    """
     if not b.s.may_cancel:
         return
     for (name, number), attempt in b.attempts.items():
@@ -150,8 +172,10 @@
 
 
 def drop(b: Books) -> None:
-    """The unsent drop: a held message whose time left is below its expected call is answered now. In a
-    pile that moves too slowly for its fresh ones it gives way to them before: else all end late."""
+    """The unsent drop: a held message whose time left is below its expected call is
+    answered now. In a pile that moves too slowly for its fresh ones it gives way to
+    them before: else all end late.
+    """
     if b.now - b.cleared_at >= SECOND:
         b.cleared_at = b.now
         b.lines = {
@@ -182,13 +206,17 @@
 
 
 def age(m: Message, now: int) -> int:
-    """How much of its time has passed, also where it came to another forwarder first."""
+    """How much of its time has passed, also where it came to another forwarder
+    first.
+    """
     return m.cls.deadline_us - (m.due - now)
 
 
 def fades_at(m: Message, late_halves: bool) -> float:
-    """When less than `LATE_LEAST` of its worth is left, and it may be given up for that. What a start found
-    untried lost its time to the restart: it has its first call before."""
+    """When less than `LATE_LEAST` of its worth is left, and it may be given up for
+    that. What a start found untried lost its time to the restart: it has its first call
+    before.
+    """
     if m.before and not m.attempts:
         return m.due
     aim, most = m.cls.aim_us, m.cls.deadline_us - m.cls.aim_us
@@ -200,8 +228,10 @@
 
 
 def shed(b: Books) -> None:
-    """One jammed destination must not fill the buffer: of the largest pile, what came in this round is turned
-    away at the door. What was taken on stays: its client would hear of its end only by a notice."""
+    """One jammed destination must not fill the buffer: of the largest pile, what came
+    in this round is turned away at the door. What was taken on stays: its client would
+    hear of its end only by a notice.
+    """
     worst = max(b.held.piles, key=lambda d: (len(b.held.piles[d]), d))
     pile = [
         m for m in b.held.piles[worst].values() if m.arrived == b.now and not m.before
--- a/tests/reference/learning.py
+++ b/tests/reference/learning.py
@@ -1,4 +1,6 @@
-"""What an outcome books (slot, message, key) and what it teaches of its target (times, window, failing)."""
+"""What an outcome books (slot, message, key) and what it teaches of its target (times,
+window, failing).
+"""
 
 from __future__ import annotations
 
@@ -10,23 +12,34 @@
 from tests.reference.limits import cap, pace
 from tests.reference.state import Call, Message
 
-MEAN_STEP = 0.2  # weight of the newest call in the expected call: about the last ten calls count
+# weight of the newest call in the expected call: about the last ten calls count
+MEAN_STEP = 0.2
 FAIL_STEP = 0.35  # weight of the newest call in a target's failing share
-NEWS_TOP = 0.55  # its most, after a gap of some EASE_US: where we call seldom one failure is sign enough
-FULL_STEP = 0.15  # weight of a refusal or a weak sign in it: five running are no chance, nor a limit
+# its most, after a gap of some EASE_US: where we call seldom one failure is sign enough
+NEWS_TOP = 0.55
+# weight of a refusal or a weak sign in it: five running are no chance, nor a limit
+FULL_STEP = 0.15
 REST_US = 150_000  # first rest after a refusal without a wait
-REST_TIMES = 4  # each further refusal makes the rest so much longer: many come back thinly, and once each
-REST_TOP_US = 1_500_000  # longest rest with few forwarders: an outage must not outlive itself by more
+# each further refusal makes the rest so much longer: many come back thinly, and once
+# each
+REST_TIMES = 4
+# longest rest with few forwarders: an outage must not outlive itself by more
+REST_TOP_US = 1_500_000
 SHARE_CUT = 0.7  # by a refusal above the limit, our assumed share of it shrinks to this
 SHARE_LEAST = 0.1  # even shares: it does not shrink further
 SHARE_GROW = 0.05  # and by a success with much of the limit left, it grows by this many
 MUCH_LEFT = 0.4  # share of a limit that counts as much
-CROWD_TOP = 10  # with many forwarders rests are longer, by up to this much: each retry meets all others'
-IDLE_GROW = 64  # a call that goes well lengthens by this part how long idle connections are trusted
+# with many forwarders rests are longer, by up to this much: each retry meets all
+# others'
+CROWD_TOP = 10
+# a call that goes well lengthens by this part how long idle connections are trusted
+IDLE_GROW = 64
 
 
 def ended(b: Books, event: i.Ended) -> None:
-    """Book an outcome: the slot, the message, its key, and once for each call its target and place."""
+    """Book an outcome: the slot, the message, its key, and once for each call its
+    target and place.
+    """
     attempt = b.attempts.pop((event.message, event.attempt), None)
     if attempt is None:
         return
@@ -73,8 +86,10 @@
 
 
 def idle_lost(b: Books, call: Call, outcome: Outcome) -> bool:
-    """Whether a call failed on an idle connection: it tells of that and not of its target. A time-out is
-    the target's own: a slow one would else never be seen to be slow, and cost all their connections."""
+    """Whether a call failed on an idle connection: it tells of that and not of its
+    target. A time-out is the target's own: a slow one would else never be seen to be
+    slow, and cost all their connections.
+    """
     lost = IDLE_LEAST_US < call.idle <= b.idle_us and outcome is Outcome.RESET
     if lost:
         b.idle_us = call.idle // 2
@@ -82,13 +97,17 @@
 
 
 def judge(b: Books, call: Call, m: Message, event: i.Ended) -> None:
-    """Learn from one call: expected call, window, pace, and whether the target is in an outage."""
+    """Learn from one call: expected call, window, pace, and whether the target is in an
+    outage.
+    """
     target, place, outcome = call.target, call.target.place, event.outcome
     if (outcome is Outcome.TIMED_OUT and event.took_us < m.cls.aim_us) or idle_lost(
         b, call, outcome
     ):
-        return  # neither late messages nor dead connections must make a sound target look hung
-    # A call that was passed by others until its time-out was lost alone: its target does answer.
+        # neither late messages nor dead connections must make a sound target look hung
+        return
+    # A call that was passed by others until its time-out was lost alone: its target
+    # does answer.
     weak = event.weak or (outcome is Outcome.TIMED_OUT and call.passed > 0)
     cut = (
         call.sent_at > place.cut_at
@@ -126,7 +145,9 @@
 
 
 def delivered(b: Books, call: Call) -> None:
-    """A success: the window and the share grow, and calls sent before it have been passed."""
+    """A success: the window and the share grow, and calls sent before it have been
+    passed.
+    """
     place = call.target.place
     for other in {id(a.call): a.call for a in b.attempts.values()}.values():
         other.passed += other.target is call.target and other.sent_at < call.sent_at
--- a/tests/reference/limits.py
+++ b/tests/reference/limits.py
@@ -1,4 +1,6 @@
-"""How much may go out now: slots, windows, the pace by our share of a limit, and a tenant's share."""
+"""How much may go out now: slots, windows, the pace by our share of a limit, and a
+tenant's share.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +8,8 @@
 from tests.reference.health import cold, may_join, turn
 from tests.reference.state import Place, Target
 
-HEALTHY_CAP = 0.75  # share of the slots that one destination may hold: the design's three quarters
+# share of the slots that one destination may hold: the design's three quarters
+HEALTHY_CAP = 0.75
 SICK_CAP = 0.5  # and while it fails or is slow: the design's half
 SLOW_TIMES = 4  # times its seed: an expected call above this counts as slow
 BURST_US = 700_000  # the pace lets through at once what it earns in this time
@@ -17,12 +20,16 @@
 
 
 def spend(now: int, spent_until: int, each: float, ahead: float) -> int:
-    """When the next one may go, where each takes its time and what was saved counts some time back."""
+    """When the next one may go, where each takes its time and what was saved counts
+    some time back.
+    """
     return int(max(spent_until, now - max(0.0, ahead - each)) + each)
 
 
 def over_share(b: Books, name: str | None) -> bool:
-    """Whether a tenant has spent our part of its share; what goes beyond is worth little."""
+    """Whether a tenant has spent our part of its share; what goes beyond is worth
+    little.
+    """
     tenant = b.tenants.get(name or "")
     if tenant is None or not tenant.allowance_per_s or b.s.over_share_worth >= 1:
         return False
@@ -36,8 +43,10 @@
 
 
 def pace(b: Books, t: Target) -> float:
-    """The time between our calls by which the limit holds for all forwarders together. An even share of a
-    told limit may be one call in a minute: what is left of it tells more, so none lapses for that."""
+    """The time between our calls by which the limit holds for all forwarders together.
+    An even share of a told limit may be one call in a minute: what is left of it tells
+    more, so none lapses for that.
+    """
     limit, share = (
         t.place.limit or (t.weight if b.s.weights_told else 0.0),
         t.place.shares,
@@ -58,7 +67,9 @@
 
 
 def cap(b: Books, place: Place) -> float:
-    """The window's top: three quarters of the slots, half while failing or slow, never under one."""
+    """The window's top: three quarters of the slots, half while failing or slow, never
+    under one.
+    """
     sick = place.mean > SLOW_TIMES * place.seed > 0 or any(
         cold(b, t) and t.place is place
         for t in b.by_destination.get(place.destination, ())
@@ -67,7 +78,9 @@
 
 
 def room_at(b: Books, t: Target) -> int:
-    """The gate's part that is the same for every message: slots, window, pace, rest, turn."""
+    """The gate's part that is the same for every message: slots, window, pace, rest,
+    turn.
+    """
     call, place = b.round_calls.get(t.id), t.place
     joins = call is not None and call.joined < t.batch
     if call is not None and joins and (not cold(b, t) or may_join(b, t, call.joined)):
--- a/tests/reference/order.py
+++ b/tests/reference/order.py
@@ -1,4 +1,6 @@
-"""Which message goes next and where: the group rule, the one gate, the best target, the send."""
+"""Which message goes next and where: the group rule, the one gate, the best target, the
+send.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +20,14 @@
 TIMEOUT_CALLS = (
     6  # expected calls that an attempt may take, and its class's aim at least
 )
-RETRY_TIMES = 2  # after a time-out the next attempt may take so many times as long: the work may be long
+# after a time-out the next attempt may take so many times as long: the work may be long
+RETRY_TIMES = 2
 
 
 def release(b: Books) -> None:
-    """Release once: in the group rule's order, each to the best target whose gate is open."""
+    """Release once: in the group rule's order, each to the best target whose gate is
+    open.
+    """
     if b.calls_out < b.s.slots:
         shut: set[int] = (
             set()
@@ -41,7 +46,9 @@
 
 
 def appoint(b: Books, destination: int) -> None:
-    """When to look again at a destination where messages stay, whatever happens till then."""
+    """When to look again at a destination where messages stay, whatever happens till
+    then.
+    """
     now, pile = b.now, b.held.piles[destination].values()
     first_drop = min(b.drop_at(m) for m in pile)
     opens = min(
@@ -65,8 +72,10 @@
 
 
 def order(b: Books) -> Iterator[Message]:
-    """The group rule: the least time left and all within Gr of it first; in a group the shortest call.
-    Messages that have no open target, and whole destinations of these, are skipped."""
+    """The group rule: the least time left and all within Gr of it first; in a group the
+    shortest call. Messages that have no open target, and whole destinations of these,
+    are skipped.
+    """
     looks = sorted(
         d
         for d in (b.held.piles if b.jammed else b.looks & b.held.piles.keys())
@@ -103,7 +112,9 @@
 
 
 def preference(b: Books, m: Message, t: Target) -> tuple[float, ...]:
-    """Which open target is best: a sound one, a call already forming, a cheap one, a quiet one."""
+    """Which open target is best: a sound one, a call already forming, a cheap one, a
+    quiet one.
+    """
     fee = b.s.zone_fees.get(t.zone, 0.0) if t.apart else 0.0
     return (
         in_outage(t),
@@ -151,8 +162,10 @@
 
 
 def timeout(b: Books, m: Message, place: Place) -> int:
-    """How long an attempt may take. One after which there is no other is waited for till its end: of a
-    once-only message, or one that outlasts the window in which its key is known."""
+    """How long an attempt may take. One after which there is no other is waited for
+    till its end: of a once-only message, or one that outlasts the window in which its
+    key is known.
+    """
     left = m.due - b.now
     patience = max(
         m.cls.aim_us,
--- a/tests/reference/pair.py
+++ b/tests/reference/pair.py
@@ -1,4 +1,6 @@
-"""A dispatcher and its plain reference, given the same events: every round must come out the same."""
+"""A dispatcher and its plain reference, given the same events: every round must come
+out the same.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +15,18 @@
 
 
 def whole(actions: Iterable[i.Action]) -> list[tuple[Any, ...]]:
-    """Actions with all their fields, also those that do not count when they are compared."""
+    """Actions with all their fields, also those that do not count when they are
+    compared.
+    """
     return [
         (type(a).__name__, *(getattr(a, f.name) for f in fields(a))) for a in actions
     ]
 
 
 class Pair:
-    """What a world asks of a dispatcher is answered by both alike; `seen` counts what was reached."""
+    """What a world asks of a dispatcher is answered by both alike; `seen` counts what
+    was reached.
+    """
 
     def __init__(
         self,
--- a/tests/reference/state.py
+++ b/tests/reference/state.py
@@ -10,7 +10,8 @@
 
 from lemonshunt.interface import MessageClass
 
-# What a process that takes over is told of each record; the rest is in the journal or counted anew.
+# What a process that takes over is told of each record; the rest is in the journal or
+# counted anew.
 TARGET_KEPT = (
     "failing",
     "failed_at",
@@ -109,7 +110,9 @@
 
 @dataclass(slots=True)
 class Place:
-    """What shares a limit, a wait and a pace: a destination, or one route where routes are apart."""
+    """What shares a limit, a wait and a pace: a destination, or one route where routes
+    are apart.
+    """
 
     destination: int
     window: float
@@ -160,7 +163,9 @@
 
 @dataclass(slots=True)
 class Line:
-    """The messages of one key, in the order they were taken, and what still blocks the key."""
+    """The messages of one key, in the order they were taken, and what still blocks the
+    key.
+    """
 
     queue: deque[Message] = field(default_factory=deque)
     out: int = 0
--- a/tests/riders.py
+++ b/tests/riders.py
@@ -1,6 +1,8 @@
-"""Members, an operator and a clock for the tests of budgets and the shard map on the real service: members
-that lose answers, are cut off, die and come back. What may be done at any moment is counted here anew, from
-the answers that arrived and from the clocks."""
+"""Members, an operator and a clock for the tests of budgets and the shard map on the
+real service: members that lose answers, are cut off, die and come back. What may be
+done at any moment is counted here anew, from the answers that arrived and from the
+clocks.
+"""
 
 from __future__ import annotations
 
@@ -74,7 +76,9 @@
 
 
 class Process:
-    """A member as the pages say it behaves: it sends all that it may, and acts on all keys that it may."""
+    """A member as the pages say it behaves: it sends all that it may, and acts on all
+    keys that it may.
+    """
 
     def __init__(
         self, name: str, rate: float, clock: Clock, before: Process | None = None
@@ -103,7 +107,9 @@
         return self.token if self.token != NEVER else self.shown
 
     def most(self) -> int:
-        """Calls in a span that it may act on at this moment, or could if it were running."""
+        """Calls in a span that it may act on at this moment, or could if it were
+        running.
+        """
         return int(
             self.share["calls"] if self.own() < self.until else self.share["reserve"]
         )
--- a/tests/scripts.py
+++ b/tests/scripts.py
@@ -1,4 +1,6 @@
-"""Event scripts for the tests, and a checker of the rules that knows nothing of the module's insides."""
+"""Event scripts for the tests, and a checker of the rules that knows nothing of the
+module's insides.
+"""
 
 from __future__ import annotations
 
@@ -91,7 +93,9 @@
 
 
 class Script:
-    """Drives a dispatcher with random legal events, and asserts the rules on every action."""
+    """Drives a dispatcher with random legal events, and asserts the rules on every
+    action.
+    """
 
     def __init__(self, dispatcher: Dispatcher, known: i.Settings, seed: int) -> None:
         self.d, self.s, self.r = dispatcher, known, random.Random(seed)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,6 @@
-"""Loopback peers for the tests: targets, discovery and clients that do just what a test tells them."""
+"""Loopback peers for the tests: targets, discovery and clients that do just what a test
+tells them.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,8 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 20.0  # seconds that a test waits for an event before it fails; nothing asserts on speed
+# seconds that a test waits for an event before it fails; nothing asserts on speed
+PATIENCE = 20.0
 
 
 @dataclass
@@ -54,7 +57,9 @@
 
 
 class Peer:
-    """An HTTP server. Its handler answers, gives raw bytes, or None to end the connection unanswered."""
+    """An HTTP server. Its handler answers, gives raw bytes, or None to end the
+    connection unanswered.
+    """
 
     def __init__(self, handler: Handler) -> None:
         self.handler = handler
@@ -295,11 +300,15 @@
         self.listener: socket.socket | None = None
 
     def hold_listener(self) -> None:
-        """The platform holds the clients' listening socket, and every process inherits it."""
+        """The platform holds the clients' listening socket, and every process inherits
+        it.
+        """
         self.listener = socket.create_server(("127.0.0.1", self.port))
 
     async def beside(self) -> Node:
-        """The program once more, on the same folder, with another operators' address."""
+        """The program once more, on the same folder, with another operators'
+        address.
+        """
         other = copy.copy(self)
         other.admin, other.log = free_port(), []
         await other.spawn()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,5 +1,7 @@
-"""No list of processes, servers, destinations or records is cut below 1,024 entries, and the lists of the
-largest fleet (540 forwarders, 44,000 destinations, 10,000 budgets) are taken whole."""
+"""No list of processes, servers, destinations or records is cut below 1,024 entries,
+and the lists of the largest fleet (540 forwarders, 44,000 destinations, 10,000 budgets)
+are taken whole.
+"""
 
 from __future__ import annotations
 
@@ -553,7 +555,9 @@
 
 
 async def slowly(port: int) -> tuple[int, int]:
-    """Bytes that a reader with a small window took of the list, and the most that the service held for it."""
+    """Bytes that a reader with a small window took of the list, and the most that the
+    service held for it.
+    """
     loop, taken, most = asyncio.get_running_loop(), 0, 0
     ask = b"GET /discovery/hosts HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n"
     with socket.socket() as sock:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,6 @@
-"""Fleet-wide budgets: division against a slow model, the cores against recomputed spans, models searched."""
+"""Fleet-wide budgets: division against a slow model, the cores against recomputed
+spans, models searched.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +42,9 @@
 
 
 def poured(whole, needs, low):
-    """One call at a time to whoever has least of those who want more: max-min fair by definition."""
+    """One call at a time to whoever has least of those who want more: max-min fair by
+    definition.
+    """
     has = dict(low)
     for _ in range(whole - sum(low.values())):
         short = [m for m in sorted(needs) if has[m] < needs[m]]
@@ -74,7 +78,8 @@
         whole, sum(work.values())
     )
     assert got.scarce == any(work[m] and not got.shares[m] for m in needs)
-    # All demand in one part: member for member as if poured, but for who gets what is left over.
+    # All demand in one part: member for member as if poured, but for who gets what is
+    # left over.
     one = divide(
         whole, {m: {"": n} for m, n in work.items()}, {}, floors, least, {}, whole
     )
@@ -92,7 +97,9 @@
     st.dictionaries(st.sampled_from("abc"), st.integers(1, 6)),
 )
 def test_parts_share_by_weight(whole, told, weights):
-    """No part has more for its weight than one that wants more still, by above a call and the least parts."""
+    """No part has more for its weight than one that wants more still, by above a call
+    and the least parts.
+    """
     needs = {n: {part: calls} for n, (part, calls) in enumerate(told)}
     shares = divide(whole, needs, weights, {}, 1, {}).shares
     parts = sorted({part for part, _ in told})
@@ -109,7 +116,9 @@
 @settings(derandomize=True, deadline=None, max_examples=25)
 @given(st.integers(1, 6), st.integers(2, 12))
 def test_scarce_calls_go_in_turns(whole, members):
-    """In so many divisions as turns need everybody had one, and over many all had the same but for one."""
+    """In so many divisions as turns need everybody had one, and over many all had the
+    same but for one.
+    """
     needs = {n: {"": 5} for n in range(members)}
     had, credit = Counter(), {}
     rounds = -(-members // whole)
@@ -122,13 +131,16 @@
     assert max(had.values()) - min(had[m] for m in needs) <= 1
 
 
-# -- the cores together: a ledger and purses on clocks of their own, over a net that loses and delays --------
+# -- the cores together: a ledger and purses on clocks of their own, over a net that
+# loses and delays --------
 
 DRIFT, SPAN, SLACK, TTL = 0.1, 1_000, 30, 2_500
 
 
 class Fleet:
-    """True time in microseconds; each clock runs by its own rate. Every choice comes from `rng`."""
+    """True time in microseconds; each clock runs by its own rate. Every choice comes
+    from `rng`.
+    """
 
     def __init__(self, rng, names, whole, reserve, seats):
         self.rng, self.now, self.names, self.seats, self.reserve = (
@@ -247,8 +259,10 @@
             )
 
     def crash(self, name):
-        """Killed, ended with a record, or gone for good; the one that takes its folder over starts at once.
-        Or only stopped: a second one starts without its folder, and the first goes on later."""
+        """Killed, ended with a record, or gone for good; the one that takes its folder
+        over starts at once. Or only stopped: a second one starts without its folder,
+        and the first goes on later.
+        """
         purse, token, follows = self.procs[name]
         at = self.clock(name)
         how = self.rng.choice(["killed", "ended", "left", "stopped"])
@@ -318,8 +332,9 @@
             self.plan()
 
     def check(self):
-        """Every sliding span over all sends, against the most that the whole was in it, or a lease before.
-        Returns how full the fullest was."""
+        """Every sliding span over all sends, against the most that the whole was in it,
+        or a lease before. Returns how full the fullest was.
+        """
         sends, first, full = sorted(self.sent), 0, 0
         for n, at in enumerate(sends):
             while sends[first] <= at - SPAN:
@@ -394,8 +409,9 @@
 @settings(derandomize=True, deadline=None, max_examples=25)
 @given(RATE, RATE, st.booleans())
 def test_a_freed_part_waits_a_span_by_any_clock(sender, service, restart):
-    """The worst case: all is spent the moment before less is told, leaves as late as may be, is acknowledged
-    at once, and the next one sends as soon as it is told."""
+    """The worst case: all is spent the moment before less is told, leaves as late as
+    may be, is acknowledged at once, and the next one sends as soon as it is told.
+    """
     ledger, (a, b), (old, new) = pair()
     old.wanted, new.wanted = {"": 0}, {"": 9}
     acted(ledger, new, b, 0)
@@ -429,7 +445,9 @@
 
 
 def test_a_seat_waits_for_the_last_call_under_it():
-    """One reserve for two processes: it moves when the first left for good, and a window later."""
+    """One reserve for two processes: it moves when the first left for good, and a
+    window later.
+    """
     ledger, (a, b), (old, new) = pair(whole=1, reserve=1, seats=1)
     assert old.limit(0) == 1 and new.holds(b) is None
     assert old.spend(0)
@@ -444,7 +462,9 @@
 
 
 def test_a_restart_of_the_service_moves_nothing():
-    """Whoever is heard first must not take what the others hold and have not asked for again yet."""
+    """Whoever is heard first must not take what the others hold and have not asked for
+    again yet.
+    """
     ledger, (a, b), (_, new) = pair()
     again = restored([ledger.books["d"].budget], TTL, DRIFT, 0, snapshot(ledger), [])
     for token in (a, b):
@@ -454,7 +474,9 @@
 
 
 def test_what_a_member_holds_beyond_the_records_counts():
-    """The service restored from an older copy: a member holds what is not in it. It waits and counts that."""
+    """The service restored from an older copy: a member holds what is not in it. It
+    waits and counts that.
+    """
     ledger, (a, _), (old, _) = pair()
     copy = json.loads(json.dumps(snapshot(ledger)))
     copy["books"]["d"]["accounts"][0][4] = [[1, 1, 0]]
@@ -494,7 +516,9 @@
 
 
 def test_a_reserve_claimed_after_a_first_grant_counts_too():
-    """The claim came after the join, and a plan between: the process may never hear of its new share."""
+    """The claim came after the join, and a plan between: the process may never hear of
+    its new share.
+    """
     ledger, _, _ = pair(whole=9, reserve=1, seats=2)
     before, late = snapshot(ledger), Token(1, 3)
     ledger.joined(late, "f3", None, 0)
@@ -521,7 +545,9 @@
 
 
 def test_after_a_lost_folder_only_reserves_that_are_claimed_act():
-    """Nothing for a lease and a window, begun anew by a start within it; no new reserves until the word."""
+    """Nothing for a lease and a window, begun anew by a start within it; no new
+    reserves until the word.
+    """
     budgets = [Budget("d", 6, SPAN, 1, 3, loose=0.0, pause_us=0, slack_us=SLACK)]
     first = restored(budgets, TTL, DRIFT, 0, None, [])
     first.out(Token(1, 1), 0)
@@ -580,7 +606,9 @@
 
 
 def test_a_purse_forgets_on_the_safe_side():
-    """Far more calls than stamps are kept for: memory bounded, never over, late by a grain at most."""
+    """Far more calls than stamps are kept for: memory bounded, never over, late by a
+    grain at most.
+    """
     purse = Purse(-(10**9), 0.0)
     purse.told(Share(Token(1, 1), 1, 5_000, 0, 5_000, 1 << 20, 0), 10**12, 0)
     stamps = [
@@ -663,7 +691,8 @@
     assert all(f.startswith(p) for f, p in zip(caught.value.faults, paths, strict=True))
 
 
-# -- the model searched -------------------------------------------------------------------------------------
+# -- the model searched
+# -------------------------------------------------------------------------------------
 
 PLANTED = {
     "span not waited for": {},
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -178,7 +178,9 @@
 
 
 def test_one_time_out_alone_is_no_outage() -> None:
-    """i93776c: one long message put its target under the cold budget for the whole warming time."""
+    """i93776c: one long message put its target under the cold budget for the whole
+    warming time.
+    """
     d = started(ONE)
     out = sends(d.handle(0, [ask("a")]))
     d.handle(100 * MS, [end(out[0], OK)])
@@ -197,8 +199,10 @@
 
 
 def test_full_buffer_costs_the_largest_pile_what_comes_now() -> None:
-    """i93776c: one destination's pile filled the buffer and all others were turned away at the door. What was
-    taken on used to be handed back for what came; in a large fleet that is priced, and here it cost 0.03."""
+    """i93776c: one destination's pile filled the buffer and all others were turned away
+    at the door. What was taken on used to be handed back for what came; in a large
+    fleet that is priced, and here it cost 0.03.
+    """
     d = started(max_open=20)
     d.handle(0, [i.Recalled(f"r{n}", 10, "safe", 6 * S) for n in range(2)])
     d.handle(0, [ask(f"a{n}", due=6 * S) for n in range(13)] + [ask("b", 12)])
@@ -217,8 +221,10 @@
 def test_in_a_large_fleet_what_was_taken_on_is_kept_for_its_time(
     balancers: int, least: int
 ) -> None:
-    """Fresh ones in the pile make late ones give way, but what has not run and is handed back before seven
-    tenths of its time is priced there; what may have run is not."""
+    """Fresh ones in the pile make late ones give way, but what has not run and is
+    handed back before seven tenths of its time is priced there; what may have run is
+    not.
+    """
     d = started(ONE, balancers=balancers)
     first = sends(d.handle(0, [ask("ran"), ask("old")]))[0]
     d.handle(MS, [end(first, LATE, took=MS)])
@@ -359,7 +365,9 @@
 
 
 def test_silent_call_is_recalled_once_later_ones_are_answered() -> None:
-    """It used to be waited for till its time-out, and its target then held to be out."""
+    """It used to be waited for till its time-out, and its target then held to be
+    out.
+    """
     d = started(ONE, may_cancel=True)
     first = sends(d.handle(0, [ask(f"m{n}") for n in range(30)]))[0]
     silent, other = sends(d.handle(100 * MS, [end(first, OK)]))
@@ -393,7 +401,9 @@
 
 
 def test_a_message_that_timed_out_is_waited_for_twice_as_long() -> None:
-    """One whose work is long used to be cut at the same point by every attempt until its time was up."""
+    """One whose work is long used to be cut at the same point by every attempt until
+    its time was up.
+    """
     d = started(ONE)
     first = sends(d.handle(0, [ask("a", due=30 * S, cls="safe")]))[0]
     later = d.handle(first.timeout_us, [end(first, LATE, took=first.timeout_us)])
@@ -407,7 +417,9 @@
 def test_detached_target_is_out_whatever_the_list_says_and_comes_back_as_new(
     sick: bool,
 ) -> None:
-    """One that was in an outage when it was taken out is warmed: we had learned of it."""
+    """One that was in an outage when it was taken out is warmed: we had learned of
+    it.
+    """
     two = (
         i.TargetEntry(1, 10, "north", "plain"),
         i.TargetEntry(2, 10, "north", "plain"),
@@ -480,7 +492,9 @@
 
 
 def test_late_ones_give_way_where_fresh_ones_near_their_aims() -> None:
-    """In a pile that moves too slowly, by deadline, everything went out when little of its worth was left."""
+    """In a pile that moves too slowly, by deadline, everything went out when little of
+    its worth was left.
+    """
     d = started(ONE)
     out = sends(d.handle(0, [ask("out")]))
     d.handle(0, [end(out[0], FULL, wait_us=60 * S)])
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,6 @@
-"""Rule 4 for a fleet: what all forwarders send to a destination that comes back cold, and what bounds it."""
+"""Rule 4 for a fleet: what all forwarders send to a destination that comes back cold,
+and what bounds it.
+"""
 
 from __future__ import annotations
 
@@ -88,7 +90,9 @@
 
 @pytest.mark.parametrize("told", [True, False])
 def test_a_turn_is_as_much_longer_as_there_are_forwarders(told: bool) -> None:
-    """It used to be at most fall_us, or eight times the age of the outage: 200 then called within 3 s."""
+    """It used to be at most fall_us, or eight times the age of the outage: 200 then
+    called within 3 s.
+    """
     turns = []
     for forwarders in (30, 60, 200):
         d = dispatcher(balancers=forwarders, weights_told=told)
@@ -115,7 +119,9 @@
 
 
 def test_endpoints_that_share_a_limit_share_the_turns() -> None:
-    """Each of them used to be called as often as one alone where the budget is small."""
+    """Each of them used to be called as often as one alone where the budget is
+    small.
+    """
     alone, three = dispatcher(), dispatcher(entries=3)
     for d in (alone, three):
         d.handle(0, [i.OutageRecalled(n, 0) for n in d.targets])
@@ -133,7 +139,9 @@
 
 
 def test_restarted_forwarders_do_not_call_in_step() -> None:
-    """All of them used to call one whole turn after the moment in which they recalled the outage."""
+    """All of them used to call one whole turn after the moment in which they recalled
+    the outage.
+    """
     first = []
     for seed in range(40):
         d = dispatcher(seed, balancers=40)
@@ -160,7 +168,9 @@
 
 
 def test_after_a_long_turn_the_first_success_does_not_make_it_warm() -> None:
-    """Half way back to the last failure is long before the return where turns are long."""
+    """Half way back to the last failure is long before the return where turns are
+    long.
+    """
     d = dispatcher(balancers=200)
     d.handle(0, [i.OutageRecalled(1, 0)])
     t, now = d.targets[1], 0
@@ -186,7 +196,9 @@
 
 
 def test_few_messages_join_a_call_to_a_target_that_is_warming() -> None:
-    """A batch of any size used to leave at once; each further message of a call weighs a little."""
+    """A batch of any size used to leave at once; each further message of a call weighs
+    a little.
+    """
     d = warming(balancers=30, weight=40.0)
     assert len(sends(d.handle(S, [ask(f"m{n}") for n in range(9)]))) == 1
     d = warming(balancers=1, weight=40.0)
@@ -205,7 +217,9 @@
 def test_in_a_fleet_what_shares_a_limit_shares_its_outage(
     balancers: int, free: bool
 ) -> None:
-    """Outages mostly take all that share a limit; messages of the first used to go over to the others."""
+    """Outages mostly take all that share a limit; messages of the first used to go over
+    to the others.
+    """
     d = dispatcher(entries=2, balancers=balancers, weight=400.0)
     out = sends(d.handle(3 * S, [ask("m", due=30 * S)]))[0]
     told = d.handle(4 * S, [end(out, FAILED, took=S)])
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -1,5 +1,7 @@
-"""Two events of one call in the same moment, over loopback sockets. The target is a plain socket in the
-test's own thread: nothing happens at it but what the test does, also while the program stands still."""
+"""Two events of one call in the same moment, over loopback sockets. The target is a
+plain socket in the test's own thread: nothing happens at it but what the test does,
+also while the program stands still.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +32,9 @@
 
 
 class Target:
-    """A listening socket; what is done on its connections blocks the test, and the program with it."""
+    """A listening socket; what is done on its connections blocks the test, and the
+    program with it.
+    """
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -70,8 +74,9 @@
 
 
 def ended(side: socket.socket, patience_s: float = 1.0) -> bool:
-    """Whether the program has ended its side. The loop stands still meanwhile: what it has only put down for
-    its next turn does not count."""
+    """Whether the program has ended its side. The loop stands still meanwhile: what it
+    has only put down for its next turn does not count.
+    """
     if not readable(side, patience_s):
         return False
     try:
@@ -194,8 +199,10 @@
 def test_call_given_up_has_left_its_connection_before_its_end_is_told(
     how: str, target: Target, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The round that hears of the end may send the copy in the very next turn, ahead of a close that was only
-    put down for that turn: a second copy while the first is out on an open connection."""
+    """The round that hears of the end may send the copy in the very next turn, ahead of
+    a close that was only put down for that turn: a second copy while the first is out
+    on an open connection.
+    """
     monkeypatch.setattr(client, "WHOLE_S", 0.01)
 
     async def scene() -> None:
@@ -260,7 +267,9 @@
 def test_end_between_the_last_look_and_the_write_may_have_run(
     rested: bool, target: Target
 ) -> None:
-    """A half-close takes what is written after it: nothing here tells that nobody reads it."""
+    """A half-close takes what is written after it: nothing here tells that nobody reads
+    it.
+    """
 
     async def scene() -> None:
         s = Scene(target)
@@ -285,7 +294,9 @@
 def test_connection_that_breaks_as_it_comes_up_carries_no_call(
     how: str, target: Target, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A target that holds only so many accepts and lets go: what is known before the write never ran."""
+    """A target that holds only so many accepts and lets go: what is known before the
+    write never ran.
+    """
 
     async def scene() -> None:
         s = Scene(target)
@@ -361,8 +372,9 @@
 def test_answer_before_the_request_is_written_ends_its_connection(
     answer: bytes, outcome: Outcome, target: Target
 ) -> None:
-    """What is left of the request must not follow, else a call that was turned away starts after all, and the
-    next one's bytes come behind it."""
+    """What is left of the request must not follow, else a call that was turned away
+    starts after all, and the next one's bytes come behind it.
+    """
 
     async def scene() -> None:
         s = Scene(target)
@@ -423,8 +435,9 @@
 def test_answer_that_lies_unread_goes_before_giving_up(
     answer: bytes, outcome: Outcome | None, how: str, target: Target
 ) -> None:
-    """A message is delivered once its first line with 200 was written to the forwarder, also where the loop
-    was busy and has not read it."""
+    """A message is delivered once its first line with 200 was written to the forwarder,
+    also where the loop was busy and has not read it.
+    """
 
     async def scene() -> None:
         s = Scene(target)
@@ -483,7 +496,9 @@
 
 @pytest.mark.parametrize("how", ["time-out", "cancel"])
 def test_end_that_was_read_goes_before_giving_up(how: str, target: Target) -> None:
-    """An answer without a length is whole by it; the transport tells of it in the next turn."""
+    """An answer without a length is whole by it; the transport tells of it in the next
+    turn.
+    """
 
     async def scene() -> None:
         s = Scene(target)
@@ -729,7 +744,9 @@
 
 
 def test_answers_ahead_begin_no_answer(target: Target) -> None:
-    """A target may say at once that it has the request, and answer when the work is done."""
+    """A target may say at once that it has the request, and answer when the work is
+    done.
+    """
 
     async def scene() -> None:
         s = Scene(target)
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -1,7 +1,9 @@
-"""Crossings of what clients do (leave, half-close, come again) with a message's steps, forced over loopback.
+"""Crossings of what clients do (leave, half-close, come again) with a message's steps,
+forced over loopback.
 
-Rounds are the test's to make, and so is the journal's sync where there is one: what a client does stands
-before, between or behind them."""
+Rounds are the test's to make, and so is the journal's sync where there is one: what a
+client does stands before, between or behind them.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +57,9 @@
 
 
 class Scene:
-    """A forwarder in the test's loop, with its endpoint. It makes no round by itself."""
+    """A forwarder in the test's loop, with its endpoint. It makes no round by
+    itself.
+    """
 
     def __init__(
         self, platform: Platform, endpoint: Endpoint, peer: Peer, run: Running
@@ -245,7 +249,9 @@
 def test_message_whose_client_leaves_while_its_record_is_synced_is_gone_before_it_is_refused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """A process killed just then must not find it again, as its client may have handed it in elsewhere."""
+    """A process killed just then must not find it again, as its client may have handed
+    it in elsewhere.
+    """
     sync = powered(monkeypatch)
 
     async def scene(s: Scene) -> None:
@@ -292,7 +298,9 @@
 def test_same_id_while_the_first_is_taken_back_is_refused_and_taken_on_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It used to be answered as taken on, by the record of the first that was about to go."""
+    """It used to be answered as taken on, by the record of the first that was about to
+    go.
+    """
     sync = powered(monkeypatch)
 
     async def scene(s: Scene) -> None:
--- a/tests/test_crossing_door.py
+++ b/tests/test_crossing_door.py
@@ -1,4 +1,6 @@
-"""Bad input at the door: an error or a close in time, bounded memory, and nothing of it taken on."""
+"""Bad input at the door: an error or a close in time, bounded memory, and nothing of it
+taken on.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +31,9 @@
 
 
 class Door(Server):
-    """A server whose clock stands until the test moves it, and that sweeps when the test says so."""
+    """A server whose clock stands until the test moves it, and that sweeps when the
+    test says so.
+    """
 
     def __init__(self, most: int = 100) -> None:
         self.now, self.taken, self.joins = 1_000_000_000, [], 0
@@ -87,7 +91,9 @@
 
 
 def test_each_longest_way_to_an_error_or_a_close_fits_into_what_is_owed() -> None:
-    """The sums that stand beside the constants, with a fifth of a second for a loop that is late."""
+    """The sums that stand beside the constants, with a fifth of a second for a loop
+    that is late.
+    """
     room = OWED_US - 200_000
     assert door.SILENT_US + SWEEP_US <= room
     assert door.STALLED_US + SWEEP_US <= room
@@ -117,8 +123,9 @@
 def test_a_first_request_that_stands_half_read_has_its_error_within_3_s_of_connecting(
     says: bytes, goes_on: bytes, begins_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It begins as late as a silent connection may, goes on byte by byte, and each sweep comes just short of
-    a limit: the clock for its error runs from connecting."""
+    """It begins as late as a silent connection may, goes on byte by byte, and each
+    sweep comes just short of a limit: the clock for its error runs from connecting.
+    """
 
     async def scene(server: Door) -> None:
         _, writer, side = await server.connect()
@@ -146,8 +153,9 @@
 def test_a_client_that_asks_without_end_and_reads_nothing_is_let_go_before_its_answers_pile_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each request is answered, and none of the answers is taken: what waits for it stays bounded, and its
-    connection ends."""
+    """Each request is answered, and none of the answers is taken: what waits for it
+    stays bounded, and its connection ends.
+    """
 
     async def scene(server: Door) -> None:
         kept = await server.connect()
@@ -175,7 +183,9 @@
 def test_who_reads_late_still_has_all_its_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Some requests at once, as no client should send them: each has its answer, in order."""
+    """Some requests at once, as no client should send them: each has its answer, in
+    order.
+    """
 
     async def scene(server: Door) -> None:
         reader, writer, _ = await server.connect()
@@ -318,8 +328,9 @@
 def test_what_is_spoilt_has_an_error_at_once_and_nothing_of_it_or_behind_it_is_taken_on(
     in_pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whole and in two pieces that are read apart; behind each stands a good message that only who reads it
-    wrong would see. What was refused so ends its connection."""
+    """Whole and in two pieces that are read apart; behind each stands a good message
+    that only who reads it wrong would see. What was refused so ends its connection.
+    """
 
     async def scene(server: Door) -> None:
         passed = {}
@@ -347,8 +358,9 @@
 def test_what_is_whole_and_wrong_has_an_error_at_once_and_is_not_taken_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Where such a request ends is beyond doubt: its connection may go on, and a good message behind it is
-    one of its own."""
+    """Where such a request ends is beyond doubt: its connection may go on, and a good
+    message behind it is one of its own.
+    """
 
     async def scene(server: Door) -> None:
         passed = {}
@@ -364,7 +376,9 @@
 
 
 async def first_line(reader: asyncio.StreamReader) -> bytes:
-    """Empty where the connection was closed: behind one that goes on sending, by a reset."""
+    """Empty where the connection was closed: behind one that goes on sending, by a
+    reset.
+    """
     with suppress(ConnectionError):
         async with asyncio.timeout(PATIENCE):
             return await reader.readline()
@@ -400,7 +414,9 @@
 def test_what_stands_behind_a_spoilt_request_is_not_read_and_what_stands_before_it_has_its_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The spoilt one is read while the message before it waits for its answer: the answers come in order."""
+    """The spoilt one is read while the message before it waits for its answer: the
+    answers come in order.
+    """
 
     async def scene(server: Holding) -> None:
         reader, writer, side = await server.connect()
@@ -428,7 +444,9 @@
 def test_requests_ahead_are_few_however_many_come_in_one_piece(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One message waits for its answer, and behind it as many requests as one read can hold."""
+    """One message waits for its answer, and behind it as many requests as one read can
+    hold.
+    """
 
     async def scene(server: Holding) -> None:
         reader, writer, side = await server.connect()
@@ -469,7 +487,9 @@
 def test_who_goes_on_sending_behind_its_error_is_read_for_so_many_bytes_and_so_long_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing of it is kept; the clock stands for the one that sends much, and moves for the slow one."""
+    """Nothing of it is kept; the clock stands for the one that sends much, and moves
+    for the slow one.
+    """
 
     async def scene(server: Door) -> None:
         reader, writer, much = await server.connect()
@@ -502,7 +522,9 @@
 def test_peers_that_send_much_and_go_leave_nothing_behind(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each sends a large piece of something and goes in the same moment, some by a reset."""
+    """Each sends a large piece of something and goes in the same moment, some by a
+    reset.
+    """
 
     async def scene(server: Door) -> None:
         kept = await server.connect()
@@ -540,8 +562,10 @@
 def test_what_many_bad_clients_send_at_once_costs_little_memory_and_others_are_served(
     tmp_path: Path,
 ) -> None:
-    """The process stands still while each bad client sends as much as the system takes; then it goes on, and
-    all of it lies there at once. Good clients come in the middle and behind them."""
+    """The process stands still while each bad client sends as much as the system takes;
+    then it goes on, and all of it lies there at once. Good clients come in the middle
+    and behind them.
+    """
 
     async def scene() -> None:
         platform = Platform()
@@ -598,7 +622,9 @@
 def test_half_a_request_with_its_end_behind_it_is_closed_at_once(
     says: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the client's side comes before its request's, so nothing more can come. The clock stands."""
+    """The end of the client's side comes before its request's, so nothing more can
+    come. The clock stands.
+    """
 
     async def scene(server: Door) -> None:
         reader, writer, _ = await server.connect()
--- a/tests/test_crossing_handover.py
+++ b/tests/test_crossing_handover.py
@@ -1,4 +1,6 @@
-"""Crossings at a hand-over: each of two events that meet in one moment, in the order that a test forces."""
+"""Crossings at a hand-over: each of two events that meet in one moment, in the order
+that a test forces.
+"""
 
 from __future__ import annotations
 
@@ -116,7 +118,9 @@
 def test_new_process_that_asks_while_the_disk_fails_costs_no_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It asks every 50 ms: each time what was being dialed was cut, until the message had no attempt left."""
+    """It asks every 50 ms: each time what was being dialed was cut, until the message
+    had no attempt left.
+    """
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         peer = await target(platform, always(OK))
@@ -155,8 +159,10 @@
 def test_old_process_serves_between_two_tries_of_a_new_one_that_is_too_slow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A new one that takes long to read the journal asked again after 50 ms, and the old one stood still
-    nearly all the time; and as each try had the same time, none came to its end."""
+    """A new one that takes long to read the journal asked again after 50 ms, and the
+    old one stood still nearly all the time; and as each try had the same time, none
+    came to its end.
+    """
     now = [100.0]
     monkeypatch.setattr(
         "lemonshunt.net.handover.time", SimpleNamespace(monotonic=lambda: now[0])
@@ -188,7 +194,9 @@
 def test_clients_of_an_ending_old_process_are_answered_when_the_new_one_dies(
     tmp_path: Path,
 ) -> None:
-    """Nobody answered them: the old process had given all away, and ended with their connections open."""
+    """Nobody answered them: the old process had given all away, and ended with their
+    connections open.
+    """
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         await target(platform, always(OK))
@@ -206,7 +214,8 @@
         kept = Store(folder, 3_000_000)
         kept.take(Taken("taken", "pay", 7, 10**16, None, "acme", b""))
         kept.flush()
-        kept.let_go()  # it is in the journal, and the new process dies before it says so
+        # it is in the journal, and the new process dies before it says so
+        kept.let_go()
         assert successor.link.transport is not None
         successor.link.transport.abort()
         lock.release()
@@ -222,8 +231,9 @@
 def test_wait_told_while_the_old_process_syncs_its_last_round_binds_the_new_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Under `power`. The outcome was journaled, but its wait and what it taught of the target reached neither
-    process's module: the new one called again at once."""
+    """Under `power`. The outcome was journaled, but its wait and what it taught of the
+    target reached neither process's module: the new one called again at once.
+    """
     hands = Hands()
     monkeypatch.setattr("lemonshunt.net.engine.sync_thread", lambda: hands)
 
@@ -281,7 +291,9 @@
 def test_new_class_is_known_at_the_old_process_s_door_after_sighup(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its kept connections are asked once more each; a class of the new file was answered 404 there."""
+    """Its kept connections are asked once more each; a class of the new file was
+    answered 404 there.
+    """
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         await target(platform, always(OK))
@@ -313,7 +325,9 @@
 def test_what_comes_while_all_stands_still_goes_on_at_the_new_process(
     tmp_path: Path,
 ) -> None:
-    """Between hold and give: a request, one whose client leaves, and a drain that the old one never heard."""
+    """Between hold and give: a request, one whose client leaves, and a drain that the
+    old one never heard.
+    """
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         drained, up = (
@@ -379,7 +393,9 @@
 def test_sigterm_at_the_old_process_while_it_stands_still_ends_the_talk(
     tmp_path: Path,
 ) -> None:
-    """It goes on as if not asked, answers, and refuses who asks again; the new one waits for its journal."""
+    """It goes on as if not asked, answers, and refuses who asks again; the new one
+    waits for its journal.
+    """
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         peer = await target(platform, always(OK))
@@ -405,7 +421,9 @@
 def test_repeat_window_of_a_call_out_at_the_old_process_counts_from_its_first_byte(
     tmp_path: Path,
 ) -> None:
-    """Told late and as cut, it may have run when it was sent, and not when the hand-over was."""
+    """Told late and as cut, it may have run when it was sent, and not when the
+    hand-over was.
+    """
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         peer = await target(platform, gated(asyncio.Event()))
@@ -434,7 +452,9 @@
 def test_operators_call_during_the_hold_takes_effect_at_the_new_process(
     tmp_path: Path,
 ) -> None:
-    """It was told to the new one before that counted itself as serving, and turned away with 503."""
+    """It was told to the new one before that counted itself as serving, and turned away
+    with 503.
+    """
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         await target(platform, always(OK))
@@ -456,7 +476,9 @@
 def test_sigterm_at_both_waits_at_the_new_one_for_what_the_old_one_has_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The new one had no call of its own out and ended: the old one's outcome had nobody to be told to."""
+    """The new one had no call of its own out and ended: the old one's outcome had
+    nobody to be told to.
+    """
     monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.05)
     monkeypatch.setattr("lemonshunt.net.stopping.FREEZE_S", 0.05)
     monkeypatch.setattr("lemonshunt.net.stopping.EXIT_S", 15.0)
@@ -488,7 +510,9 @@
 
 
 class Stub:
-    """Stands for the engine: what the program does with signals and the file around it."""
+    """Stands for the engine: what the program does with signals and the file around
+    it.
+    """
 
     made: list[Stub]
     ends: list[bool]
@@ -528,7 +552,9 @@
 def test_file_changed_while_the_new_process_waits_for_the_journal_is_what_it_serves_by(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """SIGHUP went to the old process, after the new one had read its file: the settings were lost with it."""
+    """SIGHUP went to the old process, after the new one had read its file: the settings
+    were lost with it.
+    """
     path = tmp_path / "config.json"
     told = {
         "name": "n0",
@@ -553,7 +579,9 @@
 def test_sigterm_while_a_process_waits_to_begin_again_ends_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was told to the engine that had ended, and the process served on until SIGKILL."""
+    """It was told to the engine that had ended, and the process served on until
+    SIGKILL.
+    """
     waits: list[int] = []
 
     async def claims(lock: Any, folder: Path) -> None:
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -1,4 +1,6 @@
-"""Connections that are idle, come up late or wait at the last gate, and what crosses their next call."""
+"""Connections that are idle, come up late or wait at the last gate, and what crosses
+their next call.
+"""
 
 from __future__ import annotations
 
@@ -93,7 +95,9 @@
 def test_next_call_takes_no_connection_that_its_answer_ended(
     answer: bytes, end: bool, target: Target
 ) -> None:
-    """The next call starts in the turn after the answer, before its end could be read."""
+    """The next call starts in the turn after the answer, before its end could be
+    read.
+    """
 
     async def scene() -> None:
         s = Scene(target)
@@ -182,7 +186,9 @@
 def test_room_is_made_by_the_connection_idle_longest_and_by_none_in_use(
     target: Target,
 ) -> None:
-    """Descriptors are short: a call goes back unsent rather than cut one that is out."""
+    """Descriptors are short: a call goes back unsent rather than cut one that is
+    out.
+    """
 
     async def scene() -> None:
         s = Scene(target)
@@ -232,7 +238,9 @@
 
 
 class Gate:
-    """Holds dials: before their connection is asked for, or once it is up and nobody was told."""
+    """Holds dials: before their connection is asked for, or once it is up and nobody
+    was told.
+    """
 
     def __init__(self, up: bool) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -1,5 +1,7 @@
-"""Two events that cross at the list: a watch that goes silent against each other step, late answers, versions
-that go back, answers that end with their connection, and no descriptor left for the dial."""
+"""Two events that cross at the list: a watch that goes silent against each other step,
+late answers, versions that go back, answers that end with their connection, and no
+descriptor left for the dial.
+"""
 
 from __future__ import annotations
 
@@ -91,7 +93,9 @@
 
 
 def scripted(*answers: bytes | None | Callable[[Request], bytes | None]) -> Handler:
-    """These in turn, whatever connection asks; then watches are held until they are given up."""
+    """These in turn, whatever connection asks; then watches are held until they are
+    given up.
+    """
     left = list(answers)
 
     async def handler(request: Request) -> bytes | None:
@@ -117,8 +121,9 @@
 def test_silence_right_after_an_answer_or_half_of_one_opens_the_watch_anew(
     cut: bytes, after: int, pushed: bool
 ) -> None:
-    """In its first second or later: the call after it comes on a connection of its own, from the version
-    before, and what the silent one says then is nobody's answer."""
+    """In its first second or later: the call after it comes on a connection of its own,
+    from the version before, and what the silent one says then is nobody's answer.
+    """
 
     async def scene() -> None:
         def late(request: Request) -> bytes:
@@ -149,7 +154,9 @@
 def test_an_answer_that_came_in_the_turn_of_sighups_move_is_not_of_the_new_address() -> (
     None
 ):
-    """The bytes are here, the watch has not been woken yet, and then the signal moves it."""
+    """The bytes are here, the watch has not been woken yet, and then the signal moves
+    it.
+    """
 
     async def scene() -> None:
         old = await Peer(scripted(UP, answer(listing(2, ("s1", "draining"))))).start()
@@ -178,7 +185,9 @@
 
 @pytest.mark.parametrize("first", [SILENT, HALF, None])
 def test_silence_during_sighups_move_at_both_addresses(first: bytes | None) -> None:
-    """The old watch is silent, the first call at the new address is too, and the old one speaks late."""
+    """The old watch is silent, the first call at the new address is too, and the old
+    one speaks late.
+    """
 
     async def scene() -> None:
         def late(request: Request) -> bytes:
@@ -205,7 +214,9 @@
 def test_a_watch_that_ended_in_a_stop_tells_nothing_and_no_sighup_begins_it_anew() -> (
     None
 ):
-    """An answer has come in the turn of the pause; then the configuration names another address."""
+    """An answer has come in the turn of the pause; then the configuration names another
+    address.
+    """
 
     async def scene() -> None:
         old = await Peer(scripted(UP, SILENT)).start()
@@ -219,7 +230,8 @@
         assert heard.watch.task is None
         await old.until(lambda: old.closed == 1)
         assert heard.told == [(1, {"s1": "up"})]
-        heard.watch.subscribe()  # the new process is gone: this one goes on, where it was told to
+        # the new process is gone: this one goes on, where it was told to
+        heard.watch.subscribe()
         await heard.until(lambda: len(heard.told) == 2)
         assert paths(new)[0] == ""
         heard.watch.pause()
@@ -230,7 +242,9 @@
 def test_a_stop_and_its_taking_back_in_one_turn_leave_the_fresh_watch_its_connection() -> (
     None
 ):
-    """The call that was cancelled ends after the fresh one began, and closes no connection but its own."""
+    """The call that was cancelled ends after the fresh one began, and closes no
+    connection but its own.
+    """
 
     async def scene() -> None:
         peer = await Peer(scripted(UP, SILENT, DRAINED)).start()
@@ -248,7 +262,9 @@
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_a_dial_that_does_not_come_up_is_made_again(pushed: bool) -> None:
-    """The machine takes no connection (its backlog is full) while the fresh watch dials; then it does."""
+    """The machine takes no connection (its backlog is full) while the fresh watch
+    dials; then it does.
+    """
 
     async def scene() -> None:
         listener = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -281,7 +297,9 @@
 def test_changes_of_a_version_that_went_back_are_not_built_on(
     watched: bool, hosts: tuple[tuple[str, str], ...], pushed: bool
 ) -> None:
-    """Discovery was restored: what came after is gone there, and changes to it say nothing of our list."""
+    """Discovery was restored: what came after is gone there, and changes to it say
+    nothing of our list.
+    """
 
     async def scene() -> None:
         ours = answer(listing(43, ("s1", "draining"), ("s2", "up")))
@@ -337,7 +355,9 @@
 
 
 def test_a_list_that_cannot_be_booked_is_asked_for_again() -> None:
-    """Whatever is wrong with it, the asking went on before only where the answer could not be read."""
+    """Whatever is wrong with it, the asking went on before only where the answer could
+    not be read.
+    """
 
     async def scene() -> None:
         peer = await Peer(scripted(UP, DRAINED, DRAINED)).start()
@@ -396,7 +416,9 @@
 def test_each_form_of_an_answer_is_heard_also_where_the_connection_ends_with_it(
     bytes_: bytes, last: bool
 ) -> None:
-    """Indented, chunked, told to be the last, and with no length but the connection's end."""
+    """Indented, chunked, told to be the last, and with no length but the connection's
+    end.
+    """
 
     async def scene() -> None:
         def write(request: Request) -> bytes | None:
@@ -425,7 +447,9 @@
 def test_a_list_cut_off_by_its_connections_end_is_asked_for_again_and_not_believed(
     cut: bytes,
 ) -> None:
-    """The call is made once more on another connection; where that is cut off too, it has failed."""
+    """The call is made once more on another connection; where that is cut off too, it
+    has failed.
+    """
 
     async def scene() -> None:
         def write(request: Request) -> None:
@@ -442,7 +466,9 @@
 
 
 def test_bytes_that_nobody_asked_for_do_not_begin_the_next_answer() -> None:
-    """Half of a second answer comes between two calls, the rest of it with the next answer."""
+    """Half of a second answer comes between two calls, the rest of it with the next
+    answer.
+    """
 
     async def scene() -> None:
         stray = answer(b"stray")
@@ -596,7 +622,9 @@
 def test_a_silent_connections_descriptor_goes_to_the_one_after_it_and_to_no_client() -> (
     None
 ):
-    """Discovery says nothing, and whatever descriptor comes free is taken at once by clients that rest."""
+    """Discovery says nothing, and whatever descriptor comes free is taken at once by
+    clients that rest.
+    """
 
     async def scene() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -630,7 +658,9 @@
 
 
 def test_an_answer_of_no_use_costs_no_connection() -> None:
-    """An error status, garbage and a version that went back: the next call goes on the same one."""
+    """An error status, garbage and a version that went back: the next call goes on the
+    same one.
+    """
 
     async def scene() -> None:
         steps = [
@@ -654,8 +684,9 @@
 def test_a_target_removed_and_added_again_at_another_address_gets_its_calls_there(
     tmp_path: Path, form: str, rests: bool
 ) -> None:
-    """Within one answer; the connection to the old address rests, or has its call out. Whose the address is
-    by now nobody knows."""
+    """Within one answer; the connection to the old address rests, or has its call out.
+    Whose the address is by now nobody knows.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         gate = asyncio.Event()
@@ -717,7 +748,9 @@
 def test_a_stop_does_not_wait_for_a_silent_watch_or_a_silent_post(
     tmp_path: Path,
 ) -> None:
-    """The watch and the notice are out and unanswered; SIGTERM, then SIGHUP with another address."""
+    """The watch and the notice are out and unanswered; SIGTERM, then SIGHUP with
+    another address.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(Answer(500)))
--- a/tests/test_crossing_notices.py
+++ b/tests/test_crossing_notices.py
@@ -1,5 +1,6 @@
-"""Two events that cross at a notice: its answer lost, late or from another connection, a move, a stop, and a
-200 of the call that was given up."""
+"""Two events that cross at a notice: its answer lost, late or from another connection,
+a move, a stop, and a 200 of the call that was given up.
+"""
 
 from __future__ import annotations
 
@@ -77,8 +78,10 @@
 
 
 def test_a_post_that_falls_silent_leaves_time_for_another() -> None:
-    """From the constants: one silent post and one that ended in an error stay under what is overdue, also
-    with the loop's own time; a platform that is slow all the time is waited for ever longer."""
+    """From the constants: one silent post and one that ended in an error stay under
+    what is overdue, also with the loop's own time; a platform that is slow all the time
+    is waited for ever longer.
+    """
     assert notice_within_s() <= OVERDUE_S - 0.05
     assert [Notices.patience_s(n) / NOTICE_ANSWER_S for n in range(3)] == [1, 1, 2]
     assert Notices.patience_s(10**6) == NOTICE_PATIENCE_S > 4 * NOTICE_ANSWER_S
@@ -92,8 +95,9 @@
 def test_a_notice_whose_204_is_lost_is_posted_again_before_it_is_overdue(
     lost: Step, kept: bool
 ) -> None:
-    """On a kept connection or a new one: silent, half a first line, ended, refused, spoilt. A silent post was
-    waited for for 2.5 s."""
+    """On a kept connection or a new one: silent, half a first line, ended, refused,
+    spoilt. A silent post was waited for for 2.5 s.
+    """
 
     async def scene() -> None:
         steps = [TAKEN, lost] if kept else [lost]
@@ -122,7 +126,9 @@
 
 
 def test_the_late_204_of_a_silent_connection_acknowledges_no_other_post() -> None:
-    """The first post's answer comes while the second, which tells one more end, is out."""
+    """The first post's answer comes while the second, which tells one more end, is
+    out.
+    """
 
     async def scene() -> None:
         def late(request: Request) -> bytes:
@@ -166,7 +172,9 @@
 
 
 def test_a_move_in_the_turn_of_the_204_posts_again_at_the_new_address() -> None:
-    """The answer is here, the post has not been woken, and SIGHUP moves it: a notice twice does no harm."""
+    """The answer is here, the post has not been woken, and SIGHUP moves it: a notice
+    twice does no harm.
+    """
 
     async def scene() -> None:
         old, new = await platform_that(SILENT), await platform_that(TAKEN)
@@ -231,7 +239,9 @@
 def test_a_post_with_no_descriptor_left_is_made_again_soon(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Idle clients hold them all; room is made, and the next post is there within the longest pause."""
+    """Idle clients hold them all; room is made, and the next post is there within the
+    longest pause.
+    """
 
     async def scene() -> None:
         peer = await platform_that(TAKEN)
@@ -270,8 +280,10 @@
 def test_a_200_that_comes_after_its_message_was_given_up_makes_no_second_end(
     tmp_path: Path, post: str
 ) -> None:
-    """A once-only message's time is up and its notice is posted; in that moment its endpoint answers 200.
-    The notice is its end, it is sent no more, and the connection carries no other call."""
+    """A once-only message's time is up and its notice is posted; in that moment its
+    endpoint answers 200. The notice is its end, it is sent no more, and the connection
+    carries no other call.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         posted = asyncio.Event()
@@ -330,7 +342,9 @@
 def test_a_key_waits_for_the_notice_that_is_answered_and_not_for_the_one_that_was_lost(
     tmp_path: Path, lost: bytes | None
 ) -> None:
-    """The first of a key ends by a notice whose 204 is lost: it is over once the second post is answered."""
+    """The first of a key ends by a notice whose 204 is lost: it is over once the second
+    post is answered.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         answered, gate = asyncio.Event(), asyncio.Event()
--- a/tests/test_crossing_restart.py
+++ b/tests/test_crossing_restart.py
@@ -1,4 +1,6 @@
-"""A restart, an end and a record, each crossing what it can: forced, and not left to chance."""
+"""A restart, an end and a record, each crossing what it can: forced, and not left to
+chance.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +51,9 @@
 def go_on(
     d: Dispatcher, now: int, out: list[i.Send], until: int
 ) -> tuple[list[str], list[Final]]:
-    """Calls are answered in 20 ms. Returns what was sent and what was given up, in its order."""
+    """Calls are answered in 20 ms. Returns what was sent and what was given up, in its
+    order.
+    """
     sent: list[str] = [s.message for s in out]
     given: list[Final] = []
     while now < until:
@@ -69,7 +73,9 @@
 def test_what_a_restart_finds_untried_has_its_call_though_fresh_ones_near_their_aims(
     balancers: int,
 ) -> None:
-    """Late by the restart, it used to make way in a jam with over half of its time left: given up untried."""
+    """Late by the restart, it used to make way in a jam with over half of its time
+    left: given up untried.
+    """
     now = 50 * S
     d = Dispatcher(settings(balancers=balancers), 7, now)
     told = [
@@ -106,7 +112,9 @@
 def test_what_a_restart_finds_is_not_taken_for_a_burst_beyond_its_tenant_s_share() -> (
     None
 ):
-    """It came over seconds. Counted as come at once, it went behind all others, and was given up untried."""
+    """It came over seconds. Counted as come at once, it went behind all others, and was
+    given up untried.
+    """
     now = 50 * S
     d = Dispatcher(settings(balancers=1), 7, now)
     told = [
@@ -133,7 +141,9 @@
 
 
 class Site:
-    """Two destinations, discovery and one engine that can be killed at a moment that a test picks."""
+    """Two destinations, discovery and one engine that can be killed at a moment that a
+    test picks.
+    """
 
     def __init__(self, folder: Path, power: bool = False, **first: object) -> None:
         self.folder, self.power, self.port = folder, power, free_port()
@@ -180,7 +190,9 @@
                 await asyncio.sleep(0.002)
 
     async def kill(self) -> None:
-        """As SIGKILL: what is out is cut, and from here on nothing is written or told."""
+        """As SIGKILL: what is out is cut, and from here on nothing is written or
+        told.
+        """
         e = self.engine
         assert e is not None
         e.closed = e.frozen = True
@@ -209,7 +221,9 @@
         )
 
     async def passes(self, name: str) -> None:
-        """A message of another key went all the way: what could go before it had its chance."""
+        """A message of another key went all the way: what could go before it had its
+        chance.
+        """
         assert await self.hand_in(name, "turns", 8, X_Session_Key=name) == 202
         await self.until(lambda: self.came(name))
 
@@ -252,7 +266,9 @@
 def test_each_record_is_in_the_file_before_what_it_precedes_leaves(
     tmp_path: Path, power: bool
 ) -> None:
-    """Killed at any moment after an answer, a call or a notice, a start finds what they promise."""
+    """Killed at any moment after an answer, a call or a notice, a start finds what they
+    promise.
+    """
 
     async def scene(site: Site) -> None:
         seen: list[tuple[str, bool]] = []
@@ -396,7 +412,9 @@
 def test_a_key_waits_for_the_end_of_the_one_before_by_whatever_way(
     tmp_path: Path, way: str
 ) -> None:
-    """The second may go as soon as the first is over, and goes to another destination, whose way is free."""
+    """The second may go as soon as the first is over, and goes to another destination,
+    whose way is free.
+    """
     gate, lost = asyncio.Event(), [way == "its 204 lost"]
 
     async def side(request: Request) -> Answer | None:
@@ -463,7 +481,9 @@
 
 
 def test_a_key_rests_after_a_call_that_was_cut_by_a_kill(tmp_path: Path) -> None:
-    """It may still run: the next of its key leaves a rest later than the start, and the same one as well."""
+    """It may still run: the next of its key leaves a rest later than the start, and the
+    same one as well.
+    """
 
     async def scene(site: Site) -> None:
         await site.start()
@@ -489,8 +509,10 @@
 def test_what_is_taken_back_after_its_end_frees_its_key(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Given up while its record was synced, and its client gone meanwhile: nobody is told of an end, so
-    nothing may go on waiting for that to arrive. Its key used to stand still until the next start."""
+    """Given up while its record was synced, and its client gone meanwhile: nobody is
+    told of an end, so nothing may go on waiting for that to arrive. Its key used to
+    stand still until the next start.
+    """
     hands = Hands()
 
     async def scene() -> None:
@@ -542,8 +564,10 @@
 def test_a_disk_that_stays_full_does_not_use_up_attempts_that_make_no_call(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each try that could not leave for want of its record counts as an attempt. At a steady pace all were
-    spent in a second and a half, and what had never been called was given up."""
+    """Each try that could not leave for want of its record counts as an attempt. At a
+    steady pace all were spent in a second and a half, and what had never been called
+    was given up.
+    """
 
     async def scene() -> None:
         e = engine(tmp_path)
@@ -644,8 +668,9 @@
 def test_an_answer_after_the_freeze_is_in_the_journal_that_the_next_start_reads(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answer: Answer, told: list[str]
 ) -> None:
-    """Nothing new is sent any more, and what is out still ends: delivered is over, and what may have run is
-    ended by the next process and not sent again."""
+    """Nothing new is sent any more, and what is out still ends: delivered is over, and
+    what may have run is ended by the next process and not sent again.
+    """
     monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.0)
     monkeypatch.setattr("lemonshunt.net.stopping.FREEZE_S", 0.0)
     monkeypatch.setattr("lemonshunt.net.stopping.EXIT_S", PATIENCE)
@@ -684,8 +709,10 @@
 def test_a_call_whose_dial_is_out_at_the_exit_is_sent_by_the_next_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has surely not run. Left open in the journal it counted as one that may have, and a once-only
-    message was failed with no call; a dial that came up in the last moments was even used."""
+    """It has surely not run. Left open in the journal it counted as one that may have,
+    and a once-only message was failed with no call; a dial that came up in the last
+    moments was even used.
+    """
     monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.0)
     monkeypatch.setattr("lemonshunt.net.stopping.FREEZE_S", 0.0)
     monkeypatch.setattr("lemonshunt.net.stopping.EXIT_S", 0.0)
@@ -763,8 +790,9 @@
 def test_an_end_that_the_engine_gives_itself_holds_its_key_until_it_is_told(
     tmp_path: Path,
 ) -> None:
-    """Its watch ends what is past its time with no end. A late 200 came then, and the next of the key went
-    while the notice was still on its way."""
+    """Its watch ends what is past its time with no end. A late 200 came then, and the
+    next of the key went while the notice was still on its way.
+    """
     gate = asyncio.Event()
 
     async def side(request: Request) -> Answer:
--- a/tests/test_crossing_stopping.py
+++ b/tests/test_crossing_stopping.py
@@ -1,5 +1,7 @@
-"""Crossings of a shutdown with what clients send, forced over loopback: the clients' sockets are written to
-and reset between two turns of the loop, so that the system has it and the forwarder has not read it."""
+"""Crossings of a shutdown with what clients send, forced over loopback: the clients'
+sockets are written to and reset between two turns of the loop, so that the system has
+it and the forwarder has not read it.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +31,9 @@
 
 
 class Caller:
-    """A client's socket: what it says is in the forwarder's buffer at once, with no turn between."""
+    """A client's socket: what it says is in the forwarder's buffer at once, with no
+    turn between.
+    """
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port))
@@ -513,7 +517,9 @@
 
 
 class Running:
-    """An engine in the test's own loop, so that a test can put its steps where it wants them."""
+    """An engine in the test's own loop, so that a test can put its steps where it wants
+    them.
+    """
 
     def __init__(self, folder: Path, platform: Platform, **more: Any) -> None:
         self.engine = engine(folder, platform, **more)
@@ -560,8 +566,10 @@
 
 
 def test_message_that_comes_in_the_turn_of_the_end_is_answered(tmp_path: Path) -> None:
-    """Behind the last step, and before the process goes on to its end, the loop may still run a client's
-    turn. What came then was taken in, never decided on, and cut."""
+    """Behind the last step, and before the process goes on to its end, the loop may
+    still run a client's turn. What came then was taken in, never decided on, and
+    cut.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
@@ -620,8 +628,9 @@
 def test_call_whose_connection_comes_up_after_the_freeze_never_leaves_and_is_tried_by_the_next(
     tmp_path: Path, step: str
 ) -> None:
-    """Sent a moment before the end, or left in the journal as out, it may have run: a message that must not
-    run twice was then given up with no call."""
+    """Sent a moment before the end, or left in the journal as out, it may have run: a
+    message that must not run twice was then given up with no call.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
--- a/tests/test_crossing_talk.py
+++ b/tests/test_crossing_talk.py
@@ -1,4 +1,6 @@
-"""Crossings in the talk of two processes at a hand-over: the link, the lock, who asks and who is gone."""
+"""Crossings in the talk of two processes at a hand-over: the link, the lock, who asks
+and who is gone.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +19,9 @@
 
 
 async def until(test: Any) -> None:
-    """Let the loop go on until it is so; bounded, and nothing hangs on how long it takes."""
+    """Let the loop go on until it is so; bounded, and nothing hangs on how long it
+    takes.
+    """
     async with asyncio.timeout(20):
         while not test():
             await asyncio.sleep(0.001)
@@ -60,7 +64,9 @@
 def test_outcome_told_right_before_the_old_process_died_is_read_though_a_write_to_it_fails() -> (
     None
 ):
-    """A failed write used to end the link before its last lines were read: a payment delivered had failed."""
+    """A failed write used to end the link before its last lines were read: a payment
+    delivered had failed.
+    """
 
     async def scene() -> None:
         successor, engine = Successor(), Taker()
@@ -124,7 +130,9 @@
 def test_request_told_before_the_engine_was_there_is_withdrawn_when_the_old_process_dies() -> (
     None
 ):
-    """The new process hears the list before it serves: what was told meanwhile was taken on for nobody."""
+    """The new process hears the list before it serves: what was told meanwhile was
+    taken on for nobody.
+    """
 
     async def scene() -> None:
         successor, engine = Successor(), Taker()
@@ -190,7 +198,9 @@
 def test_one_that_asks_while_the_engine_stills_for_another_that_has_gone_is_refused() -> (
     None
 ):
-    """The first one's end let the engine go on, with the second told what it knew: both would have sent."""
+    """The first one's end let the engine go on, with the second told what it knew: both
+    would have sent.
+    """
 
     async def scene() -> None:
         giver = Giver()
@@ -215,7 +225,9 @@
 
 
 def test_process_that_has_given_all_away_gives_nothing_a_second_time() -> None:
-    """The new one goes, and the next asks before the old one has begun again from the journal."""
+    """The new one goes, and the next asks before the old one has begun again from the
+    journal.
+    """
 
     async def scene() -> None:
         giver = Giver()
@@ -265,8 +277,9 @@
 def test_yes_of_an_old_process_that_is_slow_to_give_is_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It used to be given up after 2 s, in which the old one may have given: both then began anew, and the
-    old one could take all back."""
+    """It used to be given up after 2 s, in which the old one may have given: both then
+    began anew, and the old one could take all back.
+    """
     asyncio.run(late_yes(tmp_path, monkeypatch))
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,6 @@
-"""Descriptors: what a flood of clients may hold at most, and what the others keep for themselves."""
+"""Descriptors: what a flood of clients may hold at most, and what the others keep for
+themselves.
+"""
 
 from __future__ import annotations
 
@@ -66,9 +68,11 @@
 def test_a_burst_of_connections_stays_within_the_bound_in_every_turn(
     says: bytes,
 ) -> None:
-    """Many accepts fall into one turn of the loop, and a connection that makes room keeps its descriptor
-    until the next: each newcomer needs one of its own to go. Those count as well that were refused and are
-    read on for a while, and those that are closing."""
+    """Many accepts fall into one turn of the loop, and a connection that makes room
+    keeps its descriptor until the next: each newcomer needs one of its own to go. Those
+    count as well that were refused and are read on for a while, and those that are
+    closing.
+    """
 
     class Counting(Server):
         joins = 0
@@ -102,8 +106,10 @@
 def test_half_requests_that_fill_the_door_make_room_for_who_comes_with_whole_ones(
     others: int,
 ) -> None:
-    """All but those that had an answer before stand half read. `/up` is asked on new connections: it is
-    answered, those go that never got to a whole request, and who was there before stays."""
+    """All but those that had an answer before stand half read. `/up` is asked on new
+    connections: it is answered, those go that never got to a whole request, and who was
+    there before stays.
+    """
 
     async def scene() -> None:
         now = [1_000_000_000]
@@ -138,8 +144,10 @@
 def test_connections_that_rest_after_an_answer_push_out_nobody_who_was_not_read_yet() -> (
     None
 ):
-    """The door is full of connections that were served and rest. A client comes and asks in the same moment,
-    and more come behind it before its request can have been read."""
+    """The door is full of connections that were served and rest. A client comes and
+    asks in the same moment, and more come behind it before its request can have been
+    read.
+    """
 
     async def scene() -> None:
         server = Server(
@@ -181,8 +189,10 @@
 
 
 class Flood:
-    """Connections that say nothing, blank lines, half a request, or were served once and rest. They stay
-    until they are closed, and come anew each time that the test says so."""
+    """Connections that say nothing, blank lines, half a request, or were served once
+    and rest. They stay until they are closed, and come anew each time that the test
+    says so.
+    """
 
     def __init__(self, port: int) -> None:
         self.port, self.socks = port, list[socket.socket]()
@@ -228,9 +238,10 @@
 def test_idle_clients_take_no_descriptor_of_discovery_notices_journal_and_calls(
     silent: bool, tmp_path: Path
 ) -> None:
-    """The process may hold just what its configuration says, the door is full and stays so, discovery is
-    down. `/up`, hand-ins, calls and a new journal file go on; the list and the notices are had again on the
-    return."""
+    """The process may hold just what its configuration says, the door is full and stays
+    so, discovery is down. `/up`, hand-ins, calls and a new journal file go on; the list
+    and the notices are had again on the return.
+    """
 
     async def scene() -> None:
         platform = Platform()
@@ -278,7 +289,9 @@
 def test_a_burst_at_the_operators_address_stays_within_its_bound_in_every_turn() -> (
     None
 ):
-    """It holds few descriptors, and those of its own: else operators' calls would take the others'."""
+    """It holds few descriptors, and those of its own: else operators' calls would take
+    the others'.
+    """
 
     async def scene() -> None:
         admin = Admin()
@@ -304,8 +317,10 @@
 def test_the_shares_leave_what_all_others_hold_and_a_third_for_requests(
     sockets: int, tmp_path: Path
 ) -> None:
-    """The sum that stands beside the constants: clients and those that come while room is made, calls, the
-    operators' address, and one descriptor each of everything else, all at once."""
+    """The sum that stands beside the constants: clients and those that come while room
+    is made, calls, the operators' address, and one descriptor each of everything else,
+    all at once.
+    """
 
     async def scene() -> None:
         engine = engine_on(tmp_path, sockets)
@@ -404,9 +419,11 @@
 def test_a_new_journal_file_that_gets_no_descriptor_costs_no_message(
     power: bool, fails_at: str, tmp_path: Path
 ) -> None:
-    """The two events: the journal has grown so far that it is written anew, and the process has no
-    descriptor. What was taken on stays, also over a kill in that moment; nothing new is promised that is not
-    kept; and once there is a descriptor again, all is as before."""
+    """The two events: the journal has grown so far that it is written anew, and the
+    process has no descriptor. What was taken on stays, also over a kill in that moment;
+    nothing new is promised that is not kept; and once there is a descriptor again, all
+    is as before.
+    """
     files, jobs = FewFiles(), list[Callable[[], None]]()
 
     def worker(job: Callable[[], None], done: Callable[[OSError | None], None]) -> None:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,6 @@
-"""The explorer itself: it visits all there is, stops at the shortest breach, and says how far it went."""
+"""The explorer itself: it visits all there is, stops at the shortest breach, and says
+how far it went.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,9 @@
 
 
 class TwoAtOneDoor:
-    """Two who look at a flag before they go in. Without a lock between look and step both may be in."""
+    """Two who look at a flag before they go in. Without a lock between look and step
+    both may be in.
+    """
 
     def __init__(self, locked: bool = False) -> None:
         self.locked = locked
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -1,4 +1,6 @@
-"""The forwarder as a member of a fleet: the real program beside a scripted fleet address."""
+"""The forwarder as a member of a fleet: the real program beside a scripted fleet
+address.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +48,9 @@
 
 
 class Service(Peer):
-    """The list service's fleet address, as far as one member sees it: it does what a test tells it."""
+    """The list service's fleet address, as far as one member sees it: it does what a
+    test tells it.
+    """
 
     def __init__(self) -> None:
         super().__init__(self.answer)
@@ -334,8 +338,9 @@
 
 
 def test_a_successor_goes_by_what_was_kept(tmp_path: Path) -> None:
-    """Kept in order: what is left of the span goes at once. After a crash or another boot a window passes.
-    What cannot be written lets nothing leave."""
+    """Kept in order: what is left of the span goes at once. After a crash or another
+    boot a window passes. What cannot be written lets nothing leave.
+    """
     share = {
         "calls": 6,
         "number": 5,
@@ -446,7 +451,9 @@
 
 
 def test_changes_are_heard_and_answered_at_once(tmp_path: Path) -> None:
-    """A third of this lease is more than the test's patience: no beat here waited for it."""
+    """A third of this lease is more than the test's patience: no beat here waited for
+    it.
+    """
 
     async def scene(platform: Platform, service: Service, folder: Path) -> None:
         service.ttl_ms = 120_000
@@ -615,7 +622,9 @@
 
 @pytest.mark.parametrize("idle", [False, True])
 def test_the_last_gate_stands_right_before_the_first_byte(idle: bool) -> None:
-    """Also on a new connection, and for one that is held for a moment. None counts as sent that was not."""
+    """Also on a new connection, and for one that is held for a moment. None counts as
+    sent that was not.
+    """
 
     async def scene() -> None:
         ends: list[i.Ended] = []
@@ -722,8 +731,9 @@
 def test_a_share_lets_go_what_its_sliding_span_allows_and_says_when(
     steps: list[tuple[Any, ...]],
 ) -> None:
-    """Against the slow count, with a span below the grains (exact): the same yes and no, and the moment told
-    is the first yes, unless something else is told before."""
+    """Against the slow count, with a span below the grains (exact): the same yes and
+    no, and the moment told is the first yes, unless something else is told before.
+    """
     known: dict[int, shares.Share] = {}
     now, slow, span = 1_000, Slow(), 20
     shares.told(known, now, i.Shares(7, 2, span, 1_050, 1))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,6 @@
-"""A new version under load: two real processes on one folder and one listening socket."""
+"""A new version under load: two real processes on one folder and one listening
+socket.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +32,9 @@
 from tests.test_operate import classes
 
 LONG = {"aim_us": 30_000_000}
-"""No call times out before its test is over, however slow the machine: a second one is no plain new try."""
+"""No call times out before its test is over, however slow the machine: a second one is
+no plain new try.
+"""
 
 
 async def first_on(
@@ -138,7 +142,8 @@
         await early.got(1)
         await old.shows(lambda f: f["open_requests"] == 2)
         new = await second(old)
-        gate.set()  # a wait told over a call that the old process had out binds the new one
+        # a wait told over a call that the old process had out binds the new one
+        gate.set()
         old.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(PATIENCE):
             await old.process.wait()
@@ -305,7 +310,9 @@
 def test_old_process_that_dies_before_it_answers_leaves_its_journal(
     tmp_path: Path,
 ) -> None:
-    """One that does nothing, neither answers nor ends, keeps the journal: the new one waits for its death."""
+    """One that does nothing, neither answers nor ends, keeps the journal: the new one
+    waits for its death.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -96,7 +96,9 @@
 
 
 def test_every_bit_of_a_last_record_s_first_half_is_told_from_a_torn_write() -> None:
-    """Taken for torn, an attempt that has left would be cut, and a once-only message go twice."""
+    """Taken for torn, an attempt that has left would be cut, and a once-only message go
+    twice.
+    """
     data = made(new("a"), record("a", "a", 0, 5, "s1"))
     last = list(f.scan(data).frames)[-1]
     for bit in range(8 * last.at, 8 * last.end):
@@ -107,7 +109,9 @@
 
 
 def test_bytes_that_look_like_a_frame_are_not_read_as_one() -> None:
-    """A body may hold a copy of this very file, and its record may be the damaged one."""
+    """A body may hold a copy of this very file, and its record may be the damaged
+    one.
+    """
     inner = made(new("evil"), record("x", "a"), record("x", "a"))
     data = bytearray(made(new("a"), new("b", body=inner), new("c")))
     at = bytes(data).index(b'"b"')
@@ -136,7 +140,9 @@
 
 
 def test_zeros_at_the_end_are_a_sign_of_damage_but_under_power() -> None:
-    """Synced bytes do not turn to zeros; what was only written may do so when the machine goes down."""
+    """Synced bytes do not turn to zeros; what was only written may do so when the
+    machine goes down.
+    """
     state, report = look(made(new("a")) + bytes(100))
     assert report.gaps and state.messages["a"].doubt
     state, report = look(made(new("a"), head=HEAD._replace(flags=f.POWER)) + bytes(100))
--- a/tests/test_killed.py
+++ b/tests/test_killed.py
@@ -1,4 +1,6 @@
-"""The real program, killed again and again, with real clients, endpoints and list on loopback."""
+"""The real program, killed again and again, with real clients, endpoints and list on
+loopback.
+"""
 
 from __future__ import annotations
 
@@ -93,7 +95,8 @@
                     try:
                         status, _ = await node.hand_in(name, cls, **more)
                     except (OSError, asyncio.IncompleteReadError):
-                        continue  # killed before its answer: nobody was promised anything
+                        # killed before its answer: nobody was promised anything
+                        continue
                     if status == 202:
                         accepted[name] = cls
                         if key:
@@ -325,7 +328,9 @@
 
 
 def test_ready_comes_before_the_old_work_is_done(tmp_path: Path) -> None:
-    """A thousand overdue messages, and a discovery that takes no notices: a fresh message is delivered."""
+    """A thousand overdue messages, and a discovery that takes no notices: a fresh
+    message is delivered.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
@@ -373,7 +378,9 @@
 def test_a_client_that_leaves_during_the_sync_has_handed_nothing_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It may hand the message in elsewhere: sent on from here too, it would go twice."""
+    """It may hand the message in elsewhere: sent on from here too, it would go
+    twice.
+    """
     from tests.disk import Hands
 
     hands = Hands()
@@ -436,7 +443,9 @@
 def test_what_a_restart_could_double_does_not_leave_without_its_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cls: str, leaves: bool
 ) -> None:
-    """On a full disk a once-only call used to leave without its record: killed then, it went twice."""
+    """On a full disk a once-only call used to leave without its record: killed then, it
+    went twice.
+    """
 
     async def scene() -> None:
         e = engine(tmp_path)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,6 @@
-"""The fleet lab: its checker against a simple model, its file check, its proxy, and one real small fleet."""
+"""The fleet lab: its checker against a simple model, its file check, its proxy, and one
+real small fleet.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +23,8 @@
 EFFECTS = {"pay": "once", "status": "repeatable"}
 DEADLINES = {"pay": 10**9, "status": 10**9}
 
-# A message: its class, each try's answer and the 200s under that try's id, and a notice or not.
+# A message: its class, each try's answer and the 200s under that try's id, and a notice
+# or not.
 Try = tuple[int, int]
 Message = tuple[str, list[Try], bool]
 message = st.tuples(
@@ -178,7 +181,9 @@
 
 
 async def through(state: str) -> tuple[bytes | str, bytes | str]:
-    """What a client reads through a link in ``state``, and then once the link has healed."""
+    """What a client reads through a link in ``state``, and then once the link has
+    healed.
+    """
     peer = await asyncio.start_server(echo, "127.0.0.1", 0)
     link = await Link(
         "t", "127.0.0.1", peer.sockets[0].getsockname()[1], seed=1
@@ -218,7 +223,8 @@
     assert asyncio.run(through(state)) == seen
 
 
-# One session, at home at f0, which stays up: today a session whose forwarder dies may lose its order.
+# One session, at home at f0, which stays up: today a session whose forwarder dies may
+# lose its order.
 SMALL = """
 name = "small"
 duration_s = 2
--- a/tests/test_lab_verdict.py
+++ b/tests/test_lab_verdict.py
@@ -1,5 +1,7 @@
-"""The lab's verdicts on the parts: each check against a slow model or planted breaches; the nemesis' rules;
-sweeps that breach, hang and are interrupted; the list relay and the bound on connections."""
+"""The lab's verdicts on the parts: each check against a slow model or planted breaches;
+the nemesis' rules; sweeps that breach, hang and are interrupted; the list relay and the
+bound on connections.
+"""
 
 from __future__ import annotations
 
@@ -127,7 +129,9 @@
 
 
 def clean() -> Records:
-    """Two forwarders, everything in order: what every planted breach below starts from."""
+    """Two forwarders, everything in order: what every planted breach below starts
+    from.
+    """
     made: Records = []
     for n in range(6):
         key, at, cls = f"k{n}", n * 400 * MS, "feed" if n < 4 else "pay"
@@ -515,7 +519,8 @@
     assert (lines, gate.figures()) == ([1], {"most": 2, "most_open": 2, "refused": 2})
 
 
-# A run of a sweep, played by a stand-in: what it writes and how it ends hangs on its seed.
+# A run of a sweep, played by a stand-in: what it writes and how it ends hangs on its
+# seed.
 RUN = """
 import json, os, signal, subprocess, sys, time
 from pathlib import Path
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,6 @@
-"""Leases: the table against a slow obvious model, holder and guard under late answers, all of it searched."""
+"""Leases: the table against a slow obvious model, holder and guard under late answers,
+all of it searched.
+"""
 
 from __future__ import annotations
 
@@ -59,7 +61,9 @@
 
 
 class Slow:
-    """The service by the words of docs/parts/lease.md alone: name -> holder, token, ttl, end, revoked."""
+    """The service by the words of docs/parts/lease.md alone: name -> holder, token,
+    ttl, end, revoked.
+    """
 
     def __init__(self) -> None:
         self.held: dict[str, list] = {}
@@ -91,7 +95,9 @@
 
 
 class Service:
-    """The table with a folder: a snapshot as of some record, and the log lines after the one before it."""
+    """The table with a folder: a snapshot as of some record, and the log lines after
+    the one before it.
+    """
 
     def __init__(self) -> None:
         self.table, self.old, self.log = (
@@ -112,7 +118,8 @@
             self.table, self.log = Table(TERMS), []
         else:
             lines = self.log[: len(self.log) // 2] if folder == "older" else self.log
-            # A crash between the new snapshot and the log's cut: lines are replayed over what has them.
+            # A crash between the new snapshot and the log's cut: lines are replayed
+            # over what has them.
             self.table = Table.restored(
                 json.loads(lines[-1][1] if lines else self.old), TERMS
             )
@@ -203,7 +210,8 @@
                 )
                 assert real.table.epoch > seen.epoch or not ahead
             else:
-                # Where the clock was set back too, what was granted has to be told by one who saw it.
+                # Where the clock was set back too, what was granted has to be told by
+                # one who saw it.
                 hint, behind = hint + 100, 0
                 was_unsure = real.table.unsure
                 real.start(now, rest[0], hint if rest[1] else 0)
@@ -390,7 +398,8 @@
             served[name] = number
         except Refused as error:
             assert error.status == 409 and error.seen > Token(1, number)
-            # A name that is known is refused for its own sake only; any other for a name it made room for.
+            # A name that is known is refused for its own sake only; any other for a
+            # name it made room for.
             assert number < served[name] or error.seen == guard.floor
         assert len(guard.snapshot()["seen"]) <= 2
 
@@ -412,7 +421,8 @@
 
 @pytest.mark.parametrize("bug", BUGS)
 def test_the_search_finds_each_planted_bug(bug: str) -> None:
-    # Only where the clock gives no hint does a lost folder rest on what is told, so that a lift is missed.
+    # Only where the clock gives no hint does a lost folder rest on what is told, so
+    # that a lift is missed.
     found = explore(
         Leases(
             bug,
--- a/tests/test_list_told_in_time.py
+++ b/tests/test_list_told_in_time.py
@@ -1,5 +1,7 @@
-"""A change to the list binds 6 s after discovery had it, and 4 s after SIGHUP: the sum of the longest way by
-the constants, and the watch with the module on a clock that the test moves."""
+"""A change to the list binds 6 s after discovery had it, and 4 s after SIGHUP: the sum
+of the longest way by the constants, and the watch with the module on a clock that the
+test moves.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +38,9 @@
 
 
 class Jumps(selectors.DefaultSelector):
-    """Waits on sockets as ever, but where nothing comes it lets the loop's clock jump to its next timer."""
+    """Waits on sockets as ever, but where nothing comes it lets the loop's clock jump
+    to its next timer.
+    """
 
     now = 0.0
 
@@ -48,7 +52,9 @@
 
 
 def in_virtual_time(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """On a clock of the loop's own: seconds of waiting pass at once, and a busy machine takes none."""
+    """On a clock of the loop's own: seconds of waiting pass at once, and a busy machine
+    takes none.
+    """
     jumps = Jumps()
     loop = asyncio.SelectorEventLoop(jumps)
     loop.time = lambda: jumps.now  # type: ignore[method-assign]
@@ -61,7 +67,9 @@
 
 
 class Rig:
-    """The watch and the module as the engine joins them: rounds, timers, and the list in the module."""
+    """The watch and the module as the engine joins them: rounds, timers, and the list
+    in the module.
+    """
 
     def __init__(self, where: Address, pushed: bool, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -140,8 +148,10 @@
 
 
 class Agent:
-    """Discovery's agent: answers `left` in turn, then what it has. A watch is held for its time and silence
-    is an answer of no bytes; a call's answer comes as late as it may where `slow`."""
+    """Discovery's agent: answers `left` in turn, then what it has. A watch is held for
+    its time and silence is an answer of no bytes; a call's answer comes as late as it
+    may where `slow`.
+    """
 
     def __init__(self) -> None:
         self.left: list[Answer | bytes | None] = []
@@ -179,7 +189,8 @@
         discovery.SPREAD * discovery.PUSHED_PAUSE_S if pushed else ASK_MOST_US / SECOND
     )
     assert told_within_s(pushed) >= held + 3 * (pause + answer)
-    # A watch continues only where the next call comes within 200 ms, and counts for 2 s after its wait.
+    # A watch continues only where the next call comes within 200 ms, and counts for 2 s
+    # after its wait.
     assert discovery.LEAST_WATCH_S <= 0.1
     assert discovery.HOLD_MS / 1000 + 2.0 <= TOLD_S
 
@@ -209,7 +220,9 @@
 
 @pytest.mark.parametrize("failures", range(11))
 def test_the_modules_pause_is_the_same_at_any_number_of_failures(failures: int) -> None:
-    """It doubled, from 0.5 to 4 s and as much again by chance: over the 6 s on its own."""
+    """It doubled, from 0.5 to 4 s and as much again by chance: over the 6 s on its
+    own.
+    """
     for seed in range(20):
         known = settings(SETTINGS)
         dispatcher, now = Dispatcher(known, seed, 0), 0
@@ -239,8 +252,10 @@
 def test_a_change_reaches_the_module_in_time_on_the_longest_way(
     pushed: bool, failures: int, last: str
 ) -> None:
-    """So many failures, then one good answer; the watch after it goes silent, and discovery gets the drain in
-    that moment. The next call is silent, the one after is spoilt, the last is as late as it may."""
+    """So many failures, then one good answer; the watch after it goes silent, and
+    discovery gets the drain in that moment. The next call is silent, the one after is
+    spoilt, the last is as late as it may.
+    """
     spoilt: dict[str, Answer | bytes | None] = {
         "status": Answer(503),
         "half": HALF,
@@ -284,7 +299,9 @@
 def test_an_agent_that_was_silent_is_heard_at_once_on_its_return(
     pushed: bool, silent: float
 ) -> None:
-    """However many calls it left unanswered, what it has then is heard within a call, a pause, a call."""
+    """However many calls it left unanswered, what it has then is heard within a call, a
+    pause, a call.
+    """
 
     async def scene() -> None:
         agent = Agent()
@@ -325,7 +342,9 @@
 def test_after_sighup_the_new_address_is_heard_in_time(
     pushed: bool, first: Answer | bytes | None, second: Answer | bytes | None
 ) -> None:
-    """Two calls there that fail as late as they may; the module may be pausing after failures of before."""
+    """Two calls there that fail as late as they may; the module may be pausing after
+    failures of before.
+    """
 
     async def scene() -> None:
         old, new = Agent(), Agent()
--- a/tests/test_live_work.py
+++ b/tests/test_live_work.py
@@ -1,5 +1,7 @@
-"""What the forwarder does regularly (its watch over ends, the line that sums up, the demand of a beat, the
-collector) finds all that a walk over every message finds, and does not grow with the messages held."""
+"""What the forwarder does regularly (its watch over ends, the line that sums up, the
+demand of a beat, the collector) finds all that a walk over every message finds, and
+does not grow with the messages held.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,6 @@
-"""Many forwarders that each see little: what is divided among them, and what all do at once. Scripts only."""
+"""Many forwarders that each see little: what is divided among them, and what all do at
+once. Scripts only.
+"""
 
 import random
 
@@ -15,7 +17,9 @@
     i.Outcome.TIMED_OUT,
     i.Outcome.FAILED,
 )
-COLD_CALLS = 6.0  # 10 calls a second x 0.2 cold x factor 2 x 1.5 s: what a cold target 1 can take in fall_us
+# 10 calls a second x 0.2 cold x factor 2 x 1.5 s: what a cold target 1 can take in
+# fall_us
+COLD_CALLS = 6.0
 TOLD = (i.TargetEntry(1, 10, "north", "plain", weight=10.0),)
 
 
@@ -34,7 +38,9 @@
 
 
 def failing(number: int, outcome: i.Outcome, until: int, **more: object) -> list[int]:
-    """When each call goes out while every call ends the same way at once, a message held all the time."""
+    """When each call goes out while every call ends the same way at once, a message
+    held all the time.
+    """
     times: list[int] = []
     for n, d in enumerate(fleet(number)):
         start = n * 7 * MS % (2 * S)
@@ -58,8 +64,9 @@
 
 
 def served(number: int, limit: int, until: int, times: float = 4.0) -> int:
-    """Calls delivered by a target that takes `limit` calls a second, and counts those too that it refuses,
-    while so many times the messages come for it that it takes."""
+    """Calls delivered by a target that takes `limit` calls a second, and counts those
+    too that it refuses, while so many times the messages come for it that it takes.
+    """
     chance = random.Random(1)
     each = times * limit * 20 * MS / S / number
     forwarders = fleet(number)
@@ -93,7 +100,9 @@
 def test_cold_budget_holds_for_all_forwarders_together(
     number: int, outcome: i.Outcome
 ) -> None:
-    """Rule 4: whenever after 12 s the target returns, what the informed send stays about its cold budget."""
+    """Rule 4: whenever after 12 s the target returns, what the informed send stays
+    about its cold budget.
+    """
     times = failing(number, outcome, 20 * S)
     assert times, "none tried at all"
     holders = (
@@ -109,13 +118,17 @@
 def test_refused_calls_leave_a_limit_that_counts_them_in_use(
     number: int, times: float, least: float
 ) -> None:
-    """Routes that count refused calls delivered nothing for 10 s: all came back for each refusal, and began
-    and grew so fast that what came near the limit went over it."""
+    """Routes that count refused calls delivered nothing for 10 s: all came back for
+    each refusal, and began and grew so fast that what came near the limit went over
+    it.
+    """
     assert served(number, 10, 20 * S, times) >= least * 10 * 20
 
 
 def test_refused_forwarders_come_back_thinly() -> None:
-    """hbe47fd: shut targets refused without a wait; hundreds came back every second or two."""
+    """hbe47fd: shut targets refused without a wait; hundreds came back every second or
+    two.
+    """
     times = failing(300, FULL, 20 * S)
     assert most_in_window(times, 12 * S, 1500 * MS) <= 75
 
@@ -136,7 +149,9 @@
 
 @pytest.mark.parametrize("number", [1, 3, 60, 300])
 def test_told_limit_and_share_leave_a_call_in_time(number: int) -> None:
-    """An even share of a limit may be one call in a minute: a message must not lapse for it."""
+    """An even share of a limit may be one call in a minute: a message must not lapse
+    for it.
+    """
     d = fleet(number, weights_told=False)[0]
     told = i.LoadReport(0.9, 10.0)
     out = sends(d.handle(0, [ask("a")]))[0]
@@ -152,7 +167,9 @@
 
 @pytest.mark.parametrize("number", [1, 3, 60, 300])
 def test_a_tenant_within_its_share_goes_first_at_any_size(number: int) -> None:
-    """At 300 forwarders a share of 20 a second is one message in 15 s: all counted as beyond it."""
+    """At 300 forwarders a share of 20 a second is one message in 15 s: all counted as
+    beyond it.
+    """
     d = fleet(number, weights_told=False)[0]
     first = sends(d.handle(0, [ask("first", tenant="small")]))[0]
     d.handle(MS, [ask(f"flood{n}", tenant="small", due=3 * S) for n in range(12)])
@@ -169,7 +186,9 @@
 
 @pytest.mark.parametrize(("number", "closed"), [(2, False), (60, True)])
 def test_many_forwarders_keep_no_idle_connections(number: int, closed: bool) -> None:
-    """d08e7732: idle connections of all filled what a target accepts; two in three attempts got none."""
+    """d08e7732: idle connections of all filled what a target accepts; two in three
+    attempts got none.
+    """
     d = fleet(number, conn_idle_us=5 * S, weights_told=False)[0]
     out = sends(d.handle(0, [ask("a")]))[0]
     d.handle(100 * MS, [end(out, OK)])
@@ -193,7 +212,9 @@
 def test_an_event_costs_what_its_destination_holds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """At full size days were cut off for CPU: each event scanned and sorted all that was held."""
+    """At full size days were cut off for CPU: each event scanned and sorted all that
+    was held.
+    """
     entries = tuple(i.TargetEntry(n, n, "north", "plain") for n in range(2000))
     d = Dispatcher(settings(slots=4000), 1, 0)
     d.handle(0, [i.Listed(i.ListKind.SAVED, entries)])
@@ -227,7 +248,9 @@
 
 
 def test_routes_apart_together_leave_a_quarter_of_the_slots() -> None:
-    """Each route has a window of its own: together they must not take every slot from other destinations."""
+    """Each route has a window of its own: together they must not take every slot from
+    other destinations.
+    """
     d = Dispatcher(settings(), 1, 0)
     d.handle(
         0,
@@ -248,8 +271,9 @@
 
 
 def test_a_time_out_on_an_idle_connection_tells_of_its_target() -> None:
-    """It used to be laid on the connection: ever more of them were closed early, and a slow target never
-    seemed slow."""
+    """It used to be laid on the connection: ever more of them were closed early, and a
+    slow target never seemed slow.
+    """
     d = fleet(2, conn_idle_us=5 * S)[0]
     out = sends(d.handle(0, [ask("a")]))[0]
     d.handle(100 * MS, [end(out, OK)])
@@ -264,7 +288,9 @@
 
 
 def test_refusals_of_a_paced_route_are_no_outage_and_its_share_follows() -> None:
-    """Limits that were lowered for 9 s were taken for outages: each forwarder then warmed for 11 s."""
+    """Limits that were lowered for 9 s were taken for outages: each forwarder then
+    warmed for 11 s.
+    """
     d, now = fleet(40)[0], 0
     for n in range(9):
         actions = d.handle(now, [ask(f"m{n}", due=now + 60 * S)])
@@ -280,7 +306,9 @@
 def test_a_target_is_held_to_have_come_back_before_the_first_call_that_tells_so() -> (
     None
 ):
-    """Each calls it every 10 s, and all warmed it from when they heard of it: it got half of what it took."""
+    """Each calls it every 10 s, and all warmed it from when they heard of it: it got
+    half of what it took.
+    """
     d = fleet(40)[0]
     outs = []
     for n, now in enumerate((0, 5 * S)):
@@ -294,14 +322,16 @@
         now += 50 * MS
         actions = d.handle(now, [i.TimerDue("look")])
     d.handle(now, [end(sends(actions)[0], OK)])
-    # Half way back to the last failure is too far for a ramp that all keep to: no further than half the
-    # span in which too many calls bring it down.
+    # Half way back to the last failure is too far for a ramp that all keep to: no
+    # further than half the span in which too many calls bring it down.
     assert (now + 5001 * MS) // 2 < now - d.s.fall_us // 2
     assert d.targets[1].back_at == now - d.s.fall_us // 2
 
 
 def test_endpoints_that_share_a_limit_are_held_to_have_come_back_together() -> None:
-    """Each of three was tried first at its own next turn, up to 9 s later, while messages were given up."""
+    """Each of three was tried first at its own next turn, up to 9 s later, while
+    messages were given up.
+    """
     d = fleet(40)[0]
     d.handle(
         0,
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -1,4 +1,6 @@
-"""The roster: states, the watched list and the renewed guard against a slow obvious model; its hard cases."""
+"""The roster: states, the watched list and the renewed guard against a slow obvious
+model; its hard cases.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +21,9 @@
 
 
 class Fleet:
-    """A roster as the service runs it: every record goes through a log before it counts."""
+    """A roster as the service runs it: every record goes through a log before it
+    counts.
+    """
 
     def __init__(self) -> None:
         self.log: list[str] = []
@@ -62,7 +66,9 @@
 
 
 def ten(at: int) -> Fleet:
-    """Ten members who have renewed for more than a whole lease, at `at` last; nothing is frozen."""
+    """Ten members who have renewed for more than a whole lease, at `at` last; nothing
+    is frozen.
+    """
     fleet = Fleet()
     for now in range(at - 50, at + 1, 10):
         for name in TEN:
@@ -80,7 +86,8 @@
     for now in range(105, 140, 5):
         fleet.beat(now, *TEN[7:])
         fleet.pass_to(now)
-        # The first that is lost stops it: the six that fell silent with it are suspect by then.
+        # The first that is lost stops it: the six that fell silent with it are suspect
+        # by then.
         assert (fleet.roster.frozen_until(now) > now) == (now >= 135)
         assert list(fleet.states().values()).count("lost") == (now >= 135)
     fleet.beat(138, *TEN[7:])
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,6 @@
-"""Parts of the real forwarder that the whole program cannot be brought to show at will."""
+"""Parts of the real forwarder that the whole program cannot be brought to show at
+will.
+"""
 
 from __future__ import annotations
 
@@ -245,8 +247,10 @@
 
 
 def test_shared_call_is_given_up_as_a_whole_with_its_connection() -> None:
-    """One message used to be given up while the call stayed open for the others: what came for these later
-    did not count, and the next of a key went out while the target still had the one before."""
+    """One message used to be given up while the call stayed open for the others: what
+    came for these later did not count, and the next of a key went out while the target
+    still had the one before.
+    """
 
     async def scene() -> None:
         ends: list[i.Ended] = []
@@ -283,8 +287,10 @@
 def test_shared_call_ends_for_all_with_the_first_of_its_messages_to_run_out_of_time() -> (
     None
 ):
-    """It used to stay out for the others. An endpoint that hung may answer when the platform holds the first
-    to be over: what it said of the others counted here, and for nobody else."""
+    """It used to stay out for the others. An endpoint that hung may answer when the
+    platform holds the first to be over: what it said of the others counted here, and
+    for nobody else.
+    """
 
     async def scene() -> None:
         ends: list[i.Ended] = []
@@ -382,7 +388,9 @@
 
 
 def test_more_than_was_asked_for_spoils_the_connection_and_not_the_answer() -> None:
-    """A second answer behind a good one used to overwrite it; unread, it was taken for the next call's."""
+    """A second answer behind a good one used to overwrite it; unread, it was taken for
+    the next call's.
+    """
     good = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
     copy = b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
     for more in (copy, b"\0\1noise\r\n"):
@@ -520,7 +528,9 @@
 
 
 def test_broken_connections_are_weak_signs_of_an_outage() -> None:
-    """Two resets running used to make a sound target cold for seconds; refused connections still do."""
+    """Two resets running used to make a sound target cold for seconds; refused
+    connections still do.
+    """
     for outcome, weak, marked in (
         (i.Outcome.RESET, True, False),
         (i.Outcome.NO_CONNECTION, False, True),
@@ -605,7 +615,9 @@
 def test_fault_in_a_decision_costs_its_event_only(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The other events of its round used to be dropped: ends among them, and with these their slots."""
+    """The other events of its round used to be dropped: ends among them, and with these
+    their slots.
+    """
 
     async def scene() -> None:
         e = engine(tmp_path)
@@ -641,7 +653,9 @@
 def test_once_only_messages_share_no_call_with_those_that_may_be_repeated(
     tmp_path: Path,
 ) -> None:
-    """They are waited for till their end, the others are not, and a call is given up as a whole."""
+    """They are waited for till their end, the others are not, and a call is given up as
+    a whole.
+    """
 
     async def scene() -> None:
         e = engine(tmp_path)
@@ -736,7 +750,9 @@
 def test_nothing_is_taken_out_before_the_journal_is_this_process_s(
     tmp_path: Path,
 ) -> None:
-    """A process that is still taking over has read the journal, and must not write it."""
+    """A process that is still taking over has read the journal, and must not write
+    it.
+    """
 
     async def scene() -> None:
         e = engine(tmp_path)
@@ -783,7 +799,9 @@
 
 
 def test_notices_that_40_could_not_post_are_not_posted_again_in_step() -> None:
-    """The pauses were the same for all: those that failed at once met again at each further try."""
+    """The pauses were the same for all: those that failed at once met again at each
+    further try.
+    """
     fleet = [Notices(Address("127.0.0.1", 1), Book(), seed) for seed in range(40)]
     times = [0.0] * 40
     for failures in range(6):
@@ -796,7 +814,9 @@
 def test_pushed_lists_are_asked_for_through_silence_and_refusals_without_the_module() -> (
     None
 ):
-    """What the agent has binds as soon as it speaks again; the pauses of the module were seconds by then."""
+    """What the agent has binds as soon as it speaks again; the pauses of the module
+    were seconds by then.
+    """
 
     async def main() -> None:
         asked: list[str] = []
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,6 @@
-"""The real program over loopback sockets: every promise to clients, targets and the platform."""
+"""The real program over loopback sockets: every promise to clients, targets and the
+platform.
+"""
 
 from __future__ import annotations
 
@@ -106,7 +108,9 @@
 
 
 def test_what_is_given_up_ends_at_once_by_one_notice(tmp_path: Path) -> None:
-    """The message has 50 s left: a notice within the test's patience was not held back to its deadline."""
+    """The message has 50 s left: a notice within the test's patience was not held back
+    to its deadline.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(Answer(500)))
@@ -152,7 +156,9 @@
 def test_list_is_followed_also_where_the_settings_say_that_it_is_pushed(
     tmp_path: Path,
 ) -> None:
-    """It used to be asked for only where they say 'on_request': drains were never heard of."""
+    """It used to be asked for only where they say 'on_request': drains were never heard
+    of.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         one = await target(platform, always(OK))
@@ -178,7 +184,9 @@
 
 
 def test_watch_waits_also_on_version_0(tmp_path: Path) -> None:
-    """Version 0 used to stand for none: the whole list was asked for again and again, at full speed."""
+    """Version 0 used to stand for none: the whole list was asked for again and again,
+    at full speed.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         platform.seq = 0
@@ -258,7 +266,9 @@
 def test_spoilt_answer_may_have_run_whatever_its_first_line_says(
     tmp_path: Path, garbage: bytes
 ) -> None:
-    """A once-only message must fail then: its status used to be believed, and it was sent again."""
+    """A once-only message must fail then: its status used to be believed, and it was
+    sent again.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         async def spoil(request: Any) -> bytes:
@@ -514,7 +524,9 @@
 
 
 def test_folder_stays_within_its_limit(tmp_path: Path) -> None:
-    """Large bodies fill the journal before the buffer: new work is refused, the folder never overflows."""
+    """Large bodies fill the journal before the buffer: new work is refused, the folder
+    never overflows.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
@@ -618,7 +630,9 @@
 def test_new_configuration_moves_watch_and_owed_ends_and_loses_nothing(
     tmp_path: Path,
 ) -> None:
-    """SIGHUP used to end the process. The new address counts its versions anew, and lists a drain."""
+    """SIGHUP used to end the process. The new address counts its versions anew, and
+    lists a drain.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(Answer(500)))
@@ -692,7 +706,9 @@
 def test_first_call_at_a_new_address_that_fails_is_repeated_at_once(
     tmp_path: Path,
 ) -> None:
-    """The module pauses ever longer after failures; after a move there is no time for that."""
+    """The module pauses ever longer after failures; after a move there is no time for
+    that.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
@@ -732,8 +748,9 @@
 def test_nothing_of_before_is_sent_on_until_the_list_of_now_is_known(
     tmp_path: Path,
 ) -> None:
-    """A start used to play its first round on the list of before: what had been drained while no process was
-    here got the messages that the journal held."""
+    """A start used to play its first round on the list of before: what had been drained
+    while no process was here got the messages that the journal held.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         answers: list[Answer | None] = [Answer(503)]
--- a/tests/test_node_restart.py
+++ b/tests/test_node_restart.py
@@ -1,4 +1,6 @@
-"""The program through restarts: what was out, spent, owed or held before, and what comes of it."""
+"""The program through restarts: what was out, spent, owed or held before, and what
+comes of it.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,9 @@
 
 @pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
 def test_call_cut_by_a_restart_may_have_run(tmp_path: Path, sign: int) -> None:
-    """A keyed message goes again under its key, one that may not be repeated never does."""
+    """A keyed message goes again under its key, one that may not be repeated never
+    does.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
@@ -46,7 +50,9 @@
 def test_one_session_key_goes_one_by_one_also_across_a_restart(
     tmp_path: Path, restart: bool
 ) -> None:
-    """The key was not read from the request: a later message overtook an earlier one of its key."""
+    """The key was not read from the request: a later message overtook an earlier one of
+    its key.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         done = asyncio.Event()
@@ -84,7 +90,9 @@
 def test_a_key_goes_on_only_when_the_notice_of_the_one_before_is_answered(
     tmp_path: Path, restart: bool
 ) -> None:
-    """The next of the key used to leave together with the notice, and could overtake it."""
+    """The next of the key used to leave together with the notice, and could overtake
+    it.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         platform.accepts = False
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -1,4 +1,6 @@
-"""What operators do day to day, on the real program: the second address, figures, settings at SIGHUP."""
+"""What operators do day to day, on the real program: the second address, figures,
+settings at SIGHUP.
+"""
 
 from __future__ import annotations
 
@@ -192,7 +194,9 @@
 def test_open_messages_keep_a_class_that_is_dropped_or_changed(
     tmp_path: Path, restart: bool
 ) -> None:
-    """A payment must not go twice though its class may be repeated now, nor a status lack its class."""
+    """A payment must not go twice though its class may be repeated now, nor a status
+    lack its class.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         pays = await target(platform, hang)
@@ -286,7 +290,9 @@
 
 
 def test_broken_files_change_nothing_and_are_counted(tmp_path: Path) -> None:
-    """None of what they hold may take hold, and a default must not stand in for a key."""
+    """None of what they hold may take hold, and a default must not stand in for a
+    key.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
@@ -305,7 +311,9 @@
 
 
 async def relist(platform: Platform, name: str, health: str) -> None:
-    """Discovery's own word on an endpoint, until the forwarder has asked for what comes after it."""
+    """Discovery's own word on an endpoint, until the forwarder has asked for what comes
+    after it.
+    """
     await platform.change(name, health)
     await platform.until(
         lambda: any(f"from={platform.seq}&" in r.path for r in platform.requests)
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -1,4 +1,6 @@
-"""Frames and links between forwarders: what is taken, what ends a link, what is owed when it ends."""
+"""Frames and links between forwarders: what is taken, what ends a link, what is owed
+when it ends.
+"""
 
 from typing import Any
 
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -1,4 +1,6 @@
-"""Hard cases of long queues: each comes out as in the plain reference, or is held by counted work."""
+"""Hard cases of long queues: each comes out as in the plain reference, or is held by
+counted work.
+"""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -159,7 +161,9 @@
 
 
 def jammed(destinations: int, held: int, shut: int = 0) -> tuple[Dispatcher, i.Ended]:
-    """All slots are out, at destination 1; so many have messages, of which some are shut."""
+    """All slots are out, at destination 1; so many have messages, of which some are
+    shut.
+    """
     d = site(slots=4)
     entries = tuple(i.TargetEntry(1000 + n, 1000 + n) for n in range(destinations))
     d.handle(0, [i.Listed(i.ListKind.CHANGES, entries)])
@@ -409,7 +413,9 @@
 
 
 def test_calls_out_elsewhere_add_nothing_to_an_answer() -> None:
-    """Only calls to the same target are passed by one, and only calls that were passed are looked at."""
+    """Only calls to the same target are passed by one, and only calls that were passed
+    are looked at.
+    """
     d = site(slots=100, may_cancel=True)
     entries = tuple(i.TargetEntry(1000 + n, 1000 + n) for n in range(50))
     d.handle(0, [i.Listed(i.ListKind.CHANGES, entries)])
--- a/tests/test_queue_corners.py
+++ b/tests/test_queue_corners.py
@@ -1,4 +1,6 @@
-"""Corners of the order that drawn worlds hardly reach, each compared with the plain reference."""
+"""Corners of the order that drawn worlds hardly reach, each compared with the plain
+reference.
+"""
 
 from collections import Counter
 from dataclasses import replace
@@ -41,7 +43,9 @@
 
 
 def test_a_lane_that_was_kept_empty_follows_other_settings() -> None:
-    """When worth is lost was worked out for a lane; it is used again with the next message."""
+    """When worth is lost was worked out for a lane; it is used again with the next
+    message.
+    """
     for late_halves in (False, True):
         d = pair()
         send = sends(d.handle(0, [ask("first")]))[0]
@@ -81,7 +85,9 @@
 
 
 def test_a_message_comes_back_from_a_target_that_belongs_elsewhere_by_now() -> None:
-    """It waits where nothing else is looked at in that round; as slots were out, it is found all the same."""
+    """It waits where nothing else is looked at in that round; as slots were out, it is
+    found all the same.
+    """
     d = pair(TWO, slots=1)
     told = {"calls": [[1, {"sent_at": 0}, [["moved", 0]]]]}
     d.handle(
--- a/tests/test_queue_replay.py
+++ b/tests/test_queue_replay.py
@@ -1,6 +1,8 @@
-"""Held messages in queues give, round by round, what sorting them anew gave (tests/reference).
+"""Held messages in queues give, round by round, what sorting them anew gave
+(tests/reference).
 
-By hand: python -m tests.test_queue_replay FIRST LAST plays the drawn worlds of these seeds.
+By hand: python -m tests.test_queue_replay FIRST LAST plays the drawn worlds of these
+seeds.
 """
 
 import sys
--- a/tests/test_ready_in_time.py
+++ b/tests/test_ready_in_time.py
@@ -1,4 +1,6 @@
-"""A restarted process is ready before its old work is done: full journal, silent discovery, flooded door."""
+"""A restarted process is ready before its old work is done: full journal, silent
+discovery, flooded door.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,8 @@
 from lemonshunt.wirehost import settings
 from tests.sockets import OK, SETTINGS, Answer, Node, Peer, Platform, Request
 
-READY_S = 10.0  # STANDING.md, What has to hold: nine in ten restarted forwarders are ready within this
+# STANDING.md, What has to hold: nine in ten restarted forwarders are ready within this
+READY_S = 10.0
 BAD = (
     b"",
     b"\r\n",
@@ -52,7 +55,9 @@
 
 
 class Flood:
-    """Clients that come on and on, and say nothing, half of something, or what is wrong."""
+    """Clients that come on and on, and say nothing, half of something, or what is
+    wrong.
+    """
 
     def __init__(self, port: int) -> None:
         self.port, self.socks = port, list[socket.socket]()
@@ -76,8 +81,10 @@
 def test_ready_before_the_agent_speaks_and_the_old_work_ends_and_the_flood_does(
     lists: str, level: str, tmp_path: Path
 ) -> None:
-    """The agent has been asked and is silent, for the list and for notices; the target has a call and holds
-    it; the door's backlog is full of bad clients from before the start, and more come at each step."""
+    """The agent has been asked and is silent, for the list and for notices; the target
+    has a call and holds it; the door's backlog is full of bad clients from before the
+    start, and more come at each step.
+    """
 
     async def scene() -> None:
         gate = asyncio.Event()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,6 @@
-"""Random histories on a disk that loses what it may, against a simple model; and the hard cases singly."""
+"""Random histories on a disk that loses what it may, against a simple model; and the
+hard cases singly.
+"""
 
 from __future__ import annotations
 
@@ -204,7 +206,9 @@
 
 
 def recover_again(world: World, back: Store) -> None:
-    """A recovery of what was recovered finds nothing new: not after a kill, and not after the power went."""
+    """A recovery of what was recovered finds nothing new: not after a kill, and not
+    after the power went.
+    """
     back.flush()
     facts = back.facts()
     if world.power:
@@ -362,7 +366,9 @@
 
 
 def test_a_sync_that_failed_is_not_taken_for_done_by_a_second_one() -> None:
-    """Linux marks the pages clean: a second sync of the file says yes, and the bytes are not there."""
+    """Linux marks the pages clean: a second sync of the file says yes, and the bytes
+    are not there.
+    """
     disk, hands = Disk(), Hands()
     store = opened(disk, hands)
     while hands.work():
@@ -439,7 +445,9 @@
 
 
 def test_what_was_refused_for_a_full_disk_does_not_come_back() -> None:
-    """Its record is whole in a write that was cut short; its client was told to go elsewhere with it."""
+    """Its record is whole in a write that was cut short; its client was told to go
+    elsewhere with it.
+    """
     disk = Disk()
     store = opened(disk)
     store.flush()
@@ -549,7 +557,9 @@
 def test_time_does_not_run_backwards_over_a_boot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Set back by a day, the clock would have kept a message of ten seconds for a day."""
+    """Set back by a day, the clock would have kept a message of ten seconds for a
+    day.
+    """
     disk = Disk()
     store = opened(disk)
     store.take(taken("a"))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,6 @@
-"""The list service: its core against a plain model, its folder through a torn write, the real process."""
+"""The list service: its core against a plain model, its folder through a torn write,
+the real process.
+"""
 
 from __future__ import annotations
 
@@ -227,7 +229,8 @@
     process, listen, write = _start(state)
     try:
         status, again = _ask(listen, f"/discovery/hosts?from={told['seq']}")
-        # The client is ahead of the copy: a new epoch, its versions above all it held, and the whole list.
+        # The client is ahead of the copy: a new epoch, its versions above all it held,
+        # and the whole list.
         assert (
             again["whole"]
             and again["epoch"] > told["epoch"]
@@ -247,7 +250,9 @@
 
 
 def _until(ask: Callable[[], tuple[int, Any]], wanted: int) -> Any:
-    """The answer once its status is `wanted`; any before it must be a 409 that says held."""
+    """The answer once its status is `wanted`; any before it must be a 409 that says
+    held.
+    """
     for _ in range(200):
         status, told = ask()
         if status == wanted:
@@ -293,7 +298,8 @@
         assert [m["name"] for m in told["members"]] == ["f1", "f2"] and told[
             "ttl_ms"
         ] == 800
-        # f1 falls silent, as one that is stopped: f2 is woken, f1 is told so, and the job is granted on.
+        # f1 falls silent, as one that is stopped: f2 is woken, f1 is told so, and the
+        # job is granted on.
         while {m["name"]: m["state"] for m in told["members"]}.get("f1") is not None:
             version, since = told["version"], time.monotonic()
             _ask(fleet, f"/v1/fleet/watch?from={version}&hold_ms=100")
@@ -304,7 +310,8 @@
         assert status == 409 and lost["error"] == "lost"
         for _ in range(
             200
-        ):  # granted after f1 joined, by however much: it is out by the service's own word
+            # granted after f1 joined, by however much: it is out by the service's own word
+        ):
             status, told = _ask(write, "/v1/leases/job")
             if status == 404 or told["left_ms"] == 0:
                 break
--- a/tests/test_registry_bounds.py
+++ b/tests/test_registry_bounds.py
@@ -1,4 +1,6 @@
-"""The list service past its bounds, with its disk stuck or failing, behind readers' histories, at its end."""
+"""The list service past its bounds, with its disk stuck or failing, behind readers'
+histories, at its end.
+"""
 
 from __future__ import annotations
 
@@ -372,7 +374,8 @@
             at[0] < at[1] < at[2] == at[3] == at[4]
         )  # two lifts at once, then the whole list alone
         assert run.service.figures.lifts_put_off == 2 and now.fence == fence
-        clock.us += 100_000  # the time of one more: the claim that was put off is gone past by itself
+        # the time of one more: the claim that was put off is gone past by itself
+        clock.us += 100_000
         await until(lambda: now.seq > claimed)
         for path in (f"from={BELIEVED}", f"epoch={BELIEVED}"):  # no service told that
             seq = now.seq
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -1,4 +1,6 @@
-"""The fleet's shell on a clock by hand: nothing told before it is on disk, riders, old copies, operators."""
+"""The fleet's shell on a clock by hand: nothing told before it is on disk, riders, old
+copies, operators.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,9 @@
 
 
 class Tally:
-    """A rider: the highest `calls` that each member in force asked for, once it is on disk."""
+    """A rider: the highest `calls` that each member in force asked for, once it is on
+    disk.
+    """
 
     name = "tally"
 
--- a/tests/test_registry_riders.py
+++ b/tests/test_registry_riders.py
@@ -1,4 +1,6 @@
-"""Budgets and the shard map on the real service that is killed, restored, loses its folder; and operators."""
+"""Budgets and the shard map on the real service that is killed, restored, loses its
+folder; and operators.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +45,8 @@
         for turn in range(2):
             for _ in range(80):
                 await world.step()
-            if turn:  # the folder is lost, and the wall clock as it was: members have seen more
+            # the folder is lost, and the wall clock as it was: members have seen more
+            if turn:
                 await world.stop(kill=True)
                 shutil.rmtree(tmp_path / "s")
                 await world.start()
@@ -56,7 +59,8 @@
                 ):  # the operator knows better
                     await world.run.call("POST", "/v1/epoch", {"above": seen})
             await world.calm(38)
-            # A lowered whole binds by now. What is safe is also of use: nearly all is had, by who is there.
+            # A lowered whole binds by now. What is safe is also of use: nearly all is
+            # had, by who is there.
             del world.wholes[:-1]
             world.check()
             whole = world.wholes[0]
@@ -136,7 +140,8 @@
         }
         await asyncio.gather(f1.beat(play.run), f2.beat(play.run))
         assert f1.most() + f2.most() <= 40
-        # A plan whose write failed, made by the budgets before, is written before those that come after it.
+        # A plan whose write failed, made by the budgets before, is written before those
+        # that come after it.
         await play.calm(8)
         await play.put(calls=100)
         await play.calm(8, f1=10, f2=10)
@@ -157,7 +162,8 @@
         assert (
             rows[at]["config"][0]["calls"] == 40 and rows[at - 1]["budgets"] == number
         )
-        # Those in force outlive the process. A file counts where it says something new, or at SIGHUP.
+        # Those in force outlive the process. A file counts where it says something new,
+        # or at SIGHUP.
         await play.again()
         assert play.run.parts.budgets.raw[0]["calls"] == 40
         await play.world.stop(True)
@@ -221,7 +227,8 @@
             f1.most() < 20
             and play.run.parts.budgets.figures(play.world.clock.us)["7"]["free"] > 50
         )
-        # What f1 gave up has cooled by the short span. The log is written anew, before or after the change.
+        # What f1 gave up has cooled by the short span. The log is written anew, before
+        # or after the change.
         if before:
             await play.run.parts.fleet._rewrite()
         await play.put(span_ms=4_000)
@@ -346,7 +353,8 @@
         assert (await call("PUT", "/v1/map", raw(4, "f1", "f3")))[0] == 507
         play.run.files.failing = False
         assert (await call("GET", "/v1/map")) == (200, whole)
-        # A second map comes while the first is carried out: each key goes from its holder to its last owner.
+        # A second map comes while the first is carried out: each key goes from its
+        # holder to its last owner.
         top = {"from": hexed(TOP // 2 + 1), "to": hexed(TOP)}
         assert (await call("POST", "/v1/map/move", {**top, "owner": "f1"}))[0] == 200
         await f2.beat(play.run, drain=False)
@@ -373,7 +381,8 @@
             [],
             [(TOP // 2 + 1, TOP)],
         )
-        # A member with another map of this generation is given nothing; the map goes above both.
+        # A member with another map of this generation is given nothing; the map goes
+        # above both.
         f1.owned.turn(
             ShardMap(
                 5, tuple(Range(r.first, r.last, "f1") for r in f1.owned.map.ranges)
@@ -416,7 +425,8 @@
         assert not has(f2) and has(f3)
         await play.calm(4)
         assert has(f2) == [(TOP // 2 + 1, TOP)]
-        # Two processes of one name: while the one's beat waits for the disk, the other takes its place.
+        # Two processes of one name: while the one's beat waits for the disk, the other
+        # takes its place.
         body = {**f2.body(), "seen": [f2.token.epoch + 3, 0]}
         play.run.files.free.clear()
         waits = [
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -1,4 +1,6 @@
-"""A keyed message that may have run goes out again only while its first call's window surely holds."""
+"""A keyed message that may have run goes out again only while its first call's window
+surely holds.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +30,9 @@
 
 
 def short(window: int = WINDOW, scope: i.Scope = i.Scope.ALL) -> dict[str, object]:
-    """Settings with one keyed class whose window is no longer than a client's shortest absence."""
+    """Settings with one keyed class whose window is no longer than a client's shortest
+    absence.
+    """
     return {
         "classes": (
             i.MessageClass("keyed", 2 * S, 20 * S, i.Effect.KEYED, scope, window),
@@ -89,7 +93,9 @@
 
 
 def test_past_its_window_a_keyed_message_is_failed_and_never_refused() -> None:
-    """Refused, it would come back from its client under a new id and run a second time."""
+    """Refused, it would come back from its client under a new id and run a second
+    time.
+    """
     d = started(ONE, **short())
     first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
     d.handle(
@@ -114,7 +120,9 @@
 def test_a_client_that_would_come_back_after_the_window_is_not_sent_away(
     window: int, final: type
 ) -> None:
-    """All its tries spent early, a message may be refused only where the client's return is in the window."""
+    """All its tries spent early, a message may be refused only where the client's
+    return is in the window.
+    """
     d = started(ONE, max_attempts=1, **short(window))
     assert [type(a) for a in finals(failed_once(d, 300 * MS))] == [final]
 
@@ -204,8 +212,9 @@
 def test_a_repeat_after_a_kill_goes_out_only_within_the_journaled_window(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ago: int, window: int, again: bool
 ) -> None:
-    """Killed with a call out: it may have run when the journal says it left. The start reads that time, and
-    the class it was taken on under, from the file."""
+    """Killed with a call out: it may have run when the journal says it left. The start
+    reads that time, and the class it was taken on under, from the file.
+    """
     monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.0)
 
     async def scene() -> None:
@@ -241,8 +250,10 @@
 
 
 def test_a_clock_that_was_kept_by_small_steps_counts_on_after_a_restart() -> None:
-    """On the same boot the monotonic clock tells how much time has passed. Read anew, a wall clock that was
-    slewed back by 0.4 s would give a window of 1 s another 0.4 s."""
+    """On the same boot the monotonic clock tells how much time has passed. Read anew, a
+    wall clock that was slewed back by 0.4 s would give a window of 1 s another 0.4
+    s.
+    """
     disk = Disk()
     store = opened(disk)
     store.take(taken("a"))
@@ -287,7 +298,9 @@
 def test_a_silent_call_that_outlasts_its_window_is_waited_for_as_a_once_only_one(
     window: int, least: int, most: int
 ) -> None:
-    """Called off once later calls are answered, it could not be sent again: it has to have its aim first."""
+    """Called off once later calls are answered, it could not be sent again: it has to
+    have its aim first.
+    """
     d = started(ONE, may_cancel=True, **short(window))
     d.handle(
         MS, [end(sends(d.handle(0, [ask("first")]))[0], i.Outcome.DELIVERED)]
@@ -309,7 +322,9 @@
 def test_a_call_that_outlasts_its_window_is_waited_for_till_its_end(
     window: int, whole: bool
 ) -> None:
-    """Given up after its aim of 2 s it could not be sent again, and would have failed by that alone."""
+    """Given up after its aim of 2 s it could not be sent again, and would have failed
+    by that alone.
+    """
     d = started(ONE, **short(window))
     send = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
     assert (send.timeout_us == 20 * S) is whole and send.timeout_us >= 2 * S
@@ -371,8 +386,9 @@
 def test_a_repeat_whose_connection_comes_up_after_the_window_does_not_leave(
     monkeypatch: pytest.MonkeyPatch, beside: bool
 ) -> None:
-    """Decided in its window, it would have waited for its connection for longer than that lasts. What shares
-    its call goes on without it."""
+    """Decided in its window, it would have waited for its connection for longer than
+    that lasts. What shares its call goes on without it.
+    """
 
     async def scene() -> None:
         ends: list[i.Ended] = []
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,6 @@
-"""Recorded worlds: every action, in its order and at its time, as it was recorded in replay.json."""
+"""Recorded worlds: every action, in its order and at its time, as it was recorded in
+replay.json.
+"""
 
 import json
 from collections import Counter
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -1,4 +1,6 @@
-"""What the module's readers were promised: its size, its head, and a README that runs."""
+"""What the module's readers were promised: its size, its head, and a README that
+runs.
+"""
 
 import ast
 import contextlib
@@ -11,7 +13,9 @@
 
 
 def test_policy_names_every_decision_module_and_each_stays_short() -> None:
-    """No module outgrows 300 lines of code and text, no function a screen and a half."""
+    """No module outgrows 300 lines of code and text, no function a screen and a
+    half.
+    """
     parts = {
         str(p.relative_to(ROOT)): p.read_text()
         for p in sorted((ROOT / "lemonshunt/choice").rglob("*.py"))
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,4 +1,6 @@
-"""Past each bound a hand-in is refused with 503 and Retry-After; what was taken on stays."""
+"""Past each bound a hand-in is refused with 503 and Retry-After; what was taken on
+stays.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +36,9 @@
 
 
 def hand_in(engine: Engine, name: str, decide: bool = True) -> HTTPStatus | None:
-    """The answer to a message, or None where it waits for the round that is not made."""
+    """The answer to a message, or None where it waits for the round that is not
+    made.
+    """
     client = Client()
     due_us = engine.clock() + 60 * SECONDS
     engine.hand_in(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,6 @@
-"""The rules, held against random event scripts by a checker that knows nothing of the module."""
+"""The rules, held against random event scripts by a checker that knows nothing of the
+module.
+"""
 
 from hypothesis import given
 from hypothesis import settings as profile
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -1,4 +1,6 @@
-"""Growth of the control parts by counted work: bytes told, lines run, entries made. No clock."""
+"""Growth of the control parts by counted work: bytes told, lines run, entries made. No
+clock.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +39,9 @@
 def grows_at_most(
     count: Callable[[int], float], power: float, small: int = SMALL, large: int = LARGE
 ) -> None:
-    """Whether the count grows no faster than the size to the `power` (0: not at all)."""
+    """Whether the count grows no faster than the size to the `power` (0: not at
+    all).
+    """
     assert 0 < count(large) <= NEARLY * (large / small) ** power * count(small)
 
 
@@ -80,7 +84,9 @@
 def test_one_changed_entry_costs_a_forwarder_no_more_than_the_list_grows(
     tmp_path: Path,
 ) -> None:
-    """Not better than that today: the whole list is journaled, and each turn goes through all targets."""
+    """Not better than that today: the whole list is journaled, and each turn goes
+    through all targets.
+    """
 
     async def follow(size: int) -> tuple[int, float]:
         engine = worlds.engine(tmp_path / str(size), worlds.configuration(size))
--- a/tests/test_scale_frame.py
+++ b/tests/test_scale_frame.py
@@ -1,4 +1,6 @@
-"""The frame of `measure.scale`: shapes are told apart, and runs replace only their own entry."""
+"""The frame of `measure.scale`: shapes are told apart, and runs replace only their own
+entry.
+"""
 
 from collections.abc import Callable
 from pathlib import Path
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -1,4 +1,6 @@
-"""Growth of the list service with its members, by counted work: no clock is read for a verdict."""
+"""Growth of the list service with its members, by counted work: no clock is read for a
+verdict.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +43,9 @@
 AFTER_START_US = 100 * SECOND_US
 """The longest lease of a history that nobody knows is over."""
 A_BUDGET_BYTES = 115
-"""Of a beat with its answer, for each budget there is; without any it takes the rest."""
+"""Of a beat with its answer, for each budget there is; without any it takes the
+rest.
+"""
 BARE_BEAT_BYTES = 200
 CALLS_AN_ACCOUNT = 60
 """Function calls of a plan at rest, for each member and budget."""
@@ -56,7 +60,9 @@
 async def service_process(
     folder: Path, descriptors: int
 ) -> tuple[asyncio.subprocess.Process, int]:
-    """A list service with a hard limit of descriptors, and the port of its fleet address."""
+    """A list service with a hard limit of descriptors, and the port of its fleet
+    address.
+    """
     address = "127.0.0.1:0"
     words = [
         "--state",
@@ -113,7 +119,9 @@
 
 
 class BudgetFleet:
-    """Members and the service's budgets without I/O, by an injected clock, until all shares rest."""
+    """Members and the service's budgets without I/O, by an injected clock, until all
+    shares rest.
+    """
 
     def __init__(self, members: int, budgets: int) -> None:
         self.service, self.now_us = Budgets(LEASE_US, 0.02), 10 * SECOND_US
--- a/tests/test_scale_messages.py
+++ b/tests/test_scale_messages.py
@@ -1,4 +1,6 @@
-"""What `docs/CAPACITY.md` says of the journal's growth, held by bytes and records that are counted."""
+"""What `docs/CAPACITY.md` says of the journal's growth, held by bytes and records that
+are counted.
+"""
 
 from pathlib import Path
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,6 @@
-"""Sessions handed over: the design page's tables, the searched model, long random play of the same cores."""
+"""Sessions handed over: the design page's tables, the searched model, long random play
+of the same cores.
+"""
 
 import heapq
 import itertools
@@ -129,7 +131,9 @@
     ],
 )
 def test_searched_whole(counts: dict[str, Any], states: int) -> None:
-    """One owner, no message lost, sent twice or overtaken, and from each state it ends whole at one side."""
+    """One owner, no message lost, sent twice or overtaken, and from each state it ends
+    whole at one side.
+    """
     found = explore(Sessions(**counts), 80, 20_000)
     assert not found.why, found.trace
     assert found.complete and found.states >= states
@@ -194,7 +198,9 @@
 
 
 class Play:
-    """Three forwarders and the arbiter on one clock. Faults end at `CALM`; then all must come to rest."""
+    """Three forwarders and the arbiter on one clock. Faults end at `CALM`; then all
+    must come to rest.
+    """
 
     CALM, END = 12_000_000, 40_000_000
 
@@ -314,7 +320,8 @@
         line.out = "" if line.out == name else line.out
         self.ends.setdefault(name, how)
 
-    # Clients: one message of a key after the other, handed in again after a refusal, anew after silence
+    # Clients: one message of a key after the other, handed in again after a refusal,
+    # anew after silence
 
     def hand_in(self, key: str, number: int) -> None:
         if number > 25 or self.now > self.END - 10_000_000:
@@ -566,7 +573,9 @@
 def test_a_due_is_never_later_at_the_taker(
     apart: int, runs: float, way: int, wait: int, left: int
 ) -> None:
-    """By whatever clock: at most the accept's way and the drift earlier, and never later."""
+    """By whatever clock: at most the accept's way and the drift earlier, and never
+    later.
+    """
 
     def there(true_us: int) -> int:  # the taker's clock; the giver's is the true one
         return apart + round(true_us * (1 + runs))
@@ -661,7 +670,9 @@
 
 
 def test_a_copy_made_for_the_process_before_is_refused() -> None:
-    """It counts from a stamp of that process, and its dues would come out late by the time between."""
+    """It counts from a stamp of that process, and its dues would come out late by the
+    time between.
+    """
     at, hand = desk("t"), w.Hand("g", 1, 1, 1)
     assert (
         told(at.heard("g", w.Offer(hand, "k", "a", "", 1, 9, 1), 9_000), w.Accept)[
@@ -888,8 +899,9 @@
 @settings(derandomize=True, deadline=None, max_examples=8)
 @given(st.integers(0, 1 << 30))
 def test_sessions_never_swing_between_sites(seed: int) -> None:
-    """Loads, drains and outages at random: who drains gets nothing, nothing returns within the pause or
-    leaves too soon, and no more than `at_once` are out."""
+    """Loads, drains and outages at random: who drains gets nothing, nothing returns
+    within the pause or leaves too soon, and no more than `at_once` are out.
+    """
     rng = random.Random(seed)
     rules = table.read(
         {"sites": {n: {"neighbours": {o: 1.0 for o in "abc" if o != n}} for n in "abc"}}
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -1,5 +1,7 @@
-"""Settings come from one configuration each: nothing is shared by two engines in one process, and nothing of
-those before a SIGHUP is left, but for messages that were taken on under them."""
+"""Settings come from one configuration each: nothing is shared by two engines in one
+process, and nothing of those before a SIGHUP is left, but for messages that were taken
+on under them.
+"""
 
 from __future__ import annotations
 
@@ -227,7 +229,9 @@
 
 
 def played(names: dict[str, dict[str, Any]]) -> list[dict[str, Any]]:
-    """All that these instances do over some seconds, where each call's end hangs on its names alone."""
+    """All that these instances do over some seconds, where each call's end hangs on its
+    names alone.
+    """
     host, done, line = Host(), [], []
     for name, told in sorted(names.items()):
         n = len(name)
@@ -335,7 +339,9 @@
 
 
 def test_an_instance_that_cannot_come_up_again_leaves_none_of_before() -> None:
-    """The one that ended used to go on under its name, with the settings that had been replaced."""
+    """The one that ended used to go on under its name, with the settings that had been
+    replaced.
+    """
     host = Host()
     host.batch(json.dumps({"clock_us": 0, "inbox": [up("f", BARE)]}))
     bad = {**BARE, "family_info": {"slots": 0}}
@@ -359,8 +365,9 @@
 def test_settings_with_none_of_the_optional_keys_promise_nothing(
     tmp_path: Path,
 ) -> None:
-    """What is not told is neither allowed nor known: a keyed message goes again nowhere, as nothing says for
-    how long and by whom its repeats are dropped."""
+    """What is not told is neither allowed nor known: a keyed message goes again
+    nowhere, as nothing says for how long and by whom its repeats are dropped.
+    """
     s = settings(BARE)
     assert [(c.effect, c.window_us, c.in_order) for c in s.classes] == [
         (i.Effect.REPEATABLE, 0, False),
@@ -461,7 +468,9 @@
 def test_a_new_file_may_leave_out_what_the_page_calls_optional_and_nothing_else(
     path: tuple[str, ...], valid: bool, tmp_path: Path
 ) -> None:
-    """A class that no longer keeps its order used to cost the whole file, and with it a move of discovery."""
+    """A class that no longer keeps its order used to cost the whole file, and with it a
+    move of discovery.
+    """
     told = {
         "name": "n",
         "listen": "127.0.0.1:1",
@@ -495,7 +504,9 @@
 def test_new_messages_go_by_the_new_settings_and_open_ones_by_the_old(
     tmp_path: Path,
 ) -> None:
-    """One name, and at SIGHUP another effect, order and deadline; also once both have seen a restart."""
+    """One name, and at SIGHUP another effect, order and deadline; also once both have
+    seen a restart.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         go_on = asyncio.Event()
@@ -683,7 +694,9 @@
 def test_sighup_while_a_start_waits_for_the_list_sends_nothing_by_that_of_before(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The reading used to play a round at once, so that what the journal held went to a drained target."""
+    """The reading used to play a round at once, so that what the journal held went to a
+    drained target.
+    """
 
     async def scene(one: Site, other: Site) -> None:
         monkeypatch.setattr(starting, "FIRST_S", PATIENCE)
@@ -731,7 +744,9 @@
 def test_sighup_in_the_last_moment_of_an_engine_opens_nothing_anew(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A watch that moved after the engine's end would have gone on beside that of the engine after it."""
+    """A watch that moved after the engine's end would have gone on beside that of the
+    engine after it.
+    """
 
     async def scene(one: Site, other: Site) -> None:
         one.begin()
@@ -762,7 +777,9 @@
 def test_what_waits_for_a_start_is_told_and_not_taken_for_in_force(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Another format of the log used to count as in force, though only a start brings it."""
+    """Another format of the log used to count as in force, though only a start brings
+    it.
+    """
 
     async def scene(one: Site, other: Site) -> None:
         one.begin()
@@ -792,8 +809,10 @@
 
 
 def test_sighup_before_the_journal_is_free_is_read_once_it_is(tmp_path: Path) -> None:
-    """A process that waits for the one before it has read its configuration already: a SIGHUP that moves
-    discovery meanwhile used to be ignored, and it began at the old address."""
+    """A process that waits for the one before it has read its configuration already: a
+    SIGHUP that moves discovery meanwhile used to be ignored, and it began at the old
+    address.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
--- a/tests/test_settings_kept.py
+++ b/tests/test_settings_kept.py
@@ -1,5 +1,7 @@
-"""What the module keeps when other settings come, by SIGHUP or with a process that takes over: what targets
-told, and nothing that was worked out by the settings before."""
+"""What the module keeps when other settings come, by SIGHUP or with a process that
+takes over: what targets told, and nothing that was worked out by the settings
+before.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +35,9 @@
 
 
 def test_a_new_message_is_not_given_up_by_the_aim_of_an_open_one_of_its_name() -> None:
-    """What was worked out for a class of before was taken for the new one of that name in the same round."""
+    """What was worked out for a class of before was taken for the new one of that name
+    in the same round.
+    """
     d = dispatcher(classes=(order(aim_us=40 * SECOND),))
     assert sent(d.handle(1, [i.Arrived("a", 7, "order", 60 * SECOND)])) == ["a"]
     assert not sent(d.handle(2, [i.Arrived("b", 7, "order", 60 * SECOND)]))
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -1,5 +1,6 @@
-"""The shard map: its check against a bitmap, plans against the fewest moves, moves against every interleaving
-of a small model and against random ones of a larger."""
+"""The shard map: its check against a bitmap, plans against the fewest moves, moves
+against every interleaving of a small model and against random ones of a larger.
+"""
 
 from __future__ import annotations
 
@@ -74,7 +75,9 @@
 
 @st.composite
 def nearly(draw: st.DrawFn) -> dict[str, Any]:
-    """A sound map with a few entries put in, left out or doubled: most faults are close to no fault."""
+    """A sound map with a few entries put in, left out or doubled: most faults are close
+    to no fault.
+    """
     rows = list(draw(partitions())["ranges"])
     for _ in range(draw(st.integers(0, 2))):
         rows.insert(draw(st.integers(0, len(rows))), draw(entries))
@@ -86,7 +89,9 @@
 def slow(
     raw: dict[str, Any], members: set[str], old: dict[str, Any], most: Fraction
 ) -> Counter[Any]:
-    """The obvious model: for each key the entries that cover it. Faults as (kind, first, last, entries)."""
+    """The obvious model: for each key the entries that cover it. Faults as (kind,
+    first, last, entries).
+    """
     digits = {f"{n:02x}": n for n in range(256)}
     out: Counter[Any] = Counter()
     covers: list[list[int]] = [[] for _ in range(256)]
@@ -337,7 +342,8 @@
     assert run(capsys, "check", tmp_path / "o", "--against", sound)[0] == 0
 
 
-# -- plans -----------------------------------------------------------------------------------------
+# -- plans
+# -----------------------------------------------------------------------------------------
 
 
 def sizes(shards: ShardMap) -> Counter[str]:
@@ -401,7 +407,9 @@
     old: ShardMap, members: dict[str, float], loads: dict[tuple[int, int], int]
 ) -> None:
     def most(shards: ShardMap) -> float:
-        """Load on the one who has most for its weight, each range's load taken as even."""
+        """Load on the one who has most for its weight, each range's load taken as
+        even.
+        """
         on: Counter[str] = Counter()
         for r in shards.ranges:
             for s in old.over(r.first, r.last):
@@ -412,7 +420,8 @@
     done = plan(members, old, loads, bits=BITS)
     assert done.map.owners() <= set(members)
     if old.owners() <= {name for name, weight in members.items() if weight}:
-        # A hot range of a few keys cannot be cut any finer: one key's load and the part that goes by keys.
+        # A hot range of a few keys cannot be cut any finer: one key's load and the part
+        # that goes by keys.
         key = max(
             (Fraction(load, b - a + 1) for (a, b), load in loads.items()), default=0
         )
@@ -442,7 +451,8 @@
         (0, 23),
         (24, 255),
     ] and merged.moved == 0
-    # Neighbours of the one that left take its keys from either side; only the rest makes a new range.
+    # Neighbours of the one that left take its keys from either side; only the rest
+    # makes a new range.
     four = checked(
         made(1, (0, 63, "n4"), (64, 127, "n2"), (128, 191, "n3"), (192, 255, "n1")),
         bits=BITS,
@@ -468,7 +478,8 @@
     assert auto.wanted(owners, 2 * second, True, False) == {"n1": 1.0}
     auto.planned(2 * second)
     owners = {"n1": 1.0}
-    # n3 comes and goes eight times; n4 comes and stays. n3 costs no plan, and does not hold n4's up.
+    # n3 comes and goes eight times; n4 comes and stays. n3 costs no plan, and does not
+    # hold n4's up.
     at, plans = 2 * second, 0
     for swing in range(16):
         at += 4 * second
@@ -492,7 +503,8 @@
     )  # nobody is left to plan for
 
 
-# -- moves -----------------------------------------------------------------------------------------
+# -- moves
+# -----------------------------------------------------------------------------------------
 
 THERE = ("map 2", "a adopts map 2", "a drained", "map 3", "a adopts map 3")
 LOST = (
@@ -568,7 +580,9 @@
 def test_random_moves_of_planned_maps_never_overlap_and_come_to_their_end(
     seed: int,
 ) -> None:
-    """Ranges split and joined by the planner, 4 members, answers lost and late, leases out, restarts."""
+    """Ranges split and joined by the planner, 4 members, answers lost and late, leases
+    out, restarts.
+    """
     rng = random.Random(seed)
     names = ["a", "b", "c", "d"]
     at = plan(dict.fromkeys(names, 1.0), bits=BITS).map
@@ -692,7 +706,8 @@
     ):
         assert [f.kind for f in faults] == ["stale-generation"]
     assert moves.told() == held and owned.may_act(127, 0) and not owned.may_act(128, 0)
-    # A member with the other map is given nothing under it; the service puts its own above both.
+    # A member with the other map is given nothing under it; the service puts its own
+    # above both.
     stranger = Owned("n2", bits=BITS)
     stranger.adopt(other)
     stranger.joined(Token(3, 2), 900)
@@ -702,7 +717,8 @@
         Token(3, 2), word.sent, word.generation, word.digest, word.gave, 0
     )
     assert (answer.generation, answer.holds, answer.dirty) == (6, (), True)
-    # So it does for one that has seen later maps than a restored copy of the folder knows.
+    # So it does for one that has seen later maps than a restored copy of the folder
+    # knows.
     assert moves.beat(token, 50, 9, 1, (), 0).generation == 10
     with pytest.raises(ValueError):
         moves.beat(token, 51, 1 << 60, 1, (), 0)
@@ -738,7 +754,8 @@
         lost.beat(
             Token(3, 1), 9999, 6, word.digest, (), 1000
         )  # the former service's incarnation
-    # An older incarnation of a name keeps what it holds until its lease is out, and is given nothing new.
+    # An older incarnation of a name keeps what it holds until its lease is out, and is
+    # given nothing new.
     lost.alive(Token(4, 2), "n2", 9000)
     lost.alive(Token(4, 1), "n2", 1)  # a lease once told is not shortened
     assert lost.expire(4999) == []
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,6 @@
-"""The deployments in deploy/sites: what their files say is what the program takes, with no kit present."""
+"""The deployments in deploy/sites: what their files say is what the program takes, with
+no kit present.
+"""
 
 from __future__ import annotations
 
@@ -279,7 +281,9 @@
 
 
 def most(cls: dict[str, Any]) -> str:
-    """The longest time that a message of the class may come with: no verdict here hangs on how fast it is."""
+    """The longest time that a message of the class may come with: no verdict here hangs
+    on how fast it is.
+    """
     return f"{2 * cls['deadline_ms'] / 1000:.3f}"
 
 
@@ -294,7 +298,9 @@
 
 
 def called(request: Request) -> list[str]:
-    """The messages of a call, which several may share where the kind of target allows it."""
+    """The messages of a call, which several may share where the kind of target allows
+    it.
+    """
     if request.path == "/hook/batch":
         return [entry["id"] for entry in json.loads(request.body)]
     return [request.headers["x-correlation-id"]]
@@ -457,7 +463,9 @@
 def test_a_keyed_message_that_may_have_run_goes_again_only_within_its_own_window(
     tmp_path: Path,
 ) -> None:
-    """Of the site with the shorter window: the target holds its answer until that is surely over."""
+    """Of the site with the shorter window: the target holds its answer until that is
+    surely over.
+    """
 
     def keyed(folder: Path) -> dict[str, Any]:
         return next(c for c in site(folder)["class"] if c["effect"] == "keyed")
@@ -476,7 +484,8 @@
         assert (
             await node.hand_in("m", cls["name"], left=most(cls), **account(folder))
         )[0] == 202
-        # Once-only by then: handed in again it would run twice, so its client is not told to come again.
+        # Once-only by then: handed in again it would run twice, so its client is not
+        # told to come again.
         assert (await platform.notice("m"))["state"] == "failed"
         assert len(peer.requests) == 1
 
--- a/tests/test_suspect_answers.py
+++ b/tests/test_suspect_answers.py
@@ -1,4 +1,6 @@
-"""What an endpoint writes in the very moment in which its call is given up, forced over loopback."""
+"""What an endpoint writes in the very moment in which its call is given up, forced over
+loopback.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,9 @@
 def test_part_of_a_first_line_that_crosses_the_time_out_is_no_delivery(
     length: int, target: Target
 ) -> None:
-    """Booked as a delivery, its message was never ended, and its endpoint had not said so yet."""
+    """Booked as a delivery, its message was never ended, and its endpoint had not said
+    so yet.
+    """
 
     async def scene() -> None:
         s = Scene(target)
--- a/tests/test_suspect_clients.py
+++ b/tests/test_suspect_clients.py
@@ -13,7 +13,9 @@
 
 @pytest.mark.parametrize("read", [True, False])
 def test_connection_with_an_unread_request_makes_no_room(read: bool) -> None:
-    """The one that has rested longest was cut over what lay unread at its socket, which resets it."""
+    """The one that has rested longest was cut over what lay unread at its socket, which
+    resets it.
+    """
 
     async def scene(door: Door) -> None:
         first, second = await door.resting(), await door.resting()
