--- a/tests/test_suspect_half_close.py
+++ b/tests/test_suspect_half_close.py
@@ -1,4 +1,6 @@
-"""An answer that ends its connection, and a client that reads it late: it is there while a client waits."""
+"""An answer that ends its connection, and a client that reads it late: it is there
+while a client waits.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,9 @@
 
 
 def test_answer_is_there_for_as_long_as_its_client_waits_after_the_half_close() -> None:
-    """With bytes behind its request, which would reset the connection if that were closed over them."""
+    """With bytes behind its request, which would reset the connection if that were
+    closed over them.
+    """
 
     async def scene(door: Door) -> None:
         client = await door.busy()
--- a/tests/test_suspect_kill.py
+++ b/tests/test_suspect_kill.py
@@ -1,4 +1,6 @@
-"""A kill right behind the answer that takes a message on, while the connection for its call comes up."""
+"""A kill right behind the answer that takes a message on, while the connection for its
+call comes up.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +34,9 @@
 def test_message_whose_connection_was_coming_up_at_the_kill_is_tried_by_the_next_process(
     tmp_path: Path, cls: str
 ) -> None:
-    """Its attempt stood in the journal from the decision on: a once-only message was failed with no call."""
+    """Its attempt stood in the journal from the decision on: a once-only message was
+    failed with no call.
+    """
 
     async def scene(site: Site) -> None:
         dial = LateDial(await site.start())
@@ -73,7 +77,9 @@
 def test_call_whose_attempt_cannot_be_kept_leaves_only_if_it_may_be_repeated(
     tmp_path: Path, cls: str, goes: bool
 ) -> None:
-    """The disk filled while its connection came up. The other is tried once there is room."""
+    """The disk filled while its connection came up. The other is tried once there is
+    room.
+    """
 
     async def scene(site: Site) -> None:
         engine = await site.start()
--- a/tests/test_suspect_late_loop.py
+++ b/tests/test_suspect_late_loop.py
@@ -1,4 +1,6 @@
-"""A loop that stands still, as other processes share its core: what it reads and what is due meanwhile."""
+"""A loop that stands still, as other processes share its core: what it reads and what
+is due meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -66,7 +68,9 @@
 def test_time_left_counts_from_when_the_request_came_and_not_from_when_it_was_read(
     new: bool,
 ) -> None:
-    """Its end was due by so much later here than at its client, and the time for its notice was gone."""
+    """Its end was due by so much later here than at its client, and the time for its
+    notice was gone.
+    """
 
     async def scene(door: Door) -> None:
         rested = await door.resting()
@@ -75,7 +79,8 @@
         client = Caller(door.port) if new else rested
         client.say(message("m", left="0.500"))
         clock.now += 200 * MS  # in one turn of the loop
-        if new:  # the look comes behind the accept in its turn, and before the turn that reads
+        # the look comes behind the accept in its turn, and before the turn that reads
+        if new:
             asyncio.get_running_loop().call_later(0, look, door)
         await door.until(lambda: bool(door.handed))
         assert 0 <= door.handed[0][0].due_us - (sent + 500 * MS) <= BEAT_US
@@ -115,7 +120,9 @@
 def test_end_that_waits_for_its_round_goes_before_the_watch_for_overdue_messages(
     tmp_path: Path, outcome: i.Outcome, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The loop stood still past the message's time; its call's end is read, and its round comes next."""
+    """The loop stood still past the message's time; its call's end is read, and its
+    round comes next.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
@@ -154,9 +161,11 @@
 
 
 def test_each_end_leaves_room_for_a_loop_that_is_late() -> None:
-    """300 ms after its time a message must have its end. From the constants alone: a held one is given up
-    LOOK_US before its time at the latest, one whose call is out at its time, and one that both have left by
-    the watch; then its notice goes out in one round. So late may the loop be in all before that is missed."""
+    """300 ms after its time a message must have its end. From the constants alone: a
+    held one is given up LOOK_US before its time at the latest, one whose call is out at
+    its time, and one that both have left by the watch; then its notice goes out in one
+    round. So late may the loop be in all before that is missed.
+    """
     rounds = ROUND_US + 2 * MS  # the call's timer and a turn to read what lies there
     assert OWED_US - (rounds - LOOK_US) >= 330 * MS
     assert OWED_US - rounds >= 290 * MS
--- a/tests/test_suspect_stopping.py
+++ b/tests/test_suspect_stopping.py
@@ -1,4 +1,6 @@
-"""What ends in the last moments of a process, and what the process after it makes of that."""
+"""What ends in the last moments of a process, and what the process after it makes of
+that.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +25,11 @@
 def test_call_that_comes_back_unsent_in_the_freeze_is_booked_as_unsent(
     tmp_path: Path,
 ) -> None:
-    """The freeze decides for the last time. A call of that round that cannot leave comes back at once, to an
-    engine that makes no round any more: left open in the journal, its message may have run, and one that
-    must not run twice was given up with no call."""
+    """The freeze decides for the last time. A call of that round that cannot leave
+    comes back at once, to an engine that makes no round any more: left open in the
+    journal, its message may have run, and one that must not run twice was given up with
+    no call.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
@@ -61,7 +65,9 @@
 
 @pytest.mark.parametrize("cls", ["status", "pay"])
 def test_answer_that_lies_unread_at_the_end_is_booked(tmp_path: Path, cls: str) -> None:
-    """Cut with its connection, a delivery was sent again by the next process, or ended there as failed."""
+    """Cut with its connection, a delivery was sent again by the next process, or ended
+    there as failed.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
@@ -90,7 +96,9 @@
 def test_shared_call_that_is_out_at_the_end_costs_none_of_its_messages(
     tmp_path: Path, cls: str, half: bool
 ) -> None:
-    """With nothing or half of its answer there. The next process sends them again, or ends each."""
+    """With nothing or half of its answer there. The next process sends them again, or
+    ends each.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await Peer(hang).start()
@@ -147,7 +155,9 @@
 
 
 def answer_at_once(peer: Peer) -> None:
-    """Past the peer's own buffers: the bytes lie at the forwarder's socket when this returns."""
+    """Past the peer's own buffers: the bytes lie at the forwarder's socket when this
+    returns.
+    """
     sock = peer.requests[0].writer.get_extra_info("socket")
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
     assert os.write(sock.fileno(), data) == len(data)
--- a/tests/test_terms_decisions.py
+++ b/tests/test_terms_decisions.py
@@ -1,4 +1,6 @@
-"""What the renewed terms ask of decisions: when an untried message may be given up, and who waits in turn."""
+"""What the renewed terms ask of decisions: when an untried message may be given up, and
+who waits in turn.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +22,9 @@
 
 
 class Play:
-    """One destination that answers each call in the same time, and refuses those above its rate."""
+    """One destination that answers each call in the same time, and refuses those above
+    its rate.
+    """
 
     def __init__(self, seed: int, balancers: int, rate: float, took: int) -> None:
         self.random, self.now = Random(seed), 10 * S
@@ -70,7 +74,9 @@
 def test_an_untried_message_is_kept_for_seven_tenths_of_its_time_in_a_large_fleet(
     seed: int,
 ) -> None:
-    """Twice as many come as go, so most are given up; those without a call not before."""
+    """Twice as many come as go, so most are given up; those without a call not
+    before.
+    """
     play, came = Play(seed, 230, rate=4, took=40 * MS), dict[str, int]()
     for _ in range(500):
         arrives = [f"m{len(came)}"] if play.random.random() < 8 * STEP / S else []
@@ -85,7 +91,9 @@
 
 
 def refused_in_turn(seed: int, balancers: int) -> tuple[int, int, int, int]:
-    """Messages that came behind an open one of their key, all others, and how many of each were refused."""
+    """Messages that came behind an open one of their key, all others, and how many of
+    each were refused.
+    """
     play = Play(seed, balancers, rate=30, took=60 * MS)
     behind, others, of_key = set[str](), set[str](), dict[str, set[str]]()
     for number in range(1500):
@@ -112,7 +120,9 @@
 def test_those_behind_an_open_one_are_not_refused_much_more_often(
     balancers: int,
 ) -> None:
-    """Messages that go in turn, of eight keys, beside as many that do not, on a calm day."""
+    """Messages that go in turn, of eight keys, beside as many that do not, on a calm
+    day.
+    """
     counted = [refused_in_turn(seed, balancers) for seed in range(8)]
     behind, others, behind_refused, others_refused = (
         sum(column) for column in zip(*counted, strict=True)
--- a/tests/test_terms_list.py
+++ b/tests/test_terms_list.py
@@ -1,4 +1,6 @@
-"""Watches that fall silent late, while they are held, and lists that come whole and indented."""
+"""Watches that fall silent late, while they are held, and lists that come whole and
+indented.
+"""
 
 from __future__ import annotations
 
@@ -24,8 +26,9 @@
 
 
 class SilentLater(Agent):
-    """All watches that are open when `fall_silent` is called stay without an answer. What it tells is
-    indented, and the whole list each time where `whole`."""
+    """All watches that are open when `fall_silent` is called stay without an answer.
+    What it tells is indented, and the whole list each time where `whole`.
+    """
 
     def __init__(self, whole: bool) -> None:
         super().__init__()
--- a/tests/test_terms_notices.py
+++ b/tests/test_terms_notices.py
@@ -22,7 +22,9 @@
 def test_a_post_holds_as_many_ends_as_its_body_takes(
     length: int, character: str
 ) -> None:
-    """Ids may have 128 characters, and some take two bytes in JSON: 500 of them were over 64 KiB."""
+    """Ids may have 128 characters, and some take two bytes in JSON: 500 of them were
+    over 64 KiB.
+    """
     owed = {
         f"{n:06}" + character * (length - 6): Owed("returned", 3000)
         for n in range(3 * MOST_NOTICES)
@@ -46,7 +48,9 @@
 def test_all_that_a_restart_owes_is_told_soon_though_a_post_is_lost(
     lost: Answer | bytes | None,
 ) -> None:
-    """Three thousand ends; the second post falls silent or breaks off. What was owed first goes first."""
+    """Three thousand ends; the second post falls silent or breaks off. What was owed
+    first goes first.
+    """
 
     async def scene() -> None:
         peer = await platform_that(TAKEN, lost, TAKEN)
--- a/tests/test_terms_requests.py
+++ b/tests/test_terms_requests.py
@@ -1,4 +1,6 @@
-"""Requests in pieces and in every form that the protocol page allows: they are the same message."""
+"""Requests in pieces and in every form that the protocol page allows: they are the same
+message.
+"""
 
 from __future__ import annotations
 
@@ -145,7 +147,9 @@
 @pytest.mark.parametrize("place", [1, 20, len(PLAIN) - len(BODY), len(PLAIN) - 1])
 @pytest.mark.parametrize("step", ["leave", "sweep"])
 def test_request_in_pieces_around_sigterm_has_its_answer(place: int, step: str) -> None:
-    """Its last byte comes after the shutdown was decided: it is answered, and its connection ends then."""
+    """Its last byte comes after the shutdown was decided: it is answered, and its
+    connection ends then.
+    """
 
     async def scene(door: Door) -> None:
         door.at_once = HTTPStatus.ACCEPTED
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -1,6 +1,8 @@
-"""Worlds drawn from a seed that play a dispatcher for a while: clients, targets, lists, operators, restarts.
+"""Worlds drawn from a seed that play a dispatcher for a while: clients, targets, lists,
+operators, restarts.
 
-`python -m tests.worlds > tests/replay.json` records anew: right only where behaviour was meant to change.
+`python -m tests.worlds > tests/replay.json` records anew: right only where behaviour
+was meant to change.
 """
 
 from __future__ import annotations
@@ -390,7 +392,9 @@
         self.next = list(self.recalled(cut))
 
     def hand_over(self) -> None:
-        """Another process goes on; calls stay out, and some that it is told nothing of."""
+        """Another process goes on; calls stay out, and some that it is told nothing
+        of.
+        """
         out = {(o.message, o.attempt) for o in self.out if self.luck(0.9)}
         memory = json.loads(json.dumps(self.d.memory(out)))
         if self.luck(0.2):
@@ -415,7 +419,9 @@
 def play(
     seed: int, make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher
 ) -> Iterator[Round]:
-    """Every action of one world with its time, and now and then what its dispatcher remembers and says."""
+    """Every action of one world with its time, and now and then what its dispatcher
+    remembers and says.
+    """
     world, sum_of_all = World(seed, make), hashlib.sha256()
     for n, (now, events, actions) in enumerate(world.play(ROUNDS)):
         sum_of_all.update(f"{now} {world.d.absorbed} {actions!r}\n".encode())
@@ -432,7 +438,9 @@
 def record(
     seed: int, make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher
 ) -> dict[str, Any]:
-    """What is kept of one world: the first digits of each round's digest, the last whole, actions by kind."""
+    """What is kept of one world: the first digits of each round's digest, the last
+    whole, actions by kind.
+    """
     rounds = list(play(seed, make))
     kinds = Counter(type(a).__name__ for r in rounds for a in r.actions)
     return {
