--- a/lemonshunt/choice/__init__.py
+++ b/lemonshunt/choice/__init__.py
@@ -1,4 +1,5 @@
-"""Every decision of lemonshunt. Types, events and actions: lemonshunt/interface.py.
+"""All decisions. Types, events and actions: lemonshunt/interface.py.
+
 Begin at dispatcher.py.
 
 A module here imports only those named before it: `shares` < `books` < `queues` <
--- a/lemonshunt/choice/dispatcher.py
+++ b/lemonshunt/choice/dispatcher.py
@@ -1,5 +1,4 @@
-"""One round of decisions, read top to bottom. Types, events and actions:
-lemonshunt/interface.py.
+"""One round of decisions. Types, events and actions: lemonshunt/interface.py.
 
 The ordinary path: held messages leave by groups of near deadlines, shortest expected
 call first in each; what cannot finish in time is refused unsent; a window that grows
