--- a/lemonshunt/net/__init__.py
+++ /dev/null
@@ -1,3 +0,0 @@
-"""The real forwarder around lemonshunt.choice: sockets, journal and timers. Decides
-nothing.
-"""
--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -20,13 +20,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from lemonshunt.budget.divide import divide  # noqa: E402
-from lemonshunt.budget.ledger import Ledger  # noqa: E402
-from lemonshunt.budget.purse import Purse  # noqa: E402
-from lemonshunt.budget.terms import Budget, Share  # noqa: E402
-from lemonshunt.budget.wants import Wants  # noqa: E402
-from lemonshunt.lease.token import Token  # noqa: E402
 from measure.figures import row  # noqa: E402
+from rainfall.budget.divide import divide  # noqa: E402
+from rainfall.budget.ledger import Ledger  # noqa: E402
+from rainfall.budget.purse import Purse  # noqa: E402
+from rainfall.budget.terms import Budget, Share  # noqa: E402
+from rainfall.budget.wants import Wants  # noqa: E402
+from rainfall.lease.token import Token  # noqa: E402
 
 SECOND = 1_000_000
 DRIFT = 0.02
--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -232,7 +232,7 @@
     ]
     with (folder / "log").open("w") as log:
         service = subprocess.Popen(
-            [sys.executable, "-m", "lemonshunt.registry", *map(str, words)],
+            [sys.executable, "-m", "rainfall.registry", *map(str, words)],
             cwd=ROOT,
             stderr=log,
         )
--- a/measure/import_time.py
+++ b/measure/import_time.py
@@ -18,14 +18,14 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-MODULES = ("lemonshunt.__main__", "lemonshunt.net.engine")
+MODULES = ("rainfall.__main__", "rainfall.net.engine")
 CODE = """
 import importlib, sys, time
 before = set(sys.modules)
 began, spent = time.perf_counter_ns(), time.process_time_ns()
 importlib.import_module({module!r})
 took, spent = time.perf_counter_ns() - began, time.process_time_ns() - spent
-own = [name for name in sys.modules if name.startswith('lemonshunt') and name not in before]
+own = [name for name in sys.modules if name.startswith('rainfall') and name not in before]
 print(took / 1e6, spent / 1e6, len(set(sys.modules) - before), len(own))
 """
 
@@ -48,7 +48,7 @@
 def compare(old: Path, new: Path, module: str, pairs: int) -> dict[str, object]:
     trees = {"old": old, "new": new}
     for tree in trees.values():
-        compileall.compile_dir(tree / "lemonshunt", quiet=2)  # as the build does
+        compileall.compile_dir(tree / "rainfall", quiet=2)  # as the build does
     times: dict[str, list[list[float]]] = {"old": [], "new": []}
     found: dict[str, object] = {"module": module, "pairs": pairs}
     for n in range(pairs):
@@ -74,7 +74,7 @@
     ask.add_argument("--pairs", type=int, default=11)
     args = ask.parse_args()
     packed = subprocess.run(
-        ["git", "archive", args.old, "lemonshunt"],
+        ["git", "archive", args.old, "rainfall"],
         cwd=ROOT,
         check=True,
         capture_output=True,
--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -18,9 +18,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from lemonshunt import interface as i  # noqa: E402
-from lemonshunt.net import store as new_store  # noqa: E402
 from measure.figures import row  # noqa: E402
+from rainfall import interface as i  # noqa: E402
+from rainfall.net import store as new_store  # noqa: E402
 
 BEFORE = "a2f2844"  # the last commit with the old journal
 MESSAGES, EACH_ROUND, NOW = 4000, 3, 1_700_000_000_000_000
--- a/measure/lab_load.py
+++ b/measure/lab_load.py
@@ -17,9 +17,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from lemonshunt.lab.experiment import parse  # noqa: E402
-from lemonshunt.lab.runner import run  # noqa: E402
 from measure.figures import row  # noqa: E402
+from rainfall.lab.experiment import parse  # noqa: E402
+from rainfall.lab.runner import run  # noqa: E402
 
 SIZES = (3, 30)
 RATES = (250, 500, 1000, 2000, 4000, 8000)
--- a/measure/lab_proxy.py
+++ b/measure/lab_proxy.py
@@ -16,10 +16,10 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from lemonshunt.lab.load import status_of  # noqa: E402
-from lemonshunt.lab.proxy import Link  # noqa: E402
-from lemonshunt.lab.standins import Behaviour, Endpoint  # noqa: E402
 from measure.figures import end_peers, row  # noqa: E402
+from rainfall.lab.load import status_of  # noqa: E402
+from rainfall.lab.proxy import Link  # noqa: E402
+from rainfall.lab.standins import Behaviour, Endpoint  # noqa: E402
 
 CALLS = 400
 CALL = b"POST /hook HTTP/1.1\r\nX-Correlation-Id: m\r\nIdempotency-Key: k\r\nContent-Length: 5\r\n\r\nhello"
--- a/measure/queue_cost.py
+++ b/measure/queue_cost.py
@@ -23,8 +23,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from lemonshunt import interface as i  # noqa: E402
-from lemonshunt.choice import Dispatcher  # noqa: E402
+from rainfall import interface as i  # noqa: E402
+from rainfall.choice import Dispatcher  # noqa: E402
 from tests import reference  # noqa: E402
 
 S = 1_000_000
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -17,9 +17,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from lemonshunt.net.store import Rules, Store, Taken  # noqa: E402
-from lemonshunt.wirehost import settings  # noqa: E402
 from measure.figures import end_peers, row  # noqa: E402
+from rainfall.net.store import Rules, Store, Taken  # noqa: E402
+from rainfall.wirehost import settings  # noqa: E402
 from tests.sockets import OK, SETTINGS, Node, Peer, Platform, always  # noqa: E402
 
 FULL = 100_000  # more than the disk limit holds
--- a/measure/registry_writes.py
+++ b/measure/registry_writes.py
@@ -20,9 +20,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from lemonshunt.lease.terms import Terms  # noqa: E402
-from lemonshunt.registry.disk import Disk  # noqa: E402
-from lemonshunt.registry.server import Service  # noqa: E402
+from rainfall.lease.terms import Terms  # noqa: E402
+from rainfall.registry.disk import Disk  # noqa: E402
+from rainfall.registry.server import Service  # noqa: E402
 
 WRITERS = 200
 
--- a/measure/scale/control_config.py
+++ b/measure/scale/control_config.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.net.config import load
-from lemonshunt.net.fleet_config import MOST_BUDGETS, MOST_PEERS
-from lemonshunt.net.reconfigure import examine
 from measure.scale import control_probe as probe
 from measure.scale import control_worlds as worlds
 from measure.scale.growth import grow
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import DESTINATIONS, FORWARDERS, Role
+from rainfall.net.config import load
+from rainfall.net.fleet_config import MOST_BUDGETS, MOST_PEERS
+from rainfall.net.reconfigure import examine
 
 ENDPOINTS = (100, 1_000, 10_000, DESTINATIONS)
 BUDGETS = (10, 100, 300, MOST_BUDGETS)
--- a/measure/scale/control_demand.py
+++ b/measure/scale/control_demand.py
@@ -12,15 +12,15 @@
 
 import msgspec
 
-from lemonshunt.budget.config import MOST_BUDGETS
-from lemonshunt.net.fleet_beat import Answer
-from lemonshunt.net.fleet_books import Books
-from lemonshunt.net.fleet_file import Keep
 from measure.scale import control_probe as probe
 from measure.scale import control_worlds as worlds
 from measure.scale.growth import grow, isolated
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import DESTINATIONS, Role
+from rainfall.budget.config import MOST_BUDGETS
+from rainfall.net.fleet_beat import Answer
+from rainfall.net.fleet_books import Books
+from rainfall.net.fleet_file import Keep
 
 SIZES = (10, 100, 1_000, 10_000, DESTINATIONS)
 WANTED = (10, 100, 300, MOST_BUDGETS)
--- a/measure/scale/control_division.py
+++ b/measure/scale/control_division.py
@@ -8,15 +8,15 @@
 import random
 from collections.abc import Iterable
 
-from lemonshunt.budget.config import checked
-from lemonshunt.budget.divide import divide
-from lemonshunt.budget.ledger import Ledger
-from lemonshunt.registry.budgets import Budgets
 from measure.scale import control_probe as probe
 from measure.scale import control_worlds as worlds
 from measure.scale.growth import Growth, grow, isolated
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import FORWARDERS, Role
+from rainfall.budget.config import checked
+from rainfall.budget.divide import divide
+from rainfall.budget.ledger import Ledger
+from rainfall.registry.budgets import Budgets
 
 MEMBERS = (10, 30, 100, 300, FORWARDERS, 1_000)
 BUDGETS = (1, 10, 100, 1_000)
--- a/measure/scale/control_list.py
+++ b/measure/scale/control_list.py
@@ -14,21 +14,21 @@
 
 import msgspec
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.net.config import Address, HostList, host_list
-from lemonshunt.net.discovery import ANSWER_S, Client
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.http import MOST_LIST, BadAnswer, ResponseReader
-from lemonshunt.net.store import Store
-from lemonshunt.registry.core import Registry
-from lemonshunt.registry.disk import Disk
-from lemonshunt.registry.server import Service
 from measure.scale import control_probe as probe
 from measure.scale import control_worlds as worlds
 from measure.scale.growth import grow, isolated, sizes_by
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import DESTINATIONS, Role
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.net.config import Address, HostList, host_list
+from rainfall.net.discovery import ANSWER_S, Client
+from rainfall.net.engine import Engine
+from rainfall.net.http import MOST_LIST, BadAnswer, ResponseReader
+from rainfall.net.store import Store
+from rainfall.registry.core import Registry
+from rainfall.registry.disk import Disk
+from rainfall.registry.server import Service
 
 SIZES = (100, 1_000, 10_000, DESTINATIONS)
 LARGEST = 3 * DESTINATIONS
--- a/measure/scale/control_members.py
+++ b/measure/scale/control_members.py
@@ -12,16 +12,16 @@
 
 import msgspec
 
-from lemonshunt.journal.files import SystemFiles
-from lemonshunt.lease.table import Table
-from lemonshunt.lease.terms import Terms
-from lemonshunt.member.roster import Roster
-from lemonshunt.registry.book import LEASE, Book
 from measure.scale import control_probe as probe
 from measure.scale import control_worlds as worlds
 from measure.scale.growth import grow
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import FORWARDERS, Role
+from rainfall.journal.files import SystemFiles
+from rainfall.lease.table import Table
+from rainfall.lease.terms import Terms
+from rainfall.member.roster import Roster
+from rainfall.registry.book import LEASE, Book
 
 SIZES = (30, 100, 300, FORWARDERS, 1_000)
 REPEATS = 5
--- a/measure/scale/control_probe.py
+++ b/measure/scale/control_probe.py
@@ -19,7 +19,7 @@
 STATUS = Path("/proc/self/status")
 RESET_PEAK = "5"
 """What /proc/self/clear_refs takes to count the peak of memory anew."""
-PROGRAM = f"{Path('lemonshunt')}/"
+PROGRAM = f"{Path('rainfall')}/"
 
 
 @contextlib.contextmanager
--- a/measure/scale/control_shards.py
+++ b/measure/scale/control_shards.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from lemonshunt.shard.check import check
-from lemonshunt.shard.maps import ShardMap, span_text
-from lemonshunt.shard.plan import plan
 from measure.scale import control_probe as probe
 from measure.scale import control_worlds as worlds
 from measure.scale.growth import Growth, grow
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import FORWARDERS, ZONE_FORWARDERS, Role
 from measure.shard_check import shuffled, told
+from rainfall.shard.check import check
+from rainfall.shard.maps import ShardMap, span_text
+from rainfall.shard.plan import plan
 
 RANGES = (100, 1_000, 10_000, 44_000)
 OWNERS = (10, 30, 100, 300, FORWARDERS)
--- a/measure/scale/control_worlds.py
+++ b/measure/scale/control_worlds.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lease.table import Table
-from lemonshunt.lease.terms import Terms
-from lemonshunt.lease.token import Token
-from lemonshunt.member.roster import Roster
-from lemonshunt.net.config import Address, Config, HostList, host_list, parse
-from lemonshunt.net.engine import Engine
-from lemonshunt.registry.core import Registry
+from rainfall.lease.table import Table
+from rainfall.lease.terms import Terms
+from rainfall.lease.token import Token
+from rainfall.member.roster import Roster
+from rainfall.net.config import Address, Config, HostList, host_list, parse
+from rainfall.net.engine import Engine
+from rainfall.registry.core import Registry
 
 NOWHERE = Address("127.0.0.1", 9)
 ZONES = 6
--- a/measure/scale/hollow_member.py
+++ b/measure/scale/hollow_member.py
@@ -17,15 +17,15 @@
 from pathlib import Path
 from typing import Any, ClassVar, cast
 
-from lemonshunt import interface
-from lemonshunt.choice.routes import ASK_MOST_US
-from lemonshunt.net import discovery, fleet_config
-from lemonshunt.net.config import Address, HostList
-from lemonshunt.net.desk import Clock, Desk
-from lemonshunt.net.discovery import NO_VERSION, Channel, Watch
-from lemonshunt.net.fleet import Fleet
-from lemonshunt.net.http import ResponseReader
-from lemonshunt.state import Demand
+from rainfall import interface
+from rainfall.choice.routes import ASK_MOST_US
+from rainfall.net import discovery, fleet_config
+from rainfall.net.config import Address, HostList
+from rainfall.net.desk import Clock, Desk
+from rainfall.net.discovery import NO_VERSION, Channel, Watch
+from rainfall.net.fleet import Fleet
+from rainfall.net.http import ResponseReader
+from rainfall.state import Demand
 
 WAITING_CLASS = "order"
 
--- a/measure/scale/hollow_process.py
+++ b/measure/scale/hollow_process.py
@@ -15,8 +15,6 @@
 import msgspec
 from msgspec import Struct
 
-from lemonshunt.lease.terms import surely_held_us
-from lemonshunt.net.config import Address
 from measure.scale.hollow_member import (
     Call,
     CountedChannel,
@@ -25,6 +23,8 @@
     count_calls,
 )
 from measure.scale.memory import resident_bytes
+from rainfall.lease.terms import surely_held_us
+from rainfall.net.config import Address
 
 TICK_S = 0.1
 """Between two ticks of one member."""
--- a/measure/scale/journal_growth.py
+++ b/measure/scale/journal_growth.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterator, Mapping
 from pathlib import Path
 
-from lemonshunt import interface as i
-from lemonshunt.net.store import Rules, Store, Taken
 from measure.scale import target
 from measure.scale.growth import grow, isolated, sizes_by
 from measure.scale.memory import peak_bytes, resident_bytes
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
+from rainfall import interface as i
+from rainfall.net.store import Rules, Store, Taken
 
 LIVE = sizes_by(250, 4, 1_000_000)
 ENDPOINTS = sizes_by(100, 4, target.DESTINATIONS)
--- a/measure/scale/journal_ready.py
+++ b/measure/scale/journal_ready.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterator, Mapping
 from pathlib import Path
 
-from lemonshunt.net.store import Rules, Store, Taken
-from lemonshunt.wirehost import settings
 from measure.figures import end_peers
 from measure.scale.growth import grow, isolated
 from measure.scale.memory import processor_s
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
+from rainfall.net.store import Rules, Store, Taken
+from rainfall.wirehost import settings
 from tests.sockets import SETTINGS, Node, Platform
 
 LIVE = (10, 100, 1_000, 10_000, 100_000)
--- a/measure/scale/message_list.py
+++ b/measure/scale/message_list.py
@@ -7,13 +7,13 @@
 import gc
 from collections.abc import Iterator, Mapping
 
-from lemonshunt import interface as i
 from measure.scale import target
 from measure.scale.growth import grow, isolated, sizes_by
 from measure.scale.memory import resident_bytes
 from measure.scale.message_traffic import MILLISECOND, SECOND, Spent, Traffic
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
+from rainfall import interface as i
 
 ENDPOINTS = sizes_by(100, 4, target.DESTINATIONS)
 CHANGES = 20
--- a/measure/scale/message_traffic.py
+++ b/measure/scale/message_traffic.py
@@ -15,9 +15,9 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
 from measure.scale import target
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 
 MILLISECOND = 1_000
 SECOND = 1_000_000
--- a/measure/scale/message_watch.py
+++ b/measure/scale/message_watch.py
@@ -14,17 +14,17 @@
 from pathlib import Path
 from types import SimpleNamespace
 
-from lemonshunt import interface as i
-from lemonshunt.journal.state import Taken
-from lemonshunt.net.config import Address, Config, HostList
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.fleet import Fleet
-from lemonshunt.net.starting import SWEEP_S
 from measure.scale import target
 from measure.scale.growth import grow, isolated, sizes_by
 from measure.scale.memory import resident_bytes
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
+from rainfall import interface as i
+from rainfall.journal.state import Taken
+from rainfall.net.config import Address, Config, HostList
+from rainfall.net.engine import Engine
+from rainfall.net.fleet import Fleet
+from rainfall.net.starting import SWEEP_S
 
 LIVE = sizes_by(250, 4, 1_000_000)
 NOWHERE = Address("127.0.0.1", 9)
--- a/measure/scale/needs.py
+++ b/measure/scale/needs.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from lemonshunt.net.desk import TICK_S
 from measure.scale import message_rate, target
 from measure.scale.fit import Fit, Span, fit
 from measure.scale.results import Entry, Found, find
 from measure.scale.target import Role
+from rainfall.net.desk import TICK_S
 
 MISSING = "missing"
 QUEUES = "queues by deadline, a lane for each class"
--- a/measure/scale/results.py
+++ b/measure/scale/results.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 RESULTS = Path(__file__).resolve().parent / "results.json"
-MEASURED = ("lemonshunt", "measure", f":!{RESULTS.relative_to(ROOT)}")
+MEASURED = ("rainfall", "measure", f":!{RESULTS.relative_to(ROOT)}")
 """What a figure depends on."""
 PLAIN_FIELDS = ("name", "role", "size_unit", "value_unit", "bound")
 
--- a/measure/scale/service_forwarders.py
+++ b/measure/scale/service_forwarders.py
@@ -65,7 +65,7 @@
         environment = {**os.environ, "LB_CONFIG": str(path), "LB_STATE": str(folder)}
         with (folder / "log").open("w") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "lemonshunt"],
+                [sys.executable, "-m", "rainfall"],
                 cwd=ROOT,
                 env=environment,
                 stderr=log,
--- a/measure/scale/service_process.py
+++ b/measure/scale/service_process.py
@@ -98,7 +98,7 @@
         words += ["--lease-ms", LEASE_MS, "--longest-ms", LEASE_MS, "--new"]
         with (self.folder / "service.log").open("a") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "lemonshunt.registry", *map(str, words)],
+                [sys.executable, "-m", "rainfall.registry", *map(str, words)],
                 cwd=ROOT,
                 stderr=log,
             )
--- a/measure/scale/service_split.py
+++ b/measure/scale/service_split.py
@@ -12,17 +12,17 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from lemonshunt.lease.holder import Holder
-from lemonshunt.lease.table import Grant, Held, Table
-from lemonshunt.lease.terms import Record, Refused, Terms
-from lemonshunt.lease.token import NEVER, Token
-from lemonshunt.member.roster import PREFIX, Roster
-from lemonshunt.net.fleet_books import Books
-from lemonshunt.registry.budgets import Budgets
 from measure.scale import target
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.service_members import Figures
 from measure.scale.target import Role
+from rainfall.lease.holder import Holder
+from rainfall.lease.table import Grant, Held, Table
+from rainfall.lease.terms import Record, Refused, Terms
+from rainfall.lease.token import NEVER, Token
+from rainfall.member.roster import PREFIX, Roster
+from rainfall.net.fleet_books import Books
+from rainfall.registry.budgets import Budgets
 
 SECOND_US = 1_000_000
 TTL_US = 3 * SECOND_US
--- a/measure/shard_check.py
+++ b/measure/shard_check.py
@@ -21,9 +21,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from lemonshunt.shard.check import check  # noqa: E402
-from lemonshunt.shard.maps import ShardMap, decode, hexed  # noqa: E402
-from lemonshunt.shard.plan import plan  # noqa: E402
+from rainfall.shard.check import check  # noqa: E402
+from rainfall.shard.maps import ShardMap, decode, hexed  # noqa: E402
+from rainfall.shard.plan import plan  # noqa: E402
 
 REPEATS = 7
 SPACE = 1 << 64
--- a/lemonshunt/__main__.py
+++ b/rainfall/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one real forwarder: python -m lemonshunt."""
+"""Starts one real forwarder: python -m rainfall."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 import sys
 from dataclasses import replace
 
-from lemonshunt.journal.recovery import Unusable
-from lemonshunt.net.admin import Admin
-from lemonshunt.net.config import Config, load, replacement
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.faults import ConfigError
-from lemonshunt.net.handover import Lock, claim
-from lemonshunt.net.reconfigure import FIXED
+from rainfall.journal.recovery import Unusable
+from rainfall.net.admin import Admin
+from rainfall.net.config import Config, load, replacement
+from rainfall.net.engine import Engine
+from rainfall.net.faults import ConfigError
+from rainfall.net.handover import Lock, claim
+from rainfall.net.reconfigure import FIXED
 
-log = logging.getLogger("lemonshunt")
+log = logging.getLogger("rainfall")
 
 
 async def serve(config: Config, asked: list[bool] | None = None) -> None:
@@ -98,23 +98,23 @@
     try:
         config = load()
     except ConfigError as error:
-        print(f"lemonshunt: {error}", file=sys.stderr)
+        print(f"rainfall: {error}", file=sys.stderr)
         return 2
     if config.log_json:
         try:
-            from lemonshunt.net.logjson import install
+            from rainfall.net.logjson import install
 
             install(config.name)
         except ImportError:
             print(
-                "lemonshunt: log_format 'json' needs structlog (requirements.txt)",
+                "rainfall: log_format 'json' needs structlog (requirements.txt)",
                 file=sys.stderr,
             )
             return 2
     try:
         asyncio.run(serve(config, asked))
     except (OSError, Unusable) as error:
-        print(f"lemonshunt: cannot serve: {error}", file=sys.stderr)
+        print(f"rainfall: cannot serve: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/lemonshunt/budget/aim.py
+++ b/rainfall/budget/aim.py
@@ -6,9 +6,9 @@
 
 from dataclasses import dataclass, field
 
-from lemonshunt.budget.book import Account, Book, Grant
-from lemonshunt.budget.divide import Division, Want, divide, fill
-from lemonshunt.lease.token import Token
+from rainfall.budget.book import Account, Book, Grant
+from rainfall.budget.divide import Division, Want, divide, fill
+from rainfall.lease.token import Token
 
 SOON = 4  # a member with work and no share waits for a pause over this at most
 STEPS = (
--- a/lemonshunt/budget/book.py
+++ b/rainfall/budget/book.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lemonshunt.budget.terms import Budget
-from lemonshunt.lease.token import Token
+from rainfall.budget.terms import Budget
+from rainfall.lease.token import Token
 
 # grants not acknowledged that are kept apart for a process; older ones count as one
 MOST_OPEN = 8
--- a/lemonshunt/budget/config.py
+++ b/rainfall/budget/config.py
@@ -7,7 +7,7 @@
 import math
 from typing import Any
 
-from lemonshunt.budget.terms import Budget
+from rainfall.budget.terms import Budget
 
 MOST_BUDGETS = 10_000
 MOST_PARTS = 64
--- a/lemonshunt/budget/divide.py
+++ b/rainfall/budget/divide.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Generic, NamedTuple, TypeVar
 
-from lemonshunt.budget.terms import weight
+from rainfall.budget.terms import weight
 
 K = TypeVar("K")
 UNIT = 1_000_000  # credit is counted in millionths of a call
--- a/lemonshunt/budget/keep.py
+++ b/rainfall/budget/keep.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from lemonshunt.budget.book import Account, Grant, State
-from lemonshunt.budget.ledger import Change, Ledger
-from lemonshunt.budget.terms import Budget, wide
-from lemonshunt.lease.token import Token
+from rainfall.budget.book import Account, Grant, State
+from rainfall.budget.ledger import Change, Ledger
+from rainfall.budget.terms import Budget, wide
+from rainfall.lease.token import Token
 
 
 def snapshot(ledger: Ledger) -> dict[str, Any]:
--- a/lemonshunt/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lemonshunt.budget.aim import Aim, moves, redivide
-from lemonshunt.budget.book import Account, Book, Grant, State
-from lemonshunt.budget.terms import Budget, Share, wide
-from lemonshunt.lease.token import Token
+from rainfall.budget.aim import Aim, moves, redivide
+from rainfall.budget.book import Account, Book, Grant, State
+from rainfall.budget.terms import Budget, Share, wide
+from rainfall.lease.token import Token
 
 
 @dataclass(frozen=True, slots=True)
--- a/lemonshunt/budget/model.py
+++ b/rainfall/budget/model.py
@@ -1,4 +1,4 @@
-"""Budgets for `lemonshunt.explore`: a service and members, on the cores that the
+"""Budgets for `rainfall.explore`: a service and members, on the cores that the
 processes run.
 
 A tick is one microsecond of the service's clock. A member's clock may miss ticks, as
@@ -14,10 +14,10 @@
 from collections.abc import Hashable, Iterator
 from typing import Any
 
-from lemonshunt.budget.keep import restored, snapshot
-from lemonshunt.budget.ledger import Ledger
-from lemonshunt.budget.model_bugs import BUGS, Bare, Gullible, Hasty, Trusting
-from lemonshunt.budget.model_state import (
+from rainfall.budget.keep import restored, snapshot
+from rainfall.budget.ledger import Ledger
+from rainfall.budget.model_bugs import BUGS, Bare, Gullible, Hasty, Trusting
+from rainfall.budget.model_state import (
     Process,
     World,
     changed_to,
@@ -27,10 +27,10 @@
     put,
     said,
 )
-from lemonshunt.budget.purse import Purse
-from lemonshunt.budget.terms import Budget, Share
-from lemonshunt.explore.net import Net
-from lemonshunt.lease.token import Token
+from rainfall.budget.purse import Purse
+from rainfall.budget.terms import Budget, Share
+from rainfall.explore.net import Net
+from rainfall.lease.token import Token
 
 
 class Budgets:
--- a/lemonshunt/budget/model_bugs.py
+++ b/rainfall/budget/model_bugs.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 from typing import Any
 
-from lemonshunt.budget.book import Book
-from lemonshunt.budget.purse import Purse
-from lemonshunt.budget.terms import Share
+from rainfall.budget.book import Book
+from rainfall.budget.purse import Purse
+from rainfall.budget.terms import Share
 
 BUGS = (
     "span not waited for",
--- a/lemonshunt/budget/model_state.py
+++ b/rainfall/budget/model_state.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, replace
 from typing import Any, TypeVar
 
-from lemonshunt.budget.book import Account
-from lemonshunt.budget.ledger import Ledger
-from lemonshunt.budget.purse import Purse
-from lemonshunt.budget.window import Window
-from lemonshunt.explore.net import Net
-from lemonshunt.lease.token import Token
+from rainfall.budget.book import Account
+from rainfall.budget.ledger import Ledger
+from rainfall.budget.purse import Purse
+from rainfall.budget.window import Window
+from rainfall.explore.net import Net
+from rainfall.lease.token import Token
 
 T = TypeVar("T")
 
--- a/lemonshunt/budget/purse.py
+++ b/rainfall/budget/purse.py
@@ -11,9 +11,9 @@
 from dataclasses import replace
 from typing import Any
 
-from lemonshunt.budget.terms import Share, window
-from lemonshunt.budget.window import Window
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.budget.terms import Share, window
+from rainfall.budget.window import Window
+from rainfall.lease.token import NEVER, Token
 
 FORM = 1
 
--- a/lemonshunt/budget/terms.py
+++ b/rainfall/budget/terms.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lemonshunt.lease.token import Token
+from rainfall.lease.token import Token
 
 
 def wide(us: int, drift: float) -> int:
--- a/lemonshunt/choice/__init__.py
+++ b/rainfall/choice/__init__.py
@@ -1,4 +1,4 @@
-"""All decisions. Types, events and actions: lemonshunt/interface.py.
+"""All decisions. Types, events and actions: rainfall/interface.py.
 
 Begin at dispatcher.py.
 
@@ -6,6 +6,6 @@
 `health` < `limits` < `giving` < `learning`, `order`, `routes`, `memory` < `dispatcher`.
 """
 
-from lemonshunt.choice.dispatcher import Dispatcher
+from rainfall.choice.dispatcher import Dispatcher
 
 __all__ = ["Dispatcher"]
--- a/lemonshunt/choice/books.py
+++ b/rainfall/choice/books.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lemonshunt import interface as i
-from lemonshunt.choice.shares import Share
-from lemonshunt.state import (
+from rainfall import interface as i
+from rainfall.choice.shares import Share
+from rainfall.state import (
     Agenda,
     Attempt,
     Call,
--- a/lemonshunt/choice/dispatcher.py
+++ b/rainfall/choice/dispatcher.py
@@ -1,4 +1,4 @@
-"""One round of decisions. Types, events and actions: lemonshunt/interface.py.
+"""One round of decisions. Types, events and actions: rainfall/interface.py.
 
 The ordinary path: held messages leave by groups of near deadlines, shortest expected
 call first in each; what cannot finish in time is refused unsent; a window that grows
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.choice import (
+from rainfall import interface as i
+from rainfall.choice import (
     giving,
     health,
     learning,
@@ -22,8 +22,8 @@
     routes,
     shares,
 )
-from lemonshunt.choice.books import Books
-from lemonshunt.state import Target
+from rainfall.choice.books import Books
+from rainfall.state import Target
 
 
 class Dispatcher(Books):
--- a/lemonshunt/choice/giving.py
+++ b/rainfall/choice/giving.py
@@ -6,11 +6,11 @@
 
 from collections.abc import Iterator
 
-from lemonshunt import interface as i
-from lemonshunt.choice import queues
-from lemonshunt.choice.books import FEW, FORGET_US, NEVER, SECOND, Books
-from lemonshunt.choice.limits import over_share
-from lemonshunt.state import Call, Lane, Line, Message, Pile
+from rainfall import interface as i
+from rainfall.choice import queues
+from rainfall.choice.books import FEW, FORGET_US, NEVER, SECOND, Books
+from rainfall.choice.limits import over_share
+from rainfall.state import Call, Lane, Line, Message, Pile
 
 # usual calls after which one is held to be lost where some later ones have been
 # delivered
--- a/lemonshunt/choice/health.py
+++ b/rainfall/choice/health.py
@@ -6,10 +6,10 @@
 
 import math
 
-from lemonshunt import interface as i
-from lemonshunt.choice.books import FEW, SECOND, Books
-from lemonshunt.interface import Outcome
-from lemonshunt.state import Target
+from rainfall import interface as i
+from rainfall.choice.books import FEW, SECOND, Books
+from rainfall.interface import Outcome
+from rainfall.state import Target
 
 # failing share above which a target is in an outage: two failures running, or most
 # calls
--- a/lemonshunt/choice/learning.py
+++ b/rainfall/choice/learning.py
@@ -4,14 +4,14 @@
 
 from __future__ import annotations
 
-from lemonshunt import interface as i
-from lemonshunt.choice import queues
-from lemonshunt.choice.books import AIM_PER_CALL, EASE_US, FEW, IDLE_LEAST_US, Books
-from lemonshunt.choice.giving import next_in, over, passed
-from lemonshunt.choice.health import FAIL_MARK, watch_outage
-from lemonshunt.choice.limits import cap, pace
-from lemonshunt.interface import Outcome
-from lemonshunt.state import Call, Message
+from rainfall import interface as i
+from rainfall.choice import queues
+from rainfall.choice.books import AIM_PER_CALL, EASE_US, FEW, IDLE_LEAST_US, Books
+from rainfall.choice.giving import next_in, over, passed
+from rainfall.choice.health import FAIL_MARK, watch_outage
+from rainfall.choice.limits import cap, pace
+from rainfall.interface import Outcome
+from rainfall.state import Call, Message
 
 # weight of the newest call in the expected call: about the last ten calls count
 MEAN_STEP = 0.2
--- a/lemonshunt/choice/limits.py
+++ b/rainfall/choice/limits.py
@@ -4,9 +4,9 @@
 
 from __future__ import annotations
 
-from lemonshunt.choice.books import NEVER, SECOND, Books
-from lemonshunt.choice.health import cold, may_join, turn
-from lemonshunt.state import Call, Place, Target
+from rainfall.choice.books import NEVER, SECOND, Books
+from rainfall.choice.health import cold, may_join, turn
+from rainfall.state import Call, Place, Target
 
 # share of the slots that one destination may hold: the design's three quarters
 HEALTHY_CAP = 0.75
--- a/lemonshunt/choice/memory.py
+++ b/rainfall/choice/memory.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping, Set
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.choice import queues
-from lemonshunt.choice.books import Books
-from lemonshunt.choice.giving import next_in, passed
-from lemonshunt.state import (
+from rainfall import interface as i
+from rainfall.choice import queues
+from rainfall.choice.books import Books
+from rainfall.choice.giving import next_in, passed
+from rainfall.state import (
     CALL_KEPT,
     MESSAGE_KEPT,
     PLACE_KEPT,
--- a/lemonshunt/choice/order.py
+++ b/rainfall/choice/order.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterator
 from heapq import heapify, heappop, heapreplace
 
-from lemonshunt import interface as i
-from lemonshunt.choice import queues
-from lemonshunt.choice.books import FORGET_US, LOOK_US, NEVER, Books
-from lemonshunt.choice.giving import age
-from lemonshunt.choice.health import SURE_MARK, drawn, in_outage, weight
-from lemonshunt.choice.limits import has_room, opens_at, paced, room_at
-from lemonshunt.state import Attempt, Call, Deadline, Lane, Message, Place, Target
+from rainfall import interface as i
+from rainfall.choice import queues
+from rainfall.choice.books import FORGET_US, LOOK_US, NEVER, Books
+from rainfall.choice.giving import age
+from rainfall.choice.health import SURE_MARK, drawn, in_outage, weight
+from rainfall.choice.limits import has_room, opens_at, paced, room_at
+from rainfall.state import Attempt, Call, Deadline, Lane, Message, Place, Target
 
 GROUP_RANGE = (
     0.4  # Gr, share of the least time left: the paper's value; larger was no better
--- a/lemonshunt/choice/queues.py
+++ b/rainfall/choice/queues.py
@@ -8,9 +8,9 @@
 
 from __future__ import annotations
 
-from lemonshunt import interface as i
-from lemonshunt.choice.books import NEVER, Books
-from lemonshunt.state import LaneKey, Message
+from rainfall import interface as i
+from rainfall.choice.books import NEVER, Books
+from rainfall.state import LaneKey, Message
 
 
 def put_back(b: Books, m: Message) -> None:
--- a/lemonshunt/choice/routes.py
+++ b/rainfall/choice/routes.py
@@ -4,12 +4,12 @@
 
 from __future__ import annotations
 
-from lemonshunt import interface as i
-from lemonshunt.choice import queues
-from lemonshunt.choice.books import Books
-from lemonshunt.choice.health import cold
-from lemonshunt.choice.limits import pace
-from lemonshunt.state import Target
+from rainfall import interface as i
+from rainfall.choice import queues
+from rainfall.choice.books import Books
+from rainfall.choice.health import cold
+from rainfall.choice.limits import pace
+from rainfall.state import Target
 
 ASK_LEAST_US, ASK_MOST_US = 200_000, 400_000
 """Between a call for the list that failed and the next, by chance between both. It does
--- a/lemonshunt/choice/shares.py
+++ b/rainfall/choice/shares.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from lemonshunt import interface as i
+from rainfall import interface as i
 
 NEVER = 1 << 62  # us; only another share can open it
 # in a span: calls of one grain count from its last one on, so a count is never too low
--- a/lemonshunt/explore/__main__.py
+++ b/rainfall/explore/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lemonshunt.explore MODULE:MODEL --depth N`: search a model deeper than the
+"""`python -m rainfall.explore MODULE:MODEL --depth N`: search a model deeper than the
 tests do.
 """
 
@@ -9,7 +9,7 @@
 import sys
 import time
 
-from lemonshunt.explore.search import explore
+from rainfall.explore.search import explore
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -17,10 +17,10 @@
     a wrong call.
     """
     ask = argparse.ArgumentParser(
-        prog="python -m lemonshunt.explore", description=__doc__
+        prog="python -m rainfall.explore", description=__doc__
     )
     ask.add_argument(
-        "model", help="such as lemonshunt.lease.model:Leases, made without arguments"
+        "model", help="such as rainfall.lease.model:Leases, made without arguments"
     )
     ask.add_argument("--depth", type=int, default=12, help="steps from the start")
     ask.add_argument("--states", type=int, default=1_000_000, help="states at most")
--- a/lemonshunt/interface.py
+++ b/rainfall/interface.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of lemonshunt.choice.Dispatcher. Types only; nothing is
+"""What goes into and comes out of rainfall.choice.Dispatcher. Types only; nothing is
 decided here.
 
 All times are integer microseconds of the caller's clock.
--- a/lemonshunt/journal/__main__.py
+++ b/rainfall/journal/__main__.py
@@ -1,4 +1,4 @@
-"""For staff: python -m lemonshunt.journal check|show DIR. Reads only, also beside a
+"""For staff: python -m rainfall.journal check|show DIR. Reads only, also beside a
 running forwarder.
 """
 
@@ -13,8 +13,8 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
-from lemonshunt.journal.recovery import JOURNAL, Report, Unusable, look
-from lemonshunt.journal.state import State, Taken
+from rainfall.journal.recovery import JOURNAL, Report, Unusable, look
+from rainfall.journal.state import State, Taken
 
 WHOLE, DAMAGED, UNUSABLE = 0, 1, 2
 MOST_NAMED = 20
@@ -136,7 +136,7 @@
 
 def main(words: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m lemonshunt.journal", description=__doc__
+        prog="python -m rainfall.journal", description=__doc__
     )
     calls = parser.add_subparsers(dest="call", required=True)
     for name, text in (
--- a/lemonshunt/journal/recovery.py
+++ b/rainfall/journal/recovery.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.journal.files import Files
-from lemonshunt.journal.format import Frame, NewerVersion, Scan, scan
-from lemonshunt.journal.state import State
+from rainfall.journal.files import Files
+from rainfall.journal.format import Frame, NewerVersion, Scan, scan
+from rainfall.journal.state import State
 
 JOURNAL, SPARE, ASIDE = "journal", "journal.new", "journal.damaged"
 BOOT = Path("/proc/sys/kernel/random/boot_id")
--- a/lemonshunt/journal/state.py
+++ b/rainfall/journal/state.py
@@ -36,8 +36,8 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from lemonshunt import interface as i
-from lemonshunt.journal.live import LiveIndex
+from rainfall import interface as i
+from rainfall.journal.live import LiveIndex
 
 PER_MESSAGE = 400  # what a held message's further records may add to a compacted file
 # ids of lost messages that are named: about what 3 MB of journal name; 100 bytes each
@@ -46,7 +46,7 @@
 COMPRESSION = (
     1  # zlib's fastest: 8 MB of hosts take 14 ms, and a fourteenth of the room
 )
-log = logging.getLogger("lemonshunt.store")
+log = logging.getLogger("rainfall.store")
 
 
 @dataclass(slots=True)
--- a/lemonshunt/journal/worker.py
+++ b/rainfall/journal/worker.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable
 
-from lemonshunt.journal.writer import Done
+from rainfall.journal.writer import Done
 
 
 class SyncThread:
--- a/lemonshunt/journal/writer.py
+++ b/rainfall/journal/writer.py
@@ -17,9 +17,9 @@
 from contextlib import suppress
 from pathlib import Path
 
-from lemonshunt.journal.files import Files, write_all
-from lemonshunt.journal.format import FRAME, POWER, VERSION, Head, frame
-from lemonshunt.journal.recovery import ASIDE, JOURNAL, SPARE
+from rainfall.journal.files import Files, write_all
+from rainfall.journal.format import FRAME, POWER, VERSION, Head, frame
+from rainfall.journal.recovery import ASIDE, JOURNAL, SPARE
 
 LEAST_REWRITE = 256 * 1024  # below this size the file is left to grow
 ROOM = (
@@ -34,7 +34,7 @@
 Done = Callable[[OSError | None], None]
 Worker = Callable[[Callable[[], None], Done], None]
 """Does a job elsewhere and tells in the loop how it ended."""
-log = logging.getLogger("lemonshunt.store")
+log = logging.getLogger("rainfall.store")
 
 
 class Log:
--- a/lemonshunt/lab/__main__.py
+++ b/rainfall/lab/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m lemonshunt.lab``: check, run, sweep and report experiments of the fleet
+"""``python -m rainfall.lab``: check, run, sweep and report experiments of the fleet
 lab.
 """
 
@@ -10,14 +10,12 @@
 import sys
 from pathlib import Path
 
-from lemonshunt.lab import report, sweep
-from lemonshunt.lab.experiment import Experiment, ExperimentError, read
+from rainfall.lab import report, sweep
+from rainfall.lab.experiment import Experiment, ExperimentError, read
 
 
 def arguments(argv: list[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(
-        prog="python -m lemonshunt.lab", description=__doc__
-    )
+    parser = argparse.ArgumentParser(prog="python -m rainfall.lab", description=__doc__)
     sub = parser.add_subparsers(dest="command", required=True)
     check = sub.add_parser(
         "check", help="check an experiment file and say what it would start"
@@ -91,7 +89,7 @@
 
 
 def _check(experiment: Experiment, seed: int | None) -> int:
-    from lemonshunt.lab.nemesis import timeline
+    from rainfall.lab.nemesis import timeline
 
     print(
         f"{experiment.name}: {experiment.fleet.forwarders} forwarders, "
@@ -109,8 +107,8 @@
 
 
 def _run(experiment: Experiment, seed: int, out: Path, draw: bool) -> int:
-    from lemonshunt.lab.fleet import StartError
-    from lemonshunt.lab.runner import run
+    from rainfall.lab.fleet import StartError
+    from rainfall.lab.runner import run
 
     try:
         result = asyncio.run(run(experiment, seed, out))
--- a/lemonshunt/lab/configure.py
+++ b/rainfall/lab/configure.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lemonshunt.lab.shapes import Experiment
+from rainfall.lab.shapes import Experiment
 
 
 @dataclass(slots=True)
--- a/lemonshunt/lab/experiment.py
+++ b/rainfall/lab/experiment.py
@@ -11,9 +11,9 @@
 from dataclasses import replace
 from pathlib import Path
 
-from lemonshunt.lab import faults, sections
-from lemonshunt.lab.reader import ExperimentError, Reader
-from lemonshunt.lab.shapes import Experiment, Fault, Fleet, Load, LoadClass
+from rainfall.lab import faults, sections
+from rainfall.lab.reader import ExperimentError, Reader
+from rainfall.lab.shapes import Experiment, Fault, Fleet, Load, LoadClass
 
 __all__ = [
     "Experiment",
--- a/lemonshunt/lab/faults.py
+++ b/rainfall/lab/faults.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from lemonshunt.lab.reader import Reader
-from lemonshunt.lab.shapes import (
+from rainfall.lab.reader import Reader
+from rainfall.lab.shapes import (
     ENDPOINT_KINDS,
     KINDS,
     LINK_KINDS,
--- a/lemonshunt/lab/fleet.py
+++ b/rainfall/lab/fleet.py
@@ -188,7 +188,7 @@
     def command(self) -> tuple[list[str], dict[str, str]]:
         self.state.mkdir(parents=True, exist_ok=True)
         (self.folder / "config.json").write_text(json.dumps(self.config))
-        return ["-m", "lemonshunt"], {
+        return ["-m", "rainfall"], {
             "LB_CONFIG": str(self.folder / "config.json"),
             "LB_STATE": str(self.state),
             "LB_ADMIN_ADDR": f"127.0.0.1:{self.admin}",
--- a/lemonshunt/lab/load.py
+++ b/rainfall/lab/load.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lab import plan
-from lemonshunt.lab.experiment import Experiment
-from lemonshunt.lab.plan import Planned
-from lemonshunt.lab.proxy import reset
-from lemonshunt.lab.standins import read_request
+from rainfall.lab import plan
+from rainfall.lab.experiment import Experiment
+from rainfall.lab.plan import Planned
+from rainfall.lab.proxy import reset
+from rainfall.lab.standins import read_request
 
 TRIES = 2
 SPIN_S = 0.01
--- a/lemonshunt/lab/nemesis.py
+++ b/rainfall/lab/nemesis.py
@@ -13,7 +13,7 @@
 import random
 from dataclasses import dataclass
 
-from lemonshunt.lab.shapes import (
+from rainfall.lab.shapes import (
     LINK_KINDS,
     PROCESS_KINDS,
     SERVICE,
--- a/lemonshunt/lab/plan.py
+++ b/rainfall/lab/plan.py
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass
 
-from lemonshunt.lab.experiment import Experiment
+from rainfall.lab.experiment import Experiment
 
 MAX_MESSAGES = 2_000_000
 
--- a/lemonshunt/lab/relay.py
+++ b/rainfall/lab/relay.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Self
 
-from lemonshunt.lab.proxy import DIAL_S, reset
+from rainfall.lab.proxy import DIAL_S, reset
 
 HEAD = 16384
 BODY = (
--- a/lemonshunt/lab/report.py
+++ b/rainfall/lab/report.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lab import checker
+from rainfall.lab import checker
 
 BUCKET_NS = 100_000_000
 SERIES = ("taken on", "refused", "no answer", "delivered")
--- a/lemonshunt/lab/runner.py
+++ b/rainfall/lab/runner.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lab import (
+from rainfall.lab import (
     checker,
     harvest,
     interrupt,
@@ -26,9 +26,9 @@
     timeline,
     verdicts,
 )
-from lemonshunt.lab.experiment import Experiment
-from lemonshunt.lab.load import drive
-from lemonshunt.lab.stage import Stage
+from rainfall.lab.experiment import Experiment
+from rainfall.lab.load import drive
+from rainfall.lab.stage import Stage
 
 POLL_S = 0.25
 PIPE_POLL_S = 0.02
--- a/lemonshunt/lab/sections.py
+++ b/rainfall/lab/sections.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from lemonshunt.lab.reader import Reader
-from lemonshunt.lab.shapes import (
+from rainfall.lab.reader import Reader
+from rainfall.lab.shapes import (
     EFFECTS,
     MAX_FORWARDERS,
     MAX_PEERS,
--- a/lemonshunt/lab/service.py
+++ b/rainfall/lab/service.py
@@ -1,4 +1,4 @@
-"""The list service as a process of the lab: ``python -m lemonshunt.registry``, its
+"""The list service as a process of the lab: ``python -m rainfall.registry``, its
 endpoints registered through its write address, as the servers' operators do.
 """
 
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lemonshunt.lab.fleet import ROOT, Process, StartError
-from lemonshunt.lab.standins import read_request
+from rainfall.lab.fleet import ROOT, Process, StartError
+from rainfall.lab.standins import read_request
 
 CALL_S = 5.0
 
@@ -21,7 +21,7 @@
     asked = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "lemonshunt.registry",
+        "rainfall.registry",
         "--help",
         cwd=ROOT,
         stdin=asyncio.subprocess.DEVNULL,
@@ -53,7 +53,7 @@
     role = "registry"
 
     def command(self) -> tuple[list[str], dict[str, str]]:
-        words = ["-m", "lemonshunt.registry", "--state", str(self.state)]
+        words = ["-m", "rainfall.registry", "--state", str(self.state)]
         words += [
             "--listen",
             f"127.0.0.1:{self.listen}",
--- a/lemonshunt/lab/shapes.py
+++ b/rainfall/lab/shapes.py
@@ -117,7 +117,7 @@
     endpoint_rate: float = 200.0
     """Calls a second that each endpoint is listed for (its ``share`` in the list)."""
     service: bool = False
-    """The list service is a process of its own (``python -m lemonshunt.registry``), not
+    """The list service is a process of its own (``python -m rainfall.registry``), not
     a stand-in.
     """
     service_args: tuple[str, ...] = ()
--- a/lemonshunt/lab/stage.py
+++ b/rainfall/lab/stage.py
@@ -14,13 +14,13 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lab import configure, logs, pids
-from lemonshunt.lab.fleet import Forwarder, Process, StartError, end_all, reserve
-from lemonshunt.lab.proxy import Gate, Link, room
-from lemonshunt.lab.relay import Relay
-from lemonshunt.lab.service import ServiceProcess, takes
-from lemonshunt.lab.shapes import FLEET, SERVICE, Experiment
-from lemonshunt.lab.standins import Endpoint, ListService, Meter, Server
+from rainfall.lab import configure, logs, pids
+from rainfall.lab.fleet import Forwarder, Process, StartError, end_all, reserve
+from rainfall.lab.proxy import Gate, Link, room
+from rainfall.lab.relay import Relay
+from rainfall.lab.service import ServiceProcess, takes
+from rainfall.lab.shapes import FLEET, SERVICE, Experiment
+from rainfall.lab.standins import Endpoint, ListService, Meter, Server
 
 
 @dataclass
--- a/lemonshunt/lab/standins.py
+++ b/rainfall/lab/standins.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Self
 
-from lemonshunt.lab.proxy import reset
+from rainfall.lab.proxy import reset
 
 HEAD_LIMIT = 16384
 BODY_LIMIT = 65536
--- a/lemonshunt/lab/sweep.py
+++ b/rainfall/lab/sweep.py
@@ -19,10 +19,10 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lab import interrupt, pids
-from lemonshunt.lab.experiment import Experiment
-from lemonshunt.lab.fleet import READY_S, ROOT
-from lemonshunt.lab.summary import Played, summary, table
+from rainfall.lab import interrupt, pids
+from rainfall.lab.experiment import Experiment
+from rainfall.lab.fleet import READY_S, ROOT
+from rainfall.lab.summary import Played, summary, table
 
 MOST_SEEDS = 10_000
 MOST_JOBS = 64
@@ -114,7 +114,7 @@
     def words(self, seed: int, folder: Path) -> list[str]:
         return [
             "-m",
-            "lemonshunt.lab",
+            "rainfall.lab",
             "run",
             str(self.path),
             "--seed",
--- a/lemonshunt/lab/timeline.py
+++ b/rainfall/lab/timeline.py
@@ -8,9 +8,9 @@
 import signal
 from collections.abc import Iterable
 
-from lemonshunt.lab.shapes import ENDPOINT_KINDS, LINK_KINDS, Fault, chosen_links
-from lemonshunt.lab.stage import Stage
-from lemonshunt.lab.standins import Behaviour, Endpoint
+from rainfall.lab.shapes import ENDPOINT_KINDS, LINK_KINDS, Fault, chosen_links
+from rainfall.lab.stage import Stage
+from rainfall.lab.standins import Behaviour, Endpoint
 
 
 async def play(stage: Stage, faults: Iterable[Fault]) -> None:
--- a/lemonshunt/lab/verdicts/__init__.py
+++ b/rainfall/lab/verdicts/__init__.py
@@ -11,8 +11,8 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from lemonshunt.lab.shapes import Experiment
-from lemonshunt.lab.verdicts import budgets, leases, sessions, shards
+from rainfall.lab.shapes import Experiment
+from rainfall.lab.verdicts import budgets, leases, sessions, shards
 
 Record = Mapping[str, Any]
 
--- a/lemonshunt/lab/verdicts/sessions.py
+++ b/rainfall/lab/verdicts/sessions.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lemonshunt.lab import checker
+from rainfall.lab import checker
 
 SHOWN = 20
 
--- a/lemonshunt/lease/guard.py
+++ b/rainfall/lease/guard.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from lemonshunt.lease.terms import Refused
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.lease.terms import Refused
+from rainfall.lease.token import NEVER, Token
 
 
 class Guard:
--- a/lemonshunt/lease/holder.py
+++ b/rainfall/lease/holder.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lemonshunt.lease.terms import surely_held_us
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.lease.terms import surely_held_us
+from rainfall.lease.token import NEVER, Token
 
 MOST_ASKS = 8  # under way; answers to older ones come too late to be of use
 LEAST_PAUSE_US = 50_000  # the first pause after a failure is drawn from 0 to this
--- a/lemonshunt/lease/model.py
+++ b/rainfall/lease/model.py
@@ -1,4 +1,4 @@
-"""Leases as a model for `lemonshunt.explore`: two holders, a forgetful service, a
+"""Leases as a model for `rainfall.explore`: two holders, a forgetful service, a
 guarded resource.
 
 The cores are those that the processes run. Around them: messages that are lost, doubled
@@ -13,12 +13,12 @@
 from dataclasses import replace
 from typing import Any, NamedTuple, TypeVar
 
-from lemonshunt.explore.net import Net
-from lemonshunt.lease.guard import Guard
-from lemonshunt.lease.holder import Holder
-from lemonshunt.lease.table import Grant, Table
-from lemonshunt.lease.terms import Record, Refused, Terms, surely_out_us
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.explore.net import Net
+from rainfall.lease.guard import Guard
+from rainfall.lease.holder import Holder
+from rainfall.lease.table import Grant, Table
+from rainfall.lease.terms import Record, Refused, Terms, surely_out_us
+from rainfall.lease.token import NEVER, Token
 
 BUGS = (
     "no margin",
--- a/lemonshunt/lease/table.py
+++ b/rainfall/lease/table.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from lemonshunt.lease.terms import (
+from rainfall.lease.terms import (
     MOST_LEAP,
     Record,
     Refused,
@@ -21,7 +21,7 @@
     ask_faults,
     surely_out_us,
 )
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.lease.token import NEVER, Token
 
 BUSY_US = 100_000  # when to come again while a change of the same name is being written
 
--- a/lemonshunt/lease/terms.py
+++ b/rainfall/lease/terms.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.lease.token import NEVER, Token
 
 Record = dict[str, Any]
 """One change as it goes to disk: a plain object for JSON, numbered by `n`."""
--- a/lemonshunt/member/roster.py
+++ b/rainfall/member/roster.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from lemonshunt.lease.table import Grant, Held, Lease, Table
-from lemonshunt.lease.terms import Record, Refused, surely_out_us
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.lease.table import Grant, Held, Lease, Table
+from rainfall.lease.terms import Record, Refused, surely_out_us
+from rainfall.lease.token import NEVER, Token
 
 PREFIX = "member/"
 MOST_NAME = 180  # characters of a name and of a run
--- /dev/null
+++ b/rainfall/net/__init__.py
@@ -0,0 +1,3 @@
+"""The real forwarder around rainfall.choice: sockets, journal and timers. Decides
+nothing.
+"""
--- a/lemonshunt/net/address.py
+++ b/rainfall/net/address.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lemonshunt.wirehost import Malformed
+from rainfall.wirehost import Malformed
 
 
 @dataclass(frozen=True, slots=True)
--- a/lemonshunt/net/admin.py
+++ b/rainfall/net/admin.py
@@ -16,8 +16,8 @@
 
 import httptools
 
-from lemonshunt.net.address import Address
-from lemonshunt.net.server import bind
+from rainfall.net.address import Address
+from rainfall.net.server import bind
 
 MOST_CALLS = 16  # connections at a time
 ACCEPTS = (
@@ -31,7 +31,7 @@
 LINGER_S = 0.5
 BACKLOG = 64
 Answer = Callable[[HTTPStatus, str], None]
-log = logging.getLogger("lemonshunt.admin")
+log = logging.getLogger("rainfall.admin")
 
 
 @dataclass
--- a/lemonshunt/net/answers.py
+++ b/rainfall/net/answers.py
@@ -8,10 +8,10 @@
 import logging
 import re
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
-from lemonshunt.net.connection import Result
-from lemonshunt.net.http import ResponseReader
+from rainfall import interface as i
+from rainfall.interface import Outcome
+from rainfall.net.connection import Result
+from rainfall.net.http import ResponseReader
 
 MOST_WAIT_US = 600_000_000  # a longer wait is not to be believed
 MOST_LIMIT = 1e6
@@ -26,7 +26,7 @@
     "expired": Outcome.NOT_SENT,
     "no_more": Outcome.NOT_SENT,
 }
-log = logging.getLogger("lemonshunt.client")
+log = logging.getLogger("rainfall.client")
 
 
 def plain(text: str) -> float:
--- a/lemonshunt/net/client.py
+++ b/rainfall/net/client.py
@@ -9,12 +9,12 @@
 import logging
 from collections.abc import Callable
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
-from lemonshunt.net import answers
-from lemonshunt.net.answers import wait_us
-from lemonshunt.net.config import Address
-from lemonshunt.net.connection import (
+from rainfall import interface as i
+from rainfall.interface import Outcome
+from rainfall.net import answers
+from rainfall.net.answers import wait_us
+from rainfall.net.config import Address
+from rainfall.net.connection import (
     Call,
     Connection,
     Item,
@@ -23,8 +23,8 @@
     batch_body,
     fits,
 )
-from lemonshunt.net.http import ResponseReader, request
-from lemonshunt.net.idle import Idle
+from rainfall.net.http import ResponseReader, request
+from rainfall.net.idle import Idle
 
 __all__ = ["Call", "Connection", "Item", "Pool", "fits", "wait_us"]
 SECOND = 1_000_000
@@ -44,7 +44,7 @@
     errno.EADDRINUSE,
 )
 """Why a connection may fail to come up that is no fault of the target's."""
-log = logging.getLogger("lemonshunt.client")
+log = logging.getLogger("rainfall.client")
 
 
 class Pool(Idle):
--- a/lemonshunt/net/client_connection.py
+++ b/rainfall/net/client_connection.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from lemonshunt.net.http import MOST_BODY, MOST_HEAD, unread
+from rainfall.net.http import MOST_BODY, MOST_HEAD, unread
 
 MOST_WAITING = 8  # requests read ahead on one connection before reading stops
 MOST_AHEAD = 64  # and in one piece at most: clients send one request at a time
--- a/lemonshunt/net/config.py
+++ b/rainfall/net/config.py
@@ -12,15 +12,15 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from lemonshunt import interface as i
-from lemonshunt.net.address import Address as Address
-from lemonshunt.net.address import address
-from lemonshunt.net.faults import ConfigError as ConfigError
-from lemonshunt.net.faults import FleetFault as FleetFault
-from lemonshunt.wirehost import Malformed, entry, need, settings
+from rainfall import interface as i
+from rainfall.net.address import Address as Address
+from rainfall.net.address import address
+from rainfall.net.faults import ConfigError as ConfigError
+from rainfall.net.faults import FleetFault as FleetFault
+from rainfall.wirehost import Malformed, entry, need, settings
 
 if TYPE_CHECKING:
-    from lemonshunt.net.fleet_config import FleetConfig
+    from rainfall.net.fleet_config import FleetConfig
 
 OPTIONAL = frozenset(
     {
@@ -134,7 +134,7 @@
     if raw is None:
         return None
     try:
-        from lemonshunt.net.fleet_config import read
+        from rainfall.net.fleet_config import read
     except ImportError as error:
         raise ConfigError(
             f"'fleet' needs what requirements.txt names: {error}"
--- a/lemonshunt/net/connection.py
+++ b/rainfall/net/connection.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
-from lemonshunt.net.config import Address
-from lemonshunt.net.http import MOST_BODY, BadAnswer, ResponseReader, unread
+from rainfall import interface as i
+from rainfall.interface import Outcome
+from rainfall.net.config import Address
+from rainfall.net.http import MOST_BODY, BadAnswer, ResponseReader, unread
 
 STALE_US = 30_000  # a kept connection that breaks so soon under its call was stale
 
--- a/lemonshunt/net/desk.py
+++ b/rainfall/net/desk.py
@@ -13,20 +13,20 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.net import admin
-from lemonshunt.net.admin import MOST_CALLS, Figures
-from lemonshunt.net.client import Call, Pool
-from lemonshunt.net.config import Config, Host, HostList
-from lemonshunt.net.discovery import Notices, Watch
-from lemonshunt.net.handover import Lock, Predecessor, Successor
-from lemonshunt.net.reconfigure import InForce
-from lemonshunt.net.server import ACCEPT_TURNS, ACCEPTS, Asker, Handed, Server
-from lemonshunt.net.store import Store
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.net import admin
+from rainfall.net.admin import MOST_CALLS, Figures
+from rainfall.net.client import Call, Pool
+from rainfall.net.config import Config, Host, HostList
+from rainfall.net.discovery import Notices, Watch
+from rainfall.net.handover import Lock, Predecessor, Successor
+from rainfall.net.reconfigure import InForce
+from rainfall.net.server import ACCEPT_TURNS, ACCEPTS, Asker, Handed, Server
+from rainfall.net.store import Store
 
 if TYPE_CHECKING:
-    from lemonshunt.net.fleet import Fleet
+    from rainfall.net.fleet import Fleet
 
 # least time between rounds: what goes to one target in one round travels together
 ROUND_US = 5_000
@@ -52,8 +52,8 @@
 OPERATORS = 1 + MOST_CALLS + ACCEPT_TURNS * admin.ACCEPTS
 """And those of the operators' address."""
 SECOND = 1_000_000
-log = logging.getLogger("lemonshunt.engine")
-trace = logging.getLogger("lemonshunt.trace")
+log = logging.getLogger("rainfall.engine")
+trace = logging.getLogger("rainfall.trace")
 """A line for each message's arrival, send and end; off unless the configuration asks
 (net/logjson.py).
 """
--- a/lemonshunt/net/discovery.py
+++ b/rainfall/net/discovery.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from lemonshunt.choice.routes import ASK_MOST_US
-from lemonshunt.net.config import Address, HostList, host_list
-from lemonshunt.net.http import MOST_BODY, MOST_LIST, BadAnswer, ResponseReader, request
-from lemonshunt.net.store import Owed
+from rainfall.choice.routes import ASK_MOST_US
+from rainfall.net.config import Address, HostList, host_list
+from rainfall.net.http import MOST_BODY, MOST_LIST, BadAnswer, ResponseReader, request
+from rainfall.net.store import Owed
 
 NO_VERSION = -1  # of a list that is not known yet; discovery counts from 0
 # how long a watch waits for something newer; an answer without entries costs nothing
@@ -56,7 +56,7 @@
 MOST_NOTICES = (
     1024  # lines in one post: a restart may owe as many ends as it held messages
 )
-log = logging.getLogger("lemonshunt.discovery")
+log = logging.getLogger("rainfall.discovery")
 
 
 def told_within_s(pushed: bool) -> float:
--- a/lemonshunt/net/engine.py
+++ b/rainfall/net/engine.py
@@ -15,13 +15,13 @@
 from dataclasses import replace
 from http import HTTPStatus
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.choice.books import WIRE_US
-from lemonshunt.net.admin import Figures
-from lemonshunt.net.client import Call, Item, Pool, fits
-from lemonshunt.net.config import Config
-from lemonshunt.net.desk import (
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.choice.books import WIRE_US
+from rainfall.net.admin import Figures
+from rainfall.net.client import Call, Item, Pool, fits
+from rainfall.net.config import Config
+from rainfall.net.desk import (
     AWAY_S,
     FULL_LOG_US,
     MOST_GONE,
@@ -32,12 +32,12 @@
     log,
     trace,
 )
-from lemonshunt.net.discovery import NO_VERSION, Notices, Watch
-from lemonshunt.net.handover import Lock, Predecessor, Successor
-from lemonshunt.net.reconfigure import InForce, digest
-from lemonshunt.net.server import Asker, Handed, Server
-from lemonshunt.net.starting import LAG_LOG_S, Starting
-from lemonshunt.net.store import Store, Taken, Worker
+from rainfall.net.discovery import NO_VERSION, Notices, Watch
+from rainfall.net.handover import Lock, Predecessor, Successor
+from rainfall.net.reconfigure import InForce, digest
+from rainfall.net.server import Asker, Handed, Server
+from rainfall.net.starting import LAG_LOG_S, Starting
+from rainfall.net.store import Store, Taken, Worker
 
 __all__ = ["MOST_GONE", "MOST_RECENT", "RECALL", "Clock", "Engine"]
 RECALL = 100  # messages of before that the module is told of in one round, ...
@@ -50,7 +50,7 @@
 
 
 def sync_thread() -> Worker:
-    from lemonshunt.journal.worker import (
+    from rainfall.journal.worker import (
         SyncThread,
     )  # a thread that only the level `power` has
 
@@ -128,7 +128,7 @@
         self.pool.recorded, self.pool.left = self.recorded, self.left
         self.fleet = None
         if config.fleet is not None:
-            from lemonshunt.net.fleet import Fleet
+            from rainfall.net.fleet import Fleet
 
             self.fleet = Fleet(config.fleet, self)
             self.pool.leaves = self.fleet.leaves
--- a/lemonshunt/net/fleet.py
+++ b/rainfall/net/fleet.py
@@ -20,26 +20,26 @@
 
 import msgspec
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.lease.holder import Ask, Holder
-from lemonshunt.lease.token import NEVER, Token
-from lemonshunt.net.config import Config
-from lemonshunt.net.connection import Call
-from lemonshunt.net.discovery import Client
-from lemonshunt.net.fleet_beat import Answer, Refusal, Told, body
-from lemonshunt.net.fleet_books import Books
-from lemonshunt.net.fleet_config import FleetConfig
-from lemonshunt.net.fleet_file import Keep, Records
-from lemonshunt.net.fleet_talk import Talk, now_us
-from lemonshunt.net.http import BadAnswer
-from lemonshunt.net.store import Store
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.lease.holder import Ask, Holder
+from rainfall.lease.token import NEVER, Token
+from rainfall.net.config import Config
+from rainfall.net.connection import Call
+from rainfall.net.discovery import Client
+from rainfall.net.fleet_beat import Answer, Refusal, Told, body
+from rainfall.net.fleet_books import Books
+from rainfall.net.fleet_config import FleetConfig
+from rainfall.net.fleet_file import Keep, Records
+from rainfall.net.fleet_talk import Talk, now_us
+from rainfall.net.http import BadAnswer
+from rainfall.net.store import Store
 
 MOST_RETRY_MS = 60_000  # a longer "not now" is not to be believed: no lease is longer
 AGAIN_S = 1.0  # before a record that could not be written is tried again
 SAME_LOG_S = 10.0  # between two lines that say the same of a service that stays away
 PLAIN = re.compile("0|[1-9][0-9]{0,9}", re.ASCII)  # a destination
-log = logging.getLogger("lemonshunt.fleet")
+log = logging.getLogger("rainfall.fleet")
 
 
 class Forwarder(Protocol):
--- a/lemonshunt/net/fleet_beat.py
+++ b/rainfall/net/fleet_beat.py
@@ -10,9 +10,9 @@
 
 from msgspec import Meta, Struct
 
-from lemonshunt.lease.holder import Ask
-from lemonshunt.lease.token import NEVER
-from lemonshunt.net.fleet_config import FleetConfig
+from rainfall.lease.holder import Ask
+from rainfall.lease.token import NEVER
+from rainfall.net.fleet_config import FleetConfig
 
 Whole = Annotated[int, Meta(ge=0, lt=1 << 53)]
 Pair = Annotated[list[Whole], Meta(min_length=2, max_length=2)]
--- a/lemonshunt/net/fleet_books.py
+++ b/rainfall/net/fleet_books.py
@@ -12,14 +12,14 @@
 from itertools import islice
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.budget.config import MOST_BUDGETS
-from lemonshunt.budget.purse import Purse
-from lemonshunt.budget.terms import Share, window
-from lemonshunt.budget.wants import Wants
-from lemonshunt.lease.token import NEVER, Token
-from lemonshunt.net.fleet_config import Reserve
-from lemonshunt.net.fleet_file import Records
+from rainfall import interface as i
+from rainfall.budget.config import MOST_BUDGETS
+from rainfall.budget.purse import Purse
+from rainfall.budget.terms import Share, window
+from rainfall.budget.wants import Wants
+from rainfall.lease.token import NEVER, Token
+from rainfall.net.fleet_config import Reserve
+from rainfall.net.fleet_file import Records
 
 SLACK_US = 5_000  # where the service tells none
 SPAN_US = 1_000_000  # demand is counted by it where no budget is known
@@ -32,7 +32,7 @@
 )  # of all parts' names in one beat: it stays within the service's 1 MiB
 ESCAPED = 12  # bytes in JSON of a character that is not ASCII, at most
 BARRED = 1 << 40  # calls; stands for those of a time that is not known
-log = logging.getLogger("lemonshunt.fleet")
+log = logging.getLogger("rainfall.fleet")
 
 
 @dataclass(slots=True)
--- a/lemonshunt/net/fleet_config.py
+++ b/rainfall/net/fleet_config.py
@@ -11,10 +11,10 @@
 import msgspec
 from msgspec import Meta, Struct, ValidationError, structs
 
-from lemonshunt.budget.config import MOST_BUDGETS
-from lemonshunt.net.address import Address, address
-from lemonshunt.net.faults import FleetFault
-from lemonshunt.wirehost import Malformed
+from rainfall.budget.config import MOST_BUDGETS
+from rainfall.net.address import Address, address
+from rainfall.net.faults import FleetFault
+from rainfall.wirehost import Malformed
 
 MOST_PEERS = 10_000  # a fleet of 540 forwarders and room to grow; 150 bytes each
 FIXED = ("name", "site", "drift", "listen", "peers")
--- a/lemonshunt/net/fleet_file.py
+++ b/rainfall/net/fleet_file.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.journal.files import Files, SystemFiles, write_all
-from lemonshunt.journal.recovery import this_boot
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.journal.files import Files, SystemFiles, write_all
+from rainfall.journal.recovery import this_boot
+from rainfall.lease.token import NEVER, Token
 
 NAME = "fleet.json"
 FORM = 1
@@ -27,7 +27,7 @@
 OF_A_CLOCK = ("closed_us", "known_us", "spent")
 """What of a purse's record means nothing by the clock of another boot."""
 Records = dict[int, dict[str, Any]]
-log = logging.getLogger("lemonshunt.fleet")
+log = logging.getLogger("rainfall.fleet")
 
 
 class Keep:
--- a/lemonshunt/net/fleet_talk.py
+++ b/rainfall/net/fleet_talk.py
@@ -12,17 +12,17 @@
 
 import msgspec
 
-from lemonshunt.lease.holder import Holder
-from lemonshunt.net.address import Address
-from lemonshunt.net.discovery import Client
-from lemonshunt.net.http import BadAnswer
+from rainfall.lease.holder import Holder
+from rainfall.net.address import Address
+from rainfall.net.discovery import Client
+from rainfall.net.http import BadAnswer
 
 LEAST_S = 0.1  # between two beats, whatever changes
 SPREAD_S = 0.05  # a change is told to all members at once: they beat within so long
 # how long a watch waits for a change; one that is lost costs the time to the next beat
 HOLD_MS = 10_000
 LATE_S = 1.0  # after which it is silent
-log = logging.getLogger("lemonshunt.fleet")
+log = logging.getLogger("rainfall.fleet")
 
 
 def now_us() -> int:
--- a/lemonshunt/net/handover.py
+++ b/rainfall/net/handover.py
@@ -20,11 +20,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Protocol
 
-from lemonshunt import interface as i
-from lemonshunt.net.admin import Answer
-from lemonshunt.net.link import Line, Link, short_path
-from lemonshunt.net.lock import PAUSE_S, Lock
-from lemonshunt.net.server import Asker, Handed
+from rainfall import interface as i
+from rainfall.net.admin import Answer
+from rainfall.net.link import Line, Link, short_path
+from rainfall.net.lock import PAUSE_S, Lock
+from rainfall.net.server import Asker, Handed
 
 __all__ = ["Line", "Link", "Lock", "Predecessor", "Proxy", "Successor", "claim"]
 SOCKET = "handover"
@@ -34,7 +34,7 @@
     3.0  # one that comes again gets twice the time; its yes is due 6 s after its start
 )
 ASK_S = 2.0  # how long the old process may take to stand still
-log = logging.getLogger("lemonshunt.handover")
+log = logging.getLogger("rainfall.handover")
 
 
 if TYPE_CHECKING:
--- a/lemonshunt/net/idle.py
+++ b/rainfall/net/idle.py
@@ -7,8 +7,8 @@
 import asyncio
 from collections.abc import Callable
 
-from lemonshunt.net.address import Address
-from lemonshunt.net.connection import Connection
+from rainfall.net.address import Address
+from rainfall.net.connection import Connection
 
 SECOND = 1_000_000
 # an idle connection is closed so long before its target would: a reset costs a try
--- a/lemonshunt/net/leaving.py
+++ b/rainfall/net/leaving.py
@@ -9,12 +9,12 @@
 from dataclasses import replace
 from http import HTTPStatus
 
-from lemonshunt import interface as i
-from lemonshunt.journal.recovery import Unusable
-from lemonshunt.net.config import ConfigError, replacement
-from lemonshunt.net.desk import AWAY_S, Desk, log
-from lemonshunt.net.handover import Line
-from lemonshunt.net.store import Store
+from rainfall import interface as i
+from rainfall.journal.recovery import Unusable
+from rainfall.net.config import ConfigError, replacement
+from rainfall.net.desk import AWAY_S, Desk, log
+from rainfall.net.handover import Line
+from rainfall.net.store import Store
 
 
 class Leaving(Desk):
--- a/lemonshunt/net/link.py
+++ b/rainfall/net/link.py
@@ -17,7 +17,7 @@
 MOST_LINE = 64 * 1024 * 1024
 CHUNK = 256 * 1024
 Line = dict[str, Any]
-log = logging.getLogger("lemonshunt.handover")
+log = logging.getLogger("rainfall.handover")
 
 
 @contextmanager
--- a/lemonshunt/net/logjson.py
+++ b/rainfall/net/logjson.py
@@ -50,4 +50,4 @@
     )
     root = logging.getLogger()
     root.handlers[:] = [handler]
-    logging.getLogger("lemonshunt.trace").setLevel(logging.INFO)
+    logging.getLogger("rainfall.trace").setLevel(logging.INFO)
--- a/lemonshunt/net/operators.py
+++ b/rainfall/net/operators.py
@@ -10,13 +10,13 @@
 from http import HTTPStatus
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.net.admin import Answer
-from lemonshunt.net.config import Config, replacement
-from lemonshunt.net.desk import Desk, level, log
-from lemonshunt.net.faults import ConfigError
-from lemonshunt.net.reconfigure import FIXED, WRITTEN, InForce, digest, examine, joint
-from lemonshunt.net.store import Owed, Rules
+from rainfall import interface as i
+from rainfall.net.admin import Answer
+from rainfall.net.config import Config, replacement
+from rainfall.net.desk import Desk, level, log
+from rainfall.net.faults import ConfigError
+from rainfall.net.reconfigure import FIXED, WRITTEN, InForce, digest, examine, joint
+from rainfall.net.store import Owed, Rules
 
 
 class Operating(Desk):
--- a/lemonshunt/net/reconfigure.py
+++ b/rainfall/net/reconfigure.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from lemonshunt.net.config import OPTIONAL, Config, comparable, fleet, parse
-from lemonshunt.net.faults import ConfigError, FleetFault
+from rainfall.net.config import OPTIONAL, Config, comparable, fleet, parse
+from rainfall.net.faults import ConfigError, FleetFault
 
 if TYPE_CHECKING:
-    from lemonshunt.net.fleet_config import FleetConfig
+    from rainfall.net.fleet_config import FleetConfig
 
 OWN = ("name", "listen", "admin_addr", "known", "seed")
 """What each forwarder has its own of."""
@@ -216,7 +216,7 @@
     """
     if old is None or new is None:
         return old, [] if old is new else ["fleet"]
-    from lemonshunt.net.fleet_config import joined
+    from rainfall.net.fleet_config import joined
 
     return joined(old, new)
 
--- a/lemonshunt/net/server.py
+++ b/rainfall/net/server.py
@@ -14,8 +14,8 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from lemonshunt import interface as i
-from lemonshunt.net.client_connection import (
+from rainfall import interface as i
+from rainfall.net.client_connection import (
     BadRequest,
     ClientConnection,
     Connections,
@@ -60,7 +60,7 @@
     r"-?[0-9]{1,9}(\.[0-9]{0,9})?", re.ASCII
 )  # float() reads more: nan, 1e9, 1_0
 LATEST = 2.0  # times its class's deadline: what has longer to live is malformed
-log = logging.getLogger("lemonshunt.server")
+log = logging.getLogger("rainfall.server")
 
 
 @dataclass(slots=True)
--- a/lemonshunt/net/starting.py
+++ b/rainfall/net/starting.py
@@ -10,17 +10,17 @@
 from collections import OrderedDict
 from http import HTTPStatus
 
-from lemonshunt import interface as i
-from lemonshunt.net.client_connection import TURNS
-from lemonshunt.net.config import HostList, host
-from lemonshunt.net.desk import AWAY_S, TICK_S, Desk, log
-from lemonshunt.net.handover import Line
-from lemonshunt.net.leaving import Leaving
-from lemonshunt.net.operators import Operating
-from lemonshunt.net.stopping import Stopping
-from lemonshunt.net.store import Rules, Taken
-from lemonshunt.net.taking import Taking
-from lemonshunt.state import Target
+from rainfall import interface as i
+from rainfall.net.client_connection import TURNS
+from rainfall.net.config import HostList, host
+from rainfall.net.desk import AWAY_S, TICK_S, Desk, log
+from rainfall.net.handover import Line
+from rainfall.net.leaving import Leaving
+from rainfall.net.operators import Operating
+from rainfall.net.stopping import Stopping
+from rainfall.net.store import Rules, Taken
+from rainfall.net.taking import Taking
+from rainfall.state import Target
 
 LAG_S = 0.1  # the loop stood still for so long: worth a line
 LAG_LOG_S = 10.0
--- a/lemonshunt/net/stopping.py
+++ b/rainfall/net/stopping.py
@@ -7,8 +7,8 @@
 import asyncio
 import time
 
-from lemonshunt.net.client_connection import CLOSE_S
-from lemonshunt.net.desk import Desk, log
+from rainfall.net.client_connection import CLOSE_S
+from rainfall.net.desk import Desk, log
 
 LISTEN_S = 1.0  # after SIGTERM new connections come for a while
 FREEZE_S = 2.8  # then nothing new is sent, and what is out is waited for
--- a/lemonshunt/net/store.py
+++ b/rainfall/net/store.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.journal.files import Files, SystemFiles
-from lemonshunt.journal.format import VERSION
-from lemonshunt.journal.recovery import recover, this_boot
-from lemonshunt.journal.state import (
+from rainfall.journal.files import Files, SystemFiles
+from rainfall.journal.format import VERSION
+from rainfall.journal.recovery import recover, this_boot
+from rainfall.journal.state import (
     PER_MESSAGE,
     Owed,
     Rules,
@@ -26,13 +26,13 @@
     kept_list,
     record,
 )
-from lemonshunt.journal.writer import ROOM, Log, Worker
+from rainfall.journal.writer import ROOM, Log, Worker
 
 __all__ = ["Owed", "Rules", "Store", "Taken", "Worker"]
 BLOCK = 512
 FEW = 4  # of a list, less than this part of it: the changes are written, else the whole
 OUTAGE_KEPT_US = 3_600_000_000
-log = logging.getLogger("lemonshunt.store")
+log = logging.getLogger("rainfall.store")
 
 
 def wall_base_us() -> int:
--- a/lemonshunt/net/taking.py
+++ b/rainfall/net/taking.py
@@ -7,11 +7,11 @@
 import logging
 from http import HTTPStatus
 
-from lemonshunt import interface as i
-from lemonshunt.net.config import HostList
-from lemonshunt.net.desk import AWAY_S, FULL_LOG_US, SECOND, Desk, log, trace
-from lemonshunt.net.room import Bound, memory_left
-from lemonshunt.net.server import Asker, Handed
+from rainfall import interface as i
+from rainfall.net.config import HostList
+from rainfall.net.desk import AWAY_S, FULL_LOG_US, SECOND, Desk, log, trace
+from rainfall.net.room import Bound, memory_left
+from rainfall.net.server import Asker, Handed
 
 
 class Taking(Desk):
--- a/lemonshunt/peer/frames.py
+++ b/rainfall/peer/frames.py
@@ -13,8 +13,8 @@
 import msgspec
 from msgspec import Meta
 
-from lemonshunt.session import words as w
-from lemonshunt.session.words import Count, Item, Name, Text, Time
+from rainfall.session import words as w
+from rainfall.session.words import Count, Item, Name, Text, Time
 
 VERSION = 1
 FRAME = 131_072
--- a/lemonshunt/peer/links.py
+++ b/rainfall/peer/links.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from lemonshunt.peer import frames as f
-from lemonshunt.session.words import Life, leaving
+from rainfall.peer import frames as f
+from rainfall.session.words import Life, leaving
 
 NOBODY: Life = (0, 0)
 
--- a/lemonshunt/registry/__main__.py
+++ b/rainfall/registry/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lemonshunt.registry`: the list service, one primary (docs/parts.md,
+"""`python -m rainfall.registry`: the list service, one primary (docs/parts.md,
 docs/operations.md).
 """
 
@@ -16,19 +16,19 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.budget.config import Faults
-from lemonshunt.lease.table import Table
-from lemonshunt.lease.terms import Refused, Terms
-from lemonshunt.member.roster import Roster
-from lemonshunt.registry import budget_calls
-from lemonshunt.registry.bounds import OWN_DESCRIPTORS, Bounds, within_descriptors
-from lemonshunt.registry.budget_calls import read_file
-from lemonshunt.registry.disk import Damaged, Disk
-from lemonshunt.registry.parts import Parts, lead
-from lemonshunt.registry.server import Service
-from lemonshunt.registry.writer import Full
+from rainfall.budget.config import Faults
+from rainfall.lease.table import Table
+from rainfall.lease.terms import Refused, Terms
+from rainfall.member.roster import Roster
+from rainfall.registry import budget_calls
+from rainfall.registry.bounds import OWN_DESCRIPTORS, Bounds, within_descriptors
+from rainfall.registry.budget_calls import read_file
+from rainfall.registry.disk import Damaged, Disk
+from rainfall.registry.parts import Parts, lead
+from rainfall.registry.server import Service
+from rainfall.registry.writer import Full
 
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 def address(text: str) -> tuple[str, int]:
@@ -69,7 +69,7 @@
 
 def parser() -> argparse.ArgumentParser:
     ask = argparse.ArgumentParser(
-        prog="python -m lemonshunt.registry",
+        prog="python -m rainfall.registry",
         description="The list service: discovery, watches, notices and writes.",
     )
     ask.add_argument(
--- a/lemonshunt/registry/book.py
+++ b/rainfall/registry/book.py
@@ -8,9 +8,9 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from lemonshunt.journal.files import Files
-from lemonshunt.registry.disk import Damaged, Log
-from lemonshunt.registry.rider import Row
+from rainfall.journal.files import Files
+from rainfall.registry.disk import Damaged, Log
+from rainfall.registry.rider import Row
 
 LEASE = "lease"  # of the table's rows
 REWRITE_EVERY = (
@@ -18,7 +18,7 @@
 )
 Rows = list[tuple[str, Row]]
 """Each with the part it is of: the table, or a rider's name."""
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 class Book:
--- a/lemonshunt/registry/budget_calls.py
+++ b/rainfall/registry/budget_calls.py
@@ -12,17 +12,17 @@
 from aiohttp import web
 from msgspec import Struct
 
-from lemonshunt.budget import config
-from lemonshunt.budget.config import Faults
-from lemonshunt.lease.token import Token
-from lemonshunt.member.roster import PREFIX
-from lemonshunt.registry import bodies
-from lemonshunt.registry.bodies import Refused
-from lemonshunt.registry.budgets import Budgets
-from lemonshunt.registry.calls import Pair
-from lemonshunt.registry.fleet import Fleet
-from lemonshunt.registry.rider import Row
-from lemonshunt.registry.web import answer, get, json_body, whole_number
+from rainfall.budget import config
+from rainfall.budget.config import Faults
+from rainfall.lease.token import Token
+from rainfall.member.roster import PREFIX
+from rainfall.registry import bodies
+from rainfall.registry.bodies import Refused
+from rainfall.registry.budgets import Budgets
+from rainfall.registry.calls import Pair
+from rainfall.registry.fleet import Fleet
+from rainfall.registry.rider import Row
+from rainfall.registry.web import answer, get, json_body, whole_number
 
 
 class Ended(Struct):
--- a/lemonshunt/registry/budgets.py
+++ b/rainfall/registry/budgets.py
@@ -12,18 +12,18 @@
 from collections.abc import Collection, Mapping
 from typing import Any
 
-from lemonshunt.budget import config, keep
-from lemonshunt.budget.aim import Aim, target
-from lemonshunt.budget.book import Book
-from lemonshunt.budget.ledger import Ledger
-from lemonshunt.budget.terms import Budget
-from lemonshunt.lease.token import Token
-from lemonshunt.member.roster import Member
-from lemonshunt.registry.rider import Heard, Riding, Row
+from rainfall.budget import config, keep
+from rainfall.budget.aim import Aim, target
+from rainfall.budget.book import Book
+from rainfall.budget.ledger import Ledger
+from rainfall.budget.terms import Budget
+from rainfall.lease.token import Token
+from rainfall.member.roster import Member
+from rainfall.registry.rider import Heard, Riding, Row
 
 STEPS = 8  # of a span: so often is looked for what came free ...
 LEAST_US, MOST_US = 50_000, 1_000_000  # ... within these
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 class Budgets(Riding):
--- a/lemonshunt/registry/calls.py
+++ b/rainfall/registry/calls.py
@@ -9,17 +9,17 @@
 from aiohttp import web
 from msgspec import Meta, Struct
 
-from lemonshunt.lease import terms
-from lemonshunt.lease.table import Grant, Held, Lease
-from lemonshunt.lease.terms import MOST_NOTE, MOST_TEXT
-from lemonshunt.lease.token import NEVER, Token
-from lemonshunt.member.roster import MOST_NAME, PREFIX
-from lemonshunt.registry import bodies
-from lemonshunt.registry.bodies import Refused, Version
-from lemonshunt.registry.fleet import Fleet
-from lemonshunt.registry.member_list import MemberList
-from lemonshunt.registry.reads import MOST_HOLD_MS
-from lemonshunt.registry.web import answer, fault, get, json_body
+from rainfall.lease import terms
+from rainfall.lease.table import Grant, Held, Lease
+from rainfall.lease.terms import MOST_NOTE, MOST_TEXT
+from rainfall.lease.token import NEVER, Token
+from rainfall.member.roster import MOST_NAME, PREFIX
+from rainfall.registry import bodies
+from rainfall.registry.bodies import Refused, Version
+from rainfall.registry.fleet import Fleet
+from rainfall.registry.member_list import MemberList
+from rainfall.registry.reads import MOST_HOLD_MS
+from rainfall.registry.web import answer, fault, get, json_body
 
 Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
 Pair = Annotated[list[Version], Meta(min_length=2, max_length=2)]
--- a/lemonshunt/registry/core.py
+++ b/rainfall/registry/core.py
@@ -16,9 +16,9 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from lemonshunt.lease.terms import MOST_LEAP
-from lemonshunt.registry import bodies
-from lemonshunt.registry.bodies import Drain, Op, Refused, Register, Weigh
+from rainfall.lease.terms import MOST_LEAP
+from rainfall.registry import bodies
+from rainfall.registry.bodies import Drain, Op, Refused, Register, Weigh
 
 MOST_TOMBSTONES = 10_000  # removed entries kept so that watchers are told of them
 MOST_IDS = 10_000  # change ids kept for idempotent repeats
--- a/lemonshunt/registry/disk.py
+++ b/rainfall/registry/disk.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.journal.files import Files, SystemFiles, write_all
-from lemonshunt.registry.core import Change, Registry
+from rainfall.journal.files import Files, SystemFiles, write_all
+from rainfall.registry.core import Change, Registry
 
 SNAPSHOT_EVERY = 1_000  # log lines before the snapshot is written again
 MOST_NOTICES = 50_000  # lines of one notices file; the one before is kept beside it
--- a/lemonshunt/registry/fleet.py
+++ b/rainfall/registry/fleet.py
@@ -15,22 +15,22 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lease.table import Grant, Held, Table
-from lemonshunt.lease.terms import Record, Refused, Terms
-from lemonshunt.lease.token import Token
-from lemonshunt.member.roster import PREFIX, Roster
-from lemonshunt.registry.bodies import VERSIONS
-from lemonshunt.registry.book import LEASE, Book, Rows
-from lemonshunt.registry.disk import Damaged
-from lemonshunt.registry.house import House
-from lemonshunt.registry.plans import PLAN_S as PLAN_S
-from lemonshunt.registry.plans import RETRY_S, Plans
-from lemonshunt.registry.rider import Rider, Riding, Row, heard
-from lemonshunt.registry.watch import Watchers
-from lemonshunt.registry.writer import Asked, Full, Rounds
+from rainfall.lease.table import Grant, Held, Table
+from rainfall.lease.terms import Record, Refused, Terms
+from rainfall.lease.token import Token
+from rainfall.member.roster import PREFIX, Roster
+from rainfall.registry.bodies import VERSIONS
+from rainfall.registry.book import LEASE, Book, Rows
+from rainfall.registry.disk import Damaged
+from rainfall.registry.house import House
+from rainfall.registry.plans import PLAN_S as PLAN_S
+from rainfall.registry.plans import RETRY_S, Plans
+from rainfall.registry.rider import Rider, Riding, Row, heard
+from rainfall.registry.watch import Watchers
+from rainfall.registry.writer import Asked, Full, Rounds
 
 PATIENCE_S = 1.0  # how long a beat waits for the plan that its answer rests on
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 class Fleet:
--- a/lemonshunt/registry/house.py
+++ b/rainfall/registry/house.py
@@ -12,17 +12,17 @@
 
 import msgspec
 
-from lemonshunt.registry.bodies import Refused
-from lemonshunt.registry.bounds import Bounds
-from lemonshunt.registry.core import Change, Pending, Registry, Spaced
-from lemonshunt.registry.disk import Disk
-from lemonshunt.registry.figures import Figures, Metrics
-from lemonshunt.registry.writer import Asked, Full, Rounds, Wish, Writer
+from rainfall.registry.bodies import Refused
+from rainfall.registry.bounds import Bounds
+from rainfall.registry.core import Change, Pending, Registry, Spaced
+from rainfall.registry.disk import Disk
+from rainfall.registry.figures import Figures, Metrics
+from rainfall.registry.writer import Asked, Full, Rounds, Wish, Writer
 
 MOST_KEPT_BYTES = (
     64 * 1024 * 1024
 )  # of encoded answers kept until the next change: seven lists of 44,000
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 def wall_ms() -> int:
--- a/lemonshunt/registry/map_calls.py
+++ b/rainfall/registry/map_calls.py
@@ -9,13 +9,13 @@
 
 from aiohttp import web
 
-from lemonshunt.registry.bodies import Refused
-from lemonshunt.registry.fleet import Fleet
-from lemonshunt.registry.maps import Maps
-from lemonshunt.registry.rider import Row
-from lemonshunt.registry.web import answer, get, json_body, whole_body, whole_number
-from lemonshunt.shard.check import MOST_MOVED, judged
-from lemonshunt.shard.maps import BITS, Unreadable, decode, hexed, key_from
+from rainfall.registry.bodies import Refused
+from rainfall.registry.fleet import Fleet
+from rainfall.registry.maps import Maps
+from rainfall.registry.rider import Row
+from rainfall.registry.web import answer, get, json_body, whole_body, whole_number
+from rainfall.shard.check import MOST_MOVED, judged
+from rainfall.shard.maps import BITS, Unreadable, decode, hexed, key_from
 
 
 async def put_map(
--- a/lemonshunt/registry/maps.py
+++ b/rainfall/registry/maps.py
@@ -13,15 +13,15 @@
 
 import msgspec
 
-from lemonshunt.lease.terms import surely_out_us
-from lemonshunt.lease.token import Token
-from lemonshunt.member.roster import Member
-from lemonshunt.registry.bodies import Refused
-from lemonshunt.registry.rider import Heard, Riding, Row
-from lemonshunt.shard import plan
-from lemonshunt.shard.auto import AutoPlanner
-from lemonshunt.shard.check import checked
-from lemonshunt.shard.maps import (
+from rainfall.lease.terms import surely_out_us
+from rainfall.lease.token import Token
+from rainfall.member.roster import Member
+from rainfall.registry.bodies import Refused
+from rainfall.registry.rider import Heard, Riding, Row
+from rainfall.shard import plan
+from rainfall.shard.auto import AutoPlanner
+from rainfall.shard.check import checked
+from rainfall.shard.maps import (
     MOST_GENERATION,
     ShardMap,
     hexed,
@@ -29,13 +29,13 @@
     span_from,
     span_text,
 )
-from lemonshunt.shard.moves import MOST_AHEAD, Answer, Late, Moves
-from lemonshunt.shard.plan import BadPlan
+from rainfall.shard.moves import MOST_AHEAD, Answer, Late, Moves
+from rainfall.shard.plan import BadPlan
 
 # of a map that the service plans: written out it is within the bound of a body
 MOST_RANGES = 8_192
 AGAIN_US = 250_000  # between two looks at what the planner could not do yet
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 class Maps(Riding):
--- a/lemonshunt/registry/member_list.py
+++ b/rainfall/registry/member_list.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lemonshunt.member.roster import Member
+from rainfall.member.roster import Member
 
 MOST_KNOWN = 20_000
 """Names kept, twice as many as may hold leases; past so many all are encoded anew as
--- a/lemonshunt/registry/parts.py
+++ b/rainfall/registry/parts.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.lease.terms import Terms
-from lemonshunt.registry import budget_calls, map_calls
-from lemonshunt.registry.budgets import Budgets
-from lemonshunt.registry.fleet import Fleet
-from lemonshunt.registry.maps import Maps
-from lemonshunt.registry.planner import Planner
-from lemonshunt.registry.server import Service
-from lemonshunt.shard.auto import AutoPlanner
+from rainfall.lease.terms import Terms
+from rainfall.registry import budget_calls, map_calls
+from rainfall.registry.budgets import Budgets
+from rainfall.registry.fleet import Fleet
+from rainfall.registry.maps import Maps
+from rainfall.registry.planner import Planner
+from rainfall.registry.server import Service
+from rainfall.shard.auto import AutoPlanner
 
 
 @dataclass(frozen=True, slots=True)
--- a/lemonshunt/registry/planner.py
+++ b/rainfall/registry/planner.py
@@ -7,15 +7,15 @@
 import asyncio
 import logging
 
-from lemonshunt.lease.table import Grant
-from lemonshunt.lease.terms import Refused
-from lemonshunt.lease.token import Token
-from lemonshunt.registry.fleet import Fleet
-from lemonshunt.registry.writer import Full
+from rainfall.lease.table import Grant
+from rainfall.lease.terms import Refused
+from rainfall.lease.token import Token
+from rainfall.registry.fleet import Fleet
+from rainfall.registry.writer import Full
 
 LEASE = "shard-planner"
 RESTS = 10  # leases that pass before it is asked for again after it was taken away
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 class Planner:
--- a/lemonshunt/registry/plans.py
+++ b/rainfall/registry/plans.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from lemonshunt.registry.book import Rows
+from rainfall.registry.book import Rows
 
 PLAN_S = 0.05  # so much is gathered before a plan: one sync for the beats of all
 LEAST_S = 0.01  # between two that no beat asked for
--- a/lemonshunt/registry/reads.py
+++ b/rainfall/registry/reads.py
@@ -6,9 +6,9 @@
 
 from aiohttp import web
 
-from lemonshunt.registry import bodies
-from lemonshunt.registry.house import House
-from lemonshunt.registry.web import answer, get, long_answer, whole_body
+from rainfall.registry import bodies
+from rainfall.registry.house import House
+from rainfall.registry.web import answer, get, long_answer, whole_body
 
 MOST_HOLD_MS = 60_000
 
--- a/lemonshunt/registry/rider.py
+++ b/rainfall/registry/rider.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from lemonshunt.lease.token import Token
-from lemonshunt.member.roster import Member
+from rainfall.lease.token import Token
+from rainfall.member.roster import Member
 
 Row = dict[str, Any]
 """One change of a rider as it goes to `fleet.log`: a plain object for JSON."""
--- a/lemonshunt/registry/server.py
+++ b/rainfall/registry/server.py
@@ -9,17 +9,17 @@
 
 from aiohttp import web
 
-from lemonshunt.lease.terms import Terms
-from lemonshunt.registry import calls, reads, writes
-from lemonshunt.registry.bounds import Bounds
-from lemonshunt.registry.core import Registry
-from lemonshunt.registry.disk import Disk
-from lemonshunt.registry.fleet import Fleet
-from lemonshunt.registry.house import House, own_us, wall_ms
-from lemonshunt.registry.rider import Rider
-from lemonshunt.registry.web import Door
+from rainfall.lease.terms import Terms
+from rainfall.registry import calls, reads, writes
+from rainfall.registry.bounds import Bounds
+from rainfall.registry.core import Registry
+from rainfall.registry.disk import Disk
+from rainfall.registry.fleet import Fleet
+from rainfall.registry.house import House, own_us, wall_ms
+from rainfall.registry.rider import Rider
+from rainfall.registry.web import Door
 
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 class Service(House):
--- a/lemonshunt/registry/web.py
+++ b/rainfall/registry/web.py
@@ -16,11 +16,11 @@
 import msgspec
 from aiohttp import web
 
-from lemonshunt.registry import bodies
-from lemonshunt.registry.bodies import Refused
-from lemonshunt.registry.bounds import Bounds
-from lemonshunt.registry.house import House
-from lemonshunt.registry.writer import Full, Unknown
+from rainfall.registry import bodies
+from rainfall.registry.bodies import Refused
+from rainfall.registry.bounds import Bounds
+from rainfall.registry.house import House
+from rainfall.registry.writer import Full, Unknown
 
 MOST_FAULTS = 1_024  # in one answer
 # connections not yet accepted, as a whole fleet's at once; allocates nothing ahead
@@ -32,7 +32,7 @@
     b"Connection: close\r\n\r\n"
 )
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 def answer(
--- a/lemonshunt/registry/writer.py
+++ b/rainfall/registry/writer.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from typing import Any, Generic, TypeVar
 
-from lemonshunt.registry.bodies import Refused
-from lemonshunt.registry.core import Change, Pending, Registry
-from lemonshunt.registry.disk import Disk
+from rainfall.registry.bodies import Refused
+from rainfall.registry.core import Change, Pending, Registry
+from rainfall.registry.disk import Disk
 
 T = TypeVar("T")
-log = logging.getLogger("lemonshunt.registry")
+log = logging.getLogger("rainfall.registry")
 
 
 class Full(Exception):
--- a/lemonshunt/registry/writes.py
+++ b/rainfall/registry/writes.py
@@ -8,11 +8,11 @@
 
 from aiohttp import web
 
-from lemonshunt.registry import bodies, reads
-from lemonshunt.registry.bodies import Refused
-from lemonshunt.registry.core import Change
-from lemonshunt.registry.house import House
-from lemonshunt.registry.web import answer, canonical, get, json_body, whole_number
+from rainfall.registry import bodies, reads
+from rainfall.registry.bodies import Refused
+from rainfall.registry.core import Change
+from rainfall.registry.house import House
+from rainfall.registry.web import answer, canonical, get, json_body, whole_number
 
 
 def routes(house: House) -> list[web.RouteDef]:
--- a/lemonshunt/session/arbiter.py
+++ b/rainfall/session/arbiter.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lemonshunt.session.states import Ask, Confirm, Ruling, Side, Verdict
-from lemonshunt.session.words import Hand
+from rainfall.session.states import Ask, Confirm, Ruling, Side, Verdict
+from rainfall.session.words import Hand
 
 KEPT_US = 3_600_000_000
 """An entry whose missing side has been silent for so long may make room: no message
--- a/lemonshunt/session/choose.py
+++ b/rainfall/session/choose.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from lemonshunt.session.table import Table
+from rainfall.session.table import Table
 
 Why = Literal["drain", "out", "over", ""]
 FRESH_US = 3_000_000
--- a/lemonshunt/session/desk.py
+++ b/rainfall/session/desk.py
@@ -10,11 +10,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lemonshunt.session import states as s
-from lemonshunt.session import words as w
-from lemonshunt.session.giver import Giver
-from lemonshunt.session.states import Actions, Limits, State
-from lemonshunt.session.taker import Taker
+from rainfall.session import states as s
+from rainfall.session import words as w
+from rainfall.session.giver import Giver
+from rainfall.session.states import Actions, Limits, State
+from rainfall.session.taker import Taker
 
 MOST_PAST = (
     10_000  # hand-overs remembered after their end, of a fleet's; 250 bytes each
--- a/lemonshunt/session/giver.py
+++ b/rainfall/session/giver.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lemonshunt.session import states as s
-from lemonshunt.session import words as w
-from lemonshunt.session.states import Actions, Arrived, Limits, State
-from lemonshunt.session.waiting import Queue
+from rainfall.session import states as s
+from rainfall.session import words as w
+from rainfall.session.states import Actions, Arrived, Limits, State
+from rainfall.session.waiting import Queue
 
 Handler = Callable[["Giver", Any, int], Actions]
 NOBODY: w.Life = (0, 0)
--- a/lemonshunt/session/model.py
+++ b/rainfall/session/model.py
@@ -1,4 +1,4 @@
-"""One session handed over, as a model for `lemonshunt.explore`: two desks, the arbiter,
+"""One session handed over, as a model for `rainfall.explore`: two desks, the arbiter,
 an unsound link between them, disks that survive crashes, leases that run out, one
 message in the middle, a call that is out.
 
@@ -14,13 +14,13 @@
 from dataclasses import replace
 from typing import Any
 
-from lemonshunt.explore.net import Net
-from lemonshunt.session import states as s
-from lemonshunt.session import words as w
-from lemonshunt.session.arbiter import Arbiter
-from lemonshunt.session.model_fair import Fair, Step
-from lemonshunt.session.model_site import Site
-from lemonshunt.session.model_world import (
+from rainfall.explore.net import Net
+from rainfall.session import states as s
+from rainfall.session import words as w
+from rainfall.session.arbiter import Arbiter
+from rainfall.session.model_fair import Fair, Step
+from rainfall.session.model_site import Site
+from rainfall.session.model_world import (
     Mail,
     World,
     answered,
@@ -380,7 +380,7 @@
 
 
 class Rough(Sessions):
-    """For `python -m lemonshunt.explore`: either side may die, the taker's lease run
+    """For `python -m rainfall.explore`: either side may die, the taker's lease run
     out, a write fail.
     """
 
--- a/lemonshunt/session/model_fair.py
+++ b/rainfall/session/model_fair.py
@@ -7,8 +7,8 @@
 from collections.abc import Hashable, Iterator
 from dataclasses import replace
 
-from lemonshunt.session import states as s
-from lemonshunt.session.model_world import World, not_whole, unsafe
+from rainfall.session import states as s
+from rainfall.session.model_world import World, not_whole, unsafe
 
 Step = tuple[str, str, World]
 """Its kind: `fair` (comes of itself in the end), `retry`, `late` (when nothing else
--- a/lemonshunt/session/model_site.py
+++ b/rainfall/session/model_site.py
@@ -9,10 +9,10 @@
 from operator import attrgetter
 from typing import Any, TypeVar
 
-from lemonshunt.session import states as s
-from lemonshunt.session import words as w
-from lemonshunt.session.desk import Desk, Done
-from lemonshunt.session.states import Limits
+from rainfall.session import states as s
+from rainfall.session import words as w
+from rainfall.session.desk import Desk, Done
+from rainfall.session.states import Limits
 
 KEY = "k"
 LIMITS = Limits(ask_us=0, calls_us=0, least_left_us=1, drift=0.0)
--- a/lemonshunt/session/model_world.py
+++ b/rainfall/session/model_world.py
@@ -7,13 +7,13 @@
 from functools import cache
 from typing import Any
 
-from lemonshunt.explore.net import Net
-from lemonshunt.session import states as s
-from lemonshunt.session import words as w
-from lemonshunt.session.arbiter import Entry
-from lemonshunt.session.giver import Giver
-from lemonshunt.session.model_site import Site
-from lemonshunt.session.taker import Taker
+from rainfall.explore.net import Net
+from rainfall.session import states as s
+from rainfall.session import words as w
+from rainfall.session.arbiter import Entry
+from rainfall.session.giver import Giver
+from rainfall.session.model_site import Site
+from rainfall.session.taker import Taker
 
 
 @dataclass(slots=True, eq=False)
--- a/lemonshunt/session/states.py
+++ b/rainfall/session/states.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Literal
 
-from lemonshunt.session.words import Frame, Hand, Item, Life, Record
+from rainfall.session.words import Frame, Hand, Item, Life, Record
 
 Side = Literal["giver", "taker"]
 Ruling = Literal["giver", "taker", "wait"]
--- a/lemonshunt/session/table.py
+++ b/rainfall/session/table.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta
 
-from lemonshunt.session.states import Limits
+from rainfall.session.states import Limits
 
 Cost = Annotated[float, Meta(ge=0, le=1e6)]
 Millis = Annotated[int, Meta(ge=1, le=86_400_000)]
--- a/lemonshunt/session/taker.py
+++ b/rainfall/session/taker.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lemonshunt.session import states as s
-from lemonshunt.session import words as w
-from lemonshunt.session.incoming import Incoming
-from lemonshunt.session.states import Actions, Limits, State
+from rainfall.session import states as s
+from rainfall.session import words as w
+from rainfall.session.incoming import Incoming
+from rainfall.session.states import Actions, Limits, State
 
 Handler = Callable[["Taker", Any, int], Actions]
 
--- a/lemonshunt/session/waiting.py
+++ b/rainfall/session/waiting.py
@@ -9,9 +9,9 @@
 
 from dataclasses import dataclass
 
-from lemonshunt.session import states as s
-from lemonshunt.session import words as w
-from lemonshunt.session.states import Actions, Arrived, Limits, State
+from rainfall.session import states as s
+from rainfall.session import words as w
+from rainfall.session.states import Actions, Arrived, Limits, State
 
 
 @dataclass(slots=True)
--- a/lemonshunt/shard/__main__.py
+++ b/rainfall/shard/__main__.py
@@ -1,4 +1,4 @@
-"""For staff: python -m lemonshunt.shard check|plan. The forms of all files are in
+"""For staff: python -m rainfall.shard check|plan. The forms of all files are in
 docs/parts/shard.md.
 """
 
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any, NoReturn
 
-from lemonshunt.shard.check import MOST_MOVED, Fault, Old, checked, look
-from lemonshunt.shard.maps import Doubled, ShardMap, Unreadable, decode, span_from
-from lemonshunt.shard.plan import MOST_RANGES, BadPlan, plan
+from rainfall.shard.check import MOST_MOVED, Fault, Old, checked, look
+from rainfall.shard.maps import Doubled, ShardMap, Unreadable, decode, span_from
+from rainfall.shard.plan import MOST_RANGES, BadPlan, plan
 
 SOUND, FAULTS, UNREADABLE = 0, 1, 2
 
@@ -174,7 +174,7 @@
     """Exit 0 where all is well, 1 with all faults of a map, one a line, 2 with one line
     on stderr.
     """
-    ask = Parser(prog="python -m lemonshunt.shard", description=__doc__)
+    ask = Parser(prog="python -m rainfall.shard", description=__doc__)
     subs = ask.add_subparsers(required=True, metavar="check|plan")
     sub = subs.add_parser("check", help="every key exactly once, no gaps")
     sub.add_argument("map", metavar="MAP")
--- a/lemonshunt/shard/check.py
+++ b/rainfall/shard/check.py
@@ -16,8 +16,8 @@
 from fractions import Fraction
 from typing import Any
 
-from lemonshunt.shard.cover import Entry, cover
-from lemonshunt.shard.maps import (
+from rainfall.shard.cover import Entry, cover
+from rainfall.shard.maps import (
     BITS,
     MOST_GENERATION,
     Doubled,
--- a/lemonshunt/shard/model.py
+++ b/rainfall/shard/model.py
@@ -1,4 +1,4 @@
-"""A model of moves for `lemonshunt.explore`: the service's `Moves` and the members'
+"""A model of moves for `rainfall.explore`: the service's `Moves` and the members'
 `Owned`, with beats and answers lost, doubled, late and out of order, maps that change
 in the middle, leases that run out on clocks that run apart, members that crash and come
 back, a service that restarts from its disk.
@@ -14,12 +14,12 @@
 from functools import partial
 from typing import Any
 
-from lemonshunt.explore.net import Net
-from lemonshunt.lease.token import Token
-from lemonshunt.shard.maps import Range, ShardMap
-from lemonshunt.shard.moves import Fenced, Hold, Holder, Late, Moves
-from lemonshunt.shard.owned import Owned
-from lemonshunt.shard.spans import Span, both, union
+from rainfall.explore.net import Net
+from rainfall.lease.token import Token
+from rainfall.shard.maps import Range, ShardMap
+from rainfall.shard.moves import Fenced, Hold, Holder, Late, Moves
+from rainfall.shard.owned import Owned
+from rainfall.shard.spans import Span, both, union
 
 BITS = 4
 MOVE_THERE_AND_BACK = ("ab", "bb", "ab", "bb")
--- a/lemonshunt/shard/moves.py
+++ b/rainfall/shard/moves.py
@@ -14,10 +14,10 @@
 from fractions import Fraction
 from typing import Any
 
-from lemonshunt.lease.token import Token
-from lemonshunt.shard.check import MOST_MOVED, Fault, checked, judged
-from lemonshunt.shard.maps import BITS, MOST_GENERATION, ShardMap, hexed, key_from
-from lemonshunt.shard.spans import Span, both, minus, union
+from rainfall.lease.token import Token
+from rainfall.shard.check import MOST_MOVED, Fault, checked, judged
+from rainfall.shard.maps import BITS, MOST_GENERATION, ShardMap, hexed, key_from
+from rainfall.shard.spans import Span, both, minus, union
 
 MOST_AHEAD = (
     1 << 32
--- a/lemonshunt/shard/owned.py
+++ b/rainfall/shard/owned.py
@@ -19,11 +19,11 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Literal
 
-from lemonshunt.lease.token import Token
-from lemonshunt.shard.check import Fault, judged
-from lemonshunt.shard.maps import BITS, ShardMap
-from lemonshunt.shard.moves import Hold
-from lemonshunt.shard.spans import Span, both, minus, union
+from rainfall.lease.token import Token
+from rainfall.shard.check import Fault, judged
+from rainfall.shard.maps import BITS, ShardMap
+from rainfall.shard.moves import Hold
+from rainfall.shard.spans import Span, both, minus, union
 
 State = Literal["acting", "frozen", "gave"]
 
--- a/lemonshunt/shard/plan.py
+++ b/rainfall/shard/plan.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from fractions import Fraction
 
-from lemonshunt.shard.check import checked, moved_keys
-from lemonshunt.shard.maps import BITS, MOST_GENERATION, ShardMap, hexed
-from lemonshunt.shard.ranges import Cell, fewer, join, split_hot
+from rainfall.shard.check import checked, moved_keys
+from rainfall.shard.maps import BITS, MOST_GENERATION, ShardMap, hexed
+from rainfall.shard.ranges import Cell, fewer, join, split_hot
 
 MOST_RANGES = 65_536
 SLACK = Fraction(
--- a/lemonshunt/shard/route.py
+++ b/rainfall/shard/route.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from lemonshunt.lease.token import Token
-from lemonshunt.shard.owned import Owned
+from rainfall.lease.token import Token
+from rainfall.shard.owned import Owned
 
 
 @dataclass(frozen=True, slots=True)
--- a/lemonshunt/state.py
+++ b/rainfall/state.py
@@ -11,7 +11,7 @@
 
 from sortedcontainers import SortedList  # type: ignore[import-untyped]
 
-from lemonshunt.interface import MessageClass
+from rainfall.interface import MessageClass
 
 # What a process that takes over is told of each record; the rest is in the journal or
 # counted anew.
--- a/lemonshunt/wirehost.py
+++ b/rainfall/wirehost.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 
 OUTCOMES = {
     "Ok": i.Outcome.DELIVERED,
@@ -358,7 +358,7 @@
         try:
             reply = host.batch(line)
         except Malformed as error:
-            print(f"lemonshunt: bad input: {error}", file=sys.stderr)
+            print(f"rainfall: bad input: {error}", file=sys.stderr)
             return 2
         sink.write(reply + "\n")
         sink.flush()
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -12,8 +12,8 @@
 from math import sqrt
 from random import Random
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 
 MS, S = 1_000, 1_000_000
 ITEM_WEIGHT = (
--- a/tests/reference/books.py
+++ b/tests/reference/books.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lemonshunt import interface as i
-from lemonshunt.choice.shares import Share
+from rainfall import interface as i
+from rainfall.choice.shares import Share
 from tests.reference.state import (
     Agenda,
     Attempt,
--- a/tests/reference/crowd.py
+++ b/tests/reference/crowd.py
@@ -6,7 +6,7 @@
 
 from dataclasses import replace
 
-from lemonshunt import interface as i
+from rainfall import interface as i
 from tests.worlds import MS, S, World
 
 GRAIN = 10 * MS
--- a/tests/reference/dispatcher.py
+++ b/tests/reference/dispatcher.py
@@ -1,5 +1,5 @@
 """One round of decisions, read top to bottom. Types, events and actions:
-lemonshunt/interface.py.
+rainfall/interface.py.
 
 The ordinary path: held messages leave by groups of near deadlines, shortest expected
 call first in each; what cannot finish in time is refused unsent; a window that grows
@@ -12,8 +12,8 @@
 from random import Random
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.choice import shares
+from rainfall import interface as i
+from rainfall.choice import shares
 from tests.reference import giving, health, learning, memory, order, routes
 from tests.reference.books import Books
 from tests.reference.state import Target
--- a/tests/reference/giving.py
+++ b/tests/reference/giving.py
@@ -6,7 +6,7 @@
 
 import math
 
-from lemonshunt import interface as i
+from rainfall import interface as i
 from tests.reference.books import FEW, FORGET_US, NEVER, SECOND, Books
 from tests.reference.limits import over_share
 from tests.reference.state import Line, Message
--- a/tests/reference/health.py
+++ b/tests/reference/health.py
@@ -6,8 +6,8 @@
 
 import math
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
+from rainfall import interface as i
+from rainfall.interface import Outcome
 from tests.reference.books import FEW, SECOND, Books
 from tests.reference.state import Target
 
--- a/tests/reference/learning.py
+++ b/tests/reference/learning.py
@@ -4,8 +4,8 @@
 
 from __future__ import annotations
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
+from rainfall import interface as i
+from rainfall.interface import Outcome
 from tests.reference.books import AIM_PER_CALL, EASE_US, FEW, IDLE_LEAST_US, Books
 from tests.reference.giving import next_in, over
 from tests.reference.health import FAIL_MARK, watch_outage
--- a/tests/reference/memory.py
+++ b/tests/reference/memory.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Set
 from typing import Any
 
-from lemonshunt import interface as i
+from rainfall import interface as i
 from tests.reference.books import Books
 from tests.reference.giving import next_in
 from tests.reference.state import (
--- a/tests/reference/order.py
+++ b/tests/reference/order.py
@@ -7,7 +7,7 @@
 from bisect import bisect_right
 from collections.abc import Iterator
 
-from lemonshunt import interface as i
+from rainfall import interface as i
 from tests.reference.books import FORGET_US, LOOK_US, NEVER, Books
 from tests.reference.giving import age, fades_at
 from tests.reference.health import SURE_MARK, drawn, in_outage, weight
--- a/tests/reference/pair.py
+++ b/tests/reference/pair.py
@@ -9,8 +9,8 @@
 from dataclasses import fields
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 from tests import reference
 
 
--- a/tests/reference/routes.py
+++ b/tests/reference/routes.py
@@ -4,7 +4,7 @@
 
 from __future__ import annotations
 
-from lemonshunt import interface as i
+from rainfall import interface as i
 from tests.reference.books import Books
 from tests.reference.health import cold
 from tests.reference.limits import pace
--- a/tests/riders.py
+++ b/tests/riders.py
@@ -15,15 +15,15 @@
 
 import pytest
 
-from lemonshunt.budget.terms import window
-from lemonshunt.lease.terms import Terms
-from lemonshunt.lease.token import NEVER, Token
-from lemonshunt.registry import plans
-from lemonshunt.registry.bounds import Bounds
-from lemonshunt.registry.parts import lead
-from lemonshunt.shard.maps import hexed, span_from, span_text
-from lemonshunt.shard.moves import Hold
-from lemonshunt.shard.owned import Owned
+from rainfall.budget.terms import window
+from rainfall.lease.terms import Terms
+from rainfall.lease.token import NEVER, Token
+from rainfall.registry import plans
+from rainfall.registry.bounds import Bounds
+from rainfall.registry.parts import lead
+from rainfall.shard.maps import hexed, span_from, span_text
+from rainfall.shard.moves import Hold
+from rainfall.shard.owned import Owned
 from tests.test_registry_bounds import Clock, Run, told
 
 TTL, DRIFT, SPAN, SLACK = 1_000_000, 0.02, 400_000, 5_000
--- a/tests/scripts.py
+++ b/tests/scripts.py
@@ -8,8 +8,8 @@
 from collections import defaultdict
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 
 MS = 1_000
 S = 1_000_000
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -331,7 +331,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lemonshunt",
+            "rainfall",
             cwd=ROOT,
             env=env,
             stderr=asyncio.subprocess.PIPE,
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -18,29 +18,29 @@
 
 import pytest
 
-from lemonshunt.budget.config import MOST_BUDGETS, MOST_PARTS, beat_needs
-from lemonshunt.budget.wants import Wants
-from lemonshunt.journal.state import MOST_LOST, State
-from lemonshunt.lease.table import Table
-from lemonshunt.lease.terms import Terms
-from lemonshunt.lease.token import Token
-from lemonshunt.member.roster import MOST_GONE as MOST_MEMBERS_GONE
-from lemonshunt.member.roster import Grant, Roster
-from lemonshunt.net.address import Address
-from lemonshunt.net.config import Config, Host, HostList, host, host_list, parse
-from lemonshunt.net.desk import MOST_GONE
-from lemonshunt.net.discovery import Client
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.fleet_books import Books
-from lemonshunt.net.fleet_config import read
-from lemonshunt.net.fleet_file import Keep
-from lemonshunt.net.http import MOST_LIST
-from lemonshunt.net.reconfigure import MOST_TOLD, examine
-from lemonshunt.net.store import Store, Taken
-from lemonshunt.registry import house
-from lemonshunt.registry.bounds import Bounds
-from lemonshunt.registry.web import Connection
-from lemonshunt.wirehost import settings
+from rainfall.budget.config import MOST_BUDGETS, MOST_PARTS, beat_needs
+from rainfall.budget.wants import Wants
+from rainfall.journal.state import MOST_LOST, State
+from rainfall.lease.table import Table
+from rainfall.lease.terms import Terms
+from rainfall.lease.token import Token
+from rainfall.member.roster import MOST_GONE as MOST_MEMBERS_GONE
+from rainfall.member.roster import Grant, Roster
+from rainfall.net.address import Address
+from rainfall.net.config import Config, Host, HostList, host, host_list, parse
+from rainfall.net.desk import MOST_GONE
+from rainfall.net.discovery import Client
+from rainfall.net.engine import Engine
+from rainfall.net.fleet_books import Books
+from rainfall.net.fleet_config import read
+from rainfall.net.fleet_file import Keep
+from rainfall.net.http import MOST_LIST
+from rainfall.net.reconfigure import MOST_TOLD, examine
+from rainfall.net.store import Store, Taken
+from rainfall.registry import house
+from rainfall.registry.bounds import Bounds
+from rainfall.registry.web import Connection
+from rainfall.wirehost import settings
 from tests.sockets import PATIENCE, SETTINGS, Answer, Peer, always
 from tests.test_registry_bounds import Run, play
 
@@ -138,8 +138,8 @@
 
 
 def sources() -> Iterator[tuple[str, ast.Module]]:
-    for path in sorted((ROOT / "lemonshunt").rglob("*.py")):
-        module = ".".join(path.relative_to(ROOT / "lemonshunt").with_suffix("").parts)
+    for path in sorted((ROOT / "rainfall").rglob("*.py")):
+        module = ".".join(path.relative_to(ROOT / "rainfall").with_suffix("").parts)
         yield module, ast.parse(path.read_text())
 
 
@@ -169,7 +169,7 @@
     found = {}
     for full in LISTS:
         module, _, name = full.rpartition(".")
-        found[full] = getattr(importlib.import_module(f"lemonshunt.{module}"), name)
+        found[full] = getattr(importlib.import_module(f"rainfall.{module}"), name)
     assert {full: most for full, most in found.items() if most < LEAST} == {}
     bounds = Bounds()
     assert min(bounds.watchers, bounds.connections, bounds.queued) >= LEAST
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -14,20 +14,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.budget.book import Grant
-from lemonshunt.budget.config import Faults, checked
-from lemonshunt.budget.divide import divide
-from lemonshunt.budget.keep import restored, snapshot
-from lemonshunt.budget.ledger import Change, Granted, Ledger
-from lemonshunt.budget.model import Budgets
-from lemonshunt.budget.model_bugs import BUGS
-from lemonshunt.budget.purse import Purse
-from lemonshunt.budget.terms import Budget, Share, weight
-from lemonshunt.budget.wants import MOST_PARTS, Wants
-from lemonshunt.budget.window import EXACT, GRAINS
-from lemonshunt.explore.search import explore
-from lemonshunt.lease.token import Token
 from measure.budget_division import Fleet as Simulated
+from rainfall.budget.book import Grant
+from rainfall.budget.config import Faults, checked
+from rainfall.budget.divide import divide
+from rainfall.budget.keep import restored, snapshot
+from rainfall.budget.ledger import Change, Granted, Ledger
+from rainfall.budget.model import Budgets
+from rainfall.budget.model_bugs import BUGS
+from rainfall.budget.purse import Purse
+from rainfall.budget.terms import Budget, Share, weight
+from rainfall.budget.wants import MOST_PARTS, Wants
+from rainfall.budget.window import EXACT, GRAINS
+from rainfall.explore.search import explore
+from rainfall.lease.token import Token
 
 NEEDS = st.dictionaries(
     st.sampled_from("abcdefg"),
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 from tests.scripts import MS, S, ask, end, finals, sends, settings, started
 
 OK, FULL, LATE, FAILED = (
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher, health
+from rainfall import interface as i
+from rainfall.choice import Dispatcher, health
 from tests.cold_fleet import SCENES, played
 from tests.scripts import MS, S, ask, end, sends, settings
 
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
-from lemonshunt.net import client
-from lemonshunt.net.client import Call, Connection, Item, Pool
-from lemonshunt.net.config import Address
-from lemonshunt.net.engine import Clock
+from rainfall import interface as i
+from rainfall.interface import Outcome
+from rainfall.net import client
+from rainfall.net.client import Call, Connection, Item, Pool
+from rainfall.net.config import Address
+from rainfall.net.engine import Clock
 from tests.sockets import PATIENCE
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from lemonshunt.net import stopping
-from lemonshunt.net.client_connection import LINGER_BYTES
-from lemonshunt.net.store import Store
+from rainfall.net import stopping
+from rainfall.net.client_connection import LINGER_BYTES
+from rainfall.net.store import Store
 from tests.sockets import OK, PATIENCE, Answer, Peer, Platform, Request, message
 from tests.test_crossing_stopping import Caller, Running, target
 
@@ -236,7 +236,7 @@
 
 def powered(monkeypatch: pytest.MonkeyPatch) -> Sync:
     sync = Sync()
-    monkeypatch.setattr("lemonshunt.net.engine.sync_thread", lambda: sync)
+    monkeypatch.setattr("rainfall.net.engine.sync_thread", lambda: sync)
     return sync
 
 
@@ -329,7 +329,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     sync = powered(monkeypatch)
-    monkeypatch.setattr("lemonshunt.net.starting.SETTLE_S", PATIENCE)
+    monkeypatch.setattr("rainfall.net.starting.SETTLE_S", PATIENCE)
 
     async def scene(s: Scene) -> None:
         client = await s.arrives("m", cls="pay")
--- a/tests/test_crossing_door.py
+++ b/tests/test_crossing_door.py
@@ -18,10 +18,10 @@
 
 import pytest
 
-from lemonshunt.net import server as door
-from lemonshunt.net.client_connection import ClientConnection
-from lemonshunt.net.server import MOST_UNREAD, Asker, Handed, Server
-from lemonshunt.wirehost import settings
+from rainfall.net import server as door
+from rainfall.net.client_connection import ClientConnection
+from rainfall.net.server import MOST_UNREAD, Asker, Handed, Server
+from rainfall.wirehost import settings
 from tests.sockets import OK, PATIENCE, SETTINGS, Node, Peer, Platform, always, message
 
 OWED_US = 3_000_000  # TERMS, Connections: an error or a close within 3 s of connecting
--- a/tests/test_crossing_handover.py
+++ b/tests/test_crossing_handover.py
@@ -16,14 +16,14 @@
 
 import pytest
 
-from lemonshunt.__main__ import serve
-from lemonshunt.net.client import Pool
-from lemonshunt.net.config import Address, Config, HostList, host, load
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.handover import Successor
-from lemonshunt.net.lock import Lock
-from lemonshunt.net.store import Store, Taken
-from lemonshunt.wirehost import settings
+from rainfall.__main__ import serve
+from rainfall.net.client import Pool
+from rainfall.net.config import Address, Config, HostList, host, load
+from rainfall.net.engine import Engine
+from rainfall.net.handover import Successor
+from rainfall.net.lock import Lock
+from rainfall.net.store import Store, Taken
+from rainfall.wirehost import settings
 from tests.disk import Hands
 from tests.sockets import OK, SETTINGS, Answer, Client, Peer, Platform, always, message
 from tests.test_crossing_talk import Giver, asks, until
@@ -165,7 +165,7 @@
     """
     now = [100.0]
     monkeypatch.setattr(
-        "lemonshunt.net.handover.time", SimpleNamespace(monotonic=lambda: now[0])
+        "rainfall.net.handover.time", SimpleNamespace(monotonic=lambda: now[0])
     )
 
     async def scene() -> None:
@@ -235,7 +235,7 @@
     target reached neither process's module: the new one called again at once.
     """
     hands = Hands()
-    monkeypatch.setattr("lemonshunt.net.engine.sync_thread", lambda: hands)
+    monkeypatch.setattr("rainfall.net.engine.sync_thread", lambda: hands)
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         gate, works = asyncio.Event(), asyncio.Event()
@@ -305,7 +305,7 @@
         successor = Successor()
         assert await successor.ask(folder) and await successor.prepared()
         told = replace(engine.config, settings=settings(classes(fresh={})))
-        monkeypatch.setattr("lemonshunt.net.leaving.replacement", lambda config: told)
+        monkeypatch.setattr("rainfall.net.leaving.replacement", lambda config: told)
         engine.reload()
         client.writer.write(message("m", "fresh"))
         answered = asyncio.create_task(client.answer())
@@ -479,9 +479,9 @@
     """The new one had no call of its own out and ended: the old one's outcome had
     nobody to be told to.
     """
-    monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.05)
-    monkeypatch.setattr("lemonshunt.net.stopping.FREEZE_S", 0.05)
-    monkeypatch.setattr("lemonshunt.net.stopping.EXIT_S", 15.0)
+    monkeypatch.setattr("rainfall.net.stopping.LISTEN_S", 0.05)
+    monkeypatch.setattr("rainfall.net.stopping.FREEZE_S", 0.05)
+    monkeypatch.setattr("rainfall.net.stopping.EXIT_S", 15.0)
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         gate = asyncio.Event()
@@ -544,8 +544,8 @@
         made: list[Stub] = []
 
     One.ends = ends
-    monkeypatch.setattr("lemonshunt.__main__.Engine", One)
-    monkeypatch.setattr("lemonshunt.__main__.claim", claims)
+    monkeypatch.setattr("rainfall.__main__.Engine", One)
+    monkeypatch.setattr("rainfall.__main__.claim", claims)
     return One
 
 
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
-from lemonshunt.net.client import Call
-from lemonshunt.net.config import Address
+from rainfall import interface as i
+from rainfall.interface import Outcome
+from rainfall.net.client import Call
+from rainfall.net.config import Address
 from tests.sockets import PATIENCE
 from tests.test_crossing_calls import (
     OK,
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -20,8 +20,8 @@
 
 import pytest
 
-from lemonshunt.net.config import Address, HostList
-from lemonshunt.net.discovery import HOLD_MS, NO_VERSION, Channel, Client, Watch
+from rainfall.net.config import Address, HostList
+from rainfall.net.discovery import HOLD_MS, NO_VERSION, Channel, Client, Watch
 from tests.sockets import OK, PATIENCE, Answer, Handler, Peer, Platform, Request, always
 from tests.test_list_told_in_time import in_virtual_time
 from tests.test_node import configure, node_on, play, target
--- a/tests/test_crossing_notices.py
+++ b/tests/test_crossing_notices.py
@@ -13,15 +13,15 @@
 
 import pytest
 
-from lemonshunt.net import discovery
-from lemonshunt.net.config import Address
-from lemonshunt.net.discovery import (
+from rainfall.net import discovery
+from rainfall.net.config import Address
+from rainfall.net.discovery import (
     NOTICE_ANSWER_S,
     NOTICE_PATIENCE_S,
     Notices,
     notice_within_s,
 )
-from lemonshunt.net.store import Owed
+from rainfall.net.store import Owed
 from tests.sockets import OK, PATIENCE, Answer, Peer, Platform, Request
 from tests.test_list_told_in_time import Longest, in_virtual_time
 from tests.test_node import node_on, play, target
--- a/tests/test_crossing_restart.py
+++ b/tests/test_crossing_restart.py
@@ -14,14 +14,14 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.journal.recovery import look
-from lemonshunt.journal.state import State, Taken
-from lemonshunt.net.config import Address, Config, HostList, host
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.server import Handed
-from lemonshunt.wirehost import settings as read_settings
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.journal.recovery import look
+from rainfall.journal.state import State, Taken
+from rainfall.net.config import Address, Config, HostList, host
+from rainfall.net.engine import Engine
+from rainfall.net.server import Handed
+from rainfall.wirehost import settings as read_settings
 from tests.disk import Hands
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 from tests.sockets import (
@@ -619,13 +619,13 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        "lemonshunt.net.starting.SUMMARY_S", 3600.0
+        "rainfall.net.starting.SUMMARY_S", 3600.0
     )  # the counts start anew with each line
 
     async def scene(site: Site) -> None:
         site.sides[0].handler = always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}))
         e = await site.start()
-        with caplog.at_level(logging.INFO, "lemonshunt.trace"):
+        with caplog.at_level(logging.INFO, "rainfall.trace"):
             assert await site.hand_in("tried", "status", left="50") == 202
             await site.until(lambda: site.came("tried"))
             assert await site.hand_in("untried", "status") == 202
@@ -671,9 +671,9 @@
     """Nothing new is sent any more, and what is out still ends: delivered is over, and
     what may have run is ended by the next process and not sent again.
     """
-    monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.0)
-    monkeypatch.setattr("lemonshunt.net.stopping.FREEZE_S", 0.0)
-    monkeypatch.setattr("lemonshunt.net.stopping.EXIT_S", PATIENCE)
+    monkeypatch.setattr("rainfall.net.stopping.LISTEN_S", 0.0)
+    monkeypatch.setattr("rainfall.net.stopping.FREEZE_S", 0.0)
+    monkeypatch.setattr("rainfall.net.stopping.EXIT_S", PATIENCE)
 
     async def scene(site: Site) -> None:
         gate = asyncio.Event()
@@ -713,9 +713,9 @@
     and a once-only message was failed with no call; a dial that came up in the last
     moments was even used.
     """
-    monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.0)
-    monkeypatch.setattr("lemonshunt.net.stopping.FREEZE_S", 0.0)
-    monkeypatch.setattr("lemonshunt.net.stopping.EXIT_S", 0.0)
+    monkeypatch.setattr("rainfall.net.stopping.LISTEN_S", 0.0)
+    monkeypatch.setattr("rainfall.net.stopping.FREEZE_S", 0.0)
+    monkeypatch.setattr("rainfall.net.stopping.EXIT_S", 0.0)
 
     async def scene(site: Site) -> None:
         e = await site.start()
--- a/tests/test_crossing_stopping.py
+++ b/tests/test_crossing_stopping.py
@@ -17,13 +17,13 @@
 
 import pytest
 
-from lemonshunt.net import client_connection, starting, stopping
-from lemonshunt.net import server as server_file
-from lemonshunt.net.client_connection import CLOSE_S, ClientConnection
-from lemonshunt.net.config import Address, Config, HostList, host
-from lemonshunt.net.engine import Clock, Engine
-from lemonshunt.net.server import Asker, Handed, Server
-from lemonshunt.wirehost import settings
+from rainfall.net import client_connection, starting, stopping
+from rainfall.net import server as server_file
+from rainfall.net.client_connection import CLOSE_S, ClientConnection
+from rainfall.net.config import Address, Config, HostList, host
+from rainfall.net.engine import Clock, Engine
+from rainfall.net.server import Asker, Handed, Server
+from rainfall.wirehost import settings
 from tests.sockets import OK, PATIENCE, SETTINGS, Peer, Platform, always, hang, message
 
 UP = b"GET /up HTTP/1.1\r\n\r\n"
--- a/tests/test_crossing_talk.py
+++ b/tests/test_crossing_talk.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.net.handover import Predecessor, Successor
-from lemonshunt.net.link import Link
+from rainfall import interface as i
+from rainfall.net.handover import Predecessor, Successor
+from rainfall.net.link import Link
 
 WORD = b'{"ended":["m",0,1,"delivered",5,true,0,null,false]}\n'
 
@@ -246,7 +246,7 @@
 
 
 async def late_yes(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lemonshunt.net.handover.ASK_S", 0.2)
+    monkeypatch.setattr("rainfall.net.handover.ASK_S", 0.2)
     giver = Giver()
     gate = asyncio.Event()
     give = giver.give
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,15 +14,15 @@
 
 import pytest
 
-from lemonshunt.journal.files import SystemFiles
-from lemonshunt.net.admin import ACCEPTS as ADMIN_ACCEPTS
-from lemonshunt.net.admin import MOST_CALLS, Admin
-from lemonshunt.net.config import Address, Config, HostList
-from lemonshunt.net.desk import OWN, Clock
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.server import ACCEPT_TURNS, ACCEPTS, UNASKED_US, Server
-from lemonshunt.net.store import Store, Taken
-from lemonshunt.wirehost import settings
+from rainfall.journal.files import SystemFiles
+from rainfall.net.admin import ACCEPTS as ADMIN_ACCEPTS
+from rainfall.net.admin import MOST_CALLS, Admin
+from rainfall.net.config import Address, Config, HostList
+from rainfall.net.desk import OWN, Clock
+from rainfall.net.engine import Engine
+from rainfall.net.server import ACCEPT_TURNS, ACCEPTS, UNASKED_US, Server
+from rainfall.net.store import Store, Taken
+from rainfall.wirehost import settings
 from tests.sockets import (
     OK,
     PATIENCE,
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lemonshunt.explore.__main__ import main
-from lemonshunt.explore.net import Net
-from lemonshunt.explore.search import explore
+from rainfall.explore.__main__ import main
+from rainfall.explore.net import Net
+from rainfall.explore.search import explore
 
 State = tuple[tuple[str, str], str]
 
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -17,18 +17,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher, shares
-from lemonshunt.journal.files import SystemFiles
-from lemonshunt.journal.recovery import this_boot
-from lemonshunt.lease.token import Token
-from lemonshunt.net import client
-from lemonshunt.net.client import Call
-from lemonshunt.net.config import Address
-from lemonshunt.net.engine import Clock
-from lemonshunt.net.fleet_books import BARRED, Books, gathered
-from lemonshunt.net.fleet_config import Reserve
-from lemonshunt.net.fleet_file import Keep
+from rainfall import interface as i
+from rainfall.choice import Dispatcher, shares
+from rainfall.journal.files import SystemFiles
+from rainfall.journal.recovery import this_boot
+from rainfall.lease.token import Token
+from rainfall.net import client
+from rainfall.net.client import Call
+from rainfall.net.config import Address
+from rainfall.net.engine import Clock
+from rainfall.net.fleet_books import BARRED, Books, gathered
+from rainfall.net.fleet_config import Reserve
+from rainfall.net.fleet_file import Keep
 from tests.scripts import S
 from tests.scripts import settings as script
 from tests.sockets import (
@@ -576,9 +576,9 @@
 
 OFF = """
 import asyncio, json, sys, urllib.request
-from lemonshunt.__main__ import serve
-from lemonshunt.net.config import load
-from lemonshunt.net.reconfigure import examine
+from rainfall.__main__ import serve
+from rainfall.net.config import load
+from rainfall.net.reconfigure import examine
 
 async def run():
     config = load()
@@ -595,7 +595,7 @@
             pass
     assert b'"fleet"' not in told
     assert examine(json.dumps(config.raw).encode(), config).valid
-    parts = ("msgspec", "lemonshunt.lease", "lemonshunt.budget", "lemonshunt.member", "lemonshunt.net.fleet")
+    parts = ("msgspec", "rainfall.lease", "rainfall.budget", "rainfall.member", "rainfall.net.fleet")
     print([name for name in sys.modules if name.startswith(parts)])
     serving.cancel()
 asyncio.run(run())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from lemonshunt.net.handover import Lock
+from rainfall.net.handover import Lock
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -234,7 +234,7 @@
 HALFWAY = """
 import asyncio, os, sys
 from pathlib import Path
-from lemonshunt.net.handover import Successor
+from rainfall.net.handover import Successor
 
 async def main():
     successor = Successor()
@@ -364,7 +364,7 @@
         done = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lemonshunt",
+            "rainfall",
             cwd=ROOT,
             env=env,
             stderr=asyncio.subprocess.PIPE,
@@ -373,7 +373,7 @@
         text = (await done.stderr.read()).decode()
         assert (
             await done.wait() in (1, 2)
-            and "lemonshunt: " in text
+            and "rainfall: " in text
             and "Traceback" not in text
         )
         assert node.folder == folder
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -13,9 +13,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.journal import format as f
-from lemonshunt.journal.recovery import look
-from lemonshunt.journal.state import record
+from rainfall.journal import format as f
+from rainfall.journal.recovery import look
+from rainfall.journal.state import record
 from tests.sockets import ROOT
 
 SALT = 0x1234ABCD
@@ -178,7 +178,7 @@
 
 def tool(*words: str) -> tuple[int, str, str]:
     done = subprocess.run(
-        [sys.executable, "-m", "lemonshunt.journal", *words],
+        [sys.executable, "-m", "rainfall.journal", *words],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- a/tests/test_killed.py
+++ b/tests/test_killed.py
@@ -16,14 +16,14 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.journal import format as f
-from lemonshunt.net.client import Call
-from lemonshunt.net.config import Address, Config, HostList
-from lemonshunt.net.engine import RECALL, Engine
-from lemonshunt.net.server import Handed
-from lemonshunt.net.store import Rules, Store, Taken
-from lemonshunt.wirehost import settings
+from rainfall import interface as i
+from rainfall.journal import format as f
+from rainfall.net.client import Call
+from rainfall.net.config import Address, Config, HostList
+from rainfall.net.engine import RECALL, Engine
+from rainfall.net.server import Handed
+from rainfall.net.store import Rules, Store, Taken
+from rainfall.wirehost import settings
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -136,7 +136,7 @@
             [
                 sys.executable,
                 "-m",
-                "lemonshunt.journal",
+                "rainfall.journal",
                 "check",
                 str(folder / "state"),
             ],
@@ -168,7 +168,7 @@
             beside = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "lemonshunt.journal",
+                "rainfall.journal",
                 "check",
                 str(folder / "state"),
                 cwd=ROOT,
@@ -241,7 +241,7 @@
             "LB_STATE": str(state),
         }
         done = subprocess.run(
-            [sys.executable, "-m", "lemonshunt"],
+            [sys.executable, "-m", "rainfall"],
             cwd=ROOT,
             env=env,
             capture_output=True,
@@ -251,7 +251,7 @@
         said = [
             line
             for line in done.stderr.splitlines()
-            if line.startswith("lemonshunt: cannot serve: ")
+            if line.startswith("rainfall: cannot serve: ")
         ]
         assert (
             done.returncode == 1 and len(said) == 1 and "Traceback" not in done.stderr
@@ -306,7 +306,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Told to the module after the fresh one, they would be overtaken by it."""
-    monkeypatch.setattr("lemonshunt.net.engine.RECALL", 5)
+    monkeypatch.setattr("rainfall.net.engine.RECALL", 5)
     filled(tmp_path, overdue=5, live=3, key="K")
 
     class Door:
@@ -355,7 +355,7 @@
 def power_engine(
     folder: Path, hands: object, monkeypatch: pytest.MonkeyPatch
 ) -> Engine:
-    monkeypatch.setattr("lemonshunt.net.engine.sync_thread", lambda: hands)
+    monkeypatch.setattr("rainfall.net.engine.sync_thread", lambda: hands)
     listen = Address("127.0.0.1", 9)
     return Engine(
         Config(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,13 +12,13 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.lab import __main__ as cli
-from lemonshunt.lab import checker, pids, report
-from lemonshunt.lab.experiment import ExperimentError, parse, read
-from lemonshunt.lab.proxy import Link
+from rainfall.lab import __main__ as cli
+from rainfall.lab import checker, pids, report
+from rainfall.lab.experiment import ExperimentError, parse, read
+from rainfall.lab.proxy import Link
 
 EXPERIMENTS = (
-    Path(__file__).resolve().parent.parent / "lemonshunt" / "lab" / "experiments"
+    Path(__file__).resolve().parent.parent / "rainfall" / "lab" / "experiments"
 )
 EFFECTS = {"pay": "once", "status": "repeatable"}
 DEADLINES = {"pay": 10**9, "status": 10**9}
--- a/tests/test_lab_verdict.py
+++ b/tests/test_lab_verdict.py
@@ -18,16 +18,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.lab import __main__ as cli
-from lemonshunt.lab import checker, harvest, load, nemesis, pids, sweep, verdicts
-from lemonshunt.lab.experiment import parse
-from lemonshunt.lab.plan import Planned, messages
-from lemonshunt.lab.proxy import Gate, Link
-from lemonshunt.lab.relay import Relay
-from lemonshunt.lab.shapes import LINK_KINDS, SERVICE, links_of
-from lemonshunt.lab.standins import ListService, Meter
-from lemonshunt.lab.verdicts import budgets, leases, shards
-from lemonshunt.lab.verdicts import sessions as sessions_check
+from rainfall.lab import __main__ as cli
+from rainfall.lab import checker, harvest, load, nemesis, pids, sweep, verdicts
+from rainfall.lab.experiment import parse
+from rainfall.lab.plan import Planned, messages
+from rainfall.lab.proxy import Gate, Link
+from rainfall.lab.relay import Relay
+from rainfall.lab.shapes import LINK_KINDS, SERVICE, links_of
+from rainfall.lab.standins import ListService, Meter
+from rainfall.lab.verdicts import budgets, leases, shards
+from rainfall.lab.verdicts import sessions as sessions_check
 
 Records = list[dict[str, Any]]
 steady = settings(derandomize=True, deadline=None, max_examples=150)
@@ -524,7 +524,7 @@
 RUN = """
 import json, os, signal, subprocess, sys, time
 from pathlib import Path
-from lemonshunt.lab import pids
+from rainfall.lab import pids
 seed, out = int(sys.argv[1]), Path(sys.argv[2])
 if seed >= 3:
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.explore.search import explore
-from lemonshunt.lease.guard import Guard
-from lemonshunt.lease.holder import Holder
-from lemonshunt.lease.model import BUGS, Leases
-from lemonshunt.lease.table import Grant, Held, Table
-from lemonshunt.lease.terms import Refused, Terms, surely_held_us, surely_out_us
-from lemonshunt.lease.token import NEVER, Token
+from rainfall.explore.search import explore
+from rainfall.lease.guard import Guard
+from rainfall.lease.holder import Holder
+from rainfall.lease.model import BUGS, Leases
+from rainfall.lease.table import Grant, Held, Table
+from rainfall.lease.terms import Refused, Terms, surely_held_us, surely_out_us
+from rainfall.lease.token import NEVER, Token
 
 DRIFT = 0.25
 TERMS = Terms(DRIFT, 8, 40, 2)
--- a/tests/test_list_told_in_time.py
+++ b/tests/test_list_told_in_time.py
@@ -16,20 +16,20 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.choice.routes import ASK_LEAST_US, ASK_MOST_US
-from lemonshunt.net import discovery
-from lemonshunt.net.config import Address, HostList
-from lemonshunt.net.desk import ROUND_US
-from lemonshunt.net.discovery import (
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.choice.routes import ASK_LEAST_US, ASK_MOST_US
+from rainfall.net import discovery
+from rainfall.net.config import Address, HostList
+from rainfall.net.desk import ROUND_US
+from rainfall.net.discovery import (
     MOVED_S,
     TOLD_S,
     Watch,
     told_after_move_s,
     told_within_s,
 )
-from lemonshunt.wirehost import settings
+from rainfall.wirehost import settings
 from tests.sockets import SETTINGS, Answer, Peer, Request
 
 ROOM_S = 0.5  # that the longest way leaves
--- a/tests/test_live_work.py
+++ b/tests/test_live_work.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.journal.state import State, Taken
-from lemonshunt.net import starting
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.journal.state import State, Taken
+from rainfall.net import starting
 from tests.scripts import MS, S, ask, end, sends, settings
 from tests.test_net import engine, taken
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.state import Message
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.state import Message
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 
 OK, FULL, LATE, FAILED = (
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.lease.table import Grant, Held, Table
-from lemonshunt.lease.terms import Refused, Terms
-from lemonshunt.lease.token import Token
-from lemonshunt.member import roster as module
-from lemonshunt.member.roster import Roster
+from rainfall.lease.table import Grant, Held, Table
+from rainfall.lease.terms import Refused, Terms
+from rainfall.lease.token import Token
+from rainfall.member import roster as module
+from rainfall.member.roster import Roster
 
 TTL, OUT, LATE = 30, 33, 20
 TERMS = Terms(0.1, 10, TTL, 50)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,20 +16,20 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.choice.routes import MOST_GONE as MOST_TARGETS_GONE
-from lemonshunt.journal.format import OLD_FRAME
-from lemonshunt.net.client import Call, Connection, Item, Pool, wait_us
-from lemonshunt.net.client_connection import ClientConnection
-from lemonshunt.net.config import Address, Config, HostList, host
-from lemonshunt.net.discovery import HOLD_MS, NOTICE_TOP_S, Notices, Watch
-from lemonshunt.net.engine import MOST_GONE, MOST_RECENT, Clock, Engine
-from lemonshunt.net.handover import Predecessor
-from lemonshunt.net.http import BadAnswer, ResponseReader
-from lemonshunt.net.server import Handed, Server
-from lemonshunt.net.store import Owed, Store, Taken
-from lemonshunt.wirehost import settings
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.choice.routes import MOST_GONE as MOST_TARGETS_GONE
+from rainfall.journal.format import OLD_FRAME
+from rainfall.net.client import Call, Connection, Item, Pool, wait_us
+from rainfall.net.client_connection import ClientConnection
+from rainfall.net.config import Address, Config, HostList, host
+from rainfall.net.discovery import HOLD_MS, NOTICE_TOP_S, Notices, Watch
+from rainfall.net.engine import MOST_GONE, MOST_RECENT, Clock, Engine
+from rainfall.net.handover import Predecessor
+from rainfall.net.http import BadAnswer, ResponseReader
+from rainfall.net.server import Handed, Server
+from rainfall.net.store import Owed, Store, Taken
+from rainfall.wirehost import settings
 from tests.sockets import OK, SETTINGS, Answer, Peer, always, hang, message
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from lemonshunt.net.discovery import HOLD_MS
+from rainfall.net.discovery import HOLD_MS
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -608,7 +608,7 @@
         (tmp_path / "config.json").write_text(config)
         env["LB_CONFIG"] = str(tmp_path / "config.json")
     done = subprocess.run(
-        [sys.executable, "-m", "lemonshunt"],
+        [sys.executable, "-m", "rainfall"],
         cwd=ROOT,
         env=env,
         capture_output=True,
@@ -616,7 +616,7 @@
         timeout=60,
     )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
-    assert done.stderr.startswith("lemonshunt: ")
+    assert done.stderr.startswith("rainfall: ")
 
 
 def configure(node: Node, **changes: Any) -> None:
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -176,7 +176,7 @@
         "LB_ADMIN_ADDR": "here",
     }
     done = subprocess.run(
-        [sys.executable, "-m", "lemonshunt"],
+        [sys.executable, "-m", "rainfall"],
         cwd=ROOT,
         env=env,
         capture_output=True,
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.peer import frames as f
-from lemonshunt.peer import links
-from lemonshunt.session import words as w
+from rainfall.peer import frames as f
+from rainfall.peer import links
+from rainfall.session import words as w
 
 HAND = w.Hand("g", 1, 2, 3)
 ITEM = w.Item("m1", "cart", 7, 250_000, b"\x00\xffbody", "idem", None, 2, 9, -5, "s-1")
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.state import Lane, LaneKey, Message
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.state import Lane, LaneKey, Message
 from tests.reference.pair import Pair
 from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
 
--- a/tests/test_queue_corners.py
+++ b/tests/test_queue_corners.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from lemonshunt import interface as i
+from rainfall import interface as i
 from tests.reference.pair import Pair
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 
--- a/tests/test_ready_in_time.py
+++ b/tests/test_ready_in_time.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from lemonshunt.net.store import Rules, Store, Taken
-from lemonshunt.wirehost import settings
+from rainfall.net.store import Rules, Store, Taken
+from rainfall.wirehost import settings
 from tests.sockets import OK, SETTINGS, Answer, Node, Peer, Platform, Request
 
 # STANDING.md, What has to hold: nine in ten restarted forwarders are ready within this
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from lemonshunt.net.config import Config, parse
-from lemonshunt.net.reconfigure import digest, examine, general
+from rainfall.net.config import Config, parse
+from rainfall.net.reconfigure import digest, examine, general
 from tests.sockets import OK, SETTINGS, Platform, always
 from tests.test_node import node_on, play, target
 from tests.test_operate import classes, hang_up
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,10 +12,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt import interface as i
-from lemonshunt.journal import recovery
-from lemonshunt.journal.recovery import Unusable, look
-from lemonshunt.net.store import Owed, Rules, Store, Taken
+from rainfall import interface as i
+from rainfall.journal import recovery
+from rainfall.journal.recovery import Unusable, look
+from rainfall.net.store import Owed, Rules, Store, Taken
 from tests.disk import Died, Disk, Hands
 from tests.test_journal import HEAD, OLD, f
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture(autouse=True)
 def boot(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lemonshunt.net.store.this_boot", lambda: "boot 1")
+    monkeypatch.setattr("rainfall.net.store.this_boot", lambda: "boot 1")
 
 
 def taken(name: str, cls: str = "pay", key: str | None = None, size: int = 20) -> Taken:
@@ -538,7 +538,7 @@
         (False, True, 0),
         (True, False, 0),
     ):
-        monkeypatch.setattr("lemonshunt.net.store.this_boot", lambda: "boot 1")
+        monkeypatch.setattr("rainfall.net.store.this_boot", lambda: "boot 1")
         disk, hands = Disk(), Hands() if power else None
         store = opened(disk, hands)
         store.take(taken("a"))
@@ -548,7 +548,7 @@
         if closed:
             store.close()
         disk.power_lost() if power else disk.killed()
-        monkeypatch.setattr("lemonshunt.net.store.this_boot", lambda: "boot 2")
+        monkeypatch.setattr("rainfall.net.store.this_boot", lambda: "boot 2")
         back = opened(disk, Hands() if power else None, base=10**15 - SECOND)
         assert back.report.another_boot and back.report.doubted == doubted
         assert bool(back.messages["a"].out) is bool(doubted)
@@ -565,7 +565,7 @@
     store.take(taken("a"))
     store.flush()
     disk.killed()
-    monkeypatch.setattr("lemonshunt.net.store.this_boot", lambda: "boot 2")
+    monkeypatch.setattr("rainfall.net.store.this_boot", lambda: "boot 2")
     monkeypatch.setattr(recovery.time, "monotonic_ns", lambda: 0)
     back = opened(disk, base=10**15 - 86_400 * SECOND)
     assert back.messages["a"].due_us <= 10**15 - 86_400 * SECOND + 10 * SECOND
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -20,8 +20,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.registry.core import Pending, Refused, Registry
-from lemonshunt.registry.disk import Damaged, Disk, line, lines
+from rainfall.registry.core import Pending, Refused, Registry
+from rainfall.registry.disk import Damaged, Disk, line, lines
 
 HOSTS = ("s-1", "s-2", "s-3")
 op = st.one_of(
@@ -162,7 +162,7 @@
         [
             sys.executable,
             "-m",
-            "lemonshunt.registry",
+            "rainfall.registry",
             "--state",
             str(state),
             "--listen",
--- a/tests/test_registry_bounds.py
+++ b/tests/test_registry_bounds.py
@@ -16,14 +16,14 @@
 
 import pytest
 
-from lemonshunt.journal.files import SystemFiles
-from lemonshunt.net.config import Address
-from lemonshunt.net.discovery import Client, Watch
-from lemonshunt.registry import bodies
-from lemonshunt.registry.bounds import Bounds
-from lemonshunt.registry.core import BELIEVED, Refused
-from lemonshunt.registry.disk import Disk, Log
-from lemonshunt.registry.server import Service
+from rainfall.journal.files import SystemFiles
+from rainfall.net.config import Address
+from rainfall.net.discovery import Client, Watch
+from rainfall.registry import bodies
+from rainfall.registry.bounds import Bounds
+from rainfall.registry.core import BELIEVED, Refused
+from rainfall.registry.disk import Disk, Log
+from rainfall.registry.server import Service
 
 
 class Files(SystemFiles):
@@ -503,7 +503,7 @@
         [
             sys.executable,
             "-m",
-            "lemonshunt.registry",
+            "rainfall.registry",
             "--state",
             str(state),
             "--listen",
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from lemonshunt.lease.terms import Terms
-from lemonshunt.registry import book, fleet
-from lemonshunt.registry.disk import Log
-from lemonshunt.registry.server import Service
+from rainfall.lease.terms import Terms
+from rainfall.registry import book, fleet
+from rainfall.registry.disk import Log
+from rainfall.registry.server import Service
 from tests.test_registry_bounds import Clock, Run, play, until
 
 TTL_US = 200_000
--- a/tests/test_registry_riders.py
+++ b/tests/test_registry_riders.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from lemonshunt.lease.token import NEVER
-from lemonshunt.registry import __main__ as command
-from lemonshunt.registry import fleet, planner, plans, watch
-from lemonshunt.registry.disk import lines
-from lemonshunt.registry.watch import Watchers
-from lemonshunt.shard.auto import AutoPlanner, Pauses
-from lemonshunt.shard.maps import Range, ShardMap, hexed
-from lemonshunt.shard.spans import union
+from rainfall.lease.token import NEVER
+from rainfall.registry import __main__ as command
+from rainfall.registry import fleet, planner, plans, watch
+from rainfall.registry.disk import lines
+from rainfall.registry.watch import Watchers
+from rainfall.shard.auto import AutoPlanner, Pauses
+from rainfall.shard.maps import Range, ShardMap, hexed
+from rainfall.shard.spans import union
 from tests.riders import BUDGET, TOP, Play, Process, World
 from tests.test_registry_bounds import until
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.choice.books import WIRE_US
-from lemonshunt.choice.giving import LEAST_AWAY_US
-from lemonshunt.net.client import Call, Item, Pool
-from lemonshunt.net.config import Address, Config, HostList, host
-from lemonshunt.net.engine import Clock, Engine
-from lemonshunt.net.store import Rules, Store, Taken
-from lemonshunt.wirehost import settings as read_settings
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
+from rainfall.choice.books import WIRE_US
+from rainfall.choice.giving import LEAST_AWAY_US
+from rainfall.net.client import Call, Item, Pool
+from rainfall.net.config import Address, Config, HostList, host
+from rainfall.net.engine import Clock, Engine
+from rainfall.net.store import Rules, Store, Taken
+from rainfall.wirehost import settings as read_settings
 from tests.disk import Disk
 from tests.scripts import MS, S, ask, end, finals, sends, settings, started
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Platform, always
@@ -215,7 +215,7 @@
     """Killed with a call out: it may have run when the journal says it left. The start
     reads that time, and the class it was taken on under, from the file.
     """
-    monkeypatch.setattr("lemonshunt.net.stopping.LISTEN_S", 0.0)
+    monkeypatch.setattr("rainfall.net.stopping.LISTEN_S", 0.0)
 
     async def scene() -> None:
         platform = Platform()
@@ -284,7 +284,7 @@
 
         slewed = Clock()
         slewed.base = before.clock.base - 400 * MS * 1000
-        monkeypatch.setattr("lemonshunt.net.engine.Clock", lambda: slewed)
+        monkeypatch.setattr("rainfall.net.engine.Clock", lambda: slewed)
         after = Engine(configured(tmp_path, platform, S))
         assert after.clock.base // 1000 == base
         after.store.let_go()
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lemonshunt import interface as i
+from rainfall import interface as i
 from tests.worlds import SEEDS, Round, play
 
 RECORDED: list[dict[str, Any]] = json.loads(
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -18,7 +18,7 @@
     """
     parts = {
         str(p.relative_to(ROOT)): p.read_text()
-        for p in sorted((ROOT / "lemonshunt/choice").rglob("*.py"))
+        for p in sorted((ROOT / "rainfall/choice").rglob("*.py"))
     }
     assert tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"] == list(
         parts
@@ -41,8 +41,8 @@
     )
     for entrance in ("__init__", "dispatcher"):
         assert (
-            "lemonshunt/interface.py"
-            in parts[f"lemonshunt/choice/{entrance}.py"].splitlines()[0]
+            "rainfall/interface.py"
+            in parts[f"rainfall/choice/{entrance}.py"].splitlines()[0]
         )
 
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -12,15 +12,15 @@
 
 import pytest
 
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.room import (
+from rainfall.net.engine import Engine
+from rainfall.net.room import (
     LEAST_BYTES,
     MESSAGE_BYTES,
     Bound,
     bytes_for_held,
     memory_left,
 )
-from lemonshunt.net.server import Handed
+from rainfall.net.server import Handed
 from tests.test_net import engine as small_engine
 
 SECONDS = 1_000_000
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from lemonshunt.choice import Dispatcher
+from rainfall.choice import Dispatcher
 from tests.scripts import Script, settings
 
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -12,12 +12,6 @@
 import msgspec
 import pytest
 
-from lemonshunt.budget.config import MOST_BUDGETS
-from lemonshunt.budget.divide import divide
-from lemonshunt.lease.token import Token
-from lemonshunt.net.config import host_list
-from lemonshunt.net.fleet_books import Books
-from lemonshunt.shard.plan import plan
 from measure.scale import control_config as files
 from measure.scale import control_demand as demand
 from measure.scale import control_division as division
@@ -28,6 +22,12 @@
 from measure.scale.__main__ import discover
 from measure.scale.control_probe import steps
 from measure.scale.target import FORWARDERS, ZONE_FORWARDERS
+from rainfall.budget.config import MOST_BUDGETS
+from rainfall.budget.divide import divide
+from rainfall.lease.token import Token
+from rainfall.net.config import host_list
+from rainfall.net.fleet_books import Books
+from rainfall.shard.plan import plan
 
 NEARLY = 1.1
 """Over the size's own factor: bases and digits of larger numbers."""
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -16,17 +16,6 @@
 import msgspec
 import pytest
 
-from lemonshunt.lease.holder import Holder
-from lemonshunt.lease.table import Grant, Table
-from lemonshunt.lease.terms import Terms
-from lemonshunt.lease.token import Token
-from lemonshunt.member.roster import Member, Roster
-from lemonshunt.net import discovery, fleet_config
-from lemonshunt.net.config import Address
-from lemonshunt.net.fleet_beat import body
-from lemonshunt.net.fleet_books import Books
-from lemonshunt.registry.budgets import Budgets
-from lemonshunt.registry.watch import Watchers
 from measure.scale.hollow_member import (
     Call,
     CountedChannel,
@@ -35,6 +24,17 @@
 )
 from measure.scale.hollow_peaks import STEP_NS, peaks
 from measure.scale.hollow_process import Sample, is_alive
+from rainfall.lease.holder import Holder
+from rainfall.lease.table import Grant, Table
+from rainfall.lease.terms import Terms
+from rainfall.lease.token import Token
+from rainfall.member.roster import Member, Roster
+from rainfall.net import discovery, fleet_config
+from rainfall.net.config import Address
+from rainfall.net.fleet_beat import body
+from rainfall.net.fleet_books import Books
+from rainfall.registry.budgets import Budgets
+from rainfall.registry.watch import Watchers
 from tests.test_registry_bounds import Clock, Run, play, until
 from tests.test_registry_fleet import beat, lead
 
@@ -80,7 +80,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "lemonshunt.registry",
+        "rainfall.registry",
         *map(str, words),
         cwd=ROOT,
         stderr=asyncio.subprocess.DEVNULL,
--- a/tests/test_scale_messages.py
+++ b/tests/test_scale_messages.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from lemonshunt.journal.format import MOST_RECORD, scan
-from lemonshunt.net.store import Store
 from measure.scale import journal_growth
 from measure.scale.message_traffic import SECOND, Traffic
+from rainfall.journal.format import MOST_RECORD, scan
+from rainfall.net.store import Store
 
 FEW, MANY = 500, 4_000
 NEAR = 0.05  # of the bytes: names and numbers grow by a digit
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -15,15 +15,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.explore.search import explore
-from lemonshunt.peer import frames
-from lemonshunt.session import choose, giver, table, taker
-from lemonshunt.session import states as s
-from lemonshunt.session import words as w
-from lemonshunt.session.arbiter import KEPT_US, Arbiter
-from lemonshunt.session.desk import Desk
-from lemonshunt.session.model import BUGS, Sessions
-from lemonshunt.session.where import Where
+from rainfall.explore.search import explore
+from rainfall.peer import frames
+from rainfall.session import choose, giver, table, taker
+from rainfall.session import states as s
+from rainfall.session import words as w
+from rainfall.session.arbiter import KEPT_US, Arbiter
+from rainfall.session.desk import Desk
+from rainfall.session.model import BUGS, Sessions
+from rainfall.session.where import Where
 
 PAGE = Path(__file__).resolve().parent.parent / "docs/parts/session.md"
 LIMITS = s.Limits()
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -15,14 +15,14 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.net import starting
-from lemonshunt.net.config import Config, ConfigError, parse, replacement
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.handover import Lock
-from lemonshunt.net.reconfigure import examine
-from lemonshunt.net.store import Rules, Store, Taken
-from lemonshunt.wirehost import Host, settings
+from rainfall import interface as i
+from rainfall.net import starting
+from rainfall.net.config import Config, ConfigError, parse, replacement
+from rainfall.net.engine import Engine
+from rainfall.net.handover import Lock
+from rainfall.net.reconfigure import examine
+from rainfall.net.store import Rules, Store, Taken
+from rainfall.wirehost import Host, settings
 from tests.sockets import (
     OK,
     PATIENCE,
--- a/tests/test_settings_kept.py
+++ b/tests/test_settings_kept.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 
 SECOND = 1_000_000
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -16,17 +16,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonshunt.explore.search import explore
-from lemonshunt.lease.token import Token
-from lemonshunt.shard.__main__ import main
-from lemonshunt.shard.auto import AutoPlanner, Pauses
-from lemonshunt.shard.check import check, checked, moved_keys
-from lemonshunt.shard.maps import ShardMap, key_of
-from lemonshunt.shard.model import MOVE_THERE_AND_BACK, Shards
-from lemonshunt.shard.moves import Fenced, Hold, Late, Moves
-from lemonshunt.shard.owned import Owned
-from lemonshunt.shard.plan import BadPlan, plan
-from lemonshunt.shard.route import Here, Pass, Refuse, route
+from rainfall.explore.search import explore
+from rainfall.lease.token import Token
+from rainfall.shard.__main__ import main
+from rainfall.shard.auto import AutoPlanner, Pauses
+from rainfall.shard.check import check, checked, moved_keys
+from rainfall.shard.maps import ShardMap, key_of
+from rainfall.shard.model import MOVE_THERE_AND_BACK, Shards
+from rainfall.shard.moves import Fenced, Hold, Late, Moves
+from rainfall.shard.owned import Owned
+from rainfall.shard.plan import BadPlan, plan
+from rainfall.shard.route import Here, Pass, Refuse, route
 
 BITS, TOP = 8, 255
 NAMES = ("n1", "n2", "n3")
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.net.config import Config, parse
+from rainfall import interface as i
+from rainfall.net.config import Config, parse
 from tests.sockets import OK, ROOT, Answer, Node, Platform, Request
 from tests.test_node import configure, folder_nodes, play, target
 
--- a/tests/test_suspect_answers.py
+++ b/tests/test_suspect_answers.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from lemonshunt.interface import Outcome
-from lemonshunt.net import client
+from rainfall.interface import Outcome
+from rainfall.net import client
 from tests.test_crossing_calls import Scene, Target, arrived, play, target, until
 
 __all__ = ["target"]
--- a/tests/test_suspect_clients.py
+++ b/tests/test_suspect_clients.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lemonshunt.net.client_connection import ClientConnection
+from rainfall.net.client_connection import ClientConnection
 from tests.sockets import message
 from tests.test_crossing_stopping import Door, play
 
--- a/tests/test_suspect_kill.py
+++ b/tests/test_suspect_kill.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from lemonshunt.net.engine import Engine
+from rainfall.net.engine import Engine
 from tests.sockets import Answer
 from tests.test_crossing_restart import Site, on_disk, play
 
--- a/tests/test_suspect_late_loop.py
+++ b/tests/test_suspect_late_loop.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice.books import LOOK_US
-from lemonshunt.net.desk import ROUND_US, TICK_S
-from lemonshunt.net.engine import MOST_SOONER_US
-from lemonshunt.net.server import BEAT_S
-from lemonshunt.net.starting import OVERDUE_US
+from rainfall import interface as i
+from rainfall.choice.books import LOOK_US
+from rainfall.net.desk import ROUND_US, TICK_S
+from rainfall.net.engine import MOST_SOONER_US
+from rainfall.net.server import BEAT_S
+from rainfall.net.starting import OVERDUE_US
 from tests.sockets import Platform, hang, message
 from tests.test_crossing_stopping import (
     Caller,
@@ -155,7 +155,7 @@
         client.socket.close()
         await run.end()
 
-    with caplog.at_level(logging.ERROR, "lemonshunt"):
+    with caplog.at_level(logging.ERROR, "rainfall"):
         engine_play(scene, tmp_path)
     assert not [r for r in caplog.records if "without an end" in r.message]
 
--- a/tests/test_suspect_stopping.py
+++ b/tests/test_suspect_stopping.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lemonshunt.net import stopping
+from rainfall.net import stopping
 from tests.sockets import OK, Answer, Peer, Platform, always, hang, message
 from tests.test_crossing_restart import on_disk
 from tests.test_crossing_stopping import Caller, Running, engine_play, target
--- a/tests/test_terms_decisions.py
+++ b/tests/test_terms_decisions.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 
 OK, FULL = i.Outcome.DELIVERED, i.Outcome.FULL
--- a/tests/test_terms_list.py
+++ b/tests/test_terms_list.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from lemonshunt.net.config import Address
-from lemonshunt.net.discovery import TOLD_S, told_within_s
+from rainfall.net.config import Address
+from rainfall.net.discovery import TOLD_S, told_within_s
 from tests.sockets import Answer, Peer, Request
 from tests.test_list_told_in_time import (
     ROOM_S,
--- a/tests/test_terms_notices.py
+++ b/tests/test_terms_notices.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from lemonshunt.net.discovery import MOST_NOTICES, notice_within_s, post_body
-from lemonshunt.net.http import MOST_BODY
-from lemonshunt.net.store import Owed
+from rainfall.net.discovery import MOST_NOTICES, notice_within_s, post_body
+from rainfall.net.http import MOST_BODY
+from rainfall.net.store import Owed
 from tests.sockets import Answer
 from tests.test_crossing_notices import TAKEN, Book, notices, platform_that
 from tests.test_list_told_in_time import in_virtual_time
--- a/tests/test_terms_requests.py
+++ b/tests/test_terms_requests.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from lemonshunt.net.client_connection import TURNS
-from lemonshunt.net.server import Handed
+from rainfall.net.client_connection import TURNS
+from rainfall.net.server import Handed
 from tests.sockets import message
 from tests.test_crossing_stopping import Caller, Door, play
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -46,7 +46,7 @@
 def run(lines: list[Any], **env: str) -> subprocess.CompletedProcess[str]:
     text = "".join((x if isinstance(x, str) else json.dumps(x)) + "\n" for x in lines)
     return subprocess.run(
-        [sys.executable, "-m", "lemonshunt.wirehost"],
+        [sys.executable, "-m", "rainfall.wirehost"],
         input=text,
         text=True,
         cwd=ROOT,
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -15,8 +15,8 @@
 from random import Random
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from rainfall import interface as i
+from rainfall.choice import Dispatcher
 
 MS, S = 1_000, 1_000_000
 SEEDS = range(2, 46)
