--- /dev/null
+++ b/tests/kept/__init__.py
@@ -0,0 +1,1 @@
+"""Tests that compare what the program stores and sends with recorded reference data."""
--- /dev/null
+++ b/tests/kept/forwarders.py
@@ -0,0 +1,55 @@
+"""Forwarders that are built whole but neither listen nor call, for these tests."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from lemonshunt.net.config import Config, parse
+from lemonshunt.net.engine import Engine
+from lemonshunt.net.handover import Successor
+from tests.sockets import SETTINGS
+
+FLEET: dict[str, object] = {
+    "service": "127.0.0.1:9",
+    "site": "north",
+    "lease_ms": 3000,
+    "drift": 0.02,
+    "listen": "127.0.0.1:8",
+    "peers": {"n1": "127.0.0.1:7"},
+    "budgets": [
+        {"destination": 7, "span_ms": 500, "calls": 100, "members": 4, "reserve": 5}
+    ],
+}
+
+
+def told_config(**more: object) -> dict[str, object]:
+    """The text of a configuration, decoded."""
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "seed": "5",
+        "limits": {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
+        "known": {
+            "seq": 3,
+            "whole": True,
+            "hosts": [
+                {"host": "h1", "dial": "127.0.0.1:3", "site": "x", "class": "plain"}
+                | {"block": 7, "health": "up", "share": 2.0, "born_ms": 0},
+                {"host": "h2", "dial": "127.0.0.1:4", "block": 8, "health": "draining"},
+            ],
+        },
+        "settings": SETTINGS,
+        **more,
+    }
+
+
+def config(folder: Path, **more: object) -> Config:
+    return parse(told_config(**more), {"LB_STATE": str(folder)})
+
+
+def forwarder(
+    folder: Path, successor: Successor | None = None, **more: object
+) -> Engine:
+    """One that is not started. Needs a running loop."""
+    return Engine(config(folder, **more), None, successor)
--- /dev/null
+++ b/tests/kept/handovers.py
@@ -0,0 +1,331 @@
+"""The lines between two processes at a handover, and what a dispatcher remembers."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Callable
+from http import HTTPStatus
+
+from lemonshunt.choice import Dispatcher
+from lemonshunt.interface import (
+    Action,
+    Cancel,
+    Ended,
+    LoadReport,
+    Outage,
+    Outcome,
+    Remembered,
+)
+from lemonshunt.net.client import Call, Item
+from lemonshunt.net.handover import Line, Link, Predecessor, Successor
+from lemonshunt.net.server import Asker, Handed
+from lemonshunt.wirehost import action
+from tests.kept.forwarders import forwarder
+from tests.kept.journals import fixed_machine
+from tests.kept.references import References
+from tests.worlds import World
+
+SEED, ROUNDS = 39, 23
+"""A world whose dispatcher then has every kind of thing to remember."""
+FAR_US = 1 << 60
+ENDED = (
+    Ended("m1", 0, 1, Outcome.DELIVERED, 1500, closed=True),
+    Ended("m2", 3, 2, Outcome.FULL, 7, False, 400, LoadReport(0.25, 9.5), True),
+    *(Ended("m3", n, 1, outcome, n) for n, outcome in enumerate(Outcome)),
+)
+HANDED = (
+    Handed("a1", "order", 7, 5_000_000, "idem", "line", "acme", True, b"\x00\xffbody"),
+    Handed("a2", "pay", 8, 6_000_000, None, None, None, False, b""),
+)
+
+
+class RecordingTransport(asyncio.Transport):
+    """Keeps what is written to it."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.sent = b""
+        self.closed = False
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        self.sent += bytes(data)
+
+    def close(self) -> None:
+        self.closed = True
+
+
+class Client:
+    """A client whose request is passed on; it notes its answer."""
+
+    def __init__(self, name: str, notes: list[object]) -> None:
+        self.name, self.notes = name, notes
+        self.left: Callable[[], None] | None = None
+
+    def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
+        self.notes.append([self.name, status.value, text, headers])
+
+
+class OldEngine:
+    """The engine of the process that serves: notes what the link asks of it."""
+
+    def __init__(self, memory: Line) -> None:
+        self.memory = memory
+        self.notes: list[object] = []
+        self.predecessor = Predecessor(self)
+
+    def hold(self, then: Callable[[Line | None], None]) -> None:
+        then(self.memory)
+
+    def resume(self) -> None:
+        self.notes.append("resume")
+
+    def give(self) -> None:
+        self.notes.append("give")
+        self.predecessor.yours()
+
+    def bereft(self) -> None:
+        self.notes.append("bereft")
+
+    def call_off(self, message: str, attempt: int) -> None:
+        self.notes.append(["call off", message, attempt])
+
+    def reread(self) -> None:
+        self.notes.append("reread")
+
+
+class NewEngine:
+    """The engine of the process that takes over: notes what it hears."""
+
+    def __init__(self, successor: Successor) -> None:
+        self.successor = successor
+        self.notes: list[object] = []
+
+    def hand_in(self, handed: Handed, door: Asker) -> None:
+        self.notes.append(["hand in", handed_table(handed)])
+        door.left = lambda: self.notes.append(["left", handed.id])
+        if handed.id == "a1":
+            door.answer(HTTPStatus.SERVICE_UNAVAILABLE, "full", Retry_After="1")
+
+    def told_end(self, event: Ended) -> None:
+        self.notes.append(["ended", ended_table(event)])
+
+    def rotate(
+        self, name: str, out: bool, answer: Callable[[HTTPStatus, str], None]
+    ) -> None:
+        self.notes.append(["rotate", name, out])
+        answer(HTTPStatus.OK, "detached\n")
+
+    def reload(self) -> None:
+        self.notes.append("reload")
+
+    def alone(self) -> None:
+        self.notes.append("alone")
+
+
+def handed_table(h: Handed) -> dict[str, object]:
+    return {
+        "id": h.id,
+        "class": h.class_name,
+        "destination": h.destination,
+        "due": h.due_us,
+        "key": h.key,
+        "order key": h.order_key,
+        "tenant": h.tenant,
+        "resent": h.resent,
+        "body": h.body.decode("latin-1"),
+    }
+
+
+def ended_table(e: Ended) -> dict[str, object]:
+    report = e.report
+    return {
+        "message": e.message,
+        "attempt": e.attempt,
+        "target": e.target,
+        "outcome": e.outcome.value,
+        "took": e.took_us,
+        "closed": e.closed,
+        "wait": e.wait_us,
+        "report": None if report is None else [report.left, report.limit_per_s],
+        "weak": e.weak,
+    }
+
+
+def action_table(a: Action) -> dict[str, object]:
+    if isinstance(a, Outage):  # the simulator's wire has none
+        return {"type": "outage", "target": a.target, "times": [a.since_us, a.back_us]}
+    return action("n0", a)
+
+
+# What a dispatcher remembers
+
+
+def played() -> World:
+    world = World(SEED, Dispatcher)
+    for _ in zip(range(ROUNDS), world.play(ROUNDS), strict=True):
+        pass
+    return world
+
+
+def calls_out(world: World) -> set[tuple[str, int]]:
+    return {(out.message, out.attempt) for out in world.out}
+
+
+def remembered() -> dict[str, object]:
+    world = played()
+    return world.d.memory(calls_out(world))
+
+
+def restored(memory: dict[str, object]) -> dict[str, object]:
+    """What a new dispatcher does that is told all, and what it remembers then."""
+    world = played()
+    out = calls_out(world)
+    dispatcher = Dispatcher(world.s, SEED, world.now)
+    events = [*world.recalled(set()), Remembered(memory)]
+    actions = dispatcher.handle(world.now, events)
+    return {
+        "actions": [action_table(a) for a in actions],
+        "calls out": dispatcher.calls_out,
+        "memory": dispatcher.memory(out),
+    }
+
+
+async def held() -> Line:
+    """What a forwarder with such a dispatcher tells its successor."""
+    with fixed_machine() as folder:
+        engine = forwarder(folder)
+        world = played()
+        engine.dispatcher = world.d
+        engine.numbers, engine.numbered = {"h1": 1, "h2": 2, "gone": 3}, 3
+        engine.recent.update({"m90": None, "m91": None})
+        engine.pool.waits = {(10, -1): FAR_US, (11, 3): FAR_US + 1, (12, 1): 5}
+        item = Item("", 0, None, b"", 0)
+        for out in world.out:
+            call = Call(out.target, (0, -1), out.sent, [item])
+            engine.pool.calls[out.message, out.attempt] = call
+        line = engine.held()
+        assert line is not None
+        return line
+
+
+# The lines
+
+
+def lines(data: bytes) -> list[bytes]:
+    return data.splitlines(keepends=True)
+
+
+def by_word(data: bytes) -> dict[str, bytes]:
+    """The first line of each kind."""
+    found: dict[str, bytes] = {}
+    for line in lines(data):
+        found.setdefault(next(iter(json.loads(line))), line)
+    return found
+
+
+async def old_side(memory: Line, from_new: bytes) -> tuple[bytes, list[object]]:
+    """What the old process sends when it is sent these lines, and what it does."""
+    engine = OldEngine(memory)
+    predecessor, notes, told = engine.predecessor, engine.notes, by_word(from_new)
+    link = Link(predecessor.heard, predecessor.lost)
+    link.transport = transport = RecordingTransport()
+    other = Link(predecessor.heard, predecessor.lost)
+    other.transport = refused = RecordingTransport()
+    link.data_received(told["ask"])
+    other.data_received(told["ask"])
+    link.data_received(told["prepared"])
+    clients = [Client(handed.id, notes) for handed in HANDED]
+    for handed, client in zip(HANDED, clients, strict=True):
+        predecessor.hand_in(handed, client)
+    leave = clients[1].left
+    assert leave is not None
+    leave()
+    for event in ENDED:
+        predecessor.ended(event)
+    rotate_client = Client("operator", notes)
+    predecessor.rotate("h1", True, rotate_client.answer)
+    predecessor.reload()
+    for word in ("answer", "rotated", "cancel"):
+        link.data_received(told[word])
+    return transport.sent + refused.sent, notes
+
+
+async def new_side(from_old: bytes) -> tuple[bytes, list[object], Line]:
+    """What the new process sends when it is sent these lines, what it hears, and what
+    it was told to remember."""
+    successor = Successor()
+    successor.link.transport = transport = RecordingTransport()
+    told = by_word(from_old)
+    for word, answer in (("ask", "memory"), ("prepared", "yours")):
+        request = asyncio.create_task(successor.request(word, 60.0))
+        await asyncio.sleep(0)
+        successor.link.data_received(told[answer])
+        assert await request
+    rest = [line for line in lines(from_old) if line not in told.values()]
+    rest = [told[w] for w in ("hand_in", "ended", "rotate", "reload")] + rest
+    for line in rest[:1]:
+        successor.link.data_received(line)  # before there is an engine
+    engine = NewEngine(successor)
+    successor.attach(engine)
+    for line in rest[1:] + [told["gone"]]:
+        successor.link.data_received(line)
+    with fixed_machine() as folder:
+        whole = forwarder(folder, successor)
+        message, attempt = next(iter(whole.remote))
+        whole.leave(True, {}, [Cancel(message, attempt)])
+    return transport.sent, engine.notes, successor.memory
+
+
+async def refused(from_old: bytes) -> bool:
+    """Whether a process that is told no goes on as if nobody served."""
+    successor = Successor()
+    successor.link.transport = RecordingTransport()
+    request = asyncio.create_task(successor.request("ask", 60.0))
+    await asyncio.sleep(0)
+    successor.link.data_received(by_word(from_old)["no"])
+    return not await request
+
+
+async def taken_up(memory: Line) -> dict[str, object]:
+    """What a whole forwarder goes on with, from what it was told to remember."""
+    with fixed_machine() as folder:
+        successor = Successor()
+        successor.memory = memory
+        engine = forwarder(folder, successor)
+        module = [e.memory for e in engine.events if isinstance(e, Remembered)]
+        return {
+            "numbers": engine.numbers,
+            "names": sorted([number, name] for number, name in engine.names.items()),
+            "numbered": engine.numbered,
+            "recent": list(engine.recent),
+            "waits": [[*place, until] for place, until in engine.pool.waits.items()],
+            "remote": [[*call, *sent] for call, sent in engine.remote.items()],
+            "module": module,
+        }
+
+
+async def talk() -> References:
+    """Both sides, each answering the other's lines."""
+    memory = await held()
+    asking = b'{"ask":true}\n{"prepared":true}\n'
+    rest = b'{"answer":[1,202,"",{}]}\n{"rotated":[3,200,""]}\n{"cancel":["m",0]}\n'
+    from_old, _ = await old_side(memory, asking + rest)
+    from_new, new_notes, _ = await new_side(from_old)
+    from_old, old_notes = await old_side(memory, from_new)
+    return {
+        "handover-from-old": from_old,
+        "handover-from-new": from_new,
+        "handover-old-did": old_notes,
+        "handover-new-did": new_notes,
+        "handover-taken-up": await taken_up(memory),
+    }
+
+
+def made() -> References:
+    memory: dict[str, object] = json.loads(json.dumps(remembered()))
+    return {
+        "memory": memory,
+        "memory-restored": restored(memory),
+        **asyncio.run(talk()),
+    }
--- /dev/null
+++ b/tests/kept/journals.py
@@ -0,0 +1,371 @@
+"""Journal folders of both versions, and what recovery reads from them."""
+
+from __future__ import annotations
+
+import contextlib
+import io
+import json
+import logging
+import secrets
+import struct
+import zlib
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from tempfile import TemporaryDirectory
+from unittest import mock
+
+from lemonshunt.interface import Effect, MessageClass, Scope
+from lemonshunt.journal import recovery
+from lemonshunt.journal.__main__ import main as journal_tool
+from lemonshunt.journal.format import scan
+from lemonshunt.journal.recovery import Report
+from lemonshunt.journal.state import Owed, Rules, State, Taken
+from lemonshunt.net.store import Store
+from tests.disk import Hands
+from tests.kept.references import References
+
+SECOND = 1_000_000
+BASE_US = 1_700_000_000 * SECOND
+"""What the monotonic clock lacks to Unix time; all recorded times are earlier."""
+START_US = 1_600_000_000 * SECOND
+DUE_US = START_US + 50 * SECOND
+MOST_BYTES = 3_000_000
+SALT = 0x1234ABCD
+CLASSES = (
+    MessageClass("status", SECOND, 10 * SECOND),
+    MessageClass(
+        "order", 2 * SECOND, 60 * SECOND, Effect.KEYED, Scope.ZONE, 30 * SECOND
+    ),
+    MessageClass("turn", SECOND, 9 * SECOND, in_order=True, worth=2.5, late_worth=0.5),
+    MessageClass("pay", SECOND, 8 * SECOND, Effect.ONCE, Scope.TARGET),
+)
+OLD_CLASS = {
+    "name": "pay",
+    "aim_us": SECOND,
+    "deadline_us": 8 * SECOND,
+    "effect": "once",
+    "scope": "target",
+    "window_us": 5,
+    "in_order": True,
+    "worth": 1.5,
+    "late_worth": 0.25,
+}
+# Every record kind of version 1, also without the fields that were added to it later.
+OLD_LINES: list[tuple[list[object], bytes]] = [
+    (["rules", 0, 4, [OLD_CLASS, {**OLD_CLASS, "name": "b", "unheard": 1}]], b""),
+    (["rules", 1, 5, [OLD_CLASS]], b""),
+    (["list", 2, []], b""),
+    (["list", 3, [{"host": "h1", "block": 7}, {"host": "h2"}], "127.0.0.1:9"], b""),
+    (["taken", "a", "pay", 7, DUE_US, None, None, 0, -1, "", []], b"x\n"),
+    (
+        ["taken", "b", "pay", 7, DUE_US, "idem", "acme", 2, START_US, "h1"]
+        + [[[1, START_US + 5, "h2"]], "line", 0],
+        b"\x00\xff",
+    ),
+    (["taken", "c", "b", 8, DUE_US, None, None, 0, -1, "", [], None, 0], b""),
+    (["taken", "d", "pay", 8, DUE_US, None, None, 0, -1, "", [], None, 1], b""),
+    (["taken", "e", "pay", 8, DUE_US, None, None, 0, -1, "", [], "k", 1], b""),
+    (["taken", "f", "pay", 8, DUE_US, None, None, 0, -1, "", [], "k", 1], b""),
+    (["attempt", "c", 0, START_US + 7, "h1"], b""),
+    (["attempt", "d", 0, START_US + 8, "h1"], b""),
+    (["outcome", "d", 0, 1], b""),
+    (["over", "a"], b""),
+    (["owed", "e", "returned", 250], b""),
+    (["owed", "f", "failed", 0, "k"], b""),
+    (["owed", "g", "failed", 0], b""),
+    (["told", "g"], b""),
+    (["outage", "h1", START_US, -1], b""),
+    (["outage", "h2", START_US, START_US + 9], b""),
+    (["outage", "h2", -1, -1], b""),
+    (["out", "h1", True], b""),
+    (["out", "h2", True], b""),
+    (["out", "h2", False], b""),
+]
+
+
+@contextlib.contextmanager
+def fixed_machine() -> Iterator[Path]:
+    """A folder on a machine whose boot id and random numbers are always the same."""
+    with TemporaryDirectory() as name:
+        boot_before, recovery.BOOT = recovery.BOOT, Path(name) / "boot_id"
+        recovery.BOOT.write_text("boot-1\n")
+        folder = Path(name) / "state"
+        folder.mkdir()
+        try:
+            with mock.patch.object(secrets, "randbits", lambda bits: SALT):
+                yield folder
+        finally:
+            recovery.BOOT = boot_before
+
+
+def opened(folder: Path, write: bool = True, worker: Hands | None = None) -> Store:
+    return Store(folder, MOST_BYTES, write, base_us=BASE_US, worker=worker)
+
+
+def host(number: int, share: float = 1.5) -> dict[str, object]:
+    return {
+        "host": f"h{number}",
+        "dial": f"127.0.0.1:{number + 1}",
+        "site": "x",
+        "class": "plain",
+        "block": 7,
+        "health": "up",
+        "share": share,
+        "born_ms": 5,
+    }
+
+
+def hosts(count: int) -> dict[str, dict[str, object]]:
+    return {f"h{number}": host(number) for number in range(count)}
+
+
+def taken(
+    name: str,
+    class_name: str,
+    order_key: str | None = None,
+    body: bytes = b"body",
+    key: str | None = None,
+    tenant: str | None = None,
+) -> Taken:
+    return Taken(name, class_name, 7, DUE_US, key, tenant, body, order_key)
+
+
+def fill(store: Store) -> None:
+    """Append every kind of record that a forwarder writes, in a fixed order."""
+    store.settle(Rules(6, CLASSES))
+    store.list(3, hosts(9), START_US, "127.0.0.1:9")
+    store.list(4, {**hosts(9), "h2": host(2, 9.0)}, START_US, "127.0.0.1:9")
+    store.take(taken("live", "status", body=b"line\nline \xb7\x00", tenant="acme"))
+    store.take(taken("flying", "order", key="idem-1"))
+    store.take(taken("tried", "pay"))
+    store.take(taken("first", "turn", "line"))
+    store.take(taken("second", "turn", "line"))
+    for name in ("over", "returned", "told"):
+        store.take(taken(name, "status"))
+    flying, tried = store.messages["flying"], store.messages["tried"]
+    store.attempt(flying, 0, START_US, "h1")
+    store.attempt(tried, 0, START_US + 1, "h2")
+    store.outcome(flying, 0, True)
+    store.outcome(tried, 0, False)
+    store.attempt(flying, 1, START_US + 2, "h3")
+    store.attempt(store.messages["over"], 0, START_US + 3, "h4")
+    store.over("over")
+    store.owe("first", "failed", 0)
+    store.owe("returned", "returned", 250)
+    store.owe("told", "failed", 0)
+    store.told("told")
+    store.outage("h5", START_US, -1)
+    store.outage("h6", START_US, START_US + 4)
+    store.outage("h7", START_US, START_US + 4)
+    store.outage("h7", -1, -1)
+    store.rotate("h1", True)
+    store.rotate("h2", True)
+    store.rotate("h2", False)
+    store.settle(Rules(7, CLASSES[:2]))
+    store.take(taken("late", "order"))
+    store.flush()
+
+
+def journal_of(folder: Path) -> bytes:
+    return (folder / "journal").read_bytes()
+
+
+def written() -> References:
+    """The journal after a run of the program, after a checkpoint, and after its end."""
+    with fixed_machine() as folder:
+        store = opened(folder)
+        fill(store)
+        made: References = {"journal-2": journal_of(folder)}
+        store.compact()
+        made["journal-2-checkpoint"] = journal_of(folder)
+        store.rotate("h3", True)
+        store.close()
+        made["journal-2-closed"] = journal_of(folder)
+        store = opened(folder)
+        store.rotate("h4", True)
+        store.flush()
+        made["journal-2-again"] = journal_of(folder)
+    return made
+
+
+def written_synced() -> References:
+    """The journal under the level that outlasts the machine."""
+    with fixed_machine() as folder:
+        worker = Hands()
+        store = opened(folder, worker=worker)
+        fill(store)
+        store.commit(lambda ok: None)
+        while worker.work():
+            pass
+        return {"journal-2-power": journal_of(folder)}
+
+
+def written_long_list() -> References:
+    """A list of so many hosts that its record is compressed."""
+    with fixed_machine() as folder:
+        store = opened(folder)
+        store.list(5, hosts(600), START_US, "127.0.0.1:9")
+        store.flush()
+        return {"journal-2-long-list": journal_of(folder)}
+
+
+def old_journal() -> References:
+    """Version 1, which this program reads only."""
+    data = b""
+    for line, body in OLD_LINES:
+        payload = json.dumps(line, separators=(",", ":")).encode() + b"\n" + body
+        data += struct.pack("<II", len(payload), zlib.crc32(payload)) + payload
+    return {"journal-1": data}
+
+
+def spoilt(data: bytes) -> bytes:
+    """With one attempt's record damaged."""
+    return data.replace(b'["a","flying",1', b'["a","flying",2', 1)
+
+
+def rewritten(data: bytes) -> References:
+    """What a start of this program makes of a journal of version 1."""
+    with fixed_machine() as folder:
+        (folder / "journal").write_bytes(data)
+        opened(folder)
+        return {"journal-1-as-2": journal_of(folder)}
+
+
+def message_table(m: Taken) -> dict[str, object]:
+    return {
+        "id": m.id,
+        "class": m.class_name,
+        "destination": m.destination,
+        "due": m.due_us,
+        "key": m.key,
+        "tenant": m.tenant,
+        "body": m.body.decode("latin-1"),
+        "order key": m.order_key,
+        "attempts": m.attempts,
+        "ran at": m.ran_at_us,
+        "ran on": m.ran_on,
+        "out": [[number, at, host] for number, (at, host) in m.out.items()],
+        "rules": m.rules,
+        "doubt": m.doubt,
+    }
+
+
+def class_table(c: MessageClass) -> dict[str, object]:
+    return {
+        "name": c.name,
+        "aim": c.aim_us,
+        "deadline": c.deadline_us,
+        "effect": c.effect.value,
+        "scope": c.scope.value,
+        "window": c.window_us,
+        "in order": c.in_order,
+        "worth": c.worth,
+        "late worth": c.late_worth,
+    }
+
+
+def owed_table(owed: Owed) -> dict[str, object]:
+    return {
+        "state": owed.state,
+        "after": owed.after_ms,
+        "order key": owed.order_key,
+    }
+
+
+def report_table(r: Report) -> dict[str, object]:
+    return {
+        "version": r.version,
+        "records": r.records,
+        "gaps": [list(gap) for gap in r.gaps],
+        "head damaged": r.head_damaged,
+        "torn": r.torn,
+        "unknown": r.unknown,
+        "doubted": r.doubted,
+        "ended": r.ended,
+        "lost": r.lost,
+        "another boot": r.another_boot,
+        "shifted": r.shifted_us,
+        "generation": r.generation,
+        "number": r.number,
+        "salt": r.salt,
+        "power": r.power,
+    }
+
+
+def state_table(s: State) -> dict[str, object]:
+    return {
+        "messages": [message_table(m) for m in s.messages.values()],
+        "owed": {name: owed_table(end) for name, end in s.owed.items()},
+        "outages": {name: list(times) for name, times in s.outages.items()},
+        "hosts": s.hosts,
+        "detached": list(s.detached),
+        "rules": [
+            [number, rules.attempts, [class_table(c) for c in rules.classes]]
+            for number, rules in s.rules.items()
+        ],
+        "current rules": s.current,
+        "list": [s.seq, s.source],
+        "clock": list(s.clock or ()),
+        "closed": s.closed,
+    }
+
+
+def recovered(data: bytes) -> dict[str, object]:
+    """What a start of the program reads from a journal."""
+    with fixed_machine() as folder:
+        (folder / "journal").write_bytes(data)
+        store = opened(folder, write=False)
+        return {"state": state_table(store), "report": report_table(store.report)}
+
+
+def tool_output(data: bytes) -> list[object]:
+    """What the journal's tool prints of a folder."""
+    made: list[object] = []
+    with fixed_machine() as folder:
+        (folder / "journal").write_bytes(data)
+        for words in (["check"], ["show"], ["show", "--bodies"]):
+            printed = io.StringIO()
+            with contextlib.redirect_stdout(printed):
+                code = journal_tool([*words, str(folder)])
+            logging.disable(logging.NOTSET)
+            made.append([*words, code, printed.getvalue()])
+    return made
+
+
+def payloads(data: bytes) -> list[str]:
+    return [frame.payload.decode("latin-1") for frame in scan(data).frames]
+
+
+READ: dict[str, Callable[[bytes], dict[str, object]]] = {
+    **dict.fromkeys(
+        (
+            "journal-1",
+            "journal-2",
+            "journal-2-checkpoint",
+            "journal-2-closed",
+            "journal-2-again",
+            "journal-2-power",
+        ),
+        recovered,
+    ),
+    "journal-1:torn": lambda data: recovered(data[:-3]),
+    "journal-2:torn": lambda data: recovered(data[:-3]),
+    "journal-2:damaged": lambda data: recovered(spoilt(data)),
+}
+"""What is recovered from which recorded file."""
+TOOL = ("journal-1", "journal-2", "journal-2-checkpoint")
+
+
+def made() -> References:
+    files = {**old_journal(), **written(), **written_synced(), **written_long_list()}
+    old = files["journal-1"]
+    assert isinstance(old, bytes)
+    files |= rewritten(old)
+    read: References = {}
+    for name, reading in READ.items():
+        data = files[name.partition(":")[0]]
+        assert isinstance(data, bytes)
+        read[f"{name.replace(':', '-')}-read"] = reading(data)
+        if name in TOOL:
+            read[f"{name}-shown"] = tool_output(data)
+    return files | read
--- /dev/null
+++ b/tests/kept/make.py
@@ -0,0 +1,21 @@
+"""Make the reference data anew: `python -m tests.kept.make`.
+
+Right only where a stored or sent form was meant to change.
+"""
+
+from __future__ import annotations
+
+from tests.kept import handovers, journals
+from tests.kept.references import write
+
+MAKERS = (journals.made, handovers.made)
+
+
+def main() -> None:
+    for make in MAKERS:
+        for name, value in make().items():
+            write(name, value)
+
+
+if __name__ == "__main__":
+    main()
