--- /dev/null
+++ b/tests/kept/frames.py
@@ -0,0 +1,246 @@
+"""Every frame between forwarders and every record of a session."""
+
+from __future__ import annotations
+
+from lemonshunt.peer.frames import (
+    HEAD,
+    AnyFrame,
+    Forward,
+    Forwarded,
+    Hello,
+    Moved,
+    Room,
+    Splitter,
+    encode,
+)
+from lemonshunt.session.states import Limits
+from lemonshunt.session.table import Malformed, Table, read
+from lemonshunt.session.words import (
+    Accept,
+    AnyRecord,
+    Back,
+    Began,
+    Begun,
+    Closed,
+    Commit,
+    Committed,
+    Copied,
+    Copy,
+    Drop,
+    Dropped,
+    End,
+    Forgot,
+    Gone,
+    Hand,
+    Item,
+    No,
+    Offer,
+    Pass,
+    Passed,
+    Refused,
+    Sealed,
+    Shut,
+    Stored,
+    Took,
+    pack,
+    unpack,
+)
+from tests.kept.references import References
+
+HAND = Hand(giver="g", epoch=1, life=2, count=3)
+ITEM = Item(
+    id="m1",
+    class_name="cart",
+    destination=7,
+    due_us=250_000,
+    body=b"\x00\xffbody",
+    idempotency="idem",
+    tenant="acme",
+    attempts=2,
+    most_attempts=9,
+    ran_us=-5,
+    ran_on="s-1",
+)
+PLAIN = Item(id="m2", class_name="pay", destination=8, due_us=-1)
+FRAMES: list[AnyFrame] = [
+    Hello(version=1, name="g", site="a", life=(1, 2)),
+    Room(stamp_us=5, sessions=1, bytes=2, load=0.5, draining=False, endpoints=True),
+    Forward(
+        number=1,
+        key="k",
+        generation=6,
+        came=("x", "y"),
+        stamp_us=5,
+        item=ITEM,
+        resent=True,
+    ),
+    Forwarded(number=1, how="taken"),
+    Forwarded(number=1, how="refused", retry_after_us=500, generation=6),
+    Moved(key="k", owner="t", moves=3),
+    Offer(hand=HAND, key="k", site="a", why="over", messages=1, bytes=2, moves=3),
+    Accept(hand=HAND, stamp_us=9),
+    No(hand=HAND, why="full"),
+    Copy(
+        hand=HAND,
+        stamp_us=9,
+        part=0,
+        parts=2,
+        items=(ITEM, PLAIN),
+        memory=("m0",),
+    ),
+    Copied(hand=HAND, life=(1, 2)),
+    Commit(hand=HAND, life=(1, 2)),
+    Begun(hand=HAND, stamp_us=9),
+    Closed(hand=HAND),
+    Drop(hand=HAND),
+    Dropped(hand=HAND),
+    Forgot(hand=HAND),
+    Pass(hand=HAND, stamp_us=9, number=4, until_us=100, item=PLAIN),
+    Passed(hand=HAND, number=4, how="again", stamp_us=9),
+    Passed(hand=HAND, number=4, how="taken", stamp_us=9),
+    Passed(hand=HAND, number=4, how="refused", stamp_us=9),
+    End(hand=HAND),
+]
+RECORDS: list[AnyRecord] = [
+    Sealed(hand=HAND, key="k", taker="t"),
+    Committed(hand=HAND),
+    Gone(hand=HAND),
+    Back(hand=HAND),
+    Stored(hand=HAND, key="k", moves=3, items=(ITEM, PLAIN), memory=("m0", "m9")),
+    Began(hand=HAND),
+    Shut(hand=HAND),
+    Refused(hand=HAND),
+    Took(hand=HAND, number=4, item=ITEM),
+]
+SITES: dict[str, object] = {
+    "a": {"neighbours": {"b": 1.0, "c": 2.5}},
+    "b": {"neighbours": {}},
+    "c": {"neighbours": {"a": 0}},
+}
+LIMITS = (
+    "offer_us calls_us freeze_us copy_us commit_us tail_us retry_us ask_us hold_us "
+    "hold_messages hold_bytes refuse_us least_left_us session_messages session_bytes "
+    "memory at_once all_bytes drift"
+).split()
+"""The keys of the configuration."""
+NUMBERS = {
+    "offer_us": 200_001,
+    "calls_us": 300_001,
+    "freeze_us": 600_001,
+    "copy_us": 1_000_001,
+    "commit_us": 600_000_001,
+    "tail_us": 30_000_001,
+    "retry_us": 100_001,
+    "ask_us": 500_001,
+    "hold_us": 250_001,
+    "hold_messages": 65,
+    "hold_bytes": 1_048_577,
+    "refuse_us": 500_002,
+    "least_left_us": 1_000_002,
+    "session_messages": 1_001,
+    "session_bytes": 8_388_609,
+    "memory": 257,
+    "at_once": 9,
+    "all_bytes": 33_554_433,
+    "drift": 0.03,
+}
+ALL_SET: dict[str, object] = {
+    "sites": SITES,
+    "at_once": 7,
+    "least_stay_ms": 5_001,
+    "pause_ms": 30_001,
+    "pair_ms": 10_001,
+    "over": 0.8,
+    "under": 0.6,
+    "limits": NUMBERS,
+}
+TABLES: list[object] = [
+    ALL_SET,
+    {"sites": SITES},
+    [],
+    {"sites": SITES, "over": 0.5, "under": 0.6},
+    {"sites": SITES, "limits": dict.fromkeys(LIMITS, 0)},
+    {"sites": SITES, "limits": dict.fromkeys(LIMITS, "x") | {"strange": 1}},
+    {"sites": SITES, "limits": dict.fromkeys(LIMITS, 10) | {"drift": 0.5}},
+    {"sites": SITES, "limits": 5},
+    {"sites": {"a": {"neighbours": {"a": 1, "z": -1}}, "b": 5}}
+    | dict.fromkeys("at_once least_stay_ms pause_ms pair_ms over under".split(), 0)
+    | {"strange": 1},
+]
+"""Configurations of sessions; most have faults."""
+
+
+def limits_table(limits: Limits) -> dict[str, object]:
+    return {
+        "offer": limits.offer_us,
+        "calls": limits.calls_us,
+        "freeze": limits.freeze_us,
+        "copy": limits.copy_us,
+        "commit": limits.commit_us,
+        "tail": limits.tail_us,
+        "retry": limits.retry_us,
+        "ask": limits.ask_us,
+        "hold": limits.hold_us,
+        "hold messages": limits.hold_messages,
+        "hold bytes": limits.hold_bytes,
+        "refuse": limits.refuse_us,
+        "least left": limits.least_left_us,
+        "session messages": limits.session_messages,
+        "session bytes": limits.session_bytes,
+        "memory": limits.memory,
+        "at once": limits.at_once,
+        "all bytes": limits.all_bytes,
+        "drift": limits.drift,
+    }
+
+
+def table_of(table: Table) -> dict[str, object]:
+    return {
+        "sites": {site: dict(near) for site, near in table.sites.items()},
+        "at once": table.at_once,
+        "least stay": table.least_stay_ms,
+        "pause": table.pause_ms,
+        "pair": table.pair_ms,
+        "over": table.over,
+        "under": table.under,
+        "limits": limits_table(table.limits),
+    }
+
+
+def read_table(raw: object) -> list[object]:
+    """What a configuration is read as, or its faults."""
+    try:
+        return ["read", table_of(read(raw))]
+    except Malformed as error:
+        return ["faults", *error.faults]
+
+
+def packed(records: list[AnyRecord]) -> bytes:
+    """Each behind its length, as the frames are."""
+    data = [pack(record) for record in records]
+    return b"".join(len(one).to_bytes(HEAD, "big") + one for one in data)
+
+
+def unpacked(data: bytes) -> list[AnyRecord]:
+    records: list[AnyRecord] = []
+    while data:
+        end = HEAD + int.from_bytes(data[:HEAD], "big")
+        records.append(unpack(data[HEAD:end]))
+        data = data[end:]
+    return records
+
+
+def sent() -> bytes:
+    return b"".join(encode(frame) for frame in FRAMES)
+
+
+def heard(data: bytes) -> list[AnyFrame]:
+    return Splitter().feed(data)
+
+
+def made() -> References:
+    return {
+        "peer-frames": sent(),
+        "session-records": packed(RECORDS),
+        "session-tables": [read_table(raw) for raw in TABLES],
+    }
--- a/tests/kept/make.py
+++ b/tests/kept/make.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from tests.kept import handovers, journals
+from tests.kept import frames, handovers, journals, members
 from tests.kept.references import write
 
-MAKERS = (journals.made, handovers.made)
+MAKERS = (journals.made, handovers.made, members.made, frames.made)
 
 
 def main() -> None:
--- /dev/null
+++ b/tests/kept/members.py
@@ -0,0 +1,206 @@
+"""A forwarder as a member of the fleet: heartbeats, the file for its successor."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import secrets
+import time
+from collections.abc import Iterator
+from dataclasses import dataclass
+from pathlib import Path
+from unittest import mock
+
+from lemonshunt.interface import Shares
+from lemonshunt.lease.token import Token
+from lemonshunt.net.address import Address
+from lemonshunt.net.discovery import Client
+from lemonshunt.net.fleet import Fleet
+from lemonshunt.net.fleet_books import Books
+from lemonshunt.net.fleet_file import Keep, Records
+from lemonshunt.net.http import ResponseReader
+from tests.kept.forwarders import FLEET, forwarder
+from tests.kept.journals import fixed_machine
+from tests.kept.references import References
+
+START_US = 5_000_000_000
+SHARES: dict[str, object] = {
+    "7": {"calls": 20, "number": 5, "whole": 100, "span_ms": 500, "reserve": 4}
+    | {"slack_ms": 6},
+    "8": {"calls": 9, "number": 2, "whole": 30, "span_ms": 1000},
+}
+MEMBERS = [
+    {"name": "n1", "site": "south", "dial": "127.0.0.1:7"}
+    | {"token": [3, 9], "state": "alive"}
+]
+
+
+@dataclass
+class MachineClock:
+    """The clock that a member's lease goes by."""
+
+    now_us: int = START_US
+
+
+@contextlib.contextmanager
+def fixed_member() -> Iterator[tuple[Path, MachineClock]]:
+    """A folder, on a machine whose clock stands still until it is moved."""
+    clock = MachineClock()
+    with (
+        fixed_machine() as folder,
+        mock.patch.object(secrets, "token_hex", lambda count: "ab" * count),
+        mock.patch.object(
+            time, "clock_gettime_ns", lambda number: clock.now_us * 1_000
+        ),
+    ):
+        yield folder, clock
+
+
+class ScriptedClient(Client):
+    """Answers each call with the next of its answers and notes what was asked."""
+
+    def __init__(self) -> None:
+        super().__init__(Address("127.0.0.1", 9))
+        self.answers: list[tuple[int, bytes]] = []
+        self.asked: list[tuple[str, str, str]] = []
+
+    async def ask(
+        self, method: str, path: str, timeout_s: float, body: bytes = b""
+    ) -> ResponseReader:
+        self.asked.append((method, path, body.decode()))
+        status, data = self.answers.pop(0)
+        reader = ResponseReader()
+        head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(data)}\r\n\r\n"
+        reader.feed(head.encode() + data)
+        return reader
+
+
+def granted(sent: int, token: list[int], shares: dict[str, object]) -> bytes:
+    told = {
+        "token": token,
+        "ttl_ms": 3000,
+        "sent": sent,
+        "version": 5,
+        "state": "alive",
+        "list": [3, 8],
+        "whole": True,
+        "members": MEMBERS,
+        "shares": shares,
+    }
+    return json.dumps(told).encode()
+
+
+def fewer(calls: int, number: int) -> dict[str, object]:
+    return {"7": {"calls": calls, "number": number, "whole": 100, "span_ms": 500}}
+
+
+ANSWERS: list[tuple[int, bytes]] = [
+    (409, b'{"error":"held","retry_ms":700,"faults":["name: it is held"]}'),
+    (200, granted(2, [3, 17], SHARES)),
+    (200, granted(3, [3, 17], fewer(12, 6))),
+    (409, b'{"error":"lost","seen":[3,90],"faults":["token: the lease is out"]}'),
+    (200, granted(5, [3, 91], SHARES)),
+    (503, b""),
+    (200, granted(7, [3, 91], SHARES)),
+]
+"""To a member that waits for its name, joins, renews, loses its lease, and joins."""
+
+
+def share_table(event: Shares) -> list[object]:
+    spent = [list(entry) for entry in event.spent]
+    numbers: list[object] = [event.destination, event.calls, event.span_us]
+    return [*numbers, event.until_us, event.reserve, spent]
+
+
+def books_table(books: Books, now_us: int) -> dict[str, object]:
+    return {
+        "figures": books.figures(now_us),
+        "keeps": books.keeps(),
+        "module": [
+            share_table(books.event(destination, now_us, 1_000))
+            for destination in sorted(books.accounts)
+        ],
+    }
+
+
+def fleet_of(folder: Path) -> Fleet:
+    fleet = forwarder(folder, fleet=FLEET).fleet
+    assert fleet is not None
+    return fleet
+
+
+async def beaten() -> References:
+    """Each heartbeat with its answer, the figures after it, and the files."""
+    with fixed_member() as (folder, clock):
+        fleet, client = fleet_of(folder), ScriptedClient()
+        fleet.write(fleet.books.standing())
+        files: References = {"fleet-file-start": (folder / "fleet.json").read_bytes()}
+        rounds: list[object] = []
+        for number, answer in enumerate(ANSWERS):
+            client.answers.append(answer)
+            fleet.wanted(7, "order", "acme")
+            fleet.wanted(8 + number, "pay", None)
+            await fleet.beat(client)
+            clock.now_us += 600_000
+            for _ in range(3):
+                clock.now_us += 1_000
+                fleet.books.leaves(7, clock.now_us)
+            rounds.append([client.asked[-1], answer[1].decode(), fleet.told()])
+            if number == 2:
+                name = "fleet-file-standing"
+                files[name] = (folder / "fleet.json").read_bytes()
+        fleet.pause()
+        files["fleet-file-closed"] = (folder / "fleet.json").read_bytes()
+        return files | {"heartbeats": rounds}
+
+
+FILES = ("fleet-file-start", "fleet-file-standing", "fleet-file-closed")
+
+
+async def taken_up(data: bytes) -> dict[str, object]:
+    """What a member goes by that finds this file, and its first heartbeat."""
+    with fixed_member() as (folder, clock):
+        (folder / "fleet.json").write_bytes(data)
+        clock.now_us += 7_000_000
+        fleet, client = fleet_of(folder), ScriptedClient()
+        table = books_table(fleet.books, clock.now_us)
+        fleet.books.kept = True
+        leaves = [fleet.books.leaves(7, clock.now_us) for _ in range(6)]
+        client.answers.append((503, b""))
+        await fleet.beat(client)
+        shown = [fleet.shown.epoch, fleet.shown.number]
+        more = {"shown": shown, "leaves": leaves, "beat": client.asked[-1][2]}
+        return table | more
+
+
+def many_records() -> Records:
+    """So many that their file is compressed."""
+    record = {"form": 1, "token": [3, 17], "number": 6, "reserve": 5, "whole": 100}
+    return {n: {**record, "span_us": 500_000, "slack_us": 5_000} for n in range(700)}
+
+
+def long_file() -> bytes:
+    with fixed_member() as (folder, _):
+        keep = Keep(folder, False)
+        keep.write(*keep.made(Token(3, 17), many_records()))
+        return (folder / "fleet.json").read_bytes()
+
+
+def read_file(data: bytes) -> tuple[Token, Records]:
+    with fixed_member() as (folder, _):
+        (folder / "fleet.json").write_bytes(data)
+        return Keep(folder, False).read()
+
+
+async def made_async() -> References:
+    made = await beaten()
+    for name in FILES:
+        data = made[name]
+        assert isinstance(data, bytes)
+        made[f"{name}-read"] = await taken_up(data)
+    return made | {"fleet-file-long": long_file()}
+
+
+def made() -> References:
+    return asyncio.run(made_async())
