--- a/tests/kept/make.py
+++ b/tests/kept/make.py
@@ -5,10 +5,17 @@
 
 from __future__ import annotations
 
-from tests.kept import frames, handovers, journals, members
+from tests.kept import frames, handovers, journals, members, registries, shards
 from tests.kept.references import write
 
-MAKERS = (journals.made, handovers.made, members.made, frames.made)
+MAKERS = (
+    journals.made,
+    handovers.made,
+    members.made,
+    frames.made,
+    registries.made,
+    shards.made,
+)
 
 
 def main() -> None:
--- /dev/null
+++ b/tests/kept/shards.py
@@ -0,0 +1,84 @@
+"""Shard map files: as the tool plans and checks them, and their digests."""
+
+from __future__ import annotations
+
+import contextlib
+import io
+import json
+from pathlib import Path
+from tempfile import TemporaryDirectory
+
+from lemonshunt.shard.__main__ import main as shard_tool
+from lemonshunt.shard.check import checked
+from lemonshunt.shard.maps import decode, hexed
+from tests.kept.references import References
+
+TOP = "f" * 16
+BAD: dict[str, object] = {
+    "generation": 1,
+    "strange": 1,
+    "ranges": [
+        {"from": "0" * 16, "to": "3" + "f" * 15, "owner": "n1"},
+        {"from": "3" + "0" * 15, "to": "4" + "f" * 15, "owner": "n9"},
+        {"from": TOP, "to": "f" + "0" * 15, "owner": "n2"},
+        {"from": "x", "to": TOP, "owner": ""},
+        5,
+    ],
+}
+FLIPPED: dict[str, object] = {
+    "generation": 1,
+    "ranges": [{"from": "0" * 16, "to": TOP, "owner": "n3"}],
+}
+LOADS = '{"0000000000000000-5555555555555555":12.5}'
+CALLS = (
+    "plan --members members --out first",
+    "check first --members members",
+    'plan --members fewer --from first --weights {"n1":2.0} --out second',
+    "check second --members fewer --against first",
+    f"plan --members members --from first --load {LOADS} --out loaded",
+    "check bad --members members --against first",
+    "check flipped --against first",
+    "plan --members bad --out none",
+)
+
+
+def tool_calls(folder: Path) -> list[object]:
+    """What the tool prints, and its exit codes."""
+    (folder / "members").write_text('["n1", "n2", "n3"]')
+    (folder / "fewer").write_text('["n1", "n2"]')
+    (folder / "bad").write_text(json.dumps(BAD))
+    (folder / "flipped").write_text(json.dumps(FLIPPED))
+    made: list[object] = []
+    for call in CALLS:
+        words = [
+            str(folder / word) if word.islower() and word.isalpha() and n > 0 else word
+            for n, word in enumerate(call.split())
+        ]
+        out, err = io.StringIO(), io.StringIO()
+        with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
+            code = shard_tool(words)
+        printed = [text.getvalue().replace(f"{folder}/", "") for text in (out, err)]
+        made.append([call, code, *printed])
+    return made
+
+
+def digests(files: dict[str, bytes]) -> list[object]:
+    """Each map as it is read: generation, digest, who owns some keys."""
+    told: list[object] = []
+    for name, data in files.items():
+        read = checked(decode(data))
+        owners = [read.owner(key << 60) for key in range(16)]
+        told.append([name, read.generation, hexed(read.digest()), owners])
+    return told
+
+
+FILES = ("first", "second", "loaded")
+
+
+def made() -> References:
+    with TemporaryDirectory() as name:
+        folder = Path(name)
+        calls = tool_calls(folder)
+        files = {file: (folder / file).read_bytes() for file in FILES}
+    stored: References = {f"shard-map-{file}": data for file, data in files.items()}
+    return stored | {"shard-calls": calls, "shard-maps-read": digests(files)}
