--- a/tests/kept/forwarders.py
+++ b/tests/kept/forwarders.py
@@ -51,5 +51,7 @@
 def forwarder(
     folder: Path, successor: Successor | None = None, **more: object
 ) -> Engine:
-    """One that is not started. Needs a running loop."""
-    return Engine(config(folder, **more), None, successor)
+    """One that is not started, and decides nothing. Needs a running loop."""
+    engine = Engine(config(folder, **more), None, successor)
+    engine.scheduled = True  # as if a round were due: none is put before the loop
+    return engine
--- a/tests/kept/make.py
+++ b/tests/kept/make.py
@@ -5,7 +5,16 @@
 
 from __future__ import annotations
 
-from tests.kept import frames, handovers, journals, members, registries, shards
+from tests.kept import (
+    frames,
+    handovers,
+    journals,
+    members,
+    operators,
+    registries,
+    shards,
+    wires,
+)
 from tests.kept.references import write
 
 MAKERS = (
@@ -15,6 +24,8 @@
     frames.made,
     registries.made,
     shards.made,
+    operators.made,
+    wires.made,
 )
 
 
--- /dev/null
+++ b/tests/kept/operators.py
@@ -0,0 +1,322 @@
+"""Operators' calls of a forwarder, its log lines, and its HTTP beside them."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import copy
+import io
+import json
+import logging
+import os
+import sys
+from collections.abc import Callable, Iterator
+from http import HTTPStatus
+from unittest import mock
+
+from lemonshunt.interface import Refuse, Settings
+from lemonshunt.net.admin import Admin
+from lemonshunt.net.client import Call, Item
+from lemonshunt.net.client_connection import BadRequest, Request
+from lemonshunt.net.discovery import post_body
+from lemonshunt.net.logjson import install
+from lemonshunt.net.server import Handed, message
+from lemonshunt.net.store import Owed
+from lemonshunt.registry.__main__ import logs as install_registry_log
+from lemonshunt.wirehost import settings
+from tests.kept import members, registries
+from tests.kept.forwarders import FLEET, forwarder, told_config
+from tests.kept.handovers import Client, handed_table
+from tests.kept.journals import DUE_US, class_table, fixed_machine, taken
+from tests.kept.references import References
+from tests.sockets import SETTINGS
+
+MASKED = ("t_ns", "pid")
+"""Fields of a log line that differ from run to run."""
+
+
+# Operators' calls
+
+
+def changed(*changes: tuple[str, object], **more: object) -> bytes:
+    """The configuration in force with other values at some paths; None drops a key."""
+    told = copy.deepcopy(told_config(**{"fleet": FLEET, **more}))
+    for path, value in changes:
+        *outer, last = [int(w) if w.isdigit() else w for w in path.split("/")]
+        inner: object = told
+        for word in outer:
+            assert isinstance(inner, dict | list)
+            inner = inner[word]  # type: ignore[index]
+        assert isinstance(inner, dict | list)
+        inner[last] = value  # type: ignore[index]
+        if value is None:
+            del inner[last]  # type: ignore[arg-type]
+    return json.dumps(told).encode()
+
+
+BUDGET = {"destination": 7, "span_ms": 0, "calls": 5, "members": 4, "reserve": 5}
+CHECKS: list[bytes] = [
+    changed(),
+    changed(("settings/balancers", 3), ("limits/sockets", 300), ("listen", ":5"))
+    + b" ",
+    changed(("fleet/site", "south"), ("fleet/lease_ms", 2000), durability="power"),
+    changed(("settings/services/1/name", "new"), ("strange", 1), ("fleet/odd", 1)),
+    changed(("settings/services/0/strange", 1), ("settings/orgs/0/odd", 1)),
+    changed(("limits/odd", 1), admin_addr="127.0.0.1:6", log_format="json"),
+    changed(
+        ("settings/allowed/max_open", None),
+        ("settings/services/1/deadline_us", 0),
+        ("settings/services/3/name", "order"),
+        ("limits/sockets", "many"),
+        ("limits/memory_mb", 0),
+        ("settings/balancers", float("nan")),
+        ("settings/orgs/0/fraction", None),
+    ),
+    changed(("seed", "5")).replace(b'"seed": "5"', b'"seed": "5", "seed": "6"'),
+    changed(("discovery", "nowhere")),
+    changed(("settings/services/0/effect", "sometimes")),
+    changed(durability="most"),
+    changed(log_format="most"),
+    changed(("known/hosts/0/health", "odd")),
+    changed(("settings/services", 3)),
+    changed(fleet=None),
+    changed(
+        ("fleet", {"service": "x", "budgets": [BUDGET, 5, BUDGET | {"span_ms": 1}]})
+    ),
+    changed(("fleet/drift", 2), ("fleet/peers", {"n1": 5}), ("fleet/listen", ":x")),
+    b"",
+    b"[]",
+]
+"""Configurations that operators ask about; most have faults."""
+
+
+async def operators_calls() -> References:
+    """Answers to operators, and the keys of the figures."""
+    calls: list[object] = []
+    admin, figures = Admin(), dict[str, object]()
+
+    def call(method: str, path: str, body: bytes = b"") -> None:
+        def answered(status: HTTPStatus, text: str) -> None:
+            if path == "/_vars" and status is HTTPStatus.OK:
+                figures.update(json.loads(text))
+                text = ""
+            elif path == "/_config" and status is HTTPStatus.OK:
+                told = json.loads(text)
+                text = json.dumps({**told, "since": len(told["since"])})
+            calls.append([method, path, body.decode(), status.value, text])
+
+        admin.handle(method, path, body, answered)
+
+    def everything() -> None:
+        for path in ("/_ready", "/_vars", "/_config", "/_nothing"):
+            call("GET", path)
+            call("POST", path)
+        for name in (b"h1", b"nobody", b"", b"\xc2\x85"):
+            call("POST", "/_endpoints/detach", name)
+            call("POST", "/_endpoints/attach", name)
+        call("GET", "/_endpoints/attach")
+
+    everything()
+    call("POST", "/_config/check", CHECKS[0])
+    with (
+        fixed_machine() as folder,
+        mock.patch.dict(os.environ, {"LB_STATE": str(folder)}),
+    ):
+        engine = forwarder(folder, fleet=FLEET)
+        admin.operated, engine.frozen = engine, True
+        call("GET", "/_ready")
+        call("POST", "/_endpoints/detach", b"h1")
+        engine.serving = True
+        everything()
+        for text in CHECKS:
+            call("POST", "/_config/check", text)
+    keys = {name: registries.keys_of(value) for name, value in figures.items()}
+    return {"operators-calls": calls, "operators-vars": keys}
+
+
+# Log lines
+
+
+@contextlib.contextmanager
+def json_log(install_log: Callable[[], None]) -> Iterator[io.StringIO]:
+    """What is logged meanwhile, as it would come on standard error."""
+    root, trace = logging.getLogger(), logging.getLogger("lemonshunt.trace")
+    before, levels = root.handlers[:], (root.level, trace.level)
+    root.handlers[:] = []
+    try:
+        with mock.patch.object(sys, "stderr", io.StringIO()) as printed:
+            install_log()
+            root.setLevel(logging.INFO)
+            yield printed
+    finally:
+        root.handlers[:] = before
+        root.setLevel(levels[0])
+        trace.setLevel(levels[1])
+
+
+def log_lines(text: str) -> list[dict[str, object]]:
+    """Lines as printed, without what differs from run to run."""
+    lines: list[dict[str, object]] = [json.loads(line) for line in text.splitlines()]
+    for line in lines:
+        line |= {name: None for name in MASKED if name in line}
+    return [line for line in lines if not str(line["event"]).startswith("journal: ")]
+
+
+async def message_lines() -> list[object]:
+    """The lines of a message's life, and of the fleet."""
+    with json_log(lambda: install("n0")) as printed:
+        with fixed_machine() as folder:
+            engine = forwarder(folder, fleet=FLEET)
+            due_us = engine.clock() + 50_000_000
+            handed = Handed("m1", "order", 7, due_us, "k", None, "acme", False, b"")
+            engine.hand_in(handed, Client("m1", []))
+            engine.store.take(taken("m2", "pay"))
+            engine.untried(Refuse("m2", 5, cause="too late"), DUE_US - 20_000)
+            item = Item("m1", 2, "k", b"", due_us)
+            engine.left(Call(1, (7, -1), 5, [item], open={"m1": item}))
+            engine.ended("m1", "delivered")
+            engine.serving = engine.frozen = True
+            engine.rotate("h1", True, lambda status, text: None)
+        await members.beaten()
+    return list(log_lines(printed.getvalue()))
+
+
+async def registry_lines() -> list[object]:
+    """Each kind of line of the list service, with its keys."""
+    with json_log(install_registry_log) as printed:
+        await registries.written()
+    lines = log_lines(printed.getvalue())
+    kinds = {json.dumps([x["event"], x["level"], sorted(x)]) for x in lines}
+    return [json.loads(kind) for kind in sorted(kinds)]
+
+
+# What clients, targets and discovery are sent
+
+
+REQUEST = {
+    "x-correlation-id": "a1",
+    "x-account": "acme",
+    "x-time-left": "50.5",
+    "idempotency-key": "idem",
+    "x-addressing": "site=x; dest=7",
+    "x-session-key": "line",
+    "x-repeat": "1",
+}
+OWED = {"m1": Owed("failed", 0), "m2": Owed("returned", 250, "line")}
+
+
+def asked_of_clients() -> list[object]:
+    """How requests are read, and what is said of those at fault."""
+    requests = [Request(5, "POST", f"/{name}", True, REQUEST) for name in CLASSES]
+    for name in REQUEST:
+        headers = {key: value for key, value in REQUEST.items() if key != name}
+        requests.append(Request(5, "POST", "/order", True, headers))
+        requests.append(Request(5, "POST", "/turns", True, headers | {name: "\x01"}))
+    requests += [Request(5, "GET", "/order"), Request(5, "POST", "/odd")]
+    made: list[object] = []
+    for request in requests:
+        try:
+            made.append(handed_table(message(request, settings(SETTINGS))))
+        except BadRequest as error:
+            made.append([str(part) for part in error.args])
+    return made
+
+
+CLASSES = ("order", "status", "turns", "pay")
+
+
+async def sent_to_targets() -> bytes:
+    """A call of one message, one of several, and a post of notices."""
+    with fixed_machine() as folder:
+        pool = forwarder(folder).pool
+        pool.clock = lambda: 0
+        items = [Item("m1", 0, "k", b"\x00\xff", 0), Item("m2", 1, None, b"x", 0)]
+        data = b""
+        for some in (items[:1], items[1:], items):
+            opened = {item.id: item for item in some}
+            data += pool.render(Call(1, (7, -1), 0, some, 2_500_000, open=opened))
+        names, body = post_body(OWED)
+        assert names == list(OWED)
+        return data + body
+
+
+FACTS: dict[str, object] = {
+    **SETTINGS,
+    "zones": ["x", "y"],
+    "discovery": "pushed",
+    "balancers": 3,
+    "family_info": {
+        "slots": 9,
+        "kind_batch": [2],
+        "routes_apart": [True],
+        "carriage": [0.5, 1.5],
+        "turned_away_price": 0.25,
+        "loses_worth": "halves",
+    },
+    "allowed": dict.fromkeys(("parallel_tries", "may_cancel", "probes"), True)
+    | {"retry_after": True, "max_open": 11, "max_attempts": 12}
+    | {"max_retry_after_us": 13, "dial_timeout_us": 14, "conn_idle_us": 15},
+    "contract": {
+        "grace_to_answer_us": 21,
+        "drain_grace_us": 22,
+        "ask_within_us": 23,
+        "overload_factor": 2.5,
+        "fall_us": 24,
+        "cold_from": 0.5,
+        "warm_after_us": 25,
+        "key_rest_us": 26,
+    },
+    "over_share_worth": 0.75,
+    "services": [
+        {"name": "a", "aim_us": 1, "deadline_us": 2, "effect": "by_key"}
+        | {"key_scope": "zone", "window_us": 3, "by_arrival": True}
+        | {"gain": 1.5, "late_worth": 0.5},
+        {"name": "b", "aim_us": 1, "deadline_us": 2, "effect": "once"},
+        {"name": "c", "aim_us": 1, "deadline_us": 2, "effect": "repeatable"}
+        | {"key_scope": "cell"},
+    ],
+}
+
+
+def settings_table(s: Settings) -> dict[str, object]:
+    return {
+        "slots": s.slots,
+        "classes": [class_table(c) for c in s.classes],
+        "kinds": [[k.name, k.batch, k.routes_apart] for k in s.kinds],
+        "tenants": [[t.name, t.allowance_per_s] for t in s.tenants],
+        "zone fees": dict(s.zone_fees),
+        "balancers": s.balancers,
+        "most open": s.max_open,
+        "most attempts": s.max_attempts,
+        "may": [s.parallel_tries, s.may_cancel, s.may_probe, s.retry_after],
+        "most retry after": s.max_retry_after_us,
+        "subscribe": s.subscribe,
+        "weights told": s.weights_told,
+        "prices": [s.refused_price, s.over_share_worth],
+        "late halves": s.late_halves,
+        "graces": [s.answer_grace_us, s.drain_grace_us],
+        "ask within": s.ask_within_us,
+        "overload": [s.overload_factor, s.fall_us, s.cold_from, s.warm_us],
+        "key rest": s.key_rest_us,
+        "connections": [s.dial_timeout_us, s.conn_idle_us],
+        "ends told": s.ends_told,
+    }
+
+
+def settings_read() -> list[object]:
+    return [settings_table(settings(facts)) for facts in (SETTINGS, FACTS)]
+
+
+async def made_async() -> References:
+    return {
+        **await operators_calls(),
+        "log-forwarder": await message_lines(),
+        "log-registry": await registry_lines(),
+        "requests-read": asked_of_clients(),
+        "requests-sent": await sent_to_targets(),
+        "settings-read": settings_read(),
+    }
+
+
+def made() -> References:
+    return asyncio.run(made_async())
--- /dev/null
+++ b/tests/kept/wires.py
@@ -0,0 +1,159 @@
+"""The simulator's wire: input lines with their output lines."""
+
+from __future__ import annotations
+
+import io
+import json
+from random import Random
+
+from lemonshunt.interface import (
+    Action,
+    Cancel,
+    CloseIdle,
+    Fail,
+    Note,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Subscribe,
+)
+from lemonshunt.wirehost import Host, action, serve
+from tests.kept.references import References
+from tests.sockets import SETTINGS
+
+SEED, ROUNDS = 13, 80
+NAMES = ("forwarder/0", "forwarder/1")
+RESULTS = "Ok Ok Ok Failed QueueFull TimedOut ConnectError ResetByPeer Ignored".split()
+TIMES_US = (*[1_000] * 6, 90_000, 500_000, 8_000_000)
+"""How long attempts take; the last are silent until they are abandoned."""
+ACTIONS: list[Action] = [
+    Send("m1", 5, 700),
+    Refuse("m1", 300, "late"),
+    Fail("m1", "late"),
+    Cancel("m1", 2),
+    Probe(5),
+    CloseIdle(5),
+    SetTimer(900, "look"),
+    Subscribe(),
+    Note("text"),
+]
+Event = dict[str, object]
+
+
+def facts() -> Event:
+    allowed = SETTINGS["allowed"] | {"max_open": 14, "max_attempts": 3}
+    contract = SETTINGS["contract"] | {"overload_factor": 2.0, "fall_us": 200_000}
+    contract |= {"cold_from": 0.02, "warm_after_us": 900_000}
+    return {**SETTINGS, "allowed": allowed, "contract": contract}
+
+
+def up(name: str) -> list[Event]:
+    told: Event = {"type": "UP", "forwarder_id": name, "entropy": 7, "facts": facts()}
+    return [told, listed(name, "SAVED")]
+
+
+def listed(name: str, how: str, buffer: int = 0) -> Event:
+    return {"type": "MEMBERS", "forwarder_id": name, "how": how, "buffer": buffer}
+
+
+def table(buffer: int, *states: str) -> Event:
+    entries: list[Event] = [
+        {"target": 5 + n, "belongs_to": 57 + n // 2, "kind": "plain", "hall": "x"}
+        | {"readiness": state, "power_hint": 1 + n}
+        for n, state in enumerate(states)
+    ]
+    return {"type": "TABLE", "buffer": buffer, "elements": entries}
+
+
+def first_events() -> list[Event]:
+    serving = table(0, *["SERVING"] * 3)
+    bad = {"type": "UP", "forwarder_id": "forwarder/2", "entropy": 1}
+    bad["facts"] = {**SETTINGS, "family_info": {"slots": 0}}
+    return [serving, *up(NAMES[0]), *up(NAMES[1]), bad, {"type": "NEVER_HEARD"}]
+
+
+def odd_events(r: Random, number: int) -> list[Event]:
+    """What lists, clients and probes do now and then."""
+    name = r.choice(NAMES)
+    checked: Event = {"type": "CHECK_RESULT", "forwarder_id": name, "target": 5}
+    some: list[list[Event]] = [
+        [table(1, "SERVING", "DRAINING", "DELETED"), listed(name, "INCREMENTAL", 1)],
+        [table(2, "SERVING", "SERVING", "SERVING"), listed(name, "FULL", 2)],
+        [{"type": "MEMBERS", "forwarder_id": name, "how": "FAILED"}],
+        [{"type": "CLIENT_LEFT", "forwarder_id": name, "msg_id": f"m{number - 2}"}],
+        [checked | {"result": "Ok", "lag_us": 900, "telemetry": [0.5, 9.0]}],
+        [{"type": "DEADLINE_HIT", "forwarder_id": name, "token": "look"}],
+        [{"type": "DOWN", "forwarder_id": name}, *up(name)],
+    ]
+    return r.choice(some) if r.random() < 0.4 else []
+
+
+def input_lines() -> list[str]:
+    """What a simulator might send, in answer to what it is sent."""
+    r, host, now, number = Random(SEED), Host(), 0, 0
+    out: list[tuple[int, Event]] = []
+    tries: dict[str, int] = {}
+    lines: list[str] = []
+    for turn in range(ROUNDS):
+        inbox = first_events() if not turn else odd_events(r, number)
+        for _ in range(r.randrange(5)):
+            number += 1
+            sort = r.choice(("order", "status", "turns", "pay"))
+            life = r.choice((30_000, 400_000, 9_000_000))
+            asked: Event = {"type": "ASK", "forwarder_id": r.choice(NAMES)}
+            asked |= {"msg_id": f"m{number}", "dest": r.choice((57, 57, 58))}
+            asked |= {"class": sort, "due_us": now + life, "account": "acme"}
+            inbox.append(asked | {"route_key": "k" if sort == "turns" else None})
+        inbox += [event for at, event in out if at <= now]
+        out = [(at, event) for at, event in out if at > now]
+        lines.append(json.dumps({"clock_us": now, "inbox": inbox}))
+        for done in json.loads(host.batch(lines[-1]))["do"]:
+            if done["type"] == "ISSUE":
+                out.append(ended(r, now, done, tries))
+            elif done["type"] == "ABANDON":
+                out = [(at, e | canceled(e, done)) for at, e in out]
+        now += r.choice((1_000, 20_000, 60_000, 300_000))
+    return lines
+
+
+def ended(
+    r: Random, now: int, issued: Event, tries: dict[str, int]
+) -> tuple[int, Event]:
+    """When and how an attempt ends."""
+    result, took = r.choice(RESULTS), r.choice(TIMES_US)
+    name = f"{issued['forwarder_id']} {issued['msg_id']}"
+    number = tries[name] = tries.get(name, -1) + 1
+    event: Event = {"type": "CLOSED_ATTEMPT", "forwarder_id": issued["forwarder_id"]}
+    event |= {"msg_id": issued["msg_id"], "try": number, "target": issued["target"]}
+    event |= {"result": result, "lag_us": took, "closed": result == "Ok"}
+    wait_ms = r.choice((0, 40.5)) if result == "QueueFull" else 0
+    return now + took, event | {"wait_ms": wait_ms, "telemetry": [0.5, 99.0]}
+
+
+def canceled(event: Event, done: Event) -> Event:
+    same = all(event[key] == done[key] for key in ("forwarder_id", "msg_id", "try"))
+    return {"result": "Canceled", "closed": False} if same else {}
+
+
+def output(text: str) -> str:
+    sink = io.StringIO()
+    assert serve(io.StringIO(text), sink) == 0
+    return sink.getvalue()
+
+
+def actions() -> list[object]:
+    return [action("forwarder/0", a) for a in ACTIONS]
+
+
+def types_in(text: str, key: str) -> set[str]:
+    return {one["type"] for line in text.splitlines() for one in json.loads(line)[key]}
+
+
+def made() -> References:
+    text = "\n".join(input_lines()) + "\n"
+    return {
+        "wire-input": text.encode(),
+        "wire-output": output(text).encode(),
+        "wire-actions": actions(),
+    }
