--- a/tests/kept/forwarders.py
+++ b/tests/kept/forwarders.py
@@ -4,9 +4,9 @@
 
 from pathlib import Path
 
-from lemonshunt.net.config import Config, parse
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.handover import Successor
+from rainfall.net.config import Config, parse
+from rainfall.net.engine import Engine
+from rainfall.net.handover import Successor
 from tests.sockets import SETTINGS
 
 FLEET: dict[str, object] = {
--- a/tests/kept/frames.py
+++ b/tests/kept/frames.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lemonshunt.peer.frames import (
+from rainfall.peer.frames import (
     HEAD,
     AnyFrame,
     Forward,
@@ -13,9 +13,9 @@
     Splitter,
     encode,
 )
-from lemonshunt.session.states import Limits
-from lemonshunt.session.table import Malformed, Table, read
-from lemonshunt.session.words import (
+from rainfall.session.states import Limits
+from rainfall.session.table import Malformed, Table, read
+from rainfall.session.words import (
     Accept,
     AnyRecord,
     Back,
--- a/tests/kept/handovers.py
+++ b/tests/kept/handovers.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from lemonshunt.choice import Dispatcher
-from lemonshunt.interface import (
+from rainfall.choice import Dispatcher
+from rainfall.interface import (
     Action,
     Cancel,
     Ended,
@@ -17,10 +17,10 @@
     Outcome,
     Remembered,
 )
-from lemonshunt.net.client import Call, Item
-from lemonshunt.net.handover import Line, Link, Predecessor, Successor
-from lemonshunt.net.server import Asker, Handed
-from lemonshunt.wirehost import action
+from rainfall.net.client import Call, Item
+from rainfall.net.handover import Line, Link, Predecessor, Successor
+from rainfall.net.server import Asker, Handed
+from rainfall.wirehost import action
 from tests.kept.forwarders import forwarder
 from tests.kept.journals import fixed_machine
 from tests.kept.references import References
--- a/tests/kept/journals.py
+++ b/tests/kept/journals.py
@@ -14,13 +14,13 @@
 from tempfile import TemporaryDirectory
 from unittest import mock
 
-from lemonshunt.interface import Effect, MessageClass, Scope
-from lemonshunt.journal import recovery
-from lemonshunt.journal.__main__ import main as journal_tool
-from lemonshunt.journal.format import scan
-from lemonshunt.journal.recovery import Report
-from lemonshunt.journal.state import Owed, Rules, State, Taken
-from lemonshunt.net.store import Store
+from rainfall.interface import Effect, MessageClass, Scope
+from rainfall.journal import recovery
+from rainfall.journal.__main__ import main as journal_tool
+from rainfall.journal.format import scan
+from rainfall.journal.recovery import Report
+from rainfall.journal.state import Owed, Rules, State, Taken
+from rainfall.net.store import Store
 from tests.disk import Hands
 from tests.kept.references import References
 
--- a/tests/kept/members.py
+++ b/tests/kept/members.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 from unittest import mock
 
-from lemonshunt.interface import Shares
-from lemonshunt.lease.token import Token
-from lemonshunt.net.address import Address
-from lemonshunt.net.discovery import Client
-from lemonshunt.net.fleet import Fleet
-from lemonshunt.net.fleet_books import Books
-from lemonshunt.net.fleet_file import Keep, Records
-from lemonshunt.net.http import ResponseReader
+from rainfall.interface import Shares
+from rainfall.lease.token import Token
+from rainfall.net.address import Address
+from rainfall.net.discovery import Client
+from rainfall.net.fleet import Fleet
+from rainfall.net.fleet_books import Books
+from rainfall.net.fleet_file import Keep, Records
+from rainfall.net.http import ResponseReader
 from tests.kept.forwarders import FLEET, forwarder
 from tests.kept.journals import fixed_machine
 from tests.kept.references import References
--- a/tests/kept/registries.py
+++ b/tests/kept/registries.py
@@ -11,15 +11,15 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from lemonshunt.lease.terms import Terms
-from lemonshunt.registry import plans
-from lemonshunt.registry.book import LEASE
-from lemonshunt.registry.bounds import Bounds
-from lemonshunt.registry.disk import Disk
-from lemonshunt.registry.parts import Parts, lead
-from lemonshunt.registry.server import Service
-from lemonshunt.shard.check import checked
-from lemonshunt.shard.maps import hexed
+from rainfall.lease.terms import Terms
+from rainfall.registry import plans
+from rainfall.registry.book import LEASE
+from rainfall.registry.bounds import Bounds
+from rainfall.registry.disk import Disk
+from rainfall.registry.parts import Parts, lead
+from rainfall.registry.server import Service
+from rainfall.shard.check import checked
+from rainfall.shard.maps import hexed
 from tests.kept.members import MachineClock
 from tests.kept.references import References
 from tests.sockets import read_message
--- a/tests/kept/shards.py
+++ b/tests/kept/shards.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from lemonshunt.shard.__main__ import main as shard_tool
-from lemonshunt.shard.check import checked
-from lemonshunt.shard.maps import decode, hexed
+from rainfall.shard.__main__ import main as shard_tool
+from rainfall.shard.check import checked
+from rainfall.shard.maps import decode, hexed
 from tests.kept.references import References
 
 TOP = "f" * 16
--- a/tests/kept/test_journals.py
+++ b/tests/kept/test_journals.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lemonshunt.journal.state import State
+from rainfall.journal.state import State
 from tests.kept import journals
 from tests.kept.references import as_read, kept_bytes, kept_value
 
--- a/tests/kept/test_members.py
+++ b/tests/kept/test_members.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from lemonshunt.peer.frames import AnyFrame
-from lemonshunt.session.words import AnyRecord
+from rainfall.peer.frames import AnyFrame
+from rainfall.session.words import AnyRecord
 from tests.kept import frames, members
 from tests.kept.references import as_read, kept_bytes, kept_value
 
--- a/tests/kept/wires.py
+++ b/tests/kept/wires.py
@@ -6,7 +6,7 @@
 import json
 from random import Random
 
-from lemonshunt.interface import (
+from rainfall.interface import (
     Action,
     Cancel,
     CloseIdle,
@@ -18,7 +18,7 @@
     SetTimer,
     Subscribe,
 )
-from lemonshunt.wirehost import Host, action, serve
+from rainfall.wirehost import Host, action, serve
 from tests.kept.references import References
 from tests.sockets import SETTINGS
 
