--- a/tests/test_crossing_restart.py
+++ b/tests/test_crossing_restart.py
@@ -14,8 +14,20 @@
 
 import pytest
 
-from rainfall import interface as i
-from rainfall.choice import Dispatcher
+from rainfall.dispatch import (
+    AttemptFinished,
+    Dispatcher,
+    EndpointEntry,
+    EndpointListChanged,
+    EndpointListKind,
+    Event,
+    FailMessage,
+    MessageRestored,
+    Outcome,
+    RejectMessage,
+    SendMessage,
+    TimerExpired,
+)
 from rainfall.journal.recovery import look
 from rainfall.journal.state import State, Taken
 from rainfall.net.config import Address, Config, HostList, host
@@ -39,32 +51,33 @@
 from tests.test_killed import power_engine
 from tests.test_net import engine
 
-OK, FULL = i.Outcome.DELIVERED, i.Outcome.FULL
-ONE = (i.TargetEntry(1, 10, "north", "plain"),)
+OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
+ONE = (EndpointEntry(1, 10, "north", "plain"),)
 MANY = 20
-Final = i.Refuse | i.Fail
+Final = RejectMessage | FailMessage
 
 
 # What a restart finds untried
 
 
 def go_on(
-    d: Dispatcher, now: int, out: list[i.Send], until: int
+    d: Dispatcher, now: int, out: list[SendMessage], until: int
 ) -> tuple[list[str], list[Final]]:
     """Calls are answered in 20 ms. Returns what was sent and what was given up, in its
     order.
     """
-    sent: list[str] = [s.message for s in out]
+    sent: list[str] = [s.message_id for s in out]
     given: list[Final] = []
     while now < until:
         now += 20 * MS
-        last = {s.message: d.messages[s.message].attempts - 1 for s in out}
+        last = {s.message_id: d.state.messages[s.message_id].attempts - 1 for s in out}
         actions = d.handle(
             now,
-            [end(s, OK, last[s.message], 20 * MS) for s in out] or [i.TimerDue("look")],
+            [end(s, OK, last[s.message_id], 20 * MS) for s in out]
+            or [TimerExpired("look")],
         )
         out = sends(actions)
-        sent += [s.message for s in out]
+        sent += [s.message_id for s in out]
         given += finals(actions)
     return sent, given
 
@@ -77,34 +90,40 @@
     left: given up untried.
     """
     now = 50 * S
-    d = Dispatcher(settings(balancers=balancers), 7, now)
+    d = Dispatcher(settings(forwarder_count=balancers), 7, now)
     told = [
-        i.Recalled(f"old{n}", 10, "safe", now + 3200 * MS) for n in range(MANY)
+        MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS) for n in range(MANY)
     ]  # 2.8 of 6 s are gone
-    out = sends(d.handle(now, [i.Listed(i.ListKind.SAVED, ONE), *told]))
-    d.handle(now + 20 * MS, [end(out[0], FULL, wait_us=900 * MS)])
+    out = sends(
+        d.handle(now, [EndpointListChanged(EndpointListKind.CACHED, ONE), *told])
+    )
+    d.handle(now + 20 * MS, [end(out[0], FULL, retry_after_us=900 * MS)])
     fresh = [
         ask(f"new{n}", due=now + 5200 * MS) for n in range(4)
     ]  # and near their aim of 2 s
     assert not finals(d.handle(now + 40 * MS, fresh))
     sent, given = go_on(d, now + 40 * MS, [], now + 3200 * MS)
-    assert {out[0].message, *sent} == {m.message for m in (*told, *fresh)}
-    assert all(a.message == out[0].message for a in given)  # that one had its call
+    assert {out[0].message_id, *sent} == {m.message_id for m in (*told, *fresh)}
+    assert all(
+        a.message_id == out[0].message_id for a in given
+    )  # that one had its call
 
 
 def test_what_was_tried_before_the_restart_makes_way_as_ever() -> None:
     now = 50 * S
     d = Dispatcher(settings(), 7, now)
     told = [
-        i.Recalled(f"old{n}", 10, "safe", now + 3200 * MS, attempts=1)
+        MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS, attempts=1)
         for n in range(MANY)
     ]
-    out = sends(d.handle(now, [i.Listed(i.ListKind.SAVED, ONE), *told]))
-    d.handle(now + 20 * MS, [end(out[0], FULL, 1, wait_us=2 * S)])
+    out = sends(
+        d.handle(now, [EndpointListChanged(EndpointListKind.CACHED, ONE), *told])
+    )
+    d.handle(now + 20 * MS, [end(out[0], FULL, 1, retry_after_us=2 * S)])
     d.handle(now + 40 * MS, [ask(f"new{n}", due=now + 5200 * MS) for n in range(4)])
     _, given = go_on(d, now + 40 * MS, [], now + 1500 * MS)
-    assert {(type(a), a.cause) for a in given} == {
-        (i.Refuse, "makes way for fresh ones")
+    assert {(type(a), a.reason) for a in given} == {
+        (RejectMessage, "makes way for fresh ones")
     }
     assert len(given) == MANY
 
@@ -116,24 +135,26 @@
     given up untried.
     """
     now = 50 * S
-    d = Dispatcher(settings(balancers=1), 7, now)
+    d = Dispatcher(settings(forwarder_count=1), 7, now)
     told = [
-        i.Recalled(f"old{n}", 10, "safe", now + 2 * S, tenant="small")
+        MessageRestored(f"old{n}", 10, "safe", now + 2 * S, tenant="small")
         for n in range(MANY)
     ]
-    out = sends(d.handle(now, [i.Listed(i.ListKind.SAVED, ONE), *told]))
-    assert not any(m.over_share for m in d.messages.values())
+    out = sends(
+        d.handle(now, [EndpointListChanged(EndpointListKind.CACHED, ONE), *told])
+    )
+    assert not any(m.over_quota for m in d.state.messages.values())
     later = [ask(f"new{n}", due=now + 6 * S, tenant="big") for n in range(MANY)]
     actions = d.handle(now + 20 * MS, [end(out[0], OK, took=20 * MS), *later])
     sent, given = go_on(d, now + 20 * MS, sends(actions), now + 2 * S)
-    first = [out[0].message, *sent][:MANY]
-    assert not given and sorted(first) == sorted(m.message for m in told)
+    first = [out[0].message_id, *sent][:MANY]
+    assert not given and sorted(first) == sorted(m.message_id for m in told)
     spent = d.handle(
         now + 2 * S,
         [ask(f"more{n}", 99, due=now + 9 * S, tenant="small") for n in range(MANY)],
     )
     assert not finals(spent) and any(
-        m.over_share for m in d.messages.values()
+        m.over_quota for m in d.state.messages.values()
     )  # what comes now counts
 
 
@@ -232,12 +253,14 @@
         e = self.engine
         assert e is not None
         now = e.clock()
-        e.dispatcher.messages[name].due = now
+        e.dispatcher.state.messages[name].move_deadline(now)
         e.store.move_deadline(e.store.messages[name], now)
         for call in [c for (message, _), c in e.pool.calls.items() if message == name]:
             call.open[name].until_us = now - 1
             e.pool.timed_out(call)
-        e.post(i.Listed(i.ListKind.CHANGES, ()))  # looks at all that is held
+        e.post(
+            EndpointListChanged(EndpointListKind.CHANGES, ())
+        )  # looks at all that is held
 
     def told(self, name: str) -> list[str]:
         return [n["state"] for n in self.platform.notices if n["id"] == name]
@@ -361,14 +384,20 @@
     for cls in ("safe", "keyed", "once"):
         d = Dispatcher(settings(), 7, 0)
         send = sends(
-            d.handle(0, [i.Listed(i.ListKind.SAVED, ONE), ask(cls, cls=cls, due=due)])
+            d.handle(
+                0,
+                [
+                    EndpointListChanged(EndpointListKind.CACHED, ONE),
+                    ask(cls, cls=cls, due=due),
+                ],
+            )
         )[0]
         assert not finals(
-            d.handle(due + S, [i.TimerDue("look")])
+            d.handle(due + S, [TimerExpired("look")])
         )  # the pool's own time-out ends it
         assert (
             not finals(d.handle(due + S, [end(send, OK, took=6 * S)]))
-            and cls not in d.messages
+            and cls not in d.state.messages
         )
 
 
@@ -380,15 +409,17 @@
         for name, late in (("before", False), ("after", True)):
             assert await site.hand_in(name, "pay", left="50") == 202
             await site.until(lambda name=name: site.came(name))  # type: ignore[misc]
-            m = e.dispatcher.messages[name]
+            m = e.dispatcher.state.messages[name]
             now = e.clock()
-            m.due = now - 1
-            e.store.move_deadline(e.store.messages[name], m.due)
-            answered = i.Ended(name, 0, e.numbers["s7"], OK, 5, closed=True)
+            m.deadline = now - 1
+            e.store.move_deadline(e.store.messages[name], m.deadline)
+            answered = AttemptFinished(
+                name, 0, e.numbers["s7"], OK, 5, message_closed=True
+            )
             e.events += (
-                [i.TimerDue("look"), answered]
+                [TimerExpired("look"), answered]
                 if late
-                else [answered, i.TimerDue("look")]
+                else [answered, TimerExpired("look")]
             )
             e.round()
             assert name not in e.store.messages and not e.store.owed
@@ -494,11 +525,11 @@
         e = await site.start()
         began = e.round_us  # no round of the new process was earlier
         site.engine = e
-        line = e.dispatcher.lines["k"]
-        assert line.rest_until >= e.dispatcher.now - 10 * S
+        line = e.dispatcher.state.key_sequences["k"]
+        assert line.backoff_until >= e.dispatcher.state.now - 10 * S
         await site.until(lambda: site.came("second"))
         assert site.told("first") == ["failed"] and len(site.sides[0].requests) == 1
-        assert e.clock() >= line.rest_until and began > 0
+        assert e.clock() >= line.backoff_until and began > 0
 
     play(scene, Site(tmp_path))
 
@@ -528,15 +559,21 @@
             door,
         )
         e.round()  # held; its record is on its way to the disk
-        e.dispatcher.messages["first"].due = e.clock()
-        e.post(i.Listed(i.ListKind.CHANGES, ()))  # looks at all that is held
+        e.dispatcher.state.messages["first"].move_deadline(e.clock())
+        e.post(
+            EndpointListChanged(EndpointListKind.CHANGES, ())
+        )  # looks at all that is held
         e.round()
         assert "first" in e.store.owed and door.left is not None
         door.left()
         while hands.work():
             pass
         e.round()
-        assert not e.store.owed and not door.said and not e.dispatcher.owed
+        assert (
+            not e.store.owed
+            and not door.said
+            and not e.dispatcher.state.pending_notifications
+        )
         e.hand_in(
             Handed(
                 "second", "turns", 7, e.clock() + 10**7, None, "k", "acme", False, b""
@@ -544,7 +581,7 @@
             other,
         )
         e.round()
-        assert not e.dispatcher.lines["k"].owed
+        assert not e.dispatcher.state.key_sequences["k"].pending_notifications
         while hands.work():
             pass
         e.store.let_go()
@@ -575,14 +612,14 @@
         m = Taken("m", "pay", 7, e.clock() + 40 * S, None, "acme", b"")
         e.store.take(m)
         e.store.flush()
-        e.post(i.Recalled("m", 7, "pay", m.due_us))
+        e.post(MessageRestored("m", 7, "pay", m.due_us))
         e.store.log.most = e.store.size  # nothing more fits
         pauses: list[float] = []
-        posted: list[i.Event] = []
+        posted: list[Event] = []
         loop = asyncio.get_running_loop()
 
         def later(delay: float, call: Callable[..., None], *args: Any) -> Any:
-            if args and isinstance(args[0], i.Ended):
+            if args and isinstance(args[0], AttemptFinished):
                 pauses.append(delay)
                 posted.append(args[0])
 
@@ -647,14 +684,14 @@
 def test_attempts_that_made_no_call_leave_a_message_untried(tmp_path: Path) -> None:
     async def scene() -> None:
         e = engine(tmp_path)
-        for name, how in (("a", i.Outcome.NOT_SENT), ("b", FULL)):
+        for name, how in (("a", Outcome.NOT_SENT), ("b", FULL)):
             m = Taken(name, "status", 7, e.clock() + 10 * S, None, None, b"")
             e.store.take(m)
             e.store.attempt(m, 0, 5, "s1")
-            e.events.append(i.Ended(name, 0, 1, how, 5))
+            e.events.append(AttemptFinished(name, 0, 1, how, 5))
         e.round()
         for name in "ab":
-            e.untried(i.Fail(name, "cause"), e.clock())
+            e.untried(FailMessage(name, "cause"), e.clock())
         assert e.counts["untried: cause"] == 1
         e.store.close()
 
--- a/tests/test_crossing_talk.py
+++ b/tests/test_crossing_talk.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from rainfall import interface as i
+from rainfall.dispatch import AttemptFinished, Outcome
 from rainfall.net.handover import Predecessor, Successor
 from rainfall.net.link import Link
 
@@ -48,8 +48,8 @@
         self.doors[handed.id] = door
         door.left = lambda: self.left.append(handed.id)
 
-    def told_end(self, event: i.Ended) -> None:
-        self.told.append((event.message, event.outcome))
+    def told_end(self, event: AttemptFinished) -> None:
+        self.told.append((event.message_id, event.outcome))
 
     def rotate(self, name: str, out: bool, answer: Any) -> None:
         self.told.append((name, out))
@@ -78,7 +78,7 @@
             answer=[1, 202, "", {}]
         )  # ... and this write finds the other end gone
         await until(lambda: successor.over)
-        assert engine.told == [("m", i.Outcome.DELIVERED), "alone"]
+        assert engine.told == [("m", Outcome.DELIVERED), "alone"]
 
     asyncio.run(scene())
 
@@ -141,7 +141,7 @@
         theirs.close()
         await until(lambda: successor.over)
         successor.attach(engine)
-        assert engine.told == ["m", ("m", i.Outcome.DELIVERED), "alone"]
+        assert engine.told == ["m", ("m", Outcome.DELIVERED), "alone"]
         assert engine.left == ["m"] and not successor.proxies
 
     asyncio.run(scene())
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -17,8 +17,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainfall import interface as i
-from rainfall.choice import Dispatcher, shares
+from rainfall.dispatch import (
+    AttemptFinished,
+    Dispatcher,
+    EndpointEntry,
+    EndpointListChanged,
+    EndpointListKind,
+    Event,
+    MessageReceived,
+    Outcome,
+    QuotaChanged,
+    RejectMessage,
+    SendMessage,
+    SetTimer,
+)
+from rainfall.dispatch.quota import NEVER, Quota, change_quota
 from rainfall.journal.files import SystemFiles
 from rainfall.journal.recovery import this_boot
 from rainfall.lease.token import Token
@@ -358,7 +371,7 @@
 
     first = Books(reserves, 0.02, {}, at - 500_000)
     assert first.leaves(7, at) == -1, "not kept yet"
-    assert first.event(7, at, 0).spent == ()
+    assert first.event(7, at, 0).used == ()
     assert after(first, Token(3, 1)) == [0] * 6 + [window_us]
     at += 100_000
     crashed, disk = first.standing(), FaultyFiles()
@@ -380,12 +393,14 @@
             and second.holds(token) == {"7": [1, 5]}
         )
         told = second.event(7, at, 5)
-        assert (told.calls, told.reserve) == (0, 0), "not kept: the module holds too"
-        assert told.spent == (
+        assert (told.calls, told.reserve_calls) == (0, 0), (
+            "not kept: the module holds too"
+        )
+        assert told.used == (
             ((at + 5, BARRED),) if waits[0] == window_us else ((at - 99_995, 1),) * 6
         )
         assert after(second, Token(3, 2)) == waits
-    assert spent.spent == () and spent.calls == 6
+    assert spent.used == () and spent.calls == 6
     disk.fails = True
     assert (
         isinstance(keep.write(*keep.made(Token(3, 9), {})), OSError)
@@ -398,9 +413,9 @@
         "an older one does not take a newer one's place"
     )
     second.configure([Reserve(7, 0, 400_000, 100)], at)
-    assert second.event(7, at, 0).reserve == 0 and second.configure([], at) == [], (
-        "the service told it last"
-    )
+    assert (
+        second.event(7, at, 0).reserve_calls == 0 and second.configure([], at) == []
+    ), "the service told it last"
     second.told(Token(3, 2), {}, at + 900_000, at)
     assert second.configure([], at) == [7], "now nobody names it"
     third = Books(reserves, 0.02, {}, at - 500_000)
@@ -627,7 +642,7 @@
     """
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -646,12 +661,12 @@
         p.leaves = leaves
         for name, asks in (("barred", 1), ("held", 4), ("late", 5)):
             p.start(call(Clock(), name))
-            await until(lambda n=name: any(e.message == n for e in ends))
+            await until(lambda n=name: any(e.message_id == n for e in ends))
             assert len(asked) == asks
-        assert [(e.message, e.outcome) for e in ends[-3:]] == [
-            ("barred", i.Outcome.NOT_SENT),
-            ("held", i.Outcome.DELIVERED),
-            ("late", i.Outcome.NOT_SENT),
+        assert [(e.message_id, e.outcome) for e in ends[-3:]] == [
+            ("barred", Outcome.NOT_SENT),
+            ("held", Outcome.DELIVERED),
+            ("late", Outcome.NOT_SENT),
         ]
         assert told == ["first"] * idle + ["held"] and len(peer.requests) == 1 + idle
         assert len(p.all) == 1, "the connection is kept"
@@ -662,48 +677,64 @@
 
 def test_a_share_paces_gives_up_and_tells_when_to_come_back() -> None:
     d = Dispatcher(
-        script(slots=50, retry_after=True, max_retry_after_us=9 * S, weights_told=True),
+        script(
+            max_in_flight=50,
+            send_retry_after=True,
+            max_retry_after_us=9 * S,
+            endpoint_weights_known=True,
+        ),
         1,
         0,
     )
-    slow = i.TargetEntry(
+    slow = EndpointEntry(
         1, 10, "north", "plain", weight=0.001
     )  # a pace of one call in a quarter of an hour
     d.handle(
-        0, [i.Listed(i.ListKind.WHOLE, (slow,)), i.Shares(10, 3, 2 * S, 30 * S, 1)]
+        0,
+        [
+            EndpointListChanged(EndpointListKind.SNAPSHOT, (slow,)),
+            QuotaChanged(10, 3, 2 * S, 30 * S, 1),
+        ],
     )
 
     armed: list[int] = []
 
-    def sent(now: int, *events: i.Event) -> list[str]:
+    def sent(now: int, *events: Event) -> list[str]:
         actions = d.handle(now, events)
-        armed.extend(now + a.delay_us for a in actions if isinstance(a, i.SetTimer))
-        return [a.message for a in actions if isinstance(a, i.Send)]
+        armed.extend(now + a.delay_us for a in actions if isinstance(a, SetTimer))
+        return [a.message_id for a in actions if isinstance(a, SendMessage)]
 
     def delivered(now: int, name: str) -> list[str]:
-        return sent(now, i.Ended(name, 0, 1, i.Outcome.DELIVERED, 10_000))
+        return sent(now, AttemptFinished(name, 0, 1, Outcome.DELIVERED, 10_000))
 
-    assert sent(0, *(i.Arrived(f"m{n}", 10, "safe", 6 * S) for n in range(5))) == ["m0"]
+    assert sent(
+        0, *(MessageReceived(f"m{n}", 10, "safe", 6 * S) for n in range(5))
+    ) == ["m0"]
     assert delivered(10_000, "m0") == ["m1", "m2"]
     assert delivered(20_000, "m1") == delivered(20_000, "m2") == []
     refused = d.handle(
         30_000,
-        [i.Arrived("short", 10, "safe", S), i.Arrived("long", 10, "safe", 9 * S)],
+        [
+            MessageReceived("short", 10, "safe", S),
+            MessageReceived("long", 10, "safe", 9 * S),
+        ],
     )
-    assert [(a.message, a.wait_us) for a in refused if isinstance(a, i.Refuse)] == [
-        ("short", 1_970_000)
-    ]
+    assert [
+        (a.message_id, a.retry_after_us)
+        for a in refused
+        if isinstance(a, RejectMessage)
+    ] == [("short", 1_970_000)]
     now = 30_000
     while not (went := sent(now := min(at for at in armed if at > now))):
         assert now <= 2 * S, "it wakes by itself when there is room"
     assert went == ["m3"] and 2 * S <= now <= 2 * S + 1
-    assert sent(now, i.Shares(10, 0, 2 * S, 3 * S, 0)) == []
-    hopes = d.handle(now, [i.Arrived("hopes", 10, "safe", 3 * S)])
-    assert not [a for a in hopes if isinstance(a, i.Refuse)], (
+    assert sent(now, QuotaChanged(10, 0, 2 * S, 3 * S, 0)) == []
+    hopes = d.handle(now, [MessageReceived("hopes", 10, "safe", 3 * S)])
+    assert not [a for a in hopes if isinstance(a, RejectMessage)], (
         "another share may be told"
     )
     assert delivered(now + 20_000, "m3") == []
-    assert sent(now + 30_000, i.Shares(10, 0, 0, 0, 0)) != [], "no share any more"
+    assert sent(now + 30_000, QuotaChanged(10, 0, 0, 0, 0)) != [], "no share any more"
 
 
 class Slow:
@@ -712,9 +743,9 @@
     def __init__(self) -> None:
         self.made: list[int] = []
 
-    def fits(self, share: shares.Share, now: int) -> bool:
-        limit = share.calls if now < share.until_us else share.reserve
-        return sum(at > now - share.span_us for at in self.made) < limit
+    def fits(self, share: Quota, now: int) -> bool:
+        limit = share.calls if now < share.expires_at else share.reserve_calls
+        return sum(at > now - share.window_us for at in self.made) < limit
 
 
 STEP = st.one_of(
@@ -734,14 +765,14 @@
     """Against the slow count, with a span below the grains (exact): the same yes and
     no, and the moment told is the first yes, unless something else is told before.
     """
-    known: dict[int, shares.Share] = {}
+    known: dict[int, Quota] = {}
     now, slow, span = 1_000, Slow(), 20
-    shares.told(known, now, i.Shares(7, 2, span, 1_050, 1))
+    change_quota(known, now, QuotaChanged(7, 2, span, 1_050, 1))
     for step in steps:
         share = known[7]
         if step[0] == "pass":
-            opens = share.room_at(now)
-            if opens < shares.NEVER:
+            opens = share.available_at(now)
+            if opens < NEVER:
                 assert not any(
                     slow.fits(share, t) for t in range(now, min(opens, now + step[1]))
                 )
@@ -751,13 +782,13 @@
             now += step[1]
         elif step[0] == "send":
             for _ in range(step[1]):
-                assert (share.room_at(now) <= now) is slow.fits(share, now)
-                if share.room_at(now) <= now:
-                    share.spend(now)
+                assert (share.available_at(now) <= now) is slow.fits(share, now)
+                if share.available_at(now) <= now:
+                    share.record_call(now)
                     slow.made.append(now)
         else:
-            shares.told(
+            change_quota(
                 known,
                 now,
-                i.Shares(7, step[1], span, now + step[2], min(step[1], step[3])),
+                QuotaChanged(7, step[1], span, now + step[2], min(step[1], step[3])),
             )
--- a/tests/test_killed.py
+++ b/tests/test_killed.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from rainfall import interface as i
+from rainfall.dispatch import MessageReceived, MessageRestored
 from rainfall.journal import format as f
 from rainfall.net.client import Call
 from rainfall.net.config import Address, Config, HostList
@@ -290,12 +290,12 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        first = [x.message for x in e.events if isinstance(x, i.Recalled)]
+        first = [x.message_id for x in e.events if isinstance(x, MessageRestored)]
         assert len(first) == RECALL and all(name.startswith("late") for name in first)
         assert len(e.backlog) == 200 and len(e.store.messages) == 300
         e.events.clear()
         e.recall(RECALL)
-        second = [x.message for x in e.events if isinstance(x, i.Recalled)]
+        second = [x.message_id for x in e.events if isinstance(x, MessageRestored)]
         assert [name[:4] for name in second] == ["late"] * 50 + ["live"] * 50
         e.store.close()
 
@@ -316,11 +316,15 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        assert [x.key for x in e.backlog.values()] == ["K"] * 3
+        assert [x.ordering_key for x in e.backlog.values()] == ["K"] * 3
         e.hand_in(
             Handed("fresh", "turns", 7, 10**16, None, "K", "acme", False, b""), Door()
         )
-        names = [x.message for x in e.events if isinstance(x, i.Recalled | i.Arrived)]
+        names = [
+            x.message_id
+            for x in e.events
+            if isinstance(x, MessageRestored | MessageReceived)
+        ]
         assert names[-4:] == ["live0", "live1", "live2", "fresh"] and not e.backlog
         e.store.close()
 
@@ -428,7 +432,7 @@
         assert [item.id for call in started for item in call.items] == ["stays"]  # type: ignore[attr-defined]
         assert list(e.store.messages) == ["stays"]
         e.round()
-        assert "goes" not in e.dispatcher.messages
+        assert "goes" not in e.dispatcher.state.messages
         while hands.work():
             pass
         e.store.let_go()
@@ -455,7 +459,7 @@
         key = "K" if cls == "turns" else None
         e.store.take(Taken("m", cls, 7, e.clock() + 10**8, None, "acme", b"", key))
         e.store.flush()
-        e.post(i.Recalled("m", 7, cls, e.clock() + 10**8, key))
+        e.post(MessageRestored("m", 7, cls, e.clock() + 10**8, key))
         e.store.log.most = e.store.size  # nothing more fits
         e.round()
         assert [item.id for call in started for item in call.items] == ["m"] * leaves
@@ -492,7 +496,7 @@
             and e.figures.throttled["status"] == 1
         )
         e.round()
-        assert not e.dispatcher.messages
+        assert not e.dispatcher.state.messages
         e.store.close()
 
     asyncio.run(scene())
--- a/tests/test_list_told_in_time.py
+++ b/tests/test_list_told_in_time.py
@@ -16,9 +16,16 @@
 
 import pytest
 
-from rainfall import interface as i
-from rainfall.choice import Dispatcher
-from rainfall.choice.routes import ASK_LEAST_US, ASK_MOST_US
+from rainfall.dispatch import (
+    Dispatcher,
+    EndpointListChanged,
+    EndpointListKind,
+    Event,
+    SetTimer,
+    SubscribeEndpointList,
+    TimerExpired,
+)
+from rainfall.dispatch.endpoint_list import MAX_POLL_RETRY_US, MIN_POLL_RETRY_US
 from rainfall.net import discovery
 from rainfall.net.config import Address, HostList
 from rainfall.net.desk import ROUND_US
@@ -78,7 +85,7 @@
         )
         self.dispatcher = Dispatcher(known, seed, self.now())
         self.watch = Watch(where, 0, self.listed, seed, pushed=pushed)
-        self.events: list[i.Event] = []
+        self.events: list[Event] = []
         self.changed = asyncio.Event()
         self.watch.subscribe()
         self.round()
@@ -86,34 +93,36 @@
     def now(self) -> int:
         return int(self.loop.time() * SECOND)
 
-    def post(self, event: i.Event) -> None:
+    def post(self, event: Event) -> None:
         self.events.append(event)
         self.loop.call_later(ROUND_US / SECOND, self.round)
 
     def round(self) -> None:
         events, self.events = self.events, []
         for action in self.dispatcher.handle(self.now(), events):
-            if isinstance(action, i.SetTimer):
+            if isinstance(action, SetTimer):
                 self.loop.call_later(
                     action.delay_us / SECOND + 0.001,
                     self.post,
-                    i.TimerDue(action.token),
+                    TimerExpired(action.token),
                 )
-            elif isinstance(action, i.Subscribe):
+            elif isinstance(action, SubscribeEndpointList):
                 self.watch.subscribe()
 
     def listed(self, told: HostList | None) -> None:
         if told is None:
-            self.post(i.Listed(i.ListKind.FAILED))
+            self.post(EndpointListChanged(EndpointListKind.FAILED))
             return
-        kind = i.ListKind.WHOLE if told.whole else i.ListKind.CHANGES
-        self.events.append(i.Listed(kind, tuple(h.entry(1) for h in told.hosts)))
+        kind = EndpointListKind.SNAPSHOT if told.whole else EndpointListKind.CHANGES
+        self.events.append(
+            EndpointListChanged(kind, tuple(h.entry(1) for h in told.hosts))
+        )
         self.round()
         self.changed.set()
 
     def serves(self) -> bool:
         """Whether the module still sends to the one endpoint that there is."""
-        return bool(self.dispatcher.by_destination)
+        return bool(self.dispatcher.state.serving_endpoints)
 
     async def until(self, test: Callable[[], bool]) -> None:
         while not test():
@@ -186,7 +195,9 @@
     answer = discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S
     held = discovery.HOLD_MS / 1000 + discovery.LATE_S
     pause = (
-        discovery.SPREAD * discovery.PUSHED_PAUSE_S if pushed else ASK_MOST_US / SECOND
+        discovery.SPREAD * discovery.PUSHED_PAUSE_S
+        if pushed
+        else MAX_POLL_RETRY_US / SECOND
     )
     assert told_within_s(pushed) >= held + 3 * (pause + answer)
     # A watch continues only where the next call comes within 200 ms, and counts for 2 s
@@ -226,14 +237,18 @@
     for seed in range(20):
         known = settings(SETTINGS)
         dispatcher, now = Dispatcher(known, seed, 0), 0
-        assert any(isinstance(a, i.Subscribe) for a in dispatcher.handle(0, []))
+        assert any(
+            isinstance(a, SubscribeEndpointList) for a in dispatcher.handle(0, [])
+        )
         for _ in range(failures + 1):
             failed = now
-            actions = dispatcher.handle(now, [i.Listed(i.ListKind.FAILED)])
-            while not any(isinstance(a, i.Subscribe) for a in actions):
-                now += next(a.delay_us for a in actions if isinstance(a, i.SetTimer))
-                actions = dispatcher.handle(now, [i.TimerDue("look")])
-            assert ASK_LEAST_US <= now - failed < ASK_MOST_US
+            actions = dispatcher.handle(
+                now, [EndpointListChanged(EndpointListKind.FAILED)]
+            )
+            while not any(isinstance(a, SubscribeEndpointList) for a in actions):
+                now += next(a.delay_us for a in actions if isinstance(a, SetTimer))
+                actions = dispatcher.handle(now, [TimerExpired("look")])
+            assert MIN_POLL_RETRY_US <= now - failed < MAX_POLL_RETRY_US
 
 
 class Longest(Random):
@@ -271,7 +286,7 @@
             agent.left.append(listing(1, None, whole=False))
         peer = await Peer(agent).start()
         rig = Rig(Address("127.0.0.1", peer.port), pushed, 3)
-        rig.watch.random = rig.dispatcher.random = Longest(3)
+        rig.watch.random = rig.dispatcher.state.random = Longest(3)
         await rig.until(lambda: rig.serves() and not agent.left)
         assert rig.watch.failures == 0
         agent.silent.clear()
@@ -307,7 +322,7 @@
         agent = Agent()
         peer = await Peer(agent).start()
         rig = Rig(Address("127.0.0.1", peer.port), pushed, 3)
-        rig.watch.random = rig.dispatcher.random = Longest(3)
+        rig.watch.random = rig.dispatcher.state.random = Longest(3)
         await rig.until(rig.serves)
         agent.left = [SILENT] * 10_000
         await agent.silent.wait()
@@ -318,7 +333,7 @@
         answer, pause = (
             (discovery.PUSHED_ANSWER_S, discovery.SPREAD * discovery.PUSHED_PAUSE_S)
             if pushed
-            else (discovery.ANSWER_S, ASK_MOST_US / SECOND)
+            else (discovery.ANSWER_S, MAX_POLL_RETRY_US / SECOND)
         )
         held = max(0.0, discovery.HOLD_MS / 1000 + discovery.LATE_S - silent)
         assert rig.loop.time() - back <= max(held, answer) + pause + discovery.ROUND_S
@@ -351,7 +366,7 @@
         old.left = [listing(1, "up"), *[SILENT] * 10_000]
         peers = [await Peer(agent).start() for agent in (old, new)]
         rig = Rig(Address("127.0.0.1", peers[0].port), pushed, 3)
-        rig.watch.random = rig.dispatcher.random = Longest(3)
+        rig.watch.random = rig.dispatcher.state.random = Longest(3)
         await old.silent.wait()
         await asyncio.sleep(discovery.HOLD_MS / 1000 + discovery.LATE_S + 0.05)
         new.health, new.seq, new.left = "draining", 0, [first, second]
@@ -376,7 +391,7 @@
         old, new = Agent(), Agent()
         peers = [await Peer(agent).start() for agent in (old, new)]
         rig = Rig(Address("127.0.0.1", peers[0].port), pushed, 3)
-        rig.watch.random = rig.dispatcher.random = Longest(3)
+        rig.watch.random = rig.dispatcher.state.random = Longest(3)
         await rig.until(rig.serves)
         new.left = [listing(1, "up"), SILENT]
         new.slow = 0.95 * (discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S)
--- a/tests/test_live_work.py
+++ b/tests/test_live_work.py
@@ -12,15 +12,24 @@
 
 import pytest
 
-from rainfall import interface as i
-from rainfall.choice import Dispatcher
+from rainfall.dispatch import (
+    Dispatcher,
+    EndpointEntry,
+    EndpointListChanged,
+    EndpointListKind,
+    Event,
+    Outcome,
+    SendMessage,
+    Tenant,
+    TimerExpired,
+)
 from rainfall.journal.state import State, Taken
 from rainfall.net import starting
 from tests.scripts import MS, S, ask, end, sends, settings
 from tests.test_net import engine, taken
 
-TARGETS = (i.TargetEntry(1, 10), i.TargetEntry(2, 11))
-TENANTS = (i.Tenant("city", 0), i.Tenant("county", 0))
+TARGETS = (EndpointEntry(1, 10), EndpointEntry(2, 11))
+TENANTS = (Tenant("city", 0), Tenant("county", 0))
 
 
 def live(name: str, destination: int, due_us: int) -> Taken:
@@ -81,13 +90,15 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_demand_is_that_of_a_walk_over_all_held(seed: int) -> None:
     draw, now = Random(seed), 10 * S
-    dispatcher = Dispatcher(settings(slots=3, tenants=TENANTS), seed, now)
-    actions = dispatcher.handle(now, [i.Listed(i.ListKind.SAVED, TARGETS)])
-    dispatcher.held.demand()
-    out: list[i.Send] = []
+    dispatcher = Dispatcher(settings(max_in_flight=3, tenants=TENANTS), seed, now)
+    actions = dispatcher.handle(
+        now, [EndpointListChanged(EndpointListKind.CACHED, TARGETS)]
+    )
+    dispatcher.state.queues.count_by_demand()
+    out: list[SendMessage] = []
     for number in range(300):
         now += draw.randrange(30) * MS
-        events: list[i.Event] = [i.TimerDue("look")]
+        events: list[Event] = [TimerExpired("look")]
         if draw.random() < 0.7:
             tenant = draw.choice(("city", "county", None))
             events.append(
@@ -101,19 +112,21 @@
             )
         elif out:
             send = out.pop(draw.randrange(len(out)))
-            attempt = dispatcher.messages[send.message].attempts - 1
+            attempt = dispatcher.state.messages[send.message_id].attempts - 1
             outcome = draw.choice(
-                (i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.NOT_SENT)
+                (Outcome.DELIVERED, Outcome.REJECTED, Outcome.NOT_SENT)
             )
             events.append(end(send, outcome, attempt, 5 * MS))
         actions = dispatcher.handle(now, events)
         out += sends(actions)
         walked = {
-            destination: Counter((m.cls.name, m.tenant) for m in pile.values())
-            for destination, pile in dispatcher.held.piles.items()
+            destination: Counter(
+                (m.message_class.name, m.tenant) for m in pile.values()
+            )
+            for destination, pile in dispatcher.state.queues.by_destination.items()
         }
-        assert dispatcher.held.demand() == walked
-    assert dispatcher.counted > 150
+        assert dispatcher.state.queues.count_by_demand() == walked
+    assert dispatcher.state.last_sequence_number > 150
 
 
 def test_past_a_bound_of_messages_the_collector_looks_through_what_is_new_alone(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,9 +16,22 @@
 
 import pytest
 
-from rainfall import interface as i
-from rainfall.choice import Dispatcher
-from rainfall.choice.routes import MOST_GONE as MOST_TARGETS_GONE
+from rainfall.dispatch import (
+    Action,
+    AttemptFinished,
+    Dispatcher,
+    EndpointEntry,
+    EndpointListChanged,
+    EndpointListKind,
+    LoadReport,
+    MessageReceived,
+    MessageRestored,
+    MessageWithdrawn,
+    Outcome,
+    RecordOutage,
+    SendMessage,
+)
+from rainfall.dispatch.endpoint_list import MAX_REMOVED_ENDPOINTS as MOST_TARGETS_GONE
 from rainfall.journal.format import OLD_FRAME
 from rainfall.net.client import Call, Connection, Item, Pool, wait_us
 from rainfall.net.client_connection import ClientConnection
@@ -98,7 +111,7 @@
     assert list(Store(tmp_path, 1_000_000).messages) == ["a", "b", "d"]
 
 
-def pool(ends: list[i.Ended], idle_us: int = 5_000_000) -> Pool:
+def pool(ends: list[AttemptFinished], idle_us: int = 5_000_000) -> Pool:
     return Pool(Clock(), ends.append, ("x0", "x1"), idle_us, 1_000_000, 10)
 
 
@@ -110,14 +123,14 @@
     None
 ):
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
         p.serving({})
         await peer.until(lambda: peer.closed == 1)
-        assert not peer.requests and [e.outcome for e in ends] == [i.Outcome.NOT_SENT]
+        assert not peer.requests and [e.outcome for e in ends] == [Outcome.NOT_SENT]
         assert p.out == 0
 
     asyncio.run(scene())
@@ -125,7 +138,7 @@
 
 def test_send_that_waits_for_its_connection_heeds_a_wait_told_meanwhile() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(
             always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)
         ).start()
@@ -134,12 +147,12 @@
         p.start(call(Clock(), "a"))
         while not ends:
             await asyncio.sleep(0.005)
-        assert ends[0].wait_us == 60_000_000
+        assert ends[0].retry_after_us == 60_000_000
         p.close_idle(1)
         p.start(call(Clock(), "b"))
         while len(ends) < 2:
             await asyncio.sleep(0.005)
-        assert ends[1].outcome is i.Outcome.NOT_SENT and len(peer.requests) == 1
+        assert ends[1].outcome is Outcome.NOT_SENT and len(peer.requests) == 1
         p.close()
 
     asyncio.run(scene())
@@ -150,24 +163,27 @@
     replaced = 512  # at once
     for first in range(0, 4 * MOST_TARGETS_GONE, replaced):
         newest = tuple(
-            i.TargetEntry(n, 7, kind="plain") for n in range(first, first + replaced)
+            EndpointEntry(n, 7, kind="plain") for n in range(first, first + replaced)
+        )
+        d.handle(first, [EndpointListChanged(EndpointListKind.SNAPSHOT, newest)])
+        assert (
+            len(d.state.endpoints) <= MOST_TARGETS_GONE + replaced
+            and first in d.state.endpoints
         )
-        d.handle(first, [i.Listed(i.ListKind.WHOLE, newest)])
-        assert len(d.targets) <= MOST_TARGETS_GONE + replaced and first in d.targets
 
 
 def test_idle_connection_is_closed_before_its_target_would() -> None:
     """The module closes some by itself; the pool must close what it leaves."""
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends, 1_000_000)
         p.serving({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
         assert (
-            [e.outcome for e in ends] == [i.Outcome.DELIVERED]
+            [e.outcome for e in ends] == [Outcome.DELIVERED]
             and not p.idle
             and not p.sweeping
         )
@@ -205,7 +221,7 @@
 
 def test_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
@@ -216,7 +232,7 @@
             if drained:
                 connection.resume_writing()
             connection.connection_lost(None)
-        assert [e.outcome for e in ends] == [i.Outcome.NO_CONNECTION, i.Outcome.RESET]
+        assert [e.outcome for e in ends] == [Outcome.NO_CONNECTION, Outcome.RESET]
         p.idle.clear()
 
     asyncio.run(scene())
@@ -224,7 +240,7 @@
 
 def test_time_out_closes_its_connection_and_frees_its_call() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(hang).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -233,14 +249,14 @@
         assert p.out == 1 and not ends
         while not ends:
             await asyncio.sleep(0.01)
-        assert ends[0].outcome is i.Outcome.TIMED_OUT and not ends[0].closed
+        assert ends[0].outcome is Outcome.TIMED_OUT and not ends[0].message_closed
         while p.all:
             await asyncio.sleep(0.01)
         assert p.out == 0 and not p.calls and not p.idle
         p.start(call(Clock(), "n"))
         await peer.got(2)
         p.cancel("n", 0)
-        assert ends[1].outcome is i.Outcome.CANCELED
+        assert ends[1].outcome is Outcome.CANCELED
         p.close()
 
     asyncio.run(scene())
@@ -253,7 +269,7 @@
     """
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(hang).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -272,9 +288,9 @@
         request = (await peer.got(1))[0]
         assert float(request.headers["x-time-left"]) <= 10
         p.cancel("short", 0)
-        assert {(e.message, e.outcome) for e in ends} == {
-            ("long", i.Outcome.CANCELED),
-            ("short", i.Outcome.CANCELED),
+        assert {(e.message_id, e.outcome) for e in ends} == {
+            ("long", Outcome.CANCELED),
+            ("short", Outcome.CANCELED),
         }
         while p.all:
             await asyncio.sleep(0.005)
@@ -293,7 +309,7 @@
     """
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(hang).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -315,8 +331,8 @@
         async with asyncio.timeout(10):
             while not ends:
                 await asyncio.sleep(0.005)
-        assert [(e.message, e.outcome) for e in ends] == [
-            (name, i.Outcome.TIMED_OUT) for name in ("long", "short", "later")
+        assert [(e.message_id, e.outcome) for e in ends] == [
+            (name, Outcome.TIMED_OUT) for name in ("long", "short", "later")
         ]
         assert p.out == 0 and not p.calls
         while p.all:
@@ -328,7 +344,7 @@
 
 def test_connections_are_used_again_and_closed_on_demand() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -396,7 +412,7 @@
     for more in (copy, b"\0\1noise\r\n"):
 
         async def scene(more: bytes = more) -> None:
-            ends: list[i.Ended] = []
+            ends: list[AttemptFinished] = []
             peer = await Peer(always(good + more, OK)).start()
             p = pool(ends)
             p.serving({1: Address("127.0.0.1", peer.port)})
@@ -405,9 +421,9 @@
             p.start(call(Clock(), "n"))
             while len(ends) < 2:
                 await asyncio.sleep(0.005)
-            assert [e.outcome for e in ends] == [i.Outcome.DELIVERED] * 2 and ends[
+            assert [e.outcome for e in ends] == [Outcome.DELIVERED] * 2 and ends[
                 0
-            ].wait_us == 0
+            ].retry_after_us == 0
             assert len({r.writer for r in peer.requests}) == 2
             p.close()
 
@@ -416,7 +432,7 @@
 
 def test_idle_connection_with_something_unread_is_not_used() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -435,7 +451,7 @@
         p.start(call(Clock(), "n"))
         while len(ends) < 2:
             await asyncio.sleep(0.005)
-        assert [e.outcome for e in ends] == [i.Outcome.DELIVERED] * 2
+        assert [e.outcome for e in ends] == [Outcome.DELIVERED] * 2
         p.close()
 
     asyncio.run(scene())
@@ -460,7 +476,7 @@
         reader.headers = {"x-backend-load": report}
         assert p.report(reader) is None
     reader.headers = {"x-backend-load": "x0=0.4, x1=25", "x-ratelimit-wait-ms": "12.5"}
-    assert p.report(reader) == i.LoadReport(0.4, 25.0) and wait_us(reader) == 12_500
+    assert p.report(reader) == LoadReport(0.4, 25.0) and wait_us(reader) == 12_500
 
 
 def test_answers_ahead_are_left_out_and_an_end_may_stand_for_a_length() -> None:
@@ -484,7 +500,7 @@
 
 def test_batch_answer_nested_without_end_is_spoilt_and_frees_its_call() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         deep = b"[" * 60_000
         peer = await Peer(always(Answer(200, body=deep))).start()
         p = pool(ends)
@@ -495,7 +511,7 @@
         while len(ends) < 2:
             await asyncio.sleep(0.005)
         assert (
-            {e.outcome for e in ends} == {i.Outcome.SPOILT}
+            {e.outcome for e in ends} == {Outcome.UNREADABLE}
             and p.out == 0
             and not p.calls
         )
@@ -532,26 +548,35 @@
     connections still do.
     """
     for outcome, weak, marked in (
-        (i.Outcome.RESET, True, False),
-        (i.Outcome.NO_CONNECTION, False, True),
+        (Outcome.RESET, True, False),
+        (Outcome.NO_CONNECTION, False, True),
     ):
         d = Dispatcher(settings(SETTINGS), 1, 0)
-        d.handle(0, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(1, 7, kind="plain"),))])
-        seen: list[i.Action] = []
+        d.handle(
+            0,
+            [
+                EndpointListChanged(
+                    EndpointListKind.SNAPSHOT, (EndpointEntry(1, 7, kind="plain"),)
+                )
+            ],
+        )
+        seen: list[Action] = []
         now = 0
         for n in range(3):
             now += 50_000
-            sent = d.handle(now, [i.Arrived(f"m{n}", 7, "status", now + 9_000_000)])
-            assert n and marked or any(isinstance(a, i.Send) for a in sent)
+            sent = d.handle(
+                now, [MessageReceived(f"m{n}", 7, "status", now + 9_000_000)]
+            )
+            assert n and marked or any(isinstance(a, SendMessage) for a in sent)
             now += 20_000
             seen += d.handle(
                 now,
                 [
-                    i.Ended(f"m{n}", 0, 1, outcome, 20_000, weak=weak),
-                    i.Withdrawn(f"m{n}"),
+                    AttemptFinished(f"m{n}", 0, 1, outcome, 20_000, inconclusive=weak),
+                    MessageWithdrawn(f"m{n}"),
                 ],
             )
-        assert any(isinstance(a, i.Outage) for a in seen) is marked
+        assert any(isinstance(a, RecordOutage) for a in seen) is marked
 
 
 def test_how_long_idle_connections_hold_is_learned_and_tried_again() -> None:
@@ -567,7 +592,7 @@
 
 def test_target_that_moved_keeps_no_connection_to_its_old_address() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         free = asyncio.Event()
 
         async def late(request: object) -> Answer:
@@ -626,25 +651,32 @@
         e.round()
         for n in range(3):
             e.store.take(taken(f"m{n}"))
-            e.post(i.Recalled(f"m{n}", 7, "order", 10**16))
+            e.post(MessageRestored(f"m{n}", 7, "order", 10**16))
         e.round()
-        assert e.dispatcher.calls_out == len(started) > 0
+        assert e.dispatcher.state.calls_in_flight == len(started) > 0
         sent = started[0].items[0].id
-        whole = Dispatcher.listed
+        whole = Dispatcher.change_endpoint_list
 
-        def faulty(d: Dispatcher, event: i.Listed) -> None:
+        def faulty(d: Dispatcher, event: EndpointListChanged) -> None:
             raise RuntimeError("a fault")
 
-        monkeypatch.setattr(Dispatcher, "listed", faulty)
-        out = e.dispatcher.calls_out
-        e.post(i.Listed(i.ListKind.CHANGES))
-        e.post(i.Ended(sent, 0, started[0].target, i.Outcome.DELIVERED, 5, closed=True))
+        monkeypatch.setattr(Dispatcher, "change_endpoint_list", faulty)
+        out = e.dispatcher.state.calls_in_flight
+        e.post(EndpointListChanged(EndpointListKind.CHANGES))
+        e.post(
+            AttemptFinished(
+                sent, 0, started[0].target, Outcome.DELIVERED, 5, message_closed=True
+            )
+        )
         e.round()
-        monkeypatch.setattr(Dispatcher, "listed", whole)
-        assert e.dispatcher.calls_out == out and len(e.events) == 1
+        monkeypatch.setattr(Dispatcher, "change_endpoint_list", whole)
+        assert e.dispatcher.state.calls_in_flight == out and len(e.events) == 1
         e.round()
-        assert sent not in e.store.messages and sent not in e.dispatcher.messages
-        assert e.dispatcher.calls_out == sum(len(c.items) > 0 for c in started) - 1
+        assert sent not in e.store.messages and sent not in e.dispatcher.state.messages
+        assert (
+            e.dispatcher.state.calls_in_flight
+            == sum(len(c.items) > 0 for c in started) - 1
+        )
         e.store.close()
 
     asyncio.run(scene())
@@ -664,7 +696,7 @@
         forming: dict[tuple[int, bool], Call] = {}
         for n, name in enumerate(["status", "pay", "order", "pay"]):
             e.store.take(Taken(f"m{n}", name, 7, 10**16, None, None, b""))
-            e.send(i.Send(f"m{n}", 1, 10**6), 0, forming, calls)
+            e.send(SendMessage(f"m{n}", 1, 10**6), 0, forming, calls)
         assert [[item.id for item in c.items] for c in calls] == [
             ["m0", "m2"],
             ["m1", "m3"],
@@ -683,10 +715,10 @@
         assert len(e.numbers) == len(e.names) <= MOST_GONE + len(e.hosts) + 1
         assert len(e.recent) == MOST_RECENT and "m2999" in e.recent
         e.send(
-            i.Send("m0", 1, 5), 0, {}, []
+            SendMessage("m0", 1, 5), 0, {}, []
         )  # of a target and a message that are forgotten
         e.store.take(taken("m"))
-        e.send(i.Send("m", 10**6, 5), 0, {}, [])
+        e.send(SendMessage("m", 10**6, 5), 0, {}, [])
         assert e.store.messages["m"].attempts == 1
         e.store.close()
 
@@ -723,7 +755,7 @@
     async def scene() -> None:
         e = engine(tmp_path)
         e.store.take(taken("m"))
-        e.book(i.Ended("m", 0, 1, i.Outcome.FULL, 5))
+        e.book(AttemptFinished("m", 0, 1, Outcome.REJECTED, 5))
         with caplog.at_level("INFO"):
             e.sum_up(e.summed_s + 5)
             e.sum_up(e.summed_s + 5)
@@ -734,8 +766,13 @@
         )
         assert "in 5 s: nothing; held 1" in second
         now = e.clock()
-        e.dispatcher.handle(now, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(1, 7),))])
-        e.dispatcher.targets[1].place.wait_until = now + 60_000_000
+        e.dispatcher.handle(
+            now,
+            [EndpointListChanged(EndpointListKind.SNAPSHOT, (EndpointEntry(1, 7),))],
+        )
+        e.dispatcher.state.endpoints[1].throttle_scope.retry_after_until = (
+            now + 60_000_000
+        )
         caplog.clear()
         with caplog.at_level("INFO"):
             e.sum_up(e.summed_s + 5)
@@ -776,8 +813,12 @@
     async def scene() -> None:
         e = engine(tmp_path)
         m = e.store.messages["m"]
-        recalled = next(x for x in e.events if isinstance(x, i.Recalled))
-        assert recalled.cls == e.store.class_of(m) == e.config.settings.classes[0]
+        recalled = next(x for x in e.events if isinstance(x, MessageRestored))
+        assert (
+            recalled.message_class
+            == e.store.class_of(m)
+            == e.config.settings.classes[0]
+        )
         e.store.flush()
         e.store.compact()
         e.store.close()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainfall import interface as i
+from rainfall.dispatch import Idempotency, MessageClass
 from rainfall.journal import recovery
 from rainfall.journal.recovery import Unusable, look
 from rainfall.net.store import Owed, Rules, Store, Taken
@@ -22,9 +22,9 @@
 FOLDER = Path("/state")
 SECOND = 1_000_000
 CLASSES = (
-    i.MessageClass("status", SECOND, 10 * SECOND),
-    i.MessageClass("pay", SECOND, 10 * SECOND, i.Effect.ONCE),
-    i.MessageClass("turn", SECOND, 10 * SECOND, in_order=True),
+    MessageClass("status", SECOND, 10 * SECOND),
+    MessageClass("pay", SECOND, 10 * SECOND, Idempotency.NEVER),
+    MessageClass("turn", SECOND, 10 * SECOND, ordered=True),
 )
 RULES = Rules(6, CLASSES)
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -10,10 +10,28 @@
 
 import pytest
 
-from rainfall import interface as i
-from rainfall.choice import Dispatcher
-from rainfall.choice.books import WIRE_US
-from rainfall.choice.giving import LEAST_AWAY_US
+from rainfall.dispatch import (
+    Action,
+    AttemptFinished,
+    CancelAttempt,
+    CloseIdleConnections,
+    Dispatcher,
+    EndpointEntry,
+    EndpointListChanged,
+    EndpointListKind,
+    FailMessage,
+    Idempotency,
+    IdempotencyScope,
+    MessageClass,
+    MessageRestored,
+    Outcome,
+    RejectMessage,
+    SendMessage,
+    SnapshotRestored,
+    TimerExpired,
+)
+from rainfall.dispatch.completion import MIN_RETRY_AFTER_US
+from rainfall.dispatch.idempotency import TRANSIT_SLACK_US
 from rainfall.net.client import Call, Item, Pool
 from rainfall.net.config import Address, Config, HostList, host
 from rainfall.net.engine import Clock, Engine
@@ -24,28 +42,30 @@
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Platform, always
 from tests.test_recovery import opened, taken
 
-FULL, FAILED, LATE = i.Outcome.FULL, i.Outcome.FAILED, i.Outcome.TIMED_OUT
-ONE = (i.TargetEntry(1, 10, "north", "plain"),)
+FULL, FAILED, LATE = Outcome.REJECTED, Outcome.FAILED, Outcome.TIMED_OUT
+ONE = (EndpointEntry(1, 10, "north", "plain"),)
 WINDOW = 1 * S
 
 
-def short(window: int = WINDOW, scope: i.Scope = i.Scope.ALL) -> dict[str, object]:
+def short(
+    window: int = WINDOW, scope: IdempotencyScope = IdempotencyScope.ALL
+) -> dict[str, object]:
     """Settings with one keyed class whose window is no longer than a client's shortest
     absence.
     """
     return {
         "classes": (
-            i.MessageClass("keyed", 2 * S, 20 * S, i.Effect.KEYED, scope, window),
-            i.MessageClass("safe", 2 * S, 20 * S),
+            MessageClass("keyed", 2 * S, 20 * S, Idempotency.WITH_KEY, scope, window),
+            MessageClass("safe", 2 * S, 20 * S),
         )
     }
 
 
-def failed_once(d: Dispatcher, at: int, then: i.Outcome = FAILED) -> list[i.Action]:
+def failed_once(d: Dispatcher, at: int, then: Outcome = FAILED) -> list[Action]:
     """One keyed message whose first call is sent at 0 and ends so at that time."""
     first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
     return d.handle(
-        at, [end(first, then, took=at, weak=True)]
+        at, [end(first, then, took=at, inconclusive=True)]
     )  # weak: no outage in the way of a repeat
 
 
@@ -56,21 +76,21 @@
     "at, again",
     [
         (300 * MS, True),
-        (WINDOW - WIRE_US - 1, True),
-        (WINDOW - WIRE_US, False),
+        (WINDOW - TRANSIT_SLACK_US - 1, True),
+        (WINDOW - TRANSIT_SLACK_US, False),
         (WINDOW, False),
     ],
 )
 @pytest.mark.parametrize(
-    "how", [FAILED, LATE, i.Outcome.RESET, i.Outcome.SPOILT, i.Outcome.CANCELED]
+    "how", [FAILED, LATE, Outcome.RESET, Outcome.UNREADABLE, Outcome.CANCELED]
 )
 def test_a_repeat_is_decided_only_with_time_left_for_its_way(
-    at: int, again: bool, how: i.Outcome
+    at: int, again: bool, how: Outcome
 ) -> None:
     d = started(ONE, **short())
     actions = failed_once(d, at, how)
     assert bool(sends(actions)) is again
-    assert finals(actions) == ([] if again else [i.Fail("m")])
+    assert finals(actions) == ([] if again else [FailMessage("m")])
 
 
 def test_the_window_runs_from_the_first_call_that_may_have_run_and_from_no_later_one() -> (
@@ -78,18 +98,18 @@
 ):
     d = started(ONE, **short())
     first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    never = sends(d.handle(400 * MS, [end(first, i.Outcome.NO_CONNECTION, weak=True)]))[
-        0
-    ]  # ran not
+    never = sends(
+        d.handle(400 * MS, [end(first, Outcome.NO_CONNECTION, inconclusive=True)])
+    )[0]  # ran not
     ran = sends(
-        d.handle(800 * MS, [end(never, FAILED, 1, weak=True)])
+        d.handle(800 * MS, [end(never, FAILED, 1, inconclusive=True)])
     )  # that was sent at 0.4 s
     assert ran
-    assert not finals(d.handle(1300 * MS, [i.TimerDue("look")]))
+    assert not finals(d.handle(1300 * MS, [TimerExpired("look")]))
     actions = d.handle(
-        1350 * MS, [end(ran[0], FAILED, 2, weak=True)]
+        1350 * MS, [end(ran[0], FAILED, 2, inconclusive=True)]
     )  # this one's own runs to 1.8 s
-    assert not sends(actions) and finals(actions) == [i.Fail("m")]
+    assert not sends(actions) and finals(actions) == [FailMessage("m")]
 
 
 def test_past_its_window_a_keyed_message_is_failed_and_never_refused() -> None:
@@ -99,22 +119,23 @@
     d = started(ONE, **short())
     first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
     d.handle(
-        100 * MS, [end(first, FAILED), i.Listed(i.ListKind.WHOLE, ())]
+        100 * MS,
+        [end(first, FAILED), EndpointListChanged(EndpointListKind.SNAPSHOT, ())],
     )  # nowhere to go
     given = [
         a
         for t in range(120 * MS, 3 * S, 20 * MS)
-        for a in finals(d.handle(t, [i.TimerDue("look")]))
+        for a in finals(d.handle(t, [TimerExpired("look")]))
     ]
-    assert given == [i.Fail("m")]
+    assert given == [FailMessage("m")]
 
 
 @pytest.mark.parametrize(
     "window, final",
     [
-        (LEAST_AWAY_US, i.Fail),
-        (LEAST_AWAY_US + WIRE_US + 300 * MS, i.Fail),
-        (10 * S, i.Refuse),
+        (MIN_RETRY_AFTER_US, FailMessage),
+        (MIN_RETRY_AFTER_US + TRANSIT_SLACK_US + 300 * MS, FailMessage),
+        (10 * S, RejectMessage),
     ],
 )
 def test_a_client_that_would_come_back_after_the_window_is_not_sent_away(
@@ -127,12 +148,12 @@
     assert [type(a) for a in finals(failed_once(d, 300 * MS))] == [final]
 
 
-@pytest.mark.parametrize("scope", [i.Scope.ZONE, i.Scope.TARGET])
+@pytest.mark.parametrize("scope", [IdempotencyScope.ZONE, IdempotencyScope.ENDPOINT])
 def test_a_key_that_other_targets_do_not_know_is_never_refused_once_it_may_have_run(
-    scope: i.Scope,
+    scope: IdempotencyScope,
 ) -> None:
     d = started(ONE, max_attempts=1, **short(10 * S, scope))
-    assert finals(failed_once(d, 300 * MS)) == [i.Fail("m")]
+    assert finals(failed_once(d, 300 * MS)) == [FailMessage("m")]
 
 
 # Over restarts and hand-overs
@@ -147,21 +168,21 @@
     actions = d.handle(
         now,
         [
-            i.Listed(i.ListKind.WHOLE, ONE),
-            i.Recalled(
+            EndpointListChanged(EndpointListKind.SNAPSHOT, ONE),
+            MessageRestored(
                 "m",
                 10,
                 "keyed",
                 now + 15 * S,
                 attempts=1,
-                ran_at_us=now + at,
-                ran_on=1,
-                cut_off=True,
+                executed_at_us=now + at,
+                executed_on=1,
+                interrupted=True,
             ),
         ],
     )
     assert bool(sends(actions)) is again and finals(actions) == (
-        [] if again else [i.Fail("m")]
+        [] if again else [FailMessage("m")]
     )
 
 
@@ -171,19 +192,19 @@
 ) -> None:
     old = started(ONE, **short())
     first = sends(old.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    memory = json.loads(json.dumps(old.memory({("m", 0)})))
+    memory = json.loads(json.dumps(old.snapshot({("m", 0)})))
     d = Dispatcher(settings(**short()), 8, 500 * MS)
     told = [
-        i.Listed(i.ListKind.SAVED, ONE),
-        i.Recalled("m", 10, "keyed", 20 * S, attempts=1),
-        i.Remembered(memory),
+        EndpointListChanged(EndpointListKind.CACHED, ONE),
+        MessageRestored("m", 10, "keyed", 20 * S, attempts=1),
+        SnapshotRestored(memory),
     ]
     assert not sends(
         d.handle(500 * MS, told)
     )  # its call is still out at the process before
-    actions = d.handle(at, [end(first, i.Outcome.RESET, took=at)])
+    actions = d.handle(at, [end(first, Outcome.RESET, took=at)])
     assert bool(sends(actions)) is again and finals(actions) == (
-        [] if again else [i.Fail("m")]
+        [] if again else [FailMessage("m")]
     )
 
 
@@ -301,21 +322,22 @@
     """Called off once later calls are answered, it could not be sent again: it has to
     have its aim first.
     """
-    d = started(ONE, may_cancel=True, **short(window))
+    d = started(ONE, allow_cancel=True, **short(window))
     d.handle(
-        MS, [end(sends(d.handle(0, [ask("first")]))[0], i.Outcome.DELIVERED)]
+        MS, [end(sends(d.handle(0, [ask("first")]))[0], Outcome.DELIVERED)]
     )  # the window lets two go
     assert (
-        sends(d.handle(2 * MS, [ask("m", cls="keyed", due=60 * S)]))[0].message == "m"
+        sends(d.handle(2 * MS, [ask("m", cls="keyed", due=60 * S)]))[0].message_id
+        == "m"
     )
     now, cancels = 0, []
     while not cancels and now < 30 * S:
         now += 100 * MS
         actions = d.handle(now, [ask(f"m{now}", due=60 * S)])
-        answered = [end(s, i.Outcome.DELIVERED, took=50 * MS) for s in sends(actions)]
+        answered = [end(s, Outcome.DELIVERED, took=50 * MS) for s in sends(actions)]
         actions += d.handle(now + 50 * MS, answered)
-        cancels = [a for a in actions if isinstance(a, i.Cancel)]
-    assert cancels == [i.Cancel("m", 0)] and least <= now <= most
+        cancels = [a for a in actions if isinstance(a, CancelAttempt)]
+    assert cancels == [CancelAttempt("m", 0)] and least <= now <= most
 
 
 @pytest.mark.parametrize("window, whole", [(S, True), (60 * S, False)])
@@ -341,7 +363,7 @@
         platform.host("s1", 9)
         e = Engine(configured(tmp_path, platform, S))
         e.batches["plain"] = 20
-        calls: list[i.CloseIdle | Call | i.Cancel] = []
+        calls: list[CloseIdleConnections | Call | CancelAttempt] = []
         forming: dict[tuple[int, bool], Call] = {}
         for name, cls, wait in (
             ("a", "status", 2 * S),
@@ -351,7 +373,7 @@
             ("e", "status", 50 * S),
         ):
             e.store.take(Taken(name, cls, 7, 50 * S, None, None, b""))
-            e.send(i.Send(name, 1, wait), 0, forming, calls)
+            e.send(SendMessage(name, 1, wait), 0, forming, calls)
         made = [c for c in calls if isinstance(c, Call)]
         assert [[x.id for x in c.items] for c in made] == [["a", "c", "e"], ["b", "d"]]
         assert [min(x.until_us for x in c.items) for c in made] == [2 * S, 50 * S]
@@ -391,7 +413,7 @@
     """
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         clock, gate = Hand(), asyncio.Event()
         p = Pool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
@@ -411,8 +433,8 @@
         async with asyncio.timeout(PATIENCE):
             while len(ends) < 1 + beside:
                 await asyncio.sleep(0)
-        first = next(e for e in ends if e.message == "m")
-        assert first.outcome is i.Outcome.NOT_SENT
+        first = next(e for e in ends if e.message_id == "m")
+        assert first.outcome is Outcome.NOT_SENT
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["n"] * beside
         assert p.out == 0 and not p.calls
         p.close()
@@ -422,7 +444,7 @@
 
 def test_a_repeat_held_by_the_last_gate_until_after_the_window_does_not_leave() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         clock = Hand()
         p = Pool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
@@ -440,7 +462,7 @@
             while not ends:
                 await asyncio.sleep(0.001)
         assert (
-            ends[0].outcome is i.Outcome.NOT_SENT
+            ends[0].outcome is Outcome.NOT_SENT
             and not peer.requests
             and len(asked) == 1
         )
@@ -451,7 +473,7 @@
 
 def test_a_repeat_that_has_arrived_is_waited_for_past_the_window() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         clock, gate = Hand(), asyncio.Event()
 
         async def slow(request: object) -> Answer:
@@ -472,7 +494,7 @@
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.001)
-        assert ends[0].outcome is i.Outcome.DELIVERED
+        assert ends[0].outcome is Outcome.DELIVERED
         p.close()
 
     asyncio.run(scene())
@@ -495,19 +517,19 @@
         e.store.attempt(m, 0, now, "s1")
         e.store.outcome(m, 0, ran)
         e.post(
-            i.Recalled(
+            MessageRestored(
                 "m",
                 7,
                 "order",
                 m.due_us,
                 attempts=1,
-                ran_at_us=m.ran_at_us,
-                ran_on=e.numbers["s1"],
+                executed_at_us=m.ran_at_us,
+                executed_on=e.numbers["s1"],
             )
         )
         e.round()
         (item,) = calls[0].items
-        assert item.leave_by_us == (now + 30 * S - WIRE_US if bound else 0)
+        assert item.leave_by_us == (now + 30 * S - TRANSIT_SLACK_US if bound else 0)
         e.store.close()
 
     asyncio.run(scene())
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -10,7 +10,15 @@
 
 import pytest
 
-from rainfall import interface as i
+from rainfall.dispatch import (
+    Action,
+    AttemptFinished,
+    CheckEndpointHealth,
+    Event,
+    Outcome,
+    QuotaChanged,
+)
+from tests.recorded_names import recorded_name
 from tests.worlds import SEEDS, Round, play
 
 RECORDED: list[dict[str, Any]] = json.loads(
@@ -28,7 +36,7 @@
 )
 def test_every_action_is_as_recorded(recorded: dict[str, Any]) -> None:
     rounds, were = played(recorded["seed"]), recorded["actions"]
-    kinds = Counter(type(a).__name__ for r in rounds for a in r.actions)
+    kinds = Counter(recorded_name(a) for r in rounds for a in r.actions)
     differ = {
         kind: f"{were.get(kind, 0)} recorded, {kinds[kind]} now"
         for kind in sorted(kinds.keys() | were.keys())
@@ -47,7 +55,10 @@
     rounds = [r for seed in SEEDS[:16] for r in played(seed)]
     seen = {type(x) for r in rounds for x in (*r.events, *r.actions)}
     # No decision asks for a probe, and shares are newer than the record.
-    assert seen >= {*get_args(i.Event), *get_args(i.Action)} - {i.Probe, i.Shares}
+    assert seen >= {*get_args(Event), *get_args(Action)} - {
+        CheckEndpointHealth,
+        QuotaChanged,
+    }
     assert {
-        e.outcome for r in rounds for e in r.events if isinstance(e, i.Ended)
-    } == set(i.Outcome)
+        e.outcome for r in rounds for e in r.events if isinstance(e, AttemptFinished)
+    } == set(Outcome)
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -18,7 +18,7 @@
     """
     parts = {
         str(p.relative_to(ROOT)): p.read_text()
-        for p in sorted((ROOT / "rainfall/choice").rglob("*.py"))
+        for p in sorted((ROOT / "rainfall/dispatch").rglob("*.py"))
     }
     assert tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"] == list(
         parts
@@ -35,15 +35,13 @@
         for node in ast.walk(ast.parse(text))
         if isinstance(node, ast.FunctionDef)
     ]
-    assert max((node.end_lineno or 0) - node.lineno + 1 for node in functions) <= 75
+    assert max((node.end_lineno or 0) - node.lineno + 1 for node in functions) <= 50
     assert (
         max(len(line) for text in parts.values() for line in text.splitlines()) <= 110
     )
     for entrance in ("__init__", "dispatcher"):
-        assert (
-            "rainfall/interface.py"
-            in parts[f"rainfall/choice/{entrance}.py"].splitlines()[0]
-        )
+        head = ast.get_docstring(ast.parse(parts[f"rainfall/dispatch/{entrance}.py"]))
+        assert "docs/decisions.md" in str(head)
 
 
 def test_readme_example_runs() -> None:
@@ -52,7 +50,7 @@
     with contextlib.redirect_stdout(out):
         for block in code:
             exec(compile(block, "README.md", "exec"), {})
-    assert out.getvalue() == "send m1 to target 1\nstill to do: []\n"
+    assert out.getvalue() == "send m1 to endpoint 1\nstill to do: []\n"
 
 
 def test_readme_names_the_test_command() -> None:
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -58,7 +58,7 @@
 ) -> None:
     async def scene() -> None:
         engine = small_engine(tmp_path)
-        most = engine.config.settings.max_open
+        most = engine.config.settings.max_open_messages
         answers = [hand_in(engine, f"m{n}", decide=False) for n in range(most + 1)]
         assert answers == [*[None] * most, HTTPStatus.SERVICE_UNAVAILABLE]
         assert any(Bound.MESSAGES.value in r.getMessage() for r in caplog.records)
@@ -75,7 +75,7 @@
         config = replace(
             first,
             state=tmp_path / "state",
-            settings=replace(first.settings, max_open=10**6, slots=1),
+            settings=replace(first.settings, max_open_messages=10**6, max_in_flight=1),
             memory_mb=1 if bound is Bound.MEMORY else 10**5,
             disk_bytes=400_000 if bound is Bound.DISK else 10**9,
         )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from rainfall.choice import Dispatcher
+from rainfall.dispatch import Dispatcher
 from tests.scripts import Script, settings
 
 
@@ -32,12 +32,12 @@
     play(
         seed,
         500,
-        slots=slots,
+        max_in_flight=slots,
         max_attempts=attempts,
         tenants=(),
-        balancers=1,
-        kinds=(),
-        retry_after=False,
+        forwarder_count=1,
+        destination_kinds=(),
+        send_retry_after=False,
     )
 
 
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from rainfall import interface as i
+from rainfall.dispatch import AttemptFinished, Idempotency, IdempotencyScope, LoadReport
 from rainfall.net import starting
 from rainfall.net.config import Config, ConfigError, parse, replacement
 from rainfall.net.engine import Engine
@@ -186,7 +186,7 @@
             site.begin()
             await site.ready()
         was = (
-            other.engine.dispatcher.s,
+            other.engine.dispatcher.state.settings,
             other.engine.server.settings,
             dict(other.engine.batches),
             other.engine.pool.fields,
@@ -204,7 +204,7 @@
         one.engine.config = one.config(settings=new)
         one.engine.retune(one.engine.config)
         assert was == (
-            other.engine.dispatcher.s,
+            other.engine.dispatcher.state.settings,
             other.engine.server.settings,
             other.engine.batches,
             other.engine.pool.fields,
@@ -369,25 +369,30 @@
     nowhere, as nothing says for how long and by whom its repeats are dropped.
     """
     s = settings(BARE)
-    assert [(c.effect, c.window_us, c.in_order) for c in s.classes] == [
-        (i.Effect.REPEATABLE, 0, False),
-        (i.Effect.KEYED, 0, False),
-        (i.Effect.ONCE, 0, False),
+    assert [(c.idempotency, c.idempotency_window_us, c.ordered) for c in s.classes] == [
+        (Idempotency.ALWAYS, 0, False),
+        (Idempotency.WITH_KEY, 0, False),
+        (Idempotency.NEVER, 0, False),
     ]
-    assert all(c.scope is i.Scope.TARGET for c in s.classes)
+    assert all(c.idempotency_scope is IdempotencyScope.ENDPOINT for c in s.classes)
     assert not (
-        s.parallel_tries
-        or s.may_cancel
-        or s.may_probe
-        or s.retry_after
-        or s.subscribe
-        or s.weights_told
-        or s.late_halves
+        s.allow_parallel_attempts
+        or s.allow_cancel
+        or s.allow_health_checks
+        or s.send_retry_after
+        or s.subscribe_endpoint_list
+        or s.endpoint_weights_known
+        or s.late_weight_halves
         or s.tenants
-        or s.kinds
-        or s.zone_fees
+        or s.destination_kinds
+        or s.zone_costs
     )
-    assert (s.balancers, s.refused_price, s.key_rest_us, s.conn_idle_us) == (
+    assert (
+        s.forwarder_count,
+        s.rejection_cost,
+        s.key_backoff_us,
+        s.idle_connection_us,
+    ) == (
         1,
         0.0,
         0,
@@ -494,8 +499,8 @@
             replacement(old, env)
         return
     s = replacement(old, env).settings
-    assert s.classes[0].in_order is (path[-1] != "by_arrival")
-    assert s.key_rest_us == (0 if path[-1] == "key_rest_us" else 5000)
+    assert s.classes[0].ordered is (path[-1] != "by_arrival")
+    assert s.key_backoff_us == (0 if path[-1] == "key_rest_us" else 5000)
 
 
 # SIGHUP
@@ -630,7 +635,7 @@
         )
         one.begin()
         await one.ready()
-        ends: list[i.Ended] = []
+        ends: list[AttemptFinished] = []
         book = one.engine.book
         one.engine.book = lambda e: (ends.append(e), book(e))[1]  # type: ignore[method-assign]
         for n, fields in enumerate((["x0", "x1"], [], ["x0", "x1"])):
@@ -639,8 +644,8 @@
             )
             assert await one.hand_in(f"m{n}", "order") == 202
             await one.until(lambda e, n=n: e.figures.fulfilled["order"] == n + 1)
-        told = i.LoadReport(0.5, 70.0)
-        assert [e.report for e in ends] == [told, None, told]
+        told = LoadReport(0.5, 70.0)
+        assert [e.load_report for e in ends] == [told, None, told]
 
     together(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
@@ -727,14 +732,17 @@
         one.engine.reload()
         assert (
             one.engine.figures.accepted == 1
-            and one.engine.config.settings.max_open == 7
+            and one.engine.config.settings.max_open_messages == 7
         )
         for _ in range(5):
             await asyncio.sleep(0)
-            assert not one.engine.dispatcher.attempts and not one.engine.pool.out
+            assert not one.engine.dispatcher.state.attempts and not one.engine.pool.out
         gate.set()
         await fresh.got(1)
-        assert not drained.requests and one.engine.dispatcher.s.max_open == 7
+        assert (
+            not drained.requests
+            and one.engine.dispatcher.state.settings.max_open_messages == 7
+        )
 
     together(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -12,16 +12,16 @@
 
 import pytest
 
-from rainfall import interface as i
+from rainfall.dispatch import Idempotency, IdempotencyScope
 from rainfall.net.config import Config, parse
 from tests.sockets import OK, ROOT, Answer, Node, Platform, Request
 from tests.test_node import configure, folder_nodes, play, target
 
 SITES = sorted(path.parent for path in (ROOT / "deploy/sites").glob("*/*.toml"))
 EFFECTS = {
-    "safe": i.Effect.REPEATABLE,
-    "keyed": i.Effect.KEYED,
-    "unsafe": i.Effect.ONCE,
+    "safe": Idempotency.ALWAYS,
+    "keyed": Idempotency.WITH_KEY,
+    "unsafe": Idempotency.NEVER,
 }
 SPOKEN = ("effect", "how", "discovery", "weights")
 """What has words of the wire for its values."""
@@ -208,7 +208,15 @@
         told["tier"][0]["conn"],
     )
     assert [
-        (c.name, c.aim_us, c.deadline_us, c.effect, c.in_order, c.worth, c.late_worth)
+        (
+            c.name,
+            c.latency_objective_us,
+            c.deadline_us,
+            c.idempotency,
+            c.ordered,
+            c.priority_weight,
+            c.late_priority_weight,
+        )
         for c in s.classes
     ] == [
         (
@@ -223,51 +231,65 @@
         for c in told["class"]
     ]
     keyed = {
-        c["name"]: (1000 * c["window_ms"], i.Scope(c["group"]))
+        c["name"]: (1000 * c["window_ms"], IdempotencyScope(c["group"]))
         for c in told["class"]
         if c["effect"] == "keyed"
     }
     assert keyed and keyed == {
-        c.name: (c.window_us, c.scope) for c in s.classes if c.effect is i.Effect.KEYED
+        c.name: (c.idempotency_window_us, c.idempotency_scope)
+        for c in s.classes
+        if c.idempotency is Idempotency.WITH_KEY
     }
-    assert [(k.name, k.batch, k.routes_apart) for k in s.kinds] == [
+    assert [
+        (k.name, k.max_batch_size, k.endpoint_scoped) for k in s.destination_kinds
+    ] == [
         (kind["name"], more.get("batch", 1), more.get("routes") == "apart")
         for kind, more in zip(told["tier"][0]["kind"], fam["kind"], strict=True)
     ]
     zones = told["net"]["zones"]
-    assert s.zone_fees == dict(
+    assert s.zone_costs == dict(
         zip(zones, fam.get("zone_fee", [0.0] * len(zones)), strict=True)
     )
-    assert (s.max_attempts, s.max_open, s.max_retry_after_us) == (
+    assert (s.max_attempts, s.max_open_messages, s.max_retry_after_us) == (
         allow["max_attempts"],
         fam["least_open"],
         1000 * told["clients"]["max_retry_after_ms"],
     )
-    assert (s.parallel_tries, s.may_cancel, s.may_probe, s.retry_after) == (
+    assert (
+        s.allow_parallel_attempts,
+        s.allow_cancel,
+        s.allow_health_checks,
+        s.send_retry_after,
+    ) == (
         allow["second_copies"],
         allow["cancel"],
         allow["probes"],
         allow["retry_after"],
     )
-    assert (s.drain_grace_us, s.fall_us, s.overload_factor, s.key_rest_us) == (
+    assert (
+        s.drain_grace_us,
+        s.overload_window_us,
+        s.overload_factor,
+        s.key_backoff_us,
+    ) == (
         1000 * rules["drain_grace_ms"],
         1000 * rules["fall_ms"],
         rules["fall_multiple"],
         1000 * rules["order_settle_ms"],
     )
-    assert (s.conn_idle_us, s.dial_timeout_us) == (
+    assert (s.idle_connection_us, s.connect_timeout_us) == (
         1_000_000 * conn["idle_s"],
         1000 * conn["connect_timeout_ms"],
     )
     assert (
-        s.late_halves is (fam["late"] == "halves")
-        and s.refused_price == fam["refused_price"]
+        s.late_weight_halves is (fam["late"] == "halves")
+        and s.rejection_cost == fam["refused_price"]
     )
-    assert s.subscribe is (told["discovery"]["mode"] == "ask")
-    assert s.weights_told is (told["tier"][0]["weights"] != "none")
+    assert s.subscribe_endpoint_list is (told["discovery"]["mode"] == "ask")
+    assert s.endpoint_weights_known is (told["tier"][0]["weights"] != "none")
     assert made.report_fields == tuple(told["tier"][0]["report"]["fields"])
-    assert s.balancers == first(told["scale"]["balancers"])
-    assert [(t.name, t.allowance_per_s) for t in s.tenants] == [
+    assert s.forwarder_count == first(told["scale"]["balancers"])
+    assert [(t.name, t.quota_per_s) for t in s.tenants] == [
         (t["name"], 100 * t["share"]) for t in told.get("tenant", ())
     ]
 
--- a/tests/test_suspect_answers.py
+++ b/tests/test_suspect_answers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from rainfall.interface import Outcome
+from rainfall.dispatch import Outcome
 from rainfall.net import client
 from tests.test_crossing_calls import Scene, Target, arrived, play, target, until
 
@@ -53,7 +53,7 @@
         _, side = await s.out()
         side.sendall(b"HTTP/1.1 200 " + b"x" * 20_000)
         await until(lambda: s.ends)
-        assert s.outcomes() == [Outcome.SPOILT]
+        assert s.outcomes() == [Outcome.UNREADABLE]
         s.done()
 
     play(scene)
@@ -66,8 +66,8 @@
         (504, Outcome.FAILED),
         (413, Outcome.FAILED),
         (500, Outcome.FAILED),
-        (503, Outcome.FULL),
-        (429, Outcome.FULL),
+        (503, Outcome.REJECTED),
+        (429, Outcome.REJECTED),
     ],
 )
 def test_shared_call_is_over_for_none_of_its_messages_by_its_status(
@@ -80,7 +80,9 @@
         _, side = await s.out("a", "b")
         side.sendall(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status)
         await until(lambda: s.ends)
-        assert s.outcomes() == [outcome] * 2 and not any(e.closed for e in s.ends)
+        assert s.outcomes() == [outcome] * 2 and not any(
+            e.message_closed for e in s.ends
+        )
         s.done()
 
     play(scene)
--- a/tests/test_suspect_late_loop.py
+++ b/tests/test_suspect_late_loop.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from rainfall import interface as i
-from rainfall.choice.books import LOOK_US
+from rainfall.dispatch import AttemptFinished, Outcome
+from rainfall.dispatch.expiry import MIN_WAKEUP_INTERVAL_US
 from rainfall.net.desk import ROUND_US, TICK_S
 from rainfall.net.engine import MOST_SOONER_US
 from rainfall.net.server import BEAT_S
@@ -116,9 +116,9 @@
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("outcome", [i.Outcome.DELIVERED, i.Outcome.TIMED_OUT])
+@pytest.mark.parametrize("outcome", [Outcome.DELIVERED, Outcome.TIMED_OUT])
 def test_end_that_waits_for_its_round_goes_before_the_watch_for_overdue_messages(
-    tmp_path: Path, outcome: i.Outcome, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, outcome: Outcome, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The loop stood still past the message's time; its call's end is read, and its
     round comes next.
@@ -134,23 +134,25 @@
         await peer.got(1)
         await rounds_by_hand(run)
         m = engine.store.messages["m"]
-        past = engine.dispatcher.messages["m"].due = engine.clock() - OVERDUE_US - S
+        past = engine.dispatcher.state.messages["m"].deadline = (
+            engine.clock() - OVERDUE_US - S
+        )
         engine.store.move_deadline(m, past)
         engine.post(
-            i.Ended(
+            AttemptFinished(
                 "m",
                 0,
                 engine.numbers["s1"],
                 outcome,
                 5,
-                closed=outcome is i.Outcome.DELIVERED,
+                message_closed=outcome is Outcome.DELIVERED,
             )
         )
         engine.end_overdue()
         assert "m" not in engine.store.messages
         owed = engine.store.owed.get("m")
         assert (owed and owed.state) == (
-            None if outcome is i.Outcome.DELIVERED else "returned"
+            None if outcome is Outcome.DELIVERED else "returned"
         )
         client.socket.close()
         await run.end()
@@ -167,7 +169,7 @@
     round. So late may the loop be in all before that is missed.
     """
     rounds = ROUND_US + 2 * MS  # the call's timer and a turn to read what lies there
-    assert OWED_US - (rounds - LOOK_US) >= 330 * MS
+    assert OWED_US - (rounds - MIN_WAKEUP_INTERVAL_US) >= 330 * MS
     assert OWED_US - rounds >= 290 * MS
     assert OWED_US - (OVERDUE_US + int(TICK_S * S) + rounds) >= 70 * MS
 
--- a/tests/test_terms_decisions.py
+++ b/tests/test_terms_decisions.py
@@ -8,12 +8,21 @@
 
 import pytest
 
-from rainfall import interface as i
-from rainfall.choice import Dispatcher
+from rainfall.dispatch import (
+    Action,
+    Dispatcher,
+    EndpointEntry,
+    EndpointListChanged,
+    EndpointListKind,
+    Event,
+    Outcome,
+    SendMessage,
+    TimerExpired,
+)
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 
-OK, FULL = i.Outcome.DELIVERED, i.Outcome.FULL
-ONE = (i.TargetEntry(1, 10, "north", "plain"),)
+OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
+ONE = (EndpointEntry(1, 10, "north", "plain"),)
 STEP = 20 * MS
 UNTRIED_LEAST = (
     0.7  # of its time, before which an untried message is not to be given up
@@ -29,24 +38,26 @@
     def __init__(self, seed: int, balancers: int, rate: float, took: int) -> None:
         self.random, self.now = Random(seed), 10 * S
         self.dispatcher = Dispatcher(
-            settings(balancers=balancers, slots=20), seed, self.now
+            settings(forwarder_count=balancers, max_in_flight=20), seed, self.now
         )
         self.rate, self.took = rate, took
-        self.out: list[tuple[int, i.Send, int, i.Outcome]] = []
+        self.out: list[tuple[int, SendMessage, int, Outcome]] = []
         self.room = 1.0
         self.tried: set[str] = set()
         self.given: dict[str, int] = {}
         self.delivered: set[str] = set()
         self.carry_out(
-            self.dispatcher.handle(self.now, [i.Listed(i.ListKind.SAVED, ONE)])
+            self.dispatcher.handle(
+                self.now, [EndpointListChanged(EndpointListKind.CACHED, ONE)]
+            )
         )
 
-    def carry_out(self, actions: list[i.Action]) -> None:
+    def carry_out(self, actions: list[Action]) -> None:
         for send in sends(actions):
-            self.tried.add(send.message)
+            self.tried.add(send.message_id)
             full = self.room < 1
             self.room -= not full
-            number = self.dispatcher.messages[send.message].attempts - 1
+            number = self.dispatcher.state.messages[send.message_id].attempts - 1
             self.out.append(
                 (
                     self.now + (5 * MS if full else self.took),
@@ -56,17 +67,19 @@
                 )
             )
         for a in finals(actions):
-            self.given[a.message] = self.now
+            self.given[a.message_id] = self.now
 
-    def step(self, events: list[i.Event]) -> None:
+    def step(self, events: list[Event]) -> None:
         self.now += STEP
         self.room = min(2.0, self.room + self.rate * STEP / S)
         due = [o for o in self.out if o[0] <= self.now]
         self.out = [o for o in self.out if o[0] > self.now]
-        self.delivered |= {send.message for _, send, _, outcome in due if outcome is OK}
+        self.delivered |= {
+            send.message_id for _, send, _, outcome in due if outcome is OK
+        }
         ends = [end(send, outcome, number, 5 * MS) for _, send, number, outcome in due]
         self.carry_out(
-            self.dispatcher.handle(self.now, [*ends, *events, i.TimerDue("look")])
+            self.dispatcher.handle(self.now, [*ends, *events, TimerExpired("look")])
         )
 
 
@@ -106,7 +119,7 @@
                 name
             )
             before.add(name)
-            play.step([ask(name, cls="turns", due=due, key=key)])
+            play.step([ask(name, cls="turns", due=due, ordering_key=key)])
         elif drawn < 8:
             others.add(name)
             play.step([ask(name, cls="keyed", due=due)])
--- a/tests/test_terms_list.py
+++ b/tests/test_terms_list.py
@@ -67,7 +67,7 @@
         agent = SilentLater(whole)
         peer = await Peer(agent).start()
         rig = Rig(Address("127.0.0.1", peer.port), pushed, 3)
-        rig.watch.random = rig.dispatcher.random = Longest(3)
+        rig.watch.random = rig.dispatcher.state.random = Longest(3)
         await rig.until(rig.serves)
         await asyncio.sleep(LATE_S + into_hold)
         assert rig.serves() and agent.open
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -15,8 +15,44 @@
 from random import Random
 from typing import Any
 
-from rainfall import interface as i
-from rainfall.choice import Dispatcher
+from rainfall.dispatch import (
+    NEVER_EXECUTED,
+    Action,
+    AttemptFinished,
+    CancelAttempt,
+    DestinationKind,
+    Dispatcher,
+    EndpointDisabled,
+    EndpointEnabled,
+    EndpointEntry,
+    EndpointListChanged,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    FailMessage,
+    HealthCheckFinished,
+    Idempotency,
+    IdempotencyScope,
+    LoadReport,
+    MessageClass,
+    MessageReceived,
+    MessageRestored,
+    MessageWithdrawn,
+    NotificationAcknowledged,
+    NotificationPending,
+    OutageRestored,
+    Outcome,
+    RecordOutage,
+    RejectMessage,
+    SendMessage,
+    SetTimer,
+    Settings,
+    SettingsChanged,
+    SnapshotRestored,
+    Tenant,
+    TimerExpired,
+)
+from tests.recorded_names import recorded_name, recorded_text
 
 MS, S = 1_000, 1_000_000
 SEEDS = range(2, 46)
@@ -24,8 +60,8 @@
 ASKED = 20
 """Rounds between two looks at what the dispatcher remembers and says of its targets."""
 MOODS = (
-    *[o for o in i.Outcome if o is not i.Outcome.CANCELED],
-    *[i.Outcome.DELIVERED] * 9,
+    *[o for o in Outcome if o is not Outcome.CANCELED],
+    *[Outcome.DELIVERED] * 9,
 )
 
 
@@ -33,8 +69,8 @@
 class Told:
     """What the host knows of a message."""
 
-    event: i.Arrived
-    cls: i.MessageClass
+    event: MessageReceived
+    cls: MessageClass
     most: int
     attempts: int = 0
     ran_at: int = -1
@@ -47,7 +83,7 @@
     attempt: int
     target: int
     sent: int
-    outcome: i.Outcome
+    outcome: Outcome
     ends: int
 
 
@@ -55,7 +91,7 @@
     """What happens follows from the seed and from what the dispatcher does."""
 
     def __init__(
-        self, seed: int, make: Callable[[i.Settings, int, int], Dispatcher]
+        self, seed: int, make: Callable[[Settings, int, int], Dispatcher]
     ) -> None:
         self.seed, self.make, self.r = seed, make, Random(seed)
         self.now = self.r.randrange(100 * S)
@@ -63,7 +99,7 @@
         self.d = make(self.s, seed, self.now)
         self.busy, self.full = self.pick(0.1, 0.4, 0.7), self.pick(0.0, 0.0, 0.9)
         self.entries = {
-            n: i.TargetEntry(
+            n: EndpointEntry(
                 n,
                 10 + n % 5,
                 self.pick("north", "north", "south"),
@@ -73,7 +109,7 @@
             for n in range(self.pick(4, 8, 14))
         }
         self.moods = dict.fromkeys(
-            self.entries, i.Outcome.FULL if self.full else i.Outcome.DELIVERED
+            self.entries, Outcome.REJECTED if self.full else Outcome.DELIVERED
         )
         self.limits = {n: self.pick(0.0, 0.0, 9.0, 99.0) for n in self.entries}
         self.open: dict[str, Told] = {}
@@ -83,9 +119,9 @@
         self.outages: dict[int, tuple[int, int]] = {}
         self.owed: deque[tuple[str, str]] = deque()
         self.asked = 0
-        self.next: list[i.Event] = [
-            i.Listed(
-                self.pick(i.ListKind.SAVED, i.ListKind.WHOLE),
+        self.next: list[Event] = [
+            EndpointListChanged(
+                self.pick(EndpointListKind.CACHED, EndpointListKind.SNAPSHOT),
                 tuple(self.entries.values()),
             )
         ]
@@ -96,16 +132,16 @@
     def luck(self, chance: float) -> bool:
         return self.r.random() < chance
 
-    def settings(self) -> i.Settings:
+    def settings(self) -> Settings:
         aim, deadline = self.pick(300 * MS, S, 2 * S), self.pick(3 * S, 8 * S)
-        late, keyed = self.pick(0.0, 0.5), i.Effect.KEYED
-        return i.Settings(
-            slots=self.pick(1, 4, 16, 80),
-            balancers=(1, 2, 3, 9, 40, 300)[self.seed % 6],
+        late, keyed = self.pick(0.0, 0.5), Idempotency.WITH_KEY
+        return Settings(
+            max_in_flight=self.pick(1, 4, 16, 80),
+            forwarder_count=(1, 2, 3, 9, 40, 300)[self.seed % 6],
             classes=(
-                i.MessageClass("safe", aim, deadline, late_worth=late),
+                MessageClass("safe", aim, deadline, late_priority_weight=late),
                 *(
-                    i.MessageClass(
+                    MessageClass(
                         scope.value,
                         aim,
                         deadline + S,
@@ -113,46 +149,54 @@
                         scope,
                         self.pick(100 * MS, 4 * S),
                     )
-                    for scope in i.Scope
+                    for scope in IdempotencyScope
                 ),
-                i.MessageClass("once", 2 * aim, deadline, i.Effect.ONCE),
-                i.MessageClass(
-                    "turns", aim, deadline, keyed, i.Scope.ALL, 9 * S, in_order=True
+                MessageClass("once", 2 * aim, deadline, Idempotency.NEVER),
+                MessageClass(
+                    "turns",
+                    aim,
+                    deadline,
+                    keyed,
+                    IdempotencyScope.ALL,
+                    9 * S,
+                    ordered=True,
                 ),
-                i.MessageClass("single", aim, deadline, i.Effect.ONCE, in_order=True),
+                MessageClass("single", aim, deadline, Idempotency.NEVER, ordered=True),
             ),
-            kinds=(
-                i.DestinationKind("lots", batch=self.pick(2, 4)),
-                i.DestinationKind("ways", routes_apart=self.luck(0.8)),
-                i.DestinationKind(
-                    "plain", batch=self.pick(1, 1, 3), routes_apart=self.luck(0.1)
+            destination_kinds=(
+                DestinationKind("lots", max_batch_size=self.pick(2, 4)),
+                DestinationKind("ways", endpoint_scoped=self.luck(0.8)),
+                DestinationKind(
+                    "plain",
+                    max_batch_size=self.pick(1, 1, 3),
+                    endpoint_scoped=self.luck(0.1),
                 ),
             ),
             tenants=(
-                i.Tenant("big", 20.0),
-                i.Tenant("small", self.pick(0.5, 5.0)),
-                i.Tenant("free", 0.0),
+                Tenant("big", 20.0),
+                Tenant("small", self.pick(0.5, 5.0)),
+                Tenant("free", 0.0),
             ),
-            zone_fees={"north": 0.5},
-            max_open=self.pick(20, 1000),
+            zone_costs={"north": 0.5},
+            max_open_messages=self.pick(20, 1000),
             max_attempts=self.pick(2, 6, 10**6),
-            may_cancel=self.luck(0.8),
-            retry_after=self.luck(0.8),
+            allow_cancel=self.luck(0.8),
+            send_retry_after=self.luck(0.8),
             max_retry_after_us=2 * S,
-            subscribe=self.luck(0.5),
-            weights_told=self.luck(0.3),
-            over_share_worth=self.pick(0.1, 0.1, 1.0),
-            late_halves=self.luck(0.5),
+            subscribe_endpoint_list=self.luck(0.5),
+            endpoint_weights_known=self.luck(0.3),
+            over_quota_weight=self.pick(0.1, 0.1, 1.0),
+            late_weight_halves=self.luck(0.5),
             overload_factor=self.pick(0.0, 2.0),
-            fall_us=self.pick(0, 400 * MS),
-            cold_from=self.pick(0.02, 0.2, 1.0),
-            warm_us=self.pick(0, 3 * S),
-            key_rest_us=300 * MS,
-            conn_idle_us=self.pick(0, 5 * S, 60 * S),
-            ends_told=self.luck(0.5),
+            overload_window_us=self.pick(0, 400 * MS),
+            cold_capacity_share=self.pick(0.02, 0.2, 1.0),
+            warm_up_us=self.pick(0, 3 * S),
+            key_backoff_us=300 * MS,
+            idle_connection_us=self.pick(0, 5 * S, 60 * S),
+            notifications_acknowledged=self.luck(0.5),
         )
 
-    def play(self, rounds: int) -> Iterator[tuple[int, list[i.Event], list[i.Action]]]:
+    def play(self, rounds: int) -> Iterator[tuple[int, list[Event], list[Action]]]:
         for n in range(rounds):
             events, self.next = self.next + self.happened(), []
             actions = self.d.handle(self.now, events)
@@ -168,28 +212,28 @@
                 step = min(first - self.now, 4 * S)
             self.now += step
 
-    def happened(self) -> list[i.Event]:
-        events: list[i.Event] = []
+    def happened(self) -> list[Event]:
+        events: list[Event] = []
         while self.luck(self.busy):
             events.append(self.arrival())
         for o in [o for o in self.out if o.ends <= self.now]:
             events.append(self.end(o))
         if self.timer and self.timer <= self.now:
-            events.append(i.TimerDue("look"))
+            events.append(TimerExpired("look"))
         if self.luck(0.06):
             target = self.pick(*self.entries)
             self.moods[target] = (
-                i.Outcome.FULL if self.luck(self.full) else self.pick(*MOODS)
+                Outcome.REJECTED if self.luck(self.full) else self.pick(*MOODS)
             )
             if self.luck(0.2):
                 self.moods = dict.fromkeys(self.entries, self.moods[target])
         while self.owed and self.luck(0.3):
-            events.append(i.EndTold(self.owed.popleft()[0]))
+            events.append(NotificationAcknowledged(self.owed.popleft()[0]))
         if self.luck(0.12):
             events += self.odd()
         return events
 
-    def arrival(self) -> i.Arrived:
+    def arrival(self) -> MessageReceived:
         cls = self.pick(*self.s.classes)
         self.asked += 1
         life = (
@@ -197,7 +241,7 @@
             if self.luck(0.8)
             else self.r.randrange(-5 * MS, cls.deadline_us)
         )
-        event = i.Arrived(
+        event = MessageReceived(
             f"m{self.asked}",
             10 + int(6 * self.r.random() ** 2),
             cls.name,
@@ -207,26 +251,26 @@
         )
         if self.luck(0.01):
             return replace(event, class_name="unheard of")
-        self.open[event.message] = Told(event, cls, self.s.max_attempts)
+        self.open[event.message_id] = Told(event, cls, self.s.max_attempts)
         return event
 
-    def end(self, o: Out) -> i.Ended:
+    def end(self, o: Out) -> AttemptFinished:
         self.out.remove(o)
         outcome = o.outcome
         closed = (
-            outcome is i.Outcome.DELIVERED
+            outcome is Outcome.DELIVERED
             or o.message not in self.open
             or self.luck(0.02)
         )
-        wait = self.pick(0, 0, 400 * MS, 3 * S) if outcome is i.Outcome.FULL else 0
+        wait = self.pick(0, 0, 400 * MS, 3 * S) if outcome is Outcome.REJECTED else 0
         limit = self.limits.get(o.target, 0.0)
-        told = i.LoadReport(self.r.random(), limit) if self.luck(0.3) else None
+        told = LoadReport(self.r.random(), limit) if self.luck(0.3) else None
         m = self.open.get(o.message)
-        if m is not None and outcome not in i.NEVER_RAN and m.ran_at < 0:
+        if m is not None and outcome not in NEVER_EXECUTED and m.ran_at < 0:
             m.ran_at, m.ran_on = o.sent, o.target
         if closed:
             self.open.pop(o.message, None)
-        return i.Ended(
+        return AttemptFinished(
             o.message,
             o.attempt,
             o.target,
@@ -238,13 +282,13 @@
             self.luck(0.1),
         )
 
-    def odd(self) -> list[i.Event]:
+    def odd(self) -> list[Event]:
         """What clients, the list and operators do now and then."""
         target = self.pick(*self.entries)
         entry = self.entries[target]
         what = int(self.r.random() * 12)
         if what == 0:
-            state = self.pick(*i.TargetState, i.TargetState.SERVING)
+            state = self.pick(*EndpointState, EndpointState.SERVING)
             moved = replace(
                 entry,
                 destination=10 + int(5 * self.r.random()),
@@ -253,120 +297,141 @@
             self.entries[target] = replace(
                 moved if self.luck(0.2) else entry, state=state
             )
-            return [i.Listed(i.ListKind.CHANGES, (self.entries[target],))]
+            return [
+                EndpointListChanged(EndpointListKind.CHANGES, (self.entries[target],))
+            ]
         if what == 1:
             left = tuple(e for e in self.entries.values() if self.luck(0.9))
-            return [i.Listed(i.ListKind.WHOLE, left)]
+            return [EndpointListChanged(EndpointListKind.SNAPSHOT, left)]
         if what == 2:
             self.entries = {
-                n: replace(e, state=i.TargetState.SERVING)
+                n: replace(e, state=EndpointState.SERVING)
                 for n, e in self.entries.items()
             }
-            return [i.Listed(i.ListKind.WHOLE, tuple(self.entries.values()))]
+            return [
+                EndpointListChanged(
+                    EndpointListKind.SNAPSHOT, tuple(self.entries.values())
+                )
+            ]
         if what == 3:
-            return [i.Listed(i.ListKind.FAILED) for _ in range(self.pick(1, 3))]
+            return [
+                EndpointListChanged(EndpointListKind.FAILED)
+                for _ in range(self.pick(1, 3))
+            ]
         if what == 4 and self.open:
-            gone = self.open.pop(self.pick(*self.open)).event.message
-            return [i.Withdrawn(gone), i.Withdrawn(gone)]
+            gone = self.open.pop(self.pick(*self.open)).event.message_id
+            return [MessageWithdrawn(gone), MessageWithdrawn(gone)]
         if what == 5:
             self.detached.add(target)
-            return [i.Detached(target)]
+            return [EndpointDisabled(target)]
         if what in (6, 7, 8):
             back = self.pick(target, *sorted(self.detached))
             self.detached.discard(back)
-            return [i.Attached(back)]
+            return [EndpointEnabled(back)]
         if what == 9:
-            self.s = replace(self.settings(), max_open=self.s.max_open)
-            return [i.Retuned(self.s)]
+            self.s = replace(
+                self.settings(), max_open_messages=self.s.max_open_messages
+            )
+            return [SettingsChanged(self.s)]
         if (
             what == 10 and self.seed % 4 == 0
         ):  # a list that replaces its targets again and again
             fresh = {
-                n: i.TargetEntry(n, 12, "north", self.pick("ways", "plain"))
+                n: EndpointEntry(n, 12, "north", self.pick("ways", "plain"))
                 for n in range(self.asked * 1000, self.asked * 1000 + 150)
             }
             return [
-                i.Listed(i.ListKind.CHANGES, tuple(fresh.values())),
-                i.Listed(i.ListKind.WHOLE, tuple(self.entries.values())),
+                EndpointListChanged(EndpointListKind.CHANGES, tuple(fresh.values())),
+                EndpointListChanged(
+                    EndpointListKind.SNAPSHOT, tuple(self.entries.values())
+                ),
             ]
         return [
-            i.EndTold("stranger"),
-            i.Probed(target, i.Outcome.DELIVERED, 5),
-            i.Attached(999),
-            i.Ended("stranger", 0, target, i.Outcome.FAILED, 9),
-            i.OutageRecalled(999, 0),
+            NotificationAcknowledged("stranger"),
+            HealthCheckFinished(target, Outcome.DELIVERED, 5),
+            EndpointEnabled(999),
+            AttemptFinished("stranger", 0, target, Outcome.FAILED, 9),
+            OutageRestored(999, 0),
         ]
 
-    def carry_out(self, actions: list[i.Action]) -> None:
-        ends: dict[int, tuple[i.Outcome, int]] = {}
+    def carry_out(self, actions: list[Action]) -> None:
+        ends: dict[int, tuple[Outcome, int]] = {}
         for a in actions:
             if (
-                isinstance(a, i.Send) and a.message in self.open
+                isinstance(a, SendMessage) and a.message_id in self.open
             ):  # not so where too little was remembered
-                m = self.open[a.message]
-                if a.target not in ends:
-                    mood = self.moods.get(a.target, i.Outcome.DELIVERED)
-                    slow = self.luck(0.1) or mood is i.Outcome.TIMED_OUT
+                m = self.open[a.message_id]
+                if a.endpoint not in ends:
+                    mood = self.moods.get(a.endpoint, Outcome.DELIVERED)
+                    slow = self.luck(0.1) or mood is Outcome.TIMED_OUT
                     took = (
                         self.r.randrange(2 * S)
                         if slow
                         else self.r.randrange(MS, 100 * MS)
                     )
-                    ends[a.target] = (
-                        mood if self.luck(0.8) else i.Outcome.DELIVERED,
+                    ends[a.endpoint] = (
+                        mood if self.luck(0.8) else Outcome.DELIVERED,
                         took,
                     )
                     if self.luck(0.04):  # its connection is lost and tells nothing
-                        ends[a.target] = (i.Outcome.TIMED_OUT, 0)
-                outcome, took = ends[a.target]
-                if outcome is i.Outcome.TIMED_OUT or took >= a.timeout_us:
-                    outcome, took = i.Outcome.TIMED_OUT, a.timeout_us
+                        ends[a.endpoint] = (Outcome.TIMED_OUT, 0)
+                outcome, took = ends[a.endpoint]
+                if outcome is Outcome.TIMED_OUT or took >= a.timeout_us:
+                    outcome, took = Outcome.TIMED_OUT, a.timeout_us
                 self.out.append(
                     Out(
-                        a.message,
+                        a.message_id,
                         m.attempts,
-                        a.target,
+                        a.endpoint,
                         self.now,
                         outcome,
                         self.now + took,
                     )
                 )
                 m.attempts += 1
-            elif isinstance(a, i.Refuse | i.Fail):
-                over = self.open.pop(a.message, None)
-                if over and self.s.ends_told and over.event.key and over.cls.in_order:
-                    self.owed.append((a.message, over.event.key))
-            elif isinstance(a, i.SetTimer):
+            elif isinstance(a, RejectMessage | FailMessage):
+                over = self.open.pop(a.message_id, None)
+                if (
+                    over
+                    and self.s.notifications_acknowledged
+                    and over.event.ordering_key
+                    and over.cls.ordered
+                ):
+                    self.owed.append((a.message_id, over.event.ordering_key))
+            elif isinstance(a, SetTimer):
                 self.timer = self.now + a.delay_us
-            elif isinstance(a, i.Cancel):
+            elif isinstance(a, CancelAttempt):
                 out = [
                     o
                     for o in self.out
-                    if (o.message, o.attempt) == (a.message, a.attempt)
+                    if (o.message, o.attempt) == (a.message_id, a.attempt)
                 ]
-                assert out or a.message not in self.open  # sent though over: see above
+                assert (
+                    out or a.message_id not in self.open
+                )  # sent though over: see above
                 for o in out:
                     o.outcome, o.ends = (
-                        i.Outcome.CANCELED,
+                        Outcome.CANCELED,
                         self.now + self.pick(0, 100 * MS),
                     )
-            elif isinstance(a, i.Outage):
-                self.outages[a.target] = (a.since_us, a.back_us)
+            elif isinstance(a, RecordOutage):
+                self.outages[a.endpoint] = (a.started_at_us, a.recovered_at_us)
 
-    def recalled(self, cut_off: set[str]) -> Iterator[i.Event]:
-        yield i.Listed(
-            i.ListKind.WHOLE, tuple(e for e in self.entries.values() if self.luck(0.9))
+    def recalled(self, cut_off: set[str]) -> Iterator[Event]:
+        yield EndpointListChanged(
+            EndpointListKind.SNAPSHOT,
+            tuple(e for e in self.entries.values() if self.luck(0.9)),
         )
-        yield from map(i.Detached, sorted(self.detached))
+        yield from map(EndpointDisabled, sorted(self.detached))
         for name, m in self.open.items():
             e = m.event
             cls, most = self.pick(m.cls, None), self.pick(m.most, 0)
-            yield i.Recalled(
+            yield MessageRestored(
                 name,
                 e.destination,
                 e.class_name,
-                e.due_us,
-                e.key,
+                e.deadline_us,
+                e.ordering_key,
                 e.tenant,
                 m.attempts,
                 m.ran_at,
@@ -375,11 +440,9 @@
                 cls,
                 most,
             )
-        yield i.Recalled("old", 10, "unheard of", self.now + S)
-        yield from (i.EndOwed(name, key) for name, key in self.owed)
-        yield from (
-            i.OutageRecalled(n, *o) for n, o in self.outages.items() if o[0] >= 0
-        )
+        yield MessageRestored("old", 10, "unheard of", self.now + S)
+        yield from (NotificationPending(name, key) for name, key in self.owed)
+        yield from (OutageRestored(n, *o) for n, o in self.outages.items() if o[0] >= 0)
 
     def restart(self) -> None:
         """Killed: what was out may have run."""
@@ -396,11 +459,11 @@
         of.
         """
         out = {(o.message, o.attempt) for o in self.out if self.luck(0.9)}
-        memory = json.loads(json.dumps(self.d.memory(out)))
+        memory = json.loads(json.dumps(self.d.snapshot(out)))
         if self.luck(0.2):
             del memory[self.pick(*memory)]
         self.d, self.timer = self.make(self.s, self.seed + self.now, self.now), 0
-        self.next = [*self.recalled(set()), i.Remembered(memory)]
+        self.next = [*self.recalled(set()), SnapshotRestored(memory)]
         self.out = [o for o in self.out if (o.message, o.attempt) in out]
 
 
@@ -410,39 +473,48 @@
 @dataclass(frozen=True)
 class Round:
     now: int
-    events: list[i.Event]
-    actions: list[i.Action]
+    events: list[Event]
+    actions: list[Action]
     digest: str
     """Of all until then."""
 
 
 def play(
-    seed: int, make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher
+    seed: int, make: Callable[[Settings, int, int], Dispatcher] = Dispatcher
 ) -> Iterator[Round]:
     """Every action of one world with its time, and now and then what its dispatcher
     remembers and says.
     """
     world, sum_of_all = World(seed, make), hashlib.sha256()
     for n, (now, events, actions) in enumerate(world.play(ROUNDS)):
-        sum_of_all.update(f"{now} {world.d.absorbed} {actions!r}\n".encode())
+        sum_of_all.update(
+            f"{now} {world.d.state.events_applied} {recorded_text(actions)}\n".encode()
+        )
         if n % ASKED == ASKED - 1:
             d = world.d
-            serving = [t for targets in d.by_destination.values() for t in targets]
-            said = [(t.id, d.avoids(t.id), d.cold(t), d.turn(t)) for t in serving]
-            kept = d.memory({(o.message, o.attempt) for o in world.out})
-            drawn = hashlib.sha256(repr(d.random.getstate()).encode()).hexdigest()
-            sum_of_all.update(f"{said} {kept} {d.calls_out} {drawn}\n".encode())
+            serving = [
+                t for targets in d.state.serving_endpoints.values() for t in targets
+            ]
+            said = [
+                (t.id, d.is_avoided(t.id), d.in_slow_start(t), d.ramp_interval(t))
+                for t in serving
+            ]
+            kept = d.snapshot({(o.message, o.attempt) for o in world.out})
+            drawn = hashlib.sha256(repr(d.state.random.getstate()).encode()).hexdigest()
+            sum_of_all.update(
+                f"{said} {kept} {d.state.calls_in_flight} {drawn}\n".encode()
+            )
         yield Round(now, events, actions, sum_of_all.hexdigest())
 
 
 def record(
-    seed: int, make: Callable[[i.Settings, int, int], Dispatcher] = Dispatcher
+    seed: int, make: Callable[[Settings, int, int], Dispatcher] = Dispatcher
 ) -> dict[str, Any]:
     """What is kept of one world: the first digits of each round's digest, the last
     whole, actions by kind.
     """
     rounds = list(play(seed, make))
-    kinds = Counter(type(a).__name__ for r in rounds for a in r.actions)
+    kinds = Counter(recorded_name(a) for r in rounds for a in r.actions)
     return {
         "seed": seed,
         "sha256": rounds[-1].digest,
