--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -20,174 +20,193 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from measure.figures import row  # noqa: E402
-from rainfall.budget.divide import divide  # noqa: E402
+from measure.reporting import format_row  # noqa: E402
+from rainfall.budget.demand import DemandTracker  # noqa: E402
+from rainfall.budget.fair_share import divide  # noqa: E402
 from rainfall.budget.ledger import Ledger  # noqa: E402
-from rainfall.budget.purse import Purse  # noqa: E402
-from rainfall.budget.terms import Budget, Share  # noqa: E402
-from rainfall.budget.wants import Wants  # noqa: E402
-from rainfall.lease.token import Token  # noqa: E402
+from rainfall.budget.member_quota import MemberQuota  # noqa: E402
+from rainfall.budget.types import Budget, Share  # noqa: E402
+from rainfall.lease.fencing_token import Token  # noqa: E402
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 DRIFT = 0.02
-LEASE = 3 * SECOND
-LINK = 2_000  # one way
-SOON = 250_000  # beats beside the regular ones, so far apart at least
-PLAN = 50_000  # beats are planned for together, so far apart at least
+LEASE_US = 3 * SECOND_US
+LINK_DELAY_US = 2_000  # one way
+MIN_EXTRA_HEARTBEAT_US = 250_000  # beats beside the regular ones, so far apart at least
+PLAN_INTERVAL_US = 50_000  # beats are planned for together, so far apart at least
 
 
-class Member:
-    def __init__(self, fleet: Fleet, n: int, rate: float) -> None:
+class SimulatedMember:
+    def __init__(self, fleet: SimulatedFleet, n: int, rate: float) -> None:
         self.fleet, self.token, self.rate = fleet, Token(1, n + 1), rate
-        self.purse, self.wants = Purse(0, DRIFT), Wants(fleet.budget.span_us)
+        self.quota, self.demand = (
+            MemberQuota(0, DRIFT),
+            DemandTracker(fleet.budget.span_us),
+        )
         self.waiting: deque[int] = deque()
-        self.per_s = 0.0
+        self.arrivals_per_s = 0.0
         self.dead = False
-        self.beats = 0
-        self.said_us = self.said = 0  # the last beat, and what it said was needed
-        self.due = (
+        self.heartbeat_count = 0
+        self.last_told_us = self.last_told_need = (
+            0  # the last beat, and what it said was needed
+        )
+        self.heartbeat_number = (
             0  # which planned beat and which planned look at the queue are the newest
         )
-        self.look = 0
+        self.send_number = 0
 
     def now(self) -> int:
-        return int(self.fleet.now * self.rate)
+        return int(self.fleet.now_us * self.rate)
 
-    def after(self, own_us: int, what: Callable[[], None]) -> None:
-        self.fleet.at(
-            self.fleet.now + int(own_us / self.rate) + 1,
+    def call_after(self, own_us: int, what: Callable[[], None]) -> None:
+        self.fleet.call_at(
+            self.fleet.now_us + int(own_us / self.rate) + 1,
             lambda: None if self.dead else what(),
         )
 
-    def beat(self) -> None:
-        self.due += 1
-        due, asked = self.due, self.now()
-        while self.waiting and self.waiting[0] < asked - 2 * SECOND:
+    def send_heartbeat(self) -> None:
+        self.heartbeat_number += 1
+        due, asked_us = self.heartbeat_number, self.now()
+        while self.waiting and self.waiting[0] < asked_us - 2 * SECOND_US:
             self.waiting.popleft()  # its deadline is over
-        needs = self.wants.needs(asked, {"": len(self.waiting)})
-        holds = self.purse.holds(self.token)
-        self.beats += 1
-        self.said_us, self.said = asked, sum(needs.values())
-        self.fleet.wire += len(
+        needs = self.demand.demand_by_part(asked_us, {"": len(self.waiting)})
+        holds = self.quota.held_share(self.token)
+        self.heartbeat_count += 1
+        self.last_told_us, self.last_told_need = asked_us, sum(needs.values())
+        self.fleet.wire_bytes += len(
             json.dumps({"needs": {"7": needs.get("", 0)}, "holds": {"7": holds}})
         )
-        self.fleet.at(
-            self.fleet.now + LINK, lambda: self.fleet.served(self, asked, needs, holds)
+        self.fleet.call_at(
+            self.fleet.now_us + LINK_DELAY_US,
+            lambda: self.fleet.serve_heartbeat(self, asked_us, needs, holds),
+        )
+        wait = int(LEASE_US / 3 * self.fleet.rng.uniform(0.9, 1.0))
+        self.call_after(
+            wait,
+            lambda: self.send_heartbeat() if due == self.heartbeat_number else None,
         )
-        wait = int(LEASE / 3 * self.fleet.rng.uniform(0.9, 1.0))
-        self.after(wait, lambda: self.beat() if due == self.due else None)
 
-    def answered(self, asked: int, shares: dict[str, Share]) -> None:
+    def on_answer(self, asked_us: int, shares: dict[str, Share]) -> None:
         if self.dead:
             return
-        held = self.purse.holds(self.token)
+        held = self.quota.held_share(self.token)
         for share in shares.values():
-            self.purse.told(share, asked + int(LEASE * (1 - DRIFT)), self.now())
-        if self.purse.holds(self.token) != held:
-            self.beat()  # acknowledged at once
+            self.quota.receive_share(
+                share, asked_us + int(LEASE_US * (1 - DRIFT)), self.now()
+            )
+        if self.quota.held_share(self.token) != held:
+            self.send_heartbeat()  # acknowledged at once
             self.send()
 
     def arrive(self) -> None:
-        if self.per_s:
+        if self.arrivals_per_s:
             self.waiting.append(self.now())
-            self.wants.arrived(self.now())
+            self.demand.record_calls(self.now())
             self.send()
-            if self.waiting and self.now() - self.said_us >= SOON:
+            if (
+                self.waiting
+                and self.now() - self.last_told_us >= MIN_EXTRA_HEARTBEAT_US
+            ):
                 needs = sum(
-                    self.wants.needs(self.now(), {"": len(self.waiting)}).values()
+                    self.demand.demand_by_part(
+                        self.now(), {"": len(self.waiting)}
+                    ).values()
                 )
-                if needs > 1.2 * self.said:
+                if needs > 1.2 * self.last_told_need:
                     # its share does not do and more is needed than was said: say so at
                     # once
-                    self.beat()
-            self.after(
-                int(SECOND / self.per_s * self.fleet.rng.uniform(0.5, 1.5)), self.arrive
+                    self.send_heartbeat()
+            self.call_after(
+                int(SECOND_US / self.arrivals_per_s * self.fleet.rng.uniform(0.5, 1.5)),
+                self.arrive,
             )
 
     def send(self) -> None:
-        now = self.now()
-        while self.waiting and self.purse.spend(now):
+        now_us = self.now()
+        while self.waiting and self.quota.spend(now_us):
             self.waiting.popleft()
-            self.fleet.sent.append((self.fleet.now, self.token.number - 1))
-        at = self.purse.room_at(now) if self.waiting else None
-        if at is not None:
-            self.look += 1
-            look = self.look
-            self.after(
-                max(1, at - now), lambda: self.send() if look == self.look else None
+            self.fleet.sent.append((self.fleet.now_us, self.token.number - 1))
+        next_us = self.quota.available_at(now_us) if self.waiting else None
+        if next_us is not None:
+            self.send_number += 1
+            look = self.send_number
+            self.call_after(
+                max(1, next_us - now_us),
+                lambda: self.send() if look == self.send_number else None,
             )
 
-    def wants_per_s(self, calls: float) -> None:
-        before, self.per_s = self.per_s, calls
+    def set_arrivals(self, calls: float) -> None:
+        before, self.arrivals_per_s = self.arrivals_per_s, calls
         if calls and not before:
             self.arrive()
 
 
-class Fleet:
+class SimulatedFleet:
     """A service and members on clocks of their own, in simulated time; links lose
     nothing.
     """
 
     def __init__(self, members: int, budget: Budget, seed: int = 0) -> None:
-        self.rng, self.now, self.budget = random.Random(seed), 0, budget
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
+        self.rng, self.now_us, self.budget = random.Random(seed), 0, budget
+        self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.order = itertools.count()
-        self.ledger = Ledger([budget], int(LEASE * (1 + DRIFT)), DRIFT, 0, sure=True)
+        self.ledger = Ledger([budget], int(LEASE_US * (1 + DRIFT)), DRIFT, 0, sure=True)
         self.leases: dict[Token, int] = {}
         self.sent: list[tuple[int, int]] = []
-        self.wire = self.records = self.disk = self.plans = 0
-        self.planned, self.spent = False, 0.0
+        self.wire_bytes = self.record_count = self.disk_bytes = self.plan_count = 0
+        self.planned, self.plan_seconds = False, 0.0
         self.members = [
-            Member(self, n, 1 + DRIFT * self.rng.uniform(-0.5, 0.5))
+            SimulatedMember(self, n, 1 + DRIFT * self.rng.uniform(-0.5, 0.5))
             for n in range(members)
         ]
         for member in self.members:
-            self.ledger.joined(member.token, f"f{member.token.number}", None, 0)
-            self.at(self.rng.randrange(LEASE // 3), member.beat)
-        self.at(PLAN, self.tick)
+            self.ledger.member_joined(member.token, f"f{member.token.number}", None, 0)
+            self.call_at(self.rng.randrange(LEASE_US // 3), member.send_heartbeat)
+        self.call_at(PLAN_INTERVAL_US, self.tick)
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (when, next(self.order), what))
+    def call_at(self, when: int, what: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (when, next(self.order), what))
 
     def run(self, until: int) -> None:
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.heap)
+        while self.events and self.events[0][0] <= until:
+            self.now_us, _, what = heapq.heappop(self.events)
             what()
-        self.now = until
+        self.now_us = until
 
     def tick(self) -> None:
-        for token in [t for t, until in self.leases.items() if until <= self.now]:
+        for token in [t for t, until in self.leases.items() if until <= self.now_us]:
             del self.leases[token]
-            self.ledger.out(token, self.now)
+            self.ledger.lease_expired(token, self.now_us)
         began = time.perf_counter()
-        change = self.ledger.plan(self.now)
-        self.spent += time.perf_counter() - began
-        self.plans += 1
+        change = self.ledger.plan(self.now_us)
+        self.plan_seconds += time.perf_counter() - began
+        self.plan_count += 1
         if change is not None:
-            self.records += 1
-            self.disk += len(json.dumps(change.line()))
+            self.record_count += 1
+            self.disk_bytes += len(json.dumps(change.to_record()))
             self.ledger.commit(change)
             woken = {g.token for g in change.grants}
             for member in self.members:  # their watch tells them that there is news
                 if member.token in woken:
-                    self.at(
-                        self.now + LINK, lambda m=member: None if m.dead else m.beat()
+                    self.call_at(
+                        self.now_us + LINK_DELAY_US,
+                        lambda m=member: None if m.dead else m.send_heartbeat(),
                     )  # type: ignore[misc]
-        self.at(self.now + PLAN, self.tick)
+        self.call_at(self.now_us + PLAN_INTERVAL_US, self.tick)
 
-    def served(
+    def serve_heartbeat(
         self,
-        member: Member,
-        asked: int,
+        member: SimulatedMember,
+        asked_us: int,
         needs: dict[str, int],
         holds: tuple[int, int] | None,
     ) -> None:
-        if self.ledger.beat(
-            member.token, {"7": needs}, {"7": holds} if holds else {}, self.now
+        if self.ledger.heartbeat(
+            member.token, {"7": needs}, {"7": holds} if holds else {}, self.now_us
         ):
-            self.leases[member.token] = self.now + int(LEASE * (1 + DRIFT))
-            shares = self.ledger.told(member.token)
-            self.wire += len(
+            self.leases[member.token] = self.now_us + int(LEASE_US * (1 + DRIFT))
+            shares = self.ledger.shares_for(member.token)
+            self.wire_bytes += len(
                 json.dumps(
                     {
                         d: {
@@ -202,14 +221,23 @@
                     }
                 )
             )
-            self.at(self.now + LINK, lambda: member.answered(asked, shares))
+            self.call_at(
+                self.now_us + LINK_DELAY_US, lambda: member.on_answer(asked_us, shares)
+            )
 
     def counts(self) -> tuple[float, ...]:
         """Records, their bytes, beats, their bytes, seconds in plans, plans."""
-        beats = sum(m.beats for m in self.members)
-        return self.records, self.disk, beats, self.wire, self.spent, self.plans
+        beats = sum(m.heartbeat_count for m in self.members)
+        return (
+            self.record_count,
+            self.disk_bytes,
+            beats,
+            self.wire_bytes,
+            self.plan_seconds,
+            self.plan_count,
+        )
 
-    def worst(self) -> int:
+    def fullest_span(self) -> int:
         """Calls in the fullest sliding span."""
         first = worst = 0
         for n, (at, _) in enumerate(self.sent):
@@ -219,17 +247,17 @@
         return worst
 
 
-def until(fleet: Fleet, done: Callable[[], bool], most: int) -> float:
+def ms_until(fleet: SimulatedFleet, done: Callable[[], bool], most: int) -> float:
     """Milliseconds until it is so."""
-    began = fleet.now
+    began = fleet.now_us
     while not done():
-        if fleet.now - began > most:
+        if fleet.now_us - began > most:
             raise RuntimeError("never came")
-        fleet.run(fleet.now + 5_000)
-    return (fleet.now - began) / 1000
+        fleet.run(fleet.now_us + 5_000)
+    return (fleet.now_us - began) / 1000
 
 
-def division(members: int, repeats: int) -> list[float]:
+def division_ms(members: int, repeats: int) -> list[float]:
     """Milliseconds of one division, a third of the members with work in two weighted
     parts.
     """
@@ -249,55 +277,64 @@
     return took
 
 
-def two_of_ten(reserve: int, seed: int) -> tuple[float, float, float, float, int]:
+def measure_two_of_ten(
+    reserve: int, seed: int
+) -> tuple[float, float, float, float, int]:
     """Part of the whole used, ms until the demand's share came, ms from a death until
     its share works with the other, against at most so many, and calls in the fullest
     span.
     """
-    budget = Budget("7", 100, SECOND, reserve, 10)
-    fleet = Fleet(10, budget, seed)
-    fleet.run(10 * SECOND)
-    a, b = fleet.members[:2]
-    a.wants_per_s(70)
-    b.wants_per_s(70)
+    budget = Budget("7", 100, SECOND_US, reserve, 10)
+    fleet = SimulatedFleet(10, budget, seed)
+    fleet.run(10 * SECOND_US)
+    dying, surviving = fleet.members[:2]
+    dying.set_arrivals(70)
+    surviving.set_arrivals(70)
     most = 100 - 8 * reserve
-    arrived = until(
+    arrived = ms_until(
         fleet,
-        lambda: a.purse.limit(a.now()) + b.purse.limit(b.now()) >= 0.9 * most,
-        20 * SECOND,
+        lambda: (
+            dying.quota.limit(dying.now()) + surviving.quota.limit(surviving.now())
+            >= 0.9 * most
+        ),
+        20 * SECOND_US,
     )
-    fleet.run(fleet.now + 5 * SECOND)
-    before, began = len(fleet.sent), fleet.now
-    fleet.run(began + 100 * SECOND)
+    fleet.run(fleet.now_us + 5 * SECOND_US)
+    before, began = len(fleet.sent), fleet.now_us
+    fleet.run(began + 100 * SECOND_US)
     used = (len(fleet.sent) - before) / 100 / 100
-    b.wants_per_s(150)
-    fleet.run(fleet.now + fleet.rng.randrange(SECOND))
-    a.dead = True
-    freed = until(
-        fleet, lambda: b.purse.limit(b.now()) >= 0.9 * (most - reserve), 30 * SECOND
+    surviving.set_arrivals(150)
+    fleet.run(fleet.now_us + fleet.rng.randrange(SECOND_US))
+    dying.dead = True
+    freed = ms_until(
+        fleet,
+        lambda: surviving.quota.limit(surviving.now()) >= 0.9 * (most - reserve),
+        30 * SECOND_US,
     )
-    at_most = (LEASE * (1 + DRIFT) + budget.window_us(DRIFT)) / 1000
-    return used, arrived, freed, at_most, fleet.worst()
+    at_most = (LEASE_US * (1 + DRIFT) + budget.window_us(DRIFT)) / 1000
+    return used, arrived, freed, at_most, fleet.fullest_span()
 
 
-def swings(
+def measure_swings(
     members: int, seconds: int, steady: bool
 ) -> tuple[float, float, float, float, float, float]:
     """A fifth of the members have work; not `steady`: another fifth every 5 s. Records
     and bytes a second on disk, beats and bytes a second of their budget part, ms of a
     plan, worst span over the whole.
     """
-    fleet = Fleet(members, Budget("7", members * 10, SECOND, 1, members), members)
-    fleet.run(4 * SECOND)
+    fleet = SimulatedFleet(
+        members, Budget("7", members * 10, SECOND_US, 1, members), members
+    )
+    fleet.run(4 * SECOND_US)
     for n in range(0, members, 5):
-        fleet.members[n].wants_per_s(30)
-    fleet.run(10 * SECOND)
+        fleet.members[n].set_arrivals(30)
+    fleet.run(10 * SECOND_US)
     marks = fleet.counts()
     for second in range(0, seconds, 5):
         if not steady:
             for n, member in enumerate(fleet.members):
-                member.wants_per_s(30 if n % 5 == (second // 5 + 1) % 5 else 0)
-        fleet.run((10 + second + 5) * SECOND)
+                member.set_arrivals(30 if n % 5 == (second // 5 + 1) % 5 else 0)
+        fleet.run((10 + second + 5) * SECOND_US)
     records, disk, beats, wire, spent, plans = (
         e - m for e, m in zip(fleet.counts(), marks, strict=True)
     )
@@ -307,22 +344,28 @@
         beats / seconds,
         wire / seconds,
         spent / plans * 1000,
-        fleet.worst() / (members * 10),
+        fleet.fullest_span() / (members * 10),
     )
 
 
 def main(repeats: int) -> None:
     for members in (10, 200, 1_000):
-        print(row(f"{members} members: ms of one division", division(members, repeats)))
+        print(
+            format_row(
+                f"{members} members: ms of one division", division_ms(members, repeats)
+            )
+        )
     for reserve in (0, 1):
-        runs = [two_of_ten(reserve, seed) for seed in range(repeats)]
+        runs = [measure_two_of_ten(reserve, seed) for seed in range(repeats)]
         name = f"2 of 10 with work, whole 100 a second, reserve {reserve}"
-        print(row(f"{name}: part of the whole used", [r[0] for r in runs]))
+        print(format_row(f"{name}: part of the whole used", [r[0] for r in runs]))
         print(
-            row(f"{name}: ms until nine tenths of its share came", [r[1] for r in runs])
+            format_row(
+                f"{name}: ms until nine tenths of its share came", [r[1] for r in runs]
+            )
         )
         print(
-            row(
+            format_row(
                 f"{name}: ms from a death until its share works with the other",
                 [r[2] for r in runs],
             )
@@ -333,7 +376,7 @@
         )
     for members in (10, 200, 1_000):
         for steady in (True, False):
-            records, disk, beats, wire, plan, full = swings(members, 10, steady)
+            records, disk, beats, wire, plan, full = measure_swings(members, 10, steady)
             how = "steady" if steady else "another fifth every 5 s"
             print(
                 f"{members} members, {how}: {records:.1f} records and {disk / 1000:.1f} kB a second to "
--- a/measure/cold_fleet.py
+++ b/measure/cold_fleet.py
@@ -14,14 +14,14 @@
 
 from tests.cold_fleet import SCENES, Play, Verdict, played
 
-NS = (0.3, 1.0, 4.0, 30.0)
+EARLY_CALL_COUNTS = (0.3, 1.0, 4.0, 30.0)
 
 
 def plays(forwarders: int, n: float, scene: str, seeds: int) -> list[Play]:
     return [SCENES[scene](forwarders, n, seed) for seed in range(1, seeds + 1)]
 
 
-def row(verdicts: list[Verdict]) -> str:
+def format_row(verdicts: list[Verdict]) -> str:
     worst = max(verdicts, key=lambda v: v.part)
     over = sum(v.part > 1 for v in verdicts)
     found = [v.found_us / 1e6 for v in verdicts if v.found_us >= 0]
@@ -46,10 +46,10 @@
             )
             for scene in scenes
             for forwarders in fleets
-            for n in NS
+            for n in EARLY_CALL_COUNTS
         ]
         for name, verdicts in rows:
-            print(name, row([v.result() for v in verdicts]), flush=True)
+            print(name, format_row([v.result() for v in verdicts]), flush=True)
 
 
 if __name__ == "__main__":
--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -34,13 +34,13 @@
     5,
 )  # a whole is so many calls for each member: more than all need together
 STEADY_S, CHANGE_S = 4.0, 5.0  # how long is counted at rest, and after a change
-BUSY, REST = 120, 10  # calls needed in a span
-QUIET_S = 60.0  # until all shares rest, at the latest
+BUSY_CALLS, IDLE_CALLS = 120, 10  # calls needed in a span
+SETTLE_TIMEOUT_S = 60.0  # until all shares rest, at the latest
 CONNECTIONS = 2  # of a member: beats and watch
-SPARE = 100  # descriptors of either process beside these connections
+RESERVED_DESCRIPTORS = 100  # descriptors of either process beside these connections
 
 
-class Stuck(Exception):
+class MeasurementError(Exception):
     """The run cannot come to its end; the text says why."""
 
 
@@ -50,17 +50,17 @@
     would fail one by one.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    needed = count * CONNECTIONS + SPARE
+    needed = count * CONNECTIONS + RESERVED_DESCRIPTORS
     if resource.RLIM_INFINITY in (soft, hard) and soft >= needed:
         return
     if hard != resource.RLIM_INFINITY and hard < needed:
-        raise Stuck(
+        raise MeasurementError(
             f"{count} members need {needed} descriptors, and the limit is {hard}"
         )
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, needed), hard))
 
 
-class Link:
+class HttpConnection:
     """One kept connection."""
 
     def __init__(self, port: int, count: list[int]) -> None:
@@ -89,7 +89,7 @@
         return int(head[9:12]), json.loads(told or b"null")
 
 
-class Member:
+class SimulatedMember:
     """Beats a third of its lease apart, and at once for news, a new need, and a share
     to acknowledge.
     """
@@ -98,21 +98,24 @@
         self, n: int, port: int, named: bool, counts: dict[str, list[int]]
     ) -> None:
         self.name, self.named = f"f{n}", named
-        self.beats, self.watch = Link(port, counts["beat"]), Link(port, counts["watch"])
-        self.rng, self.go = random.Random(n), asyncio.Event()
+        self.heartbeat_connection, self.watch_connection = (
+            HttpConnection(port, counts["beat"]),
+            HttpConnection(port, counts["watch"]),
+        )
+        self.rng, self.wakeup = random.Random(n), asyncio.Event()
         self.token: Any = None
         self.list: Any = None
-        self.needs = {str(budget): REST for budget in range(3)}
+        self.needs = {str(budget): IDLE_CALLS for budget in range(3)}
         self.shares: dict[str, Any] = {}
         self.sent = self.version = 0
-        self.at = 0.0  # when a share of it last changed
+        self.changed_s = 0.0  # when a share of it last changed
         self.lost = 0  # how often its lease was out before it was renewed
 
     async def run(self) -> None:
         watching: asyncio.Task[None] | None = None
         while True:
             self.sent += 1
-            status, told = await self.beats.call(
+            status, told = await self.heartbeat_connection.call(
                 "POST",
                 "/v1/fleet/beat",
                 {
@@ -136,10 +139,10 @@
                 self.rejoin()
                 continue
             if status != 200:
-                raise Stuck(f"{self.name}: status {status}: {told}")
+                raise MeasurementError(f"{self.name}: status {status}: {told}")
             if self.shares != told["shares"]:
-                self.at = time.perf_counter()
-                self.go.set()  # acknowledged at once
+                self.changed_s = time.perf_counter()
+                self.wakeup.set()  # acknowledged at once
             self.token, self.list, self.version = (
                 told["token"],
                 told["list"],
@@ -149,37 +152,37 @@
             if watching is None or watching.done():
                 if watching is not None:
                     watching.result()
-                watching = asyncio.create_task(self.news())
+                watching = asyncio.create_task(self.watch_changes())
             try:
                 await asyncio.wait_for(
-                    self.go.wait(), LEASE_MS / 3e3 * self.rng.uniform(0.9, 1.0)
+                    self.wakeup.wait(), LEASE_MS / 3e3 * self.rng.uniform(0.9, 1.0)
                 )
             except TimeoutError:
                 pass
-            self.go.clear()
+            self.wakeup.clear()
 
     def rejoin(self) -> None:
         """The lease is lost: the next beat joins as a new member."""
         self.token, self.list, self.shares = None, None, {}
         self.lost += 1
 
-    async def news(self) -> None:
+    async def watch_changes(self) -> None:
         name = self.name if self.named else ""
         path = f"/v1/fleet/watch?from={self.version}&hold_ms=30000&name={name}"
-        await self.watch.call("GET", path)
-        self.go.set()
+        await self.watch_connection.call("GET", path)
+        self.wakeup.set()
 
 
-async def quiet(
-    members: list[Member], tasks: list[asyncio.Task[None]], for_s: float
+async def wait_until_settled(
+    members: list[SimulatedMember], tasks: list[asyncio.Task[None]], for_s: float
 ) -> None:
     """Until no share of any has changed for so long, and all have theirs. Raises Stuck
     where that does not come, and what a member's task failed with.
     """
-    until = time.perf_counter() + QUIET_S
+    until = time.perf_counter() + SETTLE_TIMEOUT_S
     while (
         not all(m.shares for m in members)
-        or time.perf_counter() - max(m.at for m in members) < for_s
+        or time.perf_counter() - max(m.changed_s for m in members) < for_s
     ):
         for task in tasks:
             if task.done():
@@ -189,14 +192,14 @@
                 sum(bool(m.shares) for m in members),
                 sum(m.lost for m in members),
             )
-            raise Stuck(
-                f"after {QUIET_S:g} s {have} of {len(members)} members have shares, and leases were"
+            raise MeasurementError(
+                f"after {SETTLE_TIMEOUT_S:g} s {have} of {len(members)} members have shares, and leases were"
                 f" lost {lost} times"
             )
         await asyncio.sleep(0.1)
 
 
-async def play(count: int, named: bool, folder: Path) -> dict[str, float]:
+async def measure_fleet(count: int, named: bool, folder: Path) -> dict[str, float]:
     budgets = [
         {
             "destination": str(n),
@@ -241,9 +244,9 @@
             await asyncio.sleep(0.05)
         port = int((folder / "ports").read_text().split()[2])
         counts = {"beat": [0, 0], "watch": [0, 0]}
-        members = [Member(n, port, named, counts) for n in range(count)]
+        members = [SimulatedMember(n, port, named, counts) for n in range(count)]
         tasks = [asyncio.create_task(m.run()) for m in members]
-        staff = Link(port, [0, 0])
+        staff = HttpConnection(port, [0, 0])
 
         async def marks() -> tuple[float, ...]:
             syncs = (await staff.call("GET", "/_vars"))[1]["fleet_syncs"]
@@ -255,24 +258,28 @@
             )
             return (*counts["beat"], *counts["watch"], syncs, sum(map(int, cpu)) / 100)
 
-        await quiet(members, tasks, 2.5)
+        await wait_until_settled(members, tasks, 2.5)
         before = await marks()
         await asyncio.sleep(STEADY_S)
         rest = [b - a for a, b in zip(before, await marks(), strict=True)]
         before, began = await marks(), time.perf_counter()
         for member in members[: count // 10]:
-            member.needs = {**member.needs, "0": BUSY}
-            member.go.set()
+            member.needs = {**member.needs, "0": BUSY_CALLS}
+            member.wakeup.set()
         await asyncio.sleep(CHANGE_S)
         after = [b - a for a, b in zip(before, await marks(), strict=True)]
-        served = [m for m in members[: count // 10] if m.shares["0"]["calls"] >= BUSY]
+        served = [
+            m for m in members[: count // 10] if m.shares["0"]["calls"] >= BUSY_CALLS
+        ]
         for task in tasks:
             task.cancel()
         return {
-            "ms until the last share was told": (max(m.at for m in members) - began)
+            "ms until the last share was told": (
+                max(m.changed_s for m in members) - began
+            )
             * 1000,
             "part of those who asked that got all": len(served) / (count // 10),
-            "members whose share changed": sum(m.at > began for m in members),
+            "members whose share changed": sum(m.changed_s > began for m in members),
             "leases lost": sum(m.lost for m in members),
             "syncs of the change": after[4],
             "beats of the change": after[0] - rest[0] * CHANGE_S / STEADY_S,
@@ -298,7 +305,7 @@
         found = []
         for repeat in range(repeats):
             with tempfile.TemporaryDirectory() as folder:
-                found.append(await play(count, named, Path(folder)))
+                found.append(await measure_fleet(count, named, Path(folder)))
             print(
                 f"{said}: run {repeat + 1} of {repeats} done",
                 file=sys.stderr,
@@ -317,5 +324,5 @@
         asyncio.run(
             main(*map(int, (sys.argv[1:] + ["5", "200"][len(sys.argv) - 1 :])[:2]))
         )
-    except Stuck as error:
+    except MeasurementError as error:
         sys.exit(f"fleet_service: {error}")
--- a/measure/import_time.py
+++ b/measure/import_time.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-MODULES = ("rainfall.__main__", "rainfall.net.engine")
+MODULES = ("rainfall.__main__", "rainfall.forwarder.engine.engine")
 CODE = """
 import importlib, sys, time
 before = set(sys.modules)
@@ -30,7 +30,7 @@
 """
 
 
-def once(tree: Path, module: str) -> tuple[list[float], dict[str, int]]:
+def import_once(tree: Path, module: str) -> tuple[list[float], dict[str, int]]:
     """ms by the wall and of the processor; modules imported, and how many of these are
     our own.
     """
@@ -41,8 +41,8 @@
         capture_output=True,
         text=True,
     )
-    took, spent, modules, own = done.stdout.split()
-    return [float(took), float(spent)], {"modules": int(modules), "own": int(own)}
+    wall_ns, cpu_ns, modules, own = done.stdout.split()
+    return [float(wall_ns), float(cpu_ns)], {"modules": int(modules), "own": int(own)}
 
 
 def compare(old: Path, new: Path, module: str, pairs: int) -> dict[str, object]:
@@ -53,7 +53,7 @@
     found: dict[str, object] = {"module": module, "pairs": pairs}
     for n in range(pairs):
         for name in ("old", "new") if n % 2 else ("new", "old"):
-            took, found[name] = once(trees[name], module)
+            took, found[name] = import_once(trees[name], module)
             times[name].append(took)
     for column, clock in enumerate(("wall_ms", "cpu_ms")):
         values = {name: [row[column] for row in rows] for name, rows in times.items()}
@@ -69,10 +69,10 @@
 
 
 def main() -> int:
-    ask = argparse.ArgumentParser(description=__doc__)
-    ask.add_argument("--old", default="250e431", help="the commit to compare with")
-    ask.add_argument("--pairs", type=int, default=11)
-    args = ask.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--old", default="250e431", help="the commit to compare with")
+    parser.add_argument("--pairs", type=int, default=11)
+    args = parser.parse_args()
     packed = subprocess.run(
         ["git", "archive", args.old, "rainfall"],
         cwd=ROOT,
--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -18,90 +18,130 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from measure.figures import row  # noqa: E402
+from measure.reporting import format_row  # noqa: E402
 from rainfall.dispatch import Idempotency, MessageClass  # noqa: E402
-from rainfall.net import store as new_store  # noqa: E402
+from rainfall.forwarder import message_store as new_store  # noqa: E402
 
-BEFORE = "a2f2844"  # the last commit with the old journal
-MESSAGES, EACH_ROUND, NOW = 4000, 3, 1_700_000_000_000_000
+OLD_COMMIT = "a2f2844"  # the last commit with the old journal
+MESSAGES, MESSAGES_PER_ROUND, NOW_US = 4000, 3, 1_700_000_000_000_000
 
 
 BODY = b"x" * 200
 
 
+FORMER_NAMES = {
+    "use_rules": "settle",
+    "append_message": "take",
+    "append_attempt": "attempt",
+    "append_outcome": "outcome",
+    "append_finished": "over",
+    "append_notification": "owe",
+    "append_acknowledgement": "told",
+}
+"""Methods of today's store, and their names at OLD_COMMIT."""
+
+
 def old_store() -> Any:
+    """The store of OLD_COMMIT under today's names."""
+    for name in ("lemonshunt", "lemonshunt.interface", "old_store"):
+        sys.modules[name] = types.ModuleType(name)
+    interface, module = sys.modules["lemonshunt.interface"], sys.modules["old_store"]
+    vars(sys.modules["lemonshunt"])["interface"] = interface
+    run_old_source("lemonshunt/interface.py", interface)
+    run_old_source("lemonshunt/net/store.py", module)
+    for name, former in FORMER_NAMES.items():
+        setattr(module.Store, name, getattr(module.Store, former))
+    module.MessageStore = module.Store
+    module.DeliveryRules, module.AcceptedMessage = module.Rules, module.Taken
+    return module
+
+
+def run_old_source(path: str, module: types.ModuleType) -> None:
+    """Fill a module with the text of a file at OLD_COMMIT."""
     text = subprocess.run(
-        ["git", "show", f"{BEFORE}:lemonshunt/net/store.py"],
+        ["git", "show", f"{OLD_COMMIT}:{path}"],
         cwd=ROOT,
         check=True,
         capture_output=True,
         text=True,
     ).stdout
-    module = types.ModuleType("old_store")
-    sys.modules["old_store"] = module
-    exec(compile(text, "old_store.py", "exec"), module.__dict__)
-    return module
+    exec(compile(text, path, "exec"), vars(module))
+
+
+def classes_of(store_module: Any) -> tuple[Any, ...]:
+    """Two classes, as the store's own version has them."""
+    old = sys.modules.get("lemonshunt.interface")
+    if old is not None and store_module is sys.modules["old_store"]:
+        return (
+            old.MessageClass("status-notice", 1_000_000, 5_000_000),
+            old.MessageClass(
+                "fee-payment", 3_000_000, 28_000_000, old.Effect.ONCE, in_order=True
+            ),
+        )
+    return (
+        MessageClass("status-notice", 1_000_000, 5_000_000),
+        MessageClass(
+            "fee-payment", 3_000_000, 28_000_000, Idempotency.NEVER, ordered=True
+        ),
+    )
 
 
-def history(made: Any) -> tuple[float, float]:
+def run_history(store_module: Any) -> tuple[float, float]:
     """Processor time and bytes written for each message."""
     with tempfile.TemporaryDirectory() as folder:
-        store = made.Store(Path(folder), 3_000_000)
+        store = store_module.MessageStore(Path(folder), 3_000_000)
         written = 0
         if hasattr(store, "log"):
 
             def count() -> int:
-                return int(store.log.bytes)
+                return int(store.log.bytes_written)
         else:
-            write = made.os.write
+            write = store_module.os.write
 
             def counted(fd: int, data: Any) -> int:
                 nonlocal written
                 written += len(data)
                 return int(write(fd, data))
 
-            made.os = types.SimpleNamespace(**{**vars(made.os), "write": counted})
+            store_module.os = types.SimpleNamespace(
+                **{**vars(store_module.os), "write": counted}
+            )
 
             def count() -> int:
                 return written
 
-        classes = (
-            MessageClass("status-notice", 1_000_000, 5_000_000),
-            MessageClass(
-                "fee-payment", 3_000_000, 28_000_000, Idempotency.NEVER, ordered=True
-            ),
-        )
-        store.settle(made.Rules(8, classes))
+        classes = classes_of(store_module)
+        store.use_rules(store_module.DeliveryRules(8, classes))
         began = time.process_time()
-        for n in range(0, MESSAGES, EACH_ROUND):
+        for n in range(0, MESSAGES, MESSAGES_PER_ROUND):
             batch = []
-            for k in range(n, n + EACH_ROUND):
-                name = f"{k:016x}"
-                order = f"{k % 50:016x}" if k % 4 == 0 else None
-                m = made.Taken(
+            for number in range(n, n + MESSAGES_PER_ROUND):
+                name = f"{number:016x}"
+                order = f"{number % 50:016x}" if number % 4 == 0 else None
+                message = store_module.AcceptedMessage(
                     name,
-                    classes[k % 4 == 0].name,
-                    k % 12,
-                    NOW + k,
+                    classes[number % 4 == 0].name,
+                    number % 12,
+                    NOW_US + number,
                     name * 2,
                     None,
                     BODY,
                     order,
                 )
-                store.take(m)
-                store.attempt(m, 0, NOW + k, "s-5be2a07c")
-                batch.append(m)
+                store.append_message(message)
+                store.append_attempt(message, 0, NOW_US + number, "s-5be2a07c")
+                batch.append(message)
             store.flush()
-            for m in batch:
-                if int(m.id, 16) % 5 == 0:
-                    store.outcome(m, 0, False)
-                    store.attempt(m, 1, NOW, "s-5be2a07c")
+            for message in batch:
+                if int(message.id, 16) % 5 == 0:
+                    store.append_outcome(message, 0, False)
+                    store.append_attempt(message, 1, NOW_US, "s-5be2a07c")
                     store.flush()
-                if int(m.id, 16) % 17 == 0:
-                    store.owe(m.id, "returned", 500)
-                    store.told(m.id)
+                if int(message.id, 16) % 17 == 0:
+                    store.append_notification(message.id, "returned", 500)
+                    store.append_acknowledgement(message.id)
                 else:
-                    store.over(m.id)
+                    store.append_finished(message.id)
             store.flush()
         took = time.process_time() - began
         total = count()
@@ -114,13 +154,17 @@
     old = old_store()
     results: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
     for n in range(repeats):
-        for name, made in (("before", old), ("now", new_store))[:: 1 if n % 2 else -1]:
-            results[name].append(history(made))
+        for name, store_module in (("before", old), ("now", new_store))[
+            :: 1 if n % 2 else -1
+        ]:
+            results[name].append(run_history(store_module))
     for name, pairs in results.items():
-        print(row(f"{name}: processor time a message, us", [p[0] for p in pairs]))
-        print(row(f"{name}: bytes a message", [p[1] for p in pairs]))
+        print(
+            format_row(f"{name}: processor time a message, us", [p[0] for p in pairs])
+        )
+        print(format_row(f"{name}: bytes a message", [p[1] for p in pairs]))
     print(
-        row(
+        format_row(
             "now less before, us, by pairs",
             [
                 b[0] - a[0]
--- a/measure/lab_load.py
+++ b/measure/lab_load.py
@@ -17,14 +17,14 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from measure.figures import row  # noqa: E402
+from measure.reporting import format_row  # noqa: E402
 from rainfall.lab.experiment import parse  # noqa: E402
 from rainfall.lab.runner import run  # noqa: E402
 
-SIZES = (3, 30)
+FORWARDER_COUNTS = (3, 30)
 RATES = (250, 500, 1000, 2000, 4000, 8000)
-HOLD_MS = 1.0
-TEXT = """
+MAX_LAG_MS = 1.0
+EXPERIMENT = """
 name = "rate"
 duration_s = 3
 settle_s = 5
@@ -42,8 +42,10 @@
 """
 
 
-def once(forwarders: int, rate: float) -> dict[str, float]:
-    experiment = parse(TEXT.format(forwarders=forwarders, rate=rate, hold=HOLD_MS))
+def run_once(forwarders: int, rate: float) -> dict[str, float]:
+    experiment = parse(
+        EXPERIMENT.format(forwarders=forwarders, rate=rate, hold=MAX_LAG_MS)
+    )
     with tempfile.TemporaryDirectory() as folder:
         result = asyncio.run(run(experiment, 1, Path(folder)))
     return {
@@ -56,32 +58,33 @@
 
 def main() -> None:
     repeats = int(sys.argv[1]) if len(sys.argv) > 1 else 3
-    for size in SIZES:
+    for size in FORWARDER_COUNTS:
         held = 0.0
         for rate in RATES[3:] if repeats == 1 else RATES:
-            runs = [once(size, rate) for _ in range(repeats)]
+            runs = [run_once(size, rate) for _ in range(repeats)]
             print(
-                row(
+                format_row(
                     f"{size} forwarders, {rate:g}/s, lag p99 ms",
                     [r["p99"] for r in runs],
                 )
             )
             print(
-                row(
+                format_row(
                     f"{size} forwarders, {rate:g}/s, lag max ms",
                     [r["max"] for r in runs],
                 )
             )
             print(
-                row(
+                format_row(
                     f"{size} forwarders, {rate:g}/s, share delivered",
                     [r["delivered"] / r["messages"] for r in runs],
                 )
             )
-            if statistics.median(r["p99"] for r in runs) <= HOLD_MS:
+            if statistics.median(r["p99"] for r in runs) <= MAX_LAG_MS:
                 held = rate
         print(
-            f"{size} forwarders: the largest rate whose median p99 lag is within {HOLD_MS:g} ms: {held:g}/s"
+            f"{size} forwarders: the largest rate whose median p99 lag is within "
+            f"{MAX_LAG_MS:g} ms: {held:g}/s"
         )
 
 
--- a/measure/power_cost.py
+++ b/measure/power_cost.py
@@ -18,13 +18,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from measure.figures import end_peers, row  # noqa: E402
+from measure.reporting import cancel_tasks, format_row  # noqa: E402
 from tests.sockets import OK, Node, Peer, Platform, always  # noqa: E402
 
-RATES, LASTING_S = (20, 100, 400), 2.0
+RATES, DURATION_S = (20, 100, 400), 2.0
 
 
-async def once(level: str, rate: int) -> tuple[float, float, float]:
+async def run_once(level: str, rate: int) -> tuple[float, float, float]:
     """Median milliseconds to the 202, syncs a message and bytes a message."""
     platform = Platform()
     await platform.start()
@@ -54,7 +54,7 @@
             free.put_nowait(n)
 
         tasks = []
-        for number in range(int(rate * LASTING_S)):
+        for number in range(int(rate * DURATION_S)):
             tasks.append(asyncio.create_task(one(number)))
             await asyncio.sleep(1 / rate)
         await asyncio.gather(*tasks)
@@ -64,7 +64,7 @@
             client.writer.close()
         await node.end()
     many = max(1, len(times))
-    await end_peers()
+    await cancel_tasks()
     return (
         statistics.median(times),
         (after["syncs"] - before["syncs"]) / many,
@@ -81,11 +81,21 @@
         }
         for _ in range(repeats):
             for level, results in found.items():
-                results.append(asyncio.run(once(level, rate)))
+                results.append(asyncio.run(run_once(level, rate)))
         for level, results in found.items():
-            print(row(f"{rate}/s, {level}: ms to the 202", [r[0] for r in results]))
-            print(row(f"{rate}/s, {level}: syncs a message", [r[1] for r in results]))
-            print(row(f"{rate}/s, {level}: bytes a message", [r[2] for r in results]))
+            print(
+                format_row(f"{rate}/s, {level}: ms to the 202", [r[0] for r in results])
+            )
+            print(
+                format_row(
+                    f"{rate}/s, {level}: syncs a message", [r[1] for r in results]
+                )
+            )
+            print(
+                format_row(
+                    f"{rate}/s, {level}: bytes a message", [r[2] for r in results]
+                )
+            )
 
 
 if __name__ == "__main__":
--- a/measure/queue_cost.py
+++ b/measure/queue_cost.py
@@ -42,36 +42,38 @@
 )
 from tests import reference  # noqa: E402
 
-S = 1_000_000
-LIFE = 7200 * S
-KEYED = MessageClass(
+SECOND_US = 1_000_000
+LIFETIME_US = 7200 * SECOND_US
+KEYED_CLASS = MessageClass(
     "notice",
-    900 * S,
-    LIFE,
+    900 * SECOND_US,
+    LIFETIME_US,
     Idempotency.WITH_KEY,
     IdempotencyScope.ALL,
-    2 * LIFE,
+    2 * LIFETIME_US,
     True,
     late_priority_weight=0.5,
 )
 CLASSES = (
-    MessageClass("reminder", 900 * S, LIFE, late_priority_weight=0.5),
-    MessageClass("receipt", 900 * S, LIFE, late_priority_weight=0.5),
-    KEYED,
+    MessageClass("reminder", 900 * SECOND_US, LIFETIME_US, late_priority_weight=0.5),
+    MessageClass("receipt", 900 * SECOND_US, LIFETIME_US, late_priority_weight=0.5),
+    KEYED_CLASS,
 )
-BATCH = 1000
+MESSAGES_PER_ROUND = 1000
 """Messages taken on in one round while a pile is filled."""
 EVENTS, REPEATS = 200, 5
-Make = Callable[[Settings, int, int], Any]
+DispatcherFactory = Callable[[Settings, int, int], Any]
 
 
-class Site:
+class SimulatedDestination:
     """One destination that takes three calls at a time, and the messages that are held
     for it.
     """
 
-    def __init__(self, make: Make, held: int, own_keys: bool = False) -> None:
-        self.now, self.taken, self.own_keys = 0, 0, own_keys
+    def __init__(
+        self, make: DispatcherFactory, held: int, own_keys: bool = False
+    ) -> None:
+        self.now_us, self.message_count, self.distinct_keys = 0, 0, own_keys
         settings = Settings(
             max_in_flight=4,
             classes=CLASSES,
@@ -91,31 +93,40 @@
             ],
         )
         self.dispatcher.handle(
-            0, [QuotaChanged(10, 0, 1000 * S, 1 << 50, 0)]
+            0, [QuotaChanged(10, 0, 1000 * SECOND_US, 1 << 50, 0)]
         )  # nothing may go
         self.waiting: deque[Event] = deque()
-        while self.taken < held:
-            self.now += 1000
+        while self.message_count < held:
+            self.now_us += 1000
             self.dispatcher.handle(
-                self.now, [self.arrival() for _ in range(min(BATCH, held - self.taken))]
+                self.now_us,
+                [
+                    self.arrival()
+                    for _ in range(min(MESSAGES_PER_ROUND, held - self.message_count))
+                ],
             )
 
     def arrival(self) -> MessageReceived:
-        self.taken += 1
-        n = self.taken
-        name = "notice" if self.own_keys else CLASSES[n % 2].name
-        due = self.now + 3600 * S + n * 7919 % 3000 * S
+        self.message_count += 1
+        n = self.message_count
+        name = "notice" if self.distinct_keys else CLASSES[n % 2].name
+        due = self.now_us + 3600 * SECOND_US + n * 7919 % 3000 * SECOND_US
         return MessageReceived(
-            f"message {n}", 10, name, due, f"key {n}" if self.own_keys else None, "city"
+            f"message {n}",
+            10,
+            name,
+            due,
+            f"key {n}" if self.distinct_keys else None,
+            "city",
         )
 
     def messages(self) -> Any:
         """All that are held; the reference keeps them in the dispatcher itself."""
         return getattr(self.dispatcher, "state", self.dispatcher).messages
 
-    def open(self) -> float:
+    def open_all(self) -> float:
         """Any call may go from now on; the processor seconds of the round."""
-        return self.round(QuotaChanged(10, 0, 0, 0, 0))
+        return self.run_round(QuotaChanged(10, 0, 0, 0, 0))
 
     def serve(self, events: int) -> float:
         """So many rounds of one event each, arrivals and outcomes; processor seconds
@@ -123,16 +134,18 @@
         """
         return (
             sum(
-                self.round(self.waiting.popleft() if self.waiting else self.arrival())
+                self.run_round(
+                    self.waiting.popleft() if self.waiting else self.arrival()
+                )
                 for _ in range(events)
             )
             / events
         )
 
-    def round(self, event: Event) -> float:
-        self.now += 5_000
+    def run_round(self, event: Event) -> float:
+        self.now_us += 5_000
         start = time.process_time()
-        actions = self.dispatcher.handle(self.now, [event])
+        actions = self.dispatcher.handle(self.now_us, [event])
         spent = time.process_time() - start
         for a in actions:
             if isinstance(a, SendMessage):
@@ -145,11 +158,11 @@
         return spent
 
 
-def work(sizes: Sequence[int]) -> None:
+def print_visited(sizes: Sequence[int]) -> None:
     print("entries visited for an event:")
     for held in sizes:
-        site = Site(Dispatcher, held)
-        site.open()
+        site = SimulatedDestination(Dispatcher, held)
+        site.open_all()
         site.serve(10)
         before = site.dispatcher.state.work_count
         spent = site.serve(EVENTS)
@@ -157,7 +170,7 @@
         print(f"  {held:>9,} held: {visited:.1f}, {spent * 1e6:.0f} us")
 
 
-def times(turn: int) -> None:
+def print_times(turn: int) -> None:
     """In short turns the processor's caches are full of what the old one has just
     visited.
     """
@@ -167,9 +180,12 @@
     for held in (0, 100, 1000, 3000):
         spent: tuple[list[float], list[float]] = ([], [])
         for _ in range(REPEATS):
-            sites = [Site(make, held) for make in (reference.Dispatcher, Dispatcher)]
+            sites = [
+                SimulatedDestination(make, held)
+                for make in (reference.Dispatcher, Dispatcher)
+            ]
             for site in sites:
-                site.open()
+                site.open_all()
                 site.serve(10)
             turns = (EVENTS if held else 20 * EVENTS) // turn
             seconds = [[site.serve(turn) for site in sites] for _ in range(turns)]
@@ -182,13 +198,13 @@
         )
 
 
-def memory(held: int) -> None:
+def print_memory(held: int) -> None:
     print(f"memory of a held message, {held:,} held, without its event (old, new):")
     for keyed in (False, True):
         sizes = []
         for make in (reference.Dispatcher, Dispatcher):
             tracemalloc.start()
-            site = Site(make, held, keyed)
+            site = SimulatedDestination(make, held, keyed)
             sizes.append(tracemalloc.get_traced_memory()[0] / held)
             tracemalloc.stop()
             assert len(site.messages()) == held
@@ -196,19 +212,20 @@
         print(f"  {name}: {sizes[0]:.0f}, {sizes[1]:.0f} bytes")
 
 
-def opening(sizes: Sequence[int]) -> None:
+def print_opening(sizes: Sequence[int]) -> None:
     print("processor time of the round in which a full pile opens (old, new):")
     for held in sizes:
         spent = [
-            Site(make, held).open() * 1e3 for make in (reference.Dispatcher, Dispatcher)
+            SimulatedDestination(make, held).open_all() * 1e3
+            for make in (reference.Dispatcher, Dispatcher)
         ]
         print(f"  {held:>9,} held: {spent[0]:.2f} ms, {spent[1]:.2f} ms")
 
 
 if __name__ == "__main__":
     largest = int(sys.argv[1]) if len(sys.argv) > 1 else 1_000_000
-    times(1)
-    times(EVENTS)
-    memory(10_000)
-    opening((3000, 100_000))
-    work((100, 10_000, largest))
+    print_times(1)
+    print_times(EVENTS)
+    print_memory(10_000)
+    print_opening((3000, 100_000))
+    print_visited((100, 10_000, largest))
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -17,26 +17,34 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from measure.figures import end_peers, row  # noqa: E402
-from rainfall.net.store import Rules, Store, Taken  # noqa: E402
-from rainfall.wirehost import settings  # noqa: E402
+from measure.reporting import cancel_tasks, format_row  # noqa: E402
+from rainfall.forwarder.message_store import (  # noqa: E402
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+)
+from rainfall.wirehost import parse_settings  # noqa: E402
 from tests.sockets import OK, SETTINGS, Node, Peer, Platform, always  # noqa: E402
 
-FULL = 100_000  # more than the disk limit holds
+FULL_FOLDER_MESSAGES = 100_000  # more than the disk limit holds
 
 
-def filled(folder: Path, live: int, history: int, overdue: bool) -> int:
-    store = Store(folder, 3_000_000)
-    made = settings(SETTINGS)
-    store.settle(Rules(made.max_attempts, made.classes))
+def fill_folder(folder: Path, live: int, history: int, overdue: bool) -> int:
+    store = MessageStore(folder, 3_000_000)
+    made = parse_settings(SETTINGS)
+    store.use_rules(DeliveryRules(made.max_attempts, made.classes))
     for n in range(history):
-        store.take(Taken(f"past{n}", "status", 7, 10**16, None, "acme", b"x" * 200))
-        store.over(f"past{n}")
+        store.append_message(
+            AcceptedMessage(f"past{n}", "status", 7, 10**16, None, "acme", b"x" * 200)
+        )
+        store.append_finished(f"past{n}")
         store.flush()
     held = 0
-    while held < live and store.has_room(200):
+    while held < live and store.has_capacity(200):
         due = 1 if overdue else int(time.time() * 1e6) + 50_000_000
-        store.take(Taken(f"m{held}", "status", 7, due, None, "acme", b"x" * 200))
+        store.append_message(
+            AcceptedMessage(f"m{held}", "status", 7, due, None, "acme", b"x" * 200)
+        )
         held += 1
         if held % 100 == 0:
             store.flush()
@@ -44,7 +52,7 @@
     return held
 
 
-async def once(
+async def run_once(
     live: int, history: int, overdue: bool
 ) -> tuple[float, float, float, int]:
     platform = Platform()
@@ -56,7 +64,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         (folder / "state").mkdir()
-        held = filled(folder / "state", live, history, overdue)
+        held = fill_folder(folder / "state", live, history, overdue)
         node = Node(folder, platform, max_open=20_000)
         began = time.perf_counter()
         await node.spawn()
@@ -74,7 +82,7 @@
         took = (await node.figures())["journal"]["recovered"]["took_ms"]
         client.writer.close()
         await node.end()
-    await end_peers()
+    await cancel_tasks()
     return ready * 1000, first * 1000, took, held
 
 
@@ -83,17 +91,17 @@
     cases = [
         (10, 0, False),
         (1000, 0, False),
-        (FULL, 0, False),
-        (FULL, 0, True),
+        (FULL_FOLDER_MESSAGES, 0, False),
+        (FULL_FOLDER_MESSAGES, 0, True),
         (10, 1000, False),
         (10, 20_000, False),
     ]
     for live, history, overdue in cases:
-        found = [asyncio.run(once(live, history, overdue)) for _ in range(repeats)]
+        found = [asyncio.run(run_once(live, history, overdue)) for _ in range(repeats)]
         what = f"{found[0][3]} live{', all overdue' if overdue else ''}, {history} past"
-        print(row(f"{what}: ready, ms", [x[0] for x in found]))
-        print(row(f"{what}: first fresh delivery, ms", [x[1] for x in found]))
-        print(row(f"{what}: reading the journal, ms", [x[2] for x in found]))
+        print(format_row(f"{what}: ready, ms", [x[0] for x in found]))
+        print(format_row(f"{what}: first fresh delivery, ms", [x[1] for x in found]))
+        print(format_row(f"{what}: reading the journal, ms", [x[2] for x in found]))
 
 
 if __name__ == "__main__":
--- a/measure/registry_writes.py
+++ b/measure/registry_writes.py
@@ -20,14 +20,14 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from rainfall.lease.terms import Terms  # noqa: E402
-from rainfall.registry.disk import Disk  # noqa: E402
-from rainfall.registry.server import Service  # noqa: E402
+from rainfall.lease.types import LeaseSettings  # noqa: E402
+from rainfall.registry.server import RegistryServer  # noqa: E402
+from rainfall.registry.storage import Storage  # noqa: E402
 
 WRITERS = 200
 
 
-def body(n: int) -> bytes:
+def change_body(n: int) -> bytes:
     op = {
         "op": "register",
         "host": f"s-{n}",
@@ -41,7 +41,7 @@
     return json.dumps({"ops": [op]}).encode()
 
 
-async def ask(port: int, head: str, data: bytes = b"") -> bytes:
+async def send_request(port: int, head: str, data: bytes = b"") -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(
         f"{head}\r\nHost: r\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n".encode()
@@ -52,40 +52,45 @@
     return answer
 
 
-async def writes(service: Service, port: int, together: bool, first: int) -> float:
+async def syncs_per_change(
+    service: RegistryServer, port: int, together: bool, first: int
+) -> float:
     """Syncs a change when WRITERS changes come at once, or one after another."""
-    before = service.disk.syncs
+    before = service.storage.sync_count
     calls = [
-        ask(port, "POST /v1/hosts HTTP/1.1", body(first + n)) for n in range(WRITERS)
+        send_request(port, "POST /v1/hosts HTTP/1.1", change_body(first + n))
+        for n in range(WRITERS)
     ]
     if together:
         await asyncio.gather(*calls)
     else:
         for call in calls:
             await call
-    return (service.disk.syncs - before) / WRITERS
+    return (service.storage.sync_count - before) / WRITERS
 
 
-async def wake(service: Service, listen: int, write: int, n: int) -> float:
+async def wake_ms(service: RegistryServer, listen: int, write: int, n: int) -> float:
     """Milliseconds from a change being asked for until WRITERS held watches have all
     been answered.
     """
     seq = service.registry.seq
     held = [
         asyncio.ensure_future(
-            ask(listen, f"GET /discovery/hosts?from={seq}&hold_ms=20000 HTTP/1.1")
+            send_request(
+                listen, f"GET /discovery/hosts?from={seq}&hold_ms=20000 HTTP/1.1"
+            )
         )
         for _ in range(WRITERS)
     ]
-    while service.figures.watches_held < WRITERS:
+    while service.metrics.watches_held < WRITERS:
         await asyncio.sleep(0.001)
     began = time.perf_counter()
-    await ask(write, "POST /v1/hosts HTTP/1.1", body(10_000_000 + n))
+    await send_request(write, "POST /v1/hosts HTTP/1.1", change_body(10_000_000 + n))
     await asyncio.gather(*held)
     return (time.perf_counter() - began) * 1000
 
 
-async def beat(
+async def send_heartbeat(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, body: dict[str, Any]
 ) -> Any:
     """One beat on a kept connection: the answer, and the bytes of both."""
@@ -104,18 +109,20 @@
     return json.loads(await reader.readexactly(length)), len(sent), len(head) + length
 
 
-async def members(folder: Path, rounds: int) -> tuple[float, float, float, float]:
+async def measure_members(
+    folder: Path, rounds: int
+) -> tuple[float, float, float, float]:
     """Milliseconds for WRITERS joins at once, then beats a second and bytes of a beat
     and of its answer.
     """
-    disk = Disk(folder)
+    disk = Storage(folder)
     registry, _ = disk.load()
     ahead = [0]
-    service = Service(
+    service = RegistryServer(
         disk, registry, now_us=lambda: time.monotonic_ns() // 1000 + ahead[0]
     )
-    await service.begin()
-    await service.lead(Terms(0.02, 1_000, 60_000_000), 60_000_000)
+    await service.begin_history()
+    await service.start_fleet(LeaseSettings(0.02, 1_000, 60_000_000), 60_000_000)
     ahead[0] = 62_000_000  # the wait after a start on an empty folder
     port = await service.listen_fleet("127.0.0.1", 0)
     links = [await asyncio.open_connection("127.0.0.1", port) for _ in range(WRITERS)]
@@ -131,7 +138,7 @@
     ]
     began = time.perf_counter()
     joined = await asyncio.gather(
-        *(beat(*link, body) for link, body in zip(links, bodies, strict=True))
+        *(send_heartbeat(*link, body) for link, body in zip(links, bodies, strict=True))
     )
     joins = (time.perf_counter() - began) * 1000
     for body, (told, _, _) in zip(bodies, joined, strict=True):
@@ -142,7 +149,10 @@
         for body, (told, sent, got) in zip(
             bodies,
             await asyncio.gather(
-                *(beat(*link, body) for link, body in zip(links, bodies, strict=True))
+                *(
+                    send_heartbeat(*link, body)
+                    for link, body in zip(links, bodies, strict=True)
+                )
             ),
             strict=True,
         ):
@@ -158,23 +168,27 @@
 async def main(repeats: int) -> None:
     grouped, alone, woken = [], [], []
     with tempfile.TemporaryDirectory() as folder:
-        disk = Disk(Path(folder))
+        disk = Storage(Path(folder))
         registry, _ = disk.load()
-        service = Service(disk, registry)
-        await service.begin()
+        service = RegistryServer(disk, registry)
+        await service.begin_history()
         listen, write = (
             await service.listen("127.0.0.1", 0, False),
             await service.listen("127.0.0.1", 0, True),
         )
         for n in range(repeats):
-            grouped.append(await writes(service, write, True, 2 * n * WRITERS))
-            alone.append(await writes(service, write, False, (2 * n + 1) * WRITERS))
-            woken.append(await wake(service, listen, write, n))
+            grouped.append(
+                await syncs_per_change(service, write, True, 2 * n * WRITERS)
+            )
+            alone.append(
+                await syncs_per_change(service, write, False, (2 * n + 1) * WRITERS)
+            )
+            woken.append(await wake_ms(service, listen, write, n))
         await service.stop()
     fleets = []
     for _ in range(repeats):
         with tempfile.TemporaryDirectory() as folder:
-            fleets.append(await members(Path(folder), 20))
+            fleets.append(await measure_members(Path(folder), 20))
     joins, rate, out, back = (list(x) for x in zip(*fleets, strict=True))
     for name, figures in (
         ("ms until 200 members have joined", joins),
--- a/measure/figures.py
+++ b/measure/reporting.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 
-def row(name: str, values: Sequence[float]) -> str:
+def format_row(name: str, values: Sequence[float]) -> str:
     """Median and spread over the repeats."""
     return (
         f"{name}: median {statistics.median(values):.2f}, from {min(values):.2f} to {max(values):.2f} "
@@ -16,7 +16,7 @@
     )
 
 
-async def end_peers() -> None:
+async def cancel_tasks() -> None:
     """End what still serves in this loop, so that nothing is said of it at the loop's
     end.
     """
--- a/measure/scale/__main__.py
+++ b/measure/scale/__main__.py
@@ -20,7 +20,7 @@
 from measure.scale.results import Entry, Measurement, Series
 
 
-def discover() -> dict[str, Measurement]:
+def discover_measurements() -> dict[str, Measurement]:
     """All measurements of this package's modules, by name."""
     found: dict[str, Measurement] = {}
     for module in pkgutil.iter_modules(scale.__path__):
@@ -34,7 +34,7 @@
     return found
 
 
-def show(series: Series) -> None:
+def print_series(series: Series) -> None:
     """Print each point, and what the growth comes to."""
     print(
         f"  {series.name}, {series.value_unit} against {series.size_unit} ({series.role}):"
@@ -48,15 +48,15 @@
     )
 
 
-def run(measurement: Measurement, path: Path) -> None:
+def run_measurement(measurement: Measurement, path: Path) -> None:
     """Run one measurement and keep what it gave."""
     print(f"{measurement.name}: {measurement.summary}", flush=True)
     began = time.perf_counter()
     origin = results.origin(f"python -m measure.scale {measurement.name}")
     series = tuple(measurement.run(lambda line: print(f"  {line}", flush=True)))
-    results.merge([Entry(measurement.name, origin, series)], path)
+    results.merge_entries([Entry(measurement.name, origin, series)], path)
     for one in series:
-        show(one)
+        print_series(one)
     print(f"  took {time.perf_counter() - began:.0f} s")
 
 
@@ -79,9 +79,11 @@
     )
     options = parser.parse_args(arguments)
     if options.merge:
-        results.merge(results.load(options.merge).values(), options.results)
+        results.merge_entries(
+            results.load_entries(options.merge).values(), options.results
+        )
         return
-    found = discover()
+    found = discover_measurements()
     if options.list:
         for measurement in found.values():
             print(f"{measurement.name}: {measurement.summary}")
@@ -90,7 +92,7 @@
     if unknown:
         parser.error(f"no such measurement: {', '.join(unknown)}")
     for name in options.names or found:
-        run(found[name], options.results)
+        run_measurement(found[name], options.results)
 
 
 if __name__ == "__main__":
--- a/measure/scale/control_config.py
+++ b/measure/scale/control_config.py
@@ -13,18 +13,18 @@
 from pathlib import Path
 from typing import Any
 
-from measure.scale import control_probe as probe
-from measure.scale import control_worlds as worlds
+from measure.scale import control_fixtures as worlds
+from measure.scale import process_probe as probe
 from measure.scale.growth import grow
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import DESTINATIONS, FORWARDERS, Role
-from rainfall.net.config import load
-from rainfall.net.fleet_config import MOST_BUDGETS, MOST_PEERS
-from rainfall.net.reconfigure import examine
+from rainfall.forwarder.config.fleet_config import MAX_BUDGETS, MAX_PEERS
+from rainfall.forwarder.config.loading import load
+from rainfall.forwarder.config.validation import validate_replacement
 
 ENDPOINTS = (100, 1_000, 10_000, DESTINATIONS)
-BUDGETS = (10, 100, 300, MOST_BUDGETS)
-PEERS = (10, 100, 300, FORWARDERS, MOST_PEERS)
+BUDGETS = (10, 100, 300, MAX_BUDGETS)
+PEERS = (10, 100, 300, FORWARDERS, MAX_PEERS)
 REPEATS = 3
 UNITS = {
     "bytes": "bytes",
@@ -63,20 +63,20 @@
     force.
     """
     engine = worlds.engine(folder, told)
-    engine.recover()
-    engine.round()
+    engine.restore_state()
+    engine.run_round()
     if engine.fleet is not None:
-        engine.fleet.write(engine.fleet.books.standing())
-        engine.fleet.tell()
+        engine.fleet.write_state(engine.fleet.quotas.records())
+        engine.fleet.publish_quotas()
     path.write_text(json.dumps(changed(told)))
     ms = probe.processor_ms(engine.reload)
-    assert engine.figures.accepted == 1 and not engine.figures.invalid, (
-        "the file was not taken"
-    )
+    assert (
+        engine.metrics.configs_accepted == 1 and not engine.metrics.configs_rejected
+    ), "the file was not taken"
     return ms
 
 
-def file_once(told: Mapping[str, Any]) -> dict[str, float]:
+def measure_file(told: Mapping[str, Any]) -> dict[str, float]:
     text = json.dumps(told).encode()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -88,48 +88,50 @@
             return {
                 "bytes": len(text),
                 "load_ms": probe.processor_ms_each(lambda: load(names)),
-                "examine_ms": probe.processor_ms(lambda: examine(other, old, names)),
+                "examine_ms": probe.processor_ms(
+                    lambda: validate_replacement(other, old, names)
+                ),
                 "apply_ms": asyncio.run(apply_ms(folder / "state", path, told)),
             }
 
 
-def run_sizes(
+def sizes_series(
     name: str, unit: str, sizes: Iterable[int], made: Any, progress: Progress
 ) -> Iterable[Series]:
-    growth = grow(sizes, lambda size: file_once(made(size)), progress, REPEATS)
+    growth = grow(sizes, lambda size: measure_file(made(size)), progress, REPEATS)
     for key, value_unit in UNITS.items():
         yield Series(
             f"config_{name}_{key}",
             Role.CONFIGURATION,
             unit,
             value_unit,
-            growth.of(key),
+            growth.points_of(key),
             growth.bound,
         )
 
 
-def run_endpoints(progress: Progress) -> Iterable[Series]:
-    yield from run_sizes(
+def endpoints_series(progress: Progress) -> Iterable[Series]:
+    yield from sizes_series(
         "endpoints", "endpoints in the file", ENDPOINTS, worlds.configuration, progress
     )
 
 
-def run_budgets(progress: Progress) -> Iterable[Series]:
-    yield from run_sizes(
+def budgets_series(progress: Progress) -> Iterable[Series]:
+    yield from sizes_series(
         "budgets",
         "budgets in the file",
         BUDGETS,
-        lambda size: worlds.configuration(100, worlds.fleet_part(budgets=size)),
+        lambda size: worlds.configuration(100, worlds.fleet_section(budgets=size)),
         progress,
     )
 
 
-def run_peers(progress: Progress) -> Iterable[Series]:
-    yield from run_sizes(
+def peers_series(progress: Progress) -> Iterable[Series]:
+    yield from sizes_series(
         "peers",
         "peers in the file",
         PEERS,
-        lambda size: worlds.configuration(100, worlds.fleet_part(peers=size)),
+        lambda size: worlds.configuration(100, worlds.fleet_section(peers=size)),
         progress,
     )
 
@@ -138,8 +140,8 @@
     Measurement(
         "control_config_endpoints",
         "a file against the endpoints it lists",
-        run_endpoints,
+        endpoints_series,
     ),
-    Measurement("control_config_budgets", "a file against its budgets", run_budgets),
-    Measurement("control_config_peers", "a file against its peers", run_peers),
+    Measurement("control_config_budgets", "a file against its budgets", budgets_series),
+    Measurement("control_config_peers", "a file against its peers", peers_series),
 )
--- a/measure/scale/control_demand.py
+++ b/measure/scale/control_demand.py
@@ -12,18 +12,18 @@
 
 import msgspec
 
-from measure.scale import control_probe as probe
-from measure.scale import control_worlds as worlds
-from measure.scale.growth import grow, isolated
+from measure.scale import control_fixtures as worlds
+from measure.scale import process_probe as probe
+from measure.scale.growth import grow, run_isolated
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import DESTINATIONS, Role
-from rainfall.budget.config import MOST_BUDGETS
-from rainfall.net.fleet_beat import Answer
-from rainfall.net.fleet_books import Books
-from rainfall.net.fleet_file import Keep
+from rainfall.budget.config import MAX_BUDGETS
+from rainfall.forwarder.fleet.heartbeat_messages import HeartbeatResponse
+from rainfall.forwarder.fleet.quotas import FleetQuotas
+from rainfall.forwarder.fleet.state_file import StateFile
 
-SIZES = (10, 100, 1_000, 10_000, DESTINATIONS)
-WANTED = (10, 100, 300, MOST_BUDGETS)
+BUDGET_COUNTS = (10, 100, 1_000, 10_000, DESTINATIONS)
+DESTINATION_COUNTS = (10, 100, 300, MAX_BUDGETS)
 REPEATS = 3
 NOW_US = 1_000 * worlds.SECOND_US
 VALID_US = NOW_US + worlds.LEASE_US
@@ -41,10 +41,10 @@
 }
 
 
-def answer(budgets: int) -> bytes:
+def encoded_answer(budgets: int) -> bytes:
     """The answer to a beat, with a share of each budget."""
     told = {
-        "token": TOKEN.told(),
+        "token": TOKEN.to_wire(),
         "ttl_ms": 3_000,
         "sent": 1,
         "version": 1,
@@ -54,16 +54,16 @@
     return msgspec.json.encode(told)
 
 
-def beat_part(books: Books) -> bytes:
+def heartbeat_part(books: FleetQuotas) -> bytes:
     """A beat's part on budgets: what is needed and what is held."""
-    told = {"needs": books.needs({}, NOW_US), "holds": books.holds(TOKEN)}
+    told = {"needs": books.needs({}, NOW_US), "holds": books.held_shares(TOKEN)}
     return json.dumps(told, separators=(",", ":")).encode()
 
 
-def hear(books: Books, data: bytes) -> None:
+def apply_answer(books: FleetQuotas, data: bytes) -> None:
     """The answer's way into the books."""
-    shares = msgspec.json.decode(data, type=Answer).shares
-    books.told(
+    shares = msgspec.json.decode(data, type=HeartbeatResponse).shares
+    books.apply_shares(
         TOKEN,
         {int(d): msgspec.structs.asdict(s) for d, s in shares.items()},
         VALID_US,
@@ -71,98 +71,98 @@
     )
 
 
-def told_books(budgets: int) -> Books:
-    made = Books((), worlds.DRIFT, {}, 0)
-    hear(made, answer(budgets))
-    made.kept = True
+def books_with_shares(budgets: int) -> FleetQuotas:
+    made = FleetQuotas((), worlds.DRIFT, {}, 0)
+    apply_answer(made, encoded_answer(budgets))
+    made.persisted = True
     return made
 
 
-def tell(books: Books) -> list[Any]:
+def announce_changes(books: FleetQuotas) -> list[Any]:
     """What the module is told after each answered beat, and the lines for what
     changed.
     """
-    return [books.event(d, NOW_US, 0) for d in sorted(books.accounts)] + books.changes(
-        NOW_US
-    )
+    return [
+        books.quota_event(d, NOW_US, 0) for d in sorted(books.accounts)
+    ] + books.changes(NOW_US)
 
 
-def purse_bytes(budgets: int) -> int:
+def resident_books_bytes(budgets: int) -> int:
     """In a process of its own: memory that the books of so many budgets keep."""
-    data = answer(budgets)
+    data = encoded_answer(budgets)
     before = probe.resident_bytes()
-    books = Books((), worlds.DRIFT, {}, 0)
-    hear(books, data)
-    tell(books)
+    books = FleetQuotas((), worlds.DRIFT, {}, 0)
+    apply_answer(books, data)
+    announce_changes(books)
     return probe.resident_bytes() - before
 
 
-def books_once(budgets: int) -> dict[str, float]:
+def measure_books(budgets: int) -> dict[str, float]:
     """All budgets named in each beat and answer, one call wanted of each in the running
     span.
     """
-    books, data = told_books(budgets), answer(budgets)
-    books.wants.clear()
+    books, data = books_with_shares(budgets), encoded_answer(budgets)
+    books.demand.clear()
     for destination in range(budgets):
-        books.wanted(destination, "status/acme", NOW_US)
-    tell(books)
+        books.record_demand(destination, "status/acme", NOW_US)
+    announce_changes(books)
     with tempfile.TemporaryDirectory() as folder:
-        keep = Keep(Path(folder), synced=False)
-        file_bytes = len(keep.made(TOKEN, books.standing())[1])
+        keep = StateFile(Path(folder), synced=False)
+        file_bytes = len(keep.encode(TOKEN, books.records())[1])
 
         def kept() -> None:
-            keep.written = b""  # as after a beat that changed any share
-            keep.write(*keep.made(TOKEN, books.standing()))
+            keep.last_written = b""  # as after a beat that changed any share
+            keep.write(*keep.encode(TOKEN, books.records()))
 
         keep_ms = probe.processor_ms_each(kept)
     return {
-        "beat_bytes": len(beat_part(books)),
+        "beat_bytes": len(heartbeat_part(books)),
         "answer_bytes": len(data),
         "file_bytes": file_bytes,
-        "purse_bytes": isolated(purse_bytes, budgets),
-        "ask_ms": probe.processor_ms_each(lambda: beat_part(books)),
-        "answer_ms": probe.processor_ms_each(lambda: hear(books, data)),
+        "purse_bytes": run_isolated(resident_books_bytes, budgets),
+        "ask_ms": probe.processor_ms_each(lambda: heartbeat_part(books)),
+        "answer_ms": probe.processor_ms_each(lambda: apply_answer(books, data)),
         "keep_ms": keep_ms,
-        "tell_ms": probe.processor_ms_each(lambda: tell(books)),
+        "tell_ms": probe.processor_ms_each(lambda: announce_changes(books)),
         "tick_ms": probe.processor_ms_each(
-            lambda: (books.grown({}, NOW_US), books.changes(NOW_US))
+            lambda: (books.has_grown_demand({}, NOW_US), books.changes(NOW_US))
         ),
     }
 
 
-def demand_once(destinations: int) -> dict[str, float]:
+def measure_demand(destinations: int) -> dict[str, float]:
     """Demand of destinations without any budget here: counted and told all the same, up
     to a bound.
     """
-    books = Books((), worlds.DRIFT, {}, 0)
+    books = FleetQuotas((), worlds.DRIFT, {}, 0)
 
     def one_each() -> None:
         for destination in range(destinations):
-            books.wanted(destination, "status/acme", NOW_US)
+            books.record_demand(destination, "status/acme", NOW_US)
 
     wanted_ms = probe.processor_ms_each(one_each)
     return {
         "wanted_ms": wanted_ms,
-        "ask_ms": probe.processor_ms_each(lambda: beat_part(books)),
-        "beat_bytes": len(beat_part(books)),
+        "ask_ms": probe.processor_ms_each(lambda: heartbeat_part(books)),
+        "beat_bytes": len(heartbeat_part(books)),
     }
 
 
-def run_books(progress: Progress) -> Iterable[Series]:
-    growth = grow(SIZES, books_once, progress, REPEATS)
+def books_series(progress: Progress) -> Iterable[Series]:
+    growth = grow(BUDGET_COUNTS, measure_books, progress, REPEATS)
     for key, unit in UNITS.items():
         yield Series(
             f"books_{key}",
             Role.CONTROL_PART,
             "budgets",
             unit,
-            growth.of(key),
+            growth.points_of(key),
             growth.bound,
         )
 
 
-def run_demand(progress: Progress) -> Iterable[Series]:
-    growth = grow(WANTED, demand_once, progress, REPEATS)
+def demand_series(progress: Progress) -> Iterable[Series]:
+    growth = grow(DESTINATION_COUNTS, measure_demand, progress, REPEATS)
     for key, unit in (
         ("wanted_ms", UNITS["ask_ms"]),
         ("ask_ms", UNITS["ask_ms"]),
@@ -173,7 +173,7 @@
             Role.CONTROL_PART,
             "destinations in use",
             unit,
-            growth.of(key),
+            growth.points_of(key),
             "the books count no more destinations",
         )
 
@@ -182,11 +182,11 @@
     Measurement(
         "control_books",
         "a forwarder's budgets, all of them named in each beat",
-        run_books,
+        books_series,
     ),
     Measurement(
         "control_demand",
         "a forwarder's demand of destinations without a budget",
-        run_demand,
+        demand_series,
     ),
 )
--- a/measure/scale/control_division.py
+++ b/measure/scale/control_division.py
@@ -8,21 +8,21 @@
 import random
 from collections.abc import Iterable
 
-from measure.scale import control_probe as probe
-from measure.scale import control_worlds as worlds
-from measure.scale.growth import Growth, grow, isolated
+from measure.scale import control_fixtures as worlds
+from measure.scale import process_probe as probe
+from measure.scale.growth import Growth, grow, run_isolated
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import FORWARDERS, Role
-from rainfall.budget.config import checked
-from rainfall.budget.divide import divide
+from rainfall.budget.config import parse_budgets
+from rainfall.budget.fair_share import divide
 from rainfall.budget.ledger import Ledger
-from rainfall.registry.budgets import Budgets
+from rainfall.registry.budget_extension import BudgetExtension
 
 MEMBERS = (10, 30, 100, 300, FORWARDERS, 1_000)
 BUDGETS = (1, 10, 100, 1_000)
 FEW_MEMBERS = 30
 REPEATS = 5
-CALLS_EACH = 6
+CALLS_PER_MEMBER = 6
 MS = "ms of processor time"
 
 
@@ -37,26 +37,35 @@
     }
 
 
-def divide_once(members: int) -> dict[str, float]:
+def measure_division(members: int) -> dict[str, float]:
     """One division of one budget alone."""
     wanted, floors = needs(members, members), dict.fromkeys(range(members), 1)
     return {
         "ms": probe.processor_ms_each(
             lambda: divide(
-                members * CALLS_EACH, wanted, {"gold": 3}, floors, 1, {}, members // 3
+                members * CALLS_PER_MEMBER,
+                wanted,
+                {"gold": 3},
+                floors,
+                1,
+                {},
+                members // 3,
             )
         )
     }
 
 
-def ledger(members: int, budgets: int) -> Ledger:
+def build_ledger(members: int, budgets: int) -> Ledger:
     """All in force, nothing granted yet."""
-    named = checked(
-        [worlds.budget(n, members * CALLS_EACH, members, 1) for n in range(budgets)]
+    named = parse_budgets(
+        [
+            worlds.budget(n, members * CALLS_PER_MEMBER, members, 1)
+            for n in range(budgets)
+        ]
     )
     made = Ledger(named, worlds.LEASE_US, worlds.DRIFT, 0, sure=True)
     for n in range(members):
-        made.joined(worlds.token(n), worlds.member(n), None, 0)
+        made.member_joined(worlds.token(n), worlds.member(n), None, 0)
     return made
 
 
@@ -65,8 +74,8 @@
     while (change := made.plan(now_us)) is not None:
         made.commit(change)
         for token in list(made.names):
-            told = made.told(token)
-            made.beat(
+            told = made.shares_for(token)
+            made.heartbeat(
                 token, {}, {d: (s.calls, s.number) for d, s in told.items()}, now_us
             )
         now_us += worlds.SECOND_US
@@ -76,7 +85,7 @@
 def ledger_bytes(members: int, budgets: int) -> int:
     """In a process of its own: memory that a ledger at rest keeps."""
     before = probe.resident_bytes()
-    made = ledger(members, budgets)
+    made = build_ledger(members, budgets)
     settle(made, 0)
     return probe.resident_bytes() - before
 
@@ -85,29 +94,29 @@
     """A plan at rest as the list service makes it: it also looks for when something
     falls due next.
     """
-    rider = Budgets(worlds.LEASE_US, worlds.DRIFT)
+    rider = BudgetExtension(worlds.LEASE_US, worlds.DRIFT)
     rider.ledger = made
     return probe.processor_ms_each(lambda: rider.plan(now_us, False, []))
 
 
-def ledger_once(members: int, budgets: int) -> dict[str, float]:
+def measure_ledger(members: int, budgets: int) -> dict[str, float]:
     """At rest: a plan that finds nothing due, a beat that says nothing new, its answer.
     Then a plan after a member's need changed in one budget; and the memory.
     """
-    made = ledger(members, budgets)
+    made = build_ledger(members, budgets)
     now_us = settle(made, 0)
     token = worlds.token(0)
-    holds = {d: (s.calls, s.number) for d, s in made.told(token).items()}
+    holds = {d: (s.calls, s.number) for d, s in made.shares_for(token).items()}
     rest_ms = probe.processor_ms_each(lambda: made.plan(now_us))
     service_ms = service_rest_ms(made, now_us)
-    beat_ms = probe.processor_ms_each(lambda: made.beat(token, {}, holds, now_us))
-    told_ms = probe.processor_ms_each(lambda: made.told(token))
+    beat_ms = probe.processor_ms_each(lambda: made.heartbeat(token, {}, holds, now_us))
+    told_ms = probe.processor_ms_each(lambda: made.shares_for(token))
     clock = itertools.count(now_us + 2 * worlds.SECOND_US, 2 * worlds.SECOND_US)
     work = itertools.cycle((200, 100))
 
     def stirred() -> None:
         at_us = next(clock)
-        made.beat(token, {"0": {"gold": next(work)}}, {}, at_us)
+        made.heartbeat(token, {"0": {"gold": next(work)}}, {}, at_us)
         change = made.plan(at_us)
         if change is not None:
             made.commit(change)
@@ -119,7 +128,7 @@
         "beat_ms": beat_ms,
         "told_ms": told_ms,
         "stirred_ms": stirred_ms,
-        "kept_bytes": isolated(ledger_bytes, members, budgets),
+        "kept_bytes": run_isolated(ledger_bytes, members, budgets),
     }
 
 
@@ -131,41 +140,47 @@
             Role.BUDGETS,
             size_unit,
             unit,
-            growth.of(key),
+            growth.points_of(key),
             growth.bound,
         )
 
 
-def run_division(progress: Progress) -> Iterable[Series]:
+def division_series(progress: Progress) -> Iterable[Series]:
     yield from series(
-        "division", "members", grow(MEMBERS, divide_once, progress, REPEATS)
+        "division", "members", grow(MEMBERS, measure_division, progress, REPEATS)
     )
 
 
-def run_members(progress: Progress) -> Iterable[Series]:
-    growth = grow(MEMBERS, lambda size: ledger_once(size, 1), progress, 3)
+def members_series(progress: Progress) -> Iterable[Series]:
+    growth = grow(MEMBERS, lambda size: measure_ledger(size, 1), progress, 3)
     yield from series("ledger_members", "members", growth)
 
 
-def run_budgets(progress: Progress) -> Iterable[Series]:
+def budgets_series(progress: Progress) -> Iterable[Series]:
     growth = grow(
-        BUDGETS, lambda size: ledger_once(FEW_MEMBERS, size), progress, 3, point_s=30.0
+        BUDGETS,
+        lambda size: measure_ledger(FEW_MEMBERS, size),
+        progress,
+        3,
+        point_s=30.0,
     )
     yield from series("ledger_budgets", "budgets", growth)
 
 
 MEASUREMENTS = (
     Measurement(
-        "control_division", "one division of one budget against members", run_division
+        "control_division",
+        "one division of one budget against members",
+        division_series,
     ),
     Measurement(
         "control_ledger_members",
         "plan, beat and answer of one budget against members",
-        run_members,
+        members_series,
     ),
     Measurement(
         "control_ledger_budgets",
         f"the same at {FEW_MEMBERS} members against budgets",
-        run_budgets,
+        budgets_series,
     ),
 )
--- a/measure/scale/control_worlds.py
+++ b/measure/scale/control_fixtures.py
@@ -7,15 +7,21 @@
 from pathlib import Path
 from typing import Any
 
-from rainfall.lease.table import Table
-from rainfall.lease.terms import Terms
-from rainfall.lease.token import Token
+from rainfall.forwarder.config.loading import (
+    Address,
+    Config,
+    EndpointList,
+    parse_config,
+    parse_endpoint_list,
+)
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.lease.fencing_token import Token
+from rainfall.lease.table import LeaseTable
+from rainfall.lease.types import LeaseSettings
 from rainfall.member.roster import Roster
-from rainfall.net.config import Address, Config, HostList, host_list, parse
-from rainfall.net.engine import Engine
-from rainfall.registry.core import Registry
+from rainfall.registry.endpoint_registry import EndpointRegistry
 
-NOWHERE = Address("127.0.0.1", 9)
+UNUSED_ADDRESS = Address("127.0.0.1", 9)
 ZONES = 6
 SECOND_US = 1_000_000
 LEASE_US = 3 * SECOND_US
@@ -76,9 +82,9 @@
     }
 
 
-def registry(count: int) -> Registry:
+def registry(count: int) -> EndpointRegistry:
     """A list service's state with so many endpoints, one change each."""
-    made = Registry(epoch=1, seq=count)
+    registry = EndpointRegistry(epoch=1, seq=count)
     changes = {
         "epoch": 1,
         "seq": count,
@@ -87,23 +93,23 @@
         "ids": [],
         "entries": [[n + 1, endpoint(n)] for n in range(count)],
     }
-    return made.restored(changes)
+    return registry.from_snapshot(changes)
 
 
 def roster(count: int, now_us: int = 0) -> Roster:
     """A roster of so many members, joined and in force."""
-    table = Table(Terms(DRIFT))
-    table.commit(table.start(now_us, sure=True, least_epoch=1))
-    made = Roster(table, LEASE_US)
-    made.started(now_us)
-    opened_us = now_us + 2 * table.longest_us
+    table = LeaseTable(LeaseSettings(DRIFT))
+    table.commit(table.start(now_us, sure=True, min_epoch=1))
+    roster = Roster(table, LEASE_US)
+    roster.on_started(now_us)
+    opened_us = now_us + 2 * table.longest_ttl_us
     for number in range(count):
         zone = f"zone-{number % ZONES}"
-        grant = made.join(
+        grant = roster.join(
             opened_us, member(number), zone, dial(number), f"run-{number:x}"
         )
-        made.commit(grant.record)  # type: ignore[arg-type]
-    return made
+        roster.commit(grant.record)  # type: ignore[arg-type]
+    return roster
 
 
 def member(number: int) -> str:
@@ -137,7 +143,7 @@
     }
 
 
-def fleet_part(budgets: int = 0, peers: int = 0) -> dict[str, Any]:
+def fleet_section(budgets: int = 0, peers: int = 0) -> dict[str, Any]:
     """The `fleet` object of a forwarder's configuration."""
     made: dict[str, Any] = {
         "service": "127.0.0.1:9",
@@ -166,7 +172,7 @@
     endpoints: int = 0, fleet: Mapping[str, Any] | None = None
 ) -> dict[str, Any]:
     """A forwarder's whole file."""
-    made: dict[str, Any] = {
+    document: dict[str, Any] = {
         "name": member(0),
         "listen": "127.0.0.1:9",
         "discovery": "127.0.0.1:9",
@@ -179,12 +185,12 @@
         },
         "settings": SETTINGS,
     }
-    return made if fleet is None else made | {"fleet": dict(fleet)}
+    return document if fleet is None else document | {"fleet": dict(fleet)}
 
 
 def config(folder: Path, told: Mapping[str, Any] | None = None) -> Config:
     """That file, read."""
-    return parse(dict(told or configuration()), {"LB_STATE": str(folder)})
+    return parse_config(dict(told or configuration()), {"LB_STATE": str(folder)})
 
 
 def engine(folder: Path, told: Mapping[str, Any] | None = None) -> Engine:
@@ -207,9 +213,9 @@
     ).encode()
 
 
-def changed_entry(count: int, number: int, health: str) -> HostList:
+def changed_entry(count: int, number: int, health: str) -> EndpointList:
     """News of one endpoint of so many, as read from the wire."""
-    return host_list(
+    return parse_endpoint_list(
         {
             "seq": count + 1,
             "whole": False,
--- a/measure/scale/control_list.py
+++ b/measure/scale/control_list.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from measure.scale import control_probe as probe
-from measure.scale import control_worlds as worlds
-from measure.scale.growth import grow, isolated, sizes_by
+from measure.scale import control_fixtures as worlds
+from measure.scale import process_probe as probe
+from measure.scale.growth import grow, run_isolated, sizes_by
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import DESTINATIONS, Role
 from rainfall.dispatch import (
@@ -25,17 +25,21 @@
     EndpointListChanged,
     EndpointListKind,
 )
-from rainfall.net.config import Address, HostList, host_list
-from rainfall.net.discovery import ANSWER_S, Client
-from rainfall.net.engine import Engine
-from rainfall.net.http import MOST_LIST, BadAnswer, ResponseReader
-from rainfall.net.store import Store
-from rainfall.registry.core import Registry
-from rainfall.registry.disk import Disk
-from rainfall.registry.server import Service
+from rainfall.forwarder.config.loading import Address, EndpointList, parse_endpoint_list
+from rainfall.forwarder.discovery.endpoint_watch import RESPONSE_TIMEOUT_S, HttpClient
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.http1 import (
+    MAX_LIST_BYTES,
+    MalformedResponseError,
+    ResponseReader,
+)
+from rainfall.forwarder.message_store import MessageStore
+from rainfall.registry.endpoint_registry import EndpointRegistry
+from rainfall.registry.server import RegistryServer
+from rainfall.registry.storage import Storage
 
 SIZES = (100, 1_000, 10_000, DESTINATIONS)
-LARGEST = 3 * DESTINATIONS
+LARGEST_LIST = 3 * DESTINATIONS
 """Three endpoints for each destination."""
 REPEATS = 5
 READ_BYTES = 256 * 1024
@@ -44,21 +48,21 @@
 
 def read_from_wire(body: bytes) -> bytes:
     """The body of an answer as the forwarder collects it, piece by piece."""
-    reader = ResponseReader(MOST_LIST)
+    reader = ResponseReader(MAX_LIST_BYTES)
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     for at in range(0, len(answer), READ_BYTES):
         reader.feed(answer[at : at + READ_BYTES])
     if not reader.complete:
-        raise BadAnswer("not whole")
+        raise MalformedResponseError("not whole")
     return reader.body
 
 
-def told(body: bytes) -> HostList:
+def parse_list(body: bytes) -> EndpointList:
     """What `Watch.follow` makes of an answer."""
-    return host_list(json.loads(read_from_wire(body)))
+    return parse_endpoint_list(json.loads(read_from_wire(body)))
 
 
-def follow_whole(path: str) -> dict[str, float]:
+def measure_follower(path: str) -> dict[str, float]:
     """In a process of its own: a forwarder that knows no endpoint reads a whole list
     from a file and takes it, then hears of single changes.
     """
@@ -66,15 +70,18 @@
 
     async def scene(folder: Path) -> dict[str, float]:
         engine = worlds.engine(folder)
-        engine.round()
+        engine.run_round()
         before = probe.resident_bytes()
         probe.reset_peak()
-        found: list[HostList] = []
-        read_ms = probe.processor_ms(lambda: found.append(told(body)))
-        take_ms = probe.processor_ms(lambda: engine.listed(found.pop()))
+        found: list[EndpointList] = []
+        read_ms = probe.processor_ms(lambda: found.append(parse_list(body)))
+        take_ms = probe.processor_ms(lambda: engine.on_endpoint_list(found.pop()))
         peak = probe.peak_bytes() - before
         kept = probe.resident_bytes() - before
-        known = {"reachable": reachable(engine), "recovered": recovered(engine, folder)}
+        known = {
+            "reachable": reachable_share(engine),
+            "recovered": recovered_share(engine, folder),
+        }
         sweep_ms = probe.processor_ms(gc.collect, freeze=False)
         return {
             "read_ms": read_ms,
@@ -83,64 +90,71 @@
             "kept_bytes": kept,
             "sweep_ms": sweep_ms,
             **known,
-            **follow_change(engine),
+            **measure_change(engine),
         }
 
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(scene(Path(folder)))
 
 
-def reachable(engine: Engine) -> float:
+def reachable_share(engine: Engine) -> float:
     """The share of the listed endpoints that the module and the engine know by the same
     number: all others are held back when a message is sent to them.
     """
     targets = engine.dispatcher.state.endpoints.values()
-    names = {engine.names.get(t.id) for t in targets if t.serving}
-    return len(names & engine.hosts.keys()) / len(engine.hosts)
+    names = {engine.endpoint_names.get(t.id) for t in targets if t.serving}
+    return len(names & engine.endpoints.keys()) / len(engine.endpoints)
 
 
-def recovered(engine: Engine, folder: Path) -> float:
+def recovered_share(engine: Engine, folder: Path) -> float:
     """The share of the listed endpoints that a start after a kill finds in the
     journal.
     """
-    return len(Store(folder, worlds.DISK_BYTES, write=False).hosts) / len(engine.hosts)
+    return len(MessageStore(folder, worlds.DISK_BYTES, write=False).hosts) / len(
+        engine.endpoints
+    )
 
 
-def follow_change(engine: Engine) -> dict[str, float]:
+def measure_change(engine: Engine) -> dict[str, float]:
     """One changed entry, from the parsed answer on: the turn of the loop it takes, the
     bytes it journals.
     """
-    count, written = len(engine.hosts), engine.store.figures()["bytes"]
+    count, written = len(engine.endpoints), engine.store.metrics()["bytes"]
     news = changes(count)
     rounds = 4
-    ms = [probe.processor_ms(lambda: engine.listed(next(news))) for _ in range(rounds)]
-    journaled = engine.store.figures()["bytes"] - written
+    ms = [
+        probe.processor_ms(lambda: engine.on_endpoint_list(next(news)))
+        for _ in range(rounds)
+    ]
+    journaled = engine.store.metrics()["bytes"] - written
     return {"change_ms": sum(ms) / rounds, "change_journal_bytes": journaled / rounds}
 
 
-def changes(count: int) -> Iterator[HostList]:
+def changes(count: int) -> Iterator[EndpointList]:
     """News of the middle endpoint, draining and back, without end."""
     for health in itertools.cycle(("draining", "up")):
         yield worlds.changed_entry(count, count // 2, health)
 
 
-def read_once(size: int) -> dict[str, float]:
+def measure_read(size: int) -> dict[str, float]:
     body = worlds.whole_list(size)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "list.json")
         path.write_bytes(body)
-        return {"bytes": len(body), **isolated(follow_whole, str(path))}
+        return {"bytes": len(body), **run_isolated(measure_follower, str(path))}
 
 
 def entries(count: int) -> tuple[EndpointEntry, ...]:
     """The whole list as the module hears it."""
-    listed = host_list(
+    listed = parse_endpoint_list(
         {"seq": 1, "whole": True, "hosts": [worlds.endpoint(n) for n in range(count)]}
     )
-    return tuple(host.entry(number) for number, host in enumerate(listed.hosts, 1))
+    return tuple(
+        host.to_entry(number) for number, host in enumerate(listed.endpoints, 1)
+    )
 
 
-def module_once(size: int) -> dict[str, float]:
+def measure_dispatcher(size: int) -> dict[str, float]:
     """The module alone: a round with the whole list, and one with a single change."""
     with tempfile.TemporaryDirectory() as folder:
         dispatcher = Dispatcher(worlds.config(Path(folder)).settings, 1, 0)
@@ -155,13 +169,13 @@
     }
 
 
-def service_once(size: int) -> dict[str, float]:
+def measure_service(size: int) -> dict[str, float]:
     """The list service's own work: the whole list, and from a change that was asked for
     to its answer.
     """
     registry = worlds.registry(size)
     whole_ms = probe.processor_ms_each(
-        lambda: msgspec.json.encode(registry.owed(None, None))
+        lambda: msgspec.json.encode(registry.answer_for(None, None))
     )
     shares = itertools.cycle((100.0, 200.0))
 
@@ -183,45 +197,52 @@
     }
 
 
-def change_for_watcher(registry: Registry) -> bytes:
+def change_for_watcher(registry: EndpointRegistry) -> bytes:
     """What a watcher who knows all but the last change is answered; made once for all
     who know the same.
     """
-    return msgspec.json.encode(registry.owed(registry.seq - 1, registry.epoch))
+    return msgspec.json.encode(registry.answer_for(registry.seq - 1, registry.epoch))
 
 
-async def arrives(count: int) -> bool:
+async def list_arrives(count: int) -> bool:
     """Whether a forwarder's own client gets the whole list from the real service over a
     loopback socket.
     """
     with tempfile.TemporaryDirectory() as folder:
-        disk = Disk(Path(folder))
+        disk = Storage(Path(folder))
         disk.load()
-        service = Service(disk, worlds.registry(count))
+        service = RegistryServer(disk, worlds.registry(count))
         port = await service.listen("127.0.0.1", 0, False)
-        client = Client(Address("127.0.0.1", port))
+        client = HttpClient(Address("127.0.0.1", port))
         try:
-            answer = await client.ask("GET", "/discovery/hosts", 10 * ANSWER_S)
+            answer = await client.request(
+                "GET", "/discovery/hosts", 10 * RESPONSE_TIMEOUT_S
+            )
             return (
                 answer.status == 200 and len(json.loads(answer.body)["hosts"]) == count
             )
-        except (OSError, BadAnswer):
+        except (OSError, MalformedResponseError):
             return False
         finally:
             client.close()
             await service.stop()
 
 
-def arrival_once(size: int) -> dict[str, float]:
-    return {"arrived": float(asyncio.run(arrives(size)))}
+def measure_arrival(size: int) -> dict[str, float]:
+    return {"arrived": float(asyncio.run(list_arrives(size)))}
 
 
-def run_read(progress: Progress) -> Iterable[Series]:
-    growth = grow(SIZES, read_once, progress, REPEATS)
+def read_series(progress: Progress) -> Iterable[Series]:
+    growth = grow(SIZES, measure_read, progress, REPEATS)
 
     def series(name: str, key: str, unit: str) -> Series:
         return Series(
-            name, Role.CONTROL_PART, "endpoints", unit, growth.of(key), growth.bound
+            name,
+            Role.CONTROL_PART,
+            "endpoints",
+            unit,
+            growth.points_of(key),
+            growth.bound,
         )
 
     yield series("list_whole_bytes", "bytes", "bytes")
@@ -236,25 +257,30 @@
     yield series("list_change_journal_bytes", "change_journal_bytes", "bytes")
 
 
-def run_module(progress: Progress) -> Iterable[Series]:
-    growth = grow(SIZES, module_once, progress, REPEATS)
+def dispatcher_series(progress: Progress) -> Iterable[Series]:
+    growth = grow(SIZES, measure_dispatcher, progress, REPEATS)
     for key in ("whole_ms", "change_ms"):
         yield Series(
             f"list_module_{key}",
             Role.CONTROL_PART,
             "endpoints",
             "ms of processor time",
-            growth.of(key),
+            growth.points_of(key),
             growth.bound,
         )
 
 
-def run_service(progress: Progress) -> Iterable[Series]:
-    growth = grow(SIZES, service_once, progress, REPEATS)
+def service_series(progress: Progress) -> Iterable[Series]:
+    growth = grow(SIZES, measure_service, progress, REPEATS)
 
     def series(name: str, key: str, unit: str) -> Series:
         return Series(
-            name, Role.LIST_SERVICE, "endpoints", unit, growth.of(key), growth.bound
+            name,
+            Role.LIST_SERVICE,
+            "endpoints",
+            unit,
+            growth.points_of(key),
+            growth.bound,
         )
 
     yield series("list_service_whole_ms", "whole_ms", "ms of processor time")
@@ -263,14 +289,14 @@
     yield series("list_service_tell_bytes", "tell_bytes", "bytes")
 
 
-def run_arrival(progress: Progress) -> Iterable[Series]:
-    growth = grow([*sizes_by(11_000, 2, LARGEST)], arrival_once, progress, 3)
+def arrival_series(progress: Progress) -> Iterable[Series]:
+    growth = grow([*sizes_by(11_000, 2, LARGEST_LIST)], measure_arrival, progress, 3)
     yield Series(
         "list_arrives",
         Role.LIST_SERVICE,
         "endpoints",
         "share of whole lists that arrive",
-        growth.of("arrived"),
+        growth.points_of("arrived"),
         growth.bound,
     )
 
@@ -279,17 +305,17 @@
     Measurement(
         "control_list_read",
         "a forwarder reads the whole list, and one change of it",
-        run_read,
+        read_series,
     ),
-    Measurement("control_list_module", "the module's share of that", run_module),
+    Measurement("control_list_module", "the module's share of that", dispatcher_series),
     Measurement(
         "control_list_service",
         "the service makes the whole list, a change, its news",
-        run_service,
+        service_series,
     ),
     Measurement(
         "control_list_arrival",
         "whole lists over loopback from the service",
-        run_arrival,
+        arrival_series,
     ),
 )
--- a/measure/scale/control_members.py
+++ b/measure/scale/control_members.py
@@ -12,16 +12,16 @@
 
 import msgspec
 
-from measure.scale import control_probe as probe
-from measure.scale import control_worlds as worlds
+from measure.scale import control_fixtures as worlds
+from measure.scale import process_probe as probe
 from measure.scale.growth import grow
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import FORWARDERS, Role
-from rainfall.journal.files import SystemFiles
-from rainfall.lease.table import Table
-from rainfall.lease.terms import Terms
+from rainfall.journal.files import LocalFileSystem
+from rainfall.lease.table import LeaseTable
+from rainfall.lease.types import LeaseSettings
 from rainfall.member.roster import Roster
-from rainfall.registry.book import LEASE, Book
+from rainfall.registry.fleet_log import LEASE_TABLE, FleetLog
 
 SIZES = (30, 100, 300, FORWARDERS, 1_000)
 REPEATS = 5
@@ -42,21 +42,21 @@
 }
 
 
-def book(folder: Path) -> Book:
-    made = Book(folder / "fleet.log", SystemFiles(), None)
+def open_fleet_log(folder: Path) -> FleetLog:
+    made = FleetLog(folder / "fleet.log", LocalFileSystem(), None)
     made.load()
     return made
 
 
 def recover(folder: Path) -> Roster:
     """What a start of the list service does with the log before its first grant."""
-    kept, found = Book(folder / "fleet.log", SystemFiles(), None).load()
-    table = Table.restored(kept[LEASE], Terms(worlds.DRIFT))
-    for row in found.get(LEASE, []):
+    kept, found = FleetLog(folder / "fleet.log", LocalFileSystem(), None).load()
+    table = LeaseTable.from_snapshot(kept[LEASE_TABLE], LeaseSettings(worlds.DRIFT))
+    for row in found.get(LEASE_TABLE, []):
         table.commit(row)
     table.commit(table.start(0, sure=True))
     made = Roster(table, worlds.LEASE_US)
-    made.started(0)
+    made.on_started(0)
     return made
 
 
@@ -69,62 +69,67 @@
     return made.record
 
 
-def log_once(members: int) -> dict[str, float]:
+def measure_log(members: int) -> dict[str, float]:
     """The log of all joins, written anew, and read at a start."""
     roster = worlds.roster(members)
     with tempfile.TemporaryDirectory() as folder:
-        log = book(Path(folder))
-        log.append([(LEASE, join_record(members))])
-        join_bytes = log.log.at
+        log = open_fleet_log(Path(folder))
+        log.append([(LEASE_TABLE, join_record(members))])
+        join_bytes = log.record_log.size
         compact_ms = probe.processor_ms_each(
-            lambda: log.rewrite({LEASE: roster.table.snapshot()})
+            lambda: log.compact({LEASE_TABLE: roster.table.snapshot()})
         )
         recover_ms = probe.processor_ms_each(lambda: recover(Path(folder)))
         found = recover(Path(folder))
-        assert len(found.in_force()) == members
+        assert len(found.active_members()) == members
         return {
             "join_log_bytes": join_bytes,
-            "log_bytes": log.log.at,
+            "log_bytes": log.record_log.size,
             "compact_ms": compact_ms,
             "recover_ms": recover_ms,
         }
 
 
-def members_once(members: int) -> dict[str, float]:
+def measure_members(members: int) -> dict[str, float]:
     """A beat, the service's look at who is late, and the list that members are told."""
     roster = worlds.roster(members)
     name = worlds.member(members // 2)
     token = roster.members[name].token
-    now_us = roster.table.read(f"member/{name}").until_us - worlds.LEASE_US // 2  # type: ignore[union-attr]
-    made = roster.beat(now_us, name, token)
+    now_us = roster.table.read(f"member/{name}").expires_at_us - worlds.LEASE_US // 2  # type: ignore[union-attr]
+    made = roster.heartbeat(now_us, name, token)
     since = roster.version - 1
-    whole, change = roster.owed(None, None), roster.owed(since, roster.epoch)
+    whole, change = (
+        roster.changes_since(None, None),
+        roster.changes_since(since, roster.epoch),
+    )
     return {
-        "beat_ms": probe.processor_ms_each(lambda: roster.beat(now_us, name, token)),
+        "beat_ms": probe.processor_ms_each(
+            lambda: roster.heartbeat(now_us, name, token)
+        ),
         "tick_ms": probe.processor_ms_each(lambda: roster.tick(now_us)),
-        "due_ms": probe.processor_ms_each(roster.next_us),
+        "due_ms": probe.processor_ms_each(roster.next_tick_us),
         "told_whole_ms": probe.processor_ms_each(
-            lambda: msgspec.json.encode(roster.owed(None, None))
+            lambda: msgspec.json.encode(roster.changes_since(None, None))
         ),
         "told_whole_bytes": len(msgspec.json.encode(whole)),
         "told_change_ms": probe.processor_ms_each(
-            lambda: msgspec.json.encode(roster.owed(since, roster.epoch))
+            lambda: msgspec.json.encode(roster.changes_since(since, roster.epoch))
         ),
         "told_change_bytes": len(msgspec.json.encode(change)),
         "beat_log_bytes": 0 if made.record is None else len(json.dumps(made.record)),
-        **log_once(members),
+        **measure_log(members),
     }
 
 
-def run_members(progress: Progress) -> Iterable[Series]:
-    growth = grow(SIZES, members_once, progress, REPEATS)
+def members_series(progress: Progress) -> Iterable[Series]:
+    growth = grow(SIZES, measure_members, progress, REPEATS)
     for key, unit in UNITS.items():
         yield Series(
             f"members_{key}",
             Role.MEMBERS,
             "members",
             unit,
-            growth.of(key),
+            growth.points_of(key),
             growth.bound,
         )
 
@@ -133,6 +138,6 @@
     Measurement(
         "control_members",
         "leases, members, their list and the log against members",
-        run_members,
+        members_series,
     ),
 )
--- a/measure/scale/failures.py
+++ b/measure/scale/failures.py
@@ -7,23 +7,23 @@
 from dataclasses import dataclass
 
 from measure.scale import target
-from measure.scale.results import Entry, Found, find
+from measure.scale.results import Entry, LocatedSeries, find_series
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
     """Something that goes wrong as a whole."""
 
-    what: str
+    name: str
     forwarders: int
     """That are gone at once."""
-    goes_on: str
+    remaining_service: str
     """Who serves meanwhile, and what does not."""
     control: tuple[tuple[str, str], ...]
     """What to call a figure of control, and its series."""
     held_back_per_s: float = 0.0
     """Messages a second that are taken on and cannot be delivered meanwhile."""
-    for_s: float = 0.0
+    duration_s: float = 0.0
     """How long that lasts."""
 
 
@@ -122,11 +122,11 @@
     """Messages held that nobody can send meanwhile, or that come to be held."""
     return (
         failure.forwarders * target.FORWARDER_BACKLOG
-        + failure.held_back_per_s * failure.for_s
+        + failure.held_back_per_s * failure.duration_s
     )
 
 
 def control_figures(
     failure: Failure, entries: dict[str, Entry]
-) -> list[tuple[str, Found | None]]:
-    return [(label, find(entries, series)) for label, series in failure.control]
+) -> list[tuple[str, LocatedSeries | None]]:
+    return [(label, find_series(entries, series)) for label, series in failure.control]
--- a/measure/scale/fit.py
+++ b/measure/scale/fit.py
@@ -13,11 +13,11 @@
 
 from measure.scale.results import Point, Series
 
-FLAT_WITHIN = 0.15
+MAX_CONSTANT_RESIDUAL = 0.15
 """Root mean square of the relative residuals up to which medians count as constant."""
-PLAIN_WITHIN = 0.15
+MAX_SHAPE_RESIDUAL = 0.15
 """The same for the shapes that grow."""
-LEAST_SIZES = 4
+MIN_SIZES = 4
 """Sizes that a growing shape needs: two would fit any."""
 
 
@@ -55,12 +55,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class Spread:
     """A value with its spread over the repeats."""
 
     middle: float
-    least: float
-    most: float
+    lowest: float
+    highest: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     shape: Shape | None
     """None where no shape is plain."""
     line: Line
-    slope: Span
+    slope: Spread
     """A step of the value for a step of the shape's term; for `CONSTANT` the value
     itself.
     """
@@ -91,7 +91,7 @@
     def plain(self) -> bool:
         return self.shape is not None
 
-    def at(self, size: float) -> Span:
+    def at(self, size: float) -> Spread:
         """The value at another size. Where no shape is plain it is between those of the
         sizes around it, and past the largest the last two sizes' power law goes on, or
         the last value where that falls.
@@ -102,10 +102,10 @@
             exponent = max(0.0, self.last_exponent)
             growth = (size / self.last.size) ** exponent if self.last.size else 1.0
             values = [value * growth for value in self.last.values]
-            return Span(self.last.median * growth, min(values), max(values))
+            return Spread(self.last.median * growth, min(values), max(values))
         middle = value_of(self.shape, self.line, size)
         values = [value_of(self.shape, line, size) for line in self.repeats] or [middle]
-        return Span(middle, min(middle, *values), max(middle, *values))
+        return Spread(middle, min(middle, *values), max(middle, *values))
 
     def describe(self, series: Series) -> str:
         """The slope with its spread and the shape, in words."""
@@ -115,10 +115,10 @@
         if self.shape is not Shape.CONSTANT:
             step += f" a {STEPS[self.shape]}{series.size_unit}"
         slope = self.slope
-        return f"{slope.middle:.4g} ({slope.least:.4g} to {slope.most:.4g}){step}, {self.shape.value}"
+        return f"{slope.middle:.4g} ({slope.lowest:.4g} to {slope.highest:.4g}){step}, {self.shape.value}"
 
 
-def between(points: Sequence[Point], size: float) -> Span:
+def between(points: Sequence[Point], size: float) -> Spread:
     """On the lines from point to point."""
     after = next(n for n, point in enumerate(points) if point.size >= size)
     above = points[after]
@@ -130,7 +130,7 @@
     )
     ends = [(below.median, above.median), (min(below.values), min(above.values))]
     ends.append((max(below.values), max(above.values)))
-    return Span(*(start + part * (end - start) for start, end in ends))
+    return Spread(*(start + part * (end - start) for start, end in ends))
 
 
 def value_of(shape: Shape, line: Line, size: float) -> float:
@@ -189,20 +189,22 @@
     shape: Shape | None = Shape.CONSTANT
     line = fit_line(Shape.CONSTANT, sizes, medians)
     error = residual(Shape.CONSTANT, line, sizes, medians)
-    if error > FLAT_WITHIN or len(sizes) < 2:
+    if error > MAX_CONSTANT_RESIDUAL or len(sizes) < 2:
         lines = {tried: fit_line(tried, sizes, medians) for tried in TERMS}
         errors = {
             tried: residual(tried, lines[tried], sizes, medians) for tried in TERMS
         }
         best = min(errors, key=lambda tried: errors[tried])
         line, error = lines[best], errors[best]
-        plain = error <= PLAIN_WITHIN and len(sizes) >= LEAST_SIZES and line.slope > 0
+        plain = (
+            error <= MAX_SHAPE_RESIDUAL and len(sizes) >= MIN_SIZES and line.slope > 0
+        )
         shape = best if plain else None
     if shape is None:
         return Fit(
             None,
             line,
-            Span(0.0, 0.0, 0.0),
+            Spread(0.0, 0.0, 0.0),
             error,
             (),
             last_exponent(points),
@@ -215,5 +217,5 @@
     flat = shape is Shape.CONSTANT
     slopes = [one.base if flat else one.slope for one in repeats]
     middle = line.base if flat else line.slope
-    slope = Span(middle, min(middle, *slopes), max(middle, *slopes))
+    slope = Spread(middle, min(middle, *slopes), max(middle, *slopes))
     return Fit(shape, line, slope, error, repeats, last_exponent(points), tuple(points))
--- a/measure/scale/growth.py
+++ b/measure/scale/growth.py
@@ -37,7 +37,7 @@
     points: dict[str, list[Point]] = field(default_factory=dict)
     bound: str = "largest size wanted"
 
-    def of(self, name: str) -> tuple[Point, ...]:
+    def points_of(self, name: str) -> tuple[Point, ...]:
         return tuple(self.points[name])
 
 
@@ -50,7 +50,7 @@
 
 def grow(
     sizes: Iterable[int],
-    once: Callable[[int], Mapping[str, float]],
+    measure: Callable[[int], Mapping[str, float]],
     progress: Progress,
     repeats: int = 3,
     point_s: float = POINT_S,
@@ -60,32 +60,32 @@
     from these how many bytes the run took, where that can come near the bound.
     """
     growth = Growth()
-    before, took, took_before, used = 0, 0.0, 0.0, 0.0
+    before, took_s, took_before_s, used_bytes = 0, 0.0, 0.0, 0.0
     for size in sizes:
         factor = size / before if before else 1.0
-        if expected_s(took, took_before, factor) > point_s:
+        if expected_s(took_s, took_before_s, factor) > point_s:
             growth.bound = f"time: size {size:,} is expected to take over {point_s:g} s"
             break
-        if used * factor > MEMORY_SHARE * memory_bytes():
+        if used_bytes * factor > MEMORY_SHARE * memory_bytes():
             growth.bound = (
                 f"memory: size {size:,} is expected to take over half of the machine's"
             )
             break
         began = time.perf_counter()
-        runs = [once(size) for _ in range(repeats)]
-        before, took_before, took = size, took, time.perf_counter() - began
-        used = max(map(memory, runs)) if memory else 0.0
+        runs = [measure(size) for _ in range(repeats)]
+        before, took_before_s, took_s = size, took_s, time.perf_counter() - began
+        used_bytes = max(map(memory, runs)) if memory else 0.0
         for name in runs[0]:
             point = Point(size, tuple(run[name] for run in runs))
             growth.points.setdefault(name, []).append(point)
-        told = ", ".join(
+        summary = ", ".join(
             f"{name} {points[-1].median:.4g}" for name, points in growth.points.items()
         )
-        progress(f"size {size:,}: {told} ({took:.1f} s)")
+        progress(f"size {size:,}: {summary} ({took_s:.1f} s)")
     return growth
 
 
-def isolated(function: Callable[..., Result], *arguments: Any) -> Result:
+def run_isolated(function: Callable[..., Result], *arguments: Any) -> Result:
     """Call a module's function in a fresh process, so that nothing before it counts in
     its memory.
     """
--- a/measure/scale/hollow_fleet.py
+++ b/measure/scale/hollow_fleet.py
@@ -18,37 +18,37 @@
 
 from measure.scale.hollow_member import Call
 from measure.scale.hollow_process import (
-    Ask,
     Command,
     Done,
     Kill,
     MemberReport,
-    Need,
     Report,
+    ReportRequest,
     Sample,
+    SetNeed,
     Setup,
     Start,
 )
 from measure.scale.results import ROOT
 from measure.scale.service_process import ListService, host_entry
 
-A_PROCESS = 180
+MEMBERS_PER_PROCESS = 180
 """Members of one process at most: more would wait for each other's turns."""
-CONNECTIONS = 3
+CONNECTIONS_PER_MEMBER = 3
 """Of a member: beats, the fleet's watch, the list's."""
 SPARE_DESCRIPTORS = 200
-NEED = 2
+IDLE_CALLS = 2
 """Calls in a span that a member at rest needs of each budget."""
-HOSTS = 20
+HOST_COUNT = 20
 SETTLED_S = 2.5
 """Shares that have not changed for so long rest: over two windows, by which what was
 given up moves.
 """
-PATIENCE_S = 90.0
-LOOK_S = 0.2
+WAIT_TIMEOUT_S = 90.0
+POLL_INTERVAL_S = 0.2
 
 
-class Stuck(Exception):
+class FleetTimeoutError(Exception):
     """What was waited for did not come; the text says what."""
 
 
@@ -57,9 +57,9 @@
     needs it.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    needed = members * CONNECTIONS + SPARE_DESCRIPTORS
+    needed = members * CONNECTIONS_PER_MEMBER + SPARE_DESCRIPTORS
     if hard != resource.RLIM_INFINITY and hard < needed:
-        raise Stuck(
+        raise FleetTimeoutError(
             f"{members} members need {needed} descriptors of the service, and the limit is {hard}"
         )
     if soft != resource.RLIM_INFINITY and soft < needed:
@@ -122,7 +122,9 @@
     def answer(self) -> bytes:
         assert self.process.stdout is not None
         if not (line := self.process.stdout.readline()):
-            raise Stuck(f"a process of members ended with {self.process.wait()}")
+            raise FleetTimeoutError(
+                f"a process of members ended with {self.process.wait()}"
+            )
         return line
 
     def close(self) -> None:
@@ -146,13 +148,16 @@
         allow_descriptors(members)
         self.folder, self.budgets = folder, budgets
         self.needs = {
-            number: NEED for number in range(budgets if wanted is None else wanted)
+            number: IDLE_CALLS
+            for number in range(budgets if wanted is None else wanted)
         }
         self.service = ListService(folder, members, budgets)
         self.service.start()
-        self.service.change_hosts([host_entry(number) for number in range(HOSTS)])
+        self.service.change_hosts([host_entry(number) for number in range(HOST_COUNT)])
         setup = Setup(self.service.fleet_port, self.service.listen_port, str(folder))
-        self.workers = [Worker(setup) for _ in range(-(-members // A_PROCESS))]
+        self.workers = [
+            Worker(setup) for _ in range(-(-members // MEMBERS_PER_PROCESS))
+        ]
         self.names = [f"member-{number}" for number in range(members)]
         for number, name in enumerate(self.names):
             self.workers[number % len(self.workers)].names.add(name)
@@ -164,30 +169,32 @@
 
     # Commands
 
-    def tell(self, make: Callable[[list[str]], Command], names: Iterable[str]) -> None:
+    def send_command(
+        self, make: Callable[[list[str]], Command], names: Iterable[str]
+    ) -> None:
         """One command to every process that has some of these members; all begin at
         once.
         """
         wanted = set(names)
-        told = [worker for worker in self.workers if worker.names & wanted]
-        for worker in told:
+        addressed = [worker for worker in self.workers if worker.names & wanted]
+        for worker in addressed:
             worker.write(make(sorted(worker.names & wanted)))
-        for worker in told:
+        for worker in addressed:
             msgspec.json.decode(worker.answer(), type=Done)
 
     def start(self, names: Iterable[str]) -> None:
-        self.tell(lambda some: Start(some, "zone-0", self.needs), names)
+        self.send_command(lambda some: Start(some, "zone-0", self.needs), names)
 
     def kill(self, names: Iterable[str]) -> None:
-        self.tell(Kill, names)
+        self.send_command(Kill, names)
 
-    def need(self, names: Iterable[str], destination: int, calls: int) -> None:
-        self.tell(lambda some: Need(some, destination, calls), names)
+    def set_need(self, names: Iterable[str], destination: int, calls: int) -> None:
+        self.send_command(lambda some: SetNeed(some, destination, calls), names)
 
     def totals(self, destination: int = 0) -> Totals:
         """As it stands now; samples are those since the last time."""
         for worker in self.workers:
-            worker.write(Ask(destination))
+            worker.write(ReportRequest(destination))
         totals = Totals(time.monotonic())
         for worker in self.workers:
             totals.add(msgspec.json.decode(worker.answer(), type=Report))
@@ -195,8 +202,11 @@
 
     # Waiting
 
-    def until(
-        self, what: str, test: Callable[[Totals], bool], patience_s: float = PATIENCE_S
+    def wait_until(
+        self,
+        description: str,
+        condition: Callable[[Totals], bool],
+        patience_s: float = WAIT_TIMEOUT_S,
     ) -> Totals:
         """The totals once they are so, with the samples of all the time until then.
         Raises Stuck.
@@ -208,16 +218,16 @@
             for gathered, new in zip(samples, totals.samples, strict=True):
                 gathered.extend(new)
             totals.samples = samples
-            if test(totals):
+            if condition(totals):
                 return totals
             if time.monotonic() > end:
-                raise Stuck(
-                    f"{what}: not within {patience_s:g} s; {totals.alive()} members are alive, leases"
+                raise FleetTimeoutError(
+                    f"{description}: not within {patience_s:g} s; {totals.alive()} members are alive, leases"
                     f" were lost {totals.lost()} times"
                 )
-            time.sleep(LOOK_S)
+            time.sleep(POLL_INTERVAL_S)
 
-    def until_settled(self) -> Totals:
+    def wait_until_settled(self) -> Totals:
         """All are alive, all have their shares, and none has changed for a while."""
 
         def settled(totals: Totals) -> bool:
@@ -225,7 +235,7 @@
             rested_s = time.monotonic() - totals.changed_ns() / 1e9
             return all(m.alive and m.whole_ns for m in members) and rested_s > SETTLED_S
 
-        return self.until("shares at rest", settled)
+        return self.wait_until("shares at rest", settled)
 
 
 @contextmanager
@@ -237,7 +247,7 @@
         fleet = HollowFleet(Path(folder), members, budgets, wanted)
         try:
             fleet.start(fleet.names)
-            fleet.until_settled()
+            fleet.wait_until_settled()
             yield fleet
         finally:
             fleet.close()
--- a/measure/scale/hollow_member.py
+++ b/measure/scale/hollow_member.py
@@ -20,12 +20,17 @@
 from rainfall.dispatch import Event, MessageClass, QuotaChanged
 from rainfall.dispatch.endpoint_list import MAX_POLL_RETRY_US
 from rainfall.dispatch.queues import DemandKey
-from rainfall.net import discovery, fleet_config
-from rainfall.net.config import Address, HostList
-from rainfall.net.desk import Clock, Desk
-from rainfall.net.discovery import NO_VERSION, Channel, Watch
-from rainfall.net.fleet import Fleet
-from rainfall.net.http import ResponseReader
+from rainfall.forwarder.config import fleet_config
+from rainfall.forwarder.config.loading import Address, EndpointList
+from rainfall.forwarder.discovery import endpoint_watch
+from rainfall.forwarder.discovery.endpoint_watch import (
+    NO_VERSION,
+    EndpointWatch,
+    HttpConnection,
+)
+from rainfall.forwarder.engine.engine_state import Clock, EngineState
+from rainfall.forwarder.fleet.member import FleetMember
+from rainfall.forwarder.http1 import ResponseReader
 
 WAITING_CLASS = "order"
 
@@ -51,7 +56,7 @@
     return PATHS[path]
 
 
-class CountedChannel(Channel):
+class CountedChannel(HttpConnection):
     """A connection to the list service that counts calls and bytes of HTTP, both ways,
     of all members of this process.
     """
@@ -65,11 +70,11 @@
         CountedChannel.opened += 1
         super().connection_made(transport)
 
-    async def ask(self, data: bytes, until: float) -> ResponseReader:
+    async def exchange(self, data: bytes, until: float) -> ResponseReader:
         self.call = call_of(data)
         self.calls[self.call] += 1
         self.sent[self.call] += len(data)
-        return await super().ask(data, until)
+        return await super().exchange(data, until)
 
     def data_received(self, data: bytes) -> None:
         self.received[self.call] += len(data)
@@ -80,7 +85,7 @@
     """From here on each new connection of this process to the list service is a counted
     one.
     """
-    vars(discovery)["Channel"] = CountedChannel
+    vars(endpoint_watch)["HttpConnection"] = CountedChannel
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +134,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acted:
+class ShareInForce:
     """A share as the message path was last told of it; times are monotonic ns."""
 
     calls: int
@@ -138,7 +143,7 @@
     """When it was told of this whole."""
 
 
-class HollowDesk:
+class HollowEngine:
     """As much of the engine's desk as its fleet part uses. Events end here; shares are
     remembered.
     """
@@ -146,14 +151,14 @@
     def __init__(self, config: HollowConfig) -> None:
         self.config, self.clock = config, Clock()
         self.dispatcher, self.store = HollowDispatcher(), HollowStore()
-        self.acted: dict[int, Acted] = {}
+        self.acted: dict[int, ShareInForce] = {}
         self.changed_ns = 0
-        self.fleet: Fleet | None = None
+        self.fleet: FleetMember | None = None
 
     def post(self, event: Event) -> None:
         if not isinstance(event, QuotaChanged) or self.fleet is None:
             return
-        share = self.fleet.books.accounts[event.destination].purse.share
+        share = self.fleet.quotas.accounts[event.destination].quota.share
         before = self.acted.get(event.destination)
         if before is None or (before.calls, before.whole) != (event.calls, share.whole):
             self.changed_ns = time.monotonic_ns()
@@ -161,7 +166,9 @@
             whole_ns = (
                 before.whole_ns if before is not None and known else self.changed_ns
             )
-            self.acted[event.destination] = Acted(event.calls, share.whole, whole_ns)
+            self.acted[event.destination] = ShareInForce(
+                event.calls, share.whole, whole_ns
+            )
 
     def wait_for(self, destination: int, calls: int) -> None:
         """So many messages wait for the destination from now on."""
@@ -194,19 +201,23 @@
     ) -> None:
         self.name, self.service = name, service
         self.random = random.Random(name)
-        self.desk = HollowDesk(HollowConfig(Address("127.0.0.1", 1), folder))
+        self.engine = HollowEngine(HollowConfig(Address("127.0.0.1", 1), folder))
         for destination, calls in needs.items():
-            self.desk.wait_for(destination, calls)
-        config = fleet_config.read({"service": str(service.fleet), "site": site}, name)
-        self.fleet = self.desk.fleet = Fleet(config, cast(Desk, self.desk))
-        self.watch = Watch(
+            self.engine.wait_for(destination, calls)
+        config = fleet_config.parse_fleet(
+            {"service": str(service.fleet), "site": site}, name
+        )
+        self.fleet = self.engine.fleet = FleetMember(
+            config, cast(EngineState, self.engine)
+        )
+        self.watch = EndpointWatch(
             service.discovery, NO_VERSION, self.listed, self.random.getrandbits(32)
         )
         self.list_version, self.listed_ns = NO_VERSION, 0
         self.retry: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        self.fleet.open()
+        self.fleet.start()
         self.watch.subscribe()
 
     def tick(self) -> None:
@@ -216,17 +227,17 @@
         """Connections end, nothing is said and nothing is written."""
         if self.retry is not None:
             self.retry.cancel()
-        self.fleet.talk.end()
+        self.fleet.heartbeats.stop()
         self.watch.pause()
 
-    def listed(self, told: HostList | None) -> None:
+    def listed(self, host_list: EndpointList | None) -> None:
         """A list came, or could not be had: then it is asked for again, as the
         dispatcher would have it.
         """
-        if told is None:
+        if host_list is None:
             wait_s = self.random.random() * MAX_POLL_RETRY_US / 1e6
             self.retry = asyncio.get_running_loop().call_later(
                 wait_s, self.watch.subscribe
             )
-        elif told.seq != self.list_version:
-            self.list_version, self.listed_ns = told.seq, time.monotonic_ns()
+        elif host_list.version != self.list_version:
+            self.list_version, self.listed_ns = host_list.version, time.monotonic_ns()
--- a/measure/scale/hollow_peaks.py
+++ b/measure/scale/hollow_peaks.py
@@ -29,14 +29,14 @@
     until the next sample, so a peak is off by at most one sample of each process.
     """
     return Peaks(
-        most_within(processes, lambda sample: sample.beats, SECOND_NS),
-        most_within(processes, lambda sample: sample.bytes, SECOND_NS),
-        most_within(processes, lambda sample: sample.opened, SECOND_NS),
-        most_within(processes, lambda sample: sample.opened, STEP_NS),
+        peak_within(processes, lambda sample: sample.beats, SECOND_NS),
+        peak_within(processes, lambda sample: sample.bytes, SECOND_NS),
+        peak_within(processes, lambda sample: sample.opened, SECOND_NS),
+        peak_within(processes, lambda sample: sample.opened, STEP_NS),
     )
 
 
-def most_within(
+def peak_within(
     processes: Sequence[Sequence[Sample]],
     count: Callable[[Sample], int],
     window_ns: int,
--- a/measure/scale/hollow_process.py
+++ b/measure/scale/hollow_process.py
@@ -23,8 +23,8 @@
     count_calls,
 )
 from measure.scale.memory import resident_bytes
-from rainfall.lease.terms import surely_held_us
-from rainfall.net.config import Address
+from rainfall.forwarder.config.loading import Address
+from rainfall.lease.types import holder_validity_us
 
 TICK_S = 0.1
 """Between two ticks of one member."""
@@ -56,7 +56,7 @@
     names: list[str]
 
 
-class Need(Struct, tag=True):
+class SetNeed(Struct, tag=True):
     """Members that need so many calls of a destination from now on."""
 
     names: list[str]
@@ -64,13 +64,13 @@
     calls: int
 
 
-class Ask(Struct, tag=True):
+class ReportRequest(Struct, tag=True):
     """For a report; `destination` is the one whose shares are told."""
 
     destination: int
 
 
-Command = Start | Kill | Need | Ask
+Command = Start | Kill | SetNeed | ReportRequest
 
 
 class Sample(Struct, array_like=True):
@@ -136,7 +136,7 @@
         self.joined_ns: dict[str, int] = {}
         self.samples: list[Sample] = []
 
-    def carry_out(self, command: Command) -> Done | Report:
+    def execute(self, command: Command) -> Done | Report:
         match command:
             case Start():
                 for name in command.names:
@@ -144,10 +144,12 @@
             case Kill():
                 for name in command.names:
                     self.members.pop(name).kill()
-            case Need():
+            case SetNeed():
                 for name in command.names:
-                    self.members[name].desk.wait_for(command.destination, command.calls)
-            case Ask():
+                    self.members[name].engine.wait_for(
+                        command.destination, command.calls
+                    )
+            case ReportRequest():
                 return self.report(command.destination)
         return Done()
 
@@ -194,7 +196,7 @@
 
     def report(self, destination: int) -> Report:
         members = [
-            self.told_of(member, destination) for member in self.members.values()
+            self.member_report(member, destination) for member in self.members.values()
         ]
         samples, self.samples = self.samples, []
         return Report(
@@ -208,14 +210,14 @@
             samples,
         )
 
-    def told_of(self, member: HollowMember, destination: int) -> MemberReport:
-        acted = member.desk.acted.get(destination)
+    def member_report(self, member: HollowMember, destination: int) -> MemberReport:
+        acted = member.engine.acted.get(destination)
         return MemberReport(
             member.name,
             is_alive(member),
-            member.fleet.counts["lost"],
+            member.fleet.heartbeat_counts["lost"],
             self.joined_ns.get(member.name, 0),
-            member.desk.changed_ns,
+            member.engine.changed_ns,
             acted.calls if acted else 0,
             acted.whole if acted else 0,
             acted.whole_ns if acted else 0,
@@ -227,14 +229,14 @@
 
 def is_alive(member: HollowMember) -> bool:
     """Whether it holds a lease and the service answered its last beat."""
-    return member.fleet.holder.token is not None and member.fleet.talk.reachable
+    return member.fleet.holder.token is not None and member.fleet.heartbeats.reachable
 
 
 def renewed_us(member: HollowMember) -> int:
     holder = member.fleet.holder
     if holder.token is None:
         return 0
-    return holder.valid_until_us - surely_held_us(holder.ttl_us, holder.drift)
+    return holder.valid_until_us - holder_validity_us(holder.ttl_us, holder.drift)
 
 
 async def serve() -> None:
@@ -249,7 +251,7 @@
         for task in tasks:
             if task.done():
                 task.result()
-        answer = process.carry_out(msgspec.json.decode(line, type=Command))
+        answer = process.execute(msgspec.json.decode(line, type=Command))
         sys.stdout.buffer.write(msgspec.json.encode(answer) + b"\n")
         sys.stdout.buffer.flush()
     process.close()
--- a/measure/scale/journal_growth.py
+++ b/measure/scale/journal_growth.py
@@ -11,12 +11,16 @@
 from pathlib import Path
 
 from measure.scale import target
-from measure.scale.growth import grow, isolated, sizes_by
+from measure.scale.growth import grow, run_isolated, sizes_by
 from measure.scale.memory import peak_bytes, resident_bytes
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
 from rainfall.dispatch import MessageClass
-from rainfall.net.store import Rules, Store, Taken
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+)
 
 LIVE = sizes_by(250, 4, 1_000_000)
 ENDPOINTS = sizes_by(100, 4, target.DESTINATIONS)
@@ -24,44 +28,50 @@
 BODY = b"x" * 200
 NOW_US = 1_700_000_000_000_000
 DUE_US = NOW_US + 3_600_000_000
-FREE = MessageClass("free", 1_000_000, 3_600_000_000)
+MESSAGE_CLASS = MessageClass("free", 1_000_000, 3_600_000_000)
 HOST = "s-5be2a07c"
-FLUSH_EACH = 3
+MESSAGES_PER_FLUSH = 3
 """Messages in a round, where one after another passes through."""
 LIST_CHANGES = 10
 
 
-def taken(number: int) -> Taken:
+def accepted_message(number: int) -> AcceptedMessage:
     name = f"{number:016x}"
-    return Taken(
-        name, FREE.name, number % target.DESTINATIONS, DUE_US, name * 2, None, BODY
+    return AcceptedMessage(
+        name,
+        MESSAGE_CLASS.name,
+        number % target.DESTINATIONS,
+        DUE_US,
+        name * 2,
+        None,
+        BODY,
     )
 
 
-def opened(folder: Path) -> Store:
-    store = Store(folder, DISK_BYTES)
-    store.settle(Rules(8, (FREE,)))
+def open_store(folder: Path) -> MessageStore:
+    store = MessageStore(folder, DISK_BYTES)
+    store.use_rules(DeliveryRules(8, (MESSAGE_CLASS,)))
     return store
 
 
-def filled(folder: Path, live: int) -> Store:
+def filled_store(folder: Path, live: int) -> MessageStore:
     """A journal with so many live messages, each tried once."""
-    store = opened(folder)
+    store = open_store(folder)
     for number in range(live):
-        message = taken(number)
-        store.take(message)
-        store.attempt(message, 0, NOW_US, HOST)
-        store.outcome(message, 0, True)
+        message = accepted_message(number)
+        store.append_message(message)
+        store.append_attempt(message, 0, NOW_US, HOST)
+        store.append_outcome(message, 0, True)
         if number % 1_000 == 0:
             store.flush()
     store.flush()
     return store
 
 
-def checkpoint(live: int) -> Mapping[str, float]:
+def measure_checkpoint(live: int) -> Mapping[str, float]:
     """One rewriting of all that lives, and reading it again."""
     with tempfile.TemporaryDirectory() as name:
-        store = filled(Path(name), live)
+        store = filled_store(Path(name), live)
         gc.collect()
         held = resident_bytes()
         began = time.process_time()
@@ -69,7 +79,7 @@
         spent = time.process_time() - began
         size, peak = store.size, peak_bytes()
         store.close()
-        read = isolated(recover, name)
+        read = run_isolated(measure_recovery, name)
     return {
         "seconds": spent,
         "size": float(size),
@@ -79,13 +89,13 @@
     }
 
 
-def recover(folder: str) -> Mapping[str, float]:
+def measure_recovery(folder: str) -> Mapping[str, float]:
     """Reading a journal at a start."""
     began = time.process_time()
-    store = Store(Path(folder), DISK_BYTES, write=False)
+    store = MessageStore(Path(folder), DISK_BYTES, write=False)
     spent = time.process_time() - began
     if store.report.damaged or not store.messages:
-        raise RuntimeError(store.report.line())
+        raise RuntimeError(store.report.summary())
     return {"read_s": spent, "read_peak": float(peak_bytes())}
 
 
@@ -102,7 +112,7 @@
 def checkpoint_series(progress: Progress) -> Iterator[Series]:
     growth = grow(
         LIVE,
-        lambda live: isolated(checkpoint, live),
+        lambda live: run_isolated(measure_checkpoint, live),
         progress,
         point_s=240.0,
         memory=lambda run: run["peak"],
@@ -113,39 +123,39 @@
             Role.JOURNAL,
             "live message",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
 
-def passing(live: int) -> Mapping[str, float]:
+def measure_passing(live: int) -> Mapping[str, float]:
     """Messages pass through beside live ones, from one rewriting until the next but
     one.
     """
     with tempfile.TemporaryDirectory() as name:
-        store = filled(Path(name), live)
+        store = filled_store(Path(name), live)
         store.compact()
-        bytes_before, rewrites_before = store.log.bytes, store.log.rewrites
+        bytes_before, rewrites_before = store.log.bytes_written, store.log.rewrites
         passed = 0
         began = time.process_time()
         while store.log.rewrites < rewrites_before + 2:
-            for number in range(live + passed, live + passed + FLUSH_EACH):
-                message = taken(number)
-                store.take(message)
-                store.attempt(message, 0, NOW_US, HOST)
+            for number in range(live + passed, live + passed + MESSAGES_PER_FLUSH):
+                message = accepted_message(number)
+                store.append_message(message)
+                store.append_attempt(message, 0, NOW_US, HOST)
             store.flush()
-            for number in range(live + passed, live + passed + FLUSH_EACH):
-                store.over(f"{number:016x}")
+            for number in range(live + passed, live + passed + MESSAGES_PER_FLUSH):
+                store.append_finished(f"{number:016x}")
             store.flush()
-            passed += FLUSH_EACH
+            passed += MESSAGES_PER_FLUSH
         spent = time.process_time() - began
-        written = store.log.bytes - bytes_before
+        written = store.log.bytes_written - bytes_before
         store.close()
     return {"bytes": written / passed, "message": spent / passed * 1e6}
 
 
 def passing_series(progress: Progress) -> Iterator[Series]:
-    growth = grow(LIVE, lambda live: isolated(passing, live), progress)
+    growth = grow(LIVE, lambda live: run_isolated(measure_passing, live), progress)
     for name, title, unit in (
         ("bytes", "bytes written a message, rewriting included", "byte"),
         ("message", "processor time a message, rewriting included", "us"),
@@ -155,7 +165,7 @@
             Role.JOURNAL,
             "live message",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
@@ -174,24 +184,24 @@
     }
 
 
-def list_changes(endpoints: int) -> Mapping[str, float]:
+def measure_list_changes(endpoints: int) -> Mapping[str, float]:
     """Changes of the list, each of one endpoint."""
     hosts = {str(told["host"]): told for told in map(endpoint, range(endpoints))}
     changed = next(iter(hosts))
     with tempfile.TemporaryDirectory() as name:
-        store = opened(Path(name))
-        store.list(0, hosts, NOW_US, "127.0.0.1:1")
+        store = open_store(Path(name))
+        store.append_endpoint_list(0, hosts, NOW_US, "127.0.0.1:1")
         store.flush()
-        before = store.log.bytes
+        before = store.log.bytes_written
         began = time.process_time()
         for version in range(1, LIST_CHANGES + 1):
             hosts = hosts | {changed: hosts[changed] | {"born_ms": version}}
-            store.list(version, hosts, NOW_US, "127.0.0.1:1")
+            store.append_endpoint_list(version, hosts, NOW_US, "127.0.0.1:1")
             store.flush()
         spent = time.process_time() - began
-        written = store.log.bytes - before
+        written = store.log.bytes_written - before
         store.close()
-        record = float(store.list_size)
+        record = float(store.list_bytes)
     return {
         "bytes": written / LIST_CHANGES,
         "seconds": spent / LIST_CHANGES,
@@ -201,7 +211,9 @@
 
 def list_series(progress: Progress) -> Iterator[Series]:
     growth = grow(
-        ENDPOINTS, lambda endpoints: isolated(list_changes, endpoints), progress
+        ENDPOINTS,
+        lambda endpoints: run_isolated(measure_list_changes, endpoints),
+        progress,
     )
     for name, title, unit in (
         ("bytes", "bytes written a change of the list, rewriting included", "byte"),
@@ -213,7 +225,7 @@
             Role.JOURNAL,
             "listed endpoint",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
--- a/measure/scale/journal_ready.py
+++ b/measure/scale/journal_ready.py
@@ -10,32 +10,36 @@
 from collections.abc import Iterator, Mapping
 from pathlib import Path
 
-from measure.figures import end_peers
-from measure.scale.growth import grow, isolated
+from measure.reporting import cancel_tasks
+from measure.scale.growth import grow, run_isolated
 from measure.scale.memory import processor_s
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
-from rainfall.net.store import Rules, Store, Taken
-from rainfall.wirehost import settings
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+)
+from rainfall.wirehost import parse_settings
 from tests.sockets import SETTINGS, Node, Platform
 
 LIVE = (10, 100, 1_000, 10_000, 100_000)
 DISK_MB = 10_000
-PATIENCE_S = 120.0
-LEFT_US = 300_000_000
+READY_TIMEOUT_S = 120.0
+REMAINING_US = 300_000_000
 DESTINATIONS = 100
 MOST_ATTEMPTS = 1_000_000
 
 
-def fill(folder: Path, live: int, destinations: range) -> None:
+def fill_journal(folder: Path, live: int, destinations: range) -> None:
     """A journal with so many live messages, untried, for the destinations in turn."""
-    store = Store(folder, DISK_MB * 1_000_000)
-    made = settings(SETTINGS)
-    store.settle(Rules(MOST_ATTEMPTS, made.classes))
-    due = int(time.time() * 1e6) + LEFT_US
+    store = MessageStore(folder, DISK_MB * 1_000_000)
+    made = parse_settings(SETTINGS)
+    store.use_rules(DeliveryRules(MOST_ATTEMPTS, made.classes))
+    due = int(time.time() * 1e6) + REMAINING_US
     for number in range(live):
-        store.take(
-            Taken(
+        store.append_message(
+            AcceptedMessage(
                 f"held{number}",
                 "status",
                 destinations[number % len(destinations)],
@@ -50,29 +54,29 @@
     store.close()
 
 
-async def start(live: int) -> Mapping[str, float]:
+async def measure_start(live: int) -> Mapping[str, float]:
     platform = Platform()
     await platform.start()
     platform.host("s1", 1, block=1_000)
     with tempfile.TemporaryDirectory() as name:
         node = Node(Path(name), platform, disk_mb=DISK_MB, max_open=10 * live + 1_000)
-        fill(Path(name) / "state", live, range(DESTINATIONS))
+        fill_journal(Path(name) / "state", live, range(DESTINATIONS))
         began = time.perf_counter()
         await node.spawn()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             await node.ready.wait()
         ready, spent = time.perf_counter() - began, processor_s(node.process.pid)
         await node.end()
-        await end_peers()
+        await cancel_tasks()
     return {"ready": ready, "processor": spent}
 
 
 def run_start(live: int) -> Mapping[str, float]:
-    return asyncio.run(start(live))
+    return asyncio.run(measure_start(live))
 
 
 def series(progress: Progress) -> Iterator[Series]:
-    growth = grow(LIVE, lambda live: isolated(run_start, live), progress)
+    growth = grow(LIVE, lambda live: run_isolated(run_start, live), progress)
     for name, title in (
         ("ready", "time until ready"),
         ("processor", "processor time until ready"),
@@ -82,7 +86,7 @@
             Role.JOURNAL,
             "live message",
             "s",
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
--- a/measure/scale/message_decisions.py
+++ b/measure/scale/message_decisions.py
@@ -8,9 +8,14 @@
 from collections.abc import Collection, Iterator, Mapping
 
 from measure.scale import target
-from measure.scale.growth import grow, isolated, sizes_by
+from measure.scale.growth import grow, run_isolated, sizes_by
 from measure.scale.memory import resident_bytes
-from measure.scale.message_traffic import MILLISECOND, SECOND, Spent, Traffic
+from measure.scale.message_traffic import (
+    MILLISECOND_US,
+    SECOND_US,
+    ProcessorUsage,
+    Traffic,
+)
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
 
@@ -19,8 +24,8 @@
 HELD_POINT_S = 400.0
 """What all repeats at one size may be expected to take, in seconds."""
 CALLS_OUT = (1, 5, 50, 500, 2_000)
-WARM_US, MEASURED_US = 1_100 * MILLISECOND, SECOND
-LEAST_WARM_US, LEAST_US = 120 * MILLISECOND, 500 * MILLISECOND
+WARM_US, MEASURED_US = 1_100 * MILLISECOND_US, SECOND_US
+LEAST_WARM_US, LEAST_US = 120 * MILLISECOND_US, 500 * MILLISECOND_US
 """Simulated time before and while it is measured, and how much of it there is where
 that is cut short.
 """
@@ -32,10 +37,10 @@
 """Messages of before a restart that the engine tells the dispatcher of in one round,
 ...
 """
-RECALL_US = 10 * MILLISECOND
+RECALL_US = 10 * MILLISECOND_US
 """... and how far apart such rounds are."""
 
-PILES: dict[str, Collection[int]] = {
+HELD_PATTERNS: dict[str, Collection[int]] = {
     "one": range(1),
     "3.2%": range(target.DOWN_DESTINATIONS),
     "all": range(target.DESTINATIONS),
@@ -43,7 +48,9 @@
 """The destinations that are down, in each of which messages are held."""
 
 
-def decide(held: int, down: Collection[int], keyed: bool) -> Mapping[str, float]:
+def measure_decisions(
+    held: int, down: Collection[int], keyed: bool
+) -> Mapping[str, float]:
     """Fresh traffic beside messages that are held for destinations that are down."""
     traffic = Traffic(target.DESTINATIONS, down)
     traffic.hold(held, keyed)
@@ -51,15 +58,17 @@
     memory = resident_bytes()
     traffic.run(WARM_US, WARM_PROCESSOR_S, LEAST_WARM_US)
     spent = traffic.run(MEASURED_US, PROCESSOR_S, LEAST_US)
-    if traffic.ended:
-        raise RuntimeError(f"held messages were given up: {traffic.ended}")
+    if traffic.outcomes:
+        raise RuntimeError(f"held messages were given up: {traffic.outcomes}")
     return {"event": spent.event_us, "core": spent.core_share, "memory": float(memory)}
 
 
 def held_series(pattern: str, keyed: bool, progress: Progress) -> Iterator[Series]:
     growth = grow(
         HELD,
-        lambda held: isolated(decide, held, PILES[pattern], keyed),
+        lambda held: run_isolated(
+            measure_decisions, held, HELD_PATTERNS[pattern], keyed
+        ),
         progress,
         point_s=HELD_POINT_S,
         memory=lambda run: run["memory"],
@@ -75,23 +84,23 @@
             Role.MESSAGE_PATH,
             "message held",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
 
-def calls(out: int) -> Mapping[str, float]:
+def measure_calls(out: int) -> Mapping[str, float]:
     """Fresh traffic beside calls that stay out."""
     silent = range(out)
     traffic = Traffic(target.DESTINATIONS, silent=silent)
-    traffic.decide([traffic.arrival(destination) for destination in silent])
+    traffic.run_round([traffic.arrival(destination) for destination in silent])
     traffic.run(WARM_US, WARM_PROCESSOR_S, LEAST_WARM_US)
     spent = traffic.run(MEASURED_US, PROCESSOR_S, LEAST_US)
     return {"event": spent.event_us, "core": spent.core_share}
 
 
 def calls_series(progress: Progress) -> Iterator[Series]:
-    growth = grow(CALLS_OUT, lambda out: isolated(calls, out), progress)
+    growth = grow(CALLS_OUT, lambda out: run_isolated(measure_calls, out), progress)
     for name, title, unit in (
         ("event", "processor time an event", "us"),
         ("core", "cores at 1,000 messages a second", "core"),
@@ -101,29 +110,33 @@
             Role.MESSAGE_PATH,
             "call out",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
 
-def recall(messages: int, down: Collection[int]) -> Mapping[str, float]:
+def measure_recall(messages: int, down: Collection[int]) -> Mapping[str, float]:
     """Messages of before a restart, told in batches as the engine does."""
     traffic = Traffic(target.DESTINATIONS, down)
     piles = sorted(down)
-    spent = Spent()
+    spent = ProcessorUsage()
     for first in range(0, messages, BATCH):
         numbers = range(first, min(messages, first + BATCH))
-        batch = [traffic.recollection(piles[n % len(piles)]) for n in numbers]
-        traffic.now += RECALL_US
-        traffic.decide([*batch, *traffic.due()], spent)
+        batch = [traffic.restored_message(piles[n % len(piles)]) for n in numbers]
+        traffic.now_us += RECALL_US
+        traffic.run_round([*batch, *traffic.due_events()], spent)
     return {
         "seconds": spent.processor_s,
-        "message": spent.processor_s / messages * SECOND,
+        "message": spent.processor_s / messages * SECOND_US,
     }
 
 
 def recall_series(pattern: str, progress: Progress) -> Iterator[Series]:
-    growth = grow(HELD, lambda held: isolated(recall, held, PILES[pattern]), progress)
+    growth = grow(
+        HELD,
+        lambda held: run_isolated(measure_recall, held, HELD_PATTERNS[pattern]),
+        progress,
+    )
     for name, title, unit in (
         ("seconds", "processor time until all are recalled", "s"),
         ("message", "processor time a message recalled", "us"),
@@ -133,7 +146,7 @@
             Role.JOURNAL,
             "message recalled",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
--- a/measure/scale/message_list.py
+++ b/measure/scale/message_list.py
@@ -8,9 +8,14 @@
 from collections.abc import Iterator, Mapping
 
 from measure.scale import target
-from measure.scale.growth import grow, isolated, sizes_by
+from measure.scale.growth import grow, run_isolated, sizes_by
 from measure.scale.memory import resident_bytes
-from measure.scale.message_traffic import MILLISECOND, SECOND, Spent, Traffic
+from measure.scale.message_traffic import (
+    MILLISECOND_US,
+    SECOND_US,
+    ProcessorUsage,
+    Traffic,
+)
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
 from rainfall.dispatch import (
@@ -25,18 +30,18 @@
 TRAFFIC_S = 6.0
 
 
-def listed(endpoints: int) -> Mapping[str, float]:
+def measure_list(endpoints: int) -> Mapping[str, float]:
     """Traffic, then changes of the list, each of one endpoint."""
     traffic = Traffic(endpoints)
     gc.collect()
     memory = resident_bytes()
-    traffic.run(300 * MILLISECOND, TRAFFIC_S, SECOND)
-    event = traffic.run(SECOND, TRAFFIC_S, SECOND)
-    change = Spent()
+    traffic.run(300 * MILLISECOND_US, TRAFFIC_S, SECOND_US)
+    event = traffic.run(SECOND_US, TRAFFIC_S, SECOND_US)
+    change = ProcessorUsage()
     for number in range(CHANGES):
         state = EndpointState.SERVING if number % 2 else EndpointState.DRAINING
         entry = EndpointEntry(number // 2, number // 2, state=state)
-        traffic.decide(
+        traffic.run_round(
             [EndpointListChanged(EndpointListKind.CHANGES, (entry,))], change
         )
     return {
@@ -47,7 +52,9 @@
 
 
 def series(progress: Progress) -> Iterator[Series]:
-    growth = grow(ENDPOINTS, lambda endpoints: isolated(listed, endpoints), progress)
+    growth = grow(
+        ENDPOINTS, lambda endpoints: run_isolated(measure_list, endpoints), progress
+    )
     for name, role, title, unit in (
         ("event", Role.MESSAGE_PATH, "processor time an event, endpoints listed", "us"),
         ("change", Role.CONTROL_PART, "processor time a change of the list", "s"),
@@ -58,7 +65,7 @@
             role,
             "listed endpoint",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
--- a/measure/scale/message_load.py
+++ b/measure/scale/message_load.py
@@ -46,8 +46,8 @@
     on.
     """
 
-    def __init__(self, idle: deque[Client], taken: Synchronized[int]) -> None:
-        self.idle, self.taken = idle, taken
+    def __init__(self, idle: deque[Client], accepted: Synchronized[int]) -> None:
+        self.idle, self.accepted = idle, accepted
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -56,7 +56,7 @@
 
     def data_received(self, data: bytes) -> None:
         if data.startswith(b"HTTP/1.1 202"):
-            self.taken.value += 1
+            self.accepted.value += 1
         if HEAD_END in data:
             self.idle.append(self)
 
@@ -89,8 +89,8 @@
     asyncio.run(serve())
 
 
-def hand_in(
-    port: int, per_s: float, destinations: int, taken: Synchronized[int]
+def submit_messages(
+    port: int, per_s: float, destinations: int, accepted: Synchronized[int]
 ) -> None:
     """Hand messages in at the rate until the process is ended; what no connection is
     idle for is left out.
@@ -100,7 +100,9 @@
         loop = asyncio.get_running_loop()
         idle: deque[Client] = deque()
         for _ in range(CONNECTIONS):
-            await loop.create_connection(lambda: Client(idle, taken), "127.0.0.1", port)
+            await loop.create_connection(
+                lambda: Client(idle, accepted), "127.0.0.1", port
+            )
         began, planned, number = time.monotonic(), 0, 0
         while True:
             due = int((time.monotonic() - began) * per_s)
@@ -113,7 +115,7 @@
     asyncio.run(drive())
 
 
-def start(function: object, *arguments: object) -> BaseProcess:
+def start_process(function: object, *arguments: object) -> BaseProcess:
     context = multiprocessing.get_context("spawn")
     process = context.Process(target=function, args=arguments, daemon=True)  # type: ignore[arg-type]
     process.start()
--- a/measure/scale/message_rate.py
+++ b/measure/scale/message_rate.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from measure.figures import end_peers
+from measure.reporting import cancel_tasks
 from measure.scale import message_load
-from measure.scale.growth import grow, isolated
-from measure.scale.journal_ready import fill
+from measure.scale.growth import grow, run_isolated
+from measure.scale.journal_ready import fill_journal
 from measure.scale.memory import TICKS_PER_S, processor_s
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
@@ -32,7 +32,7 @@
 HELD_PER_S = 400
 CLOSED_PORT = 1
 """Nobody listens there."""
-AIM_US = 360_000_000
+LATENCY_OBJECTIVE_US = 360_000_000
 OUTAGE = {
     "fall_us": 2_000_000,
     "cold_from": 0.2,
@@ -44,7 +44,7 @@
 WARM_S, MEASURED_S = 2.0, 4.0
 
 
-def roomy(node: Node) -> None:
+def relax_limits(node: Node) -> None:
     """Let neither slots, sockets, attempts nor time bound what the forwarder holds and
     does.
     """
@@ -54,11 +54,16 @@
     config["limits"] |= {"sockets": 1024, "disk_mb": 1_000}
     config["settings"]["contract"] |= OUTAGE
     for service in config["settings"]["services"]:
-        service |= {"aim_us": AIM_US, "deadline_us": 10 * AIM_US}
+        service |= {
+            "aim_us": LATENCY_OBJECTIVE_US,
+            "deadline_us": 10 * LATENCY_OBJECTIVE_US,
+        }
     path.write_text(json.dumps(config))
 
 
-async def forward(per_s: int, held: int, destinations: int) -> Mapping[str, float]:
+async def measure_forwarder(
+    per_s: int, held: int, destinations: int
+) -> Mapping[str, float]:
     """Load at a rate; what the forwarder did in the measured stretch. With `held`, so
     many messages of before its start are held for one destination more, which is down
     and has its part of the load too.
@@ -67,7 +72,9 @@
     taken, delivered = context.Value("q", 0), context.Value("q", 0)
     here, there = context.Pipe()
     started = [
-        message_load.start(message_load.serve_endpoints, there, destinations, delivered)
+        message_load.start_process(
+            message_load.serve_endpoints, there, destinations, delivered
+        )
     ]
     try:
         platform = Platform()
@@ -81,13 +88,17 @@
             node = Node(
                 Path(name), platform, max_open=1_000_000, max_attempts=1_000_000
             )
-            roomy(node)
+            relax_limits(node)
             if held:
-                fill(node.folder / "state", held, range(destinations, destinations + 1))
+                fill_journal(
+                    node.folder / "state", held, range(destinations, destinations + 1)
+                )
             await node.start()
             try:
                 load = (node.port, per_s, destinations + bool(held), taken)
-                started.append(message_load.start(message_load.hand_in, *load))
+                started.append(
+                    message_load.start_process(message_load.submit_messages, *load)
+                )
                 await asyncio.sleep(WARM_S)
                 counts = taken.value, delivered.value
                 spent, began = processor_s(node.process.pid), time.monotonic()
@@ -97,7 +108,7 @@
                 counts = taken.value - counts[0], delivered.value - counts[1]
             finally:
                 await node.end()
-                await end_peers()
+                await cancel_tasks()
     finally:
         for process in started:
             process.kill()
@@ -111,13 +122,13 @@
 
 
 def run_forward(per_s: int, held: int, destinations: int) -> Mapping[str, float]:
-    return asyncio.run(forward(per_s, held, destinations))
+    return asyncio.run(measure_forwarder(per_s, held, destinations))
 
 
 def series(progress: Progress) -> Iterator[Series]:
     growth = grow(
         RATES,
-        lambda per_s: isolated(run_forward, per_s, 0, DESTINATIONS),
+        lambda per_s: run_isolated(run_forward, per_s, 0, DESTINATIONS),
         progress,
         point_s=120.0,
     )
@@ -133,7 +144,7 @@
             Role.MESSAGE_PATH,
             "message/s offered",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
@@ -141,7 +152,7 @@
 def held_series(progress: Progress) -> Iterator[Series]:
     growth = grow(
         HELD,
-        lambda held: isolated(run_forward, HELD_PER_S, held, SOUND_BESIDE_HELD),
+        lambda held: run_isolated(run_forward, HELD_PER_S, held, SOUND_BESIDE_HELD),
         progress,
         point_s=240.0,
     )
@@ -155,7 +166,7 @@
             Role.MESSAGE_PATH,
             "message held",
             unit,
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
--- a/measure/scale/message_traffic.py
+++ b/measure/scale/message_traffic.py
@@ -36,20 +36,20 @@
     TimerExpired,
 )
 
-MILLISECOND = 1_000
-SECOND = 1_000_000
-ROUND_US = MILLISECOND
+MILLISECOND_US = 1_000
+SECOND_US = 1_000_000
+ROUND_US = MILLISECOND_US
 """Rounds are so far apart: what the event loop gathers in one turn."""
-CALL_US = 20 * MILLISECOND
+CALL_US = 20 * MILLISECOND_US
 """How long a call to a sound endpoint takes."""
-REFUSED_US = MILLISECOND
+REFUSED_US = MILLISECOND_US
 """How long a call to an endpoint that is down takes."""
 SLOTS = 4_096
-HOUR_US = 3_600 * SECOND
+HOUR_US = 3_600 * SECOND_US
 
-FREE = MessageClass("free", SECOND, HOUR_US, late_priority_weight=1.0)
+UNORDERED = MessageClass("free", SECOND_US, HOUR_US, late_priority_weight=1.0)
 ORDERED = MessageClass(
-    "ordered", SECOND, HOUR_US, ordered=True, late_priority_weight=1.0
+    "ordered", SECOND_US, HOUR_US, ordered=True, late_priority_weight=1.0
 )
 """Neither gives way to fresh messages nor runs out of time while it is measured."""
 KEY_MESSAGES = 10
@@ -60,23 +60,23 @@
     """A forwarder's settings in the target's fleet."""
     return Settings(
         max_in_flight=SLOTS,
-        classes=(FREE, ORDERED),
+        classes=(UNORDERED, ORDERED),
         forwarder_count=target.FORWARDERS,
         max_open_messages=100_000_000,
         allow_cancel=True,
         send_retry_after=True,
-        max_retry_after_us=3 * SECOND,
+        max_retry_after_us=3 * SECOND_US,
         overload_factor=1.5,
-        overload_window_us=2 * SECOND,
+        overload_window_us=2 * SECOND_US,
         cold_capacity_share=0.2,
-        warm_up_us=2 * SECOND,
-        connect_timeout_us=SECOND,
-        idle_connection_us=5 * SECOND,
+        warm_up_us=2 * SECOND_US,
+        connect_timeout_us=SECOND_US,
+        idle_connection_us=5 * SECOND_US,
     )
 
 
 @dataclass(slots=True)
-class Spent:
+class ProcessorUsage:
     """What a stretch of simulated time took."""
 
     processor_s: float = 0.0
@@ -86,12 +86,12 @@
     @property
     def event_us(self) -> float:
         """Processor time an event."""
-        return self.processor_s / max(1, self.events) * SECOND
+        return self.processor_s / max(1, self.events) * SECOND_US
 
     @property
     def core_share(self) -> float:
         """Cores that the simulated time would keep busy."""
-        return self.processor_s / (self.simulated_us / SECOND)
+        return self.processor_s / (self.simulated_us / SECOND_US)
 
 
 class Traffic:
@@ -113,31 +113,31 @@
         self.sound = [n for n in range(destinations) if n not in apart]
         self.refusing = frozenset(down)
         self.random = random.Random(seed)
-        self.now = SECOND
-        self.dispatcher = Dispatcher(settings(), seed, self.now)
+        self.now_us = SECOND_US
+        self.dispatcher = Dispatcher(settings(), seed, self.now_us)
         self.attempts: dict[str, int] = {}
-        self.pending: list[tuple[int, int, Event]] = []
+        self.pending_events: list[tuple[int, int, Event]] = []
         self.order = itertools.count()
         self.names = itertools.count()
-        self.ended: dict[str, int] = {}
+        self.outcomes: dict[str, int] = {}
         """How many messages were given up, by what was decided."""
         entries = tuple(EndpointEntry(n, n) for n in range(destinations))
-        self.decide([EndpointListChanged(EndpointListKind.SNAPSHOT, entries)])
+        self.run_round([EndpointListChanged(EndpointListKind.SNAPSHOT, entries)])
 
     def arrival(
         self, destination: int, keyed: bool = False, age_us: int = 0
     ) -> MessageReceived:
         number = next(self.names)
-        cls = ORDERED if keyed else FREE
+        cls = ORDERED if keyed else UNORDERED
         key = f"{destination}/{number // KEY_MESSAGES}" if keyed else None
         return MessageReceived(
-            f"{number:016x}", destination, cls.name, self.now + HOUR_US - age_us, key
+            f"{number:016x}", destination, cls.name, self.now_us + HOUR_US - age_us, key
         )
 
-    def recollection(self, destination: int) -> MessageRestored:
+    def restored_message(self, destination: int) -> MessageRestored:
         number = next(self.names)
         return MessageRestored(
-            f"{number:016x}", destination, FREE.name, self.now + HOUR_US
+            f"{number:016x}", destination, UNORDERED.name, self.now_us + HOUR_US
         )
 
     def hold(self, messages: int, keyed: bool = False) -> None:
@@ -145,32 +145,36 @@
         their aim.
         """
         where = itertools.cycle(self.down)
-        self.decide(
-            self.arrival(next(where), keyed, 2 * FREE.latency_objective_us)
+        self.run_round(
+            self.arrival(next(where), keyed, 2 * UNORDERED.latency_objective_us)
             for _ in range(messages)
         )
 
-    def decide(self, events: Iterable[Event], spent: Spent | None = None) -> None:
+    def run_round(
+        self, events: Iterable[Event], usage: ProcessorUsage | None = None
+    ) -> None:
         """One round: hand the events over and do what is decided."""
         began = time.process_time()
-        actions = self.dispatcher.handle(self.now, events)
-        if spent is not None:
-            spent.processor_s += time.process_time() - began
+        actions = self.dispatcher.handle(self.now_us, events)
+        if usage is not None:
+            usage.processor_s += time.process_time() - began
         for action in actions:
             match action:
                 case SendMessage():
                     self.send(action)
                 case SetTimer():
-                    self.later(action.delay_us, TimerExpired(action.token))
+                    self.schedule(action.delay_us, TimerExpired(action.token))
                 case CancelAttempt():
-                    self.later(
+                    self.schedule(
                         REFUSED_US,
                         AttemptFinished(
                             action.message_id, action.attempt, 0, Outcome.CANCELED, 0
                         ),
                     )
                 case RejectMessage() | FailMessage():
-                    self.ended[action.reason] = self.ended.get(action.reason, 0) + 1
+                    self.outcomes[action.reason] = (
+                        self.outcomes.get(action.reason, 0) + 1
+                    )
 
     def send(self, action: SendMessage) -> None:
         attempt = self.attempts.get(action.message_id, 0)
@@ -183,7 +187,7 @@
             if refused
             else (Outcome.DELIVERED, CALL_US)
         )
-        self.later(
+        self.schedule(
             took,
             AttemptFinished(action.message_id, attempt, action.endpoint, outcome, took),
         )
@@ -196,13 +200,15 @@
         )
         return self.random.choice(self.down if down else self.sound)
 
-    def later(self, delay_us: int, event: Event) -> None:
-        heapq.heappush(self.pending, (self.now + delay_us, next(self.order), event))
+    def schedule(self, delay_us: int, event: Event) -> None:
+        heapq.heappush(
+            self.pending_events, (self.now_us + delay_us, next(self.order), event)
+        )
 
-    def due(self) -> list[Event]:
+    def due_events(self) -> list[Event]:
         events = []
-        while self.pending and self.pending[0][0] <= self.now:
-            events.append(heapq.heappop(self.pending)[2])
+        while self.pending_events and self.pending_events[0][0] <= self.now_us:
+            events.append(heapq.heappop(self.pending_events)[2])
         return events
 
     def run(
@@ -211,22 +217,22 @@
         processor_s: float,
         least_us: int,
         per_s: float = target.FORWARDER_PER_S,
-    ) -> Spent:
+    ) -> ProcessorUsage:
         """Fresh messages, `per_s` of them, for `simulated_us`. Where that takes over
         `processor_s` of processor time it ends sooner, after `least_us` at the
         earliest.
         """
-        spent, began, arrived = Spent(), self.now, 0
-        while spent.simulated_us < simulated_us and (
-            spent.processor_s < processor_s or spent.simulated_us < least_us
+        usage, began, arrived = ProcessorUsage(), self.now_us, 0
+        while usage.simulated_us < simulated_us and (
+            usage.processor_s < processor_s or usage.simulated_us < least_us
         ):
-            self.now += ROUND_US
-            spent.simulated_us = self.now - began
-            events = self.due()
-            while arrived < per_s * spent.simulated_us / SECOND:
+            self.now_us += ROUND_US
+            usage.simulated_us = self.now_us - began
+            events = self.due_events()
+            while arrived < per_s * usage.simulated_us / SECOND_US:
                 events.append(self.arrival(self.fresh_destination()))
                 arrived += 1
             if events:
-                spent.events += len(events)
-                self.decide(events, spent)
-        return spent
+                usage.events += len(events)
+                self.run_round(events, usage)
+        return usage
--- a/measure/scale/message_watch.py
+++ b/measure/scale/message_watch.py
@@ -15,22 +15,22 @@
 from types import SimpleNamespace
 
 from measure.scale import target
-from measure.scale.growth import grow, isolated, sizes_by
+from measure.scale.growth import grow, run_isolated, sizes_by
 from measure.scale.memory import resident_bytes
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
 from rainfall.dispatch import Event, MessageClass, MessageReceived, Settings, Tenant
-from rainfall.journal.state import Taken
-from rainfall.net.config import Address, Config, HostList
-from rainfall.net.engine import Engine
-from rainfall.net.fleet import Fleet
-from rainfall.net.starting import SWEEP_S
+from rainfall.forwarder.config.loading import Address, Config, EndpointList
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.engine.startup import COLLECTION_INTERVAL_S
+from rainfall.forwarder.fleet.member import FleetMember
+from rainfall.journal.state import AcceptedMessage
 
 LIVE = sizes_by(250, 4, 1_000_000)
 NOWHERE = Address("127.0.0.1", 9)
-LIFE_US = 3_600_000_000
+LIFETIME_US = 3_600_000_000
 CLASSES = tuple(
-    MessageClass(name, 900_000_000, LIFE_US) for name in ("reminder", "receipt")
+    MessageClass(name, 900_000_000, LIFETIME_US) for name in ("reminder", "receipt")
 )
 TENANTS = tuple(Tenant(name, 0) for name in ("city", "county"))
 SETTINGS = Settings(
@@ -43,7 +43,7 @@
 """Regular rounds of the collector that are timed; the median counts."""
 POINT_S = 240.0
 """Seconds that all repeats at one size may be expected to take."""
-LEAST_S = 0.02
+MIN_MEASURED_S = 0.02
 """Each kind of work is repeated until it has taken this long, and divided."""
 WORK = {
     "ends": ("watch over messages' ends", Role.MESSAGE_PATH),
@@ -54,34 +54,34 @@
 }
 
 
-def filled(folder: Path, live: int) -> Engine:
+def filled_engine(folder: Path, live: int) -> Engine:
     """A forwarder that holds so many messages, spread over destinations that have no
     target.
     """
-    known = HostList(1, True, ())
+    known = EndpointList(1, True, ())
     engine = Engine(
         Config(
             "n", NOWHERE, NOWHERE, folder, 1, 1 << 20, 256, 10**12, known, SETTINGS, ()
         )
     )
-    take_on(engine, 0, live)
+    accept_messages(engine, 0, live)
     return engine
 
 
-def take_on(engine: Engine, first: int, count: int) -> None:
+def accept_messages(engine: Engine, first: int, count: int) -> None:
     """So many more messages, in rounds."""
     now = engine.clock()
     for start in range(first, first + count, BATCH):
         arrivals: list[Event] = []
         for number in range(start, min(first + count, start + BATCH)):
             taken = message(number, now)
-            engine.store.take(taken)
+            engine.store.append_message(taken)
             arrivals.append(
                 MessageReceived(
                     taken.id,
                     taken.destination,
                     taken.class_name,
-                    taken.due_us,
+                    taken.deadline_us,
                     None,
                     taken.tenant,
                 )
@@ -90,10 +90,10 @@
         engine.dispatcher.handle(now, arrivals)
 
 
-def message(number: int, now_us: int) -> Taken:
+def message(number: int, now_us: int) -> AcceptedMessage:
     name = f"{number:016x}"
-    due_us = now_us + LIFE_US // 2 + number * 7_919 % (LIFE_US // 2)
-    return Taken(
+    due_us = now_us + LIFETIME_US // 2 + number * 7_919 % (LIFETIME_US // 2)
+    return AcceptedMessage(
         name,
         CLASSES[number % 2].name,
         number % target.DOWN_DESTINATIONS,
@@ -104,10 +104,10 @@
     )
 
 
-def seconds(work: Callable[[], object]) -> float:
+def seconds_per_run(work: Callable[[], object]) -> float:
     """Processor time of one run."""
     runs, spent = 0, 0.0
-    while spent < LEAST_S:
+    while spent < MIN_MEASURED_S:
         began = time.process_time()
         work()
         spent += time.process_time() - began
@@ -115,34 +115,34 @@
     return spent / runs
 
 
-def regular_round(engine: Engine, live: int) -> float:
+def collector_round_s(engine: Engine, live: int) -> float:
     """Processor time of a round of the collector that comes after the traffic between
     two.
     """
-    count, spent = round(SWEEP_S * target.FORWARDER_PER_S), []
+    count, spent = round(COLLECTION_INTERVAL_S * target.FORWARDER_PER_S), []
     for turn in range(ROUNDS):
-        take_on(engine, live + turn * count, count)
+        accept_messages(engine, live + turn * count, count)
         began = time.process_time()
-        engine.collect()
+        engine.collect_garbage()
         spent.append(time.process_time() - began)
     return statistics.median(spent)
 
 
-def regular(live: int) -> Mapping[str, float]:
+def measure_upkeep(live: int) -> Mapping[str, float]:
     """Each kind of regular work beside so many messages."""
     logging.disable(logging.CRITICAL)
     gc.collect()
     gc.freeze()  # as the program does once it has started
     with tempfile.TemporaryDirectory() as name:
-        engine = filled(Path(name), live)
+        engine = filled_engine(Path(name), live)
         member = SimpleNamespace(forwarder=engine)
-        Fleet.waiting(member)  # type: ignore[arg-type]  # counted whole once, at the start
+        FleetMember.unsent_demand(member)  # type: ignore[arg-type]  # counted whole once, at the start
         told = {
-            "ends": seconds(engine.end_overdue),
-            "line": seconds(lambda: engine.sum_up(time.monotonic())),
-            "full": seconds(gc.collect),
-            "collector": regular_round(engine, live),
-            "demand": seconds(lambda: Fleet.waiting(member)),  # type: ignore[arg-type]
+            "ends": seconds_per_run(engine.fail_overdue_messages),
+            "line": seconds_per_run(lambda: engine.log_summary(time.monotonic())),
+            "full": seconds_per_run(gc.collect),
+            "collector": collector_round_s(engine, live),
+            "demand": seconds_per_run(lambda: FleetMember.unsent_demand(member)),  # type: ignore[arg-type]
             "memory": float(resident_bytes()),
         }
         engine.store.close()
@@ -152,7 +152,7 @@
 def series(progress: Progress) -> Iterator[Series]:
     growth = grow(
         LIVE,
-        lambda live: isolated(regular, live),
+        lambda live: run_isolated(measure_upkeep, live),
         progress,
         point_s=POINT_S,
         memory=lambda run: run["memory"],
@@ -163,7 +163,7 @@
             role,
             "live message",
             "s",
-            growth.of(name),
+            growth.points_of(name),
             growth.bound,
         )
 
--- a/measure/scale/needs.py
+++ b/measure/scale/needs.py
@@ -8,10 +8,10 @@
 from enum import StrEnum
 
 from measure.scale import message_rate, target
-from measure.scale.fit import Fit, Span, fit
-from measure.scale.results import Entry, Found, find
+from measure.scale.fit import Fit, Spread, fit
+from measure.scale.results import Entry, LocatedSeries, find_series
 from measure.scale.target import Role
-from rainfall.net.desk import TICK_S
+from rainfall.forwarder.engine.engine_state import TICK_INTERVAL_S
 
 MISSING = "missing"
 QUEUES = "queues by deadline, a lane for each class"
@@ -42,7 +42,7 @@
 
     role: Role
     kind: Kind
-    what: str
+    name: str
     series: tuple[str, ...]
     size: float
     allowance: float
@@ -50,15 +50,15 @@
     unit: str
     mechanism: str
     """What carries it at that size, or `MISSING`."""
-    times: float = 1.0
+    factor: float = 1.0
     """From a value of the series to the need: a rate, or a change of unit."""
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class SeriesUse:
     """A series in a need, with its fit."""
 
-    found: Found
+    found: LocatedSeries
     fit: Fit
 
     def past_range(self, size: float) -> float:
@@ -67,12 +67,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class NeedResult:
     """A need as far as it was measured."""
 
     need: Need
-    uses: tuple[Use, ...]
-    value: Span | None
+    uses: tuple[SeriesUse, ...]
+    value: Spread | None
     """None where a series was not measured."""
 
     @property
@@ -80,20 +80,20 @@
         return self.value.middle / self.need.allowance if self.value else None
 
 
-def answer(need: Need, entries: dict[str, Entry]) -> Answer:
-    found = [find(entries, name) for name in need.series]
-    uses = tuple(Use(one, fit(one.series)) for one in found if one is not None)
-    if not uses or len(uses) < len(found):
-        return Answer(need, uses, None)
+def evaluate_need(need: Need, entries: dict[str, Entry]) -> NeedResult:
+    located = [find_series(entries, name) for name in need.series]
+    uses = tuple(SeriesUse(one, fit(one.series)) for one in located if one is not None)
+    if not uses or len(uses) < len(located):
+        return NeedResult(need, uses, None)
     spans = [use.fit.at(need.size) for use in uses]
-    middle = sum(span.middle for span in spans) * need.times
-    least = sum(span.least for span in spans) * need.times
-    most = sum(span.most for span in spans) * need.times
-    return Answer(need, uses, Span(middle, least, most))
+    middle = sum(span.middle for span in spans) * need.factor
+    lowest = sum(span.lowest for span in spans) * need.factor
+    highest = sum(span.highest for span in spans) * need.factor
+    return NeedResult(need, uses, Spread(middle, lowest, highest))
 
 
 HELD = float(target.FORWARDER_BACKLOG)
-TICKS_PER_S = 1 / TICK_S
+TICKS_PER_S = 1 / TICK_INTERVAL_S
 """How often the forwarder looks for messages past their time."""
 US = 1e-6
 MS = 1e-3
@@ -167,7 +167,7 @@
         Kind.PROCESSOR,
         "decisions, calls out",
         ("dispatcher: cores at 1,000 messages a second, calls out",),
-        target.CALLS_OUT,
+        target.CALLS_IN_FLIGHT,
         target.FORWARDER_CORES,
         Source.ASSUMED,
         "core",
@@ -312,7 +312,7 @@
         "recalling, after ready, what was held in 3.2% of destinations",
         dispatcher("processor time until all are recalled", "3.2%"),
         HELD,
-        target.RECALLED_S,
+        target.RESTORED_S,
         Source.ASSUMED,
         "s",
         "in hundreds after ready",
--- a/measure/scale/needs_control.py
+++ b/measure/scale/needs_control.py
@@ -19,7 +19,7 @@
 """
 DAY_S = 86_400.0
 BUDGETS = float(target.DESTINATIONS)
-CORE, BYTES, WIRE = (
+CORE_ALLOWANCE, BYTES_ALLOWANCE, WIRE_BYTES_PER_S = (
     target.CONTROL_CORE_SHARE,
     target.CONTROL_BYTES,
     target.CONTROL_BYTES_PER_S,
@@ -27,21 +27,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class RequiredShare:
     """A share that has to be 1 at every size: of less, something is lost and not merely
     slow.
     """
 
-    what: str
+    name: str
     series: str
 
 
-WHOLES = (
-    Whole("endpoints of the list that a forwarder may call", "list_reachable"),
-    Whole(
+REQUIRED_SHARES = (
+    RequiredShare("endpoints of the list that a forwarder may call", "list_reachable"),
+    RequiredShare(
         "endpoints of the list that a restart reads from the journal", "list_recovered"
     ),
-    Whole("whole lists that arrive at a forwarder's client", "list_arrives"),
+    RequiredShare("whole lists that arrive at a forwarder's client", "list_arrives"),
 )
 
 CONTROL_NEEDS = (
@@ -56,7 +56,7 @@
             "member: bytes a second of the list's watch at rest",
         ),
         FLEET,
-        WIRE,
+        WIRE_BYTES_PER_S,
         Source.STATED,
         "byte/s",
         "one beat a third of a lease",
@@ -67,7 +67,7 @@
         "a forwarder's part, three budgets",
         ("member: part of a core for control at rest",),
         FLEET,
-        CORE,
+        CORE_ALLOWANCE,
         Source.STATED,
         "core",
         "beats",
@@ -78,7 +78,7 @@
         "a forwarder's part, three budgets",
         ("member: memory, its part of a process of hollow members",),
         FLEET,
-        BYTES,
+        BYTES_ALLOWANCE,
         Source.STATED,
         "byte",
         "members' list and purses",
@@ -148,7 +148,7 @@
         "bytes a second where a budget for each destination is spoken of",
         ("books_beat_bytes", "books_answer_bytes"),
         BUDGETS,
-        WIRE,
+        WIRE_BYTES_PER_S,
         Source.STATED,
         "byte/s",
         MISSING,
@@ -160,7 +160,7 @@
         "a forwarder's beats, a budget for each destination",
         ("books_ask_ms", "books_answer_ms"),
         BUDGETS,
-        CORE,
+        CORE_ALLOWANCE,
         Source.STATED,
         "core",
         MISSING,
@@ -172,7 +172,7 @@
         "a forwarder's purses, a budget for each destination",
         ("books_purse_bytes",),
         BUDGETS,
-        BYTES,
+        BYTES_ALLOWANCE,
         Source.STATED,
         "byte",
         "one purse a budget",
@@ -229,7 +229,7 @@
         "changes of the list, from the wire to the journal",
         ("list_change_ms",),
         ENDPOINTS,
-        CORE,
+        CORE_ALLOWANCE,
         Source.STATED,
         "core",
         MISSING,
@@ -253,7 +253,7 @@
         "the list of endpoints while it is read",
         ("list_peak_bytes",),
         ENDPOINTS,
-        BYTES,
+        BYTES_ALLOWANCE,
         Source.STATED,
         "byte",
         "one record an endpoint",
@@ -277,7 +277,7 @@
         "a forwarder's own ranges in each beat's answer",
         ("shard_owners_told_bytes",),
         FLEET,
-        WIRE,
+        WIRE_BYTES_PER_S,
         Source.STATED,
         "byte/s",
         "told with each beat",
@@ -317,7 +317,7 @@
             "config_endpoints_apply_ms",
         ),
         ENDPOINTS,
-        CORE,
+        CORE_ALLOWANCE,
         Source.STATED,
         "core",
         "whole files",
@@ -363,7 +363,7 @@
         "a whole real forwarder without messages, three budgets",
         ("real forwarder, member: part of a core at rest",),
         REAL_FORWARDERS,
-        CORE,
+        CORE_ALLOWANCE,
         Source.STATED,
         "core",
         "beats",
--- a/measure/scale/page.py
+++ b/measure/scale/page.py
@@ -22,10 +22,17 @@
     lost_per_s,
     others_per_s,
 )
-from measure.scale.fit import Span, fit
-from measure.scale.needs import MESSAGE_NEEDS, Answer, Kind, Need, Use, answer
-from measure.scale.needs_control import CONTROL_NEEDS, WHOLES
-from measure.scale.results import Entry, Found, find
+from measure.scale.fit import Spread, fit
+from measure.scale.needs import (
+    MESSAGE_NEEDS,
+    Kind,
+    Need,
+    NeedResult,
+    SeriesUse,
+    evaluate_need,
+)
+from measure.scale.needs_control import CONTROL_NEEDS, REQUIRED_SHARES
+from measure.scale.results import Entry, LocatedSeries, find_series
 from measure.scale.target import Role
 
 PAGE = results.ROOT / "docs" / "CAPACITY.md"
@@ -37,7 +44,7 @@
 NEEDS: tuple[Need, ...] = MESSAGE_NEEDS + CONTROL_NEEDS
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """A figure with three digits, and the letter of its size."""
     for factor, letter in ((1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k")):
         if abs(value) >= factor * 0.9995:
@@ -45,77 +52,77 @@
     return f"{value:.3g}"
 
 
-def quantity(value: float, unit: str) -> str:
+def format_quantity(value: float, unit: str) -> str:
     """A figure with its unit; bytes in their short form, as in 5 MB/s."""
-    text = number(value)
+    text = format_number(value)
     if not unit.startswith("byte"):
         return f"{text} {unit}"
     short = "B" + unit.removeprefix("byte")
     return text + short if text[-1].isalpha() else f"{text} {short}"
 
 
-def spread(span: Span) -> str:
-    return f"{number(span.least)} to {number(span.most)}"
+def format_spread(span: Spread) -> str:
+    return f"{format_number(span.lowest)} to {format_number(span.highest)}"
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+def markdown_table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     lines = [heads, ["---"] * len(heads), *rows]
     return "".join(f"| {' | '.join(line)} |\n" for line in lines)
 
 
-def grounds(found: Answer) -> str:
+def format_grounds(found: NeedResult) -> str:
     """How far the need lies past what was measured, and whether the shape there was
     seen.
     """
     if found.value is None:
         return NOT_MEASURED
     past = max(use.past_range(found.need.size) for use in found.uses)
-    shapes = ", ".join(dict.fromkeys(shape_of(use) for use in found.uses))
+    shapes = ", ".join(dict.fromkeys(shape_name(use) for use in found.uses))
     if past <= 1:
         return f"within the range; {shapes}"
     return f"{past:.3g} x past the range; {shapes}, assumed to go on"
 
 
-def shape_of(use: Use) -> str:
+def shape_name(use: SeriesUse) -> str:
     return use.fit.shape.value if use.fit.shape is not None else "not plain"
 
 
-def allowance(need: Need) -> str:
-    return f"{quantity(need.allowance, need.unit)} ({need.source})"
+def format_allowance(need: Need) -> str:
+    return f"{format_quantity(need.allowance, need.unit)} ({need.source})"
 
 
-def ordered(entries: dict[str, Entry]) -> list[Answer]:
+def ordered_results(entries: dict[str, Entry]) -> list[NeedResult]:
     """The largest ratio first; what was not measured last."""
-    answers = [answer(need, entries) for need in NEEDS]
+    answers = [evaluate_need(need, entries) for need in NEEDS]
     return sorted(
         answers, key=lambda found: -(found.ratio if found.ratio is not None else -1.0)
     )
 
 
-def first_table(entries: dict[str, Entry]) -> str:
+def ratios_table(entries: dict[str, Entry]) -> str:
     rows = []
-    for found in ordered(entries):
+    for found in ordered_results(entries):
         need, value = found.need, found.value
         rows.append(
             (
-                number(found.ratio) if found.ratio is not None else "-",
-                f"{need.role}: {need.what}",
-                f"{quantity(value.middle, need.unit)} ({spread(value)})"
+                format_number(found.ratio) if found.ratio is not None else "-",
+                f"{need.role}: {need.name}",
+                f"{format_quantity(value.middle, need.unit)} ({format_spread(value)})"
                 if value
                 else NOT_MEASURED,
-                allowance(need),
-                grounds(found),
+                format_allowance(need),
+                format_grounds(found),
                 need.mechanism,
             )
         )
-    return table(
+    return markdown_table(
         ("ratio", "need", "comes to (spread)", "allowed", "grounds", "carried by"), rows
     )
 
 
 def roles_table(entries: dict[str, Entry]) -> str:
     """The largest ratio of each role and kind."""
-    answers = [found for found in ordered(entries) if found.value is not None]
+    answers = [found for found in ordered_results(entries) if found.value is not None]
 
     def cell(role: Role, kind: Kind) -> str:
         for found in answers:
@@ -125,11 +132,12 @@
                 and found.value
                 and found.ratio is not None
             ):
-                return f"{quantity(found.value.middle, found.need.unit)} ({number(found.ratio)})"
+                quantity = format_quantity(found.value.middle, found.need.unit)
+                return f"{quantity} ({format_number(found.ratio)})"
         return NOT_MEASURED
 
     rows = [(role.value, *(cell(role, kind) for kind in Kind)) for role in Role]
-    return table(("role", *Kind), rows)
+    return markdown_table(("role", *Kind), rows)
 
 
 def slopes_table(entries: dict[str, Entry]) -> str:
@@ -137,7 +145,7 @@
     used = sorted({name for need in NEEDS for name in need.series})
     rows = []
     for name in used:
-        found = find(entries, name)
+        found = find_series(entries, name)
         if found is None:
             rows.append((name, NOT_MEASURED, "-", "-", "-"))
             continue
@@ -147,12 +155,12 @@
             (
                 name,
                 fit(series).describe(series),
-                f"{number(least)} to {number(most)} {series.size_unit} x {series.repeats}",
+                f"{format_number(least)} to {format_number(most)} {series.size_unit} x {series.repeats}",
                 series.bound or "not said",
                 f"`{origin.command}` at {origin.commit}",
             )
         )
-    return table(
+    return markdown_table(
         (
             "series",
             "slope (spread over repeats), shape",
@@ -164,15 +172,15 @@
     )
 
 
-def whole_table(entries: dict[str, Entry]) -> str:
+def required_shares_table(entries: dict[str, Entry]) -> str:
     """Shares that have to be 1: the largest size measured where they are, and what they
     are at the target.
     """
     rows = []
-    for whole in WHOLES:
-        found = find(entries, whole.series)
+    for required in REQUIRED_SHARES:
+        found = find_series(entries, required.series)
         if found is None:
-            rows.append((whole.what, NOT_MEASURED, "-", "-"))
+            rows.append((required.name, NOT_MEASURED, "-", "-"))
             continue
         points = sorted(found.series.points, key=lambda point: point.size)
         sound = [point.size for point in points if min(point.values) >= 1]
@@ -181,8 +189,8 @@
         )
         share = NOT_MEASURED if at_target is None else f"{at_target.median:.2%}"
         run = f"`{found.origin.command}` at {found.origin.commit}"
-        rows.append((whole.what, f"{max(sound, default=0.0):,.0f}", share, run))
-    return table(
+        rows.append((required.name, f"{max(sound, default=0.0):,.0f}", share, run))
+    return markdown_table(
         (
             "share of endpoints or lists",
             "whole up to",
@@ -195,23 +203,23 @@
 
 def others_cores(failure: Failure, entries: dict[str, Entry]) -> str:
     """What each other forwarder's core then does with messages."""
-    found = find(entries, RATE_SERIES)
+    found = find_series(entries, RATE_SERIES)
     if found is None:
         return NOT_MEASURED
     per_s = others_per_s(failure)
     message_us = fit(found.series).at(per_s).middle
-    return f"{number(per_s)}/s, {per_s * message_us / 1e6:.3g} core"
+    return f"{format_number(per_s)}/s, {per_s * message_us / 1e6:.3g} core"
 
 
-def control_figure(label: str, found: Found | None) -> str:
+def control_figure(label: str, found: LocatedSeries | None) -> str:
     """A figure of control at the target's forwarders, or where it was measured if that
     is fewer.
     """
     if found is None:
         return f"{label}: {NOT_MEASURED}"
     size = min(float(target.FORWARDERS), found.series.range[1])
-    where = "" if size == target.FORWARDERS else f" (with {number(size)})"
-    return f"{label}: {number(fit(found.series).at(size).middle)}{where}"
+    where = "" if size == target.FORWARDERS else f" (with {format_number(size)})"
+    return f"{label}: {format_number(fit(found.series).at(size).middle)}{where}"
 
 
 def control_text(failure: Failure, entries: dict[str, Entry]) -> str:
@@ -228,17 +236,17 @@
         lost = lost_per_s(failure)
         share = lost / target.MESSAGES_PER_S
         held = held_messages(failure)
-        peak = f"{number(lost)}/s ({share:.2%})"
+        peak = f"{format_number(lost)}/s ({share:.2%})"
         if failure.held_back_per_s:
-            peak = f"{number(failure.held_back_per_s)}/s held back"
+            peak = f"{format_number(failure.held_back_per_s)}/s held back"
         rows.append(
             (
-                failure.what,
+                failure.name,
                 peak,
                 others_cores(failure, entries),
-                number(held) if held else "0",
+                format_number(held) if held else "0",
                 control_text(failure, entries),
-                failure.goes_on,
+                failure.remaining_service,
             )
         )
     heads = (
@@ -249,19 +257,19 @@
         "control",
         "who goes on",
     )
-    return table(heads, rows)
+    return markdown_table(heads, rows)
 
 
 TABLES: dict[str, Callable[[dict[str, Entry]], str]] = {
-    "first": first_table,
+    "first": ratios_table,
     "roles": roles_table,
-    "whole": whole_table,
+    "whole": required_shares_table,
     "failures": failures_table,
     "slopes": slopes_table,
 }
 
 
-def filled(text: str, entries: dict[str, Entry]) -> str:
+def fill_tables(text: str, entries: dict[str, Entry]) -> str:
     """The page with every table as the results give it."""
     return BLOCK.sub(
         lambda block: (
@@ -273,7 +281,7 @@
 
 def main(arguments: Sequence[str]) -> int:
     text = PAGE.read_text()
-    made = filled(text, results.load())
+    made = fill_tables(text, results.load_entries())
     if "--check" in arguments:
         return int(made != text)
     PAGE.write_text(made)
