--- a/measure/scale/control_probe.py
+++ b/measure/scale/process_probe.py
@@ -13,17 +13,17 @@
 from types import FrameType
 from typing import Any
 
-LEAST_MS = 20.0
+MIN_MEASURED_MS = 20.0
 """Short acts are repeated until they have taken so much processor time together."""
-MOST_ROUNDS = 1 << 20
-STATUS = Path("/proc/self/status")
+MAX_ROUNDS = 1 << 20
+STATUS_PATH = Path("/proc/self/status")
 RESET_PEAK = "5"
 """What /proc/self/clear_refs takes to count the peak of memory anew."""
-PROGRAM = f"{Path('rainfall')}/"
+PROGRAM_PATH_PART = f"{Path('rainfall')}/"
 
 
 @contextlib.contextmanager
-def collected() -> Iterator[None]:
+def frozen_collector() -> Iterator[None]:
     """What was made before is left out of the collector's rounds, as the program does
     at its start.
     """
@@ -35,28 +35,30 @@
         gc.unfreeze()
 
 
-def processor_ms(act: Callable[[], Any], freeze: bool = True) -> float:
+def processor_ms(action: Callable[[], Any], freeze: bool = True) -> float:
     """Milliseconds of processor time of one act, run once. Without `freeze` the
     collector goes through what was made before as well.
     """
-    with collected() if freeze else contextlib.nullcontext():
+    with frozen_collector() if freeze else contextlib.nullcontext():
         began = time.process_time_ns()
-        act()
+        action()
         return (time.process_time_ns() - began) / 1e6
 
 
-def processor_ms_each(act: Callable[[], Any], least_ms: float = LEAST_MS) -> float:
+def processor_ms_each(
+    action: Callable[[], Any], least_ms: float = MIN_MEASURED_MS
+) -> float:
     """Milliseconds of processor time of one act, run as often as takes `least_ms`
     together.
     """
     rounds = 1
     while True:
-        with collected():
+        with frozen_collector():
             began = time.process_time_ns()
             for _ in range(rounds):
-                act()
+                action()
             took_ms = (time.process_time_ns() - began) / 1e6
-        if took_ms >= least_ms or rounds >= MOST_ROUNDS:
+        if took_ms >= least_ms or rounds >= MAX_ROUNDS:
             return took_ms / rounds
         rounds *= 2 if took_ms < least_ms / 16 else 1 + int(least_ms / took_ms)
 
@@ -77,13 +79,13 @@
 
 
 def _status_bytes(name: str) -> int:
-    for line in STATUS.read_text().splitlines():
+    for line in STATUS_PATH.read_text().splitlines():
         if line.startswith(f"{name}:"):
             return int(line.split()[1]) * 1024
-    raise OSError(f"{STATUS} does not tell {name}")
+    raise OSError(f"{STATUS_PATH} does not tell {name}")
 
 
-def steps(act: Callable[[], Any]) -> int:
+def count_lines(action: Callable[[], Any]) -> int:
     """Lines of the program that one act runs, one loop's turn counting each time: the
     same on any machine.
     """
@@ -95,12 +97,12 @@
         return on_line
 
     def on_call(frame: FrameType, _: str, __: Any) -> Any:
-        return on_line if PROGRAM in frame.f_code.co_filename else None
+        return on_line if PROGRAM_PATH_PART in frame.f_code.co_filename else None
 
     before = sys.gettrace()
     sys.settrace(on_call)
     try:
-        act()
+        action()
     finally:
         sys.settrace(before)
     return count
--- a/measure/scale/results.py
+++ b/measure/scale/results.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 RESULTS = Path(__file__).resolve().parent / "results.json"
-MEASURED = ("rainfall", "measure", f":!{RESULTS.relative_to(ROOT)}")
+MEASURED_PATHS = ("rainfall", "measure", f":!{RESULTS.relative_to(ROOT)}")
 """What a figure depends on."""
 PLAIN_FIELDS = ("name", "role", "size_unit", "value_unit", "bound")
 
@@ -104,14 +104,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class LocatedSeries:
     """A series of the file, with the run it is from."""
 
     series: Series
     origin: Origin
 
 
-def git(*words: str) -> str:
+def run_git(*words: str) -> str:
     told = subprocess.run(
         ["git", *words], cwd=ROOT, check=True, capture_output=True, text=True
     )
@@ -130,30 +130,32 @@
 
 
 def origin(command: str) -> Origin:
-    changed = "+" if git("status", "--porcelain", "--", *MEASURED) else ""
+    changed = "+" if run_git("status", "--porcelain", "--", *MEASURED_PATHS) else ""
     now = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
     return Origin(
-        git("rev-parse", "--short=7", "HEAD") + changed, command, machine(), now
+        run_git("rev-parse", "--short=7", "HEAD") + changed, command, machine(), now
     )
 
 
-def decode(told: dict[str, Any]) -> Entry:
+def decode_entry(document: dict[str, Any]) -> Entry:
     """An entry as the file has it."""
     series = tuple(
         Series(
-            one["name"],
-            Role(one["role"]),
-            one["size_unit"],
-            one["value_unit"],
-            tuple(Point(size, tuple(values)) for size, values in one["points"]),
-            one["bound"],
+            series_document["name"],
+            Role(series_document["role"]),
+            series_document["size_unit"],
+            series_document["value_unit"],
+            tuple(
+                Point(size, tuple(values)) for size, values in series_document["points"]
+            ),
+            series_document["bound"],
         )
-        for one in told["series"]
+        for series_document in document["series"]
     )
-    return Entry(told["measurement"], Origin(**told["origin"]), series)
+    return Entry(document["measurement"], Origin(**document["origin"]), series)
 
 
-def encode(entry: Entry) -> str:
+def encode_entry(entry: Entry) -> str:
     """An entry as text; each series is one line, so that histories of the file can be
     merged.
     """
@@ -169,32 +171,34 @@
     )
 
 
-def load(path: Path = RESULTS) -> dict[str, Entry]:
+def load_entries(path: Path = RESULTS) -> dict[str, Entry]:
     """All entries of the file by their measurement; none where there is no file."""
     if not path.exists():
         return {}
-    entries = [decode(told) for told in json.loads(path.read_text())["measurements"]]
+    entries = [
+        decode_entry(told) for told in json.loads(path.read_text())["measurements"]
+    ]
     return {entry.measurement: entry for entry in entries}
 
 
-def save(entries: dict[str, Entry], path: Path = RESULTS) -> None:
-    text = ",\n".join(encode(entries[name]) for name in sorted(entries))
+def save_entries(entries: dict[str, Entry], path: Path = RESULTS) -> None:
+    text = ",\n".join(encode_entry(entries[name]) for name in sorted(entries))
     path.write_text('{"measurements": [\n' + text + "\n]}\n")
 
 
-def merge(new: Iterable[Entry], path: Path = RESULTS) -> None:
+def merge_entries(new: Iterable[Entry], path: Path = RESULTS) -> None:
     """Put entries into the file in place of those of the same measurements; all others
     stay.
     """
-    entries = load(path)
+    entries = load_entries(path)
     entries.update({entry.measurement: entry for entry in new})
-    save(entries, path)
+    save_entries(entries, path)
 
 
-def find(entries: dict[str, Entry], series: str) -> Found | None:
+def find_series(entries: dict[str, Entry], series: str) -> LocatedSeries | None:
     """The series of that name, from whichever measurement; None where none was run."""
     for entry in entries.values():
         for one in entry.series:
             if one.name == series:
-                return Found(one, entry.origin)
+                return LocatedSeries(one, entry.origin)
     return None
--- a/measure/scale/service_failures.py
+++ b/measure/scale/service_failures.py
@@ -17,11 +17,11 @@
 from measure.scale.hollow_peaks import Peaks, peaks
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.service_members import (
-    REST_S,
-    Figures,
-    beats_beyond_rest,
-    look,
-    rest_stretches,
+    IDLE_S,
+    SeriesBuilder,
+    heartbeats_beyond_idle,
+    measure_idle_stretches,
+    take_snapshot,
 )
 from measure.scale.target import Role
 
@@ -44,22 +44,22 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
 
 
-def add_peaks(figures: Figures, what: str, size: int, found: Peaks) -> None:
+def add_peaks(figures: SeriesBuilder, what: str, size: int, found: Peaks) -> None:
     figures.add(f"{what}: beats", size, found.beats)
     figures.add(f"{what}: bytes", size, found.bytes)
     figures.add(f"{what}: connections", size, found.opened)
     figures.add(f"{what}: connections in a tenth", size, found.opened_tenth)
 
 
-def joined(fleet: HollowFleet, samples: Totals, more: Totals) -> Totals:
+def joined(fleet: HollowFleet, samples: Totals, later: Totals) -> Totals:
     """The later totals with the samples of both."""
-    for gathered, new in zip(samples.samples, more.samples, strict=True):
+    for gathered, new in zip(samples.samples, later.samples, strict=True):
         gathered.extend(new)
-    more.samples = samples.samples
-    return more
+    later.samples = samples.samples
+    return later
 
 
-def lose_zone(fleet: HollowFleet, size: int, figures: Figures) -> None:
+def lose_zone(fleet: HollowFleet, size: int, figures: SeriesBuilder) -> None:
     """A sixth of the members is gone at once; then its processes come back with their
     folders.
     """
@@ -67,35 +67,36 @@
     lost_before = fleet.totals().lost()
     began, began_ns = time.monotonic(), time.monotonic_ns()
     fleet.kill(zone)
-    ended = fleet.until(
-        "the zone's leases", lambda _: fleet.service.figures()["leases"] == len(others)
+    ended = fleet.wait_until(
+        "the zone's leases",
+        lambda _: fleet.service.variables()["leases"] == len(others),
     )
     figures.add("zone: lease seconds", size, time.monotonic() - began)
-    moved = fleet.until(
+    moved = fleet.wait_until(
         "a share that moves", lambda totals: totals.changed_ns() > began_ns
     )
-    settled = fleet.until_settled()
+    settled = fleet.wait_until_settled()
     figures.add("zone: share seconds", size, (settled.changed_ns() - began_ns) / 1e9)
     figures.add("zone: others' leases lost", size, settled.lost() - lost_before)
     found = peaks(joined(fleet, joined(fleet, ended, moved), settled).samples)
     add_peaks(figures, "zone", size, found)
     began = time.monotonic()
     fleet.start(zone)
-    back = fleet.until("the zone's return", lambda totals: totals.alive() == size)
+    back = fleet.wait_until("the zone's return", lambda totals: totals.alive() == size)
     figures.add("zone: return seconds", size, time.monotonic() - began)
     add_peaks(
         figures,
         "zone's return",
         size,
-        peaks(joined(fleet, back, fleet.until_settled()).samples),
+        peaks(joined(fleet, back, fleet.wait_until_settled()).samples),
     )
 
 
 def restart_members(
-    fleet: HollowFleet, size: int, count: int, figures: Figures
+    fleet: HollowFleet, size: int, count: int, figures: SeriesBuilder
 ) -> None:
     """Members are killed and started again with their folders, one after another."""
-    before, began = look(fleet), time.monotonic()
+    before, began = take_snapshot(fleet), time.monotonic()
     fleet.totals()
     started_ns: dict[str, int] = {}
     for number in range(count):
@@ -104,14 +105,14 @@
         started_ns[name] = time.monotonic_ns()
         fleet.start([name])
         time.sleep(max(0.0, began + (number + 1) * RESTART_EVERY_S - time.monotonic()))
-    fleet.until("all to be alive", lambda totals: totals.alive() == size)
-    settled = fleet.until_settled()
-    after = look(fleet)
+    fleet.wait_until("all to be alive", lambda totals: totals.alive() == size)
+    settled = fleet.wait_until_settled()
+    after = take_snapshot(fleet)
     for name, at_ns in started_ns.items():
         figures.add(
             "restart: seconds", size, (settled.members[name].joined_ns - at_ns) / 1e9
         )
-    extra = beats_beyond_rest(before.totals, after.totals, figures, size)
+    extra = heartbeats_beyond_idle(before.totals, after.totals, figures, size)
     figures.add("restart: beats", size, extra / count)
     spent_bytes = sum(
         after.totals.bytes[call] - before.totals.bytes[call] for call in Call
@@ -134,13 +135,13 @@
     )
 
 
-def median_rest(figures: Figures, size: int, name: str) -> float:
+def median_rest(figures: SeriesBuilder, size: int, name: str) -> float:
     values = sorted(figures.values[name][size])
     return values[len(values) // 2]
 
 
 def restart_service(
-    fleet: HollowFleet, size: int, away_s: float, figures: Figures
+    fleet: HollowFleet, size: int, away_s: float, figures: SeriesBuilder
 ) -> None:
     """The service is killed; until each member has renewed its lease at the new
     process.
@@ -152,14 +153,14 @@
     began, began_us = time.monotonic(), boot_us()
     fleet.service.start()
     figures.add(f"{what}: seconds until it listens", size, time.monotonic() - began)
-    renewed = fleet.until(
+    renewed = fleet.wait_until(
         "all leases",
         lambda totals: all(m.renewed_us > began_us for m in totals.members.values()),
     )
     figures.add(f"{what}: seconds until all renewed", size, time.monotonic() - began)
     figures.add(f"{what}: service core seconds", size, fleet.service.processor_s())
-    time.sleep(REST_S)
-    settled = fleet.until_settled()
+    time.sleep(IDLE_S)
+    settled = fleet.wait_until_settled()
     figures.add(f"{what}: leases lost", size, settled.lost() - lost_before)
     add_peaks(figures, what, size, peaks(joined(fleet, renewed, settled).samples))
 
@@ -178,7 +179,7 @@
     return next((unit for word, unit in UNITS if word in name), "sync")
 
 
-def series_of(figures: Figures, names: Callable[[str], bool]) -> Iterator[Series]:
+def series_of(figures: SeriesBuilder, names: Callable[[str], bool]) -> Iterator[Series]:
     for name in filter(names, figures.values):
         title, unit = f"failure: {name}", unit_of(name)
         yield Series(
@@ -192,7 +193,7 @@
 
 
 def measure_zone(progress: Progress) -> Iterator[Series]:
-    figures = Figures()
+    figures = SeriesBuilder()
     for size in SIZES:
         with running_fleet(size) as fleet:
             for _ in range(REPEATS):
@@ -202,17 +203,17 @@
 
 
 def measure_restarts(progress: Progress) -> Iterator[Series]:
-    figures = Figures()
+    figures = SeriesBuilder()
     size = target.FORWARDERS
     with running_fleet(size) as fleet:
-        rest_stretches(fleet, size, figures)
+        measure_idle_stretches(fleet, size, figures)
         restart_members(fleet, size, target.RESTARTS_PER_DAY, figures)
     progress(f"{size} members, {target.RESTARTS_PER_DAY} of them restarted")
     yield from series_of(figures, lambda name: name.startswith("restart"))
 
 
 def measure_service(progress: Progress) -> Iterator[Series]:
-    figures = Figures()
+    figures = SeriesBuilder()
     for size in SIZES:
         with running_fleet(size) as fleet:
             for away_s in OUTAGES_S:
--- a/measure/scale/service_forwarders.py
+++ b/measure/scale/service_forwarders.py
@@ -24,16 +24,16 @@
 from measure.scale.hollow_fleet import HollowFleet
 from measure.scale.memory import resident_bytes
 from measure.scale.results import ROOT, Measurement, Progress, Series
-from measure.scale.service_members import Figures, rest
+from measure.scale.service_members import SeriesBuilder, measure_idle
 from measure.scale.service_process import CLOCK_TICKS, ListService
 from measure.scale.target import Role
 from tests.sockets import SETTINGS, free_port
 
 FORWARDERS = 20
-HOLLOW = 60
+HOLLOW_MEMBERS = 60
 STRETCH_S = 10.0
 REPEATS = 3
-START_S = 30.0
+START_TIMEOUT_S = 30.0
 
 
 class Forwarder:
@@ -112,7 +112,7 @@
         for number in range(FORWARDERS):
             place = folder / f"forwarder-{fleet}-{number}"
             forwarders.append(Forwarder(place, number, service, fleet))
-        until = time.monotonic() + START_S
+        until = time.monotonic() + START_TIMEOUT_S
         while not all(is_ready(forwarder, fleet) for forwarder in forwarders):
             if time.monotonic() > until:
                 raise RuntimeError("not all forwarders were ready in time")
@@ -124,7 +124,9 @@
             forwarder.close()
 
 
-def stretch(forwarders: list[Forwarder], fleet: bool, figures: Figures) -> None:
+def measure_idle_forwarders(
+    forwarders: list[Forwarder], fleet: bool, figures: SeriesBuilder
+) -> None:
     """A stretch at rest; figures of one of them, in the mean."""
     what = "member" if fleet else "alone"
     count = len(forwarders)
@@ -154,22 +156,22 @@
 
 
 def measure_forwarders(progress: Progress) -> Iterator[Series]:
-    figures, hollow = Figures(), Figures()
+    figures, hollow = SeriesBuilder(), SeriesBuilder()
     with TemporaryDirectory(prefix="real-forwarders-") as name:
-        fleet = HollowFleet(Path(name), HOLLOW)
+        fleet = HollowFleet(Path(name), HOLLOW_MEMBERS)
         try:
             fleet.start(fleet.names)
-            fleet.until_settled()
+            fleet.wait_until_settled()
             for member in (True, False):
                 with running_forwarders(
                     Path(name), fleet.service, member
                 ) as forwarders:
                     for _ in range(REPEATS):
-                        stretch(forwarders, member, figures)
+                        measure_idle_forwarders(forwarders, member, figures)
                 progress(f"{FORWARDERS} real forwarders, member: {member}")
-            fleet.until_settled()
+            fleet.wait_until_settled()
             for _ in range(REPEATS):
-                rest(fleet, HOLLOW, hollow)
+                measure_idle(fleet, HOLLOW_MEMBERS, hollow)
         finally:
             fleet.close()
     for title in figures.values:
--- a/measure/scale/service_members.py
+++ b/measure/scale/service_members.py
@@ -14,23 +14,23 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from measure.scale.hollow_fleet import NEED, HollowFleet, Totals, running_fleet
+from measure.scale.hollow_fleet import IDLE_CALLS, HollowFleet, Totals, running_fleet
 from measure.scale.hollow_member import Call
 from measure.scale.results import Measurement, Point, Progress, Series
-from measure.scale.service_process import CALLS_A_MEMBER, Spent, host_entry
+from measure.scale.service_process import CALLS_PER_MEMBER, ServiceUsage, host_entry
 from measure.scale.target import Role
 
 MEMBERS = (30, 120, 240, 540, 1_000)
 BUDGETS = (3, 30, 100, 300)
 BUDGET_MEMBERS = 60
 REPEATS = 3
-REST_S = 4.0
-BUSY = 120
+IDLE_S = 4.0
+BUSY_CALLS = 120
 """Calls in a span that a tenth of the members needs after a change of needs."""
 
 
 @dataclass(slots=True)
-class Figures:
+class SeriesBuilder:
     """Values of each figure, by size."""
 
     values: dict[str, dict[int, list[float]]] = field(
@@ -47,42 +47,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Instant:
+class FleetSnapshot:
     """All that is counted, at one moment."""
 
     totals: Totals
-    service: Spent
+    service: ServiceUsage
 
 
-def look(fleet: HollowFleet) -> Instant:
-    return Instant(fleet.totals(), fleet.service.spent())
+def take_snapshot(fleet: HollowFleet) -> FleetSnapshot:
+    return FleetSnapshot(fleet.totals(), fleet.service.usage())
 
 
-def bytes_per_s(before: Instant, after: Instant, call: Call) -> float:
+def bytes_per_s(before: FleetSnapshot, after: FleetSnapshot, call: Call) -> float:
     """Both ways, of all members together."""
     more = after.totals.bytes[call] - before.totals.bytes[call]
     return more / (after.totals.at_s - before.totals.at_s)
 
 
-def rest_stretches(fleet: HollowFleet, size: int, figures: Figures) -> None:
+def measure_idle_stretches(
+    fleet: HollowFleet, size: int, figures: SeriesBuilder
+) -> None:
     """Stretches in which nothing changes. The fleet's watches are counted over all of
     them together: they are held for longer than one stretch, and those woken together
     come back together.
     """
-    before = look(fleet)
+    before = take_snapshot(fleet)
     for _ in range(REPEATS):
-        rest(fleet, size, figures)
-    after = look(fleet)
+        measure_idle(fleet, size, figures)
+    after = take_snapshot(fleet)
     figures.add(
         "watch bytes", size, bytes_per_s(before, after, Call.WATCH) / len(fleet.names)
     )
 
 
-def rest(fleet: HollowFleet, size: int, figures: Figures) -> None:
+def measure_idle(fleet: HollowFleet, size: int, figures: SeriesBuilder) -> None:
     """A stretch in which nothing changes."""
-    before = look(fleet)
-    time.sleep(REST_S)
-    after = look(fleet)
+    before = take_snapshot(fleet)
+    time.sleep(IDLE_S)
+    after = take_snapshot(fleet)
     took_s, members = after.totals.at_s - before.totals.at_s, len(fleet.names)
     for call in (Call.BEAT, Call.LIST):
         figures.add(f"{call} bytes", size, bytes_per_s(before, after, call) / members)
@@ -99,8 +101,8 @@
     figures.add("leases lost", size, after.totals.lost())
 
 
-def beats_beyond_rest(
-    before: Totals, after: Totals, figures: Figures, size: int
+def heartbeats_beyond_idle(
+    before: Totals, after: Totals, figures: SeriesBuilder, size: int
 ) -> float:
     """Beats between two moments beyond those that are sent at rest."""
     rests = figures.values["beats"][size]
@@ -108,27 +110,35 @@
     return after.calls[Call.BEAT] - before.calls[Call.BEAT] - expected
 
 
-def change_needs(fleet: HollowFleet, size: int, turn: int, figures: Figures) -> None:
+def change_needs(
+    fleet: HollowFleet, size: int, turn: int, figures: SeriesBuilder
+) -> None:
     """Another tenth of the members needs more of one budget than its share: until the
     last share moved.
     """
     part = size // 10
     before = fleet.totals()
     began_ns = time.monotonic_ns()
-    fleet.need(fleet.names[part * turn : part * (turn + 1)], 0, BUSY)
+    fleet.set_need(fleet.names[part * turn : part * (turn + 1)], 0, BUSY_CALLS)
     if turn:
-        fleet.need(fleet.names[part * (turn - 1) : part * turn], 0, NEED)
-    fleet.until("a share that moves", lambda totals: totals.changed_ns() > began_ns)
-    after = fleet.until_settled()
+        fleet.set_need(fleet.names[part * (turn - 1) : part * turn], 0, IDLE_CALLS)
+    fleet.wait_until(
+        "a share that moves", lambda totals: totals.changed_ns() > began_ns
+    )
+    after = fleet.wait_until_settled()
     figures.add("needs seconds", size, (after.changed_ns() - began_ns) / 1e9)
-    figures.add("needs beats", size, beats_beyond_rest(before, after, figures, size))
+    figures.add(
+        "needs beats", size, heartbeats_beyond_idle(before, after, figures, size)
+    )
 
 
-def change_list(fleet: HollowFleet, size: int, figures: Figures, health: str) -> None:
+def change_list(
+    fleet: HollowFleet, size: int, figures: SeriesBuilder, health: str
+) -> None:
     """A host drains or comes up again: until the last member has that list."""
     before, began_ns = fleet.totals(), time.monotonic_ns()
     version = fleet.service.change_hosts([host_entry(0, health)])
-    after = fleet.until(
+    after = fleet.wait_until(
         "the list's new version",
         lambda totals: all(m.list_version >= version for m in totals.members.values()),
     )
@@ -138,30 +148,34 @@
     figures.add("list change bytes", size, list_bytes / size)
 
 
-def change_budgets(fleet: HollowFleet, size: int, whole: int, figures: Figures) -> None:
+def change_budgets(
+    fleet: HollowFleet, size: int, whole: int, figures: SeriesBuilder
+) -> None:
     """The file of budgets has another whole: until the last member was told of it."""
     fleet.service.write_budgets(fleet.budgets, whole)
     before, began_ns = fleet.totals(), time.monotonic_ns()
     fleet.service.reload()
-    told = fleet.until(
+    told = fleet.wait_until(
         "the new whole",
         lambda totals: all(m.whole == whole for m in totals.members.values()),
     )
     last_ns = max(member.whole_ns for member in told.members.values())
     figures.add("budget seconds", size, (last_ns - began_ns) / 1e9)
-    after = fleet.until_settled()
-    figures.add("budget beats", size, beats_beyond_rest(before, after, figures, size))
+    after = fleet.wait_until_settled()
+    figures.add(
+        "budget beats", size, heartbeats_beyond_idle(before, after, figures, size)
+    )
 
 
-def measure_size(size: int, figures: Figures) -> None:
+def measure_size(size: int, figures: SeriesBuilder) -> None:
     with running_fleet(size) as fleet:
-        rest_stretches(fleet, size, figures)
+        measure_idle_stretches(fleet, size, figures)
         for turn in range(REPEATS):
             change_needs(fleet, size, turn, figures)
         for health in ("draining", "up", "draining", "up"):
             change_list(fleet, size, figures, health)
         for part in (9, 10, 9):
-            change_budgets(fleet, size, CALLS_A_MEMBER * size * part // 10, figures)
+            change_budgets(fleet, size, CALLS_PER_MEMBER * size * part // 10, figures)
 
 
 SERIES: dict[str, tuple[str, Role, str]] = {
@@ -237,7 +251,9 @@
 }
 
 
-def series_of(figures: Figures, size_unit: str, ending: str = "") -> Iterator[Series]:
+def series_of(
+    figures: SeriesBuilder, size_unit: str, ending: str = ""
+) -> Iterator[Series]:
     for name in figures.values:
         title, role, unit = SERIES[name]
         yield Series(
@@ -250,7 +266,7 @@
         )
 
 
-def progress_line(figures: Figures, size: int) -> str:
+def progress_line(figures: SeriesBuilder, size: int) -> str:
     medians = (
         f"{name} {Point(size, tuple(by_size[size])).median:.4g}"
         for name, by_size in figures.values.items()
@@ -262,7 +278,7 @@
 def measure_members(
     progress: Progress, sizes: Iterable[int] = MEMBERS
 ) -> Iterator[Series]:
-    figures = Figures()
+    figures = SeriesBuilder()
     for size in sizes:
         measure_size(size, figures)
         progress(progress_line(figures, size))
@@ -273,10 +289,10 @@
     """At rest, against the budgets there are. `wanted`: how many of them each member
     needs; all if None.
     """
-    figures = Figures()
+    figures = SeriesBuilder()
     for size in BUDGETS:
         with running_fleet(BUDGET_MEMBERS, size, wanted) as fleet:
-            rest_stretches(fleet, size, figures)
+            measure_idle_stretches(fleet, size, figures)
         progress(progress_line(figures, size))
     what = "all wanted" if wanted is None else f"{wanted} wanted"
     yield from series_of(figures, "budget", f", {BUDGET_MEMBERS} members, {what}")
--- a/measure/scale/service_split.py
+++ b/measure/scale/service_partition.py
@@ -14,21 +14,21 @@
 
 from measure.scale import target
 from measure.scale.results import Measurement, Progress, Series
-from measure.scale.service_members import Figures
+from measure.scale.service_members import SeriesBuilder
 from measure.scale.target import Role
-from rainfall.lease.holder import Holder
-from rainfall.lease.table import Grant, Held, Table
-from rainfall.lease.terms import Record, Refused, Terms
-from rainfall.lease.token import NEVER, Token
-from rainfall.member.roster import PREFIX, Roster
-from rainfall.net.fleet_books import Books
-from rainfall.registry.budgets import Budgets
+from rainfall.forwarder.fleet.quotas import FleetQuotas
+from rainfall.lease.fencing_token import ZERO_TOKEN, Token
+from rainfall.lease.holder import LeaseHolder
+from rainfall.lease.table import LeaseGrant, LeaseTable, LeaseUnavailable
+from rainfall.lease.types import LeaseRejectedError, LeaseSettings, Record
+from rainfall.member.roster import MEMBER_LEASE_PREFIX, Roster
+from rainfall.registry.budget_extension import BudgetExtension
 
 SECOND_US = 1_000_000
 TTL_US = 3 * SECOND_US
 DRIFT = 0.02
 DESTINATION = "0"
-CALLS_A_MEMBER, RESERVE, NEED = 50, 1, 40
+CALLS_PER_MEMBER, RESERVE, NEED = 50, 1, 40
 PLAN_US = 50_000
 CHECK_US = SECOND_US
 SETTLED_US = 20 * SECOND_US
@@ -49,25 +49,25 @@
     """
 
     def __init__(self, members: int) -> None:
-        self.table = Table(Terms(DRIFT, most_ttl_us=TTL_US))
+        self.table = LeaseTable(LeaseSettings(DRIFT, max_ttl_us=TTL_US))
         self.roster = Roster(self.table, TTL_US)
-        self.budgets = Budgets(TTL_US, DRIFT)
+        self.budgets = BudgetExtension(TTL_US, DRIFT)
         self.commit(self.table.start(0, True), 0)
-        self.roster.started(0)
-        self.budgets.lifted(self.table.epoch)
-        self.budgets.restored(0, True, None, [])
+        self.roster.on_started(0)
+        self.budgets.epoch_raised(self.table.epoch)
+        self.budgets.restore(0, True, None, [])
         raw = [
             {
                 "destination": DESTINATION,
-                "calls": CALLS_A_MEMBER * members,
+                "calls": CALLS_PER_MEMBER * members,
                 "span_ms": 1_000,
                 "reserve": RESERVE,
                 "members_max": 2 * members,
             }
         ]
-        for row in self.budgets.configured(0, raw, "file"):
+        for row in self.budgets.config_rows(0, raw, "file"):
             self.budgets.commit(0, row)
-        for row in self.budgets.forget(0, None):
+        for row in self.budgets.confirm_processes(0, None):
             self.budgets.commit(0, row)
 
     def commit(self, record: Record, now_us: int) -> None:
@@ -77,13 +77,17 @@
         self.roster.commit(record)
         after = self.table.read(name)
         if record["kind"] == "grant" and after is not None:
-            self.budgets.joined(now_us, name.removeprefix(PREFIX), after.token, None)
+            self.budgets.member_joined(
+                now_us, name.removeprefix(MEMBER_LEASE_PREFIX), after.token, None
+            )
         elif record["kind"] == "end" and before is not None:
-            self.budgets.out(now_us, before.token)
+            self.budgets.lease_expired(now_us, before.token)
 
-    def call(self, now_us: int, member: MemberCore) -> Grant | Held:
+    def handle_request(
+        self, now_us: int, member: MemberCore
+    ) -> LeaseGrant | LeaseUnavailable:
         """A beat or a join. Raises Refused."""
-        ask = member.ask
+        ask = member.request
         if ask.token is None:
             made = self.roster.join(
                 now_us,
@@ -92,23 +96,27 @@
                 "h:1",
                 member.name,
                 member.shown,
-                ask.seen,
+                ask.highest_seen,
             )
         else:
-            made = self.roster.beat(now_us, member.name, ask.token, ask.seen)
+            made = self.roster.heartbeat(
+                now_us, member.name, ask.token, ask.highest_seen
+            )
         if made.record is not None:
             self.commit(made.record, now_us)
-            if member.shown != NEVER and isinstance(made, Grant):
-                keeps = member.books.keeps()
-                self.budgets.said(now_us, member.name, made.token, member.shown, keeps)
+            if member.shown != ZERO_TOKEN and isinstance(made, LeaseGrant):
+                keeps = member.books.known_reserves()
+                self.budgets.member_resumed(
+                    now_us, member.name, made.token, member.shown, keeps
+                )
         return made
 
     def plan(self, now_us: int) -> None:
         """Ends of leases, then the next change of shares."""
         for record in self.roster.tick(now_us):
             self.commit(record, now_us)
-        frozen = self.roster.frozen_until(now_us) > now_us
-        for row in self.budgets.plan(now_us, frozen, self.roster.in_force()):
+        frozen = self.roster.frozen_until_us(now_us) > now_us
+        for row in self.budgets.plan(now_us, frozen, self.roster.active_members()):
             self.budgets.commit(now_us, row)
 
 
@@ -117,33 +125,35 @@
 
     def __init__(self, name: str, chance: random.Random) -> None:
         self.name = name
-        self.holder = Holder(TTL_US, DRIFT, chance.random)
-        self.books = Books((), DRIFT, {}, 0)
-        self.books.kept = True
-        self.shown = NEVER
+        self.holder = LeaseHolder(TTL_US, DRIFT, chance.random)
+        self.books = FleetQuotas((), DRIFT, {}, 0)
+        self.books.persisted = True
+        self.shown = ZERO_TOKEN
         self.cut_off = False
 
-    def begin(self, now_us: int) -> None:
-        self.ask = self.holder.asked(now_us)
+    def begin_request(self, now_us: int) -> None:
+        self.request = self.holder.start_request(now_us)
 
     def limit(self, now_us: int) -> int:
         """Calls in a span that it may send now."""
         return sum(
-            account.purse.limit(now_us) for account in self.books.accounts.values()
+            account.quota.limit(now_us) for account in self.books.accounts.values()
         )
 
-    def answered(
+    def on_answer(
         self, now_us: int, token: Token, shares: dict[int, dict[str, int]]
     ) -> bool:
         """Whether a share shrank, so that the next beat is due at once."""
-        self.holder.answered(now_us, self.ask.sent, token, TTL_US)
-        return self.books.told(token, shares, self.holder.valid_until_us, now_us)
+        self.holder.on_granted(now_us, self.request.number, token, TTL_US)
+        return self.books.apply_shares(
+            token, shares, self.holder.valid_until_us, now_us
+        )
 
-    def lost(self, now_us: int, seen: Token) -> None:
-        assert self.ask.token is not None
-        self.shown = self.ask.token
-        self.holder.refused(now_us, self.ask.sent, seen)
-        self.books.fenced(now_us)
+    def lease_lost(self, now_us: int, seen: Token) -> None:
+        assert self.request.token is not None
+        self.shown = self.request.token
+        self.holder.on_rejected(now_us, self.request.number, seen)
+        self.books.on_lease_lost(now_us)
 
 
 @dataclass(slots=True)
@@ -155,97 +165,105 @@
     calls: int = 0
     unanswered: int = 0
     refused: int = 0
-    most: float = 0.0
+    highest_limit_share: float = 0.0
     """The greatest sum of all members' limits, as a part of the whole."""
 
 
-class SplitFleet:
+class PartitionedFleet:
     """Members and service on one clock."""
 
     def __init__(self, members: int, seed: int) -> None:
         chance = random.Random(seed)
-        self.now_us, self.whole = 0, CALLS_A_MEMBER * members
+        self.now_us, self.whole = 0, CALLS_PER_MEMBER * members
         self.service = ServiceCore(members)
         self.members = [
             MemberCore(f"member-{number}", chance) for number in range(members)
         ]
         self.counts = Counts()
-        self.moved_us = 0
+        self.last_share_change_us = 0
         self.limits: dict[str, int] = {}
-        self.due = [(chance.randrange(SECOND_US), number) for number in range(members)]
-        heapq.heapify(self.due)
+        self.schedule = [
+            (chance.randrange(SECOND_US), number) for number in range(members)
+        ]
+        heapq.heapify(self.schedule)
         self.plan_us, self.check_us = PLAN_US, CHECK_US
 
     def run(self, for_us: int) -> None:
         """Play so long."""
         until_us = self.now_us + for_us
         while self.now_us < until_us:
-            self.now_us = min(self.due[0][0], self.plan_us, self.check_us, until_us)
+            self.now_us = min(
+                self.schedule[0][0], self.plan_us, self.check_us, until_us
+            )
             if self.now_us == self.plan_us:
                 self.service.plan(self.now_us)
                 self.plan_us += PLAN_US
             if self.now_us == self.check_us:
                 self.check()
                 self.check_us += CHECK_US
-            while self.due[0][0] <= self.now_us:
-                _, number = heapq.heappop(self.due)
-                again_us = self.beat(self.members[number])
-                heapq.heappush(self.due, (max(again_us, self.now_us + 1), number))
+            while self.schedule[0][0] <= self.now_us:
+                _, number = heapq.heappop(self.schedule)
+                again_us = self.send_heartbeat(self.members[number])
+                heapq.heappush(self.schedule, (max(again_us, self.now_us + 1), number))
 
     def check(self) -> None:
         """No span is given out twice."""
         total = sum(member.limit(self.now_us) for member in self.members)
-        self.counts.most = max(self.counts.most, total / self.whole)
+        self.counts.highest_limit_share = max(
+            self.counts.highest_limit_share, total / self.whole
+        )
 
-    def beat(self, member: MemberCore) -> int:
+    def send_heartbeat(self, member: MemberCore) -> int:
         """One call; when the next one is due."""
         self.counts.calls += 1
-        member.begin(self.now_us)
+        member.begin_request(self.now_us)
         if member.cut_off:
             self.counts.unanswered += 1
             waited_us = self.now_us + max(SECOND_US // 5, TTL_US // 3)
-            member.holder.failed(waited_us)
+            member.holder.on_no_answer(waited_us)
             return member.holder.next_renewal_us
         try:
-            made = self.service.call(self.now_us, member)
-        except Refused as error:
+            made = self.service.handle_request(self.now_us, member)
+        except LeaseRejectedError as error:
             self.counts.refused += 1
-            member.lost(self.now_us, error.seen)
+            member.lease_lost(self.now_us, error.conflicting_token)
             return member.holder.next_renewal_us
-        if isinstance(made, Held):
-            member.holder.held(self.now_us, member.ask.sent, made.retry_us)
+        if isinstance(made, LeaseUnavailable):
+            member.holder.on_unavailable(
+                self.now_us, member.request.number, made.retry_after_us
+            )
             return member.holder.next_renewal_us
-        if member.ask.token is None:
+        if member.request.token is None:
             self.counts.joins[self.now_us // (SECOND_US // 10)] += 1
-        shrank = member.answered(
+        shrank = member.on_answer(
             self.now_us, made.token, self.shares(member, made.token)
         )
-        self.note(member)
+        self.note_limit(member)
         return (
             self.now_us + SECOND_US // 10 if shrank else member.holder.next_renewal_us
         )
 
     def shares(self, member: MemberCore, token: Token) -> dict[int, dict[str, int]]:
-        said = {"needs": {DESTINATION: NEED}, "holds": member.books.holds(token)}
-        heard = self.service.budgets.heard(
+        said = {"needs": {DESTINATION: NEED}, "holds": member.books.held_shares(token)}
+        heard = self.service.budgets.handle_heartbeat(
             self.now_us, self.now_us + TTL_US, member.name, token, said
         )
         return {
             int(destination): share
-            for destination, share in heard.tell()["shares"].items()
+            for destination, share in heard.answer_fields()["shares"].items()
         }
 
-    def note(self, member: MemberCore) -> None:
+    def note_limit(self, member: MemberCore) -> None:
         limit = member.limit(self.now_us)
         if self.limits.get(member.name) != limit:
-            self.limits[member.name], self.moved_us = limit, self.now_us
+            self.limits[member.name], self.last_share_change_us = limit, self.now_us
 
 
-def split(
-    members: int, part: float, for_us: int, seed: int, figures: Figures, what: str
+def measure_partition(
+    members: int, part: float, for_us: int, seed: int, figures: SeriesBuilder, what: str
 ) -> None:
     """Come to rest, lose a part of the members for so long, and come to rest again."""
-    fleet = SplitFleet(members, seed)
+    fleet = PartitionedFleet(members, seed)
     fleet.run(SETTLED_US)
     cut = fleet.members[: round(members * part)]
     began_us, fleet.counts = fleet.now_us, Counts()
@@ -254,7 +272,7 @@
     fleet.run(for_us)
     there = [member for member in fleet.members if not member.cut_off]
     calls = sum(member.limit(fleet.now_us) for member in there)
-    moved_s = (fleet.moved_us - began_us) / SECOND_US
+    moved_s = (fleet.last_share_change_us - began_us) / SECOND_US
     figures.add(f"{what}: seconds until the last share moved", members, moved_s)
     figures.add(
         f"{what}: part of the whole that the others have", members, calls / fleet.whole
@@ -273,10 +291,12 @@
         members,
         max(joins.values(), default=0),
     )
-    moved_s = (fleet.moved_us - healed_us) / SECOND_US
+    moved_s = (fleet.last_share_change_us - healed_us) / SECOND_US
     figures.add(f"{what}: seconds from the heal to the last share", members, moved_s)
     figures.add(
-        f"{what}: most calls allowed, part of the whole", members, fleet.counts.most
+        f"{what}: most calls allowed, part of the whole",
+        members,
+        fleet.counts.highest_limit_share,
     )
 
 
@@ -289,12 +309,12 @@
 
 
 def measure_split(progress: Progress) -> Iterator[Series]:
-    figures = Figures()
+    figures = SeriesBuilder()
     for part in PARTS:
         for members, for_us in ((LONG_MEMBERS, LONG_US), (SHORT_MEMBERS, SHORT_US)):
             what = f"{part:.0%} of the members cut off for {for_us // SECOND_US} s"
             for seed in SEEDS if members == SHORT_MEMBERS else SEEDS[:1]:
-                split(members, part, for_us, seed, figures, what)
+                measure_partition(members, part, for_us, seed, figures, what)
             progress(f"{members} members, {what}")
     for name in figures.values:
         yield Series(
--- a/measure/scale/service_process.py
+++ b/measure/scale/service_process.py
@@ -19,28 +19,28 @@
 
 LEASE_MS = 3_000
 SPAN_MS = 1_000
-CALLS_A_MEMBER = 50
+CALLS_PER_MEMBER = 50
 """A budget's whole is so many calls for each member: more than all need together."""
-SEATS = 2
+RESERVES_PER_MEMBER = 2
 """Processes with a reserve of one call, for each member: restarts without a folder find
 one.
 """
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
+class ServiceUsage:
     """What the service has used since its start, at a moment."""
 
     at_s: float
     processor_s: float
     syncs: int
 
-    def core_share(self, before: Spent) -> float:
+    def core_share(self, before: ServiceUsage) -> float:
         return (self.processor_s - before.processor_s) / (self.at_s - before.at_s)
 
-    def syncs_per_s(self, before: Spent) -> float:
+    def syncs_per_s(self, before: ServiceUsage) -> float:
         return (self.syncs - before.syncs) / (self.at_s - before.at_s)
 
 
@@ -53,24 +53,24 @@
         self.folder, self.members = folder, members
         self.process: subprocess.Popen[bytes] | None = None
         self.listen_port = self.write_port = self.fleet_port = 0
-        self.write_budgets(budgets, CALLS_A_MEMBER * members)
+        self.write_budgets(budgets, CALLS_PER_MEMBER * members)
 
     def write_budgets(self, budgets: int, calls: int) -> None:
         """The file of budgets; all of one whole, but the first, which has `calls`."""
-        wholes = [calls] + [CALLS_A_MEMBER * self.members] * (budgets - 1)
-        told = [
+        wholes = [calls] + [CALLS_PER_MEMBER * self.members] * (budgets - 1)
+        documents = [
             {
                 "destination": str(number),
                 "calls": whole,
                 "span_ms": SPAN_MS,
                 "reserve": 1,
-                "members_max": SEATS * self.members,
+                "members_max": RESERVES_PER_MEMBER * self.members,
             }
             for number, whole in enumerate(wholes)
         ]
-        beside = self.folder / "budgets.new"
-        beside.write_text(json.dumps({"budgets": told}))
-        beside.replace(self.folder / "budgets.json")
+        new_file = self.folder / "budgets.new"
+        new_file.write_text(json.dumps({"budgets": documents}))
+        new_file.replace(self.folder / "budgets.json")
 
     def start(self) -> None:
         """Start the program and wait until its addresses are open."""
@@ -78,7 +78,7 @@
         ports_file.unlink(missing_ok=True)
         ports = self.listen_port, self.write_port, self.fleet_port
         listen, write, fleet = (f"127.0.0.1:{port}" for port in ports)
-        words = [
+        arguments = [
             "--state",
             self.folder / "service",
             "--listen",
@@ -88,21 +88,21 @@
             "--fleet",
             fleet,
         ]
-        words += [
+        arguments += [
             "--budgets",
             self.folder / "budgets.json",
             "--ports",
             ports_file,
             "--reserves-known",
         ]
-        words += ["--lease-ms", LEASE_MS, "--longest-ms", LEASE_MS, "--new"]
+        arguments += ["--lease-ms", LEASE_MS, "--longest-ms", LEASE_MS, "--new"]
         with (self.folder / "service.log").open("a") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "rainfall.registry", *map(str, words)],
+                [sys.executable, "-m", "rainfall.registry", *map(str, arguments)],
                 cwd=ROOT,
                 stderr=log,
             )
-        until = time.monotonic() + START_S
+        until = time.monotonic() + START_TIMEOUT_S
         while not ports_file.exists() or not ports_file.read_text().endswith("\n"):
             if time.monotonic() > until or self.process.poll() is not None:
                 raise RuntimeError(
@@ -133,13 +133,13 @@
 
     def call(self, port: int, method: str, path: str, body: Any = None) -> Any:
         """One call of staff. Raises RuntimeError where it is not carried out."""
-        link = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
+        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
         try:
-            link.request(method, path, None if body is None else json.dumps(body))
-            answer = link.getresponse()
+            connection.request(method, path, None if body is None else json.dumps(body))
+            answer = connection.getresponse()
             text = answer.read()
         finally:
-            link.close()
+            connection.close()
         if answer.status != 200:
             raise RuntimeError(
                 f"{method} {path}: status {answer.status}: {text[:300]!r}"
@@ -152,12 +152,12 @@
             self.call(self.write_port, "POST", "/v1/hosts", {"ops": operations})["seq"]
         )
 
-    def figures(self) -> dict[str, Any]:
+    def variables(self) -> dict[str, Any]:
         return dict(self.call(self.write_port, "GET", "/_vars"))
 
-    def spent(self) -> Spent:
-        syncs = int(self.figures()["fleet_syncs"])
-        return Spent(time.monotonic(), self.processor_s(), syncs)
+    def usage(self) -> ServiceUsage:
+        syncs = int(self.variables()["fleet_syncs"])
+        return ServiceUsage(time.monotonic(), self.processor_s(), syncs)
 
     def processor_s(self) -> float:
         """User and system time of the process, from the kernel; its steps are 10 ms."""
--- a/measure/scale/target.py
+++ b/measure/scale/target.py
@@ -96,7 +96,7 @@
 """Seconds from start to ready: FLEET's bound for nine in ten restarted forwarders,
 whatever they hold.
 """
-RECALLED_S = 60.0
+RESTORED_S = 60.0
 """Seconds from ready until all that was held is decided on again, assumed: the
 operators did not say.
 """
@@ -104,7 +104,7 @@
 """Seconds that the loop may stand still, assumed: `docs/parts.md` names a tenth of a
 second as the most.
 """
-CALLS_OUT = 500
+CALLS_IN_FLIGHT = 500
 """Calls that a forwarder has out, assumed: its messages a second at half a second a
 call.
 """
--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -12,18 +12,23 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rainfall.budget.aim import Aim, moves, redivide
-from rainfall.budget.book import Account, Book, Grant, State
-from rainfall.budget.terms import Budget, Share, wide
-from rainfall.lease.token import Token
+from rainfall.budget.account import (
+    AccountState,
+    BudgetAccounts,
+    MemberAccount,
+    QuotaGrant,
+)
+from rainfall.budget.rebalancing import Allocation, next_grants, rebalance
+from rainfall.budget.types import Budget, Share, widen_for_drift
+from rainfall.lease.fencing_token import Token
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class MemberGrant:
     destination: str
     name: str
     token: Token
-    grant: Grant
+    grant: QuotaGrant
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,21 +38,21 @@
     """
 
     number: int
-    grants: tuple[Granted, ...]
-    ends: tuple[tuple[str, Token, State], ...]
+    grants: tuple[MemberGrant, ...]
+    ends: tuple[tuple[str, Token, AccountState], ...]
     opened: bool = True
-    shut: bool = False
+    new_reserves_blocked: bool = False
 
-    def line(self) -> dict[str, Any]:
+    def to_record(self) -> dict[str, Any]:
         return {
             "budgets": self.number,
             "opened": self.opened,
-            "shut": self.shut,
+            "shut": self.new_reserves_blocked,
             "grants": [
                 [
                     g.destination,
                     g.name,
-                    g.token.told(),
+                    g.token.to_wire(),
                     g.grant.number,
                     g.grant.calls,
                     g.grant.reserve,
@@ -55,20 +60,27 @@
                 for g in self.grants
             ],
             "ends": [
-                [destination, token.told(), state.value]
+                [destination, token.to_wire(), state.value]
                 for destination, token, state in self.ends
             ],
         }
 
     @staticmethod
-    def of(raw: Mapping[str, Any]) -> Change:
+    def from_record(raw: Mapping[str, Any]) -> Change:
         return Change(
             int(raw["budgets"]),
             tuple(
-                Granted(str(d), str(n), Token.of(t), Grant(int(a), int(c), int(r)))
+                MemberGrant(
+                    str(d),
+                    str(n),
+                    Token.from_wire(t),
+                    QuotaGrant(int(a), int(c), int(r)),
+                )
                 for d, n, t, a, c, r in raw["grants"]
             ),
-            tuple((str(d), Token.of(t), State(s)) for d, t, s in raw["ends"]),
+            tuple(
+                (str(d), Token.from_wire(t), AccountState(s)) for d, t, s in raw["ends"]
+            ),
             bool(raw["opened"]),
             bool(raw["shut"]),
         )
@@ -84,20 +96,22 @@
     def __init__(
         self,
         budgets: Iterable[Budget],
-        lease_us: int,
+        max_lease_us: int,
         drift: float,
         now_us: int,
         sure: bool = False,
     ) -> None:
-        self.lease_us, self.drift = lease_us, drift
-        self.opens_us = now_us if sure else now_us + wide(lease_us, drift)
+        self.max_lease_us, self.drift = max_lease_us, drift
+        self.grants_from_us = (
+            now_us if sure else now_us + widen_for_drift(max_lease_us, drift)
+        )
         self.sure = self.opened = sure
-        self.shut = not sure
-        self.noted = True
-        self.books: dict[str, Book] = {}
-        self.aims: dict[str, Aim] = {}
+        self.new_reserves_blocked = not sure
+        self.persisted = True
+        self.budget_accounts: dict[str, BudgetAccounts] = {}
+        self.allocations: dict[str, Allocation] = {}
         self.names: dict[Token, str] = {}
-        self.presumed: dict[Token, int] = {}
+        self.presumed_until_us: dict[Token, int] = {}
         """Restored, and not heard of since: their leases are surely out then."""
         self.number = 0
         self.pending: Change | None = None
@@ -109,28 +123,32 @@
         """
         named = {b.destination: b for b in budgets}
         for destination, budget in sorted(named.items()):
-            book = self.books.get(destination)
+            book = self.budget_accounts.get(destination)
             if book is None:
-                self._open(budget)
+                self._add_budget(budget)
                 continue
             if budget.calls < book.budget.calls:
-                self.aims[destination].lowered = True
+                self.allocations[destination].total_lowered = True
             book.configure(budget, now_us)
-        for destination, book in self.books.items():
-            book.closed = destination not in named
+        for destination, book in self.budget_accounts.items():
+            book.deconfigured = destination not in named
 
-    def _open(self, budget: Budget) -> Book:
-        opens_us = self.opens_us + (0 if self.sure else budget.window_us(self.drift))
-        book = self.books[budget.destination] = Book(budget, self.drift, opens_us)
-        book.shut = self.shut
-        book.accounts = {t: Account(name, t) for t, name in self.names.items()}
-        self.aims[budget.destination] = Aim()
+    def _add_budget(self, budget: Budget) -> BudgetAccounts:
+        opens_us = self.grants_from_us + (
+            0 if self.sure else budget.window_us(self.drift)
+        )
+        book = self.budget_accounts[budget.destination] = BudgetAccounts(
+            budget, self.drift, opens_us
+        )
+        book.new_reserves_blocked = self.new_reserves_blocked
+        book.accounts = {t: MemberAccount(name, t) for t, name in self.names.items()}
+        self.allocations[budget.destination] = Allocation()
         return book
 
     # -- members
     # ------------------------------------------------------------------------------------------
 
-    def joined(
+    def member_joined(
         self,
         token: Token,
         name: str,
@@ -144,11 +162,11 @@
         restart.
         """
         self.names[token] = name
-        self.presumed.pop(token, None)
-        for destination, book in self.books.items():
-            account = book.accounts.setdefault(token, Account(name, token))
+        self.presumed_until_us.pop(token, None)
+        for destination, book in self.budget_accounts.items():
+            account = book.accounts.setdefault(token, MemberAccount(name, token))
             if follows is not None and follows != token:
-                book.follows(
+                book.transfer_reserve(
                     account,
                     book.accounts.get(follows),
                     (keeps or {}).get(destination, 0),
@@ -157,7 +175,7 @@
         if follows is not None and follows != token:
             self.names.pop(follows, None)
 
-    def beat(
+    def heartbeat(
         self,
         token: Token,
         needs: Mapping[str, Mapping[str, int]],
@@ -170,38 +188,38 @@
         """
         if token not in self.names:
             return False
-        self.presumed.pop(token, None)
-        for destination, book in self.books.items():
+        self.presumed_until_us.pop(token, None)
+        for destination, book in self.budget_accounts.items():
             account = book.accounts[token]
-            book.needs(account, needs.get(destination, {}))
+            book.set_demand(account, needs.get(destination, {}))
             if destination in holds:
-                book.acked(account, *holds[destination], now_us)
+                book.acknowledge(account, *holds[destination], now_us)
         return True
 
-    def out(self, token: Token, now_us: int) -> None:
+    def lease_expired(self, token: Token, now_us: int) -> None:
         """Its lease is surely out by this clock: only its reserve acts."""
-        self._ended(token, Book.out, now_us)
+        self._end_accounts(token, BudgetAccounts.expire, now_us)
 
-    def ended(self, token: Token, now_us: int) -> None:
+    def process_ended(self, token: Token, now_us: int) -> None:
         """The process is surely at its end: it said so last of all, or the operator
         did.
         """
-        self._ended(token, Book.over, now_us)
+        self._end_accounts(token, BudgetAccounts.end, now_us)
 
-    def reserves_known(self) -> None:
+    def confirm_reserves(self) -> None:
         """The operator's word after a lost folder: no process that was cut off through
         it has a reserve that is not listed in `state`. New processes are given theirs
         again.
         """
-        self.noted = self.noted and not self.shut
-        self.shut = False
-        for book in self.books.values():
-            book.shut = False
+        self.persisted = self.persisted and not self.new_reserves_blocked
+        self.new_reserves_blocked = False
+        for book in self.budget_accounts.values():
+            book.new_reserves_blocked = False
 
-    def _ended(self, token: Token, how: Any, now_us: int) -> None:
+    def _end_accounts(self, token: Token, how: Any, now_us: int) -> None:
         self.names.pop(token, None)
-        self.presumed.pop(token, None)
-        for book in self.books.values():
+        self.presumed_until_us.pop(token, None)
+        for book in self.budget_accounts.values():
             if token in book.accounts:
                 how(book, book.accounts[token], now_us)
 
@@ -217,38 +235,51 @@
         if self.pending is not None:
             return self.pending
         if not self.opened and all(
-            now_us >= book.opens_us for book in self.books.values()
+            now_us >= book.grants_from_us for book in self.budget_accounts.values()
+        ):
+            self.opened, self.persisted = True, False
+        for token in sorted(
+            t for t, until in self.presumed_until_us.items() if until <= now_us
         ):
-            self.opened, self.noted = True, False
-        for token in sorted(t for t, until in self.presumed.items() if until <= now_us):
-            self.out(token, now_us)
-        grants: list[Granted] = []
-        ends: list[tuple[str, Token, State]] = []
-        for destination, book in sorted(self.books.items()):
-            book.settle(now_us)
-            news = [a for a in book.accounts.values() if not a.noted]
+            self.lease_expired(token, now_us)
+        grants: list[MemberGrant] = []
+        ends: list[tuple[str, Token, AccountState]] = []
+        for destination, book in sorted(self.budget_accounts.items()):
+            book.prune(now_us)
+            news = [a for a in book.accounts.values() if not a.persisted]
             grants.extend(
-                Granted(destination, a.name, a.token, g)
+                MemberGrant(destination, a.name, a.token, g)
                 for a in news
-                if a.state is State.IN
+                if a.state is AccountState.ACTIVE
                 for g in a.grants
             )
             ends.extend(
-                (destination, a.token, a.state) for a in news if a.state is not State.IN
+                (destination, a.token, a.state)
+                for a in news
+                if a.state is not AccountState.ACTIVE
             )
-            if frozen or book.closed or not self.opened or now_us < book.opens_us:
+            if (
+                frozen
+                or book.deconfigured
+                or not self.opened
+                or now_us < book.grants_from_us
+            ):
                 continue
-            redivide(self.aims[destination], book, now_us)
-            steps = moves(self.aims[destination], book, now_us)
+            rebalance(self.allocations[destination], book, now_us)
+            steps = next_grants(self.allocations[destination], book, now_us)
             grants.extend(
-                Granted(destination, book.accounts[t].name, t, g)
+                MemberGrant(destination, book.accounts[t].name, t, g)
                 for t, g in sorted(steps.items())
             )
-        if grants or ends or not self.noted:
+        if grants or ends or not self.persisted:
             self.pending = Change(
-                self.number + 1, tuple(grants), tuple(ends), self.opened, self.shut
+                self.number + 1,
+                tuple(grants),
+                tuple(ends),
+                self.opened,
+                self.new_reserves_blocked,
             )
-            self.noted = True
+            self.persisted = True
         return self.pending
 
     def commit(self, change: Change) -> None:
@@ -257,32 +288,32 @@
         """
         self.pending, self.number = None, change.number
         for g in change.grants:
-            account = self.books[g.destination].accounts.get(g.token)
-            if account is None or account.state is not State.IN:
+            account = self.budget_accounts[g.destination].accounts.get(g.token)
+            if account is None or account.state is not AccountState.ACTIVE:
                 continue  # ended while it was written: it is never told
             if g.grant in account.grants:
-                account.noted = True  # a reserve that moved to it is on disk now
-            elif not g.grant.number and not account.acked:
+                account.persisted = True  # a reserve that moved to it is on disk now
+            elif not g.grant.number and not account.acknowledged_number:
                 account.grants.insert(0, g.grant)
-            elif g.grant.number > account.newest():
-                account.add(g.grant)
+            elif g.grant.number > account.newest_number():
+                account.add_grant(g.grant)
         for destination, token, state in change.ends:
-            account = self.books[destination].accounts.get(token)
+            account = self.budget_accounts[destination].accounts.get(token)
             if account is not None and account.state is state:
-                account.noted = True
+                account.persisted = True
 
-    def told(self, token: Token) -> dict[str, Share]:
+    def shares_for(self, token: Token) -> dict[str, Share]:
         """What a member is answered; valid as long as its lease. A budget that is not
         in it is no longer renewed.
         """
         shares: dict[str, Share] = {}
-        for destination, book in sorted(self.books.items()):
+        for destination, book in sorted(self.budget_accounts.items()):
             account, budget = book.accounts.get(token), book.budget
             if (
-                book.closed
+                book.deconfigured
                 or account is None
-                or account.state is not State.IN
-                or not account.newest()
+                or account.state is not AccountState.ACTIVE
+                or not account.newest_number()
             ):
                 continue
             newest = account.grants[-1]
@@ -297,33 +328,33 @@
             )
         return shares
 
-    def state(self, now_us: int) -> dict[str, Any]:
+    def status(self, now_us: int) -> dict[str, Any]:
         """For `/_vars` and log lines, by destination."""
         told: dict[str, Any] = {}
-        for destination, book in sorted(self.books.items()):
-            aim = self.aims[destination]
+        for destination, book in sorted(self.budget_accounts.items()):
+            aim = self.allocations[destination]
             told[destination] = {
                 "whole": book.budget.calls,
-                "counted": book.counted(),
-                "free": book.free_with({}),
+                "counted": book.committed_calls(),
+                "free": book.free_calls({}),
                 "cooling": sum(c for _, c in book.cooling),
-                "set_aside": book.unseated(),
+                "set_aside": book.unassigned_reserve(),
                 "scarce": aim.scarce,
-                "why": aim.why,
-                "opens_in_us": max(0, book.opens_us - now_us),
-                "shut": book.shut,
+                "why": aim.reason,
+                "opens_in_us": max(0, book.grants_from_us - now_us),
+                "shut": book.new_reserves_blocked,
                 "members": [
                     {
                         "name": a.name,
-                        "token": t.told(),
+                        "token": t.to_wire(),
                         "state": a.state.value,
-                        "calls": a.calls(),
-                        "acts_on": a.most(),
-                        "number": a.newest(),
-                        "acked": a.acked,
+                        "calls": a.granted_calls(),
+                        "acts_on": a.usable_calls(),
+                        "number": a.newest_number(),
+                        "acked": a.acknowledged_number,
                         "reserve": a.reserve(),
-                        "aim": aim.shares.get(t, 0),
-                        "needs": a.work(),
+                        "aim": aim.target_shares.get(t, 0),
+                        "needs": a.total_demand(),
                     }
                     for t, a in sorted(book.accounts.items())
                 ],
--- a/rainfall/budget/purse.py
+++ b/rainfall/budget/member_quota.py
@@ -11,32 +11,32 @@
 from dataclasses import replace
 from typing import Any
 
-from rainfall.budget.terms import Share, window
-from rainfall.budget.window import Window
-from rainfall.lease.token import NEVER, Token
+from rainfall.budget.sliding_window import SlidingWindow
+from rainfall.budget.types import Share, reuse_window_us
+from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
-FORM = 1
+RECORD_FORMAT = 1
 
 
-class Purse:
+class MemberQuota:
     """One budget at one process. `now_us` is the process's own monotonic clock and
     never goes back.
     """
 
     def __init__(self, start_us: int, drift: float) -> None:
         self.drift = drift
-        self.share = Share(NEVER, 0, 0, 0, 0, 0, 0)
+        self.share = Share(ZERO_TOKEN, 0, 0, 0, 0, 0, 0)
         self.valid_until_us = start_us
         self.closed = False
-        self.lost = NEVER
+        self.fenced_token = ZERO_TOKEN
         # A process of this name may have sent until just now: nothing leaves before a
         # window has passed.
-        self.window = Window(0, start_us)
+        self.window = SlidingWindow(0, start_us)
 
     # -- what it is told
     # ---------------------------------------------------------------------------
 
-    def told(self, share: Share, valid_until_us: int, now_us: int) -> bool:
+    def receive_share(self, share: Share, valid_until_us: int, now_us: int) -> bool:
         """From an answered beat; valid until the lease is out by the own clock, counted
         from when it was asked. False where it is older than what is held, and nothing
         of it counts.
@@ -44,25 +44,27 @@
         if (share.token, share.number) < (
             self.share.token,
             self.share.number,
-        ) or share.token <= self.lost:
+        ) or share.token <= self.fenced_token:
             return False
         if share.token == self.share.token:
             valid_until_us = max(valid_until_us, self.valid_until_us)
         self.share, self.valid_until_us = share, valid_until_us
         # Forget by the old window first: what a longer one reaches back to is then
         # known to be unknown.
-        self.window.forget(now_us)
-        self.window.us = window(share.span_us, share.slack_us, self.drift)
+        self.window.drop_expired(now_us)
+        self.window.length_us = reuse_window_us(
+            share.span_us, share.slack_us, self.drift
+        )
         return True
 
-    def fenced(self, now_us: int) -> None:
+    def fence(self, now_us: int) -> None:
         """The lease is lost or given up: from now only the reserve acts."""
         self.valid_until_us = min(self.valid_until_us, now_us)
-        self.lost = (
+        self.fenced_token = (
             self.share.token
         )  # an answer of before, still under way, brings nothing back
 
-    def holds(self, token: Token) -> tuple[int, int] | None:
+    def held_share(self, token: Token) -> tuple[int, int] | None:
         """(calls, number) of the newest share told to the incarnation `token`, which
         binds already. None before the first: what an earlier incarnation was told must
         not be acknowledged by this one.
@@ -84,49 +86,49 @@
         """Whether so many calls may leave now; they are counted if so. Their first
         bytes leave within `slack_us`: see `late`.
         """
-        self.window.forget(now_us)
+        self.window.drop_expired(now_us)
         if (
-            now_us - self.window.us < self.window.known_us
-            or self.window.inside + calls > self.limit(now_us)
+            now_us - self.window.length_us < self.window.unknown_until_us
+            or self.window.call_count + calls > self.limit(now_us)
         ):
             return False
         self.window.add(now_us, calls)
         return True
 
-    def late(self, spent_us: int, now_us: int) -> bool:
+    def is_late(self, spent_us: int, now_us: int) -> bool:
         """A call spent for at `spent_us` that has not left by now must be spent for
         again (the process was stopped between): to be asked last before its first byte
         leaves.
         """
         return now_us - spent_us > self.share.slack_us
 
-    def room_at(self, now_us: int, calls: int = 1) -> int | None:
+    def available_at(self, now_us: int, calls: int = 1) -> int | None:
         """When so many calls may leave at the earliest by what is held now; None: not
         before being told.
         """
-        self.window.forget(now_us)
+        self.window.drop_expired(now_us)
         if now_us < self.valid_until_us and calls <= self.limit(now_us):
-            at = self.window.free_at(now_us, calls, self.share.calls)
+            at = self.window.available_at(now_us, calls, self.share.calls)
             if at < self.valid_until_us:
                 return at
         if self.closed or calls > self.share.reserve:
             return None
-        return self.window.free_at(
+        return self.window.available_at(
             max(now_us, self.valid_until_us), calls, self.share.reserve
         )
 
     # -- over a restart
     # -----------------------------------------------------------------------------
 
-    def standing(self) -> dict[str, Any]:
+    def to_record(self) -> dict[str, Any]:
         """To be on disk before the first call under a new share: what a successor may
         go by after a crash. It acts on the reserve then, but only after a whole window,
         since what was spent is not in it.
         """
         s = self.share
         return {
-            "form": FORM,
-            "token": s.token.told(),
+            "form": RECORD_FORMAT,
+            "token": s.token.to_wire(),
             "number": s.number,
             "reserve": s.reserve,
             "whole": s.whole,
@@ -141,41 +143,45 @@
         told so (`Ledger.ended`) once this record is on disk, since a successor has no
         reserve by it.
         """
-        self.window.forget(now_us)
+        self.window.drop_expired(now_us)
         self.closed = True
         if leaving:
             self.share = replace(self.share, reserve=0)
         return {
-            **self.standing(),
+            **self.to_record(),
             "closed_us": now_us,
-            "known_us": self.window.known_us,
+            "known_us": self.window.unknown_until_us,
             "spent": [list(entry) for entry in self.window.entries],
         }
 
     @staticmethod
-    def restored(record: Mapping[str, Any], start_us: int, drift: float) -> Purse:
+    def from_record(
+        record: Mapping[str, Any], start_us: int, drift: float
+    ) -> MemberQuota:
         """A successor's purse, from either record. ValueError where it cannot be read.
         A `closed` record of a later moment than now (another boot's clock) counts as
         one without what was spent.
         """
-        purse = Purse(start_us, drift)
+        quota = MemberQuota(start_us, drift)
         try:
-            if record["form"] != FORM:
+            if record["form"] != RECORD_FORMAT:
                 raise ValueError(f"form {record['form']} is not known")
             numbers = {
                 name: int(record[name])
                 for name in ("number", "reserve", "whole", "span_us", "slack_us")
             }
             # It holds nothing under its old token but the reserve.
-            purse.share = Share(
-                Token.of(record["token"]), calls=numbers["reserve"], **numbers
+            quota.share = Share(
+                Token.from_wire(record["token"]), calls=numbers["reserve"], **numbers
+            )
+            quota.window.length_us = reuse_window_us(
+                numbers["span_us"], numbers["slack_us"], drift
             )
-            purse.window.us = window(numbers["span_us"], numbers["slack_us"], drift)
             if record.get("closed_us", start_us + 1) <= start_us:
-                purse.window.known_us = int(record["known_us"])
+                quota.window.unknown_until_us = int(record["known_us"])
                 for first, latest, calls in record["spent"]:
-                    purse.window.entries.append((int(first), int(latest), int(calls)))
-                    purse.window.inside += int(calls)
+                    quota.window.entries.append((int(first), int(latest), int(calls)))
+                    quota.window.call_count += int(calls)
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"not a purse's record: {error!r}") from None
-        return purse
+        return quota
--- a/rainfall/budget/model.py
+++ b/rainfall/budget/model.py
@@ -14,26 +14,32 @@
 from collections.abc import Hashable, Iterator
 from typing import Any
 
-from rainfall.budget.keep import restored, snapshot
 from rainfall.budget.ledger import Ledger
-from rainfall.budget.model_bugs import BUGS, Bare, Gullible, Hasty, Trusting
+from rainfall.budget.member_quota import MemberQuota
+from rainfall.budget.model_mutations import (
+    MUTATIONS,
+    AccountsFreedWhenTold,
+    AccountsWithoutReserves,
+    AccountsWithoutWindow,
+    QuotaTakingOlderShares,
+)
 from rainfall.budget.model_state import (
+    ModelState,
     Process,
-    World,
-    changed_to,
-    copied,
-    key,
-    purse_copy,
-    put,
-    said,
+    copy_ledger,
+    copy_quota,
+    describe_message,
+    replace_fields,
+    replace_member,
+    state_key,
 )
-from rainfall.budget.purse import Purse
-from rainfall.budget.terms import Budget, Share
-from rainfall.explore.net import Net
-from rainfall.lease.token import Token
+from rainfall.budget.persistence import restore, snapshot
+from rainfall.budget.types import Budget, Share
+from rainfall.lease.fencing_token import Token
+from rainfall.model_checker.network import Network
 
 
-class Budgets:
+class BudgetModel:
     """The model. A beat and its answer come at once, or are under way from then on: to
     come at any time, in any order, or never. Counted: how often one is held up
     (`delays`), ticks that members' clocks miss (`slows`, with a `drift` that allows
@@ -61,7 +67,7 @@
         drift: float = 0.0,
         bug: str = "",
     ) -> None:
-        if bug and bug not in BUGS:
+        if bug and bug not in MUTATIONS:
             raise ValueError(f"no bug {bug}")
         self.budget = Budget(
             "d",
@@ -90,23 +96,28 @@
         self.drift, self.ttl = drift, ttl
         # Ticks by the holder's clock, from when it asked; by the service's, from when
         # it answered.
-        self.kept, self.out = int(ttl * (1 - drift)), math.ceil(ttl * (1 + drift))
+        self.holder_lease_ticks, self.service_lease_ticks = (
+            int(ttl * (1 - drift)),
+            math.ceil(ttl * (1 + drift)),
+        )
         if bug == "no drift margin":
-            self.kept = self.out = ttl
+            self.holder_lease_ticks = self.service_lease_ticks = ttl
 
     # -- the start: all joined, the first member holds what can be had
     # ------------------------------------
 
-    def start(self) -> World:
-        ledger = Ledger([self.budget], self.out, self.drift, 0, sure=True)
-        ledger = self._bugged(ledger)
-        world = World(
+    def start(self) -> ModelState:
+        ledger = Ledger(
+            [self.budget], self.service_lease_ticks, self.drift, 0, sure=True
+        )
+        ledger = self._with_mutation(ledger)
+        world = ModelState(
             0,
             ledger,
             {},
             {},
             (),
-            Net(),
+            Network(),
             (),
             self.delays,
             self.slows,
@@ -115,51 +126,57 @@
         )
         tokens = [Token(1, n + 1) for n in range(self.members)]
         for n, token in enumerate(tokens):
-            ledger.joined(token, f"f{n}", None, 0)
-            ledger.beat(token, {"d": {"": self.budget.calls if n == 0 else 0}}, {}, 0)
-        disk = self._planned(ledger, 0, {})
+            ledger.member_joined(token, f"f{n}", None, 0)
+            ledger.heartbeat(
+                token, {"d": {"": self.budget.calls if n == 0 else 0}}, {}, 0
+            )
+        disk = self._plan_and_commit(ledger, 0, {})
         window = self.budget.window_us(self.drift)
         members = []
         for n, token in enumerate(tokens):
-            purse = self._purse(0)
-            for share in ledger.told(token).values():
-                purse.told(share, window + self.kept, 0)
-            holds = purse.holds(token)
+            purse = self._new_quota(0)
+            for share in ledger.shares_for(token).values():
+                purse.receive_share(share, window + self.holder_lease_ticks, 0)
+            holds = purse.held_share(token)
             need = self.budget.calls if n == 0 else 0
-            ledger.beat(token, {"d": {"": need}}, {"d": holds} if holds else {}, 0)
+            ledger.heartbeat(token, {"d": {"": need}}, {"d": holds} if holds else {}, 0)
             members.append(Process(n, token, None, purse, window))
         ledger.plan(window)
-        return changed_to(
+        return replace_fields(
             world,
             now=window,
-            leases={t: window + self.out for t in tokens},
+            leases={t: window + self.service_lease_ticks for t in tokens},
             disk=disk,
             members=tuple(members),
             tokens=self.members,
         )
 
-    def _purse(self, at: int, record: dict[str, Any] | None = None) -> Purse:
-        kind = Gullible if self.bug == "older answer adopted" else Purse
+    def _new_quota(self, at: int, record: dict[str, Any] | None = None) -> MemberQuota:
+        kind = (
+            QuotaTakingOlderShares
+            if self.bug == "older answer adopted"
+            else MemberQuota
+        )
         purse = kind(at, self.drift)
         if record is not None:
-            old = Purse.restored(record, at, self.drift)
+            old = MemberQuota.from_record(record, at, self.drift)
             purse.share, purse.window = old.share, old.window
             if self.bug == "new process sends at once":
-                purse.window.known_us = -1_000
+                purse.window.unknown_until_us = -1_000
         return purse
 
-    def _bugged(self, ledger: Ledger) -> Ledger:
+    def _with_mutation(self, ledger: Ledger) -> Ledger:
         kinds = {
-            "span not waited for": Hasty,
-            "freed when told": Trusting,
-            "reserve not counted": Bare,
+            "span not waited for": AccountsWithoutWindow,
+            "freed when told": AccountsFreedWhenTold,
+            "reserve not counted": AccountsWithoutReserves,
         }
         if self.bug in kinds:
-            for book in ledger.books.values():
+            for book in ledger.budget_accounts.values():
                 book.__class__ = kinds[self.bug]
         return ledger
 
-    def _planned(
+    def _plan_and_commit(
         self, ledger: Ledger, now: int, disk: dict[str, Any]
     ) -> dict[str, Any]:
         change = ledger.plan(now)
@@ -171,57 +188,61 @@
     # -- what can happen
     # ---------------------------------------------------------------------------------
 
-    def steps(self, w: World) -> Iterator[tuple[str, World]]:
+    def steps(self, w: ModelState) -> Iterator[tuple[str, ModelState]]:
         yield "tick", self._tick(w, -1)
         for n, p in enumerate(w.members):
             struck = not (self.first and n)
             if w.slows and struck and not p.slow:
                 yield f"tick that f{n}'s clock misses", self._tick(w, n)
-            yield from self._beats(w, n, p)
+            yield from self._heartbeat_steps(w, n, p)
             limit = p.purse.limit(p.at)
-            purse = purse_copy(p.purse)
+            purse = copy_quota(p.purse)
             went = sum(purse.spend(p.at) for _ in range(limit))
             if went:
                 yield (
                     f"f{n} sends {went}",
-                    changed_to(
+                    replace_fields(
                         w,
-                        members=put(w.members, n, changed_to(p, purse=purse)),
+                        members=replace_member(
+                            w.members, n, replace_fields(p, purse=purse)
+                        ),
                         sent=(*w.sent, (w.now, went)),
                     ),
                 )
             if w.crashes and struck:
-                purse = self._purse(p.at, p.purse.standing())
+                purse = self._new_quota(p.at, p.purse.to_record())
                 fresh = Process(
                     p.pid + 10, None, p.token or p.follows, purse, p.at, p.slow
                 )
                 yield (
                     f"f{n} crashes and starts again",
-                    changed_to(
-                        w, members=put(w.members, n, fresh), crashes=w.crashes - 1
+                    replace_fields(
+                        w,
+                        members=replace_member(w.members, n, fresh),
+                        crashes=w.crashes - 1,
                     ),
                 )
         if w.restarts:
             yield "the service starts again", self._restart(w)
         for message, net in w.net.arrivals():
-            after, answer = self._arrives(changed_to(w, net=net), message)
+            after, answer = self._deliver(replace_fields(w, net=net), message)
             if answer:
-                after = changed_to(after, net=after.net.send(answer))
-            yield f"arrives late: {said(message)}", after
+                after = replace_fields(after, net=after.net.send(answer))
+            yield f"arrives late: {describe_message(message)}", after
 
-    def _tick(self, w: World, slow: int) -> World:
+    def _tick(self, w: ModelState, slow: int) -> ModelState:
         now = w.now + 1
         members = tuple(
-            changed_to(p, slow=n == slow, at=p.at + (n != slow))
+            replace_fields(p, slow=n == slow, at=p.at + (n != slow))
             for n, p in enumerate(w.members)
         )
-        ledger, leases = copied(w.ledger), dict(w.leases)
+        ledger, leases = copy_ledger(w.ledger), dict(w.leases)
         for token in sorted(t for t, until in w.leases.items() if until <= now):
             del leases[token]
-            ledger.out(token, now)
+            ledger.lease_expired(token, now)
         sent = tuple(s for s in w.sent if s[0] > now - self.budget.span_us)
-        disk = self._planned(ledger, now, w.disk)
-        return changed_to(
+        disk = self._plan_and_commit(ledger, now, w.disk)
+        return replace_fields(
             w,
             now=now,
             ledger=ledger,
@@ -232,8 +253,10 @@
             slows=w.slows - (slow >= 0),
         )
 
-    def _beats(self, w: World, n: int, p: Process) -> Iterator[tuple[str, World]]:
-        holds = p.purse.holds(p.token) if p.token else None
+    def _heartbeat_steps(
+        self, w: ModelState, n: int, p: Process
+    ) -> Iterator[tuple[str, ModelState]]:
+        holds = p.purse.held_share(p.token) if p.token else None
         needs = (0, self.budget.calls)
         for need in needs if not self.moves else needs[1:] if n else needs[:1]:
             message = (
@@ -247,21 +270,24 @@
                 holds,
                 p.purse.share.reserve,
             )
-            after, answer = self._arrives(w, message)
-            done = self._arrives(after, answer)[0]
-            yield f"f{n} beats, needs {need}, holds {holds}; {said(answer)}", done
+            after, answer = self._deliver(w, message)
+            done = self._deliver(after, answer)[0]
+            yield (
+                f"f{n} beats, needs {need}, holds {holds}; {describe_message(answer)}",
+                done,
+            )
             if w.delays and not (self.first and n):
-                late = changed_to(w, delays=w.delays - 1, net=w.net.send(message))
+                late = replace_fields(w, delays=w.delays - 1, net=w.net.send(message))
                 yield f"f{n} beats, needs {need}, holds {holds}; it is under way", late
-                late = changed_to(
+                late = replace_fields(
                     after, delays=w.delays - 1, net=after.net.send(answer)
                 )
                 yield (
-                    f"f{n} beats, needs {need}, holds {holds}; under way: {said(answer)}",
+                    f"f{n} beats, needs {need}, holds {holds}; under way: {describe_message(answer)}",
                     late,
                 )
 
-    def _restart(self, w: World) -> World:
+    def _restart(self, w: ModelState) -> ModelState:
         disk: dict[str, Any] | None = copy.deepcopy(w.disk)
         if self.bug == "restart forgets what is unacknowledged" and disk is not None:
             for account in disk["books"]["d"]["accounts"]:
@@ -269,68 +295,83 @@
         epoch = w.epoch
         if self.lost:
             disk, epoch = None, w.epoch + 1
-        ledger = restored(
-            [self.budget], self.out, self.drift, w.now, disk, [], sure=not self.lost
+        ledger = restore(
+            [self.budget],
+            self.service_lease_ticks,
+            self.drift,
+            w.now,
+            disk,
+            [],
+            sure=not self.lost,
         )
         if self.bug == "lost folder grants at once":
-            ledger.opened, ledger.books["d"].opens_us = True, w.now
-        leases = {} if self.lost else dict.fromkeys(sorted(w.leases), w.now + self.out)
+            ledger.opened, ledger.budget_accounts["d"].grants_from_us = True, w.now
+        leases = (
+            {}
+            if self.lost
+            else dict.fromkeys(sorted(w.leases), w.now + self.service_lease_ticks)
+        )
         for token in leases:
-            ledger.joined(token, w.ledger.names[token], None, w.now)
-        return changed_to(
+            ledger.member_joined(token, w.ledger.names[token], None, w.now)
+        return replace_fields(
             w,
-            ledger=self._bugged(ledger),
+            ledger=self._with_mutation(ledger),
             leases=leases,
             epoch=epoch,
             restarts=w.restarts - 1,
         )
 
-    def _arrives(self, w: World, message: Any) -> tuple[World, Any]:
+    def _deliver(self, w: ModelState, message: Any) -> tuple[ModelState, Any]:
         """The world after a message was taken, and the answer to it, if it asks for
         one.
         """
         if message[0] == "beat":
-            return self._served(w, message)
+            return self._serve_heartbeat(w, message)
         _, n, pid, token, asked, shares = message
         p = w.members[n]
         if p.pid != pid or (p.token is not None and p.token != token):
             return w, None
-        purse = purse_copy(p.purse)
+        purse = copy_quota(p.purse)
         if shares is None:  # lost: it joins anew
-            purse.fenced(p.at)
-            fenced = changed_to(p, token=None, follows=token, purse=purse)
-            return changed_to(w, members=put(w.members, n, fenced)), None
+            purse.fence(p.at)
+            fenced = replace_fields(p, token=None, follows=token, purse=purse)
+            return replace_fields(w, members=replace_member(w.members, n, fenced)), None
         for share in shares:
-            purse.told(share, asked + self.kept, p.at)
-        return changed_to(
-            w, members=put(w.members, n, changed_to(p, token=token, purse=purse))
+            purse.receive_share(share, asked + self.holder_lease_ticks, p.at)
+        return replace_fields(
+            w,
+            members=replace_member(
+                w.members, n, replace_fields(p, token=token, purse=purse)
+            ),
         ), None
 
-    def _served(self, w: World, message: Any) -> tuple[World, Any]:
+    def _serve_heartbeat(self, w: ModelState, message: Any) -> tuple[ModelState, Any]:
         _, n, pid, token, follows, asked, need, holds, keeps = message
-        ledger, leases, tokens = copied(w.ledger), dict(w.leases), w.tokens
+        ledger, leases, tokens = copy_ledger(w.ledger), dict(w.leases), w.tokens
         shares: tuple[Share, ...] | None = None
         if token is None:
             tokens += 1
             token = Token(w.epoch, tokens)
-            ledger.joined(token, f"f{n}", follows, w.now, {"d": keeps})
+            ledger.member_joined(token, f"f{n}", follows, w.now, {"d": keeps})
             leases.pop(follows, None)
             leases[token] = 0
         disk = w.disk
         if token in leases:
-            leases[token] = w.now + self.out
-            assert ledger.beat(
+            leases[token] = w.now + self.service_lease_ticks
+            assert ledger.heartbeat(
                 token, {"d": {"": need}}, {"d": holds} if holds else {}, w.now
             )
-            disk = self._planned(ledger, w.now, disk)
-            shares = tuple(ledger.told(token).values())
-        after = changed_to(w, ledger=ledger, leases=leases, tokens=tokens, disk=disk)
+            disk = self._plan_and_commit(ledger, w.now, disk)
+            shares = tuple(ledger.shares_for(token).values())
+        after = replace_fields(
+            w, ledger=ledger, leases=leases, tokens=tokens, disk=disk
+        )
         return after, ("answer", n, pid, token, asked, shares)
 
     # -- what must hold
     # ----------------------------------------------------------------------------------
 
-    def broken(self, w: World) -> str:
+    def broken(self, w: ModelState) -> str:
         whole, reserve = self.budget.calls, self.budget.reserve
         recent = sum(count for at, count in w.sent if at > w.now - self.budget.span_us)
         if recent > whole:
@@ -342,5 +383,5 @@
             return f"{acting} calls in a span may be acted on and {aside} are set aside, the whole is {whole}"
         return ""
 
-    def key(self, w: World) -> Hashable:
-        return key(w, self.ttl)
+    def key(self, w: ModelState) -> Hashable:
+        return state_key(w, self.ttl)
--- a/rainfall/budget/model_state.py
+++ b/rainfall/budget/model_state.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, replace
 from typing import Any, TypeVar
 
-from rainfall.budget.book import Account
+from rainfall.budget.account import MemberAccount
 from rainfall.budget.ledger import Ledger
-from rainfall.budget.purse import Purse
-from rainfall.budget.window import Window
-from rainfall.explore.net import Net
-from rainfall.lease.token import Token
+from rainfall.budget.member_quota import MemberQuota
+from rainfall.budget.sliding_window import SlidingWindow
+from rainfall.lease.fencing_token import Token
+from rainfall.model_checker.network import Network
 
 T = TypeVar("T")
 
@@ -26,20 +26,20 @@
     pid: int
     token: Token | None
     follows: Token | None
-    purse: Purse
+    purse: MemberQuota
     at: int
     slow: bool = False
     """Its clock missed the last tick, so it does not miss the next."""
 
 
 @dataclass(frozen=True)
-class World:
+class ModelState:
     now: int
     ledger: Ledger
     leases: dict[Token, int]
     disk: dict[str, Any]
     members: tuple[Process, ...]
-    net: Net
+    net: Network
     sent: tuple[tuple[int, int], ...] = ()
     delays: int = 0
     slows: int = 0
@@ -49,45 +49,49 @@
     tokens: int = 0
 
 
-def key(w: World, ttl: int) -> Hashable:
+def state_key(w: ModelState, ttl: int) -> Hashable:
     """Times as ages, tokens by rank, numbers counted from what the ledger knows as
     acknowledged.
     """
-    book, aim = w.ledger.books["d"], w.ledger.aims["d"]
-    ranks = _ranks(w)
+    book, aim = w.ledger.budget_accounts["d"], w.ledger.allocations["d"]
+    ranks = _token_ranks(w)
     base = {p.purse.share.token: p.purse.share.number for p in w.members}
-    base.update((t, a.acked) for t, a in book.accounts.items())
+    base.update((t, a.acknowledged_number) for t, a in book.accounts.items())
     accounts = tuple(
         (
             ranks[t],
             a.state,
-            a.noted,
-            a.work(),
-            tuple((g.number - a.acked, g.calls, g.reserve) for g in a.grants),
-            a.lent_us > 0,
-            max(0, a.lent_us - w.now),
-            max(0, a.over_us - w.now),
+            a.persisted,
+            a.total_demand(),
+            tuple(
+                (g.number - a.acknowledged_number, g.calls, g.reserve) for g in a.grants
+            ),
+            a.lent_until_us > 0,
+            max(0, a.lent_until_us - w.now),
+            max(0, a.removable_at_us - w.now),
             w.leases.get(t, w.now) - w.now,
         )
         for t, a in book.accounts.items()
     )
     settled = (
         -1
-        if aim.settled_us is None
-        else min(w.now - aim.settled_us, 2 * book.window_us())
+        if aim.settled_at_us is None
+        else min(w.now - aim.settled_at_us, 2 * book.window_us())
     )
     ledger = (
         accounts,
         tuple(sorted((until - w.now, c) for until, c in book.cooling)),
-        max(0, book.opens_us - w.now),
+        max(0, book.grants_from_us - w.now),
         settled,
         aim.scarce,
-        aim.divided_us is None,
-        book.stirred,
-        tuple((ranks[t], c) for t, c in aim.shares.items() if t in ranks),
+        aim.divided_at_us is None,
+        book.inputs_changed,
+        tuple((ranks[t], c) for t, c in aim.target_shares.items() if t in ranks),
         tuple((ranks[t], c) for t, c in aim.credit.items() if t in ranks),
-        tuple((ranks[t], c) for t, c in aim.credit_next.items() if t in ranks),
-        tuple((ranks[t], until - w.now) for t, until in w.ledger.presumed.items()),
+        tuple((ranks[t], c) for t, c in aim.pending_credit.items() if t in ranks),
+        tuple(
+            (ranks[t], until - w.now) for t, until in w.ledger.presumed_until_us.items()
+        ),
     )
     members = tuple(
         (
@@ -98,25 +102,31 @@
             p.purse.share.number - base[p.purse.share.token],
             p.purse.share.calls,
             p.purse.share.reserve,
-            ranks.get(p.purse.lost),
+            ranks.get(p.purse.fenced_token),
             max(0, p.purse.valid_until_us - p.at),
-            max(0, p.purse.window.known_us + p.purse.window.us - p.at),
+            max(0, p.purse.window.unknown_until_us + p.purse.window.length_us - p.at),
             tuple(
                 (p.at - at, c)
                 for _, at, c in p.purse.window.entries
-                if at > p.at - p.purse.window.us
+                if at > p.at - p.purse.window.length_us
             ),
         )
         for p in w.members
     )
-    bag = tuple(sorted(repr(_plain(w, m, ranks, base, ttl)) for m in w.net.bag))
+    bag = tuple(
+        sorted(repr(_message_key(w, m, ranks, base, ttl)) for m in w.net.in_transit)
+    )
     disk = repr(w.disk) if w.restarts else ""
     sent = tuple((w.now - at, c) for at, c in w.sent)
     return (ledger, members, bag, sent, disk, w.delays, w.slows, w.crashes, w.restarts)
 
 
-def _plain(
-    w: World, message: Any, ranks: dict[Token, int], base: dict[Token, int], ttl: int
+def _message_key(
+    w: ModelState,
+    message: Any,
+    ranks: dict[Token, int],
+    base: dict[Token, int],
+    ttl: int,
 ) -> Any:
     """A message by what it can still do: one asked longer ago than any lease is as old
     as any.
@@ -145,16 +155,16 @@
     return (message[0], n, pid == p.pid, min(p.at - asked, ttl + 1), rest)
 
 
-def _ranks(w: World) -> dict[Token, int]:
-    tokens = set(w.ledger.books["d"].accounts) | set(w.leases)
+def _token_ranks(w: ModelState) -> dict[Token, int]:
+    tokens = set(w.ledger.budget_accounts["d"].accounts) | set(w.leases)
     for p in w.members:
         tokens.update(t for t in (p.token, p.follows, p.purse.share.token) if t)
-    for message in w.net.bag:
+    for message in w.net.in_transit:
         tokens.update(t for t in message[3:5] if isinstance(t, Token))  # type: ignore[index]
     return {token: n for n, token in enumerate(sorted(tokens))}
 
 
-def said(message: Any) -> str:
+def describe_message(message: Any) -> str:
     if message[0] == "beat":
         return f"f{message[1]}'s beat of {message[5]}, needs {message[6]}, holds {message[7]}"
     shares = message[5]
@@ -166,50 +176,57 @@
     return f"f{message[1]}'s answer to {message[4]}: {told or 'nothing'}"
 
 
-def put(members: tuple[Process, ...], n: int, p: Process) -> tuple[Process, ...]:
+def replace_member(
+    members: tuple[Process, ...], n: int, p: Process
+) -> tuple[Process, ...]:
     return (*members[:n], p, *members[n + 1 :])
 
 
-def _twin(one: T) -> T:
+def _shallow_copy(one: T) -> T:
     twin = object.__new__(type(one))
     twin.__dict__.update(one.__dict__)
     return twin
 
 
-def changed_to(one: T, **changed: Any) -> T:
+def replace_fields(one: T, **changed: Any) -> T:
     """dataclasses.replace, three times as fast: most of a search's time goes here."""
-    twin = _twin(one)
+    twin = _shallow_copy(one)
     twin.__dict__.update(changed)
     return twin
 
 
-def purse_copy(purse: Purse) -> Purse:
-    fresh = _twin(purse)
+def copy_quota(purse: MemberQuota) -> MemberQuota:
+    fresh = _shallow_copy(purse)
     w = purse.window
-    fresh.window = Window(w.us, w.known_us, w.inside, copy.copy(w.entries))
+    fresh.window = SlidingWindow(
+        w.length_us, w.unknown_until_us, w.call_count, copy.copy(w.entries)
+    )
     return fresh
 
 
-def copied(ledger: Ledger) -> Ledger:
-    fresh = _twin(ledger)
-    fresh.books, fresh.aims = {}, {}
-    fresh.names, fresh.presumed = dict(ledger.names), dict(ledger.presumed)
-    for destination, book in ledger.books.items():
-        twin = fresh.books[destination] = _twin(book)
+def copy_ledger(ledger: Ledger) -> Ledger:
+    fresh = _shallow_copy(ledger)
+    fresh.budget_accounts, fresh.allocations = {}, {}
+    fresh.names, fresh.presumed_until_us = (
+        dict(ledger.names),
+        dict(ledger.presumed_until_us),
+    )
+    for destination, book in ledger.budget_accounts.items():
+        twin = fresh.budget_accounts[destination] = _shallow_copy(book)
         twin.accounts = {
-            t: Account(
+            t: MemberAccount(
                 a.name,
                 t,
                 list(a.grants),
-                a.acked,
+                a.acknowledged_number,
                 a.state,
-                a.over_us,
-                a.lent_us,
-                a.noted,
-                a.needs,
+                a.removable_at_us,
+                a.lent_until_us,
+                a.persisted,
+                a.demand,
             )
             for t, a in book.accounts.items()
         }
         twin.cooling = list(book.cooling)
-        fresh.aims[destination] = replace(ledger.aims[destination])
+        fresh.allocations[destination] = replace(ledger.allocations[destination])
     return fresh
--- a/rainfall/budget/keep.py
+++ b/rainfall/budget/persistence.py
@@ -7,10 +7,15 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from rainfall.budget.book import Account, Grant, State
+from rainfall.budget.account import (
+    AccountState,
+    BudgetAccounts,
+    MemberAccount,
+    QuotaGrant,
+)
 from rainfall.budget.ledger import Change, Ledger
-from rainfall.budget.terms import Budget, wide
-from rainfall.lease.token import Token
+from rainfall.budget.types import Budget, widen_for_drift
+from rainfall.lease.fencing_token import Token
 
 
 def snapshot(ledger: Ledger) -> dict[str, Any]:
@@ -18,15 +23,15 @@
     return {
         "number": ledger.number,
         "opened": ledger.opened,
-        "shut": ledger.shut,
+        "shut": ledger.new_reserves_blocked,
         "books": {
             destination: {
                 "cooling": sum(c for _, c in book.cooling),
                 "accounts": [
                     [
                         a.name,
-                        t.told(),
-                        a.acked,
+                        t.to_wire(),
+                        a.acknowledged_number,
                         a.state.value,
                         [[g.number, g.calls, g.reserve] for g in a.grants],
                     ]
@@ -34,12 +39,12 @@
                     if a.grants
                 ],
             }
-            for destination, book in sorted(ledger.books.items())
+            for destination, book in sorted(ledger.budget_accounts.items())
         },
     }
 
 
-def restored(
+def restore(
     budgets: Iterable[Budget],
     lease_us: int,
     drift: float,
@@ -55,7 +60,7 @@
     window. `joined` is said next for each member of the roster. Raises KeyError,
     TypeError or ValueError where the records cannot be read.
     """
-    changes = [Change.of(line) for line in lines]
+    changes = [Change.from_record(line) for line in lines]
     last = max(changes, key=lambda c: c.number, default=None)
     # No records, or the wait after lost ones had not ended: it begins anew.
     newest = (
@@ -65,15 +70,15 @@
     )
     sure = sure and bool(newest)
     ledger = Ledger(budgets, lease_us, drift, now_us, sure)
-    ends: list[tuple[str, Token, State]] = []
+    ends: list[tuple[str, Token, AccountState]] = []
     for destination, raw in (snap or {"books": {}})["books"].items():
-        book = _book(ledger, destination)
+        book = _accounts_for(ledger, destination)
         for name, told, acked, state, grants in raw["accounts"]:
-            token = Token.of(told)
-            held = [Grant(*map(int, g)) for g in grants]
-            book.accounts[token] = Account(str(name), token, held, int(acked))
-            if state != State.IN.value:
-                ends.append((destination, token, State(state)))
+            token = Token.from_wire(told)
+            held = [QuotaGrant(*map(int, g)) for g in grants]
+            book.accounts[token] = MemberAccount(str(name), token, held, int(acked))
+            if state != AccountState.ACTIVE.value:
+                ends.append((destination, token, AccountState(state)))
         if raw["cooling"]:
             book.cooling.append((now_us + book.window_us(), int(raw["cooling"])))
     ledger.number = int(snap["number"]) if snap else 0
@@ -82,40 +87,42 @@
         if change.number <= ledger.number:
             continue  # in the snapshot, or written twice
         for g in change.grants:
-            _book(ledger, g.destination).accounts.setdefault(
-                g.token, Account(g.name, g.token)
+            _accounts_for(ledger, g.destination).accounts.setdefault(
+                g.token, MemberAccount(g.name, g.token)
             )
         ledger.commit(change)
-        shut = change.shut
+        shut = change.new_reserves_blocked
         ends.extend(change.ends)
     for destination, token, state in ends:
-        book = ledger.books[destination]
+        book = ledger.budget_accounts[destination]
         if token in book.accounts:
-            (book.out if state is State.OUT else book.over)(
+            (book.expire if state is AccountState.EXPIRED else book.end)(
                 book.accounts[token], now_us
             )
-            book.accounts[token].noted = True
-    for book in ledger.books.values():
+            book.accounts[token].persisted = True
+    for book in ledger.budget_accounts.values():
         for token, a in book.accounts.items():
-            if a.state is State.IN:
-                a.needs = {
-                    "": a.calls()
+            if a.state is AccountState.ACTIVE:
+                a.demand = {
+                    "": a.granted_calls()
                 }  # until it is heard: a restart is no cause to take a share away
                 ledger.names[token] = a.name
-                ledger.presumed[token] = now_us + wide(lease_us, drift)
-    ledger.shut = shut or not sure
-    for book in ledger.books.values():
-        book.shut = ledger.shut
+                ledger.presumed_until_us[token] = now_us + widen_for_drift(
+                    lease_us, drift
+                )
+    ledger.new_reserves_blocked = shut or not sure
+    for book in ledger.budget_accounts.values():
+        book.new_reserves_blocked = ledger.new_reserves_blocked
     # A process in force is known to every budget, also to those that granted it
     # nothing.
     for token, name in ledger.names.items():
-        for book in ledger.books.values():
-            book.accounts.setdefault(token, Account(name, token))
+        for book in ledger.budget_accounts.values():
+            book.accounts.setdefault(token, MemberAccount(name, token))
     return ledger
 
 
-def _book(ledger: Ledger, destination: str) -> Any:
+def _accounts_for(ledger: Ledger, destination: str) -> BudgetAccounts:
     """Its book, closed where it is no longer configured."""
-    if destination not in ledger.books:
-        ledger._open(Budget(destination, 1, 1)).closed = True
-    return ledger.books[destination]
+    if destination not in ledger.budget_accounts:
+        ledger._add_budget(Budget(destination, 1, 1)).deconfigured = True
+    return ledger.budget_accounts[destination]
--- a/rainfall/budget/terms.py
+++ b/rainfall/budget/types.py
@@ -8,24 +8,24 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from rainfall.lease.token import Token
+from rainfall.lease.fencing_token import Token
 
 
-def wide(us: int, drift: float) -> int:
+def widen_for_drift(us: int, drift: float) -> int:
     """So long by one clock that `us` have passed by every other; rates differ by
     `drift` at most.
     """
     return math.ceil(us / (1.0 - drift))
 
 
-def window(span_us: int, slack_us: int, drift: float) -> int:
+def reuse_window_us(span_us: int, slack_us: int, drift: float) -> int:
     """How long after a `spend`, by any clock, the call's place may be used again: its
     first byte may have left `slack_us` later, by the clock of its sender.
     """
-    return wide(span_us + wide(slack_us, drift), drift)
+    return widen_for_drift(span_us + widen_for_drift(slack_us, drift), drift)
 
 
-def weight(part: str, weights: Mapping[str, int]) -> int:
+def part_weight(part: str, weights: Mapping[str, int]) -> int:
     """Of a part of demand, "CLASS" or "CLASS/TENANT": its pieces' weights multiplied, 1
     where none is set.
     """
@@ -66,7 +66,7 @@
     """
 
     def window_us(self, drift: float) -> int:
-        return window(self.span_us, self.slack_us, drift)
+        return reuse_window_us(self.span_us, self.slack_us, drift)
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/rainfall/forwarder/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' address: figures, maintenance of endpoints, checks of configurations."""
--- a/rainfall/net/admin.py
+++ b/rainfall/forwarder/admin/admin_server.py
@@ -16,26 +16,26 @@
 
 import httptools
 
-from rainfall.net.address import Address
-from rainfall.net.server import bind
+from rainfall.forwarder.config.address import Address
+from rainfall.forwarder.inbound.server import bind_listener
 
-MOST_CALLS = 16  # connections at a time
-ACCEPTS = (
+MAX_CONNECTIONS = 16  # connections at a time
+ACCEPT_BATCH = (
     2  # taken in one turn of the loop: some turns pass until room is made for them
 )
-MOST_HEAD = 8 * 1024
-MOST_BODY = 1024
-MOST_CONFIG = 1 << 20  # a whole configuration
-HALF_CALL_S = 2.0  # a call that is not whole after this is answered 408
+MAX_HEADER_BYTES = 8 * 1024
+MAX_BODY_BYTES = 1024
+MAX_CONFIG_BYTES = 1 << 20  # a whole configuration
+REQUEST_TIMEOUT_S = 2.0  # a call that is not whole after this is answered 408
 # after an answer to what was not read to its end, so that the caller can read it
 LINGER_S = 0.5
 BACKLOG = 64
-Answer = Callable[[HTTPStatus, str], None]
+AdminResponder = Callable[[HTTPStatus, str], None]
 log = logging.getLogger("rainfall.admin")
 
 
 @dataclass
-class Figures:
+class Metrics:
     """What became of messages, counted once, where each ends. A class once seen keeps
     its count.
     """
@@ -43,183 +43,193 @@
     fulfilled: Counter[str] = field(default_factory=Counter)
     throttled: Counter[str] = field(default_factory=Counter)
     faulted: Counter[str] = field(default_factory=Counter)
-    taken: int = 0
+    messages_accepted: int = 0
     """Messages taken on; those ended and those open are as many."""
-    ended: int = 0
-    accepted: int = 0
-    invalid: int = 0
+    messages_finished: int = 0
+    configs_accepted: int = 0
+    configs_rejected: int = 0
 
-    def cover(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Every class stands there from 0."""
         for name in classes:
             for counts in (self.fulfilled, self.throttled, self.faulted):
                 counts.setdefault(name, 0)
 
-    def end(self, counts: Counter[str], name: str) -> None:
+    def record_finished(self, counts: Counter[str], name: str) -> None:
         """A message that was taken on has its end."""
         counts[name] += 1
-        self.ended += 1
+        self.messages_finished += 1
 
 
 if TYPE_CHECKING:
 
-    class Operated(Protocol):
+    class EngineOperations(Protocol):
         """What the operators' calls ask of."""
 
-        def ready(self) -> bool: ...
+        def is_ready(self) -> bool: ...
 
-        def told(self) -> dict[str, Any]: ...
+        def metrics_report(self) -> dict[str, Any]: ...
 
-        def rotate(self, name: str, out: bool, answer: Answer) -> None: ...
+        def set_detached(
+            self, name: str, detached: bool, answer: AdminResponder
+        ) -> None: ...
 
-        def examine(self, text: bytes, answer: Answer) -> None: ...
+        def check_config(self, text: bytes, answer: AdminResponder) -> None: ...
 
-        def in_force(self) -> dict[str, str]: ...
+        def active_config_report(self) -> dict[str, str]: ...
 
 
-class Admin:
+class AdminServer:
     """Listens for operators. Until it is given what to ask, it is not ready."""
 
     def __init__(self) -> None:
-        self.operated: Operated | None = None
-        self.calls: dict[AdminCall, None] = {}
+        self.engine: EngineOperations | None = None
+        self.connections: dict[AdminConnection, None] = {}
         self.listener: asyncio.Server | None = None
 
     async def listen(self, where: Address) -> None:
-        sock = await bind(where.host, where.port)
+        sock = await bind_listener(where.host, where.port)
         self.listener = await asyncio.get_running_loop().create_server(
-            lambda: AdminCall(self), sock=sock, backlog=ACCEPTS
+            lambda: AdminConnection(self), sock=sock, backlog=ACCEPT_BATCH
         )
         sock.listen(BACKLOG)
 
-    def joined(self, call: AdminCall) -> None:
+    def add_connection(self, call: AdminConnection) -> None:
         """One more than may be: the oldest that is still not whole goes, and does not
         delay who asks.
         """
-        self.calls[call] = None
-        if len(self.calls) > MOST_CALLS:
+        self.connections[call] = None
+        if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(
-                (c for c in self.calls if not c.answered and c is not call),
-                next(iter(self.calls)),
+                (c for c in self.connections if not c.response_sent and c is not call),
+                next(iter(self.connections)),
             )
             oldest.abort()
-            del self.calls[
+            del self.connections[
                 oldest
             ]  # its descriptor is closed in the next turn: it makes room only once
 
-    def handle(self, method: str, path: str, body: bytes, answer: Answer) -> None:
+    def handle(
+        self, method: str, path: str, body: bytes, answer: AdminResponder
+    ) -> None:
         routes = {
-            "/_ready": ("GET", self.ready),
-            "/_vars": ("GET", self.figures),
+            "/_ready": ("GET", self.respond_ready),
+            "/_vars": ("GET", self.respond_metrics),
             "/_endpoints/detach": ("POST", self.detach),
             "/_endpoints/attach": ("POST", self.attach),
-            "/_config": ("GET", self.config),
-            "/_config/check": ("POST", self.check),
+            "/_config": ("GET", self.respond_config),
+            "/_config/check": ("POST", self.check_config),
         }
         if path not in routes:
             answer(HTTPStatus.NOT_FOUND, "no such call\n")
             return
-        wanted, call = routes[path]
-        if method != wanted:
-            answer(HTTPStatus.METHOD_NOT_ALLOWED, f"{wanted} only\n")
+        expected_method, handler = routes[path]
+        if method != expected_method:
+            answer(HTTPStatus.METHOD_NOT_ALLOWED, f"{expected_method} only\n")
         else:
-            call(body, answer)
+            handler(body, answer)
 
-    def ready(self, body: bytes, answer: Answer) -> None:
-        if self.operated is not None and self.operated.ready():
+    def respond_ready(self, body: bytes, answer: AdminResponder) -> None:
+        if self.engine is not None and self.engine.is_ready():
             answer(HTTPStatus.OK, "ready\n")
         else:
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
 
-    def figures(self, body: bytes, answer: Answer) -> None:
-        if self.operated is None:
+    def respond_metrics(self, body: bytes, answer: AdminResponder) -> None:
+        if self.engine is None:
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
         else:
             answer(
-                HTTPStatus.OK, json.dumps(self.operated.told(), separators=(",", ":"))
+                HTTPStatus.OK,
+                json.dumps(self.engine.metrics_report(), separators=(",", ":")),
             )
 
-    def config(self, body: bytes, answer: Answer) -> None:
-        if self.operated is None:
+    def respond_config(self, body: bytes, answer: AdminResponder) -> None:
+        if self.engine is None:
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
         else:
-            answer(HTTPStatus.OK, json.dumps(self.operated.in_force()))
+            answer(HTTPStatus.OK, json.dumps(self.engine.active_config_report()))
 
-    def check(self, body: bytes, answer: Answer) -> None:
-        if self.operated is None:
+    def check_config(self, body: bytes, answer: AdminResponder) -> None:
+        if self.engine is None:
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
         else:
-            self.operated.examine(body, answer)
+            self.engine.check_config(body, answer)
 
-    def detach(self, body: bytes, answer: Answer) -> None:
-        self.rotate(body, True, answer)
+    def detach(self, body: bytes, answer: AdminResponder) -> None:
+        self.set_detached(body, True, answer)
 
-    def attach(self, body: bytes, answer: Answer) -> None:
-        self.rotate(body, False, answer)
+    def attach(self, body: bytes, answer: AdminResponder) -> None:
+        self.set_detached(body, False, answer)
 
-    def rotate(self, body: bytes, out: bool, answer: Answer) -> None:
+    def set_detached(self, body: bytes, detached: bool, answer: AdminResponder) -> None:
         try:
-            name = body.decode().strip()
+            endpoint = body.decode().strip()
         except UnicodeDecodeError:
-            name = ""
-        if not name or not name.isprintable():
+            endpoint = ""
+        if not endpoint or not endpoint.isprintable():
             answer(HTTPStatus.BAD_REQUEST, "the body names no endpoint\n")
-        elif self.operated is None:
+        elif self.engine is None:
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
         else:
-            self.operated.rotate(name, out, answer)
+            self.engine.set_detached(endpoint, detached, answer)
 
     def close(self) -> None:
         if self.listener is not None:
             self.listener.close()
-        for call in list(self.calls):
+        for call in list(self.connections):
             call.close()
 
 
-class AdminCall(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection, one call."""
 
-    def __init__(self, admin: Admin) -> None:
+    def __init__(self, admin: AdminServer) -> None:
         self.admin = admin
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(
             self
         )
         self.timer: asyncio.TimerHandle | None = None
-        self.path, self.body, self.size = "", b"", 0
-        self.whole = self.answered = False
-        self.room = MOST_BODY
+        self.path, self.body, self.received_bytes = "", b"", 0
+        self.request_complete = self.response_sent = False
+        self.max_body_bytes = MAX_BODY_BYTES
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.timer = asyncio.get_running_loop().call_later(HALF_CALL_S, self.late)
-        self.admin.joined(self)
+        self.timer = asyncio.get_running_loop().call_later(
+            REQUEST_TIMEOUT_S, self.on_timeout
+        )
+        self.admin.add_connection(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.admin.calls.pop(self, None)
+        self.admin.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
         self.parser = self.transport = None  # they refer back
 
     def data_received(self, data: bytes) -> None:
-        self.size += len(data)
-        if self.parser is None or self.whole or self.answered:
-            if self.size > 8 * (MOST_HEAD + self.room):
+        self.received_bytes += len(data)
+        if self.parser is None or self.request_complete or self.response_sent:
+            if self.received_bytes > 8 * (MAX_HEADER_BYTES + self.max_body_bytes):
                 self.abort()
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self.whole:
+            if not self.request_complete:
                 self.answer(HTTPStatus.BAD_REQUEST, "not a readable call\n")
             return
-        if not self.whole and self.size > MOST_HEAD + self.room:
+        if (
+            not self.request_complete
+            and self.received_bytes > MAX_HEADER_BYTES + self.max_body_bytes
+        ):
             self.answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is too large\n")
 
     def eof_received(self) -> bool:
         """A caller may end its side after its call and still wait for the answer."""
-        if not self.whole:
+        if not self.request_complete:
             self.close()
         return True
 
@@ -230,17 +240,17 @@
 
     def on_headers_complete(self) -> None:
         if self.path.startswith("/_config/"):
-            self.room = MOST_CONFIG
+            self.max_body_bytes = MAX_CONFIG_BYTES
 
     def on_body(self, body: bytes) -> None:
         self.body += body
 
     def on_message_complete(self) -> None:
-        if self.whole or self.answered or self.parser is None:
+        if self.request_complete or self.response_sent or self.parser is None:
             return
-        self.whole = True
+        self.request_complete = True
         method = self.parser.get_method().decode("latin-1")
-        if len(self.body) > self.room:
+        if len(self.body) > self.max_body_bytes:
             self.answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large\n")
         else:
             self.admin.handle(
@@ -249,16 +259,16 @@
 
     # Answering
 
-    def late(self) -> None:
-        if not self.whole:
+    def on_timeout(self) -> None:
+        if not self.request_complete:
             self.answer(
                 HTTPStatus.REQUEST_TIMEOUT, "the call did not come to its end\n"
             )
 
     def answer(self, status: HTTPStatus, text: str) -> None:
-        if self.answered or self.transport is None or self.transport.is_closing():
+        if self.response_sent or self.transport is None or self.transport.is_closing():
             return
-        self.answered = True
+        self.response_sent = True
         body = text.encode()
         kind = (
             "application/json" if text.startswith("{") else "text/plain; charset=utf-8"
@@ -268,7 +278,7 @@
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n".encode()
             + body
         )
-        if self.whole:
+        if self.request_complete:
             self.transport.close()
             return
         if (
--- /dev/null
+++ b/rainfall/forwarder/config/__init__.py
@@ -0,0 +1,1 @@
+"""The configuration: reading, checking and comparing it."""
--- a/rainfall/net/address.py
+++ b/rainfall/forwarder/config/address.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rainfall.wirehost import Malformed
+from rainfall.wirehost import MalformedInputError
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,9 +19,9 @@
         return f"{self.host}:{self.port}"
 
 
-def address(text: Any) -> Address:
+def parse_address(text: Any) -> Address:
     """The address that `text` says. Raises Malformed."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise Malformed(f"not an address: {text!r}")
+        raise MalformedInputError(f"not an address: {text!r}")
     return Address(host, int(port))
--- a/rainfall/net/faults.py
+++ b/rainfall/forwarder/config/errors.py
@@ -7,7 +7,7 @@
     """The configuration is missing or cannot hold; the text is one line."""
 
 
-class FleetFault(ConfigError):
+class FleetConfigError(ConfigError):
     """All faults of a `fleet`: each with its path."""
 
     def __init__(self, faults: list[tuple[str, str]]) -> None:
--- a/rainfall/net/fleet_config.py
+++ b/rainfall/forwarder/config/fleet_config.py
@@ -11,13 +11,13 @@
 import msgspec
 from msgspec import Meta, Struct, ValidationError, structs
 
-from rainfall.budget.config import MOST_BUDGETS
-from rainfall.net.address import Address, address
-from rainfall.net.faults import FleetFault
-from rainfall.wirehost import Malformed
+from rainfall.budget.config import MAX_BUDGETS
+from rainfall.forwarder.config.address import Address, parse_address
+from rainfall.forwarder.config.errors import FleetConfigError
+from rainfall.wirehost import MalformedInputError
 
-MOST_PEERS = 10_000  # a fleet of 540 forwarders and room to grow; 150 bytes each
-FIXED = ("name", "site", "drift", "listen", "peers")
+MAX_PEERS = 10_000  # a fleet of 540 forwarders and room to grow; 150 bytes each
+RESTART_FIELDS = ("name", "site", "drift", "listen", "peers")
 """What only a start can change."""
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Calls = Annotated[int, Meta(ge=0, le=1 << 40)]
@@ -38,12 +38,12 @@
     lease_ms: Annotated[int, Meta(ge=100, le=60_000)] = 3_000
     drift: Annotated[float, Meta(ge=0.0, lt=0.5)] = 0.02
     listen: str = ""
-    peers: Annotated[dict[str, Any], Meta(max_length=MOST_PEERS)] = {}
-    budgets: Annotated[list[Any], Meta(max_length=MOST_BUDGETS)] = []
+    peers: Annotated[dict[str, Any], Meta(max_length=MAX_PEERS)] = {}
+    budgets: Annotated[list[Any], Meta(max_length=MAX_BUDGETS)] = []
 
 
 @dataclass(frozen=True, slots=True)
-class Reserve:
+class BudgetReserve:
     """What this forwarder may send of a destination's whole while it has not been told
     of a share.
     """
@@ -66,31 +66,31 @@
     drift: float
     listen: Address | None
     peers: tuple[tuple[str, Address], ...]
-    budgets: tuple[Reserve, ...]
+    budgets: tuple[BudgetReserve, ...]
 
 
-def read(raw: Any, name: str) -> FleetConfig:
-    """The object that stands at `fleet`, of the forwarder `name`. Raises FleetFault
+def parse_fleet(raw: Any, name: str) -> FleetConfig:
+    """The object that stands at `fleet`, of the forwarder `name`. Raises FleetConfigError
     with all faults.
     """
     faults: list[tuple[str, str]] = []
-    told = _struct(raw, RawFleet, "fleet", faults)
+    document = _convert_struct(raw, RawFleet, "fleet", faults)
     budgets = [
-        _struct(entry, RawBudget, f"fleet.budgets[{n}]", faults)
-        for n, entry in enumerate(told.get("budgets", []))
+        _convert_struct(entry, RawBudget, f"fleet.budgets[{n}]", faults)
+        for n, entry in enumerate(document.get("budgets", []))
     ]
-    at = {
-        key: _address(told[key], f"fleet.{key}", faults)
+    addresses = {
+        key: _parse_address(document[key], f"fleet.{key}", faults)
         for key in ("service", "listen")
-        if told.get(key)
+        if document.get(key)
     }
-    if "service" in told and not told["service"]:
+    if "service" in document and not document["service"]:
         faults.append(("fleet.service", "not an address: ''"))
     peers = tuple(
-        (peer, _address(dial, f"fleet.peers.{peer}", faults))
-        for peer, dial in sorted(told.get("peers", {}).items())
+        (peer, _parse_address(dial, f"fleet.peers.{peer}", faults))
+        for peer, dial in sorted(document.get("peers", {}).items())
     )
-    found: dict[int, Reserve] = {}
+    found: dict[int, BudgetReserve] = {}
     for n, b in enumerate(budgets):
         if len(b) < len(RawBudget.__struct_fields__):
             continue  # a part of it is at fault already
@@ -107,24 +107,24 @@
                     f"{b['reserve'] * b['members']}, more than the whole of {b['calls']}",
                 )
             )
-        found[b["destination"]] = Reserve(
+        found[b["destination"]] = BudgetReserve(
             b["destination"], b["reserve"], b["span_ms"] * 1000, b["calls"]
         )
     if faults:
-        raise FleetFault(faults)
+        raise FleetConfigError(faults)
     return FleetConfig(
-        at["service"],
-        told["name"] if "name" in raw else name,
-        told["site"],
-        told["lease_ms"] * 1000,
-        told["drift"],
-        at.get("listen"),
+        addresses["service"],
+        document["name"] if "name" in raw else name,
+        document["site"],
+        document["lease_ms"] * 1000,
+        document["drift"],
+        addresses.get("listen"),
         peers,
         tuple(found.values()),
     )
 
 
-def _struct(
+def _convert_struct(
     raw: Any, kind: type[Struct], path: str, faults: list[tuple[str, str]]
 ) -> dict[str, Any]:
     """The fields that convert, defaults in place of missing ones. msgspec stops at a
@@ -135,39 +135,45 @@
         return {}
     with suppress(ValidationError):
         return structs.asdict(msgspec.convert(raw, kind))
-    told: dict[str, Any] = {}
+    converted: dict[str, Any] = {}
     for field in structs.fields(kind):
         where = f"{path}.{field.name}"
         if field.name in raw:
             try:
-                told[field.name] = msgspec.convert(raw[field.name], field.type)
+                converted[field.name] = msgspec.convert(raw[field.name], field.type)
             except ValidationError as error:
                 text, _, inner = str(error).partition(" - at `$")
                 faults.append((where + inner.rstrip("`"), text))
         elif field.required:
             faults.append((where, "missing"))
         else:
-            told[field.name] = (
+            converted[field.name] = (
                 field.default
                 if field.default is not msgspec.NODEFAULT
                 else (field.default_factory())
             )
-    return told
+    return converted
 
 
-def _address(text: Any, path: str, faults: list[tuple[str, str]]) -> Address:
+def _parse_address(text: Any, path: str, faults: list[tuple[str, str]]) -> Address:
     try:
-        return address(text)
-    except (Malformed, ValueError) as error:
+        return parse_address(text)
+    except (MalformedInputError, ValueError) as error:
         faults.append((path, str(error)))
         return Address("", 0)
 
 
-def joined(old: FleetConfig, new: FleetConfig) -> tuple[FleetConfig, list[str]]:
+def merge_fleet_config(
+    old: FleetConfig, new: FleetConfig
+) -> tuple[FleetConfig, list[str]]:
     """What of a new one can be in force now, and the paths of what waits for a
     start.
     """
     return (
         replace(old, service=new.service, lease_us=new.lease_us, budgets=new.budgets),
-        [f"fleet.{name}" for name in FIXED if getattr(old, name) != getattr(new, name)],
+        [
+            f"fleet.{name}"
+            for name in RESTART_FIELDS
+            if getattr(old, name) != getattr(new, name)
+        ],
     )
--- a/rainfall/net/config.py
+++ b/rainfall/forwarder/config/loading.py
@@ -13,16 +13,21 @@
 from typing import TYPE_CHECKING, Any
 
 from rainfall.dispatch import EndpointEntry, Settings
-from rainfall.net.address import Address as Address
-from rainfall.net.address import address
-from rainfall.net.faults import ConfigError as ConfigError
-from rainfall.net.faults import FleetFault as FleetFault
-from rainfall.wirehost import Malformed, entry, need, settings
+from rainfall.forwarder.config.address import Address as Address
+from rainfall.forwarder.config.address import parse_address
+from rainfall.forwarder.config.errors import ConfigError as ConfigError
+from rainfall.forwarder.config.errors import FleetConfigError as FleetConfigError
+from rainfall.wirehost import (
+    MalformedInputError,
+    parse_entry,
+    parse_settings,
+    require_field,
+)
 
 if TYPE_CHECKING:
-    from rainfall.net.fleet_config import FleetConfig
+    from rainfall.forwarder.config.fleet_config import FleetConfig
 
-OPTIONAL = frozenset(
+OPTIONAL_KEYS = frozenset(
     {
         "settings.services[].by_arrival",
         "settings.services[].aim_stretch",
@@ -31,29 +36,29 @@
     }
 )
 """What the wire's page calls optional: a new file that lacks it takes it back."""
-HEALTH = {"up": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
+WIRE_STATE_BY_HEALTH = {"up": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class ListedEndpoint:
     """One target as discovery lists it."""
 
     name: str
-    dial: Address
+    address: Address
     destination: int
     health: str
     raw: dict[str, Any]
 
-    def entry(self, number: int) -> EndpointEntry:
+    def to_entry(self, endpoint_id: int) -> EndpointEntry:
         """The module's entry, by way of the adapter's own translation."""
-        return entry(
+        return parse_entry(
             {
-                "target": number,
+                "target": endpoint_id,
                 "hall": self.raw.get("site"),
                 "kind": self.raw.get("class"),
                 "belongs_to": self.destination,
-                "readiness": HEALTH[self.health],
-                "power_hint": need(self.raw, "share", float)
+                "readiness": WIRE_STATE_BY_HEALTH[self.health],
+                "power_hint": require_field(self.raw, "share", float)
                 if "share" in self.raw
                 else 0.0,
             }
@@ -61,10 +66,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostList:
-    seq: int
-    whole: bool
-    hosts: tuple[Host, ...]
+class EndpointList:
+    version: int
+    complete: bool
+    endpoints: tuple[ListedEndpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,14 +80,14 @@
     state: Path
     seed: int
     memory_mb: int
-    sockets: int
+    max_sockets: int
     disk_bytes: int
-    known: HostList
+    known_endpoints: EndpointList
     settings: Settings
     report_fields: tuple[str, ...]
     admin: Address | None = None
     """Where operators call; None where that is not wanted."""
-    inherited: int | None = None
+    inherited_fd: int | None = None
     """The descriptor of the clients' listening socket, where the platform holds it."""
     power: bool = False
     """What is promised outlasts the machine, not only the process."""
@@ -96,31 +101,31 @@
     """As it was read, but for the list: what a file that replaces it must have too."""
 
 
-def descriptor(text: str | None) -> int | None:
+def parse_descriptor(text: str | None) -> int | None:
     if not text:
         return None
     if not text.isascii() or not text.isdigit():
-        raise Malformed(f"LB_INHERITED_FD is no descriptor: {text!r}")
+        raise MalformedInputError(f"LB_INHERITED_FD is no descriptor: {text!r}")
     try:
         os.fstat(int(text))
     except (OSError, OverflowError):
-        raise Malformed(f"LB_INHERITED_FD is not open: {text}") from None
+        raise MalformedInputError(f"LB_INHERITED_FD is not open: {text}") from None
     return int(text)
 
 
-def durability(level: Any) -> bool:
+def parse_durability(level: Any) -> bool:
     if level not in ("process", "power"):
-        raise Malformed(f"durability is 'process' or 'power', not {level!r}")
+        raise MalformedInputError(f"durability is 'process' or 'power', not {level!r}")
     return bool(level == "power")
 
 
-def log_format(name: Any) -> bool:
+def parse_log_format(name: Any) -> bool:
     if name not in ("plain", "json"):
-        raise Malformed(f"log_format is 'plain' or 'json', not {name!r}")
+        raise MalformedInputError(f"log_format is 'plain' or 'json', not {name!r}")
     return bool(name == "json")
 
 
-def report_fields(telemetry: Mapping[str, Any]) -> tuple[str, ...]:
+def load_report_fields(telemetry: Mapping[str, Any]) -> tuple[str, ...]:
     """What answers to calls report; nothing where only probes' answers do, or none."""
     return (
         ()
@@ -129,48 +134,48 @@
     )
 
 
-def fleet(raw: Any, name: str) -> FleetConfig | None:
+def parse_fleet_section(raw: Any, name: str) -> FleetConfig | None:
     """Read by what only a configuration that has one imports. Raises ConfigError."""
     if raw is None:
         return None
     try:
-        from rainfall.net.fleet_config import read
+        from rainfall.forwarder.config.fleet_config import parse_fleet
     except ImportError as error:
         raise ConfigError(
             f"'fleet' needs what requirements.txt names: {error}"
         ) from None
-    return read(raw, name)
+    return parse_fleet(raw, name)
 
 
-def host(raw: Any) -> Host:
-    health = need(raw, "health", str)
-    if health not in HEALTH:
-        raise Malformed(f"unknown health {health!r}")
-    made = Host(
-        need(raw, "host", str),
-        address(need(raw, "dial", str)),
-        need(raw, "block", int),
+def parse_endpoint(raw: Any) -> ListedEndpoint:
+    health = require_field(raw, "health", str)
+    if health not in WIRE_STATE_BY_HEALTH:
+        raise MalformedInputError(f"unknown health {health!r}")
+    made = ListedEndpoint(
+        require_field(raw, "host", str),
+        parse_address(require_field(raw, "dial", str)),
+        require_field(raw, "block", int),
         health,
         raw,
     )
-    weight = made.entry(
+    weight = made.to_entry(
         0
     ).weight  # a bad line must be found here, not in the middle of a round
     if not 0 <= weight < 1e9:
-        raise Malformed(f"share out of range in the line of {made.name!r}")
+        raise MalformedInputError(f"share out of range in the line of {made.name!r}")
     return made
 
 
-def host_list(told: Any) -> HostList:
+def parse_endpoint_list(document: Any) -> EndpointList:
     """One answer of discovery, or Malformed."""
-    return HostList(
-        need(told, "seq", int),
-        need(told, "whole", bool),
-        tuple(host(raw) for raw in need(told, "hosts", list)),
+    return EndpointList(
+        require_field(document, "seq", int),
+        require_field(document, "whole", bool),
+        tuple(parse_endpoint(raw) for raw in require_field(document, "hosts", list)),
     )
 
 
-def comparable(
+def without_toggled_fleet(
     old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> tuple[Mapping[str, Any], Mapping[str, Any]]:
     """Without `fleet` where only one has it: to turn it on or off is no fault, and
@@ -184,41 +189,43 @@
     )
 
 
-def short_of(old: Any, new: Any, where: str = "") -> str:
+def first_missing_key(old: Any, new: Any, path: str = "") -> str:
     """The first key that the file in force has and the new one lacks; of named entries,
     each needs the keys that all of those in force share. Without this a default would
     stand in for what was cut off.
     """
     if isinstance(old, Mapping):
         if not isinstance(new, Mapping):
-            return where
+            return path
         for key, value in old.items():
-            name = f"{where}.{key}".lstrip(".")
+            name = f"{path}.{key}".lstrip(".")
             if key not in new:
-                if name in OPTIONAL:
+                if name in OPTIONAL_KEYS:
                     continue
                 return name
-            if value is not None and (found := short_of(value, new[key], name)):
+            if value is not None and (
+                found := first_missing_key(value, new[key], name)
+            ):
                 return found
     elif isinstance(old, list) and old and all(isinstance(e, Mapping) for e in old):
         if not isinstance(new, list):
-            return where
+            return path
         shared = set.intersection(*(set(e) for e in old))
         for entry in new:
             for key in sorted(shared):
                 if (
                     not isinstance(entry, Mapping)
                     or key not in entry
-                    and f"{where}[].{key}" not in OPTIONAL
+                    and f"{path}[].{key}" not in OPTIONAL_KEYS
                 ):
-                    return f"{where}[].{key}"
+                    return f"{path}[].{key}"
     return ""
 
 
-def replacement(old: Config, environ: Mapping[str, str] = os.environ) -> Config:
+def load_replacement(old: Config, environ: Mapping[str, str] = os.environ) -> Config:
     """The configuration read again, whole, or ConfigError."""
     new = load(environ)
-    if missing := short_of(*comparable(old.raw, new.raw)):
+    if missing := first_missing_key(*without_toggled_fleet(old.raw, new.raw)):
         raise ConfigError(f"bad configuration: {missing} is missing")
     return new
 
@@ -231,47 +238,51 @@
     if not path:
         raise ConfigError("LB_CONFIG is not set")
     try:
-        told = json.loads(Path(path).read_bytes())
+        document = json.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
         raise ConfigError(f"cannot read {path}: {error}") from None
-    return parse(told, environ, f" in {path}")
+    return parse_config(document, environ, f" in {path}")
 
 
-def parse(told: Any, environ: Mapping[str, str], where: str = "") -> Config:
+def parse_config(document: Any, environ: Mapping[str, str], origin: str = "") -> Config:
     """The configuration that the text of a file stands for."""
     try:
-        limits = told.get("limits") or {}
-        facts = need(told, "settings", dict)
+        limits = document.get("limits") or {}
+        facts = require_field(document, "settings", dict)
         state = environ.get("LB_STATE")
-        admin = environ.get("LB_ADMIN_ADDR") or told.get("admin_addr")
-        name = environ.get("LB_NAME") or need(told, "name", str)
+        admin = environ.get("LB_ADMIN_ADDR") or document.get("admin_addr")
+        name = environ.get("LB_NAME") or require_field(document, "name", str)
         if not state:
             raise ConfigError("LB_STATE is not set")
         return Config(
             name=name,
-            listen=address(environ.get("LB_LISTEN") or need(told, "listen", str)),
+            listen=parse_address(
+                environ.get("LB_LISTEN") or require_field(document, "listen", str)
+            ),
             # The file first: it can be replaced while the process runs (SIGHUP), its
             # environment cannot.
-            discovery=address(told.get("discovery") or environ.get("LB_DISCOVERY")),
+            discovery=parse_address(
+                document.get("discovery") or environ.get("LB_DISCOVERY")
+            ),
             state=Path(state),
-            seed=zlib.crc32(str(told.get("seed", "")).encode()),
+            seed=zlib.crc32(str(document.get("seed", "")).encode()),
             memory_mb=int(limits.get("memory_mb", 192)),
-            sockets=int(limits.get("sockets", 1024)),
+            max_sockets=int(limits.get("sockets", 1024)),
             disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
-            known=host_list(
-                told.get("known") or {"seq": -1, "whole": True, "hosts": []}
+            known_endpoints=parse_endpoint_list(
+                document.get("known") or {"seq": -1, "whole": True, "hosts": []}
             ),
-            settings=settings(facts),
-            report_fields=report_fields(facts.get("telemetry") or {}),
-            admin=address(admin) if admin else None,
-            inherited=descriptor(environ.get("LB_INHERITED_FD")),
-            power=durability(told.get("durability", "process")),
-            log_json=log_format(told.get("log_format", "plain")),
-            fleet=fleet(told.get("fleet"), name),
-            raw={**told, "known": None},
+            settings=parse_settings(facts),
+            report_fields=load_report_fields(facts.get("telemetry") or {}),
+            admin=parse_address(admin) if admin else None,
+            inherited_fd=parse_descriptor(environ.get("LB_INHERITED_FD")),
+            power=parse_durability(document.get("durability", "process")),
+            log_json=parse_log_format(document.get("log_format", "plain")),
+            fleet=parse_fleet_section(document.get("fleet"), name),
+            raw={**document, "known": None},
         )
-    except FleetFault as error:
-        raise ConfigError(f"bad configuration{where}: {error}") from None
-    except (Malformed, ValueError, TypeError, AttributeError) as error:
+    except FleetConfigError as error:
+        raise ConfigError(f"bad configuration{origin}: {error}") from None
+    except (MalformedInputError, ValueError, TypeError, AttributeError) as error:
         text = " ".join(str(error).split())
-        raise ConfigError(f"bad configuration{where}: {text}") from None
+        raise ConfigError(f"bad configuration{origin}: {text}") from None
--- a/rainfall/net/reconfigure.py
+++ b/rainfall/forwarder/config/validation.py
@@ -13,22 +13,28 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from rainfall.net.config import OPTIONAL, Config, comparable, fleet, parse
-from rainfall.net.faults import ConfigError, FleetFault
+from rainfall.forwarder.config.errors import ConfigError, FleetConfigError
+from rainfall.forwarder.config.loading import (
+    OPTIONAL_KEYS,
+    Config,
+    parse_config,
+    parse_fleet_section,
+    without_toggled_fleet,
+)
 
 if TYPE_CHECKING:
-    from rainfall.net.fleet_config import FleetConfig
+    from rainfall.forwarder.config.fleet_config import FleetConfig
 
-OWN = ("name", "listen", "admin_addr", "known", "seed")
+PER_FORWARDER_KEYS = ("name", "listen", "admin_addr", "known", "seed")
 """What each forwarder has its own of."""
-OWN_FLEET = ("name", "site", "listen", "peers")
+PER_FORWARDER_FLEET_KEYS = ("name", "site", "listen", "peers")
 """And within `fleet`."""
-MOST_TOLD = 1_024  # faults, warnings and changes that are named; 100 bytes each
-MOST_DEEP = 60
-FIXED = ("name", "listen", "state", "admin", "power", "log_json")
+MAX_REPORTED = 1_024  # faults, warnings and changes that are named; 100 bytes each
+MAX_DEPTH = 60
+RESTART_FIELDS = ("name", "listen", "state", "admin", "power", "log_json")
 """What only a start can change, by the field of Config."""
-WRITTEN = {"admin": "admin_addr", "power": "durability", "log_json": "log_format"}
-KNOWN = {
+KEY_BY_FIELD = {"admin": "admin_addr", "power": "durability", "log_json": "log_format"}
+KNOWN_KEYS = {
     "": {
         "name",
         "listen",
@@ -67,7 +73,7 @@
     },
     "settings.orgs[]": {"name", "allowance_per_s", "fraction"},
 }
-ABOVE_0 = {
+POSITIVE_KEYS = {
     "settings.services[].aim_us",
     "settings.services[].deadline_us",
     "settings.allowed.max_attempts",
@@ -82,80 +88,84 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class ValidationReport:
     """What an apply of it would find."""
 
-    unreadable: str = ""
+    parse_error: str = ""
     faults: list[dict[str, str]] = field(default_factory=list)
     warnings: list[str] = field(default_factory=list)
     changes: list[str] = field(default_factory=list)
-    restart: list[str] = field(default_factory=list)
+    needs_restart: list[str] = field(default_factory=list)
     config: Config | None = None
-    paths: dict[str, set[str]] = field(default_factory=dict, repr=False)
+    faults_by_path: dict[str, set[str]] = field(default_factory=dict, repr=False)
     """What each path that is at fault was told of it."""
 
-    def fault(self, path: str, text: str) -> None:
-        told = self.paths.setdefault(path, set())
-        if len(self.faults) < MOST_TOLD and text not in told:
-            told.add(text)
+    def add_fault(self, path: str, text: str) -> None:
+        known = self.faults_by_path.setdefault(path, set())
+        if len(self.faults) < MAX_REPORTED and text not in known:
+            known.add(text)
             self.faults.append({"path": path, "fault": text})
 
     @property
     def valid(self) -> bool:
-        return not self.unreadable and not self.faults
+        return not self.parse_error and not self.faults
 
-    def told(self) -> dict[str, Any]:
-        if self.unreadable:
-            return {"valid": False, "faults": [{"path": "", "fault": self.unreadable}]}
+    def to_json(self) -> dict[str, Any]:
+        if self.parse_error:
+            return {"valid": False, "faults": [{"path": "", "fault": self.parse_error}]}
         return {
             "valid": self.valid,
             "faults": self.faults,
-            "warnings": self.warnings[:MOST_TOLD],
-            "changes": self.changes[:MOST_TOLD],
-            "restart": self.restart,
+            "warnings": self.warnings[:MAX_REPORTED],
+            "changes": self.changes[:MAX_REPORTED],
+            "restart": self.needs_restart,
         }
 
 
-class Constant:
+class NonFiniteConstant:
     """NaN, Infinity: JSON has none of them, Python's reader takes them."""
 
 
-class Pairs(dict[str, Any]):
+class JsonObject(dict[str, Any]):
     """An object, and which of its keys came twice."""
 
-    doubled: tuple[str, ...] = ()
+    duplicate_keys: tuple[str, ...] = ()
 
 
-def _pairs(found: list[tuple[str, Any]]) -> Pairs:
-    made = Pairs(found)
-    if len(made) < len(found):
-        names = [name for name, _ in found]
-        made.doubled = tuple(sorted({name for name in names if names.count(name) > 1}))
-    return made
+def _to_json_object(pairs: list[tuple[str, Any]]) -> JsonObject:
+    json_object = JsonObject(pairs)
+    if len(json_object) < len(pairs):
+        names = [name for name, _ in pairs]
+        json_object.duplicate_keys = tuple(
+            sorted({name for name in names if names.count(name) > 1})
+        )
+    return json_object
 
 
-def digest(raw: Mapping[str, Any]) -> str:
+def config_digest(raw: Mapping[str, Any]) -> str:
     """The same for all forwarders that run the same, however their files are
     written.
     """
-    told = {key: value for key, value in raw.items() if key not in OWN}
-    if isinstance(told.get("fleet"), Mapping):
-        told["fleet"] = {
-            key: value for key, value in told["fleet"].items() if key not in OWN_FLEET
+    shared = {key: value for key, value in raw.items() if key not in PER_FORWARDER_KEYS}
+    if isinstance(shared.get("fleet"), Mapping):
+        shared["fleet"] = {
+            key: value
+            for key, value in shared["fleet"].items()
+            if key not in PER_FORWARDER_FLEET_KEYS
         }
-    text = json.dumps(told, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
+    text = json.dumps(shared, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
     return hashlib.sha256(text.encode("utf-8", "surrogatepass")).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class ActiveConfig:
     """What is in force, and how that came."""
 
     digest: str
     origin: str
     since_s: float
 
-    def told(self) -> dict[str, str]:
+    def to_json(self) -> dict[str, str]:
         from datetime import UTC, datetime  # only who asks pays for it
 
         since = datetime.fromtimestamp(self.since_s, UTC).isoformat(
@@ -164,86 +174,92 @@
         return {"digest": self.digest, "origin": self.origin, "since": since}
 
 
-def examine(
+def validate_replacement(
     text: bytes, old: Config, environ: Mapping[str, str] = os.environ
-) -> Verdict:
+) -> ValidationReport:
     """Look at a whole configuration that is to replace the one in force. No effect."""
-    verdict = Verdict()
+    verdict = ValidationReport()
     try:
-        told = json.loads(
-            text, object_pairs_hook=_pairs, parse_constant=lambda name: Constant()
+        document = json.loads(
+            text,
+            object_pairs_hook=_to_json_object,
+            parse_constant=lambda name: NonFiniteConstant(),
         )
     except (ValueError, RecursionError) as error:
         what = "empty" if not text.strip() else " ".join(str(error).split())
-        verdict.unreadable = f"not JSON: {what}"
+        verdict.parse_error = f"not JSON: {what}"
         return verdict
-    if not isinstance(told, Mapping):
-        verdict.unreadable = "not a JSON object"
+    if not isinstance(document, Mapping):
+        verdict.parse_error = "not a JSON object"
         return verdict
-    for path, value in walk(told):
-        _look(verdict, path, value)
-    _compare(verdict, "", *comparable(old.raw, {**told, "known": None}))
+    for path, value in walk_values(document):
+        _check_value(verdict, path, value)
+    _compare(verdict, "", *without_toggled_fleet(old.raw, {**document, "known": None}))
     try:
-        fleet(told.get("fleet"), old.name)
-    except FleetFault as error:
+        parse_fleet_section(document.get("fleet"), old.name)
+    except FleetConfigError as error:
         for where, what in error.faults:
-            if where not in verdict.paths:
-                verdict.fault(where, what)
+            if where not in verdict.faults_by_path:
+                verdict.add_fault(where, what)
     except ConfigError as error:
-        verdict.fault("fleet", str(error))
+        verdict.add_fault("fleet", str(error))
     if not verdict.faults:  # the reader itself has the last word
         try:
-            verdict.config = parse(told, environ)
+            verdict.config = parse_config(document, environ)
         except ConfigError as error:
-            verdict.fault("", str(error))
+            verdict.add_fault("", str(error))
     if verdict.config is not None:
-        verdict.restart = [
-            WRITTEN.get(f, f)
-            for f in FIXED
+        verdict.needs_restart = [
+            KEY_BY_FIELD.get(f, f)
+            for f in RESTART_FIELDS
             if getattr(verdict.config, f) != getattr(old, f)
         ]
-        _, waits = joint(old.fleet, verdict.config.fleet)
-        verdict.restart += waits
+        _, waits = merge_fleet(old.fleet, verdict.config.fleet)
+        verdict.needs_restart += waits
         verdict.changes += ["fleet"] if waits == ["fleet"] else []
     return verdict
 
 
-def joint(
-    old: FleetConfig | None, new: FleetConfig | None
+def merge_fleet(
+    active: FleetConfig | None, new: FleetConfig | None
 ) -> tuple[FleetConfig | None, list[str]]:
     """What of a new `fleet` can be in force now, and the paths of what waits for a
     start: all of it where it is turned on or off.
     """
-    if old is None or new is None:
-        return old, [] if old is new else ["fleet"]
-    from rainfall.net.fleet_config import joined
+    if active is None or new is None:
+        return active, [] if active is new else ["fleet"]
+    from rainfall.forwarder.config.fleet_config import merge_fleet_config
 
-    return joined(old, new)
+    return merge_fleet_config(active, new)
 
 
-def walk(value: Any, path: str = "", deep: int = 0) -> Iterator[tuple[str, Any]]:
+def walk_values(
+    value: Any, path: str = "", depth: int = 0
+) -> Iterator[tuple[str, Any]]:
     """Each value with its path, outer ones first."""
     yield path, value
-    if deep > MOST_DEEP:
+    if depth > MAX_DEPTH:
         return
     if isinstance(value, Mapping):
         for key, inner in value.items():
-            yield from walk(inner, f"{path}.{key}".lstrip("."), deep + 1)
+            yield from walk_values(inner, f"{path}.{key}".lstrip("."), depth + 1)
     elif isinstance(value, list):
         for n, inner in enumerate(value):
-            yield from walk(inner, f"{path}[{n}]", deep + 1)
+            yield from walk_values(inner, f"{path}[{n}]", depth + 1)
 
 
-def general(path: str) -> str:
+def generalize_path(path: str) -> str:
     """The path with the places in lists left out."""
     return re.sub(r"\[[0-9]+\]", "[]", path)
 
 
-def _look(verdict: Verdict, path: str, value: Any) -> None:
-    if isinstance(value, Pairs):
-        for name in value.doubled:
-            verdict.fault(f"{path}.{name}".lstrip("."), "the key stands there twice")
-        known = KNOWN.get(general(path))
+def _check_value(verdict: ValidationReport, path: str, value: Any) -> None:
+    if isinstance(value, JsonObject):
+        for name in value.duplicate_keys:
+            verdict.add_fault(
+                f"{path}.{name}".lstrip("."), "the key stands there twice"
+            )
+        known = KNOWN_KEYS.get(generalize_path(path))
         if known is not None:
             verdict.warnings += [
                 f"{path}.{name}".lstrip(".") + ": not known to this version"
@@ -251,16 +267,20 @@
                 if name not in known
             ]
     elif (
-        isinstance(value, Constant)
+        isinstance(value, NonFiniteConstant)
         or isinstance(value, float)
         and not math.isfinite(value)
     ):
-        verdict.fault(path, "not a finite number")
-    elif general(path) in ABOVE_0 and _kind(value) == "a number" and value <= 0:
-        verdict.fault(path, "not over 0")
+        verdict.add_fault(path, "not a finite number")
+    elif (
+        generalize_path(path) in POSITIVE_KEYS
+        and _json_kind(value) == "a number"
+        and value <= 0
+    ):
+        verdict.add_fault(path, "not over 0")
 
 
-def _kind(value: Any) -> str:
+def _json_kind(value: Any) -> str:
     if isinstance(value, bool):
         return "true or false"
     if isinstance(value, int | float):
@@ -276,24 +296,24 @@
     )
 
 
-def _compare(verdict: Verdict, path: str, old: Any, new: Any) -> None:
+def _compare(verdict: ValidationReport, path: str, old: Any, new: Any) -> None:
     """Missing keys and other types are faults, as at SIGHUP; other values are
     changes.
     """
-    if old is None or isinstance(new, Constant):
+    if old is None or isinstance(new, NonFiniteConstant):
         if old is None and new is not None:
             verdict.changes.append(path)
         return
-    if _kind(old) != _kind(new):
-        verdict.fault(path, f"{_kind(new)} in place of {_kind(old)}")
+    if _json_kind(old) != _json_kind(new):
+        verdict.add_fault(path, f"{_json_kind(new)} in place of {_json_kind(old)}")
     elif isinstance(old, Mapping):
         for key in [*old, *(k for k in new if k not in old)]:
             where = f"{path}.{key}".lstrip(".")
             if key not in new:
-                if general(where) in OPTIONAL:
+                if generalize_path(where) in OPTIONAL_KEYS:
                     verdict.changes.append(where)
                 else:
-                    verdict.fault(where, "missing")
+                    verdict.add_fault(where, "missing")
             elif key in old:
                 _compare(verdict, where, old[key], new[key])
             else:
@@ -308,7 +328,9 @@
         verdict.changes.append(path)
 
 
-def _compare_named(verdict: Verdict, path: str, old: list[Any], new: list[Any]) -> None:
+def _compare_named(
+    verdict: ValidationReport, path: str, old: list[Any], new: list[Any]
+) -> None:
     """Entries go by name; each needs the keys that all of those in force share."""
     shared = set.intersection(*(set(e) for e in old))
     before = {e["name"]: e for e in old}
@@ -316,14 +338,14 @@
     for n, entry in enumerate(new):
         where = f"{path}[{n}]"
         if not isinstance(entry, Mapping):
-            verdict.fault(where, f"{_kind(entry)} in place of an object")
+            verdict.add_fault(where, f"{_json_kind(entry)} in place of an object")
             continue
         for key in sorted(shared - set(entry)):
-            if general(f"{where}.{key}") not in OPTIONAL:
-                verdict.fault(f"{where}.{key}", "missing")
+            if generalize_path(f"{where}.{key}") not in OPTIONAL_KEYS:
+                verdict.add_fault(f"{where}.{key}", "missing")
         name = entry.get("name")
         if name in names:
-            verdict.fault(f"{where}.name", f"{name!r} stands there twice")
+            verdict.add_fault(f"{where}.name", f"{name!r} stands there twice")
         names.append(name)
         was = before.get(name) if isinstance(name, str) else None
         if was is None:
--- /dev/null
+++ b/rainfall/forwarder/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery: the watch on the endpoint list, and notifications to the platform."""
--- a/rainfall/net/discovery.py
+++ b/rainfall/forwarder/discovery/endpoint_watch.py
@@ -13,53 +13,61 @@
 from typing import TYPE_CHECKING, Protocol
 
 from rainfall.dispatch.endpoint_list import MAX_POLL_RETRY_US
-from rainfall.net.config import Address, HostList, host_list
-from rainfall.net.http import MOST_BODY, MOST_LIST, BadAnswer, ResponseReader, request
-from rainfall.net.store import Owed
+from rainfall.forwarder.config.loading import Address, EndpointList, parse_endpoint_list
+from rainfall.forwarder.http1 import (
+    MAX_BODY_BYTES,
+    MAX_LIST_BYTES,
+    MalformedResponseError,
+    ResponseReader,
+    encode_request,
+)
+from rainfall.forwarder.message_store import PendingNotification
 
 NO_VERSION = -1  # of a list that is not known yet; discovery counts from 0
 # how long a watch waits for something newer; an answer without entries costs nothing
-HOLD_MS = 1_500
-LATE_S = (
+WATCH_HOLD_MS = 1_500
+WATCH_GRACE_S = (
     0.5  # a watch silent for so long after that is dead; the agent is on this machine
 )
 # how long another answer may take, with its connection; the agent answers at once
-ANSWER_S = 0.6
-LEAST_WATCH_S = 0.1  # the next watch must come within 0.2 s of the last answer
+RESPONSE_TIMEOUT_S = 0.6
+MIN_WATCH_INTERVAL_S = 0.1  # the next watch must come within 0.2 s of the last answer
 # after a move, what discovery tells binds so soon that the module's pauses are not
 # waited out
-INSIST_S = 4.0
-INSIST_PAUSE_S = 0.2
+INSIST_PERIOD_S = 4.0
+INSIST_RETRY_S = 0.2
 # where lists are pushed, an agent on this machine answers at once or is silent, ...
-PUSHED_ANSWER_S = 0.2
-PUSHED_PAUSE_S = (
+PUSHED_RESPONSE_TIMEOUT_S = 0.2
+PUSHED_RETRY_S = (
     0.03  # ... and from the moment that it has news they bind: it is asked all the time
 )
 # a pause of the watch is drawn from what it adds to 2 up to so many times its length
-SPREAD = 1.5
-ROUND_S = (
+RETRY_JITTER = 1.5
+ROUND_ALLOWANCE_S = (
     0.03  # that the loop's timers and the rounds of a failure and of its answer take
 )
-TOLD_S, MOVED_S = (
+LIST_LATENCY_LIMIT_S, LIST_LATENCY_LIMIT_AFTER_MOVE_S = (
     6.0,
     4.0,
 )  # a change counts as told so long after discovery had it, and after SIGHUP
-NOTICE_LEAST_S = 0.02  # between two posts that fail, so that no failure makes us spin
-NOTICE_FIRST_S, NOTICE_TOP_S = (
+NOTIFICATION_MIN_RETRY_S = (
+    0.02  # between two posts that fail, so that no failure makes us spin
+)
+NOTIFICATION_FIRST_BACKOFF_S, NOTIFICATION_TOP_BACKOFF_S = (
     0.1,
     0.2,
 )  # before the next post at most; doubles by each one that fails
-NOTICE_ANSWER_S, NOTICE_PATIENCE_S = (
+NOTIFICATION_RESPONSE_TIMEOUT_S, NOTIFICATION_TOP_RESPONSE_TIMEOUT_S = (
     0.1,
     0.8,
 )  # for a 204, which comes at once, and where that is slow
-MOST_NOTICES = (
+MAX_NOTIFICATIONS_PER_POST = (
     1024  # lines in one post: a restart may owe as many ends as it held messages
 )
 log = logging.getLogger("rainfall.discovery")
 
 
-def told_within_s(pushed: bool) -> float:
+def list_latency_bound_s(pushed: bool) -> float:
     """The longest way from "discovery had it" to the round that heeds it, from the
     constants alone: a held watch goes silent right after it was asked and is found out;
     the call after it is silent too; the next ends as late as it may in an error status,
@@ -67,46 +75,60 @@
     late as it may. No pause grows with the failures, so this holds at any number of
     them. The dial is within each answer's time. Must stay under TOLD_S, with room.
     """
-    answer, pause = (
-        (PUSHED_ANSWER_S, SPREAD * PUSHED_PAUSE_S)
+    response_timeout_s, retry_s = (
+        (PUSHED_RESPONSE_TIMEOUT_S, RETRY_JITTER * PUSHED_RETRY_S)
         if pushed
-        else (ANSWER_S, MAX_POLL_RETRY_US / 1_000_000 + ROUND_S)
+        else (RESPONSE_TIMEOUT_S, MAX_POLL_RETRY_US / 1_000_000 + ROUND_ALLOWANCE_S)
+    )
+    return (
+        WATCH_HOLD_MS / 1000
+        + WATCH_GRACE_S
+        + 3 * retry_s
+        + 3 * response_timeout_s
+        + ROUND_ALLOWANCE_S
     )
-    return HOLD_MS / 1000 + LATE_S + 3 * pause + 3 * answer + ROUND_S
 
 
-def told_after_move_s(pushed: bool) -> float:
+def list_latency_bound_after_move_s(pushed: bool) -> float:
     """The same from SIGHUP on, at the address that it named: what was held is cut off
     and the whole list asked for at once. Either two calls for it fail as late as they
     may, or it comes late and the watch after it goes silent at once. Must stay under
     MOVED_S, with room.
     """
-    answer, pause = (
-        (PUSHED_ANSWER_S, SPREAD * PUSHED_PAUSE_S)
+    response_timeout_s, retry_s = (
+        (PUSHED_RESPONSE_TIMEOUT_S, RETRY_JITTER * PUSHED_RETRY_S)
         if pushed
-        else (ANSWER_S, SPREAD * INSIST_PAUSE_S)
+        else (RESPONSE_TIMEOUT_S, RETRY_JITTER * INSIST_RETRY_S)
     )
     return (
-        max(2 * (answer + pause), answer + HOLD_MS / 1000 + LATE_S + pause)
-        + answer
-        + ROUND_S
+        max(
+            2 * (response_timeout_s + retry_s),
+            response_timeout_s + WATCH_HOLD_MS / 1000 + WATCH_GRACE_S + retry_s,
+        )
+        + response_timeout_s
+        + ROUND_ALLOWANCE_S
     )
 
 
-def notice_within_s() -> float:
+def notification_latency_bound_s() -> float:
     """From the kick to the 204 where a post falls silent and the next one ends in an
     error: under the 0.3 s by which a notice is overdue.
     """
-    return NOTICE_ANSWER_S + NOTICE_LEAST_S + NOTICE_FIRST_S + ROUND_S
+    return (
+        NOTIFICATION_RESPONSE_TIMEOUT_S
+        + NOTIFICATION_MIN_RETRY_S
+        + NOTIFICATION_FIRST_BACKOFF_S
+        + ROUND_ALLOWANCE_S
+    )
 
 
-class Channel(asyncio.Protocol):
+class HttpConnection(asyncio.Protocol):
     """One connection for one request after another."""
 
     def __init__(self) -> None:
-        self.reader = ResponseReader(MOST_LIST)
+        self.reader = ResponseReader(MAX_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
-        self.answer: asyncio.Future[None] | None = None
+        self.response: asyncio.Future[None] | None = None
         self.error: Exception | None = None
         self.retired = False
 
@@ -116,33 +138,33 @@
 
     def data_received(self, data: bytes) -> None:
         if (
-            self.answer is None or self.answer.done()
+            self.response is None or self.response.done()
         ):  # nobody asked: it must not begin the next answer
             self.close()
             return
         try:
             self.reader.feed(data)
-        except BadAnswer as error:
-            self.end(error)
+        except MalformedResponseError as error:
+            self.finish_response(error)
             self.close()
             return
         if self.reader.complete:
-            self.end(None)
+            self.finish_response(None)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
         if error is None:
-            self.reader.ended()  # so ends an answer that gave no length
-        self.end(
+            self.reader.on_eof()  # so ends an answer that gave no length
+        self.finish_response(
             None
             if self.reader.complete
             else ConnectionResetError("the connection ended")
         )
 
-    def end(self, error: Exception | None) -> None:
-        if self.answer is not None and not self.answer.done():
+    def finish_response(self, error: Exception | None) -> None:
+        if self.response is not None and not self.response.done():
             self.error = error
-            self.answer.set_result(None)
+            self.response.set_result(None)
 
     def close(self) -> None:
         if self.transport is not None:
@@ -156,27 +178,27 @@
         if self.transport is not None:
             self.transport.pause_reading()
 
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def usable(self) -> bool:
-        return self.open() and not self.retired
+    def is_usable(self) -> bool:
+        return self.is_open() and not self.retired
 
-    async def ask(self, data: bytes, until: float) -> ResponseReader:
+    async def exchange(self, data: bytes, deadline: float) -> ResponseReader:
         """One answer, by the loop's clock `until` then. One that has come by the time
         that a loop which stood still looks again is in time.
         """
         assert self.transport is not None
         loop = asyncio.get_running_loop()
-        self.reader.renew()
-        self.error, self.answer = None, loop.create_future()
+        self.reader.reset()
+        self.error, self.response = None, loop.create_future()
         self.transport.write(data)
         try:
-            await asyncio.wait({self.answer}, timeout=until - loop.time())
-            if not self.answer.done():
+            await asyncio.wait({self.response}, timeout=deadline - loop.time())
+            if not self.response.done():
                 raise TimeoutError
         finally:
-            self.answer.cancel()  # of no effect on one that came
+            self.response.cancel()  # of no effect on one that came
         if self.error is not None:
             raise self.error
         if not self.reader.keep_alive:
@@ -184,15 +206,15 @@
         return self.reader
 
 
-class Client:
+class HttpClient:
     """Requests to discovery on one kept connection. One that ended while idle is
     replaced once: all that is asked of discovery may be asked twice.
     """
 
     def __init__(self, where: Address) -> None:
-        self.where, self.channel = where, Channel()
+        self.address, self.connection = where, HttpConnection()
 
-    async def ask(
+    async def request(
         self, method: str, path: str, timeout_s: float, body: bytes = b""
     ) -> ResponseReader:
         """A call that fails, or is not waited for any longer, takes its own connection
@@ -200,40 +222,42 @@
         its own. One that says nothing is held until the next is dialled: where clients
         hold all other descriptors, it must not become theirs.
         """
-        data = request(method, path, f"{self.where.host}:{self.where.port}", (), body)
+        data = encode_request(
+            method, path, f"{self.address.host}:{self.address.port}", (), body
+        )
         loop = asyncio.get_running_loop()
-        until, channel = loop.time() + timeout_s, self.channel
+        deadline, connection = loop.time() + timeout_s, self.connection
         try:
-            if channel.usable():
+            if connection.is_usable():
                 try:
-                    return await channel.ask(data, until)
+                    return await connection.exchange(data, deadline)
                 except ConnectionError:
                     pass
-            if channel.open():
-                channel.close()
+            if connection.is_open():
+                connection.close()
                 await asyncio.sleep(
                     0
                 )  # it is closed in this turn, before anyone else is served
-            async with asyncio.timeout_at(until):
-                _, channel = await loop.create_connection(
-                    Channel, self.where.host, self.where.port
+            async with asyncio.timeout_at(deadline):
+                _, connection = await loop.create_connection(
+                    HttpConnection, self.address.host, self.address.port
                 )
-            self.channel = channel
-            if not channel.usable():
+            self.connection = connection
+            if not connection.is_usable():
                 raise ConnectionResetError("the connection ended")
-            return await channel.ask(data, until)
+            return await connection.exchange(data, deadline)
         except Exception:
-            channel.retire()
+            connection.retire()
             raise
         except BaseException:
-            channel.close()
+            connection.close()
             raise
 
     def close(self) -> None:
-        self.channel.close()
+        self.connection.close()
 
 
-class Watch:
+class EndpointWatch:
     """Follows the list from a version on. Where lists must be asked for, it tells a
     failure and ends, and the module asks again. Where they are `pushed`, what the agent
     has counts as told whether or not it is asked, so a failure is not told and it asks
@@ -244,27 +268,27 @@
         self,
         where: Address,
         seq: int,
-        listed: Callable[[HostList | None], None],
+        listed: Callable[[EndpointList | None], None],
         seed: int,
         pushed: bool = False,
     ) -> None:
-        self.client, self.seq, self.listed, self.random = (
-            Client(where),
+        self.client, self.version, self.on_list, self.random = (
+            HttpClient(where),
             seq,
             listed,
             random.Random(seed),
         )
-        self.wanted, self.insist_until = False, 0.0
-        self.pushed, self.sure, self.failures = pushed, False, 0
+        self.subscribed, self.insist_until_s = False, 0.0
+        self.pushed, self.confirmed, self.failures = pushed, False, 0
         self.answered = asyncio.Event()  # the agent has told what it has, at least once
         self.task: asyncio.Task[None] | None = None
 
     def subscribe(self) -> None:
-        self.wanted = True
+        self.subscribed = True
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self.follow())
 
-    def move(self, where: Address) -> None:
+    def change_address(self, where: Address) -> None:
         """Discovery has another address: the held call and its connection are let go,
         and the whole list is asked for there at once. Its versions may be others, and
         the module may be pausing after a failure.
@@ -272,9 +296,9 @@
         if self.task is not None:
             self.task.cancel()
         self.client.close()
-        self.client, self.seq, self.task = Client(where), NO_VERSION, None
-        self.insist_until = time.monotonic() + INSIST_S
-        if self.wanted:
+        self.client, self.version, self.task = HttpClient(where), NO_VERSION, None
+        self.insist_until_s = time.monotonic() + INSIST_PERIOD_S
+        if self.subscribed:
             self.subscribe()
 
     def pause(self) -> None:
@@ -282,113 +306,130 @@
         if self.task is not None:
             self.task.cancel()
             self.task = None
-        self.wanted = False  # a SIGHUP that comes in the end must not begin it anew
+        self.subscribed = False  # a SIGHUP that comes in the end must not begin it anew
         self.client.close()
 
     async def follow(self) -> None:
-        self.sure = False
+        self.confirmed = False
         while True:
-            path, wait = self.call()
-            asked = time.monotonic()
+            path, timeout_s = self.next_request()
+            requested_at = time.monotonic()
             try:
-                answer = await self.client.ask("GET", path, wait)
+                answer = await self.client.request("GET", path, timeout_s)
                 if answer.status != 200:
-                    raise BadAnswer(f"status {answer.status}")
-                told = host_list(json.loads(answer.body))
-                self.check(told)
-                held, news = self.sure, told.seq != self.seq
-                self.listed(told)
-                self.seq = told.seq
+                    raise MalformedResponseError(f"status {answer.status}")
+                endpoints = parse_endpoint_list(json.loads(answer.body))
+                self.check_version(endpoints)
+                was_confirmed, changed = (
+                    self.confirmed,
+                    endpoints.version != self.version,
+                )
+                self.on_list(endpoints)
+                self.version = endpoints.version
             except (
                 Exception
             ) as error:  # whatever comes back must not end the asking for good
-                if await self.failed(error):
+                if await self.on_failure(error):
                     continue
                 self.task = None
-                self.listed(None)
+                self.on_list(None)
                 return
-            self.sure, self.failures = True, 0
+            self.confirmed, self.failures = True, 0
             self.answered.set()
-            if held and not news and time.monotonic() - asked < LEAST_WATCH_S:
+            if (
+                was_confirmed
+                and not changed
+                and time.monotonic() - requested_at < MIN_WATCH_INTERVAL_S
+            ):
                 await asyncio.sleep(
-                    LEAST_WATCH_S
+                    MIN_WATCH_INTERVAL_S
                 )  # a discovery that answers at once must not spin us
 
-    def check(self, told: HostList) -> None:
+    def check_version(self, endpoints: EndpointList) -> None:
         """Changes are good for the list that they build on only. Where the version went
         back, discovery is not what it was (it was restored): what it held since is
         gone, and only the whole list tells all.
         """
-        if not told.whole and (told.seq < self.seq or self.seq <= NO_VERSION):
-            was, self.seq = self.seq, NO_VERSION
-            raise BadAnswer(f"changes of version {told.seq} to a list of version {was}")
-
-    def call(self) -> tuple[str, float]:
+        if not endpoints.complete and (
+            endpoints.version < self.version or self.version <= NO_VERSION
+        ):
+            previous, self.version = self.version, NO_VERSION
+            raise MalformedResponseError(
+                f"changes of version {endpoints.version} to a list of version {previous}"
+            )
+
+    def next_request(self) -> tuple[str, float]:
         """What to ask, and how long its answer may take. The first call, and one after
         a failure, does not wait for news: no answer to it means silence, where a held
         watch looks the same with nothing new.
         """
-        at_once = PUSHED_ANSWER_S if self.pushed else ANSWER_S
-        if self.seq <= NO_VERSION:
-            return "/discovery/hosts", at_once
-        hold = HOLD_MS if self.sure else 0
+        immediate_timeout_s = (
+            PUSHED_RESPONSE_TIMEOUT_S if self.pushed else RESPONSE_TIMEOUT_S
+        )
+        if self.version <= NO_VERSION:
+            return "/discovery/hosts", immediate_timeout_s
+        hold = WATCH_HOLD_MS if self.confirmed else 0
         return (
-            f"/discovery/hosts?from={self.seq}&hold_ms={hold}",
-            LATE_S + hold / 1000 if hold else at_once,
+            f"/discovery/hosts?from={self.version}&hold_ms={hold}",
+            WATCH_GRACE_S + hold / 1000 if hold else immediate_timeout_s,
         )
 
-    async def failed(self, error: Exception) -> bool:
+    async def on_failure(self, error: Exception) -> bool:
         """Whether to ask again from here, and not before a while."""
         if self.failures % 20 == 0 or self.failures < 3 and not self.pushed:
             log.warning("the list cannot be had: %s", error or type(error).__name__)
-        self.sure, self.failures = False, self.failures + 1
-        insists = time.monotonic() < self.insist_until
+        self.confirmed, self.failures = False, self.failures + 1
+        insists = time.monotonic() < self.insist_until_s
         if insists or self.pushed:
-            await asyncio.sleep(self.pause_s())
+            await asyncio.sleep(self.retry_delay_s())
         return insists or self.pushed
 
-    def pause_s(self) -> float:
+    def retry_delay_s(self) -> float:
         """Before it asks again itself. By chance, so that many do not ask in step; it
         never grows.
         """
-        pause = PUSHED_PAUSE_S if self.pushed else INSIST_PAUSE_S
-        return self.random.uniform(2 - SPREAD, SPREAD) * pause
+        base_s = PUSHED_RETRY_S if self.pushed else INSIST_RETRY_S
+        return self.random.uniform(2 - RETRY_JITTER, RETRY_JITTER) * base_s
 
 
 if TYPE_CHECKING:
 
-    class Platform(Protocol):
+    class NotificationSource(Protocol):
         """Where owed ends are kept until they are acknowledged."""
 
-        def owed_ends(self) -> dict[str, Owed]: ...
+        def pending_notifications(self) -> dict[str, PendingNotification]: ...
 
-        def acknowledged(self, names: list[str]) -> None: ...
+        def acknowledge_notifications(self, names: list[str]) -> None: ...
 
 
-class Notices:
+class Notifier:
     """Posts the ends that are owed, again and again until the platform has answered
     204.
     """
 
-    def __init__(self, where: Address, book: Platform, seed: int) -> None:
-        self.client, self.book, self.random = Client(where), book, random.Random(seed)
-        self.wanted, self.paused = asyncio.Event(), False
+    def __init__(self, where: Address, book: NotificationSource, seed: int) -> None:
+        self.client, self.source, self.random = (
+            HttpClient(where),
+            book,
+            random.Random(seed),
+        )
+        self.wake, self.paused = asyncio.Event(), False
         self.task: asyncio.Task[None] | None = None
 
     def kick(self) -> None:
         self.paused = False
-        self.wanted.set()
+        self.wake.set()
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self.run())
 
-    def move(self, where: Address) -> None:
+    def change_address(self, where: Address) -> None:
         """What is owed goes to the new address. A post that is cut off is made again:
         that does no harm.
         """
         if self.task is not None:
             self.task.cancel()
         self.client.close()
-        self.client, self.task = Client(where), None
+        self.client, self.task = HttpClient(where), None
         if not self.paused:
             self.kick()
 
@@ -403,40 +444,47 @@
         self.client.close()
 
     @staticmethod
-    def patience_s(silent: int) -> float:
+    def response_timeout_s(timeouts: int) -> float:
         """How long a 204 is waited for, after so many in a row that did not come. It is
         short, as a connection that says nothing must not hold up what is overdue 0.3 s
         after its time; but a platform that is slow all the time is heard in the end. A
         notice that is posted twice does no harm.
         """
         return float(
-            min(NOTICE_PATIENCE_S, NOTICE_ANSWER_S * 2 ** min(max(0, silent - 1), 8))
+            min(
+                NOTIFICATION_TOP_RESPONSE_TIMEOUT_S,
+                NOTIFICATION_RESPONSE_TIMEOUT_S * 2 ** min(max(0, timeouts - 1), 8),
+            )
         )
 
-    def pause_s(self, failures: int) -> float:
+    def retry_delay_s(self, failures: int) -> float:
         """By chance up to a time that doubles: many that failed at once must not ask
         again in step. It stays short, as a notice is overdue 300 ms after its message's
         time.
         """
         return self.random.uniform(
-            NOTICE_LEAST_S, min(NOTICE_TOP_S, NOTICE_FIRST_S * 2 ** min(failures, 8))
+            NOTIFICATION_MIN_RETRY_S,
+            min(
+                NOTIFICATION_TOP_BACKOFF_S,
+                NOTIFICATION_FIRST_BACKOFF_S * 2 ** min(failures, 8),
+            ),
         )
 
     async def run(self) -> None:
-        failures = silent = 0
+        failures = timeouts = 0
         while True:
-            await self.wanted.wait()
-            self.wanted.clear()
-            while owed := self.book.owed_ends():
-                names, body = post_body(owed)
+            await self.wake.wait()
+            self.wake.clear()
+            while pending := self.source.pending_notifications():
+                ids, body = encode_notifications(pending)
                 try:
-                    answer = await self.client.ask(
-                        "POST", "/v1/notices", self.patience_s(silent), body
+                    answer = await self.client.request(
+                        "POST", "/v1/notices", self.response_timeout_s(timeouts), body
                     )
                     if answer.status != 204:
-                        raise BadAnswer(f"status {answer.status}")
-                except (OSError, BadAnswer) as error:
-                    if (failures + silent) % 20 == 0:
+                        raise MalformedResponseError(f"status {answer.status}")
+                except (OSError, MalformedResponseError) as error:
+                    if (failures + timeouts) % 20 == 0:
                         log.warning(
                             "notices not accepted, trying again: %s",
                             error or type(error).__name__,
@@ -444,33 +492,38 @@
                     if isinstance(
                         error, TimeoutError
                     ):  # it was waited for: no need for another pause
-                        silent += 1
-                        await asyncio.sleep(NOTICE_LEAST_S)
+                        timeouts += 1
+                        await asyncio.sleep(NOTIFICATION_MIN_RETRY_S)
                     else:
-                        await asyncio.sleep(self.pause_s(failures))
+                        await asyncio.sleep(self.retry_delay_s(failures))
                         failures += 1
                     continue
-                failures = silent = 0
-                self.book.acknowledged(names)
+                failures = timeouts = 0
+                self.source.acknowledge_notifications(ids)
 
 
-def post_body(owed: dict[str, Owed]) -> tuple[list[str], bytes]:
+def encode_notifications(
+    pending: dict[str, PendingNotification],
+) -> tuple[list[str], bytes]:
     """The first of the ends that are owed, as many as one body holds: their ids and the
     body.
     """
-    names: list[str] = []
+    ids: list[str] = []
     body = bytearray()
-    for name, end in owed.items():
-        told = line(name, end)
-        if len(names) == MOST_NOTICES or len(body) + len(told) > MOST_BODY:
+    for name, end in pending.items():
+        encoded = encode_notification(name, end)
+        if (
+            len(ids) == MAX_NOTIFICATIONS_PER_POST
+            or len(body) + len(encoded) > MAX_BODY_BYTES
+        ):
             break
-        names.append(name)
-        body += told
-    return names, bytes(body)
+        ids.append(name)
+        body += encoded
+    return ids, bytes(body)
 
 
-def line(name: str, end: Owed) -> bytes:
-    told: dict[str, str | int] = {"id": name, "state": end.state}
-    if end.after_ms > 0:
-        told["after_ms"] = end.after_ms
-    return json.dumps(told, separators=(",", ":")).encode() + b"\n"
+def encode_notification(message_id: str, notification: PendingNotification) -> bytes:
+    fields: dict[str, str | int] = {"id": message_id, "state": notification.state}
+    if notification.after_ms > 0:
+        fields["after_ms"] = notification.after_ms
+    return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
--- /dev/null
+++ b/rainfall/forwarder/engine/__init__.py
@@ -0,0 +1,1 @@
+"""The engine: rounds of decisions, intake, startup, operations and shutdown."""
--- a/rainfall/net/room.py
+++ b/rainfall/forwarder/engine/capacity.py
@@ -14,11 +14,11 @@
 PROCESS_BYTES = 24 * MEGABYTE  # of the process with nothing held
 MESSAGE_BYTES = 1_800  # of a held message beside what the journal keeps of it, at most
 # of what the process leaves of its memory; the rest is for clients, calls and answers
-HELD_PART = 0.8
-LEAST_BYTES = MEGABYTE  # where a limit is hardly above the process's own need
+HELD_SHARE = 0.8
+MIN_HELD_BYTES = MEGABYTE  # where a limit is hardly above the process's own need
 
 
-class Bound(Enum):
+class CapacityBound(Enum):
     """What is full. The value is a phrase for the log."""
 
     MESSAGES = "the number of messages (max_open)"
@@ -26,15 +26,15 @@
     MEMORY = "the memory for held messages (memory_mb)"
 
 
-def bytes_for_held(memory_mb: int) -> int:
+def held_message_bytes(memory_mb: int) -> int:
     """The bytes that held messages may take within a limit of the process in
     megabytes.
     """
-    return max(LEAST_BYTES, int(HELD_PART * (memory_mb * MEGABYTE - PROCESS_BYTES)))
+    return max(MIN_HELD_BYTES, int(HELD_SHARE * (memory_mb * MEGABYTE - PROCESS_BYTES)))
 
 
-def memory_left(memory_mb: int, messages: int, live_bytes: int) -> bool:
+def has_memory(memory_mb: int, messages: int, live_bytes: int) -> bool:
     """Whether one more message is within the memory, beside so many held whose journal
     records have so many bytes; the new one is counted among both.
     """
-    return messages * MESSAGE_BYTES + live_bytes <= bytes_for_held(memory_mb)
+    return messages * MESSAGE_BYTES + live_bytes <= held_message_bytes(memory_mb)
--- a/rainfall/net/lock.py
+++ b/rainfall/forwarder/handover/journal_lock.py
@@ -7,19 +7,19 @@
 import os
 from pathlib import Path
 
-LOCK = "lock"
-PAUSE_S = 0.05  # between two tries to become the one that holds the journal
+LOCK_FILE = "lock"
+LOCK_RETRY_S = 0.05  # between two tries to become the one that holds the journal
 
 
-class Lock:
+class JournalLock:
     """Whoever holds it may write the journal. It goes with its process, however that
     ends.
     """
 
     def __init__(self, folder: Path) -> None:
-        self.path, self.fd = folder / LOCK, -1
+        self.path, self.fd = folder / LOCK_FILE, -1
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         if self.fd < 0:
             self.path.parent.mkdir(parents=True, exist_ok=True)
             fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -31,9 +31,9 @@
             self.fd = fd
         return True
 
-    async def wait(self) -> None:
-        while not self.take():
-            await asyncio.sleep(PAUSE_S / 10)
+    async def acquire(self) -> None:
+        while not self.try_acquire():
+            await asyncio.sleep(LOCK_RETRY_S / 10)
 
     def release(self) -> None:
         if self.fd >= 0:
--- /dev/null
+++ b/rainfall/forwarder/inbound/__init__.py
@@ -0,0 +1,1 @@
+"""Clients: their connections and requests."""
