--- a/rainfall/net/client_connection.py
+++ b/rainfall/forwarder/inbound/client_connection.py
@@ -14,21 +14,23 @@
 
 import httptools
 
-from rainfall.net.http import MOST_BODY, MOST_HEAD, unread
+from rainfall.forwarder.http1 import MAX_BODY_BYTES, MAX_HEADER_BYTES, has_unread_input
 
-MOST_WAITING = 8  # requests read ahead on one connection before reading stops
-MOST_AHEAD = 64  # and in one piece at most: clients send one request at a time
+MAX_QUEUED_REQUESTS = 8  # requests read ahead on one connection before reading stops
+MAX_PIPELINED_REQUESTS = (
+    64  # and in one piece at most: clients send one request at a time
+)
 LINGER_BYTES = 1 << 20  # read at most of what comes behind a refusal
 # a new connection is left so long for its first request, also by a process that stops
-FRESH_US = 300_000
+FIRST_REQUEST_GRACE_US = 300_000
 # of the loop, till what was accepted before has a transport, and what had come by then
 # is read
-TURNS = 4
+SETTLE_LOOP_TURNS = 4
 # at the end of the process, the least time for clients to read their answers and to let
 # go
-CLOSE_S = 0.1
-VERSIONS = ("1.0", "1.1")
-SINGLE = frozenset(
+CLOSE_GRACE_S = 0.1
+HTTP_VERSIONS = ("1.0", "1.1")
+SINGLE_VALUE_HEADERS = frozenset(
     (
         "x-correlation-id",
         "x-time-left",
@@ -42,11 +44,11 @@
 """Headers that must not stand twice: whoever reads the other one reads another
 message.
 """
-FRAMING = frozenset(("host", "transfer-encoding", "content-length"))
+FRAMING_HEADERS = frozenset(("host", "transfer-encoding", "content-length"))
 """Nor must these, and what follows such a request is not to be trusted."""
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     def __init__(self, status: HTTPStatus, text: str) -> None:
         super().__init__(text)
         self.status, self.text = status, text
@@ -54,14 +56,14 @@
 
 @dataclass(slots=True)
 class Request:
-    came_us: int
+    received_at_us: int
     method: str = ""
     path: str = ""
     keep_alive: bool = True
     headers: dict[str, str] = field(default_factory=dict)
     body: bytearray = field(default_factory=bytearray)
-    bad: BadRequest | None = None
-    size: int = 0
+    error: BadRequestError | None = None
+    header_bytes: int = 0
 
 
 class ClientConnection(asyncio.Protocol):
@@ -69,20 +71,20 @@
     came.
     """
 
-    def __init__(self, server: Connections) -> None:
+    def __init__(self, server: ConnectionRegistry) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = (
             None  # made when something is said
         )
-        self.reading: Request | None = None
-        self.raw, self.in_head, self.requests = 0, True, 0
-        self.until_us = 0  # when it is closed after a refusal
-        self.waiting: deque[Request] = deque()
-        self.busy: Request | None = None
-        self.left: Callable[[], None] | None = None
-        self.used_us = self.came_us = server.clock()
-        self.broken, self.ended = False, False
+        self.incomplete_request: Request | None = None
+        self.raw_bytes, self.in_headers, self.request_count = 0, True, 0
+        self.close_at_us = 0  # when it is closed after a refusal
+        self.queued_requests: deque[Request] = deque()
+        self.active_request: Request | None = None
+        self.on_disconnect: Callable[[], None] | None = None
+        self.last_used_us = self.connected_at_us = server.clock()
+        self.discarding_input, self.peer_closed = False, False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -94,12 +96,12 @@
             transport.get_extra_info("socket").setsockopt(
                 socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
             )
-        self.server.joined(self)
+        self.server.add_connection(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.server.connections.discard(self)
-        self.waiting.clear()
-        self.gone()
+        self.queued_requests.clear()
+        self.notify_disconnect()
         self.parser = self.transport = (
             None  # they refer back: the collector need not look for the ring
         )
@@ -108,189 +110,211 @@
         """A client that ends its side no longer waits; what it may still read is a
         refusal.
         """
-        self.ended = True
-        self.refuse("withdrawn")
+        self.peer_closed = True
+        self.refuse_pending("withdrawn")
         return False
 
-    def refuse(self, text: str, **headers: str) -> None:
+    def refuse_pending(self, text: str, **headers: str) -> None:
         """Refuse all that has come whole and has no answer."""
-        self.gone()
-        if self.busy is not None:
+        self.notify_disconnect()
+        if self.active_request is not None:
             self.answer(HTTPStatus.SERVICE_UNAVAILABLE, text, **headers)
-        while self.waiting and self.open():
-            self.busy = self.waiting.popleft()
+        while self.queued_requests and self.is_open():
+            self.active_request = self.queued_requests.popleft()
             self.answer(HTTPStatus.SERVICE_UNAVAILABLE, text, **headers)
 
-    def gone(self) -> None:
-        left, self.left = self.left, None
+    def notify_disconnect(self) -> None:
+        left, self.on_disconnect = self.on_disconnect, None
         if left is not None:
             left()
 
     def data_received(self, data: bytes) -> None:
-        self.used_us = self.server.clock()
-        self.raw += len(data)
-        if self.broken:
-            if self.raw > LINGER_BYTES and self.transport is not None:
-                if self.until_us:
+        self.last_used_us = self.server.clock()
+        self.raw_bytes += len(data)
+        if self.discarding_input:
+            if self.raw_bytes > LINGER_BYTES and self.transport is not None:
+                if self.close_at_us:
                     self.transport.close()
                 # an answer before the refusal is still to come, and must not be reset
                 else:
                     self.transport.pause_reading()
             return
-        begun = self.requests
+        previous_count = self.request_count
         if self.parser is None:
             self.parser = httptools.HttpRequestParser(self)
         try:
             self.parser.feed_data(data)
-            if self.requests != begun:
-                self.raw = 0
+            if self.request_count != previous_count:
+                self.raw_bytes = 0
             # The parser tells a header only once it is whole: a head without end, and
             # blank lines before one, show in the raw bytes alone. Small chunks make a
             # body's raw bytes some times its size.
-            elif self.raw > (MOST_HEAD if self.in_head else MOST_HEAD + 8 * MOST_BODY):
-                raise BadRequest(
+            elif self.raw_bytes > (
+                MAX_HEADER_BYTES
+                if self.in_headers
+                else MAX_HEADER_BYTES + 8 * MAX_BODY_BYTES
+            ):
+                raise BadRequestError(
                     HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
                     "the header is too large",
                 )
         except (
             httptools.HttpParserError,
             httptools.HttpParserUpgrade,
-            BadRequest,
+            BadRequestError,
         ) as error:
             # After a request that cannot be read, nothing on this connection can be
             # trusted to begin where it seems to: it is answered, in its turn, and the
             # connection closed.
             cause = (
                 error.__context__
-                if isinstance(error.__context__, BadRequest)
+                if isinstance(error.__context__, BadRequestError)
                 else error
             )
-            if not isinstance(cause, BadRequest):
-                cause = BadRequest(HTTPStatus.BAD_REQUEST, "not a readable request")
-            self.broken, self.raw = True, 0
-            self.waiting.append(Request(self.used_us, keep_alive=False, bad=cause))
-            self.reading = None
-        self.next()
+            if not isinstance(cause, BadRequestError):
+                cause = BadRequestError(
+                    HTTPStatus.BAD_REQUEST, "not a readable request"
+                )
+            self.discarding_input, self.raw_bytes = True, 0
+            self.queued_requests.append(
+                Request(self.last_used_us, keep_alive=False, error=cause)
+            )
+            self.incomplete_request = None
+        self.process_next()
 
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        self.reading, self.in_head = Request(self.server.came_us()), True
+        self.incomplete_request, self.in_headers = (
+            Request(self.server.arrival_time_us()),
+            True,
+        )
 
     def on_url(self, url: bytes) -> None:
-        if self.reading is not None:
-            self.reading.size += len(url)
-            if self.reading.size > MOST_HEAD:
-                raise BadRequest(
+        if self.incomplete_request is not None:
+            self.incomplete_request.header_bytes += len(url)
+            if self.incomplete_request.header_bytes > MAX_HEADER_BYTES:
+                raise BadRequestError(
                     HTTPStatus.REQUEST_URI_TOO_LONG, "the path is too long"
                 )
-            self.reading.path += url.decode("latin-1")
+            self.incomplete_request.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.reading is not None:
-            self.reading.size += len(name) + len(value)
-            if self.reading.size > MOST_HEAD:
-                raise BadRequest(
+        if self.incomplete_request is not None:
+            self.incomplete_request.header_bytes += len(name) + len(value)
+            if self.incomplete_request.header_bytes > MAX_HEADER_BYTES:
+                raise BadRequestError(
                     HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
                     "the header is too large",
                 )
-            if not self.in_head:
+            if not self.in_headers:
                 return  # a trailer says nothing that counts here
-            known = self.reading.headers
-            low = name.decode("latin-1").lower()
-            if low in known and low in FRAMING:
-                raise BadRequest(HTTPStatus.BAD_REQUEST, f"{low} stands twice")
-            if low in known and low in SINGLE:
-                self.reading.bad = BadRequest(
-                    HTTPStatus.BAD_REQUEST, f"{low} stands twice"
+            known = self.incomplete_request.headers
+            lower_name = name.decode("latin-1").lower()
+            if lower_name in known and lower_name in FRAMING_HEADERS:
+                raise BadRequestError(
+                    HTTPStatus.BAD_REQUEST, f"{lower_name} stands twice"
+                )
+            if lower_name in known and lower_name in SINGLE_VALUE_HEADERS:
+                self.incomplete_request.error = BadRequestError(
+                    HTTPStatus.BAD_REQUEST, f"{lower_name} stands twice"
                 )
-            known[low] = value.decode("latin-1").strip()
+            known[lower_name] = value.decode("latin-1").strip()
 
     def on_headers_complete(self) -> None:
-        self.in_head = False
+        self.in_headers = False
         if (
-            self.reading is not None
+            self.incomplete_request is not None
             and self.transport is not None
             and self.parser is not None
         ):
-            headers = self.reading.headers
+            headers = self.incomplete_request.headers
             version = self.parser.get_http_version()
-            if version not in VERSIONS:
-                raise BadRequest(
+            if version not in HTTP_VERSIONS:
+                raise BadRequestError(
                     HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here"
                 )
-            coding = headers.get("transfer-encoding")
+            transfer_encoding = headers.get("transfer-encoding")
             # Where the body ends must not be open to argument, or it may hide a request
             # that another reads: the parser refuses both lengths at once, repeated and
             # signed ones; the rest is refused here.
-            if coding is not None and (
-                coding.lower() != "chunked"
+            if transfer_encoding is not None and (
+                transfer_encoding.lower() != "chunked"
                 or "content-length" in headers
                 or version == "1.0"
             ):
-                raise BadRequest(
+                raise BadRequestError(
                     HTTPStatus.NOT_IMPLEMENTED, "no such Transfer-Encoding"
                 )
             if self.parser.should_upgrade():
-                raise BadRequest(
+                raise BadRequestError(
                     HTTPStatus.NOT_IMPLEMENTED, "no other protocol is spoken here"
                 )
             length = headers.get("content-length", "0")
-            if length.isdigit() and int(length) > MOST_BODY:
-                raise BadRequest(
+            if length.isdigit() and int(length) > MAX_BODY_BYTES:
+                raise BadRequestError(
                     HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large"
                 )
             if (
-                self.reading.headers.get("expect", "").lower() == "100-continue"
-                and self.busy is None
+                self.incomplete_request.headers.get("expect", "").lower()
+                == "100-continue"
+                and self.active_request is None
             ):
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        if self.reading is not None:
-            if len(self.reading.body) + len(body) > MOST_BODY:
-                raise BadRequest(
+        if self.incomplete_request is not None:
+            if len(self.incomplete_request.body) + len(body) > MAX_BODY_BYTES:
+                raise BadRequestError(
                     HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large"
                 )
-            self.reading.body += body
+            self.incomplete_request.body += body
 
     def on_message_complete(self) -> None:
-        if len(self.waiting) >= MOST_AHEAD:
-            raise BadRequest(HTTPStatus.BAD_REQUEST, "too many requests at once")
-        if self.reading is not None and self.parser is not None:
-            self.reading.method = self.parser.get_method().decode("latin-1")
-            self.reading.keep_alive = self.parser.should_keep_alive()
-            self.waiting.append(self.reading)
-            self.reading = None
-        self.requests += 1
-        self.in_head = True
+        if len(self.queued_requests) >= MAX_PIPELINED_REQUESTS:
+            raise BadRequestError(HTTPStatus.BAD_REQUEST, "too many requests at once")
+        if self.incomplete_request is not None and self.parser is not None:
+            self.incomplete_request.method = self.parser.get_method().decode("latin-1")
+            self.incomplete_request.keep_alive = self.parser.should_keep_alive()
+            self.queued_requests.append(self.incomplete_request)
+            self.incomplete_request = None
+        self.request_count += 1
+        self.in_headers = True
 
     # Answering
 
-    def next(self) -> None:
-        while self.busy is None and self.waiting and self.open():
-            self.busy = self.waiting.popleft()
-            self.server.handle(self, self.busy)
+    def process_next(self) -> None:
+        while self.active_request is None and self.queued_requests and self.is_open():
+            self.active_request = self.queued_requests.popleft()
+            self.server.handle_request(self, self.active_request)
         if self.transport is not None and not self.transport.is_closing():
-            if len(self.waiting) >= MOST_WAITING:
+            if len(self.queued_requests) >= MAX_QUEUED_REQUESTS:
                 self.transport.pause_reading()
             elif not self.transport.is_reading():
                 self.transport.resume_reading()
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
-        request, self.busy, self.left = self.busy, None, None
+        request, self.active_request, self.on_disconnect = (
+            self.active_request,
+            None,
+            None,
+        )
         if (
             request is None
             or self.transport is None
-            or not self.open()
-            or self.until_us
+            or not self.is_open()
+            or self.close_at_us
         ):
             return
         # What was read whole behind it is answered too, and the last of those answers
         # tells of the end: behind an answer with Connection: close a client reads no
         # other.
-        ending = self.server.leaving or self.server.moving or self.ended
-        keep = request.keep_alive and (bool(self.waiting) or not ending)
+        connection_ends = (
+            self.server.draining or self.server.handed_over or self.peer_closed
+        )
+        keep_open = request.keep_alive and (
+            bool(self.queued_requests) or not connection_ends
+        )
         body = (text + "\n").encode() if text else b""
         lines = [
             f"HTTP/1.1 {status.value} {status.phrase}",
@@ -299,15 +323,15 @@
         ]
         if body:
             lines.append("Content-Type: text/plain; charset=utf-8")
-        if not keep:
+        if not keep_open:
             lines.append("Connection: close")
         data = "\r\n".join(lines).encode() + b"\r\n\r\n"
         self.transport.write(data if request.method == "HEAD" else data + body)
-        self.used_us = self.server.clock()
-        if not keep:
+        self.last_used_us = self.server.clock()
+        if not keep_open:
             self.finish()
-        elif not self.ended:
-            asyncio.get_running_loop().call_soon(self.next)
+        elif not self.peer_closed:
+            asyncio.get_running_loop().call_soon(self.process_next)
 
     # Ending
 
@@ -316,106 +340,115 @@
         and what the client has not read of its answers would go: end this side, read on
         and discard for a while, then close.
         """
-        if self.transport is None or not self.open() or self.until_us:
+        if self.transport is None or not self.is_open() or self.close_at_us:
             return
-        self.broken, self.reading, self.raw = True, None, 0
-        self.waiting.clear()
-        if self.ended:
+        self.discarding_input, self.incomplete_request, self.raw_bytes = True, None, 0
+        self.queued_requests.clear()
+        if self.peer_closed:
             return  # all that the client sent is read, and the loop closes
         try:
             self.transport.write_eof()
         except OSError:  # it was reset, and the loop has not read that yet
             self.transport.abort()
             return
-        self.server.linger(self)
+        self.server.close_later(self)
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether the socket holds what the loop has not read yet: it came before the
         end, and goes first.
         """
         return (
             self.transport is not None
             and not self.transport.is_closing()
-            and unread(self.transport)
+            and has_unread_input(self.transport)
         )
 
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def idle(self) -> bool:
-        return self.busy is None and self.reading is None and not self.waiting
+    def is_idle(self) -> bool:
+        return (
+            self.active_request is None
+            and self.incomplete_request is None
+            and not self.queued_requests
+        )
 
-    def stalled_us(self, now: int) -> int:
+    def request_stalled_us(self, now: int) -> int:
         """How long a request has stood half read, with none before it that is not
         answered.
         """
-        before = self.busy is not None or self.waiting
+        before = self.active_request is not None or self.queued_requests
         return (
-            now - self.reading.came_us if self.reading is not None and not before else 0
+            now - self.incomplete_request.received_at_us
+            if self.incomplete_request is not None and not before
+            else 0
         )
 
     def close(self) -> None:
         """Let go between two requests, unless one has come by now: that is answered."""
-        if self.open() and not self.until_us and not self.unread():
+        if self.is_open() and not self.close_at_us and not self.has_unread_input():
             self.finish()
 
-    def end(self, at_once: bool) -> None:
+    def shut_down(self, immediately: bool) -> None:
         """The process ends. What has no answer is waited for, and at last refused, if
         it is whole or not.
         """
-        if self.idle():
+        if self.is_idle():
             self.close()
-        elif at_once and self.open():
-            if self.busy is None and not self.waiting:
-                self.busy, self.reading = self.reading, None
-            self.refuse("not ready", Retry_After="1")
+        elif immediately and self.is_open():
+            if self.active_request is None and not self.queued_requests:
+                self.active_request, self.incomplete_request = (
+                    self.incomplete_request,
+                    None,
+                )
+            self.refuse_pending("not ready", Retry_After="1")
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
 
-class Connections:
+class ConnectionRegistry:
     """All clients' connections, and how they end."""
 
     clock: Callable[[], int]
-    most: int
+    max_connections: int
 
     def __init__(self) -> None:
         self.connections: set[ClientConnection] = set()
-        self.leaving = self.moving = self.closed = False
+        self.draining = self.handed_over = self.closed = False
         self.listener: asyncio.Server | None = None
-        self.accepting: set[asyncio.Task[None]] = set()
+        self.accept_tasks: set[asyncio.Task[None]] = set()
 
-    def came_us(self) -> int:
+    def arrival_time_us(self) -> int:
         raise NotImplementedError
 
-    def joined(self, connection: ClientConnection) -> None:
+    def add_connection(self, connection: ClientConnection) -> None:
         raise NotImplementedError
 
-    def linger(self, connection: ClientConnection) -> None:
+    def close_later(self, connection: ClientConnection) -> None:
         raise NotImplementedError
 
-    def handle(self, connection: ClientConnection, request: Request) -> None:
+    def handle_request(self, connection: ClientConnection, request: Request) -> None:
         raise NotImplementedError
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Go on answering; let go of connections between requests only, and of new ones
         not at once.
         """
-        self.leaving = True
-        fresh = self.clock() - FRESH_US
+        self.draining = True
+        newest_us = self.clock() - FIRST_REQUEST_GRACE_US
         for connection in list(self.connections):
-            if connection.idle() and (
-                connection.requests or connection.came_us <= fresh
+            if connection.is_idle() and (
+                connection.request_count or connection.connected_at_us <= newest_us
             ):
                 connection.close()
 
-    def move(self) -> None:
+    def hand_over(self) -> None:
         """Another process takes the connections from now on; those held here end after
         their next answer.
         """
-        self.moving = True
+        self.handed_over = True
         self.stop_listening()
 
     def stop_listening(self) -> None:
@@ -428,50 +461,52 @@
             loop = asyncio.get_running_loop()
             for sock in listener.sockets:
                 loop.remove_reader(sock.fileno())
-            loop.call_soon(self.take_last, listener)
+            loop.call_soon(self.accept_remaining, listener)
 
-    def take_last(self, listener: asyncio.Server) -> None:
+    def accept_remaining(self, listener: asyncio.Server) -> None:
         """Clients in the backlog are connected already: the listener's close would
         reset them.
         """
         loop = asyncio.get_running_loop()
         for sock in listener.sockets:
-            last = socket.socket(
+            listening = socket.socket(
                 sock.family, sock.type, sock.proto, fileno=sock.fileno()
             )
-            last.setblocking(False)
-            for _ in range(max(0, self.most - len(self.connections))):
+            listening.setblocking(False)
+            for _ in range(max(0, self.max_connections - len(self.connections))):
                 try:
-                    accepted, _ = last.accept()
+                    accepted, _ = listening.accept()
                 except OSError:
                     break
-                task = loop.create_task(self.take(accepted))
-                self.accepting.add(task)
-                task.add_done_callback(self.accepting.discard)
-            last.detach()  # it is the listener's
+                task = loop.create_task(self.adopt_socket(accepted))
+                self.accept_tasks.add(task)
+                task.add_done_callback(self.accept_tasks.discard)
+            listening.detach()  # it is the listener's
         listener.close()
 
-    async def take(self, accepted: socket.socket) -> None:
+    async def adopt_socket(self, accepted: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
             await loop.connect_accepted_socket(lambda: ClientConnection(self), accepted)
         except OSError:
             accepted.close()
 
-    async def close(self, patience_s: float = CLOSE_S) -> None:
+    async def close(self, grace_s: float = CLOSE_GRACE_S) -> None:
         """The process ends: each request gets an answer, and clients a while to read it
         and to let go.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + patience_s
-        self.leaving = True
+        close_at = loop.time() + grace_s
+        self.draining = True
         self.stop_listening()
-        for _ in range(TURNS):
+        for _ in range(SETTLE_LOOP_TURNS):
             await asyncio.sleep(0)
-        while (self.connections or self.accepting) and (now := loop.time()) < until:
+        while (self.connections or self.accept_tasks) and (
+            now := loop.time()
+        ) < close_at:
             for connection in list(self.connections):
-                connection.end(now >= until - patience_s / 2)
-            await asyncio.sleep(CLOSE_S / 20)
+                connection.shut_down(now >= close_at - grace_s / 2)
+            await asyncio.sleep(CLOSE_GRACE_S / 20)
         self.closed = True
         for connection in list(self.connections):
             connection.abort()
--- a/rainfall/net/logjson.py
+++ b/rainfall/forwarder/json_logging.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 
-def install(name: str) -> None:
+def install_json_logging(name: str) -> None:
     """Put JSON lines on standard error in place of the plain ones, and turn on the
     lines of each message. ImportError where structlog is missing: the caller says so
     and does not start.
--- /dev/null
+++ b/rainfall/forwarder/outbound/__init__.py
@@ -0,0 +1,1 @@
+"""Endpoints: connections, calls and responses."""
--- a/rainfall/net/connection.py
+++ b/rainfall/forwarder/outbound/connection.py
@@ -17,91 +17,98 @@
 from typing import TYPE_CHECKING, Protocol
 
 from rainfall.dispatch import AttemptFinished, Outcome
-from rainfall.net.config import Address
-from rainfall.net.http import MOST_BODY, BadAnswer, ResponseReader, unread
+from rainfall.forwarder.config.loading import Address
+from rainfall.forwarder.http1 import (
+    MAX_BODY_BYTES,
+    MalformedResponseError,
+    ResponseReader,
+    has_unread_input,
+)
 
-STALE_US = 30_000  # a kept connection that breaks so soon under its call was stale
+STALE_CONNECTION_US = (
+    30_000  # a kept connection that breaks so soon under its call was stale
+)
 
 
 @dataclass(slots=True)
-class Item:
+class CallItem:
     """One message of a call."""
 
     id: str
     attempt: int
     key: str | None
     body: bytes
-    until_us: int
-    leave_by_us: int = 0
+    timeout_at_us: int
+    send_before_us: int = 0
     """When it may have run before: after this its receivers may have forgotten its key.
     0: at any time.
     """
 
 
 @dataclass(slots=True)
-class Call:
-    target: int
-    place: tuple[int, int]
+class OutboundCall:
+    endpoint: int
+    throttle_scope: tuple[int, int]
     """What shares a wait: its destination, or one route where routes are apart."""
-    sent_us: int
-    items: list[Item]
-    until_us: int = 0
-    dial_until_us: int = 0
-    connection: Connection | None = None
+    sent_at_us: int
+    items: list[CallItem]
+    timeout_at_us: int = 0
+    dial_timeout_at_us: int = 0
+    connection: EndpointConnection | None = None
     timer: asyncio.TimerHandle | None = None
     written: bool = False
     batched: bool = False
-    rendered: int = 0
+    message_count: int = 0
     """Messages that its bytes hold."""
-    begun: bool = False
+    response_started: bool = False
     """Some of its answer has come."""
-    open: dict[str, Item] = field(default_factory=dict)
+    open_items: dict[str, CallItem] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Result:
+class AttemptResult:
     outcome: Outcome
-    closed: bool = False
-    wait_us: int = 0
-    weak: bool = False
+    final: bool = False
+    retry_after_us: int = 0
+    weak_evidence: bool = False
 
 
-Sink = Callable[[AttemptFinished], None]
+OutcomeSink = Callable[[AttemptFinished], None]
 
 
 if TYPE_CHECKING:
 
-    class Owner(Protocol):
+    class ConnectionOwner(Protocol):
         """The pool, as its connections need it."""
 
         clock: Callable[[], int]
-        relayed: int
+        messages_written: int
 
-        def spoilt(self, call: Call, error: object) -> None: ...
+        def log_malformed_response(self, call: OutboundCall, error: object) -> None: ...
 
-        def begun(self, call: Call) -> None: ...
+        def on_response_started(self, call: OutboundCall) -> None: ...
 
-        def ended(
-            self, call: Call, reader: ResponseReader, broken: bool = False
+        def on_response(
+            self, call: OutboundCall, reader: ResponseReader, broken: bool = False
         ) -> None: ...
 
-        def was_stale(self, age_us: int, stale: bool) -> None: ...
+        def record_staleness(self, age_us: int, stale: bool) -> None: ...
 
-        def keep(self, connection: Connection, target: int) -> None: ...
+        def keep_idle(self, connection: EndpointConnection, target: int) -> None: ...
 
-        def lost(self, connection: Connection) -> None: ...
+        def on_connection_lost(self, connection: EndpointConnection) -> None: ...
 
 
-class Connection(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """A connection to a target, with at most one call on it."""
 
-    def __init__(self, pool: Owner, where: Address) -> None:
-        self.pool, self.where, self.idle_us = pool, where, -1
-        self.start_us, self.age_us = (
+    def __init__(self, pool: ConnectionOwner, where: Address) -> None:
+        self.pool, self.address, self.idle_since_us = pool, where, -1
+        self.call_started_us, self.idle_age_us = (
             0,
             -1,
         )  # how long it had been idle before its call; -1 on a new one
-        self.call: Call | None = None
+        self.call: OutboundCall | None = None
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader()
 
@@ -114,37 +121,39 @@
 
     def resume_writing(self) -> None:
         if self.call is not None:
-            self.whole(self.call)
+            self.mark_written(self.call)
 
-    def whole(self, call: Call) -> None:
+    def mark_written(self, call: OutboundCall) -> None:
         """The call's last byte is out."""
         if not call.written:
             call.written = True
-            self.pool.relayed += call.rendered
+            self.pool.messages_written += call.message_count
 
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
-    def quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether nothing has come on it unasked. An end, a second answer or noise that
         waits unread would be taken for the next call's.
         """
-        return not self.closing() and not self.unread()
+        return not self.is_closing() and not self.has_unread_input()
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether something lies at its socket that the loop has not read: bytes, an
         end, a reset.
         """
         if self.transport is None or self.transport.is_closing():
             return False
-        return unread(self.transport)
+        return has_unread_input(self.transport)
 
-    def start(self, call: Call, data: bytes) -> None:
+    def send_call(self, call: OutboundCall, data: bytes) -> None:
         assert self.transport is not None
-        self.reader.renew()
-        self.start_us = self.pool.clock()
-        self.age_us = self.start_us - self.idle_us if self.idle_us >= 0 else -1
-        self.idle_us = -1
+        self.reader.reset()
+        self.call_started_us = self.pool.clock()
+        self.idle_age_us = (
+            self.call_started_us - self.idle_since_us if self.idle_since_us >= 0 else -1
+        )
+        self.idle_since_us = -1
         self.call, call.connection = call, self
         self.transport.write(data)
         # A write that fails leaves the buffer empty, too: then the socket did not take
@@ -153,13 +162,13 @@
             self.transport.get_write_buffer_size() == 0
             and not self.transport.is_closing()
         ):
-            self.whole(call)
+            self.mark_written(call)
 
     def close(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    def give_up(self) -> None:
+    def abort_call(self) -> None:
         """Close it with its call out. A transport closes in the loop's next turn, and
         by then the call's copy may have left: so the sending ends here and now, which
         gives the call up as well.
@@ -176,25 +185,25 @@
             return
         try:
             self.reader.feed(data)
-        except BadAnswer as error:
-            self.pool.spoilt(call, error)
+        except MalformedResponseError as error:
+            self.pool.log_malformed_response(call, error)
             self.call, call.connection = None, None
             # before its end is told: the call may still be out, and its copy leave at
             # once
-            self.give_up()
-            self.pool.ended(call, self.reader, broken=True)
+            self.abort_call()
+            self.pool.on_response(call, self.reader, broken=True)
             return
         if not self.reader.complete:
-            if self.reader.begun:
-                self.pool.begun(call)
+            if self.reader.response_started:
+                self.pool.on_response_started(call)
         else:
-            self.pool.was_stale(self.age_us, False)
+            self.pool.record_staleness(self.idle_age_us, False)
             self.call, call.connection = None, None
-            self.pool.ended(call, self.reader)
+            self.pool.on_response(call, self.reader)
             # What is left of a request that was answered early must not follow: its
             # call would start yet.
-            if self.reader.keep_alive and call.written and not self.closing():
-                self.pool.keep(self, call.target)
+            if self.reader.keep_alive and call.written and not self.is_closing():
+                self.pool.keep_idle(self, call.endpoint)
             else:
                 self.close()
 
@@ -206,23 +215,23 @@
             self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.pool.lost(self)
+        self.pool.on_connection_lost(self)
         call, self.call = self.call, None
         if call is not None:
             call.connection = None
             if error is None:
-                self.reader.ended()
+                self.reader.on_eof()
             if (
-                self.age_us >= 0
-                and not self.reader.started
-                and self.pool.clock() - self.start_us < STALE_US
+                self.idle_age_us >= 0
+                and not self.reader.any_bytes_received
+                and self.pool.clock() - self.call_started_us < STALE_CONNECTION_US
             ):
-                self.pool.was_stale(self.age_us, True)
-            self.pool.ended(call, self.reader, broken=not self.reader.complete)
-        self.reader.let_go()
+                self.pool.record_staleness(self.idle_age_us, True)
+            self.pool.on_response(call, self.reader, broken=not self.reader.complete)
+        self.reader.release_parser()
 
 
-def batch_body(items: list[Item]) -> bytes:
+def encode_batch(items: list[CallItem]) -> bytes:
     return json.dumps(
         [
             {
@@ -236,7 +245,7 @@
     ).encode()
 
 
-def fits(items: list[Item], item: Item) -> bool:
+def fits_batch(items: list[CallItem], item: CallItem) -> bool:
     """Whether one more message leaves the body of a batch call within what targets
     take.
     """
@@ -245,5 +254,5 @@
             4 * len(x.body) // 3 + len(x.id) + len(x.key or "") + 64
             for x in [*items, item]
         )
-        <= MOST_BODY
+        <= MAX_BODY_BYTES
     )
--- a/rainfall/journal/files.py
+++ b/rainfall/journal/files.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 
-class Files(Protocol):
+class FileSystem(Protocol):
     """Writes tell where, so that a failed one leaves no position behind."""
 
     def read(self, path: Path) -> bytes: ...
@@ -20,7 +20,7 @@
 
     def write(self, fd: int, data: memoryview, at: int) -> int: ...
 
-    def cut(self, fd: int, size: int) -> None: ...
+    def truncate(self, fd: int, size: int) -> None: ...
 
     def sync(self, fd: int) -> None: ...
 
@@ -32,10 +32,10 @@
 
     def unlink(self, path: Path) -> None: ...
 
-    def sync_folder(self, path: Path) -> None: ...
+    def sync_directory(self, path: Path) -> None: ...
 
 
-class SystemFiles:
+class LocalFileSystem:
     def read(self, path: Path) -> bytes:
         return path.read_bytes()
 
@@ -49,7 +49,7 @@
     def write(self, fd: int, data: memoryview, at: int) -> int:
         return os.pwrite(fd, data, at)
 
-    def cut(self, fd: int, size: int) -> None:
+    def truncate(self, fd: int, size: int) -> None:
         os.ftruncate(fd, size)
 
     def sync(self, fd: int) -> None:
@@ -67,7 +67,7 @@
     def unlink(self, path: Path) -> None:
         path.unlink(missing_ok=True)
 
-    def sync_folder(self, path: Path) -> None:
+    def sync_directory(self, path: Path) -> None:
         fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -75,7 +75,7 @@
             os.close(fd)
 
 
-def write_all(files: Files, fd: int, data: bytes, at: int) -> None:
+def write_all(files: FileSystem, fd: int, data: bytes, at: int) -> None:
     view = memoryview(data)
     while view:
         done = files.write(fd, view, at)
--- a/rainfall/journal/recovery.py
+++ b/rainfall/journal/recovery.py
@@ -9,21 +9,25 @@
 from pathlib import Path
 from typing import Any
 
-from rainfall.journal.files import Files
-from rainfall.journal.format import Frame, NewerVersion, Scan, scan
-from rainfall.journal.state import State
+from rainfall.journal.files import FileSystem
+from rainfall.journal.format import Frame, NewerVersionError, Scan, scan
+from rainfall.journal.state import JournalState
 
-JOURNAL, SPARE, ASIDE = "journal", "journal.new", "journal.damaged"
-BOOT = Path("/proc/sys/kernel/random/boot_id")
-LEAST_SHIFT_US = 500_000  # the clock is kept by small steps all the time
+JOURNAL_FILE, NEW_JOURNAL_FILE, DAMAGED_JOURNAL_FILE = (
+    "journal",
+    "journal.new",
+    "journal.damaged",
+)
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
+MIN_CLOCK_SHIFT_US = 500_000  # the clock is kept by small steps all the time
 
 
-class Unusable(Exception):
+class UnusableJournalError(Exception):
     """The folder's journal cannot be used by this program; the text is one line."""
 
 
 @dataclass(slots=True)
-class Report:
+class RecoveryReport:
     """What a recovery found and did."""
 
     version: int = 0
@@ -70,7 +74,7 @@
         """
         return sum(max(1, n) for _, _, n in self.gaps)
 
-    def figures(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         kept = asdict(self)
         for name in ("gaps", "lost", "end", "number", "generation", "salt"):
             del kept[name]
@@ -83,7 +87,7 @@
             "took_ms": round(self.took_ms, 1),
         }
 
-    def line(self) -> str:
+    def summary(self) -> str:
         if not self.version:
             return f"journal: none; an empty start in {self.took_ms:.0f} ms"
         more = [
@@ -118,109 +122,117 @@
     told.
     """
     try:
-        return BOOT.read_text().strip()
+        return BOOT_ID_FILE.read_text().strip()
     except OSError:
         return ""
 
 
-def interpret(found: Scan, state: State) -> None:
+def replay(found: Scan, state: JournalState) -> None:
     """Make the state what the records add up to, with what damage leaves in doubt
     marked.
     """
-    last = found.head.checkpoint if found.head is not None else 0
+    last = found.header.checkpoint_frames if found.header is not None else 0
     for part in found.parts:
         if isinstance(part, Frame):
-            state.read(part.payload)
-        elif part.missing < 0 or part.number < 0 or part.number + part.missing > last:
-            state.doubt()
+            state.apply_record(part.payload)
+        elif (
+            part.missing < 0
+            or part.first_missing < 0
+            or part.first_missing + part.missing > last
+        ):
+            state.mark_in_doubt()
         else:
             state.damaged = (
                 True  # within the checkpoint: whole messages are lost, and no attempts
             )
 
 
-def look(data: bytes, into: State | None = None) -> tuple[State, Report]:
+def read_journal(
+    data: bytes, into: JournalState | None = None
+) -> tuple[JournalState, RecoveryReport]:
     """Read, with no effect and without regard to the clock or the machine."""
-    state = into if into is not None else State()
+    state = into if into is not None else JournalState()
     began = time.monotonic()
     try:
         found = scan(data)
-    except NewerVersion as error:
-        raise Unusable(f"the journal is of a newer program: {error}") from None
-    interpret(found, state)
-    report = Report(
+    except NewerVersionError as error:
+        raise UnusableJournalError(
+            f"the journal is of a newer program: {error}"
+        ) from None
+    replay(found, state)
+    report = RecoveryReport(
         version=found.version if data else 0,
         size=len(data),
-        head_damaged=found.head_damaged,
-        gaps=[(g.at, g.size, g.missing) for g in found.gaps],
-        torn=found.torn,
-        unknown=state.unknown,
-        lost=list(state.lost),
+        head_damaged=found.header_damaged,
+        gaps=[(g.offset, g.size, g.missing) for g in found.gaps],
+        torn=found.torn_bytes,
+        unknown=state.unknown_records,
+        lost=list(state.lost_messages),
         end=found.end,
     )
     for f in found.frames:
         report.records += 1
         report.number = f.number + 1
-    if found.head is not None:
-        report.generation, report.power = found.head.generation, found.head.power
-        report.salt = found.head.salt
+    if found.header is not None:
+        report.generation, report.power = found.header.generation, found.header.power
+        report.salt = found.header.salt
     report.took_ms = (time.monotonic() - began) * 1000
     return state, report
 
 
 def recover(
-    files: Files,
+    files: FileSystem,
     folder: Path,
-    state: State,
+    state: JournalState,
     base_us: int,
     boot: str,
     mono_us: int,
-    follow: bool = False,
-) -> Report:
+    predecessor_runs: bool = False,
+) -> RecoveryReport:
     """Fill the state with what the folder holds, safe to go on from. Writes nothing.
     One that follows a process which still runs goes by that one's clock.
     """
     began = time.monotonic()
     try:
-        data = files.read(folder / JOURNAL)
+        data = files.read(folder / JOURNAL_FILE)
     except FileNotFoundError:
         data = b""
-    _, report = look(data, state)
+    _, report = read_journal(data, state)
     if state.clock is not None:
         base, before = state.clock
         report.another_boot = bool(before and boot and before != boot)
-        if report.another_boot and not state.closed and not report.power:
+        if report.another_boot and not state.closed_cleanly and not report.power:
             # what was not synced may be missing at the end without a trace
-            state.doubt()
-        if follow and before == boot:
+            state.mark_in_doubt()
+        if predecessor_runs and before == boot:
             base_us = base
         if before == boot:
-            set_by = base_us - base
-            if abs(set_by) < LEAST_SHIFT_US:
+            clock_shift_us = base_us - base
+            if abs(clock_shift_us) < MIN_CLOCK_SHIFT_US:
                 # the monotonic clock tells how much time has passed: it is gone by
                 # still
                 base_us = base
         else:  # time has not run backwards: so much the clock was set back at least
-            set_by = min(0, base_us + mono_us - latest(state))
-        if abs(set_by) >= LEAST_SHIFT_US:
-            state.shift(set_by)
-            report.shifted_us = set_by
+            clock_shift_us = min(0, base_us + mono_us - latest_known_time(state))
+        if abs(clock_shift_us) >= MIN_CLOCK_SHIFT_US:
+            state.shift_times(clock_shift_us)
+            report.shifted_us = clock_shift_us
     state.clock = (base_us, boot)
-    report.doubted, report.ended = state.resolve()
-    report.lost = list(state.lost)
+    report.doubted, report.ended = state.resolve_doubts()
+    report.lost = list(state.lost_messages)
     report.took_ms = (time.monotonic() - began) * 1000
     return report
 
 
-def latest(state: State) -> int:
+def latest_known_time(state: JournalState) -> int:
     """The latest time that the journal shows to have passed; 0 where it shows none."""
-    times = [at for m in state.messages.values() for at, _ in m.out.values()]
-    times += [m.ran_at_us for m in state.messages.values()]
+    times = [at for m in state.messages.values() for at, _ in m.in_flight.values()]
+    times += [m.executed_at_us for m in state.messages.values()]
     times += [at for pair in state.outages.values() for at in pair]
     for m in (
         state.messages.values()
     ):  # it was taken on no sooner than its longest time before its end
         cls = state.class_of(m)
         if cls is not None:
-            times.append(m.due_us - cls.deadline_us)
+            times.append(m.deadline_us - cls.deadline_us)
     return max(times, default=0)
--- a/rainfall/journal/state.py
+++ b/rainfall/journal/state.py
@@ -37,47 +37,56 @@
 from typing import Any, NamedTuple
 
 from rainfall.dispatch import Idempotency, IdempotencyScope, MessageClass
-from rainfall.journal.live import LiveIndex
+from rainfall.journal.live_index import LiveIndex
 
-PER_MESSAGE = 400  # what a held message's further records may add to a compacted file
+MESSAGE_OVERHEAD_BYTES = (
+    400  # what a held message's further records may add to a compacted file
+)
 # ids of lost messages that are named: about what 3 MB of journal name; 100 bytes each
-MOST_LOST = 10_000
-PLAIN_LIST = 64 * 1024  # bytes of a list's record; one that is longer is compressed
-COMPRESSION = (
+MAX_LOST_MESSAGES = 10_000
+UNCOMPRESSED_LIST_BYTES = (
+    64 * 1024
+)  # bytes of a list's record; one that is longer is compressed
+COMPRESSION_LEVEL = (
     1  # zlib's fastest: 8 MB of hosts take 14 ms, and a fourteenth of the room
 )
 log = logging.getLogger("rainfall.store")
 
 
 @dataclass(slots=True)
-class Taken:
+class AcceptedMessage:
     """A message that was taken on, with all that is needed to go on with it."""
 
     id: str
     class_name: str
     destination: int
-    due_us: int
-    key: str | None
+    deadline_us: int
+    idempotency_key: str | None
     tenant: str | None
     body: bytes
     order_key: str | None = None
     attempts: int = 0
-    ran_at_us: int = -1
-    ran_on: str = ""
-    out: dict[int, tuple[int, str]] = field(default_factory=dict)
-    rules: int = -1
+    executed_at_us: int = -1
+    executed_on: str = ""
+    in_flight: dict[int, tuple[int, str]] = field(default_factory=dict)
+    rules_number: int = -1
     """What it was taken on under; -1 where that is not known."""
-    doubt: bool = False
+    in_doubt: bool = False
     """An attempt, or its end, may stand in what could not be read."""
-    unsent: int = field(default=0, compare=False)
+    unsent_attempts: int = field(default=0, compare=False)
     """Attempts of this process that made no call; not kept."""
 
     @property
     def size(self) -> int:
-        return len(self.body) + len(self.id) + len(self.order_key or "") + PER_MESSAGE
+        return (
+            len(self.body)
+            + len(self.id)
+            + len(self.order_key or "")
+            + MESSAGE_OVERHEAD_BYTES
+        )
 
 
-class Rules(NamedTuple):
+class DeliveryRules(NamedTuple):
     """What a message keeps, also when the settings change: its class, and how many
     attempts it has.
     """
@@ -86,7 +95,7 @@
     classes: tuple[MessageClass, ...]
 
 
-class Owed(NamedTuple):
+class PendingNotification(NamedTuple):
     """An end that the platform has not acknowledged."""
 
     state: str
@@ -94,116 +103,128 @@
     order_key: str | None = None
 
 
-class State:
+class JournalState:
     """All that counts, as the records up to here say."""
 
     def __init__(self) -> None:
-        self.messages: dict[str, Taken] = {}
-        self.index = LiveIndex()
+        self.messages: dict[str, AcceptedMessage] = {}
+        self.live_index = LiveIndex()
         """Of `messages`."""
-        self.owed: dict[str, Owed] = {}
+        self.pending_notifications: dict[str, PendingNotification] = {}
         self.outages: dict[str, tuple[int, int]] = {}
         self.hosts: dict[str, dict[str, Any]] = {}
         self.detached: dict[str, None] = {}
-        self.rules: dict[int, Rules] = {}
-        self.current = -1
+        self.rules: dict[int, DeliveryRules] = {}
+        self.current_rules_number = -1
         self.seq, self.source = -1, ""
-        self.live, self.list_size = 0, 0
+        self.live_bytes, self.list_bytes = 0, 0
         self.clock: tuple[int, str] | None = None
-        self.closed = False
-        self.unknown = 0
+        self.closed_cleanly = False
+        self.unknown_records = 0
         """Records of no form that this program knows."""
-        self.lost: dict[str, None] = {}
+        self.lost_messages: dict[str, None] = {}
         """Messages that later records name and that nothing tells more of."""
         self.damaged = False
-        self.readers: dict[str, Callable[[list[Any], bytes], None]] = {
-            "n": self._new,
-            "t": self._taken,
-            "taken": self._taken,
-            "a": self._attempt,
-            "attempt": self._attempt,
-            "o": self._outcome,
-            "outcome": self._outcome,
-            "x": self._over,
-            "over": self._over,
-            "e": self._owed,
-            "owed": self._owed,
-            "d": self._told,
-            "told": self._told,
-            "l": self._list,
-            "list": self._list,
-            "g": self._outage,
-            "outage": self._outage,
-            "r": self._rules,
-            "rules": self._rules,
-            "h": self._out,
-            "out": self._out,
-            "c": self._clock,
-            "z": self._closed,
-            "p": self._packed,
-            "u": self._update,
+        self.record_readers: dict[str, Callable[[list[Any], bytes], None]] = {
+            "n": self._read_message,
+            "t": self._read_checkpoint_message,
+            "taken": self._read_checkpoint_message,
+            "a": self._read_attempt,
+            "attempt": self._read_attempt,
+            "o": self._read_outcome,
+            "outcome": self._read_outcome,
+            "x": self._remove_message,
+            "over": self._remove_message,
+            "e": self._add_pending_notification,
+            "owed": self._add_pending_notification,
+            "d": self._remove_pending_notification,
+            "told": self._remove_pending_notification,
+            "l": self._read_list,
+            "list": self._read_list,
+            "g": self._set_outage,
+            "outage": self._set_outage,
+            "r": self._read_rules,
+            "rules": self._read_rules,
+            "h": self._set_detached,
+            "out": self._set_detached,
+            "c": self._read_clock,
+            "z": self._read_closed,
+            "p": self._read_compressed,
+            "u": self._read_list_update,
         }
 
     # Reading
 
-    def read(self, payload: bytes) -> None:
+    def apply_record(self, payload: bytes) -> None:
         line, _, body = payload.partition(b"\n")
         try:
             kind, *rest = json.loads(line)
-            self.closed = False
-            self.readers[kind](rest, body)
+            self.closed_cleanly = False
+            self.record_readers[kind](rest, body)
         except (ValueError, KeyError, TypeError, IndexError, zlib.error) as error:
-            self.unknown += 1
+            self.unknown_records += 1
             log.error("journal: a record of unknown form is passed over: %r", error)
 
-    def doubt(self) -> None:
+    def mark_in_doubt(self) -> None:
         """Records are missing here, that may tell more of what has been taken on until
         now.
         """
         self.damaged = True
         for m in self.messages.values():
-            m.doubt = True
+            m.in_doubt = True
 
-    def resolve(self) -> tuple[int, int]:
+    def resolve_doubts(self) -> tuple[int, int]:
         """All is read. What is still in doubt gets an attempt that may have run, or its
         end. Returns how many got which.
         """
-        doubted = [m for m in self.messages.values() if m.doubt]
+        doubted = [m for m in self.messages.values() if m.in_doubt]
         ended = [m for m in doubted if m.order_key is not None]
         for m in ended:  # one behind it may have gone already
-            self._owed([m.id, "failed", 0, m.order_key])
+            self._add_pending_notification([m.id, "failed", 0, m.order_key])
         for m in doubted:
-            m.doubt = False
+            m.in_doubt = False
             if m.order_key is None:
                 cls = self.class_of(m)
-                earliest = max(0, m.due_us - cls.deadline_us) if cls is not None else 0
-                m.out[m.attempts] = (earliest, "")
+                earliest = (
+                    max(0, m.deadline_us - cls.deadline_us) if cls is not None else 0
+                )
+                m.in_flight[m.attempts] = (earliest, "")
                 m.attempts += 1
         return len(doubted) - len(ended), len(ended)
 
-    def shift(self, by_us: int) -> None:
+    def shift_times(self, by_us: int) -> None:
         """The wall clock was set, or it is that of another boot: all times move with
         it.
         """
         for m in self.messages.values():
-            self.move_deadline(m, m.due_us + by_us)
-            if m.ran_at_us >= 0:
-                m.ran_at_us = max(0, m.ran_at_us + by_us)
-            m.out = {n: (max(0, at + by_us), host) for n, (at, host) in m.out.items()}
+            self.move_deadline(m, m.deadline_us + by_us)
+            if m.executed_at_us >= 0:
+                m.executed_at_us = max(0, m.executed_at_us + by_us)
+            m.in_flight = {
+                n: (max(0, at + by_us), host) for n, (at, host) in m.in_flight.items()
+            }
         self.outages = {
             h: (max(0, since + by_us), back + by_us if back >= 0 else back)
             for h, (since, back) in self.outages.items()
         }
 
-    def _new(self, rest: list[Any], body: bytes) -> None:
+    def _read_message(self, rest: list[Any], body: bytes) -> None:
         name, cls, destination, due, key, tenant, order_key, rules = rest
-        self._keep(
-            Taken(
-                name, cls, destination, due, key, tenant, body, order_key, rules=rules
+        self._add_message(
+            AcceptedMessage(
+                name,
+                cls,
+                destination,
+                due,
+                key,
+                tenant,
+                body,
+                order_key,
+                rules_number=rules,
             )
         )
 
-    def _taken(self, rest: list[Any], body: bytes) -> None:
+    def _read_checkpoint_message(self, rest: list[Any], body: bytes) -> None:
         (
             name,
             cls,
@@ -217,8 +238,8 @@
             out,
             *later,
         ) = rest
-        self._keep(
-            Taken(
+        self._add_message(
+            AcceptedMessage(
                 name,
                 cls,
                 destination,
@@ -235,83 +256,91 @@
             )
         )
 
-    def _keep(self, m: Taken) -> None:
+    def _add_message(self, m: AcceptedMessage) -> None:
         old = self.messages.get(m.id)
         if old is not None:
-            self.index.remove(old.id, old.destination, old.due_us)
-            self.live -= old.size
+            self.live_index.remove(old.id, old.destination, old.deadline_us)
+            self.live_bytes -= old.size
         self.messages[m.id] = m
-        self.index.add(m.id, m.destination, m.due_us)
-        self.live += m.size
+        self.live_index.add(m.id, m.destination, m.deadline_us)
+        self.live_bytes += m.size
 
-    def move_deadline(self, m: Taken, due_us: int) -> None:
+    def move_deadline(self, m: AcceptedMessage, due_us: int) -> None:
         """A live message has another deadline."""
-        self.index.move(m.id, m.due_us, due_us)
-        m.due_us = due_us
+        self.live_index.change_deadline(m.id, m.deadline_us, due_us)
+        m.deadline_us = due_us
 
     def forget_messages(self) -> None:
         """They are another process's now."""
         self.messages.clear()
-        self.index.clear()
+        self.live_index.clear()
 
-    def _missing(self, name: str) -> None:
-        if self.damaged and name not in self.owed and len(self.lost) < MOST_LOST:
-            self.lost[name] = None
+    def _note_missing(self, name: str) -> None:
+        if (
+            self.damaged
+            and name not in self.pending_notifications
+            and len(self.lost_messages) < MAX_LOST_MESSAGES
+        ):
+            self.lost_messages[name] = None
 
-    def _attempt(self, rest: list[Any], body: bytes) -> None:
+    def _read_attempt(self, rest: list[Any], body: bytes) -> None:
         name, number, at, host = rest
         m = self.messages.get(name)
         if m is None:
-            self._missing(name)
+            self._note_missing(name)
             return
         if number == m.attempts:
             # the next one that was due: none stood in between, and no end either
-            m.doubt = False
-        m.out[number] = (at, host)
+            m.in_doubt = False
+        m.in_flight[number] = (at, host)
         m.attempts = max(m.attempts, number + 1)
 
-    def _outcome(self, rest: list[Any], body: bytes) -> None:
+    def _read_outcome(self, rest: list[Any], body: bytes) -> None:
         name, number, ran = rest
         m = self.messages.get(name)
         if m is not None:
-            self.book(m, number, bool(ran))
+            self.apply_outcome(m, number, bool(ran))
         else:
-            self._missing(name)
+            self._note_missing(name)
 
     @staticmethod
-    def book(m: Taken, number: int, ran: bool) -> None:
-        sent = m.out.pop(number, None)
-        if ran and sent is not None and (m.ran_at_us < 0 or sent[0] < m.ran_at_us):
-            m.ran_at_us, m.ran_on = sent
-
-    def _over(self, rest: list[Any], body: bytes = b"") -> None:
+    def apply_outcome(m: AcceptedMessage, number: int, ran: bool) -> None:
+        sent = m.in_flight.pop(number, None)
+        if (
+            ran
+            and sent is not None
+            and (m.executed_at_us < 0 or sent[0] < m.executed_at_us)
+        ):
+            m.executed_at_us, m.executed_on = sent
+
+    def _remove_message(self, rest: list[Any], body: bytes = b"") -> None:
         m = self.messages.pop(rest[0], None)
-        self.lost.pop(rest[0], None)
+        self.lost_messages.pop(rest[0], None)
         if m is not None:
-            self.index.remove(m.id, m.destination, m.due_us)
-            self.live -= m.size
+            self.live_index.remove(m.id, m.destination, m.deadline_us)
+            self.live_bytes -= m.size
 
-    def _owed(self, rest: list[Any], body: bytes = b"") -> None:
-        self._over(rest)
-        self.owed[rest[0]] = Owed(*rest[1:])
+    def _add_pending_notification(self, rest: list[Any], body: bytes = b"") -> None:
+        self._remove_message(rest)
+        self.pending_notifications[rest[0]] = PendingNotification(*rest[1:])
 
-    def _told(self, rest: list[Any], body: bytes = b"") -> None:
-        self.owed.pop(rest[0], None)
+    def _remove_pending_notification(self, rest: list[Any], body: bytes = b"") -> None:
+        self.pending_notifications.pop(rest[0], None)
 
-    def _list(self, rest: list[Any], body: bytes = b"") -> None:
+    def _read_list(self, rest: list[Any], body: bytes = b"") -> None:
         hosts = {h["host"]: h for h in rest[1]}
         self.seq, self.source, self.hosts = (
             rest[0],
             rest[2] if len(rest) > 2 else "",
             hosts,
         )
-        self.list_size = 200 * len(self.hosts)
+        self.list_bytes = 200 * len(self.hosts)
 
-    def _packed(self, rest: list[Any], body: bytes) -> None:
-        self.read(zlib.decompress(body))
-        self.list_size = len(body)
+    def _read_compressed(self, rest: list[Any], body: bytes) -> None:
+        self.apply_record(zlib.decompress(body))
+        self.list_bytes = len(body)
 
-    def _update(self, rest: list[Any], body: bytes) -> None:
+    def _read_list_update(self, rest: list[Any], body: bytes) -> None:
         before, seq, changed, gone, source = rest
         if (before, source) != (self.seq, self.source):
             # damage took what it builds on: no version of the list is known, all is
@@ -323,36 +352,36 @@
         self.hosts.update((h["host"], h) for h in changed)
         self.seq = seq
 
-    def _rules(self, rest: list[Any], body: bytes = b"") -> None:
+    def _read_rules(self, rest: list[Any], body: bytes = b"") -> None:
         number, attempts, classes = rest
-        self.rules[number] = Rules(attempts, tuple(map(_class, classes)))
-        self.current = number
+        self.rules[number] = DeliveryRules(attempts, tuple(map(_decode_class, classes)))
+        self.current_rules_number = number
 
-    def _out(self, rest: list[Any], body: bytes = b"") -> None:
+    def _set_detached(self, rest: list[Any], body: bytes = b"") -> None:
         name, out = rest
         if out:
             self.detached[name] = None
         else:
             self.detached.pop(name, None)
 
-    def _outage(self, rest: list[Any], body: bytes = b"") -> None:
+    def _set_outage(self, rest: list[Any], body: bytes = b"") -> None:
         host, since, back = rest
         if since < 0:
             self.outages.pop(host, None)
         else:
             self.outages[host] = (since, back)
 
-    def _clock(self, rest: list[Any], body: bytes = b"") -> None:
+    def _read_clock(self, rest: list[Any], body: bytes = b"") -> None:
         base, boot = rest
         self.clock = (base, boot)
 
-    def _closed(self, rest: list[Any], body: bytes = b"") -> None:
-        self.closed = True
+    def _read_closed(self, rest: list[Any], body: bytes = b"") -> None:
+        self.closed_cleanly = True
 
     # Writing
 
-    def class_of(self, m: Taken) -> MessageClass | None:
-        rules = self.rules.get(m.rules)
+    def class_of(self, m: AcceptedMessage) -> MessageClass | None:
+        rules = self.rules.get(m.rules_number)
         return (
             next((c for c in rules.classes if c.name == m.class_name), None)
             if rules
@@ -364,36 +393,40 @@
         left out.
         """
         named = {
-            m.rules for m in self.messages.values()
+            m.rules_number for m in self.messages.values()
         }  # the one in force stands last
         self.rules = {
-            n: r for n, r in self.rules.items() if n in named or n == self.current
+            n: r
+            for n, r in self.rules.items()
+            if n in named or n == self.current_rules_number
         }
         if self.clock is not None:
-            yield record("c", *self.clock)
-        for number in sorted(self.rules, key=lambda n: (n == self.current, n)):
-            yield self.kept_rules(number)
-        yield kept_list(self.seq, self.hosts, self.source)
+            yield encode_record("c", *self.clock)
+        for number in sorted(
+            self.rules, key=lambda n: (n == self.current_rules_number, n)
+        ):
+            yield self.encode_rules(number)
+        yield encode_list(self.seq, self.hosts, self.source)
         for h in self.detached:
-            yield record("h", h, True)
+            yield encode_record("h", h, True)
         for h, o in self.outages.items():
-            yield record("g", h, *o)
+            yield encode_record("g", h, *o)
         for m in self.messages.values():
-            yield kept(m)
-        for name, end in self.owed.items():
-            yield record("e", name, *end)
+            yield encode_message(m)
+        for name, end in self.pending_notifications.items():
+            yield encode_record("e", name, *end)
 
-    def kept_rules(self, number: int) -> bytes:
+    def encode_rules(self, number: int) -> bytes:
         rules = self.rules[number]
-        return record(
+        return encode_record(
             "r", number, rules.attempts, [class_record(c) for c in rules.classes]
         )
 
-    def facts(self) -> dict[str, Any]:
+    def comparable_contents(self) -> dict[str, Any]:
         """All that must be the same after a recovery, to compare."""
         return {
             "messages": list(self.messages.values()),
-            "owed": self.owed,
+            "owed": self.pending_notifications,
             "outages": self.outages,
             "hosts": self.hosts,
             "detached": list(self.detached),
@@ -401,69 +434,69 @@
             "rules": {
                 n: r
                 for n, r in self.rules.items()
-                if n == self.current
-                or any(m.rules == n for m in self.messages.values())
+                if n == self.current_rules_number
+                or any(m.rules_number == n for m in self.messages.values())
             },
         }
 
 
-def kept(m: Taken) -> bytes:
+def encode_message(m: AcceptedMessage) -> bytes:
     if not m.attempts:
-        return record(
+        return encode_record(
             "n",
             m.id,
             m.class_name,
             m.destination,
-            m.due_us,
-            m.key,
+            m.deadline_us,
+            m.idempotency_key,
             m.tenant,
             m.order_key,
-            m.rules,
+            m.rules_number,
             body=m.body,
         )
-    out = [[n, at, host] for n, (at, host) in m.out.items()]
-    return record(
+    out = [[n, at, host] for n, (at, host) in m.in_flight.items()]
+    return encode_record(
         "t",
         m.id,
         m.class_name,
         m.destination,
-        m.due_us,
-        m.key,
+        m.deadline_us,
+        m.idempotency_key,
         m.tenant,
         m.attempts,
-        m.ran_at_us,
-        m.ran_on,
+        m.executed_at_us,
+        m.executed_on,
         out,
         m.order_key,
-        m.rules,
+        m.rules_number,
         body=m.body,
     )
 
 
-def _word(value: object) -> str:
+def _json_default(value: object) -> str:
     if isinstance(value, Enum):
         return str(value.value)
     raise TypeError(f"cannot be journaled: {value!r}")
 
 
-_write = json.JSONEncoder(separators=(",", ":"), default=_word).encode
+_encode_json = json.JSONEncoder(separators=(",", ":"), default=_json_default).encode
 
 
-def record(*line: Any, body: bytes | None = None) -> bytes:
+def encode_record(*line: Any, body: bytes | None = None) -> bytes:
     """A record's payload."""
-    text = _write(line).encode()
+    text = _encode_json(line).encode()
     return text if body is None else text + b"\n" + body
 
 
-def kept_list(seq: int, hosts: dict[str, dict[str, Any]], source: str) -> bytes:
+def encode_list(seq: int, hosts: dict[str, dict[str, Any]], source: str) -> bytes:
     """The record of a list, compressed where it is long: it stands in each file, and
     the disk is small.
     """
-    plain = record("l", seq, [*hosts.values()], source)
+    plain = encode_record("l", seq, [*hosts.values()], source)
     return (
         plain
-        if len(plain) <= PLAIN_LIST
-        else record("p", body=zlib.compress(plain, COMPRESSION))
+        if len(plain) <= UNCOMPRESSED_LIST_BYTES
+        else encode_record("p", body=zlib.compress(plain, COMPRESSION_LEVEL))
     )
 
 
@@ -486,7 +519,7 @@
     return {key: getattr(cls, attribute) for attribute, key in CLASS_KEYS.items()}
 
 
-def _class(told: dict[str, Any]) -> MessageClass:
+def _decode_class(told: dict[str, Any]) -> MessageClass:
     """A class as it was written; what a later program added to it is passed over."""
     known = {
         attribute: told[key] for attribute, key in CLASS_KEYS.items() if key in told
--- a/rainfall/journal/worker.py
+++ b/rainfall/journal/sync_thread.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable
 
-from rainfall.journal.writer import Done
+from rainfall.journal.writer import JobDone
 
 
 class SyncThread:
@@ -17,12 +17,12 @@
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.jobs: queue.SimpleQueue[tuple[Callable[[], None], Done]] = (
+        self.jobs: queue.SimpleQueue[tuple[Callable[[], None], JobDone]] = (
             queue.SimpleQueue()
         )
         threading.Thread(target=self.run, name="journal-sync", daemon=True).start()
 
-    def __call__(self, job: Callable[[], None], done: Done) -> None:
+    def __call__(self, job: Callable[[], None], done: JobDone) -> None:
         self.jobs.put((job, done))
 
     def run(self) -> None:
--- a/rainfall/journal/writer.py
+++ b/rainfall/journal/writer.py
@@ -17,27 +17,31 @@
 from contextlib import suppress
 from pathlib import Path
 
-from rainfall.journal.files import Files, write_all
-from rainfall.journal.format import FRAME, POWER, VERSION, Head, frame
-from rainfall.journal.recovery import ASIDE, JOURNAL, SPARE
-
-LEAST_REWRITE = 256 * 1024  # below this size the file is left to grow
-ROOM = (
+from rainfall.journal.files import FileSystem, write_all
+from rainfall.journal.format import FLAG_POWER, FRAME, VERSION, FileHeader, encode_frame
+from rainfall.journal.recovery import (
+    DAMAGED_JOURNAL_FILE,
+    JOURNAL_FILE,
+    NEW_JOURNAL_FILE,
+)
+
+REWRITE_THRESHOLD_BYTES = 256 * 1024  # below this size the file is left to grow
+RESERVED_BYTES = (
     128 * 1024
 )  # kept free for the small records that follow a message that was taken on
-RETRY_S = 0.5  # between two tries to write a file anew after a failure
-FULL = (
+REWRITE_RETRY_S = 0.5  # between two tries to write a file anew after a failure
+TOLERATED_ERRNOS = (
     errno.ENOSPC,
     errno.EDQUOT,
     errno.EIO,
 )  # at a start too: what is held is still delivered
-Done = Callable[[OSError | None], None]
-Worker = Callable[[Callable[[], None], Done], None]
+JobDone = Callable[[OSError | None], None]
+SyncWorker = Callable[[Callable[[], None], JobDone], None]
 """Does a job elsewhere and tells in the loop how it ended."""
 log = logging.getLogger("rainfall.store")
 
 
-class Log:
+class JournalWriter:
     """The file in use. Before `begin` and after `let_go` nothing is written, only
     gathered.
     """
@@ -45,37 +49,42 @@
     def __init__(
         self,
         folder: Path,
-        files: Files,
+        files: FileSystem,
         most: int,
-        worker: Worker | None,
+        worker: SyncWorker | None,
         checkpoint: Callable[[], Iterable[bytes]],
         live: Callable[[], int],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.folder, self.files, self.most, self.worker = folder, files, most, worker
-        self.checkpoint, self.live, self.clock = checkpoint, live, clock
-        self.path, self.spare, self.aside_path = (
-            folder / JOURNAL,
-            folder / SPARE,
-            folder / ASIDE,
+        self.folder, self.files, self.max_bytes, self.worker = (
+            folder,
+            files,
+            most,
+            worker,
+        )
+        self.checkpoint, self.live_bytes, self.clock = checkpoint, live, clock
+        self.path, self.new_path, self.damaged_path = (
+            folder / JOURNAL_FILE,
+            folder / NEW_JOURNAL_FILE,
+            folder / DAMAGED_JOURNAL_FILE,
         )
         self.fd, self.size, self.number, self.salt, self.generation = -1, 0, 0, 0, 0
-        self.aside = 0
+        self.damaged_bytes = 0
         self.writing = False
         self.pending: list[bytes] = []
-        self.appended = self.kept = 0
+        self.appended = self.persisted = 0
         """How many records were gathered, and how many of them are kept."""
         self.failed = False
         """No new work is taken on."""
-        self.behind = False
+        self.incomplete = False
         """The file lacks records that are in memory: only a new one can hold them
         all.
         """
-        self.busy = self.switching = False
+        self.worker_busy = self.switching = False
         self.retry_at = 0.0
         self.waiters: deque[tuple[int, Callable[[bool], None]]] = deque()
-        self.bytes = self.syncs = self.rewrites = self.faults = 0
-        self.synced_s = self.longest_sync_s = 0.0
+        self.bytes_written = self.syncs = self.rewrites = self.failures = 0
+        self.total_sync_s = self.longest_sync_s = 0.0
 
     # Beginning and ending
 
@@ -83,9 +92,9 @@
         """Become the writer: behind what is there (its salt, generation and next number
         are told), or with a new file where that cannot be built on.
         """
-        self.files.unlink(self.spare)
+        self.files.unlink(self.new_path)
         with suppress(OSError):
-            self.aside = self.files.size(self.aside_path)
+            self.damaged_bytes = self.files.size(self.damaged_path)
         self.writing = True
         if (
             head is None or self.worker is not None
@@ -95,32 +104,32 @@
         self.salt, self.generation, self.number = head
         self.fd = self.files.open(self.path)
         if torn:
-            self.files.cut(self.fd, end)
+            self.files.truncate(self.fd, end)
         self.size = end
 
-    def set_aside(self, size: int, live: int) -> bool:
+    def keep_damaged_file(self, size: int, live: int) -> bool:
         """Keep a damaged file under another name where that leaves the room that
         messages need.
         """
         with suppress(OSError):
-            self.files.unlink(self.aside_path)
-        if size + 2 * live + ROOM > self.most:
+            self.files.unlink(self.damaged_path)
+        if size + 2 * live + RESERVED_BYTES > self.max_bytes:
             return False
         try:
-            self.files.link(self.path, self.aside_path)
+            self.files.link(self.path, self.damaged_path)
         except OSError:
             return False
-        self.aside = size
+        self.damaged_bytes = size
         return True
 
-    def drop_aside(self) -> None:
-        if self.aside:
-            self.aside = 0
+    def drop_damaged_file(self) -> None:
+        if self.damaged_bytes:
+            self.damaged_bytes = 0
             log.warning("journal: the damaged file makes way for messages")
             with suppress(OSError):
-                self.files.unlink(self.aside_path)
+                self.files.unlink(self.damaged_path)
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Write no more; another may."""
         self.writing = False
         if self.fd >= 0:
@@ -139,19 +148,19 @@
         """
         if not self.pending or not self.writing or self.switching:
             return
-        if self.failed and self.clock() >= self.retry_at and not self.busy:
+        if self.failed and self.clock() >= self.retry_at and not self.worker_busy:
             self.rewrite()
             if self.switching or not self.pending:
                 return
-        if self.behind:
+        if self.incomplete:
             self.pending.clear()  # memory holds all that a new file needs
             return
         after = self.size + sum(map(len, self.pending)) + FRAME.size * len(self.pending)
         if (
-            after > max(LEAST_REWRITE, 4 * self.live())
-            or after + self.live() + ROOM // 2 > self.most
+            after > max(REWRITE_THRESHOLD_BYTES, 4 * self.live_bytes())
+            or after + self.live_bytes() + RESERVED_BYTES // 2 > self.max_bytes
         ):
-            if self.busy:
+            if self.worker_busy:
                 return  # they wait for its end anyway
             if (
                 not self.failed
@@ -159,11 +168,11 @@
                 and (self.switching or not self.pending)
             ):
                 return
-        if after + self.aside > self.most:
-            self.drop_aside()
-        if after > self.most:
+        if after + self.damaged_bytes > self.max_bytes:
+            self.drop_damaged_file()
+        if after > self.max_bytes:
             self.fail("cannot write", OSError(errno.ENOSPC, "over the limit on disk"))
-            self.behind = True
+            self.incomplete = True
             self.pending.clear()
             return
         self.write()
@@ -172,7 +181,7 @@
         data = bytearray()
         number = self.number
         for payload in self.pending:
-            data += frame(self.salt, number, payload, self.size + len(data))
+            data += encode_frame(self.salt, number, payload, self.size + len(data))
             number += 1
         try:
             write_all(self.files, self.fd, bytes(data), self.size)
@@ -180,20 +189,20 @@
             # A full disk must not end the process: what is held is delivered, new work
             # is refused.
             self.fail("cannot write", error)
-            self.behind = True
+            self.incomplete = True
             with suppress(
                 OSError
             ):  # else the torn write stays, and is cut at the next start
-                self.files.cut(self.fd, self.size)
+                self.files.truncate(self.fd, self.size)
             self.pending.clear()
             return
         self.size, self.number = self.size + len(data), number
-        self.bytes += len(data)
+        self.bytes_written += len(data)
         self.pending.clear()
 
     def fail(self, what: str, error: OSError) -> None:
         self.failed = True
-        self.faults += 1
+        self.failures += 1
         log.error("journal: %s: %s", what, error)
 
     # A new file
@@ -203,92 +212,92 @@
         Returns whether that is done, or under way; while a sync is, nothing is
         begun.
         """
-        if self.busy:
+        if self.worker_busy:
             return False
-        self.retry_at = self.clock() + RETRY_S
+        self.retry_at = self.clock() + REWRITE_RETRY_S
         payloads = list(self.checkpoint())
-        head = Head(
+        head = FileHeader(
             VERSION,
-            POWER if self.worker else 0,
+            FLAG_POWER if self.worker else 0,
             secrets.randbits(32),
             self.generation + 1,
             len(payloads),
         )
-        data = bytearray(head.bytes())
+        data = bytearray(head.encode())
         for number, payload in enumerate(payloads):
-            data += frame(head.salt, number, payload, len(data))
-        data += head.bytes()
-        if self.size + len(data) + self.aside > self.most:
-            self.drop_aside()
+            data += encode_frame(head.salt, number, payload, len(data))
+        data += head.encode()
+        if self.size + len(data) + self.damaged_bytes > self.max_bytes:
+            self.drop_damaged_file()
         fd = -1
         try:
-            if self.size <= self.most < self.size + len(data):
+            if self.size <= self.max_bytes < self.size + len(data):
                 raise OSError(errno.ENOSPC, "two files would be over the limit on disk")
-            fd = self.files.open(self.spare, anew=True)
+            fd = self.files.open(self.new_path, anew=True)
             write_all(self.files, fd, bytes(data), 0)
             if self.worker is None:
-                self.files.replace(self.spare, self.path)
+                self.files.replace(self.new_path, self.path)
         except OSError as error:
-            if first and error.errno not in FULL:
+            if first and error.errno not in TOLERATED_ERRNOS:
                 raise
-            self.abandon(fd, error)
+            self.abandon_rewrite(fd, error)
             return False
-        self.bytes += len(data)
+        self.bytes_written += len(data)
         if self.worker is None:
-            self.adopt(fd, head, len(data))
-            self.kept, self.pending = self.appended, []
+            self.use_new_file(fd, head, len(data))
+            self.persisted, self.pending = self.appended, []
         else:
-            self.switch(fd, head, len(data))
+            self.sync_new_file(fd, head, len(data))
         return True
 
-    def abandon(self, fd: int, error: OSError) -> None:
+    def abandon_rewrite(self, fd: int, error: OSError) -> None:
         self.fail("cannot write it anew", error)
-        self.behind |= self.fd < 0
+        self.incomplete |= self.fd < 0
         with suppress(OSError):
             if fd >= 0:
                 self.files.close(fd)
         with suppress(OSError):
-            self.files.unlink(self.spare)
+            self.files.unlink(self.new_path)
 
-    def adopt(self, fd: int, head: Head, size: int) -> None:
+    def use_new_file(self, fd: int, head: FileHeader, size: int) -> None:
         if self.fd >= 0:
             self.files.close(self.fd)
         if self.failed:
             log.warning("journal: a new file holds everything again")
-        self.fd, self.size, self.number = fd, size, head.checkpoint
+        self.fd, self.size, self.number = fd, size, head.checkpoint_frames
         self.salt, self.generation = head.salt, head.generation
-        self.failed = self.behind = False
+        self.failed = self.incomplete = False
         self.rewrites += 1
 
-    def switch(self, fd: int, head: Head, size: int) -> None:
+    def sync_new_file(self, fd: int, head: FileHeader, size: int) -> None:
         """Sync the new file and its name. What is gathered meanwhile waits for the end
         of that: it goes into the new file, or into the old one where that stays.
         """
         assert self.worker is not None
         position, covered, replaced = self.appended, len(self.pending), False
-        self.busy = self.switching = True
+        self.worker_busy = self.switching = True
 
         def job() -> None:
             nonlocal replaced
             began = self.clock()
             self.files.sync(fd)
-            self.files.replace(self.spare, self.path)
+            self.files.replace(self.new_path, self.path)
             replaced = True
-            self.files.sync_folder(self.folder)
+            self.files.sync_directory(self.folder)
             self.count_sync(began, 2)
 
         def done(error: OSError | None) -> None:
-            self.busy = self.switching = False
+            self.worker_busy = self.switching = False
             if error is None:
-                self.adopt(fd, head, size)
-                self.kept = position
+                self.use_new_file(fd, head, size)
+                self.persisted = position
                 del self.pending[:covered]
             else:
-                self.behind |= replaced  # the old file has no name any more
-                self.abandon(fd, error)
-                if self.behind:
-                    self.refuse()
-            self.go_on()
+                self.incomplete |= replaced  # the old file has no name any more
+                self.abandon_rewrite(fd, error)
+                if self.incomplete:
+                    self.fail_waiters()
+            self.advance()
 
         self.worker(job, done)
 
@@ -297,7 +306,7 @@
     def count_sync(self, began: float, syncs: int = 1) -> None:
         took = self.clock() - began
         self.syncs += syncs
-        self.synced_s += took
+        self.total_sync_s += took
         self.longest_sync_s = max(self.longest_sync_s, took)
 
     def commit(self, then: Callable[[bool], None]) -> None:
@@ -306,27 +315,27 @@
         """
         self.flush()
         if self.worker is None:
-            then(not self.behind)
+            then(not self.incomplete)
             return
         self.waiters.append((self.appended, then))
-        self.go_on()
+        self.advance()
 
-    def go_on(self) -> None:
+    def advance(self) -> None:
         """Serve who need not wait any more, and begin the next sync if others do."""
-        self.serve()
-        if self.busy or not self.writing:
+        self.notify_persisted()
+        if self.worker_busy or not self.writing:
             return
         self.flush()
-        if self.busy or self.behind:
+        if self.worker_busy or self.incomplete:
             return
         if self.waiters:
             self.sync()
 
-    def serve(self) -> None:
-        while self.waiters and self.waiters[0][0] <= self.kept:
+    def notify_persisted(self) -> None:
+        while self.waiters and self.waiters[0][0] <= self.persisted:
             self.waiters.popleft()[1](True)
 
-    def refuse(self) -> None:
+    def fail_waiters(self) -> None:
         waiters, self.waiters = self.waiters, deque()
         for _, then in waiters:
             then(False)
@@ -334,7 +343,7 @@
     def sync(self) -> None:
         assert self.worker is not None
         fd, position = self.fd, self.appended - len(self.pending)
-        self.busy = True
+        self.worker_busy = True
 
         def job() -> None:
             began = self.clock()
@@ -342,30 +351,30 @@
             self.count_sync(began)
 
         def done(error: OSError | None) -> None:
-            self.busy = False
+            self.worker_busy = False
             if error is None:
-                self.kept = max(self.kept, position)
+                self.persisted = max(self.persisted, position)
             else:
                 # The kernel may have dropped the pages: a second sync of this file
                 # would tell nothing.
                 self.fail("cannot sync", error)
-                self.behind = True
+                self.incomplete = True
                 if self.writing and not self.rewrite():
-                    self.refuse()
-            self.go_on()
+                    self.fail_waiters()
+            self.advance()
 
         self.worker(job, done)
 
-    def tend(self) -> None:
+    def retry_after_failure(self) -> None:
         """From time to time: a failure must not last because nothing more is
         written.
         """
         if (
             self.writing
             and self.failed
-            and not self.busy
+            and not self.worker_busy
             and self.clock() >= self.retry_at
         ):
             if not self.rewrite():
-                self.refuse()
-            self.go_on()
+                self.fail_waiters()
+            self.advance()
--- a/rainfall/lab/__main__.py
+++ b/rainfall/lab/__main__.py
@@ -14,57 +14,64 @@
 from rainfall.lab.experiment import Experiment, ExperimentError, read
 
 
-def arguments(argv: list[str]) -> argparse.Namespace:
+def parse_arguments(argv: list[str]) -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m rainfall.lab", description=__doc__)
-    sub = parser.add_subparsers(dest="command", required=True)
-    check = sub.add_parser(
+    subparsers = parser.add_subparsers(dest="command", required=True)
+    check = subparsers.add_parser(
         "check", help="check an experiment file and say what it would start"
     )
     check.add_argument("experiment", type=Path)
     check.add_argument(
         "--seed", type=int, help="also list the faults that this seed gives"
     )
-    play = sub.add_parser("run", help="play an experiment; exit 1 on any breach")
-    play.add_argument("experiment", type=Path)
-    play.add_argument(
+    run_parser = subparsers.add_parser(
+        "run", help="play an experiment; exit 1 on any breach"
+    )
+    run_parser.add_argument("experiment", type=Path)
+    run_parser.add_argument(
         "--out",
         type=Path,
         required=True,
         help="folder for records, verdict, logs and report",
     )
-    play.add_argument(
+    run_parser.add_argument(
         "--seed", type=int, help="the seed of load and faults (default: the file's)"
     )
-    play.add_argument("--no-report", action="store_true", help="skip the plots")
-    many = sub.add_parser(
+    run_parser.add_argument("--no-report", action="store_true", help="skip the plots")
+    sweep_parser = subparsers.add_parser(
         "sweep", help="play an experiment under many seeds; exit 1 on any breach"
     )
-    many.add_argument("experiment", type=Path)
-    many.add_argument(
-        "--seeds", type=sweep.seeds, required=True, help="such as 1-100 or 3,7,20-29"
+    sweep_parser.add_argument("experiment", type=Path)
+    sweep_parser.add_argument(
+        "--seeds",
+        type=sweep.parse_seeds,
+        required=True,
+        help="such as 1-100 or 3,7,20-29",
     )
-    many.add_argument(
-        "--jobs", type=sweep.jobs, default=1, help="runs at a time (default 1)"
+    sweep_parser.add_argument(
+        "--jobs", type=sweep.parse_jobs, default=1, help="runs at a time (default 1)"
     )
-    many.add_argument(
+    sweep_parser.add_argument(
         "--out",
         type=Path,
         required=True,
         help="folder for summary.json and a folder a seed",
     )
-    many.add_argument(
+    sweep_parser.add_argument(
         "--keep",
         choices=("all", "failures", "none"),
         default="all",
         help="whose folders stay: of every seed, of those with a breach, of none",
     )
-    again = sub.add_parser("report", help="draw the report of a run again")
-    again.add_argument("folder", type=Path)
-    way = sub.add_parser(
+    report_parser = subparsers.add_parser(
+        "report", help="draw the report of a run again"
+    )
+    report_parser.add_argument("folder", type=Path)
+    path_parser = subparsers.add_parser(
         "path", help="one message's way across processes, as JSON lines in time order"
     )
-    way.add_argument("folder", type=Path)
-    way.add_argument(
+    path_parser.add_argument("folder", type=Path)
+    path_parser.add_argument(
         "key", help="the message's name (its idempotency key), as in verdict.json"
     )
     return parser.parse_args(argv)
@@ -75,13 +82,13 @@
     return code
 
 
-def _look(args: argparse.Namespace) -> int:
+def _show_results(args: argparse.Namespace) -> int:
     """``report`` and ``path``: from a run's folder alone."""
     try:
         if args.command == "report":
             print(report.draw(args.folder))
         else:
-            for line in report.path(args.folder, args.key):
+            for line in report.message_path(args.folder, args.key):
                 print(json.dumps(line))
     except (FileNotFoundError, ValueError) as error:
         return _fail(f"no run in {args.folder}: {error}")
@@ -89,25 +96,27 @@
 
 
 def _check(experiment: Experiment, seed: int | None) -> int:
-    from rainfall.lab.nemesis import timeline
+    from rainfall.lab.nemesis import fault_timeline
 
     print(
         f"{experiment.name}: {experiment.fleet.forwarders} forwarders, "
         f"{len(experiment.endpoint_names())} endpoints, {len(experiment.faults)} faults, "
         f"{experiment.load.rate_per_s:g} messages a second for {experiment.duration_s:g} s"
     )
-    for f in timeline(experiment, seed) if seed is not None else ():
-        how = (
-            f"{f.for_s:g} s"
-            if not f.restart
-            else f"restart {f.restart} after {f.after_s:g} s"
+    for fault in fault_timeline(experiment, seed) if seed is not None else ():
+        duration = (
+            f"{fault.for_s:g} s"
+            if not fault.restart
+            else f"restart {fault.restart} after {fault.after_s:g} s"
+        )
+        print(
+            f"{fault.at_s:9.3f} s  {fault.kind:8} {fault.target or 'zone ' + fault.zone}  {duration}"
         )
-        print(f"{f.at_s:9.3f} s  {f.kind:8} {f.target or 'zone ' + f.zone}  {how}")
     return 0
 
 
 def _run(experiment: Experiment, seed: int, out: Path, draw: bool) -> int:
-    from rainfall.lab.fleet import StartError
+    from rainfall.lab.processes import StartError
     from rainfall.lab.runner import run
 
     try:
@@ -132,9 +141,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    args = arguments(sys.argv[1:] if argv is None else argv)
+    args = parse_arguments(sys.argv[1:] if argv is None else argv)
     if args.command in ("report", "path"):
-        return _look(args)
+        return _show_results(args)
     try:
         experiment = read(args.experiment)
     except ExperimentError as error:
--- a/rainfall/lab/checker.py
+++ b/rainfall/lab/checker.py
@@ -30,9 +30,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-TAKEN = (200, 202)
-REFUSED = (429, 503)
-SHOWN = 20
+ACCEPTED_STATUSES = (200, 202)
+REJECTED_STATUSES = (429, 503)
+LISTED_KEYS = 20
 """How many names of lost or doubled messages a verdict lists."""
 
 
@@ -60,19 +60,19 @@
 
 @dataclass(slots=True)
 class Message:
-    cls: str
+    class_name: str
     destination: int
     deadline_ns: int
     first_sent_ns: int = -1
     accepted: bool = False
     last_status: int = 0
     ids: set[str] = field(default_factory=set)
-    delivered_at: list[int] = field(default_factory=list)
+    delivered_at_ns: list[int] = field(default_factory=list)
     delivered_ids: list[str] = field(default_factory=list)
-    wrong_place: bool = False
+    misrouted: bool = False
     session: str = ""
     number: int = 0
-    taken: list[tuple[str, str, int]] = field(default_factory=list)
+    acceptances: list[tuple[str, str, int]] = field(default_factory=list)
     """Each hand-in that was taken on: id, forwarder, when."""
 
     def lost(self, noticed: Mapping[str, str], wiped: Mapping[str, int]) -> bool:
@@ -81,14 +81,14 @@
         """
         if (
             not self.accepted
-            or self.delivered_at
+            or self.delivered_at_ns
             or any(i in noticed for i in self.ids)
         ):
             return False
-        return not self.gone(wiped)
+        return not self.is_wiped(wiped)
 
-    def gone(self, wiped: Mapping[str, int]) -> bool:
-        return all(wiped.get(member, -1) >= at for _, member, at in self.taken)
+    def is_wiped(self, wiped: Mapping[str, int]) -> bool:
+        return all(wiped.get(member, -1) >= at for _, member, at in self.acceptances)
 
     def doubled(self, effect: str) -> bool:
         return effect == "once" and len(set(self.delivered_ids)) < len(
@@ -96,7 +96,7 @@
         )
 
 
-def _latency(histogram: HdrHistogram) -> dict[str, float]:
+def _latency_percentiles(histogram: HdrHistogram) -> dict[str, float]:
     if not histogram.get_total_count():
         return {}
     return {
@@ -106,65 +106,71 @@
 
 
 @dataclass(slots=True)
-class Joined:
+class JoinedRecords:
     """The records of a run, joined by message."""
 
     messages: dict[str, Message] = field(default_factory=dict)
     noticed: dict[str, str] = field(default_factory=dict)
     wiped: dict[str, int] = field(default_factory=dict)
-    lags: list[int] = field(default_factory=list)
+    lags_ns: list[int] = field(default_factory=list)
     phantoms: list[str] = field(default_factory=list)
 
 
-def join(
+def join_records(
     records: Iterable[Mapping[str, Any]], deadlines_ns: Mapping[str, int]
-) -> Joined:
-    j = Joined()
+) -> JoinedRecords:
+    joined = JoinedRecords()
     calls: list[Mapping[str, Any]] = []
-    for r in records:
-        if r["kind"] == "try":
-            _try(j, r, deadlines_ns)
-        elif r["kind"] == "call":
-            calls.append(r)
-        elif r["kind"] == "notice":
-            j.noticed[r["id"]] = r["state"]
-        elif r["kind"] == "process" and r["did"] == "wiped":
-            j.wiped[r["member"]] = max(r["at_ns"], j.wiped.get(r["member"], -1))
-    owner = {i: key for key, m in j.messages.items() for i in m.ids}
-    for c in calls:
-        m = j.messages.get(c.get("key") or owner.get(c["id"], ""))
-        if m is None:
-            j.phantoms.append(
-                c["id"]
+    for record in records:
+        if record["kind"] == "try":
+            _add_attempt(joined, record, deadlines_ns)
+        elif record["kind"] == "call":
+            calls.append(record)
+        elif record["kind"] == "notice":
+            joined.noticed[record["id"]] = record["state"]
+        elif record["kind"] == "process" and record["did"] == "wiped":
+            joined.wiped[record["member"]] = max(
+                record["at_ns"], joined.wiped.get(record["member"], -1)
+            )
+    owner = {i: key for key, message in joined.messages.items() for i in message.ids}
+    for call in calls:
+        message = joined.messages.get(call.get("key") or owner.get(call["id"], ""))
+        if message is None:
+            joined.phantoms.append(
+                call["id"]
             )  # no client handed it in: PROTOCOL voids such a run
             continue
-        m.wrong_place |= c["destination"] != m.destination
-        if c["status"] == 200:
-            m.delivered_at.append(c["at_ns"])
-            m.delivered_ids.append(c["id"])
-    return j
+        message.misrouted |= call["destination"] != message.destination
+        if call["status"] == 200:
+            message.delivered_at_ns.append(call["at_ns"])
+            message.delivered_ids.append(call["id"])
+    return joined
 
 
-def _try(j: Joined, r: Mapping[str, Any], deadlines_ns: Mapping[str, int]) -> None:
-    ready = r.get(
-        "ready_ns", r["due_ns"]
+def _add_attempt(
+    joined: JoinedRecords, record: Mapping[str, Any], deadlines_ns: Mapping[str, int]
+) -> None:
+    ready_ns = record.get(
+        "ready_ns", record["due_ns"]
     )  # one that had to wait for its session's turn was due only then
-    m = j.messages.get(r["key"])
-    if m is None:
-        m = j.messages[r["key"]] = Message(
-            r["cls"],
-            r["destination"],
-            ready + deadlines_ns[r["cls"]],
-            session=r.get("session", ""),
-            number=r.get("number", 0),
+    message = joined.messages.get(record["key"])
+    if message is None:
+        message = joined.messages[record["key"]] = Message(
+            record["cls"],
+            record["destination"],
+            ready_ns + deadlines_ns[record["cls"]],
+            session=record.get("session", ""),
+            number=record.get("number", 0),
+        )
+        message.first_sent_ns = record["sent_ns"]
+        joined.lags_ns.append(record["sent_ns"] - ready_ns)
+    message.ids.add(record["id"])
+    message.last_status = record["status"]
+    if record["status"] in ACCEPTED_STATUSES:
+        message.accepted = True
+        message.acceptances.append(
+            (record["id"], f"f{record['forwarder']}", record["answer_ns"])
         )
-        m.first_sent_ns = r["sent_ns"]
-        j.lags.append(r["sent_ns"] - ready)
-    m.ids.add(r["id"])
-    m.last_status = r["status"]
-    if r["status"] in TAKEN:
-        m.accepted = True
-        m.taken.append((r["id"], f"f{r['forwarder']}", r["answer_ns"]))
 
 
 def verdict(
@@ -177,84 +183,95 @@
     and doubled messages, the load's lag behind its schedule, and ``valid`` (False where
     the lag passed ``max_lag_ms``).
     """
-    j = join(records, deadlines_ns)
+    joined = join_records(records, deadlines_ns)
     tallies: dict[str, Tally] = defaultdict(Tally)
     histograms: dict[str, HdrHistogram] = {}
     lost: list[str] = []
     doubled: list[str] = []
-    for key, m in sorted(j.messages.items()):
-        t = tallies[m.cls]
-        histogram = histograms.setdefault(m.cls, HdrHistogram(1, 600_000_000, 3))
-        _count(t, m, j, effects[m.cls], histogram, key, lost, doubled)
-    for cls, t in tallies.items():
-        t.latency_ms = _latency(histograms[cls])
+    for key, message in sorted(joined.messages.items()):
+        tally = tallies[message.class_name]
+        histogram = histograms.setdefault(
+            message.class_name, HdrHistogram(1, 600_000_000, 3)
+        )
+        _tally_message(
+            tally,
+            message,
+            joined,
+            effects[message.class_name],
+            histogram,
+            key,
+            lost,
+            doubled,
+        )
+    for cls, tally in tallies.items():
+        tally.latency_ms = _latency_percentiles(histograms[cls])
     total = Tally()
-    for t in tallies.values():
+    for tally in tallies.values():
         for name in COUNTS:
-            setattr(total, name, getattr(total, name) + getattr(t, name))
+            setattr(total, name, getattr(total, name) + getattr(tally, name))
     lag = HdrHistogram(1, 600_000_000, 3)
-    for value in j.lags:
+    for value in joined.lags_ns:
         lag.record_value(max(1, value // 1000))
     lag_ms = (
         {
             "p99": lag.get_value_at_percentile(99) / 1000,
             "max": lag.get_max_value() / 1000,
         }
-        if j.lags
+        if joined.lags_ns
         else {}
     )
     return {
-        "classes": {cls: asdict(t) for cls, t in sorted(tallies.items())},
+        "classes": {cls: asdict(tally) for cls, tally in sorted(tallies.items())},
         "total": asdict(total),
         "lost": total.lost,
         "doubled": total.doubled,
-        "phantoms": len(j.phantoms),
-        "lost_keys": lost[:SHOWN],
-        "doubled_keys": doubled[:SHOWN],
+        "phantoms": len(joined.phantoms),
+        "lost_keys": lost[:LISTED_KEYS],
+        "doubled_keys": doubled[:LISTED_KEYS],
         "lag_ms": lag_ms,
-        "valid": not j.lags or lag_ms["max"] <= max_lag_ms,
+        "valid": not joined.lags_ns or lag_ms["max"] <= max_lag_ms,
     }
 
 
-def _count(
-    t: Tally,
-    m: Message,
-    j: Joined,
+def _tally_message(
+    tally: Tally,
+    message: Message,
+    joined: JoinedRecords,
     effect: str,
     histogram: HdrHistogram,
     key: str,
     lost: list[str],
     doubled: list[str],
 ) -> None:
-    t.messages += 1
-    t.misrouted += m.wrong_place
-    if m.delivered_at:
-        t.delivered += 1
-        first = min(m.delivered_at)
-        t.late += first > m.deadline_ns
-        histogram.record_value(max(1, (first - m.first_sent_ns) // 1000))
-        t.unanswered_delivered += not m.accepted
-        if m.doubled(effect):
-            t.doubled += 1
+    tally.messages += 1
+    tally.misrouted += message.misrouted
+    if message.delivered_at_ns:
+        tally.delivered += 1
+        first = min(message.delivered_at_ns)
+        tally.late += first > message.deadline_ns
+        histogram.record_value(max(1, (first - message.first_sent_ns) // 1000))
+        tally.unanswered_delivered += not message.accepted
+        if message.doubled(effect):
+            tally.doubled += 1
             doubled.append(key)
-        t.resent += effect == "once" and len(set(m.delivered_ids)) > 1
-    if m.accepted:
-        t.accepted += 1
-        if not m.delivered_at:
-            if any(i in j.noticed for i in m.ids):
-                t.noticed += 1
-            elif m.lost(j.noticed, j.wiped):
-                t.lost += 1
+        tally.resent += effect == "once" and len(set(message.delivered_ids)) > 1
+    if message.accepted:
+        tally.accepted += 1
+        if not message.delivered_at_ns:
+            if any(i in joined.noticed for i in message.ids):
+                tally.noticed += 1
+            elif message.lost(joined.noticed, joined.wiped):
+                tally.lost += 1
                 lost.append(key)
             else:
-                t.wiped += 1
-    elif m.last_status in REFUSED:
-        t.refused += 1
+                tally.wiped += 1
+    elif message.last_status in REJECTED_STATUSES:
+        tally.refused += 1
     else:
-        t.failed += 1
+        tally.failed += 1
 
 
-def bad(result: Mapping[str, Any]) -> bool:
+def has_breach(result: Mapping[str, Any]) -> bool:
     """Whether the run lost or doubled anything, or an endpoint got a message that
     nobody handed in: the lab's exit is 1 then.
     """
--- a/rainfall/lab/relay.py
+++ b/rainfall/lab/discovery_relay.py
@@ -17,39 +17,39 @@
 from dataclasses import dataclass, field
 from typing import Any, Self
 
-from rainfall.lab.proxy import DIAL_S, reset
+from rainfall.lab.fault_proxy import DIAL_TIMEOUT_S, reset_connection
 
-HEAD = 16384
-BODY = (
+HEAD_LIMIT_BYTES = 16384
+BODY_LIMIT_BYTES = (
     32 * 1024 * 1024
 )  # bytes; a list of 44,000 endpoints, written out for reading, is 14 MB
-NAMES = {"hosts": "host", "members": "name"}
+ENTRY_NAME_FIELDS = {"hosts": "host", "members": "name"}
 """Lists in the service's answers whose entries have a dial, and the field that names
 the entry.
 """
 
 
-def rewritten(body: bytes, dials: Mapping[str, str]) -> bytes:
+def rewrite_dials(body: bytes, dials: Mapping[str, str]) -> bytes:
     """An answer's body with the dials of known hosts and members replaced; as it was if
     it holds none.
     """
     if b'"dial"' not in body:
         return body
     try:
-        told = json.loads(body)
+        answer = json.loads(body)
     except ValueError:
         return body  # not ours to judge: the forwarder does
-    if not isinstance(told, dict):
+    if not isinstance(answer, dict):
         return body
-    for key, name in NAMES.items():
-        entries = told.get(key)
+    for key, name in ENTRY_NAME_FIELDS.items():
+        entries = answer.get(key)
         for entry in entries if isinstance(entries, list) else []:
             if isinstance(entry, dict) and "dial" in entry and entry.get(name) in dials:
                 entry["dial"] = dials[entry[name]]
-    return json.dumps(told, separators=(",", ":")).encode()
+    return json.dumps(answer, separators=(",", ":")).encode()
 
 
-async def message(reader: asyncio.StreamReader) -> tuple[list[str], bytes] | None:
+async def read_message(reader: asyncio.StreamReader) -> tuple[list[str], bytes] | None:
     """One HTTP/1.1 message as its head's lines and its body; None at a clean end,
     ValueError past a bound.
     """
@@ -69,12 +69,12 @@
             length = int(value)
         elif name.strip().lower() == "transfer-encoding":
             raise ValueError("chunks are not passed on")
-    if not 0 <= length <= BODY:
+    if not 0 <= length <= BODY_LIMIT_BYTES:
         raise ValueError("body too large")
     return lines, await reader.readexactly(length)
 
 
-def joined(lines: list[str], body: bytes) -> bytes:
+def encode_message(lines: list[str], body: bytes) -> bytes:
     kept = [line for line in lines if not line.lower().startswith("content-length:")]
     if len(kept) < len(lines):
         kept.append(f"Content-Length: {len(body)}")
@@ -82,47 +82,47 @@
 
 
 @dataclass
-class Relay:
+class DiscoveryRelay:
     """Listens at ``listen`` for one forwarder; ``port`` is the service's. ``noticed``
     hears each notice that the service answered with 2xx.
     """
 
-    port: int
+    service_port: int
     dials: Mapping[str, str]
-    noticed: Callable[[dict[str, Any]], None] = lambda notice: None
-    listen: int = 0
+    on_notice: Callable[[dict[str, Any]], None] = lambda notice: None
+    listen_port: int = 0
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
     server: asyncio.Server | None = None
 
     async def start(self) -> Self:
         self.server = await asyncio.start_server(
-            self._serve, "127.0.0.1", 0, limit=HEAD
+            self._serve, "127.0.0.1", 0, limit=HEAD_LIMIT_BYTES
         )
-        self.listen = self.server.sockets[0].getsockname()[1]
+        self.listen_port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def stop(self) -> None:
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
-            reset(writer)
+            reset_connection(writer)
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.writers.add(writer)
         peer: asyncio.StreamWriter | None = None
-        asked: deque[bytes] = deque()
+        pending_notices: deque[bytes] = deque()
         tasks: list[asyncio.Task[None]] = []
         try:
-            async with asyncio.timeout(DIAL_S):
+            async with asyncio.timeout(DIAL_TIMEOUT_S):
                 answers, peer = await asyncio.open_connection(
-                    "127.0.0.1", self.port, limit=HEAD
+                    "127.0.0.1", self.service_port, limit=HEAD_LIMIT_BYTES
                 )
             self.writers.add(peer)
             tasks = [
-                asyncio.create_task(self._up(reader, peer, asked)),
-                asyncio.create_task(self._down(answers, writer, asked)),
+                asyncio.create_task(self._up(reader, peer, pending_notices)),
+                asyncio.create_task(self._down(answers, writer, pending_notices)),
             ]
             # Either side's end is the other's: a forwarder that leaves frees its watch,
             # a dead service shows.
@@ -140,37 +140,39 @@
             for end in [writer] if peer is None else [writer, peer]:
                 self.writers.discard(end)
                 if not end.is_closing():
-                    reset(end)
+                    reset_connection(end)
 
     async def _up(
         self,
         reader: asyncio.StreamReader,
         peer: asyncio.StreamWriter,
-        asked: deque[bytes],
+        pending_notices: deque[bytes],
     ) -> None:
-        while (got := await message(reader)) is not None:
-            lines, body = got
-            asked.append(body if lines[0].startswith("POST /v1/notices") else b"")
-            peer.write(joined(lines, body))
+        while (message := await read_message(reader)) is not None:
+            lines, body = message
+            pending_notices.append(
+                body if lines[0].startswith("POST /v1/notices") else b""
+            )
+            peer.write(encode_message(lines, body))
             await peer.drain()
 
     async def _down(
         self,
         answers: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        asked: deque[bytes],
+        pending_notices: deque[bytes],
     ) -> None:
-        while (got := await message(answers)) is not None:
-            lines, body = got
-            notices = asked.popleft() if asked else b""
+        while (message := await read_message(answers)) is not None:
+            lines, body = message
+            notices = pending_notices.popleft() if pending_notices else b""
             if lines[0].split(" ")[1:2][0].startswith("2"):
-                self._tell(notices)
-            writer.write(joined(lines, rewritten(body, self.dials)))
+                self._report_notices(notices)
+            writer.write(encode_message(lines, rewrite_dials(body, self.dials)))
             await writer.drain()
 
-    def _tell(self, notices: bytes) -> None:
+    def _report_notices(self, notices: bytes) -> None:
         for line in notices.splitlines():
             with contextlib.suppress(ValueError):
                 notice = json.loads(line)
                 if isinstance(notice, dict) and "id" in notice:
-                    self.noticed(notice)
+                    self.on_notice(notice)
--- a/rainfall/lab/experiment.py
+++ b/rainfall/lab/experiment.py
@@ -11,9 +11,9 @@
 from dataclasses import replace
 from pathlib import Path
 
-from rainfall.lab import faults, sections
-from rainfall.lab.reader import ExperimentError, Reader
-from rainfall.lab.shapes import Experiment, Fault, Fleet, Load, LoadClass
+from rainfall.lab import experiment_sections, fault_sections
+from rainfall.lab.experiment_model import Experiment, Fault, Fleet, Load, LoadClass
+from rainfall.lab.table_reader import ExperimentError, TableReader
 
 __all__ = [
     "Experiment",
@@ -32,17 +32,17 @@
     fault.
     """
     try:
-        top = tomllib.loads(text)
+        document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise ExperimentError([f"{source}: not TOML: {error}"]) from None
-    r = Reader()
-    r.unknown(top, set(Experiment.__dataclass_fields__), "")
-    fleet = sections.fleet(r, r.table(top, "fleet", ""))
-    exp = Experiment(
-        name=r.take(top, "name", str, "", "experiment"),
-        seed=r.take(top, "seed", int, "", 1),
-        duration_s=r.take(
-            top,
+    reader = TableReader()
+    reader.check_unknown_keys(document, set(Experiment.__dataclass_fields__), "")
+    fleet = experiment_sections.parse_fleet(reader, reader.table(document, "fleet", ""))
+    experiment = Experiment(
+        name=reader.read(document, "name", str, "", "experiment"),
+        seed=reader.read(document, "seed", int, "", 1),
+        duration_s=reader.read(
+            document,
             "duration_s",
             float,
             "",
@@ -50,24 +50,33 @@
             lambda v: 0 < v <= 3600,
             "must be over 0, 3600 at most",
         ),
-        settle_s=r.take(top, "settle_s", float, "", 5.0, lambda v: 0 <= v <= 600),
+        settle_s=reader.read(
+            document, "settle_s", float, "", 5.0, lambda v: 0 <= v <= 600
+        ),
         fleet=fleet,
-        load=sections.load(r, r.table(top, "load", ""), fleet.forwarders),
-        budgets=sections.budgets(
-            r, r.take(top, "budgets", list, "", []), fleet.destinations
+        load=experiment_sections.parse_load(
+            reader, reader.table(document, "load", ""), fleet.forwarders
+        ),
+        budgets=experiment_sections.parse_budgets(
+            reader, reader.read(document, "budgets", list, "", []), fleet.destinations
         ),
     )
-    raw = r.take(top, "faults", list, "", [])
-    made = [faults.fault(r, t, f"faults[{n}]", exp) for n, t in enumerate(raw)]
+    fault_tables = reader.read(document, "faults", list, "", [])
+    parsed_faults = [
+        fault_sections.parse_fault(reader, t, f"faults[{n}]", experiment)
+        for n, t in enumerate(fault_tables)
+    ]
     nemesis = (
-        faults.nemesis(r, r.table(top, "nemesis", ""), exp.duration_s)
-        if "nemesis" in top
+        fault_sections.parse_nemesis(
+            reader, reader.table(document, "nemesis", ""), experiment.duration_s
+        )
+        if "nemesis" in document
         else None
     )
-    if r.faults:
-        raise ExperimentError(r.faults)
-    known = tuple(sorted((f for f in made if f), key=lambda f: f.at_s))
-    return replace(exp, faults=known, nemesis=nemesis)
+    if reader.faults:
+        raise ExperimentError(reader.faults)
+    known = tuple(sorted((f for f in parsed_faults if f), key=lambda f: f.at_s))
+    return replace(experiment, faults=known, nemesis=nemesis)
 
 
 def read(path: Path) -> Experiment:
--- a/rainfall/lab/shapes.py
+++ b/rainfall/lab/experiment_model.py
@@ -23,11 +23,11 @@
 with the square.
 """
 MAX_RATE = 20_000.0
-SERVICE = "list"
+LIST_SERVICE = "list"
 """The name of the list service's process, and of the discovery end of the links to
 it.
 """
-FLEET = "fleet"
+FLEET_ADDRESS = "fleet"
 """The name of the fleet end (beats) of the links to the list service."""
 
 
@@ -156,7 +156,10 @@
         ]
 
     def process_names(self) -> list[str]:
-        return [*self.forwarder_names(), *([SERVICE] if self.fleet.service else [])]
+        return [
+            *self.forwarder_names(),
+            *([LIST_SERVICE] if self.fleet.service else []),
+        ]
 
     def zone_of(self, member: str) -> str:
         """Members are spread over the zones in turn: f0 and e0 in the first, f1 and e1
@@ -173,38 +176,40 @@
         return next(c.effect for c in self.load.classes if c.name == cls)
 
 
-def links_of(experiment: Experiment) -> list[str]:
+def link_names(experiment: Experiment) -> list[str]:
     """Every link's name: ``client>f0``, ``f0>e1``, ``f0>list``; with the service as a
     process ``f0>fleet``, and with peers ``f0>f1``.
     """
     names: list[str] = []
-    for fwd in experiment.forwarder_names():
+    for forwarder in experiment.forwarder_names():
         names += [
-            f"client>{fwd}",
-            f"{fwd}>{SERVICE}",
-            *(f"{fwd}>{e}" for e in experiment.endpoint_names()),
+            f"client>{forwarder}",
+            f"{forwarder}>{LIST_SERVICE}",
+            *(f"{forwarder}>{e}" for e in experiment.endpoint_names()),
         ]
-        names += [f"{fwd}>{FLEET}"] if experiment.fleet.service else []
+        names += [f"{forwarder}>{FLEET_ADDRESS}"] if experiment.fleet.service else []
         if experiment.fleet.peers:
             names += [
-                f"{fwd}>{peer}" for peer in experiment.forwarder_names() if peer != fwd
+                f"{forwarder}>{peer}"
+                for peer in experiment.forwarder_names()
+                if peer != forwarder
             ]
     return names
 
 
-def chosen_links(experiment: Experiment, fault: Fault) -> list[str]:
+def matching_links(experiment: Experiment, fault: Fault) -> list[str]:
     """The links that a link fault hits: by glob, or all those with one end in its
     zone.
     """
-    every = links_of(experiment)
+    all_links = link_names(experiment)
     if fault.zone:
 
         def inside(name: str) -> bool:
             return any(
-                end not in ("client", SERVICE, FLEET)
+                end not in ("client", LIST_SERVICE, FLEET_ADDRESS)
                 and experiment.zone_of(end) == fault.zone
                 for end in name.split(">")
             )
 
-        return [name for name in every if inside(name)]
-    return [name for name in every if fnmatch.fnmatchcase(name, fault.target)]
+        return [name for name in all_links if inside(name)]
+    return [name for name in all_links if fnmatch.fnmatchcase(name, fault.target)]
--- a/rainfall/lab/timeline.py
+++ b/rainfall/lab/fault_injection.py
@@ -8,16 +8,21 @@
 import signal
 from collections.abc import Iterable
 
-from rainfall.lab.shapes import ENDPOINT_KINDS, LINK_KINDS, Fault, chosen_links
-from rainfall.lab.stage import Stage
-from rainfall.lab.standins import Behaviour, Endpoint
+from rainfall.lab.experiment_model import (
+    ENDPOINT_KINDS,
+    LINK_KINDS,
+    Fault,
+    matching_links,
+)
+from rainfall.lab.stand_ins import Behaviour, Endpoint
+from rainfall.lab.testbed import Testbed
 
 
-async def play(stage: Stage, faults: Iterable[Fault]) -> None:
+async def inject_faults(testbed: Testbed, faults: Iterable[Fault]) -> None:
     """Every fault at its time; returns when all are over, and ends them all where it is
     cancelled.
     """
-    tasks = [asyncio.create_task(_fault(stage, f)) for f in faults]
+    tasks = [asyncio.create_task(_inject(testbed, fault)) for fault in faults]
     try:
         await asyncio.gather(*tasks)
     finally:
@@ -26,37 +31,37 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _fault(stage: Stage, fault: Fault) -> None:
-    await asyncio.sleep(max(0.0, fault.at_s - stage.clock() / 1e9))
-    start = stage.clock()
-    stage.log.info("fault", fault=fault.kind, target=fault.target, zone=fault.zone)
+async def _inject(testbed: Testbed, fault: Fault) -> None:
+    await asyncio.sleep(max(0.0, fault.at_s - testbed.clock() / 1e9))
+    start_ns = testbed.clock()
+    testbed.log.info("fault", fault=fault.kind, target=fault.target, zone=fault.zone)
     if fault.kind in LINK_KINDS:
-        names = chosen_links(stage.experiment, fault)
+        names = matching_links(testbed.experiment, fault)
         for name in names:
-            stage.links[name].set(fault.kind, fault.delay_ms, fault.jitter_ms)
+            testbed.links[name].set_state(fault.kind, fault.delay_ms, fault.jitter_ms)
         await asyncio.sleep(fault.for_s)
         for name in names:
-            stage.links[name].set("pass")
+            testbed.links[name].set_state("pass")
     elif fault.kind in ENDPOINT_KINDS:
-        await _endpoint(stage, stage.endpoints[fault.target], fault)
+        await _inject_endpoint_fault(testbed, testbed.endpoints[fault.target], fault)
     else:
-        await _process(stage, fault)
-    stage.log.info("healed", fault=fault.kind, target=fault.target, zone=fault.zone)
-    stage.record(
+        await _inject_process_fault(testbed, fault)
+    testbed.log.info("healed", fault=fault.kind, target=fault.target, zone=fault.zone)
+    testbed.record(
         {
             "kind": "fault",
             "fault": fault.kind,
             "target": fault.target or f"zone {fault.zone}",
-            "at_ns": start,
-            "until_ns": stage.clock(),
+            "at_ns": start_ns,
+            "until_ns": testbed.clock(),
         }
     )
 
 
-async def _process(stage: Stage, fault: Fault) -> None:
-    process = stage.process(fault.target)
+async def _inject_process_fault(testbed: Testbed, fault: Fault) -> None:
+    process = testbed.process(fault.target)
     async with (
-        process.turn
+        process.fault_lock
     ):  # one fault on a process at a time: no pause in the middle of a start
         if fault.kind == "pause":
             process.signal(signal.SIGSTOP)
@@ -65,11 +70,11 @@
             finally:
                 process.signal(signal.SIGCONT)
             return
-        await (process.kill() if fault.kind == "kill" else process.term())
+        await (process.kill() if fault.kind == "kill" else process.terminate())
         if fault.restart:
             await asyncio.sleep(fault.after_s)
-            await process.restart(keep=fault.restart == "keep")
-            stage.log.info(
+            await process.restart(keep_state=fault.restart == "keep")
+            testbed.log.info(
                 "member ready",
                 member=process.name,
                 role=process.role,
@@ -77,18 +82,20 @@
             )
 
 
-async def _endpoint(stage: Stage, endpoint: Endpoint, fault: Fault) -> None:
-    b = endpoint.behaviour
+async def _inject_endpoint_fault(
+    testbed: Testbed, endpoint: Endpoint, fault: Fault
+) -> None:
+    behaviour = endpoint.behaviour
     if fault.kind == "slow":
-        b.slow_ms = fault.delay_ms
+        behaviour.slow_ms = fault.delay_ms
     elif fault.kind == "failing":
-        b.failing = fault.share
+        behaviour.failure_ratio = fault.share
     elif fault.kind == "limit":
-        b.limit = fault.limit
+        behaviour.concurrency_limit = fault.limit
     else:  # cold: a restart, whose first calls are slow
-        b.cold_ms, b.cold_until_ns = (
+        behaviour.cold_ms, behaviour.cold_until_ns = (
             fault.delay_ms,
-            stage.clock() + int(fault.for_s * 1e9),
+            testbed.clock() + int(fault.for_s * 1e9),
         )
     if fault.for_s:
         await asyncio.sleep(fault.for_s)
--- a/rainfall/lab/proxy.py
+++ b/rainfall/lab/fault_proxy.py
@@ -22,14 +22,14 @@
 from dataclasses import dataclass, field
 from typing import Self
 
-CHUNK = 65536
-DIAL_S = 2.0
-SPARE = 256
+CHUNK_BYTES = 65536
+DIAL_TIMEOUT_S = 2.0
+RESERVED_DESCRIPTORS = 256
 """Descriptors left to logs, pipes and listening sockets that come later."""
 STATES = ("pass", "delay", "drop", "reset", "silence", "oneway")
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Close with RST, as a process that died or a middlebox that cut the line."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
@@ -41,38 +41,42 @@
 
 
 @dataclass(slots=True)
-class Gate:
+class ConnectionLimiter:
     """The bound on connections open through all links together. A connection that is
     taken up costs this process four descriptors at most (both ends of the link and, for
     a stand-in, of its server); with no bound the accept loop meets the descriptors' end
     and logs that again and again.
     """
 
-    most: int
-    refusing: Callable[[], None] = lambda: None
+    limit: int
+    on_first_rejection: Callable[[], None] = lambda: None
     """Called once, as the first is refused."""
     open: int = 0
-    most_open: int = 0
-    refused: int = 0
-
-    def enter(self) -> bool:
-        if self.open >= self.most:
-            if not self.refused:
-                self.refusing()
-            self.refused += 1
+    peak_open: int = 0
+    rejected: int = 0
+
+    def try_acquire(self) -> bool:
+        if self.open >= self.limit:
+            if not self.rejected:
+                self.on_first_rejection()
+            self.rejected += 1
             return False
         self.open += 1
-        self.most_open = max(self.most_open, self.open)
+        self.peak_open = max(self.peak_open, self.open)
         return True
 
-    def leave(self) -> None:
+    def release(self) -> None:
         self.open -= 1
 
-    def figures(self) -> dict[str, int]:
-        return {"most": self.most, "most_open": self.most_open, "refused": self.refused}
+    def statistics(self) -> dict[str, int]:
+        return {
+            "most": self.limit,
+            "most_open": self.peak_open,
+            "refused": self.rejected,
+        }
 
 
-def room() -> int:
+def connection_capacity() -> int:
     """Proxied connections that this process's descriptors allow, its limit raised as
     far as it goes.
     """
@@ -84,22 +88,22 @@
     free = (1 << 20 if soft == resource.RLIM_INFINITY else soft) - len(
         os.listdir("/proc/self/fd")
     )
-    return max(16, min(100_000, (free - SPARE) // 4))
+    return max(16, min(100_000, (free - RESERVED_DESCRIPTORS) // 4))
 
 
 @dataclass(eq=False, slots=True)
-class _Pair:
+class _ProxiedConnection:
     client: asyncio.StreamWriter
     peer: asyncio.StreamWriter | None = None
 
-    def cut(self) -> None:
-        reset(self.client)
+    def reset(self) -> None:
+        reset_connection(self.client)
         if self.peer is not None:
-            reset(self.peer)
+            reset_connection(self.peer)
 
 
 @dataclass
-class Link:
+class ProxyLink:
     """One proxied link: ``listen`` is where its user dials, ``host:port`` the peer
     behind it.
     """
@@ -111,35 +115,39 @@
     state: str = "pass"
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    listen: int = 0
+    listen_port: int = 0
     bytes_up: int = 0
     bytes_down: int = 0
     connections: int = 0
-    pairs: set[_Pair] = field(default_factory=set)
-    gate: Gate | None = None
+    proxied_connections: set[_ProxiedConnection] = field(default_factory=set)
+    limiter: ConnectionLimiter | None = None
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.seed)
+        self.rng = random.Random(self.seed)
         self.healed = asyncio.Event()
         self.healed.set()
         self.server: asyncio.Server | None = None
 
     async def start(self) -> Self:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.listen)
-        self.listen = self.server.sockets[0].getsockname()[1]
+        self.server = await asyncio.start_server(
+            self._serve, "127.0.0.1", self.listen_port
+        )
+        self.listen_port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def stop(self) -> None:
         if self.server is not None:
             self.server.close()
-        for pair in list(self.pairs):
-            pair.cut()
+        for connection in list(self.proxied_connections):
+            connection.reset()
 
-    def set(self, state: str, delay_ms: float = 0.0, jitter_ms: float = 0.0) -> None:
+    def set_state(
+        self, state: str, delay_ms: float = 0.0, jitter_ms: float = 0.0
+    ) -> None:
         """Put the link in a state; ValueError for an unknown one."""
         if state not in STATES:
             raise ValueError(f"no proxy state {state!r}")
-        before, self.state, self.delay_ms, self.jitter_ms = (
+        previous, self.state, self.delay_ms, self.jitter_ms = (
             self.state,
             state,
             delay_ms,
@@ -147,9 +155,9 @@
         )
         if state == "oneway":
             self.healed.clear()
-        if state == "drop" or (before == "silence" and state == "pass"):
-            for pair in list(self.pairs):
-                pair.cut()
+        if state == "drop" or (previous == "silence" and state == "pass"):
+            for connection in list(self.proxied_connections):
+                connection.reset()
         if state == "pass":
             self.healed.set()
 
@@ -158,36 +166,42 @@
     ) -> None:
         self.connections += 1
         if self.state == "drop":
-            reset(writer)
+            reset_connection(writer)
             return
-        if self.gate is not None and not self.gate.enter():
-            reset(writer)
+        if self.limiter is not None and not self.limiter.try_acquire():
+            reset_connection(writer)
             return
-        pair = _Pair(writer)
-        self.pairs.add(pair)
+        connection = _ProxiedConnection(writer)
+        self.proxied_connections.add(connection)
         try:
-            await self._carry(pair, reader)
+            await self._forward(connection, reader)
         except (
             OSError,
             asyncio.IncompleteReadError,
             TimeoutError,
             asyncio.CancelledError,
         ):
-            pair.cut()  # the lab ends or a side broke: both sides see a reset
+            connection.reset()  # the lab ends or a side broke: both sides see a reset
         finally:
-            self.pairs.discard(pair)
-            if self.gate is not None:
-                self.gate.leave()
+            self.proxied_connections.discard(connection)
+            if self.limiter is not None:
+                self.limiter.release()
 
-    async def _carry(self, pair: _Pair, reader: asyncio.StreamReader) -> None:
+    async def _forward(
+        self, connection: _ProxiedConnection, reader: asyncio.StreamReader
+    ) -> None:
         while self.state == "silence":  # cut off: nothing comes up and nothing answers
-            if not await reader.read(CHUNK):
+            if not await reader.read(CHUNK_BYTES):
                 return
-        async with asyncio.timeout(DIAL_S):
-            up_reader, pair.peer = await asyncio.open_connection(self.host, self.port)
-        down = asyncio.create_task(self._pump(up_reader, pair.client, pair, up=False))
+        async with asyncio.timeout(DIAL_TIMEOUT_S):
+            up_reader, connection.peer = await asyncio.open_connection(
+                self.host, self.port
+            )
+        down = asyncio.create_task(
+            self._pump(up_reader, connection.client, connection, up=False)
+        )
         try:
-            await self._pump(reader, pair.peer, pair, up=True)
+            await self._pump(reader, connection.peer, connection, up=True)
             await down
         finally:
             down.cancel()
@@ -196,27 +210,31 @@
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
-        pair: _Pair,
+        connection: _ProxiedConnection,
         up: bool,
     ) -> None:
-        while chunk := await source.read(CHUNK):
-            if not await self._pass(chunk, sink, pair, up):
+        while chunk := await source.read(CHUNK_BYTES):
+            if not await self._forward_chunk(chunk, sink, connection, up):
                 return
         with contextlib.suppress(OSError):
             sink.write_eof()
 
-    async def _pass(
-        self, chunk: bytes, sink: asyncio.StreamWriter, pair: _Pair, up: bool
+    async def _forward_chunk(
+        self,
+        chunk: bytes,
+        sink: asyncio.StreamWriter,
+        connection: _ProxiedConnection,
+        up: bool,
     ) -> bool:
         state = self.state
         if state == "silence":
             return True  # read and forgotten
         if state == "drop":
-            pair.cut()
+            connection.reset()
             return False
         if state == "delay":
             await asyncio.sleep(
-                (self.delay_ms + self.chance.uniform(0, self.jitter_ms)) / 1000
+                (self.delay_ms + self.rng.uniform(0, self.jitter_ms)) / 1000
             )
         if state == "oneway" and not up:
             await self.healed.wait()
@@ -227,11 +245,11 @@
         else:
             self.bytes_down += len(chunk)
         if state == "reset" and up:
-            pair.cut()
+            connection.reset()
             return False
         return True
 
-    def figures(self) -> dict[str, object]:
+    def statistics(self) -> dict[str, object]:
         return {
             "link": self.name,
             "state": self.state,
--- a/rainfall/lab/configure.py
+++ b/rainfall/lab/forwarder_config.py
@@ -8,56 +8,58 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rainfall.lab.shapes import Experiment
+from rainfall.lab.experiment_model import Experiment
 
 
 @dataclass(slots=True)
-class Addresses:
+class ForwarderAddresses:
     """Where one forwarder listens and whom it dials, as HOST:PORT; all dials are its
     own proxies.
     """
 
     listen: str
     discovery: str
-    dials: Mapping[str, str]
+    endpoint_dials: Mapping[str, str]
     """Endpoint to dial."""
     fleet: str = ""
     """The list service's fleet address; empty where the service is a stand-in."""
     peer_listen: str = ""
-    peers: Mapping[str, str] = field(default_factory=dict)
+    peer_dials: Mapping[str, str] = field(default_factory=dict)
     """Forwarder to dial; empty where the experiment has no links between forwarders."""
 
 
-def hosts(exp: Experiment, dials: Mapping[str, str]) -> list[dict[str, Any]]:
+def host_entries(
+    experiment: Experiment, dials: Mapping[str, str]
+) -> list[dict[str, Any]]:
     """The endpoints as PROTOCOL's discovery lists them, at the dials given."""
     return [
         {
-            "host": e,
+            "host": endpoint,
             "dial": dial,
-            "site": exp.zone_of(e),
+            "site": experiment.zone_of(endpoint),
             "class": "plain",
-            "block": exp.destination_of(e),
+            "block": experiment.destination_of(endpoint),
             "health": "up",
-            "share": exp.fleet.endpoint_rate,
+            "share": experiment.fleet.endpoint_rate,
             "born_ms": 0,
         }
-        for e, dial in dials.items()
+        for endpoint, dial in dials.items()
     ]
 
 
-def settings(exp: Experiment) -> dict[str, Any]:
+def settings(experiment: Experiment) -> dict[str, Any]:
     """The forwarders' settings (PROTOCOL: 'the settings') for the experiment's
     classes.
     """
     services = [
         {
-            "name": c.name,
-            "aim_us": int(c.deadline_s * 4e5),
-            "deadline_us": int(c.deadline_s * 1e6),
-            "effect": c.effect,
-            "by_arrival": c.ordered,
+            "name": load_class.name,
+            "aim_us": int(load_class.deadline_s * 4e5),
+            "deadline_us": int(load_class.deadline_s * 1e6),
+            "effect": load_class.effect,
+            "by_arrival": load_class.ordered,
         }
-        for c in exp.load.classes
+        for load_class in experiment.load.classes
     ]
     return {
         "allowed": {
@@ -69,7 +71,7 @@
             "retry_after": True,
             "may_cancel": True,
         },
-        "balancers": exp.fleet.forwarders,
+        "balancers": experiment.fleet.forwarders,
         "discovery": "on_request",
         "host_types": ["plain"],
         "contract": {
@@ -78,7 +80,7 @@
             "ask_within_us": 10_000_000,
         },
         "family_info": {
-            "slots": exp.fleet.slots,
+            "slots": experiment.fleet.slots,
             "kind_batch": [1],
             "routes_apart": [False],
         },
@@ -90,33 +92,44 @@
     }
 
 
-def fleet(exp: Experiment, name: str, at: Addresses) -> dict[str, Any] | None:
+def fleet_section(
+    experiment: Experiment, name: str, addresses: ForwarderAddresses
+) -> dict[str, Any] | None:
     """The ``fleet`` object, or None where the experiment asks for none: with peers, or
     with parts named.
     """
-    if not exp.fleet.peers and not exp.fleet.parts:
+    if not experiment.fleet.peers and not experiment.fleet.parts:
         return None
-    made: dict[str, Any] = {"name": name, "site": exp.zone_of(name)}
-    if at.fleet:
-        made["service"] = at.fleet
-    if exp.fleet.peers:
-        made |= {"listen": at.peer_listen, "peers": dict(at.peers)}
-    return made | dict(exp.fleet.parts)
+    section: dict[str, Any] = {"name": name, "site": experiment.zone_of(name)}
+    if addresses.fleet:
+        section["service"] = addresses.fleet
+    if experiment.fleet.peers:
+        section |= {
+            "listen": addresses.peer_listen,
+            "peers": dict(addresses.peer_dials),
+        }
+    return section | dict(experiment.fleet.parts)
 
 
-def forwarder(exp: Experiment, seed: int, number: int, at: Addresses) -> dict[str, Any]:
+def configuration(
+    experiment: Experiment, seed: int, number: int, addresses: ForwarderAddresses
+) -> dict[str, Any]:
     """The whole configuration of forwarder ``number``."""
     name = f"f{number}"
-    made: dict[str, Any] = {
+    config: dict[str, Any] = {
         "name": name,
-        "listen": at.listen,
-        "discovery": at.discovery,
+        "listen": addresses.listen,
+        "discovery": addresses.discovery,
         "seed": str(seed * 100 + number),
-        "durability": exp.fleet.durability,
+        "durability": experiment.fleet.durability,
         "log_format": "json",
         "limits": {"cores": 1, "memory_mb": 256, "sockets": 1024, "disk_mb": 16},
-        "known": {"seq": 1, "whole": True, "hosts": hosts(exp, at.dials)},
-        "settings": settings(exp),
+        "known": {
+            "seq": 1,
+            "whole": True,
+            "hosts": host_entries(experiment, addresses.endpoint_dials),
+        },
+        "settings": settings(experiment),
     }
-    part = fleet(exp, name, at)
-    return made if part is None else made | {"fleet": part}
+    section = fleet_section(experiment, name, addresses)
+    return config if section is None else config | {"fleet": section}
--- a/rainfall/lab/interrupt.py
+++ b/rainfall/lab/interrupt.py
@@ -6,7 +6,7 @@
 import signal
 
 
-def once() -> None:
+def cancel_on_first_signal() -> None:
     """The first SIGINT or SIGTERM cancels the current task; those that follow are
     passed over, since a second cancel would break off the ending of the processes that
     the first began. It works too where a shell started us with SIGINT ignored, as it
@@ -14,12 +14,14 @@
     """
     task = asyncio.current_task()
     assert task is not None
-    came: list[int] = []
+    received: list[int] = []
 
-    def cancel(sign: int) -> None:
-        if not came:
-            came.append(sign)
+    def cancel(signal_number: int) -> None:
+        if not received:
+            received.append(signal_number)
             task.cancel()
 
-    for sign in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(sign, cancel, sign)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(
+            signal_number, cancel, signal_number
+        )
--- a/rainfall/lab/service.py
+++ b/rainfall/lab/list_service.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rainfall.lab.fleet import ROOT, Process, StartError
-from rainfall.lab.standins import read_request
+from rainfall.lab.processes import ROOT, Process, StartError
+from rainfall.lab.stand_ins import read_http_message
 
-CALL_S = 5.0
+CALL_TIMEOUT_S = 5.0
 
 
-async def takes() -> frozenset[str]:
+async def supported_options() -> frozenset[str]:
     """The options that the program has now, read from its help."""
-    asked = await asyncio.create_subprocess_exec(
+    help_process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "rainfall.registry",
@@ -28,47 +28,47 @@
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.DEVNULL,
     )
-    told, _ = await asked.communicate()
+    help_text, _ = await help_process.communicate()
     return frozenset(
         word.strip("[],=")
-        for word in told.decode().split()
+        for word in help_text.decode().split()
         if word.startswith(("--", "[--"))
     )
 
 
 @dataclass
-class ServiceProcess(Process):
+class ListServiceProcess(Process):
     """The process ``list``. It keeps its ports over its restarts; ``hosts`` are
     registered at each start, which changes nothing where its folder still lists
     them.
     """
 
-    listen: int = 0
-    write: int = 0
-    fleet: int = 0
+    listen_port: int = 0
+    write_port: int = 0
+    fleet_port: int = 0
     options: frozenset[str] = frozenset()
-    more: tuple[str, ...] = ()
+    extra_args: tuple[str, ...] = ()
     hosts: list[dict[str, Any]] = field(default_factory=list)
 
     role = "registry"
 
     def command(self) -> tuple[list[str], dict[str, str]]:
-        words = ["-m", "rainfall.registry", "--state", str(self.state)]
+        words = ["-m", "rainfall.registry", "--state", str(self.state_folder)]
         words += [
             "--listen",
-            f"127.0.0.1:{self.listen}",
+            f"127.0.0.1:{self.listen_port}",
             "--write",
-            f"127.0.0.1:{self.write}",
+            f"127.0.0.1:{self.write_port}",
         ]
         if "--fleet" in self.options:
-            words += ["--fleet", f"127.0.0.1:{self.fleet}"]
-        empty = not self.state.is_dir() or not any(self.state.iterdir())
+            words += ["--fleet", f"127.0.0.1:{self.fleet_port}"]
+        empty = not self.state_folder.is_dir() or not any(self.state_folder.iterdir())
         if "--new" in self.options and empty:
             words += ["--new"]
-        return [*words, *self.more], {}
+        return [*words, *self.extra_args], {}
 
     def ready_port(self) -> int:
-        return self.write
+        return self.write_port
 
     async def start(self) -> None:
         await super().start()
@@ -77,7 +77,7 @@
             for h in self.hosts
         ]
         try:
-            status, text = await post(self.write, "/v1/hosts", {"ops": ops})
+            status, text = await post(self.write_port, "/v1/hosts", {"ops": ops})
         except (
             OSError,
             TimeoutError,
@@ -97,13 +97,13 @@
     """One call at a loopback port: its status and body."""
     data = json.dumps(body).encode()
     head = f"POST {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n"
-    async with asyncio.timeout(CALL_S):
+    async with asyncio.timeout(CALL_TIMEOUT_S):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
             writer.write(head.encode() + data)
-            got = await read_request(reader)
-            if got is None:
+            response = await read_http_message(reader)
+            if response is None:
                 raise ValueError("no answer")
-            return int(got[1]), got[3]
+            return int(response[1]), response[3]
         finally:
             writer.close()
--- a/rainfall/lab/plan.py
+++ b/rainfall/lab/load_plan.py
@@ -18,12 +18,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedMessage:
     due_ns: int
     """When the message is to be sent, in ns from the start of the load."""
     key: str
     """The message's name across every try: its idempotency key."""
-    cls: str
+    class_name: str
     destination: int
     forwarder: int
     """Index of the forwarder that the front hands it to first."""
@@ -34,43 +34,50 @@
     number: int = 0
 
 
-def messages(experiment: Experiment, seed: int) -> list[Planned]:
+def plan_messages(experiment: Experiment, seed: int) -> list[PlannedMessage]:
     """Every message of the run in order of its send time; ValueError past
     MAX_MESSAGES.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     load, classes = experiment.load, experiment.load.classes
-    fronts = load.forwarders or experiment.fleet.forwarders
+    forwarder_count = load.forwarders or experiment.fleet.forwarders
     numbers: dict[int, int] = {}
     weights = [c.share for c in classes]
     end_ns = int(experiment.duration_s * 1e9)
-    planned: list[Planned] = []
-    at = 0.0
+    planned: list[PlannedMessage] = []
+    at_s = 0.0
     while True:
-        at += chance.expovariate(load.rate_per_s)
-        if at * 1e9 >= end_ns:
+        at_s += rng.expovariate(load.rate_per_s)
+        if at_s * 1e9 >= end_ns:
             return planned
         if len(planned) >= MAX_MESSAGES:
             raise ValueError(
                 f"more than {MAX_MESSAGES} messages: lower the rate or the duration"
             )
-        cls = chance.choices(classes, weights)[0]
-        destination = chance.choice(experiment.fleet.destinations)
-        forwarder = chance.randrange(fronts)
+        load_class = rng.choices(classes, weights)[0]
+        destination = rng.choice(experiment.fleet.destinations)
+        forwarder = rng.randrange(forwarder_count)
         session, number = "", 0
-        if cls.ordered:
-            n = chance.randrange(load.sessions)
-            session, number = f"s{seed:x}-{n}", numbers.get(n, 0)
-            numbers[n] = number + 1
+        if load_class.ordered:
+            session_index = rng.randrange(load.sessions)
+            session, number = (
+                f"s{seed:x}-{session_index}",
+                numbers.get(session_index, 0),
+            )
+            numbers[session_index] = number + 1
             destination = experiment.fleet.destinations[
-                n % len(experiment.fleet.destinations)
+                session_index % len(experiment.fleet.destinations)
             ]
-            forwarder = n % fronts if load.sessions_at == "home" else forwarder
+            forwarder = (
+                session_index % forwarder_count
+                if load.sessions_at == "home"
+                else forwarder
+            )
         planned.append(
-            Planned(
-                due_ns=int(at * 1e9),
+            PlannedMessage(
+                due_ns=int(at_s * 1e9),
                 key=f"{seed:x}-{len(planned):07d}",
-                cls=cls.name,
+                class_name=load_class.name,
                 destination=destination,
                 forwarder=forwarder,
                 session=session,
--- a/rainfall/lab/harvest.py
+++ b/rainfall/lab/log_records.py
@@ -22,10 +22,10 @@
 from pathlib import Path
 from typing import Any
 
-KINDS = ("sent", "acted", "granted", "owns", "session")
+EVENT_KINDS = ("sent", "acted", "granted", "owns", "session")
 
 
-def _sent(
+def _sent_fields(
     line: Mapping[str, Any], t0: int, destination: Callable[[str], int]
 ) -> dict[str, Any]:
     return {
@@ -34,7 +34,7 @@
     }
 
 
-def _owns(line: Mapping[str, Any], t0: int) -> dict[str, Any]:
+def _ownership_fields(line: Mapping[str, Any], t0: int) -> dict[str, Any]:
     end = line.get("end_ns")
     return {
         "from": str(line["from"]),
@@ -45,30 +45,33 @@
     }
 
 
-def record(
-    line: Mapping[str, Any], member: str, t0: int, destination: Callable[[str], int]
+def to_record(
+    line: Mapping[str, Any],
+    member: str,
+    start_ns: int,
+    destination: Callable[[str], int],
 ) -> dict[str, Any]:
     """The record of one line of a known kind; KeyError, TypeError or ValueError where
     it is malformed.
     """
     kind = line["event"]
-    made: dict[str, Any] = {"kind": kind, "member": str(line.get("process", member))}
+    fields: dict[str, Any] = {"kind": kind, "member": str(line.get("process", member))}
     if kind == "sent":
-        made |= _sent(line, t0, destination)
+        fields |= _sent_fields(line, start_ns, destination)
     elif kind == "owns":
-        made |= _owns(line, t0)
+        fields |= _ownership_fields(line, start_ns)
     elif kind == "session":
-        made |= {"key": str(line["key"]), "step": str(line["step"])}
+        fields |= {"key": str(line["key"]), "step": str(line["step"])}
     else:
         epoch, number = line["token"]
-        made |= {"lease": str(line["lease"]), "token": [int(epoch), int(number)]}
+        fields |= {"lease": str(line["lease"]), "token": [int(epoch), int(number)]}
         if kind == "granted":
-            made["holder"] = str(line["holder"])
-    return made | {"at_ns": int(line["t_ns"]) - t0}
+            fields["holder"] = str(line["holder"])
+    return fields | {"at_ns": int(line["t_ns"]) - start_ns}
 
 
-def merged(
-    texts: Iterable[tuple[str, str]], t0: int, destination: Callable[[str], int]
+def merge_logs(
+    texts: Iterable[tuple[str, str]], start_ns: int, destination: Callable[[str], int]
 ) -> tuple[list[dict[str, Any]], int]:
     """Records of (member, log text) pairs in order of time, and how many lines of a
     known kind could not be read: a process killed in the middle of a line leaves one,
@@ -78,18 +81,18 @@
     unread = 0
     for member, text in texts:
         for raw in text.splitlines():
-            if not any(f'"{kind}"' in raw for kind in KINDS):
+            if not any(f'"{kind}"' in raw for kind in EVENT_KINDS):
                 continue
             try:
                 line = json.loads(raw)
-                if isinstance(line, dict) and line.get("event") in KINDS:
-                    records.append(record(line, member, t0, destination))
+                if isinstance(line, dict) and line.get("event") in EVENT_KINDS:
+                    records.append(to_record(line, member, start_ns, destination))
             except (ValueError, KeyError, TypeError, IndexError):
                 unread += 1
     return sorted(records, key=lambda r: r["at_ns"]), unread
 
 
-def logs(folder: Path, starts: Mapping[str, int]) -> Iterable[tuple[str, str]]:
+def read_logs(folder: Path, starts: Mapping[str, int]) -> Iterable[tuple[str, str]]:
     """The log texts of each process of a run, by its name and how often it was started,
     one at a time.
     """
--- a/rainfall/lab/nemesis.py
+++ b/rainfall/lab/nemesis.py
@@ -13,48 +13,50 @@
 import random
 from dataclasses import dataclass
 
-from rainfall.lab.shapes import (
+from rainfall.lab.experiment_model import (
     LINK_KINDS,
+    LIST_SERVICE,
     PROCESS_KINDS,
-    SERVICE,
     Experiment,
     Fault,
     Nemesis,
-    chosen_links,
-    links_of,
+    link_names,
+    matching_links,
 )
 
-SHORTEST_S = 0.1
-START_S = 3.0
+SHORTEST_FAULT_S = 0.1
+RESTART_ALLOWANCE_S = 3.0
 """Booked for a process to be ready again, beside the time after which it is started."""
-TERM_S = 5.0
+TERMINATION_ALLOWANCE_S = 5.0
 """Booked for an end by SIGTERM."""
 
 
 @dataclass(frozen=True, slots=True)
-class Booked:
+class FaultWindow:
     """What one fault takes, and until when. ``out``: forwarders that it stops or
     cuts.
     """
 
     begin_s: float
     end_s: float
-    things: frozenset[str]
-    out: frozenset[str]
+    resources: frozenset[str]
+    unavailable: frozenset[str]
 
 
-def booked(exp: Experiment, fault: Fault) -> Booked:
-    members = set(exp.forwarder_names())
+def fault_window(experiment: Experiment, fault: Fault) -> FaultWindow:
+    members = set(experiment.forwarder_names())
     if fault.kind in LINK_KINDS:
-        links = frozenset(chosen_links(exp, fault))
-        out = (
-            {m for m in members if _cut(exp, m, links)}
+        links = frozenset(matching_links(experiment, fault))
+        unavailable = (
+            {m for m in members if _is_cut_off(experiment, m, links)}
             if fault.kind != "delay"
             else set()
         )
-        return Booked(fault.at_s, fault.at_s + fault.for_s, links, frozenset(out))
+        return FaultWindow(
+            fault.at_s, fault.at_s + fault.for_s, links, frozenset(unavailable)
+        )
     if fault.kind not in PROCESS_KINDS:
-        return Booked(
+        return FaultWindow(
             fault.at_s, fault.at_s + fault.for_s, frozenset({fault.target}), frozenset()
         )
     if fault.kind == "pause":
@@ -63,94 +65,107 @@
         end = (
             fault.at_s
             + fault.after_s
-            + START_S
-            + (TERM_S if fault.kind == "term" else 0.0)
+            + RESTART_ALLOWANCE_S
+            + (TERMINATION_ALLOWANCE_S if fault.kind == "term" else 0.0)
         )
     else:
         end = float("inf")
-    return Booked(
+    return FaultWindow(
         fault.at_s, end, frozenset({fault.target}), frozenset({fault.target} & members)
     )
 
 
-def _cut(exp: Experiment, member: str, links: frozenset[str]) -> bool:
+def _is_cut_off(experiment: Experiment, member: str, links: frozenset[str]) -> bool:
     """A forwarder is out of use without its clients or without every endpoint; not
     without the list.
     """
     return f"client>{member}" in links or all(
-        f"{member}>{e}" in links for e in exp.endpoint_names()
+        f"{member}>{e}" in links for e in experiment.endpoint_names()
     )
 
 
-def allowed(
-    exp: Experiment, nemesis: Nemesis, known: list[Booked], new: Booked
+def is_allowed(
+    experiment: Experiment,
+    nemesis: Nemesis,
+    windows: list[FaultWindow],
+    new: FaultWindow,
 ) -> bool:
     """Whether a fault may join those booked. O(booked)."""
-    if new.end_s > exp.duration_s - nemesis.quiet_s:
+    if new.end_s > experiment.duration_s - nemesis.quiet_s:
         return False
-    beside = [b for b in known if b.begin_s < new.end_s and new.begin_s < b.end_s]
-    if any(b.things & new.things for b in beside):
+    overlapping = [
+        b for b in windows if b.begin_s < new.end_s and new.begin_s < b.end_s
+    ]
+    if any(b.resources & new.resources for b in overlapping):
         return False
-    if nemesis.all_at_once or not new.out:
+    if nemesis.all_at_once or not new.unavailable:
         return True
     # Who is out is greatest as some fault begins: each such moment within the new one
     # is looked at.
-    for at in [new.begin_s, *(b.begin_s for b in beside if b.begin_s > new.begin_s)]:
-        out = set(new.out).union(*(b.out for b in beside if b.begin_s <= at < b.end_s))
-        if len(out) >= exp.fleet.forwarders:
+    for at in [
+        new.begin_s,
+        *(b.begin_s for b in overlapping if b.begin_s > new.begin_s),
+    ]:
+        unavailable = set(new.unavailable).union(
+            *(b.unavailable for b in overlapping if b.begin_s <= at < b.end_s)
+        )
+        if len(unavailable) >= experiment.fleet.forwarders:
             return False
     return True
 
 
-def timeline(exp: Experiment, seed: int) -> tuple[Fault, ...]:
+def fault_timeline(experiment: Experiment, seed: int) -> tuple[Fault, ...]:
     """The faults of a run in order of time: the file's own and, where it has a nemesis,
     the drawn ones.
     """
-    nemesis = exp.nemesis
+    nemesis = experiment.nemesis
     if nemesis is None:
-        return exp.faults
-    chance = random.Random(f"nemesis/{seed}")
-    faults, known = list(exp.faults), [booked(exp, f) for f in exp.faults]
-    at = chance.expovariate(nemesis.rate_per_s)
-    while at < exp.duration_s - nemesis.quiet_s:
-        fault = _draw(exp, nemesis, chance, round(at, 3))
-        take = booked(exp, fault)
-        if allowed(exp, nemesis, known, take):
+        return experiment.faults
+    rng = random.Random(f"nemesis/{seed}")
+    faults, windows = (
+        list(experiment.faults),
+        [fault_window(experiment, f) for f in experiment.faults],
+    )
+    at_s = rng.expovariate(nemesis.rate_per_s)
+    while at_s < experiment.duration_s - nemesis.quiet_s:
+        fault = _draw_fault(experiment, nemesis, rng, round(at_s, 3))
+        window = fault_window(experiment, fault)
+        if is_allowed(experiment, nemesis, windows, window):
             faults.append(fault)
-            known.append(take)
-        at += chance.expovariate(nemesis.rate_per_s)
+            windows.append(window)
+        at_s += rng.expovariate(nemesis.rate_per_s)
     return tuple(sorted(faults, key=lambda f: f.at_s))
 
 
-def _draw(
-    exp: Experiment, nemesis: Nemesis, chance: random.Random, at_s: float
+def _draw_fault(
+    experiment: Experiment, nemesis: Nemesis, rng: random.Random, at_s: float
 ) -> Fault:
-    kind = chance.choice(nemesis.kinds)
-    length = round(chance.uniform(SHORTEST_S, nemesis.longest_s), 3)
+    kind = rng.choice(nemesis.kinds)
+    length_s = round(rng.uniform(SHORTEST_FAULT_S, nemesis.longest_s), 3)
     if kind in LINK_KINDS:
         return Fault(
             at_s=at_s,
             kind=kind,
-            target=_link(exp, chance),
-            for_s=length,
-            delay_ms=round(chance.uniform(5, 200), 1) if kind == "delay" else 0.0,
-            jitter_ms=round(chance.uniform(0, 100), 1) if kind == "delay" else 0.0,
+            target=_draw_link(experiment, rng),
+            for_s=length_s,
+            delay_ms=round(rng.uniform(5, 200), 1) if kind == "delay" else 0.0,
+            jitter_ms=round(rng.uniform(0, 100), 1) if kind == "delay" else 0.0,
         )
-    target = chance.choice(exp.process_names())
+    target = rng.choice(experiment.process_names())
     if kind == "pause":
-        return Fault(at_s=at_s, kind=kind, target=target, for_s=length)
-    lose = nemesis.service_lose if target == SERVICE else nemesis.lose
-    restart = "lose" if chance.random() < lose else "keep"
-    return Fault(at_s=at_s, kind=kind, target=target, restart=restart, after_s=length)
+        return Fault(at_s=at_s, kind=kind, target=target, for_s=length_s)
+    lose = nemesis.service_lose if target == LIST_SERVICE else nemesis.lose
+    restart = "lose" if rng.random() < lose else "keep"
+    return Fault(at_s=at_s, kind=kind, target=target, restart=restart, after_s=length_s)
 
 
-def _link(exp: Experiment, chance: random.Random) -> str:
+def _draw_link(experiment: Experiment, rng: random.Random) -> str:
     """One link, one member's links outward (its machine's line), or all members' links
     to one peer.
     """
-    name = chance.choice(links_of(exp))
+    name = rng.choice(link_names(experiment))
     near, _, far = name.partition(">")
-    how = chance.choice(("one", "one", "out", "in"))
-    if how == "out" and near != "client":
+    scope = rng.choice(("one", "one", "out", "in"))
+    if scope == "out" and near != "client":
         return f"{near}>*"
-    return f"*>{far}" if how == "in" else name
+    return f"*>{far}" if scope == "in" else name
--- a/rainfall/lab/pids.py
+++ b/rainfall/lab/pids.py
@@ -12,11 +12,11 @@
 import signal
 from pathlib import Path
 
-FILE = "pids.jsonl"
-GONE_S, POLL_S = 5.0, 0.01
+PID_FILE = "pids.jsonl"
+EXIT_TIMEOUT_S, POLL_INTERVAL_S = 5.0, 0.01
 
 
-def born(pid: int) -> int:
+def start_ticks(pid: int) -> int:
     """When a process was started, in the kernel's ticks since boot; 0 where it is no
     more.
     """
@@ -29,35 +29,37 @@
 
 
 def note(folder: Path, name: str, pid: int) -> None:
-    with (folder / FILE).open("a") as file:
-        file.write(json.dumps({"name": name, "pid": pid, "born": born(pid)}) + "\n")
+    with (folder / PID_FILE).open("a") as file:
+        file.write(
+            json.dumps({"name": name, "pid": pid, "born": start_ticks(pid)}) + "\n"
+        )
 
 
-def left(folder: Path) -> list[int]:
+def still_running(folder: Path) -> list[int]:
     """Those of a run's processes that still live."""
     try:
-        lines = (folder / FILE).read_text().splitlines()
+        lines = (folder / PID_FILE).read_text().splitlines()
     except OSError:
         return []
-    found = []
+    running = []
     for line in lines:
         with contextlib.suppress(ValueError, KeyError):
-            told = json.loads(line)
-            if told["born"] and born(told["pid"]) == told["born"]:
-                found.append(int(told["pid"]))
-    return found
+            entry = json.loads(line)
+            if entry["born"] and start_ticks(entry["pid"]) == entry["born"]:
+                running.append(int(entry["pid"]))
+    return running
 
 
 async def end(folder: Path) -> list[int]:
     """SIGKILL to each of them that still lives, and wait until they are gone (GONE_S at
     most); their ids.
     """
-    living = left(folder)
+    living = still_running(folder)
     for pid in living:
         with contextlib.suppress(ProcessLookupError):
             os.kill(pid, signal.SIGKILL)
-    for _ in range(int(GONE_S / POLL_S)):
-        if not left(folder):
+    for _ in range(int(EXIT_TIMEOUT_S / POLL_INTERVAL_S)):
+        if not still_running(folder):
             break
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return living
--- a/rainfall/lab/fleet.py
+++ b/rainfall/lab/processes.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 from typing import IO, Any
 
-READY_S = 20.0
-TERM_S = 5.0
+READY_TIMEOUT_S = 20.0
+TERM_TIMEOUT_S = 5.0
 ROOT = Path(__file__).resolve().parents[2]
 
 
@@ -26,21 +26,21 @@
     """A process did not come up; the text names it and its log."""
 
 
-def reserve(held: list[socket.socket]) -> int:
+def reserve_port(reserved_sockets: list[socket.socket]) -> int:
     """A port on 127.0.0.1 for a forwarder to bind itself. Its socket stays bound in
     ``held`` until the lab's own servers are up, so that none of them is handed the same
     port by the kernel.
     """
-    s = socket.socket()
-    s.bind(("127.0.0.1", 0))
-    held.append(s)
-    return int(s.getsockname()[1])
+    reserved = socket.socket()
+    reserved.bind(("127.0.0.1", 0))
+    reserved_sockets.append(reserved)
+    return int(reserved.getsockname()[1])
 
 
-async def ready(
+async def wait_until_ready(
     port: int,
     process: asyncio.subprocess.Process | None = None,
-    deadline_s: float = READY_S,
+    deadline_s: float = READY_TIMEOUT_S,
 ) -> None:
     """Wait until the operators' address answers /_ready with 200; TimeoutError past the
     deadline, StartError as soon as the process has ended.
@@ -70,7 +70,7 @@
 
     name: str
     folder: Path
-    told: Callable[[str, str, int], None] = lambda name, did, pid: None
+    on_event: Callable[[str, str, int], None] = lambda name, did, pid: None
     """Hears of each start and end: ``started``, ``ended`` (by SIGKILL or SIGTERM),
     ``wiped`` (its folder).
     """
@@ -78,13 +78,13 @@
     starts: int = 0
     pids: list[int] = field(default_factory=list)
     log: IO[bytes] | None = None
-    turn: asyncio.Lock = field(default_factory=asyncio.Lock)
+    fault_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     """Held through a fault on it, so that a start is never ended by half."""
 
     role = "process"
 
     @property
-    def state(self) -> Path:
+    def state_folder(self) -> Path:
         return self.folder / "state"
 
     def command(self) -> tuple[list[str], dict[str, str]]:
@@ -99,7 +99,7 @@
         not come.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
-        words, environ = self.command()
+        arguments, environment = self.command()
         self.starts += 1
         if self.log is not None:
             self.log.close()
@@ -107,18 +107,18 @@
         self.log = path.open("wb")
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *words,
+            *arguments,
             cwd=ROOT,
-            env={**os.environ, **environ},
+            env={**os.environ, **environment},
             stdin=asyncio.subprocess.DEVNULL,
             stdout=self.log,
             stderr=self.log,
             start_new_session=True,
         )
         self.pids.append(self.process.pid)
-        self.told(self.name, "started", self.process.pid)
+        self.on_event(self.name, "started", self.process.pid)
         try:
-            await ready(self.ready_port(), self.process)
+            await wait_until_ready(self.ready_port(), self.process)
         except (TimeoutError, StartError):
             text = path.read_text(errors="replace").strip().splitlines()[-1:] or [
                 "it wrote no line"
@@ -130,43 +130,43 @@
     def alive(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
-    def signal(self, sign: int) -> None:
+    def signal(self, signal_number: int) -> None:
         if self.alive():
             assert self.process is not None
-            self.process.send_signal(sign)
+            self.process.send_signal(signal_number)
 
     async def kill(self) -> None:
         """SIGKILL (after SIGCONT, so that a paused one dies too) and wait for it."""
         if self.process is None:
             return
-        was = self.alive()
+        was_alive = self.alive()
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         await self.process.wait()
-        if was:
-            self.told(self.name, "ended", self.process.pid)
+        if was_alive:
+            self.on_event(self.name, "ended", self.process.pid)
 
-    async def term(self) -> None:
+    async def terminate(self) -> None:
         """SIGTERM, then SIGKILL if it has not ended within TERM_S."""
         if self.process is None:
             return
-        was = self.alive()
+        was_alive = self.alive()
         self.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(TERM_S):
+            async with asyncio.timeout(TERM_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             await self.kill()
             return
-        if was:
-            self.told(self.name, "ended", self.process.pid)
+        if was_alive:
+            self.on_event(self.name, "ended", self.process.pid)
 
-    async def restart(self, keep: bool) -> None:
+    async def restart(self, keep_state: bool) -> None:
         """Start again after an end, with the state folder kept or lost."""
         await self.kill()
-        if not keep:
-            shutil.rmtree(self.state, ignore_errors=True)
-            self.told(self.name, "wiped", self.pids[-1])
+        if not keep_state:
+            shutil.rmtree(self.state_folder, ignore_errors=True)
+            self.on_event(self.name, "wiped", self.pids[-1])
         await self.start()
 
     async def end(self) -> None:
@@ -181,21 +181,21 @@
     """One member; its folder holds ``config.json`` too."""
 
     config: dict[str, Any] = field(default_factory=dict)
-    admin: int = 0
+    admin_port: int = 0
 
     role = "forwarder"
 
     def command(self) -> tuple[list[str], dict[str, str]]:
-        self.state.mkdir(parents=True, exist_ok=True)
+        self.state_folder.mkdir(parents=True, exist_ok=True)
         (self.folder / "config.json").write_text(json.dumps(self.config))
         return ["-m", "rainfall"], {
             "LB_CONFIG": str(self.folder / "config.json"),
-            "LB_STATE": str(self.state),
-            "LB_ADMIN_ADDR": f"127.0.0.1:{self.admin}",
+            "LB_STATE": str(self.state_folder),
+            "LB_ADMIN_ADDR": f"127.0.0.1:{self.admin_port}",
         }
 
     def ready_port(self) -> int:
-        return self.admin
+        return self.admin_port
 
 
 async def end_all(members: Sequence[Process]) -> None:
--- a/rainfall/lab/report.py
+++ b/rainfall/lab/report.py
@@ -18,40 +18,42 @@
 SERIES = ("taken on", "refused", "no answer", "delivered")
 
 
-def buckets(records: Iterable[Mapping[str, Any]]) -> dict[str, dict[int, int]]:
+def outcomes_by_bucket(
+    records: Iterable[Mapping[str, Any]],
+) -> dict[str, dict[int, int]]:
     """Counts per 100 ms bucket: tries by their answer (by send time), deliveries by
     their time.
     """
     counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in SERIES}
-    for r in records:
-        if r["kind"] == "try":
+    for record in records:
+        if record["kind"] == "try":
             name = (
                 "taken on"
-                if r["status"] in (200, 202)
+                if record["status"] in (200, 202)
                 else "refused"
-                if r["status"] in (429, 503)
-                else ("no answer" if not r["status"] else "refused")
+                if record["status"] in (429, 503)
+                else ("no answer" if not record["status"] else "refused")
             )
-            counts[name][r["sent_ns"] // BUCKET_NS] += 1
-        elif r["kind"] == "call" and r["status"] == 200:
-            counts["delivered"][r["at_ns"] // BUCKET_NS] += 1
+            counts[name][record["sent_ns"] // BUCKET_NS] += 1
+        elif record["kind"] == "call" and record["status"] == 200:
+            counts["delivered"][record["at_ns"] // BUCKET_NS] += 1
     return counts
 
 
-def latencies(records: Iterable[Mapping[str, Any]]) -> dict[int, list[float]]:
+def latencies_by_bucket(records: Iterable[Mapping[str, Any]]) -> dict[int, list[float]]:
     """Milliseconds from the first send to the first delivery, by the bucket of the
     send.
     """
     first: dict[str, int] = {}
     done: dict[str, int] = {}
     owner: dict[str, str] = {}
-    for r in records:
-        if r["kind"] == "try":
-            first.setdefault(r["key"], r["sent_ns"])
-            owner[r["id"]] = r["key"]
-        elif r["kind"] == "call" and r["status"] == 200:
-            key = r.get("key") or owner.get(r["id"], "")
-            done[key] = min(done.get(key, r["at_ns"]), r["at_ns"])
+    for record in records:
+        if record["kind"] == "try":
+            first.setdefault(record["key"], record["sent_ns"])
+            owner[record["id"]] = record["key"]
+        elif record["kind"] == "call" and record["status"] == 200:
+            key = record.get("key") or owner.get(record["id"], "")
+            done[key] = min(done.get(key, record["at_ns"]), record["at_ns"])
     out: dict[int, list[float]] = defaultdict(list)
     for key, at in done.items():
         if key in first:
@@ -59,7 +61,7 @@
     return out
 
 
-def load(folder: Path) -> tuple[list[dict[str, Any]], dict[str, Any]]:
+def load_run(folder: Path) -> tuple[list[dict[str, Any]], dict[str, Any]]:
     records = [
         json.loads(line)
         for line in (folder / "records.jsonl").read_text().splitlines()
@@ -77,9 +79,9 @@
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    records, result = load(folder)
-    figure, (top, low) = plt.subplots(2, 1, figsize=(11, 6.5), sharex=True)
-    series = buckets(records)
+    records, result = load_run(folder)
+    figure, (top, bottom) = plt.subplots(2, 1, figsize=(11, 6.5), sharex=True)
+    series = outcomes_by_bucket(records)
     span = [x for counts in series.values() for x in counts] or [0]
     xs = list(
         range(min(span), max(span) + 1)
@@ -91,34 +93,37 @@
             label=name,
             linewidth=1.2,
         )
-    lat = latencies(records)
-    xs = sorted(lat)
+    latencies = latencies_by_bucket(records)
+    xs = sorted(latencies)
     for q, style in ((50, "-"), (99, "--")):
         ys = [
-            sorted(lat[x])[min(len(lat[x]) - 1, int(len(lat[x]) * q / 100))] for x in xs
+            sorted(latencies[x])[
+                min(len(latencies[x]) - 1, int(len(latencies[x]) * q / 100))
+            ]
+            for x in xs
         ]
-        low.plot([x / 10 for x in xs], ys, style, label=f"p{q}", color="tab:purple")
-    for r in records:
-        if r["kind"] == "fault":
-            for axis in (top, low):
+        bottom.plot([x / 10 for x in xs], ys, style, label=f"p{q}", color="tab:purple")
+    for record in records:
+        if record["kind"] == "fault":
+            for axis in (top, bottom):
                 axis.axvspan(
-                    r["at_ns"] / 1e9,
-                    max(r["until_ns"], r["at_ns"] + 50_000_000) / 1e9,
+                    record["at_ns"] / 1e9,
+                    max(record["until_ns"], record["at_ns"] + 50_000_000) / 1e9,
                     color="tab:red",
                     alpha=0.15,
                 )
             top.annotate(
-                f"{r['fault']} {r['target']}",
-                (r["at_ns"] / 1e9, top.get_ylim()[1] * 0.92),
+                f"{record['fault']} {record['target']}",
+                (record["at_ns"] / 1e9, top.get_ylim()[1] * 0.92),
                 fontsize=8,
                 color="tab:red",
             )
     top.set_ylabel("per 100 ms")
     top.legend(loc="upper right", fontsize=8)
-    low.set_ylabel("latency, ms")
-    low.set_yscale("log")
-    low.set_xlabel("seconds from the start of the load")
-    low.legend(loc="upper right", fontsize=8)
+    bottom.set_ylabel("latency, ms")
+    bottom.set_yscale("log")
+    bottom.set_xlabel("seconds from the start of the load")
+    bottom.legend(loc="upper right", fontsize=8)
     top.set_title(
         f"{result.get('experiment', '')}, seed {result.get('seed', '')}: lost {result['lost']}, "
         f"doubled {result['doubled']}, resent {result['total'].get('resent', 0)}"
@@ -128,11 +133,11 @@
     picture = folder / "report.png"
     figure.savefig(picture, dpi=90)
     plt.close(figure)
-    (folder / "report.md").write_text(page(result))
+    (folder / "report.md").write_text(markdown_page(result))
     return picture
 
 
-def page(result: Mapping[str, Any]) -> str:
+def markdown_page(result: Mapping[str, Any]) -> str:
     names = checker.COUNTS[: checker.COUNTS.index("resent") + 1]
     lines = [
         f"# {result.get('experiment', '')}, seed {result.get('seed', '')}",
@@ -142,19 +147,20 @@
         "| class | " + " | ".join(names) + " | p50 ms | p99 ms |",
         "|" + " --- |" * (len(names) + 3),
     ]
-    for cls, t in [*result["classes"].items(), ("all", result["total"])]:
-        lat = t.get("latency_ms") or {}
+    for cls, tally in [*result["classes"].items(), ("all", result["total"])]:
+        latency = tally.get("latency_ms") or {}
         lines.append(
             f"| {cls} | "
-            + " | ".join(str(t[n]) for n in names)
-            + f" | {lat.get('p50', '-')} | {lat.get('p99', '-')} |"
+            + " | ".join(str(tally[n]) for n in names)
+            + f" | {latency.get('p50', '-')} | {latency.get('p99', '-')} |"
         )
-    for destination, b in sorted(result.get("budgets", {}).items()):
+    for destination, budget in sorted(result.get("budgets", {}).items()):
         lines += [
             "",
-            f"destination {destination}: whole {b['whole']} calls in {b['span_ms']} ms, worst sliding span "
-            f"{b['worst']}, over by {b['over']}, used {b['used']}, refused for each delivery "
-            f"{b['refused_per_delivery']}",
+            f"destination {destination}: whole {budget['whole']} calls in "
+            f"{budget['span_ms']} ms, worst sliding span "
+            f"{budget['worst']}, over by {budget['over']}, used {budget['used']}, refused for each delivery "
+            f"{budget['refused_per_delivery']}",
         ]
     lines += [
         "",
@@ -167,18 +173,24 @@
     return "\n".join(lines) + "\n"
 
 
-def path(folder: Path, key: str) -> list[dict[str, Any]]:
+def message_path(folder: Path, key: str) -> list[dict[str, Any]]:
     """One message's way across processes, in time order: the lab's records of its
     tries, calls and notices, and every forwarder's JSON log lines of its ids, all in ns
     from the start of the load.
     """
-    records, result = load(folder)
-    ids = {r["id"] for r in records if r["kind"] == "try" and r["key"] == key}
+    records, result = load_run(folder)
+    ids = {
+        record["id"]
+        for record in records
+        if record["kind"] == "try" and record["key"] == key
+    }
     lines = [
-        {"t_ns": r.get("sent_ns", r.get("at_ns")), "process": "lab", **r}
-        for r in records
-        if r["kind"] != "sent"
-        and (r.get("key") == key or r.get("id") in ids)  # sent: a log line has it
+        {"t_ns": record.get("sent_ns", record.get("at_ns")), "process": "lab", **record}
+        for record in records
+        if record["kind"] != "sent"
+        and (
+            record.get("key") == key or record.get("id") in ids
+        )  # sent: a log line has it
     ]
     for log in sorted((folder / "members").glob("*/log-*.txt")):
         for text in log.read_text(errors="replace").splitlines():
--- a/rainfall/lab/runner.py
+++ b/rainfall/lab/runner.py
@@ -18,27 +18,27 @@
 
 from rainfall.lab import (
     checker,
-    harvest,
+    fault_injection,
     interrupt,
-    logs,
+    log_records,
     nemesis,
     pids,
-    timeline,
+    structured_logging,
     verdicts,
 )
 from rainfall.lab.experiment import Experiment
-from rainfall.lab.load import drive
-from rainfall.lab.stage import Stage
+from rainfall.lab.load_generator import run_load_process
+from rainfall.lab.testbed import Testbed
 
-POLL_S = 0.25
+SETTLE_POLL_S = 0.25
 PIPE_POLL_S = 0.02
-READY_S = 60.0
-LEAD_NS = 100_000_000
+LOAD_READY_TIMEOUT_S = 60.0
+LOAD_START_DELAY_NS = 100_000_000
 """From the load's yes to its first planned send."""
 
 
 @dataclass
-class Load:
+class LoadProcess:
     """The load in a process of its own, so that the proxies' work cannot delay its
     sends.
     """
@@ -46,7 +46,7 @@
     process: BaseProcess
     pipe: Connection
 
-    async def told(self, limit_s: float) -> Any:
+    async def receive(self, limit_s: float) -> Any:
         """What the load says next. Polled, not waited for in a thread: a thread that
         waits cannot be cancelled, and would keep an interrupted lab from ending.
         """
@@ -66,46 +66,57 @@
         self.process.join()
 
 
-class Run(Stage):
-    load: Load | None = None
+class ExperimentRun(Testbed):
+    load_process: LoadProcess | None = None
 
     async def play(self) -> None:
         """The load and the faults, on the same clock (CLOCK_MONOTONIC is one for the
         machine).
         """
-        exp = self.experiment
-        faults = nemesis.timeline(exp, self.seed)
-        ports = [self.links[f"client>{f}"].listen for f in exp.forwarder_names()]
+        experiment = self.experiment
+        faults = nemesis.fault_timeline(experiment, self.seed)
+        ports = [
+            self.links[f"client>{fault}"].listen_port
+            for fault in experiment.forwarder_names()
+        ]
         context = multiprocessing.get_context("spawn")
-        ours, theirs = context.Pipe()
-        path = self.out / "load.jsonl"
+        parent_pipe, child_pipe = context.Pipe()
+        path = self.output_folder / "load.jsonl"
         process = context.Process(
-            target=drive, args=(exp, self.seed, ports, theirs, str(path))
+            target=run_load_process,
+            args=(experiment, self.seed, ports, child_pipe, str(path)),
         )
         process.start()
-        theirs.close()
-        self.load = Load(process, ours)
-        pids.note(self.out, "load", process.pid or 0)
-        messages = await self.load.told(
-            READY_S
+        child_pipe.close()
+        self.load_process = LoadProcess(process, parent_pipe)
+        pids.note(self.output_folder, "load", process.pid or 0)
+        messages = await self.load_process.receive(
+            LOAD_READY_TIMEOUT_S
         )  # the load is ready: it has planned its messages
         if not isinstance(messages, int):
             raise RuntimeError(f"the load failed: {messages}")
-        began = time.monotonic_ns() + LEAD_NS
-        for r in (
+        start_ns = time.monotonic_ns() + LOAD_START_DELAY_NS
+        for record in (
             self.records
         ):  # what was recorded before the start is before it on the run's clock too
-            r["at_ns"] += self.t0 - began
-        self.t0 = began
-        ours.send(began)
+            record["at_ns"] += self.start_ns - start_ns
+        self.start_ns = start_ns
+        parent_pipe.send(start_ns)
         self.log.info(
             "load begins", messages=messages, faults=len(faults), pid=process.pid
         )
-        tail = max((f.at_s + f.for_s + f.after_s for f in faults), default=0.0)
-        limit = max(exp.duration_s, tail) + exp.load.answer_timeout_s * 3 + 30
+        last_fault_s = max(
+            (fault.at_s + fault.for_s + fault.after_s for fault in faults), default=0.0
+        )
+        limit = (
+            max(experiment.duration_s, last_fault_s)
+            + experiment.load.answer_timeout_s * 3
+            + 30
+        )
         async with asyncio.timeout(limit):
             done, _ = await asyncio.gather(
-                self.load.told(limit), timeline.play(self, faults)
+                self.load_process.receive(limit),
+                fault_injection.inject_faults(self, faults),
             )
         if done != "done":
             raise RuntimeError(f"the load failed: {done}")
@@ -119,48 +130,52 @@
         passed.
         """
         limit = self.clock() + int(self.experiment.settle_s * 1e9)
-        while self.clock() < limit and self.checked()["lost"]:
-            await asyncio.sleep(POLL_S)
+        while self.clock() < limit and self.check_records()["lost"]:
+            await asyncio.sleep(SETTLE_POLL_S)
 
-    def checked(self) -> dict[str, Any]:
-        exp = self.experiment
+    def check_records(self) -> dict[str, Any]:
+        experiment = self.experiment
         return checker.verdict(
             self.records,
-            {c.name: c.effect for c in exp.load.classes},
-            {c.name: int(c.deadline_s * 1e9) for c in exp.load.classes},
-            exp.load.max_lag_ms,
+            {c.name: c.effect for c in experiment.load.classes},
+            {c.name: int(c.deadline_s * 1e9) for c in experiment.load.classes},
+            experiment.load.max_lag_ms,
         )
 
     async def stop(self) -> None:
-        if self.load is not None:
-            self.load.end()
+        if self.load_process is not None:
+            self.load_process.end()
         await super().stop()
 
-    def write(self) -> dict[str, Any]:
+    def write_results(self) -> dict[str, Any]:
         """Merge the processes' own records, write all of them and the verdict."""
         known = {
             e: self.experiment.destination_of(e)
             for e in self.experiment.endpoint_names()
         }
         starts = {p.name: p.starts for p in self.processes()}
-        own, unread = harvest.merged(
-            harvest.logs(self.out, starts), self.t0, known.__getitem__
+        process_records, unread = log_records.merge_logs(
+            log_records.read_logs(self.output_folder, starts),
+            self.start_ns,
+            known.__getitem__,
+        )
+        self.records += process_records
+        self.write_records()
+        result = self.check_records() | verdicts.check_all(
+            self.records, self.experiment
         )
-        self.records += own
-        self.dump()
-        result = self.checked() | verdicts.sections(self.records, self.experiment)
         result |= {
             "experiment": self.experiment.name,
             "seed": self.seed,
-            "t0_ns": self.t0,
+            "t0_ns": self.start_ns,
         }
-        result |= {"unread_lines": unread, **self.figures()}
-        if self.gate.refused and not self.experiment.fleet.most_connections:
+        result |= {"unread_lines": unread, **self.statistics()}
+        if self.limiter.rejected and not self.experiment.fleet.most_connections:
             result["valid"] = (
                 False  # the lab's own descriptors were the bottleneck, not the fleet
             )
         result["breaches"] = verdicts.breaches(result)
-        (self.out / "verdict.json").write_text(json.dumps(result, indent=1))
+        (self.output_folder / "verdict.json").write_text(json.dumps(result, indent=1))
         return result
 
 
@@ -170,21 +185,21 @@
     """
     out.mkdir(parents=True, exist_ok=True)
     if (
-        out / pids.FILE
+        out / pids.PID_FILE
         # a run's folder, played into again: what members kept is not this run's
     ).exists():
         shutil.rmtree(out / "members", ignore_errors=True)
-        (out / pids.FILE).unlink()
-    sink = logs.configure(out / "lab.jsonl")
-    lab = Run(experiment, seed, out)
-    interrupt.once()
+        (out / pids.PID_FILE).unlink()
+    sink = structured_logging.configure(out / "lab.jsonl")
+    experiment_run = ExperimentRun(experiment, seed, out)
+    interrupt.cancel_on_first_signal()
     try:
-        await lab.start()
-        await lab.play()
+        await experiment_run.start()
+        await experiment_run.play()
     finally:
         try:
-            await lab.stop()
-            result = lab.write()
+            await experiment_run.stop()
+            result = experiment_run.write_results()
         finally:
             sink.close()
     return result
--- a/rainfall/lab/standins.py
+++ b/rainfall/lab/stand_ins.py
@@ -15,14 +15,14 @@
 from dataclasses import dataclass, field
 from typing import Any, Self
 
-from rainfall.lab.proxy import reset
+from rainfall.lab.fault_proxy import reset_connection
 
-HEAD_LIMIT = 16384
-BODY_LIMIT = 65536
+HEAD_LIMIT_BYTES = 16384
+BODY_LIMIT_BYTES = 65536
 Record = Callable[[dict[str, Any]], None]
 
 
-async def read_request(
+async def read_http_message(
     reader: asyncio.StreamReader,
 ) -> tuple[str, str, dict[str, str], bytes] | None:
     """One HTTP/1.1 message: the first two words of its first line (of a request its
@@ -42,12 +42,12 @@
         for k, _, v in (line.partition(":") for line in lines[1:] if line)
     }
     length = int(headers.get("content-length", "0") or 0)
-    if not 0 <= length <= BODY_LIMIT:
+    if not 0 <= length <= BODY_LIMIT_BYTES:
         raise ValueError("body too large")
     return method, path, headers, await reader.readexactly(length)
 
 
-def answer(status: int, body: bytes = b"", **headers: str) -> bytes:
+def encode_response(status: int, body: bytes = b"", **headers: str) -> bytes:
     lines = [
         f"HTTP/1.1 {status} X",
         f"Content-Length: {len(body)}",
@@ -56,7 +56,7 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class Server:
+class HttpServer:
     """A keep-alive HTTP server on loopback whose ``handle`` gives the bytes of each
     answer.
     """
@@ -68,7 +68,7 @@
 
     async def start(self) -> Self:
         self.server = await asyncio.start_server(
-            self._serve, "127.0.0.1", self.port, limit=HEAD_LIMIT
+            self._serve, "127.0.0.1", self.port, limit=HEAD_LIMIT_BYTES
         )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -78,7 +78,7 @@
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
-            reset(writer)
+            reset_connection(writer)
 
     async def handle(
         self, method: str, path: str, headers: dict[str, str], body: bytes
@@ -90,7 +90,7 @@
     ) -> None:
         self.writers.add(writer)
         try:
-            while (request := await read_request(reader)) is not None:
+            while (request := await read_http_message(reader)) is not None:
                 writer.write(await self.handle(*request))
                 await writer.drain()
         except (
@@ -112,59 +112,59 @@
 
     service_ms: float = 2.0
     slow_ms: float = 0.0
-    failing: float = 0.0
-    limit: int = 0
+    failure_ratio: float = 0.0
+    concurrency_limit: int = 0
     """Calls at once before 503; 0 for no limit."""
     cold_until_ns: int = 0
     cold_ms: float = 0.0
 
 
 @dataclass
-class Meter:
+class SlidingWindowLimiter:
     """A destination's limit, shared by its endpoints: ``calls`` in any sliding
     ``span_ns``.
     """
 
     calls: int
     span_ns: int
-    taken: deque[int] = field(default_factory=deque)
+    call_times_ns: deque[int] = field(default_factory=deque)
 
     def wait_ns(self, now_ns: int) -> int:
         """0 where a call is within the limit (and counts for it), else the time until
         one will be.
         """
-        while self.taken and now_ns - self.taken[0] >= self.span_ns:
-            self.taken.popleft()
-        if len(self.taken) < self.calls:
-            self.taken.append(now_ns)
+        while self.call_times_ns and now_ns - self.call_times_ns[0] >= self.span_ns:
+            self.call_times_ns.popleft()
+        if len(self.call_times_ns) < self.calls:
+            self.call_times_ns.append(now_ns)
             return 0
-        return self.taken[0] + self.span_ns - now_ns
+        return self.call_times_ns[0] + self.span_ns - now_ns
 
 
 @dataclass
-class Endpoint(Server):
+class Endpoint(HttpServer):
     name: str = ""
     destination: int = 0
     seed: int = 0
     clock: Callable[[], int] = time.monotonic_ns
     record: Record = lambda _: None
     behaviour: Behaviour = field(default_factory=Behaviour)
-    meter: Meter | None = None
+    limiter: SlidingWindowLimiter | None = None
 
     def __post_init__(self) -> None:
-        Server.__init__(self)
-        self.chance = random.Random(self.seed)
-        self.busy = 0
+        HttpServer.__init__(self)
+        self.rng = random.Random(self.seed)
+        self.in_flight = 0
 
     async def handle(
         self, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> bytes:
         if method == "GET" and path == "/alive":
-            return answer(200)
+            return encode_response(200)
         if method != "POST" or path != "/hook":
-            return answer(404)
-        wait_ns = 0 if self.meter is None else self.meter.wait_ns(self.clock())
-        status = 429 if wait_ns else await self._run()
+            return encode_response(404)
+        wait_ns = 0 if self.limiter is None else self.limiter.wait_ns(self.clock())
+        status = 429 if wait_ns else await self._process_call()
         self.record(
             {
                 "kind": "call",
@@ -177,24 +177,33 @@
             }
         )
         if wait_ns:
-            return answer(status, X_RateLimit_Wait_Ms=str(-(-wait_ns // 1_000_000)))
-        return answer(status)
-
-    async def _run(self) -> int:
-        b = self.behaviour
-        if b.limit and self.busy >= b.limit:
+            return encode_response(
+                status, X_RateLimit_Wait_Ms=str(-(-wait_ns // 1_000_000))
+            )
+        return encode_response(status)
+
+    async def _process_call(self) -> int:
+        behaviour = self.behaviour
+        if (
+            behaviour.concurrency_limit
+            and self.in_flight >= behaviour.concurrency_limit
+        ):
             return 503
-        self.busy += 1
+        self.in_flight += 1
         try:
-            cold = b.cold_ms if self.clock() < b.cold_until_ns else 0.0
-            await asyncio.sleep((b.service_ms + b.slow_ms + cold) / 1000)
+            cold_start_ms = (
+                behaviour.cold_ms if self.clock() < behaviour.cold_until_ns else 0.0
+            )
+            await asyncio.sleep(
+                (behaviour.service_ms + behaviour.slow_ms + cold_start_ms) / 1000
+            )
         finally:
-            self.busy -= 1
-        return 500 if self.chance.random() < b.failing else 200
+            self.in_flight -= 1
+        return 500 if self.rng.random() < behaviour.failure_ratio else 200
 
 
 @dataclass
-class ListService(Server):
+class StandInListService(HttpServer):
     """The platform's list for one forwarder (its dials are that forwarder's proxies),
     and the notices.
     """
@@ -205,7 +214,7 @@
     seq: int = 1
 
     def __post_init__(self) -> None:
-        Server.__init__(self)
+        HttpServer.__init__(self)
         self.changed = asyncio.Event()
 
     async def handle(
@@ -214,34 +223,34 @@
         if method == "POST" and path == "/v1/notices":
             return self._notices(body)
         if method != "GET" or not path.startswith("/discovery/hosts"):
-            return answer(404)
+            return encode_response(404)
         query = dict(
             p.partition("=")[::2] for p in path.partition("?")[2].split("&") if p
         )
-        since, hold = (
+        since, hold_ms = (
             int(query.get("from", "-1") or -1),
             min(int(query.get("hold_ms", "0") or 0), 60_000),
         )
-        if 0 <= since == self.seq and hold:
+        if 0 <= since == self.seq and hold_ms:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(hold / 1000):
+                async with asyncio.timeout(hold_ms / 1000):
                     await self.changed.wait()
             if since == self.seq:
-                return answer(
+                return encode_response(
                     200,
                     json.dumps({"seq": self.seq, "whole": False, "hosts": []}).encode(),
                 )
-        return answer(
+        return encode_response(
             200,
             json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode(),
         )
 
     def _notices(self, body: bytes) -> bytes:
         try:
-            told = [json.loads(line) for line in body.splitlines() if line.strip()]
+            notices = [json.loads(line) for line in body.splitlines() if line.strip()]
         except ValueError:
-            return answer(400)
-        for notice in told:
+            return encode_response(400)
+        for notice in notices:
             if isinstance(notice, dict) and "id" in notice:
                 self.record(
                     {
@@ -251,4 +260,4 @@
                         "at_ns": self.clock(),
                     }
                 )
-        return answer(204)
+        return encode_response(204)
--- a/rainfall/lab/logs.py
+++ b/rainfall/lab/structured_logging.py
@@ -12,7 +12,7 @@
 import structlog
 
 
-def _monotonic(
+def _add_timestamp(
     _: Any, __: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
     event["t_ns"] = time.monotonic_ns()
@@ -27,7 +27,7 @@
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
-            _monotonic,
+            _add_timestamp,
             structlog.processors.JSONRenderer(),
         ],
         logger_factory=structlog.WriteLoggerFactory(file=sink),
