--- a/rainfall/lab/summary.py
+++ b/rainfall/lab/sweep_summary.py
@@ -9,29 +9,29 @@
 
 
 @dataclass(slots=True)
-class Played:
+class RunResult:
     """One seed's run. ``verdict`` is empty where it wrote none; ``breaches`` then says
     why.
     """
 
     seed: int
-    code: int
+    exit_code: int
     wall_s: float
     verdict: Mapping[str, Any] = field(default_factory=dict)
     breaches: list[str] = field(default_factory=list)
 
 
-def _at(v: Mapping[str, Any], *path: str) -> Any:
+def _value_at(v: Mapping[str, Any], *path: str) -> Any:
     for key in path:
         v = v.get(key, {})
     return v if v != {} else 0
 
 
-def _most(v: Mapping[str, Any], name: str) -> Any:
+def _largest_budget_figure(v: Mapping[str, Any], name: str) -> Any:
     return max((b[name] or 0 for b in v.get("budgets", {}).values()), default=0)
 
 
-def _least_used(v: Mapping[str, Any]) -> Any:
+def _smallest_budget_use(v: Mapping[str, Any]) -> Any:
     """Infinite where no budget is named, so that it is never the least; such figures
     are left out.
     """
@@ -40,38 +40,38 @@
 
 Figure = Callable[[Mapping[str, Any]], Any]
 COUNTS: dict[str, Figure] = {
-    "messages": lambda v: _at(v, "total", "messages"),
-    "delivered": lambda v: _at(v, "total", "delivered"),
-    "late": lambda v: _at(v, "total", "late"),
-    "noticed": lambda v: _at(v, "total", "noticed"),
-    "lost": lambda v: _at(v, "lost"),
-    "wiped": lambda v: _at(v, "total", "wiped"),
-    "doubled": lambda v: _at(v, "doubled"),
-    "phantoms": lambda v: _at(v, "phantoms"),
-    "over": lambda v: _most(v, "over"),
-    "overlaps": lambda v: _at(v, "leases", "overlaps"),
-    "tokens_back": lambda v: _at(v, "leases", "tokens_back"),
-    "two_owners": lambda v: _at(v, "shards", "two_owners"),
-    "handed": lambda v: _at(v, "sessions", "handed"),
-    "aborted": lambda v: _at(v, "sessions", "aborted"),
-    "split": lambda v: _at(v, "sessions", "split"),
-    "sess_lost": lambda v: _at(v, "sessions", "lost"),
-    "sess_doubled": lambda v: _at(v, "sessions", "doubled"),
-    "out_of_order": lambda v: _at(v, "sessions", "out_of_order"),
+    "messages": lambda v: _value_at(v, "total", "messages"),
+    "delivered": lambda v: _value_at(v, "total", "delivered"),
+    "late": lambda v: _value_at(v, "total", "late"),
+    "noticed": lambda v: _value_at(v, "total", "noticed"),
+    "lost": lambda v: _value_at(v, "lost"),
+    "wiped": lambda v: _value_at(v, "total", "wiped"),
+    "doubled": lambda v: _value_at(v, "doubled"),
+    "phantoms": lambda v: _value_at(v, "phantoms"),
+    "over": lambda v: _largest_budget_figure(v, "over"),
+    "overlaps": lambda v: _value_at(v, "leases", "overlaps"),
+    "tokens_back": lambda v: _value_at(v, "leases", "tokens_back"),
+    "two_owners": lambda v: _value_at(v, "shards", "two_owners"),
+    "handed": lambda v: _value_at(v, "sessions", "handed"),
+    "aborted": lambda v: _value_at(v, "sessions", "aborted"),
+    "split": lambda v: _value_at(v, "sessions", "split"),
+    "sess_lost": lambda v: _value_at(v, "sessions", "lost"),
+    "sess_doubled": lambda v: _value_at(v, "sessions", "doubled"),
+    "out_of_order": lambda v: _value_at(v, "sessions", "out_of_order"),
 }
 """Figures that a sweep adds up, all the better the smaller but for the first two."""
 WORST: dict[str, Figure] = {
-    "worst_span": lambda v: _most(v, "worst"),
-    "refused_per_delivery": lambda v: _most(v, "refused_per_delivery"),
-    "used": _least_used,
-    "unowned_longest_ms": lambda v: _at(v, "shards", "unowned_longest_ms"),
-    "longest_pause_ms": lambda v: _at(v, "sessions", "longest_pause_ms"),
-    "lag_max_ms": lambda v: _at(v, "lag_ms", "max"),
+    "worst_span": lambda v: _largest_budget_figure(v, "worst"),
+    "refused_per_delivery": lambda v: _largest_budget_figure(v, "refused_per_delivery"),
+    "used": _smallest_budget_use,
+    "unowned_longest_ms": lambda v: _value_at(v, "shards", "unowned_longest_ms"),
+    "longest_pause_ms": lambda v: _value_at(v, "sessions", "longest_pause_ms"),
+    "lag_max_ms": lambda v: _value_at(v, "lag_ms", "max"),
 }
 """Figures of which a sweep tells the worst only: the greatest, of ``used`` the
 least.
 """
-SHOWN = (
+TABLE_TOTALS = (
     "messages",
     "delivered",
     "lost",
@@ -81,16 +81,18 @@
     "overlaps",
     "tokens_back",
 )
-SHOWN_WORST = ("worst_span", "used", "refused_per_delivery", "lag_max_ms")
+TABLE_WORST = ("worst_span", "used", "refused_per_delivery", "lag_max_ms")
 
 
-def summary(name: str, wanted: Sequence[int], runs: Sequence[Played]) -> dict[str, Any]:
+def summarize(
+    name: str, seeds: Sequence[int], runs: Sequence[RunResult]
+) -> dict[str, Any]:
     """Per seed its figures, the totals, the worst of each with its seed, and ``exit``:
     1 on any breach and where a seed was not played.
     """
     runs = sorted(runs, key=lambda p: p.seed)
-    whole = [p for p in runs if p.verdict]
-    figures = {p.seed: _figures(p.verdict) for p in whole}
+    complete_runs = [p for p in runs if p.verdict]
+    figures = {p.seed: _figures(p.verdict) for p in complete_runs}
     worst: dict[str, Any] = {}
     for key in [*COUNTS, *WORST]:
         having = [seed for seed, f in sorted(figures.items()) if key in f]
@@ -99,20 +101,22 @@
             seed = pick(having, key=lambda seed, key=key: figures[seed][key])  # type: ignore[misc]
             worst[key] = {"value": figures[seed][key], "seed": seed}
     breached = [p.seed for p in runs if p.breaches]
-    missing = sorted(set(wanted) - {p.seed for p in runs})
+    missing = sorted(set(seeds) - {p.seed for p in runs})
     return {
         "experiment": name,
-        "seeds": len(wanted),
+        "seeds": len(seeds),
         "played": len(runs),
         "not_played": missing,
         "breached": breached,
-        "invalid": [p.seed for p in whole if not p.verdict["valid"]],
-        "totals": {key: sum(figures[p.seed][key] for p in whole) for key in COUNTS},
+        "invalid": [p.seed for p in complete_runs if not p.verdict["valid"]],
+        "totals": {
+            key: sum(figures[p.seed][key] for p in complete_runs) for key in COUNTS
+        },
         "worst": worst,
         "runs": [
             {
                 "seed": p.seed,
-                "exit": p.code,
+                "exit": p.exit_code,
                 "wall_s": round(p.wall_s, 2),
                 "breaches": p.breaches,
                 "valid": p.verdict.get("valid"),
@@ -136,28 +140,31 @@
     return {key: value for key, value in every.items() if value != math.inf}
 
 
-def table(told: Mapping[str, Any]) -> str:
+def format_table(summary: Mapping[str, Any]) -> str:
     """A line a seed, a line of totals and worst figures, and the breaches in words."""
-    heads = ["seed", "exit", "wall_s", *SHOWN, *SHOWN_WORST, "valid"]
+    heads = ["seed", "exit", "wall_s", *TABLE_TOTALS, *TABLE_WORST, "valid"]
     rows = [heads]
-    for r in told["runs"]:
-        f = r["figures"] or {}
-        cells = [f.get(k, "-") for k in (*SHOWN, *SHOWN_WORST)]
+    for run in summary["runs"]:
+        figures = run["figures"] or {}
+        cells = [figures.get(k, "-") for k in (*TABLE_TOTALS, *TABLE_WORST)]
         rows.append(
-            [str(c) for c in (r["seed"], r["exit"], r["wall_s"], *cells, r["valid"])]
+            [
+                str(c)
+                for c in (run["seed"], run["exit"], run["wall_s"], *cells, run["valid"])
+            ]
         )
-    total = [told["totals"].get(k, "-") for k in SHOWN]
-    worst = [told["worst"].get(k, {}).get("value", "-") for k in SHOWN_WORST]
+    total = [summary["totals"].get(k, "-") for k in TABLE_TOTALS]
+    worst = [summary["worst"].get(k, {}).get("value", "-") for k in TABLE_WORST]
     rows.append(
         [
             str(c)
             for c in (
                 "all",
-                told["exit"],
+                summary["exit"],
                 "",
                 *total,
                 *worst,
-                len(told["invalid"]) == 0,
+                len(summary["invalid"]) == 0,
             )
         ]
     )
@@ -167,10 +174,10 @@
         for row in rows
     ]
     lines += [
-        f"seed {r['seed']}: {'; '.join(r['breaches'])}"
-        for r in told["runs"]
-        if r["breaches"]
+        f"seed {run['seed']}: {'; '.join(run['breaches'])}"
+        for run in summary["runs"]
+        if run["breaches"]
     ]
-    if told["not_played"]:
-        lines.append(f"not played: {', '.join(map(str, told['not_played']))}")
+    if summary["not_played"]:
+        lines.append(f"not played: {', '.join(map(str, summary['not_played']))}")
     return "\n".join(lines)
--- a/rainfall/lab/reader.py
+++ b/rainfall/lab/table_reader.py
@@ -18,7 +18,7 @@
         self.faults = faults
 
 
-class Reader:
+class TableReader:
     """``take`` always gives a value of the wanted kind, so that reading goes on past a
     fault.
     """
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.faults: list[str] = []
 
-    def take(
+    def read(
         self,
         table: Mapping[str, Any],
         key: str,
@@ -51,7 +51,9 @@
             self.faults.append(f"{name}: {value!r} {hint or 'is out of range'}")
         return value
 
-    def unknown(self, table: Mapping[str, Any], known: set[str], path: str) -> None:
+    def check_unknown_keys(
+        self, table: Mapping[str, Any], known: set[str], path: str
+    ) -> None:
         for key in sorted(set(table) - known):
             self.faults.append(f"{path}.{key}".lstrip(".") + ": unknown key")
 
--- a/rainfall/lab/verdicts/__init__.py
+++ b/rainfall/lab/verdicts/__init__.py
@@ -11,33 +11,39 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from rainfall.lab.shapes import Experiment
+from rainfall.lab.experiment_model import Experiment
 from rainfall.lab.verdicts import budgets, leases, sessions, shards
 
 Record = Mapping[str, Any]
 
 
-def sections(records: Sequence[Record], exp: Experiment) -> dict[str, Any]:
+def check_all(records: Sequence[Record], experiment: Experiment) -> dict[str, Any]:
     """``budgets`` (by destination), ``leases``, ``shards``, ``sessions``."""
-    end_ns = int(exp.duration_s * 1e9)
+    end_ns = int(experiment.duration_s * 1e9)
     return {
         "budgets": {
-            str(b.destination): budgets.check(
-                records, b.destination, b.calls, b.span_ms, end_ns
+            str(budget.destination): budgets.check(
+                records, budget.destination, budget.calls, budget.span_ms, end_ns
             )
-            for b in exp.budgets
+            for budget in experiment.budgets
         },
         "leases": leases.check(records),
         "shards": shards.check(records, end_ns),
         "sessions": sessions.check(
             records,
-            {c.name: c.effect for c in exp.load.classes},
-            {c.name: int(c.deadline_s * 1e9) for c in exp.load.classes},
+            {
+                load_class.name: load_class.effect
+                for load_class in experiment.load.classes
+            },
+            {
+                load_class.name: int(load_class.deadline_s * 1e9)
+                for load_class in experiment.load.classes
+            },
         ),
     }
 
 
-BREACHES = (
+BREACH_COUNTS = (
     ("leases", "overlaps"),
     ("leases", "tokens_back"),
     ("shards", "two_owners"),
@@ -57,10 +63,10 @@
         for name in ("lost", "doubled", "phantoms")
         if result[name]
     ]
-    for destination, b in sorted(result.get("budgets", {}).items()):
-        if b["over"]:
-            found.append(f"budgets.{destination}.over: {b['over']}")
-    for part, name in BREACHES:
+    for destination, budget in sorted(result.get("budgets", {}).items()):
+        if budget["over"]:
+            found.append(f"budgets.{destination}.over: {budget['over']}")
+    for part, name in BREACH_COUNTS:
         if result.get(part, {}).get(name):
             found.append(f"{part}.{name}: {result[part][name]}")
     return found
--- a/rainfall/lab/verdicts/budgets.py
+++ b/rainfall/lab/verdicts/budgets.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-REFUSED = (429, 503)
+REJECTED_STATUSES = (429, 503)
 
 
-def worst_span(times_ns: Sequence[int], span_ns: int) -> tuple[int, int]:
+def fullest_window(times_ns: Sequence[int], span_ns: int) -> tuple[int, int]:
     """The most of the (sorted) times in any half-open window [t, t + span), and where
     it begins first. Exact: a fullest window can always be moved right until it begins
     at one of the times. O(n).
@@ -24,7 +24,7 @@
     return worst, at
 
 
-def spans_over(times_ns: Sequence[int], span_ns: int, calls: int) -> int:
+def calls_over_limit(times_ns: Sequence[int], span_ns: int, calls: int) -> int:
     """How many of the calls were beyond the whole as they left: each with ``calls``
     others in the span that ends with it.
     """
@@ -50,30 +50,34 @@
     """
     sent: list[int] = []
     at_endpoints: list[tuple[int, int]] = []
-    for r in records:
-        if r["kind"] == "sent" and r["destination"] == destination:
-            sent.append(r["at_ns"])
-        elif r["kind"] == "call" and r["destination"] == destination:
-            at_endpoints.append((r["at_ns"], r["status"]))
+    for record in records:
+        if record["kind"] == "sent" and record["destination"] == destination:
+            sent.append(record["at_ns"])
+        elif record["kind"] == "call" and record["destination"] == destination:
+            at_endpoints.append((record["at_ns"], record["status"]))
     sent.sort()
     span_ns = span_ms * 1_000_000
-    worst, at = worst_span(sent, span_ns)
-    whole = calls * end_ns / span_ns
+    worst, fullest_at_ns = fullest_window(sent, span_ns)
+    allowed_calls = calls * end_ns / span_ns
     accepted = sum(
-        1 for t, status in at_endpoints if 0 <= t < end_ns and status not in REFUSED
+        1
+        for at_ns, status in at_endpoints
+        if 0 <= at_ns < end_ns and status not in REJECTED_STATUSES
     )
     delivered = sum(1 for _, status in at_endpoints if status == 200)
-    refused = sum(1 for _, status in at_endpoints if status in REFUSED)
+    refused = sum(1 for _, status in at_endpoints if status in REJECTED_STATUSES)
     return {
         "seen": len(sent),
         "whole": calls,
         "span_ms": span_ms,
         "worst": worst,
-        "worst_at_ns": at,
+        "worst_at_ns": fullest_at_ns,
         "over": max(0, worst - calls),
-        "calls_over": spans_over(sent, span_ns, calls),
-        "used": round(sum(1 for t in sent if 0 <= t < end_ns) / whole, 4),
-        "used_accepted": round(accepted / whole, 4),
+        "calls_over": calls_over_limit(sent, span_ns, calls),
+        "used": round(
+            sum(1 for at_ns in sent if 0 <= at_ns < end_ns) / allowed_calls, 4
+        ),
+        "used_accepted": round(accepted / allowed_calls, 4),
         "delivered": delivered,
         "refused": refused,
         "refused_per_delivery": round(refused / delivered, 4) if delivered else None,
--- a/rainfall/lab/verdicts/leases.py
+++ b/rainfall/lab/verdicts/leases.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-SHOWN = 20
+LISTED_RECORDS = 20
 Token = tuple[int, int]
-NONE: Token = (-1, -1)
+NO_TOKEN: Token = (-1, -1)
 
 
 @dataclass(slots=True)
 class _Lease:
-    granted: Token = NONE
+    granted: Token = NO_TOKEN
     holder: str = ""
-    acted: Token = NONE
+    acted: Token = NO_TOKEN
     actor: str = ""
 
 
@@ -31,39 +31,39 @@
     under before. Of records of one moment the grants count first.
     """
     kinds = {"granted": 0, "acted": 1}
-    every = sorted(
-        (r for r in records if r["kind"] in kinds),
+    ordered = sorted(
+        (record for record in records if record["kind"] in kinds),
         key=lambda r: (r["at_ns"], kinds[r["kind"]]),
     )
     leases: dict[str, _Lease] = {}
     overlaps: list[dict[str, Any]] = []
-    back: list[dict[str, Any]] = []
-    for r in every:
-        now = leases.setdefault(r["lease"], _Lease())
-        token: Token = (int(r["token"][0]), int(r["token"][1]))
-        if r["kind"] == "granted":
+    regressions: list[dict[str, Any]] = []
+    for record in ordered:
+        lease = leases.setdefault(record["lease"], _Lease())
+        token: Token = (int(record["token"][0]), int(record["token"][1]))
+        if record["kind"] == "granted":
             same = (
-                token == now.granted and r["holder"] == now.holder
+                token == lease.granted and record["holder"] == lease.holder
             )  # told again, nothing new
-            if token <= now.granted and not same:
-                back.append(dict(r))
-            if token > now.granted:
-                now.granted, now.holder = token, r["holder"]
+            if token <= lease.granted and not same:
+                regressions.append(dict(record))
+            if token > lease.granted:
+                lease.granted, lease.holder = token, record["holder"]
             continue
-        other_holds = now.granted > token and now.holder != r["member"]
-        stolen = now.granted == token and now.holder != r["member"]
-        shared = now.acted == token and now.actor != r["member"]
+        other_holds = lease.granted > token and lease.holder != record["member"]
+        stolen = lease.granted == token and lease.holder != record["member"]
+        shared = lease.acted == token and lease.actor != record["member"]
         if other_holds or stolen or shared:
-            overlaps.append(dict(r))
-        if token < now.acted:
-            back.append(dict(r))
-        if token >= now.acted:
-            now.acted, now.actor = token, r["member"]
+            overlaps.append(dict(record))
+        if token < lease.acted:
+            regressions.append(dict(record))
+        if token >= lease.acted:
+            lease.acted, lease.actor = token, record["member"]
     return {
-        "seen": len(every),
+        "seen": len(ordered),
         "leases": len(leases),
         "overlaps": len(overlaps),
-        "tokens_back": len(back),
-        "overlap_records": overlaps[:SHOWN],
-        "back_records": back[:SHOWN],
+        "tokens_back": len(regressions),
+        "overlap_records": overlaps[:LISTED_RECORDS],
+        "back_records": regressions[:LISTED_RECORDS],
     }
--- a/rainfall/lab/verdicts/sessions.py
+++ b/rainfall/lab/verdicts/sessions.py
@@ -14,7 +14,7 @@
 
 from rainfall.lab import checker
 
-SHOWN = 20
+LISTED_RECORDS = 20
 
 
 def out_of_order(records: Iterable[Mapping[str, Any]]) -> list[tuple[str, int]]:
@@ -23,48 +23,53 @@
     taken on have an order: what was sent under an id that no answer came to counts for
     nothing (PROTOCOL).
     """
-    place: dict[str, tuple[str, int]] = {}
+    positions: dict[str, tuple[str, int]] = {}
     calls: list[Mapping[str, Any]] = []
-    for r in records:
-        if r["kind"] == "try" and r.get("session") and r["status"] in checker.TAKEN:
-            place[r["id"]] = (r["session"], r["number"])
-        elif r["kind"] == "call":
-            calls.append(r)
-    best: dict[str, int] = {}
+    for record in records:
+        if (
+            record["kind"] == "try"
+            and record.get("session")
+            and record["status"] in checker.ACCEPTED_STATUSES
+        ):
+            positions[record["id"]] = (record["session"], record["number"])
+        elif record["kind"] == "call":
+            calls.append(record)
+    highest_delivered: dict[str, int] = {}
     delivered: set[tuple[str, int]] = set()
     late: dict[tuple[str, int], None] = {}
-    for c in sorted(calls, key=lambda c: c["at_ns"]):
-        here = place.get(c["id"])
-        if here is None:
+    for call in sorted(calls, key=lambda c: c["at_ns"]):
+        position = positions.get(call["id"])
+        if position is None:
             continue
-        session, number = here
-        if number < best.get(session, -1) and here not in delivered:
-            late[here] = None
-        if c["status"] == 200:
-            delivered.add(here)
-            best[session] = max(best.get(session, -1), number)
+        session, number = position
+        if number < highest_delivered.get(session, -1) and position not in delivered:
+            late[position] = None
+        if call["status"] == 200:
+            delivered.add(position)
+            highest_delivered[session] = max(highest_delivered.get(session, -1), number)
     return list(late)
 
 
 @dataclass(slots=True)
-class HandOvers:
-    handed: int = 0
+class MigrationCounts:
+    completed: int = 0
     aborted: int = 0
     split: int = 0
     """Hand-overs that one side ended as done and the other as aborted."""
-    open: int = 0
+    unfinished: int = 0
     """Offered, and neither done nor aborted in the records."""
-    longest_ns: int = 0
+    longest_pause_ns: int = 0
 
 
-def hand_overs(records: Iterable[Mapping[str, Any]]) -> HandOvers:
+def count_migrations(records: Iterable[Mapping[str, Any]]) -> MigrationCounts:
     """A hand-over of a key goes from ``offered`` to the next ``offered`` of that key.
     Its pause is from ``frozen`` to the first ``committed`` or ``aborted`` after it.
     """
     steps = sorted(
-        (r for r in records if r["kind"] == "session"), key=lambda r: r["at_ns"]
+        (record for record in records if record["kind"] == "session"),
+        key=lambda r: r["at_ns"],
     )
-    found = HandOvers()
+    counts = MigrationCounts()
     ends: dict[str, set[str]] = {}
     frozen: dict[str, int] = {}
 
@@ -72,25 +77,27 @@
         had = ends.pop(key, None)
         if had is None:
             return
-        found.handed += "done" in had
-        found.aborted += "aborted" in had and "done" not in had
-        found.split += {"done", "aborted"} <= had
-        found.open += not had
+        counts.completed += "done" in had
+        counts.aborted += "aborted" in had and "done" not in had
+        counts.split += {"done", "aborted"} <= had
+        counts.unfinished += not had
 
-    for r in steps:
-        key, step = r["key"], r["step"]
+    for record in steps:
+        key, step = record["key"], record["step"]
         if step == "offered":
             close(key)
             ends[key] = set()
         elif step == "frozen":
-            frozen[key] = r["at_ns"]
+            frozen[key] = record["at_ns"]
         elif step in ("committed", "aborted") and key in frozen:
-            found.longest_ns = max(found.longest_ns, r["at_ns"] - frozen.pop(key))
+            counts.longest_pause_ns = max(
+                counts.longest_pause_ns, record["at_ns"] - frozen.pop(key)
+            )
         if step in ("done", "aborted"):
             ends.setdefault(key, set()).add(step)
     for key in list(ends):
         close(key)
-    return found
+    return counts
 
 
 def check(
@@ -101,22 +108,28 @@
     """``seen`` counts the forwarders' records, ``messages`` the keyed ones of the load;
     lost, doubled and out of order are of those.
     """
-    joined = checker.join(records, deadlines_ns)
-    keyed = [m for m in joined.messages.values() if m.session]
-    late, moves = out_of_order(records), hand_overs(records)
+    joined = checker.join_records(records, deadlines_ns)
+    session_messages = [
+        message for message in joined.messages.values() if message.session
+    ]
+    late, migrations = out_of_order(records), count_migrations(records)
     return {
         "seen": sum(r["kind"] == "session" for r in records),
-        "keys": len({m.session for m in keyed}),
-        "messages": len(keyed),
-        "handed": moves.handed,
-        "aborted": moves.aborted,
-        "split": moves.split,
-        "open": moves.open,
-        "lost": sum(m.lost(joined.noticed, joined.wiped) for m in keyed),
-        "doubled": sum(m.doubled(effects[m.cls]) for m in keyed),
+        "keys": len({message.session for message in session_messages}),
+        "messages": len(session_messages),
+        "handed": migrations.completed,
+        "aborted": migrations.aborted,
+        "split": migrations.split,
+        "open": migrations.unfinished,
+        "lost": sum(
+            message.lost(joined.noticed, joined.wiped) for message in session_messages
+        ),
+        "doubled": sum(
+            message.doubled(effects[message.class_name]) for message in session_messages
+        ),
         "out_of_order": len(late),
         "out_of_order_records": [
-            f"{session} {number}" for session, number in late[:SHOWN]
+            f"{session} {number}" for session, number in late[:LISTED_RECORDS]
         ],
-        "longest_pause_ms": moves.longest_ns / 1e6,
+        "longest_pause_ms": migrations.longest_pause_ns / 1e6,
     }
--- a/rainfall/lease/token.py
+++ b/rainfall/lease/fencing_token.py
@@ -15,12 +15,12 @@
     epoch: int
     number: int
 
-    def told(self) -> list[int]:
+    def to_wire(self) -> list[int]:
         """As it stands on the wire: `[epoch, number]`."""
         return [self.epoch, self.number]
 
     @staticmethod
-    def of(raw: Any) -> Token:
+    def from_wire(raw: Any) -> Token:
         """From the wire; ValueError where it is no token."""
         if (
             not isinstance(raw, list)
@@ -33,5 +33,5 @@
         return Token(*raw)
 
 
-NEVER = Token(0, 0)
+ZERO_TOKEN = Token(0, 0)
 """Below every token that is granted."""
--- a/rainfall/lease/holder.py
+++ b/rainfall/lease/holder.py
@@ -7,26 +7,26 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from rainfall.lease.terms import surely_held_us
-from rainfall.lease.token import NEVER, Token
+from rainfall.lease.fencing_token import ZERO_TOKEN, Token
+from rainfall.lease.types import holder_validity_us
 
-MOST_ASKS = 8  # under way; answers to older ones come too late to be of use
-LEAST_PAUSE_US = 50_000  # the first pause after a failure is drawn from 0 to this
+MAX_PENDING_REQUESTS = 8  # under way; answers to older ones come too late to be of use
+INITIAL_BACKOFF_US = 50_000  # the first pause after a failure is drawn from 0 to this
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class LeaseRequest:
     """One request, noted before it leaves. `token` is None where a lease is acquired,
     not renewed.
     """
 
-    sent: int
-    at_us: int
+    number: int
+    sent_at_us: int
     token: Token | None
-    seen: Token
+    highest_seen: Token
 
 
-class Holder:
+class LeaseHolder:
     """One lease of one process. Call `asked` before a request leaves, then one of
     `answered`, `held`, `refused` or `failed` with its `sent`. `random` gives floats
     from 0 below 1.
@@ -39,13 +39,15 @@
         """Own clock; from then on nothing is done under the lease."""
         self.next_renewal_us = 0
         """Own clock; when to ask again."""
-        self.seen = NEVER
+        self.highest_seen = ZERO_TOKEN
         """Highest token met anywhere: goes with every call and lifts a service that is
         behind.
         """
-        self._out = NEVER  # this token and all below are over, whatever comes late
-        self._asks: dict[int, Ask] = {}
-        self._sent = self._newest = self._fails = 0
+        self._ended_through = (
+            ZERO_TOKEN  # this token and all below are over, whatever comes late
+        )
+        self._pending_requests: dict[int, LeaseRequest] = {}
+        self._last_request = self._last_answered = self._failure_count = 0
         self._now_us = 0
 
     # -- may it act
@@ -53,110 +55,124 @@
 
     def may_act(self, now_us: int) -> bool:
         """Ask again right before each guarded action, and send `token` with it."""
-        self._clock(now_us)
-        return self._valid(now_us)
+        self._advance_clock(now_us)
+        return self._is_valid(now_us)
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """The clock cannot be trusted (it went back, the machine slept): nothing asked
         or answered so far counts, the lease acts again only after an answer to a new
         request.
         """
         self.valid_until_us = self.next_renewal_us = 0
-        self._asks.clear()
+        self._pending_requests.clear()
 
-    def fenced(self, seen: Token) -> None:
+    def on_fenced(self, seen: Token) -> None:
         """Whatever the lease guards has seen a higher token (409): this one is over."""
-        self.seen = max(self.seen, seen)
+        self.highest_seen = max(self.highest_seen, seen)
         if self.token is not None and self.token < seen:
-            self._over(self.token)
+            self._end_token(self.token)
 
-    def let_go(self) -> Token | None:
+    def relinquish(self) -> Token | None:
         """Stop acting, for good under this token, which is returned to be released at
         the service.
         """
-        token, self.seen = self.token, max(self.seen, self.token or NEVER)
+        token, self.highest_seen = (
+            self.token,
+            max(self.highest_seen, self.token or ZERO_TOKEN),
+        )
         if token is not None:
-            self._over(token)
+            self._end_token(token)
         return token
 
     # -- asking
     # --------------------------------------------------------------------------------------
 
-    def asked(self, now_us: int) -> Ask:
+    def start_request(self, now_us: int) -> LeaseRequest:
         """Before the request leaves: the lease will count from this moment."""
-        self._clock(now_us)
-        self._sent += 1
-        ask = self._asks[self._sent] = Ask(self._sent, now_us, self.token, self.seen)
-        while len(self._asks) > MOST_ASKS:
-            del self._asks[min(self._asks)]
+        self._advance_clock(now_us)
+        self._last_request += 1
+        ask = self._pending_requests[self._last_request] = LeaseRequest(
+            self._last_request, now_us, self.token, self.highest_seen
+        )
+        while len(self._pending_requests) > MAX_PENDING_REQUESTS:
+            del self._pending_requests[min(self._pending_requests)]
         # A third of the lease, less up to a quarter of that: two more tries fit before
         # it is out.
         self.next_renewal_us = now_us + int(self._third_us() * (1 - self._random() / 4))
         return ask
 
-    def answered(self, now_us: int, sent: int, token: Token, ttl_us: int) -> bool:
+    def on_granted(
+        self, now_us: int, request_number: int, token: Token, ttl_us: int
+    ) -> bool:
         """Granted or renewed. False where the answer counts for nothing: its request is
         not known, a later one was answered, or its token is over.
         """
-        self._clock(now_us)
-        ask = self._asks.pop(sent, None)
-        self.seen = max(self.seen, token)
+        self._advance_clock(now_us)
+        ask = self._pending_requests.pop(request_number, None)
+        self.highest_seen = max(self.highest_seen, token)
         if (
             ask is None
-            or sent < self._newest
-            or token <= self._out
-            or token < (self.token or NEVER)
+            or request_number < self._last_answered
+            or token <= self._ended_through
+            or token < (self.token or ZERO_TOKEN)
         ):
             return False
-        self._newest, self._fails = sent, 0
+        self._last_answered, self._failure_count = request_number, 0
         self.token, self.ttl_us = token, ttl_us
-        self.valid_until_us = ask.at_us + surely_held_us(ttl_us, self.drift)
+        self.valid_until_us = ask.sent_at_us + holder_validity_us(ttl_us, self.drift)
         return True
 
-    def refused(self, now_us: int, sent: int, seen: Token = NEVER) -> None:
+    def on_rejected(
+        self, now_us: int, request_number: int, seen: Token = ZERO_TOKEN
+    ) -> None:
         """409 for the token that was sent: over at once and for good, in whatever order
         answers come.
         """
-        self._clock(now_us)
-        ask = self._asks.pop(sent, None)
-        self.seen = max(self.seen, seen)
+        self._advance_clock(now_us)
+        ask = self._pending_requests.pop(request_number, None)
+        self.highest_seen = max(self.highest_seen, seen)
         if ask is not None and ask.token is not None:
-            self._over(ask.token)
+            self._end_token(ask.token)
             self.next_renewal_us = now_us + int(self._third_us() * self._random())
 
-    def held(self, now_us: int, sent: int, retry_us: int) -> None:
+    def on_unavailable(self, now_us: int, request_number: int, retry_us: int) -> None:
         """Not now: what is had runs out as it would, and the next request leaves after
         `retry_us`, spread over a third of a lease so that those who wait for one moment
         do not come at one.
         """
-        self._clock(now_us)
-        self._asks.pop(sent, None)
+        self._advance_clock(now_us)
+        self._pending_requests.pop(request_number, None)
         self.next_renewal_us = (
             now_us + retry_us + int(self._third_us() * self._random())
         )
 
-    def failed(self, now_us: int) -> None:
+    def on_no_answer(self, now_us: int) -> None:
         """No answer: try again with full jitter, at most a third of a lease later."""
-        self._clock(now_us)
-        self._fails += 1
-        most_us = min(self._third_us(), LEAST_PAUSE_US << min(self._fails - 1, 20))
+        self._advance_clock(now_us)
+        self._failure_count += 1
+        most_us = min(
+            self._third_us(), INITIAL_BACKOFF_US << min(self._failure_count - 1, 20)
+        )
         self.next_renewal_us = now_us + int(most_us * self._random())
 
     # -- helpers
     # -------------------------------------------------------------------------------------
 
-    def _over(self, token: Token) -> None:
-        self._out, self.seen = max(self._out, token), max(self.seen, token)
-        if self.token is not None and self.token <= self._out:
+    def _end_token(self, token: Token) -> None:
+        self._ended_through, self.highest_seen = (
+            max(self._ended_through, token),
+            max(self.highest_seen, token),
+        )
+        if self.token is not None and self.token <= self._ended_through:
             self.token, self.valid_until_us, self.next_renewal_us = None, 0, 0
 
-    def _valid(self, now_us: int) -> bool:
+    def _is_valid(self, now_us: int) -> bool:
         return self.token is not None and now_us < self.valid_until_us
 
     def _third_us(self) -> int:
-        return surely_held_us(self.ttl_us, self.drift) // 3
+        return holder_validity_us(self.ttl_us, self.drift) // 3
 
-    def _clock(self, now_us: int) -> None:
+    def _advance_clock(self, now_us: int) -> None:
         if now_us < self._now_us:
-            self.doubt()
+            self.invalidate()
         self._now_us = now_us
--- a/rainfall/lease/model.py
+++ b/rainfall/lease/model.py
@@ -13,14 +13,19 @@
 from dataclasses import replace
 from typing import Any, NamedTuple, TypeVar
 
-from rainfall.explore.net import Net
-from rainfall.lease.guard import Guard
-from rainfall.lease.holder import Holder
-from rainfall.lease.table import Grant, Table
-from rainfall.lease.terms import Record, Refused, Terms, surely_out_us
-from rainfall.lease.token import NEVER, Token
-
-BUGS = (
+from rainfall.lease.fencing import FencingGuard
+from rainfall.lease.fencing_token import ZERO_TOKEN, Token
+from rainfall.lease.holder import LeaseHolder
+from rainfall.lease.table import LeaseGrant, LeaseTable
+from rainfall.lease.types import (
+    LeaseRejectedError,
+    LeaseSettings,
+    Record,
+    service_expiry_us,
+)
+from rainfall.model_checker.network import Network
+
+MUTATIONS = (
     "no margin",
     "from the answer",
     "restart forgets",
@@ -34,56 +39,58 @@
     4,
     (3, 4),
 )  # what each clock shows of one tick; the first holder's is the slow one
-T = TypeVar("T", Table, Holder, Guard)
+T = TypeVar("T", LeaseTable, LeaseHolder, FencingGuard)
 Ask = tuple[str, int, int, Token | None, Token]
 
 
-class FromAnswer(Holder):
-    def answered(self, now_us: int, sent: int, token: Token, ttl_us: int) -> bool:
-        if sent in self._asks:
-            self._asks[sent] = replace(self._asks[sent], at_us=now_us)
-        return super().answered(now_us, sent, token, ttl_us)
+class HolderTimedFromAnswer(LeaseHolder):
+    def on_granted(self, now_us: int, sent: int, token: Token, ttl_us: int) -> bool:
+        if sent in self._pending_requests:
+            self._pending_requests[sent] = replace(
+                self._pending_requests[sent], sent_at_us=now_us
+            )
+        return super().on_granted(now_us, sent, token, ttl_us)
 
 
-class NoWait(Table):
-    def _doubt(self) -> None:
-        self._from_us = self._start_us
+class TableWithoutWait(LeaseTable):
+    def _delay_grants(self) -> None:
+        self._grants_from_us = self._started_at_us
 
 
-class NoLift(Table):
-    def lift(self, seen: Token) -> Record | None:
+class TableWithoutEpochRaise(LeaseTable):
+    def observe_token(self, seen: Token) -> Record | None:
         return None
 
 
-class NoGuard(Guard):
+class GuardWithoutCheck(FencingGuard):
     def check(self, name: str, token: Token) -> bool:
         return True
 
 
-class State(NamedTuple):
+class ModelState(NamedTuple):
     """Never changed once made; cores are forked before they are touched."""
 
-    table: Table
+    table: LeaseTable
     disk: tuple[dict[str, Any], ...]
     """The folder as it is, last, and as it was up to two versions ago."""
-    holders: tuple[Holder, ...]
+    holders: tuple[LeaseHolder, ...]
     checked: tuple[Token | None, ...]
     """The token each holder checked and has yet to act under."""
-    net: Net
-    guard: Guard
+    net: Network
+    guard: FencingGuard
     tick: int = 0
     asks: tuple[int, ...] = (0, 0)
     starts: int = 1
-    told: Token = NEVER
+    told: Token = ZERO_TOKEN
     """Highest that a client told the service since its folder last failed it."""
-    given: Token = NEVER
+    given: Token = ZERO_TOKEN
     """Highest that was ever granted."""
-    served: tuple[Token, int] = (NEVER, -1)
+    served: tuple[Token, int] = (ZERO_TOKEN, -1)
     """Highest that the resource served, and for whom."""
     why: str = ""
 
 
-class Leases:
+class LeaseModel:
     """`wall`: the wall clock goes on, so the service's hint grows with each start;
     without it the hint is none at all. `unnoticed`: an older copy is taken for the
     whole folder. `held`: the first holder has its lease at the start, just asked for.
@@ -102,7 +109,7 @@
         lets_go: bool = False,
         held: bool = False,
     ) -> None:
-        if bug not in ("", *BUGS):
+        if bug not in ("", *MUTATIONS):
             raise ValueError(f"no such bug: {bug}")
         self.bug, self.wall, self.unnoticed = bug, wall, unnoticed
         self.asks, self.starts, self.copies, self.lets_go = (
@@ -113,94 +120,105 @@
         )
         self.held = held
         self.drift = 0.0 if bug == "no margin" else DRIFT
-        self.terms = Terms(self.drift, 1, TTL, 4)
-        self.table = {"no wait": NoWait, "no lift": NoLift}.get(bug, Table)
-        self.holder = FromAnswer if bug == "from the answer" else Holder
-        self.guard = NoGuard if bug == "no guard" else Guard
+        self.terms = LeaseSettings(self.drift, 1, TTL, 4)
+        self.table_class = {
+            "no wait": TableWithoutWait,
+            "no lift": TableWithoutEpochRaise,
+        }.get(bug, LeaseTable)
+        self.holder_class = (
+            HolderTimedFromAnswer if bug == "from the answer" else LeaseHolder
+        )
+        self.guard_class = GuardWithoutCheck if bug == "no guard" else FencingGuard
 
-    def start(self) -> State:
+    def start(self) -> ModelState:
         """A service that was up for long; nobody holds anything, and a lease of another
         name was given up.
         """
-        table = self.table(self.terms)
+        table = self.table_class(self.terms)
         table.commit(table.start(-100, False))
         made = table.acquire(-50, "y", "C", TTL)
-        assert isinstance(made, Grant) and made.record
+        assert isinstance(made, LeaseGrant) and made.record
         table.commit(made.record)
         table.commit(table.release(-50, "y", made.token))
-        holders = tuple(self.holder(TTL, self.drift, lambda: 0.5) for _ in RATES)
-        state = State(
+        holders = tuple(self.holder_class(TTL, self.drift, lambda: 0.5) for _ in RATES)
+        state = ModelState(
             table,
             (table.snapshot(),) * 3,
             holders,
             (None,) * len(holders),
-            Net(most=3, copies=self.copies),
-            self.guard(),
+            Network(max_in_transit=3, duplicates_left=self.copies),
+            self.guard_class(),
         )
         if self.held:
-            ask = holders[0].asked(0)
-            state = self._asked(state, 0, ask.sent, None, NEVER)
-            state = self._arrives(
-                state._replace(net=replace(state.net, bag=())), state.net.bag[0]
+            ask = holders[0].start_request(0)
+            state = self._serve_request(state, 0, ask.number, None, ZERO_TOKEN)
+            state = self._deliver(
+                state._replace(net=replace(state.net, in_transit=())),
+                state.net.in_transit[0],
             )
         return state
 
     # -- steps
     # ---------------------------------------------------------------------------------------
 
-    def steps(self, state: State) -> Iterator[tuple[str, State]]:
+    def steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
         """Everything that may happen next."""
         yield "a tick", state._replace(tick=state.tick + 1)
         for who, name in enumerate("AB"):
             yield from self._holder_steps(state, who, name)
         for message, net in state.net.arrivals():
-            yield f"{message} arrives", self._arrives(state._replace(net=net), message)
-        out = state.table.next_us()
-        if out is not None and out <= self._at(state):
-            table = fork(state.table)
-            records = table.expire(self._at(state))
+            yield f"{message} arrives", self._deliver(state._replace(net=net), message)
+        out = state.table.next_expiry_us()
+        if out is not None and out <= self._service_time(state):
+            table = copy_core(state.table)
+            records = table.expire(self._service_time(state))
             yield (
                 "the service ends what is out",
-                self._written(state, table, records, records[-1]),
+                self._write_records(state, table, records, records[-1]),
             )
         if state.starts < self.starts:
-            yield "the service starts anew", self._started(state, state.disk[-1], True)
+            yield (
+                "the service starts anew",
+                self._restart_service(state, state.disk[-1], True),
+            )
             yield (
                 "the service starts anew, its folder two versions old",
-                self._started(state, state.disk[0], self.unnoticed),
+                self._restart_service(state, state.disk[0], self.unnoticed),
             )
             yield (
                 "the service starts anew, its folder lost",
-                self._started(state, None, False),
+                self._restart_service(state, None, False),
             )
 
     def _holder_steps(
-        self, state: State, who: int, name: str
-    ) -> Iterator[tuple[str, State]]:
+        self, state: ModelState, who: int, name: str
+    ) -> Iterator[tuple[str, ModelState]]:
         now = state.tick * RATES[who]
         if state.asks[who] < self.asks[who]:
-            holder = fork(state.holders[who])
-            ask = holder.asked(now)
-            net = state.net.send(("ask", who, ask.sent, ask.token, ask.seen))
+            holder = copy_core(state.holders[who])
+            ask = holder.start_request(now)
+            net = state.net.send(("ask", who, ask.number, ask.token, ask.highest_seen))
             yield (
                 f"{name} asks",
-                self._with(state, who, holder)._replace(
-                    net=net, asks=put(state.asks, who, state.asks[who] + 1)
+                self._with_holder(state, who, holder)._replace(
+                    net=net, asks=replaced_at(state.asks, who, state.asks[who] + 1)
                 ),
             )
         token = state.checked[who]
-        if token is None and state.holders[who]._valid(now):
+        if token is None and state.holders[who]._is_valid(now):
             yield (
                 f"{name} checks",
                 state._replace(
-                    checked=put(state.checked, who, state.holders[who].token)
+                    checked=replaced_at(state.checked, who, state.holders[who].token)
                 ),
             )
         if token is not None:
             yield (
                 f"{name} acts",
-                self._acts(
-                    state._replace(checked=put(state.checked, who, None)), who, token
+                self._act_under_token(
+                    state._replace(checked=replaced_at(state.checked, who, None)),
+                    who,
+                    token,
                 ),
             )
         if (
@@ -208,18 +226,21 @@
             and state.holders[who].token is not None
             and state.asks[who] < self.asks[who]
         ):
-            holder = fork(state.holders[who])
-            net = state.net.send(("let go", who, 0, holder.let_go(), NEVER))
-            yield f"{name} lets go", self._with(state, who, holder)._replace(net=net)
+            holder = copy_core(state.holders[who])
+            net = state.net.send(("let go", who, 0, holder.relinquish(), ZERO_TOKEN))
+            yield (
+                f"{name} lets go",
+                self._with_holder(state, who, holder)._replace(net=net),
+            )
 
-    def _acts(self, state: State, who: int, token: Token) -> State:
-        guard, before = fork(state.guard), state.served
+    def _act_under_token(self, state: ModelState, who: int, token: Token) -> ModelState:
+        guard, before = copy_core(state.guard), state.served
         try:
             guard.check(NAME, token)
-        except Refused as error:
-            holder = fork(state.holders[who])
-            holder.fenced(error.seen)
-            return self._with(state, who, holder)
+        except LeaseRejectedError as error:
+            holder = copy_core(state.holders[who])
+            holder.on_fenced(error.conflicting_token)
+            return self._with_holder(state, who, holder)
         why = ""
         # Without a hint a token may come twice where nobody who saw it speaks: only the
         # operator can help.
@@ -229,30 +250,30 @@
             guard=guard, served=max(before, (token, who)), why=why or state.why
         )
 
-    def _arrives(self, state: State, message: Hashable) -> State:
+    def _deliver(self, state: ModelState, message: Hashable) -> ModelState:
         assert isinstance(message, tuple)
         kind, who, sent, token, seen = message
         if kind == "ask":
-            return self._asked(state, who, sent, token, seen)
+            return self._serve_request(state, who, sent, token, seen)
         if kind == "let go":
-            table = fork(state.table)
+            table = copy_core(state.table)
             try:
-                record = table.release(self._at(state), NAME, token)
-            except Refused:
+                record = table.release(self._service_time(state), NAME, token)
+            except LeaseRejectedError:
                 return state
-            return self._written(state, table, [record], record)
-        holder, now = fork(state.holders[who]), state.tick * RATES[who]
+            return self._write_records(state, table, [record], record)
+        holder, now = copy_core(state.holders[who]), state.tick * RATES[who]
         if kind == "yes":
-            holder.answered(now, sent, token, TTL)
+            holder.on_granted(now, sent, token, TTL)
         else:
-            holder.refused(now, sent, seen)
-        return self._with(state, who, holder)
-
-    def _asked(
-        self, state: State, who: int, sent: int, token: Token | None, seen: Token
-    ) -> State:
-        table, now = fork(state.table), self._at(state)
-        told = max(state.told, seen, token or NEVER)
+            holder.on_rejected(now, sent, seen)
+        return self._with_holder(state, who, holder)
+
+    def _serve_request(
+        self, state: ModelState, who: int, sent: int, token: Token | None, seen: Token
+    ) -> ModelState:
+        table, now = copy_core(state.table), self._service_time(state)
+        told = max(state.told, seen, token or ZERO_TOKEN)
         record: Record | None
         answer: tuple[Any, ...] | None = None
         try:
@@ -262,24 +283,29 @@
                 else table.renew(now, NAME, token, seen)
             )
             record = made.record
-        except Refused as error:
-            answer, record = ("no", who, sent, None, error.seen), error.record
+        except LeaseRejectedError as error:
+            answer, record = (
+                ("no", who, sent, None, error.conflicting_token),
+                error.record,
+            )
         else:
-            if isinstance(made, Grant):
-                answer = ("yes", who, sent, made.token, NEVER)
+            if isinstance(made, LeaseGrant):
+                answer = ("yes", who, sent, made.token, ZERO_TOKEN)
         why, given = "", state.given
         if record is not None and record["kind"] == "grant":
             fresh = Token(record["epoch"], record["n"])
             if fresh <= (max(given, told) if self.wall else told):
                 why = f"{fresh} was granted, though {max(given, told)} was before"
             given = max(given, fresh)
-        after = self._written(state, table, [record] if record else [], record or {})
+        after = self._write_records(
+            state, table, [record] if record else [], record or {}
+        )
         net = state.net if answer is None else state.net.send(answer)
         return after._replace(net=net, told=told, given=given, why=why or state.why)
 
-    def _written(
-        self, state: State, table: Table, records: list[Record], last: Record
-    ) -> State:
+    def _write_records(
+        self, state: ModelState, table: LeaseTable, records: list[Record], last: Record
+    ) -> ModelState:
         for record in records:
             table.commit(record)
         disk = state.disk
@@ -289,56 +315,59 @@
             disk = (*disk[1:], table.snapshot())
         return state._replace(table=table, disk=disk)
 
-    def _started(
-        self, state: State, folder: dict[str, Any] | None, sure: bool
-    ) -> State:
+    def _restart_service(
+        self, state: ModelState, folder: dict[str, Any] | None, sure: bool
+    ) -> ModelState:
         if folder is not None and self.bug == "restart forgets":
             folder = {**folder, "leases": []}
         table = (
-            self.table(self.terms)
+            self.table_class(self.terms)
             if folder is None
-            else self.table.restored(folder, self.terms)
+            else self.table_class.from_snapshot(folder, self.terms)
         )
         starts = state.starts + 1
-        record = table.start(self._at(state), sure, starts if self.wall else 0)
+        record = table.start(
+            self._service_time(state), sure, starts if self.wall else 0
+        )
         whole = folder is not None and folder == state.disk[-1]
-        state = state._replace(starts=starts, told=state.told if whole else NEVER)
-        return self._written(state, table, [record], record)
+        state = state._replace(starts=starts, told=state.told if whole else ZERO_TOKEN)
+        return self._write_records(state, table, [record], record)
 
     # -- what must hold
     # ------------------------------------------------------------------------------
 
-    def broken(self, state: State) -> str:
+    def broken(self, state: ModelState) -> str:
         """Tokens that went back, and two that may act at once (by time alone: whatever
         the guard says).
         """
         if state.why:
             return state.why
         both = not self.unnoticed and all(
-            holder._valid(state.tick * rate)
+            holder._is_valid(state.tick * rate)
             for holder, rate in zip(state.holders, RATES, strict=True)
         )
         return "both holders may act" if both else ""
 
-    def key(self, state: State) -> Hashable:
-        table, now = state.table, self._at(state)
+    def key(self, state: ModelState) -> Hashable:
+        table, now = state.table, self._service_time(state)
         holders = tuple(
             (
                 h.token,
                 max(h.valid_until_us - at, 0),
-                h.seen,
-                h._out,
-                h._newest,
+                h.highest_seen,
+                h._ended_through,
+                h._last_answered,
                 state.checked[who],
                 state.asks[who],
                 tuple(
-                    (a.sent, a.token, max(a.at_us - at, -TTL)) for a in h._asks.values()
+                    (a.number, a.token, max(a.sent_at_us - at, -TTL))
+                    for a in h._pending_requests.values()
                 ),
             )
             for who, h in enumerate(state.holders)
             for at in (state.tick * RATES[who],)
         )
-        wait_us = table._start_us + surely_out_us(TTL, self.drift) - now
+        wait_us = table._started_at_us + service_expiry_us(TTL, self.drift) - now
         return (
             holders,
             state.net,
@@ -347,33 +376,33 @@
             state.given,
             state.served,
             state.why,
-            state.guard.seen(NAME),
-            table._top,
-            table.number,
-            table.unsure,
+            state.guard.required_token(NAME),
+            table._highest_issued,
+            table.last_committed,
+            table.history_uncertain,
             max(wait_us, 0),
-            max(table._from_us - now, 0),
+            max(table._grants_from_us - now, 0),
             table.epoch,
             tuple(
-                (lease.holder, lease.token, max(lease.until_us - now, 0))
+                (lease.holder, lease.token, max(lease.expires_at_us - now, 0))
                 for lease in table.leases.values()
             ),
-            state.starts < self.starts and tuple(map(folder_key, state.disk)),
+            state.starts < self.starts and tuple(map(snapshot_key, state.disk)),
         )
 
     # -- helpers
     # -------------------------------------------------------------------------------------
 
     @staticmethod
-    def _at(state: State) -> int:
+    def _service_time(state: ModelState) -> int:
         return state.tick * SERVICE_RATE
 
     @staticmethod
-    def _with(state: State, who: int, holder: Holder) -> State:
-        return state._replace(holders=put(state.holders, who, holder))
+    def _with_holder(state: ModelState, who: int, holder: LeaseHolder) -> ModelState:
+        return state._replace(holders=replaced_at(state.holders, who, holder))
 
 
-def folder_key(folder: dict[str, Any]) -> Hashable:
+def snapshot_key(folder: dict[str, Any]) -> Hashable:
     return (
         folder["epoch"],
         folder["number"],
@@ -382,11 +411,11 @@
     )
 
 
-def put(row: tuple[Any, ...], at: int, value: Any) -> tuple[Any, ...]:
+def replaced_at(row: tuple[Any, ...], at: int, value: Any) -> tuple[Any, ...]:
     return (*row[:at], value, *row[at + 1 :])
 
 
-def fork(core: T) -> T:
+def copy_core(core: T) -> T:
     """A copy that shares only what never changes: the cores keep plain values and flat
     dictionaries.
     """
--- a/rainfall/lease/table.py
+++ b/rainfall/lease/table.py
@@ -13,17 +13,19 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from rainfall.lease.terms import (
-    MOST_LEAP,
+from rainfall.lease.fencing_token import ZERO_TOKEN, Token
+from rainfall.lease.types import (
+    MAX_EPOCH_JUMP,
+    LeaseRejectedError,
+    LeaseSettings,
     Record,
-    Refused,
-    Terms,
-    ask_faults,
-    surely_out_us,
+    request_faults,
+    service_expiry_us,
 )
-from rainfall.lease.token import NEVER, Token
 
-BUSY_US = 100_000  # when to come again while a change of the same name is being written
+PENDING_WRITE_RETRY_US = (
+    100_000  # when to come again while a change of the same name is being written
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,15 +38,15 @@
     holder: str
     token: Token
     ttl_us: int
-    until_us: int
+    expires_at_us: int
     note: Mapping[str, str]
     revoked: bool = False
 
-    def kept(self) -> list[Any]:
+    def to_row(self) -> list[Any]:
         return [
             self.name,
             self.holder,
-            self.token.told(),
+            self.token.to_wire(),
             self.ttl_us,
             dict(self.note),
             self.revoked,
@@ -52,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class LeaseGrant:
     """The lease is the caller's. A `record` is to be on disk and committed before this
     is told.
     """
@@ -64,99 +66,99 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class LeaseUnavailable:
     """Not now: come again in `retry_us`, the soonest that it can change. A `record` is
     to be written.
     """
 
-    retry_us: int
-    why: str
+    retry_after_us: int
+    reason: str
     record: Record | None = None
 
 
-class Table:
+class LeaseTable:
     """Named leases. Make it empty or with `restored`, `commit` what the log holds, then
     `start`.
     """
 
-    def __init__(self, terms: Terms) -> None:
-        if faults := terms.faults():
-            raise Refused(422, faults)
-        self.terms = terms
+    def __init__(self, settings: LeaseSettings) -> None:
+        if faults := settings.faults():
+            raise LeaseRejectedError(422, faults)
+        self.settings = settings
         self.leases: dict[str, Lease] = {}
-        self.epoch = self.number = 0
-        self.unsure = True
+        self.epoch = self.last_committed = 0
+        self.history_uncertain = True
         """The folder's history is not known to be whole, and nothing was granted
         since.
         """
-        self.longest_us = 0
+        self.longest_ttl_us = 0
         """The longest lease that may run beside an unsure history."""
         self.started = False
-        self._top = NEVER
+        self._highest_issued = ZERO_TOKEN
         """Highest that was given to any record, written or not."""
-        self._pending: dict[str, int] = {}
-        self._start_n = 0
+        self._pending_writes: dict[str, int] = {}
+        self._start_record = 0
         self._now_us = 0
-        self._start_us = 0
-        self._from_us = 0
+        self._started_at_us = 0
+        self._grants_from_us = 0
 
     # -- the start
     # -----------------------------------------------------------------------------------
 
-    def start(self, now_us: int, sure: bool, least_epoch: int = 0) -> Record:
+    def start(self, now_us: int, sure: bool, min_epoch: int = 0) -> Record:
         """Begin an epoch; nothing is granted or renewed before its record is committed.
         `sure`: the folder is the one the last process left, a torn last line at most.
         Where it is not, no known lease goes on, and one longest lease passes before the
         first grant. `least_epoch` is a hint (a wall clock in seconds, an operator's
         number) that only ever raises.
         """
-        self._now_us = self._start_us = now_us
-        self.unsure = self.unsure or not sure or not self.epoch
-        self.longest_us = max(
-            self.longest_us if self.unsure else 0,
-            self.terms.most_ttl_us,
+        self._now_us = self._started_at_us = now_us
+        self.history_uncertain = self.history_uncertain or not sure or not self.epoch
+        self.longest_ttl_us = max(
+            self.longest_ttl_us if self.history_uncertain else 0,
+            self.settings.max_ttl_us,
             *(lease.ttl_us for lease in self.leases.values()),
         )
-        if self.unsure:
-            self._doubt()
-        self._raise_epoch(max(self._top.epoch, least_epoch - 1))
-        record = self._record(
+        if self.history_uncertain:
+            self._delay_grants()
+        self._raise_epoch(max(self._highest_issued.epoch, min_epoch - 1))
+        record = self._new_record(
             "start",
-            epoch=self._top.epoch,
-            sure=not self.unsure,
-            longest_us=self.longest_us,
+            epoch=self._highest_issued.epoch,
+            sure=not self.history_uncertain,
+            longest_us=self.longest_ttl_us,
         )
-        self._start_n = record["n"]
+        self._start_record = record["n"]
         return record
 
-    def lift(self, seen: Token) -> Record | None:
+    def observe_token(self, seen: Token) -> Record | None:
         """What a client has seen: an epoch above it where it is above all this service
         gave. Ends no lease. Acquire and renew do it by themselves. Refused(422) where
         it leaps further than any epoch can be.
         """
-        if seen <= self._top:
+        if seen <= self._highest_issued:
             return None
-        if seen.epoch > self._top.epoch + MOST_LEAP:
-            raise Refused(
+        if seen.epoch > self._highest_issued.epoch + MAX_EPOCH_JUMP:
+            raise LeaseRejectedError(
                 422,
                 [
                     f"seen: epoch {seen.epoch} is no epoch of this service, which is at"
-                    f" {self._top.epoch}: raise its least epoch by hand if it is"
+                    f" {self._highest_issued.epoch}: raise its least epoch by hand if it is"
                 ],
             )
-        self._doubt()
+        self._delay_grants()
         self._raise_epoch(seen.epoch)
-        return self._record("epoch", epoch=self._top.epoch)
+        return self._new_record("epoch", epoch=self._highest_issued.epoch)
 
-    def _doubt(self) -> None:
+    def _delay_grants(self) -> None:
         # A history that is not ours may hold leases until one longest lease after this
         # process began.
-        self._from_us = self._start_us + surely_out_us(
-            self.longest_us, self.terms.drift
+        self._grants_from_us = self._started_at_us + service_expiry_us(
+            self.longest_ttl_us, self.settings.drift
         )
 
     def _raise_epoch(self, above: int) -> None:
-        self._top = Token(above + 1, self._top.number)
+        self._highest_issued = Token(above + 1, self._highest_issued.number)
 
     # -- calls
     # ---------------------------------------------------------------------------------------
@@ -167,10 +169,10 @@
         name: str,
         holder: str,
         ttl_us: int,
-        seen: Token = NEVER,
-        shown: Token = NEVER,
+        seen: Token = ZERO_TOKEN,
+        shown: Token = ZERO_TOKEN,
         note: Mapping[str, str] | None = None,
-    ) -> Grant | Held:
+    ) -> LeaseGrant | LeaseUnavailable:
         """A lease on `name`. `holder` names one run of one process and no other: asked
         again by it, its lease is told again, and a new one granted where it has `seen`
         that one and let go of it. `shown` is the lease's own token, as its process
@@ -178,93 +180,106 @@
         of the call, 422 too many leases.
         """
         note = {} if note is None else note
-        if faults := ask_faults(self.terms, name, holder, ttl_us, note):
-            raise Refused(400, faults)
-        now_us, lifted = self._clock(now_us), self.lift(seen)
-        if wait_us := self._closed_us(now_us):
-            return Held(
+        if faults := request_faults(self.settings, name, holder, ttl_us, note):
+            raise LeaseRejectedError(400, faults)
+        now_us, lifted = self._advance_clock(now_us), self.observe_token(seen)
+        if wait_us := self._time_until_grants_us(now_us):
+            return LeaseUnavailable(
                 wait_us, "what was granted before this start is not known", lifted
             )
-        if name in self._pending:
-            return Held(BUSY_US, "a change of this name is being written", lifted)
+        if name in self._pending_writes:
+            return LeaseUnavailable(
+                PENDING_WRITE_RETRY_US, "a change of this name is being written", lifted
+            )
         lease = self.leases.get(name)
-        if lease is not None and now_us < lease.until_us:
+        if lease is not None and now_us < lease.expires_at_us:
             same = lease.holder == holder and not lease.revoked
             if same and seen < lease.token:
-                return self._renewed(now_us, lease, lifted)
+                return self._renew_lease(now_us, lease, lifted)
             if not same and (shown != lease.token or lease.revoked):
-                return Held(lease.until_us - now_us, f"{name} is held", lifted)
+                return LeaseUnavailable(
+                    lease.expires_at_us - now_us, f"{name} is held", lifted
+                )
         if (
             lease is None
-            and len(self.leases) + len(self._pending) >= self.terms.most_leases
+            and len(self.leases) + len(self._pending_writes) >= self.settings.max_leases
         ):
-            raise Refused(
+            raise LeaseRejectedError(
                 422,
-                [f"name: {self.terms.most_leases} leases are held, as many as may be"],
+                [
+                    f"name: {self.settings.max_leases} leases are held, as many as may be"
+                ],
                 record=lifted,
             )
-        record = self._record(
+        record = self._new_record(
             "grant",
-            epoch=self._top.epoch,
+            epoch=self._highest_issued.epoch,
             name=name,
             holder=holder,
             ttl_us=ttl_us,
             note=dict(note),
         )
-        self._pending[name] = record["n"]
-        return Grant(name, self._top, ttl_us, record)
+        self._pending_writes[name] = record["n"]
+        return LeaseGrant(name, self._highest_issued, ttl_us, record)
 
     def renew(
-        self, now_us: int, name: str, token: Token, seen: Token = NEVER
-    ) -> Grant | Held:
+        self, now_us: int, name: str, token: Token, seen: Token = ZERO_TOKEN
+    ) -> LeaseGrant | LeaseUnavailable:
         """The same lease for a whole ttl more. Refused(409) once it is out, revoked or
         another's: final for this token. Held while it cannot be known: the holder may
         run out what it has.
         """
-        now_us, lifted = self._clock(now_us), self.lift(max(seen, token))
-        if not self.started or self.unsure and self._closed_us(now_us):
-            return Held(
-                self._closed_us(now_us),
+        now_us, lifted = (
+            self._advance_clock(now_us),
+            self.observe_token(max(seen, token)),
+        )
+        if (
+            not self.started
+            or self.history_uncertain
+            and self._time_until_grants_us(now_us)
+        ):
+            return LeaseUnavailable(
+                self._time_until_grants_us(now_us),
                 "what was granted before this start is not known",
                 lifted,
             )
-        lease = self._own(name, token, lifted, 409)
-        if now_us >= lease.until_us:
-            raise Refused(
+        lease = self._require_held(name, token, lifted, 409)
+        if now_us >= lease.expires_at_us:
+            raise LeaseRejectedError(
                 409, [f"token: the lease on {name} is out"], lease.token, lifted
             )
         if lease.revoked:
-            raise Refused(
+            raise LeaseRejectedError(
                 409, [f"token: the lease on {name} was revoked"], lease.token, lifted
             )
-        return self._renewed(now_us, lease, lifted)
+        return self._renew_lease(now_us, lease, lifted)
 
     def release(self, now_us: int, name: str, token: Token) -> Record:
         """Given up by its holder, which acts on it no more: free at once. Refused: 404,
         409.
         """
-        self._clock(now_us)
-        return self._ended(self._own(name, token, None, 404), "released")
+        self._advance_clock(now_us)
+        return self._end_record(self._require_held(name, token, None, 404), "released")
 
     def revoke(self, now_us: int, name: str) -> Record:
         """By hand: renewed no more, and free once surely out (its holder may act until
         then, unless what it guards has seen a higher token). Refused: 404 nobody holds
         it, 409 a change is being written.
         """
-        self._clock(now_us)
+        self._advance_clock(now_us)
         lease = self.leases.get(name)
         if lease is None:
-            raise Refused(404, [f"name: nobody holds {name}"])
-        self._own(name, lease.token, None, 404)
-        record = self._record("revoke", name=name, token=lease.token.told())
-        self._pending[name] = record["n"]
+            raise LeaseRejectedError(404, [f"name: nobody holds {name}"])
+        self._require_held(name, lease.token, None, 404)
+        record = self._new_record("revoke", name=name, token=lease.token.to_wire())
+        self._pending_writes[name] = record["n"]
         return record
 
     def read(self, name: str) -> Lease | None:
         """The lease as it is in force, or None."""
         return self.leases.get(name)
 
-    def under(self, prefix: str) -> list[Lease]:
+    def with_prefix(self, prefix: str) -> list[Lease]:
         """All leases whose names begin so, in the order of their names."""
         return [
             lease
@@ -274,18 +289,20 @@
 
     def expire(self, now_us: int) -> list[Record]:
         """Records for all leases that are surely out, in the order of their names."""
-        now_us = self._clock(now_us)
+        now_us = self._advance_clock(now_us)
         if not self.started:
             return []
         return [
-            self._ended(lease, "revoked" if lease.revoked else "out")
+            self._end_record(lease, "revoked" if lease.revoked else "out")
             for name, lease in sorted(self.leases.items())
-            if now_us >= lease.until_us and name not in self._pending
+            if now_us >= lease.expires_at_us and name not in self._pending_writes
         ]
 
-    def next_us(self) -> int | None:
+    def next_expiry_us(self) -> int | None:
         """When `expire` next has something to do; None with no lease."""
-        return min((lease.until_us for lease in self.leases.values()), default=None)
+        return min(
+            (lease.expires_at_us for lease in self.leases.values()), default=None
+        )
 
     # -- records
     # -------------------------------------------------------------------------------------
@@ -294,23 +311,26 @@
         """Take a record that is on disk, in the order of `n`; one that was taken before
         is left out.
         """
-        n, name = int(record["n"]), record.get("name", "")
-        if n <= self.number:
+        number, name = int(record["n"]), record.get("name", "")
+        if number <= self.last_committed:
             return
-        self.number = n
+        self.last_committed = number
         self.epoch = max(self.epoch, int(record.get("epoch", 0)))
-        self._top = Token(max(self.epoch, self._top.epoch), max(n, self._top.number))
-        if self._pending.get(name) == n:
-            del self._pending[name]
+        self._highest_issued = Token(
+            max(self.epoch, self._highest_issued.epoch),
+            max(number, self._highest_issued.number),
+        )
+        if self._pending_writes.get(name) == number:
+            del self._pending_writes[name]
         if record["kind"] == "grant":
-            self.unsure = False
-            ttl_us, token = int(record["ttl_us"]), Token(int(record["epoch"]), n)
+            self.history_uncertain = False
+            ttl_us, token = int(record["ttl_us"]), Token(int(record["epoch"]), number)
             self.leases[name] = Lease(
                 name,
                 record["holder"],
                 token,
                 ttl_us,
-                self._out_us(self._now_us, ttl_us),
+                self._expiry_us(self._now_us, ttl_us),
                 record["note"],
             )
         elif record["kind"] == "end":
@@ -318,65 +338,79 @@
         elif record["kind"] == "revoke" and name in self.leases:
             self.leases[name] = replace(self.leases[name], revoked=True)
         elif record["kind"] == "start":
-            self._begin(n, bool(record["sure"]), int(record["longest_us"]))
+            self._apply_start(number, bool(record["sure"]), int(record["longest_us"]))
 
     def abandon(self, record: Record) -> None:
         """A record that could not be written: nothing is told, its number is never used
         again.
         """
-        if self._pending.get(record.get("name", "")) == record["n"]:
-            del self._pending[record["name"]]
+        if self._pending_writes.get(record.get("name", "")) == record["n"]:
+            del self._pending_writes[record["name"]]
 
-    def _begin(self, n: int, sure: bool, longest_us: int) -> None:
-        self.unsure, self.longest_us = not sure, longest_us
+    def _apply_start(self, number: int, sure: bool, longest_us: int) -> None:
+        self.history_uncertain, self.longest_ttl_us = not sure, longest_us
         if not sure:
             self.leases.clear()
-        self.started = n == self._start_n  # not so for a start that the log tells of
+        self.started = (
+            number == self._start_record
+        )  # not so for a start that the log tells of
         for name, lease in self.leases.items():
             self.leases[name] = replace(
-                lease, until_us=self._out_us(self._start_us, lease.ttl_us)
+                lease, expires_at_us=self._expiry_us(self._started_at_us, lease.ttl_us)
             )
 
-    def _record(self, kind: str, **more: Any) -> Record:
-        self._top = Token(self._top.epoch, self._top.number + 1)
-        return {"n": self._top.number, "kind": kind, **more}
+    def _new_record(self, kind: str, **more: Any) -> Record:
+        self._highest_issued = Token(
+            self._highest_issued.epoch, self._highest_issued.number + 1
+        )
+        return {"n": self._highest_issued.number, "kind": kind, **more}
 
-    def _ended(self, lease: Lease, why: str) -> Record:
-        record = self._record("end", name=lease.name, token=lease.token.told(), why=why)
-        self._pending[lease.name] = record["n"]
+    def _end_record(self, lease: Lease, why: str) -> Record:
+        record = self._new_record(
+            "end", name=lease.name, token=lease.token.to_wire(), why=why
+        )
+        self._pending_writes[lease.name] = record["n"]
         return record
 
-    def next_number(self) -> int:
+    def next_record_number(self) -> int:
         """Of the record that is made next: never used before in this history."""
-        return self._top.number + 1
+        return self._highest_issued.number + 1
 
     # -- helpers
     # -------------------------------------------------------------------------------------
 
-    def _clock(self, now_us: int) -> int:
+    def _advance_clock(self, now_us: int) -> int:
         # A clock that went back would end nothing too soon if it stood still instead.
         self._now_us = max(self._now_us, now_us)
         return self._now_us
 
-    def _closed_us(self, now_us: int) -> int:
-        return max(self._from_us - now_us, 0) if self.started else BUSY_US
+    def _time_until_grants_us(self, now_us: int) -> int:
+        return (
+            max(self._grants_from_us - now_us, 0)
+            if self.started
+            else PENDING_WRITE_RETRY_US
+        )
 
-    def _out_us(self, at_us: int, ttl_us: int) -> int:
-        return at_us + surely_out_us(ttl_us, self.terms.drift)
+    def _expiry_us(self, at_us: int, ttl_us: int) -> int:
+        return at_us + service_expiry_us(ttl_us, self.settings.drift)
 
-    def _own(self, name: str, token: Token, lifted: Record | None, none: int) -> Lease:
+    def _require_held(
+        self, name: str, token: Token, lifted: Record | None, missing_status: int
+    ) -> Lease:
         lease = self.leases.get(name)
         if lease is None:
-            raise Refused(none, [f"name: nobody holds {name}"], record=lifted)
+            raise LeaseRejectedError(
+                missing_status, [f"name: nobody holds {name}"], record=lifted
+            )
         if lease.token != token:
-            raise Refused(
+            raise LeaseRejectedError(
                 409,
-                [f"token: {name} is held under {lease.token.told()}"],
+                [f"token: {name} is held under {lease.token.to_wire()}"],
                 lease.token,
                 lifted,
             )
-        if name in self._pending:
-            raise Refused(
+        if name in self._pending_writes:
+            raise LeaseRejectedError(
                 409,
                 [f"token: another change of {name} is being written"],
                 lease.token,
@@ -384,11 +418,13 @@
             )
         return lease
 
-    def _renewed(self, now_us: int, lease: Lease, lifted: Record | None) -> Grant:
+    def _renew_lease(
+        self, now_us: int, lease: Lease, lifted: Record | None
+    ) -> LeaseGrant:
         self.leases[lease.name] = replace(
-            lease, until_us=self._out_us(now_us, lease.ttl_us)
+            lease, expires_at_us=self._expiry_us(now_us, lease.ttl_us)
         )
-        return Grant(lease.name, lease.token, lease.ttl_us, lifted)
+        return LeaseGrant(lease.name, lease.token, lease.ttl_us, lifted)
 
     # -- snapshot
     # ------------------------------------------------------------------------------------
@@ -399,23 +435,32 @@
         """
         return {
             "epoch": self.epoch,
-            "number": self.number,
-            "unsure": self.unsure,
-            "longest_us": self.longest_us,
-            "leases": [lease.kept() for _, lease in sorted(self.leases.items())],
+            "number": self.last_committed,
+            "unsure": self.history_uncertain,
+            "longest_us": self.longest_ttl_us,
+            "leases": [lease.to_row() for _, lease in sorted(self.leases.items())],
         }
 
     @staticmethod
-    def restored(raw: Mapping[str, Any], terms: Terms) -> Table:
+    def from_snapshot(raw: Mapping[str, Any], settings: LeaseSettings) -> LeaseTable:
         """From a snapshot; KeyError, TypeError or ValueError where it is none. `start`
         is still owed.
         """
-        table = Table(terms)
-        table.epoch, table.number = int(raw["epoch"]), int(raw["number"])
-        table.unsure, table.longest_us = bool(raw["unsure"]), int(raw["longest_us"])
-        table._top = Token(table.epoch, table.number)
+        table = LeaseTable(settings)
+        table.epoch, table.last_committed = int(raw["epoch"]), int(raw["number"])
+        table.history_uncertain, table.longest_ttl_us = (
+            bool(raw["unsure"]),
+            int(raw["longest_us"]),
+        )
+        table._highest_issued = Token(table.epoch, table.last_committed)
         for name, holder, token, ttl_us, note, revoked in raw["leases"]:
             table.leases[name] = Lease(
-                name, holder, Token.of(token), int(ttl_us), 0, note, bool(revoked)
+                name,
+                holder,
+                Token.from_wire(token),
+                int(ttl_us),
+                0,
+                note,
+                bool(revoked),
             )
         return table
--- a/rainfall/explore/search.py
+++ b/rainfall/model_checker/search.py
@@ -13,31 +13,31 @@
 from dataclasses import dataclass
 from typing import Protocol, TypeVar
 
-S = TypeVar("S")
+StateType = TypeVar("StateType")
 
 
-class Model(Protocol[S]):
+class Model(Protocol[StateType]):
     """What is searched. States are never changed once given: `steps` works on
     copies.
     """
 
-    def start(self) -> S:
+    def start(self) -> StateType:
         """The one state that everything begins in."""
 
-    def steps(self, state: S) -> Iterable[tuple[str, S]]:
+    def steps(self, state: StateType) -> Iterable[tuple[str, StateType]]:
         """Each thing that can happen next: its name, and the state after it."""
 
-    def key(self, state: S) -> Hashable:
+    def key(self, state: StateType) -> Hashable:
         """Equal for states that behave alike from here on (leave out names, history,
         absolute times).
         """
 
-    def broken(self, state: S) -> str:
+    def broken(self, state: StateType) -> str:
         """Which invariant does not hold here; empty where all do."""
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class SearchResult:
     """What a search saw."""
 
     states: int
@@ -50,45 +50,53 @@
     """Nothing was left: not one state beyond those visited can be reached at any
     depth.
     """
-    why: str = ""
+    violation: str = ""
     """The invariant that was broken; empty where none was."""
     trace: tuple[str, ...] = ()
     """The steps from the start to the breach."""
 
 
-def explore(model: Model[S], depth: int, most_states: int = 1_000_000) -> Found:
+def explore(
+    model: Model[StateType], depth: int, max_states: int = 1_000_000
+) -> SearchResult:
     """Visit all states within `depth` steps, or up to `most_states` of them, and stop
     at the first breach.
     """
     first = model.start()
     if why := model.broken(first):
-        return Found(1, 0, False, why)
+        return SearchResult(1, 0, False, why)
     # A state's way back is kept as (number of the state before, step): traces cost one
     # entry a state.
-    ways: list[tuple[int, str]] = [(-1, "")]
+    predecessors: list[tuple[int, str]] = [(-1, "")]
     seen = {model.key(first)}
-    edge: deque[tuple[int, int, S]] = deque([(0, 0, first)])
-    while edge:
-        number, at, state = edge.popleft()
-        if at >= depth:
-            return Found(len(seen), depth, False)
+    frontier: deque[tuple[int, int, StateType]] = deque([(0, 0, first)])
+    while frontier:
+        number, depth_of_state, state = frontier.popleft()
+        if depth_of_state >= depth:
+            return SearchResult(len(seen), depth, False)
         for name, after in model.steps(state):
             key = model.key(after)
             if key in seen:
                 continue
             seen.add(key)
-            ways.append((number, name))
+            predecessors.append((number, name))
             if why := model.broken(after):
-                return Found(len(seen), at, False, why, _trace(ways, len(ways) - 1))
-            if len(seen) >= most_states:
-                return Found(len(seen), at, False)
-            edge.append((len(ways) - 1, at + 1, after))
-    return Found(len(seen), depth, True)
-
-
-def _trace(ways: list[tuple[int, str]], number: int) -> tuple[str, ...]:
+                return SearchResult(
+                    len(seen),
+                    depth_of_state,
+                    False,
+                    why,
+                    _trace(predecessors, len(predecessors) - 1),
+                )
+            if len(seen) >= max_states:
+                return SearchResult(len(seen), depth_of_state, False)
+            frontier.append((len(predecessors) - 1, depth_of_state + 1, after))
+    return SearchResult(len(seen), depth, True)
+
+
+def _trace(predecessors: list[tuple[int, str]], number: int) -> tuple[str, ...]:
     steps: list[str] = []
     while number > 0:
-        number, step = ways[number]
+        number, step = predecessors[number]
         steps.append(step)
     return tuple(reversed(steps))
--- a/rainfall/peer/frames.py
+++ b/rainfall/peer/frames.py
@@ -13,18 +13,24 @@
 import msgspec
 from msgspec import Meta
 
-from rainfall.session import words as w
-from rainfall.session.words import Count, Item, Name, Text, Time
-
-VERSION = 1
-FRAME = 131_072
+from rainfall.session import protocol as w
+from rainfall.session.protocol import (
+    Count,
+    Identifier,
+    ShortText,
+    TimeUs,
+    TransferredMessage,
+)
+
+PROTOCOL_VERSION = 1
+FRAME_LIMIT_BYTES = 131_072
 """Bytes of a frame at most: a whole body of 64 KiB and all that may stand beside it,
 with room to spare.
 """
-HEAD = 4
+LENGTH_PREFIX_BYTES = 4
 
 
-class Malformed(ValueError):
+class MalformedFrameError(ValueError):
     """A frame that cannot be taken; the text is one line and names the field by its
     path.
     """
@@ -34,18 +40,18 @@
     """The first frame of each side."""
 
     version: Count
-    name: Name
-    site: Text
-    life: w.Life
+    name: Identifier
+    site: ShortText
+    lease_token: w.LeaseToken
     """The sender's lease token, or (0, 0) while it holds none."""
 
 
-class Room(msgspec.Struct, frozen=True, array_like=True, tag="room"):
+class CapacityReport(msgspec.Struct, frozen=True, array_like=True, tag="room"):
     """What the sender has room for, and its stamp, from which times in frames to it
     count. It lives.
     """
 
-    stamp_us: Time
+    stamp_us: TimeUs
     sessions: Count
     bytes: Count
     load: Annotated[float, Meta(ge=0, le=1e6)]
@@ -59,13 +65,13 @@
     """
 
     number: Count
-    key: Name
+    key: Identifier
     generation: Count
     """Of the map that the sender goes by."""
-    came: Annotated[tuple[Name, ...], Meta(max_length=4)]
+    forwarded_by: Annotated[tuple[Identifier, ...], Meta(max_length=4)]
     """Who has passed it on, the sender last."""
-    stamp_us: Time
-    item: Item
+    stamp_us: TimeUs
+    item: TransferredMessage
     resent: bool = False
 
 
@@ -75,20 +81,28 @@
     """
 
     number: Count
-    how: Literal["taken", "refused"]
+    outcome: Literal["taken", "refused"]
     retry_after_us: Count = 0
     generation: Count = 0
 
 
-class Moved(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
+class SessionMoved(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
     """The session of this key is with `owner` since its hand-over number `moves`."""
 
-    key: Name
-    owner: Name
-    moves: Count
+    key: Identifier
+    owner: Identifier
+    migration_count: Count
 
 
-AnyFrame = Hello | Room | Forward | Forwarded | Moved | w.ToTaker | w.ToGiver
+AnyFrame = (
+    Hello
+    | CapacityReport
+    | Forward
+    | Forwarded
+    | SessionMoved
+    | w.FrameToTarget
+    | w.FrameToSource
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[AnyFrame] = msgspec.msgpack.Decoder(AnyFrame)
 
@@ -98,9 +112,11 @@
     to take.
     """
     data = _encoder.encode(frame)
-    if len(data) > FRAME:
-        raise Malformed(f"a frame of {len(data)} bytes; at most {FRAME} are taken")
-    return len(data).to_bytes(HEAD, "big") + data
+    if len(data) > FRAME_LIMIT_BYTES:
+        raise MalformedFrameError(
+            f"a frame of {len(data)} bytes; at most {FRAME_LIMIT_BYTES} are taken"
+        )
+    return len(data).to_bytes(LENGTH_PREFIX_BYTES, "big") + data
 
 
 def decode(data: bytes | memoryview) -> AnyFrame:
@@ -108,30 +124,32 @@
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Malformed(str(error) or "nested too deep") from None
+        raise MalformedFrameError(str(error) or "nested too deep") from None
 
 
-class Splitter:
+class FrameSplitter:
     """Bytes as they come, to frames. It holds one frame at most."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[AnyFrame]:
         """The frames that are whole now. Malformed ends the stream: what follows cannot
         be told apart.
         """
-        self.held += data
+        self.buffer += data
         found: list[AnyFrame] = []
         at = 0
-        while len(self.held) - at >= HEAD:
-            size = int.from_bytes(self.held[at : at + HEAD], "big")
-            if size > FRAME:
-                raise Malformed(f"a frame of {size} bytes; at most {FRAME} are taken")
-            end = at + HEAD + size
-            if len(self.held) < end:
+        while len(self.buffer) - at >= LENGTH_PREFIX_BYTES:
+            size = int.from_bytes(self.buffer[at : at + LENGTH_PREFIX_BYTES], "big")
+            if size > FRAME_LIMIT_BYTES:
+                raise MalformedFrameError(
+                    f"a frame of {size} bytes; at most {FRAME_LIMIT_BYTES} are taken"
+                )
+            end = at + LENGTH_PREFIX_BYTES + size
+            if len(self.buffer) < end:
                 break
-            found.append(decode(bytes(self.held[at + HEAD : end])))
+            found.append(decode(bytes(self.buffer[at + LENGTH_PREFIX_BYTES : end])))
             at = end
-        del self.held[:at]
+        del self.buffer[:at]
         return found
--- a/rainfall/peer/links.py
+++ b/rainfall/peer/links.py
@@ -14,57 +14,57 @@
 import msgspec
 
 from rainfall.peer import frames as f
-from rainfall.session.words import Life, leaving
+from rainfall.session.protocol import LeaseToken, with_relative_times
 
-NOBODY: Life = (0, 0)
+NO_LEASE: LeaseToken = (0, 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class WriteBytes:
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class FrameReceived:
     frame: msgspec.Struct
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseLink:
     """The link is over; `why` is one line for the log."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Became:
+class ForwardOutcome:
     """A forwarded message's end here: `taken` (202), `refused` (503) or `unknown` (no
     answer).
     """
 
     number: int
-    how: str
+    outcome: str
     retry_after_us: int = 0
 
 
-Do = Write | Heard | Close | Became
+LinkAction = WriteBytes | FrameReceived | CloseLink | ForwardOutcome
 
 
 @dataclass(slots=True)
-class Seen:
+class KnownLeases:
     """The highest lease seen of each name, shared by all links of a process."""
 
-    lives: dict[str, Life] = field(default_factory=dict)
+    highest_tokens: dict[str, LeaseToken] = field(default_factory=dict)
 
-    def fresh(self, name: str, life: Life) -> bool:
+    def accept_token(self, name: str, life: LeaseToken) -> bool:
         """False for one that is over. A peer without a lease is heard: it may say what
         it holds, and asks.
         """
-        if life == NOBODY:
+        if life == NO_LEASE:
             return True
-        if life < self.lives.get(name, NOBODY):
+        if life < self.highest_tokens.get(name, NO_LEASE):
             return False
-        self.lives[name] = life
+        self.highest_tokens[name] = life
         return True
 
 
@@ -74,124 +74,135 @@
     are of one clock.
     """
 
-    me: f.Hello
-    seen: Seen
+    own_hello: f.Hello
+    known_leases: KnownLeases
     expected: str = ""
-    most_bytes: int = 4 << 20
+    max_unwritten_bytes: int = 4 << 20
     """What may wait to be written; past it nothing is sent but by saying so."""
-    most_pending: int = 1_024
-    silent_us: int = 2_000_000
+    max_pending: int = 1_024
+    silence_timeout_us: int = 2_000_000
     """The other side says `Room` several times in this time."""
     peer: f.Hello | None = None
-    heard_us: int = 0
-    stamp_us: int = 0
+    last_heard_us: int = 0
+    peer_stamp_us: int = 0
     """The other side's newest stamp, and when it came."""
-    stamped_us: int = 0
-    unwritten: int = 0
-    number: int = 0
-    last: int = 0
+    peer_stamp_received_us: int = 0
+    unwritten_bytes: int = 0
+    last_sent_number: int = 0
+    last_received_number: int = 0
     """The highest number that the other side forwarded under."""
     pending: dict[int, None] = field(default_factory=dict)
-    over: bool = False
-    splitter: f.Splitter = field(default_factory=f.Splitter)
+    closed: bool = False
+    splitter: f.FrameSplitter = field(default_factory=f.FrameSplitter)
 
-    def opened(self, now_us: int) -> list[Do]:
-        self.heard_us = now_us
-        return [Write(self._bytes(self.me))]
+    def on_opened(self, now_us: int) -> list[LinkAction]:
+        self.last_heard_us = now_us
+        return [WriteBytes(self._encode(self.own_hello))]
 
-    def fed(self, data: bytes, now_us: int) -> list[Do]:
+    def on_data(self, data: bytes, now_us: int) -> list[LinkAction]:
         """Bytes came."""
-        if self.over:
+        if self.closed:
             return []
-        self.heard_us = now_us
+        self.last_heard_us = now_us
         try:
             found = self.splitter.feed(data)
-        except f.Malformed as error:
-            return self.ended(f"cannot be read: {error}")
-        done: list[Do] = []
+        except f.MalformedFrameError as error:
+            return self.close(f"cannot be read: {error}")
+        done: list[LinkAction] = []
         for frame in found:
-            done += self._take(frame, now_us)
-            if self.over:
+            done += self._handle_frame(frame, now_us)
+            if self.closed:
                 break
         return done
 
-    def _take(self, frame: msgspec.Struct, now_us: int) -> list[Do]:
+    def _handle_frame(self, frame: msgspec.Struct, now_us: int) -> list[LinkAction]:
         if self.peer is None:
-            return self._greet(frame)
+            return self._handle_hello(frame)
         match frame:
             case f.Hello():
-                return self.ended("said hello twice")
-            case f.Room(stamp_us=stamp):
-                self.stamp_us, self.stamped_us = stamp, now_us
+                return self.close("said hello twice")
+            case f.CapacityReport(stamp_us=stamp):
+                self.peer_stamp_us, self.peer_stamp_received_us = stamp, now_us
             case f.Forward(number=number):
-                if number <= self.last:
-                    return self.ended(f"forwarded {number} after {self.last}")
-                self.last = number
-            case f.Forwarded(number=number, how=how, retry_after_us=wait):
+                if number <= self.last_received_number:
+                    return self.close(
+                        f"forwarded {number} after {self.last_received_number}"
+                    )
+                self.last_received_number = number
+            case f.Forwarded(number=number, outcome=how, retry_after_us=wait):
                 known = number in self.pending
                 self.pending.pop(number, None)
-                return [Became(number, how, wait)] if known else []
-        return [Heard(frame)]
+                return [ForwardOutcome(number, how, wait)] if known else []
+        return [FrameReceived(frame)]
 
-    def _greet(self, frame: msgspec.Struct) -> list[Do]:
+    def _handle_hello(self, frame: msgspec.Struct) -> list[LinkAction]:
         if not isinstance(frame, f.Hello):
-            return self.ended("did not say hello first")
-        if frame.version != f.VERSION:
-            return self.ended(f"speaks version {frame.version}, not {f.VERSION}")
-        if frame.name == self.me.name or self.expected not in ("", frame.name):
-            return self.ended(f"is {frame.name}, not {self.expected or 'another'}")
-        if not self.seen.fresh(frame.name, frame.life):
-            return self.ended(f"{frame.name} comes under a lease that is over")
+            return self.close("did not say hello first")
+        if frame.version != f.PROTOCOL_VERSION:
+            return self.close(
+                f"speaks version {frame.version}, not {f.PROTOCOL_VERSION}"
+            )
+        if frame.name == self.own_hello.name or self.expected not in ("", frame.name):
+            return self.close(f"is {frame.name}, not {self.expected or 'another'}")
+        if not self.known_leases.accept_token(frame.name, frame.lease_token):
+            return self.close(f"{frame.name} comes under a lease that is over")
         self.peer = frame
-        return [Heard(frame)]
+        return [FrameReceived(frame)]
 
-    def send(self, frame: msgspec.Struct) -> list[Do] | None:
+    def send(self, frame: msgspec.Struct) -> list[LinkAction] | None:
         """What to write; None where the link is not up, is over, or has too much
         waiting: as good as lost.
         """
-        if self.over or self.peer is None or self.unwritten >= self.most_bytes:
+        if (
+            self.closed
+            or self.peer is None
+            or self.unwritten_bytes >= self.max_unwritten_bytes
+        ):
             return None
-        return [Write(self._bytes(frame))]
+        return [WriteBytes(self._encode(frame))]
 
-    def forward(self, frame: f.Forward) -> tuple[int, list[Do]] | None:
+    def forward(self, frame: f.Forward) -> tuple[int, list[LinkAction]] | None:
         """Send it (its due by our clock) under the next number; its end comes as
         `Became`. None: nothing was sent, and it may be refused or go elsewhere.
         """
-        if len(self.pending) >= self.most_pending or not self.stamped_us:
+        if len(self.pending) >= self.max_pending or not self.peer_stamp_received_us:
             return None
         sent = self.send(
             msgspec.structs.replace(
                 frame,
-                number=self.number + 1,
-                stamp_us=self.stamp_us,
-                item=leaving(frame.item, self.stamped_us),
+                number=self.last_sent_number + 1,
+                stamp_us=self.peer_stamp_us,
+                item=with_relative_times(frame.item, self.peer_stamp_received_us),
             )
         )
         if sent is None:
             return None
-        self.number += 1
-        self.pending[self.number] = None
-        return self.number, sent
+        self.last_sent_number += 1
+        self.pending[self.last_sent_number] = None
+        return self.last_sent_number, sent
 
-    def _bytes(self, frame: msgspec.Struct) -> bytes:
+    def _encode(self, frame: msgspec.Struct) -> bytes:
         data = f.encode(frame)
-        self.unwritten += len(data)
+        self.unwritten_bytes += len(data)
         return data
 
-    def written(self, size: int) -> None:
+    def on_written(self, size: int) -> None:
         """So many bytes have left."""
-        self.unwritten -= size
+        self.unwritten_bytes -= size
 
-    def tick(self, now_us: int) -> list[Do]:
-        if not self.over and now_us - self.heard_us >= self.silent_us:
-            return self.ended("is silent")
+    def tick(self, now_us: int) -> list[LinkAction]:
+        if not self.closed and now_us - self.last_heard_us >= self.silence_timeout_us:
+            return self.close("is silent")
         return []
 
-    def ended(self, why: str) -> list[Do]:
+    def close(self, why: str) -> list[LinkAction]:
         """The connection broke, or has to. Said once."""
-        if self.over:
+        if self.closed:
             return []
-        self.over = True
+        self.closed = True
         unknown, self.pending = list(self.pending), {}
         name = self.peer.name if self.peer is not None else "peer"
-        return [*(Became(n, "unknown") for n in unknown), Close(f"{name} {why}")]
+        return [
+            *(ForwardOutcome(n, "unknown") for n in unknown),
+            CloseLink(f"{name} {why}"),
+        ]
--- /dev/null
+++ b/rainfall/registry/budget_api.py
@@ -0,0 +1,191 @@
+"""Budgets from a file, and by hand: `GET`, `PUT /v1/budgets`, the operator's word on
+lost processes.
+"""
+
+from __future__ import annotations
+
+import tomllib
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from aiohttp import web
+from msgspec import Struct
+
+from rainfall.budget import config
+from rainfall.budget.config import BudgetConfigError
+from rainfall.lease.fencing_token import Token
+from rainfall.member.roster import MEMBER_LEASE_PREFIX
+from rainfall.registry import request_schemas
+from rainfall.registry.budget_extension import BudgetExtension
+from rainfall.registry.fleet_api import TokenPair
+from rainfall.registry.fleet_coordinator import FleetCoordinator
+from rainfall.registry.heartbeat_extension import Row
+from rainfall.registry.http_server import (
+    get_route,
+    json_response,
+    parse_version,
+    read_json,
+)
+from rainfall.registry.request_schemas import RequestError
+
+
+class ProcessEndedRequest(Struct):
+    """The incarnation of a process that is surely at its end."""
+
+    token: TokenPair
+
+
+def parse_budget_list(body: Any) -> list[dict[str, Any]]:
+    """The list in `{"budgets": [...]}`, checked whole. Raises Faults with every
+    fault.
+    """
+    if not isinstance(body, dict):
+        raise BudgetConfigError(["an object that holds budgets"])
+    found = [f"{name}: not known" for name in body if name != "budgets"]
+    raw: list[dict[str, Any]] = body.get("budgets", [])
+    try:
+        if "budgets" not in body:
+            raise BudgetConfigError(["budgets: is missing"])
+        config.parse_budgets(raw)
+    except BudgetConfigError as error:
+        raise BudgetConfigError([*found, *error.faults]) from None
+    if found:
+        raise BudgetConfigError(found)
+    return raw
+
+
+def read_budget_file(path: Path) -> list[dict[str, Any]]:
+    """The budgets in a file: JSON where its name ends so, else TOML. Raises Faults
+    (all), OSError.
+    """
+    data = path.read_bytes()
+    try:
+        body = (
+            request_schemas.parse_json(data)
+            if path.suffix == ".json"
+            else tomllib.loads(data.decode())
+        )
+    except RequestError as error:
+        raise BudgetConfigError(error.faults) from None
+    except ValueError as error:
+        raise BudgetConfigError([f"not TOML: {error}"]) from None
+    return parse_budget_list(body)
+
+
+async def apply_budgets(
+    fleet: FleetCoordinator,
+    budgets: BudgetExtension,
+    raw: list[dict[str, Any]],
+    source: str,
+    match: int | None = None,
+) -> None:
+    """Put checked budgets in force; durable when this returns. Raises Refused(412),
+    Full, OSError.
+    """
+
+    def make(now_us: int) -> list[Row]:
+        if match is not None and match != budgets.version:
+            raise RequestError(412, [f"version {budgets.version} is in force"])
+        if (
+            raw == budgets.raw_budgets
+            and budgets.version
+            and (source != "file" or raw == budgets.last_file_budgets)
+        ):
+            return []
+        return budgets.config_rows(now_us, raw, source)
+
+    await fleet.apply_rows(budgets.name, make)
+
+
+def routes(fleet: FleetCoordinator, budgets: BudgetExtension) -> list[web.RouteDef]:
+    """At the write address: the reads, and what changes."""
+
+    async def put(request: web.Request) -> web.StreamResponse:
+        body = await read_json(request, fleet.context.limits)
+        match = parse_version(request.headers.get("If-Match", ""), "If-Match")
+        try:
+            raw = parse_budget_list(body)
+        except BudgetConfigError as error:
+            raise RequestError(422, error.faults) from None
+        before = budgets.version
+        await _await_stored(apply_budgets(fleet, budgets, raw, "hand", match))
+        return json_response(
+            200,
+            {"version": budgets.version, "changed": budgets.version != before},
+            {"ETag": f'"{budgets.version}"'},
+        )
+
+    async def ended(request: web.Request) -> web.StreamResponse:
+        call = request_schemas.decode_as(
+            await read_json(request, fleet.context.limits), ProcessEndedRequest
+        )
+        token = Token(*call.token)
+        if token in budgets.ledger.names:
+            raise RequestError(
+                409,
+                [
+                    f"token: a member is in force under {call.token}: revoke its lease first"
+                ],
+            )
+        if not any(
+            token in book.accounts for book in budgets.ledger.budget_accounts.values()
+        ):
+            raise RequestError(404, [f"token: nothing is held under {call.token}"])
+        await _word(lambda now_us: budgets.confirm_processes(now_us, token))
+        return json_response(200, {"token": call.token, "ended": True})
+
+    async def known(_: web.Request) -> web.StreamResponse:
+        await _word(lambda now_us: budgets.confirm_processes(now_us, None))
+        return json_response(200, {"known": True})
+
+    async def _word(make: Callable[[int], list[Row]]) -> None:
+        await _await_stored(fleet.apply_rows(budgets.name, make))
+        # A plan whose write had failed went first, and stood in the way of this.
+        await _await_stored(
+            fleet.apply_rows(
+                budgets.name, lambda now_us: budgets.plan(now_us, True, [])
+            )
+        )
+
+    return [
+        *read_routes(fleet, budgets),
+        web.put("/v1/budgets", put),
+        web.post("/v1/budgets/ended", ended),
+        web.post("/v1/budgets/reserves-known", known),
+    ]
+
+
+def read_routes(
+    fleet: FleetCoordinator, budgets: BudgetExtension
+) -> list[web.RouteDef]:
+    async def show(_: web.Request) -> web.StreamResponse:
+        now_us = fleet.context.now_us()
+        held = budgets.state(now_us)
+        for told in held.values():
+            for member in told["members"]:
+                lease = fleet.table.read(MEMBER_LEASE_PREFIX + member["name"])
+                if lease is not None and lease.token.to_wire() == member["token"]:
+                    member["left_ms"] = max(lease.expires_at_us - now_us, 0) // 1_000
+        return json_response(
+            200,
+            {
+                "version": budgets.version,
+                "source": budgets.source,
+                "budgets": budgets.raw_budgets,
+                "frozen_ms": fleet.frozen_us(now_us) // 1_000,
+                "held": held,
+            },
+            {"ETag": f'"{budgets.version}"'},
+        )
+
+    return [get_route("/v1/budgets", show)]
+
+
+async def _await_stored(done: Any) -> None:
+    try:
+        await done
+    except OSError as error:
+        raise RequestError(
+            507, [f"it could not be kept: {error.strerror or error}"]
+        ) from None
--- a/rainfall/registry/core.py
+++ b/rainfall/registry/endpoint_registry.py
@@ -16,14 +16,20 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from rainfall.lease.terms import MOST_LEAP
-from rainfall.registry import bodies
-from rainfall.registry.bodies import Drain, Op, Refused, Register, Weigh
-
-MOST_TOMBSTONES = 10_000  # removed entries kept so that watchers are told of them
-MOST_IDS = 10_000  # change ids kept for idempotent repeats
-EPOCH_STEP = 1_000  # a new epoch's first version is at least now_ms * EPOCH_STEP
-BELIEVED = (
+from rainfall.lease.types import MAX_EPOCH_JUMP
+from rainfall.registry import request_schemas
+from rainfall.registry.request_schemas import (
+    Drain,
+    Operation,
+    Register,
+    RequestError,
+    SetShare,
+)
+
+MAX_TOMBSTONES = 10_000  # removed entries kept so that watchers are told of them
+MAX_CHANGE_IDS = 10_000  # change ids kept for idempotent repeats
+VERSIONS_PER_MS = 1_000  # a new epoch's first version is at least now_ms * EPOCH_STEP
+CLAIM_LIMIT = (
     1 << 52
     # claims from here on are not gone past: one of them must not use up all numbers there
     # are
@@ -31,7 +37,7 @@
 
 
 @dataclass
-class Entry:
+class EndpointEntry:
     fields: dict[str, Any]  # as PROTOCOL lists them, health included
     seq: int  # the version that last changed it
 
@@ -54,11 +60,11 @@
     base: int = 0  # set when the change begins an epoch: its first version
     fence: int = 0  # set when the change raises the fence: what it is from now on
 
-    def line(self) -> dict[str, Any]:
+    def to_row(self) -> dict[str, Any]:
         return {**asdict(self), "hosts": list(self.hosts)}
 
     @staticmethod
-    def of(raw: dict[str, Any]) -> Change:
+    def from_row(raw: dict[str, Any]) -> Change:
         return Change(
             int(raw["seq"]),
             int(raw["epoch"]),
@@ -71,18 +77,18 @@
 
 
 @dataclass
-class Pending:
+class PendingChanges:
     """Changes checked and waiting for one sync: the version they reach, their entries
     and ids.
     """
 
     seq: int
-    overlay: dict[str, Entry] = field(default_factory=dict)
+    overlay: dict[str, EndpointEntry] = field(default_factory=dict)
     ids: dict[str, tuple[str, int]] = field(default_factory=dict)
 
 
 @dataclass
-class Registry:
+class EndpointRegistry:
     """What is in force. `seq` is the newest version on disk; `floor` the oldest one a
     delta is told from.
     """
@@ -91,18 +97,18 @@
     seq: int = 0
     floor: int = 0
     fence: int = 0
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, EndpointEntry] = field(default_factory=dict)
     ids: OrderedDict[str, tuple[str, int]] = field(
         default_factory=OrderedDict
     )  # id -> (digest, seq)
 
-    def listed(self) -> int:
+    def listed_count(self) -> int:
         return sum(not e.removed for e in self.entries.values())
 
     # -- reading
     # ---------------------------------------------------------------------------------
 
-    def owed(self, since: int | None, epoch: int | None) -> dict[str, Any]:
+    def answer_for(self, since: int | None, epoch: int | None) -> dict[str, Any]:
         """The answer to a reader from version `since` (None: the whole list). Whole
         when `since` is below the floor, ahead of `seq`, or of another epoch; otherwise
         the entries changed after it, merged.
@@ -115,13 +121,15 @@
             hosts = [e.fields for e in self.entries.values() if e.seq > (since or 0)]
         return {"seq": self.seq, "whole": whole, "epoch": self.epoch, "hosts": hosts}
 
-    def waits(self, since: int | None, epoch: int | None) -> bool:
+    def is_up_to_date(self, since: int | None, epoch: int | None) -> bool:
         """Whether a watch from `since` has nothing to be told yet. The same version of
         another epoch is another list: that reader is told the whole at once.
         """
         return since == self.seq and epoch in (None, self.epoch)
 
-    def overtaken(self, since: int | None, epoch: int | None) -> tuple[int, int] | None:
+    def claim_ahead(
+        self, since: int | None, epoch: int | None
+    ) -> tuple[int, int] | None:
         """What a reader has seen and this service cannot have told, as (version, epoch)
         to go past; None where nothing. It shows an older copy of the state, or a lost
         one: our history is not its history.
@@ -134,23 +142,25 @@
         else:
             return None
         claim = (
-            claim[0] if claim[0] < BELIEVED else 0,
-            claim[1] if claim[1] < BELIEVED else 0,
+            claim[0] if claim[0] < CLAIM_LIMIT else 0,
+            claim[1] if claim[1] < CLAIM_LIMIT else 0,
         )
         return claim if any(claim) else None
 
     # -- changing
     # --------------------------------------------------------------------------------
 
-    def new_epoch(self, now_ms: int, asked: int = 0, seen: int = 0) -> Change:
+    def new_epoch(
+        self, now_ms: int, past_version: int = 0, past_epoch: int = 0
+    ) -> Change:
         """The change that begins an epoch past version `asked` and epoch `seen`; it
         carries the whole list again at its first version. The clock only helps: where
         it was set back, what was seen decides.
         """
-        base = max(self.seq + 1, asked + 1, now_ms * EPOCH_STEP)
-        return Change(base, max(self.epoch + 1, seen + 1, now_ms), base=base)
+        base = max(self.seq + 1, past_version + 1, now_ms * VERSIONS_PER_MS)
+        return Change(base, max(self.epoch + 1, past_epoch + 1, now_ms), base=base)
 
-    def begun(self, now_ms: int) -> Change:
+    def initial_epoch(self, now_ms: int) -> Change:
         """The change an operator's word begins a history with: no state is there, and
         none is missed.
         """
@@ -162,12 +172,12 @@
             fence=max(self.fence + 1, now_ms // 1_000),
         )
 
-    def lifted(self, above: int) -> Change | int:
+    def raise_fence(self, above: int) -> Change | int:
         """The change that raises the fence past `above`, or the version in force where
         it is past it.
         """
-        if above > self.fence + MOST_LEAP:
-            raise Refused(422, [f"{above} is further ahead than any fence can be"])
+        if above > self.fence + MAX_EPOCH_JUMP:
+            raise RequestError(422, [f"{above} is further ahead than any fence can be"])
         return (
             self.seq
             if self.fence > above
@@ -175,37 +185,51 @@
         )
 
     def prepare(
-        self, body: Any, digest: str, pending: Pending | None = None
+        self, body: Any, digest: str, pending: PendingChanges | None = None
     ) -> Change | int:
         """Check a change against what is in force and what is `pending` (checked, not
         yet on disk). Returns the Change, or the version in force when it alters nothing
         or repeats a kept id; the Change is added to `pending`. Raises Refused.
         """
-        pending = pending or Pending(self.seq)
-        ops, key = bodies.change(body)
-        kept = pending.ids.get(key) or self.ids.get(key)
-        if key and kept:
-            if kept[0] != digest:
-                raise Refused(409, [f"id: {key} was used for another change"])
-            return kept[1]
-        seen = ChainMap(pending.overlay, self.entries)
-        news: dict[str, dict[str, Any]] = {}
+        pending = pending or PendingChanges(self.seq)
+        ops, change_id = request_schemas.parse_change(body)
+        previous = pending.ids.get(change_id) or self.ids.get(change_id)
+        if change_id and previous:
+            if previous[0] != digest:
+                raise RequestError(
+                    409, [f"id: {change_id} was used for another change"]
+                )
+            return previous[1]
+        visible = ChainMap(pending.overlay, self.entries)
+        updated: dict[str, dict[str, Any]] = {}
         for i, op in enumerate(ops):
             # An entry removed earlier in the same change is gone for the ops after it.
-            now = news[op.host] if op.host in news else _live(seen.get(op.host))
-            now = None if now is not None and now["health"] == "removed" else now
-            news[op.host] = _applied(op, now, f"ops[{i}]")
-        altered = tuple(f for h, f in news.items() if _live(seen.get(h)) != f)
+            current = (
+                updated[op.host]
+                if op.host in updated
+                else _listed_fields(visible.get(op.host))
+            )
+            current = (
+                None
+                if current is not None and current["health"] == "removed"
+                else current
+            )
+            updated[op.host] = _apply(op, current, f"ops[{i}]")
+        altered = tuple(
+            f for h, f in updated.items() if _listed_fields(visible.get(h)) != f
+        )
         if not altered:
             return pending.seq
-        change = Change(pending.seq + 1, self.epoch, key, digest, altered)
+        change = Change(pending.seq + 1, self.epoch, change_id, digest, altered)
         pending.seq = change.seq
-        pending.overlay.update((f["host"], Entry(f, change.seq)) for f in altered)
-        if key:
-            pending.ids[key] = (digest, change.seq)
+        pending.overlay.update(
+            (f["host"], EndpointEntry(f, change.seq)) for f in altered
+        )
+        if change_id:
+            pending.ids[change_id] = (digest, change.seq)
         return change
 
-    def newer(self, change: Change) -> bool:
+    def is_newer(self, change: Change) -> bool:
         """Whether a change read from the log is not in the snapshot yet."""
         return change.seq > self.seq or change.fence > self.fence
 
@@ -220,19 +244,19 @@
                 entry.seq = change.base
             self._drop_tombstones(everything=True)
         for fields in change.hosts:
-            self.entries[fields["host"]] = Entry(dict(fields), change.seq)
+            self.entries[fields["host"]] = EndpointEntry(dict(fields), change.seq)
         self.seq = max(self.seq, change.seq)
         if change.id:
             self.ids[change.id] = (change.digest, change.seq)
-            while len(self.ids) > MOST_IDS:
+            while len(self.ids) > MAX_CHANGE_IDS:
                 self.ids.popitem(last=False)
         if any(fields["health"] == "removed" for fields in change.hosts):
             self._drop_tombstones()
 
     def _drop_tombstones(self, everything: bool = False) -> None:
-        gone = sorted((e.seq, h) for h, e in self.entries.items() if e.removed)
-        extra = len(gone) if everything else len(gone) - MOST_TOMBSTONES
-        for at, host in gone[: max(extra, 0)]:
+        tombstones = sorted((e.seq, h) for h, e in self.entries.items() if e.removed)
+        extra = len(tombstones) if everything else len(tombstones) - MAX_TOMBSTONES
+        for at, host in tombstones[: max(extra, 0)]:
             del self.entries[host]
             self.floor = max(self.floor, at)
 
@@ -250,55 +274,59 @@
         }
 
     @staticmethod
-    def restored(raw: dict[str, Any]) -> Registry:
-        found = Registry(
+    def from_snapshot(raw: dict[str, Any]) -> EndpointRegistry:
+        registry = EndpointRegistry(
             int(raw["epoch"]),
             int(raw["seq"]),
             int(raw["floor"]),
             int(raw.get("fence", 0)),
         )
         for seq, fields in raw["entries"]:
-            found.entries[fields["host"]] = Entry(fields, int(seq))
+            registry.entries[fields["host"]] = EndpointEntry(fields, int(seq))
         for key, digest, seq in raw["ids"]:
-            found.ids[key] = (digest, int(seq))
-        return found
+            registry.ids[key] = (digest, int(seq))
+        return registry
 
 
 @dataclass(slots=True)
-class Spaced:
+class TokenBucket:
     """At most `burst` at once, and one more each `every_us`."""
 
     burst: int
-    every_us: int
+    interval_us: int
     used: int = 0
-    since_us: int = 0  # when the oldest used one began to come back
+    refill_started_us: int = 0  # when the oldest used one began to come back
 
     def wait_us(self, now_us: int) -> int:
         """How long until one may be had; 0 now."""
-        back = (
-            min(self.used, (now_us - self.since_us) // self.every_us)
+        refilled = (
+            min(self.used, (now_us - self.refill_started_us) // self.interval_us)
             if self.used
             else 0
         )
-        self.used, self.since_us = (
-            self.used - back,
-            self.since_us + back * self.every_us,
+        self.used, self.refill_started_us = (
+            self.used - refilled,
+            self.refill_started_us + refilled * self.interval_us,
+        )
+        return (
+            0
+            if self.used < self.burst
+            else self.refill_started_us + self.interval_us - now_us
         )
-        return 0 if self.used < self.burst else self.since_us + self.every_us - now_us
 
-    def take(self, now_us: int) -> bool:
+    def try_acquire(self, now_us: int) -> bool:
         if self.wait_us(now_us):
             return False
-        self.since_us = self.since_us if self.used else now_us
+        self.refill_started_us = self.refill_started_us if self.used else now_us
         self.used += 1
         return True
 
 
-def _live(entry: Entry | None) -> dict[str, Any] | None:
+def _listed_fields(entry: EndpointEntry | None) -> dict[str, Any] | None:
     return None if entry is None or entry.removed else entry.fields
 
 
-def _applied(op: Op, now: dict[str, Any] | None, where: str) -> dict[str, Any]:
+def _apply(op: Operation, current: dict[str, Any] | None, where: str) -> dict[str, Any]:
     if isinstance(op, Register):
         return {
             "host": op.host,
@@ -310,10 +338,10 @@
             "born_ms": op.born_ms,
             "health": op.health,
         }
-    if now is None:
-        raise Refused(404, [f"{where}.host: {op.host} is not listed"])
+    if current is None:
+        raise RequestError(404, [f"{where}.host: {op.host} is not listed"])
     if isinstance(op, Drain):
-        return {**now, "health": "draining"}
-    if isinstance(op, Weigh):
-        return {**now, "share": op.share}
-    return {**now, "health": "removed"}
+        return {**current, "health": "draining"}
+    if isinstance(op, SetShare):
+        return {**current, "share": op.share}
+    return {**current, "health": "removed"}
--- a/rainfall/registry/rider.py
+++ b/rainfall/registry/heartbeat_extension.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from rainfall.lease.token import Token
+from rainfall.lease.fencing_token import Token
 from rainfall.member.roster import Member
 
 Row = dict[str, Any]
@@ -16,22 +16,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class HeartbeatResult:
     """What a beat comes to at one rider."""
 
-    plan: bool
+    plan_soon: bool
     """`plan` is asked soon."""
-    waits: bool
+    waits_for_plan: bool
     """The answer waits until the next plan was made and written, or a second has
     gone.
     """
-    tell: Callable[[], dict[str, Any]]
+    answer_fields: Callable[[], dict[str, Any]]
     """The rider's part of the answer to this very beat, by key. Raises OSError where
     what it would tell is not on disk: the beat is answered 507, and comes again.
     """
 
 
-class Rider(Protocol):
+class HeartbeatExtension(Protocol):
     """Called from the service's loop only; times are its own clock's. Nothing a rider
     decides is told before the rows of it are on disk: it makes rows in `plan`, and
     changes what it tells in `commit`.
@@ -40,19 +40,19 @@
     name: str
     """Of its rows on disk; never changed."""
 
-    def restored(
-        self, now_us: int, sure: bool, snapshot: Row | None, rows: list[Row]
+    def restore(
+        self, now_us: int, state_complete: bool, snapshot: Row | None, rows: list[Row]
     ) -> None:
         """Once, at the start. `sure`: the folder is whole as the last process left it.
         Raises KeyError, TypeError or ValueError where the rows are none of its own.
         """
 
-    def faults(self, beat: Mapping[str, Any]) -> list[str]:
+    def find_faults(self, beat: Mapping[str, Any]) -> list[str]:
         """All faults of its part of a beat, each with its path; nothing is changed
         where anyone has one.
         """
 
-    def joined(
+    def member_joined(
         self, now_us: int, name: str, token: Token, follows: Token | None
     ) -> None:
         """A member is in force from now on. `follows`: the same member's token that
@@ -60,22 +60,22 @@
         under it no more.
         """
 
-    def beat(
+    def on_heartbeat(
         self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
     ) -> bool:
         """A member in force has beaten; `beat` is the whole body, checked. True: `plan`
         is asked soon.
         """
 
-    def told(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
+    def answer_fields(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
         """Its part of the answer, by key."""
 
-    def out(self, now_us: int, token: Token) -> None:
+    def lease_expired(self, now_us: int, token: Token) -> None:
         """The lease is surely out on every clock: nothing more is done under this
         token.
         """
 
-    def ended(self, now_us: int, token: Token) -> None:
+    def member_ended(self, now_us: int, token: Token) -> None:
         """The member itself said that it does nothing more under this token."""
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
@@ -100,80 +100,80 @@
         """All that is committed."""
 
 
-class Riding(Rider):
+class BaseHeartbeatExtension(HeartbeatExtension):
     """A rider that asks for more than members' lives. Each of these has a default that
     asks for nothing.
     """
 
-    def heard(
+    def handle_heartbeat(
         self,
         now_us: int,
         until_us: int,
         name: str,
         token: Token,
         beat: Mapping[str, Any],
-    ) -> Heard:
+    ) -> HeartbeatResult:
         """In place of `beat` and `told`, where an answer must be that of one beat.
         `until_us`: the lease is surely out then. May raise bodies.Refused: the beat
         renewed the lease, and did nothing else.
         """
-        return Heard(
-            self.beat(now_us, name, token, beat),
+        return HeartbeatResult(
+            self.on_heartbeat(now_us, name, token, beat),
             False,
-            lambda: self.told(now_us, name, token),
+            lambda: self.answer_fields(now_us, name, token),
         )
 
-    def beat(
+    def on_heartbeat(
         self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
     ) -> bool:
         return False
 
-    def told(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
+    def answer_fields(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
         return {}
 
-    def lifted(self, epoch: int) -> None:
+    def epoch_raised(self, epoch: int) -> None:
         """The epoch of tokens given from now on: once before `restored`, and whenever
         it rises.
         """
 
-    def started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
+    def service_started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
         """Once, after `restored`: who is in force, as if renewed now, and when each
         lease is surely out.
         """
 
-    def said(
+    def member_resumed(
         self,
         now_us: int,
         name: str,
         token: Token,
-        shown: Token,
-        keeps: Mapping[str, int],
+        previous_token: Token,
+        kept_reserves: Mapping[str, int],
     ) -> None:
         """After `joined`, also after a start again: the same process, or the one whose
         folder it took over under lock, was known by the token `shown` before, and keeps
         so much of each reserve from then.
         """
 
-    def concerns(self, row: Row) -> Collection[str] | None:
+    def concerned_members(self, row: Row) -> Collection[str] | None:
         """Names of the members who are told something new by a row just committed;
         None: all.
         """
         return None
 
 
-def heard(
-    rider: Rider,
+def dispatch_heartbeat(
+    extension: HeartbeatExtension,
     now_us: int,
     until_us: int,
     name: str,
     token: Token,
     beat: Mapping[str, Any],
-) -> Heard:
+) -> HeartbeatResult:
     """A beat at any rider."""
-    if isinstance(rider, Riding):
-        return rider.heard(now_us, until_us, name, token, beat)
-    return Heard(
-        rider.beat(now_us, name, token, beat),
+    if isinstance(extension, BaseHeartbeatExtension):
+        return extension.handle_heartbeat(now_us, until_us, name, token, beat)
+    return HeartbeatResult(
+        extension.on_heartbeat(now_us, name, token, beat),
         False,
-        lambda: rider.told(now_us, name, token),
+        lambda: extension.answer_fields(now_us, name, token),
     )
--- a/rainfall/registry/bounds.py
+++ b/rainfall/registry/limits.py
@@ -6,15 +6,15 @@
 
 from dataclasses import dataclass, replace
 
-OWN_DESCRIPTORS = 24
+RESERVED_DESCRIPTORS = 24
 """Descriptors that the process holds beside connections: the standard ones, the loop's,
 listeners, files.
 """
-LEAST_CONNECTIONS = 8
+MIN_CONNECTIONS = 8
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class Limits:
     """Past a bound the peer is answered (413, 400, 503 with `Retry-After: 1`) or its
     connection is closed.
     """
@@ -23,36 +23,36 @@
     """Watches held at once, of the list and of the fleet together."""
     connections: int = 20_000
     """Open connections at all addresses."""
-    held_bytes: int = 4 * 1024 * 1024
+    unsent_bytes: int = 4 * 1024 * 1024
     """Answers that one connection has not taken yet; past it the connection is cut. A
     list that is longer is written in pieces, as its reader takes them.
     """
-    unread_s: float = 30.0
+    send_timeout_s: float = 30.0
     """How long a peer may take none of what was sent to it before the kernel cuts the
     connection.
     """
     queued: int = 10_000
     """Changes that wait for the writer; notices' posts that wait for theirs."""
-    body: int = 1024 * 1024
+    body_bytes: int = 1024 * 1024
     """Bytes of a request's body."""
-    head: int = 16 * 1024
+    head_bytes: int = 16 * 1024
     """Bytes of the request line and headers together; 8 KiB for one of them."""
     idle_s: float = 75.0
     """Between requests, and for a head to come whole."""
-    body_s: float = 10.0
+    body_timeout_s: float = 10.0
     """For the body of a request to come whole."""
-    stop_s: float = 5.0
+    shutdown_timeout_s: float = 5.0
     """From SIGTERM on, for what was asked before it to be kept and answered."""
-    lifts: int = 3
+    epoch_burst: int = 3
     """Epochs that readers' claims may begin at once ..."""
-    lift_s: float = 60.0
+    epoch_interval_s: float = 60.0
     """... and one more after each such time."""
 
 
-def within_descriptors(bounds: Bounds, descriptors: int) -> Bounds:
+def limit_by_descriptors(limits: Limits, descriptors: int) -> Limits:
     """Bounds with no more connections than so many descriptors allow. Past the kernel's
     limit a connection would stand unaccepted, with no answer; past this bound it is
     answered 503.
     """
-    most = max(LEAST_CONNECTIONS, descriptors - OWN_DESCRIPTORS)
-    return replace(bounds, connections=min(bounds.connections, most))
+    most = max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS)
+    return replace(limits, connections=min(limits.connections, most))
--- a/rainfall/registry/member_list.py
+++ b/rainfall/registry/member_encoder.py
@@ -14,30 +14,30 @@
 
 from rainfall.member.roster import Member
 
-MOST_KNOWN = 20_000
+MAX_CACHED_MEMBERS = 20_000
 """Names kept, twice as many as may hold leases; past so many all are encoded anew as
 they are asked for.
 """
 
 
-class MemberList:
+class MemberEncoder:
     """Keeps the last encoding of each name."""
 
     def __init__(self) -> None:
-        self._known: dict[str, tuple[Member, msgspec.Raw]] = {}
+        self._encodings: dict[str, tuple[Member, msgspec.Raw]] = {}
 
     def encoded(self, members: Iterable[Member]) -> list[msgspec.Raw]:
         """JSON of each, in the same order. A member object never changes: a new state
         is a new object.
         """
-        if len(self._known) > MOST_KNOWN:
-            self._known.clear()
-        return [self._of(member) for member in members]
+        if len(self._encodings) > MAX_CACHED_MEMBERS:
+            self._encodings.clear()
+        return [self._encode(member) for member in members]
 
-    def _of(self, member: Member) -> msgspec.Raw:
-        known = self._known.get(member.name)
+    def _encode(self, member: Member) -> msgspec.Raw:
+        known = self._encodings.get(member.name)
         if known is not None and known[0] is member:
             return known[1]
-        raw = msgspec.Raw(msgspec.json.encode(member.told()))
-        self._known[member.name] = member, raw
+        raw = msgspec.Raw(msgspec.json.encode(member.to_wire()))
+        self._encodings[member.name] = member, raw
         return raw
--- a/rainfall/registry/figures.py
+++ b/rainfall/registry/metrics.py
@@ -11,14 +11,14 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 from prometheus_client.registry import Collector
 
-NOW = (
+GAUGES = (
     "watches_held",
     "connections",
 )  # what stands, and falls again; all else only grows
 
 
 @dataclass
-class Figures:
+class ServiceMetrics:
     reads: int = 0
     watches_held: int = 0
     watches_answered: int = 0
@@ -35,7 +35,7 @@
     write_failures: int = 0
 
 
-class Metrics(Collector):
+class MetricsCollector(Collector):
     """`/metrics`: the figures, and what `state` tells at that moment, from a registry
     of its own (the client library's global one would add the process's, and would be
     shared by two services in a test).
@@ -43,11 +43,11 @@
 
     def __init__(
         self,
-        figures: Figures,
+        figures: ServiceMetrics,
         state: Callable[[], Mapping[str, int]],
         tables: Mapping[str, tuple[str, Callable[[], dict[str, dict[str, int]]]]],
     ) -> None:
-        self.figures, self.state, self.tables = figures, state, tables
+        self.metrics, self.gauges, self.tables = figures, state, tables
         self.registry = CollectorRegistry()
         self.registry.register(self)
 
@@ -55,26 +55,26 @@
         return iter(())
 
     def collect(self) -> Iterator[CounterMetricFamily | GaugeMetricFamily]:
-        for field in fields(self.figures):
-            value = getattr(self.figures, field.name)
+        for field in fields(self.metrics):
+            value = getattr(self.metrics, field.name)
             name = f"lemonshunt_registry_{field.name}"
-            said = field.name.replace("_", " ")
-            if field.name in NOW:
-                yield GaugeMetricFamily(name, f"{said} now", value)
+            description = field.name.replace("_", " ")
+            if field.name in GAUGES:
+                yield GaugeMetricFamily(name, f"{description} now", value)
             else:
-                yield CounterMetricFamily(name, f"{said} since the start", value)
-        for name, value in self.state().items():
+                yield CounterMetricFamily(name, f"{description} since the start", value)
+        for name, value in self.gauges().items():
             yield GaugeMetricFamily(
                 f"lemonshunt_registry_{name}", f"{name.replace('_', ' ')} now", value
             )
-        for part, (label, told) in self.tables.items():
-            yield from _table(part, label, told())
+        for part, (label, read_table) in self.tables.items():
+            yield from _gauge_families(part, label, read_table())
 
     def text(self) -> bytes:
         return generate_latest(self.registry)
 
 
-def _table(
+def _gauge_families(
     part: str, label: str, told: Mapping[str, Mapping[str, int]]
 ) -> Iterator[GaugeMetricFamily]:
     names = {name: None for figures in told.values() for name in figures}
--- a/rainfall/registry/map_calls.py
+++ b/rainfall/registry/shard_map_api.py
@@ -9,17 +9,33 @@
 
 from aiohttp import web
 
-from rainfall.registry.bodies import Refused
-from rainfall.registry.fleet import Fleet
-from rainfall.registry.maps import Maps
-from rainfall.registry.rider import Row
-from rainfall.registry.web import answer, get, json_body, whole_body, whole_number
-from rainfall.shard.check import MOST_MOVED, judged
-from rainfall.shard.maps import BITS, Unreadable, decode, hexed, key_from
+from rainfall.registry.fleet_coordinator import FleetCoordinator
+from rainfall.registry.heartbeat_extension import Row
+from rainfall.registry.http_server import (
+    get_route,
+    json_response,
+    parse_version,
+    read_body,
+    read_json,
+)
+from rainfall.registry.request_schemas import RequestError
+from rainfall.registry.shard_map_extension import ShardMapExtension
+from rainfall.shard.map_validation import MAX_MOVED_SHARE, evaluate_update
+from rainfall.shard.shard_map import (
+    KEY_BITS,
+    UnreadableInputError,
+    decode_json,
+    format_key,
+    parse_key,
+)
 
 
 async def put_map(
-    fleet: Fleet, maps: Maps, make: Callable[[], Any], why: str, match: int | None
+    fleet: FleetCoordinator,
+    maps: ShardMapExtension,
+    make: Callable[[], Any],
+    why: str,
+    match: int | None,
 ) -> bool:
     """Put the map that `make` gives (as decoded from JSON) in force if `shard.check`
     finds no fault in it; durable when this returns. False: it is in force already.
@@ -29,42 +45,44 @@
 
     def rows(_: int) -> list[Row]:
         nonlocal changed
-        current = maps.moves.map
+        current = maps.migration.map
         if match is not None and match != (
             0 if current is None else current.generation
         ):
-            raise Refused(
+            raise RequestError(
                 412, [f"generation {current.generation if current else 0} is in force"]
             )
-        members = {member.name for member in fleet.roster.in_force()}
-        new, faults = judged(make(), members, current, MOST_MOVED, BITS)
+        members = {member.name for member in fleet.roster.active_members()}
+        new, faults = evaluate_update(
+            make(), members, current, MAX_MOVED_SHARE, KEY_BITS
+        )
         if faults:
-            raise Refused(422, [str(fault) for fault in faults])
+            raise RequestError(422, [str(fault) for fault in faults])
         changed = new is not None
-        return [] if new is None else [{"put": new.told(), "why": why}]
+        return [] if new is None else [{"put": new.to_wire(), "why": why}]
 
-    await fleet.decide(maps.name, rows)
+    await fleet.apply_rows(maps.name, rows)
     return changed
 
 
-def routes(fleet: Fleet, maps: Maps) -> list[web.RouteDef]:
+def routes(fleet: FleetCoordinator, maps: ShardMapExtension) -> list[web.RouteDef]:
     """At the write address: the reads, and what changes."""
 
     async def put(request: web.Request) -> web.StreamResponse:
         try:
-            raw = decode(await whole_body(request, fleet.house.bounds))
-        except Unreadable as error:
-            raise Refused(400, [str(error)]) from None
+            raw = decode_json(await read_body(request, fleet.context.limits))
+        except UnreadableInputError as error:
+            raise RequestError(400, [str(error)]) from None
         return await _put(request, lambda: raw, "by hand")
 
     async def move(request: web.Request) -> web.StreamResponse:
-        call = await json_body(request, fleet.house.bounds)
-        first, last, owner = _asked(call)
+        call = await read_json(request, fleet.context.limits)
+        first, last, owner = _parse_move(call)
 
         def made() -> Any:
-            current = maps.moves.map
+            current = maps.migration.map
             if current is None:
-                raise Refused(404, ["no map is in force"])
+                raise RequestError(404, ["no map is in force"])
             cells = [(first, last, owner)]
             for r in current.ranges:
                 if r.first < first:
@@ -74,7 +92,7 @@
             return {
                 "generation": current.generation + 1,
                 "ranges": [
-                    {"from": hexed(a), "to": hexed(b), "owner": name}
+                    {"from": format_key(a), "to": format_key(b), "owner": name}
                     for a, b, name in sorted(cells)
                 ],
             }
@@ -84,77 +102,79 @@
     async def _put(
         request: web.Request, make: Callable[[], Any], why: str
     ) -> web.StreamResponse:
-        match = whole_number(request.headers.get("If-Match", ""), "If-Match")
+        match = parse_version(request.headers.get("If-Match", ""), "If-Match")
         try:
             changed = await put_map(fleet, maps, make, why, match)
         except OSError as error:
-            raise Refused(
+            raise RequestError(
                 507, [f"it could not be kept: {error.strerror or error}"]
             ) from None
-        generation = maps.map.generation if maps.map else 0
-        return answer(
+        generation = maps.stored_map.generation if maps.stored_map else 0
+        return json_response(
             200,
             {"generation": generation, "changed": changed},
             {"ETag": f'"{generation}"'},
         )
 
     return [
-        *reads(fleet, maps),
+        *read_routes(fleet, maps),
         web.put("/v1/map", put),
         web.post("/v1/map/move", move),
     ]
 
 
-def reads(fleet: Fleet, maps: Maps) -> list[web.RouteDef]:
+def read_routes(fleet: FleetCoordinator, maps: ShardMapExtension) -> list[web.RouteDef]:
     async def show(_: web.Request) -> web.StreamResponse:
-        if maps.map is None:
-            raise Refused(404, ["no map is in force"])
-        return answer(200, maps.text(), {"ETag": f'"{maps.map.generation}"'})
+        if maps.stored_map is None:
+            raise RequestError(404, ["no map is in force"])
+        return json_response(
+            200, maps.encoded_map(), {"ETag": f'"{maps.stored_map.generation}"'}
+        )
 
     async def moves(_: web.Request) -> web.StreamResponse:
-        now_us = fleet.house.now_us()
-        return answer(
+        now_us = fleet.context.now_us()
+        return json_response(
             200,
             {
-                "generation": maps.map.generation if maps.map else 0,
-                "quiet_ms": max(maps.moves.quiet_until_us - now_us, 0) // 1_000,
+                "generation": maps.stored_map.generation if maps.stored_map else 0,
+                "quiet_ms": max(maps.migration.grants_from_us - now_us, 0) // 1_000,
                 "holders": [
                     {
                         "name": h.name,
-                        "token": token.told(),
-                        "left_ms": max(h.out_us - now_us, 0) // 1_000,
+                        "token": token.to_wire(),
+                        "left_ms": max(h.expires_at_us - now_us, 0) // 1_000,
                         "ranges": [
                             {
-                                "from": hexed(x.first),
-                                "to": hexed(x.last),
-                                "token": x.token.told(),
-                                "begun": x.begun,
+                                "from": format_key(x.first),
+                                "to": format_key(x.last),
+                                "token": x.token.to_wire(),
+                                "begun": x.since_generation,
                             }
                             for x in h.holds
                         ],
                     }
-                    for token, h in sorted(maps.moves.holders.items())
+                    for token, h in sorted(maps.migration.holders.items())
                 ],
                 "moving": [
                     {
-                        "from": hexed(first),
-                        "to": hexed(last),
+                        "from": format_key(first),
+                        "to": format_key(last),
                         "held_by": held_by,
                         "owner": owner,
                     }
-                    for first, last, held_by, owner in maps.moves.moving()
+                    for first, last, held_by, owner in maps.migration.ranges_in_migration()
                 ],
             },
         )
 
-    return [get("/v1/map", show), get("/v1/map/moves", moves)]
+    return [get_route("/v1/map", show), get_route("/v1/map/moves", moves)]
 
 
-def _asked(call: Any) -> tuple[int, int, str]:
+def _parse_move(call: Any) -> tuple[int, int, str]:
     """The range and the owner of a move. Raises Refused(400) with every fault."""
     if not isinstance(call, dict):
-        raise Refused(400, ["an object with from, to and owner"])
-    ends = key_from(call.get("from")), key_from(call.get("to"))
+        raise RequestError(400, ["an object with from, to and owner"])
+    ends = parse_key(call.get("from")), parse_key(call.get("to"))
     faults = [
         f"{name}: 16 lower-case hexadecimal digits"
         for name, key in zip(("from", "to"), ends, strict=True)
@@ -167,5 +187,5 @@
     ]
     first, last = ends
     if faults or first is None or last is None or first > last:
-        raise Refused(400, faults or ["to: before from"])
+        raise RequestError(400, faults or ["to: before from"])
     return first, last, call["owner"]
--- a/rainfall/session/table.py
+++ b/rainfall/session/config.py
@@ -19,20 +19,20 @@
 from rainfall.session.states import Limits
 
 Cost = Annotated[float, Meta(ge=0, le=1e6)]
-Millis = Annotated[int, Meta(ge=1, le=86_400_000)]
+Milliseconds = Annotated[int, Meta(ge=1, le=86_400_000)]
 Share = Annotated[float, Meta(gt=0, le=1)]
-KINDS: dict[str, Any] = {
+FIELD_TYPES: dict[str, Any] = {
     "at_once": Annotated[int, Meta(ge=1, le=10_000)],
-    "least_stay_ms": Millis,
-    "pause_ms": Millis,
-    "pair_ms": Millis,
+    "least_stay_ms": Milliseconds,
+    "pause_ms": Milliseconds,
+    "pair_ms": Milliseconds,
     "over": Share,
     "under": Share,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Table:
+class SessionConfig:
     sites: Mapping[str, Mapping[str, float]]
     """Each site's neighbours and what it costs to hand a session there."""
     at_once: int = 8
@@ -55,34 +55,34 @@
     limits: Limits = field(default_factory=Limits)
 
 
-class Malformed(ValueError):
+class SessionConfigError(ValueError):
     """`faults`: all of them, each beginning with its path."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
-        self.faults = faults
+        self.errors = faults
 
 
-def read(raw: Any, path: str = "session") -> Table:
+def parse_config(raw: Any, path: str = "session") -> SessionConfig:
     """The table that `raw` (decoded JSON) says, or Malformed with every fault in it."""
     if not isinstance(raw, dict):
-        raise Malformed([f"{path}: must be an object"])
+        raise SessionConfigError([f"{path}: must be an object"])
     faults = [
         f"{path}.{k}: unknown"
         for k in raw
-        if k not in KINDS and k not in ("sites", "limits")
+        if k not in FIELD_TYPES and k not in ("sites", "limits")
     ]
     values: dict[str, Any] = {}
-    for name, kind in KINDS.items():
+    for name, kind in FIELD_TYPES.items():
         if name in raw:
             values[name] = _value(raw[name], kind, f"{path}.{name}", faults)
     sites = _sites(raw.get("sites"), f"{path}.sites", faults)
     limits = _limits(raw.get("limits", {}), f"{path}.limits", faults)
     if faults:
-        raise Malformed(faults)
-    table = Table(sites, limits=limits, **values)
+        raise SessionConfigError(faults)
+    table = SessionConfig(sites, limits=limits, **values)
     if table.under >= table.over:
-        raise Malformed([f"{path}.under: must be below over"])
+        raise SessionConfigError([f"{path}.under: must be below over"])
     return table
 
 
@@ -137,5 +137,5 @@
     if len(faults) > before:
         return Limits()
     limits = Limits(**values)
-    faults += [f"{path}.{fault}" for fault in limits.faults()]
+    faults += [f"{path}.{fault}" for fault in limits.validation_errors()]
     return limits
--- a/rainfall/session/model_fair.py
+++ b/rainfall/session/model_liveness.py
@@ -8,58 +8,62 @@
 from dataclasses import replace
 
 from rainfall.session import states as s
-from rainfall.session.model_world import World, not_whole, unsafe
+from rainfall.session.model_state import (
+    ModelState,
+    liveness_violation,
+    safety_violation,
+)
 
-Step = tuple[str, str, World]
+Step = tuple[str, str, ModelState]
 """Its kind: `fair` (comes of itself in the end), `retry`, `late` (when nothing else
 does), `foul` (may happen); its name; the state after.
 """
 
 
-class Fair:
+class LivenessModel:
     def __init__(self) -> None:
         self.good: set[Hashable] = set()
         """States known to end well."""
 
-    def _all(self, state: World) -> Iterator[Step]:
+    def _all(self, state: ModelState) -> Iterator[Step]:
         raise NotImplementedError
 
-    def _do(self, state: World, n: str, done: list[tuple[str, s.Action]]) -> None:
+    def _do(self, state: ModelState, n: str, done: list[tuple[str, s.Action]]) -> None:
         raise NotImplementedError
 
-    def key(self, state: World) -> Hashable:
+    def key(self, state: ModelState) -> Hashable:
         return (
             self._core(state),
-            state.net.losses,
-            state.net.copies,
-            tuple(state.left.values()),
+            state.net.losses_left,
+            state.net.duplicates_left,
+            tuple(state.events_left.values()),
         )
 
-    def _core(self, state: World) -> Hashable:
+    def _core(self, state: ModelState) -> Hashable:
         return (
-            state.net.bag,
-            state.decided,
-            state.sites["g"].key(),
-            state.sites["t"].key(),
-            tuple(state.lease.values()),
+            state.net.in_transit,
+            state.decisions,
+            state.forwarders["g"].key(),
+            state.forwarders["t"].key(),
+            tuple(state.lease_state.values()),
             state.sent,
             tuple(sorted(state.ends.items())),
             state.promised,
             state.client,
             state.clock,
-            state.why,
+            state.violation,
             state.epoch,
-            state.left["gone"],
+            state.events_left["gone"],
         )
 
-    def broken(self, state: World) -> str:
-        return unsafe(state) or self._unsettled(state)
+    def broken(self, state: ModelState) -> str:
+        return safety_violation(state) or self._unsettled(state)
 
-    def _unsettled(self, state: World) -> str:
+    def _unsettled(self, state: ModelState) -> str:
         """Play on with nothing more going wrong, to the end or to a state known to end
         well.
         """
-        state = replace(state, net=replace(state.net, most=20))
+        state = replace(state, net=replace(state.net, max_in_transit=20))
         passed: set[Hashable] = set()
         steps = 0
         while (key := self._core(state)) not in self.good:
@@ -68,16 +72,16 @@
             if (
                 after is None or len(passed) < steps - 50
             ):  # the end, or it goes round and round
-                if why := not_whole(state):
+                if why := liveness_violation(state):
                     return why
                 break
             steps, state = steps + 1, after
-            if why := unsafe(state):
+            if why := safety_violation(state):
                 return why
         self.good |= passed
         return ""
 
-    def _next(self, state: World) -> World | None:
+    def _next(self, state: ModelState) -> ModelState | None:
         """The first thing that comes of itself and changes something; where none does,
         all say again what was not answered.
         """
@@ -86,17 +90,17 @@
             if kind == "fair" and self._core(after) != core:
                 return after
         after = state.fork("gt")
-        for n, at in after.sites.items():
+        for n, at in after.forwarders.items():
             if at.alive:
                 self._do(after, n, at.tell(s.Retry()))
         return after if self._core(after) != core else self._late(state)
 
-    def _late(self, state: World) -> World | None:
+    def _late(self, state: ModelState) -> ModelState | None:
         """Said again and again with no answer: a limit is over."""
-        for n, at in state.sites.items():
+        for n, at in state.forwarders.items():
             for kind, event in at.events() if at.alive else ():
                 if kind == "late":
                     after = state.fork(n)
-                    self._do(after, n, after.sites[n].tell(event))
+                    self._do(after, n, after.forwarders[n].tell(event))
                     return after
         return None
--- a/rainfall/session/states.py
+++ b/rainfall/session/states.py
@@ -8,13 +8,19 @@
 from enum import Enum
 from typing import Literal
 
-from rainfall.session.words import Frame, Hand, Item, Life, Record
+from rainfall.session.protocol import (
+    Frame,
+    LeaseToken,
+    MigrationId,
+    Record,
+    TransferredMessage,
+)
 
 Side = Literal["giver", "taker"]
 Ruling = Literal["giver", "taker", "wait"]
 
 
-class State(Enum):
+class MigrationState(Enum):
     HELD = "held"
     OFFERED = "offered"
     FROZEN = "frozen"
@@ -29,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Give:
+class StartMigration:
     """Hand it over; decided by `choose` or an operator."""
 
     messages: int = 0
@@ -37,25 +43,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Quiet:
+class SessionQuiesced:
     """After `Freeze`: no call of the session is out. All its messages in order (times
     by our clock; one whose call was closed without an answer says that it may have run)
     and the ids it remembers against repeats.
     """
 
-    items: tuple[Item, ...]
-    memory: tuple[str, ...]
+    items: tuple[TransferredMessage, ...]
+    remembered_ids: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class RecordPersisted:
     """A record that was asked for is on disk."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
-class NotKept:
+class RecordWriteFailed:
     """It could not be written, or nobody knows whether it was: a disk that is full, or
     failed.
     """
@@ -67,34 +73,34 @@
 class Verdict:
     """The arbiter's word."""
 
-    hand: Hand
+    migration_id: MigrationId
     ruling: Ruling
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class MessageArrived:
     """A client hands in a message of this key; it is not answered yet."""
 
-    item: Item
-    at_us: int
+    item: TransferredMessage
+    arrived_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ClientDisconnected:
     """A client whose message waits has gone."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class TailOver:
+class ConnectionsClosed:
     """After `Tail`: no connection that has brought messages of this key is open any
     more.
     """
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class MessageExpired:
     """The time of a copied message is up, for a taker in doubt (`offer_us` after its
     due).
     """
@@ -123,19 +129,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseBack:
+class LeaseAcquired:
     """We hold a lease again (or after a start), under this token."""
 
-    life: Life
+    lease_token: LeaseToken
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class CancelMigration:
     """Not to be handed over after all."""
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
+class TargetDraining:
     """The taker itself drains."""
 
 
@@ -148,7 +154,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Journal:
+class PersistRecord:
     """Write it, sync it, then say `Kept`; what follows from it waits until then."""
 
     record: Record
@@ -172,13 +178,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class ImportSession:
     """The session is to be ours: recall these messages in order and these ids, and wait
     for `Resume`.
     """
 
-    items: tuple[Item, ...]
-    memory: tuple[str, ...]
+    items: tuple[TransferredMessage, ...]
+    remembered_ids: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,7 +193,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LetGo:
+class ReleaseSession:
     """Its messages are the other side's: forget them without an end."""
 
 
@@ -197,27 +203,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailMessage:
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class AcceptMessage:
     """Take it on as if it arrived now; `answer`: and answer its client."""
 
-    item: Item
-    answer: bool = True
+    item: TransferredMessage
+    answer_client: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AnswerAccepted:
     """202: the taker has taken it on."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectMessage:
     """503 with Retry-After: nobody has taken it on, and nobody will."""
 
     id: str
@@ -225,24 +231,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tail:
+class StartTail:
     """The taker has it (`where` learns it): say `TailOver` once no client's connection
     is left, which may be at once.
     """
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class AskArbiter:
     """Ask the arbiter; a lost question or answer is asked again by the next `Retry`."""
 
-    hand: Hand
+    migration_id: MigrationId
     side: Side
-    other: str
+    other_member: str
     committed: bool = False
     """The giver has committed: only where the taker is lost may it have the session
     back.
     """
-    forgot: bool = False
+    unknown_to_source: bool = False
     """The giver, asked by the taker, has no record of it."""
     cede: bool = False
     """The giver, which asked before, wants the taker to have it for good; or the taker
@@ -251,36 +257,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Confirm:
+class ConfirmVerdict:
     """Tell the arbiter that its word is carried out here and on disk."""
 
-    hand: Hand
+    migration_id: MigrationId
     side: Side
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class MigrationFinished:
     """This core is done with; the desk may forget it."""
 
 
 Action = (
     Send
-    | Journal
+    | PersistRecord
     | Freeze
     | CloseCalls
     | Resume
-    | Begin
+    | ImportSession
     | Halt
-    | LetGo
+    | ReleaseSession
     | FailAll
-    | Fail
-    | Take
-    | Answer
-    | Refuse
-    | Tail
-    | Ask
-    | Confirm
-    | Over
+    | FailMessage
+    | AcceptMessage
+    | AnswerAccepted
+    | RejectMessage
+    | StartTail
+    | AskArbiter
+    | ConfirmVerdict
+    | MigrationFinished
 )
 Actions = tuple[Action, ...]
 
@@ -322,7 +328,7 @@
     """What all of them together may hold, in each direction."""
     drift: float = 0.02
 
-    def faults(self) -> list[str]:
+    def validation_errors(self) -> list[str]:
         """All of them, each beginning with its field; empty where the limits hold."""
         found = [
             f"{f.name}: must be above 0"
--- a/rainfall/shard/__main__.py
+++ b/rainfall/shard/__main__.py
@@ -13,125 +13,145 @@
 from pathlib import Path
 from typing import Any, NoReturn
 
-from rainfall.shard.check import MOST_MOVED, Fault, Old, checked, look
-from rainfall.shard.maps import Doubled, ShardMap, Unreadable, decode, span_from
-from rainfall.shard.plan import MOST_RANGES, BadPlan, plan
-
-SOUND, FAULTS, UNREADABLE = 0, 1, 2
-
-
-class Parser(argparse.ArgumentParser):
+from rainfall.shard.map_planning import MAX_RANGES, PlanError, plan_map
+from rainfall.shard.map_validation import (
+    MAX_MOVED_SHARE,
+    MapBaseline,
+    MapFault,
+    checked_map,
+    inspect_map,
+)
+from rainfall.shard.shard_map import (
+    DuplicateFieldObject,
+    ShardMap,
+    UnreadableInputError,
+    decode_json,
+    parse_range,
+)
+
+EXIT_SOUND, EXIT_FAULTS, EXIT_UNREADABLE = 0, 1, 2
+
+
+class CommandParser(argparse.ArgumentParser):
     def error(self, message: str) -> NoReturn:
-        self.exit(UNREADABLE, f"shard: {message} (--help tells more)\n")
+        self.exit(EXIT_UNREADABLE, f"shard: {message} (--help tells more)\n")
 
 
-def read(path: str) -> Any:
+def read_json(path: str) -> Any:
     """The JSON value in a file; Unreadable, with the file's name, where there is
     none.
     """
     try:
-        return decode(Path(path).read_bytes())
-    except Unreadable as error:
-        raise Unreadable(f"cannot read {_shown(path)}: {error}") from None
+        return decode_json(Path(path).read_bytes())
+    except UnreadableInputError as error:
+        raise UnreadableInputError(f"cannot read {_printable(path)}: {error}") from None
     except OSError as error:
-        raise Unreadable(f"cannot read {_shown(path)}: {error.strerror}") from None
+        raise UnreadableInputError(
+            f"cannot read {_printable(path)}: {error.strerror}"
+        ) from None
     except ValueError:  # a NUL in the name
-        raise Unreadable(
-            f"cannot read {_shown(path)}: no file can have that name"
+        raise UnreadableInputError(
+            f"cannot read {_printable(path)}: no file can have that name"
         ) from None
 
 
 def read_object(path: str) -> dict[str, Any]:
-    raw = read(path)
+    raw = read_json(path)
     if not isinstance(raw, dict):
-        raise Unreadable(f"cannot read {_shown(path)}: it holds no JSON object")
+        raise UnreadableInputError(
+            f"cannot read {_printable(path)}: it holds no JSON object"
+        )
     return raw
 
 
 def read_members(path: str) -> list[str]:
-    raw = read(path)
+    raw = read_json(path)
     if type(raw) is not list or not all(type(name) is str and name for name in raw):
-        raise Unreadable(f"cannot read {_shown(path)}: it holds no JSON array of names")
+        raise UnreadableInputError(
+            f"cannot read {_printable(path)}: it holds no JSON array of names"
+        )
     return sorted(set(raw))
 
 
-def read_old(path: str) -> Old:
+def read_baseline(path: str) -> MapBaseline:
     """What to compare with. Gaps and overlaps are let pass (a new map may be the mend),
     its form is not.
     """
-    faults, generation, alone = look(read_object(path))
+    faults, generation, alone = inspect_map(read_object(path))
     if bad := [f for f in faults if f.kind in ("malformed", "inverted")]:
-        raise Unreadable(
-            f"cannot read {_shown(path)} as the old map: {bad[0]}"
+        raise UnreadableInputError(
+            f"cannot read {_printable(path)} as the old map: {bad[0]}"
             + (f" and {len(bad) - 1} more faults" if len(bad) > 1 else "")
         )
-    return Old(generation, alone)
+    return MapBaseline(generation, alone)
 
 
-def read_figures(given: str) -> dict[str, float]:
+def read_numbers(given: str) -> dict[str, float]:
     """A JSON object of numbers, in a file or as it stands: weights by member, loads by
     range.
     """
     raw = (
-        decode(given.encode()) if given.lstrip().startswith("{") else read_object(given)
+        decode_json(given.encode())
+        if given.lstrip().startswith("{")
+        else read_object(given)
     )
-    if isinstance(raw, Doubled) or not all(
+    if isinstance(raw, DuplicateFieldObject) or not all(
         type(n) in (int, float) for n in raw.values()
     ):
-        raise Unreadable(
-            f"{_shown(given)} is no JSON object of numbers, each name once"
+        raise UnreadableInputError(
+            f"{_printable(given)} is no JSON object of numbers, each name once"
         )
     return dict(raw)
 
 
-def _shown(text: str) -> str:
+def _printable(text: str) -> str:
     return text if text.isprintable() else ascii(text)
 
 
-Told = tuple[int, list[str]]
+CommandResult = tuple[int, list[str]]
 """The exit code and the lines on stdout."""
 
 
-def run_check(args: argparse.Namespace) -> Told:
+def run_check(args: argparse.Namespace) -> CommandResult:
     raw = read_object(args.map)
     members = None if args.members is None else read_members(args.members)
-    old = None if args.against is None else read_old(args.against)
-    faults, generation, alone = look(raw, members, old, args.most_moved)
+    old = None if args.against is None else read_baseline(args.against)
+    faults, generation, alone = inspect_map(raw, members, old, args.most_moved)
     if faults:
-        return tell(faults)
-    return SOUND, [
+        return fault_result(faults)
+    return EXIT_SOUND, [
         f"{len(alone)} ranges, {len({a[2] for a in alone})} owners, generation {generation}"
     ]
 
 
-def run_plan(args: argparse.Namespace) -> Told:
+def run_plan(args: argparse.Namespace) -> CommandResult:
     weights: dict[str, float] = dict.fromkeys(read_members(args.members), 1.0)
-    given = read_figures(args.weights) if args.weights else {}
+    given = read_numbers(args.weights) if args.weights else {}
     if strange := sorted(set(given) - set(weights)):
-        raise BadPlan(f"a weight for {ascii(strange[0])}, which is no member")
+        raise PlanError(f"a weight for {ascii(strange[0])}, which is no member")
     weights.update(given)
     old: ShardMap | None = None
     if args.old:
         raw = read_object(args.old)
-        if faults := look(raw)[0]:
-            return tell(faults)
-        old = checked(raw)
+        if faults := inspect_map(raw)[0]:
+            return fault_result(faults)
+        old = checked_map(raw)
     loads = (
-        {span_from(name): load for name, load in read_figures(args.load).items()}
+        {parse_range(name): load for name, load in read_numbers(args.load).items()}
         if args.load
         else None
     )
-    done = plan(weights, old, loads, args.most_ranges)
-    write(Path(args.out), done.map.text())
+    done = plan_map(weights, old, loads, args.most_ranges)
+    write_atomically(Path(args.out), done.map.file_text())
     new = done.map
-    return SOUND, [
+    return EXIT_SOUND, [
         f"{len(new.ranges)} ranges, {len(new.owners())} owners, generation {new.generation}; "
-        f"{done.moved} keys move ({done.moved / 2**64:.2%})"
-        + ("" if loads else f", {done.least} at the least")
+        f"{done.moved_keys} keys move ({done.moved_keys / 2**64:.2%})"
+        + ("" if loads else f", {done.min_moved_keys} at the least")
     ]
 
 
-def write(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """Whole or not at all: what stood there stays until all of the new map is on
     disk.
     """
@@ -144,16 +164,16 @@
         beside.replace(path)
     except OSError as error:
         beside.unlink(missing_ok=True)
-        raise Unreadable(
-            f"cannot write {_shown(str(path))}: {error.strerror}"
+        raise UnreadableInputError(
+            f"cannot write {_printable(str(path))}: {error.strerror}"
         ) from None
 
 
-def tell(faults: list[Fault]) -> Told:
-    return FAULTS, list(map(str, faults))
+def fault_result(faults: list[MapFault]) -> CommandResult:
+    return EXIT_FAULTS, list(map(str, faults))
 
 
-def _share(text: str) -> Fraction:
+def _fraction_argument(text: str) -> Fraction:
     if (
         not re.fullmatch(r"\d?\.\d{1,18}|\d\.?", text, re.ASCII)
         or Fraction(text.rstrip(".")) > 1
@@ -164,7 +184,7 @@
     return Fraction(text.rstrip("."))
 
 
-def _count(text: str) -> int:
+def _count_argument(text: str) -> int:
     if not re.fullmatch(r"[1-9]\d{0,8}", text, re.ASCII):
         raise argparse.ArgumentTypeError(f"{text!r} is no count from 1")
     return int(text)
@@ -174,7 +194,7 @@
     """Exit 0 where all is well, 1 with all faults of a map, one a line, 2 with one line
     on stderr.
     """
-    ask = Parser(prog="python -m rainfall.shard", description=__doc__)
+    ask = CommandParser(prog="python -m rainfall.shard", description=__doc__)
     subs = ask.add_subparsers(required=True, metavar="check|plan")
     sub = subs.add_parser("check", help="every key exactly once, no gaps")
     sub.add_argument("map", metavar="MAP")
@@ -189,8 +209,8 @@
     sub.add_argument(
         "--most-moved",
         metavar="PART",
-        type=_share,
-        default=MOST_MOVED,
+        type=_fraction_argument,
+        default=MAX_MOVED_SHARE,
         help="of the keys that may change their owner against OLD (default 0.5)",
     )
     sub.set_defaults(run=run_check)
@@ -210,18 +230,20 @@
     sub.add_argument(
         "--load", metavar="FILE|JSON", help='by range of MAP, such as {"FROM-TO": 12.5}'
     )
-    sub.add_argument("--most-ranges", metavar="N", type=_count, default=MOST_RANGES)
+    sub.add_argument(
+        "--most-ranges", metavar="N", type=_count_argument, default=MAX_RANGES
+    )
     sub.add_argument("--out", metavar="FILE", required=True)
     sub.set_defaults(run=run_plan)
     args = ask.parse_args(argv)
     try:
         verdict, lines = args.run(args)
     except (
-        Unreadable,
+        UnreadableInputError,
         ValueError,
     ) as error:  # BadPlan, and a range in a file of loads, are ValueErrors
         print(f"shard: {error}", file=sys.stderr)
-        return UNREADABLE
+        return EXIT_UNREADABLE
     try:
         sys.stdout.writelines(f"{line}\n" for line in lines)
         sys.stdout.flush()
--- a/rainfall/shard/cover.py
+++ b/rainfall/shard/coverage.py
@@ -11,7 +11,7 @@
 """First key, last key (not below the first), and the entry's index in the file."""
 
 
-def cover(
+def covered_segments(
     entries: Sequence[Entry], top: int
 ) -> Iterator[tuple[int, int, Sequence[int]]]:
     """The whole space from 0 to `top`, in order, cut wherever the set of entries that
@@ -37,13 +37,15 @@
         if after == n + 1:
             yield first, last, (index,)
         else:
-            yield from _tangle(entries[n:after])
+            yield from _overlapping_segments(entries[n:after])
         at, n = end + 1, after
     if at <= top:
         yield at, top, ()
 
 
-def _tangle(entries: Sequence[Entry]) -> Iterator[tuple[int, int, Sequence[int]]]:
+def _overlapping_segments(
+    entries: Sequence[Entry],
+) -> Iterator[tuple[int, int, Sequence[int]]]:
     """The same for entries that overlap in a chain: no gap lies between them."""
     ends = sorted((last + 1, index) for _, last, index in entries)
     active: list[int] = []
--- a/rainfall/shard/spans.py
+++ b/rainfall/shard/key_ranges.py
@@ -6,12 +6,12 @@
 
 from collections.abc import Iterable, Sequence
 
-Span = tuple[int, int]
+KeyRange = tuple[int, int]
 
 
-def both(a: Sequence[Span], b: Sequence[Span]) -> list[Span]:
+def intersection(a: Sequence[KeyRange], b: Sequence[KeyRange]) -> list[KeyRange]:
     """The keys in both."""
-    out: list[Span] = []
+    out: list[KeyRange] = []
     n = m = 0
     while n < len(a) and m < len(b):
         first, last = max(a[n][0], b[m][0]), min(a[n][1], b[m][1])
@@ -24,9 +24,9 @@
     return out
 
 
-def minus(a: Sequence[Span], b: Sequence[Span]) -> list[Span]:
+def difference(a: Sequence[KeyRange], b: Sequence[KeyRange]) -> list[KeyRange]:
     """The keys of `a` that are not in `b`."""
-    out: list[Span] = []
+    out: list[KeyRange] = []
     m = 0
     for first, last in a:
         while m < len(b) and b[m][1] < first:
@@ -42,9 +42,9 @@
     return out
 
 
-def union(spans: Iterable[Span]) -> list[Span]:
+def union(spans: Iterable[KeyRange]) -> list[KeyRange]:
     """Sorted, disjoint, neighbours as one; they may come in any order and overlap."""
-    out: list[Span] = []
+    out: list[KeyRange] = []
     for first, last in sorted(spans):
         if out and first <= out[-1][1] + 1:
             out[-1] = out[-1][0], max(out[-1][1], last)
--- a/rainfall/shard/plan.py
+++ b/rainfall/shard/map_planning.py
@@ -13,91 +13,104 @@
 from dataclasses import dataclass
 from fractions import Fraction
 
-from rainfall.shard.check import checked, moved_keys
-from rainfall.shard.maps import BITS, MOST_GENERATION, ShardMap, hexed
-from rainfall.shard.ranges import Cell, fewer, join, split_hot
+from rainfall.shard.map_validation import checked_map, count_moved_keys
+from rainfall.shard.plan_cells import (
+    PlanCell,
+    merge_neighbours,
+    merge_smallest,
+    split_hot,
+)
+from rainfall.shard.shard_map import KEY_BITS, MAX_GENERATION, ShardMap, format_key
 
-MOST_RANGES = 65_536
-SLACK = Fraction(
+MAX_RANGES = 65_536
+LOAD_SLACK = Fraction(
     1, 10
 )  # a load this far over its target is left: loads swing, and a move costs a pause
-COLD = Fraction(
+UNLOADED_SHARE = Fraction(
     1, 100
 )  # of the weight goes by keys, so that ranges without load are spread as well
 LOAD_UNITS = 1 << 48  # the whole load in whole units, so that sums are exact
 
 
-class BadPlan(ValueError):
+class PlanError(ValueError):
     """The text is one line: why there is no plan for what was asked."""
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class MapPlan:
     """`moved`: keys whose owner changes. `least`: the fewest that any map with these
     `targets` (keys of each member) moves; more are moved only to stay within the bound
     on ranges, or where loads were given.
     """
 
     map: ShardMap
-    moved: int
-    least: int
+    moved_keys: int
+    min_moved_keys: int
     targets: dict[str, int]
 
 
-def plan(
+def plan_map(
     members: Mapping[str, float],
     old: ShardMap | None = None,
     loads: Mapping[tuple[int, int], float] | None = None,
-    most_ranges: int = MOST_RANGES,
-    bits: int = BITS,
-) -> Planned:
+    most_ranges: int = MAX_RANGES,
+    bits: int = KEY_BITS,
+) -> MapPlan:
     """A map one generation above `old` for `members`, name to weight (0: owns nothing,
     gives all away). `loads`: by range of `old`, in any one unit. BadPlan where there is
     none.
     """
     names = sorted(name for name, weight in members.items() if weight > 0)
     if any(not math.isfinite(weight) or weight < 0 for weight in members.values()):
-        raise BadPlan("a weight is a finite number from 0")
+        raise PlanError("a weight is a finite number from 0")
     most = min(most_ranges, 1 << bits)
     if not 0 < len(names) <= most:
-        raise BadPlan(
+        raise PlanError(
             f"{len(names)} members with a weight, where 1 to {most} can own ranges"
         )
-    if old is not None and old.generation >= MOST_GENERATION:
-        raise BadPlan("the old map has the last generation there is")
+    if old is not None and old.generation >= MAX_GENERATION:
+        raise PlanError("the old map has the last generation there is")
     weights = {name: Fraction(members[name]) for name in names}
-    cells = _cells(old, weights, bits)
-    targets = shares(1 << bits, weights, _have(cells, weights))
-    least = sum(max(0, n - targets[name]) for name, n in _have(cells, weights).items())
+    cells = _initial_cells(old, weights, bits)
+    targets = apportion(1 << bits, weights, _owned_units(cells, weights))
+    least = sum(
+        max(0, n - targets[name]) for name, n in _owned_units(cells, weights).items()
+    )
     least += sum(c.size for c in cells if c.owner is None)
-    total = _weigh(cells, old, loads or {})
+    total = _weigh_by_load(cells, old, loads or {})
     if total:
-        have = _have(cells, weights)
-        goals = shares(total, weights, have)
-        cells = _level(cells, have, goals, SLACK)
+        have = _owned_units(cells, weights)
+        goals = apportion(total, weights, have)
+        cells = _assign_owners(cells, have, goals, LOAD_SLACK)
     else:
-        cells = _level(cells, _have(cells, weights), targets, Fraction(0))
-    cells = join(cells)
+        cells = _assign_owners(
+            cells, _owned_units(cells, weights), targets, Fraction(0)
+        )
+    cells = merge_neighbours(cells)
     if total:
         cells = split_hot(cells, max(1, total // (4 * len(names))), most_ranges)
-    cells = fewer(cells, most_ranges)
+    cells = merge_smallest(cells, most_ranges)
     raw = {
         "generation": 1 if old is None else old.generation + 1,
         "ranges": [
-            {"from": hexed(c.first, bits), "to": hexed(c.last, bits), "owner": c.owner}
+            {
+                "from": format_key(c.first, bits),
+                "to": format_key(c.last, bits),
+                "owner": c.owner,
+            }
             for c in cells
         ],
     }
-    new = checked(raw, names, old, None, bits)
-    return Planned(
+    new = checked_map(raw, names, old, None, bits)
+    return MapPlan(
         new,
-        0 if old is None else moved_keys(new, old),
+        0 if old is None else count_moved_keys(new, old),
         0 if old is None else least,
         targets,
     )
 
 
-def shares(
+def apportion(
     total: int, weights: Mapping[str, Fraction], have: Mapping[str, int]
 ) -> dict[str, int]:
     """`total` divided by weight into whole parts that add up: the largest rests are
@@ -113,18 +126,20 @@
     return parts
 
 
-def _cells(
+def _initial_cells(
     old: ShardMap | None, weights: Mapping[str, Fraction], bits: int
-) -> list[Cell]:
+) -> list[PlanCell]:
     if old is None:
-        return [Cell(0, (1 << bits) - 1, None, 1 << bits)]
+        return [PlanCell(0, (1 << bits) - 1, None, 1 << bits)]
     return [
-        Cell(r.first, r.last, r.owner if r.owner in weights else None, r.size)
+        PlanCell(r.first, r.last, r.owner if r.owner in weights else None, r.size)
         for r in old.ranges
     ]
 
 
-def _have(cells: list[Cell], weights: Mapping[str, Fraction]) -> dict[str, int]:
+def _owned_units(
+    cells: list[PlanCell], weights: Mapping[str, Fraction]
+) -> dict[str, int]:
     have = dict.fromkeys(weights, 0)
     for cell in cells:
         if cell.owner is not None:
@@ -132,19 +147,19 @@
     return have
 
 
-def _weigh(
-    cells: list[Cell], old: ShardMap | None, loads: Mapping[tuple[int, int], float]
+def _weigh_by_load(
+    cells: list[PlanCell], old: ShardMap | None, loads: Mapping[tuple[int, int], float]
 ) -> int:
     """Cells weighed by their loads instead of their keys; the whole, 0 where there is
     no load at all.
     """
     known = {(r.first, r.last) for r in old.ranges} if old is not None else set()
     if strange := sorted(set(loads) - known):
-        raise BadPlan(
+        raise PlanError(
             f"a load for {strange[0][0]:x}-{strange[0][1]:x}, which is no range of the old map"
         )
     if any(not math.isfinite(load) or load < 0 for load in loads.values()):
-        raise BadPlan("a load is a finite number from 0")
+        raise PlanError("a load is a finite number from 0")
     whole = sum(map(Fraction, loads.values()))
     if not whole:
         return 0
@@ -152,7 +167,8 @@
     for cell in cells:
         part = Fraction(loads.get((cell.first, cell.last), 0)) / whole
         cell.units = round(
-            (part * (1 - COLD) + Fraction(cell.size, space) * COLD) * LOAD_UNITS
+            (part * (1 - UNLOADED_SHARE) + Fraction(cell.size, space) * UNLOADED_SHARE)
+            * LOAD_UNITS
         )
     return sum(cell.units for cell in cells)
 
@@ -161,9 +177,12 @@
 # ---------------------------------------------------------------------------
 
 
-def _level(
-    cells: list[Cell], have: dict[str, int], goals: Mapping[str, int], slack: Fraction
-) -> list[Cell]:
+def _assign_owners(
+    cells: list[PlanCell],
+    have: dict[str, int],
+    goals: Mapping[str, int],
+    slack: Fraction,
+) -> list[PlanCell]:
     """The cells with owners for all: what is over a goal is given up, then handed to
     who is below.
     """
@@ -173,16 +192,18 @@
         for name, n in have.items()
         if n > goals[name] * (1 + slack)
     }
-    cells = _given_up(cells, over, short)
+    cells = _release_excess(cells, over, short)
     # A neighbour first: its range grows, and there is no new one.
-    cells = _to_neighbours(cells, short)
-    cells = _to_neighbours(cells[::-1], short, from_end=True)[::-1]
-    return _to_the_rest(cells, short, {name: have[name] - goals[name] for name in have})
+    cells = _assign_to_neighbours(cells, short)
+    cells = _assign_to_neighbours(cells[::-1], short, from_end=True)[::-1]
+    return _assign_remaining(
+        cells, short, {name: have[name] - goals[name] for name in have}
+    )
 
 
-def _given_up(
-    cells: list[Cell], over: dict[str, int], short: Mapping[str, int]
-) -> list[Cell]:
+def _release_excess(
+    cells: list[PlanCell], over: dict[str, int], short: Mapping[str, int]
+) -> list[PlanCell]:
     """Each member with too much gives whole cells, the densest first and the small
     before the large, and the rest from one end of one cell. (Comparing cross-wise keeps
     densities exact.)
@@ -191,7 +212,7 @@
     for n, cell in enumerate(cells):
         if cell.owner in over and cell.units:
             theirs.setdefault(str(cell.owner), []).append(n)
-    out: dict[int, list[Cell]] = {}
+    out: dict[int, list[PlanCell]] = {}
     for name, numbers in theirs.items():
         numbers.sort(
             key=lambda n: (-Fraction(cells[n].units, cells[n].size), cells[n].size, n)
@@ -200,10 +221,10 @@
             cell, left = cells[n], over[name]
             if cell.units <= left:
                 over[name] -= cell.units
-                out[n] = [Cell(cell.first, cell.last, None, cell.units)]
+                out[n] = [PlanCell(cell.first, cell.last, None, cell.units)]
             elif 0 < (keys := cell.keys_for(left)) < cell.size:
                 front = n > 0 and cells[n - 1].owner in short
-                first, last = cell.cut(keys if front else cell.size - keys)
+                first, last = cell.split_at(keys if front else cell.size - keys)
                 (first if front else last).owner = None
                 over[name] -= (first if front else last).units
                 out[n] = [first, last]
@@ -211,13 +232,13 @@
     return [part for n, cell in enumerate(cells) for part in out.get(n, [cell])]
 
 
-def _to_neighbours(
-    cells: list[Cell], short: dict[str, int], from_end: bool = False
-) -> list[Cell]:
+def _assign_to_neighbours(
+    cells: list[PlanCell], short: dict[str, int], from_end: bool = False
+) -> list[PlanCell]:
     """Cells without an owner to the owner just before them (in the order given), as far
     as it is short.
     """
-    out: list[Cell] = []
+    out: list[PlanCell] = []
     for cell in cells:
         beside = out[-1].owner if out else None
         if cell.owner is None and beside is not None and short.get(beside, 0) > 0:
@@ -225,7 +246,7 @@
                 short[beside] -= cell.units
                 cell.owner = beside
             elif 0 < (keys := cell.keys_for(short[beside])) < cell.size:
-                low, high = cell.cut(cell.size - keys if from_end else keys)
+                low, high = cell.split_at(cell.size - keys if from_end else keys)
                 taken, cell = (high, low) if from_end else (low, high)
                 taken.owner = beside
                 short[beside] -= taken.units
@@ -234,9 +255,9 @@
     return out
 
 
-def _to_the_rest(
-    cells: list[Cell], short: dict[str, int], above: Mapping[str, int]
-) -> list[Cell]:
+def _assign_remaining(
+    cells: list[PlanCell], short: dict[str, int], above: Mapping[str, int]
+) -> list[PlanCell]:
     """What no neighbour took: the largest cell to who is shortest, cut where it is more
     than is short.
     """
@@ -256,7 +277,7 @@
         )
         keys = cell.keys_for(short[name]) if len(waiting) > 1 else cell.size
         if 0 < keys < cell.size:
-            cell, rest = cell.cut(keys)
+            cell, rest = cell.split_at(keys)
             homeless.append(rest)
         cell.owner = name
         short[name] = short.get(name, 0) - cell.units
