--- a/rainfall/shard/check.py
+++ b/rainfall/shard/map_validation.py
@@ -16,18 +16,18 @@
 from fractions import Fraction
 from typing import Any
 
-from rainfall.shard.cover import Entry, cover
-from rainfall.shard.maps import (
-    BITS,
-    MOST_GENERATION,
-    Doubled,
+from rainfall.shard.coverage import Entry, covered_segments
+from rainfall.shard.shard_map import (
+    KEY_BITS,
+    MAX_GENERATION,
+    DuplicateFieldObject,
     Range,
     ShardMap,
-    key_from,
-    span_text,
+    format_range,
+    parse_key,
 )
 
-KINDS = (
+FAULT_KINDS = (
     "malformed",
     "inverted",
     "unknown-owner",
@@ -36,15 +36,15 @@
     "stale-generation",
     "moves-too-much",
 )
-MOST_MOVED = Fraction(1, 2)
+MAX_MOVED_SHARE = Fraction(1, 2)
 # entries named in all overlaps of one check; past that each names the first few
-NAMED = 1_000_000
-FEW = 16
-FIELDS = ("from", "to", "owner")
+OVERLAP_ENTRIES_NAMED = 1_000_000
+ENTRIES_SHOWN = 16
+ENTRY_FIELDS = ("from", "to", "owner")
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class MapFault:
     """One fault. `first` and `last` are the keys it is about, None where it is about
     none; `entries` are indexes in the file; `more` counts those left out (only past a
     million in one check).
@@ -55,29 +55,29 @@
     first: int | None = None
     last: int | None = None
     entries: tuple[int, ...] = ()
-    more: int = 0
+    omitted_entries: int = 0
 
     def __str__(self) -> str:
         return f"{self.kind} {self.text}"
 
 
-class Faulty(Exception):
-    def __init__(self, faults: list[Fault]) -> None:
-        super().__init__("; ".join(map(str, faults[:FEW])))
+class InvalidMapError(Exception):
+    def __init__(self, faults: list[MapFault]) -> None:
+        super().__init__("; ".join(map(str, faults[:ENTRIES_SHOWN])))
         self.faults = faults
 
 
-Alone = tuple[int, int, str, int]
+SoleRange = tuple[int, int, str, int]
 """Keys that one entry alone covers: first, last, owner, index."""
 
 
-def check(
+def map_faults(
     raw: Any,
     members: Collection[str] | None = None,
     against: ShardMap | None = None,
-    most_moved: Fraction | None = MOST_MOVED,
-    bits: int = BITS,
-) -> list[Fault]:
+    most_moved: Fraction | None = MAX_MOVED_SHARE,
+    bits: int = KEY_BITS,
+) -> list[MapFault]:
     """All faults of the map that `raw`, a decoded JSON value, holds; none: it may come
     into force.
 
@@ -86,40 +86,42 @@
     (None: any part), where a member that is not among `members` any more does not count
     as an owner.
     """
-    return look(raw, members, _old(against), most_moved, bits)[0]
+    return inspect_map(raw, members, _baseline(against), most_moved, bits)[0]
 
 
-def checked(
+def checked_map(
     raw: Any,
     members: Collection[str] | None = None,
     against: ShardMap | None = None,
-    most_moved: Fraction | None = MOST_MOVED,
-    bits: int = BITS,
+    most_moved: Fraction | None = MAX_MOVED_SHARE,
+    bits: int = KEY_BITS,
 ) -> ShardMap:
     """The map that `raw` holds; Faulty with all faults where it has any."""
-    faults, generation, alone = look(raw, members, _old(against), most_moved, bits)
+    faults, generation, alone = inspect_map(
+        raw, members, _baseline(against), most_moved, bits
+    )
     if faults:
-        raise Faulty(faults)
+        raise InvalidMapError(faults)
     return ShardMap(generation, tuple(Range(*a[:3]) for a in alone), bits)
 
 
-def judged(
+def evaluate_update(
     raw: Any,
     members: Collection[str] | None,
     against: ShardMap | None,
     most_moved: Fraction | None,
     bits: int,
-) -> tuple[ShardMap | None, list[Fault]]:
+) -> tuple[ShardMap | None, list[MapFault]]:
     """The map to put in force and its faults. Neither where it is the very one in
     force.
     """
-    old = _old(against)
-    faults, generation, alone = look(raw, members, old, most_moved, bits)
+    old = _baseline(against)
+    faults, generation, alone = inspect_map(raw, members, old, most_moved, bits)
     if (
         old is not None
         and generation == old.generation
         and [f.kind for f in faults] == ["stale-generation"]
-        and joined(alone) == joined(old.alone)
+        and merged_ownership(alone) == merged_ownership(old.sole_ranges)
     ):
         return None, []
     if faults:
@@ -128,48 +130,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Old:
+class MapBaseline:
     """What a new map is held against. A file's own gaps and overlaps are not the new
     map's fault: keys that it gave to none or several have not changed their owner.
     """
 
     generation: int
-    alone: list[Alone]
+    sole_ranges: list[SoleRange]
 
     @staticmethod
-    def of(old: ShardMap) -> Old:
-        return Old(
-            old.generation,
-            [(r.first, r.last, r.owner, n) for n, r in enumerate(old.ranges)],
+    def from_map(shard_map: ShardMap) -> MapBaseline:
+        return MapBaseline(
+            shard_map.generation,
+            [(r.first, r.last, r.owner, n) for n, r in enumerate(shard_map.ranges)],
         )
 
 
-def _old(against: ShardMap | None) -> Old | None:
-    return None if against is None else Old.of(against)
+def _baseline(against: ShardMap | None) -> MapBaseline | None:
+    return None if against is None else MapBaseline.from_map(against)
 
 
-def look(
+def inspect_map(
     raw: Any,
     members: Collection[str] | None = None,
-    old: Old | None = None,
-    most_moved: Fraction | None = MOST_MOVED,
-    bits: int = BITS,
-) -> tuple[list[Fault], int, list[Alone]]:
+    old: MapBaseline | None = None,
+    most_moved: Fraction | None = MAX_MOVED_SHARE,
+    bits: int = KEY_BITS,
+) -> tuple[list[MapFault], int, list[SoleRange]]:
     """The faults, the generation (-1 where it has none), and what exactly one entry
     covers, in order.
     """
     if not isinstance(raw, dict):
-        return [Fault("malformed", f"map: {_quoted(raw)} is no JSON object")], -1, []
-    shapes, bad, inverted, strangers = list(_shape(raw)), [], [], []
+        return [MapFault("malformed", f"map: {_quoted(raw)} is no JSON object")], -1, []
+    shapes, bad, inverted, strangers = list(_form_faults(raw)), [], [], []
     sound: list[Entry] = []
     owners: dict[int, str] = {}
     listed = raw.get("ranges")
     known = None if members is None else frozenset(members)
     for index, entry in enumerate(listed if type(listed) is list else ()):
-        told = _entry(entry, bits)
+        told = _parse_entry(entry, bits)
         if isinstance(told, str):
             bad.append(
-                Fault(
+                MapFault(
                     "malformed",
                     told.replace("entry", f"entry {index}", 1),
                     entries=(index,),
@@ -182,9 +184,9 @@
             owners[index] = owner
         else:
             inverted.append(
-                Fault(
+                MapFault(
                     "inverted",
-                    f"{span_text(first, last, bits)}: entry {index} ends before it "
+                    f"{format_range(first, last, bits)}: entry {index} ends before it "
                     "begins",
                     first,
                     last,
@@ -193,22 +195,22 @@
             )
         if known is not None and owner not in known:
             strangers.append(
-                Fault(
+                MapFault(
                     "unknown-owner",
-                    f"{span_text(first, last, bits)}: entry {index} names "
+                    f"{format_range(first, last, bits)}: entry {index} names "
                     f"{_quoted(owner)}, which is no member",
                     first,
                     last,
                     (index,),
                 )
             )
-    holes, alone = _cover(sound, owners, bits)
+    holes, alone = _coverage_faults(sound, owners, bits)
     generation: int = raw["generation"] if _is_generation(raw.get("generation")) else -1
     faults = [*shapes, *bad, *inverted, *strangers, *holes]
     if old is not None and generation >= 0:
-        faults += _against(generation, alone, old)
+        faults += _generation_faults(generation, alone, old)
     if old is not None and most_moved is not None:
-        faults += _moves(alone, old, known, most_moved, bits)
+        faults += _moved_share_faults(alone, old, known, most_moved, bits)
     return faults, generation, alone
 
 
@@ -217,7 +219,7 @@
 
 
 def _is_generation(value: Any) -> bool:
-    return type(value) is int and 0 <= value <= MOST_GENERATION
+    return type(value) is int and 0 <= value <= MAX_GENERATION
 
 
 def _quoted(value: Any) -> str:
@@ -228,39 +230,41 @@
     return text if len(text) <= 80 else f"{text[:60]}... ({len(text)} characters)"
 
 
-def _names(names: Iterable[Any]) -> str:
+def _quoted_names(names: Iterable[Any]) -> str:
     return ", ".join(_quoted(name) for name in names)
 
 
-def _shape(raw: dict[str, Any]) -> Iterator[Fault]:
-    if isinstance(raw, Doubled):
-        yield Fault(
+def _form_faults(raw: dict[str, Any]) -> Iterator[MapFault]:
+    if isinstance(raw, DuplicateFieldObject):
+        yield MapFault(
             "malformed",
-            f"map: twice the same field: {_names(raw.twice)} (the last is judged)",
+            f"map: twice the same field: {_quoted_names(raw.duplicate_fields)} (the last is judged)",
         )
     if "generation" not in raw:
-        yield Fault("malformed", "generation: it is missing")
+        yield MapFault("malformed", "generation: it is missing")
     elif not _is_generation(raw["generation"]):
-        yield Fault(
+        yield MapFault(
             "malformed",
             f"generation: {_quoted(raw['generation'])} is no whole number below 2**63",
         )
     if "ranges" not in raw:
-        yield Fault("malformed", "ranges: they are missing")
+        yield MapFault("malformed", "ranges: they are missing")
     elif type(raw["ranges"]) is not list:
-        yield Fault("malformed", f"ranges: {_quoted(raw['ranges'])} is no array")
+        yield MapFault("malformed", f"ranges: {_quoted(raw['ranges'])} is no array")
     if others := sorted(set(raw) - {"generation", "ranges"}):
-        yield Fault("malformed", f"map: a field of unknown name: {_names(others)}")
+        yield MapFault(
+            "malformed", f"map: a field of unknown name: {_quoted_names(others)}"
+        )
 
 
-def _entry(raw: Any, bits: int) -> tuple[int, int, str] | str:
+def _parse_entry(raw: Any, bits: int) -> tuple[int, int, str] | str:
     """A sound entry's ends and owner, or all that is wrong with its form in one
     line.
     """
     if type(raw) is dict and len(raw) == 3:
         first, last, owner = (
-            key_from(raw.get("from"), bits),
-            key_from(raw.get("to"), bits),
+            parse_key(raw.get("from"), bits),
+            parse_key(raw.get("to"), bits),
             raw.get("owner"),
         )
         if (
@@ -274,13 +278,13 @@
     if not isinstance(raw, dict):
         return f"entry: {_quoted(raw)} is no object"
     wrong = []
-    if isinstance(raw, Doubled):
-        wrong.append(f"twice the same field: {_names(raw.twice)}")
-    wrong += [f'"{name}" is missing' for name in FIELDS if name not in raw]
-    if others := sorted(set(raw) - set(FIELDS)):
-        wrong.append(f"a field of unknown name: {_names(others)}")
+    if isinstance(raw, DuplicateFieldObject):
+        wrong.append(f"twice the same field: {_quoted_names(raw.duplicate_fields)}")
+    wrong += [f'"{name}" is missing' for name in ENTRY_FIELDS if name not in raw]
+    if others := sorted(set(raw) - set(ENTRY_FIELDS)):
+        wrong.append(f"a field of unknown name: {_quoted_names(others)}")
     for name in ("from", "to"):
-        if name in raw and key_from(raw[name], bits) is None:
+        if name in raw and parse_key(raw[name], bits) is None:
             wrong.append(
                 f'"{name}" {_quoted(raw[name])} is not {bits // 4} lower-case hexadecimal digits'
             )
@@ -296,31 +300,31 @@
 # ------------------------------------------------------------------------------------
 
 
-def _cover(
+def _coverage_faults(
     sound: list[Entry], owners: dict[int, str], bits: int
-) -> tuple[list[Fault], list[Alone]]:
-    faults: list[Fault] = []
-    alone: list[Alone] = []
-    left = NAMED
+) -> tuple[list[MapFault], list[SoleRange]]:
+    faults: list[MapFault] = []
+    alone: list[SoleRange] = []
+    left = OVERLAP_ENTRIES_NAMED
     before = -1  # the entry that ends where a gap begins
     gap: tuple[int, int] | None = None
-    for first, last, indexes in cover(sound, (1 << bits) - 1):
+    for first, last, indexes in covered_segments(sound, (1 << bits) - 1):
         if not indexes:
             gap = first, last
             continue
         if gap:
-            faults.append(_gap(*gap, before, indexes[0], bits))
+            faults.append(_gap_fault(*gap, before, indexes[0], bits))
             gap = None
         if len(indexes) == 1:
             alone.append((first, last, owners[indexes[0]], indexes[0]))
         else:
-            named = tuple(indexes if len(indexes) <= left else indexes[:FEW])
+            named = tuple(indexes if len(indexes) <= left else indexes[:ENTRIES_SHOWN])
             left -= len(named)
             more = len(indexes) - len(named)
             faults.append(
-                Fault(
+                MapFault(
                     "overlap",
-                    f"{span_text(first, last, bits)}: entries "
+                    f"{format_range(first, last, bits)}: entries "
                     f"{', '.join(map(str, named))}{f' and {more} more' if more else ''} cover it",
                     first,
                     last,
@@ -330,11 +334,11 @@
             )
         before = indexes[0]
     if gap:
-        faults.append(_gap(*gap, before, -1, bits))
+        faults.append(_gap_fault(*gap, before, -1, bits))
     return faults, alone
 
 
-def _gap(first: int, last: int, before: int, after: int, bits: int) -> Fault:
+def _gap_fault(first: int, last: int, before: int, after: int, bits: int) -> MapFault:
     beside = tuple(index for index in (before, after) if index >= 0)
     where = (
         f"between entries {before} and {after}"
@@ -345,9 +349,9 @@
         if before >= 0
         else "there is no sound entry"
     )
-    return Fault(
+    return MapFault(
         "gap",
-        f"{span_text(first, last, bits)}: no entry covers it, {where}",
+        f"{format_range(first, last, bits)}: no entry covers it, {where}",
         first,
         last,
         beside,
@@ -358,17 +362,19 @@
 # ------------------------------------------------------------------------
 
 
-def _against(generation: int, alone: list[Alone], old: Old) -> Iterator[Fault]:
+def _generation_faults(
+    generation: int, alone: list[SoleRange], old: MapBaseline
+) -> Iterator[MapFault]:
     if generation > old.generation:
         return
     text = f"{generation}: not above {old.generation}, the old map's"
     if generation == old.generation:
-        same = joined(alone) == joined(old.alone)
+        same = merged_ownership(alone) == merged_ownership(old.sole_ranges)
         text += ", and the content is " + ("the same" if same else "another")
-    yield Fault("stale-generation", text)
+    yield MapFault("stale-generation", text)
 
 
-def joined(alone: Iterable[Alone]) -> list[tuple[int, int, str]]:
+def merged_ownership(alone: Iterable[SoleRange]) -> list[tuple[int, int, str]]:
     """Who owns what, neighbouring ranges of one owner as one."""
     out: list[tuple[int, int, str]] = []
     for first, last, owner, _ in alone:
@@ -379,8 +385,8 @@
     return out
 
 
-def changes(
-    alone: list[Alone], old: list[Alone]
+def owner_changes(
+    alone: list[SoleRange], old: list[SoleRange]
 ) -> Iterator[tuple[int, int, str, int]]:
     """Stretches whose owner changes: first, last, the old owner, the new entry's
     index.
@@ -396,21 +402,25 @@
             at += 1
 
 
-def _moves(
-    alone: list[Alone],
-    old: Old,
+def _moved_share_faults(
+    alone: list[SoleRange],
+    old: MapBaseline,
     known: frozenset[str] | None,
     most: Fraction,
     bits: int,
-) -> Iterator[Fault]:
-    moved = [c for c in changes(alone, old.alone) if known is None or c[2] in known]
+) -> Iterator[MapFault]:
+    moved = [
+        c
+        for c in owner_changes(alone, old.sole_ranges)
+        if known is None or c[2] in known
+    ]
     keys = sum(last - first + 1 for first, last, _, _ in moved)
     if keys > most * (1 << bits):
         entries = tuple(sorted({index for _, _, _, index in moved}))
         first, last = moved[0][0], moved[-1][1]
-        yield Fault(
+        yield MapFault(
             "moves-too-much",
-            f"{span_text(first, last, bits)}: {keys} keys change their owner, "
+            f"{format_range(first, last, bits)}: {keys} keys change their owner, "
             f"{keys / (1 << bits):.2%} of the space, more than {float(most):.2%}: entries "
             f"{', '.join(map(str, entries))}",
             first,
@@ -419,7 +429,9 @@
         )
 
 
-def moved_keys(new: ShardMap, old: ShardMap) -> int:
+def count_moved_keys(new: ShardMap, old: ShardMap) -> int:
     """Keys whose owner is another one in `new`."""
-    pairs = changes(Old.of(new).alone, Old.of(old).alone)
+    pairs = owner_changes(
+        MapBaseline.from_map(new).sole_ranges, MapBaseline.from_map(old).sole_ranges
+    )
     return sum(last - first + 1 for first, last, _, _ in pairs)
--- a/rainfall/shard/moves.py
+++ b/rainfall/shard/migration.py
@@ -14,28 +14,39 @@
 from fractions import Fraction
 from typing import Any
 
-from rainfall.lease.token import Token
-from rainfall.shard.check import MOST_MOVED, Fault, checked, judged
-from rainfall.shard.maps import BITS, MOST_GENERATION, ShardMap, hexed, key_from
-from rainfall.shard.spans import Span, both, minus, union
-
-MOST_AHEAD = (
+from rainfall.lease.fencing_token import Token
+from rainfall.shard.key_ranges import KeyRange, difference, intersection, union
+from rainfall.shard.map_validation import (
+    MAX_MOVED_SHARE,
+    MapFault,
+    checked_map,
+    evaluate_update,
+)
+from rainfall.shard.shard_map import (
+    KEY_BITS,
+    MAX_GENERATION,
+    ShardMap,
+    format_key,
+    parse_key,
+)
+
+MAX_GENERATION_LEAD = (
     1 << 32
 )  # a member's map is at most so far above the service's: no beat uses up all of them
 
 
-class Fenced(Exception):
+class FencedError(Exception):
     """The incarnation is not (any more) one that may hold anything: 409, it stops and
     joins anew.
     """
 
 
-class Late(Exception):
+class StaleHeartbeatError(Exception):
     """A beat that was sent before one already answered: 409, nothing is done on it."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Hold:
+class RangeHold:
     """Keys that one incarnation may act on under `token`, given while generation
     `begun` was in force.
     """
@@ -43,56 +54,59 @@
     first: int
     last: int
     token: Token
-    begun: int
+    since_generation: int
 
-    def cut(self, spans: Iterable[Span]) -> list[Hold]:
-        return [Hold(first, last, self.token, self.begun) for first, last in spans]
+    def restricted_to(self, spans: Iterable[KeyRange]) -> list[RangeHold]:
+        return [
+            RangeHold(first, last, self.token, self.since_generation)
+            for first, last in spans
+        ]
 
 
 @dataclass(slots=True)
-class Holder:
+class RangeHolder:
     name: str
-    out_us: int
+    expires_at_us: int
     """From here on its lease is surely out, by the service's clock."""
-    holds: list[Hold] = field(default_factory=list)
-    sent: int = -1
+    holds: list[RangeHold] = field(default_factory=list)
+    last_heartbeat: int = -1
     """The last beat answered. Not on disk: beats under way die with the connections of
     a restart.
     """
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HoldsAnswer:
     """What now holds for one member: everything it may act on, so that what is missing
     here is not its own. `dirty`: holds were given or ended, or the map lifted: that has
     to be on disk before this is told.
     """
 
     generation: int
-    holds: tuple[Hold, ...]
-    dirty: bool
+    holds: tuple[RangeHold, ...]
+    changed: bool
 
 
 @dataclass(slots=True)
-class Moves:
+class MigrationCoordinator:
     """Built by `Moves(map, epoch, quiet_until_us)` or, after a restart, by
     `Moves.of`.
     """
 
     map: ShardMap | None
     epoch: int
-    quiet_until_us: int = 0
+    grants_from_us: int = 0
     """Nothing is given before. Where holds may be forgotten: one longest lease (and
     drift) from now.
     """
-    number: int = 0
+    last_token_number: int = 0
     """Of the last token given."""
-    holders: dict[Token, Holder] = field(default_factory=dict)
-    free: dict[str, list[Span]] = field(default_factory=dict)
+    holders: dict[Token, RangeHolder] = field(default_factory=dict)
+    free: dict[str, list[KeyRange]] = field(default_factory=dict)
     """Keys that nobody holds, by their owner in the map in force ("" where there is no
     map).
     """
-    bits: int = BITS
+    bits: int = KEY_BITS
 
     def __post_init__(self) -> None:
         if not self.free and not self.holders:
@@ -101,42 +115,42 @@
     # -- maps
     # ------------------------------------------------------------------------------------
 
-    def write(
+    def submit_map(
         self,
         raw: Any,
         members: Collection[str] | None = None,
-        most_moved: Fraction | None = MOST_MOVED,
-    ) -> list[Fault]:
+        most_moved: Fraction | None = MAX_MOVED_SHARE,
+    ) -> list[MapFault]:
         """Put a map in force, as decoded from JSON. With any fault (422) the old one
         stays whole. The map in force, written again, is no fault and changes nothing.
         Has to be on disk before it is answered.
         """
-        new, faults = judged(raw, members, self.map, most_moved, self.bits)
+        new, faults = evaluate_update(raw, members, self.map, most_moved, self.bits)
         if new is not None and not faults:
-            self.put(new)
+            self.install_map(new)
         return faults
 
-    def put(self, new: ShardMap) -> None:
+    def install_map(self, new: ShardMap) -> None:
         """A checked map comes into force. Every hold stays as it is."""
         free = union(span for spans in self.free.values() for span in spans)
         self.map, self.free = new, {}
         self._release(free)
 
-    def _lift(self, generation: int) -> None:
+    def _raise_generation(self, generation: int) -> None:
         """A member has a map of a generation that this service never gave out (its
         folder was lost or is a copy): what is in force here goes on, above whatever was
         seen.
         """
-        if self.map is not None and generation < MOST_GENERATION:
-            self.put(ShardMap(generation + 1, self.map.ranges, self.bits))
+        if self.map is not None and generation < MAX_GENERATION:
+            self.install_map(ShardMap(generation + 1, self.map.ranges, self.bits))
 
-    def _release(self, spans: Sequence[Span]) -> None:
-        owned: dict[str, list[Span]] = {}
+    def _release(self, spans: Sequence[KeyRange]) -> None:
+        owned: dict[str, list[KeyRange]] = {}
         for first, last in spans:
             if self.map is None:
                 owned.setdefault("", []).append((first, last))
                 continue
-            for r in self.map.over(first, last):
+            for r in self.map.overlapping(first, last):
                 owned.setdefault(r.owner, []).append(
                     (max(first, r.first), min(last, r.last))
                 )
@@ -146,89 +160,91 @@
     # -- members
     # ---------------------------------------------------------------------------------
 
-    def alive(self, token: Token, name: str, out_us: int) -> None:
+    def lease_renewed(self, token: Token, name: str, expires_at_us: int) -> None:
         """The member joined or renewed: it acts until its lease is out, at `out_us` at
         the latest.
         """
-        holder = self.holders.setdefault(token, Holder(name, out_us))
-        holder.out_us = max(holder.out_us, out_us)
+        holder = self.holders.setdefault(token, RangeHolder(name, expires_at_us))
+        holder.expires_at_us = max(holder.expires_at_us, expires_at_us)
 
     def expire(self, now_us: int) -> list[Token]:
         """Incarnations whose lease is surely out hold nothing any more."""
-        out = sorted(t for t, h in self.holders.items() if h.out_us <= now_us)
+        out = sorted(t for t, h in self.holders.items() if h.expires_at_us <= now_us)
         for token in out:
-            self.left(token)
+            self.release_all(token)
         return out
 
-    def left(self, token: Token) -> None:
+    def release_all(self, token: Token) -> None:
         """The incarnation said itself that it has stopped acting on everything, for
         good.
         """
         if holder := self.holders.pop(token, None):
             self._release([(h.first, h.last) for h in holder.holds])
 
-    def next_us(self) -> int | None:
+    def next_expiry_us(self) -> int | None:
         """When `expire` has something to do next."""
-        return min((h.out_us for h in self.holders.values()), default=None)
+        return min((h.expires_at_us for h in self.holders.values()), default=None)
 
-    def beat(
+    def heartbeat(
         self,
         token: Token,
         sent: int,
         generation: int,
         digest: int,
-        gave: Iterable[Span],
+        given_up: Iterable[KeyRange],
         now_us: int,
-    ) -> Answer:
+    ) -> HoldsAnswer:
         """A member's word: the map it has (generation 0 where none) and its digest, and
         the keys that it does not act on, though it was told they are its own. Fenced,
         Late; ValueError where it cannot be.
         """
         current = self.map
-        if generation > (current.generation if current else 0) + MOST_AHEAD:
+        if generation > (current.generation if current else 0) + MAX_GENERATION_LEAD:
             raise ValueError("map: a generation far above any that there was")
         holder = self.holders.get(token)
-        if holder is None or holder.out_us <= now_us:
-            raise Fenced
-        if sent <= holder.sent:
-            raise Late
-        holder.sent = sent
+        if holder is None or holder.expires_at_us <= now_us:
+            raise FencedError
+        if sent <= holder.last_heartbeat:
+            raise StaleHeartbeatError
+        holder.last_heartbeat = sent
         before = self.map, tuple(holder.holds)
-        self._take_back(holder, generation, union(gave))
+        self._apply_give_up(holder, generation, union(given_up))
         if current is not None and (
             generation > current.generation
             or (generation == current.generation and digest != current.digest())
         ):
-            self._lift(generation)
-        self._begin(token, holder, generation, now_us)
+            self._raise_generation(generation)
+        self._grant_free_ranges(token, holder, generation, now_us)
         after = self.map, tuple(holder.holds)
-        return Answer(
+        return HoldsAnswer(
             0 if self.map is None else self.map.generation, after[1], after != before
         )
 
-    def _take_back(self, holder: Holder, generation: int, gave: Sequence[Span]) -> None:
+    def _apply_give_up(
+        self, holder: RangeHolder, generation: int, given_up: Sequence[KeyRange]
+    ) -> None:
         """A give-up said under `generation` ends the holds that began before it, and
         none that began with it or later: then it was said of an earlier hold, and is
         only late.
         """
-        if not gave:
+        if not given_up:
             return
-        freed: list[Span] = []
-        kept: list[Hold] = []
+        freed: list[KeyRange] = []
+        kept: list[RangeHold] = []
         for hold in holder.holds:
             span = [(hold.first, hold.last)]
-            if self.counts(hold, generation):
-                freed += both(span, gave)
-                span = minus(span, gave)
-            kept += hold.cut(span)
+            if self.give_up_applies(hold, generation):
+                freed += intersection(span, given_up)
+                span = difference(span, given_up)
+            kept += hold.restricted_to(span)
         holder.holds = kept
         self._release(freed)
 
-    def counts(self, hold: Hold, generation: int) -> bool:
-        return generation > hold.begun
+    def give_up_applies(self, hold: RangeHold, generation: int) -> bool:
+        return generation > hold.since_generation
 
-    def _begin(
-        self, token: Token, holder: Holder, generation: int, now_us: int
+    def _grant_free_ranges(
+        self, token: Token, holder: RangeHolder, generation: int, now_us: int
     ) -> None:
         """What is free and this member's by the map is now held by it, if it has the
         map. Of two incarnations of one name only the newest is given anything.
@@ -236,21 +252,21 @@
         if (
             self.map is None
             or generation != self.map.generation
-            or now_us < self.quiet_until_us
+            or now_us < self.grants_from_us
         ):
             return
         if not self.free.get(holder.name) or any(
             h.name == holder.name and t > token for t, h in self.holders.items()
         ):
             return
-        self.number += 1
-        given = Token(self.epoch, self.number)
+        self.last_token_number += 1
+        given = Token(self.epoch, self.last_token_number)
         spans = self.free.pop(holder.name)
         holder.holds = sorted(
-            [*holder.holds, *(Hold(*span, given, generation) for span in spans)]
+            [*holder.holds, *(RangeHold(*span, given, generation) for span in spans)]
         )
 
-    def moving(self) -> list[tuple[int, int, str, str]]:
+    def ranges_in_migration(self) -> list[tuple[int, int, str, str]]:
         """For staff: keys that their owner in the map does not hold: first, last, who
         holds them ("" nobody), whose they are to be.
         """
@@ -262,7 +278,9 @@
         for holder in self.holders.values():
             for hold in holder.holds:
                 for r in (
-                    self.map.over(hold.first, hold.last) if self.map is not None else ()
+                    self.map.overlapping(hold.first, hold.last)
+                    if self.map is not None
+                    else ()
                 ):
                     if r.owner != holder.name:
                         out.append(
@@ -278,21 +296,21 @@
     # -- on disk
     # ---------------------------------------------------------------------------------
 
-    def told(self) -> dict[str, Any]:
+    def to_snapshot(self) -> dict[str, Any]:
         """All that a restart needs, as JSON. What is free follows from it."""
         return {
-            "map": None if self.map is None else self.map.told(),
-            "number": self.number,
+            "map": None if self.map is None else self.map.to_wire(),
+            "number": self.last_token_number,
             "holders": [
                 {
-                    "token": token.told(),
+                    "token": token.to_wire(),
                     "name": holder.name,
                     "holds": [
                         [
-                            hexed(h.first, self.bits),
-                            hexed(h.last, self.bits),
-                            h.token.told(),
-                            h.begun,
+                            format_key(h.first, self.bits),
+                            format_key(h.last, self.bits),
+                            h.token.to_wire(),
+                            h.since_generation,
                         ]
                         for h in holder.holds
                     ],
@@ -302,31 +320,38 @@
         }
 
     @staticmethod
-    def of(
-        raw: Any, epoch: int, out_us: int, quiet_until_us: int = 0, bits: int = BITS
-    ) -> Moves:
+    def from_snapshot(
+        raw: Any,
+        epoch: int,
+        expires_at_us: int,
+        grants_from_us: int = 0,
+        bits: int = KEY_BITS,
+    ) -> MigrationCoordinator:
         """After a restart: each lease known counts as renewed just now, so it is out at
         `out_us` at the earliest. ValueError (Faulty among the causes) where `raw` is
         not what `told` gave.
         """
         try:
-            made = Moves(
-                checked(raw["map"], bits=bits) if raw["map"] is not None else None,
+            made = MigrationCoordinator(
+                checked_map(raw["map"], bits=bits) if raw["map"] is not None else None,
                 epoch,
-                quiet_until_us,
+                grants_from_us,
                 int(raw["number"]),
                 bits=bits,
             )
-            held: list[Span] = []
+            held: list[KeyRange] = []
             for row in raw["holders"]:
                 holds = [
-                    Hold(
-                        _key(first, bits), _key(last, bits), Token.of(token), int(begun)
+                    RangeHold(
+                        _required_key(first, bits),
+                        _required_key(last, bits),
+                        Token.from_wire(token),
+                        int(begun),
                     )
                     for first, last, token, begun in row["holds"]
                 ]
-                made.holders[Token.of(row["token"])] = Holder(
-                    str(row["name"]), out_us, sorted(holds)
+                made.holders[Token.from_wire(row["token"])] = RangeHolder(
+                    str(row["name"]), expires_at_us, sorted(holds)
                 )
                 held += [(h.first, h.last) for h in holds]
         except (
@@ -337,11 +362,11 @@
             raise ValueError("no state of moves: keys held twice")
         whole = [(0, (1 << bits) - 1)]
         made.free = {}
-        made._release(minus(whole, union(held)))
+        made._release(difference(whole, union(held)))
         return made
 
 
-def _key(text: Any, bits: int) -> int:
-    if (key := key_from(text, bits)) is None:
+def _required_key(text: Any, bits: int) -> int:
+    if (key := parse_key(text, bits)) is None:
         raise ValueError(f"{text!r} is no key")
     return key
--- a/rainfall/shard/model.py
+++ b/rainfall/shard/model.py
@@ -14,89 +14,95 @@
 from functools import partial
 from typing import Any
 
-from rainfall.explore.net import Net
-from rainfall.lease.token import Token
-from rainfall.shard.maps import Range, ShardMap
-from rainfall.shard.moves import Fenced, Hold, Holder, Late, Moves
-from rainfall.shard.owned import Owned
-from rainfall.shard.spans import Span, both, union
-
-BITS = 4
+from rainfall.lease.fencing_token import Token
+from rainfall.model_checker.network import Network
+from rainfall.shard.key_ranges import KeyRange, intersection, union
+from rainfall.shard.migration import (
+    FencedError,
+    MigrationCoordinator,
+    RangeHold,
+    RangeHolder,
+    StaleHeartbeatError,
+)
+from rainfall.shard.ownership import RangeOwnership
+from rainfall.shard.shard_map import Range, ShardMap
+
+MODEL_KEY_BITS = 4
 MOVE_THERE_AND_BACK = ("ab", "bb", "ab", "bb")
 """The owners of the two halves of the space in one map after another."""
-TTL = 3  # ticks
+LEASE_TICKS = 3  # ticks
 # of drift, to either side: the holder counts TTL - MARGIN, the service TTL + MARGIN
-MARGIN = 1
-BUGS = ("early", "unfrozen", "no margin", "stale", "unsaid")
+DRIFT_MARGIN_TICKS = 1
+MUTATIONS = ("early", "unfrozen", "no margin", "stale", "unsaid")
 
 
-class Early(Moves):
+class CoordinatorTakingKeysEarly(MigrationCoordinator):
     """Planted: a new map takes keys from their holder at once."""
 
-    def put(self, new: ShardMap) -> None:
-        super().put(new)
+    def install_map(self, new: ShardMap) -> None:
+        super().install_map(new)
         for holder in self.holders.values():
             mine = [(r.first, r.last) for r in new.ranges if r.owner == holder.name]
             held = [(h.first, h.last) for h in holder.holds]
             holder.holds = [
                 part
                 for h in holder.holds
-                for part in h.cut(both([(h.first, h.last)], mine))
+                for part in h.restricted_to(intersection([(h.first, h.last)], mine))
             ]
             kept = [(h.first, h.last) for h in holder.holds]
             self._release([span for span in held if span not in kept])
 
 
-class Stale(Moves):
+class CoordinatorTakingStaleGiveUps(MigrationCoordinator):
     """Planted: a give-up counts, whichever generation it was said under."""
 
-    def counts(self, hold: Hold, generation: int) -> bool:
+    def give_up_applies(self, hold: RangeHold, generation: int) -> bool:
         return True
 
 
-class Unfrozen(Owned):
+class OwnershipGivenUpUndrained(RangeOwnership):
     """Planted: keys that a new map takes away are given up while messages of theirs are
     still out.
     """
 
-    def word(self) -> Any:
-        had = self.owns
-        self.drained(self.frozen())
-        said = Owned.word(self)
-        self._set(had)
+    def next_report(self) -> Any:
+        had = self.ranges
+        self.mark_drained(self.frozen_ranges())
+        said = RangeOwnership.next_report(self)
+        self._set_ranges(had)
         return said
 
 
-class Unsaid(Owned):
+class OwnershipIgnoringPendingGiveUps(RangeOwnership):
     """Planted: a hold is begun on although a beat under way may give it up."""
 
-    def said(self, begun: int) -> list[Span]:
+    def given_up_after(self, begun: int) -> list[KeyRange]:
         return []
 
 
 @dataclass(slots=True)
-class Fleet:
+class ModelState:
     """One state. Clocks only matter against each other and against what was said in
     them.
     """
 
-    moves: Moves
-    members: dict[str, Owned]
+    moves: MigrationCoordinator
+    members: dict[str, RangeOwnership]
     clocks: dict[str, int]
-    net: Net
+    net: Network
     now: int = 0
     maps: int = 1
     incarnations: int = 0
-    left: dict[str, int] = field(default_factory=dict)
+    remaining: dict[str, int] = field(default_factory=dict)
     """What may still happen, by its name: ticks, slow ticks, crashes, joins,
     restarts.
     """
 
-    def fork(self) -> Fleet:
+    def fork(self) -> ModelState:
         """Shares the cores with this state: whoever changes one takes its own from
         `service` or `member`.
         """
-        return Fleet(
+        return ModelState(
             self.moves,
             dict(self.members),
             dict(self.clocks),
@@ -104,42 +110,48 @@
             self.now,
             self.maps,
             self.incarnations,
-            dict(self.left),
+            dict(self.remaining),
         )
 
-    def service(self) -> Moves:
+    def own_service(self) -> MigrationCoordinator:
         m = self.moves
         holders = {
-            t: Holder(h.name, h.out_us, list(h.holds), h.sent)
+            t: RangeHolder(h.name, h.expires_at_us, list(h.holds), h.last_heartbeat)
             for t, h in m.holders.items()
         }
         self.moves = type(m)(
-            m.map, m.epoch, m.quiet_until_us, m.number, holders, dict(m.free), m.bits
+            m.map,
+            m.epoch,
+            m.grants_from_us,
+            m.last_token_number,
+            holders,
+            dict(m.free),
+            m.bits,
         )
         return self.moves
 
-    def member(self, name: str) -> Owned:
+    def own_member(self, name: str) -> RangeOwnership:
         o = self.members[name]
         self.members[name] = type(o)(
             o.name,
             o.map,
             o.incarnation,
-            o.until_us,
-            list(o.owns),
-            o.sent,
-            o.heard,
-            o.wanted,
+            o.lease_expires_at_us,
+            list(o.ranges),
+            o.last_sent,
+            o.last_answered,
+            o.service_generation,
             o.bits,
-            list(o._firsts),
+            list(o._first_keys),
         )
         return self.members[name]
 
-    def spend(self, what: str) -> bool:
-        self.left[what] = self.left.get(what, 0) - 1
-        return self.left[what] >= 0
+    def consume(self, what: str) -> bool:
+        self.remaining[what] = self.remaining.get(what, 0) - 1
+        return self.remaining[what] >= 0
 
 
-class Shards:
+class ShardModel:
     """`maps`: the maps that come, one after another. `asked`: beats that each member
     may send. `past`: steps taken from the start before the search begins, to search
     deeper around them.
@@ -159,11 +171,11 @@
         past: Sequence[str] = (),
         bug: str = "",
     ) -> None:
-        assert not bug or bug in BUGS, bug
+        assert not bug or bug in MUTATIONS, bug
         self.past, self.bug, self.net = (
             past,
             bug,
-            Net(most=most, losses=losses, copies=copies),
+            Network(max_in_transit=most, losses_left=losses, duplicates_left=copies),
         )
         self.left = {
             "tick": ticks,
@@ -175,7 +187,7 @@
         self.names = sorted(set("".join(maps)))
         asked = asked if isinstance(asked, dict) else dict.fromkeys(self.names, asked)
         self.left |= {f"beat {name}": asked[name] for name in self.names}
-        half = 1 << (BITS - 1)
+        half = 1 << (MODEL_KEY_BITS - 1)
         self.maps = [
             ShardMap(
                 n + 1,
@@ -183,49 +195,65 @@
                     Range(at * half, at * half + half - 1, owner)
                     for at, owner in enumerate(owners)
                 ),
-                BITS,
+                MODEL_KEY_BITS,
             )
             for n, owners in enumerate(maps)
         ]
 
-    def start(self) -> Fleet:
+    def start(self) -> ModelState:
         """The first map is in force and all begun, and all leases were asked for and
         answered just now.
         """
-        moves = {"early": Early, "stale": Stale}.get(self.bug, Moves)(
-            self.maps[0], 1, bits=BITS
-        )
-        owned = {"unfrozen": Unfrozen, "unsaid": Unsaid}.get(self.bug, Owned)
-        fleet = Fleet(
-            moves, {}, {}, Net(), left={f"beat {name}": 1 for name in self.names}
+        moves = {
+            "early": CoordinatorTakingKeysEarly,
+            "stale": CoordinatorTakingStaleGiveUps,
+        }.get(self.bug, MigrationCoordinator)(self.maps[0], 1, bits=MODEL_KEY_BITS)
+        owned = {
+            "unfrozen": OwnershipGivenUpUndrained,
+            "unsaid": OwnershipIgnoringPendingGiveUps,
+        }.get(self.bug, RangeOwnership)
+        fleet = ModelState(
+            moves,
+            {},
+            {},
+            Network(),
+            remaining={f"beat {name}": 1 for name in self.names},
         )
         for name in self.names:
-            fleet.members[name] = owned(name, bits=BITS)
+            fleet.members[name] = owned(name, bits=MODEL_KEY_BITS)
             fleet.clocks[name] = 0
             self._join(fleet, name)
-            fleet.members[name].turn(self.maps[0])
-            self._ask(fleet, name)
+            fleet.members[name].apply_map(self.maps[0])
+            self._send_heartbeat(fleet, name)
             for _ in range(2):  # the beat, then its answer
                 message, fleet.net = next(fleet.net.arrivals())
-                self._arrive(fleet, message)
-        fleet.net, fleet.left = self.net, dict(self.left)
+                self._deliver(fleet, message)
+        fleet.net, fleet.remaining = self.net, dict(self.left)
         for step in self.past:
             fleet = dict(self.steps(fleet))[step]
         return fleet
 
-    def _join(self, fleet: Fleet, name: str) -> None:
+    def _join(self, fleet: ModelState, name: str) -> None:
         fleet.incarnations += 1
         token = Token(1, fleet.incarnations)
-        fleet.service().alive(token, name, fleet.now + self._margin())
-        fleet.member(name).joined(token, fleet.clocks[name] + TTL - MARGIN)
+        fleet.own_service().lease_renewed(
+            token, name, fleet.now + self._service_lease_ticks()
+        )
+        fleet.own_member(name).on_joined(
+            token, fleet.clocks[name] + LEASE_TICKS - DRIFT_MARGIN_TICKS
+        )
 
-    def _margin(self) -> int:
-        return TTL - MARGIN if self.bug == "no margin" else TTL + MARGIN
+    def _service_lease_ticks(self) -> int:
+        return (
+            LEASE_TICKS - DRIFT_MARGIN_TICKS
+            if self.bug == "no margin"
+            else LEASE_TICKS + DRIFT_MARGIN_TICKS
+        )
 
     # -- steps
     # -----------------------------------------------------------------------------------
 
-    def steps(self, state: Fleet) -> Iterator[tuple[str, Fleet]]:
+    def steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
         for name, act in self._acts(state):
             after = state.fork()
             if act(after):
@@ -233,31 +261,33 @@
         for message, net in state.net.arrivals():
             after = state.fork()
             after.net = net
-            self._arrive(after, message)
-            yield f"arrives: {_said(message)}", after
+            self._deliver(after, message)
+            yield f"arrives: {_describe_message(message)}", after
         for message, net in state.net.lost():
             after = state.fork()
             after.net = net
-            yield f"lost: {_said(message)}", after
+            yield f"lost: {_describe_message(message)}", after
 
-    def _acts(self, state: Fleet) -> Iterator[tuple[str, Callable[[Fleet], bool]]]:
+    def _acts(
+        self, state: ModelState
+    ) -> Iterator[tuple[str, Callable[[ModelState], bool]]]:
         """What may happen next; each tells whether it does."""
         if state.maps < len(self.maps):
             yield f"map {state.maps + 1}", self._next_map
-        if state.left["tick"]:
+        if state.remaining["tick"]:
             yield "tick", partial(self._tick, stands="")
-            for name in self.names if state.left["slow"] else ():
+            for name in self.names if state.remaining["slow"] else ():
                 yield f"tick, {name}'s clock stands", partial(self._tick, stands=name)
-        if state.left["restart"]:
+        if state.remaining["restart"]:
             yield "the service restarts", self._restart
         for name, member in sorted(state.members.items()):
-            if state.left["crash"]:
+            if state.remaining["crash"]:
                 yield f"{name} crashes", partial(self._crash, name=name)
-            if member.incarnation is None and state.left["join"]:
+            if member.incarnation is None and state.remaining["join"]:
                 yield f"{name} joins", partial(self._join_anew, name=name)
-            elif member.incarnation is not None and state.left[f"beat {name}"]:
-                yield f"{name} asks", partial(self._ask, name=name)
-            if member.frozen():
+            elif member.incarnation is not None and state.remaining[f"beat {name}"]:
+                yield f"{name} asks", partial(self._send_heartbeat, name=name)
+            if member.frozen_ranges():
                 yield f"{name} drained", partial(self._drain, name=name)
             for n in range(member.map.generation if member.map else 0, state.maps):
                 yield (
@@ -265,49 +295,58 @@
                     partial(self._adopt, name=name, number=n),
                 )
 
-    def _next_map(self, s: Fleet) -> bool:
-        s.service().put(self.maps[s.maps])
+    def _next_map(self, s: ModelState) -> bool:
+        s.own_service().install_map(self.maps[s.maps])
         s.maps += 1
         return True
 
-    def _tick(self, s: Fleet, stands: str) -> bool:
+    def _tick(self, s: ModelState, stands: str) -> bool:
         s.now += 1
         for name in s.clocks:
             s.clocks[name] += name != stands
-        s.service().expire(s.now)
-        return s.spend("tick") and (not stands or s.spend("slow"))
-
-    def _restart(self, s: Fleet) -> bool:
-        again = Moves.of(
-            s.moves.told(), s.moves.epoch, s.now + self._margin(), bits=BITS
+        s.own_service().expire(s.now)
+        return s.consume("tick") and (not stands or s.consume("slow"))
+
+    def _restart(self, s: ModelState) -> bool:
+        again = MigrationCoordinator.from_snapshot(
+            s.moves.to_snapshot(),
+            s.moves.epoch,
+            s.now + self._service_lease_ticks(),
+            bits=MODEL_KEY_BITS,
         )
         s.moves = type(s.moves)(
-            again.map, again.epoch, 0, again.number, again.holders, again.free, BITS
+            again.map,
+            again.epoch,
+            0,
+            again.last_token_number,
+            again.holders,
+            again.free,
+            MODEL_KEY_BITS,
         )
-        return s.spend("restart")
+        return s.consume("restart")
 
-    def _crash(self, s: Fleet, name: str) -> bool:
-        s.member(name).lost()
+    def _crash(self, s: ModelState, name: str) -> bool:
+        s.own_member(name).on_lease_lost()
         s.members[name].map = None
-        return s.spend("crash")
+        return s.consume("crash")
 
-    def _join_anew(self, s: Fleet, name: str) -> bool:
+    def _join_anew(self, s: ModelState, name: str) -> bool:
         self._join(s, name)
-        return s.spend("join")
+        return s.consume("join")
 
-    def _drain(self, s: Fleet, name: str) -> bool:
-        s.member(name).drained(s.members[name].frozen())
+    def _drain(self, s: ModelState, name: str) -> bool:
+        s.own_member(name).mark_drained(s.members[name].frozen_ranges())
         return True
 
-    def _adopt(self, s: Fleet, name: str, number: int) -> bool:
-        s.member(name).turn(self.maps[number])
+    def _adopt(self, s: ModelState, name: str, number: int) -> bool:
+        s.own_member(name).apply_map(self.maps[number])
         return True
 
-    def _ask(self, s: Fleet, name: str) -> bool:
-        member = s.member(name)
+    def _send_heartbeat(self, s: ModelState, name: str) -> bool:
+        member = s.own_member(name)
         if member.incarnation is None:
             return False
-        word = member.word()
+        word = member.next_report()
         s.net = s.net.send(
             (
                 name,
@@ -317,30 +356,34 @@
                 "asks",
                 word.generation,
                 word.digest,
-                word.gave,
+                word.given_up,
             )
         )
-        return s.spend(f"beat {name}")
+        return s.consume(f"beat {name}")
 
-    def _arrive(self, s: Fleet, message: Any) -> None:
+    def _deliver(self, s: ModelState, message: Any) -> None:
         name, number, sent, asked, kind, generation, *rest = message
         token = Token(1, number)
         if kind == "is told":
             holds = [
-                Hold(first, last, Token(1, n), begun)
+                RangeHold(first, last, Token(1, n), begun)
                 for first, last, n, begun in rest[0]
             ]
-            s.member(name).answered(
-                token, sent, generation, holds, asked + TTL - MARGIN
+            s.own_member(name).apply_answer(
+                token, sent, generation, holds, asked + LEASE_TICKS - DRIFT_MARGIN_TICKS
             )
             return
         try:
             digest, gave = rest
-            answer = s.service().beat(token, sent, generation, digest, gave, s.now)
-        except (Fenced, Late):
+            answer = s.own_service().heartbeat(
+                token, sent, generation, digest, gave, s.now
+            )
+        except (FencedError, StaleHeartbeatError):
             return
-        s.moves.alive(token, name, s.now + self._margin())
-        told = tuple((h.first, h.last, h.token.number, h.begun) for h in answer.holds)
+        s.moves.lease_renewed(token, name, s.now + self._service_lease_ticks())
+        told = tuple(
+            (h.first, h.last, h.token.number, h.since_generation) for h in answer.holds
+        )
         s.net = s.net.send(
             (name, number, sent, asked, "is told", answer.generation, told)
         )
@@ -348,10 +391,12 @@
     # -- what has to hold
     # --------------------------------------------------------------------------
 
-    def broken(self, state: Fleet) -> str:
-        spans: list[tuple[Span, str]] = []
+    def broken(self, state: ModelState) -> str:
+        spans: list[tuple[KeyRange, str]] = []
         for name, member in sorted(state.members.items()):
-            spans += [(own.span, name) for own in member.holding(state.clocks[name])]
+            spans += [
+                (own.key_range, name) for own in member.held_ranges(state.clocks[name])
+            ]
         spans.sort()
         for (a, who), (b, other) in zip(spans, spans[1:], strict=False):
             if b[0] <= a[1]:
@@ -363,52 +408,60 @@
         ]
         free = [span for owned in state.moves.free.values() for span in owned]
         sizes = sum(last - first + 1 for first, last in held + free)
-        if sizes != 1 << BITS or union(held + free) != [(0, (1 << BITS) - 1)]:
+        if sizes != 1 << MODEL_KEY_BITS or union(held + free) != [
+            (0, (1 << MODEL_KEY_BITS) - 1)
+        ]:
             return (
                 "a key is held twice by the service's table, or neither held nor free"
             )
         return ""
 
-    def key(self, state: Fleet) -> Hashable:
+    def key(self, state: ModelState) -> Hashable:
         """Times as what is left of them; a lease out is out, by however much."""
         moves = state.moves
         return (
             moves.map.generation if moves.map else 0,
-            moves.number,
+            moves.last_token_number,
             tuple(
-                (t, h.name, max(0, h.out_us - state.now), tuple(h.holds), h.sent)
+                (
+                    t,
+                    h.name,
+                    max(0, h.expires_at_us - state.now),
+                    tuple(h.holds),
+                    h.last_heartbeat,
+                )
                 for t, h in sorted(moves.holders.items())
             ),
             tuple(
                 (
                     m.map.generation if m.map else 0,
                     m.incarnation,
-                    max(0, m.until_us - state.clocks[n]),
-                    tuple(m.owns),
-                    m.sent,
-                    m.heard,
+                    max(0, m.lease_expires_at_us - state.clocks[n]),
+                    tuple(m.ranges),
+                    m.last_sent,
+                    m.last_answered,
                 )
                 for n, m in sorted(state.members.items())
             ),
-            tuple(self._message(state, message) for message in state.net.bag),
-            state.net.losses,
-            state.net.copies,
-            tuple(sorted(state.left.items())),
+            tuple(self._message(state, message) for message in state.net.in_transit),
+            state.net.losses_left,
+            state.net.duplicates_left,
+            tuple(sorted(state.remaining.items())),
         )
 
-    def _message(self, state: Fleet, message: Any) -> Hashable:
+    def _message(self, state: ModelState, message: Any) -> Hashable:
         """As it counts from here on: when it was asked by what the lease it brings has
         left.
         """
         name, _, _, asked, *_ = message
         return (
             *message[:3],
-            max(0, asked + TTL - MARGIN - state.clocks[name]),
+            max(0, asked + LEASE_TICKS - DRIFT_MARGIN_TICKS - state.clocks[name]),
             *message[4:],
         )
 
 
-def _said(message: Any) -> str:
+def _describe_message(message: Any) -> str:
     name, number, sent, _, kind, generation, *rest = message
     what = "gave" if kind == "asks" else "holds"
     spans = " ".join(f"{span[0]:x}-{span[1]:x}" for span in rest[-1])
--- a/rainfall/shard/owned.py
+++ b/rainfall/shard/ownership.py
@@ -19,35 +19,37 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Literal
 
-from rainfall.lease.token import Token
-from rainfall.shard.check import Fault, judged
-from rainfall.shard.maps import BITS, ShardMap
-from rainfall.shard.moves import Hold
-from rainfall.shard.spans import Span, both, minus, union
+from rainfall.lease.fencing_token import Token
+from rainfall.shard.key_ranges import KeyRange, difference, intersection, union
+from rainfall.shard.map_validation import MapFault, evaluate_update
+from rainfall.shard.migration import RangeHold
+from rainfall.shard.shard_map import KEY_BITS, ShardMap
 
-State = Literal["acting", "frozen", "gave"]
+RangeState = Literal["acting", "frozen", "gave"]
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
-    hold: Hold
-    state: State
-    gave_at: int = -1
+class OwnedRange:
+    hold: RangeHold
+    state: RangeState
+    given_up_generation: int = -1
     """The highest map generation under which a beat has said `gave` of it."""
 
     @property
-    def span(self) -> Span:
+    def key_range(self) -> KeyRange:
         return self.hold.first, self.hold.last
 
-    def cut(self, spans: Sequence[Span], state: State | None = None) -> list[Own]:
+    def restricted_to(
+        self, spans: Sequence[KeyRange], state: RangeState | None = None
+    ) -> list[OwnedRange]:
         return [
             replace(self, hold=h, state=state or self.state)
-            for h in self.hold.cut(spans)
+            for h in self.hold.restricted_to(spans)
         ]
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class OwnershipReport:
     """What a beat says of the map: its generation (0: none), its digest, and the keys
     not acted on.
     """
@@ -55,11 +57,11 @@
     sent: int
     generation: int
     digest: int
-    gave: tuple[Span, ...]
+    given_up: tuple[KeyRange, ...]
 
 
 @dataclass(slots=True)
-class Owned:
+class RangeOwnership:
     """The shell hands in every answer, and the lease's end by its own clock; it acts
     only on what `may_act` gives a token for, and ends what is out once the lease is
     (`holding` is empty from then on).
@@ -68,16 +70,16 @@
     name: str
     map: ShardMap | None = None
     incarnation: Token | None = None
-    until_us: int = 0
-    owns: list[Own] = field(default_factory=list)
-    sent: int = 0
+    lease_expires_at_us: int = 0
+    ranges: list[OwnedRange] = field(default_factory=list)
+    last_sent: int = 0
     """Of the last beat. It goes on over incarnations."""
-    heard: int = 0
+    last_answered: int = 0
     """The last beat whose answer was taken; an answer to one before it is late."""
-    wanted: int = 0
+    service_generation: int = 0
     """The generation the service has; above the map's, the map is fetched."""
-    bits: int = BITS
-    _firsts: list[int] = field(default_factory=list)
+    bits: int = KEY_BITS
+    _first_keys: list[int] = field(default_factory=list)
 
     # -- what the shell asks
     # ---------------------------------------------------------------------
@@ -86,169 +88,177 @@
         """The token to take on a new message of `key` under; None: it is not this
         member's now.
         """
-        own = self._at(key)
+        own = self._range_at(key)
         return (
             own.hold.token
-            if own and own.state == "acting" and now_us < self.until_us
+            if own and own.state == "acting" and now_us < self.lease_expires_at_us
             else None
         )
 
-    def may_end(self, key: int, now_us: int) -> Token | None:
+    def may_finish(self, key: int, now_us: int) -> Token | None:
         """The token under which a message already taken on may be carried to its end;
         None: stop at once.
         """
-        own = self._at(key)
+        own = self._range_at(key)
         return (
             own.hold.token
-            if own and own.state != "gave" and now_us < self.until_us
+            if own and own.state != "gave" and now_us < self.lease_expires_at_us
             else None
         )
 
-    def holding(self, now_us: int) -> list[Own]:
+    def held_ranges(self, now_us: int) -> list[OwnedRange]:
         """All that is acted on or still being ended."""
         return (
-            [own for own in self.owns if own.state != "gave"]
-            if now_us < self.until_us
+            [own for own in self.ranges if own.state != "gave"]
+            if now_us < self.lease_expires_at_us
             else []
         )
 
-    def frozen(self) -> list[Span]:
+    def frozen_ranges(self) -> list[KeyRange]:
         """What has to come to its end: `drained` is owed for it."""
-        return [own.span for own in self.owns if own.state == "frozen"]
+        return [own.key_range for own in self.ranges if own.state == "frozen"]
 
     # -- maps
     # ------------------------------------------------------------------------------------
 
-    def adopt(self, raw: Any) -> list[Fault]:
+    def adopt_map(self, raw: Any) -> list[MapFault]:
         """Take a map, whoever sent it. With any fault it is refused, all faults are
         told and the old one stays; the very map in force is no fault. How much it moves
         is the service's affair: a member that was away may have missed any number of
         maps.
         """
-        new, faults = judged(raw, None, self.map, None, self.bits)
+        new, faults = evaluate_update(raw, None, self.map, None, self.bits)
         if new is not None and not faults:
-            self.turn(new)
+            self.apply_map(new)
         return faults
 
-    def _mine(self) -> list[Span]:
+    def _mapped_ranges(self) -> list[KeyRange]:
         ranges = () if self.map is None else self.map.ranges
         return [(r.first, r.last) for r in ranges if r.owner == self.name]
 
-    def turn(self, new: ShardMap) -> None:
+    def apply_map(self, new: ShardMap) -> None:
         """By a checked map: freeze what is another's now, thaw what is given back
         before it was given up.
         """
         self.map = new
-        mine = self._mine()
-        turned: list[Own] = []
-        for own in self.owns:
+        mine = self._mapped_ranges()
+        turned: list[OwnedRange] = []
+        for own in self.ranges:
             if own.state == "gave":
                 turned.append(own)
             else:
-                turned += own.cut(both([own.span], mine), "acting")
-                turned += own.cut(minus([own.span], mine), "frozen")
-        self._set(turned)
+                turned += own.restricted_to(
+                    intersection([own.key_range], mine), "acting"
+                )
+                turned += own.restricted_to(difference([own.key_range], mine), "frozen")
+        self._set_ranges(turned)
 
-    def drained(self, spans: Sequence[Span]) -> None:
+    def mark_drained(self, spans: Sequence[KeyRange]) -> None:
         """Of these frozen keys nothing is out and nothing is held any more: they can be
         given up.
         """
         done = union(spans)
-        after: list[Own] = []
-        for own in self.owns:
+        after: list[OwnedRange] = []
+        for own in self.ranges:
             if own.state == "frozen":
-                after += own.cut(both([own.span], done), "gave")
-                after += own.cut(minus([own.span], done))
+                after += own.restricted_to(intersection([own.key_range], done), "gave")
+                after += own.restricted_to(difference([own.key_range], done))
             else:
                 after.append(own)
-        self._set(after)
+        self._set_ranges(after)
 
     # -- beats
     # -----------------------------------------------------------------------------------
 
-    def joined(self, token: Token, until_us: int) -> None:
+    def on_joined(self, token: Token, until_us: int) -> None:
         """A new incarnation holds nothing."""
-        self.lost()
-        self.incarnation, self.until_us = token, until_us
+        self.on_lease_lost()
+        self.incarnation, self.lease_expires_at_us = token, until_us
 
-    def lost(self) -> None:
+    def on_lease_lost(self) -> None:
         """The lease is out, or the service says so: everything stops at once."""
-        self.incarnation, self.until_us = None, 0
-        self._set([])
+        self.incarnation, self.lease_expires_at_us = None, 0
+        self._set_ranges([])
 
-    def word(self) -> Word:
+    def next_report(self) -> OwnershipReport:
         """For a beat that leaves now."""
-        self.sent += 1
+        self.last_sent += 1
         generation, digest = (
             (0, 0) if self.map is None else (self.map.generation, self.map.digest())
         )
-        self._set(
+        self._set_ranges(
             [
-                replace(own, gave_at=generation) if own.state == "gave" else own
-                for own in self.owns
+                replace(own, given_up_generation=generation)
+                if own.state == "gave"
+                else own
+                for own in self.ranges
             ]
         )
-        gave = union(own.span for own in self.owns if own.state == "gave")
-        return Word(self.sent, generation, digest, tuple(gave))
+        gave = union(own.key_range for own in self.ranges if own.state == "gave")
+        return OwnershipReport(self.last_sent, generation, digest, tuple(gave))
 
-    def answered(
+    def apply_answer(
         self,
         token: Token,
         sent: int,
         generation: int,
-        holds: Sequence[Hold],
+        holds: Sequence[RangeHold],
         until_us: int,
     ) -> bool:
         """The answer to beat `sent`, with the lease's end counted from when that beat
         was asked. False where it is late or another incarnation's: nothing is done on
         it.
         """
-        if token != self.incarnation or sent <= self.heard:
+        if token != self.incarnation or sent <= self.last_answered:
             return False
-        self.heard = sent
+        self.last_answered = sent
         # asked later than what it replaces; where it is shorter, the lease is
-        self.until_us = until_us
-        self.wanted = generation
-        had: dict[Token, list[Own]] = {}
-        for own in self.owns:
+        self.lease_expires_at_us = until_us
+        self.service_generation = generation
+        had: dict[Token, list[OwnedRange]] = {}
+        for own in self.ranges:
             had.setdefault(own.hold.token, []).append(own)
-        told: dict[Token, list[Hold]] = {}
+        told: dict[Token, list[RangeHold]] = {}
         for hold in sorted(holds):
             told.setdefault(hold.token, []).append(hold)
-        after: list[Own] = []
+        after: list[OwnedRange] = []
         for number, listed in sorted(told.items()):
             spans = [(h.first, h.last) for h in listed]
             kept = had.get(number, [])
             for own in kept:
-                after += own.cut(both([own.span], spans))
-            left = minus(spans, [own.span for own in kept])
+                after += own.restricted_to(intersection([own.key_range], spans))
+            left = difference(spans, [own.key_range for own in kept])
             if left and self.map is not None and generation == self.map.generation:
-                after += self._begin(listed[0], left)
-        self._set(after)
+                after += self._begin_holds(listed[0], left)
+        self._set_ranges(after)
         return True
 
-    def _begin(self, hold: Hold, spans: Sequence[Span]) -> list[Own]:
+    def _begin_holds(
+        self, hold: RangeHold, spans: Sequence[KeyRange]
+    ) -> list[OwnedRange]:
         """Keys newly listed under one token. What is another's by the map was given
         before a newer map and never acted on: it is given up. So is what a beat still
         under way may give up in this hold's stead, since it was said of the one before,
         under a map newer than this hold.
         """
-        doubtful = self.said(hold.begun)
-        begun = minus(both(spans, self._mine()), doubtful)
-        return [Own(h, "acting") for h in hold.cut(begun)] + [
-            Own(h, "gave") for h in hold.cut(minus(spans, begun))
+        doubtful = self.given_up_after(hold.since_generation)
+        begun = difference(intersection(spans, self._mapped_ranges()), doubtful)
+        return [OwnedRange(h, "acting") for h in hold.restricted_to(begun)] + [
+            OwnedRange(h, "gave") for h in hold.restricted_to(difference(spans, begun))
         ]
 
-    def said(self, begun: int) -> list[Span]:
+    def given_up_after(self, begun: int) -> list[KeyRange]:
         """Keys that a beat has given up under a generation above `begun`."""
         return union(
-            own.span for own in self.owns if own.state == "gave" and own.gave_at > begun
+            own.key_range
+            for own in self.ranges
+            if own.state == "gave" and own.given_up_generation > begun
         )
 
-    def _set(self, owns: list[Own]) -> None:
-        self.owns = sorted(owns, key=lambda own: own.hold)
-        self._firsts = [own.hold.first for own in self.owns]
+    def _set_ranges(self, owns: list[OwnedRange]) -> None:
+        self.ranges = sorted(owns, key=lambda own: own.hold)
+        self._first_keys = [own.hold.first for own in self.ranges]
 
-    def _at(self, key: int) -> Own | None:
-        n = bisect_right(self._firsts, key) - 1
-        return self.owns[n] if n >= 0 and key <= self.owns[n].hold.last else None
+    def _range_at(self, key: int) -> OwnedRange | None:
+        n = bisect_right(self._first_keys, key) - 1
+        return self.ranges[n] if n >= 0 and key <= self.ranges[n].hold.last else None
--- a/rainfall/shard/ranges.py
+++ b/rainfall/shard/plan_cells.py
@@ -8,11 +8,11 @@
 from collections import Counter
 from dataclasses import dataclass
 
-MOST_PIECES = 8  # a hot range is split into so many at once at most
+MAX_PIECES = 8  # a hot range is split into so many at once at most
 
 
 @dataclass(slots=True)
-class Cell:
+class PlanCell:
     """Keys `first` to `last`; `owner` None while they have none; `units` weigh them
     (keys, or load).
     """
@@ -36,21 +36,21 @@
             else (2 * units * self.size + self.units) // (2 * self.units)
         )
 
-    def cut(self, keys: int) -> tuple[Cell, Cell]:
+    def split_at(self, keys: int) -> tuple[PlanCell, PlanCell]:
         """The first `keys` keys, and the rest: from 1 to all but one."""
         units = self.units * keys // self.size
         return (
-            Cell(self.first, self.first + keys - 1, self.owner, units),
-            Cell(self.first + keys, self.last, self.owner, self.units - units),
+            PlanCell(self.first, self.first + keys - 1, self.owner, units),
+            PlanCell(self.first + keys, self.last, self.owner, self.units - units),
         )
 
 
-def join(cells: list[Cell]) -> list[Cell]:
+def merge_neighbours(cells: list[PlanCell]) -> list[PlanCell]:
     """Neighbours of one owner as one."""
-    out: list[Cell] = []
+    out: list[PlanCell] = []
     for cell in cells:
         if out and out[-1].owner == cell.owner:
-            out[-1] = Cell(
+            out[-1] = PlanCell(
                 out[-1].first, cell.last, cell.owner, out[-1].units + cell.units
             )
         else:
@@ -58,31 +58,31 @@
     return out
 
 
-def split_hot(cells: list[Cell], hot: int, most: int) -> list[Cell]:
+def split_hot(cells: list[PlanCell], hot: int, max_cells: int) -> list[PlanCell]:
     """Cells of more than `hot` units halved, hottest first, while there are fewer than
     `most`: the parts stay with their owner, so nothing moves, but the next figures tell
     them apart.
     """
-    left = most - len(cells)
-    out: list[Cell] = []
+    left = max_cells - len(cells)
+    out: list[PlanCell] = []
     for cell in sorted(cells, key=lambda c: (-c.units, c.first)):
-        pieces = min(MOST_PIECES, cell.size, left + 1, max(1, -(-cell.units // hot)))
+        pieces = min(MAX_PIECES, cell.size, left + 1, max(1, -(-cell.units // hot)))
         left -= pieces - 1
         while pieces > 1:
-            part, cell = cell.cut(cell.size // pieces)
+            part, cell = cell.split_at(cell.size // pieces)
             out.append(part)
             pieces -= 1
         out.append(cell)
     return sorted(out, key=lambda c: c.first)
 
 
-def fewer(cells: list[Cell], most: int) -> list[Cell]:
+def merge_smallest(cells: list[PlanCell], max_cells: int) -> list[PlanCell]:
     """At most `most` cells: while there are more, the smallest joins its larger
     neighbour. An owner's last one stays, so `most` has to be at least the count of
     owners.
     """
     count = len(cells)
-    if count <= most:
+    if count <= max_cells:
         return cells
     before, after = list(range(-1, count - 1)), [*range(1, count), -1]
     of = Counter(c.owner for c in cells)
@@ -93,7 +93,7 @@
     def absorb(into: int, gone: int) -> None:
         """Two neighbours become one, under the first one's owner."""
         a, b = cells[into], cells[gone]
-        cells[into] = Cell(
+        cells[into] = PlanCell(
             min(a.first, b.first), max(a.last, b.last), a.owner, a.units + b.units
         )
         alive[gone] = False
@@ -105,7 +105,7 @@
             before[high] = low
         heapq.heappush(heap, (cells[into].size, into))
 
-    while count > most and heap:
+    while count > max_cells and heap:
         size, n = heapq.heappop(heap)
         if not alive[n] or cells[n].size != size or of[cells[n].owner] < 2:
             continue
@@ -119,7 +119,7 @@
             if (
                 beside >= 0
                 and cells[beside].owner == cells[into].owner
-                and count > most
+                and count > max_cells
             ):
                 absorb(into, beside)
                 count -= 1
--- a/rainfall/shard/route.py
+++ b/rainfall/shard/routing.py
@@ -8,48 +8,48 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from rainfall.lease.token import Token
-from rainfall.shard.owned import Owned
+from rainfall.lease.fencing_token import Token
+from rainfall.shard.ownership import RangeOwnership
 
 
 @dataclass(frozen=True, slots=True)
-class Here:
+class ActLocally:
     """This member acts on the key, under this token."""
 
     token: Token
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class ForwardToOwner:
     """To the owner, with the generation of this member's map and what is left of the
     message's own time.
     """
 
-    to: str
+    owner: str
     generation: int
-    left_us: int
+    remaining_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Rejected:
     """503 with `Retry-After`: nothing was taken on. `why` is for logs and figures."""
 
-    why: Literal[
+    reason: Literal[
         "no map", "late", "not begun", "loop", "generation", "unknown owner", "link out"
     ]
-    after_s: int
+    retry_after_s: int
 
 
 def route(
-    owned: Owned,
+    owned: RangeOwnership,
     key: int,
     now_us: int,
-    until_us: int,
-    passed: int | None,
+    deadline_us: int,
+    forwarded_generation: int | None,
     members: Collection[str],
     link_up: Callable[[str], bool],
-    after_s: int = 1,
-) -> Here | Pass | Refuse:
+    retry_after_s: int = 1,
+) -> ActLocally | ForwardToOwner | Rejected:
     """`until_us`: the end of the message's own time. `passed`: None, or the map
     generation of the member that passed it here. `members`: names that this member
     knows of.
@@ -58,26 +58,27 @@
     acts. A message that was passed is never passed on, so a loop cannot form; where the
     two maps differ, `why` says so.
     """
-    if until_us <= now_us:
-        return Refuse("late", after_s)
+    if deadline_us <= now_us:
+        return Rejected("late", retry_after_s)
     if token := owned.may_act(key, now_us):
-        return Here(token)
+        return ActLocally(token)
     if owned.map is None:
-        return Refuse("no map", after_s)
-    if passed is not None:
-        return Refuse(
+        return Rejected("no map", retry_after_s)
+    if forwarded_generation is not None:
+        return Rejected(
             "loop"
-            if passed == owned.map.generation and owned.map.owner(key) != owned.name
+            if forwarded_generation == owned.map.generation
+            and owned.map.owner(key) != owned.name
             else "not begun"
-            if passed == owned.map.generation
+            if forwarded_generation == owned.map.generation
             else "generation",
-            after_s,
+            retry_after_s,
         )
     owner = owned.map.owner(key)
     if owner == owned.name:
-        return Refuse("not begun", after_s)
+        return Rejected("not begun", retry_after_s)
     if owner not in members:
-        return Refuse("unknown owner", after_s)
+        return Rejected("unknown owner", retry_after_s)
     if not link_up(owner):
-        return Refuse("link out", after_s)
-    return Pass(owner, owned.map.generation, until_us - now_us)
+        return Rejected("link out", retry_after_s)
+    return ForwardToOwner(owner, owned.map.generation, deadline_us - now_us)
--- a/rainfall/shard/maps.py
+++ b/rainfall/shard/shard_map.py
@@ -19,33 +19,33 @@
 
 import xxhash
 
-BITS = 64
-MOST_GENERATION = (1 << 63) - 1
-MOST_DIGITS = 20  # of a whole number in a file; what is longer is no generation
+KEY_BITS = 64
+MAX_GENERATION = (1 << 63) - 1
+MAX_INTEGER_DIGITS = 20  # of a whole number in a file; what is longer is no generation
 
 
-class Unreadable(Exception):
+class UnreadableInputError(Exception):
     """The text is one line: why this is no JSON object, array or file at all."""
 
 
-def key_of(text: str) -> int:
+def hash_key(text: str) -> int:
     """The key of a message's `X-Session-Key`: xxh3, 64 bits, of its UTF-8 bytes."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-def hexed(key: int, bits: int = BITS) -> str:
+def format_key(key: int, bits: int = KEY_BITS) -> str:
     """16 lower-case digits where the space has 64 bits."""
     return f"{key:0{bits // 4}x}"
 
 
-def span_text(first: int, last: int, bits: int = BITS) -> str:
+def format_range(first: int, last: int, bits: int = KEY_BITS) -> str:
     """`FROM-TO`, as a range stands in faults, in a beat's `gave` and in a file of
     loads.
     """
-    return f"{hexed(first, bits)}-{hexed(last, bits)}"
+    return f"{format_key(first, bits)}-{format_key(last, bits)}"
 
 
-def key_from(text: Any, bits: int = BITS) -> int | None:
+def parse_key(text: Any, bits: int = KEY_BITS) -> int | None:
     """The key that exactly `bits / 4` lower-case hexadecimal digits name; None for
     anything else.
     """
@@ -60,10 +60,10 @@
     return None
 
 
-def span_from(text: Any, bits: int = BITS) -> tuple[int, int]:
+def parse_range(text: Any, bits: int = KEY_BITS) -> tuple[int, int]:
     """The range that `FROM-TO` names; ValueError where it is none."""
     first, dash, last = text.partition("-") if type(text) is str else ("", "", "")
-    ends = key_from(first, bits), key_from(last, bits)
+    ends = parse_key(first, bits), parse_key(last, bits)
     if not dash or ends[0] is None or ends[1] is None or ends[0] > ends[1]:
         raise ValueError(
             f"a range is FROM-TO, {bits // 4} lower-case hexadecimal digits each, not inverted"
@@ -92,7 +92,7 @@
 
     generation: int
     ranges: tuple[Range, ...]
-    bits: int = BITS
+    bits: int = KEY_BITS
     firsts: tuple[int, ...] = field(init=False, repr=False, compare=False)
     _digest: list[int] = field(
         default_factory=list, init=False, repr=False, compare=False
@@ -101,41 +101,41 @@
     def __post_init__(self) -> None:
         object.__setattr__(self, "firsts", tuple(r.first for r in self.ranges))
 
-    def at(self, key: int) -> Range:
+    def range_of(self, key: int) -> Range:
         """The range that holds `key`."""
         return self.ranges[bisect_right(self.firsts, key) - 1]
 
     def owner(self, key: int) -> str:
-        return self.at(key).owner
+        return self.range_of(key).owner
 
     def owners(self) -> set[str]:
         return {r.owner for r in self.ranges}
 
-    def over(self, first: int, last: int) -> Sequence[Range]:
+    def overlapping(self, first: int, last: int) -> Sequence[Range]:
         """The ranges that hold any key from `first` to `last`."""
         return self.ranges[
             bisect_right(self.firsts, first) - 1 : bisect_right(self.firsts, last)
         ]
 
-    def told(self) -> dict[str, Any]:
+    def to_wire(self) -> dict[str, Any]:
         """As JSON holds it, the ranges in order of their keys."""
         return {
             "generation": self.generation,
             "ranges": [
                 {
-                    "from": hexed(r.first, self.bits),
-                    "to": hexed(r.last, self.bits),
+                    "from": format_key(r.first, self.bits),
+                    "to": format_key(r.last, self.bits),
                     "owner": r.owner,
                 }
                 for r in self.ranges
             ],
         }
 
-    def text(self) -> str:
+    def file_text(self) -> str:
         """The file: one range a line, so that two maps can be compared by eye and by
         diff.
         """
-        rows = ",\n".join(json.dumps(entry) for entry in self.told()["ranges"])
+        rows = ",\n".join(json.dumps(entry) for entry in self.to_wire()["ranges"])
         return f'{{"generation": {self.generation}, "ranges": [\n{rows}\n]}}\n'
 
     def digest(self) -> int:
@@ -153,46 +153,50 @@
         return self._digest[0]
 
 
-class Doubled(dict[str, Any]):
+class DuplicateFieldObject(dict[str, Any]):
     """A JSON object that named a field twice: which of the two is meant cannot be
     known.
     """
 
     def __init__(self, pairs: Iterable[tuple[str, Any]], twice: list[str]) -> None:
         super().__init__(pairs)
-        self.twice = twice
+        self.duplicate_fields = twice
 
 
-def _object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     made = dict(pairs)
     if len(made) == len(pairs):
         return made
     counts = Counter(name for name, _ in pairs)
-    return Doubled(pairs, sorted(name for name, count in counts.items() if count > 1))
+    return DuplicateFieldObject(
+        pairs, sorted(name for name, count in counts.items() if count > 1)
+    )
 
 
-def _whole(digits: str) -> int | float:
-    return int(digits) if len(digits) <= MOST_DIGITS else float(digits)
+def _parse_integer(digits: str) -> int | float:
+    return int(digits) if len(digits) <= MAX_INTEGER_DIGITS else float(digits)
 
 
-def _constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f"{name} is not JSON")
 
 
-def decode(data: bytes) -> Any:
+def decode_json(data: bytes) -> Any:
     """JSON, strictly, with doubled fields kept as `Doubled`. Unreadable where it is not
     JSON.
     """
     try:
         return json.loads(
             data.decode(),
-            object_pairs_hook=_object,
-            parse_int=_whole,
-            parse_constant=_constant,
+            object_pairs_hook=_build_object,
+            parse_int=_parse_integer,
+            parse_constant=_reject_constant,
         )
     except UnicodeDecodeError as error:
-        raise Unreadable(f"not UTF-8 at byte {error.start}") from None
+        raise UnreadableInputError(f"not UTF-8 at byte {error.start}") from None
     except ValueError as error:
-        raise Unreadable(f"not JSON: {error}") from None
+        raise UnreadableInputError(f"not JSON: {error}") from None
     except RecursionError:
-        raise Unreadable("not JSON that can be read: nested too deep") from None
+        raise UnreadableInputError(
+            "not JSON that can be read: nested too deep"
+        ) from None
--- a/rainfall/wirehost.py
+++ b/rainfall/wirehost.py
@@ -42,7 +42,7 @@
     TimerExpired,
 )
 
-OUTCOMES = {
+OUTCOME_BY_WORD = {
     "Ok": Outcome.DELIVERED,
     "Failed": Outcome.FAILED,
     "QueueFull": Outcome.REJECTED,
@@ -52,54 +52,54 @@
     "Canceled": Outcome.CANCELED,
     "Ignored": Outcome.NOT_SENT,
 }
-STATES = {
+ENDPOINT_STATE_BY_WORD = {
     "SERVING": EndpointState.SERVING,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-LISTS = {
+LIST_KIND_BY_WORD = {
     "INCREMENTAL": EndpointListKind.CHANGES,
     "FULL": EndpointListKind.SNAPSHOT,
     "SAVED": EndpointListKind.CACHED,
     "FAILED": EndpointListKind.FAILED,
 }
-EFFECTS = {
+EFFECT_BY_WORD = {
     "repeatable": Idempotency.ALWAYS,
     "by_key": Idempotency.WITH_KEY,
     "once": Idempotency.NEVER,
 }
-SCOPES = {
+SCOPE_BY_WORD = {
     "all": IdempotencyScope.ALL,
     "zone": IdempotencyScope.ZONE,
     "cell": IdempotencyScope.ALL,
 }
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """The input is not what the wire promises."""
 
 
-def need(obj: Any, key: str, kind: type) -> Any:
+def require_field(record: Any, key: str, kind: type) -> Any:
     """The field, or Malformed where it is missing or of another type."""
-    if not isinstance(obj, dict) or key not in obj:
-        raise Malformed(f"no field {key!r} in {_brief(obj)}")
-    value = obj[key]
+    if not isinstance(record, dict) or key not in record:
+        raise MalformedInputError(f"no field {key!r} in {_brief(record)}")
+    value = record[key]
     if kind is int and isinstance(value, float) and value.is_integer():
         value = int(value)
     if kind is float and isinstance(value, int):
         value = float(value)
     if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
-        raise Malformed(
-            f"field {key!r} is not of type {kind.__name__} in {_brief(obj)}"
+        raise MalformedInputError(
+            f"field {key!r} is not of type {kind.__name__} in {_brief(record)}"
         )
     return value
 
 
-def word(table: dict[str, Any], obj: Any, key: str) -> Any:
+def translate_field(table: dict[str, Any], record: Any, key: str) -> Any:
     """The field, translated by a table of words."""
-    value = need(obj, key, str)
+    value = require_field(record, key, str)
     if value not in table:
-        raise Malformed(f"field {key!r} has the unknown word {value!r}")
+        raise MalformedInputError(f"field {key!r} has the unknown word {value!r}")
     return table[value]
 
 
@@ -107,42 +107,42 @@
     return repr(obj)[:80]
 
 
-def settings(facts: dict[str, Any]) -> Settings:
+def parse_settings(facts: dict[str, Any]) -> Settings:
     """The settings as the module knows them; keys it does not know are passed over."""
     allowed, contract = facts.get("allowed", {}), facts.get("contract", {})
     family = facts.get("family_info", {})
-    batches, apart = family.get("kind_batch", []), family.get("routes_apart", [])
+    batches, routes_apart = family.get("kind_batch", []), family.get("routes_apart", [])
     names = facts.get("host_types", [])
     classes = tuple(
         MessageClass(
-            name=need(c, "name", str),
-            latency_objective_us=need(c, "aim_us", int),
-            deadline_us=need(c, "deadline_us", int),
-            idempotency=word(EFFECTS, c, "effect"),
-            idempotency_scope=SCOPES.get(
-                c.get("key_scope", ""), IdempotencyScope.ENDPOINT
+            name=require_field(service, "name", str),
+            latency_objective_us=require_field(service, "aim_us", int),
+            deadline_us=require_field(service, "deadline_us", int),
+            idempotency=translate_field(EFFECT_BY_WORD, service, "effect"),
+            idempotency_scope=SCOPE_BY_WORD.get(
+                service.get("key_scope", ""), IdempotencyScope.ENDPOINT
             ),  # untold, only the same surely drops it
-            idempotency_window_us=int(c.get("window_us", 0)),
-            ordered=bool(c.get("by_arrival", False)),
-            priority_weight=float(c.get("gain", 1.0)),
-            late_priority_weight=float(c.get("late_worth", 0.0)),
+            idempotency_window_us=int(service.get("window_us", 0)),
+            ordered=bool(service.get("by_arrival", False)),
+            priority_weight=float(service.get("gain", 1.0)),
+            late_priority_weight=float(service.get("late_worth", 0.0)),
         )
-        for c in need(facts, "services", list)
+        for service in require_field(facts, "services", list)
     )
     kinds = tuple(
         DestinationKind(
             name=name,
             max_batch_size=int(batches[n]) if n < len(batches) else 1,
-            endpoint_scoped=bool(apart[n]) if n < len(apart) else False,
+            endpoint_scoped=bool(routes_apart[n]) if n < len(routes_apart) else False,
         )
         for n, name in enumerate(names)
     )
     tenants = tuple(
-        Tenant(need(t, "name", str), float(t.get("allowance_per_s", 0.0)))
-        for t in facts.get("orgs") or []
+        Tenant(require_field(org, "name", str), float(org.get("allowance_per_s", 0.0)))
+        for org in facts.get("orgs") or []
     )
     return Settings(
-        max_in_flight=need(family, "slots", int),
+        max_in_flight=require_field(family, "slots", int),
         classes=classes,
         destination_kinds=kinds,
         tenants=tenants,
@@ -175,131 +175,133 @@
     )
 
 
-def entry(e: Any) -> EndpointEntry:
+def parse_entry(element: Any) -> EndpointEntry:
     """One line of a list of targets."""
     return EndpointEntry(
-        endpoint=need(e, "target", int),
-        destination=need(e, "belongs_to", int),
-        zone=e.get("hall") or "",
-        kind=e.get("kind") or "",
-        state=word(STATES, e, "readiness"),
-        weight=float(e.get("power_hint") or 0.0),
+        endpoint=require_field(element, "target", int),
+        destination=require_field(element, "belongs_to", int),
+        zone=element.get("hall") or "",
+        kind=element.get("kind") or "",
+        state=translate_field(ENDPOINT_STATE_BY_WORD, element, "readiness"),
+        weight=float(element.get("power_hint") or 0.0),
     )
 
 
-def report(fields: list[str], e: dict[str, Any]) -> LoadReport | None:
+def parse_load_report(fields: list[str], event: dict[str, Any]) -> LoadReport | None:
     """What the destination told of its limit, if it did."""
-    row = e.get("telemetry")
-    if not row:
+    telemetry = event.get("telemetry")
+    if not telemetry:
         return None
-    told = dict(zip(fields, row, strict=False))
-    if "x0" not in told or "x1" not in told:
+    values = dict(zip(fields, telemetry, strict=False))
+    if "x0" not in values or "x1" not in values:
         return None
-    return LoadReport(float(told["x0"] or 0.0), float(told["x1"] or 0.0))
+    return LoadReport(float(values["x0"] or 0.0), float(values["x1"] or 0.0))
 
 
 class Instance:
     """One forwarder: its dispatcher, and what is needed to read its events."""
 
     def __init__(self, up: dict[str, Any], now: int) -> None:
-        facts = need(up, "facts", dict)
-        self.fields: list[str] = list(
+        facts = require_field(up, "facts", dict)
+        self.report_fields: list[str] = list(
             (facts.get("telemetry") or {}).get("fields") or []
         )
-        self.dispatcher = Dispatcher(settings(facts), need(up, "entropy", int), now)
+        self.dispatcher = Dispatcher(
+            parse_settings(facts), require_field(up, "entropy", int), now
+        )
         self.inbox: list[Event] = []
 
 
-def _arrived(inst: Instance, e: Any) -> Event:
-    account = e.get("account")
+def _read_message(instance: Instance, event: Any) -> Event:
+    account = event.get("account")
     return MessageReceived(
-        message_id=need(e, "msg_id", str),
-        destination=need(e, "dest", int),
-        class_name=need(e, "class", str),
-        deadline_us=need(e, "due_us", int),
-        ordering_key=e.get("route_key"),
+        message_id=require_field(event, "msg_id", str),
+        destination=require_field(event, "dest", int),
+        class_name=require_field(event, "class", str),
+        deadline_us=require_field(event, "due_us", int),
+        ordering_key=event.get("route_key"),
         tenant=account if isinstance(account, str) else None,
-        resent=bool(e.get("resent", False)),
+        resent=bool(event.get("resent", False)),
     )
 
 
-def _ended(inst: Instance, e: Any) -> Event:
-    outcome = word(OUTCOMES, e, "result")
-    wait_ms = e.get("wait_ms") or 0
+def _read_attempt_end(instance: Instance, event: Any) -> Event:
+    outcome = translate_field(OUTCOME_BY_WORD, event, "result")
+    wait_ms = event.get("wait_ms") or 0
     return AttemptFinished(
-        message_id=need(e, "msg_id", str),
-        attempt=need(e, "try", int),
-        endpoint=need(e, "target", int),
+        message_id=require_field(event, "msg_id", str),
+        attempt=require_field(event, "try", int),
+        endpoint=require_field(event, "target", int),
         outcome=outcome,
-        duration_us=need(e, "lag_us", int),
-        message_closed=bool(e.get("closed", False)),
+        duration_us=require_field(event, "lag_us", int),
+        message_closed=bool(event.get("closed", False)),
         retry_after_us=-int(-wait_ms * 1000 // 1) if outcome is Outcome.REJECTED else 0,
-        load_report=report(inst.fields, e),
+        load_report=parse_load_report(instance.report_fields, event),
     )
 
 
-def _probed(inst: Instance, e: Any) -> Event:
+def _read_probe_result(instance: Instance, event: Any) -> Event:
     return HealthCheckFinished(
-        need(e, "target", int),
-        word(OUTCOMES, e, "result"),
-        need(e, "lag_us", int),
-        report(inst.fields, e),
+        require_field(event, "target", int),
+        translate_field(OUTCOME_BY_WORD, event, "result"),
+        require_field(event, "lag_us", int),
+        parse_load_report(instance.report_fields, event),
     )
 
 
-READERS: dict[str, Callable[[Instance, Any], Event]] = {
-    "ASK": _arrived,
-    "CLOSED_ATTEMPT": _ended,
-    "CHECK_RESULT": _probed,
-    "CLIENT_LEFT": lambda inst, e: MessageWithdrawn(need(e, "msg_id", str)),
-    "DEADLINE_HIT": lambda inst, e: TimerExpired(need(e, "token", str)),
+EVENT_READERS: dict[str, Callable[[Instance, Any], Event]] = {
+    "ASK": _read_message,
+    "CLOSED_ATTEMPT": _read_attempt_end,
+    "CHECK_RESULT": _read_probe_result,
+    "CLIENT_LEFT": lambda inst, e: MessageWithdrawn(require_field(e, "msg_id", str)),
+    "DEADLINE_HIT": lambda inst, e: TimerExpired(require_field(e, "token", str)),
 }
 
 
-def action(name: str, a: Action) -> dict[str, Any]:
+def encode_action(name: str, action: Action) -> dict[str, Any]:
     """One action in the words of the wire."""
-    if isinstance(a, SendMessage):
+    if isinstance(action, SendMessage):
         return {
             "type": "ISSUE",
             "forwarder_id": name,
-            "msg_id": a.message_id,
-            "target": a.endpoint,
-            "try_for_us": a.timeout_us,
+            "msg_id": action.message_id,
+            "target": action.endpoint,
+            "try_for_us": action.timeout_us,
         }
-    if isinstance(a, SetTimer):
+    if isinstance(action, SetTimer):
         return {
             "type": "ARM",
             "forwarder_id": name,
-            "offset_us": a.delay_us,
-            "token": a.token,
+            "offset_us": action.delay_us,
+            "token": action.token,
         }
-    if isinstance(a, RejectMessage):
+    if isinstance(action, RejectMessage):
         return {
             "type": "TURN_AWAY",
             "forwarder_id": name,
-            "msg_id": a.message_id,
-            "wait_us": a.retry_after_us,
+            "msg_id": action.message_id,
+            "wait_us": action.retry_after_us,
         }
-    if isinstance(a, FailMessage):
-        return {"type": "END_FAILED", "forwarder_id": name, "msg_id": a.message_id}
-    if isinstance(a, CancelAttempt):
+    if isinstance(action, FailMessage):
+        return {"type": "END_FAILED", "forwarder_id": name, "msg_id": action.message_id}
+    if isinstance(action, CancelAttempt):
         return {
             "type": "ABANDON",
             "forwarder_id": name,
-            "msg_id": a.message_id,
-            "try": a.attempt,
+            "msg_id": action.message_id,
+            "try": action.attempt,
         }
-    if isinstance(a, CheckEndpointHealth):
-        return {"type": "POLL", "forwarder_id": name, "target": a.endpoint}
-    if isinstance(a, CloseIdleConnections):
-        return {"type": "RELEASE", "forwarder_id": name, "target": a.endpoint}
-    if isinstance(a, SubscribeEndpointList):
+    if isinstance(action, CheckEndpointHealth):
+        return {"type": "POLL", "forwarder_id": name, "target": action.endpoint}
+    if isinstance(action, CloseIdleConnections):
+        return {"type": "RELEASE", "forwarder_id": name, "target": action.endpoint}
+    if isinstance(action, SubscribeEndpointList):
         return {"type": "STREAM_CHANGES", "forwarder_id": name, "on": True}
-    assert isinstance(a, LogNote)
-    return {"type": "PRINT", "forwarder_id": name, "reason_text": a.text}
+    assert isinstance(action, LogNote)
+    return {"type": "PRINT", "forwarder_id": name, "reason_text": action.text}
 
 
-class Host:
+class WireHost:
     """Many instances on one wire. They share nothing but the numbered tables of the
     wire itself.
     """
@@ -308,48 +310,50 @@
         self.instances: dict[str, Instance] = {}
         self.tables: dict[int, tuple[EndpointEntry, ...]] = {}
 
-    def batch(self, line: str) -> str:
+    def handle_line(self, line: str) -> str:
         try:
-            told = json.loads(line)
+            request = json.loads(line)
         except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from None
-        now = need(told, "clock_us", int)
-        done: list[dict[str, Any]] = []
+            raise MalformedInputError(f"not JSON: {error}") from None
+        now = require_field(request, "clock_us", int)
+        replies: list[dict[str, Any]] = []
         touched: dict[str, Instance] = {}
-        for event in need(told, "inbox", list):
-            self.event(now, event, touched, done)
-        for name, inst in touched.items():
-            if self.instances.get(name) is not inst:
+        for event in require_field(request, "inbox", list):
+            self.handle_event(now, event, touched, replies)
+        for name, instance in touched.items():
+            if self.instances.get(name) is not instance:
                 continue
-            inbox, inst.inbox = inst.inbox, []
+            inbox, instance.inbox = instance.inbox, []
             try:
-                actions = inst.dispatcher.handle(now, inbox)
+                actions = instance.dispatcher.handle(now, inbox)
                 # An instance of the simulator comes up empty: there is nothing to
                 # remember an outage in.
-                done.extend(
-                    action(name, a) for a in actions if not isinstance(a, RecordOutage)
+                replies.extend(
+                    encode_action(name, a)
+                    for a in actions
+                    if not isinstance(a, RecordOutage)
                 )
             # any failure of the decisions is reported on the wire, in one line
             except Exception as error:
-                done.append(fault(name, error))
-        return json.dumps({"do": done}, separators=(",", ":"))
+                replies.append(internal_error(name, error))
+        return json.dumps({"do": replies}, separators=(",", ":"))
 
-    def event(
+    def handle_event(
         self,
         now: int,
         event: Any,
         touched: dict[str, Instance],
-        done: list[dict[str, Any]],
+        replies: list[dict[str, Any]],
     ) -> None:
-        kind = need(event, "type", str)
+        kind = require_field(event, "type", str)
         if kind == "TABLE":
-            self.tables[need(event, "buffer", int)] = tuple(
-                entry(e) for e in need(event, "elements", list)
+            self.tables[require_field(event, "buffer", int)] = tuple(
+                parse_entry(e) for e in require_field(event, "elements", list)
             )
             return
-        if kind not in ("UP", "DOWN", "MEMBERS") and kind not in READERS:
+        if kind not in ("UP", "DOWN", "MEMBERS") and kind not in EVENT_READERS:
             return
-        name = need(event, "forwarder_id", str)
+        name = require_field(event, "forwarder_id", str)
         if kind == "DOWN":
             self.instances.pop(name, None)
             touched.pop(name, None)
@@ -362,36 +366,36 @@
             try:
                 self.instances[name] = touched[name] = Instance(event, now)
             except ValueError as error:
-                done.append(fault(name, error))
+                replies.append(internal_error(name, error))
             return
         if name not in self.instances:
             return
-        inst = touched[name] = self.instances[name]
+        instance = touched[name] = self.instances[name]
         if kind == "MEMBERS":
-            how = word(LISTS, event, "how")
+            list_kind = translate_field(LIST_KIND_BY_WORD, event, "how")
             entries: tuple[EndpointEntry, ...] = ()
-            if how is not EndpointListKind.FAILED:
-                number = need(event, "buffer", int)
+            if list_kind is not EndpointListKind.FAILED:
+                number = require_field(event, "buffer", int)
                 if number not in self.tables:
-                    raise Malformed(f"no table {number} was given")
+                    raise MalformedInputError(f"no table {number} was given")
                 entries = self.tables[number]
-            inst.inbox.append(EndpointListChanged(how, entries))
+            instance.inbox.append(EndpointListChanged(list_kind, entries))
         else:
-            inst.inbox.append(READERS[kind](inst, event))
+            instance.inbox.append(EVENT_READERS[kind](instance, event))
 
 
-def fault(name: str, error: Exception) -> dict[str, Any]:
+def internal_error(name: str, error: Exception) -> dict[str, Any]:
     text = " ".join(f"{type(error).__name__}: {error}".split())
     return {"type": "INTERNAL_ERROR", "forwarder_id": name, "reason_text": text}
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
     """Answer each line until the input ends."""
-    host = Host()
+    host = WireHost()
     for line in source:
         try:
-            reply = host.batch(line)
-        except Malformed as error:
+            reply = host.handle_line(line)
+        except MalformedInputError as error:
             print(f"rainfall: bad input: {error}", file=sys.stderr)
             return 2
         sink.write(reply + "\n")
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -97,7 +97,7 @@
         inode.put(at, piece)
         return len(piece)
 
-    def cut(self, fd: int, size: int) -> None:
+    def truncate(self, fd: int, size: int) -> None:
         self.step()
         inode = self.open_files[fd]
         del inode.data[size:]
@@ -130,7 +130,7 @@
         if self.names.pop(path.name, None) is not None:
             self.changed()
 
-    def sync_folder(self, path: Path) -> None:
+    def sync_directory(self, path: Path) -> None:
         self.step()
         if self.bad_sync:
             raise OSError(errno.EIO, "bad disk")
--- a/tests/kept/forwarders.py
+++ b/tests/kept/forwarders.py
@@ -4,9 +4,9 @@
 
 from pathlib import Path
 
-from rainfall.net.config import Config, parse
-from rainfall.net.engine import Engine
-from rainfall.net.handover import Successor
+from rainfall.forwarder.config.loading import Config, parse_config
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.handover.roles import HandoverTarget
 from tests.sockets import SETTINGS
 
 FLEET: dict[str, object] = {
@@ -45,13 +45,13 @@
 
 
 def config(folder: Path, **more: object) -> Config:
-    return parse(told_config(**more), {"LB_STATE": str(folder)})
+    return parse_config(told_config(**more), {"LB_STATE": str(folder)})
 
 
 def forwarder(
-    folder: Path, successor: Successor | None = None, **more: object
+    folder: Path, successor: HandoverTarget | None = None, **more: object
 ) -> Engine:
     """One that is not started, and decides nothing. Needs a running loop."""
     engine = Engine(config(folder, **more), None, successor)
-    engine.scheduled = True  # as if a round were due: none is put before the loop
+    engine.round_scheduled = True  # as if a round were due: none is put before the loop
     return engine
--- a/tests/kept/frames.py
+++ b/tests/kept/frames.py
@@ -3,114 +3,132 @@
 from __future__ import annotations
 
 from rainfall.peer.frames import (
-    HEAD,
+    LENGTH_PREFIX_BYTES,
     AnyFrame,
+    CapacityReport,
     Forward,
     Forwarded,
+    FrameSplitter,
     Hello,
-    Moved,
-    Room,
-    Splitter,
+    SessionMoved,
     encode,
 )
-from rainfall.session.states import Limits
-from rainfall.session.table import Malformed, Table, read
-from rainfall.session.words import (
+from rainfall.session.config import SessionConfig, SessionConfigError, parse_config
+from rainfall.session.protocol import (
+    Abort,
+    Aborted,
     Accept,
+    Activated,
+    ActivatedRecord,
     AnyRecord,
-    Back,
-    Began,
-    Begun,
-    Closed,
     Commit,
-    Committed,
-    Copied,
-    Copy,
-    Drop,
-    Dropped,
-    End,
-    Forgot,
-    Gone,
-    Hand,
-    Item,
-    No,
+    CommittedRecord,
+    CopyPart,
+    CopyStored,
+    Decline,
+    FinalizedRecord,
+    MigrationId,
     Offer,
-    Pass,
-    Passed,
-    Refused,
-    Sealed,
-    Shut,
-    Stored,
-    Took,
-    pack,
-    unpack,
+    ReclaimedRecord,
+    RefusedRecord,
+    Released,
+    ReleasedRecord,
+    SealedRecord,
+    StoredRecord,
+    TailAcceptedRecord,
+    TailEnd,
+    TailMessage,
+    TailMessageResult,
+    TransferredMessage,
+    UnknownMigration,
+    decode_record,
+    encode_record,
 )
+from rainfall.session.states import Limits
 from tests.kept.references import References
 
-HAND = Hand(giver="g", epoch=1, life=2, count=3)
-ITEM = Item(
+HAND = MigrationId(source="g", epoch=1, lease_number=2, sequence=3)
+ITEM = TransferredMessage(
     id="m1",
     class_name="cart",
     destination=7,
-    due_us=250_000,
+    deadline_us=250_000,
     body=b"\x00\xffbody",
-    idempotency="idem",
+    idempotency_key="idem",
     tenant="acme",
     attempts=2,
-    most_attempts=9,
-    ran_us=-5,
-    ran_on="s-1",
+    max_attempts=9,
+    executed_at_us=-5,
+    executed_on="s-1",
 )
-PLAIN = Item(id="m2", class_name="pay", destination=8, due_us=-1)
+PLAIN = TransferredMessage(id="m2", class_name="pay", destination=8, deadline_us=-1)
 FRAMES: list[AnyFrame] = [
-    Hello(version=1, name="g", site="a", life=(1, 2)),
-    Room(stamp_us=5, sessions=1, bytes=2, load=0.5, draining=False, endpoints=True),
+    Hello(version=1, name="g", site="a", lease_token=(1, 2)),
+    CapacityReport(
+        stamp_us=5, sessions=1, bytes=2, load=0.5, draining=False, endpoints=True
+    ),
     Forward(
         number=1,
         key="k",
         generation=6,
-        came=("x", "y"),
+        forwarded_by=("x", "y"),
         stamp_us=5,
         item=ITEM,
         resent=True,
     ),
-    Forwarded(number=1, how="taken"),
-    Forwarded(number=1, how="refused", retry_after_us=500, generation=6),
-    Moved(key="k", owner="t", moves=3),
-    Offer(hand=HAND, key="k", site="a", why="over", messages=1, bytes=2, moves=3),
-    Accept(hand=HAND, stamp_us=9),
-    No(hand=HAND, why="full"),
-    Copy(
-        hand=HAND,
+    Forwarded(number=1, outcome="taken"),
+    Forwarded(number=1, outcome="refused", retry_after_us=500, generation=6),
+    SessionMoved(key="k", owner="t", migration_count=3),
+    Offer(
+        migration_id=HAND,
+        key="k",
+        site="a",
+        reason="over",
+        messages=1,
+        bytes=2,
+        migration_count=3,
+    ),
+    Accept(migration_id=HAND, stamp_us=9),
+    Decline(migration_id=HAND, reason="full"),
+    CopyPart(
+        migration_id=HAND,
         stamp_us=9,
         part=0,
         parts=2,
         items=(ITEM, PLAIN),
-        memory=("m0",),
+        remembered_ids=("m0",),
     ),
-    Copied(hand=HAND, life=(1, 2)),
-    Commit(hand=HAND, life=(1, 2)),
-    Begun(hand=HAND, stamp_us=9),
-    Closed(hand=HAND),
-    Drop(hand=HAND),
-    Dropped(hand=HAND),
-    Forgot(hand=HAND),
-    Pass(hand=HAND, stamp_us=9, number=4, until_us=100, item=PLAIN),
-    Passed(hand=HAND, number=4, how="again", stamp_us=9),
-    Passed(hand=HAND, number=4, how="taken", stamp_us=9),
-    Passed(hand=HAND, number=4, how="refused", stamp_us=9),
-    End(hand=HAND),
+    CopyStored(migration_id=HAND, lease_token=(1, 2)),
+    Commit(migration_id=HAND, lease_token=(1, 2)),
+    Activated(migration_id=HAND, stamp_us=9),
+    Released(migration_id=HAND),
+    Abort(migration_id=HAND),
+    Aborted(migration_id=HAND),
+    UnknownMigration(migration_id=HAND),
+    TailMessage(
+        migration_id=HAND, stamp_us=9, number=4, valid_until_us=100, item=PLAIN
+    ),
+    TailMessageResult(migration_id=HAND, number=4, outcome="again", stamp_us=9),
+    TailMessageResult(migration_id=HAND, number=4, outcome="taken", stamp_us=9),
+    TailMessageResult(migration_id=HAND, number=4, outcome="refused", stamp_us=9),
+    TailEnd(migration_id=HAND),
 ]
 RECORDS: list[AnyRecord] = [
-    Sealed(hand=HAND, key="k", taker="t"),
-    Committed(hand=HAND),
-    Gone(hand=HAND),
-    Back(hand=HAND),
-    Stored(hand=HAND, key="k", moves=3, items=(ITEM, PLAIN), memory=("m0", "m9")),
-    Began(hand=HAND),
-    Shut(hand=HAND),
-    Refused(hand=HAND),
-    Took(hand=HAND, number=4, item=ITEM),
+    SealedRecord(migration_id=HAND, key="k", target="t"),
+    CommittedRecord(migration_id=HAND),
+    ReleasedRecord(migration_id=HAND),
+    ReclaimedRecord(migration_id=HAND),
+    StoredRecord(
+        migration_id=HAND,
+        key="k",
+        migration_count=3,
+        items=(ITEM, PLAIN),
+        remembered_ids=("m0", "m9"),
+    ),
+    ActivatedRecord(migration_id=HAND),
+    FinalizedRecord(migration_id=HAND),
+    RefusedRecord(migration_id=HAND),
+    TailAcceptedRecord(migration_id=HAND, number=4, item=ITEM),
 ]
 SITES: dict[str, object] = {
     "a": {"neighbours": {"b": 1.0, "c": 2.5}},
@@ -194,7 +212,7 @@
     }
 
 
-def table_of(table: Table) -> dict[str, object]:
+def table_of(table: SessionConfig) -> dict[str, object]:
     return {
         "sites": {site: dict(near) for site, near in table.sites.items()},
         "at once": table.at_once,
@@ -210,22 +228,22 @@
 def read_table(raw: object) -> list[object]:
     """What a configuration is read as, or its faults."""
     try:
-        return ["read", table_of(read(raw))]
-    except Malformed as error:
-        return ["faults", *error.faults]
+        return ["read", table_of(parse_config(raw))]
+    except SessionConfigError as error:
+        return ["faults", *error.errors]
 
 
 def packed(records: list[AnyRecord]) -> bytes:
     """Each behind its length, as the frames are."""
-    data = [pack(record) for record in records]
-    return b"".join(len(one).to_bytes(HEAD, "big") + one for one in data)
+    data = [encode_record(record) for record in records]
+    return b"".join(len(one).to_bytes(LENGTH_PREFIX_BYTES, "big") + one for one in data)
 
 
 def unpacked(data: bytes) -> list[AnyRecord]:
     records: list[AnyRecord] = []
     while data:
-        end = HEAD + int.from_bytes(data[:HEAD], "big")
-        records.append(unpack(data[HEAD:end]))
+        end = LENGTH_PREFIX_BYTES + int.from_bytes(data[:LENGTH_PREFIX_BYTES], "big")
+        records.append(decode_record(data[LENGTH_PREFIX_BYTES:end]))
         data = data[end:]
     return records
 
@@ -235,7 +253,7 @@
 
 
 def heard(data: bytes) -> list[AnyFrame]:
-    return Splitter().feed(data)
+    return FrameSplitter().feed(data)
 
 
 def made() -> References:
--- a/tests/kept/handovers.py
+++ b/tests/kept/handovers.py
@@ -17,10 +17,15 @@
     RecordOutage,
     SnapshotRestored,
 )
-from rainfall.net.client import Call, Item
-from rainfall.net.handover import Line, Link, Predecessor, Successor
-from rainfall.net.server import Asker, Handed
-from rainfall.wirehost import action
+from rainfall.forwarder.handover.roles import (
+    HandoverConnection,
+    HandoverMessage,
+    HandoverSource,
+    HandoverTarget,
+)
+from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
+from rainfall.forwarder.outbound.connection_pool import CallItem, OutboundCall
+from rainfall.wirehost import encode_action
 from tests.kept.forwarders import forwarder
 from tests.kept.journals import fixed_machine
 from tests.kept.references import References
@@ -37,8 +42,10 @@
     *(AttemptFinished("m3", n, 1, outcome, n) for n, outcome in enumerate(Outcome)),
 )
 HANDED = (
-    Handed("a1", "order", 7, 5_000_000, "idem", "line", "acme", True, b"\x00\xffbody"),
-    Handed("a2", "pay", 8, 6_000_000, None, None, None, False, b""),
+    SubmittedMessage(
+        "a1", "order", 7, 5_000_000, "idem", "line", "acme", True, b"\x00\xffbody"
+    ),
+    SubmittedMessage("a2", "pay", 8, 6_000_000, None, None, None, False, b""),
 )
 
 
@@ -62,7 +69,7 @@
 
     def __init__(self, name: str, notes: list[object]) -> None:
         self.name, self.notes = name, notes
-        self.left: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
         self.notes.append([self.name, status.value, text, headers])
@@ -71,48 +78,50 @@
 class OldEngine:
     """The engine of the process that serves: notes what the link asks of it."""
 
-    def __init__(self, memory: Line) -> None:
+    def __init__(self, memory: HandoverMessage) -> None:
         self.memory = memory
         self.notes: list[object] = []
-        self.predecessor = Predecessor(self)
+        self.predecessor = HandoverSource(self)
 
-    def hold(self, then: Callable[[Line | None], None]) -> None:
+    def pause_for_handover(
+        self, then: Callable[[HandoverMessage | None], None]
+    ) -> None:
         then(self.memory)
 
-    def resume(self) -> None:
+    def resume_after_handover(self) -> None:
         self.notes.append("resume")
 
-    def give(self) -> None:
+    def transfer_ownership(self) -> None:
         self.notes.append("give")
-        self.predecessor.yours()
+        self.predecessor.confirm_transfer()
 
-    def bereft(self) -> None:
+    def target_lost(self) -> None:
         self.notes.append("bereft")
 
-    def call_off(self, message: str, attempt: int) -> None:
+    def cancel_call(self, message: str, attempt: int) -> None:
         self.notes.append(["call off", message, attempt])
 
-    def reread(self) -> None:
+    def reload_inbound_settings(self) -> None:
         self.notes.append("reread")
 
 
 class NewEngine:
     """The engine of the process that takes over: notes what it hears."""
 
-    def __init__(self, successor: Successor) -> None:
+    def __init__(self, successor: HandoverTarget) -> None:
         self.successor = successor
         self.notes: list[object] = []
 
-    def hand_in(self, handed: Handed, door: Asker) -> None:
+    def submit(self, handed: SubmittedMessage, door: ResponseWriter) -> None:
         self.notes.append(["hand in", handed_table(handed)])
-        door.left = lambda: self.notes.append(["left", handed.id])
+        door.on_disconnect = lambda: self.notes.append(["left", handed.id])
         if handed.id == "a1":
             door.answer(HTTPStatus.SERVICE_UNAVAILABLE, "full", Retry_After="1")
 
-    def told_end(self, event: AttemptFinished) -> None:
+    def remote_attempt_finished(self, event: AttemptFinished) -> None:
         self.notes.append(["ended", ended_table(event)])
 
-    def rotate(
+    def set_detached(
         self, name: str, out: bool, answer: Callable[[HTTPStatus, str], None]
     ) -> None:
         self.notes.append(["rotate", name, out])
@@ -121,11 +130,11 @@
     def reload(self) -> None:
         self.notes.append("reload")
 
-    def alone(self) -> None:
+    def source_lost(self) -> None:
         self.notes.append("alone")
 
 
-def handed_table(h: Handed) -> dict[str, object]:
+def handed_table(h: SubmittedMessage) -> dict[str, object]:
     return {
         "id": h.id,
         "class": h.class_name,
@@ -163,7 +172,7 @@
             "target": a.endpoint,
             "times": [a.started_at_us, a.recovered_at_us],
         }
-    return action("n0", a)
+    return encode_action("n0", a)
 
 
 # What a dispatcher remembers
@@ -199,20 +208,24 @@
     }
 
 
-async def held() -> Line:
+async def held() -> HandoverMessage:
     """What a forwarder with such a dispatcher tells its successor."""
     with fixed_machine() as folder:
         engine = forwarder(folder)
         world = played()
         engine.dispatcher = world.d
-        engine.numbers, engine.numbered = {"h1": 1, "h2": 2, "gone": 3}, 3
-        engine.recent.update({"m90": None, "m91": None})
-        engine.pool.waits = {(10, -1): FAR_US, (11, 3): FAR_US + 1, (12, 1): 5}
-        item = Item("", 0, None, b"", 0)
+        engine.endpoint_ids, engine.last_endpoint_id = {"h1": 1, "h2": 2, "gone": 3}, 3
+        engine.recently_finished.update({"m90": None, "m91": None})
+        engine.pool.retry_after_until = {
+            (10, -1): FAR_US,
+            (11, 3): FAR_US + 1,
+            (12, 1): 5,
+        }
+        item = CallItem("", 0, None, b"", 0)
         for out in world.out:
-            call = Call(out.target, (0, -1), out.sent, [item])
+            call = OutboundCall(out.target, (0, -1), out.sent, [item])
             engine.pool.calls[out.message, out.attempt] = call
-        line = engine.held()
+        line = engine.handover_snapshot()
         assert line is not None
         return line
 
@@ -232,37 +245,39 @@
     return found
 
 
-async def old_side(memory: Line, from_new: bytes) -> tuple[bytes, list[object]]:
+async def old_side(
+    memory: HandoverMessage, from_new: bytes
+) -> tuple[bytes, list[object]]:
     """What the old process sends when it is sent these lines, and what it does."""
     engine = OldEngine(memory)
     predecessor, notes, told = engine.predecessor, engine.notes, by_word(from_new)
-    link = Link(predecessor.heard, predecessor.lost)
+    link = HandoverConnection(predecessor.on_message, predecessor.on_disconnect)
     link.transport = transport = RecordingTransport()
-    other = Link(predecessor.heard, predecessor.lost)
+    other = HandoverConnection(predecessor.on_message, predecessor.on_disconnect)
     other.transport = refused = RecordingTransport()
     link.data_received(told["ask"])
     other.data_received(told["ask"])
     link.data_received(told["prepared"])
     clients = [Client(handed.id, notes) for handed in HANDED]
     for handed, client in zip(HANDED, clients, strict=True):
-        predecessor.hand_in(handed, client)
-    leave = clients[1].left
+        predecessor.submit(handed, client)
+    leave = clients[1].on_disconnect
     assert leave is not None
     leave()
     for event in ENDED:
-        predecessor.ended(event)
+        predecessor.forward_outcome(event)
     rotate_client = Client("operator", notes)
-    predecessor.rotate("h1", True, rotate_client.answer)
+    predecessor.set_detached("h1", True, rotate_client.answer)
     predecessor.reload()
     for word in ("answer", "rotated", "cancel"):
         link.data_received(told[word])
     return transport.sent + refused.sent, notes
 
 
-async def new_side(from_old: bytes) -> tuple[bytes, list[object], Line]:
+async def new_side(from_old: bytes) -> tuple[bytes, list[object], HandoverMessage]:
     """What the new process sends when it is sent these lines, what it hears, and what
     it was told to remember."""
-    successor = Successor()
+    successor = HandoverTarget()
     successor.link.transport = transport = RecordingTransport()
     told = by_word(from_old)
     for word, answer in (("ask", "memory"), ("prepared", "yours")):
@@ -280,14 +295,14 @@
         successor.link.data_received(line)
     with fixed_machine() as folder:
         whole = forwarder(folder, successor)
-        message, attempt = next(iter(whole.remote))
-        whole.leave(True, {}, [CancelAttempt(message, attempt)])
-    return transport.sent, engine.notes, successor.memory
+        message, attempt = next(iter(whole.remote_calls))
+        whole.complete_round(True, {}, [CancelAttempt(message, attempt)])
+    return transport.sent, engine.notes, successor.snapshot
 
 
 async def refused(from_old: bytes) -> bool:
     """Whether a process that is told no goes on as if nobody served."""
-    successor = Successor()
+    successor = HandoverTarget()
     successor.link.transport = RecordingTransport()
     request = asyncio.create_task(successor.request("ask", 60.0))
     await asyncio.sleep(0)
@@ -295,20 +310,27 @@
     return not await request
 
 
-async def taken_up(memory: Line) -> dict[str, object]:
+async def taken_up(memory: HandoverMessage) -> dict[str, object]:
     """What a whole forwarder goes on with, from what it was told to remember."""
     with fixed_machine() as folder:
-        successor = Successor()
-        successor.memory = memory
+        successor = HandoverTarget()
+        successor.snapshot = memory
         engine = forwarder(folder, successor)
-        module = [e.snapshot for e in engine.events if isinstance(e, SnapshotRestored)]
+        module = [
+            e.snapshot for e in engine.pending_events if isinstance(e, SnapshotRestored)
+        ]
         return {
-            "numbers": engine.numbers,
-            "names": sorted([number, name] for number, name in engine.names.items()),
-            "numbered": engine.numbered,
-            "recent": list(engine.recent),
-            "waits": [[*place, until] for place, until in engine.pool.waits.items()],
-            "remote": [[*call, *sent] for call, sent in engine.remote.items()],
+            "numbers": engine.endpoint_ids,
+            "names": sorted(
+                [number, name] for number, name in engine.endpoint_names.items()
+            ),
+            "numbered": engine.last_endpoint_id,
+            "recent": list(engine.recently_finished),
+            "waits": [
+                [*place, until]
+                for place, until in engine.pool.retry_after_until.items()
+            ],
+            "remote": [[*call, *sent] for call, sent in engine.remote_calls.items()],
             "module": module,
         }
 
--- a/tests/kept/journals.py
+++ b/tests/kept/journals.py
@@ -15,12 +15,17 @@
 from unittest import mock
 
 from rainfall.dispatch import Idempotency, IdempotencyScope, MessageClass
+from rainfall.forwarder.message_store import MessageStore
 from rainfall.journal import recovery
 from rainfall.journal.__main__ import main as journal_tool
 from rainfall.journal.format import scan
-from rainfall.journal.recovery import Report
-from rainfall.journal.state import Owed, Rules, State, Taken
-from rainfall.net.store import Store
+from rainfall.journal.recovery import RecoveryReport
+from rainfall.journal.state import (
+    AcceptedMessage,
+    DeliveryRules,
+    JournalState,
+    PendingNotification,
+)
 from tests.disk import Hands
 from tests.kept.references import References
 
@@ -101,19 +106,24 @@
 def fixed_machine() -> Iterator[Path]:
     """A folder on a machine whose boot id and random numbers are always the same."""
     with TemporaryDirectory() as name:
-        boot_before, recovery.BOOT = recovery.BOOT, Path(name) / "boot_id"
-        recovery.BOOT.write_text("boot-1\n")
+        boot_before, recovery.BOOT_ID_FILE = (
+            recovery.BOOT_ID_FILE,
+            Path(name) / "boot_id",
+        )
+        recovery.BOOT_ID_FILE.write_text("boot-1\n")
         folder = Path(name) / "state"
         folder.mkdir()
         try:
             with mock.patch.object(secrets, "randbits", lambda bits: SALT):
                 yield folder
         finally:
-            recovery.BOOT = boot_before
+            recovery.BOOT_ID_FILE = boot_before
 
 
-def opened(folder: Path, write: bool = True, worker: Hands | None = None) -> Store:
-    return Store(folder, MOST_BYTES, write, base_us=BASE_US, worker=worker)
+def opened(
+    folder: Path, write: bool = True, worker: Hands | None = None
+) -> MessageStore:
+    return MessageStore(folder, MOST_BYTES, write, base_us=BASE_US, worker=worker)
 
 
 def host(number: int, share: float = 1.5) -> dict[str, object]:
@@ -140,43 +150,47 @@
     body: bytes = b"body",
     key: str | None = None,
     tenant: str | None = None,
-) -> Taken:
-    return Taken(name, class_name, 7, DUE_US, key, tenant, body, order_key)
+) -> AcceptedMessage:
+    return AcceptedMessage(name, class_name, 7, DUE_US, key, tenant, body, order_key)
 
 
-def fill(store: Store) -> None:
+def fill(store: MessageStore) -> None:
     """Append every kind of record that a forwarder writes, in a fixed order."""
-    store.settle(Rules(6, CLASSES))
-    store.list(3, hosts(9), START_US, "127.0.0.1:9")
-    store.list(4, {**hosts(9), "h2": host(2, 9.0)}, START_US, "127.0.0.1:9")
-    store.take(taken("live", "status", body=b"line\nline \xb7\x00", tenant="acme"))
-    store.take(taken("flying", "order", key="idem-1"))
-    store.take(taken("tried", "pay"))
-    store.take(taken("first", "turn", "line"))
-    store.take(taken("second", "turn", "line"))
+    store.use_rules(DeliveryRules(6, CLASSES))
+    store.append_endpoint_list(3, hosts(9), START_US, "127.0.0.1:9")
+    store.append_endpoint_list(
+        4, {**hosts(9), "h2": host(2, 9.0)}, START_US, "127.0.0.1:9"
+    )
+    store.append_message(
+        taken("live", "status", body=b"line\nline \xb7\x00", tenant="acme")
+    )
+    store.append_message(taken("flying", "order", key="idem-1"))
+    store.append_message(taken("tried", "pay"))
+    store.append_message(taken("first", "turn", "line"))
+    store.append_message(taken("second", "turn", "line"))
     for name in ("over", "returned", "told"):
-        store.take(taken(name, "status"))
+        store.append_message(taken(name, "status"))
     flying, tried = store.messages["flying"], store.messages["tried"]
-    store.attempt(flying, 0, START_US, "h1")
-    store.attempt(tried, 0, START_US + 1, "h2")
-    store.outcome(flying, 0, True)
-    store.outcome(tried, 0, False)
-    store.attempt(flying, 1, START_US + 2, "h3")
-    store.attempt(store.messages["over"], 0, START_US + 3, "h4")
-    store.over("over")
-    store.owe("first", "failed", 0)
-    store.owe("returned", "returned", 250)
-    store.owe("told", "failed", 0)
-    store.told("told")
-    store.outage("h5", START_US, -1)
-    store.outage("h6", START_US, START_US + 4)
-    store.outage("h7", START_US, START_US + 4)
-    store.outage("h7", -1, -1)
-    store.rotate("h1", True)
-    store.rotate("h2", True)
-    store.rotate("h2", False)
-    store.settle(Rules(7, CLASSES[:2]))
-    store.take(taken("late", "order"))
+    store.append_attempt(flying, 0, START_US, "h1")
+    store.append_attempt(tried, 0, START_US + 1, "h2")
+    store.append_outcome(flying, 0, True)
+    store.append_outcome(tried, 0, False)
+    store.append_attempt(flying, 1, START_US + 2, "h3")
+    store.append_attempt(store.messages["over"], 0, START_US + 3, "h4")
+    store.append_finished("over")
+    store.append_notification("first", "failed", 0)
+    store.append_notification("returned", "returned", 250)
+    store.append_notification("told", "failed", 0)
+    store.append_acknowledgement("told")
+    store.append_outage("h5", START_US, -1)
+    store.append_outage("h6", START_US, START_US + 4)
+    store.append_outage("h7", START_US, START_US + 4)
+    store.append_outage("h7", -1, -1)
+    store.append_detached("h1", True)
+    store.append_detached("h2", True)
+    store.append_detached("h2", False)
+    store.use_rules(DeliveryRules(7, CLASSES[:2]))
+    store.append_message(taken("late", "order"))
     store.flush()
 
 
@@ -192,11 +206,11 @@
         made: References = {"journal-2": journal_of(folder)}
         store.compact()
         made["journal-2-checkpoint"] = journal_of(folder)
-        store.rotate("h3", True)
+        store.append_detached("h3", True)
         store.close()
         made["journal-2-closed"] = journal_of(folder)
         store = opened(folder)
-        store.rotate("h4", True)
+        store.append_detached("h4", True)
         store.flush()
         made["journal-2-again"] = journal_of(folder)
     return made
@@ -218,7 +232,7 @@
     """A list of so many hosts that its record is compressed."""
     with fixed_machine() as folder:
         store = opened(folder)
-        store.list(5, hosts(600), START_US, "127.0.0.1:9")
+        store.append_endpoint_list(5, hosts(600), START_US, "127.0.0.1:9")
         store.flush()
         return {"journal-2-long-list": journal_of(folder)}
 
@@ -245,22 +259,22 @@
         return {"journal-1-as-2": journal_of(folder)}
 
 
-def message_table(m: Taken) -> dict[str, object]:
+def message_table(m: AcceptedMessage) -> dict[str, object]:
     return {
         "id": m.id,
         "class": m.class_name,
         "destination": m.destination,
-        "due": m.due_us,
-        "key": m.key,
+        "due": m.deadline_us,
+        "key": m.idempotency_key,
         "tenant": m.tenant,
         "body": m.body.decode("latin-1"),
         "order key": m.order_key,
         "attempts": m.attempts,
-        "ran at": m.ran_at_us,
-        "ran on": m.ran_on,
-        "out": [[number, at, host] for number, (at, host) in m.out.items()],
-        "rules": m.rules,
-        "doubt": m.doubt,
+        "ran at": m.executed_at_us,
+        "ran on": m.executed_on,
+        "out": [[number, at, host] for number, (at, host) in m.in_flight.items()],
+        "rules": m.rules_number,
+        "doubt": m.in_doubt,
     }
 
 
@@ -278,7 +292,7 @@
     }
 
 
-def owed_table(owed: Owed) -> dict[str, object]:
+def owed_table(owed: PendingNotification) -> dict[str, object]:
     return {
         "state": owed.state,
         "after": owed.after_ms,
@@ -286,7 +300,7 @@
     }
 
 
-def report_table(r: Report) -> dict[str, object]:
+def report_table(r: RecoveryReport) -> dict[str, object]:
     return {
         "version": r.version,
         "records": r.records,
@@ -306,10 +320,12 @@
     }
 
 
-def state_table(s: State) -> dict[str, object]:
+def state_table(s: JournalState) -> dict[str, object]:
     return {
         "messages": [message_table(m) for m in s.messages.values()],
-        "owed": {name: owed_table(end) for name, end in s.owed.items()},
+        "owed": {
+            name: owed_table(end) for name, end in s.pending_notifications.items()
+        },
         "outages": {name: list(times) for name, times in s.outages.items()},
         "hosts": s.hosts,
         "detached": list(s.detached),
@@ -317,10 +333,10 @@
             [number, rules.attempts, [class_table(c) for c in rules.classes]]
             for number, rules in s.rules.items()
         ],
-        "current rules": s.current,
+        "current rules": s.current_rules_number,
         "list": [s.seq, s.source],
         "clock": list(s.clock or ()),
-        "closed": s.closed,
+        "closed": s.closed_cleanly,
     }
 
 
--- a/tests/kept/members.py
+++ b/tests/kept/members.py
@@ -13,13 +13,13 @@
 from unittest import mock
 
 from rainfall.dispatch import QuotaChanged
-from rainfall.lease.token import Token
-from rainfall.net.address import Address
-from rainfall.net.discovery import Client
-from rainfall.net.fleet import Fleet
-from rainfall.net.fleet_books import Books
-from rainfall.net.fleet_file import Keep, Records
-from rainfall.net.http import ResponseReader
+from rainfall.forwarder.config.address import Address
+from rainfall.forwarder.discovery.endpoint_watch import HttpClient
+from rainfall.forwarder.fleet.member import FleetMember
+from rainfall.forwarder.fleet.quotas import FleetQuotas
+from rainfall.forwarder.fleet.state_file import QuotaRecords, StateFile
+from rainfall.forwarder.http1 import ResponseReader
+from rainfall.lease.fencing_token import Token
 from tests.kept.forwarders import FLEET, forwarder
 from tests.kept.journals import fixed_machine
 from tests.kept.references import References
@@ -57,7 +57,7 @@
         yield folder, clock
 
 
-class ScriptedClient(Client):
+class ScriptedClient(HttpClient):
     """Answers each call with the next of its answers and notes what was asked."""
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
         self.answers: list[tuple[int, bytes]] = []
         self.asked: list[tuple[str, str, str]] = []
 
-    async def ask(
+    async def request(
         self, method: str, path: str, timeout_s: float, body: bytes = b""
     ) -> ResponseReader:
         self.asked.append((method, path, body.decode()))
@@ -113,18 +113,18 @@
     return [*numbers, event.expires_at_us, event.reserve_calls, spent]
 
 
-def books_table(books: Books, now_us: int) -> dict[str, object]:
+def books_table(books: FleetQuotas, now_us: int) -> dict[str, object]:
     return {
-        "figures": books.figures(now_us),
-        "keeps": books.keeps(),
+        "figures": books.metrics(now_us),
+        "keeps": books.known_reserves(),
         "module": [
-            share_table(books.event(destination, now_us, 1_000))
+            share_table(books.quota_event(destination, now_us, 1_000))
             for destination in sorted(books.accounts)
         ],
     }
 
 
-def fleet_of(folder: Path) -> Fleet:
+def fleet_of(folder: Path) -> FleetMember:
     fleet = forwarder(folder, fleet=FLEET).fleet
     assert fleet is not None
     return fleet
@@ -134,19 +134,21 @@
     """Each heartbeat with its answer, the figures after it, and the files."""
     with fixed_member() as (folder, clock):
         fleet, client = fleet_of(folder), ScriptedClient()
-        fleet.write(fleet.books.standing())
+        fleet.write_state(fleet.quotas.records())
         files: References = {"fleet-file-start": (folder / "fleet.json").read_bytes()}
         rounds: list[object] = []
         for number, answer in enumerate(ANSWERS):
             client.answers.append(answer)
-            fleet.wanted(7, "order", "acme")
-            fleet.wanted(8 + number, "pay", None)
-            await fleet.beat(client)
+            fleet.record_demand(7, "order", "acme")
+            fleet.record_demand(8 + number, "pay", None)
+            await fleet.send_heartbeat(client)
             clock.now_us += 600_000
             for _ in range(3):
                 clock.now_us += 1_000
-                fleet.books.leaves(7, clock.now_us)
-            rounds.append([client.asked[-1], answer[1].decode(), fleet.told()])
+                fleet.quotas.acquire_permit(7, clock.now_us)
+            rounds.append(
+                [client.asked[-1], answer[1].decode(), fleet.metrics_report()]
+            )
             if number == 2:
                 name = "fleet-file-standing"
                 files[name] = (folder / "fleet.json").read_bytes()
@@ -164,17 +166,17 @@
         (folder / "fleet.json").write_bytes(data)
         clock.now_us += 7_000_000
         fleet, client = fleet_of(folder), ScriptedClient()
-        table = books_table(fleet.books, clock.now_us)
-        fleet.books.kept = True
-        leaves = [fleet.books.leaves(7, clock.now_us) for _ in range(6)]
+        table = books_table(fleet.quotas, clock.now_us)
+        fleet.quotas.persisted = True
+        leaves = [fleet.quotas.acquire_permit(7, clock.now_us) for _ in range(6)]
         client.answers.append((503, b""))
-        await fleet.beat(client)
-        shown = [fleet.shown.epoch, fleet.shown.number]
+        await fleet.send_heartbeat(client)
+        shown = [fleet.previous_token.epoch, fleet.previous_token.number]
         more = {"shown": shown, "leaves": leaves, "beat": client.asked[-1][2]}
         return table | more
 
 
-def many_records() -> Records:
+def many_records() -> QuotaRecords:
     """So many that their file is compressed."""
     record = {"form": 1, "token": [3, 17], "number": 6, "reserve": 5, "whole": 100}
     return {n: {**record, "span_us": 500_000, "slack_us": 5_000} for n in range(700)}
@@ -182,15 +184,15 @@
 
 def long_file() -> bytes:
     with fixed_member() as (folder, _):
-        keep = Keep(folder, False)
-        keep.write(*keep.made(Token(3, 17), many_records()))
+        keep = StateFile(folder, False)
+        keep.write(*keep.encode(Token(3, 17), many_records()))
         return (folder / "fleet.json").read_bytes()
 
 
-def read_file(data: bytes) -> tuple[Token, Records]:
+def read_file(data: bytes) -> tuple[Token, QuotaRecords]:
     with fixed_member() as (folder, _):
         (folder / "fleet.json").write_bytes(data)
-        return Keep(folder, False).read()
+        return StateFile(folder, False).read()
 
 
 async def made_async() -> References:
--- a/tests/kept/operators.py
+++ b/tests/kept/operators.py
@@ -15,15 +15,15 @@
 from unittest import mock
 
 from rainfall.dispatch import RejectMessage, Settings
-from rainfall.net.admin import Admin
-from rainfall.net.client import Call, Item
-from rainfall.net.client_connection import BadRequest, Request
-from rainfall.net.discovery import post_body
-from rainfall.net.logjson import install
-from rainfall.net.server import Handed, message
-from rainfall.net.store import Owed
-from rainfall.registry.__main__ import logs as install_registry_log
-from rainfall.wirehost import settings
+from rainfall.forwarder.admin.admin_server import AdminServer
+from rainfall.forwarder.discovery.endpoint_watch import encode_notifications
+from rainfall.forwarder.inbound.client_connection import BadRequestError, Request
+from rainfall.forwarder.inbound.server import SubmittedMessage, parse_message
+from rainfall.forwarder.json_logging import install_json_logging
+from rainfall.forwarder.message_store import PendingNotification
+from rainfall.forwarder.outbound.connection_pool import CallItem, OutboundCall
+from rainfall.registry.__main__ import configure_logging as install_registry_log
+from rainfall.wirehost import parse_settings
 from tests.kept import members, registries
 from tests.kept.forwarders import FLEET, forwarder, told_config
 from tests.kept.handovers import Client, handed_table
@@ -93,7 +93,7 @@
 async def operators_calls() -> References:
     """Answers to operators, and the keys of the figures."""
     calls: list[object] = []
-    admin, figures = Admin(), dict[str, object]()
+    admin, figures = AdminServer(), dict[str, object]()
 
     def call(method: str, path: str, body: bytes = b"") -> None:
         def answered(status: HTTPStatus, text: str) -> None:
@@ -123,7 +123,7 @@
         mock.patch.dict(os.environ, {"LB_STATE": str(folder)}),
     ):
         engine = forwarder(folder, fleet=FLEET)
-        admin.operated, engine.frozen = engine, True
+        admin.engine, engine.frozen = engine, True
         call("GET", "/_ready")
         call("POST", "/_endpoints/detach", b"h1")
         engine.serving = True
@@ -164,19 +164,25 @@
 
 async def message_lines() -> list[object]:
     """The lines of a message's life, and of the fleet."""
-    with json_log(lambda: install("n0")) as printed:
+    with json_log(lambda: install_json_logging("n0")) as printed:
         with fixed_machine() as folder:
             engine = forwarder(folder, fleet=FLEET)
             due_us = engine.clock() + 50_000_000
-            handed = Handed("m1", "order", 7, due_us, "k", None, "acme", False, b"")
-            engine.hand_in(handed, Client("m1", []))
-            engine.store.take(taken("m2", "pay"))
-            engine.untried(RejectMessage("m2", 5, reason="too late"), DUE_US - 20_000)
-            item = Item("m1", 2, "k", b"", due_us)
-            engine.left(Call(1, (7, -1), 5, [item], open={"m1": item}))
-            engine.ended("m1", "delivered")
+            handed = SubmittedMessage(
+                "m1", "order", 7, due_us, "k", None, "acme", False, b""
+            )
+            engine.submit(handed, Client("m1", []))
+            engine.store.append_message(taken("m2", "pay"))
+            engine.count_unattempted(
+                RejectMessage("m2", 5, reason="too late"), DUE_US - 20_000
+            )
+            item = CallItem("m1", 2, "k", b"", due_us)
+            engine.on_call_sent(
+                OutboundCall(1, (7, -1), 5, [item], open_items={"m1": item})
+            )
+            engine.remember_finished("m1", "delivered")
             engine.serving = engine.frozen = True
-            engine.rotate("h1", True, lambda status, text: None)
+            engine.set_detached("h1", True, lambda status, text: None)
         await members.beaten()
     return list(log_lines(printed.getvalue()))
 
@@ -202,7 +208,10 @@
     "x-session-key": "line",
     "x-repeat": "1",
 }
-OWED = {"m1": Owed("failed", 0), "m2": Owed("returned", 250, "line")}
+OWED = {
+    "m1": PendingNotification("failed", 0),
+    "m2": PendingNotification("returned", 250, "line"),
+}
 
 
 def asked_of_clients() -> list[object]:
@@ -216,8 +225,8 @@
     made: list[object] = []
     for request in requests:
         try:
-            made.append(handed_table(message(request, settings(SETTINGS))))
-        except BadRequest as error:
+            made.append(handed_table(parse_message(request, parse_settings(SETTINGS))))
+        except BadRequestError as error:
             made.append([str(part) for part in error.args])
     return made
 
@@ -230,12 +239,17 @@
     with fixed_machine() as folder:
         pool = forwarder(folder).pool
         pool.clock = lambda: 0
-        items = [Item("m1", 0, "k", b"\x00\xff", 0), Item("m2", 1, None, b"x", 0)]
+        items = [
+            CallItem("m1", 0, "k", b"\x00\xff", 0),
+            CallItem("m2", 1, None, b"x", 0),
+        ]
         data = b""
         for some in (items[:1], items[1:], items):
             opened = {item.id: item for item in some}
-            data += pool.render(Call(1, (7, -1), 0, some, 2_500_000, open=opened))
-        names, body = post_body(OWED)
+            data += pool.render(
+                OutboundCall(1, (7, -1), 0, some, 2_500_000, open_items=opened)
+            )
+        names, body = encode_notifications(OWED)
         assert names == list(OWED)
         return data + body
 
@@ -316,7 +330,7 @@
 
 
 def settings_read() -> list[object]:
-    return [settings_table(settings(facts)) for facts in (SETTINGS, FACTS)]
+    return [settings_table(parse_settings(facts)) for facts in (SETTINGS, FACTS)]
 
 
 async def made_async() -> References:
--- a/tests/kept/registries.py
+++ b/tests/kept/registries.py
@@ -11,15 +11,15 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from rainfall.lease.terms import Terms
-from rainfall.registry import plans
-from rainfall.registry.book import LEASE
-from rainfall.registry.bounds import Bounds
-from rainfall.registry.disk import Disk
-from rainfall.registry.parts import Parts, lead
-from rainfall.registry.server import Service
-from rainfall.shard.check import checked
-from rainfall.shard.maps import hexed
+from rainfall.lease.types import LeaseSettings
+from rainfall.registry import plan_scheduler
+from rainfall.registry.fleet_log import LEASE_TABLE
+from rainfall.registry.fleet_services import FleetServices, start_fleet_services
+from rainfall.registry.limits import Limits
+from rainfall.registry.server import RegistryServer
+from rainfall.registry.storage import Storage
+from rainfall.shard.map_validation import checked_map
+from rainfall.shard.shard_map import format_key
 from tests.kept.members import MachineClock
 from tests.kept.references import References
 from tests.sockets import read_message
@@ -63,8 +63,8 @@
 class Run:
     """A service in this process, and its calls until now."""
 
-    service: Service
-    parts: Parts
+    service: RegistryServer
+    parts: FleetServices
     clock: MachineClock
     ports: dict[str, int]
     calls: list[object] = field(default_factory=list)
@@ -91,8 +91,10 @@
     async def settle(self) -> None:
         """Until all that is due is planned and written."""
         for _ in range(2):
-            self.parts.fleet.plans.soon(0)
-            await asyncio.wait({self.parts.fleet.plans.next()}, timeout=0.6)
+            self.parts.fleet.plan_scheduler.schedule_soon(0)
+            await asyncio.wait(
+                {self.parts.fleet.plan_scheduler.next_plan_written()}, timeout=0.6
+            )
 
     async def beat(
         self,
@@ -111,15 +113,19 @@
 @contextlib.asynccontextmanager
 async def running(folder: Path) -> AsyncIterator[Run]:
     clock = MachineClock(0)
-    disk = Disk(folder)
+    disk = Storage(folder)
     registry, had = disk.load()
-    service = Service(disk, registry, lambda: WALL_MS, Bounds(), lambda: clock.now_us)
-    plan_s_before, plans.PLAN_S = plans.PLAN_S, 0.01
+    service = RegistryServer(
+        disk, registry, lambda: WALL_MS, Limits(), lambda: clock.now_us
+    )
+    plan_s_before, plan_scheduler.PLAN_DELAY_S = plan_scheduler.PLAN_DELAY_S, 0.01
     try:
         if not had:
-            await service.begin()
-        terms = Terms(0.02, 1_000, LEASE_US)
-        parts = await lead(service, terms, LEASE_US, reserves_known=not had)
+            await service.begin_history()
+        terms = LeaseSettings(0.02, 1_000, LEASE_US)
+        parts = await start_fleet_services(
+            service, terms, LEASE_US, reserves_known=not had
+        )
         ports = {
             "list": await service.listen("127.0.0.1", 0, False),
             "write": await parts.listen_write("127.0.0.1", 0),
@@ -128,7 +134,7 @@
         yield Run(service, parts, clock, ports)
         await service.stop()
     finally:
-        plans.PLAN_S = plan_s_before
+        plan_scheduler.PLAN_DELAY_S = plan_s_before
 
 
 async def play(run: Run) -> None:
@@ -169,7 +175,7 @@
     await run.call("list", "GET", "/discovery/hosts?from=x&epoch=-1&hold_ms=y")
     notice = b'{"id":"m1","state":"failed"}\n{"id":"m2","state":"returned"}\n'
     await run.call("list", "POST", "/v1/notices", notice)
-    while not run.service.disk.notice_count:
+    while not run.service.storage.next_notice_number:
         await asyncio.sleep(0.001)
     await run.call("list", "POST", "/v1/notices", b'{"state":"failed"}\n{"id":1}\n')
     await run.call("write", "GET", "/v1/notices?from=1&most=1")
@@ -195,7 +201,7 @@
     await run.call("write", "PUT", "/v1/map", HALVES, "0")
     await run.call("write", "PUT", "/v1/map", HALVES, "7")
     await run.beat("f1", f1, 12, needs | {"map": 0})
-    digest = hexed(checked(HALVES).digest())
+    digest = format_key(checked_map(HALVES).digest())
     has: dict[str, object] = {"map": 1, "digest": digest}
     told = await run.beat("f1", f1, 13, needs | has)
     await run.beat("f2", f2, 12, {"needs": {"7": 9}} | has)
@@ -270,9 +276,11 @@
                 f"registry-log-{file}": data for file, data in folder_of(folder).items()
             }
             fleet = run.parts.fleet
-            riders = {name: rider.snapshot() for name, rider in fleet.riders.items()}
-            run.service.disk.snapshot(run.service.registry)
-            fleet.book.rewrite({LEASE: fleet.table.snapshot(), **riders})
+            riders = {
+                name: rider.snapshot() for name, rider in fleet.extensions.items()
+            }
+            run.service.storage.write_snapshot(run.service.registry)
+            fleet.fleet_log.compact({LEASE_TABLE: fleet.table.snapshot(), **riders})
             parts |= {
                 f"registry-snapshot-{file}": data
                 for file, data in folder_of(folder).items()
--- a/tests/kept/shards.py
+++ b/tests/kept/shards.py
@@ -9,8 +9,8 @@
 from tempfile import TemporaryDirectory
 
 from rainfall.shard.__main__ import main as shard_tool
-from rainfall.shard.check import checked
-from rainfall.shard.maps import decode, hexed
+from rainfall.shard.map_validation import checked_map
+from rainfall.shard.shard_map import decode_json, format_key
 from tests.kept.references import References
 
 TOP = "f" * 16
@@ -66,9 +66,9 @@
     """Each map as it is read: generation, digest, who owns some keys."""
     told: list[object] = []
     for name, data in files.items():
-        read = checked(decode(data))
+        read = checked_map(decode_json(data))
         owners = [read.owner(key << 60) for key in range(16)]
-        told.append([name, read.generation, hexed(read.digest()), owners])
+        told.append([name, read.generation, format_key(read.digest()), owners])
     return told
 
 
--- a/tests/kept/test_journals.py
+++ b/tests/kept/test_journals.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rainfall.journal.state import State
+from rainfall.journal.state import JournalState
 from tests.kept import journals
 from tests.kept.references import as_read, kept_bytes, kept_value
 
@@ -26,14 +26,14 @@
 def test_a_long_list_is_read_and_written_compressed() -> None:
     """Of the compressed record the contents count: the bytes are zlib's."""
     data = kept_bytes("journal-2-long-list")
-    read, again = State(), State()
+    read, again = JournalState(), JournalState()
     for payload in journals.payloads(data):
-        read.read(payload.encode("latin-1"))
+        read.apply_record(payload.encode("latin-1"))
     fresh = journals.written_long_list()["journal-2-long-list"]
     assert isinstance(fresh, bytes)
     for payload in journals.payloads(fresh):
-        again.read(payload.encode("latin-1"))
-    assert not read.unknown and any(
+        again.apply_record(payload.encode("latin-1"))
+    assert not read.unknown_records and any(
         payload.startswith('["p"]\n') for payload in journals.payloads(fresh)
     )
     assert (read.seq, read.source) == (5, "127.0.0.1:9")
--- a/tests/kept/test_members.py
+++ b/tests/kept/test_members.py
@@ -9,7 +9,7 @@
 import pytest
 
 from rainfall.peer.frames import AnyFrame
-from rainfall.session.words import AnyRecord
+from rainfall.session.protocol import AnyRecord
 from tests.kept import frames, members
 from tests.kept.references import as_read, kept_bytes, kept_value
 
--- a/tests/kept/test_operators.py
+++ b/tests/kept/test_operators.py
@@ -6,7 +6,7 @@
 import json
 
 from rainfall.dispatch import Action, RecordOutage
-from rainfall.wirehost import LISTS, OUTCOMES, STATES
+from rainfall.wirehost import ENDPOINT_STATE_BY_WORD, LIST_KIND_BY_WORD, OUTCOME_BY_WORD
 from tests.kept import operators, wires
 from tests.kept.references import as_read, kept_bytes, kept_value
 
@@ -50,7 +50,7 @@
         "TABLE UP DOWN MEMBERS ASK CLOSED_ATTEMPT CHECK_RESULT CLIENT_LEFT "
         "DEADLINE_HIT NEVER_HEARD".split()
     )
-    for word in (*OUTCOMES, *STATES, *LISTS):
+    for word in (*OUTCOME_BY_WORD, *ENDPOINT_STATE_BY_WORD, *LIST_KIND_BY_WORD):
         assert f'"{word}"' in sent, word
     answered = wires.types_in(kept_bytes("wire-output").decode(), "do")
     assert answered == set(
--- a/tests/kept/wires.py
+++ b/tests/kept/wires.py
@@ -18,7 +18,7 @@
     SetTimer,
     SubscribeEndpointList,
 )
-from rainfall.wirehost import Host, action, serve
+from rainfall.wirehost import WireHost, encode_action, serve
 from tests.kept.references import References
 from tests.sockets import SETTINGS
 
@@ -91,7 +91,7 @@
 
 def input_lines() -> list[str]:
     """What a simulator might send, in answer to what it is sent."""
-    r, host, now, number = Random(SEED), Host(), 0, 0
+    r, host, now, number = Random(SEED), WireHost(), 0, 0
     out: list[tuple[int, Event]] = []
     tries: dict[str, int] = {}
     lines: list[str] = []
@@ -108,7 +108,7 @@
         inbox += [event for at, event in out if at <= now]
         out = [(at, event) for at, event in out if at > now]
         lines.append(json.dumps({"clock_us": now, "inbox": inbox}))
-        for done in json.loads(host.batch(lines[-1]))["do"]:
+        for done in json.loads(host.handle_line(lines[-1]))["do"]:
             if done["type"] == "ISSUE":
                 out.append(ended(r, now, done, tries))
             elif done["type"] == "ABANDON":
@@ -143,7 +143,7 @@
 
 
 def actions() -> list[object]:
-    return [action("forwarder/0", a) for a in ACTIONS]
+    return [encode_action("forwarder/0", a) for a in ACTIONS]
 
 
 def types_in(text: str, key: str) -> set[str]:
--- a/tests/riders.py
+++ b/tests/riders.py
@@ -15,15 +15,15 @@
 
 import pytest
 
-from rainfall.budget.terms import window
-from rainfall.lease.terms import Terms
-from rainfall.lease.token import NEVER, Token
-from rainfall.registry import plans
-from rainfall.registry.bounds import Bounds
-from rainfall.registry.parts import lead
-from rainfall.shard.maps import hexed, span_from, span_text
-from rainfall.shard.moves import Hold
-from rainfall.shard.owned import Owned
+from rainfall.budget.types import reuse_window_us
+from rainfall.lease.fencing_token import ZERO_TOKEN, Token
+from rainfall.lease.types import LeaseSettings
+from rainfall.registry import plan_scheduler
+from rainfall.registry.fleet_services import start_fleet_services
+from rainfall.registry.limits import Limits
+from rainfall.shard.migration import RangeHold
+from rainfall.shard.ownership import RangeOwnership
+from rainfall.shard.shard_map import format_key, format_range, parse_range
 from tests.test_registry_bounds import Clock, Run, told
 
 TTL, DRIFT, SPAN, SLACK = 1_000_000, 0.02, 400_000, 5_000
@@ -44,9 +44,9 @@
 
     async def up(self, **more: Any) -> Whole:
         if not self.had:
-            await self.service.begin()
-        self.parts: Any = await lead(
-            self.service, Terms(DRIFT, 1_000, TTL), TTL, **more
+            await self.service.begin_history()
+        self.parts = await start_fleet_services(
+            self.service, LeaseSettings(DRIFT, 1_000, TTL), TTL, **more
         )
         self.write = await self.parts.listen_write("127.0.0.1", 0)
         self.fleet = await self.parts.listen_fleet("127.0.0.1", 0)
@@ -71,8 +71,10 @@
     async def settle(self) -> None:
         """Let all that is due by the clock be planned and written."""
         for _ in range(2):
-            self.parts.fleet.plans.soon(0)
-            await asyncio.wait({self.parts.fleet.plans.next()}, timeout=0.6)
+            self.parts.fleet.plan_scheduler.schedule_soon(0)
+            await asyncio.wait(
+                {self.parts.fleet.plan_scheduler.next_plan_written()}, timeout=0.6
+            )
 
 
 class Process:
@@ -85,26 +87,26 @@
     ) -> None:
         self.name, self.rate, self.clock = name, rate, clock
         self.run = f"{name}-{next(RUNS)}"
-        self.token, self.shown = NEVER, before.known() if before else NEVER
-        self.seen = before.seen if before else NEVER  # its folder keeps it
+        self.token, self.shown = ZERO_TOKEN, before.known() if before else ZERO_TOKEN
+        self.seen = before.seen if before else ZERO_TOKEN  # its folder keeps it
         self.share: dict[str, Any] = {
             "calls": 0,
             "number": 0,
             "reserve": before.share["reserve"] if before else 0,
         }
         self.until = 0
-        self.idle = self.own() + window(
+        self.idle = self.own() + reuse_window_us(
             SPAN, SLACK, DRIFT
         )  # what was sent before it is not known
         self.sent: list[tuple[int, int, int]] = []
-        self.owned: Any = Owned(name)
+        self.owned = RangeOwnership(name)
         self.need = 0
 
     def own(self) -> int:
         return int(self.clock.us * self.rate)
 
     def known(self) -> Token:
-        return self.token if self.token != NEVER else self.shown
+        return self.token if self.token != ZERO_TOKEN else self.shown
 
     def most(self) -> int:
         """Calls in a span that it may act on at this moment, or could if it were
@@ -115,31 +117,31 @@
         )
 
     def send(self) -> None:
-        now, span = self.own(), window(SPAN, SLACK, DRIFT)
+        now, span = self.own(), reuse_window_us(SPAN, SLACK, DRIFT)
         count = self.most() - sum(n for _, at, n in self.sent if at > now - span)
         if now >= self.idle and count > 0:
             self.sent.append((self.clock.us, now, count))
 
     def body(self) -> dict[str, Any]:
-        word = self.owned.word()
-        joins = self.token == NEVER
+        word = self.owned.next_report()
+        joins = self.token == ZERO_TOKEN
         return {
             "name": self.name,
             "site": "a",
             "dial": "h:1",
             "run": self.run,
             "sent": word.sent,
-            "token": None if joins else self.token.told(),
-            "seen": self.seen.told(),
+            "token": None if joins else self.token.to_wire(),
+            "seen": self.seen.to_wire(),
             **(
-                {"shown": self.shown.told(), "keeps": {"7": self.share["reserve"]}}
-                if joins and self.shown != NEVER
+                {"shown": self.shown.to_wire(), "keeps": {"7": self.share["reserve"]}}
+                if joins and self.shown != ZERO_TOKEN
                 else {}
             ),
             "needs": {"7": self.need},
             "map": word.generation,
-            "digest": hexed(word.digest),
-            "gave": [span_text(*span) for span in word.gave],
+            "digest": format_key(word.digest),
+            "gave": [format_range(*span) for span in word.given_up],
             "holds": {"7": [self.share["calls"], self.share["number"]]}
             if self.share["number"]
             else {},
@@ -147,7 +149,7 @@
 
     async def beat(self, run: Whole, lost: bool = False, drain: bool = True) -> int:
         if drain:
-            self.owned.drained(self.owned.frozen())
+            self.owned.mark_drained(self.owned.frozen_ranges())
         asked, body = self.own(), self.body()
         status, answer = await run.call("POST", "/v1/fleet/beat", body, port=run.fleet)
         if not lost:
@@ -155,40 +157,42 @@
         return status
 
     def heard(self, status: int, answer: Any, asked: int, sent: int) -> None:
-        if status == 409 and answer["error"] == "lost" and self.token != NEVER:
-            self.shown, self.token, self.until = self.token, NEVER, 0
+        if status == 409 and answer["error"] == "lost" and self.token != ZERO_TOKEN:
+            self.shown, self.token, self.until = self.token, ZERO_TOKEN, 0
             self.share = {**self.share, "number": 0}
-            self.owned.lost()
+            self.owned.on_lease_lost()
         assert status in (200, 507) or (
             status == 409 and answer["error"] in ("lost", "held")
         ), answer
         if status != 200:
             return
         token, until_own = (
-            Token.of(answer["token"]),
+            Token.from_wire(answer["token"]),
             asked + int(answer["ttl_ms"] * 1_000 * (1 - DRIFT)),
         )
         if token != self.token:
             self.token = token
             self.run += "+"
-            self.owned.joined(token, until_own)
+            self.owned.on_joined(token, until_own)
         self.seen = max(
             self.seen,
             token,
             Token(answer["list"][0], 0),
-            *(Token.of(r["token"]) for r in answer["ranges"]),
+            *(Token.from_wire(r["token"]) for r in answer["ranges"]),
         )
         if "7" in answer["shares"]:
             assert answer["shares"]["7"]["number"] >= self.share["number"]
             self.share, self.until = answer["shares"]["7"], until_own
         if "shards" in answer:
-            assert not self.owned.adopt(answer["shards"])
-        self.owned.answered(
+            assert not self.owned.adopt_map(answer["shards"])
+        self.owned.apply_answer(
             token,
             sent,
             answer["map"],
             [
-                Hold(*span_from(r["keys"]), Token.of(r["token"]), r["begun"])
+                RangeHold(
+                    *parse_range(r["keys"]), Token.from_wire(r["token"]), r["begun"]
+                )
                 for r in answer["ranges"]
             ],
             until_own,
@@ -211,7 +215,7 @@
         )  # what a resource that is guarded by key has seen
 
     async def start(self) -> None:
-        self.run = await Whole(self.folder, Bounds(), self.clock).up()
+        self.run = await Whole(self.folder, Limits(), self.clock).up()
 
     async def stop(self, kill: bool) -> None:
         self.run.files.failing = kill  # what waits is not written then
@@ -235,9 +239,9 @@
         spent = [*self.gone, *(s for p in self.all for s in p.sent)]
         assert sum(n for at, _, n in spent if at > now - SPAN) <= max(self.wholes), now
         acting = [
-            (*own.span, own.hold.token)
+            (*own.key_range, own.hold.token)
             for p in self.all
-            for own in p.owned.holding(p.own())
+            for own in p.owned.held_ranges(p.own())
         ]
         assert not any(
             a <= last and first <= b
@@ -256,7 +260,7 @@
         return {
             "generation": generation,
             "ranges": [
-                {"from": hexed(first), "to": hexed(last - 1), "owner": owner}
+                {"from": format_key(first), "to": format_key(last - 1), "owner": owner}
                 for first, last, owner in zip(
                     cuts, [*cuts[1:], TOP + 1], owners, strict=True
                 )
@@ -277,8 +281,10 @@
                 "POST",
                 "/v1/map/move",
                 {
-                    "from": hexed(first),
-                    "to": hexed(min(first + (self.rng.randrange(1, 5) << 60), TOP)),
+                    "from": format_key(first),
+                    "to": format_key(
+                        min(first + (self.rng.randrange(1, 5) << 60), TOP)
+                    ),
                     "owner": self.rng.choice(self.here).name,
                 },
             )
@@ -340,13 +346,13 @@
     """A service and processes by hand, past the waits of a start."""
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(plans, "PLAN_S", 0.002)
-        monkeypatch.setattr(plans, "RETRY_S", 0.02)
+        monkeypatch.setattr(plan_scheduler, "PLAN_DELAY_S", 0.002)
+        monkeypatch.setattr(plan_scheduler, "RETRY_DELAY_S", 0.02)
         self.world = World(folder, 0)
 
     async def up(self, *names: str, **more: Any) -> list[Process]:
         world = self.world
-        self.run = world.run = await Whole(world.folder, Bounds(), world.clock).up(
+        self.run = world.run = await Whole(world.folder, Limits(), world.clock).up(
             **more
         )
         for name in names:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -18,29 +18,36 @@
 
 import pytest
 
-from rainfall.budget.config import MOST_BUDGETS, MOST_PARTS, beat_needs
-from rainfall.budget.wants import Wants
-from rainfall.journal.state import MOST_LOST, State
-from rainfall.lease.table import Table
-from rainfall.lease.terms import Terms
-from rainfall.lease.token import Token
-from rainfall.member.roster import MOST_GONE as MOST_MEMBERS_GONE
-from rainfall.member.roster import Grant, Roster
-from rainfall.net.address import Address
-from rainfall.net.config import Config, Host, HostList, host, host_list, parse
-from rainfall.net.desk import MOST_GONE
-from rainfall.net.discovery import Client
-from rainfall.net.engine import Engine
-from rainfall.net.fleet_books import Books
-from rainfall.net.fleet_config import read
-from rainfall.net.fleet_file import Keep
-from rainfall.net.http import MOST_LIST
-from rainfall.net.reconfigure import MOST_TOLD, examine
-from rainfall.net.store import Store, Taken
-from rainfall.registry import house
-from rainfall.registry.bounds import Bounds
-from rainfall.registry.web import Connection
-from rainfall.wirehost import settings
+from rainfall.budget.config import MAX_BUDGETS, MAX_PARTS, parse_demand
+from rainfall.budget.demand import DemandTracker
+from rainfall.forwarder.config.address import Address
+from rainfall.forwarder.config.fleet_config import parse_fleet
+from rainfall.forwarder.config.loading import (
+    Config,
+    EndpointList,
+    ListedEndpoint,
+    parse_config,
+    parse_endpoint,
+    parse_endpoint_list,
+)
+from rainfall.forwarder.config.validation import MAX_REPORTED, validate_replacement
+from rainfall.forwarder.discovery.endpoint_watch import HttpClient
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.engine.engine_state import MAX_REMOVED_ENDPOINTS
+from rainfall.forwarder.fleet.quotas import FleetQuotas
+from rainfall.forwarder.fleet.state_file import StateFile
+from rainfall.forwarder.http1 import MAX_LIST_BYTES
+from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
+from rainfall.journal.state import MAX_LOST_MESSAGES, JournalState
+from rainfall.lease.fencing_token import Token
+from rainfall.lease.table import LeaseTable
+from rainfall.lease.types import LeaseSettings
+from rainfall.member.roster import MAX_DEPARTED_MEMBERS as MOST_MEMBERS_GONE
+from rainfall.member.roster import LeaseGrant, Roster
+from rainfall.registry import service_context
+from rainfall.registry.http_server import LimitedConnection
+from rainfall.registry.limits import Limits
+from rainfall.wirehost import parse_settings
 from tests.sockets import PATIENCE, SETTINGS, Answer, Peer, always
 from tests.test_registry_bounds import Run, play
 
@@ -48,92 +55,96 @@
 LEAST = 1_024
 ENDPOINTS = 44_000
 LISTS = {
-    "budget.config.MOST_BUDGETS",
+    "budget.config.MAX_BUDGETS",
     "dispatch.endpoint_list.MAX_REMOVED_ENDPOINTS",
-    "journal.state.MOST_LOST",
-    "lab.sweep.MOST_SEEDS",
-    "member.roster.MOST_GONE",
-    "net.client.MOST_WAITS",
-    "net.desk.MOST_DESTINATIONS",
-    "net.desk.MOST_GONE",
-    "net.desk.MOST_RECENT",
-    "net.discovery.MOST_NOTICES",
-    "net.fleet_books.MOST_SPENT",
-    "net.fleet_config.MOST_PEERS",
-    "net.reconfigure.MOST_TOLD",
-    "net.server.BACKLOG",
-    "registry.bodies.MOST_OPS",
-    "registry.core.MOST_IDS",
-    "registry.core.MOST_TOMBSTONES",
-    "registry.disk.KEPT_NOTICES",
-    "registry.disk.MOST_NOTICES",
-    "registry.maps.MOST_RANGES",
-    "registry.web.BACKLOG",
-    "registry.web.MOST_FAULTS",
-    "session.desk.MOST_PAST",
-    "session.words.ITEMS",
-    "shard.plan.MOST_RANGES",
-    "registry.member_list.MOST_KNOWN",
+    "journal.state.MAX_LOST_MESSAGES",
+    "lab.sweep.MAX_SEEDS",
+    "member.roster.MAX_DEPARTED_MEMBERS",
+    "forwarder.outbound.connection_pool.MAX_RETRY_AFTERS",
+    "forwarder.engine.engine_state.MAX_DESTINATIONS",
+    "forwarder.engine.engine_state.MAX_REMOVED_ENDPOINTS",
+    "forwarder.engine.engine_state.MAX_RECENTLY_FINISHED",
+    "forwarder.discovery.endpoint_watch.MAX_NOTIFICATIONS_PER_POST",
+    "forwarder.fleet.quotas.MAX_SPENT_ENTRIES",
+    "forwarder.config.fleet_config.MAX_PEERS",
+    "forwarder.config.validation.MAX_REPORTED",
+    "forwarder.inbound.server.BACKLOG",
+    "registry.request_schemas.MAX_OPERATIONS",
+    "registry.endpoint_registry.MAX_CHANGE_IDS",
+    "registry.endpoint_registry.MAX_TOMBSTONES",
+    "registry.storage.MAX_CACHED_NOTICES",
+    "registry.storage.MAX_NOTICES_PER_FILE",
+    "registry.shard_map_extension.MAX_PLANNED_RANGES",
+    "registry.http_server.BACKLOG",
+    "registry.http_server.MAX_FAULTS_IN_ANSWER",
+    "session.migration_manager.MAX_FINISHED_MIGRATIONS",
+    "session.protocol.ITEM_LIMIT",
+    "shard.map_planning.MAX_RANGES",
+    "registry.member_encoder.MAX_CACHED_MEMBERS",
     "dispatch.message_queues.MAX_SPARE_DESTINATION_QUEUES",
 }
 TEXT = "bytes or characters, no list"
 NUMBER = "a time or a number that is told, no list"
 ONE = "of one connection, call or target, whatever the fleet's size"
 EXEMPT = {
-    "budget.book.MOST_OPEN": "grants to one process not acknowledged; older ones count as one",
-    "budget.config.MOST_PARTS": "weights of one destination's classes and tenants",
-    "budget.divide.CREDIT_MOST": NUMBER,
-    "budget.wants.MOST_PARTS": "parts of one destination's need told apart; the others count as one",
+    "budget.account.MAX_UNACKNOWLEDGED_GRANTS": (
+        "grants to one process not acknowledged; older ones count as one"
+    ),
+    "budget.config.MAX_PARTS": "weights of one destination's classes and tenants",
+    "budget.fair_share.MAX_CREDIT": NUMBER,
+    "budget.demand.MAX_PARTS": "parts of one destination's need told apart; the others count as one",
     "dispatch.endpoint_list.MAX_POLL_RETRY_US": NUMBER,
-    "journal.__main__.MOST_NAMED": "names on one printed line; the report has them all",
-    "journal.format.MOST_NUMBER": NUMBER,
-    "journal.format.MOST_OLD_RECORD": TEXT,
-    "journal.format.MOST_RECORD": TEXT,
-    "lab.plan.MAX_MESSAGES": "two million",
-    "lab.shapes.MAX_FORWARDERS": "real processes on the one machine of a trial",
-    "lab.shapes.MAX_PEERS": "real processes on the one machine of a trial",
-    "lab.shapes.MAX_RATE": NUMBER,
-    "lab.sweep.MOST_JOBS": "trials at once on one machine",
-    "lease.holder.MOST_ASKS": "renewals of one lease under way; later answers are of no use",
-    "lease.terms.MOST_LEAP": NUMBER,
-    "lease.terms.MOST_NOTE": "entries of one lease's note",
-    "lease.terms.MOST_TEXT": TEXT,
-    "member.roster.MOST_NAME": TEXT,
-    "net.admin.BACKLOG": "operators, who hold descriptors of the forwarder's: 16 of them at a time",
-    "net.admin.MOST_BODY": TEXT,
-    "net.admin.MOST_CALLS": "operators, who hold descriptors of the forwarder's",
-    "net.admin.MOST_CONFIG": TEXT,
-    "net.admin.MOST_HEAD": TEXT,
-    "net.answers.MOST_LIMIT": NUMBER,
-    "net.answers.MOST_WAIT_US": NUMBER,
-    "net.client_connection.MOST_AHEAD": ONE,
-    "net.client_connection.MOST_WAITING": ONE,
-    "net.fleet.MOST_RETRY_MS": NUMBER,
-    "net.fleet_books.MOST_PART_BYTES": TEXT,
-    "net.fleet_file.MOST_BYTES": TEXT,
-    "net.handover.MOST_HOLD_S": NUMBER,
-    "net.engine.MOST_SOONER_US": NUMBER,
+    "journal.__main__.MAX_NAMED": "names on one printed line; the report has them all",
+    "journal.format.MAX_FRAME_NUMBER": NUMBER,
+    "journal.format.MAX_V1_RECORD_BYTES": TEXT,
+    "journal.format.MAX_RECORD_BYTES": TEXT,
+    "lab.load_plan.MAX_MESSAGES": "two million",
+    "lab.experiment_model.MAX_FORWARDERS": "real processes on the one machine of a trial",
+    "lab.experiment_model.MAX_PEERS": "real processes on the one machine of a trial",
+    "lab.experiment_model.MAX_RATE": NUMBER,
+    "lab.sweep.MAX_JOBS": "trials at once on one machine",
+    "lease.holder.MAX_PENDING_REQUESTS": "renewals of one lease under way; later answers are of no use",
+    "lease.types.MAX_EPOCH_JUMP": NUMBER,
+    "lease.types.MAX_NOTE_ENTRIES": "entries of one lease's note",
+    "lease.types.MAX_TEXT_LENGTH": TEXT,
+    "member.roster.MAX_NAME_LENGTH": TEXT,
+    "forwarder.admin.admin_server.BACKLOG": (
+        "operators, who hold descriptors of the forwarder's: 16 of them at a time"
+    ),
+    "forwarder.admin.admin_server.MAX_BODY_BYTES": TEXT,
+    "forwarder.admin.admin_server.MAX_CONNECTIONS": "operators, who hold descriptors of the forwarder's",
+    "forwarder.admin.admin_server.MAX_CONFIG_BYTES": TEXT,
+    "forwarder.admin.admin_server.MAX_HEADER_BYTES": TEXT,
+    "forwarder.outbound.responses.MAX_LIMIT_PER_S": NUMBER,
+    "forwarder.outbound.responses.MAX_RETRY_AFTER_US": NUMBER,
+    "forwarder.inbound.client_connection.MAX_PIPELINED_REQUESTS": ONE,
+    "forwarder.inbound.client_connection.MAX_QUEUED_REQUESTS": ONE,
+    "forwarder.fleet.member.MAX_RETRY_MS": NUMBER,
+    "forwarder.fleet.quotas.MAX_PART_NAME_BYTES": TEXT,
+    "forwarder.fleet.state_file.MAX_FILE_BYTES": TEXT,
+    "forwarder.handover.roles.MAX_HOLD_TIMEOUT_S": NUMBER,
+    "forwarder.engine.engine.MAX_EARLY_TIMEOUT_US": NUMBER,
     "dispatch.message_queues.MAX_SPARE_CLASS_QUEUES": ONE,
-    "net.http.MOST_BODY": TEXT,
-    "net.http.MOST_HEAD": TEXT,
-    "net.http.MOST_LIST": TEXT,
-    "net.idle.MOST_IDLE": ONE,
-    "net.link.MOST_LINE": TEXT,
-    "net.link.MOST_PATH": TEXT,
-    "net.reconfigure.MOST_DEEP": "objects within each other",
-    "net.server.MOST_UNREAD": TEXT,
-    "registry.budgets.MOST_US": NUMBER,
-    "registry.house.MOST_KEPT_BYTES": TEXT,
-    "registry.reads.MOST_HOLD_MS": NUMBER,
-    "registry.web.MOST_LINE": TEXT,
-    "session.where.MOST_HOPS": "forwarders that one message may go through",
-    "shard.check.MOST_MOVED": NUMBER,
-    "shard.maps.MOST_DIGITS": TEXT,
-    "shard.maps.MOST_GENERATION": NUMBER,
-    "shard.moves.MOST_AHEAD": NUMBER,
-    "shard.ranges.MOST_PIECES": "pieces that one range is split into at once",
+    "forwarder.http1.MAX_BODY_BYTES": TEXT,
+    "forwarder.http1.MAX_HEADER_BYTES": TEXT,
+    "forwarder.http1.MAX_LIST_BYTES": TEXT,
+    "forwarder.outbound.idle_connections.MAX_IDLE_PER_ENDPOINT": ONE,
+    "forwarder.handover.connection.MAX_LINE_BYTES": TEXT,
+    "forwarder.handover.connection.MAX_SOCKET_PATH_BYTES": TEXT,
+    "forwarder.config.validation.MAX_DEPTH": "objects within each other",
+    "forwarder.inbound.server.MAX_UNREAD_BYTES": TEXT,
+    "registry.budget_extension.MAX_CHECK_INTERVAL_US": NUMBER,
+    "registry.service_context.MAX_CACHED_ANSWER_BYTES": TEXT,
+    "registry.discovery_api.MAX_HOLD_MS": NUMBER,
+    "registry.http_server.MAX_LINE_BYTES": TEXT,
+    "session.session_directory.MAX_HOPS": "forwarders that one message may go through",
+    "shard.map_validation.MAX_MOVED_SHARE": NUMBER,
+    "shard.shard_map.MAX_INTEGER_DIGITS": TEXT,
+    "shard.shard_map.MAX_GENERATION": NUMBER,
+    "shard.migration.MAX_GENERATION_LEAD": NUMBER,
+    "shard.plan_cells.MAX_PIECES": "pieces that one range is split into at once",
 }
-ALSO = {"session.words.ITEMS", "registry.disk.KEPT_NOTICES"}
+ALSO = {"session.protocol.ITEM_LIMIT", "registry.storage.MAX_CACHED_NOTICES"}
 """Bounds of lists by other names than the usual."""
 
 
@@ -171,7 +182,7 @@
         module, _, name = full.rpartition(".")
         found[full] = getattr(importlib.import_module(f"rainfall.{module}"), name)
     assert {full: most for full, most in found.items() if most < LEAST} == {}
-    bounds = Bounds()
+    bounds = Limits()
     assert min(bounds.watchers, bounds.connections, bounds.queued) >= LEAST
 
 
@@ -226,11 +237,11 @@
     }
 
 
-@pytest.mark.parametrize("budgets, peers", [(LEAST, LEAST), (MOST_BUDGETS, 10_000)])
+@pytest.mark.parametrize("budgets, peers", [(LEAST, LEAST), (MAX_BUDGETS, 10_000)])
 def test_a_file_with_so_many_budgets_and_peers_is_taken(
     budgets: int, peers: int
 ) -> None:
-    told = read(fleet(budgets, peers), "f")
+    told = parse_fleet(fleet(budgets, peers), "f")
     assert len(told.budgets) == budgets and len(told.peers) == peers
 
 
@@ -241,65 +252,67 @@
         "discovery": "127.0.0.1:9",
         "settings": SETTINGS,
     }
-    old = parse({**file, "fleet": fleet(MOST_BUDGETS, 0)}, {"LB_STATE": str(tmp_path)})
-    bad = fleet(MOST_BUDGETS, 0)
+    old = parse_config(
+        {**file, "fleet": fleet(MAX_BUDGETS, 0)}, {"LB_STATE": str(tmp_path)}
+    )
+    bad = fleet(MAX_BUDGETS, 0)
     for budget in bad["budgets"]:
         budget["calls"] = 0
-    found = examine(
+    found = validate_replacement(
         json.dumps({**file, "fleet": bad}).encode(), old, {"LB_STATE": str(tmp_path)}
     ).faults
-    assert len(found) == MOST_TOLD >= LEAST
+    assert len(found) == MAX_REPORTED >= LEAST
     assert {tuple(fault) for fault in found} == {("path", "fault")}
-    assert len({fault["path"] for fault in found}) == MOST_TOLD
+    assert len({fault["path"] for fault in found}) == MAX_REPORTED
 
 
 def test_demand_is_counted_for_as_many_destinations_as_the_service_takes() -> None:
-    books = Books((), 0.0, {}, 0)
+    books = FleetQuotas((), 0.0, {}, 0)
     for destination in range(ENDPOINTS):
-        books.wanted(destination, "order/a-tenant", 10)
+        books.record_demand(destination, "order/a-tenant", 10)
     told = books.needs(
         {ENDPOINTS + n: {"pay/another-tenant": 1} for n in range(10)}, 20
     )
-    assert len(told) == MOST_BUDGETS and beat_needs(told)
-    assert len(books.wants) == MOST_BUDGETS
+    assert len(told) == MAX_BUDGETS and parse_demand(told)
+    assert len(books.demand) == MAX_BUDGETS
 
 
 def test_a_beat_stays_within_the_service_s_body_by_merging_parts() -> None:
-    named = read(fleet(MOST_BUDGETS, 0), "f").budgets
-    books = Books(named, 0.0, {}, 0)
-    for destination in range(MOST_BUDGETS):
+    named = parse_fleet(fleet(MAX_BUDGETS, 0), "f").budgets
+    books = FleetQuotas(named, 0.0, {}, 0)
+    for destination in range(MAX_BUDGETS):
         for tenant in range(20):
-            books.wanted(destination, f"a-class-of-messages/tenant-{tenant}", 10)
+            books.record_demand(destination, f"a-class-of-messages/tenant-{tenant}", 10)
     told = books.needs({}, 20)
-    assert len(told) == MOST_BUDGETS and {
+    assert len(told) == MAX_BUDGETS and {
         sum(parts.values()) for parts in told.values()
     } == {20}
-    holds = {str(d): [10**6, 10**6] for d in range(MOST_BUDGETS)}
-    assert len(json.dumps({"needs": told, "holds": holds})) < Bounds().body
+    holds = {str(d): [10**6, 10**6] for d in range(MAX_BUDGETS)}
+    assert len(json.dumps({"needs": told, "holds": holds})) < Limits().body_bytes
 
 
 def test_parts_that_wait_past_those_told_apart_count_as_one_and_none_is_left_out() -> (
     None
 ):
-    wants = Wants(1_000)
+    wants = DemandTracker(1_000)
     for n in range(100):
-        wants.arrived(10, f"come-{n}")
-    needs = wants.needs(20, {f"waits-{n}": 1 for n in range(100)})
-    assert len(needs) <= MOST_PARTS and sum(needs.values()) == 200
+        wants.record_calls(10, f"come-{n}")
+    needs = wants.demand_by_part(20, {f"waits-{n}": 1 for n in range(100)})
+    assert len(needs) <= MAX_PARTS and sum(needs.values()) == 200
 
 
 def test_what_a_successor_needs_of_10000_budgets_takes_a_small_part_of_the_disk(
     tmp_path: Path,
 ) -> None:
-    books = Books(read(fleet(MOST_BUDGETS, 0), "f").budgets, 0.0, {}, 0)
+    books = FleetQuotas(parse_fleet(fleet(MAX_BUDGETS, 0), "f").budgets, 0.0, {}, 0)
     for account in books.accounts.values():
         for at in range(50):
-            account.purse.window.add(10**12 + 1_000 * at, 1)
-    keep = Keep(tmp_path, False)
+            account.quota.window.add(10**12 + 1_000 * at, 1)
+    keep = StateFile(tmp_path, False)
     records = books.close(10**12 + 10**5)
-    assert keep.write(*keep.made(Token(3, 4), records)) is None
+    assert keep.write(*keep.encode(Token(3, 4), records)) is None
     assert keep.path.stat().st_size < 300_000
-    token, kept = Keep(tmp_path, False).read()
+    token, kept = StateFile(tmp_path, False).read()
     assert token == Token(3, 4) and kept == records
 
 
@@ -307,29 +320,29 @@
 
 
 def test_a_whole_fleet_that_is_lost_is_told_of() -> None:
-    table = Table(Terms(0.02, 1_000, 1_000_000))
+    table = LeaseTable(LeaseSettings(0.02, 1_000, 1_000_000))
     table.commit(table.start(0, True))
     roster = Roster(table, 1_000_000)
-    roster.started(0)
+    roster.on_started(0)
     names = [f"forwarder-{n:05}" for n in range(MOST_MEMBERS_GONE + 10)]
     for name in names:
         made = roster.join(2_000_000, name, "a", "h:1")
-        assert isinstance(made, Grant)
+        assert isinstance(made, LeaseGrant)
         roster.commit(made.record)
     for record in roster.tick(10_000_000):
         roster.commit(record)
     gone = [m for m in roster.members.values() if m.state == "lost"]
-    assert len(gone) == MOST_MEMBERS_GONE >= LEAST and roster.in_force() == []
-    since = roster.owed(roster.floor, roster.epoch)
+    assert len(gone) == MOST_MEMBERS_GONE >= LEAST and roster.active_members() == []
+    since = roster.changes_since(roster.oldest_known_version, roster.epoch)
     assert not since["whole"] and len(since["members"]) == MOST_MEMBERS_GONE
 
 
 def test_lost_messages_are_named() -> None:
-    state = State()
-    state.doubt()
-    for n in range(MOST_LOST + 1):
-        state.read(json.dumps(["a", f"m{n}", 0, 1, "s1"]).encode())
-    assert len(state.lost) == MOST_LOST >= LEAST
+    state = JournalState()
+    state.mark_in_doubt()
+    for n in range(MAX_LOST_MESSAGES + 1):
+        state.apply_record(json.dumps(["a", f"m{n}", 0, 1, "s1"]).encode())
+    assert len(state.lost_messages) == MAX_LOST_MESSAGES >= LEAST
 
 
 # Endpoints
@@ -348,8 +361,10 @@
     }
 
 
-def listing(numbers: range, health: str = "up", whole: bool = True) -> HostList:
-    return HostList(1, whole, tuple(map(host, (endpoint(n, health) for n in numbers))))
+def listing(numbers: range, health: str = "up", whole: bool = True) -> EndpointList:
+    return EndpointList(
+        1, whole, tuple(map(parse_endpoint, (endpoint(n, health) for n in numbers)))
+    )
 
 
 def engine(folder: Path) -> Engine:
@@ -364,24 +379,24 @@
             192,
             40,
             64_000_000,
-            HostList(0, True, ()),
-            settings(SETTINGS),
+            EndpointList(0, True, ()),
+            parse_settings(SETTINGS),
             (),
         )
     )
 
 
-def known_by(e: Engine, told: HostList) -> None:
+def known_by(e: Engine, told: EndpointList) -> None:
     """Each target that was told goes by one number, that leads back to its name."""
-    entries = e.entries(told)
-    e.take_list(told)
-    hosts: dict[int, Host] = {
-        entry.endpoint: h for entry, h in zip(entries, told.hosts, strict=True)
+    entries = e.to_entries(told)
+    e.apply_endpoint_list(told)
+    hosts: dict[int, ListedEndpoint] = {
+        entry.endpoint: h for entry, h in zip(entries, told.endpoints, strict=True)
     }
-    assert len(hosts) == len(told.hosts) and {n: e.names.get(n) for n in hosts} == {
-        n: h.name for n, h in hosts.items()
-    }
-    assert all(e.numbers[h.name] == n for n, h in hosts.items())
+    assert len(hosts) == len(told.endpoints) and {
+        n: e.endpoint_names.get(n) for n in hosts
+    } == {n: h.name for n, h in hosts.items()}
+    assert all(e.endpoint_ids[h.name] == n for n, h in hosts.items())
 
 
 def test_a_first_list_of_44000_endpoints_goes_by_one_number_each(
@@ -390,9 +405,9 @@
     async def scene() -> None:
         e = engine(tmp_path)
         known_by(e, listing(range(ENDPOINTS)))
-        assert len(e.destinations) == ENDPOINTS
+        assert len(e.known_destinations) == ENDPOINTS
         known_by(e, listing(range(ENDPOINTS)))
-        assert len(e.destinations) == ENDPOINTS
+        assert len(e.known_destinations) == ENDPOINTS
         e.store.close()
 
     asyncio.run(scene())
@@ -404,17 +419,21 @@
     async def scene() -> None:
         e = engine(tmp_path)
         known_by(e, listing(range(LEAST * 2)))
-        before = dict(e.numbers)
-        e.take_list(listing(range(LEAST * 2), "removed", whole=False))
-        assert not e.hosts and e.numbers == before
+        before = dict(e.endpoint_ids)
+        e.apply_endpoint_list(listing(range(LEAST * 2), "removed", whole=False))
+        assert not e.endpoints and e.endpoint_ids == before
         known_by(e, listing(range(LEAST * 2)))
-        assert e.numbers == before  # they came back, and are who they were
-        for n in range(3 * MOST_GONE):
-            e.number(f"gone{n}")
-            assert len(e.numbers) == len(e.names) <= len(e.hosts) + MOST_GONE + 1
+        assert e.endpoint_ids == before  # they came back, and are who they were
+        for n in range(3 * MAX_REMOVED_ENDPOINTS):
+            e.endpoint_id(f"gone{n}")
+            assert (
+                len(e.endpoint_ids)
+                == len(e.endpoint_names)
+                <= len(e.endpoints) + MAX_REMOVED_ENDPOINTS + 1
+            )
         assert (
-            before.items() <= e.numbers.items()
-            and f"gone{3 * MOST_GONE - LEAST}" in e.numbers
+            before.items() <= e.endpoint_ids.items()
+            and f"gone{3 * MAX_REMOVED_ENDPOINTS - LEAST}" in e.endpoint_ids
         )
         e.store.close()
 
@@ -424,59 +443,63 @@
 def test_a_list_of_44000_endpoints_outlasts_a_restart_on_a_small_disk(
     tmp_path: Path,
 ) -> None:
-    store = Store(tmp_path, 3_000_000)
+    store = MessageStore(tmp_path, 3_000_000)
     hosts = {h["host"]: h for h in map(endpoint, range(ENDPOINTS))}
-    store.list(7, hosts, 0, "127.0.0.1:1")
-    assert store.has_room(10_000)
+    store.append_endpoint_list(7, hosts, 0, "127.0.0.1:1")
+    assert store.has_capacity(10_000)
     for n in range(1_000):
-        store.take(Taken(f"m{n}", "order", 7, 10**15, None, None, b"x" * 1_000))
-        store.over(f"m{n}")
+        store.append_message(
+            AcceptedMessage(f"m{n}", "order", 7, 10**15, None, None, b"x" * 1_000)
+        )
+        store.append_finished(f"m{n}")
         store.flush()
     assert (
         not store.failed and store.log.rewrites <= 2
     )  # not each round writes the list anew
-    back = Store(tmp_path, 3_000_000)
+    back = MessageStore(tmp_path, 3_000_000)
     assert (back.hosts, back.seq, back.source) == (
         hosts,
         7,
         "127.0.0.1:1",
     ) and not back.report.damaged
-    assert back.compact() and Store(tmp_path, 3_000_000, write=False).hosts == hosts
+    assert (
+        back.compact() and MessageStore(tmp_path, 3_000_000, write=False).hosts == hosts
+    )
 
 
 def test_a_change_of_a_large_list_is_written_alone(tmp_path: Path) -> None:
-    store = Store(tmp_path, 3_000_000)
+    store = MessageStore(tmp_path, 3_000_000)
     hosts = {h["host"]: h for h in map(endpoint, range(4_000))}
-    store.list(7, hosts, 0, "127.0.0.1:1")
+    store.append_endpoint_list(7, hosts, 0, "127.0.0.1:1")
     store.flush()
-    before = store.log.bytes
+    before = store.log.bytes_written
     for n in range(100):  # one drained, one gone, one new
         hosts.pop(endpoint(n)["host"])
         hosts.update(
             (h["host"], h)
             for h in (endpoint(n + 1_000, "draining"), endpoint(n + 4_000))
         )
-        store.list(8 + n, hosts, 0, "127.0.0.1:1")
+        store.append_endpoint_list(8 + n, hosts, 0, "127.0.0.1:1")
         store.flush()
-    assert store.log.bytes - before < 100 * 1_000
-    back = Store(tmp_path, 3_000_000, write=False)
+    assert store.log.bytes_written - before < 100 * 1_000
+    back = MessageStore(tmp_path, 3_000_000, write=False)
     assert (back.hosts, back.seq) == (hosts, 107) and not back.report.damaged
 
 
 def test_a_change_whose_list_was_lost_leaves_no_version_to_go_on_from(
     tmp_path: Path,
 ) -> None:
-    store = Store(tmp_path, 3_000_000)
+    store = MessageStore(tmp_path, 3_000_000)
     hosts = {h["host"]: h for h in map(endpoint, range(10))}
-    store.list(7, hosts, 0, "127.0.0.1:1")
+    store.append_endpoint_list(7, hosts, 0, "127.0.0.1:1")
     for seq in (8, 9):
         hosts[endpoint(seq)["host"]] = endpoint(seq, "draining")
-        store.list(seq, hosts, 0, "127.0.0.1:1")
+        store.append_endpoint_list(seq, hosts, 0, "127.0.0.1:1")
     store.flush()
     data = bytearray((tmp_path / "journal").read_bytes())
     data[data.index(b'["u",7,8') + 2] ^= 1
     (tmp_path / "journal").write_bytes(data)
-    back = Store(tmp_path, 3_000_000, write=False)
+    back = MessageStore(tmp_path, 3_000_000, write=False)
     assert back.report.damaged and back.seq == -1 and len(back.hosts) == 10
 
 
@@ -491,11 +514,11 @@
             "hosts": [endpoint(n) for n in range(ENDPOINTS)],
         }
         body = json.dumps(told, indent=indent).encode()
-        assert len(body) > ENDPOINTS * 190 and len(body) < MOST_LIST
+        assert len(body) > ENDPOINTS * 190 and len(body) < MAX_LIST_BYTES
         peer = await Peer(always(Answer(200, body=body))).start()
-        client = Client(Address("127.0.0.1", peer.port))
-        answer = await client.ask("GET", "/discovery/hosts", 20.0)
-        assert len(host_list(json.loads(answer.body)).hosts) == ENDPOINTS
+        client = HttpClient(Address("127.0.0.1", peer.port))
+        answer = await client.request("GET", "/discovery/hosts", 20.0)
+        assert len(parse_endpoint_list(json.loads(answer.body)).endpoints) == ENDPOINTS
         client.close()
 
     asyncio.run(scene())
@@ -512,10 +535,10 @@
                 {"op": "register", **endpoint(n)} for n in range(first, first + 4_000)
             ]
             assert (await run.ask("/v1/hosts", {"ops": ops}))[0] == 200
-        client = Client(Address("127.0.0.1", run.list))
-        answer = await client.ask("GET", "/discovery/hosts", PATIENCE)
+        client = HttpClient(Address("127.0.0.1", run.list))
+        answer = await client.request("GET", "/discovery/hosts", PATIENCE)
         assert (
-            len(host_list(json.loads(answer.body)).hosts) == ENDPOINTS
+            len(parse_endpoint_list(json.loads(answer.body)).endpoints) == ENDPOINTS
             and len(answer.body) > held
         )
         client.close()
@@ -523,16 +546,16 @@
         assert (
             taken > len(answer.body)
             and 0 < most <= held
-            and run.service.figures.slow_closed == 0
+            and run.service.metrics.slow_closed == 0
         )
 
-    play(tmp_path, test, held_bytes=held)
+    play(tmp_path, test, unsent_bytes=held)
 
 
 def test_kept_answers_are_bounded_by_their_bytes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(house, "MOST_KEPT_BYTES", 20_000)
+    monkeypatch.setattr(service_context, "MAX_CACHED_ANSWER_BYTES", 20_000)
 
     async def test(run: Run) -> None:
         versions = []
@@ -546,7 +569,7 @@
             kept = [
                 a
                 for h in gc.get_objects()
-                if isinstance(h, house.House)
+                if isinstance(h, service_context.ServiceContext)
                 for a in h._answers.values()
             ]
             assert kept and sum(map(len, kept)) <= 20_000
@@ -569,7 +592,7 @@
         open_here = [
             c
             for c in gc.get_objects()
-            if isinstance(c, Connection) and c.transport is not None
+            if isinstance(c, LimitedConnection) and c.transport is not None
         ]
         while data := await loop.sock_recv(sock, 64 * 1024):
             taken += len(data)
