--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -14,20 +14,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from measure.budget_division import Fleet as Simulated
-from rainfall.budget.book import Grant
-from rainfall.budget.config import Faults, checked
-from rainfall.budget.divide import divide
-from rainfall.budget.keep import restored, snapshot
-from rainfall.budget.ledger import Change, Granted, Ledger
-from rainfall.budget.model import Budgets
-from rainfall.budget.model_bugs import BUGS
-from rainfall.budget.purse import Purse
-from rainfall.budget.terms import Budget, Share, weight
-from rainfall.budget.wants import MOST_PARTS, Wants
-from rainfall.budget.window import EXACT, GRAINS
-from rainfall.explore.search import explore
-from rainfall.lease.token import Token
+from measure.budget_division import SimulatedFleet as Simulated
+from rainfall.budget.account import QuotaGrant
+from rainfall.budget.config import BudgetConfigError, parse_budgets
+from rainfall.budget.demand import MAX_PARTS, DemandTracker
+from rainfall.budget.fair_share import divide
+from rainfall.budget.ledger import Change, Ledger, MemberGrant
+from rainfall.budget.member_quota import MemberQuota
+from rainfall.budget.model import BudgetModel
+from rainfall.budget.model_mutations import MUTATIONS
+from rainfall.budget.persistence import restore, snapshot
+from rainfall.budget.sliding_window import EXACT_ENTRIES, GRAINS_PER_WINDOW
+from rainfall.budget.types import Budget, Share, part_weight
+from rainfall.lease.fencing_token import Token
+from rainfall.model_checker.search import explore
 
 NEEDS = st.dictionaries(
     st.sampled_from("abcdefg"),
@@ -71,7 +71,9 @@
     work = {m: sum(parts.values()) for m, parts in needs.items()}
     floors = dict.fromkeys(needs, floor)
     got = divide(whole, needs, weights, floors, least, {}, loose)
-    assert sum(got.shares.values()) + got.loose == whole and got.loose <= loose
+    assert (
+        sum(got.shares.values()) + got.unassigned == whole and got.unassigned <= loose
+    )
     low = poured(whole, {m: max(floor, min(least, work[m])) for m in needs}, floors)
     assert all(got.shares[m] >= low[m] for m in needs)
     assert sum(min(got.shares[m], max(work[m], floor)) for m in needs) >= min(
@@ -108,8 +110,8 @@
     for p in parts:
         for q in parts:
             if has[p] < asks[p] and has[q] > len(told):
-                assert Fraction(has[q] - 1, weight(q, weights)) <= Fraction(
-                    has[p] + 1, weight(p, weights)
+                assert Fraction(has[q] - 1, part_weight(q, weights)) <= Fraction(
+                    has[p] + 1, part_weight(p, weights)
                 )
 
 
@@ -161,7 +163,7 @@
         )
         self.snap, self.lines = None, []
         self.procs = {
-            n: [Purse(0, DRIFT), None, None] for n in names
+            n: [MemberQuota(0, DRIFT), None, None] for n in names
         }  # purse, token, follows
 
     def budget(self, whole):
@@ -180,7 +182,7 @@
         if change is not None:
             if crash and self.rng.random() < 0.5:
                 return
-            self.lines.append(json.loads(json.dumps(change.line())))
+            self.lines.append(json.loads(json.dumps(change.to_record())))
             if not crash:
                 self.ledger.commit(change)
 
@@ -188,13 +190,15 @@
         at = self.clock("service")
         for token in sorted(t for t, until in self.leases.items() if until <= at):
             del self.leases[token]
-            self.ledger.out(token, at)
+            self.ledger.lease_expired(token, at)
         self.plan()
 
     def beat(self, name):
         purse, token, follows = self.procs[name]
         need = {"d": {"": self.rng.choice([0, 0, 3, 40])}}
-        holds = {"d": purse.holds(token)} if token and purse.holds(token) else {}
+        holds = (
+            {"d": purse.held_share(token)} if token and purse.held_share(token) else {}
+        )
         asked = self.clock(name)
         keeps = {"d": purse.share.reserve}
         self.post(
@@ -215,16 +219,16 @@
             self.tokens += 1
             token = self.joins[purse] = Token(self.epoch, self.tokens)
             self.owner[token] = name
-            self.ledger.joined(token, name, follows, at, keeps)
+            self.ledger.member_joined(token, name, follows, at, keeps)
             self.leases.pop(follows, None)
             self.leases[token] = 0
         if token not in self.leases:
             self.post(lambda: self.answered(name, purse, token, asked, None))
             return
-        assert self.ledger.beat(token, need, holds, at)
+        assert self.ledger.heartbeat(token, need, holds, at)
         self.leases[token] = at + self.kept(1 + DRIFT)
         self.plan()
-        shares = self.ledger.told(token)
+        shares = self.ledger.shares_for(token)
         self.post(lambda: self.answered(name, purse, token, asked, shares))
 
     def answered(self, name, purse, token, asked, shares):
@@ -232,7 +236,7 @@
         if proc[0] is not purse or proc[1] not in (None, token):
             return  # that process is no more, or it joined by another answer
         if shares is None:
-            purse.fenced(self.clock(name))
+            purse.fence(self.clock(name))
             self.joins.pop(purse, None)
             proc[1:] = None, token
             return
@@ -242,7 +246,7 @@
                 name, purse
             )  # as much as can be, just before less is told and just after more is
         for share in shares.values():
-            purse.told(share, asked + self.kept(1 - DRIFT), self.clock(name))
+            purse.receive_share(share, asked + self.kept(1 - DRIFT), self.clock(name))
         if self.rng.random() < 0.7:
             self.send(name, purse)
         if self.rng.random() < 0.5:
@@ -251,7 +255,7 @@
     def send(self, name, purse):
         for _ in range(self.rng.choice([1, 50, 50])):
             if not purse.spend(self.clock(name)):
-                at = purse.room_at(self.clock(name))
+                at = purse.available_at(self.clock(name))
                 assert at is None or at > self.clock(name)
                 break
             self.sent.append(
@@ -268,21 +272,21 @@
         how = self.rng.choice(["killed", "ended", "left", "stopped"])
         if how == "stopped":
             self.stopped.append((name, purse))
-            self.procs[name] = [Purse(at, DRIFT), None, None]
+            self.procs[name] = [MemberQuota(at, DRIFT), None, None]
             return
         record = (
-            purse.standing()
+            purse.to_record()
             if how == "killed"
             else purse.close(at, leaving=how == "left")
         )
         if how == "left" and token:
             self.post(lambda: self.ended(token))
-        fresh = Purse.restored(json.loads(json.dumps(record)), at, DRIFT)
+        fresh = MemberQuota.from_record(json.loads(json.dumps(record)), at, DRIFT)
         self.procs[name] = [fresh, None, token or follows]
 
     def ended(self, token):
         self.leases.pop(token, None)
-        self.ledger.ended(token, self.clock("service"))
+        self.ledger.process_ended(token, self.clock("service"))
 
     def restart(self, lost):
         self.plan(crash=True)
@@ -292,7 +296,7 @@
         elif self.rng.random() < 0.5 and self.ledger.pending is None:
             self.snap, self.lines = json.loads(json.dumps(snapshot(self.ledger))), []
         at = self.clock("service")
-        self.ledger = restored(
+        self.ledger = restore(
             [self.budget(self.wholes[-1][1])],
             self.kept(1 + DRIFT),
             DRIFT,
@@ -303,7 +307,7 @@
         )
         for token in self.leases:
             self.leases[token] = at + self.kept(1 + DRIFT)
-            self.ledger.joined(token, self.owner[token], None, at)
+            self.ledger.member_joined(token, self.owner[token], None, at)
 
     def step(self):
         self.now += self.rng.choice([0, 10, 20, 30, 50, 200, 900])
@@ -368,13 +372,15 @@
 
 def acted(ledger, purse, token, now, valid=10**9):
     """One beat that is answered at once."""
-    holds = purse.holds(token)
-    ledger.beat(token, {"d": dict(purse.wanted)}, {"d": holds} if holds else {}, now)
+    holds = purse.held_share(token)
+    ledger.heartbeat(
+        token, {"d": dict(purse.wanted)}, {"d": holds} if holds else {}, now
+    )
     change = ledger.plan(now)
     if change:
         ledger.commit(change)
-    for share in ledger.told(token).values():
-        purse.told(share, valid, now)
+    for share in ledger.shares_for(token).values():
+        purse.receive_share(share, valid, now)
 
 
 def pair(whole=4, reserve=0, seats=2, sure=True):
@@ -392,10 +398,10 @@
     )
     tokens, purses = (
         [Token(1, 1), Token(1, 2)],
-        [Purse(-10 * SPAN, DRIFT) for _ in range(2)],
+        [MemberQuota(-10 * SPAN, DRIFT) for _ in range(2)],
     )
     for token, purse, need in zip(tokens, purses, (9, 0), strict=True):
-        ledger.joined(token, f"f{token.number}", None, 0)
+        ledger.member_joined(token, f"f{token.number}", None, 0)
         purse.wanted = {"": need}
     for _ in range(3):
         for token, purse in zip(tokens, purses, strict=True):
@@ -417,25 +423,25 @@
     acted(ledger, new, b, 0)
     assert (
         all(old.spend(0) for _ in range(4))
-        and old.late(0, SLACK + 1)
-        and not old.late(0, SLACK)
+        and old.is_late(0, SLACK + 1)
+        and not old.is_late(0, SLACK)
     )
     last = SLACK / sender  # true time of the last first byte
     acted(ledger, old, a, 0)
     acted(ledger, old, a, 0)
-    assert old.holds(a)[0] == 0 and not old.spend(5 * SPAN)
-    counted = ledger.books["d"].counted()
-    ledger.beat(a, {"d": {}}, {"d": (4, 1)}, 0)  # a beat of before, late
-    assert ledger.books["d"].counted() == counted == 4
+    assert old.held_share(a)[0] == 0 and not old.spend(5 * SPAN)
+    counted = ledger.budget_accounts["d"].committed_calls()
+    ledger.heartbeat(a, {"d": {}}, {"d": (4, 1)}, 0)  # a beat of before, late
+    assert ledger.budget_accounts["d"].committed_calls() == counted == 4
     begins = 0
     if restart:
         begins = SPAN // 2
-        budgets = [book.budget for book in ledger.books.values()]
-        ledger = restored(
+        budgets = [book.budget for book in ledger.budget_accounts.values()]
+        ledger = restore(
             budgets, TTL, DRIFT, begins, json.loads(json.dumps(snapshot(ledger))), []
         )
         for token in (a, b):
-            ledger.joined(token, "f", None, begins)
+            ledger.member_joined(token, "f", None, begins)
     told = next(
         at
         for at in range(begins, 4 * SPAN, 7)
@@ -449,10 +455,12 @@
     window later.
     """
     ledger, (a, b), (old, new) = pair(whole=1, reserve=1, seats=1)
-    assert old.limit(0) == 1 and new.holds(b) is None
+    assert old.limit(0) == 1 and new.held_share(b) is None
     assert old.spend(0)
-    gone = Purse.restored(json.loads(json.dumps(old.close(0, leaving=True))), 1, DRIFT)
-    ledger.ended(a, 0)
+    gone = MemberQuota.from_record(
+        json.loads(json.dumps(old.close(0, leaving=True))), 1, DRIFT
+    )
+    ledger.process_ended(a, 0)
     assert not gone.spend(5 * SPAN) and not old.spend(5 * SPAN)
     new.wanted = {"": 1}
     told = next(
@@ -466,11 +474,13 @@
     again yet.
     """
     ledger, (a, b), (_, new) = pair()
-    again = restored([ledger.books["d"].budget], TTL, DRIFT, 0, snapshot(ledger), [])
+    again = restore(
+        [ledger.budget_accounts["d"].budget], TTL, DRIFT, 0, snapshot(ledger), []
+    )
     for token in (a, b):
-        again.joined(token, "f", None, 0)
+        again.member_joined(token, "f", None, 0)
     acted(again, new, b, SPAN)
-    assert again.plan(10 * SPAN) is None and again.told(a) == ledger.told(a)
+    assert again.plan(10 * SPAN) is None and again.shares_for(a) == ledger.shares_for(a)
 
 
 def test_what_a_member_holds_beyond_the_records_counts():
@@ -481,38 +491,42 @@
     copy = json.loads(json.dumps(snapshot(ledger)))
     copy["books"]["d"]["accounts"][0][4] = [[1, 1, 0]]
     copy["books"]["d"]["accounts"][0][2] = 0
-    again = restored([ledger.books["d"].budget], TTL, DRIFT, 0, copy, [], sure=False)
-    assert again.books["d"].counted() == 1 and old.holds(a)[0] == 4
+    again = restore(
+        [ledger.budget_accounts["d"].budget], TTL, DRIFT, 0, copy, [], sure=False
+    )
+    assert (
+        again.budget_accounts["d"].committed_calls() == 1 and old.held_share(a)[0] == 4
+    )
     acted(again, old, a, 1)
-    assert again.books["d"].counted() == 4 and old.limit(1) == 4
+    assert again.budget_accounts["d"].committed_calls() == 4 and old.limit(1) == 4
 
 
 def test_an_answer_from_before_the_loss_brings_nothing_back():
     ledger, (a, _), (old, _) = pair(whole=4, reserve=1)
-    share = ledger.told(a)["d"]
-    old.fenced(5)
-    assert not old.told(share, 10**9, 6) and old.limit(7) == 1
+    share = ledger.shares_for(a)["d"]
+    old.fence(5)
+    assert not old.receive_share(share, 10**9, 6) and old.limit(7) == 1
     assert (
-        old.told(replace(share, token=Token(1, 9)), 10**9, 8)
+        old.receive_share(replace(share, token=Token(1, 9)), 10**9, 8)
         and old.limit(8) == share.calls
     )
-    assert not old.told(replace(share, token=Token(1, 9), number=0), 10**9, 9)
+    assert not old.receive_share(replace(share, token=Token(1, 9), number=0), 10**9, 9)
 
 
 def test_a_successor_waits_a_window_and_takes_the_seat_over():
     ledger, (a, b), (old, new) = pair(whole=3, reserve=1, seats=2)
     assert old.spend(0) and old.spend(0)
-    following = Purse.restored(old.standing(), 1, DRIFT)
+    following = MemberQuota.from_record(old.to_record(), 1, DRIFT)
     sends = next(at for at in range(1, 4 * SPAN) if following.spend(at))
     assert sends >= (SPAN + SLACK) * (1 + DRIFT) and following.limit(1) == 1
-    ledger.joined(Token(1, 3), "f1", a, 1, {"d": 1})
-    book = ledger.books["d"]
+    ledger.member_joined(Token(1, 3), "f1", a, 1, {"d": 1})
+    book = ledger.budget_accounts["d"]
     assert (
-        book.accounts[Token(1, 3)].most() == 1
-        and book.seats() == 2
-        and book.counted() == 3
+        book.accounts[Token(1, 3)].usable_calls() == 1
+        and book.reserve_holders() == 2
+        and book.committed_calls() == 3
     )
-    assert book.free_with({}) == 0 and not ledger.beat(a, {}, {}, 1)
+    assert book.free_calls({}) == 0 and not ledger.heartbeat(a, {}, {}, 1)
 
 
 def test_a_reserve_claimed_after_a_first_grant_counts_too():
@@ -521,26 +535,28 @@
     """
     ledger, _, _ = pair(whole=9, reserve=1, seats=2)
     before, late = snapshot(ledger), Token(1, 3)
-    ledger.joined(late, "f3", None, 0)
-    granted = Change(ledger.number + 1, (Granted("d", "f3", late, Grant(1, 2, 0)),), ())
+    ledger.member_joined(late, "f3", None, 0)
+    granted = Change(
+        ledger.number + 1, (MemberGrant("d", "f3", late, QuotaGrant(1, 2, 0)),), ()
+    )
     ledger.commit(granted)
-    ledger.joined(late, "f3", Token(0, 9), 0, {"d": 1})
+    ledger.member_joined(late, "f3", Token(0, 9), 0, {"d": 1})
     claimed = ledger.plan(0)
     ledger.commit(claimed)
-    again = restored(
-        [ledger.books["d"].budget],
+    again = restore(
+        [ledger.budget_accounts["d"].budget],
         TTL,
         DRIFT,
         0,
         before,
-        [granted.line(), claimed.line()],
+        [granted.to_record(), claimed.to_record()],
     )
     for one in (ledger, again):
-        account = one.books["d"].accounts[late]
+        account = one.budget_accounts["d"].accounts[late]
         assert (
-            Grant(1, 2, 0) in account.grants
+            QuotaGrant(1, 2, 0) in account.grants
             and account.reserve() == 1
-            and account.most() >= 2
+            and account.usable_calls() >= 2
         )
 
 
@@ -549,35 +565,45 @@
     reserves until the word.
     """
     budgets = [Budget("d", 6, SPAN, 1, 3, loose=0.0, pause_us=0, slack_us=SLACK)]
-    first = restored(budgets, TTL, DRIFT, 0, None, [])
-    first.out(Token(1, 1), 0)
-    again = restored(
+    first = restore(budgets, TTL, DRIFT, 0, None, [])
+    first.lease_expired(Token(1, 1), 0)
+    again = restore(
         budgets,
         TTL,
         DRIFT,
         1_000,
         None,
-        [first.plan(0).line()] if first.plan(0) else [],
+        [first.plan(0).to_record()] if first.plan(0) else [],
     )
     claims, fresh = Token(2, 1), Token(2, 2)
-    again.joined(claims, "f1", Token(1, 1), 1_000, {"d": 1})
-    again.joined(fresh, "f2", None, 1_000)
+    again.member_joined(claims, "f1", Token(1, 1), 1_000, {"d": 1})
+    again.member_joined(fresh, "f2", None, 1_000)
     begins = 0
     for at in range(1_000, 9_000, 50):
         for token in (claims, fresh):
-            assert again.beat(token, {"d": {"": 9}}, {}, at)
+            assert again.heartbeat(token, {"d": {"": 9}}, {}, at)
         change = again.plan(at)
         if change:
             again.commit(change)
             begins = begins or (at if any(g.grant.number for g in change.grants) else 0)
     assert begins >= 1_000 + TTL / (1 - DRIFT) + SPAN + SLACK
-    assert (again.told(claims)["d"].reserve, again.told(fresh)["d"].reserve) == (1, 0)
-    assert restored(budgets, TTL, DRIFT, 9_000, snapshot(again), []).books["d"].shut
-    again.reserves_known()
+    assert (
+        again.shares_for(claims)["d"].reserve,
+        again.shares_for(fresh)["d"].reserve,
+    ) == (1, 0)
+    assert (
+        restore(budgets, TTL, DRIFT, 9_000, snapshot(again), [])
+        .budget_accounts["d"]
+        .new_reserves_blocked
+    )
+    again.confirm_reserves()
     change = again.plan(9_000)
-    assert not change.shut
+    assert not change.new_reserves_blocked
     again.commit(change)
-    assert again.told(fresh)["d"].reserve == 1 and again.books["d"].counted() <= 6
+    assert (
+        again.shares_for(fresh)["d"].reserve == 1
+        and again.budget_accounts["d"].committed_calls() <= 6
+    )
 
 
 def test_a_lowered_whole_binds_with_the_reserves_of_those_to_come():
@@ -585,7 +611,7 @@
     purses[1].wanted = {"": 9}
     for whole, times, limits in ((12, (0, 0, 0, 3), [6, 5]), (4, (6, 6, 9), [2, 1])):
         ledger.configure(
-            [replace(ledger.books["d"].budget, calls=whole)], times[0] * SPAN
+            [replace(ledger.budget_accounts["d"].budget, calls=whole)], times[0] * SPAN
         )
         for at in times:
             for token, purse in zip(tokens, purses, strict=True):
@@ -595,9 +621,9 @@
 
 def test_frozen_only_acknowledgements_count():
     ledger, (a, b), (old, new) = pair()
-    ledger.beat(b, {"d": {"": 9}}, {}, 10 * SPAN)
+    ledger.heartbeat(b, {"d": {"": 9}}, {}, 10 * SPAN)
     assert ledger.plan(10 * SPAN, frozen=True) is None
-    ledger.out(a, 10 * SPAN)
+    ledger.lease_expired(a, 10 * SPAN)
     frozen = ledger.plan(10 * SPAN, frozen=True)
     assert frozen is not None and not frozen.grants and len(frozen.ends) == 1
     assert ledger.plan(10 * SPAN) is frozen  # pending: repeated, never replaced
@@ -609,34 +635,38 @@
     """Far more calls than stamps are kept for: memory bounded, never over, late by a
     grain at most.
     """
-    purse = Purse(-(10**9), 0.0)
-    purse.told(Share(Token(1, 1), 1, 5_000, 0, 5_000, 1 << 20, 0), 10**12, 0)
+    purse = MemberQuota(-(10**9), 0.0)
+    purse.receive_share(Share(Token(1, 1), 1, 5_000, 0, 5_000, 1 << 20, 0), 10**12, 0)
     stamps = [
         at
         for at in [*range(0, 1 << 20, 150), *range(1 << 20, 3 << 20, 40)]
         if purse.spend(at)
     ]
-    assert len(purse.window.entries) <= EXACT + GRAINS + 2
+    assert len(purse.window.entries) <= EXACT_ENTRIES + GRAINS_PER_WINDOW + 2
     for first, after in zip(stamps, stamps[5_000:], strict=False):
         assert 1 << 20 <= after - first <= (1 << 20) + 1024 + 150
-    assert len(stamps) > 10_000 and purse.room_at(3 << 20) >= 3 << 20
+    assert len(stamps) > 10_000 and purse.available_at(3 << 20) >= 3 << 20
 
 
 def test_needs_are_the_busiest_span_of_two_and_what_waits():
-    wants = Wants(400)
+    wants = DemandTracker(400)
     for at in range(0, 800, 10):
-        wants.arrived(at, "gold" if at < 400 else "free")
-    assert wants.needs(799, {"gold": 3, "new": 2}) == {"gold": 43, "free": 40, "new": 2}
+        wants.record_calls(at, "gold" if at < 400 else "free")
+    assert wants.demand_by_part(799, {"gold": 3, "new": 2}) == {
+        "gold": 43,
+        "free": 40,
+        "new": 2,
+    }
     assert (
-        wants.needs(1_250, {}) == {"free": 30}
-        and wants.needs(1_700, {}) == {}
+        wants.demand_by_part(1_250, {}) == {"free": 30}
+        and wants.demand_by_part(1_700, {}) == {}
         and not wants.steps
     )
     for n in range(1_000):
-        wants.arrived(1_700, f"part {n}")
+        wants.record_calls(1_700, f"part {n}")
     assert (
-        len(wants.needs(1_700, {})) == MOST_PARTS + 1
-        and sum(wants.needs(1_700, {}).values()) == 1_000
+        len(wants.demand_by_part(1_700, {})) == MAX_PARTS + 1
+        and sum(wants.demand_by_part(1_700, {}).values()) == 1_000
     )
 
 
@@ -685,8 +715,8 @@
 
 @pytest.mark.parametrize(("raw", "paths"), FAULTS)
 def test_every_fault_of_a_budget_is_named(raw, paths):
-    with pytest.raises(Faults) as caught:
-        checked(raw)
+    with pytest.raises(BudgetConfigError) as caught:
+        parse_budgets(raw)
     assert len(caught.value.faults) == len(paths)
     assert all(f.startswith(p) for f, p in zip(caught.value.faults, paths, strict=True))
 
@@ -706,18 +736,20 @@
 }
 
 
-@pytest.mark.parametrize("bug", BUGS)
+@pytest.mark.parametrize("bug", MUTATIONS)
 def test_the_search_finds_each_planted_bug_and_nothing_else(bug):
-    found = explore(Budgets(moves=True, first=True, bug=bug, **PLANTED[bug]), 20, 6_000)
-    assert found.why
-    clean = explore(Budgets(moves=True, first=True, **PLANTED[bug]), 20, 200)
-    assert not clean.why
+    found = explore(
+        BudgetModel(moves=True, first=True, bug=bug, **PLANTED[bug]), 20, 6_000
+    )
+    assert found.violation
+    clean = explore(BudgetModel(moves=True, first=True, **PLANTED[bug]), 20, 200)
+    assert not clean.violation
 
 
 def test_turns_reach_everybody_in_a_fleet():
     """2 calls a span for 7 members with work: all of them send, and no span is over."""
     fleet = Simulated(7, Budget("7", 2, 200_000, 0, 7, pause_us=100_000), 3)
     for member in fleet.members:
-        member.wants_per_s(5)
+        member.set_arrivals(5)
     fleet.run(20_000_000)
-    assert {n for _, n in fleet.sent} == set(range(7)) and fleet.worst() <= 2
+    assert {n for _, n in fleet.sent} == set(range(7)) and fleet.fullest_span() <= 2
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -16,10 +16,15 @@
 import pytest
 
 from rainfall.dispatch import AttemptFinished, Outcome
-from rainfall.net import client
-from rainfall.net.client import Call, Connection, Item, Pool
-from rainfall.net.config import Address
-from rainfall.net.engine import Clock
+from rainfall.forwarder.config.loading import Address
+from rainfall.forwarder.engine.engine import Clock
+from rainfall.forwarder.outbound import connection_pool
+from rainfall.forwarder.outbound.connection_pool import (
+    CallItem,
+    ConnectionPool,
+    EndpointConnection,
+    OutboundCall,
+)
 from tests.sockets import PATIENCE
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -89,7 +94,7 @@
     side.close()
 
 
-def arrived(connection: Connection) -> None:
+def arrived(connection: EndpointConnection) -> None:
     """Stand still until what the target did lies at the program's socket."""
     assert connection.transport is not None
     poll = select.poll()
@@ -123,10 +128,10 @@
     def __init__(self, target: Target, idle_us: int = 5_000_000) -> None:
         self.target, self.ends, self.now = target, [], 0
         self.clock: Callable[[], int] = Clock()
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             lambda: self.clock(), self.told, ("x0", "x1"), idle_us, 1_000_000, 10
         )
-        self.pool.serving({1: target.where})
+        self.pool.set_endpoints({1: target.where})
         self.on_told: Callable[[AttemptFinished], None] = lambda event: None
 
     ends: list[AttemptFinished]
@@ -144,14 +149,14 @@
         left_us: int = 60_000_000,
         body: bytes = b"x",
         number: int = 1,
-    ) -> Call:
+    ) -> OutboundCall:
         now = self.clock()
-        items = [Item(n, 0, None, body, now + left_us) for n in names or ("m",)]
-        return Call(number, (7, -1), now, items)
+        items = [CallItem(n, 0, None, body, now + left_us) for n in names or ("m",)]
+        return OutboundCall(number, (7, -1), now, items)
 
     async def out(
         self, *names: str, body: bytes = b"x", left_us: int = 60_000_000
-    ) -> tuple[Call, socket.socket]:
+    ) -> tuple[OutboundCall, socket.socket]:
         """A call that its target has whole."""
         call = self.call(*names, body=body, left_us=left_us)
         self.pool.start(call)
@@ -170,13 +175,13 @@
         self.ends.clear()
         return [side for _, side in calls]
 
-    def only(self) -> Connection:
-        (connection,) = self.pool.all
+    def only(self) -> EndpointConnection:
+        (connection,) = self.pool.connections
         return connection
 
     def done(self) -> None:
         """Every call has had its end, once."""
-        assert self.pool.out == 0 and not self.pool.calls
+        assert self.pool.in_flight == 0 and not self.pool.calls
         assert len({(e.message_id, e.attempt) for e in self.ends}) == len(self.ends)
 
 
@@ -202,7 +207,7 @@
     a close that was only put down for that turn: a second copy while the first is out
     on an open connection.
     """
-    monkeypatch.setattr(client, "WHOLE_S", 0.01)
+    monkeypatch.setattr(connection_pool, "RESPONSE_COMPLETION_S", 0.01)
 
     async def scene() -> None:
         s = Scene(target)
@@ -243,20 +248,20 @@
         s = Scene(target)
         sides = await s.rested() if rested else []
 
-        def leaves(call: Call) -> int:
+        def leaves(call: OutboundCall) -> int:
             reset(sides[0] if sides else target.accept())
             arrived(s.only())
             return 0
 
-        s.pool.leaves = leaves
+        s.pool.acquire_permit = leaves
         s.pool.start(s.call())
         await until(lambda: s.ends)
         assert (
             s.outcomes() == [Outcome.NO_CONNECTION]
             and s.ends[0].inconclusive
-            and s.pool.relayed == len(sides)
+            and s.pool.messages_written == len(sides)
         )
-        await until(lambda: not s.pool.all)
+        await until(lambda: not s.pool.connections)
         s.done()
 
     play(scene)
@@ -274,13 +279,13 @@
         s = Scene(target)
         sides = await s.rested() if rested else []
 
-        def leaves(call: Call) -> int:
+        def leaves(call: OutboundCall) -> int:
             side = sides[0] if sides else target.accept()
             side.shutdown(socket.SHUT_WR)
             arrived(s.only())
             return 0
 
-        s.pool.leaves = leaves
+        s.pool.acquire_permit = leaves
         s.pool.start(s.call())
         await until(lambda: s.ends)
         assert s.outcomes() == [Outcome.RESET]
@@ -300,9 +305,11 @@
     async def scene() -> None:
         s = Scene(target)
         seen: list[bytes] = []
-        made = Connection.connection_made
+        made = EndpointConnection.connection_made
 
-        def connection_made(self: Connection, transport: asyncio.BaseTransport) -> None:
+        def connection_made(
+            self: EndpointConnection, transport: asyncio.BaseTransport
+        ) -> None:
             made(self, transport)
             side = target.accept()
             if how == "end":
@@ -313,11 +320,11 @@
                 reset(side)
             arrived(self)
 
-        monkeypatch.setattr(Connection, "connection_made", connection_made)
+        monkeypatch.setattr(EndpointConnection, "connection_made", connection_made)
         s.pool.start(s.call())
         await until(lambda: s.ends)
         assert s.outcomes() == [Outcome.NO_CONNECTION] and s.ends[0].inconclusive
-        await until(lambda: not s.pool.all)
+        await until(lambda: not s.pool.connections)
         if how != "reset":
             try:
                 seen.append(target.open[-1].recv(100))
@@ -353,7 +360,7 @@
         assert (
             s.outcomes() == [Outcome.NO_CONNECTION]
             and s.ends[0].inconclusive
-            and s.pool.relayed == 0
+            and s.pool.messages_written == 0
         )
         s.done()
 
@@ -385,7 +392,7 @@
         await until(lambda: s.ends)
         assert s.outcomes() == [outcome] and not call.written
         assert not s.pool.idle.get(1)
-        await until(lambda: not s.pool.all)
+        await until(lambda: not s.pool.connections)
         size = 0
         try:
             while more := side.recv(1 << 20):
@@ -407,7 +414,7 @@
         s.pool.start(call)
         await until(lambda: call.connection is not None)
         target.accept().sendall(b"HTTP/1.1 200 OK\r\n")
-        await until(lambda: call.begun)
+        await until(lambda: call.response_started)
         s.pool.cancel("m", 0)
         assert s.outcomes() == [Outcome.DELIVERED]
         s.done()
@@ -451,8 +458,8 @@
         if how == "cancel":
             s.pool.cancel("m", 0)
         else:
-            call.items[0].until_us = 0
-            s.pool.timed_out(call)
+            call.items[0].timeout_at_us = 0
+            s.pool.on_timeout(call)
         await until(lambda: s.ends)
         given_up = Outcome.CANCELED if how == "cancel" else Outcome.TIMED_OUT
         assert s.outcomes() == [outcome or given_up]
@@ -472,17 +479,17 @@
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BOTH) + BOTH
         if how == "cut short":
             side.sendall(answer[:20])
-            await until(lambda: call.begun)
+            await until(lambda: call.response_started)
             answer = answer[20:]
         side.sendall(answer)
         arrived(s.only())
         if how == "cancel":
             s.pool.cancel("a", 0)
         elif how == "cut short":
-            s.pool.cut_short(call)
+            s.pool.on_incomplete_response(call)
         else:
-            call.items[0].until_us = 0
-            s.pool.timed_out(call)
+            call.items[0].timeout_at_us = 0
+            s.pool.on_timeout(call)
         await until(lambda: len(s.ends) == 2)
         assert {e.message_id: e.outcome for e in s.ends} == {
             "a": Outcome.DELIVERED,
@@ -510,8 +517,8 @@
         if how == "cancel":
             s.pool.cancel("a", 0)
         else:
-            call.items[0].until_us = call.items[1].until_us = 0
-            s.pool.timed_out(call)
+            call.items[0].timeout_at_us = call.items[1].timeout_at_us = 0
+            s.pool.on_timeout(call)
         await until(lambda: len(s.ends) == 2)
         assert s.outcomes() == [Outcome.DELIVERED, Outcome.REJECTED]
         s.done()
@@ -523,20 +530,20 @@
 
 
 def events(
-    s: Scene, call: Call, connection: Connection
+    s: Scene, call: OutboundCall, connection: EndpointConnection
 ) -> dict[str, Callable[[], None]]:
     def timed_out() -> None:
         for item in call.items:
-            item.until_us = 0
-        s.pool.timed_out(call)
+            item.timeout_at_us = 0
+        s.pool.on_timeout(call)
 
     return {
         "answer": lambda: (
-            None if connection.closing() else connection.data_received(OK)
+            None if connection.is_closing() else connection.data_received(OK)
         ),
         "half": lambda: (
             None
-            if connection.closing()
+            if connection.is_closing()
             else connection.data_received(b"HTTP/1.1 500 No\r\nA:")
         ),
         "time-out": timed_out,
@@ -544,11 +551,11 @@
         "lost": lambda: (
             connection.transport.abort() if connection.transport is not None else None
         ),
-        "drained": lambda: s.pool.serving({}),
-        "moved": lambda: s.pool.serving({1: Address("127.0.0.1", 9)}),
-        "wait": lambda: s.pool.bind((7, -1), s.clock() + 1_000_000),
-        "cut": lambda: s.pool.cut_short(call),
-        "dials cut": s.pool.cut_dials,
+        "drained": lambda: s.pool.set_endpoints({}),
+        "moved": lambda: s.pool.set_endpoints({1: Address("127.0.0.1", 9)}),
+        "wait": lambda: s.pool.set_retry_after((7, -1), s.clock() + 1_000_000),
+        "cut": lambda: s.pool.on_incomplete_response(call),
+        "dials cut": s.pool.fail_unconnected_calls,
         "retired": s.pool.retire,
     }
 
@@ -583,7 +590,7 @@
             if (
                 not s.ends
             ):  # nothing of this ends a call: it is still out, and its answer counts
-                assert call.open and not {first, second} & {
+                assert call.open_items and not {first, second} & {
                     "answer",
                     "time-out",
                     "cancel",
@@ -594,7 +601,7 @@
                     "cut",
                 )  # without a half answer there is none to cut
                 connection.data_received(
-                    b"\r\nContent-Length: 0\r\n\r\n" if call.begun else OK
+                    b"\r\nContent-Length: 0\r\n\r\n" if call.response_started else OK
                 )
             assert len(s.ends) == 1, (first, second)
             if first == "answer":
@@ -603,7 +610,7 @@
             assert not (gone and s.pool.idle.get(1)), (first, second)
             s.done()
             s.pool.close()
-            await until(lambda s=s: not s.pool.all)
+            await until(lambda s=s: not s.pool.connections)
             side.close()
 
     play(scene)
@@ -687,7 +694,7 @@
                         s.ends
                         or (
                             call.connection is not None
-                            and call.connection.reader.started
+                            and call.connection.reader.any_bytes_received
                         )
                     )
                 )
@@ -698,7 +705,7 @@
             await until(lambda s=s: s.ends)
             assert s.outcomes() == [outcome] * len(names)
             assert all(e.retry_after_us == 0 and e.load_report is None for e in s.ends)
-            await until(lambda s=s: not s.pool.all)
+            await until(lambda s=s: not s.pool.connections)
             s.done()
 
     play(scene)
@@ -752,7 +759,7 @@
     target: Target,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client, "WHOLE_S", 0.05)
+    monkeypatch.setattr(connection_pool, "RESPONSE_COMPLETION_S", 0.05)
 
     async def scene() -> None:
         s = Scene(target)
@@ -778,19 +785,25 @@
         call, side = await s.out()
         side.sendall(b"HTTP/1.1 102 Processing\r\n\r\n")
         await until(
-            lambda: call.connection is not None and call.connection.reader.started
+            lambda: (
+                call.connection is not None
+                and call.connection.reader.any_bytes_received
+            )
         )
-        assert not call.begun
+        assert not call.response_started
         side.sendall(b"HTTP/1.1 103 Ear")
-        await until(lambda: call.begun)
+        await until(lambda: call.response_started)
         side.sendall(b"ly\r\n\r\n")
         await until(
-            lambda: call.connection is not None and not call.connection.reader.begun
+            lambda: (
+                call.connection is not None
+                and not call.connection.reader.response_started
+            )
         )
-        s.pool.cut_short(call)
-        assert not call.begun and call.open
+        s.pool.on_incomplete_response(call)
+        assert not call.response_started and call.open_items
         side.sendall(b"HTTP/1.1 2")
-        await until(lambda: call.begun)
+        await until(lambda: call.response_started)
         side.sendall(OK[10:])
         await until(lambda: s.ends)
         assert s.outcomes() == [Outcome.DELIVERED]
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from rainfall.net import stopping
-from rainfall.net.client_connection import LINGER_BYTES
-from rainfall.net.store import Store
+from rainfall.forwarder.engine import shutdown
+from rainfall.forwarder.inbound.client_connection import LINGER_BYTES
+from rainfall.forwarder.message_store import MessageStore
 from tests.sockets import OK, PATIENCE, Answer, Peer, Platform, Request, message
 from tests.test_crossing_stopping import Caller, Running, target
 
@@ -73,8 +73,8 @@
         self.engine = run.engine
 
     def gate(self) -> None:
-        self.engine.schedule = lambda: None  # type: ignore[method-assign]
-        self.engine.scheduled = True
+        self.engine.schedule_round = lambda: None  # type: ignore[method-assign]
+        self.engine.round_scheduled = True
 
     def client(self) -> Caller:
         return Caller(self.run.port)
@@ -89,7 +89,7 @@
         """A client whose message waits for the next round."""
         client = client or self.client()
         client.say(message(name, cls, **headers))
-        await self.run.until(lambda: name in self.engine.arriving)
+        await self.run.until(lambda: name in self.engine.undecided)
         return client
 
     def sent(self) -> list[str]:
@@ -100,7 +100,7 @@
         self.endpoint.held.set()
         async with asyncio.timeout(PATIENCE):
             while self.engine.store.messages:
-                self.engine.round()
+                self.engine.run_round()
                 await asyncio.sleep(0.001)
         assert sorted(self.sent()) == sorted(names)
 
@@ -147,9 +147,9 @@
             how == "half-close"
         ):  # who has only ended its side hears that it may hand the message in again
             assert (await client.answer())[0] == 503 and await client.end() == b""
-        await s.run.until(lambda: not s.engine.arriving)
+        await s.run.until(lambda: not s.engine.undecided)
         second = await s.arrives(again, X_Repeat="again", Idempotency_Key="key-m")
-        s.engine.round()
+        s.engine.run_round()
         assert (await second.answer())[0] == 202
         assert (
             list(s.engine.store.messages)
@@ -170,7 +170,7 @@
     async def scene(s: Scene) -> None:
         client = await s.arrives("m", cls="status")
         leave(client, how)
-        s.engine.round()
+        s.engine.run_round()
         assert list(s.engine.store.messages) == ["m"]
         if how == "half-close":
             assert (await client.answer())[0] == 202 and await client.end() == b""
@@ -186,7 +186,7 @@
 ) -> None:
     async def scene(s: Scene) -> None:
         client = await s.arrives("m")
-        s.engine.round()
+        s.engine.run_round()
         assert (await client.answer())[0] == 202
         await s.peer.got(1)
         leave(client, how)
@@ -203,8 +203,8 @@
         first = await s.arrives("a", cls="turns", X_Session_Key="k")
         second = await s.arrives("b", cls="turns", X_Session_Key="k")
         first.reset()
-        await s.run.until(lambda: list(s.engine.arriving) == ["b"])
-        s.engine.round()
+        await s.run.until(lambda: list(s.engine.undecided) == ["b"])
+        s.engine.run_round()
         assert (await second.answer())[0] == 202
         await s.delivered("b")
 
@@ -222,7 +222,7 @@
         elsewhere = Caller(other.port)
         elsewhere.say(message("n", "pay", X_Repeat="again"))
         assert (await elsewhere.answer())[0] == 202
-        await s.run.until(lambda: not s.engine.arriving)
+        await s.run.until(lambda: not s.engine.undecided)
         s.endpoint.held.set()
         await other.until(lambda: not other.engine.store.messages)
         await s.delivered("n")
@@ -236,13 +236,15 @@
 
 def powered(monkeypatch: pytest.MonkeyPatch) -> Sync:
     sync = Sync()
-    monkeypatch.setattr("rainfall.net.engine.sync_thread", lambda: sync)
+    monkeypatch.setattr(
+        "rainfall.forwarder.engine.engine.create_sync_thread", lambda: sync
+    )
     return sync
 
 
 def kept(folder: Path) -> list[str]:
     """What a process would find that started now."""
-    return list(Store(folder, 3_000_000, write=False).messages)
+    return list(MessageStore(folder, 3_000_000, write=False).messages)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -257,17 +259,17 @@
     async def scene(s: Scene) -> None:
         client = await s.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.round()
-        assert kept(tmp_path) == ["m"] and "m" in s.engine.unanswered
+        s.engine.run_round()
+        assert kept(tmp_path) == ["m"] and "m" in s.engine.unacknowledged
         leave(client, how)
         if how == "half-close":
             assert (await client.answer())[0] == 503 and await client.end() == b""
-        await s.run.until(lambda: not s.engine.unanswered)
+        await s.run.until(lambda: not s.engine.unacknowledged)
         assert kept(tmp_path) == []
         sync.holding = False
         sync.go()
         again = await s.arrives("n", cls="pay", X_Repeat="again")
-        s.engine.round()
+        s.engine.run_round()
         assert (await again.answer())[0] == 202
         await s.delivered("n")
 
@@ -282,7 +284,7 @@
     async def scene(s: Scene) -> None:
         first = await s.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.round()
+        s.engine.run_round()
         again = s.client()
         again.say(message("m", "pay", X_Repeat="again"))
         assert (await again.answer())[0] == 503
@@ -306,15 +308,15 @@
     async def scene(s: Scene) -> None:
         first = await s.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.round()
+        s.engine.run_round()
         first.reset()
-        await s.run.until(lambda: not s.engine.unanswered)
+        await s.run.until(lambda: not s.engine.unacknowledged)
         for status in (503, 202):
             again = s.client()
             again.say(message("m", "pay", X_Repeat="again"))
             if status == 202:
-                await s.run.until(lambda: "m" in s.engine.arriving)
-                s.engine.round()
+                await s.run.until(lambda: "m" in s.engine.undecided)
+                s.engine.run_round()
             assert (await again.answer())[0] == status
             again.socket.close()
             sync.holding = False
@@ -329,16 +331,18 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     sync = powered(monkeypatch)
-    monkeypatch.setattr("rainfall.net.starting.SETTLE_S", PATIENCE)
+    monkeypatch.setattr(
+        "rainfall.forwarder.engine.startup.FINAL_COMMIT_TIMEOUT_S", PATIENCE
+    )
 
     async def scene(s: Scene) -> None:
         client = await s.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.round()
+        s.engine.run_round()
         ending = None
         if step == "freeze":
-            s.run.told_to_stop(stopping.FREEZE_S)
-            s.engine.stop_step()
+            s.run.told_to_stop(shutdown.FREEZE_AFTER_S)
+            s.engine.advance_shutdown()
         else:
             waiting = len(s.engine.store.log.waiters)
             ending = asyncio.create_task(s.run.end())
@@ -346,10 +350,10 @@
         sync.holding = False
         sync.go()
         assert (await client.answer())[0] == 202
-        assert s.engine.pool.out == 0 and not s.engine.pool.dials
+        assert s.engine.pool.in_flight == 0 and not s.engine.pool.dial_tasks
         client.socket.close()
         await (ending or s.run.end())
-        assert not s.peer.requests and s.engine.store.messages["m"].out == {}
+        assert not s.peer.requests and s.engine.store.messages["m"].in_flight == {}
         s.run = await Running(tmp_path, s.platform).ready()
         await s.peer.got(1)
         s.endpoint.held.set()
@@ -367,8 +371,8 @@
     async def scene(s: Scene) -> None:
         client = await s.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.round()
-        s.run.told_to_stop(stopping.FREEZE_S)
+        s.engine.run_round()
+        s.run.told_to_stop(shutdown.FREEZE_AFTER_S)
         ending = asyncio.create_task(s.run.end())
         assert (await client.answer())[0] == 503 and await client.end() == b""
         client.socket.close()
@@ -393,7 +397,7 @@
         assert (await again.answer())[0] == 503
         again.reset()  # whoever was refused takes nothing with it
         await s.run.until(lambda: len(s.engine.server.connections) == 1)
-        s.engine.round()
+        s.engine.run_round()
         assert (await first.answer())[0] == 202
         await s.delivered("m")
 
@@ -410,10 +414,10 @@
             client.say(message("m", cls, X_Repeat="again"))
             assert (await client.answer())[0] == 202
             client.socket.close()
-            s.engine.round()
+            s.engine.run_round()
 
         first = await s.arrives("m", cls=cls)
-        s.engine.round()
+        s.engine.run_round()
         assert (await first.answer())[0] == 202
         await again()  # journaled
         await s.peer.got(1)
@@ -428,8 +432,8 @@
 def test_same_id_after_a_restart_is_ours_while_it_is_held(tmp_path: Path) -> None:
     async def scene(s: Scene) -> None:
         first = await s.arrives("m", cls="pay")
-        s.engine.send = lambda *parts: None  # type: ignore[method-assign]
-        s.engine.round()
+        s.engine.add_to_call = lambda *parts: None  # type: ignore[method-assign]
+        s.engine.run_round()
         assert (await first.answer())[0] == 202
         await s.run.end()
         s.run = await Running(tmp_path, s.platform).ready()
@@ -439,8 +443,10 @@
         again = s.client()
         again.say(message("m", "pay", X_Repeat="again"))
         assert (await again.answer())[0] == 202
-        assert not s.engine.arriving and list(s.engine.store.messages) == ["m"]
-        assert s.engine.figures.taken == 1  # the one of before, and none beside it
+        assert not s.engine.undecided and list(s.engine.store.messages) == ["m"]
+        assert (
+            s.engine.metrics.messages_accepted == 1
+        )  # the one of before, and none beside it
         await s.delivered("m")
 
     play(scene, tmp_path)
@@ -453,12 +459,12 @@
     async def scene(s: Scene) -> None:
         first = await s.arrives("m")
         if moment != "arrived":
-            s.engine.round()
+            s.engine.run_round()
             assert (await first.answer())[0] == 202
         if moment == "delivered":
             await s.delivered("m")
         second = await s.arrives("n", X_Repeat="again", Idempotency_Key="key-m")
-        s.engine.round()
+        s.engine.run_round()
         assert (await second.answer())[0] == 202
         await s.delivered("m", "n")
         assert {r.headers["idempotency-key"] for r in s.peer.requests} == {"key-m"}
@@ -477,13 +483,13 @@
     async def scene(s: Scene) -> None:
         client = s.client()
         client.say(b"".join(message(f"m{n}", "status") for n in range(20)))
-        await s.run.until(lambda: "m0" in s.engine.arriving)
+        await s.run.until(lambda: "m0" in s.engine.undecided)
         client.reset()
         async with asyncio.timeout(PATIENCE):
             while s.engine.server.connections:
-                s.engine.round()
+                s.engine.run_round()
                 await asyncio.sleep(0.001)
-        assert list(s.engine.store.messages) == ["m0"] and not s.engine.arriving
+        assert list(s.engine.store.messages) == ["m0"] and not s.engine.undecided
         await s.delivered("m0")
 
     play(scene, tmp_path)
@@ -501,8 +507,8 @@
             False,
             True,
         ]
-        assert await client.end() == b"" and not s.engine.arriving
-        s.engine.round()
+        assert await client.end() == b"" and not s.engine.undecided
+        s.engine.run_round()
         assert not s.engine.store.messages
 
     play(scene, tmp_path)
@@ -524,7 +530,7 @@
         await s.run.until(
             lambda: held.transport is None or not held.transport.is_reading()
         )
-        s.engine.round()
+        s.engine.run_round()
         assert [(await client.answer())[0] for _ in range(2)] == [202, 400]
         async with asyncio.timeout(PATIENCE):
             await rest
--- a/tests/test_crossing_door.py
+++ b/tests/test_crossing_door.py
@@ -18,31 +18,38 @@
 
 import pytest
 
-from rainfall.net import server as door
-from rainfall.net.client_connection import ClientConnection
-from rainfall.net.server import MOST_UNREAD, Asker, Handed, Server
-from rainfall.wirehost import settings
+from rainfall.forwarder.inbound import server as door
+from rainfall.forwarder.inbound.client_connection import ClientConnection
+from rainfall.forwarder.inbound.server import (
+    MAX_UNREAD_BYTES,
+    InboundServer,
+    ResponseWriter,
+    SubmittedMessage,
+)
+from rainfall.wirehost import parse_settings
 from tests.sockets import OK, PATIENCE, SETTINGS, Node, Peer, Platform, always, message
 
 OWED_US = 3_000_000  # TERMS, Connections: an error or a close within 3 s of connecting
-SWEEP_US = int(door.SWEEP_S * 1_000_000)
+SWEEP_US = int(door.SWEEP_INTERVAL_S * 1_000_000)
 LINGER_US = int(door.LINGER_S * 1_000_000)
 Scene = Callable[["Door"], Awaitable[None]]
 
 
-class Door(Server):
+class Door(InboundServer):
     """A server whose clock stands until the test moves it, and that sweeps when the
     test says so.
     """
 
     def __init__(self, most: int = 100) -> None:
         self.now, self.taken, self.joins = 1_000_000_000, [], 0
-        super().__init__(settings(SETTINGS), lambda: self.now, most, self.take)
+        super().__init__(
+            parse_settings(SETTINGS), lambda: self.now, most, self.adopt_socket
+        )
         self.settled = asyncio.Event()
 
     taken: list[str]
 
-    def take(self, handed: Handed, asker: Asker) -> None:
+    def adopt_socket(self, handed: SubmittedMessage, asker: ResponseWriter) -> None:
         self.taken.append(handed.id)
         asker.answer(HTTPStatus.ACCEPTED)
 
@@ -68,18 +75,26 @@
         self, writer: asyncio.StreamWriter, side: ClientConnection, data: bytes
     ) -> None:
         """Send, and wait until it was read."""
-        seen = side.raw
+        seen = side.raw_bytes
         writer.write(data)
-        await self.until(lambda: side.raw != seen or side.requests > 0 or side.broken)
+        await self.until(
+            lambda: (
+                side.raw_bytes != seen
+                or side.request_count > 0
+                or side.discarding_input
+            )
+        )
 
     def told(self, side: ClientConnection) -> bool:
         """Whether the peer was given an error or a close."""
-        return side.broken or not side.open()
+        return side.discarding_input or not side.is_open()
 
 
 def play(scene: Scene, monkeypatch: pytest.MonkeyPatch, most: int = 100) -> None:
     async def run() -> None:
-        monkeypatch.setattr(door, "SWEEP_S", 3600.0)  # by itself it never sweeps
+        monkeypatch.setattr(
+            door, "SWEEP_INTERVAL_S", 3600.0
+        )  # by itself it never sweeps
         server = Door(most)
         await server.listen("127.0.0.1", 0)
         try:
@@ -95,11 +110,14 @@
     that is late.
     """
     room = OWED_US - 200_000
-    assert door.SILENT_US + SWEEP_US <= room
-    assert door.STALLED_US + SWEEP_US <= room
-    assert door.SILENT_US + SWEEP_US + door.FIRST_US + SWEEP_US <= room
+    assert door.SILENT_CONNECTION_US + SWEEP_US <= room
+    assert door.STALLED_REQUEST_US + SWEEP_US <= room
+    assert (
+        door.SILENT_CONNECTION_US + SWEEP_US + door.STALLED_FIRST_REQUEST_US + SWEEP_US
+        <= room
+    )
     assert (
-        door.STALLED_US + SWEEP_US + LINGER_US + SWEEP_US <= OWED_US
+        door.STALLED_REQUEST_US + SWEEP_US + LINGER_US + SWEEP_US <= OWED_US
     )  # the end of its connection, too
 
 
@@ -134,7 +152,7 @@
         while not server.told(side):
             if begin <= sweep:
                 server.now, begin = begin, sweep + 1
-                await server.say(writer, side, goes_on if side.raw else says)
+                await server.say(writer, side, goes_on if side.raw_bytes else says)
                 if not goes_on:
                     begin = start + 10 * OWED_US
             else:
@@ -169,13 +187,13 @@
             most = 0
             async with asyncio.timeout(PATIENCE):
                 asked = 1000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n"
-                while side.transport is not None and most < 64 * MOST_UNREAD:
+                while side.transport is not None and most < 64 * MAX_UNREAD_BYTES:
                     with suppress(ConnectionError, TimeoutError):
                         await asyncio.wait_for(loop.sock_sendall(sock, asked), 0.1)
                     if side.transport is not None:
                         most = max(most, side.transport.get_write_buffer_size())
-        assert most <= 2 * MOST_UNREAD
-        assert kept[2].open()
+        assert most <= 2 * MAX_UNREAD_BYTES
+        assert kept[2].is_open()
 
     play(scene, monkeypatch)
 
@@ -339,7 +357,9 @@
             if in_pieces:
                 half = data.find(b"HTTP/") + 3 or 1
                 writer.write(data[:half])
-                await server.until(lambda side=side: side.raw > 0 or side.broken)  # type: ignore[misc]
+                await server.until(
+                    lambda side=side: side.raw_bytes > 0 or side.discarding_input
+                )  # type: ignore[misc]
                 data = data[half:]
             writer.write(data + message("behind"))
             if (first := await first_line(reader)) and first[9:10] not in (b"4", b"5"):
@@ -388,18 +408,18 @@
 class Holding(Door):
     """A door at which messages wait for their answer until the test gives it."""
 
-    def take(self, handed: Handed, asker: Asker) -> None:
+    def adopt_socket(self, handed: SubmittedMessage, asker: ResponseWriter) -> None:
         self.taken.append(handed.id)
         self.askers.append(asker)
 
-    askers: list[Asker]
+    askers: list[ResponseWriter]
 
 
 def play_holding(
     scene: Callable[[Holding], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def run() -> None:
-        monkeypatch.setattr(door, "SWEEP_S", 3600.0)
+        monkeypatch.setattr(door, "SWEEP_INTERVAL_S", 3600.0)
         server = Holding()
         server.askers = []
         await server.listen("127.0.0.1", 0)
@@ -423,16 +443,16 @@
         writer.write(
             message("before") + post(FIVE + CHUNKED, ONE_CHUNK) + message("behind")
         )
-        await server.until(lambda: side.broken)
+        await server.until(lambda: side.discarding_input)
         writer.write(message("later"))
-        await server.until(lambda: side.raw > 0)
-        assert server.taken == ["before"] and side.busy is not None
+        await server.until(lambda: side.raw_bytes > 0)
+        assert server.taken == ["before"] and side.active_request is not None
         server.askers[0].answer(HTTPStatus.ACCEPTED)
         async with asyncio.timeout(PATIENCE):
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 400")
             await reader.read()  # it ends its side at once
-        assert server.taken == ["before"] and side.open()
+        assert server.taken == ["before"] and side.is_open()
         server.now += LINGER_US
         server.sweep()
         await server.until(lambda: not server.connections)
@@ -460,21 +480,21 @@
                 super().append(request)
                 most = max(most, len(self))
 
-        side.waiting = Watched()
+        side.queued_requests = Watched()
         writer.write(20_000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n")
         await server.until(
             lambda: (
                 most > 0
                 and (
-                    side.broken
-                    or not side.open()
+                    side.discarding_input
+                    or not side.is_open()
                     or side.transport is not None
                     and not side.transport.is_reading()
                 )
             )
         )
         assert most <= 100
-        assert server.taken == ["first"] and side.open()
+        assert server.taken == ["first"] and side.is_open()
         server.askers[0].answer(HTTPStatus.ACCEPTED)
         async with asyncio.timeout(PATIENCE):
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
@@ -496,18 +516,18 @@
         other, drips, slow = await server.connect()
         for w in (writer, drips):
             w.write(b"\x16\x03\x01 no request\r\n\r\n")
-        await server.until(lambda: much.until_us > 0 and slow.until_us > 0)
+        await server.until(lambda: much.close_at_us > 0 and slow.close_at_us > 0)
         sent = 0
         with suppress(ConnectionError):
-            while much.open():
+            while much.is_open():
                 writer.write(65536 * b"a")
                 sent += 65536
                 await writer.drain()
                 await asyncio.sleep(0)
                 assert sent < 60_000_000
-        assert much.reading is None and not much.waiting
+        assert much.incomplete_request is None and not much.queued_requests
         start = server.now
-        while slow.open():
+        while slow.is_open():
             drips.write(b"a")
             server.now += SWEEP_US
             server.sweep()
@@ -548,7 +568,7 @@
             writer.write(data)
             writer.transport.abort() if n % 2 else writer.close()
             await server.until(lambda side=side: side.transport is None)  # type: ignore[misc]
-            assert not side.waiting and side.parser is None
+            assert not side.queued_requests and side.parser is None
         assert not server.taken and server.connections == {kept[2]}
 
     play(scene, monkeypatch)
--- a/tests/test_crossing_handover.py
+++ b/tests/test_crossing_handover.py
@@ -17,13 +17,19 @@
 import pytest
 
 from rainfall.__main__ import serve
-from rainfall.net.client import Pool
-from rainfall.net.config import Address, Config, HostList, host, load
-from rainfall.net.engine import Engine
-from rainfall.net.handover import Successor
-from rainfall.net.lock import Lock
-from rainfall.net.store import Store, Taken
-from rainfall.wirehost import settings
+from rainfall.forwarder.config.loading import (
+    Address,
+    Config,
+    EndpointList,
+    load,
+    parse_endpoint,
+)
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.handover.journal_lock import JournalLock
+from rainfall.forwarder.handover.roles import HandoverTarget
+from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
+from rainfall.forwarder.outbound.connection_pool import ConnectionPool
+from rainfall.wirehost import parse_settings
 from tests.disk import Hands
 from tests.sockets import OK, SETTINGS, Answer, Client, Peer, Platform, always, message
 from tests.test_crossing_talk import Giver, asks, until
@@ -37,8 +43,8 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
         listing = platform.listing()
-        known = HostList(
-            listing["seq"], True, tuple(host(raw) for raw in listing["hosts"])
+        known = EndpointList(
+            listing["seq"], True, tuple(parse_endpoint(raw) for raw in listing["hosts"])
         )
         listen, discovery = (
             Address("127.0.0.1", self.port),
@@ -54,17 +60,17 @@
             256,
             3_000_000,
             known,
-            settings(SETTINGS),
+            parse_settings(SETTINGS),
             ("x0", "x1"),
-            inherited=self.listener.fileno(),
+            inherited_fd=self.listener.fileno(),
             **more,
         )
-        self.lock = Lock(folder)
+        self.lock = JournalLock(folder)
         self.task: asyncio.Task[bool] | None = None
 
-    async def start(self, successor: Successor | None = None) -> Engine:
+    async def start(self, successor: HandoverTarget | None = None) -> Engine:
         if successor is None:
-            assert self.lock.take()
+            assert self.lock.try_acquire()
         self.engine = Engine(self.config, self.lock, successor)
         self.task = asyncio.create_task(self.engine.run())
         await until(lambda: self.engine.serving)
@@ -75,9 +81,9 @@
 
     async def end(self) -> None:
         if self.task is not None:
-            self.engine.done.set()
+            self.engine.stopped.set()
             await self.task
-        self.engine.predecessor.close()
+        self.engine.handover_source.close()
         await self.engine.server.close()
         self.lock.release()
         self.listener.close()
@@ -127,31 +133,31 @@
         olds.append(old := Old(folder, platform))
         engine = await old.start()
         gate, dialed = asyncio.Event(), asyncio.Event()
-        dial = Pool.dial
+        dial = ConnectionPool.dial
 
-        async def slow(pool: Pool, call: Any, where: Address) -> None:
+        async def slow(pool: ConnectionPool, call: Any, where: Address) -> None:
             dialed.set()
             await gate.wait()
             await dial(pool, call, where)
 
-        monkeypatch.setattr(Pool, "dial", slow)
+        monkeypatch.setattr(ConnectionPool, "dial", slow)
         client = await old.client()
         assert (await client.hand_in("m", "pay"))[0] == 202
         await dialed.wait()
         engine.store.log.failed, engine.store.log.retry_at = True, float("inf")
         watch = engine.watch.task
         for _ in range(8):
-            successor = Successor()
-            assert not await successor.ask(folder)
+            successor = HandoverTarget()
+            assert not await successor.request_snapshot(folder)
             successor.link.close()
-            engine.round()  # what was cut goes again
+            engine.run_round()  # what was cut goes again
         assert [m.attempts for m in engine.store.messages.values()] == [
             1
         ] and engine.watch.task is watch
         gate.set()
         await peer.got(1)
         await until(lambda: not engine.store.messages)
-        assert len(peer.requests) == 1 and not engine.store.owed
+        assert len(peer.requests) == 1 and not engine.store.pending_notifications
 
     play(scene, tmp_path)
 
@@ -165,7 +171,8 @@
     """
     now = [100.0]
     monkeypatch.setattr(
-        "rainfall.net.handover.time", SimpleNamespace(monotonic=lambda: now[0])
+        "rainfall.forwarder.handover.roles.time",
+        SimpleNamespace(monotonic=lambda: now[0]),
     )
 
     async def scene() -> None:
@@ -180,7 +187,7 @@
             waited.append(p.timer.when() - asyncio.get_running_loop().time())
             assert hold_s - 1 < waited[-1] <= hold_s
             p.timer.cancel()
-            p.too_slow()  # as its timer does
+            p.on_hold_timeout()  # as its timer does
             now[0] += hold_s - 0.1
             _, heard = await asks(giver)
             await until(lambda heard=heard: heard or giver.holds)
@@ -203,19 +210,24 @@
         olds.append(old := Old(folder, platform))
         engine = await old.start()
         first, second = await old.client(), await old.client()
-        successor = Successor()  # the new process, as far as the test lets it come
-        assert await successor.ask(folder) and await successor.prepared()
+        successor = HandoverTarget()  # the new process, as far as the test lets it come
+        assert (
+            await successor.request_snapshot(folder)
+            and await successor.request_ownership()
+        )
         engine.stop()
         for client, name in ((first, "taken"), (second, "lost")):
             client.writer.write(message(name, "pay"))
-        await until(lambda: len(successor.early) == 2)
-        lock = Lock(folder)
-        assert lock.take()
-        kept = Store(folder, 3_000_000)
-        kept.take(Taken("taken", "pay", 7, 10**16, None, "acme", b""))
+        await until(lambda: len(successor.early_messages) == 2)
+        lock = JournalLock(folder)
+        assert lock.try_acquire()
+        kept = MessageStore(folder, 3_000_000)
+        kept.append_message(
+            AcceptedMessage("taken", "pay", 7, 10**16, None, "acme", b"")
+        )
         kept.flush()
         # it is in the journal, and the new process dies before it says so
-        kept.let_go()
+        kept.release()
         assert successor.link.transport is not None
         successor.link.transport.abort()
         lock.release()
@@ -235,7 +247,9 @@
     target reached neither process's module: the new one called again at once.
     """
     hands = Hands()
-    monkeypatch.setattr("rainfall.net.engine.sync_thread", lambda: hands)
+    monkeypatch.setattr(
+        "rainfall.forwarder.engine.engine.create_sync_thread", lambda: hands
+    )
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         gate, works = asyncio.Event(), asyncio.Event()
@@ -259,18 +273,18 @@
         await peer.got(1)
         works.clear()
         other.writer.write(message("n", dest=8))
-        await until(lambda: "n" in engine.store.messages or "n" in engine.arriving)
-        successor = Successor()
-        asked = asyncio.create_task(successor.ask(folder))
-        await until(lambda: engine.holding)
+        await until(lambda: "n" in engine.store.messages or "n" in engine.undecided)
+        successor = HandoverTarget()
+        asked = asyncio.create_task(successor.request_snapshot(folder))
+        await until(lambda: engine.paused_for_handover)
         gate.set()  # the answer comes while the disk syncs
         await until(lambda: ("m", 0) not in engine.pool.calls)
         works.set()
         assert await asked and (await other.answer())[0] == 202
         olds.append(new := Old(folder, platform, power=True))
         taken = await new.start(successor)
-        await until(lambda: not [name for name, _ in taken.remote if name == "m"])
-        taken.round()
+        await until(lambda: not [name for name, _ in taken.remote_calls if name == "m"])
+        taken.run_round()
         place = taken.dispatcher.state.throttle_scopes[(7, -1)]
         assert (
             place.retry_after_until > taken.clock()
@@ -303,16 +317,24 @@
         client = await old.client()
         assert (await client.hand_in("before", "status"))[0] == 202
         await until(lambda: not engine.store.messages)
-        successor = Successor()
-        assert await successor.ask(folder) and await successor.prepared()
-        told = replace(engine.config, settings=settings(classes(fresh={})))
-        monkeypatch.setattr("rainfall.net.leaving.replacement", lambda config: told)
+        successor = HandoverTarget()
+        assert (
+            await successor.request_snapshot(folder)
+            and await successor.request_ownership()
+        )
+        told = replace(engine.config, settings=parse_settings(classes(fresh={})))
+        monkeypatch.setattr(
+            "rainfall.forwarder.engine.ownership.load_replacement", lambda config: told
+        )
         engine.reload()
         client.writer.write(message("m", "fresh"))
         answered = asyncio.create_task(client.answer())
-        await until(lambda: len(successor.early) == 2 or answered.done())
-        assert [next(iter(line)) for line in successor.early] == ["reload", "hand_in"]
-        assert successor.early[1]["hand_in"][1]["class_name"] == "fresh"
+        await until(lambda: len(successor.early_messages) == 2 or answered.done())
+        assert [next(iter(line)) for line in successor.early_messages] == [
+            "reload",
+            "hand_in",
+        ]
+        assert successor.early_messages[1]["hand_in"][1]["class_name"] == "fresh"
         answered.cancel()
         assert successor.link.transport is not None
         successor.link.transport.abort()
@@ -338,13 +360,13 @@
         olds.append(old := Old(folder, platform))
         engine = await old.start()
         stays, goes = await old.client(), await old.client()
-        successor = Successor()
-        assert await successor.ask(folder) and engine.holding
+        successor = HandoverTarget()
+        assert await successor.request_snapshot(folder) and engine.paused_for_handover
         stays.writer.write(message("m", "pay"))
         goes.writer.write(message("n", "pay"))
-        await until(lambda: {"m", "n"} <= engine.arriving.keys())
+        await until(lambda: {"m", "n"} <= engine.undecided.keys())
         goes.writer.close()
-        await until(lambda: "n" not in engine.arriving)
+        await until(lambda: "n" not in engine.undecided)
         await platform.change("s1", "draining")
         olds.append(new := Old(folder, platform))
         taken = await new.start(successor)
@@ -367,20 +389,20 @@
         olds.append(old := Old(folder, platform))
         engine = await old.start()
         client, other = await old.client(), await old.client()
-        successor = Successor()
-        assert await successor.ask(folder)
+        successor = HandoverTarget()
+        assert await successor.request_snapshot(folder)
         client.writer.write(message("n", "pay"))
         other.writer.write(message("m", "pay"))
-        await until(lambda: len(engine.arriving) == 2)
-        assert await successor.prepared()
-        await until(lambda: len(successor.early) == 2)
+        await until(lambda: len(engine.undecided) == 2)
+        assert await successor.request_ownership()
+        await until(lambda: len(successor.early_messages) == 2)
         client.writer.close()  # before the new one has an engine to take it
-        await until(lambda: len(successor.early) == 3)
+        await until(lambda: len(successor.early_messages) == 3)
         olds.append(new := Old(folder, platform))
-        new.lock.take()
+        new.lock.try_acquire()
         taken = new.engine = Engine(new.config, new.lock, None)
         successor.attach(taken)
-        taken.round()
+        taken.run_round()
         assert list(taken.store.messages) == ["m"] and (await other.answer())[0] == 202
         taken.store.close()
         assert not peer.requests
@@ -403,16 +425,21 @@
         olds.append(old := Old(folder, platform))
         engine = await old.start()
         client = await old.client()
-        successor = Successor()
-        assert await successor.ask(folder) and engine.holding
+        successor = HandoverTarget()
+        assert await successor.request_snapshot(folder) and engine.paused_for_handover
         client.writer.write(message("m", "pay"))
-        await until(lambda: "m" in engine.arriving)
+        await until(lambda: "m" in engine.undecided)
         engine.stop()
-        assert not engine.holding and not await successor.prepared()
+        assert (
+            not engine.paused_for_handover and not await successor.request_ownership()
+        )
         assert (await client.answer())[0] == 202
         await peer.got(1)
-        again = Successor()
-        assert not await again.ask(folder) and not Lock(folder).take()
+        again = HandoverTarget()
+        assert (
+            not await again.request_snapshot(folder)
+            and not JournalLock(folder).try_acquire()
+        )
         again.link.close()
         assert old.task is not None and not await old.task and len(peer.requests) == 1
 
@@ -432,18 +459,18 @@
         engine = await old.start()
         assert (await (await old.client()).hand_in("m"))[0] == 202
         await peer.got(1)
-        sent_at = engine.store.messages["m"].out[0][0]
-        successor = Successor()
-        assert await successor.ask(folder)
+        sent_at = engine.store.messages["m"].in_flight[0][0]
+        successor = HandoverTarget()
+        assert await successor.request_snapshot(folder)
         olds.append(new := Old(folder, platform))
         taken = await new.start(successor)
-        assert taken.remote[("m", 0)][1] == sent_at
+        assert taken.remote_calls[("m", 0)][1] == sent_at
         assert taken.dispatcher.state.attempts[("m", 0)].call.sent_at == sent_at
-        engine.predecessor.close()  # as its death does
+        engine.handover_source.close()  # as its death does
         await peer.got(2)  # its window holds still
         assert (
             taken.dispatcher.state.messages["m"].executed_at
-            == taken.store.messages["m"].ran_at_us
+            == taken.store.messages["m"].executed_at_us
             == sent_at
         )
 
@@ -461,10 +488,10 @@
         await target(platform, always(OK))
         olds.append(old := Old(folder, platform))
         engine = await old.start()
-        successor = Successor()
-        assert await successor.ask(folder) and engine.holding
+        successor = HandoverTarget()
+        assert await successor.request_snapshot(folder) and engine.paused_for_handover
         said: list[int] = []
-        engine.rotate("s1", True, lambda status, text: said.append(int(status)))
+        engine.set_detached("s1", True, lambda status, text: said.append(int(status)))
         assert not said
         olds.append(new := Old(folder, platform))
         taken = await new.start(successor)
@@ -480,9 +507,9 @@
     """The new one had no call of its own out and ended: the old one's outcome had
     nobody to be told to.
     """
-    monkeypatch.setattr("rainfall.net.stopping.LISTEN_S", 0.05)
-    monkeypatch.setattr("rainfall.net.stopping.FREEZE_S", 0.05)
-    monkeypatch.setattr("rainfall.net.stopping.EXIT_S", 15.0)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.ACCEPT_PERIOD_S", 0.05)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.FREEZE_AFTER_S", 0.05)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.EXIT_AFTER_S", 15.0)
 
     async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
         gate = asyncio.Event()
@@ -491,8 +518,8 @@
         engine = await old.start()
         assert (await (await old.client()).hand_in("m", "pay"))[0] == 202
         await peer.got(1)
-        successor = Successor()
-        assert await successor.ask(folder)
+        successor = HandoverTarget()
+        assert await successor.request_snapshot(folder)
         olds.append(new := Old(folder, platform))
         taken = await new.start(successor)
         taken.stop()
@@ -503,7 +530,7 @@
         )  # some steps of its stopping; right code waits here however long it is
         gate.set()
         assert new.task is not None and not await new.task
-        assert not Store(
+        assert not MessageStore(
             folder, 3_000_000, write=False
         ).messages  # delivered, and known to be
 
@@ -522,10 +549,10 @@
         self.config, self.heard = config, list[str]()
         self.made.append(self)
 
-    def answer_for(self, before: Any) -> None:
+    def respond_for_previous(self, before: Any) -> None:
         pass
 
-    def answer_from_journal(self) -> None:
+    def respond_from_journal(self) -> None:
         self.heard.append("answered")
 
     def stop(self) -> None:
@@ -546,7 +573,7 @@
 
     One.ends = ends
     monkeypatch.setattr("rainfall.__main__.Engine", One)
-    monkeypatch.setattr("rainfall.__main__.claim", claims)
+    monkeypatch.setattr("rainfall.__main__.claim_journal", claims)
     return One
 
 
@@ -603,8 +630,8 @@
                 192,
                 256,
                 3_000_000,
-                HostList(1, True, ()),
-                settings(SETTINGS),
+                EndpointList(1, True, ()),
+                parse_settings(SETTINGS),
                 ("x0", "x1"),
             )
         )
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -12,8 +12,8 @@
 import pytest
 
 from rainfall.dispatch import NEVER_EXECUTED, AttemptFinished, Outcome
-from rainfall.net.client import Call
-from rainfall.net.config import Address
+from rainfall.forwarder.config.loading import Address
+from rainfall.forwarder.outbound.connection_pool import OutboundCall
 from tests.sockets import PATIENCE
 from tests.test_crossing_calls import (
     OK,
@@ -53,7 +53,7 @@
             side.sendall(b"HTTP/1.1 2" if how == "half a line" else OK)
         arrived(s.only())
         s.pool.start(s.call("n"))
-        await until(lambda: s.pool.calls and not s.pool.dials)
+        await until(lambda: s.pool.calls and not s.pool.dial_tasks)
         fresh = target.accept()
         assert b"X-Correlation-Id: n" in request_on(fresh)
         if how != "reset":
@@ -75,7 +75,7 @@
         s = Scene(target)
         (side,) = await s.rested()
         side.sendall(noise)
-        await until(lambda: not s.pool.all)
+        await until(lambda: not s.pool.connections)
         assert not s.pool.idle.get(1) and ended(side, PATIENCE)
 
     play(scene)
@@ -111,7 +111,7 @@
                 asyncio.get_running_loop().call_soon(s.pool.start, s.call("n"))
 
         s.on_told = on_told
-        await until(lambda: len(s.ends) == 1 and s.pool.calls and not s.pool.dials)
+        await until(lambda: len(s.ends) == 1 and s.pool.calls and not s.pool.dial_tasks)
         fresh = target.accept()
         assert b"X-Correlation-Id: n" in request_on(fresh) and ended(side, 5)
         fresh.sendall(OK)
@@ -133,29 +133,29 @@
         now = 10_000_000
         s.clock = lambda: now
         await s.rested()
-        since = s.only().idle_us
-        s.pool.leaves = lambda call: -1
+        since = s.only().idle_since_us
+        s.pool.acquire_permit = lambda call: -1
         now += 4_000_000
         s.pool.start(s.call("n"))
         assert s.outcomes() == [Outcome.NOT_SENT]
-        assert s.pool.idle[1] == [s.only()] and s.only().idle_us == since
-        s.pool.leaves = None
+        assert s.pool.idle[1] == [s.only()] and s.only().idle_since_us == since
+        s.pool.acquire_permit = None
         s.pool.start(s.call("o"))
         side = target.open[-1]
         request_on(side)
         side.sendall(OK)
         await until(lambda: s.pool.idle.get(1))
-        assert s.only().idle_us == now  # a call that was answered does renew it
+        assert s.only().idle_since_us == now  # a call that was answered does renew it
         since = now
-        s.pool.leaves = lambda call: -1
+        s.pool.acquire_permit = lambda call: -1
         now += 4_000_000
         s.pool.start(s.call("p"))
         assert s.outcomes() == [Outcome.NOT_SENT, Outcome.DELIVERED, Outcome.NOT_SENT]
-        assert s.only().idle_us == since
+        assert s.only().idle_since_us == since
         now += 400_000
         s.pool.sweep()
         assert not s.pool.idle
-        await until(lambda: not s.pool.all)
+        await until(lambda: not s.pool.connections)
         s.done()
 
     play(scene)
@@ -168,11 +168,11 @@
     async def scene() -> None:
         s, other = Scene(target), Target()
         (side,) = await s.rested()
-        s.pool.serving({1: other.where} if first == "moved" else {})
-        s.pool.serving({1: target.where})
+        s.pool.set_endpoints({1: other.where} if first == "moved" else {})
+        s.pool.set_endpoints({1: target.where})
         assert not s.pool.idle
         s.pool.start(s.call("n"))
-        await until(lambda: s.pool.calls and not s.pool.dials)
+        await until(lambda: s.pool.calls and not s.pool.dial_tasks)
         fresh = target.accept()
         assert request_on(fresh) and ended(side, 5) and not other.waits()
         s.pool.cancel("n", 0)
@@ -191,23 +191,23 @@
 
     async def scene() -> None:
         s = Scene(target)
-        s.pool.most = 2
+        s.pool.max_connections = 2
         out, _ = await s.out("out")
         idle, side = await s.out("idle")
         side.sendall(OK)
         await until(lambda: s.pool.idle.get(1))
         other = Target()
-        s.pool.serving({1: target.where, 2: other.where})
+        s.pool.set_endpoints({1: target.where, 2: other.where})
         s.pool.start(s.call("n", number=2))
         assert not s.pool.idle.get(1)
-        await until(lambda: not s.pool.dials)
+        await until(lambda: not s.pool.dial_tasks)
         assert request_on(other.accept()) and ended(side, 5)
         s.pool.start(s.call("o", number=2))
         assert [(e.message_id, e.outcome) for e in s.ends] == [
             ("idle", Outcome.DELIVERED),
             ("o", Outcome.NOT_SENT),
         ]
-        assert out.open
+        assert out.open_items
         s.pool.cancel("out", 0)
         s.pool.cancel("n", 0)
         s.done()
@@ -224,7 +224,7 @@
         reset(side)
         arrived(connection)
         s.pool.start(s.call("n"))  # the loop has not read the reset yet
-        await until(lambda: s.pool.calls and not s.pool.dials)
+        await until(lambda: s.pool.calls and not s.pool.dial_tasks)
         fresh = target.accept()
         request_on(fresh)
         fresh.sendall(OK)
@@ -292,25 +292,25 @@
         await gate.held.wait()
         match meanwhile:
             case "time-out":
-                call.items[0].until_us = 0
-                s.pool.timed_out(call)
+                call.items[0].timeout_at_us = 0
+                s.pool.on_timeout(call)
             case "cancel":
                 s.pool.cancel("m", 0)
             case "cut dials":
-                s.pool.cut_dials()
+                s.pool.fail_unconnected_calls()
             case "drained":
-                s.pool.serving({})
+                s.pool.set_endpoints({})
             case "moved":
-                s.pool.serving({1: other.where})
+                s.pool.set_endpoints({1: other.where})
             case "wait":
-                s.pool.bind(call.place, s.clock() + 60_000_000)
+                s.pool.set_retry_after(call.throttle_scope, s.clock() + 60_000_000)
             case "retired":
-                s.pool.cut_dials()
+                s.pool.fail_unconnected_calls()
                 s.pool.retire()
             case "closed":
                 s.pool.close()
         gate.free.set()
-        await until(lambda: not s.pool.dials)
+        await until(lambda: not s.pool.dial_tasks)
         await asyncio.sleep(0)
         if meanwhile == "nothing":
             side = target.accept()
@@ -331,7 +331,7 @@
             assert not other.waits()
         other.close()
         s.pool.close()
-        await until(lambda: not s.pool.all)
+        await until(lambda: not s.pool.connections)
 
     play(scene)
 
@@ -367,7 +367,7 @@
         assert s.outcomes()[0] in NEVER_EXECUTED and (
             s.ends[0].inconclusive or s.outcomes() == [Outcome.NOT_SENT]
         )
-        s.pool.settle((), 0, 30_000)
+        s.pool.configure((), 0, 30_000)
         s.pool.start(s.call("n"))
         await until(lambda: len(s.ends) == 2)
         assert s.outcomes()[1] is Outcome.NO_CONNECTION and not s.ends[1].inconclusive
@@ -388,25 +388,25 @@
     async def scene() -> None:
         s = Scene(target)
         sides = await s.rested(2)
-        asked: list[Call] = []
+        asked: list[OutboundCall] = []
 
-        def leaves(call: Call) -> int:
+        def leaves(call: OutboundCall) -> int:
             asked.append(call)
             return 10_000 if len(asked) == 1 else 0
 
-        s.pool.leaves = leaves
+        s.pool.acquire_permit = leaves
         s.pool.start(s.call("m"))
         assert len(asked) == 1 and len(s.pool.idle[1]) == 1
         if "lost" in meanwhile:
-            (held,) = s.pool.all - set(s.pool.idle[1])
+            (held,) = s.pool.connections - set(s.pool.idle[1])
             assert held.transport is not None
             held.transport.abort()
         if "wait" in meanwhile:
-            s.pool.bind((7, -1), s.clock() + 60_000_000)
+            s.pool.set_retry_after((7, -1), s.clock() + 60_000_000)
         elif meanwhile == "drained":
-            s.pool.serving({})
+            s.pool.set_endpoints({})
         elif meanwhile == "moved":
-            s.pool.serving({1: Address("127.0.0.1", 9)})
+            s.pool.set_endpoints({1: Address("127.0.0.1", 9)})
         elif meanwhile == "canceled":
             s.pool.cancel("m", 0)
         if meanwhile == "lost":
@@ -429,18 +429,18 @@
     async def scene() -> None:
         s = Scene(target)
         await s.rested()
-        asked: list[Call] = []
+        asked: list[OutboundCall] = []
 
-        def leaves(call: Call) -> int:
+        def leaves(call: OutboundCall) -> int:
             asked.append(call)
             return 10_000 if len(asked) == 1 else 0
 
-        s.pool.leaves = leaves
+        s.pool.acquire_permit = leaves
         s.pool.start(s.call("m"))
         s.pool.close()
         await until(lambda: s.ends)
         assert s.outcomes() == [Outcome.NO_CONNECTION] and len(asked) == 1
-        await until(lambda: not s.pool.all)
+        await until(lambda: not s.pool.connections)
         assert not target.waits()
         s.done()
 
@@ -458,8 +458,8 @@
         gate = Gate(True)
         call = s.call("a", "b")
         now = s.clock()
-        call.items[0].leave_by_us = now + 1_000
-        call.items[1].leave_by_us = now + 60_000_000
+        call.items[0].send_before_us = now + 1_000
+        call.items[1].send_before_us = now + 60_000_000
         s.pool.start(call)
         await gate.held.wait()
         await until(lambda: s.clock() > now + 1_000)
@@ -471,7 +471,7 @@
         side.sendall(OK)
         await until(lambda: len(s.ends) == 2)
         late = s.call("c")
-        late.items[0].leave_by_us = s.clock() - 1
+        late.items[0].send_before_us = s.clock() - 1
         s.pool.start(late)
         assert s.outcomes()[2:] == [Outcome.NOT_SENT] and not readable(side)
         s.done()
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -20,8 +20,14 @@
 
 import pytest
 
-from rainfall.net.config import Address, HostList
-from rainfall.net.discovery import HOLD_MS, NO_VERSION, Channel, Client, Watch
+from rainfall.forwarder.config.loading import Address, EndpointList
+from rainfall.forwarder.discovery.endpoint_watch import (
+    NO_VERSION,
+    WATCH_HOLD_MS,
+    EndpointWatch,
+    HttpClient,
+    HttpConnection,
+)
 from tests.sockets import OK, PATIENCE, Answer, Handler, Peer, Platform, Request, always
 from tests.test_list_told_in_time import in_virtual_time
 from tests.test_node import configure, node_on, play, target
@@ -63,14 +69,14 @@
     def __init__(
         self, where: Peer, seq: int = NO_VERSION, pushed: bool = False
     ) -> None:
-        self.all: list[HostList | None] = []
+        self.all: list[EndpointList | None] = []
         self.news = asyncio.Event()
-        self.watch = Watch(
+        self.watch = EndpointWatch(
             Address("127.0.0.1", where.port), seq, self.listed, 1, pushed
         )
         self.watch.subscribe()
 
-    def listed(self, told: HostList | None) -> None:
+    def listed(self, told: EndpointList | None) -> None:
         self.all.append(told)
         self.news.set()
         if told is None:
@@ -80,9 +86,9 @@
     def told(self) -> list[tuple[int, dict[str, str]]]:
         """Without failures, and what changed nothing."""
         return [
-            (t.seq, {h.name: h.health for h in t.hosts})
+            (t.version, {h.name: h.health for h in t.endpoints})
             for t in self.all
-            if t and t.hosts
+            if t and t.endpoints
         ]
 
     async def until(self, test: Callable[[], bool]) -> None:
@@ -108,7 +114,7 @@
 
 
 def held(version: int) -> str:
-    return f"?from={version}&hold_ms={HOLD_MS}"
+    return f"?from={version}&hold_ms={WATCH_HOLD_MS}"
 
 
 def paths(peer: Peer) -> list[str]:
@@ -162,22 +168,22 @@
         old = await Peer(scripted(UP, answer(listing(2, ("s1", "draining"))))).start()
         new = await Peer(scripted(answer(listing(0, ("s2", "up"))))).start()
         heard = Heard(old)
-        channel_end, ends = Channel.end, []
+        channel_end, ends = HttpConnection.finish_response, []
 
-        def end(channel: Channel, error: Exception | None) -> None:
+        def end(channel: HttpConnection, error: Exception | None) -> None:
             channel_end(channel, error)
             ends.append(channel)
             if len(ends) == 2:
-                heard.watch.move(Address("127.0.0.1", new.port))
+                heard.watch.change_address(Address("127.0.0.1", new.port))
 
-        Channel.end = end  # type: ignore[method-assign]
+        HttpConnection.finish_response = end  # type: ignore[method-assign]
         try:
             await heard.until(lambda: len(heard.told) == 2)
             await new.got(2)
         finally:
-            Channel.end = channel_end  # type: ignore[method-assign]
+            HttpConnection.finish_response = channel_end  # type: ignore[method-assign]
         assert heard.told == [(1, {"s1": "up"}), (0, {"s2": "up"})]
-        assert paths(new)[0] == "" and heard.watch.seq == 0
+        assert paths(new)[0] == "" and heard.watch.version == 0
         heard.watch.pause()
 
     in_virtual_time(scene)
@@ -198,7 +204,7 @@
         new = await Peer(scripted(first, late)).start()
         heard = Heard(old)
         await old.got(2)
-        heard.watch.move(Address("127.0.0.1", new.port))
+        heard.watch.change_address(Address("127.0.0.1", new.port))
         await heard.until(lambda: len(heard.told) == 2)
         assert heard.told == [(1, {"s1": "up"}), (0, {"s2": "up"})]
         assert None not in heard.all  # the module's pause is not waited out
@@ -223,10 +229,12 @@
         new = await Peer(always(UP)).start()
         heard = Heard(old)
         await old.got(2)
-        assert heard.watch.client.channel.answer is not None
-        heard.watch.client.channel.data_received(answer(listing(2, ("s1", "draining"))))
+        assert heard.watch.client.connection.response is not None
+        heard.watch.client.connection.data_received(
+            answer(listing(2, ("s1", "draining")))
+        )
         heard.watch.pause()
-        heard.watch.move(Address("127.0.0.1", new.port))
+        heard.watch.change_address(Address("127.0.0.1", new.port))
         assert heard.watch.task is None
         await old.until(lambda: old.closed == 1)
         assert heard.told == [(1, {"s1": "up"})]
@@ -362,15 +370,15 @@
     async def scene() -> None:
         peer = await Peer(scripted(UP, DRAINED, DRAINED)).start()
         heard = Heard(peer)
-        listed, raised = heard.watch.listed, []
+        listed, raised = heard.watch.on_list, []
 
-        def once(told: HostList | None) -> None:
-            if told is not None and told.seq == 2 and not raised:
+        def once(told: EndpointList | None) -> None:
+            if told is not None and told.version == 2 and not raised:
                 raised.append(told)
                 raise ValueError("bad entry")
             listed(told)
 
-        heard.watch.listed = once
+        heard.watch.on_list = once
         await peer.got(4)
         assert heard.told == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
         assert paths(peer)[1:3] == [held(1), "?from=1&hold_ms=0"]
@@ -478,15 +486,15 @@
             return DRAINED
 
         peer = await Peer(scripted(UP, second)).start()
-        client = Client(Address("127.0.0.1", peer.port))
-        assert (await client.ask("GET", "/a", PATIENCE)).body == UP.partition(
+        client = HttpClient(Address("127.0.0.1", peer.port))
+        assert (await client.request("GET", "/a", PATIENCE)).body == UP.partition(
             b"\r\n\r\n"
         )[2]
         peer.requests[0].writer.write(stray[:20])
         async with asyncio.timeout(PATIENCE):
-            while client.channel.usable() and client.channel.reader.keep_alive:
+            while client.connection.is_usable() and client.connection.reader.keep_alive:
                 await asyncio.sleep(0.005)
-        assert (await client.ask("GET", "/b", PATIENCE)).body == DRAINED.partition(
+        assert (await client.request("GET", "/b", PATIENCE)).body == DRAINED.partition(
             b"\r\n\r\n"
         )[2]
         client.close()
@@ -504,20 +512,20 @@
             return DRAINED
 
         peer = await Peer(scripted(UP, SILENT, second)).start()
-        client = Client(Address("127.0.0.1", peer.port))
-        await client.ask("GET", "/first", PATIENCE)
+        client = HttpClient(Address("127.0.0.1", peer.port))
+        await client.request("GET", "/first", PATIENCE)
         if how == "cancelled":
-            task = asyncio.create_task(client.ask("GET", "/a", PATIENCE))
+            task = asyncio.create_task(client.request("GET", "/a", PATIENCE))
             await peer.got(2)
-            client.channel.data_received(HALF)
+            client.connection.data_received(HALF)
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
         else:
             with pytest.raises(TimeoutError):
-                await client.ask("GET", "/a", 0.1)
-        assert not client.channel.usable()
-        assert (await client.ask("GET", "/b", PATIENCE)).body == DRAINED.partition(
+                await client.request("GET", "/a", 0.1)
+        assert not client.connection.is_usable()
+        assert (await client.request("GET", "/b", PATIENCE)).body == DRAINED.partition(
             b"\r\n\r\n"
         )[2]
         assert peer.requests[2].writer is not peer.requests[1].writer
@@ -529,17 +537,17 @@
 def test_a_dial_given_up_takes_no_answer_of_the_call_before() -> None:
     async def scene() -> None:
         peer = await Peer(always(Answer(200, {"Connection": "close"}, b"old"))).start()
-        client = Client(Address("127.0.0.1", peer.port))
-        assert (await client.ask("GET", "/a", PATIENCE)).body == b"old"
+        client = HttpClient(Address("127.0.0.1", peer.port))
+        assert (await client.request("GET", "/a", PATIENCE)).body == b"old"
         peer.server.close()
         listener = socket.create_server(("127.0.0.1", 0), backlog=0)
         fillers = [socket.socket() for _ in range(3)]
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(listener.getsockname())
-        client.where = Address("127.0.0.1", listener.getsockname()[1])
+        client.address = Address("127.0.0.1", listener.getsockname()[1])
         with pytest.raises(TimeoutError):
-            await client.ask("GET", "/b", 0.1)
+            await client.request("GET", "/b", 0.1)
         for s in (listener, *fillers):
             s.close()
 
@@ -561,9 +569,9 @@
         connection.close()
 
     async def scene() -> None:
-        client = Client(Address("127.0.0.1", listener.getsockname()[1]))
-        task = asyncio.create_task(client.ask("GET", "/a", 0.3))
-        while client.channel.answer is None:
+        client = HttpClient(Address("127.0.0.1", listener.getsockname()[1]))
+        task = asyncio.create_task(client.request("GET", "/a", 0.3))
+        while client.connection.response is None:
             await asyncio.sleep(0)
         until = time.monotonic() + 0.35
         go.set()
@@ -628,7 +636,7 @@
 
     async def scene() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        client = Client(Address("127.0.0.1", listener.getsockname()[1]))
+        client = HttpClient(Address("127.0.0.1", listener.getsockname()[1]))
         resting: list[int] = []
         before = resource.getrlimit(resource.RLIMIT_NOFILE)
 
@@ -642,7 +650,7 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (most, before[1]))
             for _ in range(4):
                 with pytest.raises(TimeoutError):
-                    await client.ask("GET", "/discovery/hosts", 0.1)
+                    await client.request("GET", "/discovery/hosts", 0.1)
                 for _ in range(3):
                     await asyncio.sleep(0)
                 flood()
--- a/tests/test_crossing_notices.py
+++ b/tests/test_crossing_notices.py
@@ -13,15 +13,15 @@
 
 import pytest
 
-from rainfall.net import discovery
-from rainfall.net.config import Address
-from rainfall.net.discovery import (
-    NOTICE_ANSWER_S,
-    NOTICE_PATIENCE_S,
-    Notices,
-    notice_within_s,
+from rainfall.forwarder.config.loading import Address
+from rainfall.forwarder.discovery import endpoint_watch
+from rainfall.forwarder.discovery.endpoint_watch import (
+    NOTIFICATION_RESPONSE_TIMEOUT_S,
+    NOTIFICATION_TOP_RESPONSE_TIMEOUT_S,
+    Notifier,
+    notification_latency_bound_s,
 )
-from rainfall.net.store import Owed
+from rainfall.forwarder.message_store import PendingNotification
 from tests.sockets import OK, PATIENCE, Answer, Peer, Platform, Request
 from tests.test_list_told_in_time import Longest, in_virtual_time
 from tests.test_node import node_on, play, target
@@ -36,14 +36,14 @@
     """What is owed, and what was acknowledged."""
 
     def __init__(self, *names: str) -> None:
-        self.owed = {name: Owed("failed", 0) for name in names}
+        self.owed = {name: PendingNotification("failed", 0) for name in names}
         self.done: list[str] = []
         self.changed = asyncio.Event()
 
-    def owed_ends(self) -> dict[str, Owed]:
+    def pending_notifications(self) -> dict[str, PendingNotification]:
         return dict(self.owed)
 
-    def acknowledged(self, names: list[str]) -> None:
+    def acknowledge_notifications(self, names: list[str]) -> None:
         for name in names:
             self.owed.pop(name, None)
         self.done += names
@@ -71,8 +71,8 @@
     return await Peer(handler).start()
 
 
-def notices(peer: Peer, book: Book) -> Notices:
-    made = Notices(Address("127.0.0.1", peer.port), book, 1)
+def notices(peer: Peer, book: Book) -> Notifier:
+    made = Notifier(Address("127.0.0.1", peer.port), book, 1)
     made.random = Longest(1)
     return made
 
@@ -82,9 +82,16 @@
     what is overdue, also with the loop's own time; a platform that is slow all the time
     is waited for ever longer.
     """
-    assert notice_within_s() <= OVERDUE_S - 0.05
-    assert [Notices.patience_s(n) / NOTICE_ANSWER_S for n in range(3)] == [1, 1, 2]
-    assert Notices.patience_s(10**6) == NOTICE_PATIENCE_S > 4 * NOTICE_ANSWER_S
+    assert notification_latency_bound_s() <= OVERDUE_S - 0.05
+    assert [
+        Notifier.response_timeout_s(n) / NOTIFICATION_RESPONSE_TIMEOUT_S
+        for n in range(3)
+    ] == [1, 1, 2]
+    assert (
+        Notifier.response_timeout_s(10**6)
+        == NOTIFICATION_TOP_RESPONSE_TIMEOUT_S
+        > 4 * NOTIFICATION_RESPONSE_TIMEOUT_S
+    )
 
 
 @pytest.mark.parametrize(
@@ -109,11 +116,11 @@
             posts.kick()
             await book.until(lambda: book.done == ["first"])
             book.done.clear()
-        book.owed["m"] = Owed("failed", 0)
+        book.owed["m"] = PendingNotification("failed", 0)
         kicked = loop.time()
         posts.kick()
         await book.until(lambda: bool(book.done))
-        assert loop.time() - kicked <= notice_within_s() < OVERDUE_S
+        assert loop.time() - kicked <= notification_latency_bound_s() < OVERDUE_S
         assert book.done == ["m"] and [names(r) for r in peer.requests[-2:]] == [
             ["m"],
             ["m"],
@@ -136,7 +143,7 @@
             return SILENT
 
         def add(request: Request) -> bytes:
-            book.owed["b"] = Owed("failed", 0)
+            book.owed["b"] = PendingNotification("failed", 0)
             return SILENT
 
         peer = await platform_that(add, late, TAKEN)
@@ -155,7 +162,7 @@
 def test_what_is_owed_while_a_post_is_out_is_not_acknowledged_with_it() -> None:
     async def scene() -> None:
         def add(request: Request) -> Answer:
-            book.owed["b"] = Owed("returned", 5)
+            book.owed["b"] = PendingNotification("returned", 5)
             posts.kick()
             return TAKEN
 
@@ -182,8 +189,8 @@
         posts = notices(old, book)
         posts.kick()
         await old.got(1)
-        posts.client.channel.data_received(b"HTTP/1.1 204 X\r\n\r\n")
-        posts.move(Address("127.0.0.1", new.port))
+        posts.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
+        posts.change_address(Address("127.0.0.1", new.port))
         await book.until(lambda: bool(book.done))
         assert book.done == ["a"] and [names(r) for r in new.requests] == [["a"]]
         posts.pause()
@@ -200,9 +207,9 @@
         posts = notices(old, book)
         posts.kick()
         await old.got(1)
-        posts.client.channel.data_received(b"HTTP/1.1 204 X\r\n\r\n")
+        posts.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
         posts.pause()
-        posts.move(Address("127.0.0.1", new.port))
+        posts.change_address(Address("127.0.0.1", new.port))
         assert posts.task is None
         await old.until(lambda: old.closed == 1)
         assert book.done == []
@@ -270,7 +277,11 @@
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, before)
         assert [number for number, _ in failed] == [24] * 8
-        assert loop.time() - failed[-1][1] <= discovery.NOTICE_TOP_S + 0.01 < OVERDUE_S
+        assert (
+            loop.time() - failed[-1][1]
+            <= endpoint_watch.NOTIFICATION_TOP_BACKOFF_S + 0.01
+            < OVERDUE_S
+        )
         posts.pause()
 
     in_virtual_time(scene)
--- a/tests/test_crossing_restart.py
+++ b/tests/test_crossing_restart.py
@@ -28,12 +28,17 @@
     SendMessage,
     TimerExpired,
 )
-from rainfall.journal.recovery import look
-from rainfall.journal.state import State, Taken
-from rainfall.net.config import Address, Config, HostList, host
-from rainfall.net.engine import Engine
-from rainfall.net.server import Handed
-from rainfall.wirehost import settings as read_settings
+from rainfall.forwarder.config.loading import (
+    Address,
+    Config,
+    EndpointList,
+    parse_endpoint,
+)
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.inbound.server import SubmittedMessage
+from rainfall.journal.recovery import read_journal
+from rainfall.journal.state import AcceptedMessage, JournalState
+from rainfall.wirehost import parse_settings as read_settings
 from tests.disk import Hands
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 from tests.sockets import (
@@ -184,7 +189,7 @@
             for block, peer in enumerate(self.sides, 7):
                 await peer.start()
                 self.platform.host(f"s{block}", peer.port, block)
-        hosts = tuple(host(h) for h in self.platform.hosts.values())
+        hosts = tuple(parse_endpoint(h) for h in self.platform.hosts.values())
         where = [Address("127.0.0.1", port) for port in (self.port, self.platform.port)]
         self.engine = e = Engine(
             Config(
@@ -195,7 +200,7 @@
                 192,
                 256,
                 3_000_000,
-                HostList(1, True, hosts),
+                EndpointList(1, True, hosts),
                 read_settings(self.settings),
                 ("x0", "x1"),
                 power=self.power,
@@ -217,10 +222,10 @@
         e = self.engine
         assert e is not None
         e.closed = e.frozen = True
-        e.store.let_go()
+        e.store.release()
         self.task.cancel()
         e.watch.pause()
-        e.notices.pause()
+        e.notifier.pause()
         e.pool.close()
         e.server.listener and e.server.listener.close()
         for connection in list(e.server.connections):
@@ -256,8 +261,8 @@
         e.dispatcher.state.messages[name].move_deadline(now)
         e.store.move_deadline(e.store.messages[name], now)
         for call in [c for (message, _), c in e.pool.calls.items() if message == name]:
-            call.open[name].until_us = now - 1
-            e.pool.timed_out(call)
+            call.open_items[name].timeout_at_us = now - 1
+            e.pool.on_timeout(call)
         e.post(
             EndpointListChanged(EndpointListKind.CHANGES, ())
         )  # looks at all that is held
@@ -276,8 +281,8 @@
     asyncio.run(run())
 
 
-def on_disk(folder: Path) -> State:
-    state, report = look((folder / "journal").read_bytes())
+def on_disk(folder: Path) -> JournalState:
+    state, report = read_journal((folder / "journal").read_bytes())
     assert not report.damaged
     return state
 
@@ -299,13 +304,13 @@
         async def side(request: Request) -> Answer:
             name = request.headers["x-correlation-id"]
             m = on_disk(tmp_path).messages.get(name)
-            seen.append(("call", m is not None and bool(m.out)))
+            seen.append(("call", m is not None and bool(m.in_flight)))
             return Answer(500)
 
         async def discovery(request: Request) -> Answer | bytes | None:
             if request.path == "/v1/notices":
                 told = [json.loads(line)["id"] for line in request.body.splitlines()]
-                owed = on_disk(tmp_path).owed
+                owed = on_disk(tmp_path).pending_notifications
                 seen.append(("notice", all(name in owed for name in told)))
             return await site.platform.answer(request)
 
@@ -313,7 +318,11 @@
         await site.start()
         assert await site.hand_in("m", "pay") == 202
         state = on_disk(tmp_path)
-        assert "m" in state.messages or "m" in state.owed or site.told("m")
+        assert (
+            "m" in state.messages
+            or "m" in state.pending_notifications
+            or site.told("m")
+        )
         await site.until(lambda: bool(site.told("m")))
         assert site.told("m") == ["failed"] and seen[0] == ("call", True)
         assert {("notice", True)} == set(seen[1:])
@@ -369,7 +378,7 @@
         e = await site.start()
         assert [*e.store.messages] == ["held"] and e.store.messages[
             "held"
-        ].ran_at_us >= 0
+        ].executed_at_us >= 0
         site.sides[0].handler = always(Answer(200))
         await site.until(lambda: not e.store.messages)
 
@@ -414,16 +423,16 @@
             m.deadline = now - 1
             e.store.move_deadline(e.store.messages[name], m.deadline)
             answered = AttemptFinished(
-                name, 0, e.numbers["s7"], OK, 5, message_closed=True
+                name, 0, e.endpoint_ids["s7"], OK, 5, message_closed=True
             )
-            e.events += (
+            e.pending_events += (
                 [TimerExpired("look"), answered]
                 if late
                 else [answered, TimerExpired("look")]
             )
-            e.round()
-            assert name not in e.store.messages and not e.store.owed
-        assert e.figures.fulfilled["pay"] == 2 and not site.platform.notices
+            e.run_round()
+            assert name not in e.store.messages and not e.store.pending_notifications
+        assert e.metrics.fulfilled["pay"] == 2 and not site.platform.notices
 
     play(scene, Site(tmp_path))
 
@@ -495,7 +504,9 @@
         elif way != "delivered":
             if way in ("refused", "timed out"):
                 site.time_is_up("first")
-            await site.until(lambda: bool(site.engine and site.engine.store.owed))
+            await site.until(
+                lambda: bool(site.engine and site.engine.store.pending_notifications)
+            )
         if way == "owed at a kill":
             await site.kill()
             await site.start()
@@ -523,7 +534,7 @@
         await site.until(lambda: site.came("first"))
         await site.kill()
         e = await site.start()
-        began = e.round_us  # no round of the new process was earlier
+        began = e.last_round_us  # no round of the new process was earlier
         site.engine = e
         line = e.dispatcher.state.key_sequences["k"]
         assert line.backoff_until >= e.dispatcher.state.now - 10 * S
@@ -550,48 +561,50 @@
         e = power_engine(tmp_path, hands, monkeypatch)
         while hands.work():
             pass
-        e.destinations.add(7)  # with no endpoint yet
+        e.known_destinations.add(7)  # with no endpoint yet
         door, other = Door(), Door()
-        e.hand_in(
-            Handed(
+        e.submit(
+            SubmittedMessage(
                 "first", "turns", 7, e.clock() + 10**7, None, "k", "acme", False, b""
             ),
             door,
         )
-        e.round()  # held; its record is on its way to the disk
+        e.run_round()  # held; its record is on its way to the disk
         e.dispatcher.state.messages["first"].move_deadline(e.clock())
         e.post(
             EndpointListChanged(EndpointListKind.CHANGES, ())
         )  # looks at all that is held
-        e.round()
-        assert "first" in e.store.owed and door.left is not None
-        door.left()
+        e.run_round()
+        assert (
+            "first" in e.store.pending_notifications and door.on_disconnect is not None
+        )
+        door.on_disconnect()
         while hands.work():
             pass
-        e.round()
+        e.run_round()
         assert (
-            not e.store.owed
+            not e.store.pending_notifications
             and not door.said
             and not e.dispatcher.state.pending_notifications
         )
-        e.hand_in(
-            Handed(
+        e.submit(
+            SubmittedMessage(
                 "second", "turns", 7, e.clock() + 10**7, None, "k", "acme", False, b""
             ),
             other,
         )
-        e.round()
+        e.run_round()
         assert not e.dispatcher.state.key_sequences["k"].pending_notifications
         while hands.work():
             pass
-        e.store.let_go()
+        e.store.release()
 
     asyncio.run(scene())
 
 
 class Door:
     def __init__(self) -> None:
-        self.left: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.said: list[int] = []
 
     def answer(self, status: int, text: str = "", **headers: str) -> None:
@@ -608,12 +621,12 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        e.round()
-        m = Taken("m", "pay", 7, e.clock() + 40 * S, None, "acme", b"")
-        e.store.take(m)
+        e.run_round()
+        m = AcceptedMessage("m", "pay", 7, e.clock() + 40 * S, None, "acme", b"")
+        e.store.append_message(m)
         e.store.flush()
-        e.post(MessageRestored("m", 7, "pay", m.due_us))
-        e.store.log.most = e.store.size  # nothing more fits
+        e.post(MessageRestored("m", 7, "pay", m.deadline_us))
+        e.store.log.max_bytes = e.store.size  # nothing more fits
         pauses: list[float] = []
         posted: list[Event] = []
         loop = asyncio.get_running_loop()
@@ -626,12 +639,12 @@
         for _ in range(6):
             with monkeypatch.context() as patched:
                 patched.setattr(loop, "call_later", later)
-                e.round()
-            e.events += posted
+                e.run_round()
+            e.pending_events += posted
             posted.clear()
         assert len(pauses) == 6 and sum(pauses[:5]) >= 7
         assert all(a < b for a, b in zip(pauses, pauses[1:], strict=False))
-        e.store.log.most = 3_000_000
+        e.store.log.max_bytes = 3_000_000
         e.store.close()
 
     asyncio.run(scene())
@@ -640,10 +653,12 @@
 def test_no_pause_for_want_of_a_record_outlasts_its_message(tmp_path: Path) -> None:
     async def scene() -> None:
         e = engine(tmp_path)
-        m = Taken("m", "pay", 7, e.clock() + 3 * S, None, "acme", b"", attempts=5)
-        assert 0.25 <= e.unkept_s(m, 5) <= 3
-        m.due_us = e.clock() - 1
-        assert e.unkept_s(m, 5) == 0
+        m = AcceptedMessage(
+            "m", "pay", 7, e.clock() + 3 * S, None, "acme", b"", attempts=5
+        )
+        assert 0.25 <= e.unpersisted_retry_s(m, 5) <= 3
+        m.deadline_us = e.clock() - 1
+        assert e.unpersisted_retry_s(m, 5) == 0
         e.store.close()
 
     asyncio.run(scene())
@@ -656,7 +671,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        "rainfall.net.starting.SUMMARY_S", 3600.0
+        "rainfall.forwarder.engine.startup.SUMMARY_INTERVAL_S", 3600.0
     )  # the counts start anew with each line
 
     async def scene(site: Site) -> None:
@@ -673,10 +688,10 @@
             ("untried", "no call could end in time")
         ]
         assert (
-            e.counts["untried: no call could end in time"] == 1
-            and e.counts["returned"] == 1
+            e.event_counts["untried: no call could end in time"] == 1
+            and e.event_counts["returned"] == 1
         )
-        assert e.figures.throttled["status"] == 1  # the figures mean what they did
+        assert e.metrics.throttled["status"] == 1  # the figures mean what they did
 
     play(scene, Site(tmp_path))
 
@@ -685,14 +700,14 @@
     async def scene() -> None:
         e = engine(tmp_path)
         for name, how in (("a", Outcome.NOT_SENT), ("b", FULL)):
-            m = Taken(name, "status", 7, e.clock() + 10 * S, None, None, b"")
-            e.store.take(m)
-            e.store.attempt(m, 0, 5, "s1")
-            e.events.append(AttemptFinished(name, 0, 1, how, 5))
-        e.round()
+            m = AcceptedMessage(name, "status", 7, e.clock() + 10 * S, None, None, b"")
+            e.store.append_message(m)
+            e.store.append_attempt(m, 0, 5, "s1")
+            e.pending_events.append(AttemptFinished(name, 0, 1, how, 5))
+        e.run_round()
         for name in "ab":
-            e.untried(FailMessage(name, "cause"), e.clock())
-        assert e.counts["untried: cause"] == 1
+            e.count_unattempted(FailMessage(name, "cause"), e.clock())
+        assert e.event_counts["untried: cause"] == 1
         e.store.close()
 
     asyncio.run(scene())
@@ -708,9 +723,9 @@
     """Nothing new is sent any more, and what is out still ends: delivered is over, and
     what may have run is ended by the next process and not sent again.
     """
-    monkeypatch.setattr("rainfall.net.stopping.LISTEN_S", 0.0)
-    monkeypatch.setattr("rainfall.net.stopping.FREEZE_S", 0.0)
-    monkeypatch.setattr("rainfall.net.stopping.EXIT_S", PATIENCE)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.ACCEPT_PERIOD_S", 0.0)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.FREEZE_AFTER_S", 0.0)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.EXIT_AFTER_S", PATIENCE)
 
     async def scene(site: Site) -> None:
         gate = asyncio.Event()
@@ -730,13 +745,17 @@
             await site.task
         state = on_disk(tmp_path)
         assert (
-            state.closed
+            state.closed_cleanly
             and bool(state.messages) is bool(told)
-            and not any(m.out for m in state.messages.values())
+            and not any(m.in_flight for m in state.messages.values())
         )
         e = await site.start()
         await site.until(
-            lambda: site.told("m") == told and not e.store.messages and not e.store.owed
+            lambda: (
+                site.told("m") == told
+                and not e.store.messages
+                and not e.store.pending_notifications
+            )
         )
         assert len(site.sides[0].requests) == 1
 
@@ -750,9 +769,9 @@
     and a once-only message was failed with no call; a dial that came up in the last
     moments was even used.
     """
-    monkeypatch.setattr("rainfall.net.stopping.LISTEN_S", 0.0)
-    monkeypatch.setattr("rainfall.net.stopping.FREEZE_S", 0.0)
-    monkeypatch.setattr("rainfall.net.stopping.EXIT_S", 0.0)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.ACCEPT_PERIOD_S", 0.0)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.FREEZE_AFTER_S", 0.0)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.EXIT_AFTER_S", 0.0)
 
     async def scene(site: Site) -> None:
         e = await site.start()
@@ -785,7 +804,7 @@
             await site.task
         assert not site.came("m")
         m = on_disk(tmp_path).messages["m"]
-        assert m.attempts == 1 and not m.out and m.ran_at_us < 0
+        assert m.attempts == 1 and not m.in_flight and m.executed_at_us < 0
         await site.start()
         await site.until(lambda: site.came("m"))
         assert not site.told("m") and len(site.sides[1].requests) == 1
@@ -802,24 +821,30 @@
         e = power_engine(tmp_path, hands, monkeypatch)
         started: list[object] = []
         monkeypatch.setattr(e.pool, "start", started.append)
-        e.listed(
-            HostList(2, True, tuple(engine(tmp_path / "other").config.known.hosts))
+        e.on_endpoint_list(
+            EndpointList(
+                2,
+                True,
+                tuple(engine(tmp_path / "other").config.known_endpoints.endpoints),
+            )
         )
         while hands.work():
             pass
         door = Door()
-        e.hand_in(
-            Handed("m", "pay", 7, e.clock() + 10**7, None, None, "acme", False, b""),
+        e.submit(
+            SubmittedMessage(
+                "m", "pay", 7, e.clock() + 10**7, None, None, "acme", False, b""
+            ),
             door,
         )
-        e.round()
+        e.run_round()
         e.frozen = e.closed = True
         while hands.work():
             pass
         assert door.said == [202] and not started
         m = e.store.messages["m"]
-        assert m.attempts == 1 and not m.out and m.ran_at_us < 0
-        e.store.let_go()
+        assert m.attempts == 1 and not m.in_flight and m.executed_at_us < 0
+        e.store.release()
 
     asyncio.run(scene())
 
@@ -845,14 +870,14 @@
         e.store.move_deadline(
             e.store.messages["first"], 1
         )  # as if its end had been forgotten
-        await site.until(lambda: "first" in e.store.owed)
+        await site.until(lambda: "first" in e.store.pending_notifications)
         assert await site.hand_in("second", "turns", 8, X_Session_Key="k") == 202
         gate.set()
-        await site.until(lambda: not e.pool.out)
+        await site.until(lambda: not e.pool.in_flight)
         await site.passes("free")
         assert not site.came("second")
         await site.until(
-            lambda: e.figures.ended == 2
+            lambda: e.metrics.messages_finished == 2
         )  # the late 200 counts for nothing
         site.platform.accepts = True
         await site.until(lambda: site.came("second"))
--- a/tests/test_crossing_stopping.py
+++ b/tests/test_crossing_stopping.py
@@ -17,13 +17,23 @@
 
 import pytest
 
-from rainfall.net import client_connection, starting, stopping
-from rainfall.net import server as server_file
-from rainfall.net.client_connection import CLOSE_S, ClientConnection
-from rainfall.net.config import Address, Config, HostList, host
-from rainfall.net.engine import Clock, Engine
-from rainfall.net.server import Asker, Handed, Server
-from rainfall.wirehost import settings
+from rainfall.forwarder.config.loading import (
+    Address,
+    Config,
+    EndpointList,
+    parse_endpoint,
+)
+from rainfall.forwarder.engine import shutdown, startup
+from rainfall.forwarder.engine.engine import Clock, Engine
+from rainfall.forwarder.inbound import client_connection
+from rainfall.forwarder.inbound import server as server_file
+from rainfall.forwarder.inbound.client_connection import CLOSE_GRACE_S, ClientConnection
+from rainfall.forwarder.inbound.server import (
+    InboundServer,
+    ResponseWriter,
+    SubmittedMessage,
+)
+from rainfall.wirehost import parse_settings
 from tests.sockets import OK, PATIENCE, SETTINGS, Peer, Platform, always, hang, message
 
 UP = b"GET /up HTTP/1.1\r\n\r\n"
@@ -83,12 +93,14 @@
     """A listener whose messages wait until a test answers them."""
 
     def __init__(self, most: int = 20) -> None:
-        self.server = Server(settings(SETTINGS), Clock(), most, self.hand_in)
-        self.handed: list[tuple[Handed, Asker]] = []
+        self.server = InboundServer(
+            parse_settings(SETTINGS), Clock(), most, self.hand_in
+        )
+        self.handed: list[tuple[SubmittedMessage, ResponseWriter]] = []
         self.came = asyncio.Event()
         self.at_once: HTTPStatus | None = None
 
-    def hand_in(self, handed: Handed, door: Asker) -> None:
+    def hand_in(self, handed: SubmittedMessage, door: ResponseWriter) -> None:
         self.handed.append((handed, door))
         self.came.set()
         if self.at_once is not None:
@@ -138,7 +150,7 @@
         door = await Door(most).open()
         await scene(door)
         await door.server.close()
-        assert not door.server.accepting
+        assert not door.server.accept_tasks
 
     asyncio.run(run())
 
@@ -151,7 +163,7 @@
         client = await door.resting()
         door.at_once = HTTPStatus.ACCEPTED
         client.say(message("m"))
-        door.server.leave()
+        door.server.drain()
         status, head = await client.answer()
         assert (status, [h.id for h, _ in door.handed]) == (202, ["m"])
         assert "Connection: close" in head and await client.end() == b""
@@ -165,7 +177,7 @@
     async def scene(door: Door) -> None:
         client, other = await door.resting(), await door.resting()
         door.at_once = HTTPStatus.ACCEPTED
-        monkeypatch.setattr(server_file, "IDLE_US", 0)
+        monkeypatch.setattr(server_file, "IDLE_CONNECTION_US", 0)
         client.say(message("m"))
         door.server.sweep()
         monkeypatch.undo()
@@ -180,20 +192,20 @@
     play(scene)
 
 
-@pytest.mark.parametrize("how", ["leave", "sweep"])
+@pytest.mark.parametrize("how", ["drain", "sweep"])
 def test_request_after_the_shutdown_is_discarded_and_resets_nothing(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene(door: Door) -> None:
         client = await door.resting()
-        monkeypatch.setattr(server_file, "IDLE_US", 0)
+        monkeypatch.setattr(server_file, "IDLE_CONNECTION_US", 0)
         getattr(door.server, how)()
         client.say(message("m"))
         assert await client.end() == b""
         client.say(message("n") * 20)  # more, after it has read the end
         held = door.of(client)
         await door.until(
-            lambda: held.raw == len(message("m")) * 21
+            lambda: held.raw_bytes == len(message("m")) * 21
         )  # read, and thrown away
         assert (
             not door.handed
@@ -205,7 +217,7 @@
     play(scene)
 
 
-@pytest.mark.parametrize("how", ["leaving", "moving"])
+@pytest.mark.parametrize("how", ["draining", "handed_over"])
 def test_written_answer_outlives_what_came_behind_its_request(how: str) -> None:
     async def scene(door: Door) -> None:
         client = await door.busy()
@@ -216,7 +228,7 @@
         assert status == 202 and "Connection: close" in head
         assert await client.end() == b""
         held = door.of(client)
-        await door.until(lambda: held.raw == len(message("crossed")))
+        await door.until(lambda: held.raw_bytes == len(message("crossed")))
         assert [h.id for h, _ in door.handed] == ["m"]
 
     play(scene)
@@ -228,7 +240,7 @@
         held = door.of(client)
         client.reset()
         held.finish()  # the shutdown of a socket that was reset fails
-        door.server.leave()
+        door.server.drain()
         assert await other.end() == b""
         other.socket.close()
         await door.gone()
@@ -242,12 +254,12 @@
     async def scene(door: Door) -> None:
         client, silent = Caller(door.port), Caller(door.port)
         await door.until(lambda: len(door.server.connections) == 2)
-        door.server.leave()
+        door.server.drain()
         door.at_once = HTTPStatus.ACCEPTED
         client.say(message("m"))
         assert (await client.answer())[0] == 202 and await client.end() == b""
-        monkeypatch.setattr(client_connection, "FRESH_US", 0)
-        door.server.leave()
+        monkeypatch.setattr(client_connection, "FIRST_REQUEST_GRACE_US", 0)
+        door.server.drain()
         assert await silent.end() == b""  # though not for ever
 
     play(scene)
@@ -258,7 +270,7 @@
 
 def test_two_requests_that_came_whole_before_the_end_are_both_answered() -> None:
     async def scene(door: Door) -> None:
-        door.server.leaving, door.at_once = True, HTTPStatus.ACCEPTED
+        door.server.draining, door.at_once = True, HTTPStatus.ACCEPTED
         client = Caller(door.port)
         client.say(message("a") + message("b"))
         first, second = await client.answer(), await client.answer()
@@ -298,11 +310,11 @@
         client.say(message("a") + message("b"))
         await door.until(lambda: bool(door.handed))
         held = door.of(client)
-        assert [r.headers["x-correlation-id"] for r in held.waiting] == ["b"]
+        assert [r.headers["x-correlation-id"] for r in held.queued_requests] == ["b"]
         client.reset()
         door.handed[0][1].answer(HTTPStatus.ACCEPTED)  # the write fails
         assert held.transport is not None and held.transport.is_closing()
-        held.next()
+        held.process_next()
         assert [h.id for h, _ in door.handed] == ["a"]
         await door.gone()
 
@@ -312,7 +324,7 @@
 # The listener and the end of the process
 
 
-@pytest.mark.parametrize("how", ["move", "stop_listening"])
+@pytest.mark.parametrize("how", ["hand_over", "stop_listening"])
 def test_connection_accepted_in_the_turn_in_which_the_listener_closes_is_served(
     how: str,
 ) -> None:
@@ -330,7 +342,7 @@
     play(scene)
 
 
-@pytest.mark.parametrize("how", ["move", "close"])
+@pytest.mark.parametrize("how", ["hand_over", "close"])
 def test_connection_in_the_backlog_when_the_listener_closes_is_served(how: str) -> None:
     async def scene(door: Door) -> None:
         door.at_once = HTTPStatus.SERVICE_UNAVAILABLE
@@ -383,12 +395,14 @@
             Caller(door.port),
             Caller(door.port),
         )
-        door.handed[0][1].left = lambda: left.append("m")
+        door.handed[0][1].on_disconnect = lambda: left.append("m")
         half.say(HALF)
         await door.until(
             lambda: (
                 len(door.server.connections) == 4
-                and any(c.reading is not None for c in door.server.connections)
+                and any(
+                    c.incomplete_request is not None for c in door.server.connections
+                )
             )
         )
         ending = asyncio.create_task(door.server.close())
@@ -428,13 +442,13 @@
     async def scene(door: Door) -> None:
         client = await door.busy()
         held, looked_at = door.of(client), asyncio.Event()
-        end = held.end
+        end = held.shut_down
 
         def looked(at_once: bool) -> None:
             end(at_once)
             looked_at.set()
 
-        held.end = looked  # type: ignore[method-assign]
+        held.shut_down = looked  # type: ignore[method-assign]
         ending = asyncio.create_task(door.server.close(PATIENCE))
         async with asyncio.timeout(PATIENCE):
             await looked_at.wait()
@@ -464,7 +478,7 @@
     async def scene(door: Door) -> None:
         monkeypatch.setattr(server_file, "LINGER_S", 0.001)
         client = await door.resting()
-        door.server.leave()
+        door.server.drain()
         assert await client.end() == b""
         async with asyncio.timeout(PATIENCE):
             with pytest.raises(ConnectionError):
@@ -481,7 +495,7 @@
         lingering, resting = await door.resting(), await door.resting()
         door.of(lingering).finish()
         ended = door.of(lingering)
-        door.of(resting).used_us = 0  # idle for longer
+        door.of(resting).last_used_us = 0  # idle for longer
         another = await door.resting()
         await door.until(lambda: ended not in door.server.connections)
         for client in (resting, another):
@@ -495,7 +509,7 @@
 
 
 def engine(folder: Path, platform: Platform, **more: Any) -> Engine:
-    hosts = tuple(host(raw) for raw in platform.hosts.values())
+    hosts = tuple(parse_endpoint(raw) for raw in platform.hosts.values())
     listen, discovery = (
         Address("127.0.0.1", 0),
         Address("127.0.0.1", platform.port or 9),
@@ -509,8 +523,8 @@
         192,
         256,
         3_000_000,
-        HostList(1, True, hosts),
-        settings(SETTINGS),
+        EndpointList(1, True, hosts),
+        parse_settings(SETTINGS),
         ("x0", "x1"),
     )
     return Engine(replace(config, **more))
@@ -539,11 +553,11 @@
 
     def told_to_stop(self, ago_s: float) -> None:
         """SIGTERM was so long ago; its next step is the test's to make."""
-        self.engine.leaving_s = asyncio.get_running_loop().time() - ago_s
-        self.engine.server.leaving = True
+        self.engine.shutdown_started_s = asyncio.get_running_loop().time() - ago_s
+        self.engine.server.draining = True
 
     async def end(self) -> None:
-        self.engine.done.set()
+        self.engine.stopped.set()
         async with asyncio.timeout(PATIENCE):
             assert await self.task is False
 
@@ -577,7 +591,7 @@
         answers: list[HTTPStatus] = []
 
         class Waiting:
-            left: Callable[[], None] | None = None
+            on_disconnect: Callable[[], None] | None = None
 
             def answer(
                 self, status: HTTPStatus, text: str = "", **headers: str
@@ -585,11 +599,12 @@
                 answers.append(status)
 
         run.told_to_stop(1.0)
-        run.engine.stop_step()
-        assert run.engine.done.is_set()
+        run.engine.advance_shutdown()
+        assert run.engine.stopped.is_set()
         due = run.engine.clock() + 10_000_000
-        run.engine.hand_in(
-            Handed("m", "status", 7, due, None, None, "acme", False, b""), Waiting()
+        run.engine.submit(
+            SubmittedMessage("m", "status", 7, due, None, None, "acme", False, b""),
+            Waiting(),
         )
         assert answers == [HTTPStatus.SERVICE_UNAVAILABLE]
         await run.end()
@@ -609,7 +624,7 @@
         resting.say(message("a"))
         unaccepted = Caller(run.port)
         unaccepted.say(message("b"))
-        run.engine.stop_step()
+        run.engine.advance_shutdown()
         for client in (resting, unaccepted):
             status, head = await client.answer()
             assert (
@@ -650,12 +665,12 @@
         async with asyncio.timeout(PATIENCE):
             await dialing.wait()
         if step == "freeze":
-            run.told_to_stop(stopping.FREEZE_S)
-            run.engine.stop_step()
+            run.told_to_stop(shutdown.FREEZE_AFTER_S)
+            run.engine.advance_shutdown()
             up.set()
-            await asyncio.wait(set(run.engine.pool.dials), timeout=PATIENCE)
+            await asyncio.wait(set(run.engine.pool.dial_tasks), timeout=PATIENCE)
         client.socket.close()
-        dials = set(run.engine.pool.dials)
+        dials = set(run.engine.pool.dial_tasks)
         await run.end()
         for task in dials:  # the process is gone, and its dials with it
             task.cancel()
@@ -672,12 +687,17 @@
 
 def test_longest_way_from_sigterm_to_the_end_leaves_room_before_sigkill() -> None:
     """SIGKILL may come 3.7 s after SIGTERM."""
-    longest = stopping.EXIT_S + stopping.STEP_S + starting.SETTLE_S + CLOSE_S
+    longest = (
+        shutdown.EXIT_AFTER_S
+        + shutdown.SHUTDOWN_STEP_S
+        + startup.FINAL_COMMIT_TIMEOUT_S
+        + CLOSE_GRACE_S
+    )
     assert longest <= 3.66
     assert (
-        stopping.LISTEN_S + client_connection.FRESH_US / 1e6
-        < stopping.FREEZE_S
-        < stopping.EXIT_S
+        shutdown.ACCEPT_PERIOD_S + client_connection.FIRST_REQUEST_GRACE_US / 1e6
+        < shutdown.FREEZE_AFTER_S
+        < shutdown.EXIT_AFTER_S
     )
 
 
@@ -686,14 +706,15 @@
         e = engine(tmp_path, Platform())
         now = asyncio.get_running_loop().time()
         for passed in (1.0, 2.8, 3.0, 3.3, 3.5):
-            e.leaving_s = now - passed
+            e.shutdown_started_s = now - passed
             assert (
-                CLOSE_S
-                <= e.patience_s()
-                <= max(CLOSE_S, stopping.EXIT_S + CLOSE_S - passed) + 1e-6
+                CLOSE_GRACE_S
+                <= e.client_grace_s()
+                <= max(CLOSE_GRACE_S, shutdown.EXIT_AFTER_S + CLOSE_GRACE_S - passed)
+                + 1e-6
             )
-        e.leaving_s = now - 1.0
-        assert e.patience_s() == stopping.LET_GO_S
+        e.shutdown_started_s = now - 1.0
+        assert e.client_grace_s() == shutdown.CLIENT_CLOSE_S
         e.store.close()
 
     asyncio.run(scene())
@@ -711,7 +732,7 @@
             assert (await client.answer())[0] in (200, 202)
         await peer.got(1)
         run.told_to_stop(1.0)
-        run.engine.stop_step()
+        run.engine.advance_shutdown()
         resting.say(message("crossed"))  # after the shutdown
         assert await resting.end() == await busy.end() == b""
         resting.socket.close()
--- a/tests/test_crossing_talk.py
+++ b/tests/test_crossing_talk.py
@@ -12,8 +12,8 @@
 import pytest
 
 from rainfall.dispatch import AttemptFinished, Outcome
-from rainfall.net.handover import Predecessor, Successor
-from rainfall.net.link import Link
+from rainfall.forwarder.handover.connection import HandoverConnection
+from rainfall.forwarder.handover.roles import HandoverSource, HandoverTarget
 
 WORD = b'{"ended":["m",0,1,"delivered",5,true,0,null,false]}\n'
 
@@ -27,7 +27,7 @@
             await asyncio.sleep(0.001)
 
 
-async def linked(link: Link) -> socket.socket:
+async def linked(link: HandoverConnection) -> socket.socket:
     """One end is the program's link, the other the test's bare socket."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
     ours.setblocking(False)
@@ -43,21 +43,21 @@
         self.doors: dict[str, Any] = {}
         self.left: list[str] = []
 
-    def hand_in(self, handed: Any, door: Any) -> None:
+    def submit(self, handed: Any, door: Any) -> None:
         self.told.append(handed.id)
         self.doors[handed.id] = door
-        door.left = lambda: self.left.append(handed.id)
+        door.on_disconnect = lambda: self.left.append(handed.id)
 
-    def told_end(self, event: AttemptFinished) -> None:
+    def remote_attempt_finished(self, event: AttemptFinished) -> None:
         self.told.append((event.message_id, event.outcome))
 
-    def rotate(self, name: str, out: bool, answer: Any) -> None:
+    def set_detached(self, name: str, out: bool, answer: Any) -> None:
         self.told.append((name, out))
 
     def reload(self) -> None:
         self.told.append("reload")
 
-    def alone(self) -> None:
+    def source_lost(self) -> None:
         self.told.append("alone")
 
 
@@ -69,7 +69,7 @@
     """
 
     async def scene() -> None:
-        successor, engine = Successor(), Taker()
+        successor, engine = HandoverTarget(), Taker()
         theirs = await linked(successor.link)
         successor.attach(engine)
         theirs.sendall(WORD)
@@ -77,7 +77,7 @@
         successor.link.send(
             answer=[1, 202, "", {}]
         )  # ... and this write finds the other end gone
-        await until(lambda: successor.over)
+        await until(lambda: successor.disconnected)
         assert engine.told == [("m", Outcome.DELIVERED), "alone"]
 
     asyncio.run(scene())
@@ -88,28 +88,31 @@
         class Giver:
             bereft_with: Any = None
 
-            def bereft(self) -> None:
-                self.bereft_with = dict(predecessor.doors)
+            def target_lost(self) -> None:
+                self.bereft_with = dict(predecessor.response_writers)
 
-            def reread(self) -> None:
+            def reload_inbound_settings(self) -> None:
                 pass
 
         class Door:
-            left: Any = None
+            on_disconnect: Any = None
             said: list[int] = []
 
             def answer(self, status: int, text: str = "", **headers: str) -> None:
                 self.said.append(int(status))
 
         giver: Any = Giver()
-        predecessor = Predecessor(giver)
-        predecessor.link, predecessor.given = (
-            Link(predecessor.heard, predecessor.lost),
+        predecessor = HandoverSource(giver)
+        predecessor.link, predecessor.transferred = (
+            HandoverConnection(predecessor.on_message, predecessor.on_disconnect),
             True,
         )
         theirs = await linked(predecessor.link)
         door = Door()
-        predecessor.asked, predecessor.doors = 1, {1: ("m", door)}
+        predecessor.last_request_number, predecessor.response_writers = (
+            1,
+            {1: ("m", door)},
+        )
         theirs.sendall(
             b'{"answer":[1,202,"",{}]}\n{"answ'
         )  # the last line cut in half by its death
@@ -135,14 +138,14 @@
     """
 
     async def scene() -> None:
-        successor, engine = Successor(), Taker()
+        successor, engine = HandoverTarget(), Taker()
         theirs = await linked(successor.link)
         theirs.sendall(HANDED + WORD)
         theirs.close()
-        await until(lambda: successor.over)
+        await until(lambda: successor.disconnected)
         successor.attach(engine)
         assert engine.told == ["m", ("m", Outcome.DELIVERED), "alone"]
-        assert engine.left == ["m"] and not successor.proxies
+        assert engine.left == ["m"] and not successor.response_writers
 
     asyncio.run(scene())
 
@@ -153,42 +156,47 @@
     def __init__(self) -> None:
         self.holds: list[Any] = []
         self.held = self.resumed = self.gave = 0
-        self.predecessor = Predecessor(self)
+        self.predecessor = HandoverSource(self)
 
-    def hold(self, then: Any) -> None:
+    def pause_for_handover(self, then: Any) -> None:
         self.holds.append(then)
 
     def stands(self) -> None:
         self.held += 1
         self.holds.pop(0)({"module": {}})
 
-    def resume(self) -> None:
+    def resume_after_handover(self) -> None:
         self.resumed += 1
 
-    def give(self) -> None:
+    def transfer_ownership(self) -> None:
         self.gave += 1
-        self.predecessor.yours()
+        self.predecessor.confirm_transfer()
 
-    def bereft(self) -> None:
+    def target_lost(self) -> None:
         pass
 
-    def call_off(self, message: str, attempt: int) -> None:
+    def cancel_call(self, message: str, attempt: int) -> None:
         pass
 
-    def reread(self) -> None:
+    def reload_inbound_settings(self) -> None:
         pass
 
 
-async def asks(giver: Giver) -> tuple[Link, list[Any]]:
+async def asks(giver: Giver) -> tuple[HandoverConnection, list[Any]]:
     """Another process comes and asks; what it is told goes into the list."""
     said: list[Any] = []
     mine, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
     mine.setblocking(False)
     theirs.setblocking(False)
     loop = asyncio.get_running_loop()
-    other = Link(lambda link, line: said.append(line), lambda link: said.append("gone"))
+    other = HandoverConnection(
+        lambda link, line: said.append(line), lambda link: said.append("gone")
+    )
     await loop.create_connection(
-        lambda: Link(giver.predecessor.heard, giver.predecessor.lost), sock=mine
+        lambda: HandoverConnection(
+            giver.predecessor.on_message, giver.predecessor.on_disconnect
+        ),
+        sock=mine,
     )
     await loop.create_connection(lambda: other, sock=theirs)
     other.send(ask=True)
@@ -246,24 +254,24 @@
 
 
 async def late_yes(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("rainfall.net.handover.ASK_S", 0.2)
+    monkeypatch.setattr("rainfall.forwarder.handover.roles.SNAPSHOT_TIMEOUT_S", 0.2)
     giver = Giver()
     gate = asyncio.Event()
-    give = giver.give
+    give = giver.transfer_ownership
 
     async def late() -> None:
         await gate.wait()
         give()
 
     tasks: list[asyncio.Task[None]] = []
-    giver.give = lambda: tasks.append(asyncio.create_task(late()))  # type: ignore[method-assign]
+    giver.transfer_ownership = lambda: tasks.append(asyncio.create_task(late()))  # type: ignore[method-assign]
     await giver.predecessor.listen(folder)
-    successor = Successor()
-    asked = asyncio.create_task(successor.ask(folder))
+    successor = HandoverTarget()
+    asked = asyncio.create_task(successor.request_snapshot(folder))
     await until(lambda: giver.holds)
     giver.stands()
     assert await asked
-    prepared = asyncio.create_task(successor.prepared())
+    prepared = asyncio.create_task(successor.request_ownership())
     await until(lambda: tasks)
     done, _ = await asyncio.wait(
         {prepared}, timeout=0.4
@@ -285,14 +293,16 @@
 
 def test_operators_call_on_its_way_is_answered_when_the_new_process_dies() -> None:
     async def scene() -> None:
-        predecessor = Predecessor(Giver())
-        predecessor.link, predecessor.given = (
-            Link(predecessor.heard, predecessor.lost),
+        predecessor = HandoverSource(Giver())
+        predecessor.link, predecessor.transferred = (
+            HandoverConnection(predecessor.on_message, predecessor.on_disconnect),
             True,
         )
         theirs = await linked(predecessor.link)
         said: list[int] = []
-        predecessor.rotate("s1", True, lambda status, text: said.append(int(status)))
+        predecessor.set_detached(
+            "s1", True, lambda status, text: said.append(int(status))
+        )
         assert theirs.recv(1000) == b'{"rotate":[1,"s1",true]}\n' and not said
         theirs.close()
         await until(lambda: predecessor.link is None)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,15 +14,20 @@
 
 import pytest
 
-from rainfall.journal.files import SystemFiles
-from rainfall.net.admin import ACCEPTS as ADMIN_ACCEPTS
-from rainfall.net.admin import MOST_CALLS, Admin
-from rainfall.net.config import Address, Config, HostList
-from rainfall.net.desk import OWN, Clock
-from rainfall.net.engine import Engine
-from rainfall.net.server import ACCEPT_TURNS, ACCEPTS, UNASKED_US, Server
-from rainfall.net.store import Store, Taken
-from rainfall.wirehost import settings
+from rainfall.forwarder.admin.admin_server import ACCEPT_BATCH as ADMIN_ACCEPTS
+from rainfall.forwarder.admin.admin_server import MAX_CONNECTIONS, AdminServer
+from rainfall.forwarder.config.loading import Address, Config, EndpointList
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.engine.engine_state import OWN_DESCRIPTORS, Clock
+from rainfall.forwarder.inbound.server import (
+    ACCEPT_BATCH,
+    ACCEPT_LOOP_TURNS,
+    FIRST_REQUEST_WAIT_US,
+    InboundServer,
+)
+from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
+from rainfall.journal.files import LocalFileSystem
+from rainfall.wirehost import parse_settings
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -74,15 +79,17 @@
     closing.
     """
 
-    class Counting(Server):
+    class Counting(InboundServer):
         joins = 0
 
-        def joined(self, connection: object) -> None:
+        def add_connection(self, connection: object) -> None:
             self.joins += 1
-            super().joined(connection)  # type: ignore[arg-type]
+            super().add_connection(connection)  # type: ignore[arg-type]
 
     async def scene() -> None:
-        server = Counting(settings(SETTINGS), Clock(), 5, lambda handed, door: None)
+        server = Counting(
+            parse_settings(SETTINGS), Clock(), 5, lambda handed, door: None
+        )
         await server.listen("127.0.0.1", 0)
         clients = [
             socket.create_connection(("127.0.0.1", port_of(server.listener)))
@@ -94,7 +101,7 @@
         most = await most_held(
             lambda: server.joins == len(clients) and len(server.connections) <= 5
         )
-        assert most - before <= 5 + ACCEPT_TURNS * ACCEPTS
+        assert most - before <= 5 + ACCEPT_LOOP_TURNS * ACCEPT_BATCH
         await server.close()
         for client in clients:
             client.close()
@@ -113,8 +120,8 @@
 
     async def scene() -> None:
         now = [1_000_000_000]
-        server = Server(
-            settings(SETTINGS), lambda: now[0], 5, lambda handed, door: None
+        server = InboundServer(
+            parse_settings(SETTINGS), lambda: now[0], 5, lambda handed, door: None
         )
         await server.listen("127.0.0.1", 0)
         port = port_of(server.listener)
@@ -129,9 +136,11 @@
         for _, writer in halves:
             writer.write(b"POST /order HTTP/1.1\r\nX-")
         async with asyncio.timeout(PATIENCE):
-            while sum(c.reading is not None for c in server.connections) < len(halves):
+            while sum(
+                c.incomplete_request is not None for c in server.connections
+            ) < len(halves):
                 await asyncio.sleep(0.001)
-        now[0] += UNASKED_US
+        now[0] += FIRST_REQUEST_WAIT_US
         for _ in halves:
             await up(*await asyncio.open_connection("127.0.0.1", port))
         for streams in before:
@@ -150,8 +159,11 @@
     """
 
     async def scene() -> None:
-        server = Server(
-            settings(SETTINGS), lambda: 1_000_000_000, 64, lambda handed, door: None
+        server = InboundServer(
+            parse_settings(SETTINGS),
+            lambda: 1_000_000_000,
+            64,
+            lambda handed, door: None,
         )
         await server.listen("127.0.0.1", 0)
         port = port_of(server.listener)
@@ -294,7 +306,7 @@
     """
 
     async def scene() -> None:
-        admin = Admin()
+        admin = AdminServer()
         port = free_port()
         await admin.listen(Address("127.0.0.1", port))
         callers = [socket.create_connection(("127.0.0.1", port)) for _ in range(60)]
@@ -304,7 +316,7 @@
         last.setblocking(False)
         answer = asyncio.create_task(asyncio.get_running_loop().sock_recv(last, 100))
         most = await most_held(answer.done)
-        assert most - before <= 1 + MOST_CALLS + ACCEPT_TURNS * ADMIN_ACCEPTS
+        assert most - before <= 1 + MAX_CONNECTIONS + ACCEPT_LOOP_TURNS * ADMIN_ACCEPTS
         assert answer.result().startswith(b"HTTP/1.1 503")
         admin.close()
         for sock in [last, *callers]:
@@ -324,11 +336,14 @@
 
     async def scene() -> None:
         engine = engine_on(tmp_path, sockets)
-        clients = engine.server.most + ACCEPT_TURNS * ACCEPTS
-        operators = 1 + MOST_CALLS + ACCEPT_TURNS * ADMIN_ACCEPTS
-        assert clients + engine.pool.most + operators + OWN <= sockets
+        clients = engine.server.max_connections + ACCEPT_LOOP_TURNS * ACCEPT_BATCH
+        operators = 1 + MAX_CONNECTIONS + ACCEPT_LOOP_TURNS * ADMIN_ACCEPTS
+        assert (
+            clients + engine.pool.max_connections + operators + OWN_DESCRIPTORS
+            <= sockets
+        )
         assert (
-            engine.server.most >= sockets // 3
+            engine.server.max_connections >= sockets // 3
         )  # TERMS: clients use no more for requests
         engine.store.close()
 
@@ -341,14 +356,14 @@
     async def scene() -> None:
         monkeypatch.setattr(resource, "getrlimit", lambda which: (300, 300))
         engine = engine_on(tmp_path, 1024)
-        low = engine.server.most, engine.pool.most
-        engine.share_sockets(300)
-        assert (engine.server.most, engine.pool.most) == low
+        low = engine.server.max_connections, engine.pool.max_connections
+        engine.allocate_sockets(300)
+        assert (engine.server.max_connections, engine.pool.max_connections) == low
         monkeypatch.setattr(
             resource, "getrlimit", lambda which: (resource.RLIM_INFINITY,) * 2
         )
-        engine.share_sockets(1024)
-        assert engine.server.most > 2 * low[0]
+        engine.allocate_sockets(1024)
+        assert engine.server.max_connections > 2 * low[0]
         engine.store.close()
 
     asyncio.run(scene())
@@ -369,7 +384,7 @@
         await node.start()
         try:
             await platform.got(1)
-            assert len(await base_of(node.process.pid)) <= OWN
+            assert len(await base_of(node.process.pid)) <= OWN_DESCRIPTORS
         finally:
             await node.end()
             assert node.listener is not None
@@ -390,14 +405,14 @@
             192,
             sockets,
             3_000_000,
-            HostList(1, True, ()),
-            settings(SETTINGS),
+            EndpointList(1, True, ()),
+            parse_settings(SETTINGS),
             (),
         )
     )
 
 
-class FewFiles(SystemFiles):
+class FewFiles(LocalFileSystem):
     """A system that has no descriptor left for another file, while the test says so."""
 
     out = ""
@@ -407,10 +422,10 @@
             raise OSError(errno.EMFILE, "Too many open files")
         return super().open(path, anew)
 
-    def sync_folder(self, path: Path) -> None:
+    def sync_directory(self, path: Path) -> None:
         if self.out == "folder":
             raise OSError(errno.EMFILE, "Too many open files")
-        super().sync_folder(path)
+        super().sync_directory(path)
 
 
 @pytest.mark.parametrize(
@@ -441,28 +456,32 @@
         while jobs:
             jobs.pop(0)()
 
-    store = Store(tmp_path, 3_000_000, worker=worker if power else None, files=files)
+    store = MessageStore(
+        tmp_path, 3_000_000, worker=worker if power else None, files=files
+    )
     work()
     promised: list[str] = []
     for n in range(20):
         name = f"m{n}"
-        store.take(Taken(name, "order", 7, 10**16, f"k{n}", "acme", b"a" * 20_000))
+        store.append_message(
+            AcceptedMessage(name, "order", 7, 10**16, f"k{n}", "acme", b"a" * 20_000)
+        )
         store.commit(lambda ok, name=name: promised.append(name) if ok else None)  # type: ignore[misc]
         work()
         if (
             name not in promised or 1 < n < 19
         ):  # so that the file grows and what it holds does not
-            store.over(name)
+            store.append_finished(name)
         files.out = fails_at
-    assert store.failed and not store.has_room(10)
+    assert store.failed and not store.has_capacity(10)
     kept = [name for name in promised if name in store.messages]
     assert kept[:2] == ["m0", "m1"]
-    killed = Store(tmp_path, 3_000_000, write=False, files=SystemFiles())
+    killed = MessageStore(tmp_path, 3_000_000, write=False, files=LocalFileSystem())
     assert set(kept) <= killed.messages.keys() and not killed.report.damaged
     files.out = ""
     store.log.retry_at = 0
-    store.log.tend()
+    store.log.retry_after_failure()
     work()
-    assert not store.failed and store.has_room(10)
+    assert not store.failed and store.has_capacity(10)
     store.close()
-    assert list(Store(tmp_path, 3_000_000).messages) == kept
+    assert list(MessageStore(tmp_path, 3_000_000).messages) == kept
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from rainfall.explore.__main__ import main
-from rainfall.explore.net import Net
-from rainfall.explore.search import explore
+from rainfall.model_checker.__main__ import main
+from rainfall.model_checker.network import Network
+from rainfall.model_checker.search import explore
 
 State = tuple[tuple[str, str], str]
 
@@ -49,38 +49,38 @@
 
 def test_the_shortest_way_to_a_breach_is_told() -> None:
     found = explore(TwoAtOneDoor(), 20)
-    assert found.why == "two inside"
+    assert found.violation == "two inside"
     assert len(found.trace) == 4 and sorted(found.trace[:2]) == ["0 looks", "1 looks"]
 
 
 def test_a_search_without_a_breach_says_how_far_it_went() -> None:
     whole = explore(TwoAtOneDoor(locked=True), 20)
-    assert (whole.why, whole.complete, whole.states) == (
+    assert (whole.violation, whole.complete, whole.states) == (
         "",
         True,
         5,
     )  # both out; either looked, either in
     short = explore(TwoAtOneDoor(locked=True), 1)
     assert (short.complete, short.depth, short.states) == (False, 1, 3)
-    few = explore(TwoAtOneDoor(locked=True), 20, most_states=2)
+    few = explore(TwoAtOneDoor(locked=True), 20, max_states=2)
     assert not few.complete and few.states == 2
 
 
 def test_messages_arrive_in_any_order_once_or_as_often_as_allowed() -> None:
-    net = Net(losses=1, copies=1).send("b").send("a").send("a")
+    net = Network(losses_left=1, duplicates_left=1).send("b").send("a").send("a")
     assert [m for m, _ in net.arrivals()] == [
         "a",
         "a",
         "b",
         "b",
     ]  # each alone, and each with a copy to come
-    assert {after.bag for m, after in net.arrivals() if m == "a"} == {
+    assert {after.in_transit for m, after in net.arrivals() if m == "a"} == {
         ("a", "b"),
         ("a", "a", "b"),
     }
-    assert [after.losses for _, after in net.lost()] == [0, 0]
-    assert not list(Net(("a",)).lost())
-    assert Net(("a",), most=1).send("b").bag == ("a",)
+    assert [after.losses_left for _, after in net.lost()] == [0, 0]
+    assert not list(Network(("a",)).lost())
+    assert Network(("a",), max_in_transit=1).send("b").in_transit == ("a",)
 
 
 def test_the_command_tells_the_steps_and_fails(
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -32,16 +32,20 @@
     SetTimer,
 )
 from rainfall.dispatch.quota import NEVER, Quota, change_quota
-from rainfall.journal.files import SystemFiles
+from rainfall.forwarder.config.fleet_config import BudgetReserve
+from rainfall.forwarder.config.loading import Address
+from rainfall.forwarder.engine.engine import Clock
+from rainfall.forwarder.fleet.quotas import (
+    UNKNOWN_PERIOD_CALLS,
+    FleetQuotas,
+    merge_spent,
+)
+from rainfall.forwarder.fleet.state_file import StateFile
+from rainfall.forwarder.outbound import connection_pool
+from rainfall.forwarder.outbound.connection_pool import OutboundCall
+from rainfall.journal.files import LocalFileSystem
 from rainfall.journal.recovery import this_boot
-from rainfall.lease.token import Token
-from rainfall.net import client
-from rainfall.net.client import Call
-from rainfall.net.config import Address
-from rainfall.net.engine import Clock
-from rainfall.net.fleet_books import BARRED, Books, gathered
-from rainfall.net.fleet_config import Reserve
-from rainfall.net.fleet_file import Keep
+from rainfall.lease.fencing_token import Token
 from tests.scripts import S
 from tests.scripts import settings as script
 from tests.sockets import (
@@ -362,75 +366,84 @@
         "reserve": 1,
         "slack_ms": None,
     }
-    reserves, window_us, at = [Reserve(7, 1, 400_000, 100)], 413_371, 10_000_000
+    reserves, window_us, at = [BudgetReserve(7, 1, 400_000, 100)], 413_371, 10_000_000
 
-    def after(books: Books, token: Token) -> list[int]:
-        books.kept = True
-        books.told(token, {7: share}, at + 900_000, at)
-        return [books.leaves(7, at) for _ in range(7)]
+    def after(books: FleetQuotas, token: Token) -> list[int]:
+        books.persisted = True
+        books.apply_shares(token, {7: share}, at + 900_000, at)
+        return [books.acquire_permit(7, at) for _ in range(7)]
 
-    first = Books(reserves, 0.02, {}, at - 500_000)
-    assert first.leaves(7, at) == -1, "not kept yet"
-    assert first.event(7, at, 0).used == ()
+    first = FleetQuotas(reserves, 0.02, {}, at - 500_000)
+    assert first.acquire_permit(7, at) == -1, "not kept yet"
+    assert first.quota_event(7, at, 0).used == ()
     assert after(first, Token(3, 1)) == [0] * 6 + [window_us]
     at += 100_000
-    crashed, disk = first.standing(), FaultyFiles()
-    spent = first.event(7, at, 0)
-    keep = Keep(tmp_path, True, disk)
+    crashed, disk = first.records(), FaultyFiles()
+    spent = first.quota_event(7, at, 0)
+    keep = StateFile(tmp_path, True, disk)
     for records, boot, waits in (
         (crashed, "", [window_us] * 7),
         (first.close(at), "", [313_371] * 7),
         (first.close(at), "another", [window_us] * 7),
     ):
-        assert keep.write(*keep.made(Token(3, 1), records)) is None and disk.synced
+        assert keep.write(*keep.encode(Token(3, 1), records)) is None and disk.synced
         if boot:
             keep.path.write_text(keep.path.read_text().replace(this_boot(), boot))
-        token, kept = Keep(tmp_path, False).read()
-        second = Books(reserves, 0.02, kept, at)
+        token, kept = StateFile(tmp_path, False).read()
+        second = FleetQuotas(reserves, 0.02, kept, at)
         assert (
             token == Token(3, 1)
-            and second.keeps() == {"7": 1}
-            and second.holds(token) == {"7": [1, 5]}
+            and second.known_reserves() == {"7": 1}
+            and second.held_shares(token) == {"7": [1, 5]}
         )
-        told = second.event(7, at, 5)
+        told = second.quota_event(7, at, 5)
         assert (told.calls, told.reserve_calls) == (0, 0), (
             "not kept: the module holds too"
         )
         assert told.used == (
-            ((at + 5, BARRED),) if waits[0] == window_us else ((at - 99_995, 1),) * 6
+            ((at + 5, UNKNOWN_PERIOD_CALLS),)
+            if waits[0] == window_us
+            else ((at - 99_995, 1),) * 6
         )
         assert after(second, Token(3, 2)) == waits
     assert spent.used == () and spent.calls == 6
     disk.fails = True
     assert (
-        isinstance(keep.write(*keep.made(Token(3, 9), {})), OSError)
-        and Keep(tmp_path, False).read()[1]
+        isinstance(keep.write(*keep.encode(Token(3, 9), {})), OSError)
+        and StateFile(tmp_path, False).read()[1]
     )
-    number, data = keep.made(Token(3, 3), {})
+    number, data = keep.encode(Token(3, 3), {})
     disk.fails = False
     assert keep.write(number + 1, b"{}") is None and keep.write(number, data) is None
     assert keep.path.read_bytes() == b"{}", (
         "an older one does not take a newer one's place"
     )
-    second.configure([Reserve(7, 0, 400_000, 100)], at)
+    second.configure([BudgetReserve(7, 0, 400_000, 100)], at)
     assert (
-        second.event(7, at, 0).reserve_calls == 0 and second.configure([], at) == []
+        second.quota_event(7, at, 0).reserve_calls == 0
+        and second.configure([], at) == []
     ), "the service told it last"
-    second.told(Token(3, 2), {}, at + 900_000, at)
+    second.apply_shares(Token(3, 2), {}, at + 900_000, at)
     assert second.configure([], at) == [7], "now nobody names it"
-    third = Books(reserves, 0.02, {}, at - 500_000)
-    third.kept = third.told(Token(3, 4), {7: share}, at + 900_000, at) is False
-    assert [third.leaves(7, at) for _ in range(4)] == [0] * 4
-    third.left(7, at, at + 5_000)
-    third.left(
+    third = FleetQuotas(reserves, 0.02, {}, at - 500_000)
+    third.persisted = (
+        third.apply_shares(Token(3, 4), {7: share}, at + 900_000, at) is False
+    )
+    assert [third.acquire_permit(7, at) for _ in range(4)] == [0] * 4
+    third.on_call_sent(7, at, at + 5_000)
+    third.on_call_sent(
         7, at, at + 5_001
     )  # stopped between the yes and the write: it counts from here
-    assert [third.leaves(7, at + 5_001) == 0 for _ in range(3)] == [True, False, False]
-    many = gathered([[n, n, 1] for n in range(10)], 4)
+    assert [third.acquire_permit(7, at + 5_001) == 0 for _ in range(3)] == [
+        True,
+        False,
+        False,
+    ]
+    many = merge_spent([[n, n, 1] for n in range(10)], 4)
     assert many == [[0, 2, 3], [3, 5, 3], [6, 8, 3], [9, 9, 1]]
 
 
-class FaultyFiles(SystemFiles):
+class FaultyFiles(LocalFileSystem):
     fails = synced = False
 
     def sync(self, fd: int) -> None:
@@ -592,8 +605,8 @@
 OFF = """
 import asyncio, json, sys, urllib.request
 from rainfall.__main__ import serve
-from rainfall.net.config import load
-from rainfall.net.reconfigure import examine
+from rainfall.forwarder.config.loading import load
+from rainfall.forwarder.config.validation import validate_replacement
 
 async def run():
     config = load()
@@ -609,8 +622,9 @@
         except OSError:
             pass
     assert b'"fleet"' not in told
-    assert examine(json.dumps(config.raw).encode(), config).valid
-    parts = ("msgspec", "rainfall.lease", "rainfall.budget", "rainfall.member", "rainfall.net.fleet")
+    assert validate_replacement(json.dumps(config.raw).encode(), config).valid
+    parts = ("msgspec", "rainfall.lease", "rainfall.budget", "rainfall.member",
+        "rainfall.forwarder.fleet", "rainfall.forwarder.config.fleet_config")
     print([name for name in sys.modules if name.startswith(parts)])
     serving.cancel()
 asyncio.run(run())
@@ -645,20 +659,20 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         told: list[str] = []
-        p.left = lambda c: told.extend(c.open)
+        p.on_call_sent = lambda c: told.extend(c.open_items)
         if idle:
             p.start(call(Clock(), "first"))
             await until(lambda: len(ends) == 1)
         asked: list[int] = []
-        answers = [-1, 8_000, 8_000, 0, client.HELD_US + 1]
+        answers = [-1, 8_000, 8_000, 0, connection_pool.PERMIT_WAIT_US + 1]
 
-        def leaves(c: Call) -> int:
+        def leaves(c: OutboundCall) -> int:
             asked.append(len(peer.requests))
             return answers[len(asked) - 1]
 
-        p.leaves = leaves
+        p.acquire_permit = leaves
         for name, asks in (("barred", 1), ("held", 4), ("late", 5)):
             p.start(call(Clock(), name))
             await until(lambda n=name: any(e.message_id == n for e in ends))
@@ -669,7 +683,7 @@
             ("late", Outcome.NOT_SENT),
         ]
         assert told == ["first"] * idle + ["held"] and len(peer.requests) == 1 + idle
-        assert len(p.all) == 1, "the connection is kept"
+        assert len(p.connections) == 1, "the connection is kept"
         p.close()
 
     asyncio.run(scene())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from rainfall.net.handover import Lock
+from rainfall.forwarder.handover.roles import JournalLock
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -234,12 +234,12 @@
 HALFWAY = """
 import asyncio, os, sys
 from pathlib import Path
-from rainfall.net.handover import Successor
+from rainfall.forwarder.handover.roles import HandoverTarget
 
 async def main():
-    successor = Successor()
-    assert await successor.ask(Path(sys.argv[1]))
-    assert successor.memory["module"]
+    target = HandoverTarget()
+    assert await target.request_snapshot(Path(sys.argv[1]))
+    assert target.snapshot["module"]
     os.write(1, b"asked")
     os.read(0, 1)
     os._exit(9)
@@ -279,7 +279,9 @@
         await peer.until(lambda: "b" in ids(peer))
         half.stdin.close()
         await half.wait()
-        assert not Lock(folder / "state").take()  # it is still the one that writes
+        assert not JournalLock(
+            folder / "state"
+        ).try_acquire()  # it is still the one that writes
         await second(old)  # and the next one may ask again
 
     play(scene, tmp_path)
--- a/tests/test_killed.py
+++ b/tests/test_killed.py
@@ -17,13 +17,17 @@
 import pytest
 
 from rainfall.dispatch import MessageReceived, MessageRestored
+from rainfall.forwarder.config.loading import Address, Config, EndpointList
+from rainfall.forwarder.engine.engine import RESTORE_BATCH, Engine
+from rainfall.forwarder.inbound.server import SubmittedMessage
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+)
+from rainfall.forwarder.outbound.connection_pool import OutboundCall
 from rainfall.journal import format as f
-from rainfall.net.client import Call
-from rainfall.net.config import Address, Config, HostList
-from rainfall.net.engine import RECALL, Engine
-from rainfall.net.server import Handed
-from rainfall.net.store import Rules, Store, Taken
-from rainfall.wirehost import settings
+from rainfall.wirehost import parse_settings
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -217,7 +221,7 @@
 def test_a_newer_journal_and_a_folder_that_cannot_be_used_end_the_start_in_one_line(
     tmp_path: Path,
 ) -> None:
-    newer = f.Head(f.VERSION + 1, 0, 1, 1, 0).bytes()
+    newer = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode()
     config = {
         "name": "n",
         "listen": "127.0.0.1:1",
@@ -264,12 +268,12 @@
 
 def filled(folder: Path, overdue: int, live: int, key: str | None = None) -> None:
     """A journal with messages whose time is up, behind others that have time left."""
-    store = Store(folder, 3_000_000)
-    made = settings(SETTINGS)
-    store.settle(Rules(made.max_attempts, made.classes))
+    store = MessageStore(folder, 3_000_000)
+    made = parse_settings(SETTINGS)
+    store.use_rules(DeliveryRules(made.max_attempts, made.classes))
     for n in range(live):
-        store.take(
-            Taken(
+        store.append_message(
+            AcceptedMessage(
                 f"live{n}",
                 "turns" if key else "status",
                 7,
@@ -281,7 +285,9 @@
             )
         )
     for n in range(overdue):
-        store.take(Taken(f"late{n}", "status", 7, 1, None, "acme", b""))
+        store.append_message(
+            AcceptedMessage(f"late{n}", "status", 7, 1, None, "acme", b"")
+        )
     store.close()
 
 
@@ -290,12 +296,18 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        first = [x.message_id for x in e.events if isinstance(x, MessageRestored)]
-        assert len(first) == RECALL and all(name.startswith("late") for name in first)
-        assert len(e.backlog) == 200 and len(e.store.messages) == 300
-        e.events.clear()
-        e.recall(RECALL)
-        second = [x.message_id for x in e.events if isinstance(x, MessageRestored)]
+        first = [
+            x.message_id for x in e.pending_events if isinstance(x, MessageRestored)
+        ]
+        assert len(first) == RESTORE_BATCH and all(
+            name.startswith("late") for name in first
+        )
+        assert len(e.restore_backlog) == 200 and len(e.store.messages) == 300
+        e.pending_events.clear()
+        e.restore_messages(RESTORE_BATCH)
+        second = [
+            x.message_id for x in e.pending_events if isinstance(x, MessageRestored)
+        ]
         assert [name[:4] for name in second] == ["late"] * 50 + ["live"] * 50
         e.store.close()
 
@@ -306,26 +318,31 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Told to the module after the fresh one, they would be overtaken by it."""
-    monkeypatch.setattr("rainfall.net.engine.RECALL", 5)
+    monkeypatch.setattr("rainfall.forwarder.engine.engine.RESTORE_BATCH", 5)
     filled(tmp_path, overdue=5, live=3, key="K")
 
     class Door:
-        left = None
+        on_disconnect = None
 
         def answer(self, status: object, text: str = "", **headers: str) -> None: ...
 
     async def scene() -> None:
         e = engine(tmp_path)
-        assert [x.ordering_key for x in e.backlog.values()] == ["K"] * 3
-        e.hand_in(
-            Handed("fresh", "turns", 7, 10**16, None, "K", "acme", False, b""), Door()
+        assert [x.ordering_key for x in e.restore_backlog.values()] == ["K"] * 3
+        e.submit(
+            SubmittedMessage(
+                "fresh", "turns", 7, 10**16, None, "K", "acme", False, b""
+            ),
+            Door(),
         )
         names = [
             x.message_id
-            for x in e.events
+            for x in e.pending_events
             if isinstance(x, MessageRestored | MessageReceived)
         ]
-        assert names[-4:] == ["live0", "live1", "live2", "fresh"] and not e.backlog
+        assert (
+            names[-4:] == ["live0", "live1", "live2", "fresh"] and not e.restore_backlog
+        )
         e.store.close()
 
     asyncio.run(scene())
@@ -359,7 +376,9 @@
 def power_engine(
     folder: Path, hands: object, monkeypatch: pytest.MonkeyPatch
 ) -> Engine:
-    monkeypatch.setattr("rainfall.net.engine.sync_thread", lambda: hands)
+    monkeypatch.setattr(
+        "rainfall.forwarder.engine.engine.create_sync_thread", lambda: hands
+    )
     listen = Address("127.0.0.1", 9)
     return Engine(
         Config(
@@ -371,8 +390,8 @@
             192,
             256,
             3_000_000,
-            HostList(1, True, ()),
-            settings(SETTINGS),
+            EndpointList(1, True, ()),
+            parse_settings(SETTINGS),
             ("x0", "x1"),
             power=True,
         )
@@ -391,7 +410,7 @@
 
     class Door:
         def __init__(self) -> None:
-            self.left = None
+            self.on_disconnect = None
             self.said: list[int] = []
 
         def answer(self, status: int, text: str = "", **headers: str) -> None:
@@ -401,26 +420,30 @@
         e = power_engine(tmp_path, hands, monkeypatch)
         started: list[object] = []
         monkeypatch.setattr(e.pool, "start", started.append)
-        e.listed(
-            HostList(2, True, tuple(engine(tmp_path / "other").config.known.hosts))
+        e.on_endpoint_list(
+            EndpointList(
+                2,
+                True,
+                tuple(engine(tmp_path / "other").config.known_endpoints.endpoints),
+            )
         )
         while hands.work():
             pass
         doors = {name: Door() for name in ("stays", "goes")}
         for name, door in doors.items():
-            e.hand_in(
-                Handed(
+            e.submit(
+                SubmittedMessage(
                     name, "pay", 7, e.clock() + 10**7, None, None, "acme", False, b""
                 ),
                 door,
             )
-        e.round()
+        e.run_round()
         assert not started and not any(d.said for d in doors.values())
-        assert doors["goes"].left is not None
-        doors["goes"].left()
+        assert doors["goes"].on_disconnect is not None
+        doors["goes"].on_disconnect()
         again = Door()
-        e.hand_in(
-            Handed(
+        e.submit(
+            SubmittedMessage(
                 "stays", "pay", 7, e.clock() + 10**7, None, None, "acme", False, b""
             ),
             again,
@@ -431,11 +454,11 @@
         assert doors["stays"].said == [202] and doors["goes"].said == []
         assert [item.id for call in started for item in call.items] == ["stays"]  # type: ignore[attr-defined]
         assert list(e.store.messages) == ["stays"]
-        e.round()
+        e.run_round()
         assert "goes" not in e.dispatcher.state.messages
         while hands.work():
             pass
-        e.store.let_go()
+        e.store.release()
 
     asyncio.run(scene())
 
@@ -453,21 +476,23 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        started: list[Call] = []
+        started: list[OutboundCall] = []
         monkeypatch.setattr(e.pool, "start", started.append)
-        e.round()
+        e.run_round()
         key = "K" if cls == "turns" else None
-        e.store.take(Taken("m", cls, 7, e.clock() + 10**8, None, "acme", b"", key))
+        e.store.append_message(
+            AcceptedMessage("m", cls, 7, e.clock() + 10**8, None, "acme", b"", key)
+        )
         e.store.flush()
         e.post(MessageRestored("m", 7, cls, e.clock() + 10**8, key))
-        e.store.log.most = e.store.size  # nothing more fits
-        e.round()
+        e.store.log.max_bytes = e.store.size  # nothing more fits
+        e.run_round()
         assert [item.id for call in started for item in call.items] == ["m"] * leaves
-        assert e.store.failed and not e.store.has_room(1)
-        e.store.log.most = 3_000_000
+        assert e.store.failed and not e.store.has_capacity(1)
+        e.store.log.max_bytes = 3_000_000
         e.store.log.retry_at = 0
-        e.store.log.tend()
-        assert not e.store.failed and e.store.has_room(1)
+        e.store.log.retry_after_failure()
+        assert not e.store.failed and e.store.has_capacity(1)
         e.store.close()
 
     asyncio.run(scene())
@@ -475,7 +500,7 @@
 
 def test_a_message_that_cannot_be_written_is_not_accepted(tmp_path: Path) -> None:
     class Door:
-        left = None
+        on_disconnect = None
         said: list[int] = []
 
         def answer(self, status: int, text: str = "", **headers: str) -> None:
@@ -483,19 +508,21 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        e.round()
-        e.hand_in(
-            Handed("m", "status", 7, e.clock() + 10**7, None, None, "acme", False, b""),
+        e.run_round()
+        e.submit(
+            SubmittedMessage(
+                "m", "status", 7, e.clock() + 10**7, None, None, "acme", False, b""
+            ),
             Door(),
         )
-        e.store.log.most = e.store.size
-        e.round()
+        e.store.log.max_bytes = e.store.size
+        e.run_round()
         assert (
             Door.said == [503]
             and not e.store.messages
-            and e.figures.throttled["status"] == 1
+            and e.metrics.throttled["status"] == 1
         )
-        e.round()
+        e.run_round()
         assert not e.dispatcher.state.messages
         e.store.close()
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 from rainfall.lab import __main__ as cli
 from rainfall.lab import checker, pids, report
 from rainfall.lab.experiment import ExperimentError, parse, read
-from rainfall.lab.proxy import Link
+from rainfall.lab.fault_proxy import ProxyLink
 
 EXPERIMENTS = (
     Path(__file__).resolve().parent.parent / "rainfall" / "lab" / "experiments"
@@ -107,7 +107,7 @@
         doubled,
         resent,
     )
-    assert checker.bad(result) == bool(lost or doubled)
+    assert checker.has_breach(result) == bool(lost or doubled)
     assert result["total"]["messages"] == len(messages)
     assert result["total"]["delivered"] == sum(
         1 for _, tries, _ in messages if any(d for _, d in tries)
@@ -185,11 +185,11 @@
     healed.
     """
     peer = await asyncio.start_server(echo, "127.0.0.1", 0)
-    link = await Link(
+    link = await ProxyLink(
         "t", "127.0.0.1", peer.sockets[0].getsockname()[1], seed=1
     ).start()
-    reader, writer = await asyncio.open_connection("127.0.0.1", link.listen)
-    link.set(state, delay_ms=5)
+    reader, writer = await asyncio.open_connection("127.0.0.1", link.listen_port)
+    link.set_state(state, delay_ms=5)
     seen: list[bytes | str] = []
     for _ in range(2):
         try:
@@ -200,7 +200,7 @@
             seen.append("silent")
         except (OSError, asyncio.IncompleteReadError):
             seen.append("reset")
-        link.set("pass")
+        link.set_state("pass")
     await link.stop()
     peer.close()
     return seen[0], seen[1]
@@ -317,12 +317,12 @@
     assert config["fleet"]["lease_ms"] == 900 and list(config["fleet"]["peers"]) == [
         "f1"
     ]
-    assert pids.left(out) == []
+    assert pids.still_running(out) == []
     assert (out / "report.png").stat().st_size > 0
     delivered = next(r for r in records if r["kind"] == "call" and r["status"] == 200)
     events = [
         (w["process"], w.get("event", w.get("kind")))
-        for w in report.path(out, delivered["key"])
+        for w in report.message_path(out, delivered["key"])
     ]
     assert ("lab", "try") in events and ("lab", "call") in events
     assert {"arrived", "sent", "ended"} <= {
@@ -342,4 +342,4 @@
     }
     result = checker.verdict([call], EFFECTS, DEADLINES, max_lag_ms=1.0)
     assert result["phantoms"] == 1
-    assert checker.bad(result)
+    assert checker.has_breach(result)
--- a/tests/test_lab_verdict.py
+++ b/tests/test_lab_verdict.py
@@ -19,13 +19,21 @@
 from hypothesis import strategies as st
 
 from rainfall.lab import __main__ as cli
-from rainfall.lab import checker, harvest, load, nemesis, pids, sweep, verdicts
+from rainfall.lab import (
+    checker,
+    load_generator,
+    log_records,
+    nemesis,
+    pids,
+    sweep,
+    verdicts,
+)
+from rainfall.lab.discovery_relay import DiscoveryRelay
 from rainfall.lab.experiment import parse
-from rainfall.lab.plan import Planned, messages
-from rainfall.lab.proxy import Gate, Link
-from rainfall.lab.relay import Relay
-from rainfall.lab.shapes import LINK_KINDS, SERVICE, links_of
-from rainfall.lab.standins import ListService, Meter
+from rainfall.lab.experiment_model import LINK_KINDS, LIST_SERVICE, link_names
+from rainfall.lab.fault_proxy import ConnectionLimiter, ProxyLink
+from rainfall.lab.load_plan import PlannedMessage, plan_messages
+from rainfall.lab.stand_ins import SlidingWindowLimiter, StandInListService
 from rainfall.lab.verdicts import budgets, leases, shards
 from rainfall.lab.verdicts import sessions as sessions_check
 
@@ -64,13 +72,13 @@
     counts = [
         sum(begin <= t < begin + span for t in times) for begin in range(-span, 42)
     ]
-    worst, at = budgets.worst_span(times, span)
+    worst, at = budgets.fullest_window(times, span)
     assert worst == max(counts)
     assert sum(at <= t < at + span for t in times) == worst
     over = sum(
         sum(t - span < u for u in times[: n + 1]) > calls for n, t in enumerate(times)
     )
-    assert budgets.spans_over(times, span, calls) == over
+    assert budgets.calls_over_limit(times, span, calls) == over
 
 
 stretch = st.tuples(
@@ -175,7 +183,7 @@
     exp = parse(TEXT)
     effects = {c.name: c.effect for c in exp.load.classes}
     deadlines = {c.name: int(c.deadline_s * 1e9) for c in exp.load.classes}
-    return checker.verdict(records, effects, deadlines, 1.0) | verdicts.sections(
+    return checker.verdict(records, effects, deadlines, 1.0) | verdicts.check_all(
         records, exp
     )
 
@@ -296,7 +304,7 @@
 def test_an_endpoints_limit_lets_through_what_fits_and_tells_the_wait(
     gaps: list[int], calls: int
 ) -> None:
-    meter, now, taken = Meter(calls, 10), 0, list[int]()
+    meter, now, taken = SlidingWindowLimiter(calls, 10), 0, list[int]()
     for gap in gaps:
         now += gap
         full = sum(now - 10 < t for t in taken) >= calls
@@ -315,12 +323,12 @@
 
 def test_a_process_of_a_reused_id_is_left_alone(tmp_path: Path) -> None:
     pids.note(tmp_path, "us", os.getpid())
-    assert pids.left(tmp_path) == [os.getpid()]
-    told = json.loads((tmp_path / pids.FILE).read_text())
-    (tmp_path / pids.FILE).write_text(
+    assert pids.still_running(tmp_path) == [os.getpid()]
+    told = json.loads((tmp_path / pids.PID_FILE).read_text())
+    (tmp_path / pids.PID_FILE).write_text(
         json.dumps({**told, "born": told["born"] - 1}) + "\nnot json\n"
     )
-    assert pids.left(tmp_path) == []
+    assert pids.still_running(tmp_path) == []
 
 
 def test_records_come_from_log_lines_and_torn_ones_are_counted() -> None:
@@ -335,7 +343,7 @@
         {"event": "arrived", "message_id": "sent", "t_ns": 111},
     ]  # fmt: skip
     text = "\n".join([*map(json.dumps, lines), '{"event": "sent", "mess'])
-    got, unread = harvest.merged([("list", text)], 100, {"e1": 7}.__getitem__)
+    got, unread = log_records.merge_logs([("list", text)], 100, {"e1": 7}.__getitem__)
     assert unread == 2, "one of an unknown endpoint, one torn"
     assert [(r["kind"], r["member"], r["at_ns"]) for r in got] == [
         ("owns", "f1", 3), ("granted", "list", 4), ("acted", "f0", 5), ("sent", "f0", 7), ("session", "f1", 9)
@@ -354,8 +362,8 @@
 @given(st.integers(0, 10_000))
 def test_a_nemesis_keeps_its_rules(seed: int) -> None:
     exp = parse(TEXT)
-    faults = nemesis.timeline(exp, seed)
-    assert faults == nemesis.timeline(exp, seed)
+    faults = nemesis.fault_timeline(exp, seed)
+    assert faults == nemesis.fault_timeline(exp, seed)
     spans = []
     for f in faults:
         process = f.kind not in LINK_KINDS
@@ -364,7 +372,7 @@
             if process
             else {
                 n
-                for n in links_of(exp)
+                for n in link_names(exp)
                 if all(
                     a in ("*", b)
                     for a, b in zip(f.target.split(">"), n.split(">"), strict=True)
@@ -389,18 +397,18 @@
 
 def test_a_nemesis_reaches_every_kind_and_the_service() -> None:
     exp = parse(TEXT)
-    drawn = [f for seed in range(30) for f in nemesis.timeline(exp, seed)]
+    drawn = [f for seed in range(30) for f in nemesis.fault_timeline(exp, seed)]
     assert {f.kind for f in drawn} == {"kill", "pause", "term", *LINK_KINDS}
     assert {f.restart for f in drawn} == {"", "keep", "lose"}
-    assert SERVICE in {f.target for f in drawn} and any(
+    assert LIST_SERVICE in {f.target for f in drawn} and any(
         f.target.startswith("f0>f") for f in drawn
     )
-    assert nemesis.timeline(exp, 1) != nemesis.timeline(exp, 2)
+    assert nemesis.fault_timeline(exp, 1) != nemesis.fault_timeline(exp, 2)
 
 
 def test_a_session_hands_each_in_once_the_one_before_has_its_answer() -> None:
     exp = parse(TEXT)
-    planned = [p for p in messages(exp, 5) if p.session]
+    planned = [p for p in plan_messages(exp, 5) if p.session]
     for session in {p.session for p in planned}:
         own = [p for p in planned if p.session == session]
         assert [p.number for p in own] == list(range(len(own))) and len(
@@ -409,8 +417,10 @@
     log: list[tuple[str, int, int]] = []
     told: Records = []
 
-    class Slow(load.Driver):
-        async def _try(self, n: int, data: bytes, timeout: float) -> tuple[int, str]:
+    class Slow(load_generator.LoadDriver):
+        async def _attempt(
+            self, n: int, data: bytes, timeout: float
+        ) -> tuple[int, str]:
             session, number = (
                 data.split(b"X-Session-Key: ")[1].split(b"\r\n")[0].decode(),
                 len(log),
@@ -421,11 +431,17 @@
             return 202, ""
 
     base = planned[0]
-    quick = [Planned(n, f"k{n}", base.cls, 7, 0, f"s{n % 2}", n // 2) for n in range(8)]
+    quick = [
+        PlannedMessage(n, f"k{n}", base.class_name, 7, 0, f"s{n % 2}", n // 2)
+        for n in range(8)
+    ]
     begin = time.monotonic_ns()
     asyncio.run(
         Slow(
-            exp, load.Front([0]), told.append, lambda: time.monotonic_ns() - begin
+            exp,
+            load_generator.ConnectionPool([0]),
+            told.append,
+            lambda: time.monotonic_ns() - begin,
         ).run(quick)
     )
     for session in ("s0", "s1"):
@@ -437,10 +453,10 @@
         assert all(
             b["ready_ns"] >= a["answer_ns"] for a, b in zip(own, own[1:], strict=False)
         )
-    joined = checker.join(
+    joined = checker.join_records(
         told, {"feed": 0, "pay": 0}
     )  # waiting for its turn is no lag, and costs no time
-    assert joined.lags == [r["sent_ns"] - r["ready_ns"] for r in told]
+    assert joined.lags_ns == [r["sent_ns"] - r["ready_ns"] for r in told]
     assert [m.deadline_ns for m in joined.messages.values()] == [
         r["ready_ns"] for r in told
     ]
@@ -448,11 +464,13 @@
 
 async def through_a_relay() -> tuple[dict[str, Any], Records, bytes]:
     noticed: Records = []
-    listing = await ListService(
+    listing = await StandInListService(
         hosts=[{"host": "e0", "dial": "h:1"}, {"host": "e9", "dial": "h:9"}]
     ).start()
-    relay = await Relay(listing.port, {"e0": "127.0.0.1:5"}, noticed.append).start()
-    reader, writer = await asyncio.open_connection("127.0.0.1", relay.listen)
+    relay = await DiscoveryRelay(
+        listing.port, {"e0": "127.0.0.1:5"}, noticed.append
+    ).start()
+    reader, writer = await asyncio.open_connection("127.0.0.1", relay.listen_port)
     writer.write(b"POST /v1/notices HTTP/1.1\r\nContent-Length: 29\r\n\r\n")
     writer.write(b'{"id":"m.0","state":"failed"}')
     writer.write(b"GET /discovery/hosts HTTP/1.1\r\n\r\n")
@@ -485,12 +503,14 @@
     assert rest == b"", "its connection ended with the service's"
 
 
-async def past_the_gate() -> tuple[list[bytes], list[int], Gate]:
+async def past_the_gate() -> tuple[list[bytes], list[int], ConnectionLimiter]:
     lines: list[int] = []
-    gate = Gate(2, lambda: lines.append(1))
-    listing = await ListService().start()
+    gate = ConnectionLimiter(2, lambda: lines.append(1))
+    listing = await StandInListService().start()
     links = [
-        await Link(f"l{n}", "127.0.0.1", listing.port, seed=n, gate=gate).start()
+        await ProxyLink(
+            f"l{n}", "127.0.0.1", listing.port, seed=n, limiter=gate
+        ).start()
         for n in range(2)
     ]
     seen, open_ends = [], []
@@ -500,7 +520,9 @@
             async with asyncio.timeout(5):
                 while gate.open == 2:
                     await asyncio.sleep(0.005)
-        reader, writer = await asyncio.open_connection("127.0.0.1", links[n % 2].listen)
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", links[n % 2].listen_port
+        )
         open_ends.append(writer)
         try:
             writer.write(b"GET /discovery/hosts HTTP/1.1\r\n\r\n")
@@ -516,7 +538,10 @@
     seen, lines, gate = asyncio.run(past_the_gate())
     answered = b"HTTP/1.1 200"
     assert seen == [answered, answered, b"reset", b"reset", answered]
-    assert (lines, gate.figures()) == ([1], {"most": 2, "most_open": 2, "refused": 2})
+    assert (lines, gate.statistics()) == (
+        [1],
+        {"most": 2, "most_open": 2, "refused": 2},
+    )
 
 
 # A run of a sweep, played by a stand-in: what it writes and how it ends hangs on its
@@ -544,10 +569,10 @@
     (tmp_path / "e.toml").write_text(TEXT)
     monkeypatch.setattr(
         sweep.Sweep,
-        "words",
+        "run_arguments",
         lambda self, seed, folder: ["-c", RUN, str(seed), str(folder)],
     )
-    monkeypatch.setattr(sweep, "END_S", 0.1)
+    monkeypatch.setattr(sweep, "TERM_TIMEOUT_S", 0.1)
     return tmp_path
 
 
@@ -597,17 +622,19 @@
 
 def hanging(folder: Path) -> bool:
     """Whether the run of seed 3 has come as far as to note what it started."""
-    return bool(pids.left(folder / "out" / "seed-3"))
+    return bool(pids.still_running(folder / "out" / "seed-3"))
 
 
 def test_a_run_past_its_time_is_ended_with_all_it_started(
     played: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(sweep, "limit_s", lambda experiment: 3.0)
+    monkeypatch.setattr(sweep, "run_time_limit_s", lambda experiment: 3.0)
     code, told = swept(played, "3")
     assert (code, told["runs"][0]["breaches"]) == (1, ["took more than 3 s"])
-    assert (played / "out" / "seed-3" / pids.FILE).exists(), "it had started something"
-    assert pids.left(played / "out" / "seed-3") == []
+    assert (played / "out" / "seed-3" / pids.PID_FILE).exists(), (
+        "it had started something"
+    )
+    assert pids.still_running(played / "out" / "seed-3") == []
 
 
 def test_an_interrupted_sweep_ends_all_that_was_started(
@@ -622,7 +649,7 @@
         signals.append(1)
         os.kill(os.getpid(), signal.SIGINT)
 
-    ending = sweep.end
+    ending = sweep.end_run
 
     async def interrupted(process: asyncio.subprocess.Process, folder: Path) -> None:
         if signals and folder.name == "seed-3":
@@ -630,13 +657,13 @@
             await asyncio.sleep(0.02)
         await ending(process, folder)
 
-    monkeypatch.setattr(sweep, "end", interrupted)
+    monkeypatch.setattr(sweep, "end_run", interrupted)
     thread = threading.Thread(target=interrupt)
     thread.start()
     code, told = swept(played, "3,1")
     thread.join()
     assert code == 130 and 3 in told["not_played"]
-    assert pids.left(played / "out" / "seed-3") == []
+    assert pids.still_running(played / "out" / "seed-3") == []
 
 
 def test_hand_overs_are_told_apart_by_their_offers() -> None:
@@ -645,8 +672,14 @@
         {"kind": "session", "key": "s", "step": s, "at_ns": n * MS}
         for n, s in enumerate(steps)
     ]
-    moves = sessions_check.hand_overs(records)
-    assert (moves.handed, moves.aborted, moves.split, moves.open, moves.longest_ns) == (
+    moves = sessions_check.count_migrations(records)
+    assert (
+        moves.completed,
+        moves.aborted,
+        moves.split,
+        moves.unfinished,
+        moves.longest_pause_ns,
+    ) == (
         1,
         1,
         0,
