--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -10,17 +10,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainfall.explore.search import explore
-from rainfall.lease.guard import Guard
-from rainfall.lease.holder import Holder
-from rainfall.lease.model import BUGS, Leases
-from rainfall.lease.table import Grant, Held, Table
-from rainfall.lease.terms import Refused, Terms, surely_held_us, surely_out_us
-from rainfall.lease.token import NEVER, Token
+from rainfall.lease.fencing import FencingGuard
+from rainfall.lease.fencing_token import ZERO_TOKEN, Token
+from rainfall.lease.holder import LeaseHolder
+from rainfall.lease.model import MUTATIONS, LeaseModel
+from rainfall.lease.table import LeaseGrant, LeaseTable, LeaseUnavailable
+from rainfall.lease.types import (
+    LeaseRejectedError,
+    LeaseSettings,
+    holder_validity_us,
+    service_expiry_us,
+)
+from rainfall.model_checker.search import explore
 
 DRIFT = 0.25
-TERMS = Terms(DRIFT, 8, 40, 2)
-OUT = surely_out_us(40, DRIFT)
+TERMS = LeaseSettings(DRIFT, 8, 40, 2)
+OUT = service_expiry_us(40, DRIFT)
 names, holders = st.sampled_from("xxxxyz"), st.sampled_from("AB")
 steps = st.lists(
     st.one_of(
@@ -68,7 +73,7 @@
     def __init__(self) -> None:
         self.held: dict[str, list] = {}
         self.now, self.closed = OUT, OUT
-        self.top = NEVER  # of all that was ever granted or told
+        self.top = ZERO_TOKEN  # of all that was ever granted or told
 
     def acquire(
         self, name: str, holder: str, ttl: int, seen: Token, shown: Token
@@ -78,7 +83,7 @@
             return "held"
         if found and self.now < found[3]:
             if found[0] == holder and not found[4] and seen < found[1]:
-                found[3] = self.now + surely_out_us(found[2], DRIFT)
+                found[3] = self.now + service_expiry_us(found[2], DRIFT)
                 return found[1]
             if found[4] or holder != found[0] and shown != found[1]:
                 return "held"
@@ -90,7 +95,7 @@
         found = self.held.get(name)
         if not found or found[1] != token or found[4] or self.now >= found[3]:
             return 409
-        found[3] = self.now + surely_out_us(found[2], DRIFT)
+        found[3] = self.now + service_expiry_us(found[2], DRIFT)
         return token
 
 
@@ -101,8 +106,8 @@
 
     def __init__(self) -> None:
         self.table, self.old, self.log = (
-            Table(TERMS),
-            json.dumps(Table(TERMS).snapshot()),
+            LeaseTable(TERMS),
+            json.dumps(LeaseTable(TERMS).snapshot()),
             [],
         )
         self.keep(self.table.start(0, False))
@@ -115,19 +120,19 @@
 
     def start(self, now: int, folder: str, least: int) -> None:
         if folder == "lost":
-            self.table, self.log = Table(TERMS), []
+            self.table, self.log = LeaseTable(TERMS), []
         else:
             lines = self.log[: len(self.log) // 2] if folder == "older" else self.log
             # A crash between the new snapshot and the log's cut: lines are replayed
             # over what has them.
-            self.table = Table.restored(
+            self.table = LeaseTable.from_snapshot(
                 json.loads(lines[-1][1] if lines else self.old), TERMS
             )
             for line, _ in lines:
                 self.table.commit(json.loads(line))
             self.log = lines
         assert isinstance(
-            self.table.acquire(now, "x", "A", 8), Held
+            self.table.acquire(now, "x", "A", 8), LeaseUnavailable
         )  # not yet: it has not started
         self.keep(self.table.start(now, folder == "kept", least))
 
@@ -143,13 +148,16 @@
         try:
             if kind == "acquire":
                 name, holder, ttl, let_go, show = rest
-                seen, shown = token if let_go else NEVER, token if show else NEVER
+                seen, shown = (
+                    token if let_go else ZERO_TOKEN,
+                    token if show else ZERO_TOKEN,
+                )
                 want = slow.acquire(name, holder, ttl, seen, shown)
                 made = real.table.acquire(now - behind, name, holder, ttl, seen, shown)
                 real.keep(made.record)
                 if want == "new":
                     assert (
-                        isinstance(made, Grant)
+                        isinstance(made, LeaseGrant)
                         and made.record
                         and made.token > slow.top
                     )
@@ -158,21 +166,28 @@
                         holder,
                         made.token,
                         ttl,
-                        now + surely_out_us(ttl, DRIFT),
+                        now + service_expiry_us(ttl, DRIFT),
                         False,
                     ]
                 else:
-                    assert want == ("held" if isinstance(made, Held) else made.token)
-                    assert not isinstance(made, Held) or made.retry_us > 0
+                    assert want == (
+                        "held" if isinstance(made, LeaseUnavailable) else made.token
+                    )
+                    assert (
+                        not isinstance(made, LeaseUnavailable)
+                        or made.retry_after_us > 0
+                    )
             elif kind == "renew":
                 token = Token(token.epoch, token.number - rest[1])
                 want = (
                     "held"
-                    if real.table.unsure and now < slow.closed
+                    if real.table.history_uncertain and now < slow.closed
                     else slow.renew(rest[0], token)
                 )
                 made = real.table.renew(now - behind, rest[0], token)
-                assert want == ("held" if isinstance(made, Held) else made.token)
+                assert want == (
+                    "held" if isinstance(made, LeaseUnavailable) else made.token
+                )
             elif kind in ("release", "revoke"):
                 found = slow.held.get(rest[0])
                 want = (
@@ -200,11 +215,11 @@
                 behind = rest[0]
             elif kind == "lift":
                 seen = Token(real.table.epoch + rest[0] - 4, rest[1])
-                ahead = seen > real.table._top
-                real.keep(real.table.lift(seen))
+                ahead = seen > real.table._highest_issued
+                real.keep(real.table.observe_token(seen))
                 slow.top = max(slow.top, seen)
                 slow.closed = (
-                    max(slow.closed, real.table._start_us + OUT)
+                    max(slow.closed, real.table._started_at_us + OUT)
                     if ahead
                     else slow.closed
                 )
@@ -213,21 +228,27 @@
                 # Where the clock was set back too, what was granted has to be told by
                 # one who saw it.
                 hint, behind = hint + 100, 0
-                was_unsure = real.table.unsure
+                was_unsure = real.table.history_uncertain
                 real.start(now, rest[0], hint if rest[1] else 0)
                 if rest[0] != "kept" and not rest[1]:
-                    real.keep(real.table.lift(slow.top))
+                    real.keep(real.table.observe_token(slow.top))
                 if rest[0] != "kept" or was_unsure:
                     slow.held, slow.closed = {}, now + OUT
                 else:
                     slow.closed = 0
                     for found in slow.held.values():
-                        found[3] = now + surely_out_us(found[2], DRIFT)
-        except Refused as error:
+                        found[3] = now + service_expiry_us(found[2], DRIFT)
+        except LeaseRejectedError as error:
             real.keep(error.record)
             assert error.status == want and error.faults
         told = {
-            n: [lease.holder, lease.token, lease.ttl_us, lease.until_us, lease.revoked]
+            n: [
+                lease.holder,
+                lease.token,
+                lease.ttl_us,
+                lease.expires_at_us,
+                lease.revoked,
+            ]
             for n in "xyz"
             if (lease := real.table.read(n))
         }
@@ -237,7 +258,7 @@
 def test_all_faults_of_a_call_are_told_and_nothing_is_changed() -> None:
     table = Service().table
     before = table.snapshot()
-    with pytest.raises(Refused) as told:
+    with pytest.raises(LeaseRejectedError) as told:
         table.acquire(OUT, "", "h" * 201, 7, note={"site": "a" * 201, "dial": "b"})
     assert told.value.status == 400
     assert [f.split(":")[0] for f in told.value.faults] == [
@@ -246,10 +267,10 @@
         "ttl_us",
         "note.site",
     ]
-    with pytest.raises(Refused) as told:
+    with pytest.raises(LeaseRejectedError) as told:
         table.acquire(OUT, "x", "A", 8, seen=Token(1 << 40, 1))
     assert told.value.status == 422 and "epoch 1099511627776" in str(told.value)
-    assert table.snapshot() == before and table._top == Token(1, 1)
+    assert table.snapshot() == before and table._highest_issued == Token(1, 1)
 
 
 def test_a_record_that_could_not_be_written_is_never_told_nor_its_number_used_again() -> (
@@ -257,17 +278,20 @@
 ):
     real = Service()
     made = real.table.acquire(OUT, "x", "A", 8)
-    assert isinstance(made, Grant) and made.record
-    assert isinstance(real.table.acquire(OUT, "x", "B", 8), Held)
+    assert isinstance(made, LeaseGrant) and made.record
+    assert isinstance(real.table.acquire(OUT, "x", "B", 8), LeaseUnavailable)
     real.table.abandon(made.record)
     again = real.table.acquire(OUT, "x", "B", 8)
-    assert isinstance(again, Grant) and again.token > made.token
+    assert isinstance(again, LeaseGrant) and again.token > made.token
     real.keep(again.record)
     real.keep(real.table.release(OUT, "x", again.token))
     real.table.commit(
         again.record or {}
     )  # replayed where its end is known: taken no more
-    assert real.table.read("x") is None and real.table.number == again.token.number + 1
+    assert (
+        real.table.read("x") is None
+        and real.table.last_committed == again.token.number + 1
+    )
 
 
 def test_a_killed_unsure_start_waits_whole_again_and_a_granted_lease_ends_that() -> (
@@ -275,11 +299,11 @@
 ):
     real = Service()
     real.start(OUT - 1, "kept", 0)
-    assert isinstance(real.table.acquire(OUT + 1, "x", "A", 40), Held)
+    assert isinstance(real.table.acquire(OUT + 1, "x", "A", 40), LeaseUnavailable)
     real.keep(real.table.acquire(2 * OUT, "x", "A", 40).record)
     real.start(2 * OUT, "kept", 0)
     assert isinstance(
-        real.table.renew(2 * OUT, "x", real.table.leases["x"].token), Grant
+        real.table.renew(2 * OUT, "x", real.table.leases["x"].token), LeaseGrant
     )
     assert real.table.epoch == 3  # one for each start, also where no clock gives a hint
 
@@ -316,7 +340,7 @@
 def test_whatever_comes_late_or_twice_a_holder_acts_only_by_its_newest_answer(
     events: list[tuple],
 ) -> None:
-    holder, now = Holder(40, DRIFT, lambda: 0.5), 100
+    holder, now = LeaseHolder(40, DRIFT, lambda: 0.5), 100
     asks: dict[int, tuple[int, int]] = {}  # sent -> when, token's number (0: none)
     own = over = newest = until = 0
     for kind, n, *rest in events:
@@ -325,10 +349,12 @@
         )  # the newest, or one before it
         if kind == "ask":
             now += n
-            ask = holder.asked(now)
+            ask = holder.start_request(now)
             assert (ask.token.number if ask.token else 0) == own
-            assert now < holder.next_renewal_us <= now + surely_held_us(40, DRIFT) // 3
-            asks = dict(sorted({**asks, ask.sent: (now, own)}.items())[-8:])
+            assert (
+                now < holder.next_renewal_us <= now + holder_validity_us(40, DRIFT) // 3
+            )
+            asks = dict(sorted({**asks, ask.number: (now, own)}.items())[-8:])
         elif kind in ("yes", "no"):
             now += n
             asked = asks.pop(rest[0], None)  # known and not answered before
@@ -339,44 +365,44 @@
                     and rest[1] > over
                     and rest[1] >= own
                 )
-                assert holder.answered(now, rest[0], Token(1, rest[1]), 40) == taken
+                assert holder.on_granted(now, rest[0], Token(1, rest[1]), 40) == taken
                 if taken and asked:
                     newest, own, until = rest[0], rest[1], asked[0] + 30
             else:
-                holder.refused(now, rest[0])
+                holder.on_rejected(now, rest[0])
                 over = max(over, asked[1]) if asked else over
         elif kind == "fenced":
-            holder.fenced(Token(1, n))
+            holder.on_fenced(Token(1, n))
             over = max(over, own) if n > own else over
         elif kind == "let go":
-            assert (holder.let_go() or Token(1, 0)).number == own
+            assert (holder.relinquish() or Token(1, 0)).number == own
             over = max(over, own)
         else:
             now, asks, until = now - 1, {}, 0
         own = own if own > over else 0
         assert holder.may_act(now) == (own > 0 and now < until)
         assert holder.token == (Token(1, own) if own else None)
-    first, *_ = [holder.asked(now).sent for _ in range(9)]
-    assert not holder.answered(now, first, Token(9, 9), 40)
+    first, *_ = [holder.start_request(now).number for _ in range(9)]
+    assert not holder.on_granted(now, first, Token(9, 9), 40)
 
 
 def test_a_late_refusal_of_a_token_that_is_over_leaves_the_newer_one() -> None:
-    holder = Holder(40, DRIFT, lambda: 0.5)
-    assert holder.answered(1, holder.asked(0).sent, Token(1, 1), 40)
-    old, new = holder.asked(2).sent, holder.asked(3).sent
-    assert holder.answered(4, new, Token(1, 3), 40) and not holder.answered(
+    holder = LeaseHolder(40, DRIFT, lambda: 0.5)
+    assert holder.on_granted(1, holder.start_request(0).number, Token(1, 1), 40)
+    old, new = holder.start_request(2).number, holder.start_request(3).number
+    assert holder.on_granted(4, new, Token(1, 3), 40) and not holder.on_granted(
         4, new, Token(1, 3), 40
     )
-    holder.refused(5, old)
-    assert holder.may_act(5) and holder.token == Token(1, 3) == holder.seen
-    assert not holder.answered(
-        5, holder.asked(5).sent, Token(1, 2), 40
+    holder.on_rejected(5, old)
+    assert holder.may_act(5) and holder.token == Token(1, 3) == holder.highest_seen
+    assert not holder.on_granted(
+        5, holder.start_request(5).number, Token(1, 2), 40
     )  # a service that went back
-    holder.refused(6, holder.asked(5).sent, Token(1, 7))
+    holder.on_rejected(6, holder.start_request(5).number, Token(1, 7))
     assert (
         not holder.may_act(6)
-        and holder.asked(6).token is None
-        and holder.seen == Token(1, 7)
+        and holder.start_request(6).token is None
+        and holder.highest_seen == Token(1, 7)
     )
 
 
@@ -385,10 +411,10 @@
 def test_a_guard_with_room_for_two_serves_no_token_below_one_it_served(
     checks: list[tuple],
 ) -> None:
-    guard, served = Guard(2), dict.fromkeys("xyz", 0)
+    guard, served = FencingGuard(2), dict.fromkeys("xyz", 0)
     for name, number, again in checks:
         guard = (
-            Guard.restored(json.loads(json.dumps(guard.snapshot())), 2)
+            FencingGuard.from_snapshot(json.loads(json.dumps(guard.snapshot())), 2)
             if again
             else guard
         )
@@ -396,11 +422,11 @@
             guard.check(name, Token(1, number))
             assert number >= served[name]
             served[name] = number
-        except Refused as error:
-            assert error.status == 409 and error.seen > Token(1, number)
+        except LeaseRejectedError as error:
+            assert error.status == 409 and error.conflicting_token > Token(1, number)
             # A name that is known is refused for its own sake only; any other for a
             # name it made room for.
-            assert number < served[name] or error.seen == guard.floor
+            assert number < served[name] or error.conflicting_token == guard.floor
         assert len(guard.snapshot()["seen"]) <= 2
 
 
@@ -415,16 +441,16 @@
 def test_searched_whole_no_two_act_and_no_token_goes_back(
     most: int, more: dict
 ) -> None:
-    found = explore(Leases(**more), 99)
-    assert found.complete and not found.why and found.states > most, found
+    found = explore(LeaseModel(**more), 99)
+    assert found.complete and not found.violation and found.states > most, found
 
 
-@pytest.mark.parametrize("bug", BUGS)
+@pytest.mark.parametrize("bug", MUTATIONS)
 def test_the_search_finds_each_planted_bug(bug: str) -> None:
     # Only where the clock gives no hint does a lost folder rest on what is told, so
     # that a lift is missed.
     found = explore(
-        Leases(
+        LeaseModel(
             bug,
             wall=bug != "no lift",
             held=bug == "no lift",
@@ -434,4 +460,4 @@
         20,
         20_000,
     )
-    assert found.why and found.trace, (bug, found.states)
+    assert found.violation and found.trace, (bug, found.states)
--- a/tests/test_list_told_in_time.py
+++ b/tests/test_list_told_in_time.py
@@ -26,17 +26,17 @@
     TimerExpired,
 )
 from rainfall.dispatch.endpoint_list import MAX_POLL_RETRY_US, MIN_POLL_RETRY_US
-from rainfall.net import discovery
-from rainfall.net.config import Address, HostList
-from rainfall.net.desk import ROUND_US
-from rainfall.net.discovery import (
-    MOVED_S,
-    TOLD_S,
-    Watch,
-    told_after_move_s,
-    told_within_s,
+from rainfall.forwarder.config.loading import Address, EndpointList
+from rainfall.forwarder.discovery import endpoint_watch
+from rainfall.forwarder.discovery.endpoint_watch import (
+    LIST_LATENCY_LIMIT_AFTER_MOVE_S,
+    LIST_LATENCY_LIMIT_S,
+    EndpointWatch,
+    list_latency_bound_after_move_s,
+    list_latency_bound_s,
 )
-from rainfall.wirehost import settings
+from rainfall.forwarder.engine.engine_state import MIN_ROUND_INTERVAL_US
+from rainfall.wirehost import parse_settings
 from tests.sockets import SETTINGS, Answer, Peer, Request
 
 ROOM_S = 0.5  # that the longest way leaves
@@ -69,7 +69,7 @@
         pytest.MonkeyPatch.context() as patch,
         asyncio.Runner(loop_factory=lambda: loop) as runner,
     ):
-        patch.setattr(discovery, "time", SimpleNamespace(monotonic=loop.time))
+        patch.setattr(endpoint_watch, "time", SimpleNamespace(monotonic=loop.time))
         runner.run(scene())
 
 
@@ -81,10 +81,12 @@
     def __init__(self, where: Address, pushed: bool, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
         known = replace(
-            settings({**SETTINGS, "discovery": "pushed" if pushed else "on_request"})
+            parse_settings(
+                {**SETTINGS, "discovery": "pushed" if pushed else "on_request"}
+            )
         )
         self.dispatcher = Dispatcher(known, seed, self.now())
-        self.watch = Watch(where, 0, self.listed, seed, pushed=pushed)
+        self.watch = EndpointWatch(where, 0, self.listed, seed, pushed=pushed)
         self.events: list[Event] = []
         self.changed = asyncio.Event()
         self.watch.subscribe()
@@ -95,7 +97,7 @@
 
     def post(self, event: Event) -> None:
         self.events.append(event)
-        self.loop.call_later(ROUND_US / SECOND, self.round)
+        self.loop.call_later(MIN_ROUND_INTERVAL_US / SECOND, self.round)
 
     def round(self) -> None:
         events, self.events = self.events, []
@@ -109,13 +111,13 @@
             elif isinstance(action, SubscribeEndpointList):
                 self.watch.subscribe()
 
-    def listed(self, told: HostList | None) -> None:
+    def listed(self, told: EndpointList | None) -> None:
         if told is None:
             self.post(EndpointListChanged(EndpointListKind.FAILED))
             return
-        kind = EndpointListKind.SNAPSHOT if told.whole else EndpointListKind.CHANGES
+        kind = EndpointListKind.SNAPSHOT if told.complete else EndpointListKind.CHANGES
         self.events.append(
-            EndpointListChanged(kind, tuple(h.entry(1) for h in told.hosts))
+            EndpointListChanged(kind, tuple(h.to_entry(1) for h in told.endpoints))
         )
         self.round()
         self.changed.set()
@@ -190,40 +192,52 @@
 def test_the_longest_way_stays_under_the_time_from_which_a_change_binds(
     pushed: bool,
 ) -> None:
-    assert told_within_s(pushed) <= TOLD_S - ROOM_S
-    assert told_after_move_s(pushed) <= MOVED_S - 0.4
-    answer = discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S
-    held = discovery.HOLD_MS / 1000 + discovery.LATE_S
+    assert list_latency_bound_s(pushed) <= LIST_LATENCY_LIMIT_S - ROOM_S
+    assert (
+        list_latency_bound_after_move_s(pushed) <= LIST_LATENCY_LIMIT_AFTER_MOVE_S - 0.4
+    )
+    answer = (
+        endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
+        if pushed
+        else endpoint_watch.RESPONSE_TIMEOUT_S
+    )
+    held = endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S
     pause = (
-        discovery.SPREAD * discovery.PUSHED_PAUSE_S
+        endpoint_watch.RETRY_JITTER * endpoint_watch.PUSHED_RETRY_S
         if pushed
         else MAX_POLL_RETRY_US / SECOND
     )
-    assert told_within_s(pushed) >= held + 3 * (pause + answer)
+    assert list_latency_bound_s(pushed) >= held + 3 * (pause + answer)
     # A watch continues only where the next call comes within 200 ms, and counts for 2 s
     # after its wait.
-    assert discovery.LEAST_WATCH_S <= 0.1
-    assert discovery.HOLD_MS / 1000 + 2.0 <= TOLD_S
+    assert endpoint_watch.MIN_WATCH_INTERVAL_S <= 0.1
+    assert endpoint_watch.WATCH_HOLD_MS / 1000 + 2.0 <= LIST_LATENCY_LIMIT_S
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_how_long_each_call_may_take_is_what_the_sum_counts(pushed: bool) -> None:
     async def scene() -> None:
-        watch = Watch(Address("127.0.0.1", 1), 5, lambda told: None, 1, pushed)
-        answer = discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S
-        assert watch.call() == ("/discovery/hosts?from=5&hold_ms=0", answer)
-        watch.sure = True
-        assert watch.call() == (
-            f"/discovery/hosts?from=5&hold_ms={discovery.HOLD_MS}",
-            discovery.HOLD_MS / 1000 + discovery.LATE_S,
+        watch = EndpointWatch(Address("127.0.0.1", 1), 5, lambda told: None, 1, pushed)
+        answer = (
+            endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
+            if pushed
+            else endpoint_watch.RESPONSE_TIMEOUT_S
         )
-        watch.seq = discovery.NO_VERSION
-        assert watch.call() == ("/discovery/hosts", answer)
+        assert watch.next_request() == ("/discovery/hosts?from=5&hold_ms=0", answer)
+        watch.confirmed = True
+        assert watch.next_request() == (
+            f"/discovery/hosts?from=5&hold_ms={endpoint_watch.WATCH_HOLD_MS}",
+            endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S,
+        )
+        watch.version = endpoint_watch.NO_VERSION
+        assert watch.next_request() == ("/discovery/hosts", answer)
         most = SimpleNamespace(uniform=lambda a, b: b)
         watch.random = most  # type: ignore[assignment]
         for watch.failures in range(11):
-            assert watch.pause_s() == discovery.SPREAD * (
-                discovery.PUSHED_PAUSE_S if pushed else discovery.INSIST_PAUSE_S
+            assert watch.retry_delay_s() == endpoint_watch.RETRY_JITTER * (
+                endpoint_watch.PUSHED_RETRY_S
+                if pushed
+                else endpoint_watch.INSIST_RETRY_S
             )
 
     asyncio.run(scene())
@@ -235,7 +249,7 @@
     own.
     """
     for seed in range(20):
-        known = settings(SETTINGS)
+        known = parse_settings(SETTINGS)
         dispatcher, now = Dispatcher(known, seed, 0), 0
         assert any(
             isinstance(a, SubscribeEndpointList) for a in dispatcher.handle(0, [])
@@ -296,12 +310,17 @@
         agent.health, agent.seq = "draining", 2
         agent.left = [SILENT, spoilt[last]]
         agent.slow = 0.95 * (
-            discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S
+            endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
+            if pushed
+            else endpoint_watch.RESPONSE_TIMEOUT_S
         )
         await rig.until(lambda: not rig.serves())
         took = rig.loop.time() - had
         assert (
-            discovery.HOLD_MS / 1000 < took <= told_within_s(pushed) <= TOLD_S - ROOM_S
+            endpoint_watch.WATCH_HOLD_MS / 1000
+            < took
+            <= list_latency_bound_s(pushed)
+            <= LIST_LATENCY_LIMIT_S - ROOM_S
         )
         rig.watch.pause()
         peer.server.close()
@@ -331,12 +350,21 @@
         back = rig.loop.time()
         await rig.until(lambda: not rig.serves())
         answer, pause = (
-            (discovery.PUSHED_ANSWER_S, discovery.SPREAD * discovery.PUSHED_PAUSE_S)
+            (
+                endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S,
+                endpoint_watch.RETRY_JITTER * endpoint_watch.PUSHED_RETRY_S,
+            )
             if pushed
-            else (discovery.ANSWER_S, MAX_POLL_RETRY_US / SECOND)
+            else (endpoint_watch.RESPONSE_TIMEOUT_S, MAX_POLL_RETRY_US / SECOND)
+        )
+        held = max(
+            0.0,
+            endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S - silent,
+        )
+        assert (
+            rig.loop.time() - back
+            <= max(held, answer) + pause + endpoint_watch.ROUND_ALLOWANCE_S
         )
-        held = max(0.0, discovery.HOLD_MS / 1000 + discovery.LATE_S - silent)
-        assert rig.loop.time() - back <= max(held, answer) + pause + discovery.ROUND_S
         rig.watch.pause()
         peer.server.close()
 
@@ -368,13 +396,23 @@
         rig = Rig(Address("127.0.0.1", peers[0].port), pushed, 3)
         rig.watch.random = rig.dispatcher.state.random = Longest(3)
         await old.silent.wait()
-        await asyncio.sleep(discovery.HOLD_MS / 1000 + discovery.LATE_S + 0.05)
+        await asyncio.sleep(
+            endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S + 0.05
+        )
         new.health, new.seq, new.left = "draining", 0, [first, second]
-        new.slow = 0.95 * (discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S)
+        new.slow = 0.95 * (
+            endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
+            if pushed
+            else endpoint_watch.RESPONSE_TIMEOUT_S
+        )
         signal = rig.loop.time()
-        rig.watch.move(Address("127.0.0.1", peers[1].port))
+        rig.watch.change_address(Address("127.0.0.1", peers[1].port))
         await rig.until(lambda: not rig.serves())
-        assert rig.loop.time() - signal <= told_after_move_s(pushed) <= MOVED_S - 0.4
+        assert (
+            rig.loop.time() - signal
+            <= list_latency_bound_after_move_s(pushed)
+            <= LIST_LATENCY_LIMIT_AFTER_MOVE_S - 0.4
+        )
         assert [r.path for r in peers[1].requests][:3] == ["/discovery/hosts"] * 3
         rig.watch.pause()
         for peer in peers:
@@ -394,13 +432,21 @@
         rig.watch.random = rig.dispatcher.state.random = Longest(3)
         await rig.until(rig.serves)
         new.left = [listing(1, "up"), SILENT]
-        new.slow = 0.95 * (discovery.PUSHED_ANSWER_S if pushed else discovery.ANSWER_S)
+        new.slow = 0.95 * (
+            endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
+            if pushed
+            else endpoint_watch.RESPONSE_TIMEOUT_S
+        )
         signal = rig.loop.time()
-        rig.watch.move(Address("127.0.0.1", peers[1].port))
+        rig.watch.change_address(Address("127.0.0.1", peers[1].port))
         await new.silent.wait()
         new.health, new.seq = "draining", 2
         await rig.until(lambda: not rig.serves())
-        assert rig.loop.time() - signal <= told_after_move_s(pushed) <= MOVED_S - 0.4
+        assert (
+            rig.loop.time() - signal
+            <= list_latency_bound_after_move_s(pushed)
+            <= LIST_LATENCY_LIMIT_AFTER_MOVE_S - 0.4
+        )
         rig.watch.pause()
         for peer in peers:
             peer.server.close()
--- a/tests/test_live_work.py
+++ b/tests/test_live_work.py
@@ -23,8 +23,8 @@
     Tenant,
     TimerExpired,
 )
-from rainfall.journal.state import State, Taken
-from rainfall.net import starting
+from rainfall.forwarder.engine import startup
+from rainfall.journal.state import AcceptedMessage, JournalState
 from tests.scripts import MS, S, ask, end, sends, settings
 from tests.test_net import engine, taken
 
@@ -32,58 +32,58 @@
 TENANTS = (Tenant("city", 0), Tenant("county", 0))
 
 
-def live(name: str, destination: int, due_us: int) -> Taken:
-    return Taken(name, "notice", destination, due_us, None, None, b"")
+def live(name: str, destination: int, due_us: int) -> AcceptedMessage:
+    return AcceptedMessage(name, "notice", destination, due_us, None, None, b"")
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_deadlines_and_counts_are_those_of_a_walk_over_all(seed: int) -> None:
-    draw, state = Random(seed), State()
+    draw, state = Random(seed), JournalState()
     for step in range(600):
         kind = draw.randrange(5)
         if kind < 3 or not state.messages:  # also of a name that lives already
-            state._keep(
+            state._add_message(
                 live(
                     f"m{draw.randrange(200)}", draw.randrange(4), draw.randrange(2 * S)
                 )
             )
         elif kind == 3:
-            state._over([draw.choice(list(state.messages))])
+            state._remove_message([draw.choice(list(state.messages))])
         else:
             m = state.messages[draw.choice(list(state.messages))]
             state.move_deadline(m, draw.randrange(2 * S))
         if step % 100 == 99:
-            state.shift(draw.randrange(-S, S))
+            state.shift_times(draw.randrange(-S, S))
         at = draw.randrange(-S, 3 * S)
-        assert sorted(state.index.due_before(at)) == sorted(
-            m.id for m in state.messages.values() if m.due_us < at
+        assert sorted(state.live_index.with_deadline_before(at)) == sorted(
+            m.id for m in state.messages.values() if m.deadline_us < at
         )
-        assert state.index.by_destination == Counter(
+        assert state.live_index.by_destination == Counter(
             m.destination for m in state.messages.values()
         )
 
 
 def test_messages_given_away_are_in_no_index() -> None:
-    state = State()
-    state._keep(live("m", 7, 5))
+    state = JournalState()
+    state._add_message(live("m", 7, 5))
     state.forget_messages()
     assert (
         not state.messages
-        and not state.index.due_before(S)
-        and not state.index.by_destination
+        and not state.live_index.with_deadline_before(S)
+        and not state.live_index.by_destination
     )
 
 
 def test_the_watch_over_ends_visits_only_what_is_due() -> None:
     visited = []
     for held in (100, 100_000):
-        state = State()
+        state = JournalState()
         for number in range(held):
-            state._keep(live(f"m{number}", 7, 10 * S + number * MS))
-        state._keep(live("late", 7, 2 * MS))
+            state._add_message(live(f"m{number}", 7, 10 * S + number * MS))
+        state._add_message(live("late", 7, 2 * MS))
         for _ in range(10):
-            assert state.index.due_before(5 * S) == ["late"]
-        visited.append(state.index.visited)
+            assert state.live_index.with_deadline_before(5 * S) == ["late"]
+        visited.append(state.live_index.entries_visited)
     assert visited == [10, 10]
 
 
@@ -133,10 +133,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     e, rounds = engine(tmp_path), list[int]()
-    monkeypatch.setattr(starting, "FULL_ROUND_UP_TO", 2)
+    monkeypatch.setattr(startup, "FULL_COLLECTION_MESSAGES", 2)
     monkeypatch.setattr(gc, "collect", rounds.append)
     for number in range(4):
-        e.store.take(taken(f"m{number}"))
-        e.collect()
+        e.store.append_message(taken(f"m{number}"))
+        e.collect_garbage()
     assert rounds == [2, 2, 1, 1]
     e.store.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -32,91 +32,125 @@
     SendMessage,
 )
 from rainfall.dispatch.endpoint_list import MAX_REMOVED_ENDPOINTS as MOST_TARGETS_GONE
-from rainfall.journal.format import OLD_FRAME
-from rainfall.net.client import Call, Connection, Item, Pool, wait_us
-from rainfall.net.client_connection import ClientConnection
-from rainfall.net.config import Address, Config, HostList, host
-from rainfall.net.discovery import HOLD_MS, NOTICE_TOP_S, Notices, Watch
-from rainfall.net.engine import MOST_GONE, MOST_RECENT, Clock, Engine
-from rainfall.net.handover import Predecessor
-from rainfall.net.http import BadAnswer, ResponseReader
-from rainfall.net.server import Handed, Server
-from rainfall.net.store import Owed, Store, Taken
-from rainfall.wirehost import settings
+from rainfall.forwarder.config.loading import (
+    Address,
+    Config,
+    EndpointList,
+    parse_endpoint,
+)
+from rainfall.forwarder.discovery.endpoint_watch import (
+    NOTIFICATION_TOP_BACKOFF_S,
+    WATCH_HOLD_MS,
+    EndpointWatch,
+    Notifier,
+)
+from rainfall.forwarder.engine.engine import (
+    MAX_RECENTLY_FINISHED,
+    MAX_REMOVED_ENDPOINTS,
+    Clock,
+    Engine,
+)
+from rainfall.forwarder.handover.roles import HandoverSource
+from rainfall.forwarder.http1 import MalformedResponseError, ResponseReader
+from rainfall.forwarder.inbound.client_connection import ClientConnection
+from rainfall.forwarder.inbound.server import InboundServer, SubmittedMessage
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    MessageStore,
+    PendingNotification,
+)
+from rainfall.forwarder.outbound.connection_pool import (
+    CallItem,
+    ConnectionPool,
+    EndpointConnection,
+    OutboundCall,
+    parse_retry_after_us,
+)
+from rainfall.journal.format import V1_FRAME
+from rainfall.wirehost import parse_settings
 from tests.sockets import OK, SETTINGS, Answer, Peer, always, hang, message
 
 
-def taken(name: str, size: int = 100) -> Taken:
-    return Taken(name, "order", 7, 10**15, f"k-{name}", "acme", b"\n\0" * (size // 2))
+def taken(name: str, size: int = 100) -> AcceptedMessage:
+    return AcceptedMessage(
+        name, "order", 7, 10**15, f"k-{name}", "acme", b"\n\0" * (size // 2)
+    )
 
 
 def test_store_gives_back_what_it_was_told_also_after_compacting(
     tmp_path: Path,
 ) -> None:
-    store = Store(tmp_path, 3_000_000)
+    store = MessageStore(tmp_path, 3_000_000)
     for name in "abcd":
-        store.take(taken(name))
+        store.append_message(taken(name))
     a, b = store.messages["a"], store.messages["b"]
-    store.attempt(a, 0, 50, "s1")
-    store.outcome(a, 0, True)
-    store.attempt(a, 1, 60, "s2")
-    store.attempt(b, 0, 70, "s1")
-    store.outcome(b, 0, False)
-    store.over("c")
-    store.owe("d", "returned", 500)
-    store.list(41, {"s1": {"host": "s1", "health": "draining"}}, 10, "127.0.0.1:8500")
-    store.outage("s1", 5, -1)
+    store.append_attempt(a, 0, 50, "s1")
+    store.append_outcome(a, 0, True)
+    store.append_attempt(a, 1, 60, "s2")
+    store.append_attempt(b, 0, 70, "s1")
+    store.append_outcome(b, 0, False)
+    store.append_finished("c")
+    store.append_notification("d", "returned", 500)
+    store.append_endpoint_list(
+        41, {"s1": {"host": "s1", "health": "draining"}}, 10, "127.0.0.1:8500"
+    )
+    store.append_outage("s1", 5, -1)
     for _ in range(2):
         store.flush()
-        back = Store(tmp_path, 3_000_000)
+        back = MessageStore(tmp_path, 3_000_000)
         assert list(back.messages) == ["a", "b"] and back.messages == store.messages
-        assert (a.attempts, a.ran_at_us, a.ran_on, a.out) == (
+        assert (a.attempts, a.executed_at_us, a.executed_on, a.in_flight) == (
             2,
             50,
             "s1",
             {1: (60, "s2")},
         )
-        assert (back.messages["b"].attempts, back.messages["b"].ran_at_us) == (1, -1)
-        assert back.owed == {"d": Owed("returned", 500)} and back.outages == {
-            "s1": (5, -1)
-        }
+        assert (back.messages["b"].attempts, back.messages["b"].executed_at_us) == (
+            1,
+            -1,
+        )
+        assert back.pending_notifications == {
+            "d": PendingNotification("returned", 500)
+        } and back.outages == {"s1": (5, -1)}
         assert (back.seq, back.source, back.hosts) == (
             41,
             "127.0.0.1:8500",
             store.hosts,
         )
-        assert back.live == store.live
+        assert back.live_bytes == store.live_bytes
         assert store.compact()
 
 
 def test_store_bounds_its_files_under_steady_traffic(tmp_path: Path) -> None:
-    store = Store(tmp_path, 1_000_000)
+    store = MessageStore(tmp_path, 1_000_000)
     for n in range(4000):
-        store.take(taken(f"m{n}", 2000))
+        store.append_message(taken(f"m{n}", 2000))
         store.flush()
-        store.over(f"m{n}")
+        store.append_finished(f"m{n}")
         store.flush()
         assert store.size < 1_000_000
-    assert Store(tmp_path, 1_000_000).messages == {}
+    assert MessageStore(tmp_path, 1_000_000).messages == {}
 
 
 def test_a_bit_gone_wrong_costs_its_record_only(tmp_path: Path) -> None:
-    store = Store(tmp_path, 1_000_000)
+    store = MessageStore(tmp_path, 1_000_000)
     for name in "abcd":
-        store.take(taken(name))
+        store.append_message(taken(name))
     store.flush()
     data = bytearray((tmp_path / "journal").read_bytes())
     data[data.index(b'"k-c"') + 1] ^= 1
     (tmp_path / "journal").write_bytes(data)
-    assert list(Store(tmp_path, 1_000_000).messages) == ["a", "b", "d"]
+    assert list(MessageStore(tmp_path, 1_000_000).messages) == ["a", "b", "d"]
 
 
-def pool(ends: list[AttemptFinished], idle_us: int = 5_000_000) -> Pool:
-    return Pool(Clock(), ends.append, ("x0", "x1"), idle_us, 1_000_000, 10)
+def pool(ends: list[AttemptFinished], idle_us: int = 5_000_000) -> ConnectionPool:
+    return ConnectionPool(Clock(), ends.append, ("x0", "x1"), idle_us, 1_000_000, 10)
 
 
-def call(clock: Clock, name: str, left_us: int = 5_000_000) -> Call:
-    return Call(1, (7, -1), clock(), [Item(name, 0, None, b"x", clock() + left_us)])
+def call(clock: Clock, name: str, left_us: int = 5_000_000) -> OutboundCall:
+    return OutboundCall(
+        1, (7, -1), clock(), [CallItem(name, 0, None, b"x", clock() + left_us)]
+    )
 
 
 def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> (
@@ -126,12 +160,12 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
-        p.serving({})
+        p.set_endpoints({})
         await peer.until(lambda: peer.closed == 1)
         assert not peer.requests and [e.outcome for e in ends] == [Outcome.NOT_SENT]
-        assert p.out == 0
+        assert p.in_flight == 0
 
     asyncio.run(scene())
 
@@ -143,7 +177,7 @@
             always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)
         ).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "a"))
         while not ends:
             await asyncio.sleep(0.005)
@@ -159,7 +193,7 @@
 
 
 def test_targets_replaced_for_months_do_not_pile_up() -> None:
-    d = Dispatcher(settings(SETTINGS), 1, 0)
+    d = Dispatcher(parse_settings(SETTINGS), 1, 0)
     replaced = 512  # at once
     for first in range(0, 4 * MOST_TARGETS_GONE, replaced):
         newest = tuple(
@@ -179,7 +213,7 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends, 1_000_000)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
         assert (
@@ -223,11 +257,11 @@
     async def scene() -> None:
         ends: list[AttemptFinished] = []
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", 9)})
+        p.set_endpoints({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
-            connection = Connection(p, Address("127.0.0.1", 9))
+            connection = EndpointConnection(p, Address("127.0.0.1", 9))
             connection.connection_made(HalfWritten())
-            p.keep(connection, 1)
+            p.keep_idle(connection, 1)
             p.start(call(Clock(), "m"))
             if drained:
                 connection.resume_writing()
@@ -243,16 +277,16 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(hang).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m", 150_000))
         await peer.got(1)
-        assert p.out == 1 and not ends
+        assert p.in_flight == 1 and not ends
         while not ends:
             await asyncio.sleep(0.01)
         assert ends[0].outcome is Outcome.TIMED_OUT and not ends[0].message_closed
-        while p.all:
+        while p.connections:
             await asyncio.sleep(0.01)
-        assert p.out == 0 and not p.calls and not p.idle
+        assert p.in_flight == 0 and not p.calls and not p.idle
         p.start(call(Clock(), "n"))
         await peer.got(2)
         p.cancel("n", 0)
@@ -272,16 +306,16 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(hang).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         now = Clock()()
         p.start(
-            Call(
+            OutboundCall(
                 1,
                 (7, -1),
                 now,
                 [
-                    Item("long", 0, None, b"", now + 10**9),
-                    Item("short", 0, None, b"", now + 10**7),
+                    CallItem("long", 0, None, b"", now + 10**9),
+                    CallItem("short", 0, None, b"", now + 10**7),
                 ],
             )
         )
@@ -292,9 +326,9 @@
             ("long", Outcome.CANCELED),
             ("short", Outcome.CANCELED),
         }
-        while p.all:
+        while p.connections:
             await asyncio.sleep(0.005)
-        assert p.out == 0 and not p.calls
+        assert p.in_flight == 0 and not p.calls
         p.close()
 
     asyncio.run(scene())
@@ -312,17 +346,17 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(hang).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         now = Clock()()
         p.start(
-            Call(
+            OutboundCall(
                 1,
                 (7, -1),
                 now,
                 [
-                    Item("long", 0, None, b"", now + 10**9),
-                    Item("short", 0, None, b"", now + 300_000),
-                    Item("later", 0, None, b"", now + 10**7),
+                    CallItem("long", 0, None, b"", now + 10**9),
+                    CallItem("short", 0, None, b"", now + 300_000),
+                    CallItem("later", 0, None, b"", now + 10**7),
                 ],
             )
         )
@@ -334,8 +368,8 @@
         assert [(e.message_id, e.outcome) for e in ends] == [
             (name, Outcome.TIMED_OUT) for name in ("long", "short", "later")
         ]
-        assert p.out == 0 and not p.calls
-        while p.all:
+        assert p.in_flight == 0 and not p.calls
+        while p.connections:
             await asyncio.sleep(0.005)
         p.close()
 
@@ -347,7 +381,7 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         for n in range(3):
             p.start(call(Clock(), f"m{n}"))
             while len(ends) <= n:
@@ -362,14 +396,14 @@
 
 def test_client_gone_before_its_answer_withdraws_the_message() -> None:
     async def scene() -> None:
-        came: asyncio.Queue[Handed] = asyncio.Queue()
+        came: asyncio.Queue[SubmittedMessage] = asyncio.Queue()
         gone = asyncio.Event()
 
-        def hand_in(handed: Handed, door: ClientConnection) -> None:
-            door.left = gone.set
+        def hand_in(handed: SubmittedMessage, door: ClientConnection) -> None:
+            door.on_disconnect = gone.set
             came.put_nowait(handed)
 
-        server = Server(settings(SETTINGS), Clock(), 10, hand_in)
+        server = InboundServer(parse_settings(SETTINGS), Clock(), 10, hand_in)
         await server.listen("127.0.0.1", 0)
         assert server.listener is not None
         port = server.listener.sockets[0].getsockname()[1]
@@ -386,7 +420,9 @@
 
 def test_too_many_clients_cost_the_one_idle_longest() -> None:
     async def scene() -> None:
-        server = Server(settings(SETTINGS), Clock(), 2, lambda handed, door: None)
+        server = InboundServer(
+            parse_settings(SETTINGS), Clock(), 2, lambda handed, door: None
+        )
         await server.listen("127.0.0.1", 0)
         assert server.listener is not None
         port = server.listener.sockets[0].getsockname()[1]
@@ -415,7 +451,7 @@
             ends: list[AttemptFinished] = []
             peer = await Peer(always(good + more, OK)).start()
             p = pool(ends)
-            p.serving({1: Address("127.0.0.1", peer.port)})
+            p.set_endpoints({1: Address("127.0.0.1", peer.port)})
             p.start(call(Clock(), "m"))
             await peer.until(lambda: peer.closed == 1)
             p.start(call(Clock(), "n"))
@@ -435,7 +471,7 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
         while not ends:
             await asyncio.sleep(0.005)
@@ -446,7 +482,7 @@
             b"HTTP/1.1 500 Not yours\r\nContent-Length: 0\r\n\r\n"
         )
         await peer.requests[0].writer.drain()
-        while connection.quiet():
+        while connection.is_reusable():
             await asyncio.sleep(0.005)
         p.start(call(Clock(), "n"))
         while len(ends) < 2:
@@ -463,7 +499,7 @@
     p = pool([])
     for wait in ("nan", "inf", "-5", "1e9", "9" * 40, "", "x", "1_0"):
         reader.headers = {"x-ratelimit-wait-ms": wait}
-        assert wait_us(reader) == 0
+        assert parse_retry_after_us(reader) == 0
     for report in (
         "x0=nan,x1=1",
         "x0=0.5,x1=inf",
@@ -474,9 +510,12 @@
         "\xff",
     ):
         reader.headers = {"x-backend-load": report}
-        assert p.report(reader) is None
+        assert p.read_load_report(reader) is None
     reader.headers = {"x-backend-load": "x0=0.4, x1=25", "x-ratelimit-wait-ms": "12.5"}
-    assert p.report(reader) == LoadReport(0.4, 25.0) and wait_us(reader) == 12_500
+    assert (
+        p.read_load_report(reader) == LoadReport(0.4, 25.0)
+        and parse_retry_after_us(reader) == 12_500
+    )
 
 
 def test_answers_ahead_are_left_out_and_an_end_may_stand_for_a_length() -> None:
@@ -487,14 +526,14 @@
         reader = ResponseReader()
         for byte in data + b"HTTP/1.1 503 Full\r\nX-Over-Slots: 1\r\n\r\n":
             reader.feed(bytes([byte]))
-        assert not reader.complete and reader.first_line == 503
-        reader.ended()
+        assert not reader.complete and reader.status_line_code == 503
+        reader.on_eof()
         assert (
             reader.complete
             and reader.status == 503
             and reader.headers == {"x-over-slots": "1"}
         )
-    with pytest.raises(BadAnswer):
+    with pytest.raises(MalformedResponseError):
         ResponseReader().feed(b"HTTP/1.1 100 Continue\r\n\r\n" * 5000)
 
 
@@ -504,15 +543,15 @@
         deep = b"[" * 60_000
         peer = await Peer(always(Answer(200, body=deep))).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         two = call(Clock(), "a")
-        two.items.append(Item("b", 0, None, b"x", two.items[0].until_us))
+        two.items.append(CallItem("b", 0, None, b"x", two.items[0].timeout_at_us))
         p.start(two)
         while len(ends) < 2:
             await asyncio.sleep(0.005)
         assert (
             {e.outcome for e in ends} == {Outcome.UNREADABLE}
-            and p.out == 0
+            and p.in_flight == 0
             and not p.calls
         )
         p.close()
@@ -522,7 +561,9 @@
 
 def test_silent_flood_does_not_push_out_who_comes_with_requests() -> None:
     async def scene() -> None:
-        server = Server(settings(SETTINGS), Clock(), 5, lambda handed, door: None)
+        server = InboundServer(
+            parse_settings(SETTINGS), Clock(), 5, lambda handed, door: None
+        )
         await server.listen("127.0.0.1", 0)
         assert server.listener is not None
         port = server.listener.sockets[0].getsockname()[1]
@@ -551,7 +592,7 @@
         (Outcome.RESET, True, False),
         (Outcome.NO_CONNECTION, False, True),
     ):
-        d = Dispatcher(settings(SETTINGS), 1, 0)
+        d = Dispatcher(parse_settings(SETTINGS), 1, 0)
         d.handle(
             0,
             [
@@ -582,12 +623,12 @@
 def test_how_long_idle_connections_hold_is_learned_and_tried_again() -> None:
     p = pool([])
     for _ in range(5):
-        p.was_stale(900_000, True)
-        p.was_stale(9_000, False)
-    assert not p.trusted(800_000) and p.trusted(9_000)
+        p.record_staleness(900_000, True)
+        p.record_staleness(9_000, False)
+    assert not p.is_age_trusted(800_000) and p.is_age_trusted(9_000)
     for _ in range(100):
-        p.trusted(800_000)
-    assert p.trusted(800_000)
+        p.is_age_trusted(800_000)
+    assert p.is_age_trusted(800_000)
 
 
 def test_target_that_moved_keeps_no_connection_to_its_old_address() -> None:
@@ -601,10 +642,10 @@
 
         old, new = await Peer(late).start(), await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", old.port)})
+        p.set_endpoints({1: Address("127.0.0.1", old.port)})
         p.start(call(Clock(), "m"))
         await old.got(1)
-        p.serving({1: Address("127.0.0.1", new.port)})
+        p.set_endpoints({1: Address("127.0.0.1", new.port)})
         free.set()
         await old.until(lambda: old.closed == 1)
         p.start(call(Clock(), "n"))
@@ -617,7 +658,9 @@
 def engine(folder: Path) -> Engine:
     listen = Address("127.0.0.1", 9)
     hosts = tuple(
-        host({"host": f"s{n}", "dial": f"127.0.0.1:{n}", "block": 7, "health": "up"})
+        parse_endpoint(
+            {"host": f"s{n}", "dial": f"127.0.0.1:{n}", "block": 7, "health": "up"}
+        )
         for n in range(1, 4)
     )
     return Engine(
@@ -630,8 +673,8 @@
             192,
             256,
             3_000_000,
-            HostList(1, True, hosts),
-            settings(SETTINGS),
+            EndpointList(1, True, hosts),
+            parse_settings(SETTINGS),
             ("x0", "x1"),
         )
     )
@@ -646,13 +689,13 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        started: list[Call] = []
+        started: list[OutboundCall] = []
         monkeypatch.setattr(e.pool, "start", started.append)
-        e.round()
+        e.run_round()
         for n in range(3):
-            e.store.take(taken(f"m{n}"))
+            e.store.append_message(taken(f"m{n}"))
             e.post(MessageRestored(f"m{n}", 7, "order", 10**16))
-        e.round()
+        e.run_round()
         assert e.dispatcher.state.calls_in_flight == len(started) > 0
         sent = started[0].items[0].id
         whole = Dispatcher.change_endpoint_list
@@ -665,13 +708,13 @@
         e.post(EndpointListChanged(EndpointListKind.CHANGES))
         e.post(
             AttemptFinished(
-                sent, 0, started[0].target, Outcome.DELIVERED, 5, message_closed=True
+                sent, 0, started[0].endpoint, Outcome.DELIVERED, 5, message_closed=True
             )
         )
-        e.round()
+        e.run_round()
         monkeypatch.setattr(Dispatcher, "change_endpoint_list", whole)
-        assert e.dispatcher.state.calls_in_flight == out and len(e.events) == 1
-        e.round()
+        assert e.dispatcher.state.calls_in_flight == out and len(e.pending_events) == 1
+        e.run_round()
         assert sent not in e.store.messages and sent not in e.dispatcher.state.messages
         assert (
             e.dispatcher.state.calls_in_flight
@@ -691,12 +734,14 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        e.batches[""] = e.batches["None"] = 20
+        e.batch_sizes[""] = e.batch_sizes["None"] = 20
         calls: list[Any] = []
-        forming: dict[tuple[int, bool], Call] = {}
+        forming: dict[tuple[int, bool], OutboundCall] = {}
         for n, name in enumerate(["status", "pay", "order", "pay"]):
-            e.store.take(Taken(f"m{n}", name, 7, 10**16, None, None, b""))
-            e.send(SendMessage(f"m{n}", 1, 10**6), 0, forming, calls)
+            e.store.append_message(
+                AcceptedMessage(f"m{n}", name, 7, 10**16, None, None, b"")
+            )
+            e.add_to_call(SendMessage(f"m{n}", 1, 10**6), 0, forming, calls)
         assert [[item.id for item in c.items] for c in calls] == [
             ["m0", "m2"],
             ["m1", "m3"],
@@ -710,15 +755,22 @@
     async def scene() -> None:
         e = engine(tmp_path)
         for n in range(3000):
-            e.number(f"gone{n}")
-            e.ended(f"m{n}", "delivered")
-        assert len(e.numbers) == len(e.names) <= MOST_GONE + len(e.hosts) + 1
-        assert len(e.recent) == MOST_RECENT and "m2999" in e.recent
-        e.send(
+            e.endpoint_id(f"gone{n}")
+            e.remember_finished(f"m{n}", "delivered")
+        assert (
+            len(e.endpoint_ids)
+            == len(e.endpoint_names)
+            <= MAX_REMOVED_ENDPOINTS + len(e.endpoints) + 1
+        )
+        assert (
+            len(e.recently_finished) == MAX_RECENTLY_FINISHED
+            and "m2999" in e.recently_finished
+        )
+        e.add_to_call(
             SendMessage("m0", 1, 5), 0, {}, []
         )  # of a target and a message that are forgotten
-        e.store.take(taken("m"))
-        e.send(SendMessage("m", 10**6, 5), 0, {}, [])
+        e.store.append_message(taken("m"))
+        e.add_to_call(SendMessage("m", 10**6, 5), 0, {}, [])
         assert e.store.messages["m"].attempts == 1
         e.store.close()
 
@@ -754,11 +806,11 @@
 ) -> None:
     async def scene() -> None:
         e = engine(tmp_path)
-        e.store.take(taken("m"))
-        e.book(AttemptFinished("m", 0, 1, Outcome.REJECTED, 5))
+        e.store.append_message(taken("m"))
+        e.record_outcome(AttemptFinished("m", 0, 1, Outcome.REJECTED, 5))
         with caplog.at_level("INFO"):
-            e.sum_up(e.summed_s + 5)
-            e.sum_up(e.summed_s + 5)
+            e.log_summary(e.last_summary_s + 5)
+            e.log_summary(e.last_summary_s + 5)
         first, second = caplog.messages
         assert (
             "in 5 s: 1 full; held 1, 1 for destination 7; calls out 0 of 8 slots"
@@ -775,7 +827,7 @@
         )
         caplog.clear()
         with caplog.at_level("INFO"):
-            e.sum_up(e.summed_s + 5)
+            e.log_summary(e.last_summary_s + 5)
         assert (
             "destination 7: target 1 has 0 out, window 1, wait 5" in caplog.messages[1]
         )
@@ -793,9 +845,9 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        e.store.let_go()
+        e.store.release()
         said: list[int] = []
-        e.rotate("s1", True, lambda status, text: said.append(status.value))
+        e.set_detached("s1", True, lambda status, text: said.append(status.value))
         assert said == [503] and not e.store.detached
 
     asyncio.run(scene())
@@ -807,13 +859,13 @@
     line = ["taken", "m", "order", 7, 1 << 60, None, None, 0, -1, "", [], None]
     payload = json.dumps(line).encode() + b"\nhello"
     (tmp_path / "journal").write_bytes(
-        OLD_FRAME.pack(len(payload), zlib.crc32(payload)) + payload
+        V1_FRAME.pack(len(payload), zlib.crc32(payload)) + payload
     )
 
     async def scene() -> None:
         e = engine(tmp_path)
         m = e.store.messages["m"]
-        recalled = next(x for x in e.events if isinstance(x, MessageRestored))
+        recalled = next(x for x in e.pending_events if isinstance(x, MessageRestored))
         assert (
             recalled.message_class
             == e.store.class_of(m)
@@ -822,7 +874,7 @@
         e.store.flush()
         e.store.compact()
         e.store.close()
-        again = Store(tmp_path, 3_000_000)
+        again = MessageStore(tmp_path, 3_000_000)
         assert again.class_of(again.messages["m"]) == e.config.settings.classes[0]
         again.close()
 
@@ -832,10 +884,10 @@
 class Book:
     """Owes nothing."""
 
-    def owed_ends(self) -> dict[str, Owed]:
+    def pending_notifications(self) -> dict[str, PendingNotification]:
         return {}
 
-    def acknowledged(self, names: list[str]) -> None:
+    def acknowledge_notifications(self, names: list[str]) -> None:
         raise AssertionError("nothing was posted")
 
 
@@ -843,13 +895,15 @@
     """The pauses were the same for all: those that failed at once met again at each
     further try.
     """
-    fleet = [Notices(Address("127.0.0.1", 1), Book(), seed) for seed in range(40)]
+    fleet = [Notifier(Address("127.0.0.1", 1), Book(), seed) for seed in range(40)]
     times = [0.0] * 40
     for failures in range(6):
-        times = [t + n.pause_s(failures) for t, n in zip(times, fleet, strict=True)]
+        times = [
+            t + n.retry_delay_s(failures) for t, n in zip(times, fleet, strict=True)
+        ]
         slots = [int(t / 0.01) for t in times]
         assert max(map(slots.count, slots)) <= 12
-    assert all(0 < n.pause_s(10**6) <= NOTICE_TOP_S for n in fleet)
+    assert all(0 < n.retry_delay_s(10**6) <= NOTIFICATION_TOP_BACKOFF_S for n in fleet)
 
 
 def test_pushed_lists_are_asked_for_through_silence_and_refusals_without_the_module() -> (
@@ -861,7 +915,7 @@
 
     async def main() -> None:
         asked: list[str] = []
-        told: list[HostList | None] = []
+        told: list[EndpointList | None] = []
 
         def listing(seq: int, health: str) -> Answer:
             return Answer(
@@ -906,22 +960,24 @@
             )
 
         peer = await Peer(agent).start()
-        watch = Watch(Address("127.0.0.1", peer.port), 0, told.append, 1, pushed=True)
-        watch.client.ask, ask = (
+        watch = EndpointWatch(
+            Address("127.0.0.1", peer.port), 0, told.append, 1, pushed=True
+        )
+        watch.client.request, ask = (
             (lambda m, p, wait: ask(m, p, min(wait, 0.2))),
-            watch.client.ask,
+            watch.client.request,
         )  # type: ignore
         watch.subscribe()
         await peer.got(7)
         watch.pause()
-        held = f"from=1&hold_ms={HOLD_MS}"
+        held = f"from=1&hold_ms={WATCH_HOLD_MS}"
         assert asked == [
             "from=0&hold_ms=0",
             held,
             *["from=1&hold_ms=0"] * 4,
-            f"from=2&hold_ms={HOLD_MS}",
+            f"from=2&hold_ms={WATCH_HOLD_MS}",
         ]
-        assert [t and t.hosts[0].health for t in told] == [
+        assert [t and t.endpoints[0].health for t in told] == [
             "up",
             "draining",
         ]  # no failure reached the module
@@ -940,7 +996,7 @@
             asyncio.get_running_loop(), "create_unix_server", refused, raising=False
         )
         engine: Any = None
-        predecessor = Predecessor(engine)
+        predecessor = HandoverSource(engine)
         await predecessor.listen(tmp_path)
         assert predecessor.listener is None
         predecessor.close()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from rainfall.net.discovery import HOLD_MS
+from rainfall.forwarder.discovery.endpoint_watch import WATCH_HOLD_MS
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -208,8 +208,8 @@
         ]
         assert list(dict.fromkeys(paths)) == [
             "from=0&hold_ms=0",
-            f"from=0&hold_ms={HOLD_MS}",
-            f"from=1&hold_ms={HOLD_MS}",
+            f"from=0&hold_ms={WATCH_HOLD_MS}",
+            f"from=1&hold_ms={WATCH_HOLD_MS}",
         ]
         assert len(paths) < 10  # one more for each hold that ends
 
--- a/tests/test_ready_in_time.py
+++ b/tests/test_ready_in_time.py
@@ -13,8 +13,12 @@
 
 import pytest
 
-from rainfall.net.store import Rules, Store, Taken
-from rainfall.wirehost import settings
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+)
+from rainfall.wirehost import parse_settings
 from tests.sockets import OK, SETTINGS, Answer, Node, Peer, Platform, Request
 
 # STANDING.md, What has to hold: nine in ten restarted forwarders are ready within this
@@ -31,13 +35,13 @@
 def full_journal(folder: Path, most_bytes: int) -> int:
     """As many messages as a process takes on; every other one's time is up."""
     folder.mkdir()
-    store = Store(folder, most_bytes)
-    made = settings(SETTINGS)
-    store.settle(Rules(made.max_attempts, made.classes))
+    store = MessageStore(folder, most_bytes)
+    made = parse_settings(SETTINGS)
+    store.use_rules(DeliveryRules(made.max_attempts, made.classes))
     held = 0
-    while store.has_room(200):
-        store.take(
-            Taken(
+    while store.has_capacity(200):
+        store.append_message(
+            AcceptedMessage(
                 f"m{held}",
                 "status",
                 7,
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -10,8 +10,12 @@
 
 import pytest
 
-from rainfall.net.config import Config, parse
-from rainfall.net.reconfigure import digest, examine, general
+from rainfall.forwarder.config.loading import Config, parse_config
+from rainfall.forwarder.config.validation import (
+    config_digest,
+    generalize_path,
+    validate_replacement,
+)
 from tests.sockets import OK, SETTINGS, Platform, always
 from tests.test_node import node_on, play, target
 from tests.test_operate import classes, hang_up
@@ -28,7 +32,7 @@
 
 
 def force() -> Config:
-    return parse(copy.deepcopy(FILE), ENV)
+    return parse_config(copy.deepcopy(FILE), ENV)
 
 
 def changed(change: Callable[[Any], object]) -> bytes:
@@ -38,13 +42,15 @@
 
 
 def faults(text: bytes) -> dict[str, str]:
-    return {f["path"]: f["fault"] for f in examine(text, force(), ENV).faults}
+    return {
+        f["path"]: f["fault"] for f in validate_replacement(text, force(), ENV).faults
+    }
 
 
 def test_the_file_in_force_is_valid_and_changes_nothing() -> None:
-    verdict = examine(json.dumps(FILE).encode(), force(), ENV)
+    verdict = validate_replacement(json.dumps(FILE).encode(), force(), ENV)
     assert verdict.valid and verdict.config == force()
-    assert not verdict.changes and not verdict.warnings and not verdict.restart
+    assert not verdict.changes and not verdict.warnings and not verdict.needs_restart
 
 
 def test_all_faults_are_told_at_once_with_their_paths() -> None:
@@ -102,11 +108,11 @@
     [b"", b"  ", b"{", b'{"name": "n0"', b"\xff\xfe", b"[1]", b"3", b"[" * 100_000],
 )
 def test_what_is_no_configuration_at_all_is_unreadable(text: bytes) -> None:
-    verdict = examine(text, force(), ENV)
+    verdict = validate_replacement(text, force(), ENV)
     assert (
-        verdict.unreadable
+        verdict.parse_error
         and not verdict.valid
-        and verdict.told()["faults"][0]["fault"]
+        and verdict.to_json()["faults"][0]["fault"]
     )
 
 
@@ -117,8 +123,8 @@
         c.update(listen="127.0.0.1:3001", durability="power", colour="red")
         c["limits"]["shoes"] = 2
 
-    verdict = examine(changed(change), force(), ENV)
-    assert verdict.valid and verdict.restart == ["listen", "durability"]
+    verdict = validate_replacement(changed(change), force(), ENV)
+    assert verdict.valid and verdict.needs_restart == ["listen", "durability"]
     assert verdict.warnings == [
         f"{k}: not known to this version" for k in ("colour", "limits.shoes")
     ]
@@ -134,7 +140,9 @@
 
 
 def test_paths_are_general_without_their_places() -> None:
-    assert general("a.b[12].c[0]") == "a.b[].c[]" and general("a") == "a"
+    assert (
+        generalize_path("a.b[12].c[0]") == "a.b[].c[]" and generalize_path("a") == "a"
+    )
 
 
 def test_a_digest_goes_by_what_is_run_and_not_by_how_it_is_written() -> None:
@@ -146,8 +154,8 @@
         "known": None,
         "admin_addr": "x:1",
     }
-    assert digest(other) == digest(FILE) == digest(force().raw)
-    assert digest({**FILE, "discovery": "127.0.0.1:8501"}) != digest(FILE)
+    assert config_digest(other) == config_digest(FILE) == config_digest(force().raw)
+    assert config_digest({**FILE, "discovery": "127.0.0.1:8501"}) != config_digest(FILE)
 
 
 def test_a_fleet_can_be_asked_who_runs_what(tmp_path: Path) -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -13,9 +13,14 @@
 from hypothesis import strategies as st
 
 from rainfall.dispatch import Idempotency, MessageClass
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+    PendingNotification,
+)
 from rainfall.journal import recovery
-from rainfall.journal.recovery import Unusable, look
-from rainfall.net.store import Owed, Rules, Store, Taken
+from rainfall.journal.recovery import UnusableJournalError, read_journal
 from tests.disk import Died, Disk, Hands
 from tests.test_journal import HEAD, OLD, f
 
@@ -26,23 +31,27 @@
     MessageClass("pay", SECOND, 10 * SECOND, Idempotency.NEVER),
     MessageClass("turn", SECOND, 10 * SECOND, ordered=True),
 )
-RULES = Rules(6, CLASSES)
+RULES = DeliveryRules(6, CLASSES)
 
 
 @pytest.fixture(autouse=True)
 def boot(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("rainfall.net.store.this_boot", lambda: "boot 1")
+    monkeypatch.setattr("rainfall.forwarder.message_store.this_boot", lambda: "boot 1")
 
 
-def taken(name: str, cls: str = "pay", key: str | None = None, size: int = 20) -> Taken:
-    return Taken(name, cls, 7, 10**15, None, None, b"\xb7" * size, key)
+def taken(
+    name: str, cls: str = "pay", key: str | None = None, size: int = 20
+) -> AcceptedMessage:
+    return AcceptedMessage(name, cls, 7, 10**15, None, None, b"\xb7" * size, key)
 
 
 def opened(
     disk: Disk, hands: Hands | None = None, most: int = 200_000, **more: int
-) -> Store:
-    store = Store(FOLDER, most, files=disk, worker=hands, base_us=more.get("base", 0))
-    store.settle(RULES)
+) -> MessageStore:
+    store = MessageStore(
+        FOLDER, most, files=disk, worker=hands, base_us=more.get("base", 0)
+    )
+    store.use_rules(RULES)
     return store
 
 
@@ -50,7 +59,7 @@
 class Told:
     """What the model knows of a message."""
 
-    m: Taken
+    m: AcceptedMessage
     accepted: bool = False
     """Its client heard that it is taken on."""
     left: list[int] = field(default_factory=list)
@@ -101,13 +110,13 @@
             self.end(self.r.choice(live))
         elif choice < 0.92:
             name = f"s{self.r.randrange(3)}"
-            self.store.rotate(name, True)
+            self.store.append_detached(name, True)
             self.store.commit(lambda ok: self.out.add(name) if ok else None)
         elif choice < 0.96:
             self.store.compact()
         else:
-            for name in list(self.store.owed)[:1]:
-                self.store.told(name)
+            for name in list(self.store.pending_notifications)[:1]:
+                self.store.append_acknowledgement(name)
             self.store.flush()
         if self.hands is not None and self.r.random() < 0.5:
             self.hands.work()
@@ -119,7 +128,7 @@
             cls = self.r.choice(("status", "pay", "turn"))
             key = self.r.choice("AB") if cls == "turn" else None
             m = taken(f"m{self.serial}", cls, key, self.r.randint(0, 80))
-            self.store.take(m)
+            self.store.append_message(m)
             done.append(self.told.setdefault(m.id, Told(m)))
             if key:
                 self.lines.setdefault(key, []).append(m.id)
@@ -129,42 +138,45 @@
         key = t.m.order_key
         if key:
             before = self.lines[key][: self.lines[key].index(t.m.id)]
-            if any(n in self.store.messages or n in self.store.owed for n in before):
+            if any(
+                n in self.store.messages or n in self.store.pending_notifications
+                for n in before
+            ):
                 return  # the module sends one at a time
-        if t.m.class_name == "pay" and (t.m.out or t.m.ran_at_us >= 0):
+        if t.m.class_name == "pay" and (t.m.in_flight or t.m.executed_at_us >= 0):
             return  # nor does it send again what may have run
         number = t.m.attempts
-        self.store.attempt(t.m, number, 5 * SECOND + number, "s1")
+        self.store.append_attempt(t.m, number, 5 * SECOND + number, "s1")
         self.note([t], number)
 
     def outcome(self, t: Told) -> None:
-        if t.m.out and set(t.m.out) <= set(t.left):
-            number = min(t.m.out)
+        if t.m.in_flight and set(t.m.in_flight) <= set(t.left):
+            number = min(t.m.in_flight)
             ran = self.r.random() < 0.5
-            self.store.outcome(t.m, number, ran)
+            self.store.append_outcome(t.m, number, ran)
             if not ran:
                 t.never.add(number)
             self.store.flush()
 
     def end(self, t: Told) -> None:
-        if not t.accepted or t.m.out:
+        if not t.accepted or t.m.in_flight:
             return
         t.over = True
         if self.r.random() < 0.5:
-            self.store.over(t.m.id)
+            self.store.append_finished(t.m.id)
             self.store.flush()
         else:
-            self.store.owe(t.m.id, "returned", 5)
+            self.store.append_notification(t.m.id, "returned", 5)
             self.note([t], end=True)
 
-    def check(self, back: Store, most_lost: int = 0) -> None:
+    def check(self, back: MessageStore, most_lost: int = 0) -> None:
         lost = [
             t
             for t in self.told.values()
             if t.accepted
             and not t.over
             and t.m.id not in back.messages
-            and t.m.id not in back.owed
+            and t.m.id not in back.pending_notifications
         ]
         assert len(lost) <= most_lost, [t.m.id for t in lost]
         for t in self.told.values():
@@ -173,8 +185,10 @@
                 continue
             if t.m.class_name == "pay":
                 hidden = set(t.left) - t.never
-                assert not hidden or m.out or m.ran_at_us >= 0, f"{m.id} would go twice"
-                assert not t.gone or m.out or m.ran_at_us >= 0, (
+                assert not hidden or m.in_flight or m.executed_at_us >= 0, (
+                    f"{m.id} would go twice"
+                )
+                assert not t.gone or m.in_flight or m.executed_at_us >= 0, (
                     f"{m.id} was told to be returned"
                 )
             elif not most_lost:
@@ -190,7 +204,7 @@
         if not most_lost:
             assert self.out <= set(back.detached)
 
-    def recovered(self) -> Store:
+    def recovered(self) -> MessageStore:
         hands = Hands() if self.power else None
         back = opened(self.disk, hands)
         while hands is not None and hands.work():
@@ -205,19 +219,21 @@
             pass
 
 
-def recover_again(world: World, back: Store) -> None:
+def recover_again(world: World, back: MessageStore) -> None:
     """A recovery of what was recovered finds nothing new: not after a kill, and not
     after the power went.
     """
     back.flush()
-    facts = back.facts()
+    facts = back.comparable_contents()
     if world.power:
         world.disk.power_lost()
     else:
         world.disk.killed()
     again = world.recovered()
     assert (
-        again.facts() == facts and not again.report.damaged and not again.report.doubted
+        again.comparable_contents() == facts
+        and not again.report.damaged
+        and not again.report.doubted
     )
 
 
@@ -291,15 +307,17 @@
             hands = Hands() if power else None
             store = opened(disk, hands)
             for n in range(5):
-                store.take(taken(f"m{n}"))
-            store.attempt(store.messages["m1"], 0, 5, "s1")
+                store.append_message(taken(f"m{n}"))
+            store.append_attempt(store.messages["m1"], 0, 5, "s1")
             store.commit(lambda ok: None)
             while hands is not None and hands.work():
                 pass
-            facts, disk.fuse = store.facts(), fuse
+            facts, disk.fuse = store.comparable_contents(), fuse
             with_death(store.compact, hands)
             disk.power_lost() if power else disk.killed()
-            assert opened(disk, Hands() if power else None).facts() == facts
+            assert (
+                opened(disk, Hands() if power else None).comparable_contents() == facts
+            )
     for fuse in range(10):
         disk = Disk(fuse)
         disk.names["journal"] = disk.synced_names["journal"] = inode = f_inode(OLD)
@@ -310,7 +328,10 @@
         back = opened(disk)
         assert list(back.messages) == ["b"] and back.messages["b"].attempts == 1
         again = opened(disk)
-        assert again.report.version == 2 and again.facts() == back.facts()
+        assert (
+            again.report.version == 2
+            and again.comparable_contents() == back.comparable_contents()
+        )
 
 
 def f_inode(data: bytes):  # type: ignore[no-untyped-def]
@@ -334,14 +355,14 @@
     disk, hands = Disk(), Hands()
     store = opened(disk, hands)
     said: list[bool] = []
-    store.take(taken("a"))
+    store.append_message(taken("a"))
     store.commit(said.append)
     job, done = hands.jobs.pop(0)
-    sync_folder, disk.sync_folder = disk.sync_folder, lambda path: None  # type: ignore[method-assign]
+    sync_folder, disk.sync_directory = disk.sync_directory, lambda path: None  # type: ignore[method-assign]
     job()
     assert not said and "journal" in disk.names and "journal" not in disk.synced_names
-    disk.sync_folder = sync_folder  # type: ignore[method-assign]
-    disk.sync_folder(FOLDER)
+    disk.sync_directory = sync_folder  # type: ignore[method-assign]
+    disk.sync_directory(FOLDER)
     done(None)
     while hands.work():
         pass
@@ -356,7 +377,7 @@
     said: list[int] = []
     before = disk.syncs
     for n in range(5):
-        store.take(taken(f"m{n}"))
+        store.append_message(taken(f"m{n}"))
         store.commit(lambda ok, n=n: said.append(n))  # type: ignore[misc]
     assert not said and len(hands.jobs) == 1
     hands.work()
@@ -374,21 +395,21 @@
     while hands.work():
         pass
     said: list[bool] = []
-    store.take(taken("a"))
+    store.append_message(taken("a"))
     store.commit(said.append)
     disk.bad_sync = True
     assert sum(hands.work() for _ in range(10)) < 10  # it does not try without a pause
-    assert said == [False] and not store.has_room(10) and store.log.behind
+    assert said == [False] and not store.has_capacity(10) and store.log.incomplete
     disk.bad_sync = False
     store.log.retry_at = 0
-    store.take(taken("b"))
+    store.append_message(taken("b"))
     store.commit(said.append)
     while hands.work():
         pass
-    store.log.tend()
+    store.log.retry_after_failure()
     while hands.work():
         pass
-    assert said == [False, True] and store.has_room(10)
+    assert said == [False, True] and store.has_capacity(10)
     disk.power_lost()
     assert list(opened(disk, Hands()).messages) == ["a", "b"]
 
@@ -396,46 +417,46 @@
 def test_an_end_is_not_told_before_it_is_kept_under_power() -> None:
     disk, hands = Disk(), Hands()
     store = opened(disk, hands)
-    store.take(taken("a"))
+    store.append_message(taken("a"))
     store.commit(lambda ok: None)
     while hands.work():
         pass
-    store.owe("a", "returned", 5)
+    store.append_notification("a", "returned", 5)
     store.commit(lambda ok: None)
-    assert store.owed_now(0) == {} and store.owed
+    assert store.sendable_notifications(0) == {} and store.pending_notifications
     while hands.work():
         pass
-    assert store.owed_now(0) == {"a": Owed("returned", 5)}
+    assert store.sendable_notifications(0) == {"a": PendingNotification("returned", 5)}
 
 
 def test_a_full_disk_at_the_start_holds_what_was_held_and_takes_nothing_on() -> None:
     disk = Disk()
     store = opened(disk)
-    store.take(taken("a"))
+    store.append_message(taken("a"))
     store.flush()
     disk.killed()
     disk.flip("journal")
     disk.room = disk.used()
-    back = Store(FOLDER, 200_000, files=disk, base_us=0)
-    assert back.failed and not back.has_room(10) and "journal" in disk.names
+    back = MessageStore(FOLDER, 200_000, files=disk, base_us=0)
+    assert back.failed and not back.has_capacity(10) and "journal" in disk.names
     said: list[bool] = []
-    back.settle(RULES)
+    back.use_rules(RULES)
     back.commit(said.append)
     assert said == [False]
     disk.room = 1 << 40
     back.log.retry_at = 0
-    back.log.tend()
-    assert not back.failed and back.has_room(10)
+    back.log.retry_after_failure()
+    assert not back.failed and back.has_capacity(10)
 
 
 def test_a_record_cut_short_by_a_full_disk_leaves_a_file_that_can_be_read() -> None:
     disk = Disk()
     store = opened(disk)
-    store.take(taken("a"))
+    store.append_message(taken("a"))
     store.flush()
     disk.room = disk.used() + 10
     said: list[bool] = []
-    store.take(taken("b"))
+    store.append_message(taken("b"))
     store.commit(said.append)
     assert said == [False] and store.failed
     disk.killed()
@@ -452,12 +473,12 @@
     store = opened(disk)
     store.flush()
     before = disk.used()
-    store.take(taken("a"))
+    store.append_message(taken("a"))
     store.flush()
     disk.room = disk.used() + (disk.used() - before) + 10
     said: list[bool] = []
-    store.take(taken("b"))
-    store.take(taken("c"))
+    store.append_message(taken("b"))
+    store.append_message(taken("c"))
     store.commit(said.append)
     assert said == [False]
     disk.killed()
@@ -468,7 +489,7 @@
     for most, kept in ((400_000, True), (136_000, False)):
         disk = Disk()
         store = opened(disk, most=most)
-        store.take(taken("a", size=4000))
+        store.append_message(taken("a", size=4000))
         store.flush()
         disk.killed()
         data = disk.names["journal"].data
@@ -479,11 +500,11 @@
         if kept:
             assert disk.read(
                 FOLDER / "journal.damaged"
-            ) == spoilt and back.log.aside == len(spoilt)
-            back.most = (
-                2 * (back.live + 10_000) + 131_072 + 3_000
+            ) == spoilt and back.log.damaged_bytes == len(spoilt)
+            back.max_bytes = (
+                2 * (back.live_bytes + 10_000) + 131_072 + 3_000
             )  # messages want the room: it makes way
-            assert back.has_room(10_000) and "journal.damaged" not in disk.names
+            assert back.has_capacity(10_000) and "journal.damaged" not in disk.names
 
 
 def test_what_a_gap_may_hide_is_not_sent_again() -> None:
@@ -495,20 +516,23 @@
         ("s", "status", None),
         ("t", "turn", "K"),
     ):
-        store.take(taken(name, cls, key))
-    store.attempt(store.messages["p"], 0, 5, "hidden")
-    store.take(taken("later"))
+        store.append_message(taken(name, cls, key))
+    store.append_attempt(store.messages["p"], 0, 5, "hidden")
+    store.append_message(taken("later"))
     store.flush()
     disk.killed()
     data = disk.names["journal"].data
     data[data.index(b"hidden")] ^= 1
     back = opened(disk)
     assert (
-        back.messages["p"].out
-        and back.messages["s"].out
-        and not back.messages["later"].out
+        back.messages["p"].in_flight
+        and back.messages["s"].in_flight
+        and not back.messages["later"].in_flight
+    )
+    assert (
+        back.pending_notifications == {"t": PendingNotification("failed", 0, "K")}
+        and "t" not in back.messages
     )
-    assert back.owed == {"t": Owed("failed", 0, "K")} and "t" not in back.messages
     assert (back.report.doubted, back.report.ended) == (2, 1)
 
 
@@ -516,18 +540,23 @@
 def test_a_clock_that_was_set_moves_no_message_s_time(by_s: int) -> None:
     disk = Disk()
     store = opened(disk)
-    store.take(taken("a"))
-    store.attempt(store.messages["a"], 0, 10**15 - 5, "s1")
-    store.outage("s1", 10**14, -1)
+    store.append_message(taken("a"))
+    store.append_attempt(store.messages["a"], 0, 10**15 - 5, "s1")
+    store.append_outage("s1", 10**14, -1)
     store.flush()
     disk.killed()
     back = opened(disk, base=by_s * SECOND)
     m = back.messages["a"]
-    assert m.due_us == 10**15 + by_s * SECOND and m.out[0][0] == m.due_us - 5
+    assert (
+        m.deadline_us == 10**15 + by_s * SECOND
+        and m.in_flight[0][0] == m.deadline_us - 5
+    )
     assert back.outages == {"s1": (10**14 + by_s * SECOND, -1)}
     disk.killed()  # and once moved, they are not moved again
     again = opened(disk, base=by_s * SECOND)
-    assert again.messages["a"].due_us == m.due_us and not again.report.shifted_us
+    assert (
+        again.messages["a"].deadline_us == m.deadline_us and not again.report.shifted_us
+    )
 
 
 def test_another_boot_leaves_the_end_in_doubt_unless_all_was_synced(
@@ -538,20 +567,24 @@
         (False, True, 0),
         (True, False, 0),
     ):
-        monkeypatch.setattr("rainfall.net.store.this_boot", lambda: "boot 1")
+        monkeypatch.setattr(
+            "rainfall.forwarder.message_store.this_boot", lambda: "boot 1"
+        )
         disk, hands = Disk(), Hands() if power else None
         store = opened(disk, hands)
-        store.take(taken("a"))
+        store.append_message(taken("a"))
         store.commit(lambda ok: None)
         while hands is not None and hands.work():
             pass
         if closed:
             store.close()
         disk.power_lost() if power else disk.killed()
-        monkeypatch.setattr("rainfall.net.store.this_boot", lambda: "boot 2")
+        monkeypatch.setattr(
+            "rainfall.forwarder.message_store.this_boot", lambda: "boot 2"
+        )
         back = opened(disk, Hands() if power else None, base=10**15 - SECOND)
         assert back.report.another_boot and back.report.doubted == doubted
-        assert bool(back.messages["a"].out) is bool(doubted)
+        assert bool(back.messages["a"].in_flight) is bool(doubted)
 
 
 def test_time_does_not_run_backwards_over_a_boot(
@@ -562,20 +595,20 @@
     """
     disk = Disk()
     store = opened(disk)
-    store.take(taken("a"))
+    store.append_message(taken("a"))
     store.flush()
     disk.killed()
-    monkeypatch.setattr("rainfall.net.store.this_boot", lambda: "boot 2")
+    monkeypatch.setattr("rainfall.forwarder.message_store.this_boot", lambda: "boot 2")
     monkeypatch.setattr(recovery.time, "monotonic_ns", lambda: 0)
     back = opened(disk, base=10**15 - 86_400 * SECOND)
-    assert back.messages["a"].due_us <= 10**15 - 86_400 * SECOND + 10 * SECOND
+    assert back.messages["a"].deadline_us <= 10**15 - 86_400 * SECOND + 10 * SECOND
 
 
 def test_a_newer_file_is_left_alone() -> None:
     disk = Disk()
-    newer = f.Head(f.VERSION + 1, 0, 1, 1, 0).bytes() + b"whatever"
+    newer = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode() + b"whatever"
     disk.names["journal"] = f_inode(newer)
-    with pytest.raises(Unusable):
+    with pytest.raises(UnusableJournalError):
         opened(disk)
     assert disk.read(FOLDER / "journal") == newer
 
@@ -585,10 +618,10 @@
     store = opened(disk)
     facts = []
     for n in range(300):
-        store.take(taken(f"m{n}", size=2000))
-        store.over(f"m{n - 3}")
+        store.append_message(taken(f"m{n}", size=2000))
+        store.append_finished(f"m{n - 3}")
         store.flush()
-        other, report = look(disk.read(FOLDER / "journal"))
+        other, report = read_journal(disk.read(FOLDER / "journal"))
         assert not report.damaged and not report.torn
         facts.append(list(other.messages) == list(store.messages))
     assert all(facts) and store.log.rewrites > 1
@@ -597,14 +630,14 @@
 def test_the_same_end_told_twice_is_one_end() -> None:
     disk = Disk()
     store = opened(disk)
-    store.take(taken("a"))
-    store.owe("a", "failed", 0)
-    store.owe("a", "failed", 0)
-    store.told("a")
-    store.told("a")
-    store.over("a")
+    store.append_message(taken("a"))
+    store.append_notification("a", "failed", 0)
+    store.append_notification("a", "failed", 0)
+    store.append_acknowledgement("a")
+    store.append_acknowledgement("a")
+    store.append_finished("a")
     store.flush()
     disk.killed()
     back = opened(disk)
-    assert not back.messages and not back.owed and back.live == 0
+    assert not back.messages and not back.pending_notifications and back.live_bytes == 0
     assert HEAD.version == 2
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -20,8 +20,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainfall.registry.core import Pending, Refused, Registry
-from rainfall.registry.disk import Damaged, Disk, line, lines
+from rainfall.registry.endpoint_registry import (
+    EndpointRegistry,
+    PendingChanges,
+    RequestError,
+)
+from rainfall.registry.storage import (
+    DamagedStateError,
+    Storage,
+    decode_lines,
+    encode_line,
+)
 
 HOSTS = ("s-1", "s-2", "s-3")
 op = st.one_of(
@@ -52,7 +61,7 @@
 def test_every_reader_from_any_version_ends_on_the_model_list(
     batches: list[list[dict[str, Any]]], data: st.DataObject
 ) -> None:
-    registry, model = Registry(), {}
+    registry, model = EndpointRegistry(), {}
     held_at: dict[int, dict[str, Any]] = {
         0: {}
     }  # what a reader holds at each version, by the model
@@ -60,9 +69,11 @@
         after = dict(model)
         try:
             change = registry.prepare(
-                {"id": f"c{number}", "ops": ops}, str(number), Pending(registry.seq)
+                {"id": f"c{number}", "ops": ops},
+                str(number),
+                PendingChanges(registry.seq),
             )
-        except Refused as error:
+        except RequestError as error:
             assert (
                 error.status == 404
             )  # an op on a host that is not listed: nothing of the change is made
@@ -87,7 +98,7 @@
         model = after
         held_at[registry.seq] = dict(model)
     since = data.draw(st.sampled_from(sorted(held_at)))
-    told = registry.owed(since, None)
+    told = registry.answer_for(since, None)
     held = {} if told["whole"] else dict(held_at[since])
     for fields in told["hosts"]:
         held.pop(fields["host"], None) if fields[
@@ -97,7 +108,7 @@
 
 
 def test_a_repeated_id_is_answered_again_and_another_body_under_it_refused() -> None:
-    registry = Registry()
+    registry = EndpointRegistry()
     body = {
         "id": "x",
         "ops": [
@@ -117,7 +128,7 @@
     assert not isinstance(change, int)
     registry.commit(change)
     assert registry.prepare(body, "d1") == change.seq
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestError) as refused:
         registry.prepare({"id": "x", "ops": [{"op": "drain", "host": "s-1"}]}, "d2")
     assert refused.value.status == 409
 
@@ -125,12 +136,14 @@
 def test_a_torn_last_line_is_cut_and_damage_before_it_stops_the_start(
     tmp_path: Path,
 ) -> None:
-    good = line({"seq": 1, "epoch": 1, "id": "", "digest": "", "hosts": [], "base": 1})
-    assert lines(good + good[:10], "log")[1] == len(good)
-    with pytest.raises(Damaged, match="line 1"):
-        lines(good[:5] + b"x" + good[6:] + good, "log")
+    good = encode_line(
+        {"seq": 1, "epoch": 1, "id": "", "digest": "", "hosts": [], "base": 1}
+    )
+    assert decode_lines(good + good[:10], "log")[1] == len(good)
+    with pytest.raises(DamagedStateError, match="line 1"):
+        decode_lines(good[:5] + b"x" + good[6:] + good, "log")
     (tmp_path / "changes.log").write_bytes(good + b"00000000 {")
-    registry, had = Disk(tmp_path).load()
+    registry, had = Storage(tmp_path).load()
     assert (
         had
         and registry.seq == 1
--- a/tests/test_registry_bounds.py
+++ b/tests/test_registry_bounds.py
@@ -16,27 +16,27 @@
 
 import pytest
 
-from rainfall.journal.files import SystemFiles
-from rainfall.net.config import Address
-from rainfall.net.discovery import Client, Watch
-from rainfall.registry import bodies
-from rainfall.registry.bounds import Bounds
-from rainfall.registry.core import BELIEVED, Refused
-from rainfall.registry.disk import Disk, Log
-from rainfall.registry.server import Service
+from rainfall.forwarder.config.loading import Address
+from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, HttpClient
+from rainfall.journal.files import LocalFileSystem
+from rainfall.registry import request_schemas
+from rainfall.registry.endpoint_registry import CLAIM_LIMIT, RequestError
+from rainfall.registry.limits import Limits
+from rainfall.registry.server import RegistryServer
+from rainfall.registry.storage import RecordLog, Storage
 
 
-class Files(SystemFiles):
+class Files(LocalFileSystem):
     """A disk that can be made to wait, or to fail."""
 
     def __init__(self) -> None:
         self.free, self.failing, self.uncut = threading.Event(), False, False
         self.free.set()
 
-    def cut(self, fd: int, size: int) -> None:
+    def truncate(self, fd: int, size: int) -> None:
         if self.uncut:
             raise OSError(5, "Input/output error")
-        super().cut(fd, size)
+        super().truncate(fd, size)
 
     def sync(self, fd: int) -> None:
         self.free.wait(10)
@@ -52,17 +52,19 @@
 class Run:
     """A service in this process, its two ports, and calls to it."""
 
-    def __init__(self, folder: Path, bounds: Bounds, clock: Clock) -> None:
+    def __init__(self, folder: Path, bounds: Limits, clock: Clock) -> None:
         self.files, self.clock = Files(), clock
-        disk = Disk(folder, self.files)
+        disk = Storage(folder, self.files)
         registry, self.had = disk.load()
-        self.service = Service(
+        self.service = RegistryServer(
             disk, registry, lambda: clock.ms, bounds, lambda: clock.us
         )
 
-    async def open(self, lead: Callable[[Service], Awaitable[Any]] | None) -> Run:
+    async def open(
+        self, lead: Callable[[RegistryServer], Awaitable[Any]] | None
+    ) -> Run:
         if not self.had:
-            await self.service.begin()
+            await self.service.begin_history()
         if lead is not None:
             await lead(self.service)
             self.fleet = await self.service.listen_fleet("127.0.0.1", 0)
@@ -122,11 +124,11 @@
     folder: Path,
     test: Callable[[Run], Awaitable[None]],
     clock: Clock | None = None,
-    lead: Callable[[Service], Awaitable[Any]] | None = None,
+    lead: Callable[[RegistryServer], Awaitable[Any]] | None = None,
     **bounds: Any,
 ) -> None:
     async def whole() -> None:
-        run = await Run(folder, Bounds(**bounds), clock or Clock()).open(lead)
+        run = await Run(folder, Limits(**bounds), clock or Clock()).open(lead)
         try:
             await test(run)
         finally:
@@ -139,7 +141,7 @@
 def test_watches_are_bounded_and_one_that_left_counts_no_more(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         figures, path = (
-            run.service.figures,
+            run.service.metrics,
             f"/discovery/hosts?from={run.service.registry.seq}&hold_ms=60000",
         )
         _, gone = await asyncio.open_connection("127.0.0.1", run.list)
@@ -167,17 +169,17 @@
 def test_connections_are_bounded_and_idle_ones_closed(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         held = [await asyncio.open_connection("127.0.0.1", run.list) for _ in range(2)]
-        await until(lambda: run.service.figures.connections == 2)
+        await until(lambda: run.service.metrics.connections == 2)
         status, headers, _ = await run.ask("/_ready")
         assert (
             status == 503
             and headers["retry-after"] == "1"
-            and run.service.figures.busy == 1
+            and run.service.metrics.busy == 1
         )
         for reader, writer in held:
             assert await asyncio.wait_for(reader.read(), 5) == b""  # idle past its time
             writer.close()
-        await until(lambda: run.service.figures.connections == 0)
+        await until(lambda: run.service.metrics.connections == 0)
         assert (await run.ask("/_ready"))[0] == 200
 
     play(tmp_path, test, connections=2, idle_s=0.3)
@@ -190,17 +192,17 @@
         sock.sendall(
             b"GET /discovery/hosts HTTP/1.1\r\nHost: r\r\n\r\n" * 200
         )  # 25 MB of answers
-        await until(lambda: run.service.figures.slow_closed == 1)
+        await until(lambda: run.service.metrics.slow_closed == 1)
         status, _, answer = await run.ask("/discovery/hosts")
         assert (
             status == 200 and len(answer["hosts"]) == 1000
         )  # one that reads is told the same list whole
         await until(
-            lambda: run.service.figures.connections == 0
+            lambda: run.service.metrics.connections == 0
         )  # its own end never closed
         sock.close()
 
-    play(tmp_path, test, held_bytes=256 * 1024)
+    play(tmp_path, test, unsent_bytes=256 * 1024)
 
 
 def test_heads_and_bodies_are_bounded(tmp_path: Path) -> None:
@@ -229,7 +231,7 @@
             assert await asyncio.wait_for(reader.read(), 5) == b""  # closed
             writer.close()
 
-    play(tmp_path, test, body=1024, body_s=0.1)
+    play(tmp_path, test, body_bytes=1024, body_timeout_s=0.1)
 
 
 def test_changes_that_wait_are_bounded_and_kept_and_answered_at_the_end(
@@ -239,12 +241,12 @@
         held = asyncio.ensure_future(
             run.ask(f"/v1/hosts?from={run.service.registry.seq}&hold_ms=60000")
         )
-        await until(lambda: run.service.figures.watches_held == 1)
+        await until(lambda: run.service.metrics.watches_held == 1)
         run.files.free.clear()
         waiting = [asyncio.ensure_future(run.change("s-0"))]
-        await until(lambda: len(run.service.writer.rounds.batch) == 1)
+        await until(lambda: len(run.service.writer.group_commit.batch) == 1)
         waiting += [asyncio.ensure_future(run.change(f"s-{n}")) for n in (1, 2)]
-        await until(lambda: len(run.service.writer.rounds.queue) == 2)
+        await until(lambda: len(run.service.writer.group_commit.queue) == 2)
         status, headers, _ = await run.change("s-3")
         assert status == 503 and headers["retry-after"] == "1"
         stop = asyncio.ensure_future(run.service.stop())
@@ -255,21 +257,21 @@
         assert await stop
 
     play(tmp_path, test, queued=2)
-    assert sorted(Disk(tmp_path).load()[0].entries) == ["s-0", "s-1", "s-2"]
+    assert sorted(Storage(tmp_path).load()[0].entries) == ["s-0", "s-1", "s-2"]
 
 
 def test_a_disk_that_never_answers_does_not_hold_up_the_end(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         run.files.free.clear()
         waiting = asyncio.ensure_future(run.change("s-0"))
-        await until(lambda: len(run.service.writer.rounds.batch) == 1)
+        await until(lambda: len(run.service.writer.group_commit.batch) == 1)
         assert not await run.service.stop()
         status, _, answer = await waiting
         assert (
             status == 500 and "nobody knows" in answer["faults"][0]
         )  # neither yes nor no
 
-    play(tmp_path, test, stop_s=0.1)
+    play(tmp_path, test, shutdown_timeout_s=0.1)
 
 
 def test_nothing_is_told_of_what_a_failed_sync_lost(tmp_path: Path) -> None:
@@ -277,7 +279,7 @@
         seq = run.service.registry.seq
         run.files.free.clear()
         first = asyncio.ensure_future(run.change("s-9"))
-        await until(lambda: len(run.service.writer.rounds.batch) == 1)
+        await until(lambda: len(run.service.writer.group_commit.batch) == 1)
         calls = [
             run.change("s-0", key="k"),
             run.change("s-0", key="k"),
@@ -285,28 +287,28 @@
             run.ask("/v1/hosts", {"ops": [{"op": "drain", "host": "s-0"}]}),
         ]
         waiting = [asyncio.ensure_future(call) for call in calls]
-        await until(lambda: len(run.service.writer.rounds.queue) == 4)
+        await until(lambda: len(run.service.writer.group_commit.queue) == 4)
         run.files.failing = True
         run.files.free.set()
         assert (await first)[0] == 507
         # The repeat and the change that alters nothing rest on one that is not kept.
         assert [status for status, _, _ in await asyncio.gather(*waiting)] == [507] * 4
-        assert not Disk(tmp_path).load()[0].entries
+        assert not Storage(tmp_path).load()[0].entries
         run.files.failing = False
         assert (await run.ask("/v1/hosts"))[2]["seq"] == seq
         assert (await run.change("s-1"))[2]["seq"] == seq + 1
 
     play(tmp_path, test)
-    assert list(Disk(tmp_path).load()[0].entries) == ["s-1"]
+    assert list(Storage(tmp_path).load()[0].entries) == ["s-1"]
     files = Files()
-    log = Log(tmp_path / "log", files)
+    log = RecordLog(tmp_path / "log", files)
     log.load()
     files.failing = files.uncut = True
     with pytest.raises(OSError):
         log.append([{"n": 1}, {"n": 2}])
     files.failing = files.uncut = False
     log.append([{"n": 3}])
-    assert Log(tmp_path / "log").load() == [
+    assert RecordLog(tmp_path / "log").load() == [
         {"n": 3}
     ]  # nothing of the failed ones behind it
 
@@ -348,7 +350,7 @@
 
     async def kept(run: Run) -> None:
         assert run.had and {
-            k: run.service.registry.owed(None, None)[k] for k in ("seq", "epoch")
+            k: run.service.registry.answer_for(None, None)[k] for k in ("seq", "epoch")
         } == {k: seen[k] for k in ("seq", "epoch")}
 
     for n, step in enumerate((first, second, second)):
@@ -373,18 +375,21 @@
         assert (
             at[0] < at[1] < at[2] == at[3] == at[4]
         )  # two lifts at once, then the whole list alone
-        assert run.service.figures.lifts_put_off == 2 and now.fence == fence
+        assert run.service.metrics.lifts_put_off == 2 and now.fence == fence
         # the time of one more: the claim that was put off is gone past by itself
         clock.us += 100_000
         await until(lambda: now.seq > claimed)
-        for path in (f"from={BELIEVED}", f"epoch={BELIEVED}"):  # no service told that
+        for path in (
+            f"from={CLAIM_LIMIT}",
+            f"epoch={CLAIM_LIMIT}",
+        ):  # no service told that
             seq = now.seq
             assert (await run.ask(f"/v1/hosts?{path}&hold_ms=60000"))[2][
                 "whole"
             ] and now.seq == seq
         assert now.fence == fence
 
-    play(tmp_path, test, clock, lifts=2, lift_s=0.1)
+    play(tmp_path, test, clock, epoch_burst=2, epoch_interval_s=0.1)
 
 
 def test_tokens_and_operators_lift_the_fence_durably(tmp_path: Path) -> None:
@@ -392,36 +397,36 @@
         now = run.service.registry
         fence, seq = now.fence, now.seq
         assert (
-            await run.service.lift(fence - 1) == fence
-            and run.service.figures.fence_lifts == 1
+            await run.service.raise_fence(fence - 1) == fence
+            and run.service.metrics.fence_lifts == 1
         )
-        assert await run.service.lift(fence + 7) == fence + 8 and now.seq == seq
-        with pytest.raises(Refused):
-            await run.service.lift(1 << 60)
+        assert await run.service.raise_fence(fence + 7) == fence + 8 and now.seq == seq
+        with pytest.raises(RequestError):
+            await run.service.raise_fence(1 << 60)
         status, _, answer = await run.ask("/v1/epoch", {"above": fence + 20})
         assert status == 200 and answer["fence"] == fence + 21 and answer["seq"] > seq
         run.files.failing = True
         with pytest.raises(OSError):
-            await run.service.lift(fence + 30)
+            await run.service.raise_fence(fence + 30)
         assert now.fence == fence + 21
         status, _, answer = await run.ask(f"/v1/hosts?from={now.seq + 9}")
         assert (
             status == 200 and answer["whole"] and answer["seq"] == now.seq
         )  # told, though not lifted
         run.files.failing = False
-        await run.service.lift(fence + 40)
-        run.service.disk.snapshot(now)
-        assert Disk(tmp_path).load()[0].fence == fence + 41
-        await run.service.lift(fence + 50)
+        await run.service.raise_fence(fence + 40)
+        run.service.storage.write_snapshot(now)
+        assert Storage(tmp_path).load()[0].fence == fence + 41
+        await run.service.raise_fence(fence + 50)
 
     play(tmp_path, test)
-    assert Disk(tmp_path).load()[0].fence == 1_051
+    assert Storage(tmp_path).load()[0].fence == 1_051
 
 
 def test_every_fault_of_a_change_is_told_with_its_path() -> None:
     def faults(body: str) -> list[str]:
-        with pytest.raises(Refused) as refused:
-            bodies.change(bodies.read(body.encode()))
+        with pytest.raises(RequestError) as refused:
+            request_schemas.parse_change(request_schemas.parse_json(body.encode()))
         assert refused.value.status == 400
         return refused.value.faults
 
@@ -468,21 +473,23 @@
     async def test(run: Run) -> None:
         lists: list[Any] = []
         where = Address("127.0.0.1", run.list)
-        watch = Watch(where, -1, lists.append, 1)
+        watch = EndpointWatch(where, -1, lists.append, 1)
         watch.subscribe()
-        await until(lambda: run.service.figures.watches_held == 1)
+        await until(lambda: run.service.metrics.watches_held == 1)
         await run.change("s-1")
         await until(lambda: len(lists) == 2)
-        assert lists[0].whole and [h.name for h in lists[1].hosts] == ["s-1"]
+        assert lists[0].complete and [h.name for h in lists[1].endpoints] == ["s-1"]
         watch.pause()
-        client = Client(where)
+        client = HttpClient(where)
         for body, status in (
             (b'{"id":"a","state":"failed"}\n{"id":"b"}\n', 204),
             (b'{"id":"a"}\n{"x":1}\nno', 400),
         ):
-            assert (await client.ask("POST", "/v1/notices", 2.0, body)).status == status
+            assert (
+                await client.request("POST", "/v1/notices", 2.0, body)
+            ).status == status
         client.close()
-        await until(lambda: run.service.disk.notice_count == 2)
+        await until(lambda: run.service.storage.next_notice_number == 2)
         rows = (await run.ask("/v1/notices?from=1"))[2]
         assert rows["next"] == 2 and [r["notice"]["id"] for r in rows["notices"]] == [
             "b"
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from rainfall.lease.terms import Terms
-from rainfall.registry import book, fleet
-from rainfall.registry.disk import Log
-from rainfall.registry.server import Service
+from rainfall.lease.types import LeaseSettings
+from rainfall.registry import fleet_coordinator, fleet_log
+from rainfall.registry.server import RegistryServer
+from rainfall.registry.storage import RecordLog
 from tests.test_registry_bounds import Clock, Run, play, until
 
 TTL_US = 200_000
@@ -34,25 +34,25 @@
         )
         self.flying = 0  # rows of a plan that are not on disk yet
 
-    def restored(self, now_us: int, sure: bool, snapshot: Any, rows: list[Any]) -> None:
+    def restore(self, now_us: int, sure: bool, snapshot: Any, rows: list[Any]) -> None:
         self.heard.append(("restored", sure))
         self.held.update(snapshot or {})
         for row in rows:
             self.held[row["name"]] = row["calls"]
 
-    def faults(self, beat: Any) -> list[str]:
+    def find_faults(self, beat: Any) -> list[str]:
         return (
             [] if isinstance(beat.get("calls", 0), int) else ["calls: a whole number"]
         )
 
-    def beat(self, now_us: int, name: str, token: Any, beat: Any) -> bool:
+    def on_heartbeat(self, now_us: int, name: str, token: Any, beat: Any) -> bool:
         self.asked[name] = beat.get("calls", 0)
         return True
 
-    def told(self, now_us: int, name: str, token: Any) -> dict[str, Any]:
+    def answer_fields(self, now_us: int, name: str, token: Any) -> dict[str, Any]:
         return {"tally": self.held.get(name, 0)}
 
-    def __getattr__(self, kind: str) -> Any:  # joined, out, ended
+    def __getattr__(self, kind: str) -> Any:  # joined, expired, ended
         return lambda now_us, *more: self.heard.append((kind, *more))
 
     def plan(self, now_us: int, frozen: bool, members: Any) -> list[Any]:
@@ -84,8 +84,10 @@
 
 
 def lead(*riders: Any, mark: Path | None = None) -> Any:
-    async def led(service: Service) -> None:
-        await service.lead(Terms(0.02, 1_000, TTL_US), TTL_US, riders, mark)
+    async def led(service: RegistryServer) -> None:
+        await service.start_fleet(
+            LeaseSettings(0.02, 1_000, TTL_US), TTL_US, riders, mark
+        )
 
     return led
 
@@ -124,9 +126,9 @@
         for calls in (8, 9):  # the second while the first one's plan is being written
             await beat(run, "f1", tokens[0], calls=calls)
             await until(lambda: tally.flying == 1)
-            await asyncio.sleep(2 * fleet.PLAN_S)
+            await asyncio.sleep(2 * fleet_coordinator.PLAN_DELAY_S)
         decided = asyncio.ensure_future(
-            run.service.fleet.decide(
+            run.service.fleet.apply_rows(
                 "tally", lambda _: [] if tally.flying else [{"name": "x", "calls": 1}]
             )
         )
@@ -154,23 +156,27 @@
         )[2] == {"version": version}:
             pass
         await until(
-            lambda: ("out", _of(tokens[2])) in tally.heard
+            lambda: ("lease_expired", _of(tokens[2])) in tally.heard
         )  # woken as it was suspect already
         status, told = await beat(run, "f1", tokens[2])
         assert status == 409 and told["error"] == "lost"
-        monkeypatch.setattr(book, "REWRITE_EVERY", 1)
+        monkeypatch.setattr(fleet_log, "COMPACT_AFTER_LINES", 1)
         clock.us += 2 * TTL_US
         assert (await beat(run, "f2"))[0] == 200  # and the log is written anew
-        await until(lambda: run.service.fleet.book.log.count == 2)
+        await until(lambda: run.service.fleet.fleet_log.record_log.row_count == 2)
 
     play(tmp_path, first, clock, lead(tally))
     one, two, three = map(_of, tokens)
-    assert [h for h in tally.heard if h[0] in ("joined", "ended", "out")][:5] == [
-        ("joined", "f1", one, None),
-        ("joined", "f1", two, one),
-        ("ended", two),
-        ("joined", "f1", three, None),
-        ("out", three),
+    assert [
+        h
+        for h in tally.heard
+        if h[0] in ("member_joined", "member_ended", "lease_expired")
+    ][:5] == [
+        ("member_joined", "f1", one, None),
+        ("member_joined", "f1", two, one),
+        ("member_ended", two),
+        ("member_joined", "f1", three, None),
+        ("lease_expired", three),
     ]
     again = Tally()
 
@@ -182,7 +188,7 @@
 
 
 def _of(pair: list[int]) -> Any:
-    return fleet.Token(*pair)
+    return fleet_coordinator.Token(*pair)
 
 
 def test_a_grant_that_is_not_kept_is_not_told_and_ends_are_tried_again(
@@ -197,7 +203,7 @@
         assert (await acquire(run, "b"))[0] == 507
         assert (await run.ask("/v1/leases/b"))[0] == 404
         clock.us += TTL_US  # the lease on a is out, and its end cannot be written
-        await until(lambda: run.service.figures.write_failures >= 2)
+        await until(lambda: run.service.metrics.write_failures >= 2)
         run.files.failing = False
         await until(lambda: run.service.fleet.table.read("a") is None)
         status, told = await acquire(run, "b")
@@ -238,11 +244,11 @@
     play(tmp_path / "s", grants, clock, lead(mark=mark))
     copy = log.read_bytes()
     play(tmp_path / "s", grants, clock, lead(mark=mark))
-    at_once = Log(log)
+    at_once = RecordLog(log)
     count = len(at_once.load())
     log.write_bytes(copy)
     play(tmp_path / "s", held, clock, lead(mark=mark))
-    assert len(Log(log).load()) < count  # it was the copy that it started on
+    assert len(RecordLog(log).load()) < count  # it was the copy that it started on
     play(
         tmp_path / "s", grants, clock, lead(mark=mark)
     )  # above all before, though the copy never knew them
--- a/tests/test_registry_riders.py
+++ b/tests/test_registry_riders.py
@@ -12,14 +12,19 @@
 
 import pytest
 
-from rainfall.lease.token import NEVER
+from rainfall.lease.fencing_token import ZERO_TOKEN
 from rainfall.registry import __main__ as command
-from rainfall.registry import fleet, planner, plans, watch
-from rainfall.registry.disk import lines
-from rainfall.registry.watch import Watchers
-from rainfall.shard.auto import AutoPlanner, Pauses
-from rainfall.shard.maps import Range, ShardMap, hexed
-from rainfall.shard.spans import union
+from rainfall.registry import (
+    fleet_coordinator,
+    fleet_watch,
+    plan_scheduler,
+    planner_lease,
+)
+from rainfall.registry.fleet_watch import Watchers
+from rainfall.registry.storage import decode_lines
+from rainfall.shard.auto_planner import AutoPlanner, PlanDelays
+from rainfall.shard.key_ranges import union
+from rainfall.shard.shard_map import Range, ShardMap, format_key
 from tests.riders import BUDGET, TOP, Play, Process, World
 from tests.test_registry_bounds import until
 
@@ -28,8 +33,8 @@
 def test_whatever_comes_shares_stay_within_the_whole_and_keys_have_one_owner(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    monkeypatch.setattr(plans, "PLAN_S", 0.002)
-    monkeypatch.setattr(plans, "RETRY_S", 0.01)
+    monkeypatch.setattr(plan_scheduler, "PLAN_DELAY_S", 0.002)
+    monkeypatch.setattr(plan_scheduler, "RETRY_DELAY_S", 0.01)
 
     async def walk() -> None:
         world = World(tmp_path / "s", seed)
@@ -74,7 +79,9 @@
                 assert (await world.run.call("PUT", "/v1/map", raw))[0] == 200
                 await world.calm(12)
             acting = union(
-                own.span for p in world.here for own in p.owned.holding(p.own())
+                own.key_range
+                for p in world.here
+                for own in p.owned.held_ranges(p.own())
             )
             assert acting == [(0, TOP)]
         await world.run.service.stop()
@@ -156,7 +163,9 @@
         assert (await play.put(calls=40))[0] == 200
         rows = [
             line["row"]
-            for line in lines((tmp_path / "s" / "fleet.log").read_bytes(), "log")[0]
+            for line in decode_lines(
+                (tmp_path / "s" / "fleet.log").read_bytes(), "log"
+            )[0]
         ]
         at = max(n for n, row in enumerate(rows) if "config" in row)
         assert (
@@ -165,29 +174,31 @@
         # Those in force outlive the process. A file counts where it says something new,
         # or at SIGHUP.
         await play.again()
-        assert play.run.parts.budgets.raw[0]["calls"] == 40
+        assert play.run.parts.budgets.raw_budgets[0]["calls"] == 40
         await play.world.stop(True)
         await play.up(budgets=[BUDGET])
-        assert play.run.parts.budgets.raw[0]["calls"] == 40
+        assert play.run.parts.budgets.raw_budgets[0]["calls"] == 40
         await play.world.stop(True)
         await play.up(budgets=[{**BUDGET, "calls": 90}])
-        assert play.run.parts.budgets.raw[0]["calls"] == 90
+        assert play.run.parts.budgets.raw_budgets[0]["calls"] == 90
         await play.put(calls=80)
-        await command.reload(play.run.parts, file)  # faulty
-        assert play.run.parts.budgets.raw[0]["calls"] == 80
+        await command.reload_budgets(play.run.parts, file)  # faulty
+        assert play.run.parts.budgets.raw_budgets[0]["calls"] == 80
         file.write_text(json.dumps({"budgets": [{**BUDGET, "calls": 90}]}))
-        await command.reload(play.run.parts, file.rename(tmp_path / "b.json"))
-        assert play.run.parts.budgets.raw[0]["calls"] == 90
+        await command.reload_budgets(play.run.parts, file.rename(tmp_path / "b.json"))
+        assert play.run.parts.budgets.raw_budgets[0]["calls"] == 90
         # An operator's word frees what a process that never comes back keeps.
         cut = play.world.here.pop(0)
         await play.calm(15)
         assert (
-            await play.run.call("POST", "/v1/budgets/ended", {"token": f2.token.told()})
+            await play.run.call(
+                "POST", "/v1/budgets/ended", {"token": f2.token.to_wire()}
+            )
         )[0] == 409
         play.world.all.remove(cut)
         assert (
             await play.run.call(
-                "POST", "/v1/budgets/ended", {"token": cut.token.told()}
+                "POST", "/v1/budgets/ended", {"token": cut.token.to_wire()}
             )
         )[0] == 200
         await play.calm(6, f2=90)
@@ -211,7 +222,7 @@
     async def test() -> None:
         f1, f2 = await play.up("f1", "f2", budgets=[BUDGET], reserves_known=True)
         await play.calm(13)
-        assert f1.token != NEVER and not f1.share["number"]
+        assert f1.token != ZERO_TOKEN and not f1.share["number"]
         await play.again()  # members who have no share yet are known all the same
         await play.calm(22, f1=200, f2=0)
         assert f1.most() > 50
@@ -225,15 +236,15 @@
         await play.calm(8)
         assert (
             f1.most() < 20
-            and play.run.parts.budgets.figures(play.world.clock.us)["7"]["free"] > 50
+            and play.run.parts.budgets.metrics(play.world.clock.us)["7"]["free"] > 50
         )
         # What f1 gave up has cooled by the short span. The log is written anew, before
         # or after the change.
         if before:
-            await play.run.parts.fleet._rewrite()
+            await play.run.parts.fleet._compact_log()
         await play.put(span_ms=4_000)
         if not before:
-            await play.run.parts.fleet._rewrite()
+            await play.run.parts.fleet._compact_log()
         at, had = play.world.clock.us, f2.most()
         await play.again()
         while play.world.clock.us < at + 3_900_000:
@@ -250,20 +261,20 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play = Play(tmp_path / "s", monkeypatch)
-    monkeypatch.setattr(fleet, "PATIENCE_S", 0.02)
+    monkeypatch.setattr(fleet_coordinator, "PLAN_WAIT_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         await play.up("f1", budgets=[BUDGET], reserves_known=True)
         await play.calm(25)
         for _ in range(5):
             play.world.add("f1", play.world.here[0])
-            monkeypatch.setattr(plans, "PLAN_S", 5.0)
+            monkeypatch.setattr(plan_scheduler, "PLAN_DELAY_S", 5.0)
             assert await play.world.here[0].beat(play.run) == 200
-            monkeypatch.setattr(plans, "PLAN_S", 0.002)
+            monkeypatch.setattr(plan_scheduler, "PLAN_DELAY_S", 0.002)
             await play.again()
             await play.calm(12)
             assert play.world.here[0].share["reserve"] == 5
-        assert play.run.parts.budgets.figures(0)["7"]["holders"] == 1
+        assert play.run.parts.budgets.metrics(0)["7"]["holders"] == 1
         await play.run.service.stop()
 
     asyncio.run(test())
@@ -276,7 +287,9 @@
     play, mark = Play(tmp_path / "s", monkeypatch), tmp_path / "mark"
 
     async def test() -> None:
-        await play.up("f1", "f2", budgets=[BUDGET], reserves_known=True, mark=mark)
+        await play.up(
+            "f1", "f2", budgets=[BUDGET], reserves_known=True, watermark_path=mark
+        )
         await play.calm(25, f1=200, f2=200)
         shutil.copytree(tmp_path / "s", tmp_path / "copy")
         play.world.add("f3")
@@ -287,7 +300,7 @@
         shutil.rmtree(tmp_path / "s")
         if copied:
             shutil.copytree(tmp_path / "copy", tmp_path / "s")
-        await play.up("f5", "f6", budgets=[BUDGET], mark=mark)
+        await play.up("f5", "f6", budgets=[BUDGET], watermark_path=mark)
         await play.calm(45, f5=200, f6=200)
         assert [p.share["reserve"] for p in play.world.all] == [5, 5, 5, 5, 0, 0]
         assert sum(p.most() for p in play.world.here) >= 85
@@ -306,13 +319,13 @@
         return {
             "generation": generation,
             "ranges": [
-                {"from": hexed(a), "to": hexed(b - 1), "owner": owner}
+                {"from": format_key(a), "to": format_key(b - 1), "owner": owner}
                 for a, b, owner in zip(cuts, cuts[1:], owners, strict=False)
             ],
         }
 
     def has(process: Process) -> list[tuple[int, int]]:
-        return union(own.span for own in process.owned.holding(process.own()))
+        return union(own.key_range for own in process.owned.held_ranges(process.own()))
 
     async def test() -> None:
         f1, f2, f3 = await play.up("f1", "f2", "f3")
@@ -355,7 +368,7 @@
         assert (await call("GET", "/v1/map")) == (200, whole)
         # A second map comes while the first is carried out: each key goes from its
         # holder to its last owner.
-        top = {"from": hexed(TOP // 2 + 1), "to": hexed(TOP)}
+        top = {"from": format_key(TOP // 2 + 1), "to": format_key(TOP)}
         assert (await call("POST", "/v1/map/move", {**top, "owner": "f1"}))[0] == 200
         await f2.beat(play.run, drain=False)
         await f2.beat(play.run, drain=False)
@@ -383,13 +396,13 @@
         )
         # A member with another map of this generation is given nothing; the map goes
         # above both.
-        f1.owned.turn(
+        f1.owned.apply_map(
             ShardMap(
                 5, tuple(Range(r.first, r.last, "f1") for r in f1.owned.map.ranges)
             )
         )
-        f1.owned.lost()
-        f1.token, f1.shown = NEVER, f1.token
+        f1.owned.on_lease_lost()
+        f1.token, f1.shown = ZERO_TOKEN, f1.token
         await play.calm(3)
         assert (await call("GET", "/v1/map"))[1]["generation"] == 6 and has(f1) == [
             (0, TOP // 2)
@@ -439,7 +452,7 @@
                 )
             )
         ]  # so that both are written in one round
-        for more in ({}, {"token": None, "shown": f2.token.told(), "run": "other"}):
+        for more in ({}, {"token": None, "shown": f2.token.to_wire(), "run": "other"}):
             await asyncio.sleep(0.02)
             waits.append(
                 asyncio.ensure_future(
@@ -459,11 +472,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play = Play(tmp_path / "s", monkeypatch)
-    auto = AutoPlanner(Pauses(gone_us=500_000, come_us=800_000, between_us=1_000_000))
+    auto = AutoPlanner(
+        PlanDelays(
+            leave_delay_us=500_000, join_delay_us=800_000, plan_interval_us=1_000_000
+        )
+    )
 
     async def test() -> None:
-        monkeypatch.setattr(planner, "RESTS", 4)
-        await play.up("f1", "f2", plan_shards=True, auto=auto)
+        monkeypatch.setattr(planner_lease, "RETRY_AFTER_LEASES", 4)
+        await play.up("f1", "f2", plan_shards=True, auto_planner=auto)
         table = play.run.parts.fleet.table
         await play.calm(12)
         assert table.read("shard-planner").holder.startswith("list service")
@@ -477,25 +494,31 @@
 
         while (await lease("acquire", holder="op", ttl_ms=1000))[0] != 200:
             await play.calm(1)
-        token = table.read("shard-planner").token.told()
+        token = table.read("shard-planner").token.to_wire()
         for _ in range(15):
             await play.calm(1)
             assert (await lease("renew", token=token))[0] == 200
-        assert play.run.parts.maps.map is None
+        assert play.run.parts.maps.stored_map is None
         await lease("release", token=token)
-        while play.world.clock.us < play.run.parts.planner.rest_us - 200_000:
+        while play.world.clock.us < play.run.parts.planner.retry_at_us - 200_000:
             await play.calm(1)
         play.world.add(
             "f3"
         )  # asked for again, the lease lets the service divide among all
         await play.calm(5)
         maps = play.run.parts.maps
-        assert maps.map.generation == 1 and maps.map.owners() == {"f1", "f2", "f3"}
+        assert maps.stored_map.generation == 1 and maps.stored_map.owners() == {
+            "f1",
+            "f2",
+            "f3",
+        }
         del play.world.here[1:]
         await play.calm(18)
-        assert maps.map.generation == 1  # many lost at once: all stays for a lease
+        assert (
+            maps.stored_map.generation == 1
+        )  # many lost at once: all stays for a lease
         await play.calm(8)
-        assert maps.map.generation == 2 and maps.map.owners() == {"f1"}
+        assert maps.stored_map.generation == 2 and maps.stored_map.owners() == {"f1"}
         await play.run.service.stop()
 
     asyncio.run(test())
@@ -515,7 +538,7 @@
             held.append(
                 asyncio.ensure_future(play.run.call("GET", path, port=play.run.fleet))
             )
-        await until(lambda: play.run.service.figures.watches_held == 3)
+        await until(lambda: play.run.service.metrics.watches_held == 3)
         f1 = play.world.here[0]
         f1.need = (
             f1.most() + 3
@@ -531,17 +554,17 @@
         await play.run.call("PUT", "/v1/map", play.world.raw_map(1, ["f1"]))
         assert (await asyncio.wait_for(held[1], 5))[0] == 200
         watchers = Watchers()
-        monkeypatch.setattr(watch, "SLICE", 2)
+        monkeypatch.setattr(fleet_watch, "WAKE_BATCH_SIZE", 2)
         several = [watchers.add(f"f{n}") for n in range(6)]
-        watchers.changed(None)
-        watchers.changed({"f5"})
+        watchers.notify(None)
+        watchers.notify({"f5"})
         assert [f.done() for f in several] == [True, True, False, False, False, False]
         await until(lambda: any(f.done() for f in several[2:]))
         assert [f.done() for f in several] == [True, True, True, False, False, True]
         assert (
-            watchers.behind(1, "f5")
-            and not watchers.behind(1, "f4")
-            and watchers.behind(0, "f4")
+            watchers.is_behind(1, "f5")
+            and not watchers.is_behind(1, "f4")
+            and watchers.is_behind(0, "f4")
         )
         await until(lambda: all(f.done() for f in several))
         await play.run.service.stop()
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -32,11 +32,24 @@
 )
 from rainfall.dispatch.completion import MIN_RETRY_AFTER_US
 from rainfall.dispatch.idempotency import TRANSIT_SLACK_US
-from rainfall.net.client import Call, Item, Pool
-from rainfall.net.config import Address, Config, HostList, host
-from rainfall.net.engine import Clock, Engine
-from rainfall.net.store import Rules, Store, Taken
-from rainfall.wirehost import settings as read_settings
+from rainfall.forwarder.config.loading import (
+    Address,
+    Config,
+    EndpointList,
+    parse_endpoint,
+)
+from rainfall.forwarder.engine.engine import Clock, Engine
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+)
+from rainfall.forwarder.outbound.connection_pool import (
+    CallItem,
+    ConnectionPool,
+    OutboundCall,
+)
+from rainfall.wirehost import parse_settings as read_settings
 from tests.disk import Disk
 from tests.scripts import MS, S, ask, end, finals, sends, settings, started
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Platform, always
@@ -213,7 +226,7 @@
         **SETTINGS,
         "services": [{**s, "window_us": window_us} for s in SETTINGS["services"]],
     }
-    hosts = tuple(host(h) for h in platform.hosts.values())
+    hosts = tuple(parse_endpoint(h) for h in platform.hosts.values())
     return Config(
         "n",
         Address("127.0.0.1", 0),
@@ -223,7 +236,7 @@
         192,
         256,
         3_000_000,
-        HostList(1, True, hosts),
+        EndpointList(1, True, hosts),
         read_settings(made),
         ("x0", "x1"),
     )
@@ -236,7 +249,7 @@
     """Killed with a call out: it may have run when the journal says it left. The start
     reads that time, and the class it was taken on under, from the file.
     """
-    monkeypatch.setattr("rainfall.net.stopping.LISTEN_S", 0.0)
+    monkeypatch.setattr("rainfall.forwarder.engine.shutdown.ACCEPT_PERIOD_S", 0.0)
 
     async def scene() -> None:
         platform = Platform()
@@ -244,16 +257,16 @@
         peer = await Peer(always(OK)).start()
         platform.host("s1", peer.port)
         config = configured(tmp_path, platform, window)
-        store = Store(tmp_path, 3_000_000)
-        store.settle(Rules(6, config.settings.classes))
+        store = MessageStore(tmp_path, 3_000_000)
+        store.use_rules(DeliveryRules(6, config.settings.classes))
         e = Engine(config)  # for its clock
         now = e.clock()
-        e.store.let_go()
-        m = Taken("m", "order", 7, now + 50 * S, "key-m", "acme", b"hello")
-        store.take(m)
-        store.attempt(m, 0, now - ago, "s1")
+        e.store.release()
+        m = AcceptedMessage("m", "order", 7, now + 50 * S, "key-m", "acme", b"hello")
+        store.append_message(m)
+        store.append_attempt(m, 0, now - ago, "s1")
         store.flush()
-        store.let_go()  # as SIGKILL leaves it: no outcome, no end
+        store.release()  # as SIGKILL leaves it: no outcome, no end
         e = Engine(config)
         run = asyncio.create_task(e.run())
         if again:
@@ -277,8 +290,8 @@
     """
     disk = Disk()
     store = opened(disk)
-    store.take(taken("a"))
-    store.attempt(store.messages["a"], 0, 5 * S, "s1")
+    store.append_message(taken("a"))
+    store.append_attempt(store.messages["a"], 0, 5 * S, "s1")
     store.flush()
     assert store.clock is not None
     base = store.clock[0]
@@ -290,7 +303,7 @@
             and back.clock[0] == base
             and not back.report.shifted_us
         )
-        assert back.messages["a"].out == {0: (5 * S, "s1")}
+        assert back.messages["a"].in_flight == {0: (5 * S, "s1")}
 
 
 def test_the_engine_goes_by_the_clock_that_its_journal_goes_by(
@@ -300,15 +313,15 @@
         platform = Platform()
         platform.port = 9
         before = Engine(configured(tmp_path, platform, S))
-        base = before.clock.base // 1000
-        before.store.let_go()
+        base = before.clock.offset_ns // 1000
+        before.store.release()
 
         slewed = Clock()
-        slewed.base = before.clock.base - 400 * MS * 1000
-        monkeypatch.setattr("rainfall.net.engine.Clock", lambda: slewed)
+        slewed.offset_ns = before.clock.offset_ns - 400 * MS * 1000
+        monkeypatch.setattr("rainfall.forwarder.engine.engine.Clock", lambda: slewed)
         after = Engine(configured(tmp_path, platform, S))
-        assert after.clock.base // 1000 == base
-        after.store.let_go()
+        assert after.clock.offset_ns // 1000 == base
+        after.store.release()
 
     asyncio.run(scene())
 
@@ -362,9 +375,9 @@
         platform.port = 9
         platform.host("s1", 9)
         e = Engine(configured(tmp_path, platform, S))
-        e.batches["plain"] = 20
-        calls: list[CloseIdleConnections | Call | CancelAttempt] = []
-        forming: dict[tuple[int, bool], Call] = {}
+        e.batch_sizes["plain"] = 20
+        calls: list[CloseIdleConnections | OutboundCall | CancelAttempt] = []
+        forming: dict[tuple[int, bool], OutboundCall] = {}
         for name, cls, wait in (
             ("a", "status", 2 * S),
             ("b", "order", 50 * S),
@@ -372,11 +385,13 @@
             ("d", "pay", 50 * S),
             ("e", "status", 50 * S),
         ):
-            e.store.take(Taken(name, cls, 7, 50 * S, None, None, b""))
-            e.send(SendMessage(name, 1, wait), 0, forming, calls)
-        made = [c for c in calls if isinstance(c, Call)]
+            e.store.append_message(
+                AcceptedMessage(name, cls, 7, 50 * S, None, None, b"")
+            )
+            e.add_to_call(SendMessage(name, 1, wait), 0, forming, calls)
+        made = [c for c in calls if isinstance(c, OutboundCall)]
         assert [[x.id for x in c.items] for c in made] == [["a", "c", "e"], ["b", "d"]]
-        assert [min(x.until_us for x in c.items) for c in made] == [2 * S, 50 * S]
+        assert [min(x.timeout_at_us for x in c.items) for c in made] == [2 * S, 50 * S]
         e.store.close()
 
     asyncio.run(scene())
@@ -395,13 +410,15 @@
         return self.now
 
 
-def repeat(clock: Hand, window_us: int, *, beside: bool = False) -> Call:
+def repeat(clock: Hand, window_us: int, *, beside: bool = False) -> OutboundCall:
     items = [
-        Item("m", 1, "key-m", b"x", clock() + 60 * S, leave_by_us=clock() + window_us)
+        CallItem(
+            "m", 1, "key-m", b"x", clock() + 60 * S, send_before_us=clock() + window_us
+        )
     ]
     if beside:
-        items.append(Item("n", 0, "key-n", b"y", clock() + 60 * S))
-    return Call(1, (7, -1), clock(), items)
+        items.append(CallItem("n", 0, "key-n", b"y", clock() + 60 * S))
+    return OutboundCall(1, (7, -1), clock(), items)
 
 
 @pytest.mark.parametrize("beside", [False, True])
@@ -416,8 +433,8 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         clock, gate = Hand(), asyncio.Event()
-        p = Pool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p = ConnectionPool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         loop = asyncio.get_running_loop()
         dial = loop.create_connection
 
@@ -436,7 +453,7 @@
         first = next(e for e in ends if e.message_id == "m")
         assert first.outcome is Outcome.NOT_SENT
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["n"] * beside
-        assert p.out == 0 and not p.calls
+        assert p.in_flight == 0 and not p.calls
         p.close()
 
     asyncio.run(scene())
@@ -447,16 +464,16 @@
         ends: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
         clock = Hand()
-        p = Pool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p = ConnectionPool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         asked: list[int] = []
 
-        def leaves(call: Call) -> int:
+        def leaves(call: OutboundCall) -> int:
             asked.append(clock.now)
             clock.now += S  # the moment that it is held for passes
             return 1_000 if len(asked) == 1 else 0
 
-        p.leaves = leaves
+        p.acquire_permit = leaves
         p.start(repeat(clock, S))
         async with asyncio.timeout(PATIENCE):
             while not ends:
@@ -481,8 +498,8 @@
             return OK
 
         peer = await Peer(slow).start()
-        p = Pool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p = ConnectionPool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
+        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
         p.start(repeat(clock, 20 * MS))
         await peer.got(1)
         clock.now += S
@@ -509,27 +526,27 @@
         platform.port = 9
         platform.host("s1", 9)
         e = Engine(configured(tmp_path, platform, 30 * S))
-        calls: list[Call] = []
+        calls: list[OutboundCall] = []
         monkeypatch.setattr(e.pool, "start", calls.append)
         now = e.clock()
-        m = Taken("m", "order", 7, now + 50 * S, "key-m", "acme", b"")
-        e.store.take(m)
-        e.store.attempt(m, 0, now, "s1")
-        e.store.outcome(m, 0, ran)
+        m = AcceptedMessage("m", "order", 7, now + 50 * S, "key-m", "acme", b"")
+        e.store.append_message(m)
+        e.store.append_attempt(m, 0, now, "s1")
+        e.store.append_outcome(m, 0, ran)
         e.post(
             MessageRestored(
                 "m",
                 7,
                 "order",
-                m.due_us,
+                m.deadline_us,
                 attempts=1,
-                executed_at_us=m.ran_at_us,
-                executed_on=e.numbers["s1"],
+                executed_at_us=m.executed_at_us,
+                executed_on=e.endpoint_ids["s1"],
             )
         )
-        e.round()
+        e.run_round()
         (item,) = calls[0].items
-        assert item.leave_by_us == (now + 30 * S - TRANSIT_SLACK_US if bound else 0)
+        assert item.send_before_us == (now + 30 * S - TRANSIT_SLACK_US if bound else 0)
         e.store.close()
 
     asyncio.run(scene())
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -12,15 +12,15 @@
 
 import pytest
 
-from rainfall.net.engine import Engine
-from rainfall.net.room import (
-    LEAST_BYTES,
+from rainfall.forwarder.engine.capacity import (
     MESSAGE_BYTES,
-    Bound,
-    bytes_for_held,
-    memory_left,
+    MIN_HELD_BYTES,
+    CapacityBound,
+    has_memory,
+    held_message_bytes,
 )
-from rainfall.net.server import Handed
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.inbound.server import SubmittedMessage
 from tests.test_net import engine as small_engine
 
 SECONDS = 1_000_000
@@ -28,7 +28,7 @@
 
 class Client:
     def __init__(self) -> None:
-        self.left = None
+        self.on_disconnect = None
         self.answers: list[tuple[HTTPStatus, dict[str, str]]] = []
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
@@ -41,11 +41,12 @@
     """
     client = Client()
     due_us = engine.clock() + 60 * SECONDS
-    engine.hand_in(
-        Handed(name, "order", 7, due_us, None, None, None, False, b"x" * 200), client
+    engine.submit(
+        SubmittedMessage(name, "order", 7, due_us, None, None, None, False, b"x" * 200),
+        client,
     )
     if decide:
-        engine.round()
+        engine.run_round()
     if not client.answers:
         return None
     [(status, headers)] = client.answers
@@ -61,14 +62,16 @@
         most = engine.config.settings.max_open_messages
         answers = [hand_in(engine, f"m{n}", decide=False) for n in range(most + 1)]
         assert answers == [*[None] * most, HTTPStatus.SERVICE_UNAVAILABLE]
-        assert any(Bound.MESSAGES.value in r.getMessage() for r in caplog.records)
+        assert any(
+            CapacityBound.MESSAGES.value in r.getMessage() for r in caplog.records
+        )
 
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("bound", [Bound.MEMORY, Bound.DISK])
+@pytest.mark.parametrize("bound", [CapacityBound.MEMORY, CapacityBound.DISK])
 def test_past_a_bound_a_hand_in_is_refused_and_what_was_taken_on_stays(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture, bound: Bound
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, bound: CapacityBound
 ) -> None:
     async def scene() -> None:
         first = small_engine(tmp_path / "none").config
@@ -76,18 +79,18 @@
             first,
             state=tmp_path / "state",
             settings=replace(first.settings, max_open_messages=10**6, max_in_flight=1),
-            memory_mb=1 if bound is Bound.MEMORY else 10**5,
-            disk_bytes=400_000 if bound is Bound.DISK else 10**9,
+            memory_mb=1 if bound is CapacityBound.MEMORY else 10**5,
+            disk_bytes=400_000 if bound is CapacityBound.DISK else 10**9,
         )
         engine = Engine(config)
         engine.pool.start = lambda call: None  # type: ignore[method-assign]
-        most = LEAST_BYTES // MESSAGE_BYTES
+        most = MIN_HELD_BYTES // MESSAGE_BYTES
         answers = [hand_in(engine, f"m{n}") for n in range(most + 1)]
         taken = answers.count(HTTPStatus.ACCEPTED)
         assert 20 <= taken == len(engine.store.messages) <= most
         assert set(answers[taken:]) == {HTTPStatus.SERVICE_UNAVAILABLE}
         assert any(bound.value in r.getMessage() for r in caplog.records)
-        engine.store.over("m0")
+        engine.store.append_finished("m0")
         engine.store.compact()
         assert hand_in(engine, "again") is HTTPStatus.ACCEPTED
         assert {f"m{n}" for n in range(1, taken)} <= engine.store.messages.keys()
@@ -100,5 +103,8 @@
 
 
 def test_the_memory_for_held_messages_follows_the_limit() -> None:
-    assert bytes_for_held(16) == LEAST_BYTES and bytes_for_held(64) == 32_000_000
-    assert memory_left(64, 1_000, 30_200_000) and not memory_left(64, 1_001, 30_200_000)
+    assert (
+        held_message_bytes(16) == MIN_HELD_BYTES
+        and held_message_bytes(64) == 32_000_000
+    )
+    assert has_memory(64, 1_000, 30_200_000) and not has_memory(64, 1_001, 30_200_000)
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -15,19 +15,19 @@
 from measure.scale import control_config as files
 from measure.scale import control_demand as demand
 from measure.scale import control_division as division
+from measure.scale import control_fixtures as worlds
 from measure.scale import control_list as lists
 from measure.scale import control_members as members
 from measure.scale import control_shards as shards
-from measure.scale import control_worlds as worlds
-from measure.scale.__main__ import discover
-from measure.scale.control_probe import steps
+from measure.scale.__main__ import discover_measurements
+from measure.scale.process_probe import count_lines
 from measure.scale.target import FORWARDERS, ZONE_FORWARDERS
-from rainfall.budget.config import MOST_BUDGETS
-from rainfall.budget.divide import divide
-from rainfall.lease.token import Token
-from rainfall.net.config import host_list
-from rainfall.net.fleet_books import Books
-from rainfall.shard.plan import plan
+from rainfall.budget.config import MAX_BUDGETS
+from rainfall.budget.fair_share import divide
+from rainfall.forwarder.config.loading import parse_endpoint_list
+from rainfall.forwarder.fleet.quotas import FleetQuotas
+from rainfall.lease.fencing_token import Token
+from rainfall.shard.map_planning import plan_map
 
 NEARLY = 1.1
 """Over the size's own factor: bases and digits of larger numbers."""
@@ -46,7 +46,7 @@
 
 
 def test_every_measurement_of_control_is_found_and_named_once() -> None:
-    found = discover()
+    found = discover_measurements()
     for module in (lists, division, demand, members, shards, files):
         assert all(found[m.name] is m for m in module.MEASUREMENTS)
 
@@ -61,7 +61,7 @@
         registry.commit(registry.prepare({"ops": [op]}, ""))  # type: ignore[arg-type]
         return lists.change_for_watcher(registry)
 
-    assert len(host_list(json.loads(told(LARGE))).hosts) == 1
+    assert len(parse_endpoint_list(json.loads(told(LARGE))).endpoints) == 1
     grows_at_most(lambda count: len(told(count)), 0)
 
 
@@ -71,14 +71,16 @@
     def change(count: int) -> int:
         registry = worlds.registry(count)
         op = {"op": "drain", "host": worlds.endpoint(7)["host"]}
-        return steps(lambda: registry.commit(registry.prepare({"ops": [op]}, "")))  # type: ignore[arg-type]
+        return count_lines(lambda: registry.commit(registry.prepare({"ops": [op]}, "")))  # type: ignore[arg-type]
 
     assert change(SMALL) == change(LARGE)
 
 
 def test_a_whole_list_costs_a_forwarder_so_much_an_endpoint() -> None:
     grows_at_most(lambda count: len(worlds.whole_list(count)), 1)
-    grows_at_most(lambda count: steps(lambda: lists.told(worlds.whole_list(count))), 1)
+    grows_at_most(
+        lambda count: count_lines(lambda: lists.parse_list(worlds.whole_list(count))), 1
+    )
 
 
 def test_one_changed_entry_costs_a_forwarder_no_more_than_the_list_grows(
@@ -90,11 +92,13 @@
 
     async def follow(size: int) -> tuple[int, float]:
         engine = worlds.engine(tmp_path / str(size), worlds.configuration(size))
-        engine.recover()
-        engine.round()
-        written = engine.store.figures()["bytes"]
-        lines = steps(lambda: engine.listed(worlds.changed_entry(size, 7, "draining")))
-        return lines, engine.store.figures()["bytes"] - written
+        engine.restore_state()
+        engine.run_round()
+        written = engine.store.metrics()["bytes"]
+        lines = count_lines(
+            lambda: engine.on_endpoint_list(worlds.changed_entry(size, 7, "draining"))
+        )
+        return lines, engine.store.metrics()["bytes"] - written
 
     grows_at_most(lambda size: asyncio.run(follow(size))[0], 1, 100, 300)
     grows_at_most(lambda size: asyncio.run(follow(size))[1], 1, 100, 300)
@@ -106,35 +110,38 @@
 def test_each_budget_named_adds_a_fixed_number_of_bytes_to_a_beat_and_its_answer() -> (
     None
 ):
-    def named(budgets: int) -> Books:
-        books = demand.told_books(budgets)
+    def named(budgets: int) -> FleetQuotas:
+        books = demand.books_with_shares(budgets)
         for destination in range(budgets):
-            books.wanted(destination, "status/acme", demand.NOW_US)
+            books.record_demand(destination, "status/acme", demand.NOW_US)
         return books
 
-    assert len(demand.beat_part(named(1_000))) <= 1_000 * BEAT_BYTES
-    assert len(demand.answer(1_000)) <= 1_000 * ANSWER_BYTES
-    grows_at_most(lambda budgets: len(demand.beat_part(named(budgets))), 1)
+    assert len(demand.heartbeat_part(named(1_000))) <= 1_000 * BEAT_BYTES
+    assert len(demand.encoded_answer(1_000)) <= 1_000 * ANSWER_BYTES
+    grows_at_most(lambda budgets: len(demand.heartbeat_part(named(budgets))), 1)
     grows_at_most(
-        lambda budgets: steps(lambda: demand.beat_part(named(budgets))), 1, 20, 200
+        lambda budgets: count_lines(lambda: demand.heartbeat_part(named(budgets))),
+        1,
+        20,
+        200,
     )
 
 
 def test_demand_without_budgets_is_told_of_so_many_destinations_at_most() -> None:
     def told(destinations: int) -> int:
-        books = Books((), worlds.DRIFT, {}, 0)
+        books = FleetQuotas((), worlds.DRIFT, {}, 0)
         for destination in range(destinations):
-            books.wanted(destination, "status", demand.NOW_US)
+            books.record_demand(destination, "status", demand.NOW_US)
         return len(books.needs({}, demand.NOW_US))
 
-    assert (told(MOST_BUDGETS), told(2 * MOST_BUDGETS)) == (MOST_BUDGETS, MOST_BUDGETS)
+    assert (told(MAX_BUDGETS), told(2 * MAX_BUDGETS)) == (MAX_BUDGETS, MAX_BUDGETS)
 
 
 def test_one_division_looks_at_each_member_a_fixed_number_of_times() -> None:
     def lines(count: int) -> int:
         needs = division.needs(count, 1)
         floors = dict.fromkeys(needs, 1)
-        return steps(
+        return count_lines(
             lambda: divide(count * 6, needs, {"gold": 3}, floors, 1, {}, count // 3)
         )
 
@@ -145,11 +152,11 @@
     None
 ):
     def at_rest(count: int, budgets: int) -> tuple[int, int]:
-        ledger = division.ledger(count, budgets)
+        ledger = division.build_ledger(count, budgets)
         now_us = division.settle(ledger, 0)
         token: Token = worlds.token(0)
-        return steps(lambda: ledger.plan(now_us)), steps(
-            lambda: ledger.beat(token, {}, {}, now_us)
+        return count_lines(lambda: ledger.plan(now_us)), count_lines(
+            lambda: ledger.heartbeat(token, {}, {}, now_us)
         )
 
     grows_at_most(lambda count: at_rest(count, 1)[0], 1, 10, 100)
@@ -166,11 +173,12 @@
         roster = worlds.roster(count)
         member = roster.members[worlds.member(7)]
         now_us = (
-            roster.table.leases["member/" + member.name].until_us - worlds.LEASE_US // 2
+            roster.table.leases["member/" + member.name].expires_at_us
+            - worlds.LEASE_US // 2
         )
-        made = roster.beat(now_us, member.name, member.token)
+        made = roster.heartbeat(now_us, member.name, member.token)
         assert made.record is None  # type: ignore[union-attr]
-        return steps(lambda: roster.beat(now_us, member.name, member.token))
+        return count_lines(lambda: roster.heartbeat(now_us, member.name, member.token))
 
     assert beat(30) == beat(FORWARDERS)
 
@@ -178,7 +186,9 @@
 def test_one_more_member_is_told_and_logged_by_itself() -> None:
     def told(count: int) -> int:
         roster = worlds.roster(count)
-        return len(msgspec.json.encode(roster.owed(roster.version - 1, roster.epoch)))
+        return len(
+            msgspec.json.encode(roster.changes_since(roster.version - 1, roster.epoch))
+        )
 
     grows_at_most(told, 0, 30, FORWARDERS)
     grows_at_most(
@@ -190,9 +200,9 @@
     def lines(count: int) -> int:
         folder = tmp_path / str(count)
         folder.mkdir()
-        log = members.book(folder)
-        log.rewrite({members.LEASE: worlds.roster(count).table.snapshot()})
-        return steps(lambda: members.recover(folder))
+        log = members.open_fleet_log(folder)
+        log.compact({members.LEASE_TABLE: worlds.roster(count).table.snapshot()})
+        return count_lines(lambda: members.recover(folder))
 
     grows_at_most(lines, 1, 30, 300)
 
@@ -202,7 +212,7 @@
 
 def test_members_that_come_or_go_move_their_own_part_alone() -> None:
     for joined, left in ((1, 0), (0, 1), (ZONE_FORWARDERS, 0), (0, ZONE_FORWARDERS)):
-        found = shards.moved(FORWARDERS - joined, joined, left)
+        found = shards.measure_move(FORWARDERS - joined, joined, left)
         assert found["above_least"] == 0
         assert found["moved"] == pytest.approx((joined + left) / FORWARDERS)
         assert found["ranges"] <= 2 * FORWARDERS
@@ -210,7 +220,7 @@
 
 def test_a_beat_tells_a_member_its_own_ranges_whoever_else_there_is() -> None:
     grows_at_most(
-        lambda count: shards.told_bytes(shards.even(count), worlds.member(7)),
+        lambda count: shards.told_bytes(shards.even_map(count), worlds.member(7)),
         0,
         30,
         FORWARDERS,
@@ -219,9 +229,9 @@
 
 def test_a_plan_grows_with_its_owners_no_faster_than_they_do() -> None:
     def lines(count: int) -> int:
-        base = shards.even(count)
+        base = shards.even_map(count)
         after = {worlds.member(n): 1.0 for n in range(count + 1)}
-        return steps(lambda: plan(after, base))
+        return count_lines(lambda: plan_map(after, base))
 
     grows_at_most(lines, 1, 30, 300)
 
@@ -233,13 +243,15 @@
     tmp_path: Path,
 ) -> None:
     def lines(budgets: int, peers: int) -> int:
-        told = worlds.configuration(10, worlds.fleet_part(budgets, peers))
-        return steps(lambda: worlds.config(tmp_path, told))
+        told = worlds.configuration(10, worlds.fleet_section(budgets, peers))
+        return count_lines(lambda: worlds.config(tmp_path, told))
 
     grows_at_most(lambda peers: lines(0, peers), 1, 20, 200)
     grows_at_most(lambda budgets: lines(budgets, 0), 2, 20, 200)
 
 
 def test_an_apply_is_taken_whole_by_the_measurement(tmp_path: Path) -> None:
-    found = files.file_once(worlds.configuration(10, worlds.fleet_part(budgets=5)))
+    found = files.measure_file(
+        worlds.configuration(10, worlds.fleet_section(budgets=5))
+    )
     assert found["bytes"] > 0 < found["apply_ms"]
--- a/tests/test_scale_frame.py
+++ b/tests/test_scale_frame.py
@@ -8,10 +8,10 @@
 import pytest
 
 from measure.scale import page, results
-from measure.scale.__main__ import discover, main
+from measure.scale.__main__ import discover_measurements, main
 from measure.scale.fit import Shape, fit
 from measure.scale.growth import expected_s, grow, sizes_by
-from measure.scale.needs import Kind, Need, Source, answer
+from measure.scale.needs import Kind, Need, Source, evaluate_need
 from measure.scale.results import Entry, Origin, Point, Series
 from measure.scale.target import Role
 
@@ -45,8 +45,8 @@
     assert found.shape is shape
     at_target = found.at(1_000_000)
     assert at_target.middle == pytest.approx(of(1_000_000), rel=0.1)
-    assert at_target.least < at_target.middle < at_target.most
-    assert found.slope.least < found.slope.middle < found.slope.most
+    assert at_target.lowest < at_target.middle < at_target.highest
+    assert found.slope.lowest < found.slope.middle < found.slope.highest
 
 
 def test_fit_names_no_shape_where_none_is_plain() -> None:
@@ -63,7 +63,7 @@
     whole = grow(
         sizes_by(10, 10, 500), lambda n: {"twice": 2.0 * n}, told.append, repeats=2
     )
-    assert [point.size for point in whole.of("twice")] == [10, 100, 500]
+    assert [point.size for point in whole.points_of("twice")] == [10, 100, 500]
     assert whole.bound == "largest size wanted" and len(told) == 3
     held = grow(
         (1, 2, 3),
@@ -72,7 +72,7 @@
         repeats=1,
         memory=lambda run: run["bytes"],
     )
-    assert len(held.of("bytes")) == 1 and held.bound.startswith("memory: size 2")
+    assert len(held.points_of("bytes")) == 1 and held.bound.startswith("memory: size 2")
     assert expected_s(15.5, 15.0, 10.0) == pytest.approx(
         20.5
     )  # what every size takes does not grow
@@ -85,18 +85,18 @@
     first, other = (
         Entry(name, ORIGIN, (series(float, name),)) for name in ("first", "other")
     )
-    results.merge([first, other], path)
+    results.merge_entries([first, other], path)
     again = Entry("first", ORIGIN, (series(lambda n: 5.0, "first"),))
-    results.merge([again], path)
-    assert results.load(path) == {"first": again, "other": other}
-    found = results.find(results.load(path), "other")
+    results.merge_entries([again], path)
+    assert results.load_entries(path) == {"first": again, "other": other}
+    found = results.find_series(results.load_entries(path), "other")
     assert found and found.series == other.series[0] and found.origin == ORIGIN
 
 
 def test_measurements_are_found_and_named(capsys: pytest.CaptureFixture[str]) -> None:
     main(["--list"])
     listed = capsys.readouterr().out.splitlines()
-    assert [line.split(":")[0] for line in listed] == list(discover())
+    assert [line.split(":")[0] for line in listed] == list(discover_measurements())
     with pytest.raises(SystemExit):
         main(["no such measurement"])
 
@@ -104,7 +104,7 @@
 def test_the_page_has_what_the_results_give() -> None:
     text = page.PAGE.read_text()
     assert {block["name"] for block in page.BLOCK.finditer(text)} == set(page.TABLES)
-    assert page.filled(text, results.load()) == text, (
+    assert page.fill_tables(text, results.load_entries()) == text, (
         "python -m measure.scale.page writes it anew"
     )
 
@@ -129,11 +129,11 @@
         "beats",
         4.0,
     )
-    found = answer(need, entries)
+    found = evaluate_need(need, entries)
     assert found.value and found.value.middle == pytest.approx(2e7)
     assert found.ratio == pytest.approx(2.0)
-    assert page.grounds(found) == "10 x past the range; linear, assumed to go on"
-    assert answer(need, {}).ratio is None  # not measured is no ratio
+    assert page.format_grounds(found) == "10 x past the range; linear, assumed to go on"
+    assert evaluate_need(need, {}).ratio is None  # not measured is no ratio
 
 
 def test_a_shape_that_is_not_plain_is_read_between_its_points() -> None:
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -24,17 +24,18 @@
 )
 from measure.scale.hollow_peaks import STEP_NS, peaks
 from measure.scale.hollow_process import Sample, is_alive
-from rainfall.lease.holder import Holder
-from rainfall.lease.table import Grant, Table
-from rainfall.lease.terms import Terms
-from rainfall.lease.token import Token
+from rainfall.forwarder.config import fleet_config
+from rainfall.forwarder.config.loading import Address
+from rainfall.forwarder.discovery import endpoint_watch
+from rainfall.forwarder.fleet.heartbeat_messages import encode_heartbeat
+from rainfall.forwarder.fleet.quotas import FleetQuotas
+from rainfall.lease.fencing_token import Token
+from rainfall.lease.holder import LeaseHolder
+from rainfall.lease.table import LeaseGrant, LeaseTable
+from rainfall.lease.types import LeaseSettings
 from rainfall.member.roster import Member, Roster
-from rainfall.net import discovery, fleet_config
-from rainfall.net.config import Address
-from rainfall.net.fleet_beat import body
-from rainfall.net.fleet_books import Books
-from rainfall.registry.budgets import Budgets
-from rainfall.registry.watch import Watchers
+from rainfall.registry.budget_extension import BudgetExtension
+from rainfall.registry.fleet_watch import Watchers
 from tests.test_registry_bounds import Clock, Run, play, until
 from tests.test_registry_fleet import beat, lead
 
@@ -124,9 +125,9 @@
     """
 
     def __init__(self, members: int, budgets: int) -> None:
-        self.service, self.now_us = Budgets(LEASE_US, 0.02), 10 * SECOND_US
-        self.service.lifted(1)
-        self.service.restored(0, True, None, [])
+        self.service, self.now_us = BudgetExtension(LEASE_US, 0.02), 10 * SECOND_US
+        self.service.epoch_raised(1)
+        self.service.restore(0, True, None, [])
         raw = [
             {
                 "destination": str(number),
@@ -137,14 +138,15 @@
             }
             for number in range(budgets)
         ]
-        self.commit(self.service.configured(0, raw, "file"))
-        self.commit(self.service.forget(0, None))
+        self.commit(self.service.config_rows(0, raw, "file"))
+        self.commit(self.service.confirm_processes(0, None))
         self.needs = {str(number): {"order": 2} for number in range(budgets)}
         self.members = {
-            Token(1, number + 1): Books((), 0.02, {}, 0) for number in range(members)
+            Token(1, number + 1): FleetQuotas((), 0.02, {}, 0)
+            for number in range(members)
         }
         for token in self.members:
-            self.service.joined(0, f"member-{token.number}", token, None)
+            self.service.member_joined(0, f"member-{token.number}", token, None)
         for _ in range(12):
             self.turn()
 
@@ -161,31 +163,31 @@
 
     def beat(self, token: Token) -> int:
         """Bytes of one beat's body and of the budgets in its answer."""
-        books, holder = self.members[token], Holder(LEASE_US, 0.02, lambda: 0.5)
-        holder.token = holder.seen = token
-        config = fleet_config.read(
+        books, holder = self.members[token], LeaseHolder(LEASE_US, 0.02, lambda: 0.5)
+        holder.token = holder.highest_seen = token
+        config = fleet_config.parse_fleet(
             {"service": "127.0.0.1:1", "site": "zone-0"}, f"member-{token.number}"
         )
-        sent = body(
+        sent = encode_heartbeat(
             config,
             "127.0.0.1:1",
             "0" * 16,
-            holder.asked(self.now_us),
+            holder.start_request(self.now_us),
             self.needs,
-            {"list": [1, 1], "holds": books.holds(token)},
+            {"list": [1, 1], "holds": books.held_shares(token)},
         )
-        heard = self.service.heard(
+        heard = self.service.handle_heartbeat(
             self.now_us,
             self.now_us + LEASE_US,
             config.name,
             token,
             msgspec.json.decode(sent),
         )
-        told = heard.tell()
+        told = heard.answer_fields()
         shares = {
             int(destination): share for destination, share in told["shares"].items()
         }
-        books.told(token, shares, self.now_us + LEASE_US, self.now_us)
+        books.apply_shares(token, shares, self.now_us + LEASE_US, self.now_us)
         return len(sent) + len(msgspec.json.encode(told))
 
 
@@ -231,77 +233,87 @@
     for budgets in (10, 100):
         fleet = BudgetFleet(4, budgets)
         token = Token(1, 1)
-        said = {"needs": fleet.needs, "holds": fleet.members[token].holds(token)}
+        said = {"needs": fleet.needs, "holds": fleet.members[token].held_shares(token)}
         hear = partial(
-            fleet.service.heard,
+            fleet.service.handle_heartbeat,
             fleet.now_us,
             fleet.now_us + LEASE_US,
             "member-1",
             token,
         )
-        assert not hear(said).plan
+        assert not hear(said).plan_soon
         again = function_calls(partial(hear, said))
         assert again <= CALLS_A_BUDGET * budgets + CALLS_A_BEAT, again
-        raw = [*fleet.service.raw, {**fleet.service.raw[0], "destination": "new"}]
-        fleet.commit(fleet.service.configured(fleet.now_us, raw, "file"))
-        assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan
+        raw = [
+            *fleet.service.raw_budgets,
+            {**fleet.service.raw_budgets[0], "destination": "new"},
+        ]
+        fleet.commit(fleet.service.config_rows(fleet.now_us, raw, "file"))
+        assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan_soon
         fleet.commit(
-            fleet.service.configured(fleet.now_us, fleet.service.raw[:-1], "file")
+            fleet.service.config_rows(
+                fleet.now_us, fleet.service.raw_budgets[:-1], "file"
+            )
         )
-        fleet.commit(fleet.service.configured(fleet.now_us, raw, "file"))
-        assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan, (
+        fleet.commit(fleet.service.config_rows(fleet.now_us, raw, "file"))
+        assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan_soon, (
             "the budget that came back hears it"
         )
-        assert fleet.service.ledger.books["new"].accounts[token].work() == 5
+        assert (
+            fleet.service.ledger.budget_accounts["new"].accounts[token].total_demand()
+            == 5
+        )
 
 
 def test_a_new_configuration_of_budgets_concerns_every_member_and_a_share_its_own() -> (
     None
 ):
     service = BudgetFleet(4, 1).service
-    longer = [{**service.raw[0], "span_ms": 2_000}]
-    rows = service.configured(0, longer, "file")
-    assert [service.concerns(row) for row in rows] == [None]
+    longer = [{**service.raw_budgets[0], "span_ms": 2_000}]
+    rows = service.config_rows(0, longer, "file")
+    assert [service.concerned_members(row) for row in rows] == [None]
     grant = ["0", "member-1", [1, 1], 9, 5, 1]
-    assert service.concerns({"budgets": 9, "grants": [grant], "ends": []}) == {
+    assert service.concerned_members({"budgets": 9, "grants": [grant], "ends": []}) == {
         "member-1"
     }
 
 
 def test_one_change_tells_one_entry_to_one_watcher_at_any_size() -> None:
     for members in (10, 300):
-        table = Table(Terms())
+        table = LeaseTable(LeaseSettings())
         roster = Roster(table, LEASE_US)
         table.commit(table.start(0, True))
-        roster.started(0)
+        roster.on_started(0)
         for number in range(members):
             made = roster.join(
                 AFTER_START_US, f"member-{number}", "zone-0", "h:1", f"run-{number}"
             )
-            assert isinstance(made, Grant) and made.record is not None
+            assert isinstance(made, LeaseGrant) and made.record is not None
             roster.commit(made.record)
         before, epoch = roster.version, roster.epoch
         roster.commit(
             roster.leave(AFTER_START_US, "member-7", roster.members["member-7"].token)
         )
-        whole, told = roster.owed_members(before, epoch)
+        whole, told = roster.members_changed_since(before, epoch)
         assert not whole and [member.name for member in told] == ["member-7"]
-        assert roster.owed_members(roster.version, epoch) == (False, [])
+        assert roster.members_changed_since(roster.version, epoch) == (False, [])
         watchers = Watchers()
-        watchers.began(1)
-        watchers.changed({"member-7"})
+        watchers.start_at(1)
+        watchers.notify({"member-7"})
         names = [f"member-{number}" for number in range(members)]
-        assert [name for name in names if watchers.behind(1, name)] == ["member-7"]
-        assert watchers.behind(1), "one that names no member is woken by every change"
+        assert [name for name in names if watchers.is_behind(1, name)] == ["member-7"]
+        assert watchers.is_behind(1), (
+            "one that names no member is woken by every change"
+        )
 
 
 def test_members_that_join_are_told_of_all_but_each_is_encoded_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, members, encoded = Clock(), 30, list[str]()
-    told_of = Member.told
+    told_of = Member.to_wire
     monkeypatch.setattr(
-        Member, "told", lambda member: encoded.append(member.name) or told_of(member)
+        Member, "to_wire", lambda member: encoded.append(member.name) or told_of(member)
     )
 
     async def run(service: Run) -> None:
@@ -321,7 +333,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = Clock()
-    monkeypatch.setattr(discovery, "Channel", CountedChannel)
+    monkeypatch.setattr(endpoint_watch, "HttpConnection", CountedChannel)
     for counted in ("calls", "sent", "received"):
         monkeypatch.setattr(CountedChannel, counted, Counter())
 
@@ -335,11 +347,11 @@
         try:
             await until(lambda: is_alive(member) and member.list_version >= 0)
             assert service.service.fleet.roster.members["member-0"].state == "alive"
-            waiting = member.fleet.waiting()
+            waiting = member.fleet.unsent_demand()
             assert waiting == {7: Counter({"order": 3})}
         finally:
             member.kill()
-        assert CountedChannel.calls[Call.BEAT] == member.fleet.counts["beats"]
+        assert CountedChannel.calls[Call.BEAT] == member.fleet.heartbeat_counts["beats"]
         for call in (Call.BEAT, Call.LIST):
             assert 0 < CountedChannel.sent[call] and 0 < CountedChannel.received[call]
 
--- a/tests/test_scale_messages.py
+++ b/tests/test_scale_messages.py
@@ -7,16 +7,16 @@
 import pytest
 
 from measure.scale import journal_growth
-from measure.scale.message_traffic import SECOND, Traffic
-from rainfall.journal.format import MOST_RECORD, scan
-from rainfall.net.store import Store
+from measure.scale.message_traffic import SECOND_US, Traffic
+from rainfall.forwarder.message_store import MessageStore
+from rainfall.journal.format import MAX_RECORD_BYTES, scan
 
 FEW, MANY = 500, 4_000
 NEAR = 0.05  # of the bytes: names and numbers grow by a digit
 
 
 def test_a_message_costs_as_many_bytes_beside_many_live_ones_as_beside_few() -> None:
-    few, many = (journal_growth.passing(live)["bytes"] for live in (FEW, MANY))
+    few, many = (journal_growth.measure_passing(live)["bytes"] for live in (FEW, MANY))
     assert many == pytest.approx(few, rel=NEAR)
 
 
@@ -26,7 +26,7 @@
     sizes: dict[int, int] = {}
     beside: dict[int, int] = {}
     for live in (FEW, MANY):
-        store = journal_growth.filled(tmp_path / str(live), live)
+        store = journal_growth.filled_store(tmp_path / str(live), live)
         store.compact()
         sizes[live] = store.size
         store.close()
@@ -36,14 +36,15 @@
 
 
 def test_a_rewriting_waits_until_three_times_what_lives_was_written() -> None:
-    written = journal_growth.passing(MANY)["bytes"]
-    alone = journal_growth.passing(1)["bytes"]
+    written = journal_growth.measure_passing(MANY)["bytes"]
+    alone = journal_growth.measure_passing(1)["bytes"]
     assert written <= alone * 4 / 3
 
 
 def test_a_change_of_the_list_writes_one_endpoint_and_not_the_list() -> None:
     few, many = (
-        journal_growth.list_changes(endpoints)["bytes"] for endpoints in (FEW, MANY)
+        journal_growth.measure_list_changes(endpoints)["bytes"]
+        for endpoints in (FEW, MANY)
     )
     assert many == pytest.approx(few, rel=NEAR)
 
@@ -52,16 +53,16 @@
     hosts = {
         str(told["host"]): told for told in map(journal_growth.endpoint, range(10_000))
     }
-    store = journal_growth.opened(tmp_path)
-    store.list(1, hosts, journal_growth.NOW_US, "127.0.0.1:1")
+    store = journal_growth.open_store(tmp_path)
+    store.append_endpoint_list(1, hosts, journal_growth.NOW_US, "127.0.0.1:1")
     store.close()
-    assert store.list_size <= MOST_RECORD
-    again = Store(tmp_path, journal_growth.DISK_BYTES, write=False)
+    assert store.list_bytes <= MAX_RECORD_BYTES
+    again = MessageStore(tmp_path, journal_growth.DISK_BYTES, write=False)
     assert again.hosts == hosts and not again.report.damaged
 
 
 def test_simulated_traffic_keeps_every_held_message() -> None:
     traffic = Traffic(100, down=range(3))
     traffic.hold(600)
-    spent = traffic.run(SECOND // 2, 60.0, SECOND // 2)
-    assert not traffic.ended and spent.events > 900
+    spent = traffic.run(SECOND_US // 2, 60.0, SECOND_US // 2)
+    assert not traffic.outcomes and spent.events > 900
