--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -15,15 +15,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainfall.explore.search import explore
+from rainfall.model_checker.search import explore
 from rainfall.peer import frames
-from rainfall.session import choose, giver, table, taker
+from rainfall.session import (
+    config,
+    migration_policy,
+    migration_source,
+    migration_target,
+)
+from rainfall.session import protocol as w
 from rainfall.session import states as s
-from rainfall.session import words as w
-from rainfall.session.arbiter import KEPT_US, Arbiter
-from rainfall.session.desk import Desk
-from rainfall.session.model import BUGS, Sessions
-from rainfall.session.where import Where
+from rainfall.session.arbiter import DECISION_RETENTION_US, Arbiter
+from rainfall.session.migration_manager import MigrationManager
+from rainfall.session.model import MUTATIONS, SessionMigrationModel
+from rainfall.session.session_directory import SessionDirectory
 
 PAGE = Path(__file__).resolve().parent.parent / "docs/parts/session.md"
 LIMITS = s.Limits()
@@ -32,7 +37,9 @@
 # The tables on the design page are the ones that run
 
 
-@pytest.mark.parametrize("title, core", [("## Giver", giver), ("## Taker", taker)])
+@pytest.mark.parametrize(
+    "title, core", [("## Giver", migration_source), ("## Taker", migration_target)]
+)
 def test_every_event_in_every_state_is_as_the_page_says(title: str, core: Any) -> None:
     part = PAGE.read_text().split(title)[1].split("\n## ")[0]
     lines = re.findall(r"^\|.*\|$", part, re.M)
@@ -45,7 +52,7 @@
     }
     built = {
         (event.__name__, state.value): handler.__name__
-        for state, events in core.TABLE.items()
+        for state, events in core.TRANSITIONS.items()
         for event, handler in events.items()
     }
     assert {pair: cell for pair, cell in told.items() if cell != "-"} == built
@@ -59,20 +66,20 @@
     "t hears Offer",
     "g hears Accept",
     "g is quiet",
-    "g: kept Sealed",
-    "t hears Copy",
-    "t: kept Stored",
-    "g hears Copied (1, 1)",
-    "g: kept Committed",
+    "g: kept SealedRecord",
+    "t hears CopyPart",
+    "t: kept StoredRecord",
+    "g hears CopyStored (1, 1)",
+    "g: kept CommittedRecord",
 )
 TAIL = (
     *PART,
     "t hears Commit (1, 1)",
-    "t: kept Began",
-    "g hears Begun",
-    "g: kept Gone",
-    "t hears Closed",
-    "t: kept Shut",
+    "t: kept ActivatedRecord",
+    "g hears Activated",
+    "g: kept ReleasedRecord",
+    "t hears Released",
+    "t: kept FinalizedRecord",
 )
 
 
@@ -134,8 +141,8 @@
     """One owner, no message lost, sent twice or overtaken, and from each state it ends
     whole at one side.
     """
-    found = explore(Sessions(**counts), 80, 20_000)
-    assert not found.why, found.trace
+    found = explore(SessionMigrationModel(**counts), 80, 20_000)
+    assert not found.violation, found.trace
     assert found.complete and found.states >= states
 
 
@@ -162,13 +169,13 @@
 """Where each shows, with the least that has to go wrong."""
 
 
-@pytest.mark.parametrize("bug", BUGS)
+@pytest.mark.parametrize("bug", MUTATIONS)
 def test_planted_bug_is_found(bug: str) -> None:
-    found = explore(Sessions(bug, **PLANTED[bug]), 60, 20_000)
-    assert found.why and found.trace
-    assert not explore(Sessions(**PLANTED[bug]), len(found.trace), 20_000).why, (
-        "it is the bug that is found"
-    )
+    found = explore(SessionMigrationModel(bug, **PLANTED[bug]), 60, 20_000)
+    assert found.violation and found.trace
+    assert not explore(
+        SessionMigrationModel(**PLANTED[bug]), len(found.trace), 20_000
+    ).violation, "it is the bug that is found"
 
 
 # Long play: many sessions, several forwarders, real frames, time, restarts
@@ -178,7 +185,7 @@
 class Line:
     runs: bool = False
     freezing: bool = False
-    queue: list[tuple[w.Item, bool]] = field(default_factory=list)
+    queue: list[tuple[w.TransferredMessage, bool]] = field(default_factory=list)
     out: str = ""
     memory: tuple[str, ...] = ()
 
@@ -186,7 +193,7 @@
 @dataclass
 class Node:
     name: str
-    desk: Desk
+    desk: MigrationManager
     lines: dict[str, Line] = field(default_factory=dict)
     disk: list[w.Record] = field(default_factory=list)
     unseen: list[w.Record] = field(default_factory=list)
@@ -209,7 +216,7 @@
         self.order = itertools.count()
         limits = replace(LIMITS, least_left_us=400_000, tail_us=2_000_000, drift=0.02)
         self.limits = limits
-        self.nodes = {n: Node(n, Desk(n, limits, (1, 1))) for n in "abc"}
+        self.nodes = {n: Node(n, MigrationManager(n, limits, (1, 1))) for n in "abc"}
         self.arbiter = Arbiter(1, lambda n: self.nodes[n].held)
         self.sent: dict[str, list[int]] = {f"k{k}": [] for k in range(keys)}
         self.ends: dict[str, str] = {}
@@ -236,7 +243,7 @@
                     for n, x in self.nodes.items()
                     if x.alive
                     and x.held
-                    and x.desk.life
+                    and x.desk.lease_token
                     and x.lines.get(key, Line()).runs
                 ]
                 assert len(acting) <= 1, f"{key}: {acting} act"
@@ -253,8 +260,8 @@
             self.start(n)
         elif chance < 0.08:
             self.die(n)
-        elif chance < 0.15 and x.desk.life:
-            self.do(n, x.desk.lease(None, self.now))
+        elif chance < 0.15 and x.desk.lease_token:
+            self.do(n, x.desk.set_lease(None, self.now))
             self.at(100_000, lambda life=x.life: self.lose(n, life))
             self.at(
                 self.random.choice([60_000, 900_000]),
@@ -262,14 +269,21 @@
             )
         else:
             mine = [
-                k for k, line in x.lines.items() if line.runs and k not in x.desk.keys
+                k
+                for k, line in x.lines.items()
+                if line.runs and k not in x.desk.migration_by_key
             ]
-            if mine and x.desk.life:
+            if mine and x.desk.lease_token:
                 to, key = (
                     self.random.choice([o for o in "abc" if o != n]),
                     self.random.choice(mine),
                 )
-                self.do(n, x.desk.give(key, to, "", "", 1, s.Give(9, 90_000), self.now))
+                self.do(
+                    n,
+                    x.desk.start_migration(
+                        key, to, "", "", 1, s.StartMigration(9, 90_000), self.now
+                    ),
+                )
         self.at(self.random.randrange(10_000, 200_000), self.mischief)
 
     def tick(self, n: str) -> None:
@@ -283,7 +297,9 @@
     def work(self, n: str, key: str) -> None:
         x, line = self.nodes[n], self.nodes[n].lines[key]
         for item, _ in [
-            q for q in line.queue if q[0].due_us <= self.now and q[0].id != line.out
+            q
+            for q in line.queue
+            if q[0].deadline_us <= self.now and q[0].id != line.out
         ]:
             self.end(n, key, item.id, "failed")
         if line.freezing and not line.out:
@@ -292,12 +308,16 @@
                 replace_ran(i, self.now) if ran else i for i, ran in line.queue
             )
             self.do(
-                n, x.desk.to_session(key, s.Quiet(items, line.memory), self.now) or []
+                n,
+                x.desk.handle_session_event(
+                    key, s.SessionQuiesced(items, line.memory), self.now
+                )
+                or [],
             )
-        if not (line.runs and x.desk.life and line.queue and not line.out):
+        if not (line.runs and x.desk.lease_token and line.queue and not line.out):
             return
         item, ran = line.queue[0]
-        if ran or item.ran_us is not None:
+        if ran or item.executed_at_us is not None:
             self.end(n, key, item.id, "failed")
             return
         assert item.id not in self.ends, f"{item.id} is sent by {n} after its end"
@@ -328,25 +348,30 @@
             return
         name, n = f"{key}.{number}", self.random.choice("abc")
         x = self.nodes[n]
-        item = w.Item(
+        item = w.TransferredMessage(
             name, "m", 1, self.now + 3_000_000, bytes(self.random.choice([10, 30_000]))
         )
         if not x.alive:
             self.at(50_000, lambda: self.hand_in(key, number))
             return
         self.client[key], self.at_node[key] = (number, name), n
-        done = x.desk.to_session(key, s.Arrived(item, self.now), self.now)
-        if done is None and x.desk.life and x.lines.get(key, Line()).runs:
-            done = [(key, s.Take(item))]
+        done = x.desk.handle_session_event(
+            key, s.MessageArrived(item, self.now), self.now
+        )
+        if done is None and x.desk.lease_token and x.lines.get(key, Line()).runs:
+            done = [(key, s.AcceptMessage(item))]
         self.at(400_000, lambda mine=self.client[key]: self.give_up(n, key, mine))
-        self.do(n, [(key, s.Refuse(name, 0))] if done is None else done)
+        self.do(n, [(key, s.RejectMessage(name, 0))] if done is None else done)
 
     def give_up(self, n: str, key: str, mine: tuple[int, str]) -> None:
         if self.client.get(key) is mine:
             if self.nodes[n].alive:
                 self.do(
                     n,
-                    self.nodes[n].desk.to_session(key, s.Left(mine[1]), self.now) or [],
+                    self.nodes[n].desk.handle_session_event(
+                        key, s.ClientDisconnected(mine[1]), self.now
+                    )
+                    or [],
                 )
             self.answer(key, mine[1], None)
 
@@ -372,12 +397,12 @@
             match action:
                 case s.Send(frame):
                     self.send(n, frame)
-                case s.Journal(record):
+                case s.PersistRecord(record):
                     self.at(
                         self.random.randrange(1_000, 30_000),
                         lambda r=record, start=x.start: self.written(n, r, start),
                     )
-                case s.Ask() | s.Confirm():
+                case s.AskArbiter() | s.ConfirmVerdict():
                     if self.random.random() < 0.8:
                         slow = self.random.randrange(2_000, 300_000)
                         self.at(slow, lambda a=action: self.ask(n, a))
@@ -389,37 +414,43 @@
                     line.runs = False
                 case s.Resume():
                     line.runs, line.freezing = True, False
-                case s.Begin(items, memory):
-                    line.queue += [(i, i.ran_us is not None) for i in items]
+                case s.ImportSession(items, memory):
+                    line.queue += [(i, i.executed_at_us is not None) for i in items]
                     line.memory = memory
-                case s.LetGo():
+                case s.ReleaseSession():
                     line.queue = []
                 case s.FailAll():
                     for item, _ in list(line.queue):
                         self.end(n, key, item.id, "failed")
-                case s.Fail(name):
+                case s.FailMessage(name):
                     self.ends.setdefault(name, "failed")
-                case s.Take(item, answer):
+                case s.AcceptMessage(item, answer):
                     line.queue.append((item, False))
                     if answer:
                         self.answer(key, item.id, True)
-                case s.Answer(name):
+                case s.AnswerAccepted(name):
                     self.answer(key, name, True)
-                case s.Refuse(name):
+                case s.RejectMessage(name):
                     self.answer(key, name, False)
-                case s.Tail():
+                case s.StartTail():
                     self.at(300_000, lambda key=key: self.tail_over(n, key))
 
     def tail_over(self, n: str, key: str) -> None:
         if self.nodes[n].alive:
-            self.do(n, self.nodes[n].desk.to_session(key, s.TailOver(), self.now) or [])
+            self.do(
+                n,
+                self.nodes[n].desk.handle_session_event(
+                    key, s.ConnectionsClosed(), self.now
+                )
+                or [],
+            )
 
     def send(self, n: str, frame: w.Frame) -> None:
         data = frames.encode(frame)
-        names = [frame.hand.giver]
+        names = [frame.migration_id.source]
         if names == [n]:
-            core = self.nodes[n].desk.giving.get(frame.hand)
-            names = [core.taker] if core else [o for o in "abc" if o != n]
+            core = self.nodes[n].desk.outgoing.get(frame.migration_id)
+            names = [core.target] if core else [o for o in "abc" if o != n]
         sound = self.now > self.CALM
         for name in names:
             for _ in range(self.random.choice([1] if sound else [0, 1, 1, 1, 1, 1, 2])):
@@ -429,17 +460,17 @@
     def heard(self, came: str, n: str, data: bytes) -> None:
         x = self.nodes[n]
         if x.alive:
-            frame = frames.decode(data[frames.HEAD :])
+            frame = frames.decode(data[frames.LENGTH_PREFIX_BYTES :])
             assert isinstance(frame, w.Frame)
-            self.do(n, x.desk.heard(came, frame, self.now))
+            self.do(n, x.desk.handle_frame(came, frame, self.now))
 
     def ask(self, n: str, action: Any) -> None:
-        if isinstance(action, s.Confirm):
+        if isinstance(action, s.ConfirmVerdict):
             self.arbiter.confirm(action)
         elif self.nodes[n].held:
-            verdict, _ = self.arbiter.rule(action, self.now)
+            verdict, _ = self.arbiter.decide(action, self.now)
             if self.nodes[n].alive:
-                self.do(n, self.nodes[n].desk.verdict(verdict, self.now))
+                self.do(n, self.nodes[n].desk.handle_verdict(verdict, self.now))
 
     def written(self, n: str, record: w.Record, start: int) -> None:
         x = self.nodes[n]
@@ -452,13 +483,13 @@
         ok = self.now > self.CALM or self.random.random() < 0.97
         reached = ok or self.random.random() < 0.5
         if reached:
-            x.disk.append(w.unpack(w.pack(record)))
+            x.disk.append(w.decode_record(w.encode_record(record)))
             x.unseen = [r for r in x.unseen if what(r) != what(record)] + [record] * (
                 not ok
             )
-        if isinstance(record, w.Began) and ok:
-            x.begun.add(str(record.hand))
-        self.do(n, x.desk.written(record, ok, self.now))
+        if isinstance(record, w.ActivatedRecord) and ok:
+            x.begun.add(str(record.migration_id))
+        self.do(n, x.desk.handle_write_result(record, ok, self.now))
 
     # Processes and leases
 
@@ -470,11 +501,11 @@
         x = self.nodes[n]
         if x.alive and x.life == life:
             x.life, x.held = x.life + 1, True
-            self.do(n, x.desk.lease((1, x.life), self.now))
+            self.do(n, x.desk.set_lease((1, x.life), self.now))
 
     def die(self, n: str) -> None:
         x = self.nodes[n]
-        x.alive, x.desk = False, Desk(n, self.limits)
+        x.alive, x.desk = False, MigrationManager(n, self.limits)
         for key, (_, name) in list(self.client.items()):
             if self.at_node[key] == n:
                 self.answer(key, name, None)
@@ -491,55 +522,66 @@
             return
         x.alive, x.start = True, self.now
         for record in x.unseen:
-            of = [r for r in x.disk if r.hand == record.hand]
-            key = next((r.key for r in of if isinstance(r, (w.Stored, w.Sealed))), "")
+            of = [r for r in x.disk if r.migration_id == record.migration_id]
+            key = next(
+                (r.key for r in of if isinstance(r, (w.StoredRecord, w.SealedRecord))),
+                "",
+            )
             line = x.lines.setdefault(key, Line()) if key else Line()
-            refused = w.Refused(record.hand) in of
+            refused = w.RefusedRecord(record.migration_id) in of
             if (
-                isinstance(record, w.Began)
+                isinstance(record, w.ActivatedRecord)
                 and not refused
-                and str(record.hand) not in x.begun
+                and str(record.migration_id) not in x.begun
             ):
-                stored = next(r for r in of if isinstance(r, w.Stored))
+                stored = next(r for r in of if isinstance(r, w.StoredRecord))
                 line.queue += [
-                    (i, i.ran_us is not None)
+                    (i, i.executed_at_us is not None)
                     for i in stored.items
                     if i.id not in self.ends
                 ]
-                line.memory = stored.memory
-                x.begun.add(str(record.hand))
-            elif isinstance(record, w.Took) and not refused:
+                line.memory = stored.remembered_ids
+                x.begun.add(str(record.migration_id))
+            elif isinstance(record, w.TailAcceptedRecord) and not refused:
                 if all(q[0].id != record.item.id for q in line.queue):
                     line.queue.append((record.item, False))
-            elif isinstance(record, w.Gone):
+            elif isinstance(record, w.ReleasedRecord):
                 line.queue = []
         x.unseen = []
         owned: dict[str, bool] = {key: n == "a" for key in x.lines}
-        keys = {r.hand: r.key for r in x.disk if isinstance(r, (w.Sealed, w.Stored))}
+        keys = {
+            r.migration_id: r.key
+            for r in x.disk
+            if isinstance(r, (w.SealedRecord, w.StoredRecord))
+        }
         for record in x.disk:
-            if isinstance(record, (w.Sealed, w.Back, w.Shut)):
-                owned[keys[record.hand]] = not isinstance(record, w.Sealed)
+            if isinstance(
+                record, (w.SealedRecord, w.ReclaimedRecord, w.FinalizedRecord)
+            ):
+                owned[keys[record.migration_id]] = not isinstance(
+                    record, w.SealedRecord
+                )
         x.desk.recover(x.disk, self.now)
         for key, line in x.lines.items():
             line.runs = owned.get(key, False)
             if line.out:
                 self.end(n, key, line.out, "failed")
         x.life, x.held = x.life + 1, True
-        self.do(n, x.desk.lease((1, x.life), self.now))
+        self.do(n, x.desk.set_lease((1, x.life), self.now))
 
 
 def what(record: w.Record) -> tuple[Any, ...]:
-    return type(record), record.hand, getattr(record, "number", 0)
+    return type(record), record.migration_id, getattr(record, "number", 0)
 
 
-def replace_ran(item: w.Item, now_us: int) -> w.Item:
-    return w.Item(
+def replace_ran(item: w.TransferredMessage, now_us: int) -> w.TransferredMessage:
+    return w.TransferredMessage(
         item.id,
         item.class_name,
         item.destination,
-        item.due_us,
+        item.deadline_us,
         item.body,
-        ran_us=now_us,
+        executed_at_us=now_us,
     )
 
 
@@ -556,7 +598,7 @@
             n for n, x in play.nodes.items() if x.lines.get(key, Line()).runs
         ].__len__() == 1, key
     assert not [name for name in play.promised if name not in play.ends]
-    assert not [x.desk.cores() for x in play.nodes.values() if x.desk.cores()]
+    assert not [x.desk.migrations() for x in play.nodes.values() if x.desk.migrations()]
 
 
 # Times, bounds, choosing
@@ -582,19 +624,23 @@
 
     stamp, heard = there(0), way
     due = heard + wait + left
-    item = w.arriving(
-        w.leaving(w.Item("1", "", 0, due, ran_us=heard), heard), stamp, 0.02
+    item = w.with_local_times(
+        w.with_relative_times(
+            w.TransferredMessage("1", "", 0, due, executed_at_us=heard), heard
+        ),
+        stamp,
+        0.02,
     )
     assert (
-        item.due_us <= there(due) + 1
-        and item.ran_us is not None
-        and item.ran_us <= there(heard) + 1
+        item.deadline_us <= there(due) + 1
+        and item.executed_at_us is not None
+        and item.executed_at_us <= there(heard) + 1
     )
-    assert item.due_us >= there(due - way) - round(0.04 * (wait + left)) - 2
+    assert item.deadline_us >= there(due - way) - round(0.04 * (wait + left)) - 2
 
 
-def desk(name: str, **limits: Any) -> Desk:
-    return Desk(name, replace(LIMITS, **limits), (1, 1))
+def desk(name: str, **limits: Any) -> MigrationManager:
+    return MigrationManager(name, replace(LIMITS, **limits), (1, 1))
 
 
 def told(done: list[tuple[str, s.Action]], kind: type) -> list[Any]:
@@ -605,26 +651,26 @@
     ]
 
 
-def frozen(at: Desk) -> w.Hand:
-    at.give("k", "t", "a", "drain", 1, s.Give(2, 900), 0)
-    hand = at.keys["k"]
-    assert told(at.heard("t", w.Accept(hand, 5), 1_000), s.Freeze)
+def frozen(at: MigrationManager) -> w.MigrationId:
+    at.start_migration("k", "t", "a", "drain", 1, s.StartMigration(2, 900), 0)
+    hand = at.migration_by_key["k"]
+    assert told(at.handle_frame("t", w.Accept(hand, 5), 1_000), s.Freeze)
     return hand
 
 
 def test_no_session_goes_over_with_50_ms_left_or_too_large() -> None:
     for items in (
-        (w.Item("1", "", 0, 51_000),),
-        tuple(w.Item(str(n), "", 0, 9**9) for n in range(1_001)),
+        (w.TransferredMessage("1", "", 0, 51_000),),
+        tuple(w.TransferredMessage(str(n), "", 0, 9**9) for n in range(1_001)),
     ):
         at = desk("g")
         frozen(at)
-        done = at.to_session("k", s.Quiet(items, ()), 1_000) or []
+        done = at.handle_session_event("k", s.SessionQuiesced(items, ()), 1_000) or []
         assert (
             told(done, s.Resume)
-            and told(done, w.No)
-            and not told(done, s.Journal)
-            and not at.giving
+            and told(done, w.Decline)
+            and not told(done, s.PersistRecord)
+            and not at.outgoing
         )
 
 
@@ -632,40 +678,55 @@
     at = desk("g", hold_messages=3, hold_bytes=2_000)
     hand = frozen(at)
     done = [
-        at.to_session("k", s.Arrived(w.Item(str(n), "", 0, 9**9), n), n) or []
+        at.handle_session_event(
+            "k", s.MessageArrived(w.TransferredMessage(str(n), "", 0, 9**9), n), n
+        )
+        or []
         for n in range(5)
     ]
-    assert [len(told(d, s.Refuse)) for d in done] == [0, 0, 0, 1, 1]
-    assert [r.id for r in told(at.tick(LIMITS.hold_us + 1), s.Refuse)] == ["0", "1"]
-    assert [t.item.id for t in told(at.heard("t", w.No(hand), 300_000), s.Take)] == [
-        "2"
+    assert [len(told(d, s.RejectMessage)) for d in done] == [0, 0, 0, 1, 1]
+    assert [r.id for r in told(at.tick(LIMITS.hold_us + 1), s.RejectMessage)] == [
+        "0",
+        "1",
     ]
+    assert [
+        t.item.id
+        for t in told(at.handle_frame("t", w.Decline(hand), 300_000), s.AcceptMessage)
+    ] == ["2"]
     at = desk("g", hold_bytes=2_000)
     frozen(at)
-    big = w.Item("x", "", 0, 9**9, bytes(700))
-    large = [at.to_session("k", s.Arrived(big, n), n) or [] for n in range(2)]
-    assert [len(told(d, s.Refuse)) for d in large] == [0, 1]
+    big = w.TransferredMessage("x", "", 0, 9**9, bytes(700))
+    large = [
+        at.handle_session_event("k", s.MessageArrived(big, n), n) or []
+        for n in range(2)
+    ]
+    assert [len(told(d, s.RejectMessage)) for d in large] == [0, 1]
 
 
 def kept(
-    at: Desk, kind: type, done: list[tuple[str, s.Action]]
+    at: MigrationManager, kind: type, done: list[tuple[str, s.Action]]
 ) -> list[tuple[str, s.Action]]:
-    (asked,) = told(done, s.Journal)
+    (asked,) = told(done, s.PersistRecord)
     assert isinstance(asked.record, kind)
-    return at.written(asked.record, True, 2_000)
+    return at.handle_write_result(asked.record, True, 2_000)
 
 
 def test_a_seal_that_is_no_longer_wanted_is_taken_back_once_back_is_on_disk() -> None:
     at = desk("g")
     hand = frozen(at)
-    sealing = at.to_session("k", s.Quiet((w.Item("1", "", 0, 9**9),), ()), 1_000) or []
-    assert at.to_session("k", s.Stop(), 1_500) == []
-    assert told(kept(at, w.Sealed, sealing), w.Frame) == [w.Drop(hand)]
-    back = at.heard("t", w.Dropped(hand), 3_000)
+    sealing = (
+        at.handle_session_event(
+            "k", s.SessionQuiesced((w.TransferredMessage("1", "", 0, 9**9),), ()), 1_000
+        )
+        or []
+    )
+    assert at.handle_session_event("k", s.CancelMigration(), 1_500) == []
+    assert told(kept(at, w.SealedRecord, sealing), w.Frame) == [w.Abort(hand)]
+    back = at.handle_frame("t", w.Aborted(hand), 3_000)
     assert (
         not told(back, s.Resume)
-        and told(kept(at, w.Back, back), s.Resume)
-        and not at.giving
+        and told(kept(at, w.ReclaimedRecord, back), s.Resume)
+        and not at.outgoing
     )
 
 
@@ -673,61 +734,78 @@
     """It counts from a stamp of that process, and its dues would come out late by the
     time between.
     """
-    at, hand = desk("t"), w.Hand("g", 1, 1, 1)
+    at, hand = desk("t"), w.MigrationId("g", 1, 1, 1)
     assert (
-        told(at.heard("g", w.Offer(hand, "k", "a", "", 1, 9, 1), 9_000), w.Accept)[
-            0
-        ].stamp_us
+        told(
+            at.handle_frame("g", w.Offer(hand, "k", "a", "", 1, 9, 1), 9_000), w.Accept
+        )[0].stamp_us
         == 9_000
     )
-    assert told(at.heard("g", w.Copy(hand, 10, 0, 1), 9_500), w.Frame) == [
-        w.No(hand, "restarted")
+    assert told(at.handle_frame("g", w.CopyPart(hand, 10, 0, 1), 9_500), w.Frame) == [
+        w.Decline(hand, "restarted")
     ]
-    assert told(at.heard("g", w.Copy(hand, 9_000, 0, 1), 9_500), s.Journal)
+    assert told(
+        at.handle_frame("g", w.CopyPart(hand, 9_000, 0, 1), 9_500), s.PersistRecord
+    )
 
 
 def test_what_is_over_is_remembered_and_never_taken_on_again() -> None:
-    at, hand, key = desk("t"), w.Hand("g", 1, 1, 5), "k"
-    stored = w.Stored(hand, key, 1, (), ())
-    at.written(stored, True, 0)
-    for late in (hand, w.Hand("g", 1, 1, 4)):
-        assert told(at.heard("g", w.Offer(late, key, "a", "", 1, 9, 1), 1), w.No)
-    assert at.heard("g", w.Drop(hand), 1) == [], (
+    at, hand, key = desk("t"), w.MigrationId("g", 1, 1, 5), "k"
+    stored = w.StoredRecord(hand, key, 1, (), ())
+    at.handle_write_result(stored, True, 0)
+    for late in (hand, w.MigrationId("g", 1, 1, 4)):
+        assert told(
+            at.handle_frame("g", w.Offer(late, key, "a", "", 1, 9, 1), 1), w.Decline
+        )
+    assert at.handle_frame("g", w.Abort(hand), 1) == [], (
         "it may have been ours: only the arbiter can say"
     )
-    before = w.Hand("t", 1, 1, 1)
+    before = w.MigrationId("t", 1, 1, 1)
     assert (
         desk("t").recover(
-            [w.Sealed(before, key, "x"), w.Sealed(hand, key, "x"), w.Gone(hand)], 0
+            [
+                w.SealedRecord(before, key, "x"),
+                w.SealedRecord(hand, key, "x"),
+                w.ReleasedRecord(hand),
+            ],
+            0,
         )
         == {}
     )
-    at = Desk("t", LIMITS)
-    assert at.recover([stored, w.Began(hand), w.Shut(hand)], 0) == {key: s.State.TAIL}
-    at.lease((1, 1), 0)
-    late_pass = w.Pass(hand, 10, 1, 500, w.Item("1", "", 0, 9**9))
-    assert told(at.heard("g", late_pass, 511), w.Passed)[0].how == "refused", (
-        "its client may have left"
-    )
-    assert told(at.tick(2 * LIMITS.tail_us), s.Over) and not at.taking
-    for frame in (w.Drop(hand), w.Commit(hand, (1, 1))):
-        assert told(at.heard("g", frame, 9), w.Begun)
+    at = MigrationManager("t", LIMITS)
+    assert at.recover(
+        [stored, w.ActivatedRecord(hand), w.FinalizedRecord(hand)], 0
+    ) == {key: s.MigrationState.TAIL}
+    at.set_lease((1, 1), 0)
+    late_pass = w.TailMessage(hand, 10, 1, 500, w.TransferredMessage("1", "", 0, 9**9))
+    assert (
+        told(at.handle_frame("g", late_pass, 511), w.TailMessageResult)[0].outcome
+        == "refused"
+    ), "its client may have left"
+    assert told(at.tick(2 * LIMITS.tail_us), s.MigrationFinished) and not at.incoming
+    for frame in (w.Abort(hand), w.Commit(hand, (1, 1))):
+        assert told(at.handle_frame("g", frame, 9), w.Activated)
 
 
 def test_the_arbiters_first_word_holds() -> None:
     at = desk("g")
-    hand = w.Hand("g", 1, 0, 1)
-    at.recover([w.Sealed(hand, "k", "t"), w.Committed(hand)], 0)
-    assert told(at.heard("t", w.Copied(hand, (2, 2)), 1), s.Ask)[0].cede
-    assert not told(at.heard("t", w.Begun(hand, 1), 1), s.Journal), (
+    hand = w.MigrationId("g", 1, 0, 1)
+    at.recover([w.SealedRecord(hand, "k", "t"), w.CommittedRecord(hand)], 0)
+    assert told(at.handle_frame("t", w.CopyStored(hand, (2, 2)), 1), s.AskArbiter)[
+        0
+    ].cede
+    assert not told(at.handle_frame("t", w.Activated(hand, 1), 1), s.PersistRecord), (
         "what was asked may be answered yet"
     )
-    assert told(kept(at, w.Gone, at.verdict(s.Verdict(hand, "taker"), 1)), w.Closed)
+    assert told(
+        kept(at, w.ReleasedRecord, at.handle_verdict(s.Verdict(hand, "taker"), 1)),
+        w.Released,
+    )
     at = desk("g")
-    at.recover([w.Sealed(hand, "k", "t"), w.Committed(hand)], 0)
-    assert told(at.verdict(s.Verdict(hand, "taker"), 1), w.Commit)
+    at.recover([w.SealedRecord(hand, "k", "t"), w.CommittedRecord(hand)], 0)
+    assert told(at.handle_verdict(s.Verdict(hand, "taker"), 1), w.Commit)
     assert (
-        at.verdict(s.Verdict(hand, "giver"), 1) == []
+        at.handle_verdict(s.Verdict(hand, "giver"), 1) == []
         and told(at.tick(2), s.FailAll) == []
     )
 
@@ -735,27 +813,53 @@
 def test_the_tail_passes_one_at_a_time_and_never_a_number_twice() -> None:
     at = desk("g")
     hand = frozen(at)
-    at.to_session("k", s.Arrived(w.Item("1", "", 0, 9**9), 1_500), 1_500)
-    kept(at, w.Sealed, at.to_session("k", s.Quiet((), ()), 1_000) or [])
-    committing = at.heard("t", w.Copied(hand, (4, 4)), 2_000)
-    assert told(kept(at, w.Committed, committing), w.Commit)[0].life == (4, 4)
-    first = told(kept(at, w.Gone, at.heard("t", w.Begun(hand, 70), 2_000)), w.Pass)
+    at.handle_session_event(
+        "k", s.MessageArrived(w.TransferredMessage("1", "", 0, 9**9), 1_500), 1_500
+    )
+    kept(
+        at,
+        w.SealedRecord,
+        at.handle_session_event("k", s.SessionQuiesced((), ()), 1_000) or [],
+    )
+    committing = at.handle_frame("t", w.CopyStored(hand, (4, 4)), 2_000)
+    assert told(kept(at, w.CommittedRecord, committing), w.Commit)[0].lease_token == (
+        4,
+        4,
+    )
+    first = told(
+        kept(at, w.ReleasedRecord, at.handle_frame("t", w.Activated(hand, 70), 2_000)),
+        w.TailMessage,
+    )
     assert [(p.number, p.item.id, p.stamp_us) for p in first] == [(1, "1", 70)]
-    assert at.to_session("k", s.Arrived(w.Item("2", "", 0, 9**9), 2_500), 2_500) == []
-    second = told(at.to_session("k", s.Left("1"), 2_600) or [], w.Pass)
-    assert [(p.number, p.item.id) for p in second] == [(2, "2")]
-    assert at.heard("t", w.Passed(hand, 1, "taken", 80), 2_700) == []
-    assert at.heard("t", w.Passed(hand, 2, "refused", 69), 2_700) == [], (
-        "said before a restart"
+    assert (
+        at.handle_session_event(
+            "k", s.MessageArrived(w.TransferredMessage("2", "", 0, 9**9), 2_500), 2_500
+        )
+        == []
     )
-    assert at.heard("x", w.Passed(hand, 2, "taken", 81), 2_700) == [], (
-        "not the one it was given to"
+    second = told(
+        at.handle_session_event("k", s.ClientDisconnected("1"), 2_600) or [],
+        w.TailMessage,
     )
-    assert told(at.heard("t", w.Passed(hand, 2, "taken", 81), 2_700), s.Answer) == [
-        s.Answer("2")
-    ]
-    assert told(at.to_session("k", s.TailOver(), 2_800) or [], w.End) and not at.giving
-    assert told(at.heard("t", w.Copied(hand, (4, 5)), 2_900), w.Closed), (
+    assert [(p.number, p.item.id) for p in second] == [(2, "2")]
+    assert at.handle_frame("t", w.TailMessageResult(hand, 1, "taken", 80), 2_700) == []
+    assert (
+        at.handle_frame("t", w.TailMessageResult(hand, 2, "refused", 69), 2_700) == []
+    ), "said before a restart"
+    assert (
+        at.handle_frame("x", w.TailMessageResult(hand, 2, "taken", 81), 2_700) == []
+    ), "not the one it was given to"
+    assert told(
+        at.handle_frame("t", w.TailMessageResult(hand, 2, "taken", 81), 2_700),
+        s.AnswerAccepted,
+    ) == [s.AnswerAccepted("2")]
+    assert (
+        told(
+            at.handle_session_event("k", s.ConnectionsClosed(), 2_800) or [], w.TailEnd
+        )
+        and not at.outgoing
+    )
+    assert told(at.handle_frame("t", w.CopyStored(hand, (4, 5)), 2_900), w.Released), (
         "it is remembered whose it is"
     )
 
@@ -766,18 +870,23 @@
         desk("t", at_once=2, all_bytes=9_000_000),
     )
     offers = [
-        told(giving.give(f"k{n}", "t", "a", "", 1, s.Give(1, 100), 0), w.Offer)
+        told(
+            giving.start_migration(
+                f"k{n}", "t", "a", "", 1, s.StartMigration(1, 100), 0
+            ),
+            w.Offer,
+        )
         for n in range(3)
     ]
-    assert [len(o) for o in offers] == [1, 1, 0] and giving.give(
-        "k0", "t", "a", "", 1, s.Give(1, 1), 0
+    assert [len(o) for o in offers] == [1, 1, 0] and giving.start_migration(
+        "k0", "t", "a", "", 1, s.StartMigration(1, 1), 0
     ) == []
-    assert not desk("g", all_bytes=9_000_000).give(
-        "k", "t", "a", "", 1, s.Give(1, 9_000_001), 0
+    assert not desk("g", all_bytes=9_000_000).start_migration(
+        "k", "t", "a", "", 1, s.StartMigration(1, 9_000_001), 0
     )
     answers = [
-        taking.heard(
-            "g", w.Offer(w.Hand("g", 1, 1, n), f"k{n}", "a", "", 1, size, 1), 0
+        taking.handle_frame(
+            "g", w.Offer(w.MigrationId("g", 1, 1, n), f"k{n}", "a", "", 1, size, 1), 0
         )
         for n, size in enumerate((5_000_000, 8_388_609, 5_000_000, 10, 10))
     ]
@@ -788,72 +897,94 @@
         True,
         False,
     ]
-    taking.drain(0)
-    late = w.Offer(w.Hand("g", 1, 1, 9), "k9", "a", "", 1, 1, 1)
-    assert told(taking.heard("g", late, 0), w.No)[0].why == "draining"
-    assert taking.heard("x", w.Drop(w.Hand("g", 1, 1, 0)), 0) == [], "not its hand-over"
+    taking.start_draining(0)
+    late = w.Offer(w.MigrationId("g", 1, 1, 9), "k9", "a", "", 1, 1, 1)
+    assert told(taking.handle_frame("g", late, 0), w.Decline)[0].reason == "draining"
+    assert taking.handle_frame("x", w.Abort(w.MigrationId("g", 1, 1, 0)), 0) == [], (
+        "not its hand-over"
+    )
 
 
 def test_largest_session_fits_its_frames() -> None:
     items = [
-        w.Item(
+        w.TransferredMessage(
             f"{n:0200}",
             "c" * 200,
             n,
             -n,
-            bytes(w.BODY),
+            bytes(w.BODY_LIMIT_BYTES),
             "i" * 200,
             "t" * 200,
-            ran_us=-n,
+            executed_at_us=-n,
         )
         for n in range(9)
     ]
     memory = [f"{n:0200}" for n in range(256)]
-    parts = list(w.in_parts(items, memory))
+    parts = list(w.split_into_parts(items, memory))
     assert [i for part in parts for i in part[0]] == items
     assert [m for part in parts for m in part[1]] == memory
     for n, part in enumerate(parts):
         assert (
             len(
                 frames.encode(
-                    w.Copy(w.Hand("g" * 200, 1, 1, 1), 1, n, len(parts), *part)
+                    w.CopyPart(
+                        w.MigrationId("g" * 200, 1, 1, 1), 1, n, len(parts), *part
+                    )
                 )
             )
-            < frames.FRAME
+            < frames.FRAME_LIMIT_BYTES
         )
 
 
 def test_arbiter_is_bounded_and_forgets_only_what_is_safe() -> None:
     alive = {"g": True, "t": True}
-    arbiter = Arbiter(1, alive.__getitem__, most=1)
-    one, two = (w.Hand("g", 1, 1, n) for n in (1, 2))
-    assert arbiter.rule(s.Ask(one, "taker", "g"), 0)[0].ruling == "wait"
-    assert arbiter.rule(s.Ask(one, "giver", "t"), 0) == (s.Verdict(one, "giver"), True)
+    arbiter = Arbiter(1, alive.__getitem__, max_decisions=1)
+    one, two = (w.MigrationId("g", 1, 1, n) for n in (1, 2))
+    assert arbiter.decide(s.AskArbiter(one, "taker", "g"), 0)[0].ruling == "wait"
+    assert arbiter.decide(s.AskArbiter(one, "giver", "t"), 0) == (
+        s.Verdict(one, "giver"),
+        True,
+    )
     alive["g"] = False
-    assert arbiter.rule(s.Ask(one, "taker", "g"), 0) == (s.Verdict(one, "giver"), False)
-    assert arbiter.rule(s.Ask(two, "taker", "g"), KEPT_US - 1)[0].ruling == "wait", (
-        "no room"
+    assert arbiter.decide(s.AskArbiter(one, "taker", "g"), 0) == (
+        s.Verdict(one, "giver"),
+        False,
     )
-    assert arbiter.rule(s.Ask(two, "taker", "g"), KEPT_US) == (
+    assert (
+        arbiter.decide(s.AskArbiter(two, "taker", "g"), DECISION_RETENTION_US - 1)[
+            0
+        ].ruling
+        == "wait"
+    ), "no room"
+    assert arbiter.decide(s.AskArbiter(two, "taker", "g"), DECISION_RETENTION_US) == (
         s.Verdict(two, "taker"),
         True,
     )
-    assert arbiter.confirm(s.Confirm(two, "taker")) and not arbiter.confirm(
-        s.Confirm(two, "taker")
+    assert arbiter.confirm(s.ConfirmVerdict(two, "taker")) and not arbiter.confirm(
+        s.ConfirmVerdict(two, "taker")
     )
-    assert arbiter.confirm(s.Confirm(two, "giver")) and not arbiter.decided
+    assert arbiter.confirm(s.ConfirmVerdict(two, "giver")) and not arbiter.decisions
     for later in (arbiter, Arbiter(2, alive.__getitem__)):
-        assert later.rule(s.Ask(one, "taker", "g"), KEPT_US)[0].ruling == "wait", (
-            "forgotten: nobody knows"
-        )
         assert (
-            later.rule(s.Ask(one, "giver", "t", True, cede=True), KEPT_US)[0].ruling
+            later.decide(s.AskArbiter(one, "taker", "g"), DECISION_RETENTION_US)[
+                0
+            ].ruling
+            == "wait"
+        ), "forgotten: nobody knows"
+        assert (
+            later.decide(
+                s.AskArbiter(one, "giver", "t", True, cede=True), DECISION_RETENTION_US
+            )[0].ruling
             == "taker"
         )
 
 
 def test_a_third_forwarder_passes_on_once() -> None:
-    third, old, new = Where("x"), Where("g"), Where("t")
+    third, old, new = (
+        SessionDirectory("x"),
+        SessionDirectory("g"),
+        SessionDirectory("t"),
+    )
     assert (
         old.learn("k", "t", 1, 100)
         and new.learn("k", "t", 1, 100)
@@ -878,9 +1009,9 @@
         "what": 1,
         "limits": {"calls_us": 700_000, "none": 1},
     }
-    with pytest.raises(table.Malformed) as found:
-        table.read(raw)
-    paths = [fault.split(":")[0] for fault in found.value.faults]
+    with pytest.raises(config.SessionConfigError) as found:
+        config.parse_config(raw)
+    paths = [fault.split(":")[0] for fault in found.value.errors]
     assert paths == [
         "session.what",
         "session.at_once",
@@ -893,7 +1024,7 @@
         "session.limits.calls_us",
     ]
     sound = {"sites": {"a": {"neighbours": {"b": 1}}, "b": {"neighbours": {}}}}
-    assert table.read(sound).sites == {"a": {"b": 1.0}, "b": {}}
+    assert config.parse_config(sound).sites == {"a": {"b": 1.0}, "b": {}}
 
 
 @settings(derandomize=True, deadline=None, max_examples=8)
@@ -903,12 +1034,14 @@
     within the pause or leaves too soon, and no more than `at_once` are out.
     """
     rng = random.Random(seed)
-    rules = table.read(
+    rules = config.parse_config(
         {"sites": {n: {"neighbours": {o: 1.0 for o in "abc" if o != n}} for n in "abc"}}
     )
-    choosers = {n: choose.Chooser(rules) for n in "abc"}
+    choosers = {n: migration_policy.MigrationPolicy(rules) for n in "abc"}
     home = {
-        f"k{n}": choose.Session(f"k{n}", rng.randrange(1, 9_000), 1, 0, "", 0.03)
+        f"k{n}": migration_policy.SessionStatus(
+            f"k{n}", rng.randrange(1, 9_000), 1, 0, "", 0.03
+        )
         for n in range(30)
     }
     place = {key: rng.choice("abc") for key in home}
@@ -918,13 +1051,13 @@
             for n in "abc"
         }
         here = {
-            n: choose.Here(
+            n: migration_policy.LocalStatus(
                 n, rng.random() < 0.1, load[n], rng.random() < 0.9, rng.randrange(3)
             )
             for n in "abc"
         }
         peers = [
-            choose.Peer(
+            migration_policy.CandidatePeer(
                 n,
                 n,
                 rng.random() < 0.9,
@@ -939,49 +1072,63 @@
         ]
         for n in "abc":
             mine = [home[k] for k in place if place[k] == n]
-            plans = choosers[n].choose(
+            plans = choosers[n].plan_migrations(
                 here[n], mine, [p for p in peers if p.name != n], now
             )
-            assert len(plans) <= rules.at_once - here[n].out
+            assert len(plans) <= rules.at_once - here[n].migrations_in_progress
             for plan in plans:
-                one, to = home[plan.key], here[plan.taker]
-                assert plan.taker != n and not to.draining and to.endpoints
+                one, to = home[plan.key], here[plan.target]
+                assert plan.target != n and not to.draining and to.endpoints
                 back = (
-                    one.came_from == to.site
-                    and now - one.came_us < rules.pause_ms * 1000
+                    one.arrived_from == to.site
+                    and now - one.arrived_at_us < rules.pause_ms * 1000
                 )
                 stays = (
-                    now - one.came_us < rules.least_stay_ms * 1000
-                    and plan.why != "drain"
+                    now - one.arrived_at_us < rules.least_stay_ms * 1000
+                    and plan.reason != "drain"
                 )
                 assert not back and not stays
-                taken = not choosers[plan.taker].welcome(to, n, plan.why, now)
-                choosers[n].ended(plan, taken, now)
+                taken = not choosers[plan.target].offer_rejection(
+                    to, n, plan.reason, now
+                )
+                choosers[n].record_result(plan, taken, now)
                 if taken:
                     home[plan.key], place[plan.key] = (
-                        replace(one, came_us=now, came_from=n),
-                        plan.taker,
+                        replace(one, arrived_at_us=now, arrived_from=n),
+                        plan.target,
                     )
 
 
 def test_two_sites_over_their_budget_hand_each_other_nothing() -> None:
-    rules = table.read(
+    rules = config.parse_config(
         {"sites": {"a": {"neighbours": {"b": 1}}, "b": {"neighbours": {"a": 1}}}}
     )
-    full, easy = choose.Here("a", load=0.95), choose.Here("b", load=0.5)
-    one = choose.Session("k", 10, 1, 0, load=0.1)
-    taker = choose.Peer("f", "b", True, False, 9_000_000, 5, 100, 0.5)
-    first, second = choose.Chooser(rules), choose.Chooser(rules)
-    assert [p.taker for p in first.choose(full, [one], [taker], 9_000_000)] == ["f"]
-    assert not first.choose(full, [one], [replace(taker, draining=True)], 9_000_000)
-    assert not first.choose(full, [one], [replace(taker, load=0.65)], 9_000_000), (
-        "it would be over itself"
-    )
-    assert second.welcome(easy, "a", "over", 9_000_000) == ""
-    assert second.welcome(full, "a", "over", 0) == "over"
-    back = replace(taker, name="g", site="a")
-    assert not second.choose(replace(easy, load=0.95), [one], [back], 9_500_000), (
-        "it has just given us some"
+    full, easy = (
+        migration_policy.LocalStatus("a", load=0.95),
+        migration_policy.LocalStatus("b", load=0.5),
+    )
+    one = migration_policy.SessionStatus("k", 10, 1, 0, load=0.1)
+    taker = migration_policy.CandidatePeer(
+        "f", "b", True, False, 9_000_000, 5, 100, 0.5
     )
+    first, second = (
+        migration_policy.MigrationPolicy(rules),
+        migration_policy.MigrationPolicy(rules),
+    )
+    assert [
+        p.target for p in first.plan_migrations(full, [one], [taker], 9_000_000)
+    ] == ["f"]
+    assert not first.plan_migrations(
+        full, [one], [replace(taker, draining=True)], 9_000_000
+    )
+    assert not first.plan_migrations(
+        full, [one], [replace(taker, load=0.65)], 9_000_000
+    ), "it would be over itself"
+    assert second.offer_rejection(easy, "a", "over", 9_000_000) == ""
+    assert second.offer_rejection(full, "a", "over", 0) == "over"
+    back = replace(taker, name="g", site="a")
+    assert not second.plan_migrations(
+        replace(easy, load=0.95), [one], [back], 9_500_000
+    ), "it has just given us some"
     drains = replace(easy, load=0.95, draining=True)
-    assert second.choose(drains, [one], [back], 9_500_000), "but a drain goes"
+    assert second.plan_migrations(drains, [one], [back], 9_500_000), "but a drain goes"
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -16,13 +16,22 @@
 import pytest
 
 from rainfall.dispatch import AttemptFinished, Idempotency, IdempotencyScope, LoadReport
-from rainfall.net import starting
-from rainfall.net.config import Config, ConfigError, parse, replacement
-from rainfall.net.engine import Engine
-from rainfall.net.handover import Lock
-from rainfall.net.reconfigure import examine
-from rainfall.net.store import Rules, Store, Taken
-from rainfall.wirehost import Host, settings
+from rainfall.forwarder.config.loading import (
+    Config,
+    ConfigError,
+    load_replacement,
+    parse_config,
+)
+from rainfall.forwarder.config.validation import validate_replacement
+from rainfall.forwarder.engine import startup
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.handover.roles import JournalLock
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+)
+from rainfall.wirehost import WireHost, parse_settings
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -84,7 +93,7 @@
         )
 
     def config(self, **changes: Any) -> Config:
-        return parse(
+        return parse_config(
             {
                 "name": self.folder.name,
                 "listen": f"127.0.0.1:{self.port}",
@@ -102,7 +111,7 @@
 
     async def ready(self) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not self.engine.ready():
+            while not self.engine.is_ready():
                 await asyncio.sleep(0.01)
 
     async def hand_in(self, name: str, cls: str, **more: Any) -> int:
@@ -118,7 +127,7 @@
                 await asyncio.sleep(0.01)
 
     async def end(self) -> None:
-        self.engine.done.set()
+        self.engine.stopped.set()
         async with asyncio.timeout(PATIENCE):
             await self.run
 
@@ -156,15 +165,15 @@
         for site in (one, other):
             assert await site.hand_in("m", "order") == 202
         assert (await other.platform.notice("m"))["state"] == "failed"
-        await one.until(lambda e: e.figures.fulfilled["order"] == 1)
+        await one.until(lambda e: e.metrics.fulfilled["order"] == 1)
         assert (len(first.requests), len(second.requests)) == (2, 1)
-        assert not one.platform.notices and other.engine.figures.faulted["order"] == 1
+        assert not one.platform.notices and other.engine.metrics.faulted["order"] == 1
         assert (
             await one.hand_in("n", "pay") == 404
             and await other.hand_in("n", "status") == 404
         )
-        assert set(one.engine.figures.fulfilled) == {"order", "status"}
-        assert set(other.engine.figures.fulfilled) == {"order", "pay"}
+        assert set(one.engine.metrics.fulfilled) == {"order", "status"}
+        assert set(other.engine.metrics.fulfilled) == {"order", "pay"}
 
     together(
         scene,
@@ -188,9 +197,9 @@
         was = (
             other.engine.dispatcher.state.settings,
             other.engine.server.settings,
-            dict(other.engine.batches),
-            other.engine.pool.fields,
-            other.engine.pool.idle_us,
+            dict(other.engine.batch_sizes),
+            other.engine.pool.report_fields,
+            other.engine.pool.idle_timeout_us,
             other.engine.store.rules,
         )
         allowed = {**SETTINGS["allowed"], "conn_idle_us": 9_000_000, "max_open": 1}
@@ -202,21 +211,24 @@
             "telemetry": {"fields": []},
         }
         one.engine.config = one.config(settings=new)
-        one.engine.retune(one.engine.config)
+        one.engine.apply_settings(one.engine.config)
         assert was == (
             other.engine.dispatcher.state.settings,
             other.engine.server.settings,
-            other.engine.batches,
-            other.engine.pool.fields,
-            other.engine.pool.idle_us,
+            other.engine.batch_sizes,
+            other.engine.pool.report_fields,
+            other.engine.pool.idle_timeout_us,
             other.engine.store.rules,
         )
-        assert one.engine.batches == {"lots": 9} and one.engine.pool.fields == ()
+        assert (
+            one.engine.batch_sizes == {"lots": 9}
+            and one.engine.pool.report_fields == ()
+        )
         assert (
             await one.hand_in("m", "order") == await other.hand_in("m", "order") == 202
         )
         assert (await one.platform.notice("m"))["state"] == "failed"
-        await other.until(lambda e: e.figures.fulfilled["order"] == 1)
+        await other.until(lambda e: e.metrics.fulfilled["order"] == 1)
         assert [len(p.requests) for p in peers] == [1, 2]
         assert await other.hand_in("n", "pay") == 404
 
@@ -232,7 +244,7 @@
     """All that these instances do over some seconds, where each call's end hangs on its
     names alone.
     """
-    host, done, line = Host(), [], []
+    host, done, line = WireHost(), [], []
     for name, told in sorted(names.items()):
         n = len(name)
         kinds = told["host_types"]
@@ -278,9 +290,9 @@
                     }
                 )
             line.append({"type": "DEADLINE_HIT", "forwarder_id": name, "token": "look"})
-        acts = json.loads(host.batch(json.dumps({"clock_us": now, "inbox": line})))[
-            "do"
-        ]
+        acts = json.loads(
+            host.handle_line(json.dumps({"clock_us": now, "inbox": line}))
+        )["do"]
         line = []
         done += acts
         for a in acts:
@@ -342,8 +354,8 @@
     """The one that ended used to go on under its name, with the settings that had been
     replaced.
     """
-    host = Host()
-    host.batch(json.dumps({"clock_us": 0, "inbox": [up("f", BARE)]}))
+    host = WireHost()
+    host.handle_line(json.dumps({"clock_us": 0, "inbox": [up("f", BARE)]}))
     bad = {**BARE, "family_info": {"slots": 0}}
     ask = {
         "type": "ASK",
@@ -354,7 +366,7 @@
         "due_us": 9,
     }
     done = json.loads(
-        host.batch(json.dumps({"clock_us": 1, "inbox": [up("f", bad), ask]}))
+        host.handle_line(json.dumps({"clock_us": 1, "inbox": [up("f", bad), ask]}))
     )["do"]
     assert [a["type"] for a in done] == ["INTERNAL_ERROR"]
 
@@ -368,7 +380,7 @@
     """What is not told is neither allowed nor known: a keyed message goes again
     nowhere, as nothing says for how long and by whom its repeats are dropped.
     """
-    s = settings(BARE)
+    s = parse_settings(BARE)
     assert [(c.idempotency, c.idempotency_window_us, c.ordered) for c in s.classes] == [
         (Idempotency.ALWAYS, 0, False),
         (Idempotency.WITH_KEY, 0, False),
@@ -445,7 +457,7 @@
         "discovery": "127.0.0.1:2",
         "settings": {**SETTINGS, "telemetry": telemetry},
     }
-    assert parse(told, {"LB_STATE": "/state"}).report_fields == fields
+    assert parse_config(told, {"LB_STATE": "/state"}).report_fields == fields
 
 
 def without(told: dict[str, Any], *path: str) -> dict[str, Any]:
@@ -490,15 +502,15 @@
         },
     }
     env = {"LB_STATE": "/state", "LB_CONFIG": str(tmp_path / "config.json")}
-    old = parse(told, env)
+    old = parse_config(told, env)
     new = without(told, *path)
     (tmp_path / "config.json").write_text(json.dumps(new))
-    assert examine(json.dumps(new).encode(), old, env).valid is valid
+    assert validate_replacement(json.dumps(new).encode(), old, env).valid is valid
     if not valid:
         with pytest.raises(ConfigError, match=f"{path[-1]} is missing"):
-            replacement(old, env)
+            load_replacement(old, env)
         return
-    s = replacement(old, env).settings
+    s = load_replacement(old, env).settings
     assert s.classes[0].ordered is (path[-1] != "by_arrival")
     assert s.key_backoff_us == (0 if path[-1] == "key_rest_us" else 5000)
 
@@ -636,14 +648,14 @@
         one.begin()
         await one.ready()
         ends: list[AttemptFinished] = []
-        book = one.engine.book
-        one.engine.book = lambda e: (ends.append(e), book(e))[1]  # type: ignore[method-assign]
+        book = one.engine.record_outcome
+        one.engine.record_outcome = lambda e: (ends.append(e), book(e))[1]  # type: ignore[method-assign]
         for n, fields in enumerate((["x0", "x1"], [], ["x0", "x1"])):
-            one.engine.retune(
+            one.engine.apply_settings(
                 one.config(settings={**one.facts, "telemetry": {"fields": fields}})
             )
             assert await one.hand_in(f"m{n}", "order") == 202
-            await one.until(lambda e, n=n: e.figures.fulfilled["order"] == n + 1)
+            await one.until(lambda e, n=n: e.metrics.fulfilled["order"] == n + 1)
         told = LoadReport(0.5, 70.0)
         assert [e.load_report for e in ends] == [told, None, told]
 
@@ -662,10 +674,10 @@
         one.begin()
         await one.ready()
         e = one.engine
-        n1, n2, n3 = (e.number(f"s{n}") for n in (1, 2, 3))
-        e.pool.bind((7, -1), 1 << 60)
+        n1, n2, n3 = (e.endpoint_id(f"s{n}") for n in (1, 2, 3))
+        e.pool.set_retry_after((7, -1), 1 << 60)
         family = one.facts["family_info"]
-        e.retune(
+        e.apply_settings(
             one.config(
                 settings={
                     **one.facts,
@@ -674,12 +686,17 @@
             )
         )
         assert (
-            e.pool.waits[7, n1] == e.pool.waits[7, n2] == 1 << 60
-            and (8, n3) not in e.pool.waits
+            e.pool.retry_after_until[7, n1]
+            == e.pool.retry_after_until[7, n2]
+            == 1 << 60
+            and (8, n3) not in e.pool.retry_after_until
+        )
+        e.pool.set_retry_after((8, n3), 1 << 61)
+        e.apply_settings(one.config())
+        assert (
+            e.pool.retry_after_until[8, -1] == 1 << 61
+            and e.pool.retry_after_until[7, -1] == 1 << 60
         )
-        e.pool.bind((8, n3), 1 << 61)
-        e.retune(one.config())
-        assert e.pool.waits[8, -1] == 1 << 61 and e.pool.waits[7, -1] == 1 << 60
 
     together(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
@@ -688,11 +705,13 @@
 
 def waiting_message(folder: Path, told: dict[str, Any], *hosts: dict[str, Any]) -> None:
     """A journal in which a message waits, with the list of before."""
-    store = Store(folder, 3_000_000)
-    s = settings(told)
-    store.settle(Rules(s.max_attempts, s.classes))
-    store.list(1, {h["host"]: h for h in hosts}, 0, "")
-    store.take(Taken("m", "order", 7, 1 << 60, "key", None, b"body"))
+    store = MessageStore(folder, 3_000_000)
+    s = parse_settings(told)
+    store.use_rules(DeliveryRules(s.max_attempts, s.classes))
+    store.append_endpoint_list(1, {h["host"]: h for h in hosts}, 0, "")
+    store.append_message(
+        AcceptedMessage("m", "order", 7, 1 << 60, "key", None, b"body")
+    )
     store.close()
 
 
@@ -704,7 +723,7 @@
     """
 
     async def scene(one: Site, other: Site) -> None:
-        monkeypatch.setattr(starting, "FIRST_S", PATIENCE)
+        monkeypatch.setattr(startup, "FIRST_LIST_TIMEOUT_S", PATIENCE)
         drained = await target(one.platform, always(OK))
         waiting_message(one.folder, one.facts, *one.platform.hosts.values())
         fresh = await target(one.platform, always(OK), "s2")
@@ -731,12 +750,15 @@
         monkeypatch.setenv("LB_STATE", str(one.folder))
         one.engine.reload()
         assert (
-            one.engine.figures.accepted == 1
+            one.engine.metrics.configs_accepted == 1
             and one.engine.config.settings.max_open_messages == 7
         )
         for _ in range(5):
             await asyncio.sleep(0)
-            assert not one.engine.dispatcher.state.attempts and not one.engine.pool.out
+            assert (
+                not one.engine.dispatcher.state.attempts
+                and not one.engine.pool.in_flight
+            )
         gate.set()
         await fresh.got(1)
         assert (
@@ -775,7 +797,7 @@
         assert (
             one.engine.config.discovery.port == other.platform.port
         )  # for the engine after it
-        assert one.engine.watch.task is None and one.engine.notices.task is None
+        assert one.engine.watch.task is None and one.engine.notifier.task is None
 
     together(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
@@ -827,8 +849,8 @@
         moved = Platform()
         await moved.start()
         moved.hosts = platform.hosts
-        lock = Lock(folder / "state")
-        assert lock.take()
+        lock = JournalLock(folder / "state")
+        assert lock.try_acquire()
         node = Node(folder, platform)
         folder_nodes[-1].append(node)
         await node.spawn()
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -16,17 +16,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainfall.explore.search import explore
-from rainfall.lease.token import Token
+from rainfall.lease.fencing_token import Token
+from rainfall.model_checker.search import explore
 from rainfall.shard.__main__ import main
-from rainfall.shard.auto import AutoPlanner, Pauses
-from rainfall.shard.check import check, checked, moved_keys
-from rainfall.shard.maps import ShardMap, key_of
-from rainfall.shard.model import MOVE_THERE_AND_BACK, Shards
-from rainfall.shard.moves import Fenced, Hold, Late, Moves
-from rainfall.shard.owned import Owned
-from rainfall.shard.plan import BadPlan, plan
-from rainfall.shard.route import Here, Pass, Refuse, route
+from rainfall.shard.auto_planner import AutoPlanner, PlanDelays
+from rainfall.shard.map_planning import PlanError, plan_map
+from rainfall.shard.map_validation import checked_map, count_moved_keys, map_faults
+from rainfall.shard.migration import (
+    FencedError,
+    MigrationCoordinator,
+    RangeHold,
+    StaleHeartbeatError,
+)
+from rainfall.shard.model import MOVE_THERE_AND_BACK, ShardModel
+from rainfall.shard.ownership import RangeOwnership
+from rainfall.shard.routing import ActLocally, ForwardToOwner, Rejected, route
+from rainfall.shard.shard_map import ShardMap, hash_key
 
 BITS, TOP = 8, 255
 NAMES = ("n1", "n2", "n3")
@@ -121,7 +126,7 @@
                 covers[k][0] for k in (keys[0] - 1, keys[-1] + 1) if 0 <= k <= TOP
             ]
             out["gap", keys[0], keys[-1], tuple(beside)] += 1
-    before = checked(old, bits=BITS)
+    before = checked_map(old, bits=BITS)
     if raw["generation"] <= old["generation"]:
         out["stale-generation", None, None, ()] += 1
     moved = [
@@ -158,7 +163,7 @@
 def test_check_tells_what_a_bitmap_tells(
     raw: dict[str, Any], old: dict[str, Any], most: Fraction, members: set[str]
 ) -> None:
-    faults = check(raw, members, checked(old, bits=BITS), most, BITS)
+    faults = map_faults(raw, members, checked_map(old, bits=BITS), most, BITS)
     assert Counter((f.kind, f.first, f.last, f.entries) for f in faults) == slow(
         raw, members, old, most
     )
@@ -183,7 +188,7 @@
 def test_the_tool_tells_sound_from_faulty_from_unreadable(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert key_of("") == 0x2D06800538D394C2  # as xxh3 publishes it
+    assert hash_key("") == 0x2D06800538D394C2  # as xxh3 publishes it
 
     def file(text: str | bytes) -> Path:
         path = tmp_path / f"{len(list(tmp_path.iterdir()))}.json"
@@ -370,29 +375,29 @@
 def test_a_plan_moves_the_fewest_keys_there_are(
     raw: dict[str, Any], members: dict[str, float], spare: int, figures: list[int]
 ) -> None:
-    old = checked(raw, bits=BITS)
+    old = checked_map(raw, bits=BITS)
     count = sum(weight > 0 for weight in members.values())
     if not count:
-        with pytest.raises(BadPlan):
-            plan(members, old, bits=BITS)
+        with pytest.raises(PlanError):
+            plan_map(members, old, bits=BITS)
         return
-    done = plan(members, old, bits=BITS)
+    done = plan_map(members, old, bits=BITS)
     have, get = sizes(old), sizes(done.map)
     whole = sum(map(Fraction, members.values()))
     for name, weight in members.items():
         assert abs(get[name] - 256 * Fraction(weight) / whole) < 1
     # Whatever a map with these parts looks like, what is over them has to move.
     assert (
-        moved_keys(done.map, old)
-        == done.moved
+        count_moved_keys(done.map, old)
+        == done.moved_keys
         == sum(max(0, have[n] - get[n]) for n in have)
     )
     assert (
         done.map.generation == old.generation + 1
         and len(done.map.ranges) <= len(old.ranges) + 2 * count
     )
-    assert moved_keys(plan(members, done.map, bits=BITS).map, done.map) == 0
-    few = plan(members, old, most_ranges=count + spare, bits=BITS)
+    assert count_moved_keys(plan_map(members, done.map, bits=BITS).map, done.map) == 0
+    few = plan_map(members, old, most_ranges=count + spare, bits=BITS)
     assert len(few.map.ranges) <= count + spare and few.map.owners() == {
         n for n, w in members.items() if w
     }
@@ -412,12 +417,12 @@
         """
         on: Counter[str] = Counter()
         for r in shards.ranges:
-            for s in old.over(r.first, r.last):
+            for s in old.overlapping(r.first, r.last):
                 keys = min(r.last, s.last) - max(r.first, s.first) + 1
                 on[r.owner] += keys * Fraction(loads.get((s.first, s.last), 0), s.size)
         return max(load / Fraction(members[name]) for name, load in on.items())
 
-    done = plan(members, old, loads, bits=BITS)
+    done = plan_map(members, old, loads, bits=BITS)
     assert done.map.owners() <= set(members)
     if old.owners() <= {name for name, weight in members.items() if weight}:
         # A hot range of a few keys cannot be cut any finer: one key's load and the part
@@ -430,11 +435,11 @@
 
 
 def test_hot_ranges_are_split_and_small_ones_merged() -> None:
-    old = checked(
+    old = checked_map(
         made(1, (0, 15, "n1"), (16, 23, "n1"), (24, 127, "n2"), (128, 255, "n2")),
         bits=BITS,
     )
-    done = plan(
+    done = plan_map(
         {"n1": 1, "n2": 1},
         old,
         {(0, 15): 90.0, (16, 23): 8.0, (24, 127): 2.0},
@@ -443,63 +448,73 @@
     hot = [r for r in done.map.ranges if r.last <= 15]
     # 48 of the 98 move, of the densest range; what stays is told apart from now on.
     assert (
-        0 < sum(r.size for r in hot if r.owner == "n2") == done.moved <= 9
+        0 < sum(r.size for r in hot if r.owner == "n2") == done.moved_keys <= 9
         and len(hot) >= 4
     )
-    merged = plan({"n1": 3, "n2": 29}, old, bits=BITS)
+    merged = plan_map({"n1": 3, "n2": 29}, old, bits=BITS)
     assert [(r.first, r.last) for r in merged.map.ranges] == [
         (0, 23),
         (24, 255),
-    ] and merged.moved == 0
+    ] and merged.moved_keys == 0
     # Neighbours of the one that left take its keys from either side; only the rest
     # makes a new range.
-    four = checked(
+    four = checked_map(
         made(1, (0, 63, "n4"), (64, 127, "n2"), (128, 191, "n3"), (192, 255, "n1")),
         bits=BITS,
     )
-    assert len(plan({"n1": 1, "n3": 1, "n4": 1}, four, bits=BITS).map.ranges) == 4
+    assert len(plan_map({"n1": 1, "n3": 1, "n4": 1}, four, bits=BITS).map.ranges) == 4
     # The odd key stays with whoever has it.
-    odd = checked(made(1, (0, 84, "n1"), (85, 169, "n2"), (170, 255, "n3")), bits=BITS)
-    assert plan(dict.fromkeys(NAMES, 1.0), odd, bits=BITS).moved == 0
+    odd = checked_map(
+        made(1, (0, 84, "n1"), (85, 169, "n2"), (170, 255, "n3")), bits=BITS
+    )
+    assert plan_map(dict.fromkeys(NAMES, 1.0), odd, bits=BITS).moved_keys == 0
 
 
 def test_the_planner_waits_for_members_to_stay() -> None:
     second = 1_000_000
-    auto = AutoPlanner(Pauses())
+    auto = AutoPlanner(PlanDelays())
     owners = {"n1": 1.0, "n2": 1.0}
-    assert auto.wanted(owners, 10**9, True, False) is None  # it has not looked yet
-    auto.saw({"n1": 1.0}, 0)
-    assert auto.next_us(owners) == 2 * second
-    assert auto.wanted(owners, 2 * second - 1, True, False) is None
     assert (
-        auto.wanted(owners, 2 * second, True, True) is None
+        auto.members_to_plan_for(owners, 10**9, True, False) is None
+    )  # it has not looked yet
+    auto.observe_members({"n1": 1.0}, 0)
+    assert auto.next_plan_us(owners) == 2 * second
+    assert auto.members_to_plan_for(owners, 2 * second - 1, True, False) is None
+    assert (
+        auto.members_to_plan_for(owners, 2 * second, True, True) is None
     )  # the guard against mass loss
-    assert auto.wanted(owners, 2 * second, False, False) is None  # another leads
-    assert auto.wanted(owners, 2 * second, True, False) == {"n1": 1.0}
-    auto.planned(2 * second)
+    assert (
+        auto.members_to_plan_for(owners, 2 * second, False, False) is None
+    )  # another leads
+    assert auto.members_to_plan_for(owners, 2 * second, True, False) == {"n1": 1.0}
+    auto.on_planned(2 * second)
     owners = {"n1": 1.0}
     # n3 comes and goes eight times; n4 comes and stays. n3 costs no plan, and does not
     # hold n4's up.
     at, plans = 2 * second, 0
     for swing in range(16):
         at += 4 * second
-        auto.saw(
+        auto.observe_members(
             {"n1": 1.0, "n3": 1.0, "n4": 1.0} if swing % 2 else {"n1": 1.0, "n4": 1.0},
             at,
         )
-        if target := auto.wanted(owners, at, True, False):
+        if target := auto.members_to_plan_for(owners, at, True, False):
             assert target == {"n1": 1.0, "n4": 1.0}
             owners, plans = target, plans + 1
-            auto.planned(at)
+            auto.on_planned(at)
     assert plans == 1 and owners == {"n1": 1.0, "n4": 1.0}
-    due = auto.next_us(owners)
+    due = auto.next_plan_us(owners)
     assert (
         due is not None and due - at == 320 * second
     )  # 10 s doubled at each return, to the most
-    assert auto.wanted(owners, due, True, False) == {"n1": 1.0, "n3": 1.0, "n4": 1.0}
-    auto.saw({}, due)
+    assert auto.members_to_plan_for(owners, due, True, False) == {
+        "n1": 1.0,
+        "n3": 1.0,
+        "n4": 1.0,
+    }
+    auto.observe_members({}, due)
     assert (
-        auto.wanted(owners, due + 10**9, True, False) is None
+        auto.members_to_plan_for(owners, due + 10**9, True, False) is None
     )  # nobody is left to plan for
 
 
@@ -554,10 +569,10 @@
 def test_each_planted_bug_is_found_and_the_core_has_none(
     bug: str, depth: int, most: int, model: dict[str, Any]
 ) -> None:
-    broken = explore(Shards(**model, bug=bug), 30, most)
-    assert "both act on keys" in broken.why and len(broken.trace) == depth
-    sound = explore(Shards(**model), depth, 10_000)
-    assert sound.why == "" and (sound.complete or sound.depth == depth)
+    broken = explore(ShardModel(**model, bug=bug), 30, most)
+    assert "both act on keys" in broken.violation and len(broken.trace) == depth
+    sound = explore(ShardModel(**model), depth, 10_000)
+    assert sound.violation == "" and (sound.complete or sound.depth == depth)
 
 
 @pytest.mark.parametrize(
@@ -571,8 +586,8 @@
     ],
 )
 def test_small_models_are_searched_to_their_end(model: dict[str, Any]) -> None:
-    found = explore(Shards(**{"maps": ("ab", "bb"), **model}), 40, 20_000)
-    assert found.complete and found.why == "" and found.states > 700
+    found = explore(ShardModel(**{"maps": ("ab", "bb"), **model}), 40, 20_000)
+    assert found.complete and found.violation == "" and found.states > 700
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -585,9 +600,9 @@
     """
     rng = random.Random(seed)
     names = ["a", "b", "c", "d"]
-    at = plan(dict.fromkeys(names, 1.0), bits=BITS).map
-    moves = Moves(at, 1, bits=BITS)
-    members = {name: Owned(name, bits=BITS) for name in names}
+    at = plan_map(dict.fromkeys(names, 1.0), bits=BITS).map
+    moves = MigrationCoordinator(at, 1, bits=BITS)
+    members = {name: RangeOwnership(name, bits=BITS) for name in names}
     wire: list[Any] = []
     tokens = itertools.count(1)
     lease, now = 100, 0
@@ -595,33 +610,33 @@
     def beat(name: str, safe: bool = False) -> None:
         member = members[name]
         if member.incarnation is None:
-            member.joined(Token(1, next(tokens)), now + lease - 10)
-            moves.alive(member.incarnation, name, now + lease + 10)
-        word = member.word()
+            member.on_joined(Token(1, next(tokens)), now + lease - 10)
+            moves.lease_renewed(member.incarnation, name, now + lease + 10)
+        word = member.next_report()
         try:
-            answer = moves.beat(
+            answer = moves.heartbeat(
                 member.incarnation,
                 word.sent,
                 word.generation,
                 word.digest,
-                word.gave,
+                word.given_up,
                 now,
             )
-        except (Fenced, Late):
-            return member.lost()
-        moves.alive(member.incarnation, name, now + lease + 10)
+        except (FencedError, StaleHeartbeatError):
+            return member.on_lease_lost()
+        moves.lease_renewed(member.incarnation, name, now + lease + 10)
         wire.append((name, member.incarnation, word.sent, answer, now + lease - 10))
 
     def arrive(number: int) -> None:
         name, token, sent, answer, until = wire.pop(number)
-        members[name].answered(token, sent, answer.generation, answer.holds, until)
+        members[name].apply_answer(token, sent, answer.generation, answer.holds, until)
 
     def calm() -> None:
         """Everything gets through, a few times."""
         for _ in range(4):
             for name in names:
-                assert members[name].adopt(at.told()) == []
-                members[name].drained(members[name].frozen())
+                assert members[name].adopt_map(at.to_wire()) == []
+                members[name].mark_drained(members[name].frozen_ranges())
                 beat(name)
                 arrive(len(wire) - 1) if wire else None
             assert not overlaps()
@@ -630,7 +645,7 @@
         acting = Counter(
             key
             for m in members.values()
-            for own in m.holding(now)
+            for own in m.held_ranges(now)
             for key in range(own.hold.first, own.hold.last + 1)
         )
         return [key for key, count in acting.items() if count > 1]
@@ -641,16 +656,17 @@
             case 0:
                 weights = {n: rng.choice([0, 1, 1, 3]) for n in names}
                 if any(weights.values()):
-                    at = plan(weights, at, bits=BITS).map
-                    assert moves.write(at.told(), names, None) == []
+                    at = plan_map(weights, at, bits=BITS).map
+                    assert moves.submit_map(at.to_wire(), names, None) == []
             case 1 | 2:
                 assert all(
-                    f.kind == "stale-generation" for f in members[name].adopt(at.told())
+                    f.kind == "stale-generation"
+                    for f in members[name].adopt_map(at.to_wire())
                 )
             case 3:
-                if frozen := members[name].frozen():
+                if frozen := members[name].frozen_ranges():
                     first, last = rng.choice(frozen)
-                    members[name].drained([(first, rng.randint(first, last))])
+                    members[name].mark_drained([(first, rng.randint(first, last))])
             case 4 | 5 | 6:
                 beat(name)
             case 7 | 8 if wire:
@@ -659,8 +675,8 @@
                 now += rng.randrange(30)
                 moves.expire(now)
                 if rng.random() < 0.2:
-                    moves = Moves.of(
-                        json.loads(json.dumps(moves.told())),
+                    moves = MigrationCoordinator.from_snapshot(
+                        json.loads(json.dumps(moves.to_snapshot())),
                         1,
                         now + lease + 10,
                         bits=BITS,
@@ -668,24 +684,30 @@
         assert not overlaps(), seed
     calm()
     if set(moves.holders) == {member.incarnation for member in members.values()}:
-        assert moves.moving() == []
+        assert moves.ranges_in_migration() == []
     now += 200
     moves.expire(now)
     calm()
-    assert moves.moving() == []
+    assert moves.ranges_in_migration() == []
     for key in range(256):
         assert [n for n in names if members[n].may_act(key, now)] == [at.owner(key)]
 
 
-def pair() -> tuple[Moves, Owned, Token]:
-    moves, owned, token = Moves(None, 3, bits=BITS), Owned("n1", bits=BITS), Token(3, 1)
+def pair() -> tuple[MigrationCoordinator, RangeOwnership, Token]:
+    moves, owned, token = (
+        MigrationCoordinator(None, 3, bits=BITS),
+        RangeOwnership("n1", bits=BITS),
+        Token(3, 1),
+    )
     raw = made(5, (0, 127, "n1"), (128, 255, "n2"))
-    assert moves.write(raw, ["n1", "n2"]) == [] and owned.adopt(raw) == []
-    moves.alive(token, "n1", 1000)
-    owned.joined(token, 900)
-    word = owned.word()
-    answer = moves.beat(token, word.sent, word.generation, word.digest, word.gave, 0)
-    assert answer.dirty and owned.answered(
+    assert moves.submit_map(raw, ["n1", "n2"]) == [] and owned.adopt_map(raw) == []
+    moves.lease_renewed(token, "n1", 1000)
+    owned.on_joined(token, 900)
+    word = owned.next_report()
+    answer = moves.heartbeat(
+        token, word.sent, word.generation, word.digest, word.given_up, 0
+    )
+    assert answer.changed and owned.apply_answer(
         token, word.sent, answer.generation, answer.holds, 900
     )
     return moves, owned, token
@@ -693,79 +715,85 @@
 
 def test_two_maps_of_one_generation_are_told_apart() -> None:
     moves, owned, token = pair()
-    held = moves.told()
+    held = moves.to_snapshot()
     same, other = (
         made(5, (128, 255, "n2"), (0, 127, "n1")),
         made(5, (0, 128, "n1"), (129, 255, "n2")),
     )
-    assert moves.write(same) == [] and owned.adopt(same) == []
+    assert moves.submit_map(same) == [] and owned.adopt_map(same) == []
     for faults in (
-        moves.write(other),
-        owned.adopt(other),
-        owned.adopt(made(4, (0, 255, "n1"))),
+        moves.submit_map(other),
+        owned.adopt_map(other),
+        owned.adopt_map(made(4, (0, 255, "n1"))),
     ):
         assert [f.kind for f in faults] == ["stale-generation"]
-    assert moves.told() == held and owned.may_act(127, 0) and not owned.may_act(128, 0)
+    assert (
+        moves.to_snapshot() == held
+        and owned.may_act(127, 0)
+        and not owned.may_act(128, 0)
+    )
     # A member with the other map is given nothing under it; the service puts its own
     # above both.
-    stranger = Owned("n2", bits=BITS)
-    stranger.adopt(other)
-    stranger.joined(Token(3, 2), 900)
-    moves.alive(Token(3, 2), "n2", 1000)
-    word = stranger.word()
-    answer = moves.beat(
-        Token(3, 2), word.sent, word.generation, word.digest, word.gave, 0
+    stranger = RangeOwnership("n2", bits=BITS)
+    stranger.adopt_map(other)
+    stranger.on_joined(Token(3, 2), 900)
+    moves.lease_renewed(Token(3, 2), "n2", 1000)
+    word = stranger.next_report()
+    answer = moves.heartbeat(
+        Token(3, 2), word.sent, word.generation, word.digest, word.given_up, 0
     )
-    assert (answer.generation, answer.holds, answer.dirty) == (6, (), True)
+    assert (answer.generation, answer.holds, answer.changed) == (6, (), True)
     # So it does for one that has seen later maps than a restored copy of the folder
     # knows.
-    assert moves.beat(token, 50, 9, 1, (), 0).generation == 10
+    assert moves.heartbeat(token, 50, 9, 1, (), 0).generation == 10
     with pytest.raises(ValueError):
-        moves.beat(token, 51, 1 << 60, 1, (), 0)
+        moves.heartbeat(token, 51, 1 << 60, 1, (), 0)
 
 
 def test_a_restart_knows_all_holds_and_a_lost_folder_waits() -> None:
     moves, owned, token = pair()
-    again = Moves.of(json.loads(json.dumps(moves.told())), 4, 2000, bits=BITS)
-    assert again.told() == moves.told() and again.free == moves.free
+    again = MigrationCoordinator.from_snapshot(
+        json.loads(json.dumps(moves.to_snapshot())), 4, 2000, bits=BITS
+    )
+    assert again.to_snapshot() == moves.to_snapshot() and again.free == moves.free
     assert again.expire(1999) == [] and again.expire(2000) == [token]
-    told = moves.told()
+    told = moves.to_snapshot()
     for broken in (
         {},
         {**told, "number": "x"},
         {**told, "holders": told["holders"] * 2},
     ):
         with pytest.raises(ValueError):
-            Moves.of(broken, 4, 0, bits=BITS)
-    lost = Moves(None, 4, quiet_until_us=1000, bits=BITS)
-    lost.write(made(6, (0, 255, "n2")))
-    taker = Owned("n2", bits=BITS)
-    taker.adopt(made(6, (0, 255, "n2")))
-    lost.alive(Token(4, 1), "n2", 5000)
-    word = taker.word()
+            MigrationCoordinator.from_snapshot(broken, 4, 0, bits=BITS)
+    lost = MigrationCoordinator(None, 4, grants_from_us=1000, bits=BITS)
+    lost.submit_map(made(6, (0, 255, "n2")))
+    taker = RangeOwnership("n2", bits=BITS)
+    taker.adopt_map(made(6, (0, 255, "n2")))
+    lost.lease_renewed(Token(4, 1), "n2", 5000)
+    word = taker.next_report()
     for now, count in ((999, 0), (1000, 1)):
-        answer = lost.beat(
+        answer = lost.heartbeat(
             Token(4, 1), word.sent + now, word.generation, word.digest, (), now
         )
         assert len(answer.holds) == count
-    with pytest.raises(Late):
-        lost.beat(Token(4, 1), 0, 6, word.digest, (), 1000)
-    with pytest.raises(Fenced):
-        lost.beat(
+    with pytest.raises(StaleHeartbeatError):
+        lost.heartbeat(Token(4, 1), 0, 6, word.digest, (), 1000)
+    with pytest.raises(FencedError):
+        lost.heartbeat(
             Token(3, 1), 9999, 6, word.digest, (), 1000
         )  # the former service's incarnation
     # An older incarnation of a name keeps what it holds until its lease is out, and is
     # given nothing new.
-    lost.alive(Token(4, 2), "n2", 9000)
-    lost.alive(Token(4, 1), "n2", 1)  # a lease once told is not shortened
+    lost.lease_renewed(Token(4, 2), "n2", 9000)
+    lost.lease_renewed(Token(4, 1), "n2", 1)  # a lease once told is not shortened
     assert lost.expire(4999) == []
-    assert lost.beat(Token(4, 2), 1, 6, word.digest, (), 1001).holds == ()
-    assert lost.moving() == [] and lost.expire(5000) == [Token(4, 1)]
-    lost.alive(Token(4, 3), "n2", 9000)
-    assert lost.beat(Token(4, 2), 2, 6, word.digest, (), 5000).holds == ()
-    assert len(lost.beat(Token(4, 3), 1, 6, word.digest, (), 5000).holds) == 1
-    with pytest.raises(Fenced):
-        lost.beat(
+    assert lost.heartbeat(Token(4, 2), 1, 6, word.digest, (), 1001).holds == ()
+    assert lost.ranges_in_migration() == [] and lost.expire(5000) == [Token(4, 1)]
+    lost.lease_renewed(Token(4, 3), "n2", 9000)
+    assert lost.heartbeat(Token(4, 2), 2, 6, word.digest, (), 5000).holds == ()
+    assert len(lost.heartbeat(Token(4, 3), 1, 6, word.digest, (), 5000).holds) == 1
+    with pytest.raises(FencedError):
+        lost.heartbeat(
             Token(4, 3), 2, 6, word.digest, (), 9000
         )  # out, though nobody has looked yet
 
@@ -776,56 +804,64 @@
 
     def go(
         key: int, passed: int | None = None, now: int = 0, until: int = 500
-    ) -> Here | Pass | Refuse:
+    ) -> ActLocally | ForwardToOwner | Rejected:
         return route(owned, key, now, until, passed, {"n1", "n2"}, up.__contains__)
 
     mine = owned.may_act(0, 0)
-    assert mine is not None and go(0) == Here(mine) == go(0, passed=2)
-    assert go(200, now=100) == Pass("n2", 5, 400)
-    assert go(200, now=500) == Refuse("late", 1)
-    assert go(200, passed=5) == Refuse("loop", 1) and go(200, passed=4) == Refuse(
+    assert mine is not None and go(0) == ActLocally(mine) == go(0, passed=2)
+    assert go(200, now=100) == ForwardToOwner("n2", 5, 400)
+    assert go(200, now=500) == Rejected("late", 1)
+    assert go(200, passed=5) == Rejected("loop", 1) and go(200, passed=4) == Rejected(
         "generation", 1
     )
     up.clear()
-    assert go(200) == Refuse("link out", 1)
+    assert go(200) == Rejected("link out", 1)
     assert (
-        go(0, now=900, until=1000) == Refuse("not begun", 1)
-        and owned.holding(900) == []
+        go(0, now=900, until=1000) == Rejected("not begun", 1)
+        and owned.held_ranges(900) == []
     )
-    assert owned.adopt(made(6, (0, 63, "n1"), (64, 255, "n9"))) == []
-    assert go(100) == Refuse("unknown owner", 1) and owned.frozen() == [(64, 127)]
-    assert owned.may_end(100, 0) == mine and not owned.may_end(100, 900)
-    owned.drained([(64, 99)])
+    assert owned.adopt_map(made(6, (0, 63, "n1"), (64, 255, "n9"))) == []
+    assert go(100) == Rejected("unknown owner", 1) and owned.frozen_ranges() == [
+        (64, 127)
+    ]
+    assert owned.may_finish(100, 0) == mine and not owned.may_finish(100, 900)
+    owned.mark_drained([(64, 99)])
     assert (
-        owned.word().gave == ((64, 99),)
-        and not owned.may_end(99, 0)
-        and owned.may_end(100, 0)
+        owned.next_report().given_up == ((64, 99),)
+        and not owned.may_finish(99, 0)
+        and owned.may_finish(100, 0)
     )
-    assert owned.adopt(made(7, (0, 255, "n1"))) == []
-    assert go(100) == Here(mine) and go(99) == Refuse(
+    assert owned.adopt_map(made(7, (0, 255, "n1"))) == []
+    assert go(100) == ActLocally(mine) and go(99) == Rejected(
         "not begun", 1
     )  # thawed; given up for good
-    assert not owned.answered(Token(9, 9), 99, 7, (), 10**6) and owned.may_act(
+    assert not owned.apply_answer(Token(9, 9), 99, 7, (), 10**6) and owned.may_act(
         0, 0
     )  # not this incarnation's
-    assert owned.answered(token, 99, 7, (), 900) and not owned.may_act(
+    assert owned.apply_answer(token, 99, 7, (), 900) and not owned.may_act(
         0, 0
     )  # what is not listed is not held
-    assert not owned.answered(token, 98, 7, (), 10**6) and owned.until_us == 900
+    assert (
+        not owned.apply_answer(token, 98, 7, (), 10**6)
+        and owned.lease_expires_at_us == 900
+    )
     # Listed under a map that it does not have: neither begun nor given up until it has.
-    newer = (Hold(0, 9, Token(3, 5), 8),)
+    newer = (RangeHold(0, 9, Token(3, 5), 8),)
     assert (
-        owned.answered(token, 100, 8, newer, 900)
+        owned.apply_answer(token, 100, 8, newer, 900)
         and not owned.may_act(5, 0)
-        and owned.word().gave == ()
+        and owned.next_report().given_up == ()
     )
     assert (
-        owned.wanted == 8 and owned.adopt(made(8, (0, 4, "n1"), (5, 255, "n2"))) == []
+        owned.service_generation == 8
+        and owned.adopt_map(made(8, (0, 4, "n1"), (5, 255, "n2"))) == []
     )
-    assert owned.answered(token, 101, 8, newer, 900) and owned.may_act(4, 0) == Token(
-        3, 5
+    assert owned.apply_answer(token, 101, 8, newer, 900) and owned.may_act(
+        4, 0
+    ) == Token(3, 5)
+    assert not owned.may_act(5, 0) and owned.next_report().given_up == ((5, 9),)
+    owned.on_lease_lost()
+    assert not owned.ranges and go(0) == Rejected("not begun", 1)
+    assert route(RangeOwnership("n1"), 0, 0, 1, None, (), up.__contains__) == Rejected(
+        "no map", 1
     )
-    assert not owned.may_act(5, 0) and owned.word().gave == ((5, 9),)
-    owned.lost()
-    assert not owned.owns and go(0) == Refuse("not begun", 1)
-    assert route(Owned("n1"), 0, 0, 1, None, (), up.__contains__) == Refuse("no map", 1)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -13,7 +13,7 @@
 import pytest
 
 from rainfall.dispatch import Idempotency, IdempotencyScope
-from rainfall.net.config import Config, parse
+from rainfall.forwarder.config.loading import Config, parse_config
 from tests.sockets import OK, ROOT, Answer, Node, Platform, Request
 from tests.test_node import configure, folder_nodes, play, target
 
@@ -149,7 +149,7 @@
 
 
 def taken(folder: Path) -> Config:
-    return parse(
+    return parse_config(
         {
             "name": "n0",
             "listen": "127.0.0.1:3000",
--- a/tests/test_suspect_answers.py
+++ b/tests/test_suspect_answers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from rainfall.dispatch import Outcome
-from rainfall.net import client
+from rainfall.forwarder.outbound import connection_pool
 from tests.test_crossing_calls import Scene, Target, arrived, play, target, until
 
 __all__ = ["target"]
@@ -30,7 +30,7 @@
         assert call.connection is not None
         side.sendall(FIRST_LINE[:length])
         arrived(call.connection)
-        s.pool.timed_out(call)
+        s.pool.on_timeout(call)
         for _ in range(5):
             await asyncio.sleep(0)
         assert s.outcomes() == [
@@ -45,7 +45,7 @@
     target: Target, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        client, "WHOLE_S", 3600
+        connection_pool, "RESPONSE_COMPLETION_S", 3600
     )  # by its size, and not by the time it takes
 
     async def scene() -> None:
--- a/tests/test_suspect_clients.py
+++ b/tests/test_suspect_clients.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rainfall.net.client_connection import ClientConnection
+from rainfall.forwarder.inbound.client_connection import ClientConnection
 from tests.sockets import message
 from tests.test_crossing_stopping import Door, play
 
@@ -22,7 +22,7 @@
         door.at_once = HTTPStatus.ACCEPTED
         if not read:
             first.say(message("m"))
-        door.server.joined(
+        door.server.add_connection(
             ClientConnection(door.server)
         )  # one more than there is room for
         if read:
--- a/tests/test_suspect_half_close.py
+++ b/tests/test_suspect_half_close.py
@@ -21,11 +21,11 @@
 
     async def scene(door: Door) -> None:
         client = await door.busy()
-        door.server.leaving = True
+        door.server.draining = True
         client.say(message("crossed"))
         door.handed[0][1].answer(HTTPStatus.ACCEPTED)
-        closes, clock = door.of(client).until_us, door.server.clock
-        came = door.of(client).came_us
+        closes, clock = door.of(client).close_at_us, door.server.clock
+        came = door.of(client).connected_at_us
         assert closes - came > PATIENCE_US
         door.server.clock = lambda: came + PATIENCE_US
         door.server.sweep()
--- a/tests/test_suspect_kill.py
+++ b/tests/test_suspect_kill.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from rainfall.net.engine import Engine
+from rainfall.forwarder.engine.engine import Engine
 from tests.sockets import Answer
 from tests.test_crossing_restart import Site, on_disk, play
 
@@ -43,7 +43,7 @@
         assert await site.hand_in("m", cls, 8) == 202
         await dial.begun.wait()
         await site.kill()
-        assert not site.came("m") and on_disk(tmp_path).messages["m"].out == {}
+        assert not site.came("m") and on_disk(tmp_path).messages["m"].in_flight == {}
         await site.start()
         await site.until(lambda: site.came("m"))
         await site.passes("other")
@@ -60,7 +60,7 @@
         kept: list[bool] = []
 
         async def side(request: Any) -> Answer:
-            kept.append(0 in on_disk(tmp_path).messages["m"].out)
+            kept.append(0 in on_disk(tmp_path).messages["m"].in_flight)
             return Answer(200)
 
         site.sides[1].handler = side
@@ -94,7 +94,9 @@
         engine.store.files.write = full  # type: ignore[method-assign]
         dial.up.set()
         await site.until(
-            lambda: engine.store.failed and (site.came("m") or not engine.pool.out)
+            lambda: (
+                engine.store.failed and (site.came("m") or not engine.pool.in_flight)
+            )
         )
         assert site.came("m") is goes
         engine.store.files.write = write  # type: ignore[method-assign]
--- a/tests/test_suspect_late_loop.py
+++ b/tests/test_suspect_late_loop.py
@@ -13,10 +13,13 @@
 
 from rainfall.dispatch import AttemptFinished, Outcome
 from rainfall.dispatch.expiry import MIN_WAKEUP_INTERVAL_US
-from rainfall.net.desk import ROUND_US, TICK_S
-from rainfall.net.engine import MOST_SOONER_US
-from rainfall.net.server import BEAT_S
-from rainfall.net.starting import OVERDUE_US
+from rainfall.forwarder.engine.engine import MAX_EARLY_TIMEOUT_US
+from rainfall.forwarder.engine.engine_state import (
+    MIN_ROUND_INTERVAL_US,
+    TICK_INTERVAL_S,
+)
+from rainfall.forwarder.engine.startup import OVERDUE_GRACE_US
+from rainfall.forwarder.inbound.server import LOOP_CHECK_INTERVAL_S
 from tests.sockets import Platform, hang, message
 from tests.test_crossing_stopping import (
     Caller,
@@ -30,7 +33,7 @@
 
 MS = 1_000
 S = 1_000_000
-BEAT_US = int(BEAT_S * S)
+BEAT_US = int(LOOP_CHECK_INTERVAL_S * S)
 OWED_US = (
     300 * MS
 )  # after its time a message must have been delivered or ended (PROTOCOL)
@@ -50,18 +53,22 @@
     """Its clock and its beats are the test's from now on; it has just looked."""
     clock = HandClock()
     server = door.server
-    assert server.beat_timer is not None
-    server.beat_timer.cancel()
-    server.clock, server.beat_due_us, server.late_us = clock, clock.now + BEAT_US, 0
+    assert server.loop_check_timer is not None
+    server.loop_check_timer.cancel()
+    server.clock, server.loop_check_due_us, server.loop_delay_us = (
+        clock,
+        clock.now + BEAT_US,
+        0,
+    )
     return clock
 
 
 def look(door: Door) -> None:
     """One beat, and no other behind it."""
     assert not door.handed
-    door.server.beat()
-    assert door.server.late_us and door.server.beat_timer is not None
-    door.server.beat_timer.cancel()
+    door.server.check_loop_delay()
+    assert door.server.loop_delay_us and door.server.loop_check_timer is not None
+    door.server.loop_check_timer.cancel()
 
 
 @pytest.mark.parametrize("new", [True, False])
@@ -108,9 +115,9 @@
     async def scene() -> None:
         door = Door()
         door.server.clock = clock = HandClock()
-        door.server.beat_due_us = clock.now - 10 * S
+        door.server.loop_check_due_us = clock.now - 10 * S
         await door.open()
-        assert door.server.late_us == door.server.expected_late_us == 0
+        assert door.server.loop_delay_us == door.server.expected_loop_delay_us == 0
         await door.server.close()
 
     asyncio.run(scene())
@@ -135,22 +142,22 @@
         await rounds_by_hand(run)
         m = engine.store.messages["m"]
         past = engine.dispatcher.state.messages["m"].deadline = (
-            engine.clock() - OVERDUE_US - S
+            engine.clock() - OVERDUE_GRACE_US - S
         )
         engine.store.move_deadline(m, past)
         engine.post(
             AttemptFinished(
                 "m",
                 0,
-                engine.numbers["s1"],
+                engine.endpoint_ids["s1"],
                 outcome,
                 5,
                 message_closed=outcome is Outcome.DELIVERED,
             )
         )
-        engine.end_overdue()
+        engine.fail_overdue_messages()
         assert "m" not in engine.store.messages
-        owed = engine.store.owed.get("m")
+        owed = engine.store.pending_notifications.get("m")
         assert (owed and owed.state) == (
             None if outcome is Outcome.DELIVERED else "returned"
         )
@@ -168,10 +175,12 @@
     its time, and one that both have left by the watch; then its notice goes out in one
     round. So late may the loop be in all before that is missed.
     """
-    rounds = ROUND_US + 2 * MS  # the call's timer and a turn to read what lies there
+    rounds = (
+        MIN_ROUND_INTERVAL_US + 2 * MS
+    )  # the call's timer and a turn to read what lies there
     assert OWED_US - (rounds - MIN_WAKEUP_INTERVAL_US) >= 330 * MS
     assert OWED_US - rounds >= 290 * MS
-    assert OWED_US - (OVERDUE_US + int(TICK_S * S) + rounds) >= 70 * MS
+    assert OWED_US - (OVERDUE_GRACE_US + int(TICK_INTERVAL_S * S) + rounds) >= 70 * MS
 
 
 @pytest.mark.parametrize(
@@ -179,7 +188,7 @@
     [
         (0, 50, 0),
         (30 * MS, 50, 30 * MS),
-        (900 * MS, 50, MOST_SOONER_US),
+        (900 * MS, 50, MAX_EARLY_TIMEOUT_US),
         (900 * MS, 0.4, 100 * MS),
     ],
 )
@@ -190,18 +199,18 @@
         peer = await target(platform, hang)
         run = await Running(folder, platform).ready()
         engine = run.engine
-        assert engine.server.beat_timer is not None
-        engine.server.beat_timer.cancel()
+        assert engine.server.loop_check_timer is not None
+        engine.server.loop_check_timer.cancel()
         client = Caller(run.port)
         await rounds_by_hand(run)
         client.say(message("m", "pay", left=str(left_s), Idempotency_Key=None))
-        await run.until(lambda: "m" in engine.arriving)
-        engine.server.expected_late_us = late_us
-        due_us, clock = engine.arriving["m"][0].due_us, engine.clock
+        await run.until(lambda: "m" in engine.undecided)
+        engine.server.expected_loop_delay_us = late_us
+        due_us, clock = engine.undecided["m"][0].due_us, engine.clock
         engine.clock = lambda: due_us - int(left_s * S)  # type: ignore[assignment]
-        engine.round()
+        engine.run_round()
         engine.clock = clock
-        assert engine.pool.calls[("m", 0)].until_us == due_us - sooner_us
+        assert engine.pool.calls[("m", 0)].timeout_at_us == due_us - sooner_us
         client.socket.close()
         await run.end()
         assert len(peer.requests) <= 1
--- a/tests/test_suspect_stopping.py
+++ b/tests/test_suspect_stopping.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from rainfall.net import stopping
+from rainfall.forwarder.engine import shutdown
 from tests.sockets import OK, Answer, Peer, Platform, always, hang, message
 from tests.test_crossing_restart import on_disk
 from tests.test_crossing_stopping import Caller, Running, engine_play, target
@@ -18,8 +18,8 @@
 
 async def rounds_by_hand(run: Running) -> None:
     """From here on the rounds are the test's to make."""
-    run.engine.schedule = lambda: None  # type: ignore[method-assign]
-    await run.until(lambda: not run.engine.scheduled)
+    run.engine.schedule_round = lambda: None  # type: ignore[method-assign]
+    await run.until(lambda: not run.engine.round_scheduled)
 
 
 def test_call_that_comes_back_unsent_in_the_freeze_is_booked_as_unsent(
@@ -38,21 +38,21 @@
         await rounds_by_hand(run)
         client = Caller(run.port)
         client.say(message("m", "pay", Idempotency_Key=None))
-        await run.until(lambda: bool(engine.arriving))
-        engine.pool.serving(
+        await run.until(lambda: bool(engine.undecided))
+        engine.pool.set_endpoints(
             {}
         )  # its target has just left the list, which the module has not read yet
-        run.told_to_stop(stopping.FREEZE_S)
-        engine.stop_step()
+        run.told_to_stop(shutdown.FREEZE_AFTER_S)
+        engine.advance_shutdown()
         assert (await client.answer())[0] == 202
         assert (
-            engine.store.messages["m"].out == {}
-            and engine.store.messages["m"].ran_at_us < 0
+            engine.store.messages["m"].in_flight == {}
+            and engine.store.messages["m"].executed_at_us < 0
         )
         client.socket.close()
         await run.end()
         kept = on_disk(folder).messages["m"]
-        assert not peer.requests and (kept.attempts, kept.out) == (1, {})
+        assert not peer.requests and (kept.attempts, kept.in_flight) == (1, {})
         again = await Running(folder, platform).ready()
         await peer.got(1)
         assert (
@@ -79,7 +79,9 @@
         client.socket.close()
         answer_at_once(peer)
         await run.end()  # in the turn in which the answer came
-        assert not run.engine.store.messages and not run.engine.store.owed
+        assert (
+            not run.engine.store.messages and not run.engine.store.pending_notifications
+        )
         again = await Running(folder, platform).ready()
         assert (
             not again.engine.store.messages
@@ -108,8 +110,8 @@
         clients = [Caller(run.port) for _ in range(3)]
         for number, client in enumerate(clients):
             client.say(message(f"m{number}", cls, Idempotency_Key=None))
-        await run.until(lambda: len(run.engine.arriving) == 3)
-        run.engine.round()
+        await run.until(lambda: len(run.engine.undecided) == 3)
+        run.engine.run_round()
         for client in clients:
             assert (await client.answer())[0] == 202
             client.socket.close()
@@ -124,10 +126,10 @@
                 b",x1=25\r\n\r\n%b" % (len(whole), whole[:-1])
             )
             await run.until(
-                lambda: any(c.begun for c in run.engine.pool.calls.values())
+                lambda: any(c.response_started for c in run.engine.pool.calls.values())
             )
-        run.told_to_stop(stopping.EXIT_S)
-        run.engine.stop_step()
+        run.told_to_stop(shutdown.EXIT_AFTER_S)
+        run.engine.advance_shutdown()
         await run.end()
         peer.handler = always(Answer(500))
         again = await Running(folder, platform).ready()
--- a/tests/test_terms_list.py
+++ b/tests/test_terms_list.py
@@ -9,8 +9,11 @@
 
 import pytest
 
-from rainfall.net.config import Address
-from rainfall.net.discovery import TOLD_S, told_within_s
+from rainfall.forwarder.config.loading import Address
+from rainfall.forwarder.discovery.endpoint_watch import (
+    LIST_LATENCY_LIMIT_S,
+    list_latency_bound_s,
+)
 from tests.sockets import Answer, Peer, Request
 from tests.test_list_told_in_time import (
     ROOM_S,
@@ -75,7 +78,11 @@
         agent.health, agent.seq = "draining", 2
         fell = rig.loop.time()
         await rig.until(lambda: not rig.serves())
-        assert rig.loop.time() - fell <= told_within_s(pushed) <= TOLD_S - ROOM_S
+        assert (
+            rig.loop.time() - fell
+            <= list_latency_bound_s(pushed)
+            <= LIST_LATENCY_LIMIT_S - ROOM_S
+        )
         rig.watch.pause()
         peer.server.close()
 
--- a/tests/test_terms_notices.py
+++ b/tests/test_terms_notices.py
@@ -7,9 +7,13 @@
 
 import pytest
 
-from rainfall.net.discovery import MOST_NOTICES, notice_within_s, post_body
-from rainfall.net.http import MOST_BODY
-from rainfall.net.store import Owed
+from rainfall.forwarder.discovery.endpoint_watch import (
+    MAX_NOTIFICATIONS_PER_POST,
+    encode_notifications,
+    notification_latency_bound_s,
+)
+from rainfall.forwarder.http1 import MAX_BODY_BYTES
+from rainfall.forwarder.message_store import PendingNotification
 from tests.sockets import Answer
 from tests.test_crossing_notices import TAKEN, Book, notices, platform_that
 from tests.test_list_told_in_time import in_virtual_time
@@ -26,20 +30,22 @@
     over 64 KiB.
     """
     owed = {
-        f"{n:06}" + character * (length - 6): Owed("returned", 3000)
-        for n in range(3 * MOST_NOTICES)
+        f"{n:06}" + character * (length - 6): PendingNotification("returned", 3000)
+        for n in range(3 * MAX_NOTIFICATIONS_PER_POST)
     }
     told: list[str] = []
     posts = 0
     while owed:
-        names, body = post_body(owed)
-        assert 0 < len(names) <= MOST_NOTICES and len(body) <= MOST_BODY
+        names, body = encode_notifications(owed)
+        assert (
+            0 < len(names) <= MAX_NOTIFICATIONS_PER_POST and len(body) <= MAX_BODY_BYTES
+        )
         assert [json.loads(line)["id"] for line in body.splitlines()] == names
         for name in names:
             del owed[name]
         told += names
         posts += 1
-    assert told == sorted(told) and len(told) == 3 * MOST_NOTICES
+    assert told == sorted(told) and len(told) == 3 * MAX_NOTIFICATIONS_PER_POST
     if length == 16 and character == "m":
         assert posts == 3
 
@@ -54,14 +60,14 @@
 
     async def scene() -> None:
         peer = await platform_that(TAKEN, lost, TAKEN)
-        book = Book(*(f"{n:016}" for n in range(3 * MOST_NOTICES)))
+        book = Book(*(f"{n:016}" for n in range(3 * MAX_NOTIFICATIONS_PER_POST)))
         posts = notices(peer, book)
         kicked = asyncio.get_running_loop().time()
         posts.kick()
         await book.until(lambda: not book.owed)
         assert (
             asyncio.get_running_loop().time() - kicked
-            <= notice_within_s()
+            <= notification_latency_bound_s()
             < TOLD_AFTER_READY_S
         )
         assert book.done == sorted(book.done)
--- a/tests/test_terms_requests.py
+++ b/tests/test_terms_requests.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from rainfall.net.client_connection import TURNS
-from rainfall.net.server import Handed
+from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_TURNS
+from rainfall.forwarder.inbound.server import SubmittedMessage
 from tests.sockets import message
 from tests.test_crossing_stopping import Caller, Door, play
 
@@ -81,7 +81,7 @@
 }
 
 
-def same(handed: Handed) -> bool:
+def same(handed: SubmittedMessage) -> bool:
     return (
         handed.id,
         handed.class_name,
@@ -96,7 +96,7 @@
     """Say it, and let the forwarder read it apart from what comes next."""
     client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     client.say(data)
-    for _ in range(TURNS):
+    for _ in range(SETTLE_LOOP_TURNS):
         await asyncio.sleep(0)
 
 
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("place", [1, 20, len(PLAIN) - len(BODY), len(PLAIN) - 1])
-@pytest.mark.parametrize("step", ["leave", "sweep"])
+@pytest.mark.parametrize("step", ["drain", "sweep"])
 def test_request_in_pieces_around_sigterm_has_its_answer(place: int, step: str) -> None:
     """Its last byte comes after the shutdown was decided: it is answered, and its
     connection ends then.
@@ -155,7 +155,7 @@
         door.at_once = HTTPStatus.ACCEPTED
         client = await door.resting()
         await read(client, PLAIN[:place])
-        door.server.leaving = True
+        door.server.draining = True
         getattr(door.server, step)()
         await read(client, PLAIN[place:-1])
         getattr(door.server, step)()
