--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -318,9 +318,10 @@
 def measure_swings(
     members: int, seconds: int, steady: bool
 ) -> tuple[float, float, float, float, float, float]:
-    """A fifth of the members have work; not `steady`: another fifth every 5 s. Records
-    and bytes a second on disk, beats and bytes a second of their budget part, ms of a
-    plan, worst span over the whole.
+    """A fifth of the members have work; not `steady`: another fifth every 5 s.
+
+    Records and bytes a second on disk, beats and bytes a second of their budget part,
+    ms of a plan, worst span over the whole.
     """
     fleet = SimulatedFleet(
         members, Budget("7", members * 10, SECOND_US, 1, members), members
--- a/measure/cold_fleet.py
+++ b/measure/cold_fleet.py
@@ -12,7 +12,7 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from tests.cold_fleet import SCENES, Play, Verdict, played
+from tests.support.simulated_fleet import SCENES, Play, Verdict, played
 
 EARLY_CALL_COUNTS = (0.3, 1.0, 4.0, 30.0)
 
--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -176,8 +176,9 @@
 async def wait_until_settled(
     members: list[SimulatedMember], tasks: list[asyncio.Task[None]], for_s: float
 ) -> None:
-    """Until no share of any has changed for so long, and all have theirs. Raises Stuck
-    where that does not come, and what a member's task failed with.
+    """Until no share of any has changed for so long, and all have theirs.
+
+    Raises Stuck where that does not come, and what a member's task failed with.
     """
     until = time.perf_counter() + SETTLE_TIMEOUT_S
     while (
--- a/measure/import_time.py
+++ b/measure/import_time.py
@@ -31,7 +31,7 @@
 
 
 def import_once(tree: Path, module: str) -> tuple[list[float], dict[str, int]]:
-    """ms by the wall and of the processor; modules imported, and how many of these are
+    """Ms by the wall and of the processor; modules imported, and how many of these are
     our own.
     """
     done = subprocess.run(
--- a/measure/power_cost.py
+++ b/measure/power_cost.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(ROOT))
 
 from measure.reporting import cancel_tasks, format_row  # noqa: E402
-from tests.sockets import OK, Node, Peer, Platform, always  # noqa: E402
+from tests.support.loopback_peers import OK, Node, Peer, Platform, always  # noqa: E402
 
 RATES, DURATION_S = (20, 100, 400), 2.0
 
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -24,7 +24,7 @@
     MessageStore,
 )
 from rainfall.wirehost import parse_settings  # noqa: E402
-from tests.sockets import OK, SETTINGS, Node, Peer, Platform, always  # noqa: E402
+from tests.support.loopback_peers import OK, SETTINGS, Node, Peer, Platform, always  # noqa: E402
 
 FULL_FOLDER_MESSAGES = 100_000  # more than the disk limit holds
 
--- a/measure/scale/control_demand.py
+++ b/measure/scale/control_demand.py
@@ -79,9 +79,7 @@
 
 
 def announce_changes(books: FleetQuotas) -> list[Any]:
-    """What the module is told after each answered beat, and the lines for what
-    changed.
-    """
+    """What the module is told after each answered beat, and the lines for what changed."""
     return [
         books.quota_event(d, NOW_US, 0) for d in sorted(books.accounts)
     ] + books.changes(NOW_US)
--- a/measure/scale/control_division.py
+++ b/measure/scale/control_division.py
@@ -101,6 +101,7 @@
 
 def measure_ledger(members: int, budgets: int) -> dict[str, float]:
     """At rest: a plan that finds nothing due, a beat that says nothing new, its answer.
+
     Then a plan after a member's need changed in one budget; and the memory.
     """
     made = build_ledger(members, budgets)
--- a/measure/scale/control_list.py
+++ b/measure/scale/control_list.py
@@ -107,9 +107,7 @@
 
 
 def recovered_share(engine: Engine, folder: Path) -> float:
-    """The share of the listed endpoints that a start after a kill finds in the
-    journal.
-    """
+    """The share of the listed endpoints that a start after a kill finds in the journal."""
     return len(MessageStore(folder, worlds.DISK_BYTES, write=False).hosts) / len(
         engine.endpoints
     )
--- a/measure/scale/failures.py
+++ b/measure/scale/failures.py
@@ -1,6 +1,4 @@
-"""What each failure of the target costs at its peak, and what control then has to
-do.
-"""
+"""What each failure of the target costs at its peak, and what control then has to do."""
 
 from __future__ import annotations
 
--- a/measure/scale/fit.py
+++ b/measure/scale/fit.py
@@ -92,9 +92,11 @@
         return self.shape is not None
 
     def at(self, size: float) -> Spread:
-        """The value at another size. Where no shape is plain it is between those of the
-        sizes around it, and past the largest the last two sizes' power law goes on, or
-        the last value where that falls.
+        """The value at another size.
+
+        Where no shape is plain it is between those of the sizes around it, and past the
+        largest the last two sizes' power law goes on, or the last value where that
+        falls.
         """
         if self.shape is None and self.points[0].size <= size <= self.last.size:
             return between(self.points, size)
--- a/measure/scale/growth.py
+++ b/measure/scale/growth.py
@@ -56,8 +56,10 @@
     point_s: float = POINT_S,
     memory: Callable[[Mapping[str, float]], float] | None = None,
 ) -> Growth:
-    """Measure each size `repeats` times. `once` tells values by name; `memory` tells
-    from these how many bytes the run took, where that can come near the bound.
+    """Measure each size `repeats` times.
+
+    `once` tells values by name; `memory` tells from these how many bytes the run took,
+    where that can come near the bound.
     """
     growth = Growth()
     before, took_s, took_before_s, used_bytes = 0, 0.0, 0.0, 0.0
--- a/measure/scale/hollow_fleet.py
+++ b/measure/scale/hollow_fleet.py
@@ -138,19 +138,16 @@
 
 
 class HollowFleet:
-    """`members` of them with `budgets` budgets, `wanted` of which each needs calls
-    of.
-    """
+    """`members` of them with `budgets` budgets, `wanted` of which each needs calls of."""
 
     def __init__(
         self, folder: Path, members: int, budgets: int = 3, wanted: int | None = None
     ) -> None:
         allow_descriptors(members)
         self.folder, self.budgets = folder, budgets
-        self.needs = {
-            number: IDLE_CALLS
-            for number in range(budgets if wanted is None else wanted)
-        }
+        self.needs = dict.fromkeys(
+            range(budgets if wanted is None else wanted), IDLE_CALLS
+        )
         self.service = ListService(folder, members, budgets)
         self.service.start()
         self.service.change_hosts([host_entry(number) for number in range(HOST_COUNT)])
@@ -209,6 +206,7 @@
         patience_s: float = WAIT_TIMEOUT_S,
     ) -> Totals:
         """The totals once they are so, with the samples of all the time until then.
+
         Raises Stuck.
         """
         end = time.monotonic() + patience_s
--- a/measure/scale/hollow_member.py
+++ b/measure/scale/hollow_member.py
@@ -144,8 +144,9 @@
 
 
 class HollowEngine:
-    """As much of the engine's desk as its fleet part uses. Events end here; shares are
-    remembered.
+    """As much of the engine's desk as its fleet part uses.
+
+    Events end here; shares are remembered.
     """
 
     def __init__(self, config: HollowConfig) -> None:
@@ -187,8 +188,10 @@
 
 
 class HollowMember:
-    """One member. `start` on the running loop; `tick` ten times a second; `kill` as by
-    SIGKILL, after which another one may be made on the same folder.
+    """One member.
+
+    `start` on the running loop; `tick` ten times a second; `kill` as by SIGKILL, after
+    which another one may be made on the same folder.
     """
 
     def __init__(
--- a/measure/scale/hollow_peaks.py
+++ b/measure/scale/hollow_peaks.py
@@ -25,8 +25,10 @@
 
 
 def peaks(processes: Sequence[Sequence[Sample]]) -> Peaks:
-    """From the samples of each process, in the order of their times. A count stands
-    until the next sample, so a peak is off by at most one sample of each process.
+    """From the samples of each process, in the order of their times.
+
+    A count stands until the next sample, so a peak is off by at most one sample of each
+    process.
     """
     return Peaks(
         peak_within(processes, lambda sample: sample.beats, SECOND_NS),
--- a/measure/scale/hollow_process.py
+++ b/measure/scale/hollow_process.py
@@ -84,8 +84,9 @@
 
 
 class MemberReport(Struct, array_like=True):
-    """One member; times in monotonic ns, 0 for never. `calls`, `whole`, `whole_ns` are
-    of one destination.
+    """One member; times in monotonic ns, 0 for never.
+
+    `calls`, `whole`, `whole_ns` are of one destination.
     """
 
     name: str
--- a/measure/scale/journal_ready.py
+++ b/measure/scale/journal_ready.py
@@ -21,7 +21,7 @@
     MessageStore,
 )
 from rainfall.wirehost import parse_settings
-from tests.sockets import SETTINGS, Node, Platform
+from tests.support.loopback_peers import SETTINGS, Node, Platform
 
 LIVE = (10, 100, 1_000, 10_000, 100_000)
 DISK_MB = 10_000
--- a/measure/scale/memory.py
+++ b/measure/scale/memory.py
@@ -15,8 +15,9 @@
 
 
 def peak_bytes() -> int:
-    """The most that was in memory at any time. `ru_maxrss` would count the process that
-    started this one.
+    """The most that was in memory at any time.
+
+    `ru_maxrss` would count the process that started this one.
     """
     lines = Path("/proc/self/status").read_text().splitlines()
     return next(
--- a/measure/scale/message_load.py
+++ b/measure/scale/message_load.py
@@ -73,9 +73,7 @@
 def serve_endpoints(
     ports: Connection, count: int, delivered: Synchronized[int]
 ) -> None:
-    """Serve so many endpoints until the process is ended; their ports are told
-    first.
-    """
+    """Serve so many endpoints until the process is ended; their ports are told first."""
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
--- a/measure/scale/message_rate.py
+++ b/measure/scale/message_rate.py
@@ -20,7 +20,7 @@
 from measure.scale.memory import TICKS_PER_S, processor_s
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
-from tests.sockets import Node, Platform
+from tests.support.loopback_peers import Node, Platform
 
 RATES = (50, 100, 200, 400, 800, 1_600, 3_200)
 DESTINATIONS = 8
@@ -64,9 +64,10 @@
 async def measure_forwarder(
     per_s: int, held: int, destinations: int
 ) -> Mapping[str, float]:
-    """Load at a rate; what the forwarder did in the measured stretch. With `held`, so
-    many messages of before its start are held for one destination more, which is down
-    and has its part of the load too.
+    """Load at a rate; what the forwarder did in the measured stretch.
+
+    With `held`, so many messages of before its start are held for one destination more,
+    which is down and has its part of the load too.
     """
     context = multiprocessing.get_context("spawn")
     taken, delivered = context.Value("q", 0), context.Value("q", 0)
--- a/measure/scale/message_traffic.py
+++ b/measure/scale/message_traffic.py
@@ -218,9 +218,10 @@
         least_us: int,
         per_s: float = target.FORWARDER_PER_S,
     ) -> ProcessorUsage:
-        """Fresh messages, `per_s` of them, for `simulated_us`. Where that takes over
-        `processor_s` of processor time it ends sooner, after `least_us` at the
-        earliest.
+        """Fresh messages, `per_s` of them, for `simulated_us`.
+
+        Where that takes over `processor_s` of processor time it ends sooner, after
+        `least_us` at the earliest.
         """
         usage, began, arrived = ProcessorUsage(), self.now_us, 0
         while usage.simulated_us < simulated_us and (
--- a/measure/scale/process_probe.py
+++ b/measure/scale/process_probe.py
@@ -36,8 +36,9 @@
 
 
 def processor_ms(action: Callable[[], Any], freeze: bool = True) -> float:
-    """Milliseconds of processor time of one act, run once. Without `freeze` the
-    collector goes through what was made before as well.
+    """Milliseconds of processor time of one act, run once.
+
+    Without `freeze` the collector goes through what was made before as well.
     """
     with frozen_collector() if freeze else contextlib.nullcontext():
         began = time.process_time_ns()
--- a/measure/scale/service_forwarders.py
+++ b/measure/scale/service_forwarders.py
@@ -27,7 +27,7 @@
 from measure.scale.service_members import SeriesBuilder, measure_idle
 from measure.scale.service_process import CLOCK_TICKS, ListService
 from measure.scale.target import Role
-from tests.sockets import SETTINGS, free_port
+from tests.support.loopback_peers import SETTINGS, free_port
 
 FORWARDERS = 20
 HOLLOW_MEMBERS = 60
--- a/measure/scale/service_members.py
+++ b/measure/scale/service_members.py
@@ -67,9 +67,10 @@
 def measure_idle_stretches(
     fleet: HollowFleet, size: int, figures: SeriesBuilder
 ) -> None:
-    """Stretches in which nothing changes. The fleet's watches are counted over all of
-    them together: they are held for longer than one stretch, and those woken together
-    come back together.
+    """Stretches in which nothing changes.
+
+    The fleet's watches are counted over all of them together: they are held for longer
+    than one stretch, and those woken together come back together.
     """
     before = take_snapshot(fleet)
     for _ in range(REPEATS):
@@ -286,8 +287,9 @@
 
 
 def measure_budgets(progress: Progress, wanted: int | None = None) -> Iterator[Series]:
-    """At rest, against the budgets there are. `wanted`: how many of them each member
-    needs; all if None.
+    """At rest, against the budgets there are.
+
+    `wanted`: how many of them each member needs; all if None.
     """
     figures = SeriesBuilder()
     for size in BUDGETS:
--- a/measure/scale/service_process.py
+++ b/measure/scale/service_process.py
@@ -45,8 +45,9 @@
 
 
 class ListService:
-    """`start` once, and again after `kill`; `close` at the end. Ports stay the same
-    over restarts.
+    """`start` once, and again after `kill`; `close` at the end.
+
+    Ports stay the same over restarts.
     """
 
     def __init__(self, folder: Path, members: int, budgets: int) -> None:
--- a/tests/kept/forwarders.py
+++ b/tests/compatibility/forwarders.py
@@ -7,7 +7,7 @@
 from rainfall.forwarder.config.loading import Config, parse_config
 from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.handover.roles import HandoverTarget
-from tests.sockets import SETTINGS
+from tests.support.loopback_peers import SETTINGS
 
 FLEET: dict[str, object] = {
     "service": "127.0.0.1:9",
--- a/tests/kept/frames.py
+++ b/tests/compatibility/frames.py
@@ -45,7 +45,7 @@
     encode_record,
 )
 from rainfall.session.states import Limits
-from tests.kept.references import References
+from tests.compatibility.references import References
 
 HAND = MigrationId(source="g", epoch=1, lease_number=2, sequence=3)
 ITEM = TransferredMessage(
@@ -135,11 +135,27 @@
     "b": {"neighbours": {}},
     "c": {"neighbours": {"a": 0}},
 }
-LIMITS = (
-    "offer_us calls_us freeze_us copy_us commit_us tail_us retry_us ask_us hold_us "
-    "hold_messages hold_bytes refuse_us least_left_us session_messages session_bytes "
-    "memory at_once all_bytes drift"
-).split()
+LIMITS = [
+    "offer_us",
+    "calls_us",
+    "freeze_us",
+    "copy_us",
+    "commit_us",
+    "tail_us",
+    "retry_us",
+    "ask_us",
+    "hold_us",
+    "hold_messages",
+    "hold_bytes",
+    "refuse_us",
+    "least_left_us",
+    "session_messages",
+    "session_bytes",
+    "memory",
+    "at_once",
+    "all_bytes",
+    "drift",
+]
 """The keys of the configuration."""
 NUMBERS = {
     "offer_us": 200_001,
@@ -182,7 +198,9 @@
     {"sites": SITES, "limits": dict.fromkeys(LIMITS, 10) | {"drift": 0.5}},
     {"sites": SITES, "limits": 5},
     {"sites": {"a": {"neighbours": {"a": 1, "z": -1}}, "b": 5}}
-    | dict.fromkeys("at_once least_stay_ms pause_ms pair_ms over under".split(), 0)
+    | dict.fromkeys(
+        ["at_once", "least_stay_ms", "pause_ms", "pair_ms", "over", "under"], 0
+    )
     | {"strange": 1},
 ]
 """Configurations of sessions; most have faults."""
--- a/tests/kept/handovers.py
+++ b/tests/compatibility/handovers.py
@@ -26,10 +26,10 @@
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
 from rainfall.forwarder.outbound.connection_pool import CallItem, OutboundCall
 from rainfall.wirehost import encode_action
-from tests.kept.forwarders import forwarder
-from tests.kept.journals import fixed_machine
-from tests.kept.references import References
-from tests.worlds import World
+from tests.compatibility.forwarders import forwarder
+from tests.compatibility.journals import fixed_machine
+from tests.compatibility.references import References
+from tests.support.random_worlds import World
 
 SEED, ROUNDS = 39, 23
 """A world whose dispatcher then has every kind of thing to remember."""
--- a/tests/kept/journals.py
+++ b/tests/compatibility/journals.py
@@ -26,8 +26,8 @@
     JournalState,
     PendingNotification,
 )
-from tests.disk import Hands
-from tests.kept.references import References
+from tests.compatibility.references import References
+from tests.support.memory_disk import Hands
 
 SECOND = 1_000_000
 BASE_US = 1_700_000_000 * SECOND
--- a/tests/kept/make.py
+++ b/tests/compatibility/make.py
@@ -1,11 +1,11 @@
-"""Make the reference data anew: `python -m tests.kept.make`.
+"""Make the reference data anew: `python -m tests.compatibility.make`.
 
 Right only where a stored or sent form was meant to change.
 """
 
 from __future__ import annotations
 
-from tests.kept import (
+from tests.compatibility import (
     frames,
     handovers,
     journals,
@@ -15,7 +15,7 @@
     shards,
     wires,
 )
-from tests.kept.references import write
+from tests.compatibility.references import write
 
 MAKERS = (
     journals.made,
--- a/tests/kept/members.py
+++ b/tests/compatibility/members.py
@@ -20,9 +20,9 @@
 from rainfall.forwarder.fleet.state_file import QuotaRecords, StateFile
 from rainfall.forwarder.http1 import ResponseReader
 from rainfall.lease.fencing_token import Token
-from tests.kept.forwarders import FLEET, forwarder
-from tests.kept.journals import fixed_machine
-from tests.kept.references import References
+from tests.compatibility.forwarders import FLEET, forwarder
+from tests.compatibility.journals import fixed_machine
+from tests.compatibility.references import References
 
 START_US = 5_000_000_000
 SHARES: dict[str, object] = {
--- a/tests/kept/operators.py
+++ b/tests/compatibility/operators.py
@@ -24,12 +24,12 @@
 from rainfall.forwarder.outbound.connection_pool import CallItem, OutboundCall
 from rainfall.registry.__main__ import configure_logging as install_registry_log
 from rainfall.wirehost import parse_settings
-from tests.kept import members, registries
-from tests.kept.forwarders import FLEET, forwarder, told_config
-from tests.kept.handovers import Client, handed_table
-from tests.kept.journals import DUE_US, class_table, fixed_machine, taken
-from tests.kept.references import References
-from tests.sockets import SETTINGS
+from tests.compatibility import members, registries
+from tests.compatibility.forwarders import FLEET, forwarder, told_config
+from tests.compatibility.handovers import Client, handed_table
+from tests.compatibility.journals import DUE_US, class_table, fixed_machine, taken
+from tests.compatibility.references import References
+from tests.support.loopback_peers import SETTINGS
 
 MASKED = ("t_ns", "pid")
 """Fields of a log line that differ from run to run."""
--- a/tests/kept/registries.py
+++ b/tests/compatibility/registries.py
@@ -20,9 +20,9 @@
 from rainfall.registry.storage import Storage
 from rainfall.shard.map_validation import checked_map
 from rainfall.shard.shard_map import format_key
-from tests.kept.members import MachineClock
-from tests.kept.references import References
-from tests.sockets import read_message
+from tests.compatibility.members import MachineClock
+from tests.compatibility.references import References
+from tests.support.loopback_peers import read_message
 
 LEASE_US = 1_000_000
 WALL_MS = 1_000_000
--- a/tests/kept/shards.py
+++ b/tests/compatibility/shards.py
@@ -11,7 +11,7 @@
 from rainfall.shard.__main__ import main as shard_tool
 from rainfall.shard.map_validation import checked_map
 from rainfall.shard.shard_map import decode_json, format_key
-from tests.kept.references import References
+from tests.compatibility.references import References
 
 TOP = "f" * 16
 BAD: dict[str, object] = {
--- a/tests/kept/test_handovers.py
+++ b/tests/compatibility/test_handovers.py
@@ -5,11 +5,11 @@
 import asyncio
 import json
 
-from tests.kept import handovers
-from tests.kept.references import as_read, kept_bytes, kept_value
+from tests.compatibility import handovers
+from tests.compatibility.references import as_read, kept_bytes, kept_value
 
-FROM_OLD = "no memory yours hand_in gone ended rotate reload".split()
-FROM_NEW = "ask prepared answer rotated cancel".split()
+FROM_OLD = ["no", "memory", "yours", "hand_in", "gone", "ended", "rotate", "reload"]
+FROM_NEW = ["ask", "prepared", "answer", "rotated", "cancel"]
 
 
 def test_every_kind_of_line_is_recorded() -> None:
@@ -50,7 +50,7 @@
     kept = kept_value("memory")
     assert as_read(handovers.remembered()) == kept
     assert isinstance(kept, dict)
-    words = "targets places messages lines calls purses idle_us".split()
+    words = ["targets", "places", "messages", "lines", "calls", "purses", "idle_us"]
     assert list(kept) == words and all(kept.values())
 
 
--- a/tests/kept/test_journals.py
+++ b/tests/compatibility/test_journals.py
@@ -7,8 +7,8 @@
 import pytest
 
 from rainfall.journal.state import JournalState
-from tests.kept import journals
-from tests.kept.references import as_read, kept_bytes, kept_value
+from tests.compatibility import journals
+from tests.compatibility.references import as_read, kept_bytes, kept_value
 
 
 @pytest.mark.parametrize("name", journals.READ)
--- a/tests/kept/test_members.py
+++ b/tests/compatibility/test_members.py
@@ -10,8 +10,8 @@
 
 from rainfall.peer.frames import AnyFrame
 from rainfall.session.protocol import AnyRecord
-from tests.kept import frames, members
-from tests.kept.references import as_read, kept_bytes, kept_value
+from tests.compatibility import frames, members
+from tests.compatibility.references import as_read, kept_bytes, kept_value
 
 
 def test_heartbeats_and_the_successor_s_file_are_the_recorded_ones() -> None:
@@ -27,7 +27,20 @@
         assert isinstance(row, list)
         keys.update(json.loads(row[0][2]))
     assert keys == set(
-        "name site dial sent run token seen needs shown keeps list holds".split()
+        [
+            "name",
+            "site",
+            "dial",
+            "sent",
+            "run",
+            "token",
+            "seen",
+            "needs",
+            "shown",
+            "keeps",
+            "list",
+            "holds",
+        ]
     )
 
 
--- a/tests/kept/test_operators.py
+++ b/tests/compatibility/test_operators.py
@@ -7,8 +7,8 @@
 
 from rainfall.dispatch import Action, RecordOutage
 from rainfall.wirehost import ENDPOINT_STATE_BY_WORD, LIST_KIND_BY_WORD, OUTCOME_BY_WORD
-from tests.kept import operators, wires
-from tests.kept.references import as_read, kept_bytes, kept_value
+from tests.compatibility import operators, wires
+from tests.compatibility.references import as_read, kept_bytes, kept_value
 
 
 def test_operators_are_answered_and_figures_have_the_keys_as_recorded() -> None:
@@ -47,14 +47,33 @@
 def test_every_kind_of_event_and_action_is_recorded() -> None:
     sent = kept_bytes("wire-input").decode()
     assert wires.types_in(sent, "inbox") == set(
-        "TABLE UP DOWN MEMBERS ASK CLOSED_ATTEMPT CHECK_RESULT CLIENT_LEFT "
-        "DEADLINE_HIT NEVER_HEARD".split()
+        [
+            "TABLE",
+            "UP",
+            "DOWN",
+            "MEMBERS",
+            "ASK",
+            "CLOSED_ATTEMPT",
+            "CHECK_RESULT",
+            "CLIENT_LEFT",
+            "DEADLINE_HIT",
+            "NEVER_HEARD",
+        ]
     )
     for word in (*OUTCOME_BY_WORD, *ENDPOINT_STATE_BY_WORD, *LIST_KIND_BY_WORD):
         assert f'"{word}"' in sent, word
     answered = wires.types_in(kept_bytes("wire-output").decode(), "do")
     assert answered == set(
-        "ISSUE ARM TURN_AWAY END_FAILED ABANDON RELEASE STREAM_CHANGES PRINT "
-        "INTERNAL_ERROR".split()
+        [
+            "ISSUE",
+            "ARM",
+            "TURN_AWAY",
+            "END_FAILED",
+            "ABANDON",
+            "RELEASE",
+            "STREAM_CHANGES",
+            "PRINT",
+            "INTERNAL_ERROR",
+        ]
     )
     assert {type(a) for a in wires.ACTIONS} == {*Action.__args__} - {RecordOutage}
--- a/tests/kept/test_registries.py
+++ b/tests/compatibility/test_registries.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.kept import registries, shards
-from tests.kept.references import References, as_read, kept_bytes, kept_value
+from tests.compatibility import registries, shards
+from tests.compatibility.references import References, as_read, kept_bytes, kept_value
 
 
 def test_every_call_has_the_recorded_answer_and_leaves_the_recorded_folder() -> None:
--- a/tests/kept/wires.py
+++ b/tests/compatibility/wires.py
@@ -19,12 +19,22 @@
     SubscribeEndpointList,
 )
 from rainfall.wirehost import WireHost, encode_action, serve
-from tests.kept.references import References
-from tests.sockets import SETTINGS
+from tests.compatibility.references import References
+from tests.support.loopback_peers import SETTINGS
 
 SEED, ROUNDS = 13, 80
 NAMES = ("forwarder/0", "forwarder/1")
-RESULTS = "Ok Ok Ok Failed QueueFull TimedOut ConnectError ResetByPeer Ignored".split()
+RESULTS = [
+    "Ok",
+    "Ok",
+    "Ok",
+    "Failed",
+    "QueueFull",
+    "TimedOut",
+    "ConnectError",
+    "ResetByPeer",
+    "Ignored",
+]
 TIMES_US = (*[1_000] * 6, 90_000, 500_000, 8_000_000)
 """How long attempts take; the last are silent until they are abandoned."""
 ACTIONS: list[Action] = [
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,3 @@
 """What holds for every run of these tests."""
 
-pytest_plugins = ("tests.known_red",)
+pytest_plugins = ("tests.support.known_red",)
--- a/tests/test_choice.py
+++ b/tests/dispatch/test_decisions.py
@@ -28,7 +28,16 @@
     SubscribeEndpointList,
     TimerExpired,
 )
-from tests.scripts import MS, S, ask, end, finals, sends, settings, started
+from tests.support.event_scripts import (
+    MS,
+    S,
+    ask,
+    end,
+    finals,
+    sends,
+    settings,
+    started,
+)
 
 OK, FULL, LATE, FAILED = (
     Outcome.DELIVERED,
--- a/tests/test_repeat_window.py
+++ b/tests/dispatch/test_idempotency_window.py
@@ -50,10 +50,27 @@
     OutboundCall,
 )
 from rainfall.wirehost import parse_settings as read_settings
-from tests.disk import Disk
-from tests.scripts import MS, S, ask, end, finals, sends, settings, started
-from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Platform, always
-from tests.test_recovery import opened, taken
+from tests.journal.test_recovery import opened, taken
+from tests.support.event_scripts import (
+    MS,
+    S,
+    ask,
+    end,
+    finals,
+    sends,
+    settings,
+    started,
+)
+from tests.support.loopback_peers import (
+    OK,
+    PATIENCE,
+    SETTINGS,
+    Answer,
+    Peer,
+    Platform,
+    always,
+)
+from tests.support.memory_disk import Disk
 
 FULL, FAILED, LATE = Outcome.REJECTED, Outcome.FAILED, Outcome.TIMED_OUT
 ONE = (EndpointEntry(1, 10, "north", "plain"),)
--- a/tests/test_queue.py
+++ b/tests/dispatch/test_long_queues.py
@@ -29,7 +29,16 @@
 )
 from rainfall.dispatch.queues import ClassQueue, ClassQueueKey, Message
 from tests.reference.pair import Pair
-from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
+from tests.support.event_scripts import (
+    ENTRIES,
+    MS,
+    S,
+    ask,
+    end,
+    finals,
+    sends,
+    settings,
+)
 
 OK, FULL, LATE, FAILED = (
     Outcome.DELIVERED,
--- a/tests/test_many.py
+++ b/tests/dispatch/test_many_forwarders.py
@@ -27,7 +27,7 @@
 from rainfall.dispatch.latency import expected_latency
 from rainfall.dispatch.queues import Message
 from rainfall.dispatch.state import DispatcherState
-from tests.scripts import MS, S, ask, end, finals, sends, settings
+from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
 
 OK, FULL, LATE, FAILED = (
     Outcome.DELIVERED,
--- a/tests/test_queue_corners.py
+++ b/tests/dispatch/test_queue_order.py
@@ -21,7 +21,7 @@
     TimerExpired,
 )
 from tests.reference.pair import Pair
-from tests.scripts import MS, S, ask, end, finals, sends, settings
+from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
 
 OK, FULL, LATE, FAILED = (
     Outcome.DELIVERED,
--- a/tests/test_replay.py
+++ b/tests/dispatch/test_recorded_replay.py
@@ -5,7 +5,6 @@
 import json
 from collections import Counter
 from functools import cache
-from pathlib import Path
 from typing import Any, get_args
 
 import pytest
@@ -18,12 +17,11 @@
     Outcome,
     QuotaChanged,
 )
-from tests.recorded_names import recorded_name
-from tests.worlds import SEEDS, Round, play
+from tests.support.paths import ROOT
+from tests.support.random_worlds import SEEDS, Round, play
+from tests.support.recorded_names import recorded_name
 
-RECORDED: list[dict[str, Any]] = json.loads(
-    (Path(__file__).parent / "replay.json").read_text()
-)
+RECORDED: list[dict[str, Any]] = json.loads((ROOT / "tests/replay.json").read_text())
 
 
 @cache
--- a/tests/test_queue_replay.py
+++ b/tests/dispatch/test_reference_replay.py
@@ -1,7 +1,7 @@
 """Held messages in queues give, round by round, what sorting them anew gave
 (tests/reference).
 
-By hand: python -m tests.test_queue_replay FIRST LAST plays the drawn worlds of these
+By hand: python -m tests.dispatch.test_reference_replay FIRST LAST plays the drawn worlds of these
 seeds.
 """
 
@@ -12,7 +12,7 @@
 
 from tests.reference.crowd import Crowd
 from tests.reference.pair import Pair
-from tests.worlds import ROUNDS, SEEDS, World
+from tests.support.random_worlds import ROUNDS, SEEDS, World
 
 RECORDED, DRAWN = SEEDS[:14], range(14)
 REACHED = (
--- a/tests/test_terms_decisions.py
+++ b/tests/dispatch/test_restored_and_ordered.py
@@ -19,7 +19,7 @@
     SendMessage,
     TimerExpired,
 )
-from tests.scripts import MS, S, ask, end, finals, sends, settings
+from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
 
 OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
 ONE = (EndpointEntry(1, 10, "north", "plain"),)
@@ -93,7 +93,7 @@
     play, came = Play(seed, 230, rate=4, took=40 * MS), dict[str, int]()
     for _ in range(500):
         arrives = [f"m{len(came)}"] if play.random.random() < 8 * STEP / S else []
-        came |= {name: play.now + STEP for name in arrives}
+        came |= dict.fromkeys(arrives, play.now + STEP)
         play.step([ask(name, due=play.now + STEP + 6 * S) for name in arrives])
     untried = {
         name: at - came[name]
--- a/tests/test_rules.py
+++ b/tests/dispatch/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rainfall.dispatch import Dispatcher
-from tests.scripts import Script, settings
+from tests.support.event_scripts import Script, settings
 
 
 def play(seed: int, rounds: int = 900, **changes: object) -> Script:
--- a/tests/test_cold_fleet.py
+++ b/tests/dispatch/test_slow_start.py
@@ -23,8 +23,8 @@
     TimerExpired,
     slow_start,
 )
-from tests.cold_fleet import SCENES, played
-from tests.scripts import MS, S, ask, end, sends, settings
+from tests.support.event_scripts import MS, S, ask, end, sends, settings
+from tests.support.simulated_fleet import SCENES, played
 
 OK, FAILED = Outcome.DELIVERED, Outcome.FAILED
 CALM = [s for s in SCENES if s not in ("untold", "batch")]
@@ -290,4 +290,4 @@
         d.handle(0, [OutageRestored(1, 0), EndpointDisabled(1)])
         d.handle(S, [EndpointEnabled(1)])
         first.append(d.state.endpoints[1].ramp_jitter)
-    assert len(set(first)) > 30 and 0 <= min(first) and max(first) <= 1
+    assert len(set(first)) > 30 and min(first) >= 0 and max(first) <= 1
--- a/tests/test_crossing_door.py
+++ b/tests/forwarder/test_bad_clients.py
@@ -27,7 +27,16 @@
     SubmittedMessage,
 )
 from rainfall.wirehost import parse_settings
-from tests.sockets import OK, PATIENCE, SETTINGS, Node, Peer, Platform, always, message
+from tests.support.loopback_peers import (
+    OK,
+    PATIENCE,
+    SETTINGS,
+    Node,
+    Peer,
+    Platform,
+    always,
+    message,
+)
 
 OWED_US = 3_000_000  # TERMS, Connections: an error or a close within 3 s of connecting
 SWEEP_US = int(door.SWEEP_INTERVAL_S * 1_000_000)
@@ -110,11 +119,14 @@
     that is late.
     """
     room = OWED_US - 200_000
-    assert door.SILENT_CONNECTION_US + SWEEP_US <= room
-    assert door.STALLED_REQUEST_US + SWEEP_US <= room
+    assert room >= door.SILENT_CONNECTION_US + SWEEP_US
+    assert room >= door.STALLED_REQUEST_US + SWEEP_US
     assert (
-        door.SILENT_CONNECTION_US + SWEEP_US + door.STALLED_FIRST_REQUEST_US + SWEEP_US
-        <= room
+        room
+        >= door.SILENT_CONNECTION_US
+        + SWEEP_US
+        + door.STALLED_FIRST_REQUEST_US
+        + SWEEP_US
     )
     assert (
         door.STALLED_REQUEST_US + SWEEP_US + LINGER_US + SWEEP_US <= OWED_US
@@ -488,8 +500,7 @@
                 and (
                     side.discarding_input
                     or not side.is_open()
-                    or side.transport is not None
-                    and not side.transport.is_reading()
+                    or (side.transport is not None and not side.transport.is_reading())
                 )
             )
         )
--- a/tests/test_crossing_calls.py
+++ b/tests/forwarder/test_call_races.py
@@ -25,7 +25,7 @@
     EndpointConnection,
     OutboundCall,
 )
-from tests.sockets import PATIENCE
+from tests.support.loopback_peers import PATIENCE
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 FULL = b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_room.py
+++ b/tests/forwarder/test_capacity.py
@@ -21,7 +21,7 @@
 )
 from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.inbound.server import SubmittedMessage
-from tests.test_net import engine as small_engine
+from tests.forwarder.test_parts import engine as small_engine
 
 SECONDS = 1_000_000
 
--- a/tests/test_crossing_clients.py
+++ b/tests/forwarder/test_client_races.py
@@ -18,8 +18,16 @@
 from rainfall.forwarder.engine import shutdown
 from rainfall.forwarder.inbound.client_connection import LINGER_BYTES
 from rainfall.forwarder.message_store import MessageStore
-from tests.sockets import OK, PATIENCE, Answer, Peer, Platform, Request, message
-from tests.test_crossing_stopping import Caller, Running, target
+from tests.forwarder.test_shutdown_races import Caller, Running, target
+from tests.support.loopback_peers import (
+    OK,
+    PATIENCE,
+    Answer,
+    Peer,
+    Platform,
+    Request,
+    message,
+)
 
 
 class Endpoint:
--- a/tests/test_reconfigure.py
+++ b/tests/forwarder/test_config_validation.py
@@ -16,9 +16,9 @@
     generalize_path,
     validate_replacement,
 )
-from tests.sockets import OK, SETTINGS, Platform, always
-from tests.test_node import node_on, play, target
-from tests.test_operate import classes, hang_up
+from tests.forwarder.test_operations import classes, hang_up
+from tests.forwarder.test_program import node_on, play, target
+from tests.support.loopback_peers import OK, SETTINGS, Platform, always
 
 ENV = {"LB_STATE": "/state"}
 FILE: dict[str, Any] = {
@@ -87,7 +87,7 @@
 )
 def test_each_bad_value_is_a_fault(change: Callable[[Any], object], path: str) -> None:
     found = faults(changed(change))
-    assert path in found and found[path]
+    assert found.get(path)
 
 
 def test_doubled_keys_and_numbers_without_end_are_faults() -> None:
--- a/tests/test_crossing_idle.py
+++ b/tests/forwarder/test_connection_races.py
@@ -14,8 +14,7 @@
 from rainfall.dispatch import NEVER_EXECUTED, AttemptFinished, Outcome
 from rainfall.forwarder.config.loading import Address
 from rainfall.forwarder.outbound.connection_pool import OutboundCall
-from tests.sockets import PATIENCE
-from tests.test_crossing_calls import (
+from tests.forwarder.test_call_races import (
     OK,
     Scene,
     Target,
@@ -27,6 +26,7 @@
     reset,
     until,
 )
+from tests.support.loopback_peers import PATIENCE
 
 
 @pytest.fixture
--- a/tests/test_sites.py
+++ b/tests/forwarder/test_deployments.py
@@ -14,8 +14,8 @@
 
 from rainfall.dispatch import Idempotency, IdempotencyScope
 from rainfall.forwarder.config.loading import Config, parse_config
-from tests.sockets import OK, ROOT, Answer, Node, Platform, Request
-from tests.test_node import configure, folder_nodes, play, target
+from tests.forwarder.test_program import configure, folder_nodes, play, target
+from tests.support.loopback_peers import OK, ROOT, Answer, Node, Platform, Request
 
 SITES = sorted(path.parent for path in (ROOT / "deploy/sites").glob("*/*.toml"))
 EFFECTS = {
--- a/tests/test_descriptors.py
+++ b/tests/forwarder/test_descriptor_limits.py
@@ -28,7 +28,7 @@
 from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
 from rainfall.journal.files import LocalFileSystem
 from rainfall.wirehost import parse_settings
-from tests.sockets import (
+from tests.support.loopback_peers import (
     OK,
     PATIENCE,
     SETTINGS,
--- a/tests/test_list_told_in_time.py
+++ b/tests/forwarder/test_endpoint_list_deadline.py
@@ -37,7 +37,7 @@
 )
 from rainfall.forwarder.engine.engine_state import MIN_ROUND_INTERVAL_US
 from rainfall.wirehost import parse_settings
-from tests.sockets import SETTINGS, Answer, Peer, Request
+from tests.support.loopback_peers import SETTINGS, Answer, Peer, Request
 
 ROOM_S = 0.5  # that the longest way leaves
 SECOND = 1_000_000
--- a/tests/test_crossing_list.py
+++ b/tests/forwarder/test_endpoint_list_races.py
@@ -28,9 +28,18 @@
     HttpClient,
     HttpConnection,
 )
-from tests.sockets import OK, PATIENCE, Answer, Handler, Peer, Platform, Request, always
-from tests.test_list_told_in_time import in_virtual_time
-from tests.test_node import configure, node_on, play, target
+from tests.forwarder.test_endpoint_list_deadline import in_virtual_time
+from tests.forwarder.test_program import configure, node_on, play, target
+from tests.support.loopback_peers import (
+    OK,
+    PATIENCE,
+    Answer,
+    Handler,
+    Peer,
+    Platform,
+    Request,
+    always,
+)
 
 SILENT = b""  # nothing is written, and the connection stays
 
@@ -98,7 +107,7 @@
                 await self.news.wait()
 
 
-def scripted(*answers: bytes | None | Callable[[Request], bytes | None]) -> Handler:
+def scripted(*answers: bytes | Callable[[Request], bytes | None] | None) -> Handler:
     """These in turn, whatever connection asks; then watches are held until they are
     given up.
     """
--- a/tests/test_fleet_node.py
+++ b/tests/forwarder/test_fleet_member.py
@@ -46,9 +46,10 @@
 from rainfall.journal.files import LocalFileSystem
 from rainfall.journal.recovery import this_boot
 from rainfall.lease.fencing_token import Token
-from tests.scripts import S
-from tests.scripts import settings as script
-from tests.sockets import (
+from tests.forwarder.test_parts import call, pool
+from tests.support.event_scripts import S
+from tests.support.event_scripts import settings as script
+from tests.support.loopback_peers import (
     OK,
     PATIENCE,
     ROOT,
@@ -59,7 +60,6 @@
     Request,
     always,
 )
-from tests.test_net import call, pool
 
 SPAN_MS = 400
 
--- a/tests/test_suspect_half_close.py
+++ b/tests/forwarder/test_half_close.py
@@ -7,8 +7,8 @@
 import asyncio
 from http import HTTPStatus
 
-from tests.scripts import MS
-from tests.test_crossing_stopping import Door, message, play
+from tests.forwarder.test_shutdown_races import Door, message, play
+from tests.support.event_scripts import MS
 
 PATIENCE_US = 400 * MS
 """A client gives up a request that has no answer by then, and closes."""
--- a/tests/test_handover.py
+++ b/tests/forwarder/test_handover.py
@@ -15,7 +15,9 @@
 import pytest
 
 from rainfall.forwarder.handover.roles import JournalLock
-from tests.sockets import (
+from tests.forwarder.test_operations import classes
+from tests.forwarder.test_program import configure, folder_nodes, play, target
+from tests.support.loopback_peers import (
     OK,
     PATIENCE,
     ROOT,
@@ -28,8 +30,6 @@
     hang,
     message,
 )
-from tests.test_node import configure, folder_nodes, play, target
-from tests.test_operate import classes
 
 LONG = {"aim_us": 30_000_000}
 """No call times out before its test is over, however slow the machine: a second one is
--- a/tests/test_crossing_handover.py
+++ b/tests/forwarder/test_handover_races.py
@@ -30,10 +30,19 @@
 from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 from rainfall.wirehost import parse_settings
-from tests.disk import Hands
-from tests.sockets import OK, SETTINGS, Answer, Client, Peer, Platform, always, message
-from tests.test_crossing_talk import Giver, asks, until
-from tests.test_operate import classes
+from tests.forwarder.test_handover_protocol import Giver, asks, until
+from tests.forwarder.test_operations import classes
+from tests.support.loopback_peers import (
+    OK,
+    SETTINGS,
+    Answer,
+    Client,
+    Peer,
+    Platform,
+    always,
+    message,
+)
+from tests.support.memory_disk import Hands
 
 
 class Old:
--- a/tests/test_suspect_clients.py
+++ b/tests/forwarder/test_idle_client_races.py
@@ -7,8 +7,8 @@
 import pytest
 
 from rainfall.forwarder.inbound.client_connection import ClientConnection
-from tests.sockets import message
-from tests.test_crossing_stopping import Door, play
+from tests.forwarder.test_shutdown_races import Door, play
+from tests.support.loopback_peers import message
 
 
 @pytest.mark.parametrize("read", [True, False])
--- a/tests/test_suspect_kill.py
+++ b/tests/forwarder/test_kill_after_accept.py
@@ -12,8 +12,8 @@
 import pytest
 
 from rainfall.forwarder.engine.engine import Engine
-from tests.sockets import Answer
-from tests.test_crossing_restart import Site, on_disk, play
+from tests.forwarder.test_restart_races import Site, on_disk, play
+from tests.support.loopback_peers import Answer
 
 
 class LateDial:
--- a/tests/test_killed.py
+++ b/tests/forwarder/test_kills.py
@@ -28,7 +28,9 @@
 from rainfall.forwarder.outbound.connection_pool import OutboundCall
 from rainfall.journal import format as f
 from rainfall.wirehost import parse_settings
-from tests.sockets import (
+from tests.forwarder.test_parts import engine
+from tests.forwarder.test_program import node_on, play, target
+from tests.support.loopback_peers import (
     OK,
     PATIENCE,
     ROOT,
@@ -40,8 +42,6 @@
     always,
     hang,
 )
-from tests.test_net import engine
-from tests.test_node import node_on, play, target
 
 ROUNDS, EACH = 4, 16
 
@@ -404,7 +404,7 @@
     """It may hand the message in elsewhere: sent on from here too, it would go
     twice.
     """
-    from tests.disk import Hands
+    from tests.support.memory_disk import Hands
 
     hands = Hands()
 
--- a/tests/test_suspect_answers.py
+++ b/tests/forwarder/test_late_responses.py
@@ -10,7 +10,7 @@
 
 from rainfall.dispatch import Outcome
 from rainfall.forwarder.outbound import connection_pool
-from tests.test_crossing_calls import Scene, Target, arrived, play, target, until
+from tests.forwarder.test_call_races import Scene, Target, arrived, play, target, until
 
 __all__ = ["target"]
 FIRST_LINE = b"HTTP/1.1 200 OK\r\n"
--- a/tests/test_terms_notices.py
+++ b/tests/forwarder/test_notification_batches.py
@@ -14,9 +14,9 @@
 )
 from rainfall.forwarder.http1 import MAX_BODY_BYTES
 from rainfall.forwarder.message_store import PendingNotification
-from tests.sockets import Answer
-from tests.test_crossing_notices import TAKEN, Book, notices, platform_that
-from tests.test_list_told_in_time import in_virtual_time
+from tests.forwarder.test_endpoint_list_deadline import in_virtual_time
+from tests.forwarder.test_notification_races import TAKEN, Book, notices, platform_that
+from tests.support.loopback_peers import Answer
 
 TOLD_AFTER_READY_S = 1.5  # from when on an end of before a restart is overdue
 
--- a/tests/test_crossing_notices.py
+++ b/tests/forwarder/test_notification_races.py
@@ -22,9 +22,9 @@
     notification_latency_bound_s,
 )
 from rainfall.forwarder.message_store import PendingNotification
-from tests.sockets import OK, PATIENCE, Answer, Peer, Platform, Request
-from tests.test_list_told_in_time import Longest, in_virtual_time
-from tests.test_node import node_on, play, target
+from tests.forwarder.test_endpoint_list_deadline import Longest, in_virtual_time
+from tests.forwarder.test_program import node_on, play, target
+from tests.support.loopback_peers import OK, PATIENCE, Answer, Peer, Platform, Request
 
 OVERDUE_S = 0.3  # after its message's time a notice is late
 SILENT = b""
--- a/tests/test_operate.py
+++ b/tests/forwarder/test_operations.py
@@ -15,7 +15,8 @@
 
 import pytest
 
-from tests.sockets import (
+from tests.forwarder.test_program import configure, node_on, play, target
+from tests.support.loopback_peers import (
     OK,
     PATIENCE,
     ROOT,
@@ -27,7 +28,6 @@
     free_port,
     hang,
 )
-from tests.test_node import configure, node_on, play, target
 
 
 def classes(**changes: dict[str, Any] | None) -> dict[str, Any]:
--- a/tests/test_net.py
+++ b/tests/forwarder/test_parts.py
@@ -68,7 +68,15 @@
 )
 from rainfall.journal.format import V1_FRAME
 from rainfall.wirehost import parse_settings
-from tests.sockets import OK, SETTINGS, Answer, Peer, always, hang, message
+from tests.support.loopback_peers import (
+    OK,
+    SETTINGS,
+    Answer,
+    Peer,
+    always,
+    hang,
+    message,
+)
 
 
 def taken(name: str, size: int = 100) -> AcceptedMessage:
@@ -608,7 +616,7 @@
             sent = d.handle(
                 now, [MessageReceived(f"m{n}", 7, "status", now + 9_000_000)]
             )
-            assert n and marked or any(isinstance(a, SendMessage) for a in sent)
+            assert (n and marked) or any(isinstance(a, SendMessage) for a in sent)
             now += 20_000
             seen += d.handle(
                 now,
--- a/tests/test_node.py
+++ b/tests/forwarder/test_program.py
@@ -18,7 +18,7 @@
 import pytest
 
 from rainfall.forwarder.discovery.endpoint_watch import WATCH_HOLD_MS
-from tests.sockets import (
+from tests.support.loopback_peers import (
     OK,
     PATIENCE,
     ROOT,
--- a/tests/test_node_restart.py
+++ b/tests/forwarder/test_program_restart.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.sockets import OK, Answer, Platform, always, hang
-from tests.test_node import node_on, play, target
+from tests.forwarder.test_program import node_on, play, target
+from tests.support.loopback_peers import OK, Answer, Platform, always, hang
 
 
 @pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
--- a/tests/test_live_work.py
+++ b/tests/forwarder/test_regular_work.py
@@ -25,8 +25,8 @@
 )
 from rainfall.forwarder.engine import startup
 from rainfall.journal.state import AcceptedMessage, JournalState
-from tests.scripts import MS, S, ask, end, sends, settings
-from tests.test_net import engine, taken
+from tests.forwarder.test_parts import engine, taken
+from tests.support.event_scripts import MS, S, ask, end, sends, settings
 
 TARGETS = (EndpointEntry(1, 10), EndpointEntry(2, 11))
 TENANTS = (Tenant("city", 0), Tenant("county", 0))
--- a/tests/test_terms_requests.py
+++ b/tests/forwarder/test_request_forms.py
@@ -12,8 +12,8 @@
 
 from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_TURNS
 from rainfall.forwarder.inbound.server import SubmittedMessage
-from tests.sockets import message
-from tests.test_crossing_stopping import Caller, Door, play
+from tests.forwarder.test_shutdown_races import Caller, Door, play
+from tests.support.loopback_peers import message
 
 BODY = b"POST /order\r\n\r\n\0\xff\r\n"  # any bytes, also such that look like a request
 
--- a/tests/test_crossing_restart.py
+++ b/tests/forwarder/test_restart_races.py
@@ -39,9 +39,10 @@
 from rainfall.journal.recovery import read_journal
 from rainfall.journal.state import AcceptedMessage, JournalState
 from rainfall.wirehost import parse_settings as read_settings
-from tests.disk import Hands
-from tests.scripts import MS, S, ask, end, finals, sends, settings
-from tests.sockets import (
+from tests.forwarder.test_kills import power_engine
+from tests.forwarder.test_parts import engine
+from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
+from tests.support.loopback_peers import (
     PATIENCE,
     SETTINGS,
     Answer,
@@ -53,8 +54,7 @@
     free_port,
     hang,
 )
-from tests.test_killed import power_engine
-from tests.test_net import engine
+from tests.support.memory_disk import Hands
 
 OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
 ONE = (EndpointEntry(1, 10, "north", "plain"),)
--- a/tests/test_settings_apart.py
+++ b/tests/forwarder/test_settings_isolation.py
@@ -32,7 +32,10 @@
     MessageStore,
 )
 from rainfall.wirehost import WireHost, parse_settings
-from tests.sockets import (
+from tests.forwarder.test_deployments import SITES, facts
+from tests.forwarder.test_operations import classes, hang_up
+from tests.forwarder.test_program import configure, folder_nodes, node_on, play, target
+from tests.support.loopback_peers import (
     OK,
     PATIENCE,
     SETTINGS,
@@ -45,9 +48,6 @@
     free_port,
     hang,
 )
-from tests.test_node import configure, folder_nodes, node_on, play, target
-from tests.test_operate import classes, hang_up
-from tests.test_sites import SITES, facts
 
 SECOND = 1_000_000
 BARE: dict[str, Any] = {
--- a/tests/test_suspect_stopping.py
+++ b/tests/forwarder/test_shutdown_end.py
@@ -11,9 +11,17 @@
 import pytest
 
 from rainfall.forwarder.engine import shutdown
-from tests.sockets import OK, Answer, Peer, Platform, always, hang, message
-from tests.test_crossing_restart import on_disk
-from tests.test_crossing_stopping import Caller, Running, engine_play, target
+from tests.forwarder.test_restart_races import on_disk
+from tests.forwarder.test_shutdown_races import Caller, Running, engine_play, target
+from tests.support.loopback_peers import (
+    OK,
+    Answer,
+    Peer,
+    Platform,
+    always,
+    hang,
+    message,
+)
 
 
 async def rounds_by_hand(run: Running) -> None:
--- a/tests/test_crossing_stopping.py
+++ b/tests/forwarder/test_shutdown_races.py
@@ -34,7 +34,16 @@
     SubmittedMessage,
 )
 from rainfall.wirehost import parse_settings
-from tests.sockets import OK, PATIENCE, SETTINGS, Peer, Platform, always, hang, message
+from tests.support.loopback_peers import (
+    OK,
+    PATIENCE,
+    SETTINGS,
+    Peer,
+    Platform,
+    always,
+    hang,
+    message,
+)
 
 UP = b"GET /up HTTP/1.1\r\n\r\n"
 HALF = message("half")[:-3]
--- a/tests/test_terms_list.py
+++ b/tests/forwarder/test_silent_watches.py
@@ -14,8 +14,7 @@
     LIST_LATENCY_LIMIT_S,
     list_latency_bound_s,
 )
-from tests.sockets import Answer, Peer, Request
-from tests.test_list_told_in_time import (
+from tests.forwarder.test_endpoint_list_deadline import (
     ROOM_S,
     SILENT,
     Agent,
@@ -24,6 +23,7 @@
     in_virtual_time,
     listing,
 )
+from tests.support.loopback_peers import Answer, Peer, Request
 
 LATE_S = 13.0
 
--- a/tests/test_suspect_late_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -20,8 +20,8 @@
 )
 from rainfall.forwarder.engine.startup import OVERDUE_GRACE_US
 from rainfall.forwarder.inbound.server import LOOP_CHECK_INTERVAL_S
-from tests.sockets import Platform, hang, message
-from tests.test_crossing_stopping import (
+from tests.forwarder.test_shutdown_end import rounds_by_hand
+from tests.forwarder.test_shutdown_races import (
     Caller,
     Door,
     Running,
@@ -29,7 +29,7 @@
     play,
     target,
 )
-from tests.test_suspect_stopping import rounds_by_hand
+from tests.support.loopback_peers import Platform, hang, message
 
 MS = 1_000
 S = 1_000_000
--- a/tests/test_ready_in_time.py
+++ b/tests/forwarder/test_startup_time.py
@@ -19,7 +19,15 @@
     MessageStore,
 )
 from rainfall.wirehost import parse_settings
-from tests.sockets import OK, SETTINGS, Answer, Node, Peer, Platform, Request
+from tests.support.loopback_peers import (
+    OK,
+    SETTINGS,
+    Answer,
+    Node,
+    Peer,
+    Platform,
+    Request,
+)
 
 # STANDING.md, What has to hold: nine in ten restarted forwarders are ready within this
 READY_S = 10.0
--- a/tests/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -16,7 +16,7 @@
 from rainfall.journal import format as f
 from rainfall.journal.recovery import read_journal
 from rainfall.journal.state import encode_record
-from tests.sockets import ROOT
+from tests.support.paths import ROOT
 
 SALT = 0x1234ABCD
 HEAD = f.FileHeader(f.VERSION, 0, SALT, 3, 1)
--- a/tests/test_recovery.py
+++ b/tests/journal/test_recovery.py
@@ -21,8 +21,8 @@
 )
 from rainfall.journal import recovery
 from rainfall.journal.recovery import UnusableJournalError, read_journal
-from tests.disk import Died, Disk, Hands
-from tests.test_journal import HEAD, OLD, f
+from tests.journal.test_journal import HEAD, OLD, f
+from tests.support.memory_disk import Died, Disk, Hands
 
 FOLDER = Path("/state")
 SECOND = 1_000_000
@@ -335,7 +335,7 @@
 
 
 def f_inode(data: bytes):  # type: ignore[no-untyped-def]
-    from tests.disk import Inode
+    from tests.support.memory_disk import Inode
 
     inode = Inode()
     inode.data = bytearray(data)
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -16,10 +16,9 @@
 from rainfall.lab import checker, pids, report
 from rainfall.lab.experiment import ExperimentError, parse, read
 from rainfall.lab.fault_proxy import ProxyLink
+from tests.support.paths import ROOT
 
-EXPERIMENTS = (
-    Path(__file__).resolve().parent.parent / "rainfall" / "lab" / "experiments"
-)
+EXPERIMENTS = ROOT / "rainfall" / "lab" / "experiments"
 EFFECTS = {"pay": "once", "status": "repeatable"}
 DEADLINES = {"pay": 10**9, "status": 10**9}
 
--- a/tests/test_lab_verdict.py
+++ b/tests/lab/test_verdicts.py
@@ -667,7 +667,18 @@
 
 
 def test_hand_overs_are_told_apart_by_their_offers() -> None:
-    steps = "offered frozen aborted offered frozen copied committed tail done offered".split()
+    steps = [
+        "offered",
+        "frozen",
+        "aborted",
+        "offered",
+        "frozen",
+        "copied",
+        "committed",
+        "tail",
+        "done",
+        "offered",
+    ]
     records = [
         {"kind": "session", "key": "s", "step": s, "at_ns": n * MS}
         for n, s in enumerate(steps)
--- a/tests/test_lease.py
+++ b/tests/lease/test_lease.py
@@ -85,7 +85,7 @@
             if found[0] == holder and not found[4] and seen < found[1]:
                 found[3] = self.now + service_expiry_us(found[2], DRIFT)
                 return found[1]
-            if found[4] or holder != found[0] and shown != found[1]:
+            if found[4] or (holder != found[0] and shown != found[1]):
                 return "held"
         if not found and len(self.held) >= 2:
             return 422
--- a/tests/test_scale_hollow.py
+++ b/tests/measure/test_hollow_members.py
@@ -36,8 +36,9 @@
 from rainfall.member.roster import Member, Roster
 from rainfall.registry.budget_extension import BudgetExtension
 from rainfall.registry.fleet_watch import Watchers
-from tests.test_registry_bounds import Clock, Run, play, until
-from tests.test_registry_fleet import beat, lead
+from tests.registry.test_fleet_coordinator import beat, lead
+from tests.registry.test_service_limits import Clock, Run, play, until
+from tests.support.paths import ROOT
 
 SECOND_US = 1_000_000
 LEASE_US = 3 * SECOND_US
@@ -54,7 +55,6 @@
 """And of a snapshot of all budgets."""
 CALLS_A_BUDGET, CALLS_A_BEAT = 7, 14
 """And of a beat as the one before it, for each budget, and for itself."""
-ROOT = Path(__file__).resolve().parent.parent
 PATIENCE_S = 20.0
 
 
@@ -353,7 +353,7 @@
             member.kill()
         assert CountedChannel.calls[Call.BEAT] == member.fleet.heartbeat_counts["beats"]
         for call in (Call.BEAT, Call.LIST):
-            assert 0 < CountedChannel.sent[call] and 0 < CountedChannel.received[call]
+            assert CountedChannel.sent[call] > 0 and CountedChannel.received[call] > 0
 
     play(tmp_path, run, clock, lead())
 
--- /dev/null
+++ b/tests/member/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of membership."""
--- a/tests/test_member.py
+++ b/tests/member/test_roster.py
@@ -172,10 +172,8 @@
     fleet = Fleet()
     first = fleet.join(40, "f1", run="one")
     assert (
-        isinstance(first, LeaseGrant)
-        and first == fleet.join(41, "f1", run="one")
-        or first.record
-    )
+        isinstance(first, LeaseGrant) and first == fleet.join(41, "f1", run="one")
+    ) or first.record
     for run in ("two", ""):
         other = fleet.join(42, "f1", run=run)
         assert (
--- a/tests/test_explore.py
+++ b/tests/model_checker/test_search.py
@@ -86,6 +86,6 @@
 def test_the_command_tells_the_steps_and_fails(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    assert main(["tests.test_explore:TwoAtOneDoor", "--depth", "9"]) == 1
+    assert main(["tests.model_checker.test_search:TwoAtOneDoor", "--depth", "9"]) == 1
     assert "broken: two inside" in capsys.readouterr().out
-    assert main(["tests.test_explore:Nothing"]) == 2
+    assert main(["tests.model_checker.test_search:Nothing"]) == 2
--- /dev/null
+++ b/tests/peer/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of links between forwarders."""
--- a/tests/reference/__init__.py
+++ b/tests/reference/__init__.py
@@ -1,5 +1,5 @@
 """The decisions as they were before held messages were kept in order: what
-test_queue_replay compares with.
+tests/dispatch/test_reference_replay.py compares with.
 
 A copy of the decisions as of f6f3573, in the names of that time, with only the imports
 rewritten. Here every event visits and sorts the whole pile of its destination, so what
--- a/tests/reference/crowd.py
+++ b/tests/reference/crowd.py
@@ -15,7 +15,7 @@
     QuotaChanged,
     Settings,
 )
-from tests.worlds import MS, S, World
+from tests.support.random_worlds import MS, S, World
 
 GRAIN = 10 * MS
 """Deadlines and times of rounds fall on the same marks in half of the worlds: many are
--- a/tests/test_registry_fleet.py
+++ b/tests/registry/test_fleet_coordinator.py
@@ -14,7 +14,7 @@
 from rainfall.registry import fleet_coordinator, fleet_log
 from rainfall.registry.server import RegistryServer
 from rainfall.registry.storage import RecordLog
-from tests.test_registry_bounds import Clock, Run, play, until
+from tests.registry.test_service_limits import Clock, Run, play, until
 
 TTL_US = 200_000
 
--- a/tests/test_registry_riders.py
+++ b/tests/registry/test_heartbeat_extensions.py
@@ -25,8 +25,8 @@
 from rainfall.shard.auto_planner import AutoPlanner, PlanDelays
 from rainfall.shard.key_ranges import union
 from rainfall.shard.shard_map import Range, ShardMap, format_key
-from tests.riders import BUDGET, TOP, Play, Process, World
-from tests.test_registry_bounds import until
+from tests.registry.test_service_limits import until
+from tests.support.fleet_service_scenes import BUDGET, TOP, Play, Process, World
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -97,7 +97,15 @@
         "[[budgets]]\ndestination = '7'\ncalls = 0\nspan_ms = 400\n[[budgets]]\n"
     )
     args = [
-        *"--listen 127.0.0.1:0 --write 127.0.0.1:0 --fleet 127.0.0.1:0 --new".split(),
+        *[
+            "--listen",
+            "127.0.0.1:0",
+            "--write",
+            "127.0.0.1:0",
+            "--fleet",
+            "127.0.0.1:0",
+            "--new",
+        ],
         "--state",
         str(tmp_path / "s"),
         "--budgets",
--- a/tests/test_session.py
+++ b/tests/session/test_session.py
@@ -8,7 +8,6 @@
 import re
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
-from pathlib import Path
 from typing import Any
 
 import pytest
@@ -29,8 +28,9 @@
 from rainfall.session.migration_manager import MigrationManager
 from rainfall.session.model import MUTATIONS, SessionMigrationModel
 from rainfall.session.session_directory import SessionDirectory
+from tests.support.paths import ROOT
 
-PAGE = Path(__file__).resolve().parent.parent / "docs/parts/session.md"
+PAGE = ROOT / "docs/parts/session.md"
 LIMITS = s.Limits()
 
 
@@ -548,7 +548,7 @@
             elif isinstance(record, w.ReleasedRecord):
                 line.queue = []
         x.unseen = []
-        owned: dict[str, bool] = {key: n == "a" for key in x.lines}
+        owned: dict[str, bool] = dict.fromkeys(x.lines, n == "a")
         keys = {
             r.migration_id: r.key
             for r in x.disk
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""What several tests share: peers on loopback, simulated worlds, plugins."""
--- a/tests/scripts.py
+++ b/tests/support/event_scripts.py
@@ -305,7 +305,7 @@
                 self.close(a.message_id)
                 self.failed += 1
             elif isinstance(a, SetTimer):
-                assert 0 < a.delay_us and 1 <= len(a.token) <= 64
+                assert a.delay_us > 0 and 1 <= len(a.token) <= 64
                 self.timers.append((self.now + a.delay_us, a.token))
 
     def ran(self, name: str) -> list[dict[str, Any]]:
--- a/tests/riders.py
+++ b/tests/support/fleet_service_scenes.py
@@ -24,7 +24,7 @@
 from rainfall.shard.migration import RangeHold
 from rainfall.shard.ownership import RangeOwnership
 from rainfall.shard.shard_map import format_key, format_range, parse_range
-from tests.test_registry_bounds import Clock, Run, told
+from tests.registry.test_service_limits import Clock, Run, told
 
 TTL, DRIFT, SPAN, SLACK = 1_000_000, 0.02, 400_000, 5_000
 TOP = (1 << 64) - 1
@@ -312,7 +312,7 @@
             await self.operate()
         elif dice < 0.21:
             run.files.failing = True
-        elif dice < 0.24 or run.files.failing and dice < 0.5:
+        elif dice < 0.24 or (run.files.failing and dice < 0.5):
             if run.files.failing and dice < 0.37:
                 run.files.failing = False
             else:
--- a/tests/known_red.py
+++ b/tests/support/known_red.py
@@ -96,7 +96,7 @@
             self.red.add(item.nodeid)
             report.outcome, report.wasxfail = "skipped", f"{LIST}: {entry.cause}"
             report.known_red = "red"  # type: ignore[attr-defined]
-        elif report.skipped or report.passed and report.when == "call":
+        elif report.skipped or (report.passed and report.when == "call"):
             report.known_red = "skipped" if report.skipped else "green"  # type: ignore[attr-defined]
             report.outcome = "failed"
             report.longrepr = f"listed in {LIST}, and {report.known_red}"
--- a/tests/sockets.py
+++ b/tests/support/loopback_peers.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
+from tests.support.paths import ROOT
+
 # seconds that a test waits for an event before it fails; nothing asserts on speed
 PATIENCE = 20.0
 
--- a/tests/worlds.py
+++ b/tests/support/random_worlds.py
@@ -1,7 +1,7 @@
 """Worlds drawn from a seed that play a dispatcher for a while: clients, targets, lists,
 operators, restarts.
 
-`python -m tests.worlds > tests/replay.json` records anew: right only where behaviour
+`python -m tests.support.random_worlds > tests/replay.json` records anew: right only where behaviour
 was meant to change.
 """
 
@@ -52,7 +52,7 @@
     Tenant,
     TimerExpired,
 )
-from tests.recorded_names import recorded_name, recorded_text
+from tests.support.recorded_names import recorded_name, recorded_text
 
 MS, S = 1_000, 1_000_000
 SEEDS = range(2, 46)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -48,10 +48,10 @@
 from rainfall.registry.http_server import LimitedConnection
 from rainfall.registry.limits import Limits
 from rainfall.wirehost import parse_settings
-from tests.sockets import PATIENCE, SETTINGS, Answer, Peer, always
-from tests.test_registry_bounds import Run, play
+from tests.registry.test_service_limits import Run, play
+from tests.support.loopback_peers import PATIENCE, SETTINGS, Answer, Peer, always
+from tests.support.paths import ROOT
 
-ROOT = Path(__file__).resolve().parent.parent
 LEAST = 1_024
 ENDPOINTS = 44_000
 LISTS = {
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from tests.known_red import LIST, Faulty, read
-from tests.sockets import ROOT
+from tests.support.known_red import LIST, Faulty, read
+from tests.support.paths import ROOT
 
 pytest_plugins = ("pytester",)
 
@@ -41,7 +41,7 @@
     @pytest.mark.parametrize("n", ["a | b", "c"])
     def test_each(self, n): assert n == "c"
 """
-PLUGINS = ("-q", "-p", "no:cacheprovider", "-p", "tests.known_red")
+PLUGINS = ("-q", "-p", "no:cacheprovider", "-p", "tests.support.known_red")
 
 
 @pytest.fixture(autouse=True)
@@ -256,5 +256,5 @@
 
 
 def test_this_suite_runs_with_the_plugin(request: pytest.FixtureRequest) -> None:
-    assert request.config.pluginmanager.has_plugin("tests.known_red")
+    assert request.config.pluginmanager.has_plugin("tests.support.known_red")
     assert len(read(ROOT / LIST)) <= 3
--- a/tests/test_repo.py
+++ b/tests/test_repository.py
@@ -7,9 +7,8 @@
 import io
 import re
 import tomllib
-from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
+from tests.support.paths import ROOT
 
 
 def test_policy_names_every_decision_module_and_each_stays_short() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wirehost.py
@@ -6,10 +6,10 @@
 import os
 import subprocess
 import sys
-from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
+from tests.support.paths import ROOT
+
 FACTS = {
     "allowed": {
         "max_attempts": 6,
