--- a/rainfall/budget/account.py
+++ b/rainfall/budget/account.py
@@ -145,9 +145,10 @@
     def acknowledge(
         self, account: MemberAccount, calls: int, number: int, now_us: int
     ) -> None:
-        """It holds this share, and from now on no older one. A beat that came late says
-        nothing new. More than was granted here (this service was restored from an older
-        copy) counts as it is said.
+        """It holds this share, and from now on no older one.
+
+        A beat that came late says nothing new. More than was granted here (this service
+        was restored from an older copy) counts as it is said.
         """
         if (
             account.state is not AccountState.ACTIVE
@@ -218,9 +219,10 @@
     # ------------------------------------------------------------------------------------
 
     def prune(self, now_us: int) -> None:
-        """Let go what has cooled, and processes that can act on nothing. Their end is
-        on disk by then: else a restart would take them for holders of what others were
-        granted since.
+        """Let go what has cooled, and processes that can act on nothing.
+
+        Their end is on disk by then: else a restart would take them for holders of what
+        others were granted since.
         """
         self.cooling = [c for c in self.cooling if c[0] > now_us]
         ended = [
--- a/rainfall/budget/config.py
+++ b/rainfall/budget/config.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 from rainfall.budget.types import Budget
+from rainfall.errors import RainfallError
 
 MAX_BUDGETS = 10_000
 MAX_PARTS = 64
@@ -25,7 +26,7 @@
 DEFAULT_BUDGET = Budget("", 1, 1)
 
 
-class BudgetConfigError(ValueError):
+class BudgetConfigError(RainfallError, ValueError):
     """What cannot be taken. `faults`: each with its path."""
 
     def __init__(self, faults: list[str]) -> None:
--- a/rainfall/budget/fair_share.py
+++ b/rainfall/budget/fair_share.py
@@ -174,9 +174,7 @@
     credit: Mapping[K, int],
     owed: Mapping[K, int],
 ) -> dict[K, int]:
-    """Credit is earned by waiting with work; without work none is kept, but a debt
-    is.
-    """
+    """Credit is earned by waiting with work; without work none is kept, but a debt is."""
     carried: dict[K, int] = {}
     for key in needs:
         now = credit.get(key, 0) + owed.get(key, 0)
--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -87,10 +87,12 @@
 
 
 class Ledger:
-    """`lease_us`: the longest lease there is. Where `sure` is not said (folder lost, or
-    perhaps an older copy), nothing is granted until every lease and window that may be
-    unknown here is over, and no reserve to a process that does not say it had one,
-    until the operator says that all who have are known.
+    """`lease_us`: the longest lease there is.
+
+    Where `sure` is not said (folder lost, or perhaps an older copy), nothing is granted
+    until every lease and window that may be unknown here is over, and no reserve to a
+    process that does not say it had one, until the operator says that all who have are
+    known.
     """
 
     def __init__(
@@ -118,8 +120,10 @@
         self.configure(budgets, now_us)
 
     def configure(self, budgets: Iterable[Budget], now_us: int) -> None:
-        """Take checked budgets into force. One no longer named is told to nobody, but
-        what was granted of it goes on being counted, so that it can come back.
+        """Take checked budgets into force.
+
+        One no longer named is told to nobody, but what was granted of it goes on being
+        counted, so that it can come back.
         """
         named = {b.destination: b for b in budgets}
         for destination, budget in sorted(named.items()):
@@ -156,10 +160,11 @@
         now_us: int,
         keeps: Mapping[str, int] | None = None,
     ) -> None:
-        """A process is in force under this token. `follows`: the token it, or the
-        process whose folder it took over under lock, had before, and the reserves it
-        `keeps` from then. May be said again; is said for all members after a
-        restart.
+        """A process is in force under this token.
+
+        `follows`: the token it, or the process whose folder it took over under lock,
+        had before, and the reserves it `keeps` from then. May be said again; is said
+        for all members after a restart.
         """
         self.names[token] = name
         self.presumed_until_us.pop(token, None)
@@ -303,8 +308,9 @@
                 account.persisted = True
 
     def shares_for(self, token: Token) -> dict[str, Share]:
-        """What a member is answered; valid as long as its lease. A budget that is not
-        in it is no longer renewed.
+        """What a member is answered; valid as long as its lease.
+
+        A budget that is not in it is no longer renewed.
         """
         shares: dict[str, Share] = {}
         for destination, book in sorted(self.budget_accounts.items()):
--- a/rainfall/budget/member_quota.py
+++ b/rainfall/budget/member_quota.py
@@ -19,8 +19,9 @@
 
 
 class MemberQuota:
-    """One budget at one process. `now_us` is the process's own monotonic clock and
-    never goes back.
+    """One budget at one process.
+
+    `now_us` is the process's own monotonic clock and never goes back.
     """
 
     def __init__(self, start_us: int, drift: float) -> None:
@@ -83,8 +84,9 @@
         return self.share.calls if now_us < self.valid_until_us else self.share.reserve
 
     def spend(self, now_us: int, calls: int = 1) -> bool:
-        """Whether so many calls may leave now; they are counted if so. Their first
-        bytes leave within `slack_us`: see `late`.
+        """Whether so many calls may leave now; they are counted if so.
+
+        Their first bytes leave within `slack_us`: see `late`.
         """
         self.window.drop_expired(now_us)
         if (
@@ -137,11 +139,12 @@
         }
 
     def close(self, now_us: int, leaving: bool = False) -> dict[str, Any]:
-        """End it: nothing leaves any more. The record has what was spent, so that a
-        successor on the same clock (one boot) need not wait. It must be replaced by
-        `standing` before that one's first call. `leaving`: for good; the service may be
-        told so (`Ledger.ended`) once this record is on disk, since a successor has no
-        reserve by it.
+        """End it: nothing leaves any more.
+
+        The record has what was spent, so that a successor on the same clock (one boot)
+        need not wait. It must be replaced by `standing` before that one's first call.
+        `leaving`: for good; the service may be told so (`Ledger.ended`) once this
+        record is on disk, since a successor has no reserve by it.
         """
         self.window.drop_expired(now_us)
         self.closed = True
@@ -158,9 +161,10 @@
     def from_record(
         record: Mapping[str, Any], start_us: int, drift: float
     ) -> MemberQuota:
-        """A successor's purse, from either record. ValueError where it cannot be read.
-        A `closed` record of a later moment than now (another boot's clock) counts as
-        one without what was spent.
+        """A successor's purse, from either record.
+
+        ValueError where it cannot be read. A `closed` record of a later moment than now
+        (another boot's clock) counts as one without what was spent.
         """
         quota = MemberQuota(start_us, drift)
         try:
--- a/rainfall/budget/model.py
+++ b/rainfall/budget/model.py
@@ -40,13 +40,14 @@
 
 
 class BudgetModel:
-    """The model. A beat and its answer come at once, or are under way from then on: to
-    come at any time, in any order, or never. Counted: how often one is held up
-    (`delays`), ticks that members' clocks miss (`slows`, with a `drift` that allows
-    them), crashes of members, restarts of the service (`lost`: with its folder gone).
-    `moves`: from now on the first needs nothing and all others the whole, where else
-    each beat may say either. `first`: what is counted of members happens to the first
-    only.
+    """The model.
+
+    A beat and its answer come at once, or are under way from then on: to come at any
+    time, in any order, or never. Counted: how often one is held up (`delays`), ticks
+    that members' clocks miss (`slows`, with a `drift` that allows them), crashes of
+    members, restarts of the service (`lost`: with its folder gone). `moves`: from now
+    on the first needs nothing and all others the whole, where else each beat may say
+    either. `first`: what is counted of members happens to the first only.
     """
 
     def __init__(
@@ -145,7 +146,7 @@
         return replace_fields(
             world,
             now=window,
-            leases={t: window + self.service_lease_ticks for t in tokens},
+            leases=dict.fromkeys(tokens, window + self.service_lease_ticks),
             disk=disk,
             members=tuple(members),
             tokens=self.members,
--- a/rainfall/budget/rebalancing.py
+++ b/rainfall/budget/rebalancing.py
@@ -1,5 +1,6 @@
-"""When a budget is divided anew, to what, and which grants lead there. Decides; the
-book keeps it safe.
+"""When a budget is divided anew, to what, and which grants lead there.
+
+Decides; the book keeps it safe.
 """
 
 from __future__ import annotations
@@ -262,15 +263,18 @@
     seat: bool,
     now_us: int,
 ) -> QuotaGrant | None:
-    """A reserve where a seat is left, and no more than the aim. None where it has that
-    already.
+    """A reserve where a seat is left, and no more than the aim.
+
+    None where it has that already.
     """
     wanted = book.budget.reserve
     newest = account.grants[-1].reserve if account.grants else 0
     reserve = newest
-    if newest > wanted or (0 < newest < wanted <= account.granted_calls()):
-        reserve = wanted
-    elif not newest and wanted and seat and not account.reserve():
+    if (
+        newest > wanted
+        or (0 < newest < wanted <= account.granted_calls())
+        or (not newest and wanted and seat and not account.reserve())
+    ):
         reserve = wanted
     calls = max(account.granted_calls(), reserve)
     aimed = max(allocation.target_shares.get(account.token, 0), reserve)
--- a/rainfall/budget/sliding_window.py
+++ b/rainfall/budget/sliding_window.py
@@ -15,8 +15,9 @@
 
 @dataclass(slots=True)
 class SlidingWindow:
-    """Calls counted in the last `us`. Memory: at most EXACT + GRAINS + 2 entries,
-    whatever is spent.
+    """Calls counted in the last `us`.
+
+    Memory: at most EXACT + GRAINS + 2 entries, whatever is spent.
 
     Error: once EXACT entries are inside, calls within us/GRAINS of each other count as
     made at the latest of them. So a call counts at most us/GRAINS too long, and never
--- a/rainfall/dispatch/actions.py
+++ b/rainfall/dispatch/actions.py
@@ -10,8 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Begin an attempt. Sends of one round to one endpoint share a call, up to the
-    batch size of its kind.
+    """Begin an attempt.
+
+    Sends of one round to one endpoint share a call, up to the batch size of its kind.
     """
 
     message_id: str
--- a/rainfall/dispatch/admission.py
+++ b/rainfall/dispatch/admission.py
@@ -20,8 +20,9 @@
 
 
 def receive(state: DispatcherState, event: MessageReceived) -> None:
-    """Accept a message. One of an unknown class fails: it is not known whether it may
-    be executed twice.
+    """Accept a message.
+
+    One of an unknown class fails: it is not known whether it may be executed twice.
     """
     message_class = state.classes.get(event.class_name)
     if message_class is None:
--- a/rainfall/dispatch/completion.py
+++ b/rainfall/dispatch/completion.py
@@ -33,8 +33,9 @@
 def is_safe_to_resend(
     state: DispatcherState, message: Message, retry_after_us: int
 ) -> bool:
-    """Whether a new attempt by the client does no harm. With an idempotency key it does
-    none while the client comes back within the window.
+    """Whether a new attempt by the client does no harm.
+
+    With an idempotency key it does none while the client comes back within the window.
     """
     message_class = message.message_class
     if message_class.idempotency is Idempotency.ALWAYS:
--- a/rainfall/dispatch/dispatcher.py
+++ b/rainfall/dispatch/dispatcher.py
@@ -65,8 +65,10 @@
 
 
 class Dispatcher:
-    """Decides for one forwarder. Feed it every event; carry out, in order, the actions
-    it returns. It does no input or output.
+    """Decides for one forwarder.
+
+    Feed it every event; carry out, in order, the actions it returns. It does no input
+    or output.
 
     Where a decision raises, `state.actions` holds what was decided until then, and
     `state.events_applied` how many events of the round were read, the one at fault
@@ -126,8 +128,9 @@
         state.events_applied = 0
 
     def apply(self, event: Event) -> None:
-        """Apply one event. One of something unknown, or that needs nothing, changes
-        nothing.
+        """Apply one event.
+
+        One of something unknown, or that needs nothing, changes nothing.
         """
         state = self.state
         match event:
--- a/rainfall/dispatch/endpoint_list.py
+++ b/rainfall/dispatch/endpoint_list.py
@@ -30,8 +30,9 @@
 
 
 def change_endpoint_list(state: DispatcherState, event: EndpointListChanged) -> None:
-    """Follow the list. A draining or removed endpoint gets nothing new from this round
-    on.
+    """Follow the list.
+
+    A draining or removed endpoint gets nothing new from this round on.
     """
     if event.kind is EndpointListKind.FAILED:
         retry_us = state.random.randrange(MIN_POLL_RETRY_US, MAX_POLL_RETRY_US)
--- a/rainfall/dispatch/events.py
+++ b/rainfall/dispatch/events.py
@@ -72,9 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRestored:
-    """A message that was accepted before a restart, with what is known of its
-    attempts.
-    """
+    """A message that was accepted before a restart, with what is known of its attempts."""
 
     message_id: str
     destination: int
@@ -119,8 +117,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt has its outcome. A message's attempts count from 0 in the order of
-    their sends.
+    """An attempt has its outcome.
+
+    A message's attempts count from 0 in the order of their sends.
     """
 
     message_id: str
@@ -172,8 +171,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEnabled:
-    """Operators put an endpoint back. It was restarted meanwhile: it is cold, and what
-    was learned of it is void.
+    """Operators put an endpoint back.
+
+    It was restarted meanwhile: it is cold, and what was learned of it is void.
     """
 
     endpoint: int
@@ -201,8 +201,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings hold from now on. Messages accepted before keep their class and
-    their attempts.
+    """Other settings hold from now on.
+
+    Messages accepted before keep their class and their attempts.
     """
 
     settings: Settings
--- a/rainfall/dispatch/message_queues.py
+++ b/rainfall/dispatch/message_queues.py
@@ -128,8 +128,9 @@
         return queue
 
     def remove(self, message: Message) -> None:
-        """Take a message out of its queue, if it waits. It must not be the ready head
-        of its key any more.
+        """Take a message out of its queue, if it waits.
+
+        It must not be the ready head of its key any more.
         """
         class_queue = message.class_queue
         if class_queue is None:
--- a/rainfall/dispatch/outlier_detection.py
+++ b/rainfall/dispatch/outlier_detection.py
@@ -102,9 +102,11 @@
 
 
 def _recover(state: DispatcherState, endpoint: Endpoint) -> None:
-    """An endpoint answers again. It recovered between the last call that failed and
-    this one: half way, but no earlier than half an overload window ago, as those who
-    learn it first would otherwise take it to be warm.
+    """An endpoint answers again.
+
+    It recovered between the last call that failed and this one: half way, but no
+    earlier than half an overload window ago, as those who learn it first would
+    otherwise take it to be warm.
     """
     half_way = (state.now + endpoint.last_failure_at) // 2
     half_window = state.settings.overload_window_us // 2
--- a/rainfall/dispatch/queues.py
+++ b/rainfall/dispatch/queues.py
@@ -191,8 +191,9 @@
     def next_ready(
         self, starts: Sequence[Deadline | Message], ends: Sequence[Deadline]
     ) -> Message | None:
-        """The first ready message behind one position and not behind another. Each is
-        given for destinations up to 0 and for those above.
+        """The first ready message behind one position and not behind another.
+
+        Each is given for destinations up to 0 and for those above.
         """
         above = self.destination > 0
         message = self.ready.first_after(starts[above])
--- a/rainfall/dispatch/release.py
+++ b/rainfall/dispatch/release.py
@@ -81,8 +81,9 @@
 
 
 def _in_release_order(state: DispatcherState, shut: set[int]) -> Iterator[Message]:
-    """The messages to send next, in order. Those without capacity are skipped, and so
-    are whole destinations in `shut`.
+    """The messages to send next, in order.
+
+    Those without capacity are skipped, and so are whole destinations in `shut`.
     """
     queues = _open_queues(state)
     if len(queues) == 1:
@@ -194,8 +195,10 @@
 
 
 def _group_end(state: DispatcherState, limit: float) -> GroupEnd:
-    """The end of a group at a deadline. Of the messages due just then, the newest of all
-    belongs to the next group at destinations above 0.
+    """The end of a group at a deadline.
+
+    Of the messages due just then, the newest of all belongs to the next group at
+    destinations above 0.
     """
     newest = state.newest_message_number
     return Deadline(limit, newest), Deadline(limit, newest - 1)
--- a/rainfall/dispatch/settings_change.py
+++ b/rainfall/dispatch/settings_change.py
@@ -11,8 +11,9 @@
 
 
 def change_settings(state: DispatcherState, settings: Settings) -> None:
-    """Other settings hold. What was worked out by the former ones binds no more; what an
-    endpoint told does.
+    """Other settings hold.
+
+    What was worked out by the former ones binds no more; what an endpoint told does.
     """
     former = state.settings
     state.apply_settings(settings)
--- a/rainfall/dispatch/slow_start.py
+++ b/rainfall/dispatch/slow_start.py
@@ -64,8 +64,9 @@
 
 
 def ramp_interval(state: DispatcherState, endpoint: Endpoint) -> float:
-    """The time between our calls to an endpoint in slow start. All forwarders may hold
-    messages for it.
+    """The time between our calls to an endpoint in slow start.
+
+    All forwarders may hold messages for it.
     """
     window = state.settings.overload_window_us
     return window * budget_shares(state, endpoint) / mean_calls(state, endpoint)
--- a/rainfall/dispatch/snapshot.py
+++ b/rainfall/dispatch/snapshot.py
@@ -93,8 +93,9 @@
 
 
 def restore_snapshot(state: DispatcherState, snapshot: Mapping[str, Any]) -> None:
-    """Go on where the former process stopped. What the snapshot does not tell, or of
-    what is gone, is left out.
+    """Go on where the former process stopped.
+
+    What the snapshot does not tell, or of what is gone, is left out.
     """
     for number, destination, kind, sent in snapshot.get("targets", []):
         _restore_endpoint(state, number, destination, kind, sent)
--- a/rainfall/forwarder/__init__.py
+++ b/rainfall/forwarder/__init__.py
@@ -1,3 +1,4 @@
-"""The real forwarder around rainfall.dispatch: sockets, journal and timers. Decides
-nothing.
+"""The real forwarder around rainfall.dispatch: sockets, journal and timers.
+
+Decides nothing.
 """
--- a/rainfall/forwarder/admin/admin_server.py
+++ b/rainfall/forwarder/admin/admin_server.py
@@ -1,4 +1,5 @@
 """The operators' address: readiness, the figures, and endpoints taken out and put back.
+
 One call to a connection; it holds few descriptors, and those of its own, so that no
 load of clients delays an answer.
 """
@@ -36,8 +37,9 @@
 
 @dataclass
 class Metrics:
-    """What became of messages, counted once, where each ends. A class once seen keeps
-    its count.
+    """What became of messages, counted once, where each ends.
+
+    A class once seen keeps its count.
     """
 
     fulfilled: Counter[str] = field(default_factory=Counter)
--- a/rainfall/forwarder/config/errors.py
+++ b/rainfall/forwarder/config/errors.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from rainfall.errors import RainfallError
 
-class ConfigError(Exception):
+
+class ConfigError(RainfallError):
     """The configuration is missing or cannot hold; the text is one line."""
 
 
--- a/rainfall/forwarder/config/fleet_config.py
+++ b/rainfall/forwarder/config/fleet_config.py
@@ -1,4 +1,5 @@
 """The `fleet` object of a configuration: checked whole, every fault with its path.
+
 Imported only where a configuration names it, as it brings msgspec with it.
 """
 
@@ -70,8 +71,9 @@
 
 
 def parse_fleet(raw: Any, name: str) -> FleetConfig:
-    """The object that stands at `fleet`, of the forwarder `name`. Raises FleetConfigError
-    with all faults.
+    """The object that stands at `fleet`, of the forwarder `name`.
+
+    Raises FleetConfigError with all faults.
     """
     faults: list[tuple[str, str]] = []
     document = _convert_struct(raw, RawFleet, "fleet", faults)
@@ -166,9 +168,7 @@
 def merge_fleet_config(
     old: FleetConfig, new: FleetConfig
 ) -> tuple[FleetConfig, list[str]]:
-    """What of a new one can be in force now, and the paths of what waits for a
-    start.
-    """
+    """What of a new one can be in force now, and the paths of what waits for a start."""
     return (
         replace(old, service=new.service, lease_us=new.lease_us, budgets=new.budgets),
         [
--- a/rainfall/forwarder/config/loading.py
+++ b/rainfall/forwarder/config/loading.py
@@ -213,10 +213,8 @@
         shared = set.intersection(*(set(e) for e in old))
         for entry in new:
             for key in sorted(shared):
-                if (
-                    not isinstance(entry, Mapping)
-                    or key not in entry
-                    and f"{path}[].{key}" not in OPTIONAL_KEYS
+                if not isinstance(entry, Mapping) or (
+                    key not in entry and f"{path}[].{key}" not in OPTIONAL_KEYS
                 ):
                     return f"{path}[].{key}"
     return ""
--- a/rainfall/forwarder/config/validation.py
+++ b/rainfall/forwarder/config/validation.py
@@ -143,9 +143,7 @@
 
 
 def config_digest(raw: Mapping[str, Any]) -> str:
-    """The same for all forwarders that run the same, however their files are
-    written.
-    """
+    """The same for all forwarders that run the same, however their files are written."""
     shared = {key: value for key, value in raw.items() if key not in PER_FORWARDER_KEYS}
     if isinstance(shared.get("fleet"), Mapping):
         shared["fleet"] = {
@@ -266,10 +264,8 @@
                 for name in value
                 if name not in known
             ]
-    elif (
-        isinstance(value, NonFiniteConstant)
-        or isinstance(value, float)
-        and not math.isfinite(value)
+    elif isinstance(value, NonFiniteConstant) or (
+        isinstance(value, float) and not math.isfinite(value)
     ):
         verdict.add_fault(path, "not a finite number")
     elif (
@@ -297,9 +293,7 @@
 
 
 def _compare(verdict: ValidationReport, path: str, old: Any, new: Any) -> None:
-    """Missing keys and other types are faults, as at SIGHUP; other values are
-    changes.
-    """
+    """Missing keys and other types are faults, as at SIGHUP; other values are changes."""
     if old is None or isinstance(new, NonFiniteConstant):
         if old is None and new is not None:
             verdict.changes.append(path)
--- a/rainfall/forwarder/discovery/endpoint_watch.py
+++ b/rainfall/forwarder/discovery/endpoint_watch.py
@@ -185,8 +185,10 @@
         return self.is_open() and not self.retired
 
     async def exchange(self, data: bytes, deadline: float) -> ResponseReader:
-        """One answer, by the loop's clock `until` then. One that has come by the time
-        that a loop which stood still looks again is in time.
+        """One answer, by the loop's clock `until` then.
+
+        One that has come by the time that a loop which stood still looks again is in
+        time.
         """
         assert self.transport is not None
         loop = asyncio.get_running_loop()
@@ -207,8 +209,10 @@
 
 
 class HttpClient:
-    """Requests to discovery on one kept connection. One that ended while idle is
-    replaced once: all that is asked of discovery may be asked twice.
+    """Requests to discovery on one kept connection.
+
+    One that ended while idle is replaced once: all that is asked of discovery may be
+    asked twice.
     """
 
     def __init__(self, where: Address) -> None:
@@ -258,10 +262,11 @@
 
 
 class EndpointWatch:
-    """Follows the list from a version on. Where lists must be asked for, it tells a
-    failure and ends, and the module asks again. Where they are `pushed`, what the agent
-    has counts as told whether or not it is asked, so a failure is not told and it asks
-    again at once.
+    """Follows the list from a version on.
+
+    Where lists must be asked for, it tells a failure and ends, and the module asks
+    again. Where they are `pushed`, what the agent has counts as told whether or not it
+    is asked, so a failure is not told and it asks again at once.
     """
 
     def __init__(
@@ -346,9 +351,10 @@
                 )  # a discovery that answers at once must not spin us
 
     def check_version(self, endpoints: EndpointList) -> None:
-        """Changes are good for the list that they build on only. Where the version went
-        back, discovery is not what it was (it was restored): what it held since is
-        gone, and only the whole list tells all.
+        """Changes are good for the list that they build on only.
+
+        Where the version went back, discovery is not what it was (it was restored):
+        what it held since is gone, and only the whole list tells all.
         """
         if not endpoints.complete and (
             endpoints.version < self.version or self.version <= NO_VERSION
@@ -359,9 +365,10 @@
             )
 
     def next_request(self) -> tuple[str, float]:
-        """What to ask, and how long its answer may take. The first call, and one after
-        a failure, does not wait for news: no answer to it means silence, where a held
-        watch looks the same with nothing new.
+        """What to ask, and how long its answer may take.
+
+        The first call, and one after a failure, does not wait for news: no answer to it
+        means silence, where a held watch looks the same with nothing new.
         """
         immediate_timeout_s = (
             PUSHED_RESPONSE_TIMEOUT_S if self.pushed else RESPONSE_TIMEOUT_S
@@ -376,7 +383,7 @@
 
     async def on_failure(self, error: Exception) -> bool:
         """Whether to ask again from here, and not before a while."""
-        if self.failures % 20 == 0 or self.failures < 3 and not self.pushed:
+        if self.failures % 20 == 0 or (self.failures < 3 and not self.pushed):
             log.warning("the list cannot be had: %s", error or type(error).__name__)
         self.confirmed, self.failures = False, self.failures + 1
         insists = time.monotonic() < self.insist_until_s
@@ -385,8 +392,9 @@
         return insists or self.pushed
 
     def retry_delay_s(self) -> float:
-        """Before it asks again itself. By chance, so that many do not ask in step; it
-        never grows.
+        """Before it asks again itself.
+
+        By chance, so that many do not ask in step; it never grows.
         """
         base_s = PUSHED_RETRY_S if self.pushed else INSIST_RETRY_S
         return self.random.uniform(2 - RETRY_JITTER, RETRY_JITTER) * base_s
@@ -423,8 +431,9 @@
             self.task = asyncio.get_running_loop().create_task(self.run())
 
     def change_address(self, where: Address) -> None:
-        """What is owed goes to the new address. A post that is cut off is made again:
-        that does no harm.
+        """What is owed goes to the new address.
+
+        A post that is cut off is made again: that does no harm.
         """
         if self.task is not None:
             self.task.cancel()
@@ -434,8 +443,9 @@
             self.kick()
 
     def pause(self) -> None:
-        """Post nothing until the next kick. A post that is cut off is made again: that
-        does no harm.
+        """Post nothing until the next kick.
+
+        A post that is cut off is made again: that does no harm.
         """
         if self.task is not None:
             self.task.cancel()
@@ -445,10 +455,11 @@
 
     @staticmethod
     def response_timeout_s(timeouts: int) -> float:
-        """How long a 204 is waited for, after so many in a row that did not come. It is
-        short, as a connection that says nothing must not hold up what is overdue 0.3 s
-        after its time; but a platform that is slow all the time is heard in the end. A
-        notice that is posted twice does no harm.
+        """How long a 204 is waited for, after so many in a row that did not come.
+
+        It is short, as a connection that says nothing must not hold up what is overdue
+        0.3 s after its time; but a platform that is slow all the time is heard in the
+        end. A notice that is posted twice does no harm.
         """
         return float(
             min(
--- a/rainfall/forwarder/engine/capacity.py
+++ b/rainfall/forwarder/engine/capacity.py
@@ -27,9 +27,7 @@
 
 
 def held_message_bytes(memory_mb: int) -> int:
-    """The bytes that held messages may take within a limit of the process in
-    megabytes.
-    """
+    """The bytes that held messages may take within a limit of the process in megabytes."""
     return max(MIN_HELD_BYTES, int(HELD_SHARE * (memory_mb * MEGABYTE - PROCESS_BYTES)))
 
 
--- a/rainfall/forwarder/engine/engine.py
+++ b/rainfall/forwarder/engine/engine.py
@@ -75,8 +75,8 @@
 )
 
 __all__ = [
-    "MAX_REMOVED_ENDPOINTS",
     "MAX_RECENTLY_FINISHED",
+    "MAX_REMOVED_ENDPOINTS",
     "RESTORE_BATCH",
     "Clock",
     "Engine",
@@ -468,8 +468,9 @@
         )
 
     def may_send_unrecorded(self, message: AcceptedMessage) -> bool:
-        """Whether an attempt may leave that a restart would not know of. Under `power`
-        none does.
+        """Whether an attempt may leave that a restart would not know of.
+
+        Under `power` none does.
         """
         message_class = self.store.class_of(message)
         return (
@@ -537,9 +538,10 @@
         )
 
     def call_timeout_us(self, message: AcceptedMessage, now: int) -> int:
-        """How long a call may be waited for. A loop that is late ends it so much
-        sooner, or its message would be past its time by then; an attempt with little
-        time keeps most of it.
+        """How long a call may be waited for.
+
+        A loop that is late ends it so much sooner, or its message would be past its
+        time by then; an attempt with little time keeps most of it.
         """
         remaining_us = message.deadline_us - now
         return remaining_us - min(
--- a/rainfall/forwarder/engine/engine_state.py
+++ b/rainfall/forwarder/engine/engine_state.py
@@ -326,16 +326,18 @@
         )
 
     def endpoint_id(self, name: str) -> int:
-        """The module's number for a target that may be in no list. Those long gone are
-        forgotten.
+        """The module's number for a target that may be in no list.
+
+        Those long gone are forgotten.
         """
         self.forget_removed_endpoints()
         return self.assign_endpoint_id(name)
 
     def forget_removed_endpoints(self) -> None:
-        """Past MOST_GONE of them, the oldest names that are in no list. Not while a
-        list is taken in: until that is whole, each of its names looks like one that is
-        gone.
+        """Past MOST_GONE of them, the oldest names that are in no list.
+
+        Not while a list is taken in: until that is whole, each of its names looks like
+        one that is gone.
         """
         if len(self.endpoint_ids) <= len(self.endpoints) + MAX_REMOVED_ENDPOINTS:
             return
@@ -368,10 +370,12 @@
         }
 
     def allocate_sockets(self, sockets: int) -> None:
-        """A share of the descriptors for each side. What all others need is left, also
-        while clients come faster than room is made; clients that ask use a third at
-        most (TERMS), and those that do not are let go for them. A limit of the process
-        that is lower than the configuration's goes before it.
+        """A share of the descriptors for each side.
+
+        What all others need is left, also while clients come faster than room is made;
+        clients that ask use a third at most (TERMS), and those that do not are let go
+        for them. A limit of the process that is lower than the configuration's goes
+        before it.
         """
         with suppress(OSError, ValueError):
             limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -31,8 +31,9 @@
 
 class Intake(EngineState):
     def submit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
-        """A message came in. At the door only what the module never sees is turned
-        away.
+        """A message came in.
+
+        At the door only what the module never sees is turned away.
         """
         if self.handover_source.transferred:
             self.handover_source.submit(submitted, writer)
@@ -111,8 +112,9 @@
             )
 
     def exceeded_bound(self, submitted: SubmittedMessage) -> CapacityBound | None:
-        """The bound that one more message would pass, if any. What was taken on stays
-        whatever is full.
+        """The bound that one more message would pass, if any.
+
+        What was taken on stays whatever is full.
         """
         message_count = len(self.store.messages) + len(self.undecided)
         extra_bytes = len(submitted.body) + sum(
--- a/rainfall/forwarder/engine/operations.py
+++ b/rainfall/forwarder/engine/operations.py
@@ -130,8 +130,9 @@
     # A new configuration
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration again. One that cannot hold leaves all as it
-        is.
+        """SIGHUP: read the configuration again.
+
+        One that cannot hold leaves all as it is.
         """
         old = self.config
         if self.handover_source.transferred:
@@ -189,8 +190,9 @@
         )
 
     def apply_settings(self, new: Config) -> None:
-        """New settings take hold everywhere between two rounds. Open messages keep what
-        they came under.
+        """New settings take hold everywhere between two rounds.
+
+        Open messages keep what they came under.
         """
         settings, previous_kinds = (
             replace(new.settings, notifications_acknowledged=True),
--- a/rainfall/forwarder/engine/ownership.py
+++ b/rainfall/forwarder/engine/ownership.py
@@ -47,9 +47,10 @@
         self.store.commit(lambda ok: self.finish_pause(on_paused))
 
     def finish_pause(self, on_paused: Callable[[HandoverMessage | None], None]) -> None:
-        """All that was decided has left. What has ended since is journaled, and that
-        must have its end too: the new process reads the file, and a sync under way
-        might put another in its place.
+        """All that was decided has left.
+
+        What has ended since is journaled, and that must have its end too: the new
+        process reads the file, and a sync under way might put another in its place.
         """
         self.pool.fail_unconnected_calls()
         if self.fleet is not None:
@@ -87,9 +88,7 @@
         }
 
     def resume_after_handover(self) -> None:
-        """The new process is gone before it had anything: go on as if it had not
-        asked.
-        """
+        """The new process is gone before it had anything: go on as if it had not asked."""
         if not self.paused_for_handover:
             return
         self.paused_for_handover = False
@@ -125,9 +124,7 @@
         self.run_deferred_requests()
 
     def target_lost(self) -> None:
-        """The new process is gone, though all was its: the journal says how far it
-        got.
-        """
+        """The new process is gone, though all was its: the journal says how far it got."""
         if not self.shutdown_started_s:
             log.error("the new process is gone; starting again from the journal")
             self.restart_from_journal = True
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -84,9 +84,11 @@
         asyncio.get_running_loop().call_later(SHUTDOWN_STEP_S, self.advance_shutdown)
 
     def freeze(self) -> None:
-        """Decide for the last time. What has not left by now never does: else a call
-        could go out just before the end, which the process after this one must take as
-        run. Unsent, it is tried there.
+        """Decide for the last time.
+
+        What has not left by now never does: else a call could go out just before the
+        end, which the process after this one must take as run. Unsent, it is tried
+        there.
         """
         if self.undecided or self.pending_events:
             self.run_round()
--- a/rainfall/forwarder/engine/startup.py
+++ b/rainfall/forwarder/engine/startup.py
@@ -59,8 +59,9 @@
 
 class Startup(Intake, Operations, OwnershipTransfer, Shutdown):
     def restore_state(self) -> int:
-        """Tell the module what the journal holds. Returns the version of the list that
-        is newest.
+        """Tell the module what the journal holds.
+
+        Returns the version of the list that is newest.
         """
         known, store = self.config.known_endpoints, self.store
         snapshot = (
@@ -282,9 +283,11 @@
         )
 
     def collect_garbage(self) -> None:
-        """A round of the collector. A full one walks all that is held: past so many
-        messages only what is new since the last rounds is looked through, and full ones
-        are left to come with the growth of all.
+        """A round of the collector.
+
+        A full one walks all that is held: past so many messages only what is new since
+        the last rounds is looked through, and full ones are left to come with the
+        growth of all.
         """
         gc.collect(
             FULL_COLLECTION
@@ -306,8 +309,10 @@
         ]
 
     def fail_overdue_messages(self) -> None:
-        """End what the module has left without an end. Where the loop stood still, its
-        end may be among the events that came meanwhile: these go first.
+        """End what the module has left without an end.
+
+        Where the loop stood still, its end may be among the events that came meanwhile:
+        these go first.
         """
         if self.pending_events and self.overdue_messages():
             self.run_round()
--- a/rainfall/forwarder/fleet/heartbeats.py
+++ b/rainfall/forwarder/fleet/heartbeats.py
@@ -28,8 +28,9 @@
 
 
 def now_us() -> int:
-    """The member's own clock. It counts on while the machine sleeps, as the service's
-    lease does.
+    """The member's own clock.
+
+    It counts on while the machine sleeps, as the service's lease does.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
@@ -96,8 +97,10 @@
             self.wake.clear()
 
     async def follow_changes(self) -> None:
-        """Hear of changes as they come. None is told here, so whatever goes wrong costs
-        no more than the time to the next beat.
+        """Hear of changes as they come.
+
+        None is told here, so whatever goes wrong costs no more than the time to the
+        next beat.
         """
         while True:
             self.heartbeat_answered.clear()
--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -105,8 +105,9 @@
         self.heartbeats.start(self.config.service)
 
     def pause(self) -> None:
-        """Nothing leaves from here on; what a successor needs is on disk. A lease that
-        is not renewed runs out, or is taken over by who shows its token.
+        """Nothing leaves from here on; what a successor needs is on disk.
+
+        A lease that is not renewed runs out, or is taken over by who shows its token.
         """
         self.heartbeats.stop()
         if self.quotas.persisted:
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -85,10 +85,11 @@
         self.configure(budgets, now_us)
 
     def configure(self, budgets: Iterable[BudgetReserve], now_us: int) -> list[int]:
-        """Budgets from the configuration, at the start and at SIGHUP. They hold where
-        nothing was told yet; where a share was, a lower reserve binds at once, and a
-        higher one waits for the service. Returns those that are no budgets any more:
-        named neither here nor by the service's last answer.
+        """Budgets from the configuration, at the start and at SIGHUP.
+
+        They hold where nothing was told yet; where a share was, a lower reserve binds
+        at once, and a higher one waits for the service. Returns those that are no
+        budgets any more: named neither here nor by the service's last answer.
         """
         named, removed = {reserve.destination: reserve for reserve in budgets}, []
         for destination, account in list(self.accounts.items()):
@@ -140,8 +141,9 @@
         valid_until_us: int,
         now_us: int,
     ) -> bool:
-        """Shares from an answered beat that counts. Whether one came to be less: the
-        service waits to hear that it binds.
+        """Shares from an answered beat that counts.
+
+        Whether one came to be less: the service waits to hear that it binds.
         """
         shrank, self.granted_destinations = False, set(shares)
         for destination, grant in shares.items():
@@ -208,8 +210,9 @@
     # The last gate
 
     def acquire_permit(self, destination: int, now_us: int) -> int:
-        """0: one call may leave now, and is counted. Else so many microseconds from now
-        at the earliest; -1 where that is not known.
+        """0: one call may leave now, and is counted.
+
+        Else so many microseconds from now at the earliest; -1 where that is not known.
         """
         account = self.accounts.get(destination)
         if account is None:
@@ -220,8 +223,9 @@
         return -1 if available_at is None else max(available_at - now_us, 1)
 
     def on_call_sent(self, destination: int, spent_us: int, now_us: int) -> None:
-        """Its first byte is out. Where the process was stopped since it was counted, it
-        counts from now.
+        """Its first byte is out.
+
+        Where the process was stopped since it was counted, it counts from now.
         """
         account = self.accounts.get(destination)
         if account is not None and account.quota.is_late(spent_us, now_us):
@@ -387,8 +391,10 @@
 
 
 def collapse_long_parts(needs: dict[str, dict[str, int]]) -> dict[str, dict[str, int]]:
-    """Needs by destination and part. Where the parts' names would make a beat too
-    large, each destination's whole need stands under the part "" instead.
+    """Needs by destination and part.
+
+    Where the parts' names would make a beat too large, each destination's whole need
+    stands under the part "" instead.
     """
     size = sum(
         len(part) * (1 if part.isascii() else ESCAPED_CHARACTER_BYTES)
--- a/rainfall/forwarder/fleet/state_file.py
+++ b/rainfall/forwarder/fleet/state_file.py
@@ -43,9 +43,10 @@
         self.last_sequence = self.newest_sequence = 0
 
     def read(self) -> tuple[Token, QuotaRecords]:
-        """The token of the process before and its purses' records, by destination. A
-        file that cannot be read counts as none: its process's lease runs out first, and
-        a purse without a record waits a window.
+        """The token of the process before and its purses' records, by destination.
+
+        A file that cannot be read counts as none: its process's lease runs out first,
+        and a purse without a record waits a window.
         """
         try:
             if self.files.size(self.path) > MAX_FILE_BYTES:
@@ -131,7 +132,8 @@
 
 
 def decompress(data: bytes) -> bytes:
-    """A file's JSON. Raises zlib.error where it neither begins as an object nor can be
-    unpacked.
+    """A file's JSON.
+
+    Raises zlib.error where it neither begins as an object nor can be unpacked.
     """
     return data if data.startswith(b"{") else zlib.decompress(data)
--- a/rainfall/forwarder/handover/connection.py
+++ b/rainfall/forwarder/handover/connection.py
@@ -78,9 +78,10 @@
         self.on_disconnect(self)
 
     def read_remaining(self, transport: asyncio.Transport) -> None:
-        """The other process was gone as this one wrote to it. Such a failed write ends
-        the connection, and asyncio reads no more of what came before: how calls ended,
-        and what was taken on.
+        """The other process was gone as this one wrote to it.
+
+        Such a failed write ends the connection, and asyncio reads no more of what came
+        before: how calls ended, and what was taken on.
         """
         fd = transport.get_extra_info("socket").fileno()
         with suppress(OSError):
--- a/rainfall/forwarder/handover/journal_lock.py
+++ b/rainfall/forwarder/handover/journal_lock.py
@@ -12,8 +12,9 @@
 
 
 class JournalLock:
-    """Whoever holds it may write the journal. It goes with its process, however that
-    ends.
+    """Whoever holds it may write the journal.
+
+    It goes with its process, however that ends.
     """
 
     def __init__(self, folder: Path) -> None:
--- a/rainfall/forwarder/handover/roles.py
+++ b/rainfall/forwarder/handover/roles.py
@@ -31,12 +31,12 @@
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
 
 __all__ = [
-    "HandoverMessage",
     "HandoverConnection",
-    "JournalLock",
+    "HandoverMessage",
     "HandoverSource",
-    "ProxiedResponseWriter",
     "HandoverTarget",
+    "JournalLock",
+    "ProxiedResponseWriter",
     "claim_journal",
 ]
 SOCKET_NAME = "handover"
@@ -325,9 +325,10 @@
         return await self.request("ask", SNAPSHOT_TIMEOUT_S)
 
     async def request_ownership(self) -> bool:
-        """Whether all is this process's from now on. The old one says so, ends the
-        talk, or dies: to give up before might cross its yes, and then each would leave
-        all to the other.
+        """Whether all is this process's from now on.
+
+        The old one says so, ends the talk, or dies: to give up before might cross its
+        yes, and then each would leave all to the other.
         """
         return await self.request("prepared", None)
 
--- a/rainfall/forwarder/http1.py
+++ b/rainfall/forwarder/http1.py
@@ -1,5 +1,6 @@
-"""HTTP/1.1 answers as they arrive: httptools parses, this collects. One answer at a
-time on a connection.
+"""HTTP/1.1 answers as they arrive: httptools parses, this collects.
+
+One answer at a time on a connection.
 
 Nothing here trusts the peer: every byte counts against a limit, also those of a head
 that never ends, and an answer that was spoilt stays spoilt whatever its first line
@@ -15,6 +16,8 @@
 
 import httptools
 
+from rainfall.errors import RainfallError
+
 MAX_HEADER_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
 MAX_LIST_BYTES = (
@@ -25,15 +28,16 @@
 Headers = dict[str, str]
 
 
-class MalformedResponseError(Exception):
+class MalformedResponseError(RainfallError):
     """What came back is not the HTTP that was promised."""
 
 
 class ResponseReader:
-    """Collects one answer after the other. `first_line` is the status as the first line
-    says it, from when that line is whole, though the rest may yet turn out spoilt: one
-    that breaks off inside it promises nothing. `status` counts once the answer is
-    `complete`.
+    """Collects one answer after the other.
+
+    `first_line` is the status as the first line says it, from when that line is whole,
+    though the rest may yet turn out spoilt: one that breaks off inside it promises
+    nothing. `status` counts once the answer is `complete`.
     """
 
     def __init__(self, most: int = MAX_BODY_BYTES) -> None:
@@ -67,8 +71,9 @@
         self.body_parts: list[bytes] = []
 
     def release_parser(self) -> None:
-        """The connection is over. The parser refers back: the collector need not find
-        the ring.
+        """The connection is over.
+
+        The parser refers back: the collector need not find the ring.
         """
         self.parser = None
 
@@ -117,8 +122,9 @@
             raise MalformedResponseError("the answer is too large")
 
     def read_status_line(self, data: bytes) -> bytes:
-        """Gather the first line's status. 1xx answers ahead have no body and are left
-        out, also a 101.
+        """Gather the first line's status.
+
+        1xx answers ahead have no body and are left out, also a 101.
         """
         data, self.partial_status_line = self.partial_status_line + data, b""
         while True:
--- a/rainfall/forwarder/inbound/client_connection.py
+++ b/rainfall/forwarder/inbound/client_connection.py
@@ -14,6 +14,7 @@
 
 import httptools
 
+from rainfall.errors import RainfallError
 from rainfall.forwarder.http1 import MAX_BODY_BYTES, MAX_HEADER_BYTES, has_unread_input
 
 MAX_QUEUED_REQUESTS = 8  # requests read ahead on one connection before reading stops
@@ -48,7 +49,7 @@
 """Nor must these, and what follows such a request is not to be trusted."""
 
 
-class BadRequestError(Exception):
+class BadRequestError(RainfallError):
     def __init__(self, status: HTTPStatus, text: str) -> None:
         super().__init__(text)
         self.status, self.text = status, text
@@ -67,8 +68,9 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection. Requests are answered one at a time, in the order they
-    came.
+    """One client's connection.
+
+    Requests are answered one at a time, in the order they came.
     """
 
     def __init__(self, server: ConnectionRegistry) -> None:
@@ -336,9 +338,11 @@
     # Ending
 
     def finish(self) -> None:
-        """Graceful shutdown. To close with something unread would reset the connection,
-        and what the client has not read of its answers would go: end this side, read on
-        and discard for a while, then close.
+        """Graceful shutdown.
+
+        To close with something unread would reset the connection, and what the client
+        has not read of its answers would go: end this side, read on and discard for a
+        while, then close.
         """
         if self.transport is None or not self.is_open() or self.close_at_us:
             return
@@ -390,8 +394,9 @@
             self.finish()
 
     def shut_down(self, immediately: bool) -> None:
-        """The process ends. What has no answer is waited for, and at last refused, if
-        it is whole or not.
+        """The process ends.
+
+        What has no answer is waited for, and at last refused, if it is whole or not.
         """
         if self.is_idle():
             self.close()
@@ -452,9 +457,10 @@
         self.stop_listening()
 
     def stop_listening(self) -> None:
-        """No connection comes from now on. What asyncio accepted in this very turn has
-        no transport yet, and would be dropped without a word if its listener closed
-        before it has.
+        """No connection comes from now on.
+
+        What asyncio accepted in this very turn has no transport yet, and would be
+        dropped without a word if its listener closed before it has.
         """
         listener, self.listener = self.listener, None
         if listener is not None:
--- a/rainfall/forwarder/inbound/server.py
+++ b/rainfall/forwarder/inbound/server.py
@@ -84,9 +84,7 @@
 
 
 class ResponseWriter(Protocol):
-    """Who handed a message in and waits to hear of it; `left` is called if that
-    ends.
-    """
+    """Who handed a message in and waits to hear of it; `left` is called if that ends."""
 
     on_disconnect: Callable[[], None] | None
 
@@ -181,8 +179,9 @@
 
 
 class InboundServer(ConnectionRegistry):
-    """Listens for clients. `hand_in` gets each well-formed message together with its
-    connection.
+    """Listens for clients.
+
+    `hand_in` gets each well-formed message together with its connection.
     """
 
     def __init__(
@@ -229,8 +228,9 @@
         self.check_loop_delay()
 
     def check_loop_delay(self) -> None:
-        """Measure how late the loop is. It stands still while it works, or while others
-        have its core.
+        """Measure how late the loop is.
+
+        It stands still while it works, or while others have its core.
         """
         if self.closed:
             return
@@ -253,8 +253,9 @@
         return now - max(self.loop_delay_us, now - self.loop_check_due_us, 0)
 
     def add_connection(self, connection: ClientConnection) -> None:
-        """Bound the sockets. Who waits for an answer stays; of the others the first by
-        `rank` goes.
+        """Bound the sockets.
+
+        Who waits for an answer stays; of the others the first by `rank` goes.
         """
         self.connections.add(connection)
         if len(self.connections) > self.max_connections:
@@ -311,8 +312,9 @@
         return rank
 
     def close_later(self, connection: ClientConnection) -> None:
-        """Close in a while: the client may read meanwhile what it did wrong. A flood
-        shortens that.
+        """Close in a while: the client may read meanwhile what it did wrong.
+
+        A flood shortens that.
         """
         connection.close_at_us = self.clock() + int(LINGER_S * 1_000_000)
 
--- a/rainfall/forwarder/message_store.py
+++ b/rainfall/forwarder/message_store.py
@@ -29,10 +29,10 @@
 from rainfall.journal.writer import RESERVED_BYTES, JournalWriter, SyncWorker
 
 __all__ = [
-    "PendingNotification",
+    "AcceptedMessage",
     "DeliveryRules",
     "MessageStore",
-    "AcceptedMessage",
+    "PendingNotification",
     "SyncWorker",
 ]
 BLOCK_BYTES = 512
@@ -240,9 +240,7 @@
     def encode_endpoint_list(
         self, seq: int, hosts: dict[str, dict[str, Any]], source: str
     ) -> bytes:
-        """What makes the list in force this one: its changes alone where they are
-        few.
-        """
+        """What makes the list in force this one: its changes alone where they are few."""
         previous = self.hosts
         changed = [
             h
@@ -303,8 +301,10 @@
         return self.log.rewrite()
 
     def close(self) -> None:
-        """The process ends in order. Synced, whatever the level: then the next start
-        need not wonder whether something is missing at the end.
+        """The process ends in order.
+
+        Synced, whatever the level: then the next start need not wonder whether
+        something is missing at the end.
         """
         self.flush()
         if (
--- a/rainfall/forwarder/outbound/connection.py
+++ b/rainfall/forwarder/outbound/connection.py
@@ -133,8 +133,10 @@
         return self.transport is None or self.transport.is_closing()
 
     def is_reusable(self) -> bool:
-        """Whether nothing has come on it unasked. An end, a second answer or noise that
-        waits unread would be taken for the next call's.
+        """Whether nothing has come on it unasked.
+
+        An end, a second answer or noise that waits unread would be taken for the next
+        call's.
         """
         return not self.is_closing() and not self.has_unread_input()
 
@@ -169,9 +171,10 @@
             self.transport.abort()
 
     def abort_call(self) -> None:
-        """Close it with its call out. A transport closes in the loop's next turn, and
-        by then the call's copy may have left: so the sending ends here and now, which
-        gives the call up as well.
+        """Close it with its call out.
+
+        A transport closes in the loop's next turn, and by then the call's copy may have
+        left: so the sending ends here and now, which gives the call up as well.
         """
         if self.transport is not None and not self.transport.is_closing():
             with suppress(OSError):  # the target was first
@@ -208,8 +211,10 @@
                 self.close()
 
     def eof_received(self) -> None:
-        """The target's end. A transport would go on and write what is left of a request
-        before it closes; and what is not whole by now must not become so.
+        """The target's end.
+
+        A transport would go on and write what is left of a request before it closes;
+        and what is not whole by now must not become so.
         """
         if self.call is not None and not self.call.written:
             self.close()
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -26,10 +26,10 @@
 from rainfall.forwarder.outbound.responses import parse_retry_after_us
 
 __all__ = [
-    "OutboundCall",
-    "EndpointConnection",
     "CallItem",
     "ConnectionPool",
+    "EndpointConnection",
+    "OutboundCall",
     "fits_batch",
     "parse_retry_after_us",
 ]
@@ -193,9 +193,10 @@
             self.launch(call, connection)
 
     def launch(self, call: OutboundCall, connection: EndpointConnection) -> None:
-        """The last gate: nothing stands between its yes and the socket. A call that
-        comes a moment early, as those before it left later than they were decided, is
-        held for that moment.
+        """The last gate: nothing stands between its yes and the socket.
+
+        A call that comes a moment early, as those before it left later than they were
+        decided, is held for that moment.
         """
         data = self.render(call)
         recorded = self.record_attempts is None or self.record_attempts(call)
@@ -282,10 +283,11 @@
     def defer_for_unread_input(
         self, call: OutboundCall, resume: Callable[[], None]
     ) -> bool:
-        """Whether a call is not to be given up as yet. What a busy loop has not read
-        counts first, as the answer may lie at the socket: it is read in the next turn,
-        which sees to sockets before timers. Then this goes on, however much more lies
-        there by that time.
+        """Whether a call is not to be given up as yet.
+
+        What a busy loop has not read counts first, as the answer may lie at the socket:
+        it is read in the next turn, which sees to sockets before timers. Then this goes
+        on, however much more lies there by that time.
         """
         if not call.open_items or call.connection is None:
             return not call.open_items
@@ -385,9 +387,10 @@
         result: AttemptResult,
         report: LoadReport | None = None,
     ) -> None:
-        """The same end for all that is still open. What hears of it may send the copy
-        at once: while the call is out on an open connection, that would be a second
-        one.
+        """The same end for all that is still open.
+
+        What hears of it may send the copy at once: while the call is out on an open
+        connection, that would be a second one.
         """
         self.detach_connection(call)
         for item in list(call.open_items.values()):
--- a/rainfall/forwarder/outbound/idle_connections.py
+++ b/rainfall/forwarder/outbound/idle_connections.py
@@ -68,9 +68,10 @@
         return True
 
     def record_staleness(self, age_us: int, stale: bool) -> None:
-        """Whether a kept connection broke at once under its call. Some targets let go
-        of idle ones sooner than the settings say, and tell only who writes to them: it
-        is learned for each age, by powers of two.
+        """Whether a kept connection broke at once under its call.
+
+        Some targets let go of idle ones sooner than the settings say, and tell only who
+        writes to them: it is learned for each age, by powers of two.
         """
         if age_us >= 0:
             share = self.stale_shares[age_us.bit_length()]
--- a/rainfall/forwarder/outbound/responses.py
+++ b/rainfall/forwarder/outbound/responses.py
@@ -1,5 +1,6 @@
-"""What calls' answers say: outcomes, waits, a target's limit. Garbage counts as nothing
-said.
+"""What calls' answers say: outcomes, waits, a target's limit.
+
+Garbage counts as nothing said.
 """
 
 from __future__ import annotations
@@ -74,8 +75,10 @@
 
 
 def parse_batch(reader: ResponseReader) -> dict[str, AttemptResult]:
-    """The ends of a batch call's messages, by id; those not named failed. Raises
-    ValueError, TypeError, KeyError or RecursionError where its body cannot be read.
+    """The ends of a batch call's messages, by id; those not named failed.
+
+    Raises ValueError, TypeError, KeyError or RecursionError where its body cannot be
+    read.
     """
     retry_after_us, results = parse_retry_after_us(reader), {}
     for name, state in [(e["id"], e["state"]) for e in json.loads(reader.body)]:
--- a/rainfall/journal/__main__.py
+++ b/rainfall/journal/__main__.py
@@ -1,5 +1,6 @@
-"""For staff: python -m rainfall.journal check|show DIR. Reads only, also beside a
-running forwarder.
+"""For staff: python -m rainfall.journal check|show DIR.
+
+Reads only, also beside a running forwarder.
 """
 
 from __future__ import annotations
@@ -13,6 +14,7 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
+from rainfall.errors import RainfallError
 from rainfall.journal.recovery import (
     JOURNAL_FILE,
     RecoveryReport,
@@ -26,7 +28,7 @@
 REREAD_DELAY_S = 0.2  # a running forwarder may be in the middle of a write
 
 
-class UsageError(Exception):
+class UsageError(RainfallError):
     """The text is one line."""
 
 
--- a/rainfall/journal/files.py
+++ b/rainfall/journal/files.py
@@ -1,6 +1,4 @@
-"""What the journal asks of the file system, so that tests can put another in its
-place.
-"""
+"""What the journal asks of the file system, so that tests can put another in its place."""
 
 from __future__ import annotations
 
--- a/rainfall/journal/format.py
+++ b/rainfall/journal/format.py
@@ -1,5 +1,6 @@
-"""The journal's bytes: a head, then frames. What is in the frames, `state` knows; see
-docs/parts.md.
+"""The journal's bytes: a head, then frames.
+
+What is in the frames, `state` knows; see docs/parts.md.
 
 Version 1 has no head; its frames are a length, a checksum and the payload, all
 little-endian.
@@ -13,6 +14,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from rainfall.errors import RainfallError
+
 MAGIC, VERSION = b"RAINJRNL", 2
 HEADER = struct.Struct(">8sHHIIII")
 FRAME = struct.Struct(">IIHI")
@@ -24,7 +27,7 @@
 MAX_FRAME_NUMBER = 1 << 32
 
 
-class NewerVersionError(Exception):
+class NewerVersionError(RainfallError):
     """The file is of a version that this program does not know."""
 
 
--- a/rainfall/journal/live_index.py
+++ b/rainfall/journal/live_index.py
@@ -13,8 +13,9 @@
 
 
 class LiveIndex:
-    """Live messages by deadline and by destination. A call takes time by what it adds,
-    removes or returns.
+    """Live messages by deadline and by destination.
+
+    A call takes time by what it adds, removes or returns.
     """
 
     def __init__(self) -> None:
--- a/rainfall/journal/recovery.py
+++ b/rainfall/journal/recovery.py
@@ -9,6 +9,7 @@
 from pathlib import Path
 from typing import Any
 
+from rainfall.errors import RainfallError
 from rainfall.journal.files import FileSystem
 from rainfall.journal.format import Frame, NewerVersionError, Scan, scan
 from rainfall.journal.state import JournalState
@@ -22,7 +23,7 @@
 MIN_CLOCK_SHIFT_US = 500_000  # the clock is kept by small steps all the time
 
 
-class UnusableJournalError(Exception):
+class UnusableJournalError(RainfallError):
     """The folder's journal cannot be used by this program; the text is one line."""
 
 
@@ -189,8 +190,10 @@
     mono_us: int,
     predecessor_runs: bool = False,
 ) -> RecoveryReport:
-    """Fill the state with what the folder holds, safe to go on from. Writes nothing.
-    One that follows a process which still runs goes by that one's clock.
+    """Fill the state with what the folder holds, safe to go on from.
+
+    Writes nothing. One that follows a process which still runs goes by that one's
+    clock.
     """
     began = time.monotonic()
     try:
--- a/rainfall/journal/state.py
+++ b/rainfall/journal/state.py
@@ -174,8 +174,10 @@
             m.in_doubt = True
 
     def resolve_doubts(self) -> tuple[int, int]:
-        """All is read. What is still in doubt gets an attempt that may have run, or its
-        end. Returns how many got which.
+        """All is read.
+
+        What is still in doubt gets an attempt that may have run, or its end. Returns
+        how many got which.
         """
         doubted = [m for m in self.messages.values() if m.in_doubt]
         ended = [m for m in doubted if m.order_key is not None]
@@ -389,8 +391,9 @@
         )
 
     def checkpoint(self) -> Iterator[bytes]:
-        """The records that say just this state. Rules that nobody names any more are
-        left out.
+        """The records that say just this state.
+
+        Rules that nobody names any more are left out.
         """
         named = {
             m.rules_number for m in self.messages.values()
--- a/rainfall/journal/sync_thread.py
+++ b/rainfall/journal/sync_thread.py
@@ -1,5 +1,6 @@
-"""The thread that syncs, so that the loop does not stand still for a disk. Only where
-it is wanted.
+"""The thread that syncs, so that the loop does not stand still for a disk.
+
+Only where it is wanted.
 """
 
 from __future__ import annotations
--- a/rainfall/journal/writer.py
+++ b/rainfall/journal/writer.py
@@ -42,8 +42,9 @@
 
 
 class JournalWriter:
-    """The file in use. Before `begin` and after `let_go` nothing is written, only
-    gathered.
+    """The file in use.
+
+    Before `begin` and after `let_go` nothing is written, only gathered.
     """
 
     def __init__(
@@ -143,8 +144,9 @@
         self.appended += 1
 
     def flush(self) -> None:
-        """Write what was gathered. Writes anew where old and new together would come
-        near the limit.
+        """Write what was gathered.
+
+        Writes anew where old and new together would come near the limit.
         """
         if not self.pending or not self.writing or self.switching:
             return
@@ -209,8 +211,8 @@
 
     def rewrite(self, first: bool = False) -> bool:
         """Write what still counts into a new file and put it in the old one's place.
-        Returns whether that is done, or under way; while a sync is, nothing is
-        begun.
+
+        Returns whether that is done, or under way; while a sync is, nothing is begun.
         """
         if self.worker_busy:
             return False
@@ -270,8 +272,10 @@
         self.rewrites += 1
 
     def sync_new_file(self, fd: int, head: FileHeader, size: int) -> None:
-        """Sync the new file and its name. What is gathered meanwhile waits for the end
-        of that: it goes into the new file, or into the old one where that stays.
+        """Sync the new file and its name.
+
+        What is gathered meanwhile waits for the end of that: it goes into the new file,
+        or into the old one where that stays.
         """
         assert self.worker is not None
         position, covered, replaced = self.appended, len(self.pending), False
@@ -366,9 +370,7 @@
         self.worker(job, done)
 
     def retry_after_failure(self) -> None:
-        """From time to time: a failure must not last because nothing more is
-        written.
-        """
+        """From time to time: a failure must not last because nothing more is written."""
         if (
             self.writing
             and self.failed
--- a/rainfall/lab/checker.py
+++ b/rainfall/lab/checker.py
@@ -76,9 +76,7 @@
     """Each hand-in that was taken on: id, forwarder, when."""
 
     def lost(self, noticed: Mapping[str, str], wiped: Mapping[str, int]) -> bool:
-        """Taken on, without an end; ``wiped``: when a forwarder last lost its
-        folder.
-        """
+        """Taken on, without an end; ``wiped``: when a forwarder last lost its folder."""
         if (
             not self.accepted
             or self.delivered_at_ns
--- a/rainfall/lab/discovery_relay.py
+++ b/rainfall/lab/discovery_relay.py
@@ -83,8 +83,9 @@
 
 @dataclass
 class DiscoveryRelay:
-    """Listens at ``listen`` for one forwarder; ``port`` is the service's. ``noticed``
-    hears each notice that the service answered with 2xx.
+    """Listens at ``listen`` for one forwarder; ``port`` is the service's.
+
+    ``noticed`` hears each notice that the service answered with 2xx.
     """
 
     service_port: int
--- a/rainfall/lab/experiment_model.py
+++ b/rainfall/lab/experiment_model.py
@@ -59,9 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One event of the timeline. ``target`` names a forwarder, an endpoint or the list
-    service (``f1``, ``e3``, ``list``), or is a glob of link names (``f1>e*``,
-    ``*>list``) for link faults; ``zone`` hits every link into or out of a zone.
+    """One event of the timeline.
+
+    ``target`` names a forwarder, an endpoint or the list service (``f1``, ``e3``,
+    ``list``), or is a glob of link names (``f1>e*``, ``*>list``) for link faults;
+    ``zone`` hits every link into or out of a zone.
     """
 
     at_s: float
@@ -198,9 +200,7 @@
 
 
 def matching_links(experiment: Experiment, fault: Fault) -> list[str]:
-    """The links that a link fault hits: by glob, or all those with one end in its
-    zone.
-    """
+    """The links that a link fault hits: by glob, or all those with one end in its zone."""
     all_links = link_names(experiment)
     if fault.zone:
 
--- a/rainfall/lab/experiment_sections.py
+++ b/rainfall/lab/experiment_sections.py
@@ -125,9 +125,7 @@
 
 
 def _parts(reader: TableReader, table: Mapping[str, Any]) -> Mapping[str, Any]:
-    """Values that a forwarder's configuration (JSON) can hold: TOML's dates are
-    none.
-    """
+    """Values that a forwarder's configuration (JSON) can hold: TOML's dates are none."""
     try:
         return dict(json.loads(json.dumps(table, allow_nan=False)))
     except (TypeError, ValueError) as error:
--- a/rainfall/lab/fault_proxy.py
+++ b/rainfall/lab/fault_proxy.py
@@ -42,10 +42,11 @@
 
 @dataclass(slots=True)
 class ConnectionLimiter:
-    """The bound on connections open through all links together. A connection that is
-    taken up costs this process four descriptors at most (both ends of the link and, for
-    a stand-in, of its server); with no bound the accept loop meets the descriptors' end
-    and logs that again and again.
+    """The bound on connections open through all links together.
+
+    A connection that is taken up costs this process four descriptors at most (both ends
+    of the link and, for a stand-in, of its server); with no bound the accept loop meets
+    the descriptors' end and logs that again and again.
     """
 
     limit: int
--- a/rainfall/lab/forwarder_config.py
+++ b/rainfall/lab/forwarder_config.py
@@ -48,9 +48,7 @@
 
 
 def settings(experiment: Experiment) -> dict[str, Any]:
-    """The forwarders' settings (PROTOCOL: 'the settings') for the experiment's
-    classes.
-    """
+    """The forwarders' settings (PROTOCOL: 'the settings') for the experiment's classes."""
     services = [
         {
             "name": load_class.name,
--- a/rainfall/lab/list_service.py
+++ b/rainfall/lab/list_service.py
@@ -38,9 +38,10 @@
 
 @dataclass
 class ListServiceProcess(Process):
-    """The process ``list``. It keeps its ports over its restarts; ``hosts`` are
-    registered at each start, which changes nothing where its folder still lists
-    them.
+    """The process ``list``.
+
+    It keeps its ports over its restarts; ``hosts`` are registered at each start, which
+    changes nothing where its folder still lists them.
     """
 
     listen_port: int = 0
--- a/rainfall/lab/load_generator.py
+++ b/rainfall/lab/load_generator.py
@@ -125,10 +125,12 @@
             await asyncio.gather(*tasks)
 
     async def _wait_until(self, due_ns: int) -> None:
-        """Wait for a send time. The loop's timers wake a few ms late once other timers
-        are about (its waits are whole ms), so the last SPIN_S are spent yielding: the
-        load process gives a core for a schedule held to well under a millisecond (3 ms
-        at the 99th percentile with 3 ms of yielding, 0.07 with 8).
+        """Wait for a send time.
+
+        The loop's timers wake a few ms late once other timers are about (its waits are
+        whole ms), so the last SPIN_S are spent yielding: the load process gives a core
+        for a schedule held to well under a millisecond (3 ms at the 99th percentile
+        with 3 ms of yielding, 0.07 with 8).
         """
         wait = (due_ns - self.clock()) / 1e9
         if wait > BUSY_WAIT_S:
--- a/rainfall/lab/load_plan.py
+++ b/rainfall/lab/load_plan.py
@@ -35,9 +35,7 @@
 
 
 def plan_messages(experiment: Experiment, seed: int) -> list[PlannedMessage]:
-    """Every message of the run in order of its send time; ValueError past
-    MAX_MESSAGES.
-    """
+    """Every message of the run in order of its send time; ValueError past MAX_MESSAGES."""
     rng = random.Random(seed)
     load, classes = experiment.load, experiment.load.classes
     forwarder_count = load.forwarders or experiment.fleet.forwarders
--- a/rainfall/lab/nemesis.py
+++ b/rainfall/lab/nemesis.py
@@ -33,8 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultWindow:
-    """What one fault takes, and until when. ``out``: forwarders that it stops or
-    cuts.
+    """What one fault takes, and until when.
+
+    ``out``: forwarders that it stops or cuts.
     """
 
     begin_s: float
--- a/rainfall/lab/processes.py
+++ b/rainfall/lab/processes.py
@@ -17,19 +17,22 @@
 from pathlib import Path
 from typing import IO, Any
 
+from rainfall.errors import RainfallError
+
 READY_TIMEOUT_S = 20.0
 TERM_TIMEOUT_S = 5.0
 ROOT = Path(__file__).resolve().parents[2]
 
 
-class StartError(Exception):
+class StartError(RainfallError):
     """A process did not come up; the text names it and its log."""
 
 
 def reserve_port(reserved_sockets: list[socket.socket]) -> int:
-    """A port on 127.0.0.1 for a forwarder to bind itself. Its socket stays bound in
-    ``held`` until the lab's own servers are up, so that none of them is handed the same
-    port by the kernel.
+    """A port on 127.0.0.1 for a forwarder to bind itself.
+
+    Its socket stays bound in ``held`` until the lab's own servers are up, so that none
+    of them is handed the same port by the kernel.
     """
     reserved = socket.socket()
     reserved.bind(("127.0.0.1", 0))
--- a/rainfall/lab/runner.py
+++ b/rainfall/lab/runner.py
@@ -47,8 +47,10 @@
     pipe: Connection
 
     async def receive(self, limit_s: float) -> Any:
-        """What the load says next. Polled, not waited for in a thread: a thread that
-        waits cannot be cancelled, and would keep an interrupted lab from ending.
+        """What the load says next.
+
+        Polled, not waited for in a thread: a thread that waits cannot be cancelled, and
+        would keep an interrupted lab from ending.
         """
         async with asyncio.timeout(limit_s):
             while not self.pipe.poll():
@@ -126,9 +128,7 @@
         await self._settle()
 
     async def _settle(self) -> None:
-        """Wait until every message taken on has its end, or the settle time has
-        passed.
-        """
+        """Wait until every message taken on has its end, or the settle time has passed."""
         limit = self.clock() + int(self.experiment.settle_s * 1e9)
         while self.clock() < limit and self.check_records()["lost"]:
             await asyncio.sleep(SETTLE_POLL_S)
--- a/rainfall/lab/sweep_summary.py
+++ b/rainfall/lab/sweep_summary.py
@@ -10,8 +10,9 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """One seed's run. ``verdict`` is empty where it wrote none; ``breaches`` then says
-    why.
+    """One seed's run.
+
+    ``verdict`` is empty where it wrote none; ``breaches`` then says why.
     """
 
     seed: int
--- a/rainfall/lab/table_reader.py
+++ b/rainfall/lab/table_reader.py
@@ -7,10 +7,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any, TypeVar
 
+from rainfall.errors import RainfallError
+
 T = TypeVar("T")
 
 
-class ExperimentError(Exception):
+class ExperimentError(RainfallError):
     """The file cannot be used; ``faults`` lists each fault as 'path: what is wrong'."""
 
     def __init__(self, faults: list[str]) -> None:
--- a/rainfall/lab/verdicts/budgets.py
+++ b/rainfall/lab/verdicts/budgets.py
@@ -43,10 +43,12 @@
     span_ms: int,
     end_ns: int,
 ) -> dict[str, Any]:
-    """The figures of one destination. ``over`` is by how many calls the worst sliding
-    span passes the whole, ``calls_over`` how many calls left beyond it, ``used`` the
-    part of the whole sent from the load's start to its end, ``used_accepted`` the part
-    that endpoints did not refuse.
+    """The figures of one destination.
+
+    ``over`` is by how many calls the worst sliding span passes the whole,
+    ``calls_over`` how many calls left beyond it, ``used`` the part of the whole sent
+    from the load's start to its end, ``used_accepted`` the part that endpoints did not
+    refuse.
     """
     sent: list[int] = []
     at_endpoints: list[tuple[int, int]] = []
--- a/rainfall/lab/verdicts/sessions.py
+++ b/rainfall/lab/verdicts/sessions.py
@@ -63,6 +63,7 @@
 
 def count_migrations(records: Iterable[Mapping[str, Any]]) -> MigrationCounts:
     """A hand-over of a key goes from ``offered`` to the next ``offered`` of that key.
+
     Its pause is from ``frozen`` to the first ``committed`` or ``aborted`` after it.
     """
     steps = sorted(
--- a/rainfall/lab/verdicts/shards.py
+++ b/rainfall/lab/verdicts/shards.py
@@ -29,8 +29,10 @@
 def ownership_intervals(
     records: Iterable[Mapping[str, Any]], end_ns: int
 ) -> list[OwnershipInterval]:
-    """The stretches of owning. Of records of one beginning an ended one counts over an
-    open one; an open one ends where its process next does, else with the run.
+    """The stretches of owning.
+
+    Of records of one beginning an ended one counts over an open one; an open one ends
+    where its process next does, else with the run.
     """
     open_until: dict[tuple[str, int, int, int, int], int | None] = {}
     ends: dict[str, list[int]] = {}
--- a/rainfall/lease/fencing.py
+++ b/rainfall/lease/fencing.py
@@ -13,9 +13,10 @@
 
 
 class FencingGuard:
-    """Highest token seen for each name, `most` names at most. Past that the name seen
-    longest ago is let go and its token becomes the floor: a name not known is refused
-    below it, never served on trust.
+    """Highest token seen for each name, `most` names at most.
+
+    Past that the name seen longest ago is let go and its token becomes the floor: a
+    name not known is refused below it, never served on trust.
     """
 
     def __init__(self, max_names: int = 10_000) -> None:
@@ -23,9 +24,11 @@
         self._highest_tokens: OrderedDict[str, Token] = OrderedDict()
 
     def check(self, name: str, token: Token) -> bool:
-        """Before the action. Refused(409), with the token `seen`, where a higher one
-        was; else True if this one is higher than any before: keep a snapshot before
-        acting where the guard is to outlive a crash.
+        """Before the action.
+
+        Refused(409), with the token `seen`, where a higher one was; else True if this
+        one is higher than any before: keep a snapshot before acting where the guard is
+        to outlive a crash.
         """
         before = self.required_token(name)
         if token < before:
--- a/rainfall/lease/fencing_token.py
+++ b/rainfall/lease/fencing_token.py
@@ -8,8 +8,9 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Token:
-    """`epoch` is the list service's history, `number` counts within it. For one name a
-    token only grows.
+    """`epoch` is the list service's history, `number` counts within it.
+
+    For one name a token only grows.
     """
 
     epoch: int
--- a/rainfall/lease/holder.py
+++ b/rainfall/lease/holder.py
@@ -16,8 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """One request, noted before it leaves. `token` is None where a lease is acquired,
-    not renewed.
+    """One request, noted before it leaves.
+
+    `token` is None where a lease is acquired, not renewed.
     """
 
     number: int
@@ -27,9 +28,10 @@
 
 
 class LeaseHolder:
-    """One lease of one process. Call `asked` before a request leaves, then one of
-    `answered`, `held`, `refused` or `failed` with its `sent`. `random` gives floats
-    from 0 below 1.
+    """One lease of one process.
+
+    Call `asked` before a request leaves, then one of `answered`, `held`, `refused` or
+    `failed` with its `sent`. `random` gives floats from 0 below 1.
     """
 
     def __init__(self, ttl_us: int, drift: float, random: Callable[[], float]) -> None:
@@ -104,8 +106,10 @@
     def on_granted(
         self, now_us: int, request_number: int, token: Token, ttl_us: int
     ) -> bool:
-        """Granted or renewed. False where the answer counts for nothing: its request is
-        not known, a later one was answered, or its token is over.
+        """Granted or renewed.
+
+        False where the answer counts for nothing: its request is not known, a later one
+        was answered, or its token is over.
         """
         self._advance_clock(now_us)
         ask = self._pending_requests.pop(request_number, None)
--- a/rainfall/lease/model.py
+++ b/rainfall/lease/model.py
@@ -244,7 +244,9 @@
         why = ""
         # Without a hint a token may come twice where nobody who saw it speaks: only the
         # operator can help.
-        if self.wall and (token < before[0] or token == before[0] and who != before[1]):
+        if self.wall and (
+            token < before[0] or (token == before[0] and who != before[1])
+        ):
             why = f"{token} of {'AB'[who]} was served after {before[0]}"
         return state._replace(
             guard=guard, served=max(before, (token, who)), why=why or state.why
--- a/rainfall/lease/table.py
+++ b/rainfall/lease/table.py
@@ -30,8 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """One lease as the service sees it. `until_us`: from then on it is out on every
-    clock.
+    """One lease as the service sees it.
+
+    `until_us`: from then on it is out on every clock.
     """
 
     name: str
@@ -55,8 +56,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The lease is the caller's. A `record` is to be on disk and committed before this
-    is told.
+    """The lease is the caller's.
+
+    A `record` is to be on disk and committed before this is told.
     """
 
     name: str
@@ -67,8 +69,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseUnavailable:
-    """Not now: come again in `retry_us`, the soonest that it can change. A `record` is
-    to be written.
+    """Not now: come again in `retry_us`, the soonest that it can change.
+
+    A `record` is to be written.
     """
 
     retry_after_us: int
@@ -77,8 +80,9 @@
 
 
 class LeaseTable:
-    """Named leases. Make it empty or with `restored`, `commit` what the log holds, then
-    `start`.
+    """Named leases.
+
+    Make it empty or with `restored`, `commit` what the log holds, then `start`.
     """
 
     def __init__(self, settings: LeaseSettings) -> None:
@@ -107,6 +111,7 @@
 
     def start(self, now_us: int, sure: bool, min_epoch: int = 0) -> Record:
         """Begin an epoch; nothing is granted or renewed before its record is committed.
+
         `sure`: the folder is the one the last process left, a torn last line at most.
         Where it is not, no known lease goes on, and one longest lease passes before the
         first grant. `least_epoch` is a hint (a wall clock in seconds, an operator's
@@ -173,11 +178,13 @@
         shown: Token = ZERO_TOKEN,
         note: Mapping[str, str] | None = None,
     ) -> LeaseGrant | LeaseUnavailable:
-        """A lease on `name`. `holder` names one run of one process and no other: asked
-        again by it, its lease is told again, and a new one granted where it has `seen`
-        that one and let go of it. `shown` is the lease's own token, as its process
-        after a restart knows it: then it is granted anew at once. Refused: 400 faults
-        of the call, 422 too many leases.
+        """A lease on `name`.
+
+        `holder` names one run of one process and no other: asked again by it, its lease
+        is told again, and a new one granted where it has `seen` that one and let go of
+        it. `shown` is the lease's own token, as its process after a restart knows it:
+        then it is granted anew at once. Refused: 400 faults of the call, 422 too many
+        leases.
         """
         note = {} if note is None else note
         if faults := request_faults(self.settings, name, holder, ttl_us, note):
@@ -225,18 +232,17 @@
     def renew(
         self, now_us: int, name: str, token: Token, seen: Token = ZERO_TOKEN
     ) -> LeaseGrant | LeaseUnavailable:
-        """The same lease for a whole ttl more. Refused(409) once it is out, revoked or
-        another's: final for this token. Held while it cannot be known: the holder may
-        run out what it has.
+        """The same lease for a whole ttl more.
+
+        Refused(409) once it is out, revoked or another's: final for this token. Held
+        while it cannot be known: the holder may run out what it has.
         """
         now_us, lifted = (
             self._advance_clock(now_us),
             self.observe_token(max(seen, token)),
         )
-        if (
-            not self.started
-            or self.history_uncertain
-            and self._time_until_grants_us(now_us)
+        if not self.started or (
+            self.history_uncertain and self._time_until_grants_us(now_us)
         ):
             return LeaseUnavailable(
                 self._time_until_grants_us(now_us),
@@ -255,8 +261,9 @@
         return self._renew_lease(now_us, lease, lifted)
 
     def release(self, now_us: int, name: str, token: Token) -> Record:
-        """Given up by its holder, which acts on it no more: free at once. Refused: 404,
-        409.
+        """Given up by its holder, which acts on it no more: free at once.
+
+        Refused: 404, 409.
         """
         self._advance_clock(now_us)
         return self._end_record(self._require_held(name, token, None, 404), "released")
@@ -443,8 +450,9 @@
 
     @staticmethod
     def from_snapshot(raw: Mapping[str, Any], settings: LeaseSettings) -> LeaseTable:
-        """From a snapshot; KeyError, TypeError or ValueError where it is none. `start`
-        is still owed.
+        """From a snapshot; KeyError, TypeError or ValueError where it is none.
+
+        `start` is still owed.
         """
         table = LeaseTable(settings)
         table.epoch, table.last_committed = int(raw["epoch"]), int(raw["number"])
--- a/rainfall/lease/types.py
+++ b/rainfall/lease/types.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from rainfall.errors import RainfallError
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
 Record = dict[str, Any]
@@ -20,11 +21,13 @@
 )
 
 
-class LeaseRejectedError(Exception):
-    """A change that is not made. `status` is the HTTP answer (400, 404, 409 or 422),
-    `faults` name each fault with its path. `seen` is the token that was in the way.
-    `record`, where there is one, is to be written all the same (what the client said it
-    saw lifts the epoch, also where the call is refused).
+class LeaseRejectedError(RainfallError):
+    """A change that is not made.
+
+    `status` is the HTTP answer (400, 404, 409 or 422), `faults` name each fault with
+    its path. `seen` is the token that was in the way. `record`, where there is one, is
+    to be written all the same (what the client said it saw lifts the epoch, also where
+    the call is refused).
     """
 
     def __init__(
@@ -45,8 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Bounds of a table. Times in microseconds; `drift` is the share by which two
-    clocks may run apart.
+    """Bounds of a table.
+
+    Times in microseconds; `drift` is the share by which two clocks may run apart.
     """
 
     drift: float = 0.02
--- a/rainfall/member/roster.py
+++ b/rainfall/member/roster.py
@@ -23,8 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member as it is told. `token` is its incarnation, `state` alive, suspect,
-    lost or left, `version` the one that last changed it.
+    """One member as it is told.
+
+    `token` is its incarnation, `state` alive, suspect, lost or left, `version` the one
+    that last changed it.
     """
 
     name: str
@@ -86,10 +88,11 @@
 
 
 class Roster:
-    """Over a table that the caller starts. Every record the table makes, whoever asked
-    for it, goes through `commit` here. `late`: the share of the ttl without a renewal
-    that makes a member suspect. `at_once`: the share of members that, lost within one
-    lease, stops every division.
+    """Over a table that the caller starts.
+
+    Every record the table makes, whoever asked for it, goes through `commit` here.
+    `late`: the share of the ttl without a renewal that makes a member suspect.
+    `at_once`: the share of members that, lost within one lease, stops every division.
     """
 
     def __init__(
@@ -145,11 +148,12 @@
         shown: Token = ZERO_TOKEN,
         seen: Token = ZERO_TOKEN,
     ) -> LeaseGrant | LeaseUnavailable:
-        """A lease on the name; its token is the incarnation. Held (to be told as 409,
-        with when to come again) while another process's lease is in force, unless its
-        token is `shown`. `run` names this run of the process and no other: a join sent
-        again with it, its answer lost, is told the same token. Refused: 400, 422 as the
-        table's.
+        """A lease on the name; its token is the incarnation.
+
+        Held (to be told as 409, with when to come again) while another process's lease
+        is in force, unless its token is `shown`. `run` names this run of the process
+        and no other: a join sent again with it, its answer lost, is told the same
+        token. Refused: 400, 422 as the table's.
         """
         now_us = self._advance_clock(now_us)
         if faults := [
@@ -182,8 +186,10 @@
     def heartbeat(
         self, now_us: int, name: str, token: Token, seen: Token = ZERO_TOKEN
     ) -> LeaseGrant | LeaseUnavailable:
-        """Renewed. Refused(409): the lease is out or another's, the member is fenced
-        and joins anew.
+        """Renewed.
+
+        Refused(409): the lease is out or another's, the member is fenced and joins
+        anew.
         """
         now_us = self._advance_clock(now_us)
         made = self.table.renew(now_us, MEMBER_LEASE_PREFIX + name, token, seen)
--- a/rainfall/model_checker/network.py
+++ b/rainfall/model_checker/network.py
@@ -10,8 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """A bag of messages. Order does not count: whatever is under way may come next,
-    however late.
+    """A bag of messages.
+
+    Order does not count: whatever is under way may come next, however late.
     """
 
     in_transit: tuple[Hashable, ...] = ()
--- a/rainfall/model_checker/search.py
+++ b/rainfall/model_checker/search.py
@@ -17,8 +17,9 @@
 
 
 class Model(Protocol[StateType]):
-    """What is searched. States are never changed once given: `steps` works on
-    copies.
+    """What is searched.
+
+    States are never changed once given: `steps` works on copies.
     """
 
     def start(self) -> StateType:
--- a/rainfall/peer/frames.py
+++ b/rainfall/peer/frames.py
@@ -13,6 +13,7 @@
 import msgspec
 from msgspec import Meta
 
+from rainfall.errors import RainfallError
 from rainfall.session import protocol as w
 from rainfall.session.protocol import (
     Count,
@@ -30,7 +31,7 @@
 LENGTH_PREFIX_BYTES = 4
 
 
-class MalformedFrameError(ValueError):
+class MalformedFrameError(RainfallError, ValueError):
     """A frame that cannot be taken; the text is one line and names the field by its
     path.
     """
@@ -60,8 +61,9 @@
 
 
 class Forward(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
-    """A message of a key that the sender does not own. Its due counts from `stamp_us`,
-    the receiver's own.
+    """A message of a key that the sender does not own.
+
+    Its due counts from `stamp_us`, the receiver's own.
     """
 
     number: Count
@@ -108,8 +110,9 @@
 
 
 def encode(frame: msgspec.Struct) -> bytes:
-    """With its length in front. Malformed where it would be too long for the other side
-    to take.
+    """With its length in front.
+
+    Malformed where it would be too long for the other side to take.
     """
     data = _encoder.encode(frame)
     if len(data) > FRAME_LIMIT_BYTES:
@@ -134,8 +137,9 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[AnyFrame]:
-        """The frames that are whole now. Malformed ends the stream: what follows cannot
-        be told apart.
+        """The frames that are whole now.
+
+        Malformed ends the stream: what follows cannot be told apart.
         """
         self.buffer += data
         found: list[AnyFrame] = []
--- a/rainfall/peer/links.py
+++ b/rainfall/peer/links.py
@@ -57,8 +57,9 @@
     highest_tokens: dict[str, LeaseToken] = field(default_factory=dict)
 
     def accept_token(self, name: str, life: LeaseToken) -> bool:
-        """False for one that is over. A peer without a lease is heard: it may say what
-        it holds, and asks.
+        """False for one that is over.
+
+        A peer without a lease is heard: it may say what it holds, and asks.
         """
         if life == NO_LEASE:
             return True
@@ -70,8 +71,9 @@
 
 @dataclass(slots=True)
 class Link:
-    """`expected`: the name that was dialled, "" for a link that came to us. All times
-    are of one clock.
+    """`expected`: the name that was dialled, "" for a link that came to us.
+
+    All times are of one clock.
     """
 
     own_hello: f.Hello
--- a/rainfall/registry/budget_api.py
+++ b/rainfall/registry/budget_api.py
@@ -37,8 +37,9 @@
 
 
 def parse_budget_list(body: Any) -> list[dict[str, Any]]:
-    """The list in `{"budgets": [...]}`, checked whole. Raises Faults with every
-    fault.
+    """The list in `{"budgets": [...]}`, checked whole.
+
+    Raises Faults with every fault.
     """
     if not isinstance(body, dict):
         raise BudgetConfigError(["an object that holds budgets"])
@@ -56,8 +57,9 @@
 
 
 def read_budget_file(path: Path) -> list[dict[str, Any]]:
-    """The budgets in a file: JSON where its name ends so, else TOML. Raises Faults
-    (all), OSError.
+    """The budgets in a file: JSON where its name ends so, else TOML.
+
+    Raises Faults (all), OSError.
     """
     data = path.read_bytes()
     try:
@@ -80,8 +82,9 @@
     source: str,
     match: int | None = None,
 ) -> None:
-    """Put checked budgets in force; durable when this returns. Raises Refused(412),
-    Full, OSError.
+    """Put checked budgets in force; durable when this returns.
+
+    Raises Refused(412), Full, OSError.
     """
 
     def make(now_us: int) -> list[Row]:
--- a/rainfall/registry/budget_extension.py
+++ b/rainfall/registry/budget_extension.py
@@ -31,9 +31,10 @@
 
 
 class BudgetExtension(BaseHeartbeatExtension):
-    """`lease_us`: the longest lease there may be. Budgets are put in force by a row
-    that `configured` makes, through `Fleet.decide`; they go on over restarts, with all
-    that was granted.
+    """`lease_us`: the longest lease there may be.
+
+    Budgets are put in force by a row that `configured` makes, through `Fleet.decide`;
+    they go on over restarts, with all that was granted.
     """
 
     name = "budgets"
@@ -219,8 +220,10 @@
     def config_rows(
         self, now_us: int, raw: list[dict[str, Any]], source: str
     ) -> list[Row]:
-        """The rows that put checked budgets in force. A plan whose write failed is
-        written again before them, since it was made by those before.
+        """The rows that put checked budgets in force.
+
+        A plan whose write failed is written again before them, since it was made by
+        those before.
         """
         first = [] if self.ledger.pending is None else [self.ledger.pending.to_record()]
         version = max(
@@ -328,9 +331,7 @@
         }
 
     def state(self, now_us: int) -> dict[str, Any]:
-        """By destination: as `Ledger.state`, and what cools, with when it has
-        cooled.
-        """
+        """By destination: as `Ledger.state`, and what cools, with when it has cooled."""
         told = self.ledger.status(now_us)
         for destination, figures in told.items():
             book = self.ledger.budget_accounts[destination]
@@ -387,8 +388,10 @@
 
 
 def _is_unsettled(book: BudgetAccounts, aim: Allocation, now_us: int) -> bool:
-    """Whether time alone may let something move. Asked after each plan for all budgets
-    and members, so it looks at the accounts and makes nothing of them.
+    """Whether time alone may let something move.
+
+    Asked after each plan for all budgets and members, so it looks at the accounts and
+    makes nothing of them.
     """
     if book.grants_from_us > now_us or book.cooling or aim.scarce:
         return True
--- a/rainfall/registry/endpoint_registry.py
+++ b/rainfall/registry/endpoint_registry.py
@@ -89,8 +89,9 @@
 
 @dataclass
 class EndpointRegistry:
-    """What is in force. `seq` is the newest version on disk; `floor` the oldest one a
-    delta is told from.
+    """What is in force.
+
+    `seq` is the newest version on disk; `floor` the oldest one a delta is told from.
     """
 
     epoch: int = 0
@@ -109,9 +110,10 @@
     # ---------------------------------------------------------------------------------
 
     def answer_for(self, since: int | None, epoch: int | None) -> dict[str, Any]:
-        """The answer to a reader from version `since` (None: the whole list). Whole
-        when `since` is below the floor, ahead of `seq`, or of another epoch; otherwise
-        the entries changed after it, merged.
+        """The answer to a reader from version `since` (None: the whole list).
+
+        Whole when `since` is below the floor, ahead of `seq`, or of another epoch;
+        otherwise the entries changed after it, merged.
         """
         whole = since is None or since < self.floor or since > self.seq
         whole = whole or (epoch is not None and epoch != self.epoch)
@@ -122,8 +124,10 @@
         return {"seq": self.seq, "whole": whole, "epoch": self.epoch, "hosts": hosts}
 
     def is_up_to_date(self, since: int | None, epoch: int | None) -> bool:
-        """Whether a watch from `since` has nothing to be told yet. The same version of
-        another epoch is another list: that reader is told the whole at once.
+        """Whether a watch from `since` has nothing to be told yet.
+
+        The same version of another epoch is another list: that reader is told the whole
+        at once.
         """
         return since == self.seq and epoch in (None, self.epoch)
 
@@ -234,8 +238,9 @@
         return change.seq > self.seq or change.fence > self.fence
 
     def commit(self, change: Change) -> None:
-        """Take a change that is on disk. Changes come in the order of their
-        versions.
+        """Take a change that is on disk.
+
+        Changes come in the order of their versions.
         """
         self.fence = max(self.fence, change.fence)
         if change.base:
--- a/rainfall/registry/fleet_api.py
+++ b/rainfall/registry/fleet_api.py
@@ -44,12 +44,13 @@
         "leaving": "leave",
     },
 ):
-    """`token` null joins. Beside the page's fields: `run` names this run of the
-    process, so that a join whose answer was lost may be sent again; `shown`, in a join,
-    is the token its process had before a restart; `keeps` the reserves it acts on from
-    then, by destination; `list` is the [epoch, version] of members that it has (then
-    only changes are told); `leave` gives all up. What riders read stands beside
-    these.
+    """`token` null joins.
+
+    Beside the page's fields: `run` names this run of the process, so that a join whose
+    answer was lost may be sent again; `shown`, in a join, is the token its process had
+    before a restart; `keeps` the reserves it acts on from then, by destination; `list`
+    is the [epoch, version] of members that it has (then only changes are told); `leave`
+    gives all up. What riders read stands beside these.
     """
 
     name: MemberName
@@ -308,9 +309,7 @@
 
 
 def operator_routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """At the write address: the reads, and revoking (a member too, as
-    `member/NAME`).
-    """
+    """At the write address: the reads, and revoking (a member too, as `member/NAME`)."""
 
     async def revoke(request: web.Request) -> web.StreamResponse:
         name = request.match_info["name"]
@@ -376,8 +375,9 @@
 
 
 def _held_answer(made: LeaseUnavailable) -> web.Response:
-    """Not now. `error` tells it from `lost`: whoever holds something may run out what
-    it has.
+    """Not now.
+
+    `error` tells it from `lost`: whoever holds something may run out what it has.
     """
     return error_response(
         409,
--- a/rainfall/registry/fleet_coordinator.py
+++ b/rainfall/registry/fleet_coordinator.py
@@ -39,9 +39,10 @@
 
 
 class FleetCoordinator:
-    """`start` once, before its door opens. `mark`: a file outside the state folder
-    (such as under /run) that holds the last number written; a folder that does not
-    agree with it is taken for an older copy.
+    """`start` once, before its door opens.
+
+    `mark`: a file outside the state folder (such as under /run) that holds the last
+    number written; a folder that does not agree with it is taken for an older copy.
     """
 
     def __init__(
@@ -86,8 +87,9 @@
     # -------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Read the log, begin an epoch, and have it on disk. Raises Damaged,
-        OSError.
+        """Read the log, begin an epoch, and have it on disk.
+
+        Raises Damaged, OSError.
         """
         snapshots, rows_since = self.fleet_log.load()
         now_us = self.context.now_us()
@@ -180,9 +182,10 @@
     async def handle_heartbeat(
         self, name: str, token: Token, body: dict[str, Any]
     ) -> dict[str, Any]:
-        """Hand a beat to the riders, and their parts of the answer back. An answer that
-        rests on what is not planned or not written yet waits for it: better than a
-        further beat. Raises OSError, Refused.
+        """Hand a beat to the riders, and their parts of the answer back.
+
+        An answer that rests on what is not planned or not written yet waits for it:
+        better than a further beat. Raises OSError, Refused.
         """
         now_us, parts = self.context.now_us(), dict[str, Any]()
         lease = self.table.read(MEMBER_LEASE_PREFIX + name)
--- a/rainfall/registry/fleet_log.py
+++ b/rainfall/registry/fleet_log.py
@@ -29,8 +29,9 @@
         self.lines_after_compaction = 0  # lines after it was last written anew
 
     def load(self) -> tuple[dict[str, Row], dict[str, list[Row]]]:
-        """By part: its last snapshot, where there is one, and its rows since. Raises
-        Damaged, OSError.
+        """By part: its last snapshot, where there is one, and its rows since.
+
+        Raises Damaged, OSError.
         """
         snapshots, rows_since = dict[str, Row](), dict[str, list[Row]]()
         for number, line in enumerate(self.record_log.load(), 1):
@@ -63,8 +64,9 @@
         )
 
     def compact(self, parts: Mapping[str, Row]) -> None:
-        """Snapshots in place of all rows. Raises OSError, leaving the file as it
-        was.
+        """Snapshots in place of all rows.
+
+        Raises OSError, leaving the file as it was.
         """
         self.lines_after_compaction = (
             self.record_log.row_count
--- a/rainfall/registry/fleet_services.py
+++ b/rainfall/registry/fleet_services.py
@@ -35,6 +35,7 @@
 
     async def listen_fleet(self, host: str, port: int) -> int:
         """The fleet's address, where budgets and map can be read too; the port taken.
+
         Raises OSError.
         """
         more = [
@@ -60,10 +61,11 @@
     auto_planner: AutoPlanner | None = None,
     reserves_known: bool = False,
 ) -> FleetServices:
-    """Take on the fleet with its parts, before any address is opened. `budgets`: the
-    file's, checked; they come into force here if they are others than were last taken
-    from a file. `reserves_known`: the operator's word that no process acts on a reserve
-    that is not known here. Raises Damaged, OSError.
+    """Take on the fleet with its parts, before any address is opened.
+
+    `budgets`: the file's, checked; they come into force here if they are others than
+    were last taken from a file. `reserves_known`: the operator's word that no process
+    acts on a reserve that is not known here. Raises Damaged, OSError.
     """
     planner = PlannerLease(ttl_us) if plan_shards else None
     extensions = (
--- a/rainfall/registry/fleet_watch.py
+++ b/rainfall/registry/fleet_watch.py
@@ -48,9 +48,7 @@
         )
 
     def add(self, name: str = "") -> asyncio.Future[None]:
-        """Done when there is news for it; to be given to `drop` when it waits no
-        more.
-        """
+        """Done when there is news for it; to be given to `drop` when it waits no more."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting[future] = name
         if self.stopped:
--- a/rainfall/registry/group_commit.py
+++ b/rainfall/registry/group_commit.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Generic, TypeVar
 
+from rainfall.errors import RainfallError
 from rainfall.registry.endpoint_registry import Change, EndpointRegistry, PendingChanges
 from rainfall.registry.request_schemas import RequestError
 from rainfall.registry.storage import Storage
@@ -21,11 +22,11 @@
 log = logging.getLogger("rainfall.registry")
 
 
-class QueueFullError(Exception):
+class QueueFullError(RainfallError):
     """Too much waits already."""
 
 
-class OutcomeUnknownError(Exception):
+class OutcomeUnknownError(RainfallError):
     """The process ends before the disk has answered: what was asked may be kept, or
     not.
     """
@@ -33,8 +34,9 @@
 
 @dataclass(slots=True)
 class QueuedItem(Generic[T]):
-    """One thing that waits, and where its outcome is told. Whoever waits may have left
-    meanwhile.
+    """One thing that waits, and where its outcome is told.
+
+    Whoever waits may have left meanwhile.
     """
 
     item: T
@@ -68,8 +70,10 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def add(self, item: T, bounded: bool = True) -> asyncio.Future[Any]:
-        """Raises Full (never where not `bounded`). Whoever awaits the future shields
-        it: what was asked is done though its asker left.
+        """Raises Full (never where not `bounded`).
+
+        Whoever awaits the future shields it: what was asked is done though its asker
+        left.
         """
         if bounded and (self.closed or len(self.queue) >= self.max_queued):
             raise QueueFullError
@@ -107,6 +111,7 @@
 @dataclass(slots=True)
 class ChangeRequest:
     """A change to be made once its turn comes, from what is then in force and pending.
+
     `alone` begins a new epoch or fence: what comes after it is checked against what it
     left.
     """
@@ -137,8 +142,9 @@
         )
 
     async def submit(self, request: ChangeRequest) -> Change | int:
-        """The change made, on disk; or the version in force. Raises Full, Refused,
-        OSError.
+        """The change made, on disk; or the version in force.
+
+        Raises Full, Refused, OSError.
         """
         outcome: Change | int = await asyncio.shield(self.group_commit.add(request))
         return outcome
--- a/rainfall/registry/heartbeat_extension.py
+++ b/rainfall/registry/heartbeat_extension.py
@@ -32,9 +32,10 @@
 
 
 class HeartbeatExtension(Protocol):
-    """Called from the service's loop only; times are its own clock's. Nothing a rider
-    decides is told before the rows of it are on disk: it makes rows in `plan`, and
-    changes what it tells in `commit`.
+    """Called from the service's loop only; times are its own clock's.
+
+    Nothing a rider decides is told before the rows of it are on disk: it makes rows in
+    `plan`, and changes what it tells in `commit`.
     """
 
     name: str
@@ -43,8 +44,10 @@
     def restore(
         self, now_us: int, state_complete: bool, snapshot: Row | None, rows: list[Row]
     ) -> None:
-        """Once, at the start. `sure`: the folder is whole as the last process left it.
-        Raises KeyError, TypeError or ValueError where the rows are none of its own.
+        """Once, at the start.
+
+        `sure`: the folder is whole as the last process left it. Raises KeyError,
+        TypeError or ValueError where the rows are none of its own.
         """
 
     def find_faults(self, beat: Mapping[str, Any]) -> list[str]:
@@ -55,16 +58,18 @@
     def member_joined(
         self, now_us: int, name: str, token: Token, follows: Token | None
     ) -> None:
-        """A member is in force from now on. `follows`: the same member's token that
-        this one replaces while its lease was not out; the process that had it acts
-        under it no more.
+        """A member is in force from now on.
+
+        `follows`: the same member's token that this one replaces while its lease was
+        not out; the process that had it acts under it no more.
         """
 
     def on_heartbeat(
         self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
     ) -> bool:
-        """A member in force has beaten; `beat` is the whole body, checked. True: `plan`
-        is asked soon.
+        """A member in force has beaten; `beat` is the whole body, checked.
+
+        True: `plan` is asked soon.
         """
 
     def answer_fields(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
@@ -79,10 +84,11 @@
         """The member itself said that it does nothing more under this token."""
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
-        """What is to change, to be written. Not asked again before all rows of the last
-        plan were committed or abandoned. `frozen`: after a mass loss or a start;
-        nothing is divided anew among members, though what makes things safer may go
-        on.
+        """What is to change, to be written.
+
+        Not asked again before all rows of the last plan were committed or abandoned.
+        `frozen`: after a mass loss or a start; nothing is divided anew among members,
+        though what makes things safer may go on.
         """
 
     def commit(self, now_us: int, row: Row) -> None:
@@ -101,8 +107,9 @@
 
 
 class BaseHeartbeatExtension(HeartbeatExtension):
-    """A rider that asks for more than members' lives. Each of these has a default that
-    asks for nothing.
+    """A rider that asks for more than members' lives.
+
+    Each of these has a default that asks for nothing.
     """
 
     def handle_heartbeat(
@@ -114,6 +121,7 @@
         beat: Mapping[str, Any],
     ) -> HeartbeatResult:
         """In place of `beat` and `told`, where an answer must be that of one beat.
+
         `until_us`: the lease is surely out then. May raise bodies.Refused: the beat
         renewed the lease, and did nothing else.
         """
--- a/rainfall/registry/http_server.py
+++ b/rainfall/registry/http_server.py
@@ -122,7 +122,7 @@
     once, and one that does not take what it is owed is cut.
     """
 
-    __slots__ = ("context", "counted", "aborted", "backpressured")
+    __slots__ = ("aborted", "backpressured", "context", "counted")
 
     def __init__(self, context: ServiceContext, server: web.Server) -> None:
         limits, loop = context.limits, asyncio.get_running_loop()
@@ -167,8 +167,9 @@
 
     @contextlib.contextmanager
     def write_buffer_limit(self, high_water_bytes: int) -> Iterator[None]:
-        """Within this a writer waits where so many bytes are not taken yet. A reader
-        that takes none of them is cut by the kernel (`unread_s`).
+        """Within this a writer waits where so many bytes are not taken yet.
+
+        A reader that takes none of them is cut by the kernel (`unread_s`).
         """
         self.backpressured = True
         self._set_write_buffer_limit(high_water_bytes)
@@ -332,15 +333,14 @@
             self.asyncio_server.close()
 
     async def close(self) -> None:
-        """Let what is being answered end, within a second, and close all
-        connections.
-        """
+        """Let what is being answered end, within a second, and close all connections."""
         await self.runner.cleanup()
 
 
 def parse_version(text: str, name: str) -> int | None:
-    """An If-Match: a version, quoted or not; None where there is none. Raises
-    Refused.
+    """An If-Match: a version, quoted or not; None where there is none.
+
+    Raises Refused.
     """
     text = text.strip('" ')
     if not text:
--- a/rainfall/registry/limits.py
+++ b/rainfall/registry/limits.py
@@ -1,5 +1,6 @@
-"""What the list service may hold at once. Each bound is a field, so that tests reach it
-with a small one.
+"""What the list service may hold at once.
+
+Each bound is a field, so that tests reach it with a small one.
 """
 
 from __future__ import annotations
@@ -50,9 +51,10 @@
 
 
 def limit_by_descriptors(limits: Limits, descriptors: int) -> Limits:
-    """Bounds with no more connections than so many descriptors allow. Past the kernel's
-    limit a connection would stand unaccepted, with no answer; past this bound it is
-    answered 503.
+    """Bounds with no more connections than so many descriptors allow.
+
+    Past the kernel's limit a connection would stand unaccepted, with no answer; past
+    this bound it is answered 503.
     """
     most = max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS)
     return replace(limits, connections=min(limits.connections, most))
--- a/rainfall/registry/member_encoder.py
+++ b/rainfall/registry/member_encoder.py
@@ -27,8 +27,9 @@
         self._encodings: dict[str, tuple[Member, msgspec.Raw]] = {}
 
     def encoded(self, members: Iterable[Member]) -> list[msgspec.Raw]:
-        """JSON of each, in the same order. A member object never changes: a new state
-        is a new object.
+        """JSON of each, in the same order.
+
+        A member object never changes: a new state is a new object.
         """
         if len(self._encodings) > MAX_CACHED_MEMBERS:
             self._encodings.clear()
--- a/rainfall/registry/plan_scheduler.py
+++ b/rainfall/registry/plan_scheduler.py
@@ -16,8 +16,10 @@
 
 
 class PlanScheduler:
-    """Lives on the running loop. `ends` makes the rows of leases that are out, `make`
-    those of a plan, `write` writes them, `next_us` says when something is due next.
+    """Lives on the running loop.
+
+    `ends` makes the rows of leases that are out, `make` those of a plan, `write` writes
+    them, `next_us` says when something is due next.
     """
 
     def __init__(
@@ -54,8 +56,9 @@
         )
 
     def schedule_when_due(self, least_s: float = MIN_PLAN_DELAY_S) -> None:
-        """Plan when something is due next. Renewals only put that off, and need not
-        come here.
+        """Plan when something is due next.
+
+        Renewals only put that off, and need not come here.
         """
         next_us = self.next_due_us()
         if self._due_timer is not None:
--- a/rainfall/registry/planner_lease.py
+++ b/rainfall/registry/planner_lease.py
@@ -1,6 +1,4 @@
-"""The lease `shard-planner`: whoever holds it makes new maps when members come and
-go.
-"""
+"""The lease `shard-planner`: whoever holds it makes new maps when members come and go."""
 
 from __future__ import annotations
 
@@ -21,9 +19,10 @@
 
 
 class PlannerLease:
-    """Keeps the lease for this service while nobody else has it. Who wants the service
-    to plan nothing for a while takes the lease (once it is free, or was revoked) and
-    renews it.
+    """Keeps the lease for this service while nobody else has it.
+
+    Who wants the service to plan nothing for a while takes the lease (once it is free,
+    or was revoked) and renews it.
     """
 
     def __init__(self, ttl_us: int) -> None:
@@ -66,8 +65,10 @@
             await asyncio.sleep(self.ttl_us / 3e6)
 
     async def renew(self, fleet: FleetCoordinator) -> None:
-        """Acquire the lease where it can be had, or renew it. Where it was taken away,
-        whoever did that has time to take it before it is asked for again.
+        """Acquire the lease where it can be had, or renew it.
+
+        Where it was taken away, whoever did that has time to take it before it is asked
+        for again.
         """
         if fleet.context.now_us() < self.retry_at_us:
             return
--- a/rainfall/registry/request_schemas.py
+++ b/rainfall/registry/request_schemas.py
@@ -17,6 +17,8 @@
 import msgspec
 from msgspec import Meta, Struct, ValidationError, structs
 
+from rainfall.errors import RainfallError
+
 MAX_OPERATIONS = (
     10_000  # in one change; the body's 1 MiB holds half as many, so that binds first
 )
@@ -28,10 +30,11 @@
 Version = Annotated[int, Meta(ge=0, lt=VERSION_LIMIT)]
 
 
-class RequestError(Exception):
-    """A call that is not carried out. `status` is the HTTP answer; `faults` name each
-    fault with its path; `closes` where what still comes on the connection cannot be
-    read as a next request.
+class RequestError(RainfallError):
+    """A call that is not carried out.
+
+    `status` is the HTTP answer; `faults` name each fault with its path; `closes` where
+    what still comes on the connection cannot be read as a next request.
     """
 
     def __init__(self, status: int, faults: list[str], closes: bool = False) -> None:
@@ -108,8 +111,10 @@
 
 
 def parse_json(data: bytes) -> Any:
-    """The JSON value of a body. Raises Refused(400) naming every doubled key and every
-    number that JSON does not allow, each with its path.
+    """The JSON value of a body.
+
+    Raises Refused(400) naming every doubled key and every number that JSON does not
+    allow, each with its path.
     """
     invalid_values: list[_InvalidValue] = []
 
--- a/rainfall/registry/server.py
+++ b/rainfall/registry/server.py
@@ -48,8 +48,9 @@
         writable: bool,
         extra_routes: Iterable[web.RouteDef] = (),
     ) -> int:
-        """Open the discovery address, or the write address; the port taken. `more`:
-        routes that riders bring. Raises OSError.
+        """Open the discovery address, or the write address; the port taken.
+
+        `more`: routes that riders bring. Raises OSError.
         """
         if not writable:
             return await self._open(
@@ -67,8 +68,9 @@
         extensions: Iterable[HeartbeatExtension] = (),
         watermark_path: Path | None = None,
     ) -> FleetCoordinator:
-        """Take on the fleet, before the write address is opened. Raises Damaged,
-        OSError.
+        """Take on the fleet, before the write address is opened.
+
+        Raises Damaged, OSError.
         """
         self.fleet = FleetCoordinator(
             self,
@@ -97,6 +99,7 @@
 
     async def stop(self) -> bool:
         """Take no more, answer every watch, keep and answer what was asked, close.
+
         False where the disk did not end in time: what then waits is told that nobody
         knows whether it was kept.
         """
--- a/rainfall/registry/service_context.py
+++ b/rainfall/registry/service_context.py
@@ -178,16 +178,18 @@
     # --------------------------------------------------------------------------
 
     async def begin_history(self) -> None:
-        """Begin a history on an empty folder, at the operator's word. Raises
-        OSError.
+        """Begin a history on an empty folder, at the operator's word.
+
+        Raises OSError.
         """
         await self.writer.submit(
             ChangeRequest(lambda _: self.registry.initial_epoch(self.now_ms()), True)
         )
 
     async def begin_epoch(self, past_version: int = 0, past_epoch: int = 0) -> None:
-        """Begin an epoch past a version and an epoch; durable when this returns. Raises
-        OSError.
+        """Begin an epoch past a version and an epoch; durable when this returns.
+
+        Raises OSError.
         """
         await self.writer.submit(
             ChangeRequest(
@@ -209,10 +211,11 @@
         return self.registry.fence
 
     async def observe_claim(self, since: int | None, epoch: int | None) -> None:
-        """A reader shows what it has seen. Where that is past us, a new epoch goes past
-        it and is on disk before the reader is told; but only so often, as anyone may
-        claim anything. A claim put off is gone past when its time comes; its reader is
-        told the whole list meanwhile.
+        """A reader shows what it has seen.
+
+        Where that is past us, a new epoch goes past it and is on disk before the reader
+        is told; but only so often, as anyone may claim anything. A claim put off is
+        gone past when its time comes; its reader is told the whole list meanwhile.
         """
         if self.registry.claim_ahead(since, epoch) is None:
             return
--- a/rainfall/registry/shard_map_extension.py
+++ b/rainfall/registry/shard_map_extension.py
@@ -48,8 +48,10 @@
 
 
 class ShardMapExtension(BaseHeartbeatExtension):
-    """`lease_us`: the longest lease there may be. `leading`: whether this process holds
-    `shard-planner` at a time; None: it plans nothing by itself.
+    """`lease_us`: the longest lease there may be.
+
+    `leading`: whether this process holds `shard-planner` at a time; None: it plans
+    nothing by itself.
     """
 
     name = "maps"
--- a/rainfall/registry/storage.py
+++ b/rainfall/registry/storage.py
@@ -13,6 +13,7 @@
 from pathlib import Path
 from typing import Any
 
+from rainfall.errors import RainfallError
 from rainfall.journal.files import FileSystem, LocalFileSystem, write_all
 from rainfall.registry.endpoint_registry import Change, EndpointRegistry
 
@@ -23,9 +24,10 @@
 MAX_CACHED_NOTICES = 10_000  # in memory, for staff to read
 
 
-class DamagedStateError(Exception):
-    """The state folder cannot be read as it was written. One plain line; the service
-    does not start.
+class DamagedStateError(RainfallError):
+    """The state folder cannot be read as it was written.
+
+    One plain line; the service does not start.
     """
 
 
@@ -53,8 +55,9 @@
 
 
 class RecordLog:
-    """One file of lines. `load` once, then `append`, `clear` and `rewrite`, one at a
-    time.
+    """One file of lines.
+
+    `load` once, then `append`, `clear` and `rewrite`, one at a time.
     """
 
     def __init__(self, path: Path, files: FileSystem | None = None) -> None:
@@ -118,8 +121,9 @@
 
 
 def replace_file(files: FileSystem, path: Path, data: bytes) -> int:
-    """Write a file beside the old one and rename it over; the descriptor. OSError: the
-    old one stays.
+    """Write a file beside the old one and rename it over; the descriptor.
+
+    OSError: the old one stays.
     """
     new = path.with_name(path.name + ".new")
     fd = files.open(new, anew=True)
@@ -135,8 +139,10 @@
 
 
 class Storage:
-    """Owns the folder. `load` once, then `write` and `snapshot` from one thread at a
-    time, `notices` from one thread at a time.
+    """Owns the folder.
+
+    `load` once, then `write` and `snapshot` from one thread at a time, `notices` from
+    one thread at a time.
     """
 
     def __init__(self, folder: Path, files: FileSystem | None = None) -> None:
@@ -194,8 +200,9 @@
         return self.change_log.row_count >= SNAPSHOT_AFTER_LINES
 
     def write_snapshot(self, registry: EndpointRegistry) -> None:
-        """Write the whole state, then begin the log anew. A failure leaves the old
-        snapshot and the log.
+        """Write the whole state, then begin the log anew.
+
+        A failure leaves the old snapshot and the log.
         """
         self.files.close(
             replace_file(
@@ -215,8 +222,9 @@
         )
 
     def append_notices(self, notices: list[dict[str, Any]], at_ms: int) -> None:
-        """Keep notices as they came, numbered, and sync them. Raises OSError, with none
-        of them kept.
+        """Keep notices as they came, numbered, and sync them.
+
+        Raises OSError, with none of them kept.
         """
         if self.notice_log.row_count >= MAX_NOTICES_PER_FILE:
             self.files.close(self.notice_log.fd)
--- a/rainfall/session/arbiter.py
+++ b/rainfall/session/arbiter.py
@@ -44,6 +44,7 @@
 
     def decide(self, ask: AskArbiter, now_us: int) -> tuple[Verdict, bool]:
         """The word, and whether it is new: then it must be on disk before it is told.
+
         The caller has checked that whoever asks holds a lease, and is the giver or the
         taker by name.
         """
@@ -76,8 +77,9 @@
         return "taker" if other_is_gone or ask.unknown_to_source else "wait"
 
     def confirm(self, confirmation: ConfirmVerdict) -> bool:
-        """That side has carried it out. True where something changed that belongs on
-        disk.
+        """That side has carried it out.
+
+        True where something changed that belongs on disk.
         """
         known = self.decisions.get(confirmation.migration_id)
         if known is None or confirmation.side in known.confirmed:
--- a/rainfall/session/config.py
+++ b/rainfall/session/config.py
@@ -16,6 +16,7 @@
 import msgspec
 from msgspec import Meta
 
+from rainfall.errors import RainfallError
 from rainfall.session.states import Limits
 
 Cost = Annotated[float, Meta(ge=0, le=1e6)]
@@ -55,7 +56,7 @@
     limits: Limits = field(default_factory=Limits)
 
 
-class SessionConfigError(ValueError):
+class SessionConfigError(RainfallError, ValueError):
     """`faults`: all of them, each beginning with its path."""
 
     def __init__(self, faults: list[str]) -> None:
--- a/rainfall/session/incoming_copy.py
+++ b/rainfall/session/incoming_copy.py
@@ -1,6 +1,4 @@
-"""The taking side until it has the copy: nothing is on disk yet, and nothing is
-owed.
-"""
+"""The taking side until it has the copy: nothing is on disk yet, and nothing is owed."""
 
 from __future__ import annotations
 
--- a/rainfall/session/migration_manager.py
+++ b/rainfall/session/migration_manager.py
@@ -57,9 +57,11 @@
         asked: s.StartMigration,
         now_us: int,
     ) -> KeyedActions:
-        """Offer a session. Nothing is done, and () returned, while we hold no lease,
-        have as many out as `at_once` or as many bytes as `all_bytes`, or the session
-        itself is in a hand-over.
+        """Offer a session.
+
+        Nothing is done, and () returned, while we hold no lease, have as many out as
+        `at_once` or as many bytes as `all_bytes`, or the session itself is in a
+        hand-over.
         """
         size = sum(g.request.bytes for g in self.outgoing.values()) + asked.bytes
         busy = sum(g.state is not MigrationState.TAIL for g in self.outgoing.values())
@@ -86,6 +88,7 @@
         self, key: str, event: object, now_us: int
     ) -> KeyedActions | None:
         """`Quiet`, `Arrived`, `Left`, `TailOver`, `Stop`: for a session by its key.
+
         None where it is not being given away: then the event is the engine's alone.
         """
         core = (
@@ -98,8 +101,9 @@
     # What comes from outside
 
     def handle_frame(self, peer: str, frame: w.Frame, now_us: int) -> KeyedActions:
-        """A frame of the forwarder `peer`. Of a hand-over that is not between us two it
-        is passed over.
+        """A frame of the forwarder `peer`.
+
+        Of a hand-over that is not between us two it is passed over.
         """
         if frame.migration_id.source == self.name:
             giver = self.outgoing.get(frame.migration_id)
@@ -309,6 +313,7 @@
         self, records: Iterable[w.Record], now_us: int
     ) -> Mapping[str, MigrationState]:
         """Before anything is heard or sent: what the journal holds, in its order.
+
         Returns the sessions that are in a hand-over. The engine halts each, but for
         those that we take and that are in `tail`: they are ours for good.
         """
--- a/rainfall/session/migration_policy.py
+++ b/rainfall/session/migration_policy.py
@@ -1,5 +1,6 @@
-"""When a session is handed over, which, to whom, how many at once. Without I/O;
-decides, and does nothing.
+"""When a session is handed over, which, to whom, how many at once.
+
+Without I/O; decides, and does nothing.
 
 So that nothing swings: a session that came stays `least_stay_ms`; it does not go back
 to the site that it came from for `pause_ms`; a site that gave us sessions because it
@@ -198,8 +199,9 @@
     def offer_rejection(
         self, here: LocalStatus, site: str, why: str, now_us: int
     ) -> str:
-        """Why an offer of that site is not taken; empty where it is. To be asked before
-        the desk is.
+        """Why an offer of that site is not taken; empty where it is.
+
+        To be asked before the desk is.
         """
         if here.draining:
             return "draining"
@@ -212,8 +214,9 @@
         return ""
 
     def record_result(self, plan: MigrationPlan, taken: bool, now_us: int) -> None:
-        """A hand-over is over. One that was given up is not tried again there for a
-        while.
+        """A hand-over is over.
+
+        One that was given up is not tried again there for a while.
         """
         if not taken:
             self.refused_until_us = {
--- a/rainfall/session/migration_source.py
+++ b/rainfall/session/migration_source.py
@@ -1,5 +1,6 @@
-"""The giving side of one hand-over. Every pair of state and event is in
-`docs/parts/session.md`.
+"""The giving side of one hand-over.
+
+Every pair of state and event is in `docs/parts/session.md`.
 """
 
 from __future__ import annotations
@@ -19,8 +20,9 @@
 
 @dataclass(slots=True)
 class MigrationSource(BufferedMessages):
-    """`on(event, now_us)` gives what to do, in order. Fields hold values that are never
-    changed in place, so `copy.copy` forks it.
+    """`on(event, now_us)` gives what to do, in order.
+
+    Fields hold values that are never changed in place, so `copy.copy` forks it.
     """
 
     key: str = ""
@@ -55,8 +57,9 @@
     """The taker's lease under which it last said that it holds the copy."""
 
     def handle_event(self, event: object, now_us: int) -> Actions:
-        """What follows from an event. One that means nothing in this state does
-        nothing.
+        """What follows from an event.
+
+        One that means nothing in this state does nothing.
         """
         handler = TRANSITIONS[self.state].get(type(event))
         return handler(self, event, now_us) if handler else ()
@@ -72,8 +75,9 @@
     def recover(
         record: w.SealedRecord, committed: bool, limits: Limits, now_us: int
     ) -> MigrationSource:
-        """After a restart, from the journal. The session's messages stay with the
-        engine, frozen.
+        """After a restart, from the journal.
+
+        The session's messages stay with the engine, frozen.
         """
         core = MigrationSource(
             record.migration_id, limits, key=record.key, target=record.target
--- a/rainfall/session/migration_target.py
+++ b/rainfall/session/migration_target.py
@@ -1,5 +1,6 @@
-"""The taking side of one hand-over. Every pair of state and event is in
-`docs/parts/session.md`.
+"""The taking side of one hand-over.
+
+Every pair of state and event is in `docs/parts/session.md`.
 """
 
 from __future__ import annotations
@@ -18,8 +19,9 @@
 
 @dataclass(slots=True)
 class MigrationTarget(IncomingCopy):
-    """`on(event, now_us)` gives what to do, in order. Like `Giver`, forked by
-    `copy.copy`.
+    """`on(event, now_us)` gives what to do, in order.
+
+    Like `Giver`, forked by `copy.copy`.
     """
 
     def handle_event(self, event: object, now_us: int) -> Actions:
@@ -40,8 +42,9 @@
         limits: Limits,
         now_us: int,
     ) -> MigrationTarget:
-        """After a restart. What had begun stays halted until it is known to be ours;
-        what is shut is.
+        """After a restart.
+
+        What had begun stays halted until it is known to be ours; what is shut is.
         """
         core = MigrationTarget(
             record.migration_id,
@@ -149,9 +152,10 @@
         return self.expire(event, now_us)
 
     def expire(self, event: object, now_us: int) -> Actions:
-        """It is not ours, or whose it is nobody could say until it was over. What we
-        took on since we began is nobody else's; and a giver that takes back what had
-        begun ends the copies as well.
+        """It is not ours, or whose it is nobody could say until it was over.
+
+        What we took on since we began is nobody else's; and a giver that takes back
+        what had begun ends the copies as well.
         """
         if (
             self.ownership_final
@@ -247,8 +251,9 @@
         )
 
     def record_write_failed(self, event: s.RecordWriteFailed, now_us: int) -> Actions:
-        """It may be on disk all the same. A copy of which we have not said that we hold
-        it, we may refuse.
+        """It may be on disk all the same.
+
+        A copy of which we have not said that we hold it, we may refuse.
         """
         if event.record not in self.pending_records:
             return ()
--- a/rainfall/session/model.py
+++ b/rainfall/session/model.py
@@ -69,8 +69,9 @@
 
 
 class SessionMigrationModel(LivenessModel):
-    """A hand-over with these counts of what may go wrong. `gone`: who may die for
-    good.
+    """A hand-over with these counts of what may go wrong.
+
+    `gone`: who may die for good.
     """
 
     def __init__(
--- a/rainfall/session/model_forwarder.py
+++ b/rainfall/session/model_forwarder.py
@@ -179,8 +179,9 @@
         )
 
     def events(self) -> Iterator[tuple[str, object]]:
-        """What can come to its cores of itself. A limit that no message outlives is
-        none of the model's.
+        """What can come to its cores of itself.
+
+        A limit that no message outlives is none of the model's.
         """
         if self.manager.migrations():
             yield "retry", s.Retry()
@@ -244,8 +245,9 @@
         return self.manager.handle_write_result(record, ok, self.incarnation)
 
     def crash(self, reached: bool) -> None:
-        """What was being written may be on disk. The queue is on disk too, and what the
-        records say of it.
+        """What was being written may be on disk.
+
+        The queue is on disk too, and what the records say of it.
         """
         if reached:
             self.disk, self.unapplied = (
--- a/rainfall/session/model_state.py
+++ b/rainfall/session/model_state.py
@@ -18,8 +18,9 @@
 
 @dataclass(slots=True, eq=False)
 class ModelMessage:
-    """One message under way. Equal ones are one object, so that comparing and sorting
-    them costs little.
+    """One message under way.
+
+    Equal ones are one object, so that comparing and sorting them costs little.
     """
 
     content: Any
--- a/rainfall/session/protocol.py
+++ b/rainfall/session/protocol.py
@@ -31,8 +31,9 @@
 
 
 class MigrationId(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One hand-over's name. For one giver names only grow: its lease token, then a
-    count within it.
+    """One hand-over's name.
+
+    For one giver names only grow: its lease token, then a count within it.
     """
 
     source: Identifier
@@ -45,8 +46,9 @@
 
 
 class TransferredMessage(msgspec.Struct, frozen=True, array_like=True):
-    """A message as it goes over. `ran_us` is when it first may have run, None where it
-    cannot have.
+    """A message as it goes over.
+
+    `ran_us` is when it first may have run, None where it cannot have.
     """
 
     id: Identifier
@@ -84,9 +86,10 @@
 def with_local_times(
     item: TransferredMessage, stamp_us: int, drift: float
 ) -> TransferredMessage:
-    """With its times by our clock, in which `stamp_us` was given. The stamp was heard
-    later than it was given, so no time comes out later than it truly is; the drift of
-    two clocks is taken off as well.
+    """With its times by our clock, in which `stamp_us` was given.
+
+    The stamp was heard later than it was given, so no time comes out later than it
+    truly is; the drift of two clocks is taken off as well.
     """
     ran = (
         None
@@ -141,8 +144,9 @@
 
 
 class Offer(Frame, frozen=True, tag="offer"):
-    """May I hand you this session? `moves`: how often it was handed over, this time
-    included.
+    """May I hand you this session?
+
+    `moves`: how often it was handed over, this time included.
     """
 
     key: Identifier
@@ -172,8 +176,9 @@
 
 
 class CopyStored(Frame, frozen=True, tag="copied"):
-    """The copy is on disk. Said again by a taker that does not know what holds: it
-    asks.
+    """The copy is on disk.
+
+    Said again by a taker that does not know what holds: it asks.
     """
 
     lease_token: LeaseToken
--- a/rainfall/session/session_directory.py
+++ b/rainfall/session/session_directory.py
@@ -33,8 +33,9 @@
     def learn(
         self, key: str, owner: str, migration_count: int, valid_until_us: int
     ) -> bool:
-        """False where something later is known already. The note longest known makes
-        room.
+        """False where something later is known already.
+
+        The note longest known makes room.
         """
         known = self.known_owners.get(key)
         if known is not None and known.migration_count > migration_count:
--- a/rainfall/session/states.py
+++ b/rainfall/session/states.py
@@ -44,9 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionQuiesced:
-    """After `Freeze`: no call of the session is out. All its messages in order (times
-    by our clock; one whose call was closed without an answer says that it may have run)
-    and the ids it remembers against repeats.
+    """After `Freeze`: no call of the session is out.
+
+    All its messages in order (times by our clock; one whose call was closed without an
+    answer says that it may have run) and the ids it remembers against repeats.
     """
 
     items: tuple[TransferredMessage, ...]
@@ -162,8 +163,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Freeze:
-    """No further call of the session leaves; say `Quiet` once none is out. Until told
-    otherwise the engine only ends messages whose time is up.
+    """No further call of the session leaves; say `Quiet` once none is out.
+
+    Until told otherwise the engine only ends messages whose time is up.
     """
 
 
--- a/rainfall/shard/__main__.py
+++ b/rainfall/shard/__main__.py
@@ -1,5 +1,6 @@
-"""For staff: python -m rainfall.shard check|plan. The forms of all files are in
-docs/parts/shard.md.
+"""For staff: python -m rainfall.shard check|plan.
+
+The forms of all files are in docs/parts/shard.md.
 """
 
 from __future__ import annotations
@@ -38,9 +39,7 @@
 
 
 def read_json(path: str) -> Any:
-    """The JSON value in a file; Unreadable, with the file's name, where there is
-    none.
-    """
+    """The JSON value in a file; Unreadable, with the file's name, where there is none."""
     try:
         return decode_json(Path(path).read_bytes())
     except UnreadableInputError as error:
@@ -74,8 +73,9 @@
 
 
 def read_baseline(path: str) -> MapBaseline:
-    """What to compare with. Gaps and overlaps are let pass (a new map may be the mend),
-    its form is not.
+    """What to compare with.
+
+    Gaps and overlaps are let pass (a new map may be the mend), its form is not.
     """
     faults, generation, alone = inspect_map(read_object(path))
     if bad := [f for f in faults if f.kind in ("malformed", "inverted")]:
@@ -128,7 +128,7 @@
     weights: dict[str, float] = dict.fromkeys(read_members(args.members), 1.0)
     given = read_numbers(args.weights) if args.weights else {}
     if strange := sorted(set(given) - set(weights)):
-        raise PlanError(f"a weight for {ascii(strange[0])}, which is no member")
+        raise PlanError(f"a weight for {strange[0]!a}, which is no member")
     weights.update(given)
     old: ShardMap | None = None
     if args.old:
@@ -152,9 +152,7 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Whole or not at all: what stood there stays until all of the new map is on
-    disk.
-    """
+    """Whole or not at all: what stood there stays until all of the new map is on disk."""
     beside = path.with_name(f".{path.name}.{os.getpid()}.new")
     try:
         with beside.open("w") as file:
--- a/rainfall/shard/auto_planner.py
+++ b/rainfall/shard/auto_planner.py
@@ -76,10 +76,11 @@
     def members_to_plan_for(
         self, owners: Mapping[str, float], now_us: int, leading: bool, frozen: bool
     ) -> dict[str, float] | None:
-        """Members and weights to plan for now; None: nothing to do yet. `owners`: those
-        that the map in force was planned for. `leading`: this process holds
-        `shard-planner`. `held`: the guard against mass loss holds everything fleet-wide
-        as it is.
+        """Members and weights to plan for now; None: nothing to do yet.
+
+        `owners`: those that the map in force was planned for. `leading`: this process
+        holds `shard-planner`. `held`: the guard against mass loss holds everything
+        fleet-wide as it is.
         """
         due = self._due_times(owners)
         if (
--- a/rainfall/shard/key_ranges.py
+++ b/rainfall/shard/key_ranges.py
@@ -1,5 +1,6 @@
-"""Arithmetic of stretches of keys: (first, last), inclusive. A list of them is sorted
-and disjoint.
+"""Arithmetic of stretches of keys: (first, last), inclusive.
+
+A list of them is sorted and disjoint.
 """
 
 from __future__ import annotations
--- a/rainfall/shard/map_planning.py
+++ b/rainfall/shard/map_planning.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 from fractions import Fraction
 
+from rainfall.errors import RainfallError
 from rainfall.shard.map_validation import checked_map, count_moved_keys
 from rainfall.shard.plan_cells import (
     PlanCell,
@@ -32,15 +33,16 @@
 LOAD_UNITS = 1 << 48  # the whole load in whole units, so that sums are exact
 
 
-class PlanError(ValueError):
+class PlanError(RainfallError, ValueError):
     """The text is one line: why there is no plan for what was asked."""
 
 
 @dataclass(frozen=True, slots=True)
 class MapPlan:
-    """`moved`: keys whose owner changes. `least`: the fewest that any map with these
-    `targets` (keys of each member) moves; more are moved only to stay within the bound
-    on ranges, or where loads were given.
+    """`moved`: keys whose owner changes.
+
+    `least`: the fewest that any map with these `targets` (keys of each member) moves;
+    more are moved only to stay within the bound on ranges, or where loads were given.
     """
 
     map: ShardMap
--- a/rainfall/shard/map_validation.py
+++ b/rainfall/shard/map_validation.py
@@ -1,6 +1,7 @@
-"""The check of a map: every key exactly once, no gaps. One function for the tool, for
-what the service is asked to write, and for each forwarder before it adopts a map,
-whoever sent it.
+"""The check of a map: every key exactly once, no gaps.
+
+One function for the tool, for what the service is asked to write, and for each
+forwarder before it adopts a map, whoever sent it.
 
 All faults are told, in this order: `malformed` (the map, then its entries by index),
 `inverted` and `unknown-owner` by index, `gap` and `overlap` in order of their keys,
@@ -16,6 +17,7 @@
 from fractions import Fraction
 from typing import Any
 
+from rainfall.errors import RainfallError
 from rainfall.shard.coverage import Entry, covered_segments
 from rainfall.shard.shard_map import (
     KEY_BITS,
@@ -45,9 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MapFault:
-    """One fault. `first` and `last` are the keys it is about, None where it is about
-    none; `entries` are indexes in the file; `more` counts those left out (only past a
-    million in one check).
+    """One fault.
+
+    `first` and `last` are the keys it is about, None where it is about none; `entries`
+    are indexes in the file; `more` counts those left out (only past a million in one
+    check).
     """
 
     kind: str
@@ -61,7 +65,7 @@
         return f"{self.kind} {self.text}"
 
 
-class InvalidMapError(Exception):
+class InvalidMapError(RainfallError):
     def __init__(self, faults: list[MapFault]) -> None:
         super().__init__("; ".join(map(str, faults[:ENTRIES_SHOWN])))
         self.faults = faults
@@ -112,8 +116,9 @@
     most_moved: Fraction | None,
     bits: int,
 ) -> tuple[ShardMap | None, list[MapFault]]:
-    """The map to put in force and its faults. Neither where it is the very one in
-    force.
+    """The map to put in force and its faults.
+
+    Neither where it is the very one in force.
     """
     old = _baseline(against)
     faults, generation, alone = inspect_map(raw, members, old, most_moved, bits)
@@ -131,8 +136,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MapBaseline:
-    """What a new map is held against. A file's own gaps and overlaps are not the new
-    map's fault: keys that it gave to none or several have not changed their owner.
+    """What a new map is held against.
+
+    A file's own gaps and overlaps are not the new map's fault: keys that it gave to
+    none or several have not changed their owner.
     """
 
     generation: int
@@ -258,9 +265,7 @@
 
 
 def _parse_entry(raw: Any, bits: int) -> tuple[int, int, str] | str:
-    """A sound entry's ends and owner, or all that is wrong with its form in one
-    line.
-    """
+    """A sound entry's ends and owner, or all that is wrong with its form in one line."""
     if type(raw) is dict and len(raw) == 3:
         first, last, owner = (
             parse_key(raw.get("from"), bits),
@@ -388,9 +393,7 @@
 def owner_changes(
     alone: list[SoleRange], old: list[SoleRange]
 ) -> Iterator[tuple[int, int, str, int]]:
-    """Stretches whose owner changes: first, last, the old owner, the new entry's
-    index.
-    """
+    """Stretches whose owner changes: first, last, the old owner, the new entry's index."""
     n = 0
     for first, last, owner, index in alone:
         while n < len(old) and old[n][1] < first:
--- a/rainfall/shard/migration.py
+++ b/rainfall/shard/migration.py
@@ -14,6 +14,7 @@
 from fractions import Fraction
 from typing import Any
 
+from rainfall.errors import RainfallError
 from rainfall.lease.fencing_token import Token
 from rainfall.shard.key_ranges import KeyRange, difference, intersection, union
 from rainfall.shard.map_validation import (
@@ -35,13 +36,13 @@
 )  # a member's map is at most so far above the service's: no beat uses up all of them
 
 
-class FencedError(Exception):
+class FencedError(RainfallError):
     """The incarnation is not (any more) one that may hold anything: 409, it stops and
     joins anew.
     """
 
 
-class StaleHeartbeatError(Exception):
+class StaleHeartbeatError(RainfallError):
     """A beat that was sent before one already answered: 409, nothing is done on it."""
 
 
@@ -89,9 +90,7 @@
 
 @dataclass(slots=True)
 class MigrationCoordinator:
-    """Built by `Moves(map, epoch, quiet_until_us)` or, after a restart, by
-    `Moves.of`.
-    """
+    """Built by `Moves(map, epoch, quiet_until_us)` or, after a restart, by `Moves.of`."""
 
     map: ShardMap | None
     epoch: int
@@ -121,9 +120,10 @@
         members: Collection[str] | None = None,
         most_moved: Fraction | None = MAX_MOVED_SHARE,
     ) -> list[MapFault]:
-        """Put a map in force, as decoded from JSON. With any fault (422) the old one
-        stays whole. The map in force, written again, is no fault and changes nothing.
-        Has to be on disk before it is answered.
+        """Put a map in force, as decoded from JSON.
+
+        With any fault (422) the old one stays whole. The map in force, written again,
+        is no fault and changes nothing. Has to be on disk before it is answered.
         """
         new, faults = evaluate_update(raw, members, self.map, most_moved, self.bits)
         if new is not None and not faults:
--- a/rainfall/shard/model.py
+++ b/rainfall/shard/model.py
@@ -82,8 +82,9 @@
 
 @dataclass(slots=True)
 class ModelState:
-    """One state. Clocks only matter against each other and against what was said in
-    them.
+    """One state.
+
+    Clocks only matter against each other and against what was said in them.
     """
 
     moves: MigrationCoordinator
@@ -152,9 +153,10 @@
 
 
 class ShardModel:
-    """`maps`: the maps that come, one after another. `asked`: beats that each member
-    may send. `past`: steps taken from the start before the search begins, to search
-    deeper around them.
+    """`maps`: the maps that come, one after another.
+
+    `asked`: beats that each member may send. `past`: steps taken from the start before
+    the search begins, to search deeper around them.
     """
 
     def __init__(
--- a/rainfall/shard/ownership.py
+++ b/rainfall/shard/ownership.py
@@ -122,10 +122,11 @@
     # ------------------------------------------------------------------------------------
 
     def adopt_map(self, raw: Any) -> list[MapFault]:
-        """Take a map, whoever sent it. With any fault it is refused, all faults are
-        told and the old one stays; the very map in force is no fault. How much it moves
-        is the service's affair: a member that was away may have missed any number of
-        maps.
+        """Take a map, whoever sent it.
+
+        With any fault it is refused, all faults are told and the old one stays; the
+        very map in force is no fault. How much it moves is the service's affair: a
+        member that was away may have missed any number of maps.
         """
         new, faults = evaluate_update(raw, None, self.map, None, self.bits)
         if new is not None and not faults:
@@ -236,10 +237,11 @@
     def _begin_holds(
         self, hold: RangeHold, spans: Sequence[KeyRange]
     ) -> list[OwnedRange]:
-        """Keys newly listed under one token. What is another's by the map was given
-        before a newer map and never acted on: it is given up. So is what a beat still
-        under way may give up in this hold's stead, since it was said of the one before,
-        under a map newer than this hold.
+        """Keys newly listed under one token.
+
+        What is another's by the map was given before a newer map and never acted on: it
+        is given up. So is what a beat still under way may give up in this hold's stead,
+        since it was said of the one before, under a map newer than this hold.
         """
         doubtful = self.given_up_after(hold.since_generation)
         begun = difference(intersection(spans, self._mapped_ranges()), doubtful)
--- a/rainfall/shard/routing.py
+++ b/rainfall/shard/routing.py
@@ -50,9 +50,10 @@
     link_up: Callable[[str], bool],
     retry_after_s: int = 1,
 ) -> ActLocally | ForwardToOwner | Rejected:
-    """`until_us`: the end of the message's own time. `passed`: None, or the map
-    generation of the member that passed it here. `members`: names that this member
-    knows of.
+    """`until_us`: the end of the message's own time.
+
+    `passed`: None, or the map generation of the member that passed it here. `members`:
+    names that this member knows of.
 
     Whoever acts on the key takes it, whatever map the sender had: there is no other who
     acts. A message that was passed is never passed on, so a loop cannot form; where the
--- a/rainfall/shard/shard_map.py
+++ b/rainfall/shard/shard_map.py
@@ -19,12 +19,14 @@
 
 import xxhash
 
+from rainfall.errors import RainfallError
+
 KEY_BITS = 64
 MAX_GENERATION = (1 << 63) - 1
 MAX_INTEGER_DIGITS = 20  # of a whole number in a file; what is longer is no generation
 
 
-class UnreadableInputError(Exception):
+class UnreadableInputError(RainfallError):
     """The text is one line: why this is no JSON object, array or file at all."""
 
 
@@ -87,6 +89,7 @@
 @dataclass(frozen=True, slots=True)
 class ShardMap:
     """A map without faults: `ranges` in order of their keys, every key in exactly one.
+
     Only `check.checked` and `plan.plan` make one of what came from elsewhere.
     """
 
@@ -182,8 +185,9 @@
 
 
 def decode_json(data: bytes) -> Any:
-    """JSON, strictly, with doubled fields kept as `Doubled`. Unreadable where it is not
-    JSON.
+    """JSON, strictly, with doubled fields kept as `Doubled`.
+
+    Unreadable where it is not JSON.
     """
     try:
         return json.loads(
--- a/rainfall/wirehost.py
+++ b/rainfall/wirehost.py
@@ -1,5 +1,6 @@
-"""Hosts dispatchers on the simulator's wire: JSON lines in, JSON lines out. Translates;
-decides nothing.
+"""Hosts dispatchers on the simulator's wire: JSON lines in, JSON lines out.
+
+Translates; decides nothing.
 """
 
 from __future__ import annotations
@@ -41,6 +42,7 @@
     Tenant,
     TimerExpired,
 )
+from rainfall.errors import RainfallError
 
 OUTCOME_BY_WORD = {
     "Ok": Outcome.DELIVERED,
@@ -75,7 +77,7 @@
 }
 
 
-class MalformedInputError(Exception):
+class MalformedInputError(RainfallError):
     """The input is not what the wire promises."""
 
 
@@ -88,7 +90,7 @@
         value = int(value)
     if kind is float and isinstance(value, int):
         value = float(value)
-    if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
+    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
         raise MalformedInputError(
             f"field {key!r} is not of type {kind.__name__} in {_brief(record)}"
         )
@@ -302,8 +304,9 @@
 
 
 class WireHost:
-    """Many instances on one wire. They share nothing but the numbered tables of the
-    wire itself.
+    """Many instances on one wire.
+
+    They share nothing but the numbered tables of the wire itself.
     """
 
     def __init__(self) -> None:
