--- a/rainfall/dispatch/admission.py
+++ b/rainfall/dispatch/admission.py
@@ -88,10 +88,11 @@
 
 
 def shed_load(state: DispatcherState) -> None:
-    """Reject what came in this round for the destination with most messages, while
-    nearly all open messages allowed are there: one destination must not fill the buffer.
+    """Reject what came in this round for the destination with most messages.
 
-    What was accepted stays: its client would learn of its end by a notification only.
+    Only while nearly all open messages allowed are there: one destination must not fill
+    the buffer. What was accepted stays: its client would learn of its end by a
+    notification only.
     """
     excess = (
         len(state.messages) - SHEDDING_FILL_SHARE * state.settings.max_open_messages
--- a/rainfall/dispatch/attempt_outcomes.py
+++ b/rainfall/dispatch/attempt_outcomes.py
@@ -1,5 +1,4 @@
-"""What an attempt's outcome changes: the call, the message, its key, and what is learned
-of the endpoint.
+"""What an attempt's outcome changes: call, message, key, and what is learned.
 
 Times are integer microseconds.
 """
@@ -31,8 +30,9 @@
 
 
 def finish_attempt(state: DispatcherState, event: AttemptFinished) -> None:
-    """Take an attempt's outcome: once for each attempt, and once for each call what it
-    says of the endpoint.
+    """Take an attempt's outcome.
+
+    What it says of the endpoint is learned once for each call.
     """
     key = AttemptKey(event.message_id, event.attempt)
     attempt = state.attempts.pop(key, None)
--- a/rainfall/dispatch/capacity.py
+++ b/rainfall/dispatch/capacity.py
@@ -1,7 +1,7 @@
-"""Whether a destination has capacity for a call: the limit on all calls, windows, quota
-or pace, Retry-After, backoff and slow start.
+"""Whether a destination has capacity for a call, the same for every message.
 
-What is the same for every message. Times are integer microseconds.
+The limit on all calls, windows, quota or pace, Retry-After, backoff and slow start.
+Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -62,8 +62,9 @@
 
 
 def opens_at(state: DispatcherState, destination: int) -> int:
-    """No later than when a call to a destination could begin, the limit on all calls
-    aside; NEVER where that takes an event.
+    """No later than when a call to a destination could begin.
+
+    The limit on all calls is left aside. NEVER where that takes an event.
     """
     endpoints = state.serving(destination)
     if any(e.recovered_at >= 0 and in_slow_start(state, e) for e in endpoints):
@@ -98,8 +99,9 @@
 
 
 def quota_available_at(state: DispatcherState, destination: int) -> int:
-    """When the quota of a destination lets the next call go: now without a quota, NEVER
-    where that is not known, as another may come at any moment.
+    """When the quota of a destination lets the next call go.
+
+    Now without a quota; NEVER where that is not known, as another may come at any moment.
     """
     quota = state.quotas.get(destination)
     return state.now if quota is None else quota.available_at(state.now)
--- a/rainfall/dispatch/completion.py
+++ b/rainfall/dispatch/completion.py
@@ -17,8 +17,9 @@
 
 
 def give_up(state: DispatcherState, message: Message, reason: str) -> None:
-    """Give a message its final answer: rejected where the client may safely send it
-    again, else failed.
+    """Give a message its final answer.
+
+    Rejected where the client may safely send it again, else failed.
     """
     retry_after_us = client_retry_after(state, message)
     if is_safe_to_resend(state, message, retry_after_us):
--- a/rainfall/dispatch/dispatcher.py
+++ b/rainfall/dispatch/dispatcher.py
@@ -127,7 +127,7 @@
         state.finished_calls = []
         state.events_applied = 0
 
-    def apply(self, event: Event) -> None:
+    def apply(self, event: Event) -> None:  # noqa: C901 a flat table of events
         """Apply one event.
 
         One of something unknown, or that needs nothing, changes nothing.
--- a/rainfall/dispatch/endpoint_selection.py
+++ b/rainfall/dispatch/endpoint_selection.py
@@ -37,8 +37,9 @@
 def _should_hold_back(
     state: DispatcherState, message: Message, endpoint: Endpoint
 ) -> bool:
-    """Whether a message has time to wait for a sounder endpoint: one that must not be
-    executed twice has a single attempt.
+    """Whether a message has time to wait for a sounder endpoint.
+
+    One that must not be executed twice has a single attempt.
     """
     message_class = message.message_class
     if message_class.idempotency is not Idempotency.NEVER:
@@ -51,8 +52,10 @@
 def _preference(
     state: DispatcherState, message: Message, endpoint: Endpoint
 ) -> tuple[float, ...]:
-    """The least is the best: a sound endpoint, another than failed last, a call already
-    forming, a cheap one, a quiet one.
+    """How good an endpoint is for a message; the least is the best.
+
+    A sound endpoint, another than failed last, a call already forming, a cheap one, a
+    quiet one; among equal ones by chance.
     """
     cost = 0.0
     if endpoint.endpoint_scoped:
--- a/rainfall/dispatch/endpoints.py
+++ b/rainfall/dispatch/endpoints.py
@@ -31,8 +31,9 @@
 
 @dataclass(slots=True)
 class ThrottleScope:
-    """What shares a rate limit, a Retry-After and a concurrency window: a destination,
-    or one endpoint where its kind is endpoint-scoped.
+    """What shares a rate limit, a Retry-After and a concurrency window.
+
+    A destination, or one endpoint where its kind is endpoint-scoped.
     """
 
     destination: int
--- a/rainfall/dispatch/events.py
+++ b/rainfall/dispatch/events.py
@@ -145,9 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotificationPending:
-    """A message with this ordering key had its final answer before a restart, and that
-    is still on its way.
-    """
+    """A message had its final answer before a restart, and that is still on its way."""
 
     message_id: str
     ordering_key: str
@@ -162,8 +160,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointDisabled:
-    """Operators took an endpoint out: until they enable it, it counts as draining,
-    whatever the list says.
+    """Operators took an endpoint out.
+
+    Until they enable it, it counts as draining, whatever the list says.
     """
 
     endpoint: int
@@ -211,8 +210,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRestored:
-    """What `Dispatcher.snapshot` gave in the former process, some of whose calls are
-    still in flight. Comes after the endpoint list and all restored messages.
+    """What `Dispatcher.snapshot` gave in the former process.
+
+    Some of its calls are still in flight. Comes after the endpoint list and all restored
+    messages.
     """
 
     snapshot: Mapping[str, Any]
--- a/rainfall/dispatch/expiry.py
+++ b/rainfall/dispatch/expiry.py
@@ -85,8 +85,9 @@
 
 
 def is_congested(state: DispatcherState, queue: DestinationQueue) -> bool:
-    """Whether a message has waited for more than half of its latency objective, and not
-    yet for all of it.
+    """Whether fresh messages wait too long in a queue.
+
+    One has waited for more than half of its latency objective, and not yet for all of it.
     """
     state.work_count += len(queue.class_queues)
     for class_queue in queue.class_queues.values():
--- a/rainfall/dispatch/idle_connections.py
+++ b/rainfall/dispatch/idle_connections.py
@@ -37,8 +37,9 @@
 
 
 def close_untrusted(state: DispatcherState) -> None:
-    """Close connections of calls finished in this round that would be idle for too long
-    until the next call, by the time since the one before.
+    """Close connections that would be idle for too long until the next call.
+
+    Those of calls finished in this round, by the time since the call before.
     """
     for call in state.finished_calls:
         seldom = call.since_previous_call > state.idle_trust > 0
--- a/rainfall/dispatch/ordering.py
+++ b/rainfall/dispatch/ordering.py
@@ -18,8 +18,9 @@
 
 
 def offer_head(state: DispatcherState, key: str) -> None:
-    """Let the head of a key go unless the key blocks it, and note when time changes
-    that.
+    """Let the head of a key go unless the key blocks it.
+
+    Where time ends that, it is noted.
     """
     sequence = state.key_sequences[key]
     sequence.set_ready(_sendable_head(state, key, sequence))
@@ -53,8 +54,9 @@
 
 
 def add_pending_notification(state: DispatcherState, message_id: str, key: str) -> None:
-    """A final answer is on its way: until it has arrived, its message is not over for
-    those behind it.
+    """A final answer is on its way.
+
+    Until it has arrived, its message is not over for those behind it.
     """
     sequence = key_sequence(state, key)
     sequence.pending_notifications += state.pending_notifications.get(message_id) != key
--- a/rainfall/dispatch/outlier_detection.py
+++ b/rainfall/dispatch/outlier_detection.py
@@ -83,8 +83,10 @@
 
 
 def _suspect_neighbours(state: DispatcherState, failed: Endpoint) -> None:
-    """Take those that share a limit, and have not answered since the call that failed,
-    to be out as well: what a large fleet sends over to them adds up.
+    """Take endpoints that share the limit of a failed one to be out as well.
+
+    Only in a large fleet, and those that have not answered since the call that failed:
+    what all forwarders send over to them adds up.
     """
     for endpoint in state.serving(failed.destination):
         if (
--- a/rainfall/dispatch/release.py
+++ b/rainfall/dispatch/release.py
@@ -66,8 +66,10 @@
 
 
 def _next_changes(state: DispatcherState, queue: ClassQueue) -> Iterator[float]:
-    """When the first of a class queue is given up, when the next one has waited for half
-    its latency objective, and when the next may be shed.
+    """When something changes in a class queue without an event.
+
+    Its first message is given up, the next one has waited for half its latency objective,
+    or the next may be shed.
     """
     state.work_count += 3
     now, objective = state.now, queue.message_class.latency_objective_us
@@ -112,8 +114,9 @@
 def _by_deadline(
     state: DispatcherState, queue: ClassQueue, shut: set[int]
 ) -> Iterator[Message]:
-    """Groups make no difference in one class queue: the expected call is the same for
-    all.
+    """The ready messages of a single class queue.
+
+    Groups make no difference there: the expected call is the same for all.
     """
     while (message := queue.ready.first()) is not None:
         if not _can_call(state, queue, shut):
@@ -127,8 +130,9 @@
 def _by_groups(
     state: DispatcherState, queues: list[ClassQueue], shut: set[int]
 ) -> Iterator[Message]:
-    """Divide all waiting messages into groups by the time left, and yield the ready ones
-    of each in turn.
+    """The ready messages of several class queues, group by group.
+
+    Groups are formed of all waiting messages, by the time left.
     """
     end = _group_end(state, -NEVER)
     ready = [queue for queue in queues if queue.ready]
@@ -205,8 +209,9 @@
 
 
 def _can_call(state: DispatcherState, queue: ClassQueue, shut: set[int]) -> bool:
-    """Whether a destination may still have capacity: for another call, or in one that
-    begins in this round.
+    """Whether a destination may still have capacity.
+
+    For another call, or in one that begins in this round.
     """
     if queue.destination in shut:
         return False
--- a/rainfall/dispatch/slow_start.py
+++ b/rainfall/dispatch/slow_start.py
@@ -112,8 +112,7 @@
 
 
 def mean_calls(state: DispatcherState, endpoint: Endpoint) -> float:
-    """Calls of all forwarders in a window, in the mean, so that chance hardly takes
-    them over the limit.
+    """Calls of all forwarders in a window that hardly exceed the limit by chance.
 
     Where each forwarder makes less than one call, their number varies like that of any
     rare event; the more each makes the less it varies, as intervals are drawn around a
@@ -129,8 +128,9 @@
 
 
 def _mean_within(limit: float, variance: float, variance_per_call: float) -> float:
-    """The mean m with m + SIGMAS * root(variance + variance_per_call * m) = limit; 0
-    where there is none.
+    """The mean m with m + SIGMAS * root(variance + variance_per_call * m) = limit.
+
+    0 where there is none.
     """
     half = limit + SIGMAS**2 * variance_per_call / 2
     radicand = half**2 - limit**2 + SIGMAS**2 * variance
--- a/rainfall/dispatch/waiting.py
+++ b/rainfall/dispatch/waiting.py
@@ -41,8 +41,9 @@
 
 
 def wait_again(state: DispatcherState, message: Message) -> None:
-    """Let a message wait again, behind all of its destination; one that waits already
-    stays where it was.
+    """Let a message wait again, behind all of its destination.
+
+    One that waits already stays where it was.
     """
     if message.class_queue is None:
         message.queue_position = state.next_sequence_number()
@@ -96,8 +97,9 @@
 
 
 def sheddable_after(settings: Settings, message_class: MessageClass) -> float:
-    """How long after its start less than `SHEDDABLE_WEIGHT_SHARE` of a message's weight
-    is left.
+    """How long after its start a message has lost so much weight that it may be shed.
+
+    Less than `SHEDDABLE_WEIGHT_SHARE` of the weight is left then.
     """
     objective = message_class.latency_objective_us
     if settings.late_weight_halves:
@@ -119,8 +121,9 @@
 
 
 def follow_settings(state: DispatcherState, former: Settings) -> None:
-    """Adapt the queues to other settings: only another number of attempts concerns each
-    message by itself.
+    """Adapt the queues to other settings.
+
+    Only another number of attempts concerns each message by itself.
     """
     state.queues.drop_spare()
     queues = [
