--- a/rainfall/dispatch/actions.py
+++ b/rainfall/dispatch/actions.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; its outcome is still owed."""
+    """Stop waiting for an attempt; its outcome still follows."""
 
     message_id: str
     attempt: int
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordOutage:
-    """Persist an endpoint's outage, to be told by `OutageRestored` after a restart."""
+    """Persist an endpoint's outage; after a restart it comes back as `OutageRestored`."""
 
     endpoint: int
     started_at_us: int
--- a/rainfall/dispatch/backoff.py
+++ b/rainfall/dispatch/backoff.py
@@ -1,4 +1,4 @@
-"""When a destination is left alone: the Retry-After that it told, and our own backoff.
+"""When a destination is left alone: its Retry-After, and our own backoff.
 
 Times are integer microseconds.
 """
@@ -40,7 +40,7 @@
 
 
 def back_off(state: DispatcherState, scope: ThrottleScope) -> None:
-    """Leave a destination alone that rejected a call and told no Retry-After."""
+    """Leave a destination alone that rejected a call without a Retry-After."""
     factor = state.random.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER)
     until = state.now + int(scope.backoff * factor)
     scope.backoff_until = max(scope.backoff_until, until)
--- a/rainfall/dispatch/endpoint_list.py
+++ b/rainfall/dispatch/endpoint_list.py
@@ -92,7 +92,7 @@
 
 
 def _forget_removed(state: DispatcherState) -> None:
-    """Forget the oldest of very many that are gone: they must not pile up over months."""
+    """Forget the oldest of very many that are gone, or they would add up over months."""
     removed = [
         endpoint
         for endpoint in state.endpoints.values()
--- a/rainfall/dispatch/endpoints.py
+++ b/rainfall/dispatch/endpoints.py
@@ -55,7 +55,7 @@
     """Length of the last backoff; grows with each rejection in a row."""
     window_halved_at: int = -1
     reported_limit: float = 0.0
-    """Rate limit that the destination told, in calls a second; 0 while it has not."""
+    """Rate limit that the destination reported, in calls a second; 0 without a report."""
     remaining_share: float = 1.0
     """Share of that limit that is left."""
     even_shares: float = 1.0
@@ -116,11 +116,11 @@
     since_previous_call: int = 0
     """How long after the last call to the same endpoint it was sent."""
     pending: int = 0
-    """Messages whose outcome is still owed."""
+    """Messages that have no outcome yet."""
     batch_size: int = 0
     """Messages that it carries."""
     evaluated: bool = False
-    """What it tells of the endpoint has been learned."""
+    """What it shows of the endpoint has been learned."""
     overtaken_by: int = 0
     """How many later calls to the same endpoint have been delivered."""
     attempt_keys: list[AttemptKey] = field(default_factory=list)
--- a/rainfall/dispatch/events.py
+++ b/rainfall/dispatch/events.py
@@ -1,4 +1,4 @@
-"""Events: what the dispatcher is told. Plain types; nothing is decided here.
+"""Events: what happened, as the dispatcher learns it. Plain types; nothing is decided here.
 
 Times are integer microseconds of the caller's clock.
 """
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutageRestored:
-    """An outage that was told by `RecordOutage` before a restart."""
+    """An outage that `RecordOutage` persisted before a restart."""
 
     endpoint: int
     started_at_us: int
@@ -182,8 +182,8 @@
 class QuotaChanged:
     """How many calls this forwarder may make of what all may send to a destination.
 
-    Holds in every sliding window, from now on and until told anew; what was sent before
-    counts.
+    Holds in every sliding window, from now on and until the next change; what was sent
+    before counts.
     """
 
     destination: int
@@ -192,7 +192,7 @@
     window_us: int
     """0: no quota is in force any more."""
     expires_at_us: int
-    """From then on `reserve_calls` holds, for as long as nothing else is told."""
+    """From then on `reserve_calls` holds, until the next change."""
     reserve_calls: int
     used: tuple[tuple[int, int], ...] = ()
     """(when, calls), oldest first: calls of a former process."""
--- a/rainfall/dispatch/idle_connections.py
+++ b/rainfall/dispatch/idle_connections.py
@@ -20,7 +20,7 @@
 ) -> bool:
     """Whether a call failed because its connection had been closed while it was idle.
 
-    It then tells of that and not of its endpoint. A time-out is the endpoint's own: a
+    It then says nothing of its endpoint. A time-out is the endpoint's own: a
     slow one would else never be seen to be slow.
     """
     was_idle = MIN_IDLE_US < call.connection_idle <= state.idle_trust
--- a/rainfall/dispatch/outlier_detection.py
+++ b/rainfall/dispatch/outlier_detection.py
@@ -18,7 +18,7 @@
 OUTAGE_FAILURE_RATIO = 0.5
 """Above it an endpoint is in an outage: two failures in a row, or most calls."""
 CERTAIN_FAILURE_RATIO = 0.56
-"""Above it more than one failure tells, and messages that must not be executed twice
+"""Above it more than one call has failed, and messages that must not be executed twice
 are held back.
 """
 FAILURE_STEP = 0.35
--- a/rainfall/dispatch/pacing.py
+++ b/rainfall/dispatch/pacing.py
@@ -36,8 +36,8 @@
 def pace_interval(state: DispatcherState, endpoint: Endpoint) -> float:
     """The time between our calls by which all forwarders keep the limit; 0 without one.
 
-    An even share of a told limit may be one call in a minute. What the destination says
-    is left of it tells more, so no message misses its deadline for that.
+    An even share of a reported limit may be one call in a minute. What the destination
+    reports to be left says more, so no message misses its deadline for that.
     """
     scope = endpoint.throttle_scope
     limit, shares = rate_limit(state, endpoint), scope.even_shares
@@ -50,7 +50,7 @@
 
 
 def rate_limit(state: DispatcherState, endpoint: Endpoint) -> float:
-    """The rate limit in calls a second, as it was told or listed; 0 without one."""
+    """The rate limit in calls a second, reported or listed; 0 without one."""
     if endpoint.throttle_scope.reported_limit:
         return endpoint.throttle_scope.reported_limit
     return endpoint.weight if state.settings.endpoint_weights_known else 0.0
@@ -92,7 +92,7 @@
 
 def apply_load_report(scope: ThrottleScope, report: LoadReport) -> None:
     """Take over what the destination said of its limit."""
-    if not scope.reported_limit:  # a limit that is told needs no room for error
+    if not scope.reported_limit:  # a reported limit needs no room for error
         scope.even_shares = min(1.0, scope.even_shares)
     scope.reported_limit = report.limit_per_s
     scope.remaining_share = report.remaining_share
--- a/rainfall/dispatch/queues.py
+++ b/rainfall/dispatch/queues.py
@@ -164,7 +164,7 @@
     """It is not shed earlier than this before its deadline; None without such a bound."""
     messages: MessageQueue = field(default_factory=MessageQueue)
     ready: MessageQueue = field(init=False)
-    """Those whose turn it is in their key; the same queue as `messages` where none waits
+    """Those that their key does not block; the same queue as `messages` where none waits
     for another.
     """
 
--- a/rainfall/dispatch/settings.py
+++ b/rainfall/dispatch/settings.py
@@ -90,7 +90,7 @@
     allow_cancel: bool = False
     allow_health_checks: bool = False
     send_retry_after: bool = False
-    """Clients are told when to come again."""
+    """Rejected clients get a Retry-After."""
     max_retry_after_us: int = 0
     subscribe_endpoint_list: bool = False
     """The endpoint list must be asked for; otherwise it is pushed."""
--- a/rainfall/dispatch/settings_change.py
+++ b/rainfall/dispatch/settings_change.py
@@ -13,7 +13,7 @@
 def change_settings(state: DispatcherState, settings: Settings) -> None:
     """Other settings hold.
 
-    What was worked out by the former ones binds no more; what an endpoint told does.
+    What was worked out by the former ones binds no more; what an endpoint reported does.
     """
     former = state.settings
     state.apply_settings(settings)
--- a/rainfall/dispatch/slow_start.py
+++ b/rainfall/dispatch/slow_start.py
@@ -19,7 +19,7 @@
 from rainfall.dispatch.times import SECOND_US
 
 BUDGET_SHARE = 0.8
-"""Share of a large budget that is used in the mean; the rest is slack."""
+"""Share of a large budget that is used in the mean; what is left is slack."""
 SLACK_CALLS = 4.0
 """Calls in an overload window that are made in the mean at most of a small budget."""
 CHANCE_FACTOR = 2.0
--- a/rainfall/dispatch/snapshot.py
+++ b/rainfall/dispatch/snapshot.py
@@ -95,7 +95,8 @@
 def restore_snapshot(state: DispatcherState, snapshot: Mapping[str, Any]) -> None:
     """Go on where the former process stopped.
 
-    What the snapshot does not tell, or of what is gone, is left out.
+    What the snapshot lacks, and what it has of endpoints and messages that are gone, is
+    left out.
     """
     for number, destination, kind, sent in snapshot.get("targets", []):
         _restore_endpoint(state, number, destination, kind, sent)
@@ -152,7 +153,7 @@
         most = float(state.settings.forwarder_count)
         own.even_shares = min(own.even_shares, most)
         return
-    # The kind is endpoint-scoped now, or no longer: a Retry-After that was told binds
+    # The kind is endpoint-scoped now, or no longer: a Retry-After binds
     # whatever it may be of.
     retry_after_until = sent.get("wait_until", 0)
     for key, scope in state.throttle_scopes.items():
@@ -174,7 +175,7 @@
 def _restore_call(
     state: DispatcherState, number: int, sent: Mapping[str, Any], keys: list[AttemptKey]
 ) -> None:
-    """A call of the former process is in flight here until its outcomes are told."""
+    """A call of the former process is in flight here until its outcomes come."""
     endpoint = state.endpoints.get(number)
     if endpoint is None or not keys:
         return
