--- a/rainfall/lease/fencing.py
+++ b/rainfall/lease/fencing.py
@@ -1,6 +1,4 @@
-"""What stands before whatever a lease guards: it serves no token below one that it has
-seen for the name.
-"""
+"""The guard of a resource: it serves no token below the highest seen for the name."""
 
 from __future__ import annotations
 
@@ -9,57 +7,73 @@
 from typing import Any
 
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
-from rainfall.lease.types import LeaseRejectedError
+from rainfall.lease.types import CONFLICT, LeaseRejectedError
+
+GUARDED_NAMES_LIMIT = 10_000
+"""Names whose highest token is remembered apart."""
 
 
 class FencingGuard:
-    """Highest token seen for each name, `most` names at most.
+    """The highest token seen for each name, for `max_names` names at most.
 
-    Past that the name seen longest ago is let go and its token becomes the floor: a
-    name not known is refused below it, never served on trust.
+    Past that the least recently seen name is forgotten and its token raises the floor:
+    an unknown name is rejected below the floor, never served on trust.
     """
 
-    def __init__(self, max_names: int = 10_000) -> None:
-        self.max_names, self.floor = max(max_names, 1), ZERO_TOKEN
+    def __init__(self, max_names: int = GUARDED_NAMES_LIMIT) -> None:
+        self.max_names = max(max_names, 1)
+        self.floor = ZERO_TOKEN
         self._highest_tokens: OrderedDict[str, Token] = OrderedDict()
 
     def check(self, name: str, token: Token) -> bool:
-        """Before the action.
+        """Check a token before the guarded action.
+
+        Returns:
+            Whether the token is higher than any before. If so, and if the guard has to
+            outlive a crash, persist a snapshot before acting.
 
-        Refused(409), with the token `seen`, where a higher one was; else True if this
-        one is higher than any before: keep a snapshot before acting where the guard is
-        to outlive a crash.
+        Raises:
+            LeaseRejectedError: 409, with the higher token that was seen.
         """
-        before = self.required_token(name)
-        if token < before:
-            raise LeaseRejectedError(
-                409,
-                [f"token: {token.to_wire()} of {name} is below {before.to_wire()}"],
-                before,
-            )
-        grown = self._highest_tokens.get(name) != token
+        required = self.required_token(name)
+        if token < required:
+            fault = f"token: {token.to_wire()} of {name} is below {required.to_wire()}"
+            raise LeaseRejectedError(CONFLICT, [fault], required)
+        is_higher = self._highest_tokens.get(name) != token
         self._highest_tokens[name] = token
         self._highest_tokens.move_to_end(name)
         self._trim()
-        return grown
+        return is_higher
 
     def required_token(self, name: str) -> Token:
         """The lowest token that is served for this name."""
         return self._highest_tokens.get(name, self.floor)
 
     def highest(self) -> Token:
-        """Of all names: what to tell the service, so that it grants nothing below."""
+        """The highest token of all names.
+
+        The lease service is sent it, so that it grants nothing below.
+        """
         return max(self._highest_tokens.values(), default=self.floor)
 
     def snapshot(self) -> dict[str, Any]:
+        """All that a restart needs, for JSON."""
         return {
             "floor": self.floor.to_wire(),
-            "seen": [[n, t.to_wire()] for n, t in self._highest_tokens.items()],
+            "seen": [
+                [name, token.to_wire()] for name, token in self._highest_tokens.items()
+            ],
         }
 
     @staticmethod
-    def from_snapshot(raw: Mapping[str, Any], max_names: int = 10_000) -> FencingGuard:
-        """From a snapshot; KeyError, TypeError or ValueError where it is none."""
+    def from_snapshot(
+        raw: Mapping[str, Any], max_names: int = GUARDED_NAMES_LIMIT
+    ) -> FencingGuard:
+        """Restore a guard from its snapshot.
+
+        Raises:
+            KeyError, TypeError, ValueError: `raw` is no snapshot of a guard.
+        """
         guard = FencingGuard(max_names)
         guard.floor = Token.from_wire(raw["floor"])
         for name, token in raw["seen"]:
@@ -69,5 +83,5 @@
 
     def _trim(self) -> None:
         while len(self._highest_tokens) > self.max_names:
-            _, gone = self._highest_tokens.popitem(last=False)
-            self.floor = max(self.floor, gone)
+            _, forgotten = self._highest_tokens.popitem(last=False)
+            self.floor = max(self.floor, forgotten)
--- a/rainfall/lease/fencing_token.py
+++ b/rainfall/lease/fencing_token.py
@@ -5,28 +5,38 @@
 from dataclasses import dataclass
 from typing import Any
 
+TOKEN_PART_LIMIT = 1 << 53
+"""Both numbers stay below it: every JSON reader represents them exactly."""
+TOKEN_PARTS = 2
+
 
 @dataclass(frozen=True, slots=True, order=True)
 class Token:
-    """`epoch` is the list service's history, `number` counts within it.
+    """A fencing token; for one name it only grows.
 
-    For one name a token only grows.
+    `epoch` tells the histories of the lease service apart, `number` counts within one.
     """
 
     epoch: int
     number: int
 
     def to_wire(self) -> list[int]:
-        """As it stands on the wire: `[epoch, number]`."""
+        """The form on the wire and on disk: `[epoch, number]`."""
         return [self.epoch, self.number]
 
     @staticmethod
     def from_wire(raw: Any) -> Token:
-        """From the wire; ValueError where it is no token."""
+        """Decode `[epoch, number]`.
+
+        Raises:
+            ValueError: `raw` is no token.
+        """
         if (
             not isinstance(raw, list)
-            or len(raw) != 2
-            or not all(type(n) is int and 0 <= n < 1 << 53 for n in raw)
+            or len(raw) != TOKEN_PARTS
+            or not all(
+                type(part) is int and 0 <= part < TOKEN_PART_LIMIT for part in raw
+            )
         ):
             raise ValueError(
                 "a token is [epoch, number], whole numbers from 0 below 2**53"
--- a/rainfall/lease/types.py
+++ b/rainfall/lease/types.py
@@ -1,10 +1,11 @@
-"""What leases are agreed on: bounds, margins for drift, and how a fault is told."""
+"""What both sides of a lease agree on: limits, margins for clock drift, and errors."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
 from rainfall.errors import RainfallError
@@ -13,21 +14,57 @@
 Record = dict[str, Any]
 """One change as it goes to disk: a plain object for JSON, numbered by `n`."""
 
-MAX_TEXT_LENGTH = 200  # characters of a name and of a holder
-MAX_NOTE_ENTRIES = 8  # entries of a note, each of two strings of MOST_TEXT characters
-MAX_EPOCH_JUMP = (
-    1 << 33
-    # epochs one client may lift: past any clock in seconds, far below the end of the range
-)
+MAX_TEXT_LENGTH = 200
+"""Characters of a name, of a holder, and of a note's key or value."""
+MAX_NOTE_ENTRIES = 8
+"""Entries of a note, each of two strings of `MAX_TEXT_LENGTH` characters."""
+MAX_EPOCH_JUMP = 1 << 33
+"""Epochs by which one client may raise the service's epoch.
+
+Above any clock in seconds, and far below the end of the range.
+"""
+TTL_LIMIT_US = 1 << 42
+"""Every time to live is below it."""
+DRIFT_LIMIT = 0.5
+"""The drift is below it: two clocks that differ by more cannot share a lease."""
+
+BAD_REQUEST = 400
+"""HTTP status: the call itself is invalid."""
+NOT_FOUND = 404
+"""HTTP status: nobody holds the lease."""
+CONFLICT = 409
+"""HTTP status: another token, or another change, is in the way."""
+UNPROCESSABLE = 422
+"""HTTP status: valid, but above a limit."""
+
+
+class RecordKind(StrEnum):
+    """What a record changes; the value is its `kind` on disk."""
+
+    START = "start"
+    EPOCH = "epoch"
+    GRANT = "grant"
+    REVOKE = "revoke"
+    END = "end"
+
+
+class EndReason(StrEnum):
+    """Why a lease ended; the value is the `why` of its record on disk."""
+
+    RELEASED = "released"
+    REVOKED = "revoked"
+    EXPIRED = "out"
 
 
 class LeaseRejectedError(RainfallError):
     """A change that is not made.
 
-    `status` is the HTTP answer (400, 404, 409 or 422), `faults` name each fault with
-    its path. `seen` is the token that was in the way. `record`, where there is one, is
-    to be written all the same (what the client said it saw lifts the epoch, also where
-    the call is refused).
+    Attributes:
+        status: The HTTP status of the answer: 400, 404, 409 or 422.
+        faults: Each fault with its path.
+        conflicting_token: The token that was in the way.
+        record: Where there is one, it has to be written although the call is rejected:
+            a token that the client has seen raises the epoch in any case.
     """
 
     def __init__(
@@ -38,34 +75,28 @@
         record: Record | None = None,
     ) -> None:
         super().__init__("; ".join(faults))
-        self.status, self.faults, self.conflicting_token, self.record = (
-            status,
-            faults,
-            conflicting_token,
-            record,
-        )
+        self.status = status
+        self.faults = faults
+        self.conflicting_token = conflicting_token
+        self.record = record
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Bounds of a table.
-
-    Times in microseconds; `drift` is the share by which two clocks may run apart.
-    """
+    """Limits of a lease table."""
 
     drift: float = 0.02
+    """The share by which the rates of two clocks may differ."""
     min_ttl_us: int = 100_000
     max_ttl_us: int = 60_000_000
     max_leases: int = 10_000
 
     def faults(self) -> list[str]:
-        """What is wrong with these terms themselves, each with its path; empty where
-        nothing is.
-        """
+        """What is wrong with the settings themselves, each fault with its path."""
         found = []
-        if not 0 <= self.drift < 0.5:
+        if not 0 <= self.drift < DRIFT_LIMIT:
             found.append("drift: a share from 0 below 0.5")
-        if not 0 < self.min_ttl_us <= self.max_ttl_us < 1 << 42:
+        if not 0 < self.min_ttl_us <= self.max_ttl_us < TTL_LIMIT_US:
             found.append("least_ttl_us: from 1 to most_ttl_us, which is below 2**42")
         if self.max_leases < 1:
             found.append("most_leases: at least 1")
@@ -73,21 +104,22 @@
 
 
 def service_expiry_us(ttl_us: int, drift: float) -> int:
-    """How long after the last answer the service waits until the lease is out on every
-    clock.
+    """How long after its last answer the service regards a lease as in force.
+
+    After that the lease has expired on every clock.
     """
     return math.ceil(ttl_us * (1 + drift))
 
 
 def holder_validity_us(ttl_us: int, drift: float) -> int:
-    """How long after the asking its holder may act on a lease."""
+    """How long after the request was sent its holder may act under a lease."""
     return math.floor(ttl_us * (1 - drift))
 
 
 def request_faults(
     settings: LeaseSettings, name: Any, holder: Any, ttl_us: Any, note: Any
 ) -> list[str]:
-    """All faults of a call for a lease, each with its path."""
+    """All faults of a request for a lease, each with its path."""
     faults = [
         f"{path}: a string of 1 to {MAX_TEXT_LENGTH} characters"
         for path, value in (("name", name), ("holder", holder))
@@ -102,15 +134,20 @@
         )
     if not isinstance(note, Mapping) or len(note) > MAX_NOTE_ENTRIES:
         return [*faults, f"note: an object of at most {MAX_NOTE_ENTRIES} entries"]
-    for n, (key, value) in enumerate(note.items()):
+    return [*faults, *_note_faults(note)]
+
+
+def _note_faults(note: Mapping[Any, Any]) -> list[str]:
+    faults = []
+    for index, (key, value) in enumerate(note.items()):
         if (
             not _is_text(key)
             or not isinstance(value, str)
             or len(value) > MAX_TEXT_LENGTH
         ):
-            where = f"note.{key}" if _is_text(key) else f"note[{n}]"
+            path = f"note.{key}" if _is_text(key) else f"note[{index}]"
             faults.append(
-                f"{where}: a string of at most {MAX_TEXT_LENGTH} characters under a name as long"
+                f"{path}: a string of at most {MAX_TEXT_LENGTH} characters under a name as long"
             )
     return faults
 
