--- a/rainfall/member/__init__.py
+++ b/rainfall/member/__init__.py
@@ -1,3 +1,4 @@
-"""Who is in the fleet: decided by the list service alone, from the leases its members
-renew.
+"""Who is in the fleet.
+
+The list service alone decides this, by the leases that members renew.
 """
--- a/rainfall/member/roster.py
+++ b/rainfall/member/roster.py
@@ -1,98 +1,141 @@
-"""The service's roster: members as leases named `member/NAME`, their states, and the
-list that is watched.
+"""The service's roster: members and their states, and the list that others watch.
 
-All that outlives the process is in the lease table (site and dial addresses are the
-lease's note); the roster is a view of it and can be made anew at any start. Versions
-count within `epoch`, the table's at the start.
+A member is a lease named `member/NAME`. All that outlives the process is in the lease
+table (site and dial address are the lease's note); the roster is a view of it, made
+anew at each start. Versions count within `epoch`, the table's at the start.
+
+All times are of the service's clock, in microseconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 from rainfall.lease.table import Lease, LeaseGrant, LeaseTable, LeaseUnavailable
-from rainfall.lease.types import LeaseRejectedError, Record, service_expiry_us
+from rainfall.lease.types import (
+    BAD_REQUEST,
+    UNPROCESSABLE,
+    EndReason,
+    LeaseRejectedError,
+    Record,
+    RecordKind,
+    service_expiry_us,
+)
 
 MEMBER_LEASE_PREFIX = "member/"
-MAX_NAME_LENGTH = 180  # characters of a name and of a run
-# members lost or left that are still told of, so a whole fleet; 350 bytes each
+MAX_NAME_LENGTH = 180
+"""Characters of a name, a site, a dial address and the name of a run."""
 MAX_DEPARTED_MEMBERS = 8_192
+"""Members lost or left that readers are still notified of: a whole fleet.
+
+Each takes about 350 bytes.
+"""
+MASS_LOSS_MIN_MEMBERS = 2
+"""The loss of a single member is no mass loss, however small the fleet."""
+
+
+class MemberState(StrEnum):
+    """A member's state; the value is its form on the wire."""
+
+    ALIVE = "alive"
+    SUSPECT = "suspect"
+    """Late with its renewal; its lease may still be in force."""
+    LOST = "lost"
+    LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member as it is told.
-
-    `token` is its incarnation, `state` alive, suspect, lost or left, `version` the one
-    that last changed it.
-    """
+    """One member as readers see it."""
 
     name: str
     site: str
     dial: str
     token: Token
+    """Identifies its incarnation."""
     state: str
+    """The value of a `MemberState`."""
     version: int
+    """The version of the list that last changed it."""
 
     def to_wire(self) -> dict[str, Any]:
+        """The member's entry in the list."""
         return {
             "name": self.name,
             "site": self.site,
             "dial": self.dial,
             "token": self.token.to_wire(),
-            "state": self.state,
+            "state": str(self.state),
         }
 
 
+class MemberChanges(NamedTuple):
+    """The members that a reader has to be notified of."""
+
+    complete: bool
+    """Whether these are all active members, in place of what the reader has."""
+    members: list[Member]
+    """Ordered by name."""
+
+
 @dataclass(slots=True)
 class DivisionFreeze:
-    """The renewed guard: how long the service has been up, unbroken, with members
-    renewing.
+    """When the fleet is stable enough to divide work anew.
+
+    It is once the service has been up, with members renewing, for a whole lease without
+    a break.
     """
 
     lease_us: int
     stable_since_us: int | None = None
     last_renewal_us: int = 0
     recent_losses: dict[str, int] = field(default_factory=dict)
+    """Members lost within the last whole lease, and when, the oldest first."""
 
     def record_renewal(self, now_us: int) -> None:
-        if (
-            self.stable_since_us is None
-            or now_us - self.last_renewal_us > self.lease_us
-        ):
+        """A member renewed its lease."""
+        if not self._is_stable(now_us):
             self.stable_since_us = now_us
         self.last_renewal_us = now_us
 
     def record_loss(self, name: str, now_us: int) -> None:
-        """Of those lost, the ones of the last whole lease stay, in their order."""
+        """A member was lost; forget losses that are a whole lease old."""
         self.recent_losses.pop(name, None)
         self.recent_losses[name] = now_us
-        while (
-            now_us - self.recent_losses[oldest := next(iter(self.recent_losses))]
-            >= self.lease_us
-        ):
+        oldest = next(iter(self.recent_losses))
+        while now_us - self.recent_losses[oldest] >= self.lease_us:
             del self.recent_losses[oldest]
+            oldest = next(iter(self.recent_losses))
 
     def ends_at_us(self, now_us: int) -> int:
-        """When it is over at the soonest; a whole lease from now where members do not
-        renew.
+        """When the freeze ends at the soonest.
+
+        A whole lease from now where members do not renew.
         """
-        if (
-            self.stable_since_us is None
-            or now_us - self.last_renewal_us > self.lease_us
-        ):
+        if self.stable_since_us is None or not self._is_stable(now_us):
             return now_us + self.lease_us
         return self.stable_since_us + self.lease_us
 
+    def _is_stable(self, now_us: int) -> bool:
+        if self.stable_since_us is None:
+            return False
+        return now_us - self.last_renewal_us <= self.lease_us
+
 
 class Roster:
-    """Over a table that the caller starts.
+    """The members, over a lease table that the caller starts.
+
+    Every record that the table makes goes through `commit` here, whoever asked for it.
 
-    Every record the table makes, whoever asked for it, goes through `commit` here.
-    `late`: the share of the ttl without a renewal that makes a member suspect.
-    `at_once`: the share of members that, lost within one lease, stops every division.
+    Args:
+        table: The lease table.
+        ttl_us: The time to live of a member's lease.
+        suspect_share: The share of it without a renewal that makes a member suspect.
+        mass_loss_share: The share of members that, lost within one lease, stops every
+            division.
     """
 
     def __init__(
@@ -110,34 +153,35 @@
         if not table.settings.min_ttl_us <= ttl_us <= table.settings.max_ttl_us:
             faults.append("ttl_us: not within the table's terms")
         if faults:
-            raise LeaseRejectedError(422, faults)
-        self.table, self.ttl_us, self.suspect_after_us, self.mass_loss_share = (
-            table,
-            ttl_us,
-            int(ttl_us * suspect_share),
-            mass_loss_share,
-        )
-        self.epoch = self.version = self.oldest_known_version = 0
+            raise LeaseRejectedError(UNPROCESSABLE, faults)
+        self.table = table
+        self.ttl_us = ttl_us
+        self.suspect_after_us = int(ttl_us * suspect_share)
+        self.mass_loss_share = mass_loss_share
+        self.epoch = 0
+        self.version = 0
+        self.oldest_known_version = 0
+        """Readers of older versions need the complete list."""
         self.members: dict[str, Member] = {}
         self._last_renewal_us: dict[str, int] = {}
-        """Members in force, and when each last renewed."""
+        """Active members, and when each last renewed."""
         self._departed: dict[str, None] = {}
-        """Members lost or left, the one that went first before the others."""
+        """Members lost or left, the earliest first."""
         self._freeze = DivisionFreeze(service_expiry_us(ttl_us, table.settings.drift))
         self._now_us = 0
 
     def on_started(self, now_us: int) -> None:
-        """Right after the table's start record was committed: all it knows count as
-        renewed now.
+        """Take over the table's members once its start record was committed.
+
+        All count as renewed now.
         """
-        self._now_us, self.epoch = now_us, self.table.epoch
-        self.version = self.oldest_known_version = 1
+        self._now_us = now_us
+        self.epoch = self.table.epoch
+        self.version = 1
+        self.oldest_known_version = 1
         for lease in self.table.with_prefix(MEMBER_LEASE_PREFIX):
             self._activate(lease)
 
-    # -- what members call
-    # ----------------------------------------------------------------------------
-
     def join(
         self,
         now_us: int,
@@ -148,29 +192,30 @@
         shown: Token = ZERO_TOKEN,
         seen: Token = ZERO_TOKEN,
     ) -> LeaseGrant | LeaseUnavailable:
-        """A lease on the name; its token is the incarnation.
-
-        Held (to be told as 409, with when to come again) while another process's lease
-        is in force, unless its token is `shown`. `run` names this run of the process
-        and no other: a join sent again with it, its answer lost, is told the same
-        token. Refused: 400, 422 as the table's.
+        """Acquire the lease of a member; its token identifies the incarnation.
+
+        It is unavailable while another process's lease is in force.
+
+        Args:
+            now_us: The present time.
+            name: The member's name.
+            site: Where it runs.
+            dial: The address at which its peers reach it.
+            run: Names this run of the process and no other. A join that is sent again
+                with it, because its answer was lost, is answered with the same token.
+            shown: The token of the lease in force, where the process knows it.
+            seen: The highest token that the process has seen.
+
+        Raises:
+            LeaseRejectedError: 400 for an invalid call, 422 for too many leases.
         """
         now_us = self._advance_clock(now_us)
-        if faults := [
-            f"{path}: a string of {least} to {MAX_NAME_LENGTH} characters"
-            for path, value, least in (
-                ("name", name, 1),
-                ("site", site, 1),
-                ("dial", dial, 1),
-                ("run", run, 0),
-            )
-            if not isinstance(value, str) or not least <= len(value) <= MAX_NAME_LENGTH
-        ]:
-            raise LeaseRejectedError(400, faults)
-        # Without a run two joins of one name cannot be told apart, so neither is taken
-        # for the other.
+        if faults := _join_faults(name, site, dial, run):
+            raise LeaseRejectedError(BAD_REQUEST, faults)
+        # Without a run two joins of one name cannot be distinguished, so neither is
+        # taken for the other.
         holder = f"run {run}" if run else f"join {self.table.next_record_number()}"
-        made = self.table.acquire(
+        answer = self.table.acquire(
             now_us,
             MEMBER_LEASE_PREFIX + name,
             holder,
@@ -179,178 +224,190 @@
             shown,
             {"site": site, "dial": dial},
         )
-        if isinstance(made, LeaseGrant) and self._is_current(name, made.token):
+        if isinstance(answer, LeaseGrant) and self._is_current(name, answer.token):
             self._record_heartbeat(now_us, name)
-        return made
+        return answer
 
     def heartbeat(
         self, now_us: int, name: str, token: Token, seen: Token = ZERO_TOKEN
     ) -> LeaseGrant | LeaseUnavailable:
-        """Renewed.
+        """Renew a member's lease.
 
-        Refused(409): the lease is out or another's, the member is fenced and joins
-        anew.
+        Raises:
+            LeaseRejectedError: 409, the lease has expired or is another's: the member
+                is fenced and has to join anew.
         """
         now_us = self._advance_clock(now_us)
-        made = self.table.renew(now_us, MEMBER_LEASE_PREFIX + name, token, seen)
-        if isinstance(made, LeaseGrant):
+        answer = self.table.renew(now_us, MEMBER_LEASE_PREFIX + name, token, seen)
+        if isinstance(answer, LeaseGrant):
             self._record_heartbeat(now_us, name)
-        return made
+        return answer
 
     def leave(self, now_us: int, name: str, token: Token) -> Record:
-        """In order: gone at once, and not counted as lost. Refused: 404, 409."""
-        return self.table.release(
-            self._advance_clock(now_us), MEMBER_LEASE_PREFIX + name, token
-        )
+        """Remove a member that shuts down; it does not count as lost.
 
-    # -- time
-    # ------------------------------------------------------------------------------------------
+        Raises:
+            LeaseRejectedError: 404 no such member, 409 another token holds its lease.
+        """
+        now_us = self._advance_clock(now_us)
+        return self.table.release(now_us, MEMBER_LEASE_PREFIX + name, token)
 
     def tick(self, now_us: int) -> list[Record]:
-        """Late members become suspect; records for all leases of the table that are
-        surely out. Call it by `next_us` and before anything is divided.
+        """Make late members suspect.
+
+        Call it by `next_tick_us` and before anything is divided.
+
+        Returns:
+            Records for all leases of the table that have expired on every clock.
         """
         now_us = self._advance_clock(now_us)
         for name in sorted(self._last_renewal_us):
             member = self.members[name]
             if (
-                member.state == "alive"
+                member.state == MemberState.ALIVE
                 and now_us - self._last_renewal_us[name] >= self.suspect_after_us
             ):
-                self._set_state(member, "suspect")
+                self._set_state(member, MemberState.SUSPECT)
         return self.table.expire(now_us)
 
     def next_tick_us(self) -> int | None:
-        """When `tick` next has something to do; None where nobody holds anything."""
-        late = [
-            at + self.suspect_after_us
-            for name, at in self._last_renewal_us.items()
-            if self.members[name].state == "alive"
+        """When `tick` next has something to do; None where nobody holds a lease."""
+        times_us = [
+            renewed_at_us + self.suspect_after_us
+            for name, renewed_at_us in self._last_renewal_us.items()
+            if self.members[name].state == MemberState.ALIVE
         ]
-        out = self.table.next_expiry_us()
-        return min([*late, *([] if out is None else [out])], default=None)
+        expiry_us = self.table.next_expiry_us()
+        if expiry_us is not None:
+            times_us.append(expiry_us)
+        return min(times_us, default=None)
 
     def frozen_until_us(self, now_us: int) -> int:
-        """Before this nothing fleet-wide is divided anew, at the soonest; `now_us` or
-        less: it may be. So for a whole lease after a start or a loss of many, counted
-        from where members renew again.
+        """When the fleet's work may be divided anew at the soonest.
+
+        `now_us` or less: now. After a start or a mass loss, a whole lease has to pass
+        from when members renew again.
         """
         return self._freeze.ends_at_us(self._advance_clock(now_us))
 
-    # -- the list
-    # --------------------------------------------------------------------------------------
-
     def active_members(self) -> list[Member]:
-        """Alive and suspect, by name: among these, and only these, the fleet is
-        divided.
+        """Members that are alive or suspect, ordered by name.
+
+        Only among these is the fleet's work divided.
         """
         return [self.members[name] for name in sorted(self._last_renewal_us)]
 
     def changes_since(self, since: int | None, epoch: int | None) -> dict[str, Any]:
-        """The answer to a reader who has version `since` of `epoch`: `{"epoch",
-        "version", "whole", "members"}`. Changes since then, merged, those that are gone
-        included; the whole list, without them, to a reader from another epoch, from
-        ahead, or from before what is still told of.
+        """The answer to a reader that has version `since` of `epoch`.
+
+        `{"epoch", "version", "whole", "members"}`: see `members_changed_since`.
         """
-        whole, found = self.members_changed_since(since, epoch)
+        changes = self.members_changed_since(since, epoch)
         return {
             "epoch": self.epoch,
             "version": self.version,
-            "whole": whole,
-            "members": [m.to_wire() for m in found],
+            "whole": changes.complete,
+            "members": [member.to_wire() for member in changes.members],
         }
 
     def members_changed_since(
         self, since: int | None, epoch: int | None
-    ) -> tuple[bool, list[Member]]:
-        """Whether these are the whole list, and the members that `owed` tells of, by
-        name.
+    ) -> MemberChanges:
+        """The changes since version `since` of `epoch`, merged, with departed members.
+
+        The complete list, without departed members, for a reader from another epoch,
+        from a later version, or from one before the oldest that is known.
         """
         if (
             since is None
             or epoch != self.epoch
             or not self.oldest_known_version <= since <= self.version
         ):
-            return True, self.active_members()
-        if since == self.version:  # nearly every beat
-            return False, []
+            return MemberChanges(True, self.active_members())
+        if since == self.version:  # The case of nearly every heartbeat.
+            return MemberChanges(False, [])
         changed = [m for m in self.members.values() if m.version > since]
-        return False, sorted(changed, key=lambda m: m.name)
-
-    # -- records
-    # ---------------------------------------------------------------------------------------
+        return MemberChanges(False, sorted(changed, key=lambda m: m.name))
 
     def commit(self, record: Record) -> None:
-        """Take a record that is on disk into the table, and into the list where it is a
-        member's.
-        """
-        full = str(record.get("name", ""))
-        before = self.table.read(full)
+        """Apply a record that is on disk to the table, and to the list."""
+        lease_name = str(record.get("name", ""))
+        before = self.table.read(lease_name)
         self.table.commit(record)
-        self.epoch = (
-            self.table.epoch
-        )  # a history found to be behind another's: all read the whole list
-        if not full.startswith(MEMBER_LEASE_PREFIX):
+        # The epoch rises where this history was behind another's: then every reader
+        # needs the complete list.
+        self.epoch = self.table.epoch
+        if not lease_name.startswith(MEMBER_LEASE_PREFIX):
             return
-        name, lease = full[len(MEMBER_LEASE_PREFIX) :], self.table.read(full)
-        if record["kind"] == "grant" and lease is not None:
-            if before is not None and self._now_us >= before.expires_at_us:
-                self._record_loss(name)
-            self._activate(lease)
-            self._record_heartbeat(self._now_us, name)
-        elif record["kind"] == "end" and name in self._last_renewal_us:
-            if record["why"] == "out":
-                self._record_loss(name)
-            del self._last_renewal_us[name]
-            self._set_state(
-                self.members[name], "left" if record["why"] == "released" else "lost"
-            )
-            self._departed[name] = None
-            self._forget_departed()
-
-    # -- helpers
-    # ---------------------------------------------------------------------------------------
+        name = lease_name[len(MEMBER_LEASE_PREFIX) :]
+        lease = self.table.read(lease_name)
+        if record["kind"] == RecordKind.GRANT and lease is not None:
+            self._apply_join(name, before, lease)
+        elif record["kind"] == RecordKind.END and name in self._last_renewal_us:
+            self._apply_departure(name, record["why"])
+
+    def _apply_join(self, name: str, before: Lease | None, lease: Lease) -> None:
+        if before is not None and self._now_us >= before.expires_at_us:
+            self._record_loss(name)
+        self._activate(lease)
+        self._record_heartbeat(self._now_us, name)
+
+    def _apply_departure(self, name: str, reason: str) -> None:
+        if reason == EndReason.EXPIRED:
+            self._record_loss(name)
+        del self._last_renewal_us[name]
+        left = reason == EndReason.RELEASED
+        state = MemberState.LEFT if left else MemberState.LOST
+        self._set_state(self.members[name], state)
+        self._departed[name] = None
+        self._forget_departed()
 
     def _record_loss(self, name: str) -> None:
-        quiet, now_us = self._freeze, self._now_us
-        quiet.record_loss(name, now_us)
-        if (
-            quiet.stable_since_us is None
-        ):  # many at once: those before this one have stopped it already
+        freeze = self._freeze
+        freeze.record_loss(name, self._now_us)
+        if freeze.stable_since_us is None:  # An earlier loss stopped divisions already.
             return
-        # Those whose renewals are late already will be lost in moments: waiting for
-        # them would divide twice.
-        gone = {
-            *quiet.recent_losses,
-            *(n for n in self._last_renewal_us if self.members[n].state == "suspect"),
+        # Members late with their renewal are about to be lost too: to leave them out
+        # would divide twice.
+        lost = {
+            *freeze.recent_losses,
+            *(
+                other
+                for other in self._last_renewal_us
+                if self.members[other].state == MemberState.SUSPECT
+            ),
         }
-        there = {*gone, *self._last_renewal_us}
-        if len(gone) >= 2 and len(gone) > self.mass_loss_share * len(there):
-            quiet.stable_since_us = None
+        all_members = {*lost, *self._last_renewal_us}
+        is_mass_loss = len(lost) > self.mass_loss_share * len(all_members)
+        if len(lost) >= MASS_LOSS_MIN_MEMBERS and is_mass_loss:
+            freeze.stable_since_us = None
 
     def _record_heartbeat(self, now_us: int, name: str) -> None:
         self._last_renewal_us[name] = now_us
         self._freeze.record_renewal(now_us)
-        if self.members[name].state == "suspect":
-            self._set_state(self.members[name], "alive")
+        if self.members[name].state == MemberState.SUSPECT:
+            self._set_state(self.members[name], MemberState.ALIVE)
 
     def _activate(self, lease: Lease) -> None:
-        name, note = lease.name[len(MEMBER_LEASE_PREFIX) :], lease.note
+        name = lease.name[len(MEMBER_LEASE_PREFIX) :]
         self.version += 1
         self._last_renewal_us[name] = self._now_us
         self._departed.pop(name, None)
         self.members[name] = Member(
-            name, note["site"], note["dial"], lease.token, "alive", self.version
+            name,
+            lease.note["site"],
+            lease.note["dial"],
+            lease.token,
+            MemberState.ALIVE,
+            self.version,
         )
 
-    def _set_state(self, member: Member, state: str) -> None:
+    def _set_state(self, member: Member, state: MemberState) -> None:
         self.version += 1
         self.members[member.name] = replace(member, state=state, version=self.version)
 
     def _forget_departed(self) -> None:
-        """The one that has been gone longest, past MOST_GONE of them: without a look at
-        all the others.
-        """
+        """Forget those that departed earliest, past `MAX_DEPARTED_MEMBERS`."""
         while len(self._departed) > MAX_DEPARTED_MEMBERS:
             name = next(iter(self._departed))
             del self._departed[name]
@@ -364,3 +421,17 @@
     def _advance_clock(self, now_us: int) -> int:
         self._now_us = max(self._now_us, now_us)
         return self._now_us
+
+
+def _join_faults(name: Any, site: Any, dial: Any, run: Any) -> list[str]:
+    """What is wrong with a join, each fault with its path."""
+    return [
+        f"{path}: a string of {min_length} to {MAX_NAME_LENGTH} characters"
+        for path, value, min_length in (
+            ("name", name, 1),
+            ("site", site, 1),
+            ("dial", dial, 1),
+            ("run", run, 0),
+        )
+        if not isinstance(value, str) or not min_length <= len(value) <= MAX_NAME_LENGTH
+    ]
