--- a/rainfall/budget/__init__.py
+++ b/rainfall/budget/__init__.py
@@ -1,3 +1,4 @@
-"""Fleet-wide budgets: a destination's whole divided among members so that no sliding
-span ever exceeds it.
+"""Budgets: how many calls in a sliding span a whole fleet may make to one destination.
+
+The list service divides them into shares, each member keeps to its share.
 """
--- a/rainfall/budget/demand.py
+++ b/rainfall/budget/demand.py
@@ -1,56 +1,75 @@
-"""How many calls a member wants in a span: from what came in lately and what waits."""
+"""How many calls a member wants in a span: what came in lately, and what waits."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Mapping
+from dataclasses import dataclass, field
 
-STEPS_PER_SPAN = 4  # a span is counted in so many steps
-# and so many spans are kept: a pause between two bursts is bridged, an older burst
-# forgotten
+STEPS_PER_SPAN = 4
+"""Steps in which a span is counted."""
 SPANS_KEPT = 2
-MAX_PARTS = 32  # parts told apart; any further one counts as ""
+"""Spans that are kept: a pause between two bursts is bridged, an old burst forgotten."""
+MAX_PARTS = 32
+"""Parts told apart; further ones count as `OTHER_PART`."""
+OTHER_PART = ""
+
+
+@dataclass(slots=True)
+class DemandStep:
+    """Calls wanted in one step of time."""
+
+    index: int
+    calls_by_part: dict[str, int] = field(default_factory=dict)
 
 
 class DemandTracker:
-    """Memory: STEPS * SPANS + 1 steps, each of MOST_PARTS + 1 numbers at most."""
+    """Calls wanted lately, by part of demand: "CLASS" or "CLASS/TENANT".
+
+    Memory: `STEPS_PER_SPAN` * `SPANS_KEPT` + 1 steps of `MAX_PARTS` + 1 numbers at
+    most.
+    """
 
     def __init__(self, span_us: int) -> None:
         self.step_us = max(1, span_us // STEPS_PER_SPAN)
-        self.steps: deque[tuple[int, dict[str, int]]] = deque()
+        self.steps: deque[DemandStep] = deque()
 
     def record_calls(self, now_us: int, part: str = "", calls: int = 1) -> None:
-        """Calls that came to be wanted now: messages' first calls and their retries."""
-        step = now_us // self.step_us
-        self._drop_old_steps(step)
-        if not self.steps or self.steps[-1][0] != step:
-            self.steps.append((step, {}))
-        counts = self.steps[-1][1]
-        known = part if part in counts or len(counts) < MAX_PARTS else ""
+        """Count calls that are wanted from now: messages' first calls and retries."""
+        index = now_us // self.step_us
+        self._drop_old_steps(index)
+        if not self.steps or self.steps[-1].index != index:
+            self.steps.append(DemandStep(index))
+        counts = self.steps[-1].calls_by_part
+        known = part if part in counts or len(counts) < MAX_PARTS else OTHER_PART
         counts[known] = counts.get(known, 0) + calls
 
     def demand_by_part(self, now_us: int, waiting: Mapping[str, int]) -> dict[str, int]:
-        """By part: the most that came in a span of the last two, and what waits unsent,
-        which is wanted besides. Parts without need are left out.
+        """The calls wanted in a span; parts without demand are left out.
+
+        For each part the most that came in a span of the last `SPANS_KEPT`, and what
+        waits unsent, which is wanted as well.
         """
-        step = now_us // self.step_us
-        self._drop_old_steps(step)
-        needs: dict[str, int] = {}
-        parts = {part for _, counts in self.steps for part in counts}
+        self._drop_old_steps(now_us // self.step_us)
+        demand: dict[str, int] = {}
+        parts = {part for step in self.steps for part in step.calls_by_part}
         for part in sorted(parts):
-            needs[part] = max(
-                sum(
-                    counts.get(part, 0)
-                    for at, counts in self.steps
-                    if end - STEPS_PER_SPAN < at <= end
-                )
-                for end, _ in self.steps
+            demand[part] = max(
+                self._calls_in_span(part, step.index) for step in self.steps
             )
         for part in sorted(waiting):
-            known = part if part in needs or len(needs) < MAX_PARTS else ""
-            needs[known] = needs.get(known, 0) + waiting[part]
-        return {part: calls for part, calls in needs.items() if calls > 0}
+            known = part if part in demand or len(demand) < MAX_PARTS else OTHER_PART
+            demand[known] = demand.get(known, 0) + waiting[part]
+        return {part: calls for part, calls in demand.items() if calls > 0}
+
+    def _calls_in_span(self, part: str, last_index: int) -> int:
+        """Calls of a part in the span that ends with a step."""
+        return sum(
+            step.calls_by_part.get(part, 0)
+            for step in self.steps
+            if last_index - STEPS_PER_SPAN < step.index <= last_index
+        )
 
-    def _drop_old_steps(self, step: int) -> None:
-        while self.steps and self.steps[0][0] <= step - STEPS_PER_SPAN * SPANS_KEPT:
+    def _drop_old_steps(self, index: int) -> None:
+        while self.steps and self.steps[0].index <= index - STEPS_PER_SPAN * SPANS_KEPT:
             self.steps.popleft()
--- a/rainfall/budget/fair_share.py
+++ b/rainfall/budget/fair_share.py
@@ -1,8 +1,8 @@
-"""Max-min fair division of a whole number of calls: by demand, weights, floors, and
-turns where it is scarce.
+"""Max-min fair division of a whole number of calls.
 
-All is integer arithmetic, so that equal input divides equally everywhere and the shares
-add up exactly.
+By demand, weights and floors, and in turns where calls are scarce. All of it is integer
+arithmetic, so that equal input divides equally everywhere and the shares add up
+exactly.
 """
 
 from __future__ import annotations
@@ -15,16 +15,14 @@
 from rainfall.budget.types import part_weight
 
 K = TypeVar("K")
-CREDIT_UNIT = 1_000_000  # credit is counted in millionths of a call
-MAX_CREDIT = (
-    2 * CREDIT_UNIT
-)  # owed or in debt at most: a long wait earns a turn, not a row of them
+CREDIT_UNIT = 1_000_000
+"""Credit is counted in millionths of a call."""
+MAX_CREDIT = 2 * CREDIT_UNIT
+"""Credit or debt at most: a long wait earns one turn, not a row of them."""
 
 
 class Claim(NamedTuple, Generic[K]):
-    """One taker: it is given at least `low` and at most `high`, in proportion to
-    `weight` between them.
-    """
+    """One claimant: given from `minimum` to `maximum`, by its weight between them."""
 
     key: K
     weight: int
@@ -32,76 +30,93 @@
     maximum: int
 
 
+class Filling(NamedTuple, Generic[K]):
+    """What `water_fill` gave to each claimant."""
+
+    given: dict[K, int]
+    owed: dict[K, int]
+    """What rounding owes each, in `CREDIT_UNIT`; negative for a debt."""
+
+
+class FillLevel(NamedTuple):
+    """A level as a fraction."""
+
+    numerator: int
+    denominator: int
+
+
 @dataclass(frozen=True, slots=True)
 class Division(Generic[K]):
+    """The shares of all members."""
+
     shares: dict[K, int]
     unassigned: int
-    """Not given to anybody; shares and this add up to the whole."""
+    """Given to nobody; the shares and this add up to the total."""
     credit: dict[K, int]
-    """To be handed to the next division: what rounding and turns still owe, in
-    millionths of a call.
-    """
+    """For the next division: what rounding and turns still owe, in `CREDIT_UNIT`."""
     scarce: bool
-    """Fewer calls than members with work: some have none, and are served in turn by
-    later divisions.
-    """
+    """Some members with work have no calls: later divisions serve them in turn."""
 
 
 def water_fill(
     total: int, claims: Sequence[Claim[K]], credit: Mapping[K, int]
-) -> tuple[dict[K, int], dict[K, int]]:
-    """Water-filling: each is given clamp(weight * level, low, high), with the level
-    that uses up `whole`. Rounded to whole numbers; a call left over goes where the lost
-    fraction and `credit` together are most, then by order. Returns what each is given
-    and what rounding owes each. O(n log n). ValueError where the lows are more than the
-    whole.
+) -> Filling[K]:
+    """Divide `total` by water-filling, in O(n log n).
+
+    Each is given clamp(weight * level, minimum, maximum), with the level that uses up
+    the total. Rounded to whole numbers; a call left over goes where the lost fraction
+    and `credit` together are highest, then by order.
+
+    Raises:
+        ValueError: The minimums are more than the total.
     """
-    low = sum(claim.minimum for claim in claims)
-    if low > total:
+    minimum = sum(claim.minimum for claim in claims)
+    if minimum > total:
         raise ValueError("the least parts are more than the whole")
     if sum(claim.maximum for claim in claims) <= total:
-        return {claim.key: claim.maximum for claim in claims}, {}
-    numerator, denominator = _fill_level(total, low, claims)
+        return Filling({claim.key: claim.maximum for claim in claims}, {})
+    level = _fill_level(total, minimum, claims)
     given: dict[K, int] = {}
-    lost: list[tuple[int, int, K]] = []
-    for n, claim in enumerate(claims):
-        calls, rest = divmod(claim.weight * numerator, denominator)
+    rounded_down: list[tuple[int, int, K, int]] = []
+    for order, claim in enumerate(claims):
+        calls, rest = divmod(claim.weight * level.numerator, level.denominator)
         given[claim.key] = min(max(calls, claim.minimum), claim.maximum)
         if rest and claim.minimum <= calls < claim.maximum:
-            owed = rest * CREDIT_UNIT // denominator
-            lost.append((-owed - credit.get(claim.key, 0), n, claim.key))
-    left = total - sum(given.values())
-    lost.sort(key=lambda entry: entry[:2])
-    owes = {key: -rank - credit.get(key, 0) for rank, _, key in lost}
-    for _, _, key in lost[:left]:
+            lost = rest * CREDIT_UNIT // level.denominator
+            rank = -lost - credit.get(claim.key, 0)
+            rounded_down.append((rank, order, claim.key, lost))
+    rounded_down.sort(key=lambda entry: entry[:2])
+    owed = {key: lost for _, _, key, lost in rounded_down}
+    left_over = total - sum(given.values())
+    for _, _, key, _ in rounded_down[:left_over]:
         given[key] += 1
-        owes[key] -= CREDIT_UNIT
-    return given, owes
+        owed[key] -= CREDIT_UNIT
+    return Filling(given, owed)
+
 
+def _fill_level(total: int, minimum: int, claims: Sequence[Claim[K]]) -> FillLevel:
+    """The level that uses up the total, found in one sweep.
 
-def _fill_level(total: int, low: int, claims: Sequence[Claim[K]]) -> tuple[int, int]:
-    """The level as a fraction: each taker grows with it from low/weight to high/weight,
-    one sweep.
+    Each claimant's part grows with the level from minimum/weight to maximum/weight.
     """
-    scale = math.lcm(
-        *(claim.weight for claim in claims)
-    )  # so that the turning points are whole numbers
+    # The scale makes every level at which a part starts or stops growing a whole number.
+    scale = math.lcm(*(claim.weight for claim in claims))
+    # (scaled level, change of the growing weight, change of the fixed calls)
     turns: list[tuple[int, int, int]] = []
     for claim in claims:
         if claim.maximum > claim.minimum:
-            turns.append(
-                (claim.minimum * (scale // claim.weight), claim.weight, -claim.minimum)
-            )
-            turns.append(
-                (claim.maximum * (scale // claim.weight), -claim.weight, claim.maximum)
-            )
+            step = scale // claim.weight
+            turns.append((claim.minimum * step, claim.weight, -claim.minimum))
+            turns.append((claim.maximum * step, -claim.weight, claim.maximum))
     turns.sort()
-    fixed, growing = low, 0
-    for at, grows, fixes in turns:
-        if growing and fixed * scale + growing * at >= total * scale:
+    fixed = minimum
+    growing = 0
+    for level, weight_change, fixed_change in turns:
+        if growing and fixed * scale + growing * level >= total * scale:
             break
-        growing, fixed = growing + grows, fixed + fixes
-    return (total - fixed, growing) if growing else (0, 1)
+        growing += weight_change
+        fixed += fixed_change
+    return FillLevel(total - fixed, growing) if growing else FillLevel(0, 1)
 
 
 def divide(
@@ -113,68 +128,115 @@
     credit: Mapping[K, int],
     loose: int = 0,
 ) -> Division[K]:
-    """Divide `whole` among the members of `needs` (calls wanted in a span, by typed
-    part of demand).
-
-    In this order: each keeps its floor (its reserve); each with work has `least` (or
-    all it needs), in turns by `credit` where that is more than there is; the parts
-    share by weight what their demand asks, and within a part its members share evenly;
-    what nobody needs is spread evenly as headroom, but for `loose`. Members count in
-    the order of `needs`. ValueError where the floors are more than the whole.
+    """Divide `total` calls among the members of `needs`.
+
+    In this order: each keeps its floor; each with work has `least` (or all it needs),
+    in turns by `credit` where that is more than there is; the parts share by weight
+    what their demand asks, and within a part its members share evenly; what nobody
+    needs is spread evenly as headroom, except `loose`.
+
+    Args:
+        total: Calls to divide.
+        needs: Calls wanted in a span, by member and part of demand. Members count in
+            this order.
+        weights: Of classes and tenants.
+        floors: Each member's reserve.
+        least: See above.
+        credit: The previous division's, in `CREDIT_UNIT`.
+        loose: Unneeded calls that are not spread.
+
+    Raises:
+        ValueError: The floors are more than the total.
     """
     work = {key: sum(parts.values()) for key, parts in needs.items()}
     floor = {key: floors.get(key, 0) for key in needs}
-    firsts = [Claim(k, 1, floor[k], max(floor[k], min(least, work[k]))) for k in needs]
-    base, owed = water_fill(total, firsts, credit)
-    shares = dict(base)
-    by_part: dict[str, list[Claim[K]]] = {}
-    for key in needs:
-        taken = base[key]
-        # What a member has at least serves its weightiest parts first, and counts as
-        # given to them.
-        for part in sorted(needs[key], key=lambda p: (-part_weight(p, weights), p)):
-            wanted = needs[key][part]
-            served = min(taken, wanted)
-            taken -= served
-            shares[key] -= served
-            by_part.setdefault(part, []).append(Claim(key, 1, served, wanted))
-    over = sum(shares.values())  # above all need: fixed, no part's
-    parts = [
-        Claim(
-            p,
-            part_weight(p, weights),
-            sum(w.minimum for w in by_part[p]),
-            sum(w.maximum for w in by_part[p]),
-        )
-        for p in sorted(by_part)
+    first_claims = [
+        Claim(key, 1, floor[key], max(floor[key], min(least, work[key])))
+        for key in needs
     ]
-    to_parts, _ = water_fill(total - over, parts, {})
-    for name in sorted(by_part):
-        given, owes = water_fill(to_parts[name], by_part[name], credit)
-        for key, calls in given.items():
+    base, owed = water_fill(total, first_claims, credit)
+    shares = dict(base)
+    claims_by_part = _claims_by_part(needs, weights, base, shares)
+    # What is left in `shares` is above all need: no part's.
+    part_total = total - sum(shares.values())
+    calls_by_part = _divide_between_parts(part_total, claims_by_part, weights)
+    for part in sorted(claims_by_part):
+        filling = water_fill(calls_by_part[part], claims_by_part[part], credit)
+        for key, calls in filling.given.items():
             shares[key] += calls
-        for key, millionths in owes.items():
+        for key, millionths in filling.owed.items():
             owed[key] = owed.get(key, 0) + millionths
-    unused = total - sum(shares.values())
-    kept = min(unused, loose) if needs else unused
-    spread, _ = water_fill(unused - kept, [Claim(k, 1, 0, total) for k in needs], {})
-    for key, calls in spread.items():
-        shares[key] += calls
+    unassigned = _spread_headroom(total, shares, needs, loose)
     return Division(
         shares,
-        kept,
+        unassigned,
         _carried_credit(needs, work, credit, owed),
-        any(work[k] and not shares[k] for k in needs),
+        any(work[key] and not shares[key] for key in needs),
     )
 
 
+def _claims_by_part(
+    needs: Mapping[K, Mapping[str, int]],
+    weights: Mapping[str, int],
+    base: Mapping[K, int],
+    shares: dict[K, int],
+) -> dict[str, list[Claim[K]]]:
+    """Each part's claims; what a part's minimum takes is taken out of `shares`.
+
+    What a member has at least serves its weightiest parts first.
+    """
+    claims: dict[str, list[Claim[K]]] = {}
+    for key, demand in needs.items():
+        available = base[key]
+        for part in sorted(demand, key=lambda p: (-part_weight(p, weights), p)):
+            wanted = demand[part]
+            served = min(available, wanted)
+            available -= served
+            shares[key] -= served
+            claims.setdefault(part, []).append(Claim(key, 1, served, wanted))
+    return claims
+
+
+def _divide_between_parts(
+    total: int,
+    claims_by_part: Mapping[str, Sequence[Claim[K]]],
+    weights: Mapping[str, int],
+) -> dict[str, int]:
+    """Calls of each part."""
+    claims = [
+        Claim(
+            part,
+            part_weight(part, weights),
+            sum(claim.minimum for claim in claims_by_part[part]),
+            sum(claim.maximum for claim in claims_by_part[part]),
+        )
+        for part in sorted(claims_by_part)
+    ]
+    return water_fill(total, claims, {}).given
+
+
+def _spread_headroom(
+    total: int,
+    shares: dict[K, int],
+    needs: Mapping[K, Mapping[str, int]],
+    loose: int,
+) -> int:
+    """Add what nobody needs to the shares, evenly; return what is not spread."""
+    unused = total - sum(shares.values())
+    unassigned = min(unused, loose) if needs else unused
+    claims = [Claim(key, 1, 0, total) for key in needs]
+    for key, calls in water_fill(unused - unassigned, claims, {}).given.items():
+        shares[key] += calls
+    return unassigned
+
+
 def _carried_credit(
     needs: Mapping[K, Mapping[str, int]],
     work: Mapping[K, int],
     credit: Mapping[K, int],
     owed: Mapping[K, int],
 ) -> dict[K, int]:
-    """Credit is earned by waiting with work; without work none is kept, but a debt is."""
+    """Credit is earned by waiting with work; without work only a debt is carried."""
     carried: dict[K, int] = {}
     for key in needs:
         now = credit.get(key, 0) + owed.get(key, 0)
