--- a/rainfall/budget/config.py
+++ b/rainfall/budget/config.py
@@ -1,33 +1,69 @@
-"""Budgets as configured and a beat's part as sent: checked whole, every fault with its
-path.
+"""Decoding of budgets as configured, and of a heartbeat's part about budgets.
+
+Input is checked as a whole; every fault is reported with its path.
 """
 
 from __future__ import annotations
 
 import math
-from typing import Any
+from collections.abc import Iterator
+from typing import Any, NamedTuple
 
-from rainfall.budget.types import Budget
+from rainfall.budget.types import PART_SEPARATOR, Budget, HeldShare
 from rainfall.errors import RainfallError
 
 MAX_BUDGETS = 10_000
 MAX_PARTS = 64
+"""Weights of one budget, and parts of one destination's demand."""
 CALLS_LIMIT = 1 << 40
-INTEGER_BOUNDS = {  # name: (least, most); times in ms
-    "calls": (1, CALLS_LIMIT),
-    "span_ms": (1, 86_400_000),
-    "reserve": (0, CALLS_LIMIT),
-    "members_max": (1, 100_000),
-    "least": (1, CALLS_LIMIT),
-    "pause_ms": (0, 3_600_000),
-    "slack_ms": (0, 60_000),
+"""The highest number of calls, and of a share."""
+WEIGHT_LIMIT = 1_000
+NAME_LENGTH_LIMIT = 200
+US_PER_MS = 1_000
+HELD_SHARE_FIELDS = 2
+
+
+class IntegerBounds(NamedTuple):
+    """The values that a whole number may have, both ends included."""
+
+    lowest: int
+    highest: int
+
+
+class FractionBounds(NamedTuple):
+    """The values that a share may have, both ends included."""
+
+    lowest: float
+    highest: float
+
+
+INTEGER_BOUNDS = {
+    "calls": IntegerBounds(1, CALLS_LIMIT),
+    "span_ms": IntegerBounds(1, 86_400_000),
+    "reserve": IntegerBounds(0, CALLS_LIMIT),
+    "members_max": IntegerBounds(1, 100_000),
+    "least": IntegerBounds(1, CALLS_LIMIT),
+    "pause_ms": IntegerBounds(0, 3_600_000),
+    "slack_ms": IntegerBounds(0, 60_000),
+}
+"""By field of a configured budget; times in milliseconds."""
+FRACTION_BOUNDS = {
+    "change": FractionBounds(0.0, 1.0),
+    "loose": FractionBounds(0.0, 0.5),
 }
-FRACTION_BOUNDS = {"change": (0.0, 1.0), "loose": (0.0, 0.5)}
+REQUIRED_INTEGERS = ("calls", "span_ms", "members_max")
+WEIGHT_BOUNDS = IntegerBounds(1, WEIGHT_LIMIT)
+REPORTED_BOUNDS = IntegerBounds(0, CALLS_LIMIT)
+"""Of the numbers in a heartbeat."""
 DEFAULT_BUDGET = Budget("", 1, 1)
 
 
 class BudgetConfigError(RainfallError, ValueError):
-    """What cannot be taken. `faults`: each with its path."""
+    """Input that cannot be accepted.
+
+    Attributes:
+        faults: Each fault with its path.
+    """
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -35,151 +71,182 @@
 
 
 def parse_budgets(raw: Any, path: str = "budgets") -> tuple[Budget, ...]:
-    """From configuration: a list of {destination, calls, span_ms, reserve?,
-    members_max, weights?, least?, change?, loose?, pause_ms?, slack_ms?}. Raises Faults
-    with every fault.
+    """Decode configured budgets.
+
+    Args:
+        raw: A list of {destination, calls, span_ms, reserve?, members_max, weights?,
+            least?, change?, loose?, pause_ms?, slack_ms?}.
+        path: Where the list stands, for faults.
+
+    Raises:
+        BudgetConfigError: With every fault.
     """
     if not isinstance(raw, list) or len(raw) > MAX_BUDGETS:
         raise BudgetConfigError([f"{path}: a list of at most {MAX_BUDGETS} budgets"])
     faults: list[str] = []
     found: dict[str, Budget] = {}
-    for n, entry in enumerate(raw):
-        where = f"{path}[{n}]"
-        before = len(faults)
-        faults.extend(_entry_faults(entry, where))
-        if len(faults) > before:
+    for index, entry in enumerate(raw):
+        entry_path = f"{path}[{index}]"
+        entry_faults = _entry_faults(entry, entry_path)
+        if entry_faults:
+            faults.extend(entry_faults)
             continue
-        if entry["destination"] in found:
-            faults.append(
-                f"{where}.destination: {entry['destination']} has a budget already"
-            )
-        found[entry["destination"]] = _to_budget(entry)
+        destination = entry["destination"]
+        if destination in found:
+            fault = f"{entry_path}.destination: {destination} has a budget already"
+            faults.append(fault)
+        found[destination] = _to_budget(entry)
     if faults:
         raise BudgetConfigError(faults)
     return tuple(found.values())
 
 
 def _to_budget(entry: dict[str, Any]) -> Budget:
+    """The table from configured fields to a budget's."""
     return Budget(
-        entry["destination"],
-        entry["calls"],
-        entry["span_ms"] * 1000,
-        entry.get("reserve", 0),
-        entry["members_max"],
-        dict(entry.get("weights", {})),
-        entry.get("least", DEFAULT_BUDGET.least),
-        entry.get("change", DEFAULT_BUDGET.change),
-        entry.get("loose", DEFAULT_BUDGET.loose),
-        entry["pause_ms"] * 1000 if "pause_ms" in entry else DEFAULT_BUDGET.pause_us,
-        entry["slack_ms"] * 1000 if "slack_ms" in entry else DEFAULT_BUDGET.slack_us,
+        destination=entry["destination"],
+        calls=entry["calls"],
+        span_us=entry["span_ms"] * US_PER_MS,
+        reserve=entry.get("reserve", 0),
+        members_max=entry["members_max"],
+        weights=dict(entry.get("weights", {})),
+        least=entry.get("least", DEFAULT_BUDGET.least),
+        change=entry.get("change", DEFAULT_BUDGET.change),
+        loose=entry.get("loose", DEFAULT_BUDGET.loose),
+        pause_us=_time_us(entry, "pause_ms", DEFAULT_BUDGET.pause_us),
+        slack_us=_time_us(entry, "slack_ms", DEFAULT_BUDGET.slack_us),
     )
 
 
-def _entry_faults(entry: Any, where: str) -> list[str]:
+def _time_us(entry: dict[str, Any], name: str, default_us: int) -> int:
+    return entry[name] * US_PER_MS if name in entry else default_us
+
+
+def _entry_faults(entry: Any, path: str) -> list[str]:
     if not isinstance(entry, dict):
-        return [f"{where}: an object"]
+        return [f"{path}: an object"]
     faults: list[str] = []
     if not _is_name(entry.get("destination")):
-        faults.append(f"{where}.destination: a name of 1 to 200 characters")
-    for name, (low, top) in INTEGER_BOUNDS.items():
-        needed = name in ("calls", "span_ms", "members_max")
-        if (needed or name in entry) and not _is_integer_within(
-            entry.get(name), low, top
-        ):
-            faults.append(f"{where}.{name}: a whole number from {low} to {top}")
-    for name, (least, most) in FRACTION_BOUNDS.items():
-        value = entry.get(name, least)
-        fits = (
+        faults.append(f"{path}.destination: a name of 1 to 200 characters")
+    faults.extend(_integer_faults(entry, path))
+    faults.extend(_fraction_faults(entry, path))
+    faults.extend(_weight_faults(entry.get("weights", {}), path))
+    known = {"destination", "weights", *INTEGER_BOUNDS, *FRACTION_BOUNDS}
+    faults.extend(f"{path}.{name}: not known" for name in sorted(set(entry) - known))
+    return faults or _combination_faults(entry, path)
+
+
+def _integer_faults(entry: dict[str, Any], path: str) -> Iterator[str]:
+    for name, bounds in INTEGER_BOUNDS.items():
+        if name not in entry and name not in REQUIRED_INTEGERS:
+            continue
+        if not _is_integer_within(entry.get(name), bounds):
+            yield f"{path}.{name}: a whole number from {bounds.lowest} to {bounds.highest}"
+
+
+def _fraction_faults(entry: dict[str, Any], path: str) -> Iterator[str]:
+    for name, bounds in FRACTION_BOUNDS.items():
+        value = entry.get(name, bounds.lowest)
+        is_number = (
             isinstance(value, int | float)
             and not isinstance(value, bool)
             and math.isfinite(value)
         )
-        if not fits or not least <= value <= most:
-            faults.append(f"{where}.{name}: a number from {least} to {most}")
-    weights = entry.get("weights", {})
+        if not is_number or not bounds.lowest <= value <= bounds.highest:
+            yield f"{path}.{name}: a number from {bounds.lowest} to {bounds.highest}"
+
+
+def _weight_faults(weights: Any, path: str) -> list[str]:
     if not isinstance(weights, dict) or len(weights) > MAX_PARTS:
-        faults.append(f"{where}.weights: an object of at most {MAX_PARTS} weights")
-    else:
-        faults.extend(
-            f"{where}.weights.{name}: a whole number from 1 to 1000"
-            for name in sorted(weights)
-            if not _is_integer_within(weights[name], 1, 1000)
-        )
-        faults.extend(
-            f"{where}.weights.{name}: a class or a tenant, without /"
-            for name in sorted(weights)
-            if "/" in name
-        )
-    known = {"destination", "weights", *INTEGER_BOUNDS, *FRACTION_BOUNDS}
-    faults.extend(f"{where}.{name}: not known" for name in sorted(set(entry) - known))
-    return faults or _combination_faults(entry, where)
+        return [f"{path}.weights: an object of at most {MAX_PARTS} weights"]
+    invalid_weights = [
+        f"{path}.weights.{name}: a whole number from 1 to 1000"
+        for name in sorted(weights)
+        if not _is_integer_within(weights[name], WEIGHT_BOUNDS)
+    ]
+    invalid_names = [
+        f"{path}.weights.{name}: a class or a tenant, without /"
+        for name in sorted(weights)
+        if PART_SEPARATOR in name
+    ]
+    return invalid_weights + invalid_names
 
 
-def _combination_faults(entry: dict[str, Any], where: str) -> list[str]:
+def _combination_faults(entry: dict[str, Any], path: str) -> list[str]:
+    """Faults of fields that are valid each by itself."""
     faults: list[str] = []
-    calls, reserve, members = (
-        entry["calls"],
-        entry.get("reserve", 0),
-        entry["members_max"],
-    )
+    calls = entry["calls"]
+    reserve = entry.get("reserve", 0)
+    members = entry["members_max"]
     if reserve * members > calls:
         faults.append(
-            f"{where}.reserve: {reserve} for each of {members} members are {reserve * members},"
+            f"{path}.reserve: {reserve} for each of {members} members are {reserve * members},"
             f" more than the whole of {calls}"
         )
     if entry.get("least", 1) > calls:
-        faults.append(f"{where}.least: more than the whole of {calls}")
+        faults.append(f"{path}.least: more than the whole of {calls}")
     if entry.get("slack_ms", 0) > entry["span_ms"]:
-        faults.append(f"{where}.slack_ms: more than the span of {entry['span_ms']}")
+        faults.append(f"{path}.slack_ms: more than the span of {entry['span_ms']}")
     return faults
 
 
 def parse_demand(raw: Any) -> dict[str, dict[str, int]]:
-    """A beat's `needs`: {destination: calls, or {part: calls}}. Raises Faults."""
+    """Decode a heartbeat's `needs`: {destination: calls, or {part: calls}}.
+
+    Raises:
+        BudgetConfigError: With every fault.
+    """
     if not isinstance(raw, dict) or len(raw) > MAX_BUDGETS:
         raise BudgetConfigError(
             [f"needs: an object of at most {MAX_BUDGETS} destinations"]
         )
     faults: list[str] = []
-    needs: dict[str, dict[str, int]] = {}
-    for name, told in raw.items():
-        parts = told if isinstance(told, dict) else {"": told}
+    demand: dict[str, dict[str, int]] = {}
+    for destination, value in raw.items():
+        parts = value if isinstance(value, dict) else {"": value}
         if len(parts) > MAX_PARTS:
-            faults.append(f"needs.{name}: at most {MAX_PARTS} parts")
+            faults.append(f"needs.{destination}: at most {MAX_PARTS} parts")
         for part, calls in parts.items():
-            if not _is_integer_within(calls, 0, CALLS_LIMIT):
-                faults.append(
-                    f"needs.{name}{'.' * bool(part)}{part}: a whole number from 0 to {CALLS_LIMIT}"
-                )
-        needs[name] = parts
+            if not _is_integer_within(calls, REPORTED_BOUNDS):
+                path = f"needs.{destination}.{part}" if part else f"needs.{destination}"
+                faults.append(f"{path}: a whole number from 0 to {CALLS_LIMIT}")
+        demand[destination] = parts
     if faults:
         raise BudgetConfigError(faults)
-    return needs
+    return demand
 
 
-def parse_held_shares(raw: Any) -> dict[str, tuple[int, int]]:
-    """A beat's `holds`: {destination: [calls, number]}. Raises Faults."""
+def parse_held_shares(raw: Any) -> dict[str, HeldShare]:
+    """Decode a heartbeat's `holds`: {destination: [calls, number]}.
+
+    Raises:
+        BudgetConfigError: With every fault.
+    """
     if not isinstance(raw, dict) or len(raw) > MAX_BUDGETS:
         raise BudgetConfigError(
             [f"holds: an object of at most {MAX_BUDGETS} destinations"]
         )
     faults = [
-        f"holds.{name}: [calls, number], whole numbers from 0 to {CALLS_LIMIT}"
-        for name, told in raw.items()
-        if not (
-            isinstance(told, list)
-            and len(told) == 2
-            and all(_is_integer_within(n, 0, CALLS_LIMIT) for n in told)
-        )
+        f"holds.{destination}: [calls, number], whole numbers from 0 to {CALLS_LIMIT}"
+        for destination, value in raw.items()
+        if not _is_held_share(value)
     ]
     if faults:
         raise BudgetConfigError(faults)
-    return {name: (told[0], told[1]) for name, told in raw.items()}
+    return {destination: (value[0], value[1]) for destination, value in raw.items()}
+
+
+def _is_held_share(value: Any) -> bool:
+    return (
+        isinstance(value, list)
+        and len(value) == HELD_SHARE_FIELDS
+        and all(_is_integer_within(number, REPORTED_BOUNDS) for number in value)
+    )
 
 
-def _is_integer_within(value: Any, low: int, top: int) -> bool:
-    return type(value) is int and low <= value <= top
+def _is_integer_within(value: Any, bounds: IntegerBounds) -> bool:
+    return type(value) is int and bounds.lowest <= value <= bounds.highest
 
 
 def _is_name(value: Any) -> bool:
-    return isinstance(value, str) and 0 < len(value) <= 200
+    return isinstance(value, str) and 0 < len(value) <= NAME_LENGTH_LIMIT
--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -1,16 +1,17 @@
-"""All budgets at the list service: members come and go, beats acknowledge, plans become
-durable, then told.
+"""All budgets at the list service: members, their heartbeats, and the shares granted.
 
-Sans I/O, like registry/core.py: `plan` prepares a change, its line goes to disk,
-`commit` takes it into force; only what is committed is told. The caller decides who is
-a member and when a lease is surely out.
+Without I/O: `plan` prepares a change, the caller writes its record to disk, `commit`
+puts it in force; only what is committed is answered. The caller decides who is a member
+and when a lease has expired on every clock.
+
+All times are of the service's clock, in microseconds.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.budget.account import (
     AccountState,
@@ -19,80 +20,116 @@
     QuotaGrant,
 )
 from rainfall.budget.rebalancing import Allocation, next_grants, rebalance
-from rainfall.budget.types import Budget, Share, widen_for_drift
+from rainfall.budget.types import Budget, HeldShare, Share, widen_for_drift
 from rainfall.lease.fencing_token import Token
 
+UNCONFIGURED_CALLS = 1
+"""Total and span of a budget that is on disk but not configured: nothing is granted."""
+UNCONFIGURED_SPAN_US = 1
+
 
 @dataclass(frozen=True, slots=True)
 class MemberGrant:
+    """One grant of one budget to one process."""
+
     destination: str
     name: str
     token: Token
     grant: QuotaGrant
 
+    def to_row(self) -> list[Any]:
+        """Its row in a change's record."""
+        grant = self.grant
+        return [
+            self.destination,
+            self.name,
+            self.token.to_wire(),
+            grant.number,
+            grant.calls,
+            grant.reserve,
+        ]
+
+    @staticmethod
+    def from_row(row: Iterable[Any]) -> MemberGrant:
+        """Decode a row of `to_row`."""
+        destination, name, token, number, calls, reserve = row
+        return MemberGrant(
+            str(destination),
+            str(name),
+            Token.from_wire(token),
+            QuotaGrant(int(number), int(calls), int(reserve)),
+        )
+
+
+class AccountEnd(NamedTuple):
+    """A process's account of one budget that is not active any more."""
+
+    destination: str
+    token: Token
+    state: AccountState
+
+    def to_row(self) -> list[Any]:
+        """Its row in a change's record."""
+        return [self.destination, self.token.to_wire(), self.state.value]
+
+    @staticmethod
+    def from_row(row: Iterable[Any]) -> AccountEnd:
+        """Decode a row of `to_row`."""
+        destination, token, state = row
+        return AccountEnd(str(destination), Token.from_wire(token), AccountState(state))
+
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What goes to disk as one: new shares, and ends of processes that others' new
-    shares rest on.
+    """What goes to disk as one record.
+
+    New shares, and the ends of processes that other processes' new shares depend on.
     """
 
     number: int
     grants: tuple[MemberGrant, ...]
-    ends: tuple[tuple[str, Token, AccountState], ...]
+    ends: tuple[AccountEnd, ...]
     opened: bool = True
     new_reserves_blocked: bool = False
 
     def to_record(self) -> dict[str, Any]:
+        """The form on disk, for JSON."""
         return {
             "budgets": self.number,
             "opened": self.opened,
             "shut": self.new_reserves_blocked,
-            "grants": [
-                [
-                    g.destination,
-                    g.name,
-                    g.token.to_wire(),
-                    g.grant.number,
-                    g.grant.calls,
-                    g.grant.reserve,
-                ]
-                for g in self.grants
-            ],
-            "ends": [
-                [destination, token.to_wire(), state.value]
-                for destination, token, state in self.ends
-            ],
+            "grants": [grant.to_row() for grant in self.grants],
+            "ends": [end.to_row() for end in self.ends],
         }
 
     @staticmethod
     def from_record(raw: Mapping[str, Any]) -> Change:
+        """Decode a record.
+
+        Raises:
+            KeyError, TypeError, ValueError: `raw` is no record of a change.
+        """
         return Change(
             int(raw["budgets"]),
-            tuple(
-                MemberGrant(
-                    str(d),
-                    str(n),
-                    Token.from_wire(t),
-                    QuotaGrant(int(a), int(c), int(r)),
-                )
-                for d, n, t, a, c, r in raw["grants"]
-            ),
-            tuple(
-                (str(d), Token.from_wire(t), AccountState(s)) for d, t, s in raw["ends"]
-            ),
+            tuple(MemberGrant.from_row(row) for row in raw["grants"]),
+            tuple(AccountEnd.from_row(row) for row in raw["ends"]),
             bool(raw["opened"]),
             bool(raw["shut"]),
         )
 
 
 class Ledger:
-    """`lease_us`: the longest lease there is.
-
-    Where `sure` is not said (folder lost, or perhaps an older copy), nothing is granted
-    until every lease and window that may be unknown here is over, and no reserve to a
-    process that does not say it had one, until the operator says that all who have are
-    known.
+    """The budgets, their accounts and their division.
+
+    Args:
+        budgets: Checked budgets.
+        max_lease_us: The longest lease there is.
+        drift: The share by which the rates of two clocks may differ.
+        now_us: The present time.
+        sure: The folder is known to be complete. Otherwise (it was lost, or may be an
+            older copy) nothing is granted until every lease and window that may be
+            unknown here is over, and no process gets its first reserve until an
+            operator confirms that all who have one are known.
     """
 
     def __init__(
@@ -103,54 +140,64 @@
         now_us: int,
         sure: bool = False,
     ) -> None:
-        self.max_lease_us, self.drift = max_lease_us, drift
-        self.grants_from_us = (
-            now_us if sure else now_us + widen_for_drift(max_lease_us, drift)
-        )
-        self.sure = self.opened = sure
+        self.max_lease_us = max_lease_us
+        self.drift = drift
+        unknown_lease_us = 0 if sure else widen_for_drift(max_lease_us, drift)
+        self.grants_from_us = now_us + unknown_lease_us
+        self.sure = sure
+        self.opened = sure
+        """Whether grants of all budgets have begun."""
         self.new_reserves_blocked = not sure
         self.persisted = True
+        """Whether `opened` and `new_reserves_blocked` are on disk."""
         self.budget_accounts: dict[str, BudgetAccounts] = {}
         self.allocations: dict[str, Allocation] = {}
         self.names: dict[Token, str] = {}
+        """Names of the processes in force."""
         self.presumed_until_us: dict[Token, int] = {}
-        """Restored, and not heard of since: their leases are surely out then."""
+        """When the leases expire of processes restored and not heard of since."""
         self.number = 0
         self.pending: Change | None = None
         self.configure(budgets, now_us)
 
     def configure(self, budgets: Iterable[Budget], now_us: int) -> None:
-        """Take checked budgets into force.
+        """Put checked budgets in force.
 
-        One no longer named is told to nobody, but what was granted of it goes on being
+        One that is not named any more is not answered, but what was granted of it stays
         counted, so that it can come back.
         """
-        named = {b.destination: b for b in budgets}
-        for destination, budget in sorted(named.items()):
-            book = self.budget_accounts.get(destination)
-            if book is None:
+        configured = {budget.destination: budget for budget in budgets}
+        for destination, budget in sorted(configured.items()):
+            accounts = self.budget_accounts.get(destination)
+            if accounts is None:
                 self._add_budget(budget)
                 continue
-            if budget.calls < book.budget.calls:
+            if budget.calls < accounts.budget.calls:
                 self.allocations[destination].total_lowered = True
-            book.configure(budget, now_us)
-        for destination, book in self.budget_accounts.items():
-            book.deconfigured = destination not in named
+            accounts.configure(budget, now_us)
+        for destination, accounts in self.budget_accounts.items():
+            accounts.deconfigured = destination not in configured
 
     def _add_budget(self, budget: Budget) -> BudgetAccounts:
-        opens_us = self.grants_from_us + (
-            0 if self.sure else budget.window_us(self.drift)
-        )
-        book = self.budget_accounts[budget.destination] = BudgetAccounts(
-            budget, self.drift, opens_us
-        )
-        book.new_reserves_blocked = self.new_reserves_blocked
-        book.accounts = {t: MemberAccount(name, t) for t, name in self.names.items()}
+        unknown_window_us = 0 if self.sure else budget.window_us(self.drift)
+        opens_us = self.grants_from_us + unknown_window_us
+        accounts = BudgetAccounts(budget, self.drift, opens_us)
+        accounts.new_reserves_blocked = self.new_reserves_blocked
+        accounts.accounts = {
+            token: MemberAccount(name, token) for token, name in self.names.items()
+        }
+        self.budget_accounts[budget.destination] = accounts
         self.allocations[budget.destination] = Allocation()
-        return book
+        return accounts
 
-    # -- members
-    # ------------------------------------------------------------------------------------------
+    def accounts_for(self, destination: str) -> BudgetAccounts:
+        """The accounts of a destination, deconfigured where it has no budget."""
+        accounts = self.budget_accounts.get(destination)
+        if accounts is None:
+            budget = Budget(destination, UNCONFIGURED_CALLS, UNCONFIGURED_SPAN_US)
+            accounts = self._add_budget(budget)
+            accounts.deconfigured = True
+        return accounts
 
     def member_joined(
         self,
@@ -162,120 +209,112 @@
     ) -> None:
         """A process is in force under this token.
 
-        `follows`: the token it, or the process whose folder it took over under lock,
-        had before, and the reserves it `keeps` from then. May be said again; is said
-        for all members after a restart.
+        May be repeated, and is called for all members after a restart.
+
+        Args:
+            token: The process's token.
+            name: The member's name.
+            follows: The token that the process had before, or the process whose folder
+                it took over under lock.
+            now_us: The present time.
+            keeps: The reserves, by destination, that it keeps from then.
         """
         self.names[token] = name
         self.presumed_until_us.pop(token, None)
-        for destination, book in self.budget_accounts.items():
-            account = book.accounts.setdefault(token, MemberAccount(name, token))
-            if follows is not None and follows != token:
-                book.transfer_reserve(
-                    account,
-                    book.accounts.get(follows),
-                    (keeps or {}).get(destination, 0),
-                    now_us,
-                )
-        if follows is not None and follows != token:
-            self.names.pop(follows, None)
+        predecessor_token = follows if follows != token else None
+        for destination, accounts in self.budget_accounts.items():
+            account = accounts.accounts.setdefault(token, MemberAccount(name, token))
+            if predecessor_token is not None:
+                predecessor = accounts.accounts.get(predecessor_token)
+                kept_reserve = (keeps or {}).get(destination, 0)
+                accounts.transfer_reserve(account, predecessor, kept_reserve, now_us)
+        if predecessor_token is not None:
+            self.names.pop(predecessor_token, None)
 
     def heartbeat(
         self,
         token: Token,
         needs: Mapping[str, Mapping[str, int]],
-        holds: Mapping[str, tuple[int, int]],
+        holds: Mapping[str, HeldShare],
         now_us: int,
     ) -> bool:
-        """A beat as it arrives: calls needed in a span by destination and part, (calls,
-        number) held. False where no such process is in force: it is to be told that it
-        is lost.
+        """Take a heartbeat.
+
+        Args:
+            token: The process's token.
+            needs: Calls wanted in a span, by destination and part.
+            holds: The newest share that it holds, by destination.
+            now_us: The present time.
+
+        Returns:
+            False where no such process is in force: it has lost its lease.
         """
         if token not in self.names:
             return False
         self.presumed_until_us.pop(token, None)
-        for destination, book in self.budget_accounts.items():
-            account = book.accounts[token]
-            book.set_demand(account, needs.get(destination, {}))
+        for destination, accounts in self.budget_accounts.items():
+            account = accounts.accounts[token]
+            accounts.set_demand(account, needs.get(destination, {}))
             if destination in holds:
-                book.acknowledge(account, *holds[destination], now_us)
+                calls, number = holds[destination]
+                accounts.acknowledge(account, calls, number, now_us)
         return True
 
     def lease_expired(self, token: Token, now_us: int) -> None:
-        """Its lease is surely out by this clock: only its reserve acts."""
+        """The process's lease has expired on every clock: it uses its reserve only."""
         self._end_accounts(token, BudgetAccounts.expire, now_us)
 
     def process_ended(self, token: Token, now_us: int) -> None:
-        """The process is surely at its end: it said so last of all, or the operator
-        did.
-        """
+        """The process has surely ended, by its own last message or an operator's."""
         self._end_accounts(token, BudgetAccounts.end, now_us)
 
     def confirm_reserves(self) -> None:
-        """The operator's word after a lost folder: no process that was cut off through
-        it has a reserve that is not listed in `state`. New processes are given theirs
-        again.
+        """Let processes get their first reserve again.
+
+        An operator confirms, after a lost folder, that every process with a reserve is
+        listed in `status`.
         """
         self.persisted = self.persisted and not self.new_reserves_blocked
         self.new_reserves_blocked = False
-        for book in self.budget_accounts.values():
-            book.new_reserves_blocked = False
+        for accounts in self.budget_accounts.values():
+            accounts.new_reserves_blocked = False
 
-    def _end_accounts(self, token: Token, how: Any, now_us: int) -> None:
+    def _end_accounts(
+        self,
+        token: Token,
+        end: Callable[[BudgetAccounts, MemberAccount, int], None],
+        now_us: int,
+    ) -> None:
         self.names.pop(token, None)
         self.presumed_until_us.pop(token, None)
-        for book in self.budget_accounts.values():
-            if token in book.accounts:
-                how(book, book.accounts[token], now_us)
-
-    # -- shares
-    # -------------------------------------------------------------------------------------------
+        for accounts in self.budget_accounts.values():
+            if token in accounts.accounts:
+                end(accounts, accounts.accounts[token], now_us)
 
     def plan(self, now_us: int, frozen: bool = False) -> Change | None:
-        """The next change, to be written and then committed, or None where nothing is
-        due. While one is pending it is returned again: a write that failed may have
-        reached the disk, so it is repeated, never replaced. `frozen`: nothing is
-        divided or moved. O(members log members) for each budget.
+        """The next change, to be written and then committed; None if nothing is due.
+
+        While one is pending it is returned again: a write that failed may have reached
+        the disk, so it is repeated, never replaced. O(members log members) for each
+        budget.
+
+        Args:
+            now_us: The present time.
+            frozen: Nothing is divided or moved.
         """
         if self.pending is not None:
             return self.pending
-        if not self.opened and all(
-            now_us >= book.grants_from_us for book in self.budget_accounts.values()
-        ):
-            self.opened, self.persisted = True, False
-        for token in sorted(
-            t for t, until in self.presumed_until_us.items() if until <= now_us
-        ):
-            self.lease_expired(token, now_us)
+        self._open(now_us)
+        self._expire_presumed(now_us)
         grants: list[MemberGrant] = []
-        ends: list[tuple[str, Token, AccountState]] = []
-        for destination, book in sorted(self.budget_accounts.items()):
-            book.prune(now_us)
-            news = [a for a in book.accounts.values() if not a.persisted]
-            grants.extend(
-                MemberGrant(destination, a.name, a.token, g)
-                for a in news
-                if a.state is AccountState.ACTIVE
-                for g in a.grants
-            )
-            ends.extend(
-                (destination, a.token, a.state)
-                for a in news
-                if a.state is not AccountState.ACTIVE
-            )
-            if (
-                frozen
-                or book.deconfigured
-                or not self.opened
-                or now_us < book.grants_from_us
-            ):
-                continue
-            rebalance(self.allocations[destination], book, now_us)
-            steps = next_grants(self.allocations[destination], book, now_us)
-            grants.extend(
-                MemberGrant(destination, book.accounts[t].name, t, g)
-                for t, g in sorted(steps.items())
-            )
+        ends: list[AccountEnd] = []
+        for destination, accounts in sorted(self.budget_accounts.items()):
+            accounts.prune(now_us)
+            unpersisted = [a for a in accounts.accounts.values() if not a.persisted]
+            grants.extend(_grants_in_use(destination, unpersisted))
+            ends.extend(_ends(destination, unpersisted))
+            if not frozen and self._may_grant(accounts, now_us):
+                grants.extend(self._next_grants(destination, accounts, now_us))
         if grants or ends or not self.persisted:
             self.pending = Change(
                 self.number + 1,
@@ -287,36 +326,70 @@
             self.persisted = True
         return self.pending
 
+    def _open(self, now_us: int) -> None:
+        """Begin to grant once the wait of every budget is over."""
+        if not self.opened and all(
+            now_us >= accounts.grants_from_us
+            for accounts in self.budget_accounts.values()
+        ):
+            self.opened = True
+            self.persisted = False
+
+    def _expire_presumed(self, now_us: int) -> None:
+        expired = sorted(
+            token
+            for token, until_us in self.presumed_until_us.items()
+            if until_us <= now_us
+        )
+        for token in expired:
+            self.lease_expired(token, now_us)
+
+    def _may_grant(self, accounts: BudgetAccounts, now_us: int) -> bool:
+        if accounts.deconfigured or not self.opened:
+            return False
+        return now_us >= accounts.grants_from_us
+
+    def _next_grants(
+        self, destination: str, accounts: BudgetAccounts, now_us: int
+    ) -> list[MemberGrant]:
+        """Divide a budget anew where there is cause, and move towards its division."""
+        allocation = self.allocations[destination]
+        rebalance(allocation, accounts, now_us)
+        grants = next_grants(allocation, accounts, now_us)
+        return [
+            MemberGrant(destination, accounts.accounts[token].name, token, grant)
+            for token, grant in sorted(grants.items())
+        ]
+
     def commit(self, change: Change) -> None:
-        """Take a change that is on disk into force: the next one, or while restoring,
-        any in its order.
+        """Put a change that is on disk in force.
+
+        The next one, or while restoring, any in its order.
         """
-        self.pending, self.number = None, change.number
-        for g in change.grants:
-            account = self.budget_accounts[g.destination].accounts.get(g.token)
-            if account is None or account.state is not AccountState.ACTIVE:
-                continue  # ended while it was written: it is never told
-            if g.grant in account.grants:
-                account.persisted = True  # a reserve that moved to it is on disk now
-            elif not g.grant.number and not account.acknowledged_number:
-                account.grants.insert(0, g.grant)
-            elif g.grant.number > account.newest_number():
-                account.add_grant(g.grant)
-        for destination, token, state in change.ends:
-            account = self.budget_accounts[destination].accounts.get(token)
-            if account is not None and account.state is state:
+        self.pending = None
+        self.number = change.number
+        for member_grant in change.grants:
+            accounts = self.budget_accounts[member_grant.destination]
+            account = accounts.accounts.get(member_grant.token)
+            # A process that ended meanwhile never receives the grant.
+            if account is not None and account.state is AccountState.ACTIVE:
+                _commit_grant(account, member_grant.grant)
+        for end in change.ends:
+            account = self.budget_accounts[end.destination].accounts.get(end.token)
+            if account is not None and account.state is end.state:
                 account.persisted = True
 
     def shares_for(self, token: Token) -> dict[str, Share]:
-        """What a member is answered; valid as long as its lease.
+        """What a member is answered by destination; valid as long as its lease.
 
-        A budget that is not in it is no longer renewed.
+        A budget that is not among them is no longer renewed.
         """
         shares: dict[str, Share] = {}
-        for destination, book in sorted(self.budget_accounts.items()):
-            account, budget = book.accounts.get(token), book.budget
+        for destination, accounts in sorted(self.budget_accounts.items()):
+            account = accounts.accounts.get(token)
+            budget = accounts.budget
             if (
-                book.deconfigured
+                accounts.deconfigured
                 or account is None
                 or account.state is not AccountState.ACTIVE
                 or not account.newest_number()
@@ -335,34 +408,68 @@
         return shares
 
     def status(self, now_us: int) -> dict[str, Any]:
-        """For `/_vars` and log lines, by destination."""
-        told: dict[str, Any] = {}
-        for destination, book in sorted(self.budget_accounts.items()):
-            aim = self.allocations[destination]
-            told[destination] = {
-                "whole": book.budget.calls,
-                "counted": book.committed_calls(),
-                "free": book.free_calls({}),
-                "cooling": sum(c for _, c in book.cooling),
-                "set_aside": book.unassigned_reserve(),
-                "scarce": aim.scarce,
-                "why": aim.reason,
-                "opens_in_us": max(0, book.grants_from_us - now_us),
-                "shut": book.new_reserves_blocked,
-                "members": [
-                    {
-                        "name": a.name,
-                        "token": t.to_wire(),
-                        "state": a.state.value,
-                        "calls": a.granted_calls(),
-                        "acts_on": a.usable_calls(),
-                        "number": a.newest_number(),
-                        "acked": a.acknowledged_number,
-                        "reserve": a.reserve(),
-                        "aim": aim.target_shares.get(t, 0),
-                        "needs": a.total_demand(),
-                    }
-                    for t, a in sorted(book.accounts.items())
-                ],
-            }
-        return told
+        """The state by destination, for `/_vars` and the log."""
+        return {
+            destination: _budget_status(accounts, self.allocations[destination], now_us)
+            for destination, accounts in sorted(self.budget_accounts.items())
+        }
+
+
+def _grants_in_use(
+    destination: str, accounts: Iterable[MemberAccount]
+) -> Iterator[MemberGrant]:
+    for account in accounts:
+        if account.state is AccountState.ACTIVE:
+            for grant in account.grants:
+                yield MemberGrant(destination, account.name, account.token, grant)
+
+
+def _ends(destination: str, accounts: Iterable[MemberAccount]) -> Iterator[AccountEnd]:
+    for account in accounts:
+        if account.state is not AccountState.ACTIVE:
+            yield AccountEnd(destination, account.token, account.state)
+
+
+def _commit_grant(account: MemberAccount, grant: QuotaGrant) -> None:
+    if grant in account.grants:
+        # A reserve that moved to the account is on disk now.
+        account.persisted = True
+    elif not grant.number and not account.acknowledged_number:
+        account.grants.insert(0, grant)
+    elif grant.number > account.newest_number():
+        account.add_grant(grant)
+
+
+def _budget_status(
+    accounts: BudgetAccounts, allocation: Allocation, now_us: int
+) -> dict[str, Any]:
+    return {
+        "whole": accounts.budget.calls,
+        "counted": accounts.committed_calls(),
+        "free": accounts.free_calls({}),
+        "cooling": accounts.cooling_calls(),
+        "set_aside": accounts.unassigned_reserve(),
+        "scarce": allocation.scarce,
+        "why": allocation.reason,
+        "opens_in_us": max(0, accounts.grants_from_us - now_us),
+        "shut": accounts.new_reserves_blocked,
+        "members": [
+            _account_status(account, allocation)
+            for _, account in sorted(accounts.accounts.items())
+        ],
+    }
+
+
+def _account_status(account: MemberAccount, allocation: Allocation) -> dict[str, Any]:
+    return {
+        "name": account.name,
+        "token": account.token.to_wire(),
+        "state": account.state.value,
+        "calls": account.granted_calls(),
+        "acts_on": account.usable_calls(),
+        "number": account.newest_number(),
+        "acked": account.acknowledged_number,
+        "reserve": account.reserve(),
+        "aim": allocation.target_shares.get(account.token, 0),
+        "needs": account.total_demand(),
+    }
--- a/rainfall/budget/member_quota.py
+++ b/rainfall/budget/member_quota.py
@@ -1,8 +1,7 @@
-"""A member's side of one budget: what it may send now, what it says it holds, what it
-needs.
+"""A member's side of one budget: what it may send now, and which share it holds.
 
-Safe by itself: whatever it is told, late, twice or out of order, in every sliding span
-it lets at most its share leave, and what it says it holds is true from that moment on.
+Safe by itself: whatever it receives, late, twice or out of order, in every sliding span
+it lets at most its share leave, and a share that it reports binds it from that moment.
 """
 
 from __future__ import annotations
@@ -12,46 +11,53 @@
 from typing import Any
 
 from rainfall.budget.sliding_window import SlidingWindow
-from rainfall.budget.types import Share, reuse_window_us
+from rainfall.budget.types import HeldShare, Share, reuse_window_us
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
 RECORD_FORMAT = 1
+"""The `form` of a record on disk."""
 
 
 class MemberQuota:
     """One budget at one process.
 
-    `now_us` is the process's own monotonic clock and never goes back.
+    All times are of the process's own monotonic clock, in microseconds; it never goes
+    back.
     """
 
     def __init__(self, start_us: int, drift: float) -> None:
         self.drift = drift
         self.share = Share(ZERO_TOKEN, 0, 0, 0, 0, 0, 0)
         self.valid_until_us = start_us
+        """When the lease ends by the own clock; then only the reserve may be used."""
         self.closed = False
         self.fenced_token = ZERO_TOKEN
+        """Shares of this token and below are not accepted any more."""
         # A process of this name may have sent until just now: nothing leaves before a
         # window has passed.
         self.window = SlidingWindow(0, start_us)
 
-    # -- what it is told
-    # ---------------------------------------------------------------------------
-
     def receive_share(self, share: Share, valid_until_us: int, now_us: int) -> bool:
-        """From an answered beat; valid until the lease is out by the own clock, counted
-        from when it was asked. False where it is older than what is held, and nothing
-        of it counts.
+        """Take a share from an answer.
+
+        Args:
+            share: The share.
+            valid_until_us: When the lease ends by the own clock, counted from when the
+                request was sent.
+            now_us: The present time.
+
+        Returns:
+            False where the share is older than the one held: it does not count.
         """
-        if (share.token, share.number) < (
-            self.share.token,
-            self.share.number,
-        ) or share.token <= self.fenced_token:
+        is_older = (share.token, share.number) < (self.share.token, self.share.number)
+        if is_older or share.token <= self.fenced_token:
             return False
         if share.token == self.share.token:
             valid_until_us = max(valid_until_us, self.valid_until_us)
-        self.share, self.valid_until_us = share, valid_until_us
-        # Forget by the old window first: what a longer one reaches back to is then
-        # known to be unknown.
+        self.share = share
+        self.valid_until_us = valid_until_us
+        # Entries are dropped by the former window first: a longer one would include
+        # some of them again, so these must be marked as unknown.
         self.window.drop_expired(now_us)
         self.window.length_us = reuse_window_us(
             share.span_us, share.slack_us, self.drift
@@ -59,34 +65,34 @@
         return True
 
     def fence(self, now_us: int) -> None:
-        """The lease is lost or given up: from now only the reserve acts."""
+        """The lease is lost or given up: from now on only the reserve may be used."""
         self.valid_until_us = min(self.valid_until_us, now_us)
-        self.fenced_token = (
-            self.share.token
-        )  # an answer of before, still under way, brings nothing back
-
-    def held_share(self, token: Token) -> tuple[int, int] | None:
-        """(calls, number) of the newest share told to the incarnation `token`, which
-        binds already. None before the first: what an earlier incarnation was told must
-        not be acknowledged by this one.
-        """
-        return (
-            (self.share.calls, self.share.number) if self.share.token == token else None
-        )
+        # An earlier answer that is still under way must not bring the share back.
+        self.fenced_token = self.share.token
 
-    # -- what may leave
-    # -----------------------------------------------------------------------------
+    def held_share(self, token: Token) -> HeldShare | None:
+        """(calls, number) of the newest share of the incarnation `token`.
+
+        None before the first: this incarnation must not acknowledge what an earlier one
+        was granted.
+        """
+        if self.share.token != token:
+            return None
+        return (self.share.calls, self.share.number)
 
     def limit(self, now_us: int) -> int:
-        """Calls in a span that may leave now."""
+        """Calls in a span that may be sent now."""
         if self.closed:
             return 0
         return self.share.calls if now_us < self.valid_until_us else self.share.reserve
 
     def spend(self, now_us: int, calls: int = 1) -> bool:
-        """Whether so many calls may leave now; they are counted if so.
+        """Count calls, if so many may be sent now.
 
-        Their first bytes leave within `slack_us`: see `late`.
+        Their first bytes have to leave within `slack_us`: see `is_late`.
+
+        Returns:
+            Whether they may be sent.
         """
         self.window.drop_expired(now_us)
         if (
@@ -98,53 +104,57 @@
         return True
 
     def is_late(self, spent_us: int, now_us: int) -> bool:
-        """A call spent for at `spent_us` that has not left by now must be spent for
-        again (the process was stopped between): to be asked last before its first byte
-        leaves.
+        """Whether a call counted at `spent_us` has to be counted again before it leaves.
+
+        The process may have been stopped in between: to be asked right before the
+        call's first byte leaves.
         """
         return now_us - spent_us > self.share.slack_us
 
     def available_at(self, now_us: int, calls: int = 1) -> int | None:
-        """When so many calls may leave at the earliest by what is held now; None: not
-        before being told.
+        """When so many calls may be sent at the earliest, by the share held now.
+
+        None: not before another share is received.
         """
         self.window.drop_expired(now_us)
         if now_us < self.valid_until_us and calls <= self.limit(now_us):
-            at = self.window.available_at(now_us, calls, self.share.calls)
-            if at < self.valid_until_us:
-                return at
+            at_us = self.window.available_at(now_us, calls, self.share.calls)
+            if at_us < self.valid_until_us:
+                return at_us
         if self.closed or calls > self.share.reserve:
             return None
-        return self.window.available_at(
-            max(now_us, self.valid_until_us), calls, self.share.reserve
-        )
-
-    # -- over a restart
-    # -----------------------------------------------------------------------------
+        lease_end_us = max(now_us, self.valid_until_us)
+        return self.window.available_at(lease_end_us, calls, self.share.reserve)
 
     def to_record(self) -> dict[str, Any]:
-        """To be on disk before the first call under a new share: what a successor may
-        go by after a crash. It acts on the reserve then, but only after a whole window,
-        since what was spent is not in it.
+        """The record that has to be on disk before the first call under a new share.
+
+        After a crash a successor uses the reserve by it, but only after a whole window:
+        what was spent is not part of it.
         """
-        s = self.share
+        share = self.share
         return {
             "form": RECORD_FORMAT,
-            "token": s.token.to_wire(),
-            "number": s.number,
-            "reserve": s.reserve,
-            "whole": s.whole,
-            "span_us": s.span_us,
-            "slack_us": s.slack_us,
+            "token": share.token.to_wire(),
+            "number": share.number,
+            "reserve": share.reserve,
+            "whole": share.whole,
+            "span_us": share.span_us,
+            "slack_us": share.slack_us,
         }
 
     def close(self, now_us: int, leaving: bool = False) -> dict[str, Any]:
-        """End it: nothing leaves any more.
+        """End the quota: nothing may be sent any more.
+
+        Args:
+            now_us: The present time.
+            leaving: For good: a successor has no reserve. Once the record is on disk,
+                the service may be told so (`Ledger.process_ended`).
 
-        The record has what was spent, so that a successor on the same clock (one boot)
-        need not wait. It must be replaced by `standing` before that one's first call.
-        `leaving`: for good; the service may be told so (`Ledger.ended`) once this
-        record is on disk, since a successor has no reserve by it.
+        Returns:
+            A record with what was spent, so that a successor on the same clock (of one
+            boot) need not wait. The successor has to replace it by that of `to_record`
+            before its first call.
         """
         self.window.drop_expired(now_us)
         self.closed = True
@@ -161,31 +171,46 @@
     def from_record(
         record: Mapping[str, Any], start_us: int, drift: float
     ) -> MemberQuota:
-        """A successor's purse, from either record.
+        """A successor's quota, from the record of `to_record` or `close`.
 
-        ValueError where it cannot be read. A `closed` record of a later moment than now
-        (another boot's clock) counts as one without what was spent.
+        What was spent does not count where the quota was closed later than now, by the
+        clock of another boot.
+
+        Raises:
+            ValueError: The record cannot be read.
         """
         quota = MemberQuota(start_us, drift)
         try:
-            if record["form"] != RECORD_FORMAT:
-                raise ValueError(f"form {record['form']} is not known")
-            numbers = {
-                name: int(record[name])
-                for name in ("number", "reserve", "whole", "span_us", "slack_us")
-            }
-            # It holds nothing under its old token but the reserve.
-            quota.share = Share(
-                Token.from_wire(record["token"]), calls=numbers["reserve"], **numbers
-            )
+            quota.share = _share_from_record(record)
             quota.window.length_us = reuse_window_us(
-                numbers["span_us"], numbers["slack_us"], drift
+                quota.share.span_us, quota.share.slack_us, drift
             )
             if record.get("closed_us", start_us + 1) <= start_us:
-                quota.window.unknown_until_us = int(record["known_us"])
-                for first, latest, calls in record["spent"]:
-                    quota.window.entries.append((int(first), int(latest), int(calls)))
-                    quota.window.call_count += int(calls)
+                _restore_window(quota.window, record)
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"not a purse's record: {error!r}") from None
         return quota
+
+
+def _share_from_record(record: Mapping[str, Any]) -> Share:
+    """The share of a record: under its former token it holds the reserve only."""
+    if record["form"] != RECORD_FORMAT:
+        raise ValueError(f"form {record['form']} is not known")
+    number = int(record["number"])
+    reserve = int(record["reserve"])
+    return Share(
+        token=Token.from_wire(record["token"]),
+        number=number,
+        calls=reserve,
+        reserve=reserve,
+        whole=int(record["whole"]),
+        span_us=int(record["span_us"]),
+        slack_us=int(record["slack_us"]),
+    )
+
+
+def _restore_window(window: SlidingWindow, record: Mapping[str, Any]) -> None:
+    window.unknown_until_us = int(record["known_us"])
+    for first_us, latest_us, calls in record["spent"]:
+        window.entries.append((int(first_us), int(latest_us), int(calls)))
+        window.call_count += int(calls)
--- a/rainfall/budget/persistence.py
+++ b/rainfall/budget/persistence.py
@@ -1,49 +1,68 @@
-"""A ledger on disk: a snapshot and the changes after it, and what is made of them after
-a start.
-"""
+"""A ledger on disk: a snapshot, the changes after it, and the ledger restored of them."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
-from typing import Any
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any, NamedTuple
 
 from rainfall.budget.account import (
     AccountState,
     BudgetAccounts,
+    CoolingCalls,
     MemberAccount,
     QuotaGrant,
 )
-from rainfall.budget.ledger import Change, Ledger
+from rainfall.budget.ledger import AccountEnd, Change, Ledger
 from rainfall.budget.types import Budget, widen_for_drift
 from rainfall.lease.fencing_token import Token
 
 
 def snapshot(ledger: Ledger) -> dict[str, Any]:
-    """All that a start needs; changes up to `number` are in it, one pending is not."""
+    """All that a start needs, with changes up to `number`; a pending one is left out."""
     return {
         "number": ledger.number,
         "opened": ledger.opened,
         "shut": ledger.new_reserves_blocked,
         "books": {
-            destination: {
-                "cooling": sum(c for _, c in book.cooling),
-                "accounts": [
-                    [
-                        a.name,
-                        t.to_wire(),
-                        a.acknowledged_number,
-                        a.state.value,
-                        [[g.number, g.calls, g.reserve] for g in a.grants],
-                    ]
-                    for t, a in sorted(book.accounts.items())
-                    if a.grants
-                ],
-            }
-            for destination, book in sorted(ledger.budget_accounts.items())
+            destination: _accounts_snapshot(accounts)
+            for destination, accounts in sorted(ledger.budget_accounts.items())
         },
     }
 
 
+def _accounts_snapshot(accounts: BudgetAccounts) -> dict[str, Any]:
+    return {
+        "cooling": accounts.cooling_calls(),
+        "accounts": [
+            _account_row(account)
+            for _, account in sorted(accounts.accounts.items())
+            if account.grants
+        ],
+    }
+
+
+class _AccountRow(NamedTuple):
+    """An account in a snapshot, where it is a list of these fields."""
+
+    name: str
+    token: list[int]
+    acknowledged_number: int
+    state: str
+    grants: list[list[int]]
+    """Of [number, calls, reserve] each."""
+
+
+def _account_row(account: MemberAccount) -> list[Any]:
+    row = _AccountRow(
+        account.name,
+        account.token.to_wire(),
+        account.acknowledged_number,
+        account.state.value,
+        [[grant.number, grant.calls, grant.reserve] for grant in account.grants],
+    )
+    return list(row)
+
+
 def restore(
     budgets: Iterable[Budget],
     lease_us: int,
@@ -53,76 +72,120 @@
     lines: Iterable[Mapping[str, Any]],
     sure: bool = True,
 ) -> Ledger:
-    """After a start: what was granted counts as held, by leases renewed just now;
-    acknowledgements after the snapshot are not known and come again with the beats;
-    what cooled begins to cool anew. `sure`: these are surely the newest records; where
-    they may be an older copy, or there are none, nothing is granted for a lease and a
-    window. `joined` is said next for each member of the roster. Raises KeyError,
-    TypeError or ValueError where the records cannot be read.
+    """Restore a ledger after a start; call `member_joined` for each member next.
+
+    What was granted counts as held, under leases that were renewed just now.
+    Acknowledgements after the snapshot are not known and come again with heartbeats.
+    What cooled begins to cool anew.
+
+    Args:
+        budgets: Checked budgets.
+        lease_us: The longest lease there is.
+        drift: The share by which the rates of two clocks may differ.
+        now_us: The present time.
+        snap: The snapshot, if there is one.
+        lines: The records of changes after it, or from before it.
+        sure: These are the newest records. Where they may be an older copy, or there
+            are none, nothing is granted for a lease and a window.
+
+    Raises:
+        KeyError, TypeError, ValueError: The records cannot be read.
     """
     changes = [Change.from_record(line) for line in lines]
-    last = max(changes, key=lambda c: c.number, default=None)
-    # No records, or the wait after lost ones had not ended: it begins anew.
-    newest = (
-        last.opened
-        if last and (not snap or last.number > snap["number"])
-        else snap and snap["opened"]
-    )
-    sure = sure and bool(newest)
+    sure = sure and _was_opened(snap, changes)
     ledger = Ledger(budgets, lease_us, drift, now_us, sure)
-    ends: list[tuple[str, Token, AccountState]] = []
-    for destination, raw in (snap or {"books": {}})["books"].items():
-        book = _accounts_for(ledger, destination)
-        for name, told, acked, state, grants in raw["accounts"]:
-            token = Token.from_wire(told)
-            held = [QuotaGrant(*map(int, g)) for g in grants]
-            book.accounts[token] = MemberAccount(str(name), token, held, int(acked))
-            if state != AccountState.ACTIVE.value:
-                ends.append((destination, token, AccountState(state)))
-        if raw["cooling"]:
-            book.cooling.append((now_us + book.window_us(), int(raw["cooling"])))
+    ends = _restore_snapshot(ledger, snap, now_us)
     ledger.number = int(snap["number"]) if snap else 0
-    shut = bool(snap["shut"]) if snap else False
+    blocked = bool(snap["shut"]) if snap else False
     for change in changes:
         if change.number <= ledger.number:
-            continue  # in the snapshot, or written twice
-        for g in change.grants:
-            _accounts_for(ledger, g.destination).accounts.setdefault(
-                g.token, MemberAccount(g.name, g.token)
-            )
-        ledger.commit(change)
-        shut = change.new_reserves_blocked
+            continue  # Contained in the snapshot, or written twice.
+        _replay(ledger, change)
+        blocked = change.new_reserves_blocked
         ends.extend(change.ends)
-    for destination, token, state in ends:
-        book = ledger.budget_accounts[destination]
-        if token in book.accounts:
-            (book.expire if state is AccountState.EXPIRED else book.end)(
-                book.accounts[token], now_us
-            )
-            book.accounts[token].persisted = True
-    for book in ledger.budget_accounts.values():
-        for token, a in book.accounts.items():
-            if a.state is AccountState.ACTIVE:
-                a.demand = {
-                    "": a.granted_calls()
-                }  # until it is heard: a restart is no cause to take a share away
-                ledger.names[token] = a.name
-                ledger.presumed_until_us[token] = now_us + widen_for_drift(
-                    lease_us, drift
-                )
-    ledger.new_reserves_blocked = shut or not sure
-    for book in ledger.budget_accounts.values():
-        book.new_reserves_blocked = ledger.new_reserves_blocked
-    # A process in force is known to every budget, also to those that granted it
-    # nothing.
-    for token, name in ledger.names.items():
-        for book in ledger.budget_accounts.values():
-            book.accounts.setdefault(token, MemberAccount(name, token))
+    for end in ends:
+        _apply_end(ledger, end, now_us)
+    _presume_members_active(ledger, now_us + widen_for_drift(lease_us, drift))
+    ledger.new_reserves_blocked = blocked or not sure
+    for accounts in ledger.budget_accounts.values():
+        accounts.new_reserves_blocked = ledger.new_reserves_blocked
+    _complete_accounts(ledger)
     return ledger
 
 
-def _accounts_for(ledger: Ledger, destination: str) -> BudgetAccounts:
-    """Its book, closed where it is no longer configured."""
-    if destination not in ledger.budget_accounts:
-        ledger._add_budget(Budget(destination, 1, 1)).deconfigured = True
-    return ledger.budget_accounts[destination]
+def _was_opened(snap: Mapping[str, Any] | None, changes: Sequence[Change]) -> bool:
+    """Whether grants had begun by the newest record.
+
+    If not, or without records, the wait for unknown shares begins anew.
+    """
+    newest = max(changes, key=lambda change: change.number, default=None)
+    if newest is not None and (not snap or newest.number > snap["number"]):
+        return newest.opened
+    return bool(snap and snap["opened"])
+
+
+def _restore_snapshot(
+    ledger: Ledger, snap: Mapping[str, Any] | None, now_us: int
+) -> list[AccountEnd]:
+    """Restore the accounts; return those that are not active, for later."""
+    ends: list[AccountEnd] = []
+    if not snap:
+        return ends
+    for destination, raw in snap["books"].items():
+        accounts = ledger.accounts_for(destination)
+        for fields in raw["accounts"]:
+            row = _AccountRow(*fields)
+            account = _restored_account(row)
+            accounts.accounts[account.token] = account
+            state = AccountState(row.state)
+            if state is not AccountState.ACTIVE:
+                ends.append(AccountEnd(destination, account.token, state))
+        if raw["cooling"]:
+            until_us = now_us + accounts.window_us()
+            accounts.cooling.append(CoolingCalls(until_us, int(raw["cooling"])))
+    return ends
+
+
+def _restored_account(row: _AccountRow) -> MemberAccount:
+    """The account as an active one: its end is applied after the changes."""
+    grants = [QuotaGrant(*map(int, grant)) for grant in row.grants]
+    token = Token.from_wire(row.token)
+    return MemberAccount(str(row.name), token, grants, int(row.acknowledged_number))
+
+
+def _replay(ledger: Ledger, change: Change) -> None:
+    for grant in change.grants:
+        accounts = ledger.accounts_for(grant.destination)
+        account = MemberAccount(grant.name, grant.token)
+        accounts.accounts.setdefault(grant.token, account)
+    ledger.commit(change)
+
+
+def _apply_end(ledger: Ledger, end: AccountEnd, now_us: int) -> None:
+    accounts = ledger.budget_accounts[end.destination]
+    account = accounts.accounts.get(end.token)
+    if account is None:
+        return
+    if end.state is AccountState.EXPIRED:
+        accounts.expire(account, now_us)
+    else:
+        accounts.end(account, now_us)
+    account.persisted = True
+
+
+def _presume_members_active(ledger: Ledger, until_us: int) -> None:
+    """Take processes for in force that have not ended, until they are heard of."""
+    for accounts in ledger.budget_accounts.values():
+        for token, account in accounts.accounts.items():
+            if account.state is AccountState.ACTIVE:
+                # A restart is no cause to take a share away.
+                account.demand = {"": account.granted_calls()}
+                ledger.names[token] = account.name
+                ledger.presumed_until_us[token] = until_us
+
+
+def _complete_accounts(ledger: Ledger) -> None:
+    """Add a process in force to the budgets that granted it nothing."""
+    for token, name in ledger.names.items():
+        for accounts in ledger.budget_accounts.values():
+            accounts.accounts.setdefault(token, MemberAccount(name, token))
--- a/rainfall/budget/rebalancing.py
+++ b/rainfall/budget/rebalancing.py
@@ -1,147 +1,185 @@
-"""When a budget is divided anew, to what, and which grants lead there.
+"""When a budget is divided anew, into which target shares, and which grants lead there.
 
-Decides; the book keeps it safe.
+This decides; the accounts keep it safe. All times are of the service's clock, in
+microseconds.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from rainfall.budget.account import BudgetAccounts, MemberAccount, QuotaGrant
 from rainfall.budget.fair_share import Claim, Division, divide, water_fill
 from rainfall.lease.fencing_token import Token
 
-URGENT_PAUSE_DIVISOR = (
-    4  # a member with work and no share waits for a pause over this at most
-)
-RAISE_STEPS_PER_WINDOW = (
-    8  # raises are made in so many steps of a window, not for each call that gets free
-)
-TURN_WINDOWS = 2  # windows that a turn lasts: a new process waits out the first
+URGENT_PAUSE_DIVISOR = 4
+"""A member with work and no share waits for this part of a pause at most."""
+RAISE_STEPS_PER_WINDOW = 8
+"""Raises are granted in so many steps a window, not for each call that becomes free."""
+TURN_WINDOWS = 2
+"""Windows that a turn lasts: a process that gets its first share waits for one."""
+
+
+class RebalanceReason(StrEnum):
+    """Why a budget was divided anew; the value is what status and log show."""
+
+    FIRST = "first"
+    TOTAL_LOWERED = "whole"
+    TURN = "turn"
+    """Calls are scarce, and those without a share are next."""
+    UNSERVED = "unserved"
+    """A member with work has no share."""
+    MEMBERS = "members"
+    """Members joined or left."""
+    DEMAND = "demand"
 
 
 @dataclass(slots=True)
 class Allocation:
-    """One budget's division in force: what every member shall come to have."""
+    """One budget's division in force."""
 
     target_shares: dict[Token, int] = field(default_factory=dict)
+    """What every member is to have."""
     reason: str = ""
+    """The value of the last `RebalanceReason`."""
     scarce: bool = False
     divided_at_us: int | None = None
     evaluated_at_us: int = 0
+    """When a division was last computed, whether it came into force or not."""
     last_raise_at_us: int | None = None
     settled_at_us: int | None = None
-    """Since then every member acknowledged what it shall have."""
+    """Since when every member has acknowledged its target share."""
     total_lowered: bool = False
-    """The whole was lowered since."""
+    """The budget's total was lowered since the last division."""
     credit: dict[Token, int] = field(default_factory=dict)
     pending_credit: dict[Token, int] = field(default_factory=dict)
-    """Comes to count once the division is carried out: a turn that was never had is not
-    paid for.
-    """
+    """Counts once the division is carried out: a turn not had is not paid for."""
 
 
-def rebalance(allocation: Allocation, book: BudgetAccounts, now_us: int) -> None:
+def rebalance(allocation: Allocation, accounts: BudgetAccounts, now_us: int) -> None:
     """Divide anew if there is cause to."""
-    members = book.active_accounts()
-    if allocation.settled_at_us is None and all(
-        account.acknowledged_number == account.newest_number()
-        and account.granted_calls() == target_calls(allocation, account)
-        for account in members
-    ):
-        allocation.settled_at_us, allocation.credit = now_us, allocation.pending_credit
-    why = _rebalance_reason(allocation, book, members, now_us)
-    if not why:
-        return
-    fresh, book.inputs_changed, allocation.evaluated_at_us = (
-        _compute_division(allocation, book, members),
-        False,
-        now_us,
-    )
-    least = max(1, book.budget.change * book.budget.calls)
-    if why == "demand" and _demand_gain(book, members, fresh.shares) < least:
+    members = accounts.active_accounts()
+    if allocation.settled_at_us is None and _is_settled(allocation, members):
+        allocation.settled_at_us = now_us
+        allocation.credit = allocation.pending_credit
+    reason = _rebalance_reason(allocation, accounts, members, now_us)
+    if reason is None:
         return
-    for account in members:
-        account.lent_until_us = (
-            0 if why == "whole" else account.lent_until_us
-        )  # a lowered whole binds what was lent as well
-    allocation.target_shares, allocation.scarce, allocation.pending_credit = (
-        fresh.shares,
-        fresh.scarce,
-        fresh.credit,
-    )
-    (
-        allocation.reason,
-        allocation.divided_at_us,
-        allocation.settled_at_us,
-        allocation.total_lowered,
-    ) = why, now_us, None, False
+    division = _compute_division(allocation, accounts, members)
+    accounts.inputs_changed = False
+    allocation.evaluated_at_us = now_us
+    if reason is RebalanceReason.DEMAND:
+        min_gain = max(1, accounts.budget.change * accounts.budget.calls)
+        if _demand_gain(members, division.shares) < min_gain:
+            return
+    if reason is RebalanceReason.TOTAL_LOWERED:
+        # A lowered total takes back what was lent as well.
+        for account in members:
+            account.lent_until_us = 0
+    allocation.target_shares = division.shares
+    allocation.scarce = division.scarce
+    allocation.pending_credit = division.credit
+    allocation.reason = reason.value
+    allocation.divided_at_us = now_us
+    allocation.settled_at_us = None
+    allocation.total_lowered = False
 
 
 def target_calls(allocation: Allocation, account: MemberAccount) -> int:
+    """What a member is to have: its target share, its reserve at least."""
     return max(allocation.target_shares.get(account.token, 0), account.reserve())
 
 
+def _is_settled(allocation: Allocation, members: list[MemberAccount]) -> bool:
+    return all(
+        account.acknowledged_number == account.newest_number()
+        and account.granted_calls() == target_calls(allocation, account)
+        for account in members
+    )
+
+
 def _rebalance_reason(
     allocation: Allocation,
-    book: BudgetAccounts,
+    accounts: BudgetAccounts,
     members: list[MemberAccount],
     now_us: int,
-) -> str:
+) -> RebalanceReason | None:
     if not members:
-        return ""
+        return None
     if allocation.divided_at_us is None:
-        return "first"
+        return RebalanceReason.FIRST
     if allocation.total_lowered:
-        return "whole"
-    since, pause = now_us - allocation.divided_at_us, book.budget.pause_us
-    unserved = any(
+        return RebalanceReason.TOTAL_LOWERED
+    since_division_us = now_us - allocation.divided_at_us
+    pause_us = accounts.budget.pause_us
+    urgent_pause_us = pause_us // URGENT_PAUSE_DIVISOR
+    unserved = _has_unserved(allocation, members)
+    turn_awaited = allocation.scarce and unserved
+    if turn_awaited:
+        if _is_turn_over(allocation, accounts, members, now_us, since_division_us):
+            return RebalanceReason.TURN
+    elif unserved and since_division_us >= urgent_pause_us:
+        return RebalanceReason.UNSERVED
+    if since_division_us < pause_us:
+        return None
+    if {account.token for account in members} != set(allocation.target_shares):
+        return RebalanceReason.MEMBERS
+    # Demand changes with every heartbeat and is not evaluated at each.
+    may_evaluate = now_us - allocation.evaluated_at_us >= urgent_pause_us
+    if accounts.inputs_changed and may_evaluate and not turn_awaited:
+        return RebalanceReason.DEMAND
+    return None
+
+
+def _has_unserved(allocation: Allocation, members: list[MemberAccount]) -> bool:
+    """Whether a member with work has no share and is not about to get one."""
+    return any(
         account.total_demand()
         and not account.granted_calls()
         and not allocation.target_shares.get(account.token)
         for account in members
     )
-    if allocation.scarce and unserved:
-        turn_us = max(TURN_WINDOWS * book.window_us(), pause)
-        left = since >= pause // URGENT_PAUSE_DIVISOR and any(
-            account.granted_calls() > account.reserve() and not account.total_demand()
-            for account in members
-        )
-        if allocation.settled_at_us is not None and (
-            left or now_us - allocation.settled_at_us >= turn_us
-        ):
-            return "turn"
-    elif unserved and since >= pause // URGENT_PAUSE_DIVISOR:
-        return "unserved"
-    if since < pause:
-        return ""
-    if {account.token for account in members} != set(allocation.target_shares):
-        return "members"
-    thought = (
-        now_us - allocation.evaluated_at_us >= pause // URGENT_PAUSE_DIVISOR
-    )  # needs change with every beat: not thought of at each
-    return (
-        "demand"
-        if book.inputs_changed and thought and not (allocation.scarce and unserved)
-        else ""
+
+
+def _is_turn_over(
+    allocation: Allocation,
+    accounts: BudgetAccounts,
+    members: list[MemberAccount],
+    now_us: int,
+    since_division_us: int,
+) -> bool:
+    """Whether those without a share are next.
+
+    A turn lasts its time, or until a member has no more work for its share.
+    """
+    if allocation.settled_at_us is None:
+        return False
+    pause_us = accounts.budget.pause_us
+    turn_us = max(TURN_WINDOWS * accounts.window_us(), pause_us)
+    if now_us - allocation.settled_at_us >= turn_us:
+        return True
+    return since_division_us >= pause_us // URGENT_PAUSE_DIVISOR and any(
+        account.granted_calls() > account.reserve() and not account.total_demand()
+        for account in members
     )
 
 
 def _compute_division(
-    allocation: Allocation, book: BudgetAccounts, members: list[MemberAccount]
+    allocation: Allocation, accounts: BudgetAccounts, members: list[MemberAccount]
 ) -> Division[Token]:
-    budget = book.budget
+    budget = accounts.budget
     floors = {account.token: account.reserve() for account in members}
-    # Reserves of all others are no part of what can be divided: of the lost, and of
-    # those who may yet come.
-    others = sum(
+    # The reserves of lost processes, and of those that may yet join, cannot be divided.
+    other_reserves = sum(
         account.reserve()
-        for account in book.accounts.values()
+        for account in accounts.accounts.values()
         if account.token not in floors
     )
-    whole = max(budget.calls - others - book.unassigned_reserve(), sum(floors.values()))
+    divisible = budget.calls - other_reserves - accounts.unassigned_reserve()
     return divide(
-        whole,
+        max(divisible, sum(floors.values())),
         {account.token: account.demand for account in members},
         budget.weights,
         floors,
@@ -151,137 +189,177 @@
     )
 
 
-def _demand_gain(
-    book: BudgetAccounts, members: list[MemberAccount], shares: dict[Token, int]
-) -> int:
-    """Calls that would find room and do not now, or belong to another by fairness."""
+def _demand_gain(members: list[MemberAccount], shares: Mapping[Token, int]) -> int:
+    """Wanted calls that the division would serve beyond those that are served now."""
     return sum(
         max(
             0,
-            min(a.total_demand(), shares[a.token])
-            - min(a.total_demand(), a.granted_calls()),
+            min(account.total_demand(), shares[account.token])
+            - min(account.total_demand(), account.granted_calls()),
         )
-        for a in members
+        for account in members
     )
 
 
 def next_grants(
-    allocation: Allocation, book: BudgetAccounts, now_us: int
+    allocation: Allocation, accounts: BudgetAccounts, now_us: int
 ) -> dict[Token, QuotaGrant]:
-    """The next grants towards the aim: lower at once, raise from what is free, lend
-    what is left of it.
+    """The next grants towards the target shares.
+
+    Reductions at once, raises out of what is free, and loans out of what is left.
     """
-    members = book.active_accounts()
+    members = accounts.active_accounts()
+    proposed = _reserves_and_reductions(allocation, accounts, members, now_us)
+    free = accounts.free_calls(proposed)
+    if free <= 0:
+        return proposed
+    raise_claims = _raise_claims(allocation, members, proposed)
+    wanted = sum(claim.maximum for claim in raise_claims)
+    if wanted > free and not _is_raise_due(allocation, accounts, now_us):
+        return proposed
+    raises = water_fill(free, raise_claims, {}).given
+    free -= sum(raises.values())
+    loan_claims = _loan_claims(members, proposed, raises)
+    loans = water_fill(free, loan_claims, {}).given
+    for account in members:
+        token = account.token
+        if raises[token] + loans[token] > 0:
+            calls = _proposed_calls(proposed, account) + raises[token] + loans[token]
+            reserve = _proposed_reserve(proposed, account)
+            proposed[token] = QuotaGrant(account.newest_number() + 1, calls, reserve)
+            allocation.last_raise_at_us = now_us
+            if loans[token]:
+                account.lent_until_us = now_us + accounts.window_us()
+    return proposed
+
+
+def _reserves_and_reductions(
+    allocation: Allocation,
+    accounts: BudgetAccounts,
+    members: list[MemberAccount],
+    now_us: int,
+) -> dict[Token, QuotaGrant]:
+    """Renew or end loans, and propose reserves and reductions."""
     proposed: dict[Token, QuotaGrant] = {}
-    missed = (
-        any(
-            account.granted_calls() < target_calls(allocation, account)
-            for account in members
-        )
-        or book.free_calls({}) < 0
-    )
-    seats = (
-        0
-        if book.new_reserves_blocked
-        else book.budget.members_max - book.reserve_holders()
+    lent_calls_missed = _is_any_below_target(allocation, members) or (
+        accounts.free_calls({}) < 0
     )
+    reserves_left = 0
+    if not accounts.new_reserves_blocked:
+        reserves_left = accounts.budget.members_max - accounts.reserve_holders()
     for account in members:
         if 0 < account.lent_until_us <= now_us:
-            # Lent on while the burst goes on and nobody misses it; what was never lent
-            # is no loan.
-            on = (
-                not missed
-                and account.total_demand()
-                >= account.granted_calls()
-                > target_calls(allocation, account)
-            )
-            account.lent_until_us = now_us + book.window_us() if on else 0
-        grant = _reserve_or_reduce(allocation, book, account, seats > 0, now_us)
-        if grant is not None:
-            seats -= grant.reserve > 0 and not account.reserve()
-            proposed[account.token] = grant
-    free = book.free_calls(proposed)
-    if free <= 0:
-        return proposed
-
-    def now_has(account: MemberAccount) -> int:
-        return (
-            proposed[account.token].calls
-            if account.token in proposed
-            else account.granted_calls()
+            renewed = not lent_calls_missed and _uses_loan(allocation, account)
+            account.lent_until_us = now_us + accounts.window_us() if renewed else 0
+        grant = _reserve_or_reduction(
+            allocation, accounts, account, reserves_left > 0, now_us
         )
+        if grant is None:
+            continue
+        if grant.reserve > 0 and not account.reserve():
+            reserves_left -= 1
+        proposed[account.token] = grant
+    return proposed
 
-    short = [
-        Claim(
-            account.token,
-            1,
-            0,
-            max(0, allocation.target_shares.get(account.token, 0) - now_has(account)),
-        )
+
+def _is_any_below_target(allocation: Allocation, members: list[MemberAccount]) -> bool:
+    return any(
+        account.granted_calls() < target_calls(allocation, account)
         for account in members
-    ]
-    waited = (
-        allocation.last_raise_at_us is None
-        or now_us - allocation.last_raise_at_us
-        >= book.window_us() // RAISE_STEPS_PER_WINDOW
     )
-    if not waited and sum(w.maximum for w in short) > free:
-        return proposed
-    given, _ = water_fill(free, short, {})
-    free -= sum(given.values())
-    bursts = [
-        Claim(
-            account.token,
-            1,
-            0,
-            max(0, account.total_demand() - now_has(account) - given[account.token]),
-        )
-        for account in members
-    ]
-    lent, _ = water_fill(free, bursts, {})
-    for account in members:
-        if given[account.token] + lent[account.token] > 0:
-            calls = now_has(account) + given[account.token] + lent[account.token]
-            reserve = (
-                proposed[account.token].reserve
-                if account.token in proposed
-                else account.reserve()
-            )
-            proposed[account.token] = QuotaGrant(
-                account.newest_number() + 1, calls, reserve
-            )
-            allocation.last_raise_at_us = now_us
-            if lent[account.token]:
-                account.lent_until_us = now_us + book.window_us()
-    return proposed
 
 
-def _reserve_or_reduce(
+def _uses_loan(allocation: Allocation, account: MemberAccount) -> bool:
+    """Whether a member has more than its target, and work for all of it."""
+    calls = account.granted_calls()
+    return account.total_demand() >= calls > target_calls(allocation, account)
+
+
+def _reserve_or_reduction(
     allocation: Allocation,
-    book: BudgetAccounts,
+    accounts: BudgetAccounts,
     account: MemberAccount,
-    seat: bool,
+    reserve_left: bool,
     now_us: int,
 ) -> QuotaGrant | None:
-    """A reserve where a seat is left, and no more than the aim.
+    """A grant of the reserve, if one is left, and of the target share at most.
 
-    None where it has that already.
+    None where the member has that already.
     """
-    wanted = book.budget.reserve
-    newest = account.grants[-1].reserve if account.grants else 0
-    reserve = newest
-    if (
-        newest > wanted
-        or (0 < newest < wanted <= account.granted_calls())
-        or (not newest and wanted and seat and not account.reserve())
-    ):
-        reserve = wanted
+    newest_reserve = account.grants[-1].reserve if account.grants else 0
+    reserve = newest_reserve
+    if _is_reserve_due(accounts.budget.reserve, account, newest_reserve, reserve_left):
+        reserve = accounts.budget.reserve
     calls = max(account.granted_calls(), reserve)
-    aimed = max(allocation.target_shares.get(account.token, 0), reserve)
-    if calls > aimed and now_us >= account.lent_until_us:
-        calls = aimed
-    return (
-        QuotaGrant(account.newest_number() + 1, calls, reserve)
-        if calls != account.granted_calls() or reserve != newest
-        else None
-    )
+    target = max(allocation.target_shares.get(account.token, 0), reserve)
+    if calls > target and now_us >= account.lent_until_us:
+        calls = target
+    if calls == account.granted_calls() and reserve == newest_reserve:
+        return None
+    return QuotaGrant(account.newest_number() + 1, calls, reserve)
+
+
+def _is_reserve_due(
+    wanted: int, account: MemberAccount, newest_reserve: int, reserve_left: bool
+) -> bool:
+    """Whether a member's reserve is to become the configured one.
+
+    It is lowered, raised within its share, or granted for the first time.
+    """
+    if newest_reserve > wanted:
+        return True
+    if 0 < newest_reserve < wanted <= account.granted_calls():
+        return True
+    is_first = not newest_reserve and not account.reserve()
+    return is_first and wanted > 0 and reserve_left
+
+
+def _raise_claims(
+    allocation: Allocation,
+    members: list[MemberAccount],
+    proposed: Mapping[Token, QuotaGrant],
+) -> list[Claim[Token]]:
+    """What members lack of their target shares."""
+    claims = []
+    for account in members:
+        target = allocation.target_shares.get(account.token, 0)
+        missing = max(0, target - _proposed_calls(proposed, account))
+        claims.append(Claim(account.token, 1, 0, missing))
+    return claims
+
+
+def _is_raise_due(
+    allocation: Allocation, accounts: BudgetAccounts, now_us: int
+) -> bool:
+    if allocation.last_raise_at_us is None:
+        return True
+    interval_us = accounts.window_us() // RAISE_STEPS_PER_WINDOW
+    return now_us - allocation.last_raise_at_us >= interval_us
+
+
+def _loan_claims(
+    members: list[MemberAccount],
+    proposed: Mapping[Token, QuotaGrant],
+    raises: Mapping[Token, int],
+) -> list[Claim[Token]]:
+    """What members lack of their demand after their raises."""
+    claims = []
+    for account in members:
+        calls = _proposed_calls(proposed, account) + raises[account.token]
+        missing = max(0, account.total_demand() - calls)
+        claims.append(Claim(account.token, 1, 0, missing))
+    return claims
+
+
+def _proposed_calls(
+    proposed: Mapping[Token, QuotaGrant], account: MemberAccount
+) -> int:
+    grant = proposed.get(account.token)
+    return account.granted_calls() if grant is None else grant.calls
+
+
+def _proposed_reserve(
+    proposed: Mapping[Token, QuotaGrant], account: MemberAccount
+) -> int:
+    grant = proposed.get(account.token)
+    return account.reserve() if grant is None else grant.reserve
