--- a/rainfall/budget/config.py
+++ b/rainfall/budget/config.py
@@ -52,9 +52,6 @@
     "loose": FractionBounds(0.0, 0.5),
 }
 REQUIRED_INTEGERS = ("calls", "span_ms", "members_max")
-WEIGHT_BOUNDS = IntegerBounds(1, WEIGHT_LIMIT)
-REPORTED_BOUNDS = IntegerBounds(0, CALLS_LIMIT)
-"""Of the numbers in a heartbeat."""
 DEFAULT_BUDGET = Budget("", 1, 1)
 
 
@@ -140,7 +137,7 @@
     for name, bounds in INTEGER_BOUNDS.items():
         if name not in entry and name not in REQUIRED_INTEGERS:
             continue
-        if not _is_integer_within(entry.get(name), bounds):
+        if not _is_integer_within(entry.get(name), *bounds):
             yield f"{path}.{name}: a whole number from {bounds.lowest} to {bounds.highest}"
 
 
@@ -162,7 +159,7 @@
     invalid_weights = [
         f"{path}.weights.{name}: a whole number from 1 to 1000"
         for name in sorted(weights)
-        if not _is_integer_within(weights[name], WEIGHT_BOUNDS)
+        if not _is_integer_within(weights[name], 1, WEIGHT_LIMIT)
     ]
     invalid_names = [
         f"{path}.weights.{name}: a class or a tenant, without /"
@@ -207,7 +204,7 @@
         if len(parts) > MAX_PARTS:
             faults.append(f"needs.{destination}: at most {MAX_PARTS} parts")
         for part, calls in parts.items():
-            if not _is_integer_within(calls, REPORTED_BOUNDS):
+            if not _is_integer_within(calls, 0, CALLS_LIMIT):
                 path = f"needs.{destination}.{part}" if part else f"needs.{destination}"
                 faults.append(f"{path}: a whole number from 0 to {CALLS_LIMIT}")
         demand[destination] = parts
@@ -240,12 +237,12 @@
     return (
         isinstance(value, list)
         and len(value) == HELD_SHARE_FIELDS
-        and all(_is_integer_within(number, REPORTED_BOUNDS) for number in value)
+        and all(_is_integer_within(number, 0, CALLS_LIMIT) for number in value)
     )
 
 
-def _is_integer_within(value: Any, bounds: IntegerBounds) -> bool:
-    return type(value) is int and bounds.lowest <= value <= bounds.highest
+def _is_integer_within(value: Any, lowest: int, highest: int) -> bool:
+    return type(value) is int and lowest <= value <= highest
 
 
 def _is_name(value: Any) -> bool:
--- a/rainfall/member/roster.py
+++ b/rainfall/member/roster.py
@@ -47,6 +47,11 @@
     LEFT = "left"
 
 
+# Looking up an enum's member costs more than comparing it; heartbeats use these.
+_ALIVE = MemberState.ALIVE
+_SUSPECT = MemberState.SUSPECT
+
+
 @dataclass(frozen=True, slots=True)
 class Member:
     """One member as readers see it."""
@@ -97,7 +102,10 @@
 
     def record_renewal(self, now_us: int) -> None:
         """A member renewed its lease."""
-        if not self._is_stable(now_us):
+        if (
+            self.stable_since_us is None
+            or now_us - self.last_renewal_us > self.lease_us
+        ):
             self.stable_since_us = now_us
         self.last_renewal_us = now_us
 
@@ -115,15 +123,13 @@
 
         A whole lease from now where members do not renew.
         """
-        if self.stable_since_us is None or not self._is_stable(now_us):
+        if (
+            self.stable_since_us is None
+            or now_us - self.last_renewal_us > self.lease_us
+        ):
             return now_us + self.lease_us
         return self.stable_since_us + self.lease_us
 
-    def _is_stable(self, now_us: int) -> bool:
-        if self.stable_since_us is None:
-            return False
-        return now_us - self.last_renewal_us <= self.lease_us
-
 
 class Roster:
     """The members, over a lease table that the caller starts.
@@ -264,10 +270,10 @@
         for name in sorted(self._last_renewal_us):
             member = self.members[name]
             if (
-                member.state == MemberState.ALIVE
+                member.state == _ALIVE
                 and now_us - self._last_renewal_us[name] >= self.suspect_after_us
             ):
-                self._set_state(member, MemberState.SUSPECT)
+                self._set_state(member, _SUSPECT)
         return self.table.expire(now_us)
 
     def next_tick_us(self) -> int | None:
@@ -275,7 +281,7 @@
         times_us = [
             renewed_at_us + self.suspect_after_us
             for name, renewed_at_us in self._last_renewal_us.items()
-            if self.members[name].state == MemberState.ALIVE
+            if self.members[name].state == _ALIVE
         ]
         expiry_us = self.table.next_expiry_us()
         if expiry_us is not None:
@@ -374,7 +380,7 @@
             *(
                 other
                 for other in self._last_renewal_us
-                if self.members[other].state == MemberState.SUSPECT
+                if self.members[other].state == _SUSPECT
             ),
         }
         all_members = {*lost, *self._last_renewal_us}
@@ -385,8 +391,8 @@
     def _record_heartbeat(self, now_us: int, name: str) -> None:
         self._last_renewal_us[name] = now_us
         self._freeze.record_renewal(now_us)
-        if self.members[name].state == MemberState.SUSPECT:
-            self._set_state(self.members[name], MemberState.ALIVE)
+        if self.members[name].state == _SUSPECT:
+            self._set_state(self.members[name], _ALIVE)
 
     def _activate(self, lease: Lease) -> None:
         name = lease.name[len(MEMBER_LEASE_PREFIX) :]
