--- a/rainfall/shard/__init__.py
+++ b/rainfall/shard/__init__.py
@@ -1,3 +1,4 @@
-"""The shard map: its form and checks, how a new one is planned, and how a range moves
-between two owners.
+"""Which member owns which part of the key space.
+
+Maps and their checks, planning, and the migration of keys from one member to another.
 """
--- a/rainfall/shard/coverage.py
+++ b/rainfall/shard/coverage.py
@@ -1,64 +1,77 @@
-"""Which entries cover which keys: one pass over the sorted entries, the core of the
-check.
-"""
+"""Which entries of a map cover which keys, in one pass over the sorted entries."""
 
 from __future__ import annotations
 
 from bisect import bisect_left, insort
 from collections.abc import Iterator, Sequence
+from typing import NamedTuple
 
-Entry = tuple[int, int, int]
-"""First key, last key (not below the first), and the entry's index in the file."""
 
+class Entry(NamedTuple):
+    """The keys of one entry of a map, both ends included."""
 
-def covered_segments(
-    entries: Sequence[Entry], top: int
-) -> Iterator[tuple[int, int, Sequence[int]]]:
-    """The whole space from 0 to `top`, in order, cut wherever the set of entries that
-    cover a key changes: (first, last, their indexes in order). No index: a gap. More
-    than one: an overlap, named once.
+    first: int
+    last: int
+    """Not below `first`."""
+    position: int
+    """The index of the entry in the file."""
 
-    The indexes of an overlap are read before the next step: it is one list, changed in
-    place, since copies of it would make a file of nested entries cost the square of its
-    length.
+
+class Segment(NamedTuple):
+    """Keys that are all covered by the same entries."""
+
+    first: int
+    last: int
+    positions: Sequence[int]
+    """The entries, in order; none in a gap, several in an overlap.
+
+    To be read before the next segment is asked for: in an overlap it is one list that
+    changes in place. Copies would make the cost of nested entries quadratic.
     """
+
+
+def covered_segments(entries: Sequence[Entry], top: int) -> Iterator[Segment]:
+    """The whole space from 0 to `top`, cut wherever the covering entries change."""
     entries = sorted(entries)
-    at = 0  # every key below it has been told
-    n = 0
-    while n < len(entries):
-        first, last, index = entries[n]
-        if first > at:
-            yield at, first - 1, ()
-        # Entries that begin before the ones before them have ended belong together.
-        end, after = last, n + 1
-        while after < len(entries) and entries[after][0] <= end:
-            end = max(end, entries[after][1])
-            after += 1
-        if after == n + 1:
-            yield first, last, (index,)
+    next_key = 0
+    start = 0
+    while start < len(entries):
+        first = entries[start].first
+        if first > next_key:
+            yield Segment(next_key, first - 1, ())
+        # An entry that begins before the ones before it have ended belongs to their
+        # group.
+        group_last = entries[start].last
+        end = start + 1
+        while end < len(entries) and entries[end].first <= group_last:
+            group_last = max(group_last, entries[end].last)
+            end += 1
+        if end == start + 1:
+            yield Segment(first, group_last, (entries[start].position,))
         else:
-            yield from _overlapping_segments(entries[n:after])
-        at, n = end + 1, after
-    if at <= top:
-        yield at, top, ()
+            yield from _overlapping_segments(entries[start:end])
+        next_key = group_last + 1
+        start = end
+    if next_key <= top:
+        yield Segment(next_key, top, ())
 
 
-def _overlapping_segments(
-    entries: Sequence[Entry],
-) -> Iterator[tuple[int, int, Sequence[int]]]:
-    """The same for entries that overlap in a chain: no gap lies between them."""
-    ends = sorted((last + 1, index) for _, last, index in entries)
+def _overlapping_segments(entries: Sequence[Entry]) -> Iterator[Segment]:
+    """The segments of a group of entries without a gap between them."""
+    ends = sorted((entry.last + 1, entry.position) for entry in entries)
     active: list[int] = []
-    at, n, gone = entries[0][0], 0, 0
-    while gone < len(ends):
-        while n < len(entries) and entries[n][0] == at:
-            insort(active, entries[n][2])
-            n += 1
-        after = ends[gone][0]
-        if n < len(entries):
-            after = min(after, entries[n][0])
-        yield at, after - 1, active
-        while gone < len(ends) and ends[gone][0] == after:
-            del active[bisect_left(active, ends[gone][1])]
-            gone += 1
-        at = after
+    key = entries[0].first
+    begun = 0
+    ended = 0
+    while ended < len(ends):
+        while begun < len(entries) and entries[begun].first == key:
+            insort(active, entries[begun].position)
+            begun += 1
+        next_key = ends[ended][0]
+        if begun < len(entries):
+            next_key = min(next_key, entries[begun].first)
+        yield Segment(key, next_key - 1, active)
+        while ended < len(ends) and ends[ended][0] == next_key:
+            del active[bisect_left(active, ends[ended][1])]
+            ended += 1
+        key = next_key
--- a/rainfall/shard/key_ranges.py
+++ b/rainfall/shard/key_ranges.py
@@ -1,6 +1,6 @@
-"""Arithmetic of stretches of keys: (first, last), inclusive.
+"""Arithmetic of ranges of keys, both ends included.
 
-A list of them is sorted and disjoint.
+Where a function takes or returns several, they are sorted and disjoint.
 """
 
 from __future__ import annotations
@@ -8,47 +8,62 @@
 from collections.abc import Iterable, Sequence
 
 KeyRange = tuple[int, int]
+"""(first, last).
+
+A plain tuple: the model checker orders messages, which hold ranges, by their `repr`.
+"""
 
 
-def intersection(a: Sequence[KeyRange], b: Sequence[KeyRange]) -> list[KeyRange]:
+def intersection(left: Sequence[KeyRange], right: Sequence[KeyRange]) -> list[KeyRange]:
     """The keys in both."""
-    out: list[KeyRange] = []
-    n = m = 0
-    while n < len(a) and m < len(b):
-        first, last = max(a[n][0], b[m][0]), min(a[n][1], b[m][1])
+    common: list[KeyRange] = []
+    left_index = 0
+    right_index = 0
+    while left_index < len(left) and right_index < len(right):
+        left_first, left_last = left[left_index]
+        right_first, right_last = right[right_index]
+        first = max(left_first, right_first)
+        last = min(left_last, right_last)
         if first <= last:
-            out.append((first, last))
-        if a[n][1] < b[m][1]:
-            n += 1
+            common.append((first, last))
+        if left_last < right_last:
+            left_index += 1
         else:
-            m += 1
-    return out
-
-
-def difference(a: Sequence[KeyRange], b: Sequence[KeyRange]) -> list[KeyRange]:
-    """The keys of `a` that are not in `b`."""
-    out: list[KeyRange] = []
-    m = 0
-    for first, last in a:
-        while m < len(b) and b[m][1] < first:
-            m += 1
-        at = m
-        while at < len(b) and b[at][0] <= last:
-            if b[at][0] > first:
-                out.append((first, b[at][0] - 1))
-            first = b[at][1] + 1
-            at += 1
-        if first <= last:
-            out.append((first, last))
-    return out
+            right_index += 1
+    return common
+
 
+def difference(left: Sequence[KeyRange], right: Sequence[KeyRange]) -> list[KeyRange]:
+    """The keys of `left` that are not in `right`."""
+    remaining: list[KeyRange] = []
+    start = 0
+    for first, last in left:
+        while start < len(right) and right[start][1] < first:
+            start += 1
+        next_first = first
+        index = start
+        while index < len(right) and right[index][0] <= last:
+            removed_first, removed_last = right[index]
+            if removed_first > next_first:
+                remaining.append((next_first, removed_first - 1))
+            next_first = removed_last + 1
+            index += 1
+        if next_first <= last:
+            remaining.append((next_first, last))
+    return remaining
 
-def union(spans: Iterable[KeyRange]) -> list[KeyRange]:
-    """Sorted, disjoint, neighbours as one; they may come in any order and overlap."""
-    out: list[KeyRange] = []
-    for first, last in sorted(spans):
-        if out and first <= out[-1][1] + 1:
-            out[-1] = out[-1][0], max(out[-1][1], last)
+
+def union(ranges: Iterable[KeyRange]) -> list[KeyRange]:
+    """All keys, adjacent ranges as one; the input may overlap, in any order."""
+    merged: list[KeyRange] = []
+    for first, last in sorted(ranges):
+        if merged and first <= merged[-1][1] + 1:
+            merged[-1] = (merged[-1][0], max(merged[-1][1], last))
         else:
-            out.append((first, last))
-    return out
+            merged.append((first, last))
+    return merged
+
+
+def count_keys(ranges: Iterable[KeyRange]) -> int:
+    """The keys of all ranges together."""
+    return sum(last - first + 1 for first, last in ranges)
--- a/rainfall/shard/map_validation.py
+++ b/rainfall/shard/map_validation.py
@@ -187,7 +187,7 @@
             continue
         first, last, owner = told
         if first <= last:
-            sound.append((first, last, index))
+            sound.append(Entry(first, last, index))
             owners[index] = owner
         else:
             inverted.append(
--- a/rainfall/shard/migration.py
+++ b/rainfall/shard/migration.py
@@ -1,22 +1,30 @@
-"""The service's side of a move: who holds which keys, and when the next one may begin.
+"""The service's side of a migration: who holds which keys, and who may get them next.
 
-A key is either held by one incarnation of one member, or free. Only two things free it:
-its holder's word that it has stopped (a give-up, said under a map newer than the one
-the hold began under), or that the holder's lease is surely out. Only a free key is
-given to its owner in the map in force, under a new token, and only in the answer to a
-beat that says the owner has that very map. A new map changes no hold.
+A key is either held by one incarnation of one member, or free. Only two events free it:
+its holder's report that it has given the key up (under a map newer than the one under
+which its hold began), or the certain expiry of the holder's lease. Only a free key is
+granted to its owner in the map in force, under a new token, and only in the answer to a
+heartbeat that says that the owner has this very map. A new map changes no hold.
+
+All times are of the service's clock, in microseconds.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection, Iterable, Sequence
+from collections.abc import Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 from fractions import Fraction
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.errors import RainfallError
 from rainfall.lease.fencing_token import Token
-from rainfall.shard.key_ranges import KeyRange, difference, intersection, union
+from rainfall.shard.key_ranges import (
+    KeyRange,
+    count_keys,
+    difference,
+    intersection,
+    union,
+)
 from rainfall.shard.map_validation import (
     MAX_MOVED_SHARE,
     MapFault,
@@ -31,88 +39,126 @@
     parse_key,
 )
 
-MAX_GENERATION_LEAD = (
-    1 << 32
-)  # a member's map is at most so far above the service's: no beat uses up all of them
+MAX_GENERATION_LEAD = 1 << 32
+"""A member's map is at most so many generations above the service's.
+
+No heartbeat can use up all generations there are.
+"""
+NO_OWNER = ""
+"""The owner of free keys while there is no map, and the holder of keys that are free."""
 
 
 class FencedError(RainfallError):
-    """The incarnation is not (any more) one that may hold anything: 409, it stops and
-    joins anew.
-    """
+    """The incarnation may not hold anything any more (409): it stops and joins anew."""
 
 
 class StaleHeartbeatError(RainfallError):
-    """A beat that was sent before one already answered: 409, nothing is done on it."""
+    """A heartbeat sent before one that was answered (409): nothing is done on it."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class RangeHold:
-    """Keys that one incarnation may act on under `token`, given while generation
-    `begun` was in force.
-    """
+    """Keys that one incarnation may act on under `token`."""
 
     first: int
     last: int
     token: Token
     since_generation: int
+    """The generation of the map in force when they were granted."""
 
-    def restricted_to(self, spans: Iterable[KeyRange]) -> list[RangeHold]:
+    @property
+    def key_range(self) -> KeyRange:
+        """Its keys."""
+        return (self.first, self.last)
+
+    def restricted_to(self, ranges: Iterable[KeyRange]) -> list[RangeHold]:
+        """Holds like this one on other ranges."""
         return [
             RangeHold(first, last, self.token, self.since_generation)
-            for first, last in spans
+            for first, last in ranges
+        ]
+
+    def to_row(self, bits: int) -> list[Any]:
+        """Its row on disk."""
+        return [
+            format_key(self.first, bits),
+            format_key(self.last, bits),
+            self.token.to_wire(),
+            self.since_generation,
         ]
 
+    @staticmethod
+    def from_row(row: Iterable[Any], bits: int) -> RangeHold:
+        """Decode a row of `to_row`."""
+        first, last, token, since_generation = row
+        return RangeHold(
+            _required_key(first, bits),
+            _required_key(last, bits),
+            Token.from_wire(token),
+            int(since_generation),
+        )
+
 
 @dataclass(slots=True)
 class RangeHolder:
+    """One incarnation of a member, and what it holds."""
+
     name: str
     expires_at_us: int
-    """From here on its lease is surely out, by the service's clock."""
+    """From then on its lease has expired on every clock."""
     holds: list[RangeHold] = field(default_factory=list)
     last_heartbeat: int = -1
-    """The last beat answered. Not on disk: beats under way die with the connections of
-    a restart.
+    """The last heartbeat answered.
+
+    Not on disk: a restart closes the connections of heartbeats under way.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class HoldsAnswer:
-    """What now holds for one member: everything it may act on, so that what is missing
-    here is not its own. `dirty`: holds were given or ended, or the map lifted: that has
-    to be on disk before this is told.
-    """
+    """The answer to one member's heartbeat."""
 
     generation: int
+    """Of the map in force; 0 where there is none."""
     holds: tuple[RangeHold, ...]
+    """Everything that it may act on; it does not hold what is missing here."""
     changed: bool
+    """Holds or the map changed: to be on disk before this is sent."""
+
+
+class MigratingRange(NamedTuple):
+    """Keys that their owner in the map does not hold."""
+
+    first: int
+    last: int
+    holder: str
+    """`NO_OWNER` where they are free."""
+    owner: str
 
 
 @dataclass(slots=True)
 class MigrationCoordinator:
-    """Built by `Moves(map, epoch, quiet_until_us)` or, after a restart, by `Moves.of`."""
+    """The holds of all members; `from_snapshot` restores it after a restart."""
 
     map: ShardMap | None
     epoch: int
+    """The epoch of the tokens that are granted."""
     grants_from_us: int = 0
-    """Nothing is given before. Where holds may be forgotten: one longest lease (and
-    drift) from now.
+    """Nothing is granted before.
+
+    Where holds may be unknown: one longest lease, widened for drift, from now.
     """
     last_token_number: int = 0
-    """Of the last token given."""
+    """The number of the last token granted."""
     holders: dict[Token, RangeHolder] = field(default_factory=dict)
+    """By the token of the incarnation."""
     free: dict[str, list[KeyRange]] = field(default_factory=dict)
-    """Keys that nobody holds, by their owner in the map in force ("" where there is no
-    map).
-    """
+    """Keys that nobody holds, by their owner in the map in force."""
     bits: int = KEY_BITS
 
     def __post_init__(self) -> None:
         if not self.free and not self.holders:
-            self._release([(0, (1 << self.bits) - 1)])
-
-    # -- maps
-    # ------------------------------------------------------------------------------------
+            self._release([_key_space(self.bits)])
 
     def submit_map(
         self,
@@ -120,10 +166,14 @@
         members: Collection[str] | None = None,
         most_moved: Fraction | None = MAX_MOVED_SHARE,
     ) -> list[MapFault]:
-        """Put a map in force, as decoded from JSON.
+        """Put a map, as decoded from JSON, in force.
 
-        With any fault (422) the old one stays whole. The map in force, written again,
-        is no fault and changes nothing. Has to be on disk before it is answered.
+        With any fault (422) the former one stays as it is. The map in force, submitted
+        again, is no fault and changes nothing. The change has to be on disk before it
+        is answered.
+
+        Returns:
+            The map's faults.
         """
         new, faults = evaluate_update(raw, members, self.map, most_moved, self.bits)
         if new is not None and not faults:
@@ -131,59 +181,64 @@
         return faults
 
     def install_map(self, new: ShardMap) -> None:
-        """A checked map comes into force. Every hold stays as it is."""
-        free = union(span for spans in self.free.values() for span in spans)
-        self.map, self.free = new, {}
+        """Put a checked map in force. Every hold stays as it is."""
+        free = union(key_range for ranges in self.free.values() for key_range in ranges)
+        self.map = new
+        self.free = {}
         self._release(free)
 
     def _raise_generation(self, generation: int) -> None:
-        """A member has a map of a generation that this service never gave out (its
-        folder was lost or is a copy): what is in force here goes on, above whatever was
-        seen.
+        """Raise the map in force above a generation that this service never issued.
+
+        A member has such a map where the service's folder was lost, or is a copy.
         """
         if self.map is not None and generation < MAX_GENERATION:
             self.install_map(ShardMap(generation + 1, self.map.ranges, self.bits))
 
-    def _release(self, spans: Sequence[KeyRange]) -> None:
-        owned: dict[str, list[KeyRange]] = {}
-        for first, last in spans:
+    def _release(self, ranges: Sequence[KeyRange]) -> None:
+        """Make keys free, for their owners in the map in force."""
+        by_owner: dict[str, list[KeyRange]] = {}
+        for first, last in ranges:
             if self.map is None:
-                owned.setdefault("", []).append((first, last))
+                by_owner.setdefault(NO_OWNER, []).append((first, last))
                 continue
-            for r in self.map.overlapping(first, last):
-                owned.setdefault(r.owner, []).append(
-                    (max(first, r.first), min(last, r.last))
-                )
-        for owner, more in owned.items():
-            self.free[owner] = union([*self.free.get(owner, ()), *more])
-
-    # -- members
-    # ---------------------------------------------------------------------------------
+            for owned in self.map.overlapping(first, last):
+                part = (max(first, owned.first), min(last, owned.last))
+                by_owner.setdefault(owned.owner, []).append(part)
+        for owner, released in by_owner.items():
+            self.free[owner] = union([*self.free.get(owner, ()), *released])
 
     def lease_renewed(self, token: Token, name: str, expires_at_us: int) -> None:
-        """The member joined or renewed: it acts until its lease is out, at `out_us` at
-        the latest.
-        """
+        """The member joined or renewed: it acts until `expires_at_us` at the latest."""
         holder = self.holders.setdefault(token, RangeHolder(name, expires_at_us))
         holder.expires_at_us = max(holder.expires_at_us, expires_at_us)
 
     def expire(self, now_us: int) -> list[Token]:
-        """Incarnations whose lease is surely out hold nothing any more."""
-        out = sorted(t for t, h in self.holders.items() if h.expires_at_us <= now_us)
-        for token in out:
+        """Release the holds of incarnations whose lease has expired on every clock.
+
+        Returns:
+            Their tokens.
+        """
+        expired = sorted(
+            token
+            for token, holder in self.holders.items()
+            if holder.expires_at_us <= now_us
+        )
+        for token in expired:
             self.release_all(token)
-        return out
+        return expired
 
     def release_all(self, token: Token) -> None:
-        """The incarnation said itself that it has stopped acting on everything, for
-        good.
-        """
-        if holder := self.holders.pop(token, None):
-            self._release([(h.first, h.last) for h in holder.holds])
+        """Release all holds of an incarnation that has stopped acting for good."""
+        holder = self.holders.pop(token, None)
+        if holder is not None:
+            self._release([hold.key_range for hold in holder.holds])
 
     def next_expiry_us(self) -> int | None:
-        """When `expire` has something to do next."""
-        return min((h.expires_at_us for h in self.holders.values()), default=None)
+        """When `expire` has something to do next; None without holders."""
+        return min(
+            (holder.expires_at_us for holder in self.holders.values()), default=None
+        )
 
     def heartbeat(
         self,
@@ -194,20 +249,30 @@
         given_up: Iterable[KeyRange],
         now_us: int,
     ) -> HoldsAnswer:
-        """A member's word: the map it has (generation 0 where none) and its digest, and
-        the keys that it does not act on, though it was told they are its own. Fenced,
-        Late; ValueError where it cannot be.
+        """Take a member's heartbeat.
+
+        Args:
+            token: The incarnation's token.
+            sent: The heartbeat's number.
+            generation: Of the map that the member has; 0 for none.
+            digest: Of that map.
+            given_up: Keys that it does not act on, though they were granted to it.
+            now_us: The present time.
+
+        Raises:
+            FencedError: The incarnation may not hold anything any more.
+            StaleHeartbeatError: A later heartbeat was answered.
+            ValueError: The generation is impossible.
         """
         current = self.map
-        if generation > (current.generation if current else 0) + MAX_GENERATION_LEAD:
+        current_generation = current.generation if current else 0
+        if generation > current_generation + MAX_GENERATION_LEAD:
             raise ValueError("map: a generation far above any that there was")
-        holder = self.holders.get(token)
-        if holder is None or holder.expires_at_us <= now_us:
-            raise FencedError
+        holder = self._live_holder(token, now_us)
         if sent <= holder.last_heartbeat:
             raise StaleHeartbeatError
         holder.last_heartbeat = sent
-        before = self.map, tuple(holder.holds)
+        holds_before = tuple(holder.holds)
         self._apply_give_up(holder, generation, union(given_up))
         if current is not None and (
             generation > current.generation
@@ -215,89 +280,99 @@
         ):
             self._raise_generation(generation)
         self._grant_free_ranges(token, holder, generation, now_us)
-        after = self.map, tuple(holder.holds)
-        return HoldsAnswer(
-            0 if self.map is None else self.map.generation, after[1], after != before
-        )
+        holds = tuple(holder.holds)
+        changed = (self.map, holds) != (current, holds_before)
+        new_generation = 0 if self.map is None else self.map.generation
+        return HoldsAnswer(new_generation, holds, changed)
+
+    def _live_holder(self, token: Token, now_us: int) -> RangeHolder:
+        holder = self.holders.get(token)
+        if holder is None or holder.expires_at_us <= now_us:
+            raise FencedError
+        return holder
 
     def _apply_give_up(
         self, holder: RangeHolder, generation: int, given_up: Sequence[KeyRange]
     ) -> None:
-        """A give-up said under `generation` ends the holds that began before it, and
-        none that began with it or later: then it was said of an earlier hold, and is
-        only late.
+        """Release keys that were given up under a map of `generation`.
+
+        It ends the holds that began before that map. Of a later hold the report says
+        nothing: it is late, and concerns an earlier hold.
         """
         if not given_up:
             return
         freed: list[KeyRange] = []
         kept: list[RangeHold] = []
         for hold in holder.holds:
-            span = [(hold.first, hold.last)]
+            remaining = [hold.key_range]
             if self.give_up_applies(hold, generation):
-                freed += intersection(span, given_up)
-                span = difference(span, given_up)
-            kept += hold.restricted_to(span)
+                freed += intersection(remaining, given_up)
+                remaining = difference(remaining, given_up)
+            kept += hold.restricted_to(remaining)
         holder.holds = kept
         self._release(freed)
 
     def give_up_applies(self, hold: RangeHold, generation: int) -> bool:
+        """Whether a give-up under a map of `generation` can concern this hold."""
         return generation > hold.since_generation
 
     def _grant_free_ranges(
         self, token: Token, holder: RangeHolder, generation: int, now_us: int
     ) -> None:
-        """What is free and this member's by the map is now held by it, if it has the
-        map. Of two incarnations of one name only the newest is given anything.
+        """Grant a member its free keys by the map, if it has the map.
+
+        Of two incarnations of one name only the newest is granted anything.
         """
         if (
             self.map is None
             or generation != self.map.generation
             or now_us < self.grants_from_us
-        ):
-            return
-        if not self.free.get(holder.name) or any(
-            h.name == holder.name and t > token for t, h in self.holders.items()
+            or not self.free.get(holder.name)
+            or self._is_superseded(token, holder.name)
         ):
             return
         self.last_token_number += 1
-        given = Token(self.epoch, self.last_token_number)
-        spans = self.free.pop(holder.name)
-        holder.holds = sorted(
-            [*holder.holds, *(RangeHold(*span, given, generation) for span in spans)]
+        granted = Token(self.epoch, self.last_token_number)
+        new_holds = [
+            RangeHold(first, last, granted, generation)
+            for first, last in self.free.pop(holder.name)
+        ]
+        holder.holds = sorted([*holder.holds, *new_holds])
+
+    def _is_superseded(self, token: Token, name: str) -> bool:
+        return any(
+            holder.name == name and other > token
+            for other, holder in self.holders.items()
         )
 
-    def ranges_in_migration(self) -> list[tuple[int, int, str, str]]:
-        """For staff: keys that their owner in the map does not hold: first, last, who
-        holds them ("" nobody), whose they are to be.
-        """
-        out = [
-            (first, last, "", owner)
-            for owner, spans in self.free.items()
-            for first, last in spans
+    def ranges_in_migration(self) -> list[MigratingRange]:
+        """Keys that their owner in the map does not hold, for operators."""
+        found = [
+            MigratingRange(first, last, NO_OWNER, owner)
+            for owner, ranges in self.free.items()
+            for first, last in ranges
         ]
         for holder in self.holders.values():
             for hold in holder.holds:
-                for r in (
-                    self.map.overlapping(hold.first, hold.last)
-                    if self.map is not None
-                    else ()
-                ):
-                    if r.owner != holder.name:
-                        out.append(
-                            (
-                                max(hold.first, r.first),
-                                min(hold.last, r.last),
-                                holder.name,
-                                r.owner,
-                            )
-                        )
-        return sorted(out)
-
-    # -- on disk
-    # ---------------------------------------------------------------------------------
+                found += self._owned_by_others(holder.name, hold)
+        return sorted(found)
+
+    def _owned_by_others(self, name: str, hold: RangeHold) -> list[MigratingRange]:
+        if self.map is None:
+            return []
+        return [
+            MigratingRange(
+                max(hold.first, owned.first),
+                min(hold.last, owned.last),
+                name,
+                owned.owner,
+            )
+            for owned in self.map.overlapping(hold.first, hold.last)
+            if owned.owner != name
+        ]
 
     def to_snapshot(self) -> dict[str, Any]:
-        """All that a restart needs, as JSON. What is free follows from it."""
+        """All that a restart needs, for JSON. What is free follows from it."""
         return {
             "map": None if self.map is None else self.map.to_wire(),
             "number": self.last_token_number,
@@ -305,15 +380,7 @@
                 {
                     "token": token.to_wire(),
                     "name": holder.name,
-                    "holds": [
-                        [
-                            format_key(h.first, self.bits),
-                            format_key(h.last, self.bits),
-                            h.token.to_wire(),
-                            h.since_generation,
-                        ]
-                        for h in holder.holds
-                    ],
+                    "holds": [hold.to_row(self.bits) for hold in holder.holds],
                 }
                 for token, holder in sorted(self.holders.items())
             ],
@@ -327,46 +394,60 @@
         grants_from_us: int = 0,
         bits: int = KEY_BITS,
     ) -> MigrationCoordinator:
-        """After a restart: each lease known counts as renewed just now, so it is out at
-        `out_us` at the earliest. ValueError (Faulty among the causes) where `raw` is
-        not what `told` gave.
+        """Restore the holds after a restart.
+
+        Args:
+            raw: What `to_snapshot` returned.
+            epoch: The epoch of the tokens to grant.
+            expires_at_us: When the known leases expire: they count as renewed now.
+            grants_from_us: Nothing is granted before.
+            bits: The width of the key space.
+
+        Raises:
+            ValueError: `raw` is no snapshot; an `InvalidMapError` may be its cause.
         """
         try:
-            made = MigrationCoordinator(
-                checked_map(raw["map"], bits=bits) if raw["map"] is not None else None,
-                epoch,
-                grants_from_us,
-                int(raw["number"]),
-                bits=bits,
-            )
-            held: list[KeyRange] = []
-            for row in raw["holders"]:
-                holds = [
-                    RangeHold(
-                        _required_key(first, bits),
-                        _required_key(last, bits),
-                        Token.from_wire(token),
-                        int(begun),
-                    )
-                    for first, last, token, begun in row["holds"]
-                ]
-                made.holders[Token.from_wire(row["token"])] = RangeHolder(
-                    str(row["name"]), expires_at_us, sorted(holds)
+            shard_map = None
+            if raw["map"] is not None:
+                shard_map = checked_map(raw["map"], bits=bits)
+            number = int(raw["number"])
+            rows = [
+                (
+                    Token.from_wire(row["token"]),
+                    _restored_holder(row, expires_at_us, bits),
                 )
-                held += [(h.first, h.last) for h in holds]
-        except (
-            Exception
-        ) as error:  # whatever is wrong with it, it is not what this service wrote
+                for row in raw["holders"]
+            ]
+        # Whatever is wrong with it, it is not what this service wrote.
+        except Exception as error:
             raise ValueError(f"no state of moves: {error!r}") from error
-        if sum(b - a + 1 for a, b in held) != sum(b - a + 1 for a, b in union(held)):
+        # Of all rows: a token that stands twice holds its keys twice.
+        held = [hold.key_range for _, holder in rows for hold in holder.holds]
+        if count_keys(held) != count_keys(union(held)):
             raise ValueError("no state of moves: keys held twice")
-        whole = [(0, (1 << bits) - 1)]
-        made.free = {}
-        made._release(difference(whole, union(held)))
-        return made
+        restored = MigrationCoordinator(
+            shard_map, epoch, grants_from_us, number, bits=bits
+        )
+        restored.holders = dict(rows)
+        restored.free = {}
+        restored._release(difference([_key_space(bits)], union(held)))
+        return restored
+
+
+def _restored_holder(
+    row: Mapping[str, Any], expires_at_us: int, bits: int
+) -> RangeHolder:
+    holds = sorted(RangeHold.from_row(hold, bits) for hold in row["holds"])
+    return RangeHolder(str(row["name"]), expires_at_us, holds)
+
+
+def _key_space(bits: int) -> KeyRange:
+    """All keys."""
+    return (0, (1 << bits) - 1)
 
 
 def _required_key(text: Any, bits: int) -> int:
-    if (key := parse_key(text, bits)) is None:
+    key = parse_key(text, bits)
+    if key is None:
         raise ValueError(f"{text!r} is no key")
     return key
--- a/rainfall/shard/ownership.py
+++ b/rainfall/shard/ownership.py
@@ -1,15 +1,14 @@
-"""A member's side of a move: which keys it may act on right now, and what it says of
-those it may not.
-
-    acting -> frozen: a new map gives the keys to another; nothing new is taken, what is
-    out comes to its end frozen -> acting: a newer map gives them back before anything
-    was said
-    frozen -> gave:   all is ended; from the next beat on the service is told, and this
-      hold never acts again
-    any    -> gone:   the service no longer lists them, or the lease is out
-
-Keys begin to be acted on only where the service's answer lists them, under a token, and
-this member's own map, of the answer's generation, says that they are its own.
+"""A member's side of a migration: which keys it may act on, and which it gives up.
+
+    acting -> frozen:    a new map gives the keys to another member; no new message is
+                         accepted, those in flight are finished
+    frozen -> acting:    a newer map gives them back before they were given up
+    frozen -> given up:  everything is finished; the service learns of it by the next
+                         heartbeat, and this hold never acts again
+    any    -> gone:      the service no longer lists them, or the lease has expired
+
+A member begins to act on keys only where the service's answer lists them, under a
+token, and its own map, of the answer's generation, says that they are its own.
 """
 
 from __future__ import annotations
@@ -17,7 +16,8 @@
 from bisect import bisect_right
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
-from typing import Any, Literal
+from enum import StrEnum
+from typing import Any
 
 from rainfall.lease.fencing_token import Token
 from rainfall.shard.key_ranges import KeyRange, difference, intersection, union
@@ -25,46 +25,65 @@
 from rainfall.shard.migration import RangeHold
 from rainfall.shard.shard_map import KEY_BITS, ShardMap
 
-RangeState = Literal["acting", "frozen", "gave"]
+
+class RangeState(StrEnum):
+    """What a member may do with keys that were granted to it."""
+
+    ACTING = "acting"
+    FROZEN = "frozen"
+    """Only messages in flight are finished."""
+    GIVEN_UP = "gave"
+
+
+# Looking up an enum's member costs more than comparing it; each message needs these.
+_ACTING = RangeState.ACTING
+_FROZEN = RangeState.FROZEN
+_GIVEN_UP = RangeState.GIVEN_UP
 
 
 @dataclass(frozen=True, slots=True)
 class OwnedRange:
+    """Keys that were granted to this member."""
+
     hold: RangeHold
     state: RangeState
     given_up_generation: int = -1
-    """The highest map generation under which a beat has said `gave` of it."""
+    """The highest map generation under which a heartbeat has given them up."""
 
     @property
     def key_range(self) -> KeyRange:
+        """Its keys."""
         return self.hold.first, self.hold.last
 
     def restricted_to(
-        self, spans: Sequence[KeyRange], state: RangeState | None = None
+        self, ranges: Sequence[KeyRange], state: RangeState | None = None
     ) -> list[OwnedRange]:
+        """Ranges like this one on other keys, and in another state if one is given."""
         return [
-            replace(self, hold=h, state=state or self.state)
-            for h in self.hold.restricted_to(spans)
+            replace(self, hold=hold, state=state or self.state)
+            for hold in self.hold.restricted_to(ranges)
         ]
 
 
 @dataclass(frozen=True, slots=True)
 class OwnershipReport:
-    """What a beat says of the map: its generation (0: none), its digest, and the keys
-    not acted on.
-    """
+    """What a heartbeat says of the map."""
 
     sent: int
+    """The heartbeat's number."""
     generation: int
+    """Of the member's map; 0 for none."""
     digest: int
     given_up: tuple[KeyRange, ...]
 
 
 @dataclass(slots=True)
 class RangeOwnership:
-    """The shell hands in every answer, and the lease's end by its own clock; it acts
-    only on what `may_act` gives a token for, and ends what is out once the lease is
-    (`holding` is empty from then on).
+    """The ranges of one member.
+
+    The caller passes on every answer, and the lease's end by its own clock. It acts
+    only on keys for which `may_act` returns a token, and stops what is in flight once
+    the lease has expired (`held_ranges` is empty from then on).
     """
 
     name: str
@@ -73,60 +92,54 @@
     lease_expires_at_us: int = 0
     ranges: list[OwnedRange] = field(default_factory=list)
     last_sent: int = 0
-    """Of the last beat. It goes on over incarnations."""
+    """The number of the last heartbeat. It goes on over incarnations."""
     last_answered: int = 0
-    """The last beat whose answer was taken; an answer to one before it is late."""
+    """The last heartbeat whose answer counted; an answer to an earlier one is late."""
     service_generation: int = 0
-    """The generation the service has; above the map's, the map is fetched."""
+    """Of the service's map; if it is above the own map's, the map is fetched."""
     bits: int = KEY_BITS
     _first_keys: list[int] = field(default_factory=list)
-
-    # -- what the shell asks
-    # ---------------------------------------------------------------------
+    """The first key of each range."""
 
     def may_act(self, key: int, now_us: int) -> Token | None:
-        """The token to take on a new message of `key` under; None: it is not this
-        member's now.
+        """The token under which a new message of `key` may be accepted.
+
+        None: the key is not this member's now.
         """
-        own = self._range_at(key)
-        return (
-            own.hold.token
-            if own and own.state == "acting" and now_us < self.lease_expires_at_us
-            else None
-        )
+        owned = self._range_at(key)
+        if owned is None or owned.state is not _ACTING:
+            return None
+        return owned.hold.token if now_us < self.lease_expires_at_us else None
 
     def may_finish(self, key: int, now_us: int) -> Token | None:
-        """The token under which a message already taken on may be carried to its end;
+        """The token under which a message in flight may be finished.
+
         None: stop at once.
         """
-        own = self._range_at(key)
-        return (
-            own.hold.token
-            if own and own.state != "gave" and now_us < self.lease_expires_at_us
-            else None
-        )
+        owned = self._range_at(key)
+        if owned is None or owned.state is _GIVEN_UP:
+            return None
+        return owned.hold.token if now_us < self.lease_expires_at_us else None
 
     def held_ranges(self, now_us: int) -> list[OwnedRange]:
-        """All that is acted on or still being ended."""
-        return (
-            [own for own in self.ranges if own.state != "gave"]
-            if now_us < self.lease_expires_at_us
-            else []
-        )
+        """All ranges that are acted on, or still being finished."""
+        if now_us >= self.lease_expires_at_us:
+            return []
+        return [owned for owned in self.ranges if owned.state is not _GIVEN_UP]
 
     def frozen_ranges(self) -> list[KeyRange]:
-        """What has to come to its end: `drained` is owed for it."""
-        return [own.key_range for own in self.ranges if own.state == "frozen"]
-
-    # -- maps
-    # ------------------------------------------------------------------------------------
+        """Keys whose messages have to be finished: `mark_drained` is due for them."""
+        return [owned.key_range for owned in self.ranges if owned.state is _FROZEN]
 
     def adopt_map(self, raw: Any) -> list[MapFault]:
-        """Take a map, whoever sent it.
+        """Check a map, whoever sent it, and apply it.
 
-        With any fault it is refused, all faults are told and the old one stays; the
-        very map in force is no fault. How much it moves is the service's affair: a
-        member that was away may have missed any number of maps.
+        With any fault the former map stays; the map in force, received again, is no
+        fault. How many keys move is checked by the service only: this member may have
+        missed any number of maps.
+
+        Returns:
+            The map's faults.
         """
         new, faults = evaluate_update(raw, None, self.map, None, self.bits)
         if new is not None and not faults:
@@ -138,65 +151,69 @@
         return [(r.first, r.last) for r in ranges if r.owner == self.name]
 
     def apply_map(self, new: ShardMap) -> None:
-        """By a checked map: freeze what is another's now, thaw what is given back
-        before it was given up.
+        """Put a checked map in force.
+
+        Freeze what is another's now; act again on what it gives back in time.
         """
         self.map = new
-        mine = self._mapped_ranges()
-        turned: list[OwnedRange] = []
-        for own in self.ranges:
-            if own.state == "gave":
-                turned.append(own)
-            else:
-                turned += own.restricted_to(
-                    intersection([own.key_range], mine), "acting"
-                )
-                turned += own.restricted_to(difference([own.key_range], mine), "frozen")
-        self._set_ranges(turned)
-
-    def mark_drained(self, spans: Sequence[KeyRange]) -> None:
-        """Of these frozen keys nothing is out and nothing is held any more: they can be
-        given up.
-        """
-        done = union(spans)
-        after: list[OwnedRange] = []
-        for own in self.ranges:
-            if own.state == "frozen":
-                after += own.restricted_to(intersection([own.key_range], done), "gave")
-                after += own.restricted_to(difference([own.key_range], done))
-            else:
-                after.append(own)
-        self._set_ranges(after)
-
-    # -- beats
-    # -----------------------------------------------------------------------------------
+        mapped = self._mapped_ranges()
+        updated: list[OwnedRange] = []
+        for owned in self.ranges:
+            if owned.state is _GIVEN_UP:
+                updated.append(owned)
+                continue
+            mine = intersection([owned.key_range], mapped)
+            others = difference([owned.key_range], mapped)
+            updated += owned.restricted_to(mine, _ACTING)
+            updated += owned.restricted_to(others, _FROZEN)
+        self._set_ranges(updated)
+
+    def mark_drained(self, ranges: Sequence[KeyRange]) -> None:
+        """Give up frozen keys of which no message is in flight any more."""
+        drained = union(ranges)
+        updated: list[OwnedRange] = []
+        for owned in self.ranges:
+            if owned.state is not _FROZEN:
+                updated.append(owned)
+                continue
+            given_up = intersection([owned.key_range], drained)
+            remaining = difference([owned.key_range], drained)
+            updated += owned.restricted_to(given_up, _GIVEN_UP)
+            updated += owned.restricted_to(remaining)
+        self._set_ranges(updated)
 
     def on_joined(self, token: Token, until_us: int) -> None:
         """A new incarnation holds nothing."""
         self.on_lease_lost()
-        self.incarnation, self.lease_expires_at_us = token, until_us
+        self.incarnation = token
+        self.lease_expires_at_us = until_us
 
     def on_lease_lost(self) -> None:
-        """The lease is out, or the service says so: everything stops at once."""
-        self.incarnation, self.lease_expires_at_us = None, 0
+        """The lease has expired, or the service says so: everything stops at once."""
+        self.incarnation = None
+        self.lease_expires_at_us = 0
         self._set_ranges([])
 
     def next_report(self) -> OwnershipReport:
-        """For a beat that leaves now."""
+        """The report for a heartbeat that is sent now."""
         self.last_sent += 1
-        generation, digest = (
-            (0, 0) if self.map is None else (self.map.generation, self.map.digest())
-        )
+        generation = 0
+        digest = 0
+        if self.map is not None:
+            generation = self.map.generation
+            digest = self.map.digest()
         self._set_ranges(
             [
-                replace(own, given_up_generation=generation)
-                if own.state == "gave"
-                else own
-                for own in self.ranges
+                replace(owned, given_up_generation=generation)
+                if owned.state is _GIVEN_UP
+                else owned
+                for owned in self.ranges
             ]
         )
-        gave = union(own.key_range for own in self.ranges if own.state == "gave")
-        return OwnershipReport(self.last_sent, generation, digest, tuple(gave))
+        given_up = union(
+            owned.key_range for owned in self.ranges if owned.state is _GIVEN_UP
+        )
+        return OwnershipReport(self.last_sent, generation, digest, tuple(given_up))
 
     def apply_answer(
         self,
@@ -206,61 +223,77 @@
         holds: Sequence[RangeHold],
         until_us: int,
     ) -> bool:
-        """The answer to beat `sent`, with the lease's end counted from when that beat
-        was asked. False where it is late or another incarnation's: nothing is done on
-        it.
+        """Take the answer to a heartbeat.
+
+        Args:
+            token: The incarnation's token.
+            sent: The number of the heartbeat.
+            generation: Of the service's map.
+            holds: Everything that the member holds.
+            until_us: The lease's end, counted from when the heartbeat was sent.
+
+        Returns:
+            False where the answer is late or another incarnation's: it does not count.
         """
         if token != self.incarnation or sent <= self.last_answered:
             return False
         self.last_answered = sent
-        # asked later than what it replaces; where it is shorter, the lease is
+        # Counted from a later request than before: if it is shorter, the lease is.
         self.lease_expires_at_us = until_us
         self.service_generation = generation
-        had: dict[Token, list[OwnedRange]] = {}
-        for own in self.ranges:
-            had.setdefault(own.hold.token, []).append(own)
-        told: dict[Token, list[RangeHold]] = {}
+        owned_by_token: dict[Token, list[OwnedRange]] = {}
+        for owned in self.ranges:
+            owned_by_token.setdefault(owned.hold.token, []).append(owned)
+        holds_by_token: dict[Token, list[RangeHold]] = {}
         for hold in sorted(holds):
-            told.setdefault(hold.token, []).append(hold)
-        after: list[OwnedRange] = []
-        for number, listed in sorted(told.items()):
-            spans = [(h.first, h.last) for h in listed]
-            kept = had.get(number, [])
-            for own in kept:
-                after += own.restricted_to(intersection([own.key_range], spans))
-            left = difference(spans, [own.key_range for own in kept])
-            if left and self.map is not None and generation == self.map.generation:
-                after += self._begin_holds(listed[0], left)
-        self._set_ranges(after)
+            holds_by_token.setdefault(hold.token, []).append(hold)
+        updated: list[OwnedRange] = []
+        for hold_token, listed in sorted(holds_by_token.items()):
+            listed_ranges = [hold.key_range for hold in listed]
+            known = owned_by_token.get(hold_token, [])
+            for owned in known:
+                kept = intersection([owned.key_range], listed_ranges)
+                updated += owned.restricted_to(kept)
+            new = difference(listed_ranges, [owned.key_range for owned in known])
+            if new and self.map is not None and generation == self.map.generation:
+                updated += self._begin_holds(listed[0], new)
+        self._set_ranges(updated)
         return True
 
     def _begin_holds(
-        self, hold: RangeHold, spans: Sequence[KeyRange]
+        self, hold: RangeHold, ranges: Sequence[KeyRange]
     ) -> list[OwnedRange]:
-        """Keys newly listed under one token.
+        """Take keys that are newly listed under one token.
 
-        What is another's by the map was given before a newer map and never acted on: it
-        is given up. So is what a beat still under way may give up in this hold's stead,
-        since it was said of the one before, under a map newer than this hold.
+        Some are given up at once. Those that are another's by the map were granted
+        before a newer map, and never acted on. Those that a heartbeat under way gives
+        up may be released at the service in place of an earlier hold, since it was sent
+        under a map newer than this hold.
         """
-        doubtful = self.given_up_after(hold.since_generation)
-        begun = difference(intersection(spans, self._mapped_ranges()), doubtful)
-        return [OwnedRange(h, "acting") for h in hold.restricted_to(begun)] + [
-            OwnedRange(h, "gave") for h in hold.restricted_to(difference(spans, begun))
+        uncertain = self.given_up_after(hold.since_generation)
+        mine = intersection(ranges, self._mapped_ranges())
+        begun = difference(mine, uncertain)
+        given_up = difference(ranges, begun)
+        return [
+            *(OwnedRange(part, _ACTING) for part in hold.restricted_to(begun)),
+            *(OwnedRange(part, _GIVEN_UP) for part in hold.restricted_to(given_up)),
         ]
 
-    def given_up_after(self, begun: int) -> list[KeyRange]:
-        """Keys that a beat has given up under a generation above `begun`."""
+    def given_up_after(self, generation: int) -> list[KeyRange]:
+        """Keys that a heartbeat has given up under a later map than `generation`."""
         return union(
-            own.key_range
-            for own in self.ranges
-            if own.state == "gave" and own.given_up_generation > begun
+            owned.key_range
+            for owned in self.ranges
+            if owned.state is _GIVEN_UP and owned.given_up_generation > generation
         )
 
-    def _set_ranges(self, owns: list[OwnedRange]) -> None:
-        self.ranges = sorted(owns, key=lambda own: own.hold)
-        self._first_keys = [own.hold.first for own in self.ranges]
+    def _set_ranges(self, ranges: list[OwnedRange]) -> None:
+        self.ranges = sorted(ranges, key=lambda owned: owned.hold)
+        self._first_keys = [owned.hold.first for owned in self.ranges]
 
     def _range_at(self, key: int) -> OwnedRange | None:
-        n = bisect_right(self._first_keys, key) - 1
-        return self.ranges[n] if n >= 0 and key <= self.ranges[n].hold.last else None
+        index = bisect_right(self._first_keys, key) - 1
+        if index < 0:
+            return None
+        owned = self.ranges[index]
+        return owned if key <= owned.hold.last else None
--- a/rainfall/shard/shard_map.py
+++ b/rainfall/shard/shard_map.py
@@ -1,11 +1,10 @@
-"""The map's form: ranges of the key space, inclusive at both ends, each with one owner.
+"""A shard map: ranges of the key space, both ends included, each with one owner.
 
     {"generation": 7, "ranges": [{"from": "0000000000000000", "to": "ffffffffffffffff",
     "owner": "n1"}]}
 
-The key space is 64 bits wide in every process. The cores take its width as `bits` (a
-multiple of 4), so that tests and models can hold a whole space of 4 or 8 bits in their
-hands.
+The key space is 64 bits wide in every process. Its width is a parameter, `bits` (a
+multiple of 4), so that tests and models can cover a whole space of 4 or 8 bits.
 """
 
 from __future__ import annotations
@@ -22,12 +21,18 @@
 from rainfall.errors import RainfallError
 
 KEY_BITS = 64
+BITS_PER_DIGIT = 4
+HEX_DIGITS = "0123456789abcdef"
 MAX_GENERATION = (1 << 63) - 1
-MAX_INTEGER_DIGITS = 20  # of a whole number in a file; what is longer is no generation
+MAX_INTEGER_DIGITS = 20
+"""Of a whole number in a file; a longer one is no generation."""
 
 
 class UnreadableInputError(RainfallError):
-    """The text is one line: why this is no JSON object, array or file at all."""
+    """Input that cannot be read as the JSON object, array or file it should be.
+
+    Its text is one line.
+    """
 
 
 def hash_key(text: str) -> int:
@@ -37,40 +42,46 @@
 
 def format_key(key: int, bits: int = KEY_BITS) -> str:
     """16 lower-case digits where the space has 64 bits."""
-    return f"{key:0{bits // 4}x}"
+    return f"{key:0{bits // BITS_PER_DIGIT}x}"
 
 
 def format_range(first: int, last: int, bits: int = KEY_BITS) -> str:
-    """`FROM-TO`, as a range stands in faults, in a beat's `gave` and in a file of
-    loads.
-    """
+    """`FROM-TO`: a range in faults, in a heartbeat's `gave` and in a file of loads."""
     return f"{format_key(first, bits)}-{format_key(last, bits)}"
 
 
 def parse_key(text: Any, bits: int = KEY_BITS) -> int | None:
-    """The key that exactly `bits / 4` lower-case hexadecimal digits name; None for
-    anything else.
+    """The key of exactly `bits` / 4 lower-case hexadecimal digits.
+
+    None for anything else.
     """
-    # int() alone would also take 0x, signs, spaces and underscores; strip finds any
-    # other character.
+    # int() alone would also accept 0x, signs, spaces and underscores; strip() leaves
+    # any other character.
     if (
         type(text) is str
-        and len(text) == bits // 4
-        and not text.strip("0123456789abcdef")
+        and len(text) == bits // BITS_PER_DIGIT
+        and not text.strip(HEX_DIGITS)
     ):
         return int(text, 16)
     return None
 
 
 def parse_range(text: Any, bits: int = KEY_BITS) -> tuple[int, int]:
-    """The range that `FROM-TO` names; ValueError where it is none."""
-    first, dash, last = text.partition("-") if type(text) is str else ("", "", "")
-    ends = parse_key(first, bits), parse_key(last, bits)
-    if not dash or ends[0] is None or ends[1] is None or ends[0] > ends[1]:
+    """Decode `FROM-TO`.
+
+    Raises:
+        ValueError: `text` is no range.
+    """
+    first_text, dash, last_text = "", "", ""
+    if type(text) is str:
+        first_text, dash, last_text = text.partition("-")
+    first = parse_key(first_text, bits)
+    last = parse_key(last_text, bits)
+    if not dash or first is None or last is None or first > last:
         raise ValueError(
-            f"a range is FROM-TO, {bits // 4} lower-case hexadecimal digits each, not inverted"
+            f"a range is FROM-TO, {bits // BITS_PER_DIGIT} lower-case hexadecimal digits each, not inverted"
         )
-    return ends[0], ends[1]
+    return first, last
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -83,23 +94,26 @@
 
     @property
     def size(self) -> int:
+        """Its number of keys."""
         return self.last - self.first + 1
 
 
 @dataclass(frozen=True, slots=True)
 class ShardMap:
-    """A map without faults: `ranges` in order of their keys, every key in exactly one.
+    """A valid map: `ranges` ordered by key, every key in exactly one.
 
-    Only `check.checked` and `plan.plan` make one of what came from elsewhere.
+    Input from elsewhere becomes one by `map_validation.checked_map` only.
     """
 
     generation: int
     ranges: tuple[Range, ...]
     bits: int = KEY_BITS
     firsts: tuple[int, ...] = field(init=False, repr=False, compare=False)
+    """The first key of each range."""
     _digest: list[int] = field(
         default_factory=list, init=False, repr=False, compare=False
     )
+    """The digest once it was computed: the map itself is immutable."""
 
     def __post_init__(self) -> None:
         object.__setattr__(self, "firsts", tuple(r.first for r in self.ranges))
@@ -109,19 +123,21 @@
         return self.ranges[bisect_right(self.firsts, key) - 1]
 
     def owner(self, key: int) -> str:
+        """The owner of `key`."""
         return self.range_of(key).owner
 
     def owners(self) -> set[str]:
+        """All members that own a range."""
         return {r.owner for r in self.ranges}
 
     def overlapping(self, first: int, last: int) -> Sequence[Range]:
         """The ranges that hold any key from `first` to `last`."""
-        return self.ranges[
-            bisect_right(self.firsts, first) - 1 : bisect_right(self.firsts, last)
-        ]
+        start = bisect_right(self.firsts, first) - 1
+        end = bisect_right(self.firsts, last)
+        return self.ranges[start:end]
 
     def to_wire(self) -> dict[str, Any]:
-        """As JSON holds it, the ranges in order of their keys."""
+        """The form in JSON, the ranges ordered by key."""
         return {
             "generation": self.generation,
             "ranges": [
@@ -135,48 +151,46 @@
         }
 
     def file_text(self) -> str:
-        """The file: one range a line, so that two maps can be compared by eye and by
-        diff.
-        """
+        """The text of a map's file: one range a line, so that maps can be compared."""
         rows = ",\n".join(json.dumps(entry) for entry in self.to_wire()["ranges"])
         return f'{{"generation": {self.generation}, "ranges": [\n{rows}\n]}}\n'
 
     def digest(self) -> int:
-        """Tells two maps of one generation apart: xxh3 of who owns what, however it is
-        written.
+        """A hash of who owns what, to tell two maps of one generation apart.
+
+        It does not depend on how an owner's keys are split into ranges.
         """
         if not self._digest:
             rows: list[Any] = []
             for r in self.ranges:
                 if not rows or rows[-1][1] != r.owner:
                     rows.append((r.first, r.owner))
-            self._digest.append(
-                xxhash.xxh3_64_intdigest(json.dumps([self.generation, rows]).encode())
-            )
+            content = json.dumps([self.generation, rows]).encode()
+            self._digest.append(xxhash.xxh3_64_intdigest(content))
         return self._digest[0]
 
 
 class DuplicateFieldObject(dict[str, Any]):
-    """A JSON object that named a field twice: which of the two is meant cannot be
-    known.
-    """
+    """A JSON object that names a field twice: which of the two is meant is unknown."""
 
-    def __init__(self, pairs: Iterable[tuple[str, Any]], twice: list[str]) -> None:
+    def __init__(
+        self, pairs: Iterable[tuple[str, Any]], duplicate_fields: list[str]
+    ) -> None:
         super().__init__(pairs)
-        self.duplicate_fields = twice
+        self.duplicate_fields = duplicate_fields
 
 
 def _build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    made = dict(pairs)
-    if len(made) == len(pairs):
-        return made
+    fields = dict(pairs)
+    if len(fields) == len(pairs):
+        return fields
     counts = Counter(name for name, _ in pairs)
-    return DuplicateFieldObject(
-        pairs, sorted(name for name, count in counts.items() if count > 1)
-    )
+    duplicates = sorted(name for name, count in counts.items() if count > 1)
+    return DuplicateFieldObject(pairs, duplicates)
 
 
 def _parse_integer(digits: str) -> int | float:
+    # int() of a very long text takes quadratic time.
     return int(digits) if len(digits) <= MAX_INTEGER_DIGITS else float(digits)
 
 
@@ -185,9 +199,10 @@
 
 
 def decode_json(data: bytes) -> Any:
-    """JSON, strictly, with doubled fields kept as `Doubled`.
+    """Decode strict JSON; objects may be a `DuplicateFieldObject`.
 
-    Unreadable where it is not JSON.
+    Raises:
+        UnreadableInputError: It is not JSON.
     """
     try:
         return json.loads(
