--- a/rainfall/journal/recovery.py
+++ b/rainfall/journal/recovery.py
@@ -12,6 +12,7 @@
 from rainfall.errors import RainfallError
 from rainfall.journal.files import FileSystem
 from rainfall.journal.format import Frame, NewerVersionError, Scan, scan
+from rainfall.journal.records import JournalClock
 from rainfall.journal.state import JournalState
 
 JOURNAL_FILE, NEW_JOURNAL_FILE, DAMAGED_JOURNAL_FILE = (
@@ -220,7 +221,7 @@
         if abs(clock_shift_us) >= MIN_CLOCK_SHIFT_US:
             state.shift_times(clock_shift_us)
             report.shifted_us = clock_shift_us
-    state.clock = (base_us, boot)
+    state.clock = JournalClock(base_us, boot)
     report.doubted, report.ended = state.resolve_doubts()
     report.lost = list(state.lost_messages)
     report.took_ms = (time.monotonic() - began) * 1000
