--- a/rainfall/journal/files.py
+++ b/rainfall/journal/files.py
@@ -1,4 +1,4 @@
-"""What the journal asks of the file system, so that tests can put another in its place."""
+"""The file operations that stored state needs, behind a protocol that tests replace."""
 
 from __future__ import annotations
 
@@ -6,66 +6,99 @@
 from pathlib import Path
 from typing import Protocol
 
+FILE_MODE = 0o600
+"""Message bodies are stored: only the forwarder's own user may read them."""
+
 
 class FileSystem(Protocol):
-    """Writes tell where, so that a failed one leaves no position behind."""
+    """The operations on files; each raises OSError where it fails.
 
-    def read(self, path: Path) -> bytes: ...
+    Writes name their offset, so that a failed one leaves no file position behind.
+    """
 
-    def size(self, path: Path) -> int: ...
+    def read(self, path: Path) -> bytes:
+        """Return a file's contents."""
 
-    def open(self, path: Path, anew: bool = False) -> int: ...
+    def size(self, path: Path) -> int:
+        """Return a file's size in bytes."""
 
-    def write(self, fd: int, data: memoryview, at: int) -> int: ...
+    def open(self, path: Path, anew: bool = False) -> int:
+        """Open a file to read and write, and create it if need be.
 
-    def truncate(self, fd: int, size: int) -> None: ...
+        With `anew` it is truncated. Returns the descriptor.
+        """
 
-    def sync(self, fd: int) -> None: ...
+    def write(self, fd: int, data: memoryview, at: int) -> int:
+        """Write at an offset; returns how many bytes were written."""
 
-    def close(self, fd: int) -> None: ...
+    def truncate(self, fd: int, size: int) -> None:
+        """Cut a file to a size in bytes."""
 
-    def replace(self, old: Path, new: Path) -> None: ...
+    def sync(self, fd: int) -> None:
+        """Return once a file's contents have reached the disk."""
 
-    def link(self, old: Path, new: Path) -> None: ...
+    def close(self, fd: int) -> None:
+        """Close a descriptor."""
 
-    def unlink(self, path: Path) -> None: ...
+    def replace(self, old: Path, new: Path) -> None:
+        """Rename a file; one that has the new name is replaced."""
 
-    def sync_directory(self, path: Path) -> None: ...
+    def link(self, old: Path, new: Path) -> None:
+        """Give a file a second name."""
+
+    def unlink(self, path: Path) -> None:
+        """Remove a name, if it exists."""
+
+    def sync_directory(self, path: Path) -> None:
+        """Return once a directory's names have reached the disk."""
 
 
 class LocalFileSystem:
+    """The file system of this machine."""
+
     def read(self, path: Path) -> bytes:
+        """Return a file's contents."""
         return path.read_bytes()
 
     def size(self, path: Path) -> int:
+        """Return a file's size in bytes."""
         return path.stat().st_size
 
     def open(self, path: Path, anew: bool = False) -> int:
+        """Open a file to read and write, and create it if need be."""
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | (os.O_TRUNC if anew else 0)
-        return os.open(path, flags, 0o600)
+        return os.open(path, flags, FILE_MODE)
 
     def write(self, fd: int, data: memoryview, at: int) -> int:
+        """Write at an offset; returns how many bytes were written."""
         return os.pwrite(fd, data, at)
 
     def truncate(self, fd: int, size: int) -> None:
+        """Cut a file to a size in bytes."""
         os.ftruncate(fd, size)
 
     def sync(self, fd: int) -> None:
+        """Return once a file's contents have reached the disk."""
         os.fsync(fd)
 
     def close(self, fd: int) -> None:
+        """Close a descriptor."""
         os.close(fd)
 
     def replace(self, old: Path, new: Path) -> None:
-        os.replace(old, new)
+        """Rename a file; one that has the new name is replaced."""
+        old.replace(new)
 
     def link(self, old: Path, new: Path) -> None:
+        """Give a file a second name."""
         os.link(old, new)
 
     def unlink(self, path: Path) -> None:
+        """Remove a name, if it exists."""
         path.unlink(missing_ok=True)
 
     def sync_directory(self, path: Path) -> None:
+        """Return once a directory's names have reached the disk."""
         fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -74,7 +107,9 @@
 
 
 def write_all(files: FileSystem, fd: int, data: bytes, at: int) -> None:
+    """Write all of the data at an offset, in as many writes as it takes."""
     view = memoryview(data)
     while view:
-        done = files.write(fd, view, at)
-        view, at = view[done:], at + done
+        written = files.write(fd, view, at)
+        view = view[written:]
+        at += written
