--- a/rainfall/journal/__main__.py
+++ b/rainfall/journal/__main__.py
@@ -1,6 +1,6 @@
-"""For staff: python -m rainfall.journal check|show DIR.
+"""The command for staff: `python -m rainfall.journal check|show DIR`.
 
-Reads only, also beside a running forwarder.
+It only reads, and may run beside a running forwarder.
 """
 
 from __future__ import annotations
@@ -23,158 +23,200 @@
 )
 from rainfall.journal.state import AcceptedMessage, JournalState
 
-EXIT_INTACT, EXIT_DAMAGED, EXIT_UNUSABLE = 0, 1, 2
+EXIT_INTACT = 0
+EXIT_DAMAGED = 1
+EXIT_UNUSABLE = 2
+"""The call or the journal is of no use."""
 MAX_NAMED = 20
-REREAD_DELAY_S = 0.2  # a running forwarder may be in the middle of a write
+"""Messages named on one printed line."""
+REREAD_DELAY_S = 0.2
+"""A running forwarder may be in the middle of a write; this is longer than one."""
+US_PER_S = 1_000_000
 
 
 class UsageError(RainfallError):
-    """The text is one line."""
+    """The call cannot be served; the text is one line."""
 
 
 def read(where: Path) -> tuple[JournalState, RecoveryReport]:
-    """Twice, where the first look may have met a write that was not at its end."""
+    """Read a journal, and once more where a write may have been under way.
+
+    Raises:
+        UsageError: There is no journal, or it cannot be opened.
+        UnusableJournalError: A later version of the program wrote it.
+    """
     path = where if where.is_file() else where / JOURNAL_FILE
-    for last in (False, True):
-        try:
-            data = path.read_bytes()
-        except FileNotFoundError:
-            raise UsageError(f"no journal at {where}") from None
-        except OSError as error:
-            raise UsageError(f"cannot read {path}: {error.strerror}") from None
-        state, report = read_journal(data)
-        if last or not (report.torn or report.damaged):
-            break
+    state, report = read_journal(_read_file(where, path))
+    if report.torn or report.damaged:
         time.sleep(REREAD_DELAY_S)
-    report.doubted, report.ended = _count_doubts(state)
+        state, report = read_journal(_read_file(where, path))
+    _count_doubts(state, report)
     return state, report
 
 
-def _count_doubts(state: JournalState) -> tuple[int, int]:
-    doubted = [m for m in state.messages.values() if m.in_doubt]
-    ordered = sum(m.order_key is not None for m in doubted)
-    return len(doubted) - ordered, ordered
+def _read_file(where: Path, path: Path) -> bytes:
+    try:
+        return path.read_bytes()
+    except FileNotFoundError:
+        raise UsageError(f"no journal at {where}") from None
+    except OSError as error:
+        raise UsageError(f"cannot read {path}: {error.strerror}") from None
+
+
+def _count_doubts(state: JournalState, report: RecoveryReport) -> None:
+    doubted = [message for message in state.messages.values() if message.in_doubt]
+    report.ended = sum(message.order_key is not None for message in doubted)
+    report.doubted = len(doubted) - report.ended
 
 
 def check(where: Path) -> int:
+    """Print whether a journal is intact and what is lost; returns the exit code."""
     state, report = read(where)
     if not report.version:
         print("empty: a forwarder would start with nothing")
         return EXIT_INTACT
-    print(
+    for line in (
+        _contents(state, report),
+        *_damage(report),
+        *_losses(state, report),
+        "damaged" if report.damaged else "whole",
+    ):
+        print(line)
+    return EXIT_DAMAGED if report.damaged else EXIT_INTACT
+
+
+def _contents(state: JournalState, report: RecoveryReport) -> str:
+    return (
         f"version {report.version}, generation {report.generation}, "
         f"level {'power' if report.power else 'process'}: "
-        f"{report.records} records in {report.size} bytes; {len(state.messages)} messages held, "
+        f"{report.records} records in {report.size} bytes; "
+        f"{len(state.messages)} messages held, "
         f"{len(state.pending_notifications)} ends not told"
     )
+
+
+def _damage(report: RecoveryReport) -> list[str]:
+    lines = []
     if report.torn:
-        print(
+        lines.append(
             f"at byte {report.size - report.torn}: {report.torn} bytes of a write "
-            "that did not come to its end; nothing "
-            "was promised on it"
+            "that did not come to its end; nothing was promised on it"
         )
     if report.head_damaged:
-        print(
-            "at byte 0: a head is damaged"
-            + ("" if report.records else "; nothing can be read")
+        consequence = "" if report.records else "; nothing can be read"
+        lines.append(f"at byte 0: a head is damaged{consequence}")
+    for gap in report.gaps:
+        lost = "records of an unknown number"
+        if gap.missing >= 0:
+            lost = f"{gap.missing} records"
+        lines.append(
+            f"at byte {gap.offset}: {gap.size} bytes cannot be read; {lost} lost"
         )
-    for at, size, missing in report.gaps:
-        many = f"{missing} records" if missing >= 0 else "records of an unknown number"
-        print(f"at byte {at}: {size} bytes cannot be read; {many} lost")
+    return lines
+
+
+def _losses(state: JournalState, report: RecoveryReport) -> list[str]:
+    lines = []
     if report.unknown:
-        print(f"{report.unknown} records are of a form that this program does not know")
+        lines.append(
+            f"{report.unknown} records are of a form that this program does not know"
+        )
     if report.lost:
-        print(
+        lines.append(
             f"lost, though taken on: {len(report.lost)} messages: {_named(report.lost)}"
         )
     if report.doubted or report.ended:
-        names = [m.id for m in state.messages.values() if m.in_doubt]
-        print(
-            f"in doubt, as an attempt or an end may be lost: {len(names)} messages ({report.ended} ordered, "
-            f"which a start ends as failed): {_named(names)}"
+        names = [message.id for message in state.messages.values() if message.in_doubt]
+        lines.append(
+            f"in doubt, as an attempt or an end may be lost: {len(names)} messages "
+            f"({report.ended} ordered, which a start ends as failed): {_named(names)}"
         )
-    print("damaged" if report.damaged else "whole")
-    return EXIT_DAMAGED if report.damaged else EXIT_INTACT
+    return lines
 
 
 def _named(names: list[str]) -> str:
-    return ", ".join(names[:MAX_NAMED]) + (", ..." if len(names) > MAX_NAMED else "")
+    more = ", ..." if len(names) > MAX_NAMED else ""
+    return ", ".join(names[:MAX_NAMED]) + more
 
 
 def show(where: Path, bodies: bool) -> int:
+    """Print what a journal holds; returns the exit code."""
     state, report = read(where)
     if state.rules:
         rules = state.rules[state.current_rules_number]
-        print(
-            f"classes {', '.join(c.name for c in rules.classes)}; {rules.attempts} attempts"
-        )
+        names = ", ".join(message_class.name for message_class in rules.classes)
+        print(f"classes {names}; {rules.attempts} attempts")
     print(
-        f"list {state.seq} of {state.source or 'unknown'}: {len(state.hosts)} endpoints; taken out by "
-        f"operators: {', '.join(state.detached) or 'none'}"
+        f"list {state.seq} of {state.source or 'unknown'}: "
+        f"{len(state.hosts)} endpoints; taken out by operators: "
+        f"{', '.join(state.detached) or 'none'}"
     )
-    for m in state.messages.values():
-        print(describe_message(m, bodies))
-    for name, end in state.pending_notifications.items():
-        print(
-            f"owed {name}: {end.state}"
-            + (f", after {end.after_ms} ms" if end.after_ms else "")
-        )
+    for message in state.messages.values():
+        print(describe_message(message, bodies))
+    for message_id, end in state.pending_notifications.items():
+        delay = f", after {end.after_ms} ms" if end.after_ms else ""
+        print(f"owed {message_id}: {end.state}{delay}")
     if report.damaged:
         print("damaged: see check")
     return EXIT_DAMAGED if report.damaged else EXIT_INTACT
 
 
-def describe_message(m: AcceptedMessage, bodies: bool) -> str:
-    due = datetime.fromtimestamp(m.deadline_us / 1e6, UTC).isoformat(
-        timespec="milliseconds"
-    )
+def describe_message(message: AcceptedMessage, bodies: bool) -> str:
+    """Return one line about a message, with its body only where that is asked for."""
+    deadline = datetime.fromtimestamp(message.deadline_us / US_PER_S, UTC)
+    due = deadline.isoformat(timespec="milliseconds")
     parts = [
-        f"held {m.id}: {m.class_name} to {m.destination}, due {due}, {m.attempts} attempts"
+        f"held {message.id}: {message.class_name} to {message.destination}, "
+        f"due {due}, {message.attempts} attempts"
     ]
-    if m.in_flight:
-        parts.append(
-            "out to " + ", ".join(host or "unknown" for _, host in m.in_flight.values())
-        )
-    if m.executed_at_us >= 0:
-        parts.append(f"may have run at {m.executed_on or 'unknown'}")
-    if m.order_key is not None:
-        parts.append(f"order key {m.order_key}")
-    if m.in_doubt:
+    if message.in_flight:
+        hosts = [host or "unknown" for _, host in message.in_flight.values()]
+        parts.append("out to " + ", ".join(hosts))
+    if message.executed_at_us >= 0:
+        parts.append(f"may have run at {message.executed_on or 'unknown'}")
+    if message.order_key is not None:
+        parts.append(f"order key {message.order_key}")
+    if message.in_doubt:
         parts.append("in doubt")
-    parts.append(f"{len(m.body)} bytes")
+    parts.append(f"{len(message.body)} bytes")
     if bodies:
-        parts.append(json.dumps(m.body.decode("latin-1")))
+        parts.append(json.dumps(message.body.decode("latin-1")))
     return ", ".join(parts)
 
 
-def main(arguments: Sequence[str] | None = None) -> int:
+def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python -m rainfall.journal", description=__doc__
     )
-    calls = parser.add_subparsers(dest="call", required=True)
+    commands = parser.add_subparsers(dest="call", required=True)
     for name, text in (
         ("check", "whether it is whole: exit 0 whole, 1 damaged, 2 unusable call"),
         ("show", "what it holds; message bodies only with --bodies"),
     ):
-        one = calls.add_parser(name, help=text, description=text)
-        one.add_argument(
+        command = commands.add_parser(name, help=text, description=text)
+        command.add_argument(
             "where",
             type=Path,
             metavar="DIR",
             help="a forwarder's folder, or a journal file",
         )
         if name == "show":
-            one.add_argument(
+            command.add_argument(
                 "--bodies", action="store_true", help="print message bodies too"
             )
-    options = parser.parse_args(arguments)  # ends with 2 by itself
-    logging.disable(logging.CRITICAL)  # what it would say is in the report
+    return parser
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Run the command; returns its exit code."""
+    # The parser itself ends an unusable call with EXIT_UNUSABLE.
+    options = _parser().parse_args(arguments)
+    # Damage is logged where it is read, and all of it stands in the report.
+    logging.disable(logging.CRITICAL)
     try:
-        return (
-            check(options.where)
-            if options.call == "check"
-            else show(options.where, options.bodies)
-        )
+        if options.call == "check":
+            return check(options.where)
+        return show(options.where, options.bodies)
     except (UsageError, UnusableJournalError) as error:
         print(f"journal: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
