--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -78,7 +78,7 @@
     "registry.http_server.BACKLOG",
     "registry.http_server.MAX_FAULTS_IN_ANSWER",
     "session.migration_manager.MAX_FINISHED_MIGRATIONS",
-    "session.protocol.ITEM_LIMIT",
+    "session.messages.ITEM_LIMIT",
     "shard.map_planning.MAX_RANGES",
     "registry.member_encoder.MAX_CACHED_MEMBERS",
     "dispatch.message_queues.MAX_SPARE_DESTINATION_QUEUES",
@@ -144,7 +144,7 @@
     "shard.migration.MAX_GENERATION_LEAD": NUMBER,
     "shard.plan_cells.MAX_PIECES": "pieces that one range is split into at once",
 }
-ALSO = {"session.protocol.ITEM_LIMIT", "registry.storage.MAX_CACHED_NOTICES"}
+ALSO = {"session.messages.ITEM_LIMIT", "registry.storage.MAX_CACHED_NOTICES"}
 """Bounds of lists by other names than the usual."""
 
 
