--- a/rainfall/session/migration_source.py
+++ b/rainfall/session/migration_source.py
@@ -1,6 +1,6 @@
-"""The giving side of one hand-over.
+"""The source's side of one migration.
 
-Every pair of state and event is in `docs/parts/session.md`.
+docs/parts/session.md has a table of every pair of state and event.
 """
 
 from __future__ import annotations
@@ -12,17 +12,21 @@
 from rainfall.session import protocol as w
 from rainfall.session import states as s
 from rainfall.session.buffered_messages import BufferedMessages
+from rainfall.session.migration_side import MigrationSide
 from rainfall.session.states import Actions, Limits, MessageArrived, MigrationState
 
 Handler = Callable[["MigrationSource", Any, int], Actions]
 NO_LEASE: w.LeaseToken = (0, 0)
+"""A token that no member holds."""
+NO_REQUEST = s.StartMigration()
 
 
 @dataclass(slots=True)
-class MigrationSource(BufferedMessages):
-    """`on(event, now_us)` gives what to do, in order.
+class MigrationSource(BufferedMessages, MigrationSide):
+    """The state of the source; each handler returns what is to be done, in order.
 
-    Fields hold values that are never changed in place, so `copy.copy` forks it.
+    Values of fields are never changed in place, so `copy.copy` makes an independent
+    copy. All handlers take an event and the time now, in microseconds of the local clock.
     """
 
     key: str = ""
@@ -33,190 +37,190 @@
     state: MigrationState = MigrationState.HELD
     state_entered_at_us: int = 0
     state_deadline_us: int | None = None
-    request: s.StartMigration = s.StartMigration()
+    request: s.StartMigration = NO_REQUEST
     pending_record: w.Record | None = None
-    """Asked to be written and not yet known to be on disk."""
+    """A record that was to be written and is not known to be on disk."""
     writing: bool = False
+    """Whether that record's write is under way."""
     cancel_requested: bool = False
-    """To be taken back as soon as the seal is written."""
+    """Whether the session is to be reclaimed once the seal is written."""
     decided_by_arbiter: bool = False
-    """The arbiter's word decided."""
+    """Whether the arbiter's verdict has decided who owns the session."""
     in_doubt: bool = False
-    """Committed, and the arbiter was asked, perhaps before a restart. What it was asked
-    may reach it late, so from now on only its word moves us: we neither let go nor
-    commit to another life of the taker alone.
+    """The session is committed, and the arbiter was asked, perhaps before a restart. A
+    question may reach it late, so from now on only its verdict counts: the source neither
+    releases the session nor commits it to another lease of the target by itself.
     """
     ownerless: bool = False
-    """Nobody could say whose it is until it was over: neither side has it by this
-    hand-over.
+    """Nobody could say who owns the session until its messages expired: neither side gets
+    it by this migration.
     """
     target_activated: bool = False
-    """The taker has told that it began."""
+    """Whether the target has reported that it acts on the session."""
     copy_parts: tuple[w.CopyPart, ...] = ()
     target_lease_token: w.LeaseToken | None = None
-    """The taker's lease under which it last said that it holds the copy."""
+    """The target's lease under which it last reported that it stores the copy."""
 
     def handle_event(self, event: object, now_us: int) -> Actions:
-        """What follows from an event.
-
-        One that means nothing in this state does nothing.
-        """
+        """Return what an event demands; one of no meaning in this state does nothing."""
         handler = TRANSITIONS[self.state].get(type(event))
         return handler(self, event, now_us) if handler else ()
 
-    def tick(self, now_us: int) -> Actions:
-        """To be called every `retry_us`: `Timeout` where the state's limit is over,
-        `Retry` otherwise.
-        """
-        late = self.state_deadline_us is not None and now_us >= self.state_deadline_us
-        return self.handle_event(s.Timeout() if late else s.Retry(), now_us)
-
     @staticmethod
     def recover(
         record: w.SealedRecord, committed: bool, limits: Limits, now_us: int
     ) -> MigrationSource:
-        """After a restart, from the journal.
+        """Return the source after a restart, from its records.
 
         The session's messages stay with the engine, frozen.
         """
-        core = MigrationSource(
+        source = MigrationSource(
             record.migration_id, limits, key=record.key, target=record.target
         )
-        core.in_doubt = committed
-        core._enter(
-            MigrationState.COMMITTED if committed else MigrationState.ABORTED, now_us
-        )
-        return core
+        source.in_doubt = committed
+        state = MigrationState.COMMITTED if committed else MigrationState.ABORTED
+        source._enter(state, now_us)
+        return source
 
-    def _enter(self, state: MigrationState, now_us: int) -> None:
-        time_limit_us = {
+    def _time_limits_us(self) -> dict[MigrationState, int]:
+        return {
             MigrationState.OFFERED: self.limits.offer_us,
             MigrationState.FROZEN: self.limits.freeze_us,
             MigrationState.COPIED: self.limits.copy_us,
             MigrationState.COMMITTED: self.limits.commit_us,
             MigrationState.ABORTED: self.limits.commit_us,
             MigrationState.TAIL: self.limits.tail_us,
-        }.get(state)
-        self.state, self.state_entered_at_us = state, now_us
-        self.state_deadline_us = (
-            None if time_limit_us is None else now_us + time_limit_us
-        )
+        }
 
     def _write(self, record: w.Record) -> Actions:
-        self.pending_record, self.writing = record, True
+        self.pending_record = record
+        self.writing = True
         return (s.PersistRecord(record),)
 
-    # Before the seal: nothing has left, and the session is taken back alone.
+    # Before the seal: no copy has left, and the source may cancel by itself.
 
     def send_offer(self, event: object, now_us: int) -> Actions:
+        """Offer the session, for the first time or again."""
         if isinstance(event, s.StartMigration):
             self.request = event
             self._enter(MigrationState.OFFERED, now_us)
-        asked = self.request
-        return (
-            s.Send(
-                w.Offer(
-                    self.migration_id,
-                    self.key,
-                    self.target_site,
-                    self.reason,
-                    asked.messages,
-                    asked.bytes,
-                    self.migration_count,
-                )
-            ),
+        offer = w.Offer(
+            self.migration_id,
+            self.key,
+            self.target_site,
+            self.reason,
+            self.request.messages,
+            self.request.bytes,
+            self.migration_count,
         )
+        return (s.Send(offer),)
 
-    def withdraw_offer(self, event: object, now_us: int) -> Actions:
+    def withdraw_offer(self, _event: object, now_us: int) -> Actions:
+        """Give up before the target has accepted."""
         self._enter(MigrationState.HELD, now_us)
         return s.Send(w.Decline(self.migration_id)), s.MigrationFinished()
 
     def freeze(self, event: w.Accept, now_us: int) -> Actions:
-        self.stamp_us, self.heard_us = event.stamp_us, now_us
+        """Stop the session's calls: the target accepts the offer."""
+        self.stamp_us = event.stamp_us
+        self.heard_us = now_us
         self._enter(MigrationState.FROZEN, now_us)
         return (s.Freeze(),)
 
-    def close_calls(self, event: object, now_us: int) -> Actions:
-        out = (
-            self.pending_record is None
-            and now_us - self.state_entered_at_us >= self.limits.calls_us
-        )
-        return (*self._reject_overdue(now_us), *((s.CloseCalls(),) if out else ()))
+    def close_calls(self, _event: object, now_us: int) -> Actions:
+        """Close calls that have been in flight for too long."""
+        frozen_us = now_us - self.state_entered_at_us
+        rejected = self._reject_overdue(now_us)
+        if self.pending_record is None and frozen_us >= self.limits.calls_us:
+            return *rejected, s.CloseCalls()
+        return rejected
 
-    def unfreeze(self, event: object, now_us: int) -> Actions:
-        if (
-            self.pending_record is not None
-        ):  # the seal may reach the disk: from there on the taker has to agree
+    def unfreeze(self, _event: object, now_us: int) -> Actions:
+        """Go on with the session, unless its seal may be on disk."""
+        if self.pending_record is not None:
+            # From the seal on the target has to agree.
             self.cancel_requested = True
             return ()
         return s.Send(w.Decline(self.migration_id)), *self._resume(now_us)
 
     def seal(self, event: s.SessionQuiesced, now_us: int) -> Actions:
+        """Make the copy and write the seal, or go on where the session is unfit."""
         if self.pending_record is not None:
             return ()
-        fits_limits = (
-            len(event.items) <= self.limits.session_messages
-            and sum(i.size for i in event.items) <= self.limits.session_bytes
-        )
-        shortest_time_left_us = (
-            min(
-                (i.deadline_us for i in event.items),
-                default=now_us + self.limits.least_left_us,
-            )
-            - now_us
-        )
-        if not fits_limits or shortest_time_left_us < self.limits.least_left_us:
+        if not self._is_fit(event, now_us):
             return self.unfreeze(event, now_us)
-        items = [w.with_relative_times(i, self.heard_us) for i in event.items]
-        parts = list(
-            w.split_into_parts(items, event.remembered_ids[-self.limits.memory :])
-        )
+        items = [w.with_relative_times(item, self.heard_us) for item in event.items]
+        remembered_ids = event.remembered_ids[-self.limits.memory :]
+        parts = list(w.split_into_parts(items, remembered_ids))
         self.copy_parts = tuple(
-            w.CopyPart(self.migration_id, self.stamp_us, n, len(parts), *p)
-            for n, p in enumerate(parts)
+            w.CopyPart(
+                self.migration_id,
+                self.stamp_us,
+                number,
+                len(parts),
+                part.items,
+                part.remembered_ids,
+            )
+            for number, part in enumerate(parts)
         )
         return self._write(w.SealedRecord(self.migration_id, self.key, self.target))
 
-    # Sealed: the taker may hold a copy.
+    def _is_fit(self, event: s.SessionQuiesced, now_us: int) -> bool:
+        """Whether the session is within its limits, and no message expires too soon."""
+        if len(event.items) > self.limits.session_messages:
+            return False
+        if sum(item.size for item in event.items) > self.limits.session_bytes:
+            return False
+        earliest_us = now_us + self.limits.least_left_us
+        return all(item.deadline_us >= earliest_us for item in event.items)
+
+    # Sealed: the target may have a copy.
 
     def record_persisted(self, event: s.RecordPersisted, now_us: int) -> Actions:
+        """Go on from a record that is on disk."""
         if event.record != self.pending_record:
             return ()
-        self.pending_record, self.writing = None, False
+        self.pending_record = None
+        self.writing = False
         match event.record:
             case w.SealedRecord():
-                if self.cancel_requested:
-                    return self.request_abort(event, now_us)
-                self._enter(MigrationState.COPIED, now_us)
-                return tuple(map(s.Send, self.copy_parts))
+                return self._send_copy(event, now_us)
             case w.CommittedRecord():
                 self.copy_parts = ()
                 self._enter(MigrationState.COMMITTED, now_us)
                 return self._send_commit()
-            case w.ReleasedRecord() if self.ownerless:
-                return s.ReleaseSession(), *self._confirm(), *self._finish(now_us)
             case w.ReleasedRecord():
-                self._enter(MigrationState.TAIL, now_us)
-                told = (
-                    s.ReleaseSession(),
-                    s.Send(w.Released(self.migration_id)),
-                    *self._confirm(),
-                    s.StartTail(),
-                )
-                return *told, *self._forward_next(now_us)
+                return self._start_tail(now_us)
             case _:
                 return *self._confirm(), *self._resume(now_us)
 
-    def _confirm(self) -> Actions:
+    def _send_copy(self, event: s.RecordPersisted, now_us: int) -> Actions:
+        if self.cancel_requested:
+            return self.request_abort(event, now_us)
+        self._enter(MigrationState.COPIED, now_us)
+        return tuple(map(s.Send, self.copy_parts))
+
+    def _start_tail(self, now_us: int) -> Actions:
+        if self.ownerless:
+            return s.ReleaseSession(), *self._confirm(), *self._finish(now_us)
+        self._enter(MigrationState.TAIL, now_us)
         return (
-            (s.ConfirmVerdict(self.migration_id, "giver"),)
-            if self.decided_by_arbiter
-            else ()
+            s.ReleaseSession(),
+            s.Send(w.Released(self.migration_id)),
+            *self._confirm(),
+            s.StartTail(),
+            *self._forward_next(now_us),
         )
 
+    def _confirm(self) -> Actions:
+        if not self.decided_by_arbiter:
+            return ()
+        return (s.ConfirmVerdict(self.migration_id, "giver"),)
+
     def record_write_failed(self, event: s.RecordWriteFailed, now_us: int) -> Actions:
-        """It may be on disk all the same: a seal is harmless, any other is written
-        until it surely is.
+        """Go on from a record that may be on disk or not.
+
+        A seal is harmless there; any other record is written until it surely is.
         """
         if event.record != self.pending_record:
             return ()
@@ -226,23 +230,23 @@
         self.pending_record = None
         return self.unfreeze(event, now_us)
 
-    def commit(self, event: w.CopyStored, now_us: int) -> Actions:
+    def commit(self, event: w.CopyStored, _now_us: int) -> Actions:
+        """Write the commit: the target has the copy."""
         self.target_lease_token = event.lease_token
-        return (
-            ()
-            if self.pending_record is not None
-            else self._write(w.CommittedRecord(self.migration_id))
-        )
+        if self.pending_record is not None:
+            return ()
+        return self._write(w.CommittedRecord(self.migration_id))
 
     def _send_commit(self) -> Actions:
-        """Where we do not know the taker's life (a restart, the arbiter's word), it
-        only wants an answer.
+        """Send the commit to the target's last known lease.
+
+        After a restart or a verdict none is known: then it only asks for an answer.
         """
-        return (
-            s.Send(w.Commit(self.migration_id, self.target_lease_token or NO_LEASE)),
-        )
+        lease_token = self.target_lease_token or NO_LEASE
+        return (s.Send(w.Commit(self.migration_id, lease_token)),)
 
-    def resend_commit(self, event: w.CopyStored, now_us: int) -> Actions:
+    def resend_commit(self, event: w.CopyStored, _now_us: int) -> Actions:
+        """Answer a target that asks who owns the session."""
         if self.pending_record is not None:
             return ()
         if self.in_doubt and event.lease_token != self.target_lease_token:
@@ -251,34 +255,33 @@
         return self._send_commit()
 
     def _cede(self) -> Actions:
-        return (
-            s.AskArbiter(
-                self.migration_id, "giver", self.target, committed=True, cede=True
-            ),
+        question = s.AskArbiter(
+            self.migration_id, "giver", self.target, committed=True, cede=True
         )
+        return (question,)
 
     def request_abort(self, event: object, now_us: int) -> Actions:
-        if (
-            self.pending_record is not None
-        ):  # the commit may be on disk: there is no way back
+        """Ask the target to refuse the session, unless the commit may be on disk."""
+        if self.pending_record is not None:
             return self.retry_pending(event, now_us)
         self.copy_parts = ()
         self._enter(MigrationState.ABORTED, now_us)
         return (s.Send(w.Abort(self.migration_id)),)
 
-    def resend_abort(self, event: object, now_us: int) -> Actions:
+    def resend_abort(self, _event: object, _now_us: int) -> Actions:
+        """Ask the target again to refuse the session."""
         return (s.Send(w.Abort(self.migration_id)),)
 
-    def reclaim(self, event: object, now_us: int) -> Actions:
-        return (
-            ()
-            if self.pending_record is not None
-            else self._write(w.ReclaimedRecord(self.migration_id))
-        )
+    def reclaim(self, _event: object, _now_us: int) -> Actions:
+        """Own the session again: the target has refused it."""
+        if self.pending_record is not None:
+            return ()
+        return self._write(w.ReclaimedRecord(self.migration_id))
+
+    def reclaim_in_doubt(self, _event: object, now_us: int) -> Actions:
+        """Own a committed session again, which the target does not have.
 
-    def reclaim_in_doubt(self, event: object, now_us: int) -> Actions:
-        """We had committed, and the taker does not have it: what it ran of the copies
-        nobody knows.
+        Nobody knows which of the copied messages it executed, so all are failed.
         """
         if self.pending_record is not None:
             return ()
@@ -286,14 +289,13 @@
         return s.FailAll(), *self._write(w.ReclaimedRecord(self.migration_id))
 
     def release(self, event: w.Activated, now_us: int) -> Actions:
+        """Release the session, on which the target acts."""
         if self.pending_record is not None:
             return ()
-        self.stamp_us, self.heard_us, self.copy_parts, self.target_activated = (
-            event.stamp_us,
-            now_us,
-            (),
-            True,
-        )
+        self.stamp_us = event.stamp_us
+        self.heard_us = now_us
+        self.copy_parts = ()
+        self.target_activated = True
         return self._cede() if self.in_doubt else self._write_release(now_us)
 
     def _write_release(self, now_us: int) -> Actions:
@@ -301,59 +303,58 @@
         return self._write(w.ReleasedRecord(self.migration_id))
 
     def apply_verdict(self, event: s.Verdict, now_us: int) -> Actions:
+        """Follow the arbiter's verdict, unless one was followed or a write is pending."""
+        if self.pending_record is not None or event.ruling == "wait":
+            return ()
         committed = self.state is MigrationState.COMMITTED
-        if (
-            self.pending_record is not None
-            or event.ruling == "wait"
-            or (committed and self.decided_by_arbiter)
-        ):
+        if committed and self.decided_by_arbiter:
             return ()
-        if event.ruling == "taker":
-            self.decided_by_arbiter, self.in_doubt = True, False
-            if committed:
-                return (
-                    self._write_release(now_us)
-                    if self.target_activated
-                    else self._send_commit()
-                )
-            self._enter(
-                MigrationState.COMMITTED, now_us
-            )  # no record: after a restart the same word is given again
-            return self._send_commit()
         self.decided_by_arbiter = True
-        return (
-            self.reclaim_in_doubt(event, now_us)
-            if committed
-            else self._write(w.ReclaimedRecord(self.migration_id))
-        )
+        if event.ruling == "taker":
+            return self._yield_to_target(committed, now_us)
+        if committed:
+            return self.reclaim_in_doubt(event, now_us)
+        return self._write(w.ReclaimedRecord(self.migration_id))
+
+    def _yield_to_target(self, committed: bool, now_us: int) -> Actions:
+        self.in_doubt = False
+        if committed and self.target_activated:
+            return self._write_release(now_us)
+        if not committed:
+            # It needs no record: after a restart the arbiter rules the same.
+            self._enter(MigrationState.COMMITTED, now_us)
+        return self._send_commit()
 
     def retry_pending(self, event: object, now_us: int) -> Actions:
-        """What was not answered is said again; a record that may not be on disk is
-        written again.
-        """
-        shed = self._reject_overdue(now_us)
+        """Send again what was not answered, and write again what may not be on disk."""
+        rejected = self._reject_overdue(now_us)
         if self.pending_record is not None:
-            return shed if self.writing else (*shed, *self._write(self.pending_record))
-        committed = self.state is MigrationState.COMMITTED
+            if self.writing:
+                return rejected
+            return *rejected, *self._write(self.pending_record)
         if self.state is MigrationState.COPIED:
-            return *shed, *map(s.Send, self.copy_parts)
+            return *rejected, *map(s.Send, self.copy_parts)
         if self.state is MigrationState.TAIL:
-            return *shed, *self._send_tail_message(now_us), *self._forward_next(now_us)
-        again = self._send_commit() if committed else self.resend_abort(event, now_us)
-        if now_us - self.state_entered_at_us < self.limits.ask_us or (
-            committed and self.decided_by_arbiter
-        ):
-            return *shed, *again
+            resent = self._send_tail_message(now_us)
+            return *rejected, *resent, *self._forward_next(now_us)
+        return *rejected, *self._retry_in_doubt(event, now_us)
+
+    def _retry_in_doubt(self, event: object, now_us: int) -> Actions:
+        """Ask the target again, and after `ask_us` the arbiter as well."""
+        committed = self.state is MigrationState.COMMITTED
+        resent = self._send_commit() if committed else self.resend_abort(event, now_us)
+        if now_us - self.state_entered_at_us < self.limits.ask_us:
+            return resent
+        if committed and self.decided_by_arbiter:
+            return resent
         self.in_doubt = committed
-        return (
-            *shed,
-            *again,
-            s.AskArbiter(self.migration_id, "giver", self.target, committed),
-        )
+        question = s.AskArbiter(self.migration_id, "giver", self.target, committed)
+        return *resent, question
 
     def expire(self, event: object, now_us: int) -> Actions:
-        """No copy is alive any more, wherever it is; only ends that nobody told may be
-        missing.
+        """End a doubt that has outlasted all messages of the session.
+
+        What may be missing are failures that nobody was notified of.
         """
         if self.pending_record is not None:
             return self.retry_pending(event, now_us)
@@ -361,102 +362,110 @@
         return s.FailAll(), *self._write_release(now_us)
 
     def _resume(self, now_us: int) -> Actions:
-        waited, self.buffered, self.copy_parts = self.buffered, (), ()
+        buffered = self.buffered
+        self.buffered = ()
+        self.copy_parts = ()
         self._enter(MigrationState.HELD, now_us)
         return (
             s.Resume(),
-            *(s.AcceptMessage(m.item) for m in waited),
+            *(s.AcceptMessage(message.item) for message in buffered),
             s.MigrationFinished(),
         )
 
     def confirm_release(self, event: object, now_us: int) -> Actions:
+        """Tell the target again that the session is released."""
         if isinstance(event, w.Activated):
-            self.stamp_us, self.heard_us = event.stamp_us, now_us
+            self.stamp_us = event.stamp_us
+            self.heard_us = now_us
         return (s.Send(w.Released(self.migration_id)),)
 
-    def end_tail(self, event: object, now_us: int) -> Actions:
+    def end_tail(self, _event: object, now_us: int) -> Actions:
+        """End the tail once the buffer is empty: no more messages will arrive."""
         self.no_connections_left = True
         return self._forward_next(now_us)
 
-    def finish_tail(self, event: object, now_us: int) -> Actions:
+    def finish_tail(self, _event: object, now_us: int) -> Actions:
+        """End the tail."""
         return s.Send(w.TailEnd(self.migration_id)), *self._finish(now_us)
 
     def _finish(self, now_us: int) -> Actions:
-        waited, self.buffered, self.in_flight = self.buffered, (), None
+        buffered = self.buffered
+        self.buffered = ()
+        self.in_flight = None
         self._enter(MigrationState.DONE, now_us)
-        return *(
-            s.RejectMessage(m.item.id, self.limits.refuse_us) for m in waited
-        ), s.MigrationFinished()
+        return (
+            *(s.RejectMessage(m.item.id, self.limits.refuse_us) for m in buffered),
+            s.MigrationFinished(),
+        )
 
 
-_G = MigrationSource
 _CANCELLING_EVENTS = (w.Decline, s.Timeout, s.LinkLost, s.LeaseLost, s.CancelMigration)
 _BUFFERING: dict[type, Handler] = {
-    MessageArrived: _G.buffer_message,
-    s.ClientDisconnected: _G.discard_message,
+    MessageArrived: MigrationSource.buffer_message,
+    s.ClientDisconnected: MigrationSource.discard_message,
 }
 _PERSISTENCE: dict[type, Handler] = {
-    s.RecordPersisted: _G.record_persisted,
-    s.RecordWriteFailed: _G.record_write_failed,
+    s.RecordPersisted: MigrationSource.record_persisted,
+    s.RecordWriteFailed: MigrationSource.record_write_failed,
 }
 TRANSITIONS: dict[MigrationState, dict[type, Handler]] = {
     MigrationState.HELD: {
-        s.StartMigration: _G.send_offer,
-        MessageArrived: _G.accept_directly,
+        s.StartMigration: MigrationSource.send_offer,
+        MessageArrived: MigrationSource.accept_directly,
     },
     MigrationState.OFFERED: {
-        **dict.fromkeys(_CANCELLING_EVENTS, _G.withdraw_offer),
-        w.Accept: _G.freeze,
-        MessageArrived: _G.accept_directly,
-        s.Retry: _G.send_offer,
+        **dict.fromkeys(_CANCELLING_EVENTS, MigrationSource.withdraw_offer),
+        w.Accept: MigrationSource.freeze,
+        MessageArrived: MigrationSource.accept_directly,
+        s.Retry: MigrationSource.send_offer,
     },
     MigrationState.FROZEN: {
-        **dict.fromkeys(_CANCELLING_EVENTS, _G.unfreeze),
+        **dict.fromkeys(_CANCELLING_EVENTS, MigrationSource.unfreeze),
         **_BUFFERING,
         **_PERSISTENCE,
-        s.SessionQuiesced: _G.seal,
-        s.Retry: _G.close_calls,
+        s.SessionQuiesced: MigrationSource.seal,
+        s.Retry: MigrationSource.close_calls,
     },
     MigrationState.COPIED: {
-        **dict.fromkeys(_CANCELLING_EVENTS, _G.request_abort),
+        **dict.fromkeys(_CANCELLING_EVENTS, MigrationSource.request_abort),
         **_BUFFERING,
         **_PERSISTENCE,
-        w.CopyStored: _G.commit,
-        w.Activated: _G.release,
-        s.Retry: _G.retry_pending,
+        w.CopyStored: MigrationSource.commit,
+        w.Activated: MigrationSource.release,
+        s.Retry: MigrationSource.retry_pending,
     },
     MigrationState.COMMITTED: {
         **_BUFFERING,
         **_PERSISTENCE,
-        w.CopyStored: _G.resend_commit,
-        w.Activated: _G.release,
-        w.Aborted: _G.reclaim_in_doubt,
-        s.Verdict: _G.apply_verdict,
-        s.Retry: _G.retry_pending,
-        s.Timeout: _G.expire,
+        w.CopyStored: MigrationSource.resend_commit,
+        w.Activated: MigrationSource.release,
+        w.Aborted: MigrationSource.reclaim_in_doubt,
+        s.Verdict: MigrationSource.apply_verdict,
+        s.Retry: MigrationSource.retry_pending,
+        s.Timeout: MigrationSource.expire,
     },
     MigrationState.TAIL: {
         **_BUFFERING,
-        w.CopyStored: _G.confirm_release,
-        w.Activated: _G.confirm_release,
-        w.TailMessageResult: _G.record_tail_result,
-        s.ConnectionsClosed: _G.end_tail,
-        s.Retry: _G.retry_pending,
-        s.Timeout: _G.finish_tail,
+        w.CopyStored: MigrationSource.confirm_release,
+        w.Activated: MigrationSource.confirm_release,
+        w.TailMessageResult: MigrationSource.record_tail_result,
+        s.ConnectionsClosed: MigrationSource.end_tail,
+        s.Retry: MigrationSource.retry_pending,
+        s.Timeout: MigrationSource.finish_tail,
     },
     MigrationState.DONE: {
-        w.CopyStored: _G.confirm_release,
-        w.Activated: _G.confirm_release,
-        MessageArrived: _G.reject_message,
+        w.CopyStored: MigrationSource.confirm_release,
+        w.Activated: MigrationSource.confirm_release,
+        MessageArrived: MigrationSource.reject_message,
     },
     MigrationState.ABORTED: {
         **_BUFFERING,
         **_PERSISTENCE,
-        w.CopyStored: _G.resend_abort,
-        w.Activated: _G.release,
-        w.Aborted: _G.reclaim,
-        s.Verdict: _G.apply_verdict,
-        s.Retry: _G.retry_pending,
-        s.Timeout: _G.expire,
+        w.CopyStored: MigrationSource.resend_abort,
+        w.Activated: MigrationSource.release,
+        w.Aborted: MigrationSource.reclaim,
+        s.Verdict: MigrationSource.apply_verdict,
+        s.Retry: MigrationSource.retry_pending,
+        s.Timeout: MigrationSource.expire,
     },
 }
