--- a/rainfall/session/arbiter.py
+++ b/rainfall/session/arbiter.py
@@ -1,8 +1,8 @@
-"""The list service's word on hand-overs in doubt: one side for each, and for good.
+"""The arbiter of migrations in doubt: it gives each session to one side, and for good.
 
-It is asked only where one side cannot reach the other, restarted, or lost its lease;
-what goes well never asks. The service journals each new entry before it answers
-(`decided`), and reads them back at its start.
+It runs in the list service and is asked only where one side cannot reach the other,
+restarted, or lost its lease; a migration without faults never asks. The service writes
+each new decision to its journal before it answers, and reads them back when it starts.
 """
 
 from __future__ import annotations
@@ -10,76 +10,91 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from rainfall.session.protocol import MigrationId
 from rainfall.session.states import AskArbiter, ConfirmVerdict, Ruling, Side, Verdict
 
 DECISION_RETENTION_US = 3_600_000_000
-"""An entry whose missing side has been silent for so long may make room: no message
+"""A decision that one side has not confirmed for so long may be forgotten: no message
 lives as long.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
+    """Who owns a session, and which sides have carried that out."""
+
     ruling: Ruling
     decided_at_us: int
     confirmed: frozenset[Side] = frozenset()
 
 
+class Answer(NamedTuple):
+    """The answer to a question."""
+
+    verdict: Verdict
+    is_new: bool
+    """Whether the decision is new: then it has to be on disk before it is sent."""
+
+
 @dataclass(slots=True)
 class Arbiter:
-    """`in_force(name)`: a lease of that member is not surely out, as the service sees
-    it.
-    """
+    """The decisions of one epoch of the list service, and those it has read back."""
 
     epoch: int
     is_lease_valid: Callable[[str], bool]
+    """Whether the lease of a member may still be valid, as the service sees it."""
     max_decisions: int = 10_000
     decisions: OrderedDict[MigrationId, Decision] = field(default_factory=OrderedDict)
     forgotten_up_to: dict[str, MigrationId] = field(default_factory=dict)
-    """By giver, the highest hand-over that was forgotten before both sides confirmed
-    it.
-    """
+    """By source, the highest migration that was forgotten before both sides confirmed."""
 
-    def decide(self, ask: AskArbiter, now_us: int) -> tuple[Verdict, bool]:
-        """The word, and whether it is new: then it must be on disk before it is told.
+    def decide(self, question: AskArbiter, now_us: int) -> Answer:
+        """Return the verdict, and whether it is new.
 
-        The caller has checked that whoever asks holds a lease, and is the giver or the
-        taker by name.
+        The caller has checked that the member that asks holds a lease, and that it is the
+        source or the target.
         """
-        known = self.decisions.get(ask.migration_id)
-        ruling = self._decide(ask, known)
-        new = known is None and ruling != "wait"
-        if new:
-            if len(self.decisions) >= self.max_decisions and not self._evict_oldest(
-                now_us
-            ):
-                return Verdict(ask.migration_id, "wait"), False
-            self.decisions[ask.migration_id] = Decision(ruling, now_us)
-        return Verdict(ask.migration_id, ruling), new
-
-    def _decide(self, ask: AskArbiter, known: Decision | None) -> Ruling:
+        migration_id = question.migration_id
+        known = self.decisions.get(migration_id)
+        ruling = self._decide(question, known)
+        is_new = known is None and ruling != "wait"
+        if is_new:
+            if not self._has_space(now_us):
+                return Answer(Verdict(migration_id, "wait"), is_new=False)
+            self.decisions[migration_id] = Decision(ruling, now_us)
+        return Answer(Verdict(migration_id, ruling), is_new)
+
+    def _has_space(self, now_us: int) -> bool:
+        if len(self.decisions) < self.max_decisions:
+            return True
+        return self._evict_oldest(now_us)
+
+    def _decide(self, question: AskArbiter, known: Decision | None) -> Ruling:
         if known is not None:
             return known.ruling
-        if ask.cede:
-            # whatever was forgotten: nobody was told otherwise, or it would not ask so
+        if question.cede:
+            # Whatever was forgotten, no other verdict was given: it would not ask so.
             return "taker"
-        other_is_gone = not self.is_lease_valid(ask.other_member)
-        floor = self.forgotten_up_to.get(ask.migration_id.source)
-        if ask.migration_id.epoch < self.epoch or (
-            floor is not None and ask.migration_id <= floor
-        ):
-            # what was said then is not known: they have each other, and `commit_us`
+        is_other_gone = not self.is_lease_valid(question.other_member)
+        if self._may_be_forgotten(question.migration_id):
+            # An earlier verdict is not known: the sides have each other, and `commit_us`.
             return "wait"
-        if ask.side == "giver":
-            return "giver" if other_is_gone or not ask.committed else "wait"
-        return "taker" if other_is_gone or ask.unknown_to_source else "wait"
+        if question.side == "giver":
+            return "giver" if is_other_gone or not question.committed else "wait"
+        return "taker" if is_other_gone or question.unknown_to_source else "wait"
+
+    def _may_be_forgotten(self, migration_id: MigrationId) -> bool:
+        if migration_id.epoch < self.epoch:
+            return True
+        forgotten_up_to = self.forgotten_up_to.get(migration_id.source)
+        return forgotten_up_to is not None and migration_id <= forgotten_up_to
 
     def confirm(self, confirmation: ConfirmVerdict) -> bool:
-        """That side has carried it out.
+        """Note that a side has carried out a verdict.
 
-        True where something changed that belongs on disk.
+        Returns whether something changed that has to be written to disk.
         """
         known = self.decisions.get(confirmation.migration_id)
         if known is None or confirmation.side in known.confirmed:
@@ -93,11 +108,10 @@
         return True
 
     def _evict_oldest(self, now_us: int) -> bool:
-        oldest, entry = next(iter(self.decisions.items()))
-        if now_us - entry.decided_at_us < DECISION_RETENTION_US:
+        oldest, decision = next(iter(self.decisions.items()))
+        if now_us - decision.decided_at_us < DECISION_RETENTION_US:
             return False
         del self.decisions[oldest]
-        self.forgotten_up_to[oldest.source] = max(
-            oldest, self.forgotten_up_to.get(oldest.source, oldest)
-        )
+        previous = self.forgotten_up_to.get(oldest.source, oldest)
+        self.forgotten_up_to[oldest.source] = max(oldest, previous)
         return True
--- a/rainfall/session/migration_manager.py
+++ b/rainfall/session/migration_manager.py
@@ -1,8 +1,7 @@
-"""All hand-overs of one forwarder: which core a frame is for, how many, how large, what
-a restart finds.
+"""All migrations of one forwarder: the side that an event is for, limits and recovery.
 
-The shell that runs it carries out the actions, calls `tick` every `retry_us`, and hands
-in what it hears.
+The caller carries out the actions, calls `tick` every `retry_us` and reports events. All
+times are microseconds of the forwarder's clock.
 """
 
 from __future__ import annotations
@@ -16,358 +15,382 @@
 from rainfall.session.migration_target import MigrationTarget
 from rainfall.session.states import Actions, Limits, MigrationState
 
-MAX_FINISHED_MIGRATIONS = (
-    10_000  # hand-overs remembered after their end, of a fleet's; 250 bytes each
-)
-KeyedActions = list[tuple[str, s.Action]]
-"""Actions in order, each with the order key of the session that it is about ("" where
-there is none).
-"""
+MAX_FINISHED_MIGRATIONS = 10_000
+"""Finished migrations that are remembered, of the whole fleet's; 250 bytes each."""
+NO_KEY = ""
+"""In place of an order key, where an action is about no session."""
+KeyedAction = tuple[str, s.Action]
+"""An action with the order key of its session."""
+KeyedActions = list[KeyedAction]
+"""Actions in order."""
+RecordsByType = dict[type, w.Record]
 
 
 @dataclass(slots=True)
 class MigrationManager:
+    """The migrations from this forwarder and to it."""
+
     name: str
     limits: Limits
     lease_token: w.LeaseToken | None = None
-    """Our lease; None while we hold none."""
+    """This member's lease; None while it holds none."""
     draining: bool = False
     last_sequence: int = 0
     outgoing: dict[w.MigrationId, MigrationSource] = field(default_factory=dict)
     incoming: dict[w.MigrationId, MigrationTarget] = field(default_factory=dict)
     refused_up_to: dict[str, w.MigrationId] = field(default_factory=dict)
-    """By giver: at or below it, what is not known is never taken on."""
+    """By source: up to this migration no unknown one is accepted."""
     finished: dict[w.MigrationId, bool] = field(default_factory=dict)
-    """The newest that are over here: whether they went to the taker for good, or (given
-    back, refused) never will. Of one that is at its giver's floor and not in it we know
-    nothing, and say nothing.
+    """The newest finished migrations: True where the target owns the session, False where
+    it never will. Nothing is known, and nothing answered, of another one that is not
+    above `refused_up_to`.
     """
     migration_by_key: dict[str, w.MigrationId] = field(default_factory=dict)
-    """Whose session is being handed over."""
+    """The sessions that are being migrated, by order key."""
 
-    # Giving
+    # Outgoing migrations
 
     def start_migration(
         self,
         key: str,
-        taker: str,
-        site: str,
-        why: str,
-        moves: int,
-        asked: s.StartMigration,
+        target: str,
+        target_site: str,
+        reason: str,
+        migration_count: int,
+        request: s.StartMigration,
         now_us: int,
     ) -> KeyedActions:
-        """Offer a session.
+        """Offer a session to a target.
 
-        Nothing is done, and () returned, while we hold no lease, have as many out as
-        `at_once` or as many bytes as `all_bytes`, or the session itself is in a
-        hand-over.
+        Nothing is done without a lease, at the limits `at_once` and `all_bytes`, or while
+        the session is being migrated.
         """
-        size = sum(g.request.bytes for g in self.outgoing.values()) + asked.bytes
-        busy = sum(g.state is not MigrationState.TAIL for g in self.outgoing.values())
-        full = busy >= self.limits.at_once or size > self.limits.all_bytes
-        if self.lease_token is None or key in self.migration_by_key or full:
+        if self.lease_token is None or key in self.migration_by_key:
+            return []
+        if self._is_outgoing_full(request):
             return []
         self.last_sequence += 1
-        core = MigrationSource(
+        source = MigrationSource(
             w.MigrationId(self.name, *self.lease_token, self.last_sequence),
             self.limits,
             key=key,
-            target=taker,
-            target_site=site,
-            reason=why,
-            migration_count=moves,
+            target=target,
+            target_site=target_site,
+            reason=reason,
+            migration_count=migration_count,
         )
-        self.outgoing[core.migration_id], self.migration_by_key[key] = (
-            core,
-            core.migration_id,
-        )
-        return self.handle_event(core, asked, now_us)
+        self.outgoing[source.migration_id] = source
+        self.migration_by_key[key] = source.migration_id
+        return self.handle_event(source, request, now_us)
+
+    def _is_outgoing_full(self, request: s.StartMigration) -> bool:
+        sources = self.outgoing.values()
+        size = sum(source.request.bytes for source in sources) + request.bytes
+        busy = sum(source.state is not MigrationState.TAIL for source in sources)
+        return busy >= self.limits.at_once or size > self.limits.all_bytes
 
     def handle_session_event(
         self, key: str, event: object, now_us: int
     ) -> KeyedActions | None:
-        """`Quiet`, `Arrived`, `Left`, `TailOver`, `Stop`: for a session by its key.
+        """Handle an event of a session.
 
-        None where it is not being given away: then the event is the engine's alone.
+        These are `SessionQuiesced`, `MessageArrived`, `ClientDisconnected`,
+        `ConnectionsClosed` and `CancelMigration`. Returns None where the session is not
+        being migrated from here: then the event is the engine's alone.
         """
-        core = (
-            self.outgoing.get(self.migration_by_key[key])
-            if key in self.migration_by_key
-            else None
-        )
-        return None if core is None else self.handle_event(core, event, now_us)
+        if key not in self.migration_by_key:
+            return None
+        source = self.outgoing.get(self.migration_by_key[key])
+        if source is None:
+            return None
+        return self.handle_event(source, event, now_us)
 
-    # What comes from outside
+    # Events from outside
 
     def handle_frame(self, peer: str, frame: w.Frame, now_us: int) -> KeyedActions:
-        """A frame of the forwarder `peer`.
+        """Handle a frame of the forwarder `peer`.
 
-        Of a hand-over that is not between us two it is passed over.
+        One about a migration that is not between the two is ignored.
         """
-        if frame.migration_id.source == self.name:
-            giver = self.outgoing.get(frame.migration_id)
-            if giver is None:
-                asks = isinstance(frame, (w.CopyStored, w.Activated))
-                answer_type = (
-                    w.Released
-                    if self.finished.get(frame.migration_id)
-                    else w.UnknownMigration
-                )
-                return [("", s.Send(answer_type(frame.migration_id)))] if asks else []
-            return (
-                self.handle_event(giver, frame, now_us) if giver.target == peer else []
-            )
-        if frame.migration_id.source != peer:
+        migration_id = frame.migration_id
+        if migration_id.source == self.name:
+            source = self.outgoing.get(migration_id)
+            if source is None:
+                return self._answer_target(frame)
+            if source.target != peer:
+                return []
+            return self.handle_event(source, frame, now_us)
+        if migration_id.source != peer:
             return []
-        taker = self.incoming.get(frame.migration_id)
-        if taker is None:
+        target = self.incoming.get(migration_id)
+        if target is None:
             return self._handle_unknown(frame, now_us)
-        return self.handle_event(taker, frame, now_us)
+        return self.handle_event(target, frame, now_us)
+
+    def _answer_target(self, frame: w.Frame) -> KeyedActions:
+        """Answer a target that asks about a migration that is over here, or unknown."""
+        if not isinstance(frame, (w.CopyStored, w.Activated)):
+            return []
+        migration_id = frame.migration_id
+        if self.finished.get(migration_id):
+            return [(NO_KEY, s.Send(w.Released(migration_id)))]
+        return [(NO_KEY, s.Send(w.UnknownMigration(migration_id)))]
 
     def _handle_unknown(self, frame: w.Frame, now_us: int) -> KeyedActions:
-        hand, floor = (
-            frame.migration_id,
-            self.refused_up_to.get(frame.migration_id.source),
-        )
+        """Handle a source's frame about a migration that this member does not have."""
         match frame:
             case w.Offer():
-                why = self._rejection_reason(frame, floor)
-                if why:
-                    return [("", s.Send(w.Decline(hand, why)))]
-                core = MigrationTarget(
-                    hand,
-                    frame.key,
-                    frame.migration_count,
-                    self.limits,
-                    self.lease_token,
-                    now_us,
-                    now_us,
-                    offered_bytes=frame.bytes,
-                )
-                core.open(now_us)
-                self.incoming[hand], self.migration_by_key[frame.key] = core, hand
-                return self._with_key(core, core.accept_offer(frame, now_us))
+                return self._handle_offer(frame, now_us)
             case w.CopyPart():
-                return [("", s.Send(w.Decline(hand, "unknown")))]
-            case (
-                w.Abort() | w.Commit()
-            ):  # the giver waits for our word that it never will begin here
-                if hand in self.finished:
-                    return [
-                        (
-                            "",
-                            s.Send(
-                                w.Activated(hand, now_us)
-                                if self.finished[hand]
-                                else w.Aborted(hand)
-                            ),
-                        )
-                    ]
-                if floor is not None and hand <= floor:
-                    return []
-                return [("", s.PersistRecord(w.RefusedRecord(hand)))]
-        # a Pass too: it may have been taken before we forgot, so it cannot be refused
+                decline = w.Decline(frame.migration_id, "unknown")
+                return [(NO_KEY, s.Send(decline))]
+            case w.Abort() | w.Commit():
+                return self._answer_source(frame.migration_id, now_us)
+        # A tail message may have been accepted before the migration was forgotten, so it
+        # must not be rejected.
         return []
 
-    def _rejection_reason(self, offer: w.Offer, floor: w.MigrationId | None) -> str:
-        """Why an offer is not taken; empty where it is."""
-        if self.draining or self.lease_token is None:
-            return "draining" if self.draining else "no lease"
-        if (
-            floor is not None and offer.migration_id <= floor
-        ) or offer.key in self.migration_by_key:
+    def _handle_offer(self, offer: w.Offer, now_us: int) -> KeyedActions:
+        migration_id = offer.migration_id
+        reason = self._rejection_reason(offer)
+        if reason:
+            return [(NO_KEY, s.Send(w.Decline(migration_id, reason)))]
+        target = MigrationTarget(
+            migration_id,
+            offer.key,
+            offer.migration_count,
+            self.limits,
+            self.lease_token,
+            stamp_us=now_us,
+            started_at_us=now_us,
+            offered_bytes=offer.bytes,
+        )
+        target.open(now_us)
+        self.incoming[migration_id] = target
+        self.migration_by_key[offer.key] = migration_id
+        return self._with_key(target, target.accept_offer(offer, now_us))
+
+    def _answer_source(self, migration_id: w.MigrationId, now_us: int) -> KeyedActions:
+        """Answer a source that waits to learn whether the session was activated here."""
+        if migration_id in self.finished:
+            answer: w.Frame = w.Aborted(migration_id)
+            if self.finished[migration_id]:
+                answer = w.Activated(migration_id, now_us)
+            return [(NO_KEY, s.Send(answer))]
+        if self._is_refused(migration_id):
+            return []
+        return [(NO_KEY, s.PersistRecord(w.RefusedRecord(migration_id)))]
+
+    def _is_refused(self, migration_id: w.MigrationId) -> bool:
+        refused_up_to = self.refused_up_to.get(migration_id.source)
+        return refused_up_to is not None and migration_id <= refused_up_to
+
+    def _rejection_reason(self, offer: w.Offer) -> str:
+        """Return why an offer is declined; empty where it is accepted."""
+        if self.draining:
+            return "draining"
+        if self.lease_token is None:
+            return "no lease"
+        if self._is_refused(offer.migration_id) or offer.key in self.migration_by_key:
             return "known"
-        busy = sum(t.state is not MigrationState.TAIL for t in self.incoming.values())
-        size = sum(t.offered_bytes for t in self.incoming.values()) + offer.bytes
-        if (
+        return "full" if self._is_incoming_full(offer) else ""
+
+    def _is_incoming_full(self, offer: w.Offer) -> bool:
+        targets = self.incoming.values()
+        busy = sum(target.state is not MigrationState.TAIL for target in targets)
+        size = sum(target.offered_bytes for target in targets) + offer.bytes
+        return (
             busy >= self.limits.at_once
             or size > self.limits.all_bytes
             or offer.messages > self.limits.session_messages
             or offer.bytes > self.limits.session_bytes
-        ):
-            return "full"
-        return ""
+        )
 
     def handle_write_result(
         self, record: w.Record, ok: bool, now_us: int
     ) -> KeyedActions:
-        """The disk's answer to a `Journal`."""
-        hand = record.migration_id
+        """Handle the result of a `PersistRecord`."""
+        migration_id = record.migration_id
         if ok and isinstance(record, (w.StoredRecord, w.RefusedRecord)):
             self._raise_refused_up_to(record)
-        core = self.outgoing.get(hand) or self.incoming.get(hand)
-        if core is not None:
-            return self.handle_event(
-                core,
-                s.RecordPersisted(record) if ok else s.RecordWriteFailed(record),
-                now_us,
-            )
-        return (
-            [("", s.Send(w.Aborted(hand)))]
-            if ok and isinstance(record, w.RefusedRecord)
-            else []
-        )
+        side = self._find(migration_id)
+        if side is not None:
+            event = s.RecordPersisted(record) if ok else s.RecordWriteFailed(record)
+            return self.handle_event(side, event, now_us)
+        if ok and isinstance(record, w.RefusedRecord):
+            return [(NO_KEY, s.Send(w.Aborted(migration_id)))]
+        return []
+
+    def _find(
+        self, migration_id: w.MigrationId
+    ) -> MigrationSource | MigrationTarget | None:
+        return self.outgoing.get(migration_id) or self.incoming.get(migration_id)
 
     def handle_verdict(self, verdict: s.Verdict, now_us: int) -> KeyedActions:
-        core = self.outgoing.get(verdict.migration_id) or self.incoming.get(
-            verdict.migration_id
-        )
-        return [] if core is None else self.handle_event(core, verdict, now_us)
+        """Handle the arbiter's verdict."""
+        side = self._find(verdict.migration_id)
+        return [] if side is None else self.handle_event(side, verdict, now_us)
 
     def handle_message_expired(
-        self, hand: w.MigrationId, name: str, now_us: int
+        self, migration_id: w.MigrationId, message_id: str, now_us: int
     ) -> KeyedActions:
-        core = self.incoming.get(hand)
-        return (
-            []
-            if core is None
-            else self.handle_event(core, s.MessageExpired(name), now_us)
-        )
+        """Handle the expiry of a message that was copied to this member."""
+        target = self.incoming.get(migration_id)
+        if target is None:
+            return []
+        return self.handle_event(target, s.MessageExpired(message_id), now_us)
 
     def handle_link_lost(self, peer: str, now_us: int) -> KeyedActions:
+        """Handle the loss of the link to a peer."""
         return self._handle_all(s.LinkLost(), now_us, peer)
 
-    def set_lease(self, life: w.LeaseToken | None, now_us: int) -> KeyedActions:
-        """Our lease is out by our own clock (None), or is held under this token."""
-        if life == self.lease_token:
+    def set_lease(self, lease_token: w.LeaseToken | None, now_us: int) -> KeyedActions:
+        """Note the lease that is held; None: it has expired by the local clock."""
+        if lease_token == self.lease_token:
             return []
-        self.lease_token = life
-        return self._handle_all(
-            s.LeaseLost() if life is None else s.LeaseAcquired(life), now_us
-        )
+        self.lease_token = lease_token
+        if lease_token is None:
+            return self._handle_all(s.LeaseLost(), now_us)
+        return self._handle_all(s.LeaseAcquired(lease_token), now_us)
 
     def start_draining(self, now_us: int) -> KeyedActions:
-        """We drain: no offer is taken any more; what is copied and not committed is
-        asked to be dropped.
-        """
+        """Accept no more offers, and ask to abort what is copied and not committed."""
         self.draining = True
         return [
-            a
-            for t in list(self.incoming.values())
-            for a in self.handle_event(t, s.TargetDraining(), now_us)
+            action
+            for target in list(self.incoming.values())
+            for action in self.handle_event(target, s.TargetDraining(), now_us)
         ]
 
     def tick(self, now_us: int) -> KeyedActions:
+        """Retry, and end what has timed out; to be called every `retry_us`."""
         return [
-            a
-            for core in self.migrations()
-            for a in self._with_key(core, core.tick(now_us))
+            action
+            for side in self.migrations()
+            for action in self._with_key(side, side.tick(now_us))
         ]
 
     def migrations(self) -> list[MigrationSource | MigrationTarget]:
+        """Return all migrations, those from here first."""
         return [*self.outgoing.values(), *self.incoming.values()]
 
     def _handle_all(
         self, event: object, now_us: int, peer: str | None = None
     ) -> KeyedActions:
-        done: KeyedActions = []
-        for core in self.migrations():
-            other = (
-                core.target
-                if isinstance(core, MigrationSource)
-                else core.migration_id.source
-            )
-            if peer in (None, other):
-                done += self.handle_event(core, event, now_us)
-        return done
+        """Let all migrations handle an event, or only those with a peer."""
+        actions: KeyedActions = []
+        for side in self.migrations():
+            if peer is None or peer == _other_member(side):
+                actions += self.handle_event(side, event, now_us)
+        return actions
 
     def handle_event(
-        self, core: MigrationSource | MigrationTarget, event: object, now_us: int
+        self, side: MigrationSource | MigrationTarget, event: object, now_us: int
     ) -> KeyedActions:
-        """One core hears one event."""
-        return self._with_key(core, core.handle_event(event, now_us))
+        """Let one side of a migration handle an event."""
+        return self._with_key(side, side.handle_event(event, now_us))
 
     def _with_key(
-        self, core: MigrationSource | MigrationTarget, actions: Actions
+        self, side: MigrationSource | MigrationTarget, actions: Actions
     ) -> KeyedActions:
-        if any(isinstance(a, s.MigrationFinished) for a in actions):
-            if (
-                core.ownership_final
-                if isinstance(core, MigrationTarget)
-                else core.state is MigrationState.DONE and not core.ownerless
-            ):
-                self._remember_finished(core.migration_id, True)
-            self.outgoing.pop(core.migration_id, None)
-            self.incoming.pop(core.migration_id, None)
-            if self.migration_by_key.get(core.key) == core.migration_id:
-                del self.migration_by_key[core.key]
-        return [(core.key, a) for a in actions]
+        """Return a side's actions with its key; a side that has finished is dropped."""
+        if any(isinstance(action, s.MigrationFinished) for action in actions):
+            self._drop(side)
+        return [(side.key, action) for action in actions]
+
+    def _drop(self, side: MigrationSource | MigrationTarget) -> None:
+        migration_id = side.migration_id
+        if _is_targets_for_good(side):
+            self._remember_finished(migration_id, True)
+        self.outgoing.pop(migration_id, None)
+        self.incoming.pop(migration_id, None)
+        if self.migration_by_key.get(side.key) == migration_id:
+            del self.migration_by_key[side.key]
 
     def _raise_refused_up_to(self, record: w.Record) -> None:
-        hand = record.migration_id
-        self.refused_up_to[hand.source] = max(
-            hand, self.refused_up_to.get(hand.source, hand)
-        )
+        migration_id = record.migration_id
+        previous = self.refused_up_to.get(migration_id.source, migration_id)
+        self.refused_up_to[migration_id.source] = max(migration_id, previous)
         if isinstance(record, w.RefusedRecord):
-            self._remember_finished(hand, False)
+            self._remember_finished(migration_id, False)
 
-    def _remember_finished(self, hand: w.MigrationId, ours: bool) -> None:
-        self.finished[hand] = ours
+    def _remember_finished(self, migration_id: w.MigrationId, is_targets: bool) -> None:
+        self.finished[migration_id] = is_targets
         if len(self.finished) > MAX_FINISHED_MIGRATIONS:
             del self.finished[next(iter(self.finished))]
 
-    # After a restart
+    # Recovery
 
     def recover(
         self, records: Iterable[w.Record], now_us: int
     ) -> Mapping[str, MigrationState]:
-        """Before anything is heard or sent: what the journal holds, in its order.
+        """Restore the migrations from the journal's records, in their order.
 
-        Returns the sessions that are in a hand-over. The engine halts each, but for
-        those that we take and that are in `tail`: they are ours for good.
+        It is to be called before any event. Returns the state of each session that is
+        being migrated; the engine halts it, unless it comes here and is in the state
+        `tail`: then this member owns it for good.
         """
-        records_by_migration: dict[w.MigrationId, dict[type, w.Record]] = {}
-        newest: dict[
-            str, w.MigrationId
-        ] = {}  # an earlier one of the same key is over, whatever is missing of it
+        records_by_migration: dict[w.MigrationId, RecordsByType] = {}
+        # An earlier migration of the same key is over, whatever its last record is.
+        newest_by_key: dict[str, w.MigrationId] = {}
         for record in records:
+            migration_id = record.migration_id
             if isinstance(record, (w.StoredRecord, w.RefusedRecord)):
                 self._raise_refused_up_to(record)
             if isinstance(record, (w.StoredRecord, w.SealedRecord)):
-                newest[record.key] = record.migration_id
+                newest_by_key[record.key] = migration_id
             if isinstance(record, w.ReleasedRecord):
-                self._remember_finished(record.migration_id, True)
-            records_by_migration.setdefault(record.migration_id, {})[type(record)] = (
-                record
+                self._remember_finished(migration_id, True)
+            records_by_type = records_by_migration.setdefault(migration_id, {})
+            records_by_type[type(record)] = record
+        for migration_id in newest_by_key.values():
+            self._recover_migration(
+                migration_id, records_by_migration[migration_id], now_us
             )
-        for hand in newest.values():
-            records_by_type = records_by_migration[hand]
-            sealed, stored, tail_accepted = (
-                records_by_type.get(w.SealedRecord),
-                records_by_type.get(w.StoredRecord),
-                records_by_type.get(w.TailAcceptedRecord),
+        return {side.key: side.state for side in self.migrations()}
+
+    def _recover_migration(
+        self, migration_id: w.MigrationId, records: RecordsByType, now_us: int
+    ) -> None:
+        sealed = records.get(w.SealedRecord)
+        stored = records.get(w.StoredRecord)
+        is_source_done = w.ReleasedRecord in records or w.ReclaimedRecord in records
+        if isinstance(sealed, w.SealedRecord) and not is_source_done:
+            self.outgoing[migration_id] = MigrationSource.recover(
+                sealed, w.CommittedRecord in records, self.limits, now_us
             )
-            if isinstance(sealed, w.SealedRecord) and not (
-                w.ReleasedRecord in records_by_type
-                or w.ReclaimedRecord in records_by_type
-            ):
-                self.outgoing[hand] = MigrationSource.recover(
-                    sealed, w.CommittedRecord in records_by_type, self.limits, now_us
-                )
-                self.migration_by_key[sealed.key] = hand
-            elif (
-                isinstance(stored, w.StoredRecord)
-                and w.RefusedRecord not in records_by_type
-            ):
-                number = (
-                    tail_accepted.number
-                    if isinstance(tail_accepted, w.TailAcceptedRecord)
-                    else 0
-                )
-                self.incoming[hand] = MigrationTarget.recover(
-                    stored,
-                    w.ActivatedRecord in records_by_type,
-                    w.FinalizedRecord in records_by_type,
-                    number,
-                    self.limits,
-                    now_us,
-                )
-                self.migration_by_key[stored.key] = hand
-        return {core.key: core.state for core in self.migrations()}
+            self.migration_by_key[sealed.key] = migration_id
+        elif isinstance(stored, w.StoredRecord) and w.RefusedRecord not in records:
+            accepted = records.get(w.TailAcceptedRecord)
+            number = 0
+            if isinstance(accepted, w.TailAcceptedRecord):
+                number = accepted.number
+            self.incoming[migration_id] = MigrationTarget.recover(
+                stored,
+                w.ActivatedRecord in records,
+                w.FinalizedRecord in records,
+                number,
+                self.limits,
+                now_us,
+            )
+            self.migration_by_key[stored.key] = migration_id
 
     def checkpoint(self) -> list[w.Record]:
-        """What must stay when the journal is compacted, beside the records of the open
-        hand-overs.
-        """
-        return [w.RefusedRecord(hand) for _, hand in sorted(self.refused_up_to.items())]
+        """Return what a compacted journal needs beside the open migrations' records."""
+        return [
+            w.RefusedRecord(migration_id)
+            for _, migration_id in sorted(self.refused_up_to.items())
+        ]
+
+
+def _other_member(side: MigrationSource | MigrationTarget) -> str:
+    if isinstance(side, MigrationSource):
+        return side.target
+    return side.migration_id.source
+
+
+def _is_targets_for_good(side: MigrationSource | MigrationTarget) -> bool:
+    """Whether the target owns the session of a finished side."""
+    if isinstance(side, MigrationTarget):
+        return side.ownership_final
+    return side.state is MigrationState.DONE and not side.ownerless
--- a/rainfall/session/session_directory.py
+++ b/rainfall/session/session_directory.py
@@ -1,9 +1,8 @@
-"""Who has a session now, for a message that comes to a forwarder that does not: pass it
-on, or refuse it.
+"""Who owns a session: where a forwarder sends a message of a session it does not own.
 
-What a forwarder learns of a hand-over (it gave, took, or was told) outranks the map
-until the map moves on or the note is old. Of two notes the one with more moves of the
-session behind it is the later.
+What a forwarder has learned of a migration, as a side of it or from a peer, overrides
+the shard map until that knowledge expires. Of two owners the one after more migrations
+is the later.
 """
 
 from __future__ import annotations
@@ -12,13 +11,13 @@
 from dataclasses import dataclass, field
 
 MAX_HOPS = 1
-"""The owner by the map may have given it away: it says so by passing on once more than
-the first.
-"""
+"""Forwards behind the first: the shard map's owner may have migrated the session."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownOwner:
+    """The owner of a session after so many migrations."""
+
     owner: str
     migration_count: int
     valid_until_us: int
@@ -26,6 +25,8 @@
 
 @dataclass(slots=True)
 class SessionDirectory:
+    """The owners that the forwarder `name` knows."""
+
     name: str
     max_known_owners: int = 10_000
     known_owners: OrderedDict[str, KnownOwner] = field(default_factory=OrderedDict)
@@ -33,9 +34,9 @@
     def learn(
         self, key: str, owner: str, migration_count: int, valid_until_us: int
     ) -> bool:
-        """False where something later is known already.
+        """Note a session's owner; returns False where a later one is known.
 
-        The note longest known makes room.
+        At the limit the owner that was learned first is forgotten.
         """
         known = self.known_owners.get(key)
         if known is not None and known.migration_count > migration_count:
@@ -53,22 +54,33 @@
         forwarded_by: tuple[str, ...],
         now_us: int,
     ) -> str | None:
-        """The forwarder to go on to (our own name: take it on here), or None: refuse it
-        503, with nothing taken on. `came`: who passed it on until here, first first;
-        nobody is asked twice.
+        """Return the forwarder that a message is for.
+
+        Args:
+            key: The session's order key.
+            shard_owner: The owner by the shard map.
+            forwarded_by: Who has forwarded the message so far, the first one first; no
+                forwarder gets it twice.
+            now_us: The time now.
+
+        Returns:
+            This forwarder's own name where the message is to be accepted here; None where
+            it is to be rejected.
         """
-        note = self.known_owners.get(key)
-        if note is not None and note.valid_until_us <= now_us:
-            del self.known_owners[key]
-            note = None
-        owner = note.owner if note is not None else shard_owner
-        if owner == self.name:
+        owner = self._known_owner(key, now_us)
+        if owner is None:
+            owner = shard_owner
+        if owner is None or owner == self.name:
             return owner
-        if (
-            owner is None
-            or owner in forwarded_by
-            or self.name in forwarded_by
-            or len(forwarded_by) > MAX_HOPS
-        ):
+        if owner in forwarded_by or self.name in forwarded_by:
+            return None
+        return None if len(forwarded_by) > MAX_HOPS else owner
+
+    def _known_owner(self, key: str, now_us: int) -> str | None:
+        known = self.known_owners.get(key)
+        if known is None:
+            return None
+        if known.valid_until_us <= now_us:
+            del self.known_owners[key]
             return None
-        return owner
+        return known.owner
