--- a/rainfall/session/config.py
+++ b/rainfall/session/config.py
@@ -1,10 +1,8 @@
-"""The table of sites and the rules of choosing: the configuration's `session`; all
-faults with their paths.
+"""The configuration's `session`: sites, the policy of migrations, and their limits.
 
 {"sites": {"a": {"neighbours": {"b": 1.0, "c": 2.5}}, "b": {...}}, "at_once": 8,
-"least_stay_ms": 5000,
- "pause_ms": 30000, "pair_ms": 10000, "over": 0.9, "under": 0.7, "limits": {"offer_us":
- 200000, ...}}
+"least_stay_ms": 5000, "pause_ms": 30000, "pair_ms": 10000, "over": 0.9, "under": 0.7,
+"limits": {"offer_us": 200000, ...}}
 """
 
 from __future__ import annotations
@@ -30,113 +28,139 @@
     "over": Share,
     "under": Share,
 }
+"""The plain fields of the configuration; `sites` and `limits` are objects."""
+OBJECT_FIELDS = ("sites", "limits")
 
 
 @dataclass(frozen=True, slots=True)
 class SessionConfig:
+    """The configuration of migrations; the field names are its keys."""
+
     sites: Mapping[str, Mapping[str, float]]
-    """Each site's neighbours and what it costs to hand a session there."""
+    """The neighbours of each site, and the cost of a migration there."""
     at_once: int = 8
+    """Migrations from one forwarder at a time."""
     least_stay_ms: int = 5_000
-    """A session that came stays so long, but where its forwarder drains."""
+    """How long a session stays after it arrived, unless its forwarder drains."""
     pause_ms: int = 30_000
-    """For so long it is not handed back to the site that it came from, nor offered
-    again where refused.
+    """How long it does not return to the site that it came from, nor is offered again
+    where it was declined.
     """
     pair_ms: int = 10_000
-    """After a site gave us sessions because it was over its budget, none goes there for
-    that reason.
+    """How long a site that sent sessions because it was over its limit gets none for that
+    reason.
     """
     over: float = 0.9
-    """Sessions go from this part of the budget on..."""
+    """Sessions migrate away from this part of the budget on."""
     under: float = 0.7
-    """...until we are below this one; a neighbour has room while it would stay below
-    it.
-    """
+    """They do so until the load is below this part; a neighbour must stay below it."""
     limits: Limits = field(default_factory=Limits)
 
 
 class SessionConfigError(RainfallError, ValueError):
-    """`faults`: all of them, each beginning with its path."""
+    """The configuration is faulty; `errors` are all faults, each beginning with its path."""
 
-    def __init__(self, faults: list[str]) -> None:
-        super().__init__("; ".join(faults))
-        self.errors = faults
+    def __init__(self, errors: list[str]) -> None:
+        super().__init__("; ".join(errors))
+        self.errors = errors
 
 
 def parse_config(raw: Any, path: str = "session") -> SessionConfig:
-    """The table that `raw` (decoded JSON) says, or Malformed with every fault in it."""
+    """Return the configuration in decoded JSON.
+
+    Raises:
+        SessionConfigError: It has faults; the error has all of them.
+    """
     if not isinstance(raw, dict):
         raise SessionConfigError([f"{path}: must be an object"])
-    faults = [
-        f"{path}.{k}: unknown"
-        for k in raw
-        if k not in FIELD_TYPES and k not in ("sites", "limits")
+    errors = [
+        f"{path}.{name}: unknown"
+        for name in raw
+        if name not in FIELD_TYPES and name not in OBJECT_FIELDS
     ]
     values: dict[str, Any] = {}
-    for name, kind in FIELD_TYPES.items():
+    for name, field_type in FIELD_TYPES.items():
         if name in raw:
-            values[name] = _value(raw[name], kind, f"{path}.{name}", faults)
-    sites = _sites(raw.get("sites"), f"{path}.sites", faults)
-    limits = _limits(raw.get("limits", {}), f"{path}.limits", faults)
-    if faults:
-        raise SessionConfigError(faults)
-    table = SessionConfig(sites, limits=limits, **values)
-    if table.under >= table.over:
+            values[name] = _parse(raw[name], field_type, f"{path}.{name}", errors)
+    sites = _parse_sites(raw.get("sites"), f"{path}.sites", errors)
+    limits = _parse_limits(raw.get("limits", {}), f"{path}.limits", errors)
+    if errors:
+        raise SessionConfigError(errors)
+    config = SessionConfig(sites, limits=limits, **values)
+    if config.under >= config.over:
         raise SessionConfigError([f"{path}.under: must be below over"])
-    return table
+    return config
 
 
-def _value(raw: Any, kind: Any, path: str, faults: list[str]) -> Any:
+def _parse(raw: Any, field_type: Any, path: str, errors: list[str]) -> Any:
     try:
-        return msgspec.convert(raw, kind)
+        return msgspec.convert(raw, field_type)
     except msgspec.ValidationError as error:
-        faults.append(f"{path}: {error}")
+        errors.append(f"{path}: {error}")
         return None
 
 
-def _sites(raw: Any, path: str, faults: list[str]) -> dict[str, dict[str, float]]:
+def _parse_sites(raw: Any, path: str, errors: list[str]) -> dict[str, dict[str, float]]:
     if not isinstance(raw, dict) or not raw:
-        faults.append(f"{path}: must be an object that names at least one site")
+        errors.append(f"{path}: must be an object that names at least one site")
         return {}
-    found: dict[str, dict[str, float]] = {}
+    sites: dict[str, dict[str, float]] = {}
     for site, entry in raw.items():
-        at = f"{path}.{site}"
-        near = (
-            entry.get("neighbours")
-            if isinstance(entry, dict) and len(entry) == 1
-            else None
-        )
-        if not isinstance(near, dict):
-            faults.append(
-                f"{at}: must be an object with neighbours alone, themselves an object"
+        site_path = f"{path}.{site}"
+        neighbours = _neighbours(entry)
+        if neighbours is None:
+            errors.append(
+                f"{site_path}: must be an object with neighbours alone, "
+                "themselves an object"
             )
             continue
-        found[site] = {}
-        for other, cost in near.items():
-            to = f"{at}.neighbours.{other}"
-            if other == site:
-                faults.append(f"{to}: a site is not its own neighbour")
-            elif other not in raw:
-                faults.append(f"{to}: no such site")
-            found[site][other] = _value(cost, Cost, to, faults)
-    return found
-
-
-def _limits(raw: Any, path: str, faults: list[str]) -> Limits:
+        sites[site] = {
+            other: _parse_cost(cost, site, other, raw, site_path, errors)
+            for other, cost in neighbours.items()
+        }
+    return sites
+
+
+def _neighbours(entry: Any) -> dict[str, Any] | None:
+    if not isinstance(entry, dict) or len(entry) != 1:
+        return None
+    neighbours = entry.get("neighbours")
+    return neighbours if isinstance(neighbours, dict) else None
+
+
+def _parse_cost(
+    cost: Any,
+    site: str,
+    other: str,
+    all_sites: Mapping[str, Any],
+    site_path: str,
+    errors: list[str],
+) -> float:
+    path = f"{site_path}.neighbours.{other}"
+    if other == site:
+        errors.append(f"{path}: a site is not its own neighbour")
+    elif other not in all_sites:
+        errors.append(f"{path}: no such site")
+    parsed: float = _parse(cost, Cost, path, errors)
+    return parsed
+
+
+def _parse_limits(raw: Any, path: str, errors: list[str]) -> Limits:
     if not isinstance(raw, dict):
-        faults.append(f"{path}: must be an object")
+        errors.append(f"{path}: must be an object")
         return Limits()
-    kinds = {f.name: float if f.name == "drift" else int for f in fields(Limits)}
-    faults += [f"{path}.{k}: unknown" for k in raw if k not in kinds]
-    before = len(faults)
+    field_types = {
+        limit.name: float if limit.name == "drift" else int for limit in fields(Limits)
+    }
+    errors += [f"{path}.{name}: unknown" for name in raw if name not in field_types]
+    errors_before = len(errors)
     values = {
-        k: _value(v, kinds[k], f"{path}.{k}", faults)
-        for k, v in raw.items()
-        if k in kinds
+        name: _parse(value, field_types[name], f"{path}.{name}", errors)
+        for name, value in raw.items()
+        if name in field_types
     }
-    if len(faults) > before:
+    if len(errors) > errors_before:
         return Limits()
     limits = Limits(**values)
-    faults += [f"{path}.{fault}" for fault in limits.validation_errors()]
+    errors += [f"{path}.{error}" for error in limits.validation_errors()]
     return limits
--- a/rainfall/session/migration_policy.py
+++ b/rainfall/session/migration_policy.py
@@ -1,13 +1,17 @@
-"""When a session is handed over, which, to whom, how many at once.
+"""Policy of migrations: when, which sessions, to which forwarder, how many at once.
 
-Without I/O; decides, and does nothing.
+It decides and does nothing itself. Several rules keep sessions from moving back and
+forth:
 
-So that nothing swings: a session that came stays `least_stay_ms`; it does not go back
-to the site that it came from for `pause_ms`; a site that gave us sessions because it
-was over its budget gets none from us for that reason for `pair_ms`; and going away
-begins at `over` and ends at `under`. A site that drains, or has told us nothing for a
-while, gets nothing at all. `Chooser.welcome` is the same rule on the taker's side, so
-that two sites that choose each other at the same moment both refuse.
+- A session that arrived stays for `least_stay_ms`, and does not return to the site that
+  it came from for `pause_ms`.
+- A site that sent sessions because it was over its budget gets none for that reason for
+  `pair_ms`.
+- Migration away from a loaded site begins at `over` and ends at `under`.
+- A site that drains, or whose report is old, gets nothing.
+
+`MigrationPolicy.offer_rejection` applies the same rules at the target, so that of two
+sites that choose each other at the same moment both decline.
 """
 
 from __future__ import annotations
@@ -19,13 +23,19 @@
 from rainfall.session.config import SessionConfig
 
 Reason = Literal["drain", "out", "over", ""]
+"""Why sessions migrate: the forwarder drains, its site has no serving endpoints, or its
+load is over the limit; empty: they do not.
+"""
 REPORT_VALID_US = 3_000_000
-"""What a peer told of its room counts for so long."""
+"""A peer's capacity report counts for so long."""
+US_PER_MS = 1_000
+NO_DEADLINE_US = 1 << 60
+"""Time left of a session without messages."""
 
 
 @dataclass(frozen=True, slots=True)
 class CandidatePeer:
-    """A forwarder of another site, as the members' list and its own word have it."""
+    """A forwarder of another site, by the member list and its capacity report."""
 
     name: str
     site: str
@@ -33,66 +43,101 @@
     draining: bool
     reported_at_us: int
     sessions: int
-    """More sessions that it has room for."""
+    """How many more sessions it can take."""
     bytes: int
+    """How many more bytes it can take."""
     load: float
-    """Of its budget, the part in use."""
+    """The used part of its budget."""
     endpoints: bool = True
-    """Endpoints of its site serve."""
+    """Whether endpoints of its site serve."""
 
 
 @dataclass(frozen=True, slots=True)
 class SessionStatus:
+    """A session of this forwarder."""
+
     key: str
     bytes: int
     messages: int
     arrived_at_us: int
     """When it began here."""
     arrived_from: str = ""
-    """The site that handed it to us; empty where it began here."""
+    """The site that it migrated from; empty where it began here."""
     load: float = 0.0
-    """Its part of our budget."""
-    shortest_time_left_us: int = 1 << 60
-    """The time left of the message that has least."""
+    """Its part of this forwarder's budget."""
+    shortest_time_left_us: int = NO_DEADLINE_US
+    """Until the first of its messages expires."""
 
 
 @dataclass(frozen=True, slots=True)
 class LocalStatus:
+    """This forwarder."""
+
     site: str
     draining: bool = False
-    """SIGTERM, or an operator's word."""
+    """Whether it shuts down, or an operator drains it."""
     load: float = 0.0
+    """The used part of its budget."""
     endpoints: bool = True
+    """Whether endpoints of its site serve."""
     migrations_in_progress: int = 0
-    """Hand-overs under way from here."""
+    """Migrations from here."""
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationPlan:
+    """A session to offer, and to whom."""
+
     key: str
     target: str
     site: str
     reason: Reason
 
 
+@dataclass(slots=True)
+class TargetCapacity:
+    """What a peer can take beside the sessions planned for it so far."""
+
+    sessions: int
+    bytes: int
+    load: float
+
+    def fits(self, session: SessionStatus, load_limit: float) -> bool:
+        """Whether a session fits, and leaves the load below its limit."""
+        if self.sessions < 1 or self.bytes < session.bytes:
+            return False
+        return self.load + session.load < load_limit
+
+    def reserve(self, session: SessionStatus) -> None:
+        """Take off what a session needs."""
+        self.sessions -= 1
+        self.bytes -= session.bytes
+        self.load += session.load
+
+
 @dataclass(slots=True)
 class MigrationPolicy:
+    """The rules, and what they remember of earlier migrations.
+
+    All times are microseconds of one clock.
+    """
+
     config: SessionConfig
     max_refusals: int = 10_000
     refused_until_us: dict[tuple[str, str], int] = field(default_factory=dict)
-    """Session and forwarder: not offered there before then."""
+    """Session and forwarder: no offer before that time."""
     no_return_until_us: dict[str, int] = field(default_factory=dict)
-    """Sites that gave us sessions as they were over: nothing goes back for that reason
-    before then.
+    """Sites that sent sessions because they were over their limit: none returns for that
+    reason before that time.
     """
     shedding: bool = False
-    """Between `over` and `under` on the way down."""
+    """Whether the load has been over `over` and not yet below `under` again."""
 
     def reason(self, here: LocalStatus) -> Reason:
-        """The strongest reason to hand sessions over now."""
-        self.shedding = here.load >= self.config.over or (
-            self.shedding and here.load >= self.config.under
-        )
+        """Return the strongest reason to migrate sessions now."""
+        begins = here.load >= self.config.over
+        goes_on = self.shedding and here.load >= self.config.under
+        self.shedding = begins or goes_on
         if here.draining:
             return "drain"
         if not here.endpoints:
@@ -106,102 +151,95 @@
         peers: Sequence[CandidatePeer],
         now_us: int,
     ) -> list[MigrationPlan]:
-        """What to offer now: smallest sessions first (they pause for the shortest
-        time), to the neighbour that costs least and has most room. `now_us` is one
-        clock, like all times here.
+        """Return what to offer now.
+
+        Small sessions come first, as they pause for the shortest time. Each is for the
+        neighbour of the lowest cost, and among these of the greatest capacity.
         """
-        why = self.reason(here)
-        left = self.config.at_once - here.migrations_in_progress
-        if not why or left <= 0:
+        reason = self.reason(here)
+        free = self.config.at_once - here.migrations_in_progress
+        if not reason or free <= 0:
             return []
-        room = {p.name: [p.sessions, p.bytes, p.load] for p in peers}
+        capacities = {
+            peer.name: TargetCapacity(peer.sessions, peer.bytes, peer.load)
+            for peer in peers
+        }
         load = here.load
         plans: list[MigrationPlan] = []
-        for session in sorted(sessions, key=lambda x: (x.bytes, x.key)):
-            if len(plans) >= left or (why == "over" and load < self.config.under):
+        for session in sorted(
+            sessions, key=lambda session: (session.bytes, session.key)
+        ):
+            is_load_low = reason == "over" and load < self.config.under
+            if len(plans) >= free or is_load_low:
                 break
-            if not self._may_migrate(session, why, now_us):
+            if not self._may_migrate(session, reason, now_us):
+                continue
+            target = self._best_target(here, session, peers, capacities, reason, now_us)
+            if target is None:
                 continue
-            target = self._best_target(here, session, peers, room, why, now_us)
-            if target is not None:
-                target_room = room[target.name]
-                target_room[0], target_room[1], target_room[2] = (
-                    target_room[0] - 1,
-                    target_room[1] - session.bytes,
-                    target_room[2] + session.load,
-                )
-                load -= session.load
-                plans.append(MigrationPlan(session.key, target.name, target.site, why))
+            capacities[target.name].reserve(session)
+            load -= session.load
+            plans.append(MigrationPlan(session.key, target.name, target.site, reason))
         return plans
 
-    def _may_migrate(self, session: SessionStatus, why: Reason, now_us: int) -> bool:
-        if (
-            session.shortest_time_left_us < self.config.limits.least_left_us
-            or session.bytes > self.config.limits.session_bytes
-        ):
+    def _may_migrate(self, session: SessionStatus, reason: Reason, now_us: int) -> bool:
+        limits = self.config.limits
+        if session.shortest_time_left_us < limits.least_left_us:
             return False
-        return (
-            why == "drain"
-            or now_us - session.arrived_at_us >= self.config.least_stay_ms * 1000
-        )
+        if session.bytes > limits.session_bytes:
+            return False
+        stay_us = now_us - session.arrived_at_us
+        return reason == "drain" or stay_us >= self.config.least_stay_ms * US_PER_MS
 
     def _best_target(
         self,
         here: LocalStatus,
         session: SessionStatus,
         peers: Sequence[CandidatePeer],
-        room: dict[str, list[float]],
-        why: Reason,
+        capacities: dict[str, TargetCapacity],
+        reason: Reason,
         now_us: int,
     ) -> CandidatePeer | None:
         costs = self.config.sites.get(here.site, {})
         candidates = [
-            p
-            for p in peers
-            if p.site in costs and self._can_take(p, session, room[p.name], why, now_us)
+            peer
+            for peer in peers
+            if peer.site in costs
+            and _is_usable(peer, now_us)
+            and capacities[peer.name].fits(session, self.config.under)
+            and self._may_go_to(peer, session, reason, now_us)
         ]
         return min(
             candidates,
-            key=lambda p: (costs[p.site], -room[p.name][0], p.name),
+            key=lambda peer: (
+                costs[peer.site],
+                -capacities[peer.name].sessions,
+                peer.name,
+            ),
             default=None,
         )
 
-    def _can_take(
+    def _may_go_to(
         self,
         peer: CandidatePeer,
         session: SessionStatus,
-        room: list[float],
-        why: Reason,
+        reason: Reason,
         now_us: int,
     ) -> bool:
-        if (
-            not peer.alive
-            or peer.draining
-            or not peer.endpoints
-            or now_us - peer.reported_at_us > REPORT_VALID_US
-        ):
-            return False
-        if (
-            room[0] < 1
-            or room[1] < session.bytes
-            or room[2] + session.load >= self.config.under
-        ):
-            return False
         if now_us < self.refused_until_us.get((session.key, peer.name), 0):
             return False
-        if (
-            peer.site == session.arrived_from
-            and now_us - session.arrived_at_us < self.config.pause_ms * 1000
-        ):
+        stay_us = now_us - session.arrived_at_us
+        is_return = peer.site == session.arrived_from
+        if is_return and stay_us < self.config.pause_ms * US_PER_MS:
             return False
-        return why != "over" or now_us >= self.no_return_until_us.get(peer.site, 0)
+        return reason != "over" or now_us >= self.no_return_until_us.get(peer.site, 0)
 
     def offer_rejection(
-        self, here: LocalStatus, site: str, why: str, now_us: int
+        self, here: LocalStatus, site: str, reason: str, now_us: int
     ) -> str:
-        """Why an offer of that site is not taken; empty where it is.
+        """Return why an offer of a site is declined; empty where it is not.
 
-        To be asked before the desk is.
+        It is to be asked before the migration manager gets the offer.
         """
         if here.draining:
             return "draining"
@@ -209,20 +247,25 @@
             return "no endpoints"
         if here.load >= self.config.under or self.shedding:
             return "over"
-        if why == "over":
-            self.no_return_until_us[site] = now_us + self.config.pair_ms * 1000
+        if reason == "over":
+            self.no_return_until_us[site] = now_us + self.config.pair_ms * US_PER_MS
         return ""
 
     def record_result(self, plan: MigrationPlan, taken: bool, now_us: int) -> None:
-        """A hand-over is over.
+        """Note how a migration ended; one that failed is not retried there for a while."""
+        if taken:
+            return
+        self.refused_until_us = {
+            pair: until_us
+            for pair, until_us in self.refused_until_us.items()
+            if until_us > now_us
+        }
+        if len(self.refused_until_us) < self.max_refusals:
+            until_us = now_us + self.config.pause_ms * US_PER_MS
+            self.refused_until_us[plan.key, plan.target] = until_us
 
-        One that was given up is not tried again there for a while.
-        """
-        if not taken:
-            self.refused_until_us = {
-                k: at for k, at in self.refused_until_us.items() if at > now_us
-            }
-            if len(self.refused_until_us) < self.max_refusals:
-                self.refused_until_us[plan.key, plan.target] = (
-                    now_us + self.config.pause_ms * 1000
-                )
+
+def _is_usable(peer: CandidatePeer, now_us: int) -> bool:
+    if not peer.alive or peer.draining or not peer.endpoints:
+        return False
+    return now_us - peer.reported_at_us <= REPORT_VALID_US
