--- a/rainfall/model_checker/__init__.py
+++ b/rainfall/model_checker/__init__.py
@@ -1,3 +1,4 @@
-"""Exhaustive search of small models of the fleet's protocols, run on the cores that the
-processes run.
+"""Exhaustive search of small models of the fleet's protocols.
+
+The models run the same state machines as the processes.
 """
--- a/rainfall/model_checker/network.py
+++ b/rainfall/model_checker/network.py
@@ -1,6 +1,4 @@
-"""Messages under way in a model: any may arrive next, be lost, or (where allowed)
-arrive twice.
-"""
+"""The network of a model: messages may arrive in any order, be lost, or arrive twice."""
 
 from __future__ import annotations
 
@@ -10,22 +8,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """A bag of messages.
-
-    Order does not count: whatever is under way may come next, however late.
-    """
+    """A multiset of messages in transit; any of them may arrive next, however late."""
 
     in_transit: tuple[Hashable, ...] = ()
     max_in_transit: int = 4
-    """Messages under way at most; a send past that is as good as lost (it bounds the
-    search).
-    """
+    """Bounds the search: a message that is sent beyond it is lost."""
     losses_left: int = 0
     """Messages that may still be lost."""
     duplicates_left: int = 0
     """Messages that may still arrive twice."""
 
     def send(self, message: Hashable) -> Network:
+        """Return the network with one more message, ordered by text."""
         if len(self.in_transit) >= self.max_in_transit:
             return self
         return replace(
@@ -33,22 +27,24 @@
         )
 
     def arrivals(self) -> Iterator[tuple[Hashable, Network]]:
-        """Each message that may arrive now, and what is under way after it."""
+        """Yield each message that may arrive now, and the network after it."""
         for message, rest in self._distinct_messages():
             yield message, replace(self, in_transit=rest)
             if self.duplicates_left:
-                yield message, replace(self, duplicates_left=self.duplicates_left - 1)
+                duplicates_left = self.duplicates_left - 1
+                yield message, replace(self, duplicates_left=duplicates_left)
 
     def lost(self) -> Iterator[tuple[Hashable, Network]]:
-        """Each message that may be lost now."""
-        if self.losses_left:
-            for message, rest in self._distinct_messages():
-                yield (
-                    message,
-                    replace(self, in_transit=rest, losses_left=self.losses_left - 1),
-                )
+        """Yield each message that may be lost now, and the network after it."""
+        if not self.losses_left:
+            return
+        losses_left = self.losses_left - 1
+        for message, rest in self._distinct_messages():
+            yield message, replace(self, in_transit=rest, losses_left=losses_left)
 
     def _distinct_messages(self) -> Iterator[tuple[Hashable, tuple[Hashable, ...]]]:
-        for n, message in enumerate(self.in_transit):
-            if n == 0 or self.in_transit[n - 1] != message:
-                yield message, self.in_transit[:n] + self.in_transit[n + 1 :]
+        # Equal messages stand together, as the order is by text.
+        for index, message in enumerate(self.in_transit):
+            if index == 0 or self.in_transit[index - 1] != message:
+                rest = self.in_transit[:index] + self.in_transit[index + 1 :]
+                yield message, rest
--- a/rainfall/model_checker/search.py
+++ b/rainfall/model_checker/search.py
@@ -1,9 +1,8 @@
-"""Breadth-first search of every state a model can reach, to a stated depth and count of
-states.
+"""Breadth-first search of the states that a model can reach.
 
-A model drives the same sans-I/O cores that the processes run; it adds only what
-surrounds them: messages under way, clocks, crashes. Breadth first, so that the trace of
-a breach is the shortest there is.
+A model drives the same state machines as the processes; it adds only what surrounds
+them: messages in transit, clocks, crashes. As the search is breadth first, the trace to
+a violation is the shortest there is.
 """
 
 from __future__ import annotations
@@ -11,93 +10,98 @@
 from collections import deque
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass
-from typing import Protocol, TypeVar
+from typing import Generic, NamedTuple, Protocol, TypeVar
+
+DEFAULT_STATE_LIMIT = 1_000_000
 
 StateType = TypeVar("StateType")
 
 
 class Model(Protocol[StateType]):
-    """What is searched.
-
-    States are never changed once given: `steps` works on copies.
-    """
+    """What is searched; states are never changed, and `steps` works on copies."""
 
     def start(self) -> StateType:
-        """The one state that everything begins in."""
+        """Return the initial state."""
 
     def steps(self, state: StateType) -> Iterable[tuple[str, StateType]]:
-        """Each thing that can happen next: its name, and the state after it."""
+        """Return what can happen next: the name of each step, and the state after it."""
 
     def key(self, state: StateType) -> Hashable:
-        """Equal for states that behave alike from here on (leave out names, history,
-        absolute times).
+        """Return a key that is equal for states that behave alike from here on.
+
+        It leaves out names, history and absolute times.
         """
 
     def broken(self, state: StateType) -> str:
-        """Which invariant does not hold here; empty where all do."""
+        """Return the invariant that is violated here; empty where all hold."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What a search saw."""
+    """What a search found."""
 
     states: int
     """Distinct states visited."""
     depth: int
-    """Longest path searched whole: every state reachable in so many steps was
-    visited.
-    """
+    """Every state that can be reached in so many steps was visited."""
     complete: bool
-    """Nothing was left: not one state beyond those visited can be reached at any
-    depth.
-    """
+    """No state beyond those visited can be reached at any depth."""
     violation: str = ""
-    """The invariant that was broken; empty where none was."""
+    """The invariant that was violated; empty where none was."""
     trace: tuple[str, ...] = ()
-    """The steps from the start to the breach."""
+    """The steps from the start to the violation."""
+
+
+class _Origin(NamedTuple):
+    """How a state was reached first: traces cost one entry a state."""
+
+    predecessor: int
+    """Number of the state before; -1 at the start."""
+    step: str
+
+
+class _Pending(NamedTuple, Generic[StateType]):
+    """A state whose steps are still to be followed."""
+
+    number: int
+    depth: int
+    state: StateType
 
 
 def explore(
-    model: Model[StateType], depth: int, max_states: int = 1_000_000
+    model: Model[StateType], depth: int, max_states: int = DEFAULT_STATE_LIMIT
 ) -> SearchResult:
-    """Visit all states within `depth` steps, or up to `most_states` of them, and stop
-    at the first breach.
-    """
+    """Visit the states within `depth` steps, until a violation or `max_states`."""
     first = model.start()
-    if why := model.broken(first):
-        return SearchResult(1, 0, False, why)
-    # A state's way back is kept as (number of the state before, step): traces cost one
-    # entry a state.
-    predecessors: list[tuple[int, str]] = [(-1, "")]
+    if violation := model.broken(first):
+        return SearchResult(1, 0, False, violation)
+    origins = [_Origin(-1, "")]
     seen = {model.key(first)}
-    frontier: deque[tuple[int, int, StateType]] = deque([(0, 0, first)])
+    frontier = deque([_Pending(0, 0, first)])
     while frontier:
-        number, depth_of_state, state = frontier.popleft()
-        if depth_of_state >= depth:
+        current = frontier.popleft()
+        if current.depth >= depth:
             return SearchResult(len(seen), depth, False)
-        for name, after in model.steps(state):
+        for step, after in model.steps(current.state):
             key = model.key(after)
             if key in seen:
                 continue
             seen.add(key)
-            predecessors.append((number, name))
-            if why := model.broken(after):
-                return SearchResult(
-                    len(seen),
-                    depth_of_state,
-                    False,
-                    why,
-                    _trace(predecessors, len(predecessors) - 1),
-                )
+            number = len(origins)
+            origins.append(_Origin(current.number, step))
+            if violation := model.broken(after):
+                trace = _trace(origins, number)
+                return SearchResult(len(seen), current.depth, False, violation, trace)
             if len(seen) >= max_states:
-                return SearchResult(len(seen), depth_of_state, False)
-            frontier.append((len(predecessors) - 1, depth_of_state + 1, after))
+                return SearchResult(len(seen), current.depth, False)
+            frontier.append(_Pending(number, current.depth + 1, after))
     return SearchResult(len(seen), depth, True)
 
 
-def _trace(predecessors: list[tuple[int, str]], number: int) -> tuple[str, ...]:
+def _trace(origins: list[_Origin], number: int) -> tuple[str, ...]:
     steps: list[str] = []
     while number > 0:
-        number, step = predecessors[number]
-        steps.append(step)
+        origin = origins[number]
+        number = origin.predecessor
+        steps.append(origin.step)
     return tuple(reversed(steps))
--- a/rainfall/peer/__init__.py
+++ b/rainfall/peer/__init__.py
@@ -1,3 +1,1 @@
-"""Links between forwarders: what they say to each other, bounded, and what holds for
-one link.
-"""
+"""Links between forwarders: their frames, and the state of one link."""
--- a/rainfall/peer/frames.py
+++ b/rainfall/peer/frames.py
@@ -1,9 +1,8 @@
-"""The frames between forwarders: msgpack arrays with a tag, each behind its length in
-four bytes.
+"""The frames between forwarders: msgpack arrays with a tag, behind their length.
 
-Bodies go as raw bytes. A frame is never longer than `FRAME`; what is longer, of no
-known kind, or has a field out of bounds ends the link, and the fault is told with its
-path (`$[2]` is the frame's third element).
+The length takes four bytes; bodies are raw bytes. A frame that is longer than
+`FRAME_LIMIT_BYTES`, of an unknown kind, or with a field out of bounds ends the link. The
+error names the field by its path (`$[2]` is the frame's third element).
 """
 
 from __future__ import annotations
@@ -25,20 +24,16 @@
 
 PROTOCOL_VERSION = 1
 FRAME_LIMIT_BYTES = 131_072
-"""Bytes of a frame at most: a whole body of 64 KiB and all that may stand beside it,
-with room to spare.
-"""
+"""A body of 64 KiB fits, with all that may stand beside it."""
 LENGTH_PREFIX_BYTES = 4
 
 
 class MalformedFrameError(RainfallError, ValueError):
-    """A frame that cannot be taken; the text is one line and names the field by its
-    path.
-    """
+    """A frame cannot be read; the text is one line and names the field by its path."""
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """The first frame of each side."""
+    """The first frame of each side of a link."""
 
     version: Count
     name: Identifier
@@ -48,8 +43,9 @@
 
 
 class CapacityReport(msgspec.Struct, frozen=True, array_like=True, tag="room"):
-    """What the sender has room for, and its stamp, from which times in frames to it
-    count. It lives.
+    """What the sender can take; it is sent regularly, and shows that the sender is alive.
+
+    Times in frames to the sender count from the newest stamp that it has sent.
     """
 
     stamp_us: TimeUs
@@ -63,23 +59,24 @@
 class Forward(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
     """A message of a key that the sender does not own.
 
-    Its due counts from `stamp_us`, the receiver's own.
+    Its deadline counts from `stamp_us`, the receiver's own.
     """
 
     number: Count
     key: Identifier
     generation: Count
-    """Of the map that the sender goes by."""
+    """Of the shard map that the sender uses."""
     forwarded_by: Annotated[tuple[Identifier, ...], Meta(max_length=4)]
-    """Who has passed it on, the sender last."""
+    """Who has forwarded it so far, the sender last."""
     stamp_us: TimeUs
     item: TransferredMessage
     resent: bool = False
 
 
 class Forwarded(msgspec.Struct, frozen=True, array_like=True, tag="forwarded"):
-    """What became of it: taken on (its client is owed 202), or refused and not taken on
-    anywhere (503).
+    """A forwarded message was accepted (its client gets 202), or rejected (503).
+
+    A rejected message was accepted nowhere.
     """
 
     number: Count
@@ -89,7 +86,7 @@
 
 
 class SessionMoved(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
-    """The session of this key is with `owner` since its hand-over number `moves`."""
+    """`owner` has the session of a key since so many migrations of it."""
 
     key: Identifier
     owner: Identifier
@@ -110,9 +107,10 @@
 
 
 def encode(frame: msgspec.Struct) -> bytes:
-    """With its length in front.
+    """Encode a frame, with its length in front.
 
-    Malformed where it would be too long for the other side to take.
+    Raises:
+        MalformedFrameError: It is too long for the other side.
     """
     data = _encoder.encode(frame)
     if len(data) > FRAME_LIMIT_BYTES:
@@ -123,7 +121,11 @@
 
 
 def decode(data: bytes | memoryview) -> AnyFrame:
-    """One frame without its length."""
+    """Decode a frame without its length.
+
+    Raises:
+        MalformedFrameError: It is no frame.
+    """
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -131,29 +133,31 @@
 
 
 class FrameSplitter:
-    """Bytes as they come, to frames. It holds one frame at most."""
+    """Splits a stream of bytes into frames; it buffers one frame at most."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[AnyFrame]:
-        """The frames that are whole now.
+        """Return the frames that are complete by now.
 
-        Malformed ends the stream: what follows cannot be told apart.
+        Raises:
+            MalformedFrameError: The stream cannot be split any further.
         """
         self.buffer += data
-        found: list[AnyFrame] = []
-        at = 0
-        while len(self.buffer) - at >= LENGTH_PREFIX_BYTES:
-            size = int.from_bytes(self.buffer[at : at + LENGTH_PREFIX_BYTES], "big")
+        frames: list[AnyFrame] = []
+        offset = 0
+        while len(self.buffer) - offset >= LENGTH_PREFIX_BYTES:
+            begin = offset + LENGTH_PREFIX_BYTES
+            size = int.from_bytes(self.buffer[offset:begin], "big")
             if size > FRAME_LIMIT_BYTES:
                 raise MalformedFrameError(
                     f"a frame of {size} bytes; at most {FRAME_LIMIT_BYTES} are taken"
                 )
-            end = at + LENGTH_PREFIX_BYTES + size
+            end = begin + size
             if len(self.buffer) < end:
                 break
-            found.append(decode(bytes(self.buffer[at + LENGTH_PREFIX_BYTES : end])))
-            at = end
-        del self.buffer[:at]
-        return found
+            frames.append(decode(bytes(self.buffer[begin:end])))
+            offset = end
+        del self.buffer[:offset]
+        return frames
