--- a/rainfall/session/__init__.py
+++ b/rainfall/session/__init__.py
@@ -1,3 +1,4 @@
-"""Sessions handed, alive, to a forwarder of a neighbouring site: see
-docs/parts/session.md.
+"""Live migration of sessions to a forwarder of a neighbouring site.
+
+See docs/parts/session.md.
 """
--- a/rainfall/session/model.py
+++ b/rainfall/session/model.py
@@ -1,11 +1,13 @@
-"""One session handed over, as a model for `rainfall.explore`: two desks, the arbiter,
-an unsound link between them, disks that survive crashes, leases that run out, one
-message in the middle, a call that is out.
-
-The messages are of the kind that must never run twice, and one key's, so that the calls
-that left must have rising numbers: a repeat and an overtaking both show. From each
-state reached it also plays on with nothing more going wrong: then one side must end up
-with the session, and every message taken on with its end.
+"""The migration of one session, as a model for `rainfall.model_checker`.
+
+It has two migration managers, the arbiter, an unreliable link between them, disks that
+survive crashes, leases that expire, a message that arrives meanwhile and a call in
+flight.
+
+The messages must not be executed twice and have one order key, so the numbers of the
+calls have to rise: a repetition shows, and so does a wrong order. From each state that
+is reached the model also goes on without further faults: then one side has to own the
+session, and each accepted message has to have an outcome.
 """
 
 from __future__ import annotations
@@ -57,8 +59,8 @@
     "due": 0,
     "amnesia": 0,
 }
-"""How often each may happen. A limit that is over is `late`; `due` takes 3; `amnesia`
-is the arbiter's.
+"""How often each event may happen. `late` is a time limit that is over, `due` a deadline
+of message 2 (there are 3), and `amnesia` a restart of the arbiter without its journal.
 """
 CRASH_EVENTS = ("crash_g", "crash_t", "lease_g", "lease_t", "due", "amnesia")
 WRITE_OUTCOMES = (
@@ -66,13 +68,13 @@
     ("not kept", False, False),
     ("not sure of", False, True),
 )
+"""The name of each outcome, whether it is reported as done, and whether the record
+reached the disk.
+"""
 
 
 class SessionMigrationModel(LivenessModel):
-    """A hand-over with these counts of what may go wrong.
-
-    `gone`: who may die for good.
-    """
+    """A migration in which each event may happen so many times."""
 
     def __init__(
         self,
@@ -86,7 +88,18 @@
         begin: tuple[str, ...] = (),
         **counts: int,
     ) -> None:
-        """`begin`: steps that have happened already, by their names."""
+        """Make a model.
+
+        Args:
+            bug: One of `MUTATIONS`, which the search has to find; empty: none.
+            gone: The forwarder that may die for good; empty: none.
+            messages: Messages of the session.
+            most: Messages in transit.
+            losses: Messages that may be lost.
+            copies: Messages that may arrive twice.
+            begin: Names of the steps that have happened at the start.
+            counts: How often events may happen, by the names in `EVENT_BUDGET`.
+        """
         self.begin, self.bug, self.gone, self.ids = (
             begin,
             bug,
@@ -108,6 +121,7 @@
         super().__init__()
 
     def start(self) -> ModelState:
+        """Return the state after the steps of `begin`."""
         sites = {
             "g": ModelForwarder.of("g", True, self.ids),
             "t": ModelForwarder.of("t", False),
@@ -118,6 +132,7 @@
         return state
 
     def steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
+        """Yield what can happen next: the name of each step, and the state after it."""
         for _, name, after in self._all(state):
             yield name, after
 
@@ -233,15 +248,24 @@
         yield "fair", f"{n} joins again", after
 
     def _around(self, state: ModelState) -> Iterator[Step]:
-        left, t = state.events_left, state.forwarders["t"]
+        yield from self._operator_steps(state)
+        yield from self._client_steps(state)
+        yield from self._target_steps(state)
+        yield from self._arbiter_steps(state)
+        yield from self._deadline_steps(state)
+
+    def _operator_steps(self, state: ModelState) -> Iterator[Step]:
         if (
-            left["give"]
+            state.events_left["give"]
             and state.may_act("g")
             and not state.forwarders["g"].manager.migration_by_key
         ):
             after = state.fork("g", "give")
             self._do(after, "g", after.forwarders["g"].give())
             yield "foul", "g gives", after
+
+    def _client_steps(self, state: ModelState) -> Iterator[Step]:
+        left = state.events_left
         if state.client == "new" and left["arrive"]:
             for n in "gt":
                 if state.forwarders[n].alive and (n == "g" or state.may_act("t")):
@@ -253,6 +277,10 @@
             after.client = "over"
             self._do(after, "g", after.forwarders["g"].tell(s.ClientDisconnected("3")))
             yield "foul", "3's client leaves", after
+
+    def _target_steps(self, state: ModelState) -> Iterator[Step]:
+        left = state.events_left
+        t = state.forwarders["t"]
         if left["repeat"] and state.may_act("t"):
             after = state.fork("t", "repeat")
             if "0" not in t.remembered_ids:
@@ -263,21 +291,24 @@
             for core in after.forwarders["t"].manager.incoming.values():
                 core.out_of_capacity = True
             yield "foul", "t has no room", after
-        if left["amnesia"]:
+
+    def _arbiter_steps(self, state: ModelState) -> Iterator[Step]:
+        if state.events_left["amnesia"]:
             after = state.fork(spend="amnesia")
-            calls = tuple(
-                m for m in state.net.in_transit if concerns_arbiter(m)
-            )  # they end with its process
-            after.net = replace(
-                state.net,
-                in_transit=tuple(m for m in state.net.in_transit if m not in calls),
+            # Questions and answers end with the arbiter's process.
+            in_transit = tuple(
+                m for m in state.net.in_transit if not concerns_arbiter(m)
             )
-            after.decisions, after.epoch = (), 2
+            after.net = replace(state.net, in_transit=in_transit)
+            after.decisions = ()
+            after.epoch = 2
             yield "foul", "the arbiter forgets", after
-        if left["due"]:
+
+    def _deadline_steps(self, state: ModelState) -> Iterator[Step]:
+        if state.events_left["due"]:
             after = state.fork("t", "due")
             after.clock += 1
-            if after.clock == 3 and t.alive:
+            if after.clock == 3 and state.forwarders["t"].alive:
                 self._do(after, "t", after.forwarders["t"].tell(s.MessageExpired("2")))
             yield "foul", f"time {after.clock} of message 2", after
 
@@ -308,31 +339,9 @@
         return state
 
     def _do(self, state: ModelState, n: str, done: list[tuple[str, s.Action]]) -> None:
-        at, other = state.forwarders[n], "t" if n == "g" else "g"
+        at = state.forwarders[n]
         for _, action in done:
-            match action:
-                case s.Send(frame):
-                    self._send(state, (other, frame))
-                    self._plant(state, n, at, frame)
-                case s.AskArbiter() | s.ConfirmVerdict():
-                    self._send(state, ("a", (n, action)))
-                case s.AcceptMessage(item, answer):
-                    ahead = self.bug == "tail overtakes" and not answer
-                    one = ((int(item.id), False),)
-                    at.queue = (*one, *at.queue) if ahead else (*at.queue, *one)
-                    if answer:
-                        answered(state, True)
-                case s.AnswerAccepted() | s.RejectMessage():
-                    answered(state, isinstance(action, s.AnswerAccepted))
-                case s.FailMessage(name):
-                    end(state, at, int(name), "failed")
-                case s.FailAll():
-                    if self.calm and at.queue:
-                        state.violation = "messages are ended for nothing"
-                    for number, _ in at.queue:
-                        end(state, at, number, "failed")
-                case _:
-                    at.carry_out(action)
+            self._carry_out(state, n, at, action)
         if self.bug == "forgets refusals":
             at.manager.refused_up_to.clear()
             at.manager.finished.clear()
@@ -340,10 +349,49 @@
             for taker in at.manager.incoming.values():
                 taker.started_at_us = 0
 
+    def _carry_out(
+        self, state: ModelState, n: str, at: ModelForwarder, action: s.Action
+    ) -> None:
+        match action:
+            case s.Send(frame):
+                self._send(state, ("t" if n == "g" else "g", frame))
+                self._plant(state, n, at, frame)
+            case s.AskArbiter() | s.ConfirmVerdict():
+                self._send(state, ("a", (n, action)))
+            case s.AcceptMessage(item, answer):
+                self._accept(state, at, item, answer)
+            case s.AnswerAccepted() | s.RejectMessage():
+                answered(state, isinstance(action, s.AnswerAccepted))
+            case s.FailMessage(name):
+                end(state, at, int(name), "failed")
+            case s.FailAll():
+                self._fail_all(state, at)
+            case _:
+                at.carry_out(action)
+
+    def _accept(
+        self,
+        state: ModelState,
+        at: ModelForwarder,
+        item: w.TransferredMessage,
+        answer: bool,
+    ) -> None:
+        ahead = self.bug == "tail overtakes" and not answer
+        one = ((int(item.id), False),)
+        at.queue = (*one, *at.queue) if ahead else (*at.queue, *one)
+        if answer:
+            answered(state, True)
+
+    def _fail_all(self, state: ModelState, at: ModelForwarder) -> None:
+        if self.calm and at.queue:
+            state.violation = "messages are ended for nothing"
+        for number, _ in at.queue:
+            end(state, at, number, "failed")
+
     def _plant(
         self, state: ModelState, n: str, at: ModelForwarder, frame: w.Frame
     ) -> None:
-        """Bugs that show where a frame leaves."""
+        """Apply the mutations that show where a frame is sent."""
         core: Any = at.manager.outgoing.get(
             frame.migration_id
         ) or at.manager.incoming.get(frame.migration_id)
@@ -365,9 +413,8 @@
 
     def _send(self, state: ModelState, message: Hashable) -> None:
         one = intern_message(message)
-        if (
-            one not in state.net.in_transit
-        ):  # a second one alike adds nothing that a copy does not
+        # A second equal message would add nothing that a duplicate does not.
+        if one not in state.net.in_transit:
             state.net = state.net.send(one)
 
     def _release(self, state: ModelState, n: str, at: ModelForwarder) -> None:
@@ -405,8 +452,9 @@
 
 
 class FaultySessionMigrationModel(SessionMigrationModel):
-    """For `python -m rainfall.explore`: either side may die, the taker's lease run
-    out, a write fail.
+    """The model for `python -m rainfall.model_checker`.
+
+    Either side may crash, the target's lease may expire, and a write may fail.
     """
 
     def __init__(self) -> None:
--- a/rainfall/session/model_forwarder.py
+++ b/rainfall/session/model_forwarder.py
@@ -1,5 +1,6 @@
-"""One forwarder in the model: the real desk, and the least engine and disk around it
-that can go wrong.
+"""A forwarder in the model of a migration.
+
+It has the real migration manager, and the least engine and disk that can fail.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 
 def _copy(one: CopiedType) -> CopiedType:
-    """Many times as quick as copy.copy, of which the search does millions."""
+    """Copy a dataclass; the search does it millions of times, and copy.copy is slower."""
     return type(one)(*_getter(type(one))(one))
 
 
@@ -53,31 +54,33 @@
 
 
 def _alike(key: Hashable) -> int:
-    """One number for all equal keys: what is compared often is hashed once."""
+    """Return one number for all equal keys, so that a key is hashed only once."""
     return _numbers.setdefault(key, len(_numbers))
 
 
 @dataclass(slots=True)
 class ModelForwarder:
+    """One forwarder, as far as the migration concerns it."""
+
     name: str
     incarnation: int = 1
-    """Also its clock: all that the cores compare are stamps of this start with those of
-    the one before.
+    """Also its clock: the migration only compares stamps of this start with those of the
+    one before.
     """
     may_act: bool = False
-    """Its engine may begin a call of the session, if the lease allows it."""
+    """Whether its engine may begin a call of the session, if the lease allows it."""
     alive: bool = True
     freezing: bool = False
     call_in_flight: int | None = None
     queue: tuple[tuple[int, bool], ...] = ()
-    """On disk: messages in order, and whether each may have run."""
+    """On disk: messages in order, and whether each may have been executed."""
     remembered_ids: tuple[str, ...] = ()
     disk: tuple[w.Record, ...] = ()
     unapplied: tuple[w.Record, ...] = ()
-    """On disk, and the engine has not acted on them: a restart will."""
+    """Records on disk that the engine has not acted on: a restart will."""
     writing: tuple[w.Record, ...] = ()
     owned_at_start: bool = False
-    """The session began here."""
+    """Whether the session began here."""
     manager: MigrationManager = field(
         default_factory=lambda: MigrationManager("", LIMITS)
     )
@@ -85,6 +88,7 @@
 
     @staticmethod
     def of(name: str, owns: bool, ids: tuple[int, ...] = ()) -> ModelForwarder:
+        """Return a forwarder at the start, with these messages if it owns the session."""
         return ModelForwarder(
             name,
             may_act=owns,
@@ -95,6 +99,7 @@
         )
 
     def fork(self) -> ModelForwarder:
+        """Return a copy that may be changed."""
         twin, desk = _copy(self), _copy(self.manager)
         desk.outgoing = {h: _copy(c) for h, c in desk.outgoing.items()}
         desk.incoming = {h: _copy(c) for h, c in desk.incoming.items()}
@@ -107,7 +112,10 @@
         return twin
 
     def key(self) -> Hashable:
-        """Worked out once: a site that was given away in a state never changes."""
+        """Return a key that is equal for forwarders that behave alike.
+
+        It is made once: a forwarder of a state that others can see never changes.
+        """
         if self.cached_key is None:
             desk = self.manager
             cores = tuple(
@@ -135,14 +143,16 @@
             )
         return self.cached_key
 
-    # What the desk hears
+    # Events of the migration manager
 
     def give(self) -> KeyedActions:
+        """Start the migration."""
         return self.manager.start_migration(
             KEY, "t", "a", "test", 1, s.StartMigration(), self.incarnation
         )
 
     def hear(self, what: object) -> KeyedActions:
+        """Handle a verdict or a frame of the other side."""
         if isinstance(what, s.Verdict):
             return self.manager.handle_verdict(what, self.incarnation)
         assert isinstance(what, w.Frame)
@@ -151,6 +161,7 @@
         )
 
     def arrive(self, name: str) -> KeyedActions | None:
+        """Handle a client's message; None where the session is not being migrated."""
         return self.manager.handle_session_event(
             KEY,
             s.MessageArrived(w.TransferredMessage(name, "", 0, 100), self.incarnation),
@@ -158,6 +169,7 @@
         )
 
     def tell(self, event: object) -> KeyedActions:
+        """Handle any other event."""
         if isinstance(event, (s.Retry, s.Timeout, s.MessageExpired)):
             return [
                 a
@@ -167,6 +179,7 @@
         return self.manager.handle_session_event(KEY, event, self.incarnation) or []
 
     def quiet(self, fateless: bool, forgetful: bool) -> KeyedActions:
+        """Report that no call is in flight; the parameters are mutations of the model."""
         items = tuple(
             w.TransferredMessage(
                 str(n), "", 0, 100, executed_at_us=0 if ran and not fateless else None
@@ -179,9 +192,9 @@
         )
 
     def events(self) -> Iterator[tuple[str, object]]:
-        """What can come to its cores of itself.
+        """Yield the events that may come by themselves, each with the kind of its step.
 
-        A limit that no message outlives is none of the model's.
+        Time limits that no message outlives are left out.
         """
         if self.manager.migrations():
             yield "retry", s.Retry()
@@ -201,9 +214,10 @@
         ):
             yield "fair", s.ConnectionsClosed()
 
-    # What the desk wants of this site alone
+    # Actions that concern this forwarder alone
 
     def carry_out(self, action: s.Action) -> None:
+        """Do what the migration manager demands of the engine and the disk."""
         match action:
             case s.PersistRecord(record):
                 self.writing = (*self.writing, record)
@@ -223,6 +237,7 @@
     def recall(
         self, items: tuple[w.TransferredMessage, ...], memory: tuple[str, ...]
     ) -> None:
+        """Restore messages and remembered ids from a copy."""
         self.queue = (
             *self.queue,
             *((int(i.id), i.executed_at_us is not None) for i in items),
@@ -232,7 +247,7 @@
     # The disk
 
     def write(self, ok: bool, reached: bool) -> KeyedActions:
-        """The first of what is being written comes to its end."""
+        """End the first write: whether it is reported as done, and reached the disk."""
         record, *rest = self.writing
         self.writing = tuple(rest)
         if reached:
@@ -245,9 +260,9 @@
         return self.manager.handle_write_result(record, ok, self.incarnation)
 
     def crash(self, reached: bool) -> None:
-        """What was being written may be on disk.
+        """Lose what is in memory; `reached`: writes under way have reached the disk.
 
-        The queue is on disk too, and what the records say of it.
+        The queue is on disk as well, and so is what the records demand of it.
         """
         if reached:
             self.disk, self.unapplied = (
@@ -279,7 +294,7 @@
         self.manager = MigrationManager(self.name, LIMITS)
 
     def restart(self) -> int | None:
-        """Returns the call that was out: it may have run."""
+        """Start again; returns the call that was in flight, if any."""
         cut, self.call_in_flight, self.alive, self.may_act = (
             self.call_in_flight,
             None,
--- a/rainfall/session/model_liveness.py
+++ b/rainfall/session/model_liveness.py
@@ -1,6 +1,4 @@
-"""What must hold in the model of a hand-over, and that it ends well from each state
-reached.
-"""
+"""What has to hold in the model of a migration, in each state and in the end."""
 
 from __future__ import annotations
 
@@ -15,15 +13,21 @@
 )
 
 Step = tuple[str, str, ModelState]
-"""Its kind: `fair` (comes of itself in the end), `retry`, `late` (when nothing else
-does), `foul` (may happen); its name; the state after.
+"""A step's kind, its name, and the state after it.
+
+Kinds are `fair` (happens by itself in the end), `retry`, `late` (happens when nothing
+else does) and `foul` (may happen).
 """
+REPEATED_STEPS = 50
+"""A run that has passed so many states again goes round without an end."""
 
 
 class LivenessModel:
+    """A model whose invariants include that each state reached ends well."""
+
     def __init__(self) -> None:
         self.good: set[Hashable] = set()
-        """States known to end well."""
+        """Keys of states that are known to end well."""
 
     def _all(self, state: ModelState) -> Iterator[Step]:
         raise NotImplementedError
@@ -32,6 +36,7 @@
         raise NotImplementedError
 
     def key(self, state: ModelState) -> Hashable:
+        """Return a key that is equal for states that behave alike."""
         return (
             self._core(state),
             state.net.losses_left,
@@ -57,21 +62,19 @@
         )
 
     def broken(self, state: ModelState) -> str:
+        """Return the invariant that is violated; empty where all hold."""
         return safety_violation(state) or self._unsettled(state)
 
     def _unsettled(self, state: ModelState) -> str:
-        """Play on with nothing more going wrong, to the end or to a state known to end
-        well.
-        """
+        """Go on without further faults, to the end or to a state known to end well."""
         state = replace(state, net=replace(state.net, max_in_transit=20))
         passed: set[Hashable] = set()
         steps = 0
         while (key := self._core(state)) not in self.good:
             after = self._late(state) if key in passed else self._next(state)
             passed.add(key)
-            if (
-                after is None or len(passed) < steps - 50
-            ):  # the end, or it goes round and round
+            if after is None or len(passed) < steps - REPEATED_STEPS:
+                # Either nothing is left to happen, or it repeats without an end.
                 if why := liveness_violation(state):
                     return why
                 break
@@ -82,8 +85,9 @@
         return ""
 
     def _next(self, state: ModelState) -> ModelState | None:
-        """The first thing that comes of itself and changes something; where none does,
-        all say again what was not answered.
+        """Return the state after the first fair step that changes something.
+
+        Where there is none, all sides retry what was not answered.
         """
         core = self._core(state)
         for kind, _, after in self._all(state):
@@ -96,7 +100,7 @@
         return after if self._core(after) != core else self._late(state)
 
     def _late(self, state: ModelState) -> ModelState | None:
-        """Said again and again with no answer: a limit is over."""
+        """Return the state after a time limit, where retries get no answer."""
         for n, at in state.forwarders.items():
             for kind, event in at.events() if at.alive else ():
                 if kind == "late":
--- a/rainfall/session/model_state.py
+++ b/rainfall/session/model_state.py
@@ -1,4 +1,4 @@
-"""What the model of a hand-over keeps, and what must hold in it."""
+"""The state of the model of a migration, and its invariants."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 @dataclass(slots=True, eq=False)
 class ModelMessage:
-    """One message under way.
+    """A message in transit.
 
-    Equal ones are one object, so that comparing and sorting them costs little.
+    Equal messages are one object, so that comparing and sorting them costs little.
     """
 
     content: Any
@@ -32,34 +32,42 @@
 
 @cache
 def intern_message(what: Hashable) -> ModelMessage:
+    """Return the one object for a message of this content."""
     return ModelMessage(what, repr(what))
 
 
 @dataclass(slots=True)
 class ModelState:
+    """Two forwarders `g` (source) and `t` (target), the arbiter, and what joins them."""
+
     net: Network
     forwarders: dict[str, ModelForwarder]
     decisions: tuple[tuple[w.MigrationId, Decision], ...] = ()
     lease_state: dict[str, str] = field(
         default_factory=lambda: {"g": "held", "t": "held"}
     )
-    """`held`; `out` by the member's own clock; `lost` by the service's, never before it
-    is out.
+    """`held`; `out` by the member's own clock; `lost` by the list service's clock, which
+    is never the earlier.
     """
     sent: tuple[int, ...] = (0,)
     ends: dict[int, str] = field(default_factory=dict)
     promised: tuple[int, ...] = ()
     client: str = "new"
-    """Of message 3: `new`, `waits` (handed in, not answered), `over`."""
+    """That of message 3: `new`, `waits` (submitted, not answered) or `over`."""
     clock: int = 0
-    """Message 2: 1 its due at the taker, 2 at the giver, 3 for a taker in doubt."""
+    """Deadlines of message 2 that are over: 1 that of the target, 2 that of the source,
+    3 that of a target in doubt.
+    """
     events_left: dict[str, int] = field(default_factory=dict)
     """How often each thing may still happen."""
     violation: str = ""
     epoch: int = 1
 
     def fork(self, touched: str = "", spend: str = "") -> ModelState:
-        """A copy in which the sites named may be changed."""
+        """Return a copy in which the forwarders of these letters may be changed.
+
+        `spend` names an event that happens once less from here on.
+        """
         left = (
             {**self.events_left, spend: self.events_left[spend] - 1}
             if spend
@@ -82,6 +90,7 @@
         )
 
     def may_act(self, name: str) -> bool:
+        """Whether a forwarder may call endpoints for the session."""
         return (
             self.forwarders[name].alive
             and self.forwarders[name].may_act
@@ -90,6 +99,7 @@
 
 
 def end(state: ModelState, at: ModelForwarder, number: int, how: str) -> None:
+    """End a message; the first outcome is the one that counts."""
     at.queue = tuple(q for q in at.queue if q[0] != number)
     at.call_in_flight = None if at.call_in_flight == number else at.call_in_flight
     at.remembered_ids = (
@@ -99,12 +109,14 @@
 
 
 def answered(state: ModelState, yes: bool) -> None:
+    """Note the answer to the client of message 3."""
     if state.client == "waits":
         state.client = "over" if yes or not state.events_left["arrive"] else "new"
         state.promised = (*state.promised, 3) if yes else state.promised
 
 
 def safety_violation(state: ModelState) -> str:
+    """Return what must never happen and has; empty where nothing has."""
     if state.may_act("g") and state.may_act("t"):
         return "both sides act"
     if any(a >= b for a, b in zip(state.sent, state.sent[1:], strict=False)):
@@ -115,9 +127,10 @@
 def only_time_ends_it(
     at: ModelForwarder, live: dict[str, ModelForwarder], forgot: bool
 ) -> bool:
-    """No hand-over is open, or only one that time ends (`commit_us`): the arbiter gave
-    it to who is dead, or forgot what it said, and the one who could tell is dead or
-    went on alone.
+    """Whether no migration is open, or only one that `commit_us` ends.
+
+    The arbiter gave the session to a side that is dead, or it forgot its verdict, and the
+    side that knows is dead or went on alone.
     """
     if forgot:
         return len(live) < 2 or all(
@@ -131,21 +144,23 @@
 
 
 def liveness_violation(state: ModelState) -> str:
+    """Return what is wrong in a state that nothing follows; empty where it is right."""
     live = {n: x for n, x in state.forwarders.items() if x.alive}
     if any(not only_time_ends_it(x, live, state.epoch > 1) for x in live.values()):
         return "a hand-over stays open"
     have = [n for n, x in live.items() if x.may_act]
     if len(live) < 2 and not have:
-        return ""  # it was the dead one's, and went with its disk
+        return ""  # The dead forwarder owned it, and its disk is gone.
     if len(have) != 1 and (have or state.epoch == 1):
         return f"it is with {have or 'nobody'}"
     if len(live) < 2 and state.epoch > 1:
-        return ""  # what the arbiter forgot about, only time can end
+        return ""  # Only time ends what the arbiter has forgotten.
     lost = [n for n in state.promised if n not in state.ends and (n < 3 or "t" in live)]
     return f"lost: {lost}" if lost else ""
 
 
 def name_of(what: Any) -> str:
+    """Return a message's or record's name, as it stands in the names of steps."""
     if isinstance(what, tuple):
         return f"{what[0]}: {name_of(what[1])}"
     if isinstance(what, (w.Frame, w.Record)):
@@ -159,6 +174,6 @@
 
 
 def concerns_arbiter(one: Hashable) -> bool:
-    """A question to it, or its answer."""
+    """Whether a message is a question to the arbiter, or its answer."""
     assert isinstance(one, ModelMessage)
     return one.content[0] == "a" or isinstance(one.content[1], s.Verdict)
