--- a/rainfall/registry/budget_api.py
+++ b/rainfall/registry/budget_api.py
@@ -1,11 +1,8 @@
-"""Budgets from a file, and by hand: `GET`, `PUT /v1/budgets`, the operator's word on
-lost processes.
-"""
+"""Budgets from a file and over HTTP, and what operators confirm of lost processes."""
 
 from __future__ import annotations
 
 import tomllib
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -18,28 +15,30 @@
 from rainfall.member.roster import MEMBER_LEASE_PREFIX
 from rainfall.registry import request_schemas
 from rainfall.registry.budget_extension import BudgetExtension
-from rainfall.registry.fleet_api import TokenPair
 from rainfall.registry.fleet_coordinator import FleetCoordinator
 from rainfall.registry.heartbeat_extension import Row
 from rainfall.registry.http_server import (
+    await_stored,
     get_route,
     json_response,
     parse_version,
     read_json,
 )
+from rainfall.registry.lease_api import TokenPair
 from rainfall.registry.request_schemas import RequestError
 
 
 class ProcessEndedRequest(Struct):
-    """The incarnation of a process that is surely at its end."""
+    """The token of a process that an operator knows to have ended."""
 
     token: TokenPair
 
 
 def parse_budget_list(body: Any) -> list[dict[str, Any]]:
-    """The list in `{"budgets": [...]}`, checked whole.
+    """The checked list in `{"budgets": [...]}`.
 
-    Raises Faults with every fault.
+    Raises:
+        BudgetConfigError: With every fault.
     """
     if not isinstance(body, dict):
         raise BudgetConfigError(["an object that holds budgets"])
@@ -57,9 +56,11 @@
 
 
 def read_budget_file(path: Path) -> list[dict[str, Any]]:
-    """The budgets in a file: JSON where its name ends so, else TOML.
+    """The budgets in a file: JSON if its name ends in `.json`, else TOML.
 
-    Raises Faults (all), OSError.
+    Raises:
+        BudgetConfigError: With every fault.
+        OSError: The file cannot be read.
     """
     data = path.read_bytes()
     try:
@@ -82,9 +83,12 @@
     source: str,
     match: int | None = None,
 ) -> None:
-    """Put checked budgets in force; durable when this returns.
+    """Put checked budgets in force; they are durable when this returns.
 
-    Raises Refused(412), Full, OSError.
+    Raises:
+        RequestError: 412, `match` is not the version in force.
+        QueueFullError: Too much waits to be written.
+        OSError: The budgets could not be stored.
     """
 
     def make(now_us: int) -> list[Row]:
@@ -102,7 +106,7 @@
 
 
 def routes(fleet: FleetCoordinator, budgets: BudgetExtension) -> list[web.RouteDef]:
-    """At the write address: the reads, and what changes."""
+    """The write address: the reads, and the changes."""
 
     async def put(request: web.Request) -> web.StreamResponse:
         body = await read_json(request, fleet.context.limits)
@@ -112,7 +116,7 @@
         except BudgetConfigError as error:
             raise RequestError(422, error.faults) from None
         before = budgets.version
-        await _await_stored(apply_budgets(fleet, budgets, raw, "hand", match))
+        await await_stored(apply_budgets(fleet, budgets, raw, "hand", match))
         return json_response(
             200,
             {"version": budgets.version, "changed": budgets.version != before},
@@ -135,38 +139,42 @@
             token in book.accounts for book in budgets.ledger.budget_accounts.values()
         ):
             raise RequestError(404, [f"token: nothing is held under {call.token}"])
-        await _word(lambda now_us: budgets.confirm_processes(now_us, token))
+        await store_confirmation(token)
         return json_response(200, {"token": call.token, "ended": True})
 
-    async def known(_: web.Request) -> web.StreamResponse:
-        await _word(lambda now_us: budgets.confirm_processes(now_us, None))
+    async def reserves_known(_: web.Request) -> web.StreamResponse:
+        await store_confirmation(None)
         return json_response(200, {"known": True})
 
-    async def _word(make: Callable[[int], list[Row]]) -> None:
-        await _await_stored(fleet.apply_rows(budgets.name, make))
-        # A plan whose write had failed went first, and stood in the way of this.
-        await _await_stored(
-            fleet.apply_rows(
-                budgets.name, lambda now_us: budgets.plan(now_us, True, [])
-            )
-        )
+    async def store_confirmation(token: Token | None) -> None:
+        def confirm(now_us: int) -> list[Row]:
+            return budgets.confirm_processes(now_us, token)
+
+        def plan_frozen(now_us: int) -> list[Row]:
+            return budgets.plan(now_us, True, [])
+
+        await await_stored(fleet.apply_rows(budgets.name, confirm))
+        # Where the write of a plan had failed, the rows above are those of that plan.
+        await await_stored(fleet.apply_rows(budgets.name, plan_frozen))
 
     return [
         *read_routes(fleet, budgets),
         web.put("/v1/budgets", put),
         web.post("/v1/budgets/ended", ended),
-        web.post("/v1/budgets/reserves-known", known),
+        web.post("/v1/budgets/reserves-known", reserves_known),
     ]
 
 
 def read_routes(
     fleet: FleetCoordinator, budgets: BudgetExtension
 ) -> list[web.RouteDef]:
+    """The budgets in force, and who has what of them, at both addresses."""
+
     async def show(_: web.Request) -> web.StreamResponse:
         now_us = fleet.context.now_us()
         held = budgets.state(now_us)
-        for told in held.values():
-            for member in told["members"]:
+        for status in held.values():
+            for member in status["members"]:
                 lease = fleet.table.read(MEMBER_LEASE_PREFIX + member["name"])
                 if lease is not None and lease.token.to_wire() == member["token"]:
                     member["left_ms"] = max(lease.expires_at_us - now_us, 0) // 1_000
@@ -183,12 +191,3 @@
         )
 
     return [get_route("/v1/budgets", show)]
-
-
-async def _await_stored(done: Any) -> None:
-    try:
-        await done
-    except OSError as error:
-        raise RequestError(
-            507, [f"it could not be kept: {error.strerror or error}"]
-        ) from None
--- a/rainfall/registry/discovery_api.py
+++ b/rainfall/registry/discovery_api.py
@@ -1,5 +1,6 @@
-"""The discovery address: the list, its watches, and notices, as PROTOCOL "Discovery"
-and "Notices" say.
+"""The discovery address: the endpoint list, its watches, and notices.
+
+PROTOCOL "Discovery" and "Notices" define the calls.
 """
 
 from __future__ import annotations
@@ -16,31 +17,32 @@
 from rainfall.registry.service_context import ServiceContext
 
 MAX_HOLD_MS = 60_000
+"""How long a watch is held, whatever was asked for."""
 
 
 def routes(context: ServiceContext) -> list[web.RouteDef]:
+    """All routes of the discovery address."""
+
     async def hosts(request: web.Request) -> web.StreamResponse:
-        ask = request_schemas.parse_query(request.query, request_schemas.ListQuery)
+        query = request_schemas.parse_query(request.query, request_schemas.ListQuery)
         context.metrics.reads += 1
-        await context.observe_claim(ask.since, ask.epoch)
-        hold = min(ask.hold_ms, MAX_HOLD_MS)
-        if (
-            hold > 0
-            and context.registry.is_up_to_date(ask.since, ask.epoch)
-            and not context.stopping
-        ):
-            await context.hold_watch(context.list_changed, hold)
+        await context.observe_claim(query.since, query.epoch)
+        hold_ms = min(query.hold_ms, MAX_HOLD_MS)
+        is_up_to_date = context.registry.is_up_to_date(query.since, query.epoch)
+        if hold_ms > 0 and is_up_to_date and not context.stopping:
+            await context.hold_watch(context.list_changed, hold_ms)
         return await streamed_response(
-            request, context.encoded_answer(ask.since, ask.epoch)
+            request, context.encoded_answer(query.since, query.epoch)
         )
 
     async def notices(request: web.Request) -> web.StreamResponse:
-        told = request_schemas.parse_notices(await read_body(request, context.limits))
-        context.notice_commit.add(told)
-        context.metrics.notices += len(told)
-        return json_response(
-            204
-        )  # at once, as PROTOCOL asks; keeping them is the service's own work
+        received = request_schemas.parse_notices(
+            await read_body(request, context.limits)
+        )
+        context.notice_commit.add(received)
+        context.metrics.notices += len(received)
+        # PROTOCOL demands an answer at once: the caller does not wait for the disk.
+        return json_response(204)
 
     return [
         get_route("/discovery/hosts", hosts),
--- a/rainfall/registry/fleet_api.py
+++ b/rainfall/registry/fleet_api.py
@@ -1,6 +1,4 @@
-"""The fleet's address: beats, the watch, and leases by name (docs/parts.md, "What all
-of them share").
-"""
+"""The fleet's address over HTTP: heartbeats, the watch, and who is a member."""
 
 from __future__ import annotations
 
@@ -9,26 +7,33 @@
 from aiohttp import web
 from msgspec import Meta, Struct
 
-from rainfall.lease import types
-from rainfall.lease.fencing_token import ZERO_TOKEN, Token
-from rainfall.lease.table import Lease, LeaseGrant, LeaseUnavailable
-from rainfall.lease.types import MAX_NOTE_ENTRIES, MAX_TEXT_LENGTH
-from rainfall.member.roster import MAX_NAME_LENGTH, MEMBER_LEASE_PREFIX
-from rainfall.registry import request_schemas
+from rainfall.lease.table import LeaseGrant, LeaseUnavailable
+from rainfall.lease.types import LeaseRejectedError
+from rainfall.member.roster import MAX_NAME_LENGTH
+from rainfall.registry import lease_api, request_schemas
 from rainfall.registry.discovery_api import MAX_HOLD_MS
 from rainfall.registry.fleet_coordinator import FleetCoordinator
 from rainfall.registry.http_server import (
-    error_response,
+    await_stored,
     get_route,
     json_response,
     read_json,
 )
+from rainfall.registry.lease_api import (
+    US_PER_MS,
+    LeaseDecision,
+    LeaseRequestError,
+    TokenPair,
+    persist_decision,
+    token_or_zero,
+)
 from rainfall.registry.member_encoder import MemberEncoder
 from rainfall.registry.request_schemas import RequestError, Version
 
+RESERVE_LIMIT = 10_000
+"""Reserves of one heartbeat: one for each budget there may be."""
+
 MemberName = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
-TokenPair = Annotated[list[Version], Meta(min_length=2, max_length=2)]
-Milliseconds = Annotated[int, Meta(ge=1, lt=1 << 42)]
 CallCount = Annotated[int, Meta(ge=0, lt=1 << 40)]
 
 
@@ -44,13 +49,14 @@
         "leaving": "leave",
     },
 ):
-    """`token` null joins.
-
-    Beside the page's fields: `run` names this run of the process, so that a join whose
-    answer was lost may be sent again; `shown`, in a join, is the token its process had
-    before a restart; `keeps` the reserves it acts on from then, by destination; `list`
-    is the [epoch, version] of members that it has (then only changes are told); `leave`
-    gives all up. What riders read stands beside these.
+    """The body of a heartbeat, without the fields that the extensions read.
+
+    `token` null joins. `run_id` names this run of the process, so that a join whose
+    answer was lost may be sent again. In a join, `previous_token` is the token that the
+    process had before a restart, and `kept_reserves` are the reserves it uses from
+    then, by destination. `known_list` is the [epoch, version] of the member list that
+    the sender has: it is then sent only what changed since. `leaving` gives up the
+    membership.
     """
 
     name: MemberName
@@ -61,29 +67,16 @@
     highest_seen: TokenPair | None = None
     run_id: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""
     previous_token: TokenPair | None = None
-    kept_reserves: Annotated[dict[str, CallCount], Meta(max_length=10_000)] = {}
+    kept_reserves: Annotated[dict[str, CallCount], Meta(max_length=RESERVE_LIMIT)] = {}
     known_list: TokenPair | None = None
     leaving: bool = False
 
 
-class AcquireRequest(
-    Struct, rename={"highest_seen": "seen", "previous_token": "shown"}
-):
-    holder: Annotated[str, Meta(min_length=1, max_length=MAX_TEXT_LENGTH)]
-    ttl_ms: Milliseconds
-    highest_seen: TokenPair | None = None
-    previous_token: TokenPair | None = None
-    note: Annotated[dict[str, str], Meta(max_length=MAX_NOTE_ENTRIES)] = {}
-
-
-class RenewRequest(Struct, rename={"highest_seen": "seen"}):
-    token: TokenPair
-    highest_seen: TokenPair | None = None
-
-
 class WatchQuery(Struct, rename={"since": "from"}):
-    """`name`: the member who watches; it is woken by what concerns it, others by every
-    change.
+    """The query of a watch.
+
+    With the `name` of a member, only changes that concern it end the wait; without one,
+    every change does.
     """
 
     since: Version
@@ -91,297 +84,157 @@
     name: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""
 
 
-def _token_or_never(pair: list[int] | None) -> Token:
-    return ZERO_TOKEN if pair is None else Token(*pair)
-
-
-def _with_join_claims(
-    made: LeaseGrant | LeaseUnavailable, call: HeartbeatRequest
-) -> LeaseGrant | LeaseUnavailable:
-    """What the join says of the process before it goes to disk with the lease: riders
-    may need it again.
-    """
-    if (
-        call.previous_token is not None
-        and isinstance(made, LeaseGrant)
-        and made.record
-        and made.record["kind"] == "grant"
-    ):
-        made.record.update(shown=call.previous_token, keeps=call.kept_reserves)
-    return made
-
-
 def routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    context, member_encoder = fleet.context, MemberEncoder()
-
-    async def beat(request: web.Request) -> web.StreamResponse:
-        raw = await read_json(request, context.limits)
-        found = request_schemas.find_faults(raw, HeartbeatRequest, "")
-        if isinstance(raw, dict):
-            found.extend(
-                fault
-                for rider in fleet.extensions.values()
-                for fault in rider.find_faults(raw)
-            )
-        if found:
-            raise RequestError(400, found)
-        call = request_schemas.decode_as(raw, HeartbeatRequest)
-        token, seen = _token_or_never(call.token), _token_or_never(call.highest_seen)
-        if call.leaving and call.token is not None:
-            await _persisted_decision(
-                fleet, lambda now_us: fleet.roster.leave(now_us, call.name, token)
-            )
-            return json_response(
-                200, {"sent": call.sequence, "state": "left", "version": fleet.version}
-            )
-        if call.token is None:
-            made = await _persisted_decision(
-                fleet,
-                lambda now_us: _with_join_claims(
-                    fleet.roster.join(
-                        now_us,
-                        call.name,
-                        call.site,
-                        call.dial,
-                        call.run_id,
-                        _token_or_never(call.previous_token),
-                        seen,
-                    ),
-                    call,
-                ),
-            )
-        else:
-            made = await _persisted_decision(
-                fleet,
-                lambda now_us: fleet.roster.heartbeat(now_us, call.name, token, seen),
-            )
-        if isinstance(made, LeaseUnavailable):
-            return _held_answer(made)
-        assert isinstance(made, LeaseGrant)
-        try:
-            parts = await fleet.handle_heartbeat(call.name, made.token, raw)
-        except types.LeaseRejectedError as error:
-            raise LeaseRequestError(error) from None
-        except OSError as error:
-            raise _storage_error(error) from None
-        epoch, since = call.known_list or (None, None)
-        whole, members = fleet.roster.members_changed_since(since, epoch)
-        member = fleet.roster.members.get(call.name)
-        return json_response(
-            200,
-            {
-                "token": made.token.to_wire(),
-                "ttl_ms": made.ttl_us // 1_000,
-                "sent": call.sequence,
-                "version": fleet.version,
-                "state": "lost" if member is None else member.state,
-                "list": [fleet.roster.epoch, fleet.roster.version],
-                "whole": whole,
-                "members": member_encoder.encoded(members),
-                **parts,
-            },
-        )
+    """All routes of the fleet's address, except those that extensions add."""
+    heartbeats = _HeartbeatHandler(fleet)
 
     async def watch(request: web.Request) -> web.StreamResponse:
-        ask = request_schemas.parse_query(request.query, WatchQuery)
-        hold, watchers = min(ask.hold_ms, MAX_HOLD_MS), fleet.watchers
-        if (
-            hold > 0
-            and not watchers.is_behind(ask.since, ask.name)
-            and not context.stopping
-        ):
-            news = watchers.add(ask.name)
-            try:
-                await context.hold_watch(news, hold)
-            finally:
-                watchers.remove(news)
-        return json_response(200, {"version": fleet.version})
-
-    async def acquire(request: web.Request) -> web.StreamResponse:
-        name = _lease_name(request)
-        call = request_schemas.decode_as(
-            await read_json(request, context.limits), AcquireRequest
-        )
-        made = await _persisted_decision(
-            fleet,
-            lambda now_us: fleet.table.acquire(
-                now_us,
-                name,
-                call.holder,
-                call.ttl_ms * 1_000,
-                _token_or_never(call.highest_seen),
-                _token_or_never(call.previous_token),
-                call.note,
-            ),
-        )
-        return _lease_answer(made)
-
-    async def renew(request: web.Request) -> web.StreamResponse:
-        name, call = (
-            _lease_name(request),
-            request_schemas.decode_as(
-                await read_json(request, context.limits), RenewRequest
-            ),
-        )
-        return _lease_answer(
-            await _persisted_decision(
-                fleet,
-                lambda now_us: fleet.table.renew(
-                    now_us,
-                    name,
-                    _token_or_never(call.token),
-                    _token_or_never(call.highest_seen),
-                ),
-            )
-        )
+        return await _watch(fleet, request)
 
-    async def release(request: web.Request) -> web.StreamResponse:
-        name, call = (
-            _lease_name(request),
-            request_schemas.decode_as(
-                await read_json(request, context.limits), RenewRequest
-            ),
-        )
-        await _persisted_decision(
-            fleet,
-            lambda now_us: fleet.table.release(
-                now_us, name, _token_or_never(call.token)
-            ),
-        )
-        return json_response(200, {"name": name, "released": True})
-
-    lease = "/v1/leases/{name:.+}"
     return [
-        web.post("/v1/fleet/beat", beat),
+        web.post("/v1/fleet/beat", heartbeats.handle),
         get_route("/v1/fleet/watch", watch),
         *read_routes(fleet),
-        web.post(f"{lease}/acquire", acquire),
-        web.post(f"{lease}/renew", renew),
-        web.post(f"{lease}/release", release),
+        *lease_api.routes(fleet),
     ]
 
 
 def read_routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """Who is in force, and who holds what: at the fleet's address and at the write
-    address.
-    """
-    context = fleet.context
-
-    def told(lease: Lease) -> dict[str, Any]:
-        return {
-            "name": lease.name,
-            "holder": lease.holder,
-            "token": lease.token.to_wire(),
-            "ttl_ms": lease.ttl_us // 1_000,
-            "note": dict(lease.note),
-            "revoked": lease.revoked,
-            "left_ms": max(lease.expires_at_us - context.now_us(), 0) // 1_000,
-        }
+    """Members and leases: at the fleet's address and at the write address."""
 
     async def members(_: web.Request) -> web.StreamResponse:
         return json_response(
             200, {**fleet.roster.changes_since(None, None), **fleet.gauges()}
         )
 
-    async def leases(request: web.Request) -> web.StreamResponse:
-        return json_response(
-            200,
-            {
-                "leases": [
-                    told(x)
-                    for x in fleet.table.with_prefix(request.query.get("prefix", ""))
-                ]
-            },
-        )
-
-    async def lease(request: web.Request) -> web.StreamResponse:
-        name = request.match_info["name"]
-        found = fleet.table.read(name)
-        if found is None:
-            raise RequestError(404, [f"name: nobody holds {name}"])
-        return json_response(200, told(found))
-
-    return [
-        get_route("/v1/fleet", members),
-        get_route("/v1/leases", leases),
-        get_route("/v1/leases/{name:.+}", lease),
-    ]
+    return [get_route("/v1/fleet", members), *lease_api.read_routes(fleet)]
 
 
 def operator_routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """At the write address: the reads, and revoking (a member too, as `member/NAME`)."""
+    """The fleet's part of the write address: the reads, and revoking a lease."""
+    return [*read_routes(fleet), *lease_api.operator_routes(fleet)]
 
-    async def revoke(request: web.Request) -> web.StreamResponse:
-        name = request.match_info["name"]
-        await _persisted_decision(
-            fleet, lambda now_us: fleet.table.revoke(now_us, name)
-        )
-        lease, now_us = fleet.table.read(name), fleet.context.now_us()
-        left_us = 0 if lease is None else max(lease.expires_at_us - now_us, 0)
-        return json_response(
-            200, {"name": name, "revoked": True, "free_in_ms": left_us // 1_000}
-        )
-
-    return [*read_routes(fleet), web.post("/v1/leases/{name:.+}/revoke", revoke)]
-
-
-def _lease_name(request: web.Request) -> str:
-    name = request.match_info["name"]
-    if name.startswith(MEMBER_LEASE_PREFIX):
-        raise RequestError(
-            403,
-            [
-                f"name: {MEMBER_LEASE_PREFIX}... is joined, renewed and left by beats alone"
-            ],
-        )
-    return name
 
+class _HeartbeatHandler:
+    """Answers heartbeats: joins, renewals and leaves."""
 
-class LeaseRequestError(RequestError):
-    """A lease's refusal, with the token that was in the way."""
+    def __init__(self, fleet: FleetCoordinator) -> None:
+        self.fleet = fleet
+        self.member_encoder = MemberEncoder()
 
-    def __init__(self, error: types.LeaseRejectedError) -> None:
-        super().__init__(error.status, error.faults)
-        self.extra_fields = {
-            "error": "lost" if error.status == 409 else "refused",
-            "seen": error.conflicting_token.to_wire(),
-        }
+    async def handle(self, request: web.Request) -> web.StreamResponse:
+        """One heartbeat.
 
+        Raises:
+            RequestError: 400 with every fault, 409 for a lease that is lost, or 507.
+        """
+        raw = await read_json(request, self.fleet.context.limits)
+        call = self._decode(raw)
+        if call.leaving and call.token is not None:
+            return await self._leave(call)
+        decision = await self._renew_or_join(call)
+        if isinstance(decision, LeaseUnavailable):
+            return lease_api.unavailable_response(decision)
+        assert isinstance(decision, LeaseGrant)
+        try:
+            extension_fields = await await_stored(
+                self.fleet.handle_heartbeat(call.name, decision.token, raw)
+            )
+        except LeaseRejectedError as error:
+            raise LeaseRequestError(error) from None
+        return json_response(
+            200, {**self._member_fields(call, decision), **extension_fields}
+        )
 
-async def _persisted_decision(fleet: FleetCoordinator, decide: Any) -> Any:
-    try:
-        return await fleet.persist_decision(decide)
-    except types.LeaseRejectedError as error:
-        raise LeaseRequestError(error) from None
-    except OSError as error:
-        raise _storage_error(error) from None
+    def _decode(self, raw: Any) -> HeartbeatRequest:
+        """The body, checked by this module and by every extension."""
+        faults = request_schemas.find_faults(raw, HeartbeatRequest, "")
+        if isinstance(raw, dict):
+            for extension in self.fleet.extensions.values():
+                faults.extend(extension.find_faults(raw))
+        if faults:
+            raise RequestError(400, faults)
+        return request_schemas.decode_as(raw, HeartbeatRequest)
+
+    async def _leave(self, call: HeartbeatRequest) -> web.StreamResponse:
+        token = token_or_zero(call.token)
+        await persist_decision(
+            self.fleet,
+            lambda now_us: self.fleet.roster.leave(now_us, call.name, token),
+        )
+        return json_response(
+            200,
+            {"sent": call.sequence, "state": "left", "version": self.fleet.version},
+        )
 
+    async def _renew_or_join(self, call: HeartbeatRequest) -> LeaseDecision:
+        roster = self.fleet.roster
+        highest_seen = token_or_zero(call.highest_seen)
+        if call.token is not None:
+            token = token_or_zero(call.token)
+            return await persist_decision(
+                self.fleet,
+                lambda now_us: roster.heartbeat(now_us, call.name, token, highest_seen),
+            )
 
-def _storage_error(error: OSError) -> RequestError:
-    return RequestError(507, [f"it could not be kept: {error.strerror or error}"])
+        def join(now_us: int) -> LeaseDecision:
+            decision = roster.join(
+                now_us,
+                call.name,
+                call.site,
+                call.dial,
+                call.run_id,
+                token_or_zero(call.previous_token),
+                highest_seen,
+            )
+            _add_join_claims(decision, call)
+            return decision
 
+        return await persist_decision(self.fleet, join)
 
-def _lease_answer(made: LeaseGrant | LeaseUnavailable) -> web.Response:
-    if isinstance(made, LeaseUnavailable):
-        return _held_answer(made)
-    return json_response(
-        200,
-        {
-            "name": made.name,
-            "token": made.token.to_wire(),
-            "ttl_ms": made.ttl_us // 1_000,
-        },
-    )
+    def _member_fields(
+        self, call: HeartbeatRequest, grant: LeaseGrant
+    ) -> dict[str, Any]:
+        """The answer of a renewal or a join, without the extensions' fields."""
+        roster = self.fleet.roster
+        epoch, since = call.known_list or (None, None)
+        complete, members = roster.members_changed_since(since, epoch)
+        member = roster.members.get(call.name)
+        return {
+            "token": grant.token.to_wire(),
+            "ttl_ms": grant.ttl_us // US_PER_MS,
+            "sent": call.sequence,
+            "version": self.fleet.version,
+            "state": "lost" if member is None else member.state,
+            "list": [roster.epoch, roster.version],
+            "whole": complete,
+            "members": self.member_encoder.encoded(members),
+        }
 
 
-def _held_answer(made: LeaseUnavailable) -> web.Response:
-    """Not now.
+def _add_join_claims(
+    decision: LeaseGrant | LeaseUnavailable, call: HeartbeatRequest
+) -> None:
+    """Store what a join says of the process before it with the lease's record.
 
-    `error` tells it from `lost`: whoever holds something may run out what it has.
+    The extensions need it again after a restart of the service.
     """
-    return error_response(
-        409,
-        [made.reason],
-        {"Retry-After": f"{made.retry_after_us / 1e6:.3f}"},
-        {"error": "held", "retry_ms": -(-made.retry_after_us // 1_000)},
-    )
+    if call.previous_token is None or not isinstance(decision, LeaseGrant):
+        return
+    if decision.record and decision.record["kind"] == "grant":
+        decision.record.update(shown=call.previous_token, keeps=call.kept_reserves)
+
+
+async def _watch(fleet: FleetCoordinator, request: web.Request) -> web.StreamResponse:
+    """The fleet's version, once it is past the one that the watcher has."""
+    query = request_schemas.parse_query(request.query, WatchQuery)
+    hold_ms = min(query.hold_ms, MAX_HOLD_MS)
+    watchers = fleet.watchers
+    is_behind = watchers.is_behind(query.since, query.name)
+    if hold_ms > 0 and not is_behind and not fleet.context.stopping:
+        changed = watchers.add(query.name)
+        try:
+            await fleet.context.hold_watch(changed, hold_ms)
+        finally:
+            watchers.remove(changed)
+    return json_response(200, {"version": fleet.version})
--- a/rainfall/registry/http_server.py
+++ b/rainfall/registry/http_server.py
@@ -1,6 +1,4 @@
-"""HTTP of the list service on aiohttp: bounded connections, answers in JSON, faults
-with their paths.
-"""
+"""The list service's HTTP server: bounded connections, JSON answers, error responses."""
 
 from __future__ import annotations
 
@@ -11,7 +9,7 @@
 import socket
 from collections.abc import Awaitable, Callable, Iterable, Iterator
 from http import HTTPStatus
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 from aiohttp import web
@@ -22,30 +20,41 @@
 from rainfall.registry.request_schemas import RequestError
 from rainfall.registry.service_context import ServiceContext
 
-MAX_FAULTS_IN_ANSWER = 1_024  # in one answer
-# connections not yet accepted, as a whole fleet's at once; allocates nothing ahead
+MAX_FAULTS_IN_ANSWER = 1_024
+"""Faults listed in one answer; the others are only counted."""
 BACKLOG = 1_024
-CHUNK_BYTES = 256 * 1024  # bytes of a long answer written at once
-MAX_LINE_BYTES = 8 * 1024  # the request line, or one header
+"""Connections not yet accepted: a whole fleet may connect at once."""
+CHUNK_BYTES = 256 * 1024
+"""Bytes of a long answer that are written at once."""
+MAX_LINE_BYTES = 8 * 1024
+"""Bytes of the request line, and of one header."""
+VERSION_DIGITS = 16
+"""Digits of the largest version."""
+BUSY_CLOSE_DELAY_S = 1.0
+"""How long a connection past the bound stays open, so that its answer arrives."""
+LINGER_S = 1.0
+"""How long the rest of a request that was rejected is read before the close."""
+CLOSE_TIMEOUT_S = 1.0
+"""How long calls may take to end when an address is closed."""
 SERVICE_UNAVAILABLE_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n"
     b"Connection: close\r\n\r\n"
 )
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
+T = TypeVar("T")
 log = logging.getLogger("rainfall.registry")
 
 
 def json_response(
     status: int, body: Any = None, headers: dict[str, str] | None = None
 ) -> web.Response:
-    """A whole answer; a body that is not bytes is written as JSON."""
-    data = (
-        body
-        if isinstance(body, bytes)
-        else b""
-        if body is None
-        else msgspec.json.encode(body)
-    )
+    """A complete answer; a body that is not bytes is encoded as JSON."""
+    if body is None:
+        data = b""
+    elif isinstance(body, bytes):
+        data = body
+    else:
+        data = msgspec.json.encode(body)
     return web.Response(
         status=status,
         body=data or None,
@@ -55,16 +64,18 @@
 
 
 async def streamed_response(request: web.Request, body: bytes) -> web.StreamResponse:
-    """A body that may be longer than what one connection may hold: it is then written
-    in pieces, each once the reader has taken those before. So all readers of a list
-    share its bytes.
+    """An answer that may be longer than what one connection may hold unsent.
+
+    It is then written in chunks, each once the reader has received those before. So all
+    readers of a list share its bytes.
     """
     unsent_bytes = request.app[CONTEXT_KEY].limits.unsent_bytes
     if len(body) <= unsent_bytes:
         return json_response(200, body)
     response = web.StreamResponse(headers={"Content-Type": "application/json"})
     response.content_length = len(body)
-    connection, chunk_bytes = request.protocol, min(CHUNK_BYTES, unsent_bytes // 4)
+    chunk_bytes = min(CHUNK_BYTES, unsent_bytes // 4)
+    connection = request.protocol
     assert isinstance(connection, LimitedConnection)
     with connection.write_buffer_limit(chunk_bytes):
         await response.prepare(request)
@@ -80,12 +91,14 @@
     headers: dict[str, str] | None = None,
     extra_fields: dict[str, Any] | None = None,
 ) -> web.Response:
-    shown_faults = faults[:MAX_FAULTS_IN_ANSWER] + (
-        [f"and {len(faults) - MAX_FAULTS_IN_ANSWER} more"]
-        if faults[MAX_FAULTS_IN_ANSWER:]
-        else []
-    )
-    headers = {**(headers or {}), **({"Retry-After": "1"} if status == 503 else {})}
+    """An error as JSON: the phrase of its status, its faults, and further fields."""
+    shown_faults = faults[:MAX_FAULTS_IN_ANSWER]
+    unshown_count = len(faults) - len(shown_faults)
+    if unshown_count:
+        shown_faults = [*shown_faults, f"and {unshown_count} more"]
+    headers = dict(headers or {})
+    if status == HTTPStatus.SERVICE_UNAVAILABLE:
+        headers["Retry-After"] = "1"
     return json_response(
         status,
         {
@@ -97,51 +110,84 @@
     )
 
 
+async def await_stored(storing: Awaitable[T], subject: str = "it") -> T:
+    """The result of a call that writes to disk.
+
+    Raises:
+        RequestError: 507, the disk rejected the write. `subject` is what was lost.
+    """
+    try:
+        return await storing
+    except OSError as error:
+        why = f"{subject} could not be kept: {error.strerror or error}"
+        raise RequestError(HTTPStatus.INSUFFICIENT_STORAGE, [why]) from None
+
+
 async def read_json(request: web.Request, limits: Limits) -> Any:
-    """The request's JSON value. Raises Refused with every fault of its form."""
+    """The request's JSON value.
+
+    Raises:
+        RequestError: The body cannot be read; with every fault of its form.
+    """
     return request_schemas.parse_json(await read_body(request, limits))
 
 
 async def read_body(request: web.Request, limits: Limits) -> bytes:
-    """Raises Refused: 413 past the bound, 400 where it stops coming."""
+    """The request's body.
+
+    Raises:
+        RequestError: 413 past the bound, 400 where the body stops coming.
+    """
     try:
         if (request.content_length or 0) > limits.body_bytes:
-            raise RequestError(413, [f"a body past {limits.body_bytes} bytes"], True)
+            raise _too_long_error(limits)
         async with asyncio.timeout(limits.body_timeout_s):
             return await request.read()
     except TimeoutError:
-        raise RequestError(400, ["the body stopped coming"], True) from None
-    except web.HTTPRequestEntityTooLarge:
         raise RequestError(
-            413, [f"a body past {limits.body_bytes} bytes"], True
+            400, ["the body stopped coming"], closes_connection=True
         ) from None
+    except web.HTTPRequestEntityTooLarge:
+        raise _too_long_error(limits) from None
+
+
+def _too_long_error(limits: Limits) -> RequestError:
+    return RequestError(
+        413, [f"a body past {limits.body_bytes} bytes"], closes_connection=True
+    )
 
 
 class LimitedConnection(web.RequestHandler):
-    """One connection, within the bounds: past the count of them it is answered 503 at
-    once, and one that does not take what it is owed is cut.
+    """One connection, within the limits.
+
+    Past the number of connections it is answered 503 at once. One whose peer does not
+    read its answers is aborted.
     """
 
     __slots__ = ("aborted", "backpressured", "context", "counted")
 
     def __init__(self, context: ServiceContext, server: web.Server) -> None:
-        limits, loop = context.limits, asyncio.get_running_loop()
-        no_access_log: Any = None  # no log line a request
+        limits = context.limits
+        no_access_log: Any = None
         super().__init__(
             server,
-            loop=loop,
+            loop=asyncio.get_running_loop(),
             keepalive_timeout=limits.idle_s,
-            lingering_time=min(1.0, limits.body_timeout_s),
+            lingering_time=min(LINGER_S, limits.body_timeout_s),
             access_log=no_access_log,
             max_line_size=MAX_LINE_BYTES,
             max_field_size=MAX_LINE_BYTES,
             auto_decompress=False,
         )
-        self.context, self.counted, self.aborted = context, False, False
+        self.context = context
+        self.counted = False
+        """Whether the metric of open connections counts it."""
+        self.aborted = False
         self.backpressured = False
-        """Past what may be held its writer waits; the connection is not cut."""
+        """The writer waits where too much is unsent; the connection is not aborted."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the connection, and set its limits or answer 503."""
         assert isinstance(transport, asyncio.Transport)
         metrics, limits = self.context.metrics, self.context.limits
         metrics.connections += 1
@@ -153,7 +199,7 @@
             transport.write_eof()
             # Closed at once, what the peer has sent unread would turn into a reset and
             # eat the answer.
-            asyncio.get_running_loop().call_later(1.0, transport.abort)
+            asyncio.get_running_loop().call_later(BUSY_CLOSE_DELAY_S, transport.abort)
             return
         sock = transport.get_extra_info("socket")
         with contextlib.suppress(OSError, AttributeError):
@@ -167,9 +213,10 @@
 
     @contextlib.contextmanager
     def write_buffer_limit(self, high_water_bytes: int) -> Iterator[None]:
-        """Within this a writer waits where so many bytes are not taken yet.
+        """Within this a writer waits while more than so many bytes are unsent.
 
-        A reader that takes none of them is cut by the kernel (`unread_s`).
+        A reader that takes none of them is disconnected by the kernel
+        (`Limits.send_timeout_s`).
         """
         self.backpressured = True
         self._set_write_buffer_limit(high_water_bytes)
@@ -184,8 +231,9 @@
             self.transport.set_write_buffer_limits(high=high_water_bytes)
 
     def pause_writing(self) -> None:
-        """Past the bytes that may be held for it: it asks again from its version on a
-        new connection.
+        """Abort a connection with too much unsent.
+
+        The reader continues from its version on a new connection.
         """
         super().pause_writing()
         if self.transport is not None and not self.aborted and not self.backpressured:
@@ -194,6 +242,7 @@
             self.transport.abort()
 
     def connection_lost(self, exc: BaseException | None) -> None:
+        """Count the connection no more."""
         if self.counted:
             self.counted = False
             self.context.metrics.connections -= 1
@@ -206,9 +255,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """What could not be read (400), or a fault of ours (500): told as all else is,
-        and closed.
-        """
+        """Answer a request that could not be read (400) or that failed (500), and close."""
         if request.writer.output_size > 0:
             raise ConnectionError("an answer has begun already")
         if status >= 500:
@@ -224,16 +271,10 @@
 async def _error_middleware(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Every refusal as JSON."""
+    """Answer every error of a handler as JSON, and count it."""
     context = request.app[CONTEXT_KEY]
     try:
-        head = len(request.raw_path) + sum(
-            len(name) + len(value) for name, value in request.raw_headers
-        )
-        if head > context.limits.head_bytes:
-            raise RequestError(
-                400, [f"headers past {context.limits.head_bytes} bytes"], True
-            )
+        _check_head(request, context.limits)
         response = await handler(request)
     except RequestError as error:
         context.metrics.refused += int(error.status < 500)
@@ -249,10 +290,10 @@
         response = error_response(
             500, ["nobody knows whether it was kept: ask again with the same id"]
         )
-    except web.HTTPException as error:  # no such path, or not with this method
-        headers = (
-            {"Allow": error.headers["Allow"]} if "Allow" in error.headers else None
-        )
+    except web.HTTPException as error:  # No such path, or not with this method.
+        headers = {
+            name: value for name, value in error.headers.items() if name == "Allow"
+        }
         response = error_response(
             error.status, [f"{request.method} {request.path}: {error.reason}"], headers
         )
@@ -261,14 +302,25 @@
     return response
 
 
-CONTEXT_KEY: web.AppKey[ServiceContext] = web.AppKey("house", ServiceContext)
+def _check_head(request: web.Request, limits: Limits) -> None:
+    head_bytes = len(request.raw_path) + sum(
+        len(name) + len(value) for name, value in request.raw_headers
+    )
+    if head_bytes > limits.head_bytes:
+        raise RequestError(
+            400, [f"headers past {limits.head_bytes} bytes"], closes_connection=True
+        )
+
+
+CONTEXT_KEY: web.AppKey[ServiceContext] = web.AppKey("context", ServiceContext)
 
 
 def build_app(
     context: ServiceContext, routes: Iterable[web.RouteDef]
 ) -> web.Application:
-    """An address's routes, and those that every address has: `/_ready`, `/_vars`,
-    `/metrics`.
+    """The application of one address: its routes, and those that every address has.
+
+    These are `/_ready`, `/_vars` and `/metrics`.
     """
 
     async def ready(_: web.Request) -> web.StreamResponse:
@@ -276,7 +328,7 @@
             503 if context.stopping else 200, {"ready": not context.stopping}
         )
 
-    async def figures(_: web.Request) -> web.StreamResponse:
+    async def variables(_: web.Request) -> web.StreamResponse:
         return json_response(200, context.snapshot_variables())
 
     async def metrics(_: web.Request) -> web.StreamResponse:
@@ -292,7 +344,7 @@
     application.add_routes(
         [
             get_route("/_ready", ready),
-            get_route("/_vars", figures),
+            get_route("/_vars", variables),
             get_route("/metrics", metrics),
             *routes,
         ]
@@ -301,23 +353,26 @@
 
 
 def get_route(path: str, handler: Handler) -> web.RouteDef:
+    """A route for GET alone; aiohttp would answer HEAD as well."""
     return web.get(path, handler, allow_head=False)
 
 
 class HttpListener:
-    """One address: an app on its runner, and the listener."""
+    """One address: the application, its runner, and the listening socket."""
 
     def __init__(self, context: ServiceContext, routes: Iterable[web.RouteDef]) -> None:
         self.context = context
-        # A watcher that leaves cancels its handler; what a handler asked of the writer
-        # is done all the same.
+        # A watcher that disconnects cancels its handler; a write that a handler asked
+        # for is shielded from that.
         self.runner = web.AppRunner(
-            build_app(context, routes), handler_cancellation=True, shutdown_timeout=1.0
+            build_app(context, routes),
+            handler_cancellation=True,
+            shutdown_timeout=CLOSE_TIMEOUT_S,
         )
         self.asyncio_server: asyncio.Server | None = None
 
     async def open(self, host: str, port: int) -> int:
-        """Listen; the port taken. Raises OSError."""
+        """Listen, and return the port. Raises OSError."""
         await self.runner.setup()
         server = self.runner.server
         assert server is not None
@@ -328,28 +383,29 @@
         return int(self.asyncio_server.sockets[0].getsockname()[1])
 
     def stop_accepting(self) -> None:
-        """Take no more connections; those open go on."""
+        """Accept no more connections; open ones go on."""
         if self.asyncio_server is not None:
             self.asyncio_server.close()
 
     async def close(self) -> None:
-        """Let what is being answered end, within a second, and close all connections."""
+        """Let current calls end within `CLOSE_TIMEOUT_S`, and close all connections."""
         await self.runner.cleanup()
 
 
 def parse_version(text: str, name: str) -> int | None:
-    """An If-Match: a version, quoted or not; None where there is none.
+    """The version in an If-Match header, quoted or not; None if the header is absent.
 
-    Raises Refused.
+    Raises:
+        RequestError: The text is not a version.
     """
     text = text.strip('" ')
     if not text:
         return None
-    if not text.isascii() or not text.isdigit() or len(text) > 16:
+    if not text.isascii() or not text.isdigit() or len(text) > VERSION_DIGITS:
         raise RequestError(400, [f"{name}: a version, a whole number"])
     return int(text)
 
 
 def canonical_json(body: Any) -> bytes:
-    """One form for equal bodies."""
+    """The same bytes for equal bodies."""
     return json.dumps(body, sort_keys=True).encode()
--- a/rainfall/registry/request_schemas.py
+++ b/rainfall/registry/request_schemas.py
@@ -37,9 +37,15 @@
     what still comes on the connection cannot be read as a next request.
     """
 
-    def __init__(self, status: int, faults: list[str], closes: bool = False) -> None:
+    def __init__(
+        self, status: int, faults: list[str], closes_connection: bool = False
+    ) -> None:
         super().__init__("; ".join(faults))
-        self.status, self.faults, self.closes_connection = status, faults, closes
+        self.status, self.faults, self.closes_connection = (
+            status,
+            faults,
+            closes_connection,
+        )
         self.extra_fields: dict[str, Any] = {}  # what else the answer tells, by key
 
 
--- a/rainfall/registry/shard_map_api.py
+++ b/rainfall/registry/shard_map_api.py
@@ -1,6 +1,4 @@
-"""The map by hand: `GET` and `PUT /v1/map`, a range moved, and who holds what while it
-moves.
-"""
+"""The shard map over HTTP: read, replace, move a range, and who holds what meanwhile."""
 
 from __future__ import annotations
 
@@ -12,6 +10,7 @@
 from rainfall.registry.fleet_coordinator import FleetCoordinator
 from rainfall.registry.heartbeat_extension import Row
 from rainfall.registry.http_server import (
+    await_stored,
     get_route,
     json_response,
     parse_version,
@@ -23,6 +22,7 @@
 from rainfall.shard.map_validation import MAX_MOVED_SHARE, evaluate_update
 from rainfall.shard.shard_map import (
     KEY_BITS,
+    ShardMap,
     UnreadableInputError,
     decode_json,
     format_key,
@@ -37,21 +37,24 @@
     why: str,
     match: int | None,
 ) -> bool:
-    """Put the map that `make` gives (as decoded from JSON) in force if `shard.check`
-    finds no fault in it; durable when this returns. False: it is in force already.
-    Raises Refused (412, 422), Full, OSError.
+    """Put the map that `make` returns, as decoded from JSON, in force.
+
+    It is durable when this returns; False if it was in force already.
+
+    Raises:
+        RequestError: 412 where `match` is not the generation in force, 422 with every
+            fault of the map.
+        QueueFullError: Too much waits to be written.
+        OSError: The map could not be stored.
     """
     changed = False
 
     def rows(_: int) -> list[Row]:
         nonlocal changed
         current = maps.migration.map
-        if match is not None and match != (
-            0 if current is None else current.generation
-        ):
-            raise RequestError(
-                412, [f"generation {current.generation if current else 0} is in force"]
-            )
+        generation = _generation(current)
+        if match is not None and match != generation:
+            raise RequestError(412, [f"generation {generation} is in force"])
         members = {member.name for member in fleet.roster.active_members()}
         new, faults = evaluate_update(
             make(), members, current, MAX_MOVED_SHARE, KEY_BITS
@@ -66,7 +69,7 @@
 
 
 def routes(fleet: FleetCoordinator, maps: ShardMapExtension) -> list[web.RouteDef]:
-    """At the write address: the reads, and what changes."""
+    """The write address: the reads, and the changes."""
 
     async def put(request: web.Request) -> web.StreamResponse:
         try:
@@ -79,37 +82,20 @@
         call = await read_json(request, fleet.context.limits)
         first, last, owner = _parse_move(call)
 
-        def made() -> Any:
+        def moved_map() -> Any:
             current = maps.migration.map
             if current is None:
                 raise RequestError(404, ["no map is in force"])
-            cells = [(first, last, owner)]
-            for r in current.ranges:
-                if r.first < first:
-                    cells.append((r.first, min(r.last, first - 1), r.owner))
-                if r.last > last:
-                    cells.append((max(r.first, last + 1), r.last, r.owner))
-            return {
-                "generation": current.generation + 1,
-                "ranges": [
-                    {"from": format_key(a), "to": format_key(b), "owner": name}
-                    for a, b, name in sorted(cells)
-                ],
-            }
+            return _map_with_moved_range(current, first, last, owner)
 
-        return await _put(request, made, "moved by hand")
+        return await _put(request, moved_map, "moved by hand")
 
     async def _put(
         request: web.Request, make: Callable[[], Any], why: str
     ) -> web.StreamResponse:
         match = parse_version(request.headers.get("If-Match", ""), "If-Match")
-        try:
-            changed = await put_map(fleet, maps, make, why, match)
-        except OSError as error:
-            raise RequestError(
-                507, [f"it could not be kept: {error.strerror or error}"]
-            ) from None
-        generation = maps.stored_map.generation if maps.stored_map else 0
+        changed = await await_stored(put_map(fleet, maps, make, why, match))
+        generation = _generation(maps.stored_map)
         return json_response(
             200,
             {"generation": generation, "changed": changed},
@@ -124,6 +110,8 @@
 
 
 def read_routes(fleet: FleetCoordinator, maps: ShardMapExtension) -> list[web.RouteDef]:
+    """The map in force, and its migration: at the fleet's and the write address."""
+
     async def show(_: web.Request) -> web.StreamResponse:
         if maps.stored_map is None:
             raise RequestError(404, ["no map is in force"])
@@ -132,46 +120,79 @@
         )
 
     async def moves(_: web.Request) -> web.StreamResponse:
-        now_us = fleet.context.now_us()
-        return json_response(
-            200,
+        return json_response(200, _migration_fields(maps, fleet.context.now_us()))
+
+    return [get_route("/v1/map", show), get_route("/v1/map/moves", moves)]
+
+
+def _generation(shard_map: ShardMap | None) -> int:
+    return 0 if shard_map is None else shard_map.generation
+
+
+def _map_with_moved_range(
+    current: ShardMap, first: int, last: int, owner: str
+) -> dict[str, Any]:
+    """The next generation, in which `owner` has the keys from `first` to `last`."""
+    cells = [(first, last, owner)]
+    for part in current.ranges:
+        if part.first < first:
+            cells.append((part.first, min(part.last, first - 1), part.owner))
+        if part.last > last:
+            cells.append((max(part.first, last + 1), part.last, part.owner))
+    return {
+        "generation": current.generation + 1,
+        "ranges": [
             {
-                "generation": maps.stored_map.generation if maps.stored_map else 0,
-                "quiet_ms": max(maps.migration.grants_from_us - now_us, 0) // 1_000,
-                "holders": [
-                    {
-                        "name": h.name,
-                        "token": token.to_wire(),
-                        "left_ms": max(h.expires_at_us - now_us, 0) // 1_000,
-                        "ranges": [
-                            {
-                                "from": format_key(x.first),
-                                "to": format_key(x.last),
-                                "token": x.token.to_wire(),
-                                "begun": x.since_generation,
-                            }
-                            for x in h.holds
-                        ],
-                    }
-                    for token, h in sorted(maps.migration.holders.items())
-                ],
-                "moving": [
+                "from": format_key(cell_first),
+                "to": format_key(cell_last),
+                "owner": cell_owner,
+            }
+            for cell_first, cell_last, cell_owner in sorted(cells)
+        ],
+    }
+
+
+def _migration_fields(maps: ShardMapExtension, now_us: int) -> dict[str, Any]:
+    """Who holds which ranges, and which of them are to move."""
+    migration = maps.migration
+    return {
+        "generation": _generation(maps.stored_map),
+        "quiet_ms": max(migration.grants_from_us - now_us, 0) // 1_000,
+        "holders": [
+            {
+                "name": holder.name,
+                "token": token.to_wire(),
+                "left_ms": max(holder.expires_at_us - now_us, 0) // 1_000,
+                "ranges": [
                     {
-                        "from": format_key(first),
-                        "to": format_key(last),
-                        "held_by": held_by,
-                        "owner": owner,
+                        "from": format_key(hold.first),
+                        "to": format_key(hold.last),
+                        "token": hold.token.to_wire(),
+                        "begun": hold.since_generation,
                     }
-                    for first, last, held_by, owner in maps.migration.ranges_in_migration()
+                    for hold in holder.holds
                 ],
-            },
-        )
-
-    return [get_route("/v1/map", show), get_route("/v1/map/moves", moves)]
+            }
+            for token, holder in sorted(migration.holders.items())
+        ],
+        "moving": [
+            {
+                "from": format_key(first),
+                "to": format_key(last),
+                "held_by": held_by,
+                "owner": owner,
+            }
+            for first, last, held_by, owner in migration.ranges_in_migration()
+        ],
+    }
 
 
 def _parse_move(call: Any) -> tuple[int, int, str]:
-    """The range and the owner of a move. Raises Refused(400) with every fault."""
+    """The range and the new owner of a move.
+
+    Raises:
+        RequestError: 400 with every fault.
+    """
     if not isinstance(call, dict):
         raise RequestError(400, ["an object with from, to and owner"])
     ends = parse_key(call.get("from")), parse_key(call.get("to"))
--- a/rainfall/registry/write_api.py
+++ b/rainfall/registry/write_api.py
@@ -1,5 +1,6 @@
-"""The write address, for staff and servers: all that the discovery address has,
-changes, notices to read.
+"""The write address, for operators and servers: changes, epochs, and stored notices.
+
+It has all routes of the discovery address too.
 """
 
 from __future__ import annotations
@@ -11,56 +12,62 @@
 from rainfall.registry import discovery_api, request_schemas
 from rainfall.registry.endpoint_registry import Change
 from rainfall.registry.http_server import (
+    await_stored,
     canonical_json,
     get_route,
     json_response,
     parse_version,
     read_json,
 )
-from rainfall.registry.request_schemas import RequestError
 from rainfall.registry.service_context import ServiceContext
 
+DIGEST_CHARACTERS = 32
+"""Characters kept of the digest that recognises a repeated change."""
+STORED_SUBJECT = "the change"
+NOTICES_PER_READ = 10_000
+"""Notices in one answer, whatever was asked for."""
+
 
 def routes(context: ServiceContext) -> list[web.RouteDef]:
+    """All routes of the write address, except those of the fleet and its extensions."""
+
     async def change(request: web.Request) -> web.StreamResponse:
         body = await read_json(request, context.limits)
         match = parse_version(request.headers.get("If-Match", ""), "If-Match")
-        digest = hashlib.sha256(canonical_json(body)).hexdigest()[:32]
-        try:
-            told = await context.apply_change(body, digest, match)
-        except OSError as error:
-            raise _storage_error(error) from None
-        seq = told.seq if isinstance(told, Change) else told
-        made = {
+        digest = hashlib.sha256(canonical_json(body)).hexdigest()[:DIGEST_CHARACTERS]
+        outcome = await await_stored(
+            context.apply_change(body, digest, match), STORED_SUBJECT
+        )
+        seq = outcome.seq if isinstance(outcome, Change) else outcome
+        answer = {
             "seq": seq,
             "epoch": context.registry.epoch,
-            "changed": isinstance(told, Change),
+            "changed": isinstance(outcome, Change),
         }
-        return json_response(200, made, {"ETag": f'"{seq}"'})
+        return json_response(200, answer, {"ETag": f'"{seq}"'})
 
     async def epoch(request: web.Request) -> web.StreamResponse:
         above = request_schemas.decode_as(
             await read_json(request, context.limits), request_schemas.RaiseEpochRequest
         ).above
-        try:
-            await context.raise_fence(max(above, context.registry.fence))
-            await context.begin_epoch(0, above)
-        except OSError as error:
-            raise _storage_error(error) from None
-        now = context.registry
+        registry = context.registry
+        await await_stored(
+            context.raise_fence(max(above, registry.fence)), STORED_SUBJECT
+        )
+        await await_stored(context.begin_epoch(0, above), STORED_SUBJECT)
         return json_response(
-            200, {"seq": now.seq, "epoch": now.epoch, "fence": now.fence}
+            200,
+            {"seq": registry.seq, "epoch": registry.epoch, "fence": registry.fence},
         )
 
     async def notices(request: web.Request) -> web.StreamResponse:
-        ask = request_schemas.parse_query(request.query, request_schemas.NoticesQuery)
-        rows = context.storage.read_notices(ask.since, min(ask.limit, 10_000))
-        after = (
-            rows[-1]["n"] + 1
-            if rows
-            else max(ask.since, context.storage.next_notice_number)
-        )
-        return json_response(200, {"next": after, "notices": rows})
+        query = request_schemas.parse_query(request.query, request_schemas.NoticesQuery)
+        limit = min(query.limit, NOTICES_PER_READ)
+        rows = context.storage.read_notices(query.since, limit)
+        next_number = max(query.since, context.storage.next_notice_number)
+        if rows:
+            next_number = rows[-1]["n"] + 1
+        return json_response(200, {"next": next_number, "notices": rows})
 
     return [
         *discovery_api.routes(context),
@@ -68,9 +75,3 @@
         web.post("/v1/epoch", epoch),
         get_route("/v1/notices", notices),
     ]
-
-
-def _storage_error(error: OSError) -> RequestError:
-    return RequestError(
-        507, [f"the change could not be kept: {error.strerror or error}"]
-    )
