--- a/rainfall/registry/budget_api.py
+++ b/rainfall/registry/budget_api.py
@@ -13,7 +13,7 @@
 from rainfall.budget.config import BudgetConfigError
 from rainfall.lease.fencing_token import Token
 from rainfall.member.roster import MEMBER_LEASE_PREFIX
-from rainfall.registry import request_schemas
+from rainfall.registry import json_reader, schema_faults
 from rainfall.registry.budget_extension import BudgetExtension
 from rainfall.registry.fleet_coordinator import FleetCoordinator
 from rainfall.registry.heartbeat_extension import Row
@@ -25,7 +25,7 @@
     read_json,
 )
 from rainfall.registry.lease_api import TokenPair
-from rainfall.registry.request_schemas import RequestError
+from rainfall.registry.request_error import RequestError
 
 
 class ProcessEndedRequest(Struct):
@@ -65,7 +65,7 @@
     data = path.read_bytes()
     try:
         body = (
-            request_schemas.parse_json(data)
+            json_reader.parse_json(data)
             if path.suffix == ".json"
             else tomllib.loads(data.decode())
         )
@@ -124,7 +124,7 @@
         )
 
     async def ended(request: web.Request) -> web.StreamResponse:
-        call = request_schemas.decode_as(
+        call = schema_faults.decode_as(
             await read_json(request, fleet.context.limits), ProcessEndedRequest
         )
         token = Token(*call.token)
--- a/rainfall/registry/discovery_api.py
+++ b/rainfall/registry/discovery_api.py
@@ -26,7 +26,7 @@
     async def hosts(request: web.Request) -> web.StreamResponse:
         query = request_schemas.parse_query(request.query, request_schemas.ListQuery)
         context.metrics.reads += 1
-        await context.observe_claim(query.since, query.epoch)
+        await context.epoch_claims.observe(query.since, query.epoch)
         hold_ms = min(query.hold_ms, MAX_HOLD_MS)
         is_up_to_date = context.registry.is_up_to_date(query.since, query.epoch)
         if hold_ms > 0 and is_up_to_date and not context.stopping:
--- a/rainfall/registry/endpoint_registry.py
+++ b/rainfall/registry/endpoint_registry.py
@@ -1,70 +1,105 @@
-"""The list service's state without I/O: entries, versions, epochs, the fence, and what
-a reader is owed.
+"""The endpoint list without I/O: entries, versions, epochs, the fence, and answers.
 
 Shapes follow PROTOCOL "Discovery": an entry is `host, dial, site, class, block, share,
 born_ms, health`; an answer is `{"seq", "whole", "hosts"}` with `epoch` beside it. Times
 are milliseconds.
 
-The epoch names a stretch of the list's history proved continuous; the fence is the
-highest epoch of fencing tokens. They are kept apart: any reader can make the epoch rise
-(within a bound), none the fence.
+Within an epoch the list's history is known to be continuous; the fence is the highest
+epoch of fencing tokens. They are two numbers because any reader can make the epoch rise,
+at a limited rate, and none can raise the fence.
 """
 
 from __future__ import annotations
 
 from collections import ChainMap, OrderedDict
-from dataclasses import asdict, dataclass, field
-from typing import Any
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
 from rainfall.lease.types import MAX_EPOCH_JUMP
 from rainfall.registry import request_schemas
+from rainfall.registry.request_error import RequestError
 from rainfall.registry.request_schemas import (
     Drain,
     Operation,
     Register,
-    RequestError,
     SetShare,
 )
 
-MAX_TOMBSTONES = 10_000  # removed entries kept so that watchers are told of them
-MAX_CHANGE_IDS = 10_000  # change ids kept for idempotent repeats
-VERSIONS_PER_MS = 1_000  # a new epoch's first version is at least now_ms * EPOCH_STEP
-CLAIM_LIMIT = (
-    1 << 52
-    # claims from here on are not gone past: one of them must not use up all numbers there
-    # are
-)
+MAX_TOMBSTONES = 10_000
+"""Removed entries kept, so that watchers learn of the removal."""
+MAX_CHANGE_IDS = 10_000
+"""Ids of changes kept, so that a repeated change is recognised."""
+VERSIONS_PER_MS = 1_000
+"""A new epoch's first version is at least the time in ms times this."""
+CLAIM_LIMIT = 1 << 52
+"""Claims from here on are ignored: one of them could use up all versions there are."""
+
+
+class VersionClaim(NamedTuple):
+    """A version and an epoch that a reader has seen; 0 where it is not ahead."""
+
+    version: int
+    epoch: int
+
+
+NO_CLAIM = VersionClaim(0, 0)
+
+
+class StoredChangeId(NamedTuple):
+    """What is known of a change with an id: its body's digest, and its version."""
+
+    digest: str
+    seq: int
 
 
 @dataclass
 class EndpointEntry:
-    fields: dict[str, Any]  # as PROTOCOL lists them, health included
-    seq: int  # the version that last changed it
+    """One endpoint, or the tombstone of one."""
+
+    fields: dict[str, Any]
+    """As PROTOCOL lists them, health included."""
+    seq: int
+    """The version that last changed it."""
 
     @property
     def removed(self) -> bool:
+        """Whether this is a tombstone."""
         return bool(self.fields["health"] == "removed")
 
 
 @dataclass(frozen=True)
 class Change:
-    """One change as it goes to disk: its version and epoch, the id it came with, the
-    new entries.
-    """
+    """One change as it is stored."""
 
     seq: int
     epoch: int
     id: str = ""
+    """The id that the change came with, by which a repeat is recognised."""
     digest: str = ""
+    """That of the change's body."""
     hosts: tuple[dict[str, Any], ...] = ()
-    base: int = 0  # set when the change begins an epoch: its first version
-    fence: int = 0  # set when the change raises the fence: what it is from now on
+    """The fields of the entries that it sets."""
+    base: int = 0
+    """If the change begins an epoch, the epoch's first version."""
+    fence: int = 0
+    """If the change raises the fence, the fence from now on."""
 
     def to_row(self) -> dict[str, Any]:
-        return {**asdict(self), "hosts": list(self.hosts)}
+        """The change as a row of `changes.log`."""
+        return {
+            "seq": self.seq,
+            "epoch": self.epoch,
+            "id": self.id,
+            "digest": self.digest,
+            "hosts": list(self.hosts),
+            "base": self.base,
+            "fence": self.fence,
+        }
 
     @staticmethod
     def from_row(raw: dict[str, Any]) -> Change:
+        """The change of a row."""
         return Change(
             int(raw["seq"]),
             int(raw["epoch"]),
@@ -78,96 +113,95 @@
 
 @dataclass
 class PendingChanges:
-    """Changes checked and waiting for one sync: the version they reach, their entries
-    and ids.
-    """
+    """Changes that are checked and not stored yet."""
 
     seq: int
+    """The version that they reach."""
     overlay: dict[str, EndpointEntry] = field(default_factory=dict)
-    ids: dict[str, tuple[str, int]] = field(default_factory=dict)
+    """Their entries, by host."""
+    ids: dict[str, StoredChangeId] = field(default_factory=dict)
 
 
 @dataclass
 class EndpointRegistry:
-    """What is in force.
-
-    `seq` is the newest version on disk; `floor` the oldest one a delta is told from.
-    """
+    """The endpoint list in force, as far as it is stored."""
 
     epoch: int = 0
     seq: int = 0
+    """The newest version."""
     floor: int = 0
+    """The oldest version from which a reader can be given the changes alone."""
     fence: int = 0
     entries: dict[str, EndpointEntry] = field(default_factory=dict)
-    ids: OrderedDict[str, tuple[str, int]] = field(
-        default_factory=OrderedDict
-    )  # id -> (digest, seq)
+    ids: OrderedDict[str, StoredChangeId] = field(default_factory=OrderedDict)
 
     def listed_count(self) -> int:
-        return sum(not e.removed for e in self.entries.values())
-
-    # -- reading
-    # ---------------------------------------------------------------------------------
+        """Endpoints in the list, without tombstones."""
+        return sum(not entry.removed for entry in self.entries.values())
 
     def answer_for(self, since: int | None, epoch: int | None) -> dict[str, Any]:
-        """The answer to a reader from version `since` (None: the whole list).
+        """The answer to a reader that has version `since`; None: it has nothing.
 
-        Whole when `since` is below the floor, ahead of `seq`, or of another epoch;
-        otherwise the entries changed after it, merged.
+        The list is complete when `since` is below the floor, ahead of `seq`, or of
+        another epoch; otherwise it has the entries that changed after it.
         """
-        whole = since is None or since < self.floor or since > self.seq
-        whole = whole or (epoch is not None and epoch != self.epoch)
-        if whole:
-            hosts = [e.fields for e in self.entries.values() if not e.removed]
+        is_other_epoch = epoch is not None and epoch != self.epoch
+        entries = self.entries.values()
+        if since is None or not self.floor <= since <= self.seq or is_other_epoch:
+            is_complete = True
+            hosts = [entry.fields for entry in entries if not entry.removed]
         else:
-            hosts = [e.fields for e in self.entries.values() if e.seq > (since or 0)]
-        return {"seq": self.seq, "whole": whole, "epoch": self.epoch, "hosts": hosts}
+            is_complete = False
+            hosts = [entry.fields for entry in entries if entry.seq > since]
+        return {
+            "seq": self.seq,
+            "whole": is_complete,
+            "epoch": self.epoch,
+            "hosts": hosts,
+        }
 
     def is_up_to_date(self, since: int | None, epoch: int | None) -> bool:
-        """Whether a watch from `since` has nothing to be told yet.
+        """Whether a watch from `since` has to wait.
 
-        The same version of another epoch is another list: that reader is told the whole
-        at once.
+        The same version of another epoch is another list: that reader is answered at
+        once.
         """
         return since == self.seq and epoch in (None, self.epoch)
 
-    def claim_ahead(
-        self, since: int | None, epoch: int | None
-    ) -> tuple[int, int] | None:
-        """What a reader has seen and this service cannot have told, as (version, epoch)
-        to go past; None where nothing. It shows an older copy of the state, or a lost
-        one: our history is not its history.
+    def claim_ahead(self, since: int | None, epoch: int | None) -> VersionClaim | None:
+        """What a reader has seen that this service cannot have sent; None if nothing.
+
+        It shows that the state is an older copy, or was lost: the reader's history is
+        another one.
         """
         version = since or 0
         if epoch is not None and epoch > self.epoch:
-            claim = version if version > self.seq else 0, epoch
+            claimed_version = version if version > self.seq else 0
+            claimed_epoch = epoch
         elif version > self.seq and epoch in (None, self.epoch):
-            claim = version, 0
+            claimed_version = version
+            claimed_epoch = 0
         else:
             return None
-        claim = (
-            claim[0] if claim[0] < CLAIM_LIMIT else 0,
-            claim[1] if claim[1] < CLAIM_LIMIT else 0,
+        claim = VersionClaim(
+            claimed_version if claimed_version < CLAIM_LIMIT else 0,
+            claimed_epoch if claimed_epoch < CLAIM_LIMIT else 0,
         )
         return claim if any(claim) else None
 
-    # -- changing
-    # --------------------------------------------------------------------------------
-
     def new_epoch(
         self, now_ms: int, past_version: int = 0, past_epoch: int = 0
     ) -> Change:
-        """The change that begins an epoch past version `asked` and epoch `seen`; it
-        carries the whole list again at its first version. The clock only helps: where
-        it was set back, what was seen decides.
+        """The change that begins an epoch past a version and an epoch.
+
+        All entries count as changed at its first version. The clock makes that version
+        high; where the clock was set back, the two given numbers decide.
         """
         base = max(self.seq + 1, past_version + 1, now_ms * VERSIONS_PER_MS)
         return Change(base, max(self.epoch + 1, past_epoch + 1, now_ms), base=base)
 
     def initial_epoch(self, now_ms: int) -> Change:
-        """The change an operator's word begins a history with: no state is there, and
-        none is missed.
-        """
+        """The change that begins a history where there was none, or it is lost."""
         first = self.new_epoch(now_ms)
         return Change(
             first.seq,
@@ -177,60 +211,48 @@
         )
 
     def raise_fence(self, above: int) -> Change | int:
-        """The change that raises the fence past `above`, or the version in force where
-        it is past it.
+        """The change that raises the fence past `above`; the version in force if it is.
+
+        Raises:
+            RequestError: 422, `above` is further ahead than any fence can be.
         """
         if above > self.fence + MAX_EPOCH_JUMP:
             raise RequestError(422, [f"{above} is further ahead than any fence can be"])
-        return (
-            self.seq
-            if self.fence > above
-            else Change(self.seq, self.epoch, fence=above + 1)
-        )
+        if self.fence > above:
+            return self.seq
+        return Change(self.seq, self.epoch, fence=above + 1)
 
     def prepare(
         self, body: Any, digest: str, pending: PendingChanges | None = None
     ) -> Change | int:
-        """Check a change against what is in force and what is `pending` (checked, not
-        yet on disk). Returns the Change, or the version in force when it alters nothing
-        or repeats a kept id; the Change is added to `pending`. Raises Refused.
+        """Check a change against the list in force and the pending changes.
+
+        Returns the change, which is then pending too; or the version in force, if it
+        alters nothing or repeats a change whose id is kept.
+
+        Raises:
+            RequestError: The change is rejected.
         """
         pending = pending or PendingChanges(self.seq)
-        ops, change_id = request_schemas.parse_change(body)
-        previous = pending.ids.get(change_id) or self.ids.get(change_id)
-        if change_id and previous:
-            if previous[0] != digest:
+        requested = request_schemas.parse_change(body)
+        previous = pending.ids.get(requested.id) or self.ids.get(requested.id)
+        if requested.id and previous:
+            if previous.digest != digest:
                 raise RequestError(
-                    409, [f"id: {change_id} was used for another change"]
+                    409, [f"id: {requested.id} was used for another change"]
                 )
-            return previous[1]
+            return previous.seq
         visible = ChainMap(pending.overlay, self.entries)
-        updated: dict[str, dict[str, Any]] = {}
-        for i, op in enumerate(ops):
-            # An entry removed earlier in the same change is gone for the ops after it.
-            current = (
-                updated[op.host]
-                if op.host in updated
-                else _listed_fields(visible.get(op.host))
-            )
-            current = (
-                None
-                if current is not None and current["health"] == "removed"
-                else current
-            )
-            updated[op.host] = _apply(op, current, f"ops[{i}]")
-        altered = tuple(
-            f for h, f in updated.items() if _listed_fields(visible.get(h)) != f
-        )
+        altered = _altered_hosts(requested.operations, visible)
         if not altered:
             return pending.seq
-        change = Change(pending.seq + 1, self.epoch, change_id, digest, altered)
+        change = Change(pending.seq + 1, self.epoch, requested.id, digest, altered)
         pending.seq = change.seq
         pending.overlay.update(
-            (f["host"], EndpointEntry(f, change.seq)) for f in altered
+            (fields["host"], EndpointEntry(fields, change.seq)) for fields in altered
         )
-        if change_id:
-            pending.ids[change_id] = (digest, change.seq)
+        if change.id:
+            pending.ids[change.id] = StoredChangeId(digest, change.seq)
         return change
 
     def is_newer(self, change: Change) -> bool:
@@ -238,10 +260,7 @@
         return change.seq > self.seq or change.fence > self.fence
 
     def commit(self, change: Change) -> None:
-        """Take a change that is on disk.
-
-        Changes come in the order of their versions.
-        """
+        """Put a stored change in force; changes come in the order of their versions."""
         self.fence = max(self.fence, change.fence)
         if change.base:
             self.epoch, self.floor = change.epoch, change.base
@@ -252,34 +271,41 @@
             self.entries[fields["host"]] = EndpointEntry(dict(fields), change.seq)
         self.seq = max(self.seq, change.seq)
         if change.id:
-            self.ids[change.id] = (change.digest, change.seq)
+            self.ids[change.id] = StoredChangeId(change.digest, change.seq)
             while len(self.ids) > MAX_CHANGE_IDS:
                 self.ids.popitem(last=False)
         if any(fields["health"] == "removed" for fields in change.hosts):
             self._drop_tombstones()
 
     def _drop_tombstones(self, everything: bool = False) -> None:
-        tombstones = sorted((e.seq, h) for h, e in self.entries.items() if e.removed)
-        extra = len(tombstones) if everything else len(tombstones) - MAX_TOMBSTONES
-        for at, host in tombstones[: max(extra, 0)]:
+        tombstones = sorted(
+            (entry.seq, host) for host, entry in self.entries.items() if entry.removed
+        )
+        dropped = len(tombstones) if everything else len(tombstones) - MAX_TOMBSTONES
+        for seq, host in tombstones[: max(dropped, 0)]:
             del self.entries[host]
-            self.floor = max(self.floor, at)
-
-    # -- snapshot
-    # ----------------------------------------------------------------------------------
+            self.floor = max(self.floor, seq)
 
     def snapshot(self) -> dict[str, Any]:
+        """All of it as a plain object for JSON."""
         return {
             "epoch": self.epoch,
             "seq": self.seq,
             "floor": self.floor,
             "fence": self.fence,
-            "entries": [[e.seq, e.fields] for e in self.entries.values()],
-            "ids": [[k, d, s] for k, (d, s) in self.ids.items()],
+            "entries": [[entry.seq, entry.fields] for entry in self.entries.values()],
+            "ids": [
+                [change_id, stored.digest, stored.seq]
+                for change_id, stored in self.ids.items()
+            ],
         }
 
     @staticmethod
     def from_snapshot(raw: dict[str, Any]) -> EndpointRegistry:
+        """The registry of a snapshot.
+
+        Raises KeyError, TypeError or ValueError if it is none.
+        """
         registry = EndpointRegistry(
             int(raw["epoch"]),
             int(raw["seq"]),
@@ -288,65 +314,60 @@
         )
         for seq, fields in raw["entries"]:
             registry.entries[fields["host"]] = EndpointEntry(fields, int(seq))
-        for key, digest, seq in raw["ids"]:
-            registry.ids[key] = (digest, int(seq))
+        for change_id, digest, seq in raw["ids"]:
+            registry.ids[change_id] = StoredChangeId(digest, int(seq))
         return registry
 
 
-@dataclass(slots=True)
-class TokenBucket:
-    """At most `burst` at once, and one more each `every_us`."""
-
-    burst: int
-    interval_us: int
-    used: int = 0
-    refill_started_us: int = 0  # when the oldest used one began to come back
-
-    def wait_us(self, now_us: int) -> int:
-        """How long until one may be had; 0 now."""
-        refilled = (
-            min(self.used, (now_us - self.refill_started_us) // self.interval_us)
-            if self.used
-            else 0
-        )
-        self.used, self.refill_started_us = (
-            self.used - refilled,
-            self.refill_started_us + refilled * self.interval_us,
-        )
-        return (
-            0
-            if self.used < self.burst
-            else self.refill_started_us + self.interval_us - now_us
-        )
-
-    def try_acquire(self, now_us: int) -> bool:
-        if self.wait_us(now_us):
-            return False
-        self.refill_started_us = self.refill_started_us if self.used else now_us
-        self.used += 1
-        return True
-
-
 def _listed_fields(entry: EndpointEntry | None) -> dict[str, Any] | None:
     return None if entry is None or entry.removed else entry.fields
 
 
-def _apply(op: Operation, current: dict[str, Any] | None, where: str) -> dict[str, Any]:
-    if isinstance(op, Register):
+def _altered_hosts(
+    operations: list[Operation], visible: Mapping[str, EndpointEntry]
+) -> tuple[dict[str, Any], ...]:
+    """The fields of the entries that operations alter, in the order of the operations."""
+    updated: dict[str, dict[str, Any]] = {}
+    for number, operation in enumerate(operations):
+        host = operation.host
+        if host in updated:
+            current: dict[str, Any] | None = updated[host]
+        else:
+            current = _listed_fields(visible.get(host))
+        # An entry removed by an earlier operation is gone for the later ones.
+        if current is not None and current["health"] == "removed":
+            current = None
+        updated[host] = _apply(operation, current, f"ops[{number}]")
+    return tuple(
+        fields
+        for host, fields in updated.items()
+        if _listed_fields(visible.get(host)) != fields
+    )
+
+
+def _apply(
+    operation: Operation, current: dict[str, Any] | None, where: str
+) -> dict[str, Any]:
+    """The fields of an endpoint after an operation.
+
+    Raises:
+        RequestError: 404, the operation needs a listed endpoint.
+    """
+    if isinstance(operation, Register):
         return {
-            "host": op.host,
-            "dial": op.dial,
-            "site": op.site,
-            "class": op.kind,
-            "block": op.block,
-            "share": op.share,
-            "born_ms": op.born_ms,
-            "health": op.health,
+            "host": operation.host,
+            "dial": operation.dial,
+            "site": operation.site,
+            "class": operation.kind,
+            "block": operation.block,
+            "share": operation.share,
+            "born_ms": operation.born_ms,
+            "health": operation.health,
         }
     if current is None:
-        raise RequestError(404, [f"{where}.host: {op.host} is not listed"])
-    if isinstance(op, Drain):
+        raise RequestError(404, [f"{where}.host: {operation.host} is not listed"])
+    if isinstance(operation, Drain):
         return {**current, "health": "draining"}
-    if isinstance(op, SetShare):
-        return {**current, "share": op.share}
+    if isinstance(operation, SetShare):
+        return {**current, "share": operation.share}
     return {**current, "health": "removed"}
--- a/rainfall/registry/fleet_api.py
+++ b/rainfall/registry/fleet_api.py
@@ -10,7 +10,7 @@
 from rainfall.lease.table import LeaseGrant, LeaseUnavailable
 from rainfall.lease.types import LeaseRejectedError
 from rainfall.member.roster import MAX_NAME_LENGTH
-from rainfall.registry import lease_api, request_schemas
+from rainfall.registry import lease_api, request_schemas, schema_faults
 from rainfall.registry.discovery_api import MAX_HOLD_MS
 from rainfall.registry.fleet_coordinator import FleetCoordinator
 from rainfall.registry.http_server import (
@@ -28,7 +28,8 @@
     token_or_zero,
 )
 from rainfall.registry.member_encoder import MemberEncoder
-from rainfall.registry.request_schemas import RequestError, Version
+from rainfall.registry.request_error import RequestError
+from rainfall.registry.request_schemas import Version
 
 RESERVE_LIMIT = 10_000
 """Reserves of one heartbeat: one for each budget there may be."""
@@ -148,13 +149,13 @@
 
     def _decode(self, raw: Any) -> HeartbeatRequest:
         """The body, checked by this module and by every extension."""
-        faults = request_schemas.find_faults(raw, HeartbeatRequest, "")
+        faults = schema_faults.find_faults(raw, HeartbeatRequest, "")
         if isinstance(raw, dict):
             for extension in self.fleet.extensions.values():
                 faults.extend(extension.find_faults(raw))
         if faults:
             raise RequestError(400, faults)
-        return request_schemas.decode_as(raw, HeartbeatRequest)
+        return schema_faults.decode_as(raw, HeartbeatRequest)
 
     async def _leave(self, call: HeartbeatRequest) -> web.StreamResponse:
         token = token_or_zero(call.token)
--- a/rainfall/registry/fleet_log.py
+++ b/rainfall/registry/fleet_log.py
@@ -1,88 +1,110 @@
-"""`fleet.log`: records of the lease table and of riders, in the order they were made;
-the mark beside it.
+"""`fleet.log`: records of the lease table and of heartbeat extensions, in their order.
+
+A line is either a snapshot of one part, or one of its rows after that. The watermark is
+a file outside the state folder with the number of the last lease record: a log that ends
+below it is an older copy, as after a restore from a backup.
 """
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Mapping
 from pathlib import Path
+from typing import NamedTuple
 
 from rainfall.journal.files import FileSystem
 from rainfall.registry.heartbeat_extension import Row
-from rainfall.registry.storage import DamagedStateError, RecordLog
+from rainfall.registry.storage import DamagedStateError, RecordLog, log_write_failure
 
-LEASE_TABLE = "lease"  # of the table's rows
-COMPACT_AFTER_LINES = (
-    1_000  # lines at least before it is written anew, and twice what it then holds
-)
+LEASE_TABLE = "lease"
+"""The part of the lease table's rows."""
+COMPACT_AFTER_LINES = 1_000
+"""Lines before the log is compacted, and at least twice as many as it then had."""
 TaggedRows = list[tuple[str, Row]]
-"""Each with the part it is of: the table, or a rider's name."""
-log = logging.getLogger("rainfall.registry")
+"""Rows, each with its part: `LEASE_TABLE`, or an extension's name."""
+
+
+class LoadedFleetLog(NamedTuple):
+    """What the log held at the start, by part."""
+
+    snapshots: dict[str, Row]
+    """The last snapshot, where there is one."""
+    rows_since: dict[str, list[Row]]
+    """The rows after it."""
 
 
 class FleetLog:
-    """`load` once; then `append` and `rewrite` from one thread at a time."""
+    """Call `load` once; then `append` and `compact` from one thread at a time."""
 
-    def __init__(self, path: Path, files: FileSystem, mark: Path | None) -> None:
-        self.record_log, self.watermark_path = RecordLog(path, files), mark
-        self.lines_after_compaction = 0  # lines after it was last written anew
+    def __init__(
+        self, path: Path, files: FileSystem, watermark_path: Path | None
+    ) -> None:
+        self.record_log = RecordLog(path, files)
+        self.watermark_path = watermark_path
+        self.lines_after_compaction = 0
 
-    def load(self) -> tuple[dict[str, Row], dict[str, list[Row]]]:
-        """By part: its last snapshot, where there is one, and its rows since.
+    def load(self) -> LoadedFleetLog:
+        """The parts' snapshots and rows.
 
-        Raises Damaged, OSError.
+        Raises:
+            DamagedStateError: A line is not one of this file.
+            OSError: The file cannot be read.
         """
-        snapshots, rows_since = dict[str, Row](), dict[str, list[Row]]()
+        loaded = LoadedFleetLog({}, {})
         for number, line in enumerate(self.record_log.load(), 1):
             if "of" not in line or not {"snapshot", "row"} & line.keys():
                 raise DamagedStateError(
                     f"{self.record_log.path.name} line {number} is none of this file"
                 )
             if "snapshot" in line:
-                snapshots[line["of"]] = line["snapshot"]
+                loaded.snapshots[line["of"]] = line["snapshot"]
             else:
-                rows_since.setdefault(line["of"], []).append(line["row"])
+                loaded.rows_since.setdefault(line["of"], []).append(line["row"])
         self.lines_after_compaction = self.record_log.row_count
-        return snapshots, rows_since
+        return loaded
 
     def append(self, rows: TaggedRows) -> None:
-        """The rows, synced, then the mark. Raises OSError, with none of them kept."""
-        self.record_log.append([{"of": of, "row": row} for of, row in rows])
-        number = max(
-            (int(row["n"]) for of, row in rows if of == LEASE_TABLE), default=0
-        )
+        """Write and sync the rows, then the watermark.
+
+        Raises:
+            OSError: None of the rows is stored.
+        """
+        self.record_log.append([{"of": part, "row": row} for part, row in rows])
+        lease_numbers = (int(row["n"]) for part, row in rows if part == LEASE_TABLE)
+        number = max(lease_numbers, default=0)
         if self.watermark_path is not None and number:
             try:
                 self.watermark_path.write_text(f"{number}\n")
-            except OSError as error:  # an older copy may then not be known for one
-                log.error("mark not written", extra={"why": str(error)})
+            except OSError as error:
+                # The rows are stored; only an older copy would not be recognised.
+                log_write_failure("mark not written", error)
 
     def compaction_due(self) -> bool:
+        """Whether the log has grown enough to be compacted."""
         return self.record_log.row_count >= max(
             COMPACT_AFTER_LINES, 2 * self.lines_after_compaction
         )
 
     def compact(self, parts: Mapping[str, Row]) -> None:
-        """Snapshots in place of all rows.
+        """Replace all lines by a snapshot of each part.
 
-        Raises OSError, leaving the file as it was.
+        Raises:
+            OSError: The file is as it was.
         """
-        self.lines_after_compaction = (
-            self.record_log.row_count
-        )  # not tried again at once where it fails
+        # Set before the write too, so that a failed one is not tried again at once.
+        self.lines_after_compaction = self.record_log.row_count
         self.record_log.rewrite(
-            [{"of": of, "snapshot": snapshot} for of, snapshot in parts.items()]
+            [{"of": part, "snapshot": snapshot} for part, snapshot in parts.items()]
         )
         self.lines_after_compaction = self.record_log.row_count
 
     def is_current(self, number: int) -> bool:
-        """Whether a folder whose last number this is is not known to be older than what
-        was last written.
+        """Whether a log whose last lease record has this number is no older copy.
+
+        False if the watermark cannot be read, as after a boot: then nobody knows.
         """
         try:
             return self.watermark_path is None or number >= int(
                 self.watermark_path.read_text()
             )
         except (OSError, ValueError):
-            return False  # gone, as after a boot: nobody knows
+            return False
--- a/rainfall/registry/fleet_services.py
+++ b/rainfall/registry/fleet_services.py
@@ -1,6 +1,4 @@
-"""The fleet with all that rides on it: built, led, and its routes given to the
-service's addresses.
-"""
+"""Builds the fleet with its heartbeat extensions, and opens the addresses they serve."""
 
 from __future__ import annotations
 
@@ -12,6 +10,7 @@
 from rainfall.registry import budget_api, shard_map_api
 from rainfall.registry.budget_extension import BudgetExtension
 from rainfall.registry.fleet_coordinator import FleetCoordinator
+from rainfall.registry.metrics import BUDGET_HELP_TEXTS, GaugeTable
 from rainfall.registry.planner_lease import PlannerLease
 from rainfall.registry.server import RegistryServer
 from rainfall.registry.shard_map_extension import ShardMapExtension
@@ -20,29 +19,36 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetServices:
+    """The fleet's parts in a running list service."""
+
     fleet: FleetCoordinator
     budgets: BudgetExtension
     maps: ShardMapExtension
     planner: PlannerLease | None
 
     async def listen_write(self, host: str, port: int) -> int:
-        """The write address with the parts' routes; the port taken. Raises OSError."""
-        more = [
+        """Open the write address with the parts' routes, and return the port.
+
+        Raises:
+            OSError: The address cannot be opened.
+        """
+        extra_routes = [
             *budget_api.routes(self.fleet, self.budgets),
             *shard_map_api.routes(self.fleet, self.maps),
         ]
-        return await self._service.listen(host, port, True, more)
+        return await self._service.listen(host, port, True, extra_routes)
 
     async def listen_fleet(self, host: str, port: int) -> int:
-        """The fleet's address, where budgets and map can be read too; the port taken.
+        """Open the fleet's address, with reads of budgets and map; returns the port.
 
-        Raises OSError.
+        Raises:
+            OSError: The address cannot be opened.
         """
-        more = [
+        extra_routes = [
             *budget_api.read_routes(self.fleet, self.budgets),
             *shard_map_api.read_routes(self.fleet, self.maps),
         ]
-        return await self._service.listen_fleet(host, port, more)
+        return await self._service.listen_fleet(host, port, extra_routes)
 
     @property
     def _service(self) -> RegistryServer:
@@ -61,42 +67,50 @@
     auto_planner: AutoPlanner | None = None,
     reserves_known: bool = False,
 ) -> FleetServices:
-    """Take on the fleet with its parts, before any address is opened.
+    """Start the fleet with its extensions, before any address is opened.
 
-    `budgets`: the file's, checked; they come into force here if they are others than
-    were last taken from a file. `reserves_known`: the operator's word that no process
-    acts on a reserve that is not known here. Raises Damaged, OSError.
+    Args:
+        service: The list service that the fleet belongs to.
+        lease_terms: Limits of leases.
+        ttl_us: The term of a member's lease.
+        watermark_path: The file that makes an older copy of the log known.
+        budgets: Checked budgets from the file. They are put in force if they differ
+            from those that were last taken from a file.
+        plan_shards: Whether this service plans shard maps.
+        auto_planner: When it does, if not by the usual rules.
+        reserves_known: An operator confirms that no process uses a reserve that this
+            service does not know.
+
+    Raises:
+        DamagedStateError: The fleet's log cannot be read as it was written.
+        OSError: The log cannot be read or written.
     """
     planner = PlannerLease(ttl_us) if plan_shards else None
-    extensions = (
-        ShardMapExtension(
-            lease_terms.max_ttl_us,
-            lease_terms.drift,
-            planner.is_held if planner else None,
-            auto_planner,
-        ),
-        BudgetExtension(lease_terms.max_ttl_us, lease_terms.drift),
+    map_extension = ShardMapExtension(
+        lease_terms.max_ttl_us,
+        lease_terms.drift,
+        planner.is_held if planner else None,
+        auto_planner,
     )
-    services = FleetServices(
-        await service.start_fleet(lease_terms, ttl_us, extensions, watermark_path),
-        extensions[1],
-        extensions[0],
-        planner,
+    budget_extension = BudgetExtension(lease_terms.max_ttl_us, lease_terms.drift)
+    fleet = await service.start_fleet(
+        lease_terms, ttl_us, (map_extension, budget_extension), watermark_path
     )
-    service.metric_tables["budget"] = (
+    budget_table = GaugeTable(
+        "budget",
         "destination",
-        lambda: services.budgets.metrics(service.now_us()),
+        BUDGET_HELP_TEXTS,
+        lambda: budget_extension.metrics(service.now_us()),
     )
-    service.gauge_sources.append(services.maps.gauges)
-    if budgets is not None and budgets != services.budgets.last_file_budgets:
-        await budget_api.apply_budgets(
-            services.fleet, services.budgets, budgets, "file"
-        )
+    service.gauge_tables.append(budget_table)
+    service.gauge_sources.append(map_extension.gauges)
+    if budgets is not None and budgets != budget_extension.last_file_budgets:
+        await budget_api.apply_budgets(fleet, budget_extension, budgets, "file")
     if reserves_known:
-        await services.fleet.apply_rows(
-            services.budgets.name,
-            lambda now_us: services.budgets.confirm_processes(now_us, None),
+        await fleet.apply_rows(
+            budget_extension.name,
+            lambda now_us: budget_extension.confirm_processes(now_us, None),
         )
     if planner is not None:
-        planner.start(services.fleet)
-    return services
+        planner.start(fleet)
+    return FleetServices(fleet, budget_extension, map_extension, planner)
--- a/rainfall/registry/fleet_watch.py
+++ b/rainfall/registry/fleet_watch.py
@@ -1,10 +1,9 @@
-"""Who waits for news of the fleet, and whom a change wakes: those it concerns, a few at
-a time.
+"""Watchers of the fleet, and which of them a change wakes.
 
-A version is of the whole fleet. Members themselves and the map concern all; a share
-concerns one. A watcher that names itself sleeps through what does not concern it. All
-that are woken beat at once, so they are woken in slices: with 1,000 watchers the last
-hears half a second after the first.
+The version is that of the whole fleet. Changes of the member list and of the shard map
+concern every member; a change of a quota concerns one. A watcher that gives its name is
+woken only by changes that concern it. Every woken member sends a heartbeat at once, so
+watchers are woken in batches: of 1,000, the last half a second after the first.
 """
 
 from __future__ import annotations
@@ -12,43 +11,45 @@
 import asyncio
 from collections.abc import Collection
 
-WAKE_BATCH_SIZE = 20  # watchers told at once ...
-WAKE_INTERVAL_S = 0.01  # ... and then this pause
+WAKE_BATCH_SIZE = 20
+"""Watchers woken at once."""
+WAKE_INTERVAL_S = 0.01
+"""The pause between two batches."""
 
 
 class Watchers:
-    """Lives on the running loop."""
+    """The watches held now. Used from the event loop alone."""
 
     def __init__(self) -> None:
         self.version = 0
         self.stopped = False
-        self._last_common_version = (
-            0  # the version of the last change that concerned all
-        )
-        self._last_member_versions: dict[
-            str, int
-        ] = {}  # and of those since that concerned one
+        self._last_common_version = 0
+        """The version of the last change that concerned all members."""
+        self._last_member_versions: dict[str, int] = {}
+        """By name, the versions of later changes that concerned this member."""
         self._waiting: dict[asyncio.Future[None], str] = {}
-        self._wake_queue: dict[
-            asyncio.Future[None], None
-        ] = {}  # in the order in which they are woken
+        """The watchers' names; empty for a watcher without one."""
+        self._wake_queue: dict[asyncio.Future[None], None] = {}
+        """The watchers to be woken, in this order."""
         self._timer: asyncio.TimerHandle | None = None
 
     def start_at(self, version: int) -> None:
-        self.version = self._last_common_version = version
+        """Set the first version, before any watcher is added."""
+        self.version = version
+        self._last_common_version = version
 
     def is_behind(self, since: int, name: str = "") -> bool:
-        """Whether there is news for a watcher from version `since`; one without a name
-        is told of all.
+        """Whether a watcher that has version `since` need not wait.
+
+        A watcher without a name is concerned by every change.
         """
         if not name or since > self.version:
             return since != self.version
-        return since < max(
-            self._last_common_version, self._last_member_versions.get(name, 0)
-        )
+        last_member_version = self._last_member_versions.get(name, 0)
+        return since < max(self._last_common_version, last_member_version)
 
     def add(self, name: str = "") -> asyncio.Future[None]:
-        """Done when there is news for it; to be given to `drop` when it waits no more."""
+        """A future that is done at the next change; `remove` it when the wait ends."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting[future] = name
         if self.stopped:
@@ -56,11 +57,12 @@
         return future
 
     def remove(self, future: asyncio.Future[None]) -> None:
+        """Forget a watcher, whether it was woken or not."""
         self._waiting.pop(future, None)
         self._wake_queue.pop(future, None)
 
     def notify(self, concerned: Collection[str] | None) -> None:
-        """A new version, for those concerned; None: all."""
+        """Raise the version, and wake those concerned; None: every watcher."""
         self.version += 1
         if concerned is None:
             self._last_common_version = self.version
@@ -68,21 +70,24 @@
         else:
             self._last_member_versions.update(dict.fromkeys(concerned, self.version))
         woken = [
-            f
-            for f, name in self._waiting.items()
+            future
+            for future, name in self._waiting.items()
             if not name or concerned is None or name in concerned
         ]
-        # Whom a change is about comes before those who were only to hear that there is
-        # one.
-        first = (
-            {} if concerned is None else {f: None for f in woken if self._waiting[f]}
-        )
-        self._wake_queue = {**first, **self._wake_queue, **dict.fromkeys(woken)}
+        # A change of some members: these go before watchers of the whole fleet.
+        first: list[asyncio.Future[None]] = []
+        if concerned is not None:
+            first = [future for future in woken if self._waiting[future]]
+        self._wake_queue = {
+            **dict.fromkeys(first),
+            **self._wake_queue,
+            **dict.fromkeys(woken),
+        }
         if self._timer is None:
             self._wake_batch()
 
     def stop(self) -> None:
-        """Wake all, now and from now on."""
+        """Wake all watchers; later ones are woken as they are added."""
         self.stopped = True
         if self._timer is not None:
             self._timer.cancel()
--- a/rainfall/registry/group_commit.py
+++ b/rainfall/registry/group_commit.py
@@ -15,7 +15,7 @@
 
 from rainfall.errors import RainfallError
 from rainfall.registry.endpoint_registry import Change, EndpointRegistry, PendingChanges
-from rainfall.registry.request_schemas import RequestError
+from rainfall.registry.request_error import RequestError
 from rainfall.registry.storage import Storage
 
 T = TypeVar("T")
--- a/rainfall/registry/http_server.py
+++ b/rainfall/registry/http_server.py
@@ -14,10 +14,10 @@
 import msgspec
 from aiohttp import web
 
-from rainfall.registry import request_schemas
+from rainfall.registry import json_reader
 from rainfall.registry.group_commit import OutcomeUnknownError, QueueFullError
 from rainfall.registry.limits import Limits
-from rainfall.registry.request_schemas import RequestError
+from rainfall.registry.request_error import RequestError
 from rainfall.registry.service_context import ServiceContext
 
 MAX_FAULTS_IN_ANSWER = 1_024
@@ -129,7 +129,7 @@
     Raises:
         RequestError: The body cannot be read; with every fault of its form.
     """
-    return request_schemas.parse_json(await read_body(request, limits))
+    return json_reader.parse_json(await read_body(request, limits))
 
 
 async def read_body(request: web.Request, limits: Limits) -> bytes:
@@ -277,7 +277,7 @@
         _check_head(request, context.limits)
         response = await handler(request)
     except RequestError as error:
-        context.metrics.refused += int(error.status < 500)
+        context.metrics.rejected_calls += int(error.status < 500)
         response = error_response(
             error.status, error.faults, extra_fields=error.extra_fields
         )
--- a/rainfall/registry/lease_api.py
+++ b/rainfall/registry/lease_api.py
@@ -17,7 +17,7 @@
     Record,
 )
 from rainfall.member.roster import MEMBER_LEASE_PREFIX
-from rainfall.registry import request_schemas
+from rainfall.registry import schema_faults
 from rainfall.registry.fleet_coordinator import FleetCoordinator
 from rainfall.registry.http_server import (
     await_stored,
@@ -26,7 +26,8 @@
     json_response,
     read_json,
 )
-from rainfall.registry.request_schemas import RequestError, Version
+from rainfall.registry.request_error import RequestError
+from rainfall.registry.request_schemas import Version
 
 US_PER_MS = 1_000
 LEASE_PATH = "/v1/leases/{name:.+}"
@@ -140,7 +141,7 @@
     async def acquire(self, request: web.Request) -> web.StreamResponse:
         name = _lease_name(request)
         body = await read_json(request, self.fleet.context.limits)
-        call = request_schemas.decode_as(body, AcquireRequest)
+        call = schema_faults.decode_as(body, AcquireRequest)
         decision = await persist_decision(
             self.fleet,
             lambda now_us: self.fleet.table.acquire(
@@ -158,7 +159,7 @@
     async def renew(self, request: web.Request) -> web.StreamResponse:
         name = _lease_name(request)
         body = await read_json(request, self.fleet.context.limits)
-        call = request_schemas.decode_as(body, RenewRequest)
+        call = schema_faults.decode_as(body, RenewRequest)
         decision = await persist_decision(
             self.fleet,
             lambda now_us: self.fleet.table.renew(
@@ -173,7 +174,7 @@
     async def release(self, request: web.Request) -> web.StreamResponse:
         name = _lease_name(request)
         body = await read_json(request, self.fleet.context.limits)
-        call = request_schemas.decode_as(body, RenewRequest)
+        call = schema_faults.decode_as(body, RenewRequest)
         token = token_or_zero(call.token)
         await persist_decision(
             self.fleet, lambda now_us: self.fleet.table.release(now_us, name, token)
--- a/rainfall/registry/planner_lease.py
+++ b/rainfall/registry/planner_lease.py
@@ -1,4 +1,4 @@
-"""The lease `shard-planner`: whoever holds it makes new maps when members come and go."""
+"""The lease `shard-planner`: its holder plans new shard maps as members join and leave."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 import logging
 
 from rainfall.lease.fencing_token import Token
-from rainfall.lease.table import LeaseGrant
+from rainfall.lease.table import LeaseGrant, LeaseUnavailable
 from rainfall.lease.types import LeaseRejectedError
 from rainfall.registry.fleet_coordinator import FleetCoordinator
 from rainfall.registry.group_commit import QueueFullError
 
 PLANNER_LEASE_NAME = "shard-planner"
-RETRY_AFTER_LEASES = (
-    10  # leases that pass before it is asked for again after it was taken away
-)
+RETRY_AFTER_LEASES = 10
+"""After the lease was taken away, the service waits for so many terms of it."""
+RENEWALS_PER_TERM = 3
 log = logging.getLogger("rainfall.registry")
 
 
 class PlannerLease:
-    """Keeps the lease for this service while nobody else has it.
+    """Holds the lease for this service while nobody else does.
 
-    Who wants the service to plan nothing for a while takes the lease (once it is free,
-    or was revoked) and renews it.
+    An operator who wants the service to plan nothing for a while acquires the lease,
+    once it is free or was revoked, and renews it.
     """
 
     def __init__(self, ttl_us: int) -> None:
@@ -34,12 +34,13 @@
         self._task: asyncio.Task[None] | None = None
 
     def is_held(self, now_us: int) -> bool:
-        """The table is this process's own, and so is its clock: what it says is so."""
-        lease = (
-            self.fleet.table.read(PLANNER_LEASE_NAME)
-            if self.fleet is not None
-            else None
-        )
+        """Whether this service holds the lease.
+
+        Table and clock are this process's own, so no margin for drift is needed.
+        """
+        if self.fleet is None:
+            return False
+        lease = self.fleet.table.read(PLANNER_LEASE_NAME)
         return (
             lease is not None
             and lease.token == self.token
@@ -48,10 +49,10 @@
         )
 
     def start(self, fleet: FleetCoordinator) -> None:
+        """Acquire the lease, and renew it until the service stops."""
         self.fleet = fleet
-        self.holder = (
-            f"list service, epoch {fleet.table.epoch}"  # this run of it and no other
-        )
+        # The epoch names this run of the service: another run is another holder.
+        self.holder = f"list service, epoch {fleet.table.epoch}"
         self._task = asyncio.get_running_loop().create_task(self._run(fleet))
         fleet.context.on_stop.append(self._stop)
 
@@ -62,35 +63,38 @@
     async def _run(self, fleet: FleetCoordinator) -> None:
         while True:
             await self.renew(fleet)
-            await asyncio.sleep(self.ttl_us / 3e6)
+            await asyncio.sleep(self.ttl_us / (RENEWALS_PER_TERM * 1e6))
 
     async def renew(self, fleet: FleetCoordinator) -> None:
-        """Acquire the lease where it can be had, or renew it.
+        """Acquire the lease if it is free, or renew it.
 
-        Where it was taken away, whoever did that has time to take it before it is asked
-        for again.
+        After it was taken away the service waits, so that another can acquire it.
         """
         if fleet.context.now_us() < self.retry_at_us:
             return
         try:
-            made = await fleet.persist_decision(
-                lambda now_us: (
-                    fleet.table.acquire(
-                        now_us, PLANNER_LEASE_NAME, self.holder, self.ttl_us
-                    )
-                    if self.token is None
-                    else fleet.table.renew(now_us, PLANNER_LEASE_NAME, self.token)
-                )
+            decision = await fleet.persist_decision(
+                lambda now_us: self._acquire_or_renew(fleet, now_us)
             )
-            if isinstance(made, LeaseGrant):
-                if self.token != made.token:
-                    log.info("planner", extra={"token": made.token.to_wire()})
-                    fleet.plan_scheduler.schedule_soon()
-                self.token = made.token
         except LeaseRejectedError:
-            self.token, self.retry_at_us = (
-                None,
-                fleet.context.now_us() + RETRY_AFTER_LEASES * self.ttl_us,
-            )
+            self.token = None
+            pause_us = RETRY_AFTER_LEASES * self.ttl_us
+            self.retry_at_us = fleet.context.now_us() + pause_us
+            return
         except (OSError, QueueFullError):
-            pass  # counted and logged where it failed
+            return  # Counted and logged where it failed.
+        if not isinstance(decision, LeaseGrant):
+            return
+        if self.token != decision.token:
+            log.info("planner", extra={"token": decision.token.to_wire()})
+            fleet.plan_scheduler.schedule_soon()
+        self.token = decision.token
+
+    def _acquire_or_renew(
+        self, fleet: FleetCoordinator, now_us: int
+    ) -> LeaseGrant | LeaseUnavailable:
+        if self.token is None:
+            return fleet.table.acquire(
+                now_us, PLANNER_LEASE_NAME, self.holder, self.ttl_us
+            )
+        return fleet.table.renew(now_us, PLANNER_LEASE_NAME, self.token)
--- a/rainfall/registry/server.py
+++ b/rainfall/registry/server.py
@@ -1,4 +1,4 @@
-"""The list service whole: what it holds, its addresses, and its end."""
+"""The list service: its state, its addresses, and its shutdown."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RegistryServer(ServiceContext):
-    """A house with doors. `listen` for each address, `stop` once."""
+    """The service with its addresses. Call `listen` for each, then `stop` once."""
 
     def __init__(
         self,
@@ -48,18 +48,20 @@
         writable: bool,
         extra_routes: Iterable[web.RouteDef] = (),
     ) -> int:
-        """Open the discovery address, or the write address; the port taken.
+        """Open the discovery address, or the write address, and return the port.
 
-        `more`: routes that riders bring. Raises OSError.
+        `extra_routes` are those of heartbeat extensions.
+
+        Raises:
+            OSError: The address cannot be opened.
         """
         if not writable:
-            return await self._open(
-                host, port, [*discovery_api.routes(self), *extra_routes]
-            )
-        fleet = fleet_api.operator_routes(self.fleet) if self.fleet is not None else []
-        return await self._open(
-            host, port, [*write_api.routes(self), *extra_routes, *fleet]
-        )
+            routes = [*discovery_api.routes(self), *extra_routes]
+        else:
+            routes = [*write_api.routes(self), *extra_routes]
+            if self.fleet is not None:
+                routes += fleet_api.operator_routes(self.fleet)
+        return await self._open(host, port, routes)
 
     async def start_fleet(
         self,
@@ -68,9 +70,11 @@
         extensions: Iterable[HeartbeatExtension] = (),
         watermark_path: Path | None = None,
     ) -> FleetCoordinator:
-        """Take on the fleet, before the write address is opened.
+        """Start the fleet, before the write address is opened.
 
-        Raises Damaged, OSError.
+        Raises:
+            DamagedStateError: The fleet's log cannot be read as it was written.
+            OSError: The log cannot be read or written.
         """
         self.fleet = FleetCoordinator(
             self,
@@ -86,7 +90,11 @@
     async def listen_fleet(
         self, host: str, port: int, extra_routes: Iterable[web.RouteDef] = ()
     ) -> int:
-        """Open the fleet's address; the port taken. Raises OSError."""
+        """Open the fleet's address, and return the port.
+
+        Raises:
+            OSError: The address cannot be opened.
+        """
         assert self.fleet is not None
         return await self._open(
             host, port, [*extra_routes, *fleet_api.routes(self.fleet)]
@@ -98,15 +106,15 @@
         return await listener.open(host, port)
 
     async def stop(self) -> bool:
-        """Take no more, answer every watch, keep and answer what was asked, close.
+        """Accept nothing more, end all watches, finish all writes, and close.
 
-        False where the disk did not end in time: what then waits is told that nobody
-        knows whether it was kept.
+        False if the disk did not finish in time: callers that still wait are then told
+        that the outcome is unknown.
         """
         for listener in self.listeners:
             listener.stop_accepting()
-        ended = await self.finish()
-        if not ended:
+        has_finished = await self.finish()
+        if not has_finished:
             log.error("the disk did not answer before the end")
         await asyncio.gather(*(listener.close() for listener in self.listeners))
-        return ended
+        return has_finished
--- a/rainfall/registry/service_context.py
+++ b/rainfall/registry/service_context.py
@@ -1,5 +1,7 @@
-"""What all addresses of the list service share: the registry, its writer, who waits,
-epochs, the fence.
+"""What all addresses of the list service share.
+
+That is the endpoint registry and its writer, watches, epochs and the fence, notices,
+metrics, and the shutdown.
 """
 
 from __future__ import annotations
@@ -16,37 +18,44 @@
     Change,
     EndpointRegistry,
     PendingChanges,
-    TokenBucket,
 )
+from rainfall.registry.epoch_claims import EpochClaims
 from rainfall.registry.group_commit import (
     ChangeRequest,
     ChangeWriter,
     GroupCommit,
     QueuedItem,
-    QueueFullError,
 )
 from rainfall.registry.limits import Limits
-from rainfall.registry.metrics import MetricsCollector, ServiceMetrics
-from rainfall.registry.request_schemas import RequestError
-from rainfall.registry.storage import Storage
+from rainfall.registry.metrics import (
+    GaugeTable,
+    MetricsCollector,
+    ServiceMetrics,
+    service_variables,
+)
+from rainfall.registry.request_error import RequestError
+from rainfall.registry.storage import Storage, log_write_failure
 
-MAX_CACHED_ANSWER_BYTES = (
-    64 * 1024 * 1024
-)  # of encoded answers kept until the next change: seven lists of 44,000
+MAX_CACHED_ANSWER_BYTES = 64 * 1024 * 1024
+"""Encoded answers cached until the next change: seven lists of 44,000 endpoints."""
 log = logging.getLogger("rainfall.registry")
 
 
 def wall_clock_ms() -> int:
+    """Unix time in milliseconds."""
     return time.time_ns() // 1_000_000
 
 
 def monotonic_us() -> int:
+    """Microseconds of the process's monotonic clock."""
     return time.monotonic_ns() // 1_000
 
 
 class ServiceContext:
-    """`now_ms` is the wall clock (it only helps new versions to be high), `now_us` an
-    own monotonic one.
+    """The state of the service, and what its addresses ask of it.
+
+    `now_ms` is the wall clock, which only makes new versions higher than old ones;
+    `now_us` is a monotonic clock.
     """
 
     def __init__(
@@ -57,21 +66,17 @@
         limits: Limits | None = None,
         now_us: Callable[[], int] = monotonic_us,
     ) -> None:
-        self.storage, self.registry, self.now_ms, self.now_us = (
-            storage,
-            registry,
-            now_ms,
-            now_us,
-        )
-        self.limits, self.metrics = limits or Limits(), ServiceMetrics()
-        self.metric_tables: dict[
-            str, tuple[str, Callable[[], dict[str, dict[str, int]]]]
-        ] = {}
-        """Figures of several things alike, by part: the label they are told apart by,
-        and each one's own.
-        """
+        self.storage = storage
+        self.registry = registry
+        self.now_ms = now_ms
+        self.now_us = now_us
+        self.limits = limits or Limits()
+        self.metrics = ServiceMetrics()
+        self.gauge_tables: list[GaugeTable] = []
+        self.gauge_sources: list[Callable[[], dict[str, int]]] = []
+        """Gauges of the parts built on this service, by the name that is sent."""
         self.metrics_collector = MetricsCollector(
-            self.metrics, self.gauges, self.metric_tables
+            self.metrics, self.gauges, self.gauge_tables
         )
         self.writer = ChangeWriter(
             storage,
@@ -89,37 +94,26 @@
             self.writer.group_commit,
             self.notice_commit,
         ]
-        self.gauge_sources: list[
-            Callable[[], dict[str, int]]
-        ] = []  # figures of what is built on this
         self.on_stop: list[Callable[[], None]] = []
         self.on_fence_raised: list[Callable[[int], None]] = []
+        self.epoch_claims = EpochClaims(
+            registry, self.begin_epoch, self.limits, self.metrics, now_us
+        )
         self._answers: dict[int | None, bytes] = {}
         self._answer_bytes = 0
-        self._epoch_bucket = TokenBucket(
-            self.limits.epoch_burst, int(self.limits.epoch_interval_s * 1_000_000)
-        )
-        self._claim = (
-            0,
-            0,
-        )  # highest version and epoch that readers showed, not gone past yet
-        self._claim_lock = asyncio.Lock()
-        self._claim_timer: asyncio.TimerHandle | None = None
-        self._claim_task: asyncio.Task[None] | None = None
-
-    # -- reading and waiting
-    # ---------------------------------------------------------------------------
 
     def encoded_answer(self, since: int | None, epoch: int | None) -> bytes:
-        """What a reader is owed, encoded once for all who are owed the same."""
-        delta = since is not None and self.registry.floor <= since <= self.registry.seq
-        key = since if delta and epoch in (None, self.registry.epoch) else None
+        """The answer to a reader, encoded once for all readers with the same answer."""
+        has_delta = (
+            since is not None and self.registry.floor <= since <= self.registry.seq
+        )
+        key = since if has_delta and epoch in (None, self.registry.epoch) else None
         if key not in self._answers:
-            made = msgspec.json.encode(self.registry.answer_for(since, epoch))
-            if self._answer_bytes + len(made) > MAX_CACHED_ANSWER_BYTES:
+            answer = msgspec.json.encode(self.registry.answer_for(since, epoch))
+            if self._answer_bytes + len(answer) > MAX_CACHED_ANSWER_BYTES:
                 self._forget_answers()
-            self._answers[key] = made
-            self._answer_bytes += len(made)
+            self._answers[key] = answer
+            self._answer_bytes += len(answer)
         return self._answers[key]
 
     def _forget_answers(self) -> None:
@@ -127,9 +121,13 @@
         self._answer_bytes = 0
 
     async def hold_watch(self, changed: asyncio.Future[None], hold_ms: int) -> None:
-        """Wait until `changed` (taken with no await since the check, so that no change
-        falls between). A watcher that leaves is cancelled here, and counts no more.
-        Raises Refused past the bound.
+        """Wait until `changed` is done, or the time is over.
+
+        The caller takes `changed` with no await since it checked that nothing is new,
+        so that no change is missed. A watcher that disconnects is cancelled here.
+
+        Raises:
+            RequestError: 503, too many watches are held.
         """
         if self.metrics.watches_held >= self.limits.watchers:
             self.metrics.busy += 1
@@ -145,20 +143,20 @@
             self.metrics.watches_held -= 1
 
     def wake_watchers(self) -> None:
+        """End all watches of the endpoint list."""
         self._forget_answers()
-        changed, self.list_changed = (
-            self.list_changed,
-            asyncio.get_running_loop().create_future(),
-        )
+        changed = self.list_changed
+        self.list_changed = asyncio.get_running_loop().create_future()
         changed.set_result(None)
 
     def _on_changes_stored(self, changes: list[Change]) -> None:
         self.metrics.changes += sum(bool(change.hosts) for change in changes)
         self.metrics.epochs += sum(bool(change.base) for change in changes)
-        self.metrics.fence_lifts += sum(bool(change.fence) for change in changes)
+        self.metrics.fence_raises += sum(bool(change.fence) for change in changes)
         for change in changes:
-            for callback in self.on_fence_raised if change.fence else ():
-                callback(self.registry.fence)
+            if change.fence:
+                for callback in self.on_fence_raised:
+                    callback(self.registry.fence)
             if change.base or change.fence:
                 log.warning(
                     "new epoch" if change.base else "new fence",
@@ -174,22 +172,21 @@
     def _on_write_failed(self, _: OSError) -> None:
         self.metrics.write_failures += 1
 
-    # -- epochs and the fence
-    # --------------------------------------------------------------------------
-
     async def begin_history(self) -> None:
-        """Begin a history on an empty folder, at the operator's word.
+        """Begin a history on an empty folder, as an operator asked for.
 
-        Raises OSError.
+        Raises:
+            OSError: It could not be stored.
         """
         await self.writer.submit(
             ChangeRequest(lambda _: self.registry.initial_epoch(self.now_ms()), True)
         )
 
     async def begin_epoch(self, past_version: int = 0, past_epoch: int = 0) -> None:
-        """Begin an epoch past a version and an epoch; durable when this returns.
+        """Begin an epoch past a version and an epoch; it is stored when this returns.
 
-        Raises OSError.
+        Raises:
+            OSError: It could not be stored.
         """
         await self.writer.submit(
             ChangeRequest(
@@ -201,72 +198,32 @@
         )
 
     async def raise_fence(self, above: int) -> int:
-        """Raise the fence past `above` where it is not: for tokens that members have
-        seen, and operators, never for a reader of the list. Durable when this returns
-        the fence. Raises Refused, OSError.
+        """Raise the fence past `above` if it is not, and return the fence once stored.
+
+        Members raise it by the tokens they have seen, and operators; readers of the
+        list never do.
+
+        Raises:
+            RequestError: 422, `above` is further ahead than any fence can be.
+            OSError: It could not be stored.
         """
         await self.writer.submit(
             ChangeRequest(lambda _: self.registry.raise_fence(above), True)
         )
         return self.registry.fence
 
-    async def observe_claim(self, since: int | None, epoch: int | None) -> None:
-        """A reader shows what it has seen.
-
-        Where that is past us, a new epoch goes past it and is on disk before the reader
-        is told; but only so often, as anyone may claim anything. A claim put off is
-        gone past when its time comes; its reader is told the whole list meanwhile.
-        """
-        if self.registry.claim_ahead(since, epoch) is None:
-            return
-        async with self._claim_lock:
-            claim = self.registry.claim_ahead(since, epoch)
-            if claim is None:
-                return  # another's claim took us past this one too
-            self._claim = max(self._claim[0], claim[0]), max(self._claim[1], claim[1])
-            await self._advance_past_claims()
-
-    async def _advance_past_claims(self) -> None:
-        now = self.now_us()
-        if not self._epoch_bucket.try_acquire(now):
-            self.metrics.lifts_put_off += 1
-            if self._claim_timer is None and not self.stopping:
-                loop = asyncio.get_running_loop()
-                self._claim_timer = loop.call_later(
-                    self._epoch_bucket.wait_us(now) / 1e6, self._on_claim_timer
-                )
-            return
-        claim, self._claim = self._claim, (0, 0)
-        try:
-            await asyncio.shield(asyncio.ensure_future(self.begin_epoch(*claim)))
-        except (
-            OSError,
-            QueueFullError,
-        ):  # counted by the writer; the next reader who is ahead tries again
-            self._claim = claim
-
-    def _on_claim_timer(self) -> None:
-        self._claim_timer = None
-
-        async def past() -> None:
-            async with self._claim_lock:
-                if self._claim > (0, 0) and (
-                    self._claim[0] > self.registry.seq
-                    or self._claim[1] > self.registry.epoch
-                ):
-                    await self._advance_past_claims()
-                else:
-                    self._claim = (0, 0)
-
-        self._claim_task = asyncio.get_running_loop().create_task(past())
-
-    # -- changes and notices
-    # ---------------------------------------------------------------------------
-
     async def apply_change(
         self, body: Any, digest: str, match: int | None
     ) -> Change | int:
-        """Raises Refused, Full, OSError."""
+        """Store a change; returns it, or the version in force where it alters nothing.
+
+        `digest` is that of the body, `match` the version that must be in force.
+
+        Raises:
+            RequestError: The change is rejected.
+            QueueFullError: Too much waits to be written.
+            OSError: It could not be stored.
+        """
 
         def make(pending: PendingChanges) -> Change | int:
             if match is not None and match != pending.seq:
@@ -278,24 +235,22 @@
     async def _write_notices(
         self, batch: list[QueuedItem[list[dict[str, Any]]]]
     ) -> None:
-        told = [notice for asked in batch for notice in asked.item]
-        if not told:
+        notices = [notice for queued in batch for notice in queued.item]
+        if not notices:
             return
         try:
-            await asyncio.to_thread(self.storage.append_notices, told, self.now_ms())
+            await asyncio.to_thread(self.storage.append_notices, notices, self.now_ms())
         except OSError as error:
             self.metrics.write_failures += 1
-            log.error("notices not kept", extra={"why": str(error), "count": len(told)})
-
-    # -- figures and the end
-    # ---------------------------------------------------------------------------
+            log_write_failure("notices not kept", error, count=len(notices))
 
     def gauges(self) -> dict[str, int]:
-        more = {
-            name: value for part in self.gauge_sources for name, value in part().items()
-        }
+        """All gauges that are read from the state, by the name that is sent."""
+        gauges: dict[str, int] = {}
+        for read_gauges in self.gauge_sources:
+            gauges.update(read_gauges())
         return {
-            **more,
+            **gauges,
             "epoch": self.registry.epoch,
             "fence": self.registry.fence,
             "seq": self.registry.seq,
@@ -307,24 +262,22 @@
         }
 
     def snapshot_variables(self) -> dict[str, Any]:
-        tables = {part: figures() for part, (_, figures) in self.metric_tables.items()}
-        return {**self.gauges(), **vars(self.metrics), **tables}
+        """The content of `/_vars`."""
+        tables = {table.name: table.read() for table in self.gauge_tables}
+        return {**self.gauges(), **service_variables(self.metrics), **tables}
 
     async def finish(self) -> bool:
-        """Answer every held watch, and keep what was asked; False where the disk did
-        not end in time.
+        """End all watches and write what was asked for.
+
+        Returns False if the disk did not finish in time.
         """
         self.stopping = True
-        if self._claim_timer is not None:
-            self._claim_timer.cancel()
+        self.epoch_claims.stop()
         self.wake_watchers()
-        for end in self.on_stop:
-            end()
-        return all(
-            await asyncio.gather(
-                *(
-                    rounds.finish(self.limits.shutdown_timeout_s)
-                    for rounds in self.group_commits
-                )
-            )
+        for stop in self.on_stop:
+            stop()
+        timeout_s = self.limits.shutdown_timeout_s
+        finished = await asyncio.gather(
+            *(group_commit.finish(timeout_s) for group_commit in self.group_commits)
         )
+        return all(finished)
--- a/rainfall/registry/shard_map_api.py
+++ b/rainfall/registry/shard_map_api.py
@@ -17,7 +17,7 @@
     read_body,
     read_json,
 )
-from rainfall.registry.request_schemas import RequestError
+from rainfall.registry.request_error import RequestError
 from rainfall.registry.shard_map_extension import ShardMapExtension
 from rainfall.shard.map_validation import MAX_MOVED_SHARE, evaluate_update
 from rainfall.shard.shard_map import (
--- a/rainfall/registry/shard_map_extension.py
+++ b/rainfall/registry/shard_map_extension.py
@@ -21,7 +21,7 @@
     HeartbeatResult,
     Row,
 )
-from rainfall.registry.request_schemas import RequestError
+from rainfall.registry.request_error import RequestError
 from rainfall.shard import map_planning
 from rainfall.shard.auto_planner import AutoPlanner
 from rainfall.shard.map_planning import PlanError
--- a/rainfall/registry/storage.py
+++ b/rainfall/registry/storage.py
@@ -1,89 +1,122 @@
-"""The list service's state folder: a snapshot, logs of lines synced in groups, and the
-notices.
+"""The list service's state folder: a snapshot, the log of changes, and the notices.
 
-Goes through the journal's `Files` so that tests can fail any step (see
-docs/parts/registry.md, "On disk").
+All access goes through `journal.files.FileSystem`, so that tests can fail any step.
+docs/parts/registry.md, "On disk", has the format.
 """
 
 from __future__ import annotations
 
 import json
+import logging
 import zlib
 from collections import deque
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.errors import RainfallError
 from rainfall.journal.files import FileSystem, LocalFileSystem, write_all
 from rainfall.registry.endpoint_registry import Change, EndpointRegistry
 
-SNAPSHOT_AFTER_LINES = 1_000  # log lines before the snapshot is written again
-MAX_NOTICES_PER_FILE = (
-    50_000  # lines of one notices file; the one before is kept beside it
-)
-MAX_CACHED_NOTICES = 10_000  # in memory, for staff to read
+SNAPSHOT_AFTER_LINES = 1_000
+"""Lines of the change log before the snapshot is written again."""
+MAX_NOTICES_PER_FILE = 50_000
+"""Lines of one file of notices; the file before it is kept too."""
+MAX_CACHED_NOTICES = 10_000
+"""Notices in memory, for operators to read."""
+CHECKSUM_CHARACTERS = 8
+SYNCS_PER_REPLACEMENT = 2
+"""Syncs of one replaced file: of the file, and of its folder."""
+log = logging.getLogger("rainfall.registry")
 
 
 class DamagedStateError(RainfallError):
-    """The state folder cannot be read as it was written.
+    """The state folder is damaged: the service does not start."""
+
+
+class DecodedLines(NamedTuple):
+    """The complete lines of a log."""
+
+    rows: list[dict[str, Any]]
+    size_bytes: int
+    """Their length in the file, without a torn last line."""
 
-    One plain line; the service does not start.
-    """
+
+def log_write_failure(event: str, error: OSError, **details: Any) -> None:
+    """Log a write that failed, without a traceback: the error says enough."""
+    log.error(event, extra={"why": str(error), **details})
 
 
 def encode_line(raw: dict[str, Any]) -> bytes:
+    """A line of a log: its checksum, a space, and the row as JSON."""
     text = json.dumps(raw, separators=(",", ":")).encode()
     return b"%08x %s\n" % (zlib.crc32(text), text)
 
 
-def decode_lines(data: bytes, name: str) -> tuple[list[dict[str, Any]], int]:
-    """The whole lines of a log and the length they take; a torn last line is left out,
-    damage before the end raises Damaged.
+def decode_lines(data: bytes, name: str) -> DecodedLines:
+    """The complete lines of a log; a torn last line is left out.
+
+    Raises:
+        DamagedStateError: A line before the last is damaged. `name` is the file's.
     """
-    found, used = [], 0
+    rows: list[dict[str, Any]] = []
+    size_bytes = 0
     parts = data.split(b"\n")
     for number, part in enumerate(parts[:-1], 1):
         crc, _, text = part.partition(b" ")
-        good = len(crc) == 8 and crc == b"%08x" % zlib.crc32(text)
-        if not good:
+        is_intact = len(crc) == CHECKSUM_CHARACTERS and crc == b"%08x" % zlib.crc32(
+            text
+        )
+        if not is_intact:
             if number == len(parts) - 1:
-                break  # the last line was being written when the process ended
+                break  # The last line was being written when the process ended.
             raise DamagedStateError(f"{name} line {number} is damaged")
-        found.append(json.loads(text))
-        used += len(part) + 1
-    return found, used
+        rows.append(json.loads(text))
+        size_bytes += len(part) + 1
+    return DecodedLines(rows, size_bytes)
 
 
 class RecordLog:
     """One file of lines.
 
-    `load` once, then `append`, `clear` and `rewrite`, one at a time.
+    Call `load` once, then `append`, `clear` and `rewrite`, one at a time.
     """
 
     def __init__(self, path: Path, files: FileSystem | None = None) -> None:
-        self.path, self.files = path, files or LocalFileSystem()
-        self.fd, self.size, self.row_count, self.sync_count = -1, 0, 0, 0
-        self.has_dirty_tail = (
-            False  # whether bytes of a failed append may stand behind `at`
-        )
+        self.path = path
+        self.files = files or LocalFileSystem()
+        self.fd = -1
+        self.size = 0
+        """Bytes of complete lines in the file."""
+        self.row_count = 0
+        self.sync_count = 0
+        self.has_dirty_tail = False
+        """Whether bytes of a failed append may stand after `size`."""
 
     def load(self) -> list[dict[str, Any]]:
-        """The rows on disk; a torn last line is cut off. Raises Damaged or OSError."""
-        there = self.path.exists()
-        found, self.size = decode_lines(
-            self.files.read(self.path) if there else b"", self.path.name
-        )
-        self.row_count = len(found)
+        """Open the file, cut off a torn last line, and return the rows.
+
+        Raises:
+            DamagedStateError: A line before the last is damaged.
+            OSError: The file cannot be read.
+        """
+        existed = self.path.exists()
+        data = self.files.read(self.path) if existed else b""
+        decoded = decode_lines(data, self.path.name)
+        self.size = decoded.size_bytes
+        self.row_count = len(decoded.rows)
         self.fd = self.files.open(self.path)
         self.files.truncate(self.fd, self.size)
-        if not there:
-            self.files.sync_directory(
-                self.path.parent
-            )  # a name that is not synced goes with the power
-        return found
+        if not existed:
+            # A name that is not synced is lost when the power fails.
+            self.files.sync_directory(self.path.parent)
+        return decoded.rows
 
     def append(self, rows: list[dict[str, Any]]) -> None:
-        """Write rows and sync once. Raises OSError, leaving the log as it was."""
+        """Write rows and sync once.
+
+        Raises:
+            OSError: The log is as it was.
+        """
         data = b"".join(map(encode_line, rows))
         try:
             if self.has_dirty_tail:
@@ -101,29 +134,33 @@
         self.row_count += len(rows)
 
     def clear(self) -> None:
-        """Begin anew: the rows are kept elsewhere."""
+        """Remove all rows, which are stored elsewhere now."""
         self.files.truncate(self.fd, 0)
         self.files.sync(self.fd)
         self.sync_count += 1
-        self.size = self.row_count = 0
+        self.size = 0
+        self.row_count = 0
 
     def rewrite(self, rows: list[dict[str, Any]]) -> None:
-        """Put these rows in place of all. A failure leaves the log as it was."""
+        """Replace all rows by these.
+
+        Raises:
+            OSError: The log is as it was.
+        """
         data = b"".join(map(encode_line, rows))
         fd = replace_file(self.files, self.path, data)
         self.files.close(self.fd)
-        self.fd, self.size, self.row_count, self.sync_count = (
-            fd,
-            len(data),
-            len(rows),
-            self.sync_count + 2,
-        )
+        self.fd = fd
+        self.size = len(data)
+        self.row_count = len(rows)
+        self.sync_count += SYNCS_PER_REPLACEMENT
 
 
 def replace_file(files: FileSystem, path: Path, data: bytes) -> int:
-    """Write a file beside the old one and rename it over; the descriptor.
+    """Write a new file, rename it over the old one, and return its descriptor.
 
-    OSError: the old one stays.
+    Raises:
+        OSError: The old file is as it was.
     """
     new = path.with_name(path.name + ".new")
     fd = files.open(new, anew=True)
@@ -139,25 +176,26 @@
 
 
 class Storage:
-    """Owns the folder.
+    """The state folder.
 
-    `load` once, then `write` and `snapshot` from one thread at a time, `notices` from
-    one thread at a time.
+    Call `load` once, then `append_changes` and `write_snapshot` from one thread at a
+    time, and `append_notices` from one thread at a time.
     """
 
     def __init__(self, folder: Path, files: FileSystem | None = None) -> None:
-        self.folder, self.files = folder, files or LocalFileSystem()
-        self.snapshot_path, self.change_log = (
-            folder / "state.json",
-            RecordLog(folder / "changes.log", self.files),
-        )
+        self.folder = folder
+        self.files = files or LocalFileSystem()
+        self.snapshot_path = folder / "state.json"
+        self.change_log = RecordLog(folder / "changes.log", self.files)
         self.notice_log = RecordLog(folder / "notices.log", self.files)
-        self.snapshot_sync_count = 0  # syncs of snapshots
+        self.previous_notices_path = folder / "notices.old"
+        self.snapshot_sync_count = 0
         self.recent_notices: deque[dict[str, Any]] = deque(maxlen=MAX_CACHED_NOTICES)
-        self.next_notice_number = 0  # number of the next notice
+        self.next_notice_number = 0
 
     @property
     def sync_count(self) -> int:
+        """Syncs of all files since the start."""
         return (
             self.change_log.sync_count
             + self.notice_log.sync_count
@@ -165,17 +203,22 @@
         )
 
     def is_empty(self) -> bool:
-        """Whether the folder holds no list: never had, or lost. Touches nothing."""
-        log = self.change_log.path
-        return not self.snapshot_path.exists() and not (
-            log.exists() and self.files.size(log)
-        )
+        """Whether the folder holds no endpoint list. It is not changed."""
+        log_path = self.change_log.path
+        has_changes = log_path.exists() and self.files.size(log_path) > 0
+        return not self.snapshot_path.exists() and not has_changes
 
     def load(self) -> tuple[EndpointRegistry, bool]:
-        """The state on disk, and whether there was any. Raises Damaged or OSError."""
+        """The state on disk, and whether there was any.
+
+        Raises:
+            DamagedStateError: A file cannot be read as it was written.
+            OSError: A file cannot be read.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
-        registry, had_state = EndpointRegistry(), self.snapshot_path.exists()
-        if had_state:
+        registry = EndpointRegistry()
+        had_snapshot = self.snapshot_path.exists()
+        if had_snapshot:
             try:
                 registry = EndpointRegistry.from_snapshot(
                     json.loads(self.files.read(self.snapshot_path))
@@ -190,59 +233,69 @@
             if registry.is_newer(change):
                 registry.commit(change)
         self._load_notices()
-        return registry, had_state or bool(changes)
+        return registry, had_snapshot or bool(changes)
 
     def append_changes(self, changes: list[Change]) -> None:
-        """Append changes and sync once. Raises OSError, leaving the log as it was."""
+        """Append changes and sync once.
+
+        Raises:
+            OSError: The log is as it was.
+        """
         self.change_log.append([change.to_row() for change in changes])
 
     def snapshot_due(self) -> bool:
+        """Whether the change log has grown enough for a snapshot."""
         return self.change_log.row_count >= SNAPSHOT_AFTER_LINES
 
     def write_snapshot(self, registry: EndpointRegistry) -> None:
-        """Write the whole state, then begin the log anew.
+        """Write the whole state, then clear the change log.
 
-        A failure leaves the old snapshot and the log.
+        Raises:
+            OSError: The old snapshot and the log are as they were, or the new snapshot
+                stands and the log was not cleared, which does no harm.
         """
-        self.files.close(
-            replace_file(
-                self.files, self.snapshot_path, json.dumps(registry.snapshot()).encode()
-            )
-        )
+        data = json.dumps(registry.snapshot()).encode()
+        fd = replace_file(self.files, self.snapshot_path, data)
+        self.files.close(fd)
         self.change_log.clear()
-        self.snapshot_sync_count += 2
+        self.snapshot_sync_count += SYNCS_PER_REPLACEMENT
 
     def _load_notices(self) -> None:
-        old = self.folder / "notices.old"
-        if old.exists():
-            self.recent_notices.extend(decode_lines(self.files.read(old), old.name)[0])
+        previous = self.previous_notices_path
+        if previous.exists():
+            decoded = decode_lines(self.files.read(previous), previous.name)
+            self.recent_notices.extend(decoded.rows)
         self.recent_notices.extend(self.notice_log.load())
-        self.next_notice_number = (
-            self.recent_notices[-1]["n"] + 1 if self.recent_notices else 0
-        )
+        if self.recent_notices:
+            self.next_notice_number = self.recent_notices[-1]["n"] + 1
 
     def append_notices(self, notices: list[dict[str, Any]], at_ms: int) -> None:
-        """Keep notices as they came, numbered, and sync them.
+        """Write notices as they came, numbered, and sync them.
 
-        Raises OSError, with none of them kept.
+        Raises:
+            OSError: None of them is stored.
         """
         if self.notice_log.row_count >= MAX_NOTICES_PER_FILE:
-            self.files.close(self.notice_log.fd)
-            self.files.replace(self.notice_log.path, self.folder / "notices.old")
-            syncs, self.notice_log = (
-                self.notice_log.sync_count,
-                RecordLog(self.notice_log.path, self.files),
-            )
-            self.notice_log.load()
-            self.notice_log.sync_count = syncs
-        first = self.next_notice_number
+            self._begin_notices_file()
         rows = [
-            {"n": first + n, "at_ms": at_ms, "notice": notice}
-            for n, notice in enumerate(notices)
+            {"n": number, "at_ms": at_ms, "notice": notice}
+            for number, notice in enumerate(notices, self.next_notice_number)
         ]
         self.notice_log.append(rows)
         self.next_notice_number += len(rows)
         self.recent_notices.extend(rows)
 
+    def _begin_notices_file(self) -> None:
+        """Keep the full file beside a new one, in place of the file before it."""
+        full_log = self.notice_log
+        self.files.close(full_log.fd)
+        self.files.replace(full_log.path, self.previous_notices_path)
+        self.notice_log = RecordLog(full_log.path, self.files)
+        self.notice_log.load()
+        self.notice_log.sync_count = full_log.sync_count
+
     def read_notices(self, since: int, limit: int) -> list[dict[str, Any]]:
-        return [r for r in list(self.recent_notices) if r["n"] >= since][:limit]
+        """Recent notices from number `since` on, at most `limit`."""
+        # Copied, since the writer's thread may append meanwhile.
+        recent = list(self.recent_notices)
+        return [row for row in recent if row["n"] >= since][:limit]
--- a/rainfall/registry/write_api.py
+++ b/rainfall/registry/write_api.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from rainfall.registry import discovery_api, request_schemas
+from rainfall.registry import discovery_api, request_schemas, schema_faults
 from rainfall.registry.endpoint_registry import Change
 from rainfall.registry.http_server import (
     await_stored,
@@ -47,7 +47,7 @@
         return json_response(200, answer, {"ETag": f'"{seq}"'})
 
     async def epoch(request: web.Request) -> web.StreamResponse:
-        above = request_schemas.decode_as(
+        above = schema_faults.decode_as(
             await read_json(request, context.limits), request_schemas.RaiseEpochRequest
         ).above
         registry = context.registry
--- a/tests/registry/test_service_limits.py
+++ b/tests/registry/test_service_limits.py
@@ -19,7 +19,7 @@
 from rainfall.forwarder.config.loading import Address
 from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, HttpClient
 from rainfall.journal.files import LocalFileSystem
-from rainfall.registry import request_schemas
+from rainfall.registry import json_reader, request_schemas
 from rainfall.registry.endpoint_registry import CLAIM_LIMIT, RequestError
 from rainfall.registry.limits import Limits
 from rainfall.registry.server import RegistryServer
@@ -375,7 +375,7 @@
         assert (
             at[0] < at[1] < at[2] == at[3] == at[4]
         )  # two lifts at once, then the whole list alone
-        assert run.service.metrics.lifts_put_off == 2 and now.fence == fence
+        assert run.service.metrics.epochs_delayed == 2 and now.fence == fence
         # the time of one more: the claim that was put off is gone past by itself
         clock.us += 100_000
         await until(lambda: now.seq > claimed)
@@ -398,7 +398,7 @@
         fence, seq = now.fence, now.seq
         assert (
             await run.service.raise_fence(fence - 1) == fence
-            and run.service.metrics.fence_lifts == 1
+            and run.service.metrics.fence_raises == 1
         )
         assert await run.service.raise_fence(fence + 7) == fence + 8 and now.seq == seq
         with pytest.raises(RequestError):
@@ -426,7 +426,7 @@
 def test_every_fault_of_a_change_is_told_with_its_path() -> None:
     def faults(body: str) -> list[str]:
         with pytest.raises(RequestError) as refused:
-            request_schemas.parse_change(request_schemas.parse_json(body.encode()))
+            request_schemas.parse_change(json_reader.parse_json(body.encode()))
         assert refused.value.status == 400
         return refused.value.faults
 
