--- a/rainfall/registry/__main__.py
+++ b/rainfall/registry/__main__.py
@@ -1,5 +1,6 @@
-"""`python -m rainfall.registry`: the list service, one primary (docs/parts.md,
-docs/operations.md).
+"""`python -m rainfall.registry`: the list service, as one primary process.
+
+docs/parts.md says what it does, docs/operations.md how it is operated.
 """
 
 from __future__ import annotations
@@ -14,9 +15,10 @@
 import time
 from collections.abc import MutableMapping
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.budget.config import BudgetConfigError
+from rainfall.errors import RainfallError
 from rainfall.lease.table import LeaseTable
 from rainfall.lease.types import LeaseRejectedError, LeaseSettings
 from rainfall.member.roster import Roster
@@ -28,20 +30,43 @@
 from rainfall.registry.server import RegistryServer
 from rainfall.registry.storage import DamagedStateError, Storage
 
+PORT_LIMIT = 65_536
+US_PER_MS = 1_000
+EXIT_STOPPED = 0
+EXIT_DISK_HANGS = 1
+EXIT_FAULTY = 2
 log = logging.getLogger("rainfall.registry")
 
 
-def parse_address(text: str) -> tuple[str, int]:
+class Address(NamedTuple):
+    """Where to listen; port 0 lets the system choose one."""
+
+    host: str
+    port: int
+
+
+class StateMissingError(RainfallError):
+    """The state folder is empty, and the command does not say that this is right."""
+
+
+def parse_address(text: str) -> Address:
+    """HOST:PORT of an option.
+
+    Raises:
+        argparse.ArgumentTypeError: The text is something else.
+    """
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 <= int(port) < 65536:
+    if not host or not port.isdigit() or not 0 <= int(port) < PORT_LIMIT:
         raise argparse.ArgumentTypeError(f"{text!r} is not HOST:PORT")
-    return host, int(port)
+    return Address(host, int(port))
 
 
 def configure_logging() -> None:
-    """JSON lines on standard error: event, level, logger, role, pid, t_ns, and what the
-    line adds.
+    """Log JSON lines on standard error.
+
+    Each has `event`, `level`, `logger`, `role`, `pid`, `t_ns`, and its own fields.
     """
+    # Imported here, since it takes long and the other functions do not need it.
     import structlog
 
     def stamp(
@@ -68,6 +93,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
+    """The parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m rainfall.registry",
         description="The list service: discovery, watches, notices and writes.",
@@ -90,6 +116,16 @@
     parser.add_argument(
         "--ports", type=Path, help="write the ports taken to this file (for port 0)"
     )
+    _add_fleet_arguments(parser)
+    parser.add_argument(
+        "--new",
+        action="store_true",
+        help="begin a history where the folder holds none: the first start, or a state that is lost for good",
+    )
+    return parser
+
+
+def _add_fleet_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         "--fleet",
         type=parse_address,
@@ -130,18 +166,12 @@
         action="store_true",
         help="make a new shard map when members come and go; with --fleet",
     )
-    parser.add_argument(
-        "--new",
-        action="store_true",
-        help="begin a history where the folder holds none: the first start, or a state that is lost for good",
-    )
-    return parser
 
 
 async def reload_budgets(
     fleet_services: FleetServices | None, path: Path | None
 ) -> None:
-    """The file of budgets anew; with any fault those in force stay, whole."""
+    """Read the file of budgets again; with any fault those in force stay."""
     if fleet_services is None or path is None:
         log.info("nothing to read again")
         return
@@ -150,77 +180,109 @@
             fleet_services.fleet, fleet_services.budgets, read_budget_file(path), "file"
         )
     except BudgetConfigError as error:
-        for fault in error.faults:
-            log.error("budgets not taken", extra={"why": f"{path}: {fault}"})
+        _log_rejected_budgets([f"{path}: {fault}" for fault in error.faults])
     except (OSError, QueueFullError) as error:
-        log.error(
-            "budgets not taken",
-            extra={"why": str(error) or "too much waits to be written"},
-        )
+        _log_rejected_budgets([str(error) or "too much waits to be written"])
+
+
+def _log_rejected_budgets(reasons: list[str]) -> None:
+    for reason in reasons:
+        log.error("budgets not taken", extra={"why": reason})
 
 
 def available_limits() -> Limits:
-    """The usual bounds, as far as this process's limit of descriptors goes once it is
-    raised as far as it is needed and allowed.
+    """The usual limits, with as many connections as descriptors allow.
+
+    The process's limit of descriptors is raised as far as needed and allowed.
     """
-    wanted = Limits()
-    needed = wanted.connections + RESERVED_DESCRIPTORS
+    usual = Limits()
+    needed = usual.connections + RESERVED_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    unlimited = resource.RLIM_INFINITY
-    limit = needed if hard == unlimited else min(needed, hard)
-    if soft != unlimited and soft < limit:
+    descriptors = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
+    if soft != resource.RLIM_INFINITY and soft < descriptors:
         try:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
+            resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, hard))
         except (OSError, ValueError):
-            limit = soft
-    limits = limit_by_descriptors(wanted, limit)
-    if limits.connections < wanted.connections:
+            descriptors = soft
+    limits = limit_by_descriptors(usual, descriptors)
+    if limits.connections < usual.connections:
         log.warning(
             "fewer connections than usual",
-            extra={"connections": limits.connections, "descriptors": limit},
+            extra={"connections": limits.connections, "descriptors": descriptors},
         )
     return limits
 
 
 async def serve(args: argparse.Namespace) -> int:
-    lease_terms = LeaseSettings(args.drift, max_ttl_us=args.longest_ms * 1_000)
+    """Run the service until a signal stops it; the exit code.
+
+    Raises:
+        BudgetConfigError: The file of budgets is faulty.
+        LeaseRejectedError: An option of leases is out of its range.
+        StateMissingError: The state folder is empty, and `--new` was not given.
+        DamagedStateError: The state cannot be read as it was written.
+        OSError: A file or an address cannot be opened.
+    """
+    ttl_us = args.lease_ms * US_PER_MS
+    lease_terms = LeaseSettings(args.drift, max_ttl_us=args.longest_ms * US_PER_MS)
     if args.fleet:
-        Roster(
-            LeaseTable(lease_terms), args.lease_ms * 1_000
-        )  # faults of what was asked, before anything is touched
+        # Rejects faulty options before anything on disk is touched.
+        Roster(LeaseTable(lease_terms), ttl_us)
     budgets = read_budget_file(args.budgets) if args.budgets else None
-    storage = Storage(args.state)
-    if storage.is_empty() and not args.new:
-        print(
-            f"registry: {args.state} holds no state: if it is lost, put it back; if it never was or cannot"
-            " be had again, start with --new",
-            file=sys.stderr,
-        )
-        return 2
-    registry, had_state = storage.load()
-    service = RegistryServer(storage, registry, limits=available_limits())
-    if not had_state:
-        await service.begin_history()
+    service = await _open_service(args.state, args.new)
     fleet_services = None
     if args.fleet:
         fleet_services = await start_fleet_services(
             service,
             lease_terms,
-            args.lease_ms * 1_000,
+            ttl_us,
             args.mark,
             budgets,
             args.plan_shards,
             reserves_known=args.reserves_known,
         )
-    (host, port), (write_host, write_port) = args.listen, args.write
-    ports = [await service.listen(host, port, False)]
+    await _listen(args, service, fleet_services)
+    await _wait_for_stop(fleet_services, args.budgets)
+    if not await service.stop():
+        logging.shutdown()
+        # A thread that waits for a disk that does not answer would keep the process
+        # from ending.
+        os._exit(EXIT_DISK_HANGS)
+    log.info("stopped", extra={"seq": service.registry.seq})
+    return EXIT_STOPPED
+
+
+async def _open_service(state_folder: Path, is_new: bool) -> RegistryServer:
+    """The service with its stored state, which begins if there is none."""
+    storage = Storage(state_folder)
+    if storage.is_empty() and not is_new:
+        raise StateMissingError(
+            f"{state_folder} holds no state: if it is lost, put it back; if it never was"
+            " or cannot be had again, start with --new"
+        )
+    registry, had_state = storage.load()
+    service = RegistryServer(storage, registry, limits=available_limits())
+    if not had_state:
+        await service.begin_history()
+    return service
+
+
+async def _listen(
+    args: argparse.Namespace,
+    service: RegistryServer,
+    fleet_services: FleetServices | None,
+) -> None:
+    """Open all addresses, and write their ports where that was asked for."""
+    ports = [await service.listen(args.listen.host, args.listen.port, False)]
     if fleet_services is None:
-        ports.append(await service.listen(write_host, write_port, True))
+        ports.append(await service.listen(args.write.host, args.write.port, True))
     else:
-        ports += [
-            await fleet_services.listen_write(write_host, write_port),
-            await fleet_services.listen_fleet(*args.fleet),
-        ]
+        ports.append(
+            await fleet_services.listen_write(args.write.host, args.write.port)
+        )
+        ports.append(
+            await fleet_services.listen_fleet(args.fleet.host, args.fleet.port)
+        )
     if args.ports:
         args.ports.write_text(" ".join(map(str, ports)) + "\n")
     log.info(
@@ -229,34 +291,32 @@
             "listen": ports[0],
             "write": ports[1],
             "fleet": ports[2:],
-            "epoch": registry.epoch,
-            "seq": registry.seq,
+            "epoch": service.registry.epoch,
+            "seq": service.registry.seq,
         },
     )
+
+
+async def _wait_for_stop(
+    fleet_services: FleetServices | None, budgets_path: Path | None
+) -> None:
+    """Wait for SIGTERM or SIGINT; at each SIGHUP read the budgets again."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, stop.set)
-    reload_tasks = set[asyncio.Task[None]]()
-    loop.add_signal_handler(
-        signal.SIGHUP,
-        lambda: reload_tasks.add(
-            loop.create_task(reload_budgets(fleet_services, args.budgets))
-        ),
-    )
+    for stop_signal in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(stop_signal, stop.set)
+    reload_tasks: set[asyncio.Task[None]] = set()
+
+    def start_reload() -> None:
+        reload = reload_budgets(fleet_services, budgets_path)
+        reload_tasks.add(loop.create_task(reload))
+
+    loop.add_signal_handler(signal.SIGHUP, start_reload)
     await stop.wait()
-    if not await service.stop():
-        logging.shutdown()
-        os._exit(
-            1
-            # a thread that waits for a disk that does not answer would keep the process for
-            # good
-        )
-    log.info("stopped", extra={"seq": registry.seq})
-    return 0
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command; the exit code."""
     parser = build_parser()
     args = parser.parse_args(argv)
     if not args.fleet and (args.budgets or args.plan_shards or args.reserves_known):
@@ -266,15 +326,17 @@
         return asyncio.run(serve(args))
     except BudgetConfigError as error:
         for fault in error.faults:
-            print(f"registry: {args.budgets}: {fault}", file=sys.stderr)
-    except (DamagedStateError, LeaseRejectedError) as error:
-        print(f"registry: {error}", file=sys.stderr)
+            _print_error(f"{args.budgets}: {fault}")
+    except (DamagedStateError, LeaseRejectedError, StateMissingError) as error:
+        _print_error(str(error))
     except OSError as error:
-        print(
-            f"registry: {error.strerror or error}: {error.filename or ''}".rstrip(": "),
-            file=sys.stderr,
-        )
-    return 2
+        text = f"{error.strerror or error}: {error.filename or ''}"
+        _print_error(text.rstrip(": "))
+    return EXIT_FAULTY
+
+
+def _print_error(text: str) -> None:
+    print(f"registry: {text}", file=sys.stderr)
 
 
 if __name__ == "__main__":
--- a/rainfall/registry/fleet_coordinator.py
+++ b/rainfall/registry/fleet_coordinator.py
@@ -1,9 +1,8 @@
-"""The fleet at the list service: leases and members run on disk and clock, and what
-rides on their beats.
+"""The fleet at the list service: the lease table and the member list on disk and clock.
 
-`lease.Table` and `member.Roster` decide; this writes each record they make to
-`fleet.log`, synced in groups, commits it, and only then lets its answer be told; it
-ticks them by a timer, and wakes who watches.
+`lease.LeaseTable` and `member.Roster` decide. This module stores each record they make
+in `fleet.log`, commits it, and only then lets its answer be sent. It lets them and the
+heartbeat extensions act when something is due, and wakes watchers.
 """
 
 from __future__ import annotations
@@ -11,15 +10,20 @@
 import asyncio
 import contextlib
 import logging
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Collection, Iterable, Iterator
 from pathlib import Path
 from typing import Any
 
 from rainfall.lease.fencing_token import Token
-from rainfall.lease.table import LeaseGrant, LeaseTable, LeaseUnavailable
+from rainfall.lease.table import Lease, LeaseGrant, LeaseTable, LeaseUnavailable
 from rainfall.lease.types import LeaseRejectedError, LeaseSettings, Record
 from rainfall.member.roster import MEMBER_LEASE_PREFIX, Roster
-from rainfall.registry.fleet_log import LEASE_TABLE, FleetLog, TaggedRows
+from rainfall.registry.fleet_log import (
+    LEASE_TABLE,
+    FleetLog,
+    LoadedFleetLog,
+    TaggedRows,
+)
 from rainfall.registry.fleet_watch import Watchers
 from rainfall.registry.group_commit import GroupCommit, QueuedItem, QueueFullError
 from rainfall.registry.heartbeat_extension import (
@@ -28,21 +32,24 @@
     Row,
     dispatch_heartbeat,
 )
-from rainfall.registry.plan_scheduler import PLAN_DELAY_S as PLAN_DELAY_S
 from rainfall.registry.plan_scheduler import RETRY_DELAY_S, PlanScheduler
 from rainfall.registry.request_schemas import VERSION_LIMIT
 from rainfall.registry.service_context import ServiceContext
-from rainfall.registry.storage import DamagedStateError
+from rainfall.registry.storage import DamagedStateError, log_write_failure
 
-PLAN_WAIT_TIMEOUT_S = 1.0  # how long a beat waits for the plan that its answer rests on
+PLAN_WAIT_TIMEOUT_S = 1.0
+"""How long a heartbeat waits for the plan that its answer depends on."""
+EPOCH_SHIFT = 20
+"""The fleet's version starts at the epoch times 2 to this power."""
+MS_PER_S = 1_000
 log = logging.getLogger("rainfall.registry")
 
 
 class FleetCoordinator:
-    """`start` once, before its door opens.
+    """The fleet. Call `start` once, before the fleet's address is opened.
 
-    `mark`: a file outside the state folder (such as under /run) that holds the last
-    number written; a folder that does not agree with it is taken for an older copy.
+    `watermark_path` is a file outside the state folder, such as under /run, with the
+    number of the last lease record; a log that ends below it is taken for an older copy.
     """
 
     def __init__(
@@ -54,17 +61,18 @@
         extensions: Iterable[HeartbeatExtension] = (),
         watermark_path: Path | None = None,
     ) -> None:
-        self.context, self.ttl_us, self.terms = context, ttl_us, terms
+        self.context = context
+        self.ttl_us = ttl_us
+        self.terms = terms
         self.fleet_log = FleetLog(path, context.storage.files, watermark_path)
-        self.extensions = {rider.name: rider for rider in extensions}
+        self.extensions = {extension.name: extension for extension in extensions}
         self.table = LeaseTable(terms)
         self.roster = Roster(self.table, ttl_us)
         self.watchers = Watchers()
         self.group_commit: GroupCommit[TaggedRows] = GroupCommit(
             self._write_batch, context.limits.queued
         )
-        # A record a lease at most, and one plan at a time: queued past the bound of
-        # calls.
+        # Not bounded: there is at most one record for each lease, and one plan.
         self.plan_scheduler = PlanScheduler(
             context.now_us,
             self._expired_lease_rows,
@@ -72,68 +80,38 @@
             lambda rows: self.group_commit.add(rows, bounded=False),
             self._next_us,
         )
-        self._announced_version = (
-            0,
-            0,
-        )  # the roster's epoch and version that the watchers' version tells of
-        self._announced_epoch = 0  # that riders were told
+        self._announced_version = (0, 0)
+        """The member list's epoch and version that watchers were woken for."""
+        self._announced_epoch = 0
+        """The epoch that the extensions know."""
         self._tasks: set[asyncio.Future[Any]] = set()
 
     @property
     def version(self) -> int:
+        """Grows with every change that some member has to learn of."""
         return self.watchers.version
 
-    # -- the start
-    # -------------------------------------------------------------------------------------
-
     async def start(self) -> None:
-        """Read the log, begin an epoch, and have it on disk.
+        """Read the log, begin an epoch, and store it.
 
-        Raises Damaged, OSError.
+        Raises:
+            DamagedStateError: The log cannot be read as it was written.
+            OSError: The log cannot be read or written.
         """
-        snapshots, rows_since = self.fleet_log.load()
+        loaded = self.fleet_log.load()
         now_us = self.context.now_us()
         try:
-            if LEASE_TABLE in snapshots:
-                self.table = LeaseTable.from_snapshot(
-                    snapshots[LEASE_TABLE], self.terms
-                )
-                self.roster = Roster(self.table, self.ttl_us)
-            for row in rows_since.get(LEASE_TABLE, []):
-                self.table.commit(row)
-            # A wall clock and the list's own folder only help: what members have seen
-            # lifts past both.
-            least = max(self.context.registry.fence + 1, self.context.now_ms() // 1_000)
-            record = self.table.start(
-                now_us, self.fleet_log.is_current(self.table.last_committed), least
-            )
-            state_complete = bool(record["sure"])
-            self._announce_epoch(int(record["epoch"]))
-            for name, extension in self.extensions.items():
-                extension.restore(
-                    now_us,
-                    state_complete,
-                    snapshots.get(name),
-                    rows_since.get(name, []),
-                )
+            start_record = self._restore(loaded, now_us)
         except (KeyError, TypeError, ValueError) as error:
             raise DamagedStateError(
                 f"{self.fleet_log.record_log.path.name} cannot be read: {error!r}"
             ) from None
-        await asyncio.shield(self.group_commit.add([(LEASE_TABLE, record)]))
+        await asyncio.shield(self.group_commit.add([(LEASE_TABLE, start_record)]))
         self.roster.on_started(now_us)
-        members = [
-            (m, self.table.leases[MEMBER_LEASE_PREFIX + m.name].expires_at_us)
-            for m in self.roster.active_members()
-        ]
-        for riding in self._base_extensions():
-            riding.service_started(now_us, members)
-        for row in rows_since.get(LEASE_TABLE, []):
-            self._announce_resumed_member(row, now_us)
-        self.watchers.start_at(
-            self.table.epoch << 20
-        )  # grows over restarts, as epochs do
-        self._announced_version = self.roster.epoch, self.roster.version
+        self._announce_start(loaded.rows_since.get(LEASE_TABLE, []), now_us)
+        # The version grows over restarts, since epochs do.
+        self.watchers.start_at(self.table.epoch << EPOCH_SHIFT)
+        self._announced_version = self._list_version()
         await self.context.raise_fence(self.table.epoch - 1)
         self.context.gauge_sources.append(self.gauges)
         self.context.group_commits.append(self.group_commit)
@@ -144,137 +122,188 @@
             "fleet",
             extra={
                 "epoch": self.table.epoch,
-                "sure": state_complete,
+                "sure": bool(start_record["sure"]),
                 "leases": len(self.table.leases),
             },
         )
 
-    # -- what calls ask for
-    # ----------------------------------------------------------------------------
+    def _restore(self, loaded: LoadedFleetLog, now_us: int) -> Record:
+        """Restore the table and the extensions; the record that begins an epoch."""
+        if LEASE_TABLE in loaded.snapshots:
+            self.table = LeaseTable.from_snapshot(
+                loaded.snapshots[LEASE_TABLE], self.terms
+            )
+            self.roster = Roster(self.table, self.ttl_us)
+        for row in loaded.rows_since.get(LEASE_TABLE, []):
+            self.table.commit(row)
+        # The clock and the list's fence only make a high epoch likely: the tokens that
+        # members have seen raise it past both.
+        min_epoch = max(
+            self.context.registry.fence + 1, self.context.now_ms() // MS_PER_S
+        )
+        is_current = self.fleet_log.is_current(self.table.last_committed)
+        record = self.table.start(now_us, is_current, min_epoch)
+        self._announce_epoch(int(record["epoch"]))
+        for name, extension in self.extensions.items():
+            extension.restore(
+                now_us,
+                bool(record["sure"]),
+                loaded.snapshots.get(name),
+                loaded.rows_since.get(name, []),
+            )
+        return record
+
+    def _announce_start(self, lease_rows: list[Row], now_us: int) -> None:
+        """Tell the extensions who is a member, and what joins said of restarts."""
+        members = [
+            (member, self.table.leases[MEMBER_LEASE_PREFIX + member.name].expires_at_us)
+            for member in self.roster.active_members()
+        ]
+        for extension in self._base_extensions():
+            extension.service_started(now_us, members)
+        for row in lease_rows:
+            self._announce_resumed_member(row, now_us)
 
     async def persist_decision(
         self, decide: Callable[[int], LeaseGrant | LeaseUnavailable | Record]
     ) -> LeaseGrant | LeaseUnavailable | Record:
-        """Let the table decide, and return what it says once its record is on disk and
-        committed. Raises Full, OSError, and Refused after its record (what a client has
-        seen) is kept too.
+        """Let the lease table decide; the decision, once its record is committed.
+
+        Raises:
+            LeaseRejectedError: The call is rejected. A record of the token that the
+                client has seen is stored first.
+            QueueFullError: Too much waits to be written.
+            OSError: The record could not be stored.
         """
-        if (
-            self.group_commit.closed
-            or len(self.group_commit.queue) >= self.group_commit.max_queued
-        ):
+        if self.group_commit.full:
             raise QueueFullError
-        refused: LeaseRejectedError | None = None
+        outcome: LeaseGrant | LeaseUnavailable | Record | LeaseRejectedError
         try:
-            made: Any = decide(self.context.now_us())
-            record = made if isinstance(made, dict) else made.record
+            outcome = decide(self.context.now_us())
         except LeaseRejectedError as error:
-            refused, record = error, error.record
+            outcome = error
+        record = outcome if isinstance(outcome, dict) else outcome.record
         self._announce_changes()
         if record is not None:
-            # Queued with no await since it was made: records go to disk in the order of
-            # their numbers.
+            # Queued with no await since it was made, so that records are stored in the
+            # order of their numbers.
             await asyncio.shield(self.group_commit.add([(LEASE_TABLE, record)]))
-        if refused is not None:
-            raise refused
-        return made  # type: ignore[no-any-return]
+        if isinstance(outcome, LeaseRejectedError):
+            raise outcome
+        return outcome
 
     async def handle_heartbeat(
         self, name: str, token: Token, body: dict[str, Any]
     ) -> dict[str, Any]:
-        """Hand a beat to the riders, and their parts of the answer back.
+        """Let the extensions handle a heartbeat; their fields of the answer.
 
-        An answer that rests on what is not planned or not written yet waits for it:
-        better than a further beat. Raises OSError, Refused.
+        An answer that depends on what is not planned or not stored yet waits for it:
+        that is sooner than with the member's next heartbeat.
+
+        Raises:
+            LeaseRejectedError: The member's lease is another's.
+            RequestError: An extension rejects the heartbeat.
+            OSError: What the answer would say could not be stored.
         """
-        now_us, parts = self.context.now_us(), dict[str, Any]()
+        now_us = self.context.now_us()
         lease = self.table.read(MEMBER_LEASE_PREFIX + name)
-        if (
-            lease is None or lease.token != token
-        ):  # another took its place while it waited for the disk
+        if lease is None or lease.token != token:
+            # Another took its place while the lease's record was written.
             raise LeaseRejectedError(
                 409,
                 [f"token: the lease on {name} is another's"],
                 lease.token if lease else token,
             )
         results = [
-            dispatch_heartbeat(rider, now_us, lease.expires_at_us, name, token, body)
-            for rider in self.extensions.values()
+            dispatch_heartbeat(
+                extension, now_us, lease.expires_at_us, name, token, body
+            )
+            for extension in self.extensions.values()
         ]
-        if any(h.plan_soon for h in results):
+        if any(result.plan_soon for result in results):
             self.plan_scheduler.schedule_soon()
-        if any(h.waits_for_plan for h in results):
+        if any(result.waits_for_plan for result in results):
             await asyncio.wait(
                 {self.plan_scheduler.next_plan_written()}, timeout=PLAN_WAIT_TIMEOUT_S
             )
-        for h in results:
-            parts.update(h.answer_fields())
-        return parts
+        fields: dict[str, Any] = {}
+        for result in results:
+            fields.update(result.answer_fields())
+        return fields
 
     async def apply_rows(self, name: str, make: Callable[[int], list[Row]]) -> None:
-        """Rows that a call brings a rider (an operator's map), made between two plans,
-        never on top of one, and kept. Raises what `make` raises, and Full, OSError
-        where they are not kept.
+        """Make and store rows of an extension, such as a map that an operator sent.
+
+        They are made when no plan is in flight.
+
+        Raises:
+            QueueFullError: Too much waits to be written.
+            OSError: The rows could not be stored.
+            Exception: What `make` raises.
         """
-        if (
-            self.group_commit.closed
-            or len(self.group_commit.queue) >= self.group_commit.max_queued
-        ):
+        if self.group_commit.full:
             raise QueueFullError
         while self.plan_scheduler.plan_in_flight is not None:
             await asyncio.wait({self.plan_scheduler.plan_in_flight})
-        if rows := [(name, row) for row in make(self.context.now_us())]:
+        rows = [(name, row) for row in make(self.context.now_us())]
+        if rows:
             await asyncio.shield(self.plan_scheduler.write_plan(rows))
 
     def frozen_us(self, now_us: int) -> int:
-        """For how long nothing is divided anew, at the least; 0: it may be."""
+        """For how long at least nothing is divided anew; 0 if it may be now."""
         return max(self.roster.frozen_until_us(now_us) - now_us, 0)
 
-    # -- the log
-    # ---------------------------------------------------------------------------------------
-
     async def _write_batch(self, batch: list[QueuedItem[TaggedRows]]) -> None:
-        rows = [row for asked in batch for row in asked.item]
+        rows = [row for queued in batch for row in queued.item]
         try:
             if rows:
                 await asyncio.to_thread(self.fleet_log.append, rows)
         except OSError as error:
             self.context.metrics.write_failures += 1
-            log.error("fleet not kept", extra={"why": str(error)})
-            for part, row in rows:
-                self.table.abandon(row) if part == LEASE_TABLE else self.extensions[
-                    part
-                ].abandon(row)
-            for asked in batch:
-                asked.resolve(error)
+            log_write_failure("fleet not kept", error)
+            self._abandon(rows)
+            for queued in batch:
+                queued.resolve(error)
             self.plan_scheduler.schedule_when_due(RETRY_DELAY_S)
             return
-        for part, row in rows:
-            with self._log_failures(part):
-                self._commit_lease(row) if part == LEASE_TABLE else self.extensions[
-                    part
-                ].commit(self.context.now_us(), row)
+        self._commit(rows)
         self._announce_changes(rows)
-        for asked in batch:
-            asked.resolve(None)
+        for queued in batch:
+            queued.resolve(None)
         if rows:
             self.plan_scheduler.schedule_when_due()
         if self.fleet_log.compaction_due():
             await self._compact_log()
 
+    def _commit(self, rows: TaggedRows) -> None:
+        for part, row in rows:
+            with self._log_failures(part):
+                if part == LEASE_TABLE:
+                    self._commit_lease(row)
+                else:
+                    self.extensions[part].commit(self.context.now_us(), row)
+
+    def _abandon(self, rows: TaggedRows) -> None:
+        for part, row in rows:
+            if part == LEASE_TABLE:
+                self.table.abandon(row)
+            else:
+                self.extensions[part].abandon(row)
+
     async def _compact_log(self) -> None:
-        parts = {
-            LEASE_TABLE: self.table.snapshot(),
-            **{n: r.snapshot() for n, r in self.extensions.items()},
-        }
+        parts = {LEASE_TABLE: self.table.snapshot()}
+        for name, extension in self.extensions.items():
+            parts[name] = extension.snapshot()
         try:
             await asyncio.to_thread(self.fleet_log.compact, parts)
         except OSError as error:
             self.context.metrics.write_failures += 1
-            log.error("fleet log not written anew", extra={"why": str(error)})
+            log_write_failure("fleet log not written anew", error)
 
     def _commit_lease(self, record: Record) -> None:
-        name, now_us = str(record.get("name", "")), self.context.now_us()
+        """Put a stored record in force, and tell the extensions of members."""
+        name = str(record.get("name", ""))
+        now_us = self.context.now_us()
         before = self.table.read(name)
         self.roster.commit(record)
         self._announce_epoch(self.table.epoch)
@@ -282,31 +311,41 @@
             self._raise_list_fence(self.table.epoch)
         if not name.startswith(MEMBER_LEASE_PREFIX):
             return
-        after, member = self.table.read(name), name[len(MEMBER_LEASE_PREFIX) :]
+        after = self.table.read(name)
         log.info("lease", extra={"record": record})
-        for extension in self.extensions.values():
-            if record["kind"] == "grant" and after is not None:
-                expired = before is not None and now_us >= before.expires_at_us
-                if before is not None and expired:
-                    extension.lease_expired(now_us, before.token)
-                extension.member_joined(
-                    now_us,
-                    member,
-                    after.token,
-                    None if before is None or expired else before.token,
-                )
-            elif record["kind"] == "end" and before is not None:
-                (
-                    extension.member_ended
-                    if record["why"] == "released"
-                    else extension.lease_expired
-                )(now_us, before.token)
+        if record["kind"] == "grant" and after is not None:
+            member_name = name.removeprefix(MEMBER_LEASE_PREFIX)
+            self._announce_join(member_name, before, after, now_us)
+        elif record["kind"] == "end" and before is not None:
+            was_released = record["why"] == "released"
+            self._announce_end(before.token, was_released, now_us)
         self._announce_resumed_member(record, now_us)
         self.plan_scheduler.schedule_soon()
 
+    def _announce_join(
+        self, name: str, before: Lease | None, after: Lease, now_us: int
+    ) -> None:
+        """Tell the extensions of a member, and of the lease that it replaces."""
+        replaced = before.token if before is not None else None
+        is_expired = before is not None and now_us >= before.expires_at_us
+        for extension in self.extensions.values():
+            if replaced is not None and is_expired:
+                extension.lease_expired(now_us, replaced)
+            extension.member_joined(
+                now_us, name, after.token, None if is_expired else replaced
+            )
+
+    def _announce_end(self, token: Token, was_released: bool, now_us: int) -> None:
+        for extension in self.extensions.values():
+            if was_released:
+                extension.member_ended(now_us, token)
+            else:
+                extension.lease_expired(now_us, token)
+
     def _announce_resumed_member(self, record: Record, now_us: int) -> None:
-        """What a join said of the process before it stands beside the lease's record,
-        for riders alone.
+        """Tell the extensions what a join said of the process before it.
+
+        This stands beside the lease's own fields in its record.
         """
         name = str(record.get("name", ""))[len(MEMBER_LEASE_PREFIX) :]
         member = self.roster.members.get(name)
@@ -315,8 +354,8 @@
             and member is not None
             and member.token.number == record["n"]
         ):
-            for riding in self._base_extensions():
-                riding.member_resumed(
+            for extension in self._base_extensions():
+                extension.member_resumed(
                     now_us,
                     name,
                     member.token,
@@ -327,35 +366,34 @@
     def _announce_epoch(self, epoch: int) -> None:
         if epoch > self._announced_epoch:
             self._announced_epoch = epoch
-            for riding in self._base_extensions():
-                riding.epoch_raised(epoch)
+            for extension in self._base_extensions():
+                extension.epoch_raised(epoch)
 
     def _base_extensions(self) -> list[BaseHeartbeatExtension]:
         return [
-            rider
-            for rider in self.extensions.values()
-            if isinstance(rider, BaseHeartbeatExtension)
+            extension
+            for extension in self.extensions.values()
+            if isinstance(extension, BaseHeartbeatExtension)
         ]
 
     @contextlib.contextmanager
     def _log_failures(self, part: str) -> Iterator[None]:
-        """A fault in one part must not keep the others' rows, or the ends of leases,
-        from being taken.
+        """Log any error of one part, and go on.
+
+        It must not keep the rows of other parts, or the ends of leases, from being
+        committed.
         """
         try:
             yield
-        except Exception:
+        except Exception:  # Whatever has failed; see above.
             log.exception("a part of the fleet failed", extra={"part": part})
 
-    # -- time
-    # ------------------------------------------------------------------------------------------
-
     def _next_us(self) -> int | None:
         due = (
             self.roster.next_tick_us(),
-            *(rider.next_us() for rider in self.extensions.values()),
+            *(extension.next_us() for extension in self.extensions.values()),
         )
-        return min((at for at in due if at is not None), default=None)
+        return min((at_us for at_us in due if at_us is not None), default=None)
 
     def _expired_lease_rows(self) -> TaggedRows:
         ends: TaggedRows = [
@@ -367,7 +405,8 @@
     def _plan_rows(self) -> TaggedRows:
         rows: TaggedRows = []
         now_us = self.context.now_us()
-        frozen, members = self.frozen_us(now_us) > 0, self.roster.active_members()
+        frozen = self.frozen_us(now_us) > 0
+        members = self.roster.active_members()
         for name, extension in self.extensions.items():
             with self._log_failures(name):
                 rows.extend(
@@ -375,63 +414,57 @@
                 )
         return rows
 
-    # -- who watches
-    # -----------------------------------------------------------------------------------
-
     def _announce_changes(self, rows: TaggedRows | None = None) -> None:
-        """A new version where what members would be told has changed, for those whom it
-        concerns.
-        """
-        current, concerned = (self.roster.epoch, self.roster.version), set[str]()
-        has_changes, concerns_all = (
-            current != self._announced_version,
-            current != self._announced_version,
-        )
-        self._announced_version = current
+        """Raise the version if members have something to learn, and wake watchers."""
+        list_version = self._list_version()
+        has_changes = list_version != self._announced_version
+        concerns_all = has_changes
+        concerned: set[str] = set()
+        self._announced_version = list_version
         for part, row in rows or ():
             if part == LEASE_TABLE:
                 continue
-            has_changes, extension = True, self.extensions[part]
-            names = (
-                extension.concerned_members(row)
-                if isinstance(extension, BaseHeartbeatExtension)
-                else None
-            )
+            has_changes = True
+            names = self._concerned_members(part, row)
             concerned.update(names or ())
             concerns_all = concerns_all or names is None
         if has_changes:
             self.watchers.notify(None if concerns_all else concerned)
 
+    def _list_version(self) -> tuple[int, int]:
+        return self.roster.epoch, self.roster.version
+
+    def _concerned_members(self, part: str, row: Row) -> Collection[str] | None:
+        extension = self.extensions[part]
+        if isinstance(extension, BaseHeartbeatExtension):
+            return extension.concerned_members(row)
+        return None
+
     def _stop(self) -> None:
         self.plan_scheduler.stop()
         self.watchers.stop()
 
     def _raise_table_epoch(self, fence: int) -> None:
-        """An operator raised the fence: tokens are granted from there on."""
+        """Grant tokens past the list's fence, which an operator has raised."""
         if fence > self.table.epoch:
             record = self.table.observe_token(Token(fence - 1, VERSION_LIMIT - 1))
             if record is not None:
                 self.group_commit.add([(LEASE_TABLE, record)], bounded=False)
 
     def _raise_list_fence(self, fence: int) -> None:
-        """The list's folder knows it too: a help for a start without this log, and no
-        more than that.
-        """
+        """Store the epoch as the list's fence too, for a start without this log."""
 
-        async def lift() -> None:
-            with contextlib.suppress(
-                OSError, QueueFullError
-            ):  # counted and logged by the writer
+        async def raise_fence() -> None:
+            # The writer counts and logs these errors.
+            with contextlib.suppress(OSError, QueueFullError):
                 await self.context.raise_fence(fence - 1)
 
-        task = asyncio.ensure_future(lift())
+        task = asyncio.ensure_future(raise_fence())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # -- figures
-    # --------------------------------------------------------------------------------------
-
     def gauges(self) -> dict[str, int]:
+        """The fleet's gauges, by the name that is sent."""
         states = [member.state for member in self.roster.active_members()]
         return {
             "fleet_epoch": self.table.epoch,
--- a/rainfall/registry/group_commit.py
+++ b/rainfall/registry/group_commit.py
@@ -1,8 +1,7 @@
-"""Group sync: one task takes whatever was asked since its last round, writes it, and
-then tells it.
+"""Group commit: one task writes all that was queued since its last batch, with one sync.
 
-Nothing is told before it is on disk: not a change, not that a change alters nothing
-beside one that waits, and no refusal that rests on one that waits.
+No outcome is reported before the batch is stored: not a change, not that a change alters
+nothing, and no rejection, since any of these may rest on a change that waits.
 """
 
 from __future__ import annotations
@@ -11,32 +10,30 @@
 import logging
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
-from typing import Any, Generic, TypeVar
+from typing import Any, Generic, NamedTuple, TypeVar
 
 from rainfall.errors import RainfallError
 from rainfall.registry.endpoint_registry import Change, EndpointRegistry, PendingChanges
 from rainfall.registry.request_error import RequestError
-from rainfall.registry.storage import Storage
+from rainfall.registry.storage import Storage, log_write_failure
 
 T = TypeVar("T")
 log = logging.getLogger("rainfall.registry")
 
 
 class QueueFullError(RainfallError):
-    """Too much waits already."""
+    """Too much waits to be written."""
 
 
 class OutcomeUnknownError(RainfallError):
-    """The process ends before the disk has answered: what was asked may be kept, or
-    not.
-    """
+    """The process ends before the disk has answered: the write may be stored, or not."""
 
 
 @dataclass(slots=True)
 class QueuedItem(Generic[T]):
-    """One thing that waits, and where its outcome is told.
+    """One item that waits, and the future of its outcome.
 
-    Whoever waits may have left meanwhile.
+    The caller may have given up waiting meanwhile.
     """
 
     item: T
@@ -45,37 +42,52 @@
     )
 
     def resolve(self, outcome: Any) -> None:
+        """Set the outcome, or raise it at the caller if it is an error."""
         if self.outcome.done():
             return
         if isinstance(outcome, BaseException):
             self.outcome.set_exception(outcome)
-            # seen: its asker may have left, and the loop would complain of that
+            # Marks the error as retrieved: the caller may have given up waiting, and
+            # the event loop would log that.
             self.outcome.exception()
         else:
             self.outcome.set_result(outcome)
 
 
 class GroupCommit(Generic[T]):
-    """`write` is given all that came since the last round, in order; it tells each."""
+    """Batches items, in the order they came.
+
+    `write_batch` writes a batch and resolves each of its items.
+    """
 
     def __init__(
         self,
         write_batch: Callable[[list[QueuedItem[T]]], Awaitable[None]],
         max_queued: int,
     ) -> None:
-        self.write_batch, self.max_queued, self.closed = write_batch, max_queued, False
+        self.write_batch = write_batch
+        self.max_queued = max_queued
+        self.closed = False
         self.queue: list[QueuedItem[T]] = []
         self.batch: list[QueuedItem[T]] = []
         self.wakeup = asyncio.Event()
         self.task = asyncio.get_running_loop().create_task(self._run())
 
+    @property
+    def full(self) -> bool:
+        """Whether nothing more is accepted."""
+        return self.closed or len(self.queue) >= self.max_queued
+
     def add(self, item: T, bounded: bool = True) -> asyncio.Future[Any]:
-        """Raises Full (never where not `bounded`).
+        """Queue an item, and return the future of its outcome.
 
-        Whoever awaits the future shields it: what was asked is done though its asker
-        left.
+        The caller awaits it in `asyncio.shield`, so that the item is written even if
+        the caller gives up waiting.
+
+        Raises:
+            QueueFullError: Too much waits; not raised unless `bounded`.
         """
-        if bounded and (self.closed or len(self.queue) >= self.max_queued):
+        if bounded and self.full:
             raise QueueFullError
         queued = QueuedItem(item)
         self.queue.append(queued)
@@ -83,25 +95,27 @@
         return queued.outcome
 
     async def finish(self, within_s: float) -> bool:
-        """Take no more, and write what waits; False where it is not done in time."""
+        """Accept no more, and write what waits; False if that takes too long."""
         self.closed = True
         self.wakeup.set()
         await asyncio.wait({self.task}, timeout=within_s)
-        for queued in () if self.task.done() else (*self.batch, *self.queue):
+        if self.task.done():
+            return True
+        for queued in (*self.batch, *self.queue):
             queued.resolve(OutcomeUnknownError())
-        return self.task.done()
+        return False
 
     async def _run(self) -> None:
         while self.queue or not self.closed:
             await self.wakeup.wait()
             if not self.closed:
                 self.wakeup.clear()
-            self.batch, self.queue = self.queue, []
+            self.batch = self.queue
+            self.queue = []
             try:
                 await self.write_batch(self.batch)
-            except (
-                Exception
-            ) as error:  # a fault of ours must not leave its askers waiting for good
+            except Exception as error:
+                # Whatever has failed, the callers must not wait forever.
                 log.exception("a round failed")
                 for queued in self.batch:
                     queued.resolve(error)
@@ -110,18 +124,22 @@
 
 @dataclass(slots=True)
 class ChangeRequest:
-    """A change to be made once its turn comes, from what is then in force and pending.
-
-    `alone` begins a new epoch or fence: what comes after it is checked against what it
-    left.
-    """
+    """A change that waits for its turn."""
 
     prepare: Callable[[PendingChanges], Change | int]
+    """Makes the change, given those before it that are not stored yet."""
     exclusive: bool = False
+    """Whether it is stored before the next one is prepared: a new epoch, or fence."""
+
+
+class _PreparedChange(NamedTuple):
+    queued: QueuedItem[ChangeRequest]
+    outcome: Change | int | RequestError
+    """A change to be stored, the version in force, or the reason of a rejection."""
 
 
 class ChangeWriter:
-    """The only one who changes the registry and writes its log."""
+    """The only writer of the endpoint registry and of its log."""
 
     def __init__(
         self,
@@ -131,69 +149,82 @@
         on_stored: Callable[[list[Change]], None],
         on_failed: Callable[[OSError], None],
     ) -> None:
-        self.storage, self.registry, self.on_stored, self.on_failed = (
-            storage,
-            registry,
-            on_stored,
-            on_failed,
-        )
+        self.storage = storage
+        self.registry = registry
+        self.on_stored = on_stored
+        self.on_failed = on_failed
         self.group_commit: GroupCommit[ChangeRequest] = GroupCommit(
             self._write_batch, max_queued
         )
 
     async def submit(self, request: ChangeRequest) -> Change | int:
-        """The change made, on disk; or the version in force.
+        """The change, once it is stored; or the version in force.
 
-        Raises Full, Refused, OSError.
+        Raises:
+            QueueFullError: Too much waits to be written.
+            RequestError: The change is rejected.
+            OSError: The change could not be stored.
         """
         outcome: Change | int = await asyncio.shield(self.group_commit.add(request))
         return outcome
 
     async def _write_batch(self, batch: list[QueuedItem[ChangeRequest]]) -> None:
-        pending, outcomes = (
-            PendingChanges(self.registry.seq),
-            list[tuple[QueuedItem[ChangeRequest], Change | int | RequestError]](),
-        )
+        pending = PendingChanges(self.registry.seq)
+        prepared: list[_PreparedChange] = []
         for queued in batch:
             if queued.item.exclusive:
-                await self._store(outcomes)
-                pending, outcomes = PendingChanges(self.registry.seq), []
-            try:
-                outcomes.append((queued, queued.item.prepare(pending)))
-            except RequestError as error:
-                outcomes.append((queued, error))
+                await self._store(prepared)
+                pending = PendingChanges(self.registry.seq)
+                prepared = []
+            prepared.append(_prepare(queued, pending))
             if queued.item.exclusive:
-                await self._store(outcomes)
-                pending, outcomes = PendingChanges(self.registry.seq), []
-        await self._store(outcomes)
-
-    async def _store(
-        self,
-        outcomes: list[tuple[QueuedItem[ChangeRequest], Change | int | RequestError]],
-    ) -> None:
-        changes = [outcome for _, outcome in outcomes if isinstance(outcome, Change)]
+                await self._store(prepared)
+                pending = PendingChanges(self.registry.seq)
+                prepared = []
+        await self._store(prepared)
+
+    async def _store(self, prepared: list[_PreparedChange]) -> None:
+        """Store the changes, put them in force, and resolve all that was prepared."""
+        changes = [outcome for _, outcome in prepared if isinstance(outcome, Change)]
         if changes:
             try:
                 await asyncio.to_thread(self.storage.append_changes, changes)
             except OSError as error:
                 self.on_failed(error)
-                log.error("changes not kept", extra={"why": str(error)})
-                # from the first lost change on, each outcome rests on what is not there
-                depends_on_lost_change = False
-                for queued, outcome in outcomes:
-                    depends_on_lost_change = depends_on_lost_change or isinstance(
-                        outcome, Change
-                    )
-                    queued.resolve(error if depends_on_lost_change else outcome)
+                log_write_failure("changes not kept", error)
+                _resolve_after_failure(prepared, error)
                 return
             for change in changes:
                 self.registry.commit(change)
             self.on_stored(changes)
-        for queued, outcome in outcomes:
+        for queued, outcome in prepared:
             queued.resolve(outcome)
         if changes and self.storage.snapshot_due():
-            try:
-                await asyncio.to_thread(self.storage.write_snapshot, self.registry)
-            except OSError as error:
-                self.on_failed(error)
-                log.error("snapshot not written", extra={"why": str(error)})
+            await self._write_snapshot()
+
+    async def _write_snapshot(self) -> None:
+        try:
+            await asyncio.to_thread(self.storage.write_snapshot, self.registry)
+        except OSError as error:
+            self.on_failed(error)
+            log_write_failure("snapshot not written", error)
+
+
+def _prepare(
+    queued: QueuedItem[ChangeRequest], pending: PendingChanges
+) -> _PreparedChange:
+    try:
+        return _PreparedChange(queued, queued.item.prepare(pending))
+    except RequestError as error:
+        return _PreparedChange(queued, error)
+
+
+def _resolve_after_failure(prepared: list[_PreparedChange], error: OSError) -> None:
+    """Resolve all, with the error from the first lost change on.
+
+    Every outcome after that change was prepared as if the change were in force.
+    """
+    depends_on_lost_change = False
+    for queued, outcome in prepared:
+        depends_on_lost_change = depends_on_lost_change or isinstance(outcome, Change)
+        queued.resolve(error if depends_on_lost_change else outcome)
--- a/rainfall/registry/heartbeat_extension.py
+++ b/rainfall/registry/heartbeat_extension.py
@@ -1,5 +1,7 @@
-"""What may ride on a member's beat: budgets, the shard map, whatever else rests on who
-is in force.
+"""Heartbeat extensions: parts of the fleet that exchange data in members' heartbeats.
+
+Budgets and the shard map are extensions. Each has its own fields in a heartbeat and its
+answer, its own rows in `fleet.log`, and learns who is a member.
 """
 
 from __future__ import annotations
@@ -12,47 +14,49 @@
 from rainfall.member.roster import Member
 
 Row = dict[str, Any]
-"""One change of a rider as it goes to `fleet.log`: a plain object for JSON."""
+"""One change of an extension as it is stored in `fleet.log`: a plain object for JSON."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatResult:
-    """What a beat comes to at one rider."""
+    """What one heartbeat leads to at one extension."""
 
     plan_soon: bool
-    """`plan` is asked soon."""
+    """Whether `plan` is to be called soon."""
     waits_for_plan: bool
-    """The answer waits until the next plan was made and written, or a second has
-    gone.
-    """
+    """Whether the answer waits until the next plan is stored, or a second is over."""
     answer_fields: Callable[[], dict[str, Any]]
-    """The rider's part of the answer to this very beat, by key. Raises OSError where
-    what it would tell is not on disk: the beat is answered 507, and comes again.
+    """Makes the extension's fields of the answer to this heartbeat.
+
+    Raises OSError if what the answer would say is not stored: the heartbeat is answered
+    507, and the member sends another.
     """
 
 
 class HeartbeatExtension(Protocol):
-    """Called from the service's loop only; times are its own clock's.
+    """What the fleet asks of each extension, from the event loop alone.
 
-    Nothing a rider decides is told before the rows of it are on disk: it makes rows in
-    `plan`, and changes what it tells in `commit`.
+    Times are microseconds of the service's monotonic clock. Nothing that an extension
+    decides is sent before it is stored: `plan` makes rows, and `commit` changes what is
+    sent.
     """
 
     name: str
-    """Of its rows on disk; never changed."""
+    """The part of its rows in `fleet.log`; never changed."""
 
     def restore(
         self, now_us: int, state_complete: bool, snapshot: Row | None, rows: list[Row]
     ) -> None:
-        """Once, at the start.
+        """Called once, at the start.
 
-        `sure`: the folder is whole as the last process left it. Raises KeyError,
-        TypeError or ValueError where the rows are none of its own.
+        `state_complete` says that the log is as the last process left it. Raises
+        KeyError, TypeError or ValueError if the rows are not the extension's.
         """
 
     def find_faults(self, beat: Mapping[str, Any]) -> list[str]:
-        """All faults of its part of a beat, each with its path; nothing is changed
-        where anyone has one.
+        """All faults of its fields in a heartbeat, each with its path.
+
+        The heartbeat changes nothing if any extension finds a fault.
         """
 
     def member_joined(
@@ -60,93 +64,95 @@
     ) -> None:
         """A member is in force from now on.
 
-        `follows`: the same member's token that this one replaces while its lease was
-        not out; the process that had it acts under it no more.
+        `follows` is the same member's token that this one replaces before its lease has
+        expired; the process that had it does nothing more under it.
         """
 
     def on_heartbeat(
         self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
     ) -> bool:
-        """A member in force has beaten; `beat` is the whole body, checked.
+        """A member in force has sent a heartbeat; `beat` is its checked body.
 
-        True: `plan` is asked soon.
+        Returns whether `plan` is to be called soon.
         """
 
     def answer_fields(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
-        """Its part of the answer, by key."""
+        """Its fields of the answer."""
 
     def lease_expired(self, now_us: int, token: Token) -> None:
-        """The lease is surely out on every clock: nothing more is done under this
-        token.
-        """
+        """The lease has expired on every clock: nothing more is done under the token."""
 
     def member_ended(self, now_us: int, token: Token) -> None:
-        """The member itself said that it does nothing more under this token."""
+        """The member itself said that it does nothing more under the token."""
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
-        """What is to change, to be written.
+        """The rows that are to be stored now.
 
-        Not asked again before all rows of the last plan were committed or abandoned.
-        `frozen`: after a mass loss or a start; nothing is divided anew among members,
-        though what makes things safer may go on.
+        Not called again before each row of the last plan was committed or abandoned.
+        `frozen` is set for a time after a start, or after many members were lost:
+        nothing is then divided anew among members, though what makes things safer goes
+        on.
         """
 
     def commit(self, now_us: int, row: Row) -> None:
-        """A row is on disk: from now on it holds, and may be told."""
+        """A row is stored: it is in force from now on, and may be sent."""
 
     def abandon(self, row: Row) -> None:
-        """A row could not be written, and does not hold."""
+        """A row could not be stored, and is not in force."""
 
     def next_us(self) -> int | None:
-        """When `plan` has something to do though nobody beats; None where only a beat
-        can bring it.
-        """
+        """When `plan` has something to do without a heartbeat; None: only with one."""
 
     def snapshot(self) -> Row:
         """All that is committed."""
 
 
 class BaseHeartbeatExtension(HeartbeatExtension):
-    """A rider that asks for more than members' lives.
+    """An extension that learns more than who is a member.
 
-    Each of these has a default that asks for nothing.
+    Its further methods have defaults that do nothing.
     """
 
     def handle_heartbeat(
         self,
         now_us: int,
-        until_us: int,
+        _until_us: int,
         name: str,
         token: Token,
         beat: Mapping[str, Any],
     ) -> HeartbeatResult:
-        """In place of `beat` and `told`, where an answer must be that of one beat.
+        """Handle a heartbeat whose answer has to be that of this very heartbeat.
 
-        `until_us`: the lease is surely out then. May raise bodies.Refused: the beat
-        renewed the lease, and did nothing else.
+        Called in place of `on_heartbeat` and `answer_fields`. The second argument is
+        when the lease has expired on every clock. May raise RequestError: the heartbeat
+        has renewed the lease, and does nothing else.
         """
+        plan_soon = self.on_heartbeat(now_us, name, token, beat)
         return HeartbeatResult(
-            self.on_heartbeat(now_us, name, token, beat),
-            False,
-            lambda: self.answer_fields(now_us, name, token),
+            plan_soon, False, lambda: self.answer_fields(now_us, name, token)
         )
 
     def on_heartbeat(
-        self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
+        self, _now_us: int, _name: str, _token: Token, _beat: Mapping[str, Any]
     ) -> bool:
+        """By default nothing is to be planned."""
         return False
 
-    def answer_fields(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
+    def answer_fields(self, _now_us: int, _name: str, _token: Token) -> dict[str, Any]:
+        """By default the answer has no further fields."""
         return {}
 
     def epoch_raised(self, epoch: int) -> None:
-        """The epoch of tokens given from now on: once before `restored`, and whenever
-        it rises.
+        """The epoch of tokens granted from now on.
+
+        Called once before `restore`, and whenever the epoch rises.
         """
 
     def service_started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
-        """Once, after `restored`: who is in force, as if renewed now, and when each
-        lease is surely out.
+        """Called once, after `restore`.
+
+        Each member in force comes with the time when its lease has expired on every
+        clock, as if it were renewed now.
         """
 
     def member_resumed(
@@ -157,15 +163,15 @@
         previous_token: Token,
         kept_reserves: Mapping[str, int],
     ) -> None:
-        """After `joined`, also after a start again: the same process, or the one whose
-        folder it took over under lock, was known by the token `shown` before, and keeps
-        so much of each reserve from then.
-        """
+        """A member is the process, or its successor, that had `previous_token`.
 
-    def concerned_members(self, row: Row) -> Collection[str] | None:
-        """Names of the members who are told something new by a row just committed;
-        None: all.
+        Called after `member_joined`, and again after a restart of the service. A
+        successor has taken over the state folder under its lock. `kept_reserves` is
+        what it uses of each reserve from before, by destination.
         """
+
+    def concerned_members(self, _row: Row) -> Collection[str] | None:
+        """The names of members to whom a committed row says something new; None: all."""
         return None
 
 
@@ -177,11 +183,10 @@
     token: Token,
     beat: Mapping[str, Any],
 ) -> HeartbeatResult:
-    """A beat at any rider."""
+    """Let an extension of either kind handle a heartbeat."""
     if isinstance(extension, BaseHeartbeatExtension):
         return extension.handle_heartbeat(now_us, until_us, name, token, beat)
+    plan_soon = extension.on_heartbeat(now_us, name, token, beat)
     return HeartbeatResult(
-        extension.on_heartbeat(now_us, name, token, beat),
-        False,
-        lambda: extension.answer_fields(now_us, name, token),
+        plan_soon, False, lambda: extension.answer_fields(now_us, name, token)
     )
--- a/tests/registry/test_fleet_coordinator.py
+++ b/tests/registry/test_fleet_coordinator.py
@@ -11,7 +11,7 @@
 import pytest
 
 from rainfall.lease.types import LeaseSettings
-from rainfall.registry import fleet_coordinator, fleet_log
+from rainfall.registry import fleet_coordinator, fleet_log, plan_scheduler
 from rainfall.registry.server import RegistryServer
 from rainfall.registry.storage import RecordLog
 from tests.registry.test_service_limits import Clock, Run, play, until
@@ -126,7 +126,7 @@
         for calls in (8, 9):  # the second while the first one's plan is being written
             await beat(run, "f1", tokens[0], calls=calls)
             await until(lambda: tally.flying == 1)
-            await asyncio.sleep(2 * fleet_coordinator.PLAN_DELAY_S)
+            await asyncio.sleep(2 * plan_scheduler.PLAN_DELAY_S)
         decided = asyncio.ensure_future(
             run.service.fleet.apply_rows(
                 "tally", lambda _: [] if tally.flying else [{"name": "x", "calls": 1}]
