--- a/rainfall/registry/budget_extension.py
+++ b/rainfall/registry/budget_extension.py
@@ -1,16 +1,15 @@
-"""Budgets on the beats: what members need and hold goes to the ledger, their shares
-come back from it.
+"""Budgets in heartbeats: members report demand and held shares, and receive shares.
 
-The ledger (`budget/`) decides the division and keeps it within the whole; here its
-changes are written before they are told, its configuration is kept with them, and it is
-asked again when something falls due.
+`budget.ledger` decides how a budget's total is divided and keeps the shares within it.
+This extension stores the ledger's changes before they are sent, keeps the configuration
+with them, and calls the ledger again when something is due.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Collection, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.budget import config, persistence
 from rainfall.budget.account import BudgetAccounts
@@ -25,62 +24,82 @@
     Row,
 )
 
-CHECKS_PER_WINDOW = 8  # of a span: so often is looked for what came free ...
-MIN_CHECK_INTERVAL_US, MAX_CHECK_INTERVAL_US = 50_000, 1_000_000  # ... within these
+CHECKS_PER_WINDOW = 8
+"""How often in a budget's window the ledger looks for calls that have become free."""
+MIN_CHECK_INTERVAL_US = 50_000
+MAX_CHECK_INTERVAL_US = 1_000_000
+RESTART_VERSION_SHIFT = 20
+"""The budgets' version is at least the epoch times 2 to this power.
+
+So it never repeats one from a state folder that was lost.
+"""
+UNLIMITED_WINDOW_US = 1 << 62
+US_PER_MS = 1_000
 log = logging.getLogger("rainfall.registry")
 
 
+class _ReportedState(NamedTuple):
+    """What a member's last heartbeat said of budgets."""
+
+    demand: dict[str, dict[str, int]]
+    """Calls needed, by destination and part."""
+    held_shares: dict[str, tuple[int, int]]
+    """Calls and number of the share that the member uses, by destination."""
+
+
 class BudgetExtension(BaseHeartbeatExtension):
-    """`lease_us`: the longest lease there may be.
+    """The budgets of the fleet.
 
-    Budgets are put in force by a row that `configured` makes, through `Fleet.decide`;
-    they go on over restarts, with all that was granted.
+    `lease_us` is the longest lease there may be. Budgets are put in force by the rows
+    of `config_rows`, and stay in force over restarts, with all that was granted.
     """
 
     name = "budgets"
 
     def __init__(self, lease_us: int, drift: float) -> None:
-        self.lease_us, self.drift = lease_us, drift
+        self.lease_us = lease_us
+        self.drift = drift
         self.raw_budgets: list[dict[str, Any]] = []
-        """What is in force, as it was written."""
+        """The budgets in force, as they were written."""
         self.version = 0
         self.source = ""
-        """Where it came from: `file` or `hand`."""
+        """Where they came from: `file` or `hand`."""
         self.last_file_budgets: list[dict[str, Any]] | None = None
-        """What was last taken from the file: it counts again at a start only if it is
-        another then.
+        """The budgets last taken from the file.
+
+        At a start the file is only taken if it differs from them.
         """
         self.ledger = Ledger((), lease_us, drift, 0)
         self._epoch = 0
         self._now_us = 0
         self._next_check_us: int | None = None
-        # What each member said last and the ledger has. Forgotten where that may mean
-        # something else now.
-        self._last_heartbeats: dict[Token, tuple[Any, Any]] = {}
-        self._config_pending = (
-            False  # budgets were put in force, and no plan by them is on disk yet
-        )
+        self._last_reports: dict[Token, _ReportedState] = {}
+        """What each member reported last, and the ledger knows.
 
-    # -- the start
-    # -------------------------------------------------------------------------------------
+        Removed where the same report may mean something else now.
+        """
+        self._config_pending = False
+        """Whether budgets were put in force, and no plan for them is stored yet."""
 
     def epoch_raised(self, epoch: int) -> None:
+        """See `BaseHeartbeatExtension`."""
         self._epoch = epoch
 
     def restore(
         self, now_us: int, state_complete: bool, snapshot: Row | None, rows: list[Row]
     ) -> None:
+        """Restore the configuration and the ledger; see `HeartbeatExtension`."""
         self._now_us = now_us
         configs = [] if snapshot is None else [snapshot]
         configs += [row for row in rows if "config" in row]
         histories = [config.parse_budgets(row["config"]) for row in configs]
         for row in configs:
             self._apply_config(row)
-        steady = _unchanged_budgets(
+        unchanged = _unchanged_budgets(
             histories, self.drift, snapshot["opening"] if snapshot else ()
         )
         self.ledger = persistence.restore(
-            steady,
+            unchanged,
             self.lease_us,
             self.drift,
             now_us,
@@ -88,34 +107,34 @@
             [row for row in rows if "budgets" in row],
             state_complete,
         )
-        # Those whose window grew, or that were away, open only a whole window after
-        # this.
+        # A budget whose window grew, or that was not configured for a time, grants
+        # calls only a whole window after this.
         self.ledger.configure(histories[-1] if histories else (), now_us)
 
     def service_started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
+        """See `BaseHeartbeatExtension`."""
         for member, _ in members:
             self.ledger.member_joined(member.token, member.name, None, now_us)
 
-    # -- members
-    # ---------------------------------------------------------------------------------------
-
-    def find_faults(self, beat: Mapping[str, Any]) -> list[str]:
-        found: list[str] = []
-        for name, read in (
-            ("needs", config.parse_demand),
-            ("holds", config.parse_held_shares),
-        ):
-            try:
-                read(beat.get(name, {}))
-            except config.BudgetConfigError as error:
-                found.extend(error.faults)
-        return found
+    def find_faults(self, body: Mapping[str, Any]) -> list[str]:
+        """The faults of `needs` and `holds`."""
+        faults: list[str] = []
+        try:
+            config.parse_demand(body.get("needs", {}))
+        except config.BudgetConfigError as error:
+            faults.extend(error.faults)
+        try:
+            config.parse_held_shares(body.get("holds", {}))
+        except config.BudgetConfigError as error:
+            faults.extend(error.faults)
+        return faults
 
     def member_joined(
-        self, now_us: int, name: str, token: Token, follows: Token | None
+        self, now_us: int, name: str, token: Token, replaced_token: Token | None
     ) -> None:
-        self._last_heartbeats.pop(token, None)
-        self.ledger.member_joined(token, name, follows, now_us)
+        """See `HeartbeatExtension`."""
+        self._last_reports.pop(token, None)
+        self.ledger.member_joined(token, name, replaced_token, now_us)
 
     def member_resumed(
         self,
@@ -125,60 +144,70 @@
         previous_token: Token,
         kept_reserves: Mapping[str, int],
     ) -> None:
-        self._last_heartbeats.pop(token, None)
+        """See `BaseHeartbeatExtension`."""
+        self._last_reports.pop(token, None)
         self.ledger.member_joined(token, name, previous_token, now_us, kept_reserves)
 
     def handle_heartbeat(
         self,
         now_us: int,
-        until_us: int,
-        name: str,
+        _until_us: int,
+        _name: str,
         token: Token,
-        beat: Mapping[str, Any],
+        body: Mapping[str, Any],
     ) -> HeartbeatResult:
-        needs = config.parse_demand(beat.get("needs", {}))
-        holds = config.parse_held_shares(beat.get("holds", {}))
+        """Give the ledger a changed report, and answer with the member's shares."""
+        report = _ReportedState(
+            config.parse_demand(body.get("needs", {})),
+            config.parse_held_shares(body.get("holds", {})),
+        )
         self._now_us = now_us
-        changed = self._last_heartbeats.get(token) != (needs, holds)
+        changed = self._last_reports.get(token) != report
         if changed:
-            self.ledger.heartbeat(token, needs, holds, now_us)
-            self._last_heartbeats[token] = needs, holds
+            self.ledger.heartbeat(token, report.demand, report.held_shares, now_us)
+            self._last_reports[token] = report
         waits = self._config_pending
-        if changed and not waits and needs and self.raw_budgets:
-            told = self.ledger.shares_for(token)
-            waits = any(
-                sum(parts.values()) > told[d].calls
-                if d in told
-                else d in self.ledger.budget_accounts
-                for d, parts in needs.items()
-            )
+        if changed and not waits and report.demand and self.raw_budgets:
+            waits = self._needs_more(token, report.demand)
         return HeartbeatResult(changed, waits, lambda: {"shares": self.shares(token)})
 
+    def _needs_more(self, token: Token, demand: Mapping[str, dict[str, int]]) -> bool:
+        """Whether a member needs more of any budget than its share."""
+        shares = self.ledger.shares_for(token)
+        for destination, parts in demand.items():
+            if destination in shares:
+                if sum(parts.values()) > shares[destination].calls:
+                    return True
+            elif destination in self.ledger.budget_accounts:
+                return True
+        return False
+
     def shares(self, token: Token) -> dict[str, Any]:
+        """The shares of a member as they are sent, by destination."""
         return {
             destination: {
                 "calls": share.calls,
                 "number": share.number,
                 "reserve": share.reserve,
                 "whole": share.whole,
-                "span_ms": share.span_us // 1_000,
-                "slack_ms": share.slack_us // 1_000,
+                "span_ms": share.span_us // US_PER_MS,
+                "slack_ms": share.slack_us // US_PER_MS,
             }
             for destination, share in self.ledger.shares_for(token).items()
         }
 
     def lease_expired(self, now_us: int, token: Token) -> None:
-        self._last_heartbeats.pop(token, None)
+        """See `HeartbeatExtension`."""
+        self._last_reports.pop(token, None)
         self.ledger.lease_expired(token, now_us)
 
     def member_ended(self, now_us: int, token: Token) -> None:
-        self._last_heartbeats.pop(token, None)
+        """See `HeartbeatExtension`."""
+        self._last_reports.pop(token, None)
         self.ledger.process_ended(token, now_us)
 
-    # -- plans
-    # -----------------------------------------------------------------------------------------
-
-    def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
+    def plan(self, now_us: int, frozen: bool, _members: list[Member]) -> list[Row]:
+        """The next change of the ledger, if there is one; see `HeartbeatExtension`."""
         self._now_us = now_us
         change = self.ledger.plan(now_us, frozen)
         if change is None:
@@ -189,51 +218,41 @@
         return [change.to_record()]
 
     def _next_check(self, now_us: int) -> int | None:
-        """While something cools, opens or is missing it is looked at again; at rest
-        only a beat stirs.
-        """
-        spans = [
-            book.budget.span_us
-            for destination, book in self.ledger.budget_accounts.items()
-            if not book.deconfigured
-            and _is_unsettled(book, self.ledger.allocations[destination], now_us)
-        ]
-        ends = sorted(self.ledger.presumed_until_us.values())[:1]
-        return min(
-            [
-                *ends,
-                *(
-                    now_us
-                    + min(
-                        max(span // CHECKS_PER_WINDOW, MIN_CHECK_INTERVAL_US),
-                        MAX_CHECK_INTERVAL_US,
-                    )
-                    for span in spans
-                ),
-            ],
-            default=None,
-        )
+        """When time alone may change something; None if only a heartbeat can."""
+        due_us = list(self.ledger.presumed_until_us.values())
+        for destination, accounts in self.ledger.budget_accounts.items():
+            allocation = self.ledger.allocations[destination]
+            if accounts.deconfigured or not _is_unsettled(accounts, allocation, now_us):
+                continue
+            interval_us = accounts.budget.span_us // CHECKS_PER_WINDOW
+            interval_us = max(interval_us, MIN_CHECK_INTERVAL_US)
+            due_us.append(now_us + min(interval_us, MAX_CHECK_INTERVAL_US))
+        return min(due_us, default=None)
 
     def next_us(self) -> int | None:
+        """See `HeartbeatExtension`."""
         return self._next_check_us
 
     def config_rows(
-        self, now_us: int, raw: list[dict[str, Any]], source: str
+        self, _now_us: int, raw: list[dict[str, Any]], source: str
     ) -> list[Row]:
         """The rows that put checked budgets in force.
 
-        A plan whose write failed is written again before them, since it was made by
-        those before.
+        A plan whose write failed is written again before them, since it was made for
+        the former budgets.
         """
-        first = [] if self.ledger.pending is None else [self.ledger.pending.to_record()]
-        version = max(
-            self.version + 1, self._epoch << 20
-        )  # never one that a lost folder had
-        return [*first, {"config": raw, "version": version, "source": source}]
+        rows: list[Row] = []
+        if self.ledger.pending is not None:
+            rows.append(self.ledger.pending.to_record())
+        version = max(self.version + 1, self._epoch << RESTART_VERSION_SHIFT)
+        rows.append({"config": raw, "version": version, "source": source})
+        return rows
 
     def confirm_processes(self, now_us: int, token: Token | None) -> list[Row]:
-        """The operator's word: the process of this token is surely at its end; None:
-        after a lost folder, all who have a reserve are known.
+        """Rows of what an operator confirms of processes.
+
+        With a token: its process has ended. With None, after a state folder was lost:
+        every process that has a reserve is known.
         """
         if token is None:
             self.ledger.confirm_reserves()
@@ -242,84 +261,90 @@
         return self.plan(now_us, True, [])
 
     def commit(self, now_us: int, row: Row) -> None:
+        """Put a stored change, or a stored configuration, in force."""
         self._now_us = now_us
-        if "config" not in row:
-            change = self.ledger.pending
-            if change is None or change.number != row["budgets"]:
-                raise ValueError("a change that was not planned")
-            self._log_grants(row)
-            self.ledger.commit(change)
-            self._config_pending = False
-            return
+        if "config" in row:
+            self._commit_config(now_us, row)
+        else:
+            self._commit_change(row)
+
+    def _commit_change(self, row: Row) -> None:
+        change = self.ledger.pending
+        if change is None or change.number != row["budgets"]:
+            raise ValueError("a change that was not planned")
+        self._log_grants(row)
+        self.ledger.commit(change)
+        self._config_pending = False
+
+    def _commit_config(self, now_us: int, row: Row) -> None:
         budgets = config.parse_budgets(row["config"])
         self._apply_config(row)
         self.ledger.configure(budgets, now_us)
-        self._last_heartbeats.clear()  # a budget that came has not heard what was said before
-        self._config_pending, self._next_check_us = True, now_us
+        # A new budget knows nothing of what members reported before.
+        self._last_reports.clear()
+        self._config_pending = True
+        self._next_check_us = now_us
         log.info(
             "budgets",
             extra={
                 "version": self.version,
                 "source": self.source,
                 "wholes": {
-                    b.destination: [b.calls, b.span_us // 1_000] for b in budgets
+                    budget.destination: [budget.calls, budget.span_us // US_PER_MS]
+                    for budget in budgets
                 },
             },
         )
 
     def abandon(self, row: Row) -> None:
-        """The ledger plans it again as it is: a write that failed may have reached the
-        disk.
+        """Do nothing: the ledger plans the same change again.
+
+        A write that failed may have reached the disk all the same.
         """
 
     def concerned_members(self, row: Row) -> Collection[str] | None:
-        """A new configuration concerns all, also who gets no other share: whole and
-        span may be others.
+        """See `BaseHeartbeatExtension`.
+
+        A new configuration concerns all members: even with the same shares, total and
+        window may have changed.
         """
         return None if "config" in row else {grant[1] for grant in row["grants"]}
 
     def _apply_config(self, row: Row) -> None:
-        self.raw_budgets, self.version, self.source = (
-            row["config"],
-            int(row["version"]),
-            str(row["source"]),
-        )
-        self.last_file_budgets = (
-            self.raw_budgets
-            if self.source == "file"
-            else row.get("file", self.last_file_budgets)
-        )
+        self.raw_budgets = row["config"]
+        self.version = int(row["version"])
+        self.source = str(row["source"])
+        if self.source == "file":
+            self.last_file_budgets = self.raw_budgets
+        else:
+            self.last_file_budgets = row.get("file", self.last_file_budgets)
 
     def _log_grants(self, row: Row) -> None:
-        """One line a budget: who is given what, and why."""
-        by: dict[str, dict[str, list[Any]]] = {}
+        """Log a line for each budget: who is granted what, and why."""
+        grants: dict[str, list[Any]] = {}
+        ends: dict[str, list[Any]] = {}
         for destination, name, _, number, calls, reserve in row["grants"]:
-            by.setdefault(destination, {"grants": [], "ends": []})["grants"].append(
-                [name, number, calls, reserve]
-            )
+            grants.setdefault(destination, []).append([name, number, calls, reserve])
         for destination, token, how in row["ends"]:
-            by.setdefault(destination, {"grants": [], "ends": []})["ends"].append(
-                [token, how]
-            )
-        for destination, told in by.items():
+            ends.setdefault(destination, []).append([token, how])
+        for destination in {**grants, **ends}:
             log.info(
                 "shares",
                 extra={
                     "budget": destination,
                     "change": row["budgets"],
                     "why": self.ledger.allocations[destination].reason,
-                    **told,
+                    "grants": grants.get(destination, []),
+                    "ends": ends.get(destination, []),
                 },
             )
 
-    # -- what is told of it
-    # ----------------------------------------------------------------------------
-
     def snapshot(self) -> Row:
+        """See `HeartbeatExtension`."""
         opening = [
-            d
-            for d, book in sorted(self.ledger.budget_accounts.items())
-            if book.grants_from_us > self._now_us
+            destination
+            for destination, accounts in sorted(self.ledger.budget_accounts.items())
+            if accounts.grants_from_us > self._now_us
         ]
         return {
             "config": self.raw_budgets,
@@ -331,76 +356,86 @@
         }
 
     def state(self, now_us: int) -> dict[str, Any]:
-        """By destination: as `Ledger.state`, and what cools, with when it has cooled."""
-        told = self.ledger.status(now_us)
-        for destination, figures in told.items():
-            book = self.ledger.budget_accounts[destination]
-            figures["in_force"] = not book.deconfigured
-            figures["cooling_until"] = [
-                {"calls": calls, "in_ms": max(until - now_us, 0) // 1_000}
-                for until, calls in sorted(book.cooling)
+        """`Ledger.status` by destination, with when each freed call may be used again."""
+        status_by_destination = self.ledger.status(now_us)
+        for destination, status in status_by_destination.items():
+            accounts = self.ledger.budget_accounts[destination]
+            status["in_force"] = not accounts.deconfigured
+            status["cooling_until"] = [
+                {"calls": calls, "in_ms": max(until_us - now_us, 0) // US_PER_MS}
+                for until_us, calls in sorted(accounts.cooling)
             ]
-        return told
+        return status_by_destination
 
     def metrics(self, now_us: int) -> dict[str, dict[str, int]]:
-        """Whole numbers, by destination, for /_vars and /metrics."""
+        """The gauges of each budget, by destination."""
         return {
-            destination: {
-                "whole": state["whole"],
-                "counted": state["counted"],
-                "free": state["free"],
-                "cooling": state["cooling"],
-                "set_aside": state["set_aside"],
-                "needed": sum(m["needs"] for m in state["members"]),
-                "shared": sum(
-                    m["calls"] for m in state["members"] if m["state"] == "in"
-                ),
-                "reserves": sum(m["reserve"] for m in state["members"]),
-                "holders": sum(m["acts_on"] > 0 for m in state["members"]),
-                "unacknowledged": sum(
-                    m["acked"] < m["number"]
-                    for m in state["members"]
-                    if m["state"] == "in"
-                ),
-                "scarce": int(state["scarce"]),
-                "shut": int(state["shut"]),
-            }
-            for destination, state in self.ledger.status(now_us).items()
+            destination: _budget_gauges(status)
+            for destination, status in self.ledger.status(now_us).items()
         }
 
 
+def _budget_gauges(status: Mapping[str, Any]) -> dict[str, int]:
+    """A budget's gauges, by the name that is sent."""
+    members = status["members"]
+    active = [member for member in members if member["state"] == "in"]
+    return {
+        "whole": status["whole"],
+        "counted": status["counted"],
+        "free": status["free"],
+        "cooling": status["cooling"],
+        "set_aside": status["set_aside"],
+        "needed": sum(member["needs"] for member in members),
+        "shared": sum(member["calls"] for member in active),
+        "reserves": sum(member["reserve"] for member in members),
+        "holders": sum(member["acts_on"] > 0 for member in members),
+        "unacknowledged": sum(member["acked"] < member["number"] for member in active),
+        "scarce": int(status["scarce"]),
+        "shut": int(status["shut"]),
+    }
+
+
 def _unchanged_budgets(
     histories: list[tuple[Budget, ...]], drift: float, opening: Collection[str]
 ) -> list[Budget]:
-    """Those in force at the end whose window never grew and that were never away: what
-    was free before a start is free after it. Of all others a call may be in a window
-    that was not waited for.
+    """The budgets in force whose window never grew and that were always configured.
+
+    What was free of them before a start is free after it. Of all others a call may still
+    be in a window that nobody waited for.
     """
-    windows: dict[str, int] = {}
-    unsteady = set(opening)
+    if not histories:
+        return []
+    windows_us: dict[str, int] = {}
+    changed = set(opening)
     for budgets in histories:
-        named = {b.destination: b.window_us(drift) for b in budgets}
-        unsteady.update(d for d in windows if windows[d] < named.get(d, 1 << 62))
-        windows = {**windows, **named}
-    return [
-        b for b in (histories[-1] if histories else ()) if b.destination not in unsteady
-    ]
+        new_windows_us = {
+            budget.destination: budget.window_us(drift) for budget in budgets
+        }
+        changed.update(
+            destination
+            for destination, window_us in windows_us.items()
+            if window_us < new_windows_us.get(destination, UNLIMITED_WINDOW_US)
+        )
+        windows_us.update(new_windows_us)
+    return [budget for budget in histories[-1] if budget.destination not in changed]
 
 
-def _is_unsettled(book: BudgetAccounts, aim: Allocation, now_us: int) -> bool:
-    """Whether time alone may let something move.
+def _is_unsettled(
+    accounts: BudgetAccounts, allocation: Allocation, now_us: int
+) -> bool:
+    """Whether time alone may change a member's share.
 
-    Asked after each plan for all budgets and members, so it looks at the accounts and
-    makes nothing of them.
+    Called after each plan for all budgets and members, so it only reads the accounts.
     """
-    if book.grants_from_us > now_us or book.cooling or aim.scarce:
+    if accounts.grants_from_us > now_us or accounts.cooling or allocation.scarce:
         return True
-    members = book.active_accounts()
+    members = accounts.active_accounts()
     if any(
-        account.granted_calls() != target_calls(aim, account) for account in members
+        account.granted_calls() != target_calls(allocation, account)
+        for account in members
     ):
         return True
-    return (
-        any(account.total_demand() > account.granted_calls() for account in members)
-        and book.free_calls({}) > 0
+    has_unmet_demand = any(
+        account.total_demand() > account.granted_calls() for account in members
     )
+    return has_unmet_demand and accounts.free_calls({}) > 0
--- a/rainfall/registry/heartbeat_extension.py
+++ b/rainfall/registry/heartbeat_extension.py
@@ -53,25 +53,25 @@
         KeyError, TypeError or ValueError if the rows are not the extension's.
         """
 
-    def find_faults(self, beat: Mapping[str, Any]) -> list[str]:
+    def find_faults(self, body: Mapping[str, Any]) -> list[str]:
         """All faults of its fields in a heartbeat, each with its path.
 
         The heartbeat changes nothing if any extension finds a fault.
         """
 
     def member_joined(
-        self, now_us: int, name: str, token: Token, follows: Token | None
+        self, now_us: int, name: str, token: Token, replaced_token: Token | None
     ) -> None:
         """A member is in force from now on.
 
-        `follows` is the same member's token that this one replaces before its lease has
+        `replaced_token` is the same member's token that this one replaces before its lease has
         expired; the process that had it does nothing more under it.
         """
 
     def on_heartbeat(
-        self, now_us: int, name: str, token: Token, beat: Mapping[str, Any]
+        self, now_us: int, name: str, token: Token, body: Mapping[str, Any]
     ) -> bool:
-        """A member in force has sent a heartbeat; `beat` is its checked body.
+        """A member in force has sent a heartbeat; `body` is its checked body.
 
         Returns whether `plan` is to be called soon.
         """
@@ -119,7 +119,7 @@
         _until_us: int,
         name: str,
         token: Token,
-        beat: Mapping[str, Any],
+        body: Mapping[str, Any],
     ) -> HeartbeatResult:
         """Handle a heartbeat whose answer has to be that of this very heartbeat.
 
@@ -127,7 +127,7 @@
         when the lease has expired on every clock. May raise RequestError: the heartbeat
         has renewed the lease, and does nothing else.
         """
-        plan_soon = self.on_heartbeat(now_us, name, token, beat)
+        plan_soon = self.on_heartbeat(now_us, name, token, body)
         return HeartbeatResult(
             plan_soon, False, lambda: self.answer_fields(now_us, name, token)
         )
@@ -181,12 +181,12 @@
     until_us: int,
     name: str,
     token: Token,
-    beat: Mapping[str, Any],
+    body: Mapping[str, Any],
 ) -> HeartbeatResult:
     """Let an extension of either kind handle a heartbeat."""
     if isinstance(extension, BaseHeartbeatExtension):
-        return extension.handle_heartbeat(now_us, until_us, name, token, beat)
-    plan_soon = extension.on_heartbeat(now_us, name, token, beat)
+        return extension.handle_heartbeat(now_us, until_us, name, token, body)
+    plan_soon = extension.on_heartbeat(now_us, name, token, body)
     return HeartbeatResult(
         plan_soon, False, lambda: extension.answer_fields(now_us, name, token)
     )
--- a/rainfall/registry/shard_map_extension.py
+++ b/rainfall/registry/shard_map_extension.py
@@ -1,15 +1,15 @@
-"""The shard map on the beats: who has which map, who gave up what, and the ranges each
-may act on from now.
+"""The shard map in heartbeats: members report their map, and receive their ranges.
 
-`shard.moves` decides; a hold it gives in memory is told only once it is on disk, with
-all that it rests on. A map comes into force in `commit`, when its row is written.
+`shard.migration` decides who holds which range. A hold that it grants in memory is sent
+only once it is stored, with all that it depends on. A map comes into force in `commit`,
+once its row is stored.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable, Collection, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -41,17 +41,32 @@
     parse_range,
 )
 
-# of a map that the service plans: written out it is within the bound of a body
 MAX_PLANNED_RANGES = 8_192
-REPLAN_INTERVAL_US = 250_000  # between two looks at what the planner could not do yet
+"""Ranges of a map that the service plans: written out it fits a request's body."""
+REPLAN_INTERVAL_US = 250_000
+"""The least time between two tries of what the planner could not do yet."""
+LOGGED_RANGES = 16
+"""Ranges of one member that a log line names."""
 log = logging.getLogger("rainfall.registry")
 
 
+class _WritingState(NamedTuple):
+    """What the rows of a plan that is being written hold."""
+
+    changed_tokens: set[Token]
+    map: ShardMap | None
+
+
+class _EncodedMap(NamedTuple):
+    map: ShardMap | None
+    encoding: msgspec.Raw
+
+
 class ShardMapExtension(BaseHeartbeatExtension):
-    """`lease_us`: the longest lease there may be.
+    """The shard map of the fleet.
 
-    `leading`: whether this process holds `shard-planner` at a time; None: it plans
-    nothing by itself.
+    `lease_us` is the longest lease there may be. `is_planner` says whether this process
+    holds the lease `shard-planner` at a time; without it the service plans no maps.
     """
 
     name = "maps"
@@ -64,107 +79,109 @@
         auto_planner: AutoPlanner | None = None,
     ) -> None:
         self.longest_lease_us = service_expiry_us(lease_us, drift)
-        self.is_planner, self.auto_planner = is_planner, auto_planner or AutoPlanner()
+        self.is_planner = is_planner
+        self.auto_planner = auto_planner or AutoPlanner()
         self.migration = MigrationCoordinator(None, 0)
         self.stored_map: ShardMap | None = None
-        """The map in force as it is on disk; only this is told."""
+        """The map in force as it is stored; no other is sent."""
         self._epoch = 0
         self._next_plan_us: int | None = None
-        self._change_count = 0  # counts changes in memory ...
-        self._planned_count = 0  # ... up to the last plan ...
-        self._stored_count = 0  # ... and those on disk
-        self._changed_tokens: set[Token] = (
-            set()
-        )  # whose holds changed since they were last written
-        self._in_flight: tuple[set[Token], ShardMap | None] = set(), None
-        self._encoded_map: tuple[ShardMap | None, msgspec.Raw] = None, msgspec.Raw()
-
-    # -- the start
-    # -------------------------------------------------------------------------------------
+        self._change_count = 0
+        """Changes of holds and maps in memory."""
+        self._planned_count = 0
+        """How many of them the last plan has."""
+        self._stored_count = 0
+        """How many of them are stored."""
+        self._changed_tokens: set[Token] = set()
+        """Tokens whose holds changed after the last plan."""
+        self._in_flight = _WritingState(set(), None)
+        self._encoded_map = _EncodedMap(None, msgspec.Raw())
 
     def epoch_raised(self, epoch: int) -> None:
-        self._epoch = self.migration.epoch = epoch
+        """See `BaseHeartbeatExtension`."""
+        self._epoch = epoch
+        self.migration.epoch = epoch
 
     def restore(
         self, now_us: int, state_complete: bool, snapshot: Row | None, rows: list[Row]
     ) -> None:
+        """Restore map and holds; see `HeartbeatExtension`.
+
+        Where the state may be an older copy, nothing is granted for the longest lease.
+        """
         raw: dict[str, Any] = dict(
             snapshot or {"map": None, "number": 0, "holders": []}
         )
-        held = {Token.from_wire(h["token"]): h for h in raw["holders"]}
+        holders = {
+            Token.from_wire(holder["token"]): holder for holder in raw["holders"]
+        }
         for row in rows:
             raw["map"] = row.get("put", row.get("map", raw["map"]))
             raw["number"] = row.get("number", raw["number"])
-            held.update(
-                (Token.from_wire(h["token"]), h) for h in row.get("holders", ())
-            )
+            for holder in row.get("holders", ()):
+                holders[Token.from_wire(holder["token"])] = holder
         raw["holders"] = [
-            h for _, h in sorted(held.items(), key=lambda pair: pair[0]) if h["holds"]
+            holders[token] for token in sorted(holders) if holders[token]["holds"]
         ]
-        out_us = now_us + self.longest_lease_us
+        expires_at_us = now_us + self.longest_lease_us
+        grants_from_us = 0 if state_complete else expires_at_us
         self.migration = MigrationCoordinator.from_snapshot(
-            raw, self._epoch, out_us, 0 if state_complete else out_us
+            raw, self._epoch, expires_at_us, grants_from_us
         )
         self.stored_map = self.migration.map
 
-    def service_started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
+    def service_started(self, _now_us: int, members: list[tuple[Member, int]]) -> None:
+        """See `BaseHeartbeatExtension`."""
         for member, until_us in members:
             if member.token in self.migration.holders:
                 self.migration.lease_renewed(member.token, member.name, until_us)
 
-    # -- members
-    # ---------------------------------------------------------------------------------------
-
-    def find_faults(self, beat: Mapping[str, Any]) -> list[str]:
-        if "map" not in beat:
+    def find_faults(self, body: Mapping[str, Any]) -> list[str]:
+        """The faults of `map`, `digest` and `gave`."""
+        if "map" not in body:
             return [
-                f"{name}: without map" for name in ("digest", "gave") if name in beat
+                f"{name}: without map" for name in ("digest", "gave") if name in body
             ]
-        found: list[str] = []
-        most = min(
-            (self.migration.map.generation if self.migration.map else 0)
-            + MAX_GENERATION_LEAD,
-            MAX_GENERATION,
-        )
-        if type(beat["map"]) is not int or not 0 <= beat["map"] <= most:
-            found.append(f"map: a generation, a whole number from 0 to {most}")
-        elif beat["map"] and parse_key(beat.get("digest")) is None:
-            found.append("digest: that of the map, 16 lower-case hexadecimal digits")
-        gave = beat.get("gave", [])
-        if not isinstance(gave, list):
-            return [*found, "gave: a list of ranges"]
-        for n, text in enumerate(gave):
-            try:
-                parse_range(text)
-            except ValueError as error:
-                found.append(f"gave[{n}]: {error}")
-        return found
+        faults: list[str] = []
+        generation = self.migration.map.generation if self.migration.map else 0
+        highest = min(generation + MAX_GENERATION_LEAD, MAX_GENERATION)
+        if type(body["map"]) is not int or not 0 <= body["map"] <= highest:
+            faults.append(f"map: a generation, a whole number from 0 to {highest}")
+        elif body["map"] and parse_key(body.get("digest")) is None:
+            faults.append("digest: that of the map, 16 lower-case hexadecimal digits")
+        return faults + _given_up_faults(body.get("gave", []))
 
     def member_joined(
-        self, now_us: int, name: str, token: Token, follows: Token | None
+        self, now_us: int, _name: str, _token: Token, replaced_token: Token | None
     ) -> None:
-        if follows is not None:
-            self.member_ended(now_us, follows)
+        """End the holds of the token that the new one replaces."""
+        if replaced_token is not None:
+            self.member_ended(now_us, replaced_token)
 
     def member_resumed(
         self,
         now_us: int,
-        name: str,
+        _name: str,
         token: Token,
         previous_token: Token,
-        kept_reserves: Mapping[str, int],
+        _kept_reserves: Mapping[str, int],
     ) -> None:
+        """End the holds of the process's former token."""
         if previous_token != token:
             self.member_ended(now_us, previous_token)
 
     def lease_expired(self, now_us: int, token: Token) -> None:
+        """End the holds of the token."""
         self.member_ended(now_us, token)
 
-    def member_ended(self, now_us: int, token: Token) -> None:
-        if holder := self.migration.holders.get(token):
-            self.migration.release_all(token)
-            if holder.holds:
-                self._mark_changed({token})
+    def member_ended(self, _now_us: int, token: Token) -> None:
+        """End the holds of the token."""
+        holder = self.migration.holders.get(token)
+        if holder is None:
+            return
+        self.migration.release_all(token)
+        if holder.holds:
+            self._mark_changed({token})
 
     def handle_heartbeat(
         self,
@@ -172,39 +189,36 @@
         until_us: int,
         name: str,
         token: Token,
-        beat: Mapping[str, Any],
+        body: Mapping[str, Any],
     ) -> HeartbeatResult:
-        """A member that says nothing of maps takes no part, and is given nothing."""
-        if "map" not in beat:
+        """Let the migration handle a member's report, and answer with its ranges.
+
+        A member that reports no map takes no part, and is granted nothing.
+
+        Raises:
+            RequestError: 409, a later heartbeat was answered already.
+        """
+        if "map" not in body:
             return HeartbeatResult(False, False, dict)
         self.migration.lease_renewed(token, name, until_us)
-        held_map = beat["map"], int(beat.get("digest", "0"), 16)
+        held_map = (body["map"], int(body.get("digest", "0"), 16))
+        generation, digest = held_map
+        given_up = map(parse_range, body.get("gave", ()))
         try:
             answer = self.migration.heartbeat(
-                token,
-                beat["sent"],
-                *held_map,
-                map(parse_range, beat.get("gave", ())),
-                now_us,
+                token, body["sent"], generation, digest, given_up, now_us
             )
         except StaleHeartbeatError:
-            late = RequestError(
-                409,
-                [
-                    "sent: a later beat was answered already; nothing was done on this one"
-                ],
-            )
-            late.extra_fields = {"error": "late"}
-            raise late from None
+            raise _late_heartbeat_error() from None
         if answer.changed:
             self._mark_changed({token})
-        # What this answer rests on: its own holds, or the map that it names.
-        required_count = (
-            self._change_count
-            if token in self._unstored_tokens()
+        # The answer depends on the member's own holds and on the map that it names.
+        depends_on_unstored = (
+            token in self._changed_tokens
+            or token in self._in_flight.changed_tokens
             or self.migration.map is not self.stored_map
-            else 0
         )
+        required_count = self._change_count if depends_on_unstored else 0
         return HeartbeatResult(
             answer.changed,
             required_count > 0,
@@ -214,9 +228,14 @@
     def _answer_fields(
         self, answer: HoldsAnswer, held_map: tuple[int, int], required_count: int
     ) -> dict[str, Any]:
+        """The fields of an answer, once so many changes are stored.
+
+        Raises:
+            OSError: They are not.
+        """
         if required_count > self._stored_count:
             raise OSError("what holds now is not on disk yet")
-        parts = {
+        fields = {
             "map": answer.generation,
             "ranges": [
                 {
@@ -227,82 +246,79 @@
                 for hold in answer.holds
             ],
         }
-        if self.stored_map is not None and held_map != (
-            self.stored_map.generation,
-            self.stored_map.digest(),
-        ):
-            parts["shards"] = self.encoded_map()
-        return parts
+        stored = self.stored_map
+        if stored is not None and held_map != (stored.generation, stored.digest()):
+            fields["shards"] = self.encoded_map()
+        return fields
 
     def encoded_map(self) -> msgspec.Raw:
-        """The map in force in the form of its file, encoded once."""
-        if self.stored_map is not None and self._encoded_map[0] is not self.stored_map:
-            self._encoded_map = (
-                self.stored_map,
-                msgspec.Raw(msgspec.json.encode(self.stored_map.to_wire())),
-            )
-        return self._encoded_map[1]
-
-    # -- plans
-    # -----------------------------------------------------------------------------------------
+        """The map in force as it is stored and sent, encoded once."""
+        stored = self.stored_map
+        if stored is not None and self._encoded_map.map is not stored:
+            encoding = msgspec.Raw(msgspec.json.encode(stored.to_wire()))
+            self._encoded_map = _EncodedMap(stored, encoding)
+        return self._encoded_map.encoding
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
-        if out := self.migration.expire(now_us):
-            self._mark_changed(set(out))
-        rows, current = list[Row](), self.migration.map
+        """Rows of changed holds, and of a new map; see `HeartbeatExtension`."""
+        expired = self.migration.expire(now_us)
+        if expired:
+            self._mark_changed(set(expired))
+        current = self.migration.map
+        rows: list[Row] = []
         if self._changed_tokens or current is not self.stored_map:
-            row: Row = {
-                "number": self.migration.last_token_number,
-                "holders": [
-                    self._holder_row(token) for token in sorted(self._changed_tokens)
-                ],
-            }
-            if current is not None and current is not self.stored_map:
-                row["map"] = current.to_wire()
-            rows.append(row)
-        self._planned_count, self._in_flight, self._changed_tokens = (
-            self._change_count,
-            (self._changed_tokens, current),
-            set(),
-        )
+            rows.append(self._holds_row(current))
+        self._planned_count = self._change_count
+        self._in_flight = _WritingState(self._changed_tokens, current)
+        self._changed_tokens = set()
         self._next_plan_us = self.migration.next_expiry_us()
         if self.is_planner is not None:
-            rows += self._plan_automatically(
-                now_us, frozen, members, self.is_planner(now_us)
-            )
+            is_planner = self.is_planner(now_us)
+            rows += self._plan_map(now_us, frozen, members, is_planner)
         return rows
 
-    def _plan_automatically(
-        self, now_us: int, frozen: bool, members: list[Member], leading: bool
+    def _holds_row(self, current: ShardMap | None) -> Row:
+        """The changed holds, and the map in force if it is not stored yet."""
+        row: Row = {
+            "number": self.migration.last_token_number,
+            "holders": [
+                self._holder_row(token) for token in sorted(self._changed_tokens)
+            ],
+        }
+        if current is not None and current is not self.stored_map:
+            row["map"] = current.to_wire()
+        return row
+
+    def _plan_map(
+        self, now_us: int, frozen: bool, members: list[Member], is_planner: bool
     ) -> list[Row]:
-        """A map for members who came or went for good, if it is time for one."""
+        """A map for members that have joined or left for good, if one is due."""
         self.auto_planner.observe_members(
             {member.name: 1.0 for member in members}, now_us
         )
         owners = dict.fromkeys(
             self.migration.map.owners() if self.migration.map else (), 1.0
         )
-        wanted = self.auto_planner.members_to_plan_for(owners, now_us, leading, frozen)
+        wanted = self.auto_planner.members_to_plan_for(
+            owners, now_us, is_planner, frozen
+        )
         due_us = self.auto_planner.next_plan_us(owners)
         if due_us is not None:
             due_us = max(due_us, now_us + REPLAN_INTERVAL_US)
-            self._next_plan_us = (
-                due_us
-                if self._next_plan_us is None
-                else min(self._next_plan_us, due_us)
-            )
+            if self._next_plan_us is not None:
+                due_us = min(self._next_plan_us, due_us)
+            self._next_plan_us = due_us
         if wanted is None:
             return []
-        if (
-            not owners
-        ):  # where nobody has keys yet, who joined just now need not wait either
+        if not owners:
+            # Nobody has keys yet, so new members need not wait for theirs.
             wanted = {member.name: 1.0 for member in members}
         try:
             planned_map = map_planning.plan_map(
                 wanted, self.migration.map, most_ranges=MAX_PLANNED_RANGES
             ).map
         except PlanError as error:
-            log.error("no map planned", extra={"why": str(error)})
+            _log_plan_error(error)
             return []
         return [{"put": planned_map.to_wire(), "why": "planned"}]
 
@@ -314,46 +330,55 @@
             "name": holder.name if holder else "",
             "holds": [
                 [
-                    format_key(h.first),
-                    format_key(h.last),
-                    h.token.to_wire(),
-                    h.since_generation,
+                    format_key(hold.first),
+                    format_key(hold.last),
+                    hold.token.to_wire(),
+                    hold.since_generation,
                 ]
-                for h in holds
+                for hold in holds
             ],
         }
 
     def next_us(self) -> int | None:
+        """See `HeartbeatExtension`."""
         return self._next_plan_us
 
     def commit(self, now_us: int, row: Row) -> None:
+        """Put a stored map in force, or let stored holds be sent."""
         if "put" in row:
-            new = checked_map(row["put"])
-            before = self.migration.map
-            if before is not None and new.generation <= before.generation:
-                # Meanwhile a member showed a later one: this goes above that, and is
-                # written as it then is.
-                new = ShardMap(before.generation + 1, new.ranges)
-                self.migration.install_map(new)
-                self._mark_changed(set())
-            else:
-                self.migration.install_map(new)
-                self.stored_map = new
-            self.auto_planner.on_planned(now_us)
-            log.info(
-                "map",
-                extra={
-                    "generation": new.generation,
-                    "ranges": len(new.ranges),
-                    "owners": len(new.owners()),
-                    "why": row["why"],
-                },
-            )
-            return
-        tokens, current = self._in_flight
-        self._in_flight, self._stored_count = (set(), None), self._planned_count
+            self._commit_map(now_us, row)
+        else:
+            self._commit_holds(row)
+
+    def _commit_map(self, now_us: int, row: Row) -> None:
+        new = checked_map(row["put"])
+        before = self.migration.map
+        if before is not None and new.generation <= before.generation:
+            # A member has reported a later generation meanwhile: the new map goes past
+            # it, and the next plan stores it as it then is.
+            new = ShardMap(before.generation + 1, new.ranges)
+            self.migration.install_map(new)
+            self._mark_changed(set())
+        else:
+            self.migration.install_map(new)
+            self.stored_map = new
+        self.auto_planner.on_planned(now_us)
+        log.info(
+            "map",
+            extra={
+                "generation": new.generation,
+                "ranges": len(new.ranges),
+                "owners": len(new.owners()),
+                "why": row["why"],
+            },
+        )
+
+    def _commit_holds(self, row: Row) -> None:
+        planned_map = self._in_flight.map
+        self._in_flight = _WritingState(set(), None)
+        self._stored_count = self._planned_count
         if "map" in row:
-            self.stored_map = current
+            self.stored_map = planned_map
             log.warning("map lifted", extra={"generation": row["map"]["generation"]})
         for holder in row["holders"]:
             log.info(
@@ -362,19 +387,21 @@
                     "token": holder["token"],
                     "member": holder["name"],
                     "keys": [
-                        f"{first}-{last}" for first, last, *_ in holder["holds"][:16]
+                        f"{first}-{last}"
+                        for first, last, *_ in holder["holds"][:LOGGED_RANGES]
                     ],
                     "ranges": len(holder["holds"]),
                 },
             )
 
     def abandon(self, row: Row) -> None:
+        """Let the next plan store the holds again."""
         if "put" not in row:
-            self._changed_tokens |= self._in_flight[0]
-            self._in_flight = set(), None
+            self._changed_tokens |= self._in_flight.changed_tokens
+            self._in_flight = _WritingState(set(), None)
 
     def concerned_members(self, row: Row) -> Collection[str] | None:
-        """A map concerns all; ranges that were given up, those whose they are to be."""
+        """All members for a map; the owners of free ranges for changed holds."""
         if "put" in row or "map" in row:
             return None
         return [owner for owner, spans in self.migration.free.items() if spans]
@@ -383,21 +410,46 @@
         self._change_count += 1
         self._changed_tokens |= tokens
 
-    def _unstored_tokens(self) -> set[Token]:
-        return self._changed_tokens | self._in_flight[0]
-
-    # -- what is told of it
-    # ----------------------------------------------------------------------------
-
     def snapshot(self) -> Row:
+        """See `HeartbeatExtension`."""
         return self.migration.to_snapshot()
 
     def gauges(self) -> dict[str, int]:
-        return {
-            "map_generation": self.stored_map.generation if self.stored_map else 0,
-            "map_ranges": len(self.stored_map.ranges) if self.stored_map else 0,
-            "map_holders": sum(bool(h.holds) for h in self.migration.holders.values()),
-            "map_moving": len(self.migration.ranges_in_migration())
-            if self.stored_map
-            else 0,
+        """The map's gauges, by the name that is sent."""
+        holders = self.migration.holders.values()
+        gauges = {
+            "map_generation": 0,
+            "map_ranges": 0,
+            "map_holders": sum(bool(holder.holds) for holder in holders),
+            "map_moving": 0,
         }
+        if self.stored_map is not None:
+            gauges["map_generation"] = self.stored_map.generation
+            gauges["map_ranges"] = len(self.stored_map.ranges)
+            gauges["map_moving"] = len(self.migration.ranges_in_migration())
+        return gauges
+
+
+def _given_up_faults(given_up: Any) -> list[str]:
+    if not isinstance(given_up, list):
+        return ["gave: a list of ranges"]
+    faults: list[str] = []
+    for index, text in enumerate(given_up):
+        try:
+            parse_range(text)
+        except ValueError as error:
+            faults.append(f"gave[{index}]: {error}")
+    return faults
+
+
+def _late_heartbeat_error() -> RequestError:
+    error = RequestError(
+        409, ["sent: a later beat was answered already; nothing was done on this one"]
+    )
+    error.extra_fields = {"error": "late"}
+    return error
+
+
+def _log_plan_error(error: PlanError) -> None:
+    """Without a traceback: the error says which map cannot be planned."""
+    log.error("no map planned", extra={"why": str(error)})
