--- a/rainfall/lab/__init__.py
+++ b/rainfall/lab/__init__.py
@@ -1,4 +1,5 @@
-"""The fleet lab: many forwarders on loopback, faults between them, an open-loop load,
-and a verdict on what was lost or doubled. ``python -m rainfall.lab --help``; design
-in ``docs/parts.md``.
+"""The fleet lab: fault experiments with many forwarders on loopback.
+
+An open-loop load is sent through the fleet while faults are injected, and a verdict says
+what was lost or doubled. See ``python -m rainfall.lab --help`` and ``docs/parts.md``.
 """
--- a/rainfall/lab/experiment.py
+++ b/rainfall/lab/experiment.py
@@ -1,8 +1,7 @@
-"""The experiment file of the fleet lab: TOML, checked whole before anything starts.
+"""The experiment file of the fleet lab: TOML, checked before anything starts.
 
-Every fault in a file is told with its path (``faults[2].at_s``), all of them in one
-``ExperimentError``. What an experiment is made of stands in ``shapes.py``, its names
-given here too.
+One ``ExperimentError`` names every fault with its path, such as ``faults[2].at_s``. The
+classes of an experiment are those of ``experiment_model``, exported here too.
 """
 
 from __future__ import annotations
@@ -26,17 +25,35 @@
     "read",
 ]
 
+EXPERIMENT_KEYS = frozenset(
+    {
+        "name",
+        "seed",
+        "duration_s",
+        "settle_s",
+        "fleet",
+        "load",
+        "faults",
+        "budgets",
+        "nemesis",
+    }
+)
+LONGEST_DURATION_S = 3600
+LONGEST_SETTLE_S = 600
+
 
 def parse(text: str, source: str = "experiment") -> Experiment:
-    """The experiment that a TOML text stands for, or ExperimentError naming every
-    fault.
+    """The experiment of a TOML text.
+
+    Raises:
+        ExperimentError: With every fault.
     """
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise ExperimentError([f"{source}: not TOML: {error}"]) from None
     reader = TableReader()
-    reader.check_unknown_keys(document, set(Experiment.__dataclass_fields__), "")
+    reader.check_unknown_keys(document, EXPERIMENT_KEYS, "")
     fleet = experiment_sections.parse_fleet(reader, reader.table(document, "fleet", ""))
     experiment = Experiment(
         name=reader.read(document, "name", str, "", "experiment"),
@@ -47,11 +64,11 @@
             float,
             "",
             None,
-            lambda v: 0 < v <= 3600,
-            "must be over 0, 3600 at most",
+            lambda v: 0 < v <= LONGEST_DURATION_S,
+            f"must be over 0, {LONGEST_DURATION_S} at most",
         ),
         settle_s=reader.read(
-            document, "settle_s", float, "", 5.0, lambda v: 0 <= v <= 600
+            document, "settle_s", float, "", 5.0, lambda v: 0 <= v <= LONGEST_SETTLE_S
         ),
         fleet=fleet,
         load=experiment_sections.parse_load(
@@ -63,23 +80,27 @@
     )
     fault_tables = reader.read(document, "faults", list, "", [])
     parsed_faults = [
-        fault_sections.parse_fault(reader, t, f"faults[{n}]", experiment)
-        for n, t in enumerate(fault_tables)
+        fault_sections.parse_fault(reader, table, f"faults[{index}]", experiment)
+        for index, table in enumerate(fault_tables)
     ]
-    nemesis = (
-        fault_sections.parse_nemesis(
+    nemesis = None
+    if "nemesis" in document:
+        nemesis = fault_sections.parse_nemesis(
             reader, reader.table(document, "nemesis", ""), experiment.duration_s
         )
-        if "nemesis" in document
-        else None
-    )
     if reader.faults:
         raise ExperimentError(reader.faults)
-    known = tuple(sorted((f for f in parsed_faults if f), key=lambda f: f.at_s))
-    return replace(experiment, faults=known, nemesis=nemesis)
+    faults = [fault for fault in parsed_faults if fault is not None]
+    faults.sort(key=lambda fault: fault.at_s)
+    return replace(experiment, faults=tuple(faults), nemesis=nemesis)
 
 
 def read(path: Path) -> Experiment:
+    """The experiment of a file.
+
+    Raises:
+        ExperimentError: The file cannot be read, or is faulty.
+    """
     try:
         return parse(path.read_text(), str(path))
     except (OSError, UnicodeDecodeError) as error:
--- a/rainfall/lab/experiment_model.py
+++ b/rainfall/lab/experiment_model.py
@@ -1,8 +1,7 @@
-"""What an experiment of the fleet lab is made of: members, links, load, faults,
-budgets.
+"""The parts of an experiment: fleet, links, load, faults and budgets.
 
-Times are seconds from the start of the load, rates messages a second; see
-``docs/operations.md``.
+Times are seconds from the start of the load, rates are messages a second.
+``docs/operations.md`` describes the file.
 """
 
 from __future__ import annotations
@@ -18,43 +17,51 @@
 KINDS = LINK_KINDS + PROCESS_KINDS + ENDPOINT_KINDS
 EFFECTS = ("once", "repeatable")
 MAX_FORWARDERS = 64
+"""Forwarders of an experiment: each is a process on this machine."""
 MAX_PEERS = 32
-"""Forwarders at most where each has a proxied link to each other one: their links grow
-with the square.
-"""
+"""Forwarders with links among them: the number of links is the square of theirs."""
 MAX_RATE = 20_000.0
+"""Messages a second."""
 LIST_SERVICE = "list"
-"""The name of the list service's process, and of the discovery end of the links to
-it.
-"""
+"""The list service's process, and its discovery address as the end of links."""
 FLEET_ADDRESS = "fleet"
-"""The name of the fleet end (beats) of the links to the list service."""
+"""The list service's address for heartbeats as the end of links."""
+NS_PER_S = 1e9
+CLIENT = "client"
+"""The clients' end of links."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadClass:
+    """A class of messages."""
+
     name: str
     share: float
+    """Its part of the load, relative to the other classes."""
     deadline_s: float
+    """How long a message may take until it is delivered."""
     effect: str
+    """One of ``EFFECTS``: whether an endpoint may execute a message twice."""
     ordered: bool = False
-    """Its messages carry a session's key and keep their order."""
+    """Whether messages have a session's key, and are delivered in the session's order."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
+    """The messages that clients send."""
+
     rate_per_s: float
     classes: tuple[LoadClass, ...]
     answer_timeout_s: float = 0.4
     max_lag_ms: float = 50.0
+    """Past this lag behind its schedule the load makes the run invalid."""
     body_bytes: int = 64
     forwarders: int = 0
-    """How many forwarders, from ``f0`` on, are handed messages; 0 for all."""
+    """How many forwarders, from ``f0`` on, receive messages from clients; 0 for all."""
     sessions: int = 0
+    """How many sessions there are."""
     sessions_at: str = "home"
-    """``home``: a session's clients stay at one forwarder; ``any``: each message comes
-    at any.
-    """
+    """Whether a session's clients stay at one forwarder (``home``) or not (``any``)."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +70,7 @@
 
     ``target`` names a forwarder, an endpoint or the list service (``f1``, ``e3``,
     ``list``), or is a glob of link names (``f1>e*``, ``*>list``) for link faults;
-    ``zone`` hits every link into or out of a zone.
+    ``zone`` selects every link into or out of a zone.
     """
 
     at_s: float
@@ -75,15 +82,18 @@
     jitter_ms: float = 0.0
     share: float = 1.0
     limit: int = 1
+    """Calls at once that an endpoint with the fault ``limit`` accepts."""
     restart: str = ""
+    """``keep`` or ``lose`` its state folder; empty: the process stays ended."""
     after_s: float = 0.5
+    """The time between the end of a process and its restart."""
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """The whole of a destination: at most ``calls`` in any sliding ``span_ms``, from
-    all forwarders together. ``enforce``: its endpoints refuse (429 with a wait) what
-    they are called beyond it.
+    """A destination's limit: ``calls`` in any sliding ``span_ms``, from all forwarders.
+
+    With ``enforce`` its endpoints reject calls beyond it, with 429 and a wait.
     """
 
     destination: int
@@ -94,52 +104,57 @@
 
 @dataclass(frozen=True, slots=True)
 class Nemesis:
-    """Faults drawn from the seed (``nemesis.py``): how many a second, of which kinds,
-    the longest stop or cut, how long before the load's end the last one is over, and
-    the shares of restarts that lose the folder (of a forwarder, of the service).
-    """
+    """Faults drawn from the seed; see ``nemesis``."""
 
     rate_per_s: float
+    """Faults a second, at most."""
     kinds: tuple[str, ...]
     longest_s: float = 2.0
+    """The longest time that a fault lasts."""
     quiet_s: float = 2.0
+    """How long before the end of the load the last fault is over."""
     lose: float = 0.0
+    """The part of a forwarder's restarts that lose its state folder."""
     service_lose: float = 0.0
+    """The same of the list service."""
     all_at_once: bool = False
+    """Whether every forwarder may be out of use at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
+    """The processes, endpoints and links of an experiment."""
+
     forwarders: int
     destinations: tuple[int, ...]
     endpoints_per_destination: int
     zones: tuple[str, ...]
     slots: int = 8
+    """Calls at once to one endpoint, as the forwarders' settings say."""
     durability: str = "process"
     endpoint_rate: float = 200.0
-    """Calls a second that each endpoint is listed for (its ``share`` in the list)."""
+    """Calls a second that each endpoint is listed with, as its ``share``."""
     service: bool = False
-    """The list service is a process of its own (``python -m rainfall.registry``), not
-    a stand-in.
-    """
+    """Whether the list service is ``python -m rainfall.registry``, or a stand-in."""
     service_args: tuple[str, ...] = ()
-    """Added to its command line, such as ``["--lease-ms", "900"]``."""
+    """Further options of its command line, such as ``["--lease-ms", "900"]``."""
     peers: bool = False
-    """Each forwarder has a proxied link to each other one."""
+    """Whether each forwarder has a proxied link to each other one."""
     most_connections: int = 0
-    """Proxied connections open at once; 0 for what the descriptors of the lab's process
-    allow.
-    """
+    """Proxied connections open at once; 0: as many as the lab's descriptors allow."""
     parts: Mapping[str, Any] = field(default_factory=dict)
     """Copied into the ``fleet`` object of every forwarder's configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
+    """One experiment, as its file describes it."""
+
     name: str
     seed: int
     duration_s: float
     settle_s: float
+    """How long after the load messages may take until the verdict."""
     fleet: Fleet
     load: Load
     faults: tuple[Fault, ...] = ()
@@ -147,49 +162,60 @@
     nemesis: Nemesis | None = None
 
     def forwarder_names(self) -> list[str]:
-        return [f"f{n}" for n in range(self.fleet.forwarders)]
+        """``f0``, ``f1``, ..."""
+        return [f"f{number}" for number in range(self.fleet.forwarders)]
 
     def endpoint_names(self) -> list[str]:
-        return [
-            f"e{n}"
-            for n in range(
-                len(self.fleet.destinations) * self.fleet.endpoints_per_destination
-            )
-        ]
+        """``e0``, ``e1``, ...; those of one destination stand together."""
+        destination_count = len(self.fleet.destinations)
+        endpoint_count = destination_count * self.fleet.endpoints_per_destination
+        return [f"e{number}" for number in range(endpoint_count)]
 
     def process_names(self) -> list[str]:
-        return [
-            *self.forwarder_names(),
-            *([LIST_SERVICE] if self.fleet.service else []),
-        ]
+        """The forwarders, and the list service if it is a process."""
+        names = self.forwarder_names()
+        if self.fleet.service:
+            names.append(LIST_SERVICE)
+        return names
 
     def zone_of(self, member: str) -> str:
-        """Members are spread over the zones in turn: f0 and e0 in the first, f1 and e1
-        in the second.
+        """The zone of a forwarder or an endpoint.
+
+        They are spread over the zones in turn: f0 and e0 are in the first, f1 and e1 in
+        the second.
         """
         return self.fleet.zones[int(member[1:]) % len(self.fleet.zones)]
 
     def destination_of(self, endpoint: str) -> int:
-        return self.fleet.destinations[
-            int(endpoint[1:]) // self.fleet.endpoints_per_destination
-        ]
+        """The destination that an endpoint belongs to."""
+        number = int(endpoint[1:])
+        return self.fleet.destinations[number // self.fleet.endpoints_per_destination]
 
-    def effect_of(self, cls: str) -> str:
-        return next(c.effect for c in self.load.classes if c.name == cls)
+    def effects(self) -> dict[str, str]:
+        """The effect of each class."""
+        return {load_class.name: load_class.effect for load_class in self.load.classes}
+
+    def deadlines_ns(self) -> dict[str, int]:
+        """The deadline of each class."""
+        return {
+            load_class.name: int(load_class.deadline_s * NS_PER_S)
+            for load_class in self.load.classes
+        }
 
 
 def link_names(experiment: Experiment) -> list[str]:
-    """Every link's name: ``client>f0``, ``f0>e1``, ``f0>list``; with the service as a
-    process ``f0>fleet``, and with peers ``f0>f1``.
+    """Every link's name.
+
+    These are ``client>f0``, ``f0>list``, ``f0>e1``; with the list service as a process
+    ``f0>fleet``; with peers ``f0>f1``.
     """
     names: list[str] = []
     for forwarder in experiment.forwarder_names():
-        names += [
-            f"client>{forwarder}",
-            f"{forwarder}>{LIST_SERVICE}",
-            *(f"{forwarder}>{e}" for e in experiment.endpoint_names()),
-        ]
-        names += [f"{forwarder}>{FLEET_ADDRESS}"] if experiment.fleet.service else []
+        names.append(f"{CLIENT}>{forwarder}")
+        names.append(f"{forwarder}>{LIST_SERVICE}")
+        names += [f"{forwarder}>{endpoint}" for endpoint in experiment.endpoint_names()]
+        if experiment.fleet.service:
+            names.append(f"{forwarder}>{FLEET_ADDRESS}")
         if experiment.fleet.peers:
             names += [
                 f"{forwarder}>{peer}"
@@ -200,16 +226,17 @@
 
 
 def matching_links(experiment: Experiment, fault: Fault) -> list[str]:
-    """The links that a link fault hits: by glob, or all those with one end in its zone."""
+    """The links of a link fault: by glob, or all those with an end in its zone."""
     all_links = link_names(experiment)
     if fault.zone:
+        return [name for name in all_links if _touches(experiment, name, fault.zone)]
+    return [name for name in all_links if fnmatch.fnmatchcase(name, fault.target)]
 
-        def inside(name: str) -> bool:
-            return any(
-                end not in ("client", LIST_SERVICE, FLEET_ADDRESS)
-                and experiment.zone_of(end) == fault.zone
-                for end in name.split(">")
-            )
 
-        return [name for name in all_links if inside(name)]
-    return [name for name in all_links if fnmatch.fnmatchcase(name, fault.target)]
+def _touches(experiment: Experiment, link: str, zone: str) -> bool:
+    """Whether an end of a link is in a zone."""
+    return any(
+        end not in (CLIENT, LIST_SERVICE, FLEET_ADDRESS)
+        and experiment.zone_of(end) == zone
+        for end in link.split(">")
+    )
--- a/rainfall/lab/fault_injection.py
+++ b/rainfall/lab/fault_injection.py
@@ -1,6 +1,4 @@
-"""The faults of a run, each applied at its time and healed: on links, processes and
-endpoints.
-"""
+"""Injects the faults of a run, each at its time, and heals them."""
 
 from __future__ import annotations
 
@@ -11,6 +9,7 @@
 from rainfall.lab.experiment_model import (
     ENDPOINT_KINDS,
     LINK_KINDS,
+    NS_PER_S,
     Fault,
     matching_links,
 )
@@ -19,9 +18,7 @@
 
 
 async def inject_faults(testbed: Testbed, faults: Iterable[Fault]) -> None:
-    """Every fault at its time; returns when all are over, and ends them all where it is
-    cancelled.
-    """
+    """Inject all faults; returns when all are over, and ends them if it is cancelled."""
     tasks = [asyncio.create_task(_inject(testbed, fault)) for fault in faults]
     try:
         await asyncio.gather(*tasks)
@@ -32,7 +29,7 @@
 
 
 async def _inject(testbed: Testbed, fault: Fault) -> None:
-    await asyncio.sleep(max(0.0, fault.at_s - testbed.clock() / 1e9))
+    await asyncio.sleep(max(0.0, fault.at_s - testbed.clock() / NS_PER_S))
     start_ns = testbed.clock()
     testbed.log.info("fault", fault=fault.kind, target=fault.target, zone=fault.zone)
     if fault.kind in LINK_KINDS:
@@ -60,9 +57,7 @@
 
 async def _inject_process_fault(testbed: Testbed, fault: Fault) -> None:
     process = testbed.process(fault.target)
-    async with (
-        process.fault_lock
-    ):  # one fault on a process at a time: no pause in the middle of a start
+    async with process.fault_lock:
         if fault.kind == "pause":
             process.signal(signal.SIGSTOP)
             try:
@@ -70,7 +65,10 @@
             finally:
                 process.signal(signal.SIGCONT)
             return
-        await (process.kill() if fault.kind == "kill" else process.terminate())
+        if fault.kind == "kill":
+            await process.kill()
+        else:
+            await process.terminate()
         if fault.restart:
             await asyncio.sleep(fault.after_s)
             await process.restart(keep_state=fault.restart == "keep")
@@ -92,11 +90,9 @@
         behaviour.failure_ratio = fault.share
     elif fault.kind == "limit":
         behaviour.concurrency_limit = fault.limit
-    else:  # cold: a restart, whose first calls are slow
-        behaviour.cold_ms, behaviour.cold_until_ns = (
-            fault.delay_ms,
-            testbed.clock() + int(fault.for_s * 1e9),
-        )
+    else:  # "cold": as after a restart, the first calls are slow.
+        behaviour.cold_ms = fault.delay_ms
+        behaviour.cold_until_ns = testbed.clock() + int(fault.for_s * NS_PER_S)
     if fault.for_s:
         await asyncio.sleep(fault.for_s)
         if fault.kind != "cold":
--- a/rainfall/lab/fault_proxy.py
+++ b/rainfall/lab/fault_proxy.py
@@ -1,36 +1,44 @@
-"""A fault proxy for one link of the lab: TCP on loopback, bytes passed on or held,
-delayed, cut or reset.
-
-States (``docs/parts.md``, the fleet lab): ``pass``; ``delay`` each chunk by
-``delay_ms`` plus a uniform jitter; ``drop`` (open connections and new ones are reset);
-``reset`` (the next chunk to the peer is passed on and then both sides are reset, so a
-request may have run); ``silence`` (connections are accepted and read, nothing is passed
-on, and they are reset at the end, as a machine that was cut off and comes back);
-``oneway`` (bytes toward the peer pass, answers are held until the link heals).
+"""A fault proxy for one link of the lab: TCP on loopback.
+
+States of a link (``docs/parts.md``, the fleet lab):
+
+- ``pass``: bytes are forwarded;
+- ``delay``: each chunk is delayed by ``delay_ms`` plus a uniform jitter;
+- ``drop``: open connections and new ones are reset;
+- ``reset``: the next chunk to the peer is forwarded, and then both sides are reset, so
+  that a request may have been executed;
+- ``silence``: connections are accepted and read, nothing is forwarded, and they are
+  reset at the end, as with a machine that was cut off and comes back;
+- ``oneway``: bytes to the peer are forwarded, answers are held until the link heals.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import os
 import random
 import resource
 import socket
 import struct
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from pathlib import Path
 from typing import Self
 
 CHUNK_BYTES = 65536
 DIAL_TIMEOUT_S = 2.0
 RESERVED_DESCRIPTORS = 256
-"""Descriptors left to logs, pipes and listening sockets that come later."""
+"""Descriptors left for logs, pipes and listening sockets."""
+DESCRIPTORS_PER_CONNECTION = 4
+"""Both ends of a link and, for a stand-in, both of its server."""
+FEWEST_CONNECTIONS = 16
+CONNECTION_LIMIT = 100_000
+UNLIMITED_DESCRIPTORS = 1 << 20
 STATES = ("pass", "delay", "drop", "reset", "silence", "oneway")
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Close with RST, as a process that died or a middlebox that cut the line."""
+    """Close with RST, as when a process dies or a middlebox drops the connection."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
         if sock is not None:
@@ -42,21 +50,21 @@
 
 @dataclass(slots=True)
 class ConnectionLimiter:
-    """The bound on connections open through all links together.
+    """The limit on connections open through all links together.
 
-    A connection that is taken up costs this process four descriptors at most (both ends
-    of the link and, for a stand-in, of its server); with no bound the accept loop meets
-    the descriptors' end and logs that again and again.
+    Without it the process would run out of descriptors, and its accept loop would log
+    that again and again.
     """
 
     limit: int
     on_first_rejection: Callable[[], None] = lambda: None
-    """Called once, as the first is refused."""
+    """Called at the first connection past the limit."""
     open: int = 0
     peak_open: int = 0
     rejected: int = 0
 
     def try_acquire(self) -> bool:
+        """Count a new connection; False past the limit."""
         if self.open >= self.limit:
             if not self.rejected:
                 self.on_first_rejection()
@@ -67,9 +75,11 @@
         return True
 
     def release(self) -> None:
+        """Count a connection that has ended."""
         self.open -= 1
 
     def statistics(self) -> dict[str, int]:
+        """The counts as they stand in a verdict."""
         return {
             "most": self.limit,
             "most_open": self.peak_open,
@@ -78,18 +88,21 @@
 
 
 def connection_capacity() -> int:
-    """Proxied connections that this process's descriptors allow, its limit raised as
-    far as it goes.
+    """Proxied connections that this process's descriptors allow.
+
+    Its limit of descriptors is raised as far as allowed.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         with contextlib.suppress(ValueError, OSError):
             resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
             soft = hard
-    free = (1 << 20 if soft == resource.RLIM_INFINITY else soft) - len(
-        os.listdir("/proc/self/fd")
-    )
-    return max(16, min(100_000, (free - RESERVED_DESCRIPTORS) // 4))
+    if soft == resource.RLIM_INFINITY:
+        soft = UNLIMITED_DESCRIPTORS
+    used = sum(1 for _ in Path("/proc/self/fd").iterdir())
+    available = soft - used - RESERVED_DESCRIPTORS
+    connections = min(CONNECTION_LIMIT, available // DESCRIPTORS_PER_CONNECTION)
+    return max(FEWEST_CONNECTIONS, connections)
 
 
 @dataclass(eq=False, slots=True)
@@ -105,9 +118,7 @@
 
 @dataclass
 class ProxyLink:
-    """One proxied link: ``listen`` is where its user dials, ``host:port`` the peer
-    behind it.
-    """
+    """One proxied link: clients dial ``listen_port``, the peer is at ``host:port``."""
 
     name: str
     host: str
@@ -130,6 +141,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> Self:
+        """Listen, at ``listen_port`` if it is not 0."""
         self.server = await asyncio.start_server(
             self._serve, "127.0.0.1", self.listen_port
         )
@@ -137,6 +149,7 @@
         return self
 
     async def stop(self) -> None:
+        """Stop listening, and reset all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.proxied_connections):
@@ -145,15 +158,17 @@
     def set_state(
         self, state: str, delay_ms: float = 0.0, jitter_ms: float = 0.0
     ) -> None:
-        """Put the link in a state; ValueError for an unknown one."""
+        """Change the link's state.
+
+        Raises:
+            ValueError: The state is unknown.
+        """
         if state not in STATES:
             raise ValueError(f"no proxy state {state!r}")
-        previous, self.state, self.delay_ms, self.jitter_ms = (
-            self.state,
-            state,
-            delay_ms,
-            jitter_ms,
-        )
+        previous = self.state
+        self.state = state
+        self.delay_ms = delay_ms
+        self.jitter_ms = jitter_ms
         if state == "oneway":
             self.healed.clear()
         if state == "drop" or (previous == "silence" and state == "pass"):
@@ -182,7 +197,8 @@
             TimeoutError,
             asyncio.CancelledError,
         ):
-            connection.reset()  # the lab ends or a side broke: both sides see a reset
+            # One side has failed, or the lab ends: both sides see a reset.
+            connection.reset()
         finally:
             self.proxied_connections.discard(connection)
             if self.limiter is not None:
@@ -191,7 +207,7 @@
     async def _forward(
         self, connection: _ProxiedConnection, reader: asyncio.StreamReader
     ) -> None:
-        while self.state == "silence":  # cut off: nothing comes up and nothing answers
+        while self.state == "silence":
             if not await reader.read(CHUNK_BYTES):
                 return
         async with asyncio.timeout(DIAL_TIMEOUT_S):
@@ -227,16 +243,16 @@
         connection: _ProxiedConnection,
         up: bool,
     ) -> bool:
+        """Treat a chunk as the state demands; False if the connection was reset."""
         state = self.state
         if state == "silence":
-            return True  # read and forgotten
+            return True
         if state == "drop":
             connection.reset()
             return False
         if state == "delay":
-            await asyncio.sleep(
-                (self.delay_ms + self.rng.uniform(0, self.jitter_ms)) / 1000
-            )
+            delay_ms = self.delay_ms + self.rng.uniform(0, self.jitter_ms)
+            await asyncio.sleep(delay_ms / 1000)
         if state == "oneway" and not up:
             await self.healed.wait()
         sink.write(chunk)
@@ -251,6 +267,7 @@
         return True
 
     def statistics(self) -> dict[str, object]:
+        """The link's counts as they stand in a verdict."""
         return {
             "link": self.name,
             "state": self.state,
--- a/rainfall/lab/fault_sections.py
+++ b/rainfall/lab/fault_sections.py
@@ -1,4 +1,4 @@
-"""The tables ``[[faults]]`` and ``[nemesis]`` of an experiment file, checked."""
+"""Reads the tables ``[[faults]]`` and ``[nemesis]`` of an experiment file."""
 
 from __future__ import annotations
 
@@ -17,14 +17,57 @@
 )
 from rainfall.lab.table_reader import TableReader
 
+FAULT_KEYS = frozenset(
+    {
+        "at_s",
+        "kind",
+        "target",
+        "zone",
+        "for_s",
+        "delay_ms",
+        "jitter_ms",
+        "share",
+        "limit",
+        "restart",
+        "after_s",
+    }
+)
+NEMESIS_KEYS = frozenset(
+    {
+        "rate_per_s",
+        "kinds",
+        "longest_s",
+        "quiet_s",
+        "lose",
+        "service_lose",
+        "all_at_once",
+    }
+)
+NEMESIS_KINDS = PROCESS_KINDS + LINK_KINDS
+RESTARTS = ("", "keep", "lose")
+LONGEST_FAULT_S = 600
+LONGEST_DELAY_MS = 60_000
+HIGHEST_CALL_LIMIT = 10_000
+HIGHEST_FAULT_RATE_PER_S = 100
+SHORTEST_FAULT_S = 0.1
+
 
 def parse_fault(
     reader: TableReader, table: Any, path: str, experiment: Experiment
 ) -> Fault | None:
+    """One table of ``[[faults]]``; None, with a fault, if it is no table."""
     if not isinstance(table, Mapping):
         reader.faults.append(f"{path}: a table is wanted")
         return None
-    reader.check_unknown_keys(table, set(Fault.__dataclass_fields__), path)
+    reader.check_unknown_keys(table, FAULT_KEYS, path)
+    fault = _read_fault(reader, table, path, experiment.duration_s)
+    _check_target(reader, fault, path, experiment)
+    return fault
+
+
+def _read_fault(
+    reader: TableReader, table: Mapping[str, Any], path: str, duration_s: float
+) -> Fault:
     kind = reader.read(
         table,
         "kind",
@@ -34,55 +77,50 @@
         lambda v: v in KINDS,
         f"is none of {', '.join(KINDS)}",
     )
-    fault = Fault(
-        at_s=reader.read(
-            table,
-            "at_s",
-            float,
-            path,
-            None,
-            lambda v: 0 <= v <= experiment.duration_s,
-            "is not within the run",
-        ),
+    at_s = reader.read(
+        table,
+        "at_s",
+        float,
+        path,
+        None,
+        lambda v: 0 <= v <= duration_s,
+        "is not within the run",
+    )
+
+    def read_time(key: str, default: float, limit: float) -> float:
+        return reader.read(table, key, float, path, default, lambda v: 0 <= v <= limit)
+
+    return Fault(
+        at_s=at_s,
         kind=kind,
         target=reader.read(table, "target", str, path, ""),
         zone=reader.read(table, "zone", str, path, ""),
-        for_s=reader.read(table, "for_s", float, path, 0.0, lambda v: 0 <= v <= 600),
-        delay_ms=reader.read(
-            table, "delay_ms", float, path, 0.0, lambda v: 0 <= v <= 60_000
-        ),
-        jitter_ms=reader.read(
-            table, "jitter_ms", float, path, 0.0, lambda v: 0 <= v <= 60_000
-        ),
+        for_s=read_time("for_s", 0.0, LONGEST_FAULT_S),
+        delay_ms=read_time("delay_ms", 0.0, LONGEST_DELAY_MS),
+        jitter_ms=read_time("jitter_ms", 0.0, LONGEST_DELAY_MS),
         share=reader.read(table, "share", float, path, 1.0, lambda v: 0 <= v <= 1),
-        limit=reader.read(table, "limit", int, path, 1, lambda v: 0 <= v <= 10_000),
+        limit=reader.read(
+            table, "limit", int, path, 1, lambda v: 0 <= v <= HIGHEST_CALL_LIMIT
+        ),
         restart=reader.read(
             table,
             "restart",
             str,
             path,
             "",
-            lambda v: v in ("", "keep", "lose"),
+            lambda v: v in RESTARTS,
             "is 'keep' or 'lose'",
         ),
-        after_s=reader.read(
-            table, "after_s", float, path, 0.5, lambda v: 0 <= v <= 600
-        ),
+        after_s=read_time("after_s", 0.5, LONGEST_FAULT_S),
     )
-    _check_target(reader, fault, path, experiment)
-    return fault
 
 
 def _check_target(
     reader: TableReader, fault: Fault, path: str, experiment: Experiment
 ) -> None:
+    """Check what a fault affects, and that it has the time that its kind needs."""
     if fault.kind in LINK_KINDS:
-        if fault.zone and fault.zone not in experiment.fleet.zones:
-            reader.faults.append(f"{path}.zone: no zone {fault.zone!r}")
-        elif not fault.zone and not matching_links(experiment, fault):
-            reader.faults.append(f"{path}.target: {fault.target!r} names no link")
-        if fault.for_s <= 0:
-            reader.faults.append(f"{path}.for_s: a link fault needs a time over 0")
+        _check_link_fault(reader, fault, path, experiment)
     elif fault.kind in PROCESS_KINDS and fault.target not in experiment.process_names():
         reader.faults.append(f"{path}.target: {fault.target!r} is no forwarder")
     elif (
@@ -93,32 +131,54 @@
         reader.faults.append(f"{path}.for_s: a pause needs a time over 0")
 
 
+def _check_link_fault(
+    reader: TableReader, fault: Fault, path: str, experiment: Experiment
+) -> None:
+    if fault.zone and fault.zone not in experiment.fleet.zones:
+        reader.faults.append(f"{path}.zone: no zone {fault.zone!r}")
+    elif not fault.zone and not matching_links(experiment, fault):
+        reader.faults.append(f"{path}.target: {fault.target!r} names no link")
+    if fault.for_s <= 0:
+        reader.faults.append(f"{path}.for_s: a link fault needs a time over 0")
+
+
 def parse_nemesis(
     reader: TableReader, table: Mapping[str, Any], duration_s: float
 ) -> Nemesis:
-    reader.check_unknown_keys(table, set(Nemesis.__dataclass_fields__), "nemesis")
-    all_kinds = PROCESS_KINDS + LINK_KINDS
+    """The table ``[nemesis]`` of a run of this duration."""
+    reader.check_unknown_keys(table, NEMESIS_KEYS, "nemesis")
     kinds = reader.read(
         table,
         "kinds",
         list,
         "nemesis",
-        list(all_kinds),
+        list(NEMESIS_KINDS),
         lambda v: len(v) > 0,
         "must name a kind",
     )
-    for n, kind in enumerate(kinds):
-        if kind not in all_kinds:
+    for index, kind in enumerate(kinds):
+        if kind not in NEMESIS_KINDS:
             reader.faults.append(
-                f"nemesis.kinds[{n}]: {kind!r} is none of {', '.join(all_kinds)}"
+                f"nemesis.kinds[{index}]: {kind!r} is none of {', '.join(NEMESIS_KINDS)}"
             )
+    known_kinds = tuple(dict.fromkeys(kind for kind in kinds if kind in NEMESIS_KINDS))
     return Nemesis(
         rate_per_s=reader.read(
-            table, "rate_per_s", float, "nemesis", None, lambda v: 0 < v <= 100
+            table,
+            "rate_per_s",
+            float,
+            "nemesis",
+            None,
+            lambda v: 0 < v <= HIGHEST_FAULT_RATE_PER_S,
         ),
-        kinds=tuple(dict.fromkeys(k for k in kinds if k in all_kinds)) or all_kinds,
+        kinds=known_kinds or NEMESIS_KINDS,
         longest_s=reader.read(
-            table, "longest_s", float, "nemesis", 2.0, lambda v: 0.1 <= v <= 600
+            table,
+            "longest_s",
+            float,
+            "nemesis",
+            2.0,
+            lambda v: SHORTEST_FAULT_S <= v <= LONGEST_FAULT_S,
         ),
         quiet_s=reader.read(
             table,
--- a/rainfall/lab/forwarder_config.py
+++ b/rainfall/lab/forwarder_config.py
@@ -1,5 +1,6 @@
-"""Everything that the lab writes into a forwarder's configuration, and nothing else:
-the one file to change where the form of a configuration changes.
+"""Builds the configuration of a forwarder.
+
+Only this module knows the form of a configuration.
 """
 
 from __future__ import annotations
@@ -10,28 +11,39 @@
 
 from rainfall.lab.experiment_model import Experiment
 
+US_PER_S = 1e6
+OBJECTIVE_US_PER_DEADLINE_S = 4e5
+"""A class's latency objective is two fifths of its deadline."""
+ATTEMPTS = 6
+"""Attempts that a forwarder may make for one message."""
+OPEN_CONNECTIONS = 50
+"""Connections that a forwarder may have to one endpoint."""
+SEEDS_PER_RUN = 100
+"""Seeds of forwarders between those of one run and the next."""
+
 
 @dataclass(slots=True)
 class ForwarderAddresses:
-    """Where one forwarder listens and whom it dials, as HOST:PORT; all dials are its
-    own proxies.
+    """Where one forwarder listens, and what it dials, as HOST:PORT.
+
+    Everything that it dials is one of its own proxies.
     """
 
     listen: str
     discovery: str
     endpoint_dials: Mapping[str, str]
-    """Endpoint to dial."""
+    """By the endpoint's name."""
     fleet: str = ""
-    """The list service's fleet address; empty where the service is a stand-in."""
+    """The list service's fleet address; empty if the service is a stand-in."""
     peer_listen: str = ""
     peer_dials: Mapping[str, str] = field(default_factory=dict)
-    """Forwarder to dial; empty where the experiment has no links between forwarders."""
+    """By the forwarder's name; empty if there are no links between forwarders."""
 
 
 def host_entries(
     experiment: Experiment, dials: Mapping[str, str]
 ) -> list[dict[str, Any]]:
-    """The endpoints as PROTOCOL's discovery lists them, at the dials given."""
+    """The endpoints as PROTOCOL "Discovery" lists them, by name and dial."""
     return [
         {
             "host": endpoint,
@@ -48,12 +60,12 @@
 
 
 def settings(experiment: Experiment) -> dict[str, Any]:
-    """The forwarders' settings (PROTOCOL: 'the settings') for the experiment's classes."""
+    """The forwarders' settings, as PROTOCOL defines them, for the experiment's classes."""
     services = [
         {
             "name": load_class.name,
-            "aim_us": int(load_class.deadline_s * 4e5),
-            "deadline_us": int(load_class.deadline_s * 1e6),
+            "aim_us": int(load_class.deadline_s * OBJECTIVE_US_PER_DEADLINE_S),
+            "deadline_us": int(load_class.deadline_s * US_PER_S),
             "effect": load_class.effect,
             "by_arrival": load_class.ordered,
         }
@@ -63,8 +75,8 @@
         "allowed": {
             "conn_idle_us": 5_000_000,
             "dial_timeout_us": 1_000_000,
-            "max_attempts": 6,
-            "max_open": 50,
+            "max_attempts": ATTEMPTS,
+            "max_open": OPEN_CONNECTIONS,
             "max_retry_after_us": 3_000_000,
             "retry_after": True,
             "may_cancel": True,
@@ -93,9 +105,7 @@
 def fleet_section(
     experiment: Experiment, name: str, addresses: ForwarderAddresses
 ) -> dict[str, Any] | None:
-    """The ``fleet`` object, or None where the experiment asks for none: with peers, or
-    with parts named.
-    """
+    """The ``fleet`` object; None if the experiment has neither peers nor parts."""
     if not experiment.fleet.peers and not experiment.fleet.parts:
         return None
     section: dict[str, Any] = {"name": name, "site": experiment.zone_of(name)}
@@ -112,13 +122,13 @@
 def configuration(
     experiment: Experiment, seed: int, number: int, addresses: ForwarderAddresses
 ) -> dict[str, Any]:
-    """The whole configuration of forwarder ``number``."""
+    """The configuration of forwarder ``number``."""
     name = f"f{number}"
     config: dict[str, Any] = {
         "name": name,
         "listen": addresses.listen,
         "discovery": addresses.discovery,
-        "seed": str(seed * 100 + number),
+        "seed": str(seed * SEEDS_PER_RUN + number),
         "durability": experiment.fleet.durability,
         "log_format": "json",
         "limits": {"cores": 1, "memory_mb": 256, "sockets": 1024, "disk_mb": 16},
--- a/rainfall/lab/interrupt.py
+++ b/rainfall/lab/interrupt.py
@@ -1,4 +1,4 @@
-"""One way to be interrupted, for a run and for a sweep."""
+"""Ends a run or a sweep on SIGINT and SIGTERM."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def cancel_on_first_signal() -> None:
-    """The first SIGINT or SIGTERM cancels the current task; those that follow are
-    passed over, since a second cancel would break off the ending of the processes that
-    the first began. It works too where a shell started us with SIGINT ignored, as it
-    does in the background.
+    """Cancel the current task at the first SIGINT or SIGTERM, and ignore later ones.
+
+    A second cancel would interrupt the clean-up that the first one started. This works
+    too where a shell has started the program in the background, with SIGINT ignored.
     """
     task = asyncio.current_task()
     assert task is not None
--- a/rainfall/lab/list_service.py
+++ b/rainfall/lab/list_service.py
@@ -1,5 +1,6 @@
-"""The list service as a process of the lab: ``python -m rainfall.registry``, its
-endpoints registered through its write address, as the servers' operators do.
+"""The list service as a process of the lab: ``python -m rainfall.registry``.
+
+Its endpoints are registered at its write address, as operators do.
 """
 
 from __future__ import annotations
@@ -8,16 +9,27 @@
 import json
 import sys
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from typing import Any
 
-from rainfall.lab.processes import ROOT, Process, StartError
+from rainfall.lab.processes import ROOT, Command, Process, StartError
 from rainfall.lab.stand_ins import read_http_message
 
 CALL_TIMEOUT_S = 5.0
+SHOWN_CHARACTERS = 300
+"""Characters of an answer that an error shows."""
+
+
+@dataclass(frozen=True, slots=True)
+class HttpAnswer:
+    """An answer's status and body."""
+
+    status: int
+    body: bytes
 
 
 async def supported_options() -> frozenset[str]:
-    """The options that the program has now, read from its help."""
+    """The options of the program, as its help lists them."""
     help_process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -38,10 +50,10 @@
 
 @dataclass
 class ListServiceProcess(Process):
-    """The process ``list``.
+    """The list service's process.
 
-    It keeps its ports over its restarts; ``hosts`` are registered at each start, which
-    changes nothing where its folder still lists them.
+    It keeps its ports over restarts. ``hosts`` are registered at each start, which
+    changes nothing if its state folder still lists them.
     """
 
     listen_port: int = 0
@@ -53,32 +65,40 @@
 
     role = "registry"
 
-    def command(self) -> tuple[list[str], dict[str, str]]:
-        words = ["-m", "rainfall.registry", "--state", str(self.state_folder)]
-        words += [
-            "--listen",
-            f"127.0.0.1:{self.listen_port}",
-            "--write",
-            f"127.0.0.1:{self.write_port}",
-        ]
+    def command(self) -> Command:
+        """See ``Process``."""
+        arguments = ["-m", "rainfall.registry"]
+        arguments += ["--state", str(self.state_folder)]
+        arguments += ["--listen", f"127.0.0.1:{self.listen_port}"]
+        arguments += ["--write", f"127.0.0.1:{self.write_port}"]
         if "--fleet" in self.options:
-            words += ["--fleet", f"127.0.0.1:{self.fleet_port}"]
-        empty = not self.state_folder.is_dir() or not any(self.state_folder.iterdir())
-        if "--new" in self.options and empty:
-            words += ["--new"]
-        return [*words, *self.extra_args], {}
+            arguments += ["--fleet", f"127.0.0.1:{self.fleet_port}"]
+        folder = self.state_folder
+        is_empty = not folder.is_dir() or not any(folder.iterdir())
+        if "--new" in self.options and is_empty:
+            arguments.append("--new")
+        return Command([*arguments, *self.extra_args], {})
 
     def ready_port(self) -> int:
+        """The write address."""
         return self.write_port
 
     async def start(self) -> None:
+        """Start the process, and register the endpoints.
+
+        Raises:
+            StartError: It did not come up, or did not accept the endpoints.
+        """
         await super().start()
-        ops = [
-            {"op": "register", **{k: v for k, v in h.items() if k != "health"}}
-            for h in self.hosts
+        operations = [
+            {
+                "op": "register",
+                **{key: value for key, value in host.items() if key != "health"},
+            }
+            for host in self.hosts
         ]
         try:
-            status, text = await post(self.write_port, "/v1/hosts", {"ops": ops})
+            answer = await post(self.write_port, "/v1/hosts", {"ops": operations})
         except (
             OSError,
             TimeoutError,
@@ -88,14 +108,22 @@
             raise StartError(
                 f"{self.name} did not take the endpoints: {type(error).__name__}"
             ) from None
-        if status != 200:
+        if answer.status != HTTPStatus.OK:
+            shown = answer.body[:SHOWN_CHARACTERS]
             raise StartError(
-                f"{self.name} refused the endpoints: {status} {text[:300]!r}"
+                f"{self.name} refused the endpoints: {answer.status} {shown!r}"
             )
 
 
-async def post(port: int, path: str, body: dict[str, Any]) -> tuple[int, bytes]:
-    """One call at a loopback port: its status and body."""
+async def post(port: int, path: str, body: dict[str, Any]) -> HttpAnswer:
+    """The answer to one call at a loopback port.
+
+    Raises:
+        OSError: The connection failed.
+        TimeoutError: No answer came within ``CALL_TIMEOUT_S``.
+        asyncio.IncompleteReadError: The connection ended within the answer.
+        ValueError: The connection ended, or the answer cannot be read.
+    """
     data = json.dumps(body).encode()
     head = f"POST {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n"
     async with asyncio.timeout(CALL_TIMEOUT_S):
@@ -105,6 +133,6 @@
             response = await read_http_message(reader)
             if response is None:
                 raise ValueError("no answer")
-            return int(response[1]), response[3]
+            return HttpAnswer(int(response.target), response.body)
         finally:
             writer.close()
--- a/rainfall/lab/load_generator.py
+++ b/rainfall/lab/load_generator.py
@@ -1,6 +1,7 @@
-"""The load side of a lab run: clients that hand messages in as PROTOCOL (Clients to
-forwarders) says, each at its planned time whatever the fleet does, with a try on the
-next forwarder where no answer came.
+"""The load of a lab run: clients that send messages to forwarders, as PROTOCOL says.
+
+Each message is sent at its planned time, whatever the fleet does. Without an answer it is
+sent to the next forwarder.
 """
 
 from __future__ import annotations
@@ -13,86 +14,123 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.lab import load_plan
-from rainfall.lab.experiment import Experiment
+from rainfall.lab.experiment_model import NS_PER_S, Experiment
 from rainfall.lab.fault_proxy import reset_connection
 from rainfall.lab.load_plan import PlannedMessage
 from rainfall.lab.stand_ins import read_http_message
 
 ATTEMPTS_PER_MESSAGE = 2
 BUSY_WAIT_S = 0.01
+"""How long before a send time the load yields instead of sleeping.
+
+The event loop's timers wake some milliseconds late when others are about.
+"""
 HEAD_LIMIT_BYTES = 16384
+LOAD_DONE = "done"
+"""What the load process reports at its end."""
+
+
+class ClientConnection(NamedTuple):
+    """A connection to a forwarder."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+
+class AttemptOutcome(NamedTuple):
+    """An attempt's HTTP status, or 0 and what failed."""
+
+    status: int
+    error: str
 
 
 @dataclass
 class ConnectionPool:
-    """Idle client connections per forwarder, as a front that keeps them and opens more
-    when all are busy.
-    """
+    """Idle client connections by forwarder; more are opened when all are in use."""
 
     ports: list[int]
-    idle: list[list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = field(
-        default_factory=list
-    )
+    idle: list[list[ClientConnection]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.idle = [[] for _ in self.ports]
 
-    async def acquire(
-        self, forwarder: int, limit_s: float
-    ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def acquire(self, forwarder: int, limit_s: float) -> ClientConnection:
+        """An idle connection, or a new one.
+
+        Raises:
+            OSError: It could not be opened.
+            TimeoutError: It was not open within ``limit_s``.
+        """
         while self.idle[forwarder]:
-            reader, writer = self.idle[forwarder].pop()
-            if not writer.is_closing() and not reader.at_eof():
-                return reader, writer
+            connection = self.idle[forwarder].pop()
+            if not connection.writer.is_closing() and not connection.reader.at_eof():
+                return connection
         async with asyncio.timeout(limit_s):
-            return await asyncio.open_connection(
-                "127.0.0.1", self.ports[forwarder], limit=HEAD_LIMIT_BYTES
+            return ClientConnection(
+                *await asyncio.open_connection(
+                    "127.0.0.1", self.ports[forwarder], limit=HEAD_LIMIT_BYTES
+                )
             )
 
-    def release(
-        self, forwarder: int, pair: tuple[asyncio.StreamReader, asyncio.StreamWriter]
-    ) -> None:
-        self.idle[forwarder].append(pair)
+    def release(self, forwarder: int, connection: ClientConnection) -> None:
+        """Keep a connection whose answer is complete."""
+        self.idle[forwarder].append(connection)
 
     def close(self) -> None:
-        for pairs in self.idle:
-            for _, writer in pairs:
-                reset_connection(writer)
+        """Reset all idle connections."""
+        for connections in self.idle:
+            for connection in connections:
+                reset_connection(connection.writer)
 
 
 def build_request(
-    message: PlannedMessage, name: str, left_s: float, body: bytes, again: bool
+    message: PlannedMessage,
+    message_id: str,
+    remaining_s: float,
+    body: bytes,
+    is_repeat: bool,
 ) -> bytes:
+    """The request of one attempt, whose id is ``message_id``."""
     lines = [
         f"POST /{message.class_name} HTTP/1.1",
         "Host: origin.svc",
-        f"X-Correlation-Id: {name}",
+        f"X-Correlation-Id: {message_id}",
         "X-Account: acme",
-        f"X-Time-Left: {left_s:.3f}",
+        f"X-Time-Left: {remaining_s:.3f}",
         f"Idempotency-Key: {message.key}",
         f"Content-Length: {len(body)}",
         f"X-Addressing: dest={message.destination}",
     ]
-    lines += [f"X-Session-Key: {message.session}"] if message.session else []
-    lines += ["X-Repeat: again"] if again else []
+    if message.session:
+        lines.append(f"X-Session-Key: {message.session}")
+    if is_repeat:
+        lines.append("X-Repeat: again")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 async def read_status(reader: asyncio.StreamReader) -> int:
-    """The status of the next answer; IncompleteReadError where the connection ends
-    first.
+    """The status of the next answer.
+
+    Raises:
+        asyncio.IncompleteReadError: The connection ends first.
+        ValueError: The answer cannot be read.
     """
-    got = await read_http_message(reader)
-    if got is None:
+    answer = await read_http_message(reader)
+    if answer is None:
         raise asyncio.IncompleteReadError(b"", None)
-    return int(got[1])
+    return int(answer.target)
 
 
 @dataclass
 class LoadDriver:
+    """Sends the planned messages, and records each attempt.
+
+    ``clock`` is in ns from the start of the load.
+    """
+
     experiment: Experiment
     connections: ConnectionPool
     record: Callable[[dict[str, Any]], None]
@@ -100,23 +138,19 @@
     deadlines_ns: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.deadlines_ns = {
-            c.name: int(c.deadline_s * 1e9) for c in self.experiment.load.classes
-        }
+        self.deadlines_ns = self.experiment.deadlines_ns()
         self.body = b"x" * self.experiment.load.body_bytes
 
     async def run(self, planned: list[PlannedMessage]) -> None:
-        """Send every message at its time; returns when all have their answers or gave
-        up.
-        """
+        """Send every message at its time; returns when all are answered or given up."""
         tasks: set[asyncio.Task[None]] = set()
-        last: dict[str, asyncio.Task[None]] = {}
+        last_of_session: dict[str, asyncio.Task[None]] = {}
         for message in planned:
             await self._wait_until(message.due_ns)
             if message.session:
-                task = last[message.session] = asyncio.create_task(
-                    self.send_in_order(message, last.get(message.session))
-                )
+                previous = last_of_session.get(message.session)
+                task = asyncio.create_task(self.send_in_order(message, previous))
+                last_of_session[message.session] = task
             else:
                 task = asyncio.create_task(self.send(message, message.due_ns))
             tasks.add(task)
@@ -125,25 +159,19 @@
             await asyncio.gather(*tasks)
 
     async def _wait_until(self, due_ns: int) -> None:
-        """Wait for a send time.
-
-        The loop's timers wake a few ms late once other timers are about (its waits are
-        whole ms), so the last SPIN_S are spent yielding: the load process gives a core
-        for a schedule held to well under a millisecond (3 ms at the 99th percentile
-        with 3 ms of yielding, 0.07 with 8).
-        """
-        wait = (due_ns - self.clock()) / 1e9
-        if wait > BUSY_WAIT_S:
-            await asyncio.sleep(wait - BUSY_WAIT_S)
+        """Wait for a send time: sleep, and yield for the last ``BUSY_WAIT_S``."""
+        wait_s = (due_ns - self.clock()) / NS_PER_S
+        if wait_s > BUSY_WAIT_S:
+            await asyncio.sleep(wait_s - BUSY_WAIT_S)
         while self.clock() < due_ns:
             await asyncio.sleep(0)
 
     async def send_in_order(
         self, message: PlannedMessage, before: asyncio.Task[None] | None
     ) -> None:
-        """PROTOCOL: messages of one key are handed in in sequence, each once the one
-        before has its answer. A message that has waited for that is due when it may go,
-        and has its whole time from then.
+        """Send a message of a session once the one before is answered (PROTOCOL).
+
+        If it had to wait for that, its deadline counts from the end of the wait.
         """
         if before is None or before.done():
             await self.send(message, message.due_ns)
@@ -152,57 +180,51 @@
             await self.send(message, self.clock())
 
     async def send(self, message: PlannedMessage, ready_ns: int) -> None:
-        timeout = self.experiment.load.answer_timeout_s
+        """Send a message, up to ``ATTEMPTS_PER_MESSAGE`` times until it is answered."""
+        timeout_s = self.experiment.load.answer_timeout_s
         forwarders = self.experiment.load.forwarders or self.experiment.fleet.forwarders
+        deadline_ns = ready_ns + self.deadlines_ns[message.class_name]
         for attempt in range(ATTEMPTS_PER_MESSAGE):
             sent_ns = self.clock()
-            left_s = (ready_ns + self.deadlines_ns[message.class_name] - sent_ns) / 1e9
+            remaining_s = (deadline_ns - sent_ns) / NS_PER_S
             message_id = f"{message.key}.{attempt}"
             forwarder = (message.forwarder + attempt) % forwarders
-            status, error = await self._attempt(
-                forwarder,
-                build_request(message, message_id, left_s, self.body, attempt > 0),
-                timeout,
+            request = build_request(
+                message, message_id, remaining_s, self.body, attempt > 0
             )
-            self.record(
-                {
-                    "kind": "try",
-                    "key": message.key,
-                    "id": message_id,
-                    "cls": message.class_name,
-                    "destination": message.destination,
-                    "forwarder": forwarder,
-                    "due_ns": message.due_ns,
-                    "sent_ns": sent_ns,
-                    "answer_ns": self.clock(),
-                    "status": status,
-                    "error": error,
-                    **(
-                        {
-                            "session": message.session,
-                            "number": message.number,
-                            "ready_ns": ready_ns,
-                        }
-                        if message.session
-                        else {}
-                    ),
-                }
-            )
-            if status or left_s <= timeout:
+            status, error = await self._attempt(forwarder, request, timeout_s)
+            record = {
+                "kind": "try",
+                "key": message.key,
+                "id": message_id,
+                "cls": message.class_name,
+                "destination": message.destination,
+                "forwarder": forwarder,
+                "due_ns": message.due_ns,
+                "sent_ns": sent_ns,
+                "answer_ns": self.clock(),
+                "status": status,
+                "error": error,
+            }
+            if message.session:
+                record["session"] = message.session
+                record["number"] = message.number
+                record["ready_ns"] = ready_ns
+            self.record(record)
+            if status or remaining_s <= timeout_s:
                 return
 
     async def _attempt(
-        self, forwarder: int, data: bytes, timeout: float
-    ) -> tuple[int, str]:
+        self, forwarder: int, request: bytes, timeout_s: float
+    ) -> AttemptOutcome:
         try:
-            pair = await self.connections.acquire(forwarder, timeout)
+            connection = await self.connections.acquire(forwarder, timeout_s)
         except (OSError, TimeoutError) as error:
-            return 0, f"connect: {type(error).__name__}"
-        reader, writer = pair
+            return AttemptOutcome(0, f"connect: {type(error).__name__}")
         try:
-            writer.write(data)
-            async with asyncio.timeout(timeout):
-                status = await read_status(reader)
+            connection.writer.write(request)
+            async with asyncio.timeout(timeout_s):
+                status = await read_status(connection.reader)
         except (
             OSError,
             TimeoutError,
@@ -211,45 +233,49 @@
             IndexError,
         ) as error:
             with contextlib.suppress(OSError):
-                writer.close()
-            return 0, type(error).__name__
-        self.connections.release(forwarder, pair)
-        return status, ""
+                connection.writer.close()
+            return AttemptOutcome(0, type(error).__name__)
+        self.connections.release(forwarder, connection)
+        return AttemptOutcome(status, "")
 
 
 def run_load_process(
     experiment: Experiment, seed: int, ports: list[int], pipe: Any, path: str
 ) -> None:
-    """The load process: plan the messages, tell their number on ``pipe``, take the
-    start time from it (ns of time.monotonic_ns), send, write the records to ``path`` as
-    JSON lines, then say 'done'.
+    """Run the load; the main function of the load process.
+
+    It plans the messages, sends their number on ``pipe``, receives the start time (in ns
+    of ``time.monotonic_ns``), sends the messages, writes the records to ``path`` as JSON
+    lines, and sends ``LOAD_DONE``. An error is sent as its text.
     """
     try:
         planned = load_plan.plan_messages(experiment, seed)
         pipe.send(len(planned))
         start_ns = int(pipe.recv())
-        gc.freeze()  # what is made before the start is never looked through again,
-        # and no collection falls in the middle of the schedule; the process ends after
-        # it
+        # No garbage collection during the load; the process ends after it.
+        gc.freeze()
         gc.disable()
         records: list[dict[str, Any]] = []
-        front = ConnectionPool(ports)
+        connections = ConnectionPool(ports)
+        driver = LoadDriver(
+            experiment,
+            connections,
+            records.append,
+            lambda: time.monotonic_ns() - start_ns,
+        )
 
-        async def play() -> None:
+        async def run_driver() -> None:
             try:
-                await LoadDriver(
-                    experiment,
-                    front,
-                    records.append,
-                    lambda: time.monotonic_ns() - start_ns,
-                ).run(planned)
+                await driver.run(planned)
             finally:
-                front.close()
+                connections.close()
 
-        asyncio.run(play())
+        asyncio.run(run_driver())
         Path(path).write_text(
-            "".join(json.dumps(r, separators=(",", ":")) + "\n" for r in records)
+            "".join(
+                json.dumps(record, separators=(",", ":")) + "\n" for record in records
+            )
         )
-        pipe.send("done")
-    except Exception as error:  # told to the lab, which ends the run with it
+        pipe.send(LOAD_DONE)
+    except Exception as error:  # Whatever it is, the lab ends the run with it.
         pipe.send(f"{type(error).__name__}: {error}")
--- a/rainfall/lab/nemesis.py
+++ b/rainfall/lab/nemesis.py
@@ -1,19 +1,26 @@
-"""A nemesis: faults drawn from a run's seed, by rules that keep the run worth judging.
-
-Rules, whatever is drawn: the same seed gives the same faults; no two faults are on one
-process or one link at a time (a heal would end the other one early); unless
-``all_at_once``, some forwarder is neither stopped nor cut at each moment (the file's
-own faults counted); every fault, a restart's way to ready included, is over ``quiet_s``
-before the load ends. A draw that breaks a rule is dropped, not drawn again, so the rate
-is a bound.
+"""A nemesis: faults drawn from a run's seed.
+
+Its rules:
+
+- the same seed gives the same faults;
+- no two faults affect one process or one link at a time, since the end of one would
+  heal the other;
+- unless ``all_at_once``, at each moment some forwarder is neither stopped nor cut off,
+  the faults of the file counted too;
+- every fault, with the start of a process after it, is over ``quiet_s`` before the load
+  ends.
+
+A fault that breaks a rule is dropped and not drawn again, so that the rate is a limit.
 """
 
 from __future__ import annotations
 
+import math
 import random
 from dataclasses import dataclass
 
 from rainfall.lab.experiment_model import (
+    CLIENT,
     LINK_KINDS,
     LIST_SERVICE,
     PROCESS_KINDS,
@@ -26,62 +33,64 @@
 
 SHORTEST_FAULT_S = 0.1
 RESTART_ALLOWANCE_S = 3.0
-"""Booked for a process to be ready again, beside the time after which it is started."""
+"""How long a started process may take to be ready."""
 TERMINATION_ALLOWANCE_S = 5.0
-"""Booked for an end by SIGTERM."""
+"""How long a process may take to end by SIGTERM."""
+DELAY_RANGE_MS = (5, 200)
+JITTER_RANGE_MS = (0, 100)
+LINK_SCOPES = ("one", "one", "out", "in")
+"""One link (twice as likely), all links out of one member, or all to one peer."""
 
 
 @dataclass(frozen=True, slots=True)
 class FaultWindow:
-    """What one fault takes, and until when.
-
-    ``out``: forwarders that it stops or cuts.
-    """
+    """What one fault affects, and from when until when."""
 
     begin_s: float
     end_s: float
     resources: frozenset[str]
+    """Processes, endpoints or links."""
     unavailable: frozenset[str]
+    """Forwarders that are stopped or cut off."""
 
 
 def fault_window(experiment: Experiment, fault: Fault) -> FaultWindow:
-    members = set(experiment.forwarder_names())
-    if fault.kind in LINK_KINDS:
-        links = frozenset(matching_links(experiment, fault))
-        unavailable = (
-            {m for m in members if _is_cut_off(experiment, m, links)}
-            if fault.kind != "delay"
-            else set()
-        )
-        return FaultWindow(
-            fault.at_s, fault.at_s + fault.for_s, links, frozenset(unavailable)
-        )
-    if fault.kind not in PROCESS_KINDS:
-        return FaultWindow(
-            fault.at_s, fault.at_s + fault.for_s, frozenset({fault.target}), frozenset()
+    """The window of a fault, with the start of a process after it."""
+    forwarders = experiment.forwarder_names()
+    if fault.kind in PROCESS_KINDS:
+        target = frozenset({fault.target})
+        unavailable = target.intersection(forwarders)
+        return FaultWindow(fault.at_s, _process_fault_end_s(fault), target, unavailable)
+    end_s = fault.at_s + fault.for_s
+    if fault.kind not in LINK_KINDS:
+        return FaultWindow(fault.at_s, end_s, frozenset({fault.target}), frozenset())
+    links = frozenset(matching_links(experiment, fault))
+    cut_off: frozenset[str] = frozenset()
+    if fault.kind != "delay":
+        cut_off = frozenset(
+            forwarder
+            for forwarder in forwarders
+            if _is_cut_off(experiment, forwarder, links)
         )
+    return FaultWindow(fault.at_s, end_s, links, cut_off)
+
+
+def _process_fault_end_s(fault: Fault) -> float:
     if fault.kind == "pause":
-        end = fault.at_s + fault.for_s
-    elif fault.restart:
-        end = (
-            fault.at_s
-            + fault.after_s
-            + RESTART_ALLOWANCE_S
-            + (TERMINATION_ALLOWANCE_S if fault.kind == "term" else 0.0)
-        )
-    else:
-        end = float("inf")
-    return FaultWindow(
-        fault.at_s, end, frozenset({fault.target}), frozenset({fault.target} & members)
-    )
+        return fault.at_s + fault.for_s
+    if not fault.restart:
+        return math.inf
+    termination_s = TERMINATION_ALLOWANCE_S if fault.kind == "term" else 0.0
+    return fault.at_s + fault.after_s + RESTART_ALLOWANCE_S + termination_s
 
 
-def _is_cut_off(experiment: Experiment, member: str, links: frozenset[str]) -> bool:
-    """A forwarder is out of use without its clients or without every endpoint; not
-    without the list.
+def _is_cut_off(experiment: Experiment, forwarder: str, links: frozenset[str]) -> bool:
+    """Whether a forwarder has lost its clients or all endpoints with these links.
+
+    It is not cut off without the list service.
     """
-    return f"client>{member}" in links or all(
-        f"{member}>{e}" in links for e in experiment.endpoint_names()
+    return f"{CLIENT}>{forwarder}" in links or all(
+        f"{forwarder}>{endpoint}" in links for endpoint in experiment.endpoint_names()
     )
 
 
@@ -91,42 +100,49 @@
     windows: list[FaultWindow],
     new: FaultWindow,
 ) -> bool:
-    """Whether a fault may join those booked. O(booked)."""
+    """Whether the rules allow a fault beside those of ``windows``. O(windows)."""
     if new.end_s > experiment.duration_s - nemesis.quiet_s:
         return False
     overlapping = [
-        b for b in windows if b.begin_s < new.end_s and new.begin_s < b.end_s
+        window
+        for window in windows
+        if window.begin_s < new.end_s and new.begin_s < window.end_s
     ]
-    if any(b.resources & new.resources for b in overlapping):
+    if any(window.resources & new.resources for window in overlapping):
         return False
     if nemesis.all_at_once or not new.unavailable:
         return True
-    # Who is out is greatest as some fault begins: each such moment within the new one
-    # is looked at.
-    for at in [
-        new.begin_s,
-        *(b.begin_s for b in overlapping if b.begin_s > new.begin_s),
-    ]:
-        unavailable = set(new.unavailable).union(
-            *(b.unavailable for b in overlapping if b.begin_s <= at < b.end_s)
-        )
+    return _leaves_a_forwarder(experiment, overlapping, new)
+
+
+def _leaves_a_forwarder(
+    experiment: Experiment, overlapping: list[FaultWindow], new: FaultWindow
+) -> bool:
+    """Whether some forwarder is available at each moment of the new window.
+
+    Most forwarders are unavailable when some window begins, so only these moments count.
+    """
+    later_begins = [
+        window.begin_s for window in overlapping if window.begin_s > new.begin_s
+    ]
+    for at_s in [new.begin_s, *later_begins]:
+        unavailable = set(new.unavailable)
+        for window in overlapping:
+            if window.begin_s <= at_s < window.end_s:
+                unavailable |= window.unavailable
         if len(unavailable) >= experiment.fleet.forwarders:
             return False
     return True
 
 
 def fault_timeline(experiment: Experiment, seed: int) -> tuple[Fault, ...]:
-    """The faults of a run in order of time: the file's own and, where it has a nemesis,
-    the drawn ones.
-    """
+    """The faults of a run in order of time: the file's, and those of its nemesis."""
     nemesis = experiment.nemesis
     if nemesis is None:
         return experiment.faults
     rng = random.Random(f"nemesis/{seed}")
-    faults, windows = (
-        list(experiment.faults),
-        [fault_window(experiment, f) for f in experiment.faults],
-    )
+    faults = list(experiment.faults)
+    windows = [fault_window(experiment, fault) for fault in faults]
     at_s = rng.expovariate(nemesis.rate_per_s)
     while at_s < experiment.duration_s - nemesis.quiet_s:
         fault = _draw_fault(experiment, nemesis, rng, round(at_s, 3))
@@ -135,7 +151,7 @@
             faults.append(fault)
             windows.append(window)
         at_s += rng.expovariate(nemesis.rate_per_s)
-    return tuple(sorted(faults, key=lambda f: f.at_s))
+    return tuple(sorted(faults, key=lambda fault: fault.at_s))
 
 
 def _draw_fault(
@@ -144,13 +160,19 @@
     kind = rng.choice(nemesis.kinds)
     length_s = round(rng.uniform(SHORTEST_FAULT_S, nemesis.longest_s), 3)
     if kind in LINK_KINDS:
+        target = _draw_links(experiment, rng)
+        delay_ms = 0.0
+        jitter_ms = 0.0
+        if kind == "delay":
+            delay_ms = round(rng.uniform(*DELAY_RANGE_MS), 1)
+            jitter_ms = round(rng.uniform(*JITTER_RANGE_MS), 1)
         return Fault(
             at_s=at_s,
             kind=kind,
-            target=_draw_link(experiment, rng),
+            target=target,
             for_s=length_s,
-            delay_ms=round(rng.uniform(5, 200), 1) if kind == "delay" else 0.0,
-            jitter_ms=round(rng.uniform(0, 100), 1) if kind == "delay" else 0.0,
+            delay_ms=delay_ms,
+            jitter_ms=jitter_ms,
         )
     target = rng.choice(experiment.process_names())
     if kind == "pause":
@@ -160,13 +182,13 @@
     return Fault(at_s=at_s, kind=kind, target=target, restart=restart, after_s=length_s)
 
 
-def _draw_link(experiment: Experiment, rng: random.Random) -> str:
-    """One link, one member's links outward (its machine's line), or all members' links
-    to one peer.
-    """
+def _draw_links(experiment: Experiment, rng: random.Random) -> str:
+    """The glob of one link, of all links out of one member, or of all to one peer."""
     name = rng.choice(link_names(experiment))
     near, _, far = name.partition(">")
-    scope = rng.choice(("one", "one", "out", "in"))
-    if scope == "out" and near != "client":
+    scope = rng.choice(LINK_SCOPES)
+    if scope == "out" and near != CLIENT:
         return f"{near}>*"
-    return f"*>{far}" if scope == "in" else name
+    if scope == "in":
+        return f"*>{far}"
+    return name
--- a/rainfall/lab/pids.py
+++ b/rainfall/lab/pids.py
@@ -1,6 +1,7 @@
-"""The ids of every process that a run started, kept in its folder: whoever finds a run
-that could not end its own ends exactly those, and no other that the kernel has given
-the same id since.
+"""The ids of all processes that a run started, stored in the run's folder.
+
+If a run could not end its processes, others can end exactly these, and none to which the
+kernel has given the same id since.
 """
 
 from __future__ import annotations
@@ -13,30 +14,37 @@
 from pathlib import Path
 
 PID_FILE = "pids.jsonl"
-EXIT_TIMEOUT_S, POLL_INTERVAL_S = 5.0, 0.01
+EXIT_TIMEOUT_S = 5.0
+"""How long processes may take to end after SIGKILL."""
+POLL_INTERVAL_S = 0.01
+ENDED_STATES = ("Z", "X")
+"""States of /proc/PID/stat: a zombie, and a dead process."""
+STATE_FIELD = 0
+START_TIME_FIELD = 19
+"""Fields of /proc/PID/stat, counted after the process's name."""
 
 
 def start_ticks(pid: int) -> int:
-    """When a process was started, in the kernel's ticks since boot; 0 where it is no
-    more.
-    """
+    """When a process was started, in the kernel's ticks since boot; 0 if it has ended."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
         return 0
     fields = text.rpartition(")")[2].split()
-    return 0 if fields[0] in ("Z", "X") else int(fields[19])
+    if fields[STATE_FIELD] in ENDED_STATES:
+        return 0
+    return int(fields[START_TIME_FIELD])
 
 
 def note(folder: Path, name: str, pid: int) -> None:
+    """Store the id of a process of the run in this folder."""
+    entry = {"name": name, "pid": pid, "born": start_ticks(pid)}
     with (folder / PID_FILE).open("a") as file:
-        file.write(
-            json.dumps({"name": name, "pid": pid, "born": start_ticks(pid)}) + "\n"
-        )
+        file.write(json.dumps(entry) + "\n")
 
 
 def still_running(folder: Path) -> list[int]:
-    """Those of a run's processes that still live."""
+    """The ids of a run's processes that have not ended."""
     try:
         lines = (folder / PID_FILE).read_text().splitlines()
     except OSError:
@@ -51,15 +59,16 @@
 
 
 async def end(folder: Path) -> list[int]:
-    """SIGKILL to each of them that still lives, and wait until they are gone (GONE_S at
-    most); their ids.
+    """End a run's processes by SIGKILL, and wait for at most ``EXIT_TIMEOUT_S``.
+
+    Returns the ids of those that had not ended before.
     """
-    living = still_running(folder)
-    for pid in living:
+    running = still_running(folder)
+    for pid in running:
         with contextlib.suppress(ProcessLookupError):
             os.kill(pid, signal.SIGKILL)
     for _ in range(int(EXIT_TIMEOUT_S / POLL_INTERVAL_S)):
         if not still_running(folder):
             break
         await asyncio.sleep(POLL_INTERVAL_S)
-    return living
+    return running
--- a/rainfall/lab/processes.py
+++ b/rainfall/lab/processes.py
@@ -1,6 +1,4 @@
-"""The processes of a lab run: the real programs, each started, signalled and ended by
-its id.
-"""
+"""The processes of a lab run, each started, signalled and ended by its id."""
 
 from __future__ import annotations
 
@@ -15,12 +13,17 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import IO, Any
+from typing import IO, Any, NamedTuple
 
 from rainfall.errors import RainfallError
 
 READY_TIMEOUT_S = 20.0
+READY_CALL_TIMEOUT_S = 1.0
+READY_POLL_S = 0.05
 TERM_TIMEOUT_S = 5.0
+"""The time between SIGTERM and SIGKILL."""
+SHOWN_CHARACTERS = 300
+"""Characters of a log line that an error shows."""
 ROOT = Path(__file__).resolve().parents[2]
 
 
@@ -28,11 +31,24 @@
     """A process did not come up; the text names it and its log."""
 
 
+class Command(NamedTuple):
+    """How a process is started."""
+
+    arguments: list[str]
+    """What follows the interpreter."""
+    environment: dict[str, str]
+    """Variables set beside those of the lab."""
+
+
+def ignore_event(_name: str, _event: str, _pid: int) -> None:
+    """Do nothing at a process's events."""
+
+
 def reserve_port(reserved_sockets: list[socket.socket]) -> int:
-    """A port on 127.0.0.1 for a forwarder to bind itself.
+    """A port on 127.0.0.1 for a process to listen at.
 
-    Its socket stays bound in ``held`` until the lab's own servers are up, so that none
-    of them is handed the same port by the kernel.
+    Its socket is added to ``reserved_sockets`` and stays bound until the lab's own
+    servers are up, so that the kernel gives none of them the same port.
     """
     reserved = socket.socket()
     reserved.bind(("127.0.0.1", 0))
@@ -45,8 +61,11 @@
     process: asyncio.subprocess.Process | None = None,
     deadline_s: float = READY_TIMEOUT_S,
 ) -> None:
-    """Wait until the operators' address answers /_ready with 200; TimeoutError past the
-    deadline, StartError as soon as the process has ended.
+    """Wait until a process's address answers /_ready with 200.
+
+    Raises:
+        TimeoutError: It did not within ``deadline_s``.
+        StartError: The process has ended.
     """
     async with asyncio.timeout(deadline_s):
         while True:
@@ -55,7 +74,7 @@
             with contextlib.suppress(
                 OSError, asyncio.IncompleteReadError, TimeoutError
             ):
-                async with asyncio.timeout(1.0):
+                async with asyncio.timeout(READY_CALL_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
                     writer.write(
                         b"GET /_ready HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n"
@@ -64,55 +83,60 @@
                     writer.close()
                 if first.split(b" ")[1:2] == [b"200"]:
                     return
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(READY_POLL_S)
 
 
 @dataclass
 class Process:
-    """A program of the lab: its folder holds ``state/`` and the log of each start."""
+    """A process of the lab; its folder has ``state/`` and the log of each start."""
 
     name: str
     folder: Path
-    on_event: Callable[[str, str, int], None] = lambda name, did, pid: None
-    """Hears of each start and end: ``started``, ``ended`` (by SIGKILL or SIGTERM),
-    ``wiped`` (its folder).
+    on_event: Callable[[str, str, int], None] = ignore_event
+    """Called with the name, the event and the process's id.
+
+    Events are ``started``, ``ended`` (by SIGKILL or SIGTERM) and ``wiped`` (its state).
     """
     process: asyncio.subprocess.Process | None = None
     starts: int = 0
     pids: list[int] = field(default_factory=list)
     log: IO[bytes] | None = None
     fault_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
-    """Held through a fault on it, so that a start is never ended by half."""
+    """Held during a fault, so that no second one comes in the middle of a start."""
 
     role = "process"
 
     @property
     def state_folder(self) -> Path:
+        """Where the process stores its state."""
         return self.folder / "state"
 
-    def command(self) -> tuple[list[str], dict[str, str]]:
-        """What to start (after the interpreter) and what to add to the environment."""
+    def command(self) -> Command:
+        """How the process is started."""
         raise NotImplementedError
 
     def ready_port(self) -> int:
+        """The port that answers /_ready."""
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Start the program and wait for its yes at /_ready; StartError where that does
-        not come.
+        """Start the process, and wait until it is ready.
+
+        Raises:
+            StartError: It ended, or was not ready within ``READY_TIMEOUT_S``.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
-        arguments, environment = self.command()
+        command = self.command()
         self.starts += 1
         if self.log is not None:
             self.log.close()
-        path = self.folder / f"log-{self.starts}.txt"
-        self.log = path.open("wb")
+        log_path = self.folder / f"log-{self.starts}.txt"
+        self.log = log_path.open("wb")
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *arguments,
+            *command.arguments,
             cwd=ROOT,
-            env={**os.environ, **environment},
+            env={**os.environ, **command.environment},
             stdin=asyncio.subprocess.DEVNULL,
             stdout=self.log,
             stderr=self.log,
@@ -123,23 +147,25 @@
         try:
             await wait_until_ready(self.ready_port(), self.process)
         except (TimeoutError, StartError):
-            text = path.read_text(errors="replace").strip().splitlines()[-1:] or [
-                "it wrote no line"
-            ]
             raise StartError(
-                f"{self.name} did not come up: {text[0][:300]} ({path})"
+                f"{self.name} did not come up: {_last_line(log_path)} ({log_path})"
             ) from None
 
     def alive(self) -> bool:
+        """Whether the process runs."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, signal_number: int) -> None:
+        """Send a signal, if the process runs."""
         if self.alive():
             assert self.process is not None
             self.process.send_signal(signal_number)
 
     async def kill(self) -> None:
-        """SIGKILL (after SIGCONT, so that a paused one dies too) and wait for it."""
+        """End the process by SIGKILL, and wait for its end.
+
+        SIGCONT comes first, so that a paused process ends too.
+        """
         if self.process is None:
             return
         was_alive = self.alive()
@@ -150,7 +176,7 @@
             self.on_event(self.name, "ended", self.process.pid)
 
     async def terminate(self) -> None:
-        """SIGTERM, then SIGKILL if it has not ended within TERM_S."""
+        """SIGTERM, then SIGKILL if it has not ended within ``TERM_TIMEOUT_S``."""
         if self.process is None:
             return
         was_alive = self.alive()
@@ -165,7 +191,7 @@
             self.on_event(self.name, "ended", self.process.pid)
 
     async def restart(self, keep_state: bool) -> None:
-        """Start again after an end, with the state folder kept or lost."""
+        """Start again after an end, with the state folder or without it."""
         await self.kill()
         if not keep_state:
             shutil.rmtree(self.state_folder, ignore_errors=True)
@@ -173,6 +199,7 @@
         await self.start()
 
     async def end(self) -> None:
+        """End the process for good."""
         await self.kill()
         if self.log is not None:
             self.log.close()
@@ -181,28 +208,37 @@
 
 @dataclass
 class Forwarder(Process):
-    """One member; its folder holds ``config.json`` too."""
+    """A forwarder's process; its folder has ``config.json`` too."""
 
     config: dict[str, Any] = field(default_factory=dict)
     admin_port: int = 0
 
     role = "forwarder"
 
-    def command(self) -> tuple[list[str], dict[str, str]]:
+    def command(self) -> Command:
+        """See ``Process``."""
         self.state_folder.mkdir(parents=True, exist_ok=True)
-        (self.folder / "config.json").write_text(json.dumps(self.config))
-        return ["-m", "rainfall"], {
-            "LB_CONFIG": str(self.folder / "config.json"),
+        config_path = self.folder / "config.json"
+        config_path.write_text(json.dumps(self.config))
+        environment = {
+            "LB_CONFIG": str(config_path),
             "LB_STATE": str(self.state_folder),
             "LB_ADMIN_ADDR": f"127.0.0.1:{self.admin_port}",
         }
+        return Command(["-m", "rainfall"], environment)
 
     def ready_port(self) -> int:
+        """The operators' address."""
         return self.admin_port
 
 
-async def end_all(members: Sequence[Process]) -> None:
+async def end_all(processes: Sequence[Process]) -> None:
     """End every process that the lab started, each by its own id; never raises."""
-    for member in members:
+    for process in processes:
         with contextlib.suppress(ProcessLookupError, OSError):
-            await member.end()
+            await process.end()
+
+
+def _last_line(log_path: Path) -> str:
+    lines = log_path.read_text(errors="replace").strip().splitlines()
+    return lines[-1][:SHOWN_CHARACTERS] if lines else "it wrote no line"
--- a/rainfall/lab/stand_ins.py
+++ b/rainfall/lab/stand_ins.py
@@ -1,5 +1,6 @@
-"""Stand-ins for what the forwarder serves, written from PROTOCOL: endpoints (Forwarders
-to endpoints) and the platform's list and notices (Discovery, Notices). They run in the
+"""Stand-ins for what forwarders talk to, written from PROTOCOL.
+
+These are endpoints, and the platform's endpoint list with its notices. They run in the
 lab's process, on its clock.
 """
 
@@ -13,21 +14,37 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Self
+from http import HTTPStatus
+from typing import Any, NamedTuple, Self
 
 from rainfall.lab.fault_proxy import reset_connection
+from rainfall.lab.statuses import DELIVERED_STATUS
 
 HEAD_LIMIT_BYTES = 16384
 BODY_LIMIT_BYTES = 65536
+LONGEST_HOLD_MS = 60_000
+NS_PER_MS = 1_000_000
 Record = Callable[[dict[str, Any]], None]
 
 
-async def read_http_message(
-    reader: asyncio.StreamReader,
-) -> tuple[str, str, dict[str, str], bytes] | None:
-    """One HTTP/1.1 message: the first two words of its first line (of a request its
-    method and path, of an answer its version and status), headers (lower-case names),
-    body; None at a clean end, ValueError for a head or body past its limit.
+class HttpMessage(NamedTuple):
+    """A request or an answer."""
+
+    method: str
+    """A request's method, or an answer's version."""
+    target: str
+    """A request's path with its query, or an answer's status."""
+    headers: dict[str, str]
+    """By lower-case name."""
+    body: bytes
+
+
+async def read_http_message(reader: asyncio.StreamReader) -> HttpMessage | None:
+    """One HTTP/1.1 message; None if the connection ends before its head is complete.
+
+    Raises:
+        ValueError: The head or the body is past its limit.
+        asyncio.IncompleteReadError: The connection ends within the body.
     """
     try:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -36,30 +53,31 @@
     except asyncio.LimitOverrunError:
         raise ValueError("head too large") from None
     lines = head.decode("latin-1").split("\r\n")
-    method, path, _ = (lines[0].split(" ", 2) + ["", ""])[:3]
-    headers = {
-        k.strip().lower(): v.strip()
-        for k, _, v in (line.partition(":") for line in lines[1:] if line)
-    }
+    method, target, _ = [*lines[0].split(" ", 2), "", ""][:3]
+    headers: dict[str, str] = {}
+    for line in lines[1:]:
+        if line:
+            name, _, value = line.partition(":")
+            headers[name.strip().lower()] = value.strip()
     length = int(headers.get("content-length", "0") or 0)
     if not 0 <= length <= BODY_LIMIT_BYTES:
         raise ValueError("body too large")
-    return method, path, headers, await reader.readexactly(length)
+    body = await reader.readexactly(length)
+    return HttpMessage(method, target, headers, body)
 
 
 def encode_response(status: int, body: bytes = b"", **headers: str) -> bytes:
+    """An answer's bytes; an underscore in a header's name stands for a hyphen."""
     lines = [
-        f"HTTP/1.1 {status} X",
+        f"HTTP/1.1 {int(status)} X",
         f"Content-Length: {len(body)}",
-        *(f"{k.replace('_', '-')}: {v}" for k, v in headers.items()),
+        *(f"{name.replace('_', '-')}: {value}" for name, value in headers.items()),
     ]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 class HttpServer:
-    """A keep-alive HTTP server on loopback whose ``handle`` gives the bytes of each
-    answer.
-    """
+    """A keep-alive HTTP server on loopback; ``handle`` makes the bytes of each answer."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -67,6 +85,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> Self:
+        """Listen, at ``port`` if it is not 0."""
         self.server = await asyncio.start_server(
             self._serve, "127.0.0.1", self.port, limit=HEAD_LIMIT_BYTES
         )
@@ -74,15 +93,14 @@
         return self
 
     async def stop(self) -> None:
-        """Stop listening and reset every connection, as a process that ends."""
+        """Stop listening and reset every connection, as when a process ends."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
             reset_connection(writer)
 
-    async def handle(
-        self, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> bytes:
+    async def handle(self, request: HttpMessage) -> bytes:
+        """The answer to a request."""
         raise NotImplementedError
 
     async def _serve(
@@ -91,7 +109,7 @@
         self.writers.add(writer)
         try:
             while (request := await read_http_message(reader)) is not None:
-                writer.write(await self.handle(*request))
+                writer.write(await self.handle(request))
                 await writer.drain()
         except (
             OSError,
@@ -99,7 +117,7 @@
             asyncio.IncompleteReadError,
             asyncio.CancelledError,
         ):
-            pass  # a peer gone, or the lab ending: the connection ends with it
+            pass  # The peer has gone, or the lab ends.
         finally:
             self.writers.discard(writer)
             with contextlib.suppress(OSError):
@@ -108,7 +126,7 @@
 
 @dataclass
 class Behaviour:
-    """What an endpoint does now; the lab's timeline changes it."""
+    """How an endpoint answers; faults change it."""
 
     service_ms: float = 2.0
     slow_ms: float = 0.0
@@ -121,8 +139,9 @@
 
 @dataclass
 class SlidingWindowLimiter:
-    """A destination's limit, shared by its endpoints: ``calls`` in any sliding
-    ``span_ns``.
+    """A destination's limit: ``calls`` in any sliding ``span_ns``.
+
+    Its endpoints share it.
     """
 
     calls: int
@@ -130,9 +149,7 @@
     call_times_ns: deque[int] = field(default_factory=deque)
 
     def wait_ns(self, now_ns: int) -> int:
-        """0 where a call is within the limit (and counts for it), else the time until
-        one will be.
-        """
+        """0 if a call is within the limit, and counts for it; else how long to wait."""
         while self.call_times_ns and now_ns - self.call_times_ns[0] >= self.span_ns:
             self.call_times_ns.popleft()
         if len(self.call_times_ns) < self.calls:
@@ -143,6 +160,8 @@
 
 @dataclass
 class Endpoint(HttpServer):
+    """A stand-in for one endpoint."""
+
     name: str = ""
     destination: int = 0
     seed: int = 0
@@ -156,30 +175,31 @@
         self.rng = random.Random(self.seed)
         self.in_flight = 0
 
-    async def handle(
-        self, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> bytes:
-        if method == "GET" and path == "/alive":
-            return encode_response(200)
-        if method != "POST" or path != "/hook":
-            return encode_response(404)
+    async def handle(self, request: HttpMessage) -> bytes:
+        """Answer a health check or a call, and record the call."""
+        if request.method == "GET" and request.target == "/alive":
+            return encode_response(HTTPStatus.OK)
+        if request.method != "POST" or request.target != "/hook":
+            return encode_response(HTTPStatus.NOT_FOUND)
         wait_ns = 0 if self.limiter is None else self.limiter.wait_ns(self.clock())
-        status = 429 if wait_ns else await self._process_call()
+        if wait_ns:
+            status = int(HTTPStatus.TOO_MANY_REQUESTS)
+        else:
+            status = await self._process_call()
         self.record(
             {
                 "kind": "call",
                 "endpoint": self.name,
                 "destination": self.destination,
-                "id": headers.get("x-correlation-id", ""),
-                "key": headers.get("idempotency-key", ""),
+                "id": request.headers.get("x-correlation-id", ""),
+                "key": request.headers.get("idempotency-key", ""),
                 "status": status,
                 "at_ns": self.clock(),
             }
         )
         if wait_ns:
-            return encode_response(
-                status, X_RateLimit_Wait_Ms=str(-(-wait_ns // 1_000_000))
-            )
+            wait_ms = -(-wait_ns // NS_PER_MS)
+            return encode_response(status, X_RateLimit_Wait_Ms=str(wait_ms))
         return encode_response(status)
 
     async def _process_call(self) -> int:
@@ -188,24 +208,25 @@
             behaviour.concurrency_limit
             and self.in_flight >= behaviour.concurrency_limit
         ):
-            return 503
+            return HTTPStatus.SERVICE_UNAVAILABLE.value
         self.in_flight += 1
         try:
-            cold_start_ms = (
-                behaviour.cold_ms if self.clock() < behaviour.cold_until_ns else 0.0
-            )
-            await asyncio.sleep(
-                (behaviour.service_ms + behaviour.slow_ms + cold_start_ms) / 1000
-            )
+            is_cold = self.clock() < behaviour.cold_until_ns
+            cold_start_ms = behaviour.cold_ms if is_cold else 0.0
+            service_ms = behaviour.service_ms + behaviour.slow_ms + cold_start_ms
+            await asyncio.sleep(service_ms / 1000)
         finally:
             self.in_flight -= 1
-        return 500 if self.rng.random() < behaviour.failure_ratio else 200
+        if self.rng.random() < behaviour.failure_ratio:
+            return HTTPStatus.INTERNAL_SERVER_ERROR.value
+        return DELIVERED_STATUS
 
 
 @dataclass
 class StandInListService(HttpServer):
-    """The platform's list for one forwarder (its dials are that forwarder's proxies),
-    and the notices.
+    """A stand-in for the platform's endpoint list and notices, for one forwarder.
+
+    The dials in its list are that forwarder's proxies.
     """
 
     hosts: list[dict[str, Any]] = field(default_factory=list)
@@ -217,39 +238,37 @@
         HttpServer.__init__(self)
         self.changed = asyncio.Event()
 
-    async def handle(
-        self, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> bytes:
-        if method == "POST" and path == "/v1/notices":
-            return self._notices(body)
-        if method != "GET" or not path.startswith("/discovery/hosts"):
-            return encode_response(404)
-        query = dict(
-            p.partition("=")[::2] for p in path.partition("?")[2].split("&") if p
-        )
-        since, hold_ms = (
-            int(query.get("from", "-1") or -1),
-            min(int(query.get("hold_ms", "0") or 0), 60_000),
-        )
+    async def handle(self, request: HttpMessage) -> bytes:
+        """Answer a read or a watch of the list, or a post of notices."""
+        if request.method == "POST" and request.target == "/v1/notices":
+            return self._store_notices(request.body)
+        path, _, query_text = request.target.partition("?")
+        if request.method != "GET" or not path.startswith("/discovery/hosts"):
+            return encode_response(HTTPStatus.NOT_FOUND)
+        query: dict[str, str] = {}
+        for pair in query_text.split("&"):
+            if pair:
+                name, _, value = pair.partition("=")
+                query[name] = value
+        since = int(query.get("from", "-1") or -1)
+        hold_ms = min(int(query.get("hold_ms", "0") or 0), LONGEST_HOLD_MS)
         if 0 <= since == self.seq and hold_ms:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(hold_ms / 1000):
                     await self.changed.wait()
             if since == self.seq:
-                return encode_response(
-                    200,
-                    json.dumps({"seq": self.seq, "whole": False, "hosts": []}).encode(),
-                )
-        return encode_response(
-            200,
-            json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode(),
-        )
+                return self._list_response(is_complete=False, hosts=[])
+        return self._list_response(is_complete=True, hosts=self.hosts)
+
+    def _list_response(self, is_complete: bool, hosts: list[dict[str, Any]]) -> bytes:
+        answer = {"seq": self.seq, "whole": is_complete, "hosts": hosts}
+        return encode_response(HTTPStatus.OK, json.dumps(answer).encode())
 
-    def _notices(self, body: bytes) -> bytes:
+    def _store_notices(self, body: bytes) -> bytes:
         try:
             notices = [json.loads(line) for line in body.splitlines() if line.strip()]
         except ValueError:
-            return encode_response(400)
+            return encode_response(HTTPStatus.BAD_REQUEST)
         for notice in notices:
             if isinstance(notice, dict) and "id" in notice:
                 self.record(
@@ -260,4 +279,4 @@
                         "at_ns": self.clock(),
                     }
                 )
-        return encode_response(204)
+        return encode_response(HTTPStatus.NO_CONTENT)
--- a/rainfall/lab/structured_logging.py
+++ b/rainfall/lab/structured_logging.py
@@ -1,6 +1,4 @@
-"""Structured log lines of the lab (JSON, one an event), with the time on the lab's one
-monotonic clock.
-"""
+"""The lab's log: a JSON line for each event, with the time of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -20,9 +18,7 @@
 
 
 def configure(path: Path) -> IO[str]:
-    """Send the lab's log lines to ``path``; the caller closes what is returned at the
-    end.
-    """
+    """Write the lab's log to ``path``; the caller closes the returned file at the end."""
     sink = path.open("a")
     structlog.configure(
         processors=[
@@ -37,4 +33,5 @@
 
 
 def logger(**bound: Any) -> Any:
+    """A logger whose lines have the fields ``bound``."""
     return structlog.get_logger().bind(process="lab", **bound)
--- a/rainfall/lab/table_reader.py
+++ b/rainfall/lab/table_reader.py
@@ -1,10 +1,11 @@
-"""Taking values out of an experiment file by path, with every fault kept instead of
-stopping at the first.
+"""Reads checked values from the tables of an experiment file.
+
+Every fault is collected with its path, instead of stopping at the first.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Set
 from typing import Any, TypeVar
 
 from rainfall.errors import RainfallError
@@ -13,7 +14,7 @@
 
 
 class ExperimentError(RainfallError):
-    """The file cannot be used; ``faults`` lists each fault as 'path: what is wrong'."""
+    """An experiment file is faulty; ``faults`` has 'path: what is wrong' for each fault."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -21,7 +22,9 @@
 
 
 class TableReader:
-    """``take`` always gives a value of the wanted kind, so that reading goes on past a
+    """Reads values, and collects the faults.
+
+    ``read`` always returns a value of the wanted type, so that reading goes on past a
     fault.
     """
 
@@ -38,6 +41,17 @@
         test: Callable[[T], bool] = lambda _: True,
         hint: str = "",
     ) -> T:
+        """The value of a key, checked.
+
+        Args:
+            table: The table.
+            key: The key in it.
+            kind: The type that the value must have; a whole number counts as a float.
+            path: The table's path, for faults.
+            default: The value if the key is absent; with None it is required.
+            test: What else must hold of the value.
+            hint: What a fault says if ``test`` fails.
+        """
         name = f"{path}.{key}".lstrip(".")
         if key not in table:
             if default is None:
@@ -54,12 +68,14 @@
         return value
 
     def check_unknown_keys(
-        self, table: Mapping[str, Any], known: set[str], path: str
+        self, table: Mapping[str, Any], known: Set[str], path: str
     ) -> None:
+        """Add a fault for each key that is not known."""
         for key in sorted(set(table) - known):
             self.faults.append(f"{path}.{key}".lstrip(".") + ": unknown key")
 
     def table(self, table: Mapping[str, Any], key: str, path: str) -> Mapping[str, Any]:
+        """The table within a table; empty, with a fault, if it is something else."""
         value = table.get(key, {})
         if not isinstance(value, Mapping):
             self.faults.append(f"{path}{key}: a table is wanted")
