--- a/rainfall/lab/checker.py
+++ b/rainfall/lab/checker.py
@@ -3,41 +3,52 @@
 Records are dicts (one JSON line each), all times in ns of one monotonic clock from the
 start of the load:
 
-- ``try``: the load's hand-in of message ``key`` as ``id`` to ``forwarder``: ``due_ns``,
-  ``sent_ns``,
-  ``status`` (the HTTP status, 0 where no answer came) and ``cls``;
+- ``try``: an attempt of the load to send message ``key`` as ``id`` to ``forwarder``:
+  ``due_ns``, ``sent_ns``, ``status`` (the HTTP status, 0 without an answer) and ``cls``;
 - ``call``: a call at endpoint ``endpoint`` of ``destination``: ``key``, ``id``,
   ``status``, ``at_ns``;
 - ``notice``: a notice (PROTOCOL, Notices) for ``id`` with ``state``;
-- ``process``: what became of a process: ``member``, ``did`` (``started``, ``ended``,
+- ``process``: what happened to a process: ``member``, ``did`` (``started``, ``ended``,
   ``wiped``), ``at_ns``.
 
-A message is *lost* when a forwarder took it on (200 or 202) and no endpoint answered
-200 for it and no notice ended it; where each forwarder that took it on lost its folder
-later it is *wiped* instead (PROTOCOL: it is owed its end while the disk lasts);
-*doubled* when endpoints answered 200 to one hand-in (one ``id``) more than once in a
-class whose effect is ``once``. A message that the client handed in again after no
-answer (PROTOCOL: what is sent under the old id then counts for nothing) and that was
-delivered under two ids is counted apart, as *resent*.
+A message is *lost* if a forwarder accepted it (200 or 202), no endpoint answered 200 for
+it, and no notice reported its end. If each forwarder that accepted it lost its state
+folder later, it is *wiped* instead: PROTOCOL demands its end only while the disk lasts.
+It is *doubled* if endpoints answered 200 to one attempt (one ``id``) more than once in a
+class with the effect ``once``. A message that the client sent again without an answer,
+and that was delivered under two ids, is counted as *resent*: PROTOCOL demands nothing
+for the former id.
 """
 
 from __future__ import annotations
 
-from collections import defaultdict
 from collections.abc import Iterable, Mapping
 from dataclasses import asdict, dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
-ACCEPTED_STATUSES = (200, 202)
-REJECTED_STATUSES = (429, 503)
+from rainfall.lab.statuses import (
+    ACCEPTED_STATUSES,
+    DELIVERED_STATUS,
+    REJECTED_STATUSES,
+)
+
 LISTED_KEYS = 20
-"""How many names of lost or doubled messages a verdict lists."""
+"""How many keys of lost or doubled messages a verdict lists."""
+LONGEST_LATENCY_US = 600_000_000
+LATENCY_DIGITS = 3
+"""Significant digits of a latency."""
+LATENCY_PERCENTILES = (50, 90, 99, 99.9)
+LAG_PERCENTILE = 99
+NS_PER_US = 1_000
+US_PER_MS = 1_000
 
 
 @dataclass(slots=True)
 class Tally:
+    """The counts of a class, or of all; their names are those of the verdict."""
+
     messages: int = 0
     accepted: int = 0
     refused: int = 0
@@ -58,8 +69,18 @@
 """The tally's counts, in the order in which reports show them."""
 
 
+class Acceptance(NamedTuple):
+    """An attempt that a forwarder accepted."""
+
+    message_id: str
+    forwarder: str
+    at_ns: int
+
+
 @dataclass(slots=True)
 class Message:
+    """One message, with all that happened to it."""
+
     class_name: str
     destination: int
     deadline_ns: int
@@ -72,35 +93,59 @@
     misrouted: bool = False
     session: str = ""
     number: int = 0
-    acceptances: list[tuple[str, str, int]] = field(default_factory=list)
-    """Each hand-in that was taken on: id, forwarder, when."""
+    acceptances: list[Acceptance] = field(default_factory=list)
+
+    def is_noticed(self, noticed: Mapping[str, str]) -> bool:
+        """Whether a notice reported its end."""
+        return any(message_id in noticed for message_id in self.ids)
 
     def lost(self, noticed: Mapping[str, str], wiped: Mapping[str, int]) -> bool:
-        """Taken on, without an end; ``wiped``: when a forwarder last lost its folder."""
-        if (
-            not self.accepted
-            or self.delivered_at_ns
-            or any(i in noticed for i in self.ids)
-        ):
+        """Whether it was accepted and has no end.
+
+        ``noticed`` has the state of each id with a notice, ``wiped`` when a forwarder
+        last lost its state folder.
+        """
+        if not self.accepted or self.delivered_at_ns or self.is_noticed(noticed):
             return False
         return not self.is_wiped(wiped)
 
     def is_wiped(self, wiped: Mapping[str, int]) -> bool:
-        return all(wiped.get(member, -1) >= at for _, member, at in self.acceptances)
+        """Whether each forwarder that accepted it lost its state folder later."""
+        return all(
+            wiped.get(acceptance.forwarder, -1) >= acceptance.at_ns
+            for acceptance in self.acceptances
+        )
 
     def doubled(self, effect: str) -> bool:
-        return effect == "once" and len(set(self.delivered_ids)) < len(
-            self.delivered_ids
-        )
+        """Whether one attempt was executed twice in a class that forbids it."""
+        distinct_ids = set(self.delivered_ids)
+        return effect == "once" and len(distinct_ids) < len(self.delivered_ids)
 
 
-def _latency_percentiles(histogram: HdrHistogram) -> dict[str, float]:
+def _new_histogram() -> HdrHistogram:
+    """A histogram of microseconds."""
+    return HdrHistogram(1, LONGEST_LATENCY_US, LATENCY_DIGITS)
+
+
+def _percentile_ms(histogram: HdrHistogram, percentile: float) -> float:
+    value: float = histogram.get_value_at_percentile(percentile) / US_PER_MS
+    return value
+
+
+def _longest_ms(histogram: HdrHistogram) -> float:
+    value: float = histogram.get_max_value() / US_PER_MS
+    return value
+
+
+def _latencies_ms(histogram: HdrHistogram) -> dict[str, float]:
     if not histogram.get_total_count():
         return {}
-    return {
-        f"p{q:g}": histogram.get_value_at_percentile(q) / 1000
-        for q in (50, 90, 99, 99.9)
-    } | {"max": histogram.get_max_value() / 1000}
+    latencies_ms = {
+        f"p{percentile:g}": _percentile_ms(histogram, percentile)
+        for percentile in LATENCY_PERCENTILES
+    }
+    latencies_ms["max"] = _longest_ms(histogram)
+    return latencies_ms
 
 
 @dataclass(slots=True)
@@ -112,11 +157,13 @@
     wiped: dict[str, int] = field(default_factory=dict)
     lags_ns: list[int] = field(default_factory=list)
     phantoms: list[str] = field(default_factory=list)
+    """The ids of calls whose message nobody sent; PROTOCOL voids such a run."""
 
 
 def join_records(
     records: Iterable[Mapping[str, Any]], deadlines_ns: Mapping[str, int]
 ) -> JoinedRecords:
+    """Join the records of a run by message; deadlines are those of the classes."""
     joined = JoinedRecords()
     calls: list[Mapping[str, Any]] = []
     for record in records:
@@ -130,36 +177,43 @@
             joined.wiped[record["member"]] = max(
                 record["at_ns"], joined.wiped.get(record["member"], -1)
             )
-    owner = {i: key for key, message in joined.messages.items() for i in message.ids}
+    _add_calls(joined, calls)
+    return joined
+
+
+def _add_calls(joined: JoinedRecords, calls: list[Mapping[str, Any]]) -> None:
+    key_of_id = {
+        message_id: key
+        for key, message in joined.messages.items()
+        for message_id in message.ids
+    }
     for call in calls:
-        message = joined.messages.get(call.get("key") or owner.get(call["id"], ""))
+        key = call.get("key") or key_of_id.get(call["id"], "")
+        message = joined.messages.get(key)
         if message is None:
-            joined.phantoms.append(
-                call["id"]
-            )  # no client handed it in: PROTOCOL voids such a run
+            joined.phantoms.append(call["id"])
             continue
         message.misrouted |= call["destination"] != message.destination
-        if call["status"] == 200:
+        if call["status"] == DELIVERED_STATUS:
             message.delivered_at_ns.append(call["at_ns"])
             message.delivered_ids.append(call["id"])
-    return joined
 
 
 def _add_attempt(
     joined: JoinedRecords, record: Mapping[str, Any], deadlines_ns: Mapping[str, int]
 ) -> None:
-    ready_ns = record.get(
-        "ready_ns", record["due_ns"]
-    )  # one that had to wait for its session's turn was due only then
+    # A message that had to wait for the one before in its session was due after that.
+    ready_ns = record.get("ready_ns", record["due_ns"])
     message = joined.messages.get(record["key"])
     if message is None:
-        message = joined.messages[record["key"]] = Message(
+        message = Message(
             record["cls"],
             record["destination"],
             ready_ns + deadlines_ns[record["cls"]],
             session=record.get("session", ""),
             number=record.get("number", 0),
         )
+        joined.messages[record["key"]] = message
         message.first_sent_ns = record["sent_ns"]
         joined.lags_ns.append(record["sent_ns"] - ready_ns)
     message.ids.add(record["id"])
@@ -167,7 +221,7 @@
     if record["status"] in ACCEPTED_STATUSES:
         message.accepted = True
         message.acceptances.append(
-            (record["id"], f"f{record['forwarder']}", record["answer_ns"])
+            Acceptance(record["id"], f"f{record['forwarder']}", record["answer_ns"])
         )
 
 
@@ -177,100 +231,108 @@
     deadlines_ns: Mapping[str, int],
     max_lag_ms: float,
 ) -> dict[str, Any]:
-    """The verdict as a JSON-ready dict: a tally per class and in all, the names of lost
-    and doubled messages, the load's lag behind its schedule, and ``valid`` (False where
-    the lag passed ``max_lag_ms``).
+    """The verdict on the messages, ready for JSON.
+
+    It has a tally for each class and for all, the keys of lost and doubled messages, the
+    load's lag behind its schedule, and ``valid``, which is False if the lag passed
+    ``max_lag_ms``.
     """
     joined = join_records(records, deadlines_ns)
-    tallies: dict[str, Tally] = defaultdict(Tally)
-    histograms: dict[str, HdrHistogram] = {}
-    lost: list[str] = []
-    doubled: list[str] = []
+    tallies: dict[str, _ClassTally] = {}
     for key, message in sorted(joined.messages.items()):
-        tally = tallies[message.class_name]
-        histogram = histograms.setdefault(
-            message.class_name, HdrHistogram(1, 600_000_000, 3)
-        )
-        _tally_message(
-            tally,
-            message,
-            joined,
-            effects[message.class_name],
-            histogram,
-            key,
-            lost,
-            doubled,
-        )
-    for cls, tally in tallies.items():
-        tally.latency_ms = _latency_percentiles(histograms[cls])
+        class_tally = tallies.get(message.class_name)
+        if class_tally is None:
+            class_tally = _ClassTally(effects[message.class_name])
+            tallies[message.class_name] = class_tally
+        class_tally.add(key, message, joined)
     total = Tally()
-    for tally in tallies.values():
-        for name in COUNTS:
-            setattr(total, name, getattr(total, name) + getattr(tally, name))
-    lag = HdrHistogram(1, 600_000_000, 3)
-    for value in joined.lags_ns:
-        lag.record_value(max(1, value // 1000))
-    lag_ms = (
-        {
-            "p99": lag.get_value_at_percentile(99) / 1000,
-            "max": lag.get_max_value() / 1000,
-        }
-        if joined.lags_ns
-        else {}
+    classes: dict[str, Tally] = {}
+    for name, class_tally in sorted(tallies.items()):
+        tally = class_tally.counts
+        tally.latency_ms = _latencies_ms(class_tally.latencies_us)
+        classes[name] = tally
+        for count in COUNTS:
+            setattr(total, count, getattr(total, count) + getattr(tally, count))
+    lost_keys = sorted(key for tally in tallies.values() for key in tally.lost_keys)
+    doubled_keys = sorted(
+        key for tally in tallies.values() for key in tally.doubled_keys
     )
+    lag_ms = _lag_ms(joined.lags_ns)
     return {
-        "classes": {cls: asdict(tally) for cls, tally in sorted(tallies.items())},
+        "classes": {name: asdict(tally) for name, tally in classes.items()},
         "total": asdict(total),
         "lost": total.lost,
         "doubled": total.doubled,
         "phantoms": len(joined.phantoms),
-        "lost_keys": lost[:LISTED_KEYS],
-        "doubled_keys": doubled[:LISTED_KEYS],
+        "lost_keys": lost_keys[:LISTED_KEYS],
+        "doubled_keys": doubled_keys[:LISTED_KEYS],
         "lag_ms": lag_ms,
         "valid": not joined.lags_ns or lag_ms["max"] <= max_lag_ms,
     }
 
 
-def _tally_message(
-    tally: Tally,
-    message: Message,
-    joined: JoinedRecords,
-    effect: str,
-    histogram: HdrHistogram,
-    key: str,
-    lost: list[str],
-    doubled: list[str],
-) -> None:
-    tally.messages += 1
-    tally.misrouted += message.misrouted
-    if message.delivered_at_ns:
-        tally.delivered += 1
-        first = min(message.delivered_at_ns)
-        tally.late += first > message.deadline_ns
-        histogram.record_value(max(1, (first - message.first_sent_ns) // 1000))
-        tally.unanswered_delivered += not message.accepted
-        if message.doubled(effect):
-            tally.doubled += 1
-            doubled.append(key)
-        tally.resent += effect == "once" and len(set(message.delivered_ids)) > 1
-    if message.accepted:
-        tally.accepted += 1
-        if not message.delivered_at_ns:
-            if any(i in joined.noticed for i in message.ids):
-                tally.noticed += 1
-            elif message.lost(joined.noticed, joined.wiped):
-                tally.lost += 1
-                lost.append(key)
-            else:
-                tally.wiped += 1
-    elif message.last_status in REJECTED_STATUSES:
-        tally.refused += 1
-    else:
-        tally.failed += 1
+def _lag_ms(lags_ns: list[int]) -> dict[str, float]:
+    """The load's lag behind its schedule; empty without messages."""
+    if not lags_ns:
+        return {}
+    lags_us = _new_histogram()
+    for lag_ns in lags_ns:
+        lags_us.record_value(max(1, lag_ns // NS_PER_US))
+    return {
+        "p99": _percentile_ms(lags_us, LAG_PERCENTILE),
+        "max": _longest_ms(lags_us),
+    }
+
+
+class _ClassTally:
+    """The tally of one class while messages are added."""
+
+    def __init__(self, effect: str) -> None:
+        self.effect = effect
+        self.counts = Tally()
+        self.latencies_us = _new_histogram()
+        self.lost_keys: list[str] = []
+        self.doubled_keys: list[str] = []
+
+    def add(self, key: str, message: Message, joined: JoinedRecords) -> None:
+        self.counts.messages += 1
+        self.counts.misrouted += message.misrouted
+        if message.delivered_at_ns:
+            self._add_delivery(key, message)
+        if message.accepted:
+            self._add_accepted(key, message, joined)
+        elif message.last_status in REJECTED_STATUSES:
+            self.counts.refused += 1
+        else:
+            self.counts.failed += 1
+
+    def _add_delivery(self, key: str, message: Message) -> None:
+        counts = self.counts
+        counts.delivered += 1
+        first_delivery_ns = min(message.delivered_at_ns)
+        counts.late += first_delivery_ns > message.deadline_ns
+        latency_us = (first_delivery_ns - message.first_sent_ns) // NS_PER_US
+        self.latencies_us.record_value(max(1, latency_us))
+        counts.unanswered_delivered += not message.accepted
+        if message.doubled(self.effect):
+            counts.doubled += 1
+            self.doubled_keys.append(key)
+        counts.resent += self.effect == "once" and len(set(message.delivered_ids)) > 1
+
+    def _add_accepted(self, key: str, message: Message, joined: JoinedRecords) -> None:
+        counts = self.counts
+        counts.accepted += 1
+        if message.delivered_at_ns:
+            return
+        if message.is_noticed(joined.noticed):
+            counts.noticed += 1
+        elif message.lost(joined.noticed, joined.wiped):
+            counts.lost += 1
+            self.lost_keys.append(key)
+        else:
+            counts.wiped += 1
 
 
 def has_breach(result: Mapping[str, Any]) -> bool:
-    """Whether the run lost or doubled anything, or an endpoint got a message that
-    nobody handed in: the lab's exit is 1 then.
-    """
+    """Whether a message was lost or doubled, or an endpoint received one nobody sent."""
     return bool(result["lost"] or result["doubled"] or result["phantoms"])
--- a/rainfall/lab/verdicts/__init__.py
+++ b/rainfall/lab/verdicts/__init__.py
@@ -1,9 +1,8 @@
-"""What the processes' own records show of a run, part by part, and what of it is a
-breach.
+"""Checks the processes' own records of a run, and names the breaches.
 
 Each part's check is a pure function over records (dicts; times in ns from the start of
-the load) in a file of its own; ``sections`` puts them together as they stand in
-``verdict.json``.
+the load) in a module of its own; ``check_all`` puts their results together as they stand
+in ``verdict.json``.
 """
 
 from __future__ import annotations
@@ -11,15 +10,15 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from rainfall.lab.experiment_model import Experiment
+from rainfall.lab.experiment_model import NS_PER_S, Experiment
 from rainfall.lab.verdicts import budgets, leases, sessions, shards
 
 Record = Mapping[str, Any]
 
 
 def check_all(records: Sequence[Record], experiment: Experiment) -> dict[str, Any]:
-    """``budgets`` (by destination), ``leases``, ``shards``, ``sessions``."""
-    end_ns = int(experiment.duration_s * 1e9)
+    """The results of all checks, by part; those of budgets by destination too."""
+    end_ns = int(experiment.duration_s * NS_PER_S)
     return {
         "budgets": {
             str(budget.destination): budgets.check(
@@ -30,15 +29,7 @@
         "leases": leases.check(records),
         "shards": shards.check(records, end_ns),
         "sessions": sessions.check(
-            records,
-            {
-                load_class.name: load_class.effect
-                for load_class in experiment.load.classes
-            },
-            {
-                load_class.name: int(load_class.deadline_s * 1e9)
-                for load_class in experiment.load.classes
-            },
+            records, experiment.effects(), experiment.deadlines_ns()
         ),
     }
 
@@ -52,12 +43,11 @@
     ("sessions", "out_of_order"),
     ("sessions", "split"),
 )
+"""Part and name of each count that must be 0."""
 
 
 def breaches(result: Mapping[str, Any]) -> list[str]:
-    """Each rule that a verdict shows broken, as 'name: how much'; empty for a clean
-    run.
-    """
+    """Each breach that a verdict shows, as 'name: count'; empty for a clean run."""
     found = [
         f"{name}: {result[name]}"
         for name in ("lost", "doubled", "phantoms")
--- a/rainfall/lab/verdicts/budgets.py
+++ b/rainfall/lab/verdicts/budgets.py
@@ -1,86 +1,105 @@
-"""Whether the calls that left all forwarders stayed within a destination's whole in
-every sliding span.
+"""Whether the calls of all forwarders stayed within a destination's limit.
+
+The limit holds in every sliding window of its span.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping, Sequence
-from typing import Any
+from collections.abc import Mapping, Sequence
+from typing import Any, NamedTuple
+
+from rainfall.lab.statuses import DELIVERED_STATUS, REJECTED_STATUSES
+
+NS_PER_MS = 1_000_000
+USE_DIGITS = 4
+"""Decimal places of shares of the limit."""
+
 
-REJECTED_STATUSES = (429, 503)
+class FullestWindow(NamedTuple):
+    """The window with the most calls, and where it first begins."""
 
+    calls: int
+    begin_ns: int
 
-def fullest_window(times_ns: Sequence[int], span_ns: int) -> tuple[int, int]:
-    """The most of the (sorted) times in any half-open window [t, t + span), and where
-    it begins first. Exact: a fullest window can always be moved right until it begins
-    at one of the times. O(n).
+
+def fullest_window(times_ns: Sequence[int], span_ns: int) -> FullestWindow:
+    """The fullest half-open window [t, t + span) over sorted times. O(n).
+
+    It is exact: a fullest window can be moved right until it begins at one of the times.
     """
-    worst, at, last = 0, 0, 0
-    for first, begin in enumerate(times_ns):
-        while last < len(times_ns) and times_ns[last] - begin < span_ns:
-            last += 1
-        if last - first > worst:
-            worst, at = last - first, begin
-    return worst, at
+    fullest = FullestWindow(0, 0)
+    end = 0
+    for first, begin_ns in enumerate(times_ns):
+        while end < len(times_ns) and times_ns[end] - begin_ns < span_ns:
+            end += 1
+        if end - first > fullest.calls:
+            fullest = FullestWindow(end - first, begin_ns)
+    return fullest
 
 
 def calls_over_limit(times_ns: Sequence[int], span_ns: int, calls: int) -> int:
-    """How many of the calls were beyond the whole as they left: each with ``calls``
-    others in the span that ends with it.
+    """How many calls were beyond the limit when they were sent.
+
+    Each has at least ``calls`` others in the window that ends with it.
     """
-    over, first = 0, 0
-    for n, at in enumerate(times_ns):
-        while at - times_ns[first] >= span_ns:
+    over = 0
+    first = 0
+    for index, at_ns in enumerate(times_ns):
+        while at_ns - times_ns[first] >= span_ns:
             first += 1
-        over += n - first + 1 > calls
+        over += index - first + 1 > calls
     return over
 
 
 def check(
-    records: Iterable[Mapping[str, Any]],
+    records: Sequence[Mapping[str, Any]],
     destination: int,
     calls: int,
     span_ms: int,
     end_ns: int,
 ) -> dict[str, Any]:
-    """The figures of one destination.
+    """The result for one destination, for the verdict.
 
-    ``over`` is by how many calls the worst sliding span passes the whole,
-    ``calls_over`` how many calls left beyond it, ``used`` the part of the whole sent
-    from the load's start to its end, ``used_accepted`` the part that endpoints did not
-    refuse.
+    ``over`` is by how many calls the fullest window is past the limit, ``calls_over``
+    how many calls were sent beyond it, ``used`` the part of the limit that was sent from
+    the start of the load to its end, ``used_accepted`` the part that endpoints did not
+    reject.
     """
-    sent: list[int] = []
-    at_endpoints: list[tuple[int, int]] = []
-    for record in records:
-        if record["kind"] == "sent" and record["destination"] == destination:
-            sent.append(record["at_ns"])
-        elif record["kind"] == "call" and record["destination"] == destination:
-            at_endpoints.append((record["at_ns"], record["status"]))
-    sent.sort()
-    span_ns = span_ms * 1_000_000
-    worst, fullest_at_ns = fullest_window(sent, span_ns)
+    sent_ns = sorted(
+        record["at_ns"]
+        for record in records
+        if record["kind"] == "sent" and record["destination"] == destination
+    )
+    answered = [
+        (record["at_ns"], record["status"])
+        for record in records
+        if record["kind"] == "call" and record["destination"] == destination
+    ]
+    span_ns = span_ms * NS_PER_MS
+    fullest = fullest_window(sent_ns, span_ns)
     allowed_calls = calls * end_ns / span_ns
+    used = sum(1 for at_ns in sent_ns if 0 <= at_ns < end_ns)
     accepted = sum(
         1
-        for at_ns, status in at_endpoints
+        for at_ns, status in answered
         if 0 <= at_ns < end_ns and status not in REJECTED_STATUSES
     )
-    delivered = sum(1 for _, status in at_endpoints if status == 200)
-    refused = sum(1 for _, status in at_endpoints if status in REJECTED_STATUSES)
+    delivered = sum(1 for _, status in answered if status == DELIVERED_STATUS)
+    rejected = sum(1 for _, status in answered if status in REJECTED_STATUSES)
+    rejected_per_delivery = None
+    if delivered:
+        rejected_per_delivery = round(rejected / delivered, USE_DIGITS)
     return {
-        "seen": len(sent),
+        "seen": len(sent_ns),
         "whole": calls,
         "span_ms": span_ms,
-        "worst": worst,
-        "worst_at_ns": fullest_at_ns,
-        "over": max(0, worst - calls),
-        "calls_over": calls_over_limit(sent, span_ns, calls),
-        "used": round(
-            sum(1 for at_ns in sent if 0 <= at_ns < end_ns) / allowed_calls, 4
-        ),
-        "used_accepted": round(accepted / allowed_calls, 4),
+        "worst": fullest.calls,
+        "worst_at_ns": fullest.begin_ns,
+        "over": max(0, fullest.calls - calls),
+        "calls_over": calls_over_limit(sent_ns, span_ns, calls),
+        "used": round(used / allowed_calls, USE_DIGITS),
+        "used_accepted": round(accepted / allowed_calls, USE_DIGITS),
         "delivered": delivered,
-        "refused": refused,
-        "refused_per_delivery": round(refused / delivered, 4) if delivered else None,
+        "refused": rejected,
+        "refused_per_delivery": rejected_per_delivery,
     }
--- a/rainfall/lab/verdicts/leases.py
+++ b/rainfall/lab/verdicts/leases.py
@@ -1,8 +1,8 @@
-"""Whether any lease was acted on by two, or its token went back.
+"""Whether two members used a lease at once, or a fencing token went back.
 
-``granted`` is the service's record that a lease has a holder under a token (a renewal
-grants nothing new), ``acted`` a member's record of what it did under one. Tokens are
-[epoch, number] and compare in that order.
+A ``granted`` record is the service's: a lease has a holder under a token (a renewal
+grants nothing new). An ``acted`` record is a member's: it did something under a token.
+Tokens are [epoch, number] and compare in that order.
 """
 
 from __future__ import annotations
@@ -11,54 +11,68 @@
 from dataclasses import dataclass
 from typing import Any
 
-LISTED_RECORDS = 20
+from rainfall.lab.verdicts.listing import LISTED_RECORDS
+
 Token = tuple[int, int]
 NO_TOKEN: Token = (-1, -1)
+KIND_ORDER = {"granted": 0, "acted": 1}
+"""Of records with the same time the grants come first."""
 
 
 @dataclass(slots=True)
 class _Lease:
+    """The highest grant of a lease, and the highest token that was used."""
+
     granted: Token = NO_TOKEN
     holder: str = ""
     acted: Token = NO_TOKEN
     actor: str = ""
 
+    def grant_goes_back(self, token: Token, holder: str) -> bool:
+        """Whether a grant does not raise the token; the same grant again may stand."""
+        is_same = token == self.granted and holder == self.holder
+        return token <= self.granted and not is_same
+
+    def overlaps(self, token: Token, member: str) -> bool:
+        """Whether a member uses a token while the lease is another's."""
+        is_superseded = self.granted > token and self.holder != member
+        is_others = self.granted == token and self.holder != member
+        is_shared = self.acted == token and self.actor != member
+        return is_superseded or is_others or is_shared
+
 
 def check(records: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
-    """``overlaps``: acts by one member while the lease was another's (granted to that
-    one before, under a higher token, or acted on by it under the same);
-    ``tokens_back``: grants that do not rise, and acts under a token below one acted
-    under before. Of records of one moment the grants count first.
+    """The result for the verdict.
+
+    ``overlaps`` counts uses by one member while the lease was another's: granted to that
+    one under a higher token, or used by it under the same. ``tokens_back`` counts grants
+    that do not raise the token, and uses of a token below one used before.
     """
-    kinds = {"granted": 0, "acted": 1}
     ordered = sorted(
-        (record for record in records if record["kind"] in kinds),
-        key=lambda r: (r["at_ns"], kinds[r["kind"]]),
+        (record for record in records if record["kind"] in KIND_ORDER),
+        key=lambda record: (record["at_ns"], KIND_ORDER[record["kind"]]),
     )
     leases: dict[str, _Lease] = {}
     overlaps: list[dict[str, Any]] = []
     regressions: list[dict[str, Any]] = []
     for record in ordered:
         lease = leases.setdefault(record["lease"], _Lease())
-        token: Token = (int(record["token"][0]), int(record["token"][1]))
+        epoch, number = record["token"]
+        token: Token = (int(epoch), int(number))
         if record["kind"] == "granted":
-            same = (
-                token == lease.granted and record["holder"] == lease.holder
-            )  # told again, nothing new
-            if token <= lease.granted and not same:
+            if lease.grant_goes_back(token, record["holder"]):
                 regressions.append(dict(record))
             if token > lease.granted:
-                lease.granted, lease.holder = token, record["holder"]
+                lease.granted = token
+                lease.holder = record["holder"]
             continue
-        other_holds = lease.granted > token and lease.holder != record["member"]
-        stolen = lease.granted == token and lease.holder != record["member"]
-        shared = lease.acted == token and lease.actor != record["member"]
-        if other_holds or stolen or shared:
+        if lease.overlaps(token, record["member"]):
             overlaps.append(dict(record))
         if token < lease.acted:
             regressions.append(dict(record))
-        if token >= lease.acted:
-            lease.acted, lease.actor = token, record["member"]
+        else:
+            lease.acted = token
+            lease.actor = record["member"]
     return {
         "seen": len(ordered),
         "leases": len(leases),
--- a/rainfall/lab/verdicts/sessions.py
+++ b/rainfall/lab/verdicts/sessions.py
@@ -1,4 +1,4 @@
-"""Whether keyed sessions kept their order, whole, through hand-overs.
+"""Whether sessions kept their order, and lost nothing, through migrations.
 
 From the load's ``try`` records with ``session`` and ``number``, the endpoints' ``call``
 records, and the forwarders' ``session`` records (``key``, ``step``, ``member``,
@@ -10,94 +10,104 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.lab import checker
+from rainfall.lab.statuses import ACCEPTED_STATUSES, DELIVERED_STATUS
+from rainfall.lab.verdicts.listing import LISTED_RECORDS
 
-LISTED_RECORDS = 20
+NS_PER_MS = 1e6
 
 
-def out_of_order(records: Iterable[Mapping[str, Any]]) -> list[tuple[str, int]]:
-    """(session, number) of each message that an endpoint was called for, before its
-    delivery, after a later one of its session was delivered. Only hand-ins that were
-    taken on have an order: what was sent under an id that no answer came to counts for
-    nothing (PROTOCOL).
+class SessionPosition(NamedTuple):
+    """A message's place in its session."""
+
+    session: str
+    number: int
+
+
+def out_of_order(records: Iterable[Mapping[str, Any]]) -> list[SessionPosition]:
+    """The messages that an endpoint was called for after a later one was delivered.
+
+    Calls after a message's own delivery do not count. Only attempts that were accepted
+    have an order: PROTOCOL demands nothing for an id without an answer.
     """
-    positions: dict[str, tuple[str, int]] = {}
+    positions: dict[str, SessionPosition] = {}
     calls: list[Mapping[str, Any]] = []
     for record in records:
         if (
             record["kind"] == "try"
             and record.get("session")
-            and record["status"] in checker.ACCEPTED_STATUSES
+            and record["status"] in ACCEPTED_STATUSES
         ):
-            positions[record["id"]] = (record["session"], record["number"])
+            position = SessionPosition(record["session"], record["number"])
+            positions[record["id"]] = position
         elif record["kind"] == "call":
             calls.append(record)
     highest_delivered: dict[str, int] = {}
-    delivered: set[tuple[str, int]] = set()
-    late: dict[tuple[str, int], None] = {}
-    for call in sorted(calls, key=lambda c: c["at_ns"]):
-        position = positions.get(call["id"])
-        if position is None:
+    delivered: set[SessionPosition] = set()
+    late: dict[SessionPosition, None] = {}
+    for call in sorted(calls, key=lambda call: call["at_ns"]):
+        called = positions.get(call["id"])
+        if called is None:
             continue
-        session, number = position
-        if number < highest_delivered.get(session, -1) and position not in delivered:
-            late[position] = None
-        if call["status"] == 200:
-            delivered.add(position)
-            highest_delivered[session] = max(highest_delivered.get(session, -1), number)
+        highest = highest_delivered.get(called.session, -1)
+        if called.number < highest and called not in delivered:
+            late[called] = None
+        if call["status"] == DELIVERED_STATUS:
+            delivered.add(called)
+            highest_delivered[called.session] = max(highest, called.number)
     return list(late)
 
 
 @dataclass(slots=True)
 class MigrationCounts:
+    """How the migrations of sessions ended."""
+
     completed: int = 0
     aborted: int = 0
     split: int = 0
-    """Hand-overs that one side ended as done and the other as aborted."""
+    """Migrations that one side completed and the other aborted."""
     unfinished: int = 0
-    """Offered, and neither done nor aborted in the records."""
+    """Migrations that were offered, and neither completed nor aborted."""
     longest_pause_ns: int = 0
 
+    def add(self, ends: set[str]) -> None:
+        """Count a migration by the steps that ended it."""
+        self.completed += "done" in ends
+        self.aborted += "aborted" in ends and "done" not in ends
+        self.split += ends >= {"done", "aborted"}
+        self.unfinished += not ends
+
 
 def count_migrations(records: Iterable[Mapping[str, Any]]) -> MigrationCounts:
-    """A hand-over of a key goes from ``offered`` to the next ``offered`` of that key.
+    """Count migrations; one lasts from ``offered`` to the key's next ``offered``.
 
     Its pause is from ``frozen`` to the first ``committed`` or ``aborted`` after it.
     """
     steps = sorted(
         (record for record in records if record["kind"] == "session"),
-        key=lambda r: r["at_ns"],
+        key=lambda record: record["at_ns"],
     )
     counts = MigrationCounts()
-    ends: dict[str, set[str]] = {}
-    frozen: dict[str, int] = {}
-
-    def close(key: str) -> None:
-        had = ends.pop(key, None)
-        if had is None:
-            return
-        counts.completed += "done" in had
-        counts.aborted += "aborted" in had and "done" not in had
-        counts.split += {"done", "aborted"} <= had
-        counts.unfinished += not had
-
+    open_migrations: dict[str, set[str]] = {}
+    frozen_at_ns: dict[str, int] = {}
     for record in steps:
-        key, step = record["key"], record["step"]
+        key = record["key"]
+        step = record["step"]
         if step == "offered":
-            close(key)
-            ends[key] = set()
+            if key in open_migrations:
+                counts.add(open_migrations.pop(key))
+            open_migrations[key] = set()
         elif step == "frozen":
-            frozen[key] = record["at_ns"]
-        elif step in ("committed", "aborted") and key in frozen:
-            counts.longest_pause_ns = max(
-                counts.longest_pause_ns, record["at_ns"] - frozen.pop(key)
-            )
+            frozen_at_ns[key] = record["at_ns"]
+        elif step in ("committed", "aborted") and key in frozen_at_ns:
+            pause_ns = record["at_ns"] - frozen_at_ns.pop(key)
+            counts.longest_pause_ns = max(counts.longest_pause_ns, pause_ns)
         if step in ("done", "aborted"):
-            ends.setdefault(key, set()).add(step)
-    for key in list(ends):
-        close(key)
+            open_migrations.setdefault(key, set()).add(step)
+    for ends in open_migrations.values():
+        counts.add(ends)
     return counts
 
 
@@ -106,16 +116,19 @@
     effects: Mapping[str, str],
     deadlines_ns: Mapping[str, int],
 ) -> dict[str, Any]:
-    """``seen`` counts the forwarders' records, ``messages`` the keyed ones of the load;
-    lost, doubled and out of order are of those.
+    """The result for the verdict.
+
+    ``seen`` counts the forwarders' records, ``messages`` the load's messages with a
+    session; lost, doubled and out of order are counted among these.
     """
     joined = checker.join_records(records, deadlines_ns)
     session_messages = [
         message for message in joined.messages.values() if message.session
     ]
-    late, migrations = out_of_order(records), count_migrations(records)
+    late = out_of_order(records)
+    migrations = count_migrations(records)
     return {
-        "seen": sum(r["kind"] == "session" for r in records),
+        "seen": sum(record["kind"] == "session" for record in records),
         "keys": len({message.session for message in session_messages}),
         "messages": len(session_messages),
         "handed": migrations.completed,
@@ -132,5 +145,5 @@
         "out_of_order_records": [
             f"{session} {number}" for session, number in late[:LISTED_RECORDS]
         ],
-        "longest_pause_ms": migrations.longest_pause_ns / 1e6,
+        "longest_pause_ms": migrations.longest_pause_ns / NS_PER_MS,
     }
--- a/rainfall/lab/verdicts/shards.py
+++ b/rainfall/lab/verdicts/shards.py
@@ -1,4 +1,4 @@
-"""Whether any key had two owners acting, and for how long keys had none.
+"""Whether any key had two owners at once, and for how long keys had none.
 
 An ``owns`` record: ``member`` acts for every key from ``from`` to ``to`` (16
 hexadecimal digits, inclusive) from ``begin_ns`` to ``end_ns``, which is null while it
@@ -11,13 +11,18 @@
 import bisect
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
-LISTED_RECORDS = 20
+from rainfall.lab.verdicts.listing import LISTED_RECORDS
+
+KEY_COUNT = 1 << 64
+NS_PER_MS = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class OwnershipInterval:
+    """A time in which a member owns a range of keys."""
+
     member: str
     first: int
     last: int
@@ -26,130 +31,176 @@
     end_ns: int
 
 
+class _Ownership(NamedTuple):
+    """What tells ownerships apart; the fields are the first of an interval's."""
+
+    member: str
+    first: int
+    last: int
+    generation: int
+    begin_ns: int
+
+
+class OwnedKeys(NamedTuple):
+    """Keys that have the same owners at each moment."""
+
+    first: int
+    last: int
+    intervals: list[OwnershipInterval]
+
+
+class Overlap(NamedTuple):
+    """A time in which keys had two owners."""
+
+    first_owner: OwnershipInterval
+    second_owner: OwnershipInterval
+    begin_ns: int
+    end_ns: int
+
+
 def ownership_intervals(
     records: Iterable[Mapping[str, Any]], end_ns: int
 ) -> list[OwnershipInterval]:
-    """The stretches of owning.
+    """The ownership intervals of a run that ends at ``end_ns``.
 
-    Of records of one beginning an ended one counts over an open one; an open one ends
-    where its process next does, else with the run.
+    Of several records with one beginning, one with an end counts. Without an end the
+    interval ends with its process, else with the run.
     """
-    open_until: dict[tuple[str, int, int, int, int], int | None] = {}
-    ends: dict[str, list[int]] = {}
+    end_of_ownership: dict[_Ownership, int | None] = {}
+    process_ends_ns: dict[str, list[int]] = {}
     for record in records:
         if record["kind"] == "process" and record["did"] == "ended":
-            ends.setdefault(record["member"], []).append(record["at_ns"])
+            process_ends_ns.setdefault(record["member"], []).append(record["at_ns"])
         elif record["kind"] == "owns":
-            key = (
+            ownership = _Ownership(
                 record["member"],
                 int(record["from"], 16),
                 int(record["to"], 16),
                 int(record["generation"]),
                 record["begin_ns"],
             )
-            if open_until.get(key) is None:
-                open_until[key] = record["end_ns"]
+            if end_of_ownership.get(ownership) is None:
+                end_of_ownership[ownership] = record["end_ns"]
     intervals = []
-    for (member, first, last, generation, begin_ns), until_ns in open_until.items():
+    for ownership, recorded_end_ns in end_of_ownership.items():
+        begin_ns = ownership.begin_ns
+        until_ns = recorded_end_ns
         if until_ns is None:
+            ends_ns = process_ends_ns.get(ownership.member, [])
             until_ns = min(
-                (at for at in ends.get(member, []) if at >= begin_ns),
+                (at_ns for at_ns in ends_ns if at_ns >= begin_ns),
                 default=max(end_ns, begin_ns),
             )
-        if until_ns > begin_ns:  # an owner for no time acted for no key
-            intervals.append(
-                OwnershipInterval(member, first, last, generation, begin_ns, until_ns)
-            )
-    return sorted(intervals, key=lambda s: (s.begin_ns, s.first, s.member))
+        if until_ns > begin_ns:
+            intervals.append(OwnershipInterval(*ownership, end_ns=until_ns))
+    intervals.sort(
+        key=lambda interval: (interval.begin_ns, interval.first, interval.member)
+    )
+    return intervals
 
 
-def split_by_ranges(
-    intervals: list[OwnershipInterval],
-) -> list[tuple[int, int, list[OwnershipInterval]]]:
-    """The key space cut at the ranges' ends: (first, last, the stretches that hold
-    those keys).
+def split_by_ranges(intervals: list[OwnershipInterval]) -> list[OwnedKeys]:
+    """The key space cut at the ends of all ranges.
+
+    Within one piece all keys have the same intervals.
     """
     cuts = sorted(
-        {0, 1 << 64}
+        {0, KEY_COUNT}
         | {interval.first for interval in intervals}
         | {interval.last + 1 for interval in intervals}
     )
-    held: list[list[OwnershipInterval]] = [[] for _ in cuts]
+    owners: list[list[OwnershipInterval]] = [[] for _ in cuts]
     for interval in intervals:
-        for index in range(
-            bisect.bisect_left(cuts, interval.first),
-            bisect.bisect_left(cuts, interval.last + 1),
-        ):
-            held[index].append(interval)
+        begin_index = bisect.bisect_left(cuts, interval.first)
+        end_index = bisect.bisect_left(cuts, interval.last + 1)
+        for index in range(begin_index, end_index):
+            owners[index].append(interval)
     return [
-        (cuts[index], cuts[index + 1] - 1, held[index])
+        OwnedKeys(cuts[index], cuts[index + 1] - 1, owners[index])
         for index in range(len(cuts) - 1)
     ]
 
 
 def check(records: Iterable[Mapping[str, Any]], end_ns: int) -> dict[str, Any]:
-    """``two_owners``: how many times a piece had two members acting at once, with
-    ``two_owners_keys`` keys ever and ``two_owners_longest_ms``; ``unowned_keys`` had
-    none at some time between their first owner and the end of the load,
-    ``unowned_longest_ms`` at most; ``never_owned_keys`` none at all (0 where none was
-    seen).
+    """The result for the verdict.
+
+    ``two_owners`` counts the times in which a piece of the key space had two owners, of
+    ``two_owners_keys`` keys and ``two_owners_longest_ms`` at most. ``unowned_keys`` had
+    no owner at some time between their first owner and the end of the load, for
+    ``unowned_longest_ms`` at most. ``never_owned_keys`` had none at all (0 if no key had
+    one).
     """
     intervals = ownership_intervals(records, end_ns)
-    doubled: list[dict[str, Any]] = []
-    doubled_keys = gap_keys = never_owned_keys = longest = gap_longest = 0
-    for first, last, owners in split_by_ranges(intervals) if intervals else []:
-        if not owners:
-            never_owned_keys += last - first + 1
+    pieces = split_by_ranges(intervals) if intervals else []
+    overlap_records: list[dict[str, Any]] = []
+    overlapping_keys = 0
+    unowned_keys = 0
+    never_owned_keys = 0
+    longest_overlap_ns = 0
+    longest_gap_ns = 0
+    for piece in pieces:
+        key_count = piece.last - piece.first + 1
+        if not piece.intervals:
+            never_owned_keys += key_count
             continue
-        overlaps, gap = _overlaps(owners), _longest_gap(owners, end_ns)
-        for first_owner, second_owner, begin, end in overlaps:
-            longest = max(longest, end - begin)
-            doubled.append(
-                {
-                    "from": f"{first:016x}",
-                    "to": f"{last:016x}",
-                    "members": [first_owner.member, second_owner.member],
-                    "generations": [first_owner.generation, second_owner.generation],
-                    "begin_ns": begin,
-                    "end_ns": end,
-                }
+        overlaps = _overlaps(piece.intervals)
+        gap_ns = _longest_gap_ns(piece.intervals, end_ns)
+        for overlap in overlaps:
+            longest_overlap_ns = max(
+                longest_overlap_ns, overlap.end_ns - overlap.begin_ns
             )
-        doubled_keys += (last - first + 1) * bool(overlaps)
-        gap_keys += (last - first + 1) * bool(gap)
-        gap_longest = max(gap_longest, gap)
+            overlap_records.append(_overlap_record(piece, overlap))
+        overlapping_keys += key_count * bool(overlaps)
+        unowned_keys += key_count * bool(gap_ns)
+        longest_gap_ns = max(longest_gap_ns, gap_ns)
     return {
         "seen": len(intervals),
-        "two_owners": len(doubled),
-        "two_owners_keys": doubled_keys,
-        "two_owners_longest_ms": longest / 1e6,
-        "two_owners_records": doubled[:LISTED_RECORDS],
-        "unowned_keys": gap_keys,
-        "unowned_longest_ms": gap_longest / 1e6,
+        "two_owners": len(overlap_records),
+        "two_owners_keys": overlapping_keys,
+        "two_owners_longest_ms": longest_overlap_ns / NS_PER_MS,
+        "two_owners_records": overlap_records[:LISTED_RECORDS],
+        "unowned_keys": unowned_keys,
+        "unowned_longest_ms": longest_gap_ns / NS_PER_MS,
         "never_owned_keys": never_owned_keys,
     }
 
 
-def _overlaps(
-    here: list[OwnershipInterval],
-) -> list[tuple[OwnershipInterval, OwnershipInterval, int, int]]:
-    """Pairs of stretches of different members that share time; each pair once, ``here``
-    by beginning.
+def _overlap_record(piece: OwnedKeys, overlap: Overlap) -> dict[str, Any]:
+    first_owner = overlap.first_owner
+    second_owner = overlap.second_owner
+    return {
+        "from": f"{piece.first:016x}",
+        "to": f"{piece.last:016x}",
+        "members": [first_owner.member, second_owner.member],
+        "generations": [first_owner.generation, second_owner.generation],
+        "begin_ns": overlap.begin_ns,
+        "end_ns": overlap.end_ns,
+    }
+
+
+def _overlaps(intervals: list[OwnershipInterval]) -> list[Overlap]:
+    """Each pair of intervals of different members that share time.
+
+    The intervals are in the order of their beginnings.
     """
-    found = []
+    overlaps: list[Overlap] = []
     active: list[OwnershipInterval] = []
-    for interval in here:
+    for interval in intervals:
         active = [other for other in active if other.end_ns > interval.begin_ns]
         for other in active:
-            until = min(other.end_ns, interval.end_ns)
-            if other.member != interval.member and until > interval.begin_ns:
-                found.append((other, interval, interval.begin_ns, until))
+            end_ns = min(other.end_ns, interval.end_ns)
+            if other.member != interval.member and end_ns > interval.begin_ns:
+                overlaps.append(Overlap(other, interval, interval.begin_ns, end_ns))
         active.append(interval)
-    return found
+    return overlaps
 
 
-def _longest_gap(here: list[OwnershipInterval], end_ns: int) -> int:
-    covered, longest = here[0].begin_ns, 0
-    for interval in here:
-        longest = max(longest, min(interval.begin_ns, end_ns) - covered)
-        covered = max(covered, interval.end_ns)
-    return max(longest, end_ns - covered, 0)
+def _longest_gap_ns(intervals: list[OwnershipInterval], end_ns: int) -> int:
+    """The longest time without an owner between the first one and ``end_ns``."""
+    covered_ns = intervals[0].begin_ns
+    longest_ns = 0
+    for interval in intervals:
+        gap_ns = min(interval.begin_ns, end_ns) - covered_ns
+        longest_ns = max(longest_ns, gap_ns)
+        covered_ns = max(covered_ns, interval.end_ns)
+    return max(longest_ns, end_ns - covered_ns, 0)
