--- a/rainfall/lab/__main__.py
+++ b/rainfall/lab/__main__.py
@@ -1,6 +1,4 @@
-"""``python -m rainfall.lab``: check, run, sweep and report experiments of the fleet
-lab.
-"""
+"""``python -m rainfall.lab``: check, run, sweep and report experiments of the fleet lab."""
 
 from __future__ import annotations
 
@@ -9,14 +7,34 @@
 import json
 import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 from rainfall.lab import report, sweep
 from rainfall.lab.experiment import Experiment, ExperimentError, read
 
+if TYPE_CHECKING:
+    Subparsers = argparse._SubParsersAction[argparse.ArgumentParser]
+
+EXIT_CLEAN = 0
+EXIT_BREACH = 1
+EXIT_FAULTY = 2
+EXIT_INTERRUPTED = 130
+SHOWN_RESULTS = ("total", "lost", "doubled", "lag_ms", "valid", "breaches")
+"""What of a verdict is printed after a run."""
+
 
 def parse_arguments(argv: list[str]) -> argparse.Namespace:
+    """The options of the command line; exits on faulty ones."""
     parser = argparse.ArgumentParser(prog="python -m rainfall.lab", description=__doc__)
     subparsers = parser.add_subparsers(dest="command", required=True)
+    _add_check_parser(subparsers)
+    _add_run_parser(subparsers)
+    _add_sweep_parser(subparsers)
+    _add_report_parsers(subparsers)
+    return parser.parse_args(argv)
+
+
+def _add_check_parser(subparsers: Subparsers) -> None:
     check = subparsers.add_parser(
         "check", help="check an experiment file and say what it would start"
     )
@@ -24,6 +42,9 @@
     check.add_argument(
         "--seed", type=int, help="also list the faults that this seed gives"
     )
+
+
+def _add_run_parser(subparsers: Subparsers) -> None:
     run_parser = subparsers.add_parser(
         "run", help="play an experiment; exit 1 on any breach"
     )
@@ -38,6 +59,9 @@
         "--seed", type=int, help="the seed of load and faults (default: the file's)"
     )
     run_parser.add_argument("--no-report", action="store_true", help="skip the plots")
+
+
+def _add_sweep_parser(subparsers: Subparsers) -> None:
     sweep_parser = subparsers.add_parser(
         "sweep", help="play an experiment under many seeds; exit 1 on any breach"
     )
@@ -63,6 +87,9 @@
         default="all",
         help="whose folders stay: of every seed, of those with a breach, of none",
     )
+
+
+def _add_report_parsers(subparsers: Subparsers) -> None:
     report_parser = subparsers.add_parser(
         "report", help="draw the report of a run again"
     )
@@ -74,16 +101,16 @@
     path_parser.add_argument(
         "key", help="the message's name (its idempotency key), as in verdict.json"
     )
-    return parser.parse_args(argv)
 
 
-def _fail(text: object, code: int = 2) -> int:
+def _fail(text: object, code: int = EXIT_FAULTY) -> int:
+    """Print why the command failed; the exit code."""
     print(f"lab: {text}", file=sys.stderr)
     return code
 
 
 def _show_results(args: argparse.Namespace) -> int:
-    """``report`` and ``path``: from a run's folder alone."""
+    """The commands ``report`` and ``path``, which need a run's folder alone."""
     try:
         if args.command == "report":
             print(report.draw(args.folder))
@@ -92,7 +119,7 @@
                 print(json.dumps(line))
     except (FileNotFoundError, ValueError) as error:
         return _fail(f"no run in {args.folder}: {error}")
-    return 0
+    return EXIT_CLEAN
 
 
 def _check(experiment: Experiment, seed: int | None) -> int:
@@ -103,44 +130,38 @@
         f"{len(experiment.endpoint_names())} endpoints, {len(experiment.faults)} faults, "
         f"{experiment.load.rate_per_s:g} messages a second for {experiment.duration_s:g} s"
     )
-    for fault in fault_timeline(experiment, seed) if seed is not None else ():
-        duration = (
-            f"{fault.for_s:g} s"
-            if not fault.restart
-            else f"restart {fault.restart} after {fault.after_s:g} s"
-        )
-        print(
-            f"{fault.at_s:9.3f} s  {fault.kind:8} {fault.target or 'zone ' + fault.zone}  {duration}"
-        )
-    return 0
+    faults = () if seed is None else fault_timeline(experiment, seed)
+    for fault in faults:
+        duration = f"{fault.for_s:g} s"
+        if fault.restart:
+            duration = f"restart {fault.restart} after {fault.after_s:g} s"
+        target = fault.target or f"zone {fault.zone}"
+        print(f"{fault.at_s:9.3f} s  {fault.kind:8} {target}  {duration}")
+    return EXIT_CLEAN
 
 
 def _run(experiment: Experiment, seed: int, out: Path, draw: bool) -> int:
     from rainfall.lab.processes import StartError
-    from rainfall.lab.runner import run
+    from rainfall.lab.runner import LoadError, run
 
     try:
         result = asyncio.run(run(experiment, seed, out))
-    except (StartError, RuntimeError, TimeoutError, OSError) as error:
+    except (StartError, LoadError, RuntimeError, TimeoutError, OSError) as error:
         return _fail(
             f"{error or 'the run took too long'}; every process it started was ended"
         )
     except (KeyboardInterrupt, asyncio.CancelledError):
-        return _fail("interrupted; every process it started was ended", 130)
+        return _fail(
+            "interrupted; every process it started was ended", EXIT_INTERRUPTED
+        )
     if draw:
         report.draw(out)
-    print(
-        json.dumps(
-            {
-                k: result[k]
-                for k in ("total", "lost", "doubled", "lag_ms", "valid", "breaches")
-            }
-        )
-    )
-    return 1 if result["breaches"] else 0
+    print(json.dumps({name: result[name] for name in SHOWN_RESULTS}))
+    return EXIT_BREACH if result["breaches"] else EXIT_CLEAN
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command; the exit code."""
     args = parse_arguments(sys.argv[1:] if argv is None else argv)
     if args.command in ("report", "path"):
         return _show_results(args)
@@ -148,8 +169,8 @@
         experiment = read(args.experiment)
     except ExperimentError as error:
         for fault in error.faults:
-            print(f"lab: {fault}", file=sys.stderr)
-        return 2
+            _fail(fault)
+        return EXIT_FAULTY
     if args.command == "check":
         return _check(experiment, args.seed)
     if args.command == "sweep":
--- a/rainfall/lab/report.py
+++ b/rainfall/lab/report.py
@@ -1,6 +1,7 @@
-"""The report of a lab run: outcomes and latency per 100 ms over the timeline, the
-faults drawn on it (PNG), and a page of figures (Markdown). Made from the records alone,
-so ``report DIR`` can draw it again.
+"""The report of a lab run: a picture (PNG) and a page of figures (Markdown).
+
+The picture shows outcomes and latency over time, in buckets of 100 ms, with the faults.
+Both are made from the records alone, so that ``report DIR`` can make them again.
 """
 
 from __future__ import annotations
@@ -8,71 +9,98 @@
 import contextlib
 import json
 from collections import defaultdict
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.lab import checker
+from rainfall.lab.statuses import ACCEPTED_STATUSES, DELIVERED_STATUS
 
 BUCKET_NS = 100_000_000
+BUCKETS_PER_S = 10
+NS_PER_S = 1e9
+NS_PER_MS = 1e6
 SERIES = ("taken on", "refused", "no answer", "delivered")
+LATENCY_LINES = ((50, "-"), (99, "--"))
+"""Percentiles that are drawn, with their line styles."""
+SHORTEST_DRAWN_FAULT_NS = 50_000_000
+"""A shorter fault is drawn as long as this, so that it can be seen."""
+FIGURE_SIZE_INCHES = (11, 6.5)
+FIGURE_DPI = 90
+
+
+class LoadedRun(NamedTuple):
+    """The files of a run's folder."""
+
+    records: list[dict[str, Any]]
+    result: dict[str, Any]
+    """The verdict."""
 
 
 def outcomes_by_bucket(
     records: Iterable[Mapping[str, Any]],
 ) -> dict[str, dict[int, int]]:
-    """Counts per 100 ms bucket: tries by their answer (by send time), deliveries by
-    their time.
+    """Counts by series and bucket.
+
+    Attempts are counted by their answer, at the time they were sent; deliveries at
+    their own time.
     """
     counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in SERIES}
     for record in records:
         if record["kind"] == "try":
-            name = (
-                "taken on"
-                if record["status"] in (200, 202)
-                else "refused"
-                if record["status"] in (429, 503)
-                else ("no answer" if not record["status"] else "refused")
-            )
+            name = _attempt_series(record["status"])
             counts[name][record["sent_ns"] // BUCKET_NS] += 1
-        elif record["kind"] == "call" and record["status"] == 200:
+        elif record["kind"] == "call" and record["status"] == DELIVERED_STATUS:
             counts["delivered"][record["at_ns"] // BUCKET_NS] += 1
     return counts
 
 
+def _attempt_series(status: int) -> str:
+    if status in ACCEPTED_STATUSES:
+        return "taken on"
+    return "refused" if status else "no answer"
+
+
 def latencies_by_bucket(records: Iterable[Mapping[str, Any]]) -> dict[int, list[float]]:
-    """Milliseconds from the first send to the first delivery, by the bucket of the
-    send.
-    """
-    first: dict[str, int] = {}
-    done: dict[str, int] = {}
-    owner: dict[str, str] = {}
+    """Milliseconds from the first attempt to the first delivery, by the attempt's bucket."""
+    first_sent_ns: dict[str, int] = {}
+    delivered_ns: dict[str, int] = {}
+    key_of_id: dict[str, str] = {}
     for record in records:
         if record["kind"] == "try":
-            first.setdefault(record["key"], record["sent_ns"])
-            owner[record["id"]] = record["key"]
-        elif record["kind"] == "call" and record["status"] == 200:
-            key = record.get("key") or owner.get(record["id"], "")
-            done[key] = min(done.get(key, record["at_ns"]), record["at_ns"])
-    out: dict[int, list[float]] = defaultdict(list)
-    for key, at in done.items():
-        if key in first:
-            out[first[key] // BUCKET_NS].append((at - first[key]) / 1e6)
-    return out
-
-
-def load_run(folder: Path) -> tuple[list[dict[str, Any]], dict[str, Any]]:
+            first_sent_ns.setdefault(record["key"], record["sent_ns"])
+            key_of_id[record["id"]] = record["key"]
+        elif record["kind"] == "call" and record["status"] == DELIVERED_STATUS:
+            key = record.get("key") or key_of_id.get(record["id"], "")
+            at_ns = record["at_ns"]
+            delivered_ns[key] = min(delivered_ns.get(key, at_ns), at_ns)
+    latencies_ms: dict[int, list[float]] = defaultdict(list)
+    for key, at_ns in delivered_ns.items():
+        if key in first_sent_ns:
+            sent_ns = first_sent_ns[key]
+            latencies_ms[sent_ns // BUCKET_NS].append((at_ns - sent_ns) / NS_PER_MS)
+    return latencies_ms
+
+
+def load_run(folder: Path) -> LoadedRun:
+    """The records and the verdict of a run.
+
+    Raises:
+        FileNotFoundError: The folder holds no run.
+    """
     records = [
         json.loads(line)
         for line in (folder / "records.jsonl").read_text().splitlines()
         if line
     ]
-    return records, json.loads((folder / "verdict.json").read_text())
+    return LoadedRun(records, json.loads((folder / "verdict.json").read_text()))
 
 
 def draw(folder: Path) -> Path:
-    """Write ``report.png`` and ``report.md`` into the folder of a run;
-    FileNotFoundError if it holds none.
+    """Write ``report.png`` and ``report.md`` into a run's folder; the picture's path.
+
+    Raises:
+        FileNotFoundError: The folder holds no run.
     """
     import matplotlib
 
@@ -80,64 +108,82 @@
     import matplotlib.pyplot as plt
 
     records, result = load_run(folder)
-    figure, (top, bottom) = plt.subplots(2, 1, figsize=(11, 6.5), sharex=True)
-    series = outcomes_by_bucket(records)
-    span = [x for counts in series.values() for x in counts] or [0]
-    xs = list(
-        range(min(span), max(span) + 1)
-    )  # empty buckets are drawn as 0, not left out
-    for name, counts in series.items():
-        top.plot(
-            [x / 10 for x in xs],
-            [counts.get(x, 0) for x in xs],
-            label=name,
-            linewidth=1.2,
-        )
-    latencies = latencies_by_bucket(records)
-    xs = sorted(latencies)
-    for q, style in ((50, "-"), (99, "--")):
-        ys = [
-            sorted(latencies[x])[
-                min(len(latencies[x]) - 1, int(len(latencies[x]) * q / 100))
-            ]
-            for x in xs
-        ]
-        bottom.plot([x / 10 for x in xs], ys, style, label=f"p{q}", color="tab:purple")
+    figure, (outcome_axis, latency_axis) = plt.subplots(
+        2, 1, figsize=FIGURE_SIZE_INCHES, sharex=True
+    )
+    _draw_outcomes(outcome_axis, records)
+    _draw_latencies(latency_axis, records)
     for record in records:
         if record["kind"] == "fault":
-            for axis in (top, bottom):
-                axis.axvspan(
-                    record["at_ns"] / 1e9,
-                    max(record["until_ns"], record["at_ns"] + 50_000_000) / 1e9,
-                    color="tab:red",
-                    alpha=0.15,
-                )
-            top.annotate(
-                f"{record['fault']} {record['target']}",
-                (record["at_ns"] / 1e9, top.get_ylim()[1] * 0.92),
-                fontsize=8,
-                color="tab:red",
-            )
-    top.set_ylabel("per 100 ms")
-    top.legend(loc="upper right", fontsize=8)
-    bottom.set_ylabel("latency, ms")
-    bottom.set_yscale("log")
-    bottom.set_xlabel("seconds from the start of the load")
-    bottom.legend(loc="upper right", fontsize=8)
-    top.set_title(
-        f"{result.get('experiment', '')}, seed {result.get('seed', '')}: lost {result['lost']}, "
-        f"doubled {result['doubled']}, resent {result['total'].get('resent', 0)}"
-        f"{'' if result['valid'] else ', INVALID (load lagged)'}"
-    )
+            _draw_fault(outcome_axis, latency_axis, record)
+    outcome_axis.set_ylabel("per 100 ms")
+    outcome_axis.legend(loc="upper right", fontsize=8)
+    outcome_axis.set_title(_title(result))
+    latency_axis.set_ylabel("latency, ms")
+    latency_axis.set_yscale("log")
+    latency_axis.set_xlabel("seconds from the start of the load")
+    latency_axis.legend(loc="upper right", fontsize=8)
     figure.tight_layout()
     picture = folder / "report.png"
-    figure.savefig(picture, dpi=90)
+    figure.savefig(picture, dpi=FIGURE_DPI)
     plt.close(figure)
     (folder / "report.md").write_text(markdown_page(result))
     return picture
 
 
+def _title(result: Mapping[str, Any]) -> str:
+    invalid = "" if result["valid"] else ", INVALID (load lagged)"
+    return (
+        f"{result.get('experiment', '')}, seed {result.get('seed', '')}: "
+        f"lost {result['lost']}, doubled {result['doubled']}, "
+        f"resent {result['total'].get('resent', 0)}{invalid}"
+    )
+
+
+def _draw_outcomes(axis: Any, records: list[dict[str, Any]]) -> None:
+    series = outcomes_by_bucket(records)
+    used = [bucket for counts in series.values() for bucket in counts] or [0]
+    # Buckets without a count are drawn as 0.
+    buckets = range(min(used), max(used) + 1)
+    times_s = [bucket / BUCKETS_PER_S for bucket in buckets]
+    for name, counts in series.items():
+        values = [counts.get(bucket, 0) for bucket in buckets]
+        axis.plot(times_s, values, label=name, linewidth=1.2)
+
+
+def _draw_latencies(axis: Any, records: list[dict[str, Any]]) -> None:
+    latencies_ms = latencies_by_bucket(records)
+    buckets = sorted(latencies_ms)
+    times_s = [bucket / BUCKETS_PER_S for bucket in buckets]
+    for percentile, style in LATENCY_LINES:
+        values = [_percentile(latencies_ms[bucket], percentile) for bucket in buckets]
+        axis.plot(times_s, values, style, label=f"p{percentile}", color="tab:purple")
+
+
+def _percentile(values: list[float], percentile: int) -> float:
+    index = int(len(values) * percentile / 100)
+    return sorted(values)[min(len(values) - 1, index)]
+
+
+def _draw_fault(
+    outcome_axis: Any, latency_axis: Any, record: Mapping[str, Any]
+) -> None:
+    begin_ns = record["at_ns"]
+    end_ns = max(record["until_ns"], begin_ns + SHORTEST_DRAWN_FAULT_NS)
+    for axis in (outcome_axis, latency_axis):
+        axis.axvspan(
+            begin_ns / NS_PER_S, end_ns / NS_PER_S, color="tab:red", alpha=0.15
+        )
+    outcome_axis.annotate(
+        f"{record['fault']} {record['target']}",
+        (begin_ns / NS_PER_S, outcome_axis.get_ylim()[1] * 0.92),
+        fontsize=8,
+        color="tab:red",
+    )
+
+
 def markdown_page(result: Mapping[str, Any]) -> str:
+    """The page of figures of a verdict."""
     names = checker.COUNTS[: checker.COUNTS.index("resent") + 1]
     lines = [
         f"# {result.get('experiment', '')}, seed {result.get('seed', '')}",
@@ -147,13 +193,11 @@
         "| class | " + " | ".join(names) + " | p50 ms | p99 ms |",
         "|" + " --- |" * (len(names) + 3),
     ]
-    for cls, tally in [*result["classes"].items(), ("all", result["total"])]:
-        latency = tally.get("latency_ms") or {}
-        lines.append(
-            f"| {cls} | "
-            + " | ".join(str(tally[n]) for n in names)
-            + f" | {latency.get('p50', '-')} | {latency.get('p99', '-')} |"
-        )
+    for class_name, tally in [*result["classes"].items(), ("all", result["total"])]:
+        latency_ms = tally.get("latency_ms") or {}
+        counts = " | ".join(str(tally[name]) for name in names)
+        percentiles = f"{latency_ms.get('p50', '-')} | {latency_ms.get('p99', '-')}"
+        lines.append(f"| {class_name} | {counts} | {percentiles} |")
     for destination, budget in sorted(result.get("budgets", {}).items()):
         lines += [
             "",
@@ -174,9 +218,10 @@
 
 
 def message_path(folder: Path, key: str) -> list[dict[str, Any]]:
-    """One message's way across processes, in time order: the lab's records of its
-    tries, calls and notices, and every forwarder's JSON log lines of its ids, all in ns
-    from the start of the load.
+    """What happened to one message in all processes, in order of time.
+
+    These are the lab's records of its attempts, calls and notices, and the lines of all
+    forwarders' logs with its ids. Times are ns from the start of the load.
     """
     records, result = load_run(folder)
     ids = {
@@ -187,16 +232,24 @@
     lines = [
         {"t_ns": record.get("sent_ns", record.get("at_ns")), "process": "lab", **record}
         for record in records
+        # A record of the kind "sent" was made from a log line, which follows below.
         if record["kind"] != "sent"
-        and (
-            record.get("key") == key or record.get("id") in ids
-        )  # sent: a log line has it
+        and (record.get("key") == key or record.get("id") in ids)
     ]
-    for log in sorted((folder / "members").glob("*/log-*.txt")):
-        for text in log.read_text(errors="replace").splitlines():
-            if '"message_id"' in text and any(i in text for i in ids):
-                with contextlib.suppress(ValueError):
-                    line = json.loads(text)
-                    if line.get("message_id") in ids:
-                        lines.append({**line, "t_ns": line["t_ns"] - result["t0_ns"]})
+    for log_path in sorted((folder / "members").glob("*/log-*.txt")):
+        for line in _log_lines(log_path, ids):
+            lines.append({**line, "t_ns": line["t_ns"] - result["t0_ns"]})
     return sorted(lines, key=lambda line: line["t_ns"])
+
+
+def _log_lines(log_path: Path, ids: set[str]) -> Iterator[dict[str, Any]]:
+    """The JSON lines of a log that are about one of the messages."""
+    for text in log_path.read_text(errors="replace").splitlines():
+        if '"message_id"' not in text or not any(
+            message_id in text for message_id in ids
+        ):
+            continue
+        with contextlib.suppress(ValueError):
+            line = json.loads(text)
+            if line.get("message_id") in ids:
+                yield line
--- a/rainfall/lab/sweep.py
+++ b/rainfall/lab/sweep.py
@@ -1,9 +1,7 @@
-"""Many runs of one experiment, each seed a process of its own, some at a time; one
-summary of all.
+"""Plays one experiment with many seeds, each in a process of its own.
 
-A run has a bounded time. It is ended by SIGTERM to its id (it then ends what it started
-itself); should it not, by SIGKILL, and what it had started by the ids that it noted in
-its folder.
+A run's time is limited. It is ended by SIGTERM to its id, and ends its own processes
+then; if it does not, it is ended by SIGKILL, and its processes by the ids in its folder.
 """
 
 from __future__ import annotations
@@ -17,7 +15,7 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.lab import interrupt, pids
 from rainfall.lab.experiment import Experiment
@@ -25,72 +23,100 @@
 from rainfall.lab.sweep_summary import RunResult, format_table, summarize
 
 MAX_SEEDS = 10_000
+"""Seeds of one sweep."""
 MAX_JOBS = 64
+"""Runs at the same time."""
 TERM_TIMEOUT_S = 15.0
-"""From SIGTERM to SIGKILL of a run."""
+"""The time between SIGTERM and SIGKILL of a run."""
+SPARE_TIME_S = 60.0
+"""What a run may take beside its starts, its load and its settling."""
+SHOWN_CHARACTERS = 300
+"""Characters of a log line that a failure shows."""
+EXIT_CODES_WITH_VERDICT = (0, 1)
+EXIT_INTERRUPTED = 130
 
 
 def parse_seeds(text: str) -> list[int]:
-    """``1-3,7`` is 1, 2, 3, 7; ArgumentTypeError where it is not so written, or beyond
-    MOST_SEEDS.
+    """The seeds of an option: ``1-3,7`` is 1, 2, 3, 7.
+
+    Raises:
+        argparse.ArgumentTypeError: The text is something else, or has too many seeds.
     """
-    found: dict[int, None] = {}
+    seeds: dict[int, None] = {}
     for part in text.split(","):
-        first, _, last = part.partition("-")
-        if (
-            not first.isdecimal()
-            or not (last or first).isdecimal()
-            or part.endswith("-")
-        ):
-            raise argparse.ArgumentTypeError(
-                f"{part!r} is no seed and no range such as 1-100"
-            )
-        begin, end = int(first), int(last or first)
-        if begin > end or end - begin >= MAX_SEEDS:
-            raise argparse.ArgumentTypeError(
-                f"{part!r} is no range of 1 to {MAX_SEEDS} seeds"
-            )
-        found |= dict.fromkeys(range(begin, end + 1))
-    if len(found) > MAX_SEEDS:
+        seeds |= dict.fromkeys(_parse_seed_range(part))
+    if len(seeds) > MAX_SEEDS:
         raise argparse.ArgumentTypeError(
-            f"{len(found)} seeds, where {MAX_SEEDS} are the most"
+            f"{len(seeds)} seeds, where {MAX_SEEDS} are the most"
         )
-    return list(found)
+    return list(seeds)
+
+
+def _parse_seed_range(part: str) -> range:
+    first, _, last = part.partition("-")
+    is_range = first.isdecimal() and (last or first).isdecimal()
+    if not is_range or part.endswith("-"):
+        raise argparse.ArgumentTypeError(
+            f"{part!r} is no seed and no range such as 1-100"
+        )
+    begin = int(first)
+    end = int(last or first)
+    if begin > end or end - begin >= MAX_SEEDS:
+        raise argparse.ArgumentTypeError(
+            f"{part!r} is no range of 1 to {MAX_SEEDS} seeds"
+        )
+    return range(begin, end + 1)
 
 
 def parse_jobs(text: str) -> int:
+    """The number of jobs of an option.
+
+    Raises:
+        argparse.ArgumentTypeError: It is not 1 to ``MAX_JOBS``.
+    """
     if not text.isdecimal() or not 1 <= int(text) <= MAX_JOBS:
         raise argparse.ArgumentTypeError(f"{text!r} is not 1 to {MAX_JOBS}")
     return int(text)
 
 
 def run_time_limit_s(experiment: Experiment) -> float:
-    """The longest that a run may take: its starts, its load, its faults' ends, its
-    settling, and slack.
-    """
-    tail = max((f.for_s + f.after_s for f in experiment.faults), default=0.0)
+    """How long a run may take: starts, load, the ends of faults, and settling."""
+    tail_s = max(
+        (fault.for_s + fault.after_s for fault in experiment.faults), default=0.0
+    )
     if experiment.nemesis is not None:
-        tail = max(tail, experiment.nemesis.longest_s)
-    return 2 * READY_TIMEOUT_S + experiment.duration_s + tail + experiment.settle_s + 60
+        tail_s = max(tail_s, experiment.nemesis.longest_s)
+    starts_s = 2 * READY_TIMEOUT_S
+    return (
+        starts_s + experiment.duration_s + tail_s + experiment.settle_s + SPARE_TIME_S
+    )
+
+
+class _ProcessOutcome(NamedTuple):
+    exit_code: int
+    failure: str
+    """Why the process was ended; empty if it ended by itself."""
 
 
 class Sweep:
+    """The runs of one sweep.
+
+    ``path`` is the experiment's file; ``keep`` says whose folders stay: those of
+    ``all`` runs, of ``failures``, or of ``none``.
+    """
+
     def __init__(
         self, experiment: Experiment, path: Path, out: Path, keep: str
     ) -> None:
-        self.experiment, self.path, self.out, self.keep_folders = (
-            experiment,
-            path.resolve(),
-            out.resolve(),
-            keep,
-        )
+        self.experiment = experiment
+        self.path = path.resolve()
+        self.out = out.resolve()
+        self.keep_folders = keep
         self.time_limit_s = run_time_limit_s(experiment)
         self.runs: list[RunResult] = []
 
     async def run_all(self, seeds: list[int], jobs: int) -> None:
-        """Every seed once, ``at_once`` at a time; cancelled, it ends the runs that it
-        started.
-        """
+        """Play every seed, ``jobs`` at a time; if cancelled, end the runs under way."""
         waiting = iter(seeds)
 
         async def worker() -> None:
@@ -99,8 +125,8 @@
 
         workers = [asyncio.create_task(worker()) for _ in range(min(jobs, len(seeds)))]
         try:
-            # Not gather: cancelled, it cancels the workers and returns with the first
-            # of them, and a second cancel would break off the ending in another.
+            # When gather is cancelled it returns with the first worker, and the second
+            # cancel below would interrupt the clean-up of the others.
             await asyncio.wait(workers, return_when=asyncio.FIRST_EXCEPTION)
         finally:
             for task in workers:
@@ -110,6 +136,7 @@
             task.result()
 
     def run_arguments(self, seed: int, folder: Path) -> list[str]:
+        """The arguments of a run's process, after the interpreter."""
         return [
             "-m",
             "rainfall.lab",
@@ -123,12 +150,25 @@
         ]
 
     async def run_seed(self, seed: int) -> RunResult:
+        """Play one seed, and keep or remove its folder."""
         folder = self.out / f"seed-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "verdict.json").unlink(
-            missing_ok=True
-        )  # an earlier sweep's says nothing of this one
+        # It may hold the verdict of an earlier sweep.
+        (folder / "verdict.json").unlink(missing_ok=True)
         started_s = time.monotonic()
+        outcome = await self._run_process(seed, folder)
+        wall_s = time.monotonic() - started_s
+        result = self.read_result(
+            seed, folder, outcome.exit_code, wall_s, outcome.failure
+        )
+        is_wanted = self.keep_folders == "all" or (
+            self.keep_folders == "failures" and result.breaches
+        )
+        if not is_wanted:
+            shutil.rmtree(folder, ignore_errors=True)
+        return result
+
+    async def _run_process(self, seed: int, folder: Path) -> _ProcessOutcome:
         with (folder / "run.log").open("wb") as log:
             starting = asyncio.ensure_future(
                 asyncio.create_subprocess_exec(
@@ -138,7 +178,7 @@
                     stdin=asyncio.subprocess.DEVNULL,
                     stdout=log,
                     stderr=log,
-                    # an interrupt from the terminal comes to the sweep alone
+                    # A terminal's interrupt goes to the sweep alone.
                     start_new_session=True,
                 )
             )
@@ -150,40 +190,29 @@
                     await process.wait()
             except TimeoutError:
                 failure = f"took more than {self.time_limit_s:g} s"
-            finally:  # also where the interrupt came while the run was being started
+            finally:
+                # The interrupt may come while the process is being started.
                 process = await starting
                 await end_run(process, folder)
-        result = self.read_result(
-            seed, folder, process.returncode or 0, time.monotonic() - started_s, failure
-        )
-        if self.keep_folders == "none" or (
-            self.keep_folders == "failures" and not result.breaches
-        ):
-            shutil.rmtree(folder, ignore_errors=True)
-        return result
+        return _ProcessOutcome(process.returncode or 0, failure)
 
     def read_result(
         self, seed: int, folder: Path, exit_code: int, wall_s: float, failure: str
     ) -> RunResult:
+        """The result of a run; one that did not finish has no verdict."""
         verdict: dict[str, Any] = {}
         with contextlib.suppress(OSError, ValueError):
             verdict = json.loads((folder / "verdict.json").read_text())
-        if failure or exit_code not in (0, 1) or not verdict:
-            last = (
-                (folder / "run.log")
-                .read_text(errors="replace")
-                .strip()
-                .splitlines()[-1:]
-            )
-            failure = failure or f"no verdict, exit {exit_code}: {' '.join(last)[:300]}"
-            return RunResult(
-                seed, exit_code, wall_s, {}, [failure]
-            )  # a verdict of half a run is none
+        if failure or exit_code not in EXIT_CODES_WITH_VERDICT or not verdict:
+            log = (folder / "run.log").read_text(errors="replace")
+            last_line = " ".join(log.strip().splitlines()[-1:])[:SHOWN_CHARACTERS]
+            failure = failure or f"no verdict, exit {exit_code}: {last_line}"
+            return RunResult(seed, exit_code, wall_s, {}, [failure])
         return RunResult(seed, exit_code, wall_s, verdict, list(verdict["breaches"]))
 
 
 async def end_run(process: asyncio.subprocess.Process, folder: Path) -> None:
-    """See a run ended, and all that it had started."""
+    """End a run's process, if it has not ended, and all that it had started."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGTERM)
@@ -197,9 +226,9 @@
     await pids.end(folder)
 
 
-async def _run_seeds(work: Sweep, wanted: list[int], at_once: int) -> None:
+async def _run_seeds(runner: Sweep, seeds: list[int], jobs: int) -> None:
     interrupt.cancel_on_first_signal()
-    await work.run_all(wanted, at_once)
+    await runner.run_all(seeds, jobs)
 
 
 def sweep(
@@ -210,8 +239,9 @@
     out: Path,
     keep: str = "all",
 ) -> int:
-    """Play, write ``summary.json``, print the table; 0, 1 on any breach, 130 where it
-    was interrupted.
+    """Play the seeds, write ``summary.json`` and print the table.
+
+    Returns the exit code: 0, 1 after any breach, or 130 after an interrupt.
     """
     out.mkdir(parents=True, exist_ok=True)
     runner = Sweep(experiment, path, out, keep)
@@ -225,5 +255,5 @@
     print(format_table(result))
     if interrupted:
         print("lab: interrupted; every process it started was ended", file=sys.stderr)
-        return 130
+        return EXIT_INTERRUPTED
     return int(result["exit"])
--- a/rainfall/lab/sweep_summary.py
+++ b/rainfall/lab/sweep_summary.py
@@ -1,4 +1,4 @@
-"""What a sweep's runs came to: one JSON-ready summary, one plain table."""
+"""Summarizes the runs of a sweep, for JSON and as a plain table."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """One seed's run.
+    """The run of one seed.
 
-    ``verdict`` is empty where it wrote none; ``breaches`` then says why.
+    ``verdict`` is empty if it wrote none; ``breaches`` then says why.
     """
 
     seed: int
@@ -22,56 +22,64 @@
     breaches: list[str] = field(default_factory=list)
 
 
-def _value_at(v: Mapping[str, Any], *path: str) -> Any:
+def _value_at(verdict: Mapping[str, Any], *path: str) -> Any:
+    value: Any = verdict
     for key in path:
-        v = v.get(key, {})
-    return v if v != {} else 0
+        value = value.get(key, {})
+    return value if value != {} else 0
 
 
-def _largest_budget_figure(v: Mapping[str, Any], name: str) -> Any:
-    return max((b[name] or 0 for b in v.get("budgets", {}).values()), default=0)
+def _largest_budget_figure(verdict: Mapping[str, Any], name: str) -> Any:
+    budgets = verdict.get("budgets", {}).values()
+    return max((budget[name] or 0 for budget in budgets), default=0)
 
 
-def _smallest_budget_use(v: Mapping[str, Any]) -> Any:
-    """Infinite where no budget is named, so that it is never the least; such figures
-    are left out.
-    """
-    return min((b["used"] for b in v.get("budgets", {}).values()), default=math.inf)
+def _smallest_budget_use(verdict: Mapping[str, Any]) -> Any:
+    """Infinite without a budget; such figures are left out."""
+    budgets = verdict.get("budgets", {}).values()
+    return min((budget["used"] for budget in budgets), default=math.inf)
 
 
 Figure = Callable[[Mapping[str, Any]], Any]
 COUNTS: dict[str, Figure] = {
-    "messages": lambda v: _value_at(v, "total", "messages"),
-    "delivered": lambda v: _value_at(v, "total", "delivered"),
-    "late": lambda v: _value_at(v, "total", "late"),
-    "noticed": lambda v: _value_at(v, "total", "noticed"),
-    "lost": lambda v: _value_at(v, "lost"),
-    "wiped": lambda v: _value_at(v, "total", "wiped"),
-    "doubled": lambda v: _value_at(v, "doubled"),
-    "phantoms": lambda v: _value_at(v, "phantoms"),
-    "over": lambda v: _largest_budget_figure(v, "over"),
-    "overlaps": lambda v: _value_at(v, "leases", "overlaps"),
-    "tokens_back": lambda v: _value_at(v, "leases", "tokens_back"),
-    "two_owners": lambda v: _value_at(v, "shards", "two_owners"),
-    "handed": lambda v: _value_at(v, "sessions", "handed"),
-    "aborted": lambda v: _value_at(v, "sessions", "aborted"),
-    "split": lambda v: _value_at(v, "sessions", "split"),
-    "sess_lost": lambda v: _value_at(v, "sessions", "lost"),
-    "sess_doubled": lambda v: _value_at(v, "sessions", "doubled"),
-    "out_of_order": lambda v: _value_at(v, "sessions", "out_of_order"),
+    "messages": lambda verdict: _value_at(verdict, "total", "messages"),
+    "delivered": lambda verdict: _value_at(verdict, "total", "delivered"),
+    "late": lambda verdict: _value_at(verdict, "total", "late"),
+    "noticed": lambda verdict: _value_at(verdict, "total", "noticed"),
+    "lost": lambda verdict: _value_at(verdict, "lost"),
+    "wiped": lambda verdict: _value_at(verdict, "total", "wiped"),
+    "doubled": lambda verdict: _value_at(verdict, "doubled"),
+    "phantoms": lambda verdict: _value_at(verdict, "phantoms"),
+    "over": lambda verdict: _largest_budget_figure(verdict, "over"),
+    "overlaps": lambda verdict: _value_at(verdict, "leases", "overlaps"),
+    "tokens_back": lambda verdict: _value_at(verdict, "leases", "tokens_back"),
+    "two_owners": lambda verdict: _value_at(verdict, "shards", "two_owners"),
+    "handed": lambda verdict: _value_at(verdict, "sessions", "handed"),
+    "aborted": lambda verdict: _value_at(verdict, "sessions", "aborted"),
+    "split": lambda verdict: _value_at(verdict, "sessions", "split"),
+    "sess_lost": lambda verdict: _value_at(verdict, "sessions", "lost"),
+    "sess_doubled": lambda verdict: _value_at(verdict, "sessions", "doubled"),
+    "out_of_order": lambda verdict: _value_at(verdict, "sessions", "out_of_order"),
 }
-"""Figures that a sweep adds up, all the better the smaller but for the first two."""
+"""Figures that are added up; all but ``HIGHER_IS_BETTER`` are better if smaller."""
+HIGHER_IS_BETTER = ("messages", "delivered")
 WORST: dict[str, Figure] = {
-    "worst_span": lambda v: _largest_budget_figure(v, "worst"),
-    "refused_per_delivery": lambda v: _largest_budget_figure(v, "refused_per_delivery"),
+    "worst_span": lambda verdict: _largest_budget_figure(verdict, "worst"),
+    "refused_per_delivery": lambda verdict: _largest_budget_figure(
+        verdict, "refused_per_delivery"
+    ),
     "used": _smallest_budget_use,
-    "unowned_longest_ms": lambda v: _value_at(v, "shards", "unowned_longest_ms"),
-    "longest_pause_ms": lambda v: _value_at(v, "sessions", "longest_pause_ms"),
-    "lag_max_ms": lambda v: _value_at(v, "lag_ms", "max"),
+    "unowned_longest_ms": lambda verdict: _value_at(
+        verdict, "shards", "unowned_longest_ms"
+    ),
+    "longest_pause_ms": lambda verdict: _value_at(
+        verdict, "sessions", "longest_pause_ms"
+    ),
+    "lag_max_ms": lambda verdict: _value_at(verdict, "lag_ms", "max"),
 }
-"""Figures of which a sweep tells the worst only: the greatest, of ``used`` the
-least.
-"""
+"""Figures of which only the worst counts: the greatest, of ``used`` the least."""
+VERDICT_PARTS = ("budgets", "leases", "shards", "sessions")
+COLUMN_GAP = "  "
 TABLE_TOTALS = (
     "messages",
     "delivered",
@@ -88,92 +96,83 @@
 def summarize(
     name: str, seeds: Sequence[int], runs: Sequence[RunResult]
 ) -> dict[str, Any]:
-    """Per seed its figures, the totals, the worst of each with its seed, and ``exit``:
-    1 on any breach and where a seed was not played.
+    """The summary, ready for JSON.
+
+    It has the figures of each seed, their totals, the worst of each with its seed, and
+    ``exit``, which is 1 after any breach and if a seed was not played.
     """
-    runs = sorted(runs, key=lambda p: p.seed)
-    complete_runs = [p for p in runs if p.verdict]
-    figures = {p.seed: _figures(p.verdict) for p in complete_runs}
-    worst: dict[str, Any] = {}
-    for key in [*COUNTS, *WORST]:
-        having = [seed for seed, f in sorted(figures.items()) if key in f]
-        if having and key not in ("messages", "delivered"):
-            pick = min if key == "used" else max
-            seed = pick(having, key=lambda seed, key=key: figures[seed][key])  # type: ignore[misc]
-            worst[key] = {"value": figures[seed][key], "seed": seed}
-    breached = [p.seed for p in runs if p.breaches]
-    missing = sorted(set(seeds) - {p.seed for p in runs})
+    runs = sorted(runs, key=lambda run: run.seed)
+    complete_runs = [run for run in runs if run.verdict]
+    figures = {run.seed: _figures(run.verdict) for run in complete_runs}
+    breached = [run.seed for run in runs if run.breaches]
+    missing = sorted(set(seeds) - {run.seed for run in runs})
     return {
         "experiment": name,
         "seeds": len(seeds),
         "played": len(runs),
         "not_played": missing,
         "breached": breached,
-        "invalid": [p.seed for p in complete_runs if not p.verdict["valid"]],
+        "invalid": [run.seed for run in complete_runs if not run.verdict["valid"]],
         "totals": {
-            key: sum(figures[p.seed][key] for p in complete_runs) for key in COUNTS
+            key: sum(figures[run.seed][key] for run in complete_runs) for key in COUNTS
         },
-        "worst": worst,
-        "runs": [
-            {
-                "seed": p.seed,
-                "exit": p.exit_code,
-                "wall_s": round(p.wall_s, 2),
-                "breaches": p.breaches,
-                "valid": p.verdict.get("valid"),
-                "figures": figures.get(p.seed),
-                **{
-                    k: p.verdict[k]
-                    for k in ("budgets", "leases", "shards", "sessions")
-                    if k in p.verdict
-                },
-            }
-            for p in runs
-        ],
+        "worst": _worst_figures(figures),
+        "runs": [_run_summary(run, figures.get(run.seed)) for run in runs],
         "exit": 1 if breached or missing else 0,
     }
 
 
-def _figures(v: Mapping[str, Any]) -> dict[str, Any]:
-    every = {key: figure(v) for key, figure in COUNTS.items()} | {
-        k: f(v) for k, f in WORST.items()
+def _run_summary(run: RunResult, figures: dict[str, Any] | None) -> dict[str, Any]:
+    summary = {
+        "seed": run.seed,
+        "exit": run.exit_code,
+        "wall_s": round(run.wall_s, 2),
+        "breaches": run.breaches,
+        "valid": run.verdict.get("valid"),
+        "figures": figures,
     }
-    return {key: value for key, value in every.items() if value != math.inf}
+    for part in VERDICT_PARTS:
+        if part in run.verdict:
+            summary[part] = run.verdict[part]
+    return summary
+
+
+def _worst_figures(figures: Mapping[int, Mapping[str, Any]]) -> dict[str, Any]:
+    """The worst value of each figure, with the first seed that has it."""
+    worst: dict[str, Any] = {}
+    for name in [*COUNTS, *WORST]:
+        values = {
+            seed: figures[seed][name]
+            for seed in sorted(figures)
+            if name in figures[seed]
+        }
+        if not values or name in HIGHER_IS_BETTER:
+            continue
+        find_worst = min if name == "used" else max
+        seed = find_worst(values, key=values.__getitem__)
+        worst[name] = {"value": values[seed], "seed": seed}
+    return worst
+
+
+def _figures(verdict: Mapping[str, Any]) -> dict[str, Any]:
+    figures = {name: read(verdict) for name, read in (COUNTS | WORST).items()}
+    return {name: value for name, value in figures.items() if value != math.inf}
 
 
 def format_table(summary: Mapping[str, Any]) -> str:
-    """A line a seed, a line of totals and worst figures, and the breaches in words."""
-    heads = ["seed", "exit", "wall_s", *TABLE_TOTALS, *TABLE_WORST, "valid"]
-    rows = [heads]
+    """A line for each seed, a line of totals and worst figures, and the breaches."""
+    rows: list[list[Any]] = [
+        ["seed", "exit", "wall_s", *TABLE_TOTALS, *TABLE_WORST, "valid"]
+    ]
     for run in summary["runs"]:
         figures = run["figures"] or {}
-        cells = [figures.get(k, "-") for k in (*TABLE_TOTALS, *TABLE_WORST)]
-        rows.append(
-            [
-                str(c)
-                for c in (run["seed"], run["exit"], run["wall_s"], *cells, run["valid"])
-            ]
-        )
-    total = [summary["totals"].get(k, "-") for k in TABLE_TOTALS]
-    worst = [summary["worst"].get(k, {}).get("value", "-") for k in TABLE_WORST]
-    rows.append(
-        [
-            str(c)
-            for c in (
-                "all",
-                summary["exit"],
-                "",
-                *total,
-                *worst,
-                len(summary["invalid"]) == 0,
-            )
-        ]
-    )
-    widths = [max(len(row[n]) for row in rows) for n in range(len(heads))]
-    lines = [
-        "  ".join(cell.rjust(w) for cell, w in zip(row, widths, strict=True))
-        for row in rows
-    ]
+        cells = [figures.get(name, "-") for name in (*TABLE_TOTALS, *TABLE_WORST)]
+        rows.append([run["seed"], run["exit"], run["wall_s"], *cells, run["valid"]])
+    totals = [summary["totals"].get(name, "-") for name in TABLE_TOTALS]
+    worst = [summary["worst"].get(name, {}).get("value", "-") for name in TABLE_WORST]
+    all_valid = not summary["invalid"]
+    rows.append(["all", summary["exit"], "", *totals, *worst, all_valid])
+    lines = _aligned_lines(rows)
     lines += [
         f"seed {run['seed']}: {'; '.join(run['breaches'])}"
         for run in summary["runs"]
@@ -182,3 +181,15 @@
     if summary["not_played"]:
         lines.append(f"not played: {', '.join(map(str, summary['not_played']))}")
     return "\n".join(lines)
+
+
+def _aligned_lines(rows: list[list[Any]]) -> list[str]:
+    """The rows with their cells right-aligned in columns."""
+    texts = [[str(cell) for cell in row] for row in rows]
+    widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
+    return [
+        COLUMN_GAP.join(
+            cell.rjust(width) for cell, width in zip(row, widths, strict=True)
+        )
+        for row in texts
+    ]
--- a/rainfall/lab/testbed.py
+++ b/rainfall/lab/testbed.py
@@ -1,6 +1,7 @@
-"""What stands around the load of a run: stand-ins, proxied links, the list service and
-the forwarders, built and ended. Every process started is noted on disk by its id and
-ended by it on every way out.
+"""The testbed of a run: stand-ins, proxied links, the list service and the forwarders.
+
+The id of every started process is stored on disk, and the process is ended by it however
+the run ends.
 """
 
 from __future__ import annotations
@@ -16,20 +17,34 @@
 
 from rainfall.lab import forwarder_config, pids, structured_logging
 from rainfall.lab.discovery_relay import DiscoveryRelay
-from rainfall.lab.experiment_model import FLEET_ADDRESS, LIST_SERVICE, Experiment
+from rainfall.lab.experiment_model import (
+    CLIENT,
+    FLEET_ADDRESS,
+    LIST_SERVICE,
+    Experiment,
+)
 from rainfall.lab.fault_proxy import ConnectionLimiter, ProxyLink, connection_capacity
 from rainfall.lab.list_service import ListServiceProcess, supported_options
 from rainfall.lab.processes import Forwarder, Process, StartError, end_all, reserve_port
 from rainfall.lab.stand_ins import (
+    NS_PER_MS,
     Endpoint,
     HttpServer,
     SlidingWindowLimiter,
     StandInListService,
 )
 
+SEEDS_PER_RUN = 1_000
+"""Seeds of endpoints between those of one run and the next."""
+
 
 @dataclass
 class Testbed:
+    """Builds and ends what a run needs, and collects its records.
+
+    Call ``start`` once, then ``stop``, also if ``start`` fails.
+    """
+
     experiment: Experiment
     seed: int
     output_folder: Path
@@ -38,7 +53,7 @@
     links: dict[str, ProxyLink] = field(default_factory=dict)
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
     servers: list[HttpServer | DiscoveryRelay] = field(default_factory=list)
-    """Stand-in lists, or relays to the service's process."""
+    """Stand-ins of the list service, or relays to its process."""
     forwarders: list[Forwarder] = field(default_factory=list)
     service: ListServiceProcess | None = None
     reserved_sockets: list[socket.socket] = field(default_factory=list)
@@ -50,19 +65,22 @@
         )
 
     def clock(self) -> int:
+        """Nanoseconds from the start of the load."""
         return time.monotonic_ns() - self.start_ns
 
     def record(self, item: dict[str, Any]) -> None:
+        """Add a record of the run."""
         self.records.append(item)
 
     def process(self, name: str) -> Process:
-        """The process that a fault's target names."""
+        """The process with this name, as faults name it."""
         if name == LIST_SERVICE and self.service is not None:
             return self.service
         return self.forwarders[int(name[1:])]
 
     @property
     def log(self) -> Any:
+        """The lab's logger for this run."""
         return structured_logging.logger(
             experiment=self.experiment.name, seed=self.seed
         )
@@ -86,51 +104,61 @@
         )
 
     async def start(self) -> None:
+        """Build everything, and start the processes.
+
+        Raises:
+            StartError: A process did not come up.
+        """
+        await self._start_endpoints()
+        if self.experiment.fleet.service:
+            self.service = await self._build_list_service()
+        await self._build_forwarders()
+        # All servers of the lab listen now: the processes may bind their ports.
+        for reserved in self.reserved_sockets:
+            reserved.close()
+        if self.service is not None:
+            await self.service.start()
+        await self._start_forwarders()
+        self.log.info("started", forwarders=len(self.forwarders), links=len(self.links))
+
+    async def _start_endpoints(self) -> None:
         experiment = self.experiment
-        meters = {
+        limiters = {
             budget.destination: SlidingWindowLimiter(
-                budget.calls, budget.span_ms * 1_000_000
+                budget.calls, budget.span_ms * NS_PER_MS
             )
             for budget in experiment.budgets
             if budget.enforce
         }
         for index, name in enumerate(experiment.endpoint_names()):
-            self.endpoints[name] = await Endpoint(
+            destination = experiment.destination_of(name)
+            endpoint = Endpoint(
                 name=name,
-                destination=experiment.destination_of(name),
-                seed=self.seed * 1000 + index,
+                destination=destination,
+                seed=self.seed * SEEDS_PER_RUN + index,
                 clock=self.clock,
                 record=self.record,
-                limiter=meters.get(experiment.destination_of(name)),
-            ).start()
-        if experiment.fleet.service:
-            self.service = await self._build_list_service()
-        listen_ports = {
-            forwarder: reserve_port(self.reserved_sockets)
-            for forwarder in experiment.forwarder_names()
-        }
-        peer_ports = (
-            {
-                forwarder: reserve_port(self.reserved_sockets)
-                for forwarder in experiment.forwarder_names()
-            }
-            if experiment.fleet.peers
-            else {}
-        )
-        for index, forwarder in enumerate(experiment.forwarder_names()):
-            self.forwarders.append(
-                await self._build_forwarder(
-                    index, forwarder, listen_ports[forwarder], peer_ports
-                )
+                limiter=limiters.get(destination),
             )
-        for held in (
-            self.reserved_sockets
-        ):  # every server of the lab is up: the processes may bind these now
-            held.close()
-        if self.service is not None:
-            await self.service.start()
-        # All at once: thirty starts one by one would take most of a minute.
-        tasks = [asyncio.create_task(member.start()) for member in self.forwarders]
+            self.endpoints[name] = await endpoint.start()
+
+    async def _build_forwarders(self) -> None:
+        names = self.experiment.forwarder_names()
+        listen_ports = {name: reserve_port(self.reserved_sockets) for name in names}
+        peer_ports: dict[str, int] = {}
+        if self.experiment.fleet.peers:
+            peer_ports = {name: reserve_port(self.reserved_sockets) for name in names}
+        for index, name in enumerate(names):
+            forwarder = await self._build_forwarder(
+                index, name, listen_ports[name], peer_ports
+            )
+            self.forwarders.append(forwarder)
+
+    async def _start_forwarders(self) -> None:
+        """Start all at once: one after the other takes too long with a large fleet."""
+        tasks = [
+            asyncio.create_task(forwarder.start()) for forwarder in self.forwarders
+        ]
         try:
             await asyncio.gather(*tasks)
         except StartError:
@@ -138,18 +166,18 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             raise
-        for member in self.forwarders:
+        for forwarder in self.forwarders:
             self.log.info(
                 "member ready",
-                member=member.name,
-                role=member.role,
-                pid=member.pids[-1],
+                member=forwarder.name,
+                role=forwarder.role,
+                pid=forwarder.pids[-1],
             )
-        self.log.info("started", forwarders=len(self.forwarders), links=len(self.links))
 
     async def _build_list_service(self) -> ListServiceProcess:
-        """The list service; its entries' dials are the endpoints' own, which no
-        forwarder is ever told.
+        """The list service's process.
+
+        The dials of its entries are the endpoints' own; relays replace them.
         """
         experiment = self.experiment
         endpoint_addresses = {
@@ -171,15 +199,17 @@
     async def _build_forwarder(
         self, index: int, name: str, listen_port: int, peer_ports: dict[str, int]
     ) -> Forwarder:
-        experiment = self.experiment
+        """A forwarder, with its links started."""
         endpoint_dials = {
-            e: await self._start_link(f"{name}>{e}", end.port)
-            for e, end in self.endpoints.items()
+            endpoint_name: await self._start_link(
+                f"{name}>{endpoint_name}", endpoint.port
+            )
+            for endpoint_name, endpoint in self.endpoints.items()
         }
         peer_dials = {
-            p: await self._start_link(f"{name}>{p}", port)
-            for p, port in peer_ports.items()
-            if p != name
+            peer: await self._start_link(f"{name}>{peer}", port)
+            for peer, port in peer_ports.items()
+            if peer != name
         }
         addresses = forwarder_config.ForwarderAddresses(
             listen=f"127.0.0.1:{listen_port}",
@@ -189,37 +219,41 @@
         )
         if name in peer_ports:
             addresses.peer_listen = f"127.0.0.1:{peer_ports[name]}"
-        if self.service is None:
-            stand_in = StandInListService(
-                hosts=forwarder_config.host_entries(experiment, endpoint_dials),
-                clock=self.clock,
-                record=self.record,
-            )
-            self.servers.append(await stand_in.start())
-            addresses.discovery = await self._start_link(
-                f"{name}>{LIST_SERVICE}", stand_in.port
-            )
-        else:
-            all_dials = {**endpoint_dials, **peer_dials}
-            addresses.discovery = await self._start_link(
-                f"{name}>{LIST_SERVICE}",
-                await self._start_relay(self.service.listen_port, all_dials),
-            )
-            addresses.fleet = await self._start_link(
-                f"{name}>{FLEET_ADDRESS}",
-                await self._start_relay(self.service.fleet_port, all_dials),
-            )
-        await self._start_link(f"client>{name}", listen_port)
-        folder = self.output_folder / "members" / name
-        config = forwarder_config.configuration(experiment, self.seed, index, addresses)
+        await self._link_list_service(name, addresses)
+        await self._start_link(f"{CLIENT}>{name}", listen_port)
+        config = forwarder_config.configuration(
+            self.experiment, self.seed, index, addresses
+        )
         return Forwarder(
             name,
-            folder,
+            self.output_folder / "members" / name,
             self._on_process_event,
             config=config,
             admin_port=reserve_port(self.reserved_sockets),
         )
 
+    async def _link_list_service(
+        self, name: str, addresses: forwarder_config.ForwarderAddresses
+    ) -> None:
+        """Start a forwarder's links to the list service, or to its stand-in."""
+        discovery_link = f"{name}>{LIST_SERVICE}"
+        if self.service is None:
+            stand_in = StandInListService(
+                hosts=forwarder_config.host_entries(
+                    self.experiment, addresses.endpoint_dials
+                ),
+                clock=self.clock,
+                record=self.record,
+            )
+            self.servers.append(await stand_in.start())
+            addresses.discovery = await self._start_link(discovery_link, stand_in.port)
+            return
+        dials = {**addresses.endpoint_dials, **addresses.peer_dials}
+        relay_port = await self._start_relay(self.service.listen_port, dials)
+        addresses.discovery = await self._start_link(discovery_link, relay_port)
+        relay_port = await self._start_relay(self.service.fleet_port, dials)
+        addresses.fleet = await self._start_link(f"{name}>{FLEET_ADDRESS}", relay_port)
+
     async def _start_relay(self, port: int, dials: dict[str, str]) -> int:
         relay = await DiscoveryRelay(port, dials, self._record_notice).start()
         self.servers.append(relay)
@@ -237,21 +271,24 @@
         )
 
     async def _start_link(self, name: str, port: int) -> str:
-        """A proxied link to a port; its own address."""
+        """Start a proxied link to a port; the address where it listens."""
         seed = zlib.crc32(f"{self.seed}/{name}".encode())
-        link = await ProxyLink(
-            name, "127.0.0.1", port, seed=seed, limiter=self.limiter
-        ).start()
-        self.links[name] = link
+        link = ProxyLink(name, "127.0.0.1", port, seed=seed, limiter=self.limiter)
+        self.links[name] = await link.start()
         return f"127.0.0.1:{link.listen_port}"
 
     def processes(self) -> list[Process]:
-        return [*self.forwarders, *([self.service] if self.service is not None else [])]
+        """The forwarders, and the list service if it is a process."""
+        processes: list[Process] = list(self.forwarders)
+        if self.service is not None:
+            processes.append(self.service)
+        return processes
 
     async def stop(self) -> None:
+        """End all processes, and stop all servers and links."""
         await end_all(self.processes())
-        for held in self.reserved_sockets:
-            held.close()
+        for reserved in self.reserved_sockets:
+            reserved.close()
         servers: list[ProxyLink | HttpServer | DiscoveryRelay] = [
             *self.links.values(),
             *self.endpoints.values(),
@@ -261,14 +298,16 @@
             await server.stop()
 
     def statistics(self) -> dict[str, Any]:
+        """Links, connections and process ids as they stand in a verdict."""
         return {
             "links": [link.statistics() for link in self.links.values()],
             "connections": self.limiter.statistics(),
-            "pids": {p.name: p.pids for p in self.processes()},
+            "pids": {process.name: process.pids for process in self.processes()},
         }
 
     def write_records(self) -> None:
+        """Write all records to ``records.jsonl``."""
         text = "".join(
-            json.dumps(r, separators=(",", ":")) + "\n" for r in self.records
+            json.dumps(record, separators=(",", ":")) + "\n" for record in self.records
         )
         (self.output_folder / "records.jsonl").write_text(text)
