--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -2,7 +2,7 @@
 goes to disk and over the wire, how much of the whole is used, and how long a share
 takes to arrive or to come free after a death.
 
-    python measure/budget_division.py [REPEATS]
+    python -m measure.budget_division [REPEATS]
 """
 
 from __future__ import annotations
@@ -15,18 +15,14 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from pathlib import Path
-
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from measure.reporting import format_row  # noqa: E402
-from rainfall.budget.demand import DemandTracker  # noqa: E402
-from rainfall.budget.fair_share import divide  # noqa: E402
-from rainfall.budget.ledger import Ledger  # noqa: E402
-from rainfall.budget.member_quota import MemberQuota  # noqa: E402
-from rainfall.budget.types import Budget, Share  # noqa: E402
-from rainfall.lease.fencing_token import Token  # noqa: E402
+
+from measure.reporting import format_row
+from rainfall.budget.demand import DemandTracker
+from rainfall.budget.fair_share import divide
+from rainfall.budget.ledger import Ledger
+from rainfall.budget.member_quota import MemberQuota
+from rainfall.budget.types import Budget, Share
+from rainfall.lease.fencing_token import Token
 
 SECOND_US = 1_000_000
 DRIFT = 0.02
--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -2,7 +2,7 @@
 service process with 3 budgets: how long a changed need takes until the last share it
 moves was told, and what it costs.
 
-    python measure/fleet_service.py [REPEATS] [MEMBERS]
+    python -m measure.fleet_service [REPEATS] [MEMBERS]
 
 A change: a tenth of the members needs twelve times as much of one budget as before, so
 that shares of all others shrink, cool for a span, and move. Twice: watches that name
@@ -25,8 +25,7 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
+from measure.paths import ROOT
 
 LEASE_MS, SPAN_MS, DRIFT = 3_000, 1_000, 0.02
 CALLS_A_MEMBER, RESERVE = (
--- a/measure/import_time.py
+++ b/measure/import_time.py
@@ -1,7 +1,11 @@
-"""How long the forwarder takes to import, old against new, in alternation: ``python
-measure/import_time.py [--old REV] [--pairs N]``. The old tree is written from git into
-a temporary folder. Times in ms, by the wall and of the processor (which other work on
-the machine moves less): medians, and the quartiles of the pairs' differences.
+"""How long the forwarder takes to import: a former tree against this one.
+
+    python -m measure.import_time [--old REV] [--old-package NAME] [--pairs N]
+
+Run from the root of the repository. The former tree is written from git into a temporary
+folder; its package may have had another name (`lemonshunt` until the rename). The two
+are imported in turn. Times are ms by the wall and of the processor, which other work on
+the machine affects less: medians, and the quartiles of the pairs' differences.
 """
 
 from __future__ import annotations
@@ -16,74 +20,132 @@
 import tempfile
 from io import BytesIO
 from pathlib import Path
+from typing import NamedTuple
+
+from measure.paths import ROOT
 
-ROOT = Path(__file__).resolve().parent.parent
-MODULES = ("rainfall.__main__", "rainfall.forwarder.engine.engine")
+PACKAGE = "rainfall"
+"""The package's name in this tree."""
+FORMER_PACKAGE = "lemonshunt"
+"""The package's name in former trees."""
+FORMER_COMMIT = "250e431"
+MODULES = {
+    "__main__": "__main__",
+    "forwarder.engine.engine": "net.engine",
+}
+"""Modules in this tree, and the same in former trees; without the package."""
+DEFAULT_PAIRS = 11
+NS_PER_MS = 1e6
 CODE = """
 import importlib, sys, time
 before = set(sys.modules)
 began, spent = time.perf_counter_ns(), time.process_time_ns()
 importlib.import_module({module!r})
 took, spent = time.perf_counter_ns() - began, time.process_time_ns() - spent
-own = [name for name in sys.modules if name.startswith('rainfall') and name not in before]
-print(took / 1e6, spent / 1e6, len(set(sys.modules) - before), len(own))
+own = [name for name in sys.modules if name.startswith({package!r}) and name not in before]
+print(took, spent, len(set(sys.modules) - before), len(own))
 """
 
 
-def import_once(tree: Path, module: str) -> tuple[list[float], dict[str, int]]:
-    """Ms by the wall and of the processor; modules imported, and how many of these are
-    our own.
-    """
+class Tree(NamedTuple):
+    """A folder with the package, the package's name, and the module to import."""
+
+    folder: Path
+    package: str
+    module: str
+
+
+class ImportCost(NamedTuple):
+    """What one import took, and what it imported."""
+
+    wall_ms: float
+    cpu_ms: float
+    modules: int
+    own_modules: int
+
+
+def import_once(tree: Tree) -> ImportCost:
+    """Import a tree's module in a new process."""
+    code = CODE.format(module=f"{tree.package}.{tree.module}", package=tree.package)
     done = subprocess.run(
-        [sys.executable, "-c", CODE.format(module=module)],
-        cwd=tree,
+        [sys.executable, "-c", code],
+        cwd=tree.folder,
         check=True,
         capture_output=True,
         text=True,
     )
-    wall_ns, cpu_ns, modules, own = done.stdout.split()
-    return [float(wall_ns), float(cpu_ns)], {"modules": int(modules), "own": int(own)}
-
-
-def compare(old: Path, new: Path, module: str, pairs: int) -> dict[str, object]:
-    trees = {"old": old, "new": new}
-    for tree in trees.values():
-        compileall.compile_dir(tree / "rainfall", quiet=2)  # as the build does
-    times: dict[str, list[list[float]]] = {"old": [], "new": []}
-    found: dict[str, object] = {"module": module, "pairs": pairs}
-    for n in range(pairs):
-        for name in ("old", "new") if n % 2 else ("new", "old"):
-            took, found[name] = import_once(trees[name], module)
-            times[name].append(took)
-    for column, clock in enumerate(("wall_ms", "cpu_ms")):
-        values = {name: [row[column] for row in rows] for name, rows in times.items()}
-        by_pair = [b - a for a, b in zip(values["old"], values["new"], strict=True)]
-        low, middle, high = statistics.quantiles(by_pair, n=4)
-        found[clock] = {
-            "old": round(statistics.median(values["old"]), 2),
-            "new": round(statistics.median(values["new"]), 2),
-            "difference": round(middle, 2),
-            "quartiles": [round(low, 2), round(high, 2)],
-        }
-    return found
+    wall_ns, cpu_ns, modules, own_modules = map(int, done.stdout.split())
+    return ImportCost(wall_ns / NS_PER_MS, cpu_ns / NS_PER_MS, modules, own_modules)
+
+
+def compare(old: Tree, new: Tree, pairs: int) -> dict[str, object]:
+    """The costs of both trees' imports, ready for JSON."""
+    for tree in (old, new):
+        # As the build does.
+        compileall.compile_dir(tree.folder / tree.package, quiet=2)
+    old_costs: list[ImportCost] = []
+    new_costs: list[ImportCost] = []
+    for number in range(pairs):
+        if number % 2:
+            old_costs.append(import_once(old))
+            new_costs.append(import_once(new))
+        else:
+            new_costs.append(import_once(new))
+            old_costs.append(import_once(old))
+    return {
+        "module": f"{new.package}.{new.module}",
+        "pairs": pairs,
+        "old": {"modules": old_costs[-1].modules, "own": old_costs[-1].own_modules},
+        "new": {"modules": new_costs[-1].modules, "own": new_costs[-1].own_modules},
+        "wall_ms": _difference(
+            [cost.wall_ms for cost in old_costs], [cost.wall_ms for cost in new_costs]
+        ),
+        "cpu_ms": _difference(
+            [cost.cpu_ms for cost in old_costs], [cost.cpu_ms for cost in new_costs]
+        ),
+    }
+
+
+def _difference(old_ms: list[float], new_ms: list[float]) -> dict[str, object]:
+    by_pair = [new - old for old, new in zip(old_ms, new_ms, strict=True)]
+    low, middle, high = statistics.quantiles(by_pair, n=4)
+    return {
+        "old": round(statistics.median(old_ms), 2),
+        "new": round(statistics.median(new_ms), 2),
+        "difference": round(middle, 2),
+        "quartiles": [round(low, 2), round(high, 2)],
+    }
+
+
+def extract_tree(commit: str, package: str, folder: Path) -> None:
+    """Write the package of a commit into a folder."""
+    packed = subprocess.run(
+        ["git", "archive", commit, package], cwd=ROOT, check=True, capture_output=True
+    ).stdout
+    with tarfile.open(fileobj=BytesIO(packed)) as archive:
+        archive.extractall(folder, filter="data")
 
 
 def main() -> int:
+    """Run the command; the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--old", default="250e431", help="the commit to compare with")
-    parser.add_argument("--pairs", type=int, default=11)
+    parser.add_argument(
+        "--old", default=FORMER_COMMIT, help="the commit to compare with"
+    )
+    parser.add_argument(
+        "--old-package", default=FORMER_PACKAGE, help="the package's name there"
+    )
+    parser.add_argument("--pairs", type=int, default=DEFAULT_PAIRS)
     args = parser.parse_args()
-    packed = subprocess.run(
-        ["git", "archive", args.old, "rainfall"],
-        cwd=ROOT,
-        check=True,
-        capture_output=True,
-    ).stdout
-    with tempfile.TemporaryDirectory() as folder:
-        with tarfile.open(fileobj=BytesIO(packed)) as tar:
-            tar.extractall(folder, filter="data")
-        for module in MODULES:
-            print(json.dumps(compare(Path(folder), ROOT, module, args.pairs)))
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        extract_tree(args.old, args.old_package, folder)
+        for module, former_module in MODULES.items():
+            is_renamed = args.old_package != PACKAGE
+            old_module = former_module if is_renamed else module
+            old = Tree(folder, args.old_package, old_module)
+            new = Tree(ROOT, PACKAGE, module)
+            print(json.dumps(compare(old, new, args.pairs)))
     return 0
 
 
--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -2,7 +2,7 @@
 history) and this one, in pairs. A message is taken on, tried, settled and over, as on
 an even day: some are tried twice, some returned.
 
-    python measure/journal_cost.py [REPEATS]
+    python -m measure.journal_cost [REPEATS]
 """
 
 from __future__ import annotations
@@ -15,12 +15,10 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from measure.reporting import format_row  # noqa: E402
-from rainfall.dispatch import Idempotency, MessageClass  # noqa: E402
-from rainfall.forwarder import message_store as new_store  # noqa: E402
+from measure.paths import ROOT
+from measure.reporting import format_row
+from rainfall.dispatch import Idempotency, MessageClass
+from rainfall.forwarder import message_store as new_store
 
 OLD_COMMIT = "a2f2844"  # the last commit with the old journal
 MESSAGES, MESSAGES_PER_ROUND, NOW_US = 4000, 3, 1_700_000_000_000_000
--- a/measure/lab_load.py
+++ b/measure/lab_load.py
@@ -1,29 +1,33 @@
-"""How fast the lab's load side holds its schedule: the 99th percentile and the largest
-lag of a send behind its planned time, at rising rates, with 3 and with 30 forwarders
-(no faults). The load, proxies and stand-ins share the lab's one process, so a lag here
-is the lab's own limit, not the fleet's.
+"""Up to which rate the lab's load keeps its schedule.
 
-    python measure/lab_load.py [REPEATS]
+    python -m measure.lab_load [REPEATS]
+
+Run from the root of the repository. Prints the 99th percentile and the largest lag of a
+send behind its planned time, at rising rates, with 3 and with 30 forwarders and without
+faults. Proxies and stand-ins share the lab's process, so that a lag is the lab's own
+limit, not the fleet's.
 """
 
 from __future__ import annotations
 
 import asyncio
 import statistics
-import sys
 import tempfile
 from pathlib import Path
+from typing import NamedTuple
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from measure.reporting import format_row  # noqa: E402
-from rainfall.lab.experiment import parse  # noqa: E402
-from rainfall.lab.runner import run  # noqa: E402
+from measure.reporting import format_row, repeats_argument
+from rainfall.lab.experiment import parse
+from rainfall.lab.runner import run
 
 FORWARDER_COUNTS = (3, 30)
 RATES = (250, 500, 1000, 2000, 4000, 8000)
-MAX_LAG_MS = 1.0
+"""Messages a second."""
+SINGLE_RUN_RATES = RATES[3:]
+"""The rates of a command that asks for one repeat."""
+LAG_LIMIT_MS = 1.0
+SEED = 1
+DEFAULT_REPEATS = 3
 EXPERIMENT = """
 name = "rate"
 duration_s = 3
@@ -37,54 +41,60 @@
 slots = 64
 [load]
 rate_per_s = {rate}
-max_lag_ms = {hold}
+max_lag_ms = {lag_ms}
 classes = [{{ name = "status", share = 1, deadline_s = 5, effect = "repeatable" }}]
 """
 
 
-def run_once(forwarders: int, rate: float) -> dict[str, float]:
+class LoadResult(NamedTuple):
+    """The load's lag in a run, and what was delivered."""
+
+    p99_lag_ms: float
+    longest_lag_ms: float
+    delivered_share: float
+
+
+def run_once(forwarders: int, rate: float) -> LoadResult:
+    """Play the experiment."""
     experiment = parse(
-        EXPERIMENT.format(forwarders=forwarders, rate=rate, hold=MAX_LAG_MS)
+        EXPERIMENT.format(forwarders=forwarders, rate=rate, lag_ms=LAG_LIMIT_MS)
     )
     with tempfile.TemporaryDirectory() as folder:
-        result = asyncio.run(run(experiment, 1, Path(folder)))
-    return {
-        **result["lag_ms"],
-        "lost": result["lost"],
-        "delivered": result["total"]["delivered"],
-        "messages": result["total"]["messages"],
-    }
+        result = asyncio.run(run(experiment, SEED, Path(folder)))
+    total = result["total"]
+    return LoadResult(
+        result["lag_ms"]["p99"],
+        result["lag_ms"]["max"],
+        total["delivered"] / total["messages"],
+    )
 
 
 def main() -> None:
-    repeats = int(sys.argv[1]) if len(sys.argv) > 1 else 3
-    for size in FORWARDER_COUNTS:
-        held = 0.0
-        for rate in RATES[3:] if repeats == 1 else RATES:
-            runs = [run_once(size, rate) for _ in range(repeats)]
-            print(
-                format_row(
-                    f"{size} forwarders, {rate:g}/s, lag p99 ms",
-                    [r["p99"] for r in runs],
-                )
-            )
+    """Run all sizes and rates, and print the results."""
+    repeats = repeats_argument(DEFAULT_REPEATS)
+    for forwarders in FORWARDER_COUNTS:
+        highest_rate = 0.0
+        for rate in SINGLE_RUN_RATES if repeats == 1 else RATES:
+            runs = [run_once(forwarders, rate) for _ in range(repeats)]
+            p99_lags_ms = [result.p99_lag_ms for result in runs]
+            title = f"{forwarders} forwarders, {rate:g}/s"
+            print(format_row(f"{title}, lag p99 ms", p99_lags_ms))
             print(
                 format_row(
-                    f"{size} forwarders, {rate:g}/s, lag max ms",
-                    [r["max"] for r in runs],
+                    f"{title}, lag max ms", [result.longest_lag_ms for result in runs]
                 )
             )
             print(
                 format_row(
-                    f"{size} forwarders, {rate:g}/s, share delivered",
-                    [r["delivered"] / r["messages"] for r in runs],
+                    f"{title}, share delivered",
+                    [result.delivered_share for result in runs],
                 )
             )
-            if statistics.median(r["p99"] for r in runs) <= MAX_LAG_MS:
-                held = rate
+            if statistics.median(p99_lags_ms) <= LAG_LIMIT_MS:
+                highest_rate = rate
         print(
-            f"{size} forwarders: the largest rate whose median p99 lag is within "
-            f"{MAX_LAG_MS:g} ms: {held:g}/s"
+            f"{forwarders} forwarders: the largest rate whose median p99 lag is within "
+            f"{LAG_LIMIT_MS:g} ms: {highest_rate:g}/s"
         )
 
 
--- a/measure/lab_proxy.py
+++ b/measure/lab_proxy.py
@@ -1,27 +1,27 @@
-"""What the lab's fault proxy adds to one call: calls straight to a stand-in endpoint
-and through a proxy in `pass`, taken in turn in the same run, each on its own kept
-connection.
+"""What the lab's fault proxy adds to the time of one call.
 
-    python measure/lab_proxy.py [REPEATS]
+    python -m measure.lab_proxy [REPEATS]
+
+Run from the root of the repository. Calls go straight to a stand-in endpoint, and
+through a proxy in the state `pass`, each on its own connection in the same run.
 """
 
 from __future__ import annotations
 
 import asyncio
 import statistics
-import sys
 import time
-from pathlib import Path
-
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
+from typing import NamedTuple
 
-from measure.reporting import cancel_tasks, format_row  # noqa: E402
-from rainfall.lab.fault_proxy import ProxyLink  # noqa: E402
-from rainfall.lab.load_generator import read_status  # noqa: E402
-from rainfall.lab.stand_ins import Behaviour, Endpoint  # noqa: E402
+from measure.reporting import cancel_tasks, format_row, repeats_argument
+from rainfall.lab.fault_proxy import ProxyLink
+from rainfall.lab.load_generator import read_status
+from rainfall.lab.stand_ins import Behaviour, Endpoint
 
 CALLS = 400
+"""Calls of each kind in a run."""
+DEFAULT_REPEATS = 5
+NS_PER_US = 1_000
 REQUEST = (
     b"POST /hook HTTP/1.1\r\nX-Correlation-Id: m\r\nIdempotency-Key: k\r\n"
     b"Content-Length: 5\r\n\r\nhello"
@@ -29,51 +29,61 @@
 
 
 async def call_times_us(port: int) -> list[float]:
-    """Microseconds of each of CALLS calls on one kept connection."""
+    """Microseconds of each of `CALLS` calls on one connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    took = []
+    times_us = []
     for _ in range(CALLS):
-        start = time.perf_counter_ns()
+        begin_ns = time.perf_counter_ns()
         writer.write(REQUEST)
         assert await read_status(reader) == 200
-        took.append((time.perf_counter_ns() - start) / 1000)
+        times_us.append((time.perf_counter_ns() - begin_ns) / NS_PER_US)
     writer.close()
-    return took
+    return times_us
+
+
+class CallTimes(NamedTuple):
+    """The median and the 90th percentile of a kind of call."""
+
+    median_us: float
+    p90_us: float
+
+
+class ProxyCost(NamedTuple):
+    """The times of calls without the proxy and with it."""
+
+    straight: CallTimes
+    proxied: CallTimes
+
+
+def _call_times(times_us: list[float]) -> CallTimes:
+    p90_us = statistics.quantiles(times_us, n=10)[-1]
+    return CallTimes(statistics.median(times_us), p90_us)
 
 
-async def run_once() -> tuple[float, float, float, float]:
-    """Median and 90th percentile in us, straight and through the proxy."""
+async def run_once() -> ProxyCost:
+    """Make all calls of a run."""
     endpoint = await Endpoint(name="e0", behaviour=Behaviour(service_ms=0.0)).start()
     link = await ProxyLink("m", "127.0.0.1", endpoint.port, seed=1).start()
-    straight, proxied = (
-        await call_times_us(endpoint.port),
-        await call_times_us(link.listen_port),
-    )
+    straight_us = await call_times_us(endpoint.port)
+    proxied_us = await call_times_us(link.listen_port)
     await link.stop()
     await endpoint.stop()
     await cancel_tasks()
-    q = statistics.quantiles
-    return (
-        statistics.median(straight),
-        q(straight, n=10)[-1],
-        statistics.median(proxied),
-        q(proxied, n=10)[-1],
-    )
+    return ProxyCost(_call_times(straight_us), _call_times(proxied_us))
 
 
 def main() -> None:
-    repeats = int(sys.argv[1]) if len(sys.argv) > 1 else 5
+    """Run the repeats, and print the results."""
+    repeats = repeats_argument(DEFAULT_REPEATS)
     runs = [asyncio.run(run_once()) for _ in range(repeats)]
-    for n, name in enumerate(
-        (
-            "straight, median us",
-            "straight, p90 us",
-            "proxied, median us",
-            "proxied, p90 us",
-        )
-    ):
-        print(format_row(name, [r[n] for r in runs]))
-    print(format_row("added by the proxy, median us", [r[2] - r[0] for r in runs]))
+    straight = [run.straight for run in runs]
+    proxied = [run.proxied for run in runs]
+    print(format_row("straight, median us", [times.median_us for times in straight]))
+    print(format_row("straight, p90 us", [times.p90_us for times in straight]))
+    print(format_row("proxied, median us", [times.median_us for times in proxied]))
+    print(format_row("proxied, p90 us", [times.p90_us for times in proxied]))
+    added_us = [run.proxied.median_us - run.straight.median_us for run in runs]
+    print(format_row("added by the proxy, median us", added_us))
 
 
 if __name__ == "__main__":
--- a/measure/power_cost.py
+++ b/measure/power_cost.py
@@ -2,7 +2,7 @@
 202, at several rates, the two levels in turn. The folder is where TMPDIR says: the disk
 below it decides.
 
-    python measure/power_cost.py [REPEATS]
+    python -m measure.power_cost [REPEATS]
 """
 
 from __future__ import annotations
@@ -15,11 +15,8 @@
 import time
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from measure.reporting import cancel_tasks, format_row  # noqa: E402
-from tests.support.loopback_peers import OK, Node, Peer, Platform, always  # noqa: E402
+from measure.reporting import cancel_tasks, format_row
+from tests.support.loopback_peers import OK, Node, Peer, Platform, always
 
 RATES, DURATION_S = (20, 100, 400), 2.0
 
--- a/measure/queue_cost.py
+++ b/measure/queue_cost.py
@@ -1,7 +1,7 @@
 """What held messages cost: the former piles, which every event sorted
 (tests/reference), and the queues now.
 
-    python measure/queue_cost.py [LARGEST]
+    python -m measure.queue_cost [LARGEST]
 
 Prints the entries visited for an event by messages held (LARGEST, 1,000,000 at first,
 sets the last size); processor time for an event, in turn, old and new; memory of a held
@@ -17,13 +17,9 @@
 import tracemalloc
 from collections import deque
 from collections.abc import Callable, Sequence
-from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from rainfall.dispatch import (  # noqa: E402
+from rainfall.dispatch import (
     AttemptFinished,
     Dispatcher,
     EndpointEntry,
@@ -40,7 +36,7 @@
     Settings,
     Tenant,
 )
-from tests import reference  # noqa: E402
+from tests import reference
 
 SECOND_US = 1_000_000
 LIFETIME_US = 7200 * SECOND_US
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -3,7 +3,7 @@
 fresh message to another destination, and what the journal told of itself. On a folder
 that is full the fresh message is handed in until it is taken.
 
-    python measure/recovery_time.py [REPEATS]
+    python -m measure.recovery_time [REPEATS]
 """
 
 from __future__ import annotations
@@ -14,17 +14,14 @@
 import time
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from measure.reporting import cancel_tasks, format_row  # noqa: E402
-from rainfall.forwarder.message_store import (  # noqa: E402
+from measure.reporting import cancel_tasks, format_row
+from rainfall.forwarder.message_store import (
     AcceptedMessage,
     DeliveryRules,
     MessageStore,
 )
-from rainfall.wirehost import parse_settings  # noqa: E402
-from tests.support.loopback_peers import OK, SETTINGS, Node, Peer, Platform, always  # noqa: E402
+from rainfall.wirehost import parse_settings
+from tests.support.loopback_peers import OK, SETTINGS, Node, Peer, Platform, always
 
 FULL_FOLDER_MESSAGES = 100_000  # more than the disk limit holds
 
--- a/measure/registry_writes.py
+++ b/measure/registry_writes.py
@@ -3,7 +3,7 @@
 answered after one change, and what the beats of 200 members cost, each on a connection
 of its own. Same run, in turn.
 
-    python measure/registry_writes.py [REPEATS]
+    python -m measure.registry_writes [REPEATS]
 """
 
 from __future__ import annotations
@@ -17,12 +17,9 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from rainfall.lease.types import LeaseSettings  # noqa: E402
-from rainfall.registry.server import RegistryServer  # noqa: E402
-from rainfall.registry.storage import Storage  # noqa: E402
+from rainfall.lease.types import LeaseSettings
+from rainfall.registry.server import RegistryServer
+from rainfall.registry.storage import Storage
 
 WRITERS = 200
 
--- a/measure/shard_check.py
+++ b/measure/shard_check.py
@@ -3,7 +3,7 @@
 keys that a join and a leave move, beside the fewest possible: what members have above
 their new part, and all that a leaving one had.
 
-    python measure/shard_check.py [RANGES]
+    python -m measure.shard_check [RANGES]
 """
 
 from __future__ import annotations
@@ -15,15 +15,11 @@
 import sys
 import time
 from collections.abc import Callable
-from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from rainfall.shard.map_planning import plan_map  # noqa: E402
-from rainfall.shard.map_validation import map_faults  # noqa: E402
-from rainfall.shard.shard_map import ShardMap, decode_json, format_key  # noqa: E402
+from rainfall.shard.map_planning import plan_map
+from rainfall.shard.map_validation import map_faults
+from rainfall.shard.shard_map import ShardMap, decode_json, format_key
 
 REPEATS = 7
 KEY_SPACE = 1 << 64
