--- a/rainfall/wirehost.py
+++ b/rainfall/wirehost.py
@@ -1,13 +1,14 @@
 """Hosts dispatchers on the simulator's wire: JSON lines in, JSON lines out.
 
-Translates; decides nothing.
+This module translates between the wire's words and the dispatcher's types; it decides
+nothing. Times on the wire are integer microseconds unless their key says otherwise.
 """
 
 from __future__ import annotations
 
 import json
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
 from rainfall.dispatch import (
@@ -75,6 +76,12 @@
     "zone": IdempotencyScope.ZONE,
     "cell": IdempotencyScope.ALL,
 }
+UNLIMITED_COUNT = 1_000_000
+"""Stands for a limit that the facts do not set."""
+BRIEF_CHARACTERS = 80
+"""Characters of a malformed record that an error message repeats."""
+EXIT_BAD_INPUT = 2
+"""Exit status after input that cannot be read."""
 
 
 class MalformedInputError(RainfallError):
@@ -82,7 +89,13 @@
 
 
 def require_field(record: Any, key: str, kind: type) -> Any:
-    """The field, or Malformed where it is missing or of another type."""
+    """Return a field of a record, which must have the type `kind`.
+
+    A whole number counts as an integer or a float, whichever is asked for.
+
+    Raises:
+        MalformedInputError: The field is missing or of another type.
+    """
     if not isinstance(record, dict) or key not in record:
         raise MalformedInputError(f"no field {key!r} in {_brief(record)}")
     value = record[key]
@@ -98,51 +111,71 @@
 
 
 def translate_field(table: dict[str, Any], record: Any, key: str) -> Any:
-    """The field, translated by a table of words."""
+    """Return a field of a record, translated by a table of words.
+
+    Raises:
+        MalformedInputError: The field is missing, or the table lacks its word.
+    """
     value = require_field(record, key, str)
     if value not in table:
         raise MalformedInputError(f"field {key!r} has the unknown word {value!r}")
     return table[value]
 
 
-def _brief(obj: Any) -> str:
-    return repr(obj)[:80]
+def _brief(record: Any) -> str:
+    return repr(record)[:BRIEF_CHARACTERS]
 
 
-def parse_settings(facts: dict[str, Any]) -> Settings:
-    """The settings as the module knows them; keys it does not know are passed over."""
-    allowed, contract = facts.get("allowed", {}), facts.get("contract", {})
-    family = facts.get("family_info", {})
-    batches, routes_apart = family.get("kind_batch", []), family.get("routes_apart", [])
-    names = facts.get("host_types", [])
-    classes = tuple(
-        MessageClass(
-            name=require_field(service, "name", str),
-            latency_objective_us=require_field(service, "aim_us", int),
-            deadline_us=require_field(service, "deadline_us", int),
-            idempotency=translate_field(EFFECT_BY_WORD, service, "effect"),
-            idempotency_scope=SCOPE_BY_WORD.get(
-                service.get("key_scope", ""), IdempotencyScope.ENDPOINT
-            ),  # untold, only the same surely drops it
-            idempotency_window_us=int(service.get("window_us", 0)),
-            ordered=bool(service.get("by_arrival", False)),
-            priority_weight=float(service.get("gain", 1.0)),
-            late_priority_weight=float(service.get("late_worth", 0.0)),
-        )
-        for service in require_field(facts, "services", list)
+def _parse_class(service: Any) -> MessageClass:
+    return MessageClass(
+        name=require_field(service, "name", str),
+        latency_objective_us=require_field(service, "aim_us", int),
+        deadline_us=require_field(service, "deadline_us", int),
+        idempotency=translate_field(EFFECT_BY_WORD, service, "effect"),
+        # Where no scope is given, only the endpoint itself surely drops a duplicate.
+        idempotency_scope=SCOPE_BY_WORD.get(
+            service.get("key_scope", ""), IdempotencyScope.ENDPOINT
+        ),
+        idempotency_window_us=int(service.get("window_us", 0)),
+        ordered=bool(service.get("by_arrival", False)),
+        priority_weight=float(service.get("gain", 1.0)),
+        late_priority_weight=float(service.get("late_worth", 0.0)),
     )
-    kinds = tuple(
+
+
+def _parse_kinds(facts: dict[str, Any]) -> tuple[DestinationKind, ...]:
+    family = facts.get("family_info", {})
+    batch_sizes = family.get("kind_batch", [])
+    endpoint_scoped = family.get("routes_apart", [])
+    return tuple(
         DestinationKind(
             name=name,
-            max_batch_size=int(batches[n]) if n < len(batches) else 1,
-            endpoint_scoped=bool(routes_apart[n]) if n < len(routes_apart) else False,
+            max_batch_size=int(batch_sizes[n]) if n < len(batch_sizes) else 1,
+            endpoint_scoped=n < len(endpoint_scoped) and bool(endpoint_scoped[n]),
         )
-        for n, name in enumerate(names)
+        for n, name in enumerate(facts.get("host_types", []))
     )
-    tenants = tuple(
-        Tenant(require_field(org, "name", str), float(org.get("allowance_per_s", 0.0)))
-        for org in facts.get("orgs") or []
+
+
+def _parse_tenant(organization: Any) -> Tenant:
+    return Tenant(
+        require_field(organization, "name", str),
+        float(organization.get("allowance_per_s", 0.0)),
     )
+
+
+def parse_settings(facts: dict[str, Any]) -> Settings:
+    """Read the dispatcher's settings from the facts; unknown keys are ignored.
+
+    Raises:
+        MalformedInputError: A required fact is missing or of another type.
+    """
+    allowed = facts.get("allowed", {})
+    contract = facts.get("contract", {})
+    family = facts.get("family_info", {})
+    classes = tuple(map(_parse_class, require_field(facts, "services", list)))
+    kinds = _parse_kinds(facts)
+    tenants = tuple(map(_parse_tenant, facts.get("orgs") or []))
     return Settings(
         max_in_flight=require_field(family, "slots", int),
         classes=classes,
@@ -152,8 +185,8 @@
             zip(facts.get("zones", []), family.get("carriage") or [], strict=False)
         ),
         forwarder_count=int(facts.get("balancers", 1)),
-        max_open_messages=int(allowed.get("max_open", 1_000_000)),
-        max_attempts=int(allowed.get("max_attempts", 1_000_000)),
+        max_open_messages=int(allowed.get("max_open", UNLIMITED_COUNT)),
+        max_attempts=int(allowed.get("max_attempts", UNLIMITED_COUNT)),
         allow_parallel_attempts=bool(allowed.get("parallel_tries", False)),
         allow_cancel=bool(allowed.get("may_cancel", False)),
         allow_health_checks=bool(allowed.get("probes", False)),
@@ -178,7 +211,11 @@
 
 
 def parse_entry(element: Any) -> EndpointEntry:
-    """One line of a list of targets."""
+    """Read one entry of an endpoint list.
+
+    Raises:
+        MalformedInputError: A required field is missing or malformed.
+    """
     return EndpointEntry(
         endpoint=require_field(element, "target", int),
         destination=require_field(element, "belongs_to", int),
@@ -190,7 +227,7 @@
 
 
 def parse_load_report(fields: list[str], event: dict[str, Any]) -> LoadReport | None:
-    """What the destination told of its limit, if it did."""
+    """Read the load report that an answer carried, or return None if it had none."""
     telemetry = event.get("telemetry")
     if not telemetry:
         return None
@@ -201,7 +238,7 @@
 
 
 class Instance:
-    """One forwarder: its dispatcher, and what is needed to read its events."""
+    """One forwarder of the simulator: its dispatcher and its undelivered events."""
 
     def __init__(self, up: dict[str, Any], now: int) -> None:
         facts = require_field(up, "facts", dict)
@@ -212,9 +249,11 @@
             parse_settings(facts), require_field(up, "entropy", int), now
         )
         self.inbox: list[Event] = []
+        """Events of the present line that the dispatcher has not handled yet."""
 
 
 def _read_message(instance: Instance, event: Any) -> Event:
+    del instance
     account = event.get("account")
     return MessageReceived(
         message_id=require_field(event, "msg_id", str),
@@ -227,7 +266,7 @@
     )
 
 
-def _read_attempt_end(instance: Instance, event: Any) -> Event:
+def _read_attempt_finished(instance: Instance, event: Any) -> Event:
     outcome = translate_field(OUTCOME_BY_WORD, event, "result")
     wait_ms = event.get("wait_ms") or 0
     return AttemptFinished(
@@ -237,12 +276,13 @@
         outcome=outcome,
         duration_us=require_field(event, "lag_us", int),
         message_closed=bool(event.get("closed", False)),
+        # Rounded up: a retry must not come before the wait is over.
         retry_after_us=-int(-wait_ms * 1000 // 1) if outcome is Outcome.REJECTED else 0,
         load_report=parse_load_report(instance.report_fields, event),
     )
 
 
-def _read_probe_result(instance: Instance, event: Any) -> Event:
+def _read_health_check(instance: Instance, event: Any) -> Event:
     return HealthCheckFinished(
         require_field(event, "target", int),
         translate_field(OUTCOME_BY_WORD, event, "result"),
@@ -251,69 +291,82 @@
     )
 
 
+def _read_withdrawal(instance: Instance, event: Any) -> Event:
+    del instance
+    return MessageWithdrawn(require_field(event, "msg_id", str))
+
+
+def _read_timer(instance: Instance, event: Any) -> Event:
+    del instance
+    return TimerExpired(require_field(event, "token", str))
+
+
 EVENT_READERS: dict[str, Callable[[Instance, Any], Event]] = {
     "ASK": _read_message,
-    "CLOSED_ATTEMPT": _read_attempt_end,
-    "CHECK_RESULT": _read_probe_result,
-    "CLIENT_LEFT": lambda inst, e: MessageWithdrawn(require_field(e, "msg_id", str)),
-    "DEADLINE_HIT": lambda inst, e: TimerExpired(require_field(e, "token", str)),
+    "CLOSED_ATTEMPT": _read_attempt_finished,
+    "CHECK_RESULT": _read_health_check,
+    "CLIENT_LEFT": _read_withdrawal,
+    "DEADLINE_HIT": _read_timer,
 }
+"""How to read the events that go to a dispatcher, by their type on the wire."""
+
+
+def _encode_fields(action: Action) -> tuple[str, dict[str, Any]]:
+    """Return the type of an action on the wire, and its own fields in their order."""
+    match action:
+        case SendMessage():
+            return "ISSUE", {
+                "msg_id": action.message_id,
+                "target": action.endpoint,
+                "try_for_us": action.timeout_us,
+            }
+        case SetTimer():
+            return "ARM", {"offset_us": action.delay_us, "token": action.token}
+        case RejectMessage():
+            return "TURN_AWAY", {
+                "msg_id": action.message_id,
+                "wait_us": action.retry_after_us,
+            }
+        case FailMessage():
+            return "END_FAILED", {"msg_id": action.message_id}
+        case CancelAttempt():
+            return "ABANDON", {"msg_id": action.message_id, "try": action.attempt}
+        case CheckEndpointHealth():
+            return "POLL", {"target": action.endpoint}
+        case CloseIdleConnections():
+            return "RELEASE", {"target": action.endpoint}
+        case SubscribeEndpointList():
+            return "STREAM_CHANGES", {"on": True}
+    assert isinstance(action, LogNote)
+    return "PRINT", {"reason_text": action.text}
 
 
 def encode_action(name: str, action: Action) -> dict[str, Any]:
-    """One action in the words of the wire."""
-    if isinstance(action, SendMessage):
-        return {
-            "type": "ISSUE",
-            "forwarder_id": name,
-            "msg_id": action.message_id,
-            "target": action.endpoint,
-            "try_for_us": action.timeout_us,
-        }
-    if isinstance(action, SetTimer):
-        return {
-            "type": "ARM",
-            "forwarder_id": name,
-            "offset_us": action.delay_us,
-            "token": action.token,
-        }
-    if isinstance(action, RejectMessage):
-        return {
-            "type": "TURN_AWAY",
-            "forwarder_id": name,
-            "msg_id": action.message_id,
-            "wait_us": action.retry_after_us,
-        }
-    if isinstance(action, FailMessage):
-        return {"type": "END_FAILED", "forwarder_id": name, "msg_id": action.message_id}
-    if isinstance(action, CancelAttempt):
-        return {
-            "type": "ABANDON",
-            "forwarder_id": name,
-            "msg_id": action.message_id,
-            "try": action.attempt,
-        }
-    if isinstance(action, CheckEndpointHealth):
-        return {"type": "POLL", "forwarder_id": name, "target": action.endpoint}
-    if isinstance(action, CloseIdleConnections):
-        return {"type": "RELEASE", "forwarder_id": name, "target": action.endpoint}
-    if isinstance(action, SubscribeEndpointList):
-        return {"type": "STREAM_CHANGES", "forwarder_id": name, "on": True}
-    assert isinstance(action, LogNote)
-    return {"type": "PRINT", "forwarder_id": name, "reason_text": action.text}
+    """Return an action of the named forwarder as an object of the wire."""
+    kind, fields = _encode_fields(action)
+    return {"type": kind, "forwarder_id": name, **fields}
 
 
-class WireHost:
-    """Many instances on one wire.
+def internal_error(name: str, error: Exception) -> dict[str, Any]:
+    """Return the wire's report of a failure within the named forwarder."""
+    text = " ".join(f"{type(error).__name__}: {error}".split())
+    return {"type": "INTERNAL_ERROR", "forwarder_id": name, "reason_text": text}
 
-    They share nothing but the numbered tables of the wire itself.
-    """
+
+class WireHost:
+    """Many forwarders on one wire, which share only the wire's numbered lists."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
         self.tables: dict[int, tuple[EndpointEntry, ...]] = {}
+        """Endpoint lists by the number under which the wire gave them."""
 
     def handle_line(self, line: str) -> str:
+        """Handle one line of events and return the line of actions that answers it.
+
+        Raises:
+            MalformedInputError: The line is not what the wire promises.
+        """
         try:
             request = json.loads(line)
         except ValueError as error:
@@ -324,23 +377,26 @@
         for event in require_field(request, "inbox", list):
             self.handle_event(now, event, touched, replies)
         for name, instance in touched.items():
-            if self.instances.get(name) is not instance:
-                continue
-            inbox, instance.inbox = instance.inbox, []
-            try:
-                actions = instance.dispatcher.handle(now, inbox)
-                # An instance of the simulator comes up empty: there is nothing to
-                # remember an outage in.
-                replies.extend(
-                    encode_action(name, a)
-                    for a in actions
-                    if not isinstance(a, RecordOutage)
-                )
-            # any failure of the decisions is reported on the wire, in one line
-            except Exception as error:
-                replies.append(internal_error(name, error))
+            if self.instances.get(name) is instance:
+                replies.extend(self._run_instance(name, instance, now))
         return json.dumps({"do": replies}, separators=(",", ":"))
 
+    def _run_instance(
+        self, name: str, instance: Instance, now: int
+    ) -> Iterable[dict[str, Any]]:
+        """Let a dispatcher handle its events, and yield its actions encoded."""
+        inbox = instance.inbox
+        instance.inbox = []
+        try:
+            for action in instance.dispatcher.handle(now, inbox):
+                # A forwarder of the simulator starts empty: it has no storage in which
+                # an outage could be recorded.
+                if not isinstance(action, RecordOutage):
+                    yield encode_action(name, action)
+        # Any failure of the dispatcher is reported on the wire, in one line.
+        except Exception as error:
+            yield internal_error(name, error)
+
     def handle_event(
         self,
         now: int,
@@ -348,59 +404,80 @@
         touched: dict[str, Instance],
         replies: list[dict[str, Any]],
     ) -> None:
+        """Handle one event of a line, or queue it for its dispatcher.
+
+        Args:
+            now: The time of the line, in microseconds.
+            event: The event as it came.
+            touched: Gets the forwarder that the event is for.
+            replies: Gets an error if a forwarder cannot start.
+
+        Raises:
+            MalformedInputError: The event is not what the wire promises.
+        """
         kind = require_field(event, "type", str)
         if kind == "TABLE":
-            self.tables[require_field(event, "buffer", int)] = tuple(
-                parse_entry(e) for e in require_field(event, "elements", list)
-            )
+            self._add_table(event)
             return
         if kind not in ("UP", "DOWN", "MEMBERS") and kind not in EVENT_READERS:
             return
         name = require_field(event, "forwarder_id", str)
-        if kind == "DOWN":
+        if kind in ("UP", "DOWN"):
+            # A forwarder that comes up anew keeps nothing of its former instance, even
+            # if it fails to start.
             self.instances.pop(name, None)
             touched.pop(name, None)
-            return
-        if kind == "UP":
-            self.instances.pop(
-                name, None
-            )  # whatever becomes of this one, none of before goes on
-            touched.pop(name, None)
-            try:
-                self.instances[name] = touched[name] = Instance(event, now)
-            except ValueError as error:
-                replies.append(internal_error(name, error))
+            if kind == "UP":
+                self._start_instance(name, event, now, touched, replies)
             return
         if name not in self.instances:
             return
-        instance = touched[name] = self.instances[name]
+        instance = self.instances[name]
+        touched[name] = instance
         if kind == "MEMBERS":
-            list_kind = translate_field(LIST_KIND_BY_WORD, event, "how")
-            entries: tuple[EndpointEntry, ...] = ()
-            if list_kind is not EndpointListKind.FAILED:
-                number = require_field(event, "buffer", int)
-                if number not in self.tables:
-                    raise MalformedInputError(f"no table {number} was given")
-                entries = self.tables[number]
-            instance.inbox.append(EndpointListChanged(list_kind, entries))
+            instance.inbox.append(self._read_list_change(event))
         else:
             instance.inbox.append(EVENT_READERS[kind](instance, event))
 
+    def _add_table(self, event: Any) -> None:
+        entries = tuple(map(parse_entry, require_field(event, "elements", list)))
+        self.tables[require_field(event, "buffer", int)] = entries
 
-def internal_error(name: str, error: Exception) -> dict[str, Any]:
-    text = " ".join(f"{type(error).__name__}: {error}".split())
-    return {"type": "INTERNAL_ERROR", "forwarder_id": name, "reason_text": text}
+    def _start_instance(
+        self,
+        name: str,
+        event: Any,
+        now: int,
+        touched: dict[str, Instance],
+        replies: list[dict[str, Any]],
+    ) -> None:
+        try:
+            instance = Instance(event, now)
+        except ValueError as error:
+            replies.append(internal_error(name, error))
+            return
+        self.instances[name] = instance
+        touched[name] = instance
+
+    def _read_list_change(self, event: Any) -> EndpointListChanged:
+        list_kind = translate_field(LIST_KIND_BY_WORD, event, "how")
+        if list_kind is EndpointListKind.FAILED:
+            return EndpointListChanged(list_kind, ())
+        number = require_field(event, "buffer", int)
+        if number not in self.tables:
+            raise MalformedInputError(f"no table {number} was given")
+        return EndpointListChanged(list_kind, self.tables[number])
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
-    """Answer each line until the input ends."""
+    """Answer each line until the input ends, and return the exit status."""
     host = WireHost()
     for line in source:
         try:
             reply = host.handle_line(line)
         except MalformedInputError as error:
             print(f"rainfall: bad input: {error}", file=sys.stderr)
-            return 2
+            return EXIT_BAD_INPUT
         sink.write(reply + "\n")
         sink.flush()
     return 0
