--- a/rainfall/forwarder/http1.py
+++ b/rainfall/forwarder/http1.py
@@ -1,10 +1,8 @@
-"""HTTP/1.1 answers as they arrive: httptools parses, this collects.
+"""HTTP/1.1 as a client: requests are encoded, and responses collected as they arrive.
 
-One answer at a time on a connection.
-
-Nothing here trusts the peer: every byte counts against a limit, also those of a head
-that never ends, and an answer that was spoilt stays spoilt whatever its first line
-says.
+httptools parses; one response at a time is collected on a connection. Nothing here
+trusts the peer: every byte counts against a limit, also those of a header that never
+ends, and a malformed response stays malformed whatever its first line says.
 """
 
 from __future__ import annotations
@@ -20,77 +18,83 @@
 
 MAX_HEADER_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-MAX_LIST_BYTES = (
-    32 * 1024 * 1024
-)  # a list of 44,000 endpoints is 7 to 8.3 MB, indented 10 to 12 MB
+MAX_LIST_BYTES = 32 * 1024 * 1024
+"""An endpoint list of 44,000 endpoints has 7 to 8.3 MB, or 10 to 12 MB indented."""
+RAW_BODY_FACTOR = 8
+"""Raw bytes of a body at most, as a multiple of its size: chunks may be small."""
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([0-9]{3})[ \r\n]")
-STATUS_PREFIX_BYTES = 13  # as many tell the status
+STATUS_PREFIX_BYTES = 13
+"""Bytes of a first line that are enough to tell its status."""
+HEADER_END = b"\r\n\r\n"
 Headers = dict[str, str]
 
 
 class MalformedResponseError(RainfallError):
-    """What came back is not the HTTP that was promised."""
+    """The response is not valid HTTP, or not what was asked for."""
 
 
 class ResponseReader:
-    """Collects one answer after the other.
+    """Collects one response after the other.
 
-    `first_line` is the status as the first line says it, from when that line is whole,
-    though the rest may yet turn out spoilt: one that breaks off inside it promises
-    nothing. `status` counts once the answer is `complete`.
+    `status_line_code` is the status in the first line, from when that line is complete,
+    though the rest may yet turn out malformed. `status` counts once the response is
+    `complete`.
     """
 
     def __init__(self, most: int = MAX_BODY_BYTES) -> None:
+        """Make a reader of responses whose body has `most` bytes at most."""
         self.max_body_bytes = most
         self.reset()
 
     def reset(self) -> None:
+        """Get ready for the next response."""
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(
             self
         )
-        self.status, self.status_line_code, self.complete, self.keep_alive = (
-            0,
-            0,
-            False,
-            False,
-        )
+        self.status = 0
+        self.status_line_code = 0
+        self.complete = False
+        self.keep_alive = False
+        """Whether the connection can be used again; known once complete."""
         self.headers: Headers = {}
-        self.counted_bytes, self.raw_bytes, self.skipped_bytes = 0, 0, 0
-        (
-            self.in_headers,
-            self.has_extra_response,
-            self.any_bytes_received,
-            self.too_large,
-        ) = (
-            True,
-            False,
-            False,
-            False,
-        )
+        self.counted_bytes = 0
+        """Bytes of headers and of the body."""
+        self.raw_bytes = 0
+        self.skipped_bytes = 0
+        """Bytes of interim responses (1xx), which are left out."""
+        self.in_headers = True
+        self.has_extra_response = False
+        """Another response follows that nobody asked for."""
+        self.any_bytes_received = False
+        self.too_large = False
         self.partial_status_line = b""
         self.body_parts: list[bytes] = []
 
     def release_parser(self) -> None:
-        """The connection is over.
+        """Drop the parser at the connection's end.
 
-        The parser refers back: the collector need not find the ring.
+        It refers back: without it the collector has no cycle to find.
         """
         self.parser = None
 
     @property
     def response_started(self) -> bool:
-        """Whether some of the answer itself has come: those ahead of it are no part of
-        it.
-        """
+        """Whether some of the final response has come; interim ones do not count."""
         return bool(self.status_line_code or self.partial_status_line)
 
     @property
     def body(self) -> bytes:
+        """The body so far."""
         return b"".join(self.body_parts)
 
     def feed(self, data: bytes) -> None:
+        """Take in received bytes.
+
+        Raises:
+            MalformedResponseError: The response is malformed or too large.
+        """
         self.any_bytes_received = True
-        if self.complete:  # more than was asked for
+        if self.complete:  # More than was asked for.
             self.keep_alive = False
             return
         if not self.status_line_code:
@@ -106,27 +110,35 @@
                     "the answer is too large" if self.too_large else str(error)
                 ) from None
             self.keep_alive = False
-        # a second answer or noise behind a good one: that one holds, the connection
-        # does not
+        # A second response or noise behind a good one: the response holds, but the
+        # connection cannot be used again.
         if self.has_extra_response:
             self.keep_alive = False
         self.raw_bytes += len(data)
-        # The parser tells a header only once it is whole: a head without end shows in
-        # the raw bytes alone. Chunks may be small, so a body's raw bytes are allowed to
-        # be some times its size.
-        if not self.complete and self.raw_bytes > (
-            MAX_HEADER_BYTES
-            if self.in_headers
-            else MAX_HEADER_BYTES + 8 * self.max_body_bytes
-        ):
+        if not self.complete and self.raw_bytes > self._raw_limit_bytes():
             raise MalformedResponseError("the answer is too large")
 
+    def _raw_limit_bytes(self) -> int:
+        """Return how many raw bytes may have come by now.
+
+        The parser reports a header only once it is complete: a header without end shows
+        in the raw bytes alone.
+        """
+        if self.in_headers:
+            return MAX_HEADER_BYTES
+        return MAX_HEADER_BYTES + RAW_BODY_FACTOR * self.max_body_bytes
+
     def read_status_line(self, data: bytes) -> bytes:
-        """Gather the first line's status.
+        """Find the final response's status, and return what the parser is to read.
+
+        Interim responses (1xx, also a 101) have no body and are left out. Returns no
+        bytes while the status is not known.
 
-        1xx answers ahead have no body and are left out, also a 101.
+        Raises:
+            MalformedResponseError: The input is no response, or its start is too long.
         """
-        data, self.partial_status_line = self.partial_status_line + data, b""
+        data = self.partial_status_line + data
+        self.partial_status_line = b""
         while True:
             match = STATUS_LINE.match(data)
             if match is None:
@@ -135,57 +147,68 @@
                     return b""
                 raise MalformedResponseError("no status line")
             if not match[1].startswith(b"1"):
-                if b"\n" not in data:
-                    if len(data) > MAX_HEADER_BYTES:
-                        raise MalformedResponseError("the first line is too long")
-                    self.partial_status_line = data
-                    return b""
-                self.status_line_code = int(match[1])
-                return data
-            end = data.find(b"\r\n\r\n")
-            if self.skipped_bytes + (end if end >= 0 else len(data)) > MAX_HEADER_BYTES:
-                raise MalformedResponseError("too much ahead of the answer")
+                return self._take_status(int(match[1]), data)
+            end = data.find(HEADER_END)
+            self._limit_skipped_bytes(end if end >= 0 else len(data))
             if end < 0:
                 self.partial_status_line = data
                 return b""
-            self.skipped_bytes += end + 4
-            data = data[end + 4 :]
+            end += len(HEADER_END)
+            self.skipped_bytes += end
+            data = data[end:]
+
+    def _take_status(self, status: int, data: bytes) -> bytes:
+        """Set the status once the first line is complete: cut off, it promises nothing."""
+        if b"\n" in data:
+            self.status_line_code = status
+            return data
+        if len(data) > MAX_HEADER_BYTES:
+            raise MalformedResponseError("the first line is too long")
+        self.partial_status_line = data
+        return b""
+
+    def _limit_skipped_bytes(self, further_bytes: int) -> None:
+        if self.skipped_bytes + further_bytes > MAX_HEADER_BYTES:
+            raise MalformedResponseError("too much ahead of the answer")
 
     def on_eof(self) -> None:
-        """The peer ended the connection: so ends an answer that gave no length."""
+        """Note the connection's end, which completes a response without a length."""
         if (
             self.any_bytes_received
             and not self.in_headers
             and not self.complete
             and not ({"content-length", "transfer-encoding"} & self.headers.keys())
         ):
-            self.complete, self.keep_alive = True, False
+            self.complete = True
+            self.keep_alive = False
 
     # Called by the parser
 
     def on_message_begin(self) -> None:
+        """Start a response."""
         self.has_extra_response = self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header."""
         if self.complete:
             return
         self.counted_bytes += len(name) + len(value)
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
+        """Read the status, and refuse a body that is announced too large."""
         if self.complete:
             return
         assert self.parser is not None
         self.in_headers = False
         self.status = self.parser.get_status_code()
         length = self.headers.get("content-length", "")
-        if (
-            length.isdigit() and int(length) > self.max_body_bytes
-        ):  # it need not be waited for
+        if length.isdigit() and int(length) > self.max_body_bytes:
             self.too_large = True
             raise MalformedResponseError("the answer is too large")
 
     def on_body(self, body: bytes) -> None:
+        """Add a piece of the body."""
         if self.complete:
             return
         self.counted_bytes += len(body)
@@ -195,6 +218,7 @@
         self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
+        """Complete the response."""
         if self.complete:
             return
         assert self.parser is not None
@@ -209,10 +233,11 @@
     headers: Iterable[tuple[str, str]],
     body: bytes = b"",
 ) -> bytes:
+    """Return a request's bytes; every method but GET announces its body's length."""
     lines = [
         f"{method} {path} HTTP/1.1",
         f"Host: {host}",
-        *(f"{k}: {v}" for k, v in headers),
+        *(f"{name}: {value}" for name, value in headers),
     ]
     if method != "GET":
         lines.append(f"Content-Length: {len(body)}")
@@ -220,8 +245,9 @@
 
 
 def has_unread_input(transport: asyncio.Transport) -> bool:
-    """Whether its socket holds something that the loop has not read yet: bytes, an end,
-    a reset.
+    """Whether a transport's socket holds what the event loop has not read yet.
+
+    That may be bytes, an end or a reset.
     """
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
--- /dev/null
+++ b/rainfall/forwarder/inbound/messages.py
@@ -0,0 +1,164 @@
+"""Messages as clients submit them: read from a request, and checked."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import Protocol
+
+from rainfall.dispatch import Idempotency, MessageClass, Settings
+from rainfall.forwarder.inbound.requests import BadRequestError, Request
+
+US_PER_SECOND = 1_000_000
+MESSAGE_ID_LENGTH = 128
+"""Characters of a message's id at most."""
+KEY_LENGTH = 256
+"""Characters of an idempotency key or an ordering key at most."""
+DESTINATION_DIGITS = 10
+"""Digits of a destination's number at most."""
+TIME_LEFT_FORMAT = re.compile(r"-?[0-9]{1,9}(\.[0-9]{0,9})?", re.ASCII)
+"""Seconds as clients may write them: float() also reads nan, 1e9 and 1_0."""
+TIME_LEFT_LIMIT_FACTOR = 2.0
+"""A message with more time left than this times its class's deadline is malformed."""
+
+
+@dataclass(slots=True)
+class SubmittedMessage:
+    """A message as a client submitted it: well-formed, and not yet accepted."""
+
+    id: str
+    class_name: str
+    destination: int
+    due_us: int
+    key: str | None
+    order_key: str | None
+    """Ordering key, where its class keeps the order: messages that share it are sent
+    one at a time, in the order in which they were submitted.
+    """
+    tenant: str | None
+    resent: bool
+    body: bytes
+
+
+class ResponseWriter(Protocol):
+    """Where the final answer to a submitted message goes."""
+
+    on_disconnect: Callable[[], None] | None
+    """Called if the client goes before it has its answer."""
+
+    def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
+        """Write the answer; underscores in header names stand for hyphens."""
+
+
+def parse_message(request: Request, settings: Settings) -> SubmittedMessage:
+    """Read a message from a request.
+
+    Raises:
+        BadRequestError: The request is no well-formed message.
+    """
+    message_class = _find_class(request, settings)
+    if request.method != "POST":
+        raise BadRequestError(
+            HTTPStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST"
+        )
+    headers = request.headers
+    message_id = _read_message_id(headers)
+    time_left_us = _read_time_left_us(headers, message_class)
+    destination = _read_destination(headers)
+    key = _read_idempotency_key(headers, message_class)
+    order_key = _read_ordering_key(headers, message_class)
+    tenant = headers.get("x-account")
+    if settings.tenants and tenant not in {t.name for t in settings.tenants}:
+        raise _malformed("X-Account is missing or unknown")
+    return SubmittedMessage(
+        message_id,
+        message_class.name,
+        destination,
+        request.received_at_us + time_left_us,
+        key,
+        order_key,
+        tenant,
+        headers.get("x-repeat") == "1",
+        bytes(request.body),
+    )
+
+
+def _malformed(text: str) -> BadRequestError:
+    return BadRequestError(HTTPStatus.BAD_REQUEST, text)
+
+
+def _is_printable_ascii(text: str) -> bool:
+    return text.isascii() and text.isprintable()
+
+
+def _find_class(request: Request, settings: Settings) -> MessageClass:
+    path = request.path.partition("?")[0].strip("/")
+    class_name = path.partition("/")[0]
+    for message_class in settings.classes:
+        if message_class.name == class_name:
+            return message_class
+    raise BadRequestError(HTTPStatus.NOT_FOUND, "no such class of message")
+
+
+def _read_message_id(headers: dict[str, str]) -> str:
+    message_id = headers.get("x-correlation-id", "")
+    if (
+        not 0 < len(message_id) <= MESSAGE_ID_LENGTH
+        or not _is_printable_ascii(message_id)
+        or " " in message_id
+    ):
+        raise _malformed("X-Correlation-Id is missing or malformed")
+    return message_id
+
+
+def _read_time_left_us(headers: dict[str, str], message_class: MessageClass) -> int:
+    time_left = headers.get("x-time-left", "")
+    if TIME_LEFT_FORMAT.fullmatch(time_left):
+        time_left_us = float(time_left) * US_PER_SECOND
+        if time_left_us <= TIME_LEFT_LIMIT_FACTOR * message_class.deadline_us:
+            return int(time_left_us)
+    raise _malformed("X-Time-Left is missing, malformed or too long")
+
+
+def _read_destination(headers: dict[str, str]) -> int:
+    """Read the destination's number, which must be given exactly once."""
+    parts = headers.get("x-addressing", "").replace(",", ";").split(";")
+    named = [
+        value
+        for name, _, value in (part.strip().partition("=") for part in parts)
+        if name == "dest"
+    ]
+    destination = named[0] if len(named) == 1 else ""
+    if (
+        not destination.isascii()
+        or not destination.isdigit()
+        or len(destination) > DESTINATION_DIGITS
+    ):
+        raise _malformed("X-Addressing names no destination")
+    return int(destination)
+
+
+def _read_idempotency_key(
+    headers: dict[str, str], message_class: MessageClass
+) -> str | None:
+    key = headers.get("idempotency-key")
+    if key is not None and (len(key) > KEY_LENGTH or not _is_printable_ascii(key)):
+        raise _malformed("Idempotency-Key is malformed")
+    if message_class.idempotency is Idempotency.WITH_KEY and not key:
+        raise _malformed("Idempotency-Key is missing")
+    return key
+
+
+def _read_ordering_key(
+    headers: dict[str, str], message_class: MessageClass
+) -> str | None:
+    if not message_class.ordered:
+        return None
+    order_key = headers.get("x-session-key")
+    if order_key is not None and (
+        not 0 < len(order_key) <= KEY_LENGTH or not _is_printable_ascii(order_key)
+    ):
+        raise _malformed("X-Session-Key is malformed")
+    return order_key
