--- /dev/null
+++ b/rainfall/forwarder/outbound/batch.py
@@ -0,0 +1,40 @@
+"""The body of a call with several messages."""
+
+from __future__ import annotations
+
+import base64
+import json
+from typing import Any
+
+from rainfall.forwarder.http1 import MAX_BODY_BYTES
+from rainfall.forwarder.outbound.connection import CallItem
+
+ITEM_OVERHEAD_BYTES = 64
+"""Bytes of an item's JSON at most, without its id, its key and its body."""
+
+
+def encode_batch(items: list[CallItem]) -> bytes:
+    """Return the body of a call with these messages."""
+    return json.dumps(
+        [_encode_item(item) for item in items], separators=(",", ":")
+    ).encode()
+
+
+def _encode_item(item: CallItem) -> dict[str, Any]:
+    encoded = {"id": item.id}
+    if item.key is not None:
+        encoded["key"] = item.key
+    encoded["body"] = base64.b64encode(item.body).decode()
+    return encoded
+
+
+def fits_batch(items: list[CallItem], item: CallItem) -> bool:
+    """Whether a call with one more message stays within what endpoints accept."""
+    encoded_bytes = sum(_encoded_bytes(x) for x in [*items, item])
+    return encoded_bytes <= MAX_BODY_BYTES
+
+
+def _encoded_bytes(item: CallItem) -> int:
+    """Return how many bytes an item has in a body at most; base64 makes 4 of 3."""
+    body_bytes = 4 * len(item.body) // 3
+    return body_bytes + len(item.id) + len(item.key or "") + ITEM_OVERHEAD_BYTES
--- a/rainfall/forwarder/outbound/connection.py
+++ b/rainfall/forwarder/outbound/connection.py
@@ -1,15 +1,13 @@
-"""One connection to a target, and the call that is out on it.
+"""One connection to an endpoint, and the call that is in flight on it.
 
-What parts 'could not connect' (it never ran) from 'reset' (it may have run) is whether
-the call's last byte was handed to the socket; so every byte is written here and no
-library below keeps or resends one.
+Whether a call could not connect (its messages were not executed) or was reset (they may
+have been) depends on whether its last byte was handed to the socket. So every byte is
+written here, and no library below keeps or resends one.
 """
 
 from __future__ import annotations
 
 import asyncio
-import base64
-import json
 import socket
 from collections.abc import Callable
 from contextlib import suppress
@@ -19,20 +17,22 @@
 from rainfall.dispatch import AttemptFinished, Outcome
 from rainfall.forwarder.config.loading import Address
 from rainfall.forwarder.http1 import (
-    MAX_BODY_BYTES,
     MalformedResponseError,
     ResponseReader,
     has_unread_input,
 )
 
-STALE_CONNECTION_US = (
-    30_000  # a kept connection that breaks so soon under its call was stale
-)
+STALE_CONNECTION_US = 30_000
+"""An idle connection that breaks so soon under its next call was stale."""
+NEVER_IDLE = -1
+"""Stands for an idle time where a connection has not been idle."""
+ThrottleScope = tuple[int, int]
+"""What shares a Retry-After: a destination, and one of its endpoints or -1 for all."""
 
 
 @dataclass(slots=True)
 class CallItem:
-    """One message of a call."""
+    """One message of a call, with the attempt that the call makes of it."""
 
     id: str
     attempt: int
@@ -40,16 +40,17 @@
     body: bytes
     timeout_at_us: int
     send_before_us: int = 0
-    """When it may have run before: after this its receivers may have forgotten its key.
-    0: at any time.
+    """Receivers may have forgotten its idempotency key after this, which matters where
+    it may have been executed before; 0 where it may be sent at any time.
     """
 
 
 @dataclass(slots=True)
 class OutboundCall:
+    """One call to an endpoint, with one or more messages."""
+
     endpoint: int
-    throttle_scope: tuple[int, int]
-    """What shares a wait: its destination, or one route where routes are apart."""
+    throttle_scope: ThrottleScope
     sent_at_us: int
     items: list[CallItem]
     timeout_at_us: int = 0
@@ -57,106 +58,123 @@
     connection: EndpointConnection | None = None
     timer: asyncio.TimerHandle | None = None
     written: bool = False
+    """Its last byte was handed to the socket."""
     batched: bool = False
     message_count: int = 0
-    """Messages that its bytes hold."""
+    """Messages in the bytes that are written."""
     response_started: bool = False
-    """Some of its answer has come."""
+    """Some of its response has come."""
     open_items: dict[str, CallItem] = field(default_factory=dict)
+    """Messages without an outcome, by id."""
 
 
 @dataclass(slots=True)
 class AttemptResult:
+    """What came of an attempt."""
+
     outcome: Outcome
     final: bool = False
+    """The endpoint said that the message needs no other attempt."""
     retry_after_us: int = 0
+    """The Retry-After that was received; 0 for none."""
     weak_evidence: bool = False
+    """It says little about the endpoint's health."""
 
 
 OutcomeSink = Callable[[AttemptFinished], None]
+"""Gets the end of each attempt."""
 
 
 if TYPE_CHECKING:
 
     class ConnectionOwner(Protocol):
-        """The pool, as its connections need it."""
+        """What connections need of their pool."""
 
         clock: Callable[[], int]
         messages_written: int
 
-        def log_malformed_response(self, call: OutboundCall, error: object) -> None: ...
+        def log_malformed_response(self, call: OutboundCall, error: object) -> None:
+            """Log why a response cannot be read."""
 
-        def on_response_started(self, call: OutboundCall) -> None: ...
+        def on_response_started(self, call: OutboundCall) -> None:
+            """Note that some of a response has come."""
 
         def on_response(
             self, call: OutboundCall, reader: ResponseReader, broken: bool = False
-        ) -> None: ...
+        ) -> None:
+            """End a call by its response, or by the break of its connection."""
 
-        def record_staleness(self, age_us: int, stale: bool) -> None: ...
+        def record_staleness(self, age_us: int, stale: bool) -> None:
+            """Learn whether a connection that was idle so long was stale."""
 
-        def keep_idle(self, connection: EndpointConnection, target: int) -> None: ...
+        def keep_idle(self, connection: EndpointConnection, target: int) -> None:
+            """Keep a connection without a call for the next one."""
 
-        def on_connection_lost(self, connection: EndpointConnection) -> None: ...
+        def on_connection_lost(self, connection: EndpointConnection) -> None:
+            """Forget a connection."""
 
 
 class EndpointConnection(asyncio.Protocol):
-    """A connection to a target, with at most one call on it."""
+    """A connection to an endpoint, with at most one call on it."""
 
     def __init__(self, pool: ConnectionOwner, where: Address) -> None:
-        self.pool, self.address, self.idle_since_us = pool, where, -1
-        self.call_started_us, self.idle_age_us = (
-            0,
-            -1,
-        )  # how long it had been idle before its call; -1 on a new one
+        self.pool = pool
+        self.address = where
+        self.idle_since_us = NEVER_IDLE
+        self.call_started_us = 0
+        self.idle_age_us = NEVER_IDLE
+        """How long it had been idle before its call."""
         self.call: OutboundCall | None = None
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport (called by the event loop)."""
         assert isinstance(transport, asyncio.Transport)
-        transport.set_write_buffer_limits(
-            0
-        )  # so that resume_writing tells that the last byte is out
+        # With this limit, resume_writing tells that the last byte is written.
+        transport.set_write_buffer_limits(0)
         self.transport = transport
 
     def resume_writing(self) -> None:
+        """Note that all bytes are written (called by the event loop)."""
         if self.call is not None:
             self.mark_written(self.call)
 
     def mark_written(self, call: OutboundCall) -> None:
-        """The call's last byte is out."""
+        """Note that a call's last byte was handed to the socket."""
         if not call.written:
             call.written = True
             self.pool.messages_written += call.message_count
 
     def is_closing(self) -> bool:
+        """Whether nothing can be sent on it any more."""
         return self.transport is None or self.transport.is_closing()
 
     def is_reusable(self) -> bool:
-        """Whether nothing has come on it unasked.
+        """Whether it is open and without unread input.
 
-        An end, a second answer or noise that waits unread would be taken for the next
-        call's.
+        An end, a second response or noise that waits unread would be taken for the next
+        call's response.
         """
         return not self.is_closing() and not self.has_unread_input()
 
     def has_unread_input(self) -> bool:
-        """Whether something lies at its socket that the loop has not read: bytes, an
-        end, a reset.
-        """
+        """Whether its socket holds what the event loop has not read yet."""
         if self.transport is None or self.transport.is_closing():
             return False
         return has_unread_input(self.transport)
 
     def send_call(self, call: OutboundCall, data: bytes) -> None:
+        """Write a call's bytes."""
         assert self.transport is not None
         self.reader.reset()
         self.call_started_us = self.pool.clock()
-        self.idle_age_us = (
-            self.call_started_us - self.idle_since_us if self.idle_since_us >= 0 else -1
-        )
-        self.idle_since_us = -1
-        self.call, call.connection = call, self
+        self.idle_age_us = NEVER_IDLE
+        if self.idle_since_us >= 0:
+            self.idle_age_us = self.call_started_us - self.idle_since_us
+        self.idle_since_us = NEVER_IDLE
+        self.call = call
+        call.connection = self
         self.transport.write(data)
         # A write that fails leaves the buffer empty, too: then the socket did not take
         # the last byte.
@@ -167,61 +185,73 @@
             self.mark_written(call)
 
     def close(self) -> None:
+        """Close at once."""
         if self.transport is not None:
             self.transport.abort()
 
     def abort_call(self) -> None:
-        """Close it with its call out.
+        """Close with the call in flight.
 
-        A transport closes in the loop's next turn, and by then the call's copy may have
-        left: so the sending ends here and now, which gives the call up as well.
+        A transport closes in the loop's next turn, and by then the message's next
+        attempt may have been sent: so sending ends here and now, which abandons the
+        call as well.
         """
         if self.transport is not None and not self.transport.is_closing():
-            with suppress(OSError):  # the target was first
+            with suppress(OSError):  # The endpoint closed it first.
                 self.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
         self.close()
 
     def data_received(self, data: bytes) -> None:
+        """Read the call's response (called by the event loop)."""
         call = self.call
-        if call is None:  # nothing was asked: not to be trusted any more
+        if call is None:
+            # Input that nobody asked for: the connection is not to be trusted any more.
             self.close()
             return
         try:
             self.reader.feed(data)
         except MalformedResponseError as error:
             self.pool.log_malformed_response(call, error)
-            self.call, call.connection = None, None
-            # before its end is told: the call may still be out, and its copy leave at
-            # once
+            self._release_call(call)
+            # The call ends only after its sending: it may still be in flight, and the
+            # next attempt may be sent at once.
             self.abort_call()
             self.pool.on_response(call, self.reader, broken=True)
             return
-        if not self.reader.complete:
-            if self.reader.response_started:
-                self.pool.on_response_started(call)
+        if self.reader.complete:
+            self._finish_call(call)
+        elif self.reader.response_started:
+            self.pool.on_response_started(call)
+
+    def _release_call(self, call: OutboundCall) -> None:
+        self.call = None
+        call.connection = None
+
+    def _finish_call(self, call: OutboundCall) -> None:
+        self.pool.record_staleness(self.idle_age_us, False)
+        self._release_call(call)
+        self.pool.on_response(call, self.reader)
+        # What is left of a request that was answered early must not be sent: its call
+        # would only start then.
+        if self.reader.keep_alive and call.written and not self.is_closing():
+            self.pool.keep_idle(self, call.endpoint)
         else:
-            self.pool.record_staleness(self.idle_age_us, False)
-            self.call, call.connection = None, None
-            self.pool.on_response(call, self.reader)
-            # What is left of a request that was answered early must not follow: its
-            # call would start yet.
-            if self.reader.keep_alive and call.written and not self.is_closing():
-                self.pool.keep_idle(self, call.endpoint)
-            else:
-                self.close()
+            self.close()
 
     def eof_received(self) -> None:
-        """The target's end.
+        """Close if the call is not written (called by the event loop).
 
-        A transport would go on and write what is left of a request before it closes;
-        and what is not whole by now must not become so.
+        A transport would go on and write the rest of a request before it closes; and a
+        request that is incomplete at the endpoint's end must not become complete.
         """
         if self.call is not None and not self.call.written:
             self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """End the call, if there is one (called by the event loop)."""
         self.pool.on_connection_lost(self)
-        call, self.call = self.call, None
+        call = self.call
+        self.call = None
         if call is not None:
             call.connection = None
             if error is None:
@@ -234,30 +264,3 @@
                 self.pool.record_staleness(self.idle_age_us, True)
             self.pool.on_response(call, self.reader, broken=not self.reader.complete)
         self.reader.release_parser()
-
-
-def encode_batch(items: list[CallItem]) -> bytes:
-    return json.dumps(
-        [
-            {
-                "id": item.id,
-                **({} if item.key is None else {"key": item.key}),
-                "body": base64.b64encode(item.body).decode(),
-            }
-            for item in items
-        ],
-        separators=(",", ":"),
-    ).encode()
-
-
-def fits_batch(items: list[CallItem], item: CallItem) -> bool:
-    """Whether one more message leaves the body of a batch call within what targets
-    take.
-    """
-    return (
-        sum(
-            4 * len(x.body) // 3 + len(x.id) + len(x.key or "") + 64
-            for x in [*items, item]
-        )
-        <= MAX_BODY_BYTES
-    )
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -1,5 +1,6 @@
-"""Calls to targets: a pool of connections for each, one call at a time on a connection,
-no resend.
+"""Calls to endpoints: a pool of connections, each with one call at a time.
+
+Nothing is sent twice here: a further attempt is the dispatcher's decision.
 """
 
 from __future__ import annotations
@@ -8,21 +9,26 @@
 import errno
 import logging
 from collections.abc import Callable
+from http import HTTPStatus
 
 from rainfall.dispatch import AttemptFinished, LoadReport, Outcome
 from rainfall.forwarder.config.loading import Address
-from rainfall.forwarder.http1 import ResponseReader, encode_request
+from rainfall.forwarder.http1 import (
+    MalformedResponseError,
+    ResponseReader,
+    encode_request,
+)
 from rainfall.forwarder.outbound import responses
+from rainfall.forwarder.outbound.batch import encode_batch, fits_batch
 from rainfall.forwarder.outbound.connection import (
     AttemptResult,
     CallItem,
     EndpointConnection,
     OutboundCall,
     OutcomeSink,
-    encode_batch,
-    fits_batch,
+    ThrottleScope,
 )
-from rainfall.forwarder.outbound.idle_connections import IdleConnections
+from rainfall.forwarder.outbound.idle_connections import US_PER_SECOND, IdleConnections
 from rainfall.forwarder.outbound.responses import parse_retry_after_us
 
 __all__ = [
@@ -33,16 +39,26 @@
     "fits_batch",
     "parse_retry_after_us",
 ]
-US_PER_SECOND = 1_000_000
-# kept before those that are over are looked for: some hundred endpoints tell one each
+SINGLE_PATH = "/hook"
+BATCH_PATH = "/hook/batch"
+DEFAULT_DIAL_TIMEOUT_US = US_PER_SECOND
+"""Time to connect where the settings give none."""
+MIN_DIAL_TIMEOUT_S = 0.001
+MIN_TIME_LEFT_MS = 1
+"""A call never announces less time left than this."""
+TIMEOUT_MARGIN_S = 0.001
+"""A timer may be so much early by the dispatcher's clock."""
 MAX_RETRY_AFTERS = 2048
+"""Entries kept before expired ones are dropped: some hundred endpoints send one each."""
 MALFORMED_LOG_INTERVAL_US = 5 * US_PER_SECOND
+"""Between two log lines of malformed responses: some endpoints send many."""
+MALFORMED_LOG_CHARACTERS = 200
 NO_PERMIT_SOON = -1
-# how long the last gate holds a call at most, rather than send it back undone
+"""Answer of the last check before a call's first byte: it is not to wait."""
 PERMIT_WAIT_US = 50_000
-RESPONSE_COMPLETION_S = (
-    0.5  # an answer that has begun and is not whole after this is spoilt
-)
+"""A call waits for its permit at most so long before it is given back unsent."""
+RESPONSE_COMPLETION_S = 0.5
+"""A response that is incomplete so long after its start is malformed."""
 LOCAL_DIAL_ERRNOS = (
     errno.EMFILE,
     errno.ENFILE,
@@ -51,12 +67,12 @@
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
 )
-"""Why a connection may fail to come up that is no fault of the target's."""
+"""Causes for which a connection may fail to come up through no fault of the endpoint."""
 log = logging.getLogger("rainfall.client")
 
 
 class ConnectionPool(IdleConnections):
-    """All connections to all targets, and the calls that are out on them."""
+    """All connections to all endpoints, and the calls that are in flight on them."""
 
     def __init__(
         self,
@@ -67,33 +83,50 @@
         dial_us: int,
         most: int,
     ) -> None:
+        """Make an empty pool.
+
+        Args:
+            clock: The dispatcher's clock, in microseconds.
+            sink: Gets the end of each attempt.
+            fields: Names of the fields that endpoints report of their load.
+            idle_us: Endpoints close idle connections after so long; 0 if not known.
+            dial_us: Time to connect; 0 for the default.
+            most: Connections at a time.
+        """
         super().__init__(clock, idle_us)
-        self.sink, self.max_connections = sink, most
+        self.sink = sink
+        self.max_connections = most
         self.configure(fields, idle_us, dial_us)
-        self.retry_after_until: dict[tuple[int, int], int] = {}
+        self.retry_after_until: dict[ThrottleScope, int] = {}
+        """When each Retry-After that was received is over."""
         self.in_flight = 0
-        self.messages_written = 0  # messages written whole to targets
+        """Calls that were started and have not ended."""
+        self.messages_written = 0
+        """Messages whose last byte was handed to a socket."""
         self.last_malformed_log_us = -MALFORMED_LOG_INTERVAL_US
         self.calls: dict[tuple[str, int], OutboundCall] = {}
+        """Calls by message and attempt."""
         self.record_attempts: Callable[[OutboundCall], bool] | None = None
-        """Asked once its connection is up: whether what must be kept of a call before
-        it leaves is.
+        """Asked once a call's connection is up: whether what must be persisted before
+        its first byte is.
         """
         self.acquire_permit: Callable[[OutboundCall], int] | None = None
-        """Asked last before a call's first byte: 0, it leaves; else when to ask again,
-        in microseconds; below 0, not soon.
+        """Asked last before a call's first byte: 0 if it may be sent, else after how
+        many microseconds to ask again, or NO_PERMIT_SOON.
         """
         self.on_call_sent: Callable[[OutboundCall], None] | None = None
-        """Told right after its first byte."""
+        """Called right after a call's first byte."""
 
     def configure(self, fields: tuple[str, ...], idle_us: int, dial_us: int) -> None:
-        self.report_fields, self.dial_timeout_us = fields, dial_us or US_PER_SECOND
+        """Apply settings; see the constructor."""
+        self.report_fields = fields
+        self.dial_timeout_us = dial_us or DEFAULT_DIAL_TIMEOUT_US
         self.set_idle_timeout(idle_us)
 
     # Starting
 
     def start(self, call: OutboundCall) -> None:
-        """Send a call, on a connection that is open or on a new one."""
+        """Send a call, on an idle connection or on a new one."""
         self.in_flight += 1
         for item in call.items:
             call.open_items[item.id] = item
@@ -103,25 +136,20 @@
         self.connect(call)
 
     def connect(self, call: OutboundCall) -> None:
+        """Find a connection for a call, or dial one."""
         if call.endpoint not in self.addresses:
             self.finish(call, AttemptResult(Outcome.NO_CONNECTION))
             return
-        idle = self.idle.get(call.endpoint, [])
-        while idle:
-            connection = idle.pop()
-            if connection.is_reusable() and self.is_age_trusted(
-                self.clock() - connection.idle_since_us
-            ):
-                self.revalidate(call, connection)
-                return
-            connection.close()
+        connection = self._take_idle(call.endpoint)
+        if connection is not None:
+            self.revalidate(call, connection)
+            return
         if (
             len(self.connections) + len(self.dial_tasks) >= self.max_connections
             and not self.close_longest_idle()
         ):
-            self.finish(
-                call, AttemptResult(Outcome.NOT_SENT)
-            )  # for want of sockets here: no fault of the target's
+            # For want of sockets here, which is no fault of the endpoint.
+            self.finish(call, AttemptResult(Outcome.NOT_SENT))
             return
         task = asyncio.get_running_loop().create_task(
             self.dial(call, self.addresses[call.endpoint])
@@ -129,47 +157,63 @@
         self.dial_tasks.add(task)
         task.add_done_callback(self.dial_tasks.discard)
 
+    def _take_idle(self, endpoint: int) -> EndpointConnection | None:
+        """Take the last idle connection that can be used; others before it close."""
+        idle = self.idle.get(endpoint, [])
+        while idle:
+            connection = idle.pop()
+            if connection.is_reusable() and self.is_age_trusted(
+                self.clock() - connection.idle_since_us
+            ):
+                return connection
+            connection.close()
+        return None
+
     async def dial(self, call: OutboundCall, address: Address) -> None:
+        """Connect to an endpoint for a call, and send the call."""
         loop = asyncio.get_running_loop()
         timeout_us = min(self.dial_timeout_us, call.timeout_at_us - self.clock())
+        timeout_s = max(MIN_DIAL_TIMEOUT_S, timeout_us / US_PER_SECOND)
         try:
-            async with asyncio.timeout(max(0.001, timeout_us / US_PER_SECOND)):
+            async with asyncio.timeout(timeout_s):
                 _, connection = await loop.create_connection(
                     lambda: EndpointConnection(self, address),
                     address.host,
                     address.port,
                 )
         except (OSError, TimeoutError) as error:
-            is_local_error = (
-                isinstance(error, OSError) and error.errno in LOCAL_DIAL_ERRNOS
-            )
-            # A dial that had less time than the settings give one may just have been
-            # cut by its own call.
-            was_shortened = (
-                isinstance(error, TimeoutError) and timeout_us < self.dial_timeout_us
-            )
-            self.finish(
-                call,
-                AttemptResult(
-                    Outcome.NOT_SENT if is_local_error else Outcome.NO_CONNECTION,
-                    weak_evidence=was_shortened
-                    or isinstance(error, ConnectionResetError),
-                ),
-            )
+            was_shortened = timeout_us < self.dial_timeout_us
+            self.finish(call, self._dial_result(error, was_shortened))
             return
         self.connections.add(connection)
-        if not connection.is_reusable():
-            # It came up and broke, perhaps unread as yet: a target that holds only so
-            # many lets go of more. That it is there is known, and what breaks before
-            # the first byte never ran.
-            self.finish(call, AttemptResult(Outcome.NO_CONNECTION, weak_evidence=True))
-            connection.close()
-        else:
+        if connection.is_reusable():
             self.revalidate(call, connection)
+            return
+        # It came up and broke, perhaps unread as yet: an endpoint that accepts only so
+        # many connections closes further ones. So the endpoint is known to be there,
+        # and what breaks before the first byte was not executed.
+        self.finish(call, AttemptResult(Outcome.NO_CONNECTION, weak_evidence=True))
+        connection.close()
+
+    @staticmethod
+    def _dial_result(error: OSError, was_shortened: bool) -> AttemptResult:
+        """Return what a failed dial says of the endpoint.
+
+        A dial that had less time than the settings give one may have been cut off only
+        by its own call's timeout.
+        """
+        is_local = error.errno in LOCAL_DIAL_ERRNOS
+        was_cut_off = isinstance(error, TimeoutError) and was_shortened
+        return AttemptResult(
+            Outcome.NOT_SENT if is_local else Outcome.NO_CONNECTION,
+            weak_evidence=was_cut_off or isinstance(error, ConnectionResetError),
+        )
 
     def revalidate(self, call: OutboundCall, connection: EndpointConnection) -> None:
-        """What was told since the call was decided binds it, too, on whichever
-        connection it came here; and so does the time that this took.
+        """Send a call on its connection, unless something speaks against it by now.
+
+        What was received since the call was decided holds for it too, and time has
+        passed while the connection came up.
         """
         now = self.clock()
         expired_items = [
@@ -180,8 +224,8 @@
         if expired_items:
             self.arm_timeout(call)
         if self.addresses.get(call.endpoint) != connection.address:
-            # Drained while the connection was coming up: what was queued for it must
-            # not leave any more.
+            # The endpoint was drained or moved while the connection came up: nothing
+            # may be sent there any more.
             self.finish(call, AttemptResult(Outcome.NOT_SENT))
             connection.close()
         elif not call.open_items or now < self.retry_after_until.get(
@@ -193,20 +237,13 @@
             self.launch(call, connection)
 
     def launch(self, call: OutboundCall, connection: EndpointConnection) -> None:
-        """The last gate: nothing stands between its yes and the socket.
+        """Write a call if it gets its permit, with nothing between permit and socket.
 
-        A call that comes a moment early, as those before it left later than they were
-        decided, is held for that moment.
+        A call may come a moment early, as calls before it were sent later than they
+        were decided; it is held for that moment.
         """
         data = self.render(call)
-        recorded = self.record_attempts is None or self.record_attempts(call)
-        permit_delay_us = (
-            NO_PERMIT_SOON
-            if not recorded
-            else 0
-            if self.acquire_permit is None
-            else self.acquire_permit(call)
-        )
+        permit_delay_us = self._permit_delay_us(call)
         if not permit_delay_us:
             connection.send_call(call, data)
             if self.on_call_sent is not None:
@@ -225,7 +262,16 @@
             self.finish(call, AttemptResult(Outcome.NOT_SENT))
             self.keep_idle(connection, call.endpoint)
 
+    def _permit_delay_us(self, call: OutboundCall) -> int:
+        """Return what `acquire_permit` says, once the call's attempts are recorded."""
+        if self.record_attempts is not None and not self.record_attempts(call):
+            return NO_PERMIT_SOON
+        if self.acquire_permit is None:
+            return 0
+        return self.acquire_permit(call)
+
     def retry_launch(self, call: OutboundCall, connection: EndpointConnection) -> None:
+        """Go on with a call that was held for its permit."""
         if connection.is_reusable():
             self.revalidate(call, connection)
             return
@@ -234,21 +280,25 @@
             self.connect(call)
 
     def render(self, call: OutboundCall) -> bytes:
-        """The bytes of a call for those of its messages that are still open."""
+        """Return a call's bytes, for those of its messages that are still open."""
         address = self.addresses[call.endpoint]
         host = f"{address.host}:{address.port}"
         items = list(call.open_items.values())
-        call.batched, call.message_count = len(items) > 1, len(items)
-        time_left = f"{max(1, (call.timeout_at_us - self.clock()) // 1000) / 1000:.3f}"
+        call.batched = len(items) > 1
+        call.message_count = len(items)
+        time_left_ms = max(
+            MIN_TIME_LEFT_MS, (call.timeout_at_us - self.clock()) // 1000
+        )
+        time_left = f"{time_left_ms / 1000:.3f}"
         if len(items) == 1:
             item = items[0]
             headers = [("X-Correlation-Id", item.id), ("X-Time-Left", time_left)]
             if item.key is not None:
                 headers.append(("Idempotency-Key", item.key))
-            return encode_request("POST", "/hook", host, headers, item.body)
+            return encode_request("POST", SINGLE_PATH, host, headers, item.body)
         return encode_request(
             "POST",
-            "/hook/batch",
+            BATCH_PATH,
             host,
             [("Content-Type", "application/json"), ("X-Time-Left", time_left)],
             encode_batch(items),
@@ -257,25 +307,33 @@
     # Ending
 
     def arm_timeout(self, call: OutboundCall) -> None:
-        if call.timer is not None:
-            call.timer.cancel()
-            call.timer = None
+        """Set the timer of a call, which the first of its messages to expire ends.
+
+        A result for the others that came while the call is still in flight, for one
+        whose end was already reported, would count for nobody.
+        """
+        self._cancel_timer(call)
         if call.open_items:
-            # The first of its messages to run out of time ends it for all: what comes
-            # for the others while it is still out for one whose end was told counts for
-            # nobody.
             call.timeout_at_us = min(
                 item.timeout_at_us for item in call.open_items.values()
             )
-            delay = max(0, call.timeout_at_us - self.clock()) / US_PER_SECOND
+            delay_s = max(0, call.timeout_at_us - self.clock()) / US_PER_SECOND
             call.timer = asyncio.get_running_loop().call_later(
-                delay + 0.001, self.on_timeout, call
+                delay_s + TIMEOUT_MARGIN_S, self.on_timeout, call
             )
 
+    @staticmethod
+    def _cancel_timer(call: OutboundCall) -> None:
+        if call.timer is not None:
+            call.timer.cancel()
+            call.timer = None
+
     def on_timeout(self, call: OutboundCall) -> None:
+        """End a call whose time is over."""
         self.abandon(call, Outcome.TIMED_OUT)
 
     def cancel(self, message: str, attempt: int) -> None:
+        """End the call that holds an attempt, if it has no outcome yet."""
         call = self.calls.get((message, attempt))
         if call is not None and message in call.open_items:
             self.abandon(call, Outcome.CANCELED)
@@ -283,17 +341,16 @@
     def defer_for_unread_input(
         self, call: OutboundCall, resume: Callable[[], None]
     ) -> bool:
-        """Whether a call is not to be given up as yet.
+        """Whether a call is not to be abandoned now.
 
-        What a busy loop has not read counts first, as the answer may lie at the socket:
-        it is read in the next turn, which sees to sockets before timers. Then this goes
-        on, however much more lies there by that time.
+        The response may lie unread at the socket while the event loop is busy. It is
+        read in the loop's next turn, which handles sockets before timers. Then `resume`
+        is called, however much more is unread by that time.
         """
         if not call.open_items or call.connection is None:
             return not call.open_items
-        if (
-            call.connection.is_closing()
-        ):  # its end was read, and is on its way to the call
+        if call.connection.is_closing():
+            # Its end was read, and is about to be reported.
             return True
         if not call.connection.has_unread_input():
             return False
@@ -310,38 +367,40 @@
     def abandon(
         self, call: OutboundCall, outcome: Outcome, input_checked: bool = False
     ) -> None:
-        """Stop waiting for a call, all its messages together: while its connection is
-        open each of them is still out, and once it is closed, as a late answer must not
-        be taken for the next call's, none is.
+        """Stop waiting for a call, with all its messages together.
+
+        While its connection is open, each of them is still in flight. Once it is
+        closed, so that a late response cannot be taken for the next call's, none is.
         """
         if not input_checked and self.defer_for_unread_input(
             call, lambda: self.abandon(call, outcome, True)
         ):
             return
-        sent = call.connection is not None and call.written
+        self.finish(call, AttemptResult(self._abandoned_outcome(call, outcome)))
+
+    def _abandoned_outcome(self, call: OutboundCall, outcome: Outcome) -> Outcome:
         if self.has_success_status(call):
-            outcome = Outcome.DELIVERED
-        elif (
-            not sent
-        ):  # a connection that still had time to come up tells nothing of its target
-            early = call.connection is None and self.clock() < call.dial_timeout_at_us
-            outcome = Outcome.NOT_SENT if early else Outcome.NO_CONNECTION
-        self.finish(call, AttemptResult(outcome))
+            return Outcome.DELIVERED
+        if call.connection is not None and call.written:
+            return outcome
+        # A connection that still had time to come up says nothing of its endpoint.
+        if call.connection is None and self.clock() < call.dial_timeout_at_us:
+            return Outcome.NOT_SENT
+        return Outcome.NO_CONNECTION
 
     def has_success_status(self, call: OutboundCall) -> bool:
-        """Whether the first line of a call with one message says 200: it is delivered,
-        whatever follows.
+        """Whether a call with one message is delivered.
+
+        It is once the response's first line says 200, whatever follows.
         """
         return (
             not call.batched
             and call.connection is not None
-            and call.connection.reader.status_line_code == 200
+            and call.connection.reader.status_line_code == HTTPStatus.OK
         )
 
     def on_response_started(self, call: OutboundCall) -> None:
-        """Some of the answer is here: the rest must follow soon, and not hold a slot
-        until a time-out.
-        """
+        """Set a time for the rest of a response, so that it holds no slot for long."""
         if not call.response_started:
             call.response_started = True
             asyncio.get_running_loop().call_later(
@@ -351,15 +410,15 @@
     def on_incomplete_response(
         self, call: OutboundCall, input_checked: bool = False
     ) -> None:
+        """End a call whose response started and is still incomplete."""
         if not input_checked and self.defer_for_unread_input(
             call, lambda: self.on_incomplete_response(call, True)
         ):
             return
         if call.connection is not None:
             reader = call.connection.reader
-            if (
-                not reader.response_started
-            ):  # it was one ahead of the answer, in two parts
+            if not reader.response_started:
+                # What had started was an interim response, in two parts.
                 call.response_started = False
                 return
             self.log_malformed_response(call, "not whole in time")
@@ -367,17 +426,21 @@
             self.on_response(call, reader, broken=True)
 
     def log_malformed_response(self, call: OutboundCall, error: object) -> None:
-        """One line now and then: some targets spoil many answers."""
+        """Log why a response cannot be read, one line now and then."""
         if self.clock() - self.last_malformed_log_us >= MALFORMED_LOG_INTERVAL_US:
             self.last_malformed_log_us = self.clock()
-            log.warning("target %d: spoilt answer: %s", call.endpoint, str(error)[:200])
+            log.warning(
+                "target %d: spoilt answer: %s",
+                call.endpoint,
+                str(error)[:MALFORMED_LOG_CHARACTERS],
+            )
 
     def detach_connection(self, call: OutboundCall) -> None:
-        if call.timer is not None:
-            call.timer.cancel()
-            call.timer = None
-        if call.connection is not None:
-            connection, call.connection = call.connection, None
+        """Take a call off its connection, which is closed."""
+        self._cancel_timer(call)
+        connection = call.connection
+        if connection is not None:
+            call.connection = None
             connection.call = None
             connection.abort_call()
 
@@ -387,10 +450,10 @@
         result: AttemptResult,
         report: LoadReport | None = None,
     ) -> None:
-        """The same end for all that is still open.
+        """End a call with the same result for all its open messages.
 
-        What hears of it may send the copy at once: while the call is out on an open
-        connection, that would be a second one.
+        Its connection is closed first: the sink may make the next attempt at once, and
+        there must not be two in flight.
         """
         self.detach_connection(call)
         for item in list(call.open_items.values()):
@@ -403,6 +466,7 @@
         result: AttemptResult,
         report: LoadReport | None = None,
     ) -> None:
+        """End a call for one of its messages."""
         del call.open_items[item.id]
         self.calls.pop((item.id, item.attempt), None)
         if result.retry_after_us:
@@ -428,76 +492,68 @@
     def on_response(
         self, call: OutboundCall, reader: ResponseReader, broken: bool = False
     ) -> None:
-        """An answer came, or the connection broke before it was whole."""
-        if call.timer is not None:
-            call.timer.cancel()
-            call.timer = None
-        is_batch = call.batched
+        """End a call by its response, or by the break of its connection."""
+        self._cancel_timer(call)
         if broken:
-            # A first line with 200 is a delivery though the rest is spoilt; of several,
-            # only the whole answer tells. Whatever else it says, a spoilt answer shows
-            # that the call may have run, also where its first line denies it, and its
-            # report and wait are not to be believed. A call that is not whole has not
-            # started.
-            if reader.status_line_code == 200 and not is_batch:
-                outcome = Outcome.DELIVERED
-            elif not call.written:
-                outcome = Outcome.NO_CONNECTION
-            else:
-                outcome = (
-                    Outcome.UNREADABLE if reader.any_bytes_received else Outcome.RESET
-                )
+            outcome = self._broken_outcome(call, reader)
             self.finish(
                 call,
                 AttemptResult(outcome, weak_evidence=outcome is not Outcome.DELIVERED),
             )
             return
         report = self.read_load_report(reader)
-        if reader.status == 200 and is_batch:
+        if not call.batched:
+            self.finish(call, responses.parse_single(reader), report)
+        elif reader.status == HTTPStatus.OK:
             self.on_batch_response(call, reader, report)
-            return
-        self.finish(
-            call,
-            responses.parse_shared(reader)
-            if is_batch
-            else responses.parse_single(reader),
-            report,
-        )
+        else:
+            self.finish(call, responses.parse_shared(reader), report)
+
+    @staticmethod
+    def _broken_outcome(call: OutboundCall, reader: ResponseReader) -> Outcome:
+        """Return the outcome where a response is missing, incomplete or malformed.
+
+        A first line with 200 is a delivery, whatever follows; of a batch only the whole
+        response tells. Whatever else it says, a malformed response shows that the call
+        may have been executed, also where its first line denies it, and its report and
+        Retry-After are not to be believed. An incomplete call was not started.
+        """
+        if reader.status_line_code == HTTPStatus.OK and not call.batched:
+            return Outcome.DELIVERED
+        if not call.written:
+            return Outcome.NO_CONNECTION
+        return Outcome.UNREADABLE if reader.any_bytes_received else Outcome.RESET
 
     def on_batch_response(
         self, call: OutboundCall, reader: ResponseReader, report: LoadReport | None
     ) -> None:
+        """End a batch call by the states of its messages."""
         try:
-            ends = responses.parse_batch(reader)
-        except (
-            ValueError,
-            TypeError,
-            KeyError,
-            RecursionError,
-        ) as error:  # nested without end
+            results = responses.parse_batch(reader)
+        except MalformedResponseError as error:
             self.log_malformed_response(call, error)
             self.finish(call, AttemptResult(Outcome.UNREADABLE, weak_evidence=True))
             return
+        unnamed = AttemptResult(Outcome.FAILED)
         for item in list(call.open_items.values()):
-            self.finish_item(
-                call, item, ends.get(item.id, AttemptResult(Outcome.FAILED)), report
-            )
+            self.finish_item(call, item, results.get(item.id, unnamed), report)
 
     def read_load_report(self, reader: ResponseReader) -> LoadReport | None:
+        """Return the load report of a response, if it has a valid one."""
         return responses.parse_load_report(reader, self.report_fields)
 
     def fail_unconnected_calls(self) -> None:
-        """What is not on a connection yet goes back unsent."""
+        """Give back, unsent, each call that has no connection yet."""
         for call in {id(c): c for c in self.calls.values()}.values():
             if call.connection is None:
                 self.finish(call, AttemptResult(Outcome.NOT_SENT))
 
-    def set_retry_after(self, throttle_scope: tuple[int, int], until: int) -> None:
-        """A wait that was told."""
+    def set_retry_after(self, throttle_scope: ThrottleScope, until: int) -> None:
+        """Keep a Retry-After that was received; the longest one holds."""
         if len(self.retry_after_until) > MAX_RETRY_AFTERS:
             now = self.clock()
             self.retry_after_until = {
-                p: end for p, end in self.retry_after_until.items() if end > now
+                scope: end for scope, end in self.retry_after_until.items() if end > now
             }
         self.retry_after_until[throttle_scope] = max(
             until, self.retry_after_until.get(throttle_scope, 0)
--- a/rainfall/forwarder/outbound/idle_connections.py
+++ b/rainfall/forwarder/outbound/idle_connections.py
@@ -1,6 +1,4 @@
-"""Connections to targets that are open without a call: kept, and let go before their
-targets do.
-"""
+"""Connections to endpoints without a call: kept, and closed before the endpoints do."""
 
 from __future__ import annotations
 
@@ -11,87 +9,102 @@
 from rainfall.forwarder.outbound.connection import EndpointConnection
 
 US_PER_SECOND = 1_000_000
-# an idle connection is closed so long before its target would: a reset costs a try
+DEFAULT_IDLE_TIMEOUT_US = 60 * US_PER_SECOND
+"""Endpoints are taken to close idle connections after this where it is not known."""
 IDLE_MARGIN_US = 700_000
+"""An idle connection is closed so long before its endpoint would: a reset costs an
+attempt.
+"""
 SWEEP_INTERVAL_S = 0.2
-STALE_SHARE_WEIGHT = (
-    0.2  # weight of the newest call in the share of idle connections that were stale
-)
-STALE_SHARE_LIMIT = 0.3  # share above which those are not used
-STALE_SHARE_DECAY = 0.97  # each that is not used lowers it by this
-MAX_IDLE_PER_ENDPOINT = (
-    4  # idle connections kept to one target: some take only few, idle ones counted
-)
+"""Between two looks for connections that have been idle too long."""
+AGE_CLASSES = 64
+"""Classes of idle times, by powers of two of a microsecond."""
+STALE_SHARE_WEIGHT = 0.2
+"""Weight of the newest call in the share of idle connections that were stale."""
+STALE_SHARE_LIMIT = 0.3
+"""Idle connections of an age whose share is higher are not used."""
+STALE_SHARE_DECAY = 0.97
+"""Factor on that share for each connection that is not used: in the end one is."""
+MAX_IDLE_PER_ENDPOINT = 4
+"""Idle connections kept to one endpoint: some accept few, and count idle ones."""
 
 
 class IdleConnections:
-    """What a pool has beside its calls."""
+    """All connections of a pool, and which of them are idle."""
 
     def __init__(self, clock: Callable[[], int], idle_us: int) -> None:
         self.clock = clock
         self.set_idle_timeout(idle_us)
-        self.stale_shares = [0.0] * 64
+        self.stale_shares = [0.0] * AGE_CLASSES
+        """Share of stale connections among those that were used, by class of age."""
         self.idle: dict[int, list[EndpointConnection]] = {}
+        """Idle connections by endpoint, the longest idle first."""
         self.connections: set[EndpointConnection] = set()
         self.dial_tasks: set[asyncio.Task[None]] = set()
         self.addresses: dict[int, Address] = {}
         self.sweeping = False
 
     def set_idle_timeout(self, idle_us: int) -> None:
-        """Targets close idle connections after so long; 0 where that is not known."""
-        self.idle_timeout_us = max(0, (idle_us or 60 * US_PER_SECOND) - IDLE_MARGIN_US)
+        """Set after how long endpoints close idle connections; 0 if not known."""
+        endpoint_timeout_us = idle_us or DEFAULT_IDLE_TIMEOUT_US
+        self.idle_timeout_us = max(0, endpoint_timeout_us - IDLE_MARGIN_US)
 
     def set_endpoints(self, addresses: dict[int, Address]) -> None:
-        """The list changed: what is not in it any more gets no new call, and keeps no
-        idle connection.
+        """Apply a new endpoint list.
+
+        An endpoint that is not at the same address any more gets no new call there, and
+        its idle connections are closed.
         """
-        for target, address in self.addresses.items():
-            if addresses.get(target) != address:
-                self.close_idle(target)
+        for endpoint, address in self.addresses.items():
+            if addresses.get(endpoint) != address:
+                self.close_idle(endpoint)
         self.addresses = addresses
 
     def close_idle(self, target: int) -> None:
+        """Close the idle connections to an endpoint."""
         for connection in self.idle.pop(target, []):
             connection.close()
 
     def close_longest_idle(self) -> bool:
-        """Too many sockets: the connection that has been idle longest goes."""
+        """Make room by closing the connection that has been idle longest, if any is."""
         candidates = [
-            (c.idle_since_us, n, t)
-            for t, cs in self.idle.items()
-            for n, c in enumerate(cs)
+            (connection.idle_since_us, position, endpoint)
+            for endpoint, connections in self.idle.items()
+            for position, connection in enumerate(connections)
         ]
         if not candidates:
             return False
-        _, n, target = min(candidates)
-        self.idle[target].pop(n).close()
+        _, position, endpoint = min(candidates)
+        self.idle[endpoint].pop(position).close()
         return True
 
     def record_staleness(self, age_us: int, stale: bool) -> None:
-        """Whether a kept connection broke at once under its call.
+        """Learn whether a connection that was idle so long was stale.
 
-        Some targets let go of idle ones sooner than the settings say, and tell only who
-        writes to them: it is learned for each age, by powers of two.
+        Some endpoints close idle connections sooner than the settings say, which shows
+        only in a call. A negative age, of a new connection, says nothing.
         """
         if age_us >= 0:
-            share = self.stale_shares[age_us.bit_length()]
-            self.stale_shares[age_us.bit_length()] += STALE_SHARE_WEIGHT * (
-                stale - share
-            )
+            age_class = age_us.bit_length()
+            share = self.stale_shares[age_class]
+            self.stale_shares[age_class] += STALE_SHARE_WEIGHT * (stale - share)
 
     def is_age_trusted(self, age_us: int) -> bool:
-        """Whether a connection idle for so long may be used; one that may not is tried
-        again in a while.
+        """Whether a connection that was idle so long may be used.
+
+        Each refusal lowers the share, so that in the end one is used again.
         """
-        share = self.stale_shares[age_us.bit_length()]
+        age_class = age_us.bit_length()
+        share = self.stale_shares[age_class]
         if share > STALE_SHARE_LIMIT:
-            self.stale_shares[age_us.bit_length()] = share * STALE_SHARE_DECAY
+            self.stale_shares[age_class] = share * STALE_SHARE_DECAY
         return share <= STALE_SHARE_LIMIT
 
     def keep_idle(self, connection: EndpointConnection, target: int) -> None:
+        """Keep a connection without a call for the next one, or close it."""
         idle = self.idle.setdefault(target, [])
-        # A target may have moved during the call: who is at its old address now is
-        # another.
+        # The endpoint may have moved during the call: at its former address may be
+        # another now.
         if (
             self.addresses.get(target) != connection.address
             or self.idle_timeout_us <= 0
@@ -99,9 +112,8 @@
         ):
             connection.close()
             return
-        if (
-            connection.idle_since_us < 0
-        ):  # else it carried no call since: its target has counted on
+        # If it was idle and carried no call since, its endpoint has counted on.
+        if connection.idle_since_us < 0:
             connection.idle_since_us = self.clock()
         idle.append(connection)
         if not self.sweeping:
@@ -109,8 +121,9 @@
             asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
+        """Close what has been idle too long, again while any connection is idle."""
         expired_before = self.clock() - self.idle_timeout_us
-        for target, idle in list(self.idle.items()):
+        for endpoint, idle in list(self.idle.items()):
             for connection in idle:
                 if connection.idle_since_us < expired_before:
                     connection.close()
@@ -120,27 +133,28 @@
                 if c.idle_since_us >= expired_before and not c.is_closing()
             ]
             if kept:
-                self.idle[target] = kept
+                self.idle[endpoint] = kept
             else:
-                del self.idle[target]
+                del self.idle[endpoint]
         self.sweeping = bool(self.idle)
         if self.sweeping:
             asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def on_connection_lost(self, connection: EndpointConnection) -> None:
+        """Forget a connection."""
         self.connections.discard(connection)
-        for held in self.idle.values():
-            if connection in held:
-                held.remove(connection)
+        for idle in self.idle.values():
+            if connection in idle:
+                idle.remove(connection)
 
     def retire(self) -> None:
-        """Only end what is out: no connection is kept any more."""
+        """Keep no connection from now on; calls in flight go on."""
         self.idle_timeout_us = 0
-        for target in list(self.idle):
-            self.close_idle(target)
+        for endpoint in list(self.idle):
+            self.close_idle(endpoint)
 
     def close(self) -> None:
-        """Nothing leaves any more, on whatever connection comes up late."""
+        """Close all connections; nothing is sent on one that comes up late, either."""
         self.addresses = {}
         for dial in list(self.dial_tasks):
             dial.cancel()
--- a/rainfall/forwarder/outbound/responses.py
+++ b/rainfall/forwarder/outbound/responses.py
@@ -1,6 +1,6 @@
-"""What calls' answers say: outcomes, waits, a target's limit.
+"""What responses to calls say: outcomes, Retry-After, an endpoint's load.
 
-Garbage counts as nothing said.
+A malformed header counts as absent.
 """
 
 from __future__ import annotations
@@ -8,111 +8,140 @@
 import json
 import logging
 import re
+from http import HTTPStatus
 
 from rainfall.dispatch import LoadReport, Outcome
-from rainfall.forwarder.http1 import ResponseReader
+from rainfall.forwarder.http1 import MalformedResponseError, ResponseReader
 from rainfall.forwarder.outbound.connection import AttemptResult
 
-MAX_RETRY_AFTER_US = 600_000_000  # a longer wait is not to be believed
+RETRY_AFTER_HEADER = "x-ratelimit-wait-ms"
+OVER_SLOTS_HEADER = "x-over-slots"
+"""Stands beside 503 where the endpoint had no free slot and did not start the call."""
+LOAD_HEADER = "x-backend-load"
+LOAD_FIELDS = ("x0", "x1")
+"""The share of the endpoint's limit that is left, and the limit in calls a second."""
+MAX_RETRY_AFTER_US = 600_000_000
+"""A longer Retry-After is malformed."""
 MAX_LIMIT_PER_S = 1e6
-PLAIN_NUMBER = re.compile(
-    r"[0-9]{1,12}(\.[0-9]{0,12})?", re.ASCII
-)  # float() reads more: nan, inf, 1_0
-SHARED_STATUSES = (429, 500, 503)  # how all messages of a call may fare alike
+"""A higher limit is malformed."""
+HIGHEST_SHARE = 10
+"""A higher share is malformed; one above 1 counts as 1."""
+PLAIN_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?", re.ASCII)
+"""A number as these headers have it: float() also reads nan, inf and 1_0."""
+MALFORMED_NUMBER = -1.0
+SHARED_STATUSES = (
+    HTTPStatus.TOO_MANY_REQUESTS,
+    HTTPStatus.INTERNAL_SERVER_ERROR,
+    HTTPStatus.SERVICE_UNAVAILABLE,
+)
+"""Statuses that hold for all messages of a call."""
+EXPIRED_STATE = "expired"
 OUTCOME_BY_STATE = {
     "accepted": Outcome.DELIVERED,
     "fault": Outcome.FAILED,
     "deferred": Outcome.REJECTED,
-    "expired": Outcome.NOT_SENT,
+    EXPIRED_STATE: Outcome.NOT_SENT,
     "no_more": Outcome.NOT_SENT,
 }
+"""What the state of a message in a batch's response means."""
 log = logging.getLogger("rainfall.client")
 
 
 def parse_number(text: str) -> float:
-    """A number as these headers have it; -1 for anything else."""
-    return float(text) if PLAIN_NUMBER.fullmatch(text := text.strip()) else -1.0
+    """Read a number from a header; MALFORMED_NUMBER for anything else."""
+    stripped = text.strip()
+    return float(stripped) if PLAIN_NUMBER.fullmatch(stripped) else MALFORMED_NUMBER
 
 
 def parse_retry_after_us(reader: ResponseReader) -> int:
-    """The told wait; garbage counts as none told."""
-    wait = -int(
-        -parse_number(reader.headers.get("x-ratelimit-wait-ms", "")) * 1000 // 1
-    )
-    return wait if 0 < wait <= MAX_RETRY_AFTER_US else 0
+    """Return the Retry-After, rounded up to a microsecond; 0 where there is none."""
+    wait_ms = parse_number(reader.headers.get(RETRY_AFTER_HEADER, ""))
+    wait_us = -int(-wait_ms * 1000 // 1)
+    return wait_us if 0 < wait_us <= MAX_RETRY_AFTER_US else 0
 
 
 def parse_single(reader: ResponseReader) -> AttemptResult:
-    """The outcome that a status stands for."""
-    status = reader.status
-    if status == 200:
-        return AttemptResult(Outcome.DELIVERED, final=True)
-    if status == 429:
-        return AttemptResult(
-            Outcome.REJECTED, retry_after_us=parse_retry_after_us(reader)
-        )
-    if status == 503:
-        return AttemptResult(
-            Outcome.NOT_SENT if "x-over-slots" in reader.headers else Outcome.REJECTED
-        )
-    if status in (410, 504):
-        return AttemptResult(Outcome.NOT_SENT, final=status == 410)
-    if status != 500:
-        log.warning("a target answered %d", status)
+    """Return what a response's status says of the one message of a call."""
+    match reader.status:
+        case HTTPStatus.OK:
+            return AttemptResult(Outcome.DELIVERED, final=True)
+        case HTTPStatus.TOO_MANY_REQUESTS:
+            return AttemptResult(
+                Outcome.REJECTED, retry_after_us=parse_retry_after_us(reader)
+            )
+        case HTTPStatus.SERVICE_UNAVAILABLE:
+            if OVER_SLOTS_HEADER in reader.headers:
+                return AttemptResult(Outcome.NOT_SENT)
+            return AttemptResult(Outcome.REJECTED)
+        case HTTPStatus.GONE:
+            return AttemptResult(Outcome.NOT_SENT, final=True)
+        case HTTPStatus.GATEWAY_TIMEOUT:
+            return AttemptResult(Outcome.NOT_SENT)
+    if reader.status != HTTPStatus.INTERNAL_SERVER_ERROR:
+        log.warning("a target answered %d", reader.status)
     return AttemptResult(Outcome.FAILED)
 
 
 def parse_shared(reader: ResponseReader) -> AttemptResult:
-    """The outcome that a status other than 200 stands for where a call has several
-    messages. That one is over, or has had all its attempts, can only be told of each:
-    what says so of all may have run.
+    """Return what a status other than 200 says of all messages of a batch call.
+
+    That a message is over, or has had all its attempts, can only be said of each: a
+    response that says so of all may mean that they were executed.
     """
-    return (
-        parse_single(reader)
-        if reader.status in SHARED_STATUSES
-        else AttemptResult(Outcome.FAILED)
-    )
+    if reader.status in SHARED_STATUSES:
+        return parse_single(reader)
+    return AttemptResult(Outcome.FAILED)
 
 
 def parse_batch(reader: ResponseReader) -> dict[str, AttemptResult]:
-    """The ends of a batch call's messages, by id; those not named failed.
+    """Return the results of a batch call's messages by id; those not named failed.
 
-    Raises ValueError, TypeError, KeyError or RecursionError where its body cannot be
-    read.
+    Raises:
+        MalformedResponseError: The body cannot be read, or names a message twice.
     """
-    retry_after_us, results = parse_retry_after_us(reader), {}
-    for name, state in [(e["id"], e["state"]) for e in json.loads(reader.body)]:
-        if name in results:
-            raise ValueError(
-                "a message named twice"
-            )  # it may have run, whichever of the two holds
-        outcome = (
-            OUTCOME_BY_STATE.get(state, Outcome.FAILED)
-            if isinstance(state, str)
-            else Outcome.FAILED
-        )
-        results[name] = AttemptResult(
-            outcome,
-            state == "expired",
-            retry_after_us if outcome is Outcome.REJECTED else 0,
-        )
+    retry_after_us = parse_retry_after_us(reader)
+    try:
+        states = [(item["id"], item["state"]) for item in json.loads(reader.body)]
+        results: dict[str, AttemptResult] = {}
+        for message_id, state in states:
+            if message_id in results:
+                # It may have been executed, whichever of the two states holds.
+                raise MalformedResponseError("a message named twice")
+            results[message_id] = _result_of_state(state, retry_after_us)
+    # The recursion limit ends the reading of objects nested without end.
+    except (ValueError, TypeError, KeyError, RecursionError) as error:
+        raise MalformedResponseError(str(error)) from error
     return results
 
 
+def _result_of_state(state: object, retry_after_us: int) -> AttemptResult:
+    outcome = Outcome.FAILED
+    if isinstance(state, str):
+        outcome = OUTCOME_BY_STATE.get(state, Outcome.FAILED)
+    return AttemptResult(
+        outcome,
+        final=state == EXPIRED_STATE,
+        retry_after_us=retry_after_us if outcome is Outcome.REJECTED else 0,
+    )
+
+
 def parse_load_report(
     reader: ResponseReader, fields: tuple[str, ...]
 ) -> LoadReport | None:
-    """What the target told of its limit; garbage counts as nothing told."""
-    text = reader.headers.get("x-backend-load")
-    if not text or "x0" not in fields or "x1" not in fields:
+    """Return the endpoint's load report, or None where there is no valid one.
+
+    Args:
+        reader: Holds the complete response.
+        fields: Names of the fields that endpoints report.
+    """
+    text = reader.headers.get(LOAD_HEADER)
+    if not text or any(name not in fields for name in LOAD_FIELDS):
         return None
-    values = {
-        k.strip(): parse_number(v)
-        for k, _, v in (part.partition("=") for part in text.split(","))
-    }
-    left, limit = values.get("x0", -1.0), values.get("x1", -1.0)
-    return (
-        LoadReport(min(1.0, left), limit)
-        if 0 <= left <= 10 and 0 <= limit <= MAX_LIMIT_PER_S
-        else None
+    pairs = (part.partition("=") for part in text.split(","))
+    values = {name.strip(): parse_number(value) for name, _, value in pairs}
+    remaining_share, limit_per_s = (
+        values.get(name, MALFORMED_NUMBER) for name in LOAD_FIELDS
     )
+    if 0 <= remaining_share <= HIGHEST_SHARE and 0 <= limit_per_s <= MAX_LIMIT_PER_S:
+        return LoadReport(min(1.0, remaining_share), limit_per_s)
+    return None
