--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -64,7 +64,7 @@
     "forwarder.engine.engine_state.MAX_DESTINATIONS",
     "forwarder.engine.engine_state.MAX_REMOVED_ENDPOINTS",
     "forwarder.engine.engine_state.MAX_RECENTLY_FINISHED",
-    "forwarder.discovery.endpoint_watch.MAX_NOTIFICATIONS_PER_POST",
+    "forwarder.discovery.notifications.MAX_NOTIFICATIONS_PER_POST",
     "forwarder.fleet.quotas.MAX_SPENT_ENTRIES",
     "forwarder.config.fleet_config.MAX_PEERS",
     "forwarder.config.validation.MAX_REPORTED",
