--- a/rainfall/forwarder/config/address.py
+++ b/rainfall/forwarder/config/address.py
@@ -1,4 +1,4 @@
-"""Addresses as they stand in configurations and lists: `HOST:PORT`."""
+"""Addresses as they stand in configurations and endpoint lists: `HOST:PORT`."""
 
 from __future__ import annotations
 
@@ -7,6 +7,9 @@
 
 from rainfall.wirehost import MalformedInputError
 
+PORT_LIMIT = 1 << 16
+"""Ports are below this."""
+
 
 @dataclass(frozen=True, slots=True)
 class Address:
@@ -20,8 +23,12 @@
 
 
 def parse_address(text: Any) -> Address:
-    """The address that `text` says. Raises Malformed."""
+    """Read an address.
+
+    Raises:
+        MalformedInputError: The text is no address.
+    """
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
         raise MalformedInputError(f"not an address: {text!r}")
     return Address(host, int(port))
--- a/rainfall/forwarder/config/fleet_config.py
+++ b/rainfall/forwarder/config/fleet_config.py
@@ -1,6 +1,6 @@
-"""The `fleet` object of a configuration: checked whole, every fault with its path.
+"""The `fleet` object of a configuration: checked completely, each fault with its path.
 
-Imported only where a configuration names it, as it brings msgspec with it.
+It is imported only where a configuration has that object, as it imports msgspec.
 """
 
 from __future__ import annotations
@@ -14,17 +14,21 @@
 
 from rainfall.budget.config import MAX_BUDGETS
 from rainfall.forwarder.config.address import Address, parse_address
-from rainfall.forwarder.config.errors import FleetConfigError
+from rainfall.forwarder.config.errors import ConfigFault, FleetConfigError
 from rainfall.wirehost import MalformedInputError
 
-MAX_PEERS = 10_000  # a fleet of 540 forwarders and room to grow; 150 bytes each
+MAX_PEERS = 10_000
+"""The largest fleet has 540 forwarders, and may grow; each takes 150 bytes."""
+MS_TO_US = 1000
 RESTART_FIELDS = ("name", "site", "drift", "listen", "peers")
-"""What only a start can change."""
+"""Fields that only a restart changes."""
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Calls = Annotated[int, Meta(ge=0, le=1 << 40)]
 
 
 class RawBudget(Struct):
+    """An element of `budgets` as it stands in the file."""
+
     destination: Annotated[int, Meta(ge=0, lt=1 << 31)]
     span_ms: Annotated[int, Meta(ge=1, le=86_400_000)]
     calls: Annotated[int, Meta(ge=1, le=1 << 40)]
@@ -33,6 +37,8 @@
 
 
 class RawFleet(Struct):
+    """The object as it stands in the file."""
+
     service: str
     site: Name
     name: Name = "-"
@@ -45,37 +51,40 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetReserve:
-    """What this forwarder may send of a destination's whole while it has not been told
-    of a share.
-    """
+    """What this forwarder may send to a destination before it is granted a share."""
 
     destination: int
     reserve: int
+    """Calls of this forwarder in each span."""
     span_us: int
     calls: int
-    """The whole."""
+    """Calls of the whole fleet in each span."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
+    """How this forwarder is a member of a fleet."""
+
     service: Address
     """The list service's fleet address."""
     name: str
     site: str
     lease_us: int
-    """Assumed until the service tells its own."""
+    """Length of a lease, until the service grants one of its own length."""
     drift: float
+    """Relative rate by which two clocks may differ."""
     listen: Address | None
     peers: tuple[tuple[str, Address], ...]
     budgets: tuple[BudgetReserve, ...]
 
 
 def parse_fleet(raw: Any, name: str) -> FleetConfig:
-    """The object that stands at `fleet`, of the forwarder `name`.
+    """Read the `fleet` object of the forwarder `name`.
 
-    Raises FleetConfigError with all faults.
+    Raises:
+        FleetConfigError: It is invalid; all its faults are named.
     """
-    faults: list[tuple[str, str]] = []
+    faults: list[ConfigFault] = []
     document = _convert_struct(raw, RawFleet, "fleet", faults)
     budgets = [
         _convert_struct(entry, RawBudget, f"fleet.budgets[{n}]", faults)
@@ -87,93 +96,114 @@
         if document.get(key)
     }
     if "service" in document and not document["service"]:
-        faults.append(("fleet.service", "not an address: ''"))
+        faults.append(ConfigFault("fleet.service", "not an address: ''"))
     peers = tuple(
         (peer, _parse_address(dial, f"fleet.peers.{peer}", faults))
         for peer, dial in sorted(document.get("peers", {}).items())
     )
-    found: dict[int, BudgetReserve] = {}
-    for n, b in enumerate(budgets):
-        if len(b) < len(RawBudget.__struct_fields__):
-            continue  # a part of it is at fault already
-        where = f"fleet.budgets[{n}]"
-        if b["destination"] in found:
+    reserves = _read_reserves(budgets, faults)
+    if faults:
+        raise FleetConfigError(faults)
+    return FleetConfig(
+        service=addresses["service"],
+        name=document["name"] if "name" in raw else name,
+        site=document["site"],
+        lease_us=document["lease_ms"] * MS_TO_US,
+        drift=document["drift"],
+        listen=addresses.get("listen"),
+        peers=peers,
+        budgets=reserves,
+    )
+
+
+def _read_reserves(
+    budgets: list[dict[str, Any]], faults: list[ConfigFault]
+) -> tuple[BudgetReserve, ...]:
+    """Check budgets against each other; one with a fault already is left out."""
+    reserves: dict[int, BudgetReserve] = {}
+    for n, budget in enumerate(budgets):
+        if len(budget) < len(RawBudget.__struct_fields__):
+            continue
+        path = f"fleet.budgets[{n}]"
+        destination = budget["destination"]
+        if destination in reserves:
             faults.append(
-                (f"{where}.destination", f"{b['destination']} has a budget already")
+                ConfigFault(
+                    f"{path}.destination", f"{destination} has a budget already"
+                )
             )
-        if b["reserve"] * b["members"] > b["calls"]:
+        reserved = budget["reserve"] * budget["members"]
+        if reserved > budget["calls"]:
             faults.append(
-                (
-                    f"{where}.reserve",
-                    f"{b['reserve']} for each of {b['members']} members are "
-                    f"{b['reserve'] * b['members']}, more than the whole of {b['calls']}",
+                ConfigFault(
+                    f"{path}.reserve",
+                    f"{budget['reserve']} for each of {budget['members']} members are "
+                    f"{reserved}, more than the whole of {budget['calls']}",
                 )
             )
-        found[b["destination"]] = BudgetReserve(
-            b["destination"], b["reserve"], b["span_ms"] * 1000, b["calls"]
+        reserves[destination] = BudgetReserve(
+            destination,
+            budget["reserve"],
+            budget["span_ms"] * MS_TO_US,
+            budget["calls"],
         )
-    if faults:
-        raise FleetConfigError(faults)
-    return FleetConfig(
-        addresses["service"],
-        document["name"] if "name" in raw else name,
-        document["site"],
-        document["lease_ms"] * 1000,
-        document["drift"],
-        addresses.get("listen"),
-        peers,
-        tuple(found.values()),
-    )
+    return tuple(reserves.values())
 
 
 def _convert_struct(
-    raw: Any, kind: type[Struct], path: str, faults: list[tuple[str, str]]
+    raw: Any, kind: type[Struct], path: str, faults: list[ConfigFault]
 ) -> dict[str, Any]:
-    """The fields that convert, defaults in place of missing ones. msgspec stops at a
-    fault, so where there is one they are taken one by one.
+    """Return the fields that can be converted, with defaults for missing ones.
+
+    msgspec stops at the first fault, so where there is one, fields are converted one by
+    one.
     """
     if not isinstance(raw, dict):
-        faults.append((path, "not an object"))
+        faults.append(ConfigFault(path, "not an object"))
         return {}
     with suppress(ValidationError):
         return structs.asdict(msgspec.convert(raw, kind))
     converted: dict[str, Any] = {}
     for field in structs.fields(kind):
-        where = f"{path}.{field.name}"
+        field_path = f"{path}.{field.name}"
         if field.name in raw:
             try:
                 converted[field.name] = msgspec.convert(raw[field.name], field.type)
             except ValidationError as error:
-                text, _, inner = str(error).partition(" - at `$")
-                faults.append((where + inner.rstrip("`"), text))
+                text, _, inner_path = str(error).partition(" - at `$")
+                faults.append(ConfigFault(field_path + inner_path.rstrip("`"), text))
         elif field.required:
-            faults.append((where, "missing"))
+            faults.append(ConfigFault(field_path, "missing"))
         else:
-            converted[field.name] = (
-                field.default
-                if field.default is not msgspec.NODEFAULT
-                else (field.default_factory())
-            )
+            converted[field.name] = _default_of(field)
     return converted
 
 
-def _parse_address(text: Any, path: str, faults: list[tuple[str, str]]) -> Address:
+def _default_of(field: structs.FieldInfo) -> Any:
+    if field.default is not msgspec.NODEFAULT:
+        return field.default
+    return field.default_factory()
+
+
+def _parse_address(text: Any, path: str, faults: list[ConfigFault]) -> Address:
+    """Read an address, or note a fault and return an address that is never used."""
     try:
         return parse_address(text)
     except (MalformedInputError, ValueError) as error:
-        faults.append((path, str(error)))
+        faults.append(ConfigFault(path, str(error)))
         return Address("", 0)
 
 
 def merge_fleet_config(
     old: FleetConfig, new: FleetConfig
 ) -> tuple[FleetConfig, list[str]]:
-    """What of a new one can be in force now, and the paths of what waits for a start."""
-    return (
-        replace(old, service=new.service, lease_us=new.lease_us, budgets=new.budgets),
-        [
-            f"fleet.{name}"
-            for name in RESTART_FIELDS
-            if getattr(old, name) != getattr(new, name)
-        ],
+    """Return what can be active now of a new one, and the paths that need a restart."""
+    merged = replace(
+        old, service=new.service, lease_us=new.lease_us, budgets=new.budgets
     )
+    needs_restart = [
+        f"fleet.{name}"
+        for name in RESTART_FIELDS
+        if getattr(old, name) != getattr(new, name)
+    ]
+    return merged, needs_restart
--- a/rainfall/forwarder/config/validation.py
+++ b/rainfall/forwarder/config/validation.py
@@ -1,5 +1,7 @@
-"""Configurations looked at whole before anything is touched: every fault with its path,
-what would change, and what waits for a start. See docs/parts.md.
+"""Validation of a configuration before anything of it is applied.
+
+It names every fault with its path, what would change, and what needs a restart. See
+docs/parts.md.
 """
 
 from __future__ import annotations
@@ -13,7 +15,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from rainfall.forwarder.config.errors import ConfigError, FleetConfigError
+from rainfall.forwarder.config.errors import (
+    ConfigError,
+    ConfigFault,
+    FleetConfigError,
+)
 from rainfall.forwarder.config.loading import (
     OPTIONAL_KEYS,
     Config,
@@ -26,14 +32,17 @@
     from rainfall.forwarder.config.fleet_config import FleetConfig
 
 PER_FORWARDER_KEYS = ("name", "listen", "admin_addr", "known", "seed")
-"""What each forwarder has its own of."""
+"""Keys that differ from forwarder to forwarder."""
 PER_FORWARDER_FLEET_KEYS = ("name", "site", "listen", "peers")
-"""And within `fleet`."""
-MAX_REPORTED = 1_024  # faults, warnings and changes that are named; 100 bytes each
+"""Such keys within `fleet`."""
+MAX_REPORTED = 1_024
+"""Faults, warnings and changes that are named, each; about 100 bytes apiece."""
 MAX_DEPTH = 60
+"""Objects within each other that are looked at."""
 RESTART_FIELDS = ("name", "listen", "state", "admin", "power", "log_json")
-"""What only a start can change, by the field of Config."""
+"""Fields of Config that only a restart changes."""
 KEY_BY_FIELD = {"admin": "admin_addr", "power": "durability", "log_json": "log_format"}
+"""Keys of the file, for the fields of Config that have another name."""
 KNOWN_KEYS = {
     "": {
         "name",
@@ -73,6 +82,7 @@
     },
     "settings.orgs[]": {"name", "allowance_per_s", "fraction"},
 }
+"""Keys by the path of their object: any other one there gets a warning."""
 POSITIVE_KEYS = {
     "settings.services[].aim_us",
     "settings.services[].deadline_us",
@@ -85,34 +95,45 @@
     "limits.disk_mb",
     "limits.cores",
 }
+"""Paths of numbers that must be above 0."""
 
 
 @dataclass(slots=True)
 class ValidationReport:
-    """What an apply of it would find."""
+    """What is wrong with a configuration, and what it would change."""
 
     parse_error: str = ""
+    """Why it cannot be read at all; empty if it can."""
     faults: list[dict[str, str]] = field(default_factory=list)
+    """As operators get them, with the keys `path` and `fault`."""
     warnings: list[str] = field(default_factory=list)
     changes: list[str] = field(default_factory=list)
     needs_restart: list[str] = field(default_factory=list)
+    """Keys whose change needs a restart."""
     config: Config | None = None
+    """The configuration itself, if it is valid."""
     faults_by_path: dict[str, set[str]] = field(default_factory=dict, repr=False)
-    """What each path that is at fault was told of it."""
+    """Texts of the faults by path."""
 
     def add_fault(self, path: str, text: str) -> None:
+        """Add a fault, unless it is known or too many are."""
         known = self.faults_by_path.setdefault(path, set())
         if len(self.faults) < MAX_REPORTED and text not in known:
             known.add(text)
-            self.faults.append({"path": path, "fault": text})
+            self.faults.append(_fault_to_json(ConfigFault(path, text)))
 
     @property
     def valid(self) -> bool:
+        """Whether the configuration can be applied."""
         return not self.parse_error and not self.faults
 
     def to_json(self) -> dict[str, Any]:
+        """Return the report as operators get it."""
         if self.parse_error:
-            return {"valid": False, "faults": [{"path": "", "fault": self.parse_error}]}
+            return {
+                "valid": False,
+                "faults": [_fault_to_json(ConfigFault("", self.parse_error))],
+            }
         return {
             "valid": self.valid,
             "faults": self.faults,
@@ -122,16 +143,25 @@
         }
 
 
+def _fault_to_json(fault: ConfigFault) -> dict[str, str]:
+    return {"path": fault.path, "fault": fault.text}
+
+
 class NonFiniteConstant:
-    """NaN, Infinity: JSON has none of them, Python's reader takes them."""
+    """Stands for NaN or Infinity, which Python's reader accepts though JSON has none."""
 
 
 class JsonObject(dict[str, Any]):
-    """An object, and which of its keys came twice."""
+    """A JSON object that knows which of its keys came twice."""
 
     duplicate_keys: tuple[str, ...] = ()
 
 
+def _to_non_finite(name: str) -> NonFiniteConstant:
+    del name
+    return NonFiniteConstant()
+
+
 def _to_json_object(pairs: list[tuple[str, Any]]) -> JsonObject:
     json_object = JsonObject(pairs)
     if len(json_object) < len(pairs):
@@ -143,7 +173,10 @@
 
 
 def config_digest(raw: Mapping[str, Any]) -> str:
-    """The same for all forwarders that run the same, however their files are written."""
+    """Return a digest that is equal for forwarders that run the same configuration.
+
+    It does not depend on how the file is written.
+    """
     shared = {key: value for key, value in raw.items() if key not in PER_FORWARDER_KEYS}
     if isinstance(shared.get("fleet"), Mapping):
         shared["fleet"] = {
@@ -157,14 +190,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveConfig:
-    """What is in force, and how that came."""
+    """Which configuration is active, and since when."""
 
     digest: str
     origin: str
+    """How it became active."""
     since_s: float
+    """Unix time."""
 
     def to_json(self) -> dict[str, str]:
-        from datetime import UTC, datetime  # only who asks pays for it
+        """Return the report as operators get it."""
+        # Imported here, as few processes are ever asked.
+        from datetime import UTC, datetime
 
         since = datetime.fromtimestamp(self.since_s, UTC).isoformat(
             timespec="milliseconds"
@@ -175,54 +212,67 @@
 def validate_replacement(
     text: bytes, old: Config, environ: Mapping[str, str] = os.environ
 ) -> ValidationReport:
-    """Look at a whole configuration that is to replace the one in force. No effect."""
-    verdict = ValidationReport()
+    """Validate the text of a file that is to replace the active configuration."""
+    report = ValidationReport()
     try:
         document = json.loads(
-            text,
-            object_pairs_hook=_to_json_object,
-            parse_constant=lambda name: NonFiniteConstant(),
+            text, object_pairs_hook=_to_json_object, parse_constant=_to_non_finite
         )
     except (ValueError, RecursionError) as error:
-        what = "empty" if not text.strip() else " ".join(str(error).split())
-        verdict.parse_error = f"not JSON: {what}"
-        return verdict
+        reason = "empty" if not text.strip() else " ".join(str(error).split())
+        report.parse_error = f"not JSON: {reason}"
+        return report
     if not isinstance(document, Mapping):
-        verdict.parse_error = "not a JSON object"
-        return verdict
+        report.parse_error = "not a JSON object"
+        return report
     for path, value in walk_values(document):
-        _check_value(verdict, path, value)
-    _compare(verdict, "", *without_toggled_fleet(old.raw, {**document, "known": None}))
+        _check_value(report, path, value)
+    _compare(report, "", *without_toggled_fleet(old.raw, {**document, "known": None}))
+    _check_fleet(report, document, old)
+    # The reader itself decides in the end.
+    if not report.faults:
+        try:
+            report.config = parse_config(document, environ)
+        except ConfigError as error:
+            report.add_fault("", str(error))
+    if report.config is not None:
+        _note_restart(report, old, report.config)
+    return report
+
+
+def _check_fleet(
+    report: ValidationReport, document: Mapping[str, Any], old: Config
+) -> None:
+    """Add the faults of `fleet`, except at paths that have one already."""
     try:
         parse_fleet_section(document.get("fleet"), old.name)
     except FleetConfigError as error:
-        for where, what in error.faults:
-            if where not in verdict.faults_by_path:
-                verdict.add_fault(where, what)
+        for fault in error.faults:
+            if fault.path not in report.faults_by_path:
+                report.add_fault(fault.path, fault.text)
     except ConfigError as error:
-        verdict.add_fault("fleet", str(error))
-    if not verdict.faults:  # the reader itself has the last word
-        try:
-            verdict.config = parse_config(document, environ)
-        except ConfigError as error:
-            verdict.add_fault("", str(error))
-    if verdict.config is not None:
-        verdict.needs_restart = [
-            KEY_BY_FIELD.get(f, f)
-            for f in RESTART_FIELDS
-            if getattr(verdict.config, f) != getattr(old, f)
-        ]
-        _, waits = merge_fleet(old.fleet, verdict.config.fleet)
-        verdict.needs_restart += waits
-        verdict.changes += ["fleet"] if waits == ["fleet"] else []
-    return verdict
+        report.add_fault("fleet", str(error))
+
+
+def _note_restart(report: ValidationReport, old: Config, new: Config) -> None:
+    """Note what the new configuration changes only at a restart."""
+    report.needs_restart = [
+        KEY_BY_FIELD.get(name, name)
+        for name in RESTART_FIELDS
+        if getattr(new, name) != getattr(old, name)
+    ]
+    _, fleet_paths = merge_fleet(old.fleet, new.fleet)
+    report.needs_restart += fleet_paths
+    if fleet_paths == ["fleet"]:
+        report.changes.append("fleet")
 
 
 def merge_fleet(
     active: FleetConfig | None, new: FleetConfig | None
 ) -> tuple[FleetConfig | None, list[str]]:
-    """What of a new `fleet` can be in force now, and the paths of what waits for a
-    start: all of it where it is turned on or off.
+    """Return what can be active now of a new `fleet`, and the paths that need a restart.
+
+    Where it is added or removed, that is all of it.
     """
     if active is None or new is None:
         return active, [] if active is new else ["fleet"]
@@ -234,7 +284,7 @@
 def walk_values(
     value: Any, path: str = "", depth: int = 0
 ) -> Iterator[tuple[str, Any]]:
-    """Each value with its path, outer ones first."""
+    """Yield each value with its path, outer ones first."""
     yield path, value
     if depth > MAX_DEPTH:
         return
@@ -247,105 +297,121 @@
 
 
 def generalize_path(path: str) -> str:
-    """The path with the places in lists left out."""
+    """Return a path without the places in lists."""
     return re.sub(r"\[[0-9]+\]", "[]", path)
 
 
-def _check_value(verdict: ValidationReport, path: str, value: Any) -> None:
+def _join(path: str, key: str) -> str:
+    return f"{path}.{key}".lstrip(".")
+
+
+def _check_value(report: ValidationReport, path: str, value: Any) -> None:
+    """Check one value by itself."""
     if isinstance(value, JsonObject):
         for name in value.duplicate_keys:
-            verdict.add_fault(
-                f"{path}.{name}".lstrip("."), "the key stands there twice"
-            )
+            report.add_fault(_join(path, name), "the key stands there twice")
         known = KNOWN_KEYS.get(generalize_path(path))
         if known is not None:
-            verdict.warnings += [
-                f"{path}.{name}".lstrip(".") + ": not known to this version"
+            report.warnings += [
+                _join(path, name) + ": not known to this version"
                 for name in value
                 if name not in known
             ]
     elif isinstance(value, NonFiniteConstant) or (
         isinstance(value, float) and not math.isfinite(value)
     ):
-        verdict.add_fault(path, "not a finite number")
+        report.add_fault(path, "not a finite number")
     elif (
         generalize_path(path) in POSITIVE_KEYS
         and _json_kind(value) == "a number"
         and value <= 0
     ):
-        verdict.add_fault(path, "not over 0")
+        report.add_fault(path, "not over 0")
 
 
 def _json_kind(value: Any) -> str:
-    if isinstance(value, bool):
-        return "true or false"
-    if isinstance(value, int | float):
-        return "a number"
-    if isinstance(value, str):
-        return "a string"
-    return (
-        "an object"
-        if isinstance(value, Mapping)
-        else "a list"
-        if isinstance(value, list)
-        else "null"
+    kinds: tuple[tuple[Any, str], ...] = (
+        (bool, "true or false"),
+        (int | float, "a number"),
+        (str, "a string"),
+        (Mapping, "an object"),
+        (list, "a list"),
     )
+    for type_, kind in kinds:
+        if isinstance(value, type_):
+            return kind
+    return "null"
+
 
+def _compare(report: ValidationReport, path: str, old: Any, new: Any) -> None:
+    """Note how a value differs from the active one.
 
-def _compare(verdict: ValidationReport, path: str, old: Any, new: Any) -> None:
-    """Missing keys and other types are faults, as at SIGHUP; other values are changes."""
-    if old is None or isinstance(new, NonFiniteConstant):
-        if old is None and new is not None:
-            verdict.changes.append(path)
+    Missing keys and other types are faults, as at SIGHUP; other values are changes.
+    """
+    if old is None:
+        if new is not None:
+            report.changes.append(path)
+    elif isinstance(new, NonFiniteConstant):
         return
-    if _json_kind(old) != _json_kind(new):
-        verdict.add_fault(path, f"{_json_kind(new)} in place of {_json_kind(old)}")
+    elif _json_kind(old) != _json_kind(new):
+        report.add_fault(path, f"{_json_kind(new)} in place of {_json_kind(old)}")
     elif isinstance(old, Mapping):
-        for key in [*old, *(k for k in new if k not in old)]:
-            where = f"{path}.{key}".lstrip(".")
-            if key not in new:
-                if generalize_path(where) in OPTIONAL_KEYS:
-                    verdict.changes.append(where)
-                else:
-                    verdict.add_fault(where, "missing")
-            elif key in old:
-                _compare(verdict, where, old[key], new[key])
-            else:
-                verdict.changes.append(where)
-    elif (
-        isinstance(old, list)
-        and old
-        and all(isinstance(e, Mapping) and "name" in e for e in old)
-    ):
-        _compare_named(verdict, path, old, new)
+        _compare_objects(report, path, old, new)
+    elif _is_named_list(old):
+        _compare_named(report, path, old, new)
     elif old != new:
-        verdict.changes.append(path)
+        report.changes.append(path)
+
+
+def _is_named_list(value: Any) -> bool:
+    """Whether a value is a list of objects that have names."""
+    return (
+        isinstance(value, list)
+        and bool(value)
+        and all(isinstance(entry, Mapping) and "name" in entry for entry in value)
+    )
+
+
+def _compare_objects(
+    report: ValidationReport, path: str, old: Mapping[str, Any], new: Mapping[str, Any]
+) -> None:
+    for key in [*old, *(key for key in new if key not in old)]:
+        key_path = _join(path, key)
+        if key not in new:
+            if generalize_path(key_path) in OPTIONAL_KEYS:
+                report.changes.append(key_path)
+            else:
+                report.add_fault(key_path, "missing")
+        elif key in old:
+            _compare(report, key_path, old[key], new[key])
+        else:
+            report.changes.append(key_path)
 
 
 def _compare_named(
-    verdict: ValidationReport, path: str, old: list[Any], new: list[Any]
+    report: ValidationReport, path: str, old: list[Any], new: list[Any]
 ) -> None:
-    """Entries go by name; each needs the keys that all of those in force share."""
-    shared = set.intersection(*(set(e) for e in old))
-    before = {e["name"]: e for e in old}
+    """Compare entries by name; each needs the keys that all active ones share."""
+    shared = set.intersection(*(set(entry) for entry in old))
+    old_by_name = {entry["name"]: entry for entry in old}
     names: list[Any] = []
     for n, entry in enumerate(new):
-        where = f"{path}[{n}]"
+        entry_path = f"{path}[{n}]"
         if not isinstance(entry, Mapping):
-            verdict.add_fault(where, f"{_json_kind(entry)} in place of an object")
+            report.add_fault(entry_path, f"{_json_kind(entry)} in place of an object")
             continue
         for key in sorted(shared - set(entry)):
-            if generalize_path(f"{where}.{key}") not in OPTIONAL_KEYS:
-                verdict.add_fault(f"{where}.{key}", "missing")
+            if generalize_path(f"{entry_path}.{key}") not in OPTIONAL_KEYS:
+                report.add_fault(f"{entry_path}.{key}", "missing")
         name = entry.get("name")
         if name in names:
-            verdict.add_fault(f"{where}.name", f"{name!r} stands there twice")
+            report.add_fault(f"{entry_path}.name", f"{name!r} stands there twice")
         names.append(name)
-        was = before.get(name) if isinstance(name, str) else None
-        if was is None:
-            verdict.changes.append(f"{where}: new, {name}")
-        elif was != entry:
-            verdict.changes.append(f"{where}: {name}")
-    verdict.changes += [
-        f"{path}: {name} dropped" for name in before if name not in names
+        old_entry = old_by_name.get(name) if isinstance(name, str) else None
+        if old_entry is None:
+            report.changes.append(f"{entry_path}: new, {name}")
+        elif old_entry != entry:
+            report.changes.append(f"{entry_path}: {name}")
+    report.changes += [
+        f"{path}: {name} dropped" for name in old_by_name if name not in names
     ]
