--- a/rainfall/forwarder/admin/__init__.py
+++ b/rainfall/forwarder/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: figures, maintenance of endpoints, checks of configurations."""
+"""The operators' address: metrics, attachment of endpoints, checks of configurations."""
--- a/rainfall/forwarder/admin/admin_server.py
+++ b/rainfall/forwarder/admin/admin_server.py
@@ -1,7 +1,7 @@
-"""The operators' address: readiness, the figures, and endpoints taken out and put back.
+"""The operators' address: readiness, metrics, configuration, endpoints' attachment.
 
-One call to a connection; it holds few descriptors, and those of its own, so that no
-load of clients delays an answer.
+Each connection takes one request. The server holds few descriptors, and those of its
+own, so that no load of clients delays an answer.
 """
 
 from __future__ import annotations
@@ -9,87 +9,99 @@
 import asyncio
 import json
 import logging
-from collections import Counter
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from collections.abc import Callable
 from http import HTTPStatus
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 
 import httptools
 
+from rainfall.forwarder.admin.metrics import Metrics
 from rainfall.forwarder.config.address import Address
 from rainfall.forwarder.inbound.server import bind_listener
 
-MAX_CONNECTIONS = 16  # connections at a time
-ACCEPT_BATCH = (
-    2  # taken in one turn of the loop: some turns pass until room is made for them
-)
+__all__ = ["AdminConnection", "AdminResponder", "AdminServer", "Metrics"]
+MAX_CONNECTIONS = 16
+"""Connections at a time."""
+ACCEPT_BATCH = 2
+"""Connections accepted in one turn of the event loop: it takes some turns until room is
+made for them.
+"""
 MAX_HEADER_BYTES = 8 * 1024
 MAX_BODY_BYTES = 1024
-MAX_CONFIG_BYTES = 1 << 20  # a whole configuration
-REQUEST_TIMEOUT_S = 2.0  # a call that is not whole after this is answered 408
-# after an answer to what was not read to its end, so that the caller can read it
+MAX_CONFIG_BYTES = 1 << 20
+"""Bytes of a complete configuration."""
+DISCARDED_INPUT_FACTOR = 8
+"""Input behind a request that is answered is discarded, up to so many times the largest
+request.
+"""
+REQUEST_TIMEOUT_S = 2.0
+"""A request that is incomplete after this is answered 408."""
 LINGER_S = 0.5
+"""A connection is closed so long after the answer to an incomplete request, so that the
+caller can read it.
+"""
 BACKLOG = 64
+CONFIG_PATH_PREFIX = "/_config/"
+"""Requests to these paths may have a configuration as their body."""
 AdminResponder = Callable[[HTTPStatus, str], None]
+"""Writes the answer to a request."""
+AdminHandler = Callable[[bytes, AdminResponder], None]
+"""Handles a request's body."""
 log = logging.getLogger("rainfall.admin")
 
-
-@dataclass
-class Metrics:
-    """What became of messages, counted once, where each ends.
-
-    A class once seen keeps its count.
-    """
-
-    fulfilled: Counter[str] = field(default_factory=Counter)
-    throttled: Counter[str] = field(default_factory=Counter)
-    faulted: Counter[str] = field(default_factory=Counter)
-    messages_accepted: int = 0
-    """Messages taken on; those ended and those open are as many."""
-    messages_finished: int = 0
-    configs_accepted: int = 0
-    configs_rejected: int = 0
-
-    def add_classes(self, classes: Iterable[str]) -> None:
-        """Every class stands there from 0."""
-        for name in classes:
-            for counts in (self.fulfilled, self.throttled, self.faulted):
-                counts.setdefault(name, 0)
-
-    def record_finished(self, counts: Counter[str], name: str) -> None:
-        """A message that was taken on has its end."""
-        counts[name] += 1
-        self.messages_finished += 1
-
-
 if TYPE_CHECKING:
 
     class EngineOperations(Protocol):
-        """What the operators' calls ask of."""
+        """What operators' requests need of the engine."""
 
-        def is_ready(self) -> bool: ...
+        def is_ready(self) -> bool:
+            """Whether the forwarder accepts messages."""
 
-        def metrics_report(self) -> dict[str, Any]: ...
+        def metrics_report(self) -> dict[str, Any]:
+            """Return all metrics."""
 
         def set_detached(
             self, name: str, detached: bool, answer: AdminResponder
-        ) -> None: ...
+        ) -> None:
+            """Disable or enable an endpoint."""
+
+        def check_config(self, text: bytes, answer: AdminResponder) -> None:
+            """Validate a configuration without applying it."""
 
-        def check_config(self, text: bytes, answer: AdminResponder) -> None: ...
+        def active_config_report(self) -> dict[str, str]:
+            """Return which configuration is active."""
 
-        def active_config_report(self) -> dict[str, str]: ...
+
+class Route(NamedTuple):
+    """How a path is requested and handled."""
+
+    method: str
+    handler: AdminHandler
 
 
 class AdminServer:
-    """Listens for operators. Until it is given what to ask, it is not ready."""
+    """Listens for operators; without an engine it answers that it is not ready."""
 
     def __init__(self) -> None:
         self.engine: EngineOperations | None = None
         self.connections: dict[AdminConnection, None] = {}
+        """Open connections, the oldest first."""
         self.listener: asyncio.Server | None = None
+        self.routes = {
+            "/_ready": Route("GET", self.respond_ready),
+            "/_vars": Route("GET", self.respond_metrics),
+            "/_endpoints/detach": Route("POST", self.detach),
+            "/_endpoints/attach": Route("POST", self.attach),
+            "/_config": Route("GET", self.respond_config),
+            "/_config/check": Route("POST", self.check_config),
+        }
 
     async def listen(self, where: Address) -> None:
+        """Listen on an address.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         sock = await bind_listener(where.host, where.port)
         self.listener = await asyncio.get_running_loop().create_server(
             lambda: AdminConnection(self), sock=sock, backlog=ACCEPT_BATCH
@@ -97,74 +109,75 @@
         sock.listen(BACKLOG)
 
     def add_connection(self, call: AdminConnection) -> None:
-        """One more than may be: the oldest that is still not whole goes, and does not
-        delay who asks.
+        """Register a connection; if there are too many, the oldest incomplete one goes.
+
+        Thus a caller is not delayed by others that send nothing.
         """
         self.connections[call] = None
-        if len(self.connections) > MAX_CONNECTIONS:
-            oldest = next(
-                (c for c in self.connections if not c.response_sent and c is not call),
-                next(iter(self.connections)),
-            )
-            oldest.abort()
-            del self.connections[
-                oldest
-            ]  # its descriptor is closed in the next turn: it makes room only once
+        if len(self.connections) <= MAX_CONNECTIONS:
+            return
+        oldest = next(
+            (c for c in self.connections if not c.response_sent and c is not call),
+            next(iter(self.connections)),
+        )
+        oldest.abort()
+        # Its descriptor is closed in the next turn: it makes room only once.
+        del self.connections[oldest]
 
     def handle(
         self, method: str, path: str, body: bytes, answer: AdminResponder
     ) -> None:
-        routes = {
-            "/_ready": ("GET", self.respond_ready),
-            "/_vars": ("GET", self.respond_metrics),
-            "/_endpoints/detach": ("POST", self.detach),
-            "/_endpoints/attach": ("POST", self.attach),
-            "/_config": ("GET", self.respond_config),
-            "/_config/check": ("POST", self.check_config),
-        }
-        if path not in routes:
+        """Handle a complete request."""
+        route = self.routes.get(path)
+        if route is None:
             answer(HTTPStatus.NOT_FOUND, "no such call\n")
-            return
-        expected_method, handler = routes[path]
-        if method != expected_method:
-            answer(HTTPStatus.METHOD_NOT_ALLOWED, f"{expected_method} only\n")
+        elif method != route.method:
+            answer(HTTPStatus.METHOD_NOT_ALLOWED, f"{route.method} only\n")
         else:
-            handler(body, answer)
+            route.handler(body, answer)
 
     def respond_ready(self, body: bytes, answer: AdminResponder) -> None:
+        """Answer whether the forwarder accepts messages."""
+        del body
         if self.engine is not None and self.engine.is_ready():
             answer(HTTPStatus.OK, "ready\n")
         else:
-            answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
+            _answer_not_ready(answer)
 
     def respond_metrics(self, body: bytes, answer: AdminResponder) -> None:
+        """Answer all metrics."""
+        del body
         if self.engine is None:
-            answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
+            _answer_not_ready(answer)
         else:
-            answer(
-                HTTPStatus.OK,
-                json.dumps(self.engine.metrics_report(), separators=(",", ":")),
-            )
+            report = self.engine.metrics_report()
+            answer(HTTPStatus.OK, json.dumps(report, separators=(",", ":")))
 
     def respond_config(self, body: bytes, answer: AdminResponder) -> None:
+        """Answer which configuration is active."""
+        del body
         if self.engine is None:
-            answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
+            _answer_not_ready(answer)
         else:
             answer(HTTPStatus.OK, json.dumps(self.engine.active_config_report()))
 
     def check_config(self, body: bytes, answer: AdminResponder) -> None:
+        """Validate the configuration in the body."""
         if self.engine is None:
-            answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
+            _answer_not_ready(answer)
         else:
             self.engine.check_config(body, answer)
 
     def detach(self, body: bytes, answer: AdminResponder) -> None:
+        """Disable the endpoint that the body names."""
         self.set_detached(body, True, answer)
 
     def attach(self, body: bytes, answer: AdminResponder) -> None:
+        """Enable the endpoint that the body names."""
         self.set_detached(body, False, answer)
 
     def set_detached(self, body: bytes, detached: bool, answer: AdminResponder) -> None:
+        """Disable or enable the endpoint that the body names."""
         try:
             endpoint = body.decode().strip()
         except UnicodeDecodeError:
@@ -172,19 +185,24 @@
         if not endpoint or not endpoint.isprintable():
             answer(HTTPStatus.BAD_REQUEST, "the body names no endpoint\n")
         elif self.engine is None:
-            answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
+            _answer_not_ready(answer)
         else:
             self.engine.set_detached(endpoint, detached, answer)
 
     def close(self) -> None:
+        """Stop listening, and close each connection once its answer is written."""
         if self.listener is not None:
             self.listener.close()
-        for call in list(self.connections):
-            call.close()
+        for connection in list(self.connections):
+            connection.close()
+
+
+def _answer_not_ready(answer: AdminResponder) -> None:
+    answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection, one call."""
+    """One connection with one request."""
 
     def __init__(self, admin: AdminServer) -> None:
         self.admin = admin
@@ -193,11 +211,15 @@
             self
         )
         self.timer: asyncio.TimerHandle | None = None
-        self.path, self.body, self.received_bytes = "", b"", 0
-        self.request_complete = self.response_sent = False
+        self.path = ""
+        self.body = b""
+        self.received_bytes = 0
+        self.request_complete = False
+        self.response_sent = False
         self.max_body_bytes = MAX_BODY_BYTES
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection (called by the event loop)."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.timer = asyncio.get_running_loop().call_later(
@@ -206,15 +228,21 @@
         self.admin.add_connection(self)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Forget the connection (called by the event loop)."""
+        del error
         self.admin.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
-        self.parser = self.transport = None  # they refer back
+        # Both refer back: without them the collector has no cycle to find.
+        self.parser = None
+        self.transport = None
 
     def data_received(self, data: bytes) -> None:
+        """Read the request (called by the event loop)."""
         self.received_bytes += len(data)
+        limit_bytes = MAX_HEADER_BYTES + self.max_body_bytes
         if self.parser is None or self.request_complete or self.response_sent:
-            if self.received_bytes > 8 * (MAX_HEADER_BYTES + self.max_body_bytes):
+            if self.received_bytes > DISCARDED_INPUT_FACTOR * limit_bytes:
                 self.abort()
             return
         try:
@@ -230,7 +258,7 @@
             self.answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is too large\n")
 
     def eof_received(self) -> bool:
-        """A caller may end its side after its call and still wait for the answer."""
+        """Close unless the request is complete: its caller may wait for the answer."""
         if not self.request_complete:
             self.close()
         return True
@@ -238,16 +266,20 @@
     # Called by the parser
 
     def on_url(self, url: bytes) -> None:
+        """Add a piece of the path."""
         self.path += url.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        if self.path.startswith("/_config/"):
+        """Set the limit of the body."""
+        if self.path.startswith(CONFIG_PATH_PREFIX):
             self.max_body_bytes = MAX_CONFIG_BYTES
 
     def on_body(self, body: bytes) -> None:
+        """Add a piece of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
+        """Handle the request."""
         if self.request_complete or self.response_sent or self.parser is None:
             return
         self.request_complete = True
@@ -262,39 +294,41 @@
     # Answering
 
     def on_timeout(self) -> None:
+        """Answer a request that is still incomplete."""
         if not self.request_complete:
             self.answer(
                 HTTPStatus.REQUEST_TIMEOUT, "the call did not come to its end\n"
             )
 
     def answer(self, status: HTTPStatus, text: str) -> None:
+        """Write the answer, unless there was one or the caller is gone."""
         if self.response_sent or self.transport is None or self.transport.is_closing():
             return
         self.response_sent = True
         body = text.encode()
-        kind = (
-            "application/json" if text.startswith("{") else "text/plain; charset=utf-8"
-        )
+        is_json = text.startswith("{")
+        content_type = "application/json" if is_json else "text/plain; charset=utf-8"
         self.transport.write(
-            f"HTTP/1.1 {status.value} {status.phrase}\r\nContent-Type: {kind}\r\n"
+            f"HTTP/1.1 {status.value} {status.phrase}\r\nContent-Type: {content_type}\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n".encode()
             + body
         )
         if self.request_complete:
             self.transport.close()
             return
-        if (
-            self.transport.can_write_eof()
-        ):  # to close with something unread would reset the answer
+        # A close with unread input would reset the connection and lose the answer.
+        if self.transport.can_write_eof():
             self.transport.write_eof()
         if self.timer is not None:
             self.timer.cancel()
         self.timer = asyncio.get_running_loop().call_later(LINGER_S, self.abort)
 
     def close(self) -> None:
+        """Close once all is written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
+        """Close at once."""
         if self.transport is not None:
             self.transport.abort()
--- a/rainfall/forwarder/json_logging.py
+++ b/rainfall/forwarder/json_logging.py
@@ -1,10 +1,10 @@
-"""The forwarder's log lines as JSON, one an event, where the configuration says
-``log_format = "json"``.
+"""The forwarder's log as JSON, one event a line.
 
-Each line has ``event``, ``level``, ``logger``, ``process`` (the forwarder's name),
-``role``, ``pid`` and ``t_ns`` (``time.monotonic_ns``, the one clock of the machine, so
-that the fleet lab can order lines of several processes), and ``message_id`` where the
-line is of one message. structlog is imported only here.
+It is used where the configuration says ``log_format = "json"``. Each line has
+``event``, ``level``, ``logger``, ``process`` (the forwarder's name), ``role``, ``pid``
+and ``t_ns`` (``time.monotonic_ns``, the one clock of the machine, so that the fault lab
+can order the lines of several processes), and ``message_id`` where the line is about
+one message. structlog is imported only here.
 """
 
 from __future__ import annotations
@@ -18,18 +18,21 @@
 
 
 def install_json_logging(name: str) -> None:
-    """Put JSON lines on standard error in place of the plain ones, and turn on the
-    lines of each message. ImportError where structlog is missing: the caller says so
-    and does not start.
+    """Log JSON to standard error in place of plain text, with the lines of each message.
+
+    Args:
+        name: The forwarder's name.
+
+    Raises:
+        ImportError: structlog is missing.
     """
     import structlog
 
     def stamp(
         _: Any, __: str, event: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        event.setdefault(
-            "t_ns", time.monotonic_ns()
-        )  # a line may tell of a moment that it names
+        # A line may give the time of what it reports itself.
+        event.setdefault("t_ns", time.monotonic_ns())
         event.update(process=name, role="forwarder", pid=os.getpid())
         return event
 
--- a/rainfall/forwarder/message_store.py
+++ b/rainfall/forwarder/message_store.py
@@ -1,7 +1,6 @@
-"""What was taken on, and how far it got, outlasts the process: the engine's hand on the
-journal in $LB_STATE.
+"""Accepted messages and how far they got, in the journal of the state directory.
 
-What the records mean, `journal.state` says; how they reach the disk, `journal.writer`.
+`journal.state` defines what the records mean, `journal.writer` how they are written.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.journal.files import FileSystem, LocalFileSystem
 from rainfall.journal.format import VERSION
@@ -36,22 +35,43 @@
     "SyncWorker",
 ]
 BLOCK_BYTES = 512
-INCREMENTAL_DIVISOR = (
-    4  # of a list, less than this part of it: the changes are written, else the whole
-)
+"""Files may take up to a block more than they hold."""
+CAPACITY_BLOCKS = 2
+"""Files beside each other: the journal, and its successor while it is compacted."""
+NOTIFICATION_BYTES = 200
+"""Record of a pending notification at most."""
+ENDPOINT_RECORD_BYTES = 100
+"""Record of an outage or of a disabled endpoint at most."""
+INCREMENTAL_DIVISOR = 4
+"""The changes of an endpoint list are written where they are less than this part of it,
+else the complete list.
+"""
 OUTAGE_RETENTION_US = 3_600_000_000
+"""An outage is kept so long, as its endpoint may leave the list and come back cold."""
+NS_PER_US = 1000
 log = logging.getLogger("rainfall.store")
 
 
 def wall_clock_offset_us() -> int:
-    """What the monotonic clock lacks to Unix time."""
-    return (time.time_ns() - time.monotonic_ns()) // 1000
+    """Return Unix time less the monotonic clock, in microseconds."""
+    return (time.time_ns() - time.monotonic_ns()) // NS_PER_US
+
+
+class UnsyncedNotification(NamedTuple):
+    """A pending notification that is not persisted yet."""
+
+    position: int
+    """Records that were appended up to its own."""
+    deadline_us: int
+    """Its message's deadline."""
 
 
 class MessageStore(JournalState):
-    """Records are gathered; `flush` writes them, and `commit` tells when they are kept,
-    before anything that they precede leaves. With a `worker` that is once they are
-    synced (the level `power`).
+    """Keeps the state of all messages, and appends each change to the journal.
+
+    Records are gathered: `flush` writes them, and `commit` reports when they are
+    persisted, before anything that they precede is sent. With a `worker` that is once
+    they are synced (the level `power`).
     """
 
     def __init__(
@@ -64,9 +84,18 @@
         worker: SyncWorker | None = None,
         files: FileSystem | None = None,
     ) -> None:
+        """Read the journal, and begin to write it.
+
+        Args:
+            folder: The state directory.
+            most_bytes: What its files may take.
+            write: Whether to begin at once; else `begin_writing` does.
+            base_us: Unix time less the caller's clock; by default of the monotonic one.
+            worker: Syncs what is written; without one nothing is synced.
+            files: The file system.
+        """
         super().__init__()
         self.files = files or LocalFileSystem()
-        base = wall_clock_offset_us() if base_us is None else base_us
         if files is None:
             folder.mkdir(parents=True, exist_ok=True)
         self.log = JournalWriter(
@@ -81,31 +110,34 @@
             self.files,
             folder,
             self,
-            base,
+            wall_clock_offset_us() if base_us is None else base_us,
             this_boot(),
-            time.monotonic_ns() // 1000,
+            time.monotonic_ns() // NS_PER_US,
             predecessor_runs=not write,
         )
-        self.unsynced_notifications: dict[
-            str, tuple[int, int]
-        ] = {}  # owed ends that are not kept yet: position, due
+        self.unsynced_notifications: dict[str, UnsyncedNotification] = {}
+        """Pending notifications that are not persisted yet, by message."""
         self.log.size = self.report.size
-        (log.warning if self.report.damaged or self.report.torn else log.info)(
-            "%s", self.report.summary()
+        has_fault = self.report.damaged or self.report.torn
+        log.log(
+            logging.WARNING if has_fault else logging.INFO, "%s", self.report.summary()
         )
         if write:
             self.begin_writing()
 
     @property
     def path(self) -> Path:
+        """The journal's file."""
         return self.log.path
 
     @property
     def size(self) -> int:
+        """Bytes of the journal's file."""
         return self.log.size
 
     @property
     def max_bytes(self) -> int:
+        """Bytes that the files may take."""
         return self.log.max_bytes
 
     @max_bytes.setter
@@ -114,53 +146,52 @@
 
     @property
     def failed(self) -> bool:
+        """Whether writing failed, so that no message is accepted."""
         return self.log.failed
 
     @property
     def fd(self) -> int:
+        """Descriptor of the journal's file; negative while it is not written."""
         return self.log.fd
 
     @staticmethod
     def usable_bytes(most_bytes: int) -> int:
-        return most_bytes - 2 * BLOCK_BYTES
+        """Return how many bytes files may hold that take `most_bytes`."""
+        return most_bytes - CAPACITY_BLOCKS * BLOCK_BYTES
 
     def begin_writing(self) -> None:
-        """Be the one that writes; what was read before is as it stands in the file."""
-        recovery_report = self.report
-        if recovery_report.damaged and self.log.keep_damaged_file(
-            recovery_report.size, self.min_compacted_bytes()
+        """Begin to write; the file is as it was when it was read."""
+        report = self.report
+        if report.damaged and self.log.keep_damaged_file(
+            report.size, self.min_compacted_bytes()
         ):
             log.warning(
                 "journal: the damaged file is kept as %s", self.log.damaged_path
             )
-        sound = (
-            recovery_report.version == VERSION
-            and not recovery_report.damaged
-            and not recovery_report.changed
-        )
-        self.log.begin(
-            recovery_report.end,
-            recovery_report.torn,
-            (recovery_report.salt, recovery_report.generation, recovery_report.number)
-            if sound
-            else None,
+        # A file of another version, or with faults, is not continued but written anew.
+        is_sound = (
+            report.version == VERSION and not report.damaged and not report.changed
         )
-        if sound and self.clock is not None:
+        continued = (report.salt, report.generation, report.number)
+        self.log.begin(report.end, report.torn, continued if is_sound else None)
+        if is_sound and self.clock is not None:
             self.append("c", *self.clock)
 
     # Writing
 
     def append(self, *line: Any) -> None:
+        """Append a record."""
         self.log.append(encode_record(*line))
 
     def use_rules(self, rules: DeliveryRules) -> None:
-        """Messages are taken on under these from now on."""
+        """Apply these rules to all messages that are accepted from now on."""
         if self.rules.get(self.current_rules_number) != rules:
             self.current_rules_number = max(self.rules, default=-1) + 1
             self.rules[self.current_rules_number] = rules
             self.log.append(self.encode_rules(self.current_rules_number))
 
     def append_message(self, message: AcceptedMessage) -> None:
+        """Record an accepted message."""
         message.rules_number = self.current_rules_number
         self._add_message(message)
         self.log.append(encode_message(message))
@@ -168,6 +199,7 @@
     def append_attempt(
         self, message: AcceptedMessage, number: int, at_us: int, host: str
     ) -> None:
+        """Record an attempt at the endpoint named `host`."""
         message.in_flight[number] = (at_us, host)
         message.attempts = max(message.attempts, number + 1)
         self.append("a", message.id, number, at_us, host)
@@ -175,77 +207,84 @@
     def append_outcome(
         self, message: AcceptedMessage, number: int, may_have_executed: bool
     ) -> None:
+        """Record the outcome of an attempt."""
         self.apply_outcome(message, number, may_have_executed)
         self.append("o", message.id, number, int(may_have_executed))
 
     def append_finished(self, name: str) -> None:
-        """Delivered, withdrawn or told by a target to be over: nothing is owed for it
-        any more.
+        """Record a message's end that needs no notification.
+
+        It was delivered or withdrawn, or its endpoint said that it is over.
         """
         if name in self.messages:
             self._remove_message([name])
             self.append("x", name)
 
     def append_notification(self, name: str, state: str, after_ms: int) -> None:
+        """Record a message's end of which the platform must be notified."""
         message = self.messages.get(name)
-        end = PendingNotification(
-            state, after_ms, message.order_key if message is not None else None
-        )
-        self._add_pending_notification([name, *end])
-        self.append("e", name, *end)
+        order_key = message.order_key if message is not None else None
+        notification = PendingNotification(state, after_ms, order_key)
+        self._add_pending_notification([name, *notification])
+        self.append("e", name, *notification)
         if self.log.worker is not None:
-            self.unsynced_notifications[name] = (
-                self.log.appended,
-                message.deadline_us if message is not None else 0,
+            deadline_us = message.deadline_us if message is not None else 0
+            self.unsynced_notifications[name] = UnsyncedNotification(
+                self.log.appended, deadline_us
             )
 
     def append_acknowledgement(self, name: str) -> None:
+        """Record that the platform acknowledged a notification."""
         if name in self.pending_notifications:
             self._remove_pending_notification([name])
             self.unsynced_notifications.pop(name, None)
             self.append("d", name)
 
     def sendable_notifications(self, now_us: int) -> dict[str, PendingNotification]:
-        """The ends that may be told: a restart that does not know of one could send its
-        message on, which its client was told to hand in again. Past the message's time
-        no restart does.
+        """Return the pending notifications that may be sent.
+
+        After a restart that does not know of a notification its message could be sent
+        on, though its client was told to submit it again: so a notification must be
+        persisted first. After the message's deadline no restart sends it.
         """
         if not self.unsynced_notifications:
             return self.pending_notifications
         self.unsynced_notifications = {
-            name: (at, due)
-            for name, (at, due) in self.unsynced_notifications.items()
-            if at > self.log.persisted and (due > now_us or not self.log.incomplete)
+            name: unsynced
+            for name, unsynced in self.unsynced_notifications.items()
+            if unsynced.position > self.log.persisted
+            and (unsynced.deadline_us > now_us or not self.log.incomplete)
         }
         return {
-            name: end
-            for name, end in self.pending_notifications.items()
+            name: notification
+            for name, notification in self.pending_notifications.items()
             if name not in self.unsynced_notifications
         }
 
     def append_endpoint_list(
         self, seq: int, hosts: dict[str, dict[str, Any]], now_us: int, source: str
     ) -> None:
-        """A target may leave the list in an outage and come back cold: its outage is
-        kept for a time.
-        """
+        """Record the endpoint list; outages are kept for a time, also of others."""
         self.log.append(self.encode_endpoint_list(seq, hosts, source))
-        self.seq, self.source, self.hosts = seq, source, dict(hosts)
+        self.seq = seq
+        self.source = source
+        self.hosts = dict(hosts)
+        oldest_us = now_us - OUTAGE_RETENTION_US
         self.outages = {
-            h: o
-            for h, o in self.outages.items()
-            if max(o) > now_us - OUTAGE_RETENTION_US
+            host: outage
+            for host, outage in self.outages.items()
+            if max(outage) > oldest_us
         }
 
     def encode_endpoint_list(
         self, seq: int, hosts: dict[str, dict[str, Any]], source: str
     ) -> bytes:
-        """What makes the list in force this one: its changes alone where they are few."""
+        """Encode a list: as changes of the active one where they are few."""
         previous = self.hosts
         changed = [
-            h
-            for name, h in hosts.items()
-            if previous.get(name) is not h and previous.get(name) != h
+            host
+            for name, host in hosts.items()
+            if previous.get(name) is not host and previous.get(name) != host
         ]
         gone = [name for name in previous if name not in hosts]
         if (
@@ -260,30 +299,31 @@
         return payload
 
     def append_outage(self, host: str, since_us: int, back_us: int) -> None:
+        """Record an endpoint's outage, or its end."""
         self._set_outage([host, since_us, back_us])
         self.append("g", host, since_us, back_us)
 
     def append_detached(self, host: str, detached: bool) -> None:
+        """Record that an endpoint is disabled or enabled."""
         self._set_detached([host, detached])
         self.append("h", host, detached)
 
     def min_compacted_bytes(self) -> int:
-        """Bytes of a compacted file, without the small records."""
+        """Return the size of a compacted file without its small records."""
         return self.live_bytes + self.list_bytes
 
     def has_capacity(self, extra_bytes: int) -> bool:
-        """Whether one more message of that size leaves room for a compacted file beside
-        the old one.
+        """Whether one more message leaves room for a compacted file beside the old one.
+
+        A damaged file that is kept goes if that makes the room.
         """
-        others = (
-            200 * len(self.pending_notifications)
+        message_bytes = self.live_bytes + extra_bytes + MESSAGE_OVERHEAD_BYTES
+        other_bytes = (
+            NOTIFICATION_BYTES * len(self.pending_notifications)
             + self.list_bytes
-            + 100 * (len(self.outages) + len(self.detached))
-        )
-        needed_bytes = (
-            2 * (self.live_bytes + extra_bytes + MESSAGE_OVERHEAD_BYTES + others)
-            + RESERVED_BYTES
+            + ENDPOINT_RECORD_BYTES * (len(self.outages) + len(self.detached))
         )
+        needed_bytes = 2 * (message_bytes + other_bytes) + RESERVED_BYTES
         if needed_bytes + self.log.damaged_bytes > self.log.max_bytes >= needed_bytes:
             self.log.drop_damaged_file()
         return (
@@ -292,24 +332,26 @@
         )
 
     def flush(self) -> None:
+        """Write the records that were gathered."""
         self.log.flush()
 
     def commit(self, then: Callable[[bool], None]) -> None:
+        """Call `then` once all records are persisted, or could not be."""
         self.log.commit(then)
 
     def compact(self) -> bool:
+        """Write a journal of the present state only, if there is room for it."""
         return self.log.rewrite()
 
     def close(self) -> None:
-        """The process ends in order.
+        """Write no more, as the process ends in order.
 
-        Synced, whatever the level: then the next start need not wonder whether
-        something is missing at the end.
+        The journal is synced at every level, and its last record says so: the next
+        start need not suspect that its end is missing.
         """
         self.flush()
-        if (
-            self.log.worker_busy
-        ):  # a disk that does not answer: what is under way must not be closed below it
+        if self.log.worker_busy:
+            # The disk does not answer: the descriptor must not be closed under a sync.
             self.log.writing = False
             return
         if self.fd >= 0 and not self.log.incomplete:
@@ -320,11 +362,11 @@
         self.release()
 
     def release(self) -> None:
-        """Write no more; another may."""
+        """Write no more; another process may."""
         self.log.release()
 
     def metrics(self) -> dict[str, Any]:
-        """What was found at the start, and what writing costs."""
+        """Return what was found at the start, and what writing costs."""
         writer = self.log
         return {
             "level": "power" if writer.worker else "process",
