--- a/rainfall/forwarder/fleet/heartbeats.py
+++ b/rainfall/forwarder/fleet/heartbeats.py
@@ -1,6 +1,4 @@
-"""When a member speaks to the list service: beats by its lease's clock or for a reason,
-and a held watch.
-"""
+"""When a member sends heartbeats to the list service, and its watch for changes."""
 
 from __future__ import annotations
 
@@ -9,6 +7,7 @@
 import random
 import time
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 
 import msgspec
 
@@ -17,28 +16,35 @@
 from rainfall.forwarder.http1 import MalformedResponseError
 from rainfall.lease.holder import LeaseHolder
 
-MIN_HEARTBEAT_INTERVAL_S = 0.1  # between two beats, whatever changes
-HEARTBEAT_JITTER_S = (
-    0.05  # a change is told to all members at once: they beat within so long
-)
-# how long a watch waits for a change; one that is lost costs the time to the next beat
+WATCH_PATH = "/v1/fleet/watch"
+MIN_HEARTBEAT_INTERVAL_S = 0.1
+"""Between two heartbeats, whatever changes."""
+HEARTBEAT_JITTER_S = 0.05
+"""All members hear of a change at once: they send a heartbeat within this time."""
+TIMER_MARGIN_S = 0.001
+"""A timer may be so much early by the member's clock."""
 WATCH_HOLD_MS = 10_000
-WATCH_GRACE_S = 1.0  # after which it is silent
+"""How long a watch waits for a change; a lost one costs the time to the next heartbeat."""
+WATCH_GRACE_S = 1.0
+"""A watch without an answer so long after that is dead."""
+WATCH_RETRIES_PER_LEASE = 3
+"""A failed watch is repeated within this part of a lease at most."""
+UNKNOWN_VERSION = -1
+NS_PER_US = 1000
+US_PER_SECOND = 1e6
 log = logging.getLogger("rainfall.fleet")
 
 
 def now_us() -> int:
-    """The member's own clock.
+    """Return the time by the member's own clock, in microseconds.
 
     It counts on while the machine sleeps, as the service's lease does.
     """
-    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
+    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NS_PER_US
 
 
 class HeartbeatScheduler:
-    """`beat` makes one call over the client it is given, and settles with the holder
-    what came of it.
-    """
+    """Calls for heartbeats at the lease's times, or earlier for a reason."""
 
     def __init__(
         self,
@@ -46,18 +52,34 @@
         random_source: random.Random,
         beat: Callable[[HttpClient], Awaitable[None]],
     ) -> None:
-        self.holder, self.random, self.send_heartbeat = holder, random_source, beat
-        self.reachable, self.version = False, -1
-        """Whether the service answered the last beat, and the version that it told."""
+        """Make a scheduler that does nothing until `start`.
+
+        Args:
+            holder: Knows when the lease is to be renewed.
+            random_source: For jitter.
+            beat: Sends one heartbeat over the client it is given, and tells the holder
+                what came of it.
+        """
+        self.holder = holder
+        self.random = random_source
+        self.send_heartbeat = beat
+        self.reachable = False
+        """Whether the service answered the last heartbeat."""
+        self.version = UNKNOWN_VERSION
+        """Version of the fleet in the last answer."""
         self.wait_for_renewal = False
-        """The service is away, or said when to come: nothing brings the next beat
-        forward.
+        """The service is unreachable, or said when to come: no reason brings the next
+        heartbeat forward.
         """
-        self.wake, self.heartbeat_answered = asyncio.Event(), asyncio.Event()
+        self.wake = asyncio.Event()
+        """There is a reason for a heartbeat before the next renewal."""
+        self.heartbeat_answered = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
         self.clients: list[HttpClient] = []
+        """One for heartbeats and one for the watch."""
 
     def start(self, service: Address) -> None:
+        """Send heartbeats to the service at this address, and watch it."""
         self.clients = [HttpClient(service), HttpClient(service)]
         loop = asyncio.get_running_loop()
         self.tasks = [
@@ -66,6 +88,7 @@
         ]
 
     def stop(self) -> None:
+        """Send no more heartbeats; what is in flight is dropped."""
         for task in self.tasks:
             task.cancel()
         for client in self.clients:
@@ -73,58 +96,70 @@
         self.tasks = []
 
     async def run_heartbeats(self) -> None:
+        """Send heartbeats, one at a time."""
         while True:
             await self.wait_turn()
             self.wake.clear()
             try:
                 await self.send_heartbeat(self.clients[0])
-            except Exception:  # whatever comes back must not end the beating for good
+            # No answer, whatever it is, may end the heartbeats for good.
+            except Exception:
                 log.exception("a beat failed")
                 self.holder.on_no_answer(now_us())
 
     async def wait_turn(self) -> None:
-        """Wait for the next renewal, or for a reason to come before."""
-        earliest_us = now_us() + int(MIN_HEARTBEAT_INTERVAL_S * 1e6)
+        """Wait for the next renewal, or for a reason to come earlier."""
+        earliest_us = now_us() + int(MIN_HEARTBEAT_INTERVAL_S * US_PER_SECOND)
         while (remaining_us := self.holder.next_renewal_us - now_us()) > 0:
             try:
-                async with asyncio.timeout(remaining_us / 1e6 + 0.001):
+                async with asyncio.timeout(
+                    remaining_us / US_PER_SECOND + TIMER_MARGIN_S
+                ):
                     await self.wake.wait()
             except TimeoutError:
                 continue
             if not self.wait_for_renewal:
-                await asyncio.sleep(max(0, earliest_us - now_us()) / 1e6)
+                await asyncio.sleep(max(0, earliest_us - now_us()) / US_PER_SECOND)
                 return
             self.wake.clear()
 
     async def follow_changes(self) -> None:
-        """Hear of changes as they come.
+        """Watch the service, and call for a heartbeat after each change.
 
-        None is told here, so whatever goes wrong costs no more than the time to the
-        next beat.
+        Nothing of a change is read here, so whatever goes wrong costs no more than the
+        time to the next heartbeat.
         """
         while True:
             self.heartbeat_answered.clear()
             if not self.reachable or self.holder.token is None:
                 await self.heartbeat_answered.wait()
-            version, requested_at = self.version, time.monotonic()
+            requested_at = time.monotonic()
             try:
-                reader = await self.clients[1].request(
-                    "GET",
-                    f"/v1/fleet/watch?from={version}&hold_ms={WATCH_HOLD_MS}",
-                    WATCH_HOLD_MS / 1000 + WATCH_GRACE_S,
-                )
-                if reader.status != 200:
-                    raise MalformedResponseError(f"status {reader.status}")
-                version_now = int(msgspec.json.decode(reader.body)["version"])
+                version = await self._wait_for_version(self.version)
+            # No answer, whatever it is, may end the watch for good.
             except Exception:
-                await asyncio.sleep(self.random.random() * self.holder.ttl_us / 3e6)
+                await asyncio.sleep(self._watch_retry_s())
                 continue
-            if version_now != self.version:
+            if version != self.version:
                 await asyncio.sleep(self.random.random() * HEARTBEAT_JITTER_S)
                 self.heartbeat_answered.clear()
                 self.wake.set()
                 await self.heartbeat_answered.wait()
             elif time.monotonic() - requested_at < MIN_HEARTBEAT_INTERVAL_S:
-                await asyncio.sleep(
-                    MIN_HEARTBEAT_INTERVAL_S
-                )  # a service that answers at once must not spin us
+                # A service that answers at once must not make the watch spin.
+                await asyncio.sleep(MIN_HEARTBEAT_INTERVAL_S)
+
+    async def _wait_for_version(self, known_version: int) -> int:
+        """Return the fleet's version once it is another, or after a while."""
+        response = await self.clients[1].request(
+            "GET",
+            f"{WATCH_PATH}?from={known_version}&hold_ms={WATCH_HOLD_MS}",
+            WATCH_HOLD_MS / 1000 + WATCH_GRACE_S,
+        )
+        if response.status != HTTPStatus.OK:
+            raise MalformedResponseError(f"status {response.status}")
+        return int(msgspec.json.decode(response.body)["version"])
+
+    def _watch_retry_s(self) -> float:
+        divisor = WATCH_RETRIES_PER_LEASE * US_PER_SECOND
+        return self.random.random() * self.holder.ttl_us / divisor
--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -1,9 +1,11 @@
-"""This forwarder as a member of the fleet: joins, beats, watches for changes, and keeps
-its calls within what its lease and its shares allow. Imported only where the
-configuration has `fleet`; see docs/parts/node.md.
+"""This forwarder as a member of the fleet.
 
-One path on which authority moves: the answer to a beat. The watch only says that a beat
-is worth it.
+It joins, sends heartbeats, watches for changes, and keeps its calls within what its
+lease and its shares allow. It is imported only where the configuration has `fleet`; see
+docs/parts/node.md.
+
+Authority moves on one path only, the answer to a heartbeat. The watch only says when a
+heartbeat is worth sending.
 """
 
 from __future__ import annotations
@@ -16,6 +18,8 @@
 import time
 from collections import Counter
 from collections.abc import Callable, Mapping
+from enum import StrEnum
+from http import HTTPStatus
 from typing import Any, Protocol
 
 import msgspec
@@ -33,21 +37,47 @@
 from rainfall.forwarder.fleet.heartbeats import HeartbeatScheduler, now_us
 from rainfall.forwarder.fleet.quotas import FleetQuotas
 from rainfall.forwarder.fleet.state_file import QuotaRecords, StateFile
-from rainfall.forwarder.http1 import MalformedResponseError
+from rainfall.forwarder.http1 import MalformedResponseError, ResponseReader
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection import OutboundCall
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 from rainfall.lease.holder import LeaseHolder, LeaseRequest
 
-MAX_RETRY_MS = 60_000  # a longer "not now" is not to be believed: no lease is longer
-STATE_WRITE_RETRY_S = 1.0  # before a record that could not be written is tried again
-REPEAT_LOG_INTERVAL_S = (
-    10.0  # between two lines that say the same of a service that stays away
-)
-DESTINATION_FORMAT = re.compile("0|[1-9][0-9]{0,9}", re.ASCII)  # a destination
+HEARTBEAT_PATH = "/v1/fleet/beat"
+MAX_RETRY_MS = 60_000
+"""A longer wait for the name is not believed: no lease is longer."""
+MIN_RESPONSE_TIMEOUT_S = 0.2
+"""The answer to a heartbeat is waited for at least so long, else ..."""
+RESPONSE_TIMEOUTS_PER_LEASE = 3
+"""... for this part of a lease."""
+STATE_WRITE_RETRY_S = 1.0
+"""After a failure the state file is written again so much later."""
+REPEAT_LOG_INTERVAL_S = 10.0
+"""Between two log lines that say that the service is unreachable."""
+ERROR_BODY_BYTES = 300
+"""Bytes of an unexpected answer that an error repeats."""
+US_PER_SECOND = 1e6
+US_PER_MS = 1000
+DESTINATION_FORMAT = re.compile("0|[1-9][0-9]{0,9}", re.ASCII)
+"""A destination's number as a key of JSON."""
+LOST_ERROR = "lost"
+"""The service's word for a lease that is over."""
+HEARTBEATS_COUNT = "beats"
+LOST_COUNT = "lost"
 log = logging.getLogger("rainfall.fleet")
 
 
+class MemberState(StrEnum):
+    """What the service last said of this member; the values stand in metrics."""
+
+    JOINING = "joining"
+    ALIVE = "alive"
+    HELD = "held"
+    """Its name is held by another process, or not known to be free."""
+    LOST = "lost"
+    """Its lease is over, and it joins anew."""
+
+
 class ForwarderContext(Protocol):
     """What a member of a fleet needs of the forwarder that it is part of."""
 
@@ -57,25 +87,27 @@
 
     @property
     def clock(self) -> Callable[[], int]:
-        """The module's clock, in microseconds."""
+        """The dispatcher's clock, in microseconds."""
         ...
 
     def post(self, event: Event) -> None:
-        """Tell the module of an event in the next round."""
+        """Give the dispatcher an event in the next round."""
         ...
 
 
 class FleetMember:
-    """`open` before the first round, `pause` and `resume` around a handover, `close` at
-    the end.
+    """The member: its lease, its quotas and its heartbeats.
+
+    The engine calls `start` before its first round, `pause` and `resume` around a
+    handover, and `pause` at the end.
     """
 
     def __init__(self, config: FleetConfig, forwarder: ForwarderContext) -> None:
-        self.config, self.forwarder = config, forwarder
+        self.config = config
+        self.forwarder = forwarder
         self.advertised_address = str(config.listen or forwarder.config.listen)
-        self.random = random.Random(
-            secrets.randbits(64)
-        )  # those that start as one must not act as one
+        # Members that start together must not act in step.
+        self.random = random.Random(secrets.randbits(64))
         self.run_id = secrets.token_hex(8)
         self.state_file = StateFile(forwarder.config.state, forwarder.config.power)
         self.previous_token, records = self.state_file.read()
@@ -85,29 +117,29 @@
         self.heartbeats = HeartbeatScheduler(
             self.holder, self.random, self.send_heartbeat
         )
-        self.state = "joining"
+        self.state = MemberState.JOINING
         self.member_list: list[int] | None = None
+        """Version of the list of members that is known."""
         self.heartbeat_counts: Counter[str] = Counter()
-        self.permit_at_us, self.last_write_s, self.last_log_s = (
-            0,
-            0.0,
-            -REPEAT_LOG_INTERVAL_S,
-        )
+        self.permit_at_us = 0
+        """When the last permit was asked for."""
+        self.last_write_s = 0.0
+        self.last_log_s = -REPEAT_LOG_INTERVAL_S
 
     # From the start to the end
 
     def start(self) -> None:
-        """Write what a successor goes by, tell the module, and begin to beat."""
-        # kept from here on, while little is held
+        """Write the state file, tell the dispatcher, and begin with heartbeats."""
+        # The counts are kept from here on, while few messages are held.
         self.forwarder.dispatcher.state.queues.count_by_demand()
         self.write_state(self.quotas.records())
         self.publish_quotas()
         self.heartbeats.start(self.config.service)
 
     def pause(self) -> None:
-        """Nothing leaves from here on; what a successor needs is on disk.
+        """Send nothing from here on, and write what a successor needs.
 
-        A lease that is not renewed runs out, or is taken over by who shows its token.
+        A lease that is not renewed expires, or is taken over by who shows its token.
         """
         self.heartbeats.stop()
         if self.quotas.persisted:
@@ -115,34 +147,37 @@
             self.quotas.persisted = False
 
     def resume(self) -> None:
-        """No successor came, nor wrote or sent anything: all is as it was."""
+        """Go on as before, as no successor came, wrote or sent anything."""
         self.quotas.reopen()
         self.holder.next_renewal_us = 0
         self.start()
 
     def write_state(self, records: QuotaRecords) -> None:
-        self.on_state_written(
-            self.state_file.write(
-                *self.state_file.encode(
-                    self.holder.token or self.previous_token, records
-                )
-            )
-        )
+        """Write the state file, and wait for it."""
+        encoded = self.state_file.encode(self._successor_token(), records)
+        self.on_state_written(self.state_file.write(*encoded))
 
     async def persist_quotas(self) -> None:
-        """What is told binds a successor, too, before this process acknowledges it."""
-        encoded = self.state_file.encode(
-            self.holder.token or self.previous_token, self.quotas.records()
-        )
-        # A sync takes its time, and clients wait.
-        self.on_state_written(
-            await asyncio.to_thread(self.state_file.write, *encoded)
-            if self.state_file.synced
-            else self.state_file.write(*encoded)
-        )
+        """Write the state file.
+
+        What was granted must hold for a successor, too, before this process
+        acknowledges it.
+        """
+        encoded = self.state_file.encode(self._successor_token(), self.quotas.records())
+        if self.state_file.synced:
+            # A sync takes its time, and clients wait.
+            error = await asyncio.to_thread(self.state_file.write, *encoded)
+        else:
+            error = self.state_file.write(*encoded)
+        self.on_state_written(error)
+
+    def _successor_token(self) -> Token:
+        return self.holder.token or self.previous_token
 
     def on_state_written(self, error: OSError | None) -> None:
-        self.quotas.persisted, self.last_write_s = error is None, time.monotonic()
+        """Note whether the state file was written."""
+        self.quotas.persisted = error is None
+        self.last_write_s = time.monotonic()
         if error is not None:
             log.error(
                 "what a successor needs cannot be kept, so no budget's call leaves: %s",
@@ -150,10 +185,9 @@
             )
 
     def reload(self, config: FleetConfig) -> None:
-        """Another address of the service, other reserves, another lease, between two
-        rounds.
-        """
-        old, self.config = self.config, config
+        """Apply a new configuration, between two rounds."""
+        old = self.config
+        self.config = config
         self.holder.ttl_us = config.lease_us
         for destination in self.quotas.configure(config.budgets, now_us()):
             self.forwarder.post(QuotaChanged(destination, 0, 0, 0, 0))
@@ -164,10 +198,10 @@
             self.holder.next_renewal_us = 0
             self.heartbeats.start(self.config.service)
 
-    # The module and the last gate
+    # For the dispatcher and the pool
 
     def publish_quotas(self) -> None:
-        """Each budget as it stands, and a line for what is not as it was."""
+        """Tell the dispatcher of each quota, and log those that changed."""
         now = now_us()
         for destination in sorted(self.quotas.accounts):
             ahead_us = self.forwarder.clock() - now
@@ -175,20 +209,28 @@
         self.log_changes(now)
 
     def acquire_permit(self, call: OutboundCall) -> int:
-        """Asked with nothing between it and the first byte: see `Books.leaves`."""
+        """Ask for a permit right before a call's first byte.
+
+        See `FleetQuotas.acquire_permit`.
+        """
         self.permit_at_us = now_us()
         return self.quotas.acquire_permit(call.throttle_scope[0], self.permit_at_us)
 
     def on_call_sent(self, call: OutboundCall) -> None:
+        """Note that a call's first byte is sent."""
         self.quotas.on_call_sent(call.throttle_scope[0], self.permit_at_us, now_us())
 
     def record_demand(
         self, destination: int, class_name: str, tenant: str | None
     ) -> None:
+        """Count a message that is to be sent to a destination."""
         self.quotas.record_demand(destination, demand_key(class_name, tenant), now_us())
 
     def tick(self) -> None:
-        """Ten times a second."""
+        """Retry a failed write, report grown demand, and log changes.
+
+        The engine calls it ten times a second.
+        """
         now = now_us()
         if (
             not self.quotas.persisted
@@ -196,75 +238,51 @@
         ):
             self.write_state(self.quotas.records())
             self.publish_quotas()
-        piles = self.forwarder.dispatcher.state.queues.by_destination
+        queues = self.forwarder.dispatcher.state.queues.by_destination
+        waiting = {destination: len(queue) for destination, queue in queues.items()}
         if not self.heartbeats.wait_for_renewal and self.quotas.has_grown_demand(
-            {d: len(pile) for d, pile in piles.items()}, now
+            waiting, now
         ):
             self.heartbeats.wake.set()
         self.log_changes(now)
 
     def unsent_demand(self) -> dict[int, Counter[str]]:
-        """Messages held unsent, by destination and by whose demand they are."""
+        """Return the messages held unsent, by destination and by whose demand it is."""
+        queues = self.forwarder.dispatcher.state.queues
         return {
             destination: Counter(
                 {demand_key(*demand): count for demand, count in counts.items()}
             )
-            for destination, counts in self.forwarder.dispatcher.state.queues.count_by_demand().items()
+            for destination, counts in queues.count_by_demand().items()
         }
 
-    # Beats
+    # Heartbeats
 
     async def send_heartbeat(self, client: HttpClient) -> None:
-        """Join or renew: one call, and what its answer changes."""
+        """Join or renew with one request, and apply its answer."""
         needs = self.quotas.needs(self.unsent_demand(), now_us())
-        lease_request = self.holder.start_request(
-            now_us()
-        )  # the lease counts from before the request leaves
-        if lease_request.token is None:
-            extra_fields: dict[str, Any] = {}
-            if (
-                self.previous_token != ZERO_TOKEN
-            ):  # what was had before, here or in the process before, is over
-                extra_fields = {
-                    "shown": self.previous_token.to_wire(),
-                    "keeps": self.quotas.known_reserves(),
-                }
-        else:  # of the members that are known, only changes are told
-            extra_fields = {
-                "list": self.member_list,
-                "holds": self.quotas.held_shares(lease_request.token)
-                if self.quotas.persisted
-                else {},
-            }
+        # The lease counts from before the request is sent.
+        lease_request = self.holder.start_request(now_us())
         data = encode_heartbeat(
             self.config,
             self.advertised_address,
             self.run_id,
             lease_request,
             needs,
-            extra_fields,
+            self._extra_fields(lease_request),
         )
-        timeout_s = max(0.2, self.holder.ttl_us / 3e6)
+        lease_s = self.holder.ttl_us / (RESPONSE_TIMEOUTS_PER_LEASE * US_PER_SECOND)
+        timeout_s = max(MIN_RESPONSE_TIMEOUT_S, lease_s)
         try:
-            reader = await client.request("POST", "/v1/fleet/beat", timeout_s, data)
-            if reader.status not in (200, 409):
-                raise MalformedResponseError(
-                    f"status {reader.status} {reader.body[:300].decode(errors='replace')}"
-                )
-            if reader.status == 409:
-                self.on_refusal(
-                    lease_request,
-                    msgspec.json.decode(reader.body, type=HeartbeatRefusal),
-                )
+            response = await client.request("POST", HEARTBEAT_PATH, timeout_s, data)
+            if response.status == HTTPStatus.CONFLICT:
+                refusal = msgspec.json.decode(response.body, type=HeartbeatRefusal)
+                self.on_refusal(lease_request, refusal)
                 return
-            answer = msgspec.json.decode(reader.body, type=HeartbeatResponse)
-            if answer.sent != lease_request.number:
-                raise MalformedResponseError(
-                    f"an answer to {answer.sent}, not to {lease_request.number}"
-                )
+            answer = self._read_answer(response, lease_request)
             shares = {
-                int(name): told
-                for name, told in answer.shares.items()
+                int(name): share
+                for name, share in answer.shares.items()
                 if DESTINATION_FORMAT.fullmatch(name)
             }
         except (
@@ -279,12 +297,51 @@
             return
         await self.on_response(lease_request.number, answer, shares)
 
+    def _extra_fields(self, lease_request: LeaseRequest) -> dict[str, Any]:
+        """Return what only a renewal or only a join says."""
+        if lease_request.token is not None:
+            # The service answers with changes to the list of members that is known.
+            holds: dict[str, list[int]] = {}
+            if self.quotas.persisted:
+                holds = self.quotas.held_shares(lease_request.token)
+            return {"list": self.member_list, "holds": holds}
+        if self.previous_token == ZERO_TOKEN:
+            return {}
+        # An earlier lease, of this process or of the one before, is over.
+        return {
+            "shown": self.previous_token.to_wire(),
+            "keeps": self.quotas.known_reserves(),
+        }
+
+    @staticmethod
+    def _read_answer(
+        response: ResponseReader, lease_request: LeaseRequest
+    ) -> HeartbeatResponse:
+        if response.status != HTTPStatus.OK:
+            body = response.body[:ERROR_BODY_BYTES].decode(errors="replace")
+            raise MalformedResponseError(f"status {response.status} {body}")
+        answer = msgspec.json.decode(response.body, type=HeartbeatResponse)
+        if answer.sent != lease_request.number:
+            raise MalformedResponseError(
+                f"an answer to {answer.sent}, not to {lease_request.number}"
+            )
+        return answer
+
     async def on_response(
         self, sent_at: int, answer: HeartbeatResponse, shares: Mapping[int, BudgetShare]
     ) -> None:
+        """Apply a granted heartbeat, unless it comes too late to count.
+
+        Args:
+            sent_at: The number of the request.
+            answer: Its answer.
+            shares: The answer's shares by destination.
+        """
         token = Token(*answer.token)
         joins = token != self.holder.token
-        if not self.holder.on_granted(now_us(), sent_at, token, answer.ttl_ms * 1000):
+        if not self.holder.on_granted(
+            now_us(), sent_at, token, answer.ttl_ms * US_PER_MS
+        ):
             return
         if not self.heartbeats.reachable or joins:
             log.info(
@@ -293,16 +350,18 @@
                 token.to_wire(),
                 extra={"token": token.to_wire(), "ttl_ms": answer.ttl_ms},
             )
-        self.state, self.member_list, self.heartbeats.version = (
-            "alive",
-            answer.list,
-            answer.version,
-        )
-        self.heartbeats.reachable, self.heartbeats.wait_for_renewal = True, False
-        self.heartbeat_counts["beats"] += 1
+        self.state = MemberState.ALIVE
+        self.member_list = answer.list
+        self.heartbeats.version = answer.version
+        self.heartbeats.reachable = True
+        self.heartbeats.wait_for_renewal = False
+        self.heartbeat_counts[HEARTBEATS_COUNT] += 1
         shrank = self.quotas.apply_shares(
             token,
-            {d: msgspec.structs.asdict(s) for d, s in shares.items()},
+            {
+                destination: msgspec.structs.asdict(share)
+                for destination, share in shares.items()
+            },
             self.holder.valid_until_us,
             now_us(),
         )
@@ -310,31 +369,22 @@
         self.publish_quotas()
         self.heartbeats.heartbeat_answered.set()
         if shrank:
-            # the service hands on what was given up once it hears that it binds
+            # The service grants the difference to others once it hears that it holds.
             self.heartbeats.wake.set()
 
     def on_refusal(
         self, lease_request: LeaseRequest, refusal: HeartbeatRefusal
     ) -> None:
-        """Not now: what is had runs out as it would. Or lost."""
+        """Wait for the name, or join anew if the lease is lost."""
         now = now_us()
-        self.heartbeats.reachable = self.heartbeats.wait_for_renewal = True
-        if refusal.error != "lost" or lease_request.token is None:
-            self.holder.on_unavailable(
-                now, lease_request.number, min(refusal.retry_ms, MAX_RETRY_MS) * 1000
-            )
-            if self.state != "held":
-                log.warning(
-                    "the name %s is held for %d ms more, or not known to be free: %s",
-                    self.config.name,
-                    refusal.retry_ms,
-                    "; ".join(refusal.faults),
-                )
-            self.state = "held" if self.holder.token is None else self.state
+        self.heartbeats.reachable = True
+        self.heartbeats.wait_for_renewal = True
+        if refusal.error != LOST_ERROR or lease_request.token is None:
+            self._wait_for_name(now, lease_request, refusal)
             return
-        self.previous_token = (
-            lease_request.token
-        )  # not to get the name sooner, but so that its reserve is not counted twice
+        # The former token is not shown to get the name sooner, but so that its reserve
+        # is not counted twice.
+        self.previous_token = lease_request.token
         self.holder.on_rejected(
             now,
             lease_request.number,
@@ -342,12 +392,27 @@
         )
         self.on_lease_lost(now, "; ".join(refusal.faults))
 
+    def _wait_for_name(
+        self, now: int, lease_request: LeaseRequest, refusal: HeartbeatRefusal
+    ) -> None:
+        """Come again later; a lease that is held expires as it would."""
+        retry_us = min(refusal.retry_ms, MAX_RETRY_MS) * US_PER_MS
+        self.holder.on_unavailable(now, lease_request.number, retry_us)
+        if self.state != MemberState.HELD:
+            log.warning(
+                "the name %s is held for %d ms more, or not known to be free: %s",
+                self.config.name,
+                refusal.retry_ms,
+                "; ".join(refusal.faults),
+            )
+        if self.holder.token is None:
+            self.state = MemberState.HELD
+
     def on_lease_lost(self, now: int, reason: str) -> None:
-        """The lease is over: whatever rests on it stops here, and the process joins as
-        a new member.
-        """
-        self.heartbeat_counts["lost"] += 1
-        self.state, self.member_list = "lost", None
+        """Go back to the reserves, and join as a new member."""
+        self.heartbeat_counts[LOST_COUNT] += 1
+        self.state = MemberState.LOST
+        self.member_list = None
         self.quotas.on_lease_lost(now)
         log.error(
             "the lease is lost, only reserves act: %s",
@@ -357,23 +422,26 @@
         self.publish_quotas()
 
     def on_unreachable(self, error: BaseException) -> None:
+        """Note that a heartbeat had no valid answer."""
         now_s = time.monotonic()
         if (
             self.heartbeats.reachable
             or now_s - self.last_log_s >= REPEAT_LOG_INTERVAL_S
         ):
             self.last_log_s = now_s
-            left_ms = max(0, self.holder.valid_until_us - now_us()) // 1000
+            left_ms = max(0, self.holder.valid_until_us - now_us()) // US_PER_MS
             log.warning(
                 "the list service does not answer, the lease is good for %d ms: %s",
                 left_ms,
                 str(error) or type(error).__name__,
             )
-        self.heartbeats.reachable, self.heartbeats.wait_for_renewal = False, True
+        self.heartbeats.reachable = False
+        self.heartbeats.wait_for_renewal = True
 
-    # Figures
+    # Metrics
 
     def log_changes(self, now: int) -> None:
+        """Log each quota that changed since the last time."""
         for destination, figures in self.quotas.changes(now):
             log.info(
                 "budget of destination %d: %d of %d calls in %d ms by %s for %d ms, reserve %d, used %d:"
@@ -391,25 +459,26 @@
             )
 
     def metrics_report(self) -> dict[str, Any]:
-        now, holder = now_us(), self.holder
+        """Return the metrics of the member and of its quotas."""
+        now = now_us()
+        token = self.holder.token
+        remaining_ms = max(0, self.holder.valid_until_us - now) // US_PER_MS
         return {
             "name": self.config.name,
             "site": self.config.site,
-            "state": self.state,
-            "token": holder.token.to_wire() if holder.token is not None else None,
-            "valid_for_ms": max(0, holder.valid_until_us - now) // 1000
-            if holder.token
-            else 0,
+            "state": self.state.value,
+            "token": token.to_wire() if token is not None else None,
+            "valid_for_ms": remaining_ms if token else 0,
             "service": {
                 "address": str(self.config.service),
                 "answers": self.heartbeats.reachable,
             },
-            "beats": self.heartbeat_counts["beats"],
-            "lost": self.heartbeat_counts["lost"],
+            "beats": self.heartbeat_counts[HEARTBEATS_COUNT],
+            "lost": self.heartbeat_counts[LOST_COUNT],
             "budgets": self.quotas.metrics(now),
         }
 
 
 def demand_key(class_name: str, tenant: str | None) -> str:
-    """Whose demand it is, in the words of a beat."""
+    """Return whose demand it is, in the words of a heartbeat."""
     return f"{class_name}/{tenant}" if tenant else class_name
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -1,7 +1,7 @@
-"""A member's budgets: what it may send now, what the module is told of that, and the
-service of its needs.
+"""A member's quotas: what it may send now, and what it needs.
 
-Sans-I/O. `now_us` is the member's own monotonic clock, the one its lease goes by.
+The dispatcher is told of the former, the list service of the latter. There is no I/O
+here. `now_us` is the member's own monotonic clock, by which its lease is counted.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from itertools import islice
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.budget.config import MAX_BUDGETS
 from rainfall.budget.demand import DemandTracker
@@ -21,40 +21,66 @@
 from rainfall.forwarder.fleet.state_file import QuotaRecords
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
-DEFAULT_SLACK_US = 5_000  # where the service tells none
-DEFAULT_SPAN_US = 1_000_000  # demand is counted by it where no budget is known
-DEMAND_GROWTH_FACTOR = (
-    1.25  # needs that grew by so much since they were told are told at once
-)
-MAX_SPENT_ENTRIES = (
-    4_096  # entries of all records together, at least one each: the disk may be 3 MB
-)
-MAX_PART_NAME_BYTES = (
-    256 * 1024
-)  # of all parts' names in one beat: it stays within the service's 1 MiB
-ESCAPED_CHARACTER_BYTES = 12  # bytes in JSON of a character that is not ASCII, at most
-UNKNOWN_PERIOD_CALLS = 1 << 40  # calls; stands for those of a time that is not known
+DEFAULT_SLACK_US = 5_000
+"""A share's slack where the service gives none."""
+DEFAULT_SPAN_US = 1_000_000
+"""Demand is counted over this span where no budget is known."""
+DEMAND_GROWTH_FACTOR = 1.25
+"""Demand that grew by this factor since it was reported is reported at once."""
+MAX_SPENT_ENTRIES = 4_096
+"""Entries of all records together, at least one each: the disk may have 3 MB."""
+MAX_PART_NAME_BYTES = 256 * 1024
+"""Bytes of all parts' names in a heartbeat, which the service limits to 1 MiB."""
+ESCAPED_CHARACTER_BYTES = 12
+"""Bytes in JSON of a character that is not ASCII, at most."""
+UNKNOWN_PERIOD_CALLS = 1 << 40
+"""Stands for the calls of a period of which nothing is known."""
+PERMIT_GRANTED = 0
+PERMIT_TIME_UNKNOWN = -1
+MIN_PERMIT_DELAY_US = 1
+MS_TO_US = 1000
 log = logging.getLogger("rainfall.fleet")
 
 
+class UnknownPeriod(NamedTuple):
+    """A period of which it is not known how many calls were made in it."""
+
+    until_us: int
+    window_us: int
+    """Length of the window in which those calls count."""
+
+
+NO_UNKNOWN_PERIOD = UnknownPeriod(0, 0)
+
+
+class LoggedQuota(NamedTuple):
+    """What of a quota is logged when it changes."""
+
+    authority: str
+    calls: int
+    reserve: int
+    whole: int
+    span_us: int
+
+
 @dataclass(slots=True)
 class QuotaAccount:
-    """One budget here."""
+    """The quota of one destination."""
 
     quota: MemberQuota
     configured_reserve: BudgetReserve | None
+    """The reserve in the configuration, if it names the destination."""
     reason: str = "the configuration's reserve"
-    published_unknown_period: tuple[int, int] = (0, 0)
-    """Of which unknown time the module was told: its end, and the window it counts
-    in.
-    """
+    """Why the quota is as it is, for logs and metrics."""
+    published_unknown_period: UnknownPeriod = NO_UNKNOWN_PERIOD
+    """The period without known calls of which the dispatcher was told."""
     published: bool = False
-    """The module knows of it."""
-    last_logged: tuple[Any, ...] = ()
+    """The dispatcher was told of the calls in the window."""
+    last_logged: LoggedQuota | None = None
 
 
 class FleetQuotas:
-    """All budgets of one member. `drift`: see docs/parts.md."""
+    """All quotas of one member."""
 
     def __init__(
         self,
@@ -63,76 +89,101 @@
         records: QuotaRecords,
         now_us: int,
     ) -> None:
-        self.drift, self.start_us = drift, now_us
+        """Take up the quotas of the process before and of the configuration.
+
+        Args:
+            budgets: The reserves in the configuration.
+            drift: Relative rate by which two clocks may differ; see docs/parts.md.
+            records: What the process before left.
+            now_us: The time.
+        """
+        self.drift = drift
+        self.start_us = now_us
         self.persisted = False
-        """Until what a successor needs is on disk, nothing leaves."""
+        """Whether what a successor needs is on disk; nothing is sent before."""
         self.accounts: dict[int, QuotaAccount] = {}
         self.demand: dict[int, DemandTracker] = {}
         self.reported_needs: dict[int, int] = {}
+        """Calls that the last heartbeat asked for, by destination."""
         self.granted_destinations: set[int] | None = None
-        """Whose shares the service's last answer told; None before the first."""
+        """Destinations with a share in the last answer; None before the first."""
         for destination, record in records.items():
-            try:
-                quota = MemberQuota.from_record(record, now_us, drift)
-            except ValueError as error:
-                log.warning(
-                    "the record of destination %d counts as none: %s",
-                    destination,
-                    error,
-                )
-                quota = MemberQuota(now_us, drift)
+            quota = self._restore_quota(destination, record, now_us)
             self.accounts[destination] = QuotaAccount(quota, None, "the process before")
         self.configure(budgets, now_us)
 
+    def _restore_quota(
+        self, destination: int, record: dict[str, Any], now_us: int
+    ) -> MemberQuota:
+        try:
+            return MemberQuota.from_record(record, now_us, self.drift)
+        except ValueError as error:
+            log.warning(
+                "the record of destination %d counts as none: %s", destination, error
+            )
+            return MemberQuota(now_us, self.drift)
+
     def configure(self, budgets: Iterable[BudgetReserve], now_us: int) -> list[int]:
-        """Budgets from the configuration, at the start and at SIGHUP.
+        """Apply the reserves in the configuration, at the start and at SIGHUP.
+
+        A reserve holds where no share was granted yet. Where one was, a lower reserve
+        holds at once, and a higher one waits for the service.
 
-        They hold where nothing was told yet; where a share was, a lower reserve binds
-        at once, and a higher one waits for the service. Returns those that are no
-        budgets any more: named neither here nor by the service's last answer.
+        Returns:
+            The destinations without a budget from now on: neither the configuration nor
+            the service's last answer names them.
         """
-        named, removed = {reserve.destination: reserve for reserve in budgets}, []
+        named = {reserve.destination: reserve for reserve in budgets}
+        removed: list[int] = []
         for destination, account in list(self.accounts.items()):
             account.configured_reserve = named.get(destination)
-            granted = account.quota.share.token != ZERO_TOKEN and (
-                self.granted_destinations is None
-                or destination in self.granted_destinations
-            )
-            if account.configured_reserve is None and not granted:
+            if account.configured_reserve is None and not self._is_granted(
+                destination, account
+            ):
                 del self.accounts[destination]
                 removed.append(destination)
         for destination, reserve in named.items():
             account = self.accounts.setdefault(
                 destination, QuotaAccount(MemberQuota(now_us, self.drift), reserve)
             )
-            account.configured_reserve, quota = reserve, account.quota
-            if quota.share.token == ZERO_TOKEN:
-                self._reset_share(
-                    quota,
-                    Share(
-                        ZERO_TOKEN,
-                        0,
-                        reserve.reserve,
-                        reserve.reserve,
-                        reserve.calls,
-                        reserve.span_us,
-                        DEFAULT_SLACK_US,
-                    ),
-                    now_us,
-                )
-            elif reserve.reserve < quota.share.reserve:
-                quota.share = replace(quota.share, reserve=reserve.reserve)
-                account.reason = "the configuration's lower reserve"
+            account.configured_reserve = reserve
+            self._apply_reserve(account, reserve, now_us)
         return removed
 
+    def _is_granted(self, destination: int, account: QuotaAccount) -> bool:
+        """Whether the service granted a share that it has not withdrawn."""
+        return account.quota.share.token != ZERO_TOKEN and (
+            self.granted_destinations is None
+            or destination in self.granted_destinations
+        )
+
+    def _apply_reserve(
+        self, account: QuotaAccount, reserve: BudgetReserve, now_us: int
+    ) -> None:
+        quota = account.quota
+        if quota.share.token == ZERO_TOKEN:
+            share = Share(
+                ZERO_TOKEN,
+                0,
+                reserve.reserve,
+                reserve.reserve,
+                reserve.calls,
+                reserve.span_us,
+                DEFAULT_SLACK_US,
+            )
+            self._reset_share(quota, share, now_us)
+        elif reserve.reserve < quota.share.reserve:
+            quota.share = replace(quota.share, reserve=reserve.reserve)
+            account.reason = "the configuration's lower reserve"
+
     def _reset_share(self, quota: MemberQuota, share: Share, now_us: int) -> None:
         quota.window.drop_expired(now_us)
-        quota.share, quota.window.length_us = (
-            share,
-            reuse_window_us(share.span_us, share.slack_us, self.drift),
+        quota.share = share
+        quota.window.length_us = reuse_window_us(
+            share.span_us, share.slack_us, self.drift
         )
 
-    # What the service tells
+    # Shares
 
     def apply_shares(
         self,
@@ -141,44 +192,26 @@
         valid_until_us: int,
         now_us: int,
     ) -> bool:
-        """Shares from an answered beat that counts.
+        """Apply the shares of an answered heartbeat that counts.
 
-        Whether one came to be less: the service waits to hear that it binds.
+        Args:
+            token: The lease's fencing token.
+            shares: By destination, with the fields of `BudgetShare`.
+            valid_until_us: The lease's end.
+            now_us: The time.
+
+        Returns:
+            Whether a share became smaller: the service waits to hear that it holds.
         """
-        shrank, self.granted_destinations = False, set(shares)
+        shrank = False
+        self.granted_destinations = set(shares)
         for destination, grant in shares.items():
             account = self.accounts.get(destination)
             if account is None:
-                account = self.accounts[destination] = QuotaAccount(
-                    MemberQuota(now_us, self.drift), None
-                )
-            previous, configured_reserve = (
-                account.quota.share,
-                account.configured_reserve,
-            )
-            reserve = grant["reserve"] or 0
-            if (
-                configured_reserve is not None
-            ):  # the configuration may hold it lower, never higher
-                reserve = (
-                    configured_reserve.reserve
-                    if grant["reserve"] is None
-                    else min(reserve, configured_reserve.reserve)
-                )
-            slack_us = (
-                DEFAULT_SLACK_US
-                if grant["slack_ms"] is None
-                else grant["slack_ms"] * 1000
-            )
-            share = Share(
-                token,
-                grant["number"],
-                grant["calls"],
-                min(reserve, grant["calls"]),
-                grant["whole"],
-                grant["span_ms"] * 1000,
-                slack_us,
-            )
+                account = QuotaAccount(MemberQuota(now_us, self.drift), None)
+                self.accounts[destination] = account
+            previous = account.quota.share
+            share = self._to_share(token, grant, account.configured_reserve)
             if (
                 account.quota.receive_share(share, valid_until_us, now_us)
                 and share != previous
@@ -187,66 +220,105 @@
                 account.reason = f"share {share.number} of the service"
         return shrank
 
+    @staticmethod
+    def _to_share(
+        token: Token, grant: Mapping[str, Any], configured: BudgetReserve | None
+    ) -> Share:
+        """Read a share; the configuration may lower its reserve, and never raise it."""
+        reserve = grant["reserve"] or 0
+        if configured is not None and grant["reserve"] is None:
+            reserve = configured.reserve
+        elif configured is not None:
+            reserve = min(reserve, configured.reserve)
+        slack_us = DEFAULT_SLACK_US
+        if grant["slack_ms"] is not None:
+            slack_us = grant["slack_ms"] * MS_TO_US
+        return Share(
+            token,
+            grant["number"],
+            grant["calls"],
+            min(reserve, grant["calls"]),
+            grant["whole"],
+            grant["span_ms"] * MS_TO_US,
+            slack_us,
+        )
+
     def on_lease_lost(self, now_us: int) -> None:
+        """Go back to the reserves, as the lease is lost."""
         for account in self.accounts.values():
             account.quota.fence(now_us)
             account.reason = "the lease was lost"
 
     def held_shares(self, token: Token) -> dict[str, list[int]]:
+        """Return the shares that hold here under a token, for a heartbeat."""
         found = {
-            d: account.quota.held_share(token)
-            for d, account in sorted(self.accounts.items())
+            destination: account.quota.held_share(token)
+            for destination, account in sorted(self.accounts.items())
+        }
+        return {
+            str(destination): list(held)
+            for destination, held in found.items()
+            if held is not None
         }
-        return {str(d): list(held) for d, held in found.items() if held is not None}
 
     def known_reserves(self) -> dict[str, int]:
-        """Reserves from before, for a service that may not know of them."""
+        """Return the reserves of an earlier lease, which the service may not know."""
         return {
-            str(d): a.quota.share.reserve
-            for d, a in sorted(self.accounts.items())
-            if a.quota.share.token != ZERO_TOKEN and a.quota.share.reserve
+            str(destination): account.quota.share.reserve
+            for destination, account in sorted(self.accounts.items())
+            if account.quota.share.token != ZERO_TOKEN and account.quota.share.reserve
         }
 
-    # The last gate
+    # Permits
 
     def acquire_permit(self, destination: int, now_us: int) -> int:
-        """0: one call may leave now, and is counted.
+        """Count one call that is sent now, if it may be.
 
-        Else so many microseconds from now at the earliest; -1 where that is not known.
+        Returns:
+            PERMIT_GRANTED if it may be sent; else after how many microseconds to ask
+            again at the earliest, or PERMIT_TIME_UNKNOWN.
         """
         account = self.accounts.get(destination)
         if account is None:
-            return 0
-        if self.persisted and account.quota.spend(now_us):
-            return 0
-        available_at = account.quota.available_at(now_us) if self.persisted else None
-        return -1 if available_at is None else max(available_at - now_us, 1)
+            return PERMIT_GRANTED
+        if not self.persisted:
+            return PERMIT_TIME_UNKNOWN
+        if account.quota.spend(now_us):
+            return PERMIT_GRANTED
+        available_at = account.quota.available_at(now_us)
+        if available_at is None:
+            return PERMIT_TIME_UNKNOWN
+        return max(available_at - now_us, MIN_PERMIT_DELAY_US)
 
     def on_call_sent(self, destination: int, spent_us: int, now_us: int) -> None:
-        """Its first byte is out.
+        """Note that the first byte of a call is sent.
 
-        Where the process was stopped since it was counted, it counts from now.
+        If the process was stopped since the call was counted, it is counted from now.
         """
         account = self.accounts.get(destination)
         if account is not None and account.quota.is_late(spent_us, now_us):
             account.quota.window.add(now_us, 1)
 
-    # What the module is told
+    # For the dispatcher
 
     def quota_event(self, destination: int, now_us: int, ahead_us: int) -> QuotaChanged:
-        """As it stands; `ahead_us`: what the module's clock is ahead of this one."""
+        """Return a destination's quota as the dispatcher counts it.
+
+        Args:
+            destination: It has a budget.
+            now_us: The time.
+            ahead_us: The dispatcher's clock less this one.
+        """
         account = self.accounts[destination]
         quota = account.quota
-        share, spent = quota.share, []
-        unknown_period = (quota.window.unknown_until_us, quota.window.length_us)
+        spent: list[tuple[int, int]] = []
+        unknown = UnknownPeriod(quota.window.unknown_until_us, quota.window.length_us)
         if (
-            unknown_period != account.published_unknown_period
-            and sum(unknown_period) > now_us
+            unknown != account.published_unknown_period
+            and unknown.until_us + unknown.window_us > now_us
         ):
-            spent.append(
-                (quota.window.unknown_until_us + ahead_us, UNKNOWN_PERIOD_CALLS)
-            )
-            account.published_unknown_period = unknown_period
+            spent.append((unknown.until_us + ahead_us, UNKNOWN_PERIOD_CALLS))
+            account.published_unknown_period = unknown
         if not account.published:
             spent += [
                 (latest + ahead_us, calls) for _, latest, calls in quota.window.entries
@@ -255,102 +327,121 @@
         may_send = self.persisted and not quota.closed
         return QuotaChanged(
             destination,
-            share.calls if may_send else 0,
+            quota.share.calls if may_send else 0,
             quota.window.length_us,
             quota.valid_until_us + ahead_us,
-            share.reserve if may_send else 0,
+            quota.share.reserve if may_send else 0,
             tuple(spent),
         )
 
-    # What is needed
+    # Demand
 
     def record_demand(self, destination: int, part: str, now_us: int) -> None:
-        """One more call is wanted."""
+        """Count one more call that is wanted, for a part of the demand."""
         demand = self.demand.get(destination)
         if demand is None:
-            if len(self.demand) >= MAX_BUDGETS and destination not in self.accounts:
-                return
             account = self.accounts.get(destination)
-            span_us = account.quota.share.span_us if account else 0
-            demand = self.demand[destination] = DemandTracker(
-                span_us or DEFAULT_SPAN_US
-            )
+            if account is None and len(self.demand) >= MAX_BUDGETS:
+                return
+            span_us = account.quota.share.span_us if account is not None else 0
+            demand = DemandTracker(span_us or DEFAULT_SPAN_US)
+            self.demand[destination] = demand
         demand.record_calls(now_us, part)
 
     def needs(
         self, waiting: Mapping[int, Mapping[str, int]], now_us: int
     ) -> dict[str, dict[str, int]]:
-        """For a beat, of as many destinations as the service takes: those with a budget
-        here first. What is not wanted any more is forgotten.
+        """Return the demand for a heartbeat, by destination and part.
+
+        There are as many destinations as the service accepts, those with a budget here
+        first. Destinations that are not wanted any more are forgotten.
+
+        Args:
+            waiting: Messages that are held unsent, by destination and part.
+            now_us: The time.
         """
         found: dict[str, dict[str, int]] = {}
         for destination in sorted(
             {*self.demand, *waiting}, key=lambda d: (d not in self.accounts, d)
         ):
             demand = self.demand.get(destination) or DemandTracker(DEFAULT_SPAN_US)
-            if parts := demand.demand_by_part(now_us, waiting.get(destination, {})):
+            parts = demand.demand_by_part(now_us, waiting.get(destination, {}))
+            if parts:
                 found[str(destination)] = parts
             elif destination not in self.accounts:
                 self.demand.pop(destination, None)
         reported = collapse_long_parts(dict(islice(found.items(), MAX_BUDGETS)))
         self.reported_needs = {
-            int(d): sum(parts.values()) for d, parts in reported.items()
+            int(name): sum(parts.values()) for name, parts in reported.items()
         }
         return reported
 
     def has_grown_demand(self, waiting: Mapping[int, int], now_us: int) -> bool:
-        """Whether more is needed of a budget than its share, and much more than was
-        told.
+        """Whether a quota is too small for its demand, and that grew much.
+
+        Args:
+            waiting: Messages that are held unsent, by destination.
+            now_us: The time.
         """
-        for destination, account in self.accounts.items():
-            demand, queued = self.demand.get(destination), waiting.get(destination, 0)
-            if not queued:
-                continue  # the share suffices
-            needed = (
-                sum(demand.demand_by_part(now_us, {}).values()) + queued
-                if demand
-                else queued
-            )
-            reported = self.reported_needs.get(destination, 0)
-            if needed > max(
-                DEMAND_GROWTH_FACTOR * reported,
-                reported + 1,
-                account.quota.limit(now_us),
-            ):
-                return True
-        return False
+        return any(
+            waiting.get(destination, 0)
+            and self._has_grown(destination, account, waiting[destination], now_us)
+            for destination, account in self.accounts.items()
+        )
+
+    def _has_grown(
+        self, destination: int, account: QuotaAccount, queued: int, now_us: int
+    ) -> bool:
+        needed = queued
+        demand = self.demand.get(destination)
+        if demand is not None:
+            needed += sum(demand.demand_by_part(now_us, {}).values())
+        reported = self.reported_needs.get(destination, 0)
+        return needed > max(
+            DEMAND_GROWTH_FACTOR * reported,
+            reported + 1,
+            account.quota.limit(now_us),
+        )
 
     # For a successor
 
     def records(self) -> QuotaRecords:
-        return {d: a.quota.to_record() for d, a in self.accounts.items()}
+        """Return the records of all quotas, which go on to be used."""
+        return {
+            destination: account.quota.to_record()
+            for destination, account in self.accounts.items()
+        }
 
     def close(self, now_us: int) -> QuotaRecords:
-        """Nothing leaves from here on."""
-        records = {d: a.quota.close(now_us) for d, a in self.accounts.items()}
-        most = max(MAX_SPENT_ENTRIES // max(1, len(records)), 1)
+        """Send no call of a budget any more, and return the records of all quotas."""
+        records = {
+            destination: account.quota.close(now_us)
+            for destination, account in self.accounts.items()
+        }
+        entries_each = max(MAX_SPENT_ENTRIES // max(1, len(records)), 1)
         for record in records.values():
-            record["spent"] = merge_spent(record["spent"], most)
+            record["spent"] = merge_spent(record["spent"], entries_each)
         return records
 
     def reopen(self) -> None:
-        """The successor that it was closed for did not come to anything."""
+        """Send calls again, as no successor took over."""
         for account in self.accounts.values():
             account.quota.closed = False
 
-    # Figures
+    # Metrics
 
     def metrics(self, now_us: int) -> dict[str, dict[str, Any]]:
+        """Return the metrics of all quotas by destination."""
         figures = {}
         for destination, account in sorted(self.accounts.items()):
             quota = account.quota
             quota.window.drop_expired(now_us)
             figures[str(destination)] = {
                 "whole": quota.share.whole,
-                "span_ms": quota.share.span_us // 1000,
+                "span_ms": quota.share.span_us // MS_TO_US,
                 "share": quota.limit(now_us),
                 "used": quota.window.call_count,
-                "valid_for_ms": max(0, quota.valid_until_us - now_us) // 1000,
+                "valid_for_ms": max(0, quota.valid_until_us - now_us) // MS_TO_US,
                 "reserve": quota.share.reserve,
                 "by": self.authority(account, now_us),
                 "number": quota.share.number,
@@ -359,42 +450,52 @@
         return figures
 
     def authority(self, account: QuotaAccount, now_us: int) -> str:
+        """Return by what calls are sent: the lease, or the reserve without one."""
         return "lease" if now_us < account.quota.valid_until_us else "reserve"
 
     def changes(self, now_us: int) -> list[tuple[int, dict[str, Any]]]:
-        """Budgets that stand otherwise than when this was last asked, with their
-        figures.
+        """Return the metrics of quotas that changed since the last time.
+
+        The elements are a destination and its metrics, as `metrics` gives them.
         """
-        found, figures = [], None
+        found: list[tuple[int, dict[str, Any]]] = []
+        figures: dict[str, dict[str, Any]] = {}
         for destination, account in sorted(self.accounts.items()):
             share = account.quota.share
-            note = (
+            current = LoggedQuota(
                 self.authority(account, now_us),
                 share.calls,
                 share.reserve,
                 share.whole,
                 share.span_us,
             )
-            if note != account.last_logged:
-                if (
-                    account.last_logged
-                    and account.last_logged[0] == "lease" != note[0]
-                    and account.reason.startswith("share")
-                ):
-                    account.reason = "the lease is out"
-                elif note[0] == "lease":
-                    account.reason = f"share {share.number} of the service"
-                account.last_logged = note
-                figures = figures or self.metrics(now_us)
-                found.append((destination, figures[str(destination)]))
+            if current == account.last_logged:
+                continue
+            self._update_reason(account, current.authority)
+            account.last_logged = current
+            figures = figures or self.metrics(now_us)
+            found.append((destination, figures[str(destination)]))
         return found
 
+    @staticmethod
+    def _update_reason(account: QuotaAccount, authority: str) -> None:
+        """Set the reason anew where the lease expired or holds again."""
+        previous = account.last_logged
+        if authority == "lease":
+            account.reason = f"share {account.quota.share.number} of the service"
+        elif (
+            previous is not None
+            and previous.authority == "lease"
+            and account.reason.startswith("share")
+        ):
+            account.reason = "the lease is out"
+
 
 def collapse_long_parts(needs: dict[str, dict[str, int]]) -> dict[str, dict[str, int]]:
-    """Needs by destination and part.
+    """Return needs by destination and part, as a heartbeat can hold them.
 
-    Where the parts' names would make a beat too large, each destination's whole need
-    stands under the part "" instead.
+    Where the parts' names would make it too large, each destination's need stands as a
+    whole under the part "" instead.
     """
     size = sum(
         len(part) * (1 if part.isascii() else ESCAPED_CHARACTER_BYTES)
@@ -409,8 +510,10 @@
 
 
 def merge_spent(spent: list[list[int]], limit: int) -> list[list[int]]:
-    """(first, latest, calls) in so many entries at most: calls of one count as made at
-    its latest.
+    """Merge entries of calls in a window, so that there are `limit` at most.
+
+    An entry holds the times of its first and its latest call and their number; all its
+    calls count as made at the latest.
     """
     step = max(1, -(-len(spent) // limit))
     return [
--- a/rainfall/forwarder/fleet/state_file.py
+++ b/rainfall/forwarder/fleet/state_file.py
@@ -1,9 +1,8 @@
-"""What a member keeps for its successor, in `fleet.json` of the state folder: its
-token, and each purse.
+"""A member's fencing token and quotas for its successor, in `fleet.json`.
 
-Bounded by the budgets; written beside and renamed, so that a crash leaves the old or
-the new one. The folder may hold 3 MB in all, so the records of many budgets are
-compressed.
+The file is bounded by the budgets. It is written under another name and renamed, so
+that a crash leaves the old or the new one. The state directory may hold 3 MB in all, so
+the records of many budgets are compressed.
 """
 
 from __future__ import annotations
@@ -22,31 +21,48 @@
 FILE_NAME = "fleet.json"
 FORMAT_VERSION = 1
 MAX_FILE_BYTES = 16 << 20
-COMPRESSION_THRESHOLD_BYTES = 64 * 1024  # what is longer is compressed
-COMPRESSION_LEVEL = 1  # zlib's fastest
+"""A larger file is not read."""
+COMPRESSION_THRESHOLD_BYTES = 64 * 1024
+"""A longer document is compressed."""
+COMPRESSION_LEVEL = 1
+"""zlib's fastest."""
 CLOCK_KEYS = ("closed_us", "known_us", "spent")
-"""What of a purse's record means nothing by the clock of another boot."""
+"""Keys of a quota's record that mean nothing by the clock of another boot."""
 QuotaRecords = dict[int, dict[str, Any]]
+"""Records of quotas by destination, as `MemberQuota.to_record` makes them."""
 log = logging.getLogger("rainfall.fleet")
 
 
 class StateFile:
-    """`synced`: what is written outlasts the machine, too."""
+    """The file, and the order of its versions."""
 
     def __init__(
         self, folder: Path, synced: bool, files: FileSystem | None = None
     ) -> None:
-        self.folder, self.path, self.synced = folder, folder / FILE_NAME, synced
+        """Name the file; nothing is read or written yet.
+
+        Args:
+            folder: The state directory.
+            synced: Whether each version must survive a loss of power.
+            files: The file system; by default that of the machine.
+        """
+        self.folder = folder
+        self.path = folder / FILE_NAME
+        self.synced = synced
         self.files = files or LocalFileSystem()
         self.last_written = b""
+        """What the file holds, if this process wrote it."""
         self.lock = threading.Lock()
-        self.last_sequence = self.newest_sequence = 0
+        self.last_sequence = 0
+        """Number of the last version that was encoded."""
+        self.newest_sequence = 0
+        """Number of the newest version that was written."""
 
     def read(self) -> tuple[Token, QuotaRecords]:
-        """The token of the process before and its purses' records, by destination.
+        """Return the token of the process before, and the records of its quotas.
 
-        A file that cannot be read counts as none: its process's lease runs out first,
-        and a purse without a record waits a window.
+        A file that cannot be read counts as missing: its process's lease expires first,
+        and a quota without a record waits for a window.
         """
         try:
             if self.files.size(self.path) > MAX_FILE_BYTES:
@@ -81,27 +97,23 @@
         return token, records
 
     def encode(self, token: Token, records: QuotaRecords) -> tuple[int, bytes]:
-        """What `write` takes, as of now."""
+        """Return the arguments of `write` for the present state."""
         self.last_sequence += 1
-        text = json.dumps(
-            {
-                "form": FORMAT_VERSION,
-                "boot": this_boot(),
-                "token": token.to_wire(),
-                "purses": {
-                    str(name): record for name, record in sorted(records.items())
-                },
-            },
-            separators=(",", ":"),
-        ).encode()
-        return self.last_sequence, text if len(
-            text
-        ) <= COMPRESSION_THRESHOLD_BYTES else zlib.compress(text, COMPRESSION_LEVEL)
+        document = {
+            "form": FORMAT_VERSION,
+            "boot": this_boot(),
+            "token": token.to_wire(),
+            "purses": {str(name): record for name, record in sorted(records.items())},
+        }
+        text = json.dumps(document, separators=(",", ":")).encode()
+        if len(text) > COMPRESSION_THRESHOLD_BYTES:
+            text = zlib.compress(text, COMPRESSION_LEVEL)
+        return self.last_sequence, text
 
     def write(self, sequence: int, data: bytes) -> OSError | None:
-        """Returns once it is on disk, as the level promises, or why it is not; the file
-        before stays then. From any thread: an older one never takes a newer one's
-        place.
+        """Write a version, and return why that failed if it did; then the old one stays.
+
+        It may be called from any thread: an older version never replaces a newer one.
         """
         with self.lock:
             if sequence < self.newest_sequence:
@@ -114,6 +126,11 @@
             return None
 
     def replace_file(self, data: bytes) -> None:
+        """Replace the file, unless it holds the same.
+
+        Raises:
+            OSError: It could not be written.
+        """
         if data == self.last_written:
             return
         self.last_written = b""
@@ -132,8 +149,9 @@
 
 
 def decompress(data: bytes) -> bytes:
-    """A file's JSON.
+    """Return the JSON of a file, which may be compressed.
 
-    Raises zlib.error where it neither begins as an object nor can be unpacked.
+    Raises:
+        zlib.error: It neither begins as an object nor can be decompressed.
     """
     return data if data.startswith(b"{") else zlib.decompress(data)
