--- a/measure/scale/hollow_member.py
+++ b/measure/scale/hollow_member.py
@@ -28,8 +28,8 @@
     EndpointWatch,
     HttpConnection,
 )
-from rainfall.forwarder.engine.engine_state import Clock, EngineState
-from rainfall.forwarder.fleet.member import FleetMember
+from rainfall.forwarder.engine.engine_state import Clock
+from rainfall.forwarder.fleet.member import FleetMember, ForwarderContext
 from rainfall.forwarder.http1 import ResponseReader
 
 WAITING_CLASS = "order"
@@ -211,7 +211,7 @@
             {"service": str(service.fleet), "site": site}, name
         )
         self.fleet = self.engine.fleet = FleetMember(
-            config, cast(EngineState, self.engine)
+            config, cast(ForwarderContext, self.engine)
         )
         self.watch = EndpointWatch(
             service.discovery, NO_VERSION, self.listed, self.random.getrandbits(32)
--- /dev/null
+++ b/rainfall/forwarder/engine/endpoint_updates.py
@@ -0,0 +1,71 @@
+"""Updates of the endpoint list on their way to the decisions."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from rainfall.dispatch import EndpointListChanged, EndpointListKind
+from rainfall.forwarder.config.loading import EndpointList
+from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
+from rainfall.forwarder.engine.engine_state import Clock, EngineState, log
+from rainfall.forwarder.engine.event_queue import EventQueue
+from rainfall.forwarder.message_store import MessageStore
+
+
+class EndpointUpdates:
+    """Applies and journals each update that discovery sends."""
+
+    def __init__(
+        self,
+        *,
+        state: EngineState,
+        clock: Clock,
+        store: MessageStore,
+        directory: EndpointDirectory,
+        events: EventQueue,
+        run_round: Callable[[], None],
+    ) -> None:
+        self.state, self.clock, self.store = state, clock, store
+        self.directory, self.events = directory, events
+        self.run_round = run_round
+
+    def on_endpoint_list(self, update: EndpointList | None) -> None:
+        """Apply an update and decide on it at once.
+
+        A draining endpoint must not be sent anything from now on.
+
+        Args:
+            update: None where discovery could not be asked.
+        """
+        if update is None:
+            self.events.post(EndpointListChanged(EndpointListKind.FAILED))
+            return
+        if update.endpoints or update.complete:
+            entries = self.directory.to_entries(update)
+            self.apply(update)
+        else:
+            entries = ()
+        kind = (
+            EndpointListKind.SNAPSHOT if update.complete else EndpointListKind.CHANGES
+        )
+        self.events.enqueue(EndpointListChanged(kind, entries))
+        if not self.state.frozen:
+            self.run_round()
+
+    def apply(self, update: EndpointList) -> None:
+        """Take an update into the directory and the journal."""
+        self.directory.apply_endpoint_list(update)
+        endpoints = self.directory.endpoints
+        log.info(
+            "list %d: %d of %d targets up%s",
+            update.version,
+            sum(endpoint.health == "up" for endpoint in endpoints.values()),
+            len(endpoints),
+            "" if update.complete else f", {len(update.endpoints)} changed",
+        )
+        self.store.append_endpoint_list(
+            update.version,
+            {endpoint.name: endpoint.raw for endpoint in endpoints.values()},
+            self.clock(),
+            str(self.state.config.discovery),
+        )
--- /dev/null
+++ b/rainfall/forwarder/engine/handover_pause.py
@@ -0,0 +1,147 @@
+"""The pause in which another process reads the journal to take over from this one."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from collections.abc import Set as AbstractSet
+from typing import Any
+
+from rainfall.dispatch import AttemptFinished
+from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, Notifier
+from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
+from rainfall.forwarder.engine.engine_state import Clock, EngineState, log
+from rainfall.forwarder.engine.event_queue import EventQueue
+from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
+from rainfall.forwarder.engine.restoration import Restoration
+from rainfall.forwarder.handover.roles import HandoverMessage, JournalLock
+from rainfall.forwarder.inbound.server import InboundServer
+from rainfall.forwarder.message_store import MessageStore
+from rainfall.forwarder.outbound.connection_pool import ConnectionPool
+
+
+class HandoverPause:
+    """Stops the rounds for another process, and resumes them if it does not take over."""
+
+    def __init__(
+        self,
+        *,
+        state: EngineState,
+        clock: Clock,
+        store: MessageStore,
+        snapshot_dispatcher: Callable[[AbstractSet[tuple[str, int]]], dict[str, Any]],
+        server: InboundServer,
+        pool: ConnectionPool,
+        watch: EndpointWatch,
+        notifier: Notifier,
+        journal_lock: JournalLock | None,
+        directory: EndpointDirectory,
+        events: EventQueue,
+        outcomes: OutcomeRecorder,
+        restoration: Restoration,
+        remote_calls: RemoteCallTracker,
+        run_round: Callable[[], None],
+    ) -> None:
+        self.state, self.clock, self.store = state, clock, store
+        self.snapshot_dispatcher = snapshot_dispatcher
+        self.server, self.pool = server, pool
+        self.watch, self.notifier = watch, notifier
+        self.journal_lock, self.directory = journal_lock, directory
+        self.events, self.outcomes = events, outcomes
+        self.restoration, self.remote_calls = restoration, remote_calls
+        self.run_round = run_round
+        self.deferred_requests: list[Callable[[], None]] = []
+        """Operators' requests that came during the pause."""
+
+    def pause_for_handover(
+        self, on_paused: Callable[[HandoverMessage | None], None]
+    ) -> None:
+        """Stop with everything in the journal, and pass on what the journal lacks.
+
+        It is refused while the disk fails: a process that asks again and again must not
+        interrupt new connections, the watch and notifications each time.
+
+        Args:
+            on_paused: Called with the snapshot, or with None where there can be none
+                now.
+        """
+        if (
+            not self.state.serving
+            or self.state.shutdown_started_s
+            or self.remote_calls.calls
+            or self.journal_lock is None
+            or self.store.failed
+        ):
+            on_paused(None)
+            return
+        self.restoration.restore_messages()
+        self.run_round()
+        self.state.paused_for_handover = True
+        self.watch.pause()
+        self.notifier.pause()
+        self.store.commit(lambda _committed: self.finish_pause(on_paused))
+
+    def finish_pause(self, on_paused: Callable[[HandoverMessage | None], None]) -> None:
+        """Commit the outcomes that came since the last round as well.
+
+        The other process reads the file, and a sync under way might replace it.
+        """
+        self.pool.fail_unconnected_calls()
+        if self.state.fleet is not None:
+            self.state.fleet.pause()
+        self.events.record_waiting_outcomes()
+        self.store.commit(lambda _committed: on_paused(self.handover_snapshot()))
+
+    def handover_snapshot(self) -> HandoverMessage | None:
+        """What the other process needs beside the journal; None if the disk failed."""
+        if self.store.failed:
+            return None
+        log.info(
+            "a new process takes over: %d messages held, %d calls out",
+            len(self.store.messages),
+            self.pool.in_flight,
+        )
+        now = self.clock()
+        # The dispatcher has not decided on these outcomes: the other process's will, as
+        # on those of calls that end later.
+        finished_attempts = {
+            (event.message_id, event.attempt)
+            for event in self.events.pending_events
+            if isinstance(event, AttemptFinished)
+        }
+        return {
+            "numbers": self.directory.ids,
+            "numbered": self.directory.last_id,
+            "recent": list(self.outcomes.recently_finished),
+            "waits": [
+                [*throttle_scope, until]
+                for throttle_scope, until in self.pool.retry_after_until.items()
+                if until > now
+            ],
+            "descriptors": len(self.server.connections) + self.pool.in_flight,
+            "module": self.snapshot_dispatcher(
+                self.pool.calls.keys() | finished_attempts
+            ),
+        }
+
+    def resume_after_handover(self) -> None:
+        """Go on: the other process ended before it had taken over."""
+        if not self.state.paused_for_handover:
+            return
+        self.state.paused_for_handover = False
+        if self.state.fleet is not None:
+            self.state.fleet.resume()
+        self.watch.subscribe()
+        self.notifier.kick()
+        self.events.schedule_round()
+        self.run_deferred_requests()
+
+    def defer(self, request: Callable[[], None]) -> None:
+        """Keep a request until the pause is over, either way."""
+        self.deferred_requests.append(request)
+
+    def run_deferred_requests(self) -> None:
+        """Carry out the requests that came during the pause, in order."""
+        requests, self.deferred_requests = self.deferred_requests, []
+        for request in requests:
+            request()
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -1,6 +1,4 @@
-"""The engine's part at the door: messages handed in, turned away, taken back; and news
-of the list.
-"""
+"""Messages that clients submit: admitted, accepted, rejected or withdrawn."""
 
 from __future__ import annotations
 
@@ -8,32 +6,67 @@
 from http import HTTPStatus
 
 from rainfall.dispatch import (
-    EndpointListChanged,
-    EndpointListKind,
     FailMessage,
     MessageReceived,
     MessageWithdrawn,
     NotificationAcknowledged,
     RejectMessage,
 )
-from rainfall.forwarder.config.loading import EndpointList
+from rainfall.forwarder.admin.admin_server import Metrics
 from rainfall.forwarder.engine.capacity import CapacityBound, has_memory
+from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.engine_state import (
     LOG_INTERVAL_US,
     REJECTED_RETRY_AFTER_S,
     US_PER_SECOND,
+    Clock,
     EngineState,
+    Submission,
     log,
     trace_log,
 )
+from rainfall.forwarder.engine.event_queue import EventQueue
+from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.restoration import Restoration
+from rainfall.forwarder.handover.roles import HandoverSource
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
+from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
 
 
-class Intake(EngineState):
+class Intake:
+    """Owns the messages whose clients still wait for an answer."""
+
+    def __init__(
+        self,
+        *,
+        state: EngineState,
+        clock: Clock,
+        store: MessageStore,
+        metrics: Metrics,
+        handover_source: HandoverSource,
+        directory: EndpointDirectory,
+        events: EventQueue,
+        outcomes: OutcomeRecorder,
+        restoration: Restoration,
+    ) -> None:
+        self.state, self.clock, self.store = state, clock, store
+        self.metrics, self.handover_source = metrics, handover_source
+        self.directory, self.events = directory, events
+        self.outcomes, self.restoration = outcomes, restoration
+        self.undecided: dict[str, Submission] = {}
+        """Submitted, and not decided on yet."""
+        self.unacknowledged: set[str] = set()
+        """Accepted, and not yet as durable as the configured level promises."""
+        self.withdrawing: set[str] = set()
+        """Accepted ones whose client disconnected: until their sync is over nobody may
+        submit the same id.
+        """
+        self.last_full_log_us = -LOG_INTERVAL_US
+
     def submit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
-        """A message came in.
+        """Take a message to the next round, or answer at once.
 
-        At the door only what the module never sees is turned away.
+        Only what the decisions need not see is answered here.
         """
         if self.handover_source.transferred:
             self.handover_source.submit(submitted, writer)
@@ -41,56 +74,36 @@
         acceptance_pending = (
             submitted.id in self.unacknowledged or submitted.id in self.withdrawing
         )
-        known = (
-            submitted.id in self.store.messages
-            or submitted.id in self.recently_finished
-        )
-        if known and not acceptance_pending:
-            writer.answer(
-                HTTPStatus.ACCEPTED
-            )  # it is ours already, or was: it must not be delivered twice
+        if not acceptance_pending and self.is_known(submitted.id):
+            # Accepted before, so it must not be delivered twice.
+            writer.answer(HTTPStatus.ACCEPTED)
             return
-        if submitted.id in self.undecided or acceptance_pending:
-            self.metrics.throttled[submitted.class_name] += 1
-            writer.answer(
-                HTTPStatus.SERVICE_UNAVAILABLE,
-                "handed in twice at once",
-                Retry_After=REJECTED_RETRY_AFTER_S,
-            )
+        if acceptance_pending or submitted.id in self.undecided:
+            self.answer_unavailable(submitted, writer, "handed in twice at once")
             return
-        exceeded = None if self.frozen else self.exceeded_bound(submitted)
-        if self.frozen or exceeded is not None:
-            if (
-                exceeded is not None
-                and self.clock() - self.last_full_log_us > LOG_INTERVAL_US
-            ):
-                self.last_full_log_us = self.clock()
-                log.warning(
-                    "full: %d messages held; new ones are turned away by %s",
-                    len(self.store.messages) + len(self.undecided),
-                    exceeded.value,
-                )
-            self.event_counts["turned away full"] += 1
-            self.metrics.throttled[submitted.class_name] += 1
-            writer.answer(
-                HTTPStatus.SERVICE_UNAVAILABLE,
-                "full",
-                Retry_After=REJECTED_RETRY_AFTER_S,
-            )
+        if self.state.frozen or self.is_full(submitted):
+            self.state.event_counts["turned away full"] += 1
+            self.answer_unavailable(submitted, writer, "full")
             return
-        if submitted.destination not in self.known_destinations:
-            self.metrics.throttled[submitted.class_name] += 1
-            writer.answer(
-                HTTPStatus.SERVICE_UNAVAILABLE,
-                "no such destination",
-                Retry_After=REJECTED_RETRY_AFTER_S,
-            )
+        if submitted.destination not in self.directory.known_destinations:
+            self.answer_unavailable(submitted, writer, "no such destination")
             return
-        if submitted.order_key is not None and self.restore_backlog:
-            self.restore_key_sequence(submitted.order_key)
-        self.undecided[submitted.id] = (submitted, writer)
+        if submitted.order_key is not None and self.restoration.backlog:
+            self.restoration.restore_key_sequence(submitted.order_key)
+        self.admit(submitted, writer)
+
+    def is_known(self, message_id: str) -> bool:
+        """Whether a message is accepted, or was until recently."""
+        return (
+            message_id in self.store.messages
+            or message_id in self.outcomes.recently_finished
+        )
+
+    def admit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
+        """Have the next round decide on a message."""
+        self.undecided[submitted.id] = Submission(submitted, writer)
         writer.on_disconnect = lambda: self.withdraw(submitted.id)
-        self.post(
+        self.events.post(
             MessageReceived(
                 submitted.id,
                 submitted.destination,
@@ -101,8 +114,8 @@
                 submitted.resent,
             )
         )
-        if self.fleet is not None:
-            self.fleet.record_demand(
+        if self.state.fleet is not None:
+            self.state.fleet.record_demand(
                 submitted.destination, submitted.class_name, submitted.tenant
             )
         if trace_log.isEnabledFor(logging.INFO):
@@ -111,127 +124,129 @@
                 extra={"message_id": submitted.id, "cls": submitted.class_name},
             )
 
+    def answer_unavailable(
+        self, submitted: SubmittedMessage, writer: ResponseWriter, text: str
+    ) -> None:
+        """Answer 503: the client may come again soon, here or elsewhere."""
+        self.metrics.throttled[submitted.class_name] += 1
+        writer.answer(
+            HTTPStatus.SERVICE_UNAVAILABLE, text, Retry_After=REJECTED_RETRY_AFTER_S
+        )
+
+    def is_full(self, submitted: SubmittedMessage) -> bool:
+        """Whether one more message would exceed a bound; logged now and then."""
+        exceeded = self.exceeded_bound(submitted)
+        if exceeded is None:
+            return False
+        if self.clock() - self.last_full_log_us > LOG_INTERVAL_US:
+            self.last_full_log_us = self.clock()
+            log.warning(
+                "full: %d messages held; new ones are turned away by %s",
+                len(self.store.messages) + len(self.undecided),
+                exceeded.value,
+            )
+        return True
+
     def exceeded_bound(self, submitted: SubmittedMessage) -> CapacityBound | None:
-        """The bound that one more message would pass, if any.
+        """The bound that one more message would exceed, if any.
 
-        What was taken on stays whatever is full.
+        Messages that are accepted already stay whatever is full.
         """
         message_count = len(self.store.messages) + len(self.undecided)
         extra_bytes = len(submitted.body) + sum(
-            len(other.body) for other, _ in self.undecided.values()
+            len(other.message.body) for other in self.undecided.values()
         )
-        if message_count >= self.config.settings.max_open_messages:
+        config = self.state.config
+        if message_count >= config.settings.max_open_messages:
             return CapacityBound.MESSAGES
         if not has_memory(
-            self.config.memory_mb,
-            message_count + 1,
-            self.store.live_bytes + extra_bytes,
+            config.memory_mb, message_count + 1, self.store.live_bytes + extra_bytes
         ):
             return CapacityBound.MEMORY
         return None if self.store.has_capacity(extra_bytes) else CapacityBound.DISK
 
-    def restore_key_sequence(self, key: str) -> None:
-        """What was taken on before goes before what comes now."""
-        for name in [
-            name
-            for name, event in self.restore_backlog.items()
-            if event.ordering_key == key
-        ]:
-            self.pending_events.append(self.restore_backlog.pop(name))
+    def take_undecided(self) -> dict[str, Submission]:
+        """The submissions that the round which starts now decides on."""
+        undecided, self.undecided = self.undecided, {}
+        return undecided
 
     def withdraw(self, message_id: str) -> None:
-        """The client has gone before its answer: it may hand the message in elsewhere,
-        so it is not ours.
+        """Give up a message whose client disconnected before its answer.
+
+        The client may submit it elsewhere, so it must not be delivered from here.
         """
         if self.undecided.pop(message_id, None) is not None:
-            self.post(MessageWithdrawn(message_id))
+            self.events.post(MessageWithdrawn(message_id))
         if message_id in self.unacknowledged:
-            # Its record may be in the file, and waits to be synced: a process killed
-            # now must not find it.
+            # Its record may be in the file and wait for a sync: after a kill the next
+            # process must not find it.
             self.unacknowledged.discard(message_id)
             self.withdrawing.add(message_id)
             if message_id in self.store.messages:
                 self.store.append_finished(message_id)
                 self.store.flush()
-                self.post(MessageWithdrawn(message_id))
+                self.events.post(MessageWithdrawn(message_id))
+
+    def accept(self, submissions: dict[str, Submission]) -> None:
+        """Journal the messages of a round that it did not reject."""
+        self.unacknowledged.update(submissions)
+        for submitted, _ in submissions.values():
+            self.store.append_message(
+                AcceptedMessage(
+                    submitted.id,
+                    submitted.class_name,
+                    submitted.destination,
+                    submitted.due_us,
+                    submitted.key,
+                    submitted.tenant,
+                    submitted.body,
+                    submitted.order_key,
+                )
+            )
+
+    def acknowledge(self, submissions: dict[str, Submission], committed: bool) -> None:
+        """Answer 202 for journaled messages; revoke the others."""
+        for message_id, (submitted, writer) in submissions.items():
+            if committed and message_id in self.unacknowledged:
+                self.state.event_counts["taken"] += 1
+                self.metrics.messages_accepted += 1
+                writer.answer(HTTPStatus.ACCEPTED)
+            else:
+                self.revoke_acceptance(submitted, writer)
+        self.unacknowledged.difference_update(submissions)
+        self.withdrawing.difference_update(submissions)
 
     def revoke_acceptance(
         self, submitted: SubmittedMessage, writer: ResponseWriter
     ) -> None:
-        """Its client has gone before the answer, or it could not be kept: it was never
-        taken on.
-        """
+        """Undo an acceptance that was withdrawn or could not be journaled."""
         if submitted.id in self.unacknowledged:
-            self.metrics.throttled[submitted.class_name] += 1
-            writer.answer(
-                HTTPStatus.SERVICE_UNAVAILABLE,
-                "cannot be kept",
-                Retry_After=REJECTED_RETRY_AFTER_S,
-            )
+            self.answer_unavailable(submitted, writer, "cannot be kept")
         if submitted.id in self.store.messages:
             self.store.append_finished(submitted.id)
-            self.post(MessageWithdrawn(submitted.id))
-        if (
-            submitted.id in self.store.pending_notifications
-        ):  # given up meanwhile: its key must not wait for a notice
+            self.events.post(MessageWithdrawn(submitted.id))
+        if submitted.id in self.store.pending_notifications:
+            # It was given up meanwhile, and its ordering key must not wait for a
+            # notification.
             self.store.append_acknowledgement(submitted.id)
-            self.post(NotificationAcknowledged(submitted.id))
+            self.events.post(NotificationAcknowledged(submitted.id))
 
     def reject(
-        self,
-        submitted: SubmittedMessage,
-        writer: ResponseWriter,
-        decision: RejectMessage | FailMessage,
+        self, submission: Submission, decision: RejectMessage | FailMessage
     ) -> None:
-        """Given up in the round in which it came: the client hears so, and it was never
-        taken on.
-        """
-        self.event_counts["turned away"] += 1
-        counts = (
-            self.metrics.faulted
-            if isinstance(decision, FailMessage)
-            else self.metrics.throttled
-        )
-        counts[submitted.class_name] += 1
+        """Answer a message that was given up in the round in which it came."""
+        submitted, writer = submission
+        self.state.event_counts["turned away"] += 1
         if isinstance(decision, FailMessage):
+            self.metrics.faulted[submitted.class_name] += 1
             writer.answer(HTTPStatus.INTERNAL_SERVER_ERROR, "cannot be delivered")
-        elif decision.retry_after_us > 0:
-            writer.answer(
-                HTTPStatus.TOO_MANY_REQUESTS,
-                "refused",
-                Retry_After=f"{decision.retry_after_us / US_PER_SECOND:.3f}",
-            )
-        else:
-            writer.answer(HTTPStatus.TOO_MANY_REQUESTS, "refused")
-
-    def on_endpoint_list(self, update: EndpointList | None) -> None:
-        """News of the list reaches the module at once: a drained target must get
-        nothing from now on.
-        """
-        if update is None:
-            self.post(EndpointListChanged(EndpointListKind.FAILED))
-            return
-        if update.endpoints or update.complete:
-            entries = self.to_entries(update)
-            self.apply_endpoint_list(update)
-            log.info(
-                "list %d: %d of %d targets up%s",
-                update.version,
-                sum(h.health == "up" for h in self.endpoints.values()),
-                len(self.endpoints),
-                "" if update.complete else f", {len(update.endpoints)} changed",
-            )
-            self.store.append_endpoint_list(
-                update.version,
-                {h.name: h.raw for h in self.endpoints.values()},
-                self.clock(),
-                str(self.config.discovery),
-            )
         else:
-            entries = ()
-        kind = (
-            EndpointListKind.SNAPSHOT if update.complete else EndpointListKind.CHANGES
-        )
-        self.pending_events.append(EndpointListChanged(kind, entries))
-        if not self.frozen:
-            self.run_round()
+            self.metrics.throttled[submitted.class_name] += 1
+            headers: dict[str, str] = {}
+            if decision.retry_after_us > 0:
+                retry_after_s = decision.retry_after_us / US_PER_SECOND
+                headers["Retry_After"] = f"{retry_after_s:.3f}"
+            writer.answer(HTTPStatus.TOO_MANY_REQUESTS, "refused", **headers)
+        if submitted.order_key is not None:
+            # The answer itself tells the client, so no notification is waited for.
+            self.events.post(NotificationAcknowledged(submitted.id))
--- /dev/null
+++ b/rainfall/forwarder/engine/outcomes.py
@@ -0,0 +1,101 @@
+"""The journal's and the metrics' records of how attempts and messages ended."""
+
+from __future__ import annotations
+
+import logging
+from collections import OrderedDict
+
+from rainfall.dispatch import (
+    NEVER_EXECUTED,
+    AttemptFinished,
+    FailMessage,
+    Outcome,
+    RejectMessage,
+)
+from rainfall.forwarder.admin.admin_server import Metrics
+from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
+from rainfall.forwarder.engine.engine_state import Clock, EngineState, trace_log
+from rainfall.forwarder.message_store import MessageStore
+
+MAX_RECENTLY_FINISHED = 2_048
+"""Messages remembered by id after their end; 100 bytes each."""
+
+
+class OutcomeRecorder:
+    """Records outcomes, and remembers which messages have just ended."""
+
+    def __init__(
+        self,
+        *,
+        state: EngineState,
+        clock: Clock,
+        store: MessageStore,
+        metrics: Metrics,
+        directory: EndpointDirectory,
+    ) -> None:
+        self.state, self.clock, self.store = state, clock, store
+        self.metrics, self.directory = metrics, directory
+        self.recently_finished: OrderedDict[str, None] = OrderedDict()
+
+    def record_outcome(self, event: AttemptFinished) -> None:
+        """Journal how an attempt ended.
+
+        One that ended before it was recorded is recorded first: it counts as one.
+        """
+        message = self.store.messages.get(event.message_id)
+        if (
+            message is not None
+            and event.attempt not in message.in_flight
+            and not event.message_closed
+        ):
+            name = self.directory.names.get(event.endpoint, "")
+            self.store.append_attempt(message, event.attempt, self.clock(), name)
+        self.state.event_counts[event.outcome.value] += 1
+        if message is None:
+            return
+        if event.message_closed or event.outcome is Outcome.DELIVERED:
+            is_delivered = event.outcome is Outcome.DELIVERED
+            self.metrics.record_finished(
+                self.metrics.fulfilled if is_delivered else self.metrics.faulted,
+                message.class_name,
+            )
+            self.store.append_finished(message.id)
+            self.remember_finished(message.id, event.outcome.value)
+            return
+        may_have_executed = event.outcome not in NEVER_EXECUTED
+        self.store.append_outcome(message, event.attempt, may_have_executed)
+        if self.state.fleet is not None and event.outcome is not Outcome.NOT_SENT:
+            self.state.fleet.record_demand(
+                message.destination, message.class_name, message.tenant
+            )
+
+    def remember_finished(self, message_id: str, outcome: str) -> None:
+        """Remember an ended message for a while.
+
+        Ids are new each time, so one that is submitted again is a duplicate.
+        """
+        if trace_log.isEnabledFor(logging.INFO):
+            trace_log.info(
+                "ended", extra={"message_id": message_id, "outcome": outcome}
+            )
+        self.recently_finished[message_id] = None
+        if len(self.recently_finished) > MAX_RECENTLY_FINISHED:
+            self.recently_finished.popitem(last=False)
+
+    def count_unattempted(
+        self, decision: RejectMessage | FailMessage, now: int
+    ) -> None:
+        """Count, by its reason, a message that was accepted and given up unattempted."""
+        message = self.store.messages[decision.message_id]
+        if message.attempts > message.unsent_attempts:
+            return
+        self.state.event_counts[f"untried: {decision.reason}"] += 1
+        if trace_log.isEnabledFor(logging.INFO):
+            trace_log.info(
+                "given up untried",
+                extra={
+                    "message_id": message.id,
+                    "cause": decision.reason,
+                    "left_ms": (message.deadline_us - now) // 1000,
+                },
+            )
--- /dev/null
+++ b/rainfall/forwarder/engine/reconfiguration.py
@@ -0,0 +1,187 @@
+"""SIGHUP: another configuration takes effect without a restart."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from dataclasses import replace
+
+from rainfall.dispatch import SettingsChanged
+from rainfall.forwarder.admin.admin_server import Metrics
+from rainfall.forwarder.config.errors import ConfigError
+from rainfall.forwarder.config.loading import Config, load_replacement
+from rainfall.forwarder.config.validation import (
+    KEY_BY_FIELD,
+    RESTART_FIELDS,
+    ActiveConfig,
+    config_digest,
+    merge_fleet,
+)
+from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, Notifier
+from rainfall.forwarder.engine.endpoint_directory import (
+    ANY_ENDPOINT,
+    EndpointDirectory,
+    kind_name,
+)
+from rainfall.forwarder.engine.engine_state import EngineState, durability_level, log
+from rainfall.forwarder.engine.event_queue import EventQueue
+from rainfall.forwarder.engine.handover_pause import HandoverPause
+from rainfall.forwarder.handover.roles import HandoverSource
+from rainfall.forwarder.inbound.server import InboundServer
+from rainfall.forwarder.message_store import DeliveryRules, MessageStore
+from rainfall.forwarder.outbound.connection_pool import ConnectionPool
+
+
+def to_active_config(config: Config, durability: str, source: str) -> ActiveConfig:
+    """What operators are told of a configuration that takes effect now.
+
+    Args:
+        config: The configuration.
+        durability: The level in force, which a reload does not change.
+        source: What made it take effect: `start` or `SIGHUP`.
+    """
+    digest = config_digest({**config.raw, "durability": durability})
+    return ActiveConfig(digest, source, time.time())
+
+
+class Reconfiguration:
+    """Reloads the configuration; one that is not valid leaves all as it is."""
+
+    def __init__(
+        self,
+        *,
+        state: EngineState,
+        store: MessageStore,
+        server: InboundServer,
+        pool: ConnectionPool,
+        watch: EndpointWatch,
+        notifier: Notifier,
+        metrics: Metrics,
+        active_config: ActiveConfig,
+        handover_source: HandoverSource,
+        directory: EndpointDirectory,
+        events: EventQueue,
+        pause: HandoverPause,
+        allocate_sockets: Callable[[int], None],
+        run_round: Callable[[], None],
+    ) -> None:
+        self.state, self.store = state, store
+        self.server, self.pool = server, pool
+        self.watch, self.notifier, self.metrics = watch, notifier, metrics
+        self.active_config, self.handover_source = active_config, handover_source
+        self.directory, self.events, self.pause = directory, events, pause
+        self.allocate_sockets, self.run_round = allocate_sockets, run_round
+
+    def reload(self) -> None:
+        """Read the configuration again and apply what may change without a restart."""
+        old = self.state.config
+        if self.handover_source.transferred:
+            log.info("the new process reads the configuration")
+            self.handover_source.reload()
+            return
+        if self.state.paused_for_handover:
+            self.pause.defer(self.reload)
+            return
+        try:
+            new = load_replacement(old)
+        except ConfigError as error:
+            self.metrics.configs_rejected += 1
+            log.error("the old configuration is kept: %s", error)
+            return
+        self.metrics.configs_accepted += 1
+        if self.events.last_round_us:
+            # What has come so far is decided on by the old settings.
+            self.run_round()
+        restart_keys = self.replace_config(old, new)
+        # Once closed, only an engine that starts again from the journal reads it.
+        if not self.state.closed:
+            self.apply_config(old, new, restart_keys)
+
+    def replace_config(self, old: Config, new: Config) -> list[str]:
+        """Make a configuration the one in force.
+
+        Returns:
+            The keys whose new values take effect only at the next start.
+        """
+        changed_fields = [
+            field
+            for field in RESTART_FIELDS
+            if getattr(new, field) != getattr(old, field)
+        ]
+        fleet, fleet_keys = merge_fleet(old.fleet, new.fleet)
+        self.state.config = replace(
+            new,
+            **{field: getattr(old, field) for field in changed_fields},
+            known_endpoints=old.known_endpoints,
+            seed=old.seed,
+            fleet=fleet,
+        )
+        return [KEY_BY_FIELD.get(field, field) for field in changed_fields] + fleet_keys
+
+    def apply_config(self, old: Config, new: Config, restart_keys: list[str]) -> None:
+        """Let a configuration take effect where it differs from the old one."""
+        self.active_config = to_active_config(new, durability_level(old), "SIGHUP")
+        self.allocate_sockets(new.max_sockets)
+        self.store.max_bytes = self.store.usable_bytes(new.disk_bytes)
+        if (new.settings, new.report_fields) != (old.settings, old.report_fields):
+            self.apply_settings(new)
+        member, fleet = self.state.fleet, self.state.config.fleet
+        if member is not None and fleet is not None and fleet != old.fleet:
+            member.reload(fleet)
+        if new.discovery != old.discovery:
+            self.watch.change_address(new.discovery)
+            self.notifier.change_address(new.discovery)
+        log.info(
+            "configuration read again: discovery at %s%s",
+            new.discovery,
+            f"; takes effect at the next start: {', '.join(restart_keys)}"
+            if restart_keys
+            else "",
+        )
+
+    def apply_settings(self, new: Config) -> None:
+        """Let new settings take effect between two rounds.
+
+        Messages that are accepted already keep the rules that they came under.
+        """
+        settings = replace(new.settings, notifications_acknowledged=True)
+        previous_kinds = self.directory.endpoint_scoped_kinds
+        self.directory.apply_endpoint_kinds(settings)
+        if self.directory.endpoint_scoped_kinds != previous_kinds:
+            self.move_retry_afters(previous_kinds)
+        self.server.settings = settings
+        self.watch.pushed = not settings.subscribe_endpoint_list
+        self.pool.configure(
+            new.report_fields, settings.idle_connection_us, settings.connect_timeout_us
+        )
+        self.metrics.add_classes(c.name for c in settings.classes)
+        self.store.use_rules(DeliveryRules(settings.max_attempts, settings.classes))
+        self.events.enqueue(SettingsChanged(settings))
+        if self.events.last_round_us:
+            # The first round of a start waits for the endpoint list.
+            self.run_round()
+
+    def move_retry_afters(self, previous_kinds: set[str]) -> None:
+        """Keep each Retry-After in force under the new throttle scopes.
+
+        Endpoints of a kind now throttle apart, or no longer do: a Retry-After binds
+        every scope that it may have been meant for.
+        """
+        scopes = {}
+        for name, endpoint in self.directory.endpoints.items():
+            kind, endpoint_id = kind_name(endpoint), self.directory.ids[name]
+            is_scoped = kind in self.directory.endpoint_scoped_kinds
+            if is_scoped is not (kind in previous_kinds):
+                scopes[endpoint_id] = self.directory.throttle_scope(
+                    endpoint.destination, endpoint_id, endpoint
+                )
+        for (destination, endpoint_id), until in list(
+            self.pool.retry_after_until.items()
+        ):
+            for moved_id, scope in scopes.items():
+                scope_destination, _ = scope
+                is_affected = endpoint_id in (ANY_ENDPOINT, moved_id)
+                if scope_destination == destination and is_affected:
+                    self.pool.set_retry_after(scope, until)
+        for call in self.pool.calls.values():
+            call.throttle_scope = scopes.get(call.endpoint, call.throttle_scope)
--- /dev/null
+++ b/rainfall/forwarder/engine/restoration.py
@@ -0,0 +1,214 @@
+"""What a new engine takes over from the journal and from a handover's snapshot."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import OrderedDict
+from collections.abc import Callable
+
+from rainfall.dispatch import (
+    EndpointDisabled,
+    EndpointListChanged,
+    EndpointListKind,
+    MessageRestored,
+    NotificationPending,
+    OutageRestored,
+    SnapshotRestored,
+)
+from rainfall.forwarder.admin.admin_server import Metrics
+from rainfall.forwarder.config.loading import EndpointList, parse_endpoint
+from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
+from rainfall.forwarder.engine.engine_state import Clock, EngineState, log
+from rainfall.forwarder.engine.event_queue import EventQueue
+from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
+from rainfall.forwarder.handover.roles import HandoverMessage, HandoverTarget
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    DeliveryRules,
+    MessageStore,
+)
+from rainfall.forwarder.outbound.connection_pool import ConnectionPool
+
+RESTORE_BATCH = 100
+"""Restored messages that one round decides on, so that new ones need not wait."""
+RESTORE_INTERVAL_S = 0.01
+"""Between two such batches."""
+NO_ENDPOINT = -1
+"""In MessageRestored: the message was executed nowhere yet."""
+
+
+class Restoration:
+    """Restores the state of before the start, messages in batches between rounds."""
+
+    def __init__(
+        self,
+        *,
+        state: EngineState,
+        clock: Clock,
+        store: MessageStore,
+        pool: ConnectionPool,
+        metrics: Metrics,
+        handover_target: HandoverTarget | None,
+        directory: EndpointDirectory,
+        events: EventQueue,
+        outcomes: OutcomeRecorder,
+        remote_calls: RemoteCallTracker,
+        allocate_sockets: Callable[[int], None],
+    ) -> None:
+        self.state, self.clock, self.store = state, clock, store
+        self.pool, self.metrics = pool, metrics
+        self.handover_target = handover_target
+        self.directory, self.events = directory, events
+        self.outcomes, self.remote_calls = outcomes, remote_calls
+        self.allocate_sockets = allocate_sockets
+        self.backlog: dict[str, MessageRestored] = {}
+
+    def restore_state(self) -> int:
+        """Queue events for all that the journal holds.
+
+        Returns:
+            The version of the newest endpoint list that is known.
+        """
+        target = self.handover_target
+        snapshot = target.snapshot if target is not None else {}
+        self.apply_handover_snapshot(snapshot)
+        version = self.restore_endpoints()
+        self.restore_notifications()
+        settings = self.state.config.settings
+        self.store.use_rules(DeliveryRules(settings.max_attempts, settings.classes))
+        self.fill_backlog()
+        if snapshot:
+            self.restore_messages()
+            self.events.enqueue(SnapshotRestored(snapshot["module"]))
+        else:
+            self.restore_batch()
+        self.metrics.messages_accepted = len(self.store.messages)
+        if self.store.messages or self.store.pending_notifications:
+            log.info(
+                "took up %d messages and %d owed ends again",
+                len(self.store.messages),
+                len(self.store.pending_notifications),
+            )
+        return version
+
+    def apply_handover_snapshot(self, snapshot: HandoverMessage) -> None:
+        """Take over what the former process knew beside its journal."""
+        if not snapshot:
+            return
+        self.directory.restore_endpoint_ids(snapshot["numbers"], snapshot["numbered"])
+        self.outcomes.recently_finished = OrderedDict.fromkeys(snapshot["recent"])
+        self.pool.retry_after_until = {
+            (destination, endpoint): until
+            for destination, endpoint, until in snapshot["waits"]
+        }
+        self.remote_calls.restore(snapshot["module"]["calls"])
+        self.allocate_sockets(self.state.config.max_sockets - snapshot["descriptors"])
+
+    def restore_endpoints(self) -> int:
+        """Restore the newest endpoint list, and what operators and outages say of it.
+
+        Returns:
+            The list's version.
+        """
+        known, store = self.state.config.known_endpoints, self.store
+        # The configured list may be older than the drains that this forwarder heard of.
+        if store.seq >= known.version:
+            known = EndpointList(
+                store.seq,
+                True,
+                tuple(parse_endpoint(raw) for raw in store.hosts.values()),
+            )
+        self.directory.apply_endpoint_list(known)
+        entries = self.directory.to_entries(known)
+        self.events.enqueue(EndpointListChanged(EndpointListKind.CACHED, entries))
+        self.events.enqueue_all(
+            [
+                EndpointDisabled(self.directory.endpoint_id(name))
+                for name in store.detached
+            ]
+        )
+        for name, (started_at_us, recovered_at_us) in store.outages.items():
+            if name in self.directory.ids:
+                endpoint_id = self.directory.ids[name]
+                self.events.enqueue(
+                    OutageRestored(endpoint_id, started_at_us, recovered_at_us)
+                )
+        return known.version
+
+    def restore_notifications(self) -> None:
+        """Messages with the same ordering key wait for these to be acknowledged."""
+        self.events.enqueue_all(
+            [
+                NotificationPending(name, notification.order_key)
+                for name, notification in self.store.pending_notifications.items()
+                if notification.order_key is not None
+            ]
+        )
+
+    def fill_backlog(self) -> None:
+        """List the messages to restore, overdue ones first."""
+        now = self.clock()
+        for message in sorted(
+            self.store.messages.values(), key=lambda m: m.deadline_us > now
+        ):
+            if message.rules_number not in self.store.rules:
+                # The journal is of an older version.
+                message.rules_number = self.store.current_rules_number
+            self.backlog[message.id] = self.to_restored(message)
+
+    def to_restored(self, message: AcceptedMessage) -> MessageRestored:
+        """The event that restores a message; attempts that were cut are journaled."""
+        cut_attempts = [
+            attempt
+            for attempt in message.in_flight
+            if (message.id, attempt) not in self.remote_calls.calls
+        ]
+        for attempt in cut_attempts:
+            # Its outcome is unknown: it may have been executed.
+            self.store.append_outcome(message, attempt, True)
+        return MessageRestored(
+            message.id,
+            message.destination,
+            message.class_name,
+            message.deadline_us,
+            message.order_key,
+            message.tenant,
+            message.attempts,
+            message.executed_at_us,
+            self.directory.endpoint_id(message.executed_on)
+            if message.executed_on
+            else NO_ENDPOINT,
+            bool(cut_attempts),
+            self.store.class_of(message),
+            self.store.rules[message.rules_number].attempts,
+        )
+
+    def restore_batch(self) -> None:
+        """Queue the next RESTORE_BATCH messages of the backlog."""
+        self.restore_messages(RESTORE_BATCH)
+
+    def restore_messages(self, limit: int | None = None) -> None:
+        """Queue so many messages of the backlog, or all."""
+        for message_id in list(self.backlog)[:limit]:
+            self.events.enqueue(self.backlog.pop(message_id))
+
+    def restore_key_sequence(self, key: str) -> None:
+        """Queue all messages of an ordering key: they precede the one that comes now."""
+        message_ids = [
+            message_id
+            for message_id, event in self.backlog.items()
+            if event.ordering_key == key
+        ]
+        for message_id in message_ids:
+            self.events.enqueue(self.backlog.pop(message_id))
+
+    def continue_restoring(self) -> None:
+        """Restore the next batch, and come again until none is left."""
+        if self.backlog and not self.state.frozen:
+            if not self.state.paused_for_handover:
+                self.restore_batch()
+                self.events.schedule_round()
+            asyncio.get_running_loop().call_later(
+                RESTORE_INTERVAL_S, self.continue_restoring
+            )
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -1,37 +1,65 @@
-"""The engine's part in stopping: SIGTERM, what is still answered and sent, and when the
-process ends.
-"""
+"""Graceful shutdown: what is still accepted and sent after SIGTERM, and until when."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from collections.abc import Callable
 
 from rainfall.forwarder.engine.engine_state import EngineState, log
+from rainfall.forwarder.engine.event_queue import EventQueue
+from rainfall.forwarder.engine.intake import Intake
+from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
+from rainfall.forwarder.handover.roles import HandoverSource
 from rainfall.forwarder.inbound.client_connection import CLOSE_GRACE_S
+from rainfall.forwarder.inbound.server import InboundServer
+from rainfall.forwarder.message_store import MessageStore
+from rainfall.forwarder.outbound.connection_pool import ConnectionPool
+
+ACCEPT_PERIOD_S = 1.0
+"""After SIGTERM, how long new connections are accepted."""
+FREEZE_AFTER_S = 2.8
+"""After SIGTERM, when nothing new is sent any more and calls in flight are awaited."""
+EXIT_AFTER_S = 3.3
+"""After SIGTERM, when the process ends: SIGKILL may come at 3.7 s.
 
-ACCEPT_PERIOD_S = 1.0  # after SIGTERM new connections come for a while
-FREEZE_AFTER_S = 2.8  # then nothing new is sent, and what is out is waited for
-EXIT_AFTER_S = (
-    3.3  # and this long after SIGTERM the process ends: SIGKILL may come at 3.7 s
-)
-CLIENT_CLOSE_S = (
-    0.5  # where there is time, clients have so long to read their answers and let go
-)
-# The longest way from SIGTERM to the end: EXIT_S, one step, the last sync (SETTLE_S
-# 0.2, under `power` alone) and CLOSE_S for the clients: 3.65 s.
+The longest way to the end is this, one step, the last commit (FINAL_COMMIT_TIMEOUT_S,
+0.2 s, under `power` alone) and CLOSE_GRACE_S for the clients: 3.65 s.
+"""
+CLIENT_CLOSE_S = 0.5
+"""Where there is time, how long clients may take to read answers and disconnect."""
 SHUTDOWN_STEP_S = 0.05
+"""Between two looks at whether the process may end."""
+
 
+class Shutdown:
+    """Takes the engine from SIGTERM to its end."""
+
+    def __init__(
+        self,
+        *,
+        state: EngineState,
+        store: MessageStore,
+        server: InboundServer,
+        pool: ConnectionPool,
+        handover_source: HandoverSource,
+        events: EventQueue,
+        intake: Intake,
+        remote_calls: RemoteCallTracker,
+        run_round: Callable[[], None],
+    ) -> None:
+        self.state, self.store = state, store
+        self.server, self.pool = server, pool
+        self.handover_source, self.events = handover_source, events
+        self.intake, self.remote_calls = intake, remote_calls
+        self.run_round = run_round
 
-class Shutdown(EngineState):
     def stop(self) -> None:
-        """SIGTERM: go on as before while clients still come, then only wait for what is
-        out.
-        """
-        if self.shutdown_started_s:
+        """SIGTERM: go on as before while clients still connect, then drain."""
+        if self.state.shutdown_started_s:
             return
         self.handover_source.abort()
-        self.shutdown_started_s = time.monotonic()
+        self.state.shutdown_started_s = time.monotonic()
         log.info(
             "stopping: %d messages held, %d calls out",
             len(self.store.messages),
@@ -41,67 +69,83 @@
         asyncio.get_running_loop().call_later(ACCEPT_PERIOD_S, self.advance_shutdown)
 
     def advance_shutdown(self) -> None:
-        elapsed_s = time.monotonic() - self.shutdown_started_s
+        """Take the next step, and come again until the process may end."""
+        elapsed_s = time.monotonic() - self.state.shutdown_started_s
         self.server.drain()
         if self.handover_source.transferred:
-            if elapsed_s >= EXIT_AFTER_S or not (
-                self.pool.in_flight or self.server.connections
-            ):
-                log.info("stopped: all else is the new process's")
-                self.stopped.set()
-            else:
-                asyncio.get_running_loop().call_later(
-                    SHUTDOWN_STEP_S, self.advance_shutdown
-                )
+            self.advance_after_transfer(elapsed_s)
             return
-        if elapsed_s >= FREEZE_AFTER_S and not self.frozen:
+        if elapsed_s >= FREEZE_AFTER_S and not self.state.frozen:
             self.freeze()
-        nothing_left = (
-            not self.store.messages
-            and not self.store.pending_notifications
-            and not self.undecided
-        )
-        if (
-            nothing_left
-            or elapsed_s >= EXIT_AFTER_S
-            or (
-                self.frozen
-                and not self.pool.in_flight
-                and not self.remote_calls
-                and not self.store.pending_notifications
-            )
-        ):
+        if elapsed_s >= EXIT_AFTER_S or self.is_drained():
             log.info(
                 "stopped: %d messages and %d owed ends stay in the journal",
                 len(self.store.messages),
                 len(self.store.pending_notifications),
             )
-            # From this moment on: what comes before `run` goes on would be taken in and
-            # never decided on.
-            self.frozen = True
-            self.stopped.set()
+            # From this moment on: what comes before `Startup.run` resumes would be
+            # admitted and never decided on.
+            self.stop_rounds()
+            self.finish()
             return
+        self.schedule_next_step()
+
+    def advance_after_transfer(self, elapsed_s: float) -> None:
+        """All but the connections is another process's: wait for these alone."""
+        if elapsed_s >= EXIT_AFTER_S or not (
+            self.pool.in_flight or self.server.connections
+        ):
+            log.info("stopped: all else is the new process's")
+            self.finish()
+        else:
+            self.schedule_next_step()
+
+    def schedule_next_step(self) -> None:
+        """Look again after SHUTDOWN_STEP_S."""
         asyncio.get_running_loop().call_later(SHUTDOWN_STEP_S, self.advance_shutdown)
 
+    def is_drained(self) -> bool:
+        """Whether there is nothing left that this process could still finish."""
+        if self.store.pending_notifications:
+            return False
+        if not self.store.messages and not self.intake.undecided:
+            return True
+        return (
+            self.state.frozen
+            and not self.pool.in_flight
+            and not self.remote_calls.calls
+        )
+
     def freeze(self) -> None:
         """Decide for the last time.
 
-        What has not left by now never does: else a call could go out just before the
-        end, which the process after this one must take as run. Unsent, it is tried
-        there.
+        What has not left by now never does. Otherwise a call could leave just before
+        the end, and the next process would have to take it as executed; unsent, the
+        next process attempts it.
         """
-        if self.undecided or self.pending_events:
+        if self.intake.undecided or self.events.pending_events:
             self.run_round()
-        self.frozen = True
-        # Calls of that round that could not leave have come back, and no round reads it
-        # any more.
-        self.record_waiting_outcomes()
+        self.stop_rounds()
+        # Calls of that round that could not leave are reported as not sent, and no
+        # round decides on that any more.
+        self.events.record_waiting_outcomes()
         self.store.flush()
         self.pool.fail_unconnected_calls()
 
+    def stop_rounds(self) -> None:
+        """Let no round decide any more."""
+        self.state.frozen = True
+
+    def finish(self) -> None:
+        """Have `Startup.run` go on to its end."""
+        self.state.stopped.set()
+
     def client_grace_s(self) -> float:
-        """How long clients may take to let go at the end."""
+        """How long clients may take to disconnect at the end, in seconds."""
         remaining_s = (
-            self.shutdown_started_s + EXIT_AFTER_S + CLOSE_GRACE_S - time.monotonic()
+            self.state.shutdown_started_s
+            + EXIT_AFTER_S
+            + CLOSE_GRACE_S
+            - time.monotonic()
         )
         return max(CLOSE_GRACE_S, min(CLIENT_CLOSE_S, remaining_s))
--- a/rainfall/forwarder/handover/roles.py
+++ b/rainfall/forwarder/handover/roles.py
@@ -249,6 +249,13 @@
                 ]
             )
 
+    def take_response_writers(self) -> dict[int, tuple[str, ResponseWriter]]:
+        """The clients whose messages the new process has, with the messages' ids; they
+        are this object's no longer.
+        """
+        writers, self.response_writers = self.response_writers, {}
+        return writers
+
     def reload(self) -> None:
         """SIGHUP came here, but the settings are the new process's now."""
         self.engine.reload_inbound_settings()
@@ -344,6 +351,10 @@
             self.link.close()
             return False
 
+    def cancel_call(self, message: str, attempt: int) -> None:
+        """Have the old process cancel a call that it has in flight."""
+        self.link.send(cancel=[message, attempt])
+
     def attach(self, engine: TargetEngine) -> None:
         self.engine = engine
         early_messages, self.early_messages = self.early_messages, []
--- a/tests/forwarder/test_call_races.py
+++ b/tests/forwarder/test_call_races.py
@@ -17,7 +17,7 @@
 
 from rainfall.dispatch import AttemptFinished, Outcome
 from rainfall.forwarder.config.loading import Address
-from rainfall.forwarder.engine.engine import Clock
+from rainfall.forwarder.engine.engine_state import Clock
 from rainfall.forwarder.outbound import connection_pool
 from rainfall.forwarder.outbound.connection_pool import (
     CallItem,
--- a/tests/forwarder/test_descriptor_limits.py
+++ b/tests/forwarder/test_descriptor_limits.py
@@ -18,7 +18,8 @@
 from rainfall.forwarder.admin.admin_server import MAX_CONNECTIONS, AdminServer
 from rainfall.forwarder.config.loading import Address, Config, EndpointList
 from rainfall.forwarder.engine.engine import Engine
-from rainfall.forwarder.engine.engine_state import OWN_DESCRIPTORS, Clock
+from rainfall.forwarder.engine.engine_state import Clock
+from rainfall.forwarder.engine.sockets import OWN_DESCRIPTORS
 from rainfall.forwarder.inbound.server import (
     ACCEPT_BATCH,
     ACCEPT_LOOP_TURNS,
--- a/tests/forwarder/test_fleet_member.py
+++ b/tests/forwarder/test_fleet_member.py
@@ -34,7 +34,7 @@
 from rainfall.dispatch.quota import NEVER, Quota, change_quota
 from rainfall.forwarder.config.fleet_config import BudgetReserve
 from rainfall.forwarder.config.loading import Address
-from rainfall.forwarder.engine.engine import Clock
+from rainfall.forwarder.engine.engine_state import Clock
 from rainfall.forwarder.fleet.quotas import (
     UNKNOWN_PERIOD_CALLS,
     FleetQuotas,
--- a/tests/forwarder/test_handover_races.py
+++ b/tests/forwarder/test_handover_races.py
@@ -90,7 +90,7 @@
 
     async def end(self) -> None:
         if self.task is not None:
-            self.engine.stopped.set()
+            self.engine.state.stopped.set()
             await self.task
         self.engine.handover_source.close()
         await self.engine.server.close()
@@ -282,10 +282,12 @@
         await peer.got(1)
         works.clear()
         other.writer.write(message("n", dest=8))
-        await until(lambda: "n" in engine.store.messages or "n" in engine.undecided)
+        await until(
+            lambda: "n" in engine.store.messages or "n" in engine.intake.undecided
+        )
         successor = HandoverTarget()
         asked = asyncio.create_task(successor.request_snapshot(folder))
-        await until(lambda: engine.paused_for_handover)
+        await until(lambda: engine.state.paused_for_handover)
         gate.set()  # the answer comes while the disk syncs
         await until(lambda: ("m", 0) not in engine.pool.calls)
         works.set()
@@ -370,12 +372,15 @@
         engine = await old.start()
         stays, goes = await old.client(), await old.client()
         successor = HandoverTarget()
-        assert await successor.request_snapshot(folder) and engine.paused_for_handover
+        assert (
+            await successor.request_snapshot(folder)
+            and engine.state.paused_for_handover
+        )
         stays.writer.write(message("m", "pay"))
         goes.writer.write(message("n", "pay"))
-        await until(lambda: {"m", "n"} <= engine.undecided.keys())
+        await until(lambda: {"m", "n"} <= engine.intake.undecided.keys())
         goes.writer.close()
-        await until(lambda: "n" not in engine.undecided)
+        await until(lambda: "n" not in engine.intake.undecided)
         await platform.change("s1", "draining")
         olds.append(new := Old(folder, platform))
         taken = await new.start(successor)
@@ -402,7 +407,7 @@
         assert await successor.request_snapshot(folder)
         client.writer.write(message("n", "pay"))
         other.writer.write(message("m", "pay"))
-        await until(lambda: len(engine.undecided) == 2)
+        await until(lambda: len(engine.intake.undecided) == 2)
         assert await successor.request_ownership()
         await until(lambda: len(successor.early_messages) == 2)
         client.writer.close()  # before the new one has an engine to take it
@@ -435,12 +440,16 @@
         engine = await old.start()
         client = await old.client()
         successor = HandoverTarget()
-        assert await successor.request_snapshot(folder) and engine.paused_for_handover
+        assert (
+            await successor.request_snapshot(folder)
+            and engine.state.paused_for_handover
+        )
         client.writer.write(message("m", "pay"))
-        await until(lambda: "m" in engine.undecided)
+        await until(lambda: "m" in engine.intake.undecided)
         engine.stop()
         assert (
-            not engine.paused_for_handover and not await successor.request_ownership()
+            not engine.state.paused_for_handover
+            and not await successor.request_ownership()
         )
         assert (await client.answer())[0] == 202
         await peer.got(1)
@@ -498,7 +507,10 @@
         olds.append(old := Old(folder, platform))
         engine = await old.start()
         successor = HandoverTarget()
-        assert await successor.request_snapshot(folder) and engine.paused_for_handover
+        assert (
+            await successor.request_snapshot(folder)
+            and engine.state.paused_for_handover
+        )
         said: list[int] = []
         engine.set_detached("s1", True, lambda status, text: said.append(int(status)))
         assert not said
--- a/tests/forwarder/test_kills.py
+++ b/tests/forwarder/test_kills.py
@@ -18,7 +18,8 @@
 
 from rainfall.dispatch import MessageReceived, MessageRestored
 from rainfall.forwarder.config.loading import Address, Config, EndpointList
-from rainfall.forwarder.engine.engine import RESTORE_BATCH, Engine
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.engine.restoration import RESTORE_BATCH
 from rainfall.forwarder.inbound.server import SubmittedMessage
 from rainfall.forwarder.message_store import (
     AcceptedMessage,
@@ -302,9 +303,9 @@
         assert len(first) == RESTORE_BATCH and all(
             name.startswith("late") for name in first
         )
-        assert len(e.restore_backlog) == 200 and len(e.store.messages) == 300
+        assert len(e.restoration.backlog) == 200 and len(e.store.messages) == 300
         e.pending_events.clear()
-        e.restore_messages(RESTORE_BATCH)
+        e.restoration.restore_messages(RESTORE_BATCH)
         second = [
             x.message_id for x in e.pending_events if isinstance(x, MessageRestored)
         ]
@@ -318,7 +319,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Told to the module after the fresh one, they would be overtaken by it."""
-    monkeypatch.setattr("rainfall.forwarder.engine.engine.RESTORE_BATCH", 5)
+    monkeypatch.setattr("rainfall.forwarder.engine.restoration.RESTORE_BATCH", 5)
     filled(tmp_path, overdue=5, live=3, key="K")
 
     class Door:
@@ -328,7 +329,7 @@
 
     async def scene() -> None:
         e = engine(tmp_path)
-        assert [x.ordering_key for x in e.restore_backlog.values()] == ["K"] * 3
+        assert [x.ordering_key for x in e.restoration.backlog.values()] == ["K"] * 3
         e.submit(
             SubmittedMessage(
                 "fresh", "turns", 7, 10**16, None, "K", "acme", False, b""
@@ -341,7 +342,8 @@
             if isinstance(x, MessageRestored | MessageReceived)
         ]
         assert (
-            names[-4:] == ["live0", "live1", "live2", "fresh"] and not e.restore_backlog
+            names[-4:] == ["live0", "live1", "live2", "fresh"]
+            and not e.restoration.backlog
         )
         e.store.close()
 
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -221,7 +221,7 @@
         """
         e = self.engine
         assert e is not None
-        e.closed = e.frozen = True
+        e.state.closed = e.frozen = True
         e.store.release()
         self.task.cancel()
         e.watch.pause()
@@ -425,7 +425,7 @@
             answered = AttemptFinished(
                 name, 0, e.endpoint_ids["s7"], OK, 5, message_closed=True
             )
-            e.pending_events += (
+            e.events.pending_events += (
                 [TimerExpired("look"), answered]
                 if late
                 else [answered, TimerExpired("look")]
@@ -534,7 +534,7 @@
         await site.until(lambda: site.came("first"))
         await site.kill()
         e = await site.start()
-        began = e.last_round_us  # no round of the new process was earlier
+        began = e.events.last_round_us  # no round of the new process was earlier
         site.engine = e
         line = e.dispatcher.state.key_sequences["k"]
         assert line.backoff_until >= e.dispatcher.state.now - 10 * S
@@ -640,7 +640,7 @@
             with monkeypatch.context() as patched:
                 patched.setattr(loop, "call_later", later)
                 e.run_round()
-            e.pending_events += posted
+            e.events.pending_events += posted
             posted.clear()
         assert len(pauses) == 6 and sum(pauses[:5]) >= 7
         assert all(a < b for a, b in zip(pauses, pauses[1:], strict=False))
@@ -656,9 +656,9 @@
         m = AcceptedMessage(
             "m", "pay", 7, e.clock() + 3 * S, None, "acme", b"", attempts=5
         )
-        assert 0.25 <= e.unpersisted_retry_s(m, 5) <= 3
+        assert 0.25 <= e.call_dispatch.unpersisted_retry_s(m, 5) <= 3
         m.deadline_us = e.clock() - 1
-        assert e.unpersisted_retry_s(m, 5) == 0
+        assert e.call_dispatch.unpersisted_retry_s(m, 5) == 0
         e.store.close()
 
     asyncio.run(scene())
@@ -671,7 +671,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        "rainfall.forwarder.engine.startup.SUMMARY_INTERVAL_S", 3600.0
+        "rainfall.forwarder.engine.watchdog.SUMMARY_INTERVAL_S", 3600.0
     )  # the counts start anew with each line
 
     async def scene(site: Site) -> None:
@@ -688,8 +688,8 @@
             ("untried", "no call could end in time")
         ]
         assert (
-            e.event_counts["untried: no call could end in time"] == 1
-            and e.event_counts["returned"] == 1
+            e.state.event_counts["untried: no call could end in time"] == 1
+            and e.state.event_counts["returned"] == 1
         )
         assert e.metrics.throttled["status"] == 1  # the figures mean what they did
 
@@ -707,7 +707,7 @@
         e.run_round()
         for name in "ab":
             e.count_unattempted(FailMessage(name, "cause"), e.clock())
-        assert e.event_counts["untried: cause"] == 1
+        assert e.state.event_counts["untried: cause"] == 1
         e.store.close()
 
     asyncio.run(scene())
@@ -838,7 +838,7 @@
             door,
         )
         e.run_round()
-        e.frozen = e.closed = True
+        e.frozen = e.state.closed = True
         while hands.work():
             pass
         assert door.said == [202] and not started
--- a/tests/forwarder/test_settings_isolation.py
+++ b/tests/forwarder/test_settings_isolation.py
@@ -127,7 +127,7 @@
                 await asyncio.sleep(0.01)
 
     async def end(self) -> None:
-        self.engine.stopped.set()
+        self.engine.state.stopped.set()
         async with asyncio.timeout(PATIENCE):
             await self.run
 
@@ -211,7 +211,7 @@
             "telemetry": {"fields": []},
         }
         one.engine.config = one.config(settings=new)
-        one.engine.apply_settings(one.engine.config)
+        one.engine.reconfiguration.apply_settings(one.engine.config)
         assert was == (
             other.engine.dispatcher.state.settings,
             other.engine.server.settings,
@@ -648,10 +648,10 @@
         one.begin()
         await one.ready()
         ends: list[AttemptFinished] = []
-        book = one.engine.record_outcome
-        one.engine.record_outcome = lambda e: (ends.append(e), book(e))[1]  # type: ignore[method-assign]
+        book = one.engine.outcomes.record_outcome
+        one.engine.outcomes.record_outcome = lambda e: (ends.append(e), book(e))[1]  # type: ignore[method-assign]
         for n, fields in enumerate((["x0", "x1"], [], ["x0", "x1"])):
-            one.engine.apply_settings(
+            one.engine.reconfiguration.apply_settings(
                 one.config(settings={**one.facts, "telemetry": {"fields": fields}})
             )
             assert await one.hand_in(f"m{n}", "order") == 202
@@ -677,7 +677,7 @@
         n1, n2, n3 = (e.endpoint_id(f"s{n}") for n in (1, 2, 3))
         e.pool.set_retry_after((7, -1), 1 << 60)
         family = one.facts["family_info"]
-        e.apply_settings(
+        e.reconfiguration.apply_settings(
             one.config(
                 settings={
                     **one.facts,
@@ -692,7 +692,7 @@
             and (8, n3) not in e.pool.retry_after_until
         )
         e.pool.set_retry_after((8, n3), 1 << 61)
-        e.apply_settings(one.config())
+        e.reconfiguration.apply_settings(one.config())
         assert (
             e.pool.retry_after_until[8, -1] == 1 << 61
             and e.pool.retry_after_until[7, -1] == 1 << 60
--- a/tests/forwarder/test_shutdown_end.py
+++ b/tests/forwarder/test_shutdown_end.py
@@ -26,7 +26,7 @@
 
 async def rounds_by_hand(run: Running) -> None:
     """From here on the rounds are the test's to make."""
-    run.engine.schedule_round = lambda: None  # type: ignore[method-assign]
+    run.engine.events.schedule_round = lambda: None  # type: ignore[method-assign]
     await run.until(lambda: not run.engine.round_scheduled)
 
 
@@ -46,12 +46,12 @@
         await rounds_by_hand(run)
         client = Caller(run.port)
         client.say(message("m", "pay", Idempotency_Key=None))
-        await run.until(lambda: bool(engine.undecided))
+        await run.until(lambda: bool(engine.intake.undecided))
         engine.pool.set_endpoints(
             {}
         )  # its target has just left the list, which the module has not read yet
         run.told_to_stop(shutdown.FREEZE_AFTER_S)
-        engine.advance_shutdown()
+        engine.shutdown.advance_shutdown()
         assert (await client.answer())[0] == 202
         assert (
             engine.store.messages["m"].in_flight == {}
@@ -118,7 +118,7 @@
         clients = [Caller(run.port) for _ in range(3)]
         for number, client in enumerate(clients):
             client.say(message(f"m{number}", cls, Idempotency_Key=None))
-        await run.until(lambda: len(run.engine.undecided) == 3)
+        await run.until(lambda: len(run.engine.intake.undecided) == 3)
         run.engine.run_round()
         for client in clients:
             assert (await client.answer())[0] == 202
@@ -137,7 +137,7 @@
                 lambda: any(c.response_started for c in run.engine.pool.calls.values())
             )
         run.told_to_stop(shutdown.EXIT_AFTER_S)
-        run.engine.advance_shutdown()
+        run.engine.shutdown.advance_shutdown()
         await run.end()
         peer.handler = always(Answer(500))
         again = await Running(folder, platform).ready()
--- a/tests/forwarder/test_shutdown_races.py
+++ b/tests/forwarder/test_shutdown_races.py
@@ -24,7 +24,8 @@
     parse_endpoint,
 )
 from rainfall.forwarder.engine import shutdown, startup
-from rainfall.forwarder.engine.engine import Clock, Engine
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.engine.engine_state import Clock
 from rainfall.forwarder.inbound import client_connection
 from rainfall.forwarder.inbound import server as server_file
 from rainfall.forwarder.inbound.client_connection import CLOSE_GRACE_S, ClientConnection
@@ -562,11 +563,11 @@
 
     def told_to_stop(self, ago_s: float) -> None:
         """SIGTERM was so long ago; its next step is the test's to make."""
-        self.engine.shutdown_started_s = asyncio.get_running_loop().time() - ago_s
+        self.engine.state.shutdown_started_s = asyncio.get_running_loop().time() - ago_s
         self.engine.server.draining = True
 
     async def end(self) -> None:
-        self.engine.stopped.set()
+        self.engine.state.stopped.set()
         async with asyncio.timeout(PATIENCE):
             assert await self.task is False
 
@@ -608,8 +609,8 @@
                 answers.append(status)
 
         run.told_to_stop(1.0)
-        run.engine.advance_shutdown()
-        assert run.engine.stopped.is_set()
+        run.engine.shutdown.advance_shutdown()
+        assert run.engine.state.stopped.is_set()
         due = run.engine.clock() + 10_000_000
         run.engine.submit(
             SubmittedMessage("m", "status", 7, due, None, None, "acme", False, b""),
@@ -633,7 +634,7 @@
         resting.say(message("a"))
         unaccepted = Caller(run.port)
         unaccepted.say(message("b"))
-        run.engine.advance_shutdown()
+        run.engine.shutdown.advance_shutdown()
         for client in (resting, unaccepted):
             status, head = await client.answer()
             assert (
@@ -675,7 +676,7 @@
             await dialing.wait()
         if step == "freeze":
             run.told_to_stop(shutdown.FREEZE_AFTER_S)
-            run.engine.advance_shutdown()
+            run.engine.shutdown.advance_shutdown()
             up.set()
             await asyncio.wait(set(run.engine.pool.dial_tasks), timeout=PATIENCE)
         client.socket.close()
@@ -715,15 +716,15 @@
         e = engine(tmp_path, Platform())
         now = asyncio.get_running_loop().time()
         for passed in (1.0, 2.8, 3.0, 3.3, 3.5):
-            e.shutdown_started_s = now - passed
+            e.state.shutdown_started_s = now - passed
             assert (
                 CLOSE_GRACE_S
-                <= e.client_grace_s()
+                <= e.shutdown.client_grace_s()
                 <= max(CLOSE_GRACE_S, shutdown.EXIT_AFTER_S + CLOSE_GRACE_S - passed)
                 + 1e-6
             )
-        e.shutdown_started_s = now - 1.0
-        assert e.client_grace_s() == shutdown.CLIENT_CLOSE_S
+        e.state.shutdown_started_s = now - 1.0
+        assert e.shutdown.client_grace_s() == shutdown.CLIENT_CLOSE_S
         e.store.close()
 
     asyncio.run(scene())
@@ -741,7 +742,7 @@
             assert (await client.answer())[0] in (200, 202)
         await peer.got(1)
         run.told_to_stop(1.0)
-        run.engine.advance_shutdown()
+        run.engine.shutdown.advance_shutdown()
         resting.say(message("crossed"))  # after the shutdown
         assert await resting.end() == await busy.end() == b""
         resting.socket.close()
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -13,12 +13,12 @@
 
 from rainfall.dispatch import AttemptFinished, Outcome
 from rainfall.dispatch.expiry import MIN_WAKEUP_INTERVAL_US
-from rainfall.forwarder.engine.engine import MAX_EARLY_TIMEOUT_US
+from rainfall.forwarder.engine.call_dispatch import MAX_EARLY_TIMEOUT_US
 from rainfall.forwarder.engine.engine_state import (
     MIN_ROUND_INTERVAL_US,
     TICK_INTERVAL_S,
 )
-from rainfall.forwarder.engine.startup import OVERDUE_GRACE_US
+from rainfall.forwarder.engine.watchdog import OVERDUE_GRACE_US
 from rainfall.forwarder.inbound.server import LOOP_CHECK_INTERVAL_S
 from tests.forwarder.test_shutdown_end import rounds_by_hand
 from tests.forwarder.test_shutdown_races import (
@@ -155,7 +155,7 @@
                 message_closed=outcome is Outcome.DELIVERED,
             )
         )
-        engine.fail_overdue_messages()
+        engine.watchdog.fail_overdue_messages()
         assert "m" not in engine.store.messages
         owed = engine.store.pending_notifications.get("m")
         assert (owed and owed.state) == (
@@ -204,12 +204,12 @@
         client = Caller(run.port)
         await rounds_by_hand(run)
         client.say(message("m", "pay", left=str(left_s), Idempotency_Key=None))
-        await run.until(lambda: "m" in engine.undecided)
+        await run.until(lambda: "m" in engine.intake.undecided)
         engine.server.expected_loop_delay_us = late_us
-        due_us, clock = engine.undecided["m"][0].due_us, engine.clock
-        engine.clock = lambda: due_us - int(left_s * S)  # type: ignore[assignment]
+        due_us, clock = engine.intake.undecided["m"][0].due_us, engine.clock
+        engine.rounds.clock = lambda: due_us - int(left_s * S)  # type: ignore[assignment]
         engine.run_round()
-        engine.clock = clock
+        engine.rounds.clock = clock
         assert engine.pool.calls[("m", 0)].timeout_at_us == due_us - sooner_us
         client.socket.close()
         await run.end()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -32,8 +32,8 @@
 )
 from rainfall.forwarder.config.validation import MAX_REPORTED, validate_replacement
 from rainfall.forwarder.discovery.endpoint_watch import HttpClient
+from rainfall.forwarder.engine.endpoint_directory import MAX_REMOVED_ENDPOINTS
 from rainfall.forwarder.engine.engine import Engine
-from rainfall.forwarder.engine.engine_state import MAX_REMOVED_ENDPOINTS
 from rainfall.forwarder.fleet.quotas import FleetQuotas
 from rainfall.forwarder.fleet.state_file import StateFile
 from rainfall.forwarder.http1 import MAX_LIST_BYTES
@@ -61,9 +61,9 @@
     "lab.sweep.MAX_SEEDS",
     "member.roster.MAX_DEPARTED_MEMBERS",
     "forwarder.outbound.connection_pool.MAX_RETRY_AFTERS",
-    "forwarder.engine.engine_state.MAX_DESTINATIONS",
-    "forwarder.engine.engine_state.MAX_REMOVED_ENDPOINTS",
-    "forwarder.engine.engine_state.MAX_RECENTLY_FINISHED",
+    "forwarder.engine.endpoint_directory.MAX_DESTINATIONS",
+    "forwarder.engine.endpoint_directory.MAX_REMOVED_ENDPOINTS",
+    "forwarder.engine.outcomes.MAX_RECENTLY_FINISHED",
     "forwarder.discovery.endpoint_watch.MAX_NOTIFICATIONS_PER_POST",
     "forwarder.fleet.quotas.MAX_SPENT_ENTRIES",
     "forwarder.config.fleet_config.MAX_PEERS",
@@ -123,7 +123,7 @@
     "forwarder.fleet.quotas.MAX_PART_NAME_BYTES": TEXT,
     "forwarder.fleet.state_file.MAX_FILE_BYTES": TEXT,
     "forwarder.handover.roles.MAX_HOLD_TIMEOUT_S": NUMBER,
-    "forwarder.engine.engine.MAX_EARLY_TIMEOUT_US": NUMBER,
+    "forwarder.engine.call_dispatch.MAX_EARLY_TIMEOUT_US": NUMBER,
     "dispatch.message_queues.MAX_SPARE_CLASS_QUEUES": ONE,
     "forwarder.http1.MAX_BODY_BYTES": TEXT,
     "forwarder.http1.MAX_HEADER_BYTES": TEXT,
