--- a/rainfall/forwarder/engine/call_dispatch.py
+++ b/rainfall/forwarder/engine/call_dispatch.py
@@ -93,15 +93,8 @@
             return
         endpoint_name = self.directory.names.get(action.endpoint, "")
         attempt = message.attempts
-        endpoint = self.directory.endpoints.get(endpoint_name)
-        if endpoint is None or endpoint.destination != message.destination:
-            # The last check before the wire: a message that reaches the wrong
-            # destination cannot be called back.
-            log.error(
-                "held back: %s is no target of destination %d",
-                endpoint_name,
-                message.destination,
-            )
+        endpoint = self.checked_endpoint(endpoint_name, message.destination)
+        if endpoint is None:
             message.attempts += 1
             self.post_not_sent(action, attempt)
             return
@@ -121,6 +114,18 @@
             calls.append(call)
         call.items.append(item)
 
+    def checked_endpoint(self, name: str, destination: int) -> ListedEndpoint | None:
+        """An endpoint, if it is one of this destination.
+
+        This is the last check before the wire: a message that reaches the wrong
+        destination cannot be called back.
+        """
+        endpoint = self.directory.endpoints.get(name)
+        if endpoint is not None and endpoint.destination == destination:
+            return endpoint
+        log.error("held back: %s is no target of destination %d", name, destination)
+        return None
+
     def post_not_sent(
         self, action: SendMessage, attempt: int, *, message_closed: bool = False
     ) -> None:
--- a/rainfall/forwarder/engine/engine.py
+++ b/rainfall/forwarder/engine/engine.py
@@ -55,12 +55,10 @@
 from rainfall.forwarder.engine.sockets import allocate_sockets
 from rainfall.forwarder.engine.startup import Startup
 from rainfall.forwarder.engine.watchdog import Watchdog
-from rainfall.forwarder.handover.roles import (
-    HandoverMessage,
-    HandoverSource,
-    HandoverTarget,
-    JournalLock,
-)
+from rainfall.forwarder.handover.journal_lock import JournalLock
+from rainfall.forwarder.handover.messages import HandoverMessage
+from rainfall.forwarder.handover.source import HandoverSource
+from rainfall.forwarder.handover.target import HandoverTarget
 from rainfall.forwarder.inbound.server import (
     InboundServer,
     ResponseWriter,
@@ -98,6 +96,9 @@
         journal_lock: JournalLock | None = None,
         handover_target: HandoverTarget | None = None,
     ) -> None:
+        # The order matters: the journal sets the clock that all others read, the fleet's
+        # quotas are known before messages are restored, and the restored list has the
+        # version from which the watch goes on.
         self.journal_lock, self.handover_target = journal_lock, handover_target
         self.state = EngineState(config)
         self.clock = Clock()
@@ -298,6 +299,7 @@
             state=self.state,
             clock=self.clock,
             store=self.store,
+            # Looked up at each call: a test may put another dispatcher in place.
             snapshot_dispatcher=lambda calls: self.dispatcher.snapshot(calls),
             server=self.server,
             pool=self.pool,
--- a/rainfall/forwarder/engine/event_queue.py
+++ b/rainfall/forwarder/engine/event_queue.py
@@ -13,7 +13,7 @@
     EngineState,
 )
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
-from rainfall.forwarder.handover.roles import HandoverSource
+from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.message_store import MessageStore
 
 EARLY_TIMER_RETRY_S = 0.001
@@ -78,6 +78,15 @@
         events, self.pending_events = self.pending_events, []
         return events
 
+    def clear_schedule(self) -> None:
+        """The scheduled round runs now: the next event schedules another one."""
+        self.round_scheduled = False
+
+    def begin_round(self) -> int:
+        """Count the time between rounds from now; returns the round's time."""
+        self.last_round_us = self.clock()
+        return self.last_round_us
+
     def schedule_round(self) -> None:
         """Run a round as soon as the last one is MIN_ROUND_INTERVAL_US ago."""
         if self.round_scheduled or self.state.frozen or self.state.paused_for_handover:
--- a/rainfall/forwarder/engine/handover_pause.py
+++ b/rainfall/forwarder/engine/handover_pause.py
@@ -14,7 +14,12 @@
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
 from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
 from rainfall.forwarder.engine.restoration import Restoration
-from rainfall.forwarder.handover.roles import HandoverMessage, JournalLock
+from rainfall.forwarder.handover.journal_lock import JournalLock
+from rainfall.forwarder.handover.messages import (
+    HandoverMessage,
+    HandoverSnapshot,
+    RetryAfter,
+)
 from rainfall.forwarder.inbound.server import InboundServer
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
@@ -109,20 +114,21 @@
             for event in self.events.pending_events
             if isinstance(event, AttemptFinished)
         }
-        return {
-            "numbers": self.directory.ids,
-            "numbered": self.directory.last_id,
-            "recent": list(self.outcomes.recently_finished),
-            "waits": [
-                [*throttle_scope, until]
+        snapshot = HandoverSnapshot(
+            endpoint_ids=self.directory.ids,
+            last_endpoint_id=self.directory.last_id,
+            recently_finished=list(self.outcomes.recently_finished),
+            retry_afters=[
+                RetryAfter(*throttle_scope, until)
                 for throttle_scope, until in self.pool.retry_after_until.items()
                 if until > now
             ],
-            "descriptors": len(self.server.connections) + self.pool.in_flight,
-            "module": self.snapshot_dispatcher(
+            descriptors=len(self.server.connections) + self.pool.in_flight,
+            dispatcher=self.snapshot_dispatcher(
                 self.pool.calls.keys() | finished_attempts
             ),
-        }
+        )
+        return snapshot.to_json()
 
     def resume_after_handover(self) -> None:
         """Go on: the other process ended before it had taken over."""
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -28,7 +28,7 @@
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
 from rainfall.forwarder.engine.restoration import Restoration
-from rainfall.forwarder.handover.roles import HandoverSource
+from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
 from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
 
@@ -170,6 +170,10 @@
         undecided, self.undecided = self.undecided, {}
         return undecided
 
+    def put_back(self, submission: Submission) -> None:
+        """Leave a submission that was taken to the next round."""
+        self.undecided[submission.message.id] = submission
+
     def withdraw(self, message_id: str) -> None:
         """Give up a message whose client disconnected before its answer.
 
--- a/rainfall/forwarder/engine/operations.py
+++ b/rainfall/forwarder/engine/operations.py
@@ -19,7 +19,7 @@
 from rainfall.forwarder.engine.engine_state import Clock, EngineState, log
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.handover_pause import HandoverPause
-from rainfall.forwarder.handover.roles import HandoverSource
+from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.message_store import MessageStore, PendingNotification
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 
--- a/rainfall/forwarder/engine/outcomes.py
+++ b/rainfall/forwarder/engine/outcomes.py
@@ -82,6 +82,10 @@
         if len(self.recently_finished) > MAX_RECENTLY_FINISHED:
             self.recently_finished.popitem(last=False)
 
+    def restore_finished(self, message_ids: list[str]) -> None:
+        """Go on from the ended messages that the former process remembered."""
+        self.recently_finished = OrderedDict.fromkeys(message_ids)
+
     def count_unattempted(
         self, decision: RejectMessage | FailMessage, now: int
     ) -> None:
--- a/rainfall/forwarder/engine/ownership.py
+++ b/rainfall/forwarder/engine/ownership.py
@@ -16,7 +16,8 @@
 from rainfall.forwarder.engine.handover_pause import HandoverPause
 from rainfall.forwarder.engine.intake import Intake
 from rainfall.forwarder.engine.shutdown import Shutdown
-from rainfall.forwarder.handover.roles import HandoverSource, JournalLock
+from rainfall.forwarder.handover.journal_lock import JournalLock
+from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.inbound.server import InboundServer, ResponseWriter
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
--- a/rainfall/forwarder/engine/reconfiguration.py
+++ b/rainfall/forwarder/engine/reconfiguration.py
@@ -26,7 +26,7 @@
 from rainfall.forwarder.engine.engine_state import EngineState, durability_level, log
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.handover_pause import HandoverPause
-from rainfall.forwarder.handover.roles import HandoverSource
+from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.inbound.server import InboundServer
 from rainfall.forwarder.message_store import DeliveryRules, MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
--- a/rainfall/forwarder/engine/restoration.py
+++ b/rainfall/forwarder/engine/restoration.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections import OrderedDict
 from collections.abc import Callable
 
 from rainfall.dispatch import (
@@ -22,7 +21,8 @@
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
 from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
-from rainfall.forwarder.handover.roles import HandoverMessage, HandoverTarget
+from rainfall.forwarder.handover.messages import HandoverSnapshot
+from rainfall.forwarder.handover.target import HandoverTarget
 from rainfall.forwarder.message_store import (
     AcceptedMessage,
     DeliveryRules,
@@ -70,17 +70,17 @@
         Returns:
             The version of the newest endpoint list that is known.
         """
-        target = self.handover_target
-        snapshot = target.snapshot if target is not None else {}
-        self.apply_handover_snapshot(snapshot)
+        snapshot = self.handover_snapshot()
+        if snapshot is not None:
+            self.apply_handover_snapshot(snapshot)
         version = self.restore_endpoints()
         self.restore_notifications()
         settings = self.state.config.settings
         self.store.use_rules(DeliveryRules(settings.max_attempts, settings.classes))
         self.fill_backlog()
-        if snapshot:
+        if snapshot is not None:
             self.restore_messages()
-            self.events.enqueue(SnapshotRestored(snapshot["module"]))
+            self.events.enqueue(SnapshotRestored(snapshot.dispatcher))
         else:
             self.restore_batch()
         self.metrics.messages_accepted = len(self.store.messages)
@@ -92,18 +92,24 @@
             )
         return version
 
-    def apply_handover_snapshot(self, snapshot: HandoverMessage) -> None:
+    def handover_snapshot(self) -> HandoverSnapshot | None:
+        """What the former process sent, if the journal is taken over from one."""
+        if self.handover_target is None or not self.handover_target.snapshot:
+            return None
+        return HandoverSnapshot.from_json(self.handover_target.snapshot)
+
+    def apply_handover_snapshot(self, snapshot: HandoverSnapshot) -> None:
         """Take over what the former process knew beside its journal."""
-        if not snapshot:
-            return
-        self.directory.restore_endpoint_ids(snapshot["numbers"], snapshot["numbered"])
-        self.outcomes.recently_finished = OrderedDict.fromkeys(snapshot["recent"])
+        self.directory.restore_endpoint_ids(
+            snapshot.endpoint_ids, snapshot.last_endpoint_id
+        )
+        self.outcomes.restore_finished(snapshot.recently_finished)
         self.pool.retry_after_until = {
-            (destination, endpoint): until
-            for destination, endpoint, until in snapshot["waits"]
+            (destination, endpoint): until_us
+            for destination, endpoint, until_us in snapshot.retry_afters
         }
-        self.remote_calls.restore(snapshot["module"]["calls"])
-        self.allocate_sockets(self.state.config.max_sockets - snapshot["descriptors"])
+        self.remote_calls.restore(snapshot.dispatcher["calls"])
+        self.allocate_sockets(self.state.config.max_sockets - snapshot.descriptors)
 
     def restore_endpoints(self) -> int:
         """Restore the newest endpoint list, and what operators and outages say of it.
--- a/rainfall/forwarder/engine/rounds.py
+++ b/rainfall/forwarder/engine/rounds.py
@@ -39,7 +39,7 @@
 from rainfall.forwarder.engine.intake import Intake
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
 from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
-from rainfall.forwarder.handover.roles import HandoverTarget
+from rainfall.forwarder.handover.target import HandoverTarget
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool, OutboundCall
 
@@ -207,10 +207,10 @@
 
     def run_round(self) -> None:
         """Decide on all events that came since the last round."""
-        self.events.round_scheduled = False
+        self.events.clear_schedule()
         if self.state.frozen or self.state.paused_for_handover:
             return
-        now = self.events.last_round_us = self.clock()
+        now = self.events.begin_round()
         events = self.events.take_events()
         self.record_outcomes(events)
         undecided = self.intake.take_undecided()
@@ -286,7 +286,7 @@
         }
         for message_id in list(undecided):
             if message_id in unread:
-                self.intake.undecided[message_id] = undecided.pop(message_id)
+                self.intake.put_back(undecided.pop(message_id))
             elif message_id not in decided:
                 submitted, writer = undecided.pop(message_id)
                 self.intake.answer_unavailable(submitted, writer, "internal fault")
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -10,7 +10,7 @@
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.intake import Intake
 from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
-from rainfall.forwarder.handover.roles import HandoverSource
+from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.inbound.client_connection import CLOSE_GRACE_S
 from rainfall.forwarder.inbound.server import InboundServer
 from rainfall.forwarder.message_store import MessageStore
--- a/rainfall/forwarder/engine/startup.py
+++ b/rainfall/forwarder/engine/startup.py
@@ -5,7 +5,6 @@
 import asyncio
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, Notifier
 from rainfall.forwarder.engine.engine_state import TICK_INTERVAL_S, EngineState, log
@@ -13,19 +12,14 @@
 from rainfall.forwarder.engine.restoration import Restoration
 from rainfall.forwarder.engine.shutdown import Shutdown
 from rainfall.forwarder.engine.watchdog import Watchdog
-from rainfall.forwarder.handover.roles import (
-    HandoverSource,
-    HandoverTarget,
-    JournalLock,
-)
+from rainfall.forwarder.handover.journal_lock import JournalLock
+from rainfall.forwarder.handover.source import HandoverSource
+from rainfall.forwarder.handover.target import HandoverTarget, TargetEngine
 from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_TURNS
 from rainfall.forwarder.inbound.server import InboundServer
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 
-if TYPE_CHECKING:
-    from rainfall.forwarder.handover.roles import TargetEngine
-
 FIRST_LIST_TIMEOUT_S = 0.5
 """How long a start waits for the endpoint list, which binds from the first message."""
 FINAL_COMMIT_TIMEOUT_S = 0.2
--- a/tests/forwarder/test_handover.py
+++ b/tests/forwarder/test_handover.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from rainfall.forwarder.handover.roles import JournalLock
+from rainfall.forwarder.handover.journal_lock import JournalLock
 from tests.forwarder.test_operations import classes
 from tests.forwarder.test_program import configure, folder_nodes, play, target
 from tests.support.loopback_peers import (
@@ -234,7 +234,7 @@
 HALFWAY = """
 import asyncio, os, sys
 from pathlib import Path
-from rainfall.forwarder.handover.roles import HandoverTarget
+from rainfall.forwarder.handover.target import HandoverTarget
 
 async def main():
     target = HandoverTarget()
--- a/tests/forwarder/test_handover_protocol.py
+++ b/tests/forwarder/test_handover_protocol.py
@@ -13,7 +13,8 @@
 
 from rainfall.dispatch import AttemptFinished, Outcome
 from rainfall.forwarder.handover.connection import HandoverConnection
-from rainfall.forwarder.handover.roles import HandoverSource, HandoverTarget
+from rainfall.forwarder.handover.source import HandoverSource
+from rainfall.forwarder.handover.target import HandoverTarget
 
 WORD = b'{"ended":["m",0,1,"delivered",5,true,0,null,false]}\n'
 
@@ -254,7 +255,7 @@
 
 
 async def late_yes(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("rainfall.forwarder.handover.roles.SNAPSHOT_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("rainfall.forwarder.handover.target.SNAPSHOT_TIMEOUT_S", 0.2)
     giver = Giver()
     gate = asyncio.Event()
     give = giver.transfer_ownership
--- a/tests/forwarder/test_handover_races.py
+++ b/tests/forwarder/test_handover_races.py
@@ -26,7 +26,7 @@
 )
 from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.handover.journal_lock import JournalLock
-from rainfall.forwarder.handover.roles import HandoverTarget
+from rainfall.forwarder.handover.target import HandoverTarget
 from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 from rainfall.wirehost import parse_settings
@@ -180,7 +180,7 @@
     """
     now = [100.0]
     monkeypatch.setattr(
-        "rainfall.forwarder.handover.roles.time",
+        "rainfall.forwarder.handover.source.time",
         SimpleNamespace(monotonic=lambda: now[0]),
     )
 
--- a/tests/forwarder/test_parts.py
+++ b/tests/forwarder/test_parts.py
@@ -48,7 +48,7 @@
 from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.engine.engine_state import Clock
 from rainfall.forwarder.engine.outcomes import MAX_RECENTLY_FINISHED
-from rainfall.forwarder.handover.roles import HandoverSource
+from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.http1 import MalformedResponseError, ResponseReader
 from rainfall.forwarder.inbound.client_connection import ClientConnection
 from rainfall.forwarder.inbound.server import InboundServer, SubmittedMessage
--- a/tests/forwarder/test_settings_isolation.py
+++ b/tests/forwarder/test_settings_isolation.py
@@ -25,7 +25,7 @@
 from rainfall.forwarder.config.validation import validate_replacement
 from rainfall.forwarder.engine import startup
 from rainfall.forwarder.engine.engine import Engine
-from rainfall.forwarder.handover.roles import JournalLock
+from rainfall.forwarder.handover.journal_lock import JournalLock
 from rainfall.forwarder.message_store import (
     AcceptedMessage,
     DeliveryRules,
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -207,9 +207,9 @@
         await run.until(lambda: "m" in engine.intake.undecided)
         engine.server.expected_loop_delay_us = late_us
         due_us, clock = engine.intake.undecided["m"][0].due_us, engine.clock
-        engine.rounds.clock = lambda: due_us - int(left_s * S)  # type: ignore[assignment]
+        engine.events.clock = lambda: due_us - int(left_s * S)  # type: ignore[assignment]
         engine.run_round()
-        engine.rounds.clock = clock
+        engine.events.clock = clock
         assert engine.pool.calls[("m", 0)].timeout_at_us == due_us - sooner_us
         client.socket.close()
         await run.end()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -122,7 +122,7 @@
     "forwarder.fleet.member.MAX_RETRY_MS": NUMBER,
     "forwarder.fleet.quotas.MAX_PART_NAME_BYTES": TEXT,
     "forwarder.fleet.state_file.MAX_FILE_BYTES": TEXT,
-    "forwarder.handover.roles.MAX_HOLD_TIMEOUT_S": NUMBER,
+    "forwarder.handover.source.MAX_HOLD_TIMEOUT_S": NUMBER,
     "forwarder.engine.call_dispatch.MAX_EARLY_TIMEOUT_US": NUMBER,
     "dispatch.message_queues.MAX_SPARE_CLASS_QUEUES": ONE,
     "forwarder.http1.MAX_BODY_BYTES": TEXT,
