--- /dev/null
+++ b/rainfall/forwarder/engine/action_runner.py
@@ -0,0 +1,101 @@
+"""What a round's decisions do: records in the journal, timers, calls to be sent."""
+
+from __future__ import annotations
+
+from rainfall.dispatch import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailMessage,
+    LogNote,
+    RecordOutage,
+    RejectMessage,
+    SendMessage,
+    SetTimer,
+    SubscribeEndpointList,
+)
+from rainfall.forwarder.admin.admin_server import Metrics
+from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch
+from rainfall.forwarder.engine.call_dispatch import CallDispatch, CallStep
+from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
+from rainfall.forwarder.engine.engine_state import EngineState, log
+from rainfall.forwarder.engine.event_queue import EventQueue
+from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.message_store import MessageStore
+from rainfall.forwarder.outbound.connection_pool import OutboundCall
+
+US_PER_MS = 1000
+
+
+class ActionRunner:
+    """Journals a round's decisions, and lists the steps that wait for the journal."""
+
+    def __init__(
+        self,
+        *,
+        state: EngineState,
+        store: MessageStore,
+        metrics: Metrics,
+        watch: EndpointWatch,
+        directory: EndpointDirectory,
+        events: EventQueue,
+        outcomes: OutcomeRecorder,
+        call_dispatch: CallDispatch,
+    ) -> None:
+        self.state, self.store, self.metrics = state, store, metrics
+        self.watch, self.directory, self.events = watch, directory, events
+        self.outcomes, self.call_dispatch = outcomes, call_dispatch
+
+    def run_actions(self, actions: list[Action], now: int) -> list[CallStep]:
+        """Carry out a round's actions in order.
+
+        Returns:
+            The steps that have to wait until the journal is committed.
+        """
+        steps: list[CallStep] = []
+        open_calls: dict[tuple[int, bool], OutboundCall] = {}
+        for action in actions:
+            if isinstance(action, SendMessage):
+                self.call_dispatch.add_to_call(action, now, open_calls, steps)
+            elif isinstance(action, CloseIdleConnections | CancelAttempt):
+                steps.append(action)
+            else:
+                self.run_action(action, now)
+        return steps
+
+    def run_action(self, action: Action, now: int) -> None:
+        """Carry out an action that waits for nothing."""
+        match action:
+            case RejectMessage() | FailMessage():
+                if action.message_id in self.store.messages:
+                    self.give_up(action, now)
+            case SetTimer():
+                self.events.set_timer(now + action.delay_us, action.token)
+            case SubscribeEndpointList():
+                self.watch.subscribe()
+            case RecordOutage():
+                if action.endpoint in self.directory.names:
+                    self.store.append_outage(
+                        self.directory.names[action.endpoint],
+                        action.started_at_us,
+                        action.recovered_at_us,
+                    )
+            case LogNote():
+                log.info("%s", action.text)
+
+    def give_up(self, decision: RejectMessage | FailMessage, now: int) -> None:
+        """Journal that a message was given up, for its client to be notified."""
+        if isinstance(decision, RejectMessage):
+            event_kind, state = "returned", "returned"
+            counts = self.metrics.throttled
+            retry_after_ms = -(-decision.retry_after_us // US_PER_MS)  # rounded up
+        else:
+            event_kind, state = "given up", "failed"
+            counts = self.metrics.faulted
+            retry_after_ms = 0
+        message_id = decision.message_id
+        self.state.event_counts[event_kind] += 1
+        self.outcomes.count_unattempted(decision, now)
+        self.metrics.record_finished(counts, self.store.messages[message_id].class_name)
+        self.store.append_notification(message_id, state, retry_after_ms)
+        self.outcomes.remember_finished(message_id, state)
--- a/rainfall/forwarder/engine/engine.py
+++ b/rainfall/forwarder/engine/engine.py
@@ -31,6 +31,7 @@
     EndpointWatch,
     Notifier,
 )
+from rainfall.forwarder.engine.action_runner import ActionRunner
 from rainfall.forwarder.engine.call_dispatch import CallDispatch, CallStep
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.endpoint_updates import EndpointUpdates
@@ -50,7 +51,8 @@
 from rainfall.forwarder.engine.reconfiguration import Reconfiguration, to_active_config
 from rainfall.forwarder.engine.remote_calls import RemoteCall, RemoteCallTracker
 from rainfall.forwarder.engine.restoration import Restoration
-from rainfall.forwarder.engine.rounds import ActionRunner, RoundCompletion, Rounds
+from rainfall.forwarder.engine.round_completion import RoundCompletion
+from rainfall.forwarder.engine.rounds import Rounds
 from rainfall.forwarder.engine.shutdown import Shutdown
 from rainfall.forwarder.engine.sockets import allocate_sockets
 from rainfall.forwarder.engine.startup import Startup
