--- a/rainfall/forwarder/outbound/responses.py
+++ b/rainfall/forwarder/outbound/responses.py
@@ -18,8 +18,10 @@
 OVER_SLOTS_HEADER = "x-over-slots"
 """Stands beside 503 where the endpoint had no free slot and did not start the call."""
 LOAD_HEADER = "x-backend-load"
-LOAD_FIELDS = ("x0", "x1")
-"""The share of the endpoint's limit that is left, and the limit in calls a second."""
+REMAINING_SHARE_FIELD = "x0"
+"""The share of the endpoint's limit that is left."""
+LIMIT_FIELD = "x1"
+"""The endpoint's limit in calls a second."""
 MAX_RETRY_AFTER_US = 600_000_000
 """A longer Retry-After is malformed."""
 MAX_LIMIT_PER_S = 1e6
@@ -135,13 +137,14 @@
         fields: Names of the fields that endpoints report.
     """
     text = reader.headers.get(LOAD_HEADER)
-    if not text or any(name not in fields for name in LOAD_FIELDS):
+    if not text or REMAINING_SHARE_FIELD not in fields or LIMIT_FIELD not in fields:
         return None
-    pairs = (part.partition("=") for part in text.split(","))
-    values = {name.strip(): parse_number(value) for name, _, value in pairs}
-    remaining_share, limit_per_s = (
-        values.get(name, MALFORMED_NUMBER) for name in LOAD_FIELDS
-    )
+    values: dict[str, float] = {}
+    for part in text.split(","):
+        name, _, value = part.partition("=")
+        values[name.strip()] = parse_number(value)
+    remaining_share = values.get(REMAINING_SHARE_FIELD, MALFORMED_NUMBER)
+    limit_per_s = values.get(LIMIT_FIELD, MALFORMED_NUMBER)
     if 0 <= remaining_share <= HIGHEST_SHARE and 0 <= limit_per_s <= MAX_LIMIT_PER_S:
         return LoadReport(min(1.0, remaining_share), limit_per_s)
     return None
