--- a/rainfall/__main__.py
+++ b/rainfall/__main__.py
@@ -125,7 +125,7 @@
             )
         except ConfigError as error:
             # The error's text says all: a traceback would only hide it.
-            log.error("the configuration as first read is kept: %s", error)
+            log.error("the configuration as first read is kept: %s", error)  # noqa: TRY400
 
 
 async def serve(config: Config, early_reloads: list[bool] | None = None) -> None:
--- a/tests/registry/test_service_limits.py
+++ b/tests/registry/test_service_limits.py
@@ -20,8 +20,9 @@
 from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, HttpClient
 from rainfall.journal.files import LocalFileSystem
 from rainfall.registry import json_reader, request_schemas
-from rainfall.registry.endpoint_registry import CLAIM_LIMIT, RequestError
+from rainfall.registry.endpoint_registry import CLAIM_LIMIT
 from rainfall.registry.limits import Limits
+from rainfall.registry.request_error import RequestError
 from rainfall.registry.server import RegistryServer
 from rainfall.registry.storage import RecordLog, Storage
 
--- a/tests/support/fleet_service_scenes.py
+++ b/tests/support/fleet_service_scenes.py
@@ -88,7 +88,7 @@
         self.name, self.rate, self.clock = name, rate, clock
         self.run = f"{name}-{next(RUNS)}"
         self.token, self.shown = ZERO_TOKEN, before.known() if before else ZERO_TOKEN
-        self.seen = before.seen if before else ZERO_TOKEN  # its folder keeps it
+        self.seen: Token = before.seen if before else ZERO_TOKEN  # its folder keeps it
         self.share: dict[str, Any] = {
             "calls": 0,
             "number": 0,
