--- a/rainfall/journal/format.py
+++ b/rainfall/journal/format.py
@@ -45,7 +45,7 @@
 """What each payload of version 1 begins with."""
 MIN_V1_PAYLOAD_BYTES = 3
 UNKNOWN = -1
-"""A number or count that cannot be told."""
+"""A number or count that is not known."""
 
 
 class NewerVersionError(RainfallError):
@@ -91,9 +91,9 @@
     offset: int
     size: int
     first_missing: int
-    """Number of the first missing record; -1 where that cannot be told."""
+    """Number of the first missing record; -1 where that is not known."""
     missing: int
-    """How many are missing; -1 where that cannot be told."""
+    """How many are missing; -1 where that is not known."""
 
 
 @dataclass(slots=True)
--- a/rainfall/session/model.py
+++ b/rainfall/session/model.py
@@ -346,8 +346,8 @@
             at.manager.refused_up_to.clear()
             at.manager.finished.clear()
         if self.bug == "takes an old pass":
-            for taker in at.manager.incoming.values():
-                taker.started_at_us = 0
+            for target in at.manager.incoming.values():
+                target.started_at_us = 0
 
     def _carry_out(
         self, state: ModelState, n: str, at: ModelForwarder, action: s.Action
--- a/rainfall/session/model_forwarder.py
+++ b/rainfall/session/model_forwarder.py
@@ -100,15 +100,15 @@
 
     def fork(self) -> ModelForwarder:
         """Return a copy that may be changed."""
-        twin, desk = _copy(self), _copy(self.manager)
-        desk.outgoing = {h: _copy(c) for h, c in desk.outgoing.items()}
-        desk.incoming = {h: _copy(c) for h, c in desk.incoming.items()}
-        desk.refused_up_to, desk.migration_by_key, desk.finished = (
-            dict(desk.refused_up_to),
-            dict(desk.migration_by_key),
-            dict(desk.finished),
+        twin, manager = _copy(self), _copy(self.manager)
+        manager.outgoing = {h: _copy(c) for h, c in manager.outgoing.items()}
+        manager.incoming = {h: _copy(c) for h, c in manager.incoming.items()}
+        manager.refused_up_to, manager.migration_by_key, manager.finished = (
+            dict(manager.refused_up_to),
+            dict(manager.migration_by_key),
+            dict(manager.finished),
         )
-        twin.manager, twin.cached_key = desk, None
+        twin.manager, twin.cached_key = manager, None
         return twin
 
     def key(self) -> Hashable:
@@ -117,10 +117,10 @@
         It is made once: a forwarder of a state that others can see never changes.
         """
         if self.cached_key is None:
-            desk = self.manager
+            manager = self.manager
             cores = tuple(
                 (c.migration_id, _getter(type(c), FIELDS_NOT_COMPARED)(c))
-                for c in desk.migrations()
+                for c in manager.migrations()
             )
             self.cached_key = _alike(
                 (
@@ -135,10 +135,10 @@
                     self.unapplied,
                     self.writing,
                     cores,
-                    tuple(desk.refused_up_to.items()),
-                    tuple(desk.finished.items()),
-                    desk.lease_token,
-                    desk.last_sequence,
+                    tuple(manager.refused_up_to.items()),
+                    tuple(manager.finished.items()),
+                    manager.lease_token,
+                    manager.last_sequence,
                 )
             )
         return self.cached_key
--- a/rainfall/session/model_state.py
+++ b/rainfall/session/model_state.py
@@ -164,12 +164,12 @@
     if isinstance(what, tuple):
         return f"{what[0]}: {name_of(what[1])}"
     if isinstance(what, (w.Frame, w.Record)):
-        told = [
+        parts = [
             str(getattr(what, f))
             for f in ("number", "lease_token", "outcome")
             if hasattr(what, f)
         ]
-        return " ".join((type(what).__name__, *told))
+        return " ".join((type(what).__name__, *parts))
     return f"{what.ruling}" if isinstance(what, s.Verdict) else type(what).__name__
 
 
