--- a/rainfall/forwarder/engine/action_runner.py
+++ b/rainfall/forwarder/engine/action_runner.py
@@ -18,14 +18,17 @@
 from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch
 from rainfall.forwarder.engine.call_dispatch import CallDispatch, CallStep
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
-from rainfall.forwarder.engine.engine_state import EngineState, log
+from rainfall.forwarder.engine.engine_state import (
+    US_PER_MS,
+    EngineState,
+    EventKind,
+    log,
+)
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import OutboundCall
 
-US_PER_MS = 1000
-
 
 class ActionRunner:
     """Journals a round's decisions, and lists the steps that wait for the journal."""
@@ -86,11 +89,13 @@
     def give_up(self, decision: RejectMessage | FailMessage, now: int) -> None:
         """Journal that a message was given up, for its client to be notified."""
         if isinstance(decision, RejectMessage):
-            event_kind, state = "returned", "returned"
+            event_kind = EventKind.RETURNED
+            state = "returned"
             counts = self.metrics.throttled
             retry_after_ms = -(-decision.retry_after_us // US_PER_MS)  # rounded up
         else:
-            event_kind, state = "given up", "failed"
+            event_kind = EventKind.FAILED
+            state = "failed"
             counts = self.metrics.faulted
             retry_after_ms = 0
         message_id = decision.message_id
--- a/rainfall/forwarder/engine/engine.py
+++ b/rainfall/forwarder/engine/engine.py
@@ -463,7 +463,7 @@
         self.operations.check_config(text, answer)
 
     def active_config_report(self) -> dict[str, str]:
-        """What operators are told of the configuration in force."""
+        """What operators can read of the configuration in force."""
         return self.reconfiguration.active_config.to_json()
 
     # For the handover, as its source
--- a/rainfall/forwarder/engine/engine_state.py
+++ b/rainfall/forwarder/engine/engine_state.py
@@ -7,6 +7,7 @@
 import time
 from collections import Counter
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import TYPE_CHECKING, NamedTuple
 
 from rainfall.forwarder.config.loading import Config
@@ -24,6 +25,7 @@
 TICK_INTERVAL_S = 0.1
 """Between two runs of the watchdog, and between two retries of a failed commit."""
 US_PER_SECOND = 1_000_000
+US_PER_MS = 1000
 NS_PER_US = 1000
 log = logging.getLogger("rainfall.engine")
 trace_log = logging.getLogger("rainfall.trace")
@@ -34,6 +36,22 @@
 trace_log.setLevel(logging.WARNING)
 
 
+class EventKind(StrEnum):
+    """What the summary line counts, beside outcomes and reasons by their own names.
+
+    The values are the line's words.
+    """
+
+    ACCEPTED = "taken"
+    REJECTED = "turned away"
+    """Given up in the round in which it came."""
+    REJECTED_FULL = "turned away full"
+    RETURNED = "returned"
+    """Accepted, and then rejected with a notification."""
+    FAILED = "given up"
+    """Accepted, and then failed with a notification."""
+
+
 class Clock:
     """Microseconds of Unix time that never go back.
 
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -21,6 +21,7 @@
     US_PER_SECOND,
     Clock,
     EngineState,
+    EventKind,
     Submission,
     log,
     trace_log,
@@ -82,7 +83,7 @@
             self.answer_unavailable(submitted, writer, "handed in twice at once")
             return
         if self.state.frozen or self.is_full(submitted):
-            self.state.event_counts["turned away full"] += 1
+            self.state.event_counts[EventKind.REJECTED_FULL] += 1
             self.answer_unavailable(submitted, writer, "full")
             return
         if submitted.destination not in self.directory.known_destinations:
@@ -212,7 +213,7 @@
         """Answer 202 for journaled messages; revoke the others."""
         for message_id, (submitted, writer) in submissions.items():
             if committed and message_id in self.unacknowledged:
-                self.state.event_counts["taken"] += 1
+                self.state.event_counts[EventKind.ACCEPTED] += 1
                 self.metrics.messages_accepted += 1
                 writer.answer(HTTPStatus.ACCEPTED)
             else:
@@ -240,7 +241,7 @@
     ) -> None:
         """Answer a message that was given up in the round in which it came."""
         submitted, writer = submission
-        self.state.event_counts["turned away"] += 1
+        self.state.event_counts[EventKind.REJECTED] += 1
         if isinstance(decision, FailMessage):
             self.metrics.faulted[submitted.class_name] += 1
             writer.answer(HTTPStatus.INTERNAL_SERVER_ERROR, "cannot be delivered")
--- a/rainfall/forwarder/engine/outcomes.py
+++ b/rainfall/forwarder/engine/outcomes.py
@@ -14,7 +14,12 @@
 )
 from rainfall.forwarder.admin.admin_server import Metrics
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
-from rainfall.forwarder.engine.engine_state import Clock, EngineState, trace_log
+from rainfall.forwarder.engine.engine_state import (
+    US_PER_MS,
+    Clock,
+    EngineState,
+    trace_log,
+)
 from rainfall.forwarder.message_store import MessageStore
 
 MAX_RECENTLY_FINISHED = 2_048
@@ -100,6 +105,6 @@
                 extra={
                     "message_id": message.id,
                     "cause": decision.reason,
-                    "left_ms": (message.deadline_us - now) // 1000,
+                    "left_ms": (message.deadline_us - now) // US_PER_MS,
                 },
             )
--- a/rainfall/forwarder/engine/reconfiguration.py
+++ b/rainfall/forwarder/engine/reconfiguration.py
@@ -33,7 +33,7 @@
 
 
 def to_active_config(config: Config, durability: str, source: str) -> ActiveConfig:
-    """What operators are told of a configuration that takes effect now.
+    """What operators can read of a configuration that takes effect now.
 
     Args:
         config: The configuration.
--- a/rainfall/forwarder/engine/watchdog.py
+++ b/rainfall/forwarder/engine/watchdog.py
@@ -12,6 +12,7 @@
 from rainfall.forwarder.admin.admin_server import Metrics
 from rainfall.forwarder.engine.engine_state import (
     TICK_INTERVAL_S,
+    US_PER_MS,
     Clock,
     EngineState,
     log,
@@ -38,7 +39,6 @@
 """The collector's generation up to which a partial collection looks."""
 OVERDUE_GRACE_US = 120_000
 """Past its deadline by so much, a message without an end is failed here."""
-US_PER_MS = 1000
 MS_PER_S = 1000
 BYTES_PER_KB = 1000
 
