--- a/rainfall/session/model_state.py
+++ b/rainfall/session/model_state.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import re
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 from functools import cache
@@ -30,32 +31,34 @@
         return self.text
 
 
-ORDER_NAMES: dict[type, str] = {
-    w.Decline: "No",
-    w.CopyPart: "Copy",
-    w.CopyStored: "Copied",
-    w.Activated: "Begun",
-    w.Released: "Closed",
-    w.Abort: "Drop",
-    w.Aborted: "Dropped",
-    w.UnknownMigration: "Forgot",
-    w.TailMessage: "Pass",
-    w.TailMessageResult: "Passed",
-    w.TailEnd: "End",
+ORDER_NAMES = {
+    "AskArbiter": "Ask",
+    "ConfirmVerdict": "Confirm",
+    "Decline": "No",
+    "CopyPart": "Copy",
+    "CopyStored": "Copied",
+    "Activated": "Begun",
+    "Released": "Closed",
+    "Abort": "Drop",
+    "Aborted": "Dropped",
+    "UnknownMigration": "Forgot",
+    "TailMessage": "Pass",
+    "TailMessageResult": "Passed",
+    "TailEnd": "End",
 }
-"""Names by which messages in transit are ordered, where they are not the type's own.
+"""Names by which messages in transit are ordered, by their types' names.
 
 The order decides which of several violations a search meets first, and so the counts
 that earlier searches are compared by: it does not follow a type's name.
 """
+TYPE_NAME = re.compile(r"\b[A-Z]\w+(?=\()")
 
 
 @cache
 def intern_message(what: Hashable) -> ModelMessage:
     """Return the one object for a message of this content."""
-    own_name, text = type(what).__name__, repr(what)
-    order_name = ORDER_NAMES.get(type(what), own_name)
-    return ModelMessage(what, order_name + text.removeprefix(own_name))
+    text = TYPE_NAME.sub(lambda name: ORDER_NAMES.get(name[0], name[0]), repr(what))
+    return ModelMessage(what, text)
 
 
 @dataclass(slots=True)
