--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -79,7 +79,7 @@
     return (
         MessageClass("status-notice", 1_000_000, 5_000_000),
         MessageClass(
-            "fee-payment", 3_000_000, 28_000_000, Idempotency.NEVER, ordered=True
+            "fee-payment", 3_000_000, 28_000_000, Idempotency.AT_MOST_ONCE, ordered=True
         ),
     )
 
--- a/rainfall/dispatch/__init__.py
+++ b/rainfall/dispatch/__init__.py
@@ -2,6 +2,10 @@
 
 Nothing here does input or output: events and the time go in, actions come out. Begin
 with `dispatcher.py`; what each rule reads and may do stands in docs/decisions.md.
+
+Comments cite the given pages: PROTOCOL (the forwarder's HTTP), WIRE (the simulator's
+wire, with the operating rules), TERMS, FLEET and LATER (what operators ask), PAPER (on
+scheduling: Group EDF, Gr, D_multiplier, ExecTime) and DESIGN (what of it is used).
 """
 
 from rainfall.dispatch.actions import (
--- a/rainfall/dispatch/actions.py
+++ b/rainfall/dispatch/actions.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckEndpointHealth:
-    """Make a health check of an endpoint."""
+    """Make a health check of an endpoint. No rule asks for one yet."""
 
     endpoint: int
 
--- a/rainfall/dispatch/attempt_outcomes.py
+++ b/rainfall/dispatch/attempt_outcomes.py
@@ -13,7 +13,13 @@
 from rainfall.dispatch.idle_connections import detect_lost_connection, extend_trust
 from rainfall.dispatch.latency import learn_latency
 from rainfall.dispatch.ordering import turn_to_next
-from rainfall.dispatch.outcomes import NEVER_EXECUTED, Outcome
+from rainfall.dispatch.outcomes import (
+    MAY_STILL_RUN,
+    NEVER_EXECUTED,
+    OVERLOAD_SIGNS,
+    TELLS_NOTHING,
+    Outcome,
+)
 from rainfall.dispatch.outlier_detection import detect_outage, update_failure_ratio
 from rainfall.dispatch.pacing import apply_load_report, grow_share, shrink_share
 from rainfall.dispatch.queues import Message
@@ -21,13 +27,6 @@
 from rainfall.dispatch.state import DispatcherState
 from rainfall.dispatch.waiting import wait_again
 
-MAY_STILL_RUN = frozenset({Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELED})
-"""Outcomes after which the endpoint may still be executing the message."""
-TELLS_NOTHING = frozenset({Outcome.NOT_SENT, Outcome.CANCELED})
-"""Outcomes that say nothing of the endpoint."""
-OVERLOAD_SIGNS = frozenset({Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NO_CONNECTION})
-"""Outcomes that halve the concurrency window."""
-
 
 def finish_attempt(state: DispatcherState, event: AttemptFinished) -> None:
     """Take an attempt's outcome.
@@ -104,11 +103,15 @@
 def evaluate_call(
     state: DispatcherState, call: Call, message: Message, event: AttemptFinished
 ) -> None:
-    """Learn from one call: latency, window, share, backoff, failures and outages."""
+    """Learn from one call: latency, window, share, backoff, failures and outages.
+
+    In this order: the window's cap goes by the latency, and the failure ratio by the
+    share of the rate limit.
+    """
     scope, outcome = call.endpoint.throttle_scope, event.outcome
     message_class = message.message_class
-    too_late = event.duration_us < message_class.latency_objective_us
-    if outcome is Outcome.TIMED_OUT and too_late:
+    was_cut_short = event.duration_us < message_class.latency_objective_us
+    if outcome is Outcome.TIMED_OUT and was_cut_short:
         return  # a message with little time left must not make an endpoint look hung
     if detect_lost_connection(state, call, outcome):
         return
--- a/rainfall/dispatch/attempts.py
+++ b/rainfall/dispatch/attempts.py
@@ -48,7 +48,7 @@
     if call.batch_size > 1:
         # The next call waits longer for what this one weighs more.
         grown = call_weight(call.batch_size) / call_weight(call.batch_size - 1)
-        call.endpoint.ramp_jitter *= grown
+        call.endpoint.next_interval_factor *= grown
     stop_waiting(state, message)
     if message.ordering_key is not None:
         state.key_sequences[message.ordering_key].in_flight += 1
@@ -70,7 +70,7 @@
     state.new_calls[endpoint.id] = call
     state.called_destinations.add(endpoint.destination)
     endpoint.calls.append(call)
-    endpoint.ramp_jitter = draw_interval_factor(state.random)
+    endpoint.next_interval_factor = draw_interval_factor(state.random)
     state.calls_in_flight += 1
     scope = endpoint.throttle_scope
     if state.now - scope.latency_updated_at > FORGET_AFTER_US:
--- a/rainfall/dispatch/capacity.py
+++ b/rainfall/dispatch/capacity.py
@@ -1,6 +1,9 @@
 """Whether a destination has capacity for a call, the same for every message.
 
 The limit on all calls, windows, quota or pace, Retry-After, backoff and slow start.
+A destination without capacity is `shut` for the rest of a round; `state.possibly_open`
+has those that may have capacity but for the limit on all calls, and `state.openings`
+the times at which others may have some again.
 Times are integer microseconds.
 """
 
@@ -27,7 +30,11 @@
 def _available_at(
     state: DispatcherState, endpoint: Endpoint, call: Call | None, call_left: bool
 ) -> int:
-    """The same, given the call to it that begins in this round."""
+    """When an endpoint has capacity for a message.
+
+    `call` is one to it that begins in this round and that the message may join;
+    `call_left` says whether one more call may be in flight in all.
+    """
     joins = call is not None and call.batch_size < endpoint.max_batch_size
     if joins and call is not None and _may_join(state, endpoint, call):
         return state.now
@@ -41,7 +48,7 @@
     at = max(scope.retry_after_until, scope.backoff_until, permit_at)
     if not in_slow_start(state, endpoint):
         return at
-    interval = int(endpoint.ramp_jitter * ramp_interval(state, endpoint))
+    interval = int(endpoint.next_interval_factor * ramp_interval(state, endpoint))
     return max(at, endpoint.last_attempt_at + interval)
 
 
@@ -55,8 +62,12 @@
     """Whether another call may be in flight: of all, of the destination, of the scope."""
     if not call_left:
         return False
-    here = sum(e.in_flight for e in state.serving_endpoints[endpoint.destination])
-    if here >= max(1, int(HEALTHY_CAP_SHARE * state.settings.max_in_flight)):
+    calls_to_destination = sum(
+        e.in_flight for e in state.serving_endpoints[endpoint.destination]
+    )
+    if calls_to_destination >= max(
+        1, int(HEALTHY_CAP_SHARE * state.settings.max_in_flight)
+    ):
         return False
     return not is_window_full(state, endpoint.throttle_scope)
 
@@ -73,7 +84,10 @@
         )  # what an endpoint bears changes all the time while it warms up
     if has_call_left(state) and destination not in state.called_destinations:
         return min((available_at(state, e) for e in endpoints), default=NEVER)
-    return min((_available_at(state, e, None, True) for e in endpoints), default=NEVER)
+    return min(
+        (_available_at(state, e, call=None, call_left=True) for e in endpoints),
+        default=NEVER,
+    )
 
 
 def has_capacity(state: DispatcherState, destination: int) -> bool:
--- a/rainfall/dispatch/completion.py
+++ b/rainfall/dispatch/completion.py
@@ -1,4 +1,8 @@
-"""Final answers. All of them are given here. Times are integer microseconds."""
+"""Final answers of messages that are given up. Times are integer microseconds.
+
+Two others are given elsewhere: `admission.py` fails a message of an unknown class, and
+the engine fails one that is still open well past its deadline.
+"""
 
 from __future__ import annotations
 
--- a/rainfall/dispatch/endpoint_list.py
+++ b/rainfall/dispatch/endpoint_list.py
@@ -6,7 +6,12 @@
 from __future__ import annotations
 
 from rainfall.dispatch.actions import RecordOutage
-from rainfall.dispatch.endpoints import Endpoint, ThrottleScope, ThrottleScopeKey
+from rainfall.dispatch.endpoints import (
+    ANY_ENDPOINT,
+    Endpoint,
+    ThrottleScope,
+    ThrottleScopeKey,
+)
 from rainfall.dispatch.events import (
     EndpointEntry,
     EndpointListChanged,
@@ -24,7 +29,7 @@
 number.
 """
 ENDPOINT_LIST = -1
-"""Stands among the destinations' wakeups for polling the endpoint list."""
+"""No destination: its wakeup in `state.wakeups` is the next poll of the endpoint list."""
 MAX_REMOVED_ENDPOINTS = 8_192
 """Endpoints that left the list and are still remembered; about 0.8 KB each."""
 
@@ -86,7 +91,7 @@
     state: DispatcherState, destination: int, number: int, endpoint_scoped: bool
 ) -> ThrottleScope:
     """The throttle scope of an endpoint, a new one where there is none."""
-    key = ThrottleScopeKey(destination, number if endpoint_scoped else -1)
+    key = ThrottleScopeKey(destination, number if endpoint_scoped else ANY_ENDPOINT)
     fresh = ThrottleScope(destination, 1.0, even_shares=initial_even_shares(state))
     return state.throttle_scopes.setdefault(key, fresh)
 
@@ -140,7 +145,8 @@
 
 
 def _reset_restarted(state: DispatcherState, endpoint: Endpoint) -> None:
-    if in_slow_start(state, endpoint):
+    was_in_outage = in_slow_start(state, endpoint)
+    if was_in_outage:
         endpoint.recovered_at = endpoint.last_attempt_at = state.now
     else:
         endpoint.outage_started_at = endpoint.recovered_at = -1
@@ -149,10 +155,10 @@
     )
     endpoint.failure_ratio = 0.0
     endpoint.idle_since = -1
-    endpoint.ramp_jitter = 1.0
+    endpoint.next_interval_factor = 1.0
     if in_slow_start(state, endpoint):
         # It comes back to all forwarders at once.
-        endpoint.ramp_jitter = state.random.random()
+        endpoint.next_interval_factor = state.random.random()
     if endpoint.endpoint_scoped:
         scope = endpoint.throttle_scope
         scope.concurrency_window = 1.0
--- a/rainfall/dispatch/endpoint_selection.py
+++ b/rainfall/dispatch/endpoint_selection.py
@@ -10,6 +10,9 @@
 from rainfall.dispatch.settings import Idempotency
 from rainfall.dispatch.state import DispatcherState
 
+HOLD_BACK_SHARE = 0.5
+"""Share of its time that a message must still have to be held back."""
+
 
 def select_endpoint(state: DispatcherState, message: Message) -> Endpoint | None:
     """The best endpoint that a message may go to now; None where there is none."""
@@ -42,11 +45,11 @@
     One that must not be executed twice has a single attempt.
     """
     message_class = message.message_class
-    if message_class.idempotency is not Idempotency.NEVER:
+    if message_class.idempotency is not Idempotency.AT_MOST_ONCE:
         return False
     if endpoint.failure_ratio <= CERTAIN_FAILURE_RATIO:
         return False
-    return message.deadline - state.now >= message_class.deadline_us / 2
+    return message.deadline - state.now >= message_class.deadline_us * HOLD_BACK_SHARE
 
 
 def _preference(
--- a/rainfall/dispatch/endpoints.py
+++ b/rainfall/dispatch/endpoints.py
@@ -14,6 +14,10 @@
 """A time long before all others."""
 
 
+ANY_ENDPOINT = -1
+"""In a throttle scope's key: all endpoints of the destination share the scope."""
+
+
 class AttemptKey(NamedTuple):
     """An attempt's name: the message and the number of the attempt, from 0."""
 
@@ -26,7 +30,7 @@
 
     destination: int
     endpoint: int
-    """-1 where all endpoints of the destination share it."""
+    """`ANY_ENDPOINT` where all endpoints of the destination share it."""
 
 
 @dataclass(slots=True)
@@ -72,7 +76,7 @@
     destination: int
     zone: str
     weight: float
-    """Rate limit by the endpoint list, in calls a second."""
+    """Rate limit by the endpoint list, in calls a second; 0 where none is known."""
     throttle_scope: ThrottleScope
     kind: str = ""
     max_batch_size: int = 1
@@ -94,8 +98,10 @@
     """When it came back from the outage; -1 while that lasts."""
     last_failure_at: int = -1
     last_success_at: int = -1
-    ramp_jitter: float = 1.0
-    """While it warms up, the next call goes this many ramp intervals after the last."""
+    next_interval_factor: float = 1.0
+    """In slow start the next call goes this many ramp intervals after the last: drawn
+    around 1, and more after a call with several messages.
+    """
     calls: list[Call] = field(default_factory=list)
     """Those in flight."""
 
--- a/rainfall/dispatch/events.py
+++ b/rainfall/dispatch/events.py
@@ -45,7 +45,7 @@
     """Name of its destination's kind."""
     state: EndpointState = EndpointState.SERVING
     weight: float = 0.0
-    """The destination's rate limit in calls a second, where the settings say so."""
+    """Its rate limit in calls a second, where `endpoint_weights_known` is set."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
     ordering_key: str | None = None
     tenant: str | None = None
     resent: bool = False
-    """Another forwarder held it before."""
+    """Another forwarder held it before. No rule reads it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -221,14 +221,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The timer that `SetTimer` asked for."""
+    """The timer that `SetTimer` asked for: the round it causes is its effect."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckFinished:
-    """A health check has its outcome."""
+    """A health check has its outcome. No rule reads it yet."""
 
     endpoint: int
     outcome: Outcome
--- a/rainfall/dispatch/expiry.py
+++ b/rainfall/dispatch/expiry.py
@@ -34,7 +34,7 @@
 ) -> None:
     permit_at = quota_available_at(state, destination)
     if permit_at >= NEVER:
-        permit_at = state.now  # another quota may come at any moment
+        permit_at = state.now  # another quota may come: only the deadline counts
     class_queues = queue.class_queues.values()
     may_shed = any(
         state.now > q.sheddable_at(q.messages.head().deadline) for q in class_queues
@@ -64,11 +64,9 @@
     """The messages of a class queue that are given up now, in their order."""
     for message in queue.messages:
         state.work_count += 1
-        if (
-            permit_at < drop_time(state, message)
-            and not (congested and state.now > queue.sheddable_at(message.deadline))
-            and not queue.key.exhausted
-        ):
+        out_of_time = permit_at >= drop_time(state, message)
+        shed = congested and state.now > queue.sheddable_at(message.deadline)
+        if not (out_of_time or shed or queue.key.exhausted):
             return
         yield message
 
--- a/rainfall/dispatch/idempotency.py
+++ b/rainfall/dispatch/idempotency.py
@@ -12,7 +12,7 @@
 from rainfall.dispatch.times import NEVER
 
 TRANSIT_SLACK_US = 50_000
-"""A retry may be on its way for so long: the slack that the protocol grants limits."""
+"""A retry may be in transit for so long and still has to arrive within the window."""
 
 
 def retry_deadline(message: Message, sent_at: int = -NEVER) -> int:
@@ -24,7 +24,7 @@
     message_class = message.message_class
     if message_class.idempotency is Idempotency.ALWAYS:
         return NEVER
-    if message_class.idempotency is Idempotency.NEVER:
+    if message_class.idempotency is Idempotency.AT_MOST_ONCE:
         return -NEVER
     first_sent_at = message.executed_at if message.executed_at >= 0 else sent_at
     return first_sent_at + message_class.idempotency_window_us - TRANSIT_SLACK_US
--- a/rainfall/dispatch/key_sequences.py
+++ b/rainfall/dispatch/key_sequences.py
@@ -26,14 +26,13 @@
         """The next message; there must be one."""
         return next(iter(self.messages.values()))
 
+    def has_work(self) -> bool:
+        """Whether it has messages, attempts or answers on their way."""
+        return bool(self.messages or self.in_flight or self.pending_notifications)
+
     def in_use(self, now: int) -> bool:
-        """Whether anything of it counts at a given time."""
-        return bool(
-            self.messages
-            or self.in_flight
-            or self.pending_notifications
-            or self.backoff_until > now
-        )
+        """Whether it has work or a backoff at a given time."""
+        return self.has_work() or self.backoff_until > now
 
     def clear_ready(self) -> None:
         """Nothing of it may go for now."""
--- a/rainfall/dispatch/ordering.py
+++ b/rainfall/dispatch/ordering.py
@@ -9,7 +9,6 @@
 from rainfall.dispatch.key_sequences import KeySequence
 from rainfall.dispatch.queues import Message
 from rainfall.dispatch.state import DispatcherState
-from rainfall.dispatch.times import NEVER
 
 
 def key_sequence(state: DispatcherState, key: str) -> KeySequence:
@@ -24,7 +23,7 @@
     """
     sequence = state.key_sequences[key]
     sequence.set_ready(_sendable_head(state, key, sequence))
-    if not sequence.in_use(NEVER):
+    if not sequence.has_work():
         state.idle_keys.add(sequence.backoff_until, key)
 
 
@@ -34,6 +33,7 @@
     if not sequence.messages or sequence.in_flight or sequence.pending_notifications:
         return None
     head = sequence.head()
+    # A message that was tried already may be retried without a wait.
     if state.now < sequence.backoff_until and not head.attempts:
         state.key_backoffs.add(sequence.backoff_until, key)
         return None
--- a/rainfall/dispatch/outcomes.py
+++ b/rainfall/dispatch/outcomes.py
@@ -25,3 +25,9 @@
 
 NEVER_EXECUTED = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT})
 """Outcomes that prove that the attempt had no effect."""
+MAY_STILL_RUN = frozenset({Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELED})
+"""Outcomes after which the endpoint may still be executing the message."""
+TELLS_NOTHING = frozenset({Outcome.NOT_SENT, Outcome.CANCELED})
+"""Outcomes that say nothing of the endpoint."""
+OVERLOAD_SIGNS = frozenset({Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NO_CONNECTION})
+"""Outcomes that halve the concurrency window."""
--- a/rainfall/dispatch/outlier_detection.py
+++ b/rainfall/dispatch/outlier_detection.py
@@ -1,6 +1,6 @@
 """Which endpoints fail, are in an outage, and have recovered.
 
-An endpoint is ejected to slow start when its failure ratio passes a mark, and recovers
+An endpoint is put into slow start when its failure ratio passes a mark, and recovers
 with a call that succeeds. Times are integer microseconds.
 """
 
@@ -68,12 +68,13 @@
 
 
 def _begin_outage(state: DispatcherState, endpoint: Endpoint, outcome: Outcome) -> None:
+    """Begin an outage, or fall back into one that was taken to be over."""
     if not in_slow_start(state, endpoint):
         note = f"target {endpoint.id} in outage: {outcome.value}"
         state.actions.append(LogNote(note))
         endpoint.outage_started_at = state.now
         # From the middle of an interval: many may have learned at once.
-        endpoint.ramp_jitter = state.random.random()
+        endpoint.next_interval_factor = state.random.random()
         if outcome is not Outcome.REJECTED:
             _suspect_neighbours(state, endpoint)
     if endpoint.recovered_at >= 0 or endpoint.outage_started_at == state.now:
@@ -96,7 +97,7 @@
             and endpoint.last_success_at < failed.last_attempt_at
         ):
             endpoint.outage_started_at, endpoint.recovered_at = state.now, -1
-            endpoint.ramp_jitter = state.random.random()
+            endpoint.next_interval_factor = state.random.random()
             endpoint.last_attempt_at = max(
                 endpoint.last_attempt_at, failed.last_attempt_at
             )
@@ -144,5 +145,5 @@
     endpoint.recovered_at = event.recovered_at_us
     endpoint.failure_ratio = CERTAIN_FAILURE_RATIO
     endpoint.last_attempt_at = state.now
-    endpoint.ramp_jitter = state.random.random()
+    endpoint.next_interval_factor = state.random.random()
     state.possibly_open.add(endpoint.destination)
--- a/rainfall/dispatch/pacing.py
+++ b/rainfall/dispatch/pacing.py
@@ -18,6 +18,8 @@
 REJECTION_SHARE_FACTOR = 0.7
 """A rejection shrinks the shares taken by this factor."""
 LEAST_EVEN_SHARES = 0.1
+DEADLINE_SHARE = 0.5
+"""An interval by a reported limit takes this share of the shortest deadline at most."""
 SUCCESS_SHARE_STEP = 0.05
 """Even shares by which a success with much of the limit left grows those taken."""
 AMPLE_REMAINING_SHARE = 0.4
@@ -46,7 +48,7 @@
     interval = SECOND_US * state.settings.forwarder_count / limit / shares
     if not scope.reported_limit:
         return interval
-    return min(interval, state.shortest_deadline / 2 / min(1.0, shares))
+    return min(interval, state.shortest_deadline * DEADLINE_SHARE / min(1.0, shares))
 
 
 def rate_limit(state: DispatcherState, endpoint: Endpoint) -> float:
--- a/rainfall/dispatch/queues.py
+++ b/rainfall/dispatch/queues.py
@@ -49,7 +49,7 @@
     message_class: MessageClass
     deadline: int
     sequence_number: int
-    """Counts the messages accepted and those put back, since the start."""
+    """Order of acceptance since the start."""
     ordering_key: str | None
     over_quota: bool
     """Its tenant had used up its quota when it came."""
@@ -146,7 +146,7 @@
     """They are not shed before a share of their time."""
     ordered: bool
     exhausted: bool
-    """They may not be sent again."""
+    """They may not be sent again, and are given up in the next round."""
 
 
 @dataclass(slots=True, eq=False)
--- a/rainfall/dispatch/release.py
+++ b/rainfall/dispatch/release.py
@@ -32,7 +32,11 @@
 """
 
 GroupEnd = tuple[Deadline, Deadline]
-"""The end of a group, for destinations up to 0 and for those above."""
+"""The end of a group, for destinations up to 0 and for those above.
+
+Among messages due just at a group's end, the newest of all is in the next group at a
+destination above 0. This parting is part of the recorded decisions.
+"""
 
 
 def release(state: DispatcherState) -> None:
--- a/rainfall/dispatch/settings.py
+++ b/rainfall/dispatch/settings.py
@@ -20,7 +20,7 @@
     """A second execution does no harm."""
     WITH_KEY = "keyed"
     """An endpoint recognizes a further attempt within the idempotency window."""
-    NEVER = "once"
+    AT_MOST_ONCE = "once"
 
 
 class IdempotencyScope(Enum):
@@ -33,7 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What all messages of one class have in common."""
+    """What all messages of one class have in common.
+
+    A new field needs a default, and a line in `wirehost.py:parse_settings`' reader of
+    classes, in `KNOWN_KEYS` of `forwarder/config/validation.py`, and in `CLASS_KEYS` of
+    `journal/records.py`, which is only ever appended to: it is on disk. Without that
+    line a restart forgets the field. `snapshot.py` has no classes.
+    """
 
     name: str
     latency_objective_us: int
@@ -47,6 +53,7 @@
     ordered: bool = False
     """Messages with the same ordering key go one after the other."""
     priority_weight: float = 1.0
+    """What a message counts. No rule reads it yet."""
     late_priority_weight: float = 0.0
     """What is left of the weight at the deadline, as a share."""
 
@@ -87,8 +94,10 @@
     max_open_messages: int = UNLIMITED
     max_attempts: int = UNLIMITED
     allow_parallel_attempts: bool = False
+    """No rule makes hedged requests yet."""
     allow_cancel: bool = False
     allow_health_checks: bool = False
+    """No rule makes health checks yet."""
     send_retry_after: bool = False
     """Rejected clients get a Retry-After."""
     max_retry_after_us: int = 0
@@ -97,6 +106,7 @@
     endpoint_weights_known: bool = False
     """The weights in the endpoint list are rate limits, in calls a second."""
     rejection_cost: float = 0.0
+    """Cost of a call that a destination rejects. No rule reads it yet."""
     over_quota_weight: float = 1.0
     """Weight of messages beyond their tenant's quota, as a share."""
     late_weight_halves: bool = False
@@ -104,8 +114,11 @@
     falls evenly until the deadline.
     """
     answer_grace_us: int = 0
+    """Slack for final answers. No rule uses it: answers are given in time."""
     drain_grace_us: int = 0
+    """Slack for sends to a draining endpoint. No rule uses it: they stop at once."""
     poll_within_us: int = 0
+    """Time in which the list must be asked for. No rule reads it: it is asked at once."""
     overload_factor: float = 0.0
     """A recovering destination bears this many times its present capacity."""
     overload_window_us: int = 0
--- a/rainfall/dispatch/slow_start.py
+++ b/rainfall/dispatch/slow_start.py
@@ -34,6 +34,8 @@
 """A weight of the endpoint list may be up to half too high (WIRE, weight_source)."""
 UNKNOWN_LIMIT_CALLS = 1.0
 """Budget at the start of a recovery, in calls, where no limit is known."""
+LEAST_COLD_SHARE = 0.01
+"""A destination has some capacity right after an outage, whatever the settings say."""
 BATCH_BUDGET_DIVISOR = 2
 """A call with several messages weighs at most this part of our even share of the
 budget: two may meet in a window because of the jitter.
@@ -86,7 +88,8 @@
     capacity = _capacity_share(state, endpoint)
     limit = rate_limit(state, endpoint)
     if not limit or not settings.overload_factor:
-        calls = UNKNOWN_LIMIT_CALLS * capacity / max(settings.cold_capacity_share, 0.01)
+        cold = max(settings.cold_capacity_share, LEAST_COLD_SHARE)
+        calls = UNKNOWN_LIMIT_CALLS * capacity / cold
         return CallBudget(calls, calls)
     calls = limit * (
         settings.overload_factor * capacity * settings.overload_window_us / SECOND_US
@@ -119,7 +122,9 @@
     mean.
     """
     limit = call_limit(state, endpoint)
+    # Of a call that falls into the window with chance f, averaged over f: 1/6 a share.
     variance = budget_shares(state, endpoint) / 6
+    # Of an interval drawn evenly within the jitter.
     variance_per_call = INTERVAL_JITTER * INTERVAL_JITTER / 3
     rare = _mean_within(limit, 0.0, 1.0)
     even = _mean_within(limit, variance, variance_per_call)
--- a/rainfall/dispatch/snapshot.py
+++ b/rainfall/dispatch/snapshot.py
@@ -11,7 +11,13 @@
 from typing import Any
 
 from rainfall.dispatch.endpoint_list import add_endpoint
-from rainfall.dispatch.endpoints import Attempt, AttemptKey, Call, ThrottleScopeKey
+from rainfall.dispatch.endpoints import (
+    ANY_ENDPOINT,
+    Attempt,
+    AttemptKey,
+    Call,
+    ThrottleScopeKey,
+)
 from rainfall.dispatch.ordering import key_sequence, offer_head, turn_to_next
 from rainfall.dispatch.stalled_calls import note_overtaken
 from rainfall.dispatch.state import DispatcherState
@@ -24,7 +30,7 @@
     "last_attempt_at": "tried_at",
     "outage_started_at": "outage_at",
     "recovered_at": "back_at",
-    "ramp_jitter": "spread",
+    "next_interval_factor": "spread",
 }
 """An endpoint's attributes, and the keys under which they are sent."""
 THROTTLE_SCOPE_KEYS = {
@@ -62,7 +68,9 @@
     """What a successor must know beside the messages.
 
     `in_flight` names the attempts that still are, by message id and number. Endpoints
-    go by the numbers that they have in this process.
+    go by the numbers that they have in this process. Under the keys: `targets`, the
+    endpoints; `places`, the throttle scopes; `messages`; `lines`, the backoffs of
+    ordering keys; `calls` in flight, with their attempts; `purses`, the tenants' quotas.
     """
     calls: dict[int, tuple[Call, list[tuple[str, int]]]] = {}
     for key, attempt in state.attempts.items():
@@ -157,7 +165,7 @@
     # whatever it may be of.
     retry_after_until = sent.get("wait_until", 0)
     for key, scope in state.throttle_scopes.items():
-        if key.destination == destination and -1 in (number, key.endpoint):
+        if key.destination == destination and ANY_ENDPOINT in (number, key.endpoint):
             scope.retry_after_until = max(scope.retry_after_until, retry_after_until)
 
 
--- a/rainfall/dispatch/state.py
+++ b/rainfall/dispatch/state.py
@@ -32,8 +32,10 @@
 MIN_IDLE_US = 200_000
 """A connection without use for longer counts as idle."""
 SHARE_HEADROOM = 3.0
-"""Over the number of forwarders: how many even shares more a forwarder takes where few
-share a limit, and how little of a pace is left to chance there.
+"""Few forwarders that share a rate limit learn more of it each, and take more of it.
+
+With this over the number of forwarders as h (3 for one, 1 for three, 0.03 for a
+hundred): shares start with and grow by 1 + h, and the share 1 - h of a pace is jitter.
 """
 
 
@@ -88,7 +90,7 @@
     newest_message_number: int = 0
     """Sequence number of the message accepted last."""
     received_now: list[Message] = field(default_factory=list)
-    """Messages accepted at this time."""
+    """Messages accepted at this time: rounds at one time count as one for shedding."""
     interned_classes: dict[MessageClass, MessageClass] = field(default_factory=dict)
     """One object stands for all equal classes: class queues go by identity."""
     key_sequences_pruned_at: int = field(init=False)
@@ -120,7 +122,9 @@
     idle_keys: TimerHeap = field(default_factory=TimerHeap)
     """From when a key without messages can be forgotten."""
     work_count: int = 0
-    """Waiting messages, queues, destinations and entries visited, as a measure of work."""
+    """Waiting messages, queues, destinations and entries visited. No decision reads it:
+    tests hold the work of an event by it.
+    """
 
     # The round
     events_applied: int = 0
--- a/rainfall/dispatch/waiting.py
+++ b/rainfall/dispatch/waiting.py
@@ -14,8 +14,10 @@
 from rainfall.dispatch.state import DispatcherState
 
 PROTECTED_TIME_SHARE = 0.7
-"""Share of its time during which a message that was not executed is not shed in a large
-fleet: giving back sooner what was accepted is priced there.
+"""Share of its time during which a message that was not executed is not shed.
+
+Holds in fleets above `SMALL_FLEET`, where an early end of an accepted message counts
+against the service.
 """
 SHEDDABLE_WEIGHT_SHARE = 0.6
 """A message may be shed once less than this share of its weight is left."""
--- a/rainfall/forwarder/engine/call_dispatch.py
+++ b/rainfall/forwarder/engine/call_dispatch.py
@@ -318,7 +318,7 @@
     """Whether an attempt's response is waited for until the message's deadline."""
     if message_class is None:
         return False
-    if message_class.idempotency is Idempotency.NEVER:
+    if message_class.idempotency is Idempotency.AT_MOST_ONCE:
         return True
     return (
         timeout_us >= message.deadline_us - now
--- a/rainfall/forwarder/engine/watchdog.py
+++ b/rainfall/forwarder/engine/watchdog.py
@@ -222,7 +222,9 @@
             "turn": 0,
         }
         if dispatcher.in_slow_start(endpoint):
-            ramp_us = int(endpoint.ramp_jitter * dispatcher.ramp_interval(endpoint))
+            ramp_us = int(
+                endpoint.next_interval_factor * dispatcher.ramp_interval(endpoint)
+            )
             gates["turn"] = endpoint.last_attempt_at + ramp_us
         quota = dispatcher.state.quotas.get(endpoint.destination)
         if quota is not None:
--- a/rainfall/wirehost.py
+++ b/rainfall/wirehost.py
@@ -69,7 +69,7 @@
 EFFECT_BY_WORD = {
     "repeatable": Idempotency.ALWAYS,
     "by_key": Idempotency.WITH_KEY,
-    "once": Idempotency.NEVER,
+    "once": Idempotency.AT_MOST_ONCE,
 }
 SCOPE_BY_WORD = {
     "all": IdempotencyScope.ALL,
--- a/tests/compatibility/journals.py
+++ b/tests/compatibility/journals.py
@@ -55,7 +55,7 @@
         late_priority_weight=0.5,
     ),
     MessageClass(
-        "pay", SECOND, 8 * SECOND, Idempotency.NEVER, IdempotencyScope.ENDPOINT
+        "pay", SECOND, 8 * SECOND, Idempotency.AT_MOST_ONCE, IdempotencyScope.ENDPOINT
     ),
 )
 OLD_CLASS = {
--- a/tests/dispatch/test_slow_start.py
+++ b/tests/dispatch/test_slow_start.py
@@ -167,7 +167,7 @@
         d.handle(0, [OutageRestored(1, 0), ask("a", due=100 * S)])
         t = d.state.endpoints[1]
         first.append(
-            (t.last_attempt_at + t.ramp_jitter * d.ramp_interval(t))
+            (t.last_attempt_at + t.next_interval_factor * d.ramp_interval(t))
             / d.ramp_interval(t)
         )
     quarters = [sum(n / 4 <= at < (n + 1) / 4 for at in first) for n in range(4)]
@@ -184,7 +184,7 @@
             3 * S + 2 * MS, [end(out[0], FAILED, attempt=1, took=MS)] if out else []
         )
         assert d.is_avoided(1)
-        first.append(d.state.endpoints[1].ramp_jitter)
+        first.append(d.state.endpoints[1].next_interval_factor)
     quarters = [sum(n / 4 <= at < (n + 1) / 4 for at in first) for n in range(4)]
     assert sum(quarters) == 40 and min(quarters) >= 4
 
@@ -235,10 +235,10 @@
     one.handle(S, [ask("m0")])
     four.handle(S, [ask(f"m{n}") for n in range(4)])
     assert (
-        four.state.endpoints[1].ramp_jitter >= 0.5 * slow_start.call_weight(4)
+        four.state.endpoints[1].next_interval_factor >= 0.5 * slow_start.call_weight(4)
         and slow_start.call_weight(4) == 1.75
     )
-    assert one.state.endpoints[1].ramp_jitter <= 1.5
+    assert one.state.endpoints[1].next_interval_factor <= 1.5
 
 
 @pytest.mark.parametrize("balancers, free", [(40, False), (2, True)])
@@ -289,5 +289,5 @@
         d = dispatcher(seed, forwarder_count=40)
         d.handle(0, [OutageRestored(1, 0), EndpointDisabled(1)])
         d.handle(S, [EndpointEnabled(1)])
-        first.append(d.state.endpoints[1].ramp_jitter)
+        first.append(d.state.endpoints[1].next_interval_factor)
     assert len(set(first)) > 30 and min(first) >= 0 and max(first) <= 1
--- a/tests/forwarder/test_deployments.py
+++ b/tests/forwarder/test_deployments.py
@@ -21,7 +21,7 @@
 EFFECTS = {
     "safe": Idempotency.ALWAYS,
     "keyed": Idempotency.WITH_KEY,
-    "unsafe": Idempotency.NEVER,
+    "unsafe": Idempotency.AT_MOST_ONCE,
 }
 SPOKEN = ("effect", "how", "discovery", "weights")
 """What has words of the wire for its values."""
--- a/tests/forwarder/test_settings_isolation.py
+++ b/tests/forwarder/test_settings_isolation.py
@@ -384,7 +384,7 @@
     assert [(c.idempotency, c.idempotency_window_us, c.ordered) for c in s.classes] == [
         (Idempotency.ALWAYS, 0, False),
         (Idempotency.WITH_KEY, 0, False),
-        (Idempotency.NEVER, 0, False),
+        (Idempotency.AT_MOST_ONCE, 0, False),
     ]
     assert all(c.idempotency_scope is IdempotencyScope.ENDPOINT for c in s.classes)
     assert not (
--- a/tests/journal/test_recovery.py
+++ b/tests/journal/test_recovery.py
@@ -28,7 +28,7 @@
 SECOND = 1_000_000
 CLASSES = (
     MessageClass("status", SECOND, 10 * SECOND),
-    MessageClass("pay", SECOND, 10 * SECOND, Idempotency.NEVER),
+    MessageClass("pay", SECOND, 10 * SECOND, Idempotency.AT_MOST_ONCE),
     MessageClass("turn", SECOND, 10 * SECOND, ordered=True),
 )
 RULES = DeliveryRules(6, CLASSES)
--- a/tests/reference/order.py
+++ b/tests/reference/order.py
@@ -106,7 +106,7 @@
         rests = b.now < line.rest_until and not m.attempts
         if line.queue[0] is not m or line.out or line.owed or rests:
             return False
-    if t.failing > SURE_MARK and m.cls.idempotency is Idempotency.NEVER:
+    if t.failing > SURE_MARK and m.cls.idempotency is Idempotency.AT_MOST_ONCE:
         return m.due - b.now < m.cls.deadline_us / 2 and room_at(b, t) <= b.now
     return room_at(b, t) <= b.now
 
--- a/tests/support/event_scripts.py
+++ b/tests/support/event_scripts.py
@@ -61,7 +61,7 @@
                 IdempotencyScope.ZONE,
                 3 * S,
             ),
-            MessageClass("once", 2 * S, 8 * S, Idempotency.NEVER),
+            MessageClass("once", 2 * S, 8 * S, Idempotency.AT_MOST_ONCE),
             MessageClass(
                 "turns",
                 2 * S,
@@ -313,7 +313,7 @@
 
     def check_refuse(self, a: RejectMessage) -> None:
         cls = self.classes[self.asked[a.message_id].class_name]
-        if cls.idempotency is Idempotency.NEVER:
+        if cls.idempotency is Idempotency.AT_MOST_ONCE:
             assert not self.ran(a.message_id), "refused, though it may have run"
         if (
             cls.idempotency is Idempotency.WITH_KEY
@@ -337,7 +337,7 @@
         if not self.s.allow_parallel_attempts:
             assert all(x["outcome"] is not None for x in before), "two attempts at once"
         ran = self.ran(a.message_id)
-        if ran and cls.idempotency is Idempotency.NEVER:
+        if ran and cls.idempotency is Idempotency.AT_MOST_ONCE:
             raise AssertionError("sent twice")
         if ran and cls.idempotency is Idempotency.WITH_KEY:
             assert self.now <= ran[0]["at"] + cls.idempotency_window_us, (
--- a/tests/support/random_worlds.py
+++ b/tests/support/random_worlds.py
@@ -151,7 +151,7 @@
                     )
                     for scope in IdempotencyScope
                 ),
-                MessageClass("once", 2 * aim, deadline, Idempotency.NEVER),
+                MessageClass("once", 2 * aim, deadline, Idempotency.AT_MOST_ONCE),
                 MessageClass(
                     "turns",
                     aim,
@@ -161,7 +161,9 @@
                     9 * S,
                     ordered=True,
                 ),
-                MessageClass("single", aim, deadline, Idempotency.NEVER, ordered=True),
+                MessageClass(
+                    "single", aim, deadline, Idempotency.AT_MOST_ONCE, ordered=True
+                ),
             ),
             destination_kinds=(
                 DestinationKind("lots", max_batch_size=self.pick(2, 4)),
