--- a/rainfall/shard/__main__.py
+++ b/rainfall/shard/__main__.py
@@ -77,13 +77,14 @@
 
     Gaps and overlaps are let pass (a new map may be the mend), its form is not.
     """
-    faults, generation, alone = inspect_map(read_object(path))
+    inspection = inspect_map(read_object(path))
+    faults = inspection.faults
     if bad := [f for f in faults if f.kind in ("malformed", "inverted")]:
         raise UnreadableInputError(
             f"cannot read {_printable(path)} as the old map: {bad[0]}"
             + (f" and {len(bad) - 1} more faults" if len(bad) > 1 else "")
         )
-    return MapBaseline(generation, alone)
+    return MapBaseline(inspection.generation, inspection.sole_ranges)
 
 
 def read_numbers(given: str) -> dict[str, float]:
--- a/rainfall/shard/map_validation.py
+++ b/rainfall/shard/map_validation.py
@@ -1,25 +1,27 @@
-"""The check of a map: every key exactly once, no gaps.
+"""The check of a map: every key in exactly one range, and an allowed change.
 
-One function for the tool, for what the service is asked to write, and for each
+One function serves the command, what the service is asked to put in force, and each
 forwarder before it adopts a map, whoever sent it.
 
-All faults are told, in this order: `malformed` (the map, then its entries by index),
-`inverted` and `unknown-owner` by index, `gap` and `overlap` in order of their keys,
+All faults are reported, in this order: `malformed` (the map, then its entries by
+index), `inverted` and `unknown-owner` by index, `gap` and `overlap` ordered by key,
 `stale-generation`, `moves-too-much`. A malformed or an inverted entry covers no key:
-gaps and overlaps are those of the sound entries.
+gaps and overlaps are those of the valid entries.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Collection, Iterable, Iterator
-from dataclasses import dataclass
+from collections.abc import Collection, Iterable, Iterator, Sequence
+from dataclasses import dataclass, field
+from enum import StrEnum
 from fractions import Fraction
-from typing import Any
+from typing import Any, NamedTuple
 
 from rainfall.errors import RainfallError
-from rainfall.shard.coverage import Entry, covered_segments
+from rainfall.shard.coverage import Entry, Segment, covered_segments
 from rainfall.shard.shard_map import (
+    BITS_PER_DIGIT,
     KEY_BITS,
     MAX_GENERATION,
     DuplicateFieldObject,
@@ -29,50 +31,108 @@
     parse_key,
 )
 
-FAULT_KINDS = (
-    "malformed",
-    "inverted",
-    "unknown-owner",
-    "gap",
-    "overlap",
-    "stale-generation",
-    "moves-too-much",
-)
+
+class FaultKind(StrEnum):
+    """Kinds of faults; the value is what the command and the wire show."""
+
+    MALFORMED = "malformed"
+    INVERTED = "inverted"
+    UNKNOWN_OWNER = "unknown-owner"
+    GAP = "gap"
+    OVERLAP = "overlap"
+    STALE_GENERATION = "stale-generation"
+    MOVES_TOO_MUCH = "moves-too-much"
+
+
 MAX_MOVED_SHARE = Fraction(1, 2)
-# entries named in all overlaps of one check; past that each names the first few
+"""Share of the key space whose owner one map may change."""
 OVERLAP_ENTRIES_NAMED = 1_000_000
+"""Entries named in all overlaps of one check; past that each names the first few."""
 ENTRIES_SHOWN = 16
+"""Faults shown in an error's text, and entries named in an overlap past the bound."""
+QUOTE_LIMIT = 80
+"""Characters of a value that is quoted in full."""
+QUOTE_SHOWN = 60
+"""Characters that are quoted of a longer one."""
 ENTRY_FIELDS = ("from", "to", "owner")
+NO_GENERATION = -1
+NO_ENTRY = -1
 
 
 @dataclass(frozen=True, slots=True)
 class MapFault:
-    """One fault.
-
-    `first` and `last` are the keys it is about, None where it is about none; `entries`
-    are indexes in the file; `more` counts those left out (only past a million in one
-    check).
-    """
+    """One fault of a map."""
 
     kind: str
+    """The value of a `FaultKind`."""
     text: str
     first: int | None = None
+    """The first key that it concerns; None if none."""
     last: int | None = None
     entries: tuple[int, ...] = ()
+    """Indexes in the file."""
     omitted_entries: int = 0
+    """Entries left out, past `OVERLAP_ENTRIES_NAMED` in one check."""
 
     def __str__(self) -> str:
         return f"{self.kind} {self.text}"
 
 
 class InvalidMapError(RainfallError):
+    """A map with faults.
+
+    Attributes:
+        faults: All of them.
+    """
+
     def __init__(self, faults: list[MapFault]) -> None:
         super().__init__("; ".join(map(str, faults[:ENTRIES_SHOWN])))
         self.faults = faults
 
 
-SoleRange = tuple[int, int, str, int]
-"""Keys that one entry alone covers: first, last, owner, index."""
+class SoleRange(NamedTuple):
+    """Keys that one entry alone covers."""
+
+    first: int
+    last: int
+    owner: str
+    entry: int
+    """The index of the entry."""
+
+
+class Ownership(NamedTuple):
+    """Keys of one owner."""
+
+    first: int
+    last: int
+    owner: str
+
+
+class OwnerChange(NamedTuple):
+    """Keys whose owner changes."""
+
+    first: int
+    last: int
+    old_owner: str
+    entry: int
+    """The index of the new map's entry."""
+
+
+class MapInspection(NamedTuple):
+    """What the check of a map found."""
+
+    faults: list[MapFault]
+    generation: int
+    """`NO_GENERATION` where the map has none."""
+    sole_ranges: list[SoleRange]
+    """Ordered by key."""
+
+    def to_map(self, bits: int) -> ShardMap:
+        """The map; it must have no faults."""
+        ranges = tuple(
+            Range(sole.first, sole.last, sole.owner) for sole in self.sole_ranges
+        )
+        return ShardMap(self.generation, ranges, bits)
 
 
 def map_faults(
@@ -82,15 +142,17 @@
     most_moved: Fraction | None = MAX_MOVED_SHARE,
     bits: int = KEY_BITS,
 ) -> list[MapFault]:
-    """All faults of the map that `raw`, a decoded JSON value, holds; none: it may come
-    into force.
-
-    `members`: who may own a range. `against`: the map in force; the new one's
-    generation is above its, and at most `most_moved` of the key space changes its owner
-    (None: any part), where a member that is not among `members` any more does not count
-    as an owner.
+    """All faults of a map; if there are none, it may come into force.
+
+    Args:
+        raw: The map as a decoded JSON value.
+        members: Who may own a range.
+        against: The map in force; the new generation has to be above its.
+        most_moved: The share of the key space whose owner may change; None for any. A
+            member that is not among `members` any more does not count as an owner.
+        bits: The width of the key space.
     """
-    return inspect_map(raw, members, _baseline(against), most_moved, bits)[0]
+    return inspect_map(raw, members, _baseline(against), most_moved, bits).faults
 
 
 def checked_map(
@@ -100,13 +162,18 @@
     most_moved: Fraction | None = MAX_MOVED_SHARE,
     bits: int = KEY_BITS,
 ) -> ShardMap:
-    """The map that `raw` holds; Faulty with all faults where it has any."""
-    faults, generation, alone = inspect_map(
-        raw, members, _baseline(against), most_moved, bits
-    )
-    if faults:
-        raise InvalidMapError(faults)
-    return ShardMap(generation, tuple(Range(*a[:3]) for a in alone), bits)
+    """Check a map; see `map_faults`.
+
+    Returns:
+        The map.
+
+    Raises:
+        InvalidMapError: It has faults.
+    """
+    inspection = inspect_map(raw, members, _baseline(against), most_moved, bits)
+    if inspection.faults:
+        raise InvalidMapError(inspection.faults)
+    return inspection.to_map(bits)
 
 
 def evaluate_update(
@@ -116,30 +183,38 @@
     most_moved: Fraction | None,
     bits: int,
 ) -> tuple[ShardMap | None, list[MapFault]]:
-    """The map to put in force and its faults.
+    """Check a map that is to replace another; see `map_faults`.
 
-    Neither where it is the very one in force.
+    Returns:
+        The map to put in force, None where it has faults, and the faults. Neither where
+        it is the very map in force.
     """
     old = _baseline(against)
-    faults, generation, alone = inspect_map(raw, members, old, most_moved, bits)
-    if (
-        old is not None
-        and generation == old.generation
-        and [f.kind for f in faults] == ["stale-generation"]
-        and merged_ownership(alone) == merged_ownership(old.sole_ranges)
-    ):
+    inspection = inspect_map(raw, members, old, most_moved, bits)
+    if old is not None and _is_same_map(inspection, old):
         return None, []
-    if faults:
-        return None, faults
-    return ShardMap(generation, tuple(Range(*a[:3]) for a in alone), bits), []
+    if inspection.faults:
+        return None, inspection.faults
+    return inspection.to_map(bits), []
+
+
+def _is_same_map(inspection: MapInspection, old: MapBaseline) -> bool:
+    """Whether a map is the old one, its generation being its only fault."""
+    kinds = [fault.kind for fault in inspection.faults]
+    return (
+        inspection.generation == old.generation
+        and kinds == [FaultKind.STALE_GENERATION]
+        and merged_ownership(inspection.sole_ranges)
+        == merged_ownership(old.sole_ranges)
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class MapBaseline:
-    """What a new map is held against.
+    """What a new map is compared with.
 
-    A file's own gaps and overlaps are not the new map's fault: keys that it gave to
-    none or several have not changed their owner.
+    Gaps and overlaps of the old map are no fault of the new one: keys that the old map
+    gave to no member or to several have not changed their owner.
     """
 
     generation: int
@@ -147,9 +222,13 @@
 
     @staticmethod
     def from_map(shard_map: ShardMap) -> MapBaseline:
+        """The baseline of a valid map."""
         return MapBaseline(
             shard_map.generation,
-            [(r.first, r.last, r.owner, n) for n, r in enumerate(shard_map.ranges)],
+            [
+                SoleRange(r.first, r.last, r.owner, index)
+                for index, r in enumerate(shard_map.ranges)
+            ],
         )
 
 
@@ -163,66 +242,79 @@
     old: MapBaseline | None = None,
     most_moved: Fraction | None = MAX_MOVED_SHARE,
     bits: int = KEY_BITS,
-) -> tuple[list[MapFault], int, list[SoleRange]]:
-    """The faults, the generation (-1 where it has none), and what exactly one entry
-    covers, in order.
-    """
+) -> MapInspection:
+    """Check a map; see `map_faults`."""
     if not isinstance(raw, dict):
-        return [MapFault("malformed", f"map: {_quoted(raw)} is no JSON object")], -1, []
-    shapes, bad, inverted, strangers = list(_form_faults(raw)), [], [], []
-    sound: list[Entry] = []
-    owners: dict[int, str] = {}
-    listed = raw.get("ranges")
+        text = f"map: {_quoted(raw)} is no JSON object"
+        fault = MapFault(FaultKind.MALFORMED.value, text)
+        return MapInspection([fault], NO_GENERATION, [])
+    form_faults = list(_form_faults(raw))
     known = None if members is None else frozenset(members)
-    for index, entry in enumerate(listed if type(listed) is list else ()):
-        told = _parse_entry(entry, bits)
-        if isinstance(told, str):
-            bad.append(
-                MapFault(
-                    "malformed",
-                    told.replace("entry", f"entry {index}", 1),
-                    entries=(index,),
-                )
-            )
+    listed = raw.get("ranges")
+    entries = _inspect_entries(listed if type(listed) is list else (), known, bits)
+    coverage_faults, sole_ranges = _inspect_coverage(
+        entries.valid, entries.owners, bits
+    )
+    generation = NO_GENERATION
+    if _is_generation(raw.get("generation")):
+        generation = raw["generation"]
+    faults = [
+        *form_faults,
+        *entries.malformed,
+        *entries.inverted,
+        *entries.unknown_owners,
+        *coverage_faults,
+    ]
+    if old is not None and generation != NO_GENERATION:
+        faults += _generation_faults(generation, sole_ranges, old)
+    if old is not None and most_moved is not None:
+        faults += _moved_share_faults(sole_ranges, old, known, most_moved, bits)
+    return MapInspection(faults, generation, sole_ranges)
+
+
+@dataclass(slots=True)
+class _Entries:
+    """The entries of a map, and their faults by kind, each by index."""
+
+    malformed: list[MapFault] = field(default_factory=list)
+    inverted: list[MapFault] = field(default_factory=list)
+    unknown_owners: list[MapFault] = field(default_factory=list)
+    valid: list[Entry] = field(default_factory=list)
+    owners: dict[int, str] = field(default_factory=dict)
+    """Of the valid entries, by index."""
+
+
+def _inspect_entries(
+    raw_entries: Iterable[Any], known: frozenset[str] | None, bits: int
+) -> _Entries:
+    entries = _Entries()
+    for index, raw in enumerate(raw_entries):
+        parsed = _parse_entry(raw, bits)
+        if isinstance(parsed, str):
+            text = parsed.replace("entry", f"entry {index}", 1)
+            fault = MapFault(FaultKind.MALFORMED.value, text, entries=(index,))
+            entries.malformed.append(fault)
             continue
-        first, last, owner = told
+        first, last, owner = parsed
         if first <= last:
-            sound.append(Entry(first, last, index))
-            owners[index] = owner
+            entries.valid.append(Entry(first, last, index))
+            entries.owners[index] = owner
         else:
-            inverted.append(
-                MapFault(
-                    "inverted",
-                    f"{format_range(first, last, bits)}: entry {index} ends before it "
-                    "begins",
-                    first,
-                    last,
-                    (index,),
-                )
-            )
+            text = f"entry {index} ends before it begins"
+            fault = _entry_fault(FaultKind.INVERTED, parsed, index, text, bits)
+            entries.inverted.append(fault)
         if known is not None and owner not in known:
-            strangers.append(
-                MapFault(
-                    "unknown-owner",
-                    f"{format_range(first, last, bits)}: entry {index} names "
-                    f"{_quoted(owner)}, which is no member",
-                    first,
-                    last,
-                    (index,),
-                )
-            )
-    holes, alone = _coverage_faults(sound, owners, bits)
-    generation: int = raw["generation"] if _is_generation(raw.get("generation")) else -1
-    faults = [*shapes, *bad, *inverted, *strangers, *holes]
-    if old is not None and generation >= 0:
-        faults += _generation_faults(generation, alone, old)
-    if old is not None and most_moved is not None:
-        faults += _moved_share_faults(alone, old, known, most_moved, bits)
-    return faults, generation, alone
+            text = f"entry {index} names {_quoted(owner)}, which is no member"
+            fault = _entry_fault(FaultKind.UNKNOWN_OWNER, parsed, index, text, bits)
+            entries.unknown_owners.append(fault)
+    return entries
 
 
-# -- the form
-# ------------------------------------------------------------------------------------
+def _entry_fault(
+    kind: FaultKind, entry: Ownership, index: int, text: str, bits: int
+) -> MapFault:
+    keys = format_range(entry.first, entry.last, bits)
+    return MapFault(kind.value, f"{keys}: {text}", entry.first, entry.last, (index,))
 
 
 def _is_generation(value: Any) -> bool:
@@ -234,7 +326,9 @@
     if isinstance(value, dict | list):
         return "an object" if isinstance(value, dict) else "an array"
     text = json.dumps(value)
-    return text if len(text) <= 80 else f"{text[:60]}... ({len(text)} characters)"
+    if len(text) <= QUOTE_LIMIT:
+        return text
+    return f"{text[:QUOTE_SHOWN]}... ({len(text)} characters)"
 
 
 def _quoted_names(names: Iterable[Any]) -> str:
@@ -242,199 +336,208 @@
 
 
 def _form_faults(raw: dict[str, Any]) -> Iterator[MapFault]:
+    for text in _form_fault_texts(raw):
+        yield MapFault(FaultKind.MALFORMED.value, text)
+
+
+def _form_fault_texts(raw: dict[str, Any]) -> Iterator[str]:
     if isinstance(raw, DuplicateFieldObject):
-        yield MapFault(
-            "malformed",
-            f"map: twice the same field: {_quoted_names(raw.duplicate_fields)} (the last is judged)",
-        )
+        names = _quoted_names(raw.duplicate_fields)
+        yield f"map: twice the same field: {names} (the last is judged)"
     if "generation" not in raw:
-        yield MapFault("malformed", "generation: it is missing")
+        yield "generation: it is missing"
     elif not _is_generation(raw["generation"]):
-        yield MapFault(
-            "malformed",
-            f"generation: {_quoted(raw['generation'])} is no whole number below 2**63",
-        )
+        yield f"generation: {_quoted(raw['generation'])} is no whole number below 2**63"
     if "ranges" not in raw:
-        yield MapFault("malformed", "ranges: they are missing")
+        yield "ranges: they are missing"
     elif type(raw["ranges"]) is not list:
-        yield MapFault("malformed", f"ranges: {_quoted(raw['ranges'])} is no array")
+        yield f"ranges: {_quoted(raw['ranges'])} is no array"
     if others := sorted(set(raw) - {"generation", "ranges"}):
-        yield MapFault(
-            "malformed", f"map: a field of unknown name: {_quoted_names(others)}"
-        )
+        yield f"map: a field of unknown name: {_quoted_names(others)}"
 
 
-def _parse_entry(raw: Any, bits: int) -> tuple[int, int, str] | str:
-    """A sound entry's ends and owner, or all that is wrong with its form in one line."""
-    if type(raw) is dict and len(raw) == 3:
-        first, last, owner = (
-            parse_key(raw.get("from"), bits),
-            parse_key(raw.get("to"), bits),
-            raw.get("owner"),
-        )
-        if (
-            first is not None
-            and last is not None
-            and type(owner) is str
-            and owner
-            and owner.isprintable()
-        ):
-            return first, last, owner
+def _is_owner(value: Any) -> bool:
+    return type(value) is str and bool(value) and value.isprintable()
+
+
+def _parse_entry(raw: Any, bits: int) -> Ownership | str:
+    """The keys and owner of an entry, or all faults of its form in one line."""
+    if type(raw) is dict and len(raw) == len(ENTRY_FIELDS):
+        first = parse_key(raw.get("from"), bits)
+        last = parse_key(raw.get("to"), bits)
+        owner = raw.get("owner")
+        if first is not None and last is not None and _is_owner(owner):
+            return Ownership(first, last, str(owner))
     if not isinstance(raw, dict):
         return f"entry: {_quoted(raw)} is no object"
-    wrong = []
+    ends = [f"{name} {_quoted(raw[name])}" for name in ("from", "to") if name in raw]
+    return f"entry ({' '.join(ends)}): " + "; ".join(_entry_fault_texts(raw, bits))
+
+
+def _entry_fault_texts(raw: dict[str, Any], bits: int) -> Iterator[str]:
     if isinstance(raw, DuplicateFieldObject):
-        wrong.append(f"twice the same field: {_quoted_names(raw.duplicate_fields)}")
-    wrong += [f'"{name}" is missing' for name in ENTRY_FIELDS if name not in raw]
+        yield f"twice the same field: {_quoted_names(raw.duplicate_fields)}"
+    for name in ENTRY_FIELDS:
+        if name not in raw:
+            yield f'"{name}" is missing'
     if others := sorted(set(raw) - set(ENTRY_FIELDS)):
-        wrong.append(f"a field of unknown name: {_quoted_names(others)}")
+        yield f"a field of unknown name: {_quoted_names(others)}"
     for name in ("from", "to"):
         if name in raw and parse_key(raw[name], bits) is None:
-            wrong.append(
-                f'"{name}" {_quoted(raw[name])} is not {bits // 4} lower-case hexadecimal digits'
-            )
-    if "owner" in raw and not (
-        type(raw["owner"]) is str and raw["owner"] and raw["owner"].isprintable()
-    ):
-        wrong.append(f'"owner" {_quoted(raw["owner"])} is no name')
-    ends = [f"{name} {_quoted(raw[name])}" for name in ("from", "to") if name in raw]
-    return f"entry ({' '.join(ends)}): " + "; ".join(wrong)
-
-
-# -- the keys
-# ------------------------------------------------------------------------------------
+            digits = bits // BITS_PER_DIGIT
+            yield f'"{name}" {_quoted(raw[name])} is not {digits} lower-case hexadecimal digits'
+    if "owner" in raw and not _is_owner(raw["owner"]):
+        yield f'"owner" {_quoted(raw["owner"])} is no name'
 
 
-def _coverage_faults(
-    sound: list[Entry], owners: dict[int, str], bits: int
+def _inspect_coverage(
+    entries: list[Entry], owners: dict[int, str], bits: int
 ) -> tuple[list[MapFault], list[SoleRange]]:
+    """Gaps and overlaps, and the keys that one entry alone covers."""
     faults: list[MapFault] = []
-    alone: list[SoleRange] = []
-    left = OVERLAP_ENTRIES_NAMED
-    before = -1  # the entry that ends where a gap begins
-    gap: tuple[int, int] | None = None
-    for first, last, indexes in covered_segments(sound, (1 << bits) - 1):
-        if not indexes:
-            gap = first, last
+    sole_ranges: list[SoleRange] = []
+    names_left = OVERLAP_ENTRIES_NAMED
+    previous_entry = NO_ENTRY
+    gap: Segment | None = None
+    for segment in covered_segments(entries, (1 << bits) - 1):
+        positions = segment.positions
+        if not positions:
+            gap = segment
             continue
         if gap:
-            faults.append(_gap_fault(*gap, before, indexes[0], bits))
+            faults.append(_gap_fault(gap, previous_entry, positions[0], bits))
             gap = None
-        if len(indexes) == 1:
-            alone.append((first, last, owners[indexes[0]], indexes[0]))
+        if len(positions) == 1:
+            entry = positions[0]
+            sole = SoleRange(segment.first, segment.last, owners[entry], entry)
+            sole_ranges.append(sole)
         else:
-            named = tuple(indexes if len(indexes) <= left else indexes[:ENTRIES_SHOWN])
-            left -= len(named)
-            more = len(indexes) - len(named)
-            faults.append(
-                MapFault(
-                    "overlap",
-                    f"{format_range(first, last, bits)}: entries "
-                    f"{', '.join(map(str, named))}{f' and {more} more' if more else ''} cover it",
-                    first,
-                    last,
-                    named,
-                    more,
-                )
-            )
-        before = indexes[0]
+            fault = _overlap_fault(segment, names_left, bits)
+            names_left -= len(fault.entries)
+            faults.append(fault)
+        previous_entry = positions[0]
     if gap:
-        faults.append(_gap_fault(*gap, before, -1, bits))
-    return faults, alone
-
-
-def _gap_fault(first: int, last: int, before: int, after: int, bits: int) -> MapFault:
-    beside = tuple(index for index in (before, after) if index >= 0)
-    where = (
-        f"between entries {before} and {after}"
-        if len(beside) == 2
-        else f"before entry {after}"
-        if after >= 0
-        else f"after entry {before}"
-        if before >= 0
-        else "there is no sound entry"
+        faults.append(_gap_fault(gap, previous_entry, NO_ENTRY, bits))
+    return faults, sole_ranges
+
+
+def _overlap_fault(segment: Segment, names_left: int, bits: int) -> MapFault:
+    positions = segment.positions
+    if len(positions) > names_left:
+        positions = positions[:ENTRIES_SHOWN]
+    named = tuple(positions)
+    omitted = len(segment.positions) - len(named)
+    names = ", ".join(map(str, named))
+    if omitted:
+        names += f" and {omitted} more"
+    keys = format_range(segment.first, segment.last, bits)
+    return MapFault(
+        FaultKind.OVERLAP.value,
+        f"{keys}: entries {names} cover it",
+        segment.first,
+        segment.last,
+        named,
+        omitted,
     )
+
+
+def _gap_fault(gap: Segment, before: int, after: int, bits: int) -> MapFault:
+    keys = format_range(gap.first, gap.last, bits)
     return MapFault(
-        "gap",
-        f"{format_range(first, last, bits)}: no entry covers it, {where}",
-        first,
-        last,
-        beside,
+        FaultKind.GAP.value,
+        f"{keys}: no entry covers it, {_gap_place(before, after)}",
+        gap.first,
+        gap.last,
+        tuple(entry for entry in (before, after) if entry != NO_ENTRY),
     )
 
 
-# -- against the map before
-# ------------------------------------------------------------------------
+def _gap_place(before: int, after: int) -> str:
+    if before != NO_ENTRY and after != NO_ENTRY:
+        return f"between entries {before} and {after}"
+    if after != NO_ENTRY:
+        return f"before entry {after}"
+    if before != NO_ENTRY:
+        return f"after entry {before}"
+    return "there is no sound entry"
 
 
 def _generation_faults(
-    generation: int, alone: list[SoleRange], old: MapBaseline
+    generation: int, sole_ranges: list[SoleRange], old: MapBaseline
 ) -> Iterator[MapFault]:
     if generation > old.generation:
         return
     text = f"{generation}: not above {old.generation}, the old map's"
     if generation == old.generation:
-        same = merged_ownership(alone) == merged_ownership(old.sole_ranges)
+        same = merged_ownership(sole_ranges) == merged_ownership(old.sole_ranges)
         text += ", and the content is " + ("the same" if same else "another")
-    yield MapFault("stale-generation", text)
+    yield MapFault(FaultKind.STALE_GENERATION.value, text)
 
 
-def merged_ownership(alone: Iterable[SoleRange]) -> list[tuple[int, int, str]]:
-    """Who owns what, neighbouring ranges of one owner as one."""
-    out: list[tuple[int, int, str]] = []
-    for first, last, owner, _ in alone:
-        if out and out[-1][2] == owner and out[-1][1] + 1 == first:
-            out[-1] = out[-1][0], last, owner
+def merged_ownership(sole_ranges: Iterable[SoleRange]) -> list[Ownership]:
+    """Who owns what, adjacent ranges of one owner as one."""
+    merged: list[Ownership] = []
+    for first, last, owner, _ in sole_ranges:
+        if merged and merged[-1].owner == owner and merged[-1].last + 1 == first:
+            merged[-1] = Ownership(merged[-1].first, last, owner)
         else:
-            out.append((first, last, owner))
-    return out
+            merged.append(Ownership(first, last, owner))
+    return merged
 
 
 def owner_changes(
-    alone: list[SoleRange], old: list[SoleRange]
-) -> Iterator[tuple[int, int, str, int]]:
-    """Stretches whose owner changes: first, last, the old owner, the new entry's index."""
-    n = 0
-    for first, last, owner, index in alone:
-        while n < len(old) and old[n][1] < first:
-            n += 1
-        at = n
-        while at < len(old) and old[at][0] <= last:
-            if old[at][2] != owner:
-                yield max(first, old[at][0]), min(last, old[at][1]), old[at][2], index
-            at += 1
+    new: Sequence[SoleRange], old: Sequence[SoleRange]
+) -> Iterator[OwnerChange]:
+    """Keys whose owner changes, in their order."""
+    start = 0
+    for first, last, owner, entry in new:
+        while start < len(old) and old[start].last < first:
+            start += 1
+        index = start
+        while index < len(old) and old[index].first <= last:
+            former = old[index]
+            if former.owner != owner:
+                yield OwnerChange(
+                    max(first, former.first),
+                    min(last, former.last),
+                    former.owner,
+                    entry,
+                )
+            index += 1
 
 
 def _moved_share_faults(
-    alone: list[SoleRange],
+    sole_ranges: list[SoleRange],
     old: MapBaseline,
     known: frozenset[str] | None,
-    most: Fraction,
+    most_moved: Fraction,
     bits: int,
 ) -> Iterator[MapFault]:
-    moved = [
-        c
-        for c in owner_changes(alone, old.sole_ranges)
-        if known is None or c[2] in known
+    changes = [
+        change
+        for change in owner_changes(sole_ranges, old.sole_ranges)
+        if known is None or change.old_owner in known
     ]
-    keys = sum(last - first + 1 for first, last, _, _ in moved)
-    if keys > most * (1 << bits):
-        entries = tuple(sorted({index for _, _, _, index in moved}))
-        first, last = moved[0][0], moved[-1][1]
-        yield MapFault(
-            "moves-too-much",
-            f"{format_range(first, last, bits)}: {keys} keys change their owner, "
-            f"{keys / (1 << bits):.2%} of the space, more than {float(most):.2%}: entries "
-            f"{', '.join(map(str, entries))}",
-            first,
-            last,
-            entries,
-        )
+    moved_keys = sum(change.last - change.first + 1 for change in changes)
+    if moved_keys <= most_moved * (1 << bits):
+        return
+    entries = tuple(sorted({change.entry for change in changes}))
+    first = changes[0].first
+    last = changes[-1].last
+    yield MapFault(
+        FaultKind.MOVES_TOO_MUCH.value,
+        f"{format_range(first, last, bits)}: {moved_keys} keys change their owner, "
+        f"{moved_keys / (1 << bits):.2%} of the space, more than {float(most_moved):.2%}: entries "
+        f"{', '.join(map(str, entries))}",
+        first,
+        last,
+        entries,
+    )
 
 
 def count_moved_keys(new: ShardMap, old: ShardMap) -> int:
     """Keys whose owner is another one in `new`."""
-    pairs = owner_changes(
+    changes = owner_changes(
         MapBaseline.from_map(new).sole_ranges, MapBaseline.from_map(old).sole_ranges
     )
-    return sum(last - first + 1 for first, last, _, _ in pairs)
+    return sum(change.last - change.first + 1 for change in changes)
