--- a/rainfall/shard/map_planning.py
+++ b/rainfall/shard/map_planning.py
@@ -1,9 +1,9 @@
 """A new map for given members and weights that moves the fewest keys.
 
-Each member's target is its weight's part of the space in whole keys. Whoever has more
-gives only what is over, and keys without an owner go only to who has less: no map with
-these targets moves fewer. With loads the target is a part of the load instead, and who
-has too much gives its densest ranges first.
+Each member's target is its weight's share of the key space, in whole keys. Whoever has
+more releases only its excess, and keys without an owner go only to members with less:
+no map with these targets moves fewer. With loads the target is a share of the load
+instead, and a member with too much releases its densest ranges first.
 """
 
 from __future__ import annotations
@@ -24,31 +24,34 @@
 from rainfall.shard.shard_map import KEY_BITS, MAX_GENERATION, ShardMap, format_key
 
 MAX_RANGES = 65_536
-LOAD_SLACK = Fraction(
-    1, 10
-)  # a load this far over its target is left: loads swing, and a move costs a pause
-UNLOADED_SHARE = Fraction(
-    1, 100
-)  # of the weight goes by keys, so that ranges without load are spread as well
-LOAD_UNITS = 1 << 48  # the whole load in whole units, so that sums are exact
+LOAD_SLACK = Fraction(1, 10)
+"""An excess load up to this share of the target stays: loads vary, and moves cost."""
+UNLOADED_SHARE = Fraction(1, 100)
+"""Of the weight goes by keys, so that ranges without load are spread as well."""
+LOAD_UNITS = 1 << 48
+"""The whole load in whole units, so that sums are exact."""
+CELLS_PER_MEMBER = 4
+"""A cell with more load than a member's share divided by this is split."""
 
 
 class PlanError(RainfallError, ValueError):
-    """The text is one line: why there is no plan for what was asked."""
+    """There is no plan for what was asked; the text says why, in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class MapPlan:
-    """`moved`: keys whose owner changes.
-
-    `least`: the fewest that any map with these `targets` (keys of each member) moves;
-    more are moved only to stay within the bound on ranges, or where loads were given.
-    """
+    """A planned map, and what it moves."""
 
     map: ShardMap
     moved_keys: int
+    """Keys whose owner changes."""
     min_moved_keys: int
+    """The fewest that any map with these targets moves.
+
+    More are moved only to stay within the limit of ranges, or where loads were given.
+    """
     targets: dict[str, int]
+    """Keys of each member."""
 
 
 def plan_map(
@@ -58,70 +61,95 @@
     most_ranges: int = MAX_RANGES,
     bits: int = KEY_BITS,
 ) -> MapPlan:
-    """A map one generation above `old` for `members`, name to weight (0: owns nothing,
-    gives all away). `loads`: by range of `old`, in any one unit. BadPlan where there is
-    none.
+    """Plan a map, one generation above `old`.
+
+    Args:
+        members: Names and weights; a member of weight 0 gives up all it owns.
+        old: The map in force, if there is one.
+        loads: By range of `old`, in any one unit.
+        most_ranges: The limit of ranges.
+        bits: The width of the key space.
+
+    Raises:
+        PlanError: There is no such map.
     """
     names = sorted(name for name, weight in members.items() if weight > 0)
+    _check_input(members, len(names), old, min(most_ranges, 1 << bits))
+    weights = {name: Fraction(members[name]) for name in names}
+    cells = _initial_cells(old, weights, bits)
+    targets = apportion(1 << bits, weights, _owned_units(cells, weights))
+    min_moved_keys = _min_moved_keys(cells, weights, targets)
+    total_load = _weigh_by_load(cells, old, loads or {})
+    owned = _owned_units(cells, weights)
+    if total_load:
+        goals = apportion(total_load, weights, owned)
+        cells = merge_neighbours(_assign_owners(cells, owned, goals, LOAD_SLACK))
+        hot = max(1, total_load // (CELLS_PER_MEMBER * len(names)))
+        cells = split_hot(cells, hot, most_ranges)
+    else:
+        cells = merge_neighbours(_assign_owners(cells, owned, targets, Fraction(0)))
+    cells = merge_smallest(cells, most_ranges)
+    raw = _map_document(cells, 1 if old is None else old.generation + 1, bits)
+    new = checked_map(raw, names, old, None, bits)
+    return MapPlan(
+        new,
+        0 if old is None else count_moved_keys(new, old),
+        0 if old is None else min_moved_keys,
+        targets,
+    )
+
+
+def _check_input(
+    members: Mapping[str, float], owners: int, old: ShardMap | None, most_owners: int
+) -> None:
     if any(not math.isfinite(weight) or weight < 0 for weight in members.values()):
         raise PlanError("a weight is a finite number from 0")
-    most = min(most_ranges, 1 << bits)
-    if not 0 < len(names) <= most:
+    if not 0 < owners <= most_owners:
         raise PlanError(
-            f"{len(names)} members with a weight, where 1 to {most} can own ranges"
+            f"{owners} members with a weight, where 1 to {most_owners} can own ranges"
         )
     if old is not None and old.generation >= MAX_GENERATION:
         raise PlanError("the old map has the last generation there is")
-    weights = {name: Fraction(members[name]) for name in names}
-    cells = _initial_cells(old, weights, bits)
-    targets = apportion(1 << bits, weights, _owned_units(cells, weights))
-    least = sum(
-        max(0, n - targets[name]) for name, n in _owned_units(cells, weights).items()
+
+
+def _min_moved_keys(
+    cells: list[PlanCell], weights: Mapping[str, Fraction], targets: Mapping[str, int]
+) -> int:
+    """Keys above their owner's target, and keys without an owner."""
+    excess = sum(
+        max(0, keys - targets[name])
+        for name, keys in _owned_units(cells, weights).items()
     )
-    least += sum(c.size for c in cells if c.owner is None)
-    total = _weigh_by_load(cells, old, loads or {})
-    if total:
-        have = _owned_units(cells, weights)
-        goals = apportion(total, weights, have)
-        cells = _assign_owners(cells, have, goals, LOAD_SLACK)
-    else:
-        cells = _assign_owners(
-            cells, _owned_units(cells, weights), targets, Fraction(0)
-        )
-    cells = merge_neighbours(cells)
-    if total:
-        cells = split_hot(cells, max(1, total // (4 * len(names))), most_ranges)
-    cells = merge_smallest(cells, most_ranges)
-    raw = {
-        "generation": 1 if old is None else old.generation + 1,
+    return excess + sum(cell.size for cell in cells if cell.owner is None)
+
+
+def _map_document(
+    cells: list[PlanCell], generation: int, bits: int
+) -> dict[str, object]:
+    return {
+        "generation": generation,
         "ranges": [
             {
-                "from": format_key(c.first, bits),
-                "to": format_key(c.last, bits),
-                "owner": c.owner,
+                "from": format_key(cell.first, bits),
+                "to": format_key(cell.last, bits),
+                "owner": cell.owner,
             }
-            for c in cells
+            for cell in cells
         ],
     }
-    new = checked_map(raw, names, old, None, bits)
-    return MapPlan(
-        new,
-        0 if old is None else count_moved_keys(new, old),
-        0 if old is None else least,
-        targets,
-    )
 
 
 def apportion(
     total: int, weights: Mapping[str, Fraction], have: Mapping[str, int]
 ) -> dict[str, int]:
-    """`total` divided by weight into whole parts that add up: the largest rests are
-    rounded up, among equal ones of whoever has more already (so that an even map stays
-    as it is), then by name.
+    """Divide `total` by weight into whole parts that add up.
+
+    The largest remainders are rounded up; among equal ones that of the member that has
+    more already, so that an even map stays as it is, then by name.
     """
-    whole = sum(weights.values())
-    exact = {name: total * weight / whole for name, weight in weights.items()}
-    parts = {name: int(e) for name, e in exact.items()}
+    total_weight = sum(weights.values())
+    exact = {name: total * weight / total_weight for name, weight in weights.items()}
+    parts = {name: int(part) for name, part in exact.items()}
     order = sorted(exact, key=lambda n: (parts[n] - exact[n], parts[n] - have[n], n))
     for name in order[: total - sum(parts.values())]:
         parts[name] += 1
@@ -152,136 +180,158 @@
 def _weigh_by_load(
     cells: list[PlanCell], old: ShardMap | None, loads: Mapping[tuple[int, int], float]
 ) -> int:
-    """Cells weighed by their loads instead of their keys; the whole, 0 where there is
-    no load at all.
+    """Weigh cells by their loads instead of their keys.
+
+    Returns:
+        The whole load in units; 0 where there is no load at all.
     """
     known = {(r.first, r.last) for r in old.ranges} if old is not None else set()
-    if strange := sorted(set(loads) - known):
+    if unknown := sorted(set(loads) - known):
+        first, last = unknown[0]
         raise PlanError(
-            f"a load for {strange[0][0]:x}-{strange[0][1]:x}, which is no range of the old map"
+            f"a load for {first:x}-{last:x}, which is no range of the old map"
         )
     if any(not math.isfinite(load) or load < 0 for load in loads.values()):
         raise PlanError("a load is a finite number from 0")
-    whole = sum(map(Fraction, loads.values()))
-    if not whole:
+    total_load = sum(map(Fraction, loads.values()))
+    if not total_load:
         return 0
     space = sum(cell.size for cell in cells)
     for cell in cells:
-        part = Fraction(loads.get((cell.first, cell.last), 0)) / whole
-        cell.units = round(
-            (part * (1 - UNLOADED_SHARE) + Fraction(cell.size, space) * UNLOADED_SHARE)
-            * LOAD_UNITS
-        )
+        load_share = Fraction(loads.get((cell.first, cell.last), 0)) / total_load
+        key_share = Fraction(cell.size, space)
+        weight = load_share * (1 - UNLOADED_SHARE) + key_share * UNLOADED_SHARE
+        cell.units = round(weight * LOAD_UNITS)
     return sum(cell.units for cell in cells)
 
 
-# -- giving and taking
-# ---------------------------------------------------------------------------
-
-
 def _assign_owners(
     cells: list[PlanCell],
-    have: dict[str, int],
+    owned: dict[str, int],
     goals: Mapping[str, int],
     slack: Fraction,
 ) -> list[PlanCell]:
-    """The cells with owners for all: what is over a goal is given up, then handed to
-    who is below.
+    """The cells with owners for all.
+
+    What is above a goal is released, then assigned to members below theirs.
     """
-    short = {name: goals[name] - n for name, n in have.items() if n < goals[name]}
-    over = {
-        name: n - goals[name]
-        for name, n in have.items()
-        if n > goals[name] * (1 + slack)
+    missing = {
+        name: goals[name] - units
+        for name, units in owned.items()
+        if units < goals[name]
     }
-    cells = _release_excess(cells, over, short)
-    # A neighbour first: its range grows, and there is no new one.
-    cells = _assign_to_neighbours(cells, short)
-    cells = _assign_to_neighbours(cells[::-1], short, from_end=True)[::-1]
-    return _assign_remaining(
-        cells, short, {name: have[name] - goals[name] for name in have}
-    )
+    excess = {
+        name: units - goals[name]
+        for name, units in owned.items()
+        if units > goals[name] * (1 + slack)
+    }
+    cells = _release_excess(cells, excess, missing)
+    # Neighbours first: their range grows, and there is no new one.
+    cells = _assign_to_neighbours(cells, missing)
+    cells = _assign_to_neighbours(cells[::-1], missing, from_end=True)[::-1]
+    above_goal = {name: owned[name] - goals[name] for name in owned}
+    return _assign_remaining(cells, missing, above_goal)
 
 
 def _release_excess(
-    cells: list[PlanCell], over: dict[str, int], short: Mapping[str, int]
+    cells: list[PlanCell], excess: dict[str, int], missing: Mapping[str, int]
 ) -> list[PlanCell]:
-    """Each member with too much gives whole cells, the densest first and the small
-    before the large, and the rest from one end of one cell. (Comparing cross-wise keeps
-    densities exact.)
+    """Release what members have above their goals.
+
+    Each releases whole cells, the densest first and small before large ones, and the
+    rest from one end of one cell.
     """
-    theirs: dict[str, list[int]] = {}
-    for n, cell in enumerate(cells):
-        if cell.owner in over and cell.units:
-            theirs.setdefault(str(cell.owner), []).append(n)
-    out: dict[int, list[PlanCell]] = {}
-    for name, numbers in theirs.items():
-        numbers.sort(
-            key=lambda n: (-Fraction(cells[n].units, cells[n].size), cells[n].size, n)
-        )
-        for n in numbers:
-            cell, left = cells[n], over[name]
-            if cell.units <= left:
-                over[name] -= cell.units
-                out[n] = [PlanCell(cell.first, cell.last, None, cell.units)]
-            elif 0 < (keys := cell.keys_for(left)) < cell.size:
-                front = n > 0 and cells[n - 1].owner in short
-                first, last = cell.split_at(keys if front else cell.size - keys)
-                (first if front else last).owner = None
-                over[name] -= (first if front else last).units
-                out[n] = [first, last]
+    indexes_of: dict[str, list[int]] = {}
+    for index, cell in enumerate(cells):
+        if cell.owner in excess and cell.units:
+            indexes_of.setdefault(str(cell.owner), []).append(index)
+    replaced: dict[int, list[PlanCell]] = {}
+    for name, indexes in indexes_of.items():
+        indexes.sort(key=lambda index: _release_rank(cells, index))
+        for index in indexes:
+            cell = cells[index]
+            if cell.units <= excess[name]:
+                excess[name] -= cell.units
+                replaced[index] = [PlanCell(cell.first, cell.last, None, cell.units)]
+                continue
+            keys = cell.keys_for(excess[name])
+            if 0 < keys < cell.size:
+                from_front = index > 0 and cells[index - 1].owner in missing
+                first, last = cell.split_at(keys if from_front else cell.size - keys)
+                released = first if from_front else last
+                released.owner = None
+                excess[name] -= released.units
+                replaced[index] = [first, last]
                 break
-    return [part for n, cell in enumerate(cells) for part in out.get(n, [cell])]
+    return [
+        part for index, cell in enumerate(cells) for part in replaced.get(index, [cell])
+    ]
+
+
+def _release_rank(cells: list[PlanCell], index: int) -> tuple[Fraction, int, int]:
+    """The densest first, small before large ones, then by key."""
+    cell = cells[index]
+    return -Fraction(cell.units, cell.size), cell.size, index
 
 
 def _assign_to_neighbours(
-    cells: list[PlanCell], short: dict[str, int], from_end: bool = False
+    cells: list[PlanCell], missing: dict[str, int], from_end: bool = False
 ) -> list[PlanCell]:
-    """Cells without an owner to the owner just before them (in the order given), as far
-    as it is short.
+    """Assign cells without an owner to the owner just before them, in the order given.
+
+    As far as that one is below its goal.
     """
-    out: list[PlanCell] = []
+    assigned: list[PlanCell] = []
     for cell in cells:
-        beside = out[-1].owner if out else None
-        if cell.owner is None and beside is not None and short.get(beside, 0) > 0:
-            if cell.units <= short[beside]:
-                short[beside] -= cell.units
-                cell.owner = beside
-            elif 0 < (keys := cell.keys_for(short[beside])) < cell.size:
+        rest = cell
+        neighbour = assigned[-1].owner if assigned else None
+        if (
+            cell.owner is None
+            and neighbour is not None
+            and missing.get(neighbour, 0) > 0
+        ):
+            keys = cell.keys_for(missing[neighbour])
+            if cell.units <= missing[neighbour]:
+                missing[neighbour] -= cell.units
+                cell.owner = neighbour
+            elif 0 < keys < cell.size:
                 low, high = cell.split_at(cell.size - keys if from_end else keys)
-                taken, cell = (high, low) if from_end else (low, high)
-                taken.owner = beside
-                short[beside] -= taken.units
-                out.append(taken)
-        out.append(cell)
-    return out
+                taken, rest = (high, low) if from_end else (low, high)
+                taken.owner = neighbour
+                missing[neighbour] -= taken.units
+                assigned.append(taken)
+        assigned.append(rest)
+    return assigned
 
 
 def _assign_remaining(
-    cells: list[PlanCell], short: dict[str, int], above: Mapping[str, int]
+    cells: list[PlanCell], missing: dict[str, int], above_goal: Mapping[str, int]
 ) -> list[PlanCell]:
-    """What no neighbour took: the largest cell to who is shortest, cut where it is more
-    than is short.
+    """Assign what no neighbour took: the largest cell to the member that lacks most.
+
+    A cell is cut where it is more than the member lacks.
     """
-    out = [c for c in cells if c.owner is not None]
-    homeless = sorted(
-        (c for c in cells if c.owner is None), key=lambda c: (c.units, -c.first)
+    assigned = [cell for cell in cells if cell.owner is not None]
+    unassigned = sorted(
+        (cell for cell in cells if cell.owner is None),
+        key=lambda cell: (cell.units, -cell.first),
     )
-    waiting = sorted(short, key=lambda name: (-short[name], name))
-    while homeless:
-        cell = homeless.pop()
-        while len(waiting) > 1 and short[waiting[0]] <= 0:
+    waiting = sorted(missing, key=lambda name: (-missing[name], name))
+    while unassigned:
+        cell = unassigned.pop()
+        while len(waiting) > 1 and missing[waiting[0]] <= 0:
             waiting.pop(0)
-        # Nobody is short at all only where loads were rounded: then to who has least
-        # above its goal.
-        name = (
-            waiting[0] if waiting else min(above, key=lambda name: (above[name], name))
-        )
-        keys = cell.keys_for(short[name]) if len(waiting) > 1 else cell.size
+        # Nobody is below its goal only where loads were rounded.
+        name = waiting[0] if waiting else _least_above_goal(above_goal)
+        keys = cell.keys_for(missing[name]) if len(waiting) > 1 else cell.size
         if 0 < keys < cell.size:
             cell, rest = cell.split_at(keys)
-            homeless.append(rest)
+            unassigned.append(rest)
         cell.owner = name
-        short[name] = short.get(name, 0) - cell.units
-        out.append(cell)
-    return sorted(out, key=lambda c: c.first)
+        missing[name] = missing.get(name, 0) - cell.units
+        assigned.append(cell)
+    return sorted(assigned, key=lambda cell: cell.first)
+
+
+def _least_above_goal(above_goal: Mapping[str, int]) -> str:
+    return min(above_goal, key=lambda name: (above_goal[name], name))
--- a/rainfall/shard/plan_cells.py
+++ b/rainfall/shard/plan_cells.py
@@ -1,5 +1,7 @@
-"""Ranges while a map is planned: cut, joined, split where they are hot, merged where
-there are too many.
+"""The parts of the key space while a map is planned.
+
+They are cut, merged, split where they carry much load, and merged where there are too
+many.
 """
 
 from __future__ import annotations
@@ -8,36 +10,39 @@
 from collections import Counter
 from dataclasses import dataclass
 
-MAX_PIECES = 8  # a hot range is split into so many at once at most
+MAX_PIECES = 8
+"""A cell with much load is split into so many at once at most."""
+NO_NEIGHBOUR = -1
 
 
 @dataclass(slots=True)
 class PlanCell:
-    """Keys `first` to `last`; `owner` None while they have none; `units` weigh them
-    (keys, or load).
-    """
+    """Keys of one owner, both ends included."""
 
     first: int
     last: int
     owner: str | None
+    """None while they have none."""
     units: int
+    """What they weigh: keys, or units of load."""
 
     @property
     def size(self) -> int:
+        """Its number of keys."""
         return self.last - self.first + 1
 
     def keys_for(self, units: int) -> int:
-        """Keys that carry `units` of this cell's, to the nearest, its load taken as
-        even. Exact for keys.
+        """Keys that carry so many of this cell's units, to the nearest key.
+
+        The load is taken as even; for keys it is exact.
         """
-        return (
-            self.size
-            if units >= self.units
-            else (2 * units * self.size + self.units) // (2 * self.units)
-        )
+        if units >= self.units:
+            return self.size
+        # Rounded to the nearest in whole numbers.
+        return (2 * units * self.size + self.units) // (2 * self.units)
 
     def split_at(self, keys: int) -> tuple[PlanCell, PlanCell]:
-        """The first `keys` keys, and the rest: from 1 to all but one."""
+        """The first `keys` keys, from 1 to all but one, and the rest."""
         units = self.units * keys // self.size
         return (
             PlanCell(self.first, self.first + keys - 1, self.owner, units),
@@ -46,81 +51,117 @@
 
 
 def merge_neighbours(cells: list[PlanCell]) -> list[PlanCell]:
-    """Neighbours of one owner as one."""
-    out: list[PlanCell] = []
+    """Adjacent cells of one owner as one."""
+    merged: list[PlanCell] = []
     for cell in cells:
-        if out and out[-1].owner == cell.owner:
-            out[-1] = PlanCell(
-                out[-1].first, cell.last, cell.owner, out[-1].units + cell.units
+        if merged and merged[-1].owner == cell.owner:
+            merged[-1] = PlanCell(
+                merged[-1].first,
+                cell.last,
+                cell.owner,
+                merged[-1].units + cell.units,
             )
         else:
-            out.append(cell)
-    return out
+            merged.append(cell)
+    return merged
 
 
 def split_hot(cells: list[PlanCell], hot: int, max_cells: int) -> list[PlanCell]:
-    """Cells of more than `hot` units halved, hottest first, while there are fewer than
-    `most`: the parts stay with their owner, so nothing moves, but the next figures tell
-    them apart.
+    """Split cells of more than `hot` units, heaviest first, up to `max_cells` cells.
+
+    The parts stay with their owner, so no key moves, but later load figures tell them
+    apart.
     """
     left = max_cells - len(cells)
-    out: list[PlanCell] = []
+    result: list[PlanCell] = []
     for cell in sorted(cells, key=lambda c: (-c.units, c.first)):
-        pieces = min(MAX_PIECES, cell.size, left + 1, max(1, -(-cell.units // hot)))
+        wanted = max(1, -(-cell.units // hot))
+        pieces = min(MAX_PIECES, cell.size, left + 1, wanted)
         left -= pieces - 1
+        rest = cell
         while pieces > 1:
-            part, cell = cell.split_at(cell.size // pieces)
-            out.append(part)
+            part, rest = rest.split_at(rest.size // pieces)
+            result.append(part)
             pieces -= 1
-        out.append(cell)
-    return sorted(out, key=lambda c: c.first)
+        result.append(rest)
+    return sorted(result, key=lambda c: c.first)
 
 
 def merge_smallest(cells: list[PlanCell], max_cells: int) -> list[PlanCell]:
-    """At most `most` cells: while there are more, the smallest joins its larger
-    neighbour. An owner's last one stays, so `most` has to be at least the count of
-    owners.
+    """Merge cells until there are `max_cells` at most.
+
+    The smallest joins its larger neighbour. An owner's last cell stays, so `max_cells`
+    has to be the count of owners at least. Changes `cells`.
     """
-    count = len(cells)
-    if count <= max_cells:
+    if len(cells) <= max_cells:
         return cells
-    before, after = list(range(-1, count - 1)), [*range(1, count), -1]
-    of = Counter(c.owner for c in cells)
-    heap = [(c.size, n) for n, c in enumerate(cells)]
-    heapq.heapify(heap)
-    alive = [True] * count
-
-    def absorb(into: int, gone: int) -> None:
-        """Two neighbours become one, under the first one's owner."""
-        a, b = cells[into], cells[gone]
-        cells[into] = PlanCell(
-            min(a.first, b.first), max(a.last, b.last), a.owner, a.units + b.units
+    return _CellMerger(cells, max_cells).merge()
+
+
+class _CellMerger:
+    """The cells as a linked list, and a heap of them by size."""
+
+    def __init__(self, cells: list[PlanCell], max_cells: int) -> None:
+        count = len(cells)
+        self._cells = cells
+        self._count = count
+        self._max_cells = max_cells
+        self._before = list(range(NO_NEIGHBOUR, count - 1))
+        self._after = [*range(1, count), NO_NEIGHBOUR]
+        self._cells_of = Counter(cell.owner for cell in cells)
+        self._by_size = [(cell.size, index) for index, cell in enumerate(cells)]
+        heapq.heapify(self._by_size)
+        self._alive = [True] * count
+
+    def merge(self) -> list[PlanCell]:
+        """The cells that are left."""
+        while self._count > self._max_cells and self._by_size:
+            size, index = heapq.heappop(self._by_size)
+            if self._may_vanish(index, size):
+                target = self._larger_neighbour(index)
+                self._absorb(target, index)
+                self._absorb_same_owner(target)
+        return [cell for index, cell in enumerate(self._cells) if self._alive[index]]
+
+    def _may_vanish(self, index: int, size: int) -> bool:
+        """Whether a heap entry is up to date, and not its owner's last cell."""
+        cell = self._cells[index]
+        if not self._alive[index] or cell.size != size:
+            return False
+        return self._cells_of[cell.owner] > 1
+
+    def _larger_neighbour(self, index: int) -> int:
+        neighbours = (self._before[index], self._after[index])
+        return max(
+            (neighbour for neighbour in neighbours if neighbour != NO_NEIGHBOUR),
+            key=lambda neighbour: (self._cells[neighbour].size, -neighbour),
         )
-        alive[gone] = False
-        of[b.owner] -= 1
-        low, high = before[gone], after[gone]
-        if low >= 0:
-            after[low] = high
-        if high >= 0:
-            before[high] = low
-        heapq.heappush(heap, (cells[into].size, into))
-
-    while count > max_cells and heap:
-        size, n = heapq.heappop(heap)
-        if not alive[n] or cells[n].size != size or of[cells[n].owner] < 2:
-            continue
-        into = max(
-            (m for m in (before[n], after[n]) if m >= 0),
-            key=lambda m: (cells[m].size, -m),
+
+    def _absorb(self, target: int, index: int) -> None:
+        """Two adjacent cells become one, of the owner of `target`."""
+        kept, absorbed = self._cells[target], self._cells[index]
+        self._cells[target] = PlanCell(
+            min(kept.first, absorbed.first),
+            max(kept.last, absorbed.last),
+            kept.owner,
+            kept.units + absorbed.units,
         )
-        absorb(into, n)
-        count -= 1
-        for beside in (before[into], after[into]):
+        self._alive[index] = False
+        self._cells_of[absorbed.owner] -= 1
+        before, after = self._before[index], self._after[index]
+        if before != NO_NEIGHBOUR:
+            self._after[before] = after
+        if after != NO_NEIGHBOUR:
+            self._before[after] = before
+        heapq.heappush(self._by_size, (self._cells[target].size, target))
+        self._count -= 1
+
+    def _absorb_same_owner(self, target: int) -> None:
+        """Merge a cell that has grown with neighbours of its owner."""
+        for neighbour in (self._before[target], self._after[target]):
             if (
-                beside >= 0
-                and cells[beside].owner == cells[into].owner
-                and count > max_cells
+                neighbour != NO_NEIGHBOUR
+                and self._cells[neighbour].owner == self._cells[target].owner
+                and self._count > self._max_cells
             ):
-                absorb(into, beside)
-                count -= 1
-    return [c for n, c in enumerate(cells) if alive[n]]
+                self._absorb(target, neighbour)
