--- a/rainfall/shard/coverage.py
+++ b/rainfall/shard/coverage.py
@@ -4,30 +4,21 @@
 
 from bisect import bisect_left, insort
 from collections.abc import Iterator, Sequence
-from typing import NamedTuple
 
+Entry = tuple[int, int, int]
+"""(first, last, index): the keys of one entry, both ends included.
 
-class Entry(NamedTuple):
-    """The keys of one entry of a map, both ends included."""
+`last` is not below `first`; `index` is that of the entry in the file. A plain tuple:
+sorting many of them takes a large part of a check.
+"""
 
-    first: int
-    last: int
-    """Not below `first`."""
-    position: int
-    """The index of the entry in the file."""
+Segment = tuple[int, int, Sequence[int]]
+"""(first, last, indexes): keys that are all covered by the same entries.
 
-
-class Segment(NamedTuple):
-    """Keys that are all covered by the same entries."""
-
-    first: int
-    last: int
-    positions: Sequence[int]
-    """The entries, in order; none in a gap, several in an overlap.
-
-    To be read before the next segment is asked for: in an overlap it is one list that
-    changes in place. Copies would make the cost of nested entries quadratic.
-    """
+The entries are in order; none in a gap, several in an overlap. They are to be read
+before the next segment is asked for: in an overlap it is one list that changes in
+place, since copies would make the cost of nested entries quadratic.
+"""
 
 
 def covered_segments(entries: Sequence[Entry], top: int) -> Iterator[Segment]:
@@ -36,41 +27,40 @@
     next_key = 0
     start = 0
     while start < len(entries):
-        first = entries[start].first
+        first, group_last, index = entries[start]
         if first > next_key:
-            yield Segment(next_key, first - 1, ())
+            yield next_key, first - 1, ()
         # An entry that begins before the ones before it have ended belongs to their
         # group.
-        group_last = entries[start].last
         end = start + 1
-        while end < len(entries) and entries[end].first <= group_last:
-            group_last = max(group_last, entries[end].last)
+        while end < len(entries) and entries[end][0] <= group_last:
+            group_last = max(group_last, entries[end][1])
             end += 1
         if end == start + 1:
-            yield Segment(first, group_last, (entries[start].position,))
+            yield first, group_last, (index,)
         else:
             yield from _overlapping_segments(entries[start:end])
         next_key = group_last + 1
         start = end
     if next_key <= top:
-        yield Segment(next_key, top, ())
+        yield next_key, top, ()
 
 
 def _overlapping_segments(entries: Sequence[Entry]) -> Iterator[Segment]:
     """The segments of a group of entries without a gap between them."""
-    ends = sorted((entry.last + 1, entry.position) for entry in entries)
+    ends = sorted((last + 1, index) for _, last, index in entries)
     active: list[int] = []
-    key = entries[0].first
+    key = entries[0][0]
     begun = 0
     ended = 0
     while ended < len(ends):
-        while begun < len(entries) and entries[begun].first == key:
-            insort(active, entries[begun].position)
+        while begun < len(entries) and entries[begun][0] == key:
+            insort(active, entries[begun][2])
             begun += 1
         next_key = ends[ended][0]
         if begun < len(entries):
-            next_key = min(next_key, entries[begun].first)
-        yield Segment(key, next_key - 1, active)
+            next_key = min(next_key, entries[begun][0])
+        yield key, next_key - 1, active
         while ended < len(ends) and ends[ended][0] == next_key:
             del active[bisect_left(active, ends[ended][1])]
             ended += 1
--- a/rainfall/shard/map_validation.py
+++ b/rainfall/shard/map_validation.py
@@ -100,12 +100,11 @@
     """The index of the entry."""
 
 
-class Ownership(NamedTuple):
-    """Keys of one owner."""
+Ownership = tuple[int, int, str]
+"""(first, last, owner): keys of one owner.
 
-    first: int
-    last: int
-    owner: str
+A plain tuple: a check makes several for each range.
+"""
 
 
 class OwnerChange(NamedTuple):
@@ -297,7 +296,7 @@
             continue
         first, last, owner = parsed
         if first <= last:
-            entries.valid.append(Entry(first, last, index))
+            entries.valid.append((first, last, index))
             entries.owners[index] = owner
         else:
             text = f"entry {index} ends before it begins"
@@ -313,8 +312,9 @@
 def _entry_fault(
     kind: FaultKind, entry: Ownership, index: int, text: str, bits: int
 ) -> MapFault:
-    keys = format_range(entry.first, entry.last, bits)
-    return MapFault(kind.value, f"{keys}: {text}", entry.first, entry.last, (index,))
+    first, last, _ = entry
+    keys = format_range(first, last, bits)
+    return MapFault(kind.value, f"{keys}: {text}", first, last, (index,))
 
 
 def _is_generation(value: Any) -> bool:
@@ -356,24 +356,30 @@
         yield f"map: a field of unknown name: {_quoted_names(others)}"
 
 
-def _is_owner(value: Any) -> bool:
-    return type(value) is str and bool(value) and value.isprintable()
-
-
 def _parse_entry(raw: Any, bits: int) -> Ownership | str:
     """The keys and owner of an entry, or all faults of its form in one line."""
     if type(raw) is dict and len(raw) == len(ENTRY_FIELDS):
         first = parse_key(raw.get("from"), bits)
         last = parse_key(raw.get("to"), bits)
         owner = raw.get("owner")
-        if first is not None and last is not None and _is_owner(owner):
-            return Ownership(first, last, str(owner))
+        if (
+            first is not None
+            and last is not None
+            and type(owner) is str
+            and owner
+            and owner.isprintable()
+        ):
+            return first, last, owner
     if not isinstance(raw, dict):
         return f"entry: {_quoted(raw)} is no object"
     ends = [f"{name} {_quoted(raw[name])}" for name in ("from", "to") if name in raw]
     return f"entry ({' '.join(ends)}): " + "; ".join(_entry_fault_texts(raw, bits))
 
 
+def _is_name(value: Any) -> bool:
+    return type(value) is str and bool(value) and value.isprintable()
+
+
 def _entry_fault_texts(raw: dict[str, Any], bits: int) -> Iterator[str]:
     if isinstance(raw, DuplicateFieldObject):
         yield f"twice the same field: {_quoted_names(raw.duplicate_fields)}"
@@ -386,7 +392,7 @@
         if name in raw and parse_key(raw[name], bits) is None:
             digits = bits // BITS_PER_DIGIT
             yield f'"{name}" {_quoted(raw[name])} is not {digits} lower-case hexadecimal digits'
-    if "owner" in raw and not _is_owner(raw["owner"]):
+    if "owner" in raw and not _is_name(raw["owner"]):
         yield f'"owner" {_quoted(raw["owner"])} is no name'
 
 
@@ -400,54 +406,52 @@
     previous_entry = NO_ENTRY
     gap: Segment | None = None
     for segment in covered_segments(entries, (1 << bits) - 1):
-        positions = segment.positions
-        if not positions:
+        first, last, indexes = segment
+        if not indexes:
             gap = segment
             continue
         if gap:
-            faults.append(_gap_fault(gap, previous_entry, positions[0], bits))
+            faults.append(_gap_fault(gap, previous_entry, indexes[0], bits))
             gap = None
-        if len(positions) == 1:
-            entry = positions[0]
-            sole = SoleRange(segment.first, segment.last, owners[entry], entry)
-            sole_ranges.append(sole)
+        if len(indexes) == 1:
+            entry = indexes[0]
+            sole_ranges.append(SoleRange(first, last, owners[entry], entry))
         else:
             fault = _overlap_fault(segment, names_left, bits)
             names_left -= len(fault.entries)
             faults.append(fault)
-        previous_entry = positions[0]
+        previous_entry = indexes[0]
     if gap:
         faults.append(_gap_fault(gap, previous_entry, NO_ENTRY, bits))
     return faults, sole_ranges
 
 
 def _overlap_fault(segment: Segment, names_left: int, bits: int) -> MapFault:
-    positions = segment.positions
-    if len(positions) > names_left:
-        positions = positions[:ENTRIES_SHOWN]
-    named = tuple(positions)
-    omitted = len(segment.positions) - len(named)
+    first, last, indexes = segment
+    shown = indexes if len(indexes) <= names_left else indexes[:ENTRIES_SHOWN]
+    named = tuple(shown)
+    omitted = len(indexes) - len(named)
     names = ", ".join(map(str, named))
     if omitted:
         names += f" and {omitted} more"
-    keys = format_range(segment.first, segment.last, bits)
     return MapFault(
         FaultKind.OVERLAP.value,
-        f"{keys}: entries {names} cover it",
-        segment.first,
-        segment.last,
+        f"{format_range(first, last, bits)}: entries {names} cover it",
+        first,
+        last,
         named,
         omitted,
     )
 
 
 def _gap_fault(gap: Segment, before: int, after: int, bits: int) -> MapFault:
-    keys = format_range(gap.first, gap.last, bits)
+    first, last, _ = gap
     return MapFault(
         FaultKind.GAP.value,
-        f"{keys}: no entry covers it, {_gap_place(before, after)}",
-        gap.first,
-        gap.last,
+        f"{format_range(first, last, bits)}: no entry covers it, "
+        f"{_gap_place(before, after)}",
+        first,
+        last,
         tuple(entry for entry in (before, after) if entry != NO_ENTRY),
     )
 
@@ -478,10 +482,12 @@
     """Who owns what, adjacent ranges of one owner as one."""
     merged: list[Ownership] = []
     for first, last, owner, _ in sole_ranges:
-        if merged and merged[-1].owner == owner and merged[-1].last + 1 == first:
-            merged[-1] = Ownership(merged[-1].first, last, owner)
-        else:
-            merged.append(Ownership(first, last, owner))
+        if merged:
+            previous_first, previous_last, previous_owner = merged[-1]
+            if previous_owner == owner and previous_last + 1 == first:
+                merged[-1] = (previous_first, last, owner)
+                continue
+        merged.append((first, last, owner))
     return merged
 
 
