--- a/rainfall/budget/model_mutations.py
+++ b/rainfall/budget/model_mutations.py
@@ -1,4 +1,4 @@
-"""Bugs planted in the cores, each of which the search has to find."""
+"""Faults planted in the budget classes, each of which the search has to find."""
 
 from __future__ import annotations
 
@@ -22,14 +22,18 @@
 
 
 class AccountsWithoutWindow(BudgetAccounts):
+    """Quota is free again at once."""
+
     def window_us(self) -> int:
+        """No window."""
         return 0
 
 
 class AccountsFreedWhenTold(BudgetAccounts):
-    """What a member is told to give up counts as free at once."""
+    """What a member has to give up counts as free once it is answered."""
 
     def free_calls(self, proposed: Any) -> int:
+        """Calls that may be granted besides the proposed grants."""
         ahead = sum(
             a.usable_calls() - max(a.granted_calls(), a.reserve())
             for a in self.active_accounts()
@@ -38,12 +42,19 @@
 
 
 class AccountsWithoutReserves(BudgetAccounts):
+    """Reserves of processes yet to join are not set aside."""
+
     def unassigned_reserve(self, soon: int = 0) -> int:
+        """Nothing."""
+        del soon
         return 0
 
 
 class QuotaTakingOlderShares(MemberQuota):
+    """A late answer replaces the newer share."""
+
     def receive_share(self, share: Share, valid_until_us: int, now_us: int) -> bool:
+        """Take a share from an answer."""
         if share.token == self.share.token and share.number < self.share.number:
             self.share = replace(self.share, number=0)
         return super().receive_share(share, valid_until_us, now_us)
--- a/rainfall/budget/model_state.py
+++ b/rainfall/budget/model_state.py
@@ -1,6 +1,4 @@
-"""What a model of budgets is made of: its states, copies of them, and when two of them
-are alike.
-"""
+"""The states of the model of budgets: their copies, and when two count as one."""
 
 from __future__ import annotations
 
@@ -21,19 +19,22 @@
 
 @dataclass(frozen=True)
 class Process:
-    """One member's running process. `at` is its own clock."""
+    """One member's running process."""
 
     pid: int
     token: Token | None
     follows: Token | None
     purse: MemberQuota
     at: int
+    """Its own clock."""
     slow: bool = False
     """Its clock missed the last tick, so it does not miss the next."""
 
 
 @dataclass(frozen=True)
 class ModelState:
+    """Never changed once made: its parts are copied before a change."""
+
     now: int
     ledger: Ledger
     leases: dict[Token, int]
@@ -50,8 +51,9 @@
 
 
 def state_key(w: ModelState, ttl: int) -> Hashable:
-    """Times as ages, tokens by rank, numbers counted from what the ledger knows as
-    acknowledged.
+    """What tells states apart.
+
+    Times as ages, tokens by rank, numbers counted from the acknowledged ones.
     """
     book, aim = w.ledger.budget_accounts["d"], w.ledger.allocations["d"]
     ranks = _token_ranks(w)
@@ -128,8 +130,9 @@
     base: dict[Token, int],
     ttl: int,
 ) -> Any:
-    """A message by what it can still do: one asked longer ago than any lease is as old
-    as any.
+    """A message by the effect that it can still have.
+
+    Requests sent longer ago than any lease lasts count as equally old.
     """
     if message[0] == "beat":
         _, n, pid, token, follows, asked, need, holds, keeps = message
@@ -165,6 +168,7 @@
 
 
 def describe_message(message: Any) -> str:
+    """The message in a step's text."""
     if message[0] == "beat":
         return f"f{message[1]}'s beat of {message[5]}, needs {message[6]}, holds {message[7]}"
     shares = message[5]
@@ -179,6 +183,7 @@
 def replace_member(
     members: tuple[Process, ...], n: int, p: Process
 ) -> tuple[Process, ...]:
+    """The members with one of them replaced."""
     return (*members[:n], p, *members[n + 1 :])
 
 
@@ -196,6 +201,7 @@
 
 
 def copy_quota(purse: MemberQuota) -> MemberQuota:
+    """A copy that shares only what never changes."""
     fresh = _shallow_copy(purse)
     w = purse.window
     fresh.window = SlidingWindow(
@@ -205,6 +211,7 @@
 
 
 def copy_ledger(ledger: Ledger) -> Ledger:
+    """A copy that shares only what never changes."""
     fresh = _shallow_copy(ledger)
     fresh.budget_accounts, fresh.allocations = {}, {}
     fresh.names, fresh.presumed_until_us = (
--- a/rainfall/lease/model.py
+++ b/rainfall/lease/model.py
@@ -1,10 +1,9 @@
-"""Leases as a model for `rainfall.explore`: two holders, a forgetful service, a
-guarded resource.
+"""A model of leases for the model checker: two holders, a service, a guarded resource.
 
-The cores are those that the processes run. Around them: messages that are lost, doubled
-and late without bound, clocks a quarter apart, a service killed and started with its
-folder whole, lost, or two versions old, and holders that may stand still between the
-check and the guarded action for as long as the search lasts.
+The lease classes are those that the processes run. Around them: messages that are lost,
+duplicated and late without bound; clocks that run a quarter apart; a service that is
+killed and restarted with its folder complete, lost, or two versions old; and holders
+that may stop between the check and the guarded action for as long as the search lasts.
 """
 
 from __future__ import annotations
@@ -35,16 +34,19 @@
     "told unwritten",
 )
 NAME, TTL, DRIFT = "x", 8, 0.25
-SERVICE_RATE, RATES = (
-    4,
-    (3, 4),
-)  # what each clock shows of one tick; the first holder's is the slow one
+SERVICE_RATE = 4
+"""What the service's clock shows of one tick."""
+RATES = (3, 4)
+"""The same of the holders' clocks; the first holder's is the slow one."""
 T = TypeVar("T", LeaseTable, LeaseHolder, FencingGuard)
 Ask = tuple[str, int, int, Token | None, Token]
 
 
 class HolderTimedFromAnswer(LeaseHolder):
+    """Planted fault: the lease counts from its answer, not from its request."""
+
     def on_granted(self, now_us: int, sent: int, token: Token, ttl_us: int) -> bool:
+        """Take an answer that grants or renews the lease."""
         if sent in self._pending_requests:
             self._pending_requests[sent] = replace(
                 self._pending_requests[sent], sent_at_us=now_us
@@ -53,26 +55,36 @@
 
 
 class TableWithoutWait(LeaseTable):
+    """Planted fault: grants begin at once after an unknown history."""
+
     def _delay_grants(self) -> None:
         self._grants_from_us = self._started_at_us
 
 
 class TableWithoutEpochRaise(LeaseTable):
+    """Planted fault: a token seen elsewhere does not raise the epoch."""
+
     def observe_token(self, seen: Token) -> Record | None:
+        """Ignore a token that a client has seen."""
+        del seen
         return None
 
 
 class GuardWithoutCheck(FencingGuard):
+    """Planted fault: every token is served."""
+
     def check(self, name: str, token: Token) -> bool:
+        """Accept any token."""
+        del name, token
         return True
 
 
 class ModelState(NamedTuple):
-    """Never changed once made; cores are forked before they are touched."""
+    """Never changed once made: holders, table and guard are copied before a change."""
 
     table: LeaseTable
     disk: tuple[dict[str, Any], ...]
-    """The folder as it is, last, and as it was up to two versions ago."""
+    """The folder as it was two versions ago, one ago, and as it is."""
     holders: tuple[LeaseHolder, ...]
     checked: tuple[Token | None, ...]
     """The token each holder checked and has yet to act under."""
@@ -91,11 +103,21 @@
 
 
 class LeaseModel:
-    """`wall`: the wall clock goes on, so the service's hint grows with each start;
-    without it the hint is none at all. `unnoticed`: an older copy is taken for the
-    whole folder. `held`: the first holder has its lease at the start, just asked for.
-    The rest counts what may happen; time is not counted: states alike but for when they
-    are reached are one, so a search can be complete.
+    """The steps that may happen, and what must hold.
+
+    States that differ only in when they are reached count as one, so that a search can
+    be complete. The parameters limit what may happen.
+
+    Args:
+        bug: One of `MUTATIONS`, or none.
+        wall: The wall clock goes on: the service's hint grows with each start. Without
+            it there is no hint.
+        unnoticed: An older copy of the folder is taken for the complete one.
+        asks: Requests of each holder.
+        starts: Starts of the service.
+        copies: Messages that may be duplicated.
+        lets_go: Holders may relinquish their lease.
+        held: The first holder has its lease at the start, requested just now.
     """
 
     def __init__(
@@ -131,8 +153,9 @@
         self.guard_class = GuardWithoutCheck if bug == "no guard" else FencingGuard
 
     def start(self) -> ModelState:
-        """A service that was up for long; nobody holds anything, and a lease of another
-        name was given up.
+        """A service that has been up for long, with no lease in force.
+
+        A lease of another name was released.
         """
         table = self.table_class(self.terms)
         table.commit(table.start(-100, False))
@@ -242,8 +265,8 @@
             holder.on_fenced(error.conflicting_token)
             return self._with_holder(state, who, holder)
         why = ""
-        # Without a hint a token may come twice where nobody who saw it speaks: only the
-        # operator can help.
+        # Without a hint a token may be issued twice, if nobody who saw it sends a
+        # request: only an operator can prevent that.
         if self.wall and (
             token < before[0] or (token == before[0] and who != before[1])
         ):
@@ -339,8 +362,9 @@
     # ------------------------------------------------------------------------------
 
     def broken(self, state: ModelState) -> str:
-        """Tokens that went back, and two that may act at once (by time alone: whatever
-        the guard says).
+        """Tokens that went back, or two holders that may act at once.
+
+        The latter by time alone, whatever the guard does.
         """
         if state.why:
             return state.why
@@ -351,6 +375,7 @@
         return "both holders may act" if both else ""
 
     def key(self, state: ModelState) -> Hashable:
+        """What tells states apart, times as what is left of them."""
         table, now = state.table, self._service_time(state)
         holders = tuple(
             (
@@ -405,6 +430,7 @@
 
 
 def snapshot_key(folder: dict[str, Any]) -> Hashable:
+    """What tells snapshots of a table apart."""
     return (
         folder["epoch"],
         folder["number"],
@@ -414,12 +440,14 @@
 
 
 def replaced_at(row: tuple[Any, ...], at: int, value: Any) -> tuple[Any, ...]:
+    """The tuple with one item replaced."""
     return (*row[:at], value, *row[at + 1 :])
 
 
 def copy_core(core: T) -> T:
-    """A copy that shares only what never changes: the cores keep plain values and flat
-    dictionaries.
+    """A copy that shares only what never changes.
+
+    The classes hold only plain values and flat dictionaries.
     """
     copy = object.__new__(type(core))
     found = copy.__dict__
