--- a/rainfall/budget/model.py
+++ b/rainfall/budget/model.py
@@ -1,10 +1,10 @@
-"""Budgets for `rainfall.explore`: a service and members, on the cores that the
-processes run.
+"""A model of budgets for the model checker: a service and members.
 
-A tick is one microsecond of the service's clock. A member's clock may miss ticks, as
-far as `drift` allows. A pause needs no step: nobody has to do anything at any time. A
-breach is told by what was really sent and by what purses would really let go, never by
-what the ledger thinks.
+The budget classes are those that the processes run. A tick is one microsecond of the
+service's clock. A member's clock may miss ticks, as far as `drift` allows. A pause
+needs no step: nobody has to do anything at any time. A violation is found by what was
+really sent and by what members' quotas would really allow, never by what the ledger
+holds.
 """
 
 from __future__ import annotations
@@ -40,14 +40,15 @@
 
 
 class BudgetModel:
-    """The model.
+    """The steps that may happen, and what must hold.
 
-    A beat and its answer come at once, or are under way from then on: to come at any
-    time, in any order, or never. Counted: how often one is held up (`delays`), ticks
-    that members' clocks miss (`slows`, with a `drift` that allows them), crashes of
-    members, restarts of the service (`lost`: with its folder gone). `moves`: from now
-    on the first needs nothing and all others the whole, where else each beat may say
-    either. `first`: what is counted of members happens to the first only.
+    A heartbeat and its answer arrive at once, or are under way from then on: to arrive
+    at any time, in any order, or never. The parameters limit what may happen: how often
+    a message is delayed (`delays`), ticks that members' clocks miss (`slows`, with a
+    `drift` that allows them), crashes of members, restarts of the service (`lost`: with
+    its folder gone). `moves`: from now on the first member needs nothing and all others
+    the whole budget, where else each heartbeat may report either. `first`: what is
+    limited of members happens to the first only.
     """
 
     def __init__(
@@ -108,6 +109,7 @@
     # ------------------------------------
 
     def start(self) -> ModelState:
+        """All have joined, and the first member holds all that can be had."""
         ledger = Ledger(
             [self.budget], self.service_lease_ticks, self.drift, 0, sure=True
         )
@@ -190,6 +192,7 @@
     # ---------------------------------------------------------------------------------
 
     def steps(self, w: ModelState) -> Iterator[tuple[str, ModelState]]:
+        """Everything that may happen next."""
         yield "tick", self._tick(w, -1)
         for n, p in enumerate(w.members):
             struck = not (self.first and n)
@@ -323,9 +326,7 @@
         )
 
     def _deliver(self, w: ModelState, message: Any) -> tuple[ModelState, Any]:
-        """The world after a message was taken, and the answer to it, if it asks for
-        one.
-        """
+        """The state after a message arrived, and the answer to it, if there is one."""
         if message[0] == "beat":
             return self._serve_heartbeat(w, message)
         _, n, pid, token, asked, shares = message
@@ -373,6 +374,7 @@
     # ----------------------------------------------------------------------------------
 
     def broken(self, w: ModelState) -> str:
+        """More calls in a span than the budget, or more that may be sent."""
         whole, reserve = self.budget.calls, self.budget.reserve
         recent = sum(count for at, count in w.sent if at > w.now - self.budget.span_us)
         if recent > whole:
@@ -385,4 +387,5 @@
         return ""
 
     def key(self, w: ModelState) -> Hashable:
+        """What tells states apart."""
         return state_key(w, self.ttl)
--- a/rainfall/shard/model.py
+++ b/rainfall/shard/model.py
@@ -1,7 +1,9 @@
-"""A model of moves for `rainfall.explore`: the service's `Moves` and the members'
-`Owned`, with beats and answers lost, doubled, late and out of order, maps that change
-in the middle, leases that run out on clocks that run apart, members that crash and come
-back, a service that restarts from its disk.
+"""A model of shard migrations for the model checker.
+
+The service's coordinator and the members' ownership are those that the processes run.
+Around them: heartbeats and answers that are lost, duplicated, late and out of order;
+maps that change in the middle; leases that expire on clocks that run apart; members
+that crash and come back; a service that restarts from its disk.
 
 A stopped member needs no step of its own: it is one that takes no step while the clocks
 go on.
@@ -12,6 +14,7 @@
 from collections.abc import Callable, Hashable, Iterator, Sequence
 from dataclasses import dataclass, field
 from functools import partial
+from itertools import pairwise
 from typing import Any
 
 from rainfall.lease.fencing_token import Token
@@ -30,16 +33,17 @@
 MODEL_KEY_BITS = 4
 MOVE_THERE_AND_BACK = ("ab", "bb", "ab", "bb")
 """The owners of the two halves of the space in one map after another."""
-LEASE_TICKS = 3  # ticks
-# of drift, to either side: the holder counts TTL - MARGIN, the service TTL + MARGIN
+LEASE_TICKS = 3
 DRIFT_MARGIN_TICKS = 1
+"""The holder counts a lease shorter by this, the service longer."""
 MUTATIONS = ("early", "unfrozen", "no margin", "stale", "unsaid")
 
 
 class CoordinatorTakingKeysEarly(MigrationCoordinator):
-    """Planted: a new map takes keys from their holder at once."""
+    """Planted fault: a new map takes keys from their holder at once."""
 
     def install_map(self, new: ShardMap) -> None:
+        """Put a map in force, and take keys that are another member's by it."""
         super().install_map(new)
         for holder in self.holders.values():
             mine = [(r.first, r.last) for r in new.ranges if r.owner == holder.name]
@@ -54,18 +58,19 @@
 
 
 class CoordinatorTakingStaleGiveUps(MigrationCoordinator):
-    """Planted: a give-up counts, whichever generation it was said under."""
+    """Planted fault: a give-up counts, whatever map it was sent under."""
 
     def give_up_applies(self, hold: RangeHold, generation: int) -> bool:
+        """Always."""
+        del hold, generation
         return True
 
 
 class OwnershipGivenUpUndrained(RangeOwnership):
-    """Planted: keys that a new map takes away are given up while messages of theirs are
-    still out.
-    """
+    """Planted fault: keys are given up while messages of theirs are in flight."""
 
     def next_report(self) -> Any:
+        """The report for a heartbeat that is sent now."""
         had = self.ranges
         self.mark_drained(self.frozen_ranges())
         said = RangeOwnership.next_report(self)
@@ -74,9 +79,11 @@
 
 
 class OwnershipIgnoringPendingGiveUps(RangeOwnership):
-    """Planted: a hold is begun on although a beat under way may give it up."""
+    """Planted fault: a hold begins although a heartbeat under way may give it up."""
 
-    def given_up_after(self, begun: int) -> list[KeyRange]:
+    def given_up_after(self, generation: int) -> list[KeyRange]:
+        """Nothing."""
+        del generation
         return []
 
 
@@ -84,7 +91,7 @@
 class ModelState:
     """One state.
 
-    Clocks only matter against each other and against what was said in them.
+    Clocks matter only relative to each other and to the times that were sent.
     """
 
     moves: MigrationCoordinator
@@ -95,13 +102,12 @@
     maps: int = 1
     incarnations: int = 0
     remaining: dict[str, int] = field(default_factory=dict)
-    """What may still happen, by its name: ticks, slow ticks, crashes, joins,
-    restarts.
-    """
+    """How often each kind of step may still happen, by its name."""
 
     def fork(self) -> ModelState:
-        """Shares the cores with this state: whoever changes one takes its own from
-        `service` or `member`.
+        """A copy that shares the coordinator and the members with this state.
+
+        Whoever changes one of them gets a copy from `own_service` or `own_member`.
         """
         return ModelState(
             self.moves,
@@ -115,6 +121,7 @@
         )
 
     def own_service(self) -> MigrationCoordinator:
+        """Replace the coordinator by a copy, and return it."""
         m = self.moves
         holders = {
             t: RangeHolder(h.name, h.expires_at_us, list(h.holds), h.last_heartbeat)
@@ -132,6 +139,7 @@
         return self.moves
 
     def own_member(self, name: str) -> RangeOwnership:
+        """Replace a member by a copy, and return it."""
         o = self.members[name]
         self.members[name] = type(o)(
             o.name,
@@ -148,15 +156,17 @@
         return self.members[name]
 
     def consume(self, what: str) -> bool:
+        """Count a step; whether it may still happen."""
         self.remaining[what] = self.remaining.get(what, 0) - 1
         return self.remaining[what] >= 0
 
 
 class ShardModel:
-    """`maps`: the maps that come, one after another.
+    """The steps that may happen, and what must hold.
 
-    `asked`: beats that each member may send. `past`: steps taken from the start before
-    the search begins, to search deeper around them.
+    `maps`: the maps that come into force, one after another. `asked`: heartbeats that
+    each member may send. `past`: steps taken from the start before the search begins,
+    to search deeper around them. The others limit how often something happens.
     """
 
     def __init__(
@@ -203,8 +213,9 @@
         ]
 
     def start(self) -> ModelState:
-        """The first map is in force and all begun, and all leases were asked for and
-        answered just now.
+        """The first map is in force, and all members act on their keys.
+
+        All leases were requested and answered just now.
         """
         moves = {
             "early": CoordinatorTakingKeysEarly,
@@ -227,7 +238,7 @@
             self._join(fleet, name)
             fleet.members[name].apply_map(self.maps[0])
             self._send_heartbeat(fleet, name)
-            for _ in range(2):  # the beat, then its answer
+            for _ in range(2):  # The heartbeat, then its answer.
                 message, fleet.net = next(fleet.net.arrivals())
                 self._deliver(fleet, message)
         fleet.net, fleet.remaining = self.net, dict(self.left)
@@ -256,6 +267,7 @@
     # -----------------------------------------------------------------------------------
 
     def steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
+        """Everything that may happen next."""
         for name, act in self._acts(state):
             after = state.fork()
             if act(after):
@@ -273,7 +285,7 @@
     def _acts(
         self, state: ModelState
     ) -> Iterator[tuple[str, Callable[[ModelState], bool]]]:
-        """What may happen next; each tells whether it does."""
+        """What may happen next beside messages; each returns whether it does."""
         if state.maps < len(self.maps):
             yield f"map {state.maps + 1}", self._next_map
         if state.remaining["tick"]:
@@ -283,19 +295,24 @@
         if state.remaining["restart"]:
             yield "the service restarts", self._restart
         for name, member in sorted(state.members.items()):
-            if state.remaining["crash"]:
-                yield f"{name} crashes", partial(self._crash, name=name)
-            if member.incarnation is None and state.remaining["join"]:
-                yield f"{name} joins", partial(self._join_anew, name=name)
-            elif member.incarnation is not None and state.remaining[f"beat {name}"]:
-                yield f"{name} asks", partial(self._send_heartbeat, name=name)
-            if member.frozen_ranges():
-                yield f"{name} drained", partial(self._drain, name=name)
-            for n in range(member.map.generation if member.map else 0, state.maps):
-                yield (
-                    f"{name} adopts map {n + 1}",
-                    partial(self._adopt, name=name, number=n),
-                )
+            yield from self._member_acts(state, name, member)
+
+    def _member_acts(
+        self, state: ModelState, name: str, member: RangeOwnership
+    ) -> Iterator[tuple[str, Callable[[ModelState], bool]]]:
+        if state.remaining["crash"]:
+            yield f"{name} crashes", partial(self._crash, name=name)
+        if member.incarnation is None and state.remaining["join"]:
+            yield f"{name} joins", partial(self._join_anew, name=name)
+        elif member.incarnation is not None and state.remaining[f"beat {name}"]:
+            yield f"{name} asks", partial(self._send_heartbeat, name=name)
+        if member.frozen_ranges():
+            yield f"{name} drained", partial(self._drain, name=name)
+        for n in range(member.map.generation if member.map else 0, state.maps):
+            yield (
+                f"{name} adopts map {n + 1}",
+                partial(self._adopt, name=name, number=n),
+            )
 
     def _next_map(self, s: ModelState) -> bool:
         s.own_service().install_map(self.maps[s.maps])
@@ -394,13 +411,14 @@
     # --------------------------------------------------------------------------
 
     def broken(self, state: ModelState) -> str:
+        """Keys that two members act on, or that the service counts twice or never."""
         spans: list[tuple[KeyRange, str]] = []
         for name, member in sorted(state.members.items()):
             spans += [
                 (own.key_range, name) for own in member.held_ranges(state.clocks[name])
             ]
         spans.sort()
-        for (a, who), (b, other) in zip(spans, spans[1:], strict=False):
+        for (a, who), (b, other) in pairwise(spans):
             if b[0] <= a[1]:
                 return f"{who} and {other} both act on keys {b[0]:x} to {min(a[1], b[1]):x}"
         held = [
@@ -419,7 +437,10 @@
         return ""
 
     def key(self, state: ModelState) -> Hashable:
-        """Times as what is left of them; a lease out is out, by however much."""
+        """What tells states apart, times as what is left of them.
+
+        All expired leases count as equal.
+        """
         moves = state.moves
         return (
             moves.map.generation if moves.map else 0,
@@ -452,8 +473,9 @@
         )
 
     def _message(self, state: ModelState, message: Any) -> Hashable:
-        """As it counts from here on: when it was asked by what the lease it brings has
-        left.
+        """A message by the effect that it can still have.
+
+        The time of its request counts as what is left of the lease that it brings.
         """
         name, _, _, asked, *_ = message
         return (
