--- a/rainfall/budget/rebalancing.py
+++ b/rainfall/budget/rebalancing.py
@@ -288,8 +288,12 @@
     """
     newest_reserve = account.grants[-1].reserve if account.grants else 0
     reserve = newest_reserve
-    if _is_reserve_due(accounts.budget.reserve, account, newest_reserve, reserve_left):
-        reserve = accounts.budget.reserve
+    wanted = accounts.budget.reserve
+    # At rest the reserve is as configured: then nothing more is asked of an account.
+    if newest_reserve != wanted and _is_reserve_due(
+        wanted, account, newest_reserve, reserve_left
+    ):
+        reserve = wanted
     calls = max(account.granted_calls(), reserve)
     target = max(allocation.target_shares.get(account.token, 0), reserve)
     if calls > target and now_us >= account.lent_until_us:
