--- a/rainfall/budget/persistence.py
+++ b/rainfall/budget/persistence.py
@@ -53,14 +53,14 @@
 
 
 def _account_row(account: MemberAccount) -> list[Any]:
-    row = _AccountRow(
+    """The fields of an `_AccountRow`, in their order."""
+    return [
         account.name,
         account.token.to_wire(),
         account.acknowledged_number,
         account.state.value,
         [[grant.number, grant.calls, grant.reserve] for grant in account.grants],
-    )
-    return list(row)
+    ]
 
 
 def restore(
