--- a/measure/cold_fleet.py
+++ b/measure/cold_fleet.py
@@ -1,62 +1,93 @@
-"""How near fleets come to what a cold destination bears.
+"""How near simulated fleets come to the limit of a destination that warms up.
 
-`python -m measure.cold_fleet [seeds] [forwarders...] [scenes...]`
+    python -m measure.cold_fleet [SEEDS] [FORWARDERS...] [SCENES...]
 
-A line for each scene, number of forwarders and N (calls in the settings' time that the
-very return allows).
+Run from the root of the repository. Prints a line for each scene, number of forwarders
+and N, which is the number of calls that the destination allows at its return, in the
+time that the settings name.
 """
 
 from __future__ import annotations
 
 import statistics
 import sys
-from concurrent.futures import ProcessPoolExecutor
+from collections.abc import Iterator, Sequence
+from concurrent.futures import Future, ProcessPoolExecutor
+from typing import NamedTuple
 
 from tests.support.simulated_fleet import SCENES, Play, Verdict, played
 
 EARLY_CALL_COUNTS = (0.3, 1.0, 4.0, 30.0)
+"""The values of N."""
+DEFAULT_SEEDS = 10
+DEFAULT_FLEETS = (1, 2, 4, 30, 200)
+PROCESSES = 2
+US_PER_S = 1e6
 
 
-def plays(forwarders: int, n: float, scene: str, seeds: int) -> list[Play]:
-    return [SCENES[scene](forwarders, n, seed) for seed in range(1, seeds + 1)]
+class Row(NamedTuple):
+    """A line of the result, with the runs that it sums up."""
 
+    title: str
+    verdicts: list[Future[Verdict]]
 
-def format_row(verdicts: list[Verdict]) -> str:
-    worst = max(verdicts, key=lambda v: v.part)
-    over = sum(v.part > 1 for v in verdicts)
-    found = [v.found_us / 1e6 for v in verdicts if v.found_us >= 0]
-    first = f"{statistics.median(found):5.1f} s" if found else "  never"
+
+def plays(
+    forwarders: int, early_calls: float, scene: str, seeds: int
+) -> Iterator[Play]:
+    """The runs of one line."""
+    for seed in range(1, seeds + 1):
+        yield SCENES[scene](forwarders, early_calls, seed)
+
+
+def format_verdicts(verdicts: list[Verdict]) -> str:
+    """The worst run, how many were over the limit, and figures of all."""
+    worst = max(verdicts, key=lambda verdict: verdict.part)
+    over = sum(verdict.part > 1 for verdict in verdicts)
+    found_s = [
+        verdict.found_us / US_PER_S for verdict in verdicts if verdict.found_us >= 0
+    ]
+    first = f"{statistics.median(found_s):5.1f} s" if found_s else "  never"
+    pushed = sum(verdict.pushed for verdict in verdicts)
+    largest_whole = max(verdict.whole for verdict in verdicts)
+    delivered = statistics.fmean(verdict.delivered for verdict in verdicts)
     return (
         f"{worst.count:6.1f} / {worst.limit:6.1f} = {worst.part:4.2f}  over {over:3d} of "
-        f"{len(verdicts)}  pushed {sum(v.pushed for v in verdicts):3d}  "
-        f"all {max(v.whole for v in verdicts):5.2f}  first {first}  "
-        f"delivered {statistics.fmean(v.delivered for v in verdicts):7.1f}"
+        f"{len(verdicts)}  pushed {pushed:3d}  all {largest_whole:5.2f}  "
+        f"first {first}  delivered {delivered:7.1f}"
     )
 
 
-def main(seeds: int, fleets: list[int], scenes: list[str]) -> None:
-    with ProcessPoolExecutor(2) as pool:
-        rows = [
-            (
-                f"{scene:14} {forwarders:3d} forwarders, N {n:4.1f}:",
-                [
-                    pool.submit(played, play)
-                    for play in plays(forwarders, n, scene, seeds)
-                ],
-            )
-            for scene in scenes
-            for forwarders in fleets
-            for n in EARLY_CALL_COUNTS
-        ]
-        for name, verdicts in rows:
-            print(name, format_row([v.result() for v in verdicts]), flush=True)
+def run_scenes(seeds: int, fleets: Sequence[int], scenes: Sequence[str]) -> None:
+    """Run all scenes, and print a line for each as soon as it is complete."""
+    with ProcessPoolExecutor(PROCESSES) as pool:
+        rows: list[Row] = []
+        for scene in scenes:
+            for forwarders in fleets:
+                for early_calls in EARLY_CALL_COUNTS:
+                    title = (
+                        f"{scene:14} {forwarders:3d} forwarders, N {early_calls:4.1f}:"
+                    )
+                    verdicts = [
+                        pool.submit(played, play)
+                        for play in plays(forwarders, early_calls, scene, seeds)
+                    ]
+                    rows.append(Row(title, verdicts))
+        for row in rows:
+            finished = [verdict.result() for verdict in row.verdicts]
+            print(row.title, format_verdicts(finished), flush=True)
 
 
-if __name__ == "__main__":
-    given = [a for a in sys.argv[1:] if a in SCENES]
-    numbers = [int(a) for a in sys.argv[1:] if a.isdigit()]
-    main(
-        numbers[0] if numbers else 10,
-        numbers[1:] or [1, 2, 4, 30, 200],
-        given or list(SCENES),
+def main() -> None:
+    """Read the command line, and run."""
+    scenes = [argument for argument in sys.argv[1:] if argument in SCENES]
+    numbers = [int(argument) for argument in sys.argv[1:] if argument.isdigit()]
+    run_scenes(
+        numbers[0] if numbers else DEFAULT_SEEDS,
+        numbers[1:] or DEFAULT_FLEETS,
+        scenes or list(SCENES),
     )
+
+
+if __name__ == "__main__":
+    main()
--- a/measure/power_cost.py
+++ b/measure/power_cost.py
@@ -1,8 +1,10 @@
-"""What durability 'power' costs beside 'process': syncs a message and the time to the
-202, at several rates, the two levels in turn. The folder is where TMPDIR says: the disk
-below it decides.
+"""What the durability `power` costs, compared with `process`.
 
     python -m measure.power_cost [REPEATS]
+
+Run from the root of the repository. Prints the time to the 202 and the syncs and bytes
+of a message, at several rates, both durabilities in turn. The state folder is in TMPDIR,
+whose disk decides the result.
 """
 
 from __future__ import annotations
@@ -10,87 +12,102 @@
 import asyncio
 import json
 import statistics
-import sys
 import tempfile
 import time
+from http import HTTPStatus
 from pathlib import Path
+from typing import NamedTuple
 
-from measure.reporting import cancel_tasks, format_row
+from measure.reporting import cancel_tasks, format_row, repeats_argument
 from tests.support.loopback_peers import OK, Node, Peer, Platform, always
 
-RATES, DURATION_S = (20, 100, 400), 2.0
+RATES = (20, 100, 400)
+"""Messages a second."""
+DURATION_S = 2.0
+CLIENTS = 16
+OPEN_MESSAGES = 2000
+"""Messages that the forwarder accepts at once."""
+UNPACED_SHARE = 1e5
+"""An endpoint's share that keeps pacing out of the measurement."""
+DEFAULT_REPEATS = 3
+REPEAT_LIMIT = 20
+MS_PER_S = 1000
+
+
+class MessageCost(NamedTuple):
+    """What one message costs."""
+
+    accept_ms: float
+    """Median time to the 202."""
+    syncs: float
+    journal_bytes: float
 
 
-async def run_once(level: str, rate: int) -> tuple[float, float, float]:
-    """Median milliseconds to the 202, syncs a message and bytes a message."""
+async def run_once(durability: str, rate: int) -> MessageCost:
+    """Send messages at a rate for `DURATION_S`."""
     platform = Platform()
     await platform.start()
     peer = await Peer(always(OK)).start()
     platform.host("s1", peer.port)
-    platform.hosts["s1"]["share"] = 1e5  # no pace of ours in the way
+    platform.hosts["s1"]["share"] = UNPACED_SHARE
     with tempfile.TemporaryDirectory() as name:
-        node = Node(Path(name), platform, max_open=2000)
+        node = Node(Path(name), platform, max_open=OPEN_MESSAGES)
         path = Path(name) / "config.json"
         path.write_text(
-            json.dumps({**json.loads(path.read_text()), "durability": level})
+            json.dumps({**json.loads(path.read_text()), "durability": durability})
         )
         await node.start()
-        clients = [await node.client() for _ in range(16)]
-        free: asyncio.Queue[int] = asyncio.Queue()
-        for n in range(len(clients)):
-            free.put_nowait(n)
+        clients = [await node.client() for _ in range(CLIENTS)]
+        free_clients: asyncio.Queue[int] = asyncio.Queue()
+        for index in range(len(clients)):
+            free_clients.put_nowait(index)
         before = (await node.figures())["journal"]
-        times: list[float] = []
+        accept_ms: list[float] = []
 
-        async def one(number: int) -> None:
-            n = await free.get()
-            began = time.perf_counter()
-            status, _ = await clients[n].hand_in(f"m{number}", "status")
-            if status == 202:
-                times.append((time.perf_counter() - began) * 1000)
-            free.put_nowait(n)
+        async def send(number: int) -> None:
+            index = await free_clients.get()
+            began_s = time.perf_counter()
+            status, _ = await clients[index].hand_in(f"m{number}", "status")
+            if status == HTTPStatus.ACCEPTED:
+                accept_ms.append((time.perf_counter() - began_s) * MS_PER_S)
+            free_clients.put_nowait(index)
 
         tasks = []
         for number in range(int(rate * DURATION_S)):
-            tasks.append(asyncio.create_task(one(number)))
+            tasks.append(asyncio.create_task(send(number)))
             await asyncio.sleep(1 / rate)
         await asyncio.gather(*tasks)
-        await node.shows(lambda v: v["open_requests"] == 0)
+        await node.shows(lambda variables: variables["open_requests"] == 0)
         after = (await node.figures())["journal"]
         for client in clients:
             client.writer.close()
         await node.end()
-    many = max(1, len(times))
+    accepted = max(1, len(accept_ms))
     await cancel_tasks()
-    return (
-        statistics.median(times),
-        (after["syncs"] - before["syncs"]) / many,
-        (after["bytes"] - before["bytes"]) / many,
+    return MessageCost(
+        statistics.median(accept_ms),
+        (after["syncs"] - before["syncs"]) / accepted,
+        (after["bytes"] - before["bytes"]) / accepted,
     )
 
 
 def main() -> None:
-    repeats = min(20, int(sys.argv[1]) if len(sys.argv) > 1 else 3)
+    """Run all rates and durabilities, and print the results."""
+    repeats = repeats_argument(DEFAULT_REPEATS, REPEAT_LIMIT)
     for rate in RATES:
-        found: dict[str, list[tuple[float, float, float]]] = {
-            "process": [],
-            "power": [],
-        }
+        costs: dict[str, list[MessageCost]] = {"process": [], "power": []}
         for _ in range(repeats):
-            for level, results in found.items():
-                results.append(asyncio.run(run_once(level, rate)))
-        for level, results in found.items():
+            for durability, runs in costs.items():
+                runs.append(asyncio.run(run_once(durability, rate)))
+        for durability, runs in costs.items():
+            title = f"{rate}/s, {durability}"
             print(
-                format_row(f"{rate}/s, {level}: ms to the 202", [r[0] for r in results])
-            )
-            print(
-                format_row(
-                    f"{rate}/s, {level}: syncs a message", [r[1] for r in results]
-                )
+                format_row(f"{title}: ms to the 202", [run.accept_ms for run in runs])
             )
+            print(format_row(f"{title}: syncs a message", [run.syncs for run in runs]))
             print(
                 format_row(
-                    f"{rate}/s, {level}: bytes a message", [r[2] for r in results]
+                    f"{title}: bytes a message", [run.journal_bytes for run in runs]
                 )
             )
 
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -1,20 +1,23 @@
-"""How soon service returns: the real program is started on folders with so many live
-messages, and with so much history behind few. Time to ready, to the first delivery of a
-fresh message to another destination, and what the journal told of itself. On a folder
-that is full the fresh message is handed in until it is taken.
+"""How soon a forwarder works again after a start on a full state folder.
 
     python -m measure.recovery_time [REPEATS]
+
+Run from the root of the repository. The program is started on folders with many live
+messages, and with much history behind few. Prints the time until it is ready, until it
+delivers a new message to another destination, and the time that the journal reports for
+its recovery. On a full folder the new message is sent until it is accepted.
 """
 
 from __future__ import annotations
 
 import asyncio
-import sys
 import tempfile
 import time
+from http import HTTPStatus
 from pathlib import Path
+from typing import NamedTuple
 
-from measure.reporting import cancel_tasks, format_row
+from measure.reporting import cancel_tasks, format_row, repeats_argument
 from rainfall.forwarder.message_store import (
     AcceptedMessage,
     DeliveryRules,
@@ -23,82 +26,145 @@
 from rainfall.wirehost import parse_settings
 from tests.support.loopback_peers import OK, SETTINGS, Node, Peer, Platform, always
 
-FULL_FOLDER_MESSAGES = 100_000  # more than the disk limit holds
+FULL_FOLDER_MESSAGES = 100_000
+"""More messages than the folder's limit allows."""
+DISK_LIMIT_BYTES = 3_000_000
+BODY = b"x" * 200
+DESTINATION = 7
+OTHER_DESTINATION = 8
+DEADLINE_DELAY_US = 50_000_000
+OVERDUE_US = 1
+FAR_DEADLINE_US = 10**16
+US_PER_S = 1e6
+MESSAGES_PER_FLUSH = 100
+OPEN_MESSAGES = 20_000
+"""Messages that the forwarder accepts at once."""
+UNPACED_SHARE = 1e5
+"""An endpoint's share that keeps pacing out of the measurement."""
+SEND_ATTEMPTS = 1000
+SEND_INTERVAL_S = 0.01
+DEFAULT_REPEATS = 5
+REPEAT_LIMIT = 20
+MS_PER_S = 1000
 
 
-def fill_folder(folder: Path, live: int, history: int, overdue: bool) -> int:
-    store = MessageStore(folder, 3_000_000)
-    made = parse_settings(SETTINGS)
-    store.use_rules(DeliveryRules(made.max_attempts, made.classes))
-    for n in range(history):
-        store.append_message(
-            AcceptedMessage(f"past{n}", "status", 7, 10**16, None, "acme", b"x" * 200)
-        )
-        store.append_finished(f"past{n}")
+class FolderContent(NamedTuple):
+    """What a state folder holds at the start."""
+
+    live: int
+    """Messages that are not finished, as far as the folder's limit allows."""
+    history: int
+    """Finished messages whose records are still in the journal."""
+    overdue: bool
+    """Whether the deadlines of the live messages are over."""
+
+
+class RecoveryTimes(NamedTuple):
+    """What one start took."""
+
+    ready_ms: float
+    first_delivery_ms: float
+    journal_ms: float
+    live: int
+    """Live messages that were in the folder."""
+
+
+CASES = (
+    FolderContent(10, 0, False),
+    FolderContent(1000, 0, False),
+    FolderContent(FULL_FOLDER_MESSAGES, 0, False),
+    FolderContent(FULL_FOLDER_MESSAGES, 0, True),
+    FolderContent(10, 1000, False),
+    FolderContent(10, 20_000, False),
+)
+
+
+def _message(message_id: str, deadline_us: int) -> AcceptedMessage:
+    return AcceptedMessage(
+        message_id, "status", DESTINATION, deadline_us, None, "acme", BODY
+    )
+
+
+def fill_folder(folder: Path, content: FolderContent) -> int:
+    """Fill a state folder; how many live messages it holds."""
+    store = MessageStore(folder, DISK_LIMIT_BYTES)
+    settings = parse_settings(SETTINGS)
+    store.use_rules(DeliveryRules(settings.max_attempts, settings.classes))
+    for number in range(content.history):
+        store.append_message(_message(f"past{number}", FAR_DEADLINE_US))
+        store.append_finished(f"past{number}")
         store.flush()
-    held = 0
-    while held < live and store.has_capacity(200):
-        due = 1 if overdue else int(time.time() * 1e6) + 50_000_000
-        store.append_message(
-            AcceptedMessage(f"m{held}", "status", 7, due, None, "acme", b"x" * 200)
-        )
-        held += 1
-        if held % 100 == 0:
+    live = 0
+    while live < content.live and store.has_capacity(len(BODY)):
+        deadline_us = OVERDUE_US
+        if not content.overdue:
+            deadline_us = int(time.time() * US_PER_S) + DEADLINE_DELAY_US
+        store.append_message(_message(f"m{live}", deadline_us))
+        live += 1
+        if live % MESSAGES_PER_FLUSH == 0:
             store.flush()
     store.close()
-    return held
+    return live
 
 
-async def run_once(
-    live: int, history: int, overdue: bool
-) -> tuple[float, float, float, int]:
+async def run_once(content: FolderContent) -> RecoveryTimes:
+    """Start the program once on a folder with this content."""
     platform = Platform()
     await platform.start()
     peer = await Peer(always(OK)).start()
     platform.host("s1", peer.port)
-    platform.host("s2", peer.port, block=8)
-    platform.hosts["s1"]["share"] = 1e5  # no pace of ours in the way
+    platform.host("s2", peer.port, block=OTHER_DESTINATION)
+    platform.hosts["s1"]["share"] = UNPACED_SHARE
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         (folder / "state").mkdir()
-        held = fill_folder(folder / "state", live, history, overdue)
-        node = Node(folder, platform, max_open=20_000)
-        began = time.perf_counter()
+        live = fill_folder(folder / "state", content)
+        node = Node(folder, platform, max_open=OPEN_MESSAGES)
+        began_s = time.perf_counter()
         await node.spawn()
         await node.until_ready()
-        ready = time.perf_counter() - began
+        ready_s = time.perf_counter() - began_s
         client = await node.client()
-        for _ in range(1000):
-            if (await client.hand_in("fresh", dest=8))[0] == 202:
+        for _ in range(SEND_ATTEMPTS):
+            status, _ = await client.hand_in("fresh", dest=OTHER_DESTINATION)
+            if status == HTTPStatus.ACCEPTED:
                 break
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(SEND_INTERVAL_S)
         await peer.until(
-            lambda: any(r.headers["x-correlation-id"] == "fresh" for r in peer.requests)
+            lambda: any(
+                request.headers["x-correlation-id"] == "fresh"
+                for request in peer.requests
+            )
         )
-        first = time.perf_counter() - began
-        took = (await node.figures())["journal"]["recovered"]["took_ms"]
+        first_delivery_s = time.perf_counter() - began_s
+        journal_ms = (await node.figures())["journal"]["recovered"]["took_ms"]
         client.writer.close()
         await node.end()
     await cancel_tasks()
-    return ready * 1000, first * 1000, took, held
+    return RecoveryTimes(
+        ready_s * MS_PER_S, first_delivery_s * MS_PER_S, journal_ms, live
+    )
 
 
 def main() -> None:
-    repeats = min(20, int(sys.argv[1]) if len(sys.argv) > 1 else 5)
-    cases = [
-        (10, 0, False),
-        (1000, 0, False),
-        (FULL_FOLDER_MESSAGES, 0, False),
-        (FULL_FOLDER_MESSAGES, 0, True),
-        (10, 1000, False),
-        (10, 20_000, False),
-    ]
-    for live, history, overdue in cases:
-        found = [asyncio.run(run_once(live, history, overdue)) for _ in range(repeats)]
-        what = f"{found[0][3]} live{', all overdue' if overdue else ''}, {history} past"
-        print(format_row(f"{what}: ready, ms", [x[0] for x in found]))
-        print(format_row(f"{what}: first fresh delivery, ms", [x[1] for x in found]))
-        print(format_row(f"{what}: reading the journal, ms", [x[2] for x in found]))
+    """Run all cases, and print the results."""
+    repeats = repeats_argument(DEFAULT_REPEATS, REPEAT_LIMIT)
+    for content in CASES:
+        runs = [asyncio.run(run_once(content)) for _ in range(repeats)]
+        overdue = ", all overdue" if content.overdue else ""
+        title = f"{runs[0].live} live{overdue}, {content.history} past"
+        print(format_row(f"{title}: ready, ms", [run.ready_ms for run in runs]))
+        print(
+            format_row(
+                f"{title}: first fresh delivery, ms",
+                [run.first_delivery_ms for run in runs],
+            )
+        )
+        print(
+            format_row(
+                f"{title}: reading the journal, ms", [run.journal_ms for run in runs]
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/measure/shard_check.py
+++ b/measure/shard_check.py
@@ -1,9 +1,11 @@
-"""The shard map's check at 100,000 ranges, as a multiple of the time to sort them (in
-turn, same run), on a sound map and on one where every second range is at fault; and the
-keys that a join and a leave move, beside the fewest possible: what members have above
-their new part, and all that a leaving one had.
+"""What the validation of a shard map costs, and how many keys new maps move.
 
     python -m measure.shard_check [RANGES]
+
+Run from the root of the repository. The time to validate a map of 100,000 ranges is
+printed as a multiple of the time to sort them in the same run, for a valid map and for
+one with a fault at every second range. The keys that move when a member joins or leaves
+are compared with the fewest possible.
 """
 
 from __future__ import annotations
@@ -23,10 +25,17 @@
 
 REPEATS = 7
 KEY_SPACE = 1 << 64
+DEFAULT_RANGES = 100_000
+OWNERS = 100
+FLEET_SIZES = (10, 100, 1000)
+CHURN_MEMBERS = 100
+CHURN_CHANGES = 200
+CHURN_RANGE_LIMITS = (65_536, 1_000)
+MS_PER_S = 1000
 
 
 def shuffled_ranges(count: int, rng: random.Random) -> list[tuple[int, int]]:
-    """`count` ranges that fill the space, in any order."""
+    """So many ranges that fill the key space, in random order."""
     cuts: list[int] = []
     while len(cuts) < count - 1:
         cuts = sorted(
@@ -43,6 +52,7 @@
 
 
 def map_document(ranges: list[tuple[int, int]], owners: int) -> dict[str, Any]:
+    """A map as decoded from JSON, with its ranges spread over so many owners."""
     return {
         "generation": 7,
         "ranges": [
@@ -56,127 +66,143 @@
     }
 
 
-def seconds_of(act: Callable[[], Any]) -> float:
+def seconds_of(action: Callable[[], Any]) -> float:
+    """How long an action takes."""
     gc.collect()
-    began = time.perf_counter()
-    act()
-    return time.perf_counter() - began
+    began_s = time.perf_counter()
+    action()
+    return time.perf_counter() - began_s
 
 
 def print_check_times(count: int) -> None:
+    """Print the times for maps of so many ranges."""
     rng = random.Random(1)
     ranges = shuffled_ranges(count, rng)
-    sound = map_document(ranges, 100)
+    sound = map_document(ranges, OWNERS)
     faulty = map_document(
         [
-            (first, min(KEY_SPACE - 1, last + 1)) if n % 2 else (first, last)
-            for n, (first, last) in enumerate(ranges)
+            (first, min(KEY_SPACE - 1, last + 1)) if index % 2 else (first, last)
+            for index, (first, last) in enumerate(ranges)
         ],
-        100,
+        OWNERS,
     )
     text = json.dumps(sound).encode()
-    entries = [(first, last, n) for n, (first, last) in enumerate(ranges)]
-    names = {f"n{n}" for n in range(100)}
+    entries = [(first, last, index) for index, (first, last) in enumerate(ranges)]
+    names = {f"n{number}" for number in range(OWNERS)}
     assert not map_faults(sound, names) and len(map_faults(faulty, names)) > count // 3
-    rows: dict[str, list[float]] = {}
-    sorts = []
+    actions: dict[str, Callable[[], Any]] = {
+        "check of a sound map": lambda: map_faults(sound, names),
+        "check with a fault at every second range": lambda: map_faults(faulty, names),
+        "strict reading of the JSON alone": lambda: decode_json(text),
+        "json.loads of it, for comparison": lambda: json.loads(text),
+    }
+    multiples: dict[str, list[float]] = {name: [] for name in actions}
+    sorts_ms: list[float] = []
     for _ in range(REPEATS):
-        sort = seconds_of(lambda: sorted(entries))
-        sorts.append(sort * 1000)
-        for name, act in (
-            ("check of a sound map", lambda: map_faults(sound, names)),
-            (
-                "check with a fault at every second range",
-                lambda: map_faults(faulty, names),
-            ),
-            ("strict reading of the JSON alone", lambda: decode_json(text)),
-            ("json.loads of it, for comparison", lambda: json.loads(text)),
-        ):
-            rows.setdefault(name, []).append(seconds_of(act) / sort)
+        sort_s = seconds_of(lambda: sorted(entries))
+        sorts_ms.append(sort_s * MS_PER_S)
+        for name, action in actions.items():
+            multiples[name].append(seconds_of(action) / sort_s)
     print(
-        f"{count} ranges, {len(text) / 1e6:.1f} MB; to sort: median {statistics.median(sorts):.0f} ms, "
-        f"{min(sorts):.0f} to {max(sorts):.0f} over {REPEATS} runs"
+        f"{count} ranges, {len(text) / 1e6:.1f} MB; "
+        f"to sort: median {statistics.median(sorts_ms):.0f} ms, "
+        f"{min(sorts_ms):.0f} to {max(sorts_ms):.0f} over {REPEATS} runs"
     )
-    for name, figures in rows.items():
+    for name, values in multiples.items():
         print(
-            f"{name}: median {statistics.median(figures):.1f} times the sort, "
-            f"{min(figures):.1f} to {max(figures):.1f} over {REPEATS} runs"
+            f"{name}: median {statistics.median(values):.1f} times the sort, "
+            f"{min(values):.1f} to {max(values):.1f} over {REPEATS} runs"
         )
 
 
 def owned_sizes(shards: ShardMap) -> dict[str, int]:
-    out: dict[str, int] = {}
-    for r in shards.ranges:
-        out[r.owner] = out.get(r.owner, 0) + r.size
-    return out
+    """The number of keys of each owner."""
+    sizes: dict[str, int] = {}
+    for part in shards.ranges:
+        sizes[part.owner] = sizes.get(part.owner, 0) + part.size
+    return sizes
 
 
 def moved_keys(old: ShardMap, new: ShardMap) -> int:
-    """Counted key range by key range here, not taken from the plan."""
+    """The keys whose owner differs, counted here and not taken from the plan."""
     return sum(
-        min(r.last, s.last) - max(r.first, s.first) + 1
-        for r in old.ranges
-        for s in new.overlapping(r.first, r.last)
-        if s.owner != r.owner
+        min(before.last, after.last) - max(before.first, after.first) + 1
+        for before in old.ranges
+        for after in new.overlapping(before.first, before.last)
+        if after.owner != before.owner
     )
 
 
 def fewest_moved_keys(old: ShardMap, new: ShardMap) -> int:
-    have, get = owned_sizes(old), owned_sizes(new)
-    return sum(max(0, n - get.get(name, 0)) for name, n in have.items())
+    """The fewest keys that have to move for the sizes of the new map."""
+    old_sizes = owned_sizes(old)
+    new_sizes = owned_sizes(new)
+    return sum(
+        max(0, size - new_sizes.get(owner, 0)) for owner, size in old_sizes.items()
+    )
 
 
 def print_moves(count: int) -> None:
-    names = [f"n{n}" for n in range(count)]
+    """Print what a join and a leave move in a fleet of this size."""
+    names = [f"n{number}" for number in range(count)]
     base = plan_map(dict.fromkeys(names, 1.0)).map
-    for what, members in (
-        ("join", [*names, "new"]),
-        ("leave", names[: count // 2] + names[count // 2 + 1 :]),
-    ):
-        began = time.perf_counter()
+    middle = count // 2
+    changes = {
+        "join": [*names, "new"],
+        "leave": names[:middle] + names[middle + 1 :],
+    }
+    for change, members in changes.items():
+        began_s = time.perf_counter()
         new = plan_map(dict.fromkeys(members, 1.0), base).map
-        took = time.perf_counter() - began
-        get = owned_sizes(new)
+        took_ms = (time.perf_counter() - began_s) * MS_PER_S
+        sizes = owned_sizes(new).values()
+        moved = moved_keys(base, new)
         print(
-            f"{count} members, a {what}: {moved_keys(base, new) / KEY_SPACE:.4%} of the keys move, "
-            f"{moved_keys(base, new) - fewest_moved_keys(base, new)} keys more than the "
-            f"fewest; parts differ by "
-            f"{max(get.values()) - min(get.values())} keys; {len(base.ranges)} ranges become "
-            f"{len(new.ranges)}; {took * 1000:.0f} ms"
+            f"{count} members, a {change}: {moved / KEY_SPACE:.4%} of the keys move, "
+            f"{moved - fewest_moved_keys(base, new)} keys more than the fewest; "
+            f"parts differ by {max(sizes) - min(sizes)} keys; "
+            f"{len(base.ranges)} ranges become {len(new.ranges)}; {took_ms:.0f} ms"
         )
 
 
 def print_churn(count: int, changes: int, most_ranges: int) -> None:
-    """Members come and go at random: what the bound on ranges costs in keys moved past
-    the fewest.
+    """Print what the limit on ranges costs while members join and leave at random.
+
+    The cost is the keys moved beyond the fewest possible.
     """
-    rng, serial = random.Random(2), count
-    names = [f"n{n}" for n in range(count)]
-    at = plan_map(dict.fromkeys(names, 1.0)).map
-    extra = total = 0
+    rng = random.Random(2)
+    next_number = count
+    names = [f"n{number}" for number in range(count)]
+    current = plan_map(dict.fromkeys(names, 1.0)).map
+    extra_keys = 0
+    total_keys = 0
     for _ in range(changes):
         if rng.random() < 0.5 and len(names) > count // 2:
             names.remove(rng.choice(names))
         else:
-            names.append(f"n{serial}")
-            serial += 1
-        done = plan_map(dict.fromkeys(names, 1.0), at, most_ranges=most_ranges)
-        extra, total, at = (
-            extra + done.moved_keys - done.min_moved_keys,
-            total + done.moved_keys,
-            done.map,
-        )
-    get = owned_sizes(at)
+            names.append(f"n{next_number}")
+            next_number += 1
+        plan = plan_map(dict.fromkeys(names, 1.0), current, most_ranges=most_ranges)
+        extra_keys += plan.moved_keys - plan.min_moved_keys
+        total_keys += plan.moved_keys
+        current = plan.map
+    sizes = owned_sizes(current).values()
     print(
-        f"{count} members, {changes} changes, at most {most_ranges} ranges: {len(at.ranges)} ranges at the "
-        f"end, {extra / total:.3%} of what moved was past the fewest, largest part "
-        f"{max(get.values()) * len(get) / KEY_SPACE:.3f} of the even one"
+        f"{count} members, {changes} changes, at most {most_ranges} ranges: "
+        f"{len(current.ranges)} ranges at the end, "
+        f"{extra_keys / total_keys:.3%} of what moved was past the fewest, "
+        f"largest part {max(sizes) * len(sizes) / KEY_SPACE:.3f} of the even one"
     )
 
 
-if __name__ == "__main__":
-    print_check_times(int(sys.argv[1]) if len(sys.argv) > 1 else 100_000)
-    for members in (10, 100, 1000):
+def main() -> None:
+    """Run all, and print the results."""
+    print_check_times(int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_RANGES)
+    for members in FLEET_SIZES:
         print_moves(members)
-    print_churn(100, 200, 65_536)
-    print_churn(100, 200, 1_000)
+    for range_limit in CHURN_RANGE_LIMITS:
+        print_churn(CHURN_MEMBERS, CHURN_CHANGES, range_limit)
+
+
+if __name__ == "__main__":
+    main()
