--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -1,8 +1,10 @@
-"""What a message costs in the journal: the journal of before (from the repository's
-history) and this one, in pairs. A message is taken on, tried, settled and over, as on
-an even day: some are tried twice, some returned.
+"""What a message costs in the journal: the former journal against this one, in pairs.
 
     python -m measure.journal_cost [REPEATS]
+
+Run from the root of the repository. The former journal comes from the repository's
+history. Each message is accepted, attempted and finished; some are attempted twice, some
+are returned with a notification.
 """
 
 from __future__ import annotations
@@ -12,20 +14,35 @@
 import tempfile
 import time
 import types
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from measure.paths import ROOT
-from measure.reporting import format_row
+from measure.reporting import format_row, repeats_argument
 from rainfall.dispatch import Idempotency, MessageClass
 from rainfall.forwarder import message_store as new_store
 
-OLD_COMMIT = "a2f2844"  # the last commit with the old journal
-MESSAGES, MESSAGES_PER_ROUND, NOW_US = 4000, 3, 1_700_000_000_000_000
-
-
+OLD_COMMIT = "a2f2844"
+"""The last commit with the former journal."""
+MESSAGES = 4000
+MESSAGES_PER_ROUND = 3
+NOW_US = 1_700_000_000_000_000
+DISK_LIMIT_BYTES = 3_000_000
 BODY = b"x" * 200
-
+ENDPOINT = "s-5be2a07c"
+DESTINATIONS = 12
+ORDER_KEYS = 50
+ORDERED_EVERY = 4
+"""One message in so many is of the class with order."""
+REPEATED_EVERY = 5
+"""One message in so many is attempted twice."""
+RETURNED_EVERY = 17
+"""One message in so many is returned with a notification."""
+ATTEMPTS = 8
+DEFAULT_REPEATS = 9
+REPEAT_LIMIT = 50
+US_PER_S = 1e6
 
 FORMER_NAMES = {
     "use_rules": "settle",
@@ -36,11 +53,18 @@
     "append_notification": "owe",
     "append_acknowledgement": "told",
 }
-"""Methods of today's store, and their names at OLD_COMMIT."""
+"""Methods of the present store, and their names at `OLD_COMMIT`."""
+
+
+class MessageCost(NamedTuple):
+    """What one message costs."""
+
+    processor_us: float
+    written_bytes: float
 
 
 def old_store() -> Any:
-    """The store of OLD_COMMIT under today's names."""
+    """The module of the former store, under the present names."""
     for name in ("lemonshunt", "lemonshunt.interface", "old_store"):
         sys.modules[name] = types.ModuleType(name)
     interface, module = sys.modules["lemonshunt.interface"], sys.modules["old_store"]
@@ -55,7 +79,7 @@
 
 
 def run_old_source(path: str, module: types.ModuleType) -> None:
-    """Fill a module with the text of a file at OLD_COMMIT."""
+    """Run the text of a file at `OLD_COMMIT` in a module."""
     text = subprocess.run(
         ["git", "show", f"{OLD_COMMIT}:{path}"],
         cwd=ROOT,
@@ -67,7 +91,7 @@
 
 
 def classes_of(store_module: Any) -> tuple[Any, ...]:
-    """Two classes, as the store's own version has them."""
+    """A class without order and one with order, in the types of a store's version."""
     old = sys.modules.get("lemonshunt.interface")
     if old is not None and store_module is sys.modules["old_store"]:
         return (
@@ -84,92 +108,103 @@
     )
 
 
-def run_history(store_module: Any) -> tuple[float, float]:
-    """Processor time and bytes written for each message."""
-    with tempfile.TemporaryDirectory() as folder:
-        store = store_module.MessageStore(Path(folder), 3_000_000)
-        written = 0
-        if hasattr(store, "log"):
-
-            def count() -> int:
-                return int(store.log.bytes_written)
-        else:
-            write = store_module.os.write
-
-            def counted(fd: int, data: Any) -> int:
-                nonlocal written
-                written += len(data)
-                return int(write(fd, data))
-
-            store_module.os = types.SimpleNamespace(
-                **{**vars(store_module.os), "write": counted}
-            )
+def written_bytes_counter(store_module: Any, store: Any) -> Callable[[], int]:
+    """A function that tells how many bytes a store has written."""
+    if hasattr(store, "log"):
+        return lambda: int(store.log.bytes_written)
+    # The former store writes by os.write alone, and counts nothing itself.
+    written = 0
+    write = store_module.os.write
 
-            def count() -> int:
-                return written
+    def counting_write(fd: int, data: Any) -> int:
+        nonlocal written
+        written += len(data)
+        return int(write(fd, data))
 
+    store_module.os = types.SimpleNamespace(
+        **{**vars(store_module.os), "write": counting_write}
+    )
+    return lambda: written
+
+
+def run_history(store_module: Any) -> MessageCost:
+    """Write the history of `MESSAGES` messages."""
+    with tempfile.TemporaryDirectory() as folder:
+        store = store_module.MessageStore(Path(folder), DISK_LIMIT_BYTES)
+        written_bytes = written_bytes_counter(store_module, store)
         classes = classes_of(store_module)
-        store.use_rules(store_module.DeliveryRules(8, classes))
-        began = time.process_time()
-        for n in range(0, MESSAGES, MESSAGES_PER_ROUND):
+        store.use_rules(store_module.DeliveryRules(ATTEMPTS, classes))
+        began_s = time.process_time()
+        for first in range(0, MESSAGES, MESSAGES_PER_ROUND):
             batch = []
-            for number in range(n, n + MESSAGES_PER_ROUND):
-                name = f"{number:016x}"
-                order = f"{number % 50:016x}" if number % 4 == 0 else None
-                message = store_module.AcceptedMessage(
-                    name,
-                    classes[number % 4 == 0].name,
-                    number % 12,
-                    NOW_US + number,
-                    name * 2,
-                    None,
-                    BODY,
-                    order,
-                )
+            for number in range(first, first + MESSAGES_PER_ROUND):
+                message = _message(store_module, classes, number)
                 store.append_message(message)
-                store.append_attempt(message, 0, NOW_US + number, "s-5be2a07c")
+                store.append_attempt(message, 0, NOW_US + number, ENDPOINT)
                 batch.append(message)
             store.flush()
             for message in batch:
-                if int(message.id, 16) % 5 == 0:
-                    store.append_outcome(message, 0, False)
-                    store.append_attempt(message, 1, NOW_US, "s-5be2a07c")
-                    store.flush()
-                if int(message.id, 16) % 17 == 0:
-                    store.append_notification(message.id, "returned", 500)
-                    store.append_acknowledgement(message.id)
-                else:
-                    store.append_finished(message.id)
+                _finish(store, message)
             store.flush()
-        took = time.process_time() - began
-        total = count()
+        took_s = time.process_time() - began_s
+        total_bytes = written_bytes()
         store.close()
-        return took / MESSAGES * 1e6, total / MESSAGES
+        return MessageCost(took_s / MESSAGES * US_PER_S, total_bytes / MESSAGES)
+
+
+def _message(store_module: Any, classes: tuple[Any, ...], number: int) -> Any:
+    name = f"{number:016x}"
+    is_ordered = number % ORDERED_EVERY == 0
+    return store_module.AcceptedMessage(
+        name,
+        classes[is_ordered].name,
+        number % DESTINATIONS,
+        NOW_US + number,
+        name * 2,
+        None,
+        BODY,
+        f"{number % ORDER_KEYS:016x}" if is_ordered else None,
+    )
+
+
+def _finish(store: Any, message: Any) -> None:
+    """Write what follows the first attempt of a message."""
+    number = int(message.id, 16)
+    if number % REPEATED_EVERY == 0:
+        store.append_outcome(message, 0, False)
+        store.append_attempt(message, 1, NOW_US, ENDPOINT)
+        store.flush()
+    if number % RETURNED_EVERY == 0:
+        store.append_notification(message.id, "returned", 500)
+        store.append_acknowledgement(message.id)
+    else:
+        store.append_finished(message.id)
 
 
 def main() -> None:
-    repeats = min(50, int(sys.argv[1]) if len(sys.argv) > 1 else 9)
-    old = old_store()
-    results: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
-    for n in range(repeats):
-        for name, store_module in (("before", old), ("now", new_store))[
-            :: 1 if n % 2 else -1
-        ]:
-            results[name].append(run_history(store_module))
-    for name, pairs in results.items():
+    """Run the repeats, and print the results."""
+    repeats = repeats_argument(DEFAULT_REPEATS, REPEAT_LIMIT)
+    stores = {"before": old_store(), "now": new_store}
+    costs: dict[str, list[MessageCost]] = {name: [] for name in stores}
+    for repeat in range(repeats):
+        names = list(stores) if repeat % 2 else list(reversed(stores))
+        for name in names:
+            costs[name].append(run_history(stores[name]))
+    for name, runs in costs.items():
         print(
-            format_row(f"{name}: processor time a message, us", [p[0] for p in pairs])
+            format_row(
+                f"{name}: processor time a message, us",
+                [run.processor_us for run in runs],
+            )
         )
-        print(format_row(f"{name}: bytes a message", [p[1] for p in pairs]))
-    print(
-        format_row(
-            "now less before, us, by pairs",
-            [
-                b[0] - a[0]
-                for a, b in zip(results["before"], results["now"], strict=True)
-            ],
+        print(
+            format_row(f"{name}: bytes a message", [run.written_bytes for run in runs])
         )
-    )
+    differences_us = [
+        now.processor_us - before.processor_us
+        for before, now in zip(costs["before"], costs["now"], strict=True)
+    ]
+    print(format_row("now less before, us, by pairs", differences_us))
 
 
 if __name__ == "__main__":
--- a/measure/registry_writes.py
+++ b/measure/registry_writes.py
@@ -1,9 +1,10 @@
-"""The list service's cost of a change: syncs per change with 200 writers at once
-(grouped) and one at a time (each alone), the time until 200 held watches are all
-answered after one change, and what the beats of 200 members cost, each on a connection
-of its own. Same run, in turn.
+"""What changes, watches and heartbeats cost the list service.
 
     python -m measure.registry_writes [REPEATS]
+
+Run from the root of the repository. Prints the syncs of a change with 200 writers at
+once and with one at a time, the time until 200 watches are answered after a change, and
+the cost of the heartbeats of 200 members, each on its own connection.
 """
 
 from __future__ import annotations
@@ -11,34 +12,66 @@
 import asyncio
 import json
 import statistics
-import sys
 import tempfile
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
+from measure.reporting import repeats_argument
 from rainfall.lease.types import LeaseSettings
 from rainfall.registry.server import RegistryServer
+from rainfall.registry.service_context import monotonic_us
 from rainfall.registry.storage import Storage
 
 WRITERS = 200
+"""Writers, watches, and members."""
+HEARTBEAT_ROUNDS = 20
+DEFAULT_REPEATS = 5
+MS_PER_S = 1000
+FIRST_WATCHED_HOST = 10_000_000
+"""The number of the first host that a change for watches registers."""
+LEASE_TTL_US = 60_000_000
+START_WAIT_US = 62_000_000
+"""The time after a start on an empty folder before leases are granted."""
+POLL_INTERVAL_S = 0.001
+
+
+class HeartbeatExchange(NamedTuple):
+    """An answer, and the bytes of the request and of the answer."""
+
+    answer: Any
+    sent_bytes: int
+    received_bytes: int
+
+
+class MembersCost(NamedTuple):
+    """What members cost the service."""
+
+    join_ms: float
+    """Until all have joined at once."""
+    heartbeats_per_s: float
+    request_bytes: float
+    """Of one heartbeat."""
+    answer_bytes: float
 
 
-def change_body(n: int) -> bytes:
-    op = {
+def change_body(number: int) -> bytes:
+    """The body of a change that registers one host."""
+    operation = {
         "op": "register",
-        "host": f"s-{n}",
+        "host": f"s-{number}",
         "dial": "127.0.0.1:9",
         "site": "a",
         "class": "m",
         "block": 0,
         "share": 1.0,
-        "born_ms": n,
+        "born_ms": number,
     }
-    return json.dumps({"ops": [op]}).encode()
+    return json.dumps({"ops": [operation]}).encode()
 
 
 async def send_request(port: int, head: str, data: bytes = b"") -> bytes:
+    """The whole answer to a request on a new connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(
         f"{head}\r\nHost: r\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n".encode()
@@ -52,11 +85,11 @@
 async def syncs_per_change(
     service: RegistryServer, port: int, together: bool, first: int
 ) -> float:
-    """Syncs a change when WRITERS changes come at once, or one after another."""
+    """Syncs of a change when `WRITERS` changes come at once, or one after another."""
     before = service.storage.sync_count
     calls = [
-        send_request(port, "POST /v1/hosts HTTP/1.1", change_body(first + n))
-        for n in range(WRITERS)
+        send_request(port, "POST /v1/hosts HTTP/1.1", change_body(first + index))
+        for index in range(WRITERS)
     ]
     if together:
         await asyncio.gather(*calls)
@@ -66,12 +99,12 @@
     return (service.storage.sync_count - before) / WRITERS
 
 
-async def wake_ms(service: RegistryServer, listen: int, write: int, n: int) -> float:
-    """Milliseconds from a change being asked for until WRITERS held watches have all
-    been answered.
-    """
+async def wake_ms(
+    service: RegistryServer, listen: int, write: int, host_number: int
+) -> float:
+    """Milliseconds from a change until `WRITERS` watches have been answered."""
     seq = service.registry.seq
-    held = [
+    watches = [
         asyncio.ensure_future(
             send_request(
                 listen, f"GET /discovery/hosts?from={seq}&hold_ms=20000 HTTP/1.1"
@@ -80,17 +113,17 @@
         for _ in range(WRITERS)
     ]
     while service.metrics.watches_held < WRITERS:
-        await asyncio.sleep(0.001)
-    began = time.perf_counter()
-    await send_request(write, "POST /v1/hosts HTTP/1.1", change_body(10_000_000 + n))
-    await asyncio.gather(*held)
-    return (time.perf_counter() - began) * 1000
+        await asyncio.sleep(POLL_INTERVAL_S)
+    began_s = time.perf_counter()
+    await send_request(write, "POST /v1/hosts HTTP/1.1", change_body(host_number))
+    await asyncio.gather(*watches)
+    return (time.perf_counter() - began_s) * MS_PER_S
 
 
 async def send_heartbeat(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, body: dict[str, Any]
-) -> Any:
-    """One beat on a kept connection: the answer, and the bytes of both."""
+) -> HeartbeatExchange:
+    """Send a heartbeat on an open connection."""
     data = json.dumps(body).encode()
     sent = (
         f"POST /v1/fleet/beat HTTP/1.1\r\nHost: r\r\nContent-Length: {len(data)}\r\n\r\n".encode()
@@ -99,108 +132,121 @@
     writer.write(sent)
     head = await reader.readuntil(b"\r\n\r\n")
     length = next(
-        int(x[15:])
-        for x in head.split(b"\r\n")
-        if x.lower().startswith(b"content-length:")
-    )
-    return json.loads(await reader.readexactly(length)), len(sent), len(head) + length
-
-
-async def measure_members(
-    folder: Path, rounds: int
-) -> tuple[float, float, float, float]:
-    """Milliseconds for WRITERS joins at once, then beats a second and bytes of a beat
-    and of its answer.
-    """
-    disk = Storage(folder)
-    registry, _ = disk.load()
-    ahead = [0]
-    service = RegistryServer(
-        disk, registry, now_us=lambda: time.monotonic_ns() // 1000 + ahead[0]
+        int(line.partition(b":")[2])
+        for line in head.split(b"\r\n")
+        if line.lower().startswith(b"content-length:")
     )
+    answer = json.loads(await reader.readexactly(length))
+    return HeartbeatExchange(answer, len(sent), len(head) + length)
+
+
+async def measure_members(folder: Path, rounds: int) -> MembersCost:
+    """Let `WRITERS` members join, and send so many rounds of heartbeats."""
+    storage = Storage(folder)
+    registry, _ = storage.load()
+    clock_lead_us = 0
+
+    def now_us() -> int:
+        return monotonic_us() + clock_lead_us
+
+    service = RegistryServer(storage, registry, now_us=now_us)
     await service.begin_history()
-    await service.start_fleet(LeaseSettings(0.02, 1_000, 60_000_000), 60_000_000)
-    ahead[0] = 62_000_000  # the wait after a start on an empty folder
+    await service.start_fleet(LeaseSettings(0.02, 1_000, LEASE_TTL_US), LEASE_TTL_US)
+    clock_lead_us = START_WAIT_US
     port = await service.listen_fleet("127.0.0.1", 0)
-    links = [await asyncio.open_connection("127.0.0.1", port) for _ in range(WRITERS)]
+    connections = [
+        await asyncio.open_connection("127.0.0.1", port) for _ in range(WRITERS)
+    ]
     bodies: list[dict[str, Any]] = [
         {
-            "name": f"f{n}",
+            "name": f"f{number}",
             "site": "a",
-            "dial": f"127.0.0.1:{n}",
+            "dial": f"127.0.0.1:{number}",
             "token": None,
             "sent": 0,
         }
-        for n in range(WRITERS)
+        for number in range(WRITERS)
     ]
-    began = time.perf_counter()
-    joined = await asyncio.gather(
-        *(send_heartbeat(*link, body) for link, body in zip(links, bodies, strict=True))
-    )
-    joins = (time.perf_counter() - began) * 1000
-    for body, (told, _, _) in zip(bodies, joined, strict=True):
-        body.update(token=told["token"], list=told["list"])
-    out = back = 0
-    began = time.perf_counter()
+
+    async def send_all() -> list[HeartbeatExchange]:
+        return await asyncio.gather(
+            *(
+                send_heartbeat(reader, writer, body)
+                for (reader, writer), body in zip(connections, bodies, strict=True)
+            )
+        )
+
+    began_s = time.perf_counter()
+    joins = await send_all()
+    join_ms = (time.perf_counter() - began_s) * MS_PER_S
+    for body, join in zip(bodies, joins, strict=True):
+        body.update(token=join.answer["token"], list=join.answer["list"])
+    sent_bytes = 0
+    received_bytes = 0
+    began_s = time.perf_counter()
     for _ in range(rounds):
-        for body, (told, sent, got) in zip(
-            bodies,
-            await asyncio.gather(
-                *(
-                    send_heartbeat(*link, body)
-                    for link, body in zip(links, bodies, strict=True)
-                )
-            ),
-            strict=True,
-        ):
-            body["list"] = told["list"]
-            out, back = out + sent, back + got
-    took, count = time.perf_counter() - began, rounds * WRITERS
-    for _, writer in links:
+        for body, exchange in zip(bodies, await send_all(), strict=True):
+            body["list"] = exchange.answer["list"]
+            sent_bytes += exchange.sent_bytes
+            received_bytes += exchange.received_bytes
+    took_s = time.perf_counter() - began_s
+    count = rounds * WRITERS
+    for _, writer in connections:
         writer.close()
     await service.stop()
-    return joins, count / took, out / count, back / count
+    return MembersCost(
+        join_ms, count / took_s, sent_bytes / count, received_bytes / count
+    )
 
 
-async def main(repeats: int) -> None:
-    grouped, alone, woken = [], [], []
+async def measure_all(repeats: int) -> dict[str, list[float]]:
+    """The values of all repeats, by title."""
+    grouped: list[float] = []
+    alone: list[float] = []
+    wakes_ms: list[float] = []
     with tempfile.TemporaryDirectory() as folder:
-        disk = Storage(Path(folder))
-        registry, _ = disk.load()
-        service = RegistryServer(disk, registry)
+        storage = Storage(Path(folder))
+        registry, _ = storage.load()
+        service = RegistryServer(storage, registry)
         await service.begin_history()
-        listen, write = (
-            await service.listen("127.0.0.1", 0, False),
-            await service.listen("127.0.0.1", 0, True),
-        )
-        for n in range(repeats):
-            grouped.append(
-                await syncs_per_change(service, write, True, 2 * n * WRITERS)
-            )
-            alone.append(
-                await syncs_per_change(service, write, False, (2 * n + 1) * WRITERS)
-            )
-            woken.append(await wake_ms(service, listen, write, n))
+        listen = await service.listen("127.0.0.1", 0, False)
+        write = await service.listen("127.0.0.1", 0, True)
+        for repeat in range(repeats):
+            first = 2 * repeat * WRITERS
+            grouped.append(await syncs_per_change(service, write, True, first))
+            first += WRITERS
+            alone.append(await syncs_per_change(service, write, False, first))
+            host_number = FIRST_WATCHED_HOST + repeat
+            wakes_ms.append(await wake_ms(service, listen, write, host_number))
         await service.stop()
-    fleets = []
+    members: list[MembersCost] = []
     for _ in range(repeats):
         with tempfile.TemporaryDirectory() as folder:
-            fleets.append(await measure_members(Path(folder), 20))
-    joins, rate, out, back = (list(x) for x in zip(*fleets, strict=True))
-    for name, figures in (
-        ("ms until 200 members have joined", joins),
-        ("beats a second, 200 connections, client in the same process", rate),
-        ("bytes of a beat", out),
-        ("bytes of its answer, members told as changes", back),
-        ("syncs a change, 200 at once", grouped),
-        ("syncs a change, one at a time", alone),
-        ("ms until 200 watches are told", woken),
-    ):
+            members.append(await measure_members(Path(folder), HEARTBEAT_ROUNDS))
+    return {
+        "ms until 200 members have joined": [cost.join_ms for cost in members],
+        "beats a second, 200 connections, client in the same process": [
+            cost.heartbeats_per_s for cost in members
+        ],
+        "bytes of a beat": [cost.request_bytes for cost in members],
+        "bytes of its answer, members told as changes": [
+            cost.answer_bytes for cost in members
+        ],
+        "syncs a change, 200 at once": grouped,
+        "syncs a change, one at a time": alone,
+        "ms until 200 watches are told": wakes_ms,
+    }
+
+
+def main() -> None:
+    """Run the repeats, and print the results."""
+    repeats = repeats_argument(DEFAULT_REPEATS)
+    for title, values in asyncio.run(measure_all(repeats)).items():
         print(
-            f"{name}: median {statistics.median(figures):.3f}, {min(figures):.3f} to {max(figures):.3f}"
-            f" over {repeats} runs"
+            f"{title}: median {statistics.median(values):.3f}, "
+            f"{min(values):.3f} to {max(values):.3f} over {repeats} runs"
         )
 
 
 if __name__ == "__main__":
-    asyncio.run(main(int(sys.argv[1]) if len(sys.argv) > 1 else 5))
+    main()
