--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -1,19 +1,20 @@
-"""200 members, each with a connection for its beats and one for its watch, on one list
-service process with 3 budgets: how long a changed need takes until the last share it
-moves was told, and what it costs.
+"""What a changed demand costs a list service with 200 members and 3 budgets.
 
     python -m measure.fleet_service [REPEATS] [MEMBERS]
 
-A change: a tenth of the members needs twelve times as much of one budget as before, so
-that shares of all others shrink, cool for a span, and move. Twice: watches that name
-their member (woken by what concerns it), and watches that do not (woken by every
-change). Wall times hold for a machine that is not loaded otherwise; the service's part
-of a core is its processor time.
+Run from the root of the repository. Each member has a connection for heartbeats and one
+for its watch. A tenth of the members needs twelve times as much of one budget as before:
+the shares of all others shrink, their calls become free a window later, and are granted
+anew. Prints how long it takes until the last share was sent, and what it costs. It is run
+with watches that give the member's name, which wake for its own changes alone, and with
+watches that do not. Times by the wall hold for a machine without other work; the
+service's part of a core is its processor time.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import random
 import resource
@@ -22,31 +23,92 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass
+from http import HTTPStatus
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from measure.paths import ROOT
+from measure.scale.memory import processor_s
+from rainfall.errors import RainfallError
 
-LEASE_MS, SPAN_MS, DRIFT = 3_000, 1_000, 0.02
-CALLS_A_MEMBER, RESERVE = (
-    50,
-    5,
-)  # a whole is so many calls for each member: more than all need together
-STEADY_S, CHANGE_S = 4.0, 5.0  # how long is counted at rest, and after a change
-BUSY_CALLS, IDLE_CALLS = 120, 10  # calls needed in a span
-SETTLE_TIMEOUT_S = 60.0  # until all shares rest, at the latest
-CONNECTIONS = 2  # of a member: beats and watch
-RESERVED_DESCRIPTORS = 100  # descriptors of either process beside these connections
+LEASE_MS = 3_000
+SPAN_MS = 1_000
+DRIFT = 0.02
+BUDGETS = 3
+CALLS_PER_MEMBER = 50
+"""A budget's calls for each member: more than all members need together."""
+RESERVE = 5
+STEADY_S = 4.0
+"""How long costs are counted without a change."""
+CHANGE_S = 5.0
+"""How long costs are counted after the change."""
+BUSY_CALLS = 120
+IDLE_CALLS = 10
+"""Calls that a member needs in a span."""
+BUSY_PART = 10
+"""One member in so many becomes busy."""
+SETTLE_TIMEOUT_S = 60.0
+"""How long shares may take until they stop changing."""
+SETTLED_AFTER_S = 2.5
+"""Shares that have not changed for so long count as settled."""
+POLL_INTERVAL_S = 0.1
+CONNECTIONS = 2
+"""Connections of a member."""
+RESERVED_DESCRIPTORS = 100
+"""Descriptors of either process beside these connections."""
+DEFAULT_REPEATS = 5
+DEFAULT_MEMBERS = 200
+MS_PER_S = 1000
 
 
-class MeasurementError(Exception):
-    """The run cannot come to its end; the text says why."""
+class MeasurementError(RainfallError):
+    """The run cannot be completed; the text says why."""
+
+
+class Usage(NamedTuple):
+    """What the fleet has used until a moment, or between two."""
+
+    heartbeats: int
+    heartbeat_bytes: int
+    watches: int
+    watch_bytes: int
+    syncs: int
+    processor_s: float
+
+    def since(self, earlier: Usage) -> Usage:
+        """The usage after an earlier moment."""
+        return Usage(
+            self.heartbeats - earlier.heartbeats,
+            self.heartbeat_bytes - earlier.heartbeat_bytes,
+            self.watches - earlier.watches,
+            self.watch_bytes - earlier.watch_bytes,
+            self.syncs - earlier.syncs,
+            self.processor_s - earlier.processor_s,
+        )
+
+
+@dataclass
+class Traffic:
+    """The calls of one kind, from all members."""
+
+    calls: int = 0
+    call_bytes: int = 0
+    """Bytes of requests and answers."""
+
+
+class Answer(NamedTuple):
+    """An answer's status and decoded body."""
+
+    status: int
+    body: Any
 
 
 def allow_descriptors(count: int) -> None:
-    """Raise this process's limit, which the service inherits, as far as the run needs
-    and is allowed. Raises Stuck where that is not enough: connections past the limit
-    would fail one by one.
+    """Raise this process's limit of descriptors, which the service inherits.
+
+    Raises:
+        MeasurementError: The limit is too low for so many members.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = count * CONNECTIONS + RESERVED_DESCRIPTORS
@@ -60,13 +122,15 @@
 
 
 class HttpConnection:
-    """One kept connection."""
+    """A connection that is opened at its first call and kept."""
 
-    def __init__(self, port: int, count: list[int]) -> None:
-        self.port, self.count = port, count
+    def __init__(self, port: int, traffic: Traffic) -> None:
+        self.port = port
+        self.traffic = traffic
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+    async def call(self, method: str, path: str, body: Any = None) -> Answer:
+        """The answer to one call."""
         if self.streams is None:
             self.streams = await asyncio.open_connection("127.0.0.1", self.port)
         reader, writer = self.streams
@@ -78,94 +142,110 @@
         writer.write(sent)
         head = await reader.readuntil(b"\r\n\r\n")
         length = next(
-            int(x[15:])
-            for x in head.split(b"\r\n")
-            if x.lower().startswith(b"content-length:")
+            int(line.partition(b":")[2])
+            for line in head.split(b"\r\n")
+            if line.lower().startswith(b"content-length:")
         )
-        told = await reader.readexactly(length)
-        self.count[0] += 1
-        self.count[1] += len(sent) + len(head) + length
-        return int(head[9:12]), json.loads(told or b"null")
+        answer_body = await reader.readexactly(length)
+        self.traffic.calls += 1
+        self.traffic.call_bytes += len(sent) + len(head) + length
+        status = int(head.split(b" ", 2)[1])
+        return Answer(status, json.loads(answer_body or b"null"))
 
 
 class SimulatedMember:
-    """Beats a third of its lease apart, and at once for news, a new need, and a share
-    to acknowledge.
+    """A member that only exchanges heartbeats.
+
+    It sends one three times in a lease's term, and at once after a wake-up, with a new
+    demand, and to acknowledge a share.
     """
 
     def __init__(
-        self, n: int, port: int, named: bool, counts: dict[str, list[int]]
+        self,
+        number: int,
+        port: int,
+        named: bool,
+        heartbeats: Traffic,
+        watches: Traffic,
     ) -> None:
-        self.name, self.named = f"f{n}", named
-        self.heartbeat_connection, self.watch_connection = (
-            HttpConnection(port, counts["beat"]),
-            HttpConnection(port, counts["watch"]),
-        )
-        self.rng, self.wakeup = random.Random(n), asyncio.Event()
+        self.name = f"f{number}"
+        self.named = named
+        self.heartbeat_connection = HttpConnection(port, heartbeats)
+        self.watch_connection = HttpConnection(port, watches)
+        self.rng = random.Random(number)
+        self.wakeup = asyncio.Event()
         self.token: Any = None
         self.list: Any = None
-        self.needs = {str(budget): IDLE_CALLS for budget in range(3)}
+        self.needs = {str(budget): IDLE_CALLS for budget in range(BUDGETS)}
         self.shares: dict[str, Any] = {}
-        self.sent = self.version = 0
-        self.changed_s = 0.0  # when a share of it last changed
-        self.lost = 0  # how often its lease was out before it was renewed
+        self.sent = 0
+        self.version = 0
+        self.changed_s = 0.0
+        """When one of its shares last changed."""
+        self.lost = 0
+        """How often its lease expired before it was renewed."""
 
     async def run(self) -> None:
+        """Send heartbeats, until it is cancelled."""
         watching: asyncio.Task[None] | None = None
         while True:
-            self.sent += 1
-            status, told = await self.heartbeat_connection.call(
-                "POST",
-                "/v1/fleet/beat",
-                {
-                    "name": self.name,
-                    "site": "a",
-                    "dial": "127.0.0.1:1",
-                    "run": self.name,
-                    "token": self.token,
-                    "sent": self.sent,
-                    "needs": self.needs,
-                    "list": self.list,
-                    "holds": {
-                        d: [s["calls"], s["number"]] for d, s in self.shares.items()
-                    },
-                },
-            )
-            if status == 409 and told["error"] == "held":
-                await asyncio.sleep(told["retry_ms"] / 1000)
-                continue
-            if status == 409:
-                self.rejoin()
+            answer = await self._send_heartbeat()
+            if answer.status == HTTPStatus.CONFLICT:
+                if answer.body["error"] == "held":
+                    await asyncio.sleep(answer.body["retry_ms"] / MS_PER_S)
+                else:
+                    self.rejoin()
                 continue
-            if status != 200:
-                raise MeasurementError(f"{self.name}: status {status}: {told}")
-            if self.shares != told["shares"]:
-                self.changed_s = time.perf_counter()
-                self.wakeup.set()  # acknowledged at once
-            self.token, self.list, self.version = (
-                told["token"],
-                told["list"],
-                told["version"],
-            )
-            self.shares = told["shares"]
+            if answer.status != HTTPStatus.OK:
+                raise MeasurementError(
+                    f"{self.name}: status {answer.status}: {answer.body}"
+                )
+            self._read_answer(answer.body)
             if watching is None or watching.done():
                 if watching is not None:
                     watching.result()
                 watching = asyncio.create_task(self.watch_changes())
-            try:
-                await asyncio.wait_for(
-                    self.wakeup.wait(), LEASE_MS / 3e3 * self.rng.uniform(0.9, 1.0)
-                )
-            except TimeoutError:
-                pass
+            interval_s = LEASE_MS / 3e3 * self.rng.uniform(0.9, 1.0)
+            with contextlib.suppress(TimeoutError):
+                await asyncio.wait_for(self.wakeup.wait(), interval_s)
             self.wakeup.clear()
 
+    async def _send_heartbeat(self) -> Answer:
+        self.sent += 1
+        body = {
+            "name": self.name,
+            "site": "a",
+            "dial": "127.0.0.1:1",
+            "run": self.name,
+            "token": self.token,
+            "sent": self.sent,
+            "needs": self.needs,
+            "list": self.list,
+            "holds": {
+                destination: [share["calls"], share["number"]]
+                for destination, share in self.shares.items()
+            },
+        }
+        return await self.heartbeat_connection.call("POST", "/v1/fleet/beat", body)
+
+    def _read_answer(self, body: Any) -> None:
+        if self.shares != body["shares"]:
+            self.changed_s = time.perf_counter()
+            self.wakeup.set()  # The next heartbeat acknowledges them at once.
+        self.token = body["token"]
+        self.list = body["list"]
+        self.version = body["version"]
+        self.shares = body["shares"]
+
     def rejoin(self) -> None:
-        """The lease is lost: the next beat joins as a new member."""
-        self.token, self.list, self.shares = None, None, {}
+        """Join as a new member with the next heartbeat, since the lease is lost."""
+        self.token = None
+        self.list = None
+        self.shares = {}
         self.lost += 1
 
     async def watch_changes(self) -> None:
+        """Wait for a change, and wake up."""
         name = self.name if self.named else ""
         path = f"/v1/fleet/watch?from={self.version}&hold_ms=30000&name={name}"
         await self.watch_connection.call("GET", path)
@@ -175,43 +255,62 @@
 async def wait_until_settled(
     members: list[SimulatedMember], tasks: list[asyncio.Task[None]], for_s: float
 ) -> None:
-    """Until no share of any has changed for so long, and all have theirs.
+    """Wait until all members have shares, and none has changed for so long.
 
-    Raises Stuck where that does not come, and what a member's task failed with.
+    Raises:
+        MeasurementError: That took more than `SETTLE_TIMEOUT_S`.
+        Exception: What a member's task failed with.
     """
-    until = time.perf_counter() + SETTLE_TIMEOUT_S
-    while (
-        not all(m.shares for m in members)
-        or time.perf_counter() - max(m.changed_s for m in members) < for_s
-    ):
+    deadline_s = time.perf_counter() + SETTLE_TIMEOUT_S
+    while not _are_settled(members, for_s):
         for task in tasks:
             if task.done():
                 task.result()
-        if time.perf_counter() > until:
-            have, lost = (
-                sum(bool(m.shares) for m in members),
-                sum(m.lost for m in members),
-            )
+        if time.perf_counter() > deadline_s:
+            with_shares = sum(bool(member.shares) for member in members)
+            lost = sum(member.lost for member in members)
             raise MeasurementError(
-                f"after {SETTLE_TIMEOUT_S:g} s {have} of {len(members)} members have shares, and leases were"
-                f" lost {lost} times"
+                f"after {SETTLE_TIMEOUT_S:g} s {with_shares} of {len(members)} members"
+                f" have shares, and leases were lost {lost} times"
             )
-        await asyncio.sleep(0.1)
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+def _are_settled(members: list[SimulatedMember], for_s: float) -> bool:
+    if not all(member.shares for member in members):
+        return False
+    last_change_s = max(member.changed_s for member in members)
+    return time.perf_counter() - last_change_s >= for_s
 
 
 async def measure_fleet(count: int, named: bool, folder: Path) -> dict[str, float]:
+    """Run a service with so many members once; the results by title."""
+    service = start_service(count, folder)
+    try:
+        ports_path = folder / "ports"
+        while not ports_path.exists() or not ports_path.read_text():
+            await asyncio.sleep(POLL_INTERVAL_S)
+        _, _, port = map(int, ports_path.read_text().split())
+        return await measure_change(count, named, port, service.pid)
+    finally:
+        service.terminate()
+        service.wait()
+
+
+def start_service(count: int, folder: Path) -> subprocess.Popen[bytes]:
+    """Start the list service with budgets for so many members."""
     budgets = [
         {
-            "destination": str(n),
-            "calls": CALLS_A_MEMBER * count,
+            "destination": str(number),
+            "calls": CALLS_PER_MEMBER * count,
             "span_ms": SPAN_MS,
             "reserve": RESERVE,
             "members_max": count,
         }
-        for n in range(3)
+        for number in range(BUDGETS)
     ]
     (folder / "b.json").write_text(json.dumps({"budgets": budgets}))
-    words = [
+    arguments = [
         "--state",
         folder / "s",
         "--listen",
@@ -234,95 +333,108 @@
         DRIFT,
     ]
     with (folder / "log").open("w") as log:
-        service = subprocess.Popen(
-            [sys.executable, "-m", "rainfall.registry", *map(str, words)],
+        return subprocess.Popen(
+            [sys.executable, "-m", "rainfall.registry", *map(str, arguments)],
             cwd=ROOT,
             stderr=log,
         )
-    try:
-        while not (folder / "ports").exists() or not (folder / "ports").read_text():
-            await asyncio.sleep(0.05)
-        port = int((folder / "ports").read_text().split()[2])
-        counts = {"beat": [0, 0], "watch": [0, 0]}
-        members = [SimulatedMember(n, port, named, counts) for n in range(count)]
-        tasks = [asyncio.create_task(m.run()) for m in members]
-        staff = HttpConnection(port, [0, 0])
-
-        async def marks() -> tuple[float, ...]:
-            syncs = (await staff.call("GET", "/_vars"))[1]["fleet_syncs"]
-            cpu = (
-                Path(f"/proc/{service.pid}/stat")
-                .read_text()
-                .rpartition(")")[2]
-                .split()[11:13]
-            )
-            return (*counts["beat"], *counts["watch"], syncs, sum(map(int, cpu)) / 100)
-
-        await wait_until_settled(members, tasks, 2.5)
-        before = await marks()
-        await asyncio.sleep(STEADY_S)
-        rest = [b - a for a, b in zip(before, await marks(), strict=True)]
-        before, began = await marks(), time.perf_counter()
-        for member in members[: count // 10]:
-            member.needs = {**member.needs, "0": BUSY_CALLS}
-            member.wakeup.set()
-        await asyncio.sleep(CHANGE_S)
-        after = [b - a for a, b in zip(before, await marks(), strict=True)]
-        served = [
-            m for m in members[: count // 10] if m.shares["0"]["calls"] >= BUSY_CALLS
-        ]
-        for task in tasks:
-            task.cancel()
-        return {
-            "ms until the last share was told": (
-                max(m.changed_s for m in members) - began
-            )
-            * 1000,
-            "part of those who asked that got all": len(served) / (count // 10),
-            "members whose share changed": sum(m.changed_s > began for m in members),
-            "leases lost": sum(m.lost for m in members),
-            "syncs of the change": after[4],
-            "beats of the change": after[0] - rest[0] * CHANGE_S / STEADY_S,
-            "watches answered in the change": after[2],
-            "at rest: beats a second": rest[0] / STEADY_S,
-            "at rest: bytes a second": (rest[1] + rest[3]) / STEADY_S,
-            "at rest: bytes of a beat and its answer": rest[1] / rest[0],
-            "at rest: syncs a second": rest[4] / STEADY_S,
-            "at rest: part of one core": rest[5] / STEADY_S,
-            "during the change: part of one core": after[5] / CHANGE_S,
-        }
-    finally:
-        service.terminate()
-        service.wait()
 
 
-async def main(repeats: int, count: int) -> None:
+async def measure_change(
+    count: int, named: bool, port: int, service_pid: int
+) -> dict[str, float]:
+    """Let members join, measure without a change and after one."""
+    heartbeats = Traffic()
+    watches = Traffic()
+    members = [
+        SimulatedMember(number, port, named, heartbeats, watches)
+        for number in range(count)
+    ]
+    tasks = [asyncio.create_task(member.run()) for member in members]
+    operator = HttpConnection(port, Traffic())
+
+    async def usage() -> Usage:
+        variables = (await operator.call("GET", "/_vars")).body
+        return Usage(
+            heartbeats.calls,
+            heartbeats.call_bytes,
+            watches.calls,
+            watches.call_bytes,
+            variables["fleet_syncs"],
+            processor_s(service_pid),
+        )
+
+    await wait_until_settled(members, tasks, SETTLED_AFTER_S)
+    before = await usage()
+    await asyncio.sleep(STEADY_S)
+    steady = (await usage()).since(before)
+    before = await usage()
+    began_s = time.perf_counter()
+    busy = members[: count // BUSY_PART]
+    for member in busy:
+        member.needs = {**member.needs, "0": BUSY_CALLS}
+        member.wakeup.set()
+    await asyncio.sleep(CHANGE_S)
+    change = (await usage()).since(before)
+    for task in tasks:
+        task.cancel()
+    served = sum(member.shares["0"]["calls"] >= BUSY_CALLS for member in busy)
+    last_change_s = max(member.changed_s for member in members)
+    steady_bytes = steady.heartbeat_bytes + steady.watch_bytes
+    return {
+        "ms until the last share was told": (last_change_s - began_s) * MS_PER_S,
+        "part of those who asked that got all": served / len(busy),
+        "members whose share changed": sum(
+            member.changed_s > began_s for member in members
+        ),
+        "leases lost": sum(member.lost for member in members),
+        "syncs of the change": change.syncs,
+        "beats of the change": change.heartbeats
+        - steady.heartbeats * CHANGE_S / STEADY_S,
+        "watches answered in the change": change.watches,
+        "at rest: beats a second": steady.heartbeats / STEADY_S,
+        "at rest: bytes a second": steady_bytes / STEADY_S,
+        "at rest: bytes of a beat and its answer": steady.heartbeat_bytes
+        / steady.heartbeats,
+        "at rest: syncs a second": steady.syncs / STEADY_S,
+        "at rest: part of one core": steady.processor_s / STEADY_S,
+        "during the change: part of one core": change.processor_s / CHANGE_S,
+    }
+
+
+async def run_all(repeats: int, count: int) -> None:
+    """Run all repeats with both kinds of watches, and print the results."""
     allow_descriptors(count)
-    for said, named in (
-        ("watches that name their member", True),
-        ("watches that do not", False),
-    ):
-        found = []
+    kinds = {"watches that name their member": True, "watches that do not": False}
+    for kind, named in kinds.items():
+        runs: list[dict[str, float]] = []
         for repeat in range(repeats):
             with tempfile.TemporaryDirectory() as folder:
-                found.append(await measure_fleet(count, named, Path(folder)))
+                runs.append(await measure_fleet(count, named, Path(folder)))
             print(
-                f"{said}: run {repeat + 1} of {repeats} done",
+                f"{kind}: run {repeat + 1} of {repeats} done",
                 file=sys.stderr,
                 flush=True,
             )
-        print(f"{count} members, 3 budgets, {said}, {repeats} runs:")
-        for name in found[0]:
-            values = [figures[name] for figures in found]
+        print(f"{count} members, {BUDGETS} budgets, {kind}, {repeats} runs:")
+        for title in runs[0]:
+            values = [results[title] for results in runs]
             print(
-                f"  {name}: median {statistics.median(values):.2f}, {min(values):.2f} to {max(values):.2f}"
+                f"  {title}: median {statistics.median(values):.2f}, "
+                f"{min(values):.2f} to {max(values):.2f}"
             )
 
 
-if __name__ == "__main__":
+def main() -> None:
+    """Read the command line, and run."""
+    arguments = [int(argument) for argument in sys.argv[1:]]
+    repeats = arguments[0] if arguments else DEFAULT_REPEATS
+    members = arguments[1] if len(arguments) > 1 else DEFAULT_MEMBERS
     try:
-        asyncio.run(
-            main(*map(int, (sys.argv[1:] + ["5", "200"][len(sys.argv) - 1 :])[:2]))
-        )
+        asyncio.run(run_all(repeats, members))
     except MeasurementError as error:
         sys.exit(f"fleet_service: {error}")
+
+
+if __name__ == "__main__":
+    main()
