--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -1,8 +1,10 @@
-"""Budgets on injected clocks, at 10, 200 and 1,000 members: what a division costs, what
-goes to disk and over the wire, how much of the whole is used, and how long a share
-takes to arrive or to come free after a death.
+"""What budgets cost and how well they are used, in a simulated fleet.
 
     python -m measure.budget_division [REPEATS]
+
+Run from the root of the repository. With 10, 200 and 1,000 members on injected clocks it
+prints what a division costs, what is stored and sent, how much of a budget is used, and
+how long a share takes to arrive, or to be granted to others after a member has failed.
 """
 
 from __future__ import annotations
@@ -11,12 +13,11 @@
 import itertools
 import json
 import random
-import sys
 import time
 from collections import deque
 from collections.abc import Callable
 
-from measure.reporting import format_row
+from measure.reporting import format_row, repeats_argument
 from rainfall.budget.demand import DemandTracker
 from rainfall.budget.fair_share import divide
 from rainfall.budget.ledger import Ledger
@@ -27,48 +28,61 @@
 SECOND_US = 1_000_000
 DRIFT = 0.02
 LEASE_US = 3 * SECOND_US
-LINK_DELAY_US = 2_000  # one way
-MIN_EXTRA_HEARTBEAT_US = 250_000  # beats beside the regular ones, so far apart at least
-PLAN_INTERVAL_US = 50_000  # beats are planned for together, so far apart at least
+LINK_DELAY_US = 2_000
+"""The delay of each direction."""
+MIN_EXTRA_HEARTBEAT_US = 250_000
+"""The least time between heartbeats for a higher demand."""
+EXTRA_HEARTBEAT_RATIO = 1.2
+"""How much higher than reported the demand must be for such a heartbeat."""
+PLAN_INTERVAL_US = 50_000
+MESSAGE_DEADLINE_US = 2 * SECOND_US
+DEFAULT_REPEATS = 7
+FLEET_SIZES = (10, 200, 1_000)
 
 
 class SimulatedMember:
-    def __init__(self, fleet: SimulatedFleet, n: int, rate: float) -> None:
-        self.fleet, self.token, self.rate = fleet, Token(1, n + 1), rate
-        self.quota, self.demand = (
-            MemberQuota(0, DRIFT),
-            DemandTracker(fleet.budget.span_us),
-        )
+    """A member with its own clock, which runs at `rate`, and with its own calls."""
+
+    def __init__(self, fleet: SimulatedFleet, number: int, rate: float) -> None:
+        self.fleet = fleet
+        self.token = Token(1, number + 1)
+        self.rate = rate
+        self.quota = MemberQuota(0, DRIFT)
+        self.demand = DemandTracker(fleet.budget.span_us)
         self.waiting: deque[int] = deque()
         self.arrivals_per_s = 0.0
         self.dead = False
         self.heartbeat_count = 0
-        self.last_told_us = self.last_told_need = (
-            0  # the last beat, and what it said was needed
-        )
-        self.heartbeat_number = (
-            0  # which planned beat and which planned look at the queue are the newest
-        )
+        self.last_heartbeat_us = 0
+        self.reported_demand = 0
+        """The demand in the last heartbeat."""
+        self.heartbeat_number = 0
         self.send_number = 0
+        """Only the newest scheduled heartbeat, and the newest send, are carried out."""
 
     def now(self) -> int:
+        """Microseconds of the member's clock."""
         return int(self.fleet.now_us * self.rate)
 
-    def call_after(self, own_us: int, what: Callable[[], None]) -> None:
+    def call_after(self, own_us: int, action: Callable[[], None]) -> None:
+        """Schedule an action after a time by the member's clock, unless it is dead."""
         self.fleet.call_at(
             self.fleet.now_us + int(own_us / self.rate) + 1,
-            lambda: None if self.dead else what(),
+            lambda: None if self.dead else action(),
         )
 
     def send_heartbeat(self) -> None:
+        """Send a heartbeat, and schedule the next one."""
         self.heartbeat_number += 1
-        due, asked_us = self.heartbeat_number, self.now()
-        while self.waiting and self.waiting[0] < asked_us - 2 * SECOND_US:
-            self.waiting.popleft()  # its deadline is over
+        number = self.heartbeat_number
+        asked_us = self.now()
+        while self.waiting and self.waiting[0] < asked_us - MESSAGE_DEADLINE_US:
+            self.waiting.popleft()
         needs = self.demand.demand_by_part(asked_us, {"": len(self.waiting)})
         holds = self.quota.held_share(self.token)
         self.heartbeat_count += 1
-        self.last_told_us, self.last_told_need = asked_us, sum(needs.values())
+        self.last_heartbeat_us = asked_us
+        self.reported_demand = sum(needs.values())
         self.fleet.wire_bytes += len(
             json.dumps({"needs": {"7": needs.get("", 0)}, "holds": {"7": holds}})
         )
@@ -76,13 +90,14 @@
             self.fleet.now_us + LINK_DELAY_US,
             lambda: self.fleet.serve_heartbeat(self, asked_us, needs, holds),
         )
-        wait = int(LEASE_US / 3 * self.fleet.rng.uniform(0.9, 1.0))
+        interval_us = int(LEASE_US / 3 * self.fleet.rng.uniform(0.9, 1.0))
         self.call_after(
-            wait,
-            lambda: self.send_heartbeat() if due == self.heartbeat_number else None,
+            interval_us,
+            lambda: self.send_heartbeat() if number == self.heartbeat_number else None,
         )
 
     def on_answer(self, asked_us: int, shares: dict[str, Share]) -> None:
+        """Receive the shares of a heartbeat's answer, and acknowledge new ones."""
         if self.dead:
             return
         held = self.quota.held_share(self.token)
@@ -91,33 +106,29 @@
                 share, asked_us + int(LEASE_US * (1 - DRIFT)), self.now()
             )
         if self.quota.held_share(self.token) != held:
-            self.send_heartbeat()  # acknowledged at once
+            self.send_heartbeat()
             self.send()
 
     def arrive(self) -> None:
-        if self.arrivals_per_s:
-            self.waiting.append(self.now())
-            self.demand.record_calls(self.now())
-            self.send()
-            if (
-                self.waiting
-                and self.now() - self.last_told_us >= MIN_EXTRA_HEARTBEAT_US
-            ):
-                needs = sum(
-                    self.demand.demand_by_part(
-                        self.now(), {"": len(self.waiting)}
-                    ).values()
-                )
-                if needs > 1.2 * self.last_told_need:
-                    # its share does not do and more is needed than was said: say so at
-                    # once
-                    self.send_heartbeat()
-            self.call_after(
-                int(SECOND_US / self.arrivals_per_s * self.fleet.rng.uniform(0.5, 1.5)),
-                self.arrive,
-            )
+        """Let a message arrive, and schedule the next one."""
+        if not self.arrivals_per_s:
+            return
+        self.waiting.append(self.now())
+        self.demand.record_calls(self.now())
+        self.send()
+        since_heartbeat_us = self.now() - self.last_heartbeat_us
+        if self.waiting and since_heartbeat_us >= MIN_EXTRA_HEARTBEAT_US:
+            needs = self.demand.demand_by_part(self.now(), {"": len(self.waiting)})
+            demand = sum(needs.values())
+            if demand > EXTRA_HEARTBEAT_RATIO * self.reported_demand:
+                self.send_heartbeat()
+        self.call_after(
+            int(SECOND_US / self.arrivals_per_s * self.fleet.rng.uniform(0.5, 1.5)),
+            self.arrive,
+        )
 
     def send(self) -> None:
+        """Make the calls that the share allows, and schedule the next."""
         now_us = self.now()
         while self.waiting and self.quota.spend(now_us):
             self.waiting.popleft()
@@ -125,22 +136,22 @@
         next_us = self.quota.available_at(now_us) if self.waiting else None
         if next_us is not None:
             self.send_number += 1
-            look = self.send_number
+            number = self.send_number
             self.call_after(
                 max(1, next_us - now_us),
-                lambda: self.send() if look == self.send_number else None,
+                lambda: self.send() if number == self.send_number else None,
             )
 
-    def set_arrivals(self, calls: float) -> None:
-        before, self.arrivals_per_s = self.arrivals_per_s, calls
-        if calls and not before:
+    def set_arrivals(self, calls_per_s: float) -> None:
+        """Change the rate of arrivals."""
+        was_idle = not self.arrivals_per_s
+        self.arrivals_per_s = calls_per_s
+        if calls_per_s and was_idle:
             self.arrive()
 
 
 class SimulatedFleet:
-    """A service and members on clocks of their own, in simulated time; links lose
-    nothing.
-    """
+    """A service and its members in simulated time; links lose nothing."""
 
     def __init__(self, members: int, budget: Budget, seed: int = 0) -> None:
         self.rng, self.now_us, self.budget = random.Random(seed), 0, budget
@@ -160,16 +171,19 @@
             self.call_at(self.rng.randrange(LEASE_US // 3), member.send_heartbeat)
         self.call_at(PLAN_INTERVAL_US, self.tick)
 
-    def call_at(self, when: int, what: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when, next(self.order), what))
+    def call_at(self, at_us: int, action: Callable[[], None]) -> None:
+        """Schedule an action."""
+        heapq.heappush(self.events, (at_us, next(self.order), action))
 
-    def run(self, until: int) -> None:
-        while self.events and self.events[0][0] <= until:
-            self.now_us, _, what = heapq.heappop(self.events)
-            what()
-        self.now_us = until
+    def run(self, until_us: int) -> None:
+        """Carry out all that is scheduled until a time."""
+        while self.events and self.events[0][0] <= until_us:
+            self.now_us, _, action = heapq.heappop(self.events)
+            action()
+        self.now_us = until_us
 
     def tick(self) -> None:
+        """Expire leases, plan, and wake the members whose shares change."""
         for token in [t for t, until in self.leases.items() if until <= self.now_us]:
             del self.leases[token]
             self.ledger.lease_expired(token, self.now_us)
@@ -182,7 +196,7 @@
             self.disk_bytes += len(json.dumps(change.to_record()))
             self.ledger.commit(change)
             woken = {g.token for g in change.grants}
-            for member in self.members:  # their watch tells them that there is news
+            for member in self.members:
                 if member.token in woken:
                     self.call_at(
                         self.now_us + LINK_DELAY_US,
@@ -197,6 +211,7 @@
         needs: dict[str, int],
         holds: tuple[int, int] | None,
     ) -> None:
+        """Handle a heartbeat, and send the answer."""
         if self.ledger.heartbeat(
             member.token, {"7": needs}, {"7": holds} if holds else {}, self.now_us
         ):
@@ -244,7 +259,7 @@
 
 
 def ms_until(fleet: SimulatedFleet, done: Callable[[], bool], most: int) -> float:
-    """Milliseconds until it is so."""
+    """Milliseconds until a condition holds; RuntimeError after `most` microseconds."""
     began = fleet.now_us
     while not done():
         if fleet.now_us - began > most:
@@ -254,9 +269,7 @@
 
 
 def division_ms(members: int, repeats: int) -> list[float]:
-    """Milliseconds of one division, a third of the members with work in two weighted
-    parts.
-    """
+    """Milliseconds of one division; a third of the members have demand in two parts."""
     took = []
     for repeat in range(repeats):
         rng = random.Random(repeat)
@@ -276,9 +289,11 @@
 def measure_two_of_ten(
     reserve: int, seed: int
 ) -> tuple[float, float, float, float, int]:
-    """Part of the whole used, ms until the demand's share came, ms from a death until
-    its share works with the other, against at most so many, and calls in the fullest
-    span.
+    """Two of ten members with work, one of which fails.
+
+    Returns the part of the budget that was used; the ms until both had their share; the
+    ms from the failure until the other had the whole share, and the bound of that; and
+    the calls in the fullest window.
     """
     budget = Budget("7", 100, SECOND_US, reserve, 10)
     fleet = SimulatedFleet(10, budget, seed)
@@ -314,10 +329,10 @@
 def measure_swings(
     members: int, seconds: int, steady: bool
 ) -> tuple[float, float, float, float, float, float]:
-    """A fifth of the members have work; not `steady`: another fifth every 5 s.
+    """A fifth of the members have work; another fifth every 5 s unless `steady`.
 
-    Records and bytes a second on disk, beats and bytes a second of their budget part,
-    ms of a plan, worst span over the whole.
+    Returns the records and bytes stored a second, the heartbeats and their bytes a
+    second, the ms of a plan, and the fullest window as a part of the budget.
     """
     fleet = SimulatedFleet(
         members, Budget("7", members * 10, SECOND_US, 1, members), members
@@ -345,8 +360,10 @@
     )
 
 
-def main(repeats: int) -> None:
-    for members in (10, 200, 1_000):
+def main() -> None:
+    """Run all, and print the results."""
+    repeats = repeats_argument(DEFAULT_REPEATS)
+    for members in FLEET_SIZES:
         print(
             format_row(
                 f"{members} members: ms of one division", division_ms(members, repeats)
@@ -371,7 +388,7 @@
             f"  lease + drift + span and slack: {runs[0][3]:.0f} ms; "
             f"fullest span: {max(r[4] for r in runs)}"
         )
-    for members in (10, 200, 1_000):
+    for members in FLEET_SIZES:
         for steady in (True, False):
             records, disk, beats, wire, plan, full = measure_swings(members, 10, steady)
             how = "steady" if steady else "another fifth every 5 s"
@@ -383,4 +400,4 @@
 
 
 if __name__ == "__main__":
-    main(int(sys.argv[1]) if len(sys.argv) > 1 else 7)
+    main()
