--- a/rainfall/registry/budget_api.py
+++ b/rainfall/registry/budget_api.py
@@ -128,35 +128,14 @@
             await read_json(request, fleet.context.limits), ProcessEndedRequest
         )
         token = Token(*call.token)
-        if token in budgets.ledger.names:
-            raise RequestError(
-                409,
-                [
-                    f"token: a member is in force under {call.token}: revoke its lease first"
-                ],
-            )
-        if not any(
-            token in book.accounts for book in budgets.ledger.budget_accounts.values()
-        ):
-            raise RequestError(404, [f"token: nothing is held under {call.token}"])
-        await store_confirmation(token)
+        _check_ended_token(budgets, token)
+        await _store_confirmation(fleet, budgets, token)
         return json_response(200, {"token": call.token, "ended": True})
 
     async def reserves_known(_: web.Request) -> web.StreamResponse:
-        await store_confirmation(None)
+        await _store_confirmation(fleet, budgets, None)
         return json_response(200, {"known": True})
 
-    async def store_confirmation(token: Token | None) -> None:
-        def confirm(now_us: int) -> list[Row]:
-            return budgets.confirm_processes(now_us, token)
-
-        def plan_frozen(now_us: int) -> list[Row]:
-            return budgets.plan(now_us, True, [])
-
-        await await_stored(fleet.apply_rows(budgets.name, confirm))
-        # Where the write of a plan had failed, the rows above are those of that plan.
-        await await_stored(fleet.apply_rows(budgets.name, plan_frozen))
-
     return [
         *read_routes(fleet, budgets),
         web.put("/v1/budgets", put),
@@ -165,6 +144,34 @@
     ]
 
 
+def _check_ended_token(budgets: BudgetExtension, token: Token) -> None:
+    """Raise RequestError if the token's process may not be confirmed to have ended."""
+    shown = token.to_wire()
+    if token in budgets.ledger.names:
+        raise RequestError(
+            409, [f"token: a member is in force under {shown}: revoke its lease first"]
+        )
+    all_accounts = budgets.ledger.budget_accounts.values()
+    if not any(token in accounts.accounts for accounts in all_accounts):
+        raise RequestError(404, [f"token: nothing is held under {shown}"])
+
+
+async def _store_confirmation(
+    fleet: FleetCoordinator, budgets: BudgetExtension, token: Token | None
+) -> None:
+    """Store what an operator confirms; see `BudgetExtension.confirm_processes`."""
+
+    def confirm(now_us: int) -> list[Row]:
+        return budgets.confirm_processes(now_us, token)
+
+    def plan_frozen(now_us: int) -> list[Row]:
+        return budgets.plan(now_us, True, [])
+
+    await await_stored(fleet.apply_rows(budgets.name, confirm))
+    # Where the write of a plan had failed, the rows above are those of that plan.
+    await await_stored(fleet.apply_rows(budgets.name, plan_frozen))
+
+
 def read_routes(
     fleet: FleetCoordinator, budgets: BudgetExtension
 ) -> list[web.RouteDef]:
--- a/rainfall/registry/fleet_services.py
+++ b/rainfall/registry/fleet_services.py
@@ -96,14 +96,7 @@
     fleet = await service.start_fleet(
         lease_terms, ttl_us, (map_extension, budget_extension), watermark_path
     )
-    budget_table = GaugeTable(
-        "budget",
-        "destination",
-        BUDGET_HELP_TEXTS,
-        lambda: budget_extension.metrics(service.now_us()),
-    )
-    service.gauge_tables.append(budget_table)
-    service.gauge_sources.append(map_extension.gauges)
+    _add_gauges(service, budget_extension, map_extension)
     if budgets is not None and budgets != budget_extension.last_file_budgets:
         await budget_api.apply_budgets(fleet, budget_extension, budgets, "file")
     if reserves_known:
@@ -114,3 +107,16 @@
     if planner is not None:
         planner.start(fleet)
     return FleetServices(fleet, budget_extension, map_extension, planner)
+
+
+def _add_gauges(
+    service: RegistryServer, budgets: BudgetExtension, maps: ShardMapExtension
+) -> None:
+    budget_table = GaugeTable(
+        "budget",
+        "destination",
+        BUDGET_HELP_TEXTS,
+        lambda: budgets.metrics(service.now_us()),
+    )
+    service.gauge_tables.append(budget_table)
+    service.gauge_sources.append(maps.gauges)
