--- a/measure/scale/__main__.py
+++ b/measure/scale/__main__.py
@@ -1,8 +1,9 @@
-"""Runs measurements and keeps what they gave.
+"""Runs measurements and stores their results.
 
     python -m measure.scale [--list | --merge FILE | NAME...]
 
-Without a name all are run, one after another; each is kept as soon as it is done.
+Run from the root of the repository. Without a name all are run, one after another; the
+results of each are stored as soon as it is done.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 def print_series(series: Series) -> None:
-    """Print each point, and what the growth comes to."""
+    """Print each point, and the fitted growth."""
     print(
         f"  {series.name}, {series.value_unit} against {series.size_unit} ({series.role}):"
     )
@@ -49,18 +50,19 @@
 
 
 def run_measurement(measurement: Measurement, path: Path) -> None:
-    """Run one measurement and keep what it gave."""
+    """Run one measurement and store its results."""
     print(f"{measurement.name}: {measurement.summary}", flush=True)
-    began = time.perf_counter()
+    began_s = time.perf_counter()
     origin = results.origin(f"python -m measure.scale {measurement.name}")
     series = tuple(measurement.run(lambda line: print(f"  {line}", flush=True)))
     results.merge_entries([Entry(measurement.name, origin, series)], path)
     for one in series:
         print_series(one)
-    print(f"  took {time.perf_counter() - began:.0f} s")
+    print(f"  took {time.perf_counter() - began_s:.0f} s")
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
+    """Run the command."""
     parser = argparse.ArgumentParser(prog="python -m measure.scale")
     parser.add_argument(
         "names", nargs="*", metavar="NAME", help="what to run; all where none is named"
--- a/measure/scale/process_probe.py
+++ b/measure/scale/process_probe.py
@@ -1,5 +1,6 @@
-"""What one act costs a process: processor time (the machine may be shared), memory,
-steps of the program.
+"""What an action costs this process: processor time, memory, and lines of the program.
+
+Processor time is measured since the machine may have other work.
 """
 
 from __future__ import annotations
@@ -14,18 +15,21 @@
 from typing import Any
 
 MIN_MEASURED_MS = 20.0
-"""Short acts are repeated until they have taken so much processor time together."""
+"""Short actions are repeated until they have taken this processor time together."""
 MAX_ROUNDS = 1 << 20
+NS_PER_MS = 1e6
+BYTES_PER_KIB = 1024
 STATUS_PATH = Path("/proc/self/status")
 RESET_PEAK = "5"
-"""What /proc/self/clear_refs takes to count the peak of memory anew."""
+"""What is written to /proc/self/clear_refs to reset the peak of memory."""
 PROGRAM_PATH_PART = f"{Path('rainfall')}/"
 
 
 @contextlib.contextmanager
 def frozen_collector() -> Iterator[None]:
-    """What was made before is left out of the collector's rounds, as the program does
-    at its start.
+    """Keep the garbage collector from visiting existing objects.
+
+    The program does the same at its start.
     """
     gc.collect()
     gc.freeze()
@@ -36,59 +40,59 @@
 
 
 def processor_ms(action: Callable[[], Any], freeze: bool = True) -> float:
-    """Milliseconds of processor time of one act, run once.
+    """Milliseconds of processor time of an action that is run once.
 
-    Without `freeze` the collector goes through what was made before as well.
+    Without `freeze` the garbage collector visits existing objects too.
     """
     with frozen_collector() if freeze else contextlib.nullcontext():
-        began = time.process_time_ns()
+        began_ns = time.process_time_ns()
         action()
-        return (time.process_time_ns() - began) / 1e6
+        return (time.process_time_ns() - began_ns) / NS_PER_MS
 
 
 def processor_ms_each(
     action: Callable[[], Any], least_ms: float = MIN_MEASURED_MS
 ) -> float:
-    """Milliseconds of processor time of one act, run as often as takes `least_ms`
-    together.
-    """
+    """Milliseconds of processor time of an action that is repeated for `least_ms`."""
     rounds = 1
     while True:
         with frozen_collector():
-            began = time.process_time_ns()
+            began_ns = time.process_time_ns()
             for _ in range(rounds):
                 action()
-            took_ms = (time.process_time_ns() - began) / 1e6
+            took_ms = (time.process_time_ns() - began_ns) / NS_PER_MS
         if took_ms >= least_ms or rounds >= MAX_ROUNDS:
             return took_ms / rounds
         rounds *= 2 if took_ms < least_ms / 16 else 1 + int(least_ms / took_ms)
 
 
 def resident_bytes() -> int:
-    """Memory of this process in the machine, now."""
+    """Resident memory of this process."""
     gc.collect()
     return _status_bytes("VmRSS")
 
 
 def peak_bytes() -> int:
-    """The most that it was since the start, or since `reset_peak`."""
+    """The peak of resident memory since the start, or since `reset_peak`."""
     return _status_bytes("VmHWM")
 
 
 def reset_peak() -> None:
+    """Let `peak_bytes` count from now on."""
     Path("/proc/self/clear_refs").write_text(RESET_PEAK)
 
 
 def _status_bytes(name: str) -> int:
     for line in STATUS_PATH.read_text().splitlines():
         if line.startswith(f"{name}:"):
-            return int(line.split()[1]) * 1024
+            return int(line.split()[1]) * BYTES_PER_KIB
     raise OSError(f"{STATUS_PATH} does not tell {name}")
 
 
 def count_lines(action: Callable[[], Any]) -> int:
-    """Lines of the program that one act runs, one loop's turn counting each time: the
-    same on any machine.
+    """Lines of the program that an action runs, each time it runs them.
+
+    The count is the same on every machine.
     """
     count = 0
 
--- a/measure/scale/results.py
+++ b/measure/scale/results.py
@@ -1,7 +1,7 @@
-"""The records of a measurement, and the file that keeps them.
+"""The results of measurements, and the file that stores them.
 
-A `Measurement` is run by its name and yields `Series`; the frame adds the `Origin`
-(commit, command, machine, time). In the file each measurement has one entry: running it
+A `Measurement` is run by its name and yields `Series`; the `Origin` (commit, command,
+machine, time) is added to them. In the file each measurement has one entry: running it
 again replaces that entry alone.
 """
 
@@ -13,7 +13,7 @@
 import statistics
 import subprocess
 from collections.abc import Callable, Iterable
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from datetime import UTC, datetime
 from pathlib import Path
 from typing import Any
@@ -23,19 +23,19 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 RESULTS = Path(__file__).resolve().parent / "results.json"
 MEASURED_PATHS = ("rainfall", "measure", f":!{RESULTS.relative_to(ROOT)}")
-"""What a figure depends on."""
-PLAIN_FIELDS = ("name", "role", "size_unit", "value_unit", "bound")
+"""What a result depends on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """What was measured at one size: a value for each repeat."""
+    """The values of all repeats at one size."""
 
     size: float
     values: tuple[float, ...]
 
     @property
     def median(self) -> float:
+        """The median of the values."""
         return statistics.median(self.values)
 
 
@@ -85,9 +85,7 @@
     """Where figures come from."""
 
     commit: str
-    """Short hash; `+` follows it where what is measured, or measures, differed from the
-    commit.
-    """
+    """Short hash; with `+` if the program or the measurements differed from it."""
     command: str
     machine: str
     at: str
@@ -96,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """All that one run of a measurement gave."""
+    """All results of one run of a measurement."""
 
     measurement: str
     origin: Origin
@@ -111,11 +109,12 @@
     origin: Origin
 
 
-def run_git(*words: str) -> str:
-    told = subprocess.run(
-        ["git", *words], cwd=ROOT, check=True, capture_output=True, text=True
+def run_git(*arguments: str) -> str:
+    """The output of a git command in the repository."""
+    done = subprocess.run(
+        ["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True
     )
-    return told.stdout.strip()
+    return done.stdout.strip()
 
 
 def memory_bytes() -> int:
@@ -124,12 +123,16 @@
 
 
 def machine() -> str:
-    """The machine in a few words; nothing that names it."""
-    cores, gigabytes = os.cpu_count(), round(memory_bytes() / 2**30)
-    return f"{cores} cores, {gigabytes} GiB, {platform.system()}, Python {platform.python_version()}"
+    """The machine in a few words, without its name."""
+    gibibytes = round(memory_bytes() / 2**30)
+    return (
+        f"{os.cpu_count()} cores, {gibibytes} GiB, {platform.system()}, "
+        f"Python {platform.python_version()}"
+    )
 
 
 def origin(command: str) -> Origin:
+    """The origin of results of this tree, now."""
     changed = "+" if run_git("status", "--porcelain", "--", *MEASURED_PATHS) else ""
     now = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
     return Origin(
@@ -138,7 +141,7 @@
 
 
 def decode_entry(document: dict[str, Any]) -> Entry:
-    """An entry as the file has it."""
+    """The entry of its document in the file."""
     series = tuple(
         Series(
             series_document["name"],
@@ -152,51 +155,73 @@
         )
         for series_document in document["series"]
     )
-    return Entry(document["measurement"], Origin(**document["origin"]), series)
+    return Entry(document["measurement"], _decode_origin(document["origin"]), series)
+
+
+def _decode_origin(document: dict[str, str]) -> Origin:
+    return Origin(
+        document["commit"], document["command"], document["machine"], document["at"]
+    )
+
+
+def _encode_origin(origin: Origin) -> dict[str, str]:
+    return {
+        "commit": origin.commit,
+        "command": origin.command,
+        "machine": origin.machine,
+        "at": origin.at,
+    }
 
 
 def encode_entry(entry: Entry) -> str:
-    """An entry as text; each series is one line, so that histories of the file can be
-    merged.
+    """The text of an entry in the file.
+
+    Each series is one line, so that git can merge changes of the file.
     """
     lines = []
     for series in entry.series:
-        fields = {name: getattr(series, name) for name in PLAIN_FIELDS}
-        fields["points"] = [[point.size, list(point.values)] for point in series.points]
+        fields = {
+            "name": series.name,
+            "role": series.role,
+            "size_unit": series.size_unit,
+            "value_unit": series.value_unit,
+            "bound": series.bound,
+            "points": [[point.size, list(point.values)] for point in series.points],
+        }
         lines.append("   " + json.dumps(fields))
     return (
         f'  {{"measurement": {json.dumps(entry.measurement)},\n'
-        f'   "origin": {json.dumps(asdict(entry.origin))},\n'
+        f'   "origin": {json.dumps(_encode_origin(entry.origin))},\n'
         '   "series": [\n' + ",\n".join(lines) + "]}"
     )
 
 
 def load_entries(path: Path = RESULTS) -> dict[str, Entry]:
-    """All entries of the file by their measurement; none where there is no file."""
+    """All entries of the file by their measurement; empty if there is no file."""
     if not path.exists():
         return {}
     entries = [
-        decode_entry(told) for told in json.loads(path.read_text())["measurements"]
+        decode_entry(document)
+        for document in json.loads(path.read_text())["measurements"]
     ]
     return {entry.measurement: entry for entry in entries}
 
 
 def save_entries(entries: dict[str, Entry], path: Path = RESULTS) -> None:
+    """Write the file with these entries."""
     text = ",\n".join(encode_entry(entries[name]) for name in sorted(entries))
     path.write_text('{"measurements": [\n' + text + "\n]}\n")
 
 
 def merge_entries(new: Iterable[Entry], path: Path = RESULTS) -> None:
-    """Put entries into the file in place of those of the same measurements; all others
-    stay.
-    """
+    """Replace the entries of the same measurements in the file; others stay."""
     entries = load_entries(path)
     entries.update({entry.measurement: entry for entry in new})
     save_entries(entries, path)
 
 
 def find_series(entries: dict[str, Entry], series: str) -> LocatedSeries | None:
-    """The series of that name, from whichever measurement; None where none was run."""
+    """The series of that name, from any measurement; None if it was not run."""
     for entry in entries.values():
         for one in entry.series:
             if one.name == series:
