--- a/measure/scale/failures.py
+++ b/measure/scale/failures.py
@@ -1,4 +1,4 @@
-"""What each failure of the target costs at its peak, and what control then has to do."""
+"""What each failure of the target costs, and what the control plane then has to do."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Something that goes wrong as a whole."""
+    """A failure of several parts at once."""
 
     name: str
     forwarders: int
-    """That are gone at once."""
+    """How many have failed at once."""
     remaining_service: str
-    """Who serves meanwhile, and what does not."""
+    """Who serves meanwhile, and what does not work."""
     control: tuple[tuple[str, str], ...]
-    """What to call a figure of control, and its series."""
+    """The label and the series of each value of the control plane."""
     held_back_per_s: float = 0.0
-    """Messages a second that are taken on and cannot be delivered meanwhile."""
+    """Messages a second that are accepted and cannot be delivered meanwhile."""
     duration_s: float = 0.0
-    """How long that lasts."""
+    """How long the failure lasts."""
 
 
 SPLIT = f"split: 50% of the members cut off for {target.SPLIT_S:.0f} s"
-"""How the series of such a split begin."""
+"""How the names of the series of such a split begin."""
 FAILURES = (
     Failure(
         "two machines of a day, at once",
@@ -105,19 +105,17 @@
 
 
 def lost_per_s(failure: Failure) -> float:
-    """Messages a second that the failed forwarders took, until clients go elsewhere."""
+    """Messages a second of the failed forwarders, until clients use others."""
     return failure.forwarders * target.FORWARDER_PER_S
 
 
 def others_per_s(failure: Failure) -> float:
-    """Messages a second that each other forwarder then takes, if all clients go
-    elsewhere evenly.
-    """
+    """Messages a second of each other forwarder, if clients are spread evenly."""
     return target.MESSAGES_PER_S / (target.FORWARDERS - failure.forwarders)
 
 
 def held_messages(failure: Failure) -> float:
-    """Messages held that nobody can send meanwhile, or that come to be held."""
+    """Accepted messages that nobody can send meanwhile."""
     return (
         failure.forwarders * target.FORWARDER_BACKLOG
         + failure.held_back_per_s * failure.duration_s
@@ -127,4 +125,5 @@
 def control_figures(
     failure: Failure, entries: dict[str, Entry]
 ) -> list[tuple[str, LocatedSeries | None]]:
+    """The label and the series of each value of the control plane."""
     return [(label, find_series(entries, series)) for label, series in failure.control]
--- a/measure/scale/growth.py
+++ b/measure/scale/growth.py
@@ -1,5 +1,6 @@
-"""Runs a measurement at sizes that go up by factors until the largest wanted or a bound
-is met, each in a process of its own where memory is measured.
+"""Runs a measurement at rising sizes, up to the largest wanted or a limit.
+
+The limits are the time that a size may take, and the machine's memory.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 Result = TypeVar("Result")
 
 MEMORY_SHARE = 0.5
-"""Of the machine's memory that one run may be expected to take."""
+"""The part of the machine's memory that one run may take, as expected."""
 POINT_S = 60.0
-"""Seconds that all repeats at one size may be expected to take."""
+"""How long all repeats at one size may take, as expected."""
 
 
 def sizes_by(first: int, factor: float, most: int) -> list[int]:
@@ -32,17 +33,18 @@
 
 @dataclass(slots=True)
 class Growth:
-    """Points by the name of what was measured, and why no larger size was run."""
+    """The points of each measured value, and why no larger size was run."""
 
     points: dict[str, list[Point]] = field(default_factory=dict)
     bound: str = "largest size wanted"
 
     def points_of(self, name: str) -> tuple[Point, ...]:
+        """The points of a value."""
         return tuple(self.points[name])
 
 
 def expected_s(took: float, took_before: float, factor: float) -> float:
-    """How long the next size may take: what each size takes alike is not multiplied."""
+    """How long the next size may take; only what has grown is multiplied."""
     if not took_before:
         return took
     return took + max(0.0, took - took_before) * factor
@@ -58,11 +60,14 @@
 ) -> Growth:
     """Measure each size `repeats` times.
 
-    `once` tells values by name; `memory` tells from these how many bytes the run took,
-    where that can come near the bound.
+    `measure` returns values by name; `memory` returns from these how many bytes the run
+    took, where that can come near the limit.
     """
     growth = Growth()
-    before, took_s, took_before_s, used_bytes = 0, 0.0, 0.0, 0.0
+    before = 0
+    took_s = 0.0
+    took_before_s = 0.0
+    used_bytes = 0.0
     for size in sizes:
         factor = size / before if before else 1.0
         if expected_s(took_s, took_before_s, factor) > point_s:
@@ -73,9 +78,11 @@
                 f"memory: size {size:,} is expected to take over half of the machine's"
             )
             break
-        began = time.perf_counter()
+        began_s = time.perf_counter()
         runs = [measure(size) for _ in range(repeats)]
-        before, took_before_s, took_s = size, took_s, time.perf_counter() - began
+        before = size
+        took_before_s = took_s
+        took_s = time.perf_counter() - began_s
         used_bytes = max(map(memory, runs)) if memory else 0.0
         for name in runs[0]:
             point = Point(size, tuple(run[name] for run in runs))
@@ -88,9 +95,7 @@
 
 
 def run_isolated(function: Callable[..., Result], *arguments: Any) -> Result:
-    """Call a module's function in a fresh process, so that nothing before it counts in
-    its memory.
-    """
+    """Call a module's function in a new process, whose memory holds nothing else."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(max_workers=1, mp_context=context) as pool:
         return pool.submit(function, *arguments).result()
--- a/measure/scale/hollow_peaks.py
+++ b/measure/scale/hollow_peaks.py
@@ -1,4 +1,4 @@
-"""The busiest moments of a fleet, from the samples of its processes."""
+"""The peaks of a fleet's traffic, from the samples of its processes."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Peaks:
-    """The most of all processes together: in a second, and for connections also in a
-    tenth of one.
+    """The highest counts of all processes together, in a second.
+
+    `opened` counts connections, and `opened_tenth` those in a tenth of a second.
     """
 
     beats: int
@@ -25,7 +26,7 @@
 
 
 def peaks(processes: Sequence[Sequence[Sample]]) -> Peaks:
-    """From the samples of each process, in the order of their times.
+    """The peaks of the samples of each process, which are in the order of their times.
 
     A count stands until the next sample, so a peak is off by at most one sample of each
     process.
@@ -43,7 +44,7 @@
     count: Callable[[Sample], int],
     window_ns: int,
 ) -> int:
-    """The greatest growth of a count within a window."""
+    """The highest growth of a count within a window."""
     sampled = [samples for samples in processes if samples]
     if not sampled:
         return 0
@@ -63,6 +64,6 @@
 def value_at(
     samples: Sequence[Sample], count: Callable[[Sample], int], at_ns: int
 ) -> int:
-    """The count of the last sample that is not later."""
+    """The count of the last sample at or before a time."""
     index = bisect_right(samples, at_ns, key=lambda sample: sample.at_ns)
     return count(samples[max(0, index - 1)])
--- a/measure/scale/message_list.py
+++ b/measure/scale/message_list.py
@@ -1,6 +1,4 @@
-"""What listed endpoints cost a dispatcher: to take the list, to change one, in memory
-and at each event.
-"""
+"""What listed endpoints cost a dispatcher: in memory, at a change, and at each event."""
 
 from __future__ import annotations
 
@@ -27,15 +25,17 @@
 
 ENDPOINTS = sizes_by(100, 4, target.DESTINATIONS)
 CHANGES = 20
+"""Changes of the list, each of one endpoint."""
 TRAFFIC_S = 6.0
+WARM_UP_US = 300 * MILLISECOND_US
 
 
 def measure_list(endpoints: int) -> Mapping[str, float]:
-    """Traffic, then changes of the list, each of one endpoint."""
+    """Run traffic, then change the list."""
     traffic = Traffic(endpoints)
     gc.collect()
     memory = resident_bytes()
-    traffic.run(300 * MILLISECOND_US, TRAFFIC_S, SECOND_US)
+    traffic.run(WARM_UP_US, TRAFFIC_S, SECOND_US)
     event = traffic.run(SECOND_US, TRAFFIC_S, SECOND_US)
     change = ProcessorUsage()
     for number in range(CHANGES):
@@ -52,6 +52,7 @@
 
 
 def series(progress: Progress) -> Iterator[Series]:
+    """The series of all sizes."""
     growth = grow(
         ENDPOINTS, lambda endpoints: run_isolated(measure_list, endpoints), progress
     )
--- a/measure/scale/service_forwarders.py
+++ b/measure/scale/service_forwarders.py
@@ -21,11 +21,11 @@
 from typing import Any
 from urllib.request import urlopen
 
+from measure.scale import memory
 from measure.scale.hollow_fleet import HollowFleet
-from measure.scale.memory import resident_bytes
 from measure.scale.results import ROOT, Measurement, Progress, Series
 from measure.scale.service_members import SeriesBuilder, measure_idle
-from measure.scale.service_process import CLOCK_TICKS, ListService
+from measure.scale.service_process import ListService
 from measure.scale.target import Role
 from tests.support.loopback_peers import SETTINGS, free_port
 
@@ -77,16 +77,12 @@
             return dict(json.load(answer))
 
     def processor_s(self) -> float:
-        fields = (
-            Path(f"/proc/{self.process.pid}/stat")
-            .read_text()
-            .rpartition(")")[2]
-            .split()
-        )
-        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
+        """User and system time of the process."""
+        return memory.processor_s(self.process.pid)
 
     def resident_bytes(self) -> int:
-        return resident_bytes(str(self.process.pid))
+        """Resident memory of the process."""
+        return memory.resident_bytes(str(self.process.pid))
 
     def close(self) -> None:
         if self.process.poll() is None:
--- a/measure/scale/service_process.py
+++ b/measure/scale/service_process.py
@@ -1,10 +1,9 @@
-"""The list service as a process of its own, and what it says and costs."""
+"""The list service as a process of its own, its calls and its usage."""
 
 from __future__ import annotations
 
 import http.client
 import json
-import os
 import signal
 import subprocess
 import sys
@@ -14,50 +13,56 @@
 from pathlib import Path
 from typing import Any
 
-from measure.scale.memory import resident_bytes
+from measure.scale import memory
 from measure.scale.results import ROOT
 
 LEASE_MS = 3_000
 SPAN_MS = 1_000
 CALLS_PER_MEMBER = 50
-"""A budget's whole is so many calls for each member: more than all need together."""
+"""A budget's calls for each member: more than all members need together."""
 RESERVES_PER_MEMBER = 2
-"""Processes with a reserve of one call, for each member: restarts without a folder find
-one.
+"""Processes with a reserve for each member, so that a restart without a state folder
+gets one too.
 """
 START_TIMEOUT_S = 20.0
-CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
+START_POLL_S = 0.02
+CALL_TIMEOUT_S = 20
+SHOWN_LOG_CHARACTERS = 500
+SHOWN_ANSWER_BYTES = 300
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceUsage:
-    """What the service has used since its start, at a moment."""
+    """What the service has used from its start until `at_s`."""
 
     at_s: float
     processor_s: float
     syncs: int
 
     def core_share(self, before: ServiceUsage) -> float:
+        """The part of a core that was used since an earlier moment."""
         return (self.processor_s - before.processor_s) / (self.at_s - before.at_s)
 
     def syncs_per_s(self, before: ServiceUsage) -> float:
+        """Syncs a second since an earlier moment."""
         return (self.syncs - before.syncs) / (self.at_s - before.at_s)
 
 
 class ListService:
-    """`start` once, and again after `kill`; `close` at the end.
+    """The process. Call `start` once and again after `kill`, and `close` at the end.
 
-    Ports stay the same over restarts.
+    Its ports stay the same over restarts.
     """
 
     def __init__(self, folder: Path, members: int, budgets: int) -> None:
-        self.folder, self.members = folder, members
+        self.folder = folder
+        self.members = members
         self.process: subprocess.Popen[bytes] | None = None
         self.listen_port = self.write_port = self.fleet_port = 0
         self.write_budgets(budgets, CALLS_PER_MEMBER * members)
 
     def write_budgets(self, budgets: int, calls: int) -> None:
-        """The file of budgets; all of one whole, but the first, which has `calls`."""
+        """Write the file of budgets; the first has so many calls, all others the usual."""
         wholes = [calls] + [CALLS_PER_MEMBER * self.members] * (budgets - 1)
         documents = [
             {
@@ -109,32 +114,37 @@
                 raise RuntimeError(
                     f"the list service did not start: {self.last_lines()}"
                 )
-            time.sleep(0.02)
+            time.sleep(START_POLL_S)
         self.listen_port, self.write_port, self.fleet_port = map(
             int, ports_file.read_text().split()
         )
 
     def last_lines(self) -> str:
-        return (self.folder / "service.log").read_text()[-500:]
+        """The end of the log."""
+        return (self.folder / "service.log").read_text()[-SHOWN_LOG_CHARACTERS:]
 
     def kill(self) -> None:
-        """End it as a crash would."""
+        """End the process by SIGKILL."""
         assert self.process is not None
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
     def close(self) -> None:
+        """End the process, if it runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.terminate()
             self.process.wait()
 
     def reload(self) -> None:
+        """Let the service read its budgets again."""
         assert self.process is not None
         self.process.send_signal(signal.SIGHUP)
 
     def call(self, port: int, method: str, path: str, body: Any = None) -> Any:
-        """One call of staff. Raises RuntimeError where it is not carried out."""
-        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
+        """The answer to one call; RuntimeError if its status is not 200."""
+        connection = http.client.HTTPConnection(
+            "127.0.0.1", port, timeout=CALL_TIMEOUT_S
+        )
         try:
             connection.request(method, path, None if body is None else json.dumps(body))
             answer = connection.getresponse()
@@ -143,7 +153,7 @@
             connection.close()
         if answer.status != 200:
             raise RuntimeError(
-                f"{method} {path}: status {answer.status}: {text[:300]!r}"
+                f"{method} {path}: status {answer.status}: {text[:SHOWN_ANSWER_BYTES]!r}"
             )
         return json.loads(text)
 
@@ -154,26 +164,23 @@
         )
 
     def variables(self) -> dict[str, Any]:
+        """The content of `/_vars`."""
         return dict(self.call(self.write_port, "GET", "/_vars"))
 
     def usage(self) -> ServiceUsage:
+        """The usage until now."""
         syncs = int(self.variables()["fleet_syncs"])
         return ServiceUsage(time.monotonic(), self.processor_s(), syncs)
 
     def processor_s(self) -> float:
-        """User and system time of the process, from the kernel; its steps are 10 ms."""
+        """User and system time of the process; the kernel counts it in steps of 10 ms."""
         assert self.process is not None
-        fields = (
-            Path(f"/proc/{self.process.pid}/stat")
-            .read_text()
-            .rpartition(")")[2]
-            .split()
-        )
-        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
+        return memory.processor_s(self.process.pid)
 
     def resident_bytes(self) -> int:
+        """Resident memory of the process."""
         assert self.process is not None
-        return resident_bytes(str(self.process.pid))
+        return memory.resident_bytes(str(self.process.pid))
 
 
 def host_entry(number: int, health: str = "up") -> dict[str, Any]:
