--- a/measure/scale/fit.py
+++ b/measure/scale/fit.py
@@ -1,4 +1,4 @@
-"""Which shape a figure's growth has, its slope, and what it comes to at another size.
+"""Fits the growth of a value: its shape, its slope, and the value at another size.
 
 Each shape is `value = base + slope * f(size)`, fitted by least squares on the medians.
 Residuals are relative to the median, so that each decade of sizes counts the same.
@@ -68,7 +68,7 @@
     """The growth of one series."""
 
     shape: Shape | None
-    """None where no shape is plain."""
+    """None if no shape fits."""
     line: Line
     slope: Spread
     """A step of the value for a step of the shape's term; for `CONSTANT` the value
@@ -85,18 +85,20 @@
 
     @property
     def last(self) -> Point:
+        """The point of the largest size."""
         return self.points[-1]
 
     @property
     def plain(self) -> bool:
+        """Whether some shape fits."""
         return self.shape is not None
 
     def at(self, size: float) -> Spread:
         """The value at another size.
 
-        Where no shape is plain it is between those of the sizes around it, and past the
-        largest the last two sizes' power law goes on, or the last value where that
-        falls.
+        If no shape fits, it is interpolated between the sizes around it. Past the
+        largest size the power law of the last two is extended, or the last value if the
+        power law falls.
         """
         if self.shape is None and self.points[0].size <= size <= self.last.size:
             return between(self.points, size)
@@ -136,6 +138,7 @@
 
 
 def value_of(shape: Shape, line: Line, size: float) -> float:
+    """The value of a shape with these parameters."""
     if shape is Shape.CONSTANT:
         return line.base
     return line.base + line.slope * TERMS[shape](size)
@@ -157,6 +160,7 @@
 
 
 def fit_line(shape: Shape, sizes: Sequence[float], values: Sequence[float]) -> Line:
+    """The parameters with which a shape fits best."""
     if shape is Shape.CONSTANT:
         return Line(weighted_line([0.0] * len(values), values).base, 0.0)
     return weighted_line([TERMS[shape](size) for size in sizes], values)
--- a/measure/scale/journal_ready.py
+++ b/measure/scale/journal_ready.py
@@ -1,6 +1,4 @@
-"""Time and processor time from the start of the real program until it is ready, against
-live messages.
-"""
+"""The time until a started forwarder is ready, against live messages in its journal."""
 
 from __future__ import annotations
 
@@ -32,18 +30,18 @@
 
 
 def fill_journal(folder: Path, live: int, destinations: range) -> None:
-    """A journal with so many live messages, untried, for the destinations in turn."""
+    """Write a journal with so many live messages, for the destinations in turn."""
     store = MessageStore(folder, DISK_MB * 1_000_000)
-    made = parse_settings(SETTINGS)
-    store.use_rules(DeliveryRules(MOST_ATTEMPTS, made.classes))
-    due = int(time.time() * 1e6) + REMAINING_US
+    settings = parse_settings(SETTINGS)
+    store.use_rules(DeliveryRules(MOST_ATTEMPTS, settings.classes))
+    deadline_us = int(time.time() * 1e6) + REMAINING_US
     for number in range(live):
         store.append_message(
             AcceptedMessage(
                 f"held{number}",
                 "status",
                 destinations[number % len(destinations)],
-                due,
+                deadline_us,
                 None,
                 "acme",
                 b"x" * 200,
@@ -55,27 +53,31 @@
 
 
 async def measure_start(live: int) -> Mapping[str, float]:
+    """Start the program once; seconds by the wall and of the processor."""
     platform = Platform()
     await platform.start()
     platform.host("s1", 1, block=1_000)
     with tempfile.TemporaryDirectory() as name:
         node = Node(Path(name), platform, disk_mb=DISK_MB, max_open=10 * live + 1_000)
         fill_journal(Path(name) / "state", live, range(DESTINATIONS))
-        began = time.perf_counter()
+        began_s = time.perf_counter()
         await node.spawn()
         async with asyncio.timeout(READY_TIMEOUT_S):
             await node.ready.wait()
-        ready, spent = time.perf_counter() - began, processor_s(node.process.pid)
+        ready_s = time.perf_counter() - began_s
+        spent_s = processor_s(node.process.pid)
         await node.end()
         await cancel_tasks()
-    return {"ready": ready, "processor": spent}
+    return {"ready": ready_s, "processor": spent_s}
 
 
 def run_start(live: int) -> Mapping[str, float]:
+    """The same, from a process of its own."""
     return asyncio.run(measure_start(live))
 
 
 def series(progress: Progress) -> Iterator[Series]:
+    """The series of all sizes."""
     growth = grow(LIVE, lambda live: run_isolated(run_start, live), progress)
     for name, title in (
         ("ready", "time until ready"),
