--- a/tests/budget/test_budget.py
+++ b/tests/budget/test_budget.py
@@ -514,7 +514,7 @@
 
 
 def test_a_successor_waits_a_window_and_takes_the_seat_over():
-    ledger, (a, b), (old, new) = pair(whole=3, reserve=1, seats=2)
+    ledger, (a, _b), (old, _new) = pair(whole=3, reserve=1, seats=2)
     assert old.spend(0) and old.spend(0)
     following = MemberQuota.from_record(old.to_record(), 1, DRIFT)
     sends = next(at for at in range(1, 4 * SPAN) if following.spend(at))
@@ -620,7 +620,7 @@
 
 
 def test_frozen_only_acknowledgements_count():
-    ledger, (a, b), (old, new) = pair()
+    ledger, (a, b), (_old, _new) = pair()
     ledger.heartbeat(b, {"d": {"": 9}}, {}, 10 * SPAN)
     assert ledger.plan(10 * SPAN, frozen=True) is None
     ledger.lease_expired(a, 10 * SPAN)
--- a/tests/compatibility/handovers.py
+++ b/tests/compatibility/handovers.py
@@ -291,7 +291,7 @@
         successor.link.data_received(line)  # before there is an engine
     engine = NewEngine(successor)
     successor.attach(engine)
-    for line in rest[1:] + [told["gone"]]:
+    for line in [*rest[1:], told["gone"]]:
         successor.link.data_received(line)
     with fixed_machine() as folder:
         whole = forwarder(folder, successor)
--- a/tests/compatibility/journals.py
+++ b/tests/compatibility/journals.py
@@ -77,8 +77,21 @@
     (["list", 3, [{"host": "h1", "block": 7}, {"host": "h2"}], "127.0.0.1:9"], b""),
     (["taken", "a", "pay", 7, DUE_US, None, None, 0, -1, "", []], b"x\n"),
     (
-        ["taken", "b", "pay", 7, DUE_US, "idem", "acme", 2, START_US, "h1"]
-        + [[[1, START_US + 5, "h2"]], "line", 0],
+        [
+            "taken",
+            "b",
+            "pay",
+            7,
+            DUE_US,
+            "idem",
+            "acme",
+            2,
+            START_US,
+            "h1",
+            [[1, START_US + 5, "h2"]],
+            "line",
+            0,
+        ],
         b"\x00\xff",
     ),
     (["taken", "c", "b", 8, DUE_US, None, None, 0, -1, "", [], None, 0], b""),
--- a/tests/compatibility/test_members.py
+++ b/tests/compatibility/test_members.py
@@ -26,22 +26,20 @@
     for row in rounds:
         assert isinstance(row, list)
         keys.update(json.loads(row[0][2]))
-    assert keys == set(
-        [
-            "name",
-            "site",
-            "dial",
-            "sent",
-            "run",
-            "token",
-            "seen",
-            "needs",
-            "shown",
-            "keeps",
-            "list",
-            "holds",
-        ]
-    )
+    assert keys == {
+        "name",
+        "site",
+        "dial",
+        "sent",
+        "run",
+        "token",
+        "seen",
+        "needs",
+        "shown",
+        "keeps",
+        "list",
+        "holds",
+    }
 
 
 @pytest.mark.parametrize("name", members.FILES)
--- a/tests/compatibility/test_operators.py
+++ b/tests/compatibility/test_operators.py
@@ -46,34 +46,30 @@
 
 def test_every_kind_of_event_and_action_is_recorded() -> None:
     sent = kept_bytes("wire-input").decode()
-    assert wires.types_in(sent, "inbox") == set(
-        [
-            "TABLE",
-            "UP",
-            "DOWN",
-            "MEMBERS",
-            "ASK",
-            "CLOSED_ATTEMPT",
-            "CHECK_RESULT",
-            "CLIENT_LEFT",
-            "DEADLINE_HIT",
-            "NEVER_HEARD",
-        ]
-    )
+    assert wires.types_in(sent, "inbox") == {
+        "TABLE",
+        "UP",
+        "DOWN",
+        "MEMBERS",
+        "ASK",
+        "CLOSED_ATTEMPT",
+        "CHECK_RESULT",
+        "CLIENT_LEFT",
+        "DEADLINE_HIT",
+        "NEVER_HEARD",
+    }
     for word in (*OUTCOME_BY_WORD, *ENDPOINT_STATE_BY_WORD, *LIST_KIND_BY_WORD):
         assert f'"{word}"' in sent, word
     answered = wires.types_in(kept_bytes("wire-output").decode(), "do")
-    assert answered == set(
-        [
-            "ISSUE",
-            "ARM",
-            "TURN_AWAY",
-            "END_FAILED",
-            "ABANDON",
-            "RELEASE",
-            "STREAM_CHANGES",
-            "PRINT",
-            "INTERNAL_ERROR",
-        ]
-    )
+    assert answered == {
+        "ISSUE",
+        "ARM",
+        "TURN_AWAY",
+        "END_FAILED",
+        "ABANDON",
+        "RELEASE",
+        "STREAM_CHANGES",
+        "PRINT",
+        "INTERNAL_ERROR",
+    }
     assert {type(a) for a in wires.ACTIONS} == {*Action.__args__} - {RecordOutage}
--- a/tests/forwarder/test_call_races.py
+++ b/tests/forwarder/test_call_races.py
@@ -212,7 +212,7 @@
     async def scene() -> None:
         s = Scene(target)
         names = ("a", "b") if how == "batch canceled" else ("m",)
-        call, side = await s.out(
+        _call, side = await s.out(
             *names, left_us=20_000 if how == "time-out" else 60_000_000
         )
         closed: list[bool] = []
--- a/tests/forwarder/test_connection_races.py
+++ b/tests/forwarder/test_connection_races.py
@@ -100,7 +100,7 @@
 
     async def scene() -> None:
         s = Scene(target)
-        call, side = await s.out("m")
+        _call, side = await s.out("m")
         side.sendall(answer)
         if end:
             side.shutdown(socket.SHUT_WR)
@@ -193,7 +193,7 @@
         s = Scene(target)
         s.pool.max_connections = 2
         out, _ = await s.out("out")
-        idle, side = await s.out("idle")
+        _idle, side = await s.out("idle")
         side.sendall(OK)
         await until(lambda: s.pool.idle.get(1))
         other = Target()
--- a/tests/forwarder/test_handover_protocol.py
+++ b/tests/forwarder/test_handover_protocol.py
@@ -217,7 +217,7 @@
         await until(lambda: giver.holds)
         first.close()  # it dies, or waits no longer, while a slow disk still syncs
         await until(lambda: giver.predecessor.link is None)
-        second, said = await asks(giver)
+        _second, said = await asks(giver)
         await until(lambda: said or len(giver.holds) > 1)
         assert said[:1] == [{"no": True}] and len(giver.holds) == 1
         giver.stands()
@@ -240,7 +240,7 @@
 
     async def scene() -> None:
         giver = Giver()
-        first, said = await asks(giver)
+        first, _said = await asks(giver)
         await until(lambda: giver.holds)
         giver.stands()
         first.send(prepared=True)
--- a/tests/forwarder/test_handover_races.py
+++ b/tests/forwarder/test_handover_races.py
@@ -189,7 +189,7 @@
         p = giver.predecessor
         waited: list[float] = []
         for hold_s in (1.5, 3.0, 3.0):
-            _, said = await asks(giver)
+            _, _said = await asks(giver)
             await until(lambda: giver.holds)
             giver.stands()
             assert p.timer is not None
--- a/tests/forwarder/test_program.py
+++ b/tests/forwarder/test_program.py
@@ -570,7 +570,7 @@
         assert (await old.hand_in("a", "status"))[0] == 202
         await peer.got(1)
         node.process.send_signal(signal.SIGTERM)
-        status, headers = await old.hand_in("b", "status")
+        status, _headers = await old.hand_in("b", "status")
         assert status == 202
         while not any("stopping" in line for line in node.log):
             await asyncio.sleep(0.01)
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -55,6 +55,7 @@
     hang,
 )
 from tests.support.memory_disk import Hands
+import itertools
 
 OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
 ONE = (EndpointEntry(1, 10, "north", "plain"),)
@@ -643,7 +644,7 @@
             e.events.pending_events += posted
             posted.clear()
         assert len(pauses) == 6 and sum(pauses[:5]) >= 7
-        assert all(a < b for a, b in zip(pauses, pauses[1:], strict=False))
+        assert all(a < b for a, b in itertools.pairwise(pauses))
         e.store.log.max_bytes = 3_000_000
         e.store.close()
 
--- a/tests/lab/test_verdicts.py
+++ b/tests/lab/test_verdicts.py
@@ -36,6 +36,7 @@
 from rainfall.lab.stand_ins import SlidingWindowLimiter, StandInListService
 from rainfall.lab.verdicts import budgets, leases, shards
 from rainfall.lab.verdicts import sessions as sessions_check
+import itertools
 
 Records = list[dict[str, Any]]
 steady = settings(derandomize=True, deadline=None, max_examples=150)
@@ -450,9 +451,7 @@
         )
         own = [r for r in told if r["session"] == session]
         assert [r["number"] for r in own] == [0, 1, 2, 3]
-        assert all(
-            b["ready_ns"] >= a["answer_ns"] for a, b in zip(own, own[1:], strict=False)
-        )
+        assert all(b["ready_ns"] >= a["answer_ns"] for a, b in itertools.pairwise(own))
     joined = checker.join_records(
         told, {"feed": 0, "pay": 0}
     )  # waiting for its turn is no lag, and costs no time
--- a/tests/shard/test_shard.py
+++ b/tests/shard/test_shard.py
@@ -751,7 +751,7 @@
 
 
 def test_a_restart_knows_all_holds_and_a_lost_folder_waits() -> None:
-    moves, owned, token = pair()
+    moves, _owned, token = pair()
     again = MigrationCoordinator.from_snapshot(
         json.loads(json.dumps(moves.to_snapshot())), 4, 2000, bits=BITS
     )
