--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -6,6 +6,7 @@
 
 import asyncio
 import errno
+import itertools
 import json
 import logging
 from collections.abc import Awaitable, Callable
@@ -55,7 +56,6 @@
     hang,
 )
 from tests.support.memory_disk import Hands
-import itertools
 
 OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
 ONE = (EndpointEntry(1, 10, "north", "plain"),)
--- a/tests/lab/test_verdicts.py
+++ b/tests/lab/test_verdicts.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import json
 import os
 import signal
@@ -36,7 +37,6 @@
 from rainfall.lab.stand_ins import SlidingWindowLimiter, StandInListService
 from rainfall.lab.verdicts import budgets, leases, shards
 from rainfall.lab.verdicts import sessions as sessions_check
-import itertools
 
 Records = list[dict[str, Any]]
 steady = settings(derandomize=True, deadline=None, max_examples=150)
--- a/tests/measure/test_hollow_members.py
+++ b/tests/measure/test_hollow_members.py
@@ -36,8 +36,7 @@
 from rainfall.member.roster import Member, Roster
 from rainfall.registry.budget_extension import BudgetExtension
 from rainfall.registry.fleet_watch import Watchers
-from tests.registry.test_fleet_coordinator import beat, lead
-from tests.registry.test_service_limits import Clock, Run, play, until
+from tests.support.list_service import Clock, Run, beat, lead, play, until
 from tests.support.paths import ROOT
 
 SECOND_US = 1_000_000
--- a/tests/registry/test_fleet_coordinator.py
+++ b/tests/registry/test_fleet_coordinator.py
@@ -10,13 +10,18 @@
 
 import pytest
 
-from rainfall.lease.types import LeaseSettings
 from rainfall.registry import fleet_coordinator, fleet_log, plan_scheduler
-from rainfall.registry.server import RegistryServer
 from rainfall.registry.storage import RecordLog
-from tests.registry.test_service_limits import Clock, Run, play, until
-
-TTL_US = 200_000
+from tests.support.list_service import (
+    TTL_US,
+    Clock,
+    Run,
+    acquire,
+    beat,
+    lead,
+    play,
+    until,
+)
 
 
 class Tally:
@@ -83,27 +88,6 @@
         return dict(self.held)
 
 
-def lead(*riders: Any, mark: Path | None = None) -> Any:
-    async def led(service: RegistryServer) -> None:
-        await service.start_fleet(
-            LeaseSettings(0.02, 1_000, TTL_US), TTL_US, riders, mark
-        )
-
-    return led
-
-
-async def beat(run: Run, name: str, token: Any = None, **more: Any) -> tuple[int, Any]:
-    body = {"name": name, "site": "a", "dial": "h:1", "token": token, "sent": 1, **more}
-    status, _, told = await run.ask("/v1/fleet/beat", body, run.fleet)
-    return status, told
-
-
-async def acquire(run: Run, name: str, **more: Any) -> tuple[int, Any]:
-    body = {"holder": "h", "ttl_ms": 100, **more}
-    status, _, told = await run.ask(f"/v1/leases/{name}/acquire", body, run.fleet)
-    return status, told
-
-
 def test_riders_are_told_only_what_is_on_disk_and_hear_of_every_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/registry/test_heartbeat_extensions.py
+++ b/tests/registry/test_heartbeat_extensions.py
@@ -25,8 +25,8 @@
 from rainfall.shard.auto_planner import AutoPlanner, PlanDelays
 from rainfall.shard.key_ranges import union
 from rainfall.shard.shard_map import Range, ShardMap, format_key
-from tests.registry.test_service_limits import until
 from tests.support.fleet_service_scenes import BUDGET, TOP, Play, Process, World
+from tests.support.list_service import until
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/registry/test_service_limits.py
+++ b/tests/registry/test_service_limits.py
@@ -5,12 +5,9 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import socket
 import subprocess
 import sys
-import threading
-from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
@@ -18,125 +15,11 @@
 
 from rainfall.forwarder.config.loading import Address
 from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, HttpClient
-from rainfall.journal.files import LocalFileSystem
 from rainfall.registry import json_reader, request_schemas
 from rainfall.registry.endpoint_registry import CLAIM_LIMIT
-from rainfall.registry.limits import Limits
 from rainfall.registry.request_error import RequestError
-from rainfall.registry.server import RegistryServer
 from rainfall.registry.storage import RecordLog, Storage
-
-
-class Files(LocalFileSystem):
-    """A disk that can be made to wait, or to fail."""
-
-    def __init__(self) -> None:
-        self.free, self.failing, self.uncut = threading.Event(), False, False
-        self.free.set()
-
-    def truncate(self, fd: int, size: int) -> None:
-        if self.uncut:
-            raise OSError(5, "Input/output error")
-        super().truncate(fd, size)
-
-    def sync(self, fd: int) -> None:
-        self.free.wait(10)
-        if self.failing:
-            raise OSError(28, "No space left on device")
-        super().sync(fd)
-
-
-class Clock:
-    ms, us = 1_000_000, 0
-
-
-class Run:
-    """A service in this process, its two ports, and calls to it."""
-
-    def __init__(self, folder: Path, bounds: Limits, clock: Clock) -> None:
-        self.files, self.clock = Files(), clock
-        disk = Storage(folder, self.files)
-        registry, self.had = disk.load()
-        self.service = RegistryServer(
-            disk, registry, lambda: clock.ms, bounds, lambda: clock.us
-        )
-
-    async def open(
-        self, lead: Callable[[RegistryServer], Awaitable[Any]] | None
-    ) -> Run:
-        if not self.had:
-            await self.service.begin_history()
-        if lead is not None:
-            await lead(self.service)
-            self.fleet = await self.service.listen_fleet("127.0.0.1", 0)
-        self.list = await self.service.listen("127.0.0.1", 0, False)
-        self.write = await self.service.listen("127.0.0.1", 0, True)
-        return self
-
-    async def ask(
-        self, path: str, body: Any = None, port: int = 0
-    ) -> tuple[int, dict[str, str], Any]:
-        reader, writer = await asyncio.open_connection("127.0.0.1", port or self.write)
-        data = b"" if body is None else json.dumps(body).encode()
-        head = f"{'POST' if data else 'GET'} {path} HTTP/1.1\r\nHost: r\r\n"
-        writer.write(f"{head}Content-Length: {len(data)}\r\n\r\n".encode() + data)
-        try:
-            return await told(reader)
-        finally:
-            writer.close()
-
-    def change(
-        self, *hosts: str, key: str = ""
-    ) -> Awaitable[tuple[int, dict[str, str], Any]]:
-        ops = [
-            {
-                "op": "register",
-                "host": h,
-                "dial": "h:1",
-                "site": "a",
-                "class": "m",
-                "block": 0,
-                "share": 1.0,
-                "born_ms": 0,
-            }
-            for h in hosts
-        ]
-        return self.ask("/v1/hosts", {"id": key, "ops": ops})
-
-
-async def told(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], Any]:
-    async with asyncio.timeout(5):
-        head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-        headers = {
-            k.lower(): v.strip()
-            for k, _, v in (line.partition(":") for line in head[1:] if line)
-        }
-        body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return int(head[0].split()[1]), headers, json.loads(body or b"null")
-
-
-async def until(true: Callable[[], bool]) -> None:
-    async with asyncio.timeout(5):
-        while not true():
-            await asyncio.sleep(0.005)
-
-
-def play(
-    folder: Path,
-    test: Callable[[Run], Awaitable[None]],
-    clock: Clock | None = None,
-    lead: Callable[[RegistryServer], Awaitable[Any]] | None = None,
-    **bounds: Any,
-) -> None:
-    async def whole() -> None:
-        run = await Run(folder, Limits(**bounds), clock or Clock()).open(lead)
-        try:
-            await test(run)
-        finally:
-            run.files.free.set()
-            await run.service.stop()
-
-    asyncio.run(whole())
+from tests.support.list_service import Clock, Files, Run, play, told, until
 
 
 def test_watches_are_bounded_and_one_that_left_counts_no_more(tmp_path: Path) -> None:
--- a/tests/support/fleet_service_scenes.py
+++ b/tests/support/fleet_service_scenes.py
@@ -24,7 +24,7 @@
 from rainfall.shard.migration import RangeHold
 from rainfall.shard.ownership import RangeOwnership
 from rainfall.shard.shard_map import format_key, format_range, parse_range
-from tests.registry.test_service_limits import Clock, Run, told
+from tests.support.list_service import Clock, Run, told
 
 TTL, DRIFT, SPAN, SLACK = 1_000_000, 0.02, 400_000, 5_000
 TOP = (1 << 64) - 1
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -48,7 +48,7 @@
 from rainfall.registry.http_server import LimitedConnection
 from rainfall.registry.limits import Limits
 from rainfall.wirehost import parse_settings
-from tests.registry.test_service_limits import Run, play
+from tests.support.list_service import Run, play
 from tests.support.loopback_peers import PATIENCE, SETTINGS, Answer, Peer, always
 from tests.support.paths import ROOT
 
