--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -71,6 +71,11 @@
             lambda: None if self.dead else action(),
         )
 
+    def wake(self) -> None:
+        """Send a heartbeat at once, unless the process has ended."""
+        if not self.dead:
+            self.send_heartbeat()
+
     def send_heartbeat(self) -> None:
         """Send a heartbeat, and schedule the next one."""
         self.heartbeat_number += 1
@@ -198,10 +203,7 @@
             woken = {g.token for g in change.grants}
             for member in self.members:
                 if member.token in woken:
-                    self.call_at(
-                        self.now_us + LINK_DELAY_US,
-                        lambda m=member: None if m.dead else m.send_heartbeat(),
-                    )  # type: ignore[misc]
+                    self.call_at(self.now_us + LINK_DELAY_US, member.wake)
         self.call_at(self.now_us + PLAN_INTERVAL_US, self.tick)
 
     def serve_heartbeat(
--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -73,8 +73,12 @@
     run_old_source("lemonshunt/net/store.py", module)
     for name, former in FORMER_NAMES.items():
         setattr(module.Store, name, getattr(module.Store, former))
-    module.MessageStore = module.Store
-    module.DeliveryRules, module.AcceptedMessage = module.Rules, module.Taken
+    present = {
+        "MessageStore": module.Store,
+        "DeliveryRules": module.Rules,
+        "AcceptedMessage": module.Taken,
+    }
+    vars(module).update(present)
     return module
 
 
--- a/measure/queue_cost.py
+++ b/measure/queue_cost.py
@@ -131,7 +131,8 @@
 
     def messages(self) -> Any:
         """All waiting messages; the reference has them in the dispatcher itself."""
-        return getattr(self.dispatcher, "state", self.dispatcher).messages
+        holder: Any = getattr(self.dispatcher, "state", self.dispatcher)
+        return holder.messages
 
     def open_all(self) -> float:
         """Remove the quota; the processor seconds of that round."""
--- a/measure/scale/control_config.py
+++ b/measure/scale/control_config.py
@@ -18,7 +18,8 @@
 from measure.scale.growth import grow
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import DESTINATIONS, FORWARDERS, Role
-from rainfall.forwarder.config.fleet_config import MAX_BUDGETS, MAX_PEERS
+from rainfall.budget.config import MAX_BUDGETS
+from rainfall.forwarder.config.fleet_config import MAX_PEERS
 from rainfall.forwarder.config.loading import load
 from rainfall.forwarder.config.validation import validate_replacement
 
