--- a/rainfall/forwarder/engine/action_runner.py
+++ b/rainfall/forwarder/engine/action_runner.py
@@ -71,7 +71,7 @@
         match action:
             case RejectMessage() | FailMessage():
                 if action.message_id in self.store.messages:
-                    self.give_up(action, now)
+                    self.journal_final_answer(action, now)
             case SetTimer():
                 self.events.set_timer(now + action.delay_us, action.token)
             case SubscribeEndpointList():
@@ -86,8 +86,14 @@
             case LogNote():
                 log.info("%s", action.text)
 
-    def give_up(self, decision: RejectMessage | FailMessage, now: int) -> None:
-        """Journal that a message was given up, for its client to be notified."""
+    def journal_final_answer(
+        self, decision: RejectMessage | FailMessage, now: int
+    ) -> None:
+        """Journal and count the end of an accepted message that was given up.
+
+        The dispatcher decided on that; the journal's record is the answer that the
+        message's client is notified of. `EventKind` lists the names of both ends.
+        """
         if isinstance(decision, RejectMessage):
             event_kind = EventKind.RETURNED
             state = "returned"
--- a/rainfall/forwarder/engine/engine_state.py
+++ b/rainfall/forwarder/engine/engine_state.py
@@ -39,7 +39,22 @@
 class EventKind(StrEnum):
     """What the summary line counts, beside outcomes and reasons by their own names.
 
-    The values are the line's words.
+    The values are the line's words. The end of a message that is not delivered has a
+    name of its own in each place, and these names are read from outside:
+
+    ===============  ================  ==================  =========  =============
+    Action           Decided           Word of the line    Metric     Journal state
+    ===============  ================  ==================  =========  =============
+    `RejectMessage`  on arrival        "turned away"       throttled  (no record)
+    `FailMessage`    on arrival        "turned away"       faulted    (no record)
+    `RejectMessage`  after acceptance  "returned"          throttled  "returned"
+    `FailMessage`    after acceptance  "given up"          faulted    "failed"
+    (none)           before a round    "turned away full"  throttled  (no record)
+    ===============  ================  ==================  =========  =============
+
+    On arrival means in the round in which the message came: its client waits for the
+    response, so the answer is that response and nothing is journaled. A message after
+    its acceptance is answered by a notification of the journal's state.
     """
 
     ACCEPTED = "taken"
@@ -83,7 +98,34 @@
 
 @dataclass(slots=True)
 class EngineState:
-    """What several parts read. Each field is written by the one part named with it."""
+    """What several parts read. Each field is written by the one part named with it.
+
+    The flags of an engine's life, with those that its server and its handover source
+    keep themselves, change in this order; each stays set unless a line says otherwise:
+
+    ============================  ==================================================
+    Flag                          Set
+    ============================  ==================================================
+    serving                       once the journal is this process's and the clients'
+                                  socket listens
+    paused_for_handover           by a new process's request for the snapshot, while
+                                  serving and before SIGTERM; cleared if that process
+                                  goes before it owns the journal
+    handover_source.transferred   by that process's request for ownership, so only
+                                  during the pause, which then lasts to the end
+    server.draining               by SIGTERM, whether transferred or not; at the
+                                  latest as `server.close` begins
+    frozen                        after SIGTERM, FREEZE_AFTER_S or the last message
+                                  later; at the latest right after `stopped`
+    stopped                       by the shutdown's last step, or without SIGTERM if
+                                  the process that took over is lost
+    closed                        once `Startup.settle` is through, before the pool
+                                  closes; also, as the only flag, where the takeover
+                                  from the former process failed
+    server.closed                 at the end of `server.close`, which is left out where
+                                  another engine restarts from the journal
+    ============================  ==================================================
+    """
 
     config: Config
     """The configuration in force. Owner: `Reconfiguration`."""
--- a/rainfall/forwarder/engine/ownership.py
+++ b/rainfall/forwarder/engine/ownership.py
@@ -72,7 +72,7 @@
         if not self.state.shutdown_started_s:
             log.error("the new process is gone; starting again from the journal")
             self.state.restart_from_journal = True
-            self.shutdown.finish()
+            self.shutdown.signal_stopped()
             return
         log.error(
             "the new process is gone, and this one ends; all stays in the journal"
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -1,4 +1,24 @@
-"""Graceful shutdown: what is still accepted and sent after SIGTERM, and until when."""
+"""Graceful shutdown: what is still accepted and sent after SIGTERM, and until when.
+
+The phases, in seconds after SIGTERM. All but the first may end sooner, as soon as
+nothing is left that this process could finish:
+
+======================  ==============================================================
+0                       `Shutdown.stop`: a handover under way ends. Messages are still
+                        accepted, but health checks say "not ready" and each
+                        connection closes after its next answer.
+1.0 ACCEPT_PERIOD_S     `advance_shutdown`, from now on every SHUTDOWN_STEP_S: idle
+                        connections close, too.
+2.8 FREEZE_AFTER_S      `freeze`: the last round. Nothing new is sent; calls in flight
+                        are awaited, and their outcomes journaled.
+3.3 EXIT_AFTER_S        `signal_stopped`: the end, also of calls in flight.
+then                    `Startup.settle`: the last commit; after it the pool, the
+                        clients' connections (`client_grace_s`) and the journal close.
+======================  ==============================================================
+
+After a transfer to another process there is no freeze: only the calls and connections
+that are still here are awaited, until EXIT_AFTER_S.
+"""
 
 from __future__ import annotations
 
@@ -86,7 +106,7 @@
             # From this moment on: what comes before `Startup.run` resumes would be
             # admitted and never decided on.
             self.stop_rounds()
-            self.finish()
+            self.signal_stopped()
             return
         self.schedule_next_step()
 
@@ -96,7 +116,7 @@
             self.pool.in_flight or self.server.connections
         ):
             log.info("stopped: all else is the new process's")
-            self.finish()
+            self.signal_stopped()
         else:
             self.schedule_next_step()
 
@@ -130,13 +150,14 @@
         # round decides on that any more.
         self.events.record_waiting_outcomes()
         self.store.flush()
+        # `Startup.settle` does so again, for an end that comes without a freeze.
         self.pool.fail_unconnected_calls()
 
     def stop_rounds(self) -> None:
         """Let no round decide any more."""
         self.state.frozen = True
 
-    def finish(self) -> None:
+    def signal_stopped(self) -> None:
         """Have `Startup.run` go on to its end."""
         self.state.stopped.set()
 
--- a/rainfall/forwarder/engine/startup.py
+++ b/rainfall/forwarder/engine/startup.py
@@ -1,4 +1,7 @@
-"""The life of an engine: from taking over the journal to its last commit."""
+"""The life of an engine: from taking over the journal to its last commit.
+
+`rainfall.forwarder.engine.shutdown` lists the phases of the end and their times.
+"""
 
 from __future__ import annotations
 
@@ -122,6 +125,8 @@
         self.shutdown.stop_rounds()
         self.watch.pause()
         self.notifier.pause()
+        # Not every end comes through `Shutdown.freeze`: all messages may have ended
+        # before it, or the process that took over may be lost.
         self.pool.fail_unconnected_calls()
         # After a transfer the fleet's membership is the other process's.
         if self.state.fleet is not None and not self.handover_source.transferred:
