--- a/rainfall/__main__.py
+++ b/rainfall/__main__.py
@@ -14,11 +14,8 @@
 from rainfall.forwarder.config.loading import Config, load, load_replacement
 from rainfall.forwarder.config.validation import RESTART_FIELDS
 from rainfall.forwarder.engine.engine import Engine
-from rainfall.forwarder.handover.roles import (
-    HandoverTarget,
-    JournalLock,
-    claim_journal,
-)
+from rainfall.forwarder.handover.journal_lock import JournalLock
+from rainfall.forwarder.handover.target import HandoverTarget, claim_journal
 from rainfall.journal.recovery import UnusableJournalError
 
 EXIT_CANNOT_SERVE = 1
--- a/rainfall/forwarder/engine/call_dispatch.py
+++ b/rainfall/forwarder/engine/call_dispatch.py
@@ -273,7 +273,7 @@
         if self.state.fleet is not None:
             self.state.fleet.on_call_sent(call)
         if trace_log.isEnabledFor(logging.INFO):
-            destination, _ = call.throttle_scope
+            destination = call.throttle_scope.destination
             for item in call.open_items.values():
                 trace_log.info(
                     "sent",
--- a/rainfall/forwarder/engine/endpoint_directory.py
+++ b/rainfall/forwarder/engine/endpoint_directory.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from rainfall.dispatch import EndpointEntry, Settings
+from rainfall.dispatch.endpoints import ThrottleScopeKey
 from rainfall.forwarder.config.loading import EndpointList, ListedEndpoint
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
@@ -16,7 +17,7 @@
 DEFAULT_BATCH_SIZE = 1
 """Messages in a call to an endpoint of a kind that the settings do not name."""
 ANY_ENDPOINT = -1
-"""In a throttle scope: all endpoints of the destination."""
+"""In a `ThrottleScopeKey`: all endpoints of the destination."""
 
 
 class EndpointDirectory:
@@ -118,12 +119,13 @@
 
     def throttle_scope(
         self, destination: int, endpoint_id: int, endpoint: ListedEndpoint | None
-    ) -> tuple[int, int]:
+    ) -> ThrottleScopeKey:
         """What a Retry-After from an endpoint binds: it alone, or its destination."""
         is_endpoint_scoped = (
             endpoint is not None and kind_name(endpoint) in self.endpoint_scoped_kinds
         )
-        return (destination, endpoint_id if is_endpoint_scoped else ANY_ENDPOINT)
+        scoped_id = endpoint_id if is_endpoint_scoped else ANY_ENDPOINT
+        return ThrottleScopeKey(destination, scoped_id)
 
 
 def kind_name(endpoint: ListedEndpoint) -> str:
--- a/rainfall/forwarder/engine/reconfiguration.py
+++ b/rainfall/forwarder/engine/reconfiguration.py
@@ -179,9 +179,8 @@
             self.pool.retry_after_until.items()
         ):
             for moved_id, scope in scopes.items():
-                scope_destination, _ = scope
                 is_affected = endpoint_id in (ANY_ENDPOINT, moved_id)
-                if scope_destination == destination and is_affected:
+                if scope.destination == destination and is_affected:
                     self.pool.set_retry_after(scope, until)
         for call in self.pool.calls.values():
             call.throttle_scope = scopes.get(call.endpoint, call.throttle_scope)
--- a/rainfall/forwarder/engine/restoration.py
+++ b/rainfall/forwarder/engine/restoration.py
@@ -14,6 +14,7 @@
     OutageRestored,
     SnapshotRestored,
 )
+from rainfall.dispatch.endpoints import ThrottleScopeKey
 from rainfall.forwarder.admin.admin_server import Metrics
 from rainfall.forwarder.config.loading import EndpointList, parse_endpoint
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
@@ -105,7 +106,7 @@
         )
         self.outcomes.restore_finished(snapshot.recently_finished)
         self.pool.retry_after_until = {
-            (destination, endpoint): until_us
+            ThrottleScopeKey(destination, endpoint): until_us
             for destination, endpoint, until_us in snapshot.retry_afters
         }
         self.remote_calls.restore(snapshot.dispatcher["calls"])
--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -47,9 +47,11 @@
 MAX_RETRY_MS = 60_000
 """A longer wait for the name is not believed: no lease is longer."""
 MIN_RESPONSE_TIMEOUT_S = 0.2
-"""The answer to a heartbeat is waited for at least so long, else ..."""
+"""The answer to a heartbeat is waited for at least so long."""
 RESPONSE_TIMEOUTS_PER_LEASE = 3
-"""... for this part of a lease."""
+"""So many waits for an answer, one after the other, take a lease's time, where each is
+not shorter than MIN_RESPONSE_TIMEOUT_S.
+"""
 STATE_WRITE_RETRY_S = 1.0
 """After a failure the state file is written again so much later."""
 REPEAT_LOG_INTERVAL_S = 10.0
@@ -61,9 +63,11 @@
 DESTINATION_FORMAT = re.compile("0|[1-9][0-9]{0,9}", re.ASCII)
 """A destination's number as a key of JSON."""
 LOST_ERROR = "lost"
-"""The service's word for a lease that is over."""
+"""The service's word, as a refusal's `error`, for a lease that is over."""
 HEARTBEATS_COUNT = "beats"
+"""The metrics' name for how many heartbeats were granted."""
 LOST_COUNT = "lost"
+"""The metrics' name for how many leases were lost."""
 log = logging.getLogger("rainfall.fleet")
 
 
@@ -122,7 +126,12 @@
         """Version of the list of members that is known."""
         self.heartbeat_counts: Counter[str] = Counter()
         self.permit_at_us = 0
-        """When the last permit was asked for."""
+        """When the last permit was asked for.
+
+        One time is enough for all calls: the pool asks for a call's permit, writes its
+        first byte and reports that in one step of the event loop, so no other call's
+        permit can come in between.
+        """
         self.last_write_s = 0.0
         self.last_log_s = -REPEAT_LOG_INTERVAL_S
 
@@ -144,7 +153,7 @@
         self.heartbeats.stop()
         if self.quotas.persisted:
             self.write_state(self.quotas.close(now_us()))
-            self.quotas.persisted = False
+            self.quotas.suspend()
 
     def resume(self) -> None:
         """Go on as before, as no successor came, wrote or sent anything."""
@@ -214,11 +223,15 @@
         See `FleetQuotas.acquire_permit`.
         """
         self.permit_at_us = now_us()
-        return self.quotas.acquire_permit(call.throttle_scope[0], self.permit_at_us)
+        return self.quotas.acquire_permit(
+            call.throttle_scope.destination, self.permit_at_us
+        )
 
     def on_call_sent(self, call: OutboundCall) -> None:
         """Note that a call's first byte is sent."""
-        self.quotas.on_call_sent(call.throttle_scope[0], self.permit_at_us, now_us())
+        self.quotas.on_call_sent(
+            call.throttle_scope.destination, self.permit_at_us, now_us()
+        )
 
     def record_demand(
         self, destination: int, class_name: str, tenant: str | None
@@ -380,7 +393,7 @@
         self.heartbeats.reachable = True
         self.heartbeats.wait_for_renewal = True
         if refusal.error != LOST_ERROR or lease_request.token is None:
-            self._wait_for_name(now, lease_request, refusal)
+            self._wait_after_refusal(now, lease_request, refusal)
             return
         # The former token is not shown to get the name sooner, but so that its reserve
         # is not counted twice.
@@ -392,10 +405,13 @@
         )
         self.on_lease_lost(now, "; ".join(refusal.faults))
 
-    def _wait_for_name(
+    def _wait_after_refusal(
         self, now: int, lease_request: LeaseRequest, refusal: HeartbeatRefusal
     ) -> None:
-        """Come again later; a lease that is held expires as it would."""
+        """Come again later, whatever the service refused for.
+
+        A lease that this member holds expires as it would.
+        """
         retry_us = min(refusal.retry_ms, MAX_RETRY_MS) * US_PER_MS
         self.holder.on_unavailable(now, lease_request.number, retry_us)
         if self.state != MemberState.HELD:
@@ -473,8 +489,8 @@
                 "address": str(self.config.service),
                 "answers": self.heartbeats.reachable,
             },
-            "beats": self.heartbeat_counts[HEARTBEATS_COUNT],
-            "lost": self.heartbeat_counts[LOST_COUNT],
+            HEARTBEATS_COUNT: self.heartbeat_counts[HEARTBEATS_COUNT],
+            LOST_COUNT: self.heartbeat_counts[LOST_COUNT],
             "budgets": self.quotas.metrics(now),
         }
 
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -19,6 +19,7 @@
 from rainfall.dispatch import QuotaChanged
 from rainfall.forwarder.config.fleet_config import BudgetReserve
 from rainfall.forwarder.fleet.state_file import QuotaRecords
+from rainfall.forwarder.outbound.permits import PERMIT_GRANTED, PERMIT_TIME_UNKNOWN
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
 DEFAULT_SLACK_US = 5_000
@@ -35,8 +36,6 @@
 """Bytes in JSON of a character that is not ASCII, at most."""
 UNKNOWN_PERIOD_CALLS = 1 << 40
 """Stands for the calls of a period of which nothing is known."""
-PERMIT_GRANTED = 0
-PERMIT_TIME_UNKNOWN = -1
 MIN_PERMIT_DELAY_US = 1
 MS_TO_US = 1000
 log = logging.getLogger("rainfall.fleet")
@@ -423,6 +422,14 @@
             record["spent"] = merge_spent(record["spent"], entries_each)
         return records
 
+    def suspend(self) -> None:
+        """Grant no permit before the records are written again.
+
+        Those on disk are a successor's from here on: it would not know of a call that
+        was sent after they were written, and the budget would be exceeded.
+        """
+        self.persisted = False
+
     def reopen(self) -> None:
         """Send calls again, as no successor took over."""
         for account in self.accounts.values():
--- a/rainfall/forwarder/outbound/connection.py
+++ b/rainfall/forwarder/outbound/connection.py
@@ -15,6 +15,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from rainfall.dispatch import AttemptFinished, Outcome
+from rainfall.dispatch.endpoints import ThrottleScopeKey
 from rainfall.forwarder.config.loading import Address
 from rainfall.forwarder.http1 import (
     MalformedResponseError,
@@ -26,8 +27,6 @@
 """An idle connection that breaks so soon under its next call was stale."""
 NEVER_IDLE = -1
 """Stands for an idle time where a connection has not been idle."""
-ThrottleScope = tuple[int, int]
-"""What shares a Retry-After: a destination, and one of its endpoints or -1 for all."""
 
 
 @dataclass(slots=True)
@@ -50,7 +49,8 @@
     """One call to an endpoint, with one or more messages."""
 
     endpoint: int
-    throttle_scope: ThrottleScope
+    throttle_scope: ThrottleScopeKey
+    """What a Retry-After in its response binds."""
     sent_at_us: int
     items: list[CallItem]
     timeout_at_us: int = 0
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -12,6 +12,7 @@
 from http import HTTPStatus
 
 from rainfall.dispatch import AttemptFinished, LoadReport, Outcome
+from rainfall.dispatch.endpoints import ThrottleScopeKey
 from rainfall.forwarder.config.loading import Address
 from rainfall.forwarder.http1 import (
     MalformedResponseError,
@@ -26,9 +27,9 @@
     EndpointConnection,
     OutboundCall,
     OutcomeSink,
-    ThrottleScope,
 )
 from rainfall.forwarder.outbound.idle_connections import US_PER_SECOND, IdleConnections
+from rainfall.forwarder.outbound.permits import PERMIT_GRANTED, PERMIT_TIME_UNKNOWN
 from rainfall.forwarder.outbound.responses import parse_retry_after_us
 
 __all__ = [
@@ -53,8 +54,6 @@
 MALFORMED_LOG_INTERVAL_US = 5 * US_PER_SECOND
 """Between two log lines of malformed responses: some endpoints send many."""
 MALFORMED_LOG_CHARACTERS = 200
-NO_PERMIT_SOON = -1
-"""Answer of the last check before a call's first byte: it is not to wait."""
 PERMIT_WAIT_US = 50_000
 """A call waits for its permit at most so long before it is given back unsent."""
 RESPONSE_COMPLETION_S = 0.5
@@ -97,7 +96,7 @@
         self.sink = sink
         self.max_connections = most
         self.configure(fields, idle_us, dial_us)
-        self.retry_after_until: dict[ThrottleScope, int] = {}
+        self.retry_after_until: dict[ThrottleScopeKey, int] = {}
         """When each Retry-After that was received is over."""
         self.in_flight = 0
         """Calls that were started and have not ended."""
@@ -111,8 +110,8 @@
         its first byte is.
         """
         self.acquire_permit: Callable[[OutboundCall], int] | None = None
-        """Asked last before a call's first byte: 0 if it may be sent, else after how
-        many microseconds to ask again, or NO_PERMIT_SOON.
+        """Asked last before a call's first byte: PERMIT_GRANTED if it may be sent, else
+        after how many microseconds to ask again, or PERMIT_TIME_UNKNOWN.
         """
         self.on_call_sent: Callable[[OutboundCall], None] | None = None
         """Called right after a call's first byte."""
@@ -142,7 +141,7 @@
             return
         connection = self._take_idle(call.endpoint)
         if connection is not None:
-            self.revalidate(call, connection)
+            self.launch_if_still_allowed(call, connection)
             return
         if (
             len(self.connections) + len(self.dial_tasks) >= self.max_connections
@@ -187,7 +186,7 @@
             return
         self.connections.add(connection)
         if connection.is_reusable():
-            self.revalidate(call, connection)
+            self.launch_if_still_allowed(call, connection)
             return
         # It came up and broke, perhaps unread as yet: an endpoint that accepts only so
         # many connections closes further ones. So the endpoint is known to be there,
@@ -209,7 +208,9 @@
             weak_evidence=was_cut_off or isinstance(error, ConnectionResetError),
         )
 
-    def revalidate(self, call: OutboundCall, connection: EndpointConnection) -> None:
+    def launch_if_still_allowed(
+        self, call: OutboundCall, connection: EndpointConnection
+    ) -> None:
         """Send a call on its connection, unless something speaks against it by now.
 
         What was received since the call was decided holds for it too, and time has
@@ -243,8 +244,8 @@
         were decided; it is held for that moment.
         """
         data = self.render(call)
-        permit_delay_us = self._permit_delay_us(call)
-        if not permit_delay_us:
+        permit_delay_us = self._record_and_acquire_permit(call)
+        if permit_delay_us == PERMIT_GRANTED:
             connection.send_call(call, data)
             if self.on_call_sent is not None:
                 self.on_call_sent(call)
@@ -262,18 +263,26 @@
             self.finish(call, AttemptResult(Outcome.NOT_SENT))
             self.keep_idle(connection, call.endpoint)
 
-    def _permit_delay_us(self, call: OutboundCall) -> int:
-        """Return what `acquire_permit` says, once the call's attempts are recorded."""
+    def _record_and_acquire_permit(self, call: OutboundCall) -> int:
+        """Journal a call's attempts, and only then ask for its permit.
+
+        Both belong right before the first byte: what is recorded or counted earlier
+        would stand for a call that may never be sent.
+
+        Returns:
+            The answer of `acquire_permit`; PERMIT_TIME_UNKNOWN if the attempts could
+            not be journaled, PERMIT_GRANTED where nobody is to be asked.
+        """
         if self.record_attempts is not None and not self.record_attempts(call):
-            return NO_PERMIT_SOON
+            return PERMIT_TIME_UNKNOWN
         if self.acquire_permit is None:
-            return 0
+            return PERMIT_GRANTED
         return self.acquire_permit(call)
 
     def retry_launch(self, call: OutboundCall, connection: EndpointConnection) -> None:
         """Go on with a call that was held for its permit."""
         if connection.is_reusable():
-            self.revalidate(call, connection)
+            self.launch_if_still_allowed(call, connection)
             return
         connection.close()
         if call.open_items:
@@ -548,7 +557,7 @@
             if call.connection is None:
                 self.finish(call, AttemptResult(Outcome.NOT_SENT))
 
-    def set_retry_after(self, throttle_scope: ThrottleScope, until: int) -> None:
+    def set_retry_after(self, throttle_scope: ThrottleScopeKey, until: int) -> None:
         """Keep a Retry-After that was received; the longest one holds."""
         if len(self.retry_after_until) > MAX_RETRY_AFTERS:
             now = self.clock()
--- a/tests/compatibility/forwarders.py
+++ b/tests/compatibility/forwarders.py
@@ -6,7 +6,7 @@
 
 from rainfall.forwarder.config.loading import Config, parse_config
 from rainfall.forwarder.engine.engine import Engine
-from rainfall.forwarder.handover.roles import HandoverTarget
+from rainfall.forwarder.handover.target import HandoverTarget
 from tests.support.loopback_peers import SETTINGS
 
 FLEET: dict[str, object] = {
--- a/tests/compatibility/handovers.py
+++ b/tests/compatibility/handovers.py
@@ -17,12 +17,11 @@
     RecordOutage,
     SnapshotRestored,
 )
-from rainfall.forwarder.handover.roles import (
-    HandoverConnection,
-    HandoverMessage,
-    HandoverSource,
-    HandoverTarget,
-)
+from rainfall.dispatch.endpoints import ThrottleScopeKey
+from rainfall.forwarder.handover.connection import HandoverConnection
+from rainfall.forwarder.handover.messages import HandoverMessage
+from rainfall.forwarder.handover.source import HandoverSource
+from rainfall.forwarder.handover.target import HandoverTarget
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
 from rainfall.forwarder.outbound.connection_pool import CallItem, OutboundCall
 from rainfall.wirehost import encode_action
@@ -217,13 +216,13 @@
         engine.endpoint_ids, engine.last_endpoint_id = {"h1": 1, "h2": 2, "gone": 3}, 3
         engine.recently_finished.update({"m90": None, "m91": None})
         engine.pool.retry_after_until = {
-            (10, -1): FAR_US,
-            (11, 3): FAR_US + 1,
-            (12, 1): 5,
+            ThrottleScopeKey(10, -1): FAR_US,
+            ThrottleScopeKey(11, 3): FAR_US + 1,
+            ThrottleScopeKey(12, 1): 5,
         }
         item = CallItem("", 0, None, b"", 0)
         for out in world.out:
-            call = OutboundCall(out.target, (0, -1), out.sent, [item])
+            call = OutboundCall(out.target, ThrottleScopeKey(0, -1), out.sent, [item])
             engine.pool.calls[out.message, out.attempt] = call
         line = engine.handover_snapshot()
         assert line is not None
--- a/tests/compatibility/operators.py
+++ b/tests/compatibility/operators.py
@@ -15,6 +15,7 @@
 from unittest import mock
 
 from rainfall.dispatch import RejectMessage, Settings
+from rainfall.dispatch.endpoints import ThrottleScopeKey
 from rainfall.forwarder.admin.admin_server import AdminServer
 from rainfall.forwarder.discovery.endpoint_watch import encode_notifications
 from rainfall.forwarder.inbound.client_connection import BadRequestError, Request
@@ -178,7 +179,9 @@
             )
             item = CallItem("m1", 2, "k", b"", due_us)
             engine.on_call_sent(
-                OutboundCall(1, (7, -1), 5, [item], open_items={"m1": item})
+                OutboundCall(
+                    1, ThrottleScopeKey(7, -1), 5, [item], open_items={"m1": item}
+                )
             )
             engine.remember_finished("m1", "delivered")
             engine.serving = engine.frozen = True
@@ -247,7 +250,9 @@
         for some in (items[:1], items[1:], items):
             opened = {item.id: item for item in some}
             data += pool.render(
-                OutboundCall(1, (7, -1), 0, some, 2_500_000, open_items=opened)
+                OutboundCall(
+                    1, ThrottleScopeKey(7, -1), 0, some, 2_500_000, open_items=opened
+                )
             )
         names, body = encode_notifications(OWED)
         assert names == list(OWED)
