--- a/rainfall/forwarder/config/fleet_config.py
+++ b/rainfall/forwarder/config/fleet_config.py
@@ -15,11 +15,11 @@
 from rainfall.budget.config import MAX_BUDGETS
 from rainfall.forwarder.config.address import Address, parse_address
 from rainfall.forwarder.config.errors import ConfigFault, FleetConfigError
+from rainfall.forwarder.units import US_PER_MS
 from rainfall.wirehost import MalformedInputError
 
 MAX_PEERS = 10_000
 """The largest fleet has 540 forwarders, and may grow; each takes 150 bytes."""
-MS_TO_US = 1000
 RESTART_FIELDS = ("name", "site", "drift", "listen", "peers")
 """Fields that only a restart changes."""
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
@@ -108,7 +108,7 @@
         service=addresses["service"],
         name=document["name"] if "name" in raw else name,
         site=document["site"],
-        lease_us=document["lease_ms"] * MS_TO_US,
+        lease_us=document["lease_ms"] * US_PER_MS,
         drift=document["drift"],
         listen=addresses.get("listen"),
         peers=peers,
@@ -144,7 +144,7 @@
         reserves[destination] = BudgetReserve(
             destination,
             budget["reserve"],
-            budget["span_ms"] * MS_TO_US,
+            budget["span_ms"] * US_PER_MS,
             budget["calls"],
         )
     return tuple(reserves.values())
--- a/rainfall/forwarder/config/loading.py
+++ b/rainfall/forwarder/config/loading.py
@@ -28,6 +28,8 @@
 OPTIONAL_KEYS = frozenset(
     {
         "settings.services[].by_arrival",
+        # Nothing reads it, but files of the platform have it, and a file that replaces
+        # one may leave it out.
         "settings.services[].aim_stretch",
         "settings.contract.key_rest_us",
         "settings.prices.fleet",
--- a/rainfall/forwarder/engine/action_runner.py
+++ b/rainfall/forwarder/engine/action_runner.py
@@ -19,15 +19,15 @@
 from rainfall.forwarder.engine.call_dispatch import CallDispatch, CallStep
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.engine_state import (
-    US_PER_MS,
     EngineState,
     EventKind,
     log,
 )
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
-from rainfall.forwarder.message_store import MessageStore
+from rainfall.forwarder.message_store import MessageStore, NotificationState
 from rainfall.forwarder.outbound.connection_pool import OutboundCall
+from rainfall.forwarder.units import US_PER_MS
 
 
 class ActionRunner:
@@ -96,17 +96,17 @@
         """
         if isinstance(decision, RejectMessage):
             event_kind = EventKind.RETURNED
-            state = "returned"
+            state = NotificationState.RETURNED
             counts = self.metrics.throttled
             retry_after_ms = -(-decision.retry_after_us // US_PER_MS)  # rounded up
         else:
             event_kind = EventKind.FAILED
-            state = "failed"
+            state = NotificationState.FAILED
             counts = self.metrics.faulted
             retry_after_ms = 0
         message_id = decision.message_id
         self.state.event_counts[event_kind] += 1
         self.outcomes.count_unattempted(decision, now)
         self.metrics.record_finished(counts, self.store.messages[message_id].class_name)
-        self.store.append_notification(message_id, state, retry_after_ms)
-        self.outcomes.remember_finished(message_id, state)
+        self.store.append_notification(message_id, state.value, retry_after_ms)
+        self.outcomes.remember_finished(message_id, state.value)
--- a/rainfall/forwarder/engine/call_dispatch.py
+++ b/rainfall/forwarder/engine/call_dispatch.py
@@ -19,7 +19,6 @@
 from rainfall.forwarder.config.loading import ListedEndpoint
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.engine_state import (
-    US_PER_SECOND,
     Clock,
     EngineState,
     log,
@@ -34,6 +33,7 @@
     OutboundCall,
     fits_batch,
 )
+from rainfall.forwarder.units import US_PER_SECOND
 
 MAX_EARLY_TIMEOUT_US = 150_000
 """By so much at most a call ends before its message's deadline when the event loop is
--- a/rainfall/forwarder/engine/engine.py
+++ b/rainfall/forwarder/engine/engine.py
@@ -36,7 +36,6 @@
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.endpoint_updates import EndpointUpdates
 from rainfall.forwarder.engine.engine_state import (
-    NS_PER_US,
     Clock,
     EngineState,
     Submission,
@@ -72,6 +71,7 @@
     SyncWorker,
 )
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool, OutboundCall
+from rainfall.forwarder.units import NS_PER_US
 
 if TYPE_CHECKING:
     from rainfall.forwarder.fleet.member import FleetMember
--- a/rainfall/forwarder/engine/engine_state.py
+++ b/rainfall/forwarder/engine/engine_state.py
@@ -12,6 +12,7 @@
 
 from rainfall.forwarder.config.loading import Config
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
+from rainfall.forwarder.units import NS_PER_US
 
 if TYPE_CHECKING:
     from rainfall.forwarder.fleet.member import FleetMember
@@ -24,9 +25,6 @@
 """Least time between two log lines about the same lasting condition."""
 TICK_INTERVAL_S = 0.1
 """Between two runs of the watchdog, and between two retries of a failed commit."""
-US_PER_SECOND = 1_000_000
-US_PER_MS = 1000
-NS_PER_US = 1000
 log = logging.getLogger("rainfall.engine")
 trace_log = logging.getLogger("rainfall.trace")
 """A line for each message's arrival, attempt and end.
--- a/rainfall/forwarder/engine/event_queue.py
+++ b/rainfall/forwarder/engine/event_queue.py
@@ -8,13 +8,13 @@
 from rainfall.dispatch import AttemptFinished, Event, TimerExpired
 from rainfall.forwarder.engine.engine_state import (
     MIN_ROUND_INTERVAL_US,
-    US_PER_SECOND,
     Clock,
     EngineState,
 )
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.message_store import MessageStore
+from rainfall.forwarder.units import US_PER_SECOND
 
 EARLY_TIMER_RETRY_S = 0.001
 """Before a timer that the event loop fired too early is looked at again."""
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -18,7 +18,6 @@
 from rainfall.forwarder.engine.engine_state import (
     LOG_INTERVAL_US,
     REJECTED_RETRY_AFTER_S,
-    US_PER_SECOND,
     Clock,
     EngineState,
     EventKind,
@@ -32,6 +31,7 @@
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
 from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
+from rainfall.forwarder.units import US_PER_SECOND
 
 
 class Intake:
--- a/rainfall/forwarder/engine/outcomes.py
+++ b/rainfall/forwarder/engine/outcomes.py
@@ -15,12 +15,12 @@
 from rainfall.forwarder.admin.admin_server import Metrics
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.engine_state import (
-    US_PER_MS,
     Clock,
     EngineState,
     trace_log,
 )
 from rainfall.forwarder.message_store import MessageStore
+from rainfall.forwarder.units import US_PER_MS
 
 MAX_RECENTLY_FINISHED = 2_048
 """Messages remembered by id after their end; 100 bytes each."""
--- a/rainfall/forwarder/engine/watchdog.py
+++ b/rainfall/forwarder/engine/watchdog.py
@@ -1,4 +1,8 @@
-"""The engine's regular checks on itself, its garbage collection and summary lines."""
+"""The engine's regular checks on itself, its garbage collection and summary lines.
+
+Beside these it fails messages: one that is past its deadline and that the dispatcher
+left without an end gets it here (`Watchdog.fail_overdue_messages`).
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,6 @@
 from rainfall.forwarder.admin.admin_server import Metrics
 from rainfall.forwarder.engine.engine_state import (
     TICK_INTERVAL_S,
-    US_PER_MS,
     Clock,
     EngineState,
     log,
@@ -20,8 +23,13 @@
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.restoration import Restoration
 from rainfall.forwarder.inbound.server import InboundServer
-from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
+from rainfall.forwarder.message_store import (
+    AcceptedMessage,
+    MessageStore,
+    NotificationState,
+)
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
+from rainfall.forwarder.units import MS_PER_SECOND, US_PER_MS
 
 LOOP_LAG_S = 0.1
 """A delay of the event loop that is logged."""
@@ -39,12 +47,17 @@
 """The collector's generation up to which a partial collection looks."""
 OVERDUE_GRACE_US = 120_000
 """Past its deadline by so much, a message without an end is failed here."""
-MS_PER_S = 1000
 BYTES_PER_KB = 1000
 
 
 class Watchdog:
-    """Ten times a second checks that the event loop and the decisions keep up."""
+    """Ten times a second checks that the event loop and the decisions keep up.
+
+    A message whose end the decisions failed to bring is journaled as failed, its client
+    is notified, and the dispatcher is told to forget it. Each tick also collects
+    garbage, logs the summary line, retries a failed write of the journal and calls the
+    fleet member's tick, as each is due.
+    """
 
     def __init__(
         self,
@@ -100,7 +113,7 @@
         """Log that the event loop was blocked, now and then."""
         if lag_s > LOOP_LAG_S and now_s - self.last_lag_log_s > LOOP_LAG_LOG_INTERVAL_S:
             self.last_lag_log_s = now_s
-            log.warning("the loop stood still for %d ms", lag_s * MS_PER_S)
+            log.warning("the loop stood still for %d ms", lag_s * MS_PER_SECOND)
 
     def collect_garbage(self) -> None:
         """Collect garbage, without all that is held where that is much.
@@ -140,7 +153,9 @@
         for message in self.overdue_messages():
             log.error("message %s was left without an end", message.id)
             self.metrics.record_finished(self.metrics.faulted, message.class_name)
-            self.store.append_notification(message.id, "failed", 0)
+            self.store.append_notification(
+                message.id, NotificationState.FAILED.value, 0
+            )
             if message.order_key is not None:
                 # Later messages with its ordering key wait for the notification.
                 self.events.post(NotificationPending(message.id, message.order_key))
--- a/rainfall/forwarder/fleet/heartbeats.py
+++ b/rainfall/forwarder/fleet/heartbeats.py
@@ -14,6 +14,7 @@
 from rainfall.forwarder.config.address import Address
 from rainfall.forwarder.discovery.endpoint_watch import HttpClient
 from rainfall.forwarder.http1 import MalformedResponseError
+from rainfall.forwarder.units import NS_PER_US, US_PER_SECOND
 from rainfall.lease.holder import LeaseHolder
 
 WATCH_PATH = "/v1/fleet/watch"
@@ -30,8 +31,6 @@
 WATCH_RETRIES_PER_LEASE = 3
 """A failed watch is repeated within this part of a lease at most."""
 UNKNOWN_VERSION = -1
-NS_PER_US = 1000
-US_PER_SECOND = 1e6
 log = logging.getLogger("rainfall.fleet")
 
 
--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -40,6 +40,7 @@
 from rainfall.forwarder.http1 import MalformedResponseError, ResponseReader
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection import OutboundCall
+from rainfall.forwarder.units import US_PER_MS, US_PER_SECOND
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 from rainfall.lease.holder import LeaseHolder, LeaseRequest
 
@@ -58,8 +59,6 @@
 """Between two log lines that say that the service is unreachable."""
 ERROR_BODY_BYTES = 300
 """Bytes of an unexpected answer that an error repeats."""
-US_PER_SECOND = 1e6
-US_PER_MS = 1000
 DESTINATION_FORMAT = re.compile("0|[1-9][0-9]{0,9}", re.ASCII)
 """A destination's number as a key of JSON."""
 LOST_ERROR = "lost"
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -20,6 +20,7 @@
 from rainfall.forwarder.config.fleet_config import BudgetReserve
 from rainfall.forwarder.fleet.state_file import QuotaRecords
 from rainfall.forwarder.outbound.permits import PERMIT_GRANTED, PERMIT_TIME_UNKNOWN
+from rainfall.forwarder.units import US_PER_MS
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
 DEFAULT_SLACK_US = 5_000
@@ -37,7 +38,6 @@
 UNKNOWN_PERIOD_CALLS = 1 << 40
 """Stands for the calls of a period of which nothing is known."""
 MIN_PERMIT_DELAY_US = 1
-MS_TO_US = 1000
 log = logging.getLogger("rainfall.fleet")
 
 
@@ -231,14 +231,14 @@
             reserve = min(reserve, configured.reserve)
         slack_us = DEFAULT_SLACK_US
         if grant["slack_ms"] is not None:
-            slack_us = grant["slack_ms"] * MS_TO_US
+            slack_us = grant["slack_ms"] * US_PER_MS
         return Share(
             token,
             grant["number"],
             grant["calls"],
             min(reserve, grant["calls"]),
             grant["whole"],
-            grant["span_ms"] * MS_TO_US,
+            grant["span_ms"] * US_PER_MS,
             slack_us,
         )
 
@@ -445,10 +445,10 @@
             quota.window.drop_expired(now_us)
             figures[str(destination)] = {
                 "whole": quota.share.whole,
-                "span_ms": quota.share.span_us // MS_TO_US,
+                "span_ms": quota.share.span_us // US_PER_MS,
                 "share": quota.limit(now_us),
                 "used": quota.window.call_count,
-                "valid_for_ms": max(0, quota.valid_until_us - now_us) // MS_TO_US,
+                "valid_for_ms": max(0, quota.valid_until_us - now_us) // US_PER_MS,
                 "reserve": quota.share.reserve,
                 "by": self.authority(account, now_us),
                 "number": quota.share.number,
--- a/rainfall/forwarder/inbound/messages.py
+++ b/rainfall/forwarder/inbound/messages.py
@@ -10,8 +10,8 @@
 
 from rainfall.dispatch import Idempotency, MessageClass, Settings
 from rainfall.forwarder.inbound.requests import BadRequestError, Request
+from rainfall.forwarder.units import US_PER_SECOND
 
-US_PER_SECOND = 1_000_000
 MESSAGE_ID_LENGTH = 128
 """Characters of a message's id at most."""
 KEY_LENGTH = 256
--- a/rainfall/forwarder/inbound/server.py
+++ b/rainfall/forwarder/inbound/server.py
@@ -21,6 +21,7 @@
     parse_message,
 )
 from rainfall.forwarder.inbound.requests import BadRequestError, Request
+from rainfall.forwarder.units import US_PER_SECOND
 
 __all__ = [
     "InboundServer",
@@ -29,7 +30,6 @@
     "bind_listener",
     "parse_message",
 ]
-US_PER_SECOND = 1_000_000
 # A peer that sends no proper request, or nothing, is owed an error or a close within
 # 3 s of connecting (TERMS). The longest ways there leave time for an event loop that is
 # late (a test computes them):
--- a/rainfall/forwarder/message_store.py
+++ b/rainfall/forwarder/message_store.py
@@ -9,11 +9,14 @@
 import time
 from collections.abc import Callable
 from contextlib import suppress
+from enum import StrEnum
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from rainfall.forwarder.units import NS_PER_US
 from rainfall.journal.files import FileSystem, LocalFileSystem
 from rainfall.journal.format import VERSION
+from rainfall.journal.records import RecordKind
 from rainfall.journal.recovery import recover, this_boot
 from rainfall.journal.state import (
     MESSAGE_OVERHEAD_BYTES,
@@ -31,6 +34,7 @@
     "AcceptedMessage",
     "DeliveryRules",
     "MessageStore",
+    "NotificationState",
     "PendingNotification",
     "SyncWorker",
 ]
@@ -48,7 +52,6 @@
 """
 OUTAGE_RETENTION_US = 3_600_000_000
 """An outage is kept so long, as its endpoint may leave the list and come back cold."""
-NS_PER_US = 1000
 log = logging.getLogger("rainfall.store")
 
 
@@ -57,6 +60,14 @@
     return (time.time_ns() - time.monotonic_ns()) // NS_PER_US
 
 
+class NotificationState(StrEnum):
+    """How a message ended, as journaled and as its notification says."""
+
+    RETURNED = "returned"
+    """It was rejected, and may be submitted again."""
+    FAILED = "failed"
+
+
 class UnsyncedNotification(NamedTuple):
     """A pending notification that is not persisted yet."""
 
@@ -175,13 +186,13 @@
         continued = (report.salt, report.generation, report.number)
         self.log.begin(report.end, report.torn, continued if is_sound else None)
         if is_sound and self.clock is not None:
-            self.append("c", *self.clock)
+            self.append(RecordKind.CLOCK, *self.clock)
 
     # Writing
 
-    def append(self, *line: Any) -> None:
+    def append(self, kind: RecordKind, *fields: Any) -> None:
         """Append a record."""
-        self.log.append(encode_record(*line))
+        self.log.append(encode_record(kind, *fields))
 
     def use_rules(self, rules: DeliveryRules) -> None:
         """Apply these rules to all messages that are accepted from now on."""
@@ -202,14 +213,14 @@
         """Record an attempt at the endpoint named `host`."""
         message.in_flight[number] = (at_us, host)
         message.attempts = max(message.attempts, number + 1)
-        self.append("a", message.id, number, at_us, host)
+        self.append(RecordKind.ATTEMPT, message.id, number, at_us, host)
 
     def append_outcome(
         self, message: AcceptedMessage, number: int, may_have_executed: bool
     ) -> None:
         """Record the outcome of an attempt."""
         self.apply_outcome(message, number, may_have_executed)
-        self.append("o", message.id, number, int(may_have_executed))
+        self.append(RecordKind.OUTCOME, message.id, number, int(may_have_executed))
 
     def append_finished(self, name: str) -> None:
         """Record a message's end that needs no notification.
@@ -218,15 +229,21 @@
         """
         if name in self.messages:
             self._remove_message([name])
-            self.append("x", name)
+            self.append(RecordKind.FINISHED, name)
 
     def append_notification(self, name: str, state: str, after_ms: int) -> None:
-        """Record a message's end of which the platform must be notified."""
+        """Record a message's end of which the platform must be notified.
+
+        Args:
+            name: The message's id.
+            state: The value of a `NotificationState`.
+            after_ms: When its client may submit it again; 0 for no statement.
+        """
         message = self.messages.get(name)
         order_key = message.order_key if message is not None else None
         notification = PendingNotification(state, after_ms, order_key)
         self._add_pending_notification([name, *notification])
-        self.append("e", name, *notification)
+        self.append(RecordKind.PENDING_NOTIFICATION, name, *notification)
         if self.log.worker is not None:
             deadline_us = message.deadline_us if message is not None else 0
             self.unsynced_notifications[name] = UnsyncedNotification(
@@ -238,7 +255,7 @@
         if name in self.pending_notifications:
             self._remove_pending_notification([name])
             self.unsynced_notifications.pop(name, None)
-            self.append("d", name)
+            self.append(RecordKind.ACKNOWLEDGED, name)
 
     def sendable_notifications(self, now_us: int) -> dict[str, PendingNotification]:
         """Return the pending notifications that may be sent.
@@ -293,7 +310,9 @@
             and len(changed) + len(gone) < len(hosts) // INCREMENTAL_DIVISOR
         ):
             self.list_bytes = self.list_bytes * len(hosts) // len(previous)
-            return encode_record("u", self.seq, seq, changed, gone, source)
+            return encode_record(
+                RecordKind.ENDPOINT_LIST_UPDATE, self.seq, seq, changed, gone, source
+            )
         payload = encode_list(seq, hosts, source)
         self.list_bytes = len(payload)
         return payload
@@ -301,12 +320,12 @@
     def append_outage(self, host: str, since_us: int, back_us: int) -> None:
         """Record an endpoint's outage, or its end."""
         self._set_outage([host, since_us, back_us])
-        self.append("g", host, since_us, back_us)
+        self.append(RecordKind.OUTAGE, host, since_us, back_us)
 
     def append_detached(self, host: str, detached: bool) -> None:
         """Record that an endpoint is disabled or enabled."""
         self._set_detached([host, detached])
-        self.append("h", host, detached)
+        self.append(RecordKind.DETACHED, host, detached)
 
     def min_compacted_bytes(self) -> int:
         """Return the size of a compacted file without its small records."""
@@ -355,7 +374,7 @@
             self.log.writing = False
             return
         if self.fd >= 0 and not self.log.incomplete:
-            self.append("z")
+            self.append(RecordKind.CLOSED)
             self.flush()
             with suppress(OSError):
                 self.files.sync(self.fd)
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -28,9 +28,10 @@
     OutboundCall,
     OutcomeSink,
 )
-from rainfall.forwarder.outbound.idle_connections import US_PER_SECOND, IdleConnections
+from rainfall.forwarder.outbound.idle_connections import IdleConnections
 from rainfall.forwarder.outbound.permits import PERMIT_GRANTED, PERMIT_TIME_UNKNOWN
 from rainfall.forwarder.outbound.responses import parse_retry_after_us
+from rainfall.forwarder.units import US_PER_SECOND
 
 __all__ = [
     "CallItem",
--- a/rainfall/forwarder/outbound/idle_connections.py
+++ b/rainfall/forwarder/outbound/idle_connections.py
@@ -7,8 +7,8 @@
 
 from rainfall.forwarder.config.address import Address
 from rainfall.forwarder.outbound.connection import EndpointConnection
+from rainfall.forwarder.units import US_PER_SECOND
 
-US_PER_SECOND = 1_000_000
 DEFAULT_IDLE_TIMEOUT_US = 60 * US_PER_SECOND
 """Endpoints are taken to close idle connections after this where it is not known."""
 IDLE_MARGIN_US = 700_000
--- /dev/null
+++ b/rainfall/forwarder/units.py
@@ -0,0 +1,8 @@
+"""Factors between the units of time that the forwarder counts in."""
+
+from __future__ import annotations
+
+MS_PER_SECOND = 1000
+US_PER_SECOND = 1_000_000
+US_PER_MS = 1000
+NS_PER_US = 1000
