--- a/rainfall/forwarder/discovery/endpoint_watch.py
+++ b/rainfall/forwarder/discovery/endpoint_watch.py
@@ -35,6 +35,7 @@
     ResponseReader,
     encode_request,
 )
+from rainfall.forwarder.units import MS_PER_SECOND, US_PER_SECOND
 
 if TYPE_CHECKING:
     from rainfall.forwarder.discovery.notifications import NotificationSource
@@ -108,10 +109,10 @@
     if pushed:
         times = RequestTimes(PUSHED_RESPONSE_TIMEOUT_S, RETRY_JITTER * PUSHED_RETRY_S)
     else:
-        poll_retry_s = MAX_POLL_RETRY_US / 1_000_000 + ROUND_ALLOWANCE_S
+        poll_retry_s = MAX_POLL_RETRY_US / US_PER_SECOND + ROUND_ALLOWANCE_S
         times = RequestTimes(RESPONSE_TIMEOUT_S, poll_retry_s)
     return (
-        WATCH_HOLD_MS / 1000
+        WATCH_HOLD_MS / MS_PER_SECOND
         + WATCH_GRACE_S
         + 3 * times.retry_s
         + 3 * times.response_timeout_s
@@ -132,7 +133,10 @@
         times = RequestTimes(RESPONSE_TIMEOUT_S, RETRY_JITTER * INSIST_RETRY_S)
     two_failures_s = 2 * (times.response_timeout_s + times.retry_s)
     silent_watch_s = (
-        times.response_timeout_s + WATCH_HOLD_MS / 1000 + WATCH_GRACE_S + times.retry_s
+        times.response_timeout_s
+        + WATCH_HOLD_MS / MS_PER_SECOND
+        + WATCH_GRACE_S
+        + times.retry_s
     )
     return (
         max(two_failures_s, silent_watch_s)
@@ -340,7 +344,9 @@
         if self.version <= NO_VERSION:
             return LIST_PATH, immediate_timeout_s
         hold_ms = WATCH_HOLD_MS if self.confirmed else 0
-        timeout_s = WATCH_GRACE_S + hold_ms / 1000 if hold_ms else immediate_timeout_s
+        timeout_s = (
+            WATCH_GRACE_S + hold_ms / MS_PER_SECOND if hold_ms else immediate_timeout_s
+        )
         return f"{LIST_PATH}?from={self.version}&hold_ms={hold_ms}", timeout_s
 
     async def on_failure(self, error: Exception) -> bool:
--- a/rainfall/forwarder/fleet/heartbeats.py
+++ b/rainfall/forwarder/fleet/heartbeats.py
@@ -14,7 +14,7 @@
 from rainfall.forwarder.config.address import Address
 from rainfall.forwarder.discovery.endpoint_watch import HttpClient
 from rainfall.forwarder.http1 import MalformedResponseError
-from rainfall.forwarder.units import NS_PER_US, US_PER_SECOND
+from rainfall.forwarder.units import MS_PER_SECOND, NS_PER_US, US_PER_SECOND
 from rainfall.lease.holder import LeaseHolder
 
 WATCH_PATH = "/v1/fleet/watch"
@@ -153,7 +153,7 @@
         response = await self.clients[1].request(
             "GET",
             f"{WATCH_PATH}?from={known_version}&hold_ms={WATCH_HOLD_MS}",
-            WATCH_HOLD_MS / 1000 + WATCH_GRACE_S,
+            WATCH_HOLD_MS / MS_PER_SECOND + WATCH_GRACE_S,
         )
         if response.status != HTTPStatus.OK:
             raise MalformedResponseError(f"status {response.status}")
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -20,12 +20,12 @@
 from rainfall.forwarder.config.fleet_config import BudgetReserve
 from rainfall.forwarder.fleet.state_file import QuotaRecords
 from rainfall.forwarder.outbound.permits import PERMIT_GRANTED, PERMIT_TIME_UNKNOWN
-from rainfall.forwarder.units import US_PER_MS
+from rainfall.forwarder.units import US_PER_MS, US_PER_SECOND
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
 DEFAULT_SLACK_US = 5_000
 """A share's slack where the service gives none."""
-DEFAULT_SPAN_US = 1_000_000
+DEFAULT_SPAN_US = US_PER_SECOND
 """Demand is counted over this span where no budget is known."""
 DEMAND_GROWTH_FACTOR = 1.25
 """Demand that grew by this factor since it was reported is reported at once."""
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -31,7 +31,7 @@
 from rainfall.forwarder.outbound.idle_connections import IdleConnections
 from rainfall.forwarder.outbound.permits import PERMIT_GRANTED, PERMIT_TIME_UNKNOWN
 from rainfall.forwarder.outbound.responses import parse_retry_after_us
-from rainfall.forwarder.units import US_PER_SECOND
+from rainfall.forwarder.units import MS_PER_SECOND, US_PER_MS, US_PER_SECOND
 
 __all__ = [
     "CallItem",
@@ -297,9 +297,9 @@
         call.batched = len(items) > 1
         call.message_count = len(items)
         time_left_ms = max(
-            MIN_TIME_LEFT_MS, (call.timeout_at_us - self.clock()) // 1000
+            MIN_TIME_LEFT_MS, (call.timeout_at_us - self.clock()) // US_PER_MS
         )
-        time_left = f"{time_left_ms / 1000:.3f}"
+        time_left = f"{time_left_ms / MS_PER_SECOND:.3f}"
         if len(items) == 1:
             item = items[0]
             headers = [("X-Correlation-Id", item.id), ("X-Time-Left", time_left)]
--- a/rainfall/forwarder/outbound/responses.py
+++ b/rainfall/forwarder/outbound/responses.py
@@ -13,6 +13,7 @@
 from rainfall.dispatch import LoadReport, Outcome
 from rainfall.forwarder.http1 import MalformedResponseError, ResponseReader
 from rainfall.forwarder.outbound.connection import AttemptResult
+from rainfall.forwarder.units import US_PER_MS
 
 RETRY_AFTER_HEADER = "x-ratelimit-wait-ms"
 OVER_SLOTS_HEADER = "x-over-slots"
@@ -58,7 +59,7 @@
 def parse_retry_after_us(reader: ResponseReader) -> int:
     """Return the Retry-After, rounded up to a microsecond; 0 where there is none."""
     wait_ms = parse_number(reader.headers.get(RETRY_AFTER_HEADER, ""))
-    wait_us = -int(-wait_ms * 1000 // 1)
+    wait_us = -int(-wait_ms * US_PER_MS // 1)
     return wait_us if 0 < wait_us <= MAX_RETRY_AFTER_US else 0
 
 
