--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -6,6 +6,7 @@
 
 import asyncio
 import errno
+import itertools
 import json
 import logging
 from collections.abc import Awaitable, Callable
@@ -643,7 +644,7 @@
             e.events.pending_events += posted
             posted.clear()
         assert len(pauses) == 6 and sum(pauses[:5]) >= 7
-        assert all(a < b for a, b in zip(pauses, pauses[1:], strict=False))
+        assert all(a < b for a, b in itertools.pairwise(pauses))
         e.store.log.max_bytes = 3_000_000
         e.store.close()
 
--- a/tests/lab/test_verdicts.py
+++ b/tests/lab/test_verdicts.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import json
 import os
 import signal
@@ -450,9 +451,7 @@
         )
         own = [r for r in told if r["session"] == session]
         assert [r["number"] for r in own] == [0, 1, 2, 3]
-        assert all(
-            b["ready_ns"] >= a["answer_ns"] for a, b in zip(own, own[1:], strict=False)
-        )
+        assert all(b["ready_ns"] >= a["answer_ns"] for a, b in itertools.pairwise(own))
     joined = checker.join_records(
         told, {"feed": 0, "pay": 0}
     )  # waiting for its turn is no lag, and costs no time
