--- a/rainfall/forwarder/engine/endpoint_directory.py
+++ b/rainfall/forwarder/engine/endpoint_directory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rainfall.dispatch import EndpointEntry, Settings
-from rainfall.dispatch.endpoints import ThrottleScopeKey
+from rainfall.dispatch.endpoints import ANY_ENDPOINT, ThrottleScopeKey
 from rainfall.forwarder.config.loading import EndpointList, ListedEndpoint
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
@@ -16,8 +16,6 @@
 """Destinations that messages are accepted for; 70 bytes each."""
 DEFAULT_BATCH_SIZE = 1
 """Messages in a call to an endpoint of a kind that the settings do not name."""
-ANY_ENDPOINT = -1
-"""In a `ThrottleScopeKey`: all endpoints of the destination."""
 
 
 class EndpointDirectory:
--- a/rainfall/forwarder/engine/reconfiguration.py
+++ b/rainfall/forwarder/engine/reconfiguration.py
@@ -7,6 +7,7 @@
 from dataclasses import replace
 
 from rainfall.dispatch import SettingsChanged
+from rainfall.dispatch.endpoints import ANY_ENDPOINT
 from rainfall.forwarder.admin.admin_server import Metrics
 from rainfall.forwarder.config.errors import ConfigError
 from rainfall.forwarder.config.loading import Config, load_replacement
@@ -19,7 +20,6 @@
 )
 from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, Notifier
 from rainfall.forwarder.engine.endpoint_directory import (
-    ANY_ENDPOINT,
     EndpointDirectory,
     kind_name,
 )
