--- a/rainfall/forwarder/engine/action_runner.py
+++ b/rainfall/forwarder/engine/action_runner.py
@@ -19,15 +19,15 @@
 from rainfall.forwarder.engine.call_dispatch import CallDispatch, CallStep
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.engine_state import (
-    US_PER_MS,
     EngineState,
     EventKind,
     log,
 )
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.outcomes import OutcomeRecorder
-from rainfall.forwarder.message_store import MessageStore
+from rainfall.forwarder.message_store import MessageStore, NotificationState
 from rainfall.forwarder.outbound.connection_pool import OutboundCall
+from rainfall.forwarder.units import US_PER_MS
 
 
 class ActionRunner:
@@ -71,7 +71,7 @@
         match action:
             case RejectMessage() | FailMessage():
                 if action.message_id in self.store.messages:
-                    self.give_up(action, now)
+                    self.journal_final_answer(action, now)
             case SetTimer():
                 self.events.set_timer(now + action.delay_us, action.token)
             case SubscribeEndpointList():
@@ -86,21 +86,27 @@
             case LogNote():
                 log.info("%s", action.text)
 
-    def give_up(self, decision: RejectMessage | FailMessage, now: int) -> None:
-        """Journal that a message was given up, for its client to be notified."""
+    def journal_final_answer(
+        self, decision: RejectMessage | FailMessage, now: int
+    ) -> None:
+        """Journal and count the end of an accepted message that was given up.
+
+        The dispatcher decided on that; the journal's record is the answer that the
+        message's client is notified of. `EventKind` lists the names of both ends.
+        """
         if isinstance(decision, RejectMessage):
             event_kind = EventKind.RETURNED
-            state = "returned"
+            state = NotificationState.RETURNED
             counts = self.metrics.throttled
             retry_after_ms = -(-decision.retry_after_us // US_PER_MS)  # rounded up
         else:
             event_kind = EventKind.FAILED
-            state = "failed"
+            state = NotificationState.FAILED
             counts = self.metrics.faulted
             retry_after_ms = 0
         message_id = decision.message_id
         self.state.event_counts[event_kind] += 1
         self.outcomes.count_unattempted(decision, now)
         self.metrics.record_finished(counts, self.store.messages[message_id].class_name)
-        self.store.append_notification(message_id, state, retry_after_ms)
-        self.outcomes.remember_finished(message_id, state)
+        self.store.append_notification(message_id, state.value, retry_after_ms)
+        self.outcomes.remember_finished(message_id, state.value)
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -19,11 +19,13 @@
 from rainfall.dispatch import QuotaChanged
 from rainfall.forwarder.config.fleet_config import BudgetReserve
 from rainfall.forwarder.fleet.state_file import QuotaRecords
+from rainfall.forwarder.outbound.permits import PERMIT_GRANTED, PERMIT_TIME_UNKNOWN
+from rainfall.forwarder.units import US_PER_MS, US_PER_SECOND
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
 DEFAULT_SLACK_US = 5_000
 """A share's slack where the service gives none."""
-DEFAULT_SPAN_US = 1_000_000
+DEFAULT_SPAN_US = US_PER_SECOND
 """Demand is counted over this span where no budget is known."""
 DEMAND_GROWTH_FACTOR = 1.25
 """Demand that grew by this factor since it was reported is reported at once."""
@@ -35,10 +37,7 @@
 """Bytes in JSON of a character that is not ASCII, at most."""
 UNKNOWN_PERIOD_CALLS = 1 << 40
 """Stands for the calls of a period of which nothing is known."""
-PERMIT_GRANTED = 0
-PERMIT_TIME_UNKNOWN = -1
 MIN_PERMIT_DELAY_US = 1
-MS_TO_US = 1000
 log = logging.getLogger("rainfall.fleet")
 
 
@@ -232,14 +231,14 @@
             reserve = min(reserve, configured.reserve)
         slack_us = DEFAULT_SLACK_US
         if grant["slack_ms"] is not None:
-            slack_us = grant["slack_ms"] * MS_TO_US
+            slack_us = grant["slack_ms"] * US_PER_MS
         return Share(
             token,
             grant["number"],
             grant["calls"],
             min(reserve, grant["calls"]),
             grant["whole"],
-            grant["span_ms"] * MS_TO_US,
+            grant["span_ms"] * US_PER_MS,
             slack_us,
         )
 
@@ -423,6 +422,14 @@
             record["spent"] = merge_spent(record["spent"], entries_each)
         return records
 
+    def suspend(self) -> None:
+        """Grant no permit before the records are written again.
+
+        Those on disk are a successor's from here on: it would not know of a call that
+        was sent after they were written, and the budget would be exceeded.
+        """
+        self.persisted = False
+
     def reopen(self) -> None:
         """Send calls again, as no successor took over."""
         for account in self.accounts.values():
@@ -438,10 +445,10 @@
             quota.window.drop_expired(now_us)
             figures[str(destination)] = {
                 "whole": quota.share.whole,
-                "span_ms": quota.share.span_us // MS_TO_US,
+                "span_ms": quota.share.span_us // US_PER_MS,
                 "share": quota.limit(now_us),
                 "used": quota.window.call_count,
-                "valid_for_ms": max(0, quota.valid_until_us - now_us) // MS_TO_US,
+                "valid_for_ms": max(0, quota.valid_until_us - now_us) // US_PER_MS,
                 "reserve": quota.share.reserve,
                 "by": self.authority(account, now_us),
                 "number": quota.share.number,
