--- a/rainfall/forwarder/message_store.py
+++ b/rainfall/forwarder/message_store.py
@@ -14,9 +14,10 @@
 from typing import Any, NamedTuple
 
 from rainfall.forwarder.units import NS_PER_US
+from rainfall.journal import records
 from rainfall.journal.files import FileSystem, LocalFileSystem
 from rainfall.journal.format import VERSION
-from rainfall.journal.records import RecordKind
+from rainfall.journal.records import EndpointListUpdate, Outage
 from rainfall.journal.recovery import recover, this_boot
 from rainfall.journal.state import (
     MESSAGE_OVERHEAD_BYTES,
@@ -26,7 +27,6 @@
     PendingNotification,
     encode_list,
     encode_message,
-    encode_record,
 )
 from rainfall.journal.writer import RESERVED_BYTES, JournalWriter, SyncWorker
 
@@ -186,14 +186,10 @@
         continued = (report.salt, report.generation, report.number)
         self.log.begin(report.end, report.torn, continued if is_sound else None)
         if is_sound and self.clock is not None:
-            self.append(RecordKind.CLOCK, *self.clock)
+            self.log.append(records.encode_clock(self.clock))
 
     # Writing
 
-    def append(self, kind: RecordKind, *fields: Any) -> None:
-        """Append a record."""
-        self.log.append(encode_record(kind, *fields))
-
     def use_rules(self, rules: DeliveryRules) -> None:
         """Apply these rules to all messages that are accepted from now on."""
         if self.rules.get(self.current_rules_number) != rules:
@@ -213,14 +209,14 @@
         """Record an attempt at the endpoint named `host`."""
         message.in_flight[number] = (at_us, host)
         message.attempts = max(message.attempts, number + 1)
-        self.append(RecordKind.ATTEMPT, message.id, number, at_us, host)
+        self.log.append(records.encode_attempt(message.id, number, at_us, host))
 
     def append_outcome(
         self, message: AcceptedMessage, number: int, may_have_executed: bool
     ) -> None:
         """Record the outcome of an attempt."""
         self.apply_outcome(message, number, may_have_executed)
-        self.append(RecordKind.OUTCOME, message.id, number, int(may_have_executed))
+        self.log.append(records.encode_outcome(message.id, number, may_have_executed))
 
     def append_finished(self, name: str) -> None:
         """Record a message's end that needs no notification.
@@ -228,8 +224,8 @@
         It was delivered or withdrawn, or its endpoint said that it is over.
         """
         if name in self.messages:
-            self._remove_message([name])
-            self.append(RecordKind.FINISHED, name)
+            self.remove_message(name)
+            self.log.append(records.encode_finished(name))
 
     def append_notification(self, name: str, state: str, after_ms: int) -> None:
         """Record a message's end of which the platform must be notified.
@@ -242,8 +238,8 @@
         message = self.messages.get(name)
         order_key = message.order_key if message is not None else None
         notification = PendingNotification(state, after_ms, order_key)
-        self._add_pending_notification([name, *notification])
-        self.append(RecordKind.PENDING_NOTIFICATION, name, *notification)
+        self.add_pending_notification(name, notification)
+        self.log.append(records.encode_pending_notification(name, notification))
         if self.log.worker is not None:
             deadline_us = message.deadline_us if message is not None else 0
             self.unsynced_notifications[name] = UnsyncedNotification(
@@ -253,9 +249,9 @@
     def append_acknowledgement(self, name: str) -> None:
         """Record that the platform acknowledged a notification."""
         if name in self.pending_notifications:
-            self._remove_pending_notification([name])
+            del self.pending_notifications[name]
             self.unsynced_notifications.pop(name, None)
-            self.append(RecordKind.ACKNOWLEDGED, name)
+            self.log.append(records.encode_acknowledgement(name))
 
     def sendable_notifications(self, now_us: int) -> dict[str, PendingNotification]:
         """Return the pending notifications that may be sent.
@@ -310,22 +306,22 @@
             and len(changed) + len(gone) < len(hosts) // INCREMENTAL_DIVISOR
         ):
             self.list_bytes = self.list_bytes * len(hosts) // len(previous)
-            return encode_record(
-                RecordKind.ENDPOINT_LIST_UPDATE, self.seq, seq, changed, gone, source
-            )
+            update = EndpointListUpdate(self.seq, seq, changed, gone, source)
+            return records.encode_endpoint_list_update(update)
         payload = encode_list(seq, hosts, source)
         self.list_bytes = len(payload)
         return payload
 
     def append_outage(self, host: str, since_us: int, back_us: int) -> None:
         """Record an endpoint's outage, or its end."""
-        self._set_outage([host, since_us, back_us])
-        self.append(RecordKind.OUTAGE, host, since_us, back_us)
+        outage = Outage(since_us, back_us)
+        self.set_outage(host, outage)
+        self.log.append(records.encode_outage(host, outage))
 
     def append_detached(self, host: str, detached: bool) -> None:
         """Record that an endpoint is disabled or enabled."""
-        self._set_detached([host, detached])
-        self.append(RecordKind.DETACHED, host, detached)
+        self.set_detached(host, detached)
+        self.log.append(records.encode_detached(host, detached))
 
     def min_compacted_bytes(self) -> int:
         """Return the size of a compacted file without its small records."""
@@ -374,7 +370,7 @@
             self.log.writing = False
             return
         if self.fd >= 0 and not self.log.incomplete:
-            self.append(RecordKind.CLOSED)
+            self.log.append(records.encode_closed())
             self.flush()
             with suppress(OSError):
                 self.files.sync(self.fd)
--- a/rainfall/journal/records.py
+++ b/rainfall/journal/records.py
@@ -337,9 +337,14 @@
 
 # Encoding
 
-# Each accepted message is encoded: a plain string costs less than an enum's member.
+# Each message has these records: a plain string costs less than an enum's member.
 _MESSAGE_KIND = RecordKind.MESSAGE.value
 _CHECKPOINT_MESSAGE_KIND = RecordKind.CHECKPOINT_MESSAGE.value
+_ATTEMPT_KIND = RecordKind.ATTEMPT.value
+_OUTCOME_KIND = RecordKind.OUTCOME.value
+_FINISHED_KIND = RecordKind.FINISHED.value
+_PENDING_NOTIFICATION_KIND = RecordKind.PENDING_NOTIFICATION.value
+_ACKNOWLEDGED_KIND = RecordKind.ACKNOWLEDGED.value
 
 
 def _json_default(value: object) -> str:
@@ -394,9 +399,31 @@
     )
 
 
+def encode_attempt(
+    message_id: str, number: int, started_at_us: int, host: str
+) -> bytes:
+    """Encode the beginning of an attempt."""
+    return encode_record(_ATTEMPT_KIND, message_id, number, started_at_us, host)
+
+
+def encode_outcome(message_id: str, number: int, may_have_executed: bool) -> bytes:
+    """Encode the end of an attempt."""
+    return encode_record(_OUTCOME_KIND, message_id, number, int(may_have_executed))
+
+
+def encode_finished(message_id: str) -> bytes:
+    """Encode a message's end that needs no notification."""
+    return encode_record(_FINISHED_KIND, message_id)
+
+
 def encode_pending_notification(message_id: str, end: PendingNotification) -> bytes:
     """Encode a message's end that the platform has not acknowledged."""
-    return encode_record(RecordKind.PENDING_NOTIFICATION, message_id, *end)
+    return encode_record(_PENDING_NOTIFICATION_KIND, message_id, *end)
+
+
+def encode_acknowledgement(message_id: str) -> bytes:
+    """Encode that the platform has acknowledged a message's end."""
+    return encode_record(_ACKNOWLEDGED_KIND, message_id)
 
 
 def encode_list(seq: int, hosts: dict[str, dict[str, Any]], source: str) -> bytes:
@@ -432,6 +459,16 @@
     return encode_record(RecordKind.CLOCK, *clock)
 
 
+def encode_closed() -> bytes:
+    """Encode that the process ended in order."""
+    return encode_record(RecordKind.CLOSED)
+
+
+def encode_endpoint_list_update(update: EndpointListUpdate) -> bytes:
+    """Encode the changes of an endpoint list."""
+    return encode_record(RecordKind.ENDPOINT_LIST_UPDATE, *update)
+
+
 # Message classes within delivery rules
 
 CLASS_KEYS = {
--- a/rainfall/journal/state.py
+++ b/rainfall/journal/state.py
@@ -96,14 +96,14 @@
             RecordKind.RULES: self._read_rules,
             RecordKind.ATTEMPT: self._read_attempt,
             RecordKind.OUTCOME: self._read_outcome,
-            RecordKind.FINISHED: self._remove_message,
-            RecordKind.PENDING_NOTIFICATION: self._add_pending_notification,
-            RecordKind.ACKNOWLEDGED: self._remove_pending_notification,
+            RecordKind.FINISHED: self._read_finished,
+            RecordKind.PENDING_NOTIFICATION: self._read_pending_notification,
+            RecordKind.ACKNOWLEDGED: self._read_acknowledgement,
             RecordKind.ENDPOINT_LIST: self._read_list,
             RecordKind.COMPRESSED: self._read_compressed,
             RecordKind.ENDPOINT_LIST_UPDATE: self._read_list_update,
-            RecordKind.DETACHED: self._set_detached,
-            RecordKind.OUTAGE: self._set_outage,
+            RecordKind.DETACHED: self._read_detached,
+            RecordKind.OUTAGE: self._read_outage,
             RecordKind.CLOCK: self._read_clock,
             RecordKind.CLOSED: self._read_closed,
         }
@@ -148,7 +148,7 @@
         ended = [message for message in doubted if message.order_key is not None]
         for message in ended:
             end = PendingNotification("failed", 0, message.order_key)
-            self._add_pending_notification([message.id, *end])
+            self.add_pending_notification(message.id, end)
         for message in doubted:
             message.in_doubt = False
             if message.order_key is None:
@@ -246,22 +246,32 @@
             message.executed_at_us = started_at_us
             message.executed_on = host
 
-    def _remove_message(self, fields: Fields, _body: bytes = b"") -> None:
-        message_id = records.decode_message_id(fields)
+    def _read_finished(self, fields: Fields, _body: bytes) -> None:
+        self.remove_message(records.decode_message_id(fields))
+
+    def remove_message(self, message_id: str) -> None:
+        """Drop a message that has ended, if it is known."""
         message = self.messages.pop(message_id, None)
         self.lost_messages.pop(message_id, None)
         if message is not None:
             self.live_index.remove(message.id, message.destination, message.deadline_us)
             self.live_bytes -= message.size
 
-    def _add_pending_notification(self, fields: Fields, _body: bytes = b"") -> None:
+    def _read_pending_notification(self, fields: Fields, _body: bytes) -> None:
         # The message has ended also where the rest of the record is of unknown form.
-        self._remove_message(fields)
         message_id = records.decode_message_id(fields)
+        self.remove_message(message_id)
         end = records.decode_pending_notification(fields)
+        self.add_pending_notification(message_id, end)
+
+    def add_pending_notification(
+        self, message_id: str, end: PendingNotification
+    ) -> None:
+        """Note a message's end that the platform has to acknowledge."""
+        self.remove_message(message_id)
         self.pending_notifications[message_id] = end
 
-    def _remove_pending_notification(self, fields: Fields, _body: bytes = b"") -> None:
+    def _read_acknowledgement(self, fields: Fields, _body: bytes) -> None:
         self.pending_notifications.pop(records.decode_message_id(fields), None)
 
     def _read_list(self, fields: Fields, _body: bytes) -> None:
@@ -291,19 +301,27 @@
         self.rules[record.number] = record.rules
         self.current_rules_number = record.number
 
-    def _set_detached(self, fields: Fields, _body: bytes = b"") -> None:
+    def _read_detached(self, fields: Fields, _body: bytes) -> None:
         record = records.decode_detached(fields)
-        if record.detached:
-            self.detached[record.host] = None
+        self.set_detached(record.host, record.detached)
+
+    def set_detached(self, host: str, detached: bool) -> None:
+        """Note whether an operator has detached an endpoint."""
+        if detached:
+            self.detached[host] = None
         else:
-            self.detached.pop(record.host, None)
+            self.detached.pop(host, None)
 
-    def _set_outage(self, fields: Fields, _body: bytes = b"") -> None:
+    def _read_outage(self, fields: Fields, _body: bytes) -> None:
         record = records.decode_outage(fields)
-        if record.outage.started_at_us < 0:
-            self.outages.pop(record.host, None)
+        self.set_outage(record.host, record.outage)
+
+    def set_outage(self, host: str, outage: Outage) -> None:
+        """Note an endpoint's outage; one without a beginning removes it."""
+        if outage.started_at_us < 0:
+            self.outages.pop(host, None)
         else:
-            self.outages[record.host] = record.outage
+            self.outages[host] = outage
 
     def _read_clock(self, fields: Fields, _body: bytes) -> None:
         self.clock = records.decode_clock(fields)
--- a/rainfall/journal/writer.py
+++ b/rainfall/journal/writer.py
@@ -227,14 +227,13 @@
         return self.size + payload_bytes + FRAME.size * len(self.pending)
 
     def _is_rewrite_due(self, size_after: int) -> bool:
-        threshold = max(
-            REWRITE_THRESHOLD_BYTES, REWRITE_GROWTH_FACTOR * self.live_bytes()
-        )
-        if size_after > threshold:
+        live_bytes = self.live_bytes()
+        if size_after > max(
+            REWRITE_THRESHOLD_BYTES, REWRITE_GROWTH_FACTOR * live_bytes
+        ):
             return True
         # A new file is written beside the old one.
-        both_files = size_after + self.live_bytes() + RESERVED_BYTES // 2
-        return both_files > self.max_bytes
+        return size_after + live_bytes + RESERVED_BYTES // 2 > self.max_bytes
 
     def _rewrite_pending(self) -> bool:
         """Begin a new file; returns whether nothing is left to write into the old one."""
--- a/tests/forwarder/test_regular_work.py
+++ b/tests/forwarder/test_regular_work.py
@@ -48,7 +48,7 @@
                 )
             )
         elif kind == 3:
-            state._remove_message([draw.choice(list(state.messages))])
+            state.remove_message(draw.choice(list(state.messages)))
         else:
             m = state.messages[draw.choice(list(state.messages))]
             state.move_deadline(m, draw.randrange(2 * S))
