--- a/rainfall/dispatch/capacity.py
+++ b/rainfall/dispatch/capacity.py
@@ -35,16 +35,14 @@
     `call` is one to it that begins in this round and that the message may join;
     `call_left` says whether one more call may be in flight in all.
     """
-    joins = call is not None and call.batch_size < endpoint.max_batch_size
-    if joins and call is not None and _may_join(state, endpoint, call):
-        return state.now
-    if not joins and not _has_window(state, endpoint, call_left):
+    if call is not None and call.batch_size < endpoint.max_batch_size:
+        if _may_join(state, endpoint, call):
+            return state.now
+    elif not _has_window(state, endpoint, call_left):
         return NEVER
     scope = endpoint.throttle_scope
     quota = state.quotas.get(endpoint.destination)
-    permit_at = scope.next_permit_at
-    if quota is not None:
-        permit_at = quota.available_at(state.now)
+    permit_at = scope.next_permit_at if quota is None else quota.available_at(state.now)
     at = max(scope.retry_after_until, scope.backoff_until, permit_at)
     if not in_slow_start(state, endpoint):
         return at
@@ -79,9 +77,8 @@
     """
     endpoints = state.serving(destination)
     if any(e.recovered_at >= 0 and in_slow_start(state, e) for e in endpoints):
-        return (
-            state.now
-        )  # what an endpoint bears changes all the time while it warms up
+        # What an endpoint bears changes all the time while it warms up.
+        return state.now
     if has_call_left(state) and destination not in state.called_destinations:
         return min((available_at(state, e) for e in endpoints), default=NEVER)
     return min(
--- a/rainfall/dispatch/latency.py
+++ b/rainfall/dispatch/latency.py
@@ -32,11 +32,11 @@
     scope: ThrottleScope, message_class: MessageClass, now: int
 ) -> float:
     """The expected duration of a call of a class to a throttle scope."""
-    seed = latency_seed(message_class)
     if scope.latency_updated_at < 0:
-        return seed
+        return latency_seed(message_class)
     if scope.in_flight:
         return scope.latency_estimate
+    seed = latency_seed(message_class)
     half_lives = (now - scope.latency_updated_at) / ESTIMATE_HALF_LIFE_US
     return float(seed + (scope.latency_estimate - seed) * 0.5**half_lives)
 
