--- a/rainfall/dispatch/outcomes.py
+++ b/rainfall/dispatch/outcomes.py
@@ -23,11 +23,12 @@
     NOT_SENT = "not sent"
 
 
-NEVER_EXECUTED = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT})
+# Tuples: they are compared by identity, while a set hashes each member in Python.
+NEVER_EXECUTED = (Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 """Outcomes that prove that the attempt had no effect."""
-MAY_STILL_RUN = frozenset({Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELED})
+MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELED)
 """Outcomes after which the endpoint may still be executing the message."""
-TELLS_NOTHING = frozenset({Outcome.NOT_SENT, Outcome.CANCELED})
+TELLS_NOTHING = (Outcome.NOT_SENT, Outcome.CANCELED)
 """Outcomes that say nothing of the endpoint."""
-OVERLOAD_SIGNS = frozenset({Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NO_CONNECTION})
+OVERLOAD_SIGNS = (Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NO_CONNECTION)
 """Outcomes that halve the concurrency window."""
