--- a/rainfall/dispatch/attempt_outcomes.py
+++ b/rainfall/dispatch/attempt_outcomes.py
@@ -89,7 +89,10 @@
 def _close_or_wait(
     state: DispatcherState, attempt: Attempt, event: AttemptFinished
 ) -> None:
-    """The message is over, or waits for its next attempt."""
+    """End the message or let it wait for its next attempt.
+
+    It ends when it is delivered, or when the destination says that it is closed.
+    """
     message = attempt.message
     if message.id not in state.messages:
         return
--- a/rainfall/dispatch/expiry.py
+++ b/rainfall/dispatch/expiry.py
@@ -23,7 +23,10 @@
 
 
 def drop_unsent(state: DispatcherState) -> None:
-    """Give up the messages that no attempt can help any more."""
+    """Give up the messages that no attempt can help any more.
+
+    They have too little time left for a call, are shed, or may have no further attempt.
+    """
     by_destination = state.queues.by_destination
     for destination in sorted(state.dirty_destinations & by_destination.keys()):
         _drop_from(state, destination, by_destination[destination])
--- a/rainfall/dispatch/settings.py
+++ b/rainfall/dispatch/settings.py
@@ -35,10 +35,13 @@
 class MessageClass:
     """What all messages of one class have in common.
 
-    A new field needs a default, and a line in `wirehost.py:parse_settings`' reader of
-    classes, in `KNOWN_KEYS` of `forwarder/config/validation.py`, and in `CLASS_KEYS` of
-    `journal/records.py`, which is only ever appended to: it is on disk. Without that
-    line a restart forgets the field. `snapshot.py` has no classes.
+    A new field needs a default, a hashable type, and a line in each of these:
+    `_class_requirements` where it has bounds; `wirehost.py:_parse_class`; `KNOWN_KEYS`
+    of `forwarder/config/validation.py` (`POSITIVE_KEYS` where it must be above 0) and
+    `OPTIONAL_KEYS` of `forwarder/config/loading.py`; `CLASS_KEYS` of
+    `journal/records.py`, with `_decode_class` where JSON has no such type. `CLASS_KEYS`
+    is on disk: it is only ever appended to, and without a line there a restart forgets
+    the field. `snapshot.py` has no classes.
     """
 
     name: str
@@ -145,7 +148,10 @@
                 raise ValueError(f"setting cannot hold: {name}")
 
     def _requirements(self) -> Iterator[tuple[bool, str]]:
-        """Each requirement, and the name of its setting as operators know it."""
+        """Each requirement, and the name that its error gives the setting.
+
+        `warm_us` and `scope` are `warm_after_us` and `key_scope` on the wire.
+        """
         yield self.max_in_flight >= 1, "slots"
         yield self.forwarder_count >= 1, "balancers"
         yield self.max_open_messages >= 1, "max_open"
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -8,12 +8,14 @@
                         accepted, but health checks say "not ready" and each
                         connection closes after its next answer.
 1.0 ACCEPT_PERIOD_S     `advance_shutdown`, from now on every SHUTDOWN_STEP_S: idle
-                        connections close, too.
+                        connections close, too; a new one has its
+                        FIRST_REQUEST_GRACE_US (`client_connection`) first.
 2.8 FREEZE_AFTER_S      `freeze`: the last round. Nothing new is sent; calls in flight
                         are awaited, and their outcomes journaled.
 3.3 EXIT_AFTER_S        `signal_stopped`: the end, also of calls in flight.
 then                    `Startup.settle`: the last commit; after it the pool, the
                         clients' connections (`client_grace_s`) and the journal close.
+                        Half way through that grace a request without an answer gets 503.
 ======================  ==============================================================
 
 After a transfer to another process there is no freeze: only the calls and connections
--- a/rainfall/forwarder/engine/watchdog.py
+++ b/rainfall/forwarder/engine/watchdog.py
@@ -2,6 +2,7 @@
 
 Beside these it fails messages: one that is past its deadline and that the dispatcher
 left without an end gets it here (`Watchdog.fail_overdue_messages`).
+The fleet's tick and the journal's retry after a failed write run in the same turns.
 """
 
 from __future__ import annotations
@@ -227,7 +228,10 @@
         return ", in outage" if endpoint.recovered_at < 0 else ", warming"
 
     def gates(self, endpoint: Endpoint, now: int) -> dict[str, int]:
-        """Until when each rule keeps the next call from an endpoint, by its log name."""
+        """Until when each rule keeps the next call from an endpoint, by its log name.
+
+        `wait` is Retry-After, `rest` the backoff, `turn` slow start, `share` the quota.
+        """
         dispatcher = self.dispatcher
         scope = endpoint.throttle_scope
         gates = {
--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -424,7 +424,11 @@
             self.state = MemberState.HELD
 
     def on_lease_lost(self, now: int, reason: str) -> None:
-        """Go back to the reserves, and join as a new member."""
+        """Go back to the reserves and join as a new member: the service ended the lease.
+
+        A lease that expires without an answer has no event; `MemberQuota.limit` goes by
+        the time.
+        """
         self.heartbeat_counts[LOST_COUNT] += 1
         self.state = MemberState.LOST
         self.member_list = None
--- a/rainfall/journal/records.py
+++ b/rainfall/journal/records.py
@@ -482,7 +482,11 @@
     "priority_weight": "worth",
     "late_priority_weight": "late_worth",
 }
-"""A class's attributes, in the order of its record, and the keys of that record."""
+"""A class's attributes, in the order of its record, and the keys of that record.
+
+The keys are on disk: they are appended to, and never renamed. The wire and the
+settings have other names for some (docs/glossary.md).
+"""
 
 
 def class_record(message_class: MessageClass) -> dict[str, Any]:
