--- a/rainfall/dispatch/__init__.py
+++ b/rainfall/dispatch/__init__.py
@@ -1,11 +1,12 @@
-"""Every decision about a message: when, where and how often it is sent, and its end.
+"""Decides when, where and how often each message is sent, and its final answer.
 
-Nothing here does input or output: events and the time go in, actions come out. Begin
-with `dispatcher.py`; what each rule reads and may do stands in docs/decisions.md.
+The package does no I/O: events and the current time go in, actions come out. Start
+reading at `dispatcher.py`; docs/decisions.md lists the inputs and effects of each rule.
 
-Comments cite the given pages: PROTOCOL (the forwarder's HTTP), WIRE (the simulator's
-wire, with the operating rules), TERMS, FLEET and LATER (what operators ask), PAPER (on
-scheduling: Group EDF, Gr, D_multiplier, ExecTime) and DESIGN (what of it is used).
+Comments cite these specifications: PROTOCOL (the forwarder's HTTP interface), WIRE (the
+simulator's wire format and the operating rules), TERMS, FLEET and LATER (operator
+requirements), PAPER (the scheduling paper with Group EDF, Gr, D_multiplier and
+ExecTime) and DESIGN (the parts of the paper that are used).
 """
 
 from rainfall.dispatch.actions import (
--- a/rainfall/dispatch/actions.py
+++ b/rainfall/dispatch/actions.py
@@ -1,6 +1,6 @@
-"""Actions: what the dispatcher wants done, in this order. Plain types.
+"""Output actions of the dispatcher, to be carried out in the order returned.
 
-Times are integer microseconds.
+Plain data types without logic. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -10,9 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Begin an attempt.
+    """Start an attempt.
 
-    Sends of one round to one endpoint share a call, up to the batch size of its kind.
+    The sends of one round to one endpoint share a call, up to the maximum batch size of
+    the destination's kind.
     """
 
     message_id: str
@@ -22,26 +23,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectMessage:
-    """Final answer: not executed, or safe to send again."""
+    """Final answer: the message was not executed, or is safe to send again."""
 
     message_id: str
     retry_after_us: int
+    """How long the client should wait before it sends the message again; 0 if the
+    settings send no Retry-After.
+    """
     reason: str = field(default="", compare=False, repr=False)
-    """Why it is given up, for the log."""
+    """Why the message is rejected, for the log."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailMessage:
-    """Final answer: may have been executed, and must not be sent again."""
+    """Final answer: the message may have been executed and must not be sent again."""
 
     message_id: str
     reason: str = field(default="", compare=False, repr=False)
-    """Why it is given up, for the log."""
+    """Why the message fails, for the log."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; its outcome still follows."""
+    """Cancel an attempt. Its `AttemptFinished` event still follows."""
 
     message_id: str
     attempt: int
@@ -49,29 +53,34 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckEndpointHealth:
-    """Make a health check of an endpoint. No rule asks for one yet."""
+    """Run a health check of an endpoint. No rule emits this action yet."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close our idle connections to an endpoint."""
+    """Close the forwarder's idle connections to an endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Give back `TimerExpired` with this token, not sooner than after this delay."""
+    """Deliver a `TimerExpired` event with this token after a delay."""
 
     delay_us: int
+    """Minimum delay."""
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class SubscribeEndpointList:
-    """Ask for the endpoint list."""
+    """Start polling the endpoint list.
+
+    Polling continues until a poll fails, which an `EndpointListChanged` event of kind
+    FAILED reports.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,13 +92,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordOutage:
-    """Persist an endpoint's outage; after a restart it comes back as `OutageRestored`."""
+    """Persist an endpoint's outage, which `OutageRestored` returns after a restart."""
 
     endpoint: int
     started_at_us: int
-    """-1: there is none any more."""
+    """-1 clears the recorded outage."""
     recovered_at_us: int = -1
-    """-1 while it lasts."""
+    """-1 while the outage lasts."""
 
 
 Action = (
--- a/rainfall/dispatch/attempt_outcomes.py
+++ b/rainfall/dispatch/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What an attempt's outcome changes: call, message, key, and what is learned.
+"""Applies outcomes of attempts to calls, messages, ordering keys and statistics.
 
 Times are integer microseconds.
 """
@@ -10,14 +10,17 @@
 from rainfall.dispatch.concurrency import grow_window, halve_window
 from rainfall.dispatch.endpoints import Attempt, AttemptKey, Call
 from rainfall.dispatch.events import AttemptFinished
-from rainfall.dispatch.idle_connections import detect_lost_connection, extend_trust
+from rainfall.dispatch.idle_connections import (
+    detect_lost_connection,
+    extend_idle_timeout_estimate,
+)
 from rainfall.dispatch.latency import learn_latency
-from rainfall.dispatch.ordering import turn_to_next
+from rainfall.dispatch.ordering import advance_key
 from rainfall.dispatch.outcomes import (
     MAY_STILL_RUN,
     NEVER_EXECUTED,
-    OVERLOAD_SIGNS,
-    TELLS_NOTHING,
+    OVERLOAD_SIGNALS,
+    UNINFORMATIVE_OUTCOMES,
     Outcome,
 )
 from rainfall.dispatch.outlier_detection import detect_outage, update_failure_ratio
@@ -25,13 +28,14 @@
 from rainfall.dispatch.queues import Message
 from rainfall.dispatch.stalled_calls import count_overtaken
 from rainfall.dispatch.state import DispatcherState
-from rainfall.dispatch.waiting import wait_again
+from rainfall.dispatch.waiting import requeue
 
 
 def finish_attempt(state: DispatcherState, event: AttemptFinished) -> None:
-    """Take an attempt's outcome.
+    """Process the outcome of an attempt; one that is not in flight is ignored.
 
-    What it says of the endpoint is learned once for each call.
+    The endpoint's statistics are updated once per call, with the first of its outcomes
+    that says something about the endpoint.
     """
     key = AttemptKey(event.message_id, event.attempt)
     attempt = state.attempts.pop(key, None)
@@ -41,18 +45,18 @@
     call, message = attempt.call, attempt.message
     _finish_part_of_call(state, call)
     _update_message(state, attempt, event)
-    if not call.evaluated and event.outcome not in TELLS_NOTHING:
+    if not call.evaluated and event.outcome not in UNINFORMATIVE_OUTCOMES:
         call.evaluated = True
         evaluate_call(state, call, message, event)
     scope = call.endpoint.throttle_scope
     apply_retry_after(state, scope, event.retry_after_us)
     if event.load_report is not None:
         apply_load_report(scope, event.load_report)
-    _close_or_wait(state, attempt, event)
+    _finish_or_requeue(state, attempt, event)
 
 
 def _finish_part_of_call(state: DispatcherState, call: Call) -> None:
-    """One message of a call has its outcome; with the last one the call is over."""
+    """Count the outcome of one message of a call; the last one ends the call."""
     endpoint = call.endpoint
     call.pending -= 1
     state.dirty_destinations.add(endpoint.destination)
@@ -69,7 +73,7 @@
 def _update_message(
     state: DispatcherState, attempt: Attempt, event: AttemptFinished
 ) -> None:
-    """What the outcome says of the message and of its key."""
+    """Update the message and its ordering key with the outcome of an attempt."""
     message, call = attempt.message, attempt.call
     message.in_flight -= 1
     if message.ordering_key is not None:
@@ -78,7 +82,7 @@
         if event.outcome in MAY_STILL_RUN:
             backoff_until = state.now + state.settings.key_backoff_us
             sequence.backoff_until = max(sequence.backoff_until, backoff_until)
-        turn_to_next(state, message.ordering_key)
+        advance_key(state, message.ordering_key)
     if event.outcome is Outcome.TIMED_OUT:
         message.last_timeout = event.duration_us
     if event.outcome not in NEVER_EXECUTED and message.executed_at < 0:
@@ -86,12 +90,12 @@
         message.executed_on = call.endpoint.id
 
 
-def _close_or_wait(
+def _finish_or_requeue(
     state: DispatcherState, attempt: Attempt, event: AttemptFinished
 ) -> None:
-    """End the message or let it wait for its next attempt.
+    """Finish the message, or put it back into its queue.
 
-    It ends when it is delivered, or when the destination says that it is closed.
+    A message is finished if it was delivered or if the event says that it is closed.
     """
     message = attempt.message
     if message.id not in state.messages:
@@ -100,49 +104,57 @@
         finish(state, message)
         return
     message.last_failed_endpoint = attempt.call.endpoint.id
-    wait_again(state, message)
+    requeue(state, message)
 
 
 def evaluate_call(
     state: DispatcherState, call: Call, message: Message, event: AttemptFinished
 ) -> None:
-    """Learn from one call: latency, window, share, backoff, failures and outages.
+    """Update latency, window, rate limit share, backoff, failure ratio and outage.
 
-    In this order: the window's cap goes by the latency, and the failure ratio by the
-    share of the rate limit.
+    The order matters: the window's cap depends on the latency estimate, and the failure
+    ratio on the share of the rate limit.
     """
     scope, outcome = call.endpoint.throttle_scope, event.outcome
     message_class = message.message_class
     was_cut_short = event.duration_us < message_class.latency_objective_us
     if outcome is Outcome.TIMED_OUT and was_cut_short:
-        return  # a message with little time left must not make an endpoint look hung
+        # The timeout was short because the message had little time left: it does not
+        # show that the endpoint hangs.
+        return
     if detect_lost_connection(state, call, outcome):
         return
-    # A call that others overtook was lost alone: its endpoint does answer.
-    lost_alone = outcome is Outcome.TIMED_OUT and call.overtaken_by > 0
-    inconclusive = event.inconclusive or lost_alone
+    # If later calls were delivered, the endpoint answers: only this call was lost.
+    call_stalled = outcome is Outcome.TIMED_OUT and call.overtaken_by > 0
+    inconclusive = event.inconclusive or call_stalled
     learn_latency(scope, message_class, outcome, event.duration_us, state.now)
     if outcome is Outcome.DELIVERED:
-        _take_success(state, call)
-    if outcome in OVERLOAD_SIGNS and not inconclusive:
-        _take_overload_sign(state, call, outcome)
+        _record_success(state, call)
+    if outcome in OVERLOAD_SIGNALS and not inconclusive:
+        _record_overload_signal(state, call, outcome)
     if outcome is Outcome.REJECTED and not event.retry_after_us:
         back_off(state, scope)
     update_failure_ratio(state, call, outcome, inconclusive)
     detect_outage(state, call.endpoint, outcome)
 
 
-def _take_success(state: DispatcherState, call: Call) -> None:
+def _record_success(state: DispatcherState, call: Call) -> None:
     scope = call.endpoint.throttle_scope
     count_overtaken(state, call)
-    extend_trust(state)
+    extend_idle_timeout_estimate(state)
     grow_window(state, scope)
     scope.backoff = 0
     grow_share(state, scope)
 
 
-def _take_overload_sign(state: DispatcherState, call: Call, outcome: Outcome) -> None:
-    """Once for all calls that were in flight when the window was halved last."""
+def _record_overload_signal(
+    state: DispatcherState, call: Call, outcome: Outcome
+) -> None:
+    """Halve the window, and after a rejection reduce the share and extend the backoff.
+
+    Calls that were already in flight at the last halving are ignored, so that one
+    overload halves the window once.
+    """
     scope = call.endpoint.throttle_scope
     if call.sent_at <= scope.window_halved_at:
         return
--- a/rainfall/dispatch/attempts.py
+++ b/rainfall/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sending a message, beginning its call, and its time-out.
+"""Starts attempts: adds a message to a call and sets the timeout of the attempt.
 
 Times are integer microseconds.
 """
@@ -18,19 +18,21 @@
 from rainfall.dispatch.pacing import count_call
 from rainfall.dispatch.queues import Message
 from rainfall.dispatch.slow_start import call_weight, draw_interval_factor
-from rainfall.dispatch.state import FORGET_AFTER_US, DispatcherState
-from rainfall.dispatch.waiting import stop_waiting
+from rainfall.dispatch.state import STALE_AFTER_US, DispatcherState
+from rainfall.dispatch.waiting import dequeue
 
 TIMEOUT_LATENCIES = 6
-"""Expected latencies that an attempt may take, and its class's objective at least."""
+"""Timeout of an attempt as a multiple of the expected latency. The timeout is never
+shorter than the latency objective of the class.
+"""
 TIMEOUT_BACKOFF_FACTOR = 2
-"""After a time-out the next attempt may take so many times as long: the work may be
-long.
+"""Factor by which the timeout grows after an attempt timed out: executing the message
+may take long.
 """
 
 
 def send(state: DispatcherState, message: Message, endpoint: Endpoint) -> None:
-    """Begin an attempt, in a call of this round if that has a place left."""
+    """Start an attempt, in a call of this round that has room or else in a new call."""
     call = state.new_calls.get(endpoint.id)
     if call is None or call.batch_size >= endpoint.max_batch_size:
         call = _begin_call(state, message, endpoint)
@@ -46,10 +48,10 @@
     call.batch_size += 1
     call.pending += 1
     if call.batch_size > 1:
-        # The next call waits longer for what this one weighs more.
+        # The larger this call, the longer the interval to the next one in slow start.
         grown = call_weight(call.batch_size) / call_weight(call.batch_size - 1)
         call.endpoint.next_interval_factor *= grown
-    stop_waiting(state, message)
+    dequeue(state, message)
     if message.ordering_key is not None:
         state.key_sequences[message.ordering_key].in_flight += 1
     state.send_count += 1
@@ -61,19 +63,22 @@
 
 
 def _begin_call(state: DispatcherState, message: Message, endpoint: Endpoint) -> Call:
-    """Begin a call: its connection, its place in flight and its part of the pace."""
-    idle = _connection_idle(state, endpoint)
-    if idle > state.idle_trust > 0:
+    """Start a call and count it against the limits on calls in flight and the pace.
+
+    Idle connections that may already be closed at the endpoint are closed first.
+    """
+    idle_time = _connection_idle(state, endpoint)
+    if idle_time > state.idle_trust > 0:
         state.actions.append(CloseIdleConnections(endpoint.id))
     since_previous_call = state.now - endpoint.last_attempt_at
-    call = Call(endpoint, state.now, idle, since_previous_call)
+    call = Call(endpoint, state.now, idle_time, since_previous_call)
     state.new_calls[endpoint.id] = call
     state.called_destinations.add(endpoint.destination)
     endpoint.calls.append(call)
     endpoint.next_interval_factor = draw_interval_factor(state.random)
     state.calls_in_flight += 1
     scope = endpoint.throttle_scope
-    if state.now - scope.latency_updated_at > FORGET_AFTER_US:
+    if state.now - scope.latency_updated_at > STALE_AFTER_US:
         scope.concurrency_window = 1.0
     scope.latency_estimate = expected_latency(scope, message.message_class, state.now)
     endpoint.in_flight += 1
@@ -83,7 +88,10 @@
 
 
 def _connection_idle(state: DispatcherState, endpoint: Endpoint) -> int:
-    """How long the connection that a call would take has been idle."""
+    """Return how long the connection that a new call would reuse has been idle.
+
+    0 if no idle connection is known or a call is in flight.
+    """
     if endpoint.in_flight or endpoint.idle_since < 0:
         return 0
     return state.now - endpoint.idle_since
@@ -92,19 +100,19 @@
 def attempt_timeout(
     state: DispatcherState, message: Message, scope: ThrottleScope
 ) -> int:
-    """How long an attempt may take.
+    """Return the timeout of an attempt.
 
-    One after which there is no other is waited for until the deadline: of a message
-    that must not be executed twice, or one that outlasts its idempotency window.
+    The timeout extends to the message's deadline if no retry could follow it, because
+    the message must not be executed twice or its idempotency window would have ended.
     """
     message_class = message.message_class
     time_left = message.deadline - state.now
     expected = expected_latency(scope, message_class, state.now)
-    patience = max(
+    timeout = max(
         message_class.latency_objective_us,
         int(TIMEOUT_LATENCIES * expected),
         TIMEOUT_BACKOFF_FACTOR * message.last_timeout,
     )
-    if state.now + patience >= retry_deadline(message, state.now):
+    if state.now + timeout >= retry_deadline(message, state.now):
         return time_left
-    return min(time_left, patience)
+    return min(time_left, timeout)
--- a/rainfall/dispatch/backoff.py
+++ b/rainfall/dispatch/backoff.py
@@ -1,4 +1,4 @@
-"""When a destination is left alone: its Retry-After, and our own backoff.
+"""Pauses in calls to a destination: its Retry-After and this forwarder's own backoff.
 
 Times are integer microseconds.
 """
@@ -9,30 +9,35 @@
 from rainfall.dispatch.state import SMALL_FLEET, DispatcherState
 
 FIRST_BACKOFF_US = 150_000
-"""After a rejection without a Retry-After, with few forwarders."""
+"""First backoff after a rejection without a Retry-After, in a small fleet."""
 BACKOFF_FACTOR = 4
-"""Each further rejection makes the backoff so much longer."""
+"""Factor by which each consecutive rejection lengthens the backoff."""
 BACKOFF_LIMIT_US = 1_500_000
-"""The longest backoff with few forwarders: an outage must not be prolonged by more."""
+"""Longest backoff in a small fleet: a backoff must not prolong an outage by more."""
 FLEET_FACTOR_LIMIT = 10
-"""Large fleets back off longer, by up to this factor: a retry meets all others'."""
+"""Largest factor by which large fleets back off longer, where the retries of all
+forwarders coincide.
+"""
 BACKOFF_JITTER = 0.5
-"""A backoff is up to that much longer or shorter, as a share."""
+"""Maximum random change of a backoff in either direction, as a fraction of it."""
 
 
 def apply_retry_after(
     state: DispatcherState, scope: ThrottleScope, retry_after_us: int
 ) -> None:
-    """Wait as long as the destination asked for."""
+    """Pause calls for the Retry-After of a destination; 0 changes nothing.
+
+    In large fleets a random delay of up to the same length is added.
+    """
     scope.retry_after_until = max(scope.retry_after_until, state.now + retry_after_us)
     if retry_after_us and state.settings.forwarder_count > SMALL_FLEET:
-        # A Retry-After ends for all forwarders at once.
+        # The Retry-After ends for all forwarders at the same time.
         delay = int(state.random.random() * retry_after_us)
         scope.backoff_until = scope.retry_after_until + delay
 
 
 def lengthen_backoff(state: DispatcherState, scope: ThrottleScope) -> None:
-    """Another rejection in a row."""
+    """Lengthen the backoff after a further rejection, up to the limit."""
     fleet_factor = state.settings.forwarder_count // SMALL_FLEET
     fleet_factor = max(1, min(FLEET_FACTOR_LIMIT, fleet_factor))
     longer = max(fleet_factor * FIRST_BACKOFF_US, BACKOFF_FACTOR * scope.backoff)
@@ -40,7 +45,7 @@
 
 
 def back_off(state: DispatcherState, scope: ThrottleScope) -> None:
-    """Leave a destination alone that rejected a call without a Retry-After."""
+    """Pause calls to a destination that rejected one without a Retry-After."""
     factor = state.random.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER)
     until = state.now + int(scope.backoff * factor)
     scope.backoff_until = max(scope.backoff_until, until)
--- a/rainfall/dispatch/capacity.py
+++ b/rainfall/dispatch/capacity.py
@@ -1,10 +1,11 @@
-"""Whether a destination has capacity for a call, the same for every message.
+"""Determines whether endpoints and destinations have capacity for a call.
 
-The limit on all calls, windows, quota or pace, Retry-After, backoff and slow start.
-A destination without capacity is `shut` for the rest of a round; `state.possibly_open`
-has those that may have capacity but for the limit on all calls, and `state.openings`
-the times at which others may have some again.
-Times are integer microseconds.
+Capacity does not depend on the message. It is limited by the number of calls in flight,
+concurrency windows, the quota or pace, Retry-After, backoff and slow start.
+
+`state.possibly_open` holds the destinations that may have capacity, not counting the
+limit on all calls in flight. `state.availability_times` holds the times at which other
+destinations may have capacity again. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -16,38 +17,41 @@
 from rainfall.dispatch.times import NEVER
 
 
-def has_call_left(state: DispatcherState) -> bool:
-    """Whether the settings allow one more call in flight."""
+def has_call_slot(state: DispatcherState) -> bool:
+    """Whether `max_in_flight` allows one more call."""
     return state.calls_in_flight < state.settings.max_in_flight
 
 
 def available_at(state: DispatcherState, endpoint: Endpoint) -> int:
-    """When an endpoint has capacity for a message; NEVER where that takes an event."""
+    """Return when an endpoint has capacity for a message.
+
+    NEVER if it has none until an event changes that.
+    """
     call = state.new_calls.get(endpoint.id)
-    return _available_at(state, endpoint, call, has_call_left(state))
+    return _available_at(state, endpoint, call, has_call_slot(state))
 
 
 def _available_at(
-    state: DispatcherState, endpoint: Endpoint, call: Call | None, call_left: bool
+    state: DispatcherState, endpoint: Endpoint, call: Call | None, slot_free: bool
 ) -> int:
-    """When an endpoint has capacity for a message.
+    """Return when an endpoint has capacity for a message.
 
-    `call` is one to it that begins in this round and that the message may join;
-    `call_left` says whether one more call may be in flight in all.
+    `call` is a call of this round to the endpoint, which the message joins if it has
+    room. `slot_free` tells whether `max_in_flight` allows one more call.
     """
     if call is not None and call.batch_size < endpoint.max_batch_size:
         if _may_join(state, endpoint, call):
             return state.now
-    elif not _has_window(state, endpoint, call_left):
+    elif not _within_concurrency_limits(state, endpoint, slot_free):
         return NEVER
     scope = endpoint.throttle_scope
     quota = state.quotas.get(endpoint.destination)
     permit_at = scope.next_permit_at if quota is None else quota.available_at(state.now)
-    at = max(scope.retry_after_until, scope.backoff_until, permit_at)
+    earliest = max(scope.retry_after_until, scope.backoff_until, permit_at)
     if not in_slow_start(state, endpoint):
-        return at
+        return earliest
     interval = int(endpoint.next_interval_factor * ramp_interval(state, endpoint))
-    return max(at, endpoint.last_attempt_at + interval)
+    return max(earliest, endpoint.last_attempt_at + interval)
 
 
 def _may_join(state: DispatcherState, endpoint: Endpoint, call: Call) -> bool:
@@ -56,9 +60,11 @@
     )
 
 
-def _has_window(state: DispatcherState, endpoint: Endpoint, call_left: bool) -> bool:
-    """Whether another call may be in flight: of all, of the destination, of the scope."""
-    if not call_left:
+def _within_concurrency_limits(
+    state: DispatcherState, endpoint: Endpoint, slot_free: bool
+) -> bool:
+    """Whether the limits in total, of the destination and of the scope allow a call."""
+    if not slot_free:
         return False
     calls_to_destination = sum(
         e.in_flight for e in state.serving_endpoints[endpoint.destination]
@@ -70,49 +76,51 @@
     return not is_window_full(state, endpoint.throttle_scope)
 
 
-def opens_at(state: DispatcherState, destination: int) -> int:
-    """No later than when a call to a destination could begin.
+def destination_available_at(state: DispatcherState, destination: int) -> int:
+    """Return a lower bound of the time when a call to a destination can start.
 
-    The limit on all calls is left aside. NEVER where that takes an event.
+    The limit on all calls in flight is not counted. NEVER if no call can start until an
+    event changes that.
     """
     endpoints = state.serving(destination)
     if any(e.recovered_at >= 0 and in_slow_start(state, e) for e in endpoints):
-        # What an endpoint bears changes all the time while it warms up.
+        # The capacity of an endpoint changes continuously while it warms up.
         return state.now
-    if has_call_left(state) and destination not in state.called_destinations:
+    if has_call_slot(state) and destination not in state.called_destinations:
         return min((available_at(state, e) for e in endpoints), default=NEVER)
     return min(
-        (_available_at(state, e, call=None, call_left=True) for e in endpoints),
+        (_available_at(state, e, call=None, slot_free=True) for e in endpoints),
         default=NEVER,
     )
 
 
 def has_capacity(state: DispatcherState, destination: int) -> bool:
-    """Whether any message could go to a destination now."""
+    """Whether any endpoint of a destination has capacity now."""
     return any(available_at(state, e) <= state.now for e in state.serving(destination))
 
 
-def watch_opening(state: DispatcherState, destination: int) -> None:
-    """Note whether a destination may have capacity, and if not when it may again."""
-    at = opens_at(state, destination)
-    if at <= state.now:
+def update_availability(state: DispatcherState, destination: int) -> None:
+    """Update `possibly_open` and `availability_times` for a destination."""
+    earliest = destination_available_at(state, destination)
+    if earliest <= state.now:
         state.possibly_open.add(destination)
         return
     state.possibly_open.discard(destination)
-    if at < NEVER:
-        state.openings.add(at, destination)
+    if earliest < NEVER:
+        state.availability_times.add(earliest, destination)
 
 
-def open_due_destinations(state: DispatcherState) -> None:
-    """Take the destinations that may have capacity by now to be open."""
-    if state.openings.entries:
-        state.possibly_open |= state.openings.pop_due(state.now)
+def mark_due_destinations(state: DispatcherState) -> None:
+    """Add the destinations whose availability time has come to `possibly_open`."""
+    if state.availability_times.entries:
+        state.possibly_open |= state.availability_times.pop_due(state.now)
 
 
 def quota_available_at(state: DispatcherState, destination: int) -> int:
-    """When the quota of a destination lets the next call go.
+    """Return when the quota of a destination permits the next call.
 
-    Now without a quota; NEVER where that is not known, as another may come at any moment.
+    The current time if there is no quota. NEVER if the quota permits no further call; a
+    new quota may arrive at any time.
     """
     quota = state.quotas.get(destination)
     return state.now if quota is None else quota.available_at(state.now)
--- a/rainfall/dispatch/concurrency.py
+++ b/rainfall/dispatch/concurrency.py
@@ -1,8 +1,8 @@
-"""The concurrency window: calls in flight to one destination.
+"""The concurrency window: the maximum number of calls in flight to a throttle scope.
 
-One call at first, one more for each success, halved by a rejection or a time-out
-(DESIGN). Its cap is three quarters of all calls, half while the destination is cold or
-slow.
+It starts at one call, grows by one with each success and is halved by a rejection, a
+timeout or a failed connection (DESIGN). Its cap is three quarters of `max_in_flight`,
+or half of it while the destination is in slow start or slow.
 """
 
 from __future__ import annotations
@@ -12,40 +12,40 @@
 from rainfall.dispatch.state import DispatcherState
 
 HEALTHY_CAP_SHARE = 0.75
-"""Of all calls in flight, what one destination may hold."""
+"""Fraction of `max_in_flight` that one destination may use."""
 UNHEALTHY_CAP_SHARE = 0.5
-"""The same while it is cold or slow."""
+"""The same fraction while the destination is in slow start or slow."""
 SLOW_FACTOR = 4
-"""An expected latency above this times its seed counts as slow."""
-LEAST_WINDOW = 1.0
+"""A destination is slow if its expected latency exceeds the seed by this factor."""
+MIN_WINDOW = 1.0
 
 
 def window_cap(state: DispatcherState, scope: ThrottleScope) -> float:
-    """The greatest window that a scope may have now."""
+    """Return the current upper bound of a scope's window."""
     slow = scope.latency_estimate > SLOW_FACTOR * scope.latency_seed > 0
     unhealthy = slow or any(
         endpoint.throttle_scope is scope and in_slow_start(state, endpoint)
         for endpoint in state.serving(scope.destination)
     )
     share = UNHEALTHY_CAP_SHARE if unhealthy else HEALTHY_CAP_SHARE
-    return max(LEAST_WINDOW, share * state.settings.max_in_flight)
+    return max(MIN_WINDOW, share * state.settings.max_in_flight)
 
 
 def is_window_full(state: DispatcherState, scope: ThrottleScope) -> bool:
-    """Whether no further call fits into a scope's window."""
+    """Whether a scope's window allows no further call."""
     if not scope.in_flight:
-        return False  # a window and its cap are one call at least
+        return False  # the window and its cap are at least one call
     window = min(scope.concurrency_window, window_cap(state, scope))
     return scope.in_flight >= int(window)
 
 
 def grow_window(state: DispatcherState, scope: ThrottleScope) -> None:
-    """A call succeeded."""
+    """Grow the window by one call after a success."""
     grown = scope.concurrency_window + 1
     scope.concurrency_window = min(grown, window_cap(state, scope))
 
 
 def halve_window(scope: ThrottleScope, now: int) -> None:
-    """A call was rejected, timed out, or found no connection."""
-    scope.concurrency_window = max(LEAST_WINDOW, scope.concurrency_window / 2)
+    """Halve the window after a call was rejected, timed out or could not connect."""
+    scope.concurrency_window = max(MIN_WINDOW, scope.concurrency_window / 2)
     scope.window_halved_at = now
--- a/rainfall/dispatch/dispatcher.py
+++ b/rainfall/dispatch/dispatcher.py
@@ -1,8 +1,9 @@
-"""One round of decisions, from events to actions.
+"""The dispatcher's rounds: each applies a batch of events and returns actions.
 
-The ordinary path: messages leave by groups of near deadlines, shortest expected call
-first in each; what cannot finish in time is rejected unsent; a concurrency window that
-grows with success bounds each destination. The rules are listed in docs/decisions.md.
+In the normal case, messages are sent in groups of similar deadlines, within a group in
+the order of their expected call durations. A message that cannot be delivered in time
+is rejected without being sent. The calls in flight to each destination are limited by a
+concurrency window that grows with success. docs/decisions.md lists the rules.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 from rainfall.dispatch.actions import Action, SetTimer, SubscribeEndpointList
 from rainfall.dispatch.admission import receive, restore, shed_load
 from rainfall.dispatch.attempt_outcomes import finish_attempt
-from rainfall.dispatch.capacity import open_due_destinations
+from rainfall.dispatch.capacity import mark_due_destinations
 from rainfall.dispatch.completion import finish
 from rainfall.dispatch.endpoint_list import (
-    ENDPOINT_LIST,
+    ENDPOINT_LIST_POLL,
     change_endpoint_list,
     disable_endpoint,
     enable_endpoint,
@@ -39,13 +40,13 @@
     SettingsChanged,
     SnapshotRestored,
 )
-from rainfall.dispatch.expiry import drop_unsent
-from rainfall.dispatch.idle_connections import close_untrusted
+from rainfall.dispatch.expiry import drop_undeliverable
+from rainfall.dispatch.idle_connections import close_stale_connections
 from rainfall.dispatch.ordering import (
     acknowledge_notification,
     add_pending_notification,
     end_key_backoffs,
-    forget_idle_keys,
+    prune_idle_keys,
 )
 from rainfall.dispatch.outlier_detection import is_avoided, restore_outage
 from rainfall.dispatch.quota import change_quota
@@ -60,65 +61,67 @@
 from rainfall.dispatch.waiting import expire_retries
 
 PRUNE_INTERVAL_US = SECOND_US
-"""How often idle ordering keys are forgotten."""
+"""Least time between two removals of idle ordering keys."""
 TIMER_TOKEN = "look"
+"""Token of all timers that the dispatcher sets."""
 
 
 class Dispatcher:
-    """Decides for one forwarder.
+    """Makes all sending decisions of one forwarder, without doing any I/O.
 
-    Feed it every event; carry out, in order, the actions it returns. It does no input
-    or output.
+    The caller passes in every event and carries out the returned actions in order.
 
-    Where a decision raises, `state.actions` holds what was decided until then, and
-    `state.events_applied` how many events of the round were read, the one at fault
-    included.
+    If a round raises, `state.actions` holds the actions decided up to then, and
+    `state.events_applied` the number of events processed, including the one that
+    raised.
     """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        """Start with nothing known.
+        """Start without messages or endpoints.
 
         Args:
-            settings: all that the operators decide.
-            seed: of the random numbers; the same events give the same actions.
-            now: microseconds of the caller's clock, which never goes back.
+            settings: the initial settings; `SettingsChanged` replaces them.
+            seed: seed of the random numbers. With the same seed, the same events
+                produce the same actions.
+            now: current time of the caller's clock in microseconds. The clock must
+                never go back.
         """
         self.state = DispatcherState(now, Random(seed), settings)
         if settings.subscribe_endpoint_list:
-            self.state.wakeups.add(now, ENDPOINT_LIST)
+            self.state.wakeups.add(now, ENDPOINT_LIST_POLL)
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """Apply the events of one round, then decide once.
+        """Run one round: apply the events, then decide on actions.
 
         Args:
-            now: microseconds of the caller's clock.
-            events: all since the last round, in the order in which they happened.
+            now: current time of the caller's clock in microseconds.
+            events: all events since the last round, in the order of their occurrence.
 
         Returns:
-            The actions, to be carried out in their order.
+            The actions, to be carried out in the order given.
         """
         state = self.state
         self._begin_round(now)
         for event in events:
             state.events_applied += 1
             self.apply(event)
-        if ENDPOINT_LIST in state.dirty_destinations:
+        if ENDPOINT_LIST_POLL in state.dirty_destinations:
             state.actions.append(SubscribeEndpointList())
         state.latency_cache.clear()
-        self._follow_time()
+        self._apply_elapsed_time()
         cancel_stalled(state)
-        self._forget()
-        drop_unsent(state)
+        self._prune()
+        drop_undeliverable(state)
         shed_load(state)
         release(state)
-        close_untrusted(state)
+        close_stale_connections(state)
         self._set_timer()
         return state.actions
 
     def _begin_round(self, now: int) -> None:
         state = self.state
         if now != state.now:
-            state.received_now = []
+            state.newly_accepted = []
         state.now = now
         state.actions = []
         state.new_calls = {}
@@ -127,10 +130,11 @@
         state.finished_calls = []
         state.events_applied = 0
 
-    def apply(self, event: Event) -> None:  # noqa: C901 a flat table of events
-        """Apply one event.
+    def apply(self, event: Event) -> None:  # noqa: C901 one flat match over event types
+        """Apply one event to the state.
 
-        One of something unknown, or that needs nothing, changes nothing.
+        Events about unknown objects have no effect, nor do `TimerExpired` and
+        `HealthCheckFinished`.
         """
         state = self.state
         match event:
@@ -163,23 +167,23 @@
                 acknowledge_notification(state, event.message_id)
 
     def change_endpoint_list(self, event: EndpointListChanged) -> None:
-        """Follow the endpoint list."""
+        """Apply a change of the endpoint list."""
         change_endpoint_list(self.state, event)
 
-    def _follow_time(self) -> None:
-        """What time alone changes."""
+    def _apply_elapsed_time(self) -> None:
+        """Apply the changes that are due to the passing of time."""
         end_key_backoffs(self.state)
         expire_retries(self.state)
-        open_due_destinations(self.state)
+        mark_due_destinations(self.state)
 
-    def _forget(self) -> None:
+    def _prune(self) -> None:
         state = self.state
         if state.now - state.key_sequences_pruned_at >= PRUNE_INTERVAL_US:
             state.key_sequences_pruned_at = state.now
-            forget_idle_keys(state)
+            prune_idle_keys(state)
 
     def _set_timer(self) -> None:
-        """Ask for a timer at the next wakeup, unless one expires by then anyway."""
+        """Set a timer for the next wakeup, unless a pending timer expires by then."""
         state = self.state
         if not state.wakeups.entries:
             return
@@ -189,24 +193,30 @@
             delay_us = max(1, next_at - state.now)
             state.actions.append(SetTimer(delay_us, TIMER_TOKEN))
 
-    # What the process around it asks; nothing is decided by these.
+    # Queries by the surrounding process; they do not change the state.
 
     def in_slow_start(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is in an outage, or back from one and not surely warm."""
+        """Whether an endpoint is in an outage, or may still be warming up after one."""
         return in_slow_start(self.state, endpoint)
 
     def is_avoided(self, endpoint_id: int) -> bool:
-        """Whether an endpoint gets nothing now, or nothing while others are sound."""
+        """Whether an endpoint is out of service or in an outage.
+
+        In an outage it gets messages only while no sound endpoint can take them.
+        """
         return is_avoided(self.state, endpoint_id)
 
     def ramp_interval(self, endpoint: Endpoint) -> float:
-        """Microseconds between our calls to an endpoint in slow start."""
+        """Mean time in microseconds between our calls to an endpoint in slow start."""
         return ramp_interval(self.state, endpoint)
 
     def snapshot(self, in_flight: Set[tuple[str, int]]) -> dict[str, Any]:
-        """What a successor process must know beside the messages, as JSON data.
+        """Return the state that a successor process needs, as JSON data.
+
+        The messages themselves are not included: the successor reads them from the
+        journal.
 
         Args:
-            in_flight: the attempts that still are, by message id and number.
+            in_flight: (message id, attempt number) of the attempts still in flight.
         """
         return export_snapshot(self.state, in_flight)
--- a/rainfall/dispatch/endpoint_list.py
+++ b/rainfall/dispatch/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Which endpoints there are, by the endpoint list and by the operators' word.
+"""Maintains the set of endpoints from the endpoint list and the operators' commands.
 
 Times are integer microseconds.
 """
@@ -24,31 +24,35 @@
 
 MIN_POLL_RETRY_US = 200_000
 MAX_POLL_RETRY_US = 400_000
-"""Between a poll of the list that failed and the next, by chance between both. It does
-not grow with the failures: a change binds 6 s after discovery had it, whatever their
-number.
+"""After a failed poll, polling starts again after a random delay between
+`MIN_POLL_RETRY_US` and `MAX_POLL_RETRY_US`. The delay does not grow with consecutive
+failures: a change must take effect within 6 s of reaching discovery, however many polls
+fail.
+"""
+ENDPOINT_LIST_POLL = -1
+"""Stands for the endpoint list among the destinations in `state.wakeups` and
+`state.dirty_destinations`, although it is not a destination. When it is due, polling of
+the endpoint list starts.
 """
-ENDPOINT_LIST = -1
-"""No destination: its wakeup in `state.wakeups` is the next poll of the endpoint list."""
 MAX_REMOVED_ENDPOINTS = 8_192
-"""Endpoints that left the list and are still remembered; about 0.8 KB each."""
+"""Number of endpoints kept after they left the list; each takes about 0.8 KB."""
 
 
 def change_endpoint_list(state: DispatcherState, event: EndpointListChanged) -> None:
-    """Follow the list.
+    """Apply a new endpoint list or a change of it, or schedule a retry after a failure.
 
-    A draining or removed endpoint gets nothing new from this round on.
+    From this round on, nothing is sent to draining and removed endpoints.
     """
     if event.kind is EndpointListKind.FAILED:
         retry_us = state.random.randrange(MIN_POLL_RETRY_US, MAX_POLL_RETRY_US)
-        state.wakeups.add(state.now + retry_us, ENDPOINT_LIST)
+        state.wakeups.add(state.now + retry_us, ENDPOINT_LIST_POLL)
         return
     if event.kind is not EndpointListKind.CHANGES:
         for endpoint in state.endpoints.values():
             endpoint.serving = False
     for entry in event.entries:
         _update_endpoint(state, entry)
-    _forget_removed(state)
+    _evict_removed_endpoints(state)
     index_serving(state)
 
 
@@ -65,16 +69,16 @@
 
 def add_endpoint(
     state: DispatcherState,
-    number: int,
+    endpoint_id: int,
     destination: int,
     kind_name: str,
     zone: str = "",
 ) -> Endpoint:
-    """Add an endpoint of which nothing is known yet but its kind."""
-    kind = state.kind(kind_name)
-    scope = throttle_scope(state, destination, number, kind.endpoint_scoped)
+    """Add an endpoint without observations and with weight 0."""
+    kind = state.destination_kind(kind_name)
+    scope = ensure_throttle_scope(state, destination, endpoint_id, kind.endpoint_scoped)
     endpoint = Endpoint(
-        number,
+        endpoint_id,
         destination,
         zone,
         0.0,
@@ -83,21 +87,27 @@
         kind.max_batch_size,
         kind.endpoint_scoped,
     )
-    state.endpoints[number] = endpoint
+    state.endpoints[endpoint_id] = endpoint
     return endpoint
 
 
-def throttle_scope(
-    state: DispatcherState, destination: int, number: int, endpoint_scoped: bool
+def ensure_throttle_scope(
+    state: DispatcherState, destination: int, endpoint_id: int, endpoint_scoped: bool
 ) -> ThrottleScope:
-    """The throttle scope of an endpoint, a new one where there is none."""
-    key = ThrottleScopeKey(destination, number if endpoint_scoped else ANY_ENDPOINT)
-    fresh = ThrottleScope(destination, 1.0, even_shares=initial_even_shares(state))
-    return state.throttle_scopes.setdefault(key, fresh)
+    """Return the throttle scope of an endpoint, creating it if there is none."""
+    key = ThrottleScopeKey(
+        destination, endpoint_id if endpoint_scoped else ANY_ENDPOINT
+    )
+    new_scope = ThrottleScope(destination, 1.0, even_shares=initial_even_shares(state))
+    return state.throttle_scopes.setdefault(key, new_scope)
 
 
-def _forget_removed(state: DispatcherState) -> None:
-    """Forget the oldest of very many that are gone, or they would add up over months."""
+def _evict_removed_endpoints(state: DispatcherState) -> None:
+    """Delete the oldest removed endpoints beyond `MAX_REMOVED_ENDPOINTS`.
+
+    Otherwise removed endpoints would accumulate over months. Endpoints with calls in
+    flight and those disabled by operators are kept.
+    """
     removed = [
         endpoint
         for endpoint in state.endpoints.values()
@@ -115,7 +125,7 @@
 
 
 def index_serving(state: DispatcherState) -> None:
-    """Index the endpoints that may be called, and look at all destinations again."""
+    """Rebuild `serving_endpoints`, and mark all destinations with messages as dirty."""
     state.serving_endpoints = {}
     for endpoint in state.endpoints.values():
         if endpoint.serving and endpoint.id not in state.disabled_endpoints:
@@ -124,29 +134,30 @@
     state.dirty_destinations.update(state.queues.by_destination)
 
 
-def disable_endpoint(state: DispatcherState, number: int) -> None:
-    """Operators took an endpoint out."""
-    state.disabled_endpoints.add(number)
+def disable_endpoint(state: DispatcherState, endpoint_id: int) -> None:
+    """Send nothing to an endpoint until operators enable it again."""
+    state.disabled_endpoints.add(endpoint_id)
     index_serving(state)
 
 
-def enable_endpoint(state: DispatcherState, number: int) -> None:
-    """Operators put an endpoint back. It was restarted: nothing learned before holds.
+def enable_endpoint(state: DispatcherState, endpoint_id: int) -> None:
+    """Put an endpoint back into service and discard the observations of it.
 
-    It starts slowly only where it was seen in an outage before.
+    Operators restart an endpoint before they enable it. It goes through slow start only
+    if it was in slow start before.
     """
-    if number not in state.disabled_endpoints:
+    if endpoint_id not in state.disabled_endpoints:
         return
-    state.disabled_endpoints.discard(number)
+    state.disabled_endpoints.discard(endpoint_id)
     index_serving(state)
-    endpoint = state.endpoints.get(number)
+    endpoint = state.endpoints.get(endpoint_id)
     if endpoint is not None:
         _reset_restarted(state, endpoint)
 
 
 def _reset_restarted(state: DispatcherState, endpoint: Endpoint) -> None:
-    was_in_outage = in_slow_start(state, endpoint)
-    if was_in_outage:
+    was_in_slow_start = in_slow_start(state, endpoint)
+    if was_in_slow_start:
         endpoint.recovered_at = endpoint.last_attempt_at = state.now
     else:
         endpoint.outage_started_at = endpoint.recovered_at = -1
@@ -157,7 +168,7 @@
     endpoint.idle_since = -1
     endpoint.next_interval_factor = 1.0
     if in_slow_start(state, endpoint):
-        # It comes back to all forwarders at once.
+        # All forwarders see the endpoint return at the same time.
         endpoint.next_interval_factor = state.random.random()
     if endpoint.endpoint_scoped:
         scope = endpoint.throttle_scope
--- a/rainfall/dispatch/endpoint_selection.py
+++ b/rainfall/dispatch/endpoint_selection.py
@@ -1,21 +1,21 @@
-"""Which endpoint a message may go to, and which of these is the best."""
+"""Selects the endpoint that a message is sent to."""
 
 from __future__ import annotations
 
 from rainfall.dispatch.capacity import available_at
 from rainfall.dispatch.endpoints import Endpoint
-from rainfall.dispatch.idempotency import may_retry, usable_endpoints
+from rainfall.dispatch.idempotency import may_attempt, usable_endpoints
 from rainfall.dispatch.outlier_detection import CERTAIN_FAILURE_RATIO
 from rainfall.dispatch.queues import Message
 from rainfall.dispatch.settings import Idempotency
 from rainfall.dispatch.state import DispatcherState
 
 HOLD_BACK_SHARE = 0.5
-"""Share of its time that a message must still have to be held back."""
+"""A message is held back only while at least this fraction of its time is left."""
 
 
 def select_endpoint(state: DispatcherState, message: Message) -> Endpoint | None:
-    """The best endpoint that a message may go to now; None where there is none."""
+    """Return the best endpoint to which a message may be sent now, or None."""
     allowed = [
         e for e in usable_endpoints(state, message) if may_send(state, message, e)
     ]
@@ -25,8 +25,12 @@
 
 
 def may_send(state: DispatcherState, message: Message, endpoint: Endpoint) -> bool:
-    """The one gate that every send passes. Each line keeps a rule or a bound."""
-    if not may_retry(state, message):
+    """Whether a message may be sent to an endpoint now.
+
+    Every send passes this check: the limit on attempts and the idempotency window, the
+    order within the message's key, the holding back, and the endpoint's capacity.
+    """
+    if not may_attempt(state, message):
         return False
     if message.ordering_key is not None:
         sequence = state.key_sequences[message.ordering_key]
@@ -40,9 +44,10 @@
 def _should_hold_back(
     state: DispatcherState, message: Message, endpoint: Endpoint
 ) -> bool:
-    """Whether a message has time to wait for a sounder endpoint.
+    """Whether a message should wait for an endpoint with fewer failures.
 
-    One that must not be executed twice has a single attempt.
+    Applies only to messages that must not be executed twice, because each of them has a
+    single attempt, and only while enough time is left.
     """
     message_class = message.message_class
     if message_class.idempotency is not Idempotency.AT_MOST_ONCE:
@@ -55,10 +60,11 @@
 def _preference(
     state: DispatcherState, message: Message, endpoint: Endpoint
 ) -> tuple[float, ...]:
-    """How good an endpoint is for a message; the least is the best.
+    """Return the sort key of an endpoint for a message; the smallest is the best.
 
-    A sound endpoint, another than failed last, a call already forming, a cheap one, a
-    quiet one; among equal ones by chance.
+    In this order: no outage, not the endpoint that failed the message last, a call
+    started in this round, low cost, low failure ratio, few calls in flight. Ties are
+    broken at random.
     """
     cost = 0.0
     if endpoint.endpoint_scoped:
--- a/rainfall/dispatch/events.py
+++ b/rainfall/dispatch/events.py
@@ -1,4 +1,4 @@
-"""Events: what happened, as the dispatcher learns it. Plain types; nothing is decided here.
+"""Input events of the dispatcher. Plain data types without logic.
 
 Times are integer microseconds of the caller's clock.
 """
@@ -15,19 +15,20 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list holds."""
+    """Which kind of content an `EndpointListChanged` event carries."""
 
     CHANGES = "changes"
+    """Only the entries that changed."""
     SNAPSHOT = "whole"
-    """All endpoints: one that is missing is gone."""
+    """All endpoints: an endpoint that is missing has been removed."""
     CACHED = "saved"
-    """All endpoints as they were known before the start; may be old."""
+    """All endpoints, as saved before the process started; may be outdated."""
     FAILED = "failed"
-    """Nothing: the list was asked for in vain."""
+    """No entries: the poll of the list failed."""
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint."""
+    """State of an endpoint as reported by discovery."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -36,21 +37,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One endpoint in an endpoint list."""
+    """One entry of an endpoint list."""
 
     endpoint: int
     destination: int
     zone: str = ""
     kind: str = ""
-    """Name of its destination's kind."""
+    """Name of the `DestinationKind` of its destination."""
     state: EndpointState = EndpointState.SERVING
     weight: float = 0.0
-    """Its rate limit in calls a second, where `endpoint_weights_known` is set."""
+    """Rate limit in calls per second; used only if `endpoint_weights_known` is set."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListChanged:
-    """The endpoint list, a change of it, or that asking for it failed."""
+    """A new endpoint list, a change of the list, or a failed poll of it."""
 
     kind: EndpointListKind
     entries: tuple[EndpointEntry, ...] = ()
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A client has submitted a message."""
+    """A client submitted a message."""
 
     message_id: str
     destination: int
@@ -67,12 +68,12 @@
     ordering_key: str | None = None
     tenant: str | None = None
     resent: bool = False
-    """Another forwarder held it before. No rule reads it."""
+    """Whether another forwarder held the message before. Not used by any rule."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRestored:
-    """A message that was accepted before a restart, with what is known of its attempts."""
+    """A message accepted before a restart, with the known history of its attempts."""
 
     message_id: str
     destination: int
@@ -82,44 +83,44 @@
     tenant: str | None = None
     attempts: int = 0
     executed_at_us: int = -1
-    """When its first attempt that may have been executed was sent; -1 without one."""
+    """Send time of the first attempt that may have been executed; -1 without one."""
     executed_on: int = -1
-    """That attempt's endpoint."""
+    """Endpoint of that attempt; -1 if there is none."""
     interrupted: bool = False
-    """An attempt was in flight when the process ended: it may still run."""
+    """Whether an attempt was in flight when the process ended: it may still run."""
     message_class: MessageClass | None = None
-    """The class it was accepted under; None where that is not known and the present one
-    of that name holds.
+    """The class under which the message was accepted; None if unknown, in which case
+    the current class named `class_name` applies.
     """
     max_attempts: int = 0
-    """The attempts it was accepted with; 0 where that is not known."""
+    """The limit on attempts under which the message was accepted; 0 if unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutageRestored:
-    """An outage that `RecordOutage` persisted before a restart."""
+    """An outage that a `RecordOutage` action persisted before a restart."""
 
     endpoint: int
     started_at_us: int
     recovered_at_us: int = -1
-    """-1 while it lasts."""
+    """-1 while the outage lasts."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a destination said of its rate limit."""
+    """A destination's report on its own rate limit."""
 
     remaining_share: float
-    """Share of the limit that is left."""
+    """Unused fraction of the limit."""
     limit_per_s: float
-    """Calls a second; 0 where there is no limit."""
+    """Limit in calls per second; 0 if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt has its outcome.
+    """An attempt ended.
 
-    A message's attempts count from 0 in the order of their sends.
+    The attempts of a message are numbered from 0 in the order in which they were sent.
     """
 
     message_id: str
@@ -128,24 +129,24 @@
     outcome: Outcome
     duration_us: int
     message_closed: bool = False
-    """The message is over, whatever the outcome."""
+    """Whether the message is finished, whatever the outcome."""
     retry_after_us: int = 0
-    """The wait that the destination asked for."""
+    """The Retry-After of the destination; 0 if there is none."""
     load_report: LoadReport | None = None
     inconclusive: bool = False
-    """The connection may be to blame as well as the endpoint."""
+    """Whether the connection rather than the endpoint may have caused the outcome."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """The client no longer waits for a message."""
+    """The client stopped waiting for a message."""
 
     message_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class NotificationPending:
-    """A message had its final answer before a restart, and that is still on its way."""
+    """A final answer from before a restart has not been acknowledged yet."""
 
     message_id: str
     ordering_key: str
@@ -153,16 +154,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NotificationAcknowledged:
-    """A final answer has arrived: only now do the next messages of its key follow."""
+    """A final answer was delivered, which releases the next message of its key."""
 
     message_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointDisabled:
-    """Operators took an endpoint out.
+    """Operators took an endpoint out of service.
 
-    Until they enable it, it counts as draining, whatever the list says.
+    Until it is enabled again it counts as draining, whatever the endpoint list says.
     """
 
     endpoint: int
@@ -170,9 +171,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEnabled:
-    """Operators put an endpoint back.
+    """Operators put an endpoint back into service.
 
-    It was restarted meanwhile: it is cold, and what was learned of it is void.
+    The endpoint was restarted in the meantime: it is cold, and earlier observations of
+    it are discarded.
     """
 
     endpoint: int
@@ -180,29 +182,30 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaChanged:
-    """How many calls this forwarder may make of what all may send to a destination.
+    """This forwarder's part of the calls that all forwarders may make to a destination.
 
-    Holds in every sliding window, from now on and until the next change; what was sent
-    before counts.
+    The quota applies to every sliding window until the next change. Calls that were
+    sent before the event count against it.
     """
 
     destination: int
     calls: int
-    """In every `window_us`, until `expires_at_us`."""
+    """Calls allowed in every `window_us`, until `expires_at_us`."""
     window_us: int
-    """0: no quota is in force any more."""
+    """Length of the sliding window; 0 removes the quota."""
     expires_at_us: int
-    """From then on `reserve_calls` holds, until the next change."""
+    """From this time on `reserve_calls` applies instead of `calls`."""
     reserve_calls: int
+    """Calls allowed in every `window_us` from `expires_at_us` on."""
     used: tuple[tuple[int, int], ...] = ()
-    """(when, calls), oldest first: calls of a former process."""
+    """Calls made by the previous process, as (send time, calls), oldest first."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings hold from now on.
+    """New settings take effect.
 
-    Messages accepted before keep their class and their attempts.
+    Messages accepted earlier keep their class and their limit on attempts.
     """
 
     settings: Settings
@@ -210,10 +213,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRestored:
-    """What `Dispatcher.snapshot` gave in the former process.
+    """The result of `Dispatcher.snapshot` in the previous process.
 
-    Some of its calls are still in flight. Comes after the endpoint list and all restored
-    messages.
+    Some of the calls in it are still in flight. This event follows the endpoint list
+    and all `MessageRestored` events.
     """
 
     snapshot: Mapping[str, Any]
@@ -221,14 +224,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The timer that `SetTimer` asked for: the round it causes is its effect."""
+    """A timer set by `SetTimer` expired.
+
+    The event itself changes nothing; it causes a round, in which due work is done.
+    """
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckFinished:
-    """A health check has its outcome. No rule reads it yet."""
+    """A health check ended. Not used by any rule yet."""
 
     endpoint: int
     outcome: Outcome
--- a/rainfall/dispatch/expiry.py
+++ b/rainfall/dispatch/expiry.py
@@ -1,8 +1,9 @@
-"""Messages that are given up without another attempt.
+"""Gives up waiting messages that will not be delivered in time.
 
-The unsent drop of the paper: a message whose time left is below its expected call is
-answered now. In a congested queue messages that lost much of their weight are shed for
-fresher ones, else all end late. Times are integer microseconds.
+A message whose remaining time is shorter than its expected call gets its final answer
+at once (the drop of unsent messages in PAPER). In a congested queue, messages that have
+lost much of their weight are shed in favor of newer ones; otherwise all messages would
+be late. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from rainfall.dispatch.capacity import quota_available_at
 from rainfall.dispatch.completion import give_up
-from rainfall.dispatch.idempotency import may_retry
+from rainfall.dispatch.idempotency import may_attempt
 from rainfall.dispatch.latency import shortest_expected_latency
 from rainfall.dispatch.message_queues import DestinationQueue
 from rainfall.dispatch.queues import ClassQueue, Message
@@ -19,25 +20,27 @@
 from rainfall.dispatch.times import NEVER
 
 MIN_WAKEUP_INTERVAL_US = 40_000
-"""Least time between two looks at a destination where nothing happened."""
+"""Least time until a destination is processed again without an event."""
 
 
-def drop_unsent(state: DispatcherState) -> None:
-    """Give up the messages that no attempt can help any more.
+def drop_undeliverable(state: DispatcherState) -> None:
+    """Give up waiting messages of the dirty destinations.
 
-    They have too little time left for a call, are shed, or may have no further attempt.
+    Given up are messages that have too little time left for a call, are shed in a
+    congested queue, or may not have another attempt.
     """
     by_destination = state.queues.by_destination
     for destination in sorted(state.dirty_destinations & by_destination.keys()):
-        _drop_from(state, destination, by_destination[destination])
+        _drop_from_queue(state, destination, by_destination[destination])
 
 
-def _drop_from(
+def _drop_from_queue(
     state: DispatcherState, destination: int, queue: DestinationQueue
 ) -> None:
     permit_at = quota_available_at(state, destination)
     if permit_at >= NEVER:
-        permit_at = state.now  # another quota may come: only the deadline counts
+        # A new quota may arrive at any time, so that only the deadline counts.
+        permit_at = state.now
     class_queues = queue.class_queues.values()
     may_shed = any(
         state.now > q.sheddable_at(q.messages.head().deadline) for q in class_queues
@@ -46,14 +49,14 @@
     dropped = [
         message
         for class_queue in class_queues
-        for message in _front(state, class_queue, permit_at, congested)
+        for message in _messages_to_drop(state, class_queue, permit_at, congested)
     ]
     for message in sorted(dropped, key=lambda message: message.queue_position):
-        give_up(state, message, _reason(state, message, permit_at))
+        give_up(state, message, _drop_reason(state, message, permit_at))
 
 
-def _reason(state: DispatcherState, message: Message, permit_at: int) -> str:
-    if not may_retry(state, message):
+def _drop_reason(state: DispatcherState, message: Message, permit_at: int) -> str:
+    if not may_attempt(state, message):
         return "may not be sent again"
     drop_at = drop_time(state, message)
     if permit_at < drop_at:
@@ -61,10 +64,13 @@
     return "no call could end in time" if state.now >= drop_at else "no share in time"
 
 
-def _front(
+def _messages_to_drop(
     state: DispatcherState, queue: ClassQueue, permit_at: int, congested: bool
 ) -> Iterator[Message]:
-    """The messages of a class queue that are given up now, in their order."""
+    """Yield the messages of a class queue that are given up now, by deadline.
+
+    They are all at the front of the queue.
+    """
     for message in queue.messages:
         state.work_count += 1
         out_of_time = permit_at >= drop_time(state, message)
@@ -75,20 +81,24 @@
 
 
 def drop_time(state: DispatcherState, message: Message) -> int:
-    """When the message's time left falls below its shortest expected call."""
+    """Return when the remaining time falls below the message's shortest expected call.
+
+    The call is taken to last at least `MIN_WAKEUP_INTERVAL_US`.
+    """
     call = int(shortest_expected_latency(state, message))
     return message.deadline - max(call, MIN_WAKEUP_INTERVAL_US)
 
 
 def age(message: Message, now: int) -> int:
-    """How much of its time has passed, also at a forwarder before this one."""
+    """Return the time since the message was accepted, including at other forwarders."""
     return message.message_class.deadline_us - (message.deadline - now)
 
 
 def is_congested(state: DispatcherState, queue: DestinationQueue) -> bool:
-    """Whether fresh messages wait too long in a queue.
+    """Whether new messages wait too long in a queue.
 
-    One has waited for more than half of its latency objective, and not yet for all of it.
+    This is the case if a message has waited for more than half of its latency objective
+    but not for all of it.
     """
     state.work_count += len(queue.class_queues)
     for class_queue in queue.class_queues.values():
--- a/rainfall/dispatch/idempotency.py
+++ b/rainfall/dispatch/idempotency.py
@@ -1,6 +1,6 @@
-"""Which further attempts a message may have: none may execute it twice by mistake.
+"""Limits attempts so that no message is executed twice if that does harm.
 
-WIRE, no duplicated effect. Times are integer microseconds.
+Implements WIRE, no duplicated effect. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -12,14 +12,17 @@
 from rainfall.dispatch.times import NEVER
 
 TRANSIT_SLACK_US = 50_000
-"""A retry may be in transit for so long and still has to arrive within the window."""
+"""Margin for the time a retry is in transit: it must arrive within the window."""
 
 
 def retry_deadline(message: Message, sent_at: int = -NEVER) -> int:
-    """Until when a message can be sent again that may have been executed.
+    """Return the time from which a possibly executed message must not be resent.
 
-    `sent_at` is the time of a call by which it may be executed first. The endpoint
-    counts a key's window from when that call came, which is no sooner than it was sent.
+    NEVER if it may always be resent, -NEVER if it must not be resent at all.
+
+    `sent_at` is used if the message has not been executed yet: the send time of the
+    call that may execute it first. The endpoint starts the window of a key when that
+    call arrives, which is no earlier than it was sent.
     """
     message_class = message.message_class
     if message_class.idempotency is Idempotency.ALWAYS:
@@ -30,15 +33,19 @@
     return first_sent_at + message_class.idempotency_window_us - TRANSIT_SLACK_US
 
 
-def may_retry(state: DispatcherState, message: Message) -> bool:
-    """Whether a message may have another attempt, its first included."""
+def may_attempt(state: DispatcherState, message: Message) -> bool:
+    """Whether a message may have an attempt, its first or a retry."""
     if message.executed_at >= 0 and state.now >= retry_deadline(message):
         return False
     return message.attempts < min(message.max_attempts, state.settings.max_attempts)
 
 
 def is_bound_to_scope(message: Message) -> bool:
-    """Whether only some endpoints would recognize a message's idempotency key."""
+    """Whether only some endpoints recognize a message's idempotency key.
+
+    This concerns messages that may have been executed; they may be resent only to these
+    endpoints.
+    """
     message_class = message.message_class
     return (
         message.executed_at >= 0
@@ -48,12 +55,15 @@
 
 
 def usable_endpoints(state: DispatcherState, message: Message) -> list[Endpoint]:
-    """Serving endpoints of the message's destination within its key's scope."""
+    """Return the serving endpoints of a message's destination to which it may be sent.
+
+    For a message bound to a scope these are the endpoints that recognize its key.
+    """
     endpoints = state.serving(message.destination)
     if not is_bound_to_scope(message):
         return endpoints
     first = state.endpoints.get(message.executed_on)
-    if first is None:  # it was called before a restart, and has left the list since
+    if first is None:  # called before a restart, and no longer in the endpoint list
         return []
     scope = message.message_class.idempotency_scope
     zone = first.zone if scope is IdempotencyScope.ZONE else None
--- a/rainfall/dispatch/idle_connections.py
+++ b/rainfall/dispatch/idle_connections.py
@@ -1,7 +1,7 @@
-"""How long an idle connection to an endpoint is taken to be still open.
+"""Estimates the endpoints' idle timeout and closes connections that may exceed it.
 
-Endpoints close or forget idle connections without a word. Times are integer
-microseconds.
+Endpoints close or drop idle connections without notice. A connection that was idle for
+no longer than `state.idle_trust` is assumed to be open. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -11,17 +11,18 @@
 from rainfall.dispatch.outcomes import Outcome
 from rainfall.dispatch.state import MIN_IDLE_US, DispatcherState
 
-TRUST_GROWTH_DIVISOR = 64
-"""A call that succeeds lengthens the trust by this part."""
+IDLE_TIMEOUT_GROWTH_DIVISOR = 64
+"""Each successful call lengthens the estimate by one part in this many."""
 
 
 def detect_lost_connection(
     state: DispatcherState, call: Call, outcome: Outcome
 ) -> bool:
-    """Whether a call failed because its connection had been closed while it was idle.
+    """Whether a call failed because its connection was closed while idle.
 
-    It then says nothing of its endpoint. A time-out is the endpoint's own: a
-    slow one would else never be seen to be slow.
+    Such a call says nothing about its endpoint; it reduces the estimate to half the
+    idle time of its connection. A timeout is always attributed to the endpoint;
+    otherwise a slow endpoint would never be detected.
     """
     was_idle = MIN_IDLE_US < call.connection_idle <= state.idle_trust
     lost = was_idle and outcome is Outcome.RESET
@@ -30,18 +31,19 @@
     return lost
 
 
-def extend_trust(state: DispatcherState) -> None:
-    """A call succeeded."""
-    longer = state.idle_trust + state.idle_trust // TRUST_GROWTH_DIVISOR
+def extend_idle_timeout_estimate(state: DispatcherState) -> None:
+    """Lengthen the estimate after a successful call, up to its upper bound."""
+    longer = state.idle_trust + state.idle_trust // IDLE_TIMEOUT_GROWTH_DIVISOR
     state.idle_trust = min(state.max_idle_trust, longer)
 
 
-def close_untrusted(state: DispatcherState) -> None:
-    """Close connections that would be idle for too long until the next call.
+def close_stale_connections(state: DispatcherState) -> None:
+    """Close connections that would be idle for too long by the next call.
 
-    Those of calls finished in this round, by the time since the call before.
+    Considers the calls that ended in this round, and expects the time to the next call
+    to equal the time since the previous one.
     """
     for call in state.finished_calls:
-        seldom = call.since_previous_call > state.idle_trust > 0
-        if seldom and not call.endpoint.in_flight:
+        rarely_called = call.since_previous_call > state.idle_trust > 0
+        if rarely_called and not call.endpoint.in_flight:
             state.actions.append(CloseIdleConnections(call.endpoint.id))
--- a/rainfall/dispatch/latency.py
+++ b/rainfall/dispatch/latency.py
@@ -1,8 +1,9 @@
-"""How long a call is expected to take (the paper's ExecTime).
+"""Estimates the duration of calls (ExecTime in PAPER).
 
-A decayed mean of the calls, time-outs counting in full. Its seed is a tenth of the
-class's latency objective (the paper's D_multiplier is 10), and while no call is in
-flight the mean eases back to it. Times are integer microseconds.
+The estimate is an exponentially decayed mean of the call durations; timeouts count with
+their full duration. Its seed is a tenth of the class's latency objective (D_multiplier
+in PAPER is 10), and while no call is in flight the estimate decays back to the seed.
+Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -16,22 +17,22 @@
 from rainfall.dispatch.times import SECOND_US
 
 CALLS_PER_OBJECTIVE = 10
-"""D_multiplier: a class's latency objective is taken for so many expected calls."""
+"""D_multiplier in PAPER: a class's latency objective divided by the seed."""
 ESTIMATE_HALF_LIFE_US = 2 * SECOND_US
-"""In this time an estimate without calls in flight comes half way back to its seed."""
+"""Time in which an estimate without calls in flight moves half way to its seed."""
 LATENCY_STEP = 0.2
-"""Weight of the newest call in the estimate: about the last ten calls count."""
+"""Weight of the newest call in the estimate; about the last ten calls contribute."""
 
 
 def latency_seed(message_class: MessageClass) -> float:
-    """The duration expected of a call of which nothing was observed."""
+    """Return the expected duration of a call without any observations."""
     return message_class.latency_objective_us / CALLS_PER_OBJECTIVE
 
 
 def expected_latency(
     scope: ThrottleScope, message_class: MessageClass, now: int
 ) -> float:
-    """The expected duration of a call of a class to a throttle scope."""
+    """Return the expected duration of a call of a class to a throttle scope."""
     if scope.latency_updated_at < 0:
         return latency_seed(message_class)
     if scope.in_flight:
@@ -42,9 +43,9 @@
 
 
 def shortest_expected_latency(state: DispatcherState, message: Message) -> float:
-    """The shortest expected call among the endpoints that a message may go to.
+    """Return the shortest expected call duration of the endpoints usable for a message.
 
-    Worked out once for all messages of a destination that may go to any endpoint.
+    The result is cached for messages that may go to any endpoint of the destination.
     """
     endpoints = usable_endpoints(state, message)
     message_class, now = message.message_class, state.now
@@ -53,17 +54,17 @@
             (expected_latency(e.throttle_scope, message_class, now) for e in endpoints),
             default=0.0,
         )
-    # By objective and not by name: two classes of one name may be open, one of them
-    # from before the settings changed.
+    # The key contains the objective rather than the class name: after a change of
+    # settings there may be messages of two classes with the same name.
     key = (message.destination, message_class.latency_objective_us)
-    known = state.latency_cache.get(key)
-    if known is None:
-        known = min(
+    cached = state.latency_cache.get(key)
+    if cached is None:
+        cached = min(
             (expected_latency(e.throttle_scope, message_class, now) for e in endpoints),
             default=0.0,
         )
-        state.latency_cache[key] = known
-    return known
+        state.latency_cache[key] = cached
+    return cached
 
 
 def learn_latency(
@@ -73,7 +74,10 @@
     duration_us: int,
     now: int,
 ) -> None:
-    """Take a call's duration into the estimate, where its outcome has one."""
+    """Update the estimate with a call that was delivered or timed out.
+
+    Other outcomes only renew the estimate's age and seed; their duration is not used.
+    """
     scope.latency_estimate = expected_latency(scope, message_class, now)
     scope.latency_updated_at = now
     scope.latency_seed = latency_seed(message_class)
--- a/rainfall/dispatch/message_queues.py
+++ b/rainfall/dispatch/message_queues.py
@@ -1,4 +1,4 @@
-"""All waiting messages, by destination. Nothing is decided here."""
+"""Holds all waiting messages by destination. Contains no rules."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from rainfall.dispatch.queues import ClassQueue, ClassQueueKey, DemandKey, Message
 
 MAX_SPARE_DESTINATION_QUEUES = 2_000
-"""Empty destination queues that are kept to be filled again."""
+"""Number of empty destination queues kept for reuse."""
 MAX_SPARE_CLASS_QUEUES = 4
-"""Empty class queues that are kept in each destination queue."""
+"""Number of empty class queues kept for reuse in each destination queue."""
 LARGE_QUEUE_SIZE = 64
-"""Messages from which on a destination queue is indexed by its size."""
+"""Number of messages from which a destination queue is indexed by its size."""
 
 
 @dataclass(slots=True, eq=False)
@@ -22,36 +22,41 @@
 
     class_queues: dict[ClassQueueKey, ClassQueue] = field(default_factory=dict)
     spare_class_queues: dict[ClassQueueKey, ClassQueue] = field(default_factory=dict)
-    """Empty ones, to be filled again."""
+    """Empty class queues kept for reuse."""
     size: int = 0
+    """Number of messages."""
 
     def __len__(self) -> int:
         return self.size
 
     def values(self) -> Iterator[Message]:
-        """All messages, by class queue and in each by deadline."""
+        """Yield all messages by class queue, and by deadline within each."""
         for class_queue in self.class_queues.values():
             yield from class_queue.messages
 
 
 @dataclass(slots=True)
 class MessageQueues:
-    """All waiting messages. Neither empty destination nor empty class queues stay."""
+    """All waiting messages, in nonempty destination queues and class queues."""
 
     by_destination: dict[int, DestinationQueue] = field(default_factory=dict)
     spare_destination_queues: dict[int, DestinationQueue] = field(default_factory=dict)
-    """Empty ones, to be filled again: where messages are sent at once, each fills one."""
+    """Empty destination queues kept for reuse: a message that is sent at once needs a
+    queue only for a moment.
+    """
     by_size: dict[int, set[int]] = field(default_factory=dict)
-    """Destinations of large queues, by the number of their messages."""
+    """Destinations with at least `LARGE_QUEUE_SIZE` messages, by number of messages."""
     largest_size: int = 0
-    """The greatest number in `by_size`; 0 where there is none."""
+    """The largest key of `by_size`; 0 if it is empty."""
     demand_by_destination: dict[int, Counter[DemandKey]] | None = None
-    """How many wait for each class and tenant; None until it is asked for."""
+    """Number of waiting messages by destination, class and tenant; None until the first
+    call of `count_by_demand`.
+    """
 
     def count_by_demand(self) -> dict[int, Counter[DemandKey]]:
-        """How many messages wait, by destination and by whose demand they are.
+        """Return the number of waiting messages by destination, class and tenant.
 
-        Counted whole at the first call, and kept up to date from then on.
+        The first call counts all messages; from then on the counts are kept up to date.
         """
         if self.demand_by_destination is None:
             self.demand_by_destination = {
@@ -61,7 +66,7 @@
         return self.demand_by_destination
 
     def adjust_demand(self, message: Message, change: int) -> None:
-        """Count a message that waits from now on, or no more."""
+        """Add `change` (1 or -1) to the count of a message's class and tenant."""
         assert self.demand_by_destination is not None
         counts = self.demand_by_destination.setdefault(message.destination, Counter())
         counts[message.demand_key] += change
@@ -71,9 +76,9 @@
             del self.demand_by_destination[message.destination]
 
     def largest_destination(self) -> int:
-        """The destination with most messages, of equal ones the last by number.
+        """Return the destination with the most messages; ties go to the highest number.
 
-        There must be one.
+        There must be at least one message.
         """
         if self.largest_size:
             return max(self.by_size[self.largest_size])
@@ -86,7 +91,7 @@
         )
 
     def reindex_size(self, destination: int, size: int, change: int) -> None:
-        """Follow a queue that had `size` messages and has one more or less."""
+        """Update `by_size` after a queue of `size` messages changed by 1 or -1."""
         changed = size + change
         if size in self.by_size:
             self.by_size[size].discard(destination)
@@ -102,14 +107,14 @@
         self,
         message: Message,
         key: ClassQueueKey,
-        make: Callable[[Message, ClassQueueKey], ClassQueue],
+        make_queue: Callable[[Message, ClassQueueKey], ClassQueue],
     ) -> None:
-        """Let a message wait in the class queue of a key, made where there is none."""
+        """Add a message to the class queue of a key; `make_queue` creates a new one."""
         queue = self._destination_queue(message.destination)
         class_queue = queue.class_queues.get(key)
         if class_queue is None:
             spare = queue.spare_class_queues.pop(key, None)
-            class_queue = make(message, key) if spare is None else spare
+            class_queue = make_queue(message, key) if spare is None else spare
             queue.class_queues[key] = class_queue
         queue.size += 1
         if queue.size >= LARGE_QUEUE_SIZE:
@@ -128,9 +133,9 @@
         return queue
 
     def remove(self, message: Message) -> None:
-        """Take a message out of its queue, if it waits.
+        """Remove a message from its queue; do nothing if it is not waiting.
 
-        It must not be the ready head of its key any more.
+        If it is the ready head of its ordering key, the caller must clear that first.
         """
         class_queue = message.class_queue
         if class_queue is None:
@@ -152,8 +157,8 @@
             if len(self.spare_destination_queues) < MAX_SPARE_DESTINATION_QUEUES:
                 self.spare_destination_queues[class_queue.destination] = queue
 
-    def drop_spare(self) -> None:
-        """Let the empty queues go."""
+    def discard_spare_queues(self) -> None:
+        """Delete the empty queues that were kept for reuse."""
         self.spare_destination_queues.clear()
         for queue in self.by_destination.values():
             queue.spare_class_queues.clear()
--- a/rainfall/dispatch/ordering.py
+++ b/rainfall/dispatch/ordering.py
@@ -1,7 +1,7 @@
-"""Messages of one ordering key go one after the other (WIRE, key order kept).
+"""Sends the messages of an ordering key one at a time (WIRE, key order kept).
 
-The next follows when the one before has its final answer, that answer has arrived, and
-no attempt of it may still run. Times are integer microseconds.
+A message may be sent once the previous one has its final answer, that answer has been
+acknowledged, and no attempt of it may still run. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -11,15 +11,16 @@
 from rainfall.dispatch.state import DispatcherState
 
 
-def key_sequence(state: DispatcherState, key: str) -> KeySequence:
-    """The sequence of an ordering key, a new one where there is none."""
+def ensure_key_sequence(state: DispatcherState, key: str) -> KeySequence:
+    """Return the sequence of an ordering key, creating it if there is none."""
     return state.key_sequences.setdefault(key, KeySequence())
 
 
-def offer_head(state: DispatcherState, key: str) -> None:
-    """Let the head of a key go unless the key blocks it.
+def update_ready_head(state: DispatcherState, key: str) -> None:
+    """Recompute whether the first message of a key may be sent.
 
-    Where time ends that, it is noted.
+    If it is blocked by a backoff, or the key has no work left, the time at which that
+    changes is added to `state.key_backoffs` or `state.idle_keys`.
     """
     sequence = state.key_sequences[key]
     sequence.set_ready(_sendable_head(state, key, sequence))
@@ -33,7 +34,7 @@
     if not sequence.messages or sequence.in_flight or sequence.pending_notifications:
         return None
     head = sequence.head()
-    # A message that was tried already may be retried without a wait.
+    # The backoff delays the next message, not the retries of the current one.
     if state.now < sequence.backoff_until and not head.attempts:
         state.key_backoffs.add(sequence.backoff_until, key)
         return None
@@ -42,10 +43,13 @@
     return head
 
 
-def turn_to_next(state: DispatcherState, key: str) -> None:
-    """The next message of a key may go now, perhaps to another destination."""
+def advance_key(state: DispatcherState, key: str) -> None:
+    """Update the ready head of a key and schedule its destination for processing.
+
+    The next message of a key may be for another destination than the previous one.
+    """
     sequence = state.key_sequences[key]
-    offer_head(state, key)
+    update_ready_head(state, key)
     blocked = sequence.in_flight or sequence.pending_notifications
     if sequence.messages and not blocked:
         destination = sequence.head().destination
@@ -54,34 +58,31 @@
 
 
 def add_pending_notification(state: DispatcherState, message_id: str, key: str) -> None:
-    """A final answer is on its way.
-
-    Until it has arrived, its message is not over for those behind it.
-    """
-    sequence = key_sequence(state, key)
+    """Block an ordering key until the final answer of a message is acknowledged."""
+    sequence = ensure_key_sequence(state, key)
     sequence.pending_notifications += state.pending_notifications.get(message_id) != key
     state.pending_notifications[message_id] = key
-    offer_head(state, key)
+    update_ready_head(state, key)
 
 
 def acknowledge_notification(state: DispatcherState, message_id: str) -> None:
-    """The final answer of a message has arrived."""
+    """Unblock the key of a message whose final answer was acknowledged."""
     if message_id in state.pending_notifications:
         key = state.pending_notifications.pop(message_id)
         state.key_sequences[key].pending_notifications -= 1
-        turn_to_next(state, key)
+        advance_key(state, key)
 
 
 def end_key_backoffs(state: DispatcherState) -> None:
-    """Offer the heads of the keys whose backoff is over."""
+    """Update the ready heads of the keys whose backoff has ended."""
     for key in state.key_backoffs.pop_due(state.now):
         state.work_count += 1
         if key in state.key_sequences:
-            offer_head(state, key)
+            update_ready_head(state, key)
 
 
-def forget_idle_keys(state: DispatcherState) -> None:
-    """Forget the keys that have no messages and no backoff any more."""
+def prune_idle_keys(state: DispatcherState) -> None:
+    """Remove the sequences of keys that have no work and no backoff."""
     for key in state.idle_keys.pop_due(state.now):
         state.work_count += 1
         sequence = state.key_sequences.get(key)
--- a/rainfall/dispatch/outlier_detection.py
+++ b/rainfall/dispatch/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Which endpoints fail, are in an outage, and have recovered.
+"""Detects outages of endpoints and their recovery.
 
-An endpoint is put into slow start when its failure ratio passes a mark, and recovers
-with a call that succeeds. Times are integer microseconds.
+An endpoint enters an outage, and with it slow start, when its failure ratio exceeds a
+threshold. It recovers with a successful call. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -16,21 +16,28 @@
 from rainfall.dispatch.state import SMALL_FLEET, DispatcherState
 
 OUTAGE_FAILURE_RATIO = 0.5
-"""Above it an endpoint is in an outage: two failures in a row, or most calls."""
+"""An endpoint is in an outage above this ratio: after two failures in a row, or if most
+calls fail.
+"""
 CERTAIN_FAILURE_RATIO = 0.56
-"""Above it more than one call has failed, and messages that must not be executed twice
-are held back.
+"""Above this ratio more than one call has failed, and messages that must not be
+executed twice are held back.
 """
 FAILURE_STEP = 0.35
 """Weight of the newest call in the failure ratio."""
 RARE_CALL_STEP_LIMIT = 0.55
-"""Its weight at most, after a long time without calls: one failure is then sign enough."""
-WEAK_SIGN_STEP = 0.15
+"""Maximum weight of the newest call. It applies after a long time without calls, when a
+single failure is sufficient evidence of an outage.
+"""
+WEAK_SIGNAL_STEP = 0.15
 """Weight of a rejection or an inconclusive outcome in the failure ratio."""
 
 
 def is_avoided(state: DispatcherState, endpoint_id: int) -> bool:
-    """Whether an endpoint gets nothing now, or nothing while others are sound."""
+    """Whether an endpoint is out of service or in an outage.
+
+    In an outage it gets messages only while no sound endpoint can take them.
+    """
     endpoint = state.endpoints.get(endpoint_id)
     if endpoint is None or not endpoint.serving:
         return True
@@ -40,23 +47,26 @@
 def update_failure_ratio(
     state: DispatcherState, call: Call, outcome: Outcome, inconclusive: bool
 ) -> None:
-    """Take a call's outcome into its endpoint's failure ratio."""
+    """Update the failure ratio of a call's endpoint with the call's outcome."""
     endpoint = call.endpoint
     if inconclusive or outcome is Outcome.REJECTED:
-        step = WEAK_SIGN_STEP
+        step = WEAK_SIGNAL_STEP
     else:
         rareness = 1 - 0.5 ** (call.since_previous_call / ESTIMATE_HALF_LIFE_US)
         step = max(FAILURE_STEP, min(RARE_CALL_STEP_LIMIT, rareness))
     failed = outcome is not Outcome.DELIVERED
     ratio = endpoint.failure_ratio + step * (failed - endpoint.failure_ratio)
     if outcome is Outcome.REJECTED and pace_interval(state, endpoint):
-        # The pace adapts to rejections: these alone are no sign of an outage.
+        # Rejections slow down the pace, so they alone do not indicate an outage.
         ratio = min(ratio, max(OUTAGE_FAILURE_RATIO, endpoint.failure_ratio))
     endpoint.failure_ratio = ratio
 
 
 def detect_outage(state: DispatcherState, endpoint: Endpoint, outcome: Outcome) -> None:
-    """Follow an endpoint into an outage and out of it, by the last call's outcome."""
+    """Start or end an endpoint's outage, depending on its failure ratio.
+
+    `outcome` is that of the endpoint's last call, which is already part of the ratio.
+    """
     if outcome is Outcome.DELIVERED:
         endpoint.last_success_at = state.now
         if endpoint.in_outage and endpoint.failure_ratio <= OUTAGE_FAILURE_RATIO:
@@ -68,26 +78,27 @@
 
 
 def _begin_outage(state: DispatcherState, endpoint: Endpoint, outcome: Outcome) -> None:
-    """Begin an outage, or fall back into one that was taken to be over."""
+    """Start an outage, or resume the last one if the endpoint is in slow start."""
     if not in_slow_start(state, endpoint):
         note = f"target {endpoint.id} in outage: {outcome.value}"
         state.actions.append(LogNote(note))
         endpoint.outage_started_at = state.now
-        # From the middle of an interval: many may have learned at once.
+        # Start at a random point of the interval, as many forwarders may have detected
+        # the outage at the same time.
         endpoint.next_interval_factor = state.random.random()
         if outcome is not Outcome.REJECTED:
-            _suspect_neighbours(state, endpoint)
+            _extend_outage_to_neighbours(state, endpoint)
     if endpoint.recovered_at >= 0 or endpoint.outage_started_at == state.now:
         started_at = endpoint.outage_started_at
         state.actions.append(RecordOutage(endpoint.id, started_at))
     endpoint.recovered_at = -1
 
 
-def _suspect_neighbours(state: DispatcherState, failed: Endpoint) -> None:
-    """Take endpoints that share the limit of a failed one to be out as well.
+def _extend_outage_to_neighbours(state: DispatcherState, failed: Endpoint) -> None:
+    """Start outages of endpoints that share the throttle scope of a failed one.
 
-    Only in a large fleet, and those that have not answered since the call that failed:
-    what all forwarders send over to them adds up.
+    Applies only in large fleets, where the load that all forwarders move over to them
+    adds up. Endpoints that have answered since the failed call was sent are left out.
     """
     for endpoint in state.serving(failed.destination):
         if (
@@ -105,17 +116,18 @@
 
 
 def _recover(state: DispatcherState, endpoint: Endpoint) -> None:
-    """An endpoint answers again.
+    """End an outage after a successful call, and start the warm-up.
 
-    It recovered between the last call that failed and this one: half way, but no
-    earlier than half an overload window ago, as those who learn it first would
-    otherwise take it to be warm.
+    The endpoint recovered between the last failed call and now. The middle of that time
+    is taken, but at most half an overload window ago; otherwise the first forwarders to
+    detect the recovery would assume that the endpoint is warm.
     """
     half_way = (state.now + endpoint.last_failure_at) // 2
     half_window = state.settings.overload_window_us // 2
     recovered_at = max(half_way, state.now - half_window)
     _begin_warm_up(state, endpoint, max(endpoint.outage_started_at, recovered_at))
-    # What shares a limit mostly shares its outages: each need not be tried first.
+    # Endpoints that share a limit usually share outages: they need no successful call
+    # of their own to recover.
     for other in state.serving(endpoint.destination):
         if other.throttle_scope is endpoint.throttle_scope and other.in_outage:
             started_at, recovered_at = other.outage_started_at, endpoint.recovered_at
@@ -133,10 +145,10 @@
 
 
 def restore_outage(state: DispatcherState, event: OutageRestored) -> None:
-    """Go on with an outage of before a restart, where the list still has its endpoint.
+    """Restore an outage from before a restart, if its endpoint is still known.
 
-    When the last call went is not known: forwarders that restart at once must not call
-    in step an interval later.
+    The time of the last call is not known. The next one follows after a random part of
+    an interval, so that forwarders that restart together do not call at the same time.
     """
     endpoint = state.endpoints.get(event.endpoint)
     if endpoint is None:
--- a/rainfall/dispatch/pacing.py
+++ b/rainfall/dispatch/pacing.py
@@ -1,7 +1,7 @@
-"""Pacing: calls are spread so that all forwarders together keep a rate limit.
+"""Paces calls so that all forwarders together stay within a rate limit.
 
-A forwarder takes an adaptive number of even shares (limit / forwarders). Where it has a
-quota, that takes the place of the pace. Times are integer microseconds.
+Each forwarder uses an adaptive number of even shares (limit / forwarders) of the limit.
+For destinations with a quota the quota applies instead. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -12,34 +12,40 @@
 from rainfall.dispatch.times import SECOND_US
 
 BURST_US = 700_000
-"""The pace lets through at once what it earns in this time."""
+"""Burst allowed by the pace: the calls of this much unused time may be sent at once."""
 INITIAL_EVEN_SHARES = 1.0
-"""Even shares taken at first, in a very large fleet."""
+"""Even shares used initially, before `share_headroom` is applied."""
 REJECTION_SHARE_FACTOR = 0.7
-"""A rejection shrinks the shares taken by this factor."""
-LEAST_EVEN_SHARES = 0.1
+"""Factor by which a rejection reduces the even shares used."""
+MIN_EVEN_SHARES = 0.1
+"""Lower bound of the even shares used."""
 DEADLINE_SHARE = 0.5
-"""An interval by a reported limit takes this share of the shortest deadline at most."""
+"""Maximum interval under a reported limit, as a fraction of the shortest deadline. It
+is longer if the forwarder uses less than one even share.
+"""
 SUCCESS_SHARE_STEP = 0.05
-"""Even shares by which a success with much of the limit left grows those taken."""
+"""Increase of the even shares used after a success, if enough of the limit is left."""
 AMPLE_REMAINING_SHARE = 0.4
-"""Share of a limit that counts as much left."""
+"""Remaining fraction of a limit above which a success increases the even shares."""
 
 
-def take_permit(now: int, used_until: int, interval: float, saved_us: float) -> int:
-    """The time up to which a rate is used once one more has gone.
+def take_permit(now: int, used_until: int, interval: float, burst_us: float) -> int:
+    """Return the time up to which a rate is used up after one more call or message.
 
-    Each one takes an interval. What was not used counts up to `saved_us` back.
+    This is a token bucket expressed as a time: each call or message takes one interval,
+    and unused time counts up to `burst_us` back.
     """
-    saved = max(0.0, saved_us - interval)
-    return int(max(used_until, now - saved) + interval)
+    credit = max(0.0, burst_us - interval)
+    return int(max(used_until, now - credit) + interval)
 
 
 def pace_interval(state: DispatcherState, endpoint: Endpoint) -> float:
-    """The time between our calls by which all forwarders keep the limit; 0 without one.
+    """Return the interval between this forwarder's calls; 0 without a rate limit.
 
-    An even share of a reported limit may be one call in a minute. What the destination
-    reports to be left says more, so no message misses its deadline for that.
+    At this interval all forwarders together keep the limit. An even share of a reported
+    limit may amount to one call per minute. So that no message misses its deadline for
+    that, the interval is then bounded (see `DEADLINE_SHARE`); the destination's reports
+    of what is left of the limit are a better guide.
     """
     scope = endpoint.throttle_scope
     limit, shares = rate_limit(state, endpoint), scope.even_shares
@@ -52,14 +58,14 @@
 
 
 def rate_limit(state: DispatcherState, endpoint: Endpoint) -> float:
-    """The rate limit in calls a second, reported or listed; 0 without one."""
+    """Return the reported or listed rate limit in calls per second; 0 without one."""
     if endpoint.throttle_scope.reported_limit:
         return endpoint.throttle_scope.reported_limit
     return endpoint.weight if state.settings.endpoint_weights_known else 0.0
 
 
 def count_call(state: DispatcherState, endpoint: Endpoint) -> None:
-    """Count one call against the quota, or against the pace where there is none."""
+    """Count one call against the destination's quota, or the pace if it has none."""
     quota = state.quotas.get(endpoint.destination)
     if quota is not None:
         quota.record_call(state.now)
@@ -73,28 +79,30 @@
 
 
 def initial_even_shares(state: DispatcherState) -> float:
-    """The even shares that a new throttle scope starts with."""
+    """Return the even shares that a new throttle scope starts with."""
     shares = INITIAL_EVEN_SHARES * state.share_headroom
     return min(float(state.settings.forwarder_count), shares)
 
 
 def shrink_share(scope: ThrottleScope) -> None:
-    """The limit was exceeded: take less of it."""
-    scope.even_shares = max(
-        LEAST_EVEN_SHARES, scope.even_shares * REJECTION_SHARE_FACTOR
-    )
+    """Reduce the even shares used after a rejection."""
+    scope.even_shares = max(MIN_EVEN_SHARES, scope.even_shares * REJECTION_SHARE_FACTOR)
 
 
 def grow_share(state: DispatcherState, scope: ThrottleScope) -> None:
-    """A call succeeded: take more of the limit if much of it is left."""
+    """Increase the even shares used after a success, if enough of the limit is left."""
     if scope.remaining_share > AMPLE_REMAINING_SHARE:
         grown = scope.even_shares + SUCCESS_SHARE_STEP * state.share_headroom
         scope.even_shares = min(float(state.settings.forwarder_count), grown)
 
 
 def apply_load_report(scope: ThrottleScope, report: LoadReport) -> None:
-    """Take over what the destination said of its limit."""
-    if not scope.reported_limit:  # a reported limit needs no room for error
+    """Store the rate limit that a destination reported.
+
+    The first report reduces the even shares used to at most one: unlike a listed or
+    unknown limit, a reported one needs no allowance for errors.
+    """
+    if not scope.reported_limit:
         scope.even_shares = min(1.0, scope.even_shares)
     scope.reported_limit = report.limit_per_s
     scope.remaining_share = report.remaining_share
--- a/rainfall/dispatch/queues.py
+++ b/rainfall/dispatch/queues.py
@@ -1,7 +1,7 @@
-"""Messages, and the class queues in which they wait, ordered by deadline.
+"""Messages and the class queues in which they wait, ordered by deadline.
 
-Within a class queue every rule gives the same figure up to the deadline, so that only
-its front has to be looked at. Nothing is decided here. Times are integer microseconds.
+For the rules, the messages of a class queue differ only in their deadlines, so that it
+is sufficient to examine the front of the queue. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 @dataclass(slots=True)
-class Deadline:
-    """A position in the order by deadline: before or after a message, or between two."""
+class DeadlinePosition:
+    """A position in the order of deadlines, for comparison with messages."""
 
     deadline: float
     sequence_number: int
 
-    def __lt__(self, other: Deadline | Message) -> bool:
+    def __lt__(self, other: DeadlinePosition | Message) -> bool:
         return self.deadline < other.deadline or (
             self.deadline == other.deadline
             and self.sequence_number < other.sequence_number
@@ -31,7 +31,7 @@
 
 
 class DemandKey(NamedTuple):
-    """Whose demand a message is."""
+    """The class and tenant under which a waiting message counts as demand."""
 
     class_name: str
     tenant: str | None
@@ -39,9 +39,9 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message that has no final answer yet.
+    """A message without a final answer.
 
-    Sorts by deadline, and among equal ones by sequence number.
+    Messages sort by deadline, and with equal deadlines by sequence number.
     """
 
     id: str
@@ -49,34 +49,40 @@
     message_class: MessageClass
     deadline: int
     sequence_number: int
-    """Order of acceptance since the start."""
+    """Increases with each accepted message since the process started."""
     ordering_key: str | None
+    """None if the class is not ordered."""
     over_quota: bool
-    """Its tenant had used up its quota when it came."""
+    """Whether its tenant had used up its quota when the message arrived."""
     max_attempts: int
-    """The attempts that it was accepted with."""
+    """The limit on attempts under which the message was accepted."""
     attempts: int = 0
+    """Number of attempts sent."""
     in_flight: int = 0
+    """Number of attempts in flight."""
     executed_at: int = -1
-    """When the first attempt that may have been executed was sent; -1 without one."""
+    """Send time of the first attempt that may have been executed; -1 without one."""
     executed_on: int = -1
-    """That attempt's endpoint."""
+    """Endpoint of that attempt; -1 if there is none."""
     last_timeout: int = 0
-    """How long the attempt that timed out last was waited for."""
+    """Duration of the last attempt that timed out; 0 if there is none."""
     last_failed_endpoint: int = -1
+    """Endpoint of the last attempt that was not delivered; -1 if there is none."""
     protected: bool = False
-    """While it has surely not been executed, it is not shed before a share of its
-    time.
+    """Whether the message, while it has certainly not been executed, is not shed before
+    `PROTECTED_TIME_SHARE` of its time has passed.
     """
     restored: bool = False
-    """A former process accepted it."""
+    """Whether a previous process accepted the message."""
     queue_position: int = 0
-    """Among the waiting of its destination: one that is put back goes behind all."""
+    """Order among the waiting messages of its destination; a message that is requeued
+    moves to the end.
+    """
     class_queue: ClassQueue | None = None
-    """Where it waits; None while it does not."""
+    """The queue in which it waits; None if it does not wait."""
     tenant: str | None = None
 
-    def __lt__(self, other: Deadline | Message) -> bool:
+    def __lt__(self, other: DeadlinePosition | Message) -> bool:
         return self.deadline < other.deadline or (
             self.deadline == other.deadline
             and self.sequence_number < other.sequence_number
@@ -84,48 +90,48 @@
 
     @property
     def demand_key(self) -> DemandKey:
-        """Whose demand it is."""
+        """The class and tenant under which the message counts as demand."""
         return DemandKey(self.message_class.name, self.tenant)
 
     def move_deadline(self, deadline: int) -> None:
-        """Change the deadline, and with it the place in the queues."""
+        """Change the deadline and the message's position in its queues."""
         queue = self.class_queue
         queues = [] if queue is None else queue.queues_containing(self)
-        for q in queues:
-            q.remove(self)
+        for containing_queue in queues:
+            containing_queue.remove(self)
         self.deadline = deadline
-        for q in queues:
-            q.add(self)
+        for containing_queue in queues:
+            containing_queue.add(self)
 
 
-class MessageQueue(SortedList):  # type: ignore[misc]
+class DeadlineQueue(SortedList):  # type: ignore[misc]
     """Messages by deadline. Adding, removing and finding take logarithmic time."""
 
     def remove(self, message: Message) -> None:
-        """Take out a message; it must be there."""
+        """Remove a message, which must be in the queue."""
         if len(self) == 1:
-            self.clear()  # the common case where messages are sent at once
+            self.clear()  # faster, and common because messages are usually sent at once
         else:
             super().remove(message)
 
     def head(self) -> Message:
-        """The first; there must be one."""
+        """Return the first message; there must be one."""
         message: Message = self[0]
         return message
 
     def first(self) -> Message | None:
-        """The first, if there is one."""
+        """Return the first message, or None."""
         return self[0] if self else None
 
-    def first_from(self, position: Deadline | Message) -> Message | None:
-        """The first that does not come before a position."""
+    def first_from(self, position: DeadlinePosition | Message) -> Message | None:
+        """Return the first message at or after a position, or None."""
         first = self.first()
         if first is None or not first < position:
             return first
         return next(self.irange(position), None)
 
-    def first_after(self, position: Deadline | Message) -> Message | None:
-        """The first that comes behind a position."""
+    def first_after(self, position: DeadlinePosition | Message) -> Message | None:
+        """Return the first message after a position, or None."""
         first = self.first()
         if first is None or position < first:
             return first
@@ -133,55 +139,58 @@
 
 
 class ClassQueueKey(NamedTuple):
-    """What the messages of one class queue have in common."""
+    """The properties that the messages of one class queue share."""
 
     class_id: int
-    """Identity of the class object, which the queue keeps alive."""
+    """`id` of the class object, which the queue keeps alive."""
     over_quota: bool
+    """Whether their tenant's quota was used up when they arrived."""
     executed_on: int
-    """The endpoint to whose scope their idempotency keys are bound; -1 without one."""
+    """Endpoint whose idempotency scope the messages are bound to; -1 if not bound."""
     restored_untried: bool
-    """A former process accepted them, and they have had no attempt."""
+    """Whether a previous process accepted them and they have had no attempt."""
     protected: bool
-    """They are not shed before a share of their time."""
+    """Whether shedding is barred until `PROTECTED_TIME_SHARE` of their time is over."""
     ordered: bool
+    """Whether they have ordering keys."""
     exhausted: bool
-    """They may not be sent again, and are given up in the next round."""
+    """Whether they may not be sent again; they are given up when next processed."""
 
 
 @dataclass(slots=True, eq=False)
 class ClassQueue:
-    """Waiting messages of one destination that the rules treat alike."""
+    """Waiting messages of one destination with the same `ClassQueueKey`."""
 
     destination: int
     message_class: MessageClass
     key: ClassQueueKey
     sheddable_after: float
-    """Time from a message's start until it has lost so much weight that it may be
-    shed.
-    """
+    """Time from a message's acceptance until it has lost enough weight to be shed."""
     protected_before_deadline: int | None
-    """It is not shed earlier than this before its deadline; None without such a bound."""
-    messages: MessageQueue = field(default_factory=MessageQueue)
-    ready: MessageQueue = field(init=False)
-    """Those that their key does not block; the same queue as `messages` where none waits
-    for another.
+    """A message may be shed at most this long before its deadline; None: no bound."""
+    messages: DeadlineQueue = field(default_factory=DeadlineQueue)
+    ready: DeadlineQueue = field(init=False)
+    """Messages that may be sent as far as their ordering keys are concerned. The same
+    object as `messages` unless the messages are ordered or exhausted.
     """
 
     def __post_init__(self) -> None:
         waits = self.key.ordered or self.key.exhausted
-        self.ready = MessageQueue() if waits else self.messages
+        self.ready = DeadlineQueue() if waits else self.messages
+
+    def queues_containing(self, message: Message) -> list[DeadlineQueue]:
+        """Return the queues out of `messages` and `ready` that contain a message.
 
-    def queues_containing(self, message: Message) -> list[MessageQueue]:
-        """Its queues in which one of its messages stands."""
+        The message must be in `messages`.
+        """
         if self.ready is not self.messages and message in self.ready:
             return [self.messages, self.ready]
         return [self.messages]
 
     def sheddable_at(self, deadline: int) -> float:
-        """When a message of a given deadline may be shed."""
+        """Return the time from which a message with a given deadline may be shed."""
         if self.key.restored_untried:
-            return deadline  # it has the first claim to an attempt
+            return deadline  # not shed: restored messages get an attempt first
         protected_until = 0
         if self.protected_before_deadline is not None:
             protected_until = deadline - self.protected_before_deadline
@@ -189,23 +198,29 @@
         return max(started_at + self.sheddable_after, protected_until)
 
     def next_ready(
-        self, starts: Sequence[Deadline | Message], ends: Sequence[Deadline]
+        self,
+        starts: Sequence[DeadlinePosition | Message],
+        ends: Sequence[DeadlinePosition],
     ) -> Message | None:
-        """The first ready message behind one position and not behind another.
+        """Return the first ready message after a start and not after an end, or None.
 
-        Each is given for destinations up to 0 and for those above.
+        Each of `starts` and `ends` holds a position for destinations up to 0 and one
+        for destinations above 0.
         """
         above = self.destination > 0
         message = self.ready.first_after(starts[above])
         return None if message is None or ends[above] < message else message
 
     def first_younger(self, now: int, age_us: int) -> Message | None:
-        """The first message that is at most so old."""
+        """Return the first message that was accepted at most `age_us` ago, or None."""
         deadline = now + self.message_class.deadline_us - age_us
-        return self.messages.first_from(Deadline(deadline, -1))
+        return self.messages.first_from(DeadlinePosition(deadline, -1))
 
     def first_not_sheddable(self, now: int) -> Message | None:
-        """The first message that may not be shed yet. There must be messages."""
+        """Return the first message that may not be shed yet, or None.
+
+        The queue must not be empty.
+        """
         first, last = self.messages.head(), self.messages[-1]
         if self.sheddable_at(first.deadline) > now:
             return first
@@ -213,4 +228,4 @@
         deadline = first.deadline + bisect_left(
             deadlines, True, key=lambda deadline: self.sheddable_at(deadline) > now
         )
-        return self.messages.first_from(Deadline(deadline, -1))
+        return self.messages.first_from(DeadlinePosition(deadline, -1))
--- a/rainfall/dispatch/quota.py
+++ b/rainfall/dispatch/quota.py
@@ -1,7 +1,7 @@
-"""The forwarder's quota of a destination: a number of calls in every sliding window.
+"""The forwarder's quota for a destination: a number of calls per sliding window.
 
-Where one is in force it takes the place of the pace that is estimated from limits and
-rejections. Times are integer microseconds.
+A quota replaces the pace, which is estimated from rate limits and rejections. Times are
+integer microseconds.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from rainfall.dispatch.events import QuotaChanged
 from rainfall.dispatch.times import NEVER
 
-GRAINS = 1_024
-"""Parts of a window. Calls of one grain count from its last one on, so that a count is
-never too low and memory does not grow with the calls.
+WINDOW_BUCKETS = 1_024
+"""Number of buckets per window, which bounds the memory used. The calls of a bucket
+leave the window together with the last of them, so that the count is never too low.
 """
 
 
 class Quota:
-    """The quota of one destination, and the calls that count against it."""
+    """The quota of one destination and the calls that count against it."""
 
     __slots__ = (
         "calls",
@@ -32,60 +32,62 @@
 
     def __init__(self, window_us: int) -> None:
         self.calls = 0
-        """In every window, until `expires_at`."""
+        """Calls allowed in every window until `expires_at`."""
         self.window_us = window_us
         self.expires_at = 0
         self.reserve_calls = 0
-        """In every window from `expires_at` on."""
+        """Calls allowed in every window from `expires_at` on."""
         self.calls_in_window = 0
-        """Calls in the window that ends now."""
+        """Number of calls in `entries`."""
         self.entries: deque[tuple[int, int, int]] = deque()
-        """(first, last, calls) of each grain, oldest first."""
+        """(first call's time, last call's time, calls) of each bucket, oldest first."""
         self.counted_until = -NEVER
-        """Calls up to then were forgotten: a longer window has to pass from there."""
+        """Time of the last call removed from `entries`. If the window becomes longer,
+        that call counts again, and no call is permitted until it has left the window.
+        """
 
     def expire_entries(self, now: int) -> None:
-        """Forget the calls that left the window."""
+        """Remove the calls that have left the window."""
         while self.entries and self.entries[0][1] <= now - self.window_us:
             _, last, calls = self.entries.popleft()
             self.calls_in_window -= calls
             self.counted_until = max(self.counted_until, last)
 
     def record_call(self, now: int) -> None:
-        """One call is sent now."""
+        """Count a call that is sent now."""
         self.calls_in_window += 1
-        grain_us = self.window_us // GRAINS
-        if self.entries and now - self.entries[-1][0] < grain_us:
+        bucket_us = self.window_us // WINDOW_BUCKETS
+        if self.entries and now - self.entries[-1][0] < bucket_us:
             first, _, calls = self.entries.pop()
             self.entries.append((first, now, calls + 1))
         else:
             self.entries.append((now, now, 1))
 
     def available_at(self, now: int) -> int:
-        """When the next call may be sent; NEVER where no calls are left at all."""
+        """Return when the next call may be sent; NEVER if the quota permits no more."""
         self.expire_entries(now)
         if self.calls > 0 and now < self.expires_at:
-            at = self._free_at(now, self.calls)
-            if at < self.expires_at:
-                return at
+            free_at = self._free_at(now, self.calls)
+            if free_at < self.expires_at:
+                return free_at
         if self.reserve_calls > 0:
             return self._free_at(max(now, self.expires_at), self.reserve_calls)
         return NEVER
 
     def _free_at(self, now: int, limit: int) -> int:
-        """When one more call makes at most `limit` (above 0) in a window."""
-        at = max(now, self.counted_until + self.window_us)
+        """Return when one more call stays within `limit` (above 0) in the window."""
+        free_at = max(now, self.counted_until + self.window_us)
         excess = self.calls_in_window + 1 - limit
         for _, last, calls in self.entries:
             if excess <= 0:
                 break
             excess -= calls
-            at = max(at, last + self.window_us)
-        return at
+            free_at = max(free_at, last + self.window_us)
+        return free_at
 
     def change(self, now: int, event: QuotaChanged) -> None:
-        """Other numbers hold. What was sent under the former ones still counts."""
-        self.expire_entries(now)  # by the window until now
+        """Apply a change of the quota. Calls sent before it still count."""
+        self.expire_entries(now)  # still with the previous window length
         self.calls, self.window_us = event.calls, event.window_us
         self.expires_at = event.expires_at_us
         self.reserve_calls = event.reserve_calls
@@ -96,7 +98,7 @@
 
 
 def change_quota(quotas: dict[int, Quota], now: int, event: QuotaChanged) -> None:
-    """Put a quota in force, or end it where its window is 0."""
+    """Add or change the quota of a destination, or remove it if the window is 0."""
     if event.window_us <= 0:
         quotas.pop(event.destination, None)
         return
--- a/rainfall/dispatch/release.py
+++ b/rainfall/dispatch/release.py
@@ -1,8 +1,9 @@
-"""Which messages are sent in a round, and in which order: the paper's group EDF.
+"""Selects the messages sent in a round, and their order (Group EDF in PAPER).
 
-The message with the least time left and all within Gr of it form a group. The earliest
-group goes first, and in a group the message with the shortest expected call. Times are
-integer microseconds.
+The message with the earliest deadline and all messages with deadlines close to it
+(within Gr of PAPER) form a group. Groups are sent in the order of their deadlines;
+within a group, messages with shorter expected calls are sent first. Times are integer
+microseconds.
 """
 
 from __future__ import annotations
@@ -13,67 +14,72 @@
 from rainfall.dispatch.attempts import send
 from rainfall.dispatch.capacity import (
     available_at,
-    has_call_left,
+    has_call_slot,
     has_capacity,
-    watch_opening,
+    update_availability,
 )
 from rainfall.dispatch.endpoint_selection import select_endpoint
 from rainfall.dispatch.expiry import MIN_WAKEUP_INTERVAL_US, age, drop_time
 from rainfall.dispatch.latency import shortest_expected_latency
-from rainfall.dispatch.queues import ClassQueue, Deadline, Message
+from rainfall.dispatch.queues import ClassQueue, DeadlinePosition, Message
 from rainfall.dispatch.state import DispatcherState
 from rainfall.dispatch.times import NEVER
 
 GROUP_RANGE = 0.4
-"""Gr of the paper: share of the least time left."""
-TIE_US = 0.5
-"""Half a unit of time: messages with just the same deadline are in one group also when
-no time is left.
+"""Gr in PAPER: span of a group as a fraction of its first message's remaining time."""
+MIN_GROUP_SPAN_US = 0.5
+"""Minimum span of a group: half a unit of time, so that messages with equal deadlines
+are in one group even if no time remains.
 """
 
-GroupEnd = tuple[Deadline, Deadline]
-"""The end of a group, for destinations up to 0 and for those above.
+GroupEnd = tuple[DeadlinePosition, DeadlinePosition]
+"""End of a group: a position for destinations up to 0, and one for those above 0.
 
-Among messages due just at a group's end, the newest of all is in the next group at a
-destination above 0. This parting is part of the recorded decisions.
+The positions differ for messages due exactly at the end of a group. They belong to the
+group, except that the newest message of all belongs to the next group if its
+destination is above 0. The recorded decisions in tests/replay.json include this
+difference.
 """
 
 
 def release(state: DispatcherState) -> None:
-    """Send what can be sent, in the order of the groups."""
-    if has_call_left(state):
-        shut: set[int] = set()  # within a round a destination only loses capacity
-        for message in _in_release_order(state, shut):
+    """Send the messages for which there is capacity, and schedule wakeups."""
+    if has_call_slot(state):
+        # Within a round a destination can only lose capacity.
+        full_destinations: set[int] = set()
+        for message in _in_release_order(state, full_destinations):
             endpoint = select_endpoint(state, message)
             if endpoint is not None:
                 send(state, message, endpoint)
             elif not has_capacity(state, message.destination):
-                shut.add(message.destination)
-    state.saturated = not has_call_left(state)
+                full_destinations.add(message.destination)
+    state.saturated = not has_call_slot(state)
     waiting = state.queues.by_destination.keys()
     for destination in sorted(state.dirty_destinations & waiting):
         _schedule_wakeup(state, destination)
 
 
 def _schedule_wakeup(state: DispatcherState, destination: int) -> None:
-    """When to look again at a destination where messages stay, whatever happens."""
-    opens = min(
+    """Schedule a destination with waiting messages to be processed without an event."""
+    capacity_at = min(
         (available_at(state, e) for e in state.serving(destination)), default=NEVER
     )
     queue = state.queues.by_destination[destination]
-    changes = min(
-        at for q in queue.class_queues.values() for at in _next_changes(state, q)
+    change_at = min(
+        due_at
+        for class_queue in queue.class_queues.values()
+        for due_at in _next_change_times(state, class_queue)
     )
-    at = int(min(opens, changes)) + 1
-    state.wakeups.add(max(state.now + MIN_WAKEUP_INTERVAL_US, at), destination)
-    watch_opening(state, destination)
+    due_at = int(min(capacity_at, change_at)) + 1
+    state.wakeups.add(max(state.now + MIN_WAKEUP_INTERVAL_US, due_at), destination)
+    update_availability(state, destination)
 
 
-def _next_changes(state: DispatcherState, queue: ClassQueue) -> Iterator[float]:
-    """When something changes in a class queue without an event.
+def _next_change_times(state: DispatcherState, queue: ClassQueue) -> Iterator[float]:
+    """Yield the times at which a class queue changes without an event.
 
-    Its first message is given up, the next one has waited for half its latency objective,
-    or the next may be shed.
+    These are when the first message is given up, when the next message has waited for
+    half of its latency objective, and when the next message may be shed.
     """
     state.work_count += 3
     now, objective = state.now, queue.message_class.latency_objective_us
@@ -86,22 +92,25 @@
         yield queue.sheddable_at(protected.deadline)
 
 
-def _in_release_order(state: DispatcherState, shut: set[int]) -> Iterator[Message]:
-    """The messages to send next, in order.
+def _in_release_order(
+    state: DispatcherState, full_destinations: set[int]
+) -> Iterator[Message]:
+    """Yield the messages to send, in order; those over their tenant's quota come last.
 
-    Those without capacity are skipped, and so are whole destinations in `shut`.
+    Destinations without capacity are skipped. The caller adds destinations that run out
+    of capacity to `full_destinations` while iterating.
     """
-    queues = _open_queues(state)
+    queues = _queues_with_capacity(state)
     if len(queues) == 1:
-        yield from _by_deadline(state, queues[0], shut)
+        yield from _by_deadline(state, queues[0], full_destinations)
         return
     for over_quota in sorted({queue.key.over_quota for queue in queues}):
-        same = [queue for queue in queues if queue.key.over_quota is over_quota]
-        yield from _by_groups(state, same, shut)
+        matching = [queue for queue in queues if queue.key.over_quota is over_quota]
+        yield from _by_groups(state, matching, full_destinations)
 
 
-def _open_queues(state: DispatcherState) -> list[ClassQueue]:
-    """The class queues of all destinations to look at that have capacity."""
+def _queues_with_capacity(state: DispatcherState) -> list[ClassQueue]:
+    """Return the class queues of all destinations to process that have capacity."""
     destinations = state.dirty_destinations
     if state.saturated:
         destinations = destinations | state.possibly_open
@@ -111,19 +120,19 @@
         if has_capacity(state, destination):
             queues += state.queues.by_destination[destination].class_queues.values()
         elif destination not in state.dirty_destinations:
-            watch_opening(state, destination)
+            update_availability(state, destination)
     return queues
 
 
 def _by_deadline(
-    state: DispatcherState, queue: ClassQueue, shut: set[int]
+    state: DispatcherState, queue: ClassQueue, full_destinations: set[int]
 ) -> Iterator[Message]:
-    """The ready messages of a single class queue.
+    """Yield the ready messages of a single class queue by deadline.
 
-    Groups make no difference there: the expected call is the same for all.
+    Groups make no difference here, because the expected call is the same for all.
     """
     while (message := queue.ready.first()) is not None:
-        if not _can_call(state, queue, shut):
+        if not _may_have_capacity(state, queue, full_destinations):
             return
         state.work_count += 1
         yield message
@@ -132,24 +141,26 @@
 
 
 def _by_groups(
-    state: DispatcherState, queues: list[ClassQueue], shut: set[int]
+    state: DispatcherState, queues: list[ClassQueue], full_destinations: set[int]
 ) -> Iterator[Message]:
-    """The ready messages of several class queues, group by group.
+    """Yield the ready messages of several class queues, group by group.
 
-    Groups are formed of all waiting messages, by the time left.
+    Groups are formed from all waiting messages, including those that are not ready.
     """
     end = _group_end(state, -NEVER)
     ready = [queue for queue in queues if queue.ready]
     while ready:
         state.work_count += len(queues) + len(ready)
         start, end = end, _next_group_end(state, queues, end)
-        stuck: set[ClassQueue] = set()
-        yield from _by_expected_call(state, ready, start, end, stuck, shut)
+        blocked_queues: set[ClassQueue] = set()
+        yield from _by_expected_call(
+            state, ready, start, end, blocked_queues, full_destinations
+        )
         ready = [
             queue
             for queue in ready
-            if queue not in stuck
-            and _can_call(state, queue, shut)
+            if queue not in blocked_queues
+            and _may_have_capacity(state, queue, full_destinations)
             and queue.ready.first_after(end[queue.destination > 0]) is not None
         ]
 
@@ -157,16 +168,16 @@
 def _next_group_end(
     state: DispatcherState, queues: list[ClassQueue], start: GroupEnd
 ) -> GroupEnd:
-    """The end of the group that begins with the first message behind `start`."""
-    firsts = [
+    """Return the end of the group that begins with the first message after `start`."""
+    first_messages = [
         message
         for queue in queues
         if (message := queue.messages.first_after(start[queue.destination > 0]))
         is not None
     ]
-    deadline = min(firsts).deadline
+    deadline = min(first_messages).deadline
     return _group_end(
-        state, deadline + max(TIE_US, GROUP_RANGE * (deadline - state.now))
+        state, deadline + max(MIN_GROUP_SPAN_US, GROUP_RANGE * (deadline - state.now))
     )
 
 
@@ -175,13 +186,14 @@
     ready: list[ClassQueue],
     start: GroupEnd,
     end: GroupEnd,
-    stuck: set[ClassQueue],
-    shut: set[int],
+    blocked_queues: set[ClassQueue],
+    full_destinations: set[int],
 ) -> Iterator[Message]:
-    """The ready messages of one group, shortest expected call first.
+    """Yield the ready messages of one group, shortest expected call first.
 
-    A message that still waits afterwards found no endpoint, nor will any behind it in
-    its class queue: that is added to `stuck`.
+    If a message still waits after it was yielded, there was no endpoint for it, nor is
+    there one for the messages after it in its class queue. The class queue is then
+    added to `blocked_queues`.
     """
     group = [
         (shortest_expected_latency(state, message), message, queue)
@@ -192,10 +204,10 @@
     while group:
         expected, message, queue = group[0]
         state.work_count += 1
-        if _can_call(state, queue, shut):
+        if _may_have_capacity(state, queue, full_destinations):
             yield message
             if message.class_queue is queue:
-                stuck.add(queue)
+                blocked_queues.add(queue)
             elif (later := queue.next_ready((message, message), end)) is not None:
                 heapreplace(group, (expected, later, queue))
                 continue
@@ -203,20 +215,15 @@
 
 
 def _group_end(state: DispatcherState, limit: float) -> GroupEnd:
-    """The end of a group at a deadline.
-
-    Of the messages due just then, the newest of all belongs to the next group at
-    destinations above 0.
-    """
+    """Return the end of a group whose latest deadline is `limit` (see `GroupEnd`)."""
     newest = state.newest_message_number
-    return Deadline(limit, newest), Deadline(limit, newest - 1)
+    return DeadlinePosition(limit, newest), DeadlinePosition(limit, newest - 1)
 
 
-def _can_call(state: DispatcherState, queue: ClassQueue, shut: set[int]) -> bool:
-    """Whether a destination may still have capacity.
-
-    For another call, or in one that begins in this round.
-    """
-    if queue.destination in shut:
+def _may_have_capacity(
+    state: DispatcherState, queue: ClassQueue, full_destinations: set[int]
+) -> bool:
+    """Whether a destination may have capacity, in a new call or one of this round."""
+    if queue.destination in full_destinations:
         return False
-    return has_call_left(state) or queue.destination in state.called_destinations
+    return has_call_slot(state) or queue.destination in state.called_destinations
--- a/rainfall/dispatch/settings.py
+++ b/rainfall/dispatch/settings.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 UNLIMITED = 1_000_000
-"""A count that no forwarder reaches."""
+"""Default of limits on counts; larger than any count in a forwarder."""
 
 
 class Idempotency(Enum):
@@ -19,8 +19,9 @@
     ALWAYS = "repeatable"
     """A second execution does no harm."""
     WITH_KEY = "keyed"
-    """An endpoint recognizes a further attempt within the idempotency window."""
+    """Endpoints recognize repeated attempts by key, within the idempotency window."""
     AT_MOST_ONCE = "once"
+    """A second execution does harm, and endpoints do not recognize it."""
 
 
 class IdempotencyScope(Enum):
@@ -33,124 +34,141 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What all messages of one class have in common.
-
-    A new field needs a default, a hashable type, and a line in each of these:
-    `_class_requirements` where it has bounds; `wirehost.py:_parse_class`; `KNOWN_KEYS`
-    of `forwarder/config/validation.py` (`POSITIVE_KEYS` where it must be above 0) and
-    `OPTIONAL_KEYS` of `forwarder/config/loading.py`; `CLASS_KEYS` of
-    `journal/records.py`, with `_decode_class` where JSON has no such type. `CLASS_KEYS`
-    is on disk: it is only ever appended to, and without a line there a restart forgets
-    the field. `snapshot.py` has no classes.
+    """Properties shared by all messages of one class.
+
+    A new field needs a default, a hashable type, and an entry in each of these places:
+
+    - `_class_requirements`, if its value is restricted;
+    - `_parse_class` in `wirehost.py`;
+    - `KNOWN_KEYS` in `forwarder/config/validation.py`, and `POSITIVE_KEYS` if it must
+      be above 0;
+    - `OPTIONAL_KEYS` in `forwarder/config/loading.py`;
+    - `CLASS_KEYS` in `journal/records.py`, and `_decode_class` if JSON lacks its type.
+
+    `CLASS_KEYS` determines the format on disk: entries may only be appended, and a
+    field without an entry is lost on restart. `snapshot.py` contains no classes.
     """
 
     name: str
     latency_objective_us: int
-    """A message answered within this time has its full weight."""
+    """Time after acceptance up to which a message has its full weight."""
     deadline_us: int
-    """The time after which a message has to have its final answer."""
+    """Time after acceptance by which a message must have its final answer."""
     idempotency: Idempotency = Idempotency.ALWAYS
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
     idempotency_window_us: int = 0
-    """How long an endpoint recognizes a key, from its first call with it."""
+    """How long an endpoint recognizes a key after the first call with that key."""
     ordered: bool = False
-    """Messages with the same ordering key go one after the other."""
+    """Whether messages with the same ordering key are sent one at a time, in order."""
     priority_weight: float = 1.0
-    """What a message counts. No rule reads it yet."""
+    """Weight of a message. Not used by any rule yet."""
     late_priority_weight: float = 0.0
-    """What is left of the weight at the deadline, as a share."""
+    """Fraction of the weight that remains at the deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """What all destinations of one kind have in common."""
+    """Properties shared by all destinations of one kind."""
 
     name: str
     max_batch_size: int = 1
-    """Messages in one call."""
+    """Maximum number of messages in one call."""
     endpoint_scoped: bool = False
-    """Each endpoint has a rate limit, a Retry-After and outages of its own."""
+    """Whether each endpoint has its own rate limit, Retry-After and outages."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A client organization with a share of the fleet."""
+    """A client organization with a quota of the fleet's throughput."""
 
     name: str
     quota_per_s: float
-    """Messages a second within its share, summed over all forwarders."""
+    """Messages per second over all forwarders; 0 for no quota."""
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that the operators decide."""
+    """The settings under the operators' control."""
 
     max_in_flight: int
-    """Calls in flight at a time."""
+    """Maximum number of calls in flight."""
     classes: tuple[MessageClass, ...]
     destination_kinds: tuple[DestinationKind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
     zone_costs: Mapping[str, float] = field(default_factory=dict)
-    """Cost of a message by the zone of the endpoint, where kinds are endpoint-scoped."""
+    """Cost of a message by the zone of its endpoint, for endpoint-scoped kinds."""
     forwarder_count: int = 1
-    """Forwarders that share the destinations' limits and the tenants' quotas."""
+    """Number of forwarders that share the rate limits and the tenants' quotas."""
     max_open_messages: int = UNLIMITED
+    """Maximum number of messages without a final answer."""
     max_attempts: int = UNLIMITED
+    """Maximum number of attempts per message."""
     allow_parallel_attempts: bool = False
-    """No rule makes hedged requests yet."""
+    """Whether hedged requests are allowed. Not used: no rule makes them yet."""
     allow_cancel: bool = False
+    """Whether attempts in flight may be canceled."""
     allow_health_checks: bool = False
-    """No rule makes health checks yet."""
+    """Whether health checks are allowed. Not used: no rule makes them yet."""
     send_retry_after: bool = False
-    """Rejected clients get a Retry-After."""
+    """Whether rejected clients get a Retry-After."""
     max_retry_after_us: int = 0
+    """Upper bound of the Retry-After sent to clients."""
     subscribe_endpoint_list: bool = False
-    """The endpoint list must be asked for; otherwise it is pushed."""
+    """Whether the dispatcher must request the endpoint list; otherwise it is pushed."""
     endpoint_weights_known: bool = False
-    """The weights in the endpoint list are rate limits, in calls a second."""
+    """Whether the weights in the endpoint list are rate limits in calls per second."""
     rejection_cost: float = 0.0
-    """Cost of a call that a destination rejects. No rule reads it yet."""
+    """Cost of a call that a destination rejects. Not used by any rule yet."""
     over_quota_weight: float = 1.0
-    """Weight of messages beyond their tenant's quota, as a share."""
+    """Weight of a message over its tenant's quota, as a fraction. At 1 or above, tenant
+    quotas are not applied.
+    """
     late_weight_halves: bool = False
-    """Past its objective a message's weight halves with each further objective; else it
-    falls evenly until the deadline.
+    """Whether the weight of a message past its latency objective halves with each
+    further objective; otherwise it falls linearly until the deadline.
     """
     answer_grace_us: int = 0
-    """Slack for final answers. No rule uses it: answers are given in time."""
+    """Tolerated delay of final answers past the deadline. Not used: answers are given
+    by the deadline.
+    """
     drain_grace_us: int = 0
-    """Slack for sends to a draining endpoint. No rule uses it: they stop at once."""
+    """Time during which sends to a draining endpoint are tolerated. Not used: sends
+    stop at once.
+    """
     poll_within_us: int = 0
-    """Time in which the list must be asked for. No rule reads it: it is asked at once."""
+    """Time within which the endpoint list must be requested. Not used: it is requested
+    at once.
+    """
     overload_factor: float = 0.0
-    """A recovering destination bears this many times its present capacity."""
+    """Tolerated load of a recovering destination, relative to its present capacity."""
     overload_window_us: int = 0
-    """The window over which calls to a recovering destination are counted."""
+    """Length of the window over which calls to a recovering destination are counted."""
     cold_capacity_share: float = 1.0
-    """Capacity of a destination right after an outage, as a share."""
+    """Fraction of its full capacity that a destination has right after an outage."""
     warm_up_us: int = 0
-    """How long a destination needs from there to its full capacity."""
+    """Time that a destination needs after an outage to reach its full capacity."""
     key_backoff_us: int = 0
-    """After an attempt that may still run, the next message of its key waits this long."""
+    """Backoff of an ordering key after an attempt that may still run."""
     connect_timeout_us: int = 0
     idle_connection_us: int = 0
-    """Idle connections are closed after this; 0 where none are kept or it is not
-    known.
+    """Idle time after which connections are closed; 0 if no idle connections are kept
+    or the time is unknown.
     """
     notifications_acknowledged: bool = False
-    """A final answer ends its message only once `NotificationAcknowledged` says so: it
-    may be on its way for a while.
+    """Whether final answers are acknowledged, as their delivery may take a while: the
+    next message of an ordering key then waits for `NotificationAcknowledged`.
     """
 
     def __post_init__(self) -> None:
-        for holds, name in self._requirements():
-            if not holds:
-                raise ValueError(f"setting cannot hold: {name}")
+        for valid, name in self._requirements():
+            if not valid:
+                raise ValueError(f"invalid setting: {name}")
 
     def _requirements(self) -> Iterator[tuple[bool, str]]:
-        """Each requirement, and the name that its error gives the setting.
+        """Yield whether each requirement is met, with the setting's name for the error.
 
-        `warm_us` and `scope` are `warm_after_us` and `key_scope` on the wire.
+        The names are those on the wire, except that `warm_us` stands for
+        `warm_after_us` and `scope` for `key_scope`.
         """
         yield self.max_in_flight >= 1, "slots"
         yield self.forwarder_count >= 1, "balancers"
@@ -161,7 +179,7 @@
         yield self.key_backoff_us >= 0, "key_rest_us"
         yield 0.0 <= self.cold_capacity_share <= 1.0, "cold_from"
         names = {c.name for c in self.classes}
-        yield len(names) == len(self.classes), "classes: a name twice"
+        yield len(names) == len(self.classes), "classes: duplicate name"
         for message_class in self.classes:
             yield from _class_requirements(message_class)
         for kind in self.destination_kinds:
@@ -170,11 +188,17 @@
             yield tenant.quota_per_s >= 0, f"tenants {tenant.name}: allowance_per_s"
 
 
-def _class_requirements(c: MessageClass) -> Iterator[tuple[bool, str]]:
-    where = f"classes {c.name}"
-    with_key = c.idempotency is Idempotency.WITH_KEY
-    yield c.latency_objective_us > 0, f"{where}: aim_us"
-    yield c.deadline_us > 0, f"{where}: deadline_us"
-    yield isinstance(c.idempotency, Idempotency), f"{where}: effect"
-    yield isinstance(c.idempotency_scope, IdempotencyScope), f"{where}: scope"
-    yield not with_key or c.idempotency_window_us >= 0, f"{where}: window_us"
+def _class_requirements(message_class: MessageClass) -> Iterator[tuple[bool, str]]:
+    prefix = f"classes {message_class.name}"
+    with_key = message_class.idempotency is Idempotency.WITH_KEY
+    yield message_class.latency_objective_us > 0, f"{prefix}: aim_us"
+    yield message_class.deadline_us > 0, f"{prefix}: deadline_us"
+    yield isinstance(message_class.idempotency, Idempotency), f"{prefix}: effect"
+    yield (
+        isinstance(message_class.idempotency_scope, IdempotencyScope),
+        f"{prefix}: scope",
+    )
+    yield (
+        not with_key or message_class.idempotency_window_us >= 0,
+        f"{prefix}: window_us",
+    )
--- a/rainfall/dispatch/slow_start.py
+++ b/rainfall/dispatch/slow_start.py
@@ -1,10 +1,10 @@
-"""Slow start: how far apart the calls to an endpoint are that recovers from an outage.
+"""Slow start: spaces the calls to an endpoint that recovers from an outage.
 
-WIRE, safe fail-back: within any overload window a cold destination must not get
-more than a multiple of its present capacity from all forwarders together. Each
-forwarder therefore spaces its calls by the ramp interval. The interval is chosen so
-that the calls of all forwarders, which do not know of each other, stay within the
-budget and what is borne beyond it as chance. Times are integer microseconds.
+Implements WIRE, safe fail-back: within any overload window, all forwarders together
+must not send a cold destination more than a multiple of its present capacity (the
+budget). Each forwarder therefore spaces its calls by the ramp interval. The forwarders
+do not coordinate, so the interval is chosen such that the random sum of their calls
+stays within the budget plus a tolerated excess. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -18,64 +18,78 @@
 from rainfall.dispatch.state import DispatcherState
 from rainfall.dispatch.times import SECOND_US
 
-BUDGET_SHARE = 0.8
-"""Share of a large budget that is used in the mean; what is left is slack."""
-SLACK_CALLS = 4.0
-"""Calls in an overload window that are made in the mean at most of a small budget."""
-CHANCE_FACTOR = 2.0
-"""This times the root of the budget, and as many calls beside, are borne as chance."""
+MEAN_BUDGET_SHARE = 0.8
+"""Fraction of a large budget that is used on average; the rest is slack."""
+MIN_MEAN_CALLS_CAP = 4.0
+"""The upper bound of the average number of calls per overload window is at least this,
+however small the budget is.
+"""
+TOLERANCE_FACTOR = 2.0
+"""The tolerated excess over a budget b is this factor times (sqrt(b) + 1) calls."""
 SIGMAS = 3.5
-"""Standard deviations of all forwarders' calls that have to stay within that."""
+"""The mean plus this many standard deviations of all forwarders' calls must stay within
+the budget and the tolerated excess.
+"""
 INTERVAL_JITTER = 0.5
-"""Each interval is up to that much longer or shorter, as a share: forwarders that call
-at the same time must not meet again and again.
+"""Maximum random change of an interval in either direction, as a fraction of it. It
+keeps forwarders that call at the same time from doing so repeatedly.
 """
 WEIGHT_UNCERTAINTY = 1.5
-"""A weight of the endpoint list may be up to half too high (WIRE, weight_source)."""
+"""Factor by which a weight in the endpoint list may be too high (WIRE,
+weight_source).
+"""
 UNKNOWN_LIMIT_CALLS = 1.0
-"""Budget at the start of a recovery, in calls, where no limit is known."""
-LEAST_COLD_SHARE = 0.01
-"""A destination has some capacity right after an outage, whatever the settings say."""
+"""Budget in calls at the start of a recovery if no rate limit is known."""
+MIN_COLD_SHARE = 0.01
+"""Lower bound of `cold_capacity_share`: a destination has some capacity right after an
+outage even if the settings say 0.
+"""
 BATCH_BUDGET_DIVISOR = 2
-"""A call with several messages weighs at most this part of our even share of the
-budget: two may meet in a window because of the jitter.
+"""A call with several messages may weigh at most one part in this many of the
+forwarder's even share of the budget, because two calls may fall into one window due to
+the jitter.
 """
 FURTHER_MESSAGE_WEIGHT = 0.25
-"""Weight of each further message in a call, the first being 1 (WIRE, safe fail-back)."""
+"""Weight of each message in a call after the first, which has weight 1 (WIRE, safe
+fail-back).
+"""
 
 
 class CallBudget(NamedTuple):
-    """Calls of all forwarders in an overload window."""
+    """Number of calls that all forwarders together may make per overload window."""
 
-    known: float
-    """By the limit that is known."""
+    nominal: float
+    """Budget if the known rate limit is exact."""
     minimum: float
-    """If that limit is as wrong as it may be."""
+    """Budget if the known rate limit is too high by `WEIGHT_UNCERTAINTY`."""
 
 
 def in_slow_start(state: DispatcherState, endpoint: Endpoint) -> bool:
-    """Whether an endpoint is in an outage, or back from one and not yet surely warm."""
+    """Whether an endpoint is in an outage, or may still be warming up after one."""
     if endpoint.outage_started_at < 0:
         return False
     if endpoint.recovered_at < 0:
         return True
     settings = state.settings
-    # It may have recovered half a window later than estimated.
+    # The endpoint may have recovered half a window later than estimated.
     warm_after = settings.warm_up_us + settings.overload_window_us // 2
     return state.now - endpoint.recovered_at < warm_after
 
 
 def ramp_interval(state: DispatcherState, endpoint: Endpoint) -> float:
-    """The time between our calls to an endpoint in slow start.
+    """Return the mean time between this forwarder's calls to an endpoint in slow start.
 
-    All forwarders may hold messages for it.
+    Assumes that all forwarders have messages for the endpoint.
     """
     window = state.settings.overload_window_us
-    return window * budget_shares(state, endpoint) / mean_calls(state, endpoint)
+    return window * budget_divisor(state, endpoint) / mean_calls(state, endpoint)
+
 
+def budget_divisor(state: DispatcherState, endpoint: Endpoint) -> int:
+    """Return the number of equal parts into which the budget is divided.
 
-def budget_shares(state: DispatcherState, endpoint: Endpoint) -> int:
-    """Among how many the budget is divided: all forwarders, at all that shares it."""
+    There is one for each pair of a forwarder and an endpoint that shares the budget.
+    """
     endpoints = 1
     if not endpoint.endpoint_scoped:
         endpoints = max(1, len(state.serving(endpoint.destination)))
@@ -83,12 +97,16 @@
 
 
 def call_budget(state: DispatcherState, endpoint: Endpoint) -> CallBudget:
-    """What the destination bears now from all forwarders in an overload window."""
+    """Return the budget of an endpoint's throttle scope at its present capacity.
+
+    Without a known rate limit the budget grows from `UNKNOWN_LIMIT_CALLS` in proportion
+    to the capacity.
+    """
     settings = state.settings
     capacity = _capacity_share(state, endpoint)
     limit = rate_limit(state, endpoint)
     if not limit or not settings.overload_factor:
-        cold = max(settings.cold_capacity_share, LEAST_COLD_SHARE)
+        cold = max(settings.cold_capacity_share, MIN_COLD_SHARE)
         calls = UNKNOWN_LIMIT_CALLS * capacity / cold
         return CallBudget(calls, calls)
     calls = limit * (
@@ -99,7 +117,7 @@
 
 
 def _capacity_share(state: DispatcherState, endpoint: Endpoint) -> float:
-    """Present capacity of a recovering endpoint, as a share of the full one."""
+    """Return the present fraction of a recovering endpoint's full capacity."""
     settings = state.settings
     warmed = 0.0
     if endpoint.recovered_at >= 0:
@@ -109,53 +127,64 @@
 
 
 def call_limit(state: DispatcherState, endpoint: Endpoint) -> float:
-    """The budget and what is borne beyond it as chance."""
+    """Return the minimum budget plus the tolerated excess."""
     minimum = call_budget(state, endpoint).minimum
-    return minimum + CHANCE_FACTOR * math.sqrt(minimum) + CHANCE_FACTOR
+    return minimum + TOLERANCE_FACTOR * math.sqrt(minimum) + TOLERANCE_FACTOR
 
 
 def mean_calls(state: DispatcherState, endpoint: Endpoint) -> float:
-    """Calls of all forwarders in a window that hardly exceed the limit by chance.
+    """Return the mean number of all forwarders' calls per window that is safe.
 
-    Where each forwarder makes less than one call, their number varies like that of any
-    rare event; the more each makes the less it varies, as intervals are drawn around a
-    mean.
+    With this mean the number of calls exceeds `call_limit` only with low probability.
+    If each forwarder makes less than one call per window, the number has a Poisson
+    distribution. If each makes more, the number varies less, as the intervals are drawn
+    around a mean. The larger of both results applies.
     """
     limit = call_limit(state, endpoint)
-    # Of a call that falls into the window with chance f, averaged over f: 1/6 a share.
-    variance = budget_shares(state, endpoint) / 6
-    # Of an interval drawn evenly within the jitter.
+    # A call that falls into the window with probability f has the variance f * (1 - f),
+    # which is 1/6 on average over f. There is one such call per part of the budget.
+    variance = budget_divisor(state, endpoint) / 6
+    # Variance of an interval drawn uniformly within the jitter.
     variance_per_call = INTERVAL_JITTER * INTERVAL_JITTER / 3
-    rare = _mean_within(limit, 0.0, 1.0)
-    even = _mean_within(limit, variance, variance_per_call)
-    known = call_budget(state, endpoint).known
-    return min(max(rare, even), max(BUDGET_SHARE * known, SLACK_CALLS))
+    poisson_mean = _mean_within_limit(limit, 0.0, 1.0)
+    jittered_mean = _mean_within_limit(limit, variance, variance_per_call)
+    nominal = call_budget(state, endpoint).nominal
+    return min(
+        max(poisson_mean, jittered_mean),
+        max(MEAN_BUDGET_SHARE * nominal, MIN_MEAN_CALLS_CAP),
+    )
 
 
-def _mean_within(limit: float, variance: float, variance_per_call: float) -> float:
-    """The mean m with m + SIGMAS * root(variance + variance_per_call * m) = limit.
+def _mean_within_limit(
+    limit: float, variance: float, variance_per_call: float
+) -> float:
+    """Return the largest mean whose upper deviation stays within the limit.
 
-    0 where there is none.
+    This is the m with m + SIGMAS * sqrt(variance + variance_per_call * m) = limit; 0 if
+    there is none.
     """
-    half = limit + SIGMAS**2 * variance_per_call / 2
-    radicand = half**2 - limit**2 + SIGMAS**2 * variance
-    return max(0.0, half - math.sqrt(max(0.0, radicand)))
+    midpoint = limit + SIGMAS**2 * variance_per_call / 2
+    radicand = midpoint**2 - limit**2 + SIGMAS**2 * variance
+    return max(0.0, midpoint - math.sqrt(max(0.0, radicand)))
 
 
 def call_weight(messages: int) -> float:
-    """What a call of so many messages counts in the budget."""
+    """Return the weight in the budget of a call with a given number of messages."""
     return 1 + FURTHER_MESSAGE_WEIGHT * (messages - 1)
 
 
 def may_join_call(state: DispatcherState, endpoint: Endpoint, messages: int) -> bool:
-    """Whether one more message may join a call of so many to a recovering endpoint."""
+    """Whether one more message may join a call that has `messages` messages.
+
+    The endpoint is in slow start. During an outage, calls carry a single message.
+    """
     if endpoint.recovered_at < 0:
         return False
     weight = call_weight(messages + 1)
-    total = BATCH_BUDGET_DIVISOR * budget_shares(state, endpoint) * weight
+    total = BATCH_BUDGET_DIVISOR * budget_divisor(state, endpoint) * weight
     return total <= call_limit(state, endpoint)
 
 
 def draw_interval_factor(random: Random) -> float:
-    """How many intervals after this call the next may go."""
+    """Return the random time from one call to the next, in ramp intervals."""
     return random.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
--- a/rainfall/dispatch/snapshot.py
+++ b/rainfall/dispatch/snapshot.py
@@ -1,8 +1,9 @@
-"""The snapshot that a process gives its successor, and how that goes on from it.
+"""Exports the state to a successor process, and restores it there.
 
-A snapshot is sent to processes of other versions: its keys stay as they are, and the
-tables here map the names of today to them. Messages, endpoint lists and outages are in
-the journal and are not part of it. Times are integer microseconds.
+A snapshot may be sent to a process of another version: its keys must not change, and
+the tables in this module map the current attribute names to them. Messages, endpoint
+lists and outages are in the journal and not in the snapshot. Times are integer
+microseconds.
 """
 
 from __future__ import annotations
@@ -18,10 +19,14 @@
     Call,
     ThrottleScopeKey,
 )
-from rainfall.dispatch.ordering import key_sequence, offer_head, turn_to_next
+from rainfall.dispatch.ordering import (
+    advance_key,
+    ensure_key_sequence,
+    update_ready_head,
+)
 from rainfall.dispatch.stalled_calls import note_overtaken
 from rainfall.dispatch.state import DispatcherState
-from rainfall.dispatch.waiting import stop_waiting, wait
+from rainfall.dispatch.waiting import dequeue, enqueue
 
 ENDPOINT_KEYS = {
     "failure_ratio": "failing",
@@ -32,7 +37,7 @@
     "recovered_at": "back_at",
     "next_interval_factor": "spread",
 }
-"""An endpoint's attributes, and the keys under which they are sent."""
+"""Exported attributes of `Endpoint`, and their keys in the snapshot."""
 THROTTLE_SCOPE_KEYS = {
     "concurrency_window": "window",
     "latency_estimate": "mean",
@@ -47,11 +52,13 @@
     "even_shares": "shares",
     "next_permit_at": "pace_at",
 }
+"""Exported attributes of `ThrottleScope`, and their keys in the snapshot."""
 MESSAGE_KEYS = {
     "over_quota": "over_share",
     "last_timeout": "waited",
     "last_failed_endpoint": "avoid",
 }
+"""Exported attributes of `Message`, and their keys in the snapshot."""
 CALL_KEYS = {
     "sent_at": "sent_at",
     "connection_idle": "idle",
@@ -60,23 +67,30 @@
     "evaluated": "judged",
     "overtaken_by": "passed",
 }
+"""Exported attributes of `Call`, and their keys in the snapshot."""
 
 
 def export_snapshot(
     state: DispatcherState, in_flight: Set[tuple[str, int]]
 ) -> dict[str, Any]:
-    """What a successor must know beside the messages.
-
-    `in_flight` names the attempts that still are, by message id and number. Endpoints
-    go by the numbers that they have in this process. Under the keys: `targets`, the
-    endpoints; `places`, the throttle scopes; `messages`; `lines`, the backoffs of
-    ordering keys; `calls` in flight, with their attempts; `purses`, the tenants' quotas.
+    """Return the state that a successor needs in addition to the journal, as JSON data.
+
+    `in_flight` holds (message id, attempt number) of the attempts still in flight.
+    Endpoints are identified by their ids in this process. The snapshot has these keys:
+
+    - `targets`: endpoints;
+    - `places`: throttle scopes;
+    - `messages`: fields of messages that are not in the journal;
+    - `lines`: backoffs of ordering keys;
+    - `calls`: calls in flight, with their attempts;
+    - `purses`: times up to which the tenants' quotas are used up;
+    - `idle_us`: estimated idle timeout of connections.
     """
     calls: dict[int, tuple[Call, list[tuple[str, int]]]] = {}
     for key, attempt in state.attempts.items():
         if key in in_flight:
-            _, names = calls.setdefault(id(attempt.call), (attempt.call, []))
-            names.append((key.message_id, key.number))
+            _, attempt_ids = calls.setdefault(id(attempt.call), (attempt.call, []))
+            attempt_ids.append((key.message_id, key.number))
     return {
         "targets": [
             [e.id, e.destination, e.kind, _export(e, ENDPOINT_KEYS)]
@@ -92,8 +106,8 @@
             for key, sequence in state.key_sequences.items()
         ],
         "calls": [
-            [call.endpoint.id, _export(call, CALL_KEYS), names]
-            for call, names in calls.values()
+            [call.endpoint.id, _export(call, CALL_KEYS), attempt_ids]
+            for call, attempt_ids in calls.values()
         ],
         "purses": state.tenant_quota_used_until,
         "idle_us": state.idle_trust,
@@ -101,24 +115,28 @@
 
 
 def restore_snapshot(state: DispatcherState, snapshot: Mapping[str, Any]) -> None:
-    """Go on where the former process stopped.
+    """Restore the state that a previous process exported.
 
-    What the snapshot lacks, and what it has of endpoints and messages that are gone, is
-    left out.
+    Keys that the snapshot lacks are left as they are. Its entries for unknown messages
+    are ignored.
     """
-    for number, destination, kind, sent in snapshot.get("targets", []):
-        _restore_endpoint(state, number, destination, kind, sent)
-    for destination, number, sent in snapshot.get("places", []):
-        _restore_throttle_scope(state, destination, number, sent)
-    for message_id, sent in snapshot.get("messages", []):
-        _restore_message(state, message_id, sent)
+    for endpoint_id, destination, kind, values in snapshot.get("targets", []):
+        _restore_endpoint(state, endpoint_id, destination, kind, values)
+    for destination, endpoint_id, values in snapshot.get("places", []):
+        _restore_throttle_scope(state, destination, endpoint_id, values)
+    for message_id, values in snapshot.get("messages", []):
+        _restore_message(state, message_id, values)
     for key, backoff_until in snapshot.get("lines", []):
-        sequence = key_sequence(state, key)
+        sequence = ensure_key_sequence(state, key)
         sequence.backoff_until = max(sequence.backoff_until, backoff_until)
-        turn_to_next(state, key)
-    for number, sent, names in snapshot.get("calls", []):
-        keys = [AttemptKey(*name) for name in names if name[0] in state.messages]
-        _restore_call(state, number, sent, keys)
+        advance_key(state, key)
+    for endpoint_id, values, attempt_ids in snapshot.get("calls", []):
+        keys = [
+            AttemptKey(*attempt_id)
+            for attempt_id in attempt_ids
+            if attempt_id[0] in state.messages
+        ]
+        _restore_call(state, endpoint_id, values, keys)
     state.tenant_quota_used_until.update(snapshot.get("purses", {}))
     idle_trust = snapshot.get("idle_us", state.idle_trust)
     state.idle_trust = min(state.max_idle_trust, idle_trust)
@@ -126,69 +144,85 @@
 
 
 def _export(record: object, keys: Mapping[str, str]) -> dict[str, Any]:
-    """A record's attributes under the keys by which they are sent."""
+    """Return a record's attributes under their keys in the snapshot."""
     return {key: getattr(record, attribute) for attribute, key in keys.items()}
 
 
-def _restore(record: object, sent: Mapping[str, Any], keys: Mapping[str, str]) -> None:
-    """Set the attributes that were sent; the others stay as they are."""
+def _restore(
+    record: object, values: Mapping[str, Any], keys: Mapping[str, str]
+) -> None:
+    """Set the attributes whose keys are in the snapshot; leave the others unchanged."""
     for attribute, key in keys.items():
-        if key in sent:
-            setattr(record, attribute, sent[key])
+        if key in values:
+            setattr(record, attribute, values[key])
 
 
 def _restore_endpoint(
     state: DispatcherState,
-    number: int,
+    endpoint_id: int,
     destination: int,
     kind: str,
-    sent: Mapping[str, Any],
+    values: Mapping[str, Any],
 ) -> None:
-    if number not in state.endpoints:
-        # Gone from the list, perhaps with a call still in flight.
-        endpoint = add_endpoint(state, number, destination, kind)
+    if endpoint_id not in state.endpoints:
+        # The endpoint has left the list, but a call to it may still be in flight.
+        endpoint = add_endpoint(state, endpoint_id, destination, kind)
         endpoint.max_batch_size = 1
         endpoint.serving = False
-    _restore(state.endpoints[number], sent, ENDPOINT_KEYS)
+    _restore(state.endpoints[endpoint_id], values, ENDPOINT_KEYS)
 
 
 def _restore_throttle_scope(
-    state: DispatcherState, destination: int, number: int, sent: Mapping[str, Any]
+    state: DispatcherState,
+    destination: int,
+    endpoint_id: int,
+    values: Mapping[str, Any],
 ) -> None:
-    own = state.throttle_scopes.get(ThrottleScopeKey(destination, number))
-    if own is not None:
-        _restore(own, sent, THROTTLE_SCOPE_KEYS)
-        most = float(state.settings.forwarder_count)
-        own.even_shares = min(own.even_shares, most)
+    existing_scope = state.throttle_scopes.get(
+        ThrottleScopeKey(destination, endpoint_id)
+    )
+    if existing_scope is not None:
+        _restore(existing_scope, values, THROTTLE_SCOPE_KEYS)
+        max_shares = float(state.settings.forwarder_count)
+        existing_scope.even_shares = min(existing_scope.even_shares, max_shares)
         return
-    # The kind is endpoint-scoped now, or no longer: a Retry-After binds
-    # whatever it may be of.
-    retry_after_until = sent.get("wait_until", 0)
+    # The kind has become endpoint-scoped, or is no longer: the Retry-After is applied
+    # to every scope that it may belong to.
+    retry_after_until = values.get("wait_until", 0)
     for key, scope in state.throttle_scopes.items():
-        if key.destination == destination and ANY_ENDPOINT in (number, key.endpoint):
+        if key.destination == destination and ANY_ENDPOINT in (
+            endpoint_id,
+            key.endpoint,
+        ):
             scope.retry_after_until = max(scope.retry_after_until, retry_after_until)
 
 
 def _restore_message(
-    state: DispatcherState, message_id: str, sent: Mapping[str, Any]
+    state: DispatcherState, message_id: str, values: Mapping[str, Any]
 ) -> None:
     message = state.messages.get(message_id)
     if message is None:
         return
-    _restore(message, sent, MESSAGE_KEYS)
+    _restore(message, values, MESSAGE_KEYS)
     if message.class_queue is not None:
-        wait(state, message)
+        enqueue(state, message)
 
 
 def _restore_call(
-    state: DispatcherState, number: int, sent: Mapping[str, Any], keys: list[AttemptKey]
+    state: DispatcherState,
+    endpoint_id: int,
+    values: Mapping[str, Any],
+    keys: list[AttemptKey],
 ) -> None:
-    """A call of the former process is in flight here until its outcomes come."""
-    endpoint = state.endpoints.get(number)
+    """Restore a call that is in flight until the outcomes of its attempts arrive.
+
+    A call to an unknown endpoint, or without known messages, is ignored.
+    """
+    endpoint = state.endpoints.get(endpoint_id)
     if endpoint is None or not keys:
         return
     call = Call(endpoint, state.now)
-    _restore(call, sent, CALL_KEYS)
+    _restore(call, values, CALL_KEYS)
     state.calls_in_flight += 1
     endpoint.in_flight += 1
     endpoint.throttle_scope.in_flight += 1
@@ -202,10 +236,10 @@
     message = state.messages[key.message_id]
     call.pending += 1
     message.in_flight += 1
-    stop_waiting(state, message)
+    dequeue(state, message)
     state.send_count += 1
     state.attempts[key] = Attempt(message, call, state.send_count)
     call.attempt_keys.append(key)
     if message.ordering_key is not None:
         state.key_sequences[message.ordering_key].in_flight += 1
-        offer_head(state, message.ordering_key)
+        update_ready_head(state, message.ordering_key)
--- a/rainfall/dispatch/stalled_calls.py
+++ b/rainfall/dispatch/stalled_calls.py
@@ -1,7 +1,8 @@
-"""Calls that stay silent while later ones to the same endpoint are answered.
+"""Cancels calls that get no answer while later calls to the same endpoint do.
 
-Such a call has lost its connection: its messages need not wait for the time-out, and it
-says nothing of the endpoint's health. Times are integer microseconds.
+Such a call has probably lost its connection: its messages need not wait for the
+timeout, and it says nothing about the endpoint's health. Times are integer
+microseconds.
 """
 
 from __future__ import annotations
@@ -12,18 +13,19 @@
 from rainfall.dispatch.latency import expected_latency
 from rainfall.dispatch.state import DispatcherState
 
-OVERTAKEN_BY = 3
-"""Later calls delivered from which on a call counts as overtaken: a single one may just
-have been quick.
+OVERTAKEN_THRESHOLD = 3
+"""Number of later calls delivered from which a call counts as overtaken. A single later
+call may simply have been faster.
 """
 STALL_LATENCIES = 8
-"""Expected latencies after which an overtaken call is taken to be lost."""
+"""Number of expected latencies after which an overtaken call is considered lost."""
 MIN_STALL_US = 600_000
+"""Least age at which an overtaken call is considered lost, if it can be sent again."""
 
 
 def note_overtaken(state: DispatcherState, call: Call) -> None:
-    """Watch the attempts of a call that enough later ones have overtaken."""
-    if call.overtaken_by >= OVERTAKEN_BY:
+    """Add a call's attempts to `overtaken_attempts` if enough calls overtook it."""
+    if call.overtaken_by >= OVERTAKEN_THRESHOLD:
         state.overtaken_attempts.update(
             (key, state.attempts[key])
             for key in call.attempt_keys
@@ -32,7 +34,7 @@
 
 
 def count_overtaken(state: DispatcherState, delivered: Call) -> None:
-    """A call was delivered: those sent before it to the same endpoint are overtaken."""
+    """Count a delivered call as overtaking all earlier calls to the same endpoint."""
     for other in delivered.endpoint.calls:
         if other.sent_at < delivered.sent_at:
             other.overtaken_by += 1
@@ -40,7 +42,7 @@
 
 
 def cancel_stalled(state: DispatcherState) -> None:
-    """Cancel the attempts of stalled calls, in the order of their sends."""
+    """Cancel the attempts of stalled calls, in the order in which they were sent."""
     if not (state.settings.allow_cancel and state.overtaken_attempts):
         return
     in_order = sorted(
@@ -57,8 +59,9 @@
     message_class = message.message_class
     scope = call.endpoint.throttle_scope
     expected = expected_latency(scope, message_class, state.now)
-    least = MIN_STALL_US
+    min_stall_us = MIN_STALL_US
     if state.now >= retry_deadline(message, call.sent_at):
-        # It cannot be sent again and fails by this: its objective has to be missed.
-        least = message_class.latency_objective_us
-    return state.now - call.sent_at > max(least, STALL_LATENCIES * expected)
+        # Canceling fails a message that cannot be sent again, so it gets at least its
+        # latency objective.
+        min_stall_us = message_class.latency_objective_us
+    return state.now - call.sent_at > max(min_stall_us, STALL_LATENCIES * expected)
--- a/rainfall/dispatch/waiting.py
+++ b/rainfall/dispatch/waiting.py
@@ -1,4 +1,4 @@
-"""Messages that wait to be sent: which class queue they belong to.
+"""Adds messages to and removes them from the class queues in which they wait.
 
 Times are integer microseconds.
 """
@@ -7,54 +7,54 @@
 
 import math
 
-from rainfall.dispatch.idempotency import is_bound_to_scope, may_retry, retry_deadline
-from rainfall.dispatch.ordering import offer_head
+from rainfall.dispatch.idempotency import is_bound_to_scope, may_attempt, retry_deadline
+from rainfall.dispatch.ordering import update_ready_head
 from rainfall.dispatch.queues import ClassQueue, ClassQueueKey, Message
 from rainfall.dispatch.settings import MessageClass, Settings
 from rainfall.dispatch.state import DispatcherState
 
 PROTECTED_TIME_SHARE = 0.7
-"""Share of its time during which a message that was not executed is not shed.
+"""Fraction of its time during which a message that was not executed is not shed.
 
-Holds in fleets above `SMALL_FLEET`, where an early end of an accepted message counts
-against the service.
+Applies in fleets larger than `SMALL_FLEET`, where giving up an accepted message early
+counts against the service.
 """
 SHEDDABLE_WEIGHT_SHARE = 0.6
-"""A message may be shed once less than this share of its weight is left."""
+"""A message may be shed once less than this fraction of its weight is left."""
 
 
-def wait(state: DispatcherState, message: Message) -> None:
-    """Let a message wait in the class queue that it belongs to by now."""
+def enqueue(state: DispatcherState, message: Message) -> None:
+    """Add a message to the class queue that it now belongs to, or move it there."""
     if message.class_queue is not None:
-        stop_waiting(state, message)
+        dequeue(state, message)
     key = class_queue_key(state, message)
 
-    def make(message: Message, key: ClassQueueKey) -> ClassQueue:
+    def make_queue(message: Message, key: ClassQueueKey) -> ClassQueue:
         return new_class_queue(state.settings, message, key)
 
-    state.queues.add(message, key, make)
+    state.queues.add(message, key, make_queue)
     state.work_count += 1
     if message.executed_at >= 0 and not key.exhausted:
         expires_at = retry_deadline(message)
         if expires_at < message.deadline:
             state.retry_expirations.add(expires_at, message.id)
     if message.ordering_key is not None:
-        offer_head(state, message.ordering_key)
+        update_ready_head(state, message.ordering_key)
 
 
-def wait_again(state: DispatcherState, message: Message) -> None:
-    """Let a message wait again, behind all of its destination.
+def requeue(state: DispatcherState, message: Message) -> None:
+    """Add a message to its queue again, behind all others of its destination.
 
-    One that waits already stays where it was.
+    A message that is already waiting keeps its position.
     """
     if message.class_queue is None:
         message.queue_position = state.next_sequence_number()
         state.possibly_open.add(message.destination)
-    wait(state, message)
+    enqueue(state, message)
 
 
-def stop_waiting(state: DispatcherState, message: Message) -> None:
-    """Take a message out of its class queue, if it waits."""
+def dequeue(state: DispatcherState, message: Message) -> None:
+    """Remove a message from its class queue, if it is waiting."""
     if message.class_queue is None:
         return
     state.work_count += 1
@@ -66,7 +66,7 @@
 
 
 def class_queue_key(state: DispatcherState, message: Message) -> ClassQueueKey:
-    """What decides by now which class queue a message belongs to."""
+    """Return the key of the class queue that a message now belongs to."""
     executed = message.executed_at >= 0
     tried = executed or message.attempts > 0
     return ClassQueueKey(
@@ -76,14 +76,14 @@
         restored_untried=message.restored and not message.attempts,
         protected=message.protected and not executed,
         ordered=message.ordering_key is not None,
-        exhausted=tried and not may_retry(state, message),
+        exhausted=tried and not may_attempt(state, message),
     )
 
 
 def new_class_queue(
     settings: Settings, message: Message, key: ClassQueueKey
 ) -> ClassQueue:
-    """An empty class queue for messages like this one."""
+    """Return an empty class queue for the messages with the given key."""
     message_class = message.message_class
     protected_before_deadline = None
     if key.protected:
@@ -99,9 +99,9 @@
 
 
 def sheddable_after(settings: Settings, message_class: MessageClass) -> float:
-    """How long after its start a message has lost so much weight that it may be shed.
+    """Return the age from which a message has lost enough weight to be shed.
 
-    Less than `SHEDDABLE_WEIGHT_SHARE` of the weight is left then.
+    From that age on less than `SHEDDABLE_WEIGHT_SHARE` of the weight is left.
     """
     objective = message_class.latency_objective_us
     if settings.late_weight_halves:
@@ -112,22 +112,22 @@
 
 
 def expire_retries(state: DispatcherState) -> None:
-    """Move the messages that may not be retried any more."""
+    """Move the messages that may no longer be retried to exhausted class queues."""
     for message_id in state.retry_expirations.pop_due(state.now):
         state.work_count += 1
         message = state.messages.get(message_id)
         if message is None or message.class_queue is None:
             continue
-        if not message.class_queue.key.exhausted and not may_retry(state, message):
-            wait(state, message)
+        if not message.class_queue.key.exhausted and not may_attempt(state, message):
+            enqueue(state, message)
 
 
-def follow_settings(state: DispatcherState, former: Settings) -> None:
-    """Adapt the queues to other settings.
+def apply_settings_to_queues(state: DispatcherState, previous: Settings) -> None:
+    """Update the class queues after a change of settings.
 
-    Only another number of attempts concerns each message by itself.
+    Messages are moved between queues only if the limit on attempts has changed.
     """
-    state.queues.drop_spare()
+    state.queues.discard_spare_queues()
     queues = [
         class_queue
         for queue in state.queues.by_destination.values()
@@ -137,12 +137,12 @@
         class_queue.sheddable_after = sheddable_after(
             state.settings, class_queue.message_class
         )
-    if state.settings.max_attempts != former.max_attempts:
+    if state.settings.max_attempts != previous.max_attempts:
         changed = [
             message
             for class_queue in queues
             for message in class_queue.messages
-            if may_retry(state, message) is class_queue.key.exhausted
+            if may_attempt(state, message) is class_queue.key.exhausted
         ]
         for message in changed:
-            wait(state, message)
+            enqueue(state, message)
