--- a/rainfall/dispatch/completion.py
+++ b/rainfall/dispatch/completion.py
@@ -17,7 +17,9 @@
 from rainfall.dispatch.waiting import dequeue
 
 MIN_RETRY_AFTER_US = SECOND_US
-"""Least Retry-After sent to a rejected client, so that it does not return at once."""
+"""Least Retry-After sent to a rejected client, so that it does not return at once. A
+lower `max_retry_after_us` takes precedence.
+"""
 
 
 def give_up(state: DispatcherState, message: Message, reason: str) -> None:
--- a/rainfall/dispatch/concurrency.py
+++ b/rainfall/dispatch/concurrency.py
@@ -18,6 +18,7 @@
 SLOW_FACTOR = 4
 """A destination is slow if its expected latency exceeds the seed by this factor."""
 MIN_WINDOW = 1.0
+"""Lower bound of the window and of its cap, in calls."""
 
 
 def window_cap(state: DispatcherState, scope: ThrottleScope) -> float:
--- a/rainfall/dispatch/dispatcher.py
+++ b/rainfall/dispatch/dispatcher.py
@@ -202,7 +202,7 @@
     def is_avoided(self, endpoint_id: int) -> bool:
         """Whether an endpoint is out of service or in an outage.
 
-        In an outage it gets messages only while no sound endpoint can take them.
+        In an outage it gets messages only while no healthy endpoint can take them.
         """
         return is_avoided(self.state, endpoint_id)
 
--- a/rainfall/dispatch/events.py
+++ b/rainfall/dispatch/events.py
@@ -134,7 +134,7 @@
     """The Retry-After of the destination; 0 if there is none."""
     load_report: LoadReport | None = None
     inconclusive: bool = False
-    """Whether the connection rather than the endpoint may have caused the outcome."""
+    """Whether the connection may have caused the outcome, and not the endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/rainfall/dispatch/outlier_detection.py
+++ b/rainfall/dispatch/outlier_detection.py
@@ -36,7 +36,7 @@
 def is_avoided(state: DispatcherState, endpoint_id: int) -> bool:
     """Whether an endpoint is out of service or in an outage.
 
-    In an outage it gets messages only while no sound endpoint can take them.
+    In an outage it gets messages only while no healthy endpoint can take them.
     """
     endpoint = state.endpoints.get(endpoint_id)
     if endpoint is None or not endpoint.serving:
--- a/rainfall/dispatch/settings.py
+++ b/rainfall/dispatch/settings.py
@@ -162,13 +162,13 @@
     def __post_init__(self) -> None:
         for valid, name in self._requirements():
             if not valid:
-                raise ValueError(f"invalid setting: {name}")
+                raise ValueError(f"setting cannot hold: {name}")
 
     def _requirements(self) -> Iterator[tuple[bool, str]]:
         """Yield whether each requirement is met, with the setting's name for the error.
 
-        The names are those on the wire, except that `warm_us` stands for
-        `warm_after_us` and `scope` for `key_scope`.
+        The names `warm_us` and `scope` stand for `warm_after_us` and `key_scope` on the
+        wire.
         """
         yield self.max_in_flight >= 1, "slots"
         yield self.forwarder_count >= 1, "balancers"
--- a/rainfall/dispatch/snapshot.py
+++ b/rainfall/dispatch/snapshot.py
@@ -117,8 +117,8 @@
 def restore_snapshot(state: DispatcherState, snapshot: Mapping[str, Any]) -> None:
     """Restore the state that a previous process exported.
 
-    Keys that the snapshot lacks are left as they are. Its entries for unknown messages
-    are ignored.
+    State that is not in the snapshot remains unchanged. Entries of the snapshot for
+    unknown messages are ignored.
     """
     for endpoint_id, destination, kind, values in snapshot.get("targets", []):
         _restore_endpoint(state, endpoint_id, destination, kind, values)
