--- a/rainfall/wirehost.py
+++ b/rainfall/wirehost.py
@@ -1,7 +1,7 @@
-"""Hosts dispatchers on the simulator's wire: JSON lines in, JSON lines out.
+"""Runs dispatchers for the simulator: JSON lines on stdin, JSON lines on stdout.
 
-This module translates between the wire's words and the dispatcher's types; it decides
-nothing. Times on the wire are integer microseconds unless their key says otherwise.
+This module only translates between the wire format (WIRE) and the dispatcher's types.
+Times on the wire are integer microseconds unless their key says otherwise.
 """
 
 from __future__ import annotations
@@ -55,49 +55,55 @@
     "Canceled": Outcome.CANCELED,
     "Ignored": Outcome.NOT_SENT,
 }
+"""Outcomes by the `result` of an attempt or health check on the wire."""
 ENDPOINT_STATE_BY_WORD = {
     "SERVING": EndpointState.SERVING,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
+"""Endpoint states by the `readiness` of a list entry on the wire."""
 LIST_KIND_BY_WORD = {
     "INCREMENTAL": EndpointListKind.CHANGES,
     "FULL": EndpointListKind.SNAPSHOT,
     "SAVED": EndpointListKind.CACHED,
     "FAILED": EndpointListKind.FAILED,
 }
-EFFECT_BY_WORD = {
+"""Kinds of endpoint lists by the `how` of a `MEMBERS` event on the wire."""
+IDEMPOTENCY_BY_WORD = {
     "repeatable": Idempotency.ALWAYS,
     "by_key": Idempotency.WITH_KEY,
     "once": Idempotency.AT_MOST_ONCE,
 }
+"""Idempotency by the `effect` of a message class on the wire."""
 SCOPE_BY_WORD = {
     "all": IdempotencyScope.ALL,
     "zone": IdempotencyScope.ZONE,
     "cell": IdempotencyScope.ALL,
 }
+"""Idempotency scopes by the `key_scope` of a message class on the wire."""
 UNLIMITED_COUNT = 1_000_000
-"""Stands for a limit that the facts do not set."""
-BRIEF_CHARACTERS = 80
-"""Characters of a malformed record that an error message repeats."""
+"""Value of limits that the facts do not set."""
+QUOTED_RECORD_LENGTH = 80
+"""Number of characters of a malformed record that error messages quote."""
 EXIT_BAD_INPUT = 2
-"""Exit status after input that cannot be read."""
+"""Exit status after malformed input."""
 
 
 class MalformedInputError(RainfallError):
-    """The input is not what the wire promises."""
+    """The input does not conform to the wire format."""
 
 
 def require_field(record: Any, key: str, kind: type) -> Any:
     """Return a field of a record, which must have the type `kind`.
 
-    A whole number counts as an integer or a float, whichever is asked for.
+    Whole numbers are converted between int and float as required.
 
     Raises:
-        MalformedInputError: The field is missing or of another type.
+        MalformedInputError: The record is no object, or the field is missing or of
+            another type.
     """
     if not isinstance(record, dict) or key not in record:
-        raise MalformedInputError(f"no field {key!r} in {_brief(record)}")
+        raise MalformedInputError(f"missing field {key!r} in {_quote_record(record)}")
     value = record[key]
     if kind is int and isinstance(value, float) and value.is_integer():
         value = int(value)
@@ -105,16 +111,17 @@
         value = float(value)
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
         raise MalformedInputError(
-            f"field {key!r} is not of type {kind.__name__} in {_brief(record)}"
+            f"field {key!r} is not of type {kind.__name__} in {_quote_record(record)}"
         )
     return value
 
 
 def translate_field(table: dict[str, Any], record: Any, key: str) -> Any:
-    """Return a field of a record, translated by a table of words.
+    """Return the table entry for the string in a field of a record.
 
     Raises:
-        MalformedInputError: The field is missing, or the table lacks its word.
+        MalformedInputError: The field is missing or no string, or the string is not in
+            the table.
     """
     value = require_field(record, key, str)
     if value not in table:
@@ -122,67 +129,69 @@
     return table[value]
 
 
-def _brief(record: Any) -> str:
-    return repr(record)[:BRIEF_CHARACTERS]
+def _quote_record(record: Any) -> str:
+    return repr(record)[:QUOTED_RECORD_LENGTH]
 
 
-def _parse_class(service: Any) -> MessageClass:
+def _parse_class(class_fields: Any) -> MessageClass:
     return MessageClass(
-        name=require_field(service, "name", str),
-        latency_objective_us=require_field(service, "aim_us", int),
-        deadline_us=require_field(service, "deadline_us", int),
-        idempotency=translate_field(EFFECT_BY_WORD, service, "effect"),
-        # Where no scope is given, only the endpoint itself surely drops a duplicate.
+        name=require_field(class_fields, "name", str),
+        latency_objective_us=require_field(class_fields, "aim_us", int),
+        deadline_us=require_field(class_fields, "deadline_us", int),
+        idempotency=translate_field(IDEMPOTENCY_BY_WORD, class_fields, "effect"),
+        # Without a scope, only the endpoint itself is certain to recognize a duplicate.
         idempotency_scope=SCOPE_BY_WORD.get(
-            service.get("key_scope", ""), IdempotencyScope.ENDPOINT
+            class_fields.get("key_scope", ""), IdempotencyScope.ENDPOINT
         ),
-        idempotency_window_us=int(service.get("window_us", 0)),
-        ordered=bool(service.get("by_arrival", False)),
-        priority_weight=float(service.get("gain", 1.0)),
-        late_priority_weight=float(service.get("late_worth", 0.0)),
+        idempotency_window_us=int(class_fields.get("window_us", 0)),
+        ordered=bool(class_fields.get("by_arrival", False)),
+        priority_weight=float(class_fields.get("gain", 1.0)),
+        late_priority_weight=float(class_fields.get("late_worth", 0.0)),
     )
 
 
 def _parse_kinds(facts: dict[str, Any]) -> tuple[DestinationKind, ...]:
-    family = facts.get("family_info", {})
-    batch_sizes = family.get("kind_batch", [])
-    endpoint_scoped = family.get("routes_apart", [])
+    family_info = facts.get("family_info", {})
+    batch_sizes = family_info.get("kind_batch", [])
+    endpoint_scoped = family_info.get("routes_apart", [])
     return tuple(
         DestinationKind(
             name=name,
-            max_batch_size=int(batch_sizes[n]) if n < len(batch_sizes) else 1,
-            endpoint_scoped=n < len(endpoint_scoped) and bool(endpoint_scoped[n]),
+            max_batch_size=int(batch_sizes[index]) if index < len(batch_sizes) else 1,
+            endpoint_scoped=index < len(endpoint_scoped)
+            and bool(endpoint_scoped[index]),
         )
-        for n, name in enumerate(facts.get("host_types", []))
+        for index, name in enumerate(facts.get("host_types", []))
     )
 
 
-def _parse_tenant(organization: Any) -> Tenant:
+def _parse_tenant(tenant_fields: Any) -> Tenant:
     return Tenant(
-        require_field(organization, "name", str),
-        float(organization.get("allowance_per_s", 0.0)),
+        require_field(tenant_fields, "name", str),
+        float(tenant_fields.get("allowance_per_s", 0.0)),
     )
 
 
 def parse_settings(facts: dict[str, Any]) -> Settings:
-    """Read the dispatcher's settings from the facts; unknown keys are ignored.
+    """Return the dispatcher's settings from the facts; unknown keys are ignored.
 
     Raises:
         MalformedInputError: A required fact is missing or of another type.
+        ValueError: A setting is invalid.
     """
     allowed = facts.get("allowed", {})
     contract = facts.get("contract", {})
-    family = facts.get("family_info", {})
+    family_info = facts.get("family_info", {})
     classes = tuple(map(_parse_class, require_field(facts, "services", list)))
     kinds = _parse_kinds(facts)
     tenants = tuple(map(_parse_tenant, facts.get("orgs") or []))
     return Settings(
-        max_in_flight=require_field(family, "slots", int),
+        max_in_flight=require_field(family_info, "slots", int),
         classes=classes,
         destination_kinds=kinds,
         tenants=tenants,
         zone_costs=dict(
-            zip(facts.get("zones", []), family.get("carriage") or [], strict=False)
+            zip(facts.get("zones", []), family_info.get("carriage") or [], strict=False)
         ),
         forwarder_count=int(facts.get("balancers", 1)),
         max_open_messages=int(allowed.get("max_open", UNLIMITED_COUNT)),
@@ -194,9 +203,9 @@
         max_retry_after_us=int(allowed.get("max_retry_after_us", 0)),
         subscribe_endpoint_list=facts.get("discovery") == "on_request",
         endpoint_weights_known=facts.get("weight_source") in ("nominal", "rough"),
-        rejection_cost=float(family.get("turned_away_price", 0.0)),
+        rejection_cost=float(family_info.get("turned_away_price", 0.0)),
         over_quota_weight=float(facts.get("over_share_worth", 1.0)),
-        late_weight_halves=family.get("loses_worth") == "halves",
+        late_weight_halves=family_info.get("loses_worth") == "halves",
         answer_grace_us=int(contract.get("grace_to_answer_us", 0)),
         drain_grace_us=int(contract.get("drain_grace_us", 0)),
         poll_within_us=int(contract.get("ask_within_us", 0)),
@@ -211,7 +220,7 @@
 
 
 def parse_entry(element: Any) -> EndpointEntry:
-    """Read one entry of an endpoint list.
+    """Return one entry of an endpoint list.
 
     Raises:
         MalformedInputError: A required field is missing or malformed.
@@ -227,7 +236,11 @@
 
 
 def parse_load_report(fields: list[str], event: dict[str, Any]) -> LoadReport | None:
-    """Read the load report that an answer carried, or return None if it had none."""
+    """Return the load report of a response, or None if there is none.
+
+    `fields` names the values in the event's `telemetry`. Of these, `x0` is the unused
+    fraction of the rate limit, and `x1` the limit in calls per second.
+    """
     telemetry = event.get("telemetry")
     if not telemetry:
         return None
@@ -238,18 +251,18 @@
 
 
 class Instance:
-    """One forwarder of the simulator: its dispatcher and its undelivered events."""
+    """One forwarder of the simulator: its dispatcher and its pending events."""
 
-    def __init__(self, up: dict[str, Any], now: int) -> None:
-        facts = require_field(up, "facts", dict)
+    def __init__(self, up_event: dict[str, Any], now: int) -> None:
+        facts = require_field(up_event, "facts", dict)
         self.report_fields: list[str] = list(
             (facts.get("telemetry") or {}).get("fields") or []
         )
         self.dispatcher = Dispatcher(
-            parse_settings(facts), require_field(up, "entropy", int), now
+            parse_settings(facts), require_field(up_event, "entropy", int), now
         )
         self.inbox: list[Event] = []
-        """Events of the present line that the dispatcher has not handled yet."""
+        """Events of the current line that the dispatcher has not handled yet."""
 
 
 def _read_message(instance: Instance, event: Any) -> Event:
@@ -308,11 +321,11 @@
     "CLIENT_LEFT": _read_withdrawal,
     "DEADLINE_HIT": _read_timer,
 }
-"""How to read the events that go to a dispatcher, by their type on the wire."""
+"""Functions that convert an event for an instance's dispatcher, by type on the wire."""
 
 
 def _encode_fields(action: Action) -> tuple[str, dict[str, Any]]:
-    """Return the type of an action on the wire, and its own fields in their order."""
+    """Return the type of an action on the wire, and its fields in order."""
     match action:
         case SendMessage():
             return "ISSUE", {
@@ -342,30 +355,30 @@
 
 
 def encode_action(name: str, action: Action) -> dict[str, Any]:
-    """Return an action of the named forwarder as an object of the wire."""
+    """Return the JSON object of an action of the named forwarder."""
     kind, fields = _encode_fields(action)
     return {"type": kind, "forwarder_id": name, **fields}
 
 
 def internal_error(name: str, error: Exception) -> dict[str, Any]:
-    """Return the wire's report of a failure within the named forwarder."""
+    """Return the JSON object that reports an exception in the named forwarder."""
     text = " ".join(f"{type(error).__name__}: {error}".split())
     return {"type": "INTERNAL_ERROR", "forwarder_id": name, "reason_text": text}
 
 
 class WireHost:
-    """Many forwarders on one wire, which share only the wire's numbered lists."""
+    """Runs many forwarders, which share only the numbered endpoint lists."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
         self.tables: dict[int, tuple[EndpointEntry, ...]] = {}
-        """Endpoint lists by the number under which the wire gave them."""
+        """Endpoint lists by the number under which a `TABLE` event provided them."""
 
     def handle_line(self, line: str) -> str:
-        """Handle one line of events and return the line of actions that answers it.
+        """Handle one line of events and return the line with the resulting actions.
 
         Raises:
-            MalformedInputError: The line is not what the wire promises.
+            MalformedInputError: The line does not conform to the wire format.
         """
         try:
             request = json.loads(line)
@@ -384,16 +397,16 @@
     def _run_instance(
         self, name: str, instance: Instance, now: int
     ) -> Iterable[dict[str, Any]]:
-        """Let a dispatcher handle its events, and yield its actions encoded."""
+        """Run a dispatcher's round with its pending events, and yield the actions."""
         inbox = instance.inbox
         instance.inbox = []
         try:
             for action in instance.dispatcher.handle(now, inbox):
-                # A forwarder of the simulator starts empty: it has no storage in which
-                # an outage could be recorded.
+                # Forwarders of the simulator always start empty and have no storage in
+                # which an outage could be recorded.
                 if not isinstance(action, RecordOutage):
                     yield encode_action(name, action)
-        # Any failure of the dispatcher is reported on the wire, in one line.
+        # Every exception of a dispatcher is reported on the wire as a single action.
         except Exception as error:
             yield internal_error(name, error)
 
@@ -406,14 +419,17 @@
     ) -> None:
         """Handle one event of a line, or queue it for its dispatcher.
 
+        Events of unknown types and for unknown forwarders are ignored.
+
         Args:
             now: The time of the line, in microseconds.
-            event: The event as it came.
-            touched: Gets the forwarder that the event is for.
-            replies: Gets an error if a forwarder cannot start.
+            event: The decoded event.
+            touched: The forwarders with events in this line; the event's is added.
+            replies: The objects of the reply; an error is added if a forwarder cannot
+                start.
 
         Raises:
-            MalformedInputError: The event is not what the wire promises.
+            MalformedInputError: The event does not conform to the wire format.
         """
         kind = require_field(event, "type", str)
         if kind == "TABLE":
@@ -423,8 +439,8 @@
             return
         name = require_field(event, "forwarder_id", str)
         if kind in ("UP", "DOWN"):
-            # A forwarder that comes up anew keeps nothing of its former instance, even
-            # if it fails to start.
+            # A restarted forwarder keeps nothing of its previous instance, even if it
+            # fails to start.
             self.instances.pop(name, None)
             touched.pop(name, None)
             if kind == "UP":
@@ -465,12 +481,12 @@
             return EndpointListChanged(list_kind, ())
         number = require_field(event, "buffer", int)
         if number not in self.tables:
-            raise MalformedInputError(f"no table {number} was given")
+            raise MalformedInputError(f"unknown table number: {number}")
         return EndpointListChanged(list_kind, self.tables[number])
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
-    """Answer each line until the input ends, and return the exit status."""
+    """Reply to each line until the end of input, and return the exit status."""
     host = WireHost()
     for line in source:
         try:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter over real pipes."""
+"""The wire host as a subprocess, with JSON lines on its stdin and stdout."""
 
 from __future__ import annotations
 
@@ -44,7 +44,9 @@
 
 
 def run(lines: list[Any], **env: str) -> subprocess.CompletedProcess[str]:
-    text = "".join((x if isinstance(x, str) else json.dumps(x)) + "\n" for x in lines)
+    text = "".join(
+        (line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines
+    )
     return subprocess.run(
         [sys.executable, "-m", "rainfall.wirehost"],
         input=text,
@@ -56,7 +58,7 @@
     )
 
 
-def up(name: str, seed: int = 1) -> list[dict[str, Any]]:
+def start_events(name: str, seed: int = 1) -> list[dict[str, Any]]:
     return [
         {"type": "UP", "forwarder_id": name, "entropy": seed, "facts": FACTS},
         {
@@ -69,11 +71,11 @@
     ]
 
 
-def table(target: int = 5) -> dict[str, Any]:
+def table_event(target: int = 5) -> dict[str, Any]:
     return {"type": "TABLE", "buffer": 0, "elements": [{**ENTRY, "target": target}]}
 
 
-def ask(name: str, msg: str, due: int = 9000000) -> dict[str, Any]:
+def ask_event(name: str, msg: str, due: int = 9000000) -> dict[str, Any]:
     return {
         "type": "ASK",
         "forwarder_id": name,
@@ -84,16 +86,18 @@
     }
 
 
-def batch(now: int, *events: dict[str, Any]) -> dict[str, Any]:
+def input_line(now: int, *events: dict[str, Any]) -> dict[str, Any]:
     return {"clock_us": now, "inbox": list(events)}
 
 
-def done(result: subprocess.CompletedProcess[str]) -> list[list[dict[str, Any]]]:
+def actions_by_line(
+    result: subprocess.CompletedProcess[str],
+) -> list[list[dict[str, Any]]]:
     assert result.returncode == 0, result.stderr
     return [json.loads(line)["do"] for line in result.stdout.splitlines()]
 
 
-def test_a_message_goes_out_and_its_outcome_comes_back() -> None:
+def test_message_is_sent_and_its_outcome_handled() -> None:
     closed = {
         "type": "CLOSED_ATTEMPT",
         "forwarder_id": "forwarder/0",
@@ -106,12 +110,17 @@
         "telemetry": [0.5, 3.0],
         "news": 1,
     }
-    first, second, third = done(
+    first, second, third = actions_by_line(
         run(
             [
-                batch(0),
-                batch(1000, table(), *up("forwarder/0"), ask("forwarder/0", "a")),
-                batch(
+                input_line(0),
+                input_line(
+                    1000,
+                    table_event(),
+                    *start_events("forwarder/0"),
+                    ask_event("forwarder/0", "a"),
+                ),
+                input_line(
                     2000, closed, {"type": "NEVER_HEARD", "forwarder_id": "forwarder/0"}
                 ),
             ]
@@ -123,20 +132,24 @@
     assert third == []
 
 
-def test_up_down_up_in_one_batch_and_lists_in_event_order() -> None:
-    (actions,) = done(
+def test_restart_within_one_line_and_lists_in_event_order() -> None:
+    """A restarted forwarder drops its messages and gets the list current at that event.
+
+    Table 7 comes after its MEMBERS event and must not replace the list that it got.
+    """
+    (actions,) = actions_by_line(
         run(
             [
-                batch(
+                input_line(
                     0,
-                    table(5),
-                    *up("forwarder/0"),
-                    ask("forwarder/0", "old"),
+                    table_event(5),
+                    *start_events("forwarder/0"),
+                    ask_event("forwarder/0", "old"),
                     {"type": "DOWN", "forwarder_id": "forwarder/0"},
-                    table(6),
-                    *up("forwarder/0", 2),
-                    ask("forwarder/0", "new"),
-                    table(7),
+                    table_event(6),
+                    *start_events("forwarder/0", 2),
+                    ask_event("forwarder/0", "new"),
+                    table_event(7),
                 )
             ]
         )
@@ -145,25 +158,25 @@
     assert [(a["msg_id"], a["target"]) for a in issues] == [("new", 6)]
 
 
-def test_bad_input_gets_one_plain_line() -> None:
+def test_malformed_input_is_reported_in_one_line() -> None:
     cases: list[Any] = [
         "no json",
         "[]",
         {"clock_us": 1},
         {"inbox": []},
-        batch(0, {"forwarder_id": "forwarder/0"}),
-        batch(0, {"type": "UP", "forwarder_id": "forwarder/0"}),
-        batch(
+        input_line(0, {"forwarder_id": "forwarder/0"}),
+        input_line(0, {"type": "UP", "forwarder_id": "forwarder/0"}),
+        input_line(
             0,
-            table(),
-            *up("forwarder/0"),
+            table_event(),
+            *start_events("forwarder/0"),
             {"type": "ASK", "forwarder_id": "forwarder/0", "msg_id": "a"},
         ),
-        batch(0, {"type": "TABLE", "buffer": 0, "elements": [{"target": 1}]}),
-        batch(
+        input_line(0, {"type": "TABLE", "buffer": 0, "elements": [{"target": 1}]}),
+        input_line(
             0,
-            table(),
-            *up("forwarder/0"),
+            table_event(),
+            *start_events("forwarder/0"),
             {"type": "MEMBERS", "forwarder_id": "forwarder/0", "how": "FULL"},
         ),
     ]
@@ -175,24 +188,28 @@
         ), case
 
 
-def test_settings_that_cannot_hold_are_an_internal_error() -> None:
-    bad = up("forwarder/0")
-    bad[0] = {**bad[0], "facts": {**FACTS, "family_info": {"slots": 0}}}
-    (actions,) = done(run([batch(0, table(), *bad)]))
+def test_invalid_settings_are_reported_as_internal_error() -> None:
+    bad_events = start_events("forwarder/0")
+    bad_events[0] = {**bad_events[0], "facts": {**FACTS, "family_info": {"slots": 0}}}
+    (actions,) = actions_by_line(run([input_line(0, table_event(), *bad_events)]))
     assert (
         actions[0]["type"] == "INTERNAL_ERROR" and "slots" in actions[0]["reason_text"]
     )
     assert "\n" not in actions[0]["reason_text"]
 
 
-def script(names: list[str]) -> list[dict[str, Any]]:
-    lines = [batch(0, table(), *[e for n in names for e in up(n, int(n[-1]))])]
+def load_script(names: list[str]) -> list[dict[str, Any]]:
+    lines = [
+        input_line(
+            0, table_event(), *[e for n in names for e in start_events(n, int(n[-1]))]
+        )
+    ]
     for n in range(60):
         lines.append(
-            batch(
+            input_line(
                 5000 * n,
                 *[
-                    ask(name, f"{name[-1]}{n}x{k}", 5000 * n + 400000 + 7000 * k)
+                    ask_event(name, f"{name[-1]}{n}x{k}", 5000 * n + 400000 + 7000 * k)
                     for name in names
                     for k in range(3)
                 ],
@@ -205,13 +222,13 @@
     return lines
 
 
-def test_same_actions_under_any_hash_seed_and_split() -> None:
+def test_same_actions_with_any_hash_seed_and_any_set_of_forwarders() -> None:
     names = ["forwarder/0", "forwarder/1", "forwarder/2"]
-    together = done(run(script(names), PYTHONHASHSEED="1"))
-    assert together == done(run(script(names), PYTHONHASHSEED="77"))
+    together = actions_by_line(run(load_script(names), PYTHONHASHSEED="1"))
+    assert together == actions_by_line(run(load_script(names), PYTHONHASHSEED="77"))
     for name in names:
-        alone = done(run(script([name])))
+        alone = actions_by_line(run(load_script([name])))
         assert alone == [
-            [a for a in do if a["forwarder_id"] == name] for do in together
+            [a for a in actions if a["forwarder_id"] == name] for actions in together
         ]
-    assert sum(len(do) for do in together) > 100
+    assert sum(len(actions) for actions in together) > 100
