--- a/rainfall/dispatch/settings.py
+++ b/rainfall/dispatch/settings.py
@@ -148,8 +148,11 @@
     warm_up_us: int = 0
     """Time that a destination needs after an outage to reach its full capacity."""
     key_backoff_us: int = 0
-    """Backoff of an ordering key after an attempt that may still run."""
+    """How long the next message of an ordering key waits after an attempt of the
+    previous one that may still run.
+    """
     connect_timeout_us: int = 0
+    """Time limit for opening a connection. Used by the forwarder, not by any rule."""
     idle_connection_us: int = 0
     """Idle time after which connections are closed; 0 if no idle connections are kept
     or the time is unknown.
--- a/rainfall/wirehost.py
+++ b/rainfall/wirehost.py
@@ -424,8 +424,9 @@
         Args:
             now: The time of the line, in microseconds.
             event: The decoded event.
-            touched: The forwarders with events in this line; the event's is added.
-            replies: The objects of the reply; an error is added if a forwarder cannot
+            touched: Forwarders with events in this line, by name. The event's forwarder
+                is added, or removed if it stops.
+            replies: JSON objects of the reply. An error is added if a forwarder cannot
                 start.
 
         Raises:
