--- a/tests/dispatch/test_idempotency_window.py
+++ b/tests/dispatch/test_idempotency_window.py
@@ -1,5 +1,5 @@
-"""A keyed message that may have run goes out again only while its first call's window
-surely holds.
+"""A keyed message that may have run is sent again only while the idempotency window of
+its first call certainly lasts.
 """
 
 from __future__ import annotations
@@ -72,16 +72,16 @@
 )
 from tests.support.memory_disk import Disk
 
-FULL, FAILED, LATE = Outcome.REJECTED, Outcome.FAILED, Outcome.TIMED_OUT
-ONE = (EndpointEntry(1, 10, "north", "plain"),)
+REJECTED, FAILED, TIMED_OUT = Outcome.REJECTED, Outcome.FAILED, Outcome.TIMED_OUT
+ONE_ENDPOINT = (EndpointEntry(1, 10, "north", "plain"),)
 WINDOW = 1 * S
 
 
-def short(
+def short_window_settings(
     window: int = WINDOW, scope: IdempotencyScope = IdempotencyScope.ALL
 ) -> dict[str, object]:
-    """Settings with one keyed class whose window is no longer than a client's shortest
-    absence.
+    """Settings with one keyed class whose window is no longer than the shortest
+    Retry-After for a client.
     """
     return {
         "classes": (
@@ -91,19 +91,22 @@
     }
 
 
-def failed_once(d: Dispatcher, at: int, then: Outcome = FAILED) -> list[Action]:
-    """One keyed message whose first call is sent at 0 and ends so at that time."""
-    first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    return d.handle(
-        at, [end(first, then, took=at, inconclusive=True)]
-    )  # weak: no outage in the way of a repeat
+def fail_first_call(
+    dispatcher: Dispatcher, ended_at: int, outcome: Outcome = FAILED
+) -> list[Action]:
+    """Send a keyed message at 0 and end its call with `outcome`; the actions then."""
+    send = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    # Inconclusive, so that no outage delays a retry.
+    return dispatcher.handle(
+        ended_at, [end(send, outcome, took=ended_at, inconclusive=True)]
+    )
 
 
-# What is decided
+# Decisions
 
 
 @pytest.mark.parametrize(
-    "at, again",
+    "ended_at, retried",
     [
         (300 * MS, True),
         (WINDOW - TRANSIT_SLACK_US - 1, True),
@@ -112,138 +115,149 @@
     ],
 )
 @pytest.mark.parametrize(
-    "how", [FAILED, LATE, Outcome.RESET, Outcome.UNREADABLE, Outcome.CANCELED]
+    "how", [FAILED, TIMED_OUT, Outcome.RESET, Outcome.UNREADABLE, Outcome.CANCELED]
 )
-def test_a_repeat_is_decided_only_with_time_left_for_its_way(
-    at: int, again: bool, how: Outcome
+def test_retry_is_sent_only_with_transit_time_left_in_the_window(
+    ended_at: int, retried: bool, how: Outcome
 ) -> None:
-    d = started(ONE, **short())
-    actions = failed_once(d, at, how)
-    assert bool(sends(actions)) is again
-    assert finals(actions) == ([] if again else [FailMessage("m")])
-
-
-def test_the_window_runs_from_the_first_call_that_may_have_run_and_from_no_later_one() -> (
-    None
-):
-    d = started(ONE, **short())
-    first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    never = sends(
-        d.handle(400 * MS, [end(first, Outcome.NO_CONNECTION, inconclusive=True)])
-    )[0]  # ran not
-    ran = sends(
-        d.handle(800 * MS, [end(never, FAILED, 1, inconclusive=True)])
-    )  # that was sent at 0.4 s
-    assert ran
-    assert not finals(d.handle(1300 * MS, [TimerExpired("look")]))
-    actions = d.handle(
-        1350 * MS, [end(ran[0], FAILED, 2, inconclusive=True)]
-    )  # this one's own runs to 1.8 s
+    dispatcher = started(ONE_ENDPOINT, **short_window_settings())
+    actions = fail_first_call(dispatcher, ended_at, how)
+    assert bool(sends(actions)) is retried
+    assert finals(actions) == ([] if retried else [FailMessage("m")])
+
+
+def test_window_runs_from_the_first_call_that_may_have_run() -> None:
+    dispatcher = started(ONE_ENDPOINT, **short_window_settings())
+    first = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    # The first call was never executed.
+    second = sends(
+        dispatcher.handle(
+            400 * MS, [end(first, Outcome.NO_CONNECTION, inconclusive=True)]
+        )
+    )[0]
+    # The second, sent at 0.4 s, may have been: the window runs from there.
+    third = sends(
+        dispatcher.handle(800 * MS, [end(second, FAILED, 1, inconclusive=True)])
+    )
+    assert third
+    assert not finals(dispatcher.handle(1300 * MS, [TimerExpired("look")]))
+    # A window of the third call would last until 1.8 s.
+    actions = dispatcher.handle(
+        1350 * MS, [end(third[0], FAILED, 2, inconclusive=True)]
+    )
     assert not sends(actions) and finals(actions) == [FailMessage("m")]
 
 
-def test_past_its_window_a_keyed_message_is_failed_and_never_refused() -> None:
-    """Refused, it would come back from its client under a new id and run a second
-    time.
+def test_keyed_message_past_its_window_is_failed_and_not_rejected() -> None:
+    """After a rejection the client would send it under a new id, and it would run a
+    second time.
     """
-    d = started(ONE, **short())
-    first = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    d.handle(
+    dispatcher = started(ONE_ENDPOINT, **short_window_settings())
+    send = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    # No endpoint is left for a retry.
+    dispatcher.handle(
         100 * MS,
-        [end(first, FAILED), EndpointListChanged(EndpointListKind.SNAPSHOT, ())],
-    )  # nowhere to go
-    given = [
-        a
-        for t in range(120 * MS, 3 * S, 20 * MS)
-        for a in finals(d.handle(t, [TimerExpired("look")]))
+        [end(send, FAILED), EndpointListChanged(EndpointListKind.SNAPSHOT, ())],
+    )
+    final_answers = [
+        answer
+        for now in range(120 * MS, 3 * S, 20 * MS)
+        for answer in finals(dispatcher.handle(now, [TimerExpired("look")]))
     ]
-    assert given == [FailMessage("m")]
+    assert final_answers == [FailMessage("m")]
 
 
 @pytest.mark.parametrize(
-    "window, final",
+    "window, answer_type",
     [
         (MIN_RETRY_AFTER_US, FailMessage),
         (MIN_RETRY_AFTER_US + TRANSIT_SLACK_US + 300 * MS, FailMessage),
         (10 * S, RejectMessage),
     ],
 )
-def test_a_client_that_would_come_back_after_the_window_is_not_sent_away(
-    window: int, final: type
+def test_message_is_rejected_only_if_the_client_returns_in_the_window(
+    window: int, answer_type: type
 ) -> None:
-    """All its tries spent early, a message may be refused only where the client's
-    return is in the window.
+    """A message whose attempts were used up early may be rejected only where the client
+    sends it again within the window.
     """
-    d = started(ONE, max_attempts=1, **short(window))
-    assert [type(a) for a in finals(failed_once(d, 300 * MS))] == [final]
+    dispatcher = started(ONE_ENDPOINT, max_attempts=1, **short_window_settings(window))
+    assert [
+        type(answer) for answer in finals(fail_first_call(dispatcher, 300 * MS))
+    ] == [answer_type]
 
 
 @pytest.mark.parametrize("scope", [IdempotencyScope.ZONE, IdempotencyScope.ENDPOINT])
-def test_a_key_that_other_targets_do_not_know_is_never_refused_once_it_may_have_run(
+def test_message_with_a_scoped_key_is_failed_once_it_may_have_run(
     scope: IdempotencyScope,
 ) -> None:
-    d = started(ONE, max_attempts=1, **short(10 * S, scope))
-    assert finals(failed_once(d, 300 * MS)) == [FailMessage("m")]
+    dispatcher = started(
+        ONE_ENDPOINT, max_attempts=1, **short_window_settings(10 * S, scope)
+    )
+    assert finals(fail_first_call(dispatcher, 300 * MS)) == [FailMessage("m")]
 
 
-# Over restarts and hand-overs
+# Restarts and handovers
 
 
 @pytest.mark.parametrize(
-    "at, again", [(-900 * MS, True), (-WINDOW, False), (-3 * S, False)]
+    "executed_offset, retried", [(-900 * MS, True), (-WINDOW, False), (-3 * S, False)]
 )
-def test_a_restart_counts_from_the_first_call_of_before(at: int, again: bool) -> None:
+def test_window_after_a_restart_runs_from_the_first_call_before_it(
+    executed_offset: int, retried: bool
+) -> None:
     now = 50 * S
-    d = Dispatcher(settings(**short()), 7, now)
-    actions = d.handle(
+    dispatcher = Dispatcher(settings(**short_window_settings()), 7, now)
+    actions = dispatcher.handle(
         now,
         [
-            EndpointListChanged(EndpointListKind.SNAPSHOT, ONE),
+            EndpointListChanged(EndpointListKind.SNAPSHOT, ONE_ENDPOINT),
             MessageRestored(
                 "m",
                 10,
                 "keyed",
                 now + 15 * S,
                 attempts=1,
-                executed_at_us=now + at,
+                executed_at_us=now + executed_offset,
                 executed_on=1,
                 interrupted=True,
             ),
         ],
     )
-    assert bool(sends(actions)) is again and finals(actions) == (
-        [] if again else [FailMessage("m")]
+    assert bool(sends(actions)) is retried and finals(actions) == (
+        [] if retried else [FailMessage("m")]
     )
 
 
-@pytest.mark.parametrize("at, again", [(600 * MS, True), (WINDOW, False)])
-def test_a_call_that_was_out_at_a_hand_over_keeps_its_time(
-    at: int, again: bool
+@pytest.mark.parametrize("ended_at, retried", [(600 * MS, True), (WINDOW, False)])
+def test_call_in_flight_at_a_handover_keeps_its_send_time(
+    ended_at: int, retried: bool
 ) -> None:
-    old = started(ONE, **short())
-    first = sends(old.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    memory = json.loads(json.dumps(old.snapshot({("m", 0)})))
-    d = Dispatcher(settings(**short()), 8, 500 * MS)
-    told = [
-        EndpointListChanged(EndpointListKind.CACHED, ONE),
+    former = started(ONE_ENDPOINT, **short_window_settings())
+    send = sends(former.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    snapshot = json.loads(json.dumps(former.snapshot({("m", 0)})))
+    successor = Dispatcher(settings(**short_window_settings()), 8, 500 * MS)
+    events = [
+        EndpointListChanged(EndpointListKind.CACHED, ONE_ENDPOINT),
         MessageRestored("m", 10, "keyed", 20 * S, attempts=1),
-        SnapshotRestored(memory),
+        SnapshotRestored(snapshot),
     ]
-    assert not sends(
-        d.handle(500 * MS, told)
-    )  # its call is still out at the process before
-    actions = d.handle(at, [end(first, Outcome.RESET, took=at)])
-    assert bool(sends(actions)) is again and finals(actions) == (
-        [] if again else [FailMessage("m")]
+    # The call is still in flight in the former process.
+    assert not sends(successor.handle(500 * MS, events))
+    actions = successor.handle(ended_at, [end(send, Outcome.RESET, took=ended_at)])
+    assert bool(sends(actions)) is retried and finals(actions) == (
+        [] if retried else [FailMessage("m")]
     )
 
 
-def configured(folder: Path, platform: Platform, window_us: int) -> Config:
-    made = {
+def engine_config(folder: Path, platform: Platform, window_us: int) -> Config:
+    service_settings = {
         **SETTINGS,
-        "services": [{**s, "window_us": window_us} for s in SETTINGS["services"]],
+        "services": [
+            {**service, "window_us": window_us} for service in SETTINGS["services"]
+        ],
     }
-    hosts = tuple(parse_endpoint(h) for h in platform.hosts.values())
+    hosts = tuple(parse_endpoint(host) for host in platform.hosts.values())
     return Config(
         "n",
         Address("127.0.0.1", 0),
@@ -254,56 +268,65 @@
         256,
         3_000_000,
         EndpointList(1, True, hosts),
-        read_settings(made),
+        read_settings(service_settings),
         ("x0", "x1"),
     )
 
 
-@pytest.mark.parametrize("ago, window, again", [(S, S, False), (S, 60 * S, True)])
-def test_a_repeat_after_a_kill_goes_out_only_within_the_journaled_window(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ago: int, window: int, again: bool
+@pytest.mark.parametrize(
+    "sent_ago, window, retried", [(S, S, False), (S, 60 * S, True)]
+)
+def test_retry_after_a_kill_is_sent_only_within_the_journaled_window(
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    sent_ago: int,
+    window: int,
+    retried: bool,
 ) -> None:
-    """Killed with a call out: it may have run when the journal says it left. The start
-    reads that time, and the class it was taken on under, from the file.
+    """After a kill with a call in flight, the message may have run at the send time in
+    the journal. The restart reads that time, and the class under which the message was
+    accepted, from the journal.
     """
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.ACCEPT_PERIOD_S", 0.0)
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         platform = Platform()
         await platform.start()
         peer = await Peer(always(OK)).start()
         platform.host("s1", peer.port)
-        config = configured(tmp_path, platform, window)
+        config = engine_config(tmp_path, platform, window)
         store = MessageStore(tmp_path, 3_000_000)
         store.use_rules(DeliveryRules(6, config.settings.classes))
-        e = Engine(config)  # for its clock
-        now = e.clock()
-        e.store.release()
-        m = AcceptedMessage("m", "order", 7, now + 50 * S, "key-m", "acme", b"hello")
-        store.append_message(m)
-        store.append_attempt(m, 0, now - ago, "s1")
+        engine = Engine(config)  # for its clock
+        now = engine.clock()
+        engine.store.release()
+        message = AcceptedMessage(
+            "m", "order", 7, now + 50 * S, "key-m", "acme", b"hello"
+        )
+        store.append_message(message)
+        store.append_attempt(message, 0, now - sent_ago, "s1")
         store.flush()
-        store.release()  # as SIGKILL leaves it: no outcome, no end
-        e = Engine(config)
-        run = asyncio.create_task(e.run())
-        if again:
+        store.release()  # as after SIGKILL: neither outcome nor final answer
+        engine = Engine(config)
+        engine_run = asyncio.create_task(engine.run())
+        if retried:
             call = (await peer.got(1))[0]
             assert call.headers["idempotency-key"] == "key-m"
         else:
             assert (await platform.notice("m"))["state"] == "failed"
             assert not peer.requests
-        e.stop()
+        engine.stop()
         async with asyncio.timeout(PATIENCE):
-            await run
-        assert len(peer.requests) == (1 if again else 0)
+            await engine_run
+        assert len(peer.requests) == (1 if retried else 0)
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-def test_a_clock_that_was_kept_by_small_steps_counts_on_after_a_restart() -> None:
-    """On the same boot the monotonic clock tells how much time has passed. Read anew, a
-    wall clock that was slewed back by 0.4 s would give a window of 1 s another 0.4
-    s.
+def test_slewed_wall_clock_does_not_shift_times_after_a_restart() -> None:
+    """On the same boot the monotonic clock shows how much time has passed. If the wall
+    clock were read again after it was slewed back by 0.4 s, a window of 1 s would last
+    0.4 s longer.
     """
     disk = Disk()
     store = opened(disk)
@@ -311,113 +334,130 @@
     store.append_attempt(store.messages["a"], 0, 5 * S, "s1")
     store.flush()
     assert store.clock is not None
-    base = store.clock[0]
-    for slewed in (-400 * MS, 400 * MS):
+    base_us = store.clock[0]
+    for slew_us in (-400 * MS, 400 * MS):
         disk.killed()
-        back = opened(disk, base=base + slewed)
+        reopened = opened(disk, base=base_us + slew_us)
         assert (
-            back.clock is not None
-            and back.clock[0] == base
-            and not back.report.shifted_us
+            reopened.clock is not None
+            and reopened.clock[0] == base_us
+            and not reopened.report.shifted_us
         )
-        assert back.messages["a"].in_flight == {0: (5 * S, "s1")}
+        assert reopened.messages["a"].in_flight == {0: (5 * S, "s1")}
 
 
-def test_the_engine_goes_by_the_clock_that_its_journal_goes_by(
+def test_engine_uses_the_clock_offset_of_its_journal(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def run_scenario() -> None:
         platform = Platform()
         platform.port = 9
-        before = Engine(configured(tmp_path, platform, S))
-        base = before.clock.offset_ns // 1000
-        before.store.release()
-
-        slewed = Clock()
-        slewed.offset_ns = before.clock.offset_ns - 400 * MS * 1000
-        monkeypatch.setattr("rainfall.forwarder.engine.engine.Clock", lambda: slewed)
-        after = Engine(configured(tmp_path, platform, S))
-        assert after.clock.offset_ns // 1000 == base
-        after.store.release()
+        former = Engine(engine_config(tmp_path, platform, S))
+        base_us = former.clock.offset_ns // 1000
+        former.store.release()
+
+        slewed_clock = Clock()
+        slewed_clock.offset_ns = former.clock.offset_ns - 400 * MS * 1000
+        monkeypatch.setattr(
+            "rainfall.forwarder.engine.engine.Clock", lambda: slewed_clock
+        )
+        restarted = Engine(engine_config(tmp_path, platform, S))
+        assert restarted.clock.offset_ns // 1000 == base_us
+        restarted.store.release()
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize(
-    "window, least, most", [(60 * S, 600 * MS, 1600 * MS), (500 * MS, 2 * S, 20 * S)]
+    "window, earliest, latest",
+    [(60 * S, 600 * MS, 1600 * MS), (500 * MS, 2 * S, 20 * S)],
 )
-def test_a_silent_call_that_outlasts_its_window_is_waited_for_as_a_once_only_one(
-    window: int, least: int, most: int
+def test_stalled_call_past_its_window_is_canceled_after_its_objective(
+    window: int, earliest: int, latest: int
 ) -> None:
-    """Called off once later calls are answered, it could not be sent again: it has to
-    have its aim first.
+    """If it were canceled as soon as later calls are answered, the message could not be
+    sent again: its latency objective has to pass first.
     """
-    d = started(ONE, allow_cancel=True, **short(window))
-    d.handle(
-        MS, [end(sends(d.handle(0, [ask("first")]))[0], Outcome.DELIVERED)]
-    )  # the window lets two go
+    dispatcher = started(
+        ONE_ENDPOINT, allow_cancel=True, **short_window_settings(window)
+    )
+    # The concurrency window grows to two calls.
+    dispatcher.handle(
+        MS, [end(sends(dispatcher.handle(0, [ask("first")]))[0], Outcome.DELIVERED)]
+    )
     assert (
-        sends(d.handle(2 * MS, [ask("m", cls="keyed", due=60 * S)]))[0].message_id
+        sends(dispatcher.handle(2 * MS, [ask("m", cls="keyed", due=60 * S)]))[
+            0
+        ].message_id
         == "m"
     )
     now, cancels = 0, []
     while not cancels and now < 30 * S:
         now += 100 * MS
-        actions = d.handle(now, [ask(f"m{now}", due=60 * S)])
-        answered = [end(s, Outcome.DELIVERED, took=50 * MS) for s in sends(actions)]
-        actions += d.handle(now + 50 * MS, answered)
-        cancels = [a for a in actions if isinstance(a, CancelAttempt)]
-    assert cancels == [CancelAttempt("m", 0)] and least <= now <= most
-
-
-@pytest.mark.parametrize("window, whole", [(S, True), (60 * S, False)])
-def test_a_call_that_outlasts_its_window_is_waited_for_till_its_end(
-    window: int, whole: bool
+        actions = dispatcher.handle(now, [ask(f"m{now}", due=60 * S)])
+        outcomes = [
+            end(send, Outcome.DELIVERED, took=50 * MS) for send in sends(actions)
+        ]
+        actions += dispatcher.handle(now + 50 * MS, outcomes)
+        cancels = [action for action in actions if isinstance(action, CancelAttempt)]
+    assert cancels == [CancelAttempt("m", 0)] and earliest <= now <= latest
+
+
+@pytest.mark.parametrize("window, until_deadline", [(S, True), (60 * S, False)])
+def test_call_that_would_outlast_its_window_has_until_the_deadline(
+    window: int, until_deadline: bool
 ) -> None:
-    """Given up after its aim of 2 s it could not be sent again, and would have failed
-    by that alone.
+    """After a timeout at its latency objective of 2 s the message could not be sent
+    again, and would fail for that reason alone.
     """
-    d = started(ONE, **short(window))
-    send = sends(d.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
-    assert (send.timeout_us == 20 * S) is whole and send.timeout_us >= 2 * S
+    dispatcher = started(ONE_ENDPOINT, **short_window_settings(window))
+    send = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    assert (send.timeout_us == 20 * S) is until_deadline and send.timeout_us >= 2 * S
 
 
-def test_what_is_waited_for_till_its_end_shares_no_call_with_what_is_not(
+def test_messages_awaited_until_the_deadline_have_calls_of_their_own(
     tmp_path: Path,
 ) -> None:
-    """A call is given up as a whole: the shorter patience would end them all."""
+    """A call times out as a whole: the shortest timeout in it would end them all."""
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         platform = Platform()
         platform.port = 9
         platform.host("s1", 9)
-        e = Engine(configured(tmp_path, platform, S))
-        e.batch_sizes["plain"] = 20
+        engine = Engine(engine_config(tmp_path, platform, S))
+        engine.batch_sizes["plain"] = 20
         calls: list[CloseIdleConnections | OutboundCall | CancelAttempt] = []
-        forming: dict[tuple[int, bool], OutboundCall] = {}
-        for name, cls, wait in (
+        open_calls: dict[tuple[int, bool], OutboundCall] = {}
+        for message_id, class_name, timeout_us in (
             ("a", "status", 2 * S),
             ("b", "order", 50 * S),
             ("c", "order", 2 * S),
             ("d", "pay", 50 * S),
             ("e", "status", 50 * S),
         ):
-            e.store.append_message(
-                AcceptedMessage(name, cls, 7, 50 * S, None, None, b"")
+            engine.store.append_message(
+                AcceptedMessage(message_id, class_name, 7, 50 * S, None, None, b"")
             )
-            e.add_to_call(SendMessage(name, 1, wait), 0, forming, calls)
-        made = [c for c in calls if isinstance(c, OutboundCall)]
-        assert [[x.id for x in c.items] for c in made] == [["a", "c", "e"], ["b", "d"]]
-        assert [min(x.timeout_at_us for x in c.items) for c in made] == [2 * S, 50 * S]
-        e.store.close()
+            engine.add_to_call(
+                SendMessage(message_id, 1, timeout_us), 0, open_calls, calls
+            )
+        outbound_calls = [call for call in calls if isinstance(call, OutboundCall)]
+        assert [[item.id for item in call.items] for call in outbound_calls] == [
+            ["a", "c", "e"],
+            ["b", "d"],
+        ]
+        assert [
+            min(item.timeout_at_us for item in call.items) for call in outbound_calls
+        ] == [2 * S, 50 * S]
+        engine.store.close()
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-# On the wire
+# Outbound calls
 
 
-class Hand:
+class ManualClock:
     """A clock that the test moves."""
 
     def __init__(self) -> None:
@@ -427,143 +467,148 @@
         return self.now
 
 
-def repeat(clock: Hand, window_us: int, *, beside: bool = False) -> OutboundCall:
+def retry_call(
+    clock: ManualClock, window_us: int, *, with_other_message: bool = False
+) -> OutboundCall:
     items = [
         CallItem(
             "m", 1, "key-m", b"x", clock() + 60 * S, send_before_us=clock() + window_us
         )
     ]
-    if beside:
+    if with_other_message:
         items.append(CallItem("n", 0, "key-n", b"y", clock() + 60 * S))
     return OutboundCall(1, (7, -1), clock(), items)
 
 
 @pytest.mark.parametrize("beside", [False, True])
-def test_a_repeat_whose_connection_comes_up_after_the_window_does_not_leave(
+def test_retry_whose_connection_opens_after_the_window_is_not_sent(
     monkeypatch: pytest.MonkeyPatch, beside: bool
 ) -> None:
-    """Decided in its window, it would have waited for its connection for longer than
-    that lasts. What shares its call goes on without it.
+    """The retry was decided within the window, but its connection opens only after the
+    end of it. Another message in the same call is still sent.
     """
 
-    async def scene() -> None:
-        ends: list[AttemptFinished] = []
+    async def run_scenario() -> None:
+        finished: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
-        clock, gate = Hand(), asyncio.Event()
-        p = ConnectionPool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        clock, connect_allowed = ManualClock(), asyncio.Event()
+        pool = ConnectionPool(clock, finished.append, (), 60 * S, 1_500 * MS, 10)
+        pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         loop = asyncio.get_running_loop()
-        dial = loop.create_connection
+        create_connection = loop.create_connection
 
-        async def held(*args: object, **more: object) -> object:
-            await gate.wait()
-            return await dial(*args, **more)  # type: ignore[arg-type]
+        async def delayed_create_connection(*args: object, **options: object) -> object:
+            await connect_allowed.wait()
+            return await create_connection(*args, **options)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(loop, "create_connection", held)
-        p.start(repeat(clock, S, beside=beside))
+        monkeypatch.setattr(loop, "create_connection", delayed_create_connection)
+        pool.start(retry_call(clock, S, with_other_message=beside))
         await asyncio.sleep(0)
         clock.now += S
-        gate.set()
+        connect_allowed.set()
         async with asyncio.timeout(PATIENCE):
-            while len(ends) < 1 + beside:
+            while len(finished) < 1 + beside:
                 await asyncio.sleep(0)
-        first = next(e for e in ends if e.message_id == "m")
-        assert first.outcome is Outcome.NOT_SENT
-        assert [r.headers["x-correlation-id"] for r in peer.requests] == ["n"] * beside
-        assert p.in_flight == 0 and not p.calls
-        p.close()
+        retry = next(event for event in finished if event.message_id == "m")
+        assert retry.outcome is Outcome.NOT_SENT
+        assert [request.headers["x-correlation-id"] for request in peer.requests] == [
+            "n"
+        ] * beside
+        assert pool.in_flight == 0 and not pool.calls
+        pool.close()
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-def test_a_repeat_held_by_the_last_gate_until_after_the_window_does_not_leave() -> None:
-    async def scene() -> None:
-        ends: list[AttemptFinished] = []
+def test_retry_delayed_by_its_permit_past_the_window_is_not_sent() -> None:
+    async def run_scenario() -> None:
+        finished: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
-        clock = Hand()
-        p = ConnectionPool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        asked: list[int] = []
-
-        def leaves(call: OutboundCall) -> int:
-            asked.append(clock.now)
-            clock.now += S  # the moment that it is held for passes
-            return 1_000 if len(asked) == 1 else 0
-
-        p.acquire_permit = leaves
-        p.start(repeat(clock, S))
+        clock = ManualClock()
+        pool = ConnectionPool(clock, finished.append, (), 60 * S, 1_500 * MS, 10)
+        pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        permit_times: list[int] = []
+
+        def acquire_permit(call: OutboundCall) -> int:
+            permit_times.append(clock.now)
+            clock.now += S  # the window ends while the call waits for its permit
+            return 1_000 if len(permit_times) == 1 else 0
+
+        pool.acquire_permit = acquire_permit
+        pool.start(retry_call(clock, S))
         async with asyncio.timeout(PATIENCE):
-            while not ends:
+            while not finished:
                 await asyncio.sleep(0.001)
         assert (
-            ends[0].outcome is Outcome.NOT_SENT
+            finished[0].outcome is Outcome.NOT_SENT
             and not peer.requests
-            and len(asked) == 1
+            and len(permit_times) == 1
         )
-        p.close()
+        pool.close()
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-def test_a_repeat_that_has_arrived_is_waited_for_past_the_window() -> None:
-    async def scene() -> None:
-        ends: list[AttemptFinished] = []
-        clock, gate = Hand(), asyncio.Event()
+def test_retry_sent_in_the_window_is_awaited_past_its_end() -> None:
+    async def run_scenario() -> None:
+        finished: list[AttemptFinished] = []
+        clock, answer_allowed = ManualClock(), asyncio.Event()
 
-        async def slow(request: object) -> Answer:
-            await gate.wait()
+        async def answer_late(request: object) -> Answer:
+            await answer_allowed.wait()
             return OK
 
-        peer = await Peer(slow).start()
-        p = ConnectionPool(clock, ends.append, (), 60 * S, 1_500 * MS, 10)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        p.start(repeat(clock, 20 * MS))
+        peer = await Peer(answer_late).start()
+        pool = ConnectionPool(clock, finished.append, (), 60 * S, 1_500 * MS, 10)
+        pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        pool.start(retry_call(clock, 20 * MS))
         await peer.got(1)
         clock.now += S
-        await asyncio.sleep(
-            0.2
-        )  # past the moment at which it is looked after: a lower bound, no race
-        assert not ends
-        gate.set()
+        # Past the time at which the pool checks the call; a lower bound, so no race.
+        await asyncio.sleep(0.2)
+        assert not finished
+        answer_allowed.set()
         async with asyncio.timeout(PATIENCE):
-            while not ends:
+            while not finished:
                 await asyncio.sleep(0.001)
-        assert ends[0].outcome is Outcome.DELIVERED
-        p.close()
+        assert finished[0].outcome is Outcome.DELIVERED
+        pool.close()
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-@pytest.mark.parametrize("ran, bound", [(True, True), (False, False)])
-def test_the_engine_tells_how_long_a_repeat_may_leave(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ran: bool, bound: bool
+@pytest.mark.parametrize("may_have_run, limited", [(True, True), (False, False)])
+def test_engine_limits_the_send_time_of_a_retry_that_may_have_run(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, may_have_run: bool, limited: bool
 ) -> None:
-    async def scene() -> None:
+    async def run_scenario() -> None:
         platform = Platform()
         platform.port = 9
         platform.host("s1", 9)
-        e = Engine(configured(tmp_path, platform, 30 * S))
+        engine = Engine(engine_config(tmp_path, platform, 30 * S))
         calls: list[OutboundCall] = []
-        monkeypatch.setattr(e.pool, "start", calls.append)
-        now = e.clock()
-        m = AcceptedMessage("m", "order", 7, now + 50 * S, "key-m", "acme", b"")
-        e.store.append_message(m)
-        e.store.append_attempt(m, 0, now, "s1")
-        e.store.append_outcome(m, 0, ran)
-        e.post(
+        monkeypatch.setattr(engine.pool, "start", calls.append)
+        now = engine.clock()
+        message = AcceptedMessage("m", "order", 7, now + 50 * S, "key-m", "acme", b"")
+        engine.store.append_message(message)
+        engine.store.append_attempt(message, 0, now, "s1")
+        engine.store.append_outcome(message, 0, may_have_run)
+        engine.post(
             MessageRestored(
                 "m",
                 7,
                 "order",
-                m.deadline_us,
+                message.deadline_us,
                 attempts=1,
-                executed_at_us=m.executed_at_us,
-                executed_on=e.endpoint_ids["s1"],
+                executed_at_us=message.executed_at_us,
+                executed_on=engine.endpoint_ids["s1"],
             )
         )
-        e.run_round()
+        engine.run_round()
         (item,) = calls[0].items
-        assert item.send_before_us == (now + 30 * S - TRANSIT_SLACK_US if bound else 0)
-        e.store.close()
+        assert item.send_before_us == (
+            now + 30 * S - TRANSIT_SLACK_US if limited else 0
+        )
+        engine.store.close()
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
