--- a/tests/dispatch/test_recorded_replay.py
+++ b/tests/dispatch/test_recorded_replay.py
@@ -1,5 +1,5 @@
-"""Recorded worlds: every action, in its order and at its time, as it was recorded in
-replay.json.
+"""Recorded worlds: every action equals the one recorded in replay.json, in the same order
+and at the same time.
 """
 
 import json
@@ -25,38 +25,46 @@
 
 
 @cache
-def played(seed: int) -> list[Round]:
+def play_rounds(seed: int) -> list[Round]:
     return list(play(seed))
 
 
 @pytest.mark.parametrize(
-    "recorded", RECORDED, ids=[f"world-{r['seed']}" for r in RECORDED]
+    "recorded", RECORDED, ids=[f"world-{played['seed']}" for played in RECORDED]
 )
 def test_every_action_is_as_recorded(recorded: dict[str, Any]) -> None:
-    rounds, were = played(recorded["seed"]), recorded["actions"]
-    kinds = Counter(recorded_name(a) for r in rounds for a in r.actions)
-    differ = {
-        kind: f"{were.get(kind, 0)} recorded, {kinds[kind]} now"
-        for kind in sorted(kinds.keys() | were.keys())
-        if kinds[kind] != were.get(kind)
+    rounds, recorded_counts = play_rounds(recorded["seed"]), recorded["actions"]
+    counts = Counter(
+        recorded_name(action) for played in rounds for action in played.actions
+    )
+    differences = {
+        kind: f"{recorded_counts.get(kind, 0)} recorded, {counts[kind]} now"
+        for kind in sorted(counts.keys() | recorded_counts.keys())
+        if counts[kind] != recorded_counts.get(kind)
     }
-    for n, r in enumerate(rounds):
-        assert recorded["rounds"][4 * n : 4 * n + 4] == r.digest[:4], (
-            f"first differs in round {n} at {r.now} us, events {r.events}, actions now {r.actions}; {differ}"
+    for index, played in enumerate(rounds):
+        assert recorded["rounds"][4 * index : 4 * index + 4] == played.digest[:4], (
+            f"first differs in round {index} at {played.now} us, events {played.events}, "
+            f"actions now {played.actions}; {differences}"
         )
-    assert rounds[-1].digest == recorded["sha256"] and not differ
+    assert rounds[-1].digest == recorded["sha256"] and not differences
     assert len(recorded["rounds"]) == 4 * len(rounds)
 
 
 def test_worlds_play_every_event_outcome_and_action() -> None:
-    assert [r["seed"] for r in RECORDED] == list(SEEDS)
-    rounds = [r for seed in SEEDS[:16] for r in played(seed)]
-    seen = {type(x) for r in rounds for x in (*r.events, *r.actions)}
-    # No decision asks for a probe, and shares are newer than the record.
+    assert [played["seed"] for played in RECORDED] == list(SEEDS)
+    rounds = [played for seed in SEEDS[:16] for played in play_rounds(seed)]
+    seen = {
+        type(item) for played in rounds for item in (*played.events, *played.actions)
+    }
+    # No rule makes health checks, and quotas are newer than the record.
     assert seen >= {*get_args(Event), *get_args(Action)} - {
         CheckEndpointHealth,
         QuotaChanged,
     }
     assert {
-        e.outcome for r in rounds for e in r.events if isinstance(e, AttemptFinished)
+        event.outcome
+        for played in rounds
+        for event in played.events
+        if isinstance(event, AttemptFinished)
     } == set(Outcome)
--- a/tests/dispatch/test_reference_replay.py
+++ b/tests/dispatch/test_reference_replay.py
@@ -1,8 +1,9 @@
-"""Held messages in queues give, round by round, what sorting them anew gave
-(tests/reference).
+"""The queues of waiting messages give the same actions in every round as the reference
+in tests/reference, which sorts all messages anew.
 
-By hand: python -m tests.dispatch.test_reference_replay FIRST LAST plays the drawn worlds of these
-seeds.
+By hand: `python -m tests.dispatch.test_reference_replay FIRST LAST` plays the random
+worlds of the seeds from FIRST up to LAST, which is left out, and prints how often each
+case occurred.
 """
 
 import sys
@@ -14,8 +15,8 @@
 from tests.reference.pair import Pair
 from tests.support.random_worlds import ROUNDS, SEEDS, World
 
-RECORDED, DRAWN = SEEDS[:14], range(14)
-REACHED = (
+RECORDED_SEEDS, DRAWN_SEEDS = SEEDS[:14], range(14)
+EXPECTED_CASES = (
     # Events and outcomes
     "MessageReceived",
     "AttemptFinished",
@@ -56,7 +57,7 @@
     "RejectMessage: makes way for fresh ones",
     "FailMessage: makes way for fresh ones",
     "RejectMessage: buffer nearly full",
-    # What the queues are asked
+    # Cases of the queues, as tests/reference/pair.py counts them
     "several sends in one round",
     "sent over share",
     "sent again within a scope",
@@ -80,26 +81,31 @@
 )
 
 
-def play(kind: type[World], seed: int, seen: Counter[str]) -> None:
-    world = kind(seed, lambda settings, number, now: Pair(settings, number, now, seen))
+def play(world_type: type[World], seed: int, seen: Counter[str]) -> None:
+    world = world_type(
+        seed,
+        lambda settings, dispatcher_seed, now: Pair(
+            settings, dispatcher_seed, now, seen
+        ),
+    )
     assert sum(1 for _ in world.play(ROUNDS)) == ROUNDS
 
 
-@pytest.mark.parametrize("seed", RECORDED)
-def test_recorded_worlds_come_out_the_same(seed: int) -> None:
+@pytest.mark.parametrize("seed", RECORDED_SEEDS)
+def test_recorded_worlds_match_the_reference(seed: int) -> None:
     play(World, seed, Counter())
 
 
-@pytest.mark.parametrize("seed", DRAWN)
-def test_worlds_with_long_piles_come_out_the_same(seed: int) -> None:
+@pytest.mark.parametrize("seed", DRAWN_SEEDS)
+def test_worlds_with_long_queues_match_the_reference(seed: int) -> None:
     play(Crowd, seed, Counter())
 
 
-def test_worlds_reach_every_branch() -> None:
+def test_drawn_worlds_reach_every_expected_case() -> None:
     seen: Counter[str] = Counter()
-    for seed in DRAWN:
+    for seed in DRAWN_SEEDS:
         play(Crowd, seed, seen)
-    assert {name for name in REACHED if not seen[name]} == set()
+    assert {name for name in EXPECTED_CASES if not seen[name]} == set()
 
 
 if __name__ == "__main__":
--- a/tests/dispatch/test_restored_and_ordered.py
+++ b/tests/dispatch/test_restored_and_ordered.py
@@ -1,5 +1,5 @@
-"""What the renewed terms ask of decisions: when an untried message may be given up, and
-who waits in turn.
+"""Rules of the revised terms: when a message without an attempt may be given up, and how
+messages wait for others of their ordering key.
 """
 
 from __future__ import annotations
@@ -21,124 +21,158 @@
 )
 from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
 
-OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
-ONE = (EndpointEntry(1, 10, "north", "plain"),)
+DELIVERED, REJECTED = Outcome.DELIVERED, Outcome.REJECTED
+ONE_ENDPOINT = (EndpointEntry(1, 10, "north", "plain"),)
 STEP = 20 * MS
-UNTRIED_LEAST = (
-    0.7  # of its time, before which an untried message is not to be given up
-)
-BEHIND_MOST = 0.3  # more often than others those behind an open one may be refused
+# Share of its time before which a message without an attempt must not be given up.
+LEAST_UNTRIED_TIME_SHARE = 0.7
+# By how much the share of rejected messages may be higher behind an open message of the
+# same key than among all others.
+MOST_EXTRA_REJECTIONS_SHARE = 0.3
 
 
-class Play:
-    """One destination that answers each call in the same time, and refuses those above
-    its rate.
+class Simulation:
+    """A dispatcher and one destination, which answers every call after the same time and
+    rejects those above its rate.
     """
 
-    def __init__(self, seed: int, balancers: int, rate: float, took: int) -> None:
+    def __init__(
+        self, seed: int, forwarder_count: int, rate_per_s: float, duration_us: int
+    ) -> None:
         self.random, self.now = Random(seed), 10 * S
         self.dispatcher = Dispatcher(
-            settings(forwarder_count=balancers, max_in_flight=20), seed, self.now
+            settings(forwarder_count=forwarder_count, max_in_flight=20), seed, self.now
         )
-        self.rate, self.took = rate, took
-        self.out: list[tuple[int, SendMessage, int, Outcome]] = []
-        self.room = 1.0
-        self.tried: set[str] = set()
-        self.given: dict[str, int] = {}
-        self.delivered: set[str] = set()
+        self.rate_per_s, self.duration_us = rate_per_s, duration_us
+        self.in_flight: list[tuple[int, SendMessage, int, Outcome]] = []
+        self.tokens = 1.0
+        self.tried_ids: set[str] = set()
+        self.answered_at: dict[str, int] = {}
+        self.delivered_ids: set[str] = set()
         self.carry_out(
             self.dispatcher.handle(
-                self.now, [EndpointListChanged(EndpointListKind.CACHED, ONE)]
+                self.now, [EndpointListChanged(EndpointListKind.CACHED, ONE_ENDPOINT)]
             )
         )
 
     def carry_out(self, actions: list[Action]) -> None:
         for send in sends(actions):
-            self.tried.add(send.message_id)
-            full = self.room < 1
-            self.room -= not full
-            number = self.dispatcher.state.messages[send.message_id].attempts - 1
-            self.out.append(
+            self.tried_ids.add(send.message_id)
+            is_over_rate = self.tokens < 1
+            self.tokens -= not is_over_rate
+            attempt = self.dispatcher.state.messages[send.message_id].attempts - 1
+            self.in_flight.append(
                 (
-                    self.now + (5 * MS if full else self.took),
+                    self.now + (5 * MS if is_over_rate else self.duration_us),
                     send,
-                    number,
-                    FULL if full else OK,
+                    attempt,
+                    REJECTED if is_over_rate else DELIVERED,
                 )
             )
-        for a in finals(actions):
-            self.given[a.message_id] = self.now
+        for answer in finals(actions):
+            self.answered_at[answer.message_id] = self.now
 
     def step(self, events: list[Event]) -> None:
         self.now += STEP
-        self.room = min(2.0, self.room + self.rate * STEP / S)
-        due = [o for o in self.out if o[0] <= self.now]
-        self.out = [o for o in self.out if o[0] > self.now]
-        self.delivered |= {
-            send.message_id for _, send, _, outcome in due if outcome is OK
+        self.tokens = min(2.0, self.tokens + self.rate_per_s * STEP / S)
+        finished = [call for call in self.in_flight if call[0] <= self.now]
+        self.in_flight = [call for call in self.in_flight if call[0] > self.now]
+        self.delivered_ids |= {
+            send.message_id for _, send, _, outcome in finished if outcome is DELIVERED
         }
-        ends = [end(send, outcome, number, 5 * MS) for _, send, number, outcome in due]
+        outcomes = [
+            end(send, outcome, attempt, 5 * MS)
+            for _, send, attempt, outcome in finished
+        ]
         self.carry_out(
-            self.dispatcher.handle(self.now, [*ends, *events, TimerExpired("look")])
+            self.dispatcher.handle(self.now, [*outcomes, *events, TimerExpired("look")])
         )
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_an_untried_message_is_kept_for_seven_tenths_of_its_time_in_a_large_fleet(
+def test_large_fleet_keeps_untried_messages_for_most_of_their_time(
     seed: int,
 ) -> None:
-    """Twice as many come as go, so most are given up; those without a call not
-    before.
+    """Twice as many messages arrive as the destination accepts, so most are given up,
+    but none without an attempt before that time.
     """
-    play, came = Play(seed, 230, rate=4, took=40 * MS), dict[str, int]()
+    simulation, received_at = (
+        Simulation(seed, 230, rate_per_s=4, duration_us=40 * MS),
+        dict[str, int](),
+    )
     for _ in range(500):
-        arrives = [f"m{len(came)}"] if play.random.random() < 8 * STEP / S else []
-        came |= dict.fromkeys(arrives, play.now + STEP)
-        play.step([ask(name, due=play.now + STEP + 6 * S) for name in arrives])
-    untried = {
-        name: at - came[name]
-        for name, at in play.given.items()
-        if name not in play.tried and at > came[name]
+        new_ids = (
+            [f"m{len(received_at)}"]
+            if simulation.random.random() < 8 * STEP / S
+            else []
+        )
+        received_at |= dict.fromkeys(new_ids, simulation.now + STEP)
+        simulation.step(
+            [
+                ask(message_id, due=simulation.now + STEP + 6 * S)
+                for message_id in new_ids
+            ]
+        )
+    untried_times = {
+        message_id: answered_at - received_at[message_id]
+        for message_id, answered_at in simulation.answered_at.items()
+        if message_id not in simulation.tried_ids
+        and answered_at > received_at[message_id]
     }
-    assert len(untried) > 10 and min(untried.values()) >= UNTRIED_LEAST * 6 * S
+    assert (
+        len(untried_times) > 10
+        and min(untried_times.values()) >= LEAST_UNTRIED_TIME_SHARE * 6 * S
+    )
 
 
-def refused_in_turn(seed: int, balancers: int) -> tuple[int, int, int, int]:
-    """Messages that came behind an open one of their key, all others, and how many of
-    each were refused.
+def count_rejections(seed: int, forwarder_count: int) -> tuple[int, int, int, int]:
+    """Counts the messages that arrived behind an open one of their key, all others, and
+    how many of each were rejected.
     """
-    play = Play(seed, balancers, rate=30, took=60 * MS)
-    behind, others, of_key = set[str](), set[str](), dict[str, set[str]]()
+    simulation = Simulation(seed, forwarder_count, rate_per_s=30, duration_us=60 * MS)
+    behind_open, other_ids, ids_by_key = set[str](), set[str](), dict[str, set[str]]()
     for number in range(1500):
-        name, due = f"m{number}", play.now + STEP + 9 * S
-        drawn = play.random.random() * S / STEP
-        if drawn < 4:
-            key = f"k{play.random.randrange(8)}"
-            before = of_key.setdefault(key, set())
-            (behind if before - play.given.keys() - play.delivered else others).add(
-                name
+        message_id, deadline = f"m{number}", simulation.now + STEP + 9 * S
+        draw = simulation.random.random() * S / STEP
+        if draw < 4:
+            key = f"k{simulation.random.randrange(8)}"
+            former_ids = ids_by_key.setdefault(key, set())
+            (
+                behind_open
+                if former_ids - simulation.answered_at.keys() - simulation.delivered_ids
+                else other_ids
+            ).add(message_id)
+            former_ids.add(message_id)
+            simulation.step(
+                [ask(message_id, cls="turns", due=deadline, ordering_key=key)]
             )
-            before.add(name)
-            play.step([ask(name, cls="turns", due=due, ordering_key=key)])
-        elif drawn < 8:
-            others.add(name)
-            play.step([ask(name, cls="keyed", due=due)])
+        elif draw < 8:
+            other_ids.add(message_id)
+            simulation.step([ask(message_id, cls="keyed", due=deadline)])
         else:
-            play.step([])
-    given = play.given.keys()
-    return len(behind), len(others), len(behind & given), len(others & given)
+            simulation.step([])
+    answered = simulation.answered_at.keys()
+    return (
+        len(behind_open),
+        len(other_ids),
+        len(behind_open & answered),
+        len(other_ids & answered),
+    )
 
 
 @pytest.mark.parametrize("balancers", [2, 20])
-def test_those_behind_an_open_one_are_not_refused_much_more_often(
+def test_ordered_messages_behind_an_open_one_are_not_rejected_much_more_often(
     balancers: int,
 ) -> None:
-    """Messages that go in turn, of eight keys, beside as many that do not, on a calm
-    day.
+    """Half of the messages are ordered, by eight keys, and half are not; the destination
+    has no faults.
     """
-    counted = [refused_in_turn(seed, balancers) for seed in range(8)]
-    behind, others, behind_refused, others_refused = (
-        sum(column) for column in zip(*counted, strict=True)
+    counts = [count_rejections(seed, balancers) for seed in range(8)]
+    behind_open, others, behind_rejected, others_rejected = (
+        sum(column) for column in zip(*counts, strict=True)
+    )
+    assert behind_open > 20 and others > 1000
+    assert (
+        behind_rejected / behind_open - others_rejected / others
+        <= MOST_EXTRA_REJECTIONS_SHARE
     )
-    assert behind > 20 and others > 1000
-    assert behind_refused / behind - others_refused / others <= BEHIND_MOST
--- a/tests/dispatch/test_rules.py
+++ b/tests/dispatch/test_rules.py
@@ -1,5 +1,8 @@
-"""The rules, held against random event scripts by a checker that knows nothing of the
-module.
+"""The rules on random event scripts, asserted by a checker that uses nothing of the
+dispatcher but its events and actions.
+
+The sources of the tests with `derandomize` choose their examples: hypothesis takes its
+seed from the text of the function, its name included.
 """
 
 from hypothesis import given
@@ -11,8 +14,8 @@
 
 
 def play(seed: int, rounds: int = 900, **changes: object) -> Script:
-    known = settings(**changes)
-    script = Script(Dispatcher(known, seed, 0), known, seed)
+    script_settings = settings(**changes)
+    script = Script(Dispatcher(script_settings, seed, 0), script_settings, seed)
     script.run(rounds)
     return script
 
@@ -41,8 +44,8 @@
     )
 
 
-def test_scripts_see_every_kind_of_answer() -> None:
+def test_random_scripts_reach_every_final_answer() -> None:
     scripts = [play(seed) for seed in range(4)]
-    assert sum(s.delivered for s in scripts) > 50
-    assert sum(s.refused for s in scripts) > 50
-    assert sum(s.failed for s in scripts) > 5
+    assert sum(script.delivered for script in scripts) > 50
+    assert sum(script.refused for script in scripts) > 50
+    assert sum(script.failed for script in scripts) > 5
