--- a/tests/dispatch/test_decisions.py
+++ b/tests/dispatch/test_decisions.py
@@ -278,10 +278,14 @@
     look hung (seen in i93776c).
     """
     dispatcher = started(ONE_ENDPOINT)
-    for n in range(6):
-        sent = sends(dispatcher.handle(n * S, [ask(f"m{n}", due=n * S + 300 * MS)]))
+    for number in range(6):
+        sent = sends(
+            dispatcher.handle(
+                number * S, [ask(f"m{number}", due=number * S + 300 * MS)]
+            )
+        )
         actions = dispatcher.handle(
-            n * S + 300 * MS, [end(sent[0], TIMED_OUT, took=300 * MS)]
+            number * S + 300 * MS, [end(sent[0], TIMED_OUT, took=300 * MS)]
         )
         assert not [action for action in actions if isinstance(action, LogNote)]
 
@@ -618,10 +622,10 @@
         ],
     )
     dispatcher.handle(2, [EndpointListChanged(EndpointListKind.SNAPSHOT, endpoints)])
-    for n in range(20):
-        sent = sends(dispatcher.handle(n * S + 3, [ask(f"m{n}", due=60 * S)]))
+    for number in range(20):
+        sent = sends(dispatcher.handle(number * S + 3, [ask(f"m{number}", due=60 * S)]))
         assert [send.endpoint for send in sent] == [2]
-        dispatcher.handle(n * S + 100 * MS, [end(sent[0], DELIVERED)])
+        dispatcher.handle(number * S + 100 * MS, [end(sent[0], DELIVERED)])
     actions = dispatcher.handle(21 * S, [EndpointEnabled(1)])
     assert (RecordOutage(1, 0, 21 * S) if sick else RecordOutage(1, -1, -1)) in actions
     assert (
@@ -639,11 +643,12 @@
 def test_enabled_scoped_endpoint_starts_with_a_window_of_one() -> None:
     dispatcher = started((EndpointEntry(4, 12, "north", "ways"),))
     sent = sends(dispatcher.handle(0, [ask("a", 12)]))
-    for n in range(1, 5):
-        new_messages = [ask(f"m{n}-{k}", 12) for k in range(3)]
+    for round_number in range(1, 5):
+        new_messages = [ask(f"m{round_number}-{number}", 12) for number in range(3)]
         sent = sends(
             dispatcher.handle(
-                n * 50 * MS, [*(end(send, DELIVERED) for send in sent), *new_messages]
+                round_number * 50 * MS,
+                [*(end(send, DELIVERED) for send in sent), *new_messages],
             )
         )
     assert dispatcher.state.endpoints[4].throttle_scope.concurrency_window > 2
@@ -653,7 +658,13 @@
         + [EndpointDisabled(4), EndpointEnabled(4)],
     )
     assert (
-        len(sends(dispatcher.handle(301 * MS, [ask(f"late{k}", 12) for k in range(3)])))
+        len(
+            sends(
+                dispatcher.handle(
+                    301 * MS, [ask(f"late{number}", 12) for number in range(3)]
+                )
+            )
+        )
         == 1
     )
 
--- a/tests/dispatch/test_many_forwarders.py
+++ b/tests/dispatch/test_many_forwarders.py
@@ -361,8 +361,8 @@
     in slow start for 11 s.
     """
     dispatcher, now = make_fleet(40)[0], 0
-    for n in range(9):
-        actions = dispatcher.handle(now, [ask(f"m{n}", due=now + 60 * S)])
+    for number in range(9):
+        actions = dispatcher.handle(now, [ask(f"m{number}", due=now + 60 * S)])
         while not sends(actions):
             now += 50 * MS
             actions = dispatcher.handle(now, [TimerExpired("look")])
@@ -389,11 +389,11 @@
     """
     dispatcher = make_fleet(40)[0]
     sent = []
-    for n, now in enumerate((0, 5 * S)):
-        sent += sends(dispatcher.handle(now, [ask(f"m{n}", due=60 * S)]))
+    for number, now in enumerate((0, 5 * S)):
+        sent += sends(dispatcher.handle(now, [ask(f"m{number}", due=60 * S)]))
         dispatcher.handle(
             now + MS,
-            [end(sent[-1], Outcome.NO_CONNECTION), MessageWithdrawn(f"m{n}")],
+            [end(sent[-1], Outcome.NO_CONNECTION), MessageWithdrawn(f"m{number}")],
         )
     assert dispatcher.in_slow_start(dispatcher.state.endpoints[1])
     actions, now = dispatcher.handle(6 * S, [ask("back", due=60 * S)]), 6 * S
@@ -423,15 +423,18 @@
             EndpointListChanged(
                 EndpointListKind.CACHED,
                 tuple(
-                    EndpointEntry(n, 10, "north", "plain", weight=30.0) for n in (1, 2)
+                    EndpointEntry(number, 10, "north", "plain", weight=30.0)
+                    for number in (1, 2)
                 ),
             )
         ],
     )
     now = 0
-    for n in range(8):
+    for number in range(8):
         now += 4 * S
-        for send in sends(dispatcher.handle(now, [ask(f"m{n}", due=now + 60 * S)])):
+        for send in sends(
+            dispatcher.handle(now, [ask(f"m{number}", due=now + 60 * S)])
+        ):
             dispatcher.handle(
                 now + MS,
                 [
--- a/tests/dispatch/test_reference_replay.py
+++ b/tests/dispatch/test_reference_replay.py
@@ -15,7 +15,7 @@
 from tests.reference.pair import Pair
 from tests.support.random_worlds import ROUNDS, SEEDS, World
 
-RECORDED_SEEDS, DRAWN_SEEDS = SEEDS[:14], range(14)
+RECORDED_SEEDS, LONG_QUEUE_SEEDS = SEEDS[:14], range(14)
 EXPECTED_CASES = (
     # Events and outcomes
     "MessageReceived",
@@ -96,14 +96,14 @@
     play(World, seed, Counter())
 
 
-@pytest.mark.parametrize("seed", DRAWN_SEEDS)
+@pytest.mark.parametrize("seed", LONG_QUEUE_SEEDS)
 def test_worlds_with_long_queues_match_the_reference(seed: int) -> None:
     play(Crowd, seed, Counter())
 
 
-def test_drawn_worlds_reach_every_expected_case() -> None:
+def test_worlds_with_long_queues_reach_every_expected_case() -> None:
     seen: Counter[str] = Counter()
-    for seed in DRAWN_SEEDS:
+    for seed in LONG_QUEUE_SEEDS:
         play(Crowd, seed, seen)
     assert {name for name in EXPECTED_CASES if not seen[name]} == set()
 
