--- a/tests/dispatch/test_decisions.py
+++ b/tests/dispatch/test_decisions.py
@@ -292,8 +292,8 @@
 
 def test_nearly_full_buffer_rejects_new_messages_of_the_longest_queue() -> None:
     """The queue of one destination filled the buffer, and new messages for all others
-    were rejected (seen in i93776c). Accepted messages stay: giving them up for new ones
-    has a price in a large fleet, and cost 0.03 here.
+    were rejected (seen in i93776c). Accepted messages stay: they used to be given up for
+    new ones, which has a price in a large fleet and cost 0.03 here.
     """
     dispatcher = started(max_open_messages=20)
     dispatcher.handle(
--- a/tests/dispatch/test_restored_and_ordered.py
+++ b/tests/dispatch/test_restored_and_ordered.py
@@ -94,7 +94,7 @@
     seed: int,
 ) -> None:
     """Twice as many messages arrive as the destination accepts, so most are given up,
-    but none without an attempt before that time.
+    but none without an attempt before seven tenths of its time.
     """
     simulation, received_at = (
         Simulation(seed, 230, rate_per_s=4, duration_us=40 * MS),
