--- a/tests/dispatch/test_many_forwarders.py
+++ b/tests/dispatch/test_many_forwarders.py
@@ -132,9 +132,12 @@
 
 def max_calls_in_window(call_times: list[int], start: int, length: int) -> int:
     """The most calls in any window of `length` that begins at or after `start`."""
-    calls = [first for first in call_times if first >= start]
+    calls = [window_start for window_start in call_times if window_start >= start]
     return max(
-        (sum(first <= call < first + length for call in calls) for first in calls),
+        (
+            sum(window_start <= call < window_start + length for call in calls)
+            for window_start in calls
+        ),
         default=0,
     )
 
@@ -164,8 +167,8 @@
     number: int, times: float, least: float
 ) -> None:
     """Endpoints that count rejected calls delivered nothing for 10 s: all forwarders
-    retried after each rejection, and their shares began so high and grew so fast that
-    calls near the limit exceeded it.
+    retried after each rejection, and their calls began and grew so fast that those near
+    the limit exceeded it.
     """
     assert count_delivered_calls(number, 10, 20 * S, times) >= least * 10 * 20
 
