--- a/rainfall/forwarder/engine/action_runner.py
+++ b/rainfall/forwarder/engine/action_runner.py
@@ -1,4 +1,4 @@
-"""What a round's decisions do: records in the journal, timers, calls to be sent."""
+"""Execution of the dispatcher's actions: journal records, timers and outgoing calls."""
 
 from __future__ import annotations
 
@@ -31,7 +31,11 @@
 
 
 class ActionRunner:
-    """Journals a round's decisions, and lists the steps that wait for the journal."""
+    """Executes the actions of one round.
+
+    Actions that must not take effect before the round's journal records are committed
+    are returned as steps for `RoundCompletion`.
+    """
 
     def __init__(
         self,
@@ -50,10 +54,14 @@
         self.outcomes, self.call_dispatch = outcomes, call_dispatch
 
     def run_actions(self, actions: list[Action], now: int) -> list[CallStep]:
-        """Carry out a round's actions in order.
+        """Execute a round's actions in order.
+
+        Args:
+            actions: The dispatcher's actions.
+            now: Start of the round, in microseconds of the engine's clock.
 
         Returns:
-            The steps that have to wait until the journal is committed.
+            The steps to execute once the round's records are committed, in order.
         """
         steps: list[CallStep] = []
         open_calls: dict[tuple[int, bool], OutboundCall] = {}
@@ -67,7 +75,7 @@
         return steps
 
     def run_action(self, action: Action, now: int) -> None:
-        """Carry out an action that waits for nothing."""
+        """Execute an action that doesn't have to wait for the commit."""
         match action:
             case RejectMessage() | FailMessage():
                 if action.message_id in self.store.messages:
@@ -89,16 +97,16 @@
     def journal_final_answer(
         self, decision: RejectMessage | FailMessage, now: int
     ) -> None:
-        """Journal and count the end of an accepted message that was given up.
+        """Journal and count the rejection or failure of an accepted message.
 
-        The dispatcher decided on that; the journal's record is the answer that the
-        message's client is notified of. `EventKind` lists the names of both ends.
+        The client receives the journaled state in a notification. `EventKind` lists the
+        names that each place uses for the two states.
         """
         if isinstance(decision, RejectMessage):
             event_kind = EventKind.RETURNED
             state = NotificationState.RETURNED
             counts = self.metrics.throttled
-            retry_after_ms = -(-decision.retry_after_us // US_PER_MS)  # rounded up
+            retry_after_ms = -(-decision.retry_after_us // US_PER_MS)  # round up
         else:
             event_kind = EventKind.FAILED
             state = NotificationState.FAILED
--- a/rainfall/forwarder/engine/call_dispatch.py
+++ b/rainfall/forwarder/engine/call_dispatch.py
@@ -1,4 +1,4 @@
-"""Attempts that become calls to endpoints, and the journal records before they leave."""
+"""Outgoing calls: batching attempts, journaling them and final checks before sending."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
 from rainfall.forwarder.units import US_PER_SECOND
 
 MAX_EARLY_TIMEOUT_US = 150_000
-"""By so much at most a call ends before its message's deadline when the event loop is
-late.
+"""Maximum time by which a call times out before its message's deadline, to allow for a
+delayed event loop.
 """
 EARLY_TIMEOUT_DIVISOR = 4
-"""And by no more than this fraction of the time that is left."""
+"""That margin is also at most this part (1/4) of the time left until the deadline."""
 UNPERSISTED_RETRY_S = 0.25
-"""Before an attempt that could not be journaled is decided on again; it doubles."""
+"""Backoff if a message's first attempt could not be journaled; doubles per attempt."""
 
 CallStep = CloseIdleConnections | OutboundCall | CancelAttempt
-"""What a round does to connections, in its order."""
+"""An action on connections that waits until the round's records are committed."""
 
 
 class CallDispatch:
-    """Puts attempts into calls and says which of them may leave."""
+    """Batches attempts into calls, and decides which of them may still be sent."""
 
     def __init__(
         self,
@@ -71,65 +71,72 @@
         action: SendMessage,
         now: int,
         open_calls: dict[tuple[int, bool], OutboundCall],
-        calls: list[CallStep],
+        steps: list[CallStep],
     ) -> None:
-        """Count an attempt and put it into a call.
+        """Add an attempt to a call, and journal it as the durability level requires.
 
-        The attempts of one round to one endpoint share calls. A call times out as a
-        whole, so messages that wait until their deadline share none with those that may
-        be retried sooner.
+        Attempts of the same round to the same endpoint are batched. A call times out as
+        a whole, so an attempt that waits until the message's deadline is never batched
+        with one that can be retried sooner.
 
         Args:
-            action: The attempt that was decided on.
-            now: The round's time.
-            open_calls: The round's calls that may take more attempts, by endpoint and
-                by whether they wait until the deadline; changed.
-            calls: The round's steps; a new call is added.
+            action: The attempt to make.
+            now: Start of the round, in microseconds of the engine's clock.
+            open_calls: The round's last call for each endpoint and for each value of
+                "waits until the deadline"; modified.
+            steps: The round's steps; a new call is appended.
         """
         message = self.store.messages.get(action.message_id)
         if message is None:
-            # Only after a fault in a decision: the slot has to come free again.
+            # Only possible after an exception in the dispatcher. The outcome makes it
+            # release the concurrency slot of the attempt.
             self.post_not_sent(action, 0, message_closed=True)
             return
         endpoint_name = self.directory.names.get(action.endpoint, "")
         attempt = message.attempts
-        endpoint = self.checked_endpoint(endpoint_name, message.destination)
+        endpoint = self.find_endpoint(endpoint_name, message.destination)
         if endpoint is None:
             message.attempts += 1
             self.post_not_sent(action, attempt)
             return
-        self.count_attempt(message, attempt, now, endpoint_name)
+        self.journal_planned_attempt(message, attempt, now, endpoint_name)
         message_class = self.store.class_of(message)
-        item = self.to_item(message, message_class, attempt, now, action.timeout_us)
+        item = self.to_call_item(
+            message, message_class, attempt, now, action.timeout_us
+        )
         waits_until_deadline = is_awaited_until_deadline(
             message, message_class, action.timeout_us, now
         )
         call = open_calls.get((action.endpoint, waits_until_deadline))
-        if call is None or not self.has_space(call, endpoint, item):
+        if call is None or not self.fits_call(call, endpoint, item):
             throttle_scope = self.directory.throttle_scope(
                 message.destination, action.endpoint, endpoint
             )
             call = OutboundCall(action.endpoint, throttle_scope, now, [])
             open_calls[action.endpoint, waits_until_deadline] = call
-            calls.append(call)
+            steps.append(call)
         call.items.append(item)
 
-    def checked_endpoint(self, name: str, destination: int) -> ListedEndpoint | None:
-        """An endpoint, if it is one of this destination.
+    def find_endpoint(self, name: str, destination: int) -> ListedEndpoint | None:
+        """Return the listed endpoint of that name if it belongs to the destination.
 
-        This is the last check before the wire: a message that reaches the wrong
-        destination cannot be called back.
+        Otherwise log an error and return None. This is the last check before sending: a
+        message that was sent to the wrong destination cannot be recalled.
         """
         endpoint = self.directory.endpoints.get(name)
         if endpoint is not None and endpoint.destination == destination:
             return endpoint
-        log.error("held back: %s is no target of destination %d", name, destination)
+        log.error(
+            "attempt not sent: endpoint %r is not listed for destination %d",
+            name,
+            destination,
+        )
         return None
 
     def post_not_sent(
         self, action: SendMessage, attempt: int, *, message_closed: bool = False
     ) -> None:
-        """Report an attempt that was decided on and cannot be made."""
+        """Post the outcome NOT_SENT for an attempt that cannot be made."""
         self.events.post(
             AttemptFinished(
                 action.message_id,
@@ -141,20 +148,23 @@
             )
         )
 
-    def count_attempt(
+    def journal_planned_attempt(
         self, message: AcceptedMessage, attempt: int, now: int, endpoint_name: str
     ) -> None:
-        """Journal that an attempt is about to be made, as the durability level asks."""
+        """Append the journal record that precedes the commit of the round.
+
+        With the level `power` that is the record of the attempt, because it has to be
+        synced before the call starts. With `process` it is a placeholder, the outcome
+        "not executed": `record_attempts` journals the attempt later, and the
+        placeholder shows in time whether the disk has space for that.
+        """
         if self.state.config.power:
-            # It has to be synced, and its connection is established meanwhile.
             self.store.append_attempt(message, attempt, now, endpoint_name)
             return
-        # This record says nothing yet. It shows whether the disk has room for those
-        # that will follow.
         message.attempts = attempt + 1
         self.store.append_outcome(message, attempt, False)
 
-    def to_item(
+    def to_call_item(
         self,
         message: AcceptedMessage,
         message_class: MessageClass | None,
@@ -162,7 +172,7 @@
         now: int,
         timeout_us: int,
     ) -> CallItem:
-        """An attempt as a call has it."""
+        """Return an attempt as an item of a call, with its timeout and send limit."""
         timeout_at_us = now + min(timeout_us, self.call_timeout_us(message, now))
         return CallItem(
             message.id,
@@ -173,19 +183,21 @@
             send_before_us(message, message_class),
         )
 
-    def has_space(
+    def fits_call(
         self, call: OutboundCall, endpoint: ListedEndpoint, item: CallItem
     ) -> bool:
-        """Whether one more attempt may share a call."""
+        """Return whether an item can be added to a call, by batch size and bytes."""
         return len(call.items) < self.directory.batch_size(endpoint) and fits_batch(
             call.items, item
         )
 
     def call_timeout_us(self, message: AcceptedMessage, now: int) -> int:
-        """How long a call may take at most.
+        """Return the maximum duration of a call, in microseconds.
 
-        A late event loop ends it so much sooner, or its message would be past its
-        deadline by then; an attempt with little time keeps most of it.
+        It ends before the deadline by the expected delay of the event loop, because the
+        timeout itself fires that late. The margin is limited by MAX_EARLY_TIMEOUT_US
+        and EARLY_TIMEOUT_DIVISOR, so that an attempt with little time left keeps most
+        of it.
         """
         remaining_us = message.deadline_us - now
         return remaining_us - min(
@@ -195,19 +207,26 @@
         )
 
     def drop_unsendable(self, call: OutboundCall, committed: bool) -> bool:
-        """Leave out of a call the attempts that must not leave.
+        """Remove from a call the attempts that must not be sent any more.
 
-        These are the ones of messages withdrawn meanwhile and, where attempts cannot be
-        journaled, those that a restart must not repeat. Their slots come free after a
-        while: at once, a failing disk would have them retried without a pause.
+        They are reported with the outcome NOT_SENT. The reasons are:
+
+        - The message was withdrawn during the commit.
+        - Shutdown has frozen the engine, or, with the level `power`, a Retry-After was
+          received during the sync.
+        - The commit failed, and a restart must not repeat the attempt. This outcome is
+          delayed by a backoff: reported at once, it would make the dispatcher retry
+          in a tight loop for as long as the disk fails.
+
+        Args:
+            call: The call; its items are replaced.
+            committed: Whether the round's records were committed.
 
         Returns:
-            Whether any attempt is left.
+            Whether any item is left.
         """
         kept: list[CallItem] = []
-        # A Retry-After may have come while the record was synced, or shutdown may have
-        # frozen the process: then the attempt counts as never sent.
-        must_wait = self.state.frozen or (
+        must_not_send = self.state.frozen or (
             self.state.config.power
             and self.clock() < self.pool.retry_after_until.get(call.throttle_scope, 0)
         )
@@ -215,7 +234,7 @@
             message = self.store.messages.get(item.id)
             if (
                 message is not None
-                and not must_wait
+                and not must_not_send
                 and (committed or self.may_send_unrecorded(message))
             ):
                 kept.append(item)
@@ -239,13 +258,14 @@
         return bool(kept)
 
     def record_attempts(self, call: OutboundCall) -> bool:
-        """Journal a call's attempts right before its first byte, and no sooner.
+        """Journal a call's attempts right before its first byte is sent.
 
-        If the process is killed while the connection is being established, it is then
-        known that the call was never executed.
+        Not earlier, so that if the process is killed while the connection is being
+        established, the journal shows that the call was never executed. With the level
+        `power` the attempts are journaled already.
 
         Returns:
-            Whether the call may leave.
+            Whether the call may be sent.
         """
         if self.state.config.power:
             return True
@@ -268,7 +288,7 @@
         )
 
     def on_call_sent(self, call: OutboundCall) -> None:
-        """Report that a call's first byte was handed to its socket."""
+        """Count a call against the fleet quota and trace it, after its first byte."""
         at_ns = time.monotonic_ns()
         if self.state.fleet is not None:
             self.state.fleet.on_call_sent(call)
@@ -287,18 +307,20 @@
                 )
 
     def unpersisted_retry_s(self, message: AcceptedMessage, attempt: int) -> float:
-        """How long after an attempt that could not be journaled the next one may come.
+        """Return the backoff after an attempt that could not be journaled, in seconds.
 
-        Each one uses up an attempt: at a steady pace, all would be used up before a
-        full disk has room again.
+        Every such attempt counts towards the message's maximum. At a constant interval
+        all attempts could be used up before a full disk has space again, so the backoff
+        doubles. It ends at the message's deadline at the latest.
         """
         remaining_s = (message.deadline_us - self.clock()) / US_PER_SECOND
         return max(0.0, min(UNPERSISTED_RETRY_S * 2.0**attempt, remaining_s))
 
     def may_send_unrecorded(self, message: AcceptedMessage) -> bool:
-        """Whether an attempt may leave that a restart would not know of.
+        """Return whether an attempt may be sent without a journal record.
 
-        At the durability level `power` none may.
+        A restart could repeat such an attempt. So the message must be idempotent in
+        itself and have no ordering key, and the durability level must be `process`.
         """
         message_class = self.store.class_of(message)
         return (
@@ -315,7 +337,7 @@
     timeout_us: int,
     now: int,
 ) -> bool:
-    """Whether an attempt's response is waited for until the message's deadline."""
+    """Return whether an attempt waits for its response until the message's deadline."""
     if message_class is None:
         return False
     if message_class.idempotency is Idempotency.AT_MOST_ONCE:
@@ -328,10 +350,11 @@
 
 
 def send_before_us(message: AcceptedMessage, message_class: MessageClass | None) -> int:
-    """When the last byte of an attempt must have left, in the clock's microseconds.
+    """Return the time by which the last byte of an attempt must be sent; 0 for no limit.
 
-    It binds a message with an idempotency key that may have been executed; 0 where
-    there is no such bound.
+    The limit applies to a message with an idempotency key that may have been executed
+    already: later, the endpoint may have dropped the key and would execute the message
+    again. In microseconds of the engine's clock.
     """
     if (
         message_class is None
--- a/rainfall/forwarder/engine/capacity.py
+++ b/rainfall/forwarder/engine/capacity.py
@@ -1,28 +1,31 @@
-"""The bounds on messages held: their number, the disk and the memory.
+"""Capacity limits on open messages: their number, disk space and memory.
 
-The memory of a held message was measured (docs/CAPACITY.md): some 340 bytes in the
-decisions, 630 in the journal's state, and at most 1,740 with both while a checkpoint is
-written; its body comes on top.
+The memory use of an open message was measured (docs/CAPACITY.md): about 340 bytes in the
+dispatcher and 630 in the journal's state; at most 1,740 bytes in total while a
+checkpoint is written. The message body is not included.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-MEGABYTE = 1_000_000
-"""In bytes."""
-PROCESS_BYTES = 24 * MEGABYTE
-"""Memory of the process with no messages held."""
+BYTES_PER_MB = 1_000_000
+BASE_PROCESS_BYTES = 24 * BYTES_PER_MB
+"""Memory of the process without any open message."""
 MESSAGE_BYTES = 1_800
-"""Memory of a held message at most, beside what the journal keeps of it."""
-HELD_SHARE = 0.8
-"""Of the memory beside the process's own; the rest is for connections and calls."""
-MIN_HELD_BYTES = MEGABYTE
-"""Memory for messages where the limit is hardly above the process's own."""
+"""Maximum memory of an open message, without its journal record."""
+MESSAGE_MEMORY_FRACTION = 0.8
+"""Fraction of the memory above BASE_PROCESS_BYTES that open messages may use; the rest
+is for connections and calls.
+"""
+MIN_HELD_BYTES = BYTES_PER_MB
+"""Memory that open messages may use even if the process limit is lower than
+BASE_PROCESS_BYTES or hardly above it.
+"""
 
 
 class CapacityBound(Enum):
-    """A bound that is reached. The value is a phrase for the log."""
+    """A capacity limit; the value is its description in the log."""
 
     MESSAGES = "the number of messages (max_open)"
     DISK = "the journal's share of the disk (disk_mb)"
@@ -30,16 +33,23 @@
 
 
 def held_message_bytes(memory_mb: int) -> int:
-    """The bytes that held messages may take within a limit of the process in megabytes."""
-    return max(MIN_HELD_BYTES, int(HELD_SHARE * (memory_mb * MEGABYTE - PROCESS_BYTES)))
+    """Return the bytes that open messages may use.
+
+    Args:
+        memory_mb: Memory limit of the process, in megabytes.
+    """
+    return max(
+        MIN_HELD_BYTES,
+        int(MESSAGE_MEMORY_FRACTION * (memory_mb * BYTES_PER_MB - BASE_PROCESS_BYTES)),
+    )
 
 
 def has_memory(memory_mb: int, messages: int, live_bytes: int) -> bool:
-    """Whether so many messages fit into the memory.
+    """Return whether a number of open messages fits into the memory limit.
 
     Args:
-        memory_mb: The limit of the process, in megabytes.
-        messages: How many there are, with the one to accept.
-        live_bytes: The bytes of their journal records, with that one's.
+        memory_mb: Memory limit of the process, in megabytes.
+        messages: Number of open messages, including the one to accept.
+        live_bytes: Size of their journal records, including that message's.
     """
     return messages * MESSAGE_BYTES + live_bytes <= held_message_bytes(memory_mb)
--- a/rainfall/forwarder/engine/endpoint_updates.py
+++ b/rainfall/forwarder/engine/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list on their way to the decisions."""
+"""Updates of the endpoint list, from discovery to the dispatcher."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EndpointUpdates:
-    """Applies and journals each update that discovery sends."""
+    """Applies and journals the updates that discovery delivers."""
 
     def __init__(
         self,
@@ -30,12 +30,13 @@
         self.run_round = run_round
 
     def on_endpoint_list(self, update: EndpointList | None) -> None:
-        """Apply an update and decide on it at once.
+        """Apply an update and run a round at once.
 
-        A draining endpoint must not be sent anything from now on.
+        Not waiting for the next round makes a drain take effect immediately: nothing
+        new may be sent to a draining endpoint.
 
         Args:
-            update: None where discovery could not be asked.
+            update: A complete list or changes; None if discovery could not be reached.
         """
         if update is None:
             self.events.post(EndpointListChanged(EndpointListKind.FAILED))
@@ -53,7 +54,7 @@
             self.run_round()
 
     def apply(self, update: EndpointList) -> None:
-        """Take an update into the directory and the journal."""
+        """Apply an update to the directory, log it and journal the resulting list."""
         self.directory.apply_endpoint_list(update)
         endpoints = self.directory.endpoints
         log.info(
--- a/rainfall/forwarder/engine/engine.py
+++ b/rainfall/forwarder/engine/engine.py
@@ -1,8 +1,8 @@
-"""The engine: one forwarder's parts, and what its neighbours call.
+"""The engine of one forwarder: builds its components and is their public interface.
 
-The parts stand in modules of their own. Each one's constructor names the collaborators
-that it calls and changes; `EngineState` names the owner of each field that several
-parts read.
+Each component is in a module of its own, and its constructor names the components that
+it calls. `EngineState` holds the fields that several components read, and names the
+component that sets each.
 """
 
 from __future__ import annotations
@@ -78,18 +78,18 @@
 
 
 def create_sync_thread() -> SyncWorker:
-    """The thread that syncs the journal, which only the level `power` has."""
+    """Create the thread that syncs the journal; used with the level `power` only."""
     from rainfall.journal.sync_thread import SyncThread
 
     return SyncThread()
 
 
 class Engine:
-    """Builds the parts in the order that they need, and passes calls on to them.
+    """Builds the components in dependency order, and delegates calls to them.
 
-    With a handover target it takes over from a process that still runs: nothing is
-    written until that has let go of the journal. The clock, the endpoints' numbers and
-    the dispatcher's knowledge go on from there.
+    With a `handover_target` the engine takes over from a running process, the handover
+    source: it writes nothing until the source has released the journal. It continues
+    with the source's clock, endpoint ids and dispatcher state.
     """
 
     def __init__(
@@ -98,9 +98,9 @@
         journal_lock: JournalLock | None = None,
         handover_target: HandoverTarget | None = None,
     ) -> None:
-        # The order matters: the journal sets the clock that all others read, the fleet's
-        # quotas are known before messages are restored, and the restored list has the
-        # version from which the watch goes on.
+        # The order matters: the journal sets the offset of the clock that all other
+        # components use, the fleet's quotas must be known before messages are restored,
+        # and the watch continues from the version of the restored endpoint list.
         self.journal_lock, self.handover_target = journal_lock, handover_target
         self.state = EngineState(config)
         self.clock = Clock()
@@ -109,9 +109,11 @@
         self.dispatcher = Dispatcher(settings, config.seed, self.clock())
         self._create_connections(config, settings)
         self.metrics = Metrics()
-        self.metrics.add_classes(c.name for c in settings.classes)
+        self.metrics.add_classes(
+            message_class.name for message_class in settings.classes
+        )
         self.handover_source = HandoverSource(self)
-        self._create_event_parts(settings)
+        self._create_event_components(settings)
         active_config = to_active_config(config, durability_level(config), "start")
         started_s = time.monotonic()
         self.pool.record_attempts = self.call_dispatch.record_attempts
@@ -120,14 +122,14 @@
         version = self.restoration.restore_state()
         self._create_watch(config, version)
         self._create_rounds()
-        self._create_handover_parts()
+        self._create_handover_components()
         self._create_operations(active_config)
         self._create_startup(started_s)
 
     # Construction
 
     def _open_store(self, config: Config) -> None:
-        """Read the journal; its clock goes on, so that its times keep their meaning."""
+        """Read the journal, and continue its clock so that its times stay valid."""
         self.store = MessageStore(
             config.state,
             config.disk_bytes,
@@ -140,7 +142,7 @@
             self.clock.offset_ns = journal_offset_us * NS_PER_US
 
     def _create_connections(self, config: Config, settings: Settings) -> None:
-        """The clients' and the endpoints' connections, and the notifier's."""
+        """Create the inbound server, the pool of outgoing connections and the notifier."""
         self.server = InboundServer(
             settings, self.clock, 0, self.submit, self.state.is_ready
         )
@@ -155,8 +157,8 @@
         self.allocate_sockets(config.max_sockets)
         self.notifier = Notifier(config.discovery, self, config.seed)
 
-    def _create_event_parts(self, settings: Settings) -> None:
-        """The parts through which events reach the next round."""
+    def _create_event_components(self, settings: Settings) -> None:
+        """Create the components that produce and queue events for the next round."""
         self.directory = EndpointDirectory(self.pool, self.store)
         self.directory.apply_endpoint_kinds(settings)
         self.outcomes = OutcomeRecorder(
@@ -193,7 +195,7 @@
         self._create_intake()
 
     def _create_intake(self) -> None:
-        """The parts that messages come from: the journal and clients."""
+        """Create the components that bring in messages, from the journal and clients."""
         self.restoration = Restoration(
             state=self.state,
             clock=self.clock,
@@ -220,19 +222,19 @@
         )
 
     def _create_fleet_member(self, config: Config) -> None:
-        """Join the fleet that is configured, if any."""
+        """Create the fleet member if a fleet is configured."""
         if config.fleet is None:
             return
-        # Without a fleet nothing of its code is imported.
+        # Imported here, because a forwarder without a fleet doesn't need the module.
         from rainfall.forwarder.fleet.member import FleetMember
 
         self.state.fleet = FleetMember(config.fleet, self)
         self.pool.acquire_permit = self.state.fleet.acquire_permit
 
     def _create_watch(self, config: Config, version: int) -> None:
-        """Watch the endpoint list from the version that was restored."""
-        # Another discovery service may number its versions anew, so its full list is
-        # asked for.
+        """Create the watch, which continues from the version of the restored list."""
+        # Another discovery service may have its own version numbers, so the watch
+        # requests a complete list from it.
         is_same_source = self.store.source in ("", str(config.discovery))
         self.endpoint_updates = EndpointUpdates(
             state=self.state,
@@ -251,7 +253,7 @@
         )
 
     def _create_rounds(self) -> None:
-        """The parts that decide, and carry the decisions out."""
+        """Create the components that run rounds and execute their actions."""
         actions = ActionRunner(
             state=self.state,
             store=self.store,
@@ -284,8 +286,8 @@
             completion=self.round_completion,
         )
 
-    def _create_handover_parts(self) -> None:
-        """The parts that end this process's work, or leave it to another one."""
+    def _create_handover_components(self) -> None:
+        """Create the components for shutdown and for handing over to another process."""
         self.shutdown = Shutdown(
             state=self.state,
             store=self.store,
@@ -301,7 +303,7 @@
             state=self.state,
             clock=self.clock,
             store=self.store,
-            # Looked up at each call: a test may put another dispatcher in place.
+            # A lambda looks the dispatcher up at each call: tests replace it.
             snapshot_dispatcher=lambda calls: self.dispatcher.snapshot(calls),
             server=self.server,
             pool=self.pool,
@@ -329,7 +331,7 @@
         )
 
     def _create_operations(self, active_config: ActiveConfig) -> None:
-        """The parts that operators use."""
+        """Create the components behind the operators' interface."""
         self.operations = Operations(
             state=self.state,
             clock=self.clock,
@@ -361,7 +363,7 @@
         )
 
     def _create_startup(self, started_s: float) -> None:
-        """The parts that run the engine from its start to its end."""
+        """Create the watchdog, and the component that runs the engine until it ends."""
         self.watchdog = Watchdog(
             state=self.state,
             clock=self.clock,
@@ -392,40 +394,43 @@
             run_round=self.run_round,
         )
 
-    # For the program
+    # Called by the program (`rainfall.__main__`)
 
     async def run(self) -> bool:
-        """Serve until stopped; returns whether to start again from the journal."""
+        """Serve until stopped; return whether a new engine must start from the journal."""
         return await self.startup.run()
 
     def stop(self) -> None:
-        """Begin the graceful shutdown, as on SIGTERM."""
+        """Start the graceful shutdown (SIGTERM)."""
         self.shutdown.stop()
 
     def reload(self) -> None:
-        """Read the configuration again, as on SIGHUP."""
+        """Reload the configuration (SIGHUP)."""
         self.reconfiguration.reload()
 
     def respond_for_previous(self, previous: Engine) -> None:
-        """Answer the clients that an engine before this one in the process still has."""
+        """Answer the clients of this process's previous engine that are still waiting."""
         self.startup.respond_for_previous(previous.handover_source)
 
     def respond_from_journal(self) -> None:
-        """Answer the clients whose messages another process had, as this one ends."""
+        """Answer the clients whose messages were forwarded to a lost handover target.
+
+        Called at shutdown, when no new engine starts that could answer them.
+        """
         self.ownership.respond_from_journal()
 
-    # For clients, endpoints and discovery
+    # Called by the server, the connection pool, the notifier and the components
 
     def submit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
-        """Take a message that a client submits."""
+        """Accept or answer a message that a client submits."""
         self.intake.submit(submitted, writer)
 
     def post(self, event: Event) -> None:
-        """Have the next round decide on an event."""
+        """Queue an event for the next round."""
         self.events.post(event)
 
     def run_round(self) -> None:
-        """Decide now on all events that have come."""
+        """Run a round now, on all queued events."""
         self.rounds.run_round()
 
     def on_endpoint_list(self, update: EndpointList | None) -> None:
@@ -433,87 +438,89 @@
         self.endpoint_updates.on_endpoint_list(update)
 
     def pending_notifications(self) -> dict[str, PendingNotification]:
-        """The notifications that may be delivered now."""
+        """Return the notifications that may be delivered now, by message id."""
         return self.operations.pending_notifications()
 
     def acknowledge_notifications(self, ids: list[str]) -> None:
-        """Take note that notifications were delivered."""
+        """Journal that notifications were delivered."""
         self.operations.acknowledge_notifications(ids)
 
     def allocate_sockets(self, sockets: int) -> None:
-        """Share so many descriptors between clients and endpoints."""
+        """Divide a number of file descriptors between endpoints and clients."""
         allocate_sockets(sockets, self.pool, self.server)
 
-    # For operators
+    # Called by the operators' interface (`rainfall.forwarder.admin`)
 
     def is_ready(self) -> bool:
-        """Whether this process serves."""
+        """Return whether readiness checks succeed."""
         return self.state.is_ready()
 
     def metrics_report(self) -> dict[str, Any]:
-        """All metrics."""
+        """Return all metrics by name."""
         return self.operations.metrics_report()
 
     def set_detached(self, name: str, detached: bool, answer: AdminResponder) -> None:
-        """Take an endpoint out of rotation or put it back."""
+        """Detach an endpoint from the rotation, or attach it again."""
         self.operations.set_detached(name, detached, answer)
 
     def check_config(self, text: bytes, answer: AdminResponder) -> None:
-        """Answer what a reload of this configuration would find."""
+        """Validate a configuration without applying it, and answer with the report."""
         self.operations.check_config(text, answer)
 
     def active_config_report(self) -> dict[str, str]:
-        """What operators can read of the configuration in force."""
+        """Return the digest, source and time of the active configuration."""
         return self.reconfiguration.active_config.to_json()
 
-    # For the handover, as its source
+    # Called by the handover, in the source process
 
     def pause_for_handover(
         self, then: Callable[[HandoverMessage | None], None]
     ) -> None:
-        """Stop for another process that wants to take over."""
+        """Pause for a target process, and call `then` with the snapshot or None."""
         self.pause.pause_for_handover(then)
 
     def handover_snapshot(self) -> HandoverMessage | None:
-        """What that process needs beside the journal."""
+        """Return what the target needs in addition to the journal, as JSON data."""
         return self.pause.handover_snapshot()
 
     def resume_after_handover(self) -> None:
-        """Go on: that process did not take over."""
+        """End the pause, because the target did not take over."""
         self.pause.resume_after_handover()
 
     def transfer_ownership(self) -> None:
-        """Leave the journal to that process."""
+        """Release the journal to the target."""
         self.ownership.transfer_ownership()
 
     def target_lost(self) -> None:
-        """That process ended after it had taken over."""
+        """Handle the loss of the target after the transfer."""
         self.ownership.target_lost()
 
     def cancel_call(self, message: str, attempt: int) -> None:
-        """Cancel a call that is in flight here, for that process."""
+        """Cancel a call that is in flight in this process, at the target's request."""
         self.pool.cancel(message, attempt)
 
     def reload_inbound_settings(self) -> None:
-        """Apply a reloaded configuration to the connections that are still here."""
+        """Apply reloaded settings to the client connections left in this process."""
         self.ownership.reload_inbound_settings()
 
-    # For the handover, as its target
+    # Called by the handover, in the target process
 
     def remote_attempt_finished(self, event: AttemptFinished) -> None:
-        """Take the outcome of a call of the former process."""
+        """Handle the outcome of a call that the source had in flight."""
         self.remote_call_tracker.attempt_finished(event)
 
     def source_lost(self) -> None:
-        """The former process ended: its calls were cut, its descriptors are free."""
+        """Fail the calls that the source had in flight, and use its descriptors here."""
         self.remote_call_tracker.fail_all()
         self.allocate_sockets(self.config.max_sockets)
 
-    # Views of the parts, for the fleet's member, for tests and for measurements
+    # Delegating properties and methods. They expose state of the components to the
+    # program, the fleet member, tests and measurements; the components themselves refer
+    # to each other directly.
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """The active configuration."""
         return self.state.config
 
     @config.setter
@@ -522,12 +529,12 @@
 
     @property
     def fleet(self) -> FleetMember | None:
-        """The member of a fleet, where one is configured."""
+        """This forwarder's fleet member; None if no fleet is configured."""
         return self.state.fleet
 
     @property
     def serving(self) -> bool:
-        """Whether this process owns the journal and serves."""
+        """See `EngineState.serving`."""
         return self.state.serving
 
     @serving.setter
@@ -536,7 +543,7 @@
 
     @property
     def frozen(self) -> bool:
-        """Whether no round decides any more."""
+        """See `EngineState.frozen`."""
         return self.state.frozen
 
     @frozen.setter
@@ -545,7 +552,7 @@
 
     @property
     def round_scheduled(self) -> bool:
-        """Whether the next round is scheduled."""
+        """Whether the next round is scheduled (`EventQueue`)."""
         return self.events.round_scheduled
 
     @round_scheduled.setter
@@ -554,27 +561,27 @@
 
     @property
     def pending_events(self) -> list[Event]:
-        """What the next round decides on."""
+        """The events queued for the next round (`EventQueue`)."""
         return self.events.pending_events
 
     @property
     def recently_finished(self) -> OrderedDict[str, None]:
-        """Ids of messages that ended a short while ago."""
+        """Ids of recently finished messages, oldest first (`OutcomeRecorder`)."""
         return self.outcomes.recently_finished
 
     @property
     def remote_calls(self) -> Mapping[tuple[str, int], RemoteCall]:
-        """Calls that the former process has in flight, by message and attempt."""
+        """Calls in flight in the handover source, by message id and attempt."""
         return self.remote_call_tracker.calls
 
     @property
     def endpoints(self) -> dict[str, ListedEndpoint]:
-        """The endpoints that are listed, by name."""
+        """The listed endpoints by name (`EndpointDirectory`)."""
         return self.directory.endpoints
 
     @property
     def endpoint_ids(self) -> dict[str, int]:
-        """The numbers of endpoints, by name."""
+        """Endpoint ids by name, including removed endpoints (`EndpointDirectory`)."""
         return self.directory.ids
 
     @endpoint_ids.setter
@@ -583,12 +590,12 @@
 
     @property
     def endpoint_names(self) -> dict[int, str]:
-        """The names of endpoints, by number."""
+        """Endpoint names by id (`EndpointDirectory`)."""
         return self.directory.names
 
     @property
     def last_endpoint_id(self) -> int:
-        """The highest number that an endpoint was given."""
+        """The highest endpoint id assigned so far (`EndpointDirectory`)."""
         return self.directory.last_id
 
     @last_endpoint_id.setter
@@ -597,28 +604,28 @@
 
     @property
     def known_destinations(self) -> set[int]:
-        """The destinations that messages are accepted for."""
+        """The destinations for which messages are accepted (`EndpointDirectory`)."""
         return self.directory.known_destinations
 
     @property
     def batch_sizes(self) -> dict[str, int]:
-        """How many messages a call may have, by kind of destination."""
+        """Maximum messages per call, by kind of destination (`EndpointDirectory`)."""
         return self.directory.batch_sizes
 
     def endpoint_id(self, name: str) -> int:
-        """The number of an endpoint that may be in no list."""
+        """Return the id of an endpoint that is possibly not listed."""
         return self.directory.endpoint_id(name)
 
     def to_entries(self, endpoints: EndpointList) -> tuple[EndpointEntry, ...]:
-        """A list as the decisions read it."""
+        """Convert an endpoint list for the dispatcher."""
         return self.directory.to_entries(endpoints)
 
     def apply_endpoint_list(self, endpoints: EndpointList) -> None:
-        """Take a list into the directory, without deciding on it."""
+        """Apply an endpoint list to the directory, without running a round."""
         self.directory.apply_endpoint_list(endpoints)
 
     def restore_state(self) -> int:
-        """Queue events for all that the journal holds; returns the list's version."""
+        """Queue events that restore the journal's state; return the list's version."""
         return self.restoration.restore_state()
 
     def add_to_call(
@@ -626,10 +633,10 @@
         action: SendMessage,
         now: int,
         open_calls: dict[tuple[int, bool], OutboundCall],
-        calls: list[CallStep],
+        steps: list[CallStep],
     ) -> None:
-        """Put an attempt into a call."""
-        self.call_dispatch.add_to_call(action, now, open_calls, calls)
+        """Add an attempt to a call."""
+        self.call_dispatch.add_to_call(action, now, open_calls, steps)
 
     def complete_round(
         self,
@@ -637,19 +644,19 @@
         submissions: dict[str, Submission],
         steps: list[CallStep],
     ) -> None:
-        """Let a round's answers and calls leave."""
+        """Answer a round's clients and start its calls, after the commit."""
         self.round_completion.complete_round(committed, submissions, steps)
 
     def on_call_sent(self, call: OutboundCall) -> None:
-        """Report that a call's first byte was handed to its socket."""
+        """Count a call against the fleet quota and trace it, after its first byte."""
         self.call_dispatch.on_call_sent(call)
 
     def count_unattempted(
         self, decision: RejectMessage | FailMessage, now: int
     ) -> None:
-        """Count a message that was accepted and given up unattempted."""
+        """Count an accepted message that ended without an attempt, by reason."""
         self.outcomes.count_unattempted(decision, now)
 
     def remember_finished(self, message_id: str, outcome: str) -> None:
-        """Remember an ended message for a while."""
+        """Add a message to the recently finished ones."""
         self.outcomes.remember_finished(message_id, outcome)
--- a/rainfall/forwarder/engine/engine_state.py
+++ b/rainfall/forwarder/engine/engine_state.py
@@ -1,4 +1,4 @@
-"""The record that the engine's parts share, and the constants of several of them."""
+"""State, clock, loggers and constants that several components of the engine share."""
 
 from __future__ import annotations
 
@@ -18,30 +18,36 @@
     from rainfall.forwarder.fleet.member import FleetMember
 
 MIN_ROUND_INTERVAL_US = 5_000
-"""Least time between rounds: one round's messages to an endpoint share a call."""
+"""Minimum time between the starts of two dispatch rounds.
+
+The messages that one round sends to the same endpoint can be batched into one call.
+"""
 REJECTED_RETRY_AFTER_S = "1"
-"""Retry-After of a 503, in seconds, as the header has it."""
+"""Value of the Retry-After header in a 503 response, in seconds."""
 LOG_INTERVAL_US = 10_000_000
-"""Least time between two log lines about the same lasting condition."""
+"""Minimum time between two log lines about the same ongoing condition."""
 TICK_INTERVAL_S = 0.1
-"""Between two runs of the watchdog, and between two retries of a failed commit."""
+"""Time between two ticks of the watchdog, and between two retries of a failed commit."""
 log = logging.getLogger("rainfall.engine")
 trace_log = logging.getLogger("rainfall.trace")
-"""A line for each message's arrival, attempt and end.
+"""Logs one line per message arrival, attempt and final outcome.
 
-Off unless the configuration asks for it (`rainfall.forwarder.json_logging`).
+Disabled by default; `rainfall.forwarder.json_logging` enables it.
 """
 trace_log.setLevel(logging.WARNING)
 
 
 class EventKind(StrEnum):
-    """What the summary line counts, beside outcomes and reasons by their own names.
+    """Event counters of the summary line; the values are the words that it prints.
+
+    The line also counts the outcomes of attempts, under the values of `Outcome`, and
+    "untried: <reason>" for messages that were rejected or failed without an attempt.
 
-    The values are the line's words. The end of a message that is not delivered has a
-    name of its own in each place, and these names are read from outside:
+    The final answer to an undelivered message has a different name in the dispatcher,
+    the summary line, the metrics and the journal. External tools read the last three:
 
     ===============  ================  ==================  =========  =============
-    Action           Decided           Word of the line    Metric     Journal state
+    Action           Decided           Summary line        Metric     Journal state
     ===============  ================  ==================  =========  =============
     `RejectMessage`  on arrival        "turned away"       throttled  (no record)
     `FailMessage`    on arrival        "turned away"       faulted    (no record)
@@ -50,117 +56,127 @@
     (none)           before a round    "turned away full"  throttled  (no record)
     ===============  ================  ==================  =========  =============
 
-    On arrival means in the round in which the message came: its client waits for the
-    response, so the answer is that response and nothing is journaled. A message after
-    its acceptance is answered by a notification of the journal's state.
+    "On arrival" means in the first round after the submission. The client still waits
+    for the HTTP response, so that response is the answer, and nothing is journaled.
+    After acceptance the answer is a notification that carries the journal state.
     """
 
     ACCEPTED = "taken"
+    """Journaled, and answered with 202."""
     REJECTED = "turned away"
-    """Given up in the round in which it came."""
+    """Rejected or failed in the first round after the submission."""
     REJECTED_FULL = "turned away full"
+    """Answered with 503 before a round: a capacity limit is reached, or no more rounds
+    run.
+    """
     RETURNED = "returned"
-    """Accepted, and then rejected with a notification."""
+    """Rejected after acceptance; a notification is queued."""
     FAILED = "given up"
-    """Accepted, and then failed with a notification."""
+    """Failed after acceptance; a notification is queued."""
 
 
 class Clock:
-    """Microseconds of Unix time that never go back.
+    """Unix time in microseconds that never goes back.
 
-    The journal's times therefore hold after a restart.
+    It runs on the monotonic clock plus a fixed offset. The engine sets the offset to
+    the journal's, so that the times in the journal stay valid after a restart.
     """
 
     def __init__(self) -> None:
         self.offset_ns = time.time_ns() - time.monotonic_ns()
+        """Unix time minus the monotonic clock."""
 
     def __call__(self) -> int:
-        """The time now, in microseconds since 1970."""
+        """Return the current time in microseconds since 1970."""
         return (self.offset_ns + time.monotonic_ns()) // NS_PER_US
 
 
 class Submission(NamedTuple):
-    """A submitted message and the writer of the response that its client waits for."""
+    """A submitted message, and the writer of the HTTP response to its client."""
 
     message: SubmittedMessage
     writer: ResponseWriter
 
 
 def durability_level(config: Config) -> str:
-    """The level of durability in force.
+    """Return the active durability level: "power" or "process".
 
-    Another one in a reloaded file takes effect at the next start.
+    A reload doesn't change the level; a new value takes effect at the next start.
     """
     return "power" if config.power else "process"
 
 
 @dataclass(slots=True)
 class EngineState:
-    """What several parts read. Each field is written by the one part named with it.
+    """State that several components read; each field names the one component that sets it.
 
-    The flags of an engine's life, with those that its server and its handover source
-    keep themselves, change in this order; each stays set unless a line says otherwise:
+    The phase of an engine is held in several flags. The table lists them in the order
+    in which they are set, together with those of the server and the handover source. A
+    flag stays set unless its line says otherwise.
 
     ============================  ==================================================
-    Flag                          Set
+    Flag                          Set when
     ============================  ==================================================
-    serving                       once the journal is this process's and the clients'
+    serving                       this process owns the journal, and the clients'
                                   socket listens
-    paused_for_handover           by a new process's request for the snapshot, while
-                                  serving and before SIGTERM; cleared if that process
-                                  goes before it owns the journal
-    handover_source.transferred   by that process's request for ownership, so only
-                                  during the pause, which then lasts to the end
-    server.draining               by SIGTERM, whether transferred or not; at the
-                                  latest as `server.close` begins
-    frozen                        after SIGTERM, FREEZE_AFTER_S or the last message
-                                  later; at the latest right after `stopped`
-    stopped                       by the shutdown's last step, or without SIGTERM if
-                                  the process that took over is lost
-    closed                        once `Startup.settle` is through, before the pool
-                                  closes; also, as the only flag, where the takeover
-                                  from the former process failed
-    server.closed                 at the end of `server.close`, which is left out where
-                                  another engine restarts from the journal
+    paused_for_handover           a handover target requests the snapshot, while
+                                  serving and before SIGTERM; cleared if the handover
+                                  is aborted before the target owns the journal
+    handover_source.transferred   the target requests ownership, so only during the
+                                  pause, which then lasts until the process ends
+    server.draining               SIGTERM arrives, before or after a transfer; at the
+                                  latest at the start of `server.close`
+    frozen                        FREEZE_AFTER_S have passed since SIGTERM, or no
+                                  message is left before that; at the latest right
+                                  after `stopped`
+    stopped                       shutdown reaches its last step, or, without SIGTERM,
+                                  the target is lost after the transfer
+    closed                        `Startup.settle` has finished, before the pool
+                                  closes; also, as the only flag, if the takeover from
+                                  the handover source failed
+    server.closed                 `server.close` ends; it is not called if another
+                                  engine restarts from the journal
     ============================  ==================================================
     """
 
     config: Config
-    """The configuration in force. Owner: `Reconfiguration`."""
+    """The active configuration. Set by `Reconfiguration`."""
     fleet: FleetMember | None = None
-    """The member of a fleet; None where none is configured, and then nothing of the
-    fleet's code is imported. Owner: `Engine`, which sets it while it is built.
+    """This forwarder's fleet membership; None if no fleet is configured, in which case
+    no fleet module is imported. Set by `Engine` during construction.
     """
     event_counts: Counter[str] = field(default_factory=Counter)
-    """How often each kind of event happened since the last summary line. Each part
-    counts its own kinds. Owner: `Watchdog`, which logs and clears them.
+    """Number of events of each kind since the last summary line. Every component adds
+    to the counters of its own events; `Watchdog` logs and clears them.
     """
     serving: bool = False
-    """This process owns the journal, and clients are listened for. Owner: `Startup`."""
+    """This process owns the journal, and the clients' socket listens. Set by `Startup`.
+    It stays set after a transfer and during shutdown.
+    """
     closed: bool = False
-    """The connections to endpoints are closed: calls that end from now on stay open in
-    the journal, because they may have been executed. Owner: `Startup`.
+    """The connections to endpoints are closed or about to be. Calls that end from now
+    on stay open in the journal, because they may have been executed. Set by `Startup`.
     """
     frozen: bool = False
-    """No round decides any more, and nothing new is sent. Owner: `Shutdown`."""
+    """No more rounds run, and no new call is sent. Set by `Shutdown`."""
     shutdown_started_s: float = 0.0
-    """When SIGTERM came, in seconds of the monotonic clock; 0 before. Owner:
+    """Time of SIGTERM, in seconds of the monotonic clock; 0 before it. Set by
     `Shutdown`.
     """
     stopped: asyncio.Event = field(default_factory=asyncio.Event)
-    """Set once the engine has nothing more to do. Owner: `Shutdown`."""
+    """The engine has no work left, and `Startup.run` may end. Set by `Shutdown`."""
     paused_for_handover: bool = False
-    """No round decides while another process reads the journal. Owner:
-    `HandoverPause`.
+    """Rounds are paused while a handover target reads the journal; if the target takes
+    over, the pause becomes permanent. Set by `HandoverPause`.
     """
     restart_from_journal: bool = False
-    """The process that had taken over is gone, so another engine has to start here from
-    the journal. Owner: `OwnershipTransfer`.
+    """The handover target was lost after the transfer, so another engine must start in
+    this process from the journal. Set by `OwnershipTransfer`.
     """
 
     def is_ready(self) -> bool:
-        """Whether this process serves, for clients and operators alike.
+        """Return whether readiness checks of clients and operators succeed.
 
-        It does not before the journal is read, nor during shutdown.
+        True from the start of serving until SIGTERM, also after a transfer.
         """
         return self.serving and not self.shutdown_started_s
