--- a/rainfall/forwarder/engine/event_queue.py
+++ b/rainfall/forwarder/engine/event_queue.py
@@ -1,4 +1,4 @@
-"""Events on their way to the next round, and when that round comes."""
+"""The queue of events for the dispatcher, and the scheduling of rounds."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from rainfall.forwarder.units import US_PER_SECOND
 
 EARLY_TIMER_RETRY_S = 0.001
-"""Before a timer that the event loop fired too early is looked at again."""
+"""Delay before a timer that the event loop fired too early is checked again."""
 
 
 class EventQueue:
-    """Collects events and schedules the round that decides on them."""
+    """Collects events and schedules the round that handles them."""
 
     def __init__(
         self,
@@ -37,18 +37,22 @@
         self.handover_source, self.outcomes = handover_source, outcomes
         self.run_round = run_round
         self.pending_events: list[Event] = []
+        """Events for the next round, in the order in which they happened."""
         self.round_scheduled = False
         self.last_round_us = 0
+        """Start of the last round, in microseconds of the engine's clock; 0 before the
+        first one.
+        """
 
     def post(self, event: Event) -> None:
-        """Have the next round decide on an event.
+        """Queue an event and schedule a round.
 
-        Once the journal is another process's, that one hears of outcomes; once no round
-        comes any more, they are only journaled.
+        After a transfer, outcomes are forwarded to the handover target, and other
+        events are discarded. After the last round, outcomes are journaled at once.
         """
         if self.state.closed:
-            # Calls that end as the process does are left open in the journal, because
-            # they may have been executed.
+            # Calls that end with the process stay open in the journal, because they may
+            # have been executed.
             return
         if self.handover_source.transferred:
             if isinstance(event, AttemptFinished):
@@ -62,33 +66,37 @@
         self.schedule_round()
 
     def enqueue(self, event: Event) -> None:
-        """Add an event for the next round without scheduling that round."""
+        """Queue an event without scheduling a round."""
         self.pending_events.append(event)
 
     def enqueue_all(self, events: Iterable[Event]) -> None:
-        """Add events for the next round without scheduling that round."""
+        """Queue events without scheduling a round."""
         self.pending_events += events
 
     def requeue(self, events: list[Event]) -> None:
-        """Put events that were taken and not decided on before all others."""
+        """Put events that a round took but did not handle before all queued ones."""
         self.pending_events = events + self.pending_events
 
     def take_events(self) -> list[Event]:
-        """The events of a round; later ones are for the next."""
+        """Remove and return all queued events."""
         events, self.pending_events = self.pending_events, []
         return events
 
     def clear_schedule(self) -> None:
-        """The scheduled round runs now: the next event schedules another one."""
+        """Note that a round starts, so that the next event schedules another one."""
         self.round_scheduled = False
 
     def begin_round(self) -> int:
-        """Count the time between rounds from now; returns the round's time."""
+        """Record and return the start time of a round."""
         self.last_round_us = self.clock()
         return self.last_round_us
 
     def schedule_round(self) -> None:
-        """Run a round as soon as the last one is MIN_ROUND_INTERVAL_US ago."""
+        """Schedule a round MIN_ROUND_INTERVAL_US after the start of the last one.
+
+        Does nothing if one is scheduled already, after the last round, or during a
+        handover pause.
+        """
         if self.round_scheduled or self.state.frozen or self.state.paused_for_handover:
             return
         self.round_scheduled = True
@@ -100,16 +108,21 @@
             loop.call_later(delay_us / US_PER_SECOND, self.run_round)
 
     def set_timer(self, at_us: int, token: str) -> None:
-        """Post TimerExpired with this token at a time of the engine's clock."""
+        """Post `TimerExpired` at a time of the engine's clock.
+
+        Args:
+            at_us: When to post the event.
+            token: The token that the event carries.
+        """
         asyncio.get_running_loop().call_later(
             max(0, at_us - self.clock()) / US_PER_SECOND, self.fire_timer, at_us, token
         )
 
     def fire_timer(self, at_us: int, token: str) -> None:
-        """Post a timer's event, but never early.
+        """Post a timer's event, or wait a little longer if the timer is early.
 
-        The event loop's timers may fire a little early, and the decisions would then
-        only ask for another one.
+        The event loop can fire a timer slightly early. A round at that time would have
+        no effect except that the dispatcher sets the timer again.
         """
         if self.clock() < at_us:
             asyncio.get_running_loop().call_later(
@@ -118,8 +131,8 @@
         else:
             self.post(TimerExpired(token))
 
-    def record_waiting_outcomes(self) -> None:
-        """Journal the outcomes that wait for a round which may not come."""
+    def record_pending_outcomes(self) -> None:
+        """Journal the queued outcomes, in case no further round handles them."""
         for event in self.pending_events:
             if isinstance(event, AttemptFinished):
                 self.outcomes.record_outcome(event)
--- a/rainfall/forwarder/engine/handover_pause.py
+++ b/rainfall/forwarder/engine/handover_pause.py
@@ -1,4 +1,8 @@
-"""The pause in which another process reads the journal to take over from this one."""
+"""The pause of a handover source, in which the target process reads the journal.
+
+`rainfall.forwarder.handover.source` drives it: the source pauses and sends a snapshot,
+then either transfers the journal or resumes.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
 
 
 class HandoverPause:
-    """Stops the rounds for another process, and resumes them if it does not take over."""
+    """Pauses rounds for a handover target, and resumes them if it doesn't take over."""
 
     def __init__(
         self,
@@ -56,19 +60,21 @@
         self.restoration, self.remote_calls = restoration, remote_calls
         self.run_round = run_round
         self.deferred_requests: list[Callable[[], None]] = []
-        """Operators' requests that came during the pause."""
+        """Reloads and detach requests received during the pause, in order."""
 
     def pause_for_handover(
         self, on_paused: Callable[[HandoverMessage | None], None]
     ) -> None:
-        """Stop with everything in the journal, and pass on what the journal lacks.
+        """Run a last round, commit the journal, and pass the snapshot to the callback.
 
-        It is refused while the disk fails: a process that asks again and again must not
-        interrupt new connections, the watch and notifications each time.
+        The pause is refused before serving, during shutdown, without a journal lock and
+        while calls of a previous handover are in flight. It is also refused while the
+        disk fails: otherwise a target that keeps asking would interrupt new
+        connections, the watch and notifications each time.
 
         Args:
-            on_paused: Called with the snapshot, or with None where there can be none
-                now.
+            on_paused: Called with the snapshot, or with None if the pause is refused or
+                the commit fails.
         """
         if (
             not self.state.serving
@@ -87,28 +93,33 @@
         self.store.commit(lambda _committed: self.finish_pause(on_paused))
 
     def finish_pause(self, on_paused: Callable[[HandoverMessage | None], None]) -> None:
-        """Commit the outcomes that came since the last round as well.
+        """Commit the outcomes since the last round, and then create the snapshot.
 
-        The other process reads the file, and a sync under way might replace it.
+        The snapshot waits for that commit: the target reads the journal's file, which a
+        sync in progress could still replace.
         """
         self.pool.fail_unconnected_calls()
         if self.state.fleet is not None:
             self.state.fleet.pause()
-        self.events.record_waiting_outcomes()
+        self.events.record_pending_outcomes()
         self.store.commit(lambda _committed: on_paused(self.handover_snapshot()))
 
     def handover_snapshot(self) -> HandoverMessage | None:
-        """What the other process needs beside the journal; None if the disk failed."""
+        """Return what the target needs in addition to the journal; None if the disk fails.
+
+        The snapshot is JSON data.
+        """
         if self.store.failed:
             return None
         log.info(
-            "a new process takes over: %d messages held, %d calls out",
+            "a new process takes over: %d messages held, %d calls in flight",
             len(self.store.messages),
             self.pool.in_flight,
         )
         now = self.clock()
-        # The dispatcher has not decided on these outcomes: the other process's will, as
-        # on those of calls that end later.
+        # This process's dispatcher has not handled the queued outcomes. Their attempts
+        # count as in flight in the snapshot, and after the transfer the target receives
+        # the outcomes like those of calls that end later.
         finished_attempts = {
             (event.message_id, event.attempt)
             for event in self.events.pending_events
@@ -119,9 +130,9 @@
             last_endpoint_id=self.directory.last_id,
             recently_finished=list(self.outcomes.recently_finished),
             retry_afters=[
-                RetryAfter(*throttle_scope, until)
-                for throttle_scope, until in self.pool.retry_after_until.items()
-                if until > now
+                RetryAfter(*throttle_scope, until_us)
+                for throttle_scope, until_us in self.pool.retry_after_until.items()
+                if until_us > now
             ],
             descriptors=len(self.server.connections) + self.pool.in_flight,
             dispatcher=self.snapshot_dispatcher(
@@ -131,7 +142,7 @@
         return snapshot.to_json()
 
     def resume_after_handover(self) -> None:
-        """Go on: the other process ended before it had taken over."""
+        """End the pause without a transfer; does nothing if there is no pause."""
         if not self.state.paused_for_handover:
             return
         self.state.paused_for_handover = False
@@ -143,11 +154,11 @@
         self.run_deferred_requests()
 
     def defer(self, request: Callable[[], None]) -> None:
-        """Keep a request until the pause is over, either way."""
+        """Hold a request until the pause ends, by a transfer or without one."""
         self.deferred_requests.append(request)
 
     def run_deferred_requests(self) -> None:
-        """Carry out the requests that came during the pause, in order."""
+        """Execute the requests held during the pause, in order."""
         requests, self.deferred_requests = self.deferred_requests, []
         for request in requests:
             request()
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -1,4 +1,4 @@
-"""Messages that clients submit: admitted, accepted, rejected or withdrawn."""
+"""Submitted messages, until they are accepted, rejected or withdrawn by their clients."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Intake:
-    """Owns the messages whose clients still wait for an answer."""
+    """Handles submissions whose clients still wait for the HTTP response."""
 
     def __init__(
         self,
@@ -55,19 +55,21 @@
         self.directory, self.events = directory, events
         self.outcomes, self.restoration = outcomes, restoration
         self.undecided: dict[str, Submission] = {}
-        """Submitted, and not decided on yet."""
+        """Submissions for the next round, by message id."""
         self.unacknowledged: set[str] = set()
-        """Accepted, and not yet as durable as the configured level promises."""
+        """Ids of accepted messages whose journal record is not committed yet."""
         self.withdrawing: set[str] = set()
-        """Accepted ones whose client disconnected: until their sync is over nobody may
-        submit the same id.
+        """Ids of accepted messages whose client disconnected before the commit. Until
+        the commit ends, a submission with the same id is rejected.
         """
         self.last_full_log_us = -LOG_INTERVAL_US
 
     def submit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
-        """Take a message to the next round, or answer at once.
+        """Queue a message for the next round, or answer it at once.
 
-        Only what the decisions need not see is answered here.
+        Duplicates are answered at once, and so are messages that are rejected without
+        the dispatcher: beyond a capacity limit, after the last round, or for an unknown
+        destination. After a transfer the message is forwarded to the handover target.
         """
         if self.handover_source.transferred:
             self.handover_source.submit(submitted, writer)
@@ -75,8 +77,8 @@
         acceptance_pending = (
             submitted.id in self.unacknowledged or submitted.id in self.withdrawing
         )
-        if not acceptance_pending and self.is_known(submitted.id):
-            # Accepted before, so it must not be delivered twice.
+        if not acceptance_pending and self.was_accepted(submitted.id):
+            # A duplicate, which must not be delivered a second time.
             writer.answer(HTTPStatus.ACCEPTED)
             return
         if acceptance_pending or submitted.id in self.undecided:
@@ -93,15 +95,15 @@
             self.restoration.restore_key_sequence(submitted.order_key)
         self.admit(submitted, writer)
 
-    def is_known(self, message_id: str) -> bool:
-        """Whether a message is accepted, or was until recently."""
+    def was_accepted(self, message_id: str) -> bool:
+        """Return whether a message is open, or accepted and recently finished."""
         return (
             message_id in self.store.messages
             or message_id in self.outcomes.recently_finished
         )
 
     def admit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
-        """Have the next round decide on a message."""
+        """Queue a message for the next round."""
         self.undecided[submitted.id] = Submission(submitted, writer)
         writer.on_disconnect = lambda: self.withdraw(submitted.id)
         self.events.post(
@@ -128,30 +130,39 @@
     def answer_unavailable(
         self, submitted: SubmittedMessage, writer: ResponseWriter, text: str
     ) -> None:
-        """Answer 503: the client may come again soon, here or elsewhere."""
+        """Answer 503 with Retry-After; the client may retry here or at another forwarder.
+
+        Args:
+            submitted: The message, which is counted as throttled.
+            writer: Writes the response.
+            text: The reason, which is the body of the response.
+        """
         self.metrics.throttled[submitted.class_name] += 1
         writer.answer(
             HTTPStatus.SERVICE_UNAVAILABLE, text, Retry_After=REJECTED_RETRY_AFTER_S
         )
 
     def is_full(self, submitted: SubmittedMessage) -> bool:
-        """Whether one more message would exceed a bound; logged now and then."""
+        """Return whether one more message would exceed a capacity limit.
+
+        Logs the limit, at most once per LOG_INTERVAL_US.
+        """
         exceeded = self.exceeded_bound(submitted)
         if exceeded is None:
             return False
         if self.clock() - self.last_full_log_us > LOG_INTERVAL_US:
             self.last_full_log_us = self.clock()
             log.warning(
-                "full: %d messages held; new ones are turned away by %s",
+                "full: %d messages held; rejecting new ones, limited by %s",
                 len(self.store.messages) + len(self.undecided),
                 exceeded.value,
             )
         return True
 
     def exceeded_bound(self, submitted: SubmittedMessage) -> CapacityBound | None:
-        """The bound that one more message would exceed, if any.
+        """Return the capacity limit that one more message would exceed, if any.
 
-        Messages that are accepted already stay whatever is full.
+        The limits apply to new messages only; no accepted message is ever dropped.
         """
         message_count = len(self.store.messages) + len(self.undecided)
         extra_bytes = len(submitted.body) + sum(
@@ -167,24 +178,24 @@
         return None if self.store.has_capacity(extra_bytes) else CapacityBound.DISK
 
     def take_undecided(self) -> dict[str, Submission]:
-        """The submissions that the round which starts now decides on."""
+        """Remove and return all submissions, for the round that starts."""
         undecided, self.undecided = self.undecided, {}
         return undecided
 
-    def put_back(self, submission: Submission) -> None:
-        """Leave a submission that was taken to the next round."""
+    def requeue(self, submission: Submission) -> None:
+        """Put back a submission that a round took but did not handle."""
         self.undecided[submission.message.id] = submission
 
     def withdraw(self, message_id: str) -> None:
-        """Give up a message whose client disconnected before its answer.
+        """Withdraw a message whose client disconnected before the response.
 
-        The client may submit it elsewhere, so it must not be delivered from here.
+        The client may submit it to another forwarder, so this one must not deliver it.
         """
         if self.undecided.pop(message_id, None) is not None:
             self.events.post(MessageWithdrawn(message_id))
         if message_id in self.unacknowledged:
-            # Its record may be in the file and wait for a sync: after a kill the next
-            # process must not find it.
+            # Its record may be written and wait for a sync. Journaling the end now keeps
+            # a process that starts after a kill from restoring the message.
             self.unacknowledged.discard(message_id)
             self.withdrawing.add(message_id)
             if message_id in self.store.messages:
@@ -193,7 +204,7 @@
                 self.events.post(MessageWithdrawn(message_id))
 
     def accept(self, submissions: dict[str, Submission]) -> None:
-        """Journal the messages of a round that it did not reject."""
+        """Journal the new messages that a round did not reject."""
         self.unacknowledged.update(submissions)
         for submitted, _ in submissions.values():
             self.store.append_message(
@@ -210,7 +221,12 @@
             )
 
     def acknowledge(self, submissions: dict[str, Submission], committed: bool) -> None:
-        """Answer 202 for journaled messages; revoke the others."""
+        """Answer 202 for committed messages, and revoke the others.
+
+        Args:
+            submissions: The messages that a round accepted, by id.
+            committed: Whether their journal records are committed.
+        """
         for message_id, (submitted, writer) in submissions.items():
             if committed and message_id in self.unacknowledged:
                 self.state.event_counts[EventKind.ACCEPTED] += 1
@@ -224,22 +240,26 @@
     def revoke_acceptance(
         self, submitted: SubmittedMessage, writer: ResponseWriter
     ) -> None:
-        """Undo an acceptance that was withdrawn or could not be journaled."""
+        """Undo the acceptance of a message that was withdrawn or not committed."""
         if submitted.id in self.unacknowledged:
             self.answer_unavailable(submitted, writer, "cannot be kept")
         if submitted.id in self.store.messages:
             self.store.append_finished(submitted.id)
             self.events.post(MessageWithdrawn(submitted.id))
         if submitted.id in self.store.pending_notifications:
-            # It was given up meanwhile, and its ordering key must not wait for a
-            # notification.
+            # The message was rejected or failed during the commit. No notification is
+            # sent for it, so later messages with its ordering key must not wait for one.
             self.store.append_acknowledgement(submitted.id)
             self.events.post(NotificationAcknowledged(submitted.id))
 
     def reject(
         self, submission: Submission, decision: RejectMessage | FailMessage
     ) -> None:
-        """Answer a message that was given up in the round in which it came."""
+        """Answer a message that was rejected or failed in its first round.
+
+        The response is 500 for a failure and 429 for a rejection, with Retry-After if
+        the dispatcher gives a delay.
+        """
         submitted, writer = submission
         self.state.event_counts[EventKind.REJECTED] += 1
         if isinstance(decision, FailMessage):
@@ -253,5 +273,6 @@
                 headers["Retry_After"] = f"{retry_after_s:.3f}"
             writer.answer(HTTPStatus.TOO_MANY_REQUESTS, "refused", **headers)
         if submitted.order_key is not None:
-            # The answer itself tells the client, so no notification is waited for.
+            # The response replaces the notification, so later messages with the same
+            # ordering key need not wait for one.
             self.events.post(NotificationAcknowledged(submitted.id))
--- a/rainfall/forwarder/engine/operations.py
+++ b/rainfall/forwarder/engine/operations.py
@@ -1,4 +1,4 @@
-"""What operators ask for, and the notifications that the notifier delivers."""
+"""Operators' requests (metrics, detaching, configuration checks) and notifications."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Operations:
-    """Answers operators, and takes endpoints out of rotation for them."""
+    """Handles operators' requests, and serves notifications to the notifier."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.events, self.pause, self.run_round = events, pause, run_round
 
     def metrics_report(self) -> dict[str, Any]:
-        """All metrics, by the names that operators read them by."""
+        """Return all metrics, by the names that the admin interface publishes."""
         metrics, member = self.metrics, self.state.fleet
         fleet = {} if member is None else {"fleet": member.metrics_report()}
         return {
@@ -71,12 +71,16 @@
     def set_detached(
         self, endpoint: str, detached: bool, answer: AdminResponder
     ) -> None:
-        """Take an endpoint out of rotation or put it back.
+        """Detach an endpoint from the rotation, or attach it again.
+
+        After a transfer the request is forwarded to the handover target; during a
+        handover pause it is deferred.
 
         Args:
-            endpoint: Its name.
-            detached: Whether it is taken out.
-            answer: Called once the change is journaled and in force, or is refused.
+            endpoint: Name of the endpoint.
+            detached: True to detach it, False to attach it.
+            answer: Called when the change is in force and its commit has ended, or when
+                the request is rejected.
         """
         if self.handover_source.transferred:
             self.handover_source.set_detached(endpoint, detached, answer)
@@ -85,7 +89,7 @@
             self.pause.defer(lambda: self.set_detached(endpoint, detached, answer))
             return
         if not self.state.serving or self.state.closed:
-            # The journal is not this process's, yet or any more.
+            # This process doesn't own the journal yet, or is about to close it.
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
             return
         if endpoint not in self.directory.ids:
@@ -93,11 +97,11 @@
             return
         if detached is not (endpoint in self.store.detached):
             self.apply_detached(endpoint, detached)
-        done = "detached\n" if detached else "attached\n"
+        success_text = "detached\n" if detached else "attached\n"
 
         def on_committed(committed: bool) -> None:
             if committed:
-                answer(HTTPStatus.OK, done)
+                answer(HTTPStatus.OK, success_text)
             else:
                 answer(
                     HTTPStatus.INSUFFICIENT_STORAGE,
@@ -107,7 +111,7 @@
         self.store.commit(on_committed)
 
     def apply_detached(self, endpoint: str, detached: bool) -> None:
-        """Journal that an endpoint is taken out or put back, and decide on it."""
+        """Journal that an endpoint is detached or attached, and run a round."""
         endpoint_id = self.directory.ids[endpoint]
         log.info(
             "target %d (%s) %s by operators",
@@ -123,20 +127,23 @@
         self.run_round()
 
     def check_config(self, text: bytes, answer: AdminResponder) -> None:
-        """Answer what a reload of this configuration would find; nothing changes."""
-        verdict = validate_replacement(text, self.state.config)
-        status = HTTPStatus.OK if verdict.valid else HTTPStatus.UNPROCESSABLE_ENTITY
+        """Answer with the validation report of a configuration; nothing is changed.
+
+        The status is 200 if it is valid, 400 if it cannot be parsed, and 422 otherwise.
+        """
+        report = validate_replacement(text, self.state.config)
+        status = HTTPStatus.OK if report.valid else HTTPStatus.UNPROCESSABLE_ENTITY
         answer(
-            HTTPStatus.BAD_REQUEST if verdict.parse_error else status,
-            json.dumps(verdict.to_json()),
+            HTTPStatus.BAD_REQUEST if report.parse_error else status,
+            json.dumps(report.to_json()),
         )
 
     def pending_notifications(self) -> dict[str, PendingNotification]:
-        """The notifications that may be delivered now, by message id."""
+        """Return the notifications that may be delivered now, by message id."""
         return self.store.sendable_notifications(self.clock())
 
     def acknowledge_notifications(self, ids: list[str]) -> None:
-        """Journal that notifications were delivered."""
+        """Journal that notifications were delivered, and release their ordering keys."""
         for message_id in ids:
             notification = self.store.pending_notifications.get(message_id)
             self.store.append_acknowledgement(message_id)
--- a/rainfall/forwarder/engine/outcomes.py
+++ b/rainfall/forwarder/engine/outcomes.py
@@ -1,4 +1,4 @@
-"""The journal's and the metrics' records of how attempts and messages ended."""
+"""Journaling and counting of the outcomes of attempts and the ends of messages."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from rainfall.forwarder.units import US_PER_MS
 
 MAX_RECENTLY_FINISHED = 2_048
-"""Messages remembered by id after their end; 100 bytes each."""
+"""Finished messages whose ids are kept to detect duplicates; 100 bytes each."""
 
 
 class OutcomeRecorder:
-    """Records outcomes, and remembers which messages have just ended."""
+    """Records outcomes, and keeps the ids of recently finished messages."""
 
     def __init__(
         self,
@@ -41,11 +41,14 @@
         self.state, self.clock, self.store = state, clock, store
         self.metrics, self.directory = metrics, directory
         self.recently_finished: OrderedDict[str, None] = OrderedDict()
+        """Ids of the last MAX_RECENTLY_FINISHED finished messages, oldest first."""
 
     def record_outcome(self, event: AttemptFinished) -> None:
-        """Journal how an attempt ended.
+        """Journal and count the outcome of an attempt.
 
-        One that ended before it was recorded is recorded first: it counts as one.
+        An attempt that ended before it was journaled is journaled first, because it
+        counts towards the message's maximum. If the attempt ends the message, its end
+        is journaled too.
         """
         message = self.store.messages.get(event.message_id)
         if (
@@ -53,8 +56,10 @@
             and event.attempt not in message.in_flight
             and not event.message_closed
         ):
-            name = self.directory.names.get(event.endpoint, "")
-            self.store.append_attempt(message, event.attempt, self.clock(), name)
+            endpoint_name = self.directory.names.get(event.endpoint, "")
+            self.store.append_attempt(
+                message, event.attempt, self.clock(), endpoint_name
+            )
         self.state.event_counts[event.outcome.value] += 1
         if message is None:
             return
@@ -75,9 +80,10 @@
             )
 
     def remember_finished(self, message_id: str, outcome: str) -> None:
-        """Remember an ended message for a while.
+        """Add a message to the recently finished ones, and trace its outcome.
 
-        Ids are new each time, so one that is submitted again is a duplicate.
+        Clients give every message a new id, so a submission with a recent id is a
+        duplicate.
         """
         if trace_log.isEnabledFor(logging.INFO):
             trace_log.info(
@@ -88,13 +94,16 @@
             self.recently_finished.popitem(last=False)
 
     def restore_finished(self, message_ids: list[str]) -> None:
-        """Go on from the ended messages that the former process remembered."""
+        """Adopt the handover source's recently finished messages."""
         self.recently_finished = OrderedDict.fromkeys(message_ids)
 
     def count_unattempted(
         self, decision: RejectMessage | FailMessage, now: int
     ) -> None:
-        """Count, by its reason, a message that was accepted and given up unattempted."""
+        """Count an accepted message that ended without an attempt, by reason.
+
+        Attempts that were never sent don't count as attempts here.
+        """
         message = self.store.messages[decision.message_id]
         if message.attempts > message.unsent_attempts:
             return
--- a/rainfall/forwarder/engine/round_completion.py
+++ b/rainfall/forwarder/engine/round_completion.py
@@ -1,4 +1,4 @@
-"""What leaves once a round's records are committed: answers and calls."""
+"""Completion of a round after the commit of its records: responses and calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RoundCompletion:
-    """Sends a round's answers and calls once its records are committed."""
+    """Answers clients, starts calls and notifies once a round's commit has ended."""
 
     def __init__(
         self,
@@ -39,13 +39,14 @@
         submissions: dict[str, Submission],
         steps: list[CallStep],
     ) -> None:
-        """Let a round's answers and calls leave.
+        """Answer the round's accepted messages, and execute its steps.
 
         Args:
-            committed: Whether its records are as durable as the level promises; if not,
-                what depends on them is revoked.
-            submissions: The messages that it accepted.
-            steps: What it does to connections, in order.
+            committed: Whether the round's records have the durability of the configured
+                level. If not, its acceptances are revoked, and calls that need a
+                journal record are not sent.
+            submissions: The messages that the round accepted, by id.
+            steps: The round's actions on connections, in order.
         """
         self.intake.acknowledge(submissions, committed)
         for step in steps:
@@ -54,7 +55,7 @@
             elif isinstance(step, CancelAttempt):
                 self.cancel_attempt(step)
             elif self.state.closed:
-                # The sync took longer than the process lasts.
+                # The commit ended only after the engine was closed.
                 self.record_never_sent(step)
             elif self.call_dispatch.drop_unsendable(step, committed):
                 self.pool.start(step)
@@ -62,7 +63,7 @@
             self.notifier.kick()
 
     def cancel_attempt(self, step: CancelAttempt) -> None:
-        """Cancel an attempt at the process that has it in flight."""
+        """Cancel an attempt in the process that has the call in flight."""
         is_remote = (step.message_id, step.attempt) in self.remote_calls.calls
         if is_remote and self.handover_target is not None:
             self.handover_target.cancel_call(step.message_id, step.attempt)
@@ -70,7 +71,7 @@
             self.pool.cancel(step.message_id, step.attempt)
 
     def record_never_sent(self, call: OutboundCall) -> None:
-        """Journal that a call's attempts were not executed."""
+        """Journal that the attempts of a call that was never sent were not executed."""
         for item in call.items:
             if item.id in self.store.messages:
                 message = self.store.messages[item.id]
--- a/rainfall/forwarder/engine/rounds.py
+++ b/rainfall/forwarder/engine/rounds.py
@@ -1,8 +1,9 @@
-"""Rounds: the events of a while are decided on together, and the decisions carried out.
+"""Rounds, the engine's unit of work.
 
-In each round what must be journaled is written before anything leaves that it precedes:
-a message before its 202, an attempt before its call's first byte, an end before its
-notification.
+A round passes the queued events to the dispatcher, and executes the actions that it
+returns. Journal records are written before the effects that depend on them: a message's
+record before its 202, an attempt's before the first byte of the call, and the end of a
+message before its notification.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class Rounds:
-    """Has the decisions made and carried out; decides nothing itself."""
+    """Runs rounds; the dispatcher makes all decisions."""
 
     def __init__(
         self,
@@ -54,7 +55,10 @@
         self.last_fault_log_us = -LOG_INTERVAL_US
 
     def run_round(self) -> None:
-        """Decide on all events that came since the last round."""
+        """Run a round on all events queued since the last one.
+
+        Does nothing after the last round or during a handover pause.
+        """
         self.events.clear_schedule()
         if self.state.frozen or self.state.paused_for_handover:
             return
@@ -64,7 +68,7 @@
         undecided = self.intake.take_undecided()
         try:
             actions = self.dispatcher.handle(now, events)
-        except Exception:  # a fault in one decision must not end the process
+        except Exception:  # a bug in the dispatcher must not end the process
             actions = self.recover_from_fault(events, undecided)
         self.answer_rejected(actions, undecided)
         self.intake.accept(undecided)
@@ -76,11 +80,12 @@
                 )
             )
         else:
-            # Nobody waits for ends that need no notification: they cost no sync.
+            # No client, call or notification waits for the remaining records, so they
+            # are written without a sync.
             self.store.flush()
 
     def record_outcomes(self, events: list[Event]) -> None:
-        """Journal the outcomes among a round's events."""
+        """Journal the outcomes among a round's events, and count unsent attempts."""
         for event in events:
             if not isinstance(event, AttemptFinished):
                 continue
@@ -94,7 +99,13 @@
     def answer_rejected(
         self, actions: list[Action], undecided: dict[str, Submission]
     ) -> None:
-        """Answer the round's new messages that were given up, and drop them."""
+        """Answer the new messages that the round rejected or failed.
+
+        Args:
+            actions: The round's actions.
+            undecided: The round's submissions by message id; the answered ones are
+                removed.
+        """
         for action in actions:
             if (
                 isinstance(action, RejectMessage | FailMessage)
@@ -105,37 +116,38 @@
     def recover_from_fault(
         self, events: list[Event], undecided: dict[str, Submission]
     ) -> list[Action]:
-        """Go on after a fault in a decision, at the cost of that event alone.
+        """Continue after an exception in the dispatcher; only the event at fault is lost.
 
-        What was decided before the fault is part of the dispatcher's state and so is
-        carried out. The events after it come again in the next round.
+        Actions created before the exception are part of the dispatcher's state, so they
+        are executed. Events after the one at fault are queued for the next round. A new
+        message that is neither queued nor handled is answered with 503.
 
         Args:
             events: The round's events.
-            undecided: The round's new messages; changed.
+            undecided: The round's submissions by message id; modified.
 
         Returns:
-            What was decided before the fault.
+            The actions created before the exception.
         """
         if self.clock() - self.last_fault_log_us >= LOG_INTERVAL_US:
             self.last_fault_log_us = self.clock()
-            log.exception("a decision failed")
+            log.exception("exception in the dispatcher; skipping the event at fault")
         actions = list(self.dispatcher.state.actions)
         self.events.requeue(events[self.dispatcher.state.events_applied :])
-        unread = {
+        queued_ids = {
             event.message_id
             for event in self.events.pending_events
             if isinstance(event, MessageReceived)
         }
-        decided = self.dispatcher.state.messages.keys() | {
+        handled_ids = self.dispatcher.state.messages.keys() | {
             action.message_id
             for action in actions
             if isinstance(action, RejectMessage | FailMessage)
         }
         for message_id in list(undecided):
-            if message_id in unread:
-                self.intake.put_back(undecided.pop(message_id))
-            elif message_id not in decided:
+            if message_id in queued_ids:
+                self.intake.requeue(undecided.pop(message_id))
+            elif message_id not in handled_ids:
                 submitted, writer = undecided.pop(message_id)
                 self.intake.answer_unavailable(submitted, writer, "internal fault")
         if self.events.pending_events:
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -1,25 +1,26 @@
-"""Graceful shutdown: what is still accepted and sent after SIGTERM, and until when.
+"""Graceful shutdown: which work continues after SIGTERM, and for how long.
 
-The phases, in seconds after SIGTERM. All but the first may end sooner, as soon as
-nothing is left that this process could finish:
+The phases start at these times in seconds after SIGTERM. All but the first end early if
+this process has nothing left to finish.
 
 ======================  ==============================================================
-0                       `Shutdown.stop`: a handover under way ends. Messages are still
-                        accepted, but health checks say "not ready" and each
-                        connection closes after its next answer.
+0                       `Shutdown.stop`: a handover in progress is aborted. Messages
+                        are still accepted, but health checks answer "not ready", and
+                        each connection closes after its next response.
 1.0 ACCEPT_PERIOD_S     `advance_shutdown`, from now on every SHUTDOWN_STEP_S: idle
-                        connections close, too; a new one has its
-                        FIRST_REQUEST_GRACE_US (`client_connection`) first.
-2.8 FREEZE_AFTER_S      `freeze`: the last round. Nothing new is sent; calls in flight
-                        are awaited, and their outcomes journaled.
-3.3 EXIT_AFTER_S        `signal_stopped`: the end, also of calls in flight.
-then                    `Startup.settle`: the last commit; after it the pool, the
-                        clients' connections (`client_grace_s`) and the journal close.
-                        Half way through that grace a request without an answer gets 503.
+                        connections are closed too; a new one stays open for
+                        FIRST_REQUEST_GRACE_US (`client_connection`).
+2.8 FREEZE_AFTER_S      `freeze`: the last round. No more calls are sent; calls in
+                        flight may finish, and their outcomes are journaled.
+3.3 EXIT_AFTER_S        `signal_stopped`: calls still in flight are abandoned.
+then                    `Startup.settle`: the last commit. After it the pool, the
+                        clients' connections (`client_grace_s`) and the journal are
+                        closed. A request that has no response after half of the grace
+                        period gets 503.
 ======================  ==============================================================
 
-After a transfer to another process there is no freeze: only the calls and connections
-that are still here are awaited, until EXIT_AFTER_S.
+After a transfer to another process there is no freeze: this process only waits for its
+own calls and client connections to end, until EXIT_AFTER_S.
 """
 
 from __future__ import annotations
@@ -39,23 +40,24 @@
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 
 ACCEPT_PERIOD_S = 1.0
-"""After SIGTERM, how long new connections are accepted."""
+"""Time after SIGTERM until idle client connections are closed."""
 FREEZE_AFTER_S = 2.8
-"""After SIGTERM, when nothing new is sent any more and calls in flight are awaited."""
+"""Time after SIGTERM from which no more calls are sent."""
 EXIT_AFTER_S = 3.3
-"""After SIGTERM, when the process ends: SIGKILL may come at 3.7 s.
+"""Time after SIGTERM at which the engine stops; SIGKILL may come at 3.7 s.
 
-The longest way to the end is this, one step, the last commit (FINAL_COMMIT_TIMEOUT_S,
-0.2 s, under `power` alone) and CLOSE_GRACE_S for the clients: 3.65 s.
+The process ends 3.65 s after SIGTERM at the latest: this time, one SHUTDOWN_STEP_S, the
+last commit (FINAL_COMMIT_TIMEOUT_S, 0.2 s, with the level `power` only) and
+CLOSE_GRACE_S for the clients.
 """
 CLIENT_CLOSE_S = 0.5
-"""Where there is time, how long clients may take to read answers and disconnect."""
+"""Time for clients to read responses and disconnect, if EXIT_AFTER_S is not near."""
 SHUTDOWN_STEP_S = 0.05
-"""Between two looks at whether the process may end."""
+"""Interval of the checks whether the engine can stop."""
 
 
 class Shutdown:
-    """Takes the engine from SIGTERM to its end."""
+    """Drains and stops the engine after SIGTERM."""
 
     def __init__(
         self,
@@ -77,7 +79,10 @@
         self.run_round = run_round
 
     def stop(self) -> None:
-        """SIGTERM: go on as before while clients still connect, then drain."""
+        """Start the shutdown (SIGTERM): abort a handover, and drain ACCEPT_PERIOD_S later.
+
+        Does nothing if shutdown has started already.
+        """
         if self.state.shutdown_started_s:
             return
         self.handover_source.abort()
@@ -91,7 +96,7 @@
         asyncio.get_running_loop().call_later(ACCEPT_PERIOD_S, self.advance_shutdown)
 
     def advance_shutdown(self) -> None:
-        """Take the next step, and come again until the process may end."""
+        """Run the current phase, and reschedule until the engine can stop."""
         elapsed_s = time.monotonic() - self.state.shutdown_started_s
         self.server.drain()
         if self.handover_source.transferred:
@@ -105,29 +110,39 @@
                 len(self.store.messages),
                 len(self.store.pending_notifications),
             )
-            # From this moment on: what comes before `Startup.run` resumes would be
-            # admitted and never decided on.
+            # Now rather than in `Startup.settle`: a message submitted before
+            # `Startup.run` resumes would be queued for a round that never runs.
             self.stop_rounds()
             self.signal_stopped()
             return
         self.schedule_next_step()
 
     def advance_after_transfer(self, elapsed_s: float) -> None:
-        """All but the connections is another process's: wait for these alone."""
+        """Stop once this process has no call in flight and no client connection.
+
+        The handover target owns everything else.
+
+        Args:
+            elapsed_s: Seconds since SIGTERM.
+        """
         if elapsed_s >= EXIT_AFTER_S or not (
             self.pool.in_flight or self.server.connections
         ):
-            log.info("stopped: all else is the new process's")
+            log.info("stopped: all messages were handed over")
             self.signal_stopped()
         else:
             self.schedule_next_step()
 
     def schedule_next_step(self) -> None:
-        """Look again after SHUTDOWN_STEP_S."""
+        """Run `advance_shutdown` again after SHUTDOWN_STEP_S."""
         asyncio.get_running_loop().call_later(SHUTDOWN_STEP_S, self.advance_shutdown)
 
     def is_drained(self) -> bool:
-        """Whether there is nothing left that this process could still finish."""
+        """Return whether no work is left that this process could still finish.
+
+        Pending notifications are always waited for. Before the freeze, open messages
+        are waited for too; after it, only the calls in flight.
+        """
         if self.store.pending_notifications:
             return False
         if not self.store.messages and not self.intake.undecided:
@@ -139,32 +154,36 @@
         )
 
     def freeze(self) -> None:
-        """Decide for the last time.
+        """Run the last round, and send no call after it.
 
-        What has not left by now never does. Otherwise a call could leave just before
-        the end, and the next process would have to take it as executed; unsent, the
-        next process attempts it.
+        A call sent right before the end would be cut off, and the next process would
+        have to treat it as possibly executed. An unsent one can simply be attempted by
+        the next process.
         """
         if self.intake.undecided or self.events.pending_events:
             self.run_round()
         self.stop_rounds()
-        # Calls of that round that could not leave are reported as not sent, and no
-        # round decides on that any more.
-        self.events.record_waiting_outcomes()
+        # Calls of the last round that could not be sent have posted NOT_SENT outcomes,
+        # which no further round journals.
+        self.events.record_pending_outcomes()
         self.store.flush()
-        # `Startup.settle` does so again, for an end that comes without a freeze.
+        # Repeated in `Startup.settle`, for a shutdown that ends without a freeze.
         self.pool.fail_unconnected_calls()
 
     def stop_rounds(self) -> None:
-        """Let no round decide any more."""
+        """Freeze the engine: no more rounds run."""
         self.state.frozen = True
 
     def signal_stopped(self) -> None:
-        """Have `Startup.run` go on to its end."""
+        """Let `Startup.run` continue with closing the engine."""
         self.state.stopped.set()
 
     def client_grace_s(self) -> float:
-        """How long clients may take to disconnect at the end, in seconds."""
+        """Return how long clients may take to disconnect at the end, in seconds.
+
+        CLIENT_CLOSE_S if there is time, otherwise what is left until EXIT_AFTER_S plus
+        CLOSE_GRACE_S, but at least CLOSE_GRACE_S.
+        """
         remaining_s = (
             self.state.shutdown_started_s
             + EXIT_AFTER_S
