--- a/rainfall/forwarder/engine/ownership.py
+++ b/rainfall/forwarder/engine/ownership.py
@@ -1,4 +1,4 @@
-"""The transfer of the journal to another process, and the time after it."""
+"""The transfer of the journal to a handover target, and the handling of its loss."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class OwnershipTransfer:
-    """Makes another process the journal's writer, and answers for it if it is lost."""
+    """Transfers the journal to the target, and recovers if the target is lost later."""
 
     def __init__(
         self,
@@ -48,9 +48,10 @@
         self.pause, self.shutdown = pause, shutdown
 
     def transfer_ownership(self) -> None:
-        """Leave the journal to the other process, which has read all of it.
+        """Release the journal to the target, which has read all of it.
 
-        From here on this process only finishes the calls that it has in flight.
+        From now on this process only finishes its calls in flight and proxies its
+        client connections. Queued outcomes and submissions are forwarded.
         """
         assert self.journal_lock is not None
         self.server.hand_over()
@@ -68,40 +69,46 @@
         self.pause.run_deferred_requests()
 
     def target_lost(self) -> None:
-        """The process that had taken over is gone: the journal says how far it got."""
+        """Handle the loss of the target after the transfer.
+
+        Before SIGTERM this engine stops, and another one starts from the journal.
+        During shutdown the waiting clients are answered by what the journal holds.
+        """
         if not self.state.shutdown_started_s:
-            log.error("the new process is gone; starting again from the journal")
+            log.error("handover target lost; restarting from the journal")
             self.state.restart_from_journal = True
             self.shutdown.signal_stopped()
             return
         log.error(
-            "the new process is gone, and this one ends; all stays in the journal"
+            "handover target lost during shutdown; its messages stay in the journal"
         )
         self.respond_from_journal()
 
     def respond_from_journal(self) -> None:
-        """Answer the clients whose messages the lost process had.
+        """Answer the clients whose messages were forwarded to the lost target.
 
-        No other engine starts here that could answer them.
+        Called when no other engine starts in this process that could answer them. The
+        journal is read again, because the target has written it since the transfer. If
+        it can't be read, all clients get 503.
         """
         writers = self.handover_source.take_response_writers()
         if not writers:
             return
-        known: set[str] = set()
+        journaled_ids: set[str] = set()
         try:
             config = self.state.config
             store = MessageStore(config.state, config.disk_bytes, write=False)
-            known = store.messages.keys() | store.pending_notifications.keys()
+            journaled_ids = store.messages.keys() | store.pending_notifications.keys()
         except (OSError, UnusableJournalError) as error:
-            log.error("the journal cannot be read: %s", error)
+            log.error("cannot read the journal: %s", error)
         for message_id, writer in writers.values():
-            answer_from_journal(writer, message_id in known)
+            answer_from_journal(writer, message_id in journaled_ids)
 
     def reload_inbound_settings(self) -> None:
-        """Apply a reloaded configuration to the connections that are still here.
+        """Apply reloaded settings to the client connections left in this process.
 
-        After a transfer the other process applies the rest of it; that one also counts
-        and logs what is wrong with it.
+        Called after a transfer. The target applies the whole configuration, and it
+        also counts and logs an invalid one, so an error is ignored here.
         """
         with suppress(ConfigError):
             self.server.settings = replace(
@@ -111,7 +118,12 @@
 
 
 def answer_from_journal(writer: ResponseWriter, accepted: bool) -> None:
-    """Answer a client by whether the journal has its message."""
+    """Answer 202 if the journal holds the client's message, otherwise 503.
+
+    Args:
+        writer: Writes the response.
+        accepted: Whether the journal holds the message or its notification.
+    """
     if accepted:
         writer.answer(HTTPStatus.ACCEPTED)
     else:
--- a/rainfall/forwarder/engine/reconfiguration.py
+++ b/rainfall/forwarder/engine/reconfiguration.py
@@ -1,4 +1,4 @@
-"""SIGHUP: another configuration takes effect without a restart."""
+"""Reloading of the configuration on SIGHUP, without a restart."""
 
 from __future__ import annotations
 
@@ -33,19 +33,22 @@
 
 
 def to_active_config(config: Config, durability: str, source: str) -> ActiveConfig:
-    """What operators can read of a configuration that takes effect now.
+    """Return what operators can read of a configuration that takes effect now.
 
     Args:
         config: The configuration.
-        durability: The level in force, which a reload does not change.
-        source: What made it take effect: `start` or `SIGHUP`.
+        durability: The active durability level, which a reload doesn't change.
+        source: The trigger: `start` or `SIGHUP`.
+
+    Returns:
+        The configuration's digest, its source and the current time.
     """
     digest = config_digest({**config.raw, "durability": durability})
     return ActiveConfig(digest, source, time.time())
 
 
 class Reconfiguration:
-    """Reloads the configuration; one that is not valid leaves all as it is."""
+    """Reloads the configuration; an invalid one changes nothing."""
 
     def __init__(
         self,
@@ -73,10 +76,14 @@
         self.allocate_sockets, self.run_round = allocate_sockets, run_round
 
     def reload(self) -> None:
-        """Read the configuration again and apply what may change without a restart."""
+        """Reload the configuration, and apply what can change without a restart.
+
+        After a transfer the reload is forwarded to the handover target; during a
+        handover pause it is deferred.
+        """
         old = self.state.config
         if self.handover_source.transferred:
-            log.info("the new process reads the configuration")
+            log.info("reload forwarded to the handover target")
             self.handover_source.reload()
             return
         if self.state.paused_for_handover:
@@ -90,18 +97,19 @@
             return
         self.metrics.configs_accepted += 1
         if self.events.last_round_us:
-            # What has come so far is decided on by the old settings.
+            # Events that arrived before the reload are handled with the old settings.
             self.run_round()
         restart_keys = self.replace_config(old, new)
-        # Once closed, only an engine that starts again from the journal reads it.
+        # In a closed engine the new configuration is only kept for an engine that
+        # restarts from the journal.
         if not self.state.closed:
             self.apply_config(old, new, restart_keys)
 
     def replace_config(self, old: Config, new: Config) -> list[str]:
-        """Make a configuration the one in force.
+        """Make a configuration the active one, except for what needs a restart.
 
         Returns:
-            The keys whose new values take effect only at the next start.
+            The changed keys of the file that take effect only at the next start.
         """
         changed_fields = [
             field
@@ -119,7 +127,13 @@
         return [KEY_BY_FIELD.get(field, field) for field in changed_fields] + fleet_keys
 
     def apply_config(self, old: Config, new: Config, restart_keys: list[str]) -> None:
-        """Let a configuration take effect where it differs from the old one."""
+        """Apply a new configuration to the components, and log the reload.
+
+        Args:
+            old: The configuration until now.
+            new: The new configuration, as loaded.
+            restart_keys: Changed keys that take effect only at the next start.
+        """
         self.active_config = to_active_config(new, durability_level(old), "SIGHUP")
         self.allocate_sockets(new.max_sockets)
         self.store.max_bytes = self.store.usable_bytes(new.disk_bytes)
@@ -140,9 +154,10 @@
         )
 
     def apply_settings(self, new: Config) -> None:
-        """Let new settings take effect between two rounds.
+        """Apply new settings between two rounds.
 
-        Messages that are accepted already keep the rules that they came under.
+        Accepted messages keep the class and the maximum number of attempts under which
+        they were accepted.
         """
         settings = replace(new.settings, notifications_acknowledged=True)
         previous_kinds = self.directory.endpoint_scoped_kinds
@@ -154,18 +169,23 @@
         self.pool.configure(
             new.report_fields, settings.idle_connection_us, settings.connect_timeout_us
         )
-        self.metrics.add_classes(c.name for c in settings.classes)
+        self.metrics.add_classes(
+            message_class.name for message_class in settings.classes
+        )
         self.store.use_rules(DeliveryRules(settings.max_attempts, settings.classes))
         self.events.enqueue(SettingsChanged(settings))
         if self.events.last_round_us:
-            # The first round of a start waits for the endpoint list.
+            # Not before the first round, which waits for the endpoint list.
             self.run_round()
 
     def move_retry_afters(self, previous_kinds: set[str]) -> None:
-        """Keep each Retry-After in force under the new throttle scopes.
+        """Copy active Retry-Afters to the new throttle scopes after a settings change.
+
+        A kind whose throttle scope was the destination may now have one per endpoint,
+        or the reverse. A Retry-After applies to every new scope to which it may refer.
 
-        Endpoints of a kind now throttle apart, or no longer do: a Retry-After binds
-        every scope that it may have been meant for.
+        Args:
+            previous_kinds: The kinds that were endpoint-scoped until now.
         """
         scopes = {}
         for name, endpoint in self.directory.endpoints.items():
@@ -175,12 +195,12 @@
                 scopes[endpoint_id] = self.directory.throttle_scope(
                     endpoint.destination, endpoint_id, endpoint
                 )
-        for (destination, endpoint_id), until in list(
+        for (destination, endpoint_id), until_us in list(
             self.pool.retry_after_until.items()
         ):
-            for moved_id, scope in scopes.items():
-                is_affected = endpoint_id in (ANY_ENDPOINT, moved_id)
+            for rescoped_id, scope in scopes.items():
+                is_affected = endpoint_id in (ANY_ENDPOINT, rescoped_id)
                 if scope.destination == destination and is_affected:
-                    self.pool.set_retry_after(scope, until)
+                    self.pool.set_retry_after(scope, until_us)
         for call in self.pool.calls.values():
             call.throttle_scope = scopes.get(call.endpoint, call.throttle_scope)
--- a/rainfall/forwarder/engine/remote_calls.py
+++ b/rainfall/forwarder/engine/remote_calls.py
@@ -1,4 +1,4 @@
-"""Calls that the former process still has in flight after a handover."""
+"""Calls that the handover source still has in flight after the takeover."""
 
 from __future__ import annotations
 
@@ -13,21 +13,23 @@
 
 
 class AttemptKey(NamedTuple):
-    """One attempt of one message."""
+    """Identifies one attempt of one message."""
 
     message_id: str
     attempt: int
 
 
 class RemoteCall(NamedTuple):
-    """The endpoint's number, and when the call was sent in the clock's microseconds."""
+    """A call in flight in the handover source."""
 
     endpoint: int
+    """Id of the endpoint."""
     sent_at_us: int
+    """When the call was sent, in microseconds of the engine's clock."""
 
 
 class RemoteCallTracker:
-    """Keeps the former process's calls until their outcomes are heard."""
+    """Tracks the handover source's calls until it reports their outcomes."""
 
     def __init__(
         self,
@@ -41,41 +43,49 @@
         self.clock, self.store, self.pool = clock, store, pool
         self.directory, self.post = directory, post
         self.calls: dict[tuple[str, int], RemoteCall] = {}
+        """Calls without an outcome, by message id and attempt; the attempts of one call
+        have an entry each.
+        """
 
     def restore(self, calls: list[Any]) -> None:
-        """Take over the calls that a handover snapshot lists.
+        """Start to track the calls that a handover snapshot lists.
 
         Args:
-            calls: For each call its endpoint, what is known of it, and its attempts.
+            calls: A list per call: the endpoint's id, the call's attributes by the
+                dispatcher's snapshot keys, and a list of `[message id, attempt]`.
         """
         now = self.clock()
         self.calls = {
             AttemptKey(message_id, attempt): RemoteCall(
-                endpoint, known.get("sent_at", now)
+                endpoint, attributes.get("sent_at", now)
             )
-            for endpoint, known, attempts in calls
+            for endpoint, attributes, attempts in calls
             for message_id, attempt in attempts
         }
 
     def attempt_finished(self, event: AttemptFinished) -> None:
-        """Take the outcome of such a call; of any other attempt it is ignored."""
+        """Apply the outcome of a tracked call and post it; ignore any other outcome."""
         if self.calls.pop((event.message_id, event.attempt), None) is None:
             return
         message = self.store.messages.get(event.message_id)
-        name = self.directory.names.get(event.endpoint, "")
+        endpoint_name = self.directory.names.get(event.endpoint, "")
         if event.retry_after_us and message is not None:
             self.pool.set_retry_after(
                 self.directory.throttle_scope(
                     message.destination,
                     event.endpoint,
-                    self.directory.endpoints.get(name),
+                    self.directory.endpoints.get(endpoint_name),
                 ),
                 self.clock() + event.retry_after_us,
             )
         self.post(event)
 
     def fail_all(self) -> None:
-        """The former process is gone: its calls were cut, and may have been executed."""
+        """Report all tracked calls as reset, because the handover source has ended.
+
+        They may have been executed. The outcome is marked as inconclusive, because it
+        is only weak evidence against the endpoint.
+        """
         now = self.clock()
         for (message_id, attempt), call in list(self.calls.items()):
             self.attempt_finished(
--- a/rainfall/forwarder/engine/restoration.py
+++ b/rainfall/forwarder/engine/restoration.py
@@ -1,4 +1,4 @@
-"""What a new engine takes over from the journal and from a handover's snapshot."""
+"""Restoring an engine's state from the journal and from a handover snapshot."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 
 RESTORE_BATCH = 100
-"""Restored messages that one round decides on, so that new ones need not wait."""
+"""Messages restored in one round; a small batch doesn't delay new messages."""
 RESTORE_INTERVAL_S = 0.01
-"""Between two such batches."""
+"""Time between two batches."""
 NO_ENDPOINT = -1
-"""In MessageRestored: the message was executed nowhere yet."""
+"""Value of `MessageRestored.executed_on` if no attempt may have been executed."""
 
 
 class Restoration:
-    """Restores the state of before the start, messages in batches between rounds."""
+    """Restores the state at the start, and open messages in batches between rounds."""
 
     def __init__(
         self,
@@ -64,12 +64,16 @@
         self.outcomes, self.remote_calls = outcomes, remote_calls
         self.allocate_sockets = allocate_sockets
         self.backlog: dict[str, MessageRestored] = {}
+        """Events of the open messages that are not restored yet, by message id."""
 
     def restore_state(self) -> int:
-        """Queue events for all that the journal holds.
+        """Queue the events that restore the journal's state.
+
+        After a handover all messages are queued at once, followed by the source's
+        dispatcher snapshot. Otherwise only the first batch of messages is queued.
 
         Returns:
-            The version of the newest endpoint list that is known.
+            The version of the newest known endpoint list.
         """
         snapshot = self.handover_snapshot()
         if snapshot is not None:
@@ -87,20 +91,24 @@
         self.metrics.messages_accepted = len(self.store.messages)
         if self.store.messages or self.store.pending_notifications:
             log.info(
-                "took up %d messages and %d owed ends again",
+                "restored %d messages and %d pending notifications",
                 len(self.store.messages),
                 len(self.store.pending_notifications),
             )
         return version
 
     def handover_snapshot(self) -> HandoverSnapshot | None:
-        """What the former process sent, if the journal is taken over from one."""
+        """Return the handover source's snapshot; None if there was no handover."""
         if self.handover_target is None or not self.handover_target.snapshot:
             return None
         return HandoverSnapshot.from_json(self.handover_target.snapshot)
 
     def apply_handover_snapshot(self, snapshot: HandoverSnapshot) -> None:
-        """Take over what the former process knew beside its journal."""
+        """Restore the handover source's state that is not in the journal.
+
+        While the source keeps its connections open, this process may use only the
+        descriptors that the source doesn't.
+        """
         self.directory.restore_endpoint_ids(
             snapshot.endpoint_ids, snapshot.last_endpoint_id
         )
@@ -113,21 +121,21 @@
         self.allocate_sockets(self.state.config.max_sockets - snapshot.descriptors)
 
     def restore_endpoints(self) -> int:
-        """Restore the newest endpoint list, and what operators and outages say of it.
+        """Restore the newest endpoint list, detached endpoints and outages.
 
         Returns:
             The list's version.
         """
-        known, store = self.state.config.known_endpoints, self.store
-        # The configured list may be older than the drains that this forwarder heard of.
-        if store.seq >= known.version:
-            known = EndpointList(
+        newest, store = self.state.config.known_endpoints, self.store
+        # The journaled list may contain drains that are newer than the configured list.
+        if store.seq >= newest.version:
+            newest = EndpointList(
                 store.seq,
                 True,
                 tuple(parse_endpoint(raw) for raw in store.hosts.values()),
             )
-        self.directory.apply_endpoint_list(known)
-        entries = self.directory.to_entries(known)
+        self.directory.apply_endpoint_list(newest)
+        entries = self.directory.to_entries(newest)
         self.events.enqueue(EndpointListChanged(EndpointListKind.CACHED, entries))
         self.events.enqueue_all(
             [
@@ -141,38 +149,44 @@
                 self.events.enqueue(
                     OutageRestored(endpoint_id, started_at_us, recovered_at_us)
                 )
-        return known.version
+        return newest.version
 
     def restore_notifications(self) -> None:
-        """Messages with the same ordering key wait for these to be acknowledged."""
+        """Queue the pending notifications that have an ordering key.
+
+        Later messages with the same key wait until these are acknowledged.
+        """
         self.events.enqueue_all(
             [
-                NotificationPending(name, notification.order_key)
-                for name, notification in self.store.pending_notifications.items()
+                NotificationPending(message_id, notification.order_key)
+                for message_id, notification in self.store.pending_notifications.items()
                 if notification.order_key is not None
             ]
         )
 
     def fill_backlog(self) -> None:
-        """List the messages to restore, overdue ones first."""
+        """Add the open messages to the backlog, overdue ones first."""
         now = self.clock()
         for message in sorted(
             self.store.messages.values(), key=lambda m: m.deadline_us > now
         ):
             if message.rules_number not in self.store.rules:
-                # The journal is of an older version.
+                # A journal of an older version doesn't hold the message's rules.
                 message.rules_number = self.store.current_rules_number
             self.backlog[message.id] = self.to_restored(message)
 
     def to_restored(self, message: AcceptedMessage) -> MessageRestored:
-        """The event that restores a message; attempts that were cut are journaled."""
-        cut_attempts = [
+        """Return the event that restores a message.
+
+        Attempts that were in flight when their process ended are journaled as possibly
+        executed, because their outcomes are unknown.
+        """
+        interrupted_attempts = [
             attempt
             for attempt in message.in_flight
             if (message.id, attempt) not in self.remote_calls.calls
         ]
-        for attempt in cut_attempts:
-            # Its outcome is unknown: it may have been executed.
+        for attempt in interrupted_attempts:
             self.store.append_outcome(message, attempt, True)
         return MessageRestored(
             message.id,
@@ -186,7 +200,7 @@
             self.directory.endpoint_id(message.executed_on)
             if message.executed_on
             else NO_ENDPOINT,
-            bool(cut_attempts),
+            bool(interrupted_attempts),
             self.store.class_of(message),
             self.store.rules[message.rules_number].attempts,
         )
@@ -196,12 +210,12 @@
         self.restore_messages(RESTORE_BATCH)
 
     def restore_messages(self, limit: int | None = None) -> None:
-        """Queue so many messages of the backlog, or all."""
+        """Queue messages of the backlog: at most `limit`, or all of them by default."""
         for message_id in list(self.backlog)[:limit]:
             self.events.enqueue(self.backlog.pop(message_id))
 
     def restore_key_sequence(self, key: str) -> None:
-        """Queue all messages of an ordering key: they precede the one that comes now."""
+        """Queue all messages of an ordering key, which precede a new one with that key."""
         message_ids = [
             message_id
             for message_id, event in self.backlog.items()
@@ -211,7 +225,10 @@
             self.events.enqueue(self.backlog.pop(message_id))
 
     def continue_restoring(self) -> None:
-        """Restore the next batch, and come again until none is left."""
+        """Restore the next batch, and reschedule until the backlog is empty.
+
+        Skips batches during a handover pause, and stops after the last round.
+        """
         if self.backlog and not self.state.frozen:
             if not self.state.paused_for_handover:
                 self.restore_batch()
--- a/rainfall/forwarder/engine/sockets.py
+++ b/rainfall/forwarder/engine/sockets.py
@@ -1,4 +1,4 @@
-"""How the process's file descriptors are shared between its connections."""
+"""Division of the process's file descriptors between clients and endpoints."""
 
 from __future__ import annotations
 
@@ -15,37 +15,39 @@
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 
 OWN_DESCRIPTORS = 24
-"""Descriptors that the process holds beside its clients', operators' and endpoints'
-connections: 3 standard ones; 3 of the event loop; the clients' listener, the one that
-the platform passed, the operators' listener; the journal, its replacement while it is
-compacted, its directory; the lock and its directory; the handover's listener and
-connection; discovery's and the notifier's connections, each with a former one that is
-just closing; the configuration file while it is read; a few to spare.
+"""Descriptors for everything but the connections of clients, operators and endpoints.
+
+They are: 3 standard streams; 3 of the event loop; the clients' listener, the listener
+inherited from the platform, and the operators' listener; the journal, the file that
+replaces it during compaction, and its directory; the lock and its directory; the
+handover's listener and connection; the connections of discovery and of the notifier,
+each with a previous one that is closing; the configuration file while it is read; and a
+few spare ones.
 """
 ADMIN_DESCRIPTORS = 1 + MAX_CONNECTIONS + ACCEPT_LOOP_TURNS * admin_server.ACCEPT_BATCH
 """Descriptors of the operators' listener and its connections."""
-LEAST_CONNECTIONS = 8
-"""Connections that each side gets however low the limit is."""
+MIN_CONNECTIONS = 8
+"""Minimum connections to endpoints, and from clients, however low the limit is."""
 
 
 def allocate_sockets(sockets: int, pool: ConnectionPool, server: InboundServer) -> None:
-    """Set how many connections to endpoints and from clients there may be.
+    """Set the maximum numbers of connections to endpoints and from clients.
 
-    What the rest of the process needs is left over, also while clients connect faster
-    than connections are closed to make room. Clients with requests get a third at most;
-    idle ones are closed for them.
+    Endpoints get a third of the descriptors and clients between a quarter and a half.
+    What the rest of the process needs stays free, also while clients connect faster
+    than idle connections can be closed to make room.
 
     Args:
-        sockets: Descriptors that the process may use; a lower limit of the operating
-            system's goes before it.
-        pool: Gets its share of connections to endpoints.
-        server: Gets its share of connections from clients.
+        sockets: Descriptors that the process may use; the operating system's limit
+            applies if it is lower.
+        pool: The pool whose `max_connections` is set.
+        server: The server whose `max_connections` is set.
     """
     with suppress(OSError, ValueError):
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         if limit != resource.RLIM_INFINITY:
             sockets = min(sockets, limit)
-    pool.max_connections = max(LEAST_CONNECTIONS, sockets // 3)
+    pool.max_connections = max(MIN_CONNECTIONS, sockets // 3)
     others = (
         pool.max_connections
         + OWN_DESCRIPTORS
@@ -53,5 +55,5 @@
         + ACCEPT_LOOP_TURNS * ACCEPT_BATCH
     )
     server.max_connections = max(
-        LEAST_CONNECTIONS, sockets // 4, min(sockets // 2, sockets - others)
+        MIN_CONNECTIONS, sockets // 4, min(sockets // 2, sockets - others)
     )
--- a/rainfall/forwarder/engine/startup.py
+++ b/rainfall/forwarder/engine/startup.py
@@ -1,6 +1,6 @@
-"""The life of an engine: from taking over the journal to its last commit.
+"""The lifecycle of an engine: taking over, serving, the last commit and closing.
 
-`rainfall.forwarder.engine.shutdown` lists the phases of the end and their times.
+`rainfall.forwarder.engine.shutdown` lists the phases of shutdown and their times.
 """
 
 from __future__ import annotations
@@ -24,15 +24,13 @@
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 
 FIRST_LIST_TIMEOUT_S = 0.5
-"""How long a start waits for the endpoint list, which binds from the first message."""
+"""Time that a start waits for the endpoint list, which applies to the first message."""
 FINAL_COMMIT_TIMEOUT_S = 0.2
-"""How long the last commit is waited for: a disk that does not answer must not keep
-the process.
-"""
+"""Timeout of the last commit, so that a hanging disk doesn't keep the process alive."""
 
 
 class Startup:
-    """Starts serving, waits for the end, and closes in the right order."""
+    """Starts serving, waits until the engine is stopped, and closes its components."""
 
     def __init__(
         self,
@@ -61,10 +59,11 @@
         self.watchdog, self.run_round = watchdog, run_round
 
     async def run(self) -> bool:
-        """Serve until stopped.
+        """Take over the journal if there is a handover, then serve until stopped.
 
         Returns:
-            Whether another engine has to start from the journal.
+            Whether a new engine must start from the journal: the takeover failed, or
+            the target of a later handover was lost.
         """
         if self.handover_target is not None and not await self.take_over():
             self.state.closed = True
@@ -75,7 +74,7 @@
         self.state.closed = True
         self.pool.close()
         if self.state.restart_from_journal:
-            # That engine answers the clients that still wait.
+            # The next engine answers the clients that are still waiting.
             return True
         await self.server.close(self.shutdown.client_grace_s())
         self.handover_source.close()
@@ -84,10 +83,10 @@
         return False
 
     async def take_over(self) -> bool:
-        """Become the journal's writer once the former process has let go of it.
+        """Request ownership of the journal from the handover source, and begin to write.
 
         Returns:
-            Whether the former process did.
+            Whether the source transferred the ownership.
         """
         assert self.handover_target is not None and self.journal_lock is not None
         if not await self.handover_target.request_ownership():
@@ -97,20 +96,24 @@
         return True
 
     async def start_serving(self) -> None:
-        """Decide on what was restored, then listen for clients and another process."""
-        # Over sockets a list comes only to those who ask, `pushed` or not.
+        """Run a round on the restored state, then listen for clients and a target.
+
+        Returns once this process serves, with the watchdog started.
+        """
+        # Needed even if the settings say that lists are pushed: over sockets, discovery
+        # sends a list only in response to a request.
         self.watch.subscribe()
-        await self.wait_first_list()
+        await self.wait_for_first_list()
         if self.state.fleet is not None:
             self.state.fleet.start()
         self.run_round()
-        await self.wait_committed()
+        await self.wait_for_commit()
         self.notifier.kick()
         config = self.state.config
         address = config.listen
         await self.server.listen(address.host, address.port, config.inherited_fd)
-        # The journal is this process's, so operators' requests that the former process
-        # forwards are carried out.
+        # Set before `attach`, which delivers the operators' requests that the handover
+        # source forwards: they are executed only while serving.
         self.state.serving = True
         if self.handover_target is not None:
             self.handover_target.attach(self.target_engine)
@@ -121,28 +124,31 @@
         self.restoration.continue_restoring()
 
     async def settle(self) -> None:
-        """Stop deciding, and commit all that is known."""
+        """Stop rounds, commit the journal and read the responses that have arrived."""
         self.shutdown.stop_rounds()
         self.watch.pause()
         self.notifier.pause()
-        # Not every end comes through `Shutdown.freeze`: all messages may have ended
-        # before it, or the process that took over may be lost.
+        # Also done by `Shutdown.freeze`, which is skipped if all messages have ended
+        # before it, or if the handover target is lost.
         self.pool.fail_unconnected_calls()
-        # After a transfer the fleet's membership is the other process's.
+        # After a transfer the fleet membership belongs to the handover target.
         if self.state.fleet is not None and not self.handover_source.transferred:
             self.state.fleet.pause()
-        # Calls that wait for this are still recorded as never sent.
-        await self.wait_committed(FINAL_COMMIT_TIMEOUT_S)
-        # Responses that lie unread are deliveries, and are recorded before all
-        # connections are closed.
+        # Calls that wait for this commit are journaled as never sent.
+        await self.wait_for_commit(FINAL_COMMIT_TIMEOUT_S)
+        # Unread responses may be deliveries. These turns of the event loop read and
+        # journal them before the connections are closed.
         for _ in range(SETTLE_LOOP_TURNS):
             await asyncio.sleep(0)
 
-    async def wait_committed(self, timeout_s: float | None = None) -> None:
-        """Wait until all that was decided is committed and has left.
+    async def wait_for_commit(self, timeout_s: float | None = None) -> None:
+        """Commit the journal, and wait until this commit and all earlier ones have ended.
+
+        Earlier rounds have then sent their responses and calls. While the disk fails,
+        writing is retried.
 
         Args:
-            timeout_s: How long to wait at most; None for as long as it takes.
+            timeout_s: Maximum time to wait; None for no limit.
         """
         committed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
@@ -158,21 +164,29 @@
             self.store.log.retry_after_failure()
             await asyncio.wait({committed}, timeout=TICK_INTERVAL_S)
 
-    async def wait_first_list(self) -> None:
-        """Wait for the endpoint list before anything restored is sent.
+    async def wait_for_first_list(self) -> None:
+        """Wait for discovery's first answer before any restored message is sent.
 
-        It may have changed while no process was here to hear of it.
+        The restored endpoint list may be out of date: no process received updates
+        since it was journaled. After FIRST_LIST_TIMEOUT_S the start continues with it.
         """
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
                 await self.watch.answered.wait()
         except TimeoutError:
-            log.info("no list yet; going on with version %d", self.watch.version)
+            log.info(
+                "no endpoint list within %.1f s; continuing with version %d",
+                FIRST_LIST_TIMEOUT_S,
+                self.watch.version,
+            )
 
     def respond_for_previous(self, previous: HandoverSource) -> None:
-        """Answer clients whose messages another process had taken before it was lost.
+        """Answer the clients that the previous engine's lost target left waiting.
+
+        A message that the target accepted is in the journal, which this engine has read.
 
-        The journal knows whether that process accepted them.
+        Args:
+            previous: The handover source of the previous engine in this process.
         """
         previous.close()
         for message_id, writer in previous.response_writers.values():
--- a/rainfall/forwarder/engine/watchdog.py
+++ b/rainfall/forwarder/engine/watchdog.py
@@ -1,8 +1,8 @@
-"""The engine's regular checks on itself, its garbage collection and summary lines.
+"""Periodic tasks of the engine, run ten times a second from one timer.
 
-Beside these it fails messages: one that is past its deadline and that the dispatcher
-left without an end gets it here (`Watchdog.fail_overdue_messages`).
-The fleet's tick and the journal's retry after a failed write run in the same turns.
+They are: monitoring the event loop's delay, garbage collection, the summary lines in
+the log, retrying a failed journal write, the fleet member's tick, and failing messages
+that the dispatcher left open past their deadline (`Watchdog.fail_overdue_messages`).
 """
 
 from __future__ import annotations
@@ -32,32 +32,33 @@
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 from rainfall.forwarder.units import MS_PER_SECOND, US_PER_MS
 
-LOOP_LAG_S = 0.1
-"""A delay of the event loop that is logged."""
+LOOP_LAG_THRESHOLD_S = 0.1
+"""A longer delay of the event loop is logged."""
 LOOP_LAG_LOG_INTERVAL_S = 10.0
-"""Least time between two lines about it."""
+"""Minimum time between two log lines about the event loop's delay."""
 SUMMARY_INTERVAL_S = 5.0
-"""Between two lines that sum up what was done."""
+"""Time between two summary lines."""
 COLLECTION_INTERVAL_S = 2.0
-"""Between two garbage collections; what was made at the start is left out of them."""
+"""Time between two garbage collections.
+
+They skip the objects created at the start, which are frozen (`gc.freeze`).
+"""
 FULL_COLLECTION_MESSAGES = 10_000
-"""Messages up to which a full collection takes about a hundredth of a second."""
-FULL_COLLECTION = 2
-"""The collector's generation up to which a full collection looks."""
-YOUNG_COLLECTION = 1
-"""The collector's generation up to which a partial collection looks."""
+"""Open messages up to which a full collection takes about 10 ms."""
+FULL_COLLECTION_GENERATION = 2
+"""Argument of `gc.collect` for a full collection."""
+PARTIAL_COLLECTION_GENERATION = 1
+"""Argument of `gc.collect` for a collection of the two younger generations."""
 OVERDUE_GRACE_US = 120_000
-"""Past its deadline by so much, a message without an end is failed here."""
+"""Time past its deadline after which the watchdog fails a message that is still open."""
 BYTES_PER_KB = 1000
 
 
 class Watchdog:
-    """Ten times a second checks that the event loop and the decisions keep up.
+    """Runs the engine's periodic tasks (see the module's docstring).
 
-    A message whose end the decisions failed to bring is journaled as failed, its client
-    is notified, and the dispatcher is told to forget it. Each tick also collects
-    garbage, logs the summary line, retries a failed write of the journal and calls the
-    fleet member's tick, as each is due.
+    An open message past its deadline is journaled as failed, its client is notified, and
+    it is withdrawn from the dispatcher.
     """
 
     def __init__(
@@ -85,19 +86,21 @@
         self.last_summary_s = started_s
 
     def tick(self, due_s: float) -> None:
-        """Run the checks that are due, and come again after TICK_INTERVAL_S.
+        """Run the tasks that are due, and reschedule after TICK_INTERVAL_S.
+
+        Stops once the engine is closed.
 
         Args:
-            due_s: When this run was due, in seconds of the monotonic clock.
+            due_s: When this tick was due, in seconds of the monotonic clock.
         """
         now_s = time.monotonic()
         if self.state.closed:
             return
         self.check_loop_lag(now_s, now_s - due_s)
         if now_s - self.last_collection_s >= COLLECTION_INTERVAL_S:
-            # asyncio's transports refer to themselves: with ever new clients, hundreds
-            # of closed ones would wait for the collector's rare full run, and the
-            # memory in use would grow for minutes.
+            # asyncio's transports are reference cycles. With many short connections,
+            # hundreds of closed transports would wait for Python's rare full
+            # collection, and memory would grow for minutes.
             self.last_collection_s = now_s
             self.collect_garbage()
         if now_s - self.last_summary_s >= SUMMARY_INTERVAL_S:
@@ -111,43 +114,56 @@
         )
 
     def check_loop_lag(self, now_s: float, lag_s: float) -> None:
-        """Log that the event loop was blocked, now and then."""
-        if lag_s > LOOP_LAG_S and now_s - self.last_lag_log_s > LOOP_LAG_LOG_INTERVAL_S:
+        """Log a delay of the event loop, at most once per LOOP_LAG_LOG_INTERVAL_S.
+
+        Args:
+            now_s: The current time, in seconds of the monotonic clock.
+            lag_s: How late this tick is, in seconds.
+        """
+        if (
+            lag_s > LOOP_LAG_THRESHOLD_S
+            and now_s - self.last_lag_log_s > LOOP_LAG_LOG_INTERVAL_S
+        ):
             self.last_lag_log_s = now_s
-            log.warning("the loop stood still for %d ms", lag_s * MS_PER_SECOND)
+            log.warning("event loop blocked for %d ms", lag_s * MS_PER_SECOND)
 
     def collect_garbage(self) -> None:
-        """Collect garbage, without all that is held where that is much.
+        """Run a full garbage collection, or a partial one if many messages are open.
 
-        A full collection visits every object. With many messages only objects that are
-        new since the last collections are visited, and full ones are left to Python's
-        own thresholds.
+        A full collection visits every object, so its duration grows with the open
+        messages. Beyond FULL_COLLECTION_MESSAGES only recently created objects are
+        visited, and full collections are left to Python's own thresholds.
         """
         gc.collect(
-            FULL_COLLECTION
+            FULL_COLLECTION_GENERATION
             if len(self.store.messages) <= FULL_COLLECTION_MESSAGES
-            else YOUNG_COLLECTION
+            else PARTIAL_COLLECTION_GENERATION
         )
 
     def overdue_messages(self) -> list[AcceptedMessage]:
-        """The messages whose end the decisions should have brought by now."""
+        """Return the open messages that are past their deadline by OVERDUE_GRACE_US.
+
+        Messages in the restoration backlog are left out, because the dispatcher has not
+        received them yet. While no rounds run, the list is empty.
+        """
         due_before_us = (
             0
             if self.state.frozen or self.state.paused_for_handover
             else self.clock() - OVERDUE_GRACE_US
         )
-        late = self.store.live_index.with_deadline_before(due_before_us)
+        overdue_ids = self.store.live_index.with_deadline_before(due_before_us)
         return [
-            self.store.messages[name]
-            for name in late
-            if name in self.store.messages and name not in self.restoration.backlog
+            self.store.messages[message_id]
+            for message_id in overdue_ids
+            if message_id in self.store.messages
+            and message_id not in self.restoration.backlog
         ]
 
     def fail_overdue_messages(self) -> None:
-        """Fail the messages that the decisions left without an end.
+        """Fail the messages that the dispatcher left open past their deadline.
 
-        After the event loop was blocked, their ends may be among the events that came
-        meanwhile: these are decided on first.
+        After the event loop was blocked, the queued events may contain the outcomes
+        that end these messages, so a round handles them first.
         """
         if self.events.pending_events and self.overdue_messages():
             self.run_round()
@@ -158,12 +174,19 @@
                 message.id, NotificationState.FAILED.value, 0
             )
             if message.order_key is not None:
-                # Later messages with its ordering key wait for the notification.
+                # Later messages with its ordering key wait until the notification is
+                # acknowledged.
                 self.events.post(NotificationPending(message.id, message.order_key))
             self.events.post(MessageWithdrawn(message.id))
 
     def log_summary(self, now_s: float) -> None:
-        """Log a line from which alone one can tell where messages wait."""
+        """Log the activity since the last summary, and where open messages wait.
+
+        A second line shows the endpoints of the destination with the most messages.
+
+        Args:
+            now_s: The current time, in seconds of the monotonic clock.
+        """
         message_counts = self.store.live_index.by_destination
         largest = message_counts.most_common(1)
         log.info(
@@ -171,7 +194,10 @@
             now_s - self.last_summary_s,
             self.describe_event_counts(),
             len(self.store.messages),
-            "".join(f", {count} for destination {d}" for d, count in largest),
+            "".join(
+                f", {count} for destination {destination_id}"
+                for destination_id, count in largest
+            ),
             self.describe_calls(),
             len(self.server.connections),
             len(self.pool.connections),
@@ -189,52 +215,55 @@
         self.state.event_counts.clear()
 
     def describe_event_counts(self) -> str:
-        """What happened how often since the last summary."""
+        """Describe the events since the last summary, e.g. "3 taken, 1 returned"."""
         counts = sorted(self.state.event_counts.items())
         return ", ".join(f"{count} {kind}" for kind, count in counts) or "nothing"
 
     def describe_calls(self) -> str:
-        """How many calls are in flight, and how many of them to suspect endpoints."""
+        """Describe the calls in flight: how many, how many in slow start, the oldest."""
         attempts = self.dispatcher.state.attempts.values()
         calls = {id(attempt.call): attempt.call for attempt in attempts}.values()
-        calls_to_unhealthy = sum(
+        slow_start_calls = sum(
             self.dispatcher.in_slow_start(call.endpoint) for call in calls
         )
         oldest_us = max((self.clock() - call.sent_at for call in calls), default=0)
         return (
             f"calls out {self.dispatcher.state.calls_in_flight} of "
-            f"{self.state.config.settings.max_in_flight} slots ({calls_to_unhealthy} "
+            f"{self.state.config.settings.max_in_flight} slots ({slow_start_calls} "
             f"to targets in or after an outage, oldest {oldest_us // US_PER_MS} ms)"
         )
 
     def describe_endpoint(self, endpoint: Endpoint) -> str:
-        """What an endpoint has in flight, and what keeps the next call from it."""
+        """Describe an endpoint's calls in flight and the rules that delay its next one."""
         now = self.clock()
-        waits = "".join(
-            f", {name} {(at_us - now) // US_PER_MS} ms"
-            for name, at_us in self.gates(endpoint, now).items()
-            if at_us > now
+        delays = "".join(
+            f", {name} {(until_us - now) // US_PER_MS} ms"
+            for name, until_us in self.blocked_until(endpoint, now).items()
+            if until_us > now
         )
         window = endpoint.throttle_scope.concurrency_window
         return (
             f"target {endpoint.id} has {endpoint.in_flight} out, "
-            f"window {window:.0f}{self.describe_health(endpoint)}{waits}"
+            f"window {window:.0f}{self.describe_health(endpoint)}{delays}"
         )
 
     def describe_health(self, endpoint: Endpoint) -> str:
-        """Whether an endpoint is in an outage or warming up after one."""
+        """Return ", in outage", ", warming" after an outage, or nothing if healthy."""
         if not self.dispatcher.in_slow_start(endpoint):
             return ""
         return ", in outage" if endpoint.recovered_at < 0 else ", warming"
 
-    def gates(self, endpoint: Endpoint, now: int) -> dict[str, int]:
-        """Until when each rule keeps the next call from an endpoint, by its log name.
+    def blocked_until(self, endpoint: Endpoint, now: int) -> dict[str, int]:
+        """Return until when each rule delays the next call to an endpoint.
 
-        `wait` is Retry-After, `rest` the backoff, `turn` slow start, `share` the quota.
+        The keys are the rules' names in the log: `wait` is a Retry-After, `rest` the
+        backoff, `pace` the estimated rate limit, `turn` slow start, and `share` the
+        quota, which replaces `pace` where there is one. The values are in microseconds
+        of the engine's clock; 0 or a past time means no delay.
         """
         dispatcher = self.dispatcher
         scope = endpoint.throttle_scope
-        gates = {
+        blocked_until = {
             "wait": scope.retry_after_until,
             "rest": scope.backoff_until,
             "pace": scope.next_permit_at,
@@ -244,9 +273,9 @@
             ramp_us = int(
                 endpoint.next_interval_factor * dispatcher.ramp_interval(endpoint)
             )
-            gates["turn"] = endpoint.last_attempt_at + ramp_us
+            blocked_until["turn"] = endpoint.last_attempt_at + ramp_us
         quota = dispatcher.state.quotas.get(endpoint.destination)
         if quota is not None:
-            del gates["pace"]
-            gates["share"] = quota.available_at(now)
-        return gates
+            del blocked_until["pace"]
+            blocked_until["share"] = quota.available_at(now)
+        return blocked_until
