--- a/rainfall/forwarder/engine/engine_state.py
+++ b/rainfall/forwarder/engine/engine_state.py
@@ -123,7 +123,7 @@
                                   serving and before SIGTERM; cleared if the handover
                                   is aborted before the target owns the journal
     handover_source.transferred   the target requests ownership, so only during the
-                                  pause, which then lasts until the process ends
+                                  pause, which then lasts until this engine ends
     server.draining               SIGTERM arrives, before or after a transfer; at the
                                   latest at the start of `server.close`
     frozen                        FREEZE_AFTER_S have passed since SIGTERM, or no
--- a/rainfall/forwarder/engine/event_queue.py
+++ b/rainfall/forwarder/engine/event_queue.py
@@ -48,7 +48,8 @@
         """Queue an event and schedule a round.
 
         After a transfer, outcomes are forwarded to the handover target, and other
-        events are discarded. After the last round, outcomes are journaled at once.
+        events are discarded. After the last round, outcomes are journaled at once. A
+        closed engine discards all events.
         """
         if self.state.closed:
             # Calls that end with the process stay open in the journal, because they may
--- a/rainfall/forwarder/engine/startup.py
+++ b/rainfall/forwarder/engine/startup.py
@@ -24,7 +24,7 @@
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 
 FIRST_LIST_TIMEOUT_S = 0.5
-"""Time that a start waits for the endpoint list, which applies to the first message."""
+"""Time that a start waits for the endpoint list, before it sends the first message."""
 FINAL_COMMIT_TIMEOUT_S = 0.2
 """Timeout of the last commit, so that a hanging disk doesn't keep the process alive."""
 
