--- a/rainfall/forwarder/inbound/__init__.py
+++ b/rainfall/forwarder/inbound/__init__.py
@@ -1,1 +1,1 @@
-"""Clients: their connections and requests."""
+"""The client-facing side: connections, HTTP requests and submitted messages."""
--- a/rainfall/forwarder/inbound/client_connection.py
+++ b/rainfall/forwarder/inbound/client_connection.py
@@ -1,6 +1,8 @@
-"""One client's connection: reads requests and writes answers, in their order.
+"""HTTP/1.1 connections from clients: requests are read and answered in order.
 
-The registry of all clients' connections, with the way they end, stands here too.
+`ClientConnection` is the protocol of one connection. `ConnectionRegistry`, the base of
+`InboundServer`, holds all of them and closes them when the process drains, hands over
+or ends.
 """
 
 from __future__ import annotations
@@ -24,24 +26,30 @@
 
 __all__ = ["BadRequestError", "ClientConnection", "ConnectionRegistry", "Request"]
 MAX_QUEUED_REQUESTS = 8
-"""Requests read ahead on one connection before reading stops."""
+"""Queued requests of one connection at which reading from it is paused."""
 MAX_PIPELINED_REQUESTS = 64
-"""Requests in one piece of input at most: clients send one at a time."""
+"""Maximum number of requests that wait in a connection's queue. Reading is paused at
+MAX_QUEUED_REQUESTS, so only requests pipelined in one chunk of input can exceed that;
+well-behaved clients send one at a time.
+"""
 LINGER_BYTES = 1 << 20
-"""Bytes read and discarded behind a refused request at most."""
+"""Maximum number of bytes that are read and discarded after a rejected request."""
 FIRST_REQUEST_GRACE_US = 300_000
-"""A new connection is left open so long for its first request, also by a process that
-shuts down.
+"""Minimum time that a new connection is kept open for its first request, even while
+the process drains.
 """
 SETTLE_LOOP_TURNS = 4
-"""Turns of the event loop until what was accepted before has a transport, and what had
-come by then is read.
+"""Event loop iterations after which each connection accepted before has its transport
+and the input that it had received by then is read.
 """
 CLOSE_GRACE_S = 0.1
-"""Least time for clients to read their answers and to close, at the process's end."""
+"""Minimum time that clients have to read their responses and to close the connection
+when the process ends.
+"""
 CLOSE_STEP_S = CLOSE_GRACE_S / 20
-"""Between two looks at the connections that are left, at the process's end."""
+"""Interval at which the remaining connections are checked when the process ends."""
 HTTP_VERSIONS = ("1.0", "1.1")
+"""Versions that are accepted; any other is rejected with 505."""
 SINGLE_VALUE_HEADERS = frozenset(
     (
         "x-correlation-id",
@@ -53,45 +61,62 @@
         "x-repeat",
     )
 )
-"""Headers that must not be repeated: a reader that took the other value would read
-another message.
+"""Headers that must not be repeated: a reader that uses the other value would read a
+different message. The request is rejected, and later ones are still read.
 """
 FRAMING_HEADERS = frozenset(("host", "transfer-encoding", "content-length"))
-"""Headers that must not be repeated, and after which the input is not to be trusted."""
+"""Headers that must not be repeated either. Where one is, the end of the request is
+ambiguous, so all further input of the connection is discarded.
+"""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection; its requests are answered one at a time, in order."""
+    """A client's connection, whose requests are answered one at a time, in order."""
 
     def __init__(self, server: ConnectionRegistry) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = None
-        """Made with the first input."""
+        """Created when the first input arrives; dropped when the connection is lost."""
         self.incomplete_request: Request | None = None
+        """The request that is being received, None between two requests."""
         self.raw_bytes = 0
-        """Bytes read since the last complete request, or since a refused one."""
+        """Bytes received since the last complete request or, once `discarding_input` is
+        set, bytes discarded since then.
+        """
         self.in_headers = True
+        """The headers of the request that comes next, or is being received, are not
+        complete. Cleared while a body and its trailers are received.
+        """
         self.request_count = 0
-        """Complete requests so far."""
+        """Number of complete requests so far."""
         self.close_at_us = 0
-        """When it is closed after a refusal; 0 before one."""
+        """When the connection is closed, set once its sending side is shut down; 0
+        until then.
+        """
         self.queued_requests: deque[Request] = deque()
+        """Complete requests that wait until the requests before them are answered."""
         self.active_request: Request | None = None
         """The request that is being answered."""
         self.on_disconnect: Callable[[], None] | None = None
+        """Called if the client disconnects before the active request is answered."""
         self.connected_at_us = server.clock()
         self.last_used_us = self.connected_at_us
+        """When input was last received or a response was last written."""
         self.discarding_input = False
+        """All further input is read and discarded: a request was malformed or timed
+        out, or the connection is being closed.
+        """
         self.peer_closed = False
+        """The client has ended its sending side, so no further request can arrive."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection (called by the event loop)."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        # asyncio sets it only where the listener was made with the protocol's number,
-        # and ours was not. An answer that the system holds back would be lost with a
-        # connection that is reset.
+        # asyncio sets TCP_NODELAY only on sockets with proto=IPPROTO_TCP, which those
+        # of socket.create_server() do not have. A response that Nagle's algorithm holds
+        # back would be lost if the connection is reset.
         with suppress(OSError):
             transport.get_extra_info("socket").setsockopt(
                 socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
@@ -99,23 +124,30 @@
         self.server.add_connection(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Withdraw what has no answer (called by the event loop)."""
+        """Withdraw the requests without a response (called by the event loop)."""
         del error
         self.server.connections.discard(self)
         self.queued_requests.clear()
         self.notify_disconnect()
-        # Both refer back: without them the collector has no cycle to find.
+        # Both refer back to this object: clearing them breaks the reference cycles, so
+        # that the object is freed without the garbage collector.
         self.parser = None
         self.transport = None
 
     def eof_received(self) -> bool:
-        """Refuse what has no answer: a client that ends its side no longer waits."""
+        """Reject the requests without a response (called by the event loop).
+
+        A client that ends its sending side no longer waits for responses.
+
+        Returns:
+            False, so that asyncio closes the transport.
+        """
         self.peer_closed = True
-        self.refuse_pending("withdrawn")
+        self.reject_pending("withdrawn")
         return False
 
-    def refuse_pending(self, text: str, **headers: str) -> None:
-        """Refuse each complete request that has no answer."""
+    def reject_pending(self, text: str, **headers: str) -> None:
+        """Answer 503 to each complete request that has no response."""
         self.notify_disconnect()
         if self.active_request is not None:
             self.answer(HTTPStatus.SERVICE_UNAVAILABLE, text, **headers)
@@ -124,51 +156,52 @@
             self.answer(HTTPStatus.SERVICE_UNAVAILABLE, text, **headers)
 
     def notify_disconnect(self) -> None:
-        """Tell whoever works on the active request that its client is gone, once."""
+        """Call the active request's `on_disconnect` callback, at most once."""
         callback = self.on_disconnect
         self.on_disconnect = None
         if callback is not None:
             callback()
 
     def data_received(self, data: bytes) -> None:
-        """Read requests, and answer those that are complete (called by the loop)."""
+        """Parse requests and process the complete ones (called by the event loop)."""
         self.last_used_us = self.server.clock()
         self.raw_bytes += len(data)
         if self.discarding_input:
-            self._limit_discarded_input()
+            self._check_discarded_bytes()
             return
         if self.parser is None:
             self.parser = httptools.HttpRequestParser(self)
-        previous_count = self.request_count
+        previous_request_count = self.request_count
         try:
             self.parser.feed_data(data)
-            if self.request_count != previous_count:
+            if self.request_count != previous_request_count:
                 self.raw_bytes = 0
             else:
-                self._limit_raw_input()
+                self._check_raw_bytes()
         except (
             httptools.HttpParserError,
             httptools.HttpParserUpgrade,
             BadRequestError,
         ) as error:
-            self._refuse_input(error)
+            self._reject_input(error)
         self.process_next()
 
-    def _limit_discarded_input(self) -> None:
+    def _check_discarded_bytes(self) -> None:
         if self.raw_bytes <= LINGER_BYTES or self.transport is None:
             return
         if self.close_at_us:
             self.transport.close()
         else:
-            # An answer before the refusal is still to come, and must not be reset.
+            # A response to a request before the rejected one is not written yet, and a
+            # close would reset it.
             self.transport.pause_reading()
 
-    def _limit_raw_input(self) -> None:
-        """Refuse a request whose raw bytes exceed what any valid one may have.
+    def _check_raw_bytes(self) -> None:
+        """Reject an incomplete request with more raw bytes than any valid one has.
 
-        The parser reports a header only once it is complete: a header without end, and
-        blank lines before one, show in the raw bytes alone. Small chunks make a body's
-        raw bytes some times its size.
+        The parser reports a header only once it is complete, so an endless header, or
+        blank lines before a request, count only in the raw bytes. Small chunks make the
+        raw bytes of a body a multiple of its size.
         """
         limit = MAX_HEADER_BYTES
         if not self.in_headers:
@@ -178,11 +211,15 @@
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the header is too large"
             )
 
-    def _refuse_input(self, error: Exception) -> None:
-        """Queue a refusal, and discard all further input.
+    def _reject_input(self, error: Exception) -> None:
+        """Queue an error response, and discard all further input.
 
-        After a request that cannot be read, nothing on this connection can be trusted
-        to begin where it seems to. The parser wraps an error of its callbacks.
+        After a request that cannot be parsed it is unknown where the next one begins.
+
+        Args:
+            error: The parser's error, or the `BadRequestError` of `_check_raw_bytes`.
+                Where a parser callback raised a `BadRequestError`, the parser's error
+                has it as its context.
         """
         cause: BaseException = error
         if isinstance(error.__context__, BadRequestError):
@@ -199,12 +236,12 @@
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Start a request when its first bytes are parsed."""
         self.incomplete_request = Request(self.server.arrival_time_us())
         self.in_headers = True
 
     def on_url(self, url: bytes) -> None:
-        """Add a piece of the path."""
+        """Append a part of the path."""
         request = self.incomplete_request
         if request is None:
             return
@@ -216,7 +253,7 @@
         request.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; a trailer counts against the limit and is ignored."""
+        """Add a header; trailers count against the size limit and are ignored."""
         request = self.incomplete_request
         if request is None:
             return
@@ -231,17 +268,17 @@
         headers = request.headers
         lower_name = name.decode("latin-1").lower()
         if lower_name in headers:
-            repeated = BadRequestError(
+            repeated_header_error = BadRequestError(
                 HTTPStatus.BAD_REQUEST, f"{lower_name} stands twice"
             )
             if lower_name in FRAMING_HEADERS:
-                raise repeated
+                raise repeated_header_error
             if lower_name in SINGLE_VALUE_HEADERS:
-                request.error = repeated
+                request.error = repeated_header_error
         headers[lower_name] = value.decode("latin-1").strip()
 
     def on_headers_complete(self) -> None:
-        """Check how the body is framed, and ask for it where the client waits."""
+        """Check the body's framing, and send 100 Continue if the client expects it."""
         self.in_headers = False
         request = self.incomplete_request
         if request is None or self.transport is None or self.parser is None:
@@ -256,11 +293,11 @@
     def _check_framing(
         self, parser: httptools.HttpRequestParser, headers: dict[str, str]
     ) -> None:
-        """Refuse a request whose end is open to argument.
+        """Reject a request whose end is ambiguous.
 
-        Such a request may hide another that a different reader sees. The parser itself
-        refuses both lengths at once, and repeated or signed ones; the rest is refused
-        here.
+        Such a request may smuggle in a second one, which only another HTTP parser sees.
+        httptools itself rejects Content-Length together with Transfer-Encoding, and a
+        repeated or signed Content-Length; the other cases are rejected here.
         """
         version = parser.get_http_version()
         if version not in HTTP_VERSIONS:
@@ -287,7 +324,7 @@
             )
 
     def on_body(self, body: bytes) -> None:
-        """Add a piece of the body."""
+        """Append a part of the body."""
         request = self.incomplete_request
         if request is None:
             return
@@ -298,7 +335,7 @@
         request.body += body
 
     def on_message_complete(self) -> None:
-        """Queue the request that is complete now."""
+        """Queue the complete request."""
         if len(self.queued_requests) >= MAX_PIPELINED_REQUESTS:
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "too many requests at once")
         request = self.incomplete_request
@@ -313,7 +350,10 @@
     # Answering
 
     def process_next(self) -> None:
-        """Handle queued requests until one waits for its answer, and bound the queue."""
+        """Process queued requests until one waits for its response.
+
+        Reading is paused while the queue is full.
+        """
         while self.active_request is None and self.queued_requests and self.is_open():
             self.active_request = self.queued_requests.popleft()
             self.server.handle_request(self, self.active_request)
@@ -324,9 +364,15 @@
                 self.transport.resume_reading()
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
-        """Answer the active request, if there is one and its client can read.
+        """Write the response to the active request.
+
+        Does nothing if there is no active request, or if nothing can be written to the
+        client any more.
 
-        Underscores in header names stand for hyphens.
+        Args:
+            status: Status of the response.
+            text: Body of the response, without its final newline.
+            headers: Additional headers; underscores in their names stand for hyphens.
         """
         request = self.active_request
         self.active_request = None
@@ -349,26 +395,27 @@
             asyncio.get_running_loop().call_soon(self.process_next)
 
     def _stays_open_after(self, request: Request) -> bool:
-        """Whether the connection is kept after the answer to this request.
+        """Whether the connection stays open after the response to this request.
 
-        Complete requests behind it are answered too, and only the last of their answers
-        announces the end: a client reads nothing after Connection: close.
+        While the connection is to be closed, the complete requests in the queue are
+        still answered, and only the last response has Connection: close: a client reads
+        nothing after that.
         """
-        connection_ends = (
+        closes_connections = (
             self.server.draining or self.server.handed_over or self.peer_closed
         )
         return request.keep_alive and (
-            bool(self.queued_requests) or not connection_ends
+            bool(self.queued_requests) or not closes_connections
         )
 
     # Ending
 
     def finish(self) -> None:
-        """Shut the connection down gracefully.
+        """Close the connection gracefully.
 
-        A close with unread input would reset the connection, and the client would lose
-        the answers it has not read: this side is ended first, and input is read and
-        discarded for a while before the close.
+        Closing a socket with unread input resets the connection, and the client would
+        lose the responses that it has not read. So the sending side is shut down first,
+        and input is read and discarded for a while before the close.
         """
         if self.transport is None or not self.is_open() or self.close_at_us:
             return
@@ -377,10 +424,10 @@
         self.raw_bytes = 0
         self.queued_requests.clear()
         if self.peer_closed:
-            return  # All input is read, and the event loop closes the connection.
+            return  # All input is read, and the event loop closes the transport.
         try:
             self.transport.write_eof()
-        except OSError:  # It was reset, and the event loop has not read that yet.
+        except OSError:  # Reset by the client; the event loop has not noticed yet.
             self.transport.abort()
             return
         self.server.close_later(self)
@@ -394,11 +441,11 @@
         )
 
     def is_open(self) -> bool:
-        """Whether something can still be written."""
+        """Whether responses can still be written."""
         return self.transport is not None and not self.transport.is_closing()
 
     def is_idle(self) -> bool:
-        """Whether it holds no request, complete or not."""
+        """Whether no request is being received, queued or answered."""
         return (
             self.active_request is None
             and self.incomplete_request is None
@@ -406,9 +453,10 @@
         )
 
     def request_stalled_us(self, now: int) -> int:
-        """Return for how long the first request without an answer is incomplete.
+        """Return for how many microseconds a request has been incomplete.
 
-        It is 0 where there is none, or where one before it has no answer yet.
+        Returns 0 if no request is being received, or if a request before it has no
+        response yet.
         """
         request = self.incomplete_request
         if request is None or self.active_request is not None or self.queued_requests:
@@ -416,16 +464,16 @@
         return now - request.received_at_us
 
     def close(self) -> None:
-        """End the connection between two requests, unless one lies unread."""
+        """Close the connection gracefully, unless a request may be unread."""
         if self.is_open() and not self.close_at_us and not self.has_unread_input():
             self.finish()
 
     def shut_down(self, immediately: bool) -> None:
-        """End the connection as the process ends.
+        """Close the connection because the process ends.
 
         Args:
-            immediately: Refuse what has no answer, also an incomplete request, rather
-                than wait for it.
+            immediately: Answer 503 to all requests without a response, including an
+                incomplete one, instead of waiting for their responses.
         """
         if self.is_idle():
             self.close()
@@ -433,10 +481,10 @@
             if self.active_request is None and not self.queued_requests:
                 self.active_request = self.incomplete_request
                 self.incomplete_request = None
-            self.refuse_pending("not ready", Retry_After="1")
+            self.reject_pending("not ready", Retry_After="1")
 
     def abort(self) -> None:
-        """Close at once, whatever is unread or unsent."""
+        """Close immediately, and drop unread input and unsent responses."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -457,63 +505,77 @@
 
 
 class ConnectionRegistry:
-    """All clients' connections, and the ways in which they end."""
+    """All client connections, and how they are closed.
+
+    `InboundServer` implements the abstract methods.
+    """
 
     clock: Callable[[], int]
+    """The dispatcher's clock, in microseconds."""
     max_connections: int
+    """Maximum number of open connections."""
 
     def __init__(self) -> None:
         self.connections: set[ClientConnection] = set()
         self.draining = False
-        """The process shuts down."""
+        """The process shuts down: readiness checks fail, and each connection is closed
+        after its next response.
+        """
         self.handed_over = False
-        """Another process accepts the connections."""
+        """Another process accepts new connections; each one held here is closed after
+        its next response.
+        """
         self.closed = False
+        """All connections are aborted, and the periodic checks stop."""
         self.listener: asyncio.Server | None = None
+        """Accepts connections; None before `listen` and after `stop_listening`."""
         self.accept_tasks: set[asyncio.Task[None]] = set()
+        """Create the connections of sockets accepted while the listener closes."""
 
     def arrival_time_us(self) -> int:
-        """Return when the input that is read now came, at the earliest."""
+        """Return the earliest time at which the input being read can have arrived."""
         raise NotImplementedError
 
     def add_connection(self, connection: ClientConnection) -> None:
-        """Register a connection that was accepted."""
+        """Register an accepted connection."""
         raise NotImplementedError
 
     def close_later(self, connection: ClientConnection) -> None:
-        """Close a connection whose input is discarded, in a while."""
+        """Schedule the close of a connection whose input is discarded."""
         raise NotImplementedError
 
     def handle_request(self, connection: ClientConnection, request: Request) -> None:
-        """Answer a complete request, now or later."""
+        """Process a complete request; its response may be written later."""
         raise NotImplementedError
 
     def drain(self) -> None:
-        """Go on answering, and close connections that are idle.
+        """Start draining: close idle connections, and still answer requests.
 
-        A new connection is left open for a while for its first request.
+        A new connection is kept open for FIRST_REQUEST_GRACE_US for its first request.
         """
         self.draining = True
-        newest_us = self.clock() - FIRST_REQUEST_GRACE_US
+        connected_before_us = self.clock() - FIRST_REQUEST_GRACE_US
         for connection in list(self.connections):
             if connection.is_idle() and (
-                connection.request_count or connection.connected_at_us <= newest_us
+                connection.request_count
+                or connection.connected_at_us <= connected_before_us
             ):
                 connection.close()
 
     def hand_over(self) -> None:
-        """Leave new connections to another process.
+        """Stop listening, since another process accepts new connections.
 
-        Those held here end after their next answer.
+        Each connection held here is closed after its next response.
         """
         self.handed_over = True
         self.stop_listening()
 
     def stop_listening(self) -> None:
-        """Accept no connection from now on.
+        """Accept no further connections than those in the backlog.
 
-        What asyncio accepted in this very turn has no transport yet, and would be
-        dropped silently if its listener closed before it has one.
+        A connection that asyncio accepted in this loop iteration has no transport yet,
+        and would be dropped silently if the listener closed before it has one. So the
+        listener is closed in the next iteration.
         """
         listener = self.listener
         self.listener = None
@@ -524,29 +586,30 @@
             loop.call_soon(self.accept_remaining, listener)
 
     def accept_remaining(self, listener: asyncio.Server) -> None:
-        """Accept what is in the backlog, then close the listener.
+        """Accept the connections in the backlog, then close the listener.
 
-        Those clients are connected already, and the close would reset them.
+        The clients of those are connected already, and closing the listener would reset
+        them.
         """
         loop = asyncio.get_running_loop()
         for sock in listener.sockets:
-            listening = socket.socket(
+            listening_socket = socket.socket(
                 sock.family, sock.type, sock.proto, fileno=sock.fileno()
             )
-            listening.setblocking(False)
+            listening_socket.setblocking(False)
             for _ in range(max(0, self.max_connections - len(self.connections))):
                 try:
-                    accepted, _ = listening.accept()
+                    accepted, _ = listening_socket.accept()
                 except OSError:
                     break
                 task = loop.create_task(self.adopt_socket(accepted))
                 self.accept_tasks.add(task)
                 task.add_done_callback(self.accept_tasks.discard)
-            listening.detach()  # The descriptor is the listener's.
+            listening_socket.detach()  # The listener owns the descriptor.
         listener.close()
 
     async def adopt_socket(self, accepted: socket.socket) -> None:
-        """Make a client's connection of an accepted socket."""
+        """Create the connection of an accepted socket."""
         loop = asyncio.get_running_loop()
         try:
             await loop.connect_accepted_socket(lambda: ClientConnection(self), accepted)
@@ -554,13 +617,14 @@
             accepted.close()
 
     async def close(self, grace_s: float = CLOSE_GRACE_S) -> None:
-        """End all connections as the process ends.
+        """Close all connections because the process ends.
 
-        Each request gets an answer, and clients have a while to read it and to close.
+        Each request is answered, and clients have time to read the response and to
+        close the connection.
 
         Args:
-            grace_s: After this, connections are aborted; after half of it, requests
-                without an answer are refused.
+            grace_s: Seconds after which the remaining connections are aborted. After
+                half of it, requests without a response are answered 503.
         """
         loop = asyncio.get_running_loop()
         close_at = loop.time() + grace_s
--- a/rainfall/forwarder/inbound/messages.py
+++ b/rainfall/forwarder/inbound/messages.py
@@ -1,4 +1,4 @@
-"""Messages as clients submit them: read from a request, and checked."""
+"""Parses and validates the message in a client's HTTP request."""
 
 from __future__ import annotations
 
@@ -13,50 +13,60 @@
 from rainfall.forwarder.units import US_PER_SECOND
 
 MESSAGE_ID_LENGTH = 128
-"""Characters of a message's id at most."""
+"""Maximum length of a message id, in characters."""
 KEY_LENGTH = 256
-"""Characters of an idempotency key or an ordering key at most."""
+"""Maximum length of an idempotency key or an ordering key, in characters."""
 DESTINATION_DIGITS = 10
-"""Digits of a destination's number at most."""
+"""Maximum number of digits in a destination's number."""
 TIME_LEFT_FORMAT = re.compile(r"-?[0-9]{1,9}(\.[0-9]{0,9})?", re.ASCII)
-"""Seconds as clients may write them: float() also reads nan, 1e9 and 1_0."""
+"""Accepted notation of X-Time-Left, in seconds. float() alone would also accept nan,
+1e9 and 1_0.
+"""
 TIME_LEFT_LIMIT_FACTOR = 2.0
-"""A message with more time left than this times its class's deadline is malformed."""
+"""Maximum X-Time-Left, as a multiple of the deadline of the message's class."""
 
 
 @dataclass(slots=True)
 class SubmittedMessage:
-    """A message as a client submitted it: well-formed, and not yet accepted."""
+    """A well-formed message that a client submitted and that is not accepted yet."""
 
     id: str
     class_name: str
     destination: int
     due_us: int
+    """Deadline by the dispatcher's clock, in microseconds."""
     key: str | None
+    """Idempotency key, None if the client gave none."""
     order_key: str | None
-    """Ordering key, where its class keeps the order: messages that share it are sent
-    one at a time, in the order in which they were submitted.
+    """Ordering key, None if the client gave none or the class is not ordered. Messages
+    with the same ordering key are sent one at a time, in the order of submission.
     """
     tenant: str | None
+    """Value of X-Account."""
     resent: bool
+    """Whether the client marks the message as a repeated submission (X-Repeat: 1)."""
     body: bytes
 
 
 class ResponseWriter(Protocol):
-    """Where the final answer to a submitted message goes."""
+    """Writes the response to the client that submitted a message."""
 
     on_disconnect: Callable[[], None] | None
-    """Called if the client goes before it has its answer."""
+    """Called if the client disconnects before the response is written."""
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
-        """Write the answer; underscores in header names stand for hyphens."""
+        """Write the response; underscores in header names stand for hyphens."""
 
 
 def parse_message(request: Request, settings: Settings) -> SubmittedMessage:
-    """Read a message from a request.
+    """Return the message that a request submits.
+
+    Args:
+        request: A complete request.
+        settings: Defines the valid message classes and tenants.
 
     Raises:
-        BadRequestError: The request is no well-formed message.
+        BadRequestError: The request is not a well-formed message.
     """
     message_class = _find_class(request, settings)
     if request.method != "POST":
@@ -70,7 +80,7 @@
     key = _read_idempotency_key(headers, message_class)
     order_key = _read_ordering_key(headers, message_class)
     tenant = headers.get("x-account")
-    if settings.tenants and tenant not in {t.name for t in settings.tenants}:
+    if settings.tenants and tenant not in {known.name for known in settings.tenants}:
         raise _malformed("X-Account is missing or unknown")
     return SubmittedMessage(
         message_id,
@@ -123,14 +133,14 @@
 
 
 def _read_destination(headers: dict[str, str]) -> int:
-    """Read the destination's number, which must be given exactly once."""
+    """Return the destination's number, which X-Addressing must contain exactly once."""
     parts = headers.get("x-addressing", "").replace(",", ";").split(";")
-    named = [
+    destinations = [
         value
         for name, _, value in (part.strip().partition("=") for part in parts)
         if name == "dest"
     ]
-    destination = named[0] if len(named) == 1 else ""
+    destination = destinations[0] if len(destinations) == 1 else ""
     if (
         not destination.isascii()
         or not destination.isdigit()
--- a/rainfall/forwarder/inbound/server.py
+++ b/rainfall/forwarder/inbound/server.py
@@ -1,4 +1,4 @@
-"""The clients' side: listens, bounds connections, and submits their messages."""
+"""Server for clients: accepts and evicts connections, and submits their messages."""
 
 from __future__ import annotations
 
@@ -30,73 +30,91 @@
     "bind_listener",
     "parse_message",
 ]
-# A peer that sends no proper request, or nothing, is owed an error or a close within
-# 3 s of connecting (TERMS). The longest ways there leave time for an event loop that is
-# late (a test computes them):
+# A client that sends no request, or an incomplete one, must get an error response or a
+# close within 3 s of connecting (TERMS, see `rainfall.dispatch`). The worst cases below
+# leave time for a delayed event loop; a test computes them:
 # - it sends nothing: SILENT_CONNECTION_US + SWEEP_INTERVAL_S = 2.2 s;
-# - its request is incomplete from the start: STALLED_REQUEST_US + SWEEP_INTERVAL_S
+# - it starts a request at once, and stalls: STALLED_REQUEST_US + SWEEP_INTERVAL_S
 #   = 2.2 s;
-# - it begins at the last moment and stalls: SILENT_CONNECTION_US + SWEEP_INTERVAL_S
-#   + STALLED_FIRST_REQUEST_US + SWEEP_INTERVAL_S = 2.7 s.
+# - it starts a request just before its connection would be closed as silent, and
+#   stalls: SILENT_CONNECTION_US + SWEEP_INTERVAL_S + STALLED_FIRST_REQUEST_US
+#   + SWEEP_INTERVAL_S = 2.7 s.
 STALLED_REQUEST_US = 2_000_000
-"""A request that is incomplete for longer is answered 408, and so is the first request
-of a connection so long after connecting ...
+"""A request that has been incomplete for this long is answered 408. For the first
+request of a connection this time counts from connecting, and
+STALLED_FIRST_REQUEST_US must have passed as well.
 """
 STALLED_FIRST_REQUEST_US = 300_000
-"""... if it has been incomplete for this: clients wait 0.4 s for an answer."""
+"""Minimum time for which a connection's first request must have been incomplete before
+it is answered 408. Clients wait 0.4 s for a response.
+"""
 SILENT_CONNECTION_US = 2_000_000
-"""A connection without any request is closed after this, and never sooner."""
+"""A connection without any request is closed after this time, and not earlier."""
 IDLE_CONNECTION_US = 10_000_000
-"""A connection is closed so long after its last request."""
+"""An idle connection that has sent requests is closed after this time. While more than
+half of the allowed connections are open, SILENT_CONNECTION_US applies instead.
+"""
 FIRST_REQUEST_WAIT_US = 400_000
-"""Clients send at once, and wait for the answer so long."""
+"""How long clients wait for a response; they send their request right after connecting.
+A connection that is older has had the time for a request.
+"""
 SWEEP_INTERVAL_S = 0.2
-"""Between two looks for connections whose time is over."""
+"""Interval at which connections are checked for expired timeouts."""
 LOOP_CHECK_INTERVAL_S = 0.05
-"""Between two looks at how late the event loop is."""
+"""Interval at which the delay of the event loop is measured."""
 LOOP_DELAY_DECAY = 0.98
-"""Share of the expected delay that remains after each look: it halves in 1.7 s."""
+"""Factor on the expected delay at each measurement; the delay halves in 1.7 s."""
 LINGER_S = 0.5
-"""A connection is closed so long after a refusal, so that the client can read it."""
+"""Time between shutting down a connection's sending side and closing the connection, in
+which the client can read the last response.
+"""
 MAX_UNREAD_BYTES = 64 * 1024
-"""Bytes of answers that a client has not read: one that waits for each has few."""
+"""Response bytes that a client has not read, above which its connection is aborted. A
+client that waits for each response leaves few unread.
+"""
 BIND_ATTEMPTS = 100
 BIND_RETRY_S = 0.05
+"""Delay between two attempts to bind the address."""
 BACKLOG = 1024
-"""Connections that wait in the system: hundreds of clients may reconnect at once."""
+"""Length of the kernel's accept queue: hundreds of clients may reconnect at once."""
 ACCEPT_BATCH = 4
-"""Connections accepted in one turn of the event loop."""
+"""Maximum number of connections accepted in one iteration of the event loop."""
 ACCEPT_LOOP_TURNS = 4
-"""Turns of the event loop from an accept until the descriptor that makes room for it is
-closed.
+"""Event loop iterations from accepting a connection until the descriptor of the
+connection that is evicted for it is closed.
 """
 log = logging.getLogger("rainfall.server")
 
 
 class EvictionGroup(IntEnum):
-    """Which connections make room first: those of the smallest group."""
+    """Eviction order of connections: those of the lowest group are closed first."""
 
-    REFUSED = 0
-    """Its input is refused already."""
-    NO_REQUEST_EARLY = 1
-    """Without a complete request, though it had the time, or too many are like it."""
+    DISCARDING_INPUT = 0
+    """Input is being discarded: a request was rejected, or the connection closes."""
+    NO_REQUEST_SUSPECT = 1
+    """No complete request so far, although the oldest such connection had the time for
+    one, or such connections are more than half of the limit.
+    """
     IDLE = 2
+    """Complete requests so far, and none at present."""
     INCOMPLETE = 3
-    """It has sent complete requests, and the next one is incomplete."""
-    NO_REQUEST_LATE = 4
-    """Without a complete request, and it may have had no time for one."""
+    """Complete requests so far, and the next one is incomplete."""
+    NO_REQUEST_NEW = 4
+    """No complete request so far, and possibly no time for one."""
 
 
 EvictionRank = tuple[EvictionGroup, int]
-"""Its group, and since when in microseconds: within a group the oldest goes first. A
-plain tuple, as a flood ranks all connections for each new one.
+"""The group, and the time of the last use or of connecting in microseconds: the oldest
+connection of a group is evicted first. A plain tuple is cheap, and under a flood all
+connections are ranked again for each new one.
 """
 
 
 async def bind_listener(host: str, port: int) -> socket.socket:
     """Return a listening socket.
 
-    The process before may still hold the address, so it is tried for a while.
+    A previous process may still hold the address, so binding is attempted BIND_ATTEMPTS
+    times, every BIND_RETRY_S.
 
     Raises:
         OSError: The address cannot be bound.
@@ -113,54 +131,65 @@
 
 
 class InboundServer(ConnectionRegistry):
-    """Listens for clients, and submits the messages that they send."""
+    """Accepts client connections, and submits the messages that they send."""
 
     def __init__(
         self,
         settings: Settings,
         clock: Callable[[], int],
-        most: int,
-        hand_in: Callable[[SubmittedMessage, ResponseWriter], None],
-        ready: Callable[[], bool] = lambda: True,
+        max_connections: int,
+        submit: Callable[[SubmittedMessage, ResponseWriter], None],
+        is_ready: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
         Args:
-            settings: What messages are checked against.
+            settings: Defines the message classes and tenants that are valid.
             clock: The dispatcher's clock, in microseconds.
-            most: Connections at a time.
-            hand_in: Gets each well-formed message together with its connection.
-            ready: Whether the forwarder accepts messages.
+            max_connections: Maximum number of open connections.
+            submit: Called with each well-formed message and the writer of its response.
+            is_ready: Returns whether the forwarder accepts messages.
         """
         super().__init__()
         self.settings = settings
         self.clock = clock
-        self.max_connections = most
-        self.submit = hand_in
-        self.is_ready = ready
+        self.max_connections = max_connections
+        self.submit = submit
+        self.is_ready = is_ready
         self.loop_check_due_us = clock()
+        """When the next check of the event loop's delay is due."""
         self.loop_delay_us = 0
+        """How late the last check ran."""
         self.expected_loop_delay_us = 0
-        """The longest recent delay of the event loop, which decays."""
+        """Longest recent delay of the event loop; it decays by LOOP_DELAY_DECAY."""
         self.loop_check_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> None:
-        """Listen on an address, or on a listening socket that the platform holds.
+        """Listen on an address, or on an inherited listening socket.
+
+        Args:
+            host: Address to bind.
+            port: Port to bind; 0 for any free one.
+            inherited: Descriptor of a listening socket that the platform passed; None
+                to bind `host` and `port`.
 
         Raises:
-            OSError: The address cannot be bound, or `inherited` is no such socket.
+            OSError: The address cannot be bound, or `inherited` is not a listening
+                socket.
         """
         loop = asyncio.get_running_loop()
         if inherited is None:
             sock = await bind_listener(host, port)
         else:
-            # A copy: to stop accepting closes it, and the platform's own stays open.
+            # Duplicated, since the listener closes its descriptor when it stops: the
+            # platform's own one stays open.
             sock = socket.socket(fileno=os.dup(inherited))
             if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                raise OSError(f"descriptor {inherited} is no listening socket")
-        # asyncio accepts as many connections at a time as its backlog says before it
-        # reports the first: with a long one a flood would use up the descriptors before
-        # anything could make room.
+                raise OSError(f"descriptor {inherited} is not a listening socket")
+        # asyncio accepts up to `backlog` connections in one iteration, before it
+        # reports the first of them. With a large backlog a flood would use up the
+        # descriptors before any connection could be evicted. The accept queue is set by
+        # listen() below.
         self.listener = await loop.create_server(
             lambda: ClientConnection(self), sock=sock, backlog=ACCEPT_BATCH
         )
@@ -170,7 +199,7 @@
         self.check_loop_delay()
 
     def check_loop_delay(self) -> None:
-        """Measure how late the event loop is, again and again."""
+        """Measure the event loop's delay, and schedule the next measurement."""
         if self.closed:
             return
         now = self.clock()
@@ -184,74 +213,79 @@
         )
 
     def arrival_time_us(self) -> int:
-        """Return when the input that is read now came, at the earliest.
+        """Return the earliest time at which the input being read can have arrived.
 
-        A client counts its time from then. The check of the loop's delay runs after
-        what is read in its turn, and before the first bytes of what was accepted in it.
+        X-Time-Left counts from that time. Within a loop iteration the check of the
+        loop's delay runs after the input of open connections is read, and before the
+        first input of newly accepted ones. So the delay is the last measured one or, if
+        that is longer, the time for which the next check is overdue.
         """
         now = self.clock()
         return now - max(self.loop_delay_us, now - self.loop_check_due_us, 0)
 
     def add_connection(self, connection: ClientConnection) -> None:
-        """Register a connection, and make room if there are too many.
+        """Register a connection, and evict one if there are too many.
 
-        A connection whose client waits for an answer stays; if all do, the new one
-        goes.
+        A connection with unread input, or with a complete request that has no response,
+        is not evicted. If there is no other, the new connection is.
         """
         self.connections.add(connection)
         if len(self.connections) <= self.max_connections:
             return
         evicted = self._choose_evicted(connection)
         evicted.abort()
-        # Its descriptor is closed in the loop's next turn: counted till then, it would
-        # be chosen again for each other connection of this turn, and none would make
-        # room.
+        # The descriptor is closed in the next loop iteration. If the connection were
+        # counted until then, it would be chosen again for each further connection of
+        # this iteration, and no other would be evicted.
         self.connections.discard(evicted)
 
-    def _choose_evicted(self, new: ClientConnection) -> ClientConnection:
+    def _choose_evicted(self, newest: ClientConnection) -> ClientConnection:
         evictable = [
-            c
-            for c in self.connections
-            if c is not new and c.active_request is None and not c.queued_requests
+            connection
+            for connection in self.connections
+            if connection is not newest
+            and connection.active_request is None
+            and not connection.queued_requests
         ]
         for candidate in sorted(evictable, key=self.eviction_order(evictable)):
-            # Unread input may be a request, and a close over it resets the connection.
+            # Unread input may be a request, and closing would reset the connection.
             if candidate.discarding_input or not candidate.has_unread_input():
                 return candidate
-        return new
+        return newest
 
     def eviction_order(
         self, evictable: list[ClientConnection]
     ) -> Callable[[ClientConnection], EvictionRank]:
-        """Return the sort key of connections that may make room.
-
-        Refused connections go first; then those without a complete request, the oldest
-        first, while they are many or have had the time for one, so that neither silence
-        nor endless incomplete requests push out clients that send complete ones; then
-        the one idle longest. Thus idle connections cannot push out one that has just
-        come and was not read yet, either.
+        """Return the sort key that orders connections for eviction.
+
+        Connections whose input is discarded come first. Connections without a complete
+        request follow, the oldest first, if they are many or one has had the time for a
+        request, so that clients that are silent or send endless incomplete requests do
+        not evict those that send complete ones. Then comes the connection idle longest.
+        Otherwise connections without a complete request come last, so that idle
+        connections do not evict a new one whose input has not been read yet.
         """
         first_request_waits = [
-            c.connected_at_us
-            for c in evictable
-            if not c.request_count and not c.discarding_input
+            connection.connected_at_us
+            for connection in evictable
+            if not connection.request_count and not connection.discarding_input
         ]
-        evict_early = (
+        is_suspect = (
             2 * len(first_request_waits) > self.max_connections
             or self.clock() - min(first_request_waits, default=0)
             >= FIRST_REQUEST_WAIT_US
         )
-        no_request = (
-            EvictionGroup.NO_REQUEST_EARLY
-            if evict_early
-            else EvictionGroup.NO_REQUEST_LATE
+        no_request_group = (
+            EvictionGroup.NO_REQUEST_SUSPECT
+            if is_suspect
+            else EvictionGroup.NO_REQUEST_NEW
         )
 
         def rank(connection: ClientConnection) -> EvictionRank:
             if connection.discarding_input:
-                return EvictionGroup.REFUSED, connection.last_used_us
+                return EvictionGroup.DISCARDING_INPUT, connection.last_used_us
             if not connection.request_count:
-                return no_request, connection.connected_at_us
+                return no_request_group, connection.connected_at_us
             group = (
                 EvictionGroup.IDLE if connection.is_idle() else EvictionGroup.INCOMPLETE
             )
@@ -260,17 +294,18 @@
         return rank
 
     def close_later(self, connection: ClientConnection) -> None:
-        """Close in a while, so that the client can read why.
+        """Schedule the close, so that the client can read the last response first.
 
-        A flood of connections shortens that.
+        Under a flood the connection may be evicted earlier.
         """
         connection.close_at_us = self.clock() + int(LINGER_S * US_PER_SECOND)
 
     def sweep(self) -> None:
-        """End each connection whose time is over, again and again.
+        """Close each connection with an expired timeout, and schedule the next sweep.
 
-        It may have been refused, send nothing, hold an incomplete request, or be idle
-        for long: a client that stays sends again, or connects anew.
+        Closed are connections that are due after `close_later`, that sent nothing, or
+        that were idle for too long. A request that was incomplete for too long is
+        answered 408; its client may send it again on a new connection.
         """
         if self.closed:
             return
@@ -305,7 +340,7 @@
             connection.abort()
 
     def is_stalled(self, connection: ClientConnection, now: int) -> bool:
-        """Whether a request has been incomplete for too long."""
+        """Whether a request has been incomplete for too long at `now`."""
         stalled_us = connection.request_stalled_us(now)
         if connection.request_count:
             return stalled_us >= STALLED_REQUEST_US
@@ -315,12 +350,13 @@
         )
 
     def handle_request(self, connection: ClientConnection, request: Request) -> None:
-        """Refuse a request, answer a readiness check, or submit a message."""
+        """Reject a request, answer a readiness check, or submit a message."""
         if (
             connection.transport is not None
             and connection.transport.get_write_buffer_size() > MAX_UNREAD_BYTES
         ):
-            # The client sends and never reads: its answers would fill the memory.
+            # The client sends requests without reading the responses, which would fill
+            # the memory.
             connection.abort()
         elif request.error is not None:
             connection.answer(request.error.status, request.error.text)
