--- a/rainfall/forwarder/http1.py
+++ b/rainfall/forwarder/http1.py
@@ -1,8 +1,7 @@
-"""HTTP/1.1 as a client: requests are encoded, and responses collected as they arrive.
+"""HTTP/1.1 client side: encodes requests, and reads responses with httptools.
 
-httptools parses; one response at a time is collected on a connection. Nothing here
-trusts the peer: every byte counts against a limit, also those of a header that never
-ends, and a malformed response stays malformed whatever its first line says.
+The peer is not trusted: all bytes count against a limit, including those of an endless
+header. A malformed response is reported as malformed whatever its status line says.
 """
 
 from __future__ import annotations
@@ -17,84 +16,101 @@
 from rainfall.errors import RainfallError
 
 MAX_HEADER_BYTES = 16 * 1024
+"""Maximum size of a request's or response's headers."""
 MAX_BODY_BYTES = 64 * 1024
+"""Maximum size of a request's or response's body, other than an endpoint list."""
 MAX_LIST_BYTES = 32 * 1024 * 1024
-"""An endpoint list of 44,000 endpoints has 7 to 8.3 MB, or 10 to 12 MB indented."""
+"""Maximum size of an endpoint list. One of 44,000 endpoints has 7 to 8.3 MB, or 10 to
+12 MB if it is indented.
+"""
 RAW_BODY_FACTOR = 8
-"""Raw bytes of a body at most, as a multiple of its size: chunks may be small."""
+"""Maximum raw size of a body as a multiple of its decoded size: chunks may be small."""
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([0-9]{3})[ \r\n]")
 STATUS_PREFIX_BYTES = 13
-"""Bytes of a first line that are enough to tell its status."""
+"""Number of bytes of a status line that suffice to match STATUS_LINE."""
 HEADER_END = b"\r\n\r\n"
 Headers = dict[str, str]
 
 
 class MalformedResponseError(RainfallError):
-    """The response is not valid HTTP, or not what was asked for."""
+    """The response is not valid HTTP, too large, or invalid for the request."""
 
 
 class ResponseReader:
-    """Collects one response after the other.
+    """Reads the responses on a connection, one at a time.
 
-    `status_line_code` is the status in the first line, from when that line is complete,
-    though the rest may yet turn out malformed. `status` counts once the response is
-    `complete`.
+    `status_line_code` is set as soon as the status line is complete, while the rest may
+    still turn out to be malformed. `status` is valid once the response is `complete`.
     """
 
-    def __init__(self, most: int = MAX_BODY_BYTES) -> None:
-        """Make a reader of responses whose body has `most` bytes at most."""
-        self.max_body_bytes = most
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        """Create a reader.
+
+        Args:
+            max_body_bytes: Maximum size of a response's body.
+        """
+        self.max_body_bytes = max_body_bytes
         self.reset()
 
     def reset(self) -> None:
-        """Get ready for the next response."""
+        """Prepare for the next response."""
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(
             self
         )
         self.status = 0
+        """Status of the response; 0 until its headers are complete."""
         self.status_line_code = 0
+        """Status in the status line; 0 until that line is complete."""
         self.complete = False
+        """The response is complete and valid."""
         self.keep_alive = False
-        """Whether the connection can be used again; known once complete."""
+        """The connection can be reused; valid once the response is complete."""
         self.headers: Headers = {}
-        self.counted_bytes = 0
-        """Bytes of headers and of the body."""
+        """Header values by lower-case header name."""
+        self.decoded_bytes = 0
+        """Decoded bytes: header names, header values and the body."""
         self.raw_bytes = 0
+        """Received bytes, without those of interim responses."""
         self.skipped_bytes = 0
-        """Bytes of interim responses (1xx), which are left out."""
+        """Bytes of interim responses (1xx), which are discarded."""
         self.in_headers = True
+        """The headers are not complete yet."""
         self.has_extra_response = False
-        """Another response follows that nobody asked for."""
+        """A second response follows, although there was one request."""
         self.any_bytes_received = False
+        """Some input was received, even if only of an interim response."""
         self.too_large = False
+        """The parser was stopped because the body is too large."""
         self.partial_status_line = b""
+        """Unparsed input, while the final response's status line is incomplete."""
         self.body_parts: list[bytes] = []
 
     def release_parser(self) -> None:
-        """Drop the parser at the connection's end.
+        """Release the parser when the connection is closed.
 
-        It refers back: without it the collector has no cycle to find.
+        The parser refers back to this object: clearing it breaks the reference cycle,
+        so that the object is freed without the garbage collector.
         """
         self.parser = None
 
     @property
     def response_started(self) -> bool:
-        """Whether some of the final response has come; interim ones do not count."""
+        """Whether a part of the final response, after any 1xx ones, was received."""
         return bool(self.status_line_code or self.partial_status_line)
 
     @property
     def body(self) -> bytes:
-        """The body so far."""
+        """The body received so far."""
         return b"".join(self.body_parts)
 
     def feed(self, data: bytes) -> None:
-        """Take in received bytes.
+        """Process received bytes.
 
         Raises:
             MalformedResponseError: The response is malformed or too large.
         """
         self.any_bytes_received = True
-        if self.complete:  # More than was asked for.
+        if self.complete:  # Input after the response.
             self.keep_alive = False
             return
         if not self.status_line_code:
@@ -107,35 +123,45 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
                 raise MalformedResponseError(
-                    "the answer is too large" if self.too_large else str(error)
+                    f"response too large, limit is {self.max_body_bytes} body bytes"
+                    if self.too_large
+                    else str(error)
                 ) from None
             self.keep_alive = False
-        # A second response or noise behind a good one: the response holds, but the
-        # connection cannot be used again.
+        # A second response or stray bytes follow: the first response is valid, but the
+        # connection cannot be reused.
         if self.has_extra_response:
             self.keep_alive = False
         self.raw_bytes += len(data)
-        if not self.complete and self.raw_bytes > self._raw_limit_bytes():
-            raise MalformedResponseError("the answer is too large")
+        if not self.complete and self.raw_bytes > self._max_raw_bytes():
+            raise MalformedResponseError(
+                f"incomplete response exceeds {self._max_raw_bytes()} raw bytes"
+            )
 
-    def _raw_limit_bytes(self) -> int:
-        """Return how many raw bytes may have come by now.
+    def _max_raw_bytes(self) -> int:
+        """Return the current limit of `raw_bytes`.
 
-        The parser reports a header only once it is complete: a header without end shows
-        in the raw bytes alone.
+        The parser reports a header only once it is complete, so an endless header
+        counts only in the raw bytes.
         """
         if self.in_headers:
             return MAX_HEADER_BYTES
         return MAX_HEADER_BYTES + RAW_BODY_FACTOR * self.max_body_bytes
 
     def read_status_line(self, data: bytes) -> bytes:
-        """Find the final response's status, and return what the parser is to read.
+        """Parse the final response's status line, and skip interim responses before it.
+
+        Interim responses (1xx, including 101) have no body.
 
-        Interim responses (1xx, also a 101) have no body and are left out. Returns no
-        bytes while the status is not known.
+        Args:
+            data: The received bytes.
+
+        Returns:
+            The input of the parser; empty while the status line is incomplete.
 
         Raises:
-            MalformedResponseError: The input is no response, or its start is too long.
+            MalformedResponseError: The input is not a response, or its status line or
+                the interim responses are too long.
         """
         data = self.partial_status_line + data
         self.partial_status_line = b""
@@ -145,11 +171,13 @@
                 if len(data) < STATUS_PREFIX_BYTES and b"\n" not in data:
                     self.partial_status_line = data
                     return b""
-                raise MalformedResponseError("no status line")
+                raise MalformedResponseError(
+                    f"no valid status line: {data[:STATUS_PREFIX_BYTES]!r}"
+                )
             if not match[1].startswith(b"1"):
-                return self._take_status(int(match[1]), data)
+                return self._set_status(int(match[1]), data)
             end = data.find(HEADER_END)
-            self._limit_skipped_bytes(end if end >= 0 else len(data))
+            self._check_skipped_bytes(end if end >= 0 else len(data))
             if end < 0:
                 self.partial_status_line = data
                 return b""
@@ -157,22 +185,29 @@
             self.skipped_bytes += end
             data = data[end:]
 
-    def _take_status(self, status: int, data: bytes) -> bytes:
-        """Set the status once the first line is complete: cut off, it promises nothing."""
+    def _set_status(self, status: int, data: bytes) -> bytes:
+        """Set `status_line_code` once the status line is complete.
+
+        A truncated status line must not count as a status.
+        """
         if b"\n" in data:
             self.status_line_code = status
             return data
         if len(data) > MAX_HEADER_BYTES:
-            raise MalformedResponseError("the first line is too long")
+            raise MalformedResponseError(
+                f"status line exceeds {MAX_HEADER_BYTES} bytes"
+            )
         self.partial_status_line = data
         return b""
 
-    def _limit_skipped_bytes(self, further_bytes: int) -> None:
-        if self.skipped_bytes + further_bytes > MAX_HEADER_BYTES:
-            raise MalformedResponseError("too much ahead of the answer")
+    def _check_skipped_bytes(self, additional_bytes: int) -> None:
+        if self.skipped_bytes + additional_bytes > MAX_HEADER_BYTES:
+            raise MalformedResponseError(
+                f"interim responses exceed {MAX_HEADER_BYTES} bytes"
+            )
 
     def on_eof(self) -> None:
-        """Note the connection's end, which completes a response without a length."""
+        """Handle the end of the stream, which completes a response without a length."""
         if (
             self.any_bytes_received
             and not self.in_headers
@@ -185,18 +220,18 @@
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Start a response."""
+        """Start a response; a second one is recorded as extra."""
         self.has_extra_response = self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header."""
         if self.complete:
             return
-        self.counted_bytes += len(name) + len(value)
+        self.decoded_bytes += len(name) + len(value)
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Read the status, and refuse a body that is announced too large."""
+        """Store the status, and reject a body whose Content-Length is too large."""
         if self.complete:
             return
         assert self.parser is not None
@@ -205,20 +240,24 @@
         length = self.headers.get("content-length", "")
         if length.isdigit() and int(length) > self.max_body_bytes:
             self.too_large = True
-            raise MalformedResponseError("the answer is too large")
+            raise MalformedResponseError(
+                f"Content-Length {length} exceeds {self.max_body_bytes} bytes"
+            )
 
     def on_body(self, body: bytes) -> None:
-        """Add a piece of the body."""
+        """Append a part of the body."""
         if self.complete:
             return
-        self.counted_bytes += len(body)
-        if self.counted_bytes > self.max_body_bytes + MAX_HEADER_BYTES:
+        self.decoded_bytes += len(body)
+        if self.decoded_bytes > self.max_body_bytes + MAX_HEADER_BYTES:
             self.too_large = True
-            raise MalformedResponseError("the answer is too large")
+            raise MalformedResponseError(
+                f"response exceeds {self.max_body_bytes + MAX_HEADER_BYTES} bytes"
+            )
         self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Complete the response."""
+        """Mark the response as complete."""
         if self.complete:
             return
         assert self.parser is not None
@@ -233,7 +272,7 @@
     headers: Iterable[tuple[str, str]],
     body: bytes = b"",
 ) -> bytes:
-    """Return a request's bytes; every method but GET announces its body's length."""
+    """Return an encoded request, with a Content-Length unless the method is GET."""
     lines = [
         f"{method} {path} HTTP/1.1",
         f"Host: {host}",
@@ -245,9 +284,9 @@
 
 
 def has_unread_input(transport: asyncio.Transport) -> bool:
-    """Whether a transport's socket holds what the event loop has not read yet.
+    """Whether a transport's socket has input that the event loop has not read yet.
 
-    That may be bytes, an end or a reset.
+    That may be data, the end of the stream or a reset.
     """
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
--- a/rainfall/forwarder/outbound/__init__.py
+++ b/rainfall/forwarder/outbound/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints: connections, calls and responses."""
+"""The endpoint-facing side: connections, calls and their responses."""
--- a/rainfall/forwarder/outbound/batch.py
+++ b/rainfall/forwarder/outbound/batch.py
@@ -1,4 +1,4 @@
-"""The body of a call with several messages."""
+"""Encodes the request body of a batch call, which carries several messages."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from rainfall.forwarder.outbound.connection import CallItem
 
 ITEM_OVERHEAD_BYTES = 64
-"""Bytes of an item's JSON at most, without its id, its key and its body."""
+"""Upper bound of an item's JSON in bytes, without its id, key and body."""
 
 
 def encode_batch(items: list[CallItem]) -> bytes:
-    """Return the body of a call with these messages."""
+    """Return the request body of a batch call, as JSON; message bodies are base64."""
     return json.dumps(
         [_encode_item(item) for item in items], separators=(",", ":")
     ).encode()
@@ -29,12 +29,12 @@
 
 
 def fits_batch(items: list[CallItem], item: CallItem) -> bool:
-    """Whether a call with one more message stays within what endpoints accept."""
-    encoded_bytes = sum(_encoded_bytes(x) for x in [*items, item])
+    """Whether a call with one more message stays within MAX_BODY_BYTES."""
+    encoded_bytes = sum(_encoded_bytes(each) for each in [*items, item])
     return encoded_bytes <= MAX_BODY_BYTES
 
 
 def _encoded_bytes(item: CallItem) -> int:
-    """Return how many bytes an item has in a body at most; base64 makes 4 of 3."""
+    """Return an upper bound of an item's encoded size; base64 turns 3 bytes into 4."""
     body_bytes = 4 * len(item.body) // 3
     return body_bytes + len(item.id) + len(item.key or "") + ITEM_OVERHEAD_BYTES
--- a/rainfall/forwarder/outbound/connection.py
+++ b/rainfall/forwarder/outbound/connection.py
@@ -1,8 +1,8 @@
-"""One connection to an endpoint, and the call that is in flight on it.
+"""A connection to an endpoint, and the call that is in flight on it.
 
-Whether a call could not connect (its messages were not executed) or was reset (they may
-have been) depends on whether its last byte was handed to the socket. So every byte is
-written here, and no library below keeps or resends one.
+If a connection breaks, the call's messages may have been executed only if its last byte
+was handed to the socket: then the outcome is a reset, otherwise a failure to connect.
+So all bytes are written here, and no library below buffers or resends any.
 """
 
 from __future__ import annotations
@@ -24,9 +24,11 @@
 )
 
 STALE_CONNECTION_US = 30_000
-"""An idle connection that breaks so soon under its next call was stale."""
+"""A reused connection that breaks within this time of its next call was stale: the
+endpoint had closed it while it was idle.
+"""
 NEVER_IDLE = -1
-"""Stands for an idle time where a connection has not been idle."""
+"""Value of an idle time where the connection was not idle."""
 
 
 @dataclass(slots=True)
@@ -34,13 +36,18 @@
     """One message of a call, with the attempt that the call makes of it."""
 
     id: str
+    """The message's id."""
     attempt: int
+    """Number of the attempt, from 0."""
     key: str | None
+    """The message's idempotency key."""
     body: bytes
     timeout_at_us: int
+    """When the attempt times out, by the dispatcher's clock."""
     send_before_us: int = 0
-    """Receivers may have forgotten its idempotency key after this, which matters where
-    it may have been executed before; 0 where it may be sent at any time.
+    """The attempt is not sent after this time. It is set for a message that may have
+    been executed before: receivers may have dropped its idempotency key by then, and
+    would execute it twice. 0 if it may be sent at any time.
     """
 
 
@@ -49,123 +56,144 @@
     """One call to an endpoint, with one or more messages."""
 
     endpoint: int
+    """The endpoint's number in this process."""
     throttle_scope: ThrottleScopeKey
-    """What a Retry-After in its response binds."""
+    """The endpoint or destination to which a Retry-After in the response applies."""
     sent_at_us: int
+    """When the dispatcher decided to send the call, by its clock."""
     items: list[CallItem]
     timeout_at_us: int = 0
+    """When the first of the open messages times out, which ends the call."""
     dial_timeout_at_us: int = 0
+    """A call that ends without a connection before this time counts as not sent, and
+    not as a failure of the endpoint to accept connections.
+    """
     connection: EndpointConnection | None = None
+    """The connection on which the call is in flight."""
     timer: asyncio.TimerHandle | None = None
+    """Fires at `timeout_at_us`."""
     written: bool = False
-    """Its last byte was handed to the socket."""
+    """The last byte was handed to the socket, so the messages may be executed."""
     batched: bool = False
+    """The call carries several messages, and its response a state for each."""
     message_count: int = 0
-    """Messages in the bytes that are written."""
+    """Number of messages in the encoded request."""
     response_started: bool = False
-    """Some of its response has come."""
+    """A part of the response was received, and the timer for its completion is set."""
     open_items: dict[str, CallItem] = field(default_factory=dict)
     """Messages without an outcome, by id."""
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """What came of an attempt."""
+    """The result of an attempt."""
 
     outcome: Outcome
     final: bool = False
-    """The endpoint said that the message needs no other attempt."""
+    """The endpoint reported that the message needs no further attempt."""
     retry_after_us: int = 0
-    """The Retry-After that was received; 0 for none."""
+    """The Retry-After of the response; 0 for none."""
     weak_evidence: bool = False
-    """It says little about the endpoint's health."""
+    """The outcome is weak evidence about the endpoint's health."""
 
 
 OutcomeSink = Callable[[AttemptFinished], None]
-"""Gets the end of each attempt."""
+"""Called at the end of each attempt."""
 
 
 if TYPE_CHECKING:
 
     class ConnectionOwner(Protocol):
-        """What connections need of their pool."""
+        """What an `EndpointConnection` requires of its pool."""
 
         clock: Callable[[], int]
+        """The dispatcher's clock, in microseconds."""
         messages_written: int
+        """Number of messages whose last byte was handed to a socket."""
 
         def log_malformed_response(self, call: OutboundCall, error: object) -> None:
-            """Log why a response cannot be read."""
+            """Log why a response is malformed."""
 
         def on_response_started(self, call: OutboundCall) -> None:
-            """Note that some of a response has come."""
+            """Called when a part of a response was received."""
 
         def on_response(
             self, call: OutboundCall, reader: ResponseReader, broken: bool = False
         ) -> None:
-            """End a call by its response, or by the break of its connection."""
+            """End a call whose response is complete, or whose connection is broken."""
 
         def record_staleness(self, age_us: int, stale: bool) -> None:
-            """Learn whether a connection that was idle so long was stale."""
+            """Record whether a connection that was idle for this time was stale."""
 
-        def keep_idle(self, connection: EndpointConnection, target: int) -> None:
-            """Keep a connection without a call for the next one."""
+        def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
+            """Keep a connection without a call for reuse."""
 
         def on_connection_lost(self, connection: EndpointConnection) -> None:
-            """Forget a connection."""
+            """Remove a closed connection."""
 
 
 class EndpointConnection(asyncio.Protocol):
     """A connection to an endpoint, with at most one call on it."""
 
-    def __init__(self, pool: ConnectionOwner, where: Address) -> None:
+    def __init__(self, pool: ConnectionOwner, address: Address) -> None:
         self.pool = pool
-        self.address = where
+        self.address = address
         self.idle_since_us = NEVER_IDLE
+        """When the connection became idle; NEVER_IDLE if it is not idle."""
         self.call_started_us = 0
+        """When the last call was written."""
         self.idle_age_us = NEVER_IDLE
-        """How long it had been idle before its call."""
+        """How long the connection was idle before its last call; NEVER_IDLE if it was
+        new.
+        """
         self.call: OutboundCall | None = None
+        """The call in flight."""
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport (called by the event loop)."""
+        """Store the transport (called by the event loop)."""
         assert isinstance(transport, asyncio.Transport)
-        # With this limit, resume_writing tells that the last byte is written.
+        # With a limit of 0, resume_writing() is called once all bytes are written.
         transport.set_write_buffer_limits(0)
         self.transport = transport
 
     def resume_writing(self) -> None:
-        """Note that all bytes are written (called by the event loop)."""
+        """Mark the call as written (called by the event loop)."""
         if self.call is not None:
             self.mark_written(self.call)
 
     def mark_written(self, call: OutboundCall) -> None:
-        """Note that a call's last byte was handed to the socket."""
+        """Record that a call's last byte was handed to the socket."""
         if not call.written:
             call.written = True
             self.pool.messages_written += call.message_count
 
     def is_closing(self) -> bool:
-        """Whether nothing can be sent on it any more."""
+        """Whether no call can be sent on the connection any more."""
         return self.transport is None or self.transport.is_closing()
 
     def is_reusable(self) -> bool:
-        """Whether it is open and without unread input.
+        """Whether the connection is open and has no unread input.
 
-        An end, a second response or noise that waits unread would be taken for the next
-        call's response.
+        Unread input, such as the end of the stream, a second response or stray bytes,
+        would be taken for the next call's response.
         """
         return not self.is_closing() and not self.has_unread_input()
 
     def has_unread_input(self) -> bool:
-        """Whether its socket holds what the event loop has not read yet."""
+        """Whether the socket holds input that the event loop has not read yet."""
         if self.transport is None or self.transport.is_closing():
             return False
         return has_unread_input(self.transport)
 
     def send_call(self, call: OutboundCall, data: bytes) -> None:
-        """Write a call's bytes."""
+        """Write an encoded call.
+
+        Args:
+            call: The call, which becomes the one in flight.
+            data: The complete encoded request.
+        """
         assert self.transport is not None
         self.reader.reset()
         self.call_started_us = self.pool.clock()
@@ -176,8 +204,8 @@
         self.call = call
         call.connection = self
         self.transport.write(data)
-        # A write that fails leaves the buffer empty, too: then the socket did not take
-        # the last byte.
+        # The buffer is also empty after a write that failed. Then the transport is
+        # closing, and the socket has not taken the last byte.
         if (
             self.transport.get_write_buffer_size() == 0
             and not self.transport.is_closing()
@@ -185,16 +213,16 @@
             self.mark_written(call)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         if self.transport is not None:
             self.transport.abort()
 
     def abort_call(self) -> None:
-        """Close with the call in flight.
+        """Close the connection while its call is in flight.
 
-        A transport closes in the loop's next turn, and by then the message's next
-        attempt may have been sent: so sending ends here and now, which abandons the
-        call as well.
+        The transport closes only in the next loop iteration, and the message's next
+        attempt may be sent before that. So the sending side is shut down immediately,
+        which also aborts the call at the endpoint.
         """
         if self.transport is not None and not self.transport.is_closing():
             with suppress(OSError):  # The endpoint closed it first.
@@ -202,10 +230,10 @@
         self.close()
 
     def data_received(self, data: bytes) -> None:
-        """Read the call's response (called by the event loop)."""
+        """Parse the call's response (called by the event loop)."""
         call = self.call
         if call is None:
-            # Input that nobody asked for: the connection is not to be trusted any more.
+            # Input without a request: the connection must not be reused.
             self.close()
             return
         try:
@@ -213,8 +241,8 @@
         except MalformedResponseError as error:
             self.pool.log_malformed_response(call, error)
             self._release_call(call)
-            # The call ends only after its sending: it may still be in flight, and the
-            # next attempt may be sent at once.
+            # The call may still be in flight, and the next attempt may be sent as soon
+            # as its end is reported: so its sending ends first.
             self.abort_call()
             self.pool.on_response(call, self.reader, broken=True)
             return
@@ -231,24 +259,25 @@
         self.pool.record_staleness(self.idle_age_us, False)
         self._release_call(call)
         self.pool.on_response(call, self.reader)
-        # What is left of a request that was answered early must not be sent: its call
-        # would only start then.
+        # If the endpoint answered before the request was complete, the rest must not be
+        # sent: the endpoint would start the call only then.
         if self.reader.keep_alive and call.written and not self.is_closing():
             self.pool.keep_idle(self, call.endpoint)
         else:
             self.close()
 
     def eof_received(self) -> None:
-        """Close if the call is not written (called by the event loop).
+        """Close if the call is not completely written (called by the event loop).
 
-        A transport would go on and write the rest of a request before it closes; and a
-        request that is incomplete at the endpoint's end must not become complete.
+        Otherwise the transport would write the rest of the request before it closes. A
+        request that was incomplete when the endpoint closed its side must not become
+        complete.
         """
         if self.call is not None and not self.call.written:
             self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the call, if there is one (called by the event loop)."""
+        """End the call in flight, if any (called by the event loop)."""
         self.pool.on_connection_lost(self)
         call = self.call
         self.call = None
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -1,6 +1,6 @@
-"""Calls to endpoints: a pool of connections, each with one call at a time.
+"""Sends calls to endpoints on a pool of connections, each with one call at a time.
 
-Nothing is sent twice here: a further attempt is the dispatcher's decision.
+Nothing is retried here: the dispatcher decides on further attempts.
 """
 
 from __future__ import annotations
@@ -42,23 +42,31 @@
     "parse_retry_after_us",
 ]
 SINGLE_PATH = "/hook"
+"""Path of a call with one message."""
 BATCH_PATH = "/hook/batch"
+"""Path of a call with several messages."""
 DEFAULT_DIAL_TIMEOUT_US = US_PER_SECOND
-"""Time to connect where the settings give none."""
+"""Timeout for connecting where the settings give none."""
 MIN_DIAL_TIMEOUT_S = 0.001
+"""Minimum timeout for connecting, however little time the call has left."""
 MIN_TIME_LEFT_MS = 1
-"""A call never announces less time left than this."""
+"""Minimum X-Time-Left of a call."""
 TIMEOUT_MARGIN_S = 0.001
-"""A timer may be so much early by the dispatcher's clock."""
+"""Added to a timer's delay: it may fire this much early by the dispatcher's clock."""
 MAX_RETRY_AFTERS = 2048
-"""Entries kept before expired ones are dropped: some hundred endpoints send one each."""
+"""Number of stored Retry-After entries above which expired ones are removed. Some
+hundred endpoints may each have one.
+"""
 MALFORMED_LOG_INTERVAL_US = 5 * US_PER_SECOND
-"""Between two log lines of malformed responses: some endpoints send many."""
+"""Minimum interval between log lines about malformed responses: some endpoints send
+many.
+"""
 MALFORMED_LOG_CHARACTERS = 200
+"""Maximum length of the error text in such a line."""
 PERMIT_WAIT_US = 50_000
-"""A call waits for its permit at most so long before it is given back unsent."""
+"""Maximum delay for which a call waits for its permit; else it ends as not sent."""
 RESPONSE_COMPLETION_S = 0.5
-"""A response that is incomplete so long after its start is malformed."""
+"""A response that is still incomplete this long after its start is malformed."""
 LOCAL_DIAL_ERRNOS = (
     errno.EMFILE,
     errno.ENFILE,
@@ -67,66 +75,74 @@
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
 )
-"""Causes for which a connection may fail to come up through no fault of the endpoint."""
+"""Errors of connecting that are caused by this machine and not by the endpoint."""
 log = logging.getLogger("rainfall.client")
 
 
 class ConnectionPool(IdleConnections):
-    """All connections to all endpoints, and the calls that are in flight on them."""
+    """All connections to endpoints, and the calls in flight on them."""
 
     def __init__(
         self,
         clock: Callable[[], int],
         sink: OutcomeSink,
-        fields: tuple[str, ...],
-        idle_us: int,
-        dial_us: int,
-        most: int,
+        report_fields: tuple[str, ...],
+        endpoint_idle_timeout_us: int,
+        dial_timeout_us: int,
+        max_connections: int,
     ) -> None:
-        """Make an empty pool.
+        """Create an empty pool.
 
         Args:
             clock: The dispatcher's clock, in microseconds.
-            sink: Gets the end of each attempt.
-            fields: Names of the fields that endpoints report of their load.
-            idle_us: Endpoints close idle connections after so long; 0 if not known.
-            dial_us: Time to connect; 0 for the default.
-            most: Connections at a time.
+            sink: Called at the end of each attempt.
+            report_fields: Names of the fields in the endpoints' load reports.
+            endpoint_idle_timeout_us: The endpoints' idle timeout; 0 for the default.
+            dial_timeout_us: Timeout for connecting; 0 for the default.
+            max_connections: Maximum number of connections, including those being
+                established.
         """
-        super().__init__(clock, idle_us)
+        super().__init__(clock, endpoint_idle_timeout_us)
         self.sink = sink
-        self.max_connections = most
-        self.configure(fields, idle_us, dial_us)
+        self.max_connections = max_connections
+        self.configure(report_fields, endpoint_idle_timeout_us, dial_timeout_us)
         self.retry_after_until: dict[ThrottleScopeKey, int] = {}
-        """When each Retry-After that was received is over."""
+        """When each received Retry-After expires, by throttle scope."""
         self.in_flight = 0
-        """Calls that were started and have not ended."""
+        """Number of calls that were started and have not ended."""
         self.messages_written = 0
-        """Messages whose last byte was handed to a socket."""
+        """Number of messages whose last byte was handed to a socket."""
         self.last_malformed_log_us = -MALFORMED_LOG_INTERVAL_US
+        """When a malformed response was last logged."""
         self.calls: dict[tuple[str, int], OutboundCall] = {}
-        """Calls by message and attempt."""
+        """Calls in flight, by message id and attempt number."""
         self.record_attempts: Callable[[OutboundCall], bool] | None = None
-        """Asked once a call's connection is up: whether what must be persisted before
-        its first byte is.
+        """Called once a call's connection is established, to journal the call's
+        attempts before its first byte. Returns whether they were.
         """
         self.acquire_permit: Callable[[OutboundCall], int] | None = None
-        """Asked last before a call's first byte: PERMIT_GRANTED if it may be sent, else
-        after how many microseconds to ask again, or PERMIT_TIME_UNKNOWN.
+        """Called right before a call's first byte. Returns PERMIT_GRANTED if the call
+        may be sent, else the delay in microseconds after which to request the permit
+        again, or PERMIT_TIME_UNKNOWN.
         """
         self.on_call_sent: Callable[[OutboundCall], None] | None = None
-        """Called right after a call's first byte."""
+        """Called right after a call's first bytes were written."""
 
-    def configure(self, fields: tuple[str, ...], idle_us: int, dial_us: int) -> None:
-        """Apply settings; see the constructor."""
-        self.report_fields = fields
-        self.dial_timeout_us = dial_us or DEFAULT_DIAL_TIMEOUT_US
-        self.set_idle_timeout(idle_us)
+    def configure(
+        self,
+        report_fields: tuple[str, ...],
+        endpoint_idle_timeout_us: int,
+        dial_timeout_us: int,
+    ) -> None:
+        """Apply changed settings; for the arguments see the constructor."""
+        self.report_fields = report_fields
+        self.dial_timeout_us = dial_timeout_us or DEFAULT_DIAL_TIMEOUT_US
+        self.set_idle_timeout(endpoint_idle_timeout_us)
 
     # Starting
 
     def start(self, call: OutboundCall) -> None:
-        """Send a call, on an idle connection or on a new one."""
+        """Start a call, on an idle connection or on a new one."""
         self.in_flight += 1
         for item in call.items:
             call.open_items[item.id] = item
@@ -136,7 +152,7 @@
         self.connect(call)
 
     def connect(self, call: OutboundCall) -> None:
-        """Find a connection for a call, or dial one."""
+        """Take an idle connection for a call, or dial a new one."""
         if call.endpoint not in self.addresses:
             self.finish(call, AttemptResult(Outcome.NO_CONNECTION))
             return
@@ -148,7 +164,7 @@
             len(self.connections) + len(self.dial_tasks) >= self.max_connections
             and not self.close_longest_idle()
         ):
-            # For want of sockets here, which is no fault of the endpoint.
+            # The local connection limit is no evidence against the endpoint.
             self.finish(call, AttemptResult(Outcome.NOT_SENT))
             return
         task = asyncio.get_running_loop().create_task(
@@ -158,7 +174,10 @@
         task.add_done_callback(self.dial_tasks.discard)
 
     def _take_idle(self, endpoint: int) -> EndpointConnection | None:
-        """Take the last idle connection that can be used; others before it close."""
+        """Return the most recently used idle connection that can be reused, if any.
+
+        Connections that cannot be reused are closed on the way.
+        """
         idle = self.idle.get(endpoint, [])
         while idle:
             connection = idle.pop()
@@ -170,7 +189,7 @@
         return None
 
     async def dial(self, call: OutboundCall, address: Address) -> None:
-        """Connect to an endpoint for a call, and send the call."""
+        """Connect to an endpoint, and launch the call on the new connection."""
         loop = asyncio.get_running_loop()
         timeout_us = min(self.dial_timeout_us, call.timeout_at_us - self.clock())
         timeout_s = max(MIN_DIAL_TIMEOUT_S, timeout_us / US_PER_SECOND)
@@ -189,18 +208,20 @@
         if connection.is_reusable():
             self.launch_if_still_allowed(call, connection)
             return
-        # It came up and broke, perhaps unread as yet: an endpoint that accepts only so
-        # many connections closes further ones. So the endpoint is known to be there,
-        # and what breaks before the first byte was not executed.
+        # The connection was established, but has broken or has unread input. An
+        # endpoint with a connection limit closes further connections like this. So the
+        # endpoint is alive, and nothing was executed, as no byte was sent.
         self.finish(call, AttemptResult(Outcome.NO_CONNECTION, weak_evidence=True))
         connection.close()
 
     @staticmethod
     def _dial_result(error: OSError, was_shortened: bool) -> AttemptResult:
-        """Return what a failed dial says of the endpoint.
+        """Return the result of a call whose connection could not be established.
 
-        A dial that had less time than the settings give one may have been cut off only
-        by its own call's timeout.
+        Args:
+            error: Why connecting failed.
+            was_shortened: The call's own timeout left less time than the settings allow
+                for connecting, so a timeout is weak evidence against the endpoint.
         """
         is_local = error.errno in LOCAL_DIAL_ERRNOS
         was_cut_off = isinstance(error, TimeoutError) and was_shortened
@@ -212,10 +233,11 @@
     def launch_if_still_allowed(
         self, call: OutboundCall, connection: EndpointConnection
     ) -> None:
-        """Send a call on its connection, unless something speaks against it by now.
+        """Launch a call, unless it must not be sent any more.
 
-        What was received since the call was decided holds for it too, and time has
-        passed while the connection came up.
+        Since the dispatcher's decision, and while the connection was established, a
+        message may have expired, the endpoint may have been removed or have got another
+        address, or a Retry-After may have been received.
         """
         now = self.clock()
         expired_items = [
@@ -226,8 +248,8 @@
         if expired_items:
             self.arm_timeout(call)
         if self.addresses.get(call.endpoint) != connection.address:
-            # The endpoint was drained or moved while the connection came up: nothing
-            # may be sent there any more.
+            # The endpoint was drained, or its address changed, while the connection was
+            # established: nothing may be sent to the former address.
             self.finish(call, AttemptResult(Outcome.NOT_SENT))
             connection.close()
         elif not call.open_items or now < self.retry_after_until.get(
@@ -239,10 +261,10 @@
             self.launch(call, connection)
 
     def launch(self, call: OutboundCall, connection: EndpointConnection) -> None:
-        """Write a call if it gets its permit, with nothing between permit and socket.
+        """Write a call if its permit is granted, directly after the permit.
 
-        A call may come a moment early, as calls before it were sent later than they
-        were decided; it is held for that moment.
+        A call may be slightly early for its permit, because earlier calls were sent
+        later than they were decided. It then waits up to PERMIT_WAIT_US.
         """
         data = self.render(call)
         permit_delay_us = self._record_and_acquire_permit(call)
@@ -265,14 +287,14 @@
             self.keep_idle(connection, call.endpoint)
 
     def _record_and_acquire_permit(self, call: OutboundCall) -> int:
-        """Journal a call's attempts, and only then ask for its permit.
+        """Journal a call's attempts, then request its permit.
 
-        Both belong right before the first byte: what is recorded or counted earlier
-        would stand for a call that may never be sent.
+        Both happen right before the first byte. If they happened earlier, attempts
+        could be journaled, and permits used up, for a call that is never sent.
 
         Returns:
-            The answer of `acquire_permit`; PERMIT_TIME_UNKNOWN if the attempts could
-            not be journaled, PERMIT_GRANTED where nobody is to be asked.
+            The result of `acquire_permit`; PERMIT_TIME_UNKNOWN if the attempts could
+            not be journaled, PERMIT_GRANTED if no permits are required.
         """
         if self.record_attempts is not None and not self.record_attempts(call):
             return PERMIT_TIME_UNKNOWN
@@ -281,7 +303,7 @@
         return self.acquire_permit(call)
 
     def retry_launch(self, call: OutboundCall, connection: EndpointConnection) -> None:
-        """Go on with a call that was held for its permit."""
+        """Launch a call again that waited for its permit."""
         if connection.is_reusable():
             self.launch_if_still_allowed(call, connection)
             return
@@ -290,7 +312,7 @@
             self.connect(call)
 
     def render(self, call: OutboundCall) -> bytes:
-        """Return a call's bytes, for those of its messages that are still open."""
+        """Return a call's encoded request, with its messages that are still open."""
         address = self.addresses[call.endpoint]
         host = f"{address.host}:{address.port}"
         items = list(call.open_items.values())
@@ -317,10 +339,10 @@
     # Ending
 
     def arm_timeout(self, call: OutboundCall) -> None:
-        """Set the timer of a call, which the first of its messages to expire ends.
+        """Set a call's timer for the earliest timeout of its open messages.
 
-        A result for the others that came while the call is still in flight, for one
-        whose end was already reported, would count for nobody.
+        The call then ends for all of them. If it stayed in flight for the others, its
+        response could no longer count for the message that has timed out.
         """
         self._cancel_timer(call)
         if call.open_items:
@@ -339,11 +361,11 @@
             call.timer = None
 
     def on_timeout(self, call: OutboundCall) -> None:
-        """End a call whose time is over."""
+        """End a call that has timed out."""
         self.abandon(call, Outcome.TIMED_OUT)
 
     def cancel(self, message: str, attempt: int) -> None:
-        """End the call that holds an attempt, if it has no outcome yet."""
+        """Cancel the call that carries an attempt, if that has no outcome yet."""
         call = self.calls.get((message, attempt))
         if call is not None and message in call.open_items:
             self.abandon(call, Outcome.CANCELED)
@@ -351,36 +373,45 @@
     def defer_for_unread_input(
         self, call: OutboundCall, resume: Callable[[], None]
     ) -> bool:
-        """Whether a call is not to be abandoned now.
+        """Whether abandoning a call must wait, because its response may be unread.
+
+        If the event loop was busy, the socket may hold a response that was not read.
+        The next loop iteration reads it, since it handles sockets before timers. After
+        that `resume` is called, even if there is unread input again.
 
-        The response may lie unread at the socket while the event loop is busy. It is
-        read in the loop's next turn, which handles sockets before timers. Then `resume`
-        is called, however much more is unread by that time.
+        Returns:
+            True if the call has ended, or ends with that input or in `resume`.
         """
         if not call.open_items or call.connection is None:
             return not call.open_items
         if call.connection.is_closing():
-            # Its end was read, and is about to be reported.
+            # The event loop is about to report the connection's end.
             return True
         if not call.connection.has_unread_input():
             return False
 
-        def go_on() -> None:
+        def resume_if_open() -> None:
             if call.open_items and (
                 call.connection is None or not call.connection.is_closing()
             ):
                 resume()
 
-        asyncio.get_running_loop().call_later(0, go_on)
+        asyncio.get_running_loop().call_later(0, resume_if_open)
         return True
 
     def abandon(
         self, call: OutboundCall, outcome: Outcome, input_checked: bool = False
     ) -> None:
-        """Stop waiting for a call, with all its messages together.
+        """End a call without its response, for all its open messages.
+
+        All of them are in flight as long as the connection is open. It is closed here,
+        so that a late response is not taken for that of the next call.
 
-        While its connection is open, each of them is still in flight. Once it is
-        closed, so that a late response cannot be taken for the next call's, none is.
+        Args:
+            call: The call to end.
+            outcome: The outcome of its attempts, if the call was completely written and
+                no success status was received.
+            input_checked: Unread input has already been waited for.
         """
         if not input_checked and self.defer_for_unread_input(
             call, lambda: self.abandon(call, outcome, True)
@@ -393,7 +424,7 @@
             return Outcome.DELIVERED
         if call.connection is not None and call.written:
             return outcome
-        # A connection that still had time to come up says nothing of its endpoint.
+        # The dial has not timed out yet, which is no evidence against the endpoint.
         if call.connection is None and self.clock() < call.dial_timeout_at_us:
             return Outcome.NOT_SENT
         return Outcome.NO_CONNECTION
@@ -401,7 +432,7 @@
     def has_success_status(self, call: OutboundCall) -> bool:
         """Whether a call with one message is delivered.
 
-        It is once the response's first line says 200, whatever follows.
+        That is so once a status line with 200 was received, whatever follows it.
         """
         return (
             not call.batched
@@ -410,7 +441,7 @@
         )
 
     def on_response_started(self, call: OutboundCall) -> None:
-        """Set a time for the rest of a response, so that it holds no slot for long."""
+        """Set a timer for the rest of a response, which occupies a slot until then."""
         if not call.response_started:
             call.response_started = True
             asyncio.get_running_loop().call_later(
@@ -420,7 +451,7 @@
     def on_incomplete_response(
         self, call: OutboundCall, input_checked: bool = False
     ) -> None:
-        """End a call whose response started and is still incomplete."""
+        """End a call whose response has started and is still incomplete."""
         if not input_checked and self.defer_for_unread_input(
             call, lambda: self.on_incomplete_response(call, True)
         ):
@@ -428,25 +459,25 @@
         if call.connection is not None:
             reader = call.connection.reader
             if not reader.response_started:
-                # What had started was an interim response, in two parts.
+                # Only an interim response (1xx), received in parts, had started.
                 call.response_started = False
                 return
-            self.log_malformed_response(call, "not whole in time")
+            self.log_malformed_response(call, "incomplete response timed out")
             self.detach_connection(call)
             self.on_response(call, reader, broken=True)
 
     def log_malformed_response(self, call: OutboundCall, error: object) -> None:
-        """Log why a response cannot be read, one line now and then."""
+        """Log why a response is malformed, at most every MALFORMED_LOG_INTERVAL_US."""
         if self.clock() - self.last_malformed_log_us >= MALFORMED_LOG_INTERVAL_US:
             self.last_malformed_log_us = self.clock()
             log.warning(
-                "target %d: spoilt answer: %s",
+                "target %d: malformed response: %s",
                 call.endpoint,
                 str(error)[:MALFORMED_LOG_CHARACTERS],
             )
 
     def detach_connection(self, call: OutboundCall) -> None:
-        """Take a call off its connection, which is closed."""
+        """Detach a call from its connection, and close that."""
         self._cancel_timer(call)
         connection = call.connection
         if connection is not None:
@@ -462,8 +493,13 @@
     ) -> None:
         """End a call with the same result for all its open messages.
 
-        Its connection is closed first: the sink may make the next attempt at once, and
-        there must not be two in flight.
+        The connection is closed first: the sink may start the next attempt immediately,
+        and two attempts must not be in flight at once.
+
+        Args:
+            call: The call to end.
+            result: The result of each open message.
+            report: The endpoint's load report, if the response has one.
         """
         self.detach_connection(call)
         for item in list(call.open_items.values()):
@@ -476,7 +512,7 @@
         result: AttemptResult,
         report: LoadReport | None = None,
     ) -> None:
-        """End a call for one of its messages."""
+        """Report the result of one of a call's messages."""
         del call.open_items[item.id]
         self.calls.pop((item.id, item.attempt), None)
         if result.retry_after_us:
@@ -502,7 +538,13 @@
     def on_response(
         self, call: OutboundCall, reader: ResponseReader, broken: bool = False
     ) -> None:
-        """End a call by its response, or by the break of its connection."""
+        """End a call whose response is complete, or whose connection is broken.
+
+        Args:
+            call: The call to end.
+            reader: Holds what was received of the response.
+            broken: The response is missing, incomplete or malformed.
+        """
         self._cancel_timer(call)
         if broken:
             outcome = self._broken_outcome(call, reader)
@@ -523,10 +565,10 @@
     def _broken_outcome(call: OutboundCall, reader: ResponseReader) -> Outcome:
         """Return the outcome where a response is missing, incomplete or malformed.
 
-        A first line with 200 is a delivery, whatever follows; of a batch only the whole
-        response tells. Whatever else it says, a malformed response shows that the call
-        may have been executed, also where its first line denies it, and its report and
-        Retry-After are not to be believed. An incomplete call was not started.
+        A status line with 200 means delivery, whatever follows; for a batch only the
+        complete response counts. A call that was not completely written was not
+        executed. In all other cases it may have been executed, even if the status line
+        denies that; the load report and Retry-After are ignored.
         """
         if reader.status_line_code == HTTPStatus.OK and not call.batched:
             return Outcome.DELIVERED
@@ -537,29 +579,34 @@
     def on_batch_response(
         self, call: OutboundCall, reader: ResponseReader, report: LoadReport | None
     ) -> None:
-        """End a batch call by the states of its messages."""
+        """End a batch call by the states of its messages in the response."""
         try:
             results = responses.parse_batch(reader)
         except MalformedResponseError as error:
             self.log_malformed_response(call, error)
             self.finish(call, AttemptResult(Outcome.UNREADABLE, weak_evidence=True))
             return
-        unnamed = AttemptResult(Outcome.FAILED)
+        unlisted = AttemptResult(Outcome.FAILED)
         for item in list(call.open_items.values()):
-            self.finish_item(call, item, results.get(item.id, unnamed), report)
+            self.finish_item(call, item, results.get(item.id, unlisted), report)
 
     def read_load_report(self, reader: ResponseReader) -> LoadReport | None:
         """Return the load report of a response, if it has a valid one."""
         return responses.parse_load_report(reader, self.report_fields)
 
     def fail_unconnected_calls(self) -> None:
-        """Give back, unsent, each call that has no connection yet."""
+        """End each call that has no connection yet as not sent."""
         for call in {id(c): c for c in self.calls.values()}.values():
             if call.connection is None:
                 self.finish(call, AttemptResult(Outcome.NOT_SENT))
 
     def set_retry_after(self, throttle_scope: ThrottleScopeKey, until: int) -> None:
-        """Keep a Retry-After that was received; the longest one holds."""
+        """Store a received Retry-After; the latest expiry of a throttle scope applies.
+
+        Args:
+            throttle_scope: The endpoint or destination to which it applies.
+            until: When it expires, by the dispatcher's clock in microseconds.
+        """
         if len(self.retry_after_until) > MAX_RETRY_AFTERS:
             now = self.clock()
             self.retry_after_until = {
--- a/rainfall/forwarder/outbound/idle_connections.py
+++ b/rainfall/forwarder/outbound/idle_connections.py
@@ -1,4 +1,8 @@
-"""Connections to endpoints without a call: kept, and closed before the endpoints do."""
+"""Idle connections to endpoints, kept for reuse.
+
+Each is closed a little before its endpoint would close it, since a call on a connection
+that the endpoint closes costs an attempt.
+"""
 
 from __future__ import annotations
 
@@ -10,63 +14,79 @@
 from rainfall.forwarder.units import US_PER_SECOND
 
 DEFAULT_IDLE_TIMEOUT_US = 60 * US_PER_SECOND
-"""Endpoints are taken to close idle connections after this where it is not known."""
+"""Idle timeout that is assumed of endpoints where the settings give none."""
 IDLE_MARGIN_US = 700_000
-"""An idle connection is closed so long before its endpoint would: a reset costs an
+"""How long before its endpoint's idle timeout a connection is closed: a reset costs an
 attempt.
 """
 SWEEP_INTERVAL_S = 0.2
-"""Between two looks for connections that have been idle too long."""
+"""Interval at which idle connections are checked for expiry."""
 AGE_CLASSES = 64
-"""Classes of idle times, by powers of two of a microsecond."""
+"""Number of classes of idle times; each spans a power of two, in microseconds."""
 STALE_SHARE_WEIGHT = 0.2
-"""Weight of the newest call in the share of idle connections that were stale."""
+"""Weight of the latest call in a class's moving average of stale connections."""
 STALE_SHARE_LIMIT = 0.3
-"""Idle connections of an age whose share is higher are not used."""
+"""Connections of a class with a higher share of stale ones are not reused."""
 STALE_SHARE_DECAY = 0.97
-"""Factor on that share for each connection that is not used: in the end one is."""
+"""Factor on the share of stale ones for each connection that is not reused, so that
+the class is tried again eventually.
+"""
 MAX_IDLE_PER_ENDPOINT = 4
-"""Idle connections kept to one endpoint: some accept few, and count idle ones."""
+"""Maximum number of idle connections per endpoint: some endpoints accept only a few
+connections, idle ones included.
+"""
 
 
 class IdleConnections:
-    """All connections of a pool, and which of them are idle."""
+    """All connections of a pool, and the ones among them that are idle.
+
+    The base of `ConnectionPool`.
+    """
 
-    def __init__(self, clock: Callable[[], int], idle_us: int) -> None:
+    def __init__(self, clock: Callable[[], int], endpoint_idle_timeout_us: int) -> None:
         self.clock = clock
-        self.set_idle_timeout(idle_us)
+        self.set_idle_timeout(endpoint_idle_timeout_us)
         self.stale_shares = [0.0] * AGE_CLASSES
-        """Share of stale connections among those that were used, by class of age."""
+        """Share of reused connections that were stale, by class of idle time."""
         self.idle: dict[int, list[EndpointConnection]] = {}
-        """Idle connections by endpoint, the longest idle first."""
+        """Idle connections by endpoint, in the order in which they became available."""
         self.connections: set[EndpointConnection] = set()
+        """All open connections, idle or with a call."""
         self.dial_tasks: set[asyncio.Task[None]] = set()
+        """Connections that are being established."""
         self.addresses: dict[int, Address] = {}
+        """Addresses of the endpoints that may be called, by endpoint."""
         self.sweeping = False
+        """A call of `sweep` is scheduled; this is so while any connection is idle."""
 
-    def set_idle_timeout(self, idle_us: int) -> None:
-        """Set after how long endpoints close idle connections; 0 if not known."""
-        endpoint_timeout_us = idle_us or DEFAULT_IDLE_TIMEOUT_US
-        self.idle_timeout_us = max(0, endpoint_timeout_us - IDLE_MARGIN_US)
+    def set_idle_timeout(self, endpoint_idle_timeout_us: int) -> None:
+        """Set the endpoints' idle timeout in microseconds; 0 for the default."""
+        assumed_timeout_us = endpoint_idle_timeout_us or DEFAULT_IDLE_TIMEOUT_US
+        self.idle_timeout_us = max(0, assumed_timeout_us - IDLE_MARGIN_US)
+        """Idle connections are closed after this time; if it is 0, none is kept."""
 
     def set_endpoints(self, addresses: dict[int, Address]) -> None:
         """Apply a new endpoint list.
 
-        An endpoint that is not at the same address any more gets no new call there, and
-        its idle connections are closed.
+        If an endpoint was removed or has another address, its idle connections are
+        closed and no call is sent to the former address any more.
         """
         for endpoint, address in self.addresses.items():
             if addresses.get(endpoint) != address:
                 self.close_idle(endpoint)
         self.addresses = addresses
 
-    def close_idle(self, target: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close the idle connections to an endpoint."""
-        for connection in self.idle.pop(target, []):
+        for connection in self.idle.pop(endpoint, []):
             connection.close()
 
     def close_longest_idle(self) -> bool:
-        """Make room by closing the connection that has been idle longest, if any is."""
+        """Close the connection that has been idle longest.
+
+        Returns:
+            Whether there was one.
+        """
         candidates = [
             (connection.idle_since_us, position, endpoint)
             for endpoint, connections in self.idle.items()
@@ -79,10 +99,15 @@
         return True
 
     def record_staleness(self, age_us: int, stale: bool) -> None:
-        """Learn whether a connection that was idle so long was stale.
+        """Record whether a reused connection was stale.
+
+        Some endpoints close idle connections earlier than the settings state, which is
+        noticed only at the next call.
 
-        Some endpoints close idle connections sooner than the settings say, which shows
-        only in a call. A negative age, of a new connection, says nothing.
+        Args:
+            age_us: How long the connection was idle; negative for a new one, which is
+                ignored.
+            stale: Whether it was stale.
         """
         if age_us >= 0:
             age_class = age_us.bit_length()
@@ -90,9 +115,10 @@
             self.stale_shares[age_class] += STALE_SHARE_WEIGHT * (stale - share)
 
     def is_age_trusted(self, age_us: int) -> bool:
-        """Whether a connection that was idle so long may be used.
+        """Whether a connection that was idle for this time may be reused.
 
-        Each refusal lowers the share, so that in the end one is used again.
+        Each False lowers the class's share of stale ones, so that eventually such a
+        connection is tried again.
         """
         age_class = age_us.bit_length()
         share = self.stale_shares[age_class]
@@ -100,19 +126,20 @@
             self.stale_shares[age_class] = share * STALE_SHARE_DECAY
         return share <= STALE_SHARE_LIMIT
 
-    def keep_idle(self, connection: EndpointConnection, target: int) -> None:
-        """Keep a connection without a call for the next one, or close it."""
-        idle = self.idle.setdefault(target, [])
-        # The endpoint may have moved during the call: at its former address may be
-        # another now.
+    def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
+        """Keep a connection without a call for reuse, or close it."""
+        idle = self.idle.setdefault(endpoint, [])
+        # The endpoint's address may have changed during the call, and another endpoint
+        # may have the former one by now.
         if (
-            self.addresses.get(target) != connection.address
+            self.addresses.get(endpoint) != connection.address
             or self.idle_timeout_us <= 0
             or len(idle) >= MAX_IDLE_PER_ENDPOINT
         ):
             connection.close()
             return
-        # If it was idle and carried no call since, its endpoint has counted on.
+        # A connection that was taken but carried no call keeps its time: the endpoint's
+        # idle timeout is still running.
         if connection.idle_since_us < 0:
             connection.idle_since_us = self.clock()
         idle.append(connection)
@@ -121,16 +148,17 @@
             asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
-        """Close what has been idle too long, again while any connection is idle."""
+        """Close expired connections; repeated while any connection is idle."""
         expired_before = self.clock() - self.idle_timeout_us
         for endpoint, idle in list(self.idle.items()):
             for connection in idle:
                 if connection.idle_since_us < expired_before:
                     connection.close()
             kept = [
-                c
-                for c in idle
-                if c.idle_since_us >= expired_before and not c.is_closing()
+                candidate
+                for candidate in idle
+                if candidate.idle_since_us >= expired_before
+                and not candidate.is_closing()
             ]
             if kept:
                 self.idle[endpoint] = kept
@@ -141,20 +169,26 @@
             asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def on_connection_lost(self, connection: EndpointConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         for idle in self.idle.values():
             if connection in idle:
                 idle.remove(connection)
 
     def retire(self) -> None:
-        """Keep no connection from now on; calls in flight go on."""
+        """Close all idle connections, and keep none from now on.
+
+        Calls in flight continue.
+        """
         self.idle_timeout_us = 0
         for endpoint in list(self.idle):
             self.close_idle(endpoint)
 
     def close(self) -> None:
-        """Close all connections; nothing is sent on one that comes up late, either."""
+        """Close all connections, and cancel those being established.
+
+        Without addresses, no call is sent on a connection that is established later.
+        """
         self.addresses = {}
         for dial in list(self.dial_tasks):
             dial.cancel()
--- a/rainfall/forwarder/outbound/permits.py
+++ b/rainfall/forwarder/outbound/permits.py
@@ -1,7 +1,8 @@
-"""What a call's permit is answered with, beside a delay in microseconds.
+"""Special results of a request for a call's permit.
 
-A permit is asked for right before a call's first byte. Who answers it, a fleet's
-quotas, and who asks for it, the connection pool, both take the values from here.
+The connection pool requests a permit right before a call's first byte, and the fleet's
+quotas grant it. Any other result is the delay in microseconds after which to request
+the permit again.
 """
 
 from __future__ import annotations
@@ -9,4 +10,4 @@
 PERMIT_GRANTED = 0
 """The call may be sent now."""
 PERMIT_TIME_UNKNOWN = -1
-"""No time is known at which to ask again: the call is given back unsent."""
+"""It is unknown when a permit will be available: the call ends as not sent."""
--- a/rainfall/forwarder/outbound/responses.py
+++ b/rainfall/forwarder/outbound/responses.py
@@ -1,6 +1,6 @@
-"""What responses to calls say: outcomes, Retry-After, an endpoint's load.
+"""Interprets the responses to calls: outcomes, Retry-After and load reports.
 
-A malformed header counts as absent.
+A malformed header is treated as absent.
 """
 
 from __future__ import annotations
@@ -16,29 +16,35 @@
 from rainfall.forwarder.units import US_PER_MS
 
 RETRY_AFTER_HEADER = "x-ratelimit-wait-ms"
+"""Retry-After in milliseconds."""
 OVER_SLOTS_HEADER = "x-over-slots"
-"""Stands beside 503 where the endpoint had no free slot and did not start the call."""
+"""Sent with a 503 where the endpoint had no free slot and did not start the call."""
 LOAD_HEADER = "x-backend-load"
+"""The load report: `name=number` fields, separated by commas."""
 REMAINING_SHARE_FIELD = "x0"
-"""The share of the endpoint's limit that is left."""
+"""Load report field: the share of the endpoint's rate limit that remains."""
 LIMIT_FIELD = "x1"
-"""The endpoint's limit in calls a second."""
+"""Load report field: the endpoint's rate limit in calls per second."""
 MAX_RETRY_AFTER_US = 600_000_000
-"""A longer Retry-After is malformed."""
+"""A longer Retry-After is treated as malformed."""
 MAX_LIMIT_PER_S = 1e6
-"""A higher limit is malformed."""
+"""A higher rate limit is treated as malformed."""
 HIGHEST_SHARE = 10
-"""A higher share is malformed; one above 1 counts as 1."""
+"""A higher share is treated as malformed; one between 1 and this counts as 1."""
 PLAIN_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?", re.ASCII)
-"""A number as these headers have it: float() also reads nan, inf and 1_0."""
+"""Accepted notation of numbers in these headers. float() alone would also accept nan,
+inf and 1_0.
+"""
 MALFORMED_NUMBER = -1.0
+"""Result of `parse_number` for anything else."""
 SHARED_STATUSES = (
     HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.INTERNAL_SERVER_ERROR,
     HTTPStatus.SERVICE_UNAVAILABLE,
 )
-"""Statuses that hold for all messages of a call."""
+"""Statuses of a batch call that apply to each of its messages."""
 EXPIRED_STATE = "expired"
+"""State of a message that has expired at the endpoint: no further attempt is needed."""
 OUTCOME_BY_STATE = {
     "accepted": Outcome.DELIVERED,
     "fault": Outcome.FAILED,
@@ -46,25 +52,25 @@
     EXPIRED_STATE: Outcome.NOT_SENT,
     "no_more": Outcome.NOT_SENT,
 }
-"""What the state of a message in a batch's response means."""
+"""Outcome of a message by its state in the response to a batch call."""
 log = logging.getLogger("rainfall.client")
 
 
 def parse_number(text: str) -> float:
-    """Read a number from a header; MALFORMED_NUMBER for anything else."""
+    """Return the non-negative number in a header, MALFORMED_NUMBER for other text."""
     stripped = text.strip()
     return float(stripped) if PLAIN_NUMBER.fullmatch(stripped) else MALFORMED_NUMBER
 
 
 def parse_retry_after_us(reader: ResponseReader) -> int:
-    """Return the Retry-After, rounded up to a microsecond; 0 where there is none."""
+    """Return the Retry-After in microseconds, rounded up; 0 without a valid one."""
     wait_ms = parse_number(reader.headers.get(RETRY_AFTER_HEADER, ""))
     wait_us = -int(-wait_ms * US_PER_MS // 1)
     return wait_us if 0 < wait_us <= MAX_RETRY_AFTER_US else 0
 
 
 def parse_single(reader: ResponseReader) -> AttemptResult:
-    """Return what a response's status says of the one message of a call."""
+    """Return the result of a call with one message, by the response's status."""
     match reader.status:
         case HTTPStatus.OK:
             return AttemptResult(Outcome.DELIVERED, final=True)
@@ -81,15 +87,16 @@
         case HTTPStatus.GATEWAY_TIMEOUT:
             return AttemptResult(Outcome.NOT_SENT)
     if reader.status != HTTPStatus.INTERNAL_SERVER_ERROR:
-        log.warning("a target answered %d", reader.status)
+        log.warning("unexpected response status %d from a target", reader.status)
     return AttemptResult(Outcome.FAILED)
 
 
 def parse_shared(reader: ResponseReader) -> AttemptResult:
-    """Return what a status other than 200 says of all messages of a batch call.
+    """Return the result of a batch call's messages, by a status other than 200.
 
-    That a message is over, or has had all its attempts, can only be said of each: a
-    response that says so of all may mean that they were executed.
+    That a message has expired, or has used up its attempts, can only be stated for each
+    message. A status that states it for a whole batch counts as a failure, after which
+    the messages may have been executed.
     """
     if reader.status in SHARED_STATUSES:
         return parse_single(reader)
@@ -97,10 +104,13 @@
 
 
 def parse_batch(reader: ResponseReader) -> dict[str, AttemptResult]:
-    """Return the results of a batch call's messages by id; those not named failed.
+    """Return the results of a batch call by message id.
+
+    A message that the body does not list has failed; the caller adds that result.
 
     Raises:
-        MalformedResponseError: The body cannot be read, or names a message twice.
+        MalformedResponseError: The body is not a list of ids and states, or lists a
+            message twice.
     """
     retry_after_us = parse_retry_after_us(reader)
     try:
@@ -108,10 +118,11 @@
         results: dict[str, AttemptResult] = {}
         for message_id, state in states:
             if message_id in results:
-                # It may have been executed, whichever of the two states holds.
-                raise MalformedResponseError("a message named twice")
+                # The two states may contradict each other, so the message may have been
+                # executed.
+                raise MalformedResponseError(f"message {message_id!r} is listed twice")
             results[message_id] = _result_of_state(state, retry_after_us)
-    # The recursion limit ends the reading of objects nested without end.
+    # Deeply nested JSON exceeds the recursion limit.
     except (ValueError, TypeError, KeyError, RecursionError) as error:
         raise MalformedResponseError(str(error)) from error
     return results
@@ -131,11 +142,11 @@
 def parse_load_report(
     reader: ResponseReader, fields: tuple[str, ...]
 ) -> LoadReport | None:
-    """Return the endpoint's load report, or None where there is no valid one.
+    """Return the endpoint's load report, or None without a valid one.
 
     Args:
         reader: Holds the complete response.
-        fields: Names of the fields that endpoints report.
+        fields: Names of the fields that endpoints report, by the configuration.
     """
     text = reader.headers.get(LOAD_HEADER)
     if not text or REMAINING_SHARE_FIELD not in fields or LIMIT_FIELD not in fields:
