--- a/rainfall/forwarder/discovery/__init__.py
+++ b/rainfall/forwarder/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the watch on the endpoint list, and notifications to the platform."""
+"""Discovery: the watch of the endpoint list, and notifications to the platform."""
--- a/rainfall/forwarder/discovery/endpoint_watch.py
+++ b/rainfall/forwarder/discovery/endpoint_watch.py
@@ -1,6 +1,7 @@
-"""Discovery: follows the endpoint list by a watch, and posts notifications.
+"""Clients of discovery: the watch of the endpoint list, and the notifier.
 
-Both use `HttpClient`, which keeps one connection.
+`EndpointWatch` follows the endpoint list by long polling, `Notifier` posts pending
+notifications. Each has an `HttpClient` with one persistent connection.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
     NOTIFICATION_RESPONSE_TIMEOUT_S,
     NOTIFICATION_TOP_BACKOFF_S,
     NOTIFICATION_TOP_RESPONSE_TIMEOUT_S,
-    doubled_up_to,
     encode_notifications,
+    exponential_delay_s,
     notification_latency_bound_s,
 )
 from rainfall.forwarder.http1 import (
@@ -54,57 +55,88 @@
     "notification_latency_bound_s",
 ]
 LIST_PATH = "/discovery/hosts"
+"""Path of the endpoint list."""
 NO_VERSION = -1
-"""Version of a list that is not known yet; discovery counts from 0."""
+"""Version while no endpoint list is known; discovery counts from 0."""
 WATCH_HOLD_MS = 1_500
-"""How long a watch waits for a newer list; an answer without entries costs nothing."""
+"""How long discovery may hold a poll until there is a newer list. A response without
+entries is cheap.
+"""
 WATCH_GRACE_S = 0.5
-"""A watch without an answer so long after that is dead: the agent is on this machine."""
+"""Additional time after which a held poll without a response has timed out. Discovery's
+agent runs on this machine.
+"""
 RESPONSE_TIMEOUT_S = 0.6
-"""How long any other answer may take, with its connection; the agent answers at once."""
+"""Timeout of a poll that is not held, including the time to connect. Discovery's agent
+answers at once.
+"""
 MIN_WATCH_INTERVAL_S = 0.1
-"""Between two watches where nothing changes; the next one must come within 0.2 s."""
-INSIST_PERIOD_S = 4.0
-"""After a change of discovery's address its list is needed so soon that the watch does
-not wait for the dispatcher's poll.
+"""Minimum interval between two held polls while nothing changes. The next poll must be
+sent within 0.2 s of a response.
+"""
+FAST_RETRY_PERIOD_S = 4.0
+"""Period after a change of discovery's address in which the watch itself retries a
+failed poll. The list is needed sooner than the dispatcher's retry would fetch it.
 """
 INSIST_RETRY_S = 0.2
-"""Mean time between two polls in that period."""
+"""Mean delay of a retry in that period."""
 PUSHED_RESPONSE_TIMEOUT_S = 0.2
-"""Where lists are pushed, an agent on this machine answers at once or is silent, ..."""
+"""Timeout of a poll that is not held, where lists are pushed: the agent on this machine
+answers at once or not at all.
+"""
 PUSHED_RETRY_S = 0.03
-"""... and its list binds from the moment that it has it: it is polled all the time."""
+"""Mean delay of a retry where lists are pushed. A pushed list applies from the moment
+the agent has it, so the agent is polled without long pauses.
+"""
 RETRY_JITTER = 1.5
-"""A retry comes after up to this times the mean time, and as much less at the least."""
+"""Maximum delay of a retry as a multiple of the mean; the minimum is as far below the
+mean as the maximum is above it.
+"""
 ROUND_ALLOWANCE_S = LOOP_ALLOWANCE_S
-"""What the event loop's timers, and the rounds of a failure and of its answer, take."""
+"""Allowance for the delay of the event loop's timers, and for the engine's rounds that
+handle a failure and the list after it.
+"""
 LIST_LATENCY_LIMIT_S = 6.0
-"""A change counts as received so long after discovery had it, ..."""
+"""A change counts as received this long after discovery has it, so it must be applied
+by then.
+"""
 LIST_LATENCY_LIMIT_AFTER_MOVE_S = 4.0
-"""... and so long after a SIGHUP that changed discovery's address."""
+"""The list of a new address counts as received this long after the SIGHUP that changed
+discovery's address.
+"""
 LOGGED_FAILURES = 3
-"""Each of the first failures in a row is logged where lists are polled, ..."""
+"""Number of failures in a row, from the first, that are each logged where lists are
+polled.
+"""
 FAILURE_LOG_INTERVAL = 20
-"""... and then one of so many."""
+"""After those, one of this many failures is logged."""
 log = logging.getLogger("rainfall.discovery")
 
 
 class RequestTimes(NamedTuple):
-    """The longest times of a request that fails, for the bounds below."""
+    """Maximum times of a failing request, for the latency bounds below."""
 
     response_timeout_s: float
+    """Timeout of the request."""
     retry_s: float
+    """Maximum delay between its failure and the next request."""
 
 
 def list_latency_bound_s(pushed: bool) -> float:
-    """Return the longest way from discovery's having a list to the round that heeds it.
-
-    By the constants alone: a held watch goes silent right after it was asked and is
-    found out; the request after it gets no answer either; the next ends as late as it
-    may in an error status, an incomplete answer, or a version that went back; and the
-    one after that is answered as late as it may. No backoff grows with the failures, so
-    this holds at any number of them. The dial is within each answer's time. It must
-    stay under LIST_LATENCY_LIMIT_S, with room.
+    """Return the maximum delay, in seconds, until a new list is applied.
+
+    The delay runs from the moment discovery has the list to the engine's round that
+    applies it, and is computed from the constants alone. Covered is this sequence: a
+    held poll goes silent right after it was sent, and times out; the next request times
+    out too; the one after it fails as late as possible, by an error status, an
+    incomplete response or a version that went back; and the fourth is answered as late
+    as possible. Retry delays do not grow with the number of failures, so the bound
+    holds for any number. Each timeout includes the time to connect.
+
+    The result must stay below LIST_LATENCY_LIMIT_S, with a margin.
+
+    Args:
+        pushed: Whether lists are pushed.
     """
     if pushed:
         times = RequestTimes(PUSHED_RESPONSE_TIMEOUT_S, RETRY_JITTER * PUSHED_RETRY_S)
@@ -121,11 +153,17 @@
 
 
 def list_latency_bound_after_move_s(pushed: bool) -> float:
-    """Return the same from SIGHUP on, at the address that it named.
+    """Return the maximum delay, in seconds, after a change of discovery's address.
 
-    What was held is cut off, and the complete list is polled at once. Either two
-    requests for it fail as late as they may, or it comes late and the watch after it
-    goes silent at once. It must stay under LIST_LATENCY_LIMIT_AFTER_MOVE_S, with room.
+    The delay runs from the SIGHUP to the engine's round that applies the list of the
+    new address. The held poll is dropped, and the complete list is requested at once.
+    The worst case is the longer of two: either two requests fail as late as possible,
+    or the list arrives late and the held poll after it goes silent at once.
+
+    The result must stay below LIST_LATENCY_LIMIT_AFTER_MOVE_S, with a margin.
+
+    Args:
+        pushed: Whether lists are pushed.
     """
     if pushed:
         times = RequestTimes(PUSHED_RESPONSE_TIMEOUT_S, RETRY_JITTER * PUSHED_RETRY_S)
@@ -146,14 +184,14 @@
 
 
 class HttpClient:
-    """Requests on one connection, which is kept.
+    """Sends requests to one address on a persistent connection, one at a time.
 
-    A connection that ended while idle is replaced once: all requests here may be
-    repeated.
+    If the connection was closed while idle, the request is repeated once on a new one:
+    every request sent by this class may be repeated.
     """
 
-    def __init__(self, where: Address) -> None:
-        self.address = where
+    def __init__(self, address: Address) -> None:
+        self.address = address
         self.connection = HttpConnection()
 
     async def request(
@@ -161,14 +199,21 @@
     ) -> ResponseReader:
         """Send a request and return its response.
 
-        A request that fails, or is not waited for any longer, ends its own connection
-        and no other, so that a late response is never taken for the next one. A silent
-        connection is held until the next is dialled: where clients hold all other
-        descriptors, its descriptor must not become theirs.
+        The connection of a failed or canceled request is not used again, so that a late
+        response is never taken for that of the next request. After a failure it stays
+        open until the next request replaces it: if clients use up all other
+        descriptors, they must not get this one.
+
+        Args:
+            method: The HTTP method.
+            path: The request target.
+            timeout_s: Timeout in seconds, including the time to connect.
+            body: The request body.
 
         Raises:
-            OSError: The connection cannot be made or broke, or the time is over.
-            MalformedResponseError: The response cannot be read.
+            OSError: The connection cannot be established or broke, or the request timed
+                out (`TimeoutError`).
+            MalformedResponseError: The response is malformed or too large.
         """
         data = encode_request(
             method, path, f"{self.address.host}:{self.address.port}", (), body
@@ -184,7 +229,8 @@
                     pass
             if connection.is_open():
                 connection.close()
-                # It is closed in this turn, before anyone else is served.
+                # The socket is closed in the next loop iteration, before other I/O is
+                # handled.
                 await asyncio.sleep(0)
             async with asyncio.timeout_at(deadline):
                 _, connection = await loop.create_connection(
@@ -192,7 +238,9 @@
                 )
             self.connection = connection
             if not connection.is_usable():
-                raise ConnectionResetError("the connection ended")
+                raise ConnectionResetError(
+                    "connection closed right after it was established"
+                )
             return await connection.exchange(data, deadline)
         except Exception:
             connection.retire()
@@ -202,84 +250,88 @@
             raise
 
     def close(self) -> None:
-        """Close the connection; a further request makes a new one."""
+        """Close the connection; the next request opens a new one."""
         self.connection.close()
 
 
 class EndpointWatch:
-    """Follows the endpoint list from a version on.
+    """Follows the endpoint list from a known version on.
 
-    Where lists must be polled, it reports a failure and ends, and the dispatcher polls
-    again. Where they are `pushed`, what the agent has counts as received whether or not
-    it is polled, so a failure is not reported and the watch polls again at once.
+    Where lists are polled, the watch reports a failure and ends, and the dispatcher
+    decides when to subscribe again. Where lists are `pushed`, a list applies as soon as
+    discovery's agent on this machine has it, whether or not it is polled. So failures
+    are not reported, and the watch retries after a short delay.
     """
 
     def __init__(
         self,
-        where: Address,
-        seq: int,
-        listed: Callable[[EndpointList | None], None],
+        address: Address,
+        version: int,
+        on_list: Callable[[EndpointList | None], None],
         seed: int,
         pushed: bool = False,
     ) -> None:
-        """Make a watch that does nothing until `subscribe`.
+        """Create a watch that does nothing until `subscribe`.
 
         Args:
-            where: Discovery's address.
-            seq: Version of the list that is known, or NO_VERSION.
-            listed: Gets each list, and None after a failure.
-            seed: For the jitter of retries.
+            address: Discovery's address.
+            version: Version of the known list, or NO_VERSION.
+            on_list: Called with each list, and with None after a failure.
+            seed: Seed of the jitter of retries.
             pushed: Whether lists are pushed.
         """
-        self.client = HttpClient(where)
-        self.version = seq
-        self.on_list = listed
+        self.client = HttpClient(address)
+        self.version = version
+        self.on_list = on_list
         self.random = random.Random(seed)
         self.subscribed = False
-        self.insist_until_s = 0.0
+        """`subscribe` was called, and not `pause` since."""
+        self.fast_retry_until_s = 0.0
+        """Until when the watch itself retries failed polls, by `time.monotonic`."""
         self.pushed = pushed
+        """Lists are pushed, see the class."""
         self.confirmed = False
-        """Discovery has answered since the last failure."""
+        """Discovery has responded since the last failure, so a poll may be held."""
         self.failures = 0
-        """Failures in a row."""
+        """Number of failures in a row."""
         self.answered = asyncio.Event()
-        """Discovery has sent its list at least once."""
+        """Set once discovery has responded with the list, or with changes of it."""
         self.task: asyncio.Task[None] | None = None
 
     def subscribe(self) -> None:
-        """Follow the list, if that is not done already."""
+        """Start following the list, unless that is already running."""
         self.subscribed = True
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self.follow())
 
-    def change_address(self, where: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Follow the list at another address of discovery.
 
-        The held request and its connection are dropped, and the complete list is polled
-        there at once: its versions may be others, and the dispatcher may be waiting
-        after a failure.
+        The held poll and its connection are dropped. The complete list is requested at
+        once, since its versions may be numbered differently, and the dispatcher may be
+        waiting after a failure.
         """
         if self.task is not None:
             self.task.cancel()
         self.client.close()
-        self.client = HttpClient(where)
+        self.client = HttpClient(address)
         self.version = NO_VERSION
         self.task = None
-        self.insist_until_s = time.monotonic() + INSIST_PERIOD_S
+        self.fast_retry_until_s = time.monotonic() + FAST_RETRY_PERIOD_S
         if self.subscribed:
             self.subscribe()
 
     def pause(self) -> None:
-        """Report no list any more until the next `subscribe`."""
+        """Stop polling until the next `subscribe`."""
         if self.task is not None:
             self.task.cancel()
             self.task = None
-        # So that a SIGHUP at the process's end does not start the watch again.
+        # A SIGHUP while the process ends must not restart the watch.
         self.subscribed = False
         self.client.close()
 
     async def follow(self) -> None:
-        """Poll the list again and again, until a failure ends it."""
+        """Poll the list repeatedly, until a failure is reported."""
         self.confirmed = False
         while True:
             requested_at = time.monotonic()
@@ -287,7 +339,7 @@
             previous_version = self.version
             try:
                 await self._poll()
-            # No answer, whatever it is, may end the watch for good.
+            # Every failure is reported or retried: the watch must not end silently.
             except Exception as error:
                 if await self.on_failure(error):
                     continue
@@ -302,25 +354,29 @@
                 and self.version == previous_version
                 and time.monotonic() - requested_at < MIN_WATCH_INTERVAL_S
             ):
-                # A discovery that answers at once must not make the watch spin.
+                # Discovery may answer held polls at once: avoid a busy loop.
                 await asyncio.sleep(MIN_WATCH_INTERVAL_S)
 
     async def _poll(self) -> None:
-        """Make one request, and report the list that it brings."""
+        """Request the list once, and report it."""
         path, timeout_s = self.next_request()
         response = await self.client.request("GET", path, timeout_s)
         if response.status != HTTPStatus.OK:
-            raise MalformedResponseError(f"status {response.status}")
+            raise MalformedResponseError(f"unexpected status {response.status}")
         endpoints = parse_endpoint_list(json.loads(response.body))
         self.check_version(endpoints)
         self.on_list(endpoints)
         self.version = endpoints.version
 
     def check_version(self, endpoints: EndpointList) -> None:
-        """Refuse changes to a list that is not the known one, and forget that one.
+        """Reject changes that do not apply to the known list.
+
+        If the version went back, discovery was restored from an older state, and its
+        later changes are lost. The known version is then discarded, so that the
+        complete list is requested next.
 
-        Where the version went back, discovery was restored: what it had since is lost,
-        and only the complete list will do.
+        Raises:
+            MalformedResponseError: The changes do not apply.
         """
         if not endpoints.complete and (
             endpoints.version < self.version or self.version <= NO_VERSION
@@ -328,15 +384,15 @@
             previous = self.version
             self.version = NO_VERSION
             raise MalformedResponseError(
-                f"changes of version {endpoints.version} to a list of version {previous}"
+                f"changes to version {endpoints.version} do not apply to version {previous}"
             )
 
     def next_request(self) -> tuple[str, float]:
-        """Return the path of the next request, and how long its answer may take.
+        """Return the path of the next request, and its timeout in seconds.
 
-        The first request, and one after a failure, does not wait for a newer list: no
-        answer to it means that discovery is silent, while a held watch looks the same
-        where nothing is new.
+        The first request and the first one after a failure are not held: if they time
+        out, discovery is not responding. A held poll without a response may just mean
+        that nothing has changed.
         """
         immediate_timeout_s = (
             PUSHED_RESPONSE_TIMEOUT_S if self.pushed else RESPONSE_TIMEOUT_S
@@ -350,62 +406,76 @@
         return f"{LIST_PATH}?from={self.version}&hold_ms={hold_ms}", timeout_s
 
     async def on_failure(self, error: Exception) -> bool:
-        """Note a failure, and return whether to poll again, once that is due."""
+        """Handle a failed poll.
+
+        Returns:
+            Whether the watch polls again; the retry delay has passed then.
+        """
         if self.failures % FAILURE_LOG_INTERVAL == 0 or (
             self.failures < LOGGED_FAILURES and not self.pushed
         ):
-            log.warning("the list cannot be had: %s", error or type(error).__name__)
+            log.warning(
+                "cannot fetch the endpoint list: %s", error or type(error).__name__
+            )
         self.confirmed = False
         self.failures += 1
-        polls_again = time.monotonic() < self.insist_until_s or self.pushed
-        if polls_again:
+        will_retry = time.monotonic() < self.fast_retry_until_s or self.pushed
+        if will_retry:
             await asyncio.sleep(self.retry_delay_s())
-        return polls_again
+        return will_retry
 
     def retry_delay_s(self) -> float:
-        """Return the time before the watch polls again itself.
+        """Return the delay in seconds before the watch retries.
 
-        It is random, so that many forwarders do not poll in step, and never grows.
+        It is random, so that many forwarders do not poll in step, and does not grow
+        with the number of failures.
         """
-        base_s = PUSHED_RETRY_S if self.pushed else INSIST_RETRY_S
-        return self.random.uniform(2 - RETRY_JITTER, RETRY_JITTER) * base_s
+        mean_s = PUSHED_RETRY_S if self.pushed else INSIST_RETRY_S
+        return self.random.uniform(2 - RETRY_JITTER, RETRY_JITTER) * mean_s
 
 
 class Notifier:
-    """Posts pending notifications until the platform acknowledges them with a 204."""
+    """Posts pending notifications until the platform acknowledges them with a 204.
 
-    def __init__(self, where: Address, book: NotificationSource, seed: int) -> None:
-        self.client = HttpClient(where)
-        self.source = book
+    A notification that is posted twice does no harm.
+    """
+
+    def __init__(self, address: Address, source: NotificationSource, seed: int) -> None:
+        self.client = HttpClient(address)
+        self.source = source
         self.random = random.Random(seed)
+        """Source of the jitter of backoffs."""
         self.wake = asyncio.Event()
+        """Set when notifications may be pending."""
         self.paused = False
+        """`pause` was called, and not `kick` since."""
         self.task: asyncio.Task[None] | None = None
+        """Runs `run`."""
 
     def kick(self) -> None:
-        """Post what is pending now."""
+        """Post all pending notifications now."""
         self.paused = False
         self.wake.set()
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self.run())
 
-    def change_address(self, where: Address) -> None:
-        """Post what is pending to another address.
+    def change_address(self, address: Address) -> None:
+        """Post pending notifications to another address.
 
-        A post that is cut off is made again, which does no harm.
+        An interrupted post is repeated there.
         """
         if self.task is not None:
             self.task.cancel()
         self.client.close()
-        self.client = HttpClient(where)
+        self.client = HttpClient(address)
         self.task = None
         if not self.paused:
             self.kick()
 
     def pause(self) -> None:
-        """Post nothing until the next kick.
+        """Post nothing until the next `kick`.
 
-        A post that is cut off is made again, which does no harm.
+        An interrupted post is repeated after that.
         """
         if self.task is not None:
             self.task.cancel()
@@ -415,31 +485,35 @@
 
     @staticmethod
     def response_timeout_s(timeouts: int) -> float:
-        """Return how long to wait for a 204, after so many timeouts in a row.
+        """Return the timeout of a post in seconds, after `timeouts` timeouts in a row.
 
-        It is short, as a silent connection must not hold up what is overdue after
-        0.3 s; but a platform that is slow all the time is heard in the end. A
-        notification that is posted twice does no harm.
+        It is short at first, since a silent connection must not delay notifications
+        that are overdue after 0.3 s. It grows, so that the responses of a permanently
+        slow platform are received as well.
         """
-        return doubled_up_to(
+        return exponential_delay_s(
             NOTIFICATION_RESPONSE_TIMEOUT_S,
             max(0, timeouts - 1),
             NOTIFICATION_TOP_RESPONSE_TIMEOUT_S,
         )
 
     def retry_delay_s(self, failures: int) -> float:
-        """Return the backoff after so many posts in a row that failed before.
+        """Return the backoff in seconds after a failed post.
 
         It is random, so that many forwarders that fail at once do not retry in step,
-        and stays short, as a notification is overdue 300 ms after its message's time.
+        and stays short, since a notification is overdue 300 ms after its message's
+        deadline.
+
+        Args:
+            failures: Number of posts in a row that failed before this one.
         """
-        longest_s = doubled_up_to(
+        longest_s = exponential_delay_s(
             NOTIFICATION_FIRST_BACKOFF_S, failures, NOTIFICATION_TOP_BACKOFF_S
         )
         return self.random.uniform(NOTIFICATION_MIN_RETRY_S, longest_s)
 
     async def run(self) -> None:
-        """Post what is pending at each kick, until all of it is acknowledged."""
+        """After each `kick`, post pending notifications until all are acknowledged."""
         failures = 0
         timeouts = 0
         while True:
@@ -452,11 +526,11 @@
                 except (OSError, MalformedResponseError) as error:
                     if (failures + timeouts) % FAILURE_LOG_INTERVAL == 0:
                         log.warning(
-                            "notices not accepted, trying again: %s",
+                            "cannot post notifications, retrying: %s",
                             error or type(error).__name__,
                         )
                     if isinstance(error, TimeoutError):
-                        # It was waited for already: that replaces the backoff.
+                        # The time spent waiting replaces the backoff.
                         timeouts += 1
                         await asyncio.sleep(NOTIFICATION_MIN_RETRY_S)
                     else:
@@ -470,4 +544,4 @@
     async def _post(self, body: bytes, timeout_s: float) -> None:
         response = await self.client.request("POST", NOTIFICATION_PATH, timeout_s, body)
         if response.status != HTTPStatus.NO_CONTENT:
-            raise MalformedResponseError(f"status {response.status}")
+            raise MalformedResponseError(f"unexpected status {response.status}")
--- a/rainfall/forwarder/discovery/http_connection.py
+++ b/rainfall/forwarder/discovery/http_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to discovery, to the list service or to the platform."""
+"""HTTP/1.1 client connection for control traffic: discovery, platform, list service."""
 
 from __future__ import annotations
 
@@ -12,26 +12,29 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """A connection for one request after another."""
+    """A connection that carries one request at a time."""
 
     def __init__(self) -> None:
         self.reader = ResponseReader(MAX_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
         self.response: asyncio.Future[None] | None = None
+        """Done once the response of the current request is complete or has failed."""
         self.error: Exception | None = None
         """Why the last response failed."""
         self.retired = False
-        """No request is sent on it any more."""
+        """No further request may be sent. The socket stays open, so that its descriptor
+        remains in use until the next connection is made.
+        """
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport (called by the event loop)."""
+        """Store the transport (called by the event loop)."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Read the response (called by the event loop)."""
+        """Parse the response (called by the event loop)."""
         if self.response is None or self.response.done():
-            # Nobody asked for it, and it must not become the next response's start.
+            # Input without a request must not become the start of the next response.
             self.close()
             return
         try:
@@ -44,55 +47,62 @@
             self.finish_response(None)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the response (called by the event loop)."""
+        """End the current response (called by the event loop)."""
         self.transport = None
         if error is None:
-            # This completes a response that gave no length.
+            # The end of the stream completes a response without a length.
             self.reader.on_eof()
         self.finish_response(
             None
             if self.reader.complete
-            else ConnectionResetError("the connection ended")
+            else ConnectionResetError(
+                "connection closed before the response was complete"
+            )
         )
 
     def finish_response(self, error: Exception | None) -> None:
-        """End the wait for a response, with the reason if it failed."""
+        """End the wait for the response.
+
+        Args:
+            error: Why it failed; None if it is complete.
+        """
         if self.response is not None and not self.response.done():
             self.error = error
             self.response.set_result(None)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         if self.transport is not None:
             self.transport.abort()
 
     def retire(self) -> None:
-        """Use it no more, but keep its descriptor for the connection after it."""
+        """Allow no further requests, but keep the descriptor for the next connection."""
         self.retired = True
         if self.transport is not None:
             self.transport.pause_reading()
 
     def is_open(self) -> bool:
-        """Whether it holds a descriptor that is not being closed."""
+        """Whether the socket is open and not being closed."""
         return self.transport is not None and not self.transport.is_closing()
 
     def is_usable(self) -> bool:
-        """Whether a request may be sent on it."""
+        """Whether a request may be sent."""
         return self.is_open() and not self.retired
 
     async def exchange(self, data: bytes, deadline: float) -> ResponseReader:
         """Send a request and return its response.
 
-        A response that is there when a delayed event loop looks again is in time.
+        A response that has arrived when a delayed event loop runs again is accepted,
+        even if the deadline has passed.
 
         Args:
-            data: The request's bytes.
-            deadline: When to stop waiting, by the event loop's clock, in seconds.
+            data: The encoded request.
+            deadline: When to stop waiting, in seconds of the event loop's clock.
 
         Raises:
-            TimeoutError: There was no response in time.
-            ConnectionError: The connection ended.
-            MalformedResponseError: The response cannot be read.
+            TimeoutError: The response was not complete in time.
+            ConnectionError: The connection broke or was closed.
+            MalformedResponseError: The response is malformed or too large.
         """
         assert self.transport is not None
         loop = asyncio.get_running_loop()
@@ -105,7 +115,7 @@
             if not self.response.done():
                 raise TimeoutError
         finally:
-            self.response.cancel()  # Of no effect if it is done.
+            self.response.cancel()  # No effect if it is done.
         if self.error is not None:
             raise self.error
         if not self.reader.keep_alive:
--- a/rainfall/forwarder/discovery/notifications.py
+++ b/rainfall/forwarder/discovery/notifications.py
@@ -1,4 +1,4 @@
-"""Pending notifications: their encoding, and the limits on the time they may take."""
+"""Pending notifications: their encoding, and the timeouts and backoffs of posts."""
 
 from __future__ import annotations
 
@@ -9,47 +9,56 @@
 from rainfall.forwarder.message_store import PendingNotification
 
 NOTIFICATION_PATH = "/v1/notices"
+"""Path of the platform to which notifications are posted."""
 NOTIFICATION_MIN_RETRY_S = 0.02
-"""Between two posts that fail, so that no failure makes the notifier spin."""
+"""Minimum delay after a failed post, to avoid a busy loop of retries."""
 NOTIFICATION_FIRST_BACKOFF_S = 0.1
-"""Longest backoff after the first post that fails; it doubles by each further one, ..."""
+"""Maximum backoff after the first failed post; doubled by each further failure, up to
+NOTIFICATION_TOP_BACKOFF_S.
+"""
 NOTIFICATION_TOP_BACKOFF_S = 0.2
-"""... up to this."""
+"""Upper limit of the maximum backoff."""
 NOTIFICATION_RESPONSE_TIMEOUT_S = 0.1
-"""How long a response is waited for: it comes at once. It doubles by each timeout ..."""
+"""Timeout of a post, which the platform normally answers at once. It doubles with each
+further timeout in a row, up to NOTIFICATION_TOP_RESPONSE_TIMEOUT_S.
+"""
 NOTIFICATION_TOP_RESPONSE_TIMEOUT_S = 0.8
-"""... up to this, for a platform that is slow all the time."""
+"""Upper limit of the timeout of a post, for a platform that is permanently slow."""
 DOUBLING_LIMIT = 8
-"""Doublings are not counted beyond this; every limit is reached long before."""
+"""Maximum number of doublings; every upper limit is reached with fewer."""
 LOOP_ALLOWANCE_S = 0.03
-"""What the event loop's timers take."""
+"""Allowance for the delay of the event loop's timers."""
 MAX_NOTIFICATIONS_PER_POST = 1024
-"""Lines in one post: after a restart, as many may be pending as messages were held."""
+"""Maximum number of notifications in one post. After a restart, as many may be pending
+as there were messages.
+"""
 
 if TYPE_CHECKING:
 
     class NotificationSource(Protocol):
-        """Where notifications are kept until they are acknowledged."""
+        """Stores notifications until they are acknowledged."""
 
         def pending_notifications(self) -> dict[str, PendingNotification]:
-            """Return those that may be sent, by message."""
+            """Return the notifications that may be sent, by message id."""
 
-        def acknowledge_notifications(self, names: list[str]) -> None:
-            """Forget the notifications of these messages."""
+        def acknowledge_notifications(self, message_ids: list[str]) -> None:
+            """Remove the notifications of these messages."""
 
 
 class NotificationBatch(NamedTuple):
     """The notifications of one post."""
 
     message_ids: list[str]
+    """Messages whose notifications the body holds."""
     body: bytes
+    """The encoded notifications, one JSON object per line."""
 
 
 def notification_latency_bound_s() -> float:
-    """Return the longest way from a notification to the 204 with one failed post.
+    """Return the maximum time, in seconds, from a notification to its 204.
 
-    The post gets no response, and the next one ends in an error. This must stay below
-    the 0.3 s after which a notification is overdue.
+    Covered are a first post without a response and a second one that ends in an error.
+    The result must stay below the 0.3 s after which a notification is overdue.
     """
     return (
         NOTIFICATION_RESPONSE_TIMEOUT_S
@@ -59,15 +68,15 @@
     )
 
 
-def doubled_up_to(first_s: float, doublings: int, top_s: float) -> float:
-    """Return a time that was doubled so often, and `top_s` at most."""
-    return min(top_s, first_s * 2.0 ** min(doublings, DOUBLING_LIMIT))
+def exponential_delay_s(initial_s: float, doublings: int, limit_s: float) -> float:
+    """Return `initial_s` doubled `doublings` times, capped at `limit_s`."""
+    return min(limit_s, initial_s * 2.0 ** min(doublings, DOUBLING_LIMIT))
 
 
 def encode_notifications(
     pending: dict[str, PendingNotification],
 ) -> NotificationBatch:
-    """Encode the first pending notifications, as many as one body holds."""
+    """Encode as many of the first pending notifications as one post may hold."""
     message_ids: list[str] = []
     body = bytearray()
     for message_id, notification in pending.items():
--- a/tests/forwarder/test_program.py
+++ b/tests/forwarder/test_program.py
@@ -557,7 +557,7 @@
         while (await node.hand_in("m"))[0] != 202:
             await asyncio.sleep(0.05)
         await peer.got(1)
-        assert sum("the list cannot be had" in line for line in node.log) == 2
+        assert sum("cannot fetch the endpoint list" in line for line in node.log) == 2
 
     play(scene, tmp_path)
 
