--- a/rainfall/__init__.py
+++ b/rainfall/__init__.py
@@ -1,4 +1,4 @@
-"""rainfall, a message forwarder."""
+"""A message forwarder: accepts messages over HTTP and delivers them to endpoints."""
 
 from rainfall.dispatch import Dispatcher
 
--- a/rainfall/__main__.py
+++ b/rainfall/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one real forwarder: python -m rainfall."""
+"""Runs one forwarder process: python -m rainfall."""
 
 from __future__ import annotations
 
@@ -19,45 +19,49 @@
 from rainfall.journal.recovery import UnusableJournalError
 
 EXIT_CANNOT_SERVE = 1
-"""Exit status after an address, a file or a journal that cannot be used."""
+"""Exit status if an address, a file or the journal cannot be used."""
 EXIT_BAD_CONFIG = 2
-"""Exit status after a configuration that cannot be used."""
+"""Exit status if the configuration cannot be used."""
 log = logging.getLogger("rainfall")
 
 
 class ForwarderProcess:
-    """The forwarder's process: one engine after another on one journal.
+    """Runs engines one after another on one journal.
 
-    An engine may end so that the process starts again from the journal. Between two
-    engines the process waits for the journal, and handles signals itself.
+    An engine may end so that the process restarts from the journal. While there is no
+    engine, the process waits for the journal and handles signals itself.
     """
 
     def __init__(self, config: Config, early_reloads: list[bool]) -> None:
         self.config = config
         self.early_reloads = early_reloads
-        """An element for each SIGHUP that came while there was no engine."""
+        """Holds an element for each SIGHUP received while there was no engine."""
         self.admin = AdminServer()
         self.lock = JournalLock(config.state)
         self.engine: Engine | None = None
+        """The running engine; None while the process waits for the journal."""
         self.previous_engine: Engine | None = None
+        """The engine that ended last. Clients may still wait for its answers."""
         self.stop_requested = asyncio.Event()
-        """SIGTERM came while there was no engine, so nothing has to be shut down."""
+        """Set by a SIGTERM while there is no engine, so nothing has to be shut down."""
 
     async def serve(self) -> None:
-        """Serve until told to stop."""
+        """Run engines until one ends for good, or a stop is requested while none runs."""
         if self.config.admin is not None:
             await self.admin.listen(self.config.admin)
         serve_again = True
         while serve_again:
-            claiming = asyncio.create_task(claim_journal(self.lock, self.config.state))
+            claim_task = asyncio.create_task(
+                claim_journal(self.lock, self.config.state)
+            )
             self._handle_signals()
-            await self._wait_for_claim(claiming)
+            await self._wait_for_claim(claim_task)
             if self.stop_requested.is_set():
-                claiming.cancel()
+                claim_task.cancel()
                 if self.previous_engine is not None:
                     self.previous_engine.respond_from_journal()
                 break
-            engine = self._start_engine(claiming.result())
+            engine = self._start_engine(claim_task.result())
             serve_again = await engine.run()
             self.config = engine.config
             self.previous_engine = engine
@@ -72,7 +76,7 @@
             self.engine.stop()
 
     def reload(self) -> None:
-        """Read the configuration again, at once or at the engine's start (SIGHUP)."""
+        """Reload the configuration now, or when the next engine starts (SIGHUP)."""
         if self.engine is None:
             self.early_reloads.append(True)
         else:
@@ -85,15 +89,15 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def _wait_for_claim(
-        self, claiming: asyncio.Task[HandoverTarget | None]
+        self, claim_task: asyncio.Task[HandoverTarget | None]
     ) -> None:
         """Wait until the journal is claimed or a stop is requested."""
-        stopping = asyncio.create_task(self.stop_requested.wait())
-        await asyncio.wait({claiming, stopping}, return_when=asyncio.FIRST_COMPLETED)
-        stopping.cancel()
+        stop_task = asyncio.create_task(self.stop_requested.wait())
+        await asyncio.wait({claim_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
+        stop_task.cancel()
 
     def _start_engine(self, handover_target: HandoverTarget | None) -> Engine:
-        self._read_config_again()
+        self._refresh_config()
         engine = Engine(self.config, self.lock, handover_target)
         self.engine = engine
         self.admin.engine = engine
@@ -102,15 +106,15 @@
         if self.early_reloads:
             self.early_reloads.clear()
             engine.reload()
-        # What is made at the start stays: the collector need not go through it again.
+        # Objects created at startup stay alive: exclude them from garbage collection.
         gc.freeze()
         return engine
 
-    def _read_config_again(self) -> None:
-        """Take over what may change without a restart from the present file.
+    def _refresh_config(self) -> None:
+        """Load the current configuration file, except for fields that need a restart.
 
-        The file may have changed since it was read, and the SIGHUP may have gone to
-        this process or to the one that served until now.
+        The file may have changed since it was read, and a SIGHUP for that change may
+        have been sent to this process or to the one that served before.
         """
         config = self.config
         try:
@@ -121,17 +125,20 @@
                 **{name: getattr(config, name) for name in RESTART_FIELDS},
             )
         except ConfigError as error:
-            # The error's text says all: a traceback would only hide it.
-            log.error("the configuration as first read is kept: %s", error)  # noqa: TRY400
+            # The error's text is sufficient; a traceback would only obscure it.
+            log.error(  # noqa: TRY400
+                "cannot reload the configuration, keeping the previous one: %s", error
+            )
 
 
 async def serve(config: Config, early_reloads: list[bool] | None = None) -> None:
-    """Serve until told to stop.
+    """Run the forwarder until it is stopped, see `ForwarderProcess.serve`.
 
     Args:
         config: The configuration that was read at the start.
-        early_reloads: Gets an element for each SIGHUP that comes while there is no
-            engine; one that is there already makes the first engine reload.
+        early_reloads: An element is appended for each SIGHUP received while there is no
+            engine. If it is not empty, the next engine reloads the configuration when
+            it starts.
     """
     reloads: list[bool] = [] if early_reloads is None else early_reloads
     await ForwarderProcess(config, reloads).serve()
@@ -139,7 +146,7 @@
 
 def main() -> int:
     """Read the configuration, serve, and return the exit status."""
-    # A SIGHUP before there is an engine must neither end the process nor be lost.
+    # A SIGHUP before the engine starts must neither end the process nor be lost.
     early_reloads: list[bool] = []
     signal.signal(signal.SIGHUP, lambda *_: early_reloads.append(True))
     logging.basicConfig(
--- a/rainfall/errors.py
+++ b/rainfall/errors.py
@@ -1,7 +1,7 @@
-"""The base of all errors that this package raises for its callers to handle."""
+"""Base class of the errors that this package raises for its callers to handle."""
 
 from __future__ import annotations
 
 
 class RainfallError(Exception):
-    """Base of the package's own errors."""
+    """Base class of the package's own errors."""
--- a/rainfall/forwarder/__init__.py
+++ b/rainfall/forwarder/__init__.py
@@ -1,4 +1,4 @@
-"""The real forwarder around rainfall.dispatch: sockets, journal and timers.
+"""The forwarder process around rainfall.dispatch: sockets, journal and timers.
 
-Decides nothing.
+All decisions about messages are made in rainfall.dispatch.
 """
--- a/rainfall/forwarder/json_logging.py
+++ b/rainfall/forwarder/json_logging.py
@@ -1,10 +1,10 @@
-"""The forwarder's log as JSON, one event a line.
+"""JSON logging for the forwarder, one event per line.
 
-It is used where the configuration says ``log_format = "json"``. Each line has
-``event``, ``level``, ``logger``, ``process`` (the forwarder's name), ``role``, ``pid``
-and ``t_ns`` (``time.monotonic_ns``, the one clock of the machine, so that the fault lab
-can order the lines of several processes), and ``message_id`` where the line is about
-one message. structlog is imported only here.
+It is enabled by ``log_format = "json"`` in the configuration. Each line has ``event``,
+``level``, ``logger``, ``process`` (the forwarder's name), ``role``, ``pid`` and
+``t_ns``, and ``message_id`` if the line is about one message. ``t_ns`` is
+``time.monotonic_ns()``: all processes of a machine share this clock, so that the fault
+lab can order their lines. structlog is imported only here.
 """
 
 from __future__ import annotations
@@ -18,20 +18,22 @@
 
 
 def install_json_logging(name: str) -> None:
-    """Log JSON to standard error in place of plain text, with the lines of each message.
+    """Log JSON to standard error instead of plain text.
+
+    Also enables `rainfall.trace`, which logs events of single messages.
 
     Args:
         name: The forwarder's name.
 
     Raises:
-        ImportError: structlog is missing.
+        ImportError: structlog is not installed.
     """
     import structlog
 
-    def stamp(
+    def add_process_fields(
         _: Any, __: str, event: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        # A line may give the time of what it reports itself.
+        # A line may already have the time of the event that it reports.
         event.setdefault("t_ns", time.monotonic_ns())
         event.update(process=name, role="forwarder", pid=os.getpid())
         return event
@@ -47,7 +49,7 @@
                 structlog.stdlib.add_log_level,
                 structlog.stdlib.add_logger_name,
                 structlog.stdlib.ExtraAdder(),
-                stamp,
+                add_process_fields,
             ],
         )
     )
--- a/rainfall/forwarder/message_store.py
+++ b/rainfall/forwarder/message_store.py
@@ -1,6 +1,6 @@
-"""Accepted messages and how far they got, in the journal of the state directory.
+"""Persistent store of accepted messages and their progress, backed by the journal.
 
-`journal.state` defines what the records mean, `journal.writer` how they are written.
+`journal.state` defines the meaning of the records, `journal.writer` writes them.
 """
 
 from __future__ import annotations
@@ -39,71 +39,79 @@
     "SyncWorker",
 ]
 BLOCK_BYTES = 512
-"""Files may take up to a block more than they hold."""
+"""Block size of the file system: a file may use up to a block more than its size."""
 CAPACITY_BLOCKS = 2
-"""Files beside each other: the journal, and its successor while it is compacted."""
+"""Number of files that exist at the same time: the journal, and the new one while it is
+compacted.
+"""
 NOTIFICATION_BYTES = 200
-"""Record of a pending notification at most."""
+"""Maximum size of a pending notification's record."""
 ENDPOINT_RECORD_BYTES = 100
-"""Record of an outage or of a disabled endpoint at most."""
+"""Maximum size of the record of an outage or of a disabled endpoint."""
 INCREMENTAL_DIVISOR = 4
-"""The changes of an endpoint list are written where they are less than this part of it,
-else the complete list.
+"""Only the changes of an endpoint list are written if they are fewer than the number of
+its endpoints divided by this; otherwise the complete list is.
 """
 OUTAGE_RETENTION_US = 3_600_000_000
-"""An outage is kept so long, as its endpoint may leave the list and come back cold."""
+"""How long an outage is kept: its endpoint may leave the list and return, and still
+needs its slow start then.
+"""
 log = logging.getLogger("rainfall.store")
 
 
 def wall_clock_offset_us() -> int:
-    """Return Unix time less the monotonic clock, in microseconds."""
+    """Return the Unix time minus the monotonic clock, in microseconds."""
     return (time.time_ns() - time.monotonic_ns()) // NS_PER_US
 
 
 class NotificationState(StrEnum):
-    """How a message ended, as journaled and as its notification says."""
+    """How a message ended, in the journal and in its notification."""
 
     RETURNED = "returned"
-    """It was rejected, and may be submitted again."""
+    """The message was rejected, and may be submitted again."""
     FAILED = "failed"
+    """The message failed for good."""
 
 
 class UnsyncedNotification(NamedTuple):
     """A pending notification that is not persisted yet."""
 
     position: int
-    """Records that were appended up to its own."""
+    """Number of records appended up to and including its own."""
     deadline_us: int
-    """Its message's deadline."""
+    """The message's deadline; 0 if the message is unknown."""
 
 
 class MessageStore(JournalState):
-    """Keeps the state of all messages, and appends each change to the journal.
+    """Holds the state of all messages, and appends each change to the journal.
 
-    Records are gathered: `flush` writes them, and `commit` reports when they are
-    persisted, before anything that they precede is sent. With a `worker` that is once
-    they are synced (the level `power`).
+    Records are buffered. `flush` writes them, and `commit` calls back once they are
+    persisted, so that callers can send what depends on them only after that. With a
+    `worker` (the durability level `power`) records are persisted once they are synced,
+    without one (`process`) once they are written.
     """
 
     def __init__(
         self,
         folder: Path,
-        most_bytes: int,
+        max_disk_bytes: int,
         write: bool = True,
         *,
         base_us: int | None = None,
         worker: SyncWorker | None = None,
         files: FileSystem | None = None,
     ) -> None:
-        """Read the journal, and begin to write it.
+        """Read the journal, and open it for writing.
 
         Args:
             folder: The state directory.
-            most_bytes: What its files may take.
-            write: Whether to begin at once; else `begin_writing` does.
-            base_us: Unix time less the caller's clock; by default of the monotonic one.
-            worker: Syncs what is written; without one nothing is synced.
-            files: The file system.
+            max_disk_bytes: Maximum disk usage of the journal's files.
+            write: Whether to open it for writing now; otherwise the caller calls
+                `begin_writing` later.
+            base_us: Unix time minus the caller's clock, in microseconds; by default the
+                caller's clock is the monotonic one.
+            worker: Syncs written records; without one nothing is synced.
+            files: The file system; by default the local one.
         """
         super().__init__()
         self.files = files or LocalFileSystem()
@@ -112,7 +120,7 @@
         self.log = JournalWriter(
             folder,
             self.files,
-            self.usable_bytes(most_bytes),
+            self.usable_bytes(max_disk_bytes),
             worker,
             self.checkpoint,
             self.min_compacted_bytes,
@@ -127,7 +135,7 @@
             predecessor_runs=not write,
         )
         self.unsynced_notifications: dict[str, UnsyncedNotification] = {}
-        """Pending notifications that are not persisted yet, by message."""
+        """Pending notifications that are not persisted yet, by message id."""
         self.log.size = self.report.size
         has_fault = self.report.damaged or self.report.torn
         log.log(
@@ -138,17 +146,17 @@
 
     @property
     def path(self) -> Path:
-        """The journal's file."""
+        """Path of the journal's file."""
         return self.log.path
 
     @property
     def size(self) -> int:
-        """Bytes of the journal's file."""
+        """Size of the journal's file in bytes."""
         return self.log.size
 
     @property
     def max_bytes(self) -> int:
-        """Bytes that the files may take."""
+        """Maximum size of the journal's files together, in bytes."""
         return self.log.max_bytes
 
     @max_bytes.setter
@@ -157,21 +165,24 @@
 
     @property
     def failed(self) -> bool:
-        """Whether writing failed, so that no message is accepted."""
+        """Whether a write failed, so that no new message is accepted."""
         return self.log.failed
 
     @property
     def fd(self) -> int:
-        """Descriptor of the journal's file; negative while it is not written."""
+        """Descriptor of the journal's file; negative while not open for writing."""
         return self.log.fd
 
     @staticmethod
-    def usable_bytes(most_bytes: int) -> int:
-        """Return how many bytes files may hold that take `most_bytes`."""
-        return most_bytes - CAPACITY_BLOCKS * BLOCK_BYTES
+    def usable_bytes(max_disk_bytes: int) -> int:
+        """Return the maximum size of files whose disk usage is `max_disk_bytes`."""
+        return max_disk_bytes - CAPACITY_BLOCKS * BLOCK_BYTES
 
     def begin_writing(self) -> None:
-        """Begin to write; the file is as it was when it was read."""
+        """Open the journal for writing.
+
+        Its file must not have changed since it was read.
+        """
         report = self.report
         if report.damaged and self.log.keep_damaged_file(
             report.size, self.min_compacted_bytes()
@@ -179,19 +190,19 @@
             log.warning(
                 "journal: the damaged file is kept as %s", self.log.damaged_path
             )
-        # A file of another version, or with faults, is not continued but written anew.
+        # A file of another version, or with faults, is replaced by a new one.
         is_sound = (
             report.version == VERSION and not report.damaged and not report.changed
         )
-        continued = (report.salt, report.generation, report.number)
-        self.log.begin(report.end, report.torn, continued if is_sound else None)
+        head = (report.salt, report.generation, report.number)
+        self.log.begin(report.end, report.torn, head if is_sound else None)
         if is_sound and self.clock is not None:
             self.log.append(records.encode_clock(self.clock))
 
     # Writing
 
     def use_rules(self, rules: DeliveryRules) -> None:
-        """Apply these rules to all messages that are accepted from now on."""
+        """Set the rules of all messages that are accepted from now on."""
         if self.rules.get(self.current_rules_number) != rules:
             self.current_rules_number = max(self.rules, default=-1) + 1
             self.rules[self.current_rules_number] = rules
@@ -204,82 +215,104 @@
         self.log.append(encode_message(message))
 
     def append_attempt(
-        self, message: AcceptedMessage, number: int, at_us: int, host: str
+        self, message: AcceptedMessage, number: int, started_at_us: int, host: str
     ) -> None:
-        """Record an attempt at the endpoint named `host`."""
-        message.in_flight[number] = (at_us, host)
+        """Record the start of an attempt.
+
+        Args:
+            message: The message.
+            number: Number of the attempt, from 0.
+            started_at_us: When it started.
+            host: Name of the endpoint.
+        """
+        message.in_flight[number] = (started_at_us, host)
         message.attempts = max(message.attempts, number + 1)
-        self.log.append(records.encode_attempt(message.id, number, at_us, host))
+        self.log.append(records.encode_attempt(message.id, number, started_at_us, host))
 
     def append_outcome(
         self, message: AcceptedMessage, number: int, may_have_executed: bool
     ) -> None:
-        """Record the outcome of an attempt."""
+        """Record the outcome of an attempt, and whether it may have been executed."""
         self.apply_outcome(message, number, may_have_executed)
         self.log.append(records.encode_outcome(message.id, number, may_have_executed))
 
-    def append_finished(self, name: str) -> None:
-        """Record a message's end that needs no notification.
+    def append_finished(self, message_id: str) -> None:
+        """Record the end of a message that needs no notification.
 
-        It was delivered or withdrawn, or its endpoint said that it is over.
+        The message was delivered or withdrawn, or its endpoint reported that it has
+        expired.
         """
-        if name in self.messages:
-            self.remove_message(name)
-            self.log.append(records.encode_finished(name))
+        if message_id in self.messages:
+            self.remove_message(message_id)
+            self.log.append(records.encode_finished(message_id))
 
-    def append_notification(self, name: str, state: str, after_ms: int) -> None:
-        """Record a message's end of which the platform must be notified.
+    def append_notification(self, message_id: str, state: str, after_ms: int) -> None:
+        """Record the end of a message of which the platform must be notified.
 
         Args:
-            name: The message's id.
+            message_id: The message's id.
             state: The value of a `NotificationState`.
-            after_ms: When its client may submit it again; 0 for no statement.
+            after_ms: After how many milliseconds its client may submit it again; 0 if
+                that is not specified.
         """
-        message = self.messages.get(name)
+        message = self.messages.get(message_id)
         order_key = message.order_key if message is not None else None
         notification = PendingNotification(state, after_ms, order_key)
-        self.add_pending_notification(name, notification)
-        self.log.append(records.encode_pending_notification(name, notification))
+        self.add_pending_notification(message_id, notification)
+        self.log.append(records.encode_pending_notification(message_id, notification))
         if self.log.worker is not None:
             deadline_us = message.deadline_us if message is not None else 0
-            self.unsynced_notifications[name] = UnsyncedNotification(
+            self.unsynced_notifications[message_id] = UnsyncedNotification(
                 self.log.appended, deadline_us
             )
 
-    def append_acknowledgement(self, name: str) -> None:
+    def append_acknowledgement(self, message_id: str) -> None:
         """Record that the platform acknowledged a notification."""
-        if name in self.pending_notifications:
-            del self.pending_notifications[name]
-            self.unsynced_notifications.pop(name, None)
-            self.log.append(records.encode_acknowledgement(name))
+        if message_id in self.pending_notifications:
+            del self.pending_notifications[message_id]
+            self.unsynced_notifications.pop(message_id, None)
+            self.log.append(records.encode_acknowledgement(message_id))
 
     def sendable_notifications(self, now_us: int) -> dict[str, PendingNotification]:
-        """Return the pending notifications that may be sent.
+        """Return the pending notifications that may be sent, by message id.
 
-        After a restart that does not know of a notification its message could be sent
-        on, though its client was told to submit it again: so a notification must be
-        persisted first. After the message's deadline no restart sends it.
+        A notification must be persisted first. Otherwise, after a restart without its
+        record, the message could still be sent although the notification lets its
+        client submit it again. No restart sends a message after its deadline: if the
+        journal cannot be written, its notification may be sent from then on.
+
+        Args:
+            now_us: The current time.
         """
         if not self.unsynced_notifications:
             return self.pending_notifications
         self.unsynced_notifications = {
-            name: unsynced
-            for name, unsynced in self.unsynced_notifications.items()
+            message_id: unsynced
+            for message_id, unsynced in self.unsynced_notifications.items()
             if unsynced.position > self.log.persisted
             and (unsynced.deadline_us > now_us or not self.log.incomplete)
         }
         return {
-            name: notification
-            for name, notification in self.pending_notifications.items()
-            if name not in self.unsynced_notifications
+            message_id: notification
+            for message_id, notification in self.pending_notifications.items()
+            if message_id not in self.unsynced_notifications
         }
 
     def append_endpoint_list(
-        self, seq: int, hosts: dict[str, dict[str, Any]], now_us: int, source: str
+        self, version: int, hosts: dict[str, dict[str, Any]], now_us: int, source: str
     ) -> None:
-        """Record the endpoint list; outages are kept for a time, also of others."""
-        self.log.append(self.encode_endpoint_list(seq, hosts, source))
-        self.seq = seq
+        """Record the endpoint list, and drop outages older than OUTAGE_RETENTION_US.
+
+        Outages of endpoints that are not listed are kept until then as well.
+
+        Args:
+            version: Version of the list.
+            hosts: All listed endpoints by name, as discovery sent them.
+            now_us: The current time.
+            source: The discovery service that the list came from.
+        """
+        self.log.append(self.encode_endpoint_list(version, hosts, source))
+        self.seq = version
         self.source = source
         self.hosts = dict(hosts)
         oldest_us = now_us - OUTAGE_RETENTION_US
@@ -290,47 +323,54 @@
         }
 
     def encode_endpoint_list(
-        self, seq: int, hosts: dict[str, dict[str, Any]], source: str
+        self, version: int, hosts: dict[str, dict[str, Any]], source: str
     ) -> bytes:
-        """Encode a list: as changes of the active one where they are few."""
+        """Encode an endpoint list, as changes of the current one if they are few."""
         previous = self.hosts
         changed = [
             host
             for name, host in hosts.items()
             if previous.get(name) is not host and previous.get(name) != host
         ]
-        gone = [name for name in previous if name not in hosts]
+        removed = [name for name in previous if name not in hosts]
         if (
             source == self.source
             and self.seq >= 0
-            and len(changed) + len(gone) < len(hosts) // INCREMENTAL_DIVISOR
+            and len(changed) + len(removed) < len(hosts) // INCREMENTAL_DIVISOR
         ):
             self.list_bytes = self.list_bytes * len(hosts) // len(previous)
-            update = EndpointListUpdate(self.seq, seq, changed, gone, source)
+            update = EndpointListUpdate(self.seq, version, changed, removed, source)
             return records.encode_endpoint_list_update(update)
-        payload = encode_list(seq, hosts, source)
+        payload = encode_list(version, hosts, source)
         self.list_bytes = len(payload)
         return payload
 
-    def append_outage(self, host: str, since_us: int, back_us: int) -> None:
-        """Record an endpoint's outage, or its end."""
-        outage = Outage(since_us, back_us)
+    def append_outage(
+        self, host: str, started_at_us: int, recovered_at_us: int
+    ) -> None:
+        """Record an endpoint's outage, or its recovery; see `Outage`."""
+        outage = Outage(started_at_us, recovered_at_us)
         self.set_outage(host, outage)
         self.log.append(records.encode_outage(host, outage))
 
     def append_detached(self, host: str, detached: bool) -> None:
-        """Record that an endpoint is disabled or enabled."""
+        """Record that an operator has disabled or enabled an endpoint."""
         self.set_detached(host, detached)
         self.log.append(records.encode_detached(host, detached))
 
     def min_compacted_bytes(self) -> int:
-        """Return the size of a compacted file without its small records."""
+        """Return the size of a compacted file, without its small records."""
         return self.live_bytes + self.list_bytes
 
     def has_capacity(self, extra_bytes: int) -> bool:
-        """Whether one more message leaves room for a compacted file beside the old one.
+        """Whether there is disk space for one more message.
 
-        A damaged file that is kept goes if that makes the room.
+        A compacted file must fit beside the old one. A damaged file that was kept is
+        deleted if that makes enough space.
+
+        Args:
+            extra_bytes: Size of the message's body, and of the bodies of other messages
+                that may still be accepted before it.
         """
         message_bytes = self.live_bytes + extra_bytes + MESSAGE_OVERHEAD_BYTES
         other_bytes = (
@@ -347,26 +387,30 @@
         )
 
     def flush(self) -> None:
-        """Write the records that were gathered."""
+        """Write the buffered records."""
         self.log.flush()
 
-    def commit(self, then: Callable[[bool], None]) -> None:
-        """Call `then` once all records are persisted, or could not be."""
-        self.log.commit(then)
+    def commit(self, on_persisted: Callable[[bool], None]) -> None:
+        """Call `on_persisted(True)` once all records are persisted, or with False."""
+        self.log.commit(on_persisted)
 
     def compact(self) -> bool:
-        """Write a journal of the present state only, if there is room for it."""
+        """Replace the journal by one of the current state only, if it fits.
+
+        Returns:
+            Whether it was replaced, or the worker is about to replace it.
+        """
         return self.log.rewrite()
 
     def close(self) -> None:
-        """Write no more, as the process ends in order.
+        """Stop writing, because the process ends in an orderly way.
 
-        The journal is synced at every level, and its last record says so: the next
-        start need not suspect that its end is missing.
+        The journal is synced at every durability level, and its last record states the
+        orderly end. So the next start knows that no record is missing at its end.
         """
         self.flush()
         if self.log.worker_busy:
-            # The disk does not answer: the descriptor must not be closed under a sync.
+            # The disk is not responding. The descriptor must stay open during the sync.
             self.log.writing = False
             return
         if self.fd >= 0 and not self.log.incomplete:
@@ -377,11 +421,11 @@
         self.release()
 
     def release(self) -> None:
-        """Write no more; another process may."""
+        """Stop writing, so that another process may write."""
         self.log.release()
 
     def metrics(self) -> dict[str, Any]:
-        """Return what was found at the start, and what writing costs."""
+        """Return the result of the recovery at startup and statistics of writing."""
         writer = self.log
         return {
             "level": "power" if writer.worker else "process",
--- a/rainfall/forwarder/units.py
+++ b/rainfall/forwarder/units.py
@@ -1,4 +1,4 @@
-"""Factors between the units of time that the forwarder counts in."""
+"""Conversion factors between the units of time used in the forwarder."""
 
 from __future__ import annotations
 
