--- a/rainfall/__main__.py
+++ b/rainfall/__main__.py
@@ -46,7 +46,7 @@
         """Set by a SIGTERM while there is no engine, so nothing has to be shut down."""
 
     async def serve(self) -> None:
-        """Run engines until one ends for good, or a stop is requested while none runs."""
+        """Run engines until one ends for good, or a stop is requested without one."""
         if self.config.admin is not None:
             await self.admin.listen(self.config.admin)
         serve_again = True
--- a/rainfall/forwarder/discovery/endpoint_watch.py
+++ b/rainfall/forwarder/discovery/endpoint_watch.py
@@ -79,7 +79,7 @@
 failed poll. The list is needed sooner than the dispatcher's retry would fetch it.
 """
 INSIST_RETRY_S = 0.2
-"""Mean delay of a retry in that period."""
+"""Mean delay of a retry within FAST_RETRY_PERIOD_S."""
 PUSHED_RESPONSE_TIMEOUT_S = 0.2
 """Timeout of a poll that is not held, where lists are pushed: the agent on this machine
 answers at once or not at all.
@@ -109,7 +109,7 @@
 polled.
 """
 FAILURE_LOG_INTERVAL = 20
-"""After those, one of this many failures is logged."""
+"""After the first ones in a row, one of this many failures is logged."""
 log = logging.getLogger("rainfall.discovery")
 
 
--- a/rainfall/forwarder/discovery/http_connection.py
+++ b/rainfall/forwarder/discovery/http_connection.py
@@ -76,7 +76,7 @@
             self.transport.abort()
 
     def retire(self) -> None:
-        """Allow no further requests, but keep the descriptor for the next connection."""
+        """Allow no further requests, but keep the descriptor reserved."""
         self.retired = True
         if self.transport is not None:
             self.transport.pause_reading()
--- a/rainfall/forwarder/inbound/client_connection.py
+++ b/rainfall/forwarder/inbound/client_connection.py
@@ -65,8 +65,8 @@
 different message. The request is rejected, and later ones are still read.
 """
 FRAMING_HEADERS = frozenset(("host", "transfer-encoding", "content-length"))
-"""Headers that must not be repeated either. Where one is, the end of the request is
-ambiguous, so all further input of the connection is discarded.
+"""Headers that must not be repeated. After a repetition all further input of the
+connection is discarded: another HTTP parser may read it as different requests.
 """
 
 
@@ -85,8 +85,8 @@
         set, bytes discarded since then.
         """
         self.in_headers = True
-        """The headers of the request that comes next, or is being received, are not
-        complete. Cleared while a body and its trailers are received.
+        """The headers of the request being received, or of the next one, are not
+        complete yet. False while a body and its trailers are received.
         """
         self.request_count = 0
         """Number of complete requests so far."""
@@ -441,7 +441,7 @@
         )
 
     def is_open(self) -> bool:
-        """Whether responses can still be written."""
+        """Whether the transport is open and not being closed."""
         return self.transport is not None and not self.transport.is_closing()
 
     def is_idle(self) -> bool:
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -303,7 +303,7 @@
         return self.acquire_permit(call)
 
     def retry_launch(self, call: OutboundCall, connection: EndpointConnection) -> None:
-        """Launch a call again that waited for its permit."""
+        """Try again to launch a call that waited for its permit."""
         if connection.is_reusable():
             self.launch_if_still_allowed(call, connection)
             return
@@ -312,7 +312,7 @@
             self.connect(call)
 
     def render(self, call: OutboundCall) -> bytes:
-        """Return a call's encoded request, with its messages that are still open."""
+        """Return a call's encoded request, with its messages without an outcome."""
         address = self.addresses[call.endpoint]
         host = f"{address.host}:{address.port}"
         items = list(call.open_items.values())
@@ -477,7 +477,7 @@
             )
 
     def detach_connection(self, call: OutboundCall) -> None:
-        """Detach a call from its connection, and close that."""
+        """Detach a call from its connection, and close the connection."""
         self._cancel_timer(call)
         connection = call.connection
         if connection is not None:
