--- a/rainfall/forwarder/handover/__init__.py
+++ b/rainfall/forwarder/handover/__init__.py
@@ -1,1 +1,1 @@
-"""The handover of a journal to a new process of the program."""
+"""Handover of the journal from a running forwarder process to its replacement."""
--- a/rainfall/forwarder/handover/connection.py
+++ b/rainfall/forwarder/handover/connection.py
@@ -1,4 +1,4 @@
-"""The connection of two processes at a handover: lines of JSON over a Unix socket."""
+"""The connection between the two processes of a handover: JSON lines on a Unix socket."""
 
 from __future__ import annotations
 
@@ -20,18 +20,23 @@
 )
 
 SOCKET_NAME = "handover"
-"""The socket's name in the directory of the journal."""
+"""File name of the socket in the state directory, beside the journal."""
 MAX_SOCKET_PATH_BYTES = 100
-"""A Unix socket's path may have 107 bytes on Linux; a few are to spare."""
+"""Linux allows 107 bytes in the path of a Unix socket; the rest is a margin."""
 MAX_LINE_BYTES = 64 * 1024 * 1024
-"""A longer line ends the connection."""
+"""A connection that sends a longer line is closed."""
 READ_CHUNK_BYTES = 256 * 1024
+"""Size of a read when the rest of a broken connection is drained."""
 log = logging.getLogger("rainfall.handover")
 
 
 @contextmanager
 def short_path(path: Path) -> Iterator[str]:
-    """A path that is short enough for a Unix socket, whatever directory it is in."""
+    """Yield a path of a socket that is within MAX_SOCKET_PATH_BYTES.
+
+    If `path` is longer, the directory is opened and the yielded path leads through its
+    descriptor in /proc, which is valid within the `with` block only.
+    """
     if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield str(path)
         return
@@ -43,35 +48,38 @@
 
 
 class HandoverConnection(asyncio.Protocol):
-    """Sends and receives lines of JSON.
+    """Sends and receives JSON lines.
 
     Args:
-        heard: Called with each line; ValueError, TypeError or KeyError from it mean
-            that the line cannot be read, and end the connection.
-        lost: Called once the connection has ended.
+        on_message: Called with each decoded line. If it raises ValueError, TypeError or
+            KeyError, the line is malformed, and the connection is closed.
+        on_disconnect: Called once, after the connection has ended.
     """
 
     def __init__(
         self,
-        heard: Callable[[HandoverConnection, HandoverMessage], None],
-        lost: Callable[[HandoverConnection], None],
+        on_message: Callable[[HandoverConnection, HandoverMessage], None],
+        on_disconnect: Callable[[HandoverConnection], None],
     ) -> None:
-        self.on_message, self.on_disconnect = heard, lost
+        self.on_message, self.on_disconnect = on_message, on_disconnect
         self.transport: asyncio.Transport | None = None
+        """None before the connection is made and after it is lost."""
         self.line_parts: list[bytes] = []
+        """The pieces received so far of a line without its newline."""
         self.line_bytes = 0
+        """Total length of `line_parts`."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport to send over."""
+        """Store the transport (called by the event loop)."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Hand on the lines that are complete, and keep the rest."""
-        first, *rest = data.split(b"\n")
-        self.line_parts.append(first)
-        self.line_bytes += len(first)
-        for part in rest:
+        """Pass on each complete line, and buffer an incomplete one."""
+        first_part, *later_parts = data.split(b"\n")
+        self.line_parts.append(first_part)
+        self.line_bytes += len(first_part)
+        for part in later_parts:
             line = b"".join(self.line_parts)
             self.line_parts = [part]
             self.line_bytes = len(part)
@@ -84,21 +92,21 @@
             self.close()
 
     def reject_line(self, error: Exception) -> None:
-        """End the connection over a line that cannot be read."""
-        log.error("handover: a line that cannot be read: %r", error)
+        """Log a malformed line and close the connection."""
+        log.error("handover: cannot parse line: %r", error)
         self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Read what came before the end, then report the end."""
+        """Read what arrived before the connection ended, then report its end."""
         transport, self.transport = self.transport, None
         if error is not None and transport is not None:
             self.read_remaining(transport)
         self.on_disconnect(self)
 
     def read_remaining(self, transport: asyncio.Transport) -> None:
-        """Read what is left in the socket after a write to it failed.
+        """Read the data that is left in the socket after a failed write.
 
-        Such a write ends the connection, and asyncio reads no more of what the other
+        asyncio drops the connection at the failed write, without reading what the other
         process had sent before: outcomes of calls, and answers to clients.
         """
         fd = transport.get_extra_info("socket").fileno()
@@ -107,17 +115,17 @@
                 self.data_received(data)
 
     def send_message(self, message: TargetMessage | Reply | SourceMessage) -> None:
-        """Send a message, if there is still a connection."""
+        """Encode and send a message; it is discarded once the connection is lost."""
         self.send(**encode_message(message))
 
     def send(self, **line: Any) -> None:
-        """Send a line of JSON, if there is still a connection."""
+        """Send a JSON line; it is discarded once the connection is lost."""
         if self.transport is not None:
             self.transport.write(
                 json.dumps(line, separators=(",", ":")).encode() + b"\n"
             )
 
     def close(self) -> None:
-        """End the connection; what was sent still leaves."""
+        """Close the connection after all buffered output is written."""
         if self.transport is not None:
             self.transport.close()
--- a/rainfall/forwarder/handover/journal_lock.py
+++ b/rainfall/forwarder/handover/journal_lock.py
@@ -1,4 +1,4 @@
-"""The lock on the journal: only the process that holds it may write."""
+"""The lock of the journal: only the process that holds it may write the journal."""
 
 from __future__ import annotations
 
@@ -8,20 +8,27 @@
 from pathlib import Path
 
 LOCK_FILE = "lock"
+"""File name of the lock in the state directory."""
 LOCK_RETRY_S = 0.05
-"""Between two attempts to become the process that holds the journal."""
+"""Interval between two attempts to take over the journal."""
 RELEASE_POLL_S = LOCK_RETRY_S / 10
-"""Between two attempts while the former holder is just about to release the lock."""
+"""Interval between two attempts once the source has granted the journal, as the lock is
+then free within moments.
+"""
 
 
 class JournalLock:
-    """An exclusive lock that ends with its process, however that ends."""
+    """An exclusive file lock (`flock`), which the system releases when its process ends."""
 
     def __init__(self, folder: Path) -> None:
         self.path, self.fd = folder / LOCK_FILE, -1
 
     def try_acquire(self) -> bool:
-        """Acquire the lock unless another process holds it; whether it is held here."""
+        """Acquire the lock without waiting.
+
+        Returns:
+            Whether this process holds the lock now; False if another one does.
+        """
         if self.fd >= 0:
             return True
         self.path.parent.mkdir(parents=True, exist_ok=True)
@@ -35,12 +42,12 @@
         return True
 
     async def acquire(self) -> None:
-        """Wait until the former holder has released the lock."""
+        """Acquire the lock, waiting until the previous holder has released it."""
         while not self.try_acquire():
             await asyncio.sleep(RELEASE_POLL_S)
 
     def release(self) -> None:
-        """Let another process acquire the lock."""
+        """Release the lock if it is held."""
         if self.fd >= 0:
             os.close(self.fd)
             self.fd = -1
--- a/rainfall/forwarder/handover/messages.py
+++ b/rainfall/forwarder/handover/messages.py
@@ -1,12 +1,17 @@
-"""The messages of a handover, and the one place that knows their form on the wire.
+"""The messages of a handover, and their encoding as JSON lines.
 
-A line on the wire is a JSON object with one key, which names the kind of message:
+Each line is a JSON object with a single key, which names the kind of message:
 
-  from the target: ask, prepared; then answer, rotated, cancel
-  from the source: memory or no, yours; then hand_in, gone, ended, reload, rotate
+====================  =========================  ====================================
+sent by               until ownership transfers  after the transfer
+====================  =========================  ====================================
+the target            ask, prepared              answer, rotated, cancel
+the source            memory, no, yours          hand_in, gone, ended, reload, rotate
+====================  =========================  ====================================
 
-Two versions of the program talk to each other here, so the keys, the order of the
-values and their forms stay as they are.
+`memory` or `no` replies to `ask`, `yours` to `prepared`. The two processes may run
+different versions of the program, so the keys, the order of the values and their types
+must not change.
 """
 
 from __future__ import annotations
@@ -20,33 +25,39 @@
 from rainfall.forwarder.inbound.server import SubmittedMessage
 
 HandoverMessage = dict[str, Any]
-"""A line as JSON data."""
+"""A decoded line, or a part of one."""
 
 
 class RetryAfter(NamedTuple):
-    """Until when a throttle scope is not called, in the clock's microseconds."""
+    """A Retry-After that binds a throttle scope of the source."""
 
     destination: int
     endpoint: int
+    """Endpoint id, or `ANY_ENDPOINT` where all endpoints of the destination share it."""
     until_us: int
+    """Unix time in microseconds; no call is sent to the scope before."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverSnapshot:
-    """What the target needs to know beside the journal."""
+    """The state of the source that the journal lacks and the target needs."""
 
     endpoint_ids: dict[str, int]
+    """Ids of endpoints by endpoint name."""
     last_endpoint_id: int
+    """The highest endpoint id assigned so far."""
     recently_finished: list[str]
-    """Ids of messages that ended a short while ago, oldest first."""
+    """Ids of messages that finished recently, oldest first."""
     retry_afters: list[RetryAfter]
     descriptors: int
-    """File descriptors that the source keeps for its connections."""
+    """File descriptors of the source's connections, which the target leaves unused
+    while the source runs.
+    """
     dispatcher: dict[str, Any]
-    """The dispatcher's own snapshot."""
+    """The dispatcher's own snapshot (`Dispatcher.snapshot`)."""
 
     def to_json(self) -> HandoverMessage:
-        """The snapshot as JSON data."""
+        """Return the snapshot as JSON data."""
         return {
             "numbers": self.endpoint_ids,
             "numbered": self.last_endpoint_id,
@@ -58,7 +69,11 @@
 
     @classmethod
     def from_json(cls, data: HandoverMessage) -> HandoverSnapshot:
-        """The snapshot that JSON data describes; KeyError where some is missing."""
+        """Decode a snapshot.
+
+        Raises:
+            KeyError: A key is missing.
+        """
         return cls(
             endpoint_ids=data["numbers"],
             last_endpoint_id=data["numbered"],
@@ -73,36 +88,41 @@
 
 
 class Request(StrEnum):
-    """What the target asks the source for. The values are the keys on the wire."""
+    """A request of the target. The values are the keys on the wire."""
 
     SNAPSHOT = "ask"
-    """To pause and to send its snapshot."""
+    """Pause, and send a snapshot."""
     OWNERSHIP = "prepared"
-    """To leave the journal, which the target has read, to the target."""
+    """The target has read the journal: transfer the journal's ownership to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubmissionAnswer:
-    """The answer for a client whose connection the source holds."""
+    """The answer to a client whose connection the source holds."""
 
     number: int
+    """Number of the `Submission` that it answers."""
     status: int
+    """HTTP status."""
     text: str
     headers: dict[str, str]
+    """Header names have underscores in place of hyphens."""
 
 
 @dataclass(frozen=True, slots=True)
 class DetachAnswer:
-    """The answer for an operator whose connection the source holds."""
+    """The answer to an operator whose connection the source holds."""
 
     number: int
+    """Number of the `DetachRequest` that it answers."""
     status: int
+    """HTTP status."""
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """A call that the source has in flight is to be cancelled."""
+    """Cancel a call that the source has in flight."""
 
     message_id: str
     attempt: int
@@ -113,68 +133,74 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReply:
-    """The source has paused; its snapshot, as JSON data."""
+    """The source has paused and sends its snapshot."""
 
     snapshot: HandoverMessage
+    """A `HandoverSnapshot` as JSON data."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The source does not hand over now."""
+    """The source refuses a handover for now."""
 
 
 @dataclass(frozen=True, slots=True)
 class OwnershipConfirmed:
-    """The target is the journal's writer from now on."""
+    """The source has released the journal: the target owns it from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A client of the source submits a message."""
+    """A client of the source has submitted a message."""
 
     number: int
+    """Chosen by the source; the answer repeats it."""
     message: SubmittedMessage
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a submission is gone."""
+    """The client of a submission disconnected before it was answered."""
 
     number: int
+    """Number of the `Submission`."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """A call that the source had in flight has ended."""
+    """A call that the source had in flight has finished."""
 
     event: AttemptFinished
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadRequest:
-    """The source was sent SIGHUP."""
+    """The source received SIGHUP, so the target reloads the configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class DetachRequest:
-    """An operator asks the source to take an endpoint out, or to put it back."""
+    """An operator of the source takes an endpoint out of rotation, or puts it back."""
 
     number: int
+    """Chosen by the source; the answer repeats it."""
     endpoint: str
+    """The endpoint's name."""
     detached: bool
+    """True takes it out, False puts it back."""
 
 
 TargetMessage = Request | SubmissionAnswer | DetachAnswer | CancelRequest
 Reply = SnapshotReply | Refusal | OwnershipConfirmed
-"""What the source says to a request of the target's."""
+"""Replies of the source to a `Request`."""
 SourceMessage = (
     Submission | ClientDisconnected | AttemptOutcome | ReloadRequest | DetachRequest
 )
-"""What the source says once it has transferred ownership."""
+"""Messages that the source sends once it has transferred ownership."""
 
 
 def encode_message(message: TargetMessage | Reply | SourceMessage) -> HandoverMessage:
-    """A message as JSON data."""
+    """Return the JSON object of a message."""
     if isinstance(message, TargetMessage):
         return _encode_target_message(message)
     if isinstance(message, Reply):
@@ -219,18 +245,18 @@
 
 
 def is_snapshot_request(line: HandoverMessage) -> bool:
-    """Whether a line opens a handover."""
+    """Whether a line is the request that starts a handover."""
     return Request.SNAPSHOT in line
 
 
 def decode_target_message(line: HandoverMessage) -> TargetMessage | None:
-    """What the target says.
+    """Decode a line from the target.
 
     Returns:
-        None for a kind of message that this version does not know.
+        The message; None if its kind is unknown to this version.
 
     Raises:
-        ValueError, TypeError or KeyError: A known kind has other values.
+        ValueError, TypeError or KeyError: The values do not fit the kind.
     """
     for request in Request:
         if request in line:
@@ -248,7 +274,7 @@
 
 
 def decode_reply(line: HandoverMessage) -> Reply | None:
-    """What the source replies; None if the line is not a reply."""
+    """Decode a reply from the source; None if the line is no reply."""
     if "no" in line:
         return Refusal()
     if "memory" in line:
@@ -259,13 +285,13 @@
 
 
 def decode_source_message(line: HandoverMessage) -> SourceMessage | None:
-    """What the source says once it has transferred ownership.
+    """Decode a line that the source sends once it has transferred ownership.
 
     Returns:
-        None for a kind of message that this version does not know.
+        The message; None if its kind is unknown to this version.
 
     Raises:
-        ValueError, TypeError or KeyError: A known kind has other values.
+        ValueError, TypeError or KeyError: The values do not fit the kind.
     """
     if "hand_in" in line:
         number, values = line["hand_in"]
@@ -313,7 +339,7 @@
 
 def _decode_submitted(values: dict[str, Any]) -> SubmittedMessage:
     if values.keys() != _SUBMITTED_KEYS:
-        raise ValueError(f"a submitted message with the keys {sorted(values)}")
+        raise ValueError(f"unexpected keys of a submitted message: {sorted(values)}")
     return SubmittedMessage(
         id=values["id"],
         class_name=values["class_name"],
--- a/rainfall/forwarder/handover/source.py
+++ b/rainfall/forwarder/handover/source.py
@@ -1,4 +1,9 @@
-"""The source of a handover: the process that serves until another one takes over."""
+"""The source of a handover: the process that serves until the target takes over.
+
+The target requests a snapshot, for which the engine pauses, and then the ownership of
+the journal. After the transfer the source is a proxy: it keeps the connections that it
+has, and passes messages and answers on between them and the target.
+"""
 
 from __future__ import annotations
 
@@ -38,62 +43,75 @@
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
 
 HOLD_TIMEOUT_S = 1.5
-"""How long clients wait for a target that is slow to read the journal."""
+"""How long the engine stays paused at first for a target that reads the journal.
+
+Clients wait meanwhile.
+"""
 MAX_HOLD_TIMEOUT_S = 3.0
-"""A target that asks again gets twice the time, up to this: it has to serve 6 s after
-its start.
+"""The hold timeout doubles after each target that exceeds it, up to this: a target has
+to serve within 6 s of its start.
 """
 log = logging.getLogger("rainfall.handover")
 
 
 class SourceEngine(Protocol):
-    """What the engine that serves does for the handover."""
+    """What the handover needs of the engine that serves."""
 
     def pause_for_handover(
-        self, then: Callable[[HandoverMessage | None], None]
+        self, on_paused: Callable[[HandoverMessage | None], None]
     ) -> None:
-        """Pause, and call with the snapshot, or with None where that is impossible."""
+        """Pause, then call `on_paused` with the snapshot.
+
+        It is called with None where the engine cannot hand over now.
+        """
 
     def resume_after_handover(self) -> None:
-        """Go on: the target did not take over."""
+        """Resume serving after a pause without a transfer."""
 
     def transfer_ownership(self) -> None:
-        """Leave the journal to the target."""
+        """Release the journal to the target, and confirm it by `confirm_transfer`."""
 
     def target_lost(self) -> None:
-        """The target ended after it had taken over."""
+        """Handle the loss of a target that owns the journal."""
 
-    def cancel_call(self, message: str, attempt: int) -> None:
-        """Cancel a call that is in flight here."""
+    def cancel_call(self, message_id: str, attempt: int) -> None:
+        """Cancel a call that this process has in flight."""
 
     def reload_inbound_settings(self) -> None:
-        """Apply a reloaded configuration to the connections that are still here."""
+        """Apply a reloaded configuration to the connections that remain here."""
 
 
 class HandoverSource:
-    """Listens for a target, pauses the engine for it, and then serves as its proxy."""
+    """Listens for a target, hands the journal over to it, and then acts as its proxy.
+
+    There is one target at a time; others are refused.
+    """
 
     def __init__(self, engine: SourceEngine) -> None:
         self.engine = engine
         self.transferred = False
-        """The target is the journal's writer."""
-        self.pause_settled = True
-        """No pause is on its way that has not called back yet."""
+        """Whether the target owns the journal; it never becomes False again."""
+        self.pause_completed = True
+        """Whether the last pause that was requested of the engine has called back."""
         self.link: HandoverConnection | None = None
+        """The connection to the current target."""
         self.listener: asyncio.Server | None = None
         self.timer: asyncio.TimerHandle | None = None
+        """Runs from the snapshot until the target requests ownership."""
         self.hold_timeout_s = HOLD_TIMEOUT_S
         self.refuse_until_s = 0.0
+        """By `time.monotonic`; targets are refused until then."""
         self.last_request_number = 0
         self.response_writers: dict[int, tuple[str, ResponseWriter]] = {}
-        """The clients of forwarded messages, with the messages' ids, by number."""
+        """Message id and client of each forwarded message, by request number."""
         self.admin_responders: dict[int, AdminResponder] = {}
+        """Operators whose request was forwarded, by request number."""
 
     async def listen(self, folder: Path) -> None:
-        """Listen for a target.
+        """Listen for targets on the handover socket in the state directory.
 
-        Where there can be no such socket, this process serves without: a new process
-        then waits for its end.
+        If the socket cannot be created, this process serves without handover, and a new
+        process waits until this one ends.
         """
         try:
             with short_path(folder / SOCKET_NAME) as path:
@@ -108,14 +126,14 @@
             )
 
     def close(self) -> None:
-        """End the handover, whatever has become of it."""
+        """Stop listening and close the connection to the target."""
         if self.listener is not None:
             self.listener.close()
         if self.link is not None:
             self.link.close()
 
     def on_message(self, link: HandoverConnection, received: HandoverMessage) -> None:
-        """Take a line from a target."""
+        """Handle a line from a target (callback of the connection)."""
         if is_snapshot_request(received):
             self.start_handover(link)
         elif link is not self.link:
@@ -124,7 +142,7 @@
             self.on_target_message(decode_target_message(received))
 
     def on_target_message(self, message: TargetMessage | None) -> None:
-        """Take a message from the target that the handover is with."""
+        """Handle a message from the current target; None, an unknown kind, is ignored."""
         match message:
             case Request.OWNERSHIP:
                 if not self.transferred:
@@ -132,9 +150,9 @@
                     self.transferred = True
                     self.engine.transfer_ownership()
             case SubmissionAnswer(number, status, text, headers):
-                waiting = self.response_writers.pop(number, None)
-                if waiting is not None:
-                    _, writer = waiting
+                entry = self.response_writers.pop(number, None)
+                if entry is not None:
+                    _, writer = entry
                     writer.answer(HTTPStatus(status), text, **headers)
             case DetachAnswer(number, status, text):
                 self.admin_responders.pop(number)(HTTPStatus(status), text)
@@ -142,30 +160,34 @@
                 self.engine.cancel_call(message_id, attempt)
 
     def start_handover(self, link: HandoverConnection) -> None:
-        """Pause the engine for a target, or refuse."""
-        # Refused also while the engine pauses for one that has gone meanwhile, and for
-        # a while after one that was too slow: asked again at once, it would pause for
-        # good.
-        busy = self.link is not None or self.transferred or not self.pause_settled
+        """Pause the engine for a target, or refuse the target."""
+        # The pause for a target that has disconnected may still be under way. After a
+        # target that was too slow, all targets are refused for a while: one that retries
+        # immediately would keep the engine paused.
+        busy = self.link is not None or self.transferred or not self.pause_completed
         if busy or time.monotonic() < self.refuse_until_s:
             self.refuse(link)
             return
         self.link = link
-        self.pause_settled = False
+        self.pause_completed = False
         self.engine.pause_for_handover(
             lambda snapshot: self.send_snapshot(link, snapshot)
         )
 
     def refuse(self, link: HandoverConnection) -> None:
-        """Tell a target that there is no handover now."""
+        """Send a refusal and close the connection."""
         link.send_message(Refusal())
         link.close()
 
     def send_snapshot(
         self, link: HandoverConnection, snapshot: HandoverMessage | None
     ) -> None:
-        """Send what the paused engine knows; None where it could not pause."""
-        self.pause_settled = True
+        """Send the snapshot once the engine has paused, and start the hold timer.
+
+        If the engine could not pause (None), or the handover was aborted meanwhile, the
+        target is refused and the engine resumes.
+        """
+        self.pause_completed = True
         if snapshot is None or link is not self.link:
             if link is self.link:
                 self.link = None
@@ -178,30 +200,38 @@
         )
 
     def stop_timer(self) -> None:
-        """The target was quick enough, or is not waited for."""
+        """Cancel the hold timer, if it is running."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def on_hold_timeout(self) -> None:
-        """Serve for as long as the pause took; then the next target has longer."""
+        """Abort a handover whose target was too slow, and resume serving.
+
+        Targets are refused for as long as the pause lasted; the next one is then given
+        twice the time.
+        """
         self.refuse_until_s = time.monotonic() + self.hold_timeout_s
         self.hold_timeout_s = min(2 * self.hold_timeout_s, MAX_HOLD_TIMEOUT_S)
         self.abort()
 
     def abort(self) -> None:
-        """Wait for the target no longer, unless it owns the journal already."""
+        """Abort the handover, unless the target owns the journal already."""
         if self.link is not None and not self.transferred:
             link, self.link = self.link, None
             self.stop_timer()
             link.close()
             log.warning("the new process did not take over; going on")
-            # Else the engine goes on as soon as it has paused.
-            if self.pause_settled:
+            # If the pause is still under way, `send_snapshot` resumes the engine.
+            if self.pause_completed:
                 self.engine.resume_after_handover()
 
     def on_disconnect(self, link: HandoverConnection) -> None:
-        """Answer operators and go on, as far as the lost target had come."""
+        """Handle the loss of the current target.
+
+        Before the transfer the handover is aborted. After it the operators that wait
+        are answered 503, and the engine handles the rest.
+        """
         if link is not self.link:
             return
         if not self.transferred:
@@ -216,12 +246,15 @@
     # After the transfer
 
     def confirm_transfer(self) -> None:
-        """Tell the target that it owns the journal."""
+        """Confirm to the target that it owns the journal."""
         if self.link is not None:
             self.link.send_message(OwnershipConfirmed())
 
     def submit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
-        """Have the target answer a message that came over a connection from here."""
+        """Forward a client's message to the target, which answers it.
+
+        Without a target the client is answered 503.
+        """
         if self.link is None:
             writer.answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", Retry_After="1")
             return
@@ -232,7 +265,7 @@
         self.link.send_message(Submission(number, submitted))
 
     def forward_disconnect(self, number: int) -> None:
-        """Tell the target that the client of a message is gone."""
+        """Report to the target that the client of a forwarded message disconnected."""
         if (
             self.response_writers.pop(number, None) is not None
             and self.link is not None
@@ -240,17 +273,27 @@
             self.link.send_message(ClientDisconnected(number))
 
     def forward_outcome(self, outcome: AttemptFinished) -> None:
-        """Tell the target how a call from here ended."""
+        """Report the outcome of a call of this process to the target."""
         if self.link is not None:
             self.link.send_message(AttemptOutcome(outcome))
 
     def take_response_writers(self) -> dict[int, tuple[str, ResponseWriter]]:
-        """The clients that wait for the target's answer; the caller answers them."""
+        """Return the clients that wait for the target's answer, and clear the record.
+
+        The caller has to answer them.
+
+        Returns:
+            Message id and client, by request number.
+        """
         writers, self.response_writers = self.response_writers, {}
         return writers
 
     def reload(self) -> None:
-        """SIGHUP came here, but the settings are the target's now."""
+        """Handle a SIGHUP after the transfer.
+
+        The settings of client connections are applied here; the target reloads the
+        whole configuration.
+        """
         self.engine.reload_inbound_settings()
         if self.link is not None:
             self.link.send_message(ReloadRequest())
@@ -258,7 +301,10 @@
     def set_detached(
         self, endpoint: str, detached: bool, answer: AdminResponder
     ) -> None:
-        """Have the target answer an operator of this process."""
+        """Forward an operator's request to the target, which answers it.
+
+        Without a target the operator is answered 503.
+        """
         if self.link is None:
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
             return
--- a/rainfall/forwarder/handover/target.py
+++ b/rainfall/forwarder/handover/target.py
@@ -1,4 +1,10 @@
-"""The target of a handover: the process that takes over."""
+"""The target of a handover: the process that takes over from the source.
+
+It requests a snapshot, for which the source pauses, reads the journal, and then
+requests ownership of the journal. After the transfer it handles the messages and
+operators' requests that the source forwards, and receives the outcomes of the calls
+that the source still has in flight.
+"""
 
 from __future__ import annotations
 
@@ -39,27 +45,29 @@
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
 
 SNAPSHOT_TIMEOUT_S = 2.0
-"""How long the source may take to pause."""
+"""How long the target waits for a snapshot; the source pauses first."""
 log = logging.getLogger("rainfall.handover")
 
 
 class TargetEngine(Protocol):
-    """What the engine that takes over does for the handover."""
+    """What the handover needs of the engine that takes over."""
 
     def submit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
-        """Take a message that a client of the source submits."""
+        """Handle a message that a client of the source has submitted."""
 
     def remote_attempt_finished(self, event: AttemptFinished) -> None:
-        """Take the outcome of a call of the source."""
+        """Handle the outcome of a call of the source."""
 
-    def set_detached(self, name: str, detached: bool, answer: AdminResponder) -> None:
-        """Carry out a request of an operator of the source."""
+    def set_detached(
+        self, endpoint: str, detached: bool, answer: AdminResponder
+    ) -> None:
+        """Take an endpoint out of rotation or put it back, for the source's operator."""
 
     def reload(self) -> None:
-        """Read the configuration again."""
+        """Reload the configuration."""
 
     def source_lost(self) -> None:
-        """The source ended."""
+        """Handle the end of the source, and of all its calls and connections."""
 
 
 class ProxiedResponseWriter:
@@ -70,7 +78,7 @@
         self.on_disconnect: Callable[[], None] | None = None
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
-        """Send the answer to the source."""
+        """Send the answer to the source, which writes it to the client."""
         self.on_disconnect = None
         self.handover_target.response_writers.pop(self.number, None)
         self.handover_target.link.send_message(
@@ -79,21 +87,35 @@
 
 
 class HandoverTarget:
-    """Asks the source for its snapshot and for the journal, then hears its proxy."""
+    """Takes the journal over from the source, then handles what the source forwards."""
 
     def __init__(self) -> None:
         self.link = HandoverConnection(self.on_message, self.on_disconnect)
+        """The connection to the source."""
         self.snapshot: HandoverMessage = {}
-        """The source's snapshot as JSON data; empty before it has come."""
+        """The source's snapshot as JSON data; empty until it is received."""
         self.engine: TargetEngine | None = None
         self.early_messages: list[HandoverMessage] = []
-        """Lines that came before there was an engine."""
+        """Lines received before an engine was attached."""
         self.response_writers: dict[int, ProxiedResponseWriter] = {}
-        self.reply: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        """Clients whose messages are not answered yet, by the source's number."""
+        self.pending_reply: asyncio.Future[bool] = (
+            asyncio.get_running_loop().create_future()
+        )
+        """Result of the last request: whether the source granted it."""
         self.disconnected = False
+        """Whether the connection to the source has ended."""
 
     async def request_snapshot(self, folder: Path) -> bool:
-        """Ask the process that listens here to pause; whether it has sent a snapshot."""
+        """Connect to the process that listens in a directory, and request a snapshot.
+
+        Args:
+            folder: The state directory.
+
+        Returns:
+            Whether `snapshot` holds one now; False if nothing listens there, or the
+            source refuses, disconnects or takes longer than SNAPSHOT_TIMEOUT_S.
+        """
         try:
             with short_path(folder / SOCKET_NAME) as path:
                 await asyncio.get_running_loop().create_unix_connection(
@@ -104,11 +126,14 @@
         return await self.request(Request.SNAPSHOT, SNAPSHOT_TIMEOUT_S)
 
     async def request_ownership(self) -> bool:
-        """Ask for the journal; whether this process owns it from now on.
+        """Request ownership of the journal.
+
+        There is no timeout: the request ends when the source confirms it or its
+        connection ends. If the target gave up, the source's confirmation might already
+        be on its way, and then neither process would write the journal.
 
-        The source confirms, disconnects or dies, and there is no timeout: giving up
-        might cross its confirmation, and then each would leave the journal to the
-        other.
+        Returns:
+            Whether this process owns the journal from now on.
         """
         return await self.request(Request.OWNERSHIP, None)
 
@@ -116,29 +141,33 @@
         """Send a request and wait for the reply.
 
         Args:
-            request: One of `Request`, or its value.
-            timeout_s: How long to wait; None for as long as the source is there.
+            request: A `Request`, or the value of one.
+            timeout_s: How long to wait before the connection is closed; None: until
+                the source replies or disconnects.
 
         Returns:
-            Whether it is granted.
+            Whether the source granted the request.
         """
         if self.disconnected:
             return False
-        self.reply = asyncio.get_running_loop().create_future()
+        self.pending_reply = asyncio.get_running_loop().create_future()
         self.link.send_message(Request(request))
         try:
             async with asyncio.timeout(timeout_s):
-                return await self.reply
+                return await self.pending_reply
         except TimeoutError:
             self.link.close()
             return False
 
     def cancel_call(self, message_id: str, attempt: int) -> None:
-        """Have the source cancel a call that it has in flight."""
+        """Request that the source cancel a call that it has in flight."""
         self.link.send_message(CancelRequest(message_id, attempt))
 
     def attach(self, engine: TargetEngine) -> None:
-        """Give the engine all that has come, and all that comes from now on."""
+        """Pass the source's messages on to an engine, beginning with the buffered ones.
+
+        If the source has disconnected already, that is reported after them.
+        """
         self.engine = engine
         early_messages, self.early_messages = self.early_messages, []
         for line in early_messages:
@@ -147,7 +176,7 @@
             self.disconnect_clients(engine)
 
     def on_message(self, _link: HandoverConnection, received: HandoverMessage) -> None:
-        """Take a line from the source."""
+        """Handle a line from the source (callback of the connection)."""
         reply = decode_reply(received)
         if reply is not None:
             self.on_reply(reply)
@@ -157,16 +186,16 @@
             self.on_source_message(self.engine, decode_source_message(received))
 
     def on_reply(self, reply: Reply) -> None:
-        """Take the reply to a request."""
+        """Store a snapshot, and complete the pending request."""
         if isinstance(reply, SnapshotReply):
             self.snapshot = reply.snapshot
-        if not self.reply.done():
-            self.reply.set_result(not isinstance(reply, Refusal))
+        if not self.pending_reply.done():
+            self.pending_reply.set_result(not isinstance(reply, Refusal))
 
     def on_source_message(
         self, engine: TargetEngine, message: SourceMessage | None
     ) -> None:
-        """Pass a message of the source's on to the engine."""
+        """Pass a message from the source on; None, an unknown kind, is ignored."""
         match message:
             case Submission(number, submitted):
                 writer = ProxiedResponseWriter(self, number)
@@ -190,18 +219,18 @@
                 )
 
     def on_disconnect(self, _link: HandoverConnection) -> None:
-        """The source ended, or closed the connection."""
+        """Handle the end of the connection: a pending request fails."""
         self.disconnected = True
-        if not self.reply.done():
-            self.reply.set_result(False)
+        if not self.pending_reply.done():
+            self.pending_reply.set_result(False)
         if self.engine is not None:
             self.disconnect_clients(self.engine)
 
     def disconnect_clients(self, engine: TargetEngine) -> None:
-        """Tell the engine that the source and its clients are gone.
+        """Report to the engine that the source and all its clients are gone.
 
-        This holds also for clients whose messages came before there was an engine: none
-        of them can get an answer.
+        This includes clients whose messages were received before an engine was
+        attached: none of them can be answered any more.
         """
         for proxy in list(self.response_writers.values()):
             if proxy.on_disconnect is not None:
@@ -211,13 +240,14 @@
 
 
 async def claim_journal(lock: JournalLock, folder: Path) -> HandoverTarget | None:
-    """Become the process that holds the journal.
+    """Claim the journal, by its lock or by a handover.
 
-    A process that neither hands over nor ends is waited for: two writers would lose
-    messages.
+    While another process holds the lock and does not hand over, this waits without
+    limit: two writers of one journal would lose messages.
 
     Returns:
-        The handover with the process that holds it; None where nobody does any more.
+        The handover in progress, with the snapshot received; None if this process holds
+        the lock.
     """
     waited = False
     while not lock.try_acquire():
