--- a/rainfall/forwarder/fleet/__init__.py
+++ b/rainfall/forwarder/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The forwarder as a member of its fleet: heartbeats, quotas and their state file."""
+"""The forwarder as a member of a fleet: heartbeats, quotas and their state file."""
--- a/rainfall/forwarder/fleet/heartbeat_messages.py
+++ b/rainfall/forwarder/fleet/heartbeat_messages.py
@@ -1,4 +1,4 @@
-"""Heartbeats on the wire: the request, and the types of its answers.
+"""Heartbeats as JSON: the body of the request, and the types of its responses.
 
 See docs/parts.md, "What all share".
 """
@@ -24,40 +24,45 @@
     """This member's share of a destination's budget."""
 
     calls: NonNegativeInt
-    """Calls of this member in each span."""
+    """Calls that this member may send in every sliding span."""
     number: NonNegativeInt
-    """The share's own number, which grows."""
+    """Sequence number of the share: a newer share has a higher one."""
     whole: NonNegativeInt
-    """Calls of the whole fleet in each span."""
+    """Calls that the whole fleet may send in every sliding span."""
     span_ms: Milliseconds
     reserve: NonNegativeInt | None = None
+    """Calls in every span that this member may send without a valid lease."""
     slack_ms: NonNegativeInt | None = None
+    """Longest time from the permit of a call to its first byte."""
 
 
 class HeartbeatResponse(Struct):
-    """The answer to a heartbeat that is granted (200)."""
+    """The response to a heartbeat that is granted (HTTP status 200)."""
 
     token: IntPair
     """The lease's fencing token."""
     ttl_ms: Milliseconds
     sent: NonNegativeInt
-    """The number of the request that it answers."""
+    """Number of the request, repeated."""
     version: int
-    """Version of the fleet, which the watch follows."""
+    """Version of the fleet; the watch waits until it differs from this one."""
     list: IntPair | None = None
-    """Version of the list of members."""
+    """Epoch and version of the member list."""
     shares: dict[str, BudgetShare] = {}
+    """Shares by destination."""
 
 
 class HeartbeatRefusal(Struct):
-    """The answer to a heartbeat that is refused (409)."""
+    """The response to a heartbeat that is refused (HTTP status 409)."""
 
     error: str = ""
-    """`lost` (the lease is over) or `held` (not now)."""
+    """`lost`: the lease has ended; `held`: the name is held, or not known to be free."""
     retry_ms: NonNegativeInt = 0
+    """When to send the next heartbeat, from now."""
     seen: IntPair | None = None
-    """The highest fencing token that the service knows of this name."""
+    """The highest fencing token that the service has seen for this name."""
     faults: list[str] = []
+    """Reasons, for the log."""
 
 
 def encode_heartbeat(
@@ -71,12 +76,13 @@
     """Return the body of a heartbeat.
 
     Args:
-        config: How this forwarder is a member of the fleet.
-        advertised_address: Where its clients and peers reach it.
-        run_id: Differs for each run of the process.
-        lease_request: The lease that is renewed, or joined for.
-        needs: Calls that are wanted, by destination and by whose demand they are.
-        extra_fields: What only a renewal or only a join says.
+        config: The configuration of this member.
+        advertised_address: The address at which clients and peers reach it.
+        run_id: Random id of this run of the process.
+        lease_request: The request that joins or renews the lease.
+        needs: Calls wanted in a span, by destination and by part of its demand (class
+            and tenant).
+        extra_fields: Further fields that only a renewal or only a join has.
     """
     token = lease_request.token
     highest_seen = lease_request.highest_seen
--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -1,11 +1,11 @@
 """This forwarder as a member of the fleet.
 
-It joins, sends heartbeats, watches for changes, and keeps its calls within what its
-lease and its shares allow. It is imported only where the configuration has `fleet`; see
-docs/parts/node.md.
+A member joins the fleet at the list service, renews its lease by heartbeats, and limits
+its calls to what its lease and its shares allow. The module is imported only where the
+configuration has `fleet`; see docs/parts/node.md.
 
-Authority moves on one path only, the answer to a heartbeat. The watch only says when a
-heartbeat is worth sending.
+Only the answer to a heartbeat changes the lease or the shares. The watch for changes
+merely triggers heartbeats.
 """
 
 from __future__ import annotations
@@ -46,43 +46,45 @@
 
 HEARTBEAT_PATH = "/v1/fleet/beat"
 MAX_RETRY_MS = 60_000
-"""A longer wait for the name is not believed: no lease is longer."""
+"""Limit of the delay in a refusal (`retry_ms`): no lease is longer than this."""
 MIN_RESPONSE_TIMEOUT_S = 0.2
-"""The answer to a heartbeat is waited for at least so long."""
+"""Lower limit of a heartbeat's timeout."""
 RESPONSE_TIMEOUTS_PER_LEASE = 3
-"""So many waits for an answer, one after the other, take a lease's time, where each is
-not shorter than MIN_RESPONSE_TIMEOUT_S.
+"""A heartbeat's timeout is a lease's length divided by this, or MIN_RESPONSE_TIMEOUT_S
+if that is longer.
 """
 STATE_WRITE_RETRY_S = 1.0
-"""After a failure the state file is written again so much later."""
+"""Least time from a failed write of the state file to the next attempt."""
 REPEAT_LOG_INTERVAL_S = 10.0
-"""Between two log lines that say that the service is unreachable."""
+"""Interval of the log lines while the service is unreachable."""
 ERROR_BODY_BYTES = 300
-"""Bytes of an unexpected answer that an error repeats."""
+"""Bytes of an unexpected response's body that its error quotes."""
 DESTINATION_FORMAT = re.compile("0|[1-9][0-9]{0,9}", re.ASCII)
-"""A destination's number as a key of JSON."""
+"""A destination's number as a JSON key."""
 LOST_ERROR = "lost"
-"""The service's word, as a refusal's `error`, for a lease that is over."""
-HEARTBEATS_COUNT = "beats"
-"""The metrics' name for how many heartbeats were granted."""
-LOST_COUNT = "lost"
-"""The metrics' name for how many leases were lost."""
+"""The `error` of a refusal that means that the lease has ended."""
+HEARTBEATS_METRIC = "beats"
+"""Metric: the number of heartbeats granted."""
+LOST_METRIC = "lost"
+"""Metric: the number of leases lost."""
 log = logging.getLogger("rainfall.fleet")
 
 
 class MemberState(StrEnum):
-    """What the service last said of this member; the values stand in metrics."""
+    """This member's state by the service's last answer; the values appear in metrics."""
 
     JOINING = "joining"
+    """No heartbeat has been answered yet."""
     ALIVE = "alive"
+    """It has a lease."""
     HELD = "held"
-    """Its name is held by another process, or not known to be free."""
+    """Another process holds its name, or the name is not known to be free."""
     LOST = "lost"
-    """Its lease is over, and it joins anew."""
+    """Its lease was lost, and it joins again."""
 
 
 class ForwarderContext(Protocol):
-    """What a member of a fleet needs of the forwarder that it is part of."""
+    """What a member needs of its forwarder."""
 
     config: Config
     dispatcher: Dispatcher
@@ -94,26 +96,31 @@
         ...
 
     def post(self, event: Event) -> None:
-        """Give the dispatcher an event in the next round."""
+        """Queue an event for the dispatcher's next round."""
         ...
 
 
 class FleetMember:
-    """The member: its lease, its quotas and its heartbeats.
+    """The membership of this forwarder: its lease, its quotas and its heartbeats.
 
-    The engine calls `start` before its first round, `pause` and `resume` around a
-    handover, and `pause` at the end.
+    The engine calls `start` before its first round, `pause` before a handover or its
+    own end, and `resume` after a handover that failed.
     """
 
     def __init__(self, config: FleetConfig, forwarder: ForwarderContext) -> None:
         self.config = config
         self.forwarder = forwarder
         self.advertised_address = str(config.listen or forwarder.config.listen)
-        # Members that start together must not act in step.
+        # Members that start at the same time must not send heartbeats in step.
         self.random = random.Random(secrets.randbits(64))
         self.run_id = secrets.token_hex(8)
+        """Lets the service recognize a join that this process repeats."""
         self.state_file = StateFile(forwarder.config.state, forwarder.config.power)
         self.previous_token, records = self.state_file.read()
+        """Token of an earlier lease: the previous process's, or the last one lost here.
+
+        ZERO_TOKEN if there is none.
+        """
         self.quotas = FleetQuotas(config.budgets, config.drift, records, now_us())
         self.holder = LeaseHolder(config.lease_us, config.drift, self.random.random)
         self.holder.highest_seen = self.previous_token
@@ -122,32 +129,34 @@
         )
         self.state = MemberState.JOINING
         self.member_list: list[int] | None = None
-        """Version of the list of members that is known."""
+        """Epoch and version of the member list in the last answer."""
         self.heartbeat_counts: Counter[str] = Counter()
-        self.permit_at_us = 0
-        """When the last permit was asked for.
+        """Values of HEARTBEATS_METRIC and LOST_METRIC."""
+        self.last_permit_us = 0
+        """When the last permit was requested.
 
-        One time is enough for all calls: the pool asks for a call's permit, writes its
+        One time is enough for all calls: the pool requests a call's permit, writes its
         first byte and reports that in one step of the event loop, so no other call's
         permit can come in between.
         """
-        self.last_write_s = 0.0
-        self.last_log_s = -REPEAT_LOG_INTERVAL_S
+        self.last_state_write_s = 0.0
+        self.last_unreachable_log_s = -REPEAT_LOG_INTERVAL_S
 
-    # From the start to the end
+    # Lifecycle
 
     def start(self) -> None:
-        """Write the state file, tell the dispatcher, and begin with heartbeats."""
-        # The counts are kept from here on, while few messages are held.
+        """Write the state file, publish the quotas, and start the heartbeats."""
+        # The first call counts all waiting messages, so it is made while there are few.
         self.forwarder.dispatcher.state.queues.count_by_demand()
         self.write_state(self.quotas.records())
         self.publish_quotas()
         self.heartbeats.start(self.config.service)
 
     def pause(self) -> None:
-        """Send nothing from here on, and write what a successor needs.
+        """Stop heartbeats and calls, and write the final state file for a successor.
 
-        A lease that is not renewed expires, or is taken over by who shows its token.
+        The lease is not released: it expires, or a successor that presents its token
+        takes it over.
         """
         self.heartbeats.stop()
         if self.quotas.persisted:
@@ -155,45 +164,47 @@
             self.quotas.suspend()
 
     def resume(self) -> None:
-        """Go on as before, as no successor came, wrote or sent anything."""
+        """Resume after a pause; no successor may have written or sent anything."""
         self.quotas.reopen()
         self.holder.next_renewal_us = 0
         self.start()
 
     def write_state(self, records: QuotaRecords) -> None:
-        """Write the state file, and wait for it."""
+        """Write the state file; blocks until it is written."""
         encoded = self.state_file.encode(self._successor_token(), records)
         self.on_state_written(self.state_file.write(*encoded))
 
     async def persist_quotas(self) -> None:
-        """Write the state file.
+        """Write the state file without blocking the event loop on a sync.
 
-        What was granted must hold for a successor, too, before this process
-        acknowledges it.
+        A share must be on disk, where it binds a successor too, before this process
+        acknowledges it to the service.
         """
         encoded = self.state_file.encode(self._successor_token(), self.quotas.records())
         if self.state_file.synced:
-            # A sync takes its time, and clients wait.
+            # A sync is slow, and would delay all clients.
             error = await asyncio.to_thread(self.state_file.write, *encoded)
         else:
             error = self.state_file.write(*encoded)
         self.on_state_written(error)
 
     def _successor_token(self) -> Token:
+        """Return the token that a successor presents when it joins."""
         return self.holder.token or self.previous_token
 
     def on_state_written(self, error: OSError | None) -> None:
-        """Note whether the state file was written."""
+        """Record whether the state file was written; if not, budgets grant no permit."""
         self.quotas.persisted = error is None
-        self.last_write_s = time.monotonic()
+        self.last_state_write_s = time.monotonic()
         if error is not None:
             log.error(
-                "what a successor needs cannot be kept, so no budget's call leaves: %s",
+                "cannot write %s, so no call is sent to a destination with a budget: %s",
+                self.state_file.path,
                 error,
             )
 
     def reload(self, config: FleetConfig) -> None:
-        """Apply a new configuration, between two rounds."""
+        """Apply a new configuration; called between two rounds of the engine."""
         old = self.config
         self.config = config
         self.holder.ttl_us = config.lease_us
@@ -206,60 +217,64 @@
             self.holder.next_renewal_us = 0
             self.heartbeats.start(self.config.service)
 
-    # For the dispatcher and the pool
+    # For the dispatcher and the connection pool
 
     def publish_quotas(self) -> None:
-        """Tell the dispatcher of each quota, and log those that changed."""
+        """Send each quota to the dispatcher, and log those that changed."""
         now = now_us()
         for destination in sorted(self.quotas.accounts):
-            ahead_us = self.forwarder.clock() - now
-            self.forwarder.post(self.quotas.quota_event(destination, now, ahead_us))
+            clock_offset_us = self.forwarder.clock() - now
+            self.forwarder.post(
+                self.quotas.quota_event(destination, now, clock_offset_us)
+            )
         self.log_changes(now)
 
     def acquire_permit(self, call: OutboundCall) -> int:
-        """Ask for a permit right before a call's first byte.
+        """Request a permit for a call, right before its first byte is written.
 
-        See `FleetQuotas.acquire_permit`.
+        Returns:
+            As `FleetQuotas.acquire_permit`.
         """
-        self.permit_at_us = now_us()
+        self.last_permit_us = now_us()
         return self.quotas.acquire_permit(
-            call.throttle_scope.destination, self.permit_at_us
+            call.throttle_scope.destination, self.last_permit_us
         )
 
     def on_call_sent(self, call: OutboundCall) -> None:
-        """Note that a call's first byte is sent."""
+        """Record that a call's first byte was written; see `acquire_permit`."""
         self.quotas.on_call_sent(
-            call.throttle_scope.destination, self.permit_at_us, now_us()
+            call.throttle_scope.destination, self.last_permit_us, now_us()
         )
 
     def record_demand(
         self, destination: int, class_name: str, tenant: str | None
     ) -> None:
-        """Count a message that is to be sent to a destination."""
+        """Count a message that has to be sent to a destination."""
         self.quotas.record_demand(destination, demand_key(class_name, tenant), now_us())
 
     def tick(self) -> None:
-        """Retry a failed write, report grown demand, and log changes.
+        """Do periodic work; the engine calls it ten times a second.
 
-        The engine calls it ten times a second.
+        Retries a failed write of the state file, requests a heartbeat if demand has
+        grown much, and logs the quotas that changed.
         """
         now = now_us()
         if (
             not self.quotas.persisted
-            and time.monotonic() - self.last_write_s >= STATE_WRITE_RETRY_S
+            and time.monotonic() - self.last_state_write_s >= STATE_WRITE_RETRY_S
         ):
             self.write_state(self.quotas.records())
             self.publish_quotas()
         queues = self.forwarder.dispatcher.state.queues.by_destination
         waiting = {destination: len(queue) for destination, queue in queues.items()}
-        if not self.heartbeats.wait_for_renewal and self.quotas.has_grown_demand(
+        if not self.heartbeats.renewals_only and self.quotas.has_grown_demand(
             waiting, now
         ):
-            self.heartbeats.wake.set()
+            self.heartbeats.heartbeat_requested.set()
         self.log_changes(now)
 
     def unsent_demand(self) -> dict[int, Counter[str]]:
-        """Return the messages held unsent, by destination and by whose demand it is."""
+        """Return the number of unsent messages, by destination and `demand_key`."""
         queues = self.forwarder.dispatcher.state.queues
         return {
             destination: Counter(
@@ -271,9 +286,9 @@
     # Heartbeats
 
     async def send_heartbeat(self, client: HttpClient) -> None:
-        """Join or renew with one request, and apply its answer."""
+        """Send one heartbeat, which joins or renews, and apply its answer."""
         needs = self.quotas.needs(self.unsent_demand(), now_us())
-        # The lease counts from before the request is sent.
+        # The lease's validity counts from before the request is sent.
         lease_request = self.holder.start_request(now_us())
         data = encode_heartbeat(
             self.config,
@@ -283,15 +298,17 @@
             needs,
             self._extra_fields(lease_request),
         )
-        lease_s = self.holder.ttl_us / (RESPONSE_TIMEOUTS_PER_LEASE * US_PER_SECOND)
-        timeout_s = max(MIN_RESPONSE_TIMEOUT_S, lease_s)
+        lease_part_s = self.holder.ttl_us / (
+            RESPONSE_TIMEOUTS_PER_LEASE * US_PER_SECOND
+        )
+        timeout_s = max(MIN_RESPONSE_TIMEOUT_S, lease_part_s)
         try:
             response = await client.request("POST", HEARTBEAT_PATH, timeout_s, data)
             if response.status == HTTPStatus.CONFLICT:
                 refusal = msgspec.json.decode(response.body, type=HeartbeatRefusal)
                 self.on_refusal(lease_request, refusal)
                 return
-            answer = self._read_answer(response, lease_request)
+            answer = self._decode_answer(response, lease_request)
             shares = {
                 int(name): share
                 for name, share in answer.shares.items()
@@ -310,52 +327,63 @@
         await self.on_response(lease_request.number, answer, shares)
 
     def _extra_fields(self, lease_request: LeaseRequest) -> dict[str, Any]:
-        """Return what only a renewal or only a join says."""
+        """Return the heartbeat's fields that only a renewal or only a join has."""
         if lease_request.token is not None:
-            # The service answers with changes to the list of members that is known.
+            # `list` is the member list known here: the service answers with the changes
+            # since. `holds` acknowledges the shares that are on disk.
             holds: dict[str, list[int]] = {}
             if self.quotas.persisted:
                 holds = self.quotas.held_shares(lease_request.token)
             return {"list": self.member_list, "holds": holds}
         if self.previous_token == ZERO_TOKEN:
             return {}
-        # An earlier lease, of this process or of the one before, is over.
+        # Joins after an earlier lease, of this process or of the previous one.
         return {
             "shown": self.previous_token.to_wire(),
             "keeps": self.quotas.known_reserves(),
         }
 
     @staticmethod
-    def _read_answer(
+    def _decode_answer(
         response: ResponseReader, lease_request: LeaseRequest
     ) -> HeartbeatResponse:
+        """Decode a granted heartbeat.
+
+        Raises:
+            MalformedResponseError: The status is not 200, or the answer is to another
+                request.
+            msgspec.MsgspecError: The body is invalid.
+        """
         if response.status != HTTPStatus.OK:
             body = response.body[:ERROR_BODY_BYTES].decode(errors="replace")
             raise MalformedResponseError(f"status {response.status} {body}")
         answer = msgspec.json.decode(response.body, type=HeartbeatResponse)
         if answer.sent != lease_request.number:
             raise MalformedResponseError(
-                f"an answer to {answer.sent}, not to {lease_request.number}"
+                f"answer to heartbeat {answer.sent}, expected {lease_request.number}"
             )
         return answer
 
     async def on_response(
-        self, sent_at: int, answer: HeartbeatResponse, shares: Mapping[int, BudgetShare]
+        self,
+        request_number: int,
+        answer: HeartbeatResponse,
+        shares: Mapping[int, BudgetShare],
     ) -> None:
-        """Apply a granted heartbeat, unless it comes too late to count.
+        """Apply a granted heartbeat, unless its answer is too late to be valid.
 
         Args:
-            sent_at: The number of the request.
-            answer: Its answer.
+            request_number: The number of the request.
+            answer: The answer.
             shares: The answer's shares by destination.
         """
         token = Token(*answer.token)
-        joins = token != self.holder.token
+        is_new_lease = token != self.holder.token
         if not self.holder.on_granted(
-            now_us(), sent_at, token, answer.ttl_ms * US_PER_MS
+            now_us(), request_number, token, answer.ttl_ms * US_PER_MS
         ):
             return
-        if not self.heartbeats.reachable or joins:
+        if not self.heartbeats.reachable or is_new_lease:
             log.info(
                 "member %s of the fleet under token %s, the service answers",
                 self.config.name,
@@ -366,8 +394,8 @@
         self.member_list = answer.list
         self.heartbeats.version = answer.version
         self.heartbeats.reachable = True
-        self.heartbeats.wait_for_renewal = False
-        self.heartbeat_counts[HEARTBEATS_COUNT] += 1
+        self.heartbeats.renewals_only = False
+        self.heartbeat_counts[HEARTBEATS_METRIC] += 1
         shrank = self.quotas.apply_shares(
             token,
             {
@@ -381,21 +409,22 @@
         self.publish_quotas()
         self.heartbeats.heartbeat_answered.set()
         if shrank:
-            # The service grants the difference to others once it hears that it holds.
-            self.heartbeats.wake.set()
+            # The service grants the freed calls to other members only once this member
+            # has acknowledged the smaller share.
+            self.heartbeats.heartbeat_requested.set()
 
     def on_refusal(
         self, lease_request: LeaseRequest, refusal: HeartbeatRefusal
     ) -> None:
-        """Wait for the name, or join anew if the lease is lost."""
+        """Handle a refused heartbeat: join again if the lease is lost, else wait."""
         now = now_us()
         self.heartbeats.reachable = True
-        self.heartbeats.wait_for_renewal = True
+        self.heartbeats.renewals_only = True
         if refusal.error != LOST_ERROR or lease_request.token is None:
             self._wait_after_refusal(now, lease_request, refusal)
             return
-        # The former token is not shown to get the name sooner, but so that its reserve
-        # is not counted twice.
+        # The next join presents the lost token, not to get the name sooner, but so that
+        # the service does not count its reserve twice.
         self.previous_token = lease_request.token
         self.holder.on_rejected(
             now,
@@ -407,9 +436,9 @@
     def _wait_after_refusal(
         self, now: int, lease_request: LeaseRequest, refusal: HeartbeatRefusal
     ) -> None:
-        """Come again later, whatever the service refused for.
+        """Schedule the next heartbeat after the refusal's delay.
 
-        A lease that this member holds expires as it would.
+        A lease that this member holds keeps its expiry.
         """
         retry_us = min(refusal.retry_ms, MAX_RETRY_MS) * US_PER_MS
         self.holder.on_unavailable(now, lease_request.number, retry_us)
@@ -424,12 +453,12 @@
             self.state = MemberState.HELD
 
     def on_lease_lost(self, now: int, reason: str) -> None:
-        """Go back to the reserves and join as a new member: the service ended the lease.
+        """Limit all quotas to their reserves, as the service has ended the lease.
 
-        A lease that expires without an answer has no event; `MemberQuota.limit` goes by
-        the time.
+        The next heartbeat joins as a new member. A lease that expires while the service
+        does not answer needs no handling: `MemberQuota.limit` compares the time.
         """
-        self.heartbeat_counts[LOST_COUNT] += 1
+        self.heartbeat_counts[LOST_METRIC] += 1
         self.state = MemberState.LOST
         self.member_list = None
         self.quotas.on_lease_lost(now)
@@ -441,13 +470,13 @@
         self.publish_quotas()
 
     def on_unreachable(self, error: BaseException) -> None:
-        """Note that a heartbeat had no valid answer."""
+        """Record that a heartbeat had no valid answer; the log is rate-limited."""
         now_s = time.monotonic()
         if (
             self.heartbeats.reachable
-            or now_s - self.last_log_s >= REPEAT_LOG_INTERVAL_S
+            or now_s - self.last_unreachable_log_s >= REPEAT_LOG_INTERVAL_S
         ):
-            self.last_log_s = now_s
+            self.last_unreachable_log_s = now_s
             left_ms = max(0, self.holder.valid_until_us - now_us()) // US_PER_MS
             log.warning(
                 "the list service does not answer, the lease is good for %d ms: %s",
@@ -455,26 +484,26 @@
                 str(error) or type(error).__name__,
             )
         self.heartbeats.reachable = False
-        self.heartbeats.wait_for_renewal = True
+        self.heartbeats.renewals_only = True
 
     # Metrics
 
     def log_changes(self, now: int) -> None:
-        """Log each quota that changed since the last time."""
-        for destination, figures in self.quotas.changes(now):
+        """Log each quota that changed since the last call."""
+        for destination, metrics in self.quotas.changes(now):
             log.info(
                 "budget of destination %d: %d of %d calls in %d ms by %s for %d ms, reserve %d, used %d:"
                 " %s",
                 destination,
-                figures["share"],
-                figures["whole"],
-                figures["span_ms"],
-                figures["by"],
-                figures["valid_for_ms"],
-                figures["reserve"],
-                figures["used"],
-                figures["why"],
-                extra={"destination": destination, **figures},
+                metrics["share"],
+                metrics["whole"],
+                metrics["span_ms"],
+                metrics["by"],
+                metrics["valid_for_ms"],
+                metrics["reserve"],
+                metrics["used"],
+                metrics["why"],
+                extra={"destination": destination, **metrics},
             )
 
     def metrics_report(self) -> dict[str, Any]:
@@ -492,12 +521,15 @@
                 "address": str(self.config.service),
                 "answers": self.heartbeats.reachable,
             },
-            HEARTBEATS_COUNT: self.heartbeat_counts[HEARTBEATS_COUNT],
-            LOST_COUNT: self.heartbeat_counts[LOST_COUNT],
+            HEARTBEATS_METRIC: self.heartbeat_counts[HEARTBEATS_METRIC],
+            LOST_METRIC: self.heartbeat_counts[LOST_METRIC],
             "budgets": self.quotas.metrics(now),
         }
 
 
 def demand_key(class_name: str, tenant: str | None) -> str:
-    """Return whose demand it is, in the words of a heartbeat."""
+    """Return the part of demand that a message belongs to, as heartbeats name it.
+
+    "CLASS/TENANT", or "CLASS" for a message without a tenant.
+    """
     return f"{class_name}/{tenant}" if tenant else class_name
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -1,7 +1,8 @@
-"""A member's quotas: what it may send now, and what it needs.
+"""A member's quotas, one per destination with a budget, and its demand for calls.
 
-The dispatcher is told of the former, the list service of the latter. There is no I/O
-here. `now_us` is the member's own monotonic clock, by which its lease is counted.
+The quotas go to the dispatcher, the demand to the list service. There is no I/O here.
+`now_us` is always the time of the member's monotonic clock (`heartbeats.now_us`), which
+also times its lease.
 """
 
 from __future__ import annotations
@@ -24,36 +25,39 @@
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
 DEFAULT_SLACK_US = 5_000
-"""A share's slack where the service gives none."""
+"""Slack of a share for which the service gives none."""
 DEFAULT_SPAN_US = US_PER_SECOND
-"""Demand is counted over this span where no budget is known."""
+"""Span over which demand is counted for a destination without a known budget."""
 DEMAND_GROWTH_FACTOR = 1.25
-"""Demand that grew by this factor since it was reported is reported at once."""
+"""Demand above this multiple of the last reported demand is reported at once."""
 MAX_SPENT_ENTRIES = 4_096
-"""Entries of all records together, at least one each: the disk may have 3 MB."""
+"""Limit of the `spent` entries of all records together, with at least one per record:
+the state directory may hold 3 MB.
+"""
 MAX_PART_NAME_BYTES = 256 * 1024
-"""Bytes of all parts' names in a heartbeat, which the service limits to 1 MiB."""
+"""Limit of the parts' names in a heartbeat, whose body the service limits to 1 MiB."""
 ESCAPED_CHARACTER_BYTES = 12
-"""Bytes in JSON of a character that is not ASCII, at most."""
+"""Upper bound of a non-ASCII character's length in JSON: two escapes of 6 bytes."""
 UNKNOWN_PERIOD_CALLS = 1 << 40
-"""Stands for the calls of a period of which nothing is known."""
+"""Calls reported to the dispatcher for an unknown period: more than any quota allows."""
 MIN_PERMIT_DELAY_US = 1
+"""Least delay of a permit that is not granted: 0 would be PERMIT_GRANTED."""
 log = logging.getLogger("rainfall.fleet")
 
 
 class UnknownPeriod(NamedTuple):
-    """A period of which it is not known how many calls were made in it."""
+    """A period up to `until_us` in which an unknown number of calls was sent."""
 
     until_us: int
     window_us: int
-    """Length of the window in which those calls count."""
+    """Length of the sliding window in which these calls still count."""
 
 
 NO_UNKNOWN_PERIOD = UnknownPeriod(0, 0)
 
 
 class LoggedQuota(NamedTuple):
-    """What of a quota is logged when it changes."""
+    """The properties of a quota whose change is logged."""
 
     authority: str
     calls: int
@@ -64,22 +68,23 @@
 
 @dataclass(slots=True)
 class QuotaAccount:
-    """The quota of one destination."""
+    """The quota of one destination, and the state in which it was last published."""
 
     quota: MemberQuota
     configured_reserve: BudgetReserve | None
     """The reserve in the configuration, if it names the destination."""
     reason: str = "the configuration's reserve"
-    """Why the quota is as it is, for logs and metrics."""
+    """The origin of the present quota, for logs and metrics."""
     published_unknown_period: UnknownPeriod = NO_UNKNOWN_PERIOD
-    """The period without known calls of which the dispatcher was told."""
+    """The last unknown period that was sent to the dispatcher."""
     published: bool = False
-    """The dispatcher was told of the calls in the window."""
+    """Whether the calls in the window were sent to the dispatcher."""
     last_logged: LoggedQuota | None = None
+    """The properties in the last log line about this quota."""
 
 
 class FleetQuotas:
-    """All quotas of one member."""
+    """All quotas and all demand of one member, by destination."""
 
     def __init__(
         self,
@@ -88,24 +93,24 @@
         records: QuotaRecords,
         now_us: int,
     ) -> None:
-        """Take up the quotas of the process before and of the configuration.
+        """Restore the previous process's quotas, and apply the configuration.
 
         Args:
             budgets: The reserves in the configuration.
-            drift: Relative rate by which two clocks may differ; see docs/parts.md.
-            records: What the process before left.
+            drift: Maximum relative difference of two clocks' rates; see docs/parts.md.
+            records: The records in the previous process's state file.
             now_us: The time.
         """
         self.drift = drift
         self.start_us = now_us
         self.persisted = False
-        """Whether what a successor needs is on disk; nothing is sent before."""
+        """Whether the state file is up to date; until it is, no permit is granted."""
         self.accounts: dict[int, QuotaAccount] = {}
         self.demand: dict[int, DemandTracker] = {}
         self.reported_needs: dict[int, int] = {}
-        """Calls that the last heartbeat asked for, by destination."""
+        """Total demand in the last heartbeat, by destination."""
         self.granted_destinations: set[int] | None = None
-        """Destinations with a share in the last answer; None before the first."""
+        """Destinations with a share in the last answer; None before the first one."""
         for destination, record in records.items():
             quota = self._restore_quota(destination, record, now_us)
             self.accounts[destination] = QuotaAccount(quota, None, "the process before")
@@ -114,34 +119,38 @@
     def _restore_quota(
         self, destination: int, record: dict[str, Any], now_us: int
     ) -> MemberQuota:
+        """Return the quota of a record, or a new one if the record is invalid."""
         try:
             return MemberQuota.from_record(record, now_us, self.drift)
         except ValueError as error:
             log.warning(
-                "the record of destination %d counts as none: %s", destination, error
+                "cannot read the quota record of destination %d, treated as missing: %s",
+                destination,
+                error,
             )
             return MemberQuota(now_us, self.drift)
 
     def configure(self, budgets: Iterable[BudgetReserve], now_us: int) -> list[int]:
         """Apply the reserves in the configuration, at the start and at SIGHUP.
 
-        A reserve holds where no share was granted yet. Where one was, a lower reserve
-        holds at once, and a higher one waits for the service.
+        A destination without a granted share uses its configured reserve. If it has a
+        share, a lower configured reserve applies at once, while a higher one has to be
+        granted by the service.
 
         Returns:
-            The destinations without a budget from now on: neither the configuration nor
-            the service's last answer names them.
+            The destinations that no longer have a budget, because neither the
+            configuration nor the service's last answer names them.
         """
-        named = {reserve.destination: reserve for reserve in budgets}
+        reserves = {reserve.destination: reserve for reserve in budgets}
         removed: list[int] = []
         for destination, account in list(self.accounts.items()):
-            account.configured_reserve = named.get(destination)
+            account.configured_reserve = reserves.get(destination)
             if account.configured_reserve is None and not self._is_granted(
                 destination, account
             ):
                 del self.accounts[destination]
                 removed.append(destination)
-        for destination, reserve in named.items():
+        for destination, reserve in reserves.items():
             account = self.accounts.setdefault(
                 destination, QuotaAccount(MemberQuota(now_us, self.drift), reserve)
             )
@@ -150,7 +159,7 @@
         return removed
 
     def _is_granted(self, destination: int, account: QuotaAccount) -> bool:
-        """Whether the service granted a share that it has not withdrawn."""
+        """Whether the service has granted a share and not withdrawn it since."""
         return account.quota.share.token != ZERO_TOKEN and (
             self.granted_destinations is None
             or destination in self.granted_destinations
@@ -159,6 +168,7 @@
     def _apply_reserve(
         self, account: QuotaAccount, reserve: BudgetReserve, now_us: int
     ) -> None:
+        """Apply a configured reserve to the account; see `configure`."""
         quota = account.quota
         if quota.share.token == ZERO_TOKEN:
             share = Share(
@@ -170,12 +180,13 @@
                 reserve.span_us,
                 DEFAULT_SLACK_US,
             )
-            self._reset_share(quota, share, now_us)
+            self._replace_share(quota, share, now_us)
         elif reserve.reserve < quota.share.reserve:
             quota.share = replace(quota.share, reserve=reserve.reserve)
             account.reason = "the configuration's lower reserve"
 
-    def _reset_share(self, quota: MemberQuota, share: Share, now_us: int) -> None:
+    def _replace_share(self, quota: MemberQuota, share: Share, now_us: int) -> None:
+        """Replace a quota's share, and fit the window's length to the new span."""
         quota.window.drop_expired(now_us)
         quota.share = share
         quota.window.length_us = reuse_window_us(
@@ -191,16 +202,17 @@
         valid_until_us: int,
         now_us: int,
     ) -> bool:
-        """Apply the shares of an answered heartbeat that counts.
+        """Apply the shares of a granted heartbeat.
 
         Args:
             token: The lease's fencing token.
             shares: By destination, with the fields of `BudgetShare`.
-            valid_until_us: The lease's end.
+            valid_until_us: The lease's expiry, by the clock of `now_us`.
             now_us: The time.
 
         Returns:
-            Whether a share became smaller: the service waits to hear that it holds.
+            Whether a share became smaller. The service then waits for the next
+            heartbeat, which acknowledges it.
         """
         shrank = False
         self.granted_destinations = set(shares)
@@ -223,7 +235,7 @@
     def _to_share(
         token: Token, grant: Mapping[str, Any], configured: BudgetReserve | None
     ) -> Share:
-        """Read a share; the configuration may lower its reserve, and never raise it."""
+        """Convert a share; the configuration can lower its reserve, but not raise it."""
         reserve = grant["reserve"] or 0
         if configured is not None and grant["reserve"] is None:
             reserve = configured.reserve
@@ -243,25 +255,35 @@
         )
 
     def on_lease_lost(self, now_us: int) -> None:
-        """Go back to the reserves, as the lease is lost."""
+        """Limit every quota to its reserve, as the lease is lost."""
         for account in self.accounts.values():
             account.quota.fence(now_us)
             account.reason = "the lease was lost"
 
     def held_shares(self, token: Token) -> dict[str, list[int]]:
-        """Return the shares that hold here under a token, for a heartbeat."""
-        found = {
+        """Return the shares to acknowledge in a heartbeat.
+
+        Args:
+            token: The fencing token under which they were granted.
+
+        Returns:
+            [calls, number] by destination.
+        """
+        held_by_destination = {
             destination: account.quota.held_share(token)
             for destination, account in sorted(self.accounts.items())
         }
         return {
             str(destination): list(held)
-            for destination, held in found.items()
+            for destination, held in held_by_destination.items()
             if held is not None
         }
 
     def known_reserves(self) -> dict[str, int]:
-        """Return the reserves of an earlier lease, which the service may not know."""
+        """Return the reserves kept from an earlier lease, by destination, for a join.
+
+        The service may no longer have them; it counts them as in use by this member.
+        """
         return {
             str(destination): account.quota.share.reserve
             for destination, account in sorted(self.accounts.items())
@@ -271,11 +293,11 @@
     # Permits
 
     def acquire_permit(self, destination: int, now_us: int) -> int:
-        """Count one call that is sent now, if it may be.
+        """Grant a permit for one call, and count the call, if the quota allows it now.
 
         Returns:
-            PERMIT_GRANTED if it may be sent; else after how many microseconds to ask
-            again at the earliest, or PERMIT_TIME_UNKNOWN.
+            PERMIT_GRANTED; else the delay in microseconds after which to try again at
+            the earliest, or PERMIT_TIME_UNKNOWN.
         """
         account = self.accounts.get(destination)
         if account is None:
@@ -290,9 +312,15 @@
         return max(available_at - now_us, MIN_PERMIT_DELAY_US)
 
     def on_call_sent(self, destination: int, spent_us: int, now_us: int) -> None:
-        """Note that the first byte of a call is sent.
+        """Record that a call's first byte was sent.
 
-        If the process was stopped since the call was counted, it is counted from now.
+        If that is later than the share's slack after the permit, because the process
+        was suspended in between, the call is counted again, with the present time.
+
+        Args:
+            destination: The call's destination.
+            spent_us: When its permit was granted.
+            now_us: The time.
         """
         account = self.accounts.get(destination)
         if account is not None and account.quota.is_late(spent_us, now_us):
@@ -300,13 +328,16 @@
 
     # For the dispatcher
 
-    def quota_event(self, destination: int, now_us: int, ahead_us: int) -> QuotaChanged:
-        """Return a destination's quota as the dispatcher counts it.
+    def quota_event(
+        self, destination: int, now_us: int, clock_offset_us: int
+    ) -> QuotaChanged:
+        """Return a destination's quota as an event for the dispatcher.
 
         Args:
-            destination: It has a budget.
+            destination: A destination with a quota.
             now_us: The time.
-            ahead_us: The dispatcher's clock less this one.
+            clock_offset_us: The dispatcher's clock minus this one, for the event's
+                times.
         """
         account = self.accounts[destination]
         quota = account.quota
@@ -316,11 +347,12 @@
             unknown != account.published_unknown_period
             and unknown.until_us + unknown.window_us > now_us
         ):
-            spent.append((unknown.until_us + ahead_us, UNKNOWN_PERIOD_CALLS))
+            spent.append((unknown.until_us + clock_offset_us, UNKNOWN_PERIOD_CALLS))
             account.published_unknown_period = unknown
         if not account.published:
             spent += [
-                (latest + ahead_us, calls) for _, latest, calls in quota.window.entries
+                (latest_us + clock_offset_us, calls)
+                for _, latest_us, calls in quota.window.entries
             ]
             account.published = True
         may_send = self.persisted and not quota.closed
@@ -328,7 +360,7 @@
             destination,
             quota.share.calls if may_send else 0,
             quota.window.length_us,
-            quota.valid_until_us + ahead_us,
+            quota.valid_until_us + clock_offset_us,
             quota.share.reserve if may_send else 0,
             tuple(spent),
         )
@@ -336,7 +368,13 @@
     # Demand
 
     def record_demand(self, destination: int, part: str, now_us: int) -> None:
-        """Count one more call that is wanted, for a part of the demand."""
+        """Count one more call that is wanted.
+
+        Args:
+            destination: The destination.
+            part: The part of demand, "CLASS" or "CLASS/TENANT".
+            now_us: The time.
+        """
         demand = self.demand.get(destination)
         if demand is None:
             account = self.accounts.get(destination)
@@ -350,36 +388,37 @@
     def needs(
         self, waiting: Mapping[int, Mapping[str, int]], now_us: int
     ) -> dict[str, dict[str, int]]:
-        """Return the demand for a heartbeat, by destination and part.
+        """Return the demand for a heartbeat: calls in a span, by destination and part.
 
-        There are as many destinations as the service accepts, those with a budget here
-        first. Destinations that are not wanted any more are forgotten.
+        At most MAX_BUDGETS destinations are reported, the limit of the service; those
+        with a quota come first. The tracker of a destination without a quota is dropped
+        once its demand has ended.
 
         Args:
-            waiting: Messages that are held unsent, by destination and part.
+            waiting: Number of unsent messages, by destination and part.
             now_us: The time.
         """
-        found: dict[str, dict[str, int]] = {}
+        needs: dict[str, dict[str, int]] = {}
         for destination in sorted(
             {*self.demand, *waiting}, key=lambda d: (d not in self.accounts, d)
         ):
             demand = self.demand.get(destination) or DemandTracker(DEFAULT_SPAN_US)
             parts = demand.demand_by_part(now_us, waiting.get(destination, {}))
             if parts:
-                found[str(destination)] = parts
+                needs[str(destination)] = parts
             elif destination not in self.accounts:
                 self.demand.pop(destination, None)
-        reported = collapse_long_parts(dict(islice(found.items(), MAX_BUDGETS)))
+        reported = collapse_long_parts(dict(islice(needs.items(), MAX_BUDGETS)))
         self.reported_needs = {
             int(name): sum(parts.values()) for name, parts in reported.items()
         }
         return reported
 
     def has_grown_demand(self, waiting: Mapping[int, int], now_us: int) -> bool:
-        """Whether a quota is too small for its demand, and that grew much.
+        """Whether some quota is below its demand, which has grown since it was reported.
 
         Args:
-            waiting: Messages that are held unsent, by destination.
+            waiting: Number of unsent messages, by destination.
             now_us: The time.
         """
         return any(
@@ -391,6 +430,7 @@
     def _has_grown(
         self, destination: int, account: QuotaAccount, queued: int, now_us: int
     ) -> bool:
+        """Whether demand exceeds the quota, and DEMAND_GROWTH_FACTOR times the report."""
         needed = queued
         demand = self.demand.get(destination)
         if demand is not None:
@@ -402,36 +442,36 @@
             account.quota.limit(now_us),
         )
 
-    # For a successor
+    # For the state file
 
     def records(self) -> QuotaRecords:
-        """Return the records of all quotas, which go on to be used."""
+        """Return the records of all quotas while they remain in use."""
         return {
             destination: account.quota.to_record()
             for destination, account in self.accounts.items()
         }
 
     def close(self, now_us: int) -> QuotaRecords:
-        """Send no call of a budget any more, and return the records of all quotas."""
+        """Close all quotas, and return their records with the calls in the window."""
         records = {
             destination: account.quota.close(now_us)
             for destination, account in self.accounts.items()
         }
-        entries_each = max(MAX_SPENT_ENTRIES // max(1, len(records)), 1)
+        entries_per_record = max(MAX_SPENT_ENTRIES // max(1, len(records)), 1)
         for record in records.values():
-            record["spent"] = merge_spent(record["spent"], entries_each)
+            record["spent"] = merge_spent(record["spent"], entries_per_record)
         return records
 
     def suspend(self) -> None:
-        """Grant no permit before the records are written again.
+        """Grant no permit until the records are written again.
 
-        Those on disk are a successor's from here on: it would not know of a call that
-        was sent after they were written, and the budget would be exceeded.
+        A successor may use the records on disk from here on. They lack any call that is
+        sent after they were written, so such a call would exceed the budget.
         """
         self.persisted = False
 
     def reopen(self) -> None:
-        """Send calls again, as no successor took over."""
+        """Undo `close`, as no successor took over."""
         for account in self.accounts.values():
             account.quota.closed = False
 
@@ -439,11 +479,11 @@
 
     def metrics(self, now_us: int) -> dict[str, dict[str, Any]]:
         """Return the metrics of all quotas by destination."""
-        figures = {}
+        metrics = {}
         for destination, account in sorted(self.accounts.items()):
             quota = account.quota
             quota.window.drop_expired(now_us)
-            figures[str(destination)] = {
+            metrics[str(destination)] = {
                 "whole": quota.share.whole,
                 "span_ms": quota.share.span_us // US_PER_MS,
                 "share": quota.limit(now_us),
@@ -454,19 +494,19 @@
                 "number": quota.share.number,
                 "why": account.reason,
             }
-        return figures
+        return metrics
 
     def authority(self, account: QuotaAccount, now_us: int) -> str:
-        """Return by what calls are sent: the lease, or the reserve without one."""
+        """Return the basis of the present limit: "lease", or "reserve" without one."""
         return "lease" if now_us < account.quota.valid_until_us else "reserve"
 
     def changes(self, now_us: int) -> list[tuple[int, dict[str, Any]]]:
-        """Return the metrics of quotas that changed since the last time.
+        """Return destination and metrics of each quota that changed since the last call.
 
-        The elements are a destination and its metrics, as `metrics` gives them.
+        The properties of `LoggedQuota` are compared. The metrics are those of `metrics`.
         """
-        found: list[tuple[int, dict[str, Any]]] = []
-        figures: dict[str, dict[str, Any]] = {}
+        changed: list[tuple[int, dict[str, Any]]] = []
+        metrics: dict[str, dict[str, Any]] = {}
         for destination, account in sorted(self.accounts.items()):
             share = account.quota.share
             current = LoggedQuota(
@@ -480,13 +520,13 @@
                 continue
             self._update_reason(account, current.authority)
             account.last_logged = current
-            figures = figures or self.metrics(now_us)
-            found.append((destination, figures[str(destination)]))
-        return found
+            metrics = metrics or self.metrics(now_us)
+            changed.append((destination, metrics[str(destination)]))
+        return changed
 
     @staticmethod
     def _update_reason(account: QuotaAccount, authority: str) -> None:
-        """Set the reason anew where the lease expired or holds again."""
+        """Update the reason if the lease has expired or is valid again."""
         previous = account.last_logged
         if authority == "lease":
             account.reason = f"share {account.quota.share.number} of the service"
@@ -499,10 +539,10 @@
 
 
 def collapse_long_parts(needs: dict[str, dict[str, int]]) -> dict[str, dict[str, int]]:
-    """Return needs by destination and part, as a heartbeat can hold them.
+    """Limit the size of the demand by destination and part in a heartbeat.
 
-    Where the parts' names would make it too large, each destination's need stands as a
-    whole under the part "" instead.
+    If the names of all parts exceed MAX_PART_NAME_BYTES, each destination's demand is
+    summed up under the part "" instead.
     """
     size = sum(
         len(part) * (1 if part.isascii() else ESCAPED_CHARACTER_BYTES)
@@ -517,13 +557,16 @@
 
 
 def merge_spent(spent: list[list[int]], limit: int) -> list[list[int]]:
-    """Merge entries of calls in a window, so that there are `limit` at most.
+    """Merge adjacent entries of a window, so that at most `limit` remain.
 
-    An entry holds the times of its first and its latest call and their number; all its
-    calls count as made at the latest.
+    An entry is [first_us, latest_us, calls]. All its calls count as sent at the latest
+    time, so a merge never lets a call expire too early.
     """
-    step = max(1, -(-len(spent) // limit))
+    group_size = max(1, -(-len(spent) // limit))
     return [
         [group[0][0], group[-1][1], sum(calls for _, _, calls in group)]
-        for group in (spent[n : n + step] for n in range(0, len(spent), step))
+        for group in (
+            spent[start : start + group_size]
+            for start in range(0, len(spent), group_size)
+        )
     ]
--- a/rainfall/forwarder/fleet/state_file.py
+++ b/rainfall/forwarder/fleet/state_file.py
@@ -1,8 +1,9 @@
-"""A member's fencing token and quotas for its successor, in `fleet.json`.
+"""The state file `fleet.json`: a member's fencing token and quotas for its successor.
 
-The file is bounded by the budgets. It is written under another name and renamed, so
-that a crash leaves the old or the new one. The state directory may hold 3 MB in all, so
-the records of many budgets are compressed.
+The successor is the next process of the same forwarder, after a restart or a handover.
+The file's size is bounded by the number of budgets. Each version is written to another
+file, which is then renamed, so a crash leaves either the old or the new version. The
+state directory may hold 3 MB in all, so the records of many budgets are compressed.
 """
 
 from __future__ import annotations
@@ -20,30 +21,31 @@
 
 FILE_NAME = "fleet.json"
 FORMAT_VERSION = 1
+"""The `form` of the document."""
 MAX_FILE_BYTES = 16 << 20
 """A larger file is not read."""
 COMPRESSION_THRESHOLD_BYTES = 64 * 1024
 """A longer document is compressed."""
 COMPRESSION_LEVEL = 1
-"""zlib's fastest."""
+"""zlib's fastest level."""
 CLOCK_KEYS = ("closed_us", "known_us", "spent")
-"""Keys of a quota's record that mean nothing by the clock of another boot."""
+"""Keys of a quota's record whose times are invalid after a reboot: the clock restarts."""
 QuotaRecords = dict[int, dict[str, Any]]
-"""Records of quotas by destination, as `MemberQuota.to_record` makes them."""
+"""Records of quotas by destination, from `MemberQuota.to_record` or `close`."""
 log = logging.getLogger("rainfall.fleet")
 
 
 class StateFile:
-    """The file, and the order of its versions."""
+    """Reads and writes the state file; an older version never replaces a newer one."""
 
     def __init__(
         self, folder: Path, synced: bool, files: FileSystem | None = None
     ) -> None:
-        """Name the file; nothing is read or written yet.
+        """Set the file's path; nothing is read or written yet.
 
         Args:
             folder: The state directory.
-            synced: Whether each version must survive a loss of power.
+            synced: Whether each version is synced to disk, to survive a power failure.
             files: The file system; by default that of the machine.
         """
         self.folder = folder
@@ -51,25 +53,27 @@
         self.synced = synced
         self.files = files or LocalFileSystem()
         self.last_written = b""
-        """What the file holds, if this process wrote it."""
+        """The file's content, if this process wrote it."""
         self.lock = threading.Lock()
         self.last_sequence = 0
-        """Number of the last version that was encoded."""
+        """Sequence number of the last version that was encoded."""
         self.newest_sequence = 0
-        """Number of the newest version that was written."""
+        """Sequence number of the newest version that was passed to `write`."""
 
     def read(self) -> tuple[Token, QuotaRecords]:
-        """Return the token of the process before, and the records of its quotas.
+        """Return the previous process's token, and the records of its quotas.
 
-        A file that cannot be read counts as missing: its process's lease expires first,
-        and a quota without a record waits for a window.
+        A missing file and one that cannot be read both give ZERO_TOKEN and no records.
+        That is safe: without its token the service grants the name only once the
+        previous process's lease has expired, and a quota without a record sends nothing
+        for a whole window.
         """
         try:
             if self.files.size(self.path) > MAX_FILE_BYTES:
-                raise ValueError("too large")
+                raise ValueError(f"larger than {MAX_FILE_BYTES} bytes")
             document = json.loads(decompress(self.files.read(self.path)))
             if document["form"] != FORMAT_VERSION:
-                raise ValueError(f"form {document['form']!r} is not known")
+                raise ValueError(f"unknown format version {document['form']!r}")
             token = Token.from_wire(document["token"])
             records = {
                 int(name): dict(record) for name, record in document["purses"].items()
@@ -85,7 +89,7 @@
             RecursionError,
             zlib.error,
         ) as error:
-            log.warning("%s cannot be read, and counts as none: %r", self.path, error)
+            log.warning("cannot read %s, treated as missing: %r", self.path, error)
             return ZERO_TOKEN, {}
         if not this_boot() or document.get("boot") != this_boot():
             records = {
@@ -97,7 +101,7 @@
         return token, records
 
     def encode(self, token: Token, records: QuotaRecords) -> tuple[int, bytes]:
-        """Return the arguments of `write` for the present state."""
+        """Return the arguments of `write`: a sequence number, and the file's content."""
         self.last_sequence += 1
         document = {
             "form": FORMAT_VERSION,
@@ -111,9 +115,13 @@
         return self.last_sequence, text
 
     def write(self, sequence: int, data: bytes) -> OSError | None:
-        """Write a version, and return why that failed if it did; then the old one stays.
+        """Write a version; may be called from any thread.
 
-        It may be called from any thread: an older version never replaces a newer one.
+        A version older than one passed before is skipped.
+
+        Returns:
+            The error if the write failed, which leaves the previous version in place;
+            None otherwise.
         """
         with self.lock:
             if sequence < self.newest_sequence:
@@ -126,10 +134,10 @@
             return None
 
     def replace_file(self, data: bytes) -> None:
-        """Replace the file, unless it holds the same.
+        """Replace the file atomically, unless it has the same content already.
 
         Raises:
-            OSError: It could not be written.
+            OSError: The file cannot be written.
         """
         if data == self.last_written:
             return
@@ -149,9 +157,9 @@
 
 
 def decompress(data: bytes) -> bytes:
-    """Return the JSON of a file, which may be compressed.
+    """Return a file's content as JSON; it may be compressed or plain.
 
     Raises:
-        zlib.error: It neither begins as an object nor can be decompressed.
+        zlib.error: The content neither begins with `{` nor can be decompressed.
     """
     return data if data.startswith(b"{") else zlib.decompress(data)
