--- a/rainfall/forwarder/admin/__init__.py
+++ b/rainfall/forwarder/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: metrics, attachment of endpoints, checks of configurations."""
+"""The operators' HTTP server: readiness, metrics, configuration, endpoints' rotation."""
--- a/rainfall/forwarder/admin/admin_server.py
+++ b/rainfall/forwarder/admin/admin_server.py
@@ -1,7 +1,7 @@
-"""The operators' address: readiness, metrics, configuration, endpoints' attachment.
+"""The operators' HTTP server: readiness, metrics, configuration, endpoints' rotation.
 
-Each connection takes one request. The server holds few descriptors, and those of its
-own, so that no load of clients delays an answer.
+Each connection serves one request. The server has a few file descriptors of its own, so
+that no number of clients delays an answer.
 """
 
 from __future__ import annotations
@@ -21,28 +21,31 @@
 
 __all__ = ["AdminConnection", "AdminResponder", "AdminServer", "Metrics"]
 MAX_CONNECTIONS = 16
-"""Connections at a time."""
+"""Limit of open connections."""
 ACCEPT_BATCH = 2
-"""Connections accepted in one turn of the event loop: it takes some turns until room is
-made for them.
+"""Connections accepted in one iteration of the event loop: it takes a few iterations
+until the connections that they replace are closed.
 """
 MAX_HEADER_BYTES = 8 * 1024
+"""Limit of a request's size without its body."""
 MAX_BODY_BYTES = 1024
+"""Limit of a body that is not a configuration."""
 MAX_CONFIG_BYTES = 1 << 20
-"""Bytes of a complete configuration."""
+"""Limit of a body that is a configuration."""
 DISCARDED_INPUT_FACTOR = 8
-"""Input behind a request that is answered is discarded, up to so many times the largest
-request.
+"""Input after the request is discarded; a connection that has sent more than this
+multiple of the largest request is aborted.
 """
 REQUEST_TIMEOUT_S = 2.0
 """A request that is incomplete after this is answered 408."""
 LINGER_S = 0.5
-"""A connection is closed so long after the answer to an incomplete request, so that the
-caller can read it.
+"""Time from the answer to an incomplete request until its connection is aborted, so that
+the caller can read the answer.
 """
 BACKLOG = 64
+"""Connections that the system queues until they are accepted."""
 CONFIG_PATH_PREFIX = "/_config/"
-"""Requests to these paths may have a configuration as their body."""
+"""Bodies of requests to paths with this prefix may have MAX_CONFIG_BYTES."""
 AdminResponder = Callable[[HTTPStatus, str], None]
 """Writes the answer to a request."""
 AdminHandler = Callable[[bytes, AdminResponder], None]
@@ -52,7 +55,7 @@
 if TYPE_CHECKING:
 
     class EngineOperations(Protocol):
-        """What operators' requests need of the engine."""
+        """What the server needs of the engine."""
 
         def is_ready(self) -> bool:
             """Whether the forwarder accepts messages."""
@@ -61,29 +64,30 @@
             """Return all metrics."""
 
         def set_detached(
-            self, name: str, detached: bool, answer: AdminResponder
+            self, endpoint: str, detached: bool, answer: AdminResponder
         ) -> None:
-            """Disable or enable an endpoint."""
+            """Take an endpoint out of rotation, or put it back."""
 
         def check_config(self, text: bytes, answer: AdminResponder) -> None:
             """Validate a configuration without applying it."""
 
         def active_config_report(self) -> dict[str, str]:
-            """Return which configuration is active."""
+            """Return the active configuration's digest, origin and time."""
 
 
 class Route(NamedTuple):
-    """How a path is requested and handled."""
+    """The HTTP method of a path, and its handler."""
 
     method: str
     handler: AdminHandler
 
 
 class AdminServer:
-    """Listens for operators; without an engine it answers that it is not ready."""
+    """Serves operators' requests; without an engine it answers 503, "not ready"."""
 
     def __init__(self) -> None:
         self.engine: EngineOperations | None = None
+        """Set once the process has an engine, and replaced with each further one."""
         self.connections: dict[AdminConnection, None] = {}
         """Open connections, the oldest first."""
         self.listener: asyncio.Server | None = None
@@ -96,38 +100,44 @@
             "/_config/check": Route("POST", self.check_config),
         }
 
-    async def listen(self, where: Address) -> None:
+    async def listen(self, address: Address) -> None:
         """Listen on an address.
 
         Raises:
             OSError: The address cannot be bound.
         """
-        sock = await bind_listener(where.host, where.port)
+        sock = await bind_listener(address.host, address.port)
         self.listener = await asyncio.get_running_loop().create_server(
             lambda: AdminConnection(self), sock=sock, backlog=ACCEPT_BATCH
         )
         sock.listen(BACKLOG)
 
-    def add_connection(self, call: AdminConnection) -> None:
-        """Register a connection; if there are too many, the oldest incomplete one goes.
+    def add_connection(self, connection: AdminConnection) -> None:
+        """Register a connection, and abort another one if there are too many.
 
-        Thus a caller is not delayed by others that send nothing.
+        The oldest connection without an answer is aborted, so that callers that send
+        nothing do not delay others; if all are answered, the oldest one.
         """
-        self.connections[call] = None
+        self.connections[connection] = None
         if len(self.connections) <= MAX_CONNECTIONS:
             return
         oldest = next(
-            (c for c in self.connections if not c.response_sent and c is not call),
+            (
+                c
+                for c in self.connections
+                if not c.response_sent and c is not connection
+            ),
             next(iter(self.connections)),
         )
         oldest.abort()
-        # Its descriptor is closed in the next turn: it makes room only once.
+        # Its descriptor is closed only in the next iteration of the event loop; removed
+        # here, it is not chosen again for the next connection.
         del self.connections[oldest]
 
     def handle(
         self, method: str, path: str, body: bytes, answer: AdminResponder
     ) -> None:
-        """Handle a complete request."""
+        """Route a complete request to its handler; answer 404 or 405 if it has none."""
         route = self.routes.get(path)
         if route is None:
             answer(HTTPStatus.NOT_FOUND, "no such call\n")
@@ -137,7 +147,7 @@
             route.handler(body, answer)
 
     def respond_ready(self, body: bytes, answer: AdminResponder) -> None:
-        """Answer whether the forwarder accepts messages."""
+        """Answer 200 if the forwarder accepts messages, else 503."""
         del body
         if self.engine is not None and self.engine.is_ready():
             answer(HTTPStatus.OK, "ready\n")
@@ -145,7 +155,7 @@
             _answer_not_ready(answer)
 
     def respond_metrics(self, body: bytes, answer: AdminResponder) -> None:
-        """Answer all metrics."""
+        """Answer with all metrics as JSON."""
         del body
         if self.engine is None:
             _answer_not_ready(answer)
@@ -154,7 +164,7 @@
             answer(HTTPStatus.OK, json.dumps(report, separators=(",", ":")))
 
     def respond_config(self, body: bytes, answer: AdminResponder) -> None:
-        """Answer which configuration is active."""
+        """Answer with the active configuration's digest, origin and time as JSON."""
         del body
         if self.engine is None:
             _answer_not_ready(answer)
@@ -162,22 +172,22 @@
             answer(HTTPStatus.OK, json.dumps(self.engine.active_config_report()))
 
     def check_config(self, body: bytes, answer: AdminResponder) -> None:
-        """Validate the configuration in the body."""
+        """Validate the configuration in the body without applying it."""
         if self.engine is None:
             _answer_not_ready(answer)
         else:
             self.engine.check_config(body, answer)
 
     def detach(self, body: bytes, answer: AdminResponder) -> None:
-        """Disable the endpoint that the body names."""
+        """Take the endpoint named by the body out of rotation."""
         self.set_detached(body, True, answer)
 
     def attach(self, body: bytes, answer: AdminResponder) -> None:
-        """Enable the endpoint that the body names."""
+        """Put the endpoint named by the body back into rotation."""
         self.set_detached(body, False, answer)
 
     def set_detached(self, body: bytes, detached: bool, answer: AdminResponder) -> None:
-        """Disable or enable the endpoint that the body names."""
+        """Take the endpoint named by the body out of rotation, or put it back."""
         try:
             endpoint = body.decode().strip()
         except UnicodeDecodeError:
@@ -190,7 +200,7 @@
             self.engine.set_detached(endpoint, detached, answer)
 
     def close(self) -> None:
-        """Stop listening, and close each connection once its answer is written."""
+        """Stop listening, and close each connection after its output is written."""
         if self.listener is not None:
             self.listener.close()
         for connection in list(self.connections):
@@ -202,7 +212,7 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection with one request."""
+    """One connection, which serves one request."""
 
     def __init__(self, admin: AdminServer) -> None:
         self.admin = admin
@@ -211,7 +221,9 @@
             self
         )
         self.timer: asyncio.TimerHandle | None = None
+        """For the request's timeout; after the answer to an incomplete one, for LINGER_S."""
         self.path = ""
+        """The path with its query."""
         self.body = b""
         self.received_bytes = 0
         self.request_complete = False
@@ -228,17 +240,18 @@
         self.admin.add_connection(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget the connection (called by the event loop)."""
+        """Unregister the connection (called by the event loop)."""
         del error
         self.admin.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
-        # Both refer back: without them the collector has no cycle to find.
+        # Both refer back to this object: clearing them leaves no reference cycle for the
+        # garbage collector.
         self.parser = None
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Read the request (called by the event loop)."""
+        """Parse the request's data (called by the event loop)."""
         self.received_bytes += len(data)
         limit_bytes = MAX_HEADER_BYTES + self.max_body_bytes
         if self.parser is None or self.request_complete or self.response_sent:
@@ -258,7 +271,11 @@
             self.answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is too large\n")
 
     def eof_received(self) -> bool:
-        """Close unless the request is complete: its caller may wait for the answer."""
+        """Close if the request is incomplete (called by the event loop).
+
+        After a complete request the caller may still wait for the answer, so the
+        connection stays open for writing.
+        """
         if not self.request_complete:
             self.close()
         return True
@@ -266,20 +283,20 @@
     # Called by the parser
 
     def on_url(self, url: bytes) -> None:
-        """Add a piece of the path."""
+        """Append a piece of the path."""
         self.path += url.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Set the limit of the body."""
+        """Set the limit of the body's size, by the path."""
         if self.path.startswith(CONFIG_PATH_PREFIX):
             self.max_body_bytes = MAX_CONFIG_BYTES
 
     def on_body(self, body: bytes) -> None:
-        """Add a piece of the body."""
+        """Append a piece of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Handle the request."""
+        """Handle the complete request, or refuse a body that is too large."""
         if self.request_complete or self.response_sent or self.parser is None:
             return
         self.request_complete = True
@@ -294,14 +311,18 @@
     # Answering
 
     def on_timeout(self) -> None:
-        """Answer a request that is still incomplete."""
+        """Answer 408 if the request is still incomplete."""
         if not self.request_complete:
             self.answer(
                 HTTPStatus.REQUEST_TIMEOUT, "the call did not come to its end\n"
             )
 
     def answer(self, status: HTTPStatus, text: str) -> None:
-        """Write the answer, unless there was one or the caller is gone."""
+        """Write the answer, unless one was written or the caller has disconnected.
+
+        After a complete request the connection is closed; after an incomplete one only
+        once the caller had LINGER_S to read the answer.
+        """
         if self.response_sent or self.transport is None or self.transport.is_closing():
             return
         self.response_sent = True
@@ -316,7 +337,8 @@
         if self.request_complete:
             self.transport.close()
             return
-        # A close with unread input would reset the connection and lose the answer.
+        # A close while input is unread would reset the connection, and the caller might
+        # not receive the answer.
         if self.transport.can_write_eof():
             self.transport.write_eof()
         if self.timer is not None:
@@ -324,11 +346,11 @@
         self.timer = asyncio.get_running_loop().call_later(LINGER_S, self.abort)
 
     def close(self) -> None:
-        """Close once all is written."""
+        """Close after all output is written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once; output that is not written yet is lost."""
         if self.transport is not None:
             self.transport.abort()
--- a/rainfall/forwarder/config/__init__.py
+++ b/rainfall/forwarder/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: reading, checking and comparing it."""
+"""The configuration: loading, validation, and comparison with a new one."""
--- a/rainfall/forwarder/config/address.py
+++ b/rainfall/forwarder/config/address.py
@@ -1,4 +1,4 @@
-"""Addresses as they stand in configurations and endpoint lists: `HOST:PORT`."""
+"""Network addresses as configurations and endpoint lists write them: `HOST:PORT`."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from rainfall.wirehost import MalformedInputError
 
 PORT_LIMIT = 1 << 16
-"""Ports are below this."""
+"""Every port is below this."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where a peer listens."""
+    """The host and port at which a process listens."""
 
     host: str
     port: int
@@ -23,10 +23,10 @@
 
 
 def parse_address(text: Any) -> Address:
-    """Read an address.
+    """Parse `HOST:PORT`.
 
     Raises:
-        MalformedInputError: The text is no address.
+        MalformedInputError: The text is not an address.
     """
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
--- a/rainfall/forwarder/config/errors.py
+++ b/rainfall/forwarder/config/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a configuration."""
+"""Errors of a configuration."""
 
 from __future__ import annotations
 
@@ -9,19 +9,23 @@
 
 
 class ConfigFault(NamedTuple):
-    """One fault of a configuration."""
+    """One fault of a configuration, with its location."""
 
     path: str
-    """Where it stands: keys joined by dots, places in lists in brackets."""
+    """Keys joined by dots, list indexes in brackets: `fleet.budgets[0].calls`."""
     text: str
 
 
 class ConfigError(RainfallError):
-    """The configuration is missing or invalid; the text is one line."""
+    """A configuration that is missing or invalid; the text is one line."""
 
 
 class FleetConfigError(ConfigError):
-    """The `fleet` object of a configuration is invalid; it holds all faults."""
+    """An invalid `fleet` object of a configuration.
+
+    Attributes:
+        faults: All faults of the object.
+    """
 
     def __init__(self, faults: Sequence[ConfigFault]) -> None:
         text = "; ".join(f"{fault.path}: {fault.text}" for fault in faults)
--- a/rainfall/forwarder/config/fleet_config.py
+++ b/rainfall/forwarder/config/fleet_config.py
@@ -1,6 +1,7 @@
-"""The `fleet` object of a configuration: checked completely, each fault with its path.
+"""The `fleet` object of a configuration: parsing, with all faults and their paths.
 
-It is imported only where a configuration has that object, as it imports msgspec.
+The module is imported only where a configuration has that object, because it needs
+msgspec.
 """
 
 from __future__ import annotations
@@ -19,29 +20,35 @@
 from rainfall.wirehost import MalformedInputError
 
 MAX_PEERS = 10_000
-"""The largest fleet has 540 forwarders, and may grow; each takes 150 bytes."""
-RESTART_FIELDS = ("name", "site", "drift", "listen", "peers")
-"""Fields that only a restart changes."""
+"""Limit of `peers`: the largest fleet has 540 forwarders, and may grow. A peer takes 150
+bytes.
+"""
+FLEET_RESTART_FIELDS = ("name", "site", "drift", "listen", "peers")
+"""Fields of FleetConfig whose change takes effect only at a restart."""
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Calls = Annotated[int, Meta(ge=0, le=1 << 40)]
 
 
 class RawBudget(Struct):
-    """An element of `budgets` as it stands in the file."""
+    """The schema of an element of `budgets` in the file."""
 
     destination: Annotated[int, Meta(ge=0, lt=1 << 31)]
     span_ms: Annotated[int, Meta(ge=1, le=86_400_000)]
     calls: Annotated[int, Meta(ge=1, le=1 << 40)]
+    """Calls of the whole fleet in every span."""
     members: Annotated[int, Meta(ge=1, le=100_000)]
+    """Number of members that keep the reserve: together at most `calls`."""
     reserve: Calls = 0
+    """Calls of each member in every span without a share."""
 
 
 class RawFleet(Struct):
-    """The object as it stands in the file."""
+    """The schema of the `fleet` object in the file."""
 
     service: str
     site: Name
     name: Name = "-"
+    """The member's name; without the key, the forwarder's name replaces this default."""
     lease_ms: Annotated[int, Meta(ge=100, le=60_000)] = 3_000
     drift: Annotated[float, Meta(ge=0.0, lt=0.5)] = 0.02
     listen: str = ""
@@ -51,44 +58,50 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetReserve:
-    """What this forwarder may send to a destination before it is granted a share."""
+    """A configured budget, with the reserve that needs no share from the service."""
 
     destination: int
     reserve: int
-    """Calls of this forwarder in each span."""
+    """Calls that this forwarder may send in every span without a share."""
     span_us: int
     calls: int
-    """Calls of the whole fleet in each span."""
+    """Calls that the whole fleet may send in every span."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """How this forwarder is a member of a fleet."""
+    """The parsed `fleet` object: this forwarder's membership of a fleet."""
 
     service: Address
-    """The list service's fleet address."""
+    """The list service's address for members."""
     name: str
     site: str
     lease_us: int
-    """Length of a lease, until the service grants one of its own length."""
+    """Expected length of a lease, until the service's first grant gives the real one."""
     drift: float
-    """Relative rate by which two clocks may differ."""
+    """Maximum relative difference of two clocks' rates."""
     listen: Address | None
+    """The address advertised to the list service; None: the forwarder's own `listen`."""
     peers: tuple[tuple[str, Address], ...]
+    """Name and address of each peer, sorted by name."""
     budgets: tuple[BudgetReserve, ...]
 
 
 def parse_fleet(raw: Any, name: str) -> FleetConfig:
-    """Read the `fleet` object of the forwarder `name`.
+    """Parse the `fleet` object of a configuration.
+
+    Args:
+        raw: The object.
+        name: The forwarder's name, which is the member's name unless the object has one.
 
     Raises:
-        FleetConfigError: It is invalid; all its faults are named.
+        FleetConfigError: The object is invalid; the error holds all faults.
     """
     faults: list[ConfigFault] = []
     document = _convert_struct(raw, RawFleet, "fleet", faults)
     budgets = [
-        _convert_struct(entry, RawBudget, f"fleet.budgets[{n}]", faults)
-        for n, entry in enumerate(document.get("budgets", []))
+        _convert_struct(entry, RawBudget, f"fleet.budgets[{index}]", faults)
+        for index, entry in enumerate(document.get("budgets", []))
     ]
     addresses = {
         key: _parse_address(document[key], f"fleet.{key}", faults)
@@ -119,12 +132,15 @@
 def _read_reserves(
     budgets: list[dict[str, Any]], faults: list[ConfigFault]
 ) -> tuple[BudgetReserve, ...]:
-    """Check budgets against each other; one with a fault already is left out."""
+    """Convert budgets, and add faults that concern several fields or several budgets.
+
+    Budgets that lack a field, because its conversion failed, are skipped.
+    """
     reserves: dict[int, BudgetReserve] = {}
-    for n, budget in enumerate(budgets):
+    for index, budget in enumerate(budgets):
         if len(budget) < len(RawBudget.__struct_fields__):
             continue
-        path = f"fleet.budgets[{n}]"
+        path = f"fleet.budgets[{index}]"
         destination = budget["destination"]
         if destination in reserves:
             faults.append(
@@ -153,10 +169,13 @@
 def _convert_struct(
     raw: Any, kind: type[Struct], path: str, faults: list[ConfigFault]
 ) -> dict[str, Any]:
-    """Return the fields that can be converted, with defaults for missing ones.
+    """Convert an object to a struct's fields, and add its faults to `faults`.
 
-    msgspec stops at the first fault, so where there is one, fields are converted one by
-    one.
+    msgspec stops at the first fault. If there is one, the fields are therefore
+    converted one by one.
+
+    Returns:
+        The fields that could be converted, with defaults for those that are absent.
     """
     if not isinstance(raw, dict):
         faults.append(ConfigFault(path, "not an object"))
@@ -180,13 +199,14 @@
 
 
 def _default_of(field: structs.FieldInfo) -> Any:
+    """Return the default of a field that is not required."""
     if field.default is not msgspec.NODEFAULT:
         return field.default
     return field.default_factory()
 
 
 def _parse_address(text: Any, path: str, faults: list[ConfigFault]) -> Address:
-    """Read an address, or note a fault and return an address that is never used."""
+    """Parse an address; if it is invalid, add a fault and return a placeholder."""
     try:
         return parse_address(text)
     except (MalformedInputError, ValueError) as error:
@@ -197,13 +217,18 @@
 def merge_fleet_config(
     old: FleetConfig, new: FleetConfig
 ) -> tuple[FleetConfig, list[str]]:
-    """Return what can be active now of a new one, and the paths that need a restart."""
+    """Apply those fields of a new configuration that need no restart.
+
+    Returns:
+        The old configuration with the new values of these fields, and the paths of the
+        changed fields that need a restart.
+    """
     merged = replace(
         old, service=new.service, lease_us=new.lease_us, budgets=new.budgets
     )
     needs_restart = [
         f"fleet.{name}"
-        for name in RESTART_FIELDS
+        for name in FLEET_RESTART_FIELDS
         if getattr(old, name) != getattr(new, name)
     ]
     return merged, needs_restart
--- a/rainfall/forwarder/config/loading.py
+++ b/rainfall/forwarder/config/loading.py
@@ -1,4 +1,8 @@
-"""The configuration: LB_CONFIG and the environment, read at the start and on SIGHUP."""
+"""Loading of the configuration from the file LB_CONFIG names, and from the environment.
+
+It is loaded at the start and again on SIGHUP. Endpoint lists are parsed here, too, as
+the configuration may contain one.
+"""
 
 from __future__ import annotations
 
@@ -28,40 +32,50 @@
 OPTIONAL_KEYS = frozenset(
     {
         "settings.services[].by_arrival",
-        # Nothing reads it, but files of the platform have it, and a file that replaces
-        # one may leave it out.
+        # Unused, but the platform's files contain it, and their replacements may omit it.
         "settings.services[].aim_stretch",
         "settings.contract.key_rest_us",
         "settings.prices.fleet",
     }
 )
-"""Keys that the wire's page calls optional: a file that lacks one withdraws it."""
+"""Paths of keys that the wire format calls optional: a replacement file may omit them,
+which unsets them.
+"""
 WIRE_STATE_BY_HEALTH = {"up": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
-"""An endpoint's state on the simulator's wire by its health in discovery's list."""
+"""The endpoint state in the simulator's wire format, by the `health` that discovery
+lists.
+"""
 WEIGHT_LIMIT = 1e9
-"""Weights of endpoints are below this."""
+"""Every weight of an endpoint is below this."""
 BYTES_PER_MB = 1_000_000
 DEFAULT_MEMORY_MB = 192
+"""Memory limit of the process."""
 DEFAULT_SOCKETS = 1024
+"""Limit of the process's file descriptors."""
 DEFAULT_DISK_MB = 3
+"""Limit of the state directory."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One endpoint as discovery lists it."""
+    """One endpoint of discovery's list."""
 
     name: str
     address: Address
     destination: int
     health: str
+    """A key of WIRE_STATE_BY_HEALTH."""
     raw: dict[str, Any]
-    """The element of the list, as it came."""
+    """The element of the list as received."""
 
     def to_entry(self, endpoint_id: int) -> EndpointEntry:
-        """Return the dispatcher's entry, by the translation of the wire's words.
+        """Convert the endpoint to an entry for the dispatcher.
+
+        The element is translated to the simulator's wire format, whose parser then
+        makes the entry.
 
         Raises:
-            MalformedInputError: The element cannot be read.
+            MalformedInputError: A field of the element is malformed.
         """
         weight = require_field(self.raw, "share", float) if "share" in self.raw else 0.0
         return parse_entry(
@@ -82,7 +96,7 @@
 
     version: int
     complete: bool
-    """Whether it lists all endpoints."""
+    """True if it lists all endpoints, False if only the changed ones."""
     endpoints: tuple[ListedEndpoint, ...]
 
 
@@ -92,51 +106,72 @@
 
     name: str
     listen: Address
+    """Address for clients."""
     discovery: Address
+    """Address of the discovery agent."""
     state: Path
     """Directory of the journal and of all other persisted state."""
     seed: int
+    """Seed of the random numbers of the dispatcher and of backoff delays."""
     memory_mb: int
+    """Limit of the process's memory."""
     max_sockets: int
+    """Limit of the process's file descriptors."""
     disk_bytes: int
+    """Limit of the state directory."""
     known_endpoints: EndpointList
+    """The endpoint list to start with, unless the journal has a newer one."""
     settings: Settings
     report_fields: tuple[str, ...]
+    """Fields of the load reports in responses to calls, in their order."""
     admin: Address | None = None
     """Address for operators; None without one."""
     inherited_fd: int | None = None
-    """Descriptor of the clients' listening socket, where the platform holds it."""
+    """File descriptor of the clients' listening socket, if the platform opened it."""
     power: bool = False
-    """Accepted messages survive a loss of power, not only the process's end."""
+    """Whether accepted messages survive a power failure, not only the process's end."""
     log_json: bool = False
-    """Log as JSON, with a line for each message's arrival, sending and end
+    """Whether to log as JSON, with a line for each message's arrival, sending and end
     (``log_format = "json"``).
     """
     fleet: FleetConfig | None = None
-    """This forwarder as a member of a fleet; None outside of one."""
+    """Membership of a fleet; None without one."""
     raw: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)
-    """The file without the endpoint list: a file that replaces it needs the same keys."""
+    """The file's document without the endpoint list.
+
+    A file that replaces it must have the same keys.
+    """
 
 
 def parse_descriptor(text: str | None) -> int | None:
-    """Read the number of an open descriptor, if there is one.
+    """Parse LB_INHERITED_FD, the number of an open file descriptor.
+
+    Returns:
+        The number; None if `text` is empty or None.
 
     Raises:
-        MalformedInputError: It is no number, or the descriptor is not open.
+        MalformedInputError: It is not a number, or the descriptor is not open.
     """
     if not text:
         return None
     if not text.isascii() or not text.isdigit():
-        raise MalformedInputError(f"LB_INHERITED_FD is no descriptor: {text!r}")
+        raise MalformedInputError(
+            f"LB_INHERITED_FD is not a file descriptor number: {text!r}"
+        )
     try:
         os.fstat(int(text))
     except (OSError, OverflowError):
-        raise MalformedInputError(f"LB_INHERITED_FD is not open: {text}") from None
+        raise MalformedInputError(
+            f"LB_INHERITED_FD is not an open file descriptor: {text}"
+        ) from None
     return int(text)
 
 
 def parse_durability(level: Any) -> bool:
-    """Whether accepted messages must survive a loss of power.
+    """Parse `durability`.
+
+    Returns:
+        Whether accepted messages must survive a power failure.
 
     Raises:
         MalformedInputError: The level is unknown.
@@ -147,7 +182,10 @@
 
 
 def parse_log_format(name: Any) -> bool:
-    """Whether log lines are JSON.
+    """Parse `log_format`.
+
+    Returns:
+        Whether log lines are JSON.
 
     Raises:
         MalformedInputError: The format is unknown.
@@ -158,9 +196,9 @@
 
 
 def load_report_fields(telemetry: Mapping[str, Any]) -> tuple[str, ...]:
-    """Return the fields that responses to calls report.
+    """Return the fields of the load reports in responses to calls.
 
-    There are none where only health checks report, or nothing does.
+    There are none if only health checks report the load, or nothing does.
     """
     if telemetry.get("how") in ("pull", "silent"):
         return ()
@@ -168,10 +206,14 @@
 
 
 def parse_fleet_section(raw: Any, name: str) -> FleetConfig | None:
-    """Read the `fleet` object, whose reader is imported only where there is one.
+    """Parse the `fleet` object; its parser is imported only if there is one.
+
+    Args:
+        raw: The object; None without one.
+        name: The forwarder's name.
 
     Raises:
-        ConfigError: It is invalid, or cannot be read for want of a library.
+        ConfigError: The object is invalid, or a required package is not installed.
     """
     if raw is None:
         return None
@@ -179,16 +221,16 @@
         from rainfall.forwarder.config.fleet_config import parse_fleet
     except ImportError as error:
         raise ConfigError(
-            f"'fleet' needs what requirements.txt names: {error}"
+            f"'fleet' requires the packages in requirements.txt: {error}"
         ) from None
     return parse_fleet(raw, name)
 
 
 def parse_endpoint(raw: Any) -> ListedEndpoint:
-    """Read one element of discovery's list.
+    """Parse one element of discovery's list.
 
     Raises:
-        MalformedInputError: The element cannot be read.
+        MalformedInputError: A field is missing or malformed.
     """
     health = require_field(raw, "health", str)
     if health not in WIRE_STATE_BY_HEALTH:
@@ -200,20 +242,21 @@
         health,
         raw,
     )
-    # A malformed element must be found here, not in the middle of a round.
+    # The engine converts the element in the middle of a round, where an error could not
+    # be handled: it is detected here.
     weight = endpoint.to_entry(0).weight
     if not 0 <= weight < WEIGHT_LIMIT:
         raise MalformedInputError(
-            f"share out of range in the line of {endpoint.name!r}"
+            f"share of endpoint {endpoint.name!r} out of range: {weight}"
         )
     return endpoint
 
 
 def parse_endpoint_list(document: Any) -> EndpointList:
-    """Read one answer of discovery.
+    """Parse one answer of discovery.
 
     Raises:
-        MalformedInputError: The answer cannot be read.
+        MalformedInputError: A field is missing or malformed.
     """
     return EndpointList(
         require_field(document, "seq", int),
@@ -225,9 +268,9 @@
 def without_toggled_fleet(
     old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> tuple[Mapping[str, Any], Mapping[str, Any]]:
-    """Return both without `fleet` where only one has it.
+    """Remove `fleet` from both documents if only one of them has it.
 
-    To add or to remove it is no fault; it waits for a restart.
+    To add or remove the object is allowed, but takes effect only at a restart.
     """
     if (old.get("fleet") is None) is (new.get("fleet") is None):
         return old, new
@@ -239,10 +282,14 @@
 
 
 def first_missing_key(old: Any, new: Any, path: str = "") -> str:
-    """Return the path of the first key that the old file has and the new one lacks.
+    """Return the path of the first key that is in the old document but not in the new.
+
+    In a list of objects, each new entry needs the keys that all old entries have.
+    Without this check, a truncated file would be accepted, with defaults in place of
+    the missing keys.
 
-    Each named entry needs the keys that all of the old entries share. Without this
-    check, a default would stand in for what was cut off. Returns "" if none is missing.
+    Returns:
+        The path; "" if no key is missing.
     """
     if isinstance(old, Mapping):
         return _missing_in_object(old, new, path)
@@ -255,13 +302,13 @@
     if not isinstance(new, Mapping):
         return path
     for key, value in old.items():
-        name = f"{path}.{key}".lstrip(".")
+        key_path = f"{path}.{key}".lstrip(".")
         if key not in new:
-            if name in OPTIONAL_KEYS:
+            if key_path in OPTIONAL_KEYS:
                 continue
-            return name
+            return key_path
         if value is not None:
-            missing = first_missing_key(value, new[key], name)
+            missing = first_missing_key(value, new[key], key_path)
             if missing:
                 return missing
     return ""
@@ -270,19 +317,19 @@
 def _missing_in_entries(old: list[Mapping[str, Any]], new: Any, path: str) -> str:
     if not isinstance(new, list):
         return path
-    shared = set.intersection(*(set(entry) for entry in old))
+    shared_keys = set.intersection(*(set(entry) for entry in old))
     for entry in new:
-        for key in sorted(shared):
-            name = f"{path}[].{key}"
+        for key in sorted(shared_keys):
+            key_path = f"{path}[].{key}"
             if not isinstance(entry, Mapping) or (
-                key not in entry and name not in OPTIONAL_KEYS
+                key not in entry and key_path not in OPTIONAL_KEYS
             ):
-                return name
+                return key_path
     return ""
 
 
 def load_replacement(old: Config, environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration again.
+    """Load a configuration that is to replace the old one.
 
     Raises:
         ConfigError: It is invalid, or lacks a key that the old one has.
@@ -295,10 +342,10 @@
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration from the file that LB_CONFIG names.
+    """Load the configuration from the file that LB_CONFIG names.
 
-    The environment's values take precedence over the file's, except for discovery's
-    address.
+    Values in the environment take precedence over those in the file, except for
+    discovery's address.
 
     Raises:
         ConfigError: It is missing or invalid.
@@ -314,15 +361,15 @@
 
 
 def parse_config(document: Any, environ: Mapping[str, str], origin: str = "") -> Config:
-    """Read the configuration from a file's document and the environment.
+    """Parse the configuration from a file's document and the environment.
 
     Args:
-        document: The JSON of the file.
-        environ: The environment.
-        origin: Names the file in an error, with a space in front.
+        document: The decoded JSON of the file.
+        environ: The environment variables.
+        origin: " in PATH", which errors append to name the file; or "".
 
     Raises:
-        ConfigError: It is invalid.
+        ConfigError: The configuration is invalid.
     """
     try:
         return _read_config(document, environ)
@@ -334,9 +381,9 @@
 
 
 def _read_config(document: Any, environ: Mapping[str, str]) -> Config:
-    """Read the configuration; faults are raised as the readers of its parts do."""
+    """Parse the configuration; errors of the parts' parsers are not converted."""
     limits = document.get("limits") or {}
-    facts = require_field(document, "settings", dict)
+    raw_settings = require_field(document, "settings", dict)
     state = environ.get("LB_STATE")
     admin = environ.get("LB_ADMIN_ADDR") or document.get("admin_addr")
     name = environ.get("LB_NAME") or require_field(document, "name", str)
@@ -347,8 +394,8 @@
         listen=parse_address(
             environ.get("LB_LISTEN") or require_field(document, "listen", str)
         ),
-        # The file takes precedence: it can be replaced while the process runs
-        # (SIGHUP), its environment cannot.
+        # The file takes precedence, because it can be replaced while the process runs
+        # (SIGHUP), unlike the environment.
         discovery=parse_address(
             document.get("discovery") or environ.get("LB_DISCOVERY")
         ),
@@ -360,8 +407,8 @@
         known_endpoints=parse_endpoint_list(
             document.get("known") or {"seq": -1, "whole": True, "hosts": []}
         ),
-        settings=parse_settings(facts),
-        report_fields=load_report_fields(facts.get("telemetry") or {}),
+        settings=parse_settings(raw_settings),
+        report_fields=load_report_fields(raw_settings.get("telemetry") or {}),
         admin=parse_address(admin) if admin else None,
         inherited_fd=parse_descriptor(environ.get("LB_INHERITED_FD")),
         power=parse_durability(document.get("durability", "process")),
--- a/rainfall/forwarder/config/validation.py
+++ b/rainfall/forwarder/config/validation.py
@@ -1,7 +1,7 @@
-"""Validation of a configuration before anything of it is applied.
+"""Validation of a configuration that is to replace the active one.
 
-It names every fault with its path, what would change, and what needs a restart. See
-docs/parts.md.
+The report has every fault with its path, the changes, and the keys whose change needs a
+restart. Nothing is applied. See docs/parts.md.
 """
 
 from __future__ import annotations
@@ -32,17 +32,19 @@
     from rainfall.forwarder.config.fleet_config import FleetConfig
 
 PER_FORWARDER_KEYS = ("name", "listen", "admin_addr", "known", "seed")
-"""Keys that differ from forwarder to forwarder."""
+"""Keys whose values differ between forwarders; the digest ignores them."""
 PER_FORWARDER_FLEET_KEYS = ("name", "site", "listen", "peers")
-"""Such keys within `fleet`."""
+"""The same within `fleet`."""
 MAX_REPORTED = 1_024
-"""Faults, warnings and changes that are named, each; about 100 bytes apiece."""
+"""Limit of the faults, of the warnings and of the changes in a report; each takes about
+100 bytes.
+"""
 MAX_DEPTH = 60
-"""Objects within each other that are looked at."""
+"""Nesting depth of the objects and lists whose contents are checked."""
 RESTART_FIELDS = ("name", "listen", "state", "admin", "power", "log_json")
-"""Fields of Config that only a restart changes."""
+"""Fields of Config whose change takes effect only at a restart."""
 KEY_BY_FIELD = {"admin": "admin_addr", "power": "durability", "log_json": "log_format"}
-"""Keys of the file, for the fields of Config that have another name."""
+"""Keys in the file, by field of Config, where the two names differ."""
 KNOWN_KEYS = {
     "": {
         "name",
@@ -82,7 +84,7 @@
     },
     "settings.orgs[]": {"name", "allowance_per_s", "fraction"},
 }
-"""Keys by the path of their object: any other one there gets a warning."""
+"""Known keys by the path of their object; other keys in it are reported as warnings."""
 POSITIVE_KEYS = {
     "settings.services[].aim_us",
     "settings.services[].deadline_us",
@@ -100,26 +102,28 @@
 
 @dataclass(slots=True)
 class ValidationReport:
-    """What is wrong with a configuration, and what it would change."""
+    """The faults of a configuration, and the changes that it would make."""
 
     parse_error: str = ""
-    """Why it cannot be read at all; empty if it can."""
+    """Why the text is not a JSON object; empty if it is."""
     faults: list[dict[str, str]] = field(default_factory=list)
-    """As operators get them, with the keys `path` and `fault`."""
+    """Faults as JSON, with the keys `path` and `fault`; at most MAX_REPORTED."""
     warnings: list[str] = field(default_factory=list)
+    """Keys that are unknown to this version."""
     changes: list[str] = field(default_factory=list)
+    """Paths of the values that differ from the active ones, some with an entry's name."""
     needs_restart: list[str] = field(default_factory=list)
-    """Keys whose change needs a restart."""
+    """Keys whose change takes effect only at a restart."""
     config: Config | None = None
-    """The configuration itself, if it is valid."""
+    """The parsed configuration, if it is valid."""
     faults_by_path: dict[str, set[str]] = field(default_factory=dict, repr=False)
     """Texts of the faults by path."""
 
     def add_fault(self, path: str, text: str) -> None:
-        """Add a fault, unless it is known or too many are."""
-        known = self.faults_by_path.setdefault(path, set())
-        if len(self.faults) < MAX_REPORTED and text not in known:
-            known.add(text)
+        """Add a fault, unless it is a duplicate or MAX_REPORTED is reached."""
+        texts = self.faults_by_path.setdefault(path, set())
+        if len(self.faults) < MAX_REPORTED and text not in texts:
+            texts.add(text)
             self.faults.append(_fault_to_json(ConfigFault(path, text)))
 
     @property
@@ -128,7 +132,7 @@
         return not self.parse_error and not self.faults
 
     def to_json(self) -> dict[str, Any]:
-        """Return the report as operators get it."""
+        """Return the report as JSON data, as `/_config/check` answers it."""
         if self.parse_error:
             return {
                 "valid": False,
@@ -148,13 +152,14 @@
 
 
 class NonFiniteConstant:
-    """Stands for NaN or Infinity, which Python's reader accepts though JSON has none."""
+    """Placeholder for NaN or Infinity, which Python's parser accepts but JSON does not."""
 
 
 class JsonObject(dict[str, Any]):
-    """A JSON object that knows which of its keys came twice."""
+    """A JSON object, with the keys that its text has more than once."""
 
     duplicate_keys: tuple[str, ...] = ()
+    """Sorted; the object holds the last value of each."""
 
 
 def _to_non_finite(name: str) -> NonFiniteConstant:
@@ -173,9 +178,10 @@
 
 
 def config_digest(raw: Mapping[str, Any]) -> str:
-    """Return a digest that is equal for forwarders that run the same configuration.
+    """Return a SHA-256 digest, which is equal for forwarders with the same configuration.
 
-    It does not depend on how the file is written.
+    Keys that differ between forwarders are left out, and the file's layout and the
+    order of keys have no effect.
     """
     shared = {key: value for key, value in raw.items() if key not in PER_FORWARDER_KEYS}
     if isinstance(shared.get("fleet"), Mapping):
@@ -190,17 +196,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveConfig:
-    """Which configuration is active, and since when."""
+    """The identity of the active configuration, for operators."""
 
     digest: str
+    """From `config_digest`."""
     origin: str
-    """How it became active."""
+    """What made it active: `start` or `SIGHUP`."""
     since_s: float
-    """Unix time."""
+    """When it became active, in Unix time."""
 
     def to_json(self) -> dict[str, str]:
-        """Return the report as operators get it."""
-        # Imported here, as few processes are ever asked.
+        """Return the JSON data that `/_config` answers."""
+        # Imported only here, because most processes never answer this request.
         from datetime import UTC, datetime
 
         since = datetime.fromtimestamp(self.since_s, UTC).isoformat(
@@ -212,7 +219,13 @@
 def validate_replacement(
     text: bytes, old: Config, environ: Mapping[str, str] = os.environ
 ) -> ValidationReport:
-    """Validate the text of a file that is to replace the active configuration."""
+    """Validate the text of a file that is to replace the active configuration.
+
+    Args:
+        text: The file's content.
+        old: The active configuration.
+        environ: The environment variables, which `loading.load` describes.
+    """
     report = ValidationReport()
     try:
         document = json.loads(
@@ -229,21 +242,21 @@
         _check_value(report, path, value)
     _compare(report, "", *without_toggled_fleet(old.raw, {**document, "known": None}))
     _check_fleet(report, document, old)
-    # The reader itself decides in the end.
+    # The checks above are not complete: parsing decides whether it is valid.
     if not report.faults:
         try:
             report.config = parse_config(document, environ)
         except ConfigError as error:
             report.add_fault("", str(error))
     if report.config is not None:
-        _note_restart(report, old, report.config)
+        _report_restart(report, old, report.config)
     return report
 
 
 def _check_fleet(
     report: ValidationReport, document: Mapping[str, Any], old: Config
 ) -> None:
-    """Add the faults of `fleet`, except at paths that have one already."""
+    """Add the faults of `fleet`, except at paths that already have a fault."""
     try:
         parse_fleet_section(document.get("fleet"), old.name)
     except FleetConfigError as error:
@@ -254,8 +267,8 @@
         report.add_fault("fleet", str(error))
 
 
-def _note_restart(report: ValidationReport, old: Config, new: Config) -> None:
-    """Note what the new configuration changes only at a restart."""
+def _report_restart(report: ValidationReport, old: Config, new: Config) -> None:
+    """Set the report's keys whose change takes effect only at a restart."""
     report.needs_restart = [
         KEY_BY_FIELD.get(name, name)
         for name in RESTART_FIELDS
@@ -270,9 +283,11 @@
 def merge_fleet(
     active: FleetConfig | None, new: FleetConfig | None
 ) -> tuple[FleetConfig | None, list[str]]:
-    """Return what can be active now of a new `fleet`, and the paths that need a restart.
+    """Apply those values of a new `fleet` object that need no restart.
 
-    Where it is added or removed, that is all of it.
+    Returns:
+        The `fleet` configuration that can be active now, and the changed paths that
+        need a restart: `fleet` itself if the object is added or removed.
     """
     if active is None or new is None:
         return active, [] if active is new else ["fleet"]
@@ -284,7 +299,10 @@
 def walk_values(
     value: Any, path: str = "", depth: int = 0
 ) -> Iterator[tuple[str, Any]]:
-    """Yield each value with its path, outer ones first."""
+    """Yield each value of a document with its path, a container before its contents.
+
+    Values more than MAX_DEPTH + 1 levels deep are left out.
+    """
     yield path, value
     if depth > MAX_DEPTH:
         return
@@ -292,12 +310,12 @@
         for key, inner in value.items():
             yield from walk_values(inner, f"{path}.{key}".lstrip("."), depth + 1)
     elif isinstance(value, list):
-        for n, inner in enumerate(value):
-            yield from walk_values(inner, f"{path}[{n}]", depth + 1)
+        for index, inner in enumerate(value):
+            yield from walk_values(inner, f"{path}[{index}]", depth + 1)
 
 
 def generalize_path(path: str) -> str:
-    """Return a path without the places in lists."""
+    """Return a path without list indexes: `budgets[3].calls` gives `budgets[].calls`."""
     return re.sub(r"\[[0-9]+\]", "[]", path)
 
 
@@ -306,16 +324,16 @@
 
 
 def _check_value(report: ValidationReport, path: str, value: Any) -> None:
-    """Check one value by itself."""
+    """Check one value by itself: keys of an object, range of a number."""
     if isinstance(value, JsonObject):
         for name in value.duplicate_keys:
             report.add_fault(_join(path, name), "the key stands there twice")
-        known = KNOWN_KEYS.get(generalize_path(path))
-        if known is not None:
+        known_keys = KNOWN_KEYS.get(generalize_path(path))
+        if known_keys is not None:
             report.warnings += [
                 _join(path, name) + ": not known to this version"
                 for name in value
-                if name not in known
+                if name not in known_keys
             ]
     elif isinstance(value, NonFiniteConstant) or (
         isinstance(value, float) and not math.isfinite(value)
@@ -330,6 +348,7 @@
 
 
 def _json_kind(value: Any) -> str:
+    """Return a value's JSON type, as faults name it."""
     kinds: tuple[tuple[Any, str], ...] = (
         (bool, "true or false"),
         (int | float, "a number"),
@@ -344,9 +363,10 @@
 
 
 def _compare(report: ValidationReport, path: str, old: Any, new: Any) -> None:
-    """Note how a value differs from the active one.
+    """Report how a value differs from the active one.
 
-    Missing keys and other types are faults, as at SIGHUP; other values are changes.
+    Missing keys and values of another type are faults, because a reload rejects them;
+    other differences are changes.
     """
     if old is None:
         if new is not None:
@@ -364,7 +384,7 @@
 
 
 def _is_named_list(value: Any) -> bool:
-    """Whether a value is a list of objects that have names."""
+    """Whether a value is a non-empty list of objects, each with a `name`."""
     return (
         isinstance(value, list)
         and bool(value)
@@ -375,6 +395,7 @@
 def _compare_objects(
     report: ValidationReport, path: str, old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> None:
+    """Report missing, added and changed keys of an object."""
     for key in [*old, *(key for key in new if key not in old)]:
         key_path = _join(path, key)
         if key not in new:
@@ -391,16 +412,19 @@
 def _compare_named(
     report: ValidationReport, path: str, old: list[Any], new: list[Any]
 ) -> None:
-    """Compare entries by name; each needs the keys that all active ones share."""
-    shared = set.intersection(*(set(entry) for entry in old))
+    """Compare the entries of two lists by name; their order has no effect.
+
+    Each new entry needs the keys that all active entries have.
+    """
+    shared_keys = set.intersection(*(set(entry) for entry in old))
     old_by_name = {entry["name"]: entry for entry in old}
     names: list[Any] = []
-    for n, entry in enumerate(new):
-        entry_path = f"{path}[{n}]"
+    for index, entry in enumerate(new):
+        entry_path = f"{path}[{index}]"
         if not isinstance(entry, Mapping):
             report.add_fault(entry_path, f"{_json_kind(entry)} in place of an object")
             continue
-        for key in sorted(shared - set(entry)):
+        for key in sorted(shared_keys - set(entry)):
             if generalize_path(f"{entry_path}.{key}") not in OPTIONAL_KEYS:
                 report.add_fault(f"{entry_path}.{key}", "missing")
         name = entry.get("name")
