--- a/rainfall/forwarder/config/loading.py
+++ b/rainfall/forwarder/config/loading.py
@@ -230,7 +230,7 @@
     """Parse one element of discovery's list.
 
     Raises:
-        MalformedInputError: A field is missing or malformed.
+        MalformedInputError: A field is missing, malformed or out of range.
     """
     health = require_field(raw, "health", str)
     if health not in WIRE_STATE_BY_HEALTH:
--- a/rainfall/forwarder/fleet/heartbeat_messages.py
+++ b/rainfall/forwarder/fleet/heartbeat_messages.py
@@ -17,6 +17,7 @@
 
 NonNegativeInt = Annotated[int, Meta(ge=0, lt=1 << 53)]
 IntPair = Annotated[list[NonNegativeInt], Meta(min_length=2, max_length=2)]
+"""[epoch, number] of a fencing token, or [epoch, version] of the member list."""
 Milliseconds = Annotated[int, Meta(ge=1, lt=1 << 42)]
 
 
@@ -58,7 +59,7 @@
     error: str = ""
     """`lost`: the lease has ended; `held`: the name is held, or not known to be free."""
     retry_ms: NonNegativeInt = 0
-    """When to send the next heartbeat, from now."""
+    """Delay until the next heartbeat."""
     seen: IntPair | None = None
     """The highest fencing token that the service has seen for this name."""
     faults: list[str] = []
--- a/rainfall/forwarder/handover/messages.py
+++ b/rainfall/forwarder/handover/messages.py
@@ -25,7 +25,7 @@
 from rainfall.forwarder.inbound.server import SubmittedMessage
 
 HandoverMessage = dict[str, Any]
-"""A decoded line, or a part of one."""
+"""JSON data: a decoded line, or a snapshot within one."""
 
 
 class RetryAfter(NamedTuple):
