--- a/rainfall/lease/__init__.py
+++ b/rainfall/lease/__init__.py
@@ -1,5 +1,5 @@
-"""Leases by name with fencing tokens.
+"""Named leases with fencing tokens.
 
-The service's table (`table.py`), the holder's view of its lease (`holder.py`) and the
-guard of the resource that a lease protects (`fencing.py`).
+`table.py` is the service's lease table, `holder.py` the holder's state of its lease,
+and `fencing.py` the token check at the resource that a lease protects.
 """
--- a/rainfall/lease/fencing.py
+++ b/rainfall/lease/fencing.py
@@ -1,4 +1,4 @@
-"""The guard of a resource: it serves no token below the highest seen for the name."""
+"""Fencing check of a resource: tokens below the highest seen for a name are rejected."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from rainfall.lease.types import CONFLICT, LeaseRejectedError
 
 GUARDED_NAMES_LIMIT = 10_000
-"""Names whose highest token is remembered apart."""
+"""Names for which the highest token is stored separately."""
 
 
 class FencingGuard:
     """The highest token seen for each name, for `max_names` names at most.
 
-    Past that the least recently seen name is forgotten and its token raises the floor:
-    an unknown name is rejected below the floor, never served on trust.
+    Beyond `max_names` the least recently seen name is evicted and the floor is raised to
+    its token. A name that is not stored is checked against the floor, so an evicted name
+    never accepts a token below one it has seen.
     """
 
     def __init__(self, max_names: int = GUARDED_NAMES_LIMIT) -> None:
@@ -29,11 +30,12 @@
         """Check a token before the guarded action.
 
         Returns:
-            Whether the token is higher than any before. If so, and if the guard has to
-            outlive a crash, persist a snapshot before acting.
+            Whether the token differs from the one stored for the name. If it does, and
+            the guard has to survive a crash, persist a snapshot before acting.
 
         Raises:
-            LeaseRejectedError: 409, with the higher token that was seen.
+            LeaseRejectedError: 409, the token is below the required one, which the
+                error carries.
         """
         required = self.required_token(name)
         if token < required:
@@ -46,18 +48,18 @@
         return is_higher
 
     def required_token(self, name: str) -> Token:
-        """The lowest token that is served for this name."""
+        """The lowest token that is accepted for this name."""
         return self._highest_tokens.get(name, self.floor)
 
     def highest(self) -> Token:
         """The highest token of all names.
 
-        The lease service is sent it, so that it grants nothing below.
+        It is sent to the lease service, which then grants no token below it.
         """
         return max(self._highest_tokens.values(), default=self.floor)
 
     def snapshot(self) -> dict[str, Any]:
-        """All that a restart needs, for JSON."""
+        """The guard's state as a JSON object, for `from_snapshot`."""
         return {
             "floor": self.floor.to_wire(),
             "seen": [
@@ -72,7 +74,7 @@
         """Restore a guard from its snapshot.
 
         Raises:
-            KeyError, TypeError, ValueError: `raw` is no snapshot of a guard.
+            KeyError, TypeError, ValueError: `raw` is not a guard snapshot.
         """
         guard = FencingGuard(max_names)
         guard.floor = Token.from_wire(raw["floor"])
@@ -83,5 +85,5 @@
 
     def _trim(self) -> None:
         while len(self._highest_tokens) > self.max_names:
-            _, forgotten = self._highest_tokens.popitem(last=False)
-            self.floor = max(self.floor, forgotten)
+            _, evicted_token = self._highest_tokens.popitem(last=False)
+            self.floor = max(self.floor, evicted_token)
--- a/rainfall/lease/fencing_token.py
+++ b/rainfall/lease/fencing_token.py
@@ -1,4 +1,4 @@
-"""The fencing token: of two for one name, the higher is the later one."""
+"""Fencing tokens: of two tokens for one name, the higher was granted later."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 from typing import Any
 
 TOKEN_PART_LIMIT = 1 << 53
-"""Both numbers stay below it: every JSON reader represents them exactly."""
+"""Exclusive limit of both numbers: every JSON parser represents them exactly."""
 TOKEN_PARTS = 2
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Token:
-    """A fencing token; for one name it only grows.
+    """A fencing token; each grant for a name has a higher token than the one before.
 
-    `epoch` tells the histories of the lease service apart, `number` counts within one.
+    `epoch` identifies a history of the lease service's folder, `number` counts the
+    records within a history.
     """
 
     epoch: int
@@ -29,7 +30,7 @@
         """Decode `[epoch, number]`.
 
         Raises:
-            ValueError: `raw` is no token.
+            ValueError: `raw` is not a list of two integers from 0 below 2**53.
         """
         if (
             not isinstance(raw, list)
@@ -39,10 +40,10 @@
             )
         ):
             raise ValueError(
-                "a token is [epoch, number], whole numbers from 0 below 2**53"
+                "a token must be [epoch, number], whole numbers from 0 below 2**53"
             )
         return Token(*raw)
 
 
 ZERO_TOKEN = Token(0, 0)
-"""Below every token that is granted."""
+"""Lower than every granted token."""
--- a/rainfall/lease/holder.py
+++ b/rainfall/lease/holder.py
@@ -1,4 +1,4 @@
-"""The holder's own view of its lease: whether it may act now, by its own clock alone."""
+"""The holder's state of a lease: whether it is valid by the holder's own clock."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from rainfall.lease.types import holder_validity_us
 
 MAX_PENDING_REQUESTS = 8
-"""Requests under way; answers to older ones come too late to be of use."""
+"""Requests without an answer yet; answers to older ones arrive too late to be useful."""
 INITIAL_BACKOFF_US = 50_000
-"""The first delay after a failure is drawn from 0 to this."""
+"""Upper limit of the random delay after the first failure."""
 BACKOFF_DOUBLINGS_LIMIT = 20
-"""The backoff doubles so often at most; the lease limits it long before."""
+"""Most times that the backoff doubles; the renewal interval limits it long before."""
 RENEWALS_PER_LEASE = 3
-"""Two more attempts fit in after a renewal that gets no answer."""
+"""Renewals sent in the validity of a lease: one without an answer can be retried twice."""
 RENEWAL_JITTER_DIVISOR = 4
-"""A renewal is sent earlier by up to this part of the interval."""
+"""A renewal is sent earlier by a random time of up to interval / this."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """One request, recorded before it is sent."""
+    """A request to acquire or renew the lease, recorded before it is sent."""
 
     number: int
     sent_at_us: int
     token: Token | None
-    """None where a lease is acquired, not renewed."""
+    """The token to renew; None to acquire a lease."""
     highest_seen: Token
 
 
@@ -46,16 +46,16 @@
         self._random = random
         self.token: Token | None = None
         self.valid_until_us = 0
-        """From then on nothing is done under the lease."""
+        """End of the lease by this clock: from this time on `may_act` is false."""
         self.next_renewal_us = 0
         """When to send the next request."""
         self.highest_seen = ZERO_TOKEN
         """The highest token seen anywhere.
 
-        It goes with every request and raises the epoch of a service that is behind.
+        It is sent with every request; a service whose epoch is lower raises its epoch.
         """
         self._ended_through = ZERO_TOKEN
-        """This token and all below have ended, whatever answer arrives late."""
+        """This token and all lower ones have ended; late answers with them are ignored."""
         self._pending_requests: dict[int, LeaseRequest] = {}
         self._last_request = 0
         self._last_answered = 0
@@ -65,15 +65,15 @@
     def may_act(self, now_us: int) -> bool:
         """Whether the lease is valid.
 
-        Ask again right before each guarded action, and send `token` with it.
+        Call this right before each guarded action, and send `token` with the action.
         """
         self._advance_clock(now_us)
         return self._is_valid(now_us)
 
     def invalidate(self) -> None:
-        """Distrust the clock: it went back, or the machine slept.
+        """Discard the validity because the clock went back or the machine was suspended.
 
-        No request or answer so far counts; the lease is valid again only after the
+        Requests without an answer are discarded; the lease is valid again only after the
         answer to a new request.
         """
         self.valid_until_us = 0
@@ -81,16 +81,16 @@
         self._pending_requests.clear()
 
     def on_fenced(self, seen: Token) -> None:
-        """The guarded resource has seen a higher token (409): this one has ended."""
+        """Handle a 409 from the guarded resource: a token below `seen` has ended."""
         self.highest_seen = max(self.highest_seen, seen)
         if self.token is not None and self.token < seen:
             self._end_token(self.token)
 
     def relinquish(self) -> Token | None:
-        """Stop acting under the token for good.
+        """Give up the lease: its token is never valid again.
 
         Returns:
-            The token, to be released at the service; None where there is none.
+            The token, to be released at the service; None without a lease.
         """
         token = self.token
         self.highest_seen = max(self.highest_seen, token or ZERO_TOKEN)
@@ -99,7 +99,7 @@
         return token
 
     def start_request(self, now_us: int) -> LeaseRequest:
-        """Record a request before it is sent: the lease counts from this moment."""
+        """Record a request before it is sent: the lease's validity is counted from now."""
         self._advance_clock(now_us)
         self._last_request += 1
         request = LeaseRequest(
@@ -115,11 +115,11 @@
     def on_granted(
         self, now_us: int, request_number: int, token: Token, ttl_us: int
     ) -> bool:
-        """Take an answer that grants or renews the lease.
+        """Handle an answer that grants or renews the lease.
 
         Returns:
-            False where the answer does not count: its request is not known, a later one
-            was answered, or its token has ended.
+            False if the answer is ignored: its request is unknown, a later request was
+            answered, or its token has ended or is lower than the current one.
         """
         self._advance_clock(now_us)
         request = self._pending_requests.pop(request_number, None)
@@ -142,9 +142,9 @@
     def on_rejected(
         self, now_us: int, request_number: int, seen: Token = ZERO_TOKEN
     ) -> None:
-        """Take a 409 for the token of a request.
+        """Handle a 409 for the token of a request.
 
-        The token has ended at once and for good, in whatever order answers arrive.
+        The token has ended for good, in whatever order answers arrive.
         """
         self._advance_clock(now_us)
         request = self._pending_requests.pop(request_number, None)
@@ -154,18 +154,22 @@
             self.next_renewal_us = now_us + self._random_delay_us()
 
     def on_unavailable(self, now_us: int, request_number: int, retry_us: int) -> None:
-        """Take an answer that neither grants nor ends anything.
+        """Handle an answer that neither grants nor ends a lease.
 
-        A lease that is held expires as it would. The next request is sent after
-        `retry_us` and a random delay, so that those who wait for the same moment do not
-        all come at once.
+        The expiry of a held lease is unchanged. The next request is sent after
+        `retry_us` and a random delay, so that holders waiting for the same time do not
+        all send at once.
         """
         self._advance_clock(now_us)
         self._pending_requests.pop(request_number, None)
         self.next_renewal_us = now_us + retry_us + self._random_delay_us()
 
     def on_no_answer(self, now_us: int) -> None:
-        """Retry with full jitter, at most one renewal interval later."""
+        """Handle a request that failed without an answer.
+
+        The retry is scheduled with exponential backoff and full jitter, at most one
+        renewal interval from now.
+        """
         self._advance_clock(now_us)
         self._failure_count += 1
         doublings = min(self._failure_count - 1, BACKOFF_DOUBLINGS_LIMIT)
--- a/rainfall/lease/model.py
+++ b/rainfall/lease/model.py
@@ -1,9 +1,9 @@
 """A model of leases for the model checker: two holders, a service, a guarded resource.
 
-The lease classes are those that the processes run. Around them: messages that are lost,
-duplicated and late without bound; clocks that run a quarter apart; a service that is
-killed and restarted with its folder complete, lost, or two versions old; and holders
-that may stop between the check and the guarded action for as long as the search lasts.
+The lease classes are the production ones. The model adds messages that are lost,
+duplicated and delayed without bound; clocks whose rates differ by a quarter; a service
+that is killed and restarted with its folder complete, lost, or two versions old; and
+holders that may pause for any time between the check and the guarded action.
 """
 
 from __future__ import annotations
@@ -25,53 +25,56 @@
 from rainfall.model_checker.network import Network
 
 MUTATIONS = (
-    "no margin",
-    "from the answer",
-    "restart forgets",
-    "no wait",
-    "no lift",
-    "no guard",
-    "told unwritten",
+    "no drift margin",
+    "validity from answer",
+    "restart drops leases",
+    "no start wait",
+    "no epoch raise",
+    "no token check",
+    "grant answered unwritten",
 )
 NAME, TTL, DRIFT = "x", 8, 0.25
 SERVICE_RATE = 4
-"""What the service's clock shows of one tick."""
+"""Microseconds that pass on the service's clock in one tick."""
 RATES = (3, 4)
-"""The same of the holders' clocks; the first holder's is the slow one."""
+"""Microseconds that pass on each holder's clock in one tick; the first is slower."""
 T = TypeVar("T", LeaseTable, LeaseHolder, FencingGuard)
-Ask = tuple[str, int, int, Token | None, Token]
+RequestMessage = tuple[str, int, int, Token | None, Token]
+"""(kind, holder index, request number, token, highest token seen)."""
 
 
 class HolderTimedFromAnswer(LeaseHolder):
-    """Planted fault: the lease counts from its answer, not from its request."""
-
-    def on_granted(self, now_us: int, sent: int, token: Token, ttl_us: int) -> bool:
-        """Take an answer that grants or renews the lease."""
-        if sent in self._pending_requests:
-            self._pending_requests[sent] = replace(
-                self._pending_requests[sent], sent_at_us=now_us
+    """Mutation: the validity is counted from the answer instead of the request."""
+
+    def on_granted(
+        self, now_us: int, request_number: int, token: Token, ttl_us: int
+    ) -> bool:
+        """Handle a grant as if its request had been sent now."""
+        if request_number in self._pending_requests:
+            self._pending_requests[request_number] = replace(
+                self._pending_requests[request_number], sent_at_us=now_us
             )
-        return super().on_granted(now_us, sent, token, ttl_us)
+        return super().on_granted(now_us, request_number, token, ttl_us)
 
 
 class TableWithoutWait(LeaseTable):
-    """Planted fault: grants begin at once after an unknown history."""
+    """Mutation: grants begin at once after an incomplete history."""
 
     def _delay_grants(self) -> None:
         self._grants_from_us = self._started_at_us
 
 
 class TableWithoutEpochRaise(LeaseTable):
-    """Planted fault: a token seen elsewhere does not raise the epoch."""
+    """Mutation: a token of another history does not raise the epoch."""
 
     def observe_token(self, seen: Token) -> Record | None:
-        """Ignore a token that a client has seen."""
+        """Ignore the token."""
         del seen
         return None
 
 
 class GuardWithoutCheck(FencingGuard):
-    """Planted fault: every token is served."""
+    """Mutation: every token is accepted."""
 
     def check(self, name: str, token: Token) -> bool:
         """Accept any token."""
@@ -80,44 +83,44 @@
 
 
 class ModelState(NamedTuple):
-    """Never changed once made: holders, table and guard are copied before a change."""
+    """A state; immutable: holders, table and guard are copied before a change."""
 
     table: LeaseTable
     disk: tuple[dict[str, Any], ...]
-    """The folder as it was two versions ago, one ago, and as it is."""
+    """The folder's snapshots: two versions old, one version old, current."""
     holders: tuple[LeaseHolder, ...]
     checked: tuple[Token | None, ...]
-    """The token each holder checked and has yet to act under."""
-    net: Network
+    """Each holder's token between the validity check and the guarded action."""
+    network: Network
     guard: FencingGuard
     tick: int = 0
-    asks: tuple[int, ...] = (0, 0)
+    requests_sent: tuple[int, ...] = (0, 0)
     starts: int = 1
-    told: Token = ZERO_TOKEN
-    """Highest that a client told the service since its folder last failed it."""
-    given: Token = ZERO_TOKEN
-    """Highest that was ever granted."""
-    served: tuple[Token, int] = (ZERO_TOKEN, -1)
-    """Highest that the resource served, and for whom."""
-    why: str = ""
+    highest_reported: Token = ZERO_TOKEN
+    """Highest token sent to the service since it last restarted without a complete folder."""
+    highest_granted: Token = ZERO_TOKEN
+    """Highest token ever granted."""
+    highest_served: tuple[Token, int] = (ZERO_TOKEN, -1)
+    """Highest token that the resource accepted, and the index of its holder."""
+    violation: str = ""
 
 
 class LeaseModel:
-    """The steps that may happen, and what must hold.
+    """The steps and invariants of the model.
 
-    States that differ only in when they are reached count as one, so that a search can
-    be complete. The parameters limit what may happen.
+    States that differ only in absolute time count as one, so that a search can be
+    complete. The parameters limit which steps are possible.
 
     Args:
         bug: One of `MUTATIONS`, or none.
-        wall: The wall clock goes on: the service's hint grows with each start. Without
-            it there is no hint.
-        unnoticed: An older copy of the folder is taken for the complete one.
-        asks: Requests of each holder.
-        starts: Starts of the service.
-        copies: Messages that may be duplicated.
-        lets_go: Holders may relinquish their lease.
-        held: The first holder has its lease at the start, requested just now.
+        wall: Each start passes a higher `min_epoch`, as by a wall clock; otherwise
+            `min_epoch` is 0.
+        unnoticed: A start with an older copy of the folder counts as `sure`.
+        asks: Most requests of each holder.
+        starts: Most starts of the service.
+        copies: Most messages that may be duplicated.
+        may_relinquish: Holders may relinquish their lease.
+        held: The first holder has a lease at the start, requested at time 0.
     """
 
     def __init__(
@@ -128,41 +131,43 @@
         asks: tuple[int, int] = (2, 1),
         starts: int = 2,
         copies: int = 0,
-        lets_go: bool = False,
+        may_relinquish: bool = False,
         held: bool = False,
     ) -> None:
         if bug not in ("", *MUTATIONS):
-            raise ValueError(f"no such bug: {bug}")
+            raise ValueError(f"unknown mutation: {bug}")
         self.bug, self.wall, self.unnoticed = bug, wall, unnoticed
-        self.asks, self.starts, self.copies, self.lets_go = (
+        self.max_requests, self.max_starts, self.copies, self.may_relinquish = (
             asks,
             starts,
             copies,
-            lets_go,
+            may_relinquish,
         )
         self.held = held
-        self.drift = 0.0 if bug == "no margin" else DRIFT
-        self.terms = LeaseSettings(self.drift, 1, TTL, 4)
+        self.drift = 0.0 if bug == "no drift margin" else DRIFT
+        self.settings = LeaseSettings(self.drift, 1, TTL, 4)
         self.table_class = {
-            "no wait": TableWithoutWait,
-            "no lift": TableWithoutEpochRaise,
+            "no start wait": TableWithoutWait,
+            "no epoch raise": TableWithoutEpochRaise,
         }.get(bug, LeaseTable)
         self.holder_class = (
-            HolderTimedFromAnswer if bug == "from the answer" else LeaseHolder
+            HolderTimedFromAnswer if bug == "validity from answer" else LeaseHolder
+        )
+        self.guard_class = (
+            GuardWithoutCheck if bug == "no token check" else FencingGuard
         )
-        self.guard_class = GuardWithoutCheck if bug == "no guard" else FencingGuard
 
     def start(self) -> ModelState:
-        """A service that has been up for long, with no lease in force.
+        """The initial state: the service's start wait is over.
 
-        A lease of another name was released.
+        A lease of another name was granted and released.
         """
-        table = self.table_class(self.terms)
+        table = self.table_class(self.settings)
         table.commit(table.start(-100, False))
-        made = table.acquire(-50, "y", "C", TTL)
-        assert isinstance(made, LeaseGrant) and made.record
-        table.commit(made.record)
-        table.commit(table.release(-50, "y", made.token))
+        result = table.acquire(-50, "y", "C", TTL)
+        assert isinstance(result, LeaseGrant) and result.record
+        table.commit(result.record)
+        table.commit(table.release(-50, "y", result.token))
         holders = tuple(self.holder_class(TTL, self.drift, lambda: 0.5) for _ in RATES)
         state = ModelState(
             table,
@@ -173,160 +178,207 @@
             self.guard_class(),
         )
         if self.held:
-            ask = holders[0].start_request(0)
-            state = self._serve_request(state, 0, ask.number, None, ZERO_TOKEN)
+            request = holders[0].start_request(0)
+            state = self._serve_request(state, 0, request.number, None, ZERO_TOKEN)
             state = self._deliver(
-                state._replace(net=replace(state.net, in_transit=())),
-                state.net.in_transit[0],
+                state._replace(network=replace(state.network, in_transit=())),
+                state.network.in_transit[0],
             )
         return state
 
     # -- steps
-    # ---------------------------------------------------------------------------------------
 
     def steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
-        """Everything that may happen next."""
+        """Yield every step that is possible, and the state after it."""
         yield "a tick", state._replace(tick=state.tick + 1)
-        for who, name in enumerate("AB"):
-            yield from self._holder_steps(state, who, name)
-        for message, net in state.net.arrivals():
-            yield f"{message} arrives", self._deliver(state._replace(net=net), message)
-        out = state.table.next_expiry_us()
-        if out is not None and out <= self._service_time(state):
-            table = copy_core(state.table)
+        for holder_index, name in enumerate("AB"):
+            yield from self._holder_steps(state, holder_index, name)
+        for message, network in state.network.arrivals():
+            yield (
+                f"{message} arrives",
+                self._deliver(state._replace(network=network), message),
+            )
+        expiry_us = state.table.next_expiry_us()
+        if expiry_us is not None and expiry_us <= self._service_time(state):
+            table = copy_instance(state.table)
             records = table.expire(self._service_time(state))
             yield (
-                "the service ends what is out",
+                "the service ends expired leases",
                 self._write_records(state, table, records, records[-1]),
             )
-        if state.starts < self.starts:
+        if state.starts < self.max_starts:
             yield (
-                "the service starts anew",
+                "the service restarts",
                 self._restart_service(state, state.disk[-1], True),
             )
             yield (
-                "the service starts anew, its folder two versions old",
+                "the service restarts, its folder two versions old",
                 self._restart_service(state, state.disk[0], self.unnoticed),
             )
             yield (
-                "the service starts anew, its folder lost",
+                "the service restarts, its folder lost",
                 self._restart_service(state, None, False),
             )
 
     def _holder_steps(
-        self, state: ModelState, who: int, name: str
+        self, state: ModelState, holder_index: int, name: str
     ) -> Iterator[tuple[str, ModelState]]:
-        now = state.tick * RATES[who]
-        if state.asks[who] < self.asks[who]:
-            holder = copy_core(state.holders[who])
-            ask = holder.start_request(now)
-            net = state.net.send(("ask", who, ask.number, ask.token, ask.highest_seen))
+        now = state.tick * RATES[holder_index]
+        if state.requests_sent[holder_index] < self.max_requests[holder_index]:
+            holder = copy_instance(state.holders[holder_index])
+            request = holder.start_request(now)
+            network = state.network.send(
+                (
+                    "ask",
+                    holder_index,
+                    request.number,
+                    request.token,
+                    request.highest_seen,
+                )
+            )
             yield (
-                f"{name} asks",
-                self._with_holder(state, who, holder)._replace(
-                    net=net, asks=replaced_at(state.asks, who, state.asks[who] + 1)
+                f"{name} sends a request",
+                self._with_holder(state, holder_index, holder)._replace(
+                    network=network,
+                    requests_sent=replaced_at(
+                        state.requests_sent,
+                        holder_index,
+                        state.requests_sent[holder_index] + 1,
+                    ),
                 ),
             )
-        token = state.checked[who]
-        if token is None and state.holders[who]._is_valid(now):
+        token = state.checked[holder_index]
+        if token is None and state.holders[holder_index]._is_valid(now):
             yield (
-                f"{name} checks",
+                f"{name} checks its lease",
                 state._replace(
-                    checked=replaced_at(state.checked, who, state.holders[who].token)
+                    checked=replaced_at(
+                        state.checked, holder_index, state.holders[holder_index].token
+                    )
                 ),
             )
         if token is not None:
             yield (
                 f"{name} acts",
                 self._act_under_token(
-                    state._replace(checked=replaced_at(state.checked, who, None)),
-                    who,
+                    state._replace(
+                        checked=replaced_at(state.checked, holder_index, None)
+                    ),
+                    holder_index,
                     token,
                 ),
             )
         if (
-            self.lets_go
-            and state.holders[who].token is not None
-            and state.asks[who] < self.asks[who]
+            self.may_relinquish
+            and state.holders[holder_index].token is not None
+            and state.requests_sent[holder_index] < self.max_requests[holder_index]
         ):
-            holder = copy_core(state.holders[who])
-            net = state.net.send(("let go", who, 0, holder.relinquish(), ZERO_TOKEN))
+            holder = copy_instance(state.holders[holder_index])
+            network = state.network.send(
+                ("let go", holder_index, 0, holder.relinquish(), ZERO_TOKEN)
+            )
             yield (
-                f"{name} lets go",
-                self._with_holder(state, who, holder)._replace(net=net),
+                f"{name} relinquishes its lease",
+                self._with_holder(state, holder_index, holder)._replace(
+                    network=network
+                ),
             )
 
-    def _act_under_token(self, state: ModelState, who: int, token: Token) -> ModelState:
-        guard, before = copy_core(state.guard), state.served
+    def _act_under_token(
+        self, state: ModelState, holder_index: int, token: Token
+    ) -> ModelState:
+        guard, previous = copy_instance(state.guard), state.highest_served
         try:
             guard.check(NAME, token)
         except LeaseRejectedError as error:
-            holder = copy_core(state.holders[who])
+            holder = copy_instance(state.holders[holder_index])
             holder.on_fenced(error.conflicting_token)
-            return self._with_holder(state, who, holder)
-        why = ""
-        # Without a hint a token may be issued twice, if nobody who saw it sends a
-        # request: only an operator can prevent that.
+            return self._with_holder(state, holder_index, holder)
+        violation = ""
+        # Without `min_epoch` a token may be issued twice if no client that has seen it
+        # sends a request: only an operator can prevent that.
         if self.wall and (
-            token < before[0] or (token == before[0] and who != before[1])
+            token < previous[0]
+            or (token == previous[0] and holder_index != previous[1])
         ):
-            why = f"{token} of {'AB'[who]} was served after {before[0]}"
+            violation = (
+                f"{token} of {'AB'[holder_index]} was accepted after {previous[0]}"
+            )
         return state._replace(
-            guard=guard, served=max(before, (token, who)), why=why or state.why
+            guard=guard,
+            highest_served=max(previous, (token, holder_index)),
+            violation=violation or state.violation,
         )
 
     def _deliver(self, state: ModelState, message: Hashable) -> ModelState:
         assert isinstance(message, tuple)
-        kind, who, sent, token, seen = message
+        kind, holder_index, request_number, token, seen = message
         if kind == "ask":
-            return self._serve_request(state, who, sent, token, seen)
+            return self._serve_request(state, holder_index, request_number, token, seen)
         if kind == "let go":
-            table = copy_core(state.table)
+            table = copy_instance(state.table)
             try:
                 record = table.release(self._service_time(state), NAME, token)
             except LeaseRejectedError:
                 return state
             return self._write_records(state, table, [record], record)
-        holder, now = copy_core(state.holders[who]), state.tick * RATES[who]
+        holder, now = (
+            copy_instance(state.holders[holder_index]),
+            state.tick * RATES[holder_index],
+        )
         if kind == "yes":
-            holder.on_granted(now, sent, token, TTL)
+            holder.on_granted(now, request_number, token, TTL)
         else:
-            holder.on_rejected(now, sent, seen)
-        return self._with_holder(state, who, holder)
+            holder.on_rejected(now, request_number, seen)
+        return self._with_holder(state, holder_index, holder)
 
     def _serve_request(
-        self, state: ModelState, who: int, sent: int, token: Token | None, seen: Token
+        self,
+        state: ModelState,
+        holder_index: int,
+        request_number: int,
+        token: Token | None,
+        seen: Token,
     ) -> ModelState:
-        table, now = copy_core(state.table), self._service_time(state)
-        told = max(state.told, seen, token or ZERO_TOKEN)
+        table, now = copy_instance(state.table), self._service_time(state)
+        highest_reported = max(state.highest_reported, seen, token or ZERO_TOKEN)
         record: Record | None
         answer: tuple[Any, ...] | None = None
         try:
-            made = (
-                table.acquire(now, NAME, "AB"[who], TTL, seen)
+            result = (
+                table.acquire(now, NAME, "AB"[holder_index], TTL, seen)
                 if token is None
                 else table.renew(now, NAME, token, seen)
             )
-            record = made.record
+            record = result.record
         except LeaseRejectedError as error:
             answer, record = (
-                ("no", who, sent, None, error.conflicting_token),
+                ("no", holder_index, request_number, None, error.conflicting_token),
                 error.record,
             )
         else:
-            if isinstance(made, LeaseGrant):
-                answer = ("yes", who, sent, made.token, ZERO_TOKEN)
-        why, given = "", state.given
+            if isinstance(result, LeaseGrant):
+                answer = ("yes", holder_index, request_number, result.token, ZERO_TOKEN)
+        violation, highest_granted = "", state.highest_granted
         if record is not None and record["kind"] == "grant":
-            fresh = Token(record["epoch"], record["n"])
-            if fresh <= (max(given, told) if self.wall else told):
-                why = f"{fresh} was granted, though {max(given, told)} was before"
-            given = max(given, fresh)
+            new_token = Token(record["epoch"], record["n"])
+            if new_token <= (
+                max(highest_granted, highest_reported)
+                if self.wall
+                else highest_reported
+            ):
+                violation = f"{new_token} was granted after {max(highest_granted, highest_reported)}"
+            highest_granted = max(highest_granted, new_token)
         after = self._write_records(
             state, table, [record] if record else [], record or {}
         )
-        net = state.net if answer is None else state.net.send(answer)
-        return after._replace(net=net, told=told, given=given, why=why or state.why)
+        network = state.network if answer is None else state.network.send(answer)
+        return after._replace(
+            network=network,
+            highest_reported=highest_reported,
+            highest_granted=highest_granted,
+            violation=violation or state.violation,
+        )
 
     def _write_records(
         self, state: ModelState, table: LeaseTable, records: list[Record], last: Record
@@ -335,7 +387,7 @@
             table.commit(record)
         disk = state.disk
         if records and not (
-            self.bug == "told unwritten" and last.get("kind") == "grant"
+            self.bug == "grant answered unwritten" and last.get("kind") == "grant"
         ):
             disk = (*disk[1:], table.snapshot())
         return state._replace(table=table, disk=disk)
@@ -343,66 +395,72 @@
     def _restart_service(
         self, state: ModelState, folder: dict[str, Any] | None, sure: bool
     ) -> ModelState:
-        if folder is not None and self.bug == "restart forgets":
+        if folder is not None and self.bug == "restart drops leases":
             folder = {**folder, "leases": []}
         table = (
-            self.table_class(self.terms)
+            self.table_class(self.settings)
             if folder is None
-            else self.table_class.from_snapshot(folder, self.terms)
+            else self.table_class.from_snapshot(folder, self.settings)
         )
         starts = state.starts + 1
         record = table.start(
             self._service_time(state), sure, starts if self.wall else 0
         )
-        whole = folder is not None and folder == state.disk[-1]
-        state = state._replace(starts=starts, told=state.told if whole else ZERO_TOKEN)
+        folder_complete = folder is not None and folder == state.disk[-1]
+        state = state._replace(
+            starts=starts,
+            highest_reported=state.highest_reported if folder_complete else ZERO_TOKEN,
+        )
         return self._write_records(state, table, [record], record)
 
-    # -- what must hold
-    # ------------------------------------------------------------------------------
+    # -- invariants
 
     def broken(self, state: ModelState) -> str:
-        """Tokens that went back, or two holders that may act at once.
+        """The violated invariant: tokens increase, and one holder at most may act.
 
-        The latter by time alone, whatever the guard does.
+        The latter is checked by the leases' validity alone, without the guard.
         """
-        if state.why:
-            return state.why
-        both = not self.unnoticed and all(
+        if state.violation:
+            return state.violation
+        both_valid = not self.unnoticed and all(
             holder._is_valid(state.tick * rate)
             for holder, rate in zip(state.holders, RATES, strict=True)
         )
-        return "both holders may act" if both else ""
+        return "both holders may act at once" if both_valid else ""
 
     def key(self, state: ModelState) -> Hashable:
-        """What tells states apart, times as what is left of them."""
+        """The key of a state, with times relative to now."""
         table, now = state.table, self._service_time(state)
         holders = tuple(
             (
-                h.token,
-                max(h.valid_until_us - at, 0),
-                h.highest_seen,
-                h._ended_through,
-                h._last_answered,
-                state.checked[who],
-                state.asks[who],
+                holder.token,
+                max(holder.valid_until_us - holder_now, 0),
+                holder.highest_seen,
+                holder._ended_through,
+                holder._last_answered,
+                state.checked[holder_index],
+                state.requests_sent[holder_index],
                 tuple(
-                    (a.number, a.token, max(a.sent_at_us - at, -TTL))
-                    for a in h._pending_requests.values()
+                    (
+                        request.number,
+                        request.token,
+                        max(request.sent_at_us - holder_now, -TTL),
+                    )
+                    for request in holder._pending_requests.values()
                 ),
             )
-            for who, h in enumerate(state.holders)
-            for at in (state.tick * RATES[who],)
+            for holder_index, holder in enumerate(state.holders)
+            for holder_now in (state.tick * RATES[holder_index],)
         )
         wait_us = table._started_at_us + service_expiry_us(TTL, self.drift) - now
         return (
             holders,
-            state.net,
+            state.network,
             state.starts,
-            state.told,
-            state.given,
-            state.served,
-            state.why,
+            state.highest_reported,
+            state.highest_granted,
+            state.highest_served,
+            state.violation,
             state.guard.required_token(NAME),
             table._highest_issued,
             table.last_committed,
@@ -414,23 +472,24 @@
                 (lease.holder, lease.token, max(lease.expires_at_us - now, 0))
                 for lease in table.leases.values()
             ),
-            state.starts < self.starts and tuple(map(snapshot_key, state.disk)),
+            state.starts < self.max_starts and tuple(map(snapshot_key, state.disk)),
         )
 
     # -- helpers
-    # -------------------------------------------------------------------------------------
 
     @staticmethod
     def _service_time(state: ModelState) -> int:
         return state.tick * SERVICE_RATE
 
     @staticmethod
-    def _with_holder(state: ModelState, who: int, holder: LeaseHolder) -> ModelState:
-        return state._replace(holders=replaced_at(state.holders, who, holder))
+    def _with_holder(
+        state: ModelState, holder_index: int, holder: LeaseHolder
+    ) -> ModelState:
+        return state._replace(holders=replaced_at(state.holders, holder_index, holder))
 
 
 def snapshot_key(folder: dict[str, Any]) -> Hashable:
-    """What tells snapshots of a table apart."""
+    """The part of a table snapshot that belongs to a state's key."""
     return (
         folder["epoch"],
         folder["number"],
@@ -439,20 +498,20 @@
     )
 
 
-def replaced_at(row: tuple[Any, ...], at: int, value: Any) -> tuple[Any, ...]:
-    """The tuple with one item replaced."""
-    return (*row[:at], value, *row[at + 1 :])
+def replaced_at(items: tuple[Any, ...], index: int, value: Any) -> tuple[Any, ...]:
+    """A copy of the tuple with one item replaced."""
+    return (*items[:index], value, *items[index + 1 :])
 
 
-def copy_core(core: T) -> T:
-    """A copy that shares only what never changes.
+def copy_instance(instance: T) -> T:
+    """A copy that shares only immutable values with the original.
 
-    The classes hold only plain values and flat dictionaries.
+    The classes hold only immutable values and flat dictionaries.
     """
-    copy = object.__new__(type(core))
-    found = copy.__dict__
-    found.update(core.__dict__)
-    for name, value in core.__dict__.items():
+    copy = object.__new__(type(instance))
+    attributes = copy.__dict__
+    attributes.update(instance.__dict__)
+    for name, value in instance.__dict__.items():
         if isinstance(value, dict):
-            found[name] = value.copy()
+            attributes[name] = value.copy()
     return copy
--- a/rainfall/lease/table.py
+++ b/rainfall/lease/table.py
@@ -1,9 +1,10 @@
-"""The service's table of leases: who holds which name, until when, under which token.
+"""The service's lease table: holder, expiry and token of each leased name.
 
-A change that must outlive the process is prepared here as a record; the caller writes
-and syncs it, and only then is it taken by `commit` and answered. Renewals are not
-written: a start counts every known lease as renewed. All numbers come from one counter
-that the folder keeps, so a name need not be remembered for its token to grow.
+Each change that must survive a restart is returned as a record. The caller writes and
+syncs the record, passes it to `commit`, and only then answers the request. Renewals are
+not written: a start treats every known lease as just renewed. All tokens take their
+number from one persisted counter, so the tokens of a name increase although the table
+does not store names without a lease.
 
 All times are of the service's clock, in microseconds.
 """
@@ -31,20 +32,20 @@
 )
 
 PENDING_WRITE_RETRY_US = 100_000
-"""When to come again while a change of the same name is being written."""
+"""Retry delay while a change of the same name is being written."""
 UNKNOWN_HISTORY = "what was granted before this start is not known"
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """One lease as the service sees it."""
+    """A lease in the table."""
 
     name: str
     holder: str
     token: Token
     ttl_us: int
     expires_at_us: int
-    """From then on it has expired on every clock."""
+    """When the lease has expired on every clock."""
     note: Mapping[str, str]
     revoked: bool = False
 
@@ -61,7 +62,7 @@
 
 
 def _lease_from_row(row: list[Any]) -> Lease:
-    """A lease of a snapshot; the start that follows sets when it expires."""
+    """Decode a snapshot row; the following start sets `expires_at_us`."""
     name, holder, token, ttl_us, note, revoked = row
     return Lease(
         name,
@@ -76,13 +77,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The lease is the caller's."""
+    """A granted or renewed lease."""
 
     name: str
     token: Token
     ttl_us: int
     record: Record | None = None
-    """To be on disk and committed before the grant is answered."""
+    """If not None, it must be on disk and committed before the grant is answered."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,17 +91,17 @@
     """The lease cannot be granted now."""
 
     retry_after_us: int
-    """The soonest that this can change."""
+    """Earliest time from now at which the lease may become available."""
     reason: str
     record: Record | None = None
-    """To be written all the same."""
+    """If not None, it has to be written although no lease is granted."""
 
 
 class LeaseTable:
-    """Named leases.
+    """The leases in force, by name.
 
-    Make it empty or with `from_snapshot`, `commit` the records of the log, then
-    `start`.
+    Create the table empty or with `from_snapshot`, `commit` the records of the log,
+    then call `start`.
     """
 
     def __init__(self, settings: LeaseSettings) -> None:
@@ -111,29 +112,29 @@
         self.epoch = 0
         self.last_committed = 0
         self.history_uncertain = True
-        """The folder's history may be incomplete, and nothing was granted since."""
+        """Whether the stored history may be incomplete, with nothing granted since."""
         self.longest_ttl_us = 0
-        """The longest lease that an uncertain history may hide."""
+        """The longest time to live that a missing record may have granted."""
         self.started = False
         self._highest_issued = ZERO_TOKEN
-        """The highest token given to any record, written or not."""
+        """The highest token of any record, written or not."""
         self._pending_writes: dict[str, int] = {}
-        """Names with a record that is being written, and the record's number."""
+        """Number of the record that is being written, by name."""
         self._start_record = 0
         self._now_us = 0
         self._started_at_us = 0
         self._grants_from_us = 0
 
     def start(self, now_us: int, sure: bool, min_epoch: int = 0) -> Record:
-        """Begin an epoch; nothing is granted or renewed before its record is committed.
+        """Begin an epoch; no lease is granted or renewed until its record is committed.
 
         Args:
             now_us: The present time.
-            sure: The folder is the one the last process left, but for a torn last line.
-                Where it is not, no known lease continues, and the longest lease has to
-                pass before the first grant.
-            min_epoch: A hint that only ever raises the epoch: a wall clock in seconds,
-                or an operator's number.
+            sure: Whether the folder is complete, as the last process left it; a torn
+                last line is allowed. If it is not, all known leases are dropped, and
+                the first grant waits for the longest lease to expire.
+            min_epoch: Lower limit of the new epoch: a wall clock in seconds, or a
+                number set by an operator.
         """
         self._now_us = now_us
         self._started_at_us = now_us
@@ -156,20 +157,24 @@
         return record
 
     def observe_token(self, seen: Token) -> Record | None:
-        """Take a token that a client has seen.
+        """Process a token that a client has seen.
 
-        One above all that this service issued raises the epoch above it. It ends no
-        lease. `acquire` and `renew` call this themselves.
+        If it is above every token that this service issued, the service's epoch is
+        raised above the token's. No lease is ended. `acquire` and `renew` call this.
+
+        Returns:
+            The record of the new epoch; None if the epoch is unchanged.
 
         Raises:
-            LeaseRejectedError: 422, the token is further ahead than any epoch can be.
+            LeaseRejectedError: 422, the token's epoch is more than `MAX_EPOCH_JUMP`
+                above the service's.
         """
         if seen <= self._highest_issued:
             return None
         if seen.epoch > self._highest_issued.epoch + MAX_EPOCH_JUMP:
             fault = (
-                f"seen: epoch {seen.epoch} is no epoch of this service, which is at"
-                f" {self._highest_issued.epoch}: raise its least epoch by hand if it is"
+                f"seen: epoch {seen.epoch} is too far above this service's epoch"
+                f" {self._highest_issued.epoch}: if it is valid, raise the service's minimum epoch"
             )
             raise LeaseRejectedError(UNPROCESSABLE, [fault])
         self._delay_grants()
@@ -177,8 +182,8 @@
         return self._new_record(RecordKind.EPOCH, epoch=self._highest_issued.epoch)
 
     def _delay_grants(self) -> None:
-        # Another history may hold leases until the longest one after this process's
-        # start has expired.
+        # Leases granted in another history may be in force until the longest time to live
+        # after this process's start has passed.
         self._grants_from_us = self._started_at_us + service_expiry_us(
             self.longest_ttl_us, self.settings.drift
         )
@@ -200,18 +205,18 @@
 
         Args:
             now_us: The present time.
-            name: What is leased.
-            holder: Names one run of one process. Asked again by the same holder, its
-                lease is answered again; a new one is granted where the holder has seen
-                that one's token and no longer uses it.
+            name: The name to lease.
+            holder: Identifies one run of one process. A repeated request of the same
+                holder renews its lease; a new lease is granted if `seen` shows that the
+                holder has seen the lease's token and so no longer uses it.
             ttl_us: How long the lease lasts after each renewal.
             seen: The highest token that the caller has seen.
-            shown: The token of the lease in force, as its process knows it after a
-                restart: then it is granted anew at once.
-            note: Kept with the lease for its readers.
+            shown: The token of the lease in force, presented by its process after a
+                restart: the lease is then granted again at once.
+            note: Stored with the lease for its readers.
 
         Raises:
-            LeaseRejectedError: 400 for an invalid call, 422 for too many leases.
+            LeaseRejectedError: 400 for an invalid request, 422 for too many leases.
         """
         note = {} if note is None else note
         if faults := request_faults(self.settings, name, holder, ttl_us, note):
@@ -229,13 +234,13 @@
                 wait_us = lease.expires_at_us - now_us
                 return LeaseUnavailable(wait_us, f"{name} is held", epoch_record)
         if lease is None:
-            self._require_free_place(epoch_record)
+            self._require_capacity(epoch_record)
         return self._grant(name, holder, ttl_us, note)
 
     def _blocked_grant(
         self, now_us: int, name: str, epoch_record: Record | None
     ) -> LeaseUnavailable | None:
-        """Why no lease of this name can be granted to anybody now; None if it can."""
+        """Why no lease of this name can be granted to any holder now; None if it can."""
         if wait_us := self._time_until_grants_us(now_us):
             return LeaseUnavailable(wait_us, UNKNOWN_HISTORY, epoch_record)
         if name in self._pending_writes:
@@ -243,10 +248,10 @@
             return LeaseUnavailable(PENDING_WRITE_RETRY_US, reason, epoch_record)
         return None
 
-    def _require_free_place(self, epoch_record: Record | None) -> None:
+    def _require_capacity(self, epoch_record: Record | None) -> None:
         limit = self.settings.max_leases
         if len(self.leases) + len(self._pending_writes) >= limit:
-            fault = f"name: {limit} leases are held, as many as may be"
+            fault = f"name: the limit of {limit} leases is reached"
             raise LeaseRejectedError(UNPROCESSABLE, [fault], record=epoch_record)
 
     def _grant(
@@ -268,12 +273,13 @@
     ) -> LeaseGrant | LeaseUnavailable:
         """Renew a lease for its whole time to live.
 
-        It is unavailable while its state cannot be known: the holder may act until its
-        lease expires.
+        The result is `LeaseUnavailable` while the state of the lease is unknown; the
+        holder may use the lease until it expires.
 
         Raises:
             LeaseRejectedError: 409, final for this token: the lease has expired, was
-                revoked, or is another's.
+                revoked, or has another token. 409 also while a change of the name is
+                being written.
         """
         now_us = self._advance_clock(now_us)
         epoch_record = self.observe_token(max(seen, token))
@@ -300,23 +306,26 @@
         return self._renew_lease(now_us, lease, epoch_record)
 
     def release(self, now_us: int, name: str, token: Token) -> Record:
-        """End a lease that its holder no longer acts under: it is free at once.
+        """Release a lease that its holder no longer uses; the name is free at once.
 
         Raises:
-            LeaseRejectedError: 404 nobody holds it, 409 another token does.
+            LeaseRejectedError: 404, the name is not leased; 409, it is leased under
+                another token, or a change of it is being written.
         """
         self._advance_clock(now_us)
         lease = self._require_held(name, token, None, NOT_FOUND)
         return self._end_record(lease, EndReason.RELEASED)
 
     def revoke(self, now_us: int, name: str) -> Record:
-        """End a lease on an operator's request.
+        """Revoke a lease on an operator's request.
 
-        It is not renewed any more, and free once it has expired on every clock. Until
-        then its holder may act, unless the guarded resource has seen a higher token.
+        The lease is no longer renewed, and its name is free once the lease has expired
+        on every clock. Until then the holder may use it, unless the guarded resource
+        has seen a higher token.
 
         Raises:
-            LeaseRejectedError: 404 nobody holds it, 409 a change is being written.
+            LeaseRejectedError: 404, the name is not leased; 409, a change of it is being
+                written.
         """
         self._advance_clock(now_us)
         lease = self.leases.get(name)
@@ -330,7 +339,7 @@
         return record
 
     def read(self, name: str) -> Lease | None:
-        """The lease in force on this name."""
+        """The lease of this name; None without one."""
         return self.leases.get(name)
 
     def with_prefix(self, prefix: str) -> list[Lease]:
@@ -355,15 +364,15 @@
         ]
 
     def next_expiry_us(self) -> int | None:
-        """When `expire` next has something to do; None without leases."""
+        """When the next lease expires; None without leases."""
         return min(
             (lease.expires_at_us for lease in self.leases.values()), default=None
         )
 
     def commit(self, record: Record) -> None:
-        """Apply a record that is on disk, in the order of `n`.
+        """Apply a record that is on disk; records come in the order of `n`.
 
-        One that was applied before is skipped.
+        A record that was applied before is skipped.
         """
         number = int(record["n"])
         name = record.get("name", "")
@@ -388,9 +397,9 @@
             self._apply_start(number, bool(record["sure"]), int(record["longest_us"]))
 
     def abandon(self, record: Record) -> None:
-        """Give up a record that could not be written.
+        """Discard a record that could not be written.
 
-        Nothing is answered, and its number is never used again.
+        The request is not answered, and the record's number is never reused.
         """
         if self._pending_writes.get(record.get("name", "")) == record["n"]:
             del self._pending_writes[record["name"]]
@@ -413,7 +422,7 @@
         self.longest_ttl_us = longest_us
         if not sure:
             self.leases.clear()
-        # The log also holds the starts of earlier processes.
+        # The log also contains the start records of earlier processes.
         self.started = number == self._start_record
         for name, lease in self.leases.items():
             expires_at_us = self._expiry_us(self._started_at_us, lease.ttl_us)
@@ -435,11 +444,11 @@
         return record
 
     def next_record_number(self) -> int:
-        """The number of the next record: never used before in this history."""
+        """The number of the next record; not used before in this history."""
         return self._highest_issued.number + 1
 
     def _advance_clock(self, now_us: int) -> int:
-        # A clock that went back is taken to stand still: so no lease ends too soon.
+        # A clock that goes back counts as unchanged, so that no lease expires too early.
         self._now_us = max(self._now_us, now_us)
         return self._now_us
 
@@ -454,7 +463,7 @@
     def _require_held(
         self, name: str, token: Token, epoch_record: Record | None, missing_status: int
     ) -> Lease:
-        """The lease held under this token, with no change of it being written."""
+        """The lease with this token, if no change of it is being written; raise otherwise."""
         lease = self.leases.get(name)
         if lease is None:
             raise LeaseRejectedError(
@@ -484,9 +493,9 @@
         return LeaseGrant(lease.name, lease.token, lease.ttl_us, epoch_record)
 
     def snapshot(self) -> dict[str, Any]:
-        """What is committed, for JSON.
+        """The committed state as a JSON object.
 
-        When leases expire is left out: a start counts them as renewed.
+        Expiry times are left out: a start treats every lease as just renewed.
         """
         return {
             "epoch": self.epoch,
@@ -501,7 +510,7 @@
         """Restore a table from its snapshot; call `start` next.
 
         Raises:
-            KeyError, TypeError, ValueError: `raw` is no snapshot of a table.
+            KeyError, TypeError, ValueError: `raw` is not a table snapshot.
         """
         table = LeaseTable(settings)
         table.epoch = int(raw["epoch"])
--- a/rainfall/lease/types.py
+++ b/rainfall/lease/types.py
@@ -1,4 +1,4 @@
-"""What both sides of a lease agree on: limits, margins for clock drift, and errors."""
+"""Types shared by holder and service: limits, clock drift margins, errors."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from rainfall.lease.fencing_token import ZERO_TOKEN, Token
 
 Record = dict[str, Any]
-"""One change as it goes to disk: a plain object for JSON, numbered by `n`."""
+"""A change as it is written to disk: a JSON object, numbered by `n`."""
 
 MAX_TEXT_LENGTH = 200
-"""Characters of a name, of a holder, and of a note's key or value."""
+"""Most characters of a name, of a holder, and of a note's key or value."""
 MAX_NOTE_ENTRIES = 8
-"""Entries of a note, each of two strings of `MAX_TEXT_LENGTH` characters."""
+"""Most entries of a note; key and value have up to `MAX_TEXT_LENGTH` characters each."""
 MAX_EPOCH_JUMP = 1 << 33
-"""Epochs by which one client may raise the service's epoch.
+"""Most epochs by which one client's token may raise the service's epoch.
 
-Above any clock in seconds, and far below the end of the range.
+Above any wall clock in seconds, and far below `TOKEN_PART_LIMIT`.
 """
 TTL_LIMIT_US = 1 << 42
-"""Every time to live is below it."""
+"""Exclusive limit of a time to live."""
 DRIFT_LIMIT = 0.5
-"""The drift is below it: two clocks that differ by more cannot share a lease."""
+"""Exclusive limit of the drift: clocks that differ by more cannot share a lease."""
 
 BAD_REQUEST = 400
-"""HTTP status: the call itself is invalid."""
+"""HTTP status: the request is invalid."""
 NOT_FOUND = 404
-"""HTTP status: nobody holds the lease."""
+"""HTTP status: the name is not leased."""
 CONFLICT = 409
-"""HTTP status: another token, or another change, is in the way."""
+"""HTTP status: the request conflicts with another token or a pending change."""
 UNPROCESSABLE = 422
-"""HTTP status: valid, but above a limit."""
+"""HTTP status: the request is valid but exceeds a limit."""
 
 
 class RecordKind(StrEnum):
-    """What a record changes; the value is its `kind` on disk."""
+    """The kind of a change; the value is the record's `kind` on disk."""
 
     START = "start"
     EPOCH = "epoch"
@@ -49,7 +49,7 @@
 
 
 class EndReason(StrEnum):
-    """Why a lease ended; the value is the `why` of its record on disk."""
+    """Why a lease ended; the value is the record's `why` on disk."""
 
     RELEASED = "released"
     REVOKED = "revoked"
@@ -57,14 +57,14 @@
 
 
 class LeaseRejectedError(RainfallError):
-    """A change that is not made.
+    """A rejected request; no lease is changed.
 
     Attributes:
         status: The HTTP status of the answer: 400, 404, 409 or 422.
         faults: Each fault with its path.
-        conflicting_token: The token that was in the way.
-        record: Where there is one, it has to be written although the call is rejected:
-            a token that the client has seen raises the epoch in any case.
+        conflicting_token: The token that the request conflicts with.
+        record: If not None, it has to be written although the request is rejected: a
+            token that the client has seen raises the epoch in any case.
     """
 
     def __init__(
@@ -86,13 +86,13 @@
     """Limits of a lease table."""
 
     drift: float = 0.02
-    """The share by which the rates of two clocks may differ."""
+    """Fraction by which the rates of two clocks may differ."""
     min_ttl_us: int = 100_000
     max_ttl_us: int = 60_000_000
     max_leases: int = 10_000
 
     def faults(self) -> list[str]:
-        """What is wrong with the settings themselves, each fault with its path."""
+        """Invalid settings, each fault with its path."""
         found = []
         if not 0 <= self.drift < DRIFT_LIMIT:
             found.append("drift: a share from 0 below 0.5")
@@ -104,22 +104,22 @@
 
 
 def service_expiry_us(ttl_us: int, drift: float) -> int:
-    """How long after its last answer the service regards a lease as in force.
+    """Time after the last grant or renewal at which a lease expires at the service.
 
-    After that the lease has expired on every clock.
+    By then it has expired on every clock. Rounded up.
     """
     return math.ceil(ttl_us * (1 + drift))
 
 
 def holder_validity_us(ttl_us: int, drift: float) -> int:
-    """How long after the request was sent its holder may act under a lease."""
+    """Time after sending a request for which its holder may use the lease, rounded down."""
     return math.floor(ttl_us * (1 - drift))
 
 
 def request_faults(
     settings: LeaseSettings, name: Any, holder: Any, ttl_us: Any, note: Any
 ) -> list[str]:
-    """All faults of a request for a lease, each with its path."""
+    """All faults of an acquire request, each with its path."""
     faults = [
         f"{path}: a string of 1 to {MAX_TEXT_LENGTH} characters"
         for path, value in (("name", name), ("holder", holder))
@@ -147,7 +147,7 @@
         ):
             path = f"note.{key}" if _is_text(key) else f"note[{index}]"
             faults.append(
-                f"{path}: a string of at most {MAX_TEXT_LENGTH} characters under a name as long"
+                f"{path}: key and value are strings of at most {MAX_TEXT_LENGTH} characters"
             )
     return faults
 
--- a/rainfall/member/__init__.py
+++ b/rainfall/member/__init__.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet.
+"""Fleet membership.
 
-The list service alone decides this, by the leases that members renew.
+Only the list service decides who is a member, by the leases that members renew.
 """
--- a/rainfall/member/roster.py
+++ b/rainfall/member/roster.py
@@ -1,8 +1,8 @@
-"""The service's roster: members and their states, and the list that others watch.
+"""The service's roster: members, their states, and the versioned member list.
 
-A member is a lease named `member/NAME`. All that outlives the process is in the lease
-table (site and dial address are the lease's note); the roster is a view of it, made
-anew at each start. Versions count within `epoch`, the table's at the start.
+A member is a lease named `member/NAME`, with its site and dial address in the lease's
+note. Only the lease table is persisted; the roster is rebuilt from it at each start.
+Versions of the list increase within an `epoch`, which is the lease table's.
 
 All times are of the service's clock, in microseconds.
 """
@@ -27,14 +27,14 @@
 
 MEMBER_LEASE_PREFIX = "member/"
 MAX_NAME_LENGTH = 180
-"""Characters of a name, a site, a dial address and the name of a run."""
+"""Most characters of a name, a site, a dial address and a run id."""
 MAX_DEPARTED_MEMBERS = 8_192
-"""Members lost or left that readers are still notified of: a whole fleet.
+"""Most lost or left members that stay in the list for readers: a whole fleet.
 
 Each takes about 350 bytes.
 """
 MASS_LOSS_MIN_MEMBERS = 2
-"""The loss of a single member is no mass loss, however small the fleet."""
+"""Fewer lost members are not a mass loss, however small the fleet."""
 
 
 class MemberState(StrEnum):
@@ -42,32 +42,32 @@
 
     ALIVE = "alive"
     SUSPECT = "suspect"
-    """Late with its renewal; its lease may still be in force."""
+    """Its renewal is overdue; its lease may still be in force."""
     LOST = "lost"
     LEFT = "left"
 
 
-# Looking up an enum's member costs more than comparing it; heartbeats use these.
+# Attribute access on an enum costs more than the comparison; heartbeats use these.
 _ALIVE = MemberState.ALIVE
 _SUSPECT = MemberState.SUSPECT
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member as readers see it."""
+    """An entry of the member list."""
 
     name: str
     site: str
     dial: str
     token: Token
-    """Identifies its incarnation."""
+    """Identifies the member's incarnation."""
     state: str
     """The value of a `MemberState`."""
     version: int
-    """The version of the list that last changed it."""
+    """The version of the list in which this entry last changed."""
 
     def to_wire(self) -> dict[str, Any]:
-        """The member's entry in the list."""
+        """The entry's form on the wire."""
         return {
             "name": self.name,
             "site": self.site,
@@ -78,30 +78,32 @@
 
 
 class MemberChanges(NamedTuple):
-    """The members that a reader has to be notified of."""
+    """The entries to send to a reader."""
 
     complete: bool
-    """Whether these are all active members, in place of what the reader has."""
+    """Whether `members` is the complete list and replaces the reader's copy."""
     members: list[Member]
     """Ordered by name."""
 
 
 @dataclass(slots=True)
 class DivisionFreeze:
-    """When the fleet is stable enough to divide work anew.
+    """Freezes divisions of the fleet's work until the fleet is stable.
 
-    It is once the service has been up, with members renewing, for a whole lease without
-    a break.
+    The fleet is stable once members have renewed for a whole lease since the start or
+    the last mass loss, with no gap between renewals longer than a lease.
     """
 
     lease_us: int
+    """The time until a lease has expired on every clock."""
     stable_since_us: int | None = None
+    """The first renewal without a gap since; None before it."""
     last_renewal_us: int = 0
     recent_losses: dict[str, int] = field(default_factory=dict)
-    """Members lost within the last whole lease, and when, the oldest first."""
+    """When each member lost within the last whole lease was lost, oldest first."""
 
     def record_renewal(self, now_us: int) -> None:
-        """A member renewed its lease."""
+        """Record that a member renewed its lease."""
         if (
             self.stable_since_us is None
             or now_us - self.last_renewal_us > self.lease_us
@@ -110,7 +112,7 @@
         self.last_renewal_us = now_us
 
     def record_loss(self, name: str, now_us: int) -> None:
-        """A member was lost; forget losses that are a whole lease old."""
+        """Record that a member was lost; drop losses that are a whole lease old."""
         self.recent_losses.pop(name, None)
         self.recent_losses[name] = now_us
         oldest = next(iter(self.recent_losses))
@@ -119,9 +121,9 @@
             oldest = next(iter(self.recent_losses))
 
     def ends_at_us(self, now_us: int) -> int:
-        """When the freeze ends at the soonest.
+        """The earliest end of the freeze.
 
-        A whole lease from now where members do not renew.
+        A whole lease from now if no member has renewed within the last lease.
         """
         if (
             self.stable_since_us is None
@@ -132,16 +134,21 @@
 
 
 class Roster:
-    """The members, over a lease table that the caller starts.
+    """The members of the fleet, by the leases of a table that the caller starts.
 
-    Every record that the table makes goes through `commit` here, whoever asked for it.
+    Every record of the table has to be committed by `commit` of the roster, including
+    records of leases that are not members.
 
     Args:
         table: The lease table.
         ttl_us: The time to live of a member's lease.
-        suspect_share: The share of it without a renewal that makes a member suspect.
-        mass_loss_share: The share of members that, lost within one lease, stops every
-            division.
+        suspect_share: A member becomes suspect without a renewal for this fraction of
+            `ttl_us`.
+        mass_loss_share: Divisions freeze when more than this fraction of the members is
+            lost within one lease.
+
+    Raises:
+        LeaseRejectedError: 422, an argument is out of range.
     """
 
     def __init__(
@@ -157,7 +164,7 @@
             if not 0 < share < 1
         ]
         if not table.settings.min_ttl_us <= ttl_us <= table.settings.max_ttl_us:
-            faults.append("ttl_us: not within the table's terms")
+            faults.append("ttl_us: outside the lease table's limits")
         if faults:
             raise LeaseRejectedError(UNPROCESSABLE, faults)
         self.table = table
@@ -167,17 +174,17 @@
         self.epoch = 0
         self.version = 0
         self.oldest_known_version = 0
-        """Readers of older versions need the complete list."""
+        """Readers of an older version are sent the complete list."""
         self.members: dict[str, Member] = {}
         self._last_renewal_us: dict[str, int] = {}
-        """Active members, and when each last renewed."""
+        """When each active member last renewed."""
         self._departed: dict[str, None] = {}
-        """Members lost or left, the earliest first."""
+        """Members lost or left, the earliest first; the values are unused."""
         self._freeze = DivisionFreeze(service_expiry_us(ttl_us, table.settings.drift))
         self._now_us = 0
 
     def on_started(self, now_us: int) -> None:
-        """Take over the table's members once its start record was committed.
+        """Load the members from the table after its start record was committed.
 
         All count as renewed now.
         """
@@ -200,26 +207,27 @@
     ) -> LeaseGrant | LeaseUnavailable:
         """Acquire the lease of a member; its token identifies the incarnation.
 
-        It is unavailable while another process's lease is in force.
+        The result is `LeaseUnavailable` while another process's lease is in force.
 
         Args:
             now_us: The present time.
             name: The member's name.
-            site: Where it runs.
-            dial: The address at which its peers reach it.
-            run: Names this run of the process and no other. A join that is sent again
-                with it, because its answer was lost, is answered with the same token.
-            shown: The token of the lease in force, where the process knows it.
+            site: The site that the member runs at.
+            dial: The address at which peers connect to the member.
+            run: Unique id of this run of the process; may be empty. A join that is
+                repeated with the same id, because its answer was lost, returns the same
+                token.
+            shown: The token of the lease in force, if the process has it.
             seen: The highest token that the process has seen.
 
         Raises:
-            LeaseRejectedError: 400 for an invalid call, 422 for too many leases.
+            LeaseRejectedError: 400 for an invalid request, 422 for too many leases.
         """
         now_us = self._advance_clock(now_us)
         if faults := _join_faults(name, site, dial, run):
             raise LeaseRejectedError(BAD_REQUEST, faults)
-        # Without a run two joins of one name cannot be distinguished, so neither is
-        # taken for the other.
+        # Without a run id a repeated join looks like another process's join, so each
+        # join counts as another holder.
         holder = f"run {run}" if run else f"join {self.table.next_record_number()}"
         answer = self.table.acquire(
             now_us,
@@ -240,8 +248,8 @@
         """Renew a member's lease.
 
         Raises:
-            LeaseRejectedError: 409, the lease has expired or is another's: the member
-                is fenced and has to join anew.
+            LeaseRejectedError: 409, the lease has expired or has another token: the
+                member is fenced and has to join again.
         """
         now_us = self._advance_clock(now_us)
         answer = self.table.renew(now_us, MEMBER_LEASE_PREFIX + name, token, seen)
@@ -253,18 +261,18 @@
         """Remove a member that shuts down; it does not count as lost.
 
         Raises:
-            LeaseRejectedError: 404 no such member, 409 another token holds its lease.
+            LeaseRejectedError: 404, no such member; 409, its lease has another token.
         """
         now_us = self._advance_clock(now_us)
         return self.table.release(now_us, MEMBER_LEASE_PREFIX + name, token)
 
     def tick(self, now_us: int) -> list[Record]:
-        """Make late members suspect.
+        """Mark members with an overdue renewal as suspect.
 
-        Call it by `next_tick_us` and before anything is divided.
+        Call it at `next_tick_us` at the latest, and before each division.
 
         Returns:
-            Records for all leases of the table that have expired on every clock.
+            Records that end all leases of the table that have expired on every clock.
         """
         now_us = self._advance_clock(now_us)
         for name in sorted(self._last_renewal_us):
@@ -277,7 +285,7 @@
         return self.table.expire(now_us)
 
     def next_tick_us(self) -> int | None:
-        """When `tick` next has something to do; None where nobody holds a lease."""
+        """When `tick` is due next; None without leases."""
         times_us = [
             renewed_at_us + self.suspect_after_us
             for name, renewed_at_us in self._last_renewal_us.items()
@@ -289,22 +297,22 @@
         return min(times_us, default=None)
 
     def frozen_until_us(self, now_us: int) -> int:
-        """When the fleet's work may be divided anew at the soonest.
+        """When the fleet's work may be divided again at the earliest.
 
-        `now_us` or less: now. After a start or a mass loss, a whole lease has to pass
-        from when members renew again.
+        It may be divided now if the result is `now_us` or less. After a start or a mass
+        loss, a whole lease has to pass from the first renewal on.
         """
         return self._freeze.ends_at_us(self._advance_clock(now_us))
 
     def active_members(self) -> list[Member]:
         """Members that are alive or suspect, ordered by name.
 
-        Only among these is the fleet's work divided.
+        The fleet's work is divided only among them.
         """
         return [self.members[name] for name in sorted(self._last_renewal_us)]
 
     def changes_since(self, since: int | None, epoch: int | None) -> dict[str, Any]:
-        """The answer to a reader that has version `since` of `epoch`.
+        """The list update for a reader that has version `since` of `epoch`.
 
         `{"epoch", "version", "whole", "members"}`: see `members_changed_since`.
         """
@@ -319,10 +327,10 @@
     def members_changed_since(
         self, since: int | None, epoch: int | None
     ) -> MemberChanges:
-        """The changes since version `since` of `epoch`, merged, with departed members.
+        """The entries changed since version `since` of `epoch`, departed members included.
 
-        The complete list, without departed members, for a reader from another epoch,
-        from a later version, or from one before the oldest that is known.
+        The result is the complete list, without departed members, if the epoch differs,
+        or if the version is later than the current or older than `oldest_known_version`.
         """
         if (
             since is None
@@ -332,16 +340,16 @@
             return MemberChanges(True, self.active_members())
         if since == self.version:  # The case of nearly every heartbeat.
             return MemberChanges(False, [])
-        changed = [m for m in self.members.values() if m.version > since]
-        return MemberChanges(False, sorted(changed, key=lambda m: m.name))
+        changed = [member for member in self.members.values() if member.version > since]
+        return MemberChanges(False, sorted(changed, key=lambda member: member.name))
 
     def commit(self, record: Record) -> None:
-        """Apply a record that is on disk to the table, and to the list."""
+        """Apply a record that is on disk to the table and to the list."""
         lease_name = str(record.get("name", ""))
         before = self.table.read(lease_name)
         self.table.commit(record)
-        # The epoch rises where this history was behind another's: then every reader
-        # needs the complete list.
+        # The epoch rises if a client has seen a token of a later history: every reader
+        # then needs the complete list.
         self.epoch = self.table.epoch
         if not lease_name.startswith(MEMBER_LEASE_PREFIX):
             return
@@ -366,15 +374,15 @@
         state = MemberState.LEFT if left else MemberState.LOST
         self._set_state(self.members[name], state)
         self._departed[name] = None
-        self._forget_departed()
+        self._evict_departed()
 
     def _record_loss(self, name: str) -> None:
         freeze = self._freeze
         freeze.record_loss(name, self._now_us)
-        if freeze.stable_since_us is None:  # An earlier loss stopped divisions already.
+        if freeze.stable_since_us is None:  # Already frozen by an earlier loss.
             return
-        # Members late with their renewal are about to be lost too: to leave them out
-        # would divide twice.
+        # Suspect members may be lost next: if they were not counted, work would be
+        # divided once for this loss and again for theirs.
         lost = {
             *freeze.recent_losses,
             *(
@@ -412,8 +420,8 @@
         self.version += 1
         self.members[member.name] = replace(member, state=state, version=self.version)
 
-    def _forget_departed(self) -> None:
-        """Forget those that departed earliest, past `MAX_DEPARTED_MEMBERS`."""
+    def _evict_departed(self) -> None:
+        """Evict the earliest departed members beyond `MAX_DEPARTED_MEMBERS`."""
         while len(self._departed) > MAX_DEPARTED_MEMBERS:
             name = next(iter(self._departed))
             del self._departed[name]
@@ -430,7 +438,7 @@
 
 
 def _join_faults(name: Any, site: Any, dial: Any, run: Any) -> list[str]:
-    """What is wrong with a join, each fault with its path."""
+    """Faults of a join, each with its path."""
     return [
         f"{path}: a string of {min_length} to {MAX_NAME_LENGTH} characters"
         for path, value, min_length in (
--- a/tests/lease/test_lease.py
+++ b/tests/lease/test_lease.py
@@ -1,5 +1,5 @@
-"""Leases: the table against a slow obvious model, holder and guard under late answers,
-all of it searched.
+"""Leases: the table against a reference model, holder and guard with delayed answers, and
+searches of the lease model.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from rainfall.model_checker.search import explore
 
 DRIFT = 0.25
-TERMS = LeaseSettings(DRIFT, 8, 40, 2)
+SETTINGS = LeaseSettings(DRIFT, 8, 40, 2)
 OUT = service_expiry_us(40, DRIFT)
 names, holders = st.sampled_from("xxxxyz"), st.sampled_from("AB")
 steps = st.lists(
@@ -66,14 +66,16 @@
 
 
 class Slow:
-    """The service by the words of docs/parts/lease.md alone: name -> holder, token,
-    ttl, end, revoked.
+    """Reference model of the table, written from docs/parts/lease.md alone.
+
+    `held` maps a name to [holder, token, ttl, expiry, revoked]. No lease is granted
+    before `closed`. `top` is the highest token granted or reported.
     """
 
     def __init__(self) -> None:
         self.held: dict[str, list] = {}
         self.now, self.closed = OUT, OUT
-        self.top = ZERO_TOKEN  # of all that was ever granted or told
+        self.top = ZERO_TOKEN
 
     def acquire(
         self, name: str, holder: str, ttl: int, seen: Token, shown: Token
@@ -100,14 +102,15 @@
 
 
 class Service:
-    """The table with a folder: a snapshot as of some record, and the log lines after
-    the one before it.
+    """The table with a folder: a snapshot, and a log that overlaps it.
+
+    Each log entry is a record and the snapshot from just before it.
     """
 
     def __init__(self) -> None:
         self.table, self.old, self.log = (
-            LeaseTable(TERMS),
-            json.dumps(LeaseTable(TERMS).snapshot()),
+            LeaseTable(SETTINGS),
+            json.dumps(LeaseTable(SETTINGS).snapshot()),
             [],
         )
         self.keep(self.table.start(0, False))
@@ -120,20 +123,20 @@
 
     def start(self, now: int, folder: str, least: int) -> None:
         if folder == "lost":
-            self.table, self.log = LeaseTable(TERMS), []
+            self.table, self.log = LeaseTable(SETTINGS), []
         else:
             lines = self.log[: len(self.log) // 2] if folder == "older" else self.log
-            # A crash between the new snapshot and the log's cut: lines are replayed
-            # over what has them.
+            # A crash after writing the snapshot but before truncating the log: records
+            # that the snapshot contains are replayed.
             self.table = LeaseTable.from_snapshot(
-                json.loads(lines[-1][1] if lines else self.old), TERMS
+                json.loads(lines[-1][1] if lines else self.old), SETTINGS
             )
             for line, _ in lines:
                 self.table.commit(json.loads(line))
             self.log = lines
         assert isinstance(
             self.table.acquire(now, "x", "A", 8), LeaseUnavailable
-        )  # not yet: it has not started
+        )  # the table is not started yet
         self.keep(self.table.start(now, folder == "kept", least))
 
 
@@ -255,48 +258,42 @@
         assert told == slow.held
 
 
-def test_all_faults_of_a_call_are_told_and_nothing_is_changed() -> None:
+def test_invalid_acquire_reports_all_faults_and_changes_nothing() -> None:
     table = Service().table
     before = table.snapshot()
-    with pytest.raises(LeaseRejectedError) as told:
+    with pytest.raises(LeaseRejectedError) as raised:
         table.acquire(OUT, "", "h" * 201, 7, note={"site": "a" * 201, "dial": "b"})
-    assert told.value.status == 400
-    assert [f.split(":")[0] for f in told.value.faults] == [
+    assert raised.value.status == 400
+    assert [f.split(":")[0] for f in raised.value.faults] == [
         "name",
         "holder",
         "ttl_us",
         "note.site",
     ]
-    with pytest.raises(LeaseRejectedError) as told:
+    with pytest.raises(LeaseRejectedError) as raised:
         table.acquire(OUT, "x", "A", 8, seen=Token(1 << 40, 1))
-    assert told.value.status == 422 and "epoch 1099511627776" in str(told.value)
+    assert raised.value.status == 422 and "epoch 1099511627776" in str(raised.value)
     assert table.snapshot() == before and table._highest_issued == Token(1, 1)
 
 
-def test_a_record_that_could_not_be_written_is_never_told_nor_its_number_used_again() -> (
-    None
-):
+def test_abandoned_record_is_not_answered_and_its_number_not_reused() -> None:
     real = Service()
-    made = real.table.acquire(OUT, "x", "A", 8)
-    assert isinstance(made, LeaseGrant) and made.record
+    grant = real.table.acquire(OUT, "x", "A", 8)
+    assert isinstance(grant, LeaseGrant) and grant.record
     assert isinstance(real.table.acquire(OUT, "x", "B", 8), LeaseUnavailable)
-    real.table.abandon(made.record)
+    real.table.abandon(grant.record)
     again = real.table.acquire(OUT, "x", "B", 8)
-    assert isinstance(again, LeaseGrant) and again.token > made.token
+    assert isinstance(again, LeaseGrant) and again.token > grant.token
     real.keep(again.record)
     real.keep(real.table.release(OUT, "x", again.token))
-    real.table.commit(
-        again.record or {}
-    )  # replayed where its end is known: taken no more
+    real.table.commit(again.record or {})  # replayed after its end record: skipped
     assert (
         real.table.read("x") is None
         and real.table.last_committed == again.token.number + 1
     )
 
 
-def test_a_killed_unsure_start_waits_whole_again_and_a_granted_lease_ends_that() -> (
-    None
-):
+def test_uncertain_history_delays_grants_again_until_a_lease_is_granted() -> None:
     real = Service()
     real.start(OUT - 1, "kept", 0)
     assert isinstance(real.table.acquire(OUT + 1, "x", "A", 40), LeaseUnavailable)
@@ -305,10 +302,10 @@
     assert isinstance(
         real.table.renew(2 * OUT, "x", real.table.leases["x"].token), LeaseGrant
     )
-    assert real.table.epoch == 3  # one for each start, also where no clock gives a hint
+    assert real.table.epoch == 3  # one for each start, also without `min_epoch`
 
 
-asks_, yes = (
+request_events, grant_events = (
     st.tuples(st.just("ask"), st.integers(0, 9)),
     st.tuples(
         st.just("yes"),
@@ -319,12 +316,12 @@
 )
 events = st.lists(
     st.one_of(
-        asks_,
-        asks_,
-        asks_,
-        yes,
-        yes,
-        yes,
+        request_events,
+        request_events,
+        request_events,
+        grant_events,
+        grant_events,
+        grant_events,
         st.tuples(st.just("no"), st.integers(0, 6), st.sampled_from([0, 0, 1, 2])),
         st.tuples(
             st.sampled_from(["fenced", "fenced", "back", "let go"]), st.integers(0, 4)
@@ -386,7 +383,7 @@
     assert not holder.on_granted(now, first, Token(9, 9), 40)
 
 
-def test_a_late_refusal_of_a_token_that_is_over_leaves_the_newer_one() -> None:
+def test_late_rejection_of_an_ended_token_keeps_the_newer_token() -> None:
     holder = LeaseHolder(40, DRIFT, lambda: 0.5)
     assert holder.on_granted(1, holder.start_request(0).number, Token(1, 1), 40)
     old, new = holder.start_request(2).number, holder.start_request(3).number
@@ -397,7 +394,7 @@
     assert holder.may_act(5) and holder.token == Token(1, 3) == holder.highest_seen
     assert not holder.on_granted(
         5, holder.start_request(5).number, Token(1, 2), 40
-    )  # a service that went back
+    )  # from a service restored from an older copy
     holder.on_rejected(6, holder.start_request(5).number, Token(1, 7))
     assert (
         not holder.may_act(6)
@@ -438,26 +435,26 @@
         (1_000, {"asks": (0, 1), "held": True, "unnoticed": True}),
     ],
 )
-def test_searched_whole_no_two_act_and_no_token_goes_back(
+def test_complete_search_finds_no_two_active_holders_and_no_lower_token(
     most: int, more: dict
 ) -> None:
-    found = explore(LeaseModel(**more), 99)
-    assert found.complete and not found.violation and found.states > most, found
+    result = explore(LeaseModel(**more), 99)
+    assert result.complete and not result.violation and result.states > most, result
 
 
 @pytest.mark.parametrize("bug", MUTATIONS)
-def test_the_search_finds_each_planted_bug(bug: str) -> None:
-    # Only where the clock gives no hint does a lost folder rest on what is told, so
-    # that a lift is missed.
-    found = explore(
+def test_search_finds_each_mutation(bug: str) -> None:
+    # Only without `min_epoch` from the clock does a lost folder depend on the tokens
+    # that clients send, so that a missing epoch raise is detected.
+    result = explore(
         LeaseModel(
             bug,
-            wall=bug != "no lift",
-            held=bug == "no lift",
+            wall=bug != "no epoch raise",
+            held=bug == "no epoch raise",
             asks=(1, 1),
-            starts=1 if bug == "no guard" else 2,
+            starts=1 if bug == "no token check" else 2,
         ),
         20,
         20_000,
     )
-    assert found.violation and found.trace, (bug, found.states)
+    assert result.violation and result.trace, (bug, result.states)
--- a/tests/member/test_roster.py
+++ b/tests/member/test_roster.py
@@ -1,5 +1,5 @@
-"""The roster: states, the watched list and the renewed guard against a slow obvious
-model; its hard cases.
+"""The roster: states, the member list and the division freeze, against a reference model
+and in corner cases.
 """
 
 from __future__ import annotations
@@ -17,20 +17,18 @@
 from rainfall.member.roster import Roster
 
 TTL, OUT, LATE = 30, 33, 20
-TERMS = LeaseSettings(0.1, 10, TTL, 50)
+SETTINGS = LeaseSettings(0.1, 10, TTL, 50)
 
 
 class Fleet:
-    """A roster as the service runs it: every record goes through a log before it
-    counts.
-    """
+    """A roster as the service runs it: every record is logged before it is committed."""
 
     def __init__(self) -> None:
         self.log: list[str] = []
         self.start(0, True)
 
     def start(self, now: int, sure: bool) -> None:
-        self.table = LeaseTable(TERMS)
+        self.table = LeaseTable(SETTINGS)
         for line in self.log:
             self.table.commit(json.loads(line))
         self.roster = Roster(self.table, TTL)
@@ -44,16 +42,16 @@
                 self.roster.commit(json.loads(self.log[-1]))
 
     def join(
-        self, now: int, name: str, **more: object
+        self, now: int, name: str, **options: object
     ) -> LeaseGrant | LeaseUnavailable:
-        made = self.roster.join(now, name, "a", "127.0.0.1:1", **more)
-        self.keep(made.record)
-        return made
+        answer = self.roster.join(now, name, "a", "127.0.0.1:1", **options)
+        self.keep(answer.record)
+        return answer
 
     def token(self, name: str) -> Token:
         return self.roster.members[name].token
 
-    def beat(self, now: int, *names: str) -> None:
+    def heartbeat(self, now: int, *names: str) -> None:
         for name in names:
             assert isinstance(
                 self.roster.heartbeat(now, name, self.token(name)), LeaseGrant
@@ -63,22 +61,24 @@
         self.keep(*self.roster.tick(now))
 
     def states(self) -> dict[str, str]:
-        return {n: m.state for n, m in sorted(self.roster.members.items())}
+        return {
+            name: member.state for name, member in sorted(self.roster.members.items())
+        }
 
 
 TEN = [f"f{n}" for n in range(10)]
 
 
-def ten(at: int) -> Fleet:
-    """Ten members who have renewed for more than a whole lease, at `at` last; nothing
-    is frozen.
+def fleet_of_ten(at: int) -> Fleet:
+    """Ten members that have renewed for more than a lease, last at `at`; the fleet is not
+    frozen.
     """
     fleet = Fleet()
     for now in range(at - 50, at + 1, 10):
         for name in TEN:
             if now == at - 50:
                 assert isinstance(fleet.join(now, name), LeaseGrant)
-            fleet.beat(now, name)
+            fleet.heartbeat(now, name)
         fleet.pass_to(now)
     assert (
         fleet.roster.frozen_until_us(at) <= at
@@ -87,33 +87,31 @@
     return fleet
 
 
-def test_seven_in_ten_lost_and_back_at_once_divide_nothing_for_a_whole_lease() -> None:
-    fleet = ten(100)
-    fleet.beat(105, *TEN[1:7])
+def test_loss_of_seven_in_ten_freezes_divisions_for_a_whole_lease() -> None:
+    fleet = fleet_of_ten(100)
+    fleet.heartbeat(105, *TEN[1:7])
     for now in range(105, 140, 5):
-        fleet.beat(now, *TEN[7:])
+        fleet.heartbeat(now, *TEN[7:])
         fleet.pass_to(now)
-        # The first that is lost stops it: the six that fell silent with it are suspect
-        # by then.
+        # The first loss freezes divisions: the six members that stopped renewing with it
+        # are suspect by then.
         assert (fleet.roster.frozen_until_us(now) > now) == (now >= 135)
         assert list(fleet.states().values()).count("lost") == (now >= 135)
-    fleet.beat(138, *TEN[7:])
+    fleet.heartbeat(138, *TEN[7:])
     fleet.pass_to(138)
     assert list(fleet.states().values()) == ["lost"] * 7 + ["alive"] * 3
     assert (
         fleet.roster.frozen_until_us(138) == 138 + OUT
-    )  # counted from a renewal after the last loss
-    fleet.beat(140, *TEN[7:])
+    )  # counted from the first renewal after the last loss
+    fleet.heartbeat(140, *TEN[7:])
     for name in TEN[:7]:
         assert isinstance(fleet.join(141, name), LeaseGrant)
-    fleet.beat(160, *TEN)
+    fleet.heartbeat(160, *TEN)
     assert fleet.roster.frozen_until_us(140 + OUT) == 140 + OUT
 
 
-def test_nothing_is_divided_while_nobody_renews_however_long_the_service_is_up() -> (
-    None
-):
-    fleet = ten(100)
+def test_divisions_stay_frozen_while_no_member_renews() -> None:
+    fleet = fleet_of_ten(100)
     fleet.pass_to(200)
     assert fleet.roster.frozen_until_us(10_000) == 10_000 + OUT
     fleet.join(10_001, "f1")
@@ -121,19 +119,21 @@
     assert fleet.roster.frozen_until_us(10_001 + OUT + 1) == 10_001 + 2 * OUT + 1
     fleet.join(
         10_001 + OUT + 1, "f2"
-    )  # the first renewed too late: the time up is counted anew
+    )  # the gap between renewals is too long: the stable time starts again
     assert fleet.roster.frozen_until_us(10_001 + OUT + 1) == 10_001 + 2 * OUT + 1
 
 
 @pytest.mark.parametrize(
     "gone", ["left", "revoked", "one lost", "five lost", "six lost"]
 )
-def test_only_many_that_are_lost_freeze_not_those_that_leave_or_are_revoked(
+def test_only_mass_loss_freezes_divisions_not_leaving_or_revocation(
     gone: str,
 ) -> None:
-    fleet = ten(100)
+    fleet = fleet_of_ten(100)
     if gone == "one lost":
-        fleet.roster.mass_loss_share = 0.05  # more than this share, but never one alone
+        fleet.roster.mass_loss_share = (
+            0.05  # a single loss never freezes, whatever the share
+        )
     if gone == "left":
         for name in TEN[:7]:
             fleet.keep(fleet.roster.leave(101, name, fleet.token(name)))
@@ -142,25 +142,25 @@
             fleet.keep(fleet.table.revoke(101, f"member/{name}"))
     silent = {"one lost": 1, "five lost": 5, "six lost": 6}.get(gone, 7)
     for now in range(105, 140, 5):
-        fleet.beat(now, *TEN[silent:])
+        fleet.heartbeat(now, *TEN[silent:])
         fleet.pass_to(now)
     assert len(fleet.roster.active_members()) == 10 - silent
     assert (fleet.roster.frozen_until_us(135) > 135) == (gone == "six lost")
 
 
-def test_six_in_ten_lost_one_after_the_other_freeze_nothing() -> None:
-    fleet = ten(100)
+def test_losses_more_than_a_lease_apart_do_not_freeze_divisions() -> None:
+    fleet = fleet_of_ten(100)
     for n in range(6):
         for now in range(100 + n * 70, 170 + n * 70, 10):
-            fleet.beat(now, *TEN[n + 1 :])
+            fleet.heartbeat(now, *TEN[n + 1 :])
             fleet.pass_to(now)
             assert fleet.roster.frozen_until_us(now) <= now
     assert len(fleet.roster.active_members()) == 4
 
 
-def test_those_who_join_over_their_own_lost_lease_count_as_lost() -> None:
-    fleet = ten(100)
-    fleet.beat(130, *TEN[6:])
+def test_members_that_rejoin_over_their_expired_lease_count_as_lost() -> None:
+    fleet = fleet_of_ten(100)
+    fleet.heartbeat(130, *TEN[6:])
     for name in TEN[:6]:
         assert fleet.roster.frozen_until_us(135) <= 135 and isinstance(
             fleet.join(135, name), LeaseGrant
@@ -168,7 +168,7 @@
     assert fleet.roster.frozen_until_us(135) == 135 + OUT
 
 
-def test_two_processes_of_one_name_and_the_restart_of_the_same() -> None:
+def test_two_processes_of_one_name_and_a_restarted_process() -> None:
     fleet = Fleet()
     first = fleet.join(40, "f1", run="one")
     assert (
@@ -182,9 +182,9 @@
         )
     again = fleet.join(43, "f1", run="two", shown=first.token)
     assert isinstance(again, LeaseGrant) and again.token > first.token
-    with pytest.raises(LeaseRejectedError) as told:
+    with pytest.raises(LeaseRejectedError) as raised:
         fleet.roster.heartbeat(44, "f1", first.token)
-    assert told.value.status == 409 and told.value.conflicting_token == again.token
+    assert raised.value.status == 409 and raised.value.conflicting_token == again.token
     fleet.keep(fleet.roster.heartbeat(44, "f1", again.token, Token(99, 1)).record)
     assert (
         fleet.roster.changes_since(fleet.roster.version, 1)["whole"]
@@ -195,12 +195,10 @@
     )
 
 
-def test_after_a_restart_all_count_as_renewed_and_a_fenced_member_is_not_taken_back() -> (
-    None
-):
+def test_restart_counts_members_as_renewed_and_rejects_a_fenced_member() -> None:
     fleet = Fleet()
     tokens = {name: fleet.join(40, name).token for name in ("f1", "f2")}
-    fleet.beat(60, "f1")
+    fleet.heartbeat(60, "f1")
     fleet.pass_to(75)
     assert fleet.states() == {"f1": "alive", "f2": "lost"}
     before = fleet.roster.changes_since(None, None)
@@ -209,7 +207,7 @@
     fleet.pass_to(500 + LATE)
     assert fleet.states() == {"f1": "suspect"}
     assert fleet.roster.changes_since(before["version"], before["epoch"])["whole"]
-    fleet.beat(525, "f1")
+    fleet.heartbeat(525, "f1")
     with pytest.raises(LeaseRejectedError):
         fleet.roster.heartbeat(525, "f2", tokens["f2"])
     fleet.start(600, False)
@@ -290,7 +288,7 @@
         assert fleet.states() == {**want, **gone}
 
 
-def test_a_reader_from_before_what_is_still_told_of_gets_all(
+def test_reader_older_than_the_known_changes_gets_the_complete_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(module, "MAX_DEPARTED_MEMBERS", 2)
@@ -301,7 +299,9 @@
         versions.append(fleet.roster.version)
         fleet.keep(fleet.roster.leave(40, name, fleet.token(name)))
     epoch = fleet.roster.epoch
-    assert [fleet.roster.changes_since(v, epoch)["whole"] for v in versions] == [
+    assert [
+        fleet.roster.changes_since(version, epoch)["whole"] for version in versions
+    ] == [
         True,
         True,
         False,
@@ -312,16 +312,20 @@
     assert fleet.roster.changes_since(versions[-1], epoch + 1)["whole"]
 
 
-def test_all_faults_of_a_join_are_told() -> None:
-    with pytest.raises(LeaseRejectedError) as told:
+def test_invalid_join_reports_all_faults() -> None:
+    with pytest.raises(LeaseRejectedError) as raised:
         Fleet().roster.join(40, "", "s" * 181, 7, "r" * 181)  # type: ignore[arg-type]
-    assert told.value.status == 400
-    assert [f.split(":")[0] for f in told.value.faults] == [
+    assert raised.value.status == 400
+    assert [f.split(":")[0] for f in raised.value.faults] == [
         "name",
         "site",
         "dial",
         "run",
     ]
-    with pytest.raises(LeaseRejectedError) as told:
-        Roster(LeaseTable(TERMS), 9, 1.0, 0.0)
-    assert [f.split(":")[0] for f in told.value.faults] == ["late", "at_once", "ttl_us"]
+    with pytest.raises(LeaseRejectedError) as raised:
+        Roster(LeaseTable(SETTINGS), 9, 1.0, 0.0)
+    assert [f.split(":")[0] for f in raised.value.faults] == [
+        "late",
+        "at_once",
+        "ttl_us",
+    ]
