--- a/rainfall/budget/__init__.py
+++ b/rainfall/budget/__init__.py
@@ -1,4 +1,4 @@
-"""Budgets: how many calls in a sliding span a whole fleet may make to one destination.
+"""Budgets: the calls that the fleet may make to a destination in a sliding span.
 
-The list service divides them into shares, each member keeps to its share.
+The list service divides a budget into shares; each member enforces its own share.
 """
--- a/rainfall/budget/account.py
+++ b/rainfall/budget/account.py
@@ -1,7 +1,8 @@
 """One budget's accounts at the list service.
 
-What each process may still use, what cools, and what is free. The rule: quota is free
-only once its former holder can no longer use it, and a whole window after that.
+They track the calls that each process may still use, the cooling calls, and the free
+calls. Calls become free only after their former holder can no longer use them and a
+whole window has passed since.
 
 All times are of the service's clock, in microseconds.
 """
@@ -17,23 +18,26 @@
 from rainfall.lease.fencing_token import Token
 
 MAX_UNACKNOWLEDGED_GRANTS = 8
-"""Unacknowledged grants kept apart for a process; older ones count as one."""
+"""Most unacknowledged grants stored for a process; older ones are merged."""
 
 
 class AccountState(Enum):
-    """What a process may use; the value is its form on disk."""
+    """The state of an account, which limits what its process may use.
+
+    The value is the form on disk.
+    """
 
     ACTIVE = "in"
-    """Its lease may be valid: any share that it was granted and did not give up."""
+    """The lease may be valid: the process may use any unacknowledged or newest share."""
     EXPIRED = "out"
-    """Its lease has expired: its reserve, for as long as the service knows nothing."""
+    """The lease has expired: the process may use its reserve, until it ends."""
     ENDED = "over"
-    """Nothing, but its last call may just have been sent."""
+    """The process has ended: it uses nothing, but may have sent a call just before."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """One share granted to one process, numbered in its order."""
+    """A share granted to a process; `number` increases with each grant to it."""
 
     number: int
     calls: int
@@ -41,7 +45,7 @@
 
 
 class CoolingCalls(NamedTuple):
-    """Calls given up or expired, while a window may still hold the last of them."""
+    """Calls given up by a process, not free until a window after their last use."""
 
     until_us: int
     calls: int
@@ -49,39 +53,39 @@
 
 @dataclass(slots=True)
 class MemberAccount:
-    """One process, identified by the token of its incarnation."""
+    """The account of one process, identified by the token of its incarnation."""
 
     name: str
     token: Token
     grants: list[QuotaGrant] = field(default_factory=list)
-    """Those it may use, by number; only the last, the newest, is answered."""
+    """Shares that it may use, ordered by number; only the last is sent to it."""
     acknowledged_number: int = 0
     state: AccountState = AccountState.ACTIVE
     removable_at_us: int = 0
     lent_until_us: int = 0
-    """Until then it may keep more than its target."""
+    """End of its loan: until then it may hold more than its target share."""
     persisted: bool = True
     """Whether the account's reserve and state are on disk."""
     demand: Mapping[str, int] = field(default_factory=dict)
     """Calls wanted in a span, by part."""
 
     def granted_calls(self) -> int:
-        """Calls of its newest share; 0 before the first."""
+        """Calls of its newest share; 0 without one."""
         return self.grants[-1].calls if self.grants else 0
 
     def newest_number(self) -> int:
-        """The number of its newest share."""
+        """The number of its newest share, granted or acknowledged."""
         return self.grants[-1].number if self.grants else self.acknowledged_number
 
     def reserve(self) -> int:
         """The highest reserve that it may use."""
-        # Nearly always one, and each plan asks this of all members.
+        # There is nearly always one grant, and each plan calls this for all members.
         if len(self.grants) == 1:
             return self.grants[0].reserve
         return max((grant.reserve for grant in self.grants), default=0)
 
     def usable_calls(self) -> int:
-        """Calls in a span that it may use now, whichever messages were lost."""
+        """Most calls in a span that it may make, whichever messages were lost."""
         if self.state is not AccountState.ACTIVE:
             return self.reserve()
         if len(self.grants) == 1:
@@ -89,11 +93,11 @@
         return max((grant.calls for grant in self.grants), default=0)
 
     def total_demand(self) -> int:
-        """Calls wanted in a span, of all parts."""
+        """Calls wanted in a span, over all parts."""
         return sum(self.demand.values())
 
     def add_grant(self, grant: QuotaGrant) -> None:
-        """Add the newest share; the oldest two count as one if there are too many."""
+        """Add the newest share; if there are too many, merge the oldest two."""
         self.grants.append(grant)
         if len(self.grants) > MAX_UNACKNOWLEDGED_GRANTS:
             first, second = self.grants[:2]
@@ -112,13 +116,13 @@
         self.budget = budget
         self.drift = drift
         self.grants_from_us = opens_us
-        """Nothing is granted before: until then unknown shares may be in use."""
+        """No share is granted before: until then unknown shares may be in use."""
         self.deconfigured = False
         self.new_reserves_blocked = False
-        """No process gets its first reserve: it is uncertain who has one already."""
+        """No process gets a first reserve, as the holders of reserves may not all be known."""
         self.accounts: dict[Token, MemberAccount] = {}
         self.inputs_changed = True
-        """Whether a division would see other inputs than the last one did."""
+        """Whether the inputs of a division have changed since the last one."""
         self.cooling: list[CoolingCalls] = []
 
     def window_us(self) -> int:
@@ -126,17 +130,17 @@
         return self.budget.window_us(self.drift)
 
     def configure(self, budget: Budget, now_us: int) -> None:
-        """Put a changed budget in force."""
+        """Replace the budget by a changed one."""
         former_window_us = self.window_us()
         self.budget = budget
         self.inputs_changed = True
         if self.deconfigured or self.window_us() > former_window_us:
-            # What cooled by the shorter window may have been used within this one.
+            # Calls that cooled for the shorter window may have been used within the longer.
             self.grants_from_us = max(self.grants_from_us, now_us + self.window_us())
         self.deconfigured = False
 
     def active_accounts(self) -> list[MemberAccount]:
-        """Accounts of processes in force, in the order of their joining."""
+        """Accounts of active processes, in the order of their joining."""
         return [
             account
             for account in self.accounts.values()
@@ -144,7 +148,7 @@
         ]
 
     def set_demand(self, account: MemberAccount, demand: Mapping[str, int]) -> None:
-        """Take the demand that a process reported."""
+        """Store the demand that a process reported."""
         if demand != account.demand:
             account.demand = demand
             self.inputs_changed = True
@@ -152,10 +156,11 @@
     def acknowledge(
         self, account: MemberAccount, calls: int, number: int, now_us: int
     ) -> None:
-        """The process holds this share, and from now on no older one.
+        """Record that the process holds this share and uses no older one.
 
-        A late heartbeat says nothing new. A share above what was granted here counts as
-        reported: the service was restored from an older copy.
+        The report of a delayed heartbeat is ignored. A share that was not granted here,
+        or with more calls, is recorded as reported: the service was restored from an
+        older copy of its folder.
         """
         if (
             account.state is not AccountState.ACTIVE
@@ -174,11 +179,11 @@
         self._start_cooling(calls_before - account.usable_calls(), now_us)
 
     def expire(self, account: MemberAccount, now_us: int) -> None:
-        """The process's lease has expired on every clock."""
+        """Handle the lease's expiry on every clock: only the reserve stays usable."""
         self._change_state(account, AccountState.EXPIRED, now_us)
 
     def end(self, account: MemberAccount, now_us: int) -> None:
-        """The process has surely ended."""
+        """Handle the confirmed end of the process: it uses nothing more."""
         if account.state is not AccountState.ENDED:
             account.removable_at_us = now_us + self.window_us()
         self._change_state(account, AccountState.ENDED, now_us)
@@ -192,14 +197,15 @@
     ) -> None:
         """Move the reserve to the same process under a new token, or to its successor.
 
-        It may use the predecessor's reserve before it is answered anything; the
-        predecessor has ended otherwise. Where the predecessor is not known, because the
-        service lost its folder, `kept_reserve` is what the process reports.
+        The process may use the predecessor's reserve before it receives a share; the
+        predecessor's account is ended. `kept_reserve` is the reserve that the process
+        reports: it counts if the predecessor is unknown because the service lost its
+        folder.
         """
         predecessor_reserve = predecessor.reserve() if predecessor else 0
         reserve = max(kept_reserve, predecessor_reserve)
         if reserve > account.reserve() and not account.acknowledged_number:
-            # Also beside a grant made meanwhile: the process may never receive that.
+            # Also if a grant was made meanwhile: the process may never receive that.
             account.grants.insert(0, QuotaGrant(0, reserve, reserve))
             account.persisted = False
         if predecessor:
@@ -223,10 +229,10 @@
             self.cooling.append(CoolingCalls(now_us + self.window_us(), calls))
 
     def prune(self, now_us: int) -> None:
-        """Forget what has cooled, and processes that can use nothing any more.
+        """Drop cooled calls, and the accounts of processes that can use nothing any more.
 
-        Their end has to be on disk: a restart would otherwise take them for holders of
-        what others have been granted since.
+        An account is dropped only after its end is on disk. Otherwise a restart would
+        restore it as the holder of calls that were granted to others since.
         """
         self.cooling = [entry for entry in self.cooling if entry.until_us > now_us]
         removable = [
@@ -240,30 +246,31 @@
             del self.accounts[token]
 
     def reserve_holders(self) -> int:
-        """Processes that may use a reserve."""
+        """Number of processes that may use a reserve."""
         return sum(account.reserve() > 0 for account in self.accounts.values())
 
     def unassigned_reserve(self, pending_holders: int = 0) -> int:
-        """Set aside for processes that have no reserve yet.
+        """Calls set aside for the reserves of processes that have none yet.
 
-        Those about to get one, `pending_holders`, are not counted.
+        `pending_holders` is the number of processes about to get one; nothing is set
+        aside for them.
         """
         return self.budget.reserve * max(
             0, self.budget.members_max - self.reserve_holders() - pending_holders
         )
 
     def cooling_calls(self) -> int:
-        """Calls that cool."""
+        """Calls that are cooling."""
         return sum(entry.calls for entry in self.cooling)
 
     def committed_calls(self) -> int:
-        """All that is not free: usable by processes, cooling, or set aside."""
+        """Calls that are not free: usable by processes, cooling, or set aside."""
         return self.budget.calls - self.free_calls({})
 
     def free_calls(self, proposed: Mapping[Token, QuotaGrant]) -> int:
-        """Calls that may be granted besides the proposed grants.
+        """Calls that may be granted in addition to the proposed grants.
 
-        Negative while shares of a total that was lowered have yet to expire.
+        Negative after the total was lowered, until the former shares are given up.
         """
         held = sum(
             max(account.usable_calls(), proposed[token].calls)
@@ -284,7 +291,7 @@
 
 
 def _is_counted(account: MemberAccount, now_us: int) -> bool:
-    """Whether a process that is not active may still use its reserve, or just did."""
+    """Whether a process that is not active may use its reserve, or did within a window."""
     if not account.reserve():
         return False
     return account.state is AccountState.EXPIRED or account.removable_at_us > now_us
--- a/rainfall/budget/config.py
+++ b/rainfall/budget/config.py
@@ -1,6 +1,6 @@
-"""Decoding of budgets as configured, and of a heartbeat's part about budgets.
+"""Decoding of configured budgets and of the budget fields of a heartbeat.
 
-Input is checked as a whole; every fault is reported with its path.
+Input is validated as a whole; every fault is reported with its path.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 MAX_BUDGETS = 10_000
 MAX_PARTS = 64
-"""Weights of one budget, and parts of one destination's demand."""
+"""Most weights of one budget, and most parts of one destination's demand."""
 CALLS_LIMIT = 1 << 40
-"""The highest number of calls, and of a share."""
+"""The highest count of calls, and the highest number of a share."""
 WEIGHT_LIMIT = 1_000
 NAME_LENGTH_LIMIT = 200
 US_PER_MS = 1_000
@@ -24,14 +24,14 @@
 
 
 class IntegerBounds(NamedTuple):
-    """The values that a whole number may have, both ends included."""
+    """Inclusive bounds of an integer field."""
 
     lowest: int
     highest: int
 
 
 class FractionBounds(NamedTuple):
-    """The values that a share may have, both ends included."""
+    """Inclusive bounds of a fraction field."""
 
     lowest: float
     highest: float
@@ -46,7 +46,7 @@
     "pause_ms": IntegerBounds(0, 3_600_000),
     "slack_ms": IntegerBounds(0, 60_000),
 }
-"""By field of a configured budget; times in milliseconds."""
+"""Bounds of the integer fields of a configured budget; times in milliseconds."""
 FRACTION_BOUNDS = {
     "change": FractionBounds(0.0, 1.0),
     "loose": FractionBounds(0.0, 0.5),
@@ -56,7 +56,7 @@
 
 
 class BudgetConfigError(RainfallError, ValueError):
-    """Input that cannot be accepted.
+    """Invalid input.
 
     Attributes:
         faults: Each fault with its path.
@@ -73,7 +73,7 @@
     Args:
         raw: A list of {destination, calls, span_ms, reserve?, members_max, weights?,
             least?, change?, loose?, pause_ms?, slack_ms?}.
-        path: Where the list stands, for faults.
+        path: The path of the list, for faults.
 
     Raises:
         BudgetConfigError: With every fault.
@@ -99,7 +99,7 @@
 
 
 def _to_budget(entry: dict[str, Any]) -> Budget:
-    """The table from configured fields to a budget's."""
+    """The `Budget` of a valid entry."""
     return Budget(
         destination=entry["destination"],
         calls=entry["calls"],
@@ -170,7 +170,7 @@
 
 
 def _combination_faults(entry: dict[str, Any], path: str) -> list[str]:
-    """Faults of fields that are valid each by itself."""
+    """Faults between fields that are valid by themselves."""
     faults: list[str] = []
     calls = entry["calls"]
     reserve = entry.get("reserve", 0)
--- a/rainfall/budget/demand.py
+++ b/rainfall/budget/demand.py
@@ -1,4 +1,4 @@
-"""How many calls a member wants in a span: what came in lately, and what waits."""
+"""Demand of a member: calls wanted in a span, from recent arrivals and waiting calls."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from dataclasses import dataclass, field
 
 STEPS_PER_SPAN = 4
-"""Steps in which a span is counted."""
+"""Steps that a span is divided into for counting."""
 SPANS_KEPT = 2
-"""Spans that are kept: a pause between two bursts is bridged, an old burst forgotten."""
+"""Spans that are counted: two bursts with a pause between both count, old bursts do not."""
 MAX_PARTS = 32
-"""Parts told apart; further ones count as `OTHER_PART`."""
+"""Most parts counted separately; further ones count as `OTHER_PART`."""
 OTHER_PART = ""
 
 
 @dataclass(slots=True)
 class DemandStep:
-    """Calls wanted in one step of time."""
+    """Calls wanted in one step of time, `step_us` long."""
 
     index: int
     calls_by_part: dict[str, int] = field(default_factory=dict)
 
 
 class DemandTracker:
-    """Calls wanted lately, by part of demand: "CLASS" or "CLASS/TENANT".
+    """Counts the calls wanted recently, by part of demand: "CLASS" or "CLASS/TENANT".
 
     Memory: `STEPS_PER_SPAN` * `SPANS_KEPT` + 1 steps of `MAX_PARTS` + 1 numbers at
     most.
@@ -35,7 +35,7 @@
         self.steps: deque[DemandStep] = deque()
 
     def record_calls(self, now_us: int, part: str = "", calls: int = 1) -> None:
-        """Count calls that are wanted from now: messages' first calls and retries."""
+        """Count calls that are wanted from now on: first calls and retries of messages."""
         index = now_us // self.step_us
         self._drop_old_steps(index)
         if not self.steps or self.steps[-1].index != index:
@@ -45,10 +45,10 @@
         counts[known] = counts.get(known, 0) + calls
 
     def demand_by_part(self, now_us: int, waiting: Mapping[str, int]) -> dict[str, int]:
-        """The calls wanted in a span; parts without demand are left out.
+        """The calls wanted in a span, by part; parts without demand are left out.
 
-        For each part the most that came in a span of the last `SPANS_KEPT`, and what
-        waits unsent, which is wanted as well.
+        A part's demand is its highest count in any span within the last `SPANS_KEPT`,
+        plus `waiting`, its calls that wait unsent.
         """
         self._drop_old_steps(now_us // self.step_us)
         demand: dict[str, int] = {}
@@ -63,7 +63,7 @@
         return {part: calls for part, calls in demand.items() if calls > 0}
 
     def _calls_in_span(self, part: str, last_index: int) -> int:
-        """Calls of a part in the span that ends with a step."""
+        """Calls of a part in the span whose last step is `last_index`."""
         return sum(
             step.calls_by_part.get(part, 0)
             for step in self.steps
--- a/rainfall/budget/fair_share.py
+++ b/rainfall/budget/fair_share.py
@@ -1,8 +1,8 @@
-"""Max-min fair division of a whole number of calls.
+"""Max-min fair division of an integer number of calls.
 
-By demand, weights and floors, and in turns where calls are scarce. All of it is integer
-arithmetic, so that equal input divides equally everywhere and the shares add up
-exactly.
+The division is by demand, weights and floors; scarce calls rotate between the members.
+It uses integer arithmetic only, so that equal input gives equal shares on every machine
+and the shares add up exactly.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 K = TypeVar("K")
 CREDIT_UNIT = 1_000_000
-"""Credit is counted in millionths of a call."""
+"""Credit units in a call: credit is counted in millionths of a call."""
 MAX_CREDIT = 2 * CREDIT_UNIT
-"""Credit or debt at most: a long wait earns one turn, not a row of them."""
+"""Limit of credit and of debt: a long wait earns one turn, not several in a row."""
 
 
 class Claim(NamedTuple, Generic[K]):
-    """One claimant: given from `minimum` to `maximum`, by its weight between them."""
+    """A claim to between `minimum` and `maximum` calls, by weight between the two."""
 
     key: K
     weight: int
@@ -31,15 +31,15 @@
 
 
 class Filling(NamedTuple, Generic[K]):
-    """What `water_fill` gave to each claimant."""
+    """The result of `water_fill`."""
 
-    given: dict[K, int]
-    owed: dict[K, int]
-    """What rounding owes each, in `CREDIT_UNIT`; negative for a debt."""
+    calls_by_key: dict[K, int]
+    credit_by_key: dict[K, int]
+    """Credit from rounding, in millionths of a call; negative for a debt."""
 
 
 class FillLevel(NamedTuple):
-    """A level as a fraction."""
+    """A water level, calls for each unit of weight, as a fraction."""
 
     numerator: int
     denominator: int
@@ -51,11 +51,11 @@
 
     shares: dict[K, int]
     unassigned: int
-    """Given to nobody; the shares and this add up to the total."""
+    """Calls in no share; the shares and `unassigned` add up to the total."""
     credit: dict[K, int]
-    """For the next division: what rounding and turns still owe, in `CREDIT_UNIT`."""
+    """Credit from rounding and turns, for the next division, in millionths of a call."""
     scarce: bool
-    """Some members with work have no calls: later divisions serve them in turn."""
+    """Whether members with demand have no calls; later divisions serve them in turn."""
 
 
 def water_fill(
@@ -63,55 +63,55 @@
 ) -> Filling[K]:
     """Divide `total` by water-filling, in O(n log n).
 
-    Each is given clamp(weight * level, minimum, maximum), with the level that uses up
-    the total. Rounded to whole numbers; a call left over goes where the lost fraction
-    and `credit` together are highest, then by order.
+    Each claim gets clamp(weight * level, minimum, maximum), rounded down, with the
+    level at which the total is used up. Calls left over go to the claims with the
+    highest sum of lost fraction and `credit`; ties go by order.
 
     Raises:
-        ValueError: The minimums are more than the total.
+        ValueError: The sum of the minimums exceeds the total.
     """
     minimum = sum(claim.minimum for claim in claims)
     if minimum > total:
-        raise ValueError("the least parts are more than the whole")
+        raise ValueError("the sum of the minimums exceeds the total")
     if sum(claim.maximum for claim in claims) <= total:
         return Filling({claim.key: claim.maximum for claim in claims}, {})
     level = _fill_level(total, minimum, claims)
-    given: dict[K, int] = {}
+    calls_by_key: dict[K, int] = {}
     rounded_down: list[tuple[int, int, K, int]] = []
     for order, claim in enumerate(claims):
-        calls, rest = divmod(claim.weight * level.numerator, level.denominator)
-        given[claim.key] = min(max(calls, claim.minimum), claim.maximum)
-        if rest and claim.minimum <= calls < claim.maximum:
-            lost = rest * CREDIT_UNIT // level.denominator
-            rank = -lost - credit.get(claim.key, 0)
-            rounded_down.append((rank, order, claim.key, lost))
+        calls, remainder = divmod(claim.weight * level.numerator, level.denominator)
+        calls_by_key[claim.key] = min(max(calls, claim.minimum), claim.maximum)
+        if remainder and claim.minimum <= calls < claim.maximum:
+            lost_credit = remainder * CREDIT_UNIT // level.denominator
+            rank = -lost_credit - credit.get(claim.key, 0)
+            rounded_down.append((rank, order, claim.key, lost_credit))
     rounded_down.sort(key=lambda entry: entry[:2])
-    owed = {key: lost for _, _, key, lost in rounded_down}
-    left_over = total - sum(given.values())
+    rounding_credit = {key: lost_credit for _, _, key, lost_credit in rounded_down}
+    left_over = total - sum(calls_by_key.values())
     for _, _, key, _ in rounded_down[:left_over]:
-        given[key] += 1
-        owed[key] -= CREDIT_UNIT
-    return Filling(given, owed)
+        calls_by_key[key] += 1
+        rounding_credit[key] -= CREDIT_UNIT
+    return Filling(calls_by_key, rounding_credit)
 
 
 def _fill_level(total: int, minimum: int, claims: Sequence[Claim[K]]) -> FillLevel:
-    """The level that uses up the total, found in one sweep.
+    """The level at which the total is used up, found in one sweep.
 
-    Each claimant's part grows with the level from minimum/weight to maximum/weight.
+    The calls of a claim grow between the levels minimum/weight and maximum/weight.
     """
-    # The scale makes every level at which a part starts or stops growing a whole number.
+    # Scaled, every level at which a claim starts or stops growing is an integer.
     scale = math.lcm(*(claim.weight for claim in claims))
     # (scaled level, change of the growing weight, change of the fixed calls)
-    turns: list[tuple[int, int, int]] = []
+    breakpoints: list[tuple[int, int, int]] = []
     for claim in claims:
         if claim.maximum > claim.minimum:
             step = scale // claim.weight
-            turns.append((claim.minimum * step, claim.weight, -claim.minimum))
-            turns.append((claim.maximum * step, -claim.weight, claim.maximum))
-    turns.sort()
+            breakpoints.append((claim.minimum * step, claim.weight, -claim.minimum))
+            breakpoints.append((claim.maximum * step, -claim.weight, claim.maximum))
+    breakpoints.sort()
     fixed = minimum
     growing = 0
-    for level, weight_change, fixed_change in turns:
+    for level, weight_change, fixed_change in breakpoints:
         if growing and fixed * scale + growing * level >= total * scale:
             break
         growing += weight_change
@@ -130,65 +130,71 @@
 ) -> Division[K]:
     """Divide `total` calls among the members of `needs`.
 
-    In this order: each keeps its floor; each with work has `least` (or all it needs),
-    in turns by `credit` where that is more than there is; the parts share by weight
-    what their demand asks, and within a part its members share evenly; what nobody
-    needs is spread evenly as headroom, except `loose`.
+    The steps, in this order:
+
+    1. Each member gets its floor.
+    2. Each member with demand gets `least` calls, or its demand if lower. If there are
+       too few calls, members get them in turn, by `credit`.
+    3. The rest goes to the parts of demand by weight, up to their demand; the members
+       of a part share its calls evenly.
+    4. Calls beyond all demand are spread evenly as headroom, except `loose`.
 
     Args:
         total: Calls to divide.
-        needs: Calls wanted in a span, by member and part of demand. Members count in
-            this order.
-        weights: Of classes and tenants.
+        needs: Calls wanted in a span, by member and part of demand. Ties go by the
+            order of members.
+        weights: Weights of classes and tenants.
         floors: Each member's reserve.
-        least: See above.
-        credit: The previous division's, in `CREDIT_UNIT`.
-        loose: Unneeded calls that are not spread.
+        least: Calls for each member with demand, in step 2.
+        credit: The credit of the previous division, in millionths of a call.
+        loose: Most calls beyond all demand that stay unassigned.
 
     Raises:
-        ValueError: The floors are more than the total.
+        ValueError: The sum of the floors exceeds the total.
     """
-    work = {key: sum(parts.values()) for key, parts in needs.items()}
+    demand_by_key = {key: sum(parts.values()) for key, parts in needs.items()}
     floor = {key: floors.get(key, 0) for key in needs}
     first_claims = [
-        Claim(key, 1, floor[key], max(floor[key], min(least, work[key])))
+        Claim(key, 1, floor[key], max(floor[key], min(least, demand_by_key[key])))
         for key in needs
     ]
-    base, owed = water_fill(total, first_claims, credit)
-    shares = dict(base)
-    claims_by_part = _claims_by_part(needs, weights, base, shares)
-    # What is left in `shares` is above all need: no part's.
+    base_shares, rounding_credit = water_fill(total, first_claims, credit)
+    shares = dict(base_shares)
+    claims_by_part = _claims_by_part(needs, weights, base_shares, shares)
+    # The calls left in `shares` are beyond their member's demand and belong to no part.
     part_total = total - sum(shares.values())
     calls_by_part = _divide_between_parts(part_total, claims_by_part, weights)
     for part in sorted(claims_by_part):
         filling = water_fill(calls_by_part[part], claims_by_part[part], credit)
-        for key, calls in filling.given.items():
+        for key, calls in filling.calls_by_key.items():
             shares[key] += calls
-        for key, millionths in filling.owed.items():
-            owed[key] = owed.get(key, 0) + millionths
+        for key, millionths in filling.credit_by_key.items():
+            rounding_credit[key] = rounding_credit.get(key, 0) + millionths
     unassigned = _spread_headroom(total, shares, needs, loose)
     return Division(
         shares,
         unassigned,
-        _carried_credit(needs, work, credit, owed),
-        any(work[key] and not shares[key] for key in needs),
+        _carried_credit(needs, demand_by_key, credit, rounding_credit),
+        any(demand_by_key[key] and not shares[key] for key in needs),
     )
 
 
 def _claims_by_part(
     needs: Mapping[K, Mapping[str, int]],
     weights: Mapping[str, int],
-    base: Mapping[K, int],
+    base_shares: Mapping[K, int],
     shares: dict[K, int],
 ) -> dict[str, list[Claim[K]]]:
-    """Each part's claims; what a part's minimum takes is taken out of `shares`.
+    """Each part's claims; the minimums of the claims are subtracted from `shares`.
 
-    What a member has at least serves its weightiest parts first.
+    A member's base share serves its parts with the highest weight first.
     """
     claims: dict[str, list[Claim[K]]] = {}
     for key, demand in needs.items():
-        available = base[key]
-        for part in sorted(demand, key=lambda p: (-part_weight(p, weights), p)):
+        available = base_shares[key]
+        for part in sorted(
+            demand, key=lambda name: (-part_weight(name, weights), name)
+        ):
             wanted = demand[part]
             served = min(available, wanted)
             available -= served
@@ -202,7 +208,7 @@
     claims_by_part: Mapping[str, Sequence[Claim[K]]],
     weights: Mapping[str, int],
 ) -> dict[str, int]:
-    """Calls of each part."""
+    """Calls of each part, by weight and demand."""
     claims = [
         Claim(
             part,
@@ -212,7 +218,7 @@
         )
         for part in sorted(claims_by_part)
     ]
-    return water_fill(total, claims, {}).given
+    return water_fill(total, claims, {}).calls_by_key
 
 
 def _spread_headroom(
@@ -221,26 +227,28 @@
     needs: Mapping[K, Mapping[str, int]],
     loose: int,
 ) -> int:
-    """Add what nobody needs to the shares, evenly; return what is not spread."""
+    """Add calls beyond all demand to the shares, evenly; return those not spread."""
     unused = total - sum(shares.values())
     unassigned = min(unused, loose) if needs else unused
     claims = [Claim(key, 1, 0, total) for key in needs]
-    for key, calls in water_fill(unused - unassigned, claims, {}).given.items():
+    for key, calls in water_fill(unused - unassigned, claims, {}).calls_by_key.items():
         shares[key] += calls
     return unassigned
 
 
 def _carried_credit(
     needs: Mapping[K, Mapping[str, int]],
-    work: Mapping[K, int],
+    demand_by_key: Mapping[K, int],
     credit: Mapping[K, int],
-    owed: Mapping[K, int],
+    rounding_credit: Mapping[K, int],
 ) -> dict[K, int]:
-    """Credit is earned by waiting with work; without work only a debt is carried."""
+    """The credit for the next division; a member without demand keeps only a debt."""
     carried: dict[K, int] = {}
     for key in needs:
-        now = credit.get(key, 0) + owed.get(key, 0)
-        now = min(max(now, -MAX_CREDIT), MAX_CREDIT if work[key] else 0)
-        if now:
-            carried[key] = now
+        balance = credit.get(key, 0) + rounding_credit.get(key, 0)
+        balance = min(
+            max(balance, -MAX_CREDIT), MAX_CREDIT if demand_by_key[key] else 0
+        )
+        if balance:
+            carried[key] = balance
     return carried
--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -1,8 +1,8 @@
 """All budgets at the list service: members, their heartbeats, and the shares granted.
 
-Without I/O: `plan` prepares a change, the caller writes its record to disk, `commit`
-puts it in force; only what is committed is answered. The caller decides who is a member
-and when a lease has expired on every clock.
+The ledger does no I/O: `plan` returns a change, the caller writes its record to disk,
+and `commit` applies it; only committed shares are sent to members. The caller decides
+who is a member and when a lease has expired on every clock.
 
 All times are of the service's clock, in microseconds.
 """
@@ -24,13 +24,14 @@
 from rainfall.lease.fencing_token import Token
 
 UNCONFIGURED_CALLS = 1
-"""Total and span of a budget that is on disk but not configured: nothing is granted."""
+"""Total of a budget that is on disk but not configured, and so not granted."""
 UNCONFIGURED_SPAN_US = 1
+"""Span of a budget that is on disk but not configured."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberGrant:
-    """One grant of one budget to one process."""
+    """A grant of one budget to one process."""
 
     destination: str
     name: str
@@ -38,7 +39,7 @@
     grant: QuotaGrant
 
     def to_row(self) -> list[Any]:
-        """Its row in a change's record."""
+        """The grant's row in the record of a change."""
         grant = self.grant
         return [
             self.destination,
@@ -62,14 +63,14 @@
 
 
 class AccountEnd(NamedTuple):
-    """A process's account of one budget that is not active any more."""
+    """The end of a process's account of one budget: it is no longer active."""
 
     destination: str
     token: Token
     state: AccountState
 
     def to_row(self) -> list[Any]:
-        """Its row in a change's record."""
+        """The end's row in the record of a change."""
         return [self.destination, self.token.to_wire(), self.state.value]
 
     @staticmethod
@@ -81,16 +82,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What goes to disk as one record.
+    """A change of the ledger, written to disk as one record.
 
-    New shares, and the ends of processes that other processes' new shares depend on.
+    It holds new grants, and the ends of accounts whose calls those grants may use.
     """
 
     number: int
     grants: tuple[MemberGrant, ...]
     ends: tuple[AccountEnd, ...]
     opened: bool = True
+    """Whether grants of all budgets have begun."""
     new_reserves_blocked: bool = False
+    """Whether no process gets a first reserve."""
 
     def to_record(self) -> dict[str, Any]:
         """The form on disk, for JSON."""
@@ -107,7 +110,7 @@
         """Decode a record.
 
         Raises:
-            KeyError, TypeError, ValueError: `raw` is no record of a change.
+            KeyError, TypeError, ValueError: `raw` is not the record of a change.
         """
         return Change(
             int(raw["budgets"]),
@@ -119,17 +122,17 @@
 
 
 class Ledger:
-    """The budgets, their accounts and their division.
+    """The budgets, their accounts and their allocations.
 
     Args:
-        budgets: Checked budgets.
-        max_lease_us: The longest lease there is.
-        drift: The share by which the rates of two clocks may differ.
+        budgets: Validated budgets.
+        max_lease_us: The longest time to live of a lease.
+        drift: Fraction by which the rates of two clocks may differ.
         now_us: The present time.
-        sure: The folder is known to be complete. Otherwise (it was lost, or may be an
-            older copy) nothing is granted until every lease and window that may be
-            unknown here is over, and no process gets its first reserve until an
-            operator confirms that all who have one are known.
+        sure: Whether the folder is known to be complete. If it was lost or may be an
+            older copy, nothing is granted until every lease and window that may be
+            missing from it is over, and no process gets a first reserve until an
+            operator confirms that all holders of reserves are known.
     """
 
     def __init__(
@@ -153,18 +156,18 @@
         self.budget_accounts: dict[str, BudgetAccounts] = {}
         self.allocations: dict[str, Allocation] = {}
         self.names: dict[Token, str] = {}
-        """Names of the processes in force."""
+        """Names of the active processes."""
         self.presumed_until_us: dict[Token, int] = {}
-        """When the leases expire of processes restored and not heard of since."""
+        """When the leases expire of restored processes without a message since the start."""
         self.number = 0
         self.pending: Change | None = None
         self.configure(budgets, now_us)
 
     def configure(self, budgets: Iterable[Budget], now_us: int) -> None:
-        """Put checked budgets in force.
+        """Replace the configured budgets by validated ones.
 
-        One that is not named any more is not answered, but what was granted of it stays
-        counted, so that it can come back.
+        A budget that is no longer configured is no longer sent to members. Its grants
+        stay counted, so that it can be configured again.
         """
         configured = {budget.destination: budget for budget in budgets}
         for destination, budget in sorted(configured.items()):
@@ -191,7 +194,7 @@
         return accounts
 
     def accounts_for(self, destination: str) -> BudgetAccounts:
-        """The accounts of a destination, deconfigured where it has no budget."""
+        """The accounts of a destination; added as deconfigured if it has no budget."""
         accounts = self.budget_accounts.get(destination)
         if accounts is None:
             budget = Budget(destination, UNCONFIGURED_CALLS, UNCONFIGURED_SPAN_US)
@@ -207,17 +210,17 @@
         now_us: int,
         keeps: Mapping[str, int] | None = None,
     ) -> None:
-        """A process is in force under this token.
+        """Add a process that is active under this token.
 
-        May be repeated, and is called for all members after a restart.
+        Repeated calls are allowed; it is called for all members after a restart.
 
         Args:
             token: The process's token.
             name: The member's name.
-            follows: The token that the process had before, or the process whose folder
-                it took over under lock.
+            follows: The former token of the process, or the token of the process whose
+                folder it took over under lock; None without either.
             now_us: The present time.
-            keeps: The reserves, by destination, that it keeps from then.
+            keeps: The reserves that it holds from `follows`, by destination.
         """
         self.names[token] = name
         self.presumed_until_us.pop(token, None)
@@ -238,16 +241,16 @@
         holds: Mapping[str, HeldShare],
         now_us: int,
     ) -> bool:
-        """Take a heartbeat.
+        """Process a heartbeat: store the demand and acknowledge the held shares.
 
         Args:
             token: The process's token.
             needs: Calls wanted in a span, by destination and part.
-            holds: The newest share that it holds, by destination.
+            holds: The newest share that the process holds, by destination.
             now_us: The present time.
 
         Returns:
-            False where no such process is in force: it has lost its lease.
+            False if the process is not active: it has lost its lease.
         """
         if token not in self.names:
             return False
@@ -261,15 +264,15 @@
         return True
 
     def lease_expired(self, token: Token, now_us: int) -> None:
-        """The process's lease has expired on every clock: it uses its reserve only."""
+        """Handle a lease's expiry on every clock: the process uses only its reserve."""
         self._end_accounts(token, BudgetAccounts.expire, now_us)
 
     def process_ended(self, token: Token, now_us: int) -> None:
-        """The process has surely ended, by its own last message or an operator's."""
+        """Handle a confirmed end, by the process's last message or an operator's request."""
         self._end_accounts(token, BudgetAccounts.end, now_us)
 
     def confirm_reserves(self) -> None:
-        """Let processes get their first reserve again.
+        """Allow first reserves again.
 
         An operator confirms, after a lost folder, that every process with a reserve is
         listed in `status`.
@@ -294,13 +297,14 @@
     def plan(self, now_us: int, frozen: bool = False) -> Change | None:
         """The next change, to be written and then committed; None if nothing is due.
 
-        While one is pending it is returned again: a write that failed may have reached
-        the disk, so it is repeated, never replaced. O(members log members) for each
-        budget.
+        A pending change is returned again: a failed write may have reached the disk, so
+        the change is written again, never replaced. Takes O(members log members) for
+        each budget.
 
         Args:
             now_us: The present time.
-            frozen: Nothing is divided or moved.
+            frozen: No budget is divided and no grant is made; only ends and settings are
+                written.
         """
         if self.pending is not None:
             return self.pending
@@ -310,7 +314,11 @@
         ends: list[AccountEnd] = []
         for destination, accounts in sorted(self.budget_accounts.items()):
             accounts.prune(now_us)
-            unpersisted = [a for a in accounts.accounts.values() if not a.persisted]
+            unpersisted = [
+                account
+                for account in accounts.accounts.values()
+                if not account.persisted
+            ]
             grants.extend(_grants_in_use(destination, unpersisted))
             ends.extend(_ends(destination, unpersisted))
             if not frozen and self._may_grant(accounts, now_us):
@@ -327,7 +335,7 @@
         return self.pending
 
     def _open(self, now_us: int) -> None:
-        """Begin to grant once the wait of every budget is over."""
+        """Begin grants once the start wait of every budget is over."""
         if not self.opened and all(
             now_us >= accounts.grants_from_us
             for accounts in self.budget_accounts.values()
@@ -352,7 +360,7 @@
     def _next_grants(
         self, destination: str, accounts: BudgetAccounts, now_us: int
     ) -> list[MemberGrant]:
-        """Divide a budget anew where there is cause, and move towards its division."""
+        """Rebalance a budget if it is due, and return the next grants towards its targets."""
         allocation = self.allocations[destination]
         rebalance(allocation, accounts, now_us)
         grants = next_grants(allocation, accounts, now_us)
@@ -362,16 +370,16 @@
         ]
 
     def commit(self, change: Change) -> None:
-        """Put a change that is on disk in force.
+        """Apply a change that is on disk.
 
-        The next one, or while restoring, any in its order.
+        It is the pending change, or while restoring, the next in the order of `number`.
         """
         self.pending = None
         self.number = change.number
         for member_grant in change.grants:
             accounts = self.budget_accounts[member_grant.destination]
             account = accounts.accounts.get(member_grant.token)
-            # A process that ended meanwhile never receives the grant.
+            # If the process ended meanwhile, the grant is never sent.
             if account is not None and account.state is AccountState.ACTIVE:
                 _commit_grant(account, member_grant.grant)
         for end in change.ends:
@@ -380,9 +388,9 @@
                 account.persisted = True
 
     def shares_for(self, token: Token) -> dict[str, Share]:
-        """What a member is answered by destination; valid as long as its lease.
+        """The shares to send to a member, by destination; valid as long as its lease.
 
-        A budget that is not among them is no longer renewed.
+        A share whose budget is missing from the result is no longer renewed.
         """
         shares: dict[str, Share] = {}
         for destination, accounts in sorted(self.budget_accounts.items()):
@@ -432,7 +440,7 @@
 
 def _commit_grant(account: MemberAccount, grant: QuotaGrant) -> None:
     if grant in account.grants:
-        # A reserve that moved to the account is on disk now.
+        # The reserve that was moved to this account is now on disk.
         account.persisted = True
     elif not grant.number and not account.acknowledged_number:
         account.grants.insert(0, grant)
--- a/rainfall/budget/member_quota.py
+++ b/rainfall/budget/member_quota.py
@@ -1,7 +1,8 @@
-"""A member's side of one budget: what it may send now, and which share it holds.
+"""A member's side of one budget: the share it holds and the calls it may send now.
 
-Safe by itself: whatever it receives, late, twice or out of order, in every sliding span
-it lets at most its share leave, and a share that it reports binds it from that moment.
+It is safe by itself: whether answers arrive late, twice or out of order, the calls in
+every sliding span stay within the share, and once the member has reported a share as
+held, it makes no call under an older one.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class MemberQuota:
-    """One budget at one process.
+    """Enforces one budget's share in one process.
 
     All times are of the process's own monotonic clock, in microseconds; it never goes
     back.
@@ -29,25 +30,25 @@
         self.drift = drift
         self.share = Share(ZERO_TOKEN, 0, 0, 0, 0, 0, 0)
         self.valid_until_us = start_us
-        """When the lease ends by the own clock; then only the reserve may be used."""
+        """When the lease ends by this clock; from then on only the reserve may be used."""
         self.closed = False
         self.fenced_token = ZERO_TOKEN
-        """Shares of this token and below are not accepted any more."""
-        # A process of this name may have sent until just now: nothing leaves before a
-        # window has passed.
+        """Shares of this token and of lower ones are no longer accepted."""
+        # An earlier process of this name may have sent calls until now: nothing is sent
+        # until a window has passed.
         self.window = SlidingWindow(0, start_us)
 
     def receive_share(self, share: Share, valid_until_us: int, now_us: int) -> bool:
-        """Take a share from an answer.
+        """Store a share from an answer.
 
         Args:
             share: The share.
-            valid_until_us: When the lease ends by the own clock, counted from when the
+            valid_until_us: When the lease ends by this clock, counted from when the
                 request was sent.
             now_us: The present time.
 
         Returns:
-            False where the share is older than the one held: it does not count.
+            False if the share is older than the one held, or fenced; it is ignored.
         """
         is_older = (share.token, share.number) < (self.share.token, self.share.number)
         if is_older or share.token <= self.fenced_token:
@@ -56,8 +57,8 @@
             valid_until_us = max(valid_until_us, self.valid_until_us)
         self.share = share
         self.valid_until_us = valid_until_us
-        # Entries are dropped by the former window first: a longer one would include
-        # some of them again, so these must be marked as unknown.
+        # Drop entries by the former window first: a longer window would include some of
+        # them again, so they are marked as unknown.
         self.window.drop_expired(now_us)
         self.window.length_us = reuse_window_us(
             share.span_us, share.slack_us, self.drift
@@ -65,34 +66,34 @@
         return True
 
     def fence(self, now_us: int) -> None:
-        """The lease is lost or given up: from now on only the reserve may be used."""
+        """End the use of the share after the lease is lost; only the reserve may be used."""
         self.valid_until_us = min(self.valid_until_us, now_us)
-        # An earlier answer that is still under way must not bring the share back.
+        # A delayed answer must not make the share valid again.
         self.fenced_token = self.share.token
 
     def held_share(self, token: Token) -> HeldShare | None:
         """(calls, number) of the newest share of the incarnation `token`.
 
-        None before the first: this incarnation must not acknowledge what an earlier one
-        was granted.
+        None before its first share: an incarnation must not acknowledge a share that
+        was granted to an earlier one.
         """
         if self.share.token != token:
             return None
         return (self.share.calls, self.share.number)
 
     def limit(self, now_us: int) -> int:
-        """Calls in a span that may be sent now."""
+        """Most calls in a span that may be sent now."""
         if self.closed:
             return 0
         return self.share.calls if now_us < self.valid_until_us else self.share.reserve
 
     def spend(self, now_us: int, calls: int = 1) -> bool:
-        """Count calls, if so many may be sent now.
+        """Count `calls` calls if all of them may be sent now.
 
-        Their first bytes have to leave within `slack_us`: see `is_late`.
+        Their first bytes have to be sent within `slack_us`: see `is_late`.
 
         Returns:
-            Whether they may be sent.
+            Whether the calls may be sent.
         """
         self.window.drop_expired(now_us)
         if (
@@ -104,17 +105,17 @@
         return True
 
     def is_late(self, spent_us: int, now_us: int) -> bool:
-        """Whether a call counted at `spent_us` has to be counted again before it leaves.
+        """Whether a call counted at `spent_us` has to be counted again before sending.
 
-        The process may have been stopped in between: to be asked right before the
-        call's first byte leaves.
+        The process may have been suspended since: call this right before the call's
+        first byte is sent.
         """
         return now_us - spent_us > self.share.slack_us
 
     def available_at(self, now_us: int, calls: int = 1) -> int | None:
-        """When so many calls may be sent at the earliest, by the share held now.
+        """The earliest time at which `calls` calls may be sent, by the share held now.
 
-        None: not before another share is received.
+        None if they may not be sent before another share is received.
         """
         self.window.drop_expired(now_us)
         if now_us < self.valid_until_us and calls <= self.limit(now_us):
@@ -129,8 +130,8 @@
     def to_record(self) -> dict[str, Any]:
         """The record that has to be on disk before the first call under a new share.
 
-        After a crash a successor uses the reserve by it, but only after a whole window:
-        what was spent is not part of it.
+        After a crash a successor uses the reserve in it. The record does not contain
+        the calls spent, so the successor waits a whole window first.
         """
         share = self.share
         return {
@@ -144,17 +145,18 @@
         }
 
     def close(self, now_us: int, leaving: bool = False) -> dict[str, Any]:
-        """End the quota: nothing may be sent any more.
+        """Close the quota: no more calls may be sent.
 
         Args:
             now_us: The present time.
-            leaving: For good: a successor has no reserve. Once the record is on disk,
-                the service may be told so (`Ledger.process_ended`).
+            leaving: The process leaves for good, and a successor gets no reserve. Once
+                the record is on disk, the end may be reported to the service
+                (`Ledger.process_ended`).
 
         Returns:
-            A record with what was spent, so that a successor on the same clock (of one
-            boot) need not wait. The successor has to replace it by that of `to_record`
-            before its first call.
+            A record with the calls spent, so that a successor on the same clock (same
+            boot) need not wait. The successor has to replace it on disk by that of
+            `to_record` before its first call.
         """
         self.window.drop_expired(now_us)
         self.closed = True
@@ -173,11 +175,11 @@
     ) -> MemberQuota:
         """A successor's quota, from the record of `to_record` or `close`.
 
-        What was spent does not count where the quota was closed later than now, by the
-        clock of another boot.
+        The spent calls of a record that was closed after `start_us` are ignored: its
+        times are of the clock of another boot.
 
         Raises:
-            ValueError: The record cannot be read.
+            ValueError: The record cannot be decoded.
         """
         quota = MemberQuota(start_us, drift)
         try:
@@ -188,14 +190,14 @@
             if record.get("closed_us", start_us + 1) <= start_us:
                 _restore_window(quota.window, record)
         except (KeyError, TypeError, AttributeError) as error:
-            raise ValueError(f"not a purse's record: {error!r}") from None
+            raise ValueError(f"not a quota record: {error!r}") from None
         return quota
 
 
 def _share_from_record(record: Mapping[str, Any]) -> Share:
-    """The share of a record: under its former token it holds the reserve only."""
+    """The share of a record, which allows only the reserve under its former token."""
     if record["form"] != RECORD_FORMAT:
-        raise ValueError(f"form {record['form']} is not known")
+        raise ValueError(f"record form {record['form']} is not supported")
     number = int(record["number"])
     reserve = int(record["reserve"])
     return Share(
--- a/rainfall/budget/model.py
+++ b/rainfall/budget/model.py
@@ -1,10 +1,9 @@
 """A model of budgets for the model checker: a service and members.
 
-The budget classes are those that the processes run. A tick is one microsecond of the
-service's clock. A member's clock may miss ticks, as far as `drift` allows. A pause
-needs no step: nobody has to do anything at any time. A violation is found by what was
-really sent and by what members' quotas would really allow, never by what the ledger
-holds.
+The budget classes are the production ones. A tick is one microsecond of the service's
+clock. A member's clock may miss ticks, as far as `drift` allows. A paused process needs
+no step of its own, since no step has to happen at any time. The invariants are checked
+by the calls sent and the calls that the members' quotas allow, not by the ledger.
 """
 
 from __future__ import annotations
@@ -18,10 +17,10 @@
 from rainfall.budget.member_quota import MemberQuota
 from rainfall.budget.model_mutations import (
     MUTATIONS,
-    AccountsFreedWhenTold,
+    AccountsFreedWhenAnswered,
     AccountsWithoutReserves,
     AccountsWithoutWindow,
-    QuotaTakingOlderShares,
+    QuotaAcceptingOlderShares,
 )
 from rainfall.budget.model_state import (
     ModelState,
@@ -40,15 +39,28 @@
 
 
 class BudgetModel:
-    """The steps that may happen, and what must hold.
+    """The steps and invariants of the model.
 
-    A heartbeat and its answer arrive at once, or are under way from then on: to arrive
-    at any time, in any order, or never. The parameters limit what may happen: how often
-    a message is delayed (`delays`), ticks that members' clocks miss (`slows`, with a
-    `drift` that allows them), crashes of members, restarts of the service (`lost`: with
-    its folder gone). `moves`: from now on the first member needs nothing and all others
-    the whole budget, where else each heartbeat may report either. `first`: what is
-    limited of members happens to the first only.
+    A heartbeat and its answer arrive at once or are delayed; a delayed message arrives
+    at any time, in any order, or never. The parameters limit which steps are possible:
+
+    Args:
+        whole: The budget's total.
+        reserve: The reserve of each member.
+        members: Number of members.
+        seats: Most processes with a reserve; 0 for `members`.
+        delays: Most delayed messages.
+        slows: Most ticks that members' clocks miss; `drift` has to allow them.
+        crashes: Most crashes of members.
+        restarts: Most restarts of the service.
+        lost: A restarted service has lost its folder.
+        demand_moves: After the start the first member wants no calls and the others
+            want the whole budget; otherwise each heartbeat may report either.
+        first_only: Delays, missed ticks and crashes happen to the first member only.
+        ttl: Ticks of a lease.
+        span: Ticks of the budget's span.
+        drift: Fraction by which the rates of two clocks may differ.
+        bug: One of `MUTATIONS`, or none.
     """
 
     def __init__(
@@ -62,15 +74,15 @@
         crashes: int = 0,
         restarts: int = 0,
         lost: bool = False,
-        moves: bool = False,
-        first: bool = False,
+        demand_moves: bool = False,
+        first_only: bool = False,
         ttl: int = 3,
         span: int = 2,
         drift: float = 0.0,
         bug: str = "",
     ) -> None:
         if bug and bug not in MUTATIONS:
-            raise ValueError(f"no bug {bug}")
+            raise ValueError(f"unknown mutation: {bug}")
         self.budget = Budget(
             "d",
             whole,
@@ -82,12 +94,12 @@
             pause_us=0,
             slack_us=0,
         )
-        self.members, self.bug, self.lost, self.moves, self.first = (
+        self.members, self.bug, self.lost, self.demand_moves, self.first_only = (
             members,
             bug,
             lost,
-            moves,
-            first,
+            demand_moves,
+            first_only,
         )
         self.delays, self.slows, self.crashes, self.restarts = (
             delays,
@@ -96,8 +108,8 @@
             restarts,
         )
         self.drift, self.ttl = drift, ttl
-        # Ticks by the holder's clock, from when it asked; by the service's, from when
-        # it answered.
+        # The holder counts ticks by its clock from sending the request, the service by
+        # its own clock from answering it.
         self.holder_lease_ticks, self.service_lease_ticks = (
             int(ttl * (1 - drift)),
             math.ceil(ttl * (1 + drift)),
@@ -105,16 +117,15 @@
         if bug == "no drift margin":
             self.holder_lease_ticks = self.service_lease_ticks = ttl
 
-    # -- the start: all joined, the first member holds what can be had
-    # ------------------------------------
+    # -- initial state
 
     def start(self) -> ModelState:
-        """All have joined, and the first member holds all that can be had."""
+        """All members have joined, and the first holds all calls that can be granted."""
         ledger = Ledger(
             [self.budget], self.service_lease_ticks, self.drift, 0, sure=True
         )
         ledger = self._with_mutation(ledger)
-        world = ModelState(
+        state = ModelState(
             0,
             ledger,
             {},
@@ -127,26 +138,31 @@
             self.crashes,
             self.restarts,
         )
-        tokens = [Token(1, n + 1) for n in range(self.members)]
-        for n, token in enumerate(tokens):
-            ledger.member_joined(token, f"f{n}", None, 0)
+        tokens = [Token(1, index + 1) for index in range(self.members)]
+        for index, token in enumerate(tokens):
+            ledger.member_joined(token, f"f{index}", None, 0)
             ledger.heartbeat(
-                token, {"d": {"": self.budget.calls if n == 0 else 0}}, {}, 0
+                token, {"d": {"": self.budget.calls if index == 0 else 0}}, {}, 0
             )
         disk = self._plan_and_commit(ledger, 0, {})
         window = self.budget.window_us(self.drift)
         members = []
-        for n, token in enumerate(tokens):
-            purse = self._new_quota(0)
+        for index, token in enumerate(tokens):
+            quota = self._new_quota(0)
             for share in ledger.shares_for(token).values():
-                purse.receive_share(share, window + self.holder_lease_ticks, 0)
-            holds = purse.held_share(token)
-            need = self.budget.calls if n == 0 else 0
-            ledger.heartbeat(token, {"d": {"": need}}, {"d": holds} if holds else {}, 0)
-            members.append(Process(n, token, None, purse, window))
+                quota.receive_share(share, window + self.holder_lease_ticks, 0)
+            held_share = quota.held_share(token)
+            wanted_calls = self.budget.calls if index == 0 else 0
+            ledger.heartbeat(
+                token,
+                {"d": {"": wanted_calls}},
+                {"d": held_share} if held_share else {},
+                0,
+            )
+            members.append(Process(index, token, None, quota, window))
         ledger.plan(window)
         return replace_fields(
-            world,
+            state,
             now=window,
             leases=dict.fromkeys(tokens, window + self.service_lease_ticks),
             disk=disk,
@@ -154,29 +170,31 @@
             tokens=self.members,
         )
 
-    def _new_quota(self, at: int, record: dict[str, Any] | None = None) -> MemberQuota:
+    def _new_quota(
+        self, start_time: int, record: dict[str, Any] | None = None
+    ) -> MemberQuota:
         kind = (
-            QuotaTakingOlderShares
-            if self.bug == "older answer adopted"
+            QuotaAcceptingOlderShares
+            if self.bug == "older share accepted"
             else MemberQuota
         )
-        purse = kind(at, self.drift)
+        quota = kind(start_time, self.drift)
         if record is not None:
-            old = MemberQuota.from_record(record, at, self.drift)
-            purse.share, purse.window = old.share, old.window
-            if self.bug == "new process sends at once":
-                purse.window.unknown_until_us = -1_000
-        return purse
+            predecessor = MemberQuota.from_record(record, start_time, self.drift)
+            quota.share, quota.window = predecessor.share, predecessor.window
+            if self.bug == "successor sends at once":
+                quota.window.unknown_until_us = -1_000
+        return quota
 
     def _with_mutation(self, ledger: Ledger) -> Ledger:
         kinds = {
-            "span not waited for": AccountsWithoutWindow,
-            "freed when told": AccountsFreedWhenTold,
-            "reserve not counted": AccountsWithoutReserves,
+            "no window wait": AccountsWithoutWindow,
+            "freed when answered": AccountsFreedWhenAnswered,
+            "reserve not set aside": AccountsWithoutReserves,
         }
         if self.bug in kinds:
-            for book in ledger.budget_accounts.values():
-                book.__class__ = kinds[self.bug]
+            for accounts in ledger.budget_accounts.values():
+                accounts.__class__ = kinds[self.bug]
         return ledger
 
     def _plan_and_commit(
@@ -188,204 +206,263 @@
         ledger.commit(change)
         return snapshot(ledger)
 
-    # -- what can happen
-    # ---------------------------------------------------------------------------------
+    # -- steps
 
-    def steps(self, w: ModelState) -> Iterator[tuple[str, ModelState]]:
-        """Everything that may happen next."""
-        yield "tick", self._tick(w, -1)
-        for n, p in enumerate(w.members):
-            struck = not (self.first and n)
-            if w.slows and struck and not p.slow:
-                yield f"tick that f{n}'s clock misses", self._tick(w, n)
-            yield from self._heartbeat_steps(w, n, p)
-            limit = p.purse.limit(p.at)
-            purse = copy_quota(p.purse)
-            went = sum(purse.spend(p.at) for _ in range(limit))
-            if went:
+    def steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
+        """Yield every step that is possible, and the state after it."""
+        yield "tick", self._tick(state, -1)
+        for index, process in enumerate(state.members):
+            may_fail = not (self.first_only and index)
+            if state.slows and may_fail and not process.missed_tick:
+                yield f"tick that f{index}'s clock misses", self._tick(state, index)
+            yield from self._heartbeat_steps(state, index, process)
+            limit = process.quota.limit(process.local_time)
+            quota = copy_quota(process.quota)
+            sent_calls = sum(quota.spend(process.local_time) for _ in range(limit))
+            if sent_calls:
                 yield (
-                    f"f{n} sends {went}",
+                    f"f{index} sends {sent_calls}",
                     replace_fields(
-                        w,
+                        state,
                         members=replace_member(
-                            w.members, n, replace_fields(p, purse=purse)
+                            state.members, index, replace_fields(process, quota=quota)
                         ),
-                        sent=(*w.sent, (w.now, went)),
+                        sent=(*state.sent, (state.now, sent_calls)),
                     ),
                 )
-            if w.crashes and struck:
-                purse = self._new_quota(p.at, p.purse.to_record())
-                fresh = Process(
-                    p.pid + 10, None, p.token or p.follows, purse, p.at, p.slow
+            if state.crashes and may_fail:
+                quota = self._new_quota(process.local_time, process.quota.to_record())
+                successor = Process(
+                    process.pid + 10,
+                    None,
+                    process.token or process.follows,
+                    quota,
+                    process.local_time,
+                    process.missed_tick,
                 )
                 yield (
-                    f"f{n} crashes and starts again",
+                    f"f{index} crashes and restarts",
                     replace_fields(
-                        w,
-                        members=replace_member(w.members, n, fresh),
-                        crashes=w.crashes - 1,
+                        state,
+                        members=replace_member(state.members, index, successor),
+                        crashes=state.crashes - 1,
                     ),
                 )
-        if w.restarts:
-            yield "the service starts again", self._restart(w)
-        for message, net in w.net.arrivals():
-            after, answer = self._deliver(replace_fields(w, net=net), message)
+        if state.restarts:
+            yield "the service restarts", self._restart(state)
+        for message, network in state.network.arrivals():
+            after, answer = self._deliver(
+                replace_fields(state, network=network), message
+            )
             if answer:
-                after = replace_fields(after, net=after.net.send(answer))
+                after = replace_fields(after, network=after.network.send(answer))
             yield f"arrives late: {describe_message(message)}", after
 
-    def _tick(self, w: ModelState, slow: int) -> ModelState:
-        now = w.now + 1
+    def _tick(self, state: ModelState, slow_member: int) -> ModelState:
+        now = state.now + 1
         members = tuple(
-            replace_fields(p, slow=n == slow, at=p.at + (n != slow))
-            for n, p in enumerate(w.members)
+            replace_fields(
+                process,
+                missed_tick=index == slow_member,
+                local_time=process.local_time + (index != slow_member),
+            )
+            for index, process in enumerate(state.members)
         )
-        ledger, leases = copy_ledger(w.ledger), dict(w.leases)
-        for token in sorted(t for t, until in w.leases.items() if until <= now):
+        ledger, leases = copy_ledger(state.ledger), dict(state.leases)
+        for token in sorted(
+            held for held, until in state.leases.items() if until <= now
+        ):
             del leases[token]
             ledger.lease_expired(token, now)
-        sent = tuple(s for s in w.sent if s[0] > now - self.budget.span_us)
-        disk = self._plan_and_commit(ledger, now, w.disk)
+        sent = tuple(
+            entry for entry in state.sent if entry[0] > now - self.budget.span_us
+        )
+        disk = self._plan_and_commit(ledger, now, state.disk)
         return replace_fields(
-            w,
+            state,
             now=now,
             ledger=ledger,
             leases=leases,
             members=members,
             sent=sent,
             disk=disk,
-            slows=w.slows - (slow >= 0),
+            slows=state.slows - (slow_member >= 0),
         )
 
     def _heartbeat_steps(
-        self, w: ModelState, n: int, p: Process
+        self, state: ModelState, index: int, process: Process
     ) -> Iterator[tuple[str, ModelState]]:
-        holds = p.purse.held_share(p.token) if p.token else None
-        needs = (0, self.budget.calls)
-        for need in needs if not self.moves else needs[1:] if n else needs[:1]:
+        held_share = process.quota.held_share(process.token) if process.token else None
+        demands = (0, self.budget.calls)
+        for wanted_calls in (
+            demands if not self.demand_moves else demands[1:] if index else demands[:1]
+        ):
             message = (
                 "beat",
-                n,
-                p.pid,
-                p.token,
-                p.follows,
-                p.at,
-                need,
-                holds,
-                p.purse.share.reserve,
+                index,
+                process.pid,
+                process.token,
+                process.follows,
+                process.local_time,
+                wanted_calls,
+                held_share,
+                process.quota.share.reserve,
             )
-            after, answer = self._deliver(w, message)
-            done = self._deliver(after, answer)[0]
+            after, answer = self._deliver(state, message)
+            delivered = self._deliver(after, answer)[0]
             yield (
-                f"f{n} beats, needs {need}, holds {holds}; {describe_message(answer)}",
-                done,
+                f"f{index} beats, needs {wanted_calls}, holds {held_share}; {describe_message(answer)}",
+                delivered,
             )
-            if w.delays and not (self.first and n):
-                late = replace_fields(w, delays=w.delays - 1, net=w.net.send(message))
-                yield f"f{n} beats, needs {need}, holds {holds}; it is under way", late
-                late = replace_fields(
-                    after, delays=w.delays - 1, net=after.net.send(answer)
+            if state.delays and not (self.first_only and index):
+                delayed = replace_fields(
+                    state, delays=state.delays - 1, network=state.network.send(message)
+                )
+                yield (
+                    f"f{index} beats, needs {wanted_calls}, holds {held_share}; it is delayed",
+                    delayed,
+                )
+                delayed = replace_fields(
+                    after, delays=state.delays - 1, network=after.network.send(answer)
                 )
                 yield (
-                    f"f{n} beats, needs {need}, holds {holds}; under way: {describe_message(answer)}",
-                    late,
+                    (
+                        f"f{index} beats, needs {wanted_calls}, holds {held_share};"
+                        f" delayed: {describe_message(answer)}"
+                    ),
+                    delayed,
                 )
 
-    def _restart(self, w: ModelState) -> ModelState:
-        disk: dict[str, Any] | None = copy.deepcopy(w.disk)
-        if self.bug == "restart forgets what is unacknowledged" and disk is not None:
+    def _restart(self, state: ModelState) -> ModelState:
+        disk: dict[str, Any] | None = copy.deepcopy(state.disk)
+        if self.bug == "restart drops unacknowledged grants" and disk is not None:
             for account in disk["books"]["d"]["accounts"]:
                 account[4] = account[4][-1:]
-        epoch = w.epoch
+        epoch = state.epoch
         if self.lost:
-            disk, epoch = None, w.epoch + 1
+            disk, epoch = None, state.epoch + 1
         ledger = restore(
             [self.budget],
             self.service_lease_ticks,
             self.drift,
-            w.now,
+            state.now,
             disk,
             [],
             sure=not self.lost,
         )
         if self.bug == "lost folder grants at once":
-            ledger.opened, ledger.budget_accounts["d"].grants_from_us = True, w.now
+            ledger.opened, ledger.budget_accounts["d"].grants_from_us = True, state.now
         leases = (
             {}
             if self.lost
-            else dict.fromkeys(sorted(w.leases), w.now + self.service_lease_ticks)
+            else dict.fromkeys(
+                sorted(state.leases), state.now + self.service_lease_ticks
+            )
         )
         for token in leases:
-            ledger.member_joined(token, w.ledger.names[token], None, w.now)
+            ledger.member_joined(token, state.ledger.names[token], None, state.now)
         return replace_fields(
-            w,
+            state,
             ledger=self._with_mutation(ledger),
             leases=leases,
             epoch=epoch,
-            restarts=w.restarts - 1,
+            restarts=state.restarts - 1,
         )
 
-    def _deliver(self, w: ModelState, message: Any) -> tuple[ModelState, Any]:
-        """The state after a message arrived, and the answer to it, if there is one."""
+    def _deliver(self, state: ModelState, message: Any) -> tuple[ModelState, Any]:
+        """The state after a message has arrived, and the answer, None without one."""
         if message[0] == "beat":
-            return self._serve_heartbeat(w, message)
-        _, n, pid, token, asked, shares = message
-        p = w.members[n]
-        if p.pid != pid or (p.token is not None and p.token != token):
-            return w, None
-        purse = copy_quota(p.purse)
-        if shares is None:  # lost: it joins anew
-            purse.fence(p.at)
-            fenced = replace_fields(p, token=None, follows=token, purse=purse)
-            return replace_fields(w, members=replace_member(w.members, n, fenced)), None
+            return self._serve_heartbeat(state, message)
+        _, index, pid, token, requested_at, shares = message
+        process = state.members[index]
+        if process.pid != pid or (process.token is not None and process.token != token):
+            return state, None
+        quota = copy_quota(process.quota)
+        if shares is None:  # The lease is lost: the member joins again.
+            quota.fence(process.local_time)
+            fenced = replace_fields(process, token=None, follows=token, quota=quota)
+            return replace_fields(
+                state, members=replace_member(state.members, index, fenced)
+            ), None
         for share in shares:
-            purse.receive_share(share, asked + self.holder_lease_ticks, p.at)
+            quota.receive_share(
+                share, requested_at + self.holder_lease_ticks, process.local_time
+            )
         return replace_fields(
-            w,
+            state,
             members=replace_member(
-                w.members, n, replace_fields(p, token=token, purse=purse)
+                state.members, index, replace_fields(process, token=token, quota=quota)
             ),
         ), None
 
-    def _serve_heartbeat(self, w: ModelState, message: Any) -> tuple[ModelState, Any]:
-        _, n, pid, token, follows, asked, need, holds, keeps = message
-        ledger, leases, tokens = copy_ledger(w.ledger), dict(w.leases), w.tokens
+    def _serve_heartbeat(
+        self, state: ModelState, message: Any
+    ) -> tuple[ModelState, Any]:
+        (
+            _,
+            index,
+            pid,
+            token,
+            follows,
+            requested_at,
+            wanted_calls,
+            held_share,
+            kept_reserve,
+        ) = message
+        ledger, leases, tokens = (
+            copy_ledger(state.ledger),
+            dict(state.leases),
+            state.tokens,
+        )
         shares: tuple[Share, ...] | None = None
         if token is None:
             tokens += 1
-            token = Token(w.epoch, tokens)
-            ledger.member_joined(token, f"f{n}", follows, w.now, {"d": keeps})
+            token = Token(state.epoch, tokens)
+            ledger.member_joined(
+                token, f"f{index}", follows, state.now, {"d": kept_reserve}
+            )
             leases.pop(follows, None)
             leases[token] = 0
-        disk = w.disk
+        disk = state.disk
         if token in leases:
-            leases[token] = w.now + self.service_lease_ticks
+            leases[token] = state.now + self.service_lease_ticks
             assert ledger.heartbeat(
-                token, {"d": {"": need}}, {"d": holds} if holds else {}, w.now
+                token,
+                {"d": {"": wanted_calls}},
+                {"d": held_share} if held_share else {},
+                state.now,
             )
-            disk = self._plan_and_commit(ledger, w.now, disk)
+            disk = self._plan_and_commit(ledger, state.now, disk)
             shares = tuple(ledger.shares_for(token).values())
         after = replace_fields(
-            w, ledger=ledger, leases=leases, tokens=tokens, disk=disk
+            state, ledger=ledger, leases=leases, tokens=tokens, disk=disk
         )
-        return after, ("answer", n, pid, token, asked, shares)
+        return after, ("answer", index, pid, token, requested_at, shares)
 
-    # -- what must hold
-    # ----------------------------------------------------------------------------------
+    # -- invariants
 
-    def broken(self, w: ModelState) -> str:
-        """More calls in a span than the budget, or more that may be sent."""
+    def broken(self, state: ModelState) -> str:
+        """The violated invariant: calls sent, or allowed by quotas, stay within the total."""
         whole, reserve = self.budget.calls, self.budget.reserve
-        recent = sum(count for at, count in w.sent if at > w.now - self.budget.span_us)
+        recent = sum(
+            count for at, count in state.sent if at > state.now - self.budget.span_us
+        )
         if recent > whole:
-            return f"{recent} calls in a span, the whole is {whole}"
-        acting = sum(p.purse.limit(p.at) for p in w.members)
-        seated = sum(p.purse.share.reserve > 0 for p in w.members)
-        aside = reserve * max(0, self.budget.members_max - seated)
-        if acting + aside > whole:
-            return f"{acting} calls in a span may be acted on and {aside} are set aside, the whole is {whole}"
+            return f"{recent} calls in a span, the total is {whole}"
+        usable_calls = sum(
+            process.quota.limit(process.local_time) for process in state.members
+        )
+        reserve_holders = sum(
+            process.quota.share.reserve > 0 for process in state.members
+        )
+        set_aside = reserve * max(0, self.budget.members_max - reserve_holders)
+        if usable_calls + set_aside > whole:
+            return (
+                f"{usable_calls} calls in a span are allowed and {set_aside} are set aside,"
+                f" the total is {whole}"
+            )
         return ""
 
-    def key(self, w: ModelState) -> Hashable:
-        """What tells states apart."""
-        return state_key(w, self.ttl)
+    def key(self, state: ModelState) -> Hashable:
+        """The key of a state."""
+        return state_key(state, self.ttl)
--- a/rainfall/budget/model_mutations.py
+++ b/rainfall/budget/model_mutations.py
@@ -1,4 +1,4 @@
-"""Faults planted in the budget classes, each of which the search has to find."""
+"""Mutations of the budget classes, each of which the search has to detect."""
 
 from __future__ import annotations
 
@@ -10,51 +10,51 @@
 from rainfall.budget.types import Share
 
 MUTATIONS = (
-    "span not waited for",
-    "freed when told",
+    "no window wait",
+    "freed when answered",
     "no drift margin",
-    "reserve not counted",
-    "new process sends at once",
-    "older answer adopted",
-    "restart forgets what is unacknowledged",
+    "reserve not set aside",
+    "successor sends at once",
+    "older share accepted",
+    "restart drops unacknowledged grants",
     "lost folder grants at once",
 )
 
 
 class AccountsWithoutWindow(BudgetAccounts):
-    """Quota is free again at once."""
+    """Mutation: given up calls are free at once, without a window."""
 
     def window_us(self) -> int:
-        """No window."""
+        """Return 0."""
         return 0
 
 
-class AccountsFreedWhenTold(BudgetAccounts):
-    """What a member has to give up counts as free once it is answered."""
+class AccountsFreedWhenAnswered(BudgetAccounts):
+    """Mutation: a reduction frees calls when it is granted, not when acknowledged."""
 
     def free_calls(self, proposed: Any) -> int:
-        """Calls that may be granted besides the proposed grants."""
-        ahead = sum(
-            a.usable_calls() - max(a.granted_calls(), a.reserve())
-            for a in self.active_accounts()
+        """Free calls, with unacknowledged reductions counted as free."""
+        freed_early = sum(
+            account.usable_calls() - max(account.granted_calls(), account.reserve())
+            for account in self.active_accounts()
         )
-        return super().free_calls(proposed) + ahead
+        return super().free_calls(proposed) + freed_early
 
 
 class AccountsWithoutReserves(BudgetAccounts):
-    """Reserves of processes yet to join are not set aside."""
+    """Mutation: no reserves are set aside for processes that may yet join."""
 
-    def unassigned_reserve(self, soon: int = 0) -> int:
-        """Nothing."""
-        del soon
+    def unassigned_reserve(self, pending_holders: int = 0) -> int:
+        """Return 0."""
+        del pending_holders
         return 0
 
 
-class QuotaTakingOlderShares(MemberQuota):
-    """A late answer replaces the newer share."""
+class QuotaAcceptingOlderShares(MemberQuota):
+    """Mutation: the older share of a late answer replaces the newer one."""
 
     def receive_share(self, share: Share, valid_until_us: int, now_us: int) -> bool:
-        """Take a share from an answer."""
+        """Store the share, even if it is older than the one held."""
         if share.token == self.share.token and share.number < self.share.number:
             self.share = replace(self.share, number=0)
         return super().receive_share(share, valid_until_us, now_us)
--- a/rainfall/budget/model_state.py
+++ b/rainfall/budget/model_state.py
@@ -1,4 +1,4 @@
-"""The states of the model of budgets: their copies, and when two count as one."""
+"""States of the budget model: copies of them, and keys that identify equal states."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
     pid: int
     token: Token | None
     follows: Token | None
-    purse: MemberQuota
-    at: int
-    """Its own clock."""
-    slow: bool = False
-    """Its clock missed the last tick, so it does not miss the next."""
+    quota: MemberQuota
+    local_time: int
+    """The time by the member's own clock, in microseconds."""
+    missed_tick: bool = False
+    """Whether its clock missed the last tick; it does not miss two in a row."""
 
 
 @dataclass(frozen=True)
 class ModelState:
-    """Never changed once made: its parts are copied before a change."""
+    """A state; immutable: its parts are copied before a change."""
 
     now: int
     ledger: Ledger
     leases: dict[Token, int]
     disk: dict[str, Any]
     members: tuple[Process, ...]
-    net: Network
+    network: Network
     sent: tuple[tuple[int, int], ...] = ()
     delays: int = 0
     slows: int = 0
@@ -50,190 +50,278 @@
     tokens: int = 0
 
 
-def state_key(w: ModelState, ttl: int) -> Hashable:
-    """What tells states apart.
+def state_key(state: ModelState, ttl: int) -> Hashable:
+    """The key of a state, equal for states that behave alike from here on.
 
-    Times as ages, tokens by rank, numbers counted from the acknowledged ones.
+    Times are relative to now, tokens are replaced by their rank, and numbers of shares
+    are relative to the acknowledged number.
     """
-    book, aim = w.ledger.budget_accounts["d"], w.ledger.allocations["d"]
-    ranks = _token_ranks(w)
-    base = {p.purse.share.token: p.purse.share.number for p in w.members}
-    base.update((t, a.acknowledged_number) for t, a in book.accounts.items())
+    budget_accounts, allocation = (
+        state.ledger.budget_accounts["d"],
+        state.ledger.allocations["d"],
+    )
+    ranks = _token_ranks(state)
+    acknowledged = {
+        process.quota.share.token: process.quota.share.number
+        for process in state.members
+    }
+    acknowledged.update(
+        (token, account.acknowledged_number)
+        for token, account in budget_accounts.accounts.items()
+    )
     accounts = tuple(
         (
-            ranks[t],
-            a.state,
-            a.persisted,
-            a.total_demand(),
+            ranks[token],
+            account.state,
+            account.persisted,
+            account.total_demand(),
             tuple(
-                (g.number - a.acknowledged_number, g.calls, g.reserve) for g in a.grants
+                (grant.number - account.acknowledged_number, grant.calls, grant.reserve)
+                for grant in account.grants
             ),
-            a.lent_until_us > 0,
-            max(0, a.lent_until_us - w.now),
-            max(0, a.removable_at_us - w.now),
-            w.leases.get(t, w.now) - w.now,
+            account.lent_until_us > 0,
+            max(0, account.lent_until_us - state.now),
+            max(0, account.removable_at_us - state.now),
+            state.leases.get(token, state.now) - state.now,
         )
-        for t, a in book.accounts.items()
+        for token, account in budget_accounts.accounts.items()
     )
     settled = (
         -1
-        if aim.settled_at_us is None
-        else min(w.now - aim.settled_at_us, 2 * book.window_us())
+        if allocation.settled_at_us is None
+        else min(state.now - allocation.settled_at_us, 2 * budget_accounts.window_us())
     )
     ledger = (
         accounts,
-        tuple(sorted((until - w.now, c) for until, c in book.cooling)),
-        max(0, book.grants_from_us - w.now),
+        tuple(
+            sorted(
+                (until - state.now, calls) for until, calls in budget_accounts.cooling
+            )
+        ),
+        max(0, budget_accounts.grants_from_us - state.now),
         settled,
-        aim.scarce,
-        aim.divided_at_us is None,
-        book.inputs_changed,
-        tuple((ranks[t], c) for t, c in aim.target_shares.items() if t in ranks),
-        tuple((ranks[t], c) for t, c in aim.credit.items() if t in ranks),
-        tuple((ranks[t], c) for t, c in aim.pending_credit.items() if t in ranks),
+        allocation.scarce,
+        allocation.divided_at_us is None,
+        budget_accounts.inputs_changed,
+        tuple(
+            (ranks[token], calls)
+            for token, calls in allocation.target_shares.items()
+            if token in ranks
+        ),
+        tuple(
+            (ranks[token], calls)
+            for token, calls in allocation.credit.items()
+            if token in ranks
+        ),
+        tuple(
+            (ranks[token], calls)
+            for token, calls in allocation.pending_credit.items()
+            if token in ranks
+        ),
         tuple(
-            (ranks[t], until - w.now) for t, until in w.ledger.presumed_until_us.items()
+            (ranks[token], until - state.now)
+            for token, until in state.ledger.presumed_until_us.items()
         ),
     )
     members = tuple(
         (
-            p.token and ranks[p.token],
-            p.follows and ranks.get(p.follows),
-            p.slow,
-            ranks[p.purse.share.token],
-            p.purse.share.number - base[p.purse.share.token],
-            p.purse.share.calls,
-            p.purse.share.reserve,
-            ranks.get(p.purse.fenced_token),
-            max(0, p.purse.valid_until_us - p.at),
-            max(0, p.purse.window.unknown_until_us + p.purse.window.length_us - p.at),
+            process.token and ranks[process.token],
+            process.follows and ranks.get(process.follows),
+            process.missed_tick,
+            ranks[process.quota.share.token],
+            process.quota.share.number - acknowledged[process.quota.share.token],
+            process.quota.share.calls,
+            process.quota.share.reserve,
+            ranks.get(process.quota.fenced_token),
+            max(0, process.quota.valid_until_us - process.local_time),
+            max(
+                0,
+                process.quota.window.unknown_until_us
+                + process.quota.window.length_us
+                - process.local_time,
+            ),
             tuple(
-                (p.at - at, c)
-                for _, at, c in p.purse.window.entries
-                if at > p.at - p.purse.window.length_us
+                (process.local_time - at, calls)
+                for _, at, calls in process.quota.window.entries
+                if at > process.local_time - process.quota.window.length_us
             ),
         )
-        for p in w.members
+        for process in state.members
+    )
+    in_transit = tuple(
+        sorted(
+            repr(_message_key(state, message, ranks, acknowledged, ttl))
+            for message in state.network.in_transit
+        )
     )
-    bag = tuple(
-        sorted(repr(_message_key(w, m, ranks, base, ttl)) for m in w.net.in_transit)
+    disk = repr(state.disk) if state.restarts else ""
+    sent = tuple((state.now - at, calls) for at, calls in state.sent)
+    return (
+        ledger,
+        members,
+        in_transit,
+        sent,
+        disk,
+        state.delays,
+        state.slows,
+        state.crashes,
+        state.restarts,
     )
-    disk = repr(w.disk) if w.restarts else ""
-    sent = tuple((w.now - at, c) for at, c in w.sent)
-    return (ledger, members, bag, sent, disk, w.delays, w.slows, w.crashes, w.restarts)
 
 
 def _message_key(
-    w: ModelState,
+    state: ModelState,
     message: Any,
     ranks: dict[Token, int],
-    base: dict[Token, int],
+    acknowledged: dict[Token, int],
     ttl: int,
 ) -> Any:
-    """A message by the effect that it can still have.
+    """A message's part of the key: only the fields that still have an effect.
 
-    Requests sent longer ago than any lease lasts count as equally old.
+    Requests older than a lease count as equally old.
     """
     if message[0] == "beat":
-        _, n, pid, token, follows, asked, need, holds, keeps = message
-        said = holds and (holds[0], holds[1] - base.get(token, holds[1]))
+        (
+            _,
+            index,
+            pid,
+            token,
+            follows,
+            requested_at,
+            wanted_calls,
+            held_share,
+            kept_reserve,
+        ) = message
+        held_key = held_share and (
+            held_share[0],
+            held_share[1] - acknowledged.get(token, held_share[1]),
+        )
         rest: tuple[Any, ...] = (
             ranks.get(token),
             ranks.get(follows),
-            need,
-            said,
-            keeps,
+            wanted_calls,
+            held_key,
+            kept_reserve,
         )
     else:
-        _, n, pid, token, asked, shares = message
+        _, index, pid, token, requested_at, shares = message
         rest = (
             ranks.get(token),
             shares
             and [
-                (s.calls, s.reserve, s.number - base.get(token, s.number))
-                for s in shares
+                (
+                    share.calls,
+                    share.reserve,
+                    share.number - acknowledged.get(token, share.number),
+                )
+                for share in shares
             ],
         )
-    p = w.members[n]
-    return (message[0], n, pid == p.pid, min(p.at - asked, ttl + 1), rest)
+    process = state.members[index]
+    return (
+        message[0],
+        index,
+        pid == process.pid,
+        min(process.local_time - requested_at, ttl + 1),
+        rest,
+    )
 
 
-def _token_ranks(w: ModelState) -> dict[Token, int]:
-    tokens = set(w.ledger.budget_accounts["d"].accounts) | set(w.leases)
-    for p in w.members:
-        tokens.update(t for t in (p.token, p.follows, p.purse.share.token) if t)
-    for message in w.net.in_transit:
-        tokens.update(t for t in message[3:5] if isinstance(t, Token))  # type: ignore[index]
-    return {token: n for n, token in enumerate(sorted(tokens))}
+def _token_ranks(state: ModelState) -> dict[Token, int]:
+    tokens = set(state.ledger.budget_accounts["d"].accounts) | set(state.leases)
+    for process in state.members:
+        tokens.update(
+            candidate
+            for candidate in (
+                process.token,
+                process.follows,
+                process.quota.share.token,
+            )
+            if candidate
+        )
+    for message in state.network.in_transit:
+        tokens.update(
+            candidate
+            for candidate in message[3:5]  # type: ignore[index]
+            if isinstance(candidate, Token)
+        )
+    return {token: rank for rank, token in enumerate(sorted(tokens))}
 
 
 def describe_message(message: Any) -> str:
-    """The message in a step's text."""
+    """The description of a message in a step's text."""
     if message[0] == "beat":
         return f"f{message[1]}'s beat of {message[5]}, needs {message[6]}, holds {message[7]}"
     shares = message[5]
-    told = (
+    outcome = (
         "lost"
         if shares is None
-        else ", ".join(f"{s.calls} (number {s.number})" for s in shares)
+        else ", ".join(f"{share.calls} (number {share.number})" for share in shares)
     )
-    return f"f{message[1]}'s answer to {message[4]}: {told or 'nothing'}"
+    return f"f{message[1]}'s answer to {message[4]}: {outcome or 'nothing'}"
 
 
 def replace_member(
-    members: tuple[Process, ...], n: int, p: Process
+    members: tuple[Process, ...], index: int, process: Process
 ) -> tuple[Process, ...]:
-    """The members with one of them replaced."""
-    return (*members[:n], p, *members[n + 1 :])
+    """A copy of the members with one of them replaced."""
+    return (*members[:index], process, *members[index + 1 :])
 
 
-def _shallow_copy(one: T) -> T:
-    twin = object.__new__(type(one))
-    twin.__dict__.update(one.__dict__)
-    return twin
+def _shallow_copy(instance: T) -> T:
+    copied = object.__new__(type(instance))
+    copied.__dict__.update(instance.__dict__)
+    return copied
 
 
-def replace_fields(one: T, **changed: Any) -> T:
-    """dataclasses.replace, three times as fast: most of a search's time goes here."""
-    twin = _shallow_copy(one)
-    twin.__dict__.update(changed)
-    return twin
+def replace_fields(instance: T, **changed: Any) -> T:
+    """Like `dataclasses.replace` but three times as fast; dominates a search's time."""
+    copied = _shallow_copy(instance)
+    copied.__dict__.update(changed)
+    return copied
 
 
-def copy_quota(purse: MemberQuota) -> MemberQuota:
-    """A copy that shares only what never changes."""
-    fresh = _shallow_copy(purse)
-    w = purse.window
-    fresh.window = SlidingWindow(
-        w.length_us, w.unknown_until_us, w.call_count, copy.copy(w.entries)
+def copy_quota(quota: MemberQuota) -> MemberQuota:
+    """A copy that shares only immutable values with the original."""
+    copied_quota = _shallow_copy(quota)
+    window = quota.window
+    copied_quota.window = SlidingWindow(
+        window.length_us,
+        window.unknown_until_us,
+        window.call_count,
+        copy.copy(window.entries),
     )
-    return fresh
+    return copied_quota
 
 
 def copy_ledger(ledger: Ledger) -> Ledger:
-    """A copy that shares only what never changes."""
-    fresh = _shallow_copy(ledger)
-    fresh.budget_accounts, fresh.allocations = {}, {}
-    fresh.names, fresh.presumed_until_us = (
+    """A copy that shares only immutable values with the original."""
+    copied_ledger = _shallow_copy(ledger)
+    copied_ledger.budget_accounts, copied_ledger.allocations = {}, {}
+    copied_ledger.names, copied_ledger.presumed_until_us = (
         dict(ledger.names),
         dict(ledger.presumed_until_us),
     )
-    for destination, book in ledger.budget_accounts.items():
-        twin = fresh.budget_accounts[destination] = _shallow_copy(book)
-        twin.accounts = {
-            t: MemberAccount(
-                a.name,
-                t,
-                list(a.grants),
-                a.acknowledged_number,
-                a.state,
-                a.removable_at_us,
-                a.lent_until_us,
-                a.persisted,
-                a.demand,
+    for destination, budget_accounts in ledger.budget_accounts.items():
+        copied = copied_ledger.budget_accounts[destination] = _shallow_copy(
+            budget_accounts
+        )
+        copied.accounts = {
+            token: MemberAccount(
+                account.name,
+                token,
+                list(account.grants),
+                account.acknowledged_number,
+                account.state,
+                account.removable_at_us,
+                account.lent_until_us,
+                account.persisted,
+                account.demand,
             )
-            for t, a in book.accounts.items()
+            for token, account in budget_accounts.accounts.items()
         }
-        twin.cooling = list(book.cooling)
-        fresh.allocations[destination] = replace(ledger.allocations[destination])
-    return fresh
+        copied.cooling = list(budget_accounts.cooling)
+        copied_ledger.allocations[destination] = replace(
+            ledger.allocations[destination]
+        )
+    return copied_ledger
--- a/rainfall/budget/persistence.py
+++ b/rainfall/budget/persistence.py
@@ -1,4 +1,4 @@
-"""A ledger on disk: a snapshot, the changes after it, and the ledger restored of them."""
+"""A ledger on disk: its snapshot, and its restoration from a snapshot and changes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def snapshot(ledger: Ledger) -> dict[str, Any]:
-    """All that a start needs, with changes up to `number`; a pending one is left out."""
+    """The ledger with changes up to `number` as a JSON object, without a pending change."""
     return {
         "number": ledger.number,
         "opened": ledger.opened,
@@ -42,14 +42,14 @@
 
 
 class _AccountRow(NamedTuple):
-    """An account in a snapshot, where it is a list of these fields."""
+    """The fields of an account in a snapshot, where it is stored as a list."""
 
     name: str
     token: list[int]
     acknowledged_number: int
     state: str
     grants: list[list[int]]
-    """Of [number, calls, reserve] each."""
+    """Each grant as [number, calls, reserve]."""
 
 
 def _account_row(account: MemberAccount) -> list[Any]:
@@ -74,22 +74,22 @@
 ) -> Ledger:
     """Restore a ledger after a start; call `member_joined` for each member next.
 
-    What was granted counts as held, under leases that were renewed just now.
-    Acknowledgements after the snapshot are not known and come again with heartbeats.
-    What cooled begins to cool anew.
+    Granted shares count as held, under leases that were renewed just now.
+    Acknowledgements after the snapshot are lost and repeated by heartbeats. Cooling
+    calls start a new window.
 
     Args:
-        budgets: Checked budgets.
-        lease_us: The longest lease there is.
-        drift: The share by which the rates of two clocks may differ.
+        budgets: Validated budgets.
+        lease_us: The longest time to live of a lease.
+        drift: Fraction by which the rates of two clocks may differ.
         now_us: The present time.
-        snap: The snapshot, if there is one.
-        lines: The records of changes after it, or from before it.
-        sure: These are the newest records. Where they may be an older copy, or there
-            are none, nothing is granted for a lease and a window.
+        snap: The snapshot; None without one.
+        lines: The records of changes; those up to the snapshot are skipped.
+        sure: Whether these are the newest records. If they may be an older copy, or
+            there are none, nothing is granted for a lease and a window.
 
     Raises:
-        KeyError, TypeError, ValueError: The records cannot be read.
+        KeyError, TypeError, ValueError: The records cannot be decoded.
     """
     changes = [Change.from_record(line) for line in lines]
     sure = sure and _was_opened(snap, changes)
@@ -116,7 +116,7 @@
 def _was_opened(snap: Mapping[str, Any] | None, changes: Sequence[Change]) -> bool:
     """Whether grants had begun by the newest record.
 
-    If not, or without records, the wait for unknown shares begins anew.
+    Otherwise, or without records, the wait for unknown shares starts again.
     """
     newest = max(changes, key=lambda change: change.number, default=None)
     if newest is not None and (not snap or newest.number > snap["number"]):
@@ -127,7 +127,7 @@
 def _restore_snapshot(
     ledger: Ledger, snap: Mapping[str, Any] | None, now_us: int
 ) -> list[AccountEnd]:
-    """Restore the accounts; return those that are not active, for later."""
+    """Restore the accounts; return the ends of inactive ones, to be applied later."""
     ends: list[AccountEnd] = []
     if not snap:
         return ends
@@ -147,7 +147,7 @@
 
 
 def _restored_account(row: _AccountRow) -> MemberAccount:
-    """The account as an active one: its end is applied after the changes."""
+    """The account as active; its end is applied after the changes."""
     grants = [QuotaGrant(*map(int, grant)) for grant in row.grants]
     token = Token.from_wire(row.token)
     return MemberAccount(str(row.name), token, grants, int(row.acknowledged_number))
@@ -174,18 +174,18 @@
 
 
 def _presume_members_active(ledger: Ledger, until_us: int) -> None:
-    """Take processes for in force that have not ended, until they are heard of."""
+    """Treat processes that have not ended as active until `until_us` or their next message."""
     for accounts in ledger.budget_accounts.values():
         for token, account in accounts.accounts.items():
             if account.state is AccountState.ACTIVE:
-                # A restart is no cause to take a share away.
+                # A restart does not reduce a share, so its calls count as demand.
                 account.demand = {"": account.granted_calls()}
                 ledger.names[token] = account.name
                 ledger.presumed_until_us[token] = until_us
 
 
 def _complete_accounts(ledger: Ledger) -> None:
-    """Add a process in force to the budgets that granted it nothing."""
+    """Add accounts for active processes to the budgets that granted them nothing."""
     for token, name in ledger.names.items():
         for accounts in ledger.budget_accounts.values():
             accounts.accounts.setdefault(token, MemberAccount(name, token))
--- a/rainfall/budget/rebalancing.py
+++ b/rainfall/budget/rebalancing.py
@@ -1,7 +1,7 @@
-"""When a budget is divided anew, into which target shares, and which grants lead there.
+"""Rebalancing of a budget: when it is divided, its target shares, and the next grants.
 
-This decides; the accounts keep it safe. All times are of the service's clock, in
-microseconds.
+The limit on all grants together is enforced by the accounts. All times are of the
+service's clock, in microseconds.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from rainfall.lease.fencing_token import Token
 
 URGENT_PAUSE_DIVISOR = 4
-"""A member with work and no share waits for this part of a pause at most."""
+"""A member with demand and no share waits at most `pause_us` / this for a division."""
 RAISE_STEPS_PER_WINDOW = 8
-"""Raises are granted in so many steps a window, not for each call that becomes free."""
+"""Raises are granted at most this often in a window, not for each freed call."""
 TURN_WINDOWS = 2
-"""Windows that a turn lasts: a process that gets its first share waits for one."""
+"""Windows that a turn lasts; a process with its first share waits for one of them."""
 
 
 class RebalanceReason(StrEnum):
-    """Why a budget was divided anew; the value is what status and log show."""
+    """Why a budget was divided; the value appears in the status and the log."""
 
     FIRST = "first"
     TOTAL_LOWERED = "whole"
     TURN = "turn"
-    """Calls are scarce, and those without a share are next."""
+    """Calls are scarce, and the turn passes to members without a share."""
     UNSERVED = "unserved"
-    """A member with work has no share."""
+    """A member with demand has no share."""
     MEMBERS = "members"
     """Members joined or left."""
     DEMAND = "demand"
@@ -38,28 +38,31 @@
 
 @dataclass(slots=True)
 class Allocation:
-    """One budget's division in force."""
+    """The current division of a budget."""
 
     target_shares: dict[Token, int] = field(default_factory=dict)
-    """What every member is to have."""
+    """Calls that each member is to have."""
     reason: str = ""
     """The value of the last `RebalanceReason`."""
     scarce: bool = False
     divided_at_us: int | None = None
     evaluated_at_us: int = 0
-    """When a division was last computed, whether it came into force or not."""
+    """When a division was last computed, whether or not it was applied."""
     last_raise_at_us: int | None = None
     settled_at_us: int | None = None
-    """Since when every member has acknowledged its target share."""
+    """When every member had acknowledged its target share; None before."""
     total_lowered: bool = False
     """The budget's total was lowered since the last division."""
     credit: dict[Token, int] = field(default_factory=dict)
     pending_credit: dict[Token, int] = field(default_factory=dict)
-    """Counts once the division is carried out: a turn not had is not paid for."""
+    """The division's credit, applied once it has settled.
+
+    Until then a member may not have had its turn and must not be charged for it.
+    """
 
 
 def rebalance(allocation: Allocation, accounts: BudgetAccounts, now_us: int) -> None:
-    """Divide anew if there is cause to."""
+    """Divide the budget again if it is due."""
     members = accounts.active_accounts()
     if allocation.settled_at_us is None and _is_settled(allocation, members):
         allocation.settled_at_us = now_us
@@ -75,7 +78,7 @@
         if _demand_gain(members, division.shares) < min_gain:
             return
     if reason is RebalanceReason.TOTAL_LOWERED:
-        # A lowered total takes back what was lent as well.
+        # A lowered total ends loans as well.
         for account in members:
             account.lent_until_us = 0
     allocation.target_shares = division.shares
@@ -88,7 +91,7 @@
 
 
 def target_calls(allocation: Allocation, account: MemberAccount) -> int:
-    """What a member is to have: its target share, its reserve at least."""
+    """Calls that a member is to have: its target share, at least its reserve."""
     return max(allocation.target_shares.get(account.token, 0), account.reserve())
 
 
@@ -126,7 +129,7 @@
         return None
     if {account.token for account in members} != set(allocation.target_shares):
         return RebalanceReason.MEMBERS
-    # Demand changes with every heartbeat and is not evaluated at each.
+    # Demand changes with every heartbeat; it is evaluated less often.
     may_evaluate = now_us - allocation.evaluated_at_us >= urgent_pause_us
     if accounts.inputs_changed and may_evaluate and not turn_awaited:
         return RebalanceReason.DEMAND
@@ -134,7 +137,7 @@
 
 
 def _has_unserved(allocation: Allocation, members: list[MemberAccount]) -> bool:
-    """Whether a member with work has no share and is not about to get one."""
+    """Whether a member with demand has neither a share nor a target share."""
     return any(
         account.total_demand()
         and not account.granted_calls()
@@ -150,9 +153,10 @@
     now_us: int,
     since_division_us: int,
 ) -> bool:
-    """Whether those without a share are next.
+    """Whether the turn passes to members without a share.
 
-    A turn lasts its time, or until a member has no more work for its share.
+    A turn ends after `TURN_WINDOWS`, or `pause_us` if longer, or early when a member has
+    no demand for its share.
     """
     if allocation.settled_at_us is None:
         return False
@@ -171,7 +175,7 @@
 ) -> Division[Token]:
     budget = accounts.budget
     floors = {account.token: account.reserve() for account in members}
-    # The reserves of lost processes, and of those that may yet join, cannot be divided.
+    # The reserves of inactive processes, and of those that may yet join, stay set aside.
     other_reserves = sum(
         account.reserve()
         for account in accounts.accounts.values()
@@ -190,7 +194,7 @@
 
 
 def _demand_gain(members: list[MemberAccount], shares: Mapping[Token, int]) -> int:
-    """Wanted calls that the division would serve beyond those that are served now."""
+    """Wanted calls that the division would serve in addition to those served now."""
     return sum(
         max(
             0,
@@ -206,7 +210,8 @@
 ) -> dict[Token, QuotaGrant]:
     """The next grants towards the target shares.
 
-    Reductions at once, raises out of what is free, and loans out of what is left.
+    Reductions are granted at once, raises out of the free calls, and loans beyond the
+    target out of the calls left.
     """
     members = accounts.active_accounts()
     proposed = _reserves_and_reductions(allocation, accounts, members, now_us)
@@ -217,10 +222,10 @@
     wanted = sum(claim.maximum for claim in raise_claims)
     if wanted > free and not _is_raise_due(allocation, accounts, now_us):
         return proposed
-    raises = water_fill(free, raise_claims, {}).given
+    raises = water_fill(free, raise_claims, {}).calls_by_key
     free -= sum(raises.values())
     loan_claims = _loan_claims(members, proposed, raises)
-    loans = water_fill(free, loan_claims, {}).given
+    loans = water_fill(free, loan_claims, {}).calls_by_key
     for account in members:
         token = account.token
         if raises[token] + loans[token] > 0:
@@ -239,7 +244,7 @@
     members: list[MemberAccount],
     now_us: int,
 ) -> dict[Token, QuotaGrant]:
-    """Renew or end loans, and propose reserves and reductions."""
+    """Renew or end loans; propose grants of reserves and reductions."""
     proposed: dict[Token, QuotaGrant] = {}
     lent_calls_missed = _is_any_below_target(allocation, members) or (
         accounts.free_calls({}) < 0
@@ -270,7 +275,7 @@
 
 
 def _uses_loan(allocation: Allocation, account: MemberAccount) -> bool:
-    """Whether a member has more than its target, and work for all of it."""
+    """Whether a member has more calls than its target, and demand for all of them."""
     calls = account.granted_calls()
     return account.total_demand() >= calls > target_calls(allocation, account)
 
@@ -282,14 +287,14 @@
     reserve_left: bool,
     now_us: int,
 ) -> QuotaGrant | None:
-    """A grant of the reserve, if one is left, and of the target share at most.
+    """A grant of the reserve, if it is due, and of at most the target share.
 
-    None where the member has that already.
+    A loan in force is not reduced. None if the member has these already.
     """
     newest_reserve = account.grants[-1].reserve if account.grants else 0
     reserve = newest_reserve
     wanted = accounts.budget.reserve
-    # At rest the reserve is as configured: then nothing more is asked of an account.
+    # Usually the reserve is as configured; the check is skipped then.
     if newest_reserve != wanted and _is_reserve_due(
         wanted, account, newest_reserve, reserve_left
     ):
@@ -306,9 +311,10 @@
 def _is_reserve_due(
     wanted: int, account: MemberAccount, newest_reserve: int, reserve_left: bool
 ) -> bool:
-    """Whether a member's reserve is to become the configured one.
+    """Whether a member's reserve is to be set to the configured one.
 
-    It is lowered, raised within its share, or granted for the first time.
+    A reserve may be lowered, raised within the member's share, or granted for the first
+    time if `reserve_left`.
     """
     if newest_reserve > wanted:
         return True
@@ -323,7 +329,7 @@
     members: list[MemberAccount],
     proposed: Mapping[Token, QuotaGrant],
 ) -> list[Claim[Token]]:
-    """What members lack of their target shares."""
+    """Claims of the calls that members lack of their target shares."""
     claims = []
     for account in members:
         target = allocation.target_shares.get(account.token, 0)
@@ -346,7 +352,7 @@
     proposed: Mapping[Token, QuotaGrant],
     raises: Mapping[Token, int],
 ) -> list[Claim[Token]]:
-    """What members lack of their demand after their raises."""
+    """Claims of the calls that members lack of their demand after their raises."""
     claims = []
     for account in members:
         calls = _proposed_calls(proposed, account) + raises[account.token]
--- a/rainfall/budget/sliding_window.py
+++ b/rainfall/budget/sliding_window.py
@@ -1,7 +1,7 @@
-"""What one process spent in the running span.
+"""Sliding window count of the calls of one process.
 
-Calls are counted one by one while they are few, then in groups whose error is on the
-safe side.
+Calls are stored one by one while they are few, then in groups that count for slightly
+too long, never too short.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 
 EXACT_ENTRIES = 1_024
-"""Entries kept for single calls before calls are grouped."""
+"""Entries of single calls before further calls are grouped."""
 GRAINS_PER_WINDOW = 1_024
-"""Groups in a window: a call counts for longer by this part of the window at most."""
+"""Groups in a window: a grouped call counts for at most `length_us` / this too long."""
 
 WindowEntry = tuple[int, int, int]
 """(first_us, latest_us, calls): calls made between two moments.
@@ -27,32 +27,32 @@
 
     Memory: at most `EXACT_ENTRIES` + `GRAINS_PER_WINDOW` + 2 entries.
 
-    Error: past `EXACT_ENTRIES`, calls within `length_us` / `GRAINS_PER_WINDOW` of each
-    other count as made at the latest of them. So a call counts for too long by that at
-    most, and never for too short.
+    Error: beyond `EXACT_ENTRIES`, calls within `length_us` / `GRAINS_PER_WINDOW` of each
+    other count as made at the time of the latest. A call counts too long by at most that
+    time, and never too short.
     """
 
     length_us: int
     unknown_until_us: int
-    """Calls up to this moment are not known: none of it may be in the window.
+    """Calls up to this time are unknown, so it must be outside the window to spend.
 
-    They were made before the start, or are forgotten.
+    They were made before the start or have been dropped.
     """
     call_count: int = 0
     entries: deque[WindowEntry] = field(default_factory=deque)
     """Oldest first."""
 
     def drop_expired(self, now_us: int) -> None:
-        """Forget the calls that are no longer in the window."""
+        """Drop the calls that are no longer in the window."""
         edge_us = now_us - self.length_us
         while self.entries and self.entries[0][1] <= edge_us:
             _, latest_us, calls = self.entries.popleft()
             self.call_count -= calls
-            # A window that grows would include them again: it has to be waited out.
+            # A longer window would include the dropped calls, so a spend has to wait for it.
             self.unknown_until_us = max(self.unknown_until_us, latest_us)
 
     def add(self, now_us: int, calls: int) -> None:
-        """Count calls that are made now."""
+        """Count calls made now."""
         self.call_count += calls
         if len(self.entries) >= EXACT_ENTRIES:
             first_us, _, before = self.entries[-1]
@@ -62,9 +62,9 @@
         self.entries.append((now_us, now_us, calls))
 
     def available_at(self, now_us: int, calls: int, limit: int) -> int:
-        """The first moment at which `calls` more make `limit` at most.
+        """The earliest time at which `calls` more calls keep within `limit`.
 
-        `limit` is not less than `calls`.
+        `limit` must be at least `calls`.
         """
         at_us = max(now_us, self.unknown_until_us + self.length_us)
         excess = self.call_count + calls - limit
--- a/rainfall/budget/types.py
+++ b/rainfall/budget/types.py
@@ -1,7 +1,4 @@
-"""What a budget is, and what a member is sent of it.
-
-Also the windows that stay safe although clocks run at different rates.
-"""
+"""Budgets, members' shares of them, and reuse windows with margins for clock drift."""
 
 from __future__ import annotations
 
@@ -17,21 +14,22 @@
 A plain tuple: the model checker orders messages by their `repr`.
 """
 PART_SEPARATOR = "/"
-"""Between the class and the tenant of a part of demand."""
+"""Separates the class and the tenant of a part of demand."""
 
 
-def widen_for_drift(us: int, drift: float) -> int:
-    """How long to wait by one clock until `us` have passed by every other.
+def widen_for_drift(duration_us: int, drift: float) -> int:
+    """The time by one clock after which `duration_us` have passed by every other clock.
 
-    The rates of two clocks differ by `drift` at most.
+    The rates of two clocks differ by the fraction `drift` at most.
     """
-    return math.ceil(us / (1.0 - drift))
+    return math.ceil(duration_us / (1.0 - drift))
 
 
 def reuse_window_us(span_us: int, slack_us: int, drift: float) -> int:
-    """How long after a `spend`, by any clock, the call's quota may be used again.
+    """The time after a `spend`, by any clock, until the call's quota may be used again.
 
-    The call's first byte may leave `slack_us` after it, by the clock of its sender.
+    The call's first byte may be sent up to `slack_us` after the `spend`, by the clock of
+    its sender.
     """
     return widen_for_drift(span_us + widen_for_drift(slack_us, drift), drift)
 
@@ -39,54 +37,54 @@
 def part_weight(part: str, weights: Mapping[str, int]) -> int:
     """The weight of a part of demand, "CLASS" or "CLASS/TENANT".
 
-    The product of the weights of class and tenant, 1 where none is set.
+    The product of the weights of class and tenant; an unset weight is 1.
     """
     return math.prod(weights.get(piece, 1) for piece in part.split(PART_SEPARATOR))
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """One destination's budget, as configured and checked by `config.parse_budgets`."""
+    """One destination's budget, as validated by `config.parse_budgets`."""
 
     destination: str
     calls: int
-    """The total: calls in every sliding span, from all members together."""
+    """The total: most calls in any sliding span, over all members."""
     span_us: int
     reserve: int = 0
-    """Calls in a span that each of `members_max` processes keeps without the service.
+    """Calls in a span that a process may make without a valid lease.
 
-    Part of the total.
+    Part of the total, for each of `members_max` processes.
     """
     members_max: int = 1
     weights: Mapping[str, int] = field(default_factory=dict)
-    """Of classes and tenants."""
+    """Weights of classes and tenants; an unset weight is 1."""
     least: int = 1
-    """No member with work is given less, or less than all it needs, if calls suffice."""
+    """Calls that a member with demand gets at least, or its demand, if calls suffice."""
     change: float = 0.05
-    """Share of the total that a new division must move to be worth it."""
+    """Fraction of the total that a division for changed demand must serve in addition."""
     loose: float = 0.05
-    """Share of the total, out of what nobody needs, that is kept to be lent to bursts."""
+    """Fraction of the total that is left unassigned, to be lent to bursts, if not wanted."""
     pause_us: int = 1_000_000
-    """Least time between divisions; less where a member with work has no share."""
+    """Minimum time between divisions; shorter if a member with demand has no share."""
     slack_us: int = 5_000
-    """A call's first byte leaves so long after its `spend`, or it is spent for again."""
+    """Longest time from a `spend` to the call's first byte; after it, `spend` is repeated."""
 
     def window_us(self, drift: float) -> int:
-        """How long after a `spend` the call's quota may be used again."""
+        """The time after a `spend` until the call's quota may be used again."""
         return reuse_window_us(self.span_us, self.slack_us, drift)
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """What one member is granted of one budget."""
+    """One member's share of one budget, as sent to it."""
 
     token: Token
-    """The incarnation it is granted to; (token, number) only grows."""
+    """The member's incarnation; (token, number) increases with each share."""
     number: int
     calls: int
-    """In every sliding span while its lease is valid; the reserve is part of it."""
+    """Most calls in any sliding span while the lease is valid; includes the reserve."""
     reserve: int
-    """Calls in every sliding span once the lease is not valid."""
+    """Most calls in any sliding span without a valid lease."""
     whole: int
     """The budget's total."""
     span_us: int
--- a/tests/budget/test_budget.py
+++ b/tests/budget/test_budget.py
@@ -1,5 +1,5 @@
-"""Fleet-wide budgets: division against a slow model, the cores against recomputed
-spans, models searched.
+"""Fleet-wide budgets: division against a reference, ledger and quotas against recomputed
+sliding spans, and searches of the budget model.
 """
 
 from __future__ import annotations
@@ -42,15 +42,15 @@
 
 
 def poured(whole, needs, low):
-    """One call at a time to whoever has least of those who want more: max-min fair by
-    definition.
+    """Reference division: each call goes to the member with the fewest calls among those
+    that want more, which is max-min fair by definition.
     """
     has = dict(low)
     for _ in range(whole - sum(low.values())):
-        short = [m for m in sorted(needs) if has[m] < needs[m]]
+        short = [member for member in sorted(needs) if has[member] < needs[member]]
         if not short:
             break
-        has[min(short, key=lambda m: (has[m], m))] += 1
+        has[min(short, key=lambda member: (has[member], member))] += 1
     return has
 
 
@@ -133,45 +133,55 @@
     assert max(had.values()) - min(had[m] for m in needs) <= 1
 
 
-# -- the cores together: a ledger and purses on clocks of their own, over a net that
-# loses and delays --------
+# -- a ledger and member quotas with clocks of their own, over a lossy network with delays
 
 DRIFT, SPAN, SLACK, TTL = 0.1, 1_000, 30, 2_500
 
 
 class Fleet:
-    """True time in microseconds; each clock runs by its own rate. Every choice comes
-    from `rng`.
+    """A simulated service and its members, with true time `now` in microseconds.
+
+    Each clock runs at its own rate. Every random choice comes from `rng`.
     """
 
-    def __init__(self, rng, names, whole, reserve, seats):
-        self.rng, self.now, self.names, self.seats, self.reserve = (
+    def __init__(self, rng, names, whole, reserve, members_max):
+        self.rng, self.now, self.names, self.members_max, self.reserve = (
             rng,
             0,
             names,
-            seats,
+            members_max,
             reserve,
         )
         self.rates = {
             n: 1 + DRIFT * rng.uniform(-0.49, 0.49) for n in [*names, "service"]
         }
-        self.wholes, self.sent, self.late, self.writes = [(0, whole)], [], [], []
-        self.stopped, self.joins = [], {}
-        self.tokens, self.epoch, self.leases, self.owner = 0, 1, {}, {}
+        self.totals, self.sent, self.in_transit, self.writes = [(0, whole)], [], [], []
+        self.suspended, self.tokens_by_quota = [], {}
+        self.token_count, self.epoch, self.leases, self.names_by_token = 0, 1, {}, {}
         self.ledger = Ledger(
-            [self.budget(whole)], self.kept(1 + DRIFT), DRIFT, 0, sure=True
+            [self.budget(whole)], self.scaled_ttl(1 + DRIFT), DRIFT, 0, sure=True
         )
-        self.snap, self.lines = None, []
-        self.procs = {
+        self.snapshot, self.lines = None, []
+        self.processes = {
             n: [MemberQuota(0, DRIFT), None, None] for n in names
-        }  # purse, token, follows
+        }  # quota, token, follows
 
     def budget(self, whole):
         return Budget(
-            "d", whole, SPAN, self.reserve, self.seats, {}, 1, 0.05, 0.05, 400, SLACK
+            "d",
+            whole,
+            SPAN,
+            self.reserve,
+            self.members_max,
+            {},
+            1,
+            0.05,
+            0.05,
+            400,
+            SLACK,
         )
 
-    def kept(self, factor):
+    def scaled_ttl(self, factor):
         return int(TTL * factor)
 
     def clock(self, who):
@@ -188,74 +198,99 @@
 
     def expire(self):
         at = self.clock("service")
-        for token in sorted(t for t, until in self.leases.items() if until <= at):
+        for token in sorted(held for held, until in self.leases.items() if until <= at):
             del self.leases[token]
             self.ledger.lease_expired(token, at)
         self.plan()
 
-    def beat(self, name):
-        purse, token, follows = self.procs[name]
+    def heartbeat(self, name):
+        quota, token, follows = self.processes[name]
         need = {"d": {"": self.rng.choice([0, 0, 3, 40])}}
-        holds = (
-            {"d": purse.held_share(token)} if token and purse.held_share(token) else {}
+        held_shares = (
+            {"d": quota.held_share(token)} if token and quota.held_share(token) else {}
         )
-        asked = self.clock(name)
-        keeps = {"d": purse.share.reserve}
-        self.post(
-            lambda: self.served(name, purse, token, follows, asked, need, holds, keeps)
+        requested_at = self.clock(name)
+        kept_reserves = {"d": quota.share.reserve}
+        self.transmit(
+            lambda: self.serve_heartbeat(
+                name,
+                quota,
+                token,
+                follows,
+                requested_at,
+                need,
+                held_shares,
+                kept_reserves,
+            )
         )
 
-    def post(self, what):
+    def transmit(self, deliver):
         if self.rng.random() < 0.85:
             delay = self.rng.choice([25, 25, 50, 50, 250, 1_250, 5_000])
-            self.late.append((self.now + delay, what))
-
-    def served(self, name, purse, token, follows, asked, need, holds, keeps):
+            self.in_transit.append((self.now + delay, deliver))
+
+    def serve_heartbeat(
+        self,
+        name,
+        quota,
+        token,
+        follows,
+        requested_at,
+        need,
+        held_shares,
+        kept_reserves,
+    ):
         self.expire()
         at = self.clock("service")
         if token is None:
-            token = self.joins.get(purse)  # asked again
+            token = self.tokens_by_quota.get(quota)  # a repeated join
         if token is None:
-            self.tokens += 1
-            token = self.joins[purse] = Token(self.epoch, self.tokens)
-            self.owner[token] = name
-            self.ledger.member_joined(token, name, follows, at, keeps)
+            self.token_count += 1
+            token = self.tokens_by_quota[quota] = Token(self.epoch, self.token_count)
+            self.names_by_token[token] = name
+            self.ledger.member_joined(token, name, follows, at, kept_reserves)
             self.leases.pop(follows, None)
             self.leases[token] = 0
         if token not in self.leases:
-            self.post(lambda: self.answered(name, purse, token, asked, None))
+            self.transmit(
+                lambda: self.receive_answer(name, quota, token, requested_at, None)
+            )
             return
-        assert self.ledger.heartbeat(token, need, holds, at)
-        self.leases[token] = at + self.kept(1 + DRIFT)
+        assert self.ledger.heartbeat(token, need, held_shares, at)
+        self.leases[token] = at + self.scaled_ttl(1 + DRIFT)
         self.plan()
         shares = self.ledger.shares_for(token)
-        self.post(lambda: self.answered(name, purse, token, asked, shares))
+        self.transmit(
+            lambda: self.receive_answer(name, quota, token, requested_at, shares)
+        )
 
-    def answered(self, name, purse, token, asked, shares):
-        proc = self.procs[name]
-        if proc[0] is not purse or proc[1] not in (None, token):
-            return  # that process is no more, or it joined by another answer
+    def receive_answer(self, name, quota, token, requested_at, shares):
+        process = self.processes[name]
+        if process[0] is not quota or process[1] not in (None, token):
+            return  # the process has ended, or joined by another answer
         if shares is None:
-            purse.fence(self.clock(name))
-            self.joins.pop(purse, None)
-            proc[1:] = None, token
+            quota.fence(self.clock(name))
+            self.tokens_by_quota.pop(quota, None)
+            process[1:] = None, token
             return
-        proc[1] = token
+        process[1] = token
         if self.rng.random() < 0.7:
             self.send(
-                name, purse
-            )  # as much as can be, just before less is told and just after more is
+                name, quota
+            )  # as many calls as possible, just before and just after the new shares
         for share in shares.values():
-            purse.receive_share(share, asked + self.kept(1 - DRIFT), self.clock(name))
+            quota.receive_share(
+                share, requested_at + self.scaled_ttl(1 - DRIFT), self.clock(name)
+            )
         if self.rng.random() < 0.7:
-            self.send(name, purse)
+            self.send(name, quota)
         if self.rng.random() < 0.5:
-            self.beat(name)
+            self.heartbeat(name)
 
-    def send(self, name, purse):
+    def send(self, name, quota):
         for _ in range(self.rng.choice([1, 50, 50])):
-            if not purse.spend(self.clock(name)):
-                at = purse.available_at(self.clock(name))
+            if not quota.spend(self.clock(name)):
+                at = quota.available_at(self.clock(name))
                 assert at is None or at > self.clock(name)
                 break
             self.sent.append(
@@ -263,28 +298,29 @@
             )
 
     def crash(self, name):
-        """Killed, ended with a record, or gone for good; the one that takes its folder
-        over starts at once. Or only stopped: a second one starts without its folder,
-        and the first goes on later.
+        """Kill the process, close it with a record, let it leave for good, or suspend it.
+
+        A successor takes over the folder at once. A suspended process runs on later,
+        beside a second one that starts without its folder.
         """
-        purse, token, follows = self.procs[name]
+        quota, token, follows = self.processes[name]
         at = self.clock(name)
         how = self.rng.choice(["killed", "ended", "left", "stopped"])
         if how == "stopped":
-            self.stopped.append((name, purse))
-            self.procs[name] = [MemberQuota(at, DRIFT), None, None]
+            self.suspended.append((name, quota))
+            self.processes[name] = [MemberQuota(at, DRIFT), None, None]
             return
         record = (
-            purse.to_record()
+            quota.to_record()
             if how == "killed"
-            else purse.close(at, leaving=how == "left")
+            else quota.close(at, leaving=how == "left")
         )
         if how == "left" and token:
-            self.post(lambda: self.ended(token))
-        fresh = MemberQuota.from_record(json.loads(json.dumps(record)), at, DRIFT)
-        self.procs[name] = [fresh, None, token or follows]
+            self.transmit(lambda: self.process_ended(token))
+        successor = MemberQuota.from_record(json.loads(json.dumps(record)), at, DRIFT)
+        self.processes[name] = [successor, None, token or follows]
 
-    def ended(self, token):
+    def process_ended(self, token):
         self.leases.pop(token, None)
         self.ledger.process_ended(token, self.clock("service"))
 
@@ -292,37 +328,42 @@
         self.plan(crash=True)
         self.epoch += 1
         if lost:
-            self.snap, self.lines, self.leases = None, [], {}
+            self.snapshot, self.lines, self.leases = None, [], {}
         elif self.rng.random() < 0.5 and self.ledger.pending is None:
-            self.snap, self.lines = json.loads(json.dumps(snapshot(self.ledger))), []
+            self.snapshot, self.lines = (
+                json.loads(json.dumps(snapshot(self.ledger))),
+                [],
+            )
         at = self.clock("service")
         self.ledger = restore(
-            [self.budget(self.wholes[-1][1])],
-            self.kept(1 + DRIFT),
+            [self.budget(self.totals[-1][1])],
+            self.scaled_ttl(1 + DRIFT),
             DRIFT,
             at,
-            self.snap,
+            self.snapshot,
             self.lines,
             sure=not lost,
         )
         for token in self.leases:
-            self.leases[token] = at + self.kept(1 + DRIFT)
-            self.ledger.member_joined(token, self.owner[token], None, at)
+            self.leases[token] = at + self.scaled_ttl(1 + DRIFT)
+            self.ledger.member_joined(token, self.names_by_token[token], None, at)
 
     def step(self):
         self.now += self.rng.choice([0, 10, 20, 30, 50, 200, 900])
         for due in sorted(
-            (d for d in self.late if d[0] <= self.now), key=lambda d: d[0]
+            (d for d in self.in_transit if d[0] <= self.now), key=lambda d: d[0]
         ):
-            self.late.remove(due)
+            self.in_transit.remove(due)
             due[1]()
         name, what = self.rng.choice(self.names), self.rng.random()
         if what < 0.45:
-            self.beat(name)
+            self.heartbeat(name)
         elif what < 0.89:
-            self.send(name, self.procs[name][0])
+            self.send(name, self.processes[name][0])
         elif what < 0.94:
-            self.send(*self.rng.choice(self.stopped or [(name, self.procs[name][0])]))
+            self.send(
+                *self.rng.choice(self.suspended or [(name, self.processes[name][0])])
+            )
         elif what < 0.96:
             self.crash(name)
         elif what < 0.98:
@@ -330,24 +371,28 @@
         elif what < 0.99:
             self.restart(lost=self.rng.random() < 0.3)
         else:
-            whole = self.rng.randint(self.reserve * self.seats + 1, 30)
-            self.wholes.append((self.now, whole))
+            whole = self.rng.randint(self.reserve * self.members_max + 1, 30)
+            self.totals.append((self.now, whole))
             self.ledger.configure([self.budget(whole)], self.clock("service"))
             self.plan()
 
     def check(self):
-        """Every sliding span over all sends, against the most that the whole was in it,
-        or a lease before. Returns how full the fullest was.
+        """Check every sliding span of all calls sent against the highest total that was
+        configured in it or up to two leases and four spans before.
+
+        Returns the highest used fraction of the total.
         """
         sends, first, full = sorted(self.sent), 0, 0
         for n, at in enumerate(sends):
             while sends[first] <= at - SPAN:
                 first += 1
             since = max(0, at - 2 * TTL - 4 * SPAN)
-            before = [w for t, w in self.wholes if t <= since][-1]
-            whole = max([before] + [w for t, w in self.wholes if t > since])
+            before = [total for set_at, total in self.totals if set_at <= since][-1]
+            whole = max(
+                [before] + [total for set_at, total in self.totals if set_at > since]
+            )
             assert n - first < whole, (
-                f"{n - first + 1} calls in the span up to {at}, the whole is {whole}"
+                f"{n - first + 1} calls in the span up to {at}, the total is {whole}"
             )
             full = max(full, (n - first + 1) / whole)
         return full
@@ -370,25 +415,32 @@
     fleet.check()
 
 
-def acted(ledger, purse, token, now, valid=10**9):
-    """One beat that is answered at once."""
-    holds = purse.held_share(token)
+def acted(ledger, quota, token, now, valid_until=10**9):
+    """A heartbeat that is answered at once; the quota stores the answered shares."""
+    held_shares = quota.held_share(token)
     ledger.heartbeat(
-        token, {"d": dict(purse.wanted)}, {"d": holds} if holds else {}, now
+        token, {"d": dict(quota.wanted)}, {"d": held_shares} if held_shares else {}, now
     )
     change = ledger.plan(now)
     if change:
         ledger.commit(change)
     for share in ledger.shares_for(token).values():
-        purse.receive_share(share, valid, now)
+        quota.receive_share(share, valid_until, now)
 
 
-def pair(whole=4, reserve=0, seats=2, sure=True):
-    """Two members at time 0, the first with work and all that can be had."""
+def pair(whole=4, reserve=0, members_max=2, sure=True):
+    """Two members at time 0; the first has demand and all calls that can be granted."""
     ledger = Ledger(
         [
             Budget(
-                "d", whole, SPAN, reserve, seats, loose=0.0, pause_us=0, slack_us=SLACK
+                "d",
+                whole,
+                SPAN,
+                reserve,
+                members_max,
+                loose=0.0,
+                pause_us=0,
+                slack_us=SLACK,
             )
         ],
         TTL,
@@ -396,17 +448,17 @@
         0,
         sure=sure,
     )
-    tokens, purses = (
+    tokens, quotas = (
         [Token(1, 1), Token(1, 2)],
         [MemberQuota(-10 * SPAN, DRIFT) for _ in range(2)],
     )
-    for token, purse, need in zip(tokens, purses, (9, 0), strict=True):
+    for token, quota, need in zip(tokens, quotas, (9, 0), strict=True):
         ledger.member_joined(token, f"f{token.number}", None, 0)
-        purse.wanted = {"": need}
+        quota.wanted = {"": need}
     for _ in range(3):
-        for token, purse in zip(tokens, purses, strict=True):
-            acted(ledger, purse, token, 0)
-    return ledger, tokens, purses
+        for token, quota in zip(tokens, quotas, strict=True):
+            acted(ledger, quota, token, 0)
+    return ledger, tokens, quotas
 
 
 RATE = st.floats(1 - 0.49 * DRIFT, 1 + 0.49 * DRIFT)
@@ -450,11 +502,9 @@
     assert told / service - last >= SPAN
 
 
-def test_a_seat_waits_for_the_last_call_under_it():
-    """One reserve for two processes: it moves when the first left for good, and a
-    window later.
-    """
-    ledger, (a, b), (old, new) = pair(whole=1, reserve=1, seats=1)
+def test_reserve_moves_a_window_after_its_holder_has_left():
+    """The only reserve is granted to a second process a window after the first left."""
+    ledger, (a, b), (old, new) = pair(whole=1, reserve=1, members_max=1)
     assert old.limit(0) == 1 and new.held_share(b) is None
     assert old.spend(0)
     gone = MemberQuota.from_record(
@@ -463,15 +513,15 @@
     ledger.process_ended(a, 0)
     assert not gone.spend(5 * SPAN) and not old.spend(5 * SPAN)
     new.wanted = {"": 1}
-    told = next(
+    sent_at = next(
         at for at in range(4 * SPAN) if acted(ledger, new, b, at) or new.spend(at)
     )
-    assert told >= (SPAN + SLACK) * (1 + DRIFT)
+    assert sent_at >= (SPAN + SLACK) * (1 + DRIFT)
 
 
-def test_a_restart_of_the_service_moves_nothing():
-    """Whoever is heard first must not take what the others hold and have not asked for
-    again yet.
+def test_service_restart_moves_no_calls():
+    """The first member to send a heartbeat after the restart must not get calls that
+    another member still holds but has not reported yet.
     """
     ledger, (a, b), (_, new) = pair()
     again = restore(
@@ -483,9 +533,9 @@
     assert again.plan(10 * SPAN) is None and again.shares_for(a) == ledger.shares_for(a)
 
 
-def test_what_a_member_holds_beyond_the_records_counts():
-    """The service restored from an older copy: a member holds what is not in it. It
-    waits and counts that.
+def test_share_missing_from_restored_records_is_counted_once_reported():
+    """The service is restored from an older copy that lacks a member's share: the share
+    counts once the member reports it.
     """
     ledger, (a, _), (old, _) = pair()
     copy = json.loads(json.dumps(snapshot(ledger)))
@@ -501,7 +551,7 @@
     assert again.budget_accounts["d"].committed_calls() == 4 and old.limit(1) == 4
 
 
-def test_an_answer_from_before_the_loss_brings_nothing_back():
+def test_answer_from_before_the_lease_loss_is_ignored():
     ledger, (a, _), (old, _) = pair(whole=4, reserve=1)
     share = ledger.shares_for(a)["d"]
     old.fence(5)
@@ -513,27 +563,27 @@
     assert not old.receive_share(replace(share, token=Token(1, 9), number=0), 10**9, 9)
 
 
-def test_a_successor_waits_a_window_and_takes_the_seat_over():
-    ledger, (a, _b), (old, _new) = pair(whole=3, reserve=1, seats=2)
+def test_successor_waits_a_window_and_takes_over_the_reserve():
+    ledger, (a, _b), (old, _new) = pair(whole=3, reserve=1, members_max=2)
     assert old.spend(0) and old.spend(0)
     following = MemberQuota.from_record(old.to_record(), 1, DRIFT)
     sends = next(at for at in range(1, 4 * SPAN) if following.spend(at))
     assert sends >= (SPAN + SLACK) * (1 + DRIFT) and following.limit(1) == 1
     ledger.member_joined(Token(1, 3), "f1", a, 1, {"d": 1})
-    book = ledger.budget_accounts["d"]
+    accounts = ledger.budget_accounts["d"]
     assert (
-        book.accounts[Token(1, 3)].usable_calls() == 1
-        and book.reserve_holders() == 2
-        and book.committed_calls() == 3
+        accounts.accounts[Token(1, 3)].usable_calls() == 1
+        and accounts.reserve_holders() == 2
+        and accounts.committed_calls() == 3
     )
-    assert book.free_calls({}) == 0 and not ledger.heartbeat(a, {}, {}, 1)
+    assert accounts.free_calls({}) == 0 and not ledger.heartbeat(a, {}, {}, 1)
 
 
-def test_a_reserve_claimed_after_a_first_grant_counts_too():
-    """The claim came after the join, and a plan between: the process may never hear of
-    its new share.
+def test_reserve_reported_after_a_first_grant_is_counted():
+    """A plan granted a share between the join and the report of the reserve. The process
+    may never receive the share, so both count, also after a restart.
     """
-    ledger, _, _ = pair(whole=9, reserve=1, seats=2)
+    ledger, _, _ = pair(whole=9, reserve=1, members_max=2)
     before, late = snapshot(ledger), Token(1, 3)
     ledger.member_joined(late, "f3", None, 0)
     granted = Change(
@@ -560,9 +610,9 @@
         )
 
 
-def test_after_a_lost_folder_only_reserves_that_are_claimed_act():
-    """Nothing for a lease and a window, begun anew by a start within it; no new
-    reserves until the word.
+def test_after_a_lost_folder_only_reported_reserves_are_granted():
+    """Nothing is granted for a lease and a window; a restart within them starts the wait
+    again. No new reserve is granted until an operator confirms the reserves.
     """
     budgets = [Budget("d", 6, SPAN, 1, 3, loose=0.0, pause_us=0, slack_us=SLACK)]
     first = restore(budgets, TTL, DRIFT, 0, None, [])
@@ -575,12 +625,12 @@
         None,
         [first.plan(0).to_record()] if first.plan(0) else [],
     )
-    claims, fresh = Token(2, 1), Token(2, 2)
-    again.member_joined(claims, "f1", Token(1, 1), 1_000, {"d": 1})
-    again.member_joined(fresh, "f2", None, 1_000)
+    claimant, newcomer = Token(2, 1), Token(2, 2)
+    again.member_joined(claimant, "f1", Token(1, 1), 1_000, {"d": 1})
+    again.member_joined(newcomer, "f2", None, 1_000)
     begins = 0
     for at in range(1_000, 9_000, 50):
-        for token in (claims, fresh):
+        for token in (claimant, newcomer):
             assert again.heartbeat(token, {"d": {"": 9}}, {}, at)
         change = again.plan(at)
         if change:
@@ -588,8 +638,8 @@
             begins = begins or (at if any(g.grant.number for g in change.grants) else 0)
     assert begins >= 1_000 + TTL / (1 - DRIFT) + SPAN + SLACK
     assert (
-        again.shares_for(claims)["d"].reserve,
-        again.shares_for(fresh)["d"].reserve,
+        again.shares_for(claimant)["d"].reserve,
+        again.shares_for(newcomer)["d"].reserve,
     ) == (1, 0)
     assert (
         restore(budgets, TTL, DRIFT, 9_000, snapshot(again), [])
@@ -601,72 +651,74 @@
     assert not change.new_reserves_blocked
     again.commit(change)
     assert (
-        again.shares_for(fresh)["d"].reserve == 1
+        again.shares_for(newcomer)["d"].reserve == 1
         and again.budget_accounts["d"].committed_calls() <= 6
     )
 
 
-def test_a_lowered_whole_binds_with_the_reserves_of_those_to_come():
-    ledger, tokens, purses = pair(whole=12, reserve=1, seats=3)
-    purses[1].wanted = {"": 9}
+def test_lowered_total_also_sets_aside_reserves_of_missing_members():
+    ledger, tokens, quotas = pair(whole=12, reserve=1, members_max=3)
+    quotas[1].wanted = {"": 9}
     for whole, times, limits in ((12, (0, 0, 0, 3), [6, 5]), (4, (6, 6, 9), [2, 1])):
         ledger.configure(
             [replace(ledger.budget_accounts["d"].budget, calls=whole)], times[0] * SPAN
         )
         for at in times:
-            for token, purse in zip(tokens, purses, strict=True):
-                acted(ledger, purse, token, at * SPAN)
-        assert [purse.limit(at) for purse in purses] == limits
+            for token, quota in zip(tokens, quotas, strict=True):
+                acted(ledger, quota, token, at * SPAN)
+        assert [quota.limit(at) for quota in quotas] == limits
 
 
-def test_frozen_only_acknowledgements_count():
+def test_frozen_plan_writes_ends_but_grants_nothing():
     ledger, (a, b), (_old, _new) = pair()
     ledger.heartbeat(b, {"d": {"": 9}}, {}, 10 * SPAN)
     assert ledger.plan(10 * SPAN, frozen=True) is None
     ledger.lease_expired(a, 10 * SPAN)
-    frozen = ledger.plan(10 * SPAN, frozen=True)
-    assert frozen is not None and not frozen.grants and len(frozen.ends) == 1
-    assert ledger.plan(10 * SPAN) is frozen  # pending: repeated, never replaced
-    ledger.commit(frozen)
+    change = ledger.plan(10 * SPAN, frozen=True)
+    assert change is not None and not change.grants and len(change.ends) == 1
+    assert (
+        ledger.plan(10 * SPAN) is change
+    )  # a pending change is repeated, never replaced
+    ledger.commit(change)
     assert {g.token for g in ledger.plan(20 * SPAN).grants} == {b}
 
 
-def test_a_purse_forgets_on_the_safe_side():
-    """Far more calls than stamps are kept for: memory bounded, never over, late by a
-    grain at most.
+def test_grouped_calls_keep_the_limit_and_bound_memory():
+    """With more calls than `EXACT_ENTRIES` memory is bounded, the limit is kept, and a
+    call counts at most one group too long.
     """
-    purse = MemberQuota(-(10**9), 0.0)
-    purse.receive_share(Share(Token(1, 1), 1, 5_000, 0, 5_000, 1 << 20, 0), 10**12, 0)
-    stamps = [
+    quota = MemberQuota(-(10**9), 0.0)
+    quota.receive_share(Share(Token(1, 1), 1, 5_000, 0, 5_000, 1 << 20, 0), 10**12, 0)
+    send_times = [
         at
         for at in [*range(0, 1 << 20, 150), *range(1 << 20, 3 << 20, 40)]
-        if purse.spend(at)
+        if quota.spend(at)
     ]
-    assert len(purse.window.entries) <= EXACT_ENTRIES + GRAINS_PER_WINDOW + 2
-    for first, after in zip(stamps, stamps[5_000:], strict=False):
+    assert len(quota.window.entries) <= EXACT_ENTRIES + GRAINS_PER_WINDOW + 2
+    for first, after in zip(send_times, send_times[5_000:], strict=False):
         assert 1 << 20 <= after - first <= (1 << 20) + 1024 + 150
-    assert len(stamps) > 10_000 and purse.available_at(3 << 20) >= 3 << 20
+    assert len(send_times) > 10_000 and quota.available_at(3 << 20) >= 3 << 20
 
 
-def test_needs_are_the_busiest_span_of_two_and_what_waits():
-    wants = DemandTracker(400)
+def test_demand_is_the_busiest_span_of_two_plus_waiting_calls():
+    tracker = DemandTracker(400)
     for at in range(0, 800, 10):
-        wants.record_calls(at, "gold" if at < 400 else "free")
-    assert wants.demand_by_part(799, {"gold": 3, "new": 2}) == {
+        tracker.record_calls(at, "gold" if at < 400 else "free")
+    assert tracker.demand_by_part(799, {"gold": 3, "new": 2}) == {
         "gold": 43,
         "free": 40,
         "new": 2,
     }
     assert (
-        wants.demand_by_part(1_250, {}) == {"free": 30}
-        and wants.demand_by_part(1_700, {}) == {}
-        and not wants.steps
+        tracker.demand_by_part(1_250, {}) == {"free": 30}
+        and tracker.demand_by_part(1_700, {}) == {}
+        and not tracker.steps
     )
     for n in range(1_000):
-        wants.record_calls(1_700, f"part {n}")
+        tracker.record_calls(1_700, f"part {n}")
     assert (
-        len(wants.demand_by_part(1_700, {})) == MAX_PARTS + 1
-        and sum(wants.demand_by_part(1_700, {}).values()) == 1_000
+        len(tracker.demand_by_part(1_700, {})) == MAX_PARTS + 1
+        and sum(tracker.demand_by_part(1_700, {}).values()) == 1_000
     )
 
 
@@ -714,40 +766,45 @@
 
 
 @pytest.mark.parametrize(("raw", "paths"), FAULTS)
-def test_every_fault_of_a_budget_is_named(raw, paths):
+def test_every_fault_of_a_budget_is_reported(raw, paths):
     with pytest.raises(BudgetConfigError) as caught:
         parse_budgets(raw)
     assert len(caught.value.faults) == len(paths)
     assert all(f.startswith(p) for f, p in zip(caught.value.faults, paths, strict=True))
 
 
-# -- the model searched
-# -------------------------------------------------------------------------------------
+# -- searches of the model
 
 PLANTED = {
-    "span not waited for": {},
-    "freed when told": {},
-    "restart forgets what is unacknowledged": {"restarts": 1},
-    "reserve not counted": {"reserve": 1, "seats": 3, "whole": 4},
-    "new process sends at once": {"reserve": 1, "whole": 2, "crashes": 1},
-    "older answer adopted": {"delays": 1, "ttl": 2, "span": 1},
+    "no window wait": {},
+    "freed when answered": {},
+    "restart drops unacknowledged grants": {"restarts": 1},
+    "reserve not set aside": {"reserve": 1, "seats": 3, "whole": 4},
+    "successor sends at once": {"reserve": 1, "whole": 2, "crashes": 1},
+    "older share accepted": {"delays": 1, "ttl": 2, "span": 1},
     "no drift margin": {"drift": 0.5, "ttl": 3, "span": 1, "slows": 3},
     "lost folder grants at once": {"restarts": 1, "lost": True},
 }
 
 
 @pytest.mark.parametrize("bug", MUTATIONS)
-def test_the_search_finds_each_planted_bug_and_nothing_else(bug):
-    found = explore(
-        BudgetModel(moves=True, first=True, bug=bug, **PLANTED[bug]), 20, 6_000
+def test_search_finds_each_mutation_and_no_violation_without_it(bug):
+    result = explore(
+        BudgetModel(demand_moves=True, first_only=True, bug=bug, **PLANTED[bug]),
+        20,
+        6_000,
     )
-    assert found.violation
-    clean = explore(BudgetModel(moves=True, first=True, **PLANTED[bug]), 20, 200)
-    assert not clean.violation
+    assert result.violation
+    clean_result = explore(
+        BudgetModel(demand_moves=True, first_only=True, **PLANTED[bug]), 20, 200
+    )
+    assert not clean_result.violation
 
 
-def test_turns_reach_everybody_in_a_fleet():
-    """2 calls a span for 7 members with work: all of them send, and no span is over."""
+def test_turns_serve_every_member_of_a_fleet():
+    """With 2 calls a span for 7 members with demand, all of them send, and no span exceeds
+    the total.
+    """
     fleet = Simulated(7, Budget("7", 2, 200_000, 0, 7, pause_us=100_000), 3)
     for member in fleet.members:
         member.set_arrivals(5)
