--- a/rainfall/budget/account.py
+++ b/rainfall/budget/account.py
@@ -112,10 +112,10 @@
 class BudgetAccounts:
     """The accounts of one budget."""
 
-    def __init__(self, budget: Budget, drift: float, opens_us: int) -> None:
+    def __init__(self, budget: Budget, drift: float, grants_from_us: int) -> None:
         self.budget = budget
         self.drift = drift
-        self.grants_from_us = opens_us
+        self.grants_from_us = grants_from_us
         """No share is granted before: until then unknown shares may be in use."""
         self.deconfigured = False
         self.new_reserves_blocked = False
--- a/rainfall/budget/fair_share.py
+++ b/rainfall/budget/fair_share.py
@@ -64,8 +64,8 @@
     """Divide `total` by water-filling, in O(n log n).
 
     Each claim gets clamp(weight * level, minimum, maximum), rounded down, with the
-    level at which the total is used up. Calls left over go to the claims with the
-    highest sum of lost fraction and `credit`; ties go by order.
+    level at which the total is used up. Calls left over go to the rounded claims with
+    the highest sum of lost fraction and `credit`; ties go by order.
 
     Raises:
         ValueError: The sum of the minimums exceeds the total.
@@ -153,9 +153,14 @@
         ValueError: The sum of the floors exceeds the total.
     """
     demand_by_key = {key: sum(parts.values()) for key, parts in needs.items()}
-    floor = {key: floors.get(key, 0) for key in needs}
+    floor_by_key = {key: floors.get(key, 0) for key in needs}
     first_claims = [
-        Claim(key, 1, floor[key], max(floor[key], min(least, demand_by_key[key])))
+        Claim(
+            key,
+            1,
+            floor_by_key[key],
+            max(floor_by_key[key], min(least, demand_by_key[key])),
+        )
         for key in needs
     ]
     base_shares, rounding_credit = water_fill(total, first_claims, credit)
--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -183,8 +183,8 @@
 
     def _add_budget(self, budget: Budget) -> BudgetAccounts:
         unknown_window_us = 0 if self.sure else budget.window_us(self.drift)
-        opens_us = self.grants_from_us + unknown_window_us
-        accounts = BudgetAccounts(budget, self.drift, opens_us)
+        grants_from_us = self.grants_from_us + unknown_window_us
+        accounts = BudgetAccounts(budget, self.drift, grants_from_us)
         accounts.new_reserves_blocked = self.new_reserves_blocked
         accounts.accounts = {
             token: MemberAccount(name, token) for token, name in self.names.items()
@@ -303,8 +303,8 @@
 
         Args:
             now_us: The present time.
-            frozen: No budget is divided and no grant is made; only ends and settings are
-                written.
+            frozen: No budget is divided and no new share is granted; ends, moved
+                reserves and `opened` are still written.
         """
         if self.pending is not None:
             return self.pending
--- a/rainfall/lease/table.py
+++ b/rainfall/lease/table.py
@@ -292,7 +292,7 @@
         if now_us >= lease.expires_at_us:
             raise LeaseRejectedError(
                 CONFLICT,
-                [f"token: the lease on {name} is out"],
+                [f"token: the lease on {name} has expired"],
                 lease.token,
                 epoch_record,
             )
--- a/rainfall/member/roster.py
+++ b/rainfall/member/roster.py
@@ -142,9 +142,9 @@
     Args:
         table: The lease table.
         ttl_us: The time to live of a member's lease.
-        suspect_share: A member becomes suspect without a renewal for this fraction of
+        suspect_fraction: A member becomes suspect without a renewal for this fraction of
             `ttl_us`.
-        mass_loss_share: Divisions freeze when more than this fraction of the members is
+        mass_loss_fraction: Divisions freeze when more than this fraction of the members is
             lost within one lease.
 
     Raises:
@@ -155,13 +155,16 @@
         self,
         table: LeaseTable,
         ttl_us: int,
-        suspect_share: float = 2 / 3,
-        mass_loss_share: float = 0.5,
+        suspect_fraction: float = 2 / 3,
+        mass_loss_fraction: float = 0.5,
     ) -> None:
         faults = [
             f"{path}: a share above 0, below 1"
-            for path, share in (("late", suspect_share), ("at_once", mass_loss_share))
-            if not 0 < share < 1
+            for path, fraction in (
+                ("late", suspect_fraction),
+                ("at_once", mass_loss_fraction),
+            )
+            if not 0 < fraction < 1
         ]
         if not table.settings.min_ttl_us <= ttl_us <= table.settings.max_ttl_us:
             faults.append("ttl_us: outside the lease table's limits")
@@ -169,8 +172,8 @@
             raise LeaseRejectedError(UNPROCESSABLE, faults)
         self.table = table
         self.ttl_us = ttl_us
-        self.suspect_after_us = int(ttl_us * suspect_share)
-        self.mass_loss_share = mass_loss_share
+        self.suspect_after_us = int(ttl_us * suspect_fraction)
+        self.mass_loss_fraction = mass_loss_fraction
         self.epoch = 0
         self.version = 0
         self.oldest_known_version = 0
@@ -392,7 +395,7 @@
             ),
         }
         all_members = {*lost, *self._last_renewal_us}
-        is_mass_loss = len(lost) > self.mass_loss_share * len(all_members)
+        is_mass_loss = len(lost) > self.mass_loss_fraction * len(all_members)
         if len(lost) >= MASS_LOSS_MIN_MEMBERS and is_mass_loss:
             freeze.stable_since_us = None
 
--- a/tests/budget/test_budget.py
+++ b/tests/budget/test_budget.py
@@ -504,17 +504,21 @@
 
 def test_reserve_moves_a_window_after_its_holder_has_left():
     """The only reserve is granted to a second process a window after the first left."""
-    ledger, (a, b), (old, new) = pair(whole=1, reserve=1, members_max=1)
-    assert old.limit(0) == 1 and new.held_share(b) is None
-    assert old.spend(0)
+    ledger, (first, second), (first_quota, second_quota) = pair(
+        whole=1, reserve=1, members_max=1
+    )
+    assert first_quota.limit(0) == 1 and second_quota.held_share(second) is None
+    assert first_quota.spend(0)
     gone = MemberQuota.from_record(
-        json.loads(json.dumps(old.close(0, leaving=True))), 1, DRIFT
+        json.loads(json.dumps(first_quota.close(0, leaving=True))), 1, DRIFT
     )
-    ledger.process_ended(a, 0)
-    assert not gone.spend(5 * SPAN) and not old.spend(5 * SPAN)
-    new.wanted = {"": 1}
+    ledger.process_ended(first, 0)
+    assert not gone.spend(5 * SPAN) and not first_quota.spend(5 * SPAN)
+    second_quota.wanted = {"": 1}
     sent_at = next(
-        at for at in range(4 * SPAN) if acted(ledger, new, b, at) or new.spend(at)
+        at
+        for at in range(4 * SPAN)
+        if acted(ledger, second_quota, second, at) or second_quota.spend(at)
     )
     assert sent_at >= (SPAN + SLACK) * (1 + DRIFT)
 
@@ -523,60 +527,70 @@
     """The first member to send a heartbeat after the restart must not get calls that
     another member still holds but has not reported yet.
     """
-    ledger, (a, b), (_, new) = pair()
-    again = restore(
+    ledger, (first, second), (_, second_quota) = pair()
+    restored = restore(
         [ledger.budget_accounts["d"].budget], TTL, DRIFT, 0, snapshot(ledger), []
     )
-    for token in (a, b):
-        again.member_joined(token, "f", None, 0)
-    acted(again, new, b, SPAN)
-    assert again.plan(10 * SPAN) is None and again.shares_for(a) == ledger.shares_for(a)
+    for token in (first, second):
+        restored.member_joined(token, "f", None, 0)
+    acted(restored, second_quota, second, SPAN)
+    assert restored.plan(10 * SPAN) is None and restored.shares_for(
+        first
+    ) == ledger.shares_for(first)
 
 
 def test_share_missing_from_restored_records_is_counted_once_reported():
     """The service is restored from an older copy that lacks a member's share: the share
     counts once the member reports it.
     """
-    ledger, (a, _), (old, _) = pair()
+    ledger, (first, _), (first_quota, _) = pair()
     copy = json.loads(json.dumps(snapshot(ledger)))
     copy["books"]["d"]["accounts"][0][4] = [[1, 1, 0]]
     copy["books"]["d"]["accounts"][0][2] = 0
-    again = restore(
+    restored = restore(
         [ledger.budget_accounts["d"].budget], TTL, DRIFT, 0, copy, [], sure=False
     )
     assert (
-        again.budget_accounts["d"].committed_calls() == 1 and old.held_share(a)[0] == 4
+        restored.budget_accounts["d"].committed_calls() == 1
+        and first_quota.held_share(first)[0] == 4
+    )
+    acted(restored, first_quota, first, 1)
+    assert (
+        restored.budget_accounts["d"].committed_calls() == 4
+        and first_quota.limit(1) == 4
     )
-    acted(again, old, a, 1)
-    assert again.budget_accounts["d"].committed_calls() == 4 and old.limit(1) == 4
 
 
 def test_answer_from_before_the_lease_loss_is_ignored():
-    ledger, (a, _), (old, _) = pair(whole=4, reserve=1)
-    share = ledger.shares_for(a)["d"]
-    old.fence(5)
-    assert not old.receive_share(share, 10**9, 6) and old.limit(7) == 1
+    ledger, (first, _), (first_quota, _) = pair(whole=4, reserve=1)
+    share = ledger.shares_for(first)["d"]
+    first_quota.fence(5)
+    assert not first_quota.receive_share(share, 10**9, 6) and first_quota.limit(7) == 1
     assert (
-        old.receive_share(replace(share, token=Token(1, 9)), 10**9, 8)
-        and old.limit(8) == share.calls
+        first_quota.receive_share(replace(share, token=Token(1, 9)), 10**9, 8)
+        and first_quota.limit(8) == share.calls
+    )
+    assert not first_quota.receive_share(
+        replace(share, token=Token(1, 9), number=0), 10**9, 9
     )
-    assert not old.receive_share(replace(share, token=Token(1, 9), number=0), 10**9, 9)
 
 
 def test_successor_waits_a_window_and_takes_over_the_reserve():
-    ledger, (a, _b), (old, _new) = pair(whole=3, reserve=1, members_max=2)
-    assert old.spend(0) and old.spend(0)
-    following = MemberQuota.from_record(old.to_record(), 1, DRIFT)
+    ledger, (first, _second), (first_quota, _second_quota) = pair(
+        whole=3, reserve=1, members_max=2
+    )
+    assert first_quota.spend(0) and first_quota.spend(0)
+    following = MemberQuota.from_record(first_quota.to_record(), 1, DRIFT)
     sends = next(at for at in range(1, 4 * SPAN) if following.spend(at))
     assert sends >= (SPAN + SLACK) * (1 + DRIFT) and following.limit(1) == 1
-    ledger.member_joined(Token(1, 3), "f1", a, 1, {"d": 1})
+    ledger.member_joined(Token(1, 3), "f1", first, 1, {"d": 1})
     accounts = ledger.budget_accounts["d"]
     assert (
         accounts.accounts[Token(1, 3)].usable_calls() == 1
         and accounts.reserve_holders() == 2
         and accounts.committed_calls() == 3
     )
-    assert accounts.free_calls({}) == 0 and not ledger.heartbeat(a, {}, {}, 1)
+    assert accounts.free_calls({}) == 0 and not ledger.heartbeat(first, {}, {}, 1)
 
 
 def test_reserve_reported_after_a_first_grant_is_counted():
@@ -593,7 +607,7 @@
     ledger.member_joined(late, "f3", Token(0, 9), 0, {"d": 1})
     claimed = ledger.plan(0)
     ledger.commit(claimed)
-    again = restore(
+    restored = restore(
         [ledger.budget_accounts["d"].budget],
         TTL,
         DRIFT,
@@ -601,8 +615,8 @@
         before,
         [granted.to_record(), claimed.to_record()],
     )
-    for one in (ledger, again):
-        account = one.budget_accounts["d"].accounts[late]
+    for tested_ledger in (ledger, restored):
+        account = tested_ledger.budget_accounts["d"].accounts[late]
         assert (
             QuotaGrant(1, 2, 0) in account.grants
             and account.reserve() == 1
@@ -670,17 +684,17 @@
 
 
 def test_frozen_plan_writes_ends_but_grants_nothing():
-    ledger, (a, b), (_old, _new) = pair()
-    ledger.heartbeat(b, {"d": {"": 9}}, {}, 10 * SPAN)
+    ledger, (first, second), (_first_quota, _second_quota) = pair()
+    ledger.heartbeat(second, {"d": {"": 9}}, {}, 10 * SPAN)
     assert ledger.plan(10 * SPAN, frozen=True) is None
-    ledger.lease_expired(a, 10 * SPAN)
+    ledger.lease_expired(first, 10 * SPAN)
     change = ledger.plan(10 * SPAN, frozen=True)
     assert change is not None and not change.grants and len(change.ends) == 1
     assert (
         ledger.plan(10 * SPAN) is change
     )  # a pending change is repeated, never replaced
     ledger.commit(change)
-    assert {g.token for g in ledger.plan(20 * SPAN).grants} == {b}
+    assert {g.token for g in ledger.plan(20 * SPAN).grants} == {second}
 
 
 def test_grouped_calls_keep_the_limit_and_bound_memory():
--- a/tests/member/test_roster.py
+++ b/tests/member/test_roster.py
@@ -131,7 +131,7 @@
 ) -> None:
     fleet = fleet_of_ten(100)
     if gone == "one lost":
-        fleet.roster.mass_loss_share = (
+        fleet.roster.mass_loss_fraction = (
             0.05  # a single loss never freezes, whatever the share
         )
     if gone == "left":
