--- a/rainfall/lease/holder.py
+++ b/rainfall/lease/holder.py
@@ -35,7 +35,7 @@
     """One lease of one process.
 
     Call `start_request` before a request is sent, then one of `on_granted`,
-    `on_rejected`, `on_unavailable` or `on_no_answer` with the request's number.
+    `on_rejected` or `on_unavailable` with the request's number, or `on_no_answer`.
     `random` returns floats from 0 to below 1. All times are of the holder's own clock,
     in microseconds.
     """
