--- a/rainfall/journal/__init__.py
+++ b/rainfall/journal/__init__.py
@@ -1,1 +1,1 @@
-"""The journal: its format, what it means, its recovery, and a tool to look into it."""
+"""The journal: file format, record codec, state, recovery, writer and a command."""
--- a/rainfall/journal/__main__.py
+++ b/rainfall/journal/__main__.py
@@ -1,6 +1,6 @@
-"""The command for staff: `python -m rainfall.journal check|show DIR`.
+"""Inspect a journal: `python -m rainfall.journal check|show DIR`.
 
-It only reads, and may run beside a running forwarder.
+The command only reads, and may run while a forwarder writes the journal.
 """
 
 from __future__ import annotations
@@ -26,52 +26,54 @@
 EXIT_INTACT = 0
 EXIT_DAMAGED = 1
 EXIT_UNUSABLE = 2
-"""The call or the journal is of no use."""
+"""The arguments are invalid, or the journal is missing or cannot be opened."""
 MAX_NAMED = 20
-"""Messages named on one printed line."""
+"""Maximum number of message ids on one printed line."""
 REREAD_DELAY_S = 0.2
-"""A running forwarder may be in the middle of a write; this is longer than one."""
+"""Delay before the second read: longer than a write that is in progress."""
 US_PER_S = 1_000_000
 
 
 class UsageError(RainfallError):
-    """The call cannot be served; the text is one line."""
+    """The journal at the given path cannot be read; the text is one line."""
 
 
-def read(where: Path) -> tuple[JournalState, RecoveryReport]:
-    """Read a journal, and once more where a write may have been under way.
+def read(location: Path) -> tuple[JournalState, RecoveryReport]:
+    """Read a journal, and read it again if the first read shows damage or a torn write.
+
+    A forwarder may have been writing during the first read.
 
     Raises:
         UsageError: There is no journal, or it cannot be opened.
         UnusableJournalError: A later version of the program wrote it.
     """
-    path = where if where.is_file() else where / JOURNAL_FILE
-    state, report = read_journal(_read_file(where, path))
+    path = location if location.is_file() else location / JOURNAL_FILE
+    state, report = read_journal(_read_file(location, path))
     if report.torn or report.damaged:
         time.sleep(REREAD_DELAY_S)
-        state, report = read_journal(_read_file(where, path))
-    _count_doubts(state, report)
+        state, report = read_journal(_read_file(location, path))
+    _count_messages_in_doubt(state, report)
     return state, report
 
 
-def _read_file(where: Path, path: Path) -> bytes:
+def _read_file(location: Path, path: Path) -> bytes:
     try:
         return path.read_bytes()
     except FileNotFoundError:
-        raise UsageError(f"no journal at {where}") from None
+        raise UsageError(f"no journal at {location}") from None
     except OSError as error:
         raise UsageError(f"cannot read {path}: {error.strerror}") from None
 
 
-def _count_doubts(state: JournalState, report: RecoveryReport) -> None:
+def _count_messages_in_doubt(state: JournalState, report: RecoveryReport) -> None:
     doubted = [message for message in state.messages.values() if message.in_doubt]
     report.ended = sum(message.order_key is not None for message in doubted)
     report.doubted = len(doubted) - report.ended
 
 
-def check(where: Path) -> int:
-    """Print whether a journal is intact and what is lost; returns the exit code."""
-    state, report = read(where)
+def check(location: Path) -> int:
+    """Print whether a journal is intact and what is lost; return the exit code."""
+    state, report = read(location)
     if not report.version:
         print("empty: a forwarder would start with nothing")
         return EXIT_INTACT
@@ -100,11 +102,11 @@
     if report.torn:
         lines.append(
             f"at byte {report.size - report.torn}: {report.torn} bytes of a write "
-            "that did not come to its end; nothing was promised on it"
+            "that was not completed; nothing that depends on it was sent"
         )
     if report.head_damaged:
         consequence = "" if report.records else "; nothing can be read"
-        lines.append(f"at byte 0: a head is damaged{consequence}")
+        lines.append(f"at byte 0: a file header is damaged{consequence}")
     for gap in report.gaps:
         lost = "records of an unknown number"
         if gap.missing >= 0:
@@ -119,29 +121,29 @@
     lines = []
     if report.unknown:
         lines.append(
-            f"{report.unknown} records are of a form that this program does not know"
+            f"{report.unknown} records have a form that this program does not support"
         )
     if report.lost:
         lines.append(
-            f"lost, though taken on: {len(report.lost)} messages: {_named(report.lost)}"
+            f"accepted but lost: {len(report.lost)} messages: {_join_ids(report.lost)}"
         )
     if report.doubted or report.ended:
         names = [message.id for message in state.messages.values() if message.in_doubt]
         lines.append(
-            f"in doubt, as an attempt or an end may be lost: {len(names)} messages "
-            f"({report.ended} ordered, which a start ends as failed): {_named(names)}"
+            f"in doubt, as an attempt or outcome may be lost: {len(names)} messages "
+            f"({report.ended} ordered, failed at the next start): {_join_ids(names)}"
         )
     return lines
 
 
-def _named(names: list[str]) -> str:
+def _join_ids(names: list[str]) -> str:
     more = ", ..." if len(names) > MAX_NAMED else ""
     return ", ".join(names[:MAX_NAMED]) + more
 
 
-def show(where: Path, bodies: bool) -> int:
-    """Print what a journal holds; returns the exit code."""
-    state, report = read(where)
+def show(location: Path, bodies: bool) -> int:
+    """Print a journal's contents; return the exit code."""
+    state, report = read(location)
     if state.rules:
         rules = state.rules[state.current_rules_number]
         names = ", ".join(message_class.name for message_class in rules.classes)
@@ -157,12 +159,12 @@
         delay = f", after {end.after_ms} ms" if end.after_ms else ""
         print(f"owed {message_id}: {end.state}{delay}")
     if report.damaged:
-        print("damaged: see check")
+        print("damaged: run check for details")
     return EXIT_DAMAGED if report.damaged else EXIT_INTACT
 
 
 def describe_message(message: AcceptedMessage, bodies: bool) -> str:
-    """Return one line about a message, with its body only where that is asked for."""
+    """Return one line about a message; the body is included only with `bodies`."""
     deadline = datetime.fromtimestamp(message.deadline_us / US_PER_S, UTC)
     due = deadline.isoformat(timespec="milliseconds")
     parts = [
@@ -190,8 +192,11 @@
     )
     commands = parser.add_subparsers(dest="call", required=True)
     for name, text in (
-        ("check", "whether it is whole: exit 0 whole, 1 damaged, 2 unusable call"),
-        ("show", "what it holds; message bodies only with --bodies"),
+        (
+            "check",
+            "check for damage: exit 0 whole, 1 damaged, 2 invalid arguments or no journal",
+        ),
+        ("show", "print the contents; message bodies only with --bodies"),
     ):
         command = commands.add_parser(name, help=text, description=text)
         command.add_argument(
@@ -208,10 +213,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command; returns its exit code."""
-    # The parser itself ends an unusable call with EXIT_UNUSABLE.
+    """Run the command; return its exit code."""
+    # argparse itself exits with EXIT_UNUSABLE for invalid arguments.
     options = _parser().parse_args(arguments)
-    # Damage is logged where it is read, and all of it stands in the report.
+    # The report lists all damage that the reader logs, so the log is redundant here.
     logging.disable(logging.CRITICAL)
     try:
         if options.call == "check":
--- a/rainfall/journal/files.py
+++ b/rainfall/journal/files.py
@@ -1,4 +1,4 @@
-"""The file operations that stored state needs, behind a protocol that tests replace."""
+"""File operations for stored state, behind a protocol that tests can replace."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from typing import Protocol
 
 FILE_MODE = 0o600
-"""Message bodies are stored: only the forwarder's own user may read them."""
+"""Files hold message bodies, so only the forwarder's own user may read them."""
 
 
 class FileSystem(Protocol):
-    """The operations on files; each raises OSError where it fails.
+    """Operations on files; each raises OSError on failure.
 
-    Writes name their offset, so that a failed one leaves no file position behind.
+    Writes are positional, so a failed write does not move a file position.
     """
 
     def read(self, path: Path) -> bytes:
@@ -23,16 +23,16 @@
         """Return a file's size in bytes."""
 
     def open(self, path: Path, anew: bool = False) -> int:
-        """Open a file to read and write, and create it if need be.
+        """Open a file for reading and writing, creating it if it does not exist.
 
-        With `anew` it is truncated. Returns the descriptor.
+        `anew` truncates the file. Returns the descriptor.
         """
 
-    def write(self, fd: int, data: memoryview, at: int) -> int:
+    def write(self, fd: int, data: memoryview, offset: int) -> int:
         """Write at an offset; returns how many bytes were written."""
 
     def truncate(self, fd: int, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
 
     def sync(self, fd: int) -> None:
         """Return once a file's contents have reached the disk."""
@@ -41,16 +41,16 @@
         """Close a descriptor."""
 
     def replace(self, old: Path, new: Path) -> None:
-        """Rename a file; one that has the new name is replaced."""
+        """Rename a file, replacing any file of the new name."""
 
     def link(self, old: Path, new: Path) -> None:
-        """Give a file a second name."""
+        """Create a hard link to a file."""
 
     def unlink(self, path: Path) -> None:
-        """Remove a name, if it exists."""
+        """Remove a directory entry, if it exists."""
 
     def sync_directory(self, path: Path) -> None:
-        """Return once a directory's names have reached the disk."""
+        """Return once a directory's entries have reached the disk."""
 
 
 class LocalFileSystem:
@@ -65,16 +65,16 @@
         return path.stat().st_size
 
     def open(self, path: Path, anew: bool = False) -> int:
-        """Open a file to read and write, and create it if need be."""
+        """Open a file for reading and writing, creating it if it does not exist."""
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | (os.O_TRUNC if anew else 0)
         return os.open(path, flags, FILE_MODE)
 
-    def write(self, fd: int, data: memoryview, at: int) -> int:
+    def write(self, fd: int, data: memoryview, offset: int) -> int:
         """Write at an offset; returns how many bytes were written."""
-        return os.pwrite(fd, data, at)
+        return os.pwrite(fd, data, offset)
 
     def truncate(self, fd: int, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
         os.ftruncate(fd, size)
 
     def sync(self, fd: int) -> None:
@@ -86,19 +86,19 @@
         os.close(fd)
 
     def replace(self, old: Path, new: Path) -> None:
-        """Rename a file; one that has the new name is replaced."""
+        """Rename a file, replacing any file of the new name."""
         old.replace(new)
 
     def link(self, old: Path, new: Path) -> None:
-        """Give a file a second name."""
+        """Create a hard link to a file."""
         os.link(old, new)
 
     def unlink(self, path: Path) -> None:
-        """Remove a name, if it exists."""
+        """Remove a directory entry, if it exists."""
         path.unlink(missing_ok=True)
 
     def sync_directory(self, path: Path) -> None:
-        """Return once a directory's names have reached the disk."""
+        """Return once a directory's entries have reached the disk."""
         fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -106,10 +106,10 @@
             os.close(fd)
 
 
-def write_all(files: FileSystem, fd: int, data: bytes, at: int) -> None:
-    """Write all of the data at an offset, in as many writes as it takes."""
+def write_all(files: FileSystem, fd: int, data: bytes, offset: int) -> None:
+    """Write all data at an offset, repeating the call after partial writes."""
     view = memoryview(data)
     while view:
-        written = files.write(fd, view, at)
+        written = files.write(fd, view, offset)
         view = view[written:]
-        at += written
+        offset += written
--- a/rainfall/journal/format.py
+++ b/rainfall/journal/format.py
@@ -1,11 +1,11 @@
 """The journal's file format: a header, then frames with one record each.
 
-`records` says what a record holds; docs/parts.md describes the format. A checkpoint
-stands first in a file, and a copy of the header behind it. All integers of version 2
-are big-endian.
+The module `records` defines the records; docs/parts.md describes the format. A file of
+version 2 is the header, the frames of a checkpoint, a copy of the header, and the
+frames that were appended since. All integers of version 2 are big-endian.
 
-Version 1 has no header; its frames are a length, a checksum and the payload, all
-little-endian.
+Version 1 has no header. A frame of version 1 is a length, a checksum and the payload;
+its integers are little-endian.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 MAGIC = b"RAINJRNL"
 VERSION = 2
 HEADER = struct.Struct(">8sHHIIII")
-"""Magic, version, flags, salt, generation, frames of the checkpoint, checksum."""
+"""Magic, version, flags, salt, generation, number of checkpoint frames, checksum."""
 CHECKSUM = struct.Struct(">I")
 FRAME = struct.Struct(">IIHI")
-"""Marker and payload length, number, checksum of both, checksum of the payload."""
+"""Marker and payload length, frame number, frame header checksum, payload checksum."""
 V1_FRAME = struct.Struct("<II")
 """Payload length, checksum of the payload."""
 FRAME_MARKER = 0xB7
@@ -32,24 +32,24 @@
 LENGTH_BITS = 24
 LENGTH_MASK = (1 << LENGTH_BITS) - 1
 NUMBERED_BYTES = 8
-"""Bytes of a frame that its first checksum covers: marker, length, number."""
+"""Bytes that the frame header checksum covers: marker, length and number."""
 SHORT_CHECKSUM_MASK = 0xFFFF
 FLAG_POWER = 1
-"""Flag in the header: the file was written under the level `power`."""
+"""Header flag: the file was written with durability level `power`."""
 MAX_RECORD_BYTES = LENGTH_MASK
-"""The longest payload that a frame's length field can state."""
+"""The longest payload that the length field of a frame can express."""
 MAX_V1_RECORD_BYTES = 1 << 21
 """The longest payload of version 1."""
 MAX_FRAME_NUMBER = 1 << 32
 V1_PAYLOAD_START = b'["'
-"""What each payload of version 1 begins with."""
+"""Every payload of version 1 starts with these bytes."""
 MIN_V1_PAYLOAD_BYTES = 3
 UNKNOWN = -1
-"""A number or count that is not known."""
+"""Stands for an unknown number or count."""
 
 
 class NewerVersionError(RainfallError):
-    """The file is of a version that this program does not know."""
+    """The file has a later version than this program supports."""
 
 
 class FileHeader(NamedTuple):
@@ -58,14 +58,14 @@
     version: int
     flags: int
     salt: int
-    """It enters each checksum, so that no frame of another file is taken for one."""
+    """Seeds each checksum, so that a frame copied from another file is not valid."""
     generation: int
     checkpoint_frames: int
-    """How many frames the checkpoint has."""
+    """Number of frames in the checkpoint."""
 
     @property
     def power(self) -> bool:
-        """Whether the file was written under the level `power`."""
+        """Whether the file was written with durability level `power`."""
         return bool(self.flags & FLAG_POWER)
 
     def encode(self) -> bytes:
@@ -75,164 +75,169 @@
 
 
 class Frame(NamedTuple):
-    """A frame that was read."""
+    """A valid frame."""
 
     offset: int
     number: int
-    """-1 in version 1, which numbers no frames."""
+    """-1 in version 1, whose frames have no numbers."""
     payload: bytes
     end: int
-    """Offset behind the frame."""
+    """Offset of the first byte after the frame."""
 
 
 class Gap(NamedTuple):
-    """Bytes that cannot be read."""
+    """A range of bytes that cannot be decoded."""
 
     offset: int
     size: int
     first_missing: int
-    """Number of the first missing record; -1 where that is not known."""
+    """Number of the first missing record; -1: unknown."""
     missing: int
-    """How many are missing; -1 where that is not known."""
+    """Number of missing records; -1: unknown."""
 
 
 @dataclass(slots=True)
 class Scan:
-    """What a file holds, in its order."""
+    """The decoded contents of a file, in file order."""
 
     version: int = VERSION
     header: FileHeader | None = None
     header_damaged: bool = False
     parts: list[Frame | Gap] = field(default_factory=list)
     end: int = 0
-    """Offset behind the last sound frame."""
+    """Offset of the first byte after the last valid frame."""
     torn_bytes: int = 0
-    """Bytes behind it of a write that was never finished."""
+    """Bytes after `end` that belong to a write that was never completed."""
 
     @property
     def frames(self) -> Iterator[Frame]:
-        """The frames that were read."""
+        """The valid frames."""
         return (part for part in self.parts if isinstance(part, Frame))
 
     @property
     def gaps(self) -> list[Gap]:
-        """The gaps between them."""
+        """The ranges that cannot be decoded."""
         return [part for part in self.parts if isinstance(part, Gap)]
 
     @property
     def damaged(self) -> bool:
-        """Whether something cannot be read that had been written in full."""
+        """Whether bytes that were written completely cannot be decoded."""
         return self.header_damaged or any(isinstance(part, Gap) for part in self.parts)
 
 
 # Frames and headers of version 2
 
 
-def frame_header_checksum(numbered: bytes, at: int, salt: int) -> int:
+def frame_header_checksum(marker_length_number: bytes, offset: int, salt: int) -> int:
     """Return the checksum of a frame's marker, length and number.
 
-    It depends on the frame's offset and file, so that a copy elsewhere is not sound.
+    The salt and the offset enter the checksum, so that a copy of the frame in another
+    file or at another offset is not valid.
     """
-    return zlib.crc32(numbered, zlib.crc32(at.to_bytes(8), salt))
+    return zlib.crc32(marker_length_number, zlib.crc32(offset.to_bytes(8), salt))
 
 
-def encode_frame(salt: int, number: int, payload: bytes, at: int) -> bytes:
-    """Encode a frame that is to stand at an offset of the file with that salt."""
+def encode_frame(salt: int, number: int, payload: bytes, offset: int) -> bytes:
+    """Encode a frame for an offset in the file with the given salt."""
     marker_and_length = FRAME_MARKER << LENGTH_BITS | len(payload)
-    numbered = marker_and_length.to_bytes(4) + number.to_bytes(4)
-    checksum = frame_header_checksum(numbered, at, salt)
+    marker_length_number = marker_and_length.to_bytes(4) + number.to_bytes(4)
+    checksum = frame_header_checksum(marker_length_number, offset, salt)
     return (
-        numbered
+        marker_length_number
         + (checksum & SHORT_CHECKSUM_MASK).to_bytes(2)
         + zlib.crc32(payload, checksum).to_bytes(4)
         + payload
     )
 
 
-def decode_header(data: bytes, at: int = 0) -> FileHeader | None:
-    """Return the header that stands at an offset, if it is sound.
+def decode_header(data: bytes, offset: int = 0) -> FileHeader | None:
+    """Return the header at an offset; None unless it is valid.
 
     Raises:
-        NewerVersionError: It is that of a later version.
+        NewerVersionError: The header has a later version.
     """
-    if data[at : at + len(MAGIC)] != MAGIC or len(data) < at + HEADER.size:
+    if data[offset : offset + len(MAGIC)] != MAGIC or len(data) < offset + HEADER.size:
         return None
-    _, *parts, checksum = HEADER.unpack_from(data, at)
+    _, *parts, checksum = HEADER.unpack_from(data, offset)
     header = FileHeader(*parts)
-    if checksum != zlib.crc32(data[at : at + HEADER.size - CHECKSUM.size]):
+    if checksum != zlib.crc32(data[offset : offset + HEADER.size - CHECKSUM.size]):
         return None
     if header.version > VERSION:
         raise NewerVersionError(
-            f"version {header.version}; this program knows up to {VERSION}"
+            f"version {header.version}; this program supports up to {VERSION}"
         )
     return header
 
 
 def find_header(data: bytes) -> FileHeader | None:
-    """Return the first header in the data that some frame in it belongs to.
+    """Return the first valid header whose salt matches some frame in the data.
 
-    A message's body may hold bytes that look like a header.
+    The match is required because a message body may contain bytes of a header.
     """
-    at = data.find(MAGIC)
-    while at >= 0:
-        header = decode_header(data, at)
+    offset = data.find(MAGIC)
+    while offset >= 0:
+        header = decode_header(data, offset)
         if header is not None and next_frame(data, 0, header.salt, 0) is not None:
             return header
-        at = data.find(MAGIC, at + 1)
+        offset = data.find(MAGIC, offset + 1)
     return None
 
 
-def frame_at(data: bytes, at: int, salt: int) -> Frame | None:
-    """Return the frame that begins at an offset, if it is complete and sound."""
-    if at + FRAME.size > len(data):
+def frame_at(data: bytes, offset: int, salt: int) -> Frame | None:
+    """Return the frame at an offset; None unless it is complete and valid."""
+    if offset + FRAME.size > len(data):
         return None
-    marker_and_length, number, short_checksum, checksum = FRAME.unpack_from(data, at)
+    marker_and_length, number, short_checksum, checksum = FRAME.unpack_from(
+        data, offset
+    )
     length = marker_and_length & LENGTH_MASK
     if marker_and_length >> LENGTH_BITS != FRAME_MARKER or length > MAX_RECORD_BYTES:
         return None
-    expected = frame_header_checksum(data[at : at + NUMBERED_BYTES], at, salt)
-    end = at + FRAME.size + length
+    expected = frame_header_checksum(
+        data[offset : offset + NUMBERED_BYTES], offset, salt
+    )
+    end = offset + FRAME.size + length
     if expected & SHORT_CHECKSUM_MASK != short_checksum or end > len(data):
         return None
-    payload = data[at + FRAME.size : end]
+    payload = data[offset + FRAME.size : end]
     if zlib.crc32(payload, expected) != checksum:
         return None
-    return Frame(at, number, payload, end)
+    return Frame(offset, number, payload, end)
 
 
-def next_frame(data: bytes, at: int, salt: int, lowest_number: int) -> Frame | None:
-    """Return the first sound frame from an offset on with that number or a higher one."""
-    at = data.find(FRAME_MARKER, at)
-    while at >= 0:
-        found = frame_at(data, at, salt)
+def next_frame(data: bytes, offset: int, salt: int, lowest_number: int) -> Frame | None:
+    """Return the first valid frame at or after an offset, marker_length_number `lowest_number` or more."""
+    offset = data.find(FRAME_MARKER, offset)
+    while offset >= 0:
+        found = frame_at(data, offset, salt)
         if found is not None and found.number >= lowest_number:
             return found
-        at = data.find(FRAME_MARKER, at + 1)
+        offset = data.find(FRAME_MARKER, offset + 1)
     return None
 
 
-def is_torn_write(data: bytes, at: int, salt: int, number: int) -> bool:
-    """Whether the data ends in the beginning of the frame of that number.
+def is_torn_write(data: bytes, offset: int, salt: int, number: int) -> bool:
+    """Whether the data ends with an incomplete frame of that number.
 
-    Such a write was never finished, and nothing was promised on it.
+    Such a write was never completed, and nothing that depends on it was sent.
     """
-    rest = data[at : at + FRAME.size]
+    rest = data[offset : offset + FRAME.size]
     marker = FRAME_MARKER.to_bytes(1)
     if len(rest) < FRAME.size:
-        # The length may be any; the marker and the number are known.
+        # The length cannot be checked; the marker and the number can.
         stored_number = rest[4:NUMBERED_BYTES]
         return (
             rest[:1] == marker[: len(rest)]
             and stored_number == number.to_bytes(4)[: len(stored_number)]
         )
-    marker_and_length, found_number, short_checksum, _ = FRAME.unpack_from(data, at)
-    expected = frame_header_checksum(rest[:NUMBERED_BYTES], at, salt)
+    marker_and_length, found_number, short_checksum, _ = FRAME.unpack_from(data, offset)
+    expected = frame_header_checksum(rest[:NUMBERED_BYTES], offset, salt)
     sound = (
         marker_and_length >> LENGTH_BITS == FRAME_MARKER
         and found_number == number
         and expected & SHORT_CHECKSUM_MASK == short_checksum
     )
-    end = at + FRAME.size + (marker_and_length & LENGTH_MASK)
+    end = offset + FRAME.size + (marker_and_length & LENGTH_MASK)
     return bool(sound and end > len(data))
 
 
@@ -240,10 +245,10 @@
 
 
 def scan(data: bytes) -> Scan:
-    """Read a file of either version.
+    """Decode a file of version 1 or 2.
 
     Raises:
-        NewerVersionError: It is of a later version.
+        NewerVersionError: The file has a later version.
     """
     header = decode_header(data)
     if header is not None:
@@ -261,8 +266,8 @@
     version = int.from_bytes(data[len(MAGIC) : len(MAGIC) + 2])
     if header is None and version > VERSION and len(data) >= HEADER.size:
         raise NewerVersionError(
-            f"version {version}, or its head is damaged; "
-            f"this program knows up to {VERSION}"
+            f"version {version}, or its header is damaged; "
+            f"this program supports up to {VERSION}"
         )
     return _scan_with_header(data, header, damaged=True)
 
@@ -277,7 +282,7 @@
 
 
 class _FileScanner:
-    """Reads a file of version 2 whose header is known, from its beginning."""
+    """Decodes a file of version 2 whose header is known."""
 
     def __init__(self, data: bytes, header: FileHeader, damaged: bool = False) -> None:
         self.data = data
@@ -289,10 +294,10 @@
         self.number = 0
         """Number of the next frame."""
         self.copy_passed = False
-        """Whether the place of the header's copy, behind the checkpoint, is passed."""
+        """Whether the position of the header copy, after the checkpoint, was reached."""
 
     def scan(self) -> Scan:
-        """Read all frames, and tell damage from a torn write at the end."""
+        """Decode all frames; distinguish damage from a torn write at the end."""
         while self.offset < len(self.data):
             if not self._read_part():
                 break
@@ -300,7 +305,10 @@
         return self.found
 
     def _read_part(self) -> bool:
-        """Read a frame, the header's copy or a gap; False where nothing is left."""
+        """Decode the header copy, a frame with the gap before it, or a gap.
+
+        Returns False if no more can be decoded.
+        """
         if self._read_header_copy():
             return True
         frame = frame_at(self.data, self.offset, self.header.salt)
@@ -331,7 +339,7 @@
         return True
 
     def _is_only_copy_damaged(self, end: int) -> bool:
-        """Whether what follows the header's copy is in its place."""
+        """Whether the file ends, or the expected frame starts, right after the header copy."""
         if end == len(self.data):
             return True
         following = frame_at(self.data, end, self.header.salt)
@@ -354,7 +362,7 @@
         checkpoint_frames = self.header.checkpoint_frames
         if not rest:
             if self.number < checkpoint_frames:
-                # The checkpoint was complete when the file got its name.
+                # A file replaces the journal only with a complete checkpoint.
                 self._add_gap(0, checkpoint_frames - self.number)
         elif self.number >= checkpoint_frames and self._is_unfinished(rest):
             self.found.torn_bytes = len(rest)
@@ -377,66 +385,66 @@
 # Version 1
 
 
-def v1_frame_at(data: bytes, at: int) -> Frame | None:
-    """Return the frame of version 1 that begins at an offset, if it is sound."""
-    if at < 0 or at + V1_FRAME.size > len(data):
+def v1_frame_at(data: bytes, offset: int) -> Frame | None:
+    """Return the frame of version 1 at an offset; None unless it is valid."""
+    if offset < 0 or offset + V1_FRAME.size > len(data):
         return None
-    length, checksum = V1_FRAME.unpack_from(data, at)
-    end = at + V1_FRAME.size + length
+    length, checksum = V1_FRAME.unpack_from(data, offset)
+    end = offset + V1_FRAME.size + length
     if not MIN_V1_PAYLOAD_BYTES <= length <= MAX_V1_RECORD_BYTES or end > len(data):
         return None
-    payload = data[at + V1_FRAME.size : end]
+    payload = data[offset + V1_FRAME.size : end]
     if zlib.crc32(payload) != checksum:
         return None
-    return Frame(at, UNKNOWN, payload, end)
+    return Frame(offset, UNKNOWN, payload, end)
 
 
-def next_v1_frame(data: bytes, at: int) -> Frame | None:
-    """Return the first sound frame of version 1 from an offset on."""
-    begin = data.find(V1_PAYLOAD_START, at + V1_FRAME.size)
-    while begin >= 0:
-        found = v1_frame_at(data, begin - V1_FRAME.size)
+def next_v1_frame(data: bytes, offset: int) -> Frame | None:
+    """Return the first valid frame of version 1 at or after an offset."""
+    payload_offset = data.find(V1_PAYLOAD_START, offset + V1_FRAME.size)
+    while payload_offset >= 0:
+        found = v1_frame_at(data, payload_offset - V1_FRAME.size)
         if found is not None:
             return found
-        begin = data.find(V1_PAYLOAD_START, begin + 1)
+        payload_offset = data.find(V1_PAYLOAD_START, payload_offset + 1)
     return None
 
 
 def scan_v1(data: bytes) -> Scan:
-    """Read a file of version 1."""
+    """Decode a file of version 1."""
     found = Scan(version=1)
-    at = 0
-    while at < len(data):
-        frame = v1_frame_at(data, at)
+    offset = 0
+    while offset < len(data):
+        frame = v1_frame_at(data, offset)
         if frame is None:
-            frame = next_v1_frame(data, at + 1)
+            frame = next_v1_frame(data, offset + 1)
             if frame is None:
                 break
-            found.parts.append(Gap(at, frame.offset - at, UNKNOWN, UNKNOWN))
+            found.parts.append(Gap(offset, frame.offset - offset, UNKNOWN, UNKNOWN))
         found.parts.append(frame)
-        at = frame.end
-        found.end = at
-    if at < len(data):
-        if _is_torn_v1_write(data, at):
-            found.torn_bytes = len(data) - at
+        offset = frame.end
+        found.end = offset
+    if offset < len(data):
+        if _is_torn_v1_write(data, offset):
+            found.torn_bytes = len(data) - offset
         else:
-            found.parts.append(Gap(at, len(data) - at, UNKNOWN, UNKNOWN))
+            found.parts.append(Gap(offset, len(data) - offset, UNKNOWN, UNKNOWN))
     return found
 
 
-def _is_torn_v1_write(data: bytes, at: int) -> bool:
-    """Whether a write was not finished, as far as version 1 lets tell.
+def _is_torn_v1_write(data: bytes, offset: int) -> bool:
+    """Whether the data ends with an incomplete frame, as far as version 1 can show it.
 
-    Then the length is possible, more than what is there, and the payload begins as all
-    do.
+    The frame is incomplete if its length is possible but exceeds the remaining data, and
+    the payload starts with `V1_PAYLOAD_START`.
     """
-    payload_at = at + V1_FRAME.size
-    if payload_at > len(data):
+    payload_offset = offset + V1_FRAME.size
+    if payload_offset > len(data):
         return True
-    payload_start = data[payload_at : payload_at + len(V1_PAYLOAD_START)]
-    length, _ = V1_FRAME.unpack_from(data, at)
+    payload_start = data[payload_offset : payload_offset + len(V1_PAYLOAD_START)]
+    length, _ = V1_FRAME.unpack_from(data, offset)
     return (
         length <= MAX_V1_RECORD_BYTES
-        and payload_at + length > len(data)
+        and payload_offset + length > len(data)
         and V1_PAYLOAD_START.startswith(payload_start)
     )
--- a/rainfall/journal/live_index.py
+++ b/rainfall/journal/live_index.py
@@ -11,49 +11,55 @@
 
 
 class LiveIndex:
-    """Live messages by deadline and by destination.
+    """Indexes live messages by deadline and by destination.
 
-    A call's cost grows with what it adds, removes or returns, not with the number of
-    live messages.
+    The cost of a method is proportional to the entries that it adds, removes or returns,
+    and independent of the number of live messages.
     """
 
     def __init__(self) -> None:
         self.buckets: SortedDict = SortedDict()
-        """By the bucket's number: the messages in it, each with its deadline in
-        microseconds.
-        """
+        """Bucket bucket_number to the deadlines of its messages, in microseconds, by message id."""
         self.by_destination: Counter[int] = Counter()
-        """The number of live messages of each destination that has any."""
+        """Number of live messages by destination; destinations without any are absent."""
         self.entries_visited = 0
-        """Entries that searches have looked at so far: a measure of their work."""
+        """Total entries that searches have visited: a measure of their cost."""
 
-    def add(self, name: str, destination: int, due_us: int) -> None:
-        """Add a message, which must not be in the index."""
-        self.buckets.setdefault(due_us // BUCKET_US, {})[name] = due_us
+    def add(self, message_id: str, destination: int, deadline_us: int) -> None:
+        """Add a message that is not in the index; the deadline is in microseconds."""
+        self.buckets.setdefault(deadline_us // BUCKET_US, {})[message_id] = deadline_us
         self.by_destination[destination] += 1
 
-    def remove(self, name: str, destination: int, due_us: int) -> None:
-        """Remove a message; the deadline is the one that it has in the index."""
-        self._drop(name, due_us)
+    def remove(self, message_id: str, destination: int, deadline_us: int) -> None:
+        """Remove a message, given the destination and the deadline it was indexed under."""
+        self._remove_from_bucket(message_id, deadline_us)
         self.by_destination[destination] -= 1
         if not self.by_destination[destination]:
             del self.by_destination[destination]
 
-    def change_deadline(self, name: str, due_us: int, new_due_us: int) -> None:
-        """Move a message from one deadline to another."""
-        self._drop(name, due_us)
-        self.buckets.setdefault(new_due_us // BUCKET_US, {})[name] = new_due_us
+    def change_deadline(
+        self, message_id: str, deadline_us: int, new_deadline_us: int
+    ) -> None:
+        """Replace the deadline of a message."""
+        self._remove_from_bucket(message_id, deadline_us)
+        self.buckets.setdefault(new_deadline_us // BUCKET_US, {})[message_id] = (
+            new_deadline_us
+        )
 
-    def with_deadline_before(self, at_us: int) -> list[str]:
-        """Return the messages whose deadlines are before a time.
+    def with_deadline_before(self, time_us: int) -> list[str]:
+        """Return the ids of messages whose deadlines are before a time.
 
-        Those of earlier buckets come first; within one the order is that of adding.
+        Ids are ordered by bucket, and within a bucket by insertion.
         """
         found: list[str] = []
-        for number in self.buckets.irange(maximum=(at_us - 1) // BUCKET_US):
-            bucket = self.buckets[number]
+        for bucket_number in self.buckets.irange(maximum=(time_us - 1) // BUCKET_US):
+            bucket = self.buckets[bucket_number]
             self.entries_visited += len(bucket)
-            found += [name for name, due_us in bucket.items() if due_us < at_us]
+            found += [
+                message_id
+                for message_id, deadline_us in bucket.items()
+                if deadline_us < time_us
+            ]
         return found
 
     def clear(self) -> None:
@@ -61,11 +67,11 @@
         self.buckets.clear()
         self.by_destination.clear()
 
-    def _drop(self, name: str, due_us: int) -> None:
-        number = due_us // BUCKET_US
-        bucket = self.buckets.get(number)
+    def _remove_from_bucket(self, message_id: str, deadline_us: int) -> None:
+        bucket_number = deadline_us // BUCKET_US
+        bucket = self.buckets.get(bucket_number)
         if bucket is None:
             return
-        removed = bucket.pop(name, None)
+        removed = bucket.pop(message_id, None)
         if removed is not None and not bucket:
-            del self.buckets[number]
+            del self.buckets[bucket_number]
--- a/rainfall/journal/records.py
+++ b/rainfall/journal/records.py
@@ -1,12 +1,12 @@
-"""The journal's records: their types, and the one codec between them and bytes.
+"""The journal's records: their types, and the codec between records and bytes.
 
 A record is a line of JSON, `[kind, field, ...]`, followed for a message by a newline
-and the message's body. `RecordKind` lists the kinds; the order of a kind's fields is
-that of its `encode_...` and `decode_...` function. Stored times are microseconds of
-the forwarder's clock.
+and the message's body. `RecordKind` lists the kinds. The `encode_...` and `decode_...`
+functions of a kind define the order of its fields. Stored times are microseconds of the
+forwarder's clock.
 
-A decoder raises ValueError, KeyError, TypeError or IndexError for a record of another
-form; `DECODING_ERRORS` names them all.
+A decoder raises one of `DECODING_ERRORS` for a record that does not have the expected
+form: ValueError, KeyError, TypeError, IndexError or zlib.error.
 """
 
 from __future__ import annotations
@@ -20,51 +20,51 @@
 from rainfall.dispatch import Idempotency, IdempotencyScope, MessageClass
 
 MESSAGE_OVERHEAD_BYTES = 400
-"""What an accepted message's further records may add to a compacted file."""
+"""Bytes that an accepted message's later records may add to a compacted file."""
 UNCOMPRESSED_LIST_BYTES = 64 * 1024
-"""The record of an endpoint list that is longer than this is compressed."""
+"""An endpoint list record above this size is compressed."""
 COMPRESSION_LEVEL = 1
-"""The fastest of zlib's levels: the list is written while messages wait."""
+"""The fastest zlib level, since messages wait while the list is written."""
 DECODING_ERRORS = (ValueError, KeyError, TypeError, IndexError, zlib.error)
-"""What decoding and applying a record of an unknown form raises."""
+"""Raised when a record of an unknown form is decoded or applied."""
 
 Fields = list[Any]
-"""A record's fields, without its kind, as the JSON decoder gives them."""
+"""A record's fields, without its kind, as decoded from JSON."""
 
 
 class RecordKind(StrEnum):
-    """The kinds of records, as they are stored."""
+    """The kinds of records, by stored name."""
 
     MESSAGE = "n"
     """A message was accepted."""
     CHECKPOINT_MESSAGE = "t"
-    """A message in a checkpoint, with its attempts up to there."""
+    """A message in a checkpoint, with its attempts so far."""
     RULES = "r"
-    """The delivery rules that messages are accepted under from here on."""
+    """The delivery rules for messages accepted after this record."""
     ATTEMPT = "a"
-    """An attempt begins; it is written before the call's first byte."""
+    """An attempt begins; written before the first byte of the call is sent."""
     OUTCOME = "o"
     """An attempt has ended."""
     FINISHED = "x"
-    """A message has ended and its sender need not be notified."""
+    """A message has ended and no notification is needed."""
     PENDING_NOTIFICATION = "e"
-    """A message has ended and the platform has not acknowledged that."""
+    """A message has ended and the platform has not yet acknowledged the notification."""
     ACKNOWLEDGED = "d"
-    """The platform has acknowledged a message's end."""
+    """The platform has acknowledged the notification of a message's end."""
     ENDPOINT_LIST = "l"
-    """A full endpoint list, and the discovery service that it came from."""
+    """A complete endpoint list, with the discovery service that sent it."""
     COMPRESSED = "p"
-    """Another record, compressed."""
+    """A record in compressed form."""
     ENDPOINT_LIST_UPDATE = "u"
-    """What changed in the endpoint list of a named version and source."""
+    """Changes to the endpoint list of a given version and source."""
     DETACHED = "h"
-    """An operator detached an endpoint, or attached it again."""
+    """An operator detached or re-attached an endpoint."""
     OUTAGE = "g"
-    """An endpoint's outage: its slow start has to outlast a restart."""
+    """An endpoint's outage, stored so that its slow start continues after a restart."""
     CLOCK = "c"
-    """A process began to write: what its clock is based on."""
+    """A process began to write; holds the base of its clock."""
     CLOSED = "z"
-    """The process ended in order, and all that it wrote is synced."""
+    """The process shut down cleanly, and everything it wrote is synced."""
 
 
 VERSION_1_KINDS = {
@@ -79,7 +79,7 @@
     "rules": RecordKind.RULES,
     "out": RecordKind.DETACHED,
 }
-"""The kinds of version 1 of the journal, by their stored names."""
+"""Record kinds by their stored names in version 1."""
 KIND_BY_STORED_NAME: dict[str, RecordKind] = {
     **{kind.value: kind for kind in RecordKind},
     **VERSION_1_KINDS,
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class AcceptedMessage:
-    """An accepted message, with all that is needed to go on delivering it."""
+    """An accepted message, with the state needed to resume its delivery."""
 
     id: str
     class_name: str
@@ -100,20 +100,20 @@
     order_key: str | None = None
     attempts: int = 0
     executed_at_us: int = -1
-    """When the first attempt that may have been executed began; -1: there is none."""
+    """Start of the first attempt that may have been executed; -1: none."""
     executed_on: str = ""
     in_flight: dict[int, tuple[int, str]] = field(default_factory=dict)
-    """By the attempt's number: when it began, and the host that it went to."""
+    """Start time and host of each unfinished attempt, by attempt number."""
     rules_number: int = -1
-    """The delivery rules that it was accepted under; -1 where that is not known."""
+    """Number of the delivery rules it was accepted under; -1: unknown."""
     in_doubt: bool = False
-    """Whether an attempt, or its end, may stand in what could not be read."""
+    """Whether an unreadable part of the file may hold an attempt or outcome of it."""
     unsent_attempts: int = field(default=0, compare=False)
-    """Attempts of this process that made no call; they are not stored."""
+    """Attempts of this process that made no call; not stored."""
 
     @property
     def size(self) -> int:
-        """Bytes that the message may take in a compacted file."""
+        """Upper estimate of the message's bytes in a compacted file."""
         return (
             len(self.body)
             + len(self.id)
@@ -123,14 +123,14 @@
 
 
 class DeliveryRules(NamedTuple):
-    """What a message keeps when the settings change: its class and its attempts."""
+    """Attempt limit and classes that a message keeps when the settings change."""
 
     attempts: int
     classes: tuple[MessageClass, ...]
 
 
 class PendingNotification(NamedTuple):
-    """A message's end that the platform has not acknowledged."""
+    """A message's end whose notification the platform has not yet acknowledged."""
 
     state: str
     after_ms: int
@@ -138,23 +138,23 @@
 
 
 class Outage(NamedTuple):
-    """When an endpoint's outage began, and when it recovered; -1: not yet."""
+    """When an endpoint's outage began and when the endpoint recovered; -1: not yet."""
 
     started_at_us: int
     recovered_at_us: int
 
 
 class JournalClock(NamedTuple):
-    """What times in the journal are based on."""
+    """The clock that times in the journal refer to."""
 
     base_us: int
-    """What is added to the machine's monotonic clock."""
+    """Offset from the machine's monotonic clock to Unix time."""
     boot_id: str
-    """The machine's run that the monotonic clock belongs to; empty: not known."""
+    """Id of the boot that the monotonic clock belongs to; empty: unknown."""
 
 
 class AttemptRecord(NamedTuple):
-    """An attempt that begins."""
+    """The start of an attempt."""
 
     message_id: str
     number: int
@@ -171,14 +171,14 @@
 
 
 class RulesRecord(NamedTuple):
-    """Delivery rules and the number that messages name them by."""
+    """Delivery rules and the number by which messages refer to them."""
 
     number: int
     rules: DeliveryRules
 
 
 class EndpointListRecord(NamedTuple):
-    """A full endpoint list; `source` is the discovery service that it came from."""
+    """A complete endpoint list; `source` is the discovery service that sent it."""
 
     seq: int
     hosts: dict[str, dict[str, Any]]
@@ -186,7 +186,7 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """The changes from one version of a source's endpoint list to another."""
+    """Changes between two versions of a source's endpoint list."""
 
     previous_seq: int
     seq: int
@@ -196,7 +196,7 @@
 
 
 class OutageRecord(NamedTuple):
-    """An endpoint's outage; it is over for good where its start is negative."""
+    """An endpoint's outage; a negative start removes the outage."""
 
     host: str
     outage: Outage
@@ -213,7 +213,7 @@
 
 
 def decode_message(fields: Fields, body: bytes) -> AcceptedMessage:
-    """Decode a message as it was accepted."""
+    """Decode an accepted message without attempts."""
     (
         message_id,
         class_name,
@@ -238,7 +238,7 @@
 
 
 def decode_checkpoint_message(fields: Fields, body: bytes) -> AcceptedMessage:
-    """Decode a checkpoint's message; older journals end before the last two fields."""
+    """Decode a message of a checkpoint; older journals lack the last two fields."""
     (
         message_id,
         class_name,
@@ -250,7 +250,7 @@
         executed_at_us,
         executed_on,
         in_flight,
-        *later,
+        *optional_fields,
     ) = fields
     return AcceptedMessage(
         message_id,
@@ -260,17 +260,17 @@
         idempotency_key,
         tenant,
         body,
-        later[0] if later else None,
+        optional_fields[0] if optional_fields else None,
         attempts,
         executed_at_us,
         executed_on,
         {number: (started_at_us, host) for number, started_at_us, host in in_flight},
-        later[1] if len(later) > 1 else -1,
+        optional_fields[1] if len(optional_fields) > 1 else -1,
     )
 
 
 def decode_message_id(fields: Fields) -> str:
-    """Decode the first field of a record about a message."""
+    """Return the message id, the first field of a record about a message."""
     message_id: str = fields[0]
     return message_id
 
@@ -288,19 +288,19 @@
 
 
 def decode_pending_notification(fields: Fields) -> PendingNotification:
-    """Decode what stands behind the message's id; version 1 has no order key."""
+    """Decode the fields after the message id; version 1 has no order key."""
     return PendingNotification(*fields[1:])
 
 
 def decode_endpoint_list(fields: Fields) -> EndpointListRecord:
-    """Decode a full endpoint list; older journals do not name its source."""
+    """Decode a complete endpoint list; older journals do not store its source."""
     hosts = {host["host"]: host for host in fields[1]}
     source = fields[2] if len(fields) > 2 else ""
     return EndpointListRecord(fields[0], hosts, source)
 
 
 def decode_endpoint_list_update(fields: Fields) -> EndpointListUpdate:
-    """Decode the changes of an endpoint list."""
+    """Decode changes to an endpoint list."""
     previous_seq, seq, changed, removed, source = fields
     return EndpointListUpdate(previous_seq, seq, changed, removed, source)
 
@@ -325,19 +325,19 @@
 
 
 def decode_clock(fields: Fields) -> JournalClock:
-    """Decode what the times that follow are based on."""
+    """Decode the clock that the following times refer to."""
     base_us, boot_id = fields
     return JournalClock(base_us, boot_id)
 
 
 def decompress_record(body: bytes) -> bytes:
-    """Return the payload of the record that a compressed one holds."""
+    """Return the payload of the record inside a compressed record."""
     return zlib.decompress(body)
 
 
 # Encoding
 
-# Each message has these records: a plain string costs less than an enum's member.
+# Written for each message: a plain string is cheaper to encode than an enum member.
 _MESSAGE_KIND = RecordKind.MESSAGE.value
 _CHECKPOINT_MESSAGE_KIND = RecordKind.CHECKPOINT_MESSAGE.value
 _ATTEMPT_KIND = RecordKind.ATTEMPT.value
@@ -350,20 +350,20 @@
 def _json_default(value: object) -> str:
     if isinstance(value, Enum):
         return str(value.value)
-    raise TypeError(f"cannot be journaled: {value!r}")
+    raise TypeError(f"cannot encode value for the journal: {value!r}")
 
 
 _encode_json = json.JSONEncoder(separators=(",", ":"), default=_json_default).encode
 
 
-def encode_record(*line: Any, body: bytes | None = None) -> bytes:
-    """Encode a record's payload from its kind and fields, and a message's body."""
-    text = _encode_json(line).encode()
+def encode_record(*kind_and_fields: Any, body: bytes | None = None) -> bytes:
+    """Encode the payload of a record: its kind and fields, and optionally a body."""
+    text = _encode_json(kind_and_fields).encode()
     return text if body is None else text + b"\n" + body
 
 
 def encode_message(message: AcceptedMessage) -> bytes:
-    """Encode a message, as it was accepted or with its attempts up to now."""
+    """Encode a message; one with attempts as a checkpoint message, with its attempts."""
     if not message.attempts:
         return encode_record(
             _MESSAGE_KIND,
@@ -412,24 +412,26 @@
 
 
 def encode_finished(message_id: str) -> bytes:
-    """Encode a message's end that needs no notification."""
+    """Encode a message's end for which no notification is needed."""
     return encode_record(_FINISHED_KIND, message_id)
 
 
-def encode_pending_notification(message_id: str, end: PendingNotification) -> bytes:
-    """Encode a message's end that the platform has not acknowledged."""
-    return encode_record(_PENDING_NOTIFICATION_KIND, message_id, *end)
+def encode_pending_notification(
+    message_id: str, notification: PendingNotification
+) -> bytes:
+    """Encode a message's end whose notification is not yet acknowledged."""
+    return encode_record(_PENDING_NOTIFICATION_KIND, message_id, *notification)
 
 
 def encode_acknowledgement(message_id: str) -> bytes:
-    """Encode that the platform has acknowledged a message's end."""
+    """Encode the platform's acknowledgement of a message's end."""
     return encode_record(_ACKNOWLEDGED_KIND, message_id)
 
 
 def encode_list(seq: int, hosts: dict[str, dict[str, Any]], source: str) -> bytes:
-    """Encode a full endpoint list, compressed where it is long.
+    """Encode a complete endpoint list, compressed above `UNCOMPRESSED_LIST_BYTES`.
 
-    Each file holds one, and the journal's space on disk is limited.
+    Every journal file holds a complete list, and the journal's disk space is limited.
     """
     plain = encode_record(RecordKind.ENDPOINT_LIST, seq, [*hosts.values()], source)
     if len(plain) <= UNCOMPRESSED_LIST_BYTES:
@@ -439,7 +441,7 @@
 
 
 def encode_rules(number: int, rules: DeliveryRules) -> bytes:
-    """Encode delivery rules under their number."""
+    """Encode delivery rules and their number."""
     classes = [class_record(message_class) for message_class in rules.classes]
     return encode_record(RecordKind.RULES, number, rules.attempts, classes)
 
@@ -455,17 +457,17 @@
 
 
 def encode_clock(clock: JournalClock) -> bytes:
-    """Encode what the times that follow are based on."""
+    """Encode the clock that the following times refer to."""
     return encode_record(RecordKind.CLOCK, *clock)
 
 
 def encode_closed() -> bytes:
-    """Encode that the process ended in order."""
+    """Encode that the process shut down cleanly."""
     return encode_record(RecordKind.CLOSED)
 
 
 def encode_endpoint_list_update(update: EndpointListUpdate) -> bytes:
-    """Encode the changes of an endpoint list."""
+    """Encode changes to an endpoint list."""
     return encode_record(RecordKind.ENDPOINT_LIST_UPDATE, *update)
 
 
@@ -482,22 +484,22 @@
     "priority_weight": "worth",
     "late_priority_weight": "late_worth",
 }
-"""A class's attributes, in the order of its record, and the keys of that record.
+"""Attributes of a message class and their keys on disk, in stored order.
 
-The keys are on disk: they are appended to, and never renamed. The wire and the
-settings have other names for some (docs/glossary.md).
+Keys may be added but never renamed, since journals contain them. The wire and the
+settings use other names for some of the attributes (docs/glossary.md).
 """
 
 
 def class_record(message_class: MessageClass) -> dict[str, Any]:
-    """Return a class in its stored form."""
+    """Return the stored form of a message class."""
     return {
         key: getattr(message_class, attribute) for attribute, key in CLASS_KEYS.items()
     }
 
 
 def _decode_class(stored: dict[str, Any]) -> MessageClass:
-    """Decode a class; keys that a later program added are passed over."""
+    """Decode a message class, ignoring keys added by later versions of the program."""
     known = {
         attribute: stored[key] for attribute, key in CLASS_KEYS.items() if key in stored
     }
--- a/rainfall/journal/recovery.py
+++ b/rainfall/journal/recovery.py
@@ -1,6 +1,6 @@
-"""Recovery of the journal: from its bytes to a state that is safe to go on from.
+"""Recovery: rebuilds the state that a journal file holds, so that delivery can resume.
 
-It also reports what was found: damage, torn writes, doubts and shifts of the clock.
+The recovery report lists damage, torn writes, messages in doubt and clock shifts.
 """
 
 from __future__ import annotations
@@ -18,85 +18,85 @@
 
 JOURNAL_FILE = "journal"
 NEW_JOURNAL_FILE = "journal.new"
-"""A compacted file until it replaces the journal."""
+"""Name of a compacted file until it replaces the journal."""
 DAMAGED_JOURNAL_FILE = "journal.damaged"
-"""A damaged file that was kept for staff."""
+"""Name of a damaged file that is kept for inspection by operators."""
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 MIN_CLOCK_SHIFT_US = 500_000
-"""A smaller shift is left alone: time synchronisation makes small ones all the time."""
+"""Smaller clock shifts are ignored, since time synchronisation causes them constantly."""
 US_PER_S = 1_000_000
 MS_PER_S = 1_000
 
 
 class UnusableJournalError(RainfallError):
-    """The folder's journal cannot be used by this program; the text is one line."""
+    """This program cannot use the journal in the folder; the text is one line."""
 
 
 class ReportedGap(NamedTuple):
-    """Bytes of the file that could not be read."""
+    """A range of bytes of the file that could not be decoded."""
 
     offset: int
     size: int
     missing: int
-    """How many records they held; -1: not known."""
+    """Number of records lost in the range; -1: unknown."""
 
 
 @dataclass(slots=True)
 class RecoveryReport:
-    """What a recovery found and did."""
+    """What a recovery found in the file and which corrections it made."""
 
     version: int = 0
-    """Version of the file; 0: there was none."""
+    """Version of the file; 0: the file is missing or empty."""
     size: int = 0
-    """Bytes of the file."""
+    """Size of the file in bytes."""
     records: int = 0
     gaps: list[ReportedGap] = field(default_factory=list)
     head_damaged: bool = False
     torn: int = 0
-    """Bytes of a write at the end that was never finished."""
+    """Bytes at the end that belong to a write that was never completed."""
     unknown: int = 0
-    """Records of a form that this program does not know."""
+    """Records of a form that this program does not support."""
     doubted: int = 0
-    """Messages that got an attempt that may have been executed."""
+    """Messages to which an attempt that may have been executed was added."""
     ended: int = 0
-    """Ordered messages that were ended as failed."""
+    """Messages with an order key that were ended as failed."""
     lost: list[str] = field(default_factory=list)
-    """Messages that were accepted and whose records cannot be read."""
+    """Ids of accepted messages whose own records cannot be read."""
     another_boot: bool = False
-    """Whether the machine went down since the file was written."""
+    """Whether the machine has rebooted since the file was written."""
     shifted_us: int = 0
     took_ms: float = 0.0
     end: int = 0
-    """Offset behind the last readable record."""
+    """Offset of the first byte after the last readable record."""
     number: int = 0
-    """The next record's number."""
+    """Number of the next record."""
     generation: int = 0
     salt: int = 0
     power: bool = False
-    """Whether it was written under the level `power`."""
+    """Whether the file was written with durability level `power`."""
 
     @property
     def changed(self) -> bool:
-        """Whether the state differs by now from what the file says."""
+        """Whether recovery has made the state differ from the file."""
         return bool(self.doubted or self.ended or self.shifted_us)
 
     @property
     def damaged(self) -> bool:
-        """Whether something could not be read that had been written in full."""
+        """Whether data that was written completely could not be read."""
         return self.head_damaged or bool(self.gaps) or self.unknown > 0
 
     @property
     def skipped(self) -> int:
-        """Bytes that could not be read."""
+        """Number of bytes that could not be decoded."""
         return sum(gap.size for gap in self.gaps)
 
     @property
     def missing(self) -> int:
-        """Records known to be missing; a gap of an unknown number counts as one."""
+        """Least number of missing records; a gap of unknown content counts as one."""
         return sum(max(1, gap.missing) for gap in self.gaps)
 
     def metrics(self) -> dict[str, Any]:
-        """Return what `/_vars` shows of the recovery."""
+        """Return the figures of the recovery that `/_vars` shows."""
         return {
             "version": self.version,
             "size": self.size,
@@ -117,9 +117,9 @@
         }
 
     def summary(self) -> str:
-        """Return one line of text for the log."""
+        """Return a one-line summary for the log."""
         if not self.version:
-            return f"journal: none; an empty start in {self.took_ms:.0f} ms"
+            return f"journal: none found; started empty in {self.took_ms:.0f} ms"
         parts = [
             f"{self.records} records of version {self.version} from {self.size} bytes",
             *self._damage(),
@@ -130,38 +130,38 @@
     def _damage(self) -> list[str]:
         parts = []
         if self.torn:
-            parts.append(f"a torn tail of {self.torn} bytes cut")
+            parts.append(f"torn tail of {self.torn} bytes truncated")
         if self.head_damaged:
-            parts.append("its head damaged")
+            parts.append("file header damaged")
         if self.gaps:
             parts.append(
                 f"{self.skipped} damaged bytes skipped in {len(self.gaps)} places, "
                 f"at least {self.missing} records lost"
             )
         if self.unknown:
-            parts.append(f"{self.unknown} records of unknown form passed over")
+            parts.append(f"{self.unknown} records of unknown form skipped")
         return parts
 
     def _corrections(self) -> list[str]:
         parts = []
         if self.another_boot:
-            parts.append("the machine went down since it was written")
+            parts.append("the machine has rebooted since it was written")
         if self.doubted or self.ended:
             parts.append(
                 f"{self.doubted} messages in doubt, "
-                f"and {self.ended} ordered ones ended for it"
+                f"{self.ended} ordered messages in doubt ended as failed"
             )
         if self.lost:
             parts.append(f"{len(self.lost)} messages lost")
         if self.shifted_us:
             parts.append(
-                f"times moved by {self.shifted_us / US_PER_S:.1f} s with the clock"
+                f"stored times shifted by {self.shifted_us / US_PER_S:.1f} s with the clock"
             )
         return parts
 
 
 def this_boot() -> str:
-    """Return the id of the machine's present run; empty where it is not known."""
+    """Return the id of the machine's current boot; empty if it is unknown."""
     try:
         return BOOT_ID_FILE.read_text().strip()
     except OSError:
@@ -169,14 +169,15 @@
 
 
 def replay(found: Scan, state: JournalState) -> None:
-    """Apply a file's records to a state, and mark what damage leaves in doubt."""
+    """Apply a file's records to a state, and mark the messages that gaps leave in doubt."""
     header = found.header
     checkpoint_frames = header.checkpoint_frames if header is not None else 0
     for part in found.parts:
         if isinstance(part, Frame):
             state.apply_record(part.payload)
         elif _is_within_checkpoint(part, checkpoint_frames):
-            # A checkpoint has no records of attempts: messages are lost as a whole.
+            # A checkpoint has no attempt records, so the gap leaves no message in doubt: it
+            # loses whole messages.
             state.damaged = True
         else:
             state.mark_in_doubt()
@@ -189,14 +190,14 @@
 
 
 def read_journal(
-    data: bytes, into: JournalState | None = None
+    data: bytes, target_state: JournalState | None = None
 ) -> tuple[JournalState, RecoveryReport]:
-    """Read a file's contents, whatever the clock and the machine are now.
+    """Read the contents of a file, without adjusting to the current clock or boot.
 
     Raises:
-        UnusableJournalError: A later version of the program wrote it.
+        UnusableJournalError: A later version of the program wrote the journal.
     """
-    state = into if into is not None else JournalState()
+    state = target_state if target_state is not None else JournalState()
     began_s = time.monotonic()
     try:
         found = scan(data)
@@ -236,20 +237,20 @@
     folder: Path,
     state: JournalState,
     base_us: int,
-    boot: str,
-    mono_us: int,
+    boot_id: str,
+    monotonic_us: int,
     predecessor_runs: bool = False,
 ) -> RecoveryReport:
-    """Fill the state with what the folder holds, safe to go on from; write nothing.
+    """Restore the state from the folder's journal and resolve doubts; write nothing.
 
     Args:
         files: The file system.
         folder: The folder of the journal.
         state: An empty state.
-        base_us: What the monotonic clock lacks to Unix time now.
-        boot: The id of the machine's present run.
-        mono_us: The monotonic clock now.
-        predecessor_runs: Whether the process that writes the journal still runs; then
+        base_us: Current offset from the monotonic clock to Unix time.
+        boot_id: The id of the machine's current boot.
+        monotonic_us: The current monotonic clock.
+        predecessor_runs: Whether the process that writes the journal still runs; if so,
             its clock is kept.
 
     Raises:
@@ -261,10 +262,12 @@
     except FileNotFoundError:
         data = b""
     _, report = read_journal(data, state)
-    now = JournalClock(base_us, boot)
+    now = JournalClock(base_us, boot_id)
     if state.clock is not None:
-        _mark_unsynced_end(report, state, state.clock, now)
-        now = _follow_clock(report, state, state.clock, now, mono_us, predecessor_runs)
+        _mark_unsynced_records(report, state, state.clock, now)
+        now = _adjust_to_clock(
+            report, state, state.clock, now, monotonic_us, predecessor_runs
+        )
     state.clock = now
     resolved = state.resolve_doubts()
     report.doubted = resolved.with_assumed_attempt
@@ -274,13 +277,13 @@
     return report
 
 
-def _mark_unsynced_end(
+def _mark_unsynced_records(
     report: RecoveryReport,
     state: JournalState,
     stored: JournalClock,
     now: JournalClock,
 ) -> None:
-    """After a power loss, records that were not synced may be missing at the end."""
+    """Mark messages in doubt after a reboot: records that were not synced may be lost."""
     report.another_boot = bool(
         stored.boot_id and now.boot_id and stored.boot_id != now.boot_id
     )
@@ -288,15 +291,15 @@
         state.mark_in_doubt()
 
 
-def _follow_clock(
+def _adjust_to_clock(
     report: RecoveryReport,
     state: JournalState,
     stored: JournalClock,
     now: JournalClock,
-    mono_us: int,
+    monotonic_us: int,
     predecessor_runs: bool,
 ) -> JournalClock:
-    """Move the state's times with the clock; returns the clock to go by from now on."""
+    """Shift the state's times by the change of the clock; return the clock to use."""
     base_us = now.base_us
     same_boot = stored.boot_id == now.boot_id
     if predecessor_runs and same_boot:
@@ -304,11 +307,11 @@
     if same_boot:
         shift_us = base_us - stored.base_us
         if abs(shift_us) < MIN_CLOCK_SHIFT_US:
-            # The monotonic clock goes on within a boot, and it is the more accurate.
+            # The monotonic clock continues within a boot and is more accurate.
             base_us = stored.base_us
     else:
-        # Time does not run backwards: the clock was set back by this much at least.
-        shift_us = min(0, base_us + mono_us - latest_known_time(state))
+        # A clock behind the latest stored time was set back by at least the difference.
+        shift_us = min(0, base_us + monotonic_us - latest_known_time(state))
     if abs(shift_us) >= MIN_CLOCK_SHIFT_US:
         state.shift_times(shift_us)
         report.shifted_us = shift_us
@@ -316,13 +319,17 @@
 
 
 def latest_known_time(state: JournalState) -> int:
-    """Return the latest time that the state shows to have passed; 0 if it shows none."""
+    """Return the latest time that the state proves to have passed; 0 if it has none."""
     messages = state.messages.values()
-    times = [started_at for m in messages for started_at, _ in m.in_flight.values()]
+    times = [
+        started_at
+        for accepted in messages
+        for started_at, _ in accepted.in_flight.values()
+    ]
     times += [message.executed_at_us for message in messages]
     times += [at_us for outage in state.outages.values() for at_us in outage]
     for message in messages:
-        # It was accepted no earlier than its class's deadline before its own.
+        # It was accepted at its deadline minus the class's deadline, or later.
         message_class = state.class_of(message)
         if message_class is not None:
             times.append(message.deadline_us - message_class.deadline_us)
--- a/rainfall/journal/state.py
+++ b/rainfall/journal/state.py
@@ -1,8 +1,8 @@
-"""The state that the journal's records add up to.
+"""The state that results from applying the journal's records.
 
-`records` says what each record holds and how it is stored. Retry-after times,
-capacity windows and latency means are not stored: a restart ends the first and learns
-the others again.
+The module `records` defines the contents and the encoding of each record. Retry-after
+times, capacity windows and latency means are not stored: a restart discards the
+retry-after times and measures the others again.
 """
 
 from __future__ import annotations
@@ -42,30 +42,30 @@
 ]
 
 MAX_LOST_MESSAGES = 10_000
-"""Lost messages that are named; about 100 bytes of memory each."""
+"""Maximum number of lost message ids kept; each takes about 100 bytes of memory."""
 HOST_RECORD_BYTES = 200
-"""What an endpoint takes in the record of a list, roughly."""
+"""Approximate size of an endpoint in the record of a list."""
 log = logging.getLogger("rainfall.store")
 
 RecordReader = Callable[[Fields, bytes], None]
 
 
 class DoubtsResolved(NamedTuple):
-    """How the messages in doubt were resolved."""
+    """Counts of messages in doubt, by how the doubt was resolved."""
 
     with_assumed_attempt: int
-    """Messages that got an attempt that may have been executed."""
+    """Messages to which an attempt that may have been executed was added."""
     ended: int
-    """Messages with an order key, which were ended as failed."""
+    """Messages with an order key that were ended as failed."""
 
 
 class JournalState:
-    """Everything that a restart has to know, as the records up to here say."""
+    """The state that a restart needs, after the records applied so far."""
 
     def __init__(self) -> None:
         self.messages: dict[str, AcceptedMessage] = {}
         self.live_index = LiveIndex()
-        """Of `messages`."""
+        """Index of `messages`."""
         self.pending_notifications: dict[str, PendingNotification] = {}
         self.outages: dict[str, Outage] = {}
         self.hosts: dict[str, dict[str, Any]] = {}
@@ -73,19 +73,19 @@
         self.rules: dict[int, DeliveryRules] = {}
         self.current_rules_number = -1
         self.seq = -1
-        """Version of the endpoint list; -1: none is known."""
+        """Version of the endpoint list; -1: no list."""
         self.source = ""
         """The discovery service that the endpoint list came from."""
         self.live_bytes = 0
-        """Bytes of `messages` in a compacted file."""
+        """Estimated bytes of `messages` in a compacted file."""
         self.list_bytes = 0
-        """Bytes of the endpoint list in a compacted file."""
+        """Estimated bytes of the endpoint list in a compacted file."""
         self.clock: JournalClock | None = None
         self.closed_cleanly = False
         self.unknown_records = 0
-        """Records of no form that this program knows."""
+        """Number of records of a form that this program does not support."""
         self.lost_messages: dict[str, None] = {}
-        """Messages that later records name, while the record of each is missing."""
+        """Ids of messages that records refer to but whose own records are missing."""
         self.damaged = False
         self.record_readers = self._readers_by_stored_name()
 
@@ -115,7 +115,7 @@
     # Reading
 
     def apply_record(self, payload: bytes) -> None:
-        """Apply a record; one of an unknown form is counted and passed over."""
+        """Apply a record; a record of an unknown form is counted and skipped."""
         line, _, body = payload.partition(b"\n")
         try:
             kind, *fields = json.loads(line)
@@ -127,33 +127,34 @@
 
     @staticmethod
     def _log_unknown_record(error: Exception) -> None:
-        log.error("journal: a record of unknown form is passed over: %r", error)
+        log.error("journal: skipping a record of unknown form: %r", error)
 
     def mark_in_doubt(self) -> None:
-        """Note that records are missing here.
+        """Mark all current messages as in doubt, because records are missing at this point.
 
-        They may tell more of the messages that have been accepted until now.
+        The missing records may be attempts or outcomes of these messages.
         """
         self.damaged = True
         for message in self.messages.values():
             message.in_doubt = True
 
     def resolve_doubts(self) -> DoubtsResolved:
-        """Resolve what is still in doubt, once all records are read.
+        """Resolve the messages that are still in doubt after all records are read.
 
-        A message in doubt gets an attempt that may have been executed. One with an
-        order key is ended: a later message of its key may have been delivered already.
+        A message without an order key gets an attempt that may have been executed. A
+        message with an order key is ended as failed, because a later message of the same
+        key may have been delivered already.
         """
-        doubted = [message for message in self.messages.values() if message.in_doubt]
-        ended = [message for message in doubted if message.order_key is not None]
+        in_doubt = [message for message in self.messages.values() if message.in_doubt]
+        ended = [message for message in in_doubt if message.order_key is not None]
         for message in ended:
             end = PendingNotification("failed", 0, message.order_key)
             self.add_pending_notification(message.id, end)
-        for message in doubted:
+        for message in in_doubt:
             message.in_doubt = False
             if message.order_key is None:
                 self._assume_attempt(message)
-        return DoubtsResolved(len(doubted) - len(ended), len(ended))
+        return DoubtsResolved(len(in_doubt) - len(ended), len(ended))
 
     def _assume_attempt(self, message: AcceptedMessage) -> None:
         message_class = self.class_of(message)
@@ -164,7 +165,7 @@
         message.attempts += 1
 
     def shift_times(self, by_us: int) -> None:
-        """Move all times: the wall clock was set, or it is that of another boot."""
+        """Shift all times after the wall clock was set or the machine rebooted."""
         for message in self.messages.values():
             self.move_deadline(message, message.deadline_us + by_us)
             if message.executed_at_us >= 0:
@@ -196,16 +197,16 @@
         self.live_bytes += message.size
 
     def move_deadline(self, message: AcceptedMessage, deadline_us: int) -> None:
-        """Give a live message another deadline."""
+        """Change the deadline of a live message."""
         self.live_index.change_deadline(message.id, message.deadline_us, deadline_us)
         message.deadline_us = deadline_us
 
     def forget_messages(self) -> None:
-        """Drop all messages: another process owns them now."""
+        """Remove all messages, because another process has taken ownership of them."""
         self.messages.clear()
         self.live_index.clear()
 
-    def _note_missing(self, message_id: str) -> None:
+    def _record_lost_message(self, message_id: str) -> None:
         if (
             self.damaged
             and message_id not in self.pending_notifications
@@ -217,10 +218,10 @@
         attempt = records.decode_attempt(fields)
         message = self.messages.get(attempt.message_id)
         if message is None:
-            self._note_missing(attempt.message_id)
+            self._record_lost_message(attempt.message_id)
             return
         if attempt.number == message.attempts:
-            # It is the next number: no attempt and no end stood in the gap before it.
+            # The number is the next one, so the gap held no attempt or end of the message.
             message.in_doubt = False
         message.in_flight[attempt.number] = (attempt.started_at_us, attempt.host)
         message.attempts = max(message.attempts, attempt.number + 1)
@@ -229,7 +230,7 @@
         outcome = records.decode_outcome(fields)
         message = self.messages.get(outcome.message_id)
         if message is None:
-            self._note_missing(outcome.message_id)
+            self._record_lost_message(outcome.message_id)
             return
         self.apply_outcome(message, outcome.number, outcome.may_have_executed)
 
@@ -237,7 +238,7 @@
     def apply_outcome(
         message: AcceptedMessage, number: int, may_have_executed: bool
     ) -> None:
-        """End an attempt; of those that may have been executed the earliest is kept."""
+        """End an attempt; keep the earliest attempt that may have been executed."""
         attempt = message.in_flight.pop(number, None)
         if not may_have_executed or attempt is None:
             return
@@ -250,7 +251,7 @@
         self.remove_message(records.decode_message_id(fields))
 
     def remove_message(self, message_id: str) -> None:
-        """Drop a message that has ended, if it is known."""
+        """Remove a message that has ended, if it exists."""
         message = self.messages.pop(message_id, None)
         self.lost_messages.pop(message_id, None)
         if message is not None:
@@ -258,7 +259,7 @@
             self.live_bytes -= message.size
 
     def _read_pending_notification(self, fields: Fields, _body: bytes) -> None:
-        # The message has ended also where the rest of the record is of unknown form.
+        # The message has ended even if the rest of the record has an unknown form.
         message_id = records.decode_message_id(fields)
         self.remove_message(message_id)
         end = records.decode_pending_notification(fields)
@@ -267,7 +268,7 @@
     def add_pending_notification(
         self, message_id: str, end: PendingNotification
     ) -> None:
-        """Note a message's end that the platform has to acknowledge."""
+        """Replace a message by the notification of its end, until it is acknowledged."""
         self.remove_message(message_id)
         self.pending_notifications[message_id] = end
 
@@ -288,7 +289,7 @@
     def _read_list_update(self, fields: Fields, _body: bytes) -> None:
         update = records.decode_endpoint_list_update(fields)
         if (update.previous_seq, update.source) != (self.seq, self.source):
-            # The version that it builds on is lost: a full list has to be polled.
+            # The list that the update applies to is missing: a complete list must be polled.
             self.seq = -1
             return
         for name in update.removed:
@@ -306,7 +307,7 @@
         self.set_detached(record.host, record.detached)
 
     def set_detached(self, host: str, detached: bool) -> None:
-        """Note whether an operator has detached an endpoint."""
+        """Set whether an operator has detached an endpoint."""
         if detached:
             self.detached[host] = None
         else:
@@ -317,7 +318,7 @@
         self.set_outage(record.host, record.outage)
 
     def set_outage(self, host: str, outage: Outage) -> None:
-        """Note an endpoint's outage; one without a beginning removes it."""
+        """Set an endpoint's outage; a negative start removes it."""
         if outage.started_at_us < 0:
             self.outages.pop(host, None)
         else:
@@ -332,23 +333,36 @@
     # Writing
 
     def class_of(self, message: AcceptedMessage) -> MessageClass | None:
-        """Return the class that a message was accepted under, where it is known."""
+        """Return the class that a message was accepted under, or None if it is unknown."""
         rules = self.rules.get(message.rules_number)
         if rules is None:
             return None
         classes = rules.classes
-        return next((c for c in classes if c.name == message.class_name), None)
+        return next(
+            (
+                candidate
+                for candidate in classes
+                if candidate.name == message.class_name
+            ),
+            None,
+        )
 
     def checkpoint(self) -> Iterator[bytes]:
-        """Yield the records that add up to this state.
+        """Yield the records from which this state can be rebuilt.
 
-        Rules that no message names any more are dropped.
+        Rules that no message refers to are removed, except the current ones.
         """
         self.rules = self._used_rules()
         if self.clock is not None:
             yield records.encode_clock(self.clock)
-        # The rules that were read last are the current ones.
-        numbers = sorted(self.rules, key=lambda n: (n == self.current_rules_number, n))
+        # A reader takes the last rules as the current ones, so they are written last.
+        numbers = sorted(
+            self.rules,
+            key=lambda rules_number: (
+                rules_number == self.current_rules_number,
+                rules_number,
+            ),
+        )
         for number in numbers:
             yield self.encode_rules(number)
         yield encode_list(self.seq, self.hosts, self.source)
@@ -364,14 +378,14 @@
     def _used_rules(self) -> dict[int, DeliveryRules]:
         used = {message.rules_number for message in self.messages.values()}
         used.add(self.current_rules_number)
-        return {n: rules for n, rules in self.rules.items() if n in used}
+        return {number: rules for number, rules in self.rules.items() if number in used}
 
     def encode_rules(self, number: int) -> bytes:
-        """Encode the delivery rules of a number."""
+        """Encode the delivery rules that have this number."""
         return records.encode_rules(number, self.rules[number])
 
     def comparable_contents(self) -> dict[str, Any]:
-        """Return all that has to be the same after a recovery."""
+        """Return the contents that must be equal before and after a recovery."""
         return {
             "messages": list(self.messages.values()),
             "owed": self.pending_notifications,
--- a/rainfall/journal/sync_thread.py
+++ b/rainfall/journal/sync_thread.py
@@ -1,4 +1,4 @@
-"""A thread that syncs files, so that a slow disk does not stop the event loop."""
+"""A thread that syncs files, so that a slow disk does not block the event loop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SyncJob(NamedTuple):
-    """What is to be done, and what is called in the event loop after it."""
+    """A function to run, and the callback for the event loop after it."""
 
     run: Callable[[], None]
     done: JobDone
@@ -21,7 +21,7 @@
 class SyncThread:
     """Runs one job at a time, in the order of the calls.
 
-    How a job ended is reported in the event loop that made the thread.
+    The callback of a job is called in the event loop that created the thread.
     """
 
     def __init__(self) -> None:
@@ -30,18 +30,18 @@
         threading.Thread(target=self.run, name="journal-sync", daemon=True).start()
 
     def __call__(self, job: Callable[[], None], done: JobDone) -> None:
-        """Queue a job; `done` gets the error that it ended with, or None."""
+        """Queue a job; `done` receives its error, or None on success."""
         self.jobs.put(SyncJob(job, done))
 
     def run(self) -> None:
-        """Run jobs until the event loop is closed."""
+        """Run queued jobs until the event loop is closed."""
         while True:
             job = self.jobs.get()
             error = _run_job(job.run)
             try:
                 self.loop.call_soon_threadsafe(job.done, error)
             except RuntimeError:
-                return  # The event loop is closed, and nobody waits any more.
+                return  # The event loop is closed, so no caller is waiting.
 
 
 def _run_job(run: Callable[[], None]) -> OSError | None:
@@ -49,6 +49,6 @@
         run()
     except OSError as error:
         return error
-    except Exception as error:  # Any other fault must not leave the callers waiting.
+    except Exception as error:  # Any other error must also reach the callers.
         return OSError(str(error))
     return None
--- a/rainfall/journal/writer.py
+++ b/rainfall/journal/writer.py
@@ -1,8 +1,8 @@
-"""Writing of the journal: appends, compaction into a new file, and durability.
+"""The journal writer: appends records, compacts the file and makes records durable.
 
-Under the level `process` a record is persisted once it is written. Under `power` it is
-persisted once it is synced: a worker syncs, one job at a time, and a sync serves all
-that wait when it begins. See docs/parts.md.
+With durability level `process`, a record is persisted once it is written. With level
+`power`, it is persisted once it is synced: a worker runs one sync at a time, and a sync
+covers all records that were written before it begins. See docs/parts.md.
 """
 
 from __future__ import annotations
@@ -26,34 +26,34 @@
 )
 
 REWRITE_THRESHOLD_BYTES = 256 * 1024
-"""A file below this size is left to grow."""
+"""A file below this size is not compacted."""
 REWRITE_GROWTH_FACTOR = 4
-"""A file is compacted when it is this much larger than what is live in it."""
+"""A file is compacted when it exceeds this multiple of its live bytes."""
 RESERVED_BYTES = 128 * 1024
-"""Kept free for the small records that follow an accepted message."""
+"""Reserved for the small records that follow an accepted message."""
 SALT_BITS = 32
 REWRITE_RETRY_S = 0.5
-"""Between two attempts to write a new file after a failure."""
+"""Delay between attempts to write a new file after a failure."""
 TOLERATED_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)
-"""Errors with which the program still starts: messages it has are delivered."""
+"""Errors that do not prevent a start, so that existing messages are delivered."""
 SYNCS_PER_NEW_FILE = 2
-"""The file's contents, and its name."""
+"""One sync for the file's contents and one for its directory entry."""
 JobDone = Callable[[OSError | None], None]
-"""Is called in the event loop with the error that a job ended with, or None."""
+"""Called in the event loop with the error of a job, or None on success."""
 SyncWorker = Callable[[Callable[[], None], JobDone], None]
-"""Runs a job elsewhere and reports in the event loop how it ended."""
+"""Runs a job outside the event loop, then calls `JobDone` in the event loop."""
 log = logging.getLogger("rainfall.store")
 
 
 class Waiter(NamedTuple):
-    """A caller that waits until a number of records is persisted."""
+    """A caller that waits until the first `position` records are persisted."""
 
     position: int
     notify: Callable[[bool], None]
 
 
 class NewFile(NamedTuple):
-    """A file that was written to replace the journal."""
+    """A file that is to replace the journal."""
 
     fd: int
     header: FileHeader
@@ -61,38 +61,38 @@
 
 
 class JournalWriter:
-    """The file in use.
+    """Writes the journal file and compacts it.
 
-    Before `begin` and after `release` records are only gathered, and nothing is written.
+    Before `begin` and after `release`, records are buffered and nothing is written.
     """
 
     def __init__(
         self,
         folder: Path,
         files: FileSystem,
-        most: int,
+        max_bytes: int,
         worker: SyncWorker | None,
         checkpoint: Callable[[], Iterable[bytes]],
-        live: Callable[[], int],
+        live_bytes: Callable[[], int],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Prepare to write, without opening a file.
+        """Initialise the writer without opening a file.
 
         Args:
             folder: The folder of the journal.
             files: The file system.
-            most: Bytes that all files of the journal may take.
-            worker: What syncs under the level `power`; None under `process`.
+            max_bytes: Maximum total size of the journal's files.
+            worker: Runs syncs with level `power`; None with level `process`.
             checkpoint: Returns the records that a new file begins with.
-            live: Returns the bytes that a new file would take, roughly.
+            live_bytes: Returns the approximate size of a new file.
             clock: Returns monotonic seconds.
         """
         self.folder = folder
         self.files = files
-        self.max_bytes = most
+        self.max_bytes = max_bytes
         self.worker = worker
         self.checkpoint = checkpoint
-        self.live_bytes = live
+        self.live_bytes = live_bytes
         self.clock = clock
         self.path = folder / JOURNAL_FILE
         self.new_path = folder / NEW_JOURNAL_FILE
@@ -100,27 +100,27 @@
         self.fd = -1
         self.size = 0
         self.number = 0
-        """Number of the next record in the file."""
+        """Number of the next record to be written to the file."""
         self.salt = 0
         self.generation = 0
         self.damaged_bytes = 0
-        """Bytes of the damaged file that is kept for staff."""
+        """Size of the damaged file that is kept for operators; 0: none."""
         self.writing = False
         self.pending: list[bytes] = []
-        """Records that are gathered and not written."""
+        """Buffered records that are not yet written."""
         self.appended = 0
-        """How many records were gathered so far."""
+        """Number of records appended so far."""
         self.persisted = 0
-        """How many of them are persisted."""
+        """Number of appended records that are persisted."""
         self.failed = False
-        """Whether no new messages are accepted, because a write failed."""
+        """Whether a write failed, so that new messages are rejected."""
         self.incomplete = False
-        """Whether the file lacks records, so that only a new one can hold them all."""
+        """Whether the file lacks records, so that it must be replaced by a new one."""
         self.worker_busy = False
         self.switching = False
-        """Whether the worker is about to put a new file in the old one's place."""
+        """Whether the worker is replacing the journal by a new file."""
         self.retry_at = 0.0
-        """When a new file may be tried after a failure, in seconds of the clock."""
+        """Earliest time of the next attempt after a failure, in seconds of `clock`."""
         self.waiters: deque[Waiter] = deque()
         self.bytes_written = 0
         self.syncs = 0
@@ -129,42 +129,45 @@
         self.total_sync_s = 0.0
         self.longest_sync_s = 0.0
 
-    # Beginning and ending
+    # Starting and stopping
 
-    def begin(self, end: int, torn: int, head: tuple[int, int, int] | None) -> None:
-        """Become the writer.
+    def begin(
+        self, end: int, torn: int, continued: tuple[int, int, int] | None
+    ) -> None:
+        """Start writing.
 
         Args:
-            end: Offset behind the last sound record.
-            torn: Bytes of an unfinished write behind it, which are cut.
-            head: Salt, generation and next number of the file; None where it cannot be
-                continued, so that a new one is written.
+            end: Offset of the first byte after the last valid record.
+            torn: Bytes of an incomplete write after it, which are truncated.
+            continued: Salt, generation and next record number of the existing file;
+                None if it cannot be continued, so that a new one is written.
 
         Raises:
-            OSError: The file cannot be opened, cut or replaced.
+            OSError: The file cannot be opened, truncated or replaced.
         """
         self.files.unlink(self.new_path)
         with suppress(OSError):
             self.damaged_bytes = self.files.size(self.damaged_path)
         self.writing = True
-        if head is None or self.worker is not None:
-            # With a worker: what was written may never have reached the disk.
-            self.rewrite(first=True)
+        if continued is None or self.worker is not None:
+            # With a worker, earlier writes may not have reached the disk.
+            self.rewrite(at_startup=True)
             return
-        self.salt, self.generation, self.number = head
+        self.salt, self.generation, self.number = continued
         self.fd = self.files.open(self.path)
         if torn:
             self.files.truncate(self.fd, end)
         self.size = end
 
-    def keep_damaged_file(self, size: int, live: int) -> bool:
-        """Keep the damaged file under another name, if messages have space beside it.
+    def keep_damaged_file(self, size: int, new_size: int) -> bool:
+        """Keep the damaged file under another name if enough space is left for messages.
 
-        Returns whether it is kept. `size` is that of the file, `live` that of a new one.
+        `size` is the size of the file and `new_size` that of a new one, in bytes. Returns
+        whether the file is kept.
         """
         with suppress(OSError):
             self.files.unlink(self.damaged_path)
-        if size + 2 * live + RESERVED_BYTES > self.max_bytes:
+        if size + 2 * new_size + RESERVED_BYTES > self.max_bytes:
             return False
         try:
             self.files.link(self.path, self.damaged_path)
@@ -177,12 +180,12 @@
         """Remove the damaged file, if one is kept."""
         if self.damaged_bytes:
             self.damaged_bytes = 0
-            log.warning("journal: the damaged file makes way for messages")
+            log.warning("journal: removing the damaged file to free space for messages")
             with suppress(OSError):
                 self.files.unlink(self.damaged_path)
 
     def release(self) -> None:
-        """Close the file: another process may write it."""
+        """Close the file, so that another process may write it."""
         self.writing = False
         if self.fd >= 0:
             self.files.close(self.fd)
@@ -191,12 +194,12 @@
     # Appending
 
     def append(self, payload: bytes) -> None:
-        """Gather a record for the next flush."""
+        """Buffer a record for the next flush."""
         self.pending.append(payload)
         self.appended += 1
 
     def flush(self) -> None:
-        """Write what was gathered, into a new file where the old one has grown."""
+        """Write the buffered records; compact the file first if it has grown too large."""
         if not self.pending or not self.writing or self.switching:
             return
         if self.failed and self.clock() >= self.retry_at and not self.worker_busy:
@@ -204,13 +207,13 @@
             if self.switching or not self.pending:
                 return
         if self.incomplete:
-            # The state in memory has all that a new file needs.
+            # A new file is written from the state in memory, which includes these records.
             self.pending.clear()
             return
         size_after = self._size_after_flush()
         if self._is_rewrite_due(size_after):
             if self.worker_busy:
-                return  # The records have to wait for the worker in any case.
+                return  # The records must wait for the worker in either case.
             if not self.failed and self._rewrite_pending():
                 return
         if size_after + self.damaged_bytes > self.max_bytes:
@@ -232,15 +235,15 @@
             REWRITE_THRESHOLD_BYTES, REWRITE_GROWTH_FACTOR * live_bytes
         ):
             return True
-        # A new file is written beside the old one.
+        # The new file needs space beside the old one until it replaces it.
         return size_after + live_bytes + RESERVED_BYTES // 2 > self.max_bytes
 
     def _rewrite_pending(self) -> bool:
-        """Begin a new file; returns whether nothing is left to write into the old one."""
+        """Start a new file; return whether nothing remains to be written to the old one."""
         return self.rewrite() and (self.switching or not self.pending)
 
     def write(self) -> None:
-        """Write what was gathered behind the file's records."""
+        """Append the buffered records to the file."""
         data = bytearray()
         number = self.number
         for payload in self.pending:
@@ -249,11 +252,11 @@
         try:
             write_all(self.files, self.fd, bytes(data), self.size)
         except OSError as error:
-            # A full disk must not end the process: accepted messages are delivered, and
-            # new ones rejected.
+            # A full disk must not end the process: accepted messages are still delivered,
+            # and new ones are rejected.
             self.fail("cannot write", error)
             self.incomplete = True
-            # A torn write that cannot be cut now is cut at the next start.
+            # A torn write that cannot be truncated now is truncated at the next start.
             with suppress(OSError):
                 self.files.truncate(self.fd, self.size)
             self.pending.clear()
@@ -263,22 +266,22 @@
         self.bytes_written += len(data)
         self.pending.clear()
 
-    def fail(self, what: str, error: OSError) -> None:
-        """Note a failure: no new messages are accepted until a new file is written."""
+    def fail(self, operation: str, error: OSError) -> None:
+        """Record and log a failure; new messages are rejected until a new file is written."""
         self.failed = True
         self.failures += 1
-        log.error("journal: %s: %s", what, error)
+        log.error("journal: %s: %s", operation, error)
 
     # A new file
 
-    def rewrite(self, first: bool = False) -> bool:
-        """Write the checkpoint into a new file and put it in the old one's place.
+    def rewrite(self, at_startup: bool = False) -> bool:
+        """Write the checkpoint to a new file that replaces the old one.
 
-        Returns whether that is done, or handed to the worker; while the worker is busy
-        nothing is begun.
+        Returns whether the old file was replaced or the worker is replacing it. While the
+        worker is busy, nothing is written and the result is False.
 
         Raises:
-            OSError: With `first`, for an error that the program must not start with.
+            OSError: With `at_startup`, for errors other than `TOLERATED_ERRNOS`.
         """
         if self.worker_busy:
             return False
@@ -289,20 +292,22 @@
         fd = -1
         try:
             if self.size <= self.max_bytes < self.size + len(data):
-                raise OSError(errno.ENOSPC, "two files would be over the limit on disk")
+                raise OSError(
+                    errno.ENOSPC, "old and new file together exceed the limit on disk"
+                )
             fd = self.files.open(self.new_path, anew=True)
             write_all(self.files, fd, data, 0)
             if self.worker is None:
                 self.files.replace(self.new_path, self.path)
         except OSError as error:
-            if first and error.errno not in TOLERATED_ERRNOS:
+            if at_startup and error.errno not in TOLERATED_ERRNOS:
                 raise
             self.abandon_rewrite(fd, error)
             return False
         self.bytes_written += len(data)
         new_file = NewFile(fd, header, len(data))
         if self.worker is None:
-            self.use_new_file(new_file)
+            self.switch_to_new_file(new_file)
             self.persisted = self.appended
             self.pending = []
         else:
@@ -325,7 +330,7 @@
         return header, bytes(data)
 
     def abandon_rewrite(self, fd: int, error: OSError) -> None:
-        """Go on with the old file, and remove what there is of the new one."""
+        """Continue with the old file, and remove the new one."""
         self.fail("cannot write it anew", error)
         self.incomplete |= self.fd < 0
         with suppress(OSError):
@@ -334,8 +339,8 @@
         with suppress(OSError):
             self.files.unlink(self.new_path)
 
-    def use_new_file(self, new_file: NewFile) -> None:
-        """Write into the new file from now on; it has the journal's name."""
+    def switch_to_new_file(self, new_file: NewFile) -> None:
+        """Switch to the new file, which has replaced the journal."""
         if self.fd >= 0:
             self.files.close(self.fd)
         if self.failed:
@@ -350,13 +355,13 @@
         self.rewrites += 1
 
     def sync_new_file(self, worker: SyncWorker, new_file: NewFile) -> None:
-        """Let the worker sync the new file and its name.
+        """Have the worker sync the new file and replace the old one with it.
 
-        Records gathered meanwhile wait: they go into the new file, or into the old one
-        where that stays.
+        Records appended meanwhile are buffered: they are written to the new file, or to
+        the old one if replacing fails.
         """
         position = self.appended
-        covered = len(self.pending)
+        covered_records = len(self.pending)
         replaced = False
         self.worker_busy = True
         self.switching = True
@@ -368,48 +373,49 @@
             self.files.replace(self.new_path, self.path)
             replaced = True
             self.files.sync_directory(self.folder)
-            self.count_sync(began_s, SYNCS_PER_NEW_FILE)
+            self.count_syncs(began_s, SYNCS_PER_NEW_FILE)
 
         def done(error: OSError | None) -> None:
             self.worker_busy = False
             self.switching = False
             if error is None:
-                self.use_new_file(new_file)
+                self.switch_to_new_file(new_file)
                 self.persisted = position
-                del self.pending[:covered]
+                del self.pending[:covered_records]
             else:
-                # Once replaced, the old file has no name any more.
+                # Once replaced, the old file has no directory entry.
                 self.incomplete |= replaced
                 self.abandon_rewrite(new_file.fd, error)
                 if self.incomplete:
                     self.fail_waiters()
-            self.advance()
+            self.process_waiters()
 
         worker(job, done)
 
     # Durability
 
-    def count_sync(self, began_s: float, syncs: int = 1) -> None:
-        """Take syncs that have just ended into the metrics."""
+    def count_syncs(self, began_s: float, syncs: int = 1) -> None:
+        """Count completed syncs and their duration for the metrics."""
         took_s = self.clock() - began_s
         self.syncs += syncs
         self.total_sync_s += took_s
         self.longest_sync_s = max(self.longest_sync_s, took_s)
 
-    def commit(self, then: Callable[[bool], None]) -> None:
-        """Call `then` once all gathered records are persisted, as the level promises.
+    def commit(self, on_persisted: Callable[[bool], None]) -> None:
+        """Call `on_persisted` with True once all records appended so far are persisted.
 
-        It gets False once that has failed. Calls are made in the order of the commits.
+        It is called with False if persisting fails. Callbacks run in the order of the
+        commits.
         """
         self.flush()
         if self.worker is None:
-            then(not self.incomplete)
+            on_persisted(not self.incomplete)
             return
-        self.waiters.append(Waiter(self.appended, then))
-        self.advance()
+        self.waiters.append(Waiter(self.appended, on_persisted))
+        self.process_waiters()
 
-    def advance(self) -> None:
-        """Notify who need not wait any more, and begin the next sync if others do."""
+    def process_waiters(self) -> None:
+        """Notify waiters whose records are persisted; start a sync if others remain."""
         self.notify_persisted()
         if self.worker_busy or not self.writing:
             return
@@ -420,7 +426,7 @@
             self.sync(self.worker)
 
     def notify_persisted(self) -> None:
-        """Notify the waiters whose records are persisted."""
+        """Notify the waiters whose records are persisted, in order."""
         while self.waiters and self.waiters[0].position <= self.persisted:
             waiter = self.waiters.popleft()
             waiter.notify(True)
@@ -428,13 +434,13 @@
     def fail_waiters(self) -> None:
         """Notify all waiters that their records cannot be persisted."""
         waiters = self.waiters
-        # A notified caller may commit again.
+        # The callback may commit again, which adds to `self.waiters`.
         self.waiters = deque()
         for waiter in waiters:
             waiter.notify(False)
 
     def sync(self, worker: SyncWorker) -> None:
-        """Let the worker sync what was written."""
+        """Have the worker sync the records written so far."""
         fd = self.fd
         position = self.appended - len(self.pending)
         self.worker_busy = True
@@ -442,25 +448,28 @@
         def job() -> None:
             began_s = self.clock()
             self.files.sync(fd)
-            self.count_sync(began_s)
+            self.count_syncs(began_s)
 
         def done(error: OSError | None) -> None:
             self.worker_busy = False
             if error is None:
                 self.persisted = max(self.persisted, position)
             else:
-                # The kernel may have dropped the pages: that a second sync of this file
-                # succeeds would mean nothing.
+                # The kernel may have dropped the pages, so a second sync of this file could
+                # succeed without the data having reached the disk.
                 self.fail("cannot sync", error)
                 self.incomplete = True
                 if self.writing and not self.rewrite():
                     self.fail_waiters()
-            self.advance()
+            self.process_waiters()
 
         worker(job, done)
 
     def retry_after_failure(self) -> None:
-        """Try a new file; called regularly, as nothing may be appended any more."""
+        """Try to write a new file.
+
+        Called regularly, because no append may come that would trigger the attempt.
+        """
         if (
             self.writing
             and self.failed
@@ -469,4 +478,4 @@
         ):
             if not self.rewrite():
                 self.fail_waiters()
-            self.advance()
+            self.process_waiters()
