--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal's format, recovery and tool, without a forwarder."""
+"""Tests of the journal's format, recovery and command, without a forwarder."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 from tests.support.paths import ROOT
 
 SALT = 0x1234ABCD
-HEAD = f.FileHeader(f.VERSION, 0, SALT, 3, 1)
+HEADER = f.FileHeader(f.VERSION, 0, SALT, 3, 1)
 
 
-def made(*payloads: bytes, head: f.FileHeader = HEAD) -> bytes:
-    """A file: a checkpoint of one record, the head's copy, and the rest."""
+def made(*payloads: bytes, header: f.FileHeader = HEADER) -> bytes:
+    """Return a file: header, a checkpoint of one record, header copy, and the payloads."""
     data = (
-        head.encode()
-        + f.encode_frame(head.salt, 0, b'["l",1,[],""]', f.HEADER.size)
-        + head.encode()
+        header.encode()
+        + f.encode_frame(header.salt, 0, b'["l",1,[],""]', f.HEADER.size)
+        + header.encode()
     )
-    for n, payload in enumerate(payloads):
-        data += f.encode_frame(head.salt, n + 1, payload, len(data))
+    for index, payload in enumerate(payloads):
+        data += f.encode_frame(header.salt, index + 1, payload, len(data))
     return data
 
 
-def new(name: str, key: str | None = None, body: bytes = b"body") -> bytes:
+def message_record(name: str, key: str | None = None, body: bytes = b"body") -> bytes:
     return encode_record("n", name, "pay", 7, 10**15, None, None, key, 0, body=body)
 
 
-def old(*lines: tuple[list[object], bytes]) -> bytes:
-    """A file as version 1 wrote it."""
+def version_1_file(*lines: tuple[list[object], bytes]) -> bytes:
+    """Return a file in the format of version 1."""
     data = b""
     for line, body in lines:
         payload = json.dumps(line, separators=(",", ":")).encode() + b"\n" + body
@@ -47,7 +47,7 @@
     return data
 
 
-OLD = old(
+VERSION_1_FILE = version_1_file(
     (["taken", "a", "pay", 7, 10**15, None, None, 0, -1, "", [], None, 0], b'x\n["y'),
     (["taken", "b", "pay", 7, 10**15, None, None, 0, -1, "", [], None, 0], b"y" * 50),
     (["attempt", "b", 0, 5, "s1"], b""),
@@ -55,9 +55,12 @@
 )
 
 
-def test_what_was_written_is_read() -> None:
+def test_written_records_are_read_back() -> None:
     data = made(
-        new("a"), new("b"), encode_record("a", "a", 0, 5, "s1"), encode_record("x", "b")
+        message_record("a"),
+        message_record("b"),
+        encode_record("a", "a", 0, 5, "s1"),
+        encode_record("x", "b"),
     )
     state, report = read_journal(data)
     assert list(state.messages) == ["a"] and state.messages["a"].in_flight == {
@@ -101,138 +104,160 @@
     )
 
 
-def test_every_bit_of_a_last_record_s_first_half_is_told_from_a_torn_write() -> None:
-    """Taken for torn, an attempt that has left would be cut, and a once-only message go
-    twice.
+def test_a_flipped_bit_in_the_last_record_is_not_taken_for_a_torn_write() -> None:
+    """Truncating a damaged attempt record as torn would allow a second execution of an
+    at-most-once message.
     """
-    data = made(new("a"), encode_record("a", "a", 0, 5, "s1"))
-    last = list(f.scan(data).frames)[-1]
-    for bit in range(8 * last.offset, 8 * last.end):
+    data = made(message_record("a"), encode_record("a", "a", 0, 5, "s1"))
+    last_frame = list(f.scan(data).frames)[-1]
+    for bit in range(8 * last_frame.offset, 8 * last_frame.end):
         flipped = bytearray(data)
         flipped[bit // 8] ^= 1 << bit % 8
         state, report = read_journal(bytes(flipped))
         assert report.gaps and not report.torn and state.messages["a"].in_doubt
 
 
-def test_bytes_that_look_like_a_frame_are_not_read_as_one() -> None:
-    """A body may hold a copy of this very file, and its record may be the damaged
-    one.
+def test_frames_within_a_message_body_are_not_read_as_records() -> None:
+    """A message body may contain a copy of the same journal file, and the record that
+    holds the body may be damaged.
     """
-    inner = made(new("evil"), encode_record("x", "a"), encode_record("x", "a"))
-    data = bytearray(made(new("a"), new("b", body=inner), new("c")))
-    at = bytes(data).index(b'"b"')
-    data[at] ^= 1
+    embedded_file = made(
+        message_record("evil"), encode_record("x", "a"), encode_record("x", "a")
+    )
+    data = bytearray(
+        made(
+            message_record("a"),
+            message_record("b", body=embedded_file),
+            message_record("c"),
+        )
+    )
+    damaged_offset = bytes(data).index(b'"b"')
+    data[damaged_offset] ^= 1
     state, report = read_journal(bytes(data))
-    assert list(state.messages) == ["a", "c"] and [g[2] for g in report.gaps] == [1]
-    other = made(new("evil"), head=HEAD._replace(salt=99))
-    data = bytearray(made(new("a"), new("b", body=other)))
+    assert list(state.messages) == ["a", "c"] and [gap[2] for gap in report.gaps] == [1]
+    other_file = made(message_record("evil"), header=HEADER._replace(salt=99))
+    data = bytearray(made(message_record("a"), message_record("b", body=other_file)))
     data[data.index(b'"b"')] ^= 1
     assert list(read_journal(bytes(data))[0].messages) == ["a"]
 
 
-def test_a_damaged_head_costs_nothing_while_its_copy_stands() -> None:
-    data = bytearray(made(new("a")))
+def test_a_damaged_header_is_restored_from_its_copy() -> None:
+    data = bytearray(made(message_record("a")))
     data[:30] = bytes(30)
     state, report = read_journal(bytes(data))
     assert "a" in state.messages and report.head_damaged
 
 
 @pytest.mark.parametrize(
-    "data", [b"", b"\0" * 5000, b"garbage" * 300, f.MAGIC, HEAD.encode()[:20]]
+    "data", [b"", b"\0" * 5000, b"garbage" * 300, f.MAGIC, HEADER.encode()[:20]]
 )
-def test_empty_and_garbage_hold_nothing(data: bytes) -> None:
+def test_empty_and_garbage_files_yield_no_messages(data: bytes) -> None:
     state, report = read_journal(data)
     assert not state.messages and report.damaged == bool(data)
 
 
-def test_zeros_at_the_end_are_a_sign_of_damage_but_under_power() -> None:
-    """Synced bytes do not turn to zeros; what was only written may do so when the
-    machine goes down.
+def test_trailing_zeros_are_damage_except_with_level_power() -> None:
+    """Synced bytes do not turn to zeros. Bytes that were written but not synced may be
+    zeros after a power loss, which level `power` has to expect.
     """
-    state, report = read_journal(made(new("a")) + bytes(100))
+    state, report = read_journal(made(message_record("a")) + bytes(100))
     assert report.gaps and state.messages["a"].in_doubt
     state, report = read_journal(
-        made(new("a"), head=HEAD._replace(flags=f.FLAG_POWER)) + bytes(100)
+        made(message_record("a"), header=HEADER._replace(flags=f.FLAG_POWER))
+        + bytes(100)
     )
     assert (
         report.torn == 100 and not report.damaged and not state.messages["a"].in_doubt
     )
 
 
-def test_a_number_that_shows_the_next_attempt_ends_a_doubt() -> None:
+def test_an_attempt_with_the_next_number_removes_the_doubt() -> None:
     lines = [
-        new("a"),
-        new("b"),
+        message_record("a"),
+        message_record("b"),
         encode_record("o", "lost", 0, True),
         encode_record("a", "a", 0, 5, "s1"),
         encode_record("a", "b", 1, 6, "s1"),
-        new("c"),
+        message_record("c"),
     ]
     data = bytearray(made(*lines))
     data[data.index(b'"lost"') + 2] ^= 8
     state, _ = read_journal(bytes(data))
-    assert [m.in_doubt for m in state.messages.values()] == [False, True, False]
+    assert [message.in_doubt for message in state.messages.values()] == [
+        False,
+        True,
+        False,
+    ]
 
 
-def test_version_1_is_read_also_behind_damage() -> None:
-    state, report = read_journal(OLD)
+def test_version_1_is_read_past_damage() -> None:
+    state, report = read_journal(VERSION_1_FILE)
     assert report.version == 1 and not report.damaged
     assert list(state.messages) == ["b"] and state.messages["b"].in_flight == {
         0: (5, "s1")
     }
-    data = bytearray(OLD)
-    data[OLD.index(b"yyy")] ^= 1
+    data = bytearray(VERSION_1_FILE)
+    data[VERSION_1_FILE.index(b"yyy")] ^= 1
     state, report = read_journal(bytes(data))
     assert not state.messages and report.lost == ["b"] and len(report.gaps) == 1
-    state, report = read_journal(OLD[:-3])
+    state, report = read_journal(VERSION_1_FILE[:-3])
     assert list(state.messages) == ["a", "b"] and report.torn and not report.damaged
 
 
-def tool(*words: str) -> tuple[int, str, str]:
-    done = subprocess.run(
-        [sys.executable, "-m", "rainfall.journal", *words],
+def run_command(*arguments: str) -> tuple[int, str, str]:
+    result = subprocess.run(
+        [sys.executable, "-m", "rainfall.journal", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert "Traceback" not in done.stderr
-    return done.returncode, done.stdout, done.stderr
+    assert "Traceback" not in result.stderr
+    return result.returncode, result.stdout, result.stderr
 
 
-def test_the_tool_tells_whole_from_damaged_and_shows_no_bodies_unasked(
+def test_command_reports_damage_and_shows_bodies_only_on_request(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "journal"
-    path.write_bytes(made(new("a", body=b"secret"), new("b"), new("c")))
-    code, out, _ = tool("check", str(tmp_path))
-    assert code == 0 and "3 messages held" in out and out.endswith("whole\n")
-    code, out, _ = tool("show", str(tmp_path))
-    assert code == 0 and "held a: pay to 7" in out and "secret" not in out
-    assert "secret" in tool("show", "--bodies", str(tmp_path))[1]
+    path.write_bytes(
+        made(
+            message_record("a", body=b"secret"),
+            message_record("b"),
+            message_record("c"),
+        )
+    )
+    exit_code, output, _ = run_command("check", str(tmp_path))
+    assert exit_code == 0 and "3 messages held" in output and output.endswith("whole\n")
+    exit_code, output, _ = run_command("show", str(tmp_path))
+    assert exit_code == 0 and "held a: pay to 7" in output and "secret" not in output
+    assert "secret" in run_command("show", "--bodies", str(tmp_path))[1]
     data = bytearray(path.read_bytes())
     data[data.index(b'"b"')] ^= 1
     path.write_bytes(data)
-    code, out, _ = tool("check", str(tmp_path))
+    exit_code, output, _ = run_command("check", str(tmp_path))
     assert (
-        code == 1 and "1 records lost" in out and "in doubt" in out and ": a\n" in out
+        exit_code == 1
+        and "1 records lost" in output
+        and "in doubt" in output
+        and ": a\n" in output
     )
     assert path.read_bytes() == data
     path.write_bytes(data[:-1])
-    assert tool("show", str(path))[0] == 1
+    assert run_command("show", str(path))[0] == 1
 
 
 @pytest.mark.parametrize(
     "words",
     [(), ("check",), ("mend", "."), ("check", "/nonexistent"), ("show", "tests")],
 )
-def test_the_tool_s_unusable_calls_end_with_2(words: tuple[str, ...]) -> None:
-    code, out, err = tool(*words)
-    assert code == 2 and not out and err
+def test_invalid_command_calls_exit_with_2(words: tuple[str, ...]) -> None:
+    exit_code, output, err = run_command(*words)
+    assert exit_code == 2 and not output and err
 
 
-def test_a_newer_version_is_refused_in_one_line(tmp_path: Path) -> None:
-    newer = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode() + b"whatever"
-    (tmp_path / "journal").write_bytes(newer)
-    code, _, err = tool("check", str(tmp_path))
-    assert code == 2 and "newer" in err and len(err.splitlines()) == 1
+def test_a_newer_version_is_rejected_in_one_line(tmp_path: Path) -> None:
+    newer_file = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode() + b"whatever"
+    (tmp_path / "journal").write_bytes(newer_file)
+    exit_code, _, err = run_command("check", str(tmp_path))
+    assert exit_code == 2 and "newer" in err and len(err.splitlines()) == 1
--- a/tests/journal/test_recovery.py
+++ b/tests/journal/test_recovery.py
@@ -1,5 +1,5 @@
-"""Random histories on a disk that loses what it may, against a simple model; and the
-hard cases singly.
+"""Tests of recovery: random histories on a simulated disk, checked against a simple
+model, and single difficult cases. The disk loses what a real disk may lose.
 """
 
 from __future__ import annotations
@@ -21,219 +21,254 @@
 )
 from rainfall.journal import recovery
 from rainfall.journal.recovery import UnusableJournalError, read_journal
-from tests.journal.test_journal import HEAD, OLD, f
+from tests.journal.test_journal import HEADER, VERSION_1_FILE, f
 from tests.support.memory_disk import Died, Disk, Hands
 
 FOLDER = Path("/state")
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 CLASSES = (
-    MessageClass("status", SECOND, 10 * SECOND),
-    MessageClass("pay", SECOND, 10 * SECOND, Idempotency.AT_MOST_ONCE),
-    MessageClass("turn", SECOND, 10 * SECOND, ordered=True),
+    MessageClass("status", SECOND_US, 10 * SECOND_US),
+    MessageClass("pay", SECOND_US, 10 * SECOND_US, Idempotency.AT_MOST_ONCE),
+    MessageClass("turn", SECOND_US, 10 * SECOND_US, ordered=True),
 )
 RULES = DeliveryRules(6, CLASSES)
 
 
 @pytest.fixture(autouse=True)
-def boot(monkeypatch: pytest.MonkeyPatch) -> None:
+def current_boot(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("rainfall.forwarder.message_store.this_boot", lambda: "boot 1")
 
 
 def taken(
-    name: str, cls: str = "pay", key: str | None = None, size: int = 20
+    name: str, class_name: str = "pay", order_key: str | None = None, size: int = 20
 ) -> AcceptedMessage:
-    return AcceptedMessage(name, cls, 7, 10**15, None, None, b"\xb7" * size, key)
+    return AcceptedMessage(
+        name, class_name, 7, 10**15, None, None, b"\xb7" * size, order_key
+    )
 
 
 def opened(
-    disk: Disk, hands: Hands | None = None, most: int = 200_000, **more: int
+    disk: Disk,
+    sync_worker: Hands | None = None,
+    max_bytes: int = 200_000,
+    **options: int,
 ) -> MessageStore:
     store = MessageStore(
-        FOLDER, most, files=disk, worker=hands, base_us=more.get("base", 0)
+        FOLDER,
+        max_bytes,
+        files=disk,
+        worker=sync_worker,
+        base_us=options.get("base", 0),
     )
     store.use_rules(RULES)
     return store
 
 
 @dataclass
-class Told:
-    """What the model knows of a message."""
+class ExpectedMessage:
+    """The expected state of a message."""
 
-    m: AcceptedMessage
+    message: AcceptedMessage
     accepted: bool = False
-    """Its client heard that it is taken on."""
-    left: list[int] = field(default_factory=list)
-    """Attempts whose first byte may have left."""
-    never: set[int] = field(default_factory=set)
-    """Of these, those whose outcome says that they never ran."""
-    over: bool = False
-    gone: bool = False
-    """Its end may have been told."""
+    """Whether its acceptance was confirmed to the client."""
+    possibly_sent: list[int] = field(default_factory=list)
+    """Numbers of attempts whose first byte may have been sent."""
+    not_executed: set[int] = field(default_factory=set)
+    """Those of `possibly_sent` whose outcome says that they were not executed."""
+    finished: bool = False
+    end_reported: bool = False
+    """Whether its end may have been reported to the platform."""
 
 
 class World:
-    """A history: what a forwarder does with a journal, and what it said outside."""
+    """A random history of journal operations, and the effects visible outside."""
 
     def __init__(self, seed: int, power: bool) -> None:
-        self.r = random.Random(seed)
+        self.random = random.Random(seed)
         self.disk = Disk(seed)
-        self.hands = Hands() if power else None
+        self.sync_worker = Hands() if power else None
         self.power = power
-        self.told: dict[str, Told] = {}
-        self.lines: dict[str, list[str]] = {}
-        self.out: set[str] = set()
-        self.serial = 0
-        self.store = opened(self.disk, self.hands)
-
-    def note(self, done: list[Told], attempt: int = -1, end: bool = False) -> None:
-        def then(ok: bool) -> None:
-            for t in done if ok else []:
+        self.expected: dict[str, ExpectedMessage] = {}
+        self.accepted_by_key: dict[str, list[str]] = {}
+        self.detached: set[str] = set()
+        self.message_count = 0
+        self.store = opened(self.disk, self.sync_worker)
+
+    def commit_entries(
+        self, entries: list[ExpectedMessage], attempt: int = -1, end: bool = False
+    ) -> None:
+        def on_persisted(persisted: bool) -> None:
+            for entry in entries if persisted else []:
                 if attempt >= 0:
-                    t.left.append(attempt)
+                    entry.possibly_sent.append(attempt)
                 elif end:
-                    t.gone = True
+                    entry.end_reported = True
                 else:
-                    t.accepted = True
+                    entry.accepted = True
 
-        self.store.commit(then)
+        self.store.commit(on_persisted)
 
-    def act(self) -> None:
-        live = [t for t in self.told.values() if t.m.id in self.store.messages]
-        choice = self.r.random()
+    def do_random_step(self) -> None:
+        live = [
+            entry
+            for entry in self.expected.values()
+            if entry.message.id in self.store.messages
+        ]
+        choice = self.random.random()
         if choice < 0.3 or not live:
-            self.take()
+            self.accept_messages()
         elif choice < 0.6:
-            self.attempt(self.r.choice(live))
+            self.start_attempt(self.random.choice(live))
         elif choice < 0.75:
-            self.outcome(self.r.choice(live))
+            self.end_attempt(self.random.choice(live))
         elif choice < 0.87:
-            self.end(self.r.choice(live))
+            self.end_message(self.random.choice(live))
         elif choice < 0.92:
-            name = f"s{self.r.randrange(3)}"
+            name = f"s{self.random.randrange(3)}"
             self.store.append_detached(name, True)
-            self.store.commit(lambda ok: self.out.add(name) if ok else None)
+            self.store.commit(
+                lambda persisted: self.detached.add(name) if persisted else None
+            )
         elif choice < 0.96:
             self.store.compact()
         else:
             for name in list(self.store.pending_notifications)[:1]:
                 self.store.append_acknowledgement(name)
             self.store.flush()
-        if self.hands is not None and self.r.random() < 0.5:
-            self.hands.work()
-
-    def take(self) -> None:
-        done = []
-        for _ in range(self.r.randint(1, 3)):
-            self.serial += 1
-            cls = self.r.choice(("status", "pay", "turn"))
-            key = self.r.choice("AB") if cls == "turn" else None
-            m = taken(f"m{self.serial}", cls, key, self.r.randint(0, 80))
-            self.store.append_message(m)
-            done.append(self.told.setdefault(m.id, Told(m)))
-            if key:
-                self.lines.setdefault(key, []).append(m.id)
-        self.note(done)
-
-    def attempt(self, t: Told) -> None:
-        key = t.m.order_key
-        if key:
-            before = self.lines[key][: self.lines[key].index(t.m.id)]
+        if self.sync_worker is not None and self.random.random() < 0.5:
+            self.sync_worker.work()
+
+    def accept_messages(self) -> None:
+        entries = []
+        for _ in range(self.random.randint(1, 3)):
+            self.message_count += 1
+            class_name = self.random.choice(("status", "pay", "turn"))
+            order_key = self.random.choice("AB") if class_name == "turn" else None
+            message = taken(
+                f"m{self.message_count}",
+                class_name,
+                order_key,
+                self.random.randint(0, 80),
+            )
+            self.store.append_message(message)
+            entries.append(
+                self.expected.setdefault(message.id, ExpectedMessage(message))
+            )
+            if order_key:
+                self.accepted_by_key.setdefault(order_key, []).append(message.id)
+        self.commit_entries(entries)
+
+    def start_attempt(self, entry: ExpectedMessage) -> None:
+        order_key = entry.message.order_key
+        if order_key:
+            earlier = self.accepted_by_key[order_key][
+                : self.accepted_by_key[order_key].index(entry.message.id)
+            ]
             if any(
-                n in self.store.messages or n in self.store.pending_notifications
-                for n in before
+                message_id in self.store.messages
+                or message_id in self.store.pending_notifications
+                for message_id in earlier
             ):
-                return  # the module sends one at a time
-        if t.m.class_name == "pay" and (t.m.in_flight or t.m.executed_at_us >= 0):
-            return  # nor does it send again what may have run
-        number = t.m.attempts
-        self.store.append_attempt(t.m, number, 5 * SECOND + number, "s1")
-        self.note([t], number)
-
-    def outcome(self, t: Told) -> None:
-        if t.m.in_flight and set(t.m.in_flight) <= set(t.left):
-            number = min(t.m.in_flight)
-            ran = self.r.random() < 0.5
-            self.store.append_outcome(t.m, number, ran)
-            if not ran:
-                t.never.add(number)
+                return  # messages of one order key are sent one at a time
+        if entry.message.class_name == "pay" and (
+            entry.message.in_flight or entry.message.executed_at_us >= 0
+        ):
+            return  # an at-most-once message that may have run is not sent again
+        number = entry.message.attempts
+        self.store.append_attempt(entry.message, number, 5 * SECOND_US + number, "s1")
+        self.commit_entries([entry], number)
+
+    def end_attempt(self, entry: ExpectedMessage) -> None:
+        if entry.message.in_flight and set(entry.message.in_flight) <= set(
+            entry.possibly_sent
+        ):
+            number = min(entry.message.in_flight)
+            executed = self.random.random() < 0.5
+            self.store.append_outcome(entry.message, number, executed)
+            if not executed:
+                entry.not_executed.add(number)
             self.store.flush()
 
-    def end(self, t: Told) -> None:
-        if not t.accepted or t.m.in_flight:
+    def end_message(self, entry: ExpectedMessage) -> None:
+        if not entry.accepted or entry.message.in_flight:
             return
-        t.over = True
-        if self.r.random() < 0.5:
-            self.store.append_finished(t.m.id)
+        entry.finished = True
+        if self.random.random() < 0.5:
+            self.store.append_finished(entry.message.id)
             self.store.flush()
         else:
-            self.store.append_notification(t.m.id, "returned", 5)
-            self.note([t], end=True)
+            self.store.append_notification(entry.message.id, "returned", 5)
+            self.commit_entries([entry], end=True)
 
-    def check(self, back: MessageStore, most_lost: int = 0) -> None:
+    def check(self, recovered: MessageStore, most_lost: int = 0) -> None:
         lost = [
-            t
-            for t in self.told.values()
-            if t.accepted
-            and not t.over
-            and t.m.id not in back.messages
-            and t.m.id not in back.pending_notifications
+            entry
+            for entry in self.expected.values()
+            if entry.accepted
+            and not entry.finished
+            and entry.message.id not in recovered.messages
+            and entry.message.id not in recovered.pending_notifications
         ]
-        assert len(lost) <= most_lost, [t.m.id for t in lost]
-        for t in self.told.values():
-            m = back.messages.get(t.m.id)
-            if m is None:
+        assert len(lost) <= most_lost, [entry.message.id for entry in lost]
+        for entry in self.expected.values():
+            message = recovered.messages.get(entry.message.id)
+            if message is None:
                 continue
-            if t.m.class_name == "pay":
-                hidden = set(t.left) - t.never
-                assert not hidden or m.in_flight or m.executed_at_us >= 0, (
-                    f"{m.id} would go twice"
-                )
-                assert not t.gone or m.in_flight or m.executed_at_us >= 0, (
-                    f"{m.id} was told to be returned"
-                )
+            if entry.message.class_name == "pay":
+                may_have_executed = set(entry.possibly_sent) - entry.not_executed
+                assert (
+                    not may_have_executed
+                    or message.in_flight
+                    or message.executed_at_us >= 0
+                ), f"{message.id} could be executed twice"
+                assert (
+                    not entry.end_reported
+                    or message.in_flight
+                    or message.executed_at_us >= 0
+                ), f"{message.id} was reported as returned"
             elif not most_lost:
-                assert not t.gone, f"{m.id} was told to be returned"
-            if m.order_key:
-                line = self.lines[m.order_key]
-                later = line[line.index(m.id) + 1 :]
-                assert not any(self.told[n].left for n in later), (
-                    f"{m.id} would be overtaken"
-                )
-        order = [n for n in back.messages]
-        assert order == sorted(order, key=lambda n: int(n[1:]))
+                assert not entry.end_reported, f"{message.id} was reported as returned"
+            if message.order_key:
+                accepted_ids = self.accepted_by_key[message.order_key]
+                later = accepted_ids[accepted_ids.index(message.id) + 1 :]
+                assert not any(
+                    self.expected[message_id].possibly_sent for message_id in later
+                ), f"a later message was sent before {message.id}"
+        message_ids = [message_id for message_id in recovered.messages]
+        assert message_ids == sorted(
+            message_ids, key=lambda message_id: int(message_id[1:])
+        )
         if not most_lost:
-            assert self.out <= set(back.detached)
+            assert self.detached <= set(recovered.detached)
 
     def recovered(self) -> MessageStore:
-        hands = Hands() if self.power else None
-        back = opened(self.disk, hands)
-        while hands is not None and hands.work():
+        sync_worker = Hands() if self.power else None
+        recovered = opened(self.disk, sync_worker)
+        while sync_worker is not None and sync_worker.work():
             pass
-        return back
+        return recovered
 
     def run(self, steps: int) -> None:
         try:
             for _ in range(steps):
-                self.act()
+                self.do_random_step()
         except Died:
             pass
 
 
-def recover_again(world: World, back: MessageStore) -> None:
-    """A recovery of what was recovered finds nothing new: not after a kill, and not
-    after the power went.
-    """
-    back.flush()
-    facts = back.comparable_contents()
+def recover_again(world: World, recovered: MessageStore) -> None:
+    """Check that a second recovery, after a kill or a power loss, changes nothing."""
+    recovered.flush()
+    contents = recovered.comparable_contents()
     if world.power:
         world.disk.power_lost()
     else:
         world.disk.killed()
-    again = world.recovered()
+    recovered_again = world.recovered()
     assert (
-        again.comparable_contents() == facts
-        and not again.report.damaged
-        and not again.report.doubted
+        recovered_again.comparable_contents() == contents
+        and not recovered_again.report.damaged
+        and not recovered_again.report.doubted
     )
 
 
@@ -297,44 +332,49 @@
     world.check(world.recovered())
 
 
-# The hard cases one by one
+# Single difficult cases
 
 
-def test_death_at_every_call_of_a_rewrite_and_of_the_carry_over_keeps_all() -> None:
+def test_death_at_any_file_operation_of_a_rewrite_or_upgrade_loses_nothing() -> None:
     for power in (False, True):
         for fuse in range(14):
             disk = Disk(fuse)
-            hands = Hands() if power else None
-            store = opened(disk, hands)
-            for n in range(5):
-                store.append_message(taken(f"m{n}"))
+            sync_worker = Hands() if power else None
+            store = opened(disk, sync_worker)
+            for index in range(5):
+                store.append_message(taken(f"m{index}"))
             store.append_attempt(store.messages["m1"], 0, 5, "s1")
-            store.commit(lambda ok: None)
-            while hands is not None and hands.work():
+            store.commit(lambda persisted: None)
+            while sync_worker is not None and sync_worker.work():
                 pass
-            facts, disk.fuse = store.comparable_contents(), fuse
-            with_death(store.compact, hands)
+            contents, disk.fuse = store.comparable_contents(), fuse
+            run_until_death(store.compact, sync_worker)
             disk.power_lost() if power else disk.killed()
             assert (
-                opened(disk, Hands() if power else None).comparable_contents() == facts
+                opened(disk, Hands() if power else None).comparable_contents()
+                == contents
             )
     for fuse in range(10):
         disk = Disk(fuse)
-        disk.names["journal"] = disk.synced_names["journal"] = inode = f_inode(OLD)
+        disk.names["journal"] = disk.synced_names["journal"] = inode = inode_with(
+            VERSION_1_FILE
+        )
         inode.synced = bytes(inode.data)
         disk.fuse = fuse
-        with_death(lambda disk=disk: opened(disk), None)
+        run_until_death(lambda disk=disk: opened(disk), None)
         disk.killed()
-        back = opened(disk)
-        assert list(back.messages) == ["b"] and back.messages["b"].attempts == 1
-        again = opened(disk)
+        recovered = opened(disk)
+        assert (
+            list(recovered.messages) == ["b"] and recovered.messages["b"].attempts == 1
+        )
+        recovered_again = opened(disk)
         assert (
-            again.report.version == 2
-            and again.comparable_contents() == back.comparable_contents()
+            recovered_again.report.version == 2
+            and recovered_again.comparable_contents() == recovered.comparable_contents()
         )
 
 
-def f_inode(data: bytes):  # type: ignore[no-untyped-def]
+def inode_with(data: bytes):  # type: ignore[no-untyped-def]
     from tests.support.memory_disk import Inode
 
     inode = Inode()
@@ -342,94 +382,98 @@
     return inode
 
 
-def with_death(call, hands: Hands | None) -> None:  # type: ignore[no-untyped-def]
+def run_until_death(call, sync_worker: Hands | None) -> None:  # type: ignore[no-untyped-def]
     try:
         call()
-        while hands is not None and hands.work():
+        while sync_worker is not None and sync_worker.work():
             pass
     except Died:
         pass
 
 
-def test_renamed_and_the_folder_not_synced_nothing_is_promised_yet() -> None:
-    disk, hands = Disk(), Hands()
-    store = opened(disk, hands)
-    said: list[bool] = []
+def test_no_commit_is_confirmed_before_the_directory_is_synced() -> None:
+    disk, sync_worker = Disk(), Hands()
+    store = opened(disk, sync_worker)
+    results: list[bool] = []
     store.append_message(taken("a"))
-    store.commit(said.append)
-    job, done = hands.jobs.pop(0)
+    store.commit(results.append)
+    job, done = sync_worker.jobs.pop(0)
     sync_folder, disk.sync_directory = disk.sync_directory, lambda path: None  # type: ignore[method-assign]
     job()
-    assert not said and "journal" in disk.names and "journal" not in disk.synced_names
+    assert (
+        not results and "journal" in disk.names and "journal" not in disk.synced_names
+    )
     disk.sync_directory = sync_folder  # type: ignore[method-assign]
     disk.sync_directory(FOLDER)
     done(None)
-    while hands.work():
+    while sync_worker.work():
         pass
-    assert said == [True]
+    assert results == [True]
 
 
-def test_one_sync_serves_all_that_wait_and_none_is_served_before() -> None:
-    disk, hands = Disk(), Hands()
-    store = opened(disk, hands)
-    while hands.work():
+def test_one_sync_confirms_all_waiting_commits_and_none_early() -> None:
+    disk, sync_worker = Disk(), Hands()
+    store = opened(disk, sync_worker)
+    while sync_worker.work():
         pass
-    said: list[int] = []
+    results: list[int] = []
     before = disk.syncs
-    for n in range(5):
-        store.append_message(taken(f"m{n}"))
-        store.commit(lambda ok, n=n: said.append(n))  # type: ignore[misc]
-    assert not said and len(hands.jobs) == 1
-    hands.work()
-    assert said == [0] and disk.syncs == before + 1
-    hands.work()
-    assert said == [0, 1, 2, 3, 4] and disk.syncs == before + 2 and not hands.jobs
-
-
-def test_a_sync_that_failed_is_not_taken_for_done_by_a_second_one() -> None:
-    """Linux marks the pages clean: a second sync of the file says yes, and the bytes
-    are not there.
+    for index in range(5):
+        store.append_message(taken(f"m{index}"))
+        store.commit(lambda persisted, index=index: results.append(index))  # type: ignore[misc]
+    assert not results and len(sync_worker.jobs) == 1
+    sync_worker.work()
+    assert results == [0] and disk.syncs == before + 1
+    sync_worker.work()
+    assert (
+        results == [0, 1, 2, 3, 4] and disk.syncs == before + 2 and not sync_worker.jobs
+    )
+
+
+def test_a_second_sync_does_not_hide_a_failed_one() -> None:
+    """Linux marks the pages clean after a failed sync, so a second sync succeeds although
+    the bytes are not on the disk.
     """
-    disk, hands = Disk(), Hands()
-    store = opened(disk, hands)
-    while hands.work():
+    disk, sync_worker = Disk(), Hands()
+    store = opened(disk, sync_worker)
+    while sync_worker.work():
         pass
-    said: list[bool] = []
+    results: list[bool] = []
     store.append_message(taken("a"))
-    store.commit(said.append)
+    store.commit(results.append)
     disk.bad_sync = True
-    assert sum(hands.work() for _ in range(10)) < 10  # it does not try without a pause
-    assert said == [False] and not store.has_capacity(10) and store.log.incomplete
+    assert sum(sync_worker.work() for _ in range(10)) < 10  # retries are delayed
+    assert results == [False] and not store.has_capacity(10) and store.log.incomplete
     disk.bad_sync = False
     store.log.retry_at = 0
     store.append_message(taken("b"))
-    store.commit(said.append)
-    while hands.work():
+    store.commit(results.append)
+    while sync_worker.work():
         pass
     store.log.retry_after_failure()
-    while hands.work():
+    while sync_worker.work():
         pass
-    assert said == [False, True] and store.has_capacity(10)
+    assert results == [False, True] and store.has_capacity(10)
     disk.power_lost()
     assert list(opened(disk, Hands()).messages) == ["a", "b"]
 
 
-def test_an_end_is_not_told_before_it_is_kept_under_power() -> None:
-    disk, hands = Disk(), Hands()
-    store = opened(disk, hands)
+def test_a_notification_is_not_sent_before_its_sync_with_level_power() -> None:
+    disk, sync_worker = Disk(), Hands()
+    store = opened(disk, sync_worker)
     store.append_message(taken("a"))
-    store.commit(lambda ok: None)
-    while hands.work():
+    store.commit(lambda persisted: None)
+    while sync_worker.work():
         pass
     store.append_notification("a", "returned", 5)
-    store.commit(lambda ok: None)
+    store.commit(lambda persisted: None)
     assert store.sendable_notifications(0) == {} and store.pending_notifications
-    while hands.work():
+    while sync_worker.work():
         pass
     assert store.sendable_notifications(0) == {"a": PendingNotification("returned", 5)}
 
 
-def test_a_full_disk_at_the_start_holds_what_was_held_and_takes_nothing_on() -> None:
+def test_a_full_disk_at_startup_keeps_messages_and_rejects_new_ones() -> None:
     disk = Disk()
     store = opened(disk)
     store.append_message(taken("a"))
@@ -437,37 +481,39 @@
     disk.killed()
     disk.flip("journal")
     disk.room = disk.used()
-    back = MessageStore(FOLDER, 200_000, files=disk, base_us=0)
-    assert back.failed and not back.has_capacity(10) and "journal" in disk.names
-    said: list[bool] = []
-    back.use_rules(RULES)
-    back.commit(said.append)
-    assert said == [False]
+    recovered = MessageStore(FOLDER, 200_000, files=disk, base_us=0)
+    assert (
+        recovered.failed and not recovered.has_capacity(10) and "journal" in disk.names
+    )
+    results: list[bool] = []
+    recovered.use_rules(RULES)
+    recovered.commit(results.append)
+    assert results == [False]
     disk.room = 1 << 40
-    back.log.retry_at = 0
-    back.log.retry_after_failure()
-    assert not back.failed and back.has_capacity(10)
+    recovered.log.retry_at = 0
+    recovered.log.retry_after_failure()
+    assert not recovered.failed and recovered.has_capacity(10)
 
 
-def test_a_record_cut_short_by_a_full_disk_leaves_a_file_that_can_be_read() -> None:
+def test_a_partial_write_on_a_full_disk_leaves_a_readable_file() -> None:
     disk = Disk()
     store = opened(disk)
     store.append_message(taken("a"))
     store.flush()
     disk.room = disk.used() + 10
-    said: list[bool] = []
+    results: list[bool] = []
     store.append_message(taken("b"))
-    store.commit(said.append)
-    assert said == [False] and store.failed
+    store.commit(results.append)
+    assert results == [False] and store.failed
     disk.killed()
     disk.room = 1 << 40
-    back = opened(disk)
-    assert list(back.messages) == ["a"] and not back.report.damaged
+    recovered = opened(disk)
+    assert list(recovered.messages) == ["a"] and not recovered.report.damaged
 
 
-def test_what_was_refused_for_a_full_disk_does_not_come_back() -> None:
-    """Its record is whole in a write that was cut short; its client was told to go
-    elsewhere with it.
+def test_a_message_rejected_for_a_full_disk_is_not_recovered() -> None:
+    """The record of a rejected message may be complete within a partial write. Its client
+    was told to send the message elsewhere.
     """
     disk = Disk()
     store = opened(disk)
@@ -476,68 +522,70 @@
     store.append_message(taken("a"))
     store.flush()
     disk.room = disk.used() + (disk.used() - before) + 10
-    said: list[bool] = []
+    results: list[bool] = []
     store.append_message(taken("b"))
     store.append_message(taken("c"))
-    store.commit(said.append)
-    assert said == [False]
+    store.commit(results.append)
+    assert results == [False]
     disk.killed()
     assert list(opened(disk).messages) == ["a"]
 
 
-def test_a_damaged_file_is_set_aside_only_where_it_fits() -> None:
-    for most, kept in ((400_000, True), (136_000, False)):
+def test_a_damaged_file_is_kept_only_if_it_fits() -> None:
+    for max_bytes, kept in ((400_000, True), (136_000, False)):
         disk = Disk()
-        store = opened(disk, most=most)
+        store = opened(disk, max_bytes=max_bytes)
         store.append_message(taken("a", size=4000))
         store.flush()
         disk.killed()
         data = disk.names["journal"].data
         data[len(data) // 2] ^= 1
-        spoilt = bytes(data)
-        back = opened(disk, most=most)
-        assert back.report.gaps and ("journal.damaged" in disk.names) is kept
+        damaged_data = bytes(data)
+        recovered = opened(disk, max_bytes=max_bytes)
+        assert recovered.report.gaps and ("journal.damaged" in disk.names) is kept
         if kept:
             assert disk.read(
                 FOLDER / "journal.damaged"
-            ) == spoilt and back.log.damaged_bytes == len(spoilt)
-            back.max_bytes = (
-                2 * (back.live_bytes + 10_000) + 131_072 + 3_000
-            )  # messages want the room: it makes way
-            assert back.has_capacity(10_000) and "journal.damaged" not in disk.names
+            ) == damaged_data and recovered.log.damaged_bytes == len(damaged_data)
+            recovered.max_bytes = (
+                2 * (recovered.live_bytes + 10_000) + 131_072 + 3_000
+            )  # the messages need the space, so the damaged file is removed
+            assert (
+                recovered.has_capacity(10_000) and "journal.damaged" not in disk.names
+            )
 
 
-def test_what_a_gap_may_hide_is_not_sent_again() -> None:
-    """The attempt of a once-only message stands in the damaged record."""
+def test_a_message_whose_attempt_may_be_in_a_gap_is_not_sent_again() -> None:
+    """The damaged record holds the attempt of an at-most-once message."""
     disk = Disk()
     store = opened(disk)
-    for name, cls, key in (
+    for name, class_name, order_key in (
         ("p", "pay", None),
         ("s", "status", None),
         ("t", "turn", "K"),
     ):
-        store.append_message(taken(name, cls, key))
+        store.append_message(taken(name, class_name, order_key))
     store.append_attempt(store.messages["p"], 0, 5, "hidden")
     store.append_message(taken("later"))
     store.flush()
     disk.killed()
     data = disk.names["journal"].data
     data[data.index(b"hidden")] ^= 1
-    back = opened(disk)
+    recovered = opened(disk)
     assert (
-        back.messages["p"].in_flight
-        and back.messages["s"].in_flight
-        and not back.messages["later"].in_flight
+        recovered.messages["p"].in_flight
+        and recovered.messages["s"].in_flight
+        and not recovered.messages["later"].in_flight
     )
     assert (
-        back.pending_notifications == {"t": PendingNotification("failed", 0, "K")}
-        and "t" not in back.messages
+        recovered.pending_notifications == {"t": PendingNotification("failed", 0, "K")}
+        and "t" not in recovered.messages
     )
-    assert (back.report.doubted, back.report.ended) == (2, 1)
+    assert (recovered.report.doubted, recovered.report.ended) == (2, 1)
 
 
 @pytest.mark.parametrize("by_s", [-3600, 3600])
-def test_a_clock_that_was_set_moves_no_message_s_time(by_s: int) -> None:
+def test_stored_times_follow_a_clock_that_was_set(by_s: int) -> None:
     disk = Disk()
     store = opened(disk)
     store.append_message(taken("a"))
@@ -545,21 +593,22 @@
     store.append_outage("s1", 10**14, -1)
     store.flush()
     disk.killed()
-    back = opened(disk, base=by_s * SECOND)
-    m = back.messages["a"]
+    recovered = opened(disk, base=by_s * SECOND_US)
+    message = recovered.messages["a"]
     assert (
-        m.deadline_us == 10**15 + by_s * SECOND
-        and m.in_flight[0][0] == m.deadline_us - 5
+        message.deadline_us == 10**15 + by_s * SECOND_US
+        and message.in_flight[0][0] == message.deadline_us - 5
     )
-    assert back.outages == {"s1": (10**14 + by_s * SECOND, -1)}
-    disk.killed()  # and once moved, they are not moved again
-    again = opened(disk, base=by_s * SECOND)
+    assert recovered.outages == {"s1": (10**14 + by_s * SECOND_US, -1)}
+    disk.killed()  # a second recovery must not shift the times again
+    recovered_again = opened(disk, base=by_s * SECOND_US)
     assert (
-        again.messages["a"].deadline_us == m.deadline_us and not again.report.shifted_us
+        recovered_again.messages["a"].deadline_us == message.deadline_us
+        and not recovered_again.report.shifted_us
     )
 
 
-def test_another_boot_leaves_the_end_in_doubt_unless_all_was_synced(
+def test_a_reboot_leaves_messages_in_doubt_unless_all_was_synced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for power, closed, doubted in (
@@ -570,11 +619,11 @@
         monkeypatch.setattr(
             "rainfall.forwarder.message_store.this_boot", lambda: "boot 1"
         )
-        disk, hands = Disk(), Hands() if power else None
-        store = opened(disk, hands)
+        disk, sync_worker = Disk(), Hands() if power else None
+        store = opened(disk, sync_worker)
         store.append_message(taken("a"))
-        store.commit(lambda ok: None)
-        while hands is not None and hands.work():
+        store.commit(lambda persisted: None)
+        while sync_worker is not None and sync_worker.work():
             pass
         if closed:
             store.close()
@@ -582,16 +631,16 @@
         monkeypatch.setattr(
             "rainfall.forwarder.message_store.this_boot", lambda: "boot 2"
         )
-        back = opened(disk, Hands() if power else None, base=10**15 - SECOND)
-        assert back.report.another_boot and back.report.doubted == doubted
-        assert bool(back.messages["a"].in_flight) is bool(doubted)
+        recovered = opened(disk, Hands() if power else None, base=10**15 - SECOND_US)
+        assert recovered.report.another_boot and recovered.report.doubted == doubted
+        assert bool(recovered.messages["a"].in_flight) is bool(doubted)
 
 
-def test_time_does_not_run_backwards_over_a_boot(
+def test_a_clock_set_back_over_a_reboot_does_not_extend_deadlines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Set back by a day, the clock would have kept a message of ten seconds for a
-    day.
+    """With a clock set back by a day, a message with a deadline of ten seconds would stay
+    for a day.
     """
     disk = Disk()
     store = opened(disk)
@@ -600,34 +649,37 @@
     disk.killed()
     monkeypatch.setattr("rainfall.forwarder.message_store.this_boot", lambda: "boot 2")
     monkeypatch.setattr(recovery.time, "monotonic_ns", lambda: 0)
-    back = opened(disk, base=10**15 - 86_400 * SECOND)
-    assert back.messages["a"].deadline_us <= 10**15 - 86_400 * SECOND + 10 * SECOND
+    recovered = opened(disk, base=10**15 - 86_400 * SECOND_US)
+    assert (
+        recovered.messages["a"].deadline_us
+        <= 10**15 - 86_400 * SECOND_US + 10 * SECOND_US
+    )
 
 
-def test_a_newer_file_is_left_alone() -> None:
+def test_a_file_of_a_newer_version_is_not_changed() -> None:
     disk = Disk()
-    newer = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode() + b"whatever"
-    disk.names["journal"] = f_inode(newer)
+    newer_file = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode() + b"whatever"
+    disk.names["journal"] = inode_with(newer_file)
     with pytest.raises(UnusableJournalError):
         opened(disk)
-    assert disk.read(FOLDER / "journal") == newer
+    assert disk.read(FOLDER / "journal") == newer_file
 
 
-def test_a_reader_beside_the_writer_sees_whole_records_only() -> None:
+def test_a_concurrent_reader_sees_only_complete_records() -> None:
     disk = Disk()
     store = opened(disk)
-    facts = []
-    for n in range(300):
-        store.append_message(taken(f"m{n}", size=2000))
-        store.append_finished(f"m{n - 3}")
+    matches = []
+    for index in range(300):
+        store.append_message(taken(f"m{index}", size=2000))
+        store.append_finished(f"m{index - 3}")
         store.flush()
-        other, report = read_journal(disk.read(FOLDER / "journal"))
+        read_state, report = read_journal(disk.read(FOLDER / "journal"))
         assert not report.damaged and not report.torn
-        facts.append(list(other.messages) == list(store.messages))
-    assert all(facts) and store.log.rewrites > 1
+        matches.append(list(read_state.messages) == list(store.messages))
+    assert all(matches) and store.log.rewrites > 1
 
 
-def test_the_same_end_told_twice_is_one_end() -> None:
+def test_repeated_end_and_acknowledgement_records_have_no_further_effect() -> None:
     disk = Disk()
     store = opened(disk)
     store.append_message(taken("a"))
@@ -638,6 +690,10 @@
     store.append_finished("a")
     store.flush()
     disk.killed()
-    back = opened(disk)
-    assert not back.messages and not back.pending_notifications and back.live_bytes == 0
-    assert HEAD.version == 2
+    recovered = opened(disk)
+    assert (
+        not recovered.messages
+        and not recovered.pending_notifications
+        and recovered.live_bytes == 0
+    )
+    assert HEADER.version == 2
