--- a/rainfall/journal/__main__.py
+++ b/rainfall/journal/__main__.py
@@ -66,13 +66,13 @@
 
 
 def _count_messages_in_doubt(state: JournalState, report: RecoveryReport) -> None:
-    doubted = [message for message in state.messages.values() if message.in_doubt]
-    report.ended = sum(message.order_key is not None for message in doubted)
-    report.doubted = len(doubted) - report.ended
+    in_doubt = [message for message in state.messages.values() if message.in_doubt]
+    report.ended = sum(message.order_key is not None for message in in_doubt)
+    report.doubted = len(in_doubt) - report.ended
 
 
 def check(location: Path) -> int:
-    """Print whether a journal is intact and what is lost; return the exit code."""
+    """Print whether a journal is intact and what it lost; return the exit code."""
     state, report = read(location)
     if not report.version:
         print("empty: a forwarder would start with nothing")
@@ -194,7 +194,7 @@
     for name, text in (
         (
             "check",
-            "check for damage: exit 0 whole, 1 damaged, 2 invalid arguments or no journal",
+            "check for damage: exit 0 whole, 1 damaged, 2 unusable call or journal",
         ),
         ("show", "print the contents; message bodies only with --bodies"),
     ):
--- a/rainfall/journal/format.py
+++ b/rainfall/journal/format.py
@@ -206,7 +206,7 @@
 
 
 def next_frame(data: bytes, offset: int, salt: int, lowest_number: int) -> Frame | None:
-    """Return the first valid frame at or after an offset, marker_length_number `lowest_number` or more."""
+    """Return the first valid frame from an offset on, of `lowest_number` or more."""
     offset = data.find(FRAME_MARKER, offset)
     while offset >= 0:
         found = frame_at(data, offset, salt)
@@ -294,7 +294,7 @@
         self.number = 0
         """Number of the next frame."""
         self.copy_passed = False
-        """Whether the position of the header copy, after the checkpoint, was reached."""
+        """Whether the position of the header copy after the checkpoint was reached."""
 
     def scan(self) -> Scan:
         """Decode all frames; distinguish damage from a torn write at the end."""
@@ -339,7 +339,7 @@
         return True
 
     def _is_only_copy_damaged(self, end: int) -> bool:
-        """Whether the file ends, or the expected frame starts, right after the header copy."""
+        """Whether the file ends or the expected frame starts after the header copy."""
         if end == len(self.data):
             return True
         following = frame_at(self.data, end, self.header.salt)
@@ -435,8 +435,8 @@
 def _is_torn_v1_write(data: bytes, offset: int) -> bool:
     """Whether the data ends with an incomplete frame, as far as version 1 can show it.
 
-    The frame is incomplete if its length is possible but exceeds the remaining data, and
-    the payload starts with `V1_PAYLOAD_START`.
+    The frame is incomplete if its length is possible but exceeds the remaining data,
+    and the payload starts with `V1_PAYLOAD_START`.
     """
     payload_offset = offset + V1_FRAME.size
     if payload_offset > len(data):
--- a/rainfall/journal/live_index.py
+++ b/rainfall/journal/live_index.py
@@ -7,21 +7,21 @@
 from sortedcontainers import SortedDict  # type: ignore[import-untyped]
 
 BUCKET_US = 100_000
-"""Deadlines within one interval of this length share a bucket."""
+"""Length of the deadline interval that one bucket covers."""
 
 
 class LiveIndex:
     """Indexes live messages by deadline and by destination.
 
-    The cost of a method is proportional to the entries that it adds, removes or returns,
-    and independent of the number of live messages.
+    The cost of a method grows with the entries that it adds, removes or returns, not
+    with the number of live messages.
     """
 
     def __init__(self) -> None:
         self.buckets: SortedDict = SortedDict()
-        """Bucket bucket_number to the deadlines of its messages, in microseconds, by message id."""
+        """By bucket number: message ids and their deadlines in microseconds."""
         self.by_destination: Counter[int] = Counter()
-        """Number of live messages by destination; destinations without any are absent."""
+        """Number of live messages of each destination that has any."""
         self.entries_visited = 0
         """Total entries that searches have visited: a measure of their cost."""
 
@@ -31,7 +31,7 @@
         self.by_destination[destination] += 1
 
     def remove(self, message_id: str, destination: int, deadline_us: int) -> None:
-        """Remove a message, given the destination and the deadline it was indexed under."""
+        """Remove a message; the deadline must be the one in the index."""
         self._remove_from_bucket(message_id, deadline_us)
         self.by_destination[destination] -= 1
         if not self.by_destination[destination]:
--- a/rainfall/journal/records.py
+++ b/rainfall/journal/records.py
@@ -48,7 +48,7 @@
     FINISHED = "x"
     """A message has ended and no notification is needed."""
     PENDING_NOTIFICATION = "e"
-    """A message has ended and the platform has not yet acknowledged the notification."""
+    """A message has ended and its notification is not yet acknowledged."""
     ACKNOWLEDGED = "d"
     """The platform has acknowledged the notification of a message's end."""
     ENDPOINT_LIST = "l"
@@ -363,7 +363,7 @@
 
 
 def encode_message(message: AcceptedMessage) -> bytes:
-    """Encode a message; one with attempts as a checkpoint message, with its attempts."""
+    """Encode a message, as a checkpoint message if it has attempts."""
     if not message.attempts:
         return encode_record(
             _MESSAGE_KIND,
--- a/rainfall/journal/recovery.py
+++ b/rainfall/journal/recovery.py
@@ -23,7 +23,7 @@
 """Name of a damaged file that is kept for inspection by operators."""
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 MIN_CLOCK_SHIFT_US = 500_000
-"""Smaller clock shifts are ignored, since time synchronisation causes them constantly."""
+"""Smaller clock shifts are ignored: time synchronisation causes them constantly."""
 US_PER_S = 1_000_000
 MS_PER_S = 1_000
 
@@ -155,7 +155,7 @@
             parts.append(f"{len(self.lost)} messages lost")
         if self.shifted_us:
             parts.append(
-                f"stored times shifted by {self.shifted_us / US_PER_S:.1f} s with the clock"
+                f"times shifted by {self.shifted_us / US_PER_S:.1f} s with the clock"
             )
         return parts
 
@@ -169,15 +169,15 @@
 
 
 def replay(found: Scan, state: JournalState) -> None:
-    """Apply a file's records to a state, and mark the messages that gaps leave in doubt."""
+    """Apply a file's records to a state, and mark messages in doubt after gaps."""
     header = found.header
     checkpoint_frames = header.checkpoint_frames if header is not None else 0
     for part in found.parts:
         if isinstance(part, Frame):
             state.apply_record(part.payload)
         elif _is_within_checkpoint(part, checkpoint_frames):
-            # A checkpoint has no attempt records, so the gap leaves no message in doubt: it
-            # loses whole messages.
+            # A checkpoint has no attempt records: the gap loses whole messages and
+            # leaves no others in doubt.
             state.damaged = True
         else:
             state.mark_in_doubt()
@@ -283,7 +283,7 @@
     stored: JournalClock,
     now: JournalClock,
 ) -> None:
-    """Mark messages in doubt after a reboot: records that were not synced may be lost."""
+    """Mark messages in doubt after a reboot that may have lost unsynced records."""
     report.another_boot = bool(
         stored.boot_id and now.boot_id and stored.boot_id != now.boot_id
     )
--- a/rainfall/journal/state.py
+++ b/rainfall/journal/state.py
@@ -130,7 +130,7 @@
         log.error("journal: skipping a record of unknown form: %r", error)
 
     def mark_in_doubt(self) -> None:
-        """Mark all current messages as in doubt, because records are missing at this point.
+        """Mark all current messages as in doubt, because records are missing here.
 
         The missing records may be attempts or outcomes of these messages.
         """
@@ -142,8 +142,8 @@
         """Resolve the messages that are still in doubt after all records are read.
 
         A message without an order key gets an attempt that may have been executed. A
-        message with an order key is ended as failed, because a later message of the same
-        key may have been delivered already.
+        message with an order key is ended as failed, because a later message of the
+        same key may have been delivered already.
         """
         in_doubt = [message for message in self.messages.values() if message.in_doubt]
         ended = [message for message in in_doubt if message.order_key is not None]
@@ -221,7 +221,7 @@
             self._record_lost_message(attempt.message_id)
             return
         if attempt.number == message.attempts:
-            # The number is the next one, so the gap held no attempt or end of the message.
+            # The number is the next one, so the gap held no attempt or end of it.
             message.in_doubt = False
         message.in_flight[attempt.number] = (attempt.started_at_us, attempt.host)
         message.attempts = max(message.attempts, attempt.number + 1)
@@ -268,7 +268,7 @@
     def add_pending_notification(
         self, message_id: str, end: PendingNotification
     ) -> None:
-        """Replace a message by the notification of its end, until it is acknowledged."""
+        """Replace a message by its notification, which must be acknowledged."""
         self.remove_message(message_id)
         self.pending_notifications[message_id] = end
 
@@ -289,7 +289,7 @@
     def _read_list_update(self, fields: Fields, _body: bytes) -> None:
         update = records.decode_endpoint_list_update(fields)
         if (update.previous_seq, update.source) != (self.seq, self.source):
-            # The list that the update applies to is missing: a complete list must be polled.
+            # The list that the update applies to is missing; poll a complete list.
             self.seq = -1
             return
         for name in update.removed:
@@ -333,7 +333,7 @@
     # Writing
 
     def class_of(self, message: AcceptedMessage) -> MessageClass | None:
-        """Return the class that a message was accepted under, or None if it is unknown."""
+        """Return the class that a message was accepted under; None if unknown."""
         rules = self.rules.get(message.rules_number)
         if rules is None:
             return None
--- a/rainfall/journal/writer.py
+++ b/rainfall/journal/writer.py
@@ -160,10 +160,10 @@
         self.size = end
 
     def keep_damaged_file(self, size: int, new_size: int) -> bool:
-        """Keep the damaged file under another name if enough space is left for messages.
+        """Keep the damaged file under another name if messages have space beside it.
 
-        `size` is the size of the file and `new_size` that of a new one, in bytes. Returns
-        whether the file is kept.
+        `size` is the size of the file and `new_size` that of a new one, in bytes.
+        Returns whether the file is kept.
         """
         with suppress(OSError):
             self.files.unlink(self.damaged_path)
@@ -199,7 +199,7 @@
         self.appended += 1
 
     def flush(self) -> None:
-        """Write the buffered records; compact the file first if it has grown too large."""
+        """Write the buffered records; compact the file first if it is too large."""
         if not self.pending or not self.writing or self.switching:
             return
         if self.failed and self.clock() >= self.retry_at and not self.worker_busy:
@@ -207,7 +207,7 @@
             if self.switching or not self.pending:
                 return
         if self.incomplete:
-            # A new file is written from the state in memory, which includes these records.
+            # A new file is written from the state in memory, which has these records.
             self.pending.clear()
             return
         size_after = self._size_after_flush()
@@ -239,7 +239,7 @@
         return size_after + live_bytes + RESERVED_BYTES // 2 > self.max_bytes
 
     def _rewrite_pending(self) -> bool:
-        """Start a new file; return whether nothing remains to be written to the old one."""
+        """Start a new file; return whether nothing is left to write to the old one."""
         return self.rewrite() and (self.switching or not self.pending)
 
     def write(self) -> None:
@@ -252,8 +252,8 @@
         try:
             write_all(self.files, self.fd, bytes(data), self.size)
         except OSError as error:
-            # A full disk must not end the process: accepted messages are still delivered,
-            # and new ones are rejected.
+            # A full disk must not end the process: accepted messages are delivered, and
+            # new ones are rejected.
             self.fail("cannot write", error)
             self.incomplete = True
             # A torn write that cannot be truncated now is truncated at the next start.
@@ -267,7 +267,7 @@
         self.pending.clear()
 
     def fail(self, operation: str, error: OSError) -> None:
-        """Record and log a failure; new messages are rejected until a new file is written."""
+        """Log a failure and reject new messages until a new file is written."""
         self.failed = True
         self.failures += 1
         log.error("journal: %s: %s", operation, error)
@@ -277,8 +277,8 @@
     def rewrite(self, at_startup: bool = False) -> bool:
         """Write the checkpoint to a new file that replaces the old one.
 
-        Returns whether the old file was replaced or the worker is replacing it. While the
-        worker is busy, nothing is written and the result is False.
+        Returns whether the old file was replaced or the worker is replacing it. While
+        the worker is busy, nothing is written and the result is False.
 
         Raises:
             OSError: With `at_startup`, for errors other than `TOLERATED_ERRNOS`.
@@ -455,8 +455,8 @@
             if error is None:
                 self.persisted = max(self.persisted, position)
             else:
-                # The kernel may have dropped the pages, so a second sync of this file could
-                # succeed without the data having reached the disk.
+                # The kernel may have dropped the pages, so a second sync of this file
+                # could succeed without the data having reached the disk.
                 self.fail("cannot sync", error)
                 self.incomplete = True
                 if self.writing and not self.rewrite():
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -23,7 +23,7 @@
 
 
 def made(*payloads: bytes, header: f.FileHeader = HEADER) -> bytes:
-    """Return a file: header, a checkpoint of one record, header copy, and the payloads."""
+    """Return a file: header, checkpoint of one record, header copy, payloads."""
     data = (
         header.encode()
         + f.encode_frame(header.salt, 0, b'["l",1,[],""]', f.HEADER.size)
--- a/tests/journal/test_recovery.py
+++ b/tests/journal/test_recovery.py
@@ -431,8 +431,8 @@
 
 
 def test_a_second_sync_does_not_hide_a_failed_one() -> None:
-    """Linux marks the pages clean after a failed sync, so a second sync succeeds although
-    the bytes are not on the disk.
+    """Linux marks the pages clean after a failed sync, so a second sync succeeds
+    although the bytes are not on the disk.
     """
     disk, sync_worker = Disk(), Hands()
     store = opened(disk, sync_worker)
@@ -512,8 +512,8 @@
 
 
 def test_a_message_rejected_for_a_full_disk_is_not_recovered() -> None:
-    """The record of a rejected message may be complete within a partial write. Its client
-    was told to send the message elsewhere.
+    """The record of a rejected message may be complete within a partial write. The
+    client was told to send the message elsewhere.
     """
     disk = Disk()
     store = opened(disk)
@@ -639,8 +639,8 @@
 def test_a_clock_set_back_over_a_reboot_does_not_extend_deadlines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With a clock set back by a day, a message with a deadline of ten seconds would stay
-    for a day.
+    """With a clock set back by a day, a message with a deadline of ten seconds would
+    stay for a day.
     """
     disk = Disk()
     store = opened(disk)
