--- a/rainfall/session/actions.py
+++ b/rainfall/session/actions.py
@@ -1,4 +1,4 @@
-"""The actions of a migration: what its caller has to do, in order."""
+"""Actions that a migration returns; the caller carries them out in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 from rainfall.session.records import Record
 
 Side = Literal["giver", "taker"]
-"""The source or the target, as the arbiter's frames and journal name them."""
+"""A side of a migration: `giver` is the source and `taker` the target.
+
+The arbiter's frames and its journal use these values.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistRecord:
-    """Write and sync a record, then report `RecordPersisted`.
+    """Write and sync a record, then report `RecordPersisted` or `RecordWriteFailed`.
 
-    What follows from the record waits until then.
+    Actions that depend on the record are returned only after it is on disk.
     """
 
     record: Record
@@ -34,23 +37,23 @@
 class Freeze:
     """Start no more calls of the session; report `SessionQuiesced` once none is left.
 
-    Until `Resume` the engine only ends messages that expire.
+    Until `Resume` the engine only fails messages that expire.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class CloseCalls:
-    """Close the calls in flight; each may have been executed."""
+    """Close the calls in flight; the endpoint may have executed each of them."""
 
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """This member owns the session: go on with it."""
+    """Resume calls of the session, which this member owns."""
 
 
 @dataclass(frozen=True, slots=True)
 class ImportSession:
-    """Restore these messages in order, and the remembered ids, and wait for `Resume`."""
+    """Restore the copied messages in order and the remembered ids; wait for `Resume`."""
 
     items: tuple[TransferredMessage, ...]
     remembered_ids: tuple[str, ...]
@@ -58,29 +61,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Halt:
-    """The session may be another member's: freeze it, and retry nothing in flight."""
+    """Freeze the session and retry no call in flight: another member may own it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseSession:
-    """The messages are the other side's: forget them without an outcome."""
+    """Remove the session's messages without an outcome: the other side owns them."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailAll:
-    """End each message of the session that is stored here as failed."""
+    """Fail each message of the session that is stored here."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailMessage:
-    """End a message as failed."""
+    """Fail one message."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptMessage:
-    """Accept a message as if it arrived now, and answer its client if asked to."""
+    """Accept a message as if it arrived now; `answer_client`: also answer its client."""
 
     item: TransferredMessage
     answer_client: bool = True
@@ -95,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectMessage:
-    """Answer 503 with Retry-After: nobody has accepted the message, and nobody will."""
+    """Answer 503 with Retry-After: neither side has accepted the message or will."""
 
     id: str
     retry_after_us: int
@@ -103,32 +106,38 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTail:
-    """The target owns the session: report `ConnectionsClosed` once that holds.
+    """Record the target as owner in the session directory.
 
-    The session directory learns the new owner. It may hold at once.
+    Report `ConnectionsClosed` once all connections that brought messages of the session
+    are closed, which may be the case at once.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class AskArbiter:
-    """Ask the arbiter who owns the session; the next `Retry` asks again."""
+    """Request a verdict on the session's owner; the next `Retry` repeats the request."""
 
     migration_id: MigrationId
     side: Side
     other_member: str
     committed: bool = False
-    """The source has committed: it may reclaim the session only if the target is lost."""
+    """Whether the source has committed.
+
+    A committed source may reclaim the session only if the target's lease is lost.
+    """
     unknown_to_source: bool = False
-    """The source, asked by the target, has no record of the migration."""
+    """Whether the source has replied to the target that it has no such migration."""
     cede: bool = False
-    """The source, which asked before, wants the target to own the session; or the target
-    acts on the source's commit.
+    """Whether the sender requires a verdict for the target.
+
+    Set by a source that has sent a request before, and by a target that acts on the
+    source's commit.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmVerdict:
-    """Tell the arbiter that its verdict is carried out and on disk here."""
+    """Report to the arbiter that its verdict is applied and on disk here."""
 
     migration_id: MigrationId
     side: Side
@@ -136,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrationFinished:
-    """This side is finished; the migration manager may forget it."""
+    """This side is finished; the migration manager may drop it."""
 
 
 Action = (
--- a/rainfall/session/arbiter.py
+++ b/rainfall/session/arbiter.py
@@ -1,8 +1,8 @@
-"""The arbiter of migrations in doubt: it gives each session to one side, and for good.
+"""The arbiter decides for each migration in doubt, once, which side owns the session.
 
-It runs in the list service and is asked only where one side cannot reach the other,
-restarted, or lost its lease; a migration without faults never asks. The service writes
-each new decision to its journal before it answers, and reads them back when it starts.
+It runs in the list service and is used only where one side cannot reach the other,
+restarted, or lost its lease; a migration without faults never uses it. The service writes
+each new decision to its journal before it answers, and restores them when it starts.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from rainfall.session.states import AskArbiter, ConfirmVerdict, Ruling, Side, Verdict
 
 DECISION_RETENTION_US = 3_600_000_000
-"""A decision that one side has not confirmed for so long may be forgotten: no message
-lives as long.
+"""Age after which a decision that a side has not confirmed may be evicted, in
+microseconds. No message lives as long.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """Who owns a session, and which sides have carried that out."""
+    """A decision on a session's owner, and the sides that have confirmed it."""
 
     ruling: Ruling
     decided_at_us: int
@@ -31,30 +31,31 @@
 
 
 class Answer(NamedTuple):
-    """The answer to a question."""
+    """A verdict, and whether it was decided just now."""
 
     verdict: Verdict
     is_new: bool
-    """Whether the decision is new: then it has to be on disk before it is sent."""
+    """Whether the decision is new; a new one must be on disk before it is sent."""
 
 
 @dataclass(slots=True)
 class Arbiter:
-    """The decisions of one epoch of the list service, and those it has read back."""
+    """The decisions of one epoch of the list service, and those restored from disk."""
 
     epoch: int
     is_lease_valid: Callable[[str], bool]
-    """Whether the lease of a member may still be valid, as the service sees it."""
+    """Whether the lease of a member may still be valid, by the service's clock."""
     max_decisions: int = 10_000
     decisions: OrderedDict[MigrationId, Decision] = field(default_factory=OrderedDict)
     forgotten_up_to: dict[str, MigrationId] = field(default_factory=dict)
-    """By source, the highest migration that was forgotten before both sides confirmed."""
+    """By source, the highest migration evicted before both sides confirmed."""
 
     def decide(self, question: AskArbiter, now_us: int) -> Answer:
         """Return the verdict, and whether it is new.
 
-        The caller has checked that the member that asks holds a lease, and that it is the
-        source or the target.
+        The ruling is `wait` while no decision is possible or the store is full. The caller
+        has checked that the requesting member holds a lease, and that it is the source or
+        the target.
         """
         migration_id = question.migration_id
         known = self.decisions.get(migration_id)
@@ -75,11 +76,13 @@
         if known is not None:
             return known.ruling
         if question.cede:
-            # Whatever was forgotten, no other verdict was given: it would not ask so.
+            # Even if a decision was evicted, it was no other: a side that received
+            # another verdict does not set `cede`.
             return "taker"
         is_other_gone = not self.is_lease_valid(question.other_member)
         if self._may_be_forgotten(question.migration_id):
-            # An earlier verdict is not known: the sides have each other, and `commit_us`.
+            # An earlier verdict may have been evicted, so none is safe to give. The sides
+            # settle it between them, or by the time limit `commit_us`.
             return "wait"
         if question.side == "giver":
             return "giver" if is_other_gone or not question.committed else "wait"
@@ -92,9 +95,9 @@
         return forgotten_up_to is not None and migration_id <= forgotten_up_to
 
     def confirm(self, confirmation: ConfirmVerdict) -> bool:
-        """Note that a side has carried out a verdict.
+        """Record that a side has applied a verdict; the second side's deletes the decision.
 
-        Returns whether something changed that has to be written to disk.
+        Returns whether the decisions changed, so that the change must be written to disk.
         """
         known = self.decisions.get(confirmation.migration_id)
         if known is None or confirmation.side in known.confirmed:
--- a/rainfall/session/buffered_messages.py
+++ b/rainfall/session/buffered_messages.py
@@ -1,8 +1,8 @@
 """Messages that arrive at the source during a migration.
 
-They are buffered in order, and in the tail forwarded to the target. None of them is
-accepted while it is buffered, so a failure here breaks no promise: a client without an
-answer submits its message again.
+They are buffered in order, and forwarded to the target in the tail. No message is
+accepted while it is buffered, so a failure here loses no accepted message: a client
+without an answer submits its message again.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class BufferedMessages:
-    """The buffer, and the tail that empties it.
+    """The buffer of the source, and the tail that forwards its messages.
 
     All handlers take an event and the time now, in microseconds of the local clock.
     """
@@ -25,19 +25,19 @@
     limits: Limits
     state: MigrationState = MigrationState.HELD
     stamp_us: int = 0
-    """The target's newest stamp."""
+    """The target's newest stamp, in microseconds of the target's clock."""
     heard_us: int = 0
     """When that stamp arrived, by the local clock."""
     buffered: tuple[MessageArrived, ...] = ()
     in_flight: MessageArrived | None = None
-    """Forwarded and not answered."""
+    """The message that was forwarded and not answered yet."""
     number: int = 0
-    """Its number; one that was given up is never used again."""
+    """Number of the message in flight; a number that was given up is never reused."""
     no_connections_left: bool = False
-    """Whether each connection that brought messages of the key is closed."""
+    """Whether all connections that brought messages of the key are closed."""
 
     def finish_tail(self, event: object, now_us: int) -> Actions:
-        """End the tail."""
+        """Send the end of the tail to the target and finish."""
         raise NotImplementedError
 
     def accept_directly(self, event: MessageArrived, _now_us: int) -> Actions:
@@ -46,7 +46,7 @@
 
     def buffer_message(self, event: MessageArrived, now_us: int) -> Actions:
         """Buffer a message, or reject it where the buffer is full."""
-        size = sum(m.item.size for m in self.buffered) + event.item.size
+        size = sum(message.item.size for message in self.buffered) + event.item.size
         is_full = len(self.buffered) >= self.limits.hold_messages
         if is_full or size > self.limits.hold_bytes:
             return self.reject_message(event, now_us)
@@ -55,14 +55,16 @@
         return self._continue_tail(now_us)
 
     def reject_message(self, event: MessageArrived, _now_us: int) -> Actions:
-        """Reject a message."""
+        """Reject a message with a Retry-After of `refuse_us`."""
         return (s.RejectMessage(event.item.id, self.limits.refuse_us),)
 
     def discard_message(self, event: s.ClientDisconnected, now_us: int) -> Actions:
-        """Drop a message whose client has left."""
-        self.buffered = tuple(m for m in self.buffered if m.item.id != event.id)
+        """Drop a message whose client has disconnected."""
+        self.buffered = tuple(
+            message for message in self.buffered if message.item.id != event.id
+        )
         if self.in_flight is not None and self.in_flight.item.id == event.id:
-            # Nobody needs to know any more whether it was accepted.
+            # No client is waiting for the result of this message any more.
             self.in_flight = None
         return self._continue_tail(now_us)
 
@@ -72,17 +74,22 @@
         return self._forward_next(now_us)
 
     def _reject_overdue(self, now_us: int) -> Actions:
-        """Reject what was buffered for `hold_us`, before its client leaves.
+        """Reject messages buffered for `hold_us`, before their clients disconnect.
 
-        A message that was forwarded cannot be rejected any more: it is given up.
+        A forwarded message can no longer be rejected, as the target may accept it; it is
+        given up without an answer.
         """
-        overdue = {m for m in self.buffered if self._is_overdue(m, now_us)}
-        self.buffered = tuple(m for m in self.buffered if m not in overdue)
+        overdue = {
+            message for message in self.buffered if self._is_overdue(message, now_us)
+        }
+        self.buffered = tuple(
+            message for message in self.buffered if message not in overdue
+        )
         if self.in_flight is not None and self._is_overdue(self.in_flight, now_us):
             self.in_flight = None
         return tuple(
-            s.RejectMessage(m.item.id, self.limits.refuse_us)
-            for m in sorted(overdue, key=lambda m: m.arrived_at_us)
+            s.RejectMessage(message.item.id, self.limits.refuse_us)
+            for message in sorted(overdue, key=lambda message: message.arrived_at_us)
         )
 
     def _is_overdue(self, message: MessageArrived, now_us: int) -> bool:
@@ -119,7 +126,7 @@
         if event.number != self.number or self.in_flight is None:
             return ()
         if event.stamp_us < self.stamp_us:
-            # The target restarted since, and may accept the message after all.
+            # The target has restarted since and may still accept the message.
             return ()
         self.stamp_us = event.stamp_us
         self.heard_us = now_us
--- a/rainfall/session/config.py
+++ b/rainfall/session/config.py
@@ -1,4 +1,6 @@
-"""The configuration's `session`: sites, the policy of migrations, and their limits.
+"""The `session` section of the configuration: sites, migration policy and limits.
+
+An example, with the defaults of all numbers but the costs:
 
 {"sites": {"a": {"neighbours": {"b": 1.0, "c": 2.5}}, "b": {...}}, "at_once": 8,
 "least_stay_ms": 5000, "pause_ms": 30000, "pair_ms": 10000, "over": 0.9, "under": 0.7,
@@ -28,7 +30,7 @@
     "over": Share,
     "under": Share,
 }
-"""The plain fields of the configuration; `sites` and `limits` are objects."""
+"""Types of the scalar fields; `sites` and `limits` are objects."""
 OBJECT_FIELDS = ("sites", "limits")
 
 
@@ -41,24 +43,27 @@
     at_once: int = 8
     """Migrations from one forwarder at a time."""
     least_stay_ms: int = 5_000
-    """How long a session stays after it arrived, unless its forwarder drains."""
+    """How long a session stays after it arrived, unless its forwarder is draining."""
     pause_ms: int = 30_000
-    """How long it does not return to the site that it came from, nor is offered again
-    where it was declined.
+    """How long a session neither returns to the site that it came from nor is offered
+    again to a forwarder that declined it.
     """
     pair_ms: int = 10_000
-    """How long a site that sent sessions because it was over its limit gets none for that
+    """How long a site that sent sessions because of its load receives none for that
     reason.
     """
     over: float = 0.9
-    """Sessions migrate away from this part of the budget on."""
+    """Load, as a part of the budget, at which migration away begins."""
     under: float = 0.7
-    """They do so until the load is below this part; a neighbour must stay below it."""
+    """Load, as a part of the budget, at which migration away ends.
+
+    A neighbour that takes a session must stay below it.
+    """
     limits: Limits = field(default_factory=Limits)
 
 
 class SessionConfigError(RainfallError, ValueError):
-    """The configuration is faulty; `errors` are all faults, each beginning with its path."""
+    """The configuration is invalid; `errors` lists all errors, each starting with its path."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -66,10 +71,10 @@
 
 
 def parse_config(raw: Any, path: str = "session") -> SessionConfig:
-    """Return the configuration in decoded JSON.
+    """Parse the section from decoded JSON; `path` prefixes the paths of errors.
 
     Raises:
-        SessionConfigError: It has faults; the error has all of them.
+        SessionConfigError: The section is invalid; the error lists all errors.
     """
     if not isinstance(raw, dict):
         raise SessionConfigError([f"{path}: must be an object"])
--- a/rainfall/session/events.py
+++ b/rainfall/session/events.py
@@ -1,4 +1,4 @@
-"""The events of a migration, beside the frames that arrive."""
+"""Events of a migration other than received frames."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 from rainfall.session.records import Record
 
 Ruling = Literal["giver", "taker", "wait"]
-"""Who owns the session: the source, the target, or it is not decided yet."""
+"""The owner of the session: the source (`giver`), the target (`taker`), or undecided."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartMigration:
-    """The migration policy or an operator wants the session migrated."""
+    """The migration policy or an operator requests the migration of a session.
+
+    `messages` and `bytes` are the size of the session, which the offer states.
+    """
 
     messages: int = 0
     bytes: int = 0
@@ -22,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionQuiesced:
-    """After `Freeze`: no call of the session is in flight.
+    """No call of the session is in flight any more; follows `Freeze`.
 
-    `items` are all its messages in order, with times by the local clock; one whose call
-    was closed without an answer says that it may have been executed. `remembered_ids`
-    are those that the session rejects as repeats.
+    `items` are all its messages in order, with times by the local clock; a message whose
+    call was closed without an answer is marked as possibly executed. `remembered_ids`
+    are the ids that the session rejects as repeats.
     """
 
     items: tuple[TransferredMessage, ...]
@@ -42,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordWriteFailed:
-    """The disk is full or failed: the record may be written, or not."""
+    """The write failed, as the disk is full or broken; the record may be on disk or not."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The arbiter's answer."""
+    """The arbiter's answer on the owner of a session."""
 
     migration_id: MigrationId
     ruling: Ruling
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageArrived:
-    """A client has submitted a message of this key; it is not answered yet."""
+    """A client has submitted a message of this key and waits for the answer."""
 
     item: TransferredMessage
     arrived_at_us: int
@@ -65,21 +68,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a buffered message has left."""
+    """The client of a buffered message has disconnected."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionsClosed:
-    """After `StartTail`: each connection that brought messages of this key is closed."""
+    """All connections that brought messages of this key are closed; follows `StartTail`."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageExpired:
-    """A copied message has expired for a target in doubt.
+    """A copied message has expired at a target in doubt.
 
-    That is `offer_us` after its deadline.
+    There a message expires `offer_us` after its deadline.
     """
 
     id: str
@@ -87,17 +90,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """Comes every `retry_us`: whatever is not answered may have been lost."""
+    """Sent every `retry_us`: frames that are not answered may have been lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timeout:
-    """The state's time limit is over."""
+    """The time limit of the state has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """The link to the other side is lost."""
+    """The link to the other side's forwarder was closed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,9 +117,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelMigration:
-    """The migration is no longer wanted."""
+    """The migration policy or an operator cancels the migration."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetDraining:
-    """The target itself is draining."""
+    """This member, the target, has started to drain."""
--- a/rainfall/session/frames.py
+++ b/rainfall/session/frames.py
@@ -1,6 +1,6 @@
-"""The frames that the two sides of a migration send each other.
+"""Frames that the two sides of a migration exchange.
 
-Each is an array on the wire: its tag, the migration's id, then the fields in order.
+Each frame is an array on the wire: its tag, the migration's id, then the fields in order.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 )
 
 TailOutcome = Literal["taken", "refused", "again"]
-"""`taken`: accepted; `refused`: rejected; `again`: the target needs it again."""
+"""`taken`: accepted; `refused`: rejected; `again`: the source must send it again."""
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """What all frames of a migration have."""
+    """Base of all frames of a migration."""
 
     migration_id: MigrationId
 
 
 class Offer(Frame, frozen=True, tag="offer"):
-    """The source asks whether the target would take a session.
+    """The source offers a session to the target.
 
-    `migration_count` is how often it was migrated, this time included.
+    `messages` and `bytes` are its size; `migration_count` is the number of its migrations,
+    this one included.
     """
 
     key: Identifier
@@ -46,13 +47,13 @@
 
 
 class Accept(Frame, frozen=True, tag="accept"):
-    """The target would take it; the copy's times are to count from its stamp."""
+    """The target accepts the offer; times in the copy count from `stamp_us`."""
 
     stamp_us: TimeUs
 
 
 class Decline(Frame, frozen=True, tag="no"):
-    """Either side gives up before the commit; it binds nobody."""
+    """Either side withdraws before the commit."""
 
     reason: ShortText = ""
 
@@ -70,7 +71,7 @@
 class CopyStored(Frame, frozen=True, tag="copied"):
     """The target has the copy on disk.
 
-    It is sent again as a question by a target that does not know who owns the session.
+    A target in doubt about the session's owner sends it again, as a query.
     """
 
     lease_token: LeaseToken
@@ -97,7 +98,7 @@
 
 
 class Aborted(Frame, frozen=True, tag="dropped"):
-    """The target has recorded on disk that it will never activate the session."""
+    """The target has a record on disk that it will never activate the session."""
 
 
 class UnknownMigration(Frame, frozen=True, tag="forgot"):
@@ -105,17 +106,17 @@
 
 
 class TailMessage(Frame, frozen=True, tag="pass"):
-    """A message that a client still sent to the source."""
+    """A message that arrived at the source and is forwarded in the tail."""
 
     stamp_us: TimeUs
     number: Count
     valid_until_us: TimeUs
-    """Its client may have left after that: it must not be accepted any more."""
+    """The message must not be accepted later: its client may have disconnected."""
     item: TransferredMessage
 
 
 class TailMessageResult(Frame, frozen=True, tag="passed"):
-    """Whether the target has accepted a tail message, or has to get it again."""
+    """The target's result of a tail message."""
 
     number: Count
     outcome: TailOutcome
--- a/rainfall/session/incoming_copy.py
+++ b/rainfall/session/incoming_copy.py
@@ -1,4 +1,4 @@
-"""The target until it has the copy: nothing is on disk yet, and nothing is promised."""
+"""The target until the copy is complete: nothing is on disk, and it can still withdraw."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class IncomingCopy(MigrationSide):
-    """What a target holds, and the steps until the copy is on its way to disk.
+    """The data of a target, and the steps until the write of the copy starts.
 
     All handlers take an event and the time now, in microseconds of the local clock.
     """
@@ -22,23 +22,23 @@
     migration_count: int
     limits: Limits
     lease_token: w.LeaseToken | None
-    """The lease that this member holds; without one nothing is activated."""
+    """The lease that this member holds; without a lease no session is activated."""
     stamp_us: int = 0
-    """The stamp that the copy's times count from."""
+    """The zero point of the copy's times, in microseconds of the local clock."""
     started_at_us: int = 0
-    """When this process learned of the migration: its predecessor gave earlier stamps."""
+    """When this process started the migration; earlier stamps are from its predecessor."""
     state: MigrationState = MigrationState.OFFERED
     state_entered_at_us: int = 0
     state_deadline_us: int | None = None
     pending_records: tuple[w.Record, ...] = ()
-    """Records that were to be written and are not known to be on disk."""
+    """Records whose write was requested and is not confirmed."""
     failed_records: tuple[w.Record, ...] = ()
-    """Those of them that have to be written again."""
+    """Pending records whose write failed and must be repeated."""
     copy_parts: tuple[w.CopyPart, ...] = ()
     items: tuple[w.TransferredMessage, ...] = ()
     remembered_ids: tuple[str, ...] = ()
     activated: bool = False
-    """Whether the activation is on disk: then the engine has the messages."""
+    """Whether the activation is on disk, and so the engine has the messages."""
     committed_lease_token: w.LeaseToken | None = None
     """The lease of this member that the source committed to."""
     ownership_final: bool = False
@@ -47,15 +47,15 @@
     last_number: int = 0
     """Number of the last tail message that was answered."""
     last_outcome: str = ""
-    """How that one was answered."""
+    """The outcome that was sent for that message."""
     unconfirmed_number: int = 0
-    """A tail message of which nobody knows whether it is on disk."""
+    """Number of a tail message whose write failed, so that it may be on disk or not."""
     offered_bytes: int = 0
-    """Bytes that the offer named. The copy may have a little more, as messages may arrive
-    until the session is frozen, but less than twice that and one part.
+    """Size of the session by the offer. The copy may be a little larger, as messages may
+    arrive until the session is frozen; its limit is twice the size plus one part.
     """
     out_of_capacity: bool = False
-    """Set by the caller while there is no space for a tail message."""
+    """Set by the caller while there is no capacity for a tail message."""
 
     def _time_limits_us(self) -> dict[MigrationState, int]:
         return {
@@ -68,7 +68,9 @@
     def _write(self, record: w.Record) -> Actions:
         if record not in self.pending_records:
             self.pending_records = (*self.pending_records, record)
-        self.failed_records = tuple(r for r in self.failed_records if r != record)
+        self.failed_records = tuple(
+            failed for failed in self.failed_records if failed != record
+        )
         return (s.PersistRecord(record),)
 
     def _finish(self, now_us: int) -> Actions:
@@ -82,26 +84,26 @@
         self.copy_parts = ()
 
     def open(self, now_us: int) -> None:
-        """Begin to wait for the copy."""
+        """Enter the state `offered` and wait for the copy."""
         self._enter(MigrationState.OFFERED, now_us)
 
     def accept_offer(self, _event: object, _now_us: int) -> Actions:
-        """Accept the offer, again with the first stamp.
+        """Accept the offer; a repeated offer is accepted with the same stamp.
 
-        An earlier stamp can only make deadlines earlier.
+        The older stamp is safe, as it can only make deadlines earlier.
         """
         return (s.Send(w.Accept(self.migration_id, self.stamp_us)),)
 
     def discard_copy(self, _event: object, now_us: int) -> Actions:
-        """Give up, unless the copy may be on disk."""
+        """Withdraw and drop the copy, unless it may be on disk."""
         return () if self.pending_records else self._finish(now_us)
 
     def collect_part(self, event: w.CopyPart, now_us: int) -> Actions:
-        """Take a part of the copy, and write the copy once it is complete."""
+        """Store a part of the copy, and write the copy once it is complete."""
         if self.pending_records:
             return ()
         if event.stamp_us != self.stamp_us:
-            # The part is meant for a predecessor of this process.
+            # The part counts its times from a stamp of this process's predecessor.
             return (s.Send(w.Decline(self.migration_id, "restarted")),)
         if all(part.part != event.part for part in self.copy_parts):
             parts = sorted((*self.copy_parts, event), key=lambda part: part.part)
@@ -125,7 +127,7 @@
         return self._write(record)
 
     def _content(self) -> w.CopyContent:
-        """Return what has arrived so far, with times by the local clock."""
+        """Return the parts received so far, with times by the local clock."""
         items = tuple(
             w.with_local_times(item, self.stamp_us, self.limits.drift)
             for part in self.copy_parts
--- a/rainfall/session/limits.py
+++ b/rainfall/session/limits.py
@@ -1,11 +1,11 @@
-"""The limits of migrations, which the configuration may set."""
+"""Limits of migrations, which the configuration may set."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, fields
 
 HIGHEST_DRIFT = 0.5
-"""Clock rates that differ by so much would leave no time to rely on."""
+"""Upper bound of `drift`; with clock rates this far apart no deadline is reliable."""
 ORDERED_LIMITS = (
     ("calls_us", "freeze_us"),
     ("retry_us", "offer_us"),
@@ -14,7 +14,7 @@
     ("offer_us", "least_left_us"),
     ("tail_us", "commit_us"),
 )
-"""Pairs of limits of which the first has to be below the second."""
+"""Pairs of limits; the first must be below the second."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,50 +25,50 @@
     """
 
     offer_us: int = 200_000
-    """A later answer to an offer is not used. It also bounds how much earlier a deadline
-    is by the target's clock.
+    """Time limit of an offer; a later answer is ignored. It also bounds how much earlier
+    a deadline is by the target's clock.
     """
     calls_us: int = 300_000
-    """How long calls in flight are waited for before they are closed."""
+    """How long the source waits for calls in flight before it closes them."""
     freeze_us: int = 600_000
     """How long the session may stay frozen before its copy is sent."""
     copy_us: int = 1_000_000
     """How long the target may take to store the copy."""
     commit_us: int = 600_000_000
-    """Longer than any message may live: after it a doubt that nobody could end is about
-    nothing any more.
+    """Time limit of a migration in doubt. It exceeds the lifetime of any message, so an
+    ownership that stays undecided that long concerns no live message.
     """
     tail_us: int = 30_000_000
     """How long the source forwards messages to the new owner."""
     retry_us: int = 100_000
-    """Interval of `Retry`."""
+    """Interval between `Retry` events."""
     ask_us: int = 500_000
-    """After so long in doubt the arbiter is asked."""
+    """Time in doubt after which a side requests the arbiter's verdict."""
     hold_us: int = 250_000
-    """How long a client's message is buffered; clients leave after 400 ms."""
+    """How long a client's message is buffered; clients disconnect after 400 ms."""
     hold_messages: int = 64
-    """Messages that one migration buffers."""
+    """Most messages that one migration buffers."""
     hold_bytes: int = 1 << 20
-    """Bytes of these messages."""
+    """Most bytes of messages that one migration buffers."""
     refuse_us: int = 500_000
     """Retry-After of messages rejected during a migration."""
     least_left_us: int = 1_000_000
     """No session is migrated while one of its messages expires sooner than that."""
     session_messages: int = 1_000
-    """Messages of a session that is migrated."""
+    """Most messages of a session that is migrated."""
     session_bytes: int = 8 << 20
-    """Bytes of a session that is migrated."""
+    """Most bytes of a session that is migrated."""
     memory: int = 256
-    """Remembered ids of a session that are transferred."""
+    """Most remembered ids that are transferred; the newest are kept."""
     at_once: int = 8
-    """Migrations at a time, for each direction."""
+    """Most migrations at a time, for each direction."""
     all_bytes: int = 32 << 20
-    """Bytes of all migrations together, for each direction."""
+    """Most bytes of all migrations together, for each direction."""
     drift: float = 0.02
     """How much two clocks may differ in rate, as a fraction."""
 
     def validation_errors(self) -> list[str]:
-        """Return what does not hold, each text beginning with its field's name."""
+        """Return the violated constraints, each text starting with the field's name."""
         errors = [
             f"{limit.name}: must be above 0"
             for limit in fields(self)
--- a/rainfall/session/messages.py
+++ b/rainfall/session/messages.py
@@ -1,8 +1,8 @@
-"""Identifiers and messages as two members exchange them, and their times.
+"""Identifiers, and messages with their times, as two members exchange them.
 
-All structs stand on the wire and on disk as arrays, so their field names are not data;
-bodies are raw bytes. Times in a frame are microseconds from the zero point that the
-frame names, never from another machine's clock.
+All structs are arrays on the wire and on disk, so their field names are not encoded;
+bodies are raw bytes. Times in a frame are microseconds relative to the frame's stamp,
+never readings of another machine's clock.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from msgspec import Meta
 
 BODY_LIMIT_BYTES = 65_536
-"""Of one message's body."""
+"""Largest body of one message."""
 PART_LIMIT_BYTES = 72_000
-"""Of one part of a copy: a body of the greatest size fits, with all beside it."""
+"""Largest part of a copy; a message with the largest body fits."""
 ITEM_LIMIT = 4_096
-"""Messages and remembered ids in one frame."""
+"""Most messages and remembered ids in one frame."""
 ITEM_OVERHEAD_BYTES = 400
-"""What a message takes beside its body and its names."""
+"""Bytes that a message takes beside its body, id and idempotency key."""
 REMEMBERED_ID_OVERHEAD_BYTES = 5
 """The length prefix of a remembered id."""
 CHARACTER_LIMIT_BYTES = 4
@@ -38,7 +38,7 @@
 class MigrationId(msgspec.Struct, frozen=True, array_like=True, order=True):
     """Identifies one migration.
 
-    The ids of one source only grow: its lease token, then a sequence within the lease.
+    The ids of one source increase: by its lease token, then by a sequence within the lease.
     """
 
     source: Identifier
@@ -51,9 +51,10 @@
 
 
 class TransferredMessage(msgspec.Struct, frozen=True, array_like=True):
-    """A message as it is transferred.
+    """A message of a session that is migrated.
 
-    `executed_at_us` is when it may first have been executed; None: it cannot have been.
+    `executed_at_us` is the earliest time at which it may have been executed; None: it has
+    not been executed.
     """
 
     id: Identifier
@@ -82,9 +83,9 @@
 def with_relative_times(
     message: TransferredMessage, zero_us: int
 ) -> TransferredMessage:
-    """Return a message with its times counted from `zero_us`.
+    """Return a message with its times relative to `zero_us`.
 
-    That is when the other side's stamp arrived, by the local clock.
+    `zero_us` is when the other side's stamp arrived, by the local clock.
     """
     executed_at_us = message.executed_at_us
     if executed_at_us is not None:
@@ -101,9 +102,9 @@
 ) -> TransferredMessage:
     """Return a message with its times by the local clock.
 
-    `stamp_us` is the stamp that its times count from. The other side got it later than
-    it was given, so no time comes out later than it is; `drift`, a fraction, allows for
-    the rates of two clocks.
+    `stamp_us` is the local time that was sent as the stamp. The other side received the
+    stamp later than that, so no result is later than the true time. `drift`, a fraction,
+    allows for different rates of the two clocks.
     """
     executed_at_us = message.executed_at_us
     if executed_at_us is not None:
@@ -116,12 +117,12 @@
 
 
 def to_local_time(relative_us: int, stamp_us: int, drift: float) -> int:
-    """Return a time by the local clock, early by what two clocks may drift apart."""
+    """Convert a relative time to the local clock, earlier by the possible clock drift."""
     return stamp_us + relative_us - round(abs(relative_us) * drift)
 
 
 class CopyContent(NamedTuple):
-    """What one part of a session's copy holds."""
+    """The content of one part of a session's copy."""
 
     items: tuple[TransferredMessage, ...]
     remembered_ids: tuple[str, ...]
@@ -130,9 +131,9 @@
 def split_into_parts(
     items: Iterable[TransferredMessage], remembered_ids: Iterable[str]
 ) -> Iterator[CopyContent]:
-    """Yield a session's copy in parts that each fit a frame, in order.
+    """Yield a session's copy in order, in parts that each fit a frame.
 
-    Remembered ids come first. An empty session is one empty part.
+    Remembered ids precede the messages. An empty session yields one empty part.
     """
     messages: list[TransferredMessage] = []
     ids: list[str] = []
--- a/rainfall/session/migration_manager.py
+++ b/rainfall/session/migration_manager.py
@@ -1,7 +1,7 @@
-"""All migrations of one forwarder: the side that an event is for, limits and recovery.
+"""All migrations of one forwarder: dispatch of events, limits and recovery.
 
-The caller carries out the actions, calls `tick` every `retry_us` and reports events. All
-times are microseconds of the forwarder's clock.
+The caller reports events, carries out the actions returned and calls `tick` every
+`retry_us`. All times are microseconds of the forwarder's clock.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from rainfall.session.states import Actions, Limits, MigrationState
 
 MAX_FINISHED_MIGRATIONS = 10_000
-"""Finished migrations that are remembered, of the whole fleet's; 250 bytes each."""
+"""Most finished migrations that are remembered, of all members; 250 bytes each."""
 NO_KEY = ""
-"""In place of an order key, where an action is about no session."""
+"""Stands for the order key in an action that concerns no session."""
 KeyedAction = tuple[str, s.Action]
 """An action with the order key of its session."""
 KeyedActions = list[KeyedAction]
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class MigrationManager:
-    """The migrations from this forwarder and to it."""
+    """The outgoing and incoming migrations of this forwarder."""
 
     name: str
     limits: Limits
@@ -39,14 +39,14 @@
     outgoing: dict[w.MigrationId, MigrationSource] = field(default_factory=dict)
     incoming: dict[w.MigrationId, MigrationTarget] = field(default_factory=dict)
     refused_up_to: dict[str, w.MigrationId] = field(default_factory=dict)
-    """By source: up to this migration no unknown one is accepted."""
+    """By source: offers of unknown migrations up to this id are declined."""
     finished: dict[w.MigrationId, bool] = field(default_factory=dict)
     """The newest finished migrations: True where the target owns the session, False where
-    it never will. Nothing is known, and nothing answered, of another one that is not
-    above `refused_up_to`.
+    it never will. The outcome of any other migration up to `refused_up_to` is unknown,
+    and queries about it get no answer.
     """
     migration_by_key: dict[str, w.MigrationId] = field(default_factory=dict)
-    """The sessions that are being migrated, by order key."""
+    """The migration in progress of each session, by order key."""
 
     # Outgoing migrations
 
@@ -62,8 +62,8 @@
     ) -> KeyedActions:
         """Offer a session to a target.
 
-        Nothing is done without a lease, at the limits `at_once` and `all_bytes`, or while
-        the session is being migrated.
+        Returns no actions without a lease, at the limits `at_once` and `all_bytes`, or
+        while the session is already being migrated.
         """
         if self.lease_token is None or key in self.migration_by_key:
             return []
@@ -94,9 +94,9 @@
     ) -> KeyedActions | None:
         """Handle an event of a session.
 
-        These are `SessionQuiesced`, `MessageArrived`, `ClientDisconnected`,
-        `ConnectionsClosed` and `CancelMigration`. Returns None where the session is not
-        being migrated from here: then the event is the engine's alone.
+        The event is `SessionQuiesced`, `MessageArrived`, `ClientDisconnected`,
+        `ConnectionsClosed` or `CancelMigration`. Returns None where the session is not
+        being migrated from here, so that only the engine handles the event.
         """
         if key not in self.migration_by_key:
             return None
@@ -105,12 +105,12 @@
             return None
         return self.handle_event(source, event, now_us)
 
-    # Events from outside
+    # Frames, records, leases and time
 
     def handle_frame(self, peer: str, frame: w.Frame, now_us: int) -> KeyedActions:
         """Handle a frame of the forwarder `peer`.
 
-        One about a migration that is not between the two is ignored.
+        A frame about a migration that is not between the two forwarders is ignored.
         """
         migration_id = frame.migration_id
         if migration_id.source == self.name:
@@ -128,7 +128,7 @@
         return self.handle_event(target, frame, now_us)
 
     def _answer_target(self, frame: w.Frame) -> KeyedActions:
-        """Answer a target that asks about a migration that is over here, or unknown."""
+        """Answer a target's query about a migration that is finished or unknown here."""
         if not isinstance(frame, (w.CopyStored, w.Activated)):
             return []
         migration_id = frame.migration_id
@@ -137,7 +137,7 @@
         return [(NO_KEY, s.Send(w.UnknownMigration(migration_id)))]
 
     def _handle_unknown(self, frame: w.Frame, now_us: int) -> KeyedActions:
-        """Handle a source's frame about a migration that this member does not have."""
+        """Handle a source's frame about a migration that is not in progress here."""
         match frame:
             case w.Offer():
                 return self._handle_offer(frame, now_us)
@@ -146,7 +146,7 @@
                 return [(NO_KEY, s.Send(decline))]
             case w.Abort() | w.Commit():
                 return self._answer_source(frame.migration_id, now_us)
-        # A tail message may have been accepted before the migration was forgotten, so it
+        # A tail message may have been accepted before the migration was dropped, so it
         # must not be rejected.
         return []
 
@@ -171,7 +171,7 @@
         return self._with_key(target, target.accept_offer(offer, now_us))
 
     def _answer_source(self, migration_id: w.MigrationId, now_us: int) -> KeyedActions:
-        """Answer a source that waits to learn whether the session was activated here."""
+        """Answer a source's query whether the session was activated here."""
         if migration_id in self.finished:
             answer: w.Frame = w.Aborted(migration_id)
             if self.finished[migration_id]:
@@ -186,7 +186,7 @@
         return refused_up_to is not None and migration_id <= refused_up_to
 
     def _rejection_reason(self, offer: w.Offer) -> str:
-        """Return why an offer is declined; empty where it is accepted."""
+        """Return the reason to decline an offer; empty where it is accepted."""
         if self.draining:
             return "draining"
         if self.lease_token is None:
@@ -209,7 +209,7 @@
     def handle_write_result(
         self, record: w.Record, ok: bool, now_us: int
     ) -> KeyedActions:
-        """Handle the result of a `PersistRecord`."""
+        """Handle the result of a `PersistRecord`; `ok`: the record is on disk."""
         migration_id = record.migration_id
         if ok and isinstance(record, (w.StoredRecord, w.RefusedRecord)):
             self._raise_refused_up_to(record)
@@ -227,7 +227,7 @@
         return self.outgoing.get(migration_id) or self.incoming.get(migration_id)
 
     def handle_verdict(self, verdict: s.Verdict, now_us: int) -> KeyedActions:
-        """Handle the arbiter's verdict."""
+        """Handle the arbiter's verdict on a migration."""
         side = self._find(verdict.migration_id)
         return [] if side is None else self.handle_event(side, verdict, now_us)
 
@@ -245,7 +245,7 @@
         return self._handle_all(s.LinkLost(), now_us, peer)
 
     def set_lease(self, lease_token: w.LeaseToken | None, now_us: int) -> KeyedActions:
-        """Note the lease that is held; None: it has expired by the local clock."""
+        """Set the lease that is held; None: it has expired by the local clock."""
         if lease_token == self.lease_token:
             return []
         self.lease_token = lease_token
@@ -254,7 +254,7 @@
         return self._handle_all(s.LeaseAcquired(lease_token), now_us)
 
     def start_draining(self, now_us: int) -> KeyedActions:
-        """Accept no more offers, and ask to abort what is copied and not committed."""
+        """Decline further offers, and request the abort of copies that are not committed."""
         self.draining = True
         return [
             action
@@ -263,7 +263,7 @@
         ]
 
     def tick(self, now_us: int) -> KeyedActions:
-        """Retry, and end what has timed out; to be called every `retry_us`."""
+        """Raise timeouts and retries of all migrations; to be called every `retry_us`."""
         return [
             action
             for side in self.migrations()
@@ -271,13 +271,13 @@
         ]
 
     def migrations(self) -> list[MigrationSource | MigrationTarget]:
-        """Return all migrations, those from here first."""
+        """Return all migrations, the outgoing ones first."""
         return [*self.outgoing.values(), *self.incoming.values()]
 
     def _handle_all(
         self, event: object, now_us: int, peer: str | None = None
     ) -> KeyedActions:
-        """Let all migrations handle an event, or only those with a peer."""
+        """Pass an event to all migrations, or only to those with a peer."""
         actions: KeyedActions = []
         for side in self.migrations():
             if peer is None or peer == _other_member(side):
@@ -287,13 +287,13 @@
     def handle_event(
         self, side: MigrationSource | MigrationTarget, event: object, now_us: int
     ) -> KeyedActions:
-        """Let one side of a migration handle an event."""
+        """Pass an event to one side of a migration."""
         return self._with_key(side, side.handle_event(event, now_us))
 
     def _with_key(
         self, side: MigrationSource | MigrationTarget, actions: Actions
     ) -> KeyedActions:
-        """Return a side's actions with its key; a side that has finished is dropped."""
+        """Return a side's actions with its key; drop a side that has finished."""
         if any(isinstance(action, s.MigrationFinished) for action in actions):
             self._drop(side)
         return [(side.key, action) for action in actions]
@@ -324,14 +324,14 @@
     def recover(
         self, records: Iterable[w.Record], now_us: int
     ) -> Mapping[str, MigrationState]:
-        """Restore the migrations from the journal's records, in their order.
+        """Restore the migrations from the journal's records, in the order written.
 
-        It is to be called before any event. Returns the state of each session that is
-        being migrated; the engine halts it, unless it comes here and is in the state
-        `tail`: then this member owns it for good.
+        To be called before any event. Returns the migration state of each session, by
+        order key. The engine halts each of these sessions, except an incoming one in the
+        state `tail`, which this member owns for good.
         """
         records_by_migration: dict[w.MigrationId, RecordsByType] = {}
-        # An earlier migration of the same key is over, whatever its last record is.
+        # An earlier migration of the same key has finished, whatever its last record.
         newest_by_key: dict[str, w.MigrationId] = {}
         for record in records:
             migration_id = record.migration_id
@@ -376,7 +376,7 @@
             self.migration_by_key[stored.key] = migration_id
 
     def checkpoint(self) -> list[w.Record]:
-        """Return what a compacted journal needs beside the open migrations' records."""
+        """Return the records a compacted journal needs beside those of open migrations."""
         return [
             w.RefusedRecord(migration_id)
             for _, migration_id in sorted(self.refused_up_to.items())
@@ -390,7 +390,7 @@
 
 
 def _is_targets_for_good(side: MigrationSource | MigrationTarget) -> bool:
-    """Whether the target owns the session of a finished side."""
+    """Whether the finished migration left the session with the target."""
     if isinstance(side, MigrationTarget):
         return side.ownership_final
     return side.state is MigrationState.DONE and not side.ownerless
--- a/rainfall/session/migration_policy.py
+++ b/rainfall/session/migration_policy.py
@@ -1,17 +1,16 @@
-"""Policy of migrations: when, which sessions, to which forwarder, how many at once.
+"""Migration policy: when, which sessions, to which forwarder, how many at once.
 
-It decides and does nothing itself. Several rules keep sessions from moving back and
-forth:
+The policy only returns plans. Several rules keep sessions from moving back and forth:
 
 - A session that arrived stays for `least_stay_ms`, and does not return to the site that
   it came from for `pause_ms`.
-- A site that sent sessions because it was over its budget gets none for that reason for
+- A site that sent sessions because of its load receives none for that reason for
   `pair_ms`.
 - Migration away from a loaded site begins at `over` and ends at `under`.
-- A site that drains, or whose report is old, gets nothing.
+- A forwarder that is draining, or whose report is outdated, receives no sessions.
 
-`MigrationPolicy.offer_rejection` applies the same rules at the target, so that of two
-sites that choose each other at the same moment both decline.
+`MigrationPolicy.offer_rejection` applies the same rules at the target, so if two sites
+choose each other at the same moment, both decline.
 """
 
 from __future__ import annotations
@@ -23,19 +22,19 @@
 from rainfall.session.config import SessionConfig
 
 Reason = Literal["drain", "out", "over", ""]
-"""Why sessions migrate: the forwarder drains, its site has no serving endpoints, or its
-load is over the limit; empty: they do not.
+"""Why sessions migrate: the forwarder is draining (`drain`), its site has no serving
+endpoints (`out`), or its load is over the limit (`over`); empty: none migrates.
 """
 REPORT_VALID_US = 3_000_000
-"""A peer's capacity report counts for so long."""
+"""Age at which a peer's capacity report becomes outdated."""
 US_PER_MS = 1_000
 NO_DEADLINE_US = 1 << 60
-"""Time left of a session without messages."""
+"""`shortest_time_left_us` of a session without messages."""
 
 
 @dataclass(frozen=True, slots=True)
 class CandidatePeer:
-    """A forwarder of another site, by the member list and its capacity report."""
+    """Another forwarder, by the member list and its capacity report."""
 
     name: str
     site: str
@@ -43,13 +42,13 @@
     draining: bool
     reported_at_us: int
     sessions: int
-    """How many more sessions it can take."""
+    """Sessions that it can still take."""
     bytes: int
-    """How many more bytes it can take."""
+    """Bytes that it can still take."""
     load: float
     """The used part of its budget."""
     endpoints: bool = True
-    """Whether endpoints of its site serve."""
+    """Whether its site has serving endpoints."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,33 +59,33 @@
     bytes: int
     messages: int
     arrived_at_us: int
-    """When it began here."""
+    """When it arrived or began here."""
     arrived_from: str = ""
-    """The site that it migrated from; empty where it began here."""
+    """The site that it migrated from; empty where it did not migrate."""
     load: float = 0.0
-    """Its part of this forwarder's budget."""
+    """The part of this forwarder's budget that it uses."""
     shortest_time_left_us: int = NO_DEADLINE_US
-    """Until the first of its messages expires."""
+    """Time until the first of its messages expires."""
 
 
 @dataclass(frozen=True, slots=True)
 class LocalStatus:
-    """This forwarder."""
+    """Site, load and state of this forwarder."""
 
     site: str
     draining: bool = False
-    """Whether it shuts down, or an operator drains it."""
+    """Whether it is shutting down, or an operator drains it."""
     load: float = 0.0
     """The used part of its budget."""
     endpoints: bool = True
-    """Whether endpoints of its site serve."""
+    """Whether its site has serving endpoints."""
     migrations_in_progress: int = 0
-    """Migrations from here."""
+    """Outgoing migrations that have not finished."""
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationPlan:
-    """A session to offer, and to whom."""
+    """A session to offer, and the forwarder to offer it to."""
 
     key: str
     target: str
@@ -96,7 +95,7 @@
 
 @dataclass(slots=True)
 class TargetCapacity:
-    """What a peer can take beside the sessions planned for it so far."""
+    """Remaining capacity of a peer, less the sessions already planned for it."""
 
     sessions: int
     bytes: int
@@ -109,7 +108,7 @@
         return self.load + session.load < load_limit
 
     def reserve(self, session: SessionStatus) -> None:
-        """Take off what a session needs."""
+        """Subtract the capacity that a session needs."""
         self.sessions -= 1
         self.bytes -= session.bytes
         self.load += session.load
@@ -117,7 +116,7 @@
 
 @dataclass(slots=True)
 class MigrationPolicy:
-    """The rules, and what they remember of earlier migrations.
+    """The rules, and their state from earlier migrations.
 
     All times are microseconds of one clock.
     """
@@ -125,16 +124,16 @@
     config: SessionConfig
     max_refusals: int = 10_000
     refused_until_us: dict[tuple[str, str], int] = field(default_factory=dict)
-    """Session and forwarder: no offer before that time."""
+    """By session and forwarder: no offer before this time."""
     no_return_until_us: dict[str, int] = field(default_factory=dict)
-    """Sites that sent sessions because they were over their limit: none returns for that
-    reason before that time.
+    """By site that sent sessions because of its load: none migrates there for that reason
+    before this time.
     """
     shedding: bool = False
-    """Whether the load has been over `over` and not yet below `under` again."""
+    """Whether the load has reached `over` and has not fallen below `under` since."""
 
     def reason(self, here: LocalStatus) -> Reason:
-        """Return the strongest reason to migrate sessions now."""
+        """Return the strongest reason to migrate sessions now, and update `shedding`."""
         begins = here.load >= self.config.over
         goes_on = self.shedding and here.load >= self.config.under
         self.shedding = begins or goes_on
@@ -151,10 +150,10 @@
         peers: Sequence[CandidatePeer],
         now_us: int,
     ) -> list[MigrationPlan]:
-        """Return what to offer now.
+        """Return the sessions to offer now, each with its target.
 
-        Small sessions come first, as they pause for the shortest time. Each is for the
-        neighbour of the lowest cost, and among these of the greatest capacity.
+        Small sessions come first, as they are frozen for the shortest time. The target is
+        the usable peer of the lowest cost, and among equals of the greatest capacity.
         """
         reason = self.reason(here)
         free = self.config.at_once - here.migrations_in_progress
@@ -237,9 +236,9 @@
     def offer_rejection(
         self, here: LocalStatus, site: str, reason: str, now_us: int
     ) -> str:
-        """Return why an offer of a site is declined; empty where it is not.
+        """Return the reason to decline an offer of a site; empty where it is accepted.
 
-        It is to be asked before the migration manager gets the offer.
+        To be called before the offer is passed to the migration manager.
         """
         if here.draining:
             return "draining"
@@ -252,7 +251,7 @@
         return ""
 
     def record_result(self, plan: MigrationPlan, taken: bool, now_us: int) -> None:
-        """Note how a migration ended; one that failed is not retried there for a while."""
+        """Record a migration's result; after a failure no offer there for `pause_ms`."""
         if taken:
             return
         self.refused_until_us = {
--- a/rainfall/session/migration_side.py
+++ b/rainfall/session/migration_side.py
@@ -1,4 +1,4 @@
-"""What the two sides of a migration have in common: states with time limits."""
+"""Base of the two sides of a migration: states with time limits."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     state_deadline_us: int | None
 
     def handle_event(self, event: object, now_us: int) -> Actions:
-        """Return what an event demands; one of no meaning in this state does nothing."""
+        """Return the actions for an event; an event without a handler is ignored."""
         raise NotImplementedError
 
     def _time_limits_us(self) -> dict[MigrationState, int]:
-        """Return the limits of the states that have one."""
+        """Return the time limits of the states that have one, in microseconds."""
         raise NotImplementedError
 
     def tick(self, now_us: int) -> Actions:
-        """Raise `Timeout` once the state's limit is over, and `Retry` otherwise.
+        """Raise `Timeout` once the state's time limit has passed, and `Retry` otherwise.
 
-        It is to be called every `retry_us`.
+        To be called every `retry_us`.
         """
         is_over = (
             self.state_deadline_us is not None and now_us >= self.state_deadline_us
--- a/rainfall/session/migration_source.py
+++ b/rainfall/session/migration_source.py
@@ -23,9 +23,9 @@
 
 @dataclass(slots=True)
 class MigrationSource(BufferedMessages, MigrationSide):
-    """The state of the source; each handler returns what is to be done, in order.
+    """The source as a state machine; each handler returns actions, in order.
 
-    Values of fields are never changed in place, so `copy.copy` makes an independent
+    Values of fields are never modified in place, so `copy.copy` makes an independent
     copy. All handlers take an event and the time now, in microseconds of the local clock.
     """
 
@@ -39,30 +39,33 @@
     state_deadline_us: int | None = None
     request: s.StartMigration = NO_REQUEST
     pending_record: w.Record | None = None
-    """A record that was to be written and is not known to be on disk."""
+    """The record whose write was requested and is not confirmed; None: there is none."""
     writing: bool = False
-    """Whether that record's write is under way."""
+    """Whether the write of `pending_record` is in progress."""
     cancel_requested: bool = False
-    """Whether the session is to be reclaimed once the seal is written."""
+    """Whether to abort the migration once the seal is written."""
     decided_by_arbiter: bool = False
-    """Whether the arbiter's verdict has decided who owns the session."""
+    """Whether the arbiter's verdict has decided the session's owner."""
     in_doubt: bool = False
-    """The session is committed, and the arbiter was asked, perhaps before a restart. A
-    question may reach it late, so from now on only its verdict counts: the source neither
-    releases the session nor commits it to another lease of the target by itself.
+    """Whether a committed source has, perhaps before a restart, requested a verdict.
+
+    The request may reach the arbiter late, so only its verdict counts from then on: the
+    source neither releases the session nor commits it to another lease of the target
+    without a verdict.
     """
     ownerless: bool = False
-    """Nobody could say who owns the session until its messages expired: neither side gets
-    it by this migration.
+    """Whether the owner was still undecided when the session's messages expired.
+
+    Neither side then owns the session by this migration.
     """
     target_activated: bool = False
-    """Whether the target has reported that it acts on the session."""
+    """Whether the target has reported that it has activated the session."""
     copy_parts: tuple[w.CopyPart, ...] = ()
     target_lease_token: w.LeaseToken | None = None
-    """The target's lease under which it last reported that it stores the copy."""
+    """The target's lease in its last report that the copy is stored."""
 
     def handle_event(self, event: object, now_us: int) -> Actions:
-        """Return what an event demands; one of no meaning in this state does nothing."""
+        """Return the actions for an event; an event without a handler is ignored."""
         handler = TRANSITIONS[self.state].get(type(event))
         return handler(self, event, now_us) if handler else ()
 
@@ -70,9 +73,9 @@
     def recover(
         record: w.SealedRecord, committed: bool, limits: Limits, now_us: int
     ) -> MigrationSource:
-        """Return the source after a restart, from its records.
+        """Restore the source from its records after a restart.
 
-        The session's messages stay with the engine, frozen.
+        The session's messages stay in the engine, frozen.
         """
         source = MigrationSource(
             record.migration_id, limits, key=record.key, target=record.target
@@ -97,7 +100,7 @@
         self.writing = True
         return (s.PersistRecord(record),)
 
-    # Before the seal: no copy has left, and the source may cancel by itself.
+    # Before the seal: no copy was sent, so the source can cancel without the target.
 
     def send_offer(self, event: object, now_us: int) -> Actions:
         """Offer the session, for the first time or again."""
@@ -116,19 +119,19 @@
         return (s.Send(offer),)
 
     def withdraw_offer(self, _event: object, now_us: int) -> Actions:
-        """Give up before the target has accepted."""
+        """Cancel the migration before the target has accepted."""
         self._enter(MigrationState.HELD, now_us)
         return s.Send(w.Decline(self.migration_id)), s.MigrationFinished()
 
     def freeze(self, event: w.Accept, now_us: int) -> Actions:
-        """Stop the session's calls: the target accepts the offer."""
+        """Freeze the session, as the target accepts the offer."""
         self.stamp_us = event.stamp_us
         self.heard_us = now_us
         self._enter(MigrationState.FROZEN, now_us)
         return (s.Freeze(),)
 
     def close_calls(self, _event: object, now_us: int) -> Actions:
-        """Close calls that have been in flight for too long."""
+        """Close the calls in flight once the session is frozen for `calls_us`."""
         frozen_us = now_us - self.state_entered_at_us
         rejected = self._reject_overdue(now_us)
         if self.pending_record is None and frozen_us >= self.limits.calls_us:
@@ -136,15 +139,15 @@
         return rejected
 
     def unfreeze(self, _event: object, now_us: int) -> Actions:
-        """Go on with the session, unless its seal may be on disk."""
+        """Cancel and resume the session, unless its seal may be on disk."""
         if self.pending_record is not None:
-            # From the seal on the target has to agree.
+            # Once the seal may be on disk, a cancellation needs the target's refusal.
             self.cancel_requested = True
             return ()
         return s.Send(w.Decline(self.migration_id)), *self._resume(now_us)
 
     def seal(self, event: s.SessionQuiesced, now_us: int) -> Actions:
-        """Make the copy and write the seal, or go on where the session is unfit."""
+        """Make the copy and write the seal, or resume a session unfit for migration."""
         if self.pending_record is not None:
             return ()
         if not self._is_fit(event, now_us):
@@ -166,7 +169,7 @@
         return self._write(w.SealedRecord(self.migration_id, self.key, self.target))
 
     def _is_fit(self, event: s.SessionQuiesced, now_us: int) -> bool:
-        """Whether the session is within its limits, and no message expires too soon."""
+        """Whether the session is within the limits, and no message expires too soon."""
         if len(event.items) > self.limits.session_messages:
             return False
         if sum(item.size for item in event.items) > self.limits.session_bytes:
@@ -174,10 +177,10 @@
         earliest_us = now_us + self.limits.least_left_us
         return all(item.deadline_us >= earliest_us for item in event.items)
 
-    # Sealed: the target may have a copy.
+    # After the seal: the target may have a copy.
 
     def record_persisted(self, event: s.RecordPersisted, now_us: int) -> Actions:
-        """Go on from a record that is on disk."""
+        """Take the step that depends on a record, which is on disk now."""
         if event.record != self.pending_record:
             return ()
         self.pending_record = None
@@ -218,9 +221,10 @@
         return (s.ConfirmVerdict(self.migration_id, "giver"),)
 
     def record_write_failed(self, event: s.RecordWriteFailed, now_us: int) -> Actions:
-        """Go on from a record that may be on disk or not.
+        """Handle a failed write, after which the record may be on disk or not.
 
-        A seal is harmless there; any other record is written until it surely is.
+        After a seal the session is resumed, as a seal on disk does no harm; any other
+        record is written again until it is confirmed.
         """
         if event.record != self.pending_record:
             return ()
@@ -231,22 +235,23 @@
         return self.unfreeze(event, now_us)
 
     def commit(self, event: w.CopyStored, _now_us: int) -> Actions:
-        """Write the commit: the target has the copy."""
+        """Write the commit, as the target has the copy."""
         self.target_lease_token = event.lease_token
         if self.pending_record is not None:
             return ()
         return self._write(w.CommittedRecord(self.migration_id))
 
     def _send_commit(self) -> Actions:
-        """Send the commit to the target's last known lease.
+        """Send the commit for the target's last known lease.
 
-        After a restart or a verdict none is known: then it only asks for an answer.
+        After a restart or a verdict no lease is known: the commit then matches none and
+        only prompts an answer.
         """
         lease_token = self.target_lease_token or NO_LEASE
         return (s.Send(w.Commit(self.migration_id, lease_token)),)
 
     def resend_commit(self, event: w.CopyStored, _now_us: int) -> Actions:
-        """Answer a target that asks who owns the session."""
+        """Answer a target's query about the session's owner."""
         if self.pending_record is not None:
             return ()
         if self.in_doubt and event.lease_token != self.target_lease_token:
@@ -261,7 +266,7 @@
         return (question,)
 
     def request_abort(self, event: object, now_us: int) -> Actions:
-        """Ask the target to refuse the session, unless the commit may be on disk."""
+        """Request that the target refuse the session, unless the commit may be on disk."""
         if self.pending_record is not None:
             return self.retry_pending(event, now_us)
         self.copy_parts = ()
@@ -269,19 +274,19 @@
         return (s.Send(w.Abort(self.migration_id)),)
 
     def resend_abort(self, _event: object, _now_us: int) -> Actions:
-        """Ask the target again to refuse the session."""
+        """Repeat the request that the target refuse the session."""
         return (s.Send(w.Abort(self.migration_id)),)
 
     def reclaim(self, _event: object, _now_us: int) -> Actions:
-        """Own the session again: the target has refused it."""
+        """Reclaim the session, which the target has refused."""
         if self.pending_record is not None:
             return ()
         return self._write(w.ReclaimedRecord(self.migration_id))
 
     def reclaim_in_doubt(self, _event: object, now_us: int) -> Actions:
-        """Own a committed session again, which the target does not have.
+        """Reclaim a committed session that the target does not own.
 
-        Nobody knows which of the copied messages it executed, so all are failed.
+        The target may have executed any of the copied messages, so all are failed.
         """
         if self.pending_record is not None:
             return ()
@@ -289,7 +294,7 @@
         return s.FailAll(), *self._write(w.ReclaimedRecord(self.migration_id))
 
     def release(self, event: w.Activated, now_us: int) -> Actions:
-        """Release the session, on which the target acts."""
+        """Release the session, which the target has activated."""
         if self.pending_record is not None:
             return ()
         self.stamp_us = event.stamp_us
@@ -303,7 +308,7 @@
         return self._write(w.ReleasedRecord(self.migration_id))
 
     def apply_verdict(self, event: s.Verdict, now_us: int) -> Actions:
-        """Follow the arbiter's verdict, unless one was followed or a write is pending."""
+        """Apply the arbiter's verdict, unless one was applied or a write is pending."""
         if self.pending_record is not None or event.ruling == "wait":
             return ()
         committed = self.state is MigrationState.COMMITTED
@@ -321,12 +326,12 @@
         if committed and self.target_activated:
             return self._write_release(now_us)
         if not committed:
-            # It needs no record: after a restart the arbiter rules the same.
+            # No record is needed: after a restart the arbiter returns the same verdict.
             self._enter(MigrationState.COMMITTED, now_us)
         return self._send_commit()
 
     def retry_pending(self, event: object, now_us: int) -> Actions:
-        """Send again what was not answered, and write again what may not be on disk."""
+        """Resend unanswered frames, and repeat a failed write."""
         rejected = self._reject_overdue(now_us)
         if self.pending_record is not None:
             if self.writing:
@@ -340,7 +345,7 @@
         return *rejected, *self._retry_in_doubt(event, now_us)
 
     def _retry_in_doubt(self, event: object, now_us: int) -> Actions:
-        """Ask the target again, and after `ask_us` the arbiter as well."""
+        """Query the target again, and after `ask_us` also the arbiter."""
         committed = self.state is MigrationState.COMMITTED
         resent = self._send_commit() if committed else self.resend_abort(event, now_us)
         if now_us - self.state_entered_at_us < self.limits.ask_us:
@@ -352,9 +357,9 @@
         return *resent, question
 
     def expire(self, event: object, now_us: int) -> Actions:
-        """End a doubt that has outlasted all messages of the session.
+        """Finish a migration whose owner is undecided after all its messages have expired.
 
-        What may be missing are failures that nobody was notified of.
+        Messages that still have no outcome are failed, so that their failure is notified.
         """
         if self.pending_record is not None:
             return self.retry_pending(event, now_us)
@@ -373,19 +378,19 @@
         )
 
     def confirm_release(self, event: object, now_us: int) -> Actions:
-        """Tell the target again that the session is released."""
+        """Repeat to the target that the session is released."""
         if isinstance(event, w.Activated):
             self.stamp_us = event.stamp_us
             self.heard_us = now_us
         return (s.Send(w.Released(self.migration_id)),)
 
     def end_tail(self, _event: object, now_us: int) -> Actions:
-        """End the tail once the buffer is empty: no more messages will arrive."""
+        """Finish the tail once the buffer is empty, as no more messages will arrive."""
         self.no_connections_left = True
         return self._forward_next(now_us)
 
     def finish_tail(self, _event: object, now_us: int) -> Actions:
-        """End the tail."""
+        """Send the end of the tail to the target and finish."""
         return s.Send(w.TailEnd(self.migration_id)), *self._finish(now_us)
 
     def _finish(self, now_us: int) -> Actions:
@@ -394,7 +399,10 @@
         self.in_flight = None
         self._enter(MigrationState.DONE, now_us)
         return (
-            *(s.RejectMessage(m.item.id, self.limits.refuse_us) for m in buffered),
+            *(
+                s.RejectMessage(message.item.id, self.limits.refuse_us)
+                for message in buffered
+            ),
             s.MigrationFinished(),
         )
 
--- a/rainfall/session/migration_target.py
+++ b/rainfall/session/migration_target.py
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True)
 class MigrationTarget(IncomingCopy):
-    """The state of the target; each handler returns what is to be done, in order.
+    """The target as a state machine; each handler returns actions, in order.
 
-    Values of fields are never changed in place, so `copy.copy` makes an independent
+    Values of fields are never modified in place, so `copy.copy` makes an independent
     copy. All handlers take an event and the time now, in microseconds of the local clock.
     """
 
     def handle_event(self, event: object, now_us: int) -> Actions:
-        """Return what an event demands; one of no meaning in this state does nothing."""
+        """Return the actions for an event; an event without a handler is ignored."""
         handler = TRANSITIONS[self.state].get(type(event))
         return handler(self, event, now_us) if handler else ()
 
@@ -39,10 +39,10 @@
         limits: Limits,
         now_us: int,
     ) -> MigrationTarget:
-        """Return the target after a restart, from its records.
+        """Restore the target from its records after a restart.
 
-        An activated session stays halted until this member is known to own it; one that
-        is finalized is owned. `number` is that of the last accepted tail message.
+        An activated session stays halted until its ownership is confirmed; a finalized
+        one is owned. `number` is that of the last accepted tail message, or 0.
         """
         target = MigrationTarget(
             record.migration_id,
@@ -70,7 +70,7 @@
     # Copied: the copy is on disk, and the source still owns the session.
 
     def report_copy_stored(self, _event: object, _now_us: int) -> Actions:
-        """Report the copy, which also asks who owns the session."""
+        """Report the stored copy; the frame also queries the session's owner."""
         if self.pending_records or self.lease_token is None:
             return ()
         return (s.Send(w.CopyStored(self.migration_id, self.lease_token)),)
@@ -78,8 +78,8 @@
     def fail_expired_message(self, event: s.MessageExpired, _now_us: int) -> Actions:
         """Fail a copied message that has expired.
 
-        Whoever owns the session, nobody may deliver it any more, and the source may have
-        crashed.
+        No owner of the session may deliver it any more, and the source may have crashed
+        before it could fail the message.
         """
         if all(item.id != event.id for item in self.items):
             return ()
@@ -87,14 +87,14 @@
         return (s.FailMessage(event.id),)
 
     def commit(self, event: w.Commit, now_us: int) -> Actions:
-        """Own the session, if the source committed to the lease that is held now."""
+        """Activate the session, if the source committed to the lease that is held now."""
         if event.lease_token != self.lease_token:
             return ()
         self.committed_lease_token = event.lease_token
         return self._activate(now_us)
 
     def take_ownership(self, _event: object, now_us: int) -> Actions:
-        """Own the session for good."""
+        """Activate the session with final ownership."""
         self.ownership_final = True
         return self._activate(now_us)
 
@@ -120,7 +120,7 @@
         return self.ownership_final or self.committed_lease_token == self.lease_token
 
     def ask_unknown_to_source(self, _event: object, _now_us: int) -> Actions:
-        """Ask the arbiter about a migration that the source has no record of.
+        """Request a verdict on a migration that the source has no record of.
 
         The source lost its journal, reclaimed the session by a verdict, or released it.
         """
@@ -135,10 +135,10 @@
         return (question,)
 
     def apply_verdict(self, event: s.Verdict, now_us: int) -> Actions:
-        """Follow the arbiter's verdict, unless the session is owned for good."""
+        """Apply the arbiter's verdict, unless ownership is final."""
         if event.ruling == "wait" or self.ownership_final:
             return ()
-        # In the tail the target acts on the source's commit to its present lease.
+        # In the tail the target acts on the source's commit to its current lease.
         is_acting = self.state is MigrationState.TAIL
         if is_acting and event.ruling != "taker":
             return ()
@@ -148,10 +148,10 @@
         return self.expire(event, now_us)
 
     def expire(self, event: object, now_us: int) -> Actions:
-        """Give up a session that is the source's, or that outlasted every answer.
+        """Refuse a session that the source owns, or whose owner stayed undecided too long.
 
-        Messages accepted since the activation are nobody else's, so they are failed; and
-        a source that reclaims an activated session fails the copied ones as well.
+        Messages accepted since the activation are stored only here, so they are failed; a
+        source that reclaims an activated session fails the copied ones as well.
         """
         refused = w.RefusedRecord(self.migration_id) in self.pending_records
         if self.ownership_final or refused:
@@ -160,9 +160,10 @@
         return *failed, *self.refuse(event, now_us)
 
     def refuse(self, _event: object, now_us: int) -> Actions:
-        """Write that the session will never be activated here."""
+        """Write the record that the session will never be activated here."""
         if self.state is MigrationState.OFFERED and self.pending_records:
-            # The copy may be on disk soon: a later request refuses it, written after it.
+            # The write of the copy is pending, and the refusal must be written after it:
+            # the source repeats its request.
             return ()
         record = w.RefusedRecord(self.migration_id)
         if record in self.pending_records and record not in self.failed_records:
@@ -173,19 +174,19 @@
         return self._write(record)
 
     def retry_writes(self, _event: object, _now_us: int) -> Actions:
-        """Write again what may not be on disk."""
+        """Write the records again whose write failed."""
         return tuple(
             action for record in self.failed_records for action in self._write(record)
         )
 
     def retry_and_ask(self, event: object, now_us: int) -> Actions:
-        """Ask the source again who owns the session, and after a time the arbiter."""
+        """Query the source again about the owner, and after `ask_us` also the arbiter."""
         if self.pending_records:
             return self.retry_writes(event, now_us)
         return *self.report_copy_stored(event, now_us), *self._ask_arbiter(now_us)
 
     def _ask_arbiter(self, now_us: int) -> Actions:
-        """Ask the arbiter once the source has had its time to answer."""
+        """Request a verdict once the source had `ask_us` to answer."""
         in_doubt_us = now_us - self.state_entered_at_us
         if self.ownership_final or in_doubt_us < self.limits.ask_us:
             return ()
@@ -198,13 +199,13 @@
         return (question,)
 
     def request_abort(self, _event: object, _now_us: int) -> Actions:
-        """Ask the source to keep the session: this member is draining."""
+        """Request that the source keep the session, as this member is draining."""
         return (s.Send(w.Decline(self.migration_id, "draining")),)
 
     # Records
 
     def record_persisted(self, event: s.RecordPersisted, now_us: int) -> Actions:
-        """Go on from a record that is on disk."""
+        """Take the step that depends on a record, which is on disk now."""
         if event.record not in self.pending_records:
             return ()
         self._drop_pending(event.record)
@@ -226,7 +227,9 @@
                 return self._confirm()
 
     def _drop_pending(self, record: w.Record) -> None:
-        self.pending_records = tuple(r for r in self.pending_records if r != record)
+        self.pending_records = tuple(
+            pending for pending in self.pending_records if pending != record
+        )
 
     def _import_session(self) -> Actions:
         imported = s.ImportSession(self.items, self.remembered_ids)
@@ -241,14 +244,14 @@
         return (s.ConfirmVerdict(self.migration_id, "taker"),)
 
     def record_write_failed(self, event: s.RecordWriteFailed, now_us: int) -> Actions:
-        """Go on from a record that may be on disk or not.
+        """Handle a failed write, after which the record may be on disk or not.
 
-        A copy that was not reported yet may be refused.
+        A copy is refused, as it was not reported to the source yet.
         """
         if event.record not in self.pending_records:
             return ()
         if isinstance(event.record, w.TailAcceptedRecord):
-            # The source gets no answer, so it sends the message again.
+            # Without an answer the source sends the message again.
             self._drop_pending(event.record)
             self.unconfirmed_number = event.record.number
             return ()
@@ -262,11 +265,11 @@
     # The tail
 
     def report_activated(self, _event: object, now_us: int) -> Actions:
-        """Report that this member acts on the session."""
+        """Report that this member has activated the session."""
         return (s.Send(w.Activated(self.migration_id, now_us)),)
 
     def retry_tail(self, event: object, now_us: int) -> Actions:
-        """Write and report again what is not answered."""
+        """Repeat failed writes, and until ownership is final also the activation report."""
         rewritten = self.retry_writes(event, now_us)
         if self.ownership_final:
             return rewritten
@@ -274,22 +277,25 @@
         return *rewritten, *reported, *self._ask_arbiter(now_us)
 
     def finalize(self, _event: object, _now_us: int) -> Actions:
-        """Own the session for good: the source has released it."""
+        """Make the ownership final, as the source has released the session."""
         if self.ownership_final:
             return ()
         self.ownership_final = True
         return self._write(w.FinalizedRecord(self.migration_id))
 
     def accept_tail_message(self, event: w.TailMessage, now_us: int) -> Actions:
-        """Accept a tail message, one at a time; a repeated one gets the same answer."""
+        """Accept a tail message, one at a time; a repeated one gets the same result."""
         if event.number < self.last_number:
             return ()
         if event.number == self.last_number:
             return (self._tail_result(event.number, self.last_outcome, now_us),)
         if event.stamp_us < self.started_at_us:
-            # It may be one that was rejected before the restart.
+            # The message may have been rejected before the restart.
             return (self._tail_result(event.number, "again", now_us),)
-        if any(isinstance(r, w.TailAcceptedRecord) for r in self.pending_records):
+        if any(
+            isinstance(pending, w.TailAcceptedRecord)
+            for pending in self.pending_records
+        ):
             return ()
         drift = self.limits.drift
         item = w.with_local_times(event.item, event.stamp_us, drift)
@@ -298,7 +304,7 @@
             record = w.TailAcceptedRecord(self.migration_id, event.number, item)
             return self._write(record)
         if event.number == self.unconfirmed_number:
-            # It may be on disk and be delivered after a restart: no rejection then.
+            # Not rejected: it may be on disk and be delivered after a restart.
             return ()
         self.last_number = event.number
         self.last_outcome = "refused"
@@ -313,7 +319,10 @@
         return s.Send(w.TailMessageResult(self.migration_id, number, outcome, now_us))
 
     def end_tail(self, event: object, now_us: int) -> Actions:
-        """End the tail; the source does so only after it has released the session."""
+        """Finish the tail, once ownership is final and no write is pending.
+
+        The source ends the tail only after it has released the session.
+        """
         if self.ownership_final and not self.pending_records:
             return self._finish(now_us)
         self._enter(MigrationState.TAIL, now_us)
@@ -324,7 +333,7 @@
     # The lease of this member
 
     def acquire_lease(self, event: s.LeaseAcquired, now_us: int) -> Actions:
-        """Go on under a new lease."""
+        """Set the new lease; activate an owned session, or query the owner of one in doubt."""
         self.lease_token = event.lease_token
         if self.state is MigrationState.COMMITTED and self.ownership_final:
             return self._activate(now_us)
@@ -333,15 +342,15 @@
         return ()
 
     def lose_lease(self, _event: object, _now_us: int) -> Actions:
-        """Note that no lease is held."""
+        """Clear the lease, and the commit that was bound to it."""
         self.lease_token = None
         self.committed_lease_token = None
         return ()
 
     def halt(self, event: object, now_us: int) -> Actions:
-        """Stop acting: without a lease the source may reclaim the session.
+        """Halt the session: without a lease here the source may reclaim it.
 
-        One that is owned for good only waits for the next lease.
+        A session whose ownership is final only waits for the next lease.
         """
         self.lose_lease(event, now_us)
         if self.ownership_final:
--- a/rainfall/session/protocol.py
+++ b/rainfall/session/protocol.py
@@ -1,7 +1,7 @@
-"""What the two sides of a migration send each other and write: all of it in one place.
+"""Names of the migration protocol, re-exported from the modules that define them.
 
-`messages` holds identifiers, messages and their times, `frames` what is sent, and
-`records` what is written.
+`messages` defines identifiers, messages and their times, `frames` the frames sent, and
+`records` the records written.
 """
 
 from __future__ import annotations
--- a/rainfall/session/records.py
+++ b/rainfall/session/records.py
@@ -1,6 +1,6 @@
-"""The records that the two sides of a migration write before they act on them.
+"""Records that the two sides of a migration write before they act on them.
 
-Each is an array on disk: its tag, the migration's id, then the fields in order.
+Each record is an array on disk: its tag, the migration's id, then the fields in order.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """What all records of a migration have."""
+    """Base of all records of a migration."""
 
     migration_id: MigrationId
 
@@ -33,7 +33,7 @@
 
 
 class ReleasedRecord(Record, frozen=True, tag="gone"):
-    """The source has released the session: its messages are the target's."""
+    """The source has released the session, whose messages the target owns."""
 
 
 class ReclaimedRecord(Record, frozen=True, tag="back"):
@@ -50,11 +50,11 @@
 
 
 class ActivatedRecord(Record, frozen=True, tag="began"):
-    """The target is about to act on the session."""
+    """The target is about to activate the session."""
 
 
 class FinalizedRecord(Record, frozen=True, tag="shut"):
-    """The target owns the session: the source can never reclaim it."""
+    """The target owns the session, and the source can never reclaim it."""
 
 
 class RefusedRecord(Record, frozen=True, tag="refused"):
@@ -91,6 +91,6 @@
     """Decode a record.
 
     Raises:
-        ValueError: The data is no record; msgspec's text names the field.
+        ValueError: The data is not a valid record; msgspec's text names the field.
     """
     return _decoder.decode(data)
--- a/rainfall/session/session_directory.py
+++ b/rainfall/session/session_directory.py
@@ -1,8 +1,7 @@
-"""Who owns a session: where a forwarder sends a message of a session it does not own.
+"""Directory of migrated sessions: the forwarder that owns each of them.
 
-What a forwarder has learned of a migration, as a side of it or from a peer, overrides
-the shard map until that knowledge expires. Of two owners the one after more migrations
-is the later.
+An entry, learned as a side of a migration or from a peer, overrides the shard map until
+it expires. Of two owners of a session the one after more migrations is the newer.
 """
 
 from __future__ import annotations
@@ -11,12 +10,12 @@
 from dataclasses import dataclass, field
 
 MAX_HOPS = 1
-"""Forwards behind the first: the shard map's owner may have migrated the session."""
+"""Forwards after the first: the shard map's owner may have migrated the session."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownOwner:
-    """The owner of a session after so many migrations."""
+    """The owner of a session after `migration_count` migrations, valid until a time."""
 
     owner: str
     migration_count: int
@@ -25,7 +24,7 @@
 
 @dataclass(slots=True)
 class SessionDirectory:
-    """The owners that the forwarder `name` knows."""
+    """The owners of migrated sessions, as recorded by the forwarder `name`."""
 
     name: str
     max_known_owners: int = 10_000
@@ -34,9 +33,9 @@
     def learn(
         self, key: str, owner: str, migration_count: int, valid_until_us: int
     ) -> bool:
-        """Note a session's owner; returns False where a later one is known.
+        """Record a session's owner; return False where a newer one is recorded.
 
-        At the limit the owner that was learned first is forgotten.
+        At `max_known_owners` the oldest entry is evicted.
         """
         known = self.known_owners.get(key)
         if known is not None and known.migration_count > migration_count:
@@ -54,14 +53,14 @@
         forwarded_by: tuple[str, ...],
         now_us: int,
     ) -> str | None:
-        """Return the forwarder that a message is for.
+        """Return the forwarder that has to handle a message.
 
         Args:
             key: The session's order key.
             shard_owner: The owner by the shard map.
-            forwarded_by: Who has forwarded the message so far, the first one first; no
-                forwarder gets it twice.
-            now_us: The time now.
+            forwarded_by: The forwarders that have forwarded the message, in order; none of
+                them receives it again.
+            now_us: The time now, in the clock of `valid_until_us`.
 
         Returns:
             This forwarder's own name where the message is to be accepted here; None where
--- a/rainfall/session/states.py
+++ b/rainfall/session/states.py
@@ -1,7 +1,4 @@
-"""The states of a migration, with its events, actions and limits.
-
-They stand in modules of their own; this one names them all for the two sides.
-"""
+"""The states of a migration; re-exports its events, actions and limits for both sides."""
 
 from __future__ import annotations
 
@@ -97,18 +94,18 @@
     """The states of either side; the values are those of docs/parts/session.md."""
 
     HELD = "held"
-    """The source owns the session and nothing is under way."""
+    """The source owns the session, and no migration is in progress."""
     OFFERED = "offered"
     """The source has offered the session; the target collects its copy."""
     FROZEN = "frozen"
-    """The source makes no more calls of the session."""
+    """The source starts no more calls of the session."""
     COPIED = "copied"
     """The target may have the copy on disk."""
     COMMITTED = "committed"
-    """The target is to own the session; the source has not released it yet."""
+    """The source has committed to the target, and has not released the session yet."""
     TAIL = "tail"
-    """The target owns the session; the source forwards what clients still send it."""
+    """The target owns the session; the source forwards messages that still arrive there."""
     DONE = "done"
     """This side is finished."""
     ABORTED = "aborted"
-    """The source is to keep the session; the target refuses it."""
+    """The source is to keep the session, and the target to refuse it."""
