--- a/rainfall/model_checker/__main__.py
+++ b/rainfall/model_checker/__main__.py
@@ -1,4 +1,4 @@
-"""Search a model deeper than the tests do.
+"""Search a model to a greater depth than the tests do.
 
 Usage: `python -m rainfall.model_checker MODULE:MODEL --depth N`.
 """
@@ -22,29 +22,31 @@
 def main(argv: list[str] | None = None) -> int:
     """Search a model and print the result.
 
-    Returns 0 where no invariant was violated, 1 with the steps to a violation, and 2 for
-    a call of no use.
+    Returns 0 where no invariant was violated, 1 with the steps to a violation, and 2
+    where the model cannot be built.
     """
     args = _parser().parse_args(argv)
     module, _, name = args.model.partition(":")
     try:
         model = getattr(importlib.import_module(module), name)()
     except (ImportError, AttributeError, TypeError, ValueError) as error:
-        print(f"model_checker: no model {args.model}: {error}", file=sys.stderr)
+        print(
+            f"model_checker: cannot build model {args.model}: {error}", file=sys.stderr
+        )
         return EXIT_USAGE
-    began_s = time.monotonic()
-    found = explore(model, args.depth, args.states)
-    _print_result(found, time.monotonic() - began_s)
-    return EXIT_VIOLATION if found.violation else EXIT_SOUND
+    started_at_s = time.monotonic()
+    result = explore(model, args.depth, args.states)
+    _print_result(result, time.monotonic() - started_at_s)
+    return EXIT_VIOLATION if result.violation else EXIT_SOUND
 
 
-def _print_result(found: SearchResult, took_s: float) -> None:
-    extent = "complete" if found.complete else f"whole to depth {found.depth}"
-    print(f"{found.states} states, {extent}, {took_s:.1f} s")
-    if not found.violation:
+def _print_result(result: SearchResult, duration_s: float) -> None:
+    extent = "complete" if result.complete else f"complete to depth {result.depth}"
+    print(f"{result.states} states, {extent}, {duration_s:.1f} s")
+    if not result.violation:
         return
-    print(f"broken: {found.violation}")
-    for number, step in enumerate(found.trace, 1):
+    print(f"violated: {result.violation}")
+    for number, step in enumerate(result.trace, 1):
         print(f"{number:4} {step}")
 
 
@@ -53,13 +55,18 @@
         prog="python -m rainfall.model_checker", description=__doc__
     )
     parser.add_argument(
-        "model", help="such as rainfall.lease.model:Leases, made without arguments"
+        "model",
+        help="MODULE:CLASS of a model that needs no arguments, "
+        "such as rainfall.session.model:FaultySessionMigrationModel",
     )
     parser.add_argument(
-        "--depth", type=int, default=DEFAULT_DEPTH, help="steps from the start"
+        "--depth",
+        type=int,
+        default=DEFAULT_DEPTH,
+        help="most steps from the initial state",
     )
     parser.add_argument(
-        "--states", type=int, default=DEFAULT_STATES, help="states at most"
+        "--states", type=int, default=DEFAULT_STATES, help="most states to visit"
     )
     return parser
 
--- a/rainfall/model_checker/network.py
+++ b/rainfall/model_checker/network.py
@@ -1,4 +1,4 @@
-"""The network of a model: messages may arrive in any order, be lost, or arrive twice."""
+"""Network of a model: messages may be reordered, lost or duplicated."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """A multiset of messages in transit; any of them may arrive next, however late."""
+    """A multiset of messages in transit; any of them may arrive next, with any delay."""
 
     in_transit: tuple[Hashable, ...] = ()
     max_in_transit: int = 4
-    """Bounds the search: a message that is sent beyond it is lost."""
+    """Bounds the search: a message sent at this limit is lost."""
     losses_left: int = 0
-    """Messages that may still be lost."""
+    """Number of messages that may still be lost."""
     duplicates_left: int = 0
-    """Messages that may still arrive twice."""
+    """Number of messages that may still arrive twice."""
 
     def send(self, message: Hashable) -> Network:
-        """Return the network with one more message, ordered by text."""
+        """Return the network with one more message; messages are sorted by their `repr`."""
         if len(self.in_transit) >= self.max_in_transit:
             return self
         return replace(
@@ -27,7 +27,7 @@
         )
 
     def arrivals(self) -> Iterator[tuple[Hashable, Network]]:
-        """Yield each message that may arrive now, and the network after it."""
+        """Yield each message that may arrive now, and the network afterwards."""
         for message, rest in self._distinct_messages():
             yield message, replace(self, in_transit=rest)
             if self.duplicates_left:
@@ -35,7 +35,7 @@
                 yield message, replace(self, duplicates_left=duplicates_left)
 
     def lost(self) -> Iterator[tuple[Hashable, Network]]:
-        """Yield each message that may be lost now, and the network after it."""
+        """Yield each message that may be lost now, and the network afterwards."""
         if not self.losses_left:
             return
         losses_left = self.losses_left - 1
@@ -43,7 +43,7 @@
             yield message, replace(self, in_transit=rest, losses_left=losses_left)
 
     def _distinct_messages(self) -> Iterator[tuple[Hashable, tuple[Hashable, ...]]]:
-        # Equal messages stand together, as the order is by text.
+        # Equal messages are adjacent, as messages are sorted by their `repr`.
         for index, message in enumerate(self.in_transit):
             if index == 0 or self.in_transit[index - 1] != message:
                 rest = self.in_transit[:index] + self.in_transit[index + 1 :]
--- a/rainfall/model_checker/search.py
+++ b/rainfall/model_checker/search.py
@@ -1,8 +1,8 @@
 """Breadth-first search of the states that a model can reach.
 
-A model drives the same state machines as the processes; it adds only what surrounds
-them: messages in transit, clocks, crashes. As the search is breadth first, the trace to
-a violation is the shortest there is.
+A model drives the same state machines as the processes and adds only their environment:
+messages in transit, clocks and crashes. As the search is breadth first, no shorter trace
+leads to a violation than the one returned.
 """
 
 from __future__ import annotations
@@ -18,50 +18,50 @@
 
 
 class Model(Protocol[StateType]):
-    """What is searched; states are never changed, and `steps` works on copies."""
+    """A model to search; states are never modified, and `steps` returns new ones."""
 
     def start(self) -> StateType:
         """Return the initial state."""
 
     def steps(self, state: StateType) -> Iterable[tuple[str, StateType]]:
-        """Return what can happen next: the name of each step, and the state after it."""
+        """Return the name of each possible step and the state after it."""
 
     def key(self, state: StateType) -> Hashable:
-        """Return a key that is equal for states that behave alike from here on.
+        """Return a key that is equal for states with the same further behaviour.
 
         It leaves out names, history and absolute times.
         """
 
     def broken(self, state: StateType) -> str:
-        """Return the invariant that is violated here; empty where all hold."""
+        """Return the invariant that is violated in a state; empty where all hold."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What a search found."""
+    """The result of a search."""
 
     states: int
     """Distinct states visited."""
     depth: int
-    """Every state that can be reached in so many steps was visited."""
+    """Every state reachable within this number of steps was visited."""
     complete: bool
-    """No state beyond those visited can be reached at any depth."""
+    """Whether all reachable states, at any depth, were visited."""
     violation: str = ""
     """The invariant that was violated; empty where none was."""
     trace: tuple[str, ...] = ()
-    """The steps from the start to the violation."""
+    """Names of the steps from the initial state to the violation."""
 
 
 class _Origin(NamedTuple):
-    """How a state was reached first: traces cost one entry a state."""
+    """The first step that reached a state; traces are rebuilt from one entry a state."""
 
     predecessor: int
-    """Number of the state before; -1 at the start."""
+    """Number of the preceding state; -1 for the initial state."""
     step: str
 
 
 class _Pending(NamedTuple, Generic[StateType]):
-    """A state whose steps are still to be followed."""
+    """A state whose steps are still to be explored."""
 
     number: int
     depth: int
@@ -71,7 +71,7 @@
 def explore(
     model: Model[StateType], depth: int, max_states: int = DEFAULT_STATE_LIMIT
 ) -> SearchResult:
-    """Visit the states within `depth` steps, until a violation or `max_states`."""
+    """Visit the states within `depth` steps, until a violation or `max_states` states."""
     first = model.start()
     if violation := model.broken(first):
         return SearchResult(1, 0, False, violation)
--- a/rainfall/session/model.py
+++ b/rainfall/session/model.py
@@ -1,13 +1,13 @@
 """The migration of one session, as a model for `rainfall.model_checker`.
 
-It has two migration managers, the arbiter, an unreliable link between them, disks that
-survive crashes, leases that expire, a message that arrives meanwhile and a call in
-flight.
-
-The messages must not be executed twice and have one order key, so the numbers of the
-calls have to rise: a repetition shows, and so does a wrong order. From each state that
-is reached the model also goes on without further faults: then one side has to own the
-session, and each accepted message has to have an outcome.
+The model has two migration managers, the arbiter, an unreliable link between them, disks
+that survive crashes, leases that expire, a message that arrives during the migration and
+a call in flight.
+
+The messages have one order key and must not be executed twice, so the numbers of the
+calls must increase; a repeated call or a wrong order violates the invariant. From each
+state reached, the model also runs on without further faults: at the end one side must own
+the session, and each accepted message must have an outcome.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 from rainfall.session.model_state import (
     ModelMessage,
     ModelState,
-    answered,
     concerns_arbiter,
-    end,
+    describe,
+    end_message,
     intern_message,
-    name_of,
+    record_answer,
 )
 
 MUTATIONS = (
-    "lets go early",
-    "begins early",
-    "forgets repeats",
-    "fate untold",
-    "tail overtakes",
+    "source releases before commit",
+    "target activates before commit",
+    "remembered ids omitted",
+    "executed times omitted",
+    "tail message overtakes",
     "stale commit",
-    "takes back alone",
-    "forgets refusals",
-    "late due",
-    "takes an old pass",
+    "source reclaims without refusal",
+    "target drops refusals",
+    "target expires late",
+    "outdated tail message accepted",
 )
 EVENT_BUDGET = {
     "give": 1,
@@ -59,8 +59,12 @@
     "due": 0,
     "amnesia": 0,
 }
-"""How often each event may happen. `late` is a time limit that is over, `due` a deadline
-of message 2 (there are 3), and `amnesia` a restart of the arbiter without its journal.
+"""How often each event may happen.
+
+`give` starts a migration, `late` is a time limit that has passed, `fault` a failed write,
+`arrive` a message of a client, `repeat` a repeated message, `full` exhausted capacity,
+`due` a deadline of message 2 (there are 3), and `amnesia` a restart of the arbiter without
+its journal. `crash_` and `lease_` events are of the source (`g`) or the target (`t`).
 """
 CRASH_EVENTS = ("crash_g", "crash_t", "lease_g", "lease_t", "due", "amnesia")
 WRITE_OUTCOMES = (
@@ -68,13 +72,13 @@
     ("not kept", False, False),
     ("not sure of", False, True),
 )
-"""The name of each outcome, whether it is reported as done, and whether the record
-reached the disk.
+"""Outcomes of a write: the name in steps, whether success is reported, and whether the
+record reached the disk.
 """
 
 
 class SessionMigrationModel(LivenessModel):
-    """A migration in which each event may happen so many times."""
+    """A migration in which each event may happen a limited number of times."""
 
     def __init__(
         self,
@@ -88,19 +92,19 @@
         begin: tuple[str, ...] = (),
         **counts: int,
     ) -> None:
-        """Make a model.
+        """Build the model.
 
         Args:
-            bug: One of `MUTATIONS`, which the search has to find; empty: none.
-            gone: The forwarder that may die for good; empty: none.
-            messages: Messages of the session.
-            most: Messages in transit.
-            losses: Messages that may be lost.
-            copies: Messages that may arrive twice.
-            begin: Names of the steps that have happened at the start.
+            bug: One of `MUTATIONS`, which a search must detect; empty: none.
+            gone: The forwarder that may crash and never restart; empty: none.
+            messages: Number of messages of the session.
+            most: Most messages in transit.
+            losses: Number of messages that may be lost.
+            copies: Number of messages that may arrive twice.
+            begin: Names of the steps taken before the initial state.
             counts: How often events may happen, by the names in `EVENT_BUDGET`.
         """
-        self.begin, self.bug, self.gone, self.ids = (
+        self.initial_steps, self.bug, self.gone, self.message_numbers = (
             begin,
             bug,
             gone,
@@ -110,144 +114,180 @@
             max_in_transit=most, losses_left=losses, duplicates_left=copies
         )
         if unknown := sorted(set(counts) - set(EVENT_BUDGET)):
-            raise ValueError(f"no such counts: {unknown}")
-        self.left = {
+            raise ValueError(f"unknown event names in counts: {unknown}")
+        self.initial_events = {
             **EVENT_BUDGET,
             **counts,
             "gone": int(bool(gone)),
             "leave": counts.get("arrive", 0),
         }
-        self.calm = not gone and not any(counts.get(n) for n in CRASH_EVENTS)
+        self.is_fault_free = not gone and not any(
+            counts.get(event) for event in CRASH_EVENTS
+        )
         super().__init__()
 
     def start(self) -> ModelState:
-        """Return the state after the steps of `begin`."""
-        sites = {
-            "g": ModelForwarder.of("g", True, self.ids),
-            "t": ModelForwarder.of("t", False),
+        """Return the state after the initial steps."""
+        forwarders = {
+            "g": ModelForwarder.initial("g", True, self.message_numbers),
+            "t": ModelForwarder.initial("t", False),
         }
-        state = ModelState(self.net, sites, promised=self.ids, events_left=self.left)
-        for step in self.begin:
+        state = ModelState(
+            self.net,
+            forwarders,
+            accepted=self.message_numbers,
+            events_left=self.initial_events,
+        )
+        for step in self.initial_steps:
             state = next(after for name, after in self.steps(state) if name == step)
         return state
 
     def steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
-        """Yield what can happen next: the name of each step, and the state after it."""
-        for _, name, after in self._all(state):
+        """Yield the name of each possible step and the state after it."""
+        for _, name, after in self._labelled_steps(state):
             yield name, after
 
-    # What can happen
+    # Possible steps
 
-    def _all(self, state: ModelState) -> Iterator[Step]:
+    def _labelled_steps(self, state: ModelState) -> Iterator[Step]:
         for message, net in state.net.arrivals():
             assert isinstance(message, ModelMessage)
-            to, what = message.content
+            receiver, content = message.content
             yield (
                 "fair",
-                f"{to} hears {name_of(what)}",
-                self._hear(state.fork(to), net, to, what),
+                f"{receiver} receives {describe(content)}",
+                self._deliver(state.fork(receiver), net, receiver, content),
             )
         for message, net in state.net.lost():
             assert isinstance(message, ModelMessage)
-            yield "foul", f"lost: {name_of(message.content)}", replace(state, net=net)
-        for n, at in state.forwarders.items():
-            yield from self._site(state, n, at) if at.alive else self._dead(state, n)
-        yield from self._around(state)
-
-    def _dead(self, state: ModelState, n: str) -> Iterator[Step]:
-        if self.gone != n or state.events_left["gone"]:
-            after = state.fork(n)
-            cut = after.forwarders[n].restart()
-            if cut is not None:
-                end(after, after.forwarders[n], cut, "failed")
-            self._join(after, n)
-            yield "fair", f"{n} starts again", after
-        if state.lease_state[n] == "held":
+            yield "foul", f"lost: {describe(message.content)}", replace(state, net=net)
+        for name, forwarder in state.forwarders.items():
+            yield from (
+                self._forwarder_steps(state, name, forwarder)
+                if forwarder.alive
+                else self._dead_steps(state, name)
+            )
+        yield from self._environment_steps(state)
+
+    def _dead_steps(self, state: ModelState, name: str) -> Iterator[Step]:
+        if self.gone != name or state.events_left["gone"]:
+            after = state.fork(name)
+            interrupted = after.forwarders[name].restart()
+            if interrupted is not None:
+                end_message(after, after.forwarders[name], interrupted, "failed")
+            self._acquire_lease(after, name)
+            yield "fair", f"{name} restarts", after
+        if state.lease_state[name] == "held":
             yield (
                 "fair",
-                f"{n}'s lease is lost",
-                replace(state, lease_state={**state.lease_state, n: "lost"}),
+                f"{name}'s lease expires at the arbiter",
+                replace(state, lease_state={**state.lease_state, name: "lost"}),
             )
 
-    def _site(self, state: ModelState, n: str, at: ModelForwarder) -> Iterator[Step]:
-        if at.writing:
-            for how, ok, reached in WRITE_OUTCOMES:
-                if ok or state.events_left["fault"]:
-                    after = state.fork(n, "" if ok else "fault")
-                    self._do(after, n, after.forwarders[n].write(ok, reached))
+    def _forwarder_steps(
+        self, state: ModelState, name: str, forwarder: ModelForwarder
+    ) -> Iterator[Step]:
+        if forwarder.writing:
+            for outcome, reported_ok, reached_disk in WRITE_OUTCOMES:
+                if reported_ok or state.events_left["fault"]:
+                    after = state.fork(name, "" if reported_ok else "fault")
+                    self._apply_actions(
+                        after,
+                        name,
+                        after.forwarders[name].finish_write(reported_ok, reached_disk),
+                    )
                     yield (
-                        "fair" if ok else "foul",
-                        f"{n}: {how} {name_of(at.writing[0])}",
+                        "fair" if reported_ok else "foul",
+                        f"{name}: {outcome} {describe(forwarder.writing[0])}",
                         after,
                     )
-        for kind, event in at.events():
+        for kind, event in forwarder.events():
             if kind != "fair" and not state.events_left[kind]:
                 continue
-            after = state.fork(n, "" if kind == "fair" else kind)
-            self._do(after, n, after.forwarders[n].tell(event))
-            yield kind, f"{n}: {type(event).__name__}", after
-        if at.call_in_flight is None and at.freezing:
-            after = state.fork(n)
-            self._do(
+            after = state.fork(name, "" if kind == "fair" else kind)
+            self._apply_actions(after, name, after.forwarders[name].handle(event))
+            yield kind, f"{name}: {type(event).__name__}", after
+        if forwarder.call_in_flight is None and forwarder.freezing:
+            after = state.fork(name)
+            self._apply_actions(
                 after,
-                n,
-                after.forwarders[n].quiet(
-                    self.bug == "fate untold", self.bug == "forgets repeats"
+                name,
+                after.forwarders[name].report_quiesced(
+                    self.bug == "executed times omitted",
+                    self.bug == "remembered ids omitted",
                 ),
             )
-            yield "fair", f"{n} is quiet", after
-        if at.call_in_flight is not None:
-            after = state.fork(n)
-            end(after, after.forwarders[n], at.call_in_flight, "delivered")
-            yield "fair", f"{n}'s call {at.call_in_flight} is delivered", after
-        elif at.queue and state.may_act(n):
-            after = state.fork(n)
-            self._release(after, n, after.forwarders[n])
-            yield "fair", f"{n} works on {at.queue[0][0]}", after
+            yield "fair", f"{name} is quiesced", after
+        if forwarder.call_in_flight is not None:
+            after = state.fork(name)
+            end_message(
+                after, after.forwarders[name], forwarder.call_in_flight, "delivered"
+            )
+            yield (
+                "fair",
+                f"{name}'s call {forwarder.call_in_flight} is delivered",
+                after,
+            )
+        elif forwarder.queue and state.may_act(name):
+            after = state.fork(name)
+            self._start_call(after, name, after.forwarders[name])
+            yield "fair", f"{name} starts call {forwarder.queue[0][0]}", after
         if (
-            n == "g"
-            and not at.may_act
+            name == "g"
+            and not forwarder.may_act
             and state.clock >= 2
-            and any(q[0] == 2 for q in at.queue)
+            and any(entry[0] == 2 for entry in forwarder.queue)
         ):
-            after = state.fork(n)
-            end(after, after.forwarders[n], 2, "failed")
-            yield "fair", "g ends 2 by its time", after
-        yield from self._harm(state, n, at)
-
-    def _harm(self, state: ModelState, n: str, at: ModelForwarder) -> Iterator[Step]:
-        if state.events_left[f"crash_{n}"]:
-            yield "foul", f"{n} dies", self._die(state, n, f"crash_{n}", False)
-            if at.writing:
+            after = state.fork(name)
+            end_message(after, after.forwarders[name], 2, "failed")
+            yield "fair", "g expires message 2", after
+        yield from self._fault_steps(state, name, forwarder)
+
+    def _fault_steps(
+        self, state: ModelState, name: str, forwarder: ModelForwarder
+    ) -> Iterator[Step]:
+        if state.events_left[f"crash_{name}"]:
+            yield (
+                "foul",
+                f"{name} crashes",
+                self._crash(state, name, f"crash_{name}", False),
+            )
+            if forwarder.writing:
                 yield (
                     "foul",
-                    f"{n} dies, its write done",
-                    self._die(state, n, f"crash_{n}", True),
+                    f"{name} crashes after its write",
+                    self._crash(state, name, f"crash_{name}", True),
                 )
-        if self.gone == n and state.events_left["gone"]:
-            yield "foul", f"{n} dies for good", self._die(state, n, "gone", False)
-        if state.lease_state[n] == "held":
-            if state.events_left[f"lease_{n}"]:
-                after = state.fork(n, f"lease_{n}")
-                after.lease_state[n] = "out"
-                self._do(
+        if self.gone == name and state.events_left["gone"]:
+            yield (
+                "foul",
+                f"{name} crashes for good",
+                self._crash(state, name, "gone", False),
+            )
+        if state.lease_state[name] == "held":
+            if state.events_left[f"lease_{name}"]:
+                after = state.fork(name, f"lease_{name}")
+                after.lease_state[name] = "out"
+                self._apply_actions(
                     after,
-                    n,
-                    after.forwarders[n].manager.set_lease(None, at.incarnation),
+                    name,
+                    after.forwarders[name].manager.set_lease(
+                        None, forwarder.incarnation
+                    ),
                 )
-                yield "foul", f"{n}'s lease is out by its clock", after
+                yield "foul", f"{name}'s lease expires by its clock", after
             return
-        if state.lease_state[n] == "out":
+        if state.lease_state[name] == "out":
             yield (
                 "foul",
-                f"{n}'s lease is lost",
-                replace(state, lease_state={**state.lease_state, n: "lost"}),
+                f"{name}'s lease expires at the arbiter",
+                replace(state, lease_state={**state.lease_state, name: "lost"}),
             )
-        after = state.fork(n)
-        self._join(after, n)
-        yield "fair", f"{n} joins again", after
+        after = state.fork(name)
+        self._acquire_lease(after, name)
+        yield "fair", f"{name} acquires a lease", after
 
-    def _around(self, state: ModelState) -> Iterator[Step]:
+    def _environment_steps(self, state: ModelState) -> Iterator[Step]:
         yield from self._operator_steps(state)
         yield from self._client_steps(state)
         yield from self._target_steps(state)
@@ -261,200 +301,237 @@
             and not state.forwarders["g"].manager.migration_by_key
         ):
             after = state.fork("g", "give")
-            self._do(after, "g", after.forwarders["g"].give())
-            yield "foul", "g gives", after
+            self._apply_actions(after, "g", after.forwarders["g"].start_migration())
+            yield "foul", "g starts the migration", after
 
     def _client_steps(self, state: ModelState) -> Iterator[Step]:
-        left = state.events_left
-        if state.client == "new" and left["arrive"]:
-            for n in "gt":
-                if state.forwarders[n].alive and (n == "g" or state.may_act("t")):
-                    after = state.fork(n, "arrive")
-                    self._arrive(after, n)
-                    yield "foul", f"3 is handed in at {n}", after
-        if state.client == "waits" and left["leave"]:
+        events_left = state.events_left
+        if state.client == "new" and events_left["arrive"]:
+            for name in "gt":
+                if state.forwarders[name].alive and (name == "g" or state.may_act("t")):
+                    after = state.fork(name, "arrive")
+                    self._submit(after, name)
+                    yield "foul", f"message 3 is submitted at {name}", after
+        if state.client == "waits" and events_left["leave"]:
             after = state.fork("g", "leave")
             after.client = "over"
-            self._do(after, "g", after.forwarders["g"].tell(s.ClientDisconnected("3")))
-            yield "foul", "3's client leaves", after
+            self._apply_actions(
+                after, "g", after.forwarders["g"].handle(s.ClientDisconnected("3"))
+            )
+            yield "foul", "client of message 3 disconnects", after
 
     def _target_steps(self, state: ModelState) -> Iterator[Step]:
-        left = state.events_left
-        t = state.forwarders["t"]
-        if left["repeat"] and state.may_act("t"):
+        events_left = state.events_left
+        target = state.forwarders["t"]
+        if events_left["repeat"] and state.may_act("t"):
             after = state.fork("t", "repeat")
-            if "0" not in t.remembered_ids:
-                after.forwarders["t"].queue = (*t.queue, (0, False))
-            yield "foul", "0 comes again at t", after
-        if left["full"] and t.manager.incoming:
+            if "0" not in target.remembered_ids:
+                after.forwarders["t"].queue = (*target.queue, (0, False))
+            yield "foul", "message 0 is repeated at t", after
+        if events_left["full"] and target.manager.incoming:
             after = state.fork("t", "full")
-            for core in after.forwarders["t"].manager.incoming.values():
-                core.out_of_capacity = True
-            yield "foul", "t has no room", after
+            for side in after.forwarders["t"].manager.incoming.values():
+                side.out_of_capacity = True
+            yield "foul", "t has no capacity", after
 
     def _arbiter_steps(self, state: ModelState) -> Iterator[Step]:
         if state.events_left["amnesia"]:
-            after = state.fork(spend="amnesia")
-            # Questions and answers end with the arbiter's process.
+            after = state.fork(event="amnesia")
+            # Requests and answers in transit are lost with the arbiter's process.
             in_transit = tuple(
-                m for m in state.net.in_transit if not concerns_arbiter(m)
+                message
+                for message in state.net.in_transit
+                if not concerns_arbiter(message)
             )
             after.net = replace(state.net, in_transit=in_transit)
             after.decisions = ()
             after.epoch = 2
-            yield "foul", "the arbiter forgets", after
+            yield "foul", "the arbiter restarts without its journal", after
 
     def _deadline_steps(self, state: ModelState) -> Iterator[Step]:
         if state.events_left["due"]:
             after = state.fork("t", "due")
             after.clock += 1
             if after.clock == 3 and state.forwarders["t"].alive:
-                self._do(after, "t", after.forwarders["t"].tell(s.MessageExpired("2")))
-            yield "foul", f"time {after.clock} of message 2", after
+                self._apply_actions(
+                    after, "t", after.forwarders["t"].handle(s.MessageExpired("2"))
+                )
+            yield "foul", f"deadline {after.clock} of message 2", after
 
-    # What follows
+    # Effects of steps
 
-    def _hear(self, state: ModelState, net: Network, to: str, what: Any) -> ModelState:
+    def _deliver(
+        self, state: ModelState, net: Network, receiver: str, content: Any
+    ) -> ModelState:
         state.net = net
-        if to == "a":
+        if receiver == "a":
             arbiter = Arbiter(
                 state.epoch, lambda name: state.lease_state[name] != "lost"
             )
             arbiter.decisions.update(state.decisions)
-            asker, ask = what
-            if isinstance(ask, s.ConfirmVerdict):
-                arbiter.confirm(ask)
-            elif state.lease_state[asker] == "held":
-                self._send(state, (asker, arbiter.decide(ask, 0)[0]))
+            sender, question = content
+            if isinstance(question, s.ConfirmVerdict):
+                arbiter.confirm(question)
+            elif state.lease_state[sender] == "held":
+                self._send(state, (sender, arbiter.decide(question, 0)[0]))
             state.decisions = tuple(arbiter.decisions.items())
-        elif state.forwarders[to].alive:
-            at = state.forwarders[to]
+        elif state.forwarders[receiver].alive:
+            forwarder = state.forwarders[receiver]
             if (
                 self.bug == "stale commit"
-                and isinstance(what, w.Commit)
-                and at.manager.lease_token
+                and isinstance(content, w.Commit)
+                and forwarder.manager.lease_token
             ):
-                what = w.Commit(what.migration_id, at.manager.lease_token)
-            self._do(state, to, at.hear(what))
+                content = w.Commit(content.migration_id, forwarder.manager.lease_token)
+            self._apply_actions(state, receiver, forwarder.receive(content))
         return state
 
-    def _do(self, state: ModelState, n: str, done: list[tuple[str, s.Action]]) -> None:
-        at = state.forwarders[n]
-        for _, action in done:
-            self._carry_out(state, n, at, action)
-        if self.bug == "forgets refusals":
-            at.manager.refused_up_to.clear()
-            at.manager.finished.clear()
-        if self.bug == "takes an old pass":
-            for target in at.manager.incoming.values():
+    def _apply_actions(
+        self, state: ModelState, name: str, actions: list[tuple[str, s.Action]]
+    ) -> None:
+        forwarder = state.forwarders[name]
+        for _, action in actions:
+            self._apply_action(state, name, forwarder, action)
+        if self.bug == "target drops refusals":
+            forwarder.manager.refused_up_to.clear()
+            forwarder.manager.finished.clear()
+        if self.bug == "outdated tail message accepted":
+            for target in forwarder.manager.incoming.values():
                 target.started_at_us = 0
 
-    def _carry_out(
-        self, state: ModelState, n: str, at: ModelForwarder, action: s.Action
+    def _apply_action(
+        self, state: ModelState, name: str, forwarder: ModelForwarder, action: s.Action
     ) -> None:
         match action:
             case s.Send(frame):
-                self._send(state, ("t" if n == "g" else "g", frame))
-                self._plant(state, n, at, frame)
+                self._send(state, ("t" if name == "g" else "g", frame))
+                self._apply_mutation(state, name, forwarder, frame)
             case s.AskArbiter() | s.ConfirmVerdict():
-                self._send(state, ("a", (n, action)))
-            case s.AcceptMessage(item, answer):
-                self._accept(state, at, item, answer)
+                self._send(state, ("a", (name, action)))
+            case s.AcceptMessage(item, answer_client):
+                self._accept(state, forwarder, item, answer_client)
             case s.AnswerAccepted() | s.RejectMessage():
-                answered(state, isinstance(action, s.AnswerAccepted))
-            case s.FailMessage(name):
-                end(state, at, int(name), "failed")
+                record_answer(state, isinstance(action, s.AnswerAccepted))
+            case s.FailMessage(message_id):
+                end_message(state, forwarder, int(message_id), "failed")
             case s.FailAll():
-                self._fail_all(state, at)
+                self._fail_all(state, forwarder)
             case _:
-                at.carry_out(action)
+                forwarder.apply_action(action)
 
     def _accept(
         self,
         state: ModelState,
-        at: ModelForwarder,
+        forwarder: ModelForwarder,
         item: w.TransferredMessage,
-        answer: bool,
+        answer_client: bool,
     ) -> None:
-        ahead = self.bug == "tail overtakes" and not answer
-        one = ((int(item.id), False),)
-        at.queue = (*one, *at.queue) if ahead else (*at.queue, *one)
-        if answer:
-            answered(state, True)
-
-    def _fail_all(self, state: ModelState, at: ModelForwarder) -> None:
-        if self.calm and at.queue:
-            state.violation = "messages are ended for nothing"
-        for number, _ in at.queue:
-            end(state, at, number, "failed")
-
-    def _plant(
-        self, state: ModelState, n: str, at: ModelForwarder, frame: w.Frame
+        is_put_first = self.bug == "tail message overtakes" and not answer_client
+        entry = ((int(item.id), False),)
+        forwarder.queue = (
+            (*entry, *forwarder.queue) if is_put_first else (*forwarder.queue, *entry)
+        )
+        if answer_client:
+            record_answer(state, True)
+
+    def _fail_all(self, state: ModelState, forwarder: ModelForwarder) -> None:
+        if self.is_fault_free and forwarder.queue:
+            state.violation = "messages are failed without a fault"
+        for number, _ in forwarder.queue:
+            end_message(state, forwarder, number, "failed")
+
+    def _apply_mutation(
+        self, state: ModelState, name: str, forwarder: ModelForwarder, frame: w.Frame
     ) -> None:
-        """Apply the mutations that show where a frame is sent."""
-        core: Any = at.manager.outgoing.get(
+        """Apply the mutations that act when a frame is sent."""
+        side: Any = forwarder.manager.outgoing.get(
             frame.migration_id
-        ) or at.manager.incoming.get(frame.migration_id)
-        if self.bug == "lets go early" and isinstance(frame, w.CopyPart):
-            at.queue = ()
+        ) or forwarder.manager.incoming.get(frame.migration_id)
+        if self.bug == "source releases before commit" and isinstance(
+            frame, w.CopyPart
+        ):
+            forwarder.queue = ()
         elif (
-            self.bug == "begins early"
+            self.bug == "target activates before commit"
             and isinstance(frame, w.CopyStored)
-            and core.items
+            and side.items
         ):
-            at.recall(core.items, core.remembered_ids)
-            at.may_act, core.items = True, ()
+            forwarder.import_session(side.items, side.remembered_ids)
+            forwarder.may_act, side.items = True, ()
         elif (
-            self.bug == "takes back alone"
+            self.bug == "source reclaims without refusal"
             and isinstance(frame, w.Abort)
-            and core.pending_record is None
+            and side.pending_record is None
         ):
-            self._do(state, n, [("", a) for a in core.reclaim(None, 0)])
+            self._apply_actions(
+                state, name, [("", action) for action in side.reclaim(None, 0)]
+            )
 
     def _send(self, state: ModelState, message: Hashable) -> None:
-        one = intern_message(message)
-        # A second equal message would add nothing that a duplicate does not.
-        if one not in state.net.in_transit:
-            state.net = state.net.send(one)
-
-    def _release(self, state: ModelState, n: str, at: ModelForwarder) -> None:
-        number, ran = at.queue[0]
-        up = (
+        interned = intern_message(message)
+        # A second equal message has no effect beyond that of a duplicate.
+        if interned not in state.net.in_transit:
+            state.net = state.net.send(interned)
+
+    def _start_call(
+        self, state: ModelState, name: str, forwarder: ModelForwarder
+    ) -> None:
+        number, may_be_executed = forwarder.queue[0]
+        is_expired = (
             number == 2
-            and state.clock >= {"g": 2, "t": 3 if self.bug == "late due" else 1}[n]
+            and state.clock
+            >= {"g": 2, "t": 3 if self.bug == "target expires late" else 1}[name]
         )
-        if ran or up:
-            end(state, at, number, "failed")
+        if may_be_executed or is_expired:
+            end_message(state, forwarder, number, "failed")
             return
-        if state.ends.get(number) == "failed":
-            state.violation = f"{number} is sent by {n} after its end was told"
-        at.call_in_flight, at.queue = number, ((number, True), *at.queue[1:])
-        state.sent = (*state.sent, number)
+        if state.outcomes.get(number) == "failed":
+            state.violation = (
+                f"{number} is sent to an endpoint by {name} after it failed"
+            )
+        forwarder.call_in_flight, forwarder.queue = (
+            number,
+            ((number, True), *forwarder.queue[1:]),
+        )
+        state.calls = (*state.calls, number)
 
-    def _arrive(self, state: ModelState, n: str) -> None:
+    def _submit(self, state: ModelState, name: str) -> None:
         state.client = "waits"
-        done = state.forwarders[n].arrive("3")
-        if done is None and state.may_act(n):
-            done = [("", s.AcceptMessage(w.TransferredMessage("3", "", 0, 100)))]
-        self._do(state, n, [("", s.RejectMessage("3", 0))] if done is None else done)
-
-    def _die(self, state: ModelState, n: str, spend: str, reached: bool) -> ModelState:
-        after = state.fork(n, spend)
-        after.forwarders[n].crash(reached)
-        after.client = "over" if n == "g" and after.client == "waits" else after.client
+        actions = state.forwarders[name].submit("3")
+        if actions is None and state.may_act(name):
+            actions = [("", s.AcceptMessage(w.TransferredMessage("3", "", 0, 100)))]
+        self._apply_actions(
+            state, name, [("", s.RejectMessage("3", 0))] if actions is None else actions
+        )
+
+    def _crash(
+        self, state: ModelState, name: str, event: str, writes_reached_disk: bool
+    ) -> ModelState:
+        after = state.fork(name, event)
+        after.forwarders[name].crash(writes_reached_disk)
+        after.client = (
+            "over" if name == "g" and after.client == "waits" else after.client
+        )
         return after
 
-    def _join(self, state: ModelState, n: str) -> None:
-        at = state.forwarders[n]
-        at.incarnation += 1
-        state.lease_state[n] = "held"
-        self._do(state, n, at.manager.set_lease((1, at.incarnation), at.incarnation))
+    def _acquire_lease(self, state: ModelState, name: str) -> None:
+        forwarder = state.forwarders[name]
+        forwarder.incarnation += 1
+        state.lease_state[name] = "held"
+        self._apply_actions(
+            state,
+            name,
+            forwarder.manager.set_lease(
+                (1, forwarder.incarnation), forwarder.incarnation
+            ),
+        )
 
 
 class FaultySessionMigrationModel(SessionMigrationModel):
-    """The model for `python -m rainfall.model_checker`.
+    """The model for `python -m rainfall.model_checker`, which passes no arguments.
 
-    Either side may crash, the target's lease may expire, and a write may fail.
+    Either side may crash, the target's lease may expire, a write may fail, and a message
+    may arrive.
     """
 
     def __init__(self) -> None:
--- a/rainfall/session/model_forwarder.py
+++ b/rainfall/session/model_forwarder.py
@@ -1,6 +1,6 @@
 """A forwarder in the model of a migration.
 
-It has the real migration manager, and the least engine and disk that can fail.
+It has the real migration manager, and a minimal engine and disk that can fail.
 """
 
 from __future__ import annotations
@@ -37,92 +37,104 @@
 _getters: dict[tuple[type, tuple[str, ...]], Callable[[Any], tuple[Any, ...]]] = {}
 
 
-def _getter(cls: type, but: tuple[str, ...] = ()) -> Callable[[Any], tuple[Any, ...]]:
-    if (cls, but) not in _getters:
-        _getters[cls, but] = attrgetter(
-            *(f.name for f in fields(cls) if f.name not in but)
+def _getter(
+    cls: type, excluded: tuple[str, ...] = ()
+) -> Callable[[Any], tuple[Any, ...]]:
+    if (cls, excluded) not in _getters:
+        _getters[cls, excluded] = attrgetter(
+            *(
+                field_info.name
+                for field_info in fields(cls)
+                if field_info.name not in excluded
+            )
         )
-    return _getters[cls, but]
+    return _getters[cls, excluded]
 
 
-def _copy(one: CopiedType) -> CopiedType:
-    """Copy a dataclass; the search does it millions of times, and copy.copy is slower."""
-    return type(one)(*_getter(type(one))(one))
+def _copy(instance: CopiedType) -> CopiedType:
+    """Copy a dataclass. A search does so millions of times, and `copy.copy` is slower."""
+    return type(instance)(*_getter(type(instance))(instance))
 
 
-_numbers: dict[Hashable, int] = {}
+_key_numbers: dict[Hashable, int] = {}
 
 
-def _alike(key: Hashable) -> int:
-    """Return one number for all equal keys, so that a key is hashed only once."""
-    return _numbers.setdefault(key, len(_numbers))
+def _intern_key(key: Hashable) -> int:
+    """Return the same number for all equal keys, so that each key is hashed only once."""
+    return _key_numbers.setdefault(key, len(_key_numbers))
 
 
 @dataclass(slots=True)
 class ModelForwarder:
-    """One forwarder, as far as the migration concerns it."""
+    """One forwarder, reduced to the parts that a migration uses."""
 
     name: str
     incarnation: int = 1
-    """Also its clock: the migration only compares stamps of this start with those of the
-    one before.
+    """Number of this process's start or lease; also its clock, as a migration only compares
+    stamps of this start with those of the one before.
     """
     may_act: bool = False
-    """Whether its engine may begin a call of the session, if the lease allows it."""
+    """Whether its engine may start calls of the session while it holds a lease."""
     alive: bool = True
     freezing: bool = False
     call_in_flight: int | None = None
     queue: tuple[tuple[int, bool], ...] = ()
-    """On disk: messages in order, and whether each may have been executed."""
+    """The messages on disk in order, each with whether it may have been executed."""
     remembered_ids: tuple[str, ...] = ()
     disk: tuple[w.Record, ...] = ()
     unapplied: tuple[w.Record, ...] = ()
-    """Records on disk that the engine has not acted on: a restart will."""
+    """Records on disk that the engine has not applied; a restart applies them."""
     writing: tuple[w.Record, ...] = ()
     owned_at_start: bool = False
-    """Whether the session began here."""
+    """Whether it owned the session in the initial state."""
     manager: MigrationManager = field(
         default_factory=lambda: MigrationManager("", LIMITS)
     )
     cached_key: Hashable = None
 
     @staticmethod
-    def of(name: str, owns: bool, ids: tuple[int, ...] = ()) -> ModelForwarder:
-        """Return a forwarder at the start, with these messages if it owns the session."""
+    def initial(
+        name: str, owns_session: bool, message_numbers: tuple[int, ...] = ()
+    ) -> ModelForwarder:
+        """Return a forwarder in the initial state, with messages if it owns the session."""
         return ModelForwarder(
             name,
-            may_act=owns,
-            queue=tuple((i, False) for i in ids),
-            remembered_ids=("0",) if owns else (),
-            owned_at_start=owns,
+            may_act=owns_session,
+            queue=tuple((number, False) for number in message_numbers),
+            remembered_ids=("0",) if owns_session else (),
+            owned_at_start=owns_session,
             manager=MigrationManager(name, LIMITS, lease_token=(1, 1)),
         )
 
     def fork(self) -> ModelForwarder:
-        """Return a copy that may be changed."""
-        twin, manager = _copy(self), _copy(self.manager)
-        manager.outgoing = {h: _copy(c) for h, c in manager.outgoing.items()}
-        manager.incoming = {h: _copy(c) for h, c in manager.incoming.items()}
+        """Return a copy that may be modified."""
+        copied, manager = _copy(self), _copy(self.manager)
+        manager.outgoing = {
+            migration_id: _copy(side) for migration_id, side in manager.outgoing.items()
+        }
+        manager.incoming = {
+            migration_id: _copy(side) for migration_id, side in manager.incoming.items()
+        }
         manager.refused_up_to, manager.migration_by_key, manager.finished = (
             dict(manager.refused_up_to),
             dict(manager.migration_by_key),
             dict(manager.finished),
         )
-        twin.manager, twin.cached_key = manager, None
-        return twin
+        copied.manager, copied.cached_key = manager, None
+        return copied
 
     def key(self) -> Hashable:
-        """Return a key that is equal for forwarders that behave alike.
+        """Return a key that is equal for forwarders with the same behaviour.
 
-        It is made once: a forwarder of a state that others can see never changes.
+        It is computed once: the forwarder of a state that was returned is never modified.
         """
         if self.cached_key is None:
             manager = self.manager
-            cores = tuple(
-                (c.migration_id, _getter(type(c), FIELDS_NOT_COMPARED)(c))
-                for c in manager.migrations()
+            sides = tuple(
+                (side.migration_id, _getter(type(side), FIELDS_NOT_COMPARED)(side))
+                for side in manager.migrations()
             )
-            self.cached_key = _alike(
+            self.cached_key = _intern_key(
                 (
                     self.incarnation,
                     self.may_act,
@@ -134,7 +146,7 @@
                     self.disk,
                     self.unapplied,
                     self.writing,
-                    cores,
+                    sides,
                     tuple(manager.refused_up_to.items()),
                     tuple(manager.finished.items()),
                     manager.lease_token,
@@ -145,79 +157,92 @@
 
     # Events of the migration manager
 
-    def give(self) -> KeyedActions:
-        """Start the migration."""
+    def start_migration(self) -> KeyedActions:
+        """Start the migration of the session to the target."""
         return self.manager.start_migration(
             KEY, "t", "a", "test", 1, s.StartMigration(), self.incarnation
         )
 
-    def hear(self, what: object) -> KeyedActions:
-        """Handle a verdict or a frame of the other side."""
-        if isinstance(what, s.Verdict):
-            return self.manager.handle_verdict(what, self.incarnation)
-        assert isinstance(what, w.Frame)
+    def receive(self, content: object) -> KeyedActions:
+        """Handle a verdict, or a frame of the other side."""
+        if isinstance(content, s.Verdict):
+            return self.manager.handle_verdict(content, self.incarnation)
+        assert isinstance(content, w.Frame)
         return self.manager.handle_frame(
-            "t" if self.name == "g" else "g", what, self.incarnation
+            "t" if self.name == "g" else "g", content, self.incarnation
         )
 
-    def arrive(self, name: str) -> KeyedActions | None:
+    def submit(self, message_id: str) -> KeyedActions | None:
         """Handle a client's message; None where the session is not being migrated."""
         return self.manager.handle_session_event(
             KEY,
-            s.MessageArrived(w.TransferredMessage(name, "", 0, 100), self.incarnation),
+            s.MessageArrived(
+                w.TransferredMessage(message_id, "", 0, 100), self.incarnation
+            ),
             self.incarnation,
         )
 
-    def tell(self, event: object) -> KeyedActions:
-        """Handle any other event."""
+    def handle(self, event: object) -> KeyedActions:
+        """Handle an event of the session, or one for all migrations."""
         if isinstance(event, (s.Retry, s.Timeout, s.MessageExpired)):
             return [
-                a
-                for c in self.manager.migrations()
-                for a in self.manager.handle_event(c, event, self.incarnation)
+                action
+                for side in self.manager.migrations()
+                for action in self.manager.handle_event(side, event, self.incarnation)
             ]
         return self.manager.handle_session_event(KEY, event, self.incarnation) or []
 
-    def quiet(self, fateless: bool, forgetful: bool) -> KeyedActions:
-        """Report that no call is in flight; the parameters are mutations of the model."""
+    def report_quiesced(
+        self, omit_executed_times: bool, omit_remembered_ids: bool
+    ) -> KeyedActions:
+        """Report that no call is in flight; the parameters switch mutations on."""
         items = tuple(
             w.TransferredMessage(
-                str(n), "", 0, 100, executed_at_us=0 if ran and not fateless else None
+                str(number),
+                "",
+                0,
+                100,
+                executed_at_us=0
+                if may_be_executed and not omit_executed_times
+                else None,
             )
-            for n, ran in self.queue
+            for number, may_be_executed in self.queue
         )
         self.freezing = False
-        return self.tell(
-            s.SessionQuiesced(items, () if forgetful else self.remembered_ids)
+        return self.handle(
+            s.SessionQuiesced(items, () if omit_remembered_ids else self.remembered_ids)
         )
 
     def events(self) -> Iterator[tuple[str, object]]:
-        """Yield the events that may come by themselves, each with the kind of its step.
+        """Yield the events that no message causes, each with the kind of its step.
 
-        Time limits that no message outlives are left out.
+        Time limits longer than the lifetime of any message are left out.
         """
         if self.manager.migrations():
             yield "retry", s.Retry()
-        limited = [
+        states_with_timeout = [
             s.MigrationState.OFFERED,
             s.MigrationState.TAIL,
             s.MigrationState.FROZEN,
             s.MigrationState.COPIED,
         ]
-        if any(c.state in limited for c in self.manager.outgoing.values()) or any(
-            c.state in limited[:2] for c in self.manager.incoming.values()
+        if any(
+            side.state in states_with_timeout for side in self.manager.outgoing.values()
+        ) or any(
+            side.state in states_with_timeout[:2]
+            for side in self.manager.incoming.values()
         ):
             yield "late", s.Timeout()
         if any(
-            c.state is s.MigrationState.TAIL and not c.no_connections_left
-            for c in self.manager.outgoing.values()
+            side.state is s.MigrationState.TAIL and not side.no_connections_left
+            for side in self.manager.outgoing.values()
         ):
             yield "fair", s.ConnectionsClosed()
 
-    # Actions that concern this forwarder alone
+    # Actions on this forwarder
 
-    def carry_out(self, action: s.Action) -> None:
-        """Do what the migration manager demands of the engine and the disk."""
+    def apply_action(self, action: s.Action) -> None:
+        """Carry out an action of the migration manager on the engine or the disk."""
         match action:
             case s.PersistRecord(record):
                 self.writing = (*self.writing, record)
@@ -229,59 +254,65 @@
                 self.may_act = False
             case s.Resume():
                 self.may_act, self.freezing = True, False
-            case s.ImportSession(items, memory):
-                self.recall(items, memory)
+            case s.ImportSession(items, remembered_ids):
+                self.import_session(items, remembered_ids)
             case s.ReleaseSession():
                 self.queue = ()
 
-    def recall(
-        self, items: tuple[w.TransferredMessage, ...], memory: tuple[str, ...]
+    def import_session(
+        self, items: tuple[w.TransferredMessage, ...], remembered_ids: tuple[str, ...]
     ) -> None:
         """Restore messages and remembered ids from a copy."""
         self.queue = (
             *self.queue,
-            *((int(i.id), i.executed_at_us is not None) for i in items),
+            *((int(item.id), item.executed_at_us is not None) for item in items),
         )
-        self.remembered_ids = memory
+        self.remembered_ids = remembered_ids
 
     # The disk
 
-    def write(self, ok: bool, reached: bool) -> KeyedActions:
-        """End the first write: whether it is reported as done, and reached the disk."""
+    def finish_write(self, reported_ok: bool, reached_disk: bool) -> KeyedActions:
+        """Finish the oldest write.
+
+        `reported_ok`: it is reported as successful; `reached_disk`: the record is on disk.
+        """
         record, *rest = self.writing
         self.writing = tuple(rest)
-        if reached:
+        if reached_disk:
             self.disk = (*self.disk, record)
             self.unapplied = (
-                tuple(r for r in self.unapplied if r != record)
-                if ok
+                tuple(other for other in self.unapplied if other != record)
+                if reported_ok
                 else (*self.unapplied, record)
             )
-        return self.manager.handle_write_result(record, ok, self.incarnation)
+        return self.manager.handle_write_result(record, reported_ok, self.incarnation)
 
-    def crash(self, reached: bool) -> None:
-        """Lose what is in memory; `reached`: writes under way have reached the disk.
+    def crash(self, writes_reached_disk: bool) -> None:
+        """Lose all state in memory; optionally, writes in progress have reached the disk.
 
-        The queue is on disk as well, and so is what the records demand of it.
+        The queue is on disk, so changes to it that the records imply are applied here.
         """
-        if reached:
+        if writes_reached_disk:
             self.disk, self.unapplied = (
                 (*self.disk, *self.writing),
                 (*self.unapplied, *self.writing),
             )
         for record in self.unapplied:
             match record:
-                case w.ActivatedRecord(hand) if w.RefusedRecord(hand) not in self.disk:
+                case w.ActivatedRecord(migration_id) if (
+                    w.RefusedRecord(migration_id) not in self.disk
+                ):
                     stored = next(
-                        r
-                        for r in self.disk
-                        if isinstance(r, w.StoredRecord) and r.migration_id == hand
+                        other
+                        for other in self.disk
+                        if isinstance(other, w.StoredRecord)
+                        and other.migration_id == migration_id
                     )
                     if all(
-                        str(n) not in [i.id for i in stored.items]
-                        for n, _ in self.queue
+                        str(number) not in [copied.id for copied in stored.items]
+                        for number, _ in self.queue
                     ):
-                        self.recall(stored.items, stored.remembered_ids)
+                        self.import_session(stored.items, stored.remembered_ids)
                 case w.TailAcceptedRecord(_, _, item) if (
                     int(item.id),
                     False,
@@ -294,8 +325,8 @@
         self.manager = MigrationManager(self.name, LIMITS)
 
     def restart(self) -> int | None:
-        """Start again; returns the call that was in flight, if any."""
-        cut, self.call_in_flight, self.alive, self.may_act = (
+        """Restart; return the number of the call that was in flight, or None."""
+        interrupted, self.call_in_flight, self.alive, self.may_act = (
             self.call_in_flight,
             None,
             True,
@@ -307,4 +338,4 @@
                 record, (w.SealedRecord, w.ReclaimedRecord, w.FinalizedRecord)
             ):
                 self.may_act = not isinstance(record, w.SealedRecord)
-        return cut
+        return interrupted
--- a/rainfall/session/model_liveness.py
+++ b/rainfall/session/model_liveness.py
@@ -1,4 +1,4 @@
-"""What has to hold in the model of a migration, in each state and in the end."""
+"""Liveness check of the migration model: each state reached must settle correctly."""
 
 from __future__ import annotations
 
@@ -15,45 +15,47 @@
 Step = tuple[str, str, ModelState]
 """A step's kind, its name, and the state after it.
 
-Kinds are `fair` (happens by itself in the end), `retry`, `late` (happens when nothing
-else does) and `foul` (may happen).
+Kinds are `fair` (happens eventually), `retry`, `late` (a timeout, which happens when no
+other step does) and `foul` (a fault or an outside event, which need not happen).
 """
 REPEATED_STEPS = 50
-"""A run that has passed so many states again goes round without an end."""
+"""A run that has revisited more states than this is taken to loop forever."""
 
 
 class LivenessModel:
-    """A model whose invariants include that each state reached ends well."""
+    """A model whose invariants include that each state reached settles correctly."""
 
     def __init__(self) -> None:
-        self.good: set[Hashable] = set()
-        """Keys of states that are known to end well."""
+        self.settling_keys: set[Hashable] = set()
+        """Keys of states that are known to settle correctly."""
 
-    def _all(self, state: ModelState) -> Iterator[Step]:
+    def _labelled_steps(self, state: ModelState) -> Iterator[Step]:
         raise NotImplementedError
 
-    def _do(self, state: ModelState, n: str, done: list[tuple[str, s.Action]]) -> None:
+    def _apply_actions(
+        self, state: ModelState, name: str, actions: list[tuple[str, s.Action]]
+    ) -> None:
         raise NotImplementedError
 
     def key(self, state: ModelState) -> Hashable:
-        """Return a key that is equal for states that behave alike."""
+        """Return a key that is equal for states with the same behaviour."""
         return (
-            self._core(state),
+            self._behaviour_key(state),
             state.net.losses_left,
             state.net.duplicates_left,
             tuple(state.events_left.values()),
         )
 
-    def _core(self, state: ModelState) -> Hashable:
+    def _behaviour_key(self, state: ModelState) -> Hashable:
         return (
             state.net.in_transit,
             state.decisions,
             state.forwarders["g"].key(),
             state.forwarders["t"].key(),
             tuple(state.lease_state.values()),
-            state.sent,
-            tuple(sorted(state.ends.items())),
-            state.promised,
+            state.calls,
+            tuple(sorted(state.outcomes.items())),
+            state.accepted,
             state.client,
             state.clock,
             state.violation,
@@ -62,49 +64,62 @@
         )
 
     def broken(self, state: ModelState) -> str:
-        """Return the invariant that is violated; empty where all hold."""
-        return safety_violation(state) or self._unsettled(state)
+        """Return the invariant that is violated in a state; empty where all hold."""
+        return safety_violation(state) or self._settling_violation(state)
 
-    def _unsettled(self, state: ModelState) -> str:
-        """Go on without further faults, to the end or to a state known to end well."""
+    def _settling_violation(self, state: ModelState) -> str:
+        """Return the violation on the run without further faults; empty where there is none.
+
+        The run stops at a state that is known to settle correctly.
+        """
         state = replace(state, net=replace(state.net, max_in_transit=20))
-        passed: set[Hashable] = set()
+        visited: set[Hashable] = set()
         steps = 0
-        while (key := self._core(state)) not in self.good:
-            after = self._late(state) if key in passed else self._next(state)
-            passed.add(key)
-            if after is None or len(passed) < steps - REPEATED_STEPS:
-                # Either nothing is left to happen, or it repeats without an end.
-                if why := liveness_violation(state):
-                    return why
+        while (key := self._behaviour_key(state)) not in self.settling_keys:
+            after = (
+                self._after_timeout(state)
+                if key in visited
+                else self._after_fair_step(state)
+            )
+            visited.add(key)
+            if after is None or len(visited) < steps - REPEATED_STEPS:
+                # No step is left, or the run loops forever.
+                if violation := liveness_violation(state):
+                    return violation
                 break
             steps, state = steps + 1, after
-            if why := safety_violation(state):
-                return why
-        self.good |= passed
+            if violation := safety_violation(state):
+                return violation
+        self.settling_keys |= visited
         return ""
 
-    def _next(self, state: ModelState) -> ModelState | None:
-        """Return the state after the first fair step that changes something.
+    def _after_fair_step(self, state: ModelState) -> ModelState | None:
+        """Return the state after the first fair step with an effect.
 
-        Where there is none, all sides retry what was not answered.
+        Without such a step all sides retry; if that has no effect, a time limit passes.
         """
-        core = self._core(state)
-        for kind, _, after in self._all(state):
-            if kind == "fair" and self._core(after) != core:
+        behaviour = self._behaviour_key(state)
+        for kind, _, after in self._labelled_steps(state):
+            if kind == "fair" and self._behaviour_key(after) != behaviour:
                 return after
         after = state.fork("gt")
-        for n, at in after.forwarders.items():
-            if at.alive:
-                self._do(after, n, at.tell(s.Retry()))
-        return after if self._core(after) != core else self._late(state)
-
-    def _late(self, state: ModelState) -> ModelState | None:
-        """Return the state after a time limit, where retries get no answer."""
-        for n, at in state.forwarders.items():
-            for kind, event in at.events() if at.alive else ():
+        for name, forwarder in after.forwarders.items():
+            if forwarder.alive:
+                self._apply_actions(after, name, forwarder.handle(s.Retry()))
+        return (
+            after
+            if self._behaviour_key(after) != behaviour
+            else self._after_timeout(state)
+        )
+
+    def _after_timeout(self, state: ModelState) -> ModelState | None:
+        """Return the state after a time limit has passed; None where no state has a limit."""
+        for name, forwarder in state.forwarders.items():
+            for kind, event in forwarder.events() if forwarder.alive else ():
                 if kind == "late":
-                    after = state.fork(n)
-                    self._do(after, n, after.forwarders[n].tell(event))
+                    after = state.fork(name)
+                    self._apply_actions(
+                        after, name, after.forwarders[name].handle(event)
+                    )
                     return after
         return None
--- a/rainfall/session/model_state.py
+++ b/rainfall/session/model_state.py
@@ -21,7 +21,7 @@
 class ModelMessage:
     """A message in transit.
 
-    Equal messages are one object, so that comparing and sorting them costs little.
+    Equal messages are one object, so that comparing and sorting them is cheap.
     """
 
     content: Any
@@ -46,24 +46,26 @@
     "TailMessageResult": "Passed",
     "TailEnd": "End",
 }
-"""Names by which messages in transit are ordered, by their types' names.
+"""Names for the order of messages in transit, by the names of their types.
 
-The order decides which of several violations a search meets first, and so the counts
-that earlier searches are compared by: it does not follow a type's name.
+The order decides which of several violations a search finds first, and so the counts of
+states. The names are fixed here so that renaming a type does not change these counts.
 """
 TYPE_NAME = re.compile(r"\b[A-Z]\w+(?=\()")
 
 
 @cache
-def intern_message(what: Hashable) -> ModelMessage:
-    """Return the one object for a message of this content."""
-    text = TYPE_NAME.sub(lambda name: ORDER_NAMES.get(name[0], name[0]), repr(what))
-    return ModelMessage(what, text)
+def intern_message(content: Hashable) -> ModelMessage:
+    """Return the single object for messages of this content."""
+    text = TYPE_NAME.sub(
+        lambda match: ORDER_NAMES.get(match[0], match[0]), repr(content)
+    )
+    return ModelMessage(content, text)
 
 
 @dataclass(slots=True)
 class ModelState:
-    """Two forwarders `g` (source) and `t` (target), the arbiter, and what joins them."""
+    """Two forwarders `g` (source) and `t` (target), the arbiter, and the network."""
 
     net: Network
     forwarders: dict[str, ModelForwarder]
@@ -71,51 +73,54 @@
     lease_state: dict[str, str] = field(
         default_factory=lambda: {"g": "held", "t": "held"}
     )
-    """`held`; `out` by the member's own clock; `lost` by the list service's clock, which
-    is never the earlier.
+    """By forwarder: `held`, `out` (expired by the member's own clock) or `lost` (expired by
+    the list service's clock, which never happens earlier).
     """
-    sent: tuple[int, ...] = (0,)
-    ends: dict[int, str] = field(default_factory=dict)
-    promised: tuple[int, ...] = ()
+    calls: tuple[int, ...] = (0,)
+    outcomes: dict[int, str] = field(default_factory=dict)
+    accepted: tuple[int, ...] = ()
     client: str = "new"
-    """That of message 3: `new`, `waits` (submitted, not answered) or `over`."""
+    """The client of message 3: `new`, `waits` (submitted, not answered) or `over`."""
     clock: int = 0
-    """Deadlines of message 2 that are over: 1 that of the target, 2 that of the source,
-    3 that of a target in doubt.
+    """Number of deadlines of message 2 that have passed: first that of the target, then that
+    of the source, then that of a target in doubt.
     """
     events_left: dict[str, int] = field(default_factory=dict)
-    """How often each thing may still happen."""
+    """How often each event may still happen."""
     violation: str = ""
     epoch: int = 1
 
-    def fork(self, touched: str = "", spend: str = "") -> ModelState:
-        """Return a copy in which the forwarders of these letters may be changed.
+    def fork(self, changed_names: str = "", event: str = "") -> ModelState:
+        """Return a copy in which the forwarders named in `changed_names` may be modified.
 
-        `spend` names an event that happens once less from here on.
+        `event` names an event that happens now, so that fewer of it are left.
         """
-        left = (
-            {**self.events_left, spend: self.events_left[spend] - 1}
-            if spend
+        events_left = (
+            {**self.events_left, event: self.events_left[event] - 1}
+            if event
             else self.events_left
         )
-        sites = {n: x.fork() if n in touched else x for n, x in self.forwarders.items()}
+        forwarders = {
+            name: forwarder.fork() if name in changed_names else forwarder
+            for name, forwarder in self.forwarders.items()
+        }
         return ModelState(
             self.net,
-            sites,
+            forwarders,
             self.decisions,
             dict(self.lease_state),
-            self.sent,
-            dict(self.ends),
-            self.promised,
+            self.calls,
+            dict(self.outcomes),
+            self.accepted,
             self.client,
             self.clock,
-            left,
+            events_left,
             self.violation,
             self.epoch,
         )
 
     def may_act(self, name: str) -> bool:
-        """Whether a forwarder may call endpoints for the session."""
+        """Whether a forwarder may start calls of the session."""
         return (
             self.forwarders[name].alive
             and self.forwarders[name].may_act
@@ -123,82 +128,114 @@
         )
 
 
-def end(state: ModelState, at: ModelForwarder, number: int, how: str) -> None:
-    """End a message; the first outcome is the one that counts."""
-    at.queue = tuple(q for q in at.queue if q[0] != number)
-    at.call_in_flight = None if at.call_in_flight == number else at.call_in_flight
-    at.remembered_ids = (
-        (*at.remembered_ids, str(number)) if how == "delivered" else at.remembered_ids
+def end_message(
+    state: ModelState, forwarder: ModelForwarder, number: int, outcome: str
+) -> None:
+    """Record a message's outcome and remove it; only its first outcome counts."""
+    forwarder.queue = tuple(entry for entry in forwarder.queue if entry[0] != number)
+    forwarder.call_in_flight = (
+        None if forwarder.call_in_flight == number else forwarder.call_in_flight
+    )
+    forwarder.remembered_ids = (
+        (*forwarder.remembered_ids, str(number))
+        if outcome == "delivered"
+        else forwarder.remembered_ids
     )
-    state.ends.setdefault(number, how)
+    state.outcomes.setdefault(number, outcome)
 
 
-def answered(state: ModelState, yes: bool) -> None:
-    """Note the answer to the client of message 3."""
+def record_answer(state: ModelState, accepted: bool) -> None:
+    """Record the answer to the client of message 3."""
     if state.client == "waits":
-        state.client = "over" if yes or not state.events_left["arrive"] else "new"
-        state.promised = (*state.promised, 3) if yes else state.promised
+        state.client = "over" if accepted or not state.events_left["arrive"] else "new"
+        state.accepted = (*state.accepted, 3) if accepted else state.accepted
 
 
 def safety_violation(state: ModelState) -> str:
-    """Return what must never happen and has; empty where nothing has."""
+    """Return the safety invariant that is violated; empty where all hold."""
     if state.may_act("g") and state.may_act("t"):
-        return "both sides act"
-    if any(a >= b for a, b in zip(state.sent, state.sent[1:], strict=False)):
-        return f"sent twice or out of order: {state.sent}"
+        return "both sides may act"
+    if any(
+        earlier >= later
+        for earlier, later in zip(state.calls, state.calls[1:], strict=False)
+    ):
+        return f"called twice or out of order: {state.calls}"
     return state.violation
 
 
-def only_time_ends_it(
-    at: ModelForwarder, live: dict[str, ModelForwarder], forgot: bool
+def is_left_to_timeout(
+    forwarder: ModelForwarder,
+    live_forwarders: dict[str, ModelForwarder],
+    arbiter_restarted: bool,
 ) -> bool:
-    """Whether no migration is open, or only one that `commit_us` ends.
+    """Whether no migration is open, or only one that the time limit `commit_us` ends.
 
-    The arbiter gave the session to a side that is dead, or it forgot its verdict, and the
-    side that knows is dead or went on alone.
+    The latter is so where the arbiter decided for a side that crashed, or where it lost
+    its verdict and the side that received it crashed or finished without the other.
     """
-    if forgot:
-        return len(live) < 2 or all(
-            isinstance(c, MigrationTarget) and not at.may_act
-            for c in at.manager.migrations()
+    if arbiter_restarted:
+        return len(live_forwarders) < 2 or all(
+            isinstance(side, MigrationTarget) and not forwarder.may_act
+            for side in forwarder.manager.migrations()
         )
     return all(
-        len(live) < 2 and isinstance(c, MigrationSource) and c.decided_by_arbiter
-        for c in at.manager.migrations()
+        len(live_forwarders) < 2
+        and isinstance(side, MigrationSource)
+        and side.decided_by_arbiter
+        for side in forwarder.manager.migrations()
     )
 
 
 def liveness_violation(state: ModelState) -> str:
-    """Return what is wrong in a state that nothing follows; empty where it is right."""
-    live = {n: x for n, x in state.forwarders.items() if x.alive}
-    if any(not only_time_ends_it(x, live, state.epoch > 1) for x in live.values()):
-        return "a hand-over stays open"
-    have = [n for n, x in live.items() if x.may_act]
-    if len(live) < 2 and not have:
-        return ""  # The dead forwarder owned it, and its disk is gone.
-    if len(have) != 1 and (have or state.epoch == 1):
-        return f"it is with {have or 'nobody'}"
-    if len(live) < 2 and state.epoch > 1:
-        return ""  # Only time ends what the arbiter has forgotten.
-    lost = [n for n in state.promised if n not in state.ends and (n < 3 or "t" in live)]
-    return f"lost: {lost}" if lost else ""
-
-
-def name_of(what: Any) -> str:
-    """Return a message's or record's name, as it stands in the names of steps."""
-    if isinstance(what, tuple):
-        return f"{what[0]}: {name_of(what[1])}"
-    if isinstance(what, (w.Frame, w.Record)):
+    """Return the invariant that a final state violates; empty where all hold."""
+    live_forwarders = {
+        name: forwarder
+        for name, forwarder in state.forwarders.items()
+        if forwarder.alive
+    }
+    if any(
+        not is_left_to_timeout(forwarder, live_forwarders, state.epoch > 1)
+        for forwarder in live_forwarders.values()
+    ):
+        return "a migration stays open"
+    owners = [name for name, forwarder in live_forwarders.items() if forwarder.may_act]
+    if len(live_forwarders) < 2 and not owners:
+        return ""  # The crashed forwarder owned the session, and its disk is lost.
+    if len(owners) != 1 and (owners or state.epoch == 1):
+        return f"owners of the session: {owners or 'nobody'}"
+    if len(live_forwarders) < 2 and state.epoch > 1:
+        return ""  # A verdict lost by the arbiter is resolved only by a time limit.
+    lost_messages = [
+        name
+        for name in state.accepted
+        if name not in state.outcomes and (name < 3 or "t" in live_forwarders)
+    ]
+    return (
+        f"accepted messages without an outcome: {lost_messages}"
+        if lost_messages
+        else ""
+    )
+
+
+def describe(content: Any) -> str:
+    """Return the name of a message or record for the names of steps."""
+    if isinstance(content, tuple):
+        return f"{content[0]}: {describe(content[1])}"
+    if isinstance(content, (w.Frame, w.Record)):
         parts = [
-            str(getattr(what, f))
-            for f in ("number", "lease_token", "outcome")
-            if hasattr(what, f)
+            str(getattr(content, field_name))
+            for field_name in ("number", "lease_token", "outcome")
+            if hasattr(content, field_name)
         ]
-        return " ".join((type(what).__name__, *parts))
-    return f"{what.ruling}" if isinstance(what, s.Verdict) else type(what).__name__
+        return " ".join((type(content).__name__, *parts))
+    return (
+        f"{content.ruling}"
+        if isinstance(content, s.Verdict)
+        else type(content).__name__
+    )
 
 
-def concerns_arbiter(one: Hashable) -> bool:
-    """Whether a message is a question to the arbiter, or its answer."""
-    assert isinstance(one, ModelMessage)
-    return one.content[0] == "a" or isinstance(one.content[1], s.Verdict)
+def concerns_arbiter(message: Hashable) -> bool:
+    """Whether a message is a request to the arbiter, or its answer."""
+    assert isinstance(message, ModelMessage)
+    return message.content[0] == "a" or isinstance(message.content[1], s.Verdict)
--- a/tests/model_checker/test_search.py
+++ b/tests/model_checker/test_search.py
@@ -1,5 +1,5 @@
-"""The explorer itself: it visits all there is, stops at the shortest breach, and says
-how far it went.
+"""Tests of the search: it visits all states, returns the shortest trace to a violation,
+and reports its extent.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 
 
 class TwoAtOneDoor:
-    """Two who look at a flag before they go in. Without a lock between look and step
-    both may be in.
+    """Two processes that check a flag before they enter a critical section.
+
+    Unless `locked`, the check does not set the flag, so both may enter.
     """
 
     def __init__(self, locked: bool = False) -> None:
@@ -27,18 +28,21 @@
         return ("out", "out"), "free"
 
     def steps(self, state: State) -> Iterable[tuple[str, State]]:
-        who, flag = state
-        for n, at in enumerate(who):
-
-            def moved(to: str, n: int = n) -> tuple[str, str]:
-                return (to, who[1]) if n == 0 else (who[0], to)
-
-            if at == "out" and flag == "free":
-                yield f"{n} looks", (moved("looked"), "taken" if self.locked else flag)
-            elif at == "looked":
-                yield f"{n} goes in", (moved("in"), "taken")
-            elif at == "in":
-                yield f"{n} leaves", (moved("out"), "free")
+        places, flag = state
+        for index, place in enumerate(places):
+
+            def places_after(to: str, index: int = index) -> tuple[str, str]:
+                return (to, places[1]) if index == 0 else (places[0], to)
+
+            if place == "out" and flag == "free":
+                yield (
+                    f"{index} looks",
+                    (places_after("looked"), "taken" if self.locked else flag),
+                )
+            elif place == "looked":
+                yield f"{index} enters", (places_after("in"), "taken")
+            elif place == "in":
+                yield f"{index} leaves", (places_after("out"), "free")
 
     def key(self, state: State) -> Hashable:
         return state
@@ -47,45 +51,51 @@
         return "two inside" if state[0] == ("in", "in") else ""
 
 
-def test_the_shortest_way_to_a_breach_is_told() -> None:
-    found = explore(TwoAtOneDoor(), 20)
-    assert found.violation == "two inside"
-    assert len(found.trace) == 4 and sorted(found.trace[:2]) == ["0 looks", "1 looks"]
+def test_search_returns_shortest_trace_to_violation() -> None:
+    result = explore(TwoAtOneDoor(), 20)
+    assert result.violation == "two inside"
+    assert len(result.trace) == 4 and sorted(result.trace[:2]) == ["0 looks", "1 looks"]
 
 
-def test_a_search_without_a_breach_says_how_far_it_went() -> None:
-    whole = explore(TwoAtOneDoor(locked=True), 20)
-    assert (whole.violation, whole.complete, whole.states) == (
+def test_search_without_violation_reports_extent() -> None:
+    complete = explore(TwoAtOneDoor(locked=True), 20)
+    assert (complete.violation, complete.complete, complete.states) == (
         "",
         True,
         5,
-    )  # both out; either looked, either in
-    short = explore(TwoAtOneDoor(locked=True), 1)
-    assert (short.complete, short.depth, short.states) == (False, 1, 3)
-    few = explore(TwoAtOneDoor(locked=True), 20, max_states=2)
-    assert not few.complete and few.states == 2
-
-
-def test_messages_arrive_in_any_order_once_or_as_often_as_allowed() -> None:
-    net = Network(losses_left=1, duplicates_left=1).send("b").send("a").send("a")
-    assert [m for m, _ in net.arrivals()] == [
+    )  # both out; one has looked; one is in
+    bounded_by_depth = explore(TwoAtOneDoor(locked=True), 1)
+    assert (
+        bounded_by_depth.complete,
+        bounded_by_depth.depth,
+        bounded_by_depth.states,
+    ) == (False, 1, 3)
+    bounded_by_states = explore(TwoAtOneDoor(locked=True), 20, max_states=2)
+    assert not bounded_by_states.complete and bounded_by_states.states == 2
+
+
+def test_network_reorders_duplicates_and_loses_messages() -> None:
+    network = Network(losses_left=1, duplicates_left=1).send("b").send("a").send("a")
+    assert [message for message, _ in network.arrivals()] == [
         "a",
         "a",
         "b",
         "b",
-    ]  # each alone, and each with a copy to come
-    assert {after.in_transit for m, after in net.arrivals() if m == "a"} == {
+    ]  # each once, and once more with a duplicate to come
+    assert {
+        after.in_transit for message, after in network.arrivals() if message == "a"
+    } == {
         ("a", "b"),
         ("a", "a", "b"),
     }
-    assert [after.losses_left for _, after in net.lost()] == [0, 0]
+    assert [after.losses_left for _, after in network.lost()] == [0, 0]
     assert not list(Network(("a",)).lost())
     assert Network(("a",), max_in_transit=1).send("b").in_transit == ("a",)
 
 
-def test_the_command_tells_the_steps_and_fails(
+def test_command_prints_violation_and_returns_exit_status(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     assert main(["tests.model_checker.test_search:TwoAtOneDoor", "--depth", "9"]) == 1
-    assert "broken: two inside" in capsys.readouterr().out
+    assert "violated: two inside" in capsys.readouterr().out
     assert main(["tests.model_checker.test_search:Nothing"]) == 2
--- a/tests/session/test_session.py
+++ b/tests/session/test_session.py
@@ -1,5 +1,5 @@
-"""Sessions handed over: the design page's tables, the searched model, long random play
-of the same cores.
+"""Tests of session migration: the design page's transition tables, exhaustive search of
+the model, and long randomized runs of the same state machines.
 """
 
 import heapq
@@ -34,51 +34,56 @@
 LIMITS = s.Limits()
 
 
-# The tables on the design page are the ones that run
+# Transition tables against the design page
 
 
 @pytest.mark.parametrize(
     "title, core", [("## Giver", migration_source), ("## Taker", migration_target)]
 )
-def test_every_event_in_every_state_is_as_the_page_says(title: str, core: Any) -> None:
-    part = PAGE.read_text().split(title)[1].split("\n## ")[0]
-    lines = re.findall(r"^\|.*\|$", part, re.M)
-    head, _, *rows = [[c.strip() for c in line.strip("|").split("|")] for line in lines]
-    told = {
+def test_transitions_match_design_page(title: str, core: Any) -> None:
+    section = PAGE.read_text().split(title)[1].split("\n## ")[0]
+    lines = re.findall(r"^\|.*\|$", section, re.M)
+    header, _, *rows = [
+        [field_text.strip() for field_text in line.strip("|").split("|")]
+        for line in lines
+    ]
+    documented = {
         (event, state): cell
         for row in rows
         for event in row[0].split(", ")
-        for state, cell in zip(head[1:], row[1:], strict=True)
+        for state, cell in zip(header[1:], row[1:], strict=True)
     }
-    built = {
+    implemented = {
         (event.__name__, state.value): handler.__name__
         for state, events in core.TRANSITIONS.items()
         for event, handler in events.items()
     }
-    assert {pair: cell for pair, cell in told.items() if cell != "-"} == built
+    assert {
+        pair: cell for pair, cell in documented.items() if cell != "-"
+    } == implemented
 
 
-# The model
+# Search of the model
 
 
-PART = (
-    "g gives",
-    "t hears Offer",
-    "g hears Accept",
-    "g is quiet",
+STEPS_TO_COMMIT = (
+    "g starts the migration",
+    "t receives Offer",
+    "g receives Accept",
+    "g is quiesced",
     "g: kept SealedRecord",
-    "t hears CopyPart",
+    "t receives CopyPart",
     "t: kept StoredRecord",
-    "g hears CopyStored (1, 1)",
+    "g receives CopyStored (1, 1)",
     "g: kept CommittedRecord",
 )
-TAIL = (
-    *PART,
-    "t hears Commit (1, 1)",
+STEPS_TO_TAIL = (
+    *STEPS_TO_COMMIT,
+    "t receives Commit (1, 1)",
     "t: kept ActivatedRecord",
-    "g hears Activated",
+    "g receives Activated",
     "g: kept ReleasedRecord",
-    "t hears Released",
+    "t receives Released",
     "t: kept FinalizedRecord",
 )
 
@@ -103,7 +108,7 @@
                 "late": 0,
                 "most": 2,
                 "messages": 0,
-                "begin": PART[:-1],
+                "begin": STEPS_TO_COMMIT[:-1],
             },
             1_000,
         ),
@@ -113,18 +118,21 @@
                 "retry": 1,
                 "late": 0,
                 "begin": (
-                    *TAIL[:11],
-                    "t works on 1",
+                    *STEPS_TO_TAIL[:11],
+                    "t starts call 1",
                     "t's call 1 is delivered",
-                    "t's lease is out by its clock",
+                    "t's lease expires by its clock",
                 ),
             },
             1_000,
         ),
-        ({"begin": TAIL[:-1], "messages": 0, "arrive": 1, "crash_t": 1}, 1_500),
+        (
+            {"begin": STEPS_TO_TAIL[:-1], "messages": 0, "arrive": 1, "crash_t": 1},
+            1_500,
+        ),
         (
             {
-                "begin": TAIL,
+                "begin": STEPS_TO_TAIL,
                 "messages": 0,
                 "arrive": 2,
                 "full": 1,
@@ -137,444 +145,545 @@
         ),
     ],
 )
-def test_searched_whole(counts: dict[str, Any], states: int) -> None:
-    """One owner, no message lost, sent twice or overtaken, and from each state it ends
-    whole at one side.
+def test_model_search_finds_no_violation(counts: dict[str, Any], states: int) -> None:
+    """At most one owner, no message lost, called twice or overtaken; from each state the
+    session settles with all its messages at one side.
     """
-    found = explore(SessionMigrationModel(**counts), 80, 20_000)
-    assert not found.violation, found.trace
-    assert found.complete and found.states >= states
-
-
-PLANTED: dict[str, dict[str, Any]] = {
-    "lets go early": {},
-    "begins early": {},
-    "forgets repeats": {"repeat": 1},
-    "fate untold": {"retry": 1},
-    "tail overtakes": {"arrive": 1},
-    "stale commit": {"lease_t": 1, "retry": 1, "begin": PART},
-    "takes back alone": {"gone": "g"},
-    "forgets refusals": {"copies": 1},
-    "late due": {"messages": 2, "due": 3},
-    "takes an old pass": {
+    result = explore(SessionMigrationModel(**counts), 80, 20_000)
+    assert not result.violation, result.trace
+    assert result.complete and result.states >= states
+
+
+MUTATION_SCENARIOS: dict[str, dict[str, Any]] = {
+    "source releases before commit": {},
+    "target activates before commit": {},
+    "remembered ids omitted": {"repeat": 1},
+    "executed times omitted": {"retry": 1},
+    "tail message overtakes": {"arrive": 1},
+    "stale commit": {"lease_t": 1, "retry": 1, "begin": STEPS_TO_COMMIT},
+    "source reclaims without refusal": {"gone": "g"},
+    "target drops refusals": {"copies": 1},
+    "target expires late": {"messages": 2, "due": 3},
+    "outdated tail message accepted": {
         "arrive": 2,
         "crash_t": 1,
         "full": 1,
         "messages": 0,
         "copies": 1,
         "late": 0,
-        "begin": TAIL,
+        "begin": STEPS_TO_TAIL,
     },
 }
-"""Where each shows, with the least that has to go wrong."""
+"""By mutation, the fewest events with which a search detects it."""
 
 
 @pytest.mark.parametrize("bug", MUTATIONS)
-def test_planted_bug_is_found(bug: str) -> None:
-    found = explore(SessionMigrationModel(bug, **PLANTED[bug]), 60, 20_000)
-    assert found.violation and found.trace
+def test_model_search_detects_mutation(bug: str) -> None:
+    result = explore(SessionMigrationModel(bug, **MUTATION_SCENARIOS[bug]), 60, 20_000)
+    assert result.violation and result.trace
     assert not explore(
-        SessionMigrationModel(**PLANTED[bug]), len(found.trace), 20_000
-    ).violation, "it is the bug that is found"
+        SessionMigrationModel(**MUTATION_SCENARIOS[bug]), len(result.trace), 20_000
+    ).violation, "the violation has another cause than the mutation"
 
 
-# Long play: many sessions, several forwarders, real frames, time, restarts
+# Randomized runs: several sessions and forwarders, real frames, time and restarts
 
 
 @dataclass
 class Line:
+    """A session in the engine of one forwarder; `runs`: it may start calls."""
+
     runs: bool = False
     freezing: bool = False
     queue: list[tuple[w.TransferredMessage, bool]] = field(default_factory=list)
-    out: str = ""
-    memory: tuple[str, ...] = ()
+    call_in_flight: str = ""
+    remembered_ids: tuple[str, ...] = ()
 
 
 @dataclass
 class Node:
+    """A forwarder process with its sessions and its disk; `desk` is its manager."""
+
     name: str
     desk: MigrationManager
     lines: dict[str, Line] = field(default_factory=dict)
     disk: list[w.Record] = field(default_factory=list)
-    unseen: list[w.Record] = field(default_factory=list)
-    begun: set[str] = field(default_factory=set)
+    unapplied: list[w.Record] = field(default_factory=list)
+    activated: set[str] = field(default_factory=set)
     alive: bool = True
-    held: bool = True
-    life: int = 1
-    start: int = 0
+    has_valid_lease: bool = True
+    lease_number: int = 1
+    started_at_us: int = 0
 
 
 class Play:
-    """Three forwarders and the arbiter on one clock. Faults end at `CALM`; then all
-    must come to rest.
+    """A simulation of three forwarders and the arbiter on one clock.
+
+    Faults end at `FAULTS_END_US`; after that all migrations must finish.
     """
 
-    CALM, END = 12_000_000, 40_000_000
+    FAULTS_END_US, END_US = 12_000_000, 40_000_000
 
     def __init__(self, seed: int, keys: int) -> None:
-        self.random, self.now, self.heap = random.Random(seed), 0, []  # type: ignore[var-annotated]
-        self.order = itertools.count()
+        self.random, self.now_us, self.timers = random.Random(seed), 0, []  # type: ignore[var-annotated]
+        self.timer_sequence = itertools.count()
         limits = replace(LIMITS, least_left_us=400_000, tail_us=2_000_000, drift=0.02)
         self.limits = limits
-        self.nodes = {n: Node(n, MigrationManager(n, limits, (1, 1))) for n in "abc"}
-        self.arbiter = Arbiter(1, lambda n: self.nodes[n].held)
-        self.sent: dict[str, list[int]] = {f"k{k}": [] for k in range(keys)}
+        self.nodes = {
+            name: Node(name, MigrationManager(name, limits, (1, 1))) for name in "abc"
+        }
+        self.arbiter = Arbiter(1, lambda name: self.nodes[name].has_valid_lease)
+        self.sent: dict[str, list[int]] = {f"k{number}": [] for number in range(keys)}
         self.ends: dict[str, str] = {}
         self.promised: dict[str, int] = {}
-        self.client: dict[str, tuple[int, str]] = {}
-        self.at_node: dict[str, str] = {}
+        self.waiting_clients: dict[str, tuple[int, str]] = {}
+        self.submitted_to: dict[str, str] = {}
         for key in self.sent:
             self.nodes["a"].lines[key] = Line(True)
-            self.at(0, lambda key=key: self.hand_in(key, 1))
-        for n in self.nodes:
-            self.at(50_000, lambda n=n: self.tick(n))
-        self.at(100_000, self.mischief)
-
-    def at(self, delay_us: int, what: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (self.now + delay_us, next(self.order), what))
+            self.schedule(0, lambda key=key: self.submit(key, 1))
+        for name in self.nodes:
+            self.schedule(50_000, lambda name=name: self.tick(name))
+        self.schedule(100_000, self.inject_faults)
+
+    def schedule(self, delay_us: int, callback: Callable[[], None]) -> None:
+        heapq.heappush(
+            self.timers, (self.now_us + delay_us, next(self.timer_sequence), callback)
+        )
 
     def run(self) -> None:
-        while self.heap and self.heap[0][0] <= self.END:
-            self.now, _, what = heapq.heappop(self.heap)
-            what()
+        while self.timers and self.timers[0][0] <= self.END_US:
+            self.now_us, _, callback = heapq.heappop(self.timers)
+            callback()
             for key in self.sent:
                 acting = [
-                    n
-                    for n, x in self.nodes.items()
-                    if x.alive
-                    and x.held
-                    and x.desk.lease_token
-                    and x.lines.get(key, Line()).runs
+                    name
+                    for name, node in self.nodes.items()
+                    if node.alive
+                    and node.has_valid_lease
+                    and node.desk.lease_token
+                    and node.lines.get(key, Line()).runs
                 ]
-                assert len(acting) <= 1, f"{key}: {acting} act"
+                assert len(acting) <= 1, f"{key}: more than one owner acts: {acting}"
 
-    def mischief(self) -> None:
-        if self.now >= self.CALM:
-            for n, x in self.nodes.items():
-                if not x.alive:
-                    self.start(n)
+    def inject_faults(self) -> None:
+        if self.now_us >= self.FAULTS_END_US:
+            for name, node in self.nodes.items():
+                if not node.alive:
+                    self.restart(name)
             return
-        n = self.random.choice("abc")
-        x, chance = self.nodes[n], self.random.random()
-        if not x.alive:
-            self.start(n)
+        name = self.random.choice("abc")
+        node, chance = self.nodes[name], self.random.random()
+        if not node.alive:
+            self.restart(name)
         elif chance < 0.08:
-            self.die(n)
-        elif chance < 0.15 and x.desk.lease_token:
-            self.do(n, x.desk.set_lease(None, self.now))
-            self.at(100_000, lambda life=x.life: self.lose(n, life))
-            self.at(
+            self.crash(name)
+        elif chance < 0.15 and node.desk.lease_token:
+            self.apply_actions(name, node.desk.set_lease(None, self.now_us))
+            self.schedule(
+                100_000,
+                lambda lease_number=node.lease_number: self.expire_lease(
+                    name, lease_number
+                ),
+            )
+            self.schedule(
                 self.random.choice([60_000, 900_000]),
-                lambda life=x.life: self.join(n, life),
+                lambda lease_number=node.lease_number: self.acquire_lease(
+                    name, lease_number
+                ),
             )
         else:
-            mine = [
-                k
-                for k, line in x.lines.items()
-                if line.runs and k not in x.desk.migration_by_key
+            owned_keys = [
+                candidate
+                for candidate, line in node.lines.items()
+                if line.runs and candidate not in node.desk.migration_by_key
             ]
-            if mine and x.desk.lease_token:
-                to, key = (
-                    self.random.choice([o for o in "abc" if o != n]),
-                    self.random.choice(mine),
+            if owned_keys and node.desk.lease_token:
+                target, key = (
+                    self.random.choice([other for other in "abc" if other != name]),
+                    self.random.choice(owned_keys),
                 )
-                self.do(
-                    n,
-                    x.desk.start_migration(
-                        key, to, "", "", 1, s.StartMigration(9, 90_000), self.now
+                self.apply_actions(
+                    name,
+                    node.desk.start_migration(
+                        key, target, "", "", 1, s.StartMigration(9, 90_000), self.now_us
                     ),
                 )
-        self.at(self.random.randrange(10_000, 200_000), self.mischief)
-
-    def tick(self, n: str) -> None:
-        x = self.nodes[n]
-        if x.alive:
-            self.do(n, x.desk.tick(self.now))
-            for key in sorted(x.lines):
-                self.work(n, key)
-        self.at(25_000, lambda: self.tick(n))
-
-    def work(self, n: str, key: str) -> None:
-        x, line = self.nodes[n], self.nodes[n].lines[key]
+        self.schedule(self.random.randrange(10_000, 200_000), self.inject_faults)
+
+    def tick(self, name: str) -> None:
+        node = self.nodes[name]
+        if node.alive:
+            self.apply_actions(name, node.desk.tick(self.now_us))
+            for key in sorted(node.lines):
+                self.run_session(name, key)
+        self.schedule(25_000, lambda: self.tick(name))
+
+    def run_session(self, name: str, key: str) -> None:
+        node, line = self.nodes[name], self.nodes[name].lines[key]
         for item, _ in [
-            q
-            for q in line.queue
-            if q[0].deadline_us <= self.now and q[0].id != line.out
+            entry
+            for entry in line.queue
+            if entry[0].deadline_us <= self.now_us
+            and entry[0].id != line.call_in_flight
         ]:
-            self.end(n, key, item.id, "failed")
-        if line.freezing and not line.out:
+            self.finish_message(name, key, item.id, "failed")
+        if line.freezing and not line.call_in_flight:
             line.freezing = False
             items = tuple(
-                replace_ran(i, self.now) if ran else i for i, ran in line.queue
+                mark_executed(queued, self.now_us) if may_be_executed else queued
+                for queued, may_be_executed in line.queue
             )
-            self.do(
-                n,
-                x.desk.handle_session_event(
-                    key, s.SessionQuiesced(items, line.memory), self.now
+            self.apply_actions(
+                name,
+                node.desk.handle_session_event(
+                    key, s.SessionQuiesced(items, line.remembered_ids), self.now_us
                 )
                 or [],
             )
-        if not (line.runs and x.desk.lease_token and line.queue and not line.out):
+        if not (
+            line.runs
+            and node.desk.lease_token
+            and line.queue
+            and not line.call_in_flight
+        ):
             return
-        item, ran = line.queue[0]
-        if ran or item.executed_at_us is not None:
-            self.end(n, key, item.id, "failed")
+        item, may_be_executed = line.queue[0]
+        if may_be_executed or item.executed_at_us is not None:
+            self.finish_message(name, key, item.id, "failed")
             return
-        assert item.id not in self.ends, f"{item.id} is sent by {n} after its end"
-        line.out, line.queue[0] = item.id, (item, True)
+        assert item.id not in self.ends, (
+            f"{item.id} is called by {name} after its outcome"
+        )
+        line.call_in_flight, line.queue[0] = item.id, (item, True)
         self.sent[key].append(int(item.id.split(".")[1]))
-        self.at(
+        self.schedule(
             self.random.randrange(5_000, 60_000),
-            lambda at=x.start: self.delivered(n, key, item.id, at),
+            lambda started_at_us=node.started_at_us: self.finish_call(
+                name, key, item.id, started_at_us
+            ),
         )
 
-    def delivered(self, n: str, key: str, name: str, start: int) -> None:
-        x = self.nodes[n]
-        if x.alive and x.start == start and x.lines[key].out == name:
-            x.lines[key].memory = (*x.lines[key].memory, name)[-LIMITS.memory :]
-            self.end(n, key, name, "delivered")
-
-    def end(self, n: str, key: str, name: str, how: str) -> None:
-        line = self.nodes[n].lines[key]
-        line.queue = [q for q in line.queue if q[0].id != name]
-        line.out = "" if line.out == name else line.out
-        self.ends.setdefault(name, how)
+    def finish_call(
+        self, name: str, key: str, message_id: str, started_at_us: int
+    ) -> None:
+        node = self.nodes[name]
+        if (
+            node.alive
+            and node.started_at_us == started_at_us
+            and node.lines[key].call_in_flight == message_id
+        ):
+            node.lines[key].remembered_ids = (
+                *node.lines[key].remembered_ids,
+                message_id,
+            )[-LIMITS.memory :]
+            self.finish_message(name, key, message_id, "delivered")
+
+    def finish_message(
+        self, name: str, key: str, message_id: str, outcome: str
+    ) -> None:
+        line = self.nodes[name].lines[key]
+        line.queue = [entry for entry in line.queue if entry[0].id != message_id]
+        line.call_in_flight = (
+            "" if line.call_in_flight == message_id else line.call_in_flight
+        )
+        self.ends.setdefault(message_id, outcome)
 
-    # Clients: one message of a key after the other, handed in again after a refusal,
-    # anew after silence
+    # Clients submit one message of a key after the other: the same one again after a
+    # rejection, the next one after no answer
 
-    def hand_in(self, key: str, number: int) -> None:
-        if number > 25 or self.now > self.END - 10_000_000:
+    def submit(self, key: str, number: int) -> None:
+        if number > 25 or self.now_us > self.END_US - 10_000_000:
             return
-        name, n = f"{key}.{number}", self.random.choice("abc")
-        x = self.nodes[n]
+        message_id, name = f"{key}.{number}", self.random.choice("abc")
+        node = self.nodes[name]
         item = w.TransferredMessage(
-            name, "m", 1, self.now + 3_000_000, bytes(self.random.choice([10, 30_000]))
+            message_id,
+            "m",
+            1,
+            self.now_us + 3_000_000,
+            bytes(self.random.choice([10, 30_000])),
         )
-        if not x.alive:
-            self.at(50_000, lambda: self.hand_in(key, number))
+        if not node.alive:
+            self.schedule(50_000, lambda: self.submit(key, number))
             return
-        self.client[key], self.at_node[key] = (number, name), n
-        done = x.desk.handle_session_event(
-            key, s.MessageArrived(item, self.now), self.now
+        self.waiting_clients[key], self.submitted_to[key] = (number, message_id), name
+        actions = node.desk.handle_session_event(
+            key, s.MessageArrived(item, self.now_us), self.now_us
+        )
+        if (
+            actions is None
+            and node.desk.lease_token
+            and node.lines.get(key, Line()).runs
+        ):
+            actions = [(key, s.AcceptMessage(item))]
+        self.schedule(
+            400_000,
+            lambda submission=self.waiting_clients[key]: self.disconnect_client(
+                name, key, submission
+            ),
         )
-        if done is None and x.desk.lease_token and x.lines.get(key, Line()).runs:
-            done = [(key, s.AcceptMessage(item))]
-        self.at(400_000, lambda mine=self.client[key]: self.give_up(n, key, mine))
-        self.do(n, [(key, s.RejectMessage(name, 0))] if done is None else done)
-
-    def give_up(self, n: str, key: str, mine: tuple[int, str]) -> None:
-        if self.client.get(key) is mine:
-            if self.nodes[n].alive:
-                self.do(
-                    n,
-                    self.nodes[n].desk.handle_session_event(
-                        key, s.ClientDisconnected(mine[1]), self.now
+        self.apply_actions(
+            name,
+            [(key, s.RejectMessage(message_id, 0))] if actions is None else actions,
+        )
+
+    def disconnect_client(
+        self, name: str, key: str, submission: tuple[int, str]
+    ) -> None:
+        if self.waiting_clients.get(key) is submission:
+            if self.nodes[name].alive:
+                self.apply_actions(
+                    name,
+                    self.nodes[name].desk.handle_session_event(
+                        key, s.ClientDisconnected(submission[1]), self.now_us
                     )
                     or [],
                 )
-            self.answer(key, mine[1], None)
+            self.answer_client(key, submission[1], None)
 
-    def answer(self, key: str, name: str, yes: bool | None) -> None:
-        if self.client.get(key, (0, ""))[1] != name:
+    def answer_client(self, key: str, message_id: str, accepted: bool | None) -> None:
+        if self.waiting_clients.get(key, (0, ""))[1] != message_id:
             return
-        number, _ = self.client.pop(key)
-        if yes:
-            self.promised[name] = self.now
-        again = (
-            number if yes is False else number + 1
-        )  # silence: the old id counts for nothing any more
-        self.at(
-            self.random.randrange(20_000, 120_000), lambda: self.hand_in(key, again)
+        number, _ = self.waiting_clients.pop(key)
+        if accepted:
+            self.promised[message_id] = self.now_us
+        next_number = (
+            number if accepted is False else number + 1
+        )  # without an answer, the old id is not used again
+        self.schedule(
+            self.random.randrange(20_000, 120_000),
+            lambda: self.submit(key, next_number),
         )
 
-    # What the desks want
+    # Actions of the migration managers
 
-    def do(self, n: str, done: list[tuple[str, s.Action]]) -> None:
-        x = self.nodes[n]
-        for key, action in done:
-            line = x.lines.setdefault(key, Line()) if key else Line()
+    def apply_actions(self, name: str, actions: list[tuple[str, s.Action]]) -> None:
+        node = self.nodes[name]
+        for key, action in actions:
+            line = node.lines.setdefault(key, Line()) if key else Line()
             match action:
                 case s.Send(frame):
-                    self.send(n, frame)
+                    self.send_frame(name, frame)
                 case s.PersistRecord(record):
-                    self.at(
+                    self.schedule(
                         self.random.randrange(1_000, 30_000),
-                        lambda r=record, start=x.start: self.written(n, r, start),
+                        lambda written=record, started_at_us=node.started_at_us: (
+                            self.finish_write(name, written, started_at_us)
+                        ),
                     )
                 case s.AskArbiter() | s.ConfirmVerdict():
                     if self.random.random() < 0.8:
-                        slow = self.random.randrange(2_000, 300_000)
-                        self.at(slow, lambda a=action: self.ask(n, a))
+                        delay_us = self.random.randrange(2_000, 300_000)
+                        self.schedule(
+                            delay_us,
+                            lambda request=action: self.handle_request(name, request),
+                        )
                 case s.Freeze():
                     line.runs, line.freezing = False, True
                 case s.CloseCalls():
-                    line.out = ""
+                    line.call_in_flight = ""
                 case s.Halt():
                     line.runs = False
                 case s.Resume():
                     line.runs, line.freezing = True, False
-                case s.ImportSession(items, memory):
-                    line.queue += [(i, i.executed_at_us is not None) for i in items]
-                    line.memory = memory
+                case s.ImportSession(items, remembered_ids):
+                    line.queue += [
+                        (copied, copied.executed_at_us is not None) for copied in items
+                    ]
+                    line.remembered_ids = remembered_ids
                 case s.ReleaseSession():
                     line.queue = []
                 case s.FailAll():
                     for item, _ in list(line.queue):
-                        self.end(n, key, item.id, "failed")
-                case s.FailMessage(name):
-                    self.ends.setdefault(name, "failed")
-                case s.AcceptMessage(item, answer):
+                        self.finish_message(name, key, item.id, "failed")
+                case s.FailMessage(message_id):
+                    self.ends.setdefault(message_id, "failed")
+                case s.AcceptMessage(item, answer_client):
                     line.queue.append((item, False))
-                    if answer:
-                        self.answer(key, item.id, True)
-                case s.AnswerAccepted(name):
-                    self.answer(key, name, True)
-                case s.RejectMessage(name):
-                    self.answer(key, name, False)
+                    if answer_client:
+                        self.answer_client(key, item.id, True)
+                case s.AnswerAccepted(message_id):
+                    self.answer_client(key, message_id, True)
+                case s.RejectMessage(message_id):
+                    self.answer_client(key, message_id, False)
                 case s.StartTail():
-                    self.at(300_000, lambda key=key: self.tail_over(n, key))
+                    self.schedule(
+                        300_000, lambda key=key: self.close_connections(name, key)
+                    )
 
-    def tail_over(self, n: str, key: str) -> None:
-        if self.nodes[n].alive:
-            self.do(
-                n,
-                self.nodes[n].desk.handle_session_event(
-                    key, s.ConnectionsClosed(), self.now
+    def close_connections(self, name: str, key: str) -> None:
+        if self.nodes[name].alive:
+            self.apply_actions(
+                name,
+                self.nodes[name].desk.handle_session_event(
+                    key, s.ConnectionsClosed(), self.now_us
                 )
                 or [],
             )
 
-    def send(self, n: str, frame: w.Frame) -> None:
+    def send_frame(self, name: str, frame: w.Frame) -> None:
         data = frames.encode(frame)
-        names = [frame.migration_id.source]
-        if names == [n]:
-            core = self.nodes[n].desk.outgoing.get(frame.migration_id)
-            names = [core.target] if core else [o for o in "abc" if o != n]
-        sound = self.now > self.CALM
-        for name in names:
-            for _ in range(self.random.choice([1] if sound else [0, 1, 1, 1, 1, 1, 2])):
-                slow = self.random.randrange(1_000, 60_000 if sound else 150_000)
-                self.at(slow, lambda name=name: self.heard(n, name, data))
-
-    def heard(self, came: str, n: str, data: bytes) -> None:
-        x = self.nodes[n]
-        if x.alive:
+        receivers = [frame.migration_id.source]
+        if receivers == [name]:
+            source = self.nodes[name].desk.outgoing.get(frame.migration_id)
+            receivers = (
+                [source.target]
+                if source
+                else [other for other in "abc" if other != name]
+            )
+        is_fault_free = self.now_us > self.FAULTS_END_US
+        for receiver in receivers:
+            for _ in range(
+                self.random.choice([1] if is_fault_free else [0, 1, 1, 1, 1, 1, 2])
+            ):
+                delay_us = self.random.randrange(
+                    1_000, 60_000 if is_fault_free else 150_000
+                )
+                self.schedule(
+                    delay_us,
+                    lambda receiver=receiver: self.receive_frame(name, receiver, data),
+                )
+
+    def receive_frame(self, sender: str, name: str, data: bytes) -> None:
+        node = self.nodes[name]
+        if node.alive:
             frame = frames.decode(data[frames.LENGTH_PREFIX_BYTES :])
             assert isinstance(frame, w.Frame)
-            self.do(n, x.desk.handle_frame(came, frame, self.now))
-
-    def ask(self, n: str, action: Any) -> None:
-        if isinstance(action, s.ConfirmVerdict):
-            self.arbiter.confirm(action)
-        elif self.nodes[n].held:
-            verdict, _ = self.arbiter.decide(action, self.now)
-            if self.nodes[n].alive:
-                self.do(n, self.nodes[n].desk.handle_verdict(verdict, self.now))
-
-    def written(self, n: str, record: w.Record, start: int) -> None:
-        x = self.nodes[n]
+            self.apply_actions(name, node.desk.handle_frame(sender, frame, self.now_us))
+
+    def handle_request(self, name: str, request: Any) -> None:
+        if isinstance(request, s.ConfirmVerdict):
+            self.arbiter.confirm(request)
+        elif self.nodes[name].has_valid_lease:
+            verdict, _ = self.arbiter.decide(request, self.now_us)
+            if self.nodes[name].alive:
+                self.apply_actions(
+                    name, self.nodes[name].desk.handle_verdict(verdict, self.now_us)
+                )
+
+    def finish_write(self, name: str, record: w.Record, started_at_us: int) -> None:
+        node = self.nodes[name]
         if (
-            not x.alive and self.random.random() < 0.5
-        ):  # it was on its way when the process died
-            x.disk, x.unseen = [*x.disk, record], [*x.unseen, record]
-        if not x.alive or x.start != start:
+            not node.alive and self.random.random() < 0.5
+        ):  # the write was in progress when the process crashed
+            node.disk, node.unapplied = [*node.disk, record], [*node.unapplied, record]
+        if not node.alive or node.started_at_us != started_at_us:
             return
-        ok = self.now > self.CALM or self.random.random() < 0.97
-        reached = ok or self.random.random() < 0.5
-        if reached:
-            x.disk.append(w.decode_record(w.encode_record(record)))
-            x.unseen = [r for r in x.unseen if what(r) != what(record)] + [record] * (
-                not ok
-            )
+        ok = self.now_us > self.FAULTS_END_US or self.random.random() < 0.97
+        reached_disk = ok or self.random.random() < 0.5
+        if reached_disk:
+            node.disk.append(w.decode_record(w.encode_record(record)))
+            node.unapplied = [
+                other
+                for other in node.unapplied
+                if record_identity(other) != record_identity(record)
+            ] + [record] * (not ok)
         if isinstance(record, w.ActivatedRecord) and ok:
-            x.begun.add(str(record.migration_id))
-        self.do(n, x.desk.handle_write_result(record, ok, self.now))
+            node.activated.add(str(record.migration_id))
+        self.apply_actions(name, node.desk.handle_write_result(record, ok, self.now_us))
 
     # Processes and leases
 
-    def lose(self, n: str, life: int) -> None:
-        if self.nodes[n].life == life:
-            self.nodes[n].held = False
-
-    def join(self, n: str, life: int) -> None:
-        x = self.nodes[n]
-        if x.alive and x.life == life:
-            x.life, x.held = x.life + 1, True
-            self.do(n, x.desk.set_lease((1, x.life), self.now))
-
-    def die(self, n: str) -> None:
-        x = self.nodes[n]
-        x.alive, x.desk = False, MigrationManager(n, self.limits)
-        for key, (_, name) in list(self.client.items()):
-            if self.at_node[key] == n:
-                self.answer(key, name, None)
-        for line in x.lines.values():
+    def expire_lease(self, name: str, lease_number: int) -> None:
+        if self.nodes[name].lease_number == lease_number:
+            self.nodes[name].has_valid_lease = False
+
+    def acquire_lease(self, name: str, lease_number: int) -> None:
+        node = self.nodes[name]
+        if node.alive and node.lease_number == lease_number:
+            node.lease_number, node.has_valid_lease = node.lease_number + 1, True
+            self.apply_actions(
+                name, node.desk.set_lease((1, node.lease_number), self.now_us)
+            )
+
+    def crash(self, name: str) -> None:
+        node = self.nodes[name]
+        node.alive, node.desk = False, MigrationManager(name, self.limits)
+        for key, (_, message_id) in list(self.waiting_clients.items()):
+            if self.submitted_to[key] == name:
+                self.answer_client(key, message_id, None)
+        for line in node.lines.values():
             line.runs = line.freezing = False
-        self.at(
+        self.schedule(
             self.random.choice([100_000, 700_000]),
-            lambda life=x.life: self.lose(n, life),
+            lambda lease_number=node.lease_number: self.expire_lease(
+                name, lease_number
+            ),
         )
 
-    def start(self, n: str) -> None:
-        x = self.nodes[n]
-        if x.alive:
+    def restart(self, name: str) -> None:
+        node = self.nodes[name]
+        if node.alive:
             return
-        x.alive, x.start = True, self.now
-        for record in x.unseen:
-            of = [r for r in x.disk if r.migration_id == record.migration_id]
+        node.alive, node.started_at_us = True, self.now_us
+        for record in node.unapplied:
+            migration_records = [
+                other
+                for other in node.disk
+                if other.migration_id == record.migration_id
+            ]
             key = next(
-                (r.key for r in of if isinstance(r, (w.StoredRecord, w.SealedRecord))),
+                (
+                    other.key
+                    for other in migration_records
+                    if isinstance(other, (w.StoredRecord, w.SealedRecord))
+                ),
                 "",
             )
-            line = x.lines.setdefault(key, Line()) if key else Line()
-            refused = w.RefusedRecord(record.migration_id) in of
+            line = node.lines.setdefault(key, Line()) if key else Line()
+            refused = w.RefusedRecord(record.migration_id) in migration_records
             if (
                 isinstance(record, w.ActivatedRecord)
                 and not refused
-                and str(record.migration_id) not in x.begun
+                and str(record.migration_id) not in node.activated
             ):
-                stored = next(r for r in of if isinstance(r, w.StoredRecord))
+                stored = next(
+                    other
+                    for other in migration_records
+                    if isinstance(other, w.StoredRecord)
+                )
                 line.queue += [
-                    (i, i.executed_at_us is not None)
-                    for i in stored.items
-                    if i.id not in self.ends
+                    (item, item.executed_at_us is not None)
+                    for item in stored.items
+                    if item.id not in self.ends
                 ]
-                line.memory = stored.remembered_ids
-                x.begun.add(str(record.migration_id))
+                line.remembered_ids = stored.remembered_ids
+                node.activated.add(str(record.migration_id))
             elif isinstance(record, w.TailAcceptedRecord) and not refused:
-                if all(q[0].id != record.item.id for q in line.queue):
+                if all(entry[0].id != record.item.id for entry in line.queue):
                     line.queue.append((record.item, False))
             elif isinstance(record, w.ReleasedRecord):
                 line.queue = []
-        x.unseen = []
-        owned: dict[str, bool] = dict.fromkeys(x.lines, n == "a")
+        node.unapplied = []
+        is_owned: dict[str, bool] = dict.fromkeys(node.lines, name == "a")
         keys = {
-            r.migration_id: r.key
-            for r in x.disk
-            if isinstance(r, (w.SealedRecord, w.StoredRecord))
+            other.migration_id: other.key
+            for other in node.disk
+            if isinstance(other, (w.SealedRecord, w.StoredRecord))
         }
-        for record in x.disk:
+        for record in node.disk:
             if isinstance(
                 record, (w.SealedRecord, w.ReclaimedRecord, w.FinalizedRecord)
             ):
-                owned[keys[record.migration_id]] = not isinstance(
+                is_owned[keys[record.migration_id]] = not isinstance(
                     record, w.SealedRecord
                 )
-        x.desk.recover(x.disk, self.now)
-        for key, line in x.lines.items():
-            line.runs = owned.get(key, False)
-            if line.out:
-                self.end(n, key, line.out, "failed")
-        x.life, x.held = x.life + 1, True
-        self.do(n, x.desk.set_lease((1, x.life), self.now))
+        node.desk.recover(node.disk, self.now_us)
+        for key, line in node.lines.items():
+            line.runs = is_owned.get(key, False)
+            if line.call_in_flight:
+                self.finish_message(name, key, line.call_in_flight, "failed")
+        node.lease_number, node.has_valid_lease = node.lease_number + 1, True
+        self.apply_actions(
+            name, node.desk.set_lease((1, node.lease_number), self.now_us)
+        )
 
 
-def what(record: w.Record) -> tuple[Any, ...]:
+def record_identity(record: w.Record) -> tuple[Any, ...]:
     return type(record), record.migration_id, getattr(record, "number", 0)
 
 
-def replace_ran(item: w.TransferredMessage, now_us: int) -> w.TransferredMessage:
+def mark_executed(item: w.TransferredMessage, now_us: int) -> w.TransferredMessage:
     return w.TransferredMessage(
         item.id,
         item.class_name,
@@ -601,7 +710,7 @@
     assert not [x.desk.migrations() for x in play.nodes.values() if x.desk.migrations()]
 
 
-# Times, bounds, choosing
+# Deadlines, limits and the migration policy
 
 
 @settings(derandomize=True, deadline=None, max_examples=120)
@@ -639,296 +748,380 @@
     assert item.deadline_us >= there(due - way) - round(0.04 * (wait + left)) - 2
 
 
-def desk(name: str, **limits: Any) -> MigrationManager:
+def new_manager(name: str, **limits: Any) -> MigrationManager:
     return MigrationManager(name, replace(LIMITS, **limits), (1, 1))
 
 
-def told(done: list[tuple[str, s.Action]], kind: type) -> list[Any]:
+def of_type(actions: list[tuple[str, s.Action]], wanted_type: type) -> list[Any]:
+    """Return the actions, or the frames in `Send` actions, of a type."""
     return [
-        a.frame if isinstance(a, s.Send) else a
-        for _, a in done
-        if isinstance(a, kind) or (isinstance(a, s.Send) and isinstance(a.frame, kind))
+        action.frame if isinstance(action, s.Send) else action
+        for _, action in actions
+        if isinstance(action, wanted_type)
+        or (isinstance(action, s.Send) and isinstance(action.frame, wanted_type))
     ]
 
 
-def frozen(at: MigrationManager) -> w.MigrationId:
-    at.start_migration("k", "t", "a", "drain", 1, s.StartMigration(2, 900), 0)
-    hand = at.migration_by_key["k"]
-    assert told(at.handle_frame("t", w.Accept(hand, 5), 1_000), s.Freeze)
-    return hand
+def freeze_session(manager: MigrationManager) -> w.MigrationId:
+    """Start a migration to `t` up to the frozen session."""
+    manager.start_migration("k", "t", "a", "drain", 1, s.StartMigration(2, 900), 0)
+    migration_id = manager.migration_by_key["k"]
+    assert of_type(
+        manager.handle_frame("t", w.Accept(migration_id, 5), 1_000), s.Freeze
+    )
+    return migration_id
 
 
-def test_no_session_goes_over_with_50_ms_left_or_too_large() -> None:
+def test_session_near_expiry_or_too_large_is_not_migrated() -> None:
     for items in (
         (w.TransferredMessage("1", "", 0, 51_000),),
-        tuple(w.TransferredMessage(str(n), "", 0, 9**9) for n in range(1_001)),
+        tuple(
+            w.TransferredMessage(str(number), "", 0, 9**9) for number in range(1_001)
+        ),
     ):
-        at = desk("g")
-        frozen(at)
-        done = at.handle_session_event("k", s.SessionQuiesced(items, ()), 1_000) or []
+        manager = new_manager("g")
+        freeze_session(manager)
+        actions = (
+            manager.handle_session_event("k", s.SessionQuiesced(items, ()), 1_000) or []
+        )
         assert (
-            told(done, s.Resume)
-            and told(done, w.Decline)
-            and not told(done, s.PersistRecord)
-            and not at.outgoing
+            of_type(actions, s.Resume)
+            and of_type(actions, w.Decline)
+            and not of_type(actions, s.PersistRecord)
+            and not manager.outgoing
         )
 
 
-def test_what_waits_is_bounded_and_refused_in_time() -> None:
-    at = desk("g", hold_messages=3, hold_bytes=2_000)
-    hand = frozen(at)
-    done = [
-        at.handle_session_event(
-            "k", s.MessageArrived(w.TransferredMessage(str(n), "", 0, 9**9), n), n
+def test_buffer_is_bounded_and_rejects_overdue_messages() -> None:
+    manager = new_manager("g", hold_messages=3, hold_bytes=2_000)
+    migration_id = freeze_session(manager)
+    results = [
+        manager.handle_session_event(
+            "k",
+            s.MessageArrived(w.TransferredMessage(str(number), "", 0, 9**9), number),
+            number,
         )
         or []
-        for n in range(5)
+        for number in range(5)
+    ]
+    assert [len(of_type(actions, s.RejectMessage)) for actions in results] == [
+        0,
+        0,
+        0,
+        1,
+        1,
     ]
-    assert [len(told(d, s.RejectMessage)) for d in done] == [0, 0, 0, 1, 1]
-    assert [r.id for r in told(at.tick(LIMITS.hold_us + 1), s.RejectMessage)] == [
+    assert [
+        rejection.id
+        for rejection in of_type(manager.tick(LIMITS.hold_us + 1), s.RejectMessage)
+    ] == [
         "0",
         "1",
     ]
     assert [
-        t.item.id
-        for t in told(at.handle_frame("t", w.Decline(hand), 300_000), s.AcceptMessage)
+        acceptance.item.id
+        for acceptance in of_type(
+            manager.handle_frame("t", w.Decline(migration_id), 300_000), s.AcceptMessage
+        )
     ] == ["2"]
-    at = desk("g", hold_bytes=2_000)
-    frozen(at)
-    big = w.TransferredMessage("x", "", 0, 9**9, bytes(700))
-    large = [
-        at.handle_session_event("k", s.MessageArrived(big, n), n) or []
-        for n in range(2)
+    manager = new_manager("g", hold_bytes=2_000)
+    freeze_session(manager)
+    large_message = w.TransferredMessage("x", "", 0, 9**9, bytes(700))
+    large_results = [
+        manager.handle_session_event(
+            "k", s.MessageArrived(large_message, number), number
+        )
+        or []
+        for number in range(2)
+    ]
+    assert [len(of_type(actions, s.RejectMessage)) for actions in large_results] == [
+        0,
+        1,
     ]
-    assert [len(told(d, s.RejectMessage)) for d in large] == [0, 1]
 
 
-def kept(
-    at: MigrationManager, kind: type, done: list[tuple[str, s.Action]]
+def confirm_write(
+    manager: MigrationManager, record_type: type, actions: list[tuple[str, s.Action]]
 ) -> list[tuple[str, s.Action]]:
-    (asked,) = told(done, s.PersistRecord)
-    assert isinstance(asked.record, kind)
-    return at.handle_write_result(asked.record, True, 2_000)
+    """Report the only requested write as successful; return the actions that follow."""
+    (request,) = of_type(actions, s.PersistRecord)
+    assert isinstance(request.record, record_type)
+    return manager.handle_write_result(request.record, True, 2_000)
 
 
-def test_a_seal_that_is_no_longer_wanted_is_taken_back_once_back_is_on_disk() -> None:
-    at = desk("g")
-    hand = frozen(at)
+def test_canceled_seal_is_reclaimed_once_its_record_is_on_disk() -> None:
+    manager = new_manager("g")
+    migration_id = freeze_session(manager)
     sealing = (
-        at.handle_session_event(
+        manager.handle_session_event(
             "k", s.SessionQuiesced((w.TransferredMessage("1", "", 0, 9**9),), ()), 1_000
         )
         or []
     )
-    assert at.handle_session_event("k", s.CancelMigration(), 1_500) == []
-    assert told(kept(at, w.SealedRecord, sealing), w.Frame) == [w.Abort(hand)]
-    back = at.handle_frame("t", w.Aborted(hand), 3_000)
+    assert manager.handle_session_event("k", s.CancelMigration(), 1_500) == []
+    assert of_type(confirm_write(manager, w.SealedRecord, sealing), w.Frame) == [
+        w.Abort(migration_id)
+    ]
+    reclaiming = manager.handle_frame("t", w.Aborted(migration_id), 3_000)
     assert (
-        not told(back, s.Resume)
-        and told(kept(at, w.ReclaimedRecord, back), s.Resume)
-        and not at.outgoing
+        not of_type(reclaiming, s.Resume)
+        and of_type(confirm_write(manager, w.ReclaimedRecord, reclaiming), s.Resume)
+        and not manager.outgoing
     )
 
 
-def test_a_copy_made_for_the_process_before_is_refused() -> None:
-    """It counts from a stamp of that process, and its dues would come out late by the
-    time between.
+def test_copy_for_previous_process_is_declined() -> None:
+    """Its times count from a stamp of that process, so its deadlines would be late by the
+    time between the two stamps.
     """
-    at, hand = desk("t"), w.MigrationId("g", 1, 1, 1)
+    manager, migration_id = new_manager("t"), w.MigrationId("g", 1, 1, 1)
     assert (
-        told(
-            at.handle_frame("g", w.Offer(hand, "k", "a", "", 1, 9, 1), 9_000), w.Accept
+        of_type(
+            manager.handle_frame(
+                "g", w.Offer(migration_id, "k", "a", "", 1, 9, 1), 9_000
+            ),
+            w.Accept,
         )[0].stamp_us
         == 9_000
     )
-    assert told(at.handle_frame("g", w.CopyPart(hand, 10, 0, 1), 9_500), w.Frame) == [
-        w.Decline(hand, "restarted")
-    ]
-    assert told(
-        at.handle_frame("g", w.CopyPart(hand, 9_000, 0, 1), 9_500), s.PersistRecord
+    assert of_type(
+        manager.handle_frame("g", w.CopyPart(migration_id, 10, 0, 1), 9_500), w.Frame
+    ) == [w.Decline(migration_id, "restarted")]
+    assert of_type(
+        manager.handle_frame("g", w.CopyPart(migration_id, 9_000, 0, 1), 9_500),
+        s.PersistRecord,
     )
 
 
-def test_what_is_over_is_remembered_and_never_taken_on_again() -> None:
-    at, hand, key = desk("t"), w.MigrationId("g", 1, 1, 5), "k"
-    stored = w.StoredRecord(hand, key, 1, (), ())
-    at.handle_write_result(stored, True, 0)
-    for late in (hand, w.MigrationId("g", 1, 1, 4)):
-        assert told(
-            at.handle_frame("g", w.Offer(late, key, "a", "", 1, 9, 1), 1), w.Decline
+def test_finished_migrations_are_remembered_and_not_accepted_again() -> None:
+    manager, migration_id, key = new_manager("t"), w.MigrationId("g", 1, 1, 5), "k"
+    stored = w.StoredRecord(migration_id, key, 1, (), ())
+    manager.handle_write_result(stored, True, 0)
+    for old_id in (migration_id, w.MigrationId("g", 1, 1, 4)):
+        assert of_type(
+            manager.handle_frame("g", w.Offer(old_id, key, "a", "", 1, 9, 1), 1),
+            w.Decline,
         )
-    assert at.handle_frame("g", w.Abort(hand), 1) == [], (
-        "it may have been ours: only the arbiter can say"
+    assert manager.handle_frame("g", w.Abort(migration_id), 1) == [], (
+        "the session may be owned here: only the arbiter can decide"
     )
-    before = w.MigrationId("t", 1, 1, 1)
+    earlier_id = w.MigrationId("t", 1, 1, 1)
     assert (
-        desk("t").recover(
+        new_manager("t").recover(
             [
-                w.SealedRecord(before, key, "x"),
-                w.SealedRecord(hand, key, "x"),
-                w.ReleasedRecord(hand),
+                w.SealedRecord(earlier_id, key, "x"),
+                w.SealedRecord(migration_id, key, "x"),
+                w.ReleasedRecord(migration_id),
             ],
             0,
         )
         == {}
     )
-    at = MigrationManager("t", LIMITS)
-    assert at.recover(
-        [stored, w.ActivatedRecord(hand), w.FinalizedRecord(hand)], 0
+    manager = MigrationManager("t", LIMITS)
+    assert manager.recover(
+        [stored, w.ActivatedRecord(migration_id), w.FinalizedRecord(migration_id)], 0
     ) == {key: s.MigrationState.TAIL}
-    at.set_lease((1, 1), 0)
-    late_pass = w.TailMessage(hand, 10, 1, 500, w.TransferredMessage("1", "", 0, 9**9))
+    manager.set_lease((1, 1), 0)
+    late_tail_message = w.TailMessage(
+        migration_id, 10, 1, 500, w.TransferredMessage("1", "", 0, 9**9)
+    )
     assert (
-        told(at.handle_frame("g", late_pass, 511), w.TailMessageResult)[0].outcome
+        of_type(manager.handle_frame("g", late_tail_message, 511), w.TailMessageResult)[
+            0
+        ].outcome
         == "refused"
-    ), "its client may have left"
-    assert told(at.tick(2 * LIMITS.tail_us), s.MigrationFinished) and not at.incoming
-    for frame in (w.Abort(hand), w.Commit(hand, (1, 1))):
-        assert told(at.handle_frame("g", frame, 9), w.Activated)
+    ), "its client may have disconnected"
+    assert (
+        of_type(manager.tick(2 * LIMITS.tail_us), s.MigrationFinished)
+        and not manager.incoming
+    )
+    for frame in (w.Abort(migration_id), w.Commit(migration_id, (1, 1))):
+        assert of_type(manager.handle_frame("g", frame, 9), w.Activated)
 
 
-def test_the_arbiters_first_word_holds() -> None:
-    at = desk("g")
-    hand = w.MigrationId("g", 1, 0, 1)
-    at.recover([w.SealedRecord(hand, "k", "t"), w.CommittedRecord(hand)], 0)
-    assert told(at.handle_frame("t", w.CopyStored(hand, (2, 2)), 1), s.AskArbiter)[
-        0
-    ].cede
-    assert not told(at.handle_frame("t", w.Activated(hand, 1), 1), s.PersistRecord), (
-        "what was asked may be answered yet"
+def test_first_verdict_of_arbiter_is_final() -> None:
+    manager = new_manager("g")
+    migration_id = w.MigrationId("g", 1, 0, 1)
+    manager.recover(
+        [w.SealedRecord(migration_id, "k", "t"), w.CommittedRecord(migration_id)], 0
     )
-    assert told(
-        kept(at, w.ReleasedRecord, at.handle_verdict(s.Verdict(hand, "taker"), 1)),
+    assert of_type(
+        manager.handle_frame("t", w.CopyStored(migration_id, (2, 2)), 1), s.AskArbiter
+    )[0].cede
+    assert not of_type(
+        manager.handle_frame("t", w.Activated(migration_id, 1), 1), s.PersistRecord
+    ), "the arbiter may still answer the pending request"
+    assert of_type(
+        confirm_write(
+            manager,
+            w.ReleasedRecord,
+            manager.handle_verdict(s.Verdict(migration_id, "taker"), 1),
+        ),
         w.Released,
     )
-    at = desk("g")
-    at.recover([w.SealedRecord(hand, "k", "t"), w.CommittedRecord(hand)], 0)
-    assert told(at.handle_verdict(s.Verdict(hand, "taker"), 1), w.Commit)
+    manager = new_manager("g")
+    manager.recover(
+        [w.SealedRecord(migration_id, "k", "t"), w.CommittedRecord(migration_id)], 0
+    )
+    assert of_type(
+        manager.handle_verdict(s.Verdict(migration_id, "taker"), 1), w.Commit
+    )
     assert (
-        at.handle_verdict(s.Verdict(hand, "giver"), 1) == []
-        and told(at.tick(2), s.FailAll) == []
+        manager.handle_verdict(s.Verdict(migration_id, "giver"), 1) == []
+        and of_type(manager.tick(2), s.FailAll) == []
     )
 
 
-def test_the_tail_passes_one_at_a_time_and_never_a_number_twice() -> None:
-    at = desk("g")
-    hand = frozen(at)
-    at.handle_session_event(
+def test_tail_forwards_one_message_at_a_time_with_unique_numbers() -> None:
+    manager = new_manager("g")
+    migration_id = freeze_session(manager)
+    manager.handle_session_event(
         "k", s.MessageArrived(w.TransferredMessage("1", "", 0, 9**9), 1_500), 1_500
     )
-    kept(
-        at,
+    confirm_write(
+        manager,
         w.SealedRecord,
-        at.handle_session_event("k", s.SessionQuiesced((), ()), 1_000) or [],
+        manager.handle_session_event("k", s.SessionQuiesced((), ()), 1_000) or [],
     )
-    committing = at.handle_frame("t", w.CopyStored(hand, (4, 4)), 2_000)
-    assert told(kept(at, w.CommittedRecord, committing), w.Commit)[0].lease_token == (
+    committing = manager.handle_frame("t", w.CopyStored(migration_id, (4, 4)), 2_000)
+    assert of_type(confirm_write(manager, w.CommittedRecord, committing), w.Commit)[
+        0
+    ].lease_token == (
         4,
         4,
     )
-    first = told(
-        kept(at, w.ReleasedRecord, at.handle_frame("t", w.Activated(hand, 70), 2_000)),
+    first = of_type(
+        confirm_write(
+            manager,
+            w.ReleasedRecord,
+            manager.handle_frame("t", w.Activated(migration_id, 70), 2_000),
+        ),
         w.TailMessage,
     )
-    assert [(p.number, p.item.id, p.stamp_us) for p in first] == [(1, "1", 70)]
+    assert [(frame.number, frame.item.id, frame.stamp_us) for frame in first] == [
+        (1, "1", 70)
+    ]
     assert (
-        at.handle_session_event(
+        manager.handle_session_event(
             "k", s.MessageArrived(w.TransferredMessage("2", "", 0, 9**9), 2_500), 2_500
         )
         == []
     )
-    second = told(
-        at.handle_session_event("k", s.ClientDisconnected("1"), 2_600) or [],
+    second = of_type(
+        manager.handle_session_event("k", s.ClientDisconnected("1"), 2_600) or [],
         w.TailMessage,
     )
-    assert [(p.number, p.item.id) for p in second] == [(2, "2")]
-    assert at.handle_frame("t", w.TailMessageResult(hand, 1, "taken", 80), 2_700) == []
+    assert [(frame.number, frame.item.id) for frame in second] == [(2, "2")]
     assert (
-        at.handle_frame("t", w.TailMessageResult(hand, 2, "refused", 69), 2_700) == []
-    ), "said before a restart"
+        manager.handle_frame(
+            "t", w.TailMessageResult(migration_id, 1, "taken", 80), 2_700
+        )
+        == []
+    )
     assert (
-        at.handle_frame("x", w.TailMessageResult(hand, 2, "taken", 81), 2_700) == []
-    ), "not the one it was given to"
-    assert told(
-        at.handle_frame("t", w.TailMessageResult(hand, 2, "taken", 81), 2_700),
+        manager.handle_frame(
+            "t", w.TailMessageResult(migration_id, 2, "refused", 69), 2_700
+        )
+        == []
+    ), "sent before a restart of the target"
+    assert (
+        manager.handle_frame(
+            "x", w.TailMessageResult(migration_id, 2, "taken", 81), 2_700
+        )
+        == []
+    ), "not from the target of the migration"
+    assert of_type(
+        manager.handle_frame(
+            "t", w.TailMessageResult(migration_id, 2, "taken", 81), 2_700
+        ),
         s.AnswerAccepted,
     ) == [s.AnswerAccepted("2")]
     assert (
-        told(
-            at.handle_session_event("k", s.ConnectionsClosed(), 2_800) or [], w.TailEnd
+        of_type(
+            manager.handle_session_event("k", s.ConnectionsClosed(), 2_800) or [],
+            w.TailEnd,
         )
-        and not at.outgoing
-    )
-    assert told(at.handle_frame("t", w.CopyStored(hand, (4, 5)), 2_900), w.Released), (
-        "it is remembered whose it is"
+        and not manager.outgoing
     )
+    assert of_type(
+        manager.handle_frame("t", w.CopyStored(migration_id, (4, 5)), 2_900), w.Released
+    ), "the finished migration is remembered"
 
 
-def test_hand_overs_are_bounded_both_ways() -> None:
-    giving, taking = (
-        desk("g", at_once=2, all_bytes=9_000_000),
-        desk("t", at_once=2, all_bytes=9_000_000),
+def test_migrations_are_bounded_in_both_directions() -> None:
+    source, target = (
+        new_manager("g", at_once=2, all_bytes=9_000_000),
+        new_manager("t", at_once=2, all_bytes=9_000_000),
     )
     offers = [
-        told(
-            giving.start_migration(
-                f"k{n}", "t", "a", "", 1, s.StartMigration(1, 100), 0
+        of_type(
+            source.start_migration(
+                f"k{number}", "t", "a", "", 1, s.StartMigration(1, 100), 0
             ),
             w.Offer,
         )
-        for n in range(3)
+        for number in range(3)
     ]
-    assert [len(o) for o in offers] == [1, 1, 0] and giving.start_migration(
-        "k0", "t", "a", "", 1, s.StartMigration(1, 1), 0
-    ) == []
-    assert not desk("g", all_bytes=9_000_000).start_migration(
+    assert [len(sent_offers) for sent_offers in offers] == [
+        1,
+        1,
+        0,
+    ] and source.start_migration("k0", "t", "a", "", 1, s.StartMigration(1, 1), 0) == []
+    assert not new_manager("g", all_bytes=9_000_000).start_migration(
         "k", "t", "a", "", 1, s.StartMigration(1, 9_000_001), 0
     )
     answers = [
-        taking.handle_frame(
-            "g", w.Offer(w.MigrationId("g", 1, 1, n), f"k{n}", "a", "", 1, size, 1), 0
+        target.handle_frame(
+            "g",
+            w.Offer(
+                w.MigrationId("g", 1, 1, number), f"k{number}", "a", "", 1, size, 1
+            ),
+            0,
         )
-        for n, size in enumerate((5_000_000, 8_388_609, 5_000_000, 10, 10))
+        for number, size in enumerate((5_000_000, 8_388_609, 5_000_000, 10, 10))
     ]
-    assert [bool(told(a, w.Accept)) for a in answers] == [
+    assert [bool(of_type(actions, w.Accept)) for actions in answers] == [
         True,
         False,
         False,
         True,
         False,
     ]
-    taking.start_draining(0)
-    late = w.Offer(w.MigrationId("g", 1, 1, 9), "k9", "a", "", 1, 1, 1)
-    assert told(taking.handle_frame("g", late, 0), w.Decline)[0].reason == "draining"
-    assert taking.handle_frame("x", w.Abort(w.MigrationId("g", 1, 1, 0)), 0) == [], (
-        "not its hand-over"
+    target.start_draining(0)
+    late_offer = w.Offer(w.MigrationId("g", 1, 1, 9), "k9", "a", "", 1, 1, 1)
+    assert (
+        of_type(target.handle_frame("g", late_offer, 0), w.Decline)[0].reason
+        == "draining"
+    )
+    assert target.handle_frame("x", w.Abort(w.MigrationId("g", 1, 1, 0)), 0) == [], (
+        "not a migration of this peer"
     )
 
 
 def test_largest_session_fits_its_frames() -> None:
     items = [
         w.TransferredMessage(
-            f"{n:0200}",
+            f"{number:0200}",
             "c" * 200,
-            n,
-            -n,
+            number,
+            -number,
             bytes(w.BODY_LIMIT_BYTES),
             "i" * 200,
             "t" * 200,
-            executed_at_us=-n,
+            executed_at_us=-number,
         )
-        for n in range(9)
+        for number in range(9)
     ]
-    memory = [f"{n:0200}" for n in range(256)]
-    parts = list(w.split_into_parts(items, memory))
-    assert [i for part in parts for i in part[0]] == items
-    assert [m for part in parts for m in part[1]] == memory
-    for n, part in enumerate(parts):
+    remembered_ids = [f"{number:0200}" for number in range(256)]
+    parts = list(w.split_into_parts(items, remembered_ids))
+    assert [item for part in parts for item in part[0]] == items
+    assert [message_id for part in parts for message_id in part[1]] == remembered_ids
+    for number, part in enumerate(parts):
         assert (
             len(
                 frames.encode(
                     w.CopyPart(
-                        w.MigrationId("g" * 200, 1, 1, 1), 1, n, len(parts), *part
+                        w.MigrationId("g" * 200, 1, 1, 1), 1, number, len(parts), *part
                     )
                 )
             )
@@ -936,72 +1129,79 @@
         )
 
 
-def test_arbiter_is_bounded_and_forgets_only_what_is_safe() -> None:
+def test_arbiter_is_bounded_and_evicts_only_old_decisions() -> None:
     alive = {"g": True, "t": True}
     arbiter = Arbiter(1, alive.__getitem__, max_decisions=1)
-    one, two = (w.MigrationId("g", 1, 1, n) for n in (1, 2))
-    assert arbiter.decide(s.AskArbiter(one, "taker", "g"), 0)[0].ruling == "wait"
-    assert arbiter.decide(s.AskArbiter(one, "giver", "t"), 0) == (
-        s.Verdict(one, "giver"),
+    first, second = (w.MigrationId("g", 1, 1, sequence) for sequence in (1, 2))
+    assert arbiter.decide(s.AskArbiter(first, "taker", "g"), 0)[0].ruling == "wait"
+    assert arbiter.decide(s.AskArbiter(first, "giver", "t"), 0) == (
+        s.Verdict(first, "giver"),
         True,
     )
     alive["g"] = False
-    assert arbiter.decide(s.AskArbiter(one, "taker", "g"), 0) == (
-        s.Verdict(one, "giver"),
+    assert arbiter.decide(s.AskArbiter(first, "taker", "g"), 0) == (
+        s.Verdict(first, "giver"),
         False,
     )
     assert (
-        arbiter.decide(s.AskArbiter(two, "taker", "g"), DECISION_RETENTION_US - 1)[
+        arbiter.decide(s.AskArbiter(second, "taker", "g"), DECISION_RETENTION_US - 1)[
             0
         ].ruling
         == "wait"
-    ), "no room"
-    assert arbiter.decide(s.AskArbiter(two, "taker", "g"), DECISION_RETENTION_US) == (
-        s.Verdict(two, "taker"),
+    ), "the store is full"
+    assert arbiter.decide(
+        s.AskArbiter(second, "taker", "g"), DECISION_RETENTION_US
+    ) == (
+        s.Verdict(second, "taker"),
         True,
     )
-    assert arbiter.confirm(s.ConfirmVerdict(two, "taker")) and not arbiter.confirm(
-        s.ConfirmVerdict(two, "taker")
+    assert arbiter.confirm(s.ConfirmVerdict(second, "taker")) and not arbiter.confirm(
+        s.ConfirmVerdict(second, "taker")
     )
-    assert arbiter.confirm(s.ConfirmVerdict(two, "giver")) and not arbiter.decisions
+    assert arbiter.confirm(s.ConfirmVerdict(second, "giver")) and not arbiter.decisions
     for later in (arbiter, Arbiter(2, alive.__getitem__)):
         assert (
-            later.decide(s.AskArbiter(one, "taker", "g"), DECISION_RETENTION_US)[
+            later.decide(s.AskArbiter(first, "taker", "g"), DECISION_RETENTION_US)[
                 0
             ].ruling
             == "wait"
-        ), "forgotten: nobody knows"
+        ), "evicted: the earlier verdict is unknown"
         assert (
             later.decide(
-                s.AskArbiter(one, "giver", "t", True, cede=True), DECISION_RETENTION_US
+                s.AskArbiter(first, "giver", "t", True, cede=True),
+                DECISION_RETENTION_US,
             )[0].ruling
             == "taker"
         )
 
 
-def test_a_third_forwarder_passes_on_once() -> None:
-    third, old, new = (
+def test_third_forwarder_forwards_once() -> None:
+    third, source, target = (
         SessionDirectory("x"),
         SessionDirectory("g"),
         SessionDirectory("t"),
     )
     assert (
-        old.learn("k", "t", 1, 100)
-        and new.learn("k", "t", 1, 100)
-        and not old.learn("k", "g", 0, 100)
+        source.learn("k", "t", 1, 100)
+        and target.learn("k", "t", 1, 100)
+        and not source.learn("k", "g", 0, 100)
+    )
+    assert (
+        third.route("k", "g", (), 0) == "g" and source.route("k", "g", ("x",), 0) == "t"
+    )
+    assert target.route("k", "g", ("x", "g"), 0) == "t", (
+        "the owner itself accepts the message"
     )
-    assert third.route("k", "g", (), 0) == "g" and old.route("k", "g", ("x",), 0) == "t"
-    assert new.route("k", "g", ("x", "g"), 0) == "t", "its own: taken on"
     assert (
-        old.route("k", "g", ("t",), 0) is None
+        source.route("k", "g", ("t",), 0) is None
         and third.route("k", "g", ("x",), 0) is None
-    ), "a loop"
+    ), "forwarding loop detected"
     assert (
-        third.route("k", None, (), 0) is None and old.route("k", "g", (), 100) == "g"
-    ), "the note is old"
+        third.route("k", None, (), 0) is None and source.route("k", "g", (), 100) == "g"
+    ), "the directory entry has expired"
 
 
-def test_all_faults_of_the_table_are_told_with_their_paths() -> None:
+def test_all_config_errors_are_reported_with_paths() -> None:
     raw = {
         "sites": {"a": {"neighbours": {"a": 1, "z": 1, "b": -1}}, "b": 3},
         "over": 2,
@@ -1009,9 +1209,9 @@
         "what": 1,
         "limits": {"calls_us": 700_000, "none": 1},
     }
-    with pytest.raises(config.SessionConfigError) as found:
+    with pytest.raises(config.SessionConfigError) as raised:
         config.parse_config(raw)
-    paths = [fault.split(":")[0] for fault in found.value.errors]
+    paths = [error.split(":")[0] for error in raised.value.errors]
     assert paths == [
         "session.what",
         "session.at_once",
@@ -1023,8 +1223,8 @@
         "session.limits.none",
         "session.limits.calls_us",
     ]
-    sound = {"sites": {"a": {"neighbours": {"b": 1}}, "b": {"neighbours": {}}}}
-    assert config.parse_config(sound).sites == {"a": {"b": 1.0}, "b": {}}
+    valid = {"sites": {"a": {"neighbours": {"b": 1}}, "b": {"neighbours": {}}}}
+    assert config.parse_config(valid).sites == {"a": {"b": 1.0}, "b": {}}
 
 
 @settings(derandomize=True, deadline=None, max_examples=8)
@@ -1099,36 +1299,39 @@
                     )
 
 
-def test_two_sites_over_their_budget_hand_each_other_nothing() -> None:
-    rules = config.parse_config(
+def test_overloaded_sites_do_not_migrate_to_each_other() -> None:
+    session_config = config.parse_config(
         {"sites": {"a": {"neighbours": {"b": 1}}, "b": {"neighbours": {"a": 1}}}}
     )
-    full, easy = (
+    overloaded, underloaded = (
         migration_policy.LocalStatus("a", load=0.95),
         migration_policy.LocalStatus("b", load=0.5),
     )
-    one = migration_policy.SessionStatus("k", 10, 1, 0, load=0.1)
-    taker = migration_policy.CandidatePeer(
-        "f", "b", True, False, 9_000_000, 5, 100, 0.5
-    )
-    first, second = (
-        migration_policy.MigrationPolicy(rules),
-        migration_policy.MigrationPolicy(rules),
+    session = migration_policy.SessionStatus("k", 10, 1, 0, load=0.1)
+    peer = migration_policy.CandidatePeer("f", "b", True, False, 9_000_000, 5, 100, 0.5)
+    first_policy, second_policy = (
+        migration_policy.MigrationPolicy(session_config),
+        migration_policy.MigrationPolicy(session_config),
     )
     assert [
-        p.target for p in first.plan_migrations(full, [one], [taker], 9_000_000)
+        plan.target
+        for plan in first_policy.plan_migrations(
+            overloaded, [session], [peer], 9_000_000
+        )
     ] == ["f"]
-    assert not first.plan_migrations(
-        full, [one], [replace(taker, draining=True)], 9_000_000
+    assert not first_policy.plan_migrations(
+        overloaded, [session], [replace(peer, draining=True)], 9_000_000
     )
-    assert not first.plan_migrations(
-        full, [one], [replace(taker, load=0.65)], 9_000_000
-    ), "it would be over itself"
-    assert second.offer_rejection(easy, "a", "over", 9_000_000) == ""
-    assert second.offer_rejection(full, "a", "over", 0) == "over"
-    back = replace(taker, name="g", site="a")
-    assert not second.plan_migrations(
-        replace(easy, load=0.95), [one], [back], 9_500_000
-    ), "it has just given us some"
-    drains = replace(easy, load=0.95, draining=True)
-    assert second.plan_migrations(drains, [one], [back], 9_500_000), "but a drain goes"
+    assert not first_policy.plan_migrations(
+        overloaded, [session], [replace(peer, load=0.65)], 9_000_000
+    ), "the target would be overloaded"
+    assert second_policy.offer_rejection(underloaded, "a", "over", 9_000_000) == ""
+    assert second_policy.offer_rejection(overloaded, "a", "over", 0) == "over"
+    peer_of_first = replace(peer, name="g", site="a")
+    assert not second_policy.plan_migrations(
+        replace(underloaded, load=0.95), [session], [peer_of_first], 9_500_000
+    ), "its site sent sessions because of its load just now"
+    draining = replace(underloaded, load=0.95, draining=True)
+    assert second_policy.plan_migrations(
+        draining, [session], [peer_of_first], 9_500_000
+    ), "a drain is not restricted by that"
