--- a/rainfall/session/arbiter.py
+++ b/rainfall/session/arbiter.py
@@ -47,7 +47,7 @@
     """Whether the lease of a member may still be valid, by the service's clock."""
     max_decisions: int = 10_000
     decisions: OrderedDict[MigrationId, Decision] = field(default_factory=OrderedDict)
-    forgotten_up_to: dict[str, MigrationId] = field(default_factory=dict)
+    evicted_up_to: dict[str, MigrationId] = field(default_factory=dict)
     """By source, the highest migration evicted before both sides confirmed."""
 
     def decide(self, question: AskArbiter, now_us: int) -> Answer:
@@ -80,7 +80,7 @@
             # another verdict does not set `cede`.
             return "taker"
         is_other_gone = not self.is_lease_valid(question.other_member)
-        if self._may_be_forgotten(question.migration_id):
+        if self._may_be_evicted(question.migration_id):
             # An earlier verdict may have been evicted, so none is safe to give. The sides
             # settle it between them, or by the time limit `commit_us`.
             return "wait"
@@ -88,11 +88,11 @@
             return "giver" if is_other_gone or not question.committed else "wait"
         return "taker" if is_other_gone or question.unknown_to_source else "wait"
 
-    def _may_be_forgotten(self, migration_id: MigrationId) -> bool:
+    def _may_be_evicted(self, migration_id: MigrationId) -> bool:
         if migration_id.epoch < self.epoch:
             return True
-        forgotten_up_to = self.forgotten_up_to.get(migration_id.source)
-        return forgotten_up_to is not None and migration_id <= forgotten_up_to
+        evicted_up_to = self.evicted_up_to.get(migration_id.source)
+        return evicted_up_to is not None and migration_id <= evicted_up_to
 
     def confirm(self, confirmation: ConfirmVerdict) -> bool:
         """Record that a side has applied a verdict; the second side's deletes the decision.
@@ -115,6 +115,6 @@
         if now_us - decision.decided_at_us < DECISION_RETENTION_US:
             return False
         del self.decisions[oldest]
-        previous = self.forgotten_up_to.get(oldest.source, oldest)
-        self.forgotten_up_to[oldest.source] = max(oldest, previous)
+        previous = self.evicted_up_to.get(oldest.source, oldest)
+        self.evicted_up_to[oldest.source] = max(oldest, previous)
         return True
--- a/rainfall/session/migration_manager.py
+++ b/rainfall/session/migration_manager.py
@@ -16,7 +16,7 @@
 from rainfall.session.states import Actions, Limits, MigrationState
 
 MAX_FINISHED_MIGRATIONS = 10_000
-"""Most finished migrations that are remembered, of all members; 250 bytes each."""
+"""Most finished migrations of all members that are recorded; 250 bytes each."""
 NO_KEY = ""
 """Stands for the order key in an action that concerns no session."""
 KeyedAction = tuple[str, s.Action]
@@ -300,8 +300,8 @@
 
     def _drop(self, side: MigrationSource | MigrationTarget) -> None:
         migration_id = side.migration_id
-        if _is_targets_for_good(side):
-            self._remember_finished(migration_id, True)
+        if _is_owned_by_target(side):
+            self._record_finished(migration_id, True)
         self.outgoing.pop(migration_id, None)
         self.incoming.pop(migration_id, None)
         if self.migration_by_key.get(side.key) == migration_id:
@@ -312,10 +312,12 @@
         previous = self.refused_up_to.get(migration_id.source, migration_id)
         self.refused_up_to[migration_id.source] = max(migration_id, previous)
         if isinstance(record, w.RefusedRecord):
-            self._remember_finished(migration_id, False)
+            self._record_finished(migration_id, False)
 
-    def _remember_finished(self, migration_id: w.MigrationId, is_targets: bool) -> None:
-        self.finished[migration_id] = is_targets
+    def _record_finished(
+        self, migration_id: w.MigrationId, is_owned_by_target: bool
+    ) -> None:
+        self.finished[migration_id] = is_owned_by_target
         if len(self.finished) > MAX_FINISHED_MIGRATIONS:
             del self.finished[next(iter(self.finished))]
 
@@ -340,7 +342,7 @@
             if isinstance(record, (w.StoredRecord, w.SealedRecord)):
                 newest_by_key[record.key] = migration_id
             if isinstance(record, w.ReleasedRecord):
-                self._remember_finished(migration_id, True)
+                self._record_finished(migration_id, True)
             records_by_type = records_by_migration.setdefault(migration_id, {})
             records_by_type[type(record)] = record
         for migration_id in newest_by_key.values():
@@ -389,7 +391,7 @@
     return side.migration_id.source
 
 
-def _is_targets_for_good(side: MigrationSource | MigrationTarget) -> bool:
+def _is_owned_by_target(side: MigrationSource | MigrationTarget) -> bool:
     """Whether the finished migration left the session with the target."""
     if isinstance(side, MigrationTarget):
         return side.ownership_final
--- a/rainfall/session/migration_source.py
+++ b/rainfall/session/migration_source.py
@@ -46,7 +46,7 @@
     """Whether to abort the migration once the seal is written."""
     decided_by_arbiter: bool = False
     """Whether the arbiter's verdict has decided the session's owner."""
-    in_doubt: bool = False
+    verdict_requested: bool = False
     """Whether a committed source has, perhaps before a restart, requested a verdict.
 
     The request may reach the arbiter late, so only its verdict counts from then on: the
@@ -80,7 +80,7 @@
         source = MigrationSource(
             record.migration_id, limits, key=record.key, target=record.target
         )
-        source.in_doubt = committed
+        source.verdict_requested = committed
         state = MigrationState.COMMITTED if committed else MigrationState.ABORTED
         source._enter(state, now_us)
         return source
@@ -254,7 +254,7 @@
         """Answer a target's query about the session's owner."""
         if self.pending_record is not None:
             return ()
-        if self.in_doubt and event.lease_token != self.target_lease_token:
+        if self.verdict_requested and event.lease_token != self.target_lease_token:
             return self._cede()
         self.target_lease_token = event.lease_token
         return self._send_commit()
@@ -301,7 +301,7 @@
         self.heard_us = now_us
         self.copy_parts = ()
         self.target_activated = True
-        return self._cede() if self.in_doubt else self._write_release(now_us)
+        return self._cede() if self.verdict_requested else self._write_release(now_us)
 
     def _write_release(self, now_us: int) -> Actions:
         self._enter(MigrationState.COMMITTED, now_us)
@@ -322,7 +322,7 @@
         return self._write(w.ReclaimedRecord(self.migration_id))
 
     def _yield_to_target(self, committed: bool, now_us: int) -> Actions:
-        self.in_doubt = False
+        self.verdict_requested = False
         if committed and self.target_activated:
             return self._write_release(now_us)
         if not committed:
@@ -352,7 +352,7 @@
             return resent
         if committed and self.decided_by_arbiter:
             return resent
-        self.in_doubt = committed
+        self.verdict_requested = committed
         question = s.AskArbiter(self.migration_id, "giver", self.target, committed)
         return *resent, question
 
--- a/rainfall/session/migration_target.py
+++ b/rainfall/session/migration_target.py
@@ -187,8 +187,8 @@
 
     def _ask_arbiter(self, now_us: int) -> Actions:
         """Request a verdict once the source had `ask_us` to answer."""
-        in_doubt_us = now_us - self.state_entered_at_us
-        if self.ownership_final or in_doubt_us < self.limits.ask_us:
+        undecided_us = now_us - self.state_entered_at_us
+        if self.ownership_final or undecided_us < self.limits.ask_us:
             return ()
         question = s.AskArbiter(
             self.migration_id,
