--- a/rainfall/peer/__init__.py
+++ b/rainfall/peer/__init__.py
@@ -1,1 +1,1 @@
-"""Links between forwarders: their frames, and the state of one link."""
+"""The protocol between forwarders: frames, and the state machine of one link."""
--- a/rainfall/peer/frames.py
+++ b/rainfall/peer/frames.py
@@ -1,8 +1,9 @@
-"""The frames between forwarders: msgpack arrays with a tag, behind their length.
+"""The frames between forwarders: length-prefixed, tagged msgpack arrays.
 
-The length takes four bytes; bodies are raw bytes. A frame that is longer than
-`FRAME_LIMIT_BYTES`, of an unknown kind, or with a field out of bounds ends the link. The
-error names the field by its path (`$[2]` is the frame's third element).
+The length prefix is a big-endian integer of four bytes; message bodies are raw bytes. A
+frame that is longer than `FRAME_LIMIT_BYTES`, has an unknown tag, or has a field out of
+bounds ends the link. The error names the field by its path (`$[2]` is the third element
+of the array, the tag included).
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from msgspec import Meta
 
 from rainfall.errors import RainfallError
-from rainfall.session import protocol as w
+from rainfall.session import protocol as session_protocol
 from rainfall.session.protocol import (
     Count,
     Identifier,
@@ -24,12 +25,12 @@
 
 PROTOCOL_VERSION = 1
 FRAME_LIMIT_BYTES = 131_072
-"""A body of 64 KiB fits, with all that may stand beside it."""
+"""A message body of 64 KiB fits, together with all other fields of its frame."""
 LENGTH_PREFIX_BYTES = 4
 
 
 class MalformedFrameError(RainfallError, ValueError):
-    """A frame cannot be read; the text is one line and names the field by its path."""
+    """A frame cannot be decoded; the text is one line and names the field by its path."""
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
@@ -38,55 +39,63 @@
     version: Count
     name: Identifier
     site: ShortText
-    lease_token: w.LeaseToken
+    lease_token: session_protocol.LeaseToken
     """The sender's lease token, or (0, 0) while it holds none."""
 
 
 class CapacityReport(msgspec.Struct, frozen=True, array_like=True, tag="room"):
-    """What the sender can take; it is sent regularly, and shows that the sender is alive.
+    """A heartbeat with the sender's load and free capacity.
 
-    Times in frames to the sender count from the newest stamp that it has sent.
+    Times in frames to the sender are relative to its newest received `stamp_us`.
     """
 
     stamp_us: TimeUs
+    """The time of the report by the sender's clock."""
     sessions: Count
+    """How many more sessions the sender can accept."""
     bytes: Count
+    """How many more bytes the sender can accept."""
     load: Annotated[float, Meta(ge=0, le=1e6)]
+    """The used part of the sender's budget."""
     draining: bool
+    """Whether the sender shuts down or an operator drains it."""
     endpoints: bool
+    """Whether endpoints of the sender's site serve."""
 
 
 class Forward(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
-    """A message of a key that the sender does not own.
+    """A message whose key the sender does not own, for the owner of the key.
 
-    Its deadline counts from `stamp_us`, the receiver's own.
+    The deadline in `item` is relative to `stamp_us`, the receiver's newest stamp.
     """
 
     number: Count
+    """Increases with each message that is forwarded over the link."""
     key: Identifier
     generation: Count
-    """Of the shard map that the sender uses."""
+    """The generation of the sender's shard map."""
     forwarded_by: Annotated[tuple[Identifier, ...], Meta(max_length=4)]
-    """Who has forwarded it so far, the sender last."""
+    """The names of all forwarders that have forwarded the message, the sender last."""
     stamp_us: TimeUs
     item: TransferredMessage
     resent: bool = False
 
 
 class Forwarded(msgspec.Struct, frozen=True, array_like=True, tag="forwarded"):
-    """A forwarded message was accepted (its client gets 202), or rejected (503).
+    """The outcome of a `Forward`: accepted (the client gets 202) or rejected (503).
 
-    A rejected message was accepted nowhere.
+    No forwarder has accepted a rejected message.
     """
 
     number: Count
+    """The number of the `Forward`."""
     outcome: Literal["taken", "refused"]
     retry_after_us: Count = 0
     generation: Count = 0
 
 
 class SessionMoved(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
-    """`owner` has the session of a key since so many migrations of it."""
+    """The session of `key` is at `owner` after `migration_count` migrations."""
 
     key: Identifier
     owner: Identifier
@@ -99,32 +108,32 @@
     | Forward
     | Forwarded
     | SessionMoved
-    | w.FrameToTarget
-    | w.FrameToSource
+    | session_protocol.FrameToTarget
+    | session_protocol.FrameToSource
 )
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[AnyFrame] = msgspec.msgpack.Decoder(AnyFrame)
 
 
 def encode(frame: msgspec.Struct) -> bytes:
-    """Encode a frame, with its length in front.
+    """Encode a frame with its length prefix.
 
     Raises:
-        MalformedFrameError: It is too long for the other side.
+        MalformedFrameError: The frame is longer than `FRAME_LIMIT_BYTES`.
     """
     data = _encoder.encode(frame)
     if len(data) > FRAME_LIMIT_BYTES:
         raise MalformedFrameError(
-            f"a frame of {len(data)} bytes; at most {FRAME_LIMIT_BYTES} are taken"
+            f"frame of {len(data)} bytes exceeds the limit of {FRAME_LIMIT_BYTES} bytes"
         )
     return len(data).to_bytes(LENGTH_PREFIX_BYTES, "big") + data
 
 
 def decode(data: bytes | memoryview) -> AnyFrame:
-    """Decode a frame without its length.
+    """Decode a frame without its length prefix.
 
     Raises:
-        MalformedFrameError: It is no frame.
+        MalformedFrameError: `data` is not a valid frame.
     """
     try:
         return _decoder.decode(data)
@@ -133,16 +142,17 @@
 
 
 class FrameSplitter:
-    """Splits a stream of bytes into frames; it buffers one frame at most."""
+    """Splits a byte stream into frames; at most one incomplete frame stays buffered."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[AnyFrame]:
-        """Return the frames that are complete by now.
+        """Append `data` to the buffer and return the frames that are complete.
 
         Raises:
-            MalformedFrameError: The stream cannot be split any further.
+            MalformedFrameError: A frame is too long or invalid; the rest of the stream
+                cannot be decoded.
         """
         self.buffer += data
         frames: list[AnyFrame] = []
@@ -152,7 +162,7 @@
             size = int.from_bytes(self.buffer[offset:begin], "big")
             if size > FRAME_LIMIT_BYTES:
                 raise MalformedFrameError(
-                    f"a frame of {size} bytes; at most {FRAME_LIMIT_BYTES} are taken"
+                    f"frame of {size} bytes exceeds the limit of {FRAME_LIMIT_BYTES} bytes"
                 )
             end = begin + size
             if len(self.buffer) < end:
--- a/rainfall/peer/links.py
+++ b/rainfall/peer/links.py
@@ -1,9 +1,10 @@
-"""One link between two forwarders, without I/O.
+"""The state machine of one link between two forwarders, without I/O.
 
-A link is one connection. Both sides send `Hello` first; a peer that was seen under a
-later lease is not accepted, so a process that was suspended, or a second one of that
-name, cannot go on. When the link ends, the outcome of each forwarded message without an
-answer is `unknown`: it may have been accepted, so its client gets no answer.
+A link is one connection. Both sides send `Hello` first. A hello with an older lease token
+than the highest one seen of that peer is rejected; this fences off a process that was
+suspended, or a second process of the same name. When the link ends, the outcome of each
+forwarded message without an answer is `unknown`: the peer may have accepted the message,
+so its client gets no answer.
 """
 
 from __future__ import annotations
@@ -12,24 +13,24 @@
 
 import msgspec
 
-from rainfall.peer import frames as f
+from rainfall.peer import frames as peer_frames
 from rainfall.session.protocol import LeaseToken, with_relative_times
 
 NO_LEASE: LeaseToken = (0, 0)
-"""The token in the hello of a peer that holds no lease."""
+"""The lease token in the hello of a peer without a lease."""
 UNKNOWN_OUTCOME = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class WriteBytes:
-    """Write to the connection."""
+    """Write `data` to the connection."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class FrameReceived:
-    """Handle a frame from the peer."""
+    """Deliver a frame from the peer to the forwarder."""
 
     frame: msgspec.Struct
 
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardOutcome:
-    """How a forwarded message ended.
+    """The outcome of a forwarded message.
 
     `outcome` is `taken` (the client gets 202), `refused` (503) or `unknown` (no answer).
     """
@@ -63,9 +64,10 @@
     highest_tokens: dict[str, LeaseToken] = field(default_factory=dict)
 
     def accept_token(self, name: str, lease_token: LeaseToken) -> bool:
-        """Note a peer's lease token; returns False where a later one was seen.
+        """Record a peer's lease token; returns False if a higher one was seen.
 
-        A peer without a lease is accepted: it may report what it stores, and ask.
+        A peer without a lease is accepted: it may still report the messages it stores
+        and send requests.
         """
         if lease_token == NO_LEASE:
             return True
@@ -77,50 +79,55 @@
 
 @dataclass(slots=True)
 class Link:
-    """The state of a link; all times are microseconds of one clock.
+    """The state of a link; all times are microseconds of the local monotonic clock.
 
-    `expected` is the peer's name for a connection that was dialled, and empty for one
-    that was accepted.
+    `expected` is the peer's name for an outgoing connection, and empty for an incoming
+    one.
     """
 
-    own_hello: f.Hello
+    own_hello: peer_frames.Hello
     known_leases: KnownLeases
     expected: str = ""
     max_unwritten_bytes: int = 4 << 20
-    """Nothing is sent while so much waits to be written."""
+    """Frames are dropped while at least this many bytes wait to be written."""
     max_pending: int = 1_024
-    """Forwarded messages without an answer."""
+    """Limit of forwarded messages without an answer."""
     silence_timeout_us: int = 2_000_000
-    """A peer sends several capacity reports within that time."""
-    peer: f.Hello | None = None
-    last_heard_us: int = 0
+    """The link is closed after this time without data.
+
+    A peer sends several capacity reports within it.
+    """
+    peer: peer_frames.Hello | None = None
+    last_received_us: int = 0
     peer_stamp_us: int = 0
-    """The peer's newest stamp."""
+    """The `stamp_us` of the newest capacity report, by the peer's clock."""
     peer_stamp_received_us: int = 0
-    """When it arrived, by the local clock."""
+    """When the newest capacity report arrived, by the local clock; 0 before the first."""
     unwritten_bytes: int = 0
     last_sent_number: int = 0
     last_received_number: int = 0
     """The highest number of a message that the peer forwarded."""
     pending: dict[int, None] = field(default_factory=dict)
-    """Numbers of forwarded messages without an answer, in order."""
+    """Numbers of forwarded messages without an answer, in the order of sending."""
     closed: bool = False
-    splitter: f.FrameSplitter = field(default_factory=f.FrameSplitter)
+    splitter: peer_frames.FrameSplitter = field(
+        default_factory=peer_frames.FrameSplitter
+    )
 
     def on_opened(self, now_us: int) -> list[LinkAction]:
-        """Greet the peer: the connection is open."""
-        self.last_heard_us = now_us
+        """Send the hello; called when the connection is open."""
+        self.last_received_us = now_us
         return [WriteBytes(self._encode(self.own_hello))]
 
     def on_data(self, data: bytes, now_us: int) -> list[LinkAction]:
-        """Handle bytes from the connection."""
+        """Process bytes from the connection."""
         if self.closed:
             return []
-        self.last_heard_us = now_us
+        self.last_received_us = now_us
         try:
             frames = self.splitter.feed(data)
-        except f.MalformedFrameError as error:
-            return self.close(f"cannot be read: {error}")
+        except peer_frames.MalformedFrameError as error:
+            return self.close(f"sent a malformed frame: {error}")
         actions: list[LinkAction] = []
         for frame in frames:
             actions += self._handle_frame(frame, now_us)
@@ -132,45 +139,47 @@
         if self.peer is None:
             return self._handle_hello(frame)
         match frame:
-            case f.Hello():
-                return self.close("said hello twice")
-            case f.CapacityReport():
+            case peer_frames.Hello():
+                return self.close("sent a second hello")
+            case peer_frames.CapacityReport():
                 self.peer_stamp_us = frame.stamp_us
                 self.peer_stamp_received_us = now_us
-            case f.Forward():
+            case peer_frames.Forward():
                 last_number = self.last_received_number
                 if frame.number <= last_number:
-                    return self.close(f"forwarded {frame.number} after {last_number}")
+                    return self.close(
+                        f"forwarded message number {frame.number} after {last_number}"
+                    )
                 self.last_received_number = frame.number
-            case f.Forwarded():
+            case peer_frames.Forwarded():
                 return self._handle_answer(frame)
         return [FrameReceived(frame)]
 
-    def _handle_answer(self, answer: f.Forwarded) -> list[LinkAction]:
+    def _handle_answer(self, answer: peer_frames.Forwarded) -> list[LinkAction]:
         if answer.number not in self.pending:
             return []
         del self.pending[answer.number]
         return [ForwardOutcome(answer.number, answer.outcome, answer.retry_after_us)]
 
     def _handle_hello(self, frame: msgspec.Struct) -> list[LinkAction]:
-        if not isinstance(frame, f.Hello):
-            return self.close("did not say hello first")
-        if frame.version != f.PROTOCOL_VERSION:
+        if not isinstance(frame, peer_frames.Hello):
+            return self.close("sent another frame before its hello")
+        if frame.version != peer_frames.PROTOCOL_VERSION:
             return self.close(
-                f"speaks version {frame.version}, not {f.PROTOCOL_VERSION}"
+                f"uses protocol version {frame.version}, not {peer_frames.PROTOCOL_VERSION}"
             )
         if frame.name == self.own_hello.name or self.expected not in ("", frame.name):
             return self.close(f"is {frame.name}, not {self.expected or 'another'}")
         if not self.known_leases.accept_token(frame.name, frame.lease_token):
-            return self.close(f"{frame.name} comes under a lease that is over")
+            return self.close(f"{frame.name} has an expired lease token")
         self.peer = frame
         return [FrameReceived(frame)]
 
     def send(self, frame: msgspec.Struct) -> list[LinkAction] | None:
         """Return the actions that send a frame.
 
-        None: the link is not up, is closed, or has too much to write, so the frame counts
-        as lost.
+        Returns None, and drops the frame, if the hello of the peer is missing, the link
+        is closed, or `max_unwritten_bytes` is reached.
         """
         if self.closed or self.peer is None:
             return None
@@ -178,11 +187,14 @@
             return None
         return [WriteBytes(self._encode(frame))]
 
-    def forward(self, frame: f.Forward) -> tuple[int, list[LinkAction]] | None:
-        """Forward a message, with its deadline by the local clock.
+    def forward(
+        self, frame: peer_frames.Forward
+    ) -> tuple[int, list[LinkAction]] | None:
+        """Forward a message; its deadline is given by the local clock.
 
-        Returns its number, which the later `ForwardOutcome` names, and the actions. None:
-        nothing was sent, and the message may be rejected or sent elsewhere.
+        Returns the message's number, which its `ForwardOutcome` carries, and the actions.
+        Returns None if nothing was sent; the caller may then reject the message or send
+        it elsewhere.
         """
         if len(self.pending) >= self.max_pending or not self.peer_stamp_received_us:
             return None
@@ -201,24 +213,27 @@
         return number, actions
 
     def _encode(self, frame: msgspec.Struct) -> bytes:
-        data = f.encode(frame)
+        data = peer_frames.encode(frame)
         self.unwritten_bytes += len(data)
         return data
 
     def on_written(self, size: int) -> None:
-        """Note that the connection has taken so many bytes."""
+        """Record that `size` bytes were written to the connection."""
         self.unwritten_bytes -= size
 
     def tick(self, now_us: int) -> list[LinkAction]:
-        """Close the link of a silent peer; to be called regularly."""
-        if not self.closed and now_us - self.last_heard_us >= self.silence_timeout_us:
-            return self.close("is silent")
+        """Close the link after `silence_timeout_us` without data; to be called regularly."""
+        if (
+            not self.closed
+            and now_us - self.last_received_us >= self.silence_timeout_us
+        ):
+            return self.close("sent no data within the silence timeout")
         return []
 
     def close(self, reason: str) -> list[LinkAction]:
-        """Close the link, whose connection is broken or has to be closed.
+        """Close the link; called when the connection is broken or must be closed.
 
-        The first call returns the actions, any later one none.
+        The first call returns the actions; later calls return an empty list.
         """
         if self.closed:
             return []
--- a/rainfall/shard/__init__.py
+++ b/rainfall/shard/__init__.py
@@ -1,4 +1,4 @@
-"""Which member owns which part of the key space.
+"""Sharding of the key space over the members.
 
-Maps and their checks, planning, and the migration of keys from one member to another.
+Shard maps and their validation, planning, and the migration of keys between members.
 """
--- a/rainfall/shard/__main__.py
+++ b/rainfall/shard/__main__.py
@@ -1,6 +1,6 @@
-"""For staff: python -m rainfall.shard check|plan.
+"""Check and plan shard maps: python -m rainfall.shard check|plan.
 
-The forms of all files are in docs/parts/shard.md.
+The file formats are described in docs/parts/shard.md.
 """
 
 from __future__ import annotations
@@ -40,18 +40,18 @@
 
 
 class CommandParser(argparse.ArgumentParser):
-    """A parser whose errors take one line."""
+    """An argument parser that reports an error in one line."""
 
     def error(self, message: str) -> NoReturn:
-        """Exit with one line on stderr."""
-        self.exit(EXIT_UNREADABLE, f"shard: {message} (--help tells more)\n")
+        """Print one line to stderr and exit with `EXIT_UNREADABLE`."""
+        self.exit(EXIT_UNREADABLE, f"shard: {message} (see --help)\n")
 
 
 def read_json(path: str) -> Any:
     """Read the JSON value in a file.
 
     Raises:
-        UnreadableInputError: There is none; the text names the file.
+        UnreadableInputError: The file cannot be read or is not JSON; the text names it.
     """
     try:
         return decode_json(Path(path).read_bytes())
@@ -60,8 +60,8 @@
     except OSError as error:
         raise _unreadable(path, f": {error.strerror}") from None
     except ValueError:
-        # The name contains a NUL.
-        raise _unreadable(path, ": no file can have that name") from None
+        # pathlib raises ValueError for a name with a NUL.
+        raise _unreadable(path, ": the file name contains a NUL") from None
 
 
 def _unreadable(path: str, reason: str) -> UnreadableInputError:
@@ -85,10 +85,10 @@
 
 
 def read_baseline(path: str) -> MapBaseline:
-    """Read the map to compare with.
+    """Read the old map, which the new map is compared with.
 
-    Its form has to be valid. Gaps and overlaps are accepted: the new map may repair
-    them.
+    Its entries must be well-formed. Gaps and overlaps are accepted, since the new map may
+    repair them.
     """
     inspection = inspect_map(read_object(path))
     form_faults = [
@@ -108,7 +108,7 @@
     """Read a JSON object of numbers: weights by member, or loads by range.
 
     Args:
-        given: The name of a file, or the object itself.
+        given: A file name, or the JSON text of the object.
     """
     is_object = given.lstrip().startswith("{")
     raw = decode_json(given.encode()) if is_object else read_object(given)
@@ -116,7 +116,7 @@
         type(number) in (int, float) for number in raw.values()
     ):
         raise UnreadableInputError(
-            f"{_printable(given)} is no JSON object of numbers, each name once"
+            f"{_printable(given)} is not a JSON object of numbers with unique names"
         )
     return dict(raw)
 
@@ -126,15 +126,15 @@
 
 
 class CommandResult(NamedTuple):
-    """How a command ends."""
+    """The exit code and the output of a command."""
 
     exit_code: int
     lines: list[str]
-    """For stdout."""
+    """Lines for stdout."""
 
 
 def run_check(args: argparse.Namespace) -> CommandResult:
-    """Check a map."""
+    """Check a map and report its faults or a summary."""
     raw = read_object(args.map)
     members = None if args.members is None else read_members(args.members)
     old = None if args.against is None else read_baseline(args.against)
@@ -152,7 +152,7 @@
     weights = dict.fromkeys(read_members(args.members), DEFAULT_WEIGHT)
     given = read_numbers(args.weights) if args.weights else {}
     if unknown := sorted(set(given) - set(weights)):
-        raise PlanError(f"a weight for {unknown[0]!a}, which is no member")
+        raise PlanError(f"weight for {unknown[0]!a}, which is not a member")
     weights.update(given)
     old: ShardMap | None = None
     if args.old:
@@ -183,7 +183,7 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Replace a file as a whole: it stays as it is until the new text is on disk."""
+    """Replace a file atomically, after the new text was synced to disk."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}.new")
     try:
         with temporary.open("w") as file:
@@ -199,7 +199,7 @@
 
 
 def fault_result(faults: list[MapFault]) -> CommandResult:
-    """All faults of a map, one a line."""
+    """Return all faults of a map, one a line."""
     return CommandResult(EXIT_FAULTS, list(map(str, faults)))
 
 
@@ -209,14 +209,16 @@
         or Fraction(text.rstrip(".")) > 1
     ):
         raise argparse.ArgumentTypeError(
-            f"{text!r} is no part from 0 to 1, such as 0.25"
+            f"{text!r} is not a decimal fraction from 0 to 1, such as 0.25"
         )
     return Fraction(text.rstrip("."))
 
 
 def _count_argument(text: str) -> int:
     if not re.fullmatch(r"[1-9]\d{0,8}", text, re.ASCII):
-        raise argparse.ArgumentTypeError(f"{text!r} is no count from 1")
+        raise argparse.ArgumentTypeError(
+            f"{text!r} is not a positive whole number of at most 9 digits"
+        )
     return int(text)
 
 
@@ -224,10 +226,12 @@
     parser = CommandParser(prog="python -m rainfall.shard", description=__doc__)
     commands = parser.add_subparsers(required=True, metavar="check|plan")
     _add_check_command(
-        commands.add_parser("check", help="every key exactly once, no gaps")
+        commands.add_parser(
+            "check", help="check that a map covers every key exactly once"
+        )
     )
     _add_plan_command(
-        commands.add_parser("plan", help="a new map that moves the fewest keys")
+        commands.add_parser("plan", help="plan a new map that moves the fewest keys")
     )
     return parser
 
@@ -235,19 +239,21 @@
 def _add_check_command(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("map", metavar="MAP")
     parser.add_argument(
-        "--members", metavar="FILE", help="a JSON array of names: who may own a range"
+        "--members",
+        metavar="FILE",
+        help="a JSON array of the names that may own a range",
     )
     parser.add_argument(
         "--against",
         metavar="OLD",
-        help="the map in force: the new generation is above its",
+        help="the map in force; the new generation must be higher",
     )
     parser.add_argument(
         "--most-moved",
         metavar="PART",
         type=_fraction_argument,
         default=MAX_MOVED_SHARE,
-        help="of the keys that may change their owner against OLD (default 0.5)",
+        help="largest share of keys whose owner may differ from OLD (default 0.5)",
     )
     parser.set_defaults(run=run_check)
 
@@ -260,13 +266,15 @@
         "--from",
         dest="old",
         metavar="MAP",
-        help="the map in force (without: the first map)",
+        help="the map in force; omit to plan the first map",
     )
     parser.add_argument(
-        "--weights", metavar="FILE|JSON", help='such as {"n1": 2.0}; 1 where not named'
+        "--weights", metavar="FILE|JSON", help='such as {"n1": 2.0}; default weight 1'
     )
     parser.add_argument(
-        "--load", metavar="FILE|JSON", help='by range of MAP, such as {"FROM-TO": 12.5}'
+        "--load",
+        metavar="FILE|JSON",
+        help='load by range of MAP, such as {"FROM-TO": 12.5}',
     )
     parser.add_argument(
         "--most-ranges", metavar="N", type=_count_argument, default=MAX_RANGES
@@ -279,13 +287,13 @@
     """Run a command.
 
     Returns:
-        0 where all is well, 1 with all faults of a map on stdout, one a line, 2 with
-        one line on stderr.
+        0 on success; 1 if the map has faults, which are printed to stdout, one a line;
+        2 on unreadable input or if no plan exists, with one line on stderr.
     """
     args = _make_parser().parse_args(argv)
     try:
         result: CommandResult = args.run(args)
-    # A PlanError, and an invalid range in a file of loads, are ValueErrors.
+    # ValueError includes PlanError and an invalid range in a file of loads.
     except (UnreadableInputError, ValueError) as error:
         print(f"shard: {error}", file=sys.stderr)
         return EXIT_UNREADABLE
@@ -298,8 +306,8 @@
         sys.stdout.writelines(f"{line}\n" for line in lines)
         sys.stdout.flush()
     except BrokenPipeError:
-        # The reader has seen enough; the exit code stays. Without a valid stdout Python
-        # would report an error at its own flush.
+        # The reader closed the pipe; the exit code stays. Without a valid stdout, Python
+        # would report an error when it flushes at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
 
 
--- a/rainfall/shard/coverage.py
+++ b/rainfall/shard/coverage.py
@@ -1,4 +1,4 @@
-"""Which entries of a map cover which keys, in one pass over the sorted entries."""
+"""Sweep over the entries of a map: which entries cover which keys."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 Entry = tuple[int, int, int]
 """(first, last, index): the keys of one entry, both ends included.
 
-`last` is not below `first`; `index` is that of the entry in the file. A plain tuple:
-sorting many of them takes a large part of a check.
+`first <= last`; `index` is the position of the entry in the map. A plain tuple, since
+sorting the entries takes a large part of the time of a check.
 """
 
 Segment = tuple[int, int, Sequence[int]]
-"""(first, last, indexes): keys that are all covered by the same entries.
+"""(first, last, indexes): consecutive keys that are covered by the same entries.
 
-The entries are in order; none in a gap, several in an overlap. They are to be read
-before the next segment is asked for: in an overlap it is one list that changes in
-place, since copies would make the cost of nested entries quadratic.
+`indexes` is sorted; it is empty for a gap, and has several items for an overlap. Read it
+before advancing the iterator: in an overlap it is one list that is modified in place,
+since copies would make the cost of nested entries quadratic.
 """
 
 
 def covered_segments(entries: Sequence[Entry], top: int) -> Iterator[Segment]:
-    """The whole space from 0 to `top`, cut wherever the covering entries change."""
+    """Yield the key space from 0 to `top`, split where the set of covering entries changes."""
     entries = sorted(entries)
     next_key = 0
     start = 0
@@ -30,8 +30,7 @@
         first, group_last, index = entries[start]
         if first > next_key:
             yield next_key, first - 1, ()
-        # An entry that begins before the ones before it have ended belongs to their
-        # group.
+        # An entry that overlaps an earlier entry of the group belongs to the group.
         end = start + 1
         while end < len(entries) and entries[end][0] <= group_last:
             group_last = max(group_last, entries[end][1])
@@ -47,21 +46,21 @@
 
 
 def _overlapping_segments(entries: Sequence[Entry]) -> Iterator[Segment]:
-    """The segments of a group of entries without a gap between them."""
+    """Yield the segments of a group of entries without a gap between them."""
     ends = sorted((last + 1, index) for _, last, index in entries)
     active: list[int] = []
     key = entries[0][0]
-    begun = 0
-    ended = 0
-    while ended < len(ends):
-        while begun < len(entries) and entries[begun][0] == key:
-            insort(active, entries[begun][2])
-            begun += 1
-        next_key = ends[ended][0]
-        if begun < len(entries):
-            next_key = min(next_key, entries[begun][0])
+    next_start = 0
+    next_end = 0
+    while next_end < len(ends):
+        while next_start < len(entries) and entries[next_start][0] == key:
+            insort(active, entries[next_start][2])
+            next_start += 1
+        next_key = ends[next_end][0]
+        if next_start < len(entries):
+            next_key = min(next_key, entries[next_start][0])
         yield key, next_key - 1, active
-        while ended < len(ends) and ends[ended][0] == next_key:
-            del active[bisect_left(active, ends[ended][1])]
-            ended += 1
+        while next_end < len(ends) and ends[next_end][0] == next_key:
+            del active[bisect_left(active, ends[next_end][1])]
+            next_end += 1
         key = next_key
--- a/rainfall/shard/key_ranges.py
+++ b/rainfall/shard/key_ranges.py
@@ -1,6 +1,6 @@
-"""Arithmetic of ranges of keys, both ends included.
+"""Set operations on ranges of keys, both ends included.
 
-Where a function takes or returns several, they are sorted and disjoint.
+Sequences of ranges are sorted and disjoint, unless a docstring says otherwise.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def intersection(left: Sequence[KeyRange], right: Sequence[KeyRange]) -> list[KeyRange]:
-    """The keys in both."""
+    """Return the keys that are in both `left` and `right`."""
     common: list[KeyRange] = []
     left_index = 0
     right_index = 0
@@ -34,7 +34,7 @@
 
 
 def difference(left: Sequence[KeyRange], right: Sequence[KeyRange]) -> list[KeyRange]:
-    """The keys of `left` that are not in `right`."""
+    """Return the keys of `left` that are not in `right`."""
     remaining: list[KeyRange] = []
     start = 0
     for first, last in left:
@@ -54,7 +54,7 @@
 
 
 def union(ranges: Iterable[KeyRange]) -> list[KeyRange]:
-    """All keys, adjacent ranges as one; the input may overlap, in any order."""
+    """Return all keys, with adjacent ranges merged; the input may be unsorted and overlap."""
     merged: list[KeyRange] = []
     for first, last in sorted(ranges):
         if merged and first <= merged[-1][1] + 1:
@@ -65,5 +65,5 @@
 
 
 def count_keys(ranges: Iterable[KeyRange]) -> int:
-    """The keys of all ranges together."""
+    """Return the total number of keys in all ranges."""
     return sum(last - first + 1 for first, last in ranges)
--- a/rainfall/shard/map_planning.py
+++ b/rainfall/shard/map_planning.py
@@ -1,9 +1,10 @@
-"""A new map for given members and weights that moves the fewest keys.
+"""Plans a new map for given members and weights that moves the fewest keys.
 
-Each member's target is its weight's share of the key space, in whole keys. Whoever has
-more releases only its excess, and keys without an owner go only to members with less:
-no map with these targets moves fewer. With loads the target is a share of the load
-instead, and a member with too much releases its densest ranges first.
+Each member's target is its weighted share of the key space, in whole keys. A member
+above its target releases only its excess, and keys without an owner are assigned only to
+members below their target, so no map with the same targets moves fewer keys. If loads are
+given, the target is a share of the load instead, and a member above it releases its
+ranges with the highest load per key first.
 """
 
 from __future__ import annotations
@@ -25,33 +26,33 @@
 
 MAX_RANGES = 65_536
 LOAD_SLACK = Fraction(1, 10)
-"""An excess load up to this share of the target stays: loads vary, and moves cost."""
+"""Excess load up to this share of the target is tolerated: loads vary, and moves cost."""
 UNLOADED_SHARE = Fraction(1, 100)
-"""Of the weight goes by keys, so that ranges without load are spread as well."""
+"""Share of a cell's weight that depends on its keys, so that idle ranges are spread too."""
 LOAD_UNITS = 1 << 48
-"""The whole load in whole units, so that sums are exact."""
+"""The total load is scaled to this many integer units, so that sums are exact."""
 CELLS_PER_MEMBER = 4
-"""A cell with more load than a member's share divided by this is split."""
+"""A cell with more load than the mean load of a member divided by this is split."""
 
 
 class PlanError(RainfallError, ValueError):
-    """There is no plan for what was asked; the text says why, in one line."""
+    """No map can be planned from the input; the text gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class MapPlan:
-    """A planned map, and what it moves."""
+    """A planned map and the number of keys it moves."""
 
     map: ShardMap
     moved_keys: int
     """Keys whose owner changes."""
     min_moved_keys: int
-    """The fewest that any map with these targets moves.
+    """The minimum number of keys that any map with these targets moves.
 
-    More are moved only to stay within the limit of ranges, or where loads were given.
+    `moved_keys` is higher only to stay within the limit of ranges, or if loads were given.
     """
     targets: dict[str, int]
-    """Keys of each member."""
+    """The target number of keys by member."""
 
 
 def plan_map(
@@ -61,17 +62,17 @@
     most_ranges: int = MAX_RANGES,
     bits: int = KEY_BITS,
 ) -> MapPlan:
-    """Plan a map, one generation above `old`.
+    """Plan a map with a generation one above that of `old`.
 
     Args:
-        members: Names and weights; a member of weight 0 gives up all it owns.
-        old: The map in force, if there is one.
-        loads: By range of `old`, in any one unit.
-        most_ranges: The limit of ranges.
+        members: Weights by name; a member of weight 0 gets no keys.
+        old: The map in force; None to plan the first map.
+        loads: Load by (first, last) of a range of `old`, in any common unit.
+        most_ranges: The maximum number of ranges.
         bits: The width of the key space.
 
     Raises:
-        PlanError: There is no such map.
+        PlanError: The input is invalid, or no map satisfies it.
     """
     names = sorted(name for name, weight in members.items() if weight > 0)
     _check_input(members, len(names), old, min(most_ranges, 1 << bits))
@@ -84,13 +85,13 @@
     if total_load:
         goals = apportion(total_load, weights, owned)
         cells = merge_neighbours(_assign_owners(cells, owned, goals, LOAD_SLACK))
-        hot = max(1, total_load // (CELLS_PER_MEMBER * len(names)))
-        cells = split_hot(cells, hot, most_ranges)
+        hot_units = max(1, total_load // (CELLS_PER_MEMBER * len(names)))
+        cells = split_hot(cells, hot_units, most_ranges)
     else:
         cells = merge_neighbours(_assign_owners(cells, owned, targets, Fraction(0)))
     cells = merge_smallest(cells, most_ranges)
-    raw = _map_document(cells, 1 if old is None else old.generation + 1, bits)
-    new = checked_map(raw, names, old, None, bits)
+    document = _map_document(cells, 1 if old is None else old.generation + 1, bits)
+    new = checked_map(document, names, old, None, bits)
     return MapPlan(
         new,
         0 if old is None else count_moved_keys(new, old),
@@ -100,22 +101,22 @@
 
 
 def _check_input(
-    members: Mapping[str, float], owners: int, old: ShardMap | None, most_owners: int
+    members: Mapping[str, float], owners: int, old: ShardMap | None, max_owners: int
 ) -> None:
     if any(not math.isfinite(weight) or weight < 0 for weight in members.values()):
-        raise PlanError("a weight is a finite number from 0")
-    if not 0 < owners <= most_owners:
+        raise PlanError("a weight must be finite and at least 0")
+    if not 0 < owners <= max_owners:
         raise PlanError(
-            f"{owners} members with a weight, where 1 to {most_owners} can own ranges"
+            f"{owners} members have a weight above 0; between 1 and {max_owners} are allowed"
         )
     if old is not None and old.generation >= MAX_GENERATION:
-        raise PlanError("the old map has the last generation there is")
+        raise PlanError("the old map has the highest possible generation")
 
 
 def _min_moved_keys(
     cells: list[PlanCell], weights: Mapping[str, Fraction], targets: Mapping[str, int]
 ) -> int:
-    """Keys above their owner's target, and keys without an owner."""
+    """Count the keys above their owner's target and the keys without an owner."""
     excess = sum(
         max(0, keys - targets[name])
         for name, keys in _owned_units(cells, weights).items()
@@ -140,17 +141,24 @@
 
 
 def apportion(
-    total: int, weights: Mapping[str, Fraction], have: Mapping[str, int]
+    total: int, weights: Mapping[str, Fraction], owned: Mapping[str, int]
 ) -> dict[str, int]:
-    """Divide `total` by weight into whole parts that add up.
+    """Divide `total` by weight into integers that add up to `total`.
 
-    The largest remainders are rounded up; among equal ones that of the member that has
-    more already, so that an even map stays as it is, then by name.
+    The parts with the largest remainders are rounded up. Ties go to the member that owns
+    more units, so that an even map stays unchanged, then to the first name.
     """
     total_weight = sum(weights.values())
     exact = {name: total * weight / total_weight for name, weight in weights.items()}
     parts = {name: int(part) for name, part in exact.items()}
-    order = sorted(exact, key=lambda n: (parts[n] - exact[n], parts[n] - have[n], n))
+    order = sorted(
+        exact,
+        key=lambda member: (
+            parts[member] - exact[member],
+            parts[member] - owned[member],
+            member,
+        ),
+    )
     for name in order[: total - sum(parts.values())]:
         parts[name] += 1
     return parts
@@ -162,37 +170,46 @@
     if old is None:
         return [PlanCell(0, (1 << bits) - 1, None, 1 << bits)]
     return [
-        PlanCell(r.first, r.last, r.owner if r.owner in weights else None, r.size)
-        for r in old.ranges
+        PlanCell(
+            map_range.first,
+            map_range.last,
+            map_range.owner if map_range.owner in weights else None,
+            map_range.size,
+        )
+        for map_range in old.ranges
     ]
 
 
 def _owned_units(
     cells: list[PlanCell], weights: Mapping[str, Fraction]
 ) -> dict[str, int]:
-    have = dict.fromkeys(weights, 0)
+    owned = dict.fromkeys(weights, 0)
     for cell in cells:
         if cell.owner is not None:
-            have[cell.owner] += cell.units
-    return have
+            owned[cell.owner] += cell.units
+    return owned
 
 
 def _weigh_by_load(
     cells: list[PlanCell], old: ShardMap | None, loads: Mapping[tuple[int, int], float]
 ) -> int:
-    """Weigh cells by their loads instead of their keys.
+    """Set the units of the cells by their load instead of their number of keys.
 
     Returns:
-        The whole load in units; 0 where there is no load at all.
+        The total load in units; 0 if there is no load, and the cells are unchanged.
     """
-    known = {(r.first, r.last) for r in old.ranges} if old is not None else set()
-    if unknown := sorted(set(loads) - known):
+    old_ranges = (
+        {(map_range.first, map_range.last) for map_range in old.ranges}
+        if old is not None
+        else set()
+    )
+    if unknown := sorted(set(loads) - old_ranges):
         first, last = unknown[0]
         raise PlanError(
-            f"a load for {first:x}-{last:x}, which is no range of the old map"
+            f"load for {first:x}-{last:x}, which is not a range of the old map"
         )
     if any(not math.isfinite(load) or load < 0 for load in loads.values()):
-        raise PlanError("a load is a finite number from 0")
+        raise PlanError("a load must be finite and at least 0")
     total_load = sum(map(Fraction, loads.values()))
     if not total_load:
         return 0
@@ -211,9 +228,9 @@
     goals: Mapping[str, int],
     slack: Fraction,
 ) -> list[PlanCell]:
-    """The cells with owners for all.
+    """Return the cells with an owner for each.
 
-    What is above a goal is released, then assigned to members below theirs.
+    Units above a member's goal are released, then assigned to members below their goals.
     """
     missing = {
         name: goals[name] - units
@@ -226,7 +243,7 @@
         if units > goals[name] * (1 + slack)
     }
     cells = _release_excess(cells, excess, missing)
-    # Neighbours first: their range grows, and there is no new one.
+    # Neighbours first: an existing range grows, so the number of ranges stays.
     cells = _assign_to_neighbours(cells, missing)
     cells = _assign_to_neighbours(cells[::-1], missing, from_end=True)[::-1]
     above_goal = {name: owned[name] - goals[name] for name in owned}
@@ -236,10 +253,10 @@
 def _release_excess(
     cells: list[PlanCell], excess: dict[str, int], missing: Mapping[str, int]
 ) -> list[PlanCell]:
-    """Release what members have above their goals.
+    """Release the units that members own above their goals.
 
-    Each releases whole cells, the densest first and small before large ones, and the
-    rest from one end of one cell.
+    A member releases whole cells in the order of `_release_rank`; the rest is cut from one
+    end of one cell.
     """
     indexes_of: dict[str, list[int]] = {}
     for index, cell in enumerate(cells):
@@ -269,7 +286,7 @@
 
 
 def _release_rank(cells: list[PlanCell], index: int) -> tuple[Fraction, int, int]:
-    """The densest first, small before large ones, then by key."""
+    """Sort key of the release order: highest density first, then small cells, then by key."""
     cell = cells[index]
     return -Fraction(cell.units, cell.size), cell.size, index
 
@@ -277,9 +294,10 @@
 def _assign_to_neighbours(
     cells: list[PlanCell], missing: dict[str, int], from_end: bool = False
 ) -> list[PlanCell]:
-    """Assign cells without an owner to the owner just before them, in the order given.
+    """Assign cells without an owner to the owner of the preceding cell in `cells`.
 
-    As far as that one is below its goal.
+    A cell is cut if the owner reaches its goal. With `from_end`, `cells` is in descending
+    order of keys.
     """
     assigned: list[PlanCell] = []
     for cell in cells:
@@ -307,9 +325,9 @@
 def _assign_remaining(
     cells: list[PlanCell], missing: dict[str, int], above_goal: Mapping[str, int]
 ) -> list[PlanCell]:
-    """Assign what no neighbour took: the largest cell to the member that lacks most.
+    """Assign the remaining cells: the largest cell to the member furthest below its goal.
 
-    A cell is cut where it is more than the member lacks.
+    A cell is cut if it exceeds the units that the member is missing.
     """
     assigned = [cell for cell in cells if cell.owner is not None]
     unassigned = sorted(
@@ -321,7 +339,7 @@
         cell = unassigned.pop()
         while len(waiting) > 1 and missing[waiting[0]] <= 0:
             waiting.pop(0)
-        # Nobody is below its goal only where loads were rounded.
+        # All members are at their goals only if loads were rounded.
         name = waiting[0] if waiting else _least_above_goal(above_goal)
         keys = cell.keys_for(missing[name]) if len(waiting) > 1 else cell.size
         if 0 < keys < cell.size:
--- a/rainfall/shard/plan_cells.py
+++ b/rainfall/shard/plan_cells.py
@@ -1,7 +1,6 @@
-"""The parts of the key space while a map is planned.
+"""Cells: the parts of the key space that planning cuts, assigns and merges.
 
-They are cut, merged, split where they carry much load, and merged where there are too
-many.
+Hot cells are split, and the smallest cells are merged to stay within a limit.
 """
 
 from __future__ import annotations
@@ -11,38 +10,38 @@
 from dataclasses import dataclass
 
 MAX_PIECES = 8
-"""A cell with much load is split into so many at once at most."""
+"""Maximum number of cells that one hot cell is split into at once."""
 NO_NEIGHBOUR = -1
 
 
 @dataclass(slots=True)
 class PlanCell:
-    """Keys of one owner, both ends included."""
+    """A range of keys of one owner, both ends included."""
 
     first: int
     last: int
     owner: str | None
-    """None while they have none."""
+    """None while the keys have no owner."""
     units: int
-    """What they weigh: keys, or units of load."""
+    """The weight of the cell: its number of keys, or units of load."""
 
     @property
     def size(self) -> int:
-        """Its number of keys."""
+        """The number of keys in the cell."""
         return self.last - self.first + 1
 
     def keys_for(self, units: int) -> int:
-        """Keys that carry so many of this cell's units, to the nearest key.
+        """Return the number of keys that carry `units` of this cell, to the nearest key.
 
-        The load is taken as even; for keys it is exact.
+        Load is assumed to be uniform over the cell; if units are keys, the result is exact.
         """
         if units >= self.units:
             return self.size
-        # Rounded to the nearest in whole numbers.
+        # Integer division that rounds to the nearest.
         return (2 * units * self.size + self.units) // (2 * self.units)
 
     def split_at(self, keys: int) -> tuple[PlanCell, PlanCell]:
-        """The first `keys` keys, from 1 to all but one, and the rest."""
+        """Split off the first `keys` keys, with 1 <= `keys` < `size`; returns both parts."""
         units = self.units * keys // self.size
         return (
             PlanCell(self.first, self.first + keys - 1, self.owner, units),
@@ -51,7 +50,7 @@
 
 
 def merge_neighbours(cells: list[PlanCell]) -> list[PlanCell]:
-    """Adjacent cells of one owner as one."""
+    """Return the cells with adjacent cells of one owner merged."""
     merged: list[PlanCell] = []
     for cell in cells:
         if merged and merged[-1].owner == cell.owner:
@@ -66,32 +65,34 @@
     return merged
 
 
-def split_hot(cells: list[PlanCell], hot: int, max_cells: int) -> list[PlanCell]:
-    """Split cells of more than `hot` units, heaviest first, up to `max_cells` cells.
+def split_hot(cells: list[PlanCell], hot_units: int, max_cells: int) -> list[PlanCell]:
+    """Split cells of more than `hot_units` units, heaviest first, up to `max_cells` cells.
 
-    The parts stay with their owner, so no key moves, but later load figures tell them
-    apart.
+    The parts keep their owner, so no key moves, but later load figures are reported for
+    each part.
     """
-    left = max_cells - len(cells)
+    cells_left = max_cells - len(cells)
     result: list[PlanCell] = []
-    for cell in sorted(cells, key=lambda c: (-c.units, c.first)):
-        wanted = max(1, -(-cell.units // hot))
-        pieces = min(MAX_PIECES, cell.size, left + 1, wanted)
-        left -= pieces - 1
+    for cell in sorted(
+        cells, key=lambda candidate: (-candidate.units, candidate.first)
+    ):
+        wanted = max(1, -(-cell.units // hot_units))
+        pieces = min(MAX_PIECES, cell.size, cells_left + 1, wanted)
+        cells_left -= pieces - 1
         rest = cell
         while pieces > 1:
             part, rest = rest.split_at(rest.size // pieces)
             result.append(part)
             pieces -= 1
         result.append(rest)
-    return sorted(result, key=lambda c: c.first)
+    return sorted(result, key=lambda candidate: candidate.first)
 
 
 def merge_smallest(cells: list[PlanCell], max_cells: int) -> list[PlanCell]:
-    """Merge cells until there are `max_cells` at most.
+    """Merge cells until at most `max_cells` are cells_left; modifies `cells`.
 
-    The smallest joins its larger neighbour. An owner's last cell stays, so `max_cells`
-    has to be the count of owners at least. Changes `cells`.
+    The smallest cell is merged into its larger neighbour. An owner's last cell stays, so
+    `max_cells` must be at least the number of owners.
     """
     if len(cells) <= max_cells:
         return cells
@@ -99,7 +100,7 @@
 
 
 class _CellMerger:
-    """The cells as a linked list, and a heap of them by size."""
+    """A linked list of the cells and a heap of them by size."""
 
     def __init__(self, cells: list[PlanCell], max_cells: int) -> None:
         count = len(cells)
@@ -114,17 +115,17 @@
         self._alive = [True] * count
 
     def merge(self) -> list[PlanCell]:
-        """The cells that are left."""
+        """Merge until the limit is met, and return the remaining cells."""
         while self._count > self._max_cells and self._by_size:
             size, index = heapq.heappop(self._by_size)
-            if self._may_vanish(index, size):
+            if self._can_merge(index, size):
                 target = self._larger_neighbour(index)
                 self._absorb(target, index)
                 self._absorb_same_owner(target)
         return [cell for index, cell in enumerate(self._cells) if self._alive[index]]
 
-    def _may_vanish(self, index: int, size: int) -> bool:
-        """Whether a heap entry is up to date, and not its owner's last cell."""
+    def _can_merge(self, index: int, size: int) -> bool:
+        """Return whether a heap entry is current and its cell is not its owner's last one."""
         cell = self._cells[index]
         if not self._alive[index] or cell.size != size:
             return False
@@ -138,13 +139,13 @@
         )
 
     def _absorb(self, target: int, index: int) -> None:
-        """Two adjacent cells become one, of the owner of `target`."""
-        kept, absorbed = self._cells[target], self._cells[index]
+        """Merge the cell at `index` into the adjacent cell at `target`."""
+        target_cell, absorbed = self._cells[target], self._cells[index]
         self._cells[target] = PlanCell(
-            min(kept.first, absorbed.first),
-            max(kept.last, absorbed.last),
-            kept.owner,
-            kept.units + absorbed.units,
+            min(target_cell.first, absorbed.first),
+            max(target_cell.last, absorbed.last),
+            target_cell.owner,
+            target_cell.units + absorbed.units,
         )
         self._alive[index] = False
         self._cells_of[absorbed.owner] -= 1
@@ -157,7 +158,7 @@
         self._count -= 1
 
     def _absorb_same_owner(self, target: int) -> None:
-        """Merge a cell that has grown with neighbours of its owner."""
+        """Merge a cell that has grown with neighbours of the same owner."""
         for neighbour in (self._before[target], self._after[target]):
             if (
                 neighbour != NO_NEIGHBOUR
--- a/rainfall/shard/routing.py
+++ b/rainfall/shard/routing.py
@@ -1,6 +1,6 @@
-"""Where a message goes from the member that has it.
+"""Routing of a message at the member that received it.
 
-It is processed there, forwarded to the owner of its key once, or rejected.
+The message is processed locally, forwarded once to the owner of its key, or rejected.
 """
 
 from __future__ import annotations
@@ -15,43 +15,44 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a message is rejected; the value is what log and metrics show."""
+    """Why a message is rejected; the values appear in logs and metrics."""
 
     NO_MAP = "no map"
     LATE = "late"
-    """Its deadline has passed."""
+    """The deadline of the message has passed."""
     NOT_BEGUN = "not begun"
-    """The key is this member's by the map, but not held by it yet."""
+    """The map assigns the key to this member, which does not hold it yet."""
     LOOP = "loop"
-    """It was forwarded here, though the key is another's by the same map."""
+    """A member with the same map forwarded the message to a member that is not the owner."""
     GENERATION = "generation"
-    """It was forwarded here by another map than this member's."""
+    """The forwarding member used a map of another generation."""
     UNKNOWN_OWNER = "unknown owner"
+    """The owner by the map is not among the known members."""
     LINK_OUT = "link out"
-    """There is no connection to the owner."""
+    """The link to the owner is down."""
 
 
 @dataclass(frozen=True, slots=True)
 class ActLocally:
-    """This member processes the message, under this token."""
+    """This member processes the message under `token`."""
 
     token: Token
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardToOwner:
-    """The message goes to the owner of its key."""
+    """The message is forwarded to the owner of its key."""
 
     owner: str
     generation: int
-    """Of this member's map."""
+    """The generation of this member's map."""
     remaining_us: int
-    """Until the message's deadline."""
+    """Time until the message's deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """503 with `Retry-After`: the message was not accepted."""
+    """The message is not accepted: 503 with `Retry-After`."""
 
     reason: RejectionReason
     retry_after_s: int
@@ -67,22 +68,22 @@
     link_up: Callable[[str], bool],
     retry_after_s: int = 1,
 ) -> ActLocally | ForwardToOwner | Rejected:
-    """Decide where a message goes.
+    """Decide whether a message is processed locally, forwarded or rejected.
 
-    Whichever member acts on the key takes the message, whatever map its sender had: no
-    other member acts on it. A message that was forwarded is never forwarded again, so
-    there are no loops.
+    A member that acts on the key accepts the message, whichever map the sender had, since
+    no other member acts on the key. A forwarded message is never forwarded again, which
+    prevents loops.
 
     Args:
         owned: This member's ranges and map.
         key: The message's key.
-        now_us: The present time.
+        now_us: The current time.
         deadline_us: The message's deadline.
-        forwarded_generation: The map generation of the member that forwarded it; None
-            if none did.
-        members: Names of the members that are known.
-        link_up: Whether there is a connection to a member.
-        retry_after_s: For a rejection.
+        forwarded_generation: The map generation of the member that forwarded the
+            message; None if it was not forwarded.
+        members: Names of the known members.
+        link_up: Returns whether the link to a member is up.
+        retry_after_s: The `Retry-After` of a rejection, in seconds.
     """
     if deadline_us <= now_us:
         return Rejected(RejectionReason.LATE, retry_after_s)
@@ -107,7 +108,7 @@
 def _forwarded_rejection(
     owned: RangeOwnership, owner: str, shard_map: ShardMap, forwarded_generation: int
 ) -> RejectionReason:
-    """Why a message that was forwarded here is not processed."""
+    """Return why a message that was forwarded to this member is rejected."""
     if forwarded_generation != shard_map.generation:
         return RejectionReason.GENERATION
     if owner != owned.name:
--- a/rainfall/shard/shard_map.py
+++ b/rainfall/shard/shard_map.py
@@ -1,10 +1,10 @@
-"""A shard map: ranges of the key space, both ends included, each with one owner.
+"""Shard maps: ranges of the key space, both ends included, each with one owner.
 
     {"generation": 7, "ranges": [{"from": "0000000000000000", "to": "ffffffffffffffff",
     "owner": "n1"}]}
 
 The key space is 64 bits wide in every process. Its width is a parameter, `bits` (a
-multiple of 4), so that tests and models can cover a whole space of 4 or 8 bits.
+multiple of 4), so that tests and models can cover all keys of a space of 4 or 8 bits.
 """
 
 from __future__ import annotations
@@ -25,38 +25,35 @@
 HEX_DIGITS = "0123456789abcdef"
 MAX_GENERATION = (1 << 63) - 1
 MAX_INTEGER_DIGITS = 20
-"""Of a whole number in a file; a longer one is no generation."""
+"""Integers with more digits are not valid generations and decode as floats."""
 
 
 class UnreadableInputError(RainfallError):
-    """Input that cannot be read as the JSON object, array or file it should be.
-
-    Its text is one line.
-    """
+    """A file or JSON input cannot be read or has the wrong type; the text is one line."""
 
 
 def hash_key(text: str) -> int:
-    """The key of a message's `X-Session-Key`: xxh3, 64 bits, of its UTF-8 bytes."""
+    """Return the key of an `X-Session-Key`: the 64-bit xxh3 hash of its UTF-8 bytes."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 def format_key(key: int, bits: int = KEY_BITS) -> str:
-    """16 lower-case digits where the space has 64 bits."""
+    """Format a key as `bits` / 4 lower-case hexadecimal digits."""
     return f"{key:0{bits // BITS_PER_DIGIT}x}"
 
 
 def format_range(first: int, last: int, bits: int = KEY_BITS) -> str:
-    """`FROM-TO`: a range in faults, in a heartbeat's `gave` and in a file of loads."""
+    """Format `FROM-TO`, as in faults, in a heartbeat's `gave` and in a file of loads."""
     return f"{format_key(first, bits)}-{format_key(last, bits)}"
 
 
 def parse_key(text: Any, bits: int = KEY_BITS) -> int | None:
-    """The key of exactly `bits` / 4 lower-case hexadecimal digits.
+    """Parse a key of exactly `bits` / 4 lower-case hexadecimal digits.
 
-    None for anything else.
+    Returns None for anything else.
     """
-    # int() alone would also accept 0x, signs, spaces and underscores; strip() leaves
-    # any other character.
+    # int() alone would also accept 0x, signs, spaces and underscores. strip() returns
+    # an empty string only if all characters are digits.
     if (
         type(text) is str
         and len(text) == bits // BITS_PER_DIGIT
@@ -67,10 +64,10 @@
 
 
 def parse_range(text: Any, bits: int = KEY_BITS) -> tuple[int, int]:
-    """Decode `FROM-TO`.
+    """Parse a range `FROM-TO`.
 
     Raises:
-        ValueError: `text` is no range.
+        ValueError: `text` is not a range.
     """
     first_text, dash, last_text = "", "", ""
     if type(text) is str:
@@ -94,15 +91,15 @@
 
     @property
     def size(self) -> int:
-        """Its number of keys."""
+        """The number of keys in the range."""
         return self.last - self.first + 1
 
 
 @dataclass(frozen=True, slots=True)
 class ShardMap:
-    """A valid map: `ranges` ordered by key, every key in exactly one.
+    """A valid map: `ranges` are ordered by key, and each key is in exactly one range.
 
-    Input from elsewhere becomes one by `map_validation.checked_map` only.
+    Untrusted input is converted by `map_validation` only.
     """
 
     generation: int
@@ -113,65 +110,68 @@
     _digest: list[int] = field(
         default_factory=list, init=False, repr=False, compare=False
     )
-    """The digest once it was computed: the map itself is immutable."""
+    """Cache of `digest`: empty, or one item. The map is immutable."""
 
     def __post_init__(self) -> None:
-        object.__setattr__(self, "firsts", tuple(r.first for r in self.ranges))
+        object.__setattr__(
+            self, "firsts", tuple(map_range.first for map_range in self.ranges)
+        )
 
     def range_of(self, key: int) -> Range:
-        """The range that holds `key`."""
+        """Return the range that contains `key`."""
         return self.ranges[bisect_right(self.firsts, key) - 1]
 
     def owner(self, key: int) -> str:
-        """The owner of `key`."""
+        """Return the owner of `key`."""
         return self.range_of(key).owner
 
     def owners(self) -> set[str]:
-        """All members that own a range."""
-        return {r.owner for r in self.ranges}
+        """Return the names of all members that own a range."""
+        return {map_range.owner for map_range in self.ranges}
 
     def overlapping(self, first: int, last: int) -> Sequence[Range]:
-        """The ranges that hold any key from `first` to `last`."""
+        """Return the ranges that contain any key from `first` to `last`."""
         start = bisect_right(self.firsts, first) - 1
         end = bisect_right(self.firsts, last)
         return self.ranges[start:end]
 
     def to_wire(self) -> dict[str, Any]:
-        """The form in JSON, the ranges ordered by key."""
+        """Return the JSON form, with the ranges ordered by key."""
         return {
             "generation": self.generation,
             "ranges": [
                 {
-                    "from": format_key(r.first, self.bits),
-                    "to": format_key(r.last, self.bits),
-                    "owner": r.owner,
+                    "from": format_key(map_range.first, self.bits),
+                    "to": format_key(map_range.last, self.bits),
+                    "owner": map_range.owner,
                 }
-                for r in self.ranges
+                for map_range in self.ranges
             ],
         }
 
     def file_text(self) -> str:
-        """The text of a map's file: one range a line, so that maps can be compared."""
+        """Return the text of a map file: one range a line, so that maps can be diffed."""
         rows = ",\n".join(json.dumps(entry) for entry in self.to_wire()["ranges"])
         return f'{{"generation": {self.generation}, "ranges": [\n{rows}\n]}}\n'
 
     def digest(self) -> int:
-        """A hash of who owns what, to tell two maps of one generation apart.
+        """Return a hash of the generation and the ownership.
 
-        It does not depend on how an owner's keys are split into ranges.
+        It distinguishes two maps of one generation, and does not depend on how an owner's
+        keys are split into ranges.
         """
         if not self._digest:
             rows: list[Any] = []
-            for r in self.ranges:
-                if not rows or rows[-1][1] != r.owner:
-                    rows.append((r.first, r.owner))
+            for map_range in self.ranges:
+                if not rows or rows[-1][1] != map_range.owner:
+                    rows.append((map_range.first, map_range.owner))
             content = json.dumps([self.generation, rows]).encode()
             self._digest.append(xxhash.xxh3_64_intdigest(content))
         return self._digest[0]
 
 
 class DuplicateFieldObject(dict[str, Any]):
-    """A JSON object that names a field twice: which of the two is meant is unknown."""
+    """A JSON object with duplicate field names; which value is meant is ambiguous."""
 
     def __init__(
         self, pairs: Iterable[tuple[str, Any]], duplicate_fields: list[str]
@@ -190,19 +190,19 @@
 
 
 def _parse_integer(digits: str) -> int | float:
-    # int() of a very long text takes quadratic time.
+    # int() takes quadratic time for a very long text.
     return int(digits) if len(digits) <= MAX_INTEGER_DIGITS else float(digits)
 
 
 def _reject_constant(name: str) -> Any:
-    raise ValueError(f"{name} is not JSON")
+    raise ValueError(f"{name} is not valid JSON")
 
 
 def decode_json(data: bytes) -> Any:
     """Decode strict JSON; objects may be a `DuplicateFieldObject`.
 
     Raises:
-        UnreadableInputError: It is not JSON.
+        UnreadableInputError: `data` is not UTF-8, not JSON, or nested too deep.
     """
     try:
         return json.loads(
@@ -216,6 +216,4 @@
     except ValueError as error:
         raise UnreadableInputError(f"not JSON: {error}") from None
     except RecursionError:
-        raise UnreadableInputError(
-            "not JSON that can be read: nested too deep"
-        ) from None
+        raise UnreadableInputError("JSON nested too deep") from None
