--- a/rainfall/shard/map_validation.py
+++ b/rainfall/shard/map_validation.py
@@ -1,12 +1,12 @@
-"""The check of a map: every key in exactly one range, and an allowed change.
+"""Validation of a map: each key in exactly one range, and a permitted change.
 
-One function serves the command, what the service is asked to put in force, and each
-forwarder before it adopts a map, whoever sent it.
+The same check is used by the command, by the service for a submitted map, and by each
+forwarder before it adopts a map from any sender.
 
 All faults are reported, in this order: `malformed` (the map, then its entries by
 index), `inverted` and `unknown-owner` by index, `gap` and `overlap` ordered by key,
-`stale-generation`, `moves-too-much`. A malformed or an inverted entry covers no key:
-gaps and overlaps are those of the valid entries.
+`stale-generation`, `moves-too-much`. Malformed and inverted entries cover no key, so gaps
+and overlaps are computed from the valid entries only.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults; the value is what the command and the wire show."""
+    """Kinds of faults; the values appear in the command's output and on the wire."""
 
     MALFORMED = "malformed"
     INVERTED = "inverted"
@@ -45,15 +45,18 @@
 
 
 MAX_MOVED_SHARE = Fraction(1, 2)
-"""Share of the key space whose owner one map may change."""
+"""Largest share of the key space whose owner one map may change."""
 OVERLAP_ENTRIES_NAMED = 1_000_000
-"""Entries named in all overlaps of one check; past that each names the first few."""
+"""Limit of entries named in all overlaps of one check.
+
+Beyond it, an overlap names its first `ENTRIES_SHOWN` entries.
+"""
 ENTRIES_SHOWN = 16
-"""Faults shown in an error's text, and entries named in an overlap past the bound."""
+"""Faults in an error's text, and entries of an overlap beyond `OVERLAP_ENTRIES_NAMED`."""
 QUOTE_LIMIT = 80
-"""Characters of a value that is quoted in full."""
+"""Longest value that is quoted in full, in characters."""
 QUOTE_SHOWN = 60
-"""Characters that are quoted of a longer one."""
+"""Characters quoted of a value longer than `QUOTE_LIMIT`."""
 ENTRY_FIELDS = ("from", "to", "owner")
 NO_GENERATION = -1
 NO_ENTRY = -1
@@ -67,22 +70,23 @@
     """The value of a `FaultKind`."""
     text: str
     first: int | None = None
-    """The first key that it concerns; None if none."""
+    """The first affected key; None if the fault concerns no keys."""
     last: int | None = None
+    """The last affected key."""
     entries: tuple[int, ...] = ()
-    """Indexes in the file."""
+    """Indexes of the affected entries in the map."""
     omitted_entries: int = 0
-    """Entries left out, past `OVERLAP_ENTRIES_NAMED` in one check."""
+    """Number of affected entries that `entries` omits; see `OVERLAP_ENTRIES_NAMED`."""
 
     def __str__(self) -> str:
         return f"{self.kind} {self.text}"
 
 
 class InvalidMapError(RainfallError):
-    """A map with faults.
+    """A map has faults.
 
     Attributes:
-        faults: All of them.
+        faults: All faults of the map.
     """
 
     def __init__(self, faults: list[MapFault]) -> None:
@@ -91,7 +95,7 @@
 
 
 class SoleRange(NamedTuple):
-    """Keys that one entry alone covers."""
+    """Keys that exactly one entry covers."""
 
     first: int
     last: int
@@ -103,12 +107,12 @@
 Ownership = tuple[int, int, str]
 """(first, last, owner): keys of one owner.
 
-A plain tuple: a check makes several for each range.
+A plain tuple, since a check creates several for each range.
 """
 
 
 class OwnerChange(NamedTuple):
-    """Keys whose owner changes."""
+    """Keys whose owner differs between two maps."""
 
     first: int
     last: int
@@ -118,16 +122,16 @@
 
 
 class MapInspection(NamedTuple):
-    """What the check of a map found."""
+    """The result of checking a map."""
 
     faults: list[MapFault]
     generation: int
-    """`NO_GENERATION` where the map has none."""
+    """`NO_GENERATION` if the map has no valid generation."""
     sole_ranges: list[SoleRange]
     """Ordered by key."""
 
     def to_map(self, bits: int) -> ShardMap:
-        """The map; it must have no faults."""
+        """Return the map; `faults` must be empty."""
         ranges = tuple(
             Range(sole.first, sole.last, sole.owner) for sole in self.sole_ranges
         )
@@ -138,27 +142,27 @@
     raw: Any,
     members: Collection[str] | None = None,
     against: ShardMap | None = None,
-    most_moved: Fraction | None = MAX_MOVED_SHARE,
+    max_moved_share: Fraction | None = MAX_MOVED_SHARE,
     bits: int = KEY_BITS,
 ) -> list[MapFault]:
-    """All faults of a map; if there are none, it may come into force.
+    """Return all faults of a map; without faults it may be put in force.
 
     Args:
         raw: The map as a decoded JSON value.
-        members: Who may own a range.
-        against: The map in force; the new generation has to be above its.
-        most_moved: The share of the key space whose owner may change; None for any. A
-            member that is not among `members` any more does not count as an owner.
+        members: Names that may own a range; None for any.
+        against: The map in force; the new generation must be higher than its generation.
+        max_moved_share: The largest share of the key space whose owner may change; None
+            for any. Keys of an old owner that is not in `members` do not count.
         bits: The width of the key space.
     """
-    return inspect_map(raw, members, _baseline(against), most_moved, bits).faults
+    return inspect_map(raw, members, _baseline(against), max_moved_share, bits).faults
 
 
 def checked_map(
     raw: Any,
     members: Collection[str] | None = None,
     against: ShardMap | None = None,
-    most_moved: Fraction | None = MAX_MOVED_SHARE,
+    max_moved_share: Fraction | None = MAX_MOVED_SHARE,
     bits: int = KEY_BITS,
 ) -> ShardMap:
     """Check a map; see `map_faults`.
@@ -167,9 +171,9 @@
         The map.
 
     Raises:
-        InvalidMapError: It has faults.
+        InvalidMapError: The map has faults.
     """
-    inspection = inspect_map(raw, members, _baseline(against), most_moved, bits)
+    inspection = inspect_map(raw, members, _baseline(against), max_moved_share, bits)
     if inspection.faults:
         raise InvalidMapError(inspection.faults)
     return inspection.to_map(bits)
@@ -179,17 +183,17 @@
     raw: Any,
     members: Collection[str] | None,
     against: ShardMap | None,
-    most_moved: Fraction | None,
+    max_moved_share: Fraction | None,
     bits: int,
 ) -> tuple[ShardMap | None, list[MapFault]]:
-    """Check a map that is to replace another; see `map_faults`.
+    """Check a map that replaces the map in force; see `map_faults`.
 
     Returns:
-        The map to put in force, None where it has faults, and the faults. Neither where
-        it is the very map in force.
+        The new map, or None if it has faults, and the faults. (None, []) if it equals the
+        map in force.
     """
     old = _baseline(against)
-    inspection = inspect_map(raw, members, old, most_moved, bits)
+    inspection = inspect_map(raw, members, old, max_moved_share, bits)
     if old is not None and _is_same_map(inspection, old):
         return None, []
     if inspection.faults:
@@ -198,7 +202,7 @@
 
 
 def _is_same_map(inspection: MapInspection, old: MapBaseline) -> bool:
-    """Whether a map is the old one, its generation being its only fault."""
+    """Return whether a map equals the old one; its generation is then its only fault."""
     kinds = [fault.kind for fault in inspection.faults]
     return (
         inspection.generation == old.generation
@@ -210,10 +214,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MapBaseline:
-    """What a new map is compared with.
+    """The old map that a new map is compared with.
 
-    Gaps and overlaps of the old map are no fault of the new one: keys that the old map
-    gave to no member or to several have not changed their owner.
+    Keys in gaps and overlaps of the old map do not count as moved, since they had no
+    unique owner.
     """
 
     generation: int
@@ -221,12 +225,12 @@
 
     @staticmethod
     def from_map(shard_map: ShardMap) -> MapBaseline:
-        """The baseline of a valid map."""
+        """Return the baseline of a valid map."""
         return MapBaseline(
             shard_map.generation,
             [
-                SoleRange(r.first, r.last, r.owner, index)
-                for index, r in enumerate(shard_map.ranges)
+                SoleRange(map_range.first, map_range.last, map_range.owner, index)
+                for index, map_range in enumerate(shard_map.ranges)
             ],
         )
 
@@ -239,18 +243,20 @@
     raw: Any,
     members: Collection[str] | None = None,
     old: MapBaseline | None = None,
-    most_moved: Fraction | None = MAX_MOVED_SHARE,
+    max_moved_share: Fraction | None = MAX_MOVED_SHARE,
     bits: int = KEY_BITS,
 ) -> MapInspection:
-    """Check a map; see `map_faults`."""
+    """Check a map and return the faults with the decoded content; see `map_faults`."""
     if not isinstance(raw, dict):
         text = f"map: {_quoted(raw)} is no JSON object"
         fault = MapFault(FaultKind.MALFORMED.value, text)
         return MapInspection([fault], NO_GENERATION, [])
     form_faults = list(_form_faults(raw))
-    known = None if members is None else frozenset(members)
+    member_names = None if members is None else frozenset(members)
     listed = raw.get("ranges")
-    entries = _inspect_entries(listed if type(listed) is list else (), known, bits)
+    entries = _inspect_entries(
+        listed if type(listed) is list else (), member_names, bits
+    )
     coverage_faults, sole_ranges = _inspect_coverage(
         entries.valid, entries.owners, bits
     )
@@ -266,25 +272,27 @@
     ]
     if old is not None and generation != NO_GENERATION:
         faults += _generation_faults(generation, sole_ranges, old)
-    if old is not None and most_moved is not None:
-        faults += _moved_share_faults(sole_ranges, old, known, most_moved, bits)
+    if old is not None and max_moved_share is not None:
+        faults += _moved_share_faults(
+            sole_ranges, old, member_names, max_moved_share, bits
+        )
     return MapInspection(faults, generation, sole_ranges)
 
 
 @dataclass(slots=True)
 class _Entries:
-    """The entries of a map, and their faults by kind, each by index."""
+    """The valid entries of a map, and the faults of all entries by kind, in file order."""
 
     malformed: list[MapFault] = field(default_factory=list)
     inverted: list[MapFault] = field(default_factory=list)
     unknown_owners: list[MapFault] = field(default_factory=list)
     valid: list[Entry] = field(default_factory=list)
     owners: dict[int, str] = field(default_factory=dict)
-    """Of the valid entries, by index."""
+    """The owners of the valid entries, by index."""
 
 
 def _inspect_entries(
-    raw_entries: Iterable[Any], known: frozenset[str] | None, bits: int
+    raw_entries: Iterable[Any], member_names: frozenset[str] | None, bits: int
 ) -> _Entries:
     entries = _Entries()
     for index, raw in enumerate(raw_entries):
@@ -302,7 +310,7 @@
             text = f"entry {index} ends before it begins"
             fault = _entry_fault(FaultKind.INVERTED, parsed, index, text, bits)
             entries.inverted.append(fault)
-        if known is not None and owner not in known:
+        if member_names is not None and owner not in member_names:
             text = f"entry {index} names {_quoted(owner)}, which is no member"
             fault = _entry_fault(FaultKind.UNKNOWN_OWNER, parsed, index, text, bits)
             entries.unknown_owners.append(fault)
@@ -322,7 +330,7 @@
 
 
 def _quoted(value: Any) -> str:
-    """A value as one short line of ASCII, whatever is in it."""
+    """Format a value as one short line of ASCII."""
     if isinstance(value, dict | list):
         return "an object" if isinstance(value, dict) else "an array"
     text = json.dumps(value)
@@ -343,21 +351,21 @@
 def _form_fault_texts(raw: dict[str, Any]) -> Iterator[str]:
     if isinstance(raw, DuplicateFieldObject):
         names = _quoted_names(raw.duplicate_fields)
-        yield f"map: twice the same field: {names} (the last is judged)"
+        yield f"map: duplicate field: {names} (the last value is checked)"
     if "generation" not in raw:
-        yield "generation: it is missing"
+        yield "generation: is missing"
     elif not _is_generation(raw["generation"]):
         yield f"generation: {_quoted(raw['generation'])} is no whole number below 2**63"
     if "ranges" not in raw:
-        yield "ranges: they are missing"
+        yield "ranges: is missing"
     elif type(raw["ranges"]) is not list:
         yield f"ranges: {_quoted(raw['ranges'])} is no array"
-    if others := sorted(set(raw) - {"generation", "ranges"}):
-        yield f"map: a field of unknown name: {_quoted_names(others)}"
+    if unknown_fields := sorted(set(raw) - {"generation", "ranges"}):
+        yield f"map: a field of unknown name: {_quoted_names(unknown_fields)}"
 
 
 def _parse_entry(raw: Any, bits: int) -> Ownership | str:
-    """The keys and owner of an entry, or all faults of its form in one line."""
+    """Return the keys and owner of an entry, or all faults of its form in one line."""
     if type(raw) is dict and len(raw) == len(ENTRY_FIELDS):
         first = parse_key(raw.get("from"), bits)
         last = parse_key(raw.get("to"), bits)
@@ -372,8 +380,12 @@
             return first, last, owner
     if not isinstance(raw, dict):
         return f"entry: {_quoted(raw)} is no object"
-    ends = [f"{name} {_quoted(raw[name])}" for name in ("from", "to") if name in raw]
-    return f"entry ({' '.join(ends)}): " + "; ".join(_entry_fault_texts(raw, bits))
+    shown_keys = [
+        f"{name} {_quoted(raw[name])}" for name in ("from", "to") if name in raw
+    ]
+    return f"entry ({' '.join(shown_keys)}): " + "; ".join(
+        _entry_fault_texts(raw, bits)
+    )
 
 
 def _is_name(value: Any) -> bool:
@@ -382,12 +394,12 @@
 
 def _entry_fault_texts(raw: dict[str, Any], bits: int) -> Iterator[str]:
     if isinstance(raw, DuplicateFieldObject):
-        yield f"twice the same field: {_quoted_names(raw.duplicate_fields)}"
+        yield f"duplicate field: {_quoted_names(raw.duplicate_fields)}"
     for name in ENTRY_FIELDS:
         if name not in raw:
             yield f'"{name}" is missing'
-    if others := sorted(set(raw) - set(ENTRY_FIELDS)):
-        yield f"a field of unknown name: {_quoted_names(others)}"
+    if unknown_fields := sorted(set(raw) - set(ENTRY_FIELDS)):
+        yield f"a field of unknown name: {_quoted_names(unknown_fields)}"
     for name in ("from", "to"):
         if name in raw and parse_key(raw[name], bits) is None:
             digits = bits // BITS_PER_DIGIT
@@ -399,7 +411,7 @@
 def _inspect_coverage(
     entries: list[Entry], owners: dict[int, str], bits: int
 ) -> tuple[list[MapFault], list[SoleRange]]:
-    """Gaps and overlaps, and the keys that one entry alone covers."""
+    """Return gaps and overlaps, and the keys that exactly one entry covers."""
     faults: list[MapFault] = []
     sole_ranges: list[SoleRange] = []
     names_left = OVERLAP_ENTRIES_NAMED
@@ -479,7 +491,7 @@
 
 
 def merged_ownership(sole_ranges: Iterable[SoleRange]) -> list[Ownership]:
-    """Who owns what, adjacent ranges of one owner as one."""
+    """Return the ownership with adjacent ranges of one owner merged."""
     merged: list[Ownership] = []
     for first, last, owner, _ in sole_ranges:
         if merged:
@@ -494,19 +506,19 @@
 def owner_changes(
     new: Sequence[SoleRange], old: Sequence[SoleRange]
 ) -> Iterator[OwnerChange]:
-    """Keys whose owner changes, in their order."""
+    """Yield the keys whose owner changes, ordered by key."""
     start = 0
     for first, last, owner, entry in new:
         while start < len(old) and old[start].last < first:
             start += 1
         index = start
         while index < len(old) and old[index].first <= last:
-            former = old[index]
-            if former.owner != owner:
+            old_range = old[index]
+            if old_range.owner != owner:
                 yield OwnerChange(
-                    max(first, former.first),
-                    min(last, former.last),
-                    former.owner,
+                    max(first, old_range.first),
+                    min(last, old_range.last),
+                    old_range.owner,
                     entry,
                 )
             index += 1
@@ -515,17 +527,17 @@
 def _moved_share_faults(
     sole_ranges: list[SoleRange],
     old: MapBaseline,
-    known: frozenset[str] | None,
-    most_moved: Fraction,
+    member_names: frozenset[str] | None,
+    max_moved_share: Fraction,
     bits: int,
 ) -> Iterator[MapFault]:
     changes = [
         change
         for change in owner_changes(sole_ranges, old.sole_ranges)
-        if known is None or change.old_owner in known
+        if member_names is None or change.old_owner in member_names
     ]
     moved_keys = sum(change.last - change.first + 1 for change in changes)
-    if moved_keys <= most_moved * (1 << bits):
+    if moved_keys <= max_moved_share * (1 << bits):
         return
     entries = tuple(sorted({change.entry for change in changes}))
     first = changes[0].first
@@ -533,7 +545,7 @@
     yield MapFault(
         FaultKind.MOVES_TOO_MUCH.value,
         f"{format_range(first, last, bits)}: {moved_keys} keys change their owner, "
-        f"{moved_keys / (1 << bits):.2%} of the space, more than {float(most_moved):.2%}: entries "
+        f"{moved_keys / (1 << bits):.2%} of the space, more than {float(max_moved_share):.2%}: entries "
         f"{', '.join(map(str, entries))}",
         first,
         last,
@@ -542,7 +554,7 @@
 
 
 def count_moved_keys(new: ShardMap, old: ShardMap) -> int:
-    """Keys whose owner is another one in `new`."""
+    """Count the keys whose owner in `new` differs from `old`."""
     changes = owner_changes(
         MapBaseline.from_map(new).sole_ranges, MapBaseline.from_map(old).sole_ranges
     )
--- a/rainfall/shard/migration.py
+++ b/rainfall/shard/migration.py
@@ -1,12 +1,12 @@
-"""The service's side of a migration: who holds which keys, and who may get them next.
+"""The service's side of a migration: tracks which member holds which keys.
 
-A key is either held by one incarnation of one member, or free. Only two events free it:
-its holder's report that it has given the key up (under a map newer than the one under
-which its hold began), or the certain expiry of the holder's lease. Only a free key is
-granted to its owner in the map in force, under a new token, and only in the answer to a
-heartbeat that says that the owner has this very map. A new map changes no hold.
+A key is either held by one incarnation of one member, or free. Only two events free a
+key: its holder reports that it has given the key up (under a map newer than the one under
+which the hold began), or the holder's lease has expired on every clock. Only a free key
+is granted to its owner in the map in force, under a new fencing token, and only in the
+answer to a heartbeat that reports the same map. A new map changes no hold.
 
-All times are of the service's clock, in microseconds.
+All times are microseconds of the service's clock.
 """
 
 from __future__ import annotations
@@ -40,46 +40,46 @@
 )
 
 MAX_GENERATION_LEAD = 1 << 32
-"""A member's map is at most so many generations above the service's.
+"""Highest accepted lead of a member's map generation over the service's.
 
-No heartbeat can use up all generations there are.
+The limit prevents a heartbeat from exhausting the generations.
 """
 NO_OWNER = ""
-"""The owner of free keys while there is no map, and the holder of keys that are free."""
+"""The owner of free keys while there is no map, and the holder of free keys."""
 
 
 class FencedError(RainfallError):
-    """The incarnation may not hold anything any more (409): it stops and joins anew."""
+    """The lease of the incarnation has ended (409); the member must stop and join again."""
 
 
 class StaleHeartbeatError(RainfallError):
-    """A heartbeat sent before one that was answered (409): nothing is done on it."""
+    """A heartbeat older than one that was answered (409); it has no effect."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class RangeHold:
-    """Keys that one incarnation may act on under `token`."""
+    """A range of keys that one incarnation may act on under `token`."""
 
     first: int
     last: int
     token: Token
     since_generation: int
-    """The generation of the map in force when they were granted."""
+    """The generation of the map in force when the keys were granted."""
 
     @property
     def key_range(self) -> KeyRange:
-        """Its keys."""
+        """The keys as (first, last)."""
         return (self.first, self.last)
 
     def restricted_to(self, ranges: Iterable[KeyRange]) -> list[RangeHold]:
-        """Holds like this one on other ranges."""
+        """Return holds with the same token and generation on other ranges."""
         return [
             RangeHold(first, last, self.token, self.since_generation)
             for first, last in ranges
         ]
 
     def to_row(self, bits: int) -> list[Any]:
-        """Its row on disk."""
+        """Return the JSON row of the hold in a snapshot."""
         return [
             format_key(self.first, bits),
             format_key(self.last, bits),
@@ -101,16 +101,16 @@
 
 @dataclass(slots=True)
 class RangeHolder:
-    """One incarnation of a member, and what it holds."""
+    """One incarnation of a member and its holds."""
 
     name: str
     expires_at_us: int
-    """From then on its lease has expired on every clock."""
+    """When the lease has expired on every clock."""
     holds: list[RangeHold] = field(default_factory=list)
     last_heartbeat: int = -1
-    """The last heartbeat answered.
+    """The number of the last answered heartbeat.
 
-    Not on disk: a restart closes the connections of heartbeats under way.
+    Not persisted: a restart closes the connections of heartbeats in flight.
     """
 
 
@@ -119,41 +119,41 @@
     """The answer to one member's heartbeat."""
 
     generation: int
-    """Of the map in force; 0 where there is none."""
+    """The generation of the map in force; 0 if there is none."""
     holds: tuple[RangeHold, ...]
-    """Everything that it may act on; it does not hold what is missing here."""
+    """All holds of the member; it must stop acting on all other keys."""
     changed: bool
-    """Holds or the map changed: to be on disk before this is sent."""
+    """Whether holds or the map changed; the change must be on disk before the answer."""
 
 
 class MigratingRange(NamedTuple):
-    """Keys that their owner in the map does not hold."""
+    """Keys that their owner in the map does not hold yet."""
 
     first: int
     last: int
     holder: str
-    """`NO_OWNER` where they are free."""
+    """The current holder; `NO_OWNER` if the keys are free."""
     owner: str
 
 
 @dataclass(slots=True)
 class MigrationCoordinator:
-    """The holds of all members; `from_snapshot` restores it after a restart."""
+    """The holds of all members; `from_snapshot` restores them after a restart."""
 
     map: ShardMap | None
     epoch: int
-    """The epoch of the tokens that are granted."""
+    """The epoch of granted tokens."""
     grants_from_us: int = 0
-    """Nothing is granted before.
+    """No keys are granted before this time.
 
-    Where holds may be unknown: one longest lease, widened for drift, from now.
+    Set if holds may be unknown: the longest lease, extended for clock drift, from now.
     """
     last_token_number: int = 0
     """The number of the last token granted."""
     holders: dict[Token, RangeHolder] = field(default_factory=dict)
-    """By the token of the incarnation."""
+    """Holders by the token of the incarnation."""
     free: dict[str, list[KeyRange]] = field(default_factory=dict)
-    """Keys that nobody holds, by their owner in the map in force."""
+    """Free keys, by their owner in the map in force."""
     bits: int = KEY_BITS
 
     def __post_init__(self) -> None:
@@ -164,24 +164,26 @@
         self,
         raw: Any,
         members: Collection[str] | None = None,
-        most_moved: Fraction | None = MAX_MOVED_SHARE,
+        max_moved_share: Fraction | None = MAX_MOVED_SHARE,
     ) -> list[MapFault]:
-        """Put a map, as decoded from JSON, in force.
+        """Check a map, as decoded from JSON, and put it in force.
 
-        With any fault (422) the former one stays as it is. The map in force, submitted
-        again, is no fault and changes nothing. The change has to be on disk before it
-        is answered.
+        A map with faults (422) is rejected, and the current map stays. Submitting the map
+        in force again is no fault and changes nothing. The change must be on disk before
+        the request is answered.
 
         Returns:
             The map's faults.
         """
-        new, faults = evaluate_update(raw, members, self.map, most_moved, self.bits)
+        new, faults = evaluate_update(
+            raw, members, self.map, max_moved_share, self.bits
+        )
         if new is not None and not faults:
             self.install_map(new)
         return faults
 
     def install_map(self, new: ShardMap) -> None:
-        """Put a checked map in force. Every hold stays as it is."""
+        """Put a checked map in force; holds are unchanged."""
         free = union(key_range for ranges in self.free.values() for key_range in ranges)
         self.map = new
         self.free = {}
@@ -190,13 +192,13 @@
     def _raise_generation(self, generation: int) -> None:
         """Raise the map in force above a generation that this service never issued.
 
-        A member has such a map where the service's folder was lost, or is a copy.
+        A member has such a map if the service's folder was lost or restored from a copy.
         """
         if self.map is not None and generation < MAX_GENERATION:
             self.install_map(ShardMap(generation + 1, self.map.ranges, self.bits))
 
     def _release(self, ranges: Sequence[KeyRange]) -> None:
-        """Make keys free, for their owners in the map in force."""
+        """Mark keys as free, by their owner in the map in force."""
         by_owner: dict[str, list[KeyRange]] = {}
         for first, last in ranges:
             if self.map is None:
@@ -209,7 +211,10 @@
             self.free[owner] = union([*self.free.get(owner, ()), *released])
 
     def lease_renewed(self, token: Token, name: str, expires_at_us: int) -> None:
-        """The member joined or renewed: it acts until `expires_at_us` at the latest."""
+        """Record that a member joined or renewed its lease.
+
+        The member stops acting at `expires_at_us` at the latest.
+        """
         holder = self.holders.setdefault(token, RangeHolder(name, expires_at_us))
         holder.expires_at_us = max(holder.expires_at_us, expires_at_us)
 
@@ -217,7 +222,7 @@
         """Release the holds of incarnations whose lease has expired on every clock.
 
         Returns:
-            Their tokens.
+            The tokens of these incarnations.
         """
         expired = sorted(
             token
@@ -229,13 +234,13 @@
         return expired
 
     def release_all(self, token: Token) -> None:
-        """Release all holds of an incarnation that has stopped acting for good."""
+        """Release all holds of an incarnation that has stopped permanently."""
         holder = self.holders.pop(token, None)
         if holder is not None:
             self._release([hold.key_range for hold in holder.holds])
 
     def next_expiry_us(self) -> int | None:
-        """When `expire` has something to do next; None without holders."""
+        """Return when the next lease expires; None without holders."""
         return min(
             (holder.expires_at_us for holder in self.holders.values()), default=None
         )
@@ -249,25 +254,26 @@
         given_up: Iterable[KeyRange],
         now_us: int,
     ) -> HoldsAnswer:
-        """Take a member's heartbeat.
+        """Process a member's heartbeat and grant free keys.
 
         Args:
             token: The incarnation's token.
-            sent: The heartbeat's number.
-            generation: Of the map that the member has; 0 for none.
-            digest: Of that map.
-            given_up: Keys that it does not act on, though they were granted to it.
-            now_us: The present time.
+            sent: The number of the heartbeat.
+            generation: The generation of the member's map; 0 for none.
+            digest: The digest of the member's map.
+            given_up: Granted keys that the member has stopped acting on.
+            now_us: The current time.
 
         Raises:
-            FencedError: The incarnation may not hold anything any more.
+            FencedError: The lease of the incarnation has ended.
             StaleHeartbeatError: A later heartbeat was answered.
-            ValueError: The generation is impossible.
+            ValueError: The generation is more than `MAX_GENERATION_LEAD` above the
+                service's.
         """
         current = self.map
         current_generation = current.generation if current else 0
         if generation > current_generation + MAX_GENERATION_LEAD:
-            raise ValueError("map: a generation far above any that there was")
+            raise ValueError("map: generation too far above the map in force")
         holder = self._live_holder(token, now_us)
         if sent <= holder.last_heartbeat:
             raise StaleHeartbeatError
@@ -296,32 +302,32 @@
     ) -> None:
         """Release keys that were given up under a map of `generation`.
 
-        It ends the holds that began before that map. Of a later hold the report says
-        nothing: it is late, and concerns an earlier hold.
+        Only holds that began before that map are ended. For a later hold the report is
+        stale: it refers to an earlier hold of the same keys.
         """
         if not given_up:
             return
         freed: list[KeyRange] = []
-        kept: list[RangeHold] = []
+        remaining_holds: list[RangeHold] = []
         for hold in holder.holds:
             remaining = [hold.key_range]
             if self.give_up_applies(hold, generation):
                 freed += intersection(remaining, given_up)
                 remaining = difference(remaining, given_up)
-            kept += hold.restricted_to(remaining)
-        holder.holds = kept
+            remaining_holds += hold.restricted_to(remaining)
+        holder.holds = remaining_holds
         self._release(freed)
 
     def give_up_applies(self, hold: RangeHold, generation: int) -> bool:
-        """Whether a give-up under a map of `generation` can concern this hold."""
+        """Return whether a give-up under a map of `generation` can refer to this hold."""
         return generation > hold.since_generation
 
     def _grant_free_ranges(
         self, token: Token, holder: RangeHolder, generation: int, now_us: int
     ) -> None:
-        """Grant a member its free keys by the map, if it has the map.
+        """Grant a member the free keys that it owns, if it has the map in force.
 
-        Of two incarnations of one name only the newest is granted anything.
+        Of several incarnations of one name, only the newest receives grants.
         """
         if (
             self.map is None
@@ -346,7 +352,7 @@
         )
 
     def ranges_in_migration(self) -> list[MigratingRange]:
-        """Keys that their owner in the map does not hold, for operators."""
+        """Return the keys that their owner in the map does not hold, for operators."""
         found = [
             MigratingRange(first, last, NO_OWNER, owner)
             for owner, ranges in self.free.items()
@@ -372,7 +378,10 @@
         ]
 
     def to_snapshot(self) -> dict[str, Any]:
-        """All that a restart needs, for JSON. What is free follows from it."""
+        """Return the state to restore after a restart, for JSON.
+
+        Free keys are not stored: they are all keys without a hold.
+        """
         return {
             "map": None if self.map is None else self.map.to_wire(),
             "number": self.last_token_number,
@@ -394,17 +403,18 @@
         grants_from_us: int = 0,
         bits: int = KEY_BITS,
     ) -> MigrationCoordinator:
-        """Restore the holds after a restart.
+        """Restore the coordinator after a restart.
 
         Args:
-            raw: What `to_snapshot` returned.
-            epoch: The epoch of the tokens to grant.
-            expires_at_us: When the known leases expire: they count as renewed now.
-            grants_from_us: Nothing is granted before.
+            raw: The result of `to_snapshot`.
+            epoch: The epoch of granted tokens.
+            expires_at_us: When the known leases expire, counted as renewed now.
+            grants_from_us: No keys are granted before this time.
             bits: The width of the key space.
 
         Raises:
-            ValueError: `raw` is no snapshot; an `InvalidMapError` may be its cause.
+            ValueError: `raw` is not a valid snapshot; the cause may be an
+                `InvalidMapError`.
         """
         try:
             shard_map = None
@@ -418,13 +428,13 @@
                 )
                 for row in raw["holders"]
             ]
-        # Whatever is wrong with it, it is not what this service wrote.
+        # Any error means that this service did not write the snapshot.
         except Exception as error:
-            raise ValueError(f"no state of moves: {error!r}") from error
-        # Of all rows: a token that stands twice holds its keys twice.
+            raise ValueError(f"invalid migration snapshot: {error!r}") from error
+        # Count the rows, not `dict(rows)`, which would hide a duplicate token.
         held = [hold.key_range for _, holder in rows for hold in holder.holds]
         if count_keys(held) != count_keys(union(held)):
-            raise ValueError("no state of moves: keys held twice")
+            raise ValueError("invalid migration snapshot: several holds on one key")
         restored = MigrationCoordinator(
             shard_map, epoch, grants_from_us, number, bits=bits
         )
@@ -442,12 +452,12 @@
 
 
 def _key_space(bits: int) -> KeyRange:
-    """All keys."""
+    """Return the range of all keys."""
     return (0, (1 << bits) - 1)
 
 
 def _required_key(text: Any, bits: int) -> int:
     key = parse_key(text, bits)
     if key is None:
-        raise ValueError(f"{text!r} is no key")
+        raise ValueError(f"{text!r} is not a key")
     return key
--- a/rainfall/shard/model.py
+++ b/rainfall/shard/model.py
@@ -1,12 +1,12 @@
 """A model of shard migrations for the model checker.
 
-The service's coordinator and the members' ownership are those that the processes run.
-Around them: heartbeats and answers that are lost, duplicated, late and out of order;
-maps that change in the middle; leases that expire on clocks that run apart; members
-that crash and come back; a service that restarts from its disk.
+`MigrationCoordinator` and `RangeOwnership` are the classes that the processes run. The
+model adds their environment: heartbeats and answers that are lost, duplicated, delayed
+and reordered; map changes during a migration; leases that expire on drifting clocks;
+members that crash and rejoin; and a service that restarts from its snapshot.
 
-A stopped member needs no step of its own: it is one that takes no step while the clocks
-go on.
+A suspended member needs no step of its own: it is a member that takes no step while the
+clocks advance.
 """
 
 from __future__ import annotations
@@ -32,141 +32,162 @@
 
 MODEL_KEY_BITS = 4
 MOVE_THERE_AND_BACK = ("ab", "bb", "ab", "bb")
-"""The owners of the two halves of the space in one map after another."""
+"""Maps in the order of their generations; each names the owners of the two halves."""
 LEASE_TICKS = 3
 DRIFT_MARGIN_TICKS = 1
-"""The holder counts a lease shorter by this, the service longer."""
+"""The holder shortens a lease by this margin, the service extends it."""
 MUTATIONS = ("early", "unfrozen", "no margin", "stale", "unsaid")
+"""Names of the planted faults that the search has to find."""
 
 
 class CoordinatorTakingKeysEarly(MigrationCoordinator):
-    """Planted fault: a new map takes keys from their holder at once."""
+    """Planted fault: a new map revokes the holds of other members immediately."""
 
     def install_map(self, new: ShardMap) -> None:
-        """Put a map in force, and take keys that are another member's by it."""
+        """Put a map in force, and revoke holds on keys that it assigns to another member."""
         super().install_map(new)
         for holder in self.holders.values():
-            mine = [(r.first, r.last) for r in new.ranges if r.owner == holder.name]
-            held = [(h.first, h.last) for h in holder.holds]
+            own = [
+                (map_range.first, map_range.last)
+                for map_range in new.ranges
+                if map_range.owner == holder.name
+            ]
+            held = [(hold.first, hold.last) for hold in holder.holds]
             holder.holds = [
                 part
-                for h in holder.holds
-                for part in h.restricted_to(intersection([(h.first, h.last)], mine))
+                for hold in holder.holds
+                for part in hold.restricted_to(
+                    intersection([(hold.first, hold.last)], own)
+                )
             ]
-            kept = [(h.first, h.last) for h in holder.holds]
-            self._release([span for span in held if span not in kept])
+            still_held = [(hold.first, hold.last) for hold in holder.holds]
+            self._release(
+                [key_range for key_range in held if key_range not in still_held]
+            )
 
 
 class CoordinatorTakingStaleGiveUps(MigrationCoordinator):
-    """Planted fault: a give-up counts, whatever map it was sent under."""
+    """Planted fault: a give-up is applied regardless of the map it was sent under."""
 
     def give_up_applies(self, hold: RangeHold, generation: int) -> bool:
-        """Always."""
+        """Return True."""
         del hold, generation
         return True
 
 
 class OwnershipGivenUpUndrained(RangeOwnership):
-    """Planted fault: keys are given up while messages of theirs are in flight."""
+    """Planted fault: keys are given up while their messages are in flight."""
 
     def next_report(self) -> Any:
-        """The report for a heartbeat that is sent now."""
-        had = self.ranges
+        """Return a report that gives up frozen keys too, without changing the ranges."""
+        ranges_before = self.ranges
         self.mark_drained(self.frozen_ranges())
-        said = RangeOwnership.next_report(self)
-        self._set_ranges(had)
-        return said
+        report = RangeOwnership.next_report(self)
+        self._set_ranges(ranges_before)
+        return report
 
 
 class OwnershipIgnoringPendingGiveUps(RangeOwnership):
-    """Planted fault: a hold begins although a heartbeat under way may give it up."""
+    """Planted fault: a hold starts although a heartbeat in flight may give it up."""
 
     def given_up_after(self, generation: int) -> list[KeyRange]:
-        """Nothing."""
+        """Return no keys."""
         del generation
         return []
 
 
 @dataclass(slots=True)
 class ModelState:
-    """One state.
+    """One state of the service, the members and the network; times are in ticks.
 
-    Clocks matter only relative to each other and to the times that were sent.
+    Clocks matter only relative to each other and to the times in messages.
     """
 
-    moves: MigrationCoordinator
+    coordinator: MigrationCoordinator
     members: dict[str, RangeOwnership]
     clocks: dict[str, int]
-    net: Network
+    """The clock of each member, by name."""
+    network: Network
     now: int = 0
-    maps: int = 1
+    """The clock of the service."""
+    map_count: int = 1
+    """How many maps have been put in force."""
     incarnations: int = 0
+    """How many incarnations have joined."""
     remaining: dict[str, int] = field(default_factory=dict)
-    """How often each kind of step may still happen, by its name."""
+    """How often each kind of step may still happen, by name."""
 
     def fork(self) -> ModelState:
-        """A copy that shares the coordinator and the members with this state.
+        """Return a copy that shares the coordinator and the members with this state.
 
-        Whoever changes one of them gets a copy from `own_service` or `own_member`.
+        A step that changes one of them must use `copy_coordinator` or `copy_member`.
         """
         return ModelState(
-            self.moves,
+            self.coordinator,
             dict(self.members),
             dict(self.clocks),
-            self.net,
+            self.network,
             self.now,
-            self.maps,
+            self.map_count,
             self.incarnations,
             dict(self.remaining),
         )
 
-    def own_service(self) -> MigrationCoordinator:
-        """Replace the coordinator by a copy, and return it."""
-        m = self.moves
+    def copy_coordinator(self) -> MigrationCoordinator:
+        """Replace the coordinator with a copy, and return the copy."""
+        coordinator = self.coordinator
         holders = {
-            t: RangeHolder(h.name, h.expires_at_us, list(h.holds), h.last_heartbeat)
-            for t, h in m.holders.items()
+            token: RangeHolder(
+                holder.name,
+                holder.expires_at_us,
+                list(holder.holds),
+                holder.last_heartbeat,
+            )
+            for token, holder in coordinator.holders.items()
         }
-        self.moves = type(m)(
-            m.map,
-            m.epoch,
-            m.grants_from_us,
-            m.last_token_number,
+        self.coordinator = type(coordinator)(
+            coordinator.map,
+            coordinator.epoch,
+            coordinator.grants_from_us,
+            coordinator.last_token_number,
             holders,
-            dict(m.free),
-            m.bits,
+            dict(coordinator.free),
+            coordinator.bits,
         )
-        return self.moves
-
-    def own_member(self, name: str) -> RangeOwnership:
-        """Replace a member by a copy, and return it."""
-        o = self.members[name]
-        self.members[name] = type(o)(
-            o.name,
-            o.map,
-            o.incarnation,
-            o.lease_expires_at_us,
-            list(o.ranges),
-            o.last_sent,
-            o.last_answered,
-            o.service_generation,
-            o.bits,
-            list(o._first_keys),
+        return self.coordinator
+
+    def copy_member(self, name: str) -> RangeOwnership:
+        """Replace a member with a copy, and return the copy."""
+        member = self.members[name]
+        self.members[name] = type(member)(
+            member.name,
+            member.map,
+            member.incarnation,
+            member.lease_expires_at_us,
+            list(member.ranges),
+            member.last_sent,
+            member.last_answered,
+            member.service_generation,
+            member.bits,
+            list(member._first_keys),
         )
         return self.members[name]
 
-    def consume(self, what: str) -> bool:
-        """Count a step; whether it may still happen."""
-        self.remaining[what] = self.remaining.get(what, 0) - 1
-        return self.remaining[what] >= 0
+    def consume(self, kind: str) -> bool:
+        """Count a step of a kind, and return whether its limit allowed it."""
+        self.remaining[kind] = self.remaining.get(kind, 0) - 1
+        return self.remaining[kind] >= 0
 
 
 class ShardModel:
-    """The steps that may happen, and what must hold.
-
-    `maps`: the maps that come into force, one after another. `asked`: heartbeats that
-    each member may send. `past`: steps taken from the start before the search begins,
-    to search deeper around them. The others limit how often something happens.
+    """The possible steps, and the invariants of a state.
+
+    `maps`: the maps that are put in force, in this order. `asked`: the number of
+    heartbeats that each member may send. `max_in_transit`: the number of messages in the
+    network at once. `past`: steps taken before the search starts, to search deeper after
+    them. `bug`: the planted fault, one of `MUTATIONS`; empty for none. `ticks`, `slow`
+    (ticks in which one member's clock stands still), `crashes`, `restarts`, `losses` and
+    `copies` (duplicated messages) limit how often each event happens.
     """
 
     def __init__(
@@ -179,17 +200,21 @@
         restarts: int = 0,
         losses: int = 0,
         copies: int = 0,
-        most: int = 2,
+        max_in_transit: int = 2,
         past: Sequence[str] = (),
         bug: str = "",
     ) -> None:
         assert not bug or bug in MUTATIONS, bug
-        self.past, self.bug, self.net = (
+        self.past, self.bug, self.network = (
             past,
             bug,
-            Network(max_in_transit=most, losses_left=losses, duplicates_left=copies),
+            Network(
+                max_in_transit=max_in_transit,
+                losses_left=losses,
+                duplicates_left=copies,
+            ),
         )
-        self.left = {
+        self.step_limits = {
             "tick": ticks,
             "slow": slow,
             "crash": crashes,
@@ -198,62 +223,63 @@
         }
         self.names = sorted(set("".join(maps)))
         asked = asked if isinstance(asked, dict) else dict.fromkeys(self.names, asked)
-        self.left |= {f"beat {name}": asked[name] for name in self.names}
+        self.step_limits |= {f"beat {name}": asked[name] for name in self.names}
         half = 1 << (MODEL_KEY_BITS - 1)
         self.maps = [
             ShardMap(
-                n + 1,
+                index + 1,
                 tuple(
-                    Range(at * half, at * half + half - 1, owner)
-                    for at, owner in enumerate(owners)
+                    Range(position * half, position * half + half - 1, owner)
+                    for position, owner in enumerate(owners)
                 ),
                 MODEL_KEY_BITS,
             )
-            for n, owners in enumerate(maps)
+            for index, owners in enumerate(maps)
         ]
 
     def start(self) -> ModelState:
-        """The first map is in force, and all members act on their keys.
+        """Return the initial state, after the steps in `past`.
 
-        All leases were requested and answered just now.
+        The first map is in force, all members act on their keys, and all leases were
+        renewed at time 0.
         """
-        moves = {
+        coordinator = {
             "early": CoordinatorTakingKeysEarly,
             "stale": CoordinatorTakingStaleGiveUps,
         }.get(self.bug, MigrationCoordinator)(self.maps[0], 1, bits=MODEL_KEY_BITS)
-        owned = {
+        ownership = {
             "unfrozen": OwnershipGivenUpUndrained,
             "unsaid": OwnershipIgnoringPendingGiveUps,
         }.get(self.bug, RangeOwnership)
-        fleet = ModelState(
-            moves,
+        state = ModelState(
+            coordinator,
             {},
             {},
             Network(),
             remaining={f"beat {name}": 1 for name in self.names},
         )
         for name in self.names:
-            fleet.members[name] = owned(name, bits=MODEL_KEY_BITS)
-            fleet.clocks[name] = 0
-            self._join(fleet, name)
-            fleet.members[name].apply_map(self.maps[0])
-            self._send_heartbeat(fleet, name)
-            for _ in range(2):  # The heartbeat, then its answer.
-                message, fleet.net = next(fleet.net.arrivals())
-                self._deliver(fleet, message)
-        fleet.net, fleet.remaining = self.net, dict(self.left)
+            state.members[name] = ownership(name, bits=MODEL_KEY_BITS)
+            state.clocks[name] = 0
+            self._join(state, name)
+            state.members[name].apply_map(self.maps[0])
+            self._send_heartbeat(state, name)
+            for _ in range(2):  # The heartbeat and its answer.
+                message, state.network = next(state.network.arrivals())
+                self._deliver(state, message)
+        state.network, state.remaining = self.network, dict(self.step_limits)
         for step in self.past:
-            fleet = dict(self.steps(fleet))[step]
-        return fleet
-
-    def _join(self, fleet: ModelState, name: str) -> None:
-        fleet.incarnations += 1
-        token = Token(1, fleet.incarnations)
-        fleet.own_service().lease_renewed(
-            token, name, fleet.now + self._service_lease_ticks()
+            state = dict(self.steps(state))[step]
+        return state
+
+    def _join(self, state: ModelState, name: str) -> None:
+        state.incarnations += 1
+        token = Token(1, state.incarnations)
+        state.copy_coordinator().lease_renewed(
+            token, name, state.now + self._service_lease_ticks()
         )
-        fleet.own_member(name).on_joined(
-            token, fleet.clocks[name] + LEASE_TICKS - DRIFT_MARGIN_TICKS
+        state.copy_member(name).on_joined(
+            token, state.clocks[name] + LEASE_TICKS - DRIFT_MARGIN_TICKS
         )
 
     def _service_lease_ticks(self) -> int:
@@ -263,41 +289,46 @@
             else LEASE_TICKS + DRIFT_MARGIN_TICKS
         )
 
-    # -- steps
-    # -----------------------------------------------------------------------------------
+    # Steps.
 
     def steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
-        """Everything that may happen next."""
-        for name, act in self._acts(state):
+        """Yield each possible step by name, with the state after it."""
+        for name, step in self._local_steps(state):
             after = state.fork()
-            if act(after):
+            if step(after):
                 yield name, after
-        for message, net in state.net.arrivals():
+        for message, network in state.network.arrivals():
             after = state.fork()
-            after.net = net
+            after.network = network
             self._deliver(after, message)
             yield f"arrives: {_describe_message(message)}", after
-        for message, net in state.net.lost():
+        for message, network in state.network.lost():
             after = state.fork()
-            after.net = net
+            after.network = network
             yield f"lost: {_describe_message(message)}", after
 
-    def _acts(
+    def _local_steps(
         self, state: ModelState
     ) -> Iterator[tuple[str, Callable[[ModelState], bool]]]:
-        """What may happen next beside messages; each returns whether it does."""
-        if state.maps < len(self.maps):
-            yield f"map {state.maps + 1}", self._next_map
+        """Yield the possible steps except those of messages.
+
+        A step modifies the state, and returns whether its limit allowed it.
+        """
+        if state.map_count < len(self.maps):
+            yield f"map {state.map_count + 1}", self._next_map
         if state.remaining["tick"]:
-            yield "tick", partial(self._tick, stands="")
+            yield "tick", partial(self._tick, stopped_clock="")
             for name in self.names if state.remaining["slow"] else ():
-                yield f"tick, {name}'s clock stands", partial(self._tick, stands=name)
+                yield (
+                    f"tick, {name}'s clock stands",
+                    partial(self._tick, stopped_clock=name),
+                )
         if state.remaining["restart"]:
             yield "the service restarts", self._restart
         for name, member in sorted(state.members.items()):
-            yield from self._member_acts(state, name, member)
+            yield from self._member_steps(state, name, member)
 
-    def _member_acts(
+    def _member_steps(
         self, state: ModelState, name: str, member: RangeOwnership
     ) -> Iterator[tuple[str, Callable[[ModelState], bool]]]:
         if state.remaining["crash"]:
@@ -308,185 +339,211 @@
             yield f"{name} asks", partial(self._send_heartbeat, name=name)
         if member.frozen_ranges():
             yield f"{name} drained", partial(self._drain, name=name)
-        for n in range(member.map.generation if member.map else 0, state.maps):
+        for index in range(member.map.generation if member.map else 0, state.map_count):
             yield (
-                f"{name} adopts map {n + 1}",
-                partial(self._adopt, name=name, number=n),
+                f"{name} adopts map {index + 1}",
+                partial(self._adopt, name=name, index=index),
             )
 
-    def _next_map(self, s: ModelState) -> bool:
-        s.own_service().install_map(self.maps[s.maps])
-        s.maps += 1
+    def _next_map(self, state: ModelState) -> bool:
+        state.copy_coordinator().install_map(self.maps[state.map_count])
+        state.map_count += 1
         return True
 
-    def _tick(self, s: ModelState, stands: str) -> bool:
-        s.now += 1
-        for name in s.clocks:
-            s.clocks[name] += name != stands
-        s.own_service().expire(s.now)
-        return s.consume("tick") and (not stands or s.consume("slow"))
-
-    def _restart(self, s: ModelState) -> bool:
-        again = MigrationCoordinator.from_snapshot(
-            s.moves.to_snapshot(),
-            s.moves.epoch,
-            s.now + self._service_lease_ticks(),
+    def _tick(self, state: ModelState, stopped_clock: str) -> bool:
+        state.now += 1
+        for name in state.clocks:
+            state.clocks[name] += name != stopped_clock
+        state.copy_coordinator().expire(state.now)
+        return state.consume("tick") and (not stopped_clock or state.consume("slow"))
+
+    def _restart(self, state: ModelState) -> bool:
+        restored = MigrationCoordinator.from_snapshot(
+            state.coordinator.to_snapshot(),
+            state.coordinator.epoch,
+            state.now + self._service_lease_ticks(),
             bits=MODEL_KEY_BITS,
         )
-        s.moves = type(s.moves)(
-            again.map,
-            again.epoch,
+        state.coordinator = type(state.coordinator)(
+            restored.map,
+            restored.epoch,
             0,
-            again.last_token_number,
-            again.holders,
-            again.free,
+            restored.last_token_number,
+            restored.holders,
+            restored.free,
             MODEL_KEY_BITS,
         )
-        return s.consume("restart")
+        return state.consume("restart")
 
-    def _crash(self, s: ModelState, name: str) -> bool:
-        s.own_member(name).on_lease_lost()
-        s.members[name].map = None
-        return s.consume("crash")
+    def _crash(self, state: ModelState, name: str) -> bool:
+        state.copy_member(name).on_lease_lost()
+        state.members[name].map = None
+        return state.consume("crash")
 
-    def _join_anew(self, s: ModelState, name: str) -> bool:
-        self._join(s, name)
-        return s.consume("join")
+    def _join_anew(self, state: ModelState, name: str) -> bool:
+        self._join(state, name)
+        return state.consume("join")
 
-    def _drain(self, s: ModelState, name: str) -> bool:
-        s.own_member(name).mark_drained(s.members[name].frozen_ranges())
+    def _drain(self, state: ModelState, name: str) -> bool:
+        state.copy_member(name).mark_drained(state.members[name].frozen_ranges())
         return True
 
-    def _adopt(self, s: ModelState, name: str, number: int) -> bool:
-        s.own_member(name).apply_map(self.maps[number])
+    def _adopt(self, state: ModelState, name: str, index: int) -> bool:
+        state.copy_member(name).apply_map(self.maps[index])
         return True
 
-    def _send_heartbeat(self, s: ModelState, name: str) -> bool:
-        member = s.own_member(name)
+    def _send_heartbeat(self, state: ModelState, name: str) -> bool:
+        member = state.copy_member(name)
         if member.incarnation is None:
             return False
-        word = member.next_report()
-        s.net = s.net.send(
+        report = member.next_report()
+        state.network = state.network.send(
             (
                 name,
                 member.incarnation.number,
-                word.sent,
-                s.clocks[name],
+                report.sent,
+                state.clocks[name],
                 "asks",
-                word.generation,
-                word.digest,
-                word.given_up,
+                report.generation,
+                report.digest,
+                report.given_up,
             )
         )
-        return s.consume(f"beat {name}")
+        return state.consume(f"beat {name}")
 
-    def _deliver(self, s: ModelState, message: Any) -> None:
-        name, number, sent, asked, kind, generation, *rest = message
-        token = Token(1, number)
+    def _deliver(self, state: ModelState, message: Any) -> None:
+        name, incarnation, sent, requested_at, kind, generation, *rest = message
+        token = Token(1, incarnation)
         if kind == "is told":
             holds = [
-                RangeHold(first, last, Token(1, n), begun)
-                for first, last, n, begun in rest[0]
+                RangeHold(first, last, Token(1, number), since_generation)
+                for first, last, number, since_generation in rest[0]
             ]
-            s.own_member(name).apply_answer(
-                token, sent, generation, holds, asked + LEASE_TICKS - DRIFT_MARGIN_TICKS
+            state.copy_member(name).apply_answer(
+                token,
+                sent,
+                generation,
+                holds,
+                requested_at + LEASE_TICKS - DRIFT_MARGIN_TICKS,
             )
             return
         try:
-            digest, gave = rest
-            answer = s.own_service().heartbeat(
-                token, sent, generation, digest, gave, s.now
+            digest, given_up = rest
+            answer = state.copy_coordinator().heartbeat(
+                token, sent, generation, digest, given_up, state.now
             )
         except (FencedError, StaleHeartbeatError):
             return
-        s.moves.lease_renewed(token, name, s.now + self._service_lease_ticks())
-        told = tuple(
-            (h.first, h.last, h.token.number, h.since_generation) for h in answer.holds
+        state.coordinator.lease_renewed(
+            token, name, state.now + self._service_lease_ticks()
+        )
+        holds_answered = tuple(
+            (hold.first, hold.last, hold.token.number, hold.since_generation)
+            for hold in answer.holds
         )
-        s.net = s.net.send(
-            (name, number, sent, asked, "is told", answer.generation, told)
+        state.network = state.network.send(
+            (
+                name,
+                incarnation,
+                sent,
+                requested_at,
+                "is told",
+                answer.generation,
+                holds_answered,
+            )
         )
 
-    # -- what has to hold
-    # --------------------------------------------------------------------------
+    # Invariants.
 
     def broken(self, state: ModelState) -> str:
-        """Keys that two members act on, or that the service counts twice or never."""
-        spans: list[tuple[KeyRange, str]] = []
+        """Return a violated invariant; empty if none.
+
+        At most one member acts on a key, and the service counts each key exactly once, as
+        held or free.
+        """
+        acting_ranges: list[tuple[KeyRange, str]] = []
         for name, member in sorted(state.members.items()):
-            spans += [
-                (own.key_range, name) for own in member.held_ranges(state.clocks[name])
+            acting_ranges += [
+                (owned.key_range, name)
+                for owned in member.held_ranges(state.clocks[name])
             ]
-        spans.sort()
-        for (a, who), (b, other) in pairwise(spans):
-            if b[0] <= a[1]:
-                return f"{who} and {other} both act on keys {b[0]:x} to {min(a[1], b[1]):x}"
+        acting_ranges.sort()
+        for (low, low_name), (high, high_name) in pairwise(acting_ranges):
+            if high[0] <= low[1]:
+                return f"{low_name} and {high_name} both act on keys {high[0]:x} to {min(low[1], high[1]):x}"
         held = [
-            (h.first, h.last)
-            for holder in state.moves.holders.values()
-            for h in holder.holds
+            (hold.first, hold.last)
+            for holder in state.coordinator.holders.values()
+            for hold in holder.holds
+        ]
+        free = [
+            key_range
+            for ranges in state.coordinator.free.values()
+            for key_range in ranges
         ]
-        free = [span for owned in state.moves.free.values() for span in owned]
         sizes = sum(last - first + 1 for first, last in held + free)
         if sizes != 1 << MODEL_KEY_BITS or union(held + free) != [
             (0, (1 << MODEL_KEY_BITS) - 1)
         ]:
-            return (
-                "a key is held twice by the service's table, or neither held nor free"
-            )
+            return "the service counts a key as held twice, or as neither held nor free"
         return ""
 
     def key(self, state: ModelState) -> Hashable:
-        """What tells states apart, times as what is left of them.
+        """Return the identity of a state, with times as remaining times.
 
         All expired leases count as equal.
         """
-        moves = state.moves
+        coordinator = state.coordinator
         return (
-            moves.map.generation if moves.map else 0,
-            moves.last_token_number,
+            coordinator.map.generation if coordinator.map else 0,
+            coordinator.last_token_number,
             tuple(
                 (
-                    t,
-                    h.name,
-                    max(0, h.expires_at_us - state.now),
-                    tuple(h.holds),
-                    h.last_heartbeat,
+                    token,
+                    holder.name,
+                    max(0, holder.expires_at_us - state.now),
+                    tuple(holder.holds),
+                    holder.last_heartbeat,
                 )
-                for t, h in sorted(moves.holders.items())
+                for token, holder in sorted(coordinator.holders.items())
             ),
             tuple(
                 (
-                    m.map.generation if m.map else 0,
-                    m.incarnation,
-                    max(0, m.lease_expires_at_us - state.clocks[n]),
-                    tuple(m.ranges),
-                    m.last_sent,
-                    m.last_answered,
+                    member.map.generation if member.map else 0,
+                    member.incarnation,
+                    max(0, member.lease_expires_at_us - state.clocks[name]),
+                    tuple(member.ranges),
+                    member.last_sent,
+                    member.last_answered,
                 )
-                for n, m in sorted(state.members.items())
+                for name, member in sorted(state.members.items())
             ),
-            tuple(self._message(state, message) for message in state.net.in_transit),
-            state.net.losses_left,
-            state.net.duplicates_left,
+            tuple(
+                self._message(state, message) for message in state.network.in_transit
+            ),
+            state.network.losses_left,
+            state.network.duplicates_left,
             tuple(sorted(state.remaining.items())),
         )
 
     def _message(self, state: ModelState, message: Any) -> Hashable:
-        """A message by the effect that it can still have.
+        """Return the identity of a message by the effect that it can still have.
 
-        The time of its request counts as what is left of the lease that it brings.
+        The time of the request is replaced by the remaining time of the lease that the
+        message renews.
         """
-        name, _, _, asked, *_ = message
+        name, _, _, requested_at, *_ = message
         return (
             *message[:3],
-            max(0, asked + LEASE_TICKS - DRIFT_MARGIN_TICKS - state.clocks[name]),
+            max(
+                0, requested_at + LEASE_TICKS - DRIFT_MARGIN_TICKS - state.clocks[name]
+            ),
             *message[4:],
         )
 
 
 def _describe_message(message: Any) -> str:
-    name, number, sent, _, kind, generation, *rest = message
-    what = "gave" if kind == "asks" else "holds"
-    spans = " ".join(f"{span[0]:x}-{span[1]:x}" for span in rest[-1])
-    return f"{name}({number}) {kind}, beat {sent}, map {generation}, {what} {spans or 'nothing'}"
+    name, incarnation, sent, _, kind, generation, *rest = message
+    verb = "gave" if kind == "asks" else "holds"
+    ranges = " ".join(f"{item[0]:x}-{item[1]:x}" for item in rest[-1])
+    return f"{name}({incarnation}) {kind}, beat {sent}, map {generation}, {verb} {ranges or 'nothing'}"
--- a/rainfall/shard/ownership.py
+++ b/rainfall/shard/ownership.py
@@ -1,14 +1,14 @@
-"""A member's side of a migration: which keys it may act on, and which it gives up.
+"""The member's side of a migration: the state of each range granted to it.
 
-    acting -> frozen:    a new map gives the keys to another member; no new message is
-                         accepted, those in flight are finished
-    frozen -> acting:    a newer map gives them back before they were given up
-    frozen -> given up:  everything is finished; the service learns of it by the next
-                         heartbeat, and this hold never acts again
-    any    -> gone:      the service no longer lists them, or the lease has expired
+    acting -> frozen:    a new map assigns the keys to another member; new messages are
+                         rejected, messages in flight are finished
+    frozen -> acting:    a newer map assigns the keys to this member again
+    frozen -> given up:  the range is drained; the next heartbeat reports it, and the
+                         member never acts under this hold again
+    any    -> removed:   the service no longer lists the range, or the lease has expired
 
-A member begins to act on keys only where the service's answer lists them, under a
-token, and its own map, of the answer's generation, says that they are its own.
+A member starts to act on keys only if the service's answer lists them under a token, and
+its own map has the answer's generation and assigns the keys to it.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 
 class RangeState(StrEnum):
-    """What a member may do with keys that were granted to it."""
+    """The state of a range of keys that was granted to a member."""
 
     ACTING = "acting"
     FROZEN = "frozen"
-    """Only messages in flight are finished."""
+    """New messages are rejected; messages in flight are finished."""
     GIVEN_UP = "gave"
 
 
-# Looking up an enum's member costs more than comparing it; each message needs these.
+# Used for each message: an enum attribute lookup is slower than a comparison.
 _ACTING = RangeState.ACTING
 _FROZEN = RangeState.FROZEN
 _GIVEN_UP = RangeState.GIVEN_UP
@@ -43,22 +43,22 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedRange:
-    """Keys that were granted to this member."""
+    """A range of keys that was granted to this member."""
 
     hold: RangeHold
     state: RangeState
     given_up_generation: int = -1
-    """The highest map generation under which a heartbeat has given them up."""
+    """The highest map generation under which a heartbeat reported the keys as given up."""
 
     @property
     def key_range(self) -> KeyRange:
-        """Its keys."""
+        """The keys as (first, last)."""
         return self.hold.first, self.hold.last
 
     def restricted_to(
         self, ranges: Sequence[KeyRange], state: RangeState | None = None
     ) -> list[OwnedRange]:
-        """Ranges like this one on other keys, and in another state if one is given."""
+        """Return copies of this range for other keys, with `state` if given."""
         return [
             replace(self, hold=hold, state=state or self.state)
             for hold in self.hold.restricted_to(ranges)
@@ -67,23 +67,25 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipReport:
-    """What a heartbeat says of the map."""
+    """The part of a heartbeat that concerns the map."""
 
     sent: int
-    """The heartbeat's number."""
+    """The number of the heartbeat."""
     generation: int
-    """Of the member's map; 0 for none."""
+    """The generation of the member's map; 0 for none."""
     digest: int
+    """The digest of the member's map; 0 for none."""
     given_up: tuple[KeyRange, ...]
+    """All keys that are given up and still listed."""
 
 
 @dataclass(slots=True)
 class RangeOwnership:
-    """The ranges of one member.
+    """The ranges granted to one member.
 
-    The caller passes on every answer, and the lease's end by its own clock. It acts
-    only on keys for which `may_act` returns a token, and stops what is in flight once
-    the lease has expired (`held_ranges` is empty from then on).
+    The caller passes in every heartbeat answer, and the lease's end by its own clock. It
+    acts only on keys for which `may_act` returns a token, and aborts work in flight when
+    the lease has expired (`held_ranges` is then empty).
     """
 
     name: str
@@ -92,19 +94,19 @@
     lease_expires_at_us: int = 0
     ranges: list[OwnedRange] = field(default_factory=list)
     last_sent: int = 0
-    """The number of the last heartbeat. It goes on over incarnations."""
+    """The number of the last heartbeat; not reset by a new incarnation."""
     last_answered: int = 0
-    """The last heartbeat whose answer counted; an answer to an earlier one is late."""
+    """The last heartbeat whose answer was applied; answers to earlier ones are stale."""
     service_generation: int = 0
-    """Of the service's map; if it is above the own map's, the map is fetched."""
+    """The generation of the service's map; if it is higher, the caller fetches the map."""
     bits: int = KEY_BITS
     _first_keys: list[int] = field(default_factory=list)
-    """The first key of each range."""
+    """The first key of each range, for bisection."""
 
     def may_act(self, key: int, now_us: int) -> Token | None:
-        """The token under which a new message of `key` may be accepted.
+        """Return the token under which a new message of `key` may be accepted.
 
-        None: the key is not this member's now.
+        Returns None if this member may not act on the key now.
         """
         owned = self._range_at(key)
         if owned is None or owned.state is not _ACTING:
@@ -112,9 +114,9 @@
         return owned.hold.token if now_us < self.lease_expires_at_us else None
 
     def may_finish(self, key: int, now_us: int) -> Token | None:
-        """The token under which a message in flight may be finished.
+        """Return the token under which a message in flight may be finished.
 
-        None: stop at once.
+        Returns None if the message must be aborted immediately.
         """
         owned = self._range_at(key)
         if owned is None or owned.state is _GIVEN_UP:
@@ -122,21 +124,21 @@
         return owned.hold.token if now_us < self.lease_expires_at_us else None
 
     def held_ranges(self, now_us: int) -> list[OwnedRange]:
-        """All ranges that are acted on, or still being finished."""
+        """Return the acting and frozen ranges; none after the lease has expired."""
         if now_us >= self.lease_expires_at_us:
             return []
         return [owned for owned in self.ranges if owned.state is not _GIVEN_UP]
 
     def frozen_ranges(self) -> list[KeyRange]:
-        """Keys whose messages have to be finished: `mark_drained` is due for them."""
+        """Return the keys to drain; call `mark_drained` when their messages are finished."""
         return [owned.key_range for owned in self.ranges if owned.state is _FROZEN]
 
     def adopt_map(self, raw: Any) -> list[MapFault]:
-        """Check a map, whoever sent it, and apply it.
+        """Check a map from any sender, and apply it.
 
-        With any fault the former map stays; the map in force, received again, is no
-        fault. How many keys move is checked by the service only: this member may have
-        missed any number of maps.
+        A map with faults is rejected; receiving the current map again is no fault. Only
+        the service limits the share of moved keys, since this member may have missed any
+        number of maps.
 
         Returns:
             The map's faults.
@@ -148,12 +150,17 @@
 
     def _mapped_ranges(self) -> list[KeyRange]:
         ranges = () if self.map is None else self.map.ranges
-        return [(r.first, r.last) for r in ranges if r.owner == self.name]
+        return [
+            (map_range.first, map_range.last)
+            for map_range in ranges
+            if map_range.owner == self.name
+        ]
 
     def apply_map(self, new: ShardMap) -> None:
         """Put a checked map in force.
 
-        Freeze what is another's now; act again on what it gives back in time.
+        Freezes ranges of other owners, and resumes frozen ranges that are assigned to
+        this member again.
         """
         self.map = new
         mapped = self._mapped_ranges()
@@ -162,14 +169,14 @@
             if owned.state is _GIVEN_UP:
                 updated.append(owned)
                 continue
-            mine = intersection([owned.key_range], mapped)
+            own = intersection([owned.key_range], mapped)
             others = difference([owned.key_range], mapped)
-            updated += owned.restricted_to(mine, _ACTING)
+            updated += owned.restricted_to(own, _ACTING)
             updated += owned.restricted_to(others, _FROZEN)
         self._set_ranges(updated)
 
     def mark_drained(self, ranges: Sequence[KeyRange]) -> None:
-        """Give up frozen keys of which no message is in flight any more."""
+        """Give up frozen keys without messages in flight."""
         drained = union(ranges)
         updated: list[OwnedRange] = []
         for owned in self.ranges:
@@ -182,20 +189,20 @@
             updated += owned.restricted_to(remaining)
         self._set_ranges(updated)
 
-    def on_joined(self, token: Token, until_us: int) -> None:
-        """A new incarnation holds nothing."""
+    def on_joined(self, token: Token, lease_expires_at_us: int) -> None:
+        """Start a new incarnation, which holds no keys."""
         self.on_lease_lost()
         self.incarnation = token
-        self.lease_expires_at_us = until_us
+        self.lease_expires_at_us = lease_expires_at_us
 
     def on_lease_lost(self) -> None:
-        """The lease has expired, or the service says so: everything stops at once."""
+        """Drop all ranges: the lease has expired, or the service has fenced the member."""
         self.incarnation = None
         self.lease_expires_at_us = 0
         self._set_ranges([])
 
     def next_report(self) -> OwnershipReport:
-        """The report for a heartbeat that is sent now."""
+        """Return the report for the next heartbeat, and record what it gives up."""
         self.last_sent += 1
         generation = 0
         digest = 0
@@ -221,25 +228,25 @@
         sent: int,
         generation: int,
         holds: Sequence[RangeHold],
-        until_us: int,
+        lease_expires_at_us: int,
     ) -> bool:
-        """Take the answer to a heartbeat.
+        """Apply the answer to a heartbeat.
 
         Args:
             token: The incarnation's token.
             sent: The number of the heartbeat.
-            generation: Of the service's map.
-            holds: Everything that the member holds.
-            until_us: The lease's end, counted from when the heartbeat was sent.
+            generation: The generation of the service's map.
+            holds: All holds of the member.
+            lease_expires_at_us: The lease's end, counted from when the heartbeat was sent.
 
         Returns:
-            False where the answer is late or another incarnation's: it does not count.
+            False if the answer is stale or for another incarnation; it is then ignored.
         """
         if token != self.incarnation or sent <= self.last_answered:
             return False
         self.last_answered = sent
-        # Counted from a later request than before: if it is shorter, the lease is.
-        self.lease_expires_at_us = until_us
+        # Set even if it is earlier: it counts from a later heartbeat than the old value.
+        self.lease_expires_at_us = lease_expires_at_us
         self.service_generation = generation
         owned_by_token: dict[Token, list[OwnedRange]] = {}
         for owned in self.ranges:
@@ -252,35 +259,36 @@
             listed_ranges = [hold.key_range for hold in listed]
             known = owned_by_token.get(hold_token, [])
             for owned in known:
-                kept = intersection([owned.key_range], listed_ranges)
-                updated += owned.restricted_to(kept)
+                still_held = intersection([owned.key_range], listed_ranges)
+                updated += owned.restricted_to(still_held)
             new = difference(listed_ranges, [owned.key_range for owned in known])
             if new and self.map is not None and generation == self.map.generation:
-                updated += self._begin_holds(listed[0], new)
+                updated += self._start_holds(listed[0], new)
         self._set_ranges(updated)
         return True
 
-    def _begin_holds(
+    def _start_holds(
         self, hold: RangeHold, ranges: Sequence[KeyRange]
     ) -> list[OwnedRange]:
-        """Take keys that are newly listed under one token.
+        """Return ranges for keys that are newly listed under one token.
 
-        Some are given up at once. Those that are another's by the map were granted
-        before a newer map, and never acted on. Those that a heartbeat under way gives
-        up may be released at the service in place of an earlier hold, since it was sent
-        under a map newer than this hold.
+        Two kinds of keys are given up immediately. Keys that the map assigns to another
+        member were granted under an older map, and were never acted on. Keys that a
+        heartbeat in flight gives up may be released by the service although the
+        heartbeat meant an earlier hold, since it was sent under a map newer than this
+        hold.
         """
-        uncertain = self.given_up_after(hold.since_generation)
-        mine = intersection(ranges, self._mapped_ranges())
-        begun = difference(mine, uncertain)
-        given_up = difference(ranges, begun)
+        pending_give_ups = self.given_up_after(hold.since_generation)
+        own = intersection(ranges, self._mapped_ranges())
+        started = difference(own, pending_give_ups)
+        given_up = difference(ranges, started)
         return [
-            *(OwnedRange(part, _ACTING) for part in hold.restricted_to(begun)),
+            *(OwnedRange(part, _ACTING) for part in hold.restricted_to(started)),
             *(OwnedRange(part, _GIVEN_UP) for part in hold.restricted_to(given_up)),
         ]
 
     def given_up_after(self, generation: int) -> list[KeyRange]:
-        """Keys that a heartbeat has given up under a later map than `generation`."""
+        """Return the keys that a heartbeat gave up under a map newer than `generation`."""
         return union(
             owned.key_range
             for owned in self.ranges
