--- a/rainfall/peer/links.py
+++ b/rainfall/peer/links.py
@@ -79,15 +79,15 @@
 
 @dataclass(slots=True)
 class Link:
-    """The state of a link; all times are microseconds of the local monotonic clock.
+    """The state of a link; all times are microseconds of one local clock.
 
-    `expected` is the peer's name for an outgoing connection, and empty for an incoming
-    one.
+    `expected_name` is the peer's name for an outgoing connection, and empty for an
+    incoming one.
     """
 
     own_hello: peer_frames.Hello
     known_leases: KnownLeases
-    expected: str = ""
+    expected_name: str = ""
     max_unwritten_bytes: int = 4 << 20
     """Frames are dropped while at least this many bytes wait to be written."""
     max_pending: int = 1_024
@@ -168,10 +168,15 @@
             return self.close(
                 f"uses protocol version {frame.version}, not {peer_frames.PROTOCOL_VERSION}"
             )
-        if frame.name == self.own_hello.name or self.expected not in ("", frame.name):
-            return self.close(f"is {frame.name}, not {self.expected or 'another'}")
+        if frame.name == self.own_hello.name or self.expected_name not in (
+            "",
+            frame.name,
+        ):
+            return self.close(
+                f"reports the name {frame.name}, expected {self.expected_name or 'another'}"
+            )
         if not self.known_leases.accept_token(frame.name, frame.lease_token):
-            return self.close(f"{frame.name} has an expired lease token")
+            return self.close(f"{frame.name} has an outdated lease token")
         self.peer = frame
         return [FrameReceived(frame)]
 
--- a/rainfall/shard/auto_planner.py
+++ b/rainfall/shard/auto_planner.py
@@ -25,7 +25,7 @@
     """Upper limit of both delays, which double each time that the same member returns."""
     plan_interval_us: int = 30_000_000
     """Minimum time between two plans."""
-    forget_after_us: int = 600_000_000
+    history_retention_us: int = 600_000_000
     """A member's return count is reset after this time without a change."""
 
 
@@ -81,21 +81,21 @@
         member_history.since_us = now_us
 
     def _is_steady(self, member_history: _MemberHistory, now_us: int) -> bool:
-        return now_us - member_history.since_us >= self.delays.forget_after_us
+        return now_us - member_history.since_us >= self.delays.history_retention_us
 
     def members_to_plan_for(
-        self, owners: Mapping[str, float], now_us: int, leading: bool, frozen: bool
+        self, owners: Mapping[str, float], now_us: int, is_leader: bool, suspended: bool
     ) -> dict[str, float] | None:
         """Return the members and weights to plan a map for; None if no plan is due.
 
         Args:
             owners: Members and weights that the map in force was planned for.
             now_us: The current time.
-            leading: Whether this process holds `shard-planner`.
-            frozen: Whether planning is suspended after a mass loss of members.
+            is_leader: Whether this process holds `shard-planner`.
+            suspended: Whether planning is suspended after a mass loss of members.
         """
         due = self._due_times(owners)
-        if not leading or frozen or not due:
+        if not is_leader or suspended or not due:
             return None
         if now_us < max(min(due.values()), self._earliest_plan_us()):
             return None
--- a/rainfall/shard/routing.py
+++ b/rainfall/shard/routing.py
@@ -28,7 +28,7 @@
     """The forwarding member used a map of another generation."""
     UNKNOWN_OWNER = "unknown owner"
     """The owner by the map is not among the known members."""
-    LINK_OUT = "link out"
+    LINK_DOWN = "link out"
     """The link to the owner is down."""
 
 
@@ -101,7 +101,7 @@
     if owner not in members:
         return Rejected(RejectionReason.UNKNOWN_OWNER, retry_after_s)
     if not link_up(owner):
-        return Rejected(RejectionReason.LINK_OUT, retry_after_s)
+        return Rejected(RejectionReason.LINK_DOWN, retry_after_s)
     return ForwardToOwner(owner, owned.map.generation, deadline_us - now_us)
 
 
--- a/tests/shard/test_shard.py
+++ b/tests/shard/test_shard.py
@@ -1,5 +1,8 @@
-"""The shard map: its check against a bitmap, plans against the fewest moves, moves
-against every interleaving of a small model and against random ones of a larger.
+"""Tests of shard maps.
+
+Validation is compared with a bitmap of the keys, and plans with the minimum number of
+moved keys. Migrations run through all interleavings of a small model and through random
+interleavings of a larger one.
 """
 
 from __future__ import annotations
@@ -33,7 +36,7 @@
 from rainfall.shard.routing import ActLocally, ForwardToOwner, Rejected, route
 from rainfall.shard.shard_map import ShardMap, hash_key
 
-BITS, TOP = 8, 255
+BITS, LAST_KEY = 8, 255
 NAMES = ("n1", "n2", "n3")
 
 
@@ -41,11 +44,11 @@
     return {"from": f"{first:02x}", "to": f"{last:02x}", "owner": owner}
 
 
-def made(generation: int, *rows: tuple[int, int, str]) -> dict[str, Any]:
+def map_document(generation: int, *rows: tuple[int, int, str]) -> dict[str, Any]:
     return {"generation": generation, "ranges": [entry(*row) for row in rows]}
 
 
-bad_entries = st.sampled_from(
+malformed_entries = st.sampled_from(
     [
         7,
         None,
@@ -62,28 +65,30 @@
         {**entry(0, 9), "from": " 1"},
     ]
 )
-edges = st.sampled_from([0, 1, 127, 128, 254, 255]) | st.integers(0, TOP)
+boundary_keys = st.sampled_from([0, 1, 127, 128, 254, 255]) | st.integers(0, LAST_KEY)
 entries = st.one_of(
-    st.builds(entry, edges, edges, st.sampled_from([*NAMES, "n9"])), bad_entries
+    st.builds(entry, boundary_keys, boundary_keys, st.sampled_from([*NAMES, "n9"])),
+    malformed_entries,
 )
 
 
 @st.composite
-def partitions(draw: st.DrawFn, generation: int = 6) -> dict[str, Any]:
-    cuts = [*sorted({0, *draw(st.lists(edges, max_size=6))}), TOP + 1]
+def valid_maps(draw: st.DrawFn, generation: int = 6) -> dict[str, Any]:
+    cuts = [*sorted({0, *draw(st.lists(boundary_keys, max_size=6))}), LAST_KEY + 1]
     rows = [
-        entry(a, b - 1, draw(st.sampled_from(NAMES)))
-        for a, b in itertools.pairwise(cuts)
+        entry(first, next_first - 1, draw(st.sampled_from(NAMES)))
+        for first, next_first in itertools.pairwise(cuts)
     ]
     return {"generation": generation, "ranges": draw(st.permutations(rows))}
 
 
 @st.composite
-def nearly(draw: st.DrawFn) -> dict[str, Any]:
-    """A sound map with a few entries put in, left out or doubled: most faults are close
-    to no fault.
+def nearly_valid_maps(draw: st.DrawFn) -> dict[str, Any]:
+    """A valid map with a few entries inserted, removed or repeated.
+
+    Most kinds of faults lie close to a valid map.
     """
-    rows = list(draw(partitions())["ranges"])
+    rows = list(draw(valid_maps())["ranges"])
     for _ in range(draw(st.integers(0, 2))):
         rows.insert(draw(st.integers(0, len(rows))), draw(entries))
     for _ in range(draw(st.integers(0, 1)) if rows else 0):
@@ -94,41 +99,44 @@
 def slow(
     raw: dict[str, Any], members: set[str], old: dict[str, Any], most: Fraction
 ) -> Counter[Any]:
-    """The obvious model: for each key the entries that cover it. Faults as (kind,
-    first, last, entries).
+    """Reference implementation with a list of covering entries for each key.
+
+    Returns the faults as (kind, first, last, entries).
     """
-    digits = {f"{n:02x}": n for n in range(256)}
-    out: Counter[Any] = Counter()
+    digits = {f"{index:02x}": index for index in range(256)}
+    faults: Counter[Any] = Counter()
     covers: list[list[int]] = [[] for _ in range(256)]
-    for n, e in enumerate(raw["ranges"]):
+    for index, item in enumerate(raw["ranges"]):
         if (
-            type(e) is not dict
-            or set(e) != {"from", "to", "owner"}
-            or type(e["owner"]) is not str
-            or not e["owner"]
-            or not {e["from"], e["to"]} <= set(digits)
+            type(item) is not dict
+            or set(item) != {"from", "to", "owner"}
+            or type(item["owner"]) is not str
+            or not item["owner"]
+            or not {item["from"], item["to"]} <= set(digits)
         ):
-            out["malformed", None, None, (n,)] += 1
+            faults["malformed", None, None, (index,)] += 1
             continue
-        first, last = digits[e["from"]], digits[e["to"]]
-        if e["owner"] not in members:
-            out["unknown-owner", first, last, (n,)] += 1
+        first, last = digits[item["from"]], digits[item["to"]]
+        if item["owner"] not in members:
+            faults["unknown-owner", first, last, (index,)] += 1
         if first > last:
-            out["inverted", first, last, (n,)] += 1
+            faults["inverted", first, last, (index,)] += 1
         for key in range(first, last + 1):
-            covers[key].append(n)
-    for who, run in itertools.groupby(range(256), lambda key: covers[key]):
+            covers[key].append(index)
+    for covering, run in itertools.groupby(range(256), lambda key: covers[key]):
         keys = list(run)
-        if len(who) > 1:
-            out["overlap", keys[0], keys[-1], tuple(who)] += 1
-        if not who:
-            beside = [
-                covers[k][0] for k in (keys[0] - 1, keys[-1] + 1) if 0 <= k <= TOP
+        if len(covering) > 1:
+            faults["overlap", keys[0], keys[-1], tuple(covering)] += 1
+        if not covering:
+            adjacent_entries = [
+                covers[neighbour][0]
+                for neighbour in (keys[0] - 1, keys[-1] + 1)
+                if 0 <= neighbour <= LAST_KEY
             ]
-            out["gap", keys[0], keys[-1], tuple(beside)] += 1
+            faults["gap", keys[0], keys[-1], tuple(adjacent_entries)] += 1
     before = checked_map(old, bits=BITS)
     if raw["generation"] <= old["generation"]:
-        out["stale-generation", None, None, ()] += 1
+        faults["stale-generation", None, None, ()] += 1
     moved = [
         key
         for key in range(256)
@@ -137,26 +145,26 @@
         and raw["ranges"][covers[key][0]]["owner"] != before.owner(key)
     ]
     if len(moved) > most * 256:
-        out[
+        faults[
             "moves-too-much",
             moved[0],
             moved[-1],
             tuple(sorted({covers[key][0] for key in moved})),
         ] += 1
-    return out
+    return faults
 
 
 @settings(derandomize=True, deadline=None, max_examples=250)
 @given(
     st.one_of(
-        nearly(),
+        nearly_valid_maps(),
         st.builds(
             lambda g, r: {"generation": g, "ranges": r},
             st.integers(5, 8),
             st.lists(entries, max_size=6),
         ),
     ),
-    partitions(),
+    valid_maps(),
     st.sampled_from([0, Fraction(1, 256), Fraction(1, 2), 1]),
     st.sets(st.sampled_from(NAMES)),
 )
@@ -174,7 +182,7 @@
             assert f"{fault.first:02x}-{fault.last:02x}" in line
 
 
-def run(
+def run_command(
     capsys: pytest.CaptureFixture[str], *args: object
 ) -> tuple[int, list[str], str]:
     try:
@@ -185,24 +193,24 @@
     return code, out.splitlines(), err
 
 
-def test_the_tool_tells_sound_from_faulty_from_unreadable(
+def test_command_distinguishes_valid_faulty_and_unreadable_maps(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert hash_key("") == 0x2D06800538D394C2  # as xxh3 publishes it
+    assert hash_key("") == 0x2D06800538D394C2  # The published xxh3 hash of no bytes.
 
-    def file(text: str | bytes) -> Path:
+    def write_file(text: str | bytes) -> Path:
         path = tmp_path / f"{len(list(tmp_path.iterdir()))}.json"
         path.write_bytes(text if isinstance(text, bytes) else text.encode())
         return path
 
-    low, high, mid = "0" * 16, "f" * 16, "8" + "0" * 15
-    two = [
-        {"from": mid, "to": high, "owner": "n2"},
-        {"from": low, "to": "7" + "f" * 15, "owner": "n1"},
+    first_key, last_key, middle_key = "0" * 16, "f" * 16, "8" + "0" * 15
+    two_ranges = [
+        {"from": middle_key, "to": last_key, "owner": "n2"},
+        {"from": first_key, "to": "7" + "f" * 15, "owner": "n1"},
     ]
-    sound = file(json.dumps({"generation": 7, "ranges": two}))
-    names = file('["n1", "n2"]')
-    assert run(capsys, "check", sound, "--members", names) == (
+    valid_map = write_file(json.dumps({"generation": 7, "ranges": two_ranges}))
+    names = write_file('["n1", "n2"]')
+    assert run_command(capsys, "check", valid_map, "--members", names) == (
         0,
         ["2 ranges, 2 owners, generation 7"],
         "",
@@ -217,16 +225,19 @@
         (f'{{"generation": {"9" * 5000}, "ranges": []}}', ["malformed", "gap"]),
         ('{"generation": 1, "generation": 1, "ranges": []}', ["malformed", "gap"]),
         (
-            f'{{"generation": 1, "ranges": [{{"from": "{low}", "to": "{high}", '
+            f'{{"generation": 1, "ranges": [{{"from": "{first_key}", "to": "{last_key}", '
             f'"owner": "a", "owner": "a"}}]}}',
             ["malformed", "gap"],
         ),
-        (json.dumps({"generation": 1, "ranges": two[:1]}), ["gap"]),
+        (json.dumps({"generation": 1, "ranges": two_ranges[:1]}), ["gap"]),
         (
             json.dumps(
                 {
                     "generation": 1,
-                    "ranges": [*two, {"from": high, "to": high, "owner": "\ud800"}],
+                    "ranges": [
+                        *two_ranges,
+                        {"from": last_key, "to": last_key, "owner": "\ud800"},
+                    ],
                 }
             ),
             ["malformed"],
@@ -235,65 +246,85 @@
             json.dumps(
                 {
                     "generation": 1,
-                    "ranges": [*two, {"from": high, "to": high, "owner": "a"}],
+                    "ranges": [
+                        *two_ranges,
+                        {"from": last_key, "to": last_key, "owner": "a"},
+                    ],
                 }
             ),
             ["overlap"],
         ),
     ):
-        code, lines, err = run(capsys, "check", file(text))
+        code, lines, err = run_command(capsys, "check", write_file(text))
         assert (code, [line.split()[0] for line in lines], err) == (1, kinds, ""), text
-    overlap = f"overlap {high}-{high}: entries 0, 2 cover it"
+    overlap = f"overlap {last_key}-{last_key}: entries 0, 2 cover it"
     assert lines == [overlap]
-    assert run(capsys, "check", file(json.dumps({"generation": 1, "ranges": two[1:]})))[
-        1
-    ] == [f"gap {mid}-{high}: no entry covers it, after entry 0"]
-    swapped = [{**two[0], "owner": "n1"}, {**two[1], "owner": "n2"}]
-    other = file(json.dumps({"generation": 7, "ranges": swapped}))
-    code, lines, _ = run(capsys, "check", other, "--against", sound)
+    assert run_command(
+        capsys,
+        "check",
+        write_file(json.dumps({"generation": 1, "ranges": two_ranges[1:]})),
+    )[1] == [f"gap {middle_key}-{last_key}: no entry covers it, after entry 0"]
+    swapped_ranges = [
+        {**two_ranges[0], "owner": "n1"},
+        {**two_ranges[1], "owner": "n2"},
+    ]
+    other_map = write_file(json.dumps({"generation": 7, "ranges": swapped_ranges}))
+    code, lines, _ = run_command(capsys, "check", other_map, "--against", valid_map)
     assert code == 1 and [line.split()[0] for line in lines] == [
         "stale-generation",
         "moves-too-much",
     ]
     assert (
         "another" in lines[0]
-        and "the same" in run(capsys, "check", sound, "--against", sound)[1][0]
+        and "the same"
+        in run_command(capsys, "check", valid_map, "--against", valid_map)[1][0]
+    )
+    newer_map = write_file(json.dumps({"generation": 8, "ranges": swapped_ranges}))
+    assert (
+        run_command(
+            capsys, "check", newer_map, "--against", valid_map, "--most-moved", "1.0"
+        )[0]
+        == 0
     )
-    newer = file(json.dumps({"generation": 8, "ranges": swapped}))
     assert (
-        run(capsys, "check", newer, "--against", sound, "--most-moved", "1.0")[0] == 0
+        run_command(
+            capsys, "check", newer_map, "--against", valid_map, "--members", names
+        )[0]
+        == 1
     )
-    assert run(capsys, "check", newer, "--against", sound, "--members", names)[0] == 1
-    gone = [{**two[0], "owner": "n3"}, {**two[1], "owner": "n3"}]
-    # Members that left do not count against a map, however much they had.
+    replaced_owners = [
+        {**two_ranges[0], "owner": "n3"},
+        {**two_ranges[1], "owner": "n3"},
+    ]
+    # Keys of members that have left do not count as moved.
     assert (
-        run(
+        run_command(
             capsys,
             "check",
-            file(json.dumps({"generation": 8, "ranges": gone})),
+            write_file(json.dumps({"generation": 8, "ranges": replaced_owners})),
             "--against",
-            sound,
+            valid_map,
             "--members",
-            file('["n3"]'),
+            write_file('["n3"]'),
         )[0]
         == 0
     )
-    faulty = file('{"generation": 1, "ranges": [3]}')
+    faulty_map = write_file('{"generation": 1, "ranges": [3]}')
     for args in (
         ("check", tmp_path / "none"),
         ("check", tmp_path),
-        ("check", file("")),
-        ("check", file("[]")),
-        ("check", file(b"\xff")),
-        ("check", file("[" * 100_000)),
-        ("check", file('{"generation": NaN}')),
-        ("check", sound, "--members", sound),
-        ("check", sound, "--members", file("[1]")),
-        ("check", sound, "--against", faulty),
-        ("check", sound, "--against", sound, "--most-moved", "2"),
+        ("check", write_file("")),
+        ("check", write_file("[]")),
+        ("check", write_file(b"\xff")),
+        ("check", write_file("[" * 100_000)),
+        ("check", write_file('{"generation": NaN}')),
+        ("check", valid_map, "--members", valid_map),
+        ("check", valid_map, "--members", write_file("[1]")),
+        ("check", valid_map, "--against", faulty_map),
+        ("check", valid_map, "--against", valid_map, "--most-moved", "2"),
         ("chek",),
         ("check",),
-        ("plan", "--members", file("[]"), "--out", tmp_path / "o"),
+        ("plan", "--members", write_file("[]"), "--out", tmp_path / "o"),
         (
             "plan",
             "--members",
@@ -316,27 +347,34 @@
         ("plan", "--members", names, "--load", '{"0-1": 1}', "--out", tmp_path / "o"),
         ("plan", "--members", names, "--out", tmp_path / "none" / "o"),
     ):
-        code, lines, err = run(capsys, *args)
+        code, lines, err = run_command(capsys, *args)
         assert (code, lines, err.count("\n")) == (2, [], 1) and err.startswith(
             "shard: "
         ), (args, err)
     assert (
-        run(
+        run_command(
             capsys,
             "plan",
             "--members",
             names,
             "--from",
-            faulty,
+            faulty_map,
             "--out",
             tmp_path / "o",
         )[0]
         == 1
     )
     assert not (tmp_path / "o").exists()
-    changed = file('["n2", "n3"]')
-    assert run(
-        capsys, "plan", "--members", changed, "--from", sound, "--out", tmp_path / "o"
+    changed_names = write_file('["n2", "n3"]')
+    assert run_command(
+        capsys,
+        "plan",
+        "--members",
+        changed_names,
+        "--from",
+        valid_map,
+        "--out",
+        tmp_path / "o",
     ) == (
         0,
         [
@@ -344,21 +382,20 @@
         ],
         "",
     )
-    assert run(capsys, "check", tmp_path / "o", "--against", sound)[0] == 0
+    assert run_command(capsys, "check", tmp_path / "o", "--against", valid_map)[0] == 0
 
 
-# -- plans
-# -----------------------------------------------------------------------------------------
+# Planning.
 
 
-def sizes(shards: ShardMap) -> Counter[str]:
-    out: Counter[str] = Counter()
-    for r in shards.ranges:
-        out[r.owner] += r.size
-    return out
+def sizes(shard_map: ShardMap) -> Counter[str]:
+    size_by_owner: Counter[str] = Counter()
+    for map_range in shard_map.ranges:
+        size_by_owner[map_range.owner] += map_range.size
+    return size_by_owner
 
 
-weighted = st.dictionaries(
+member_weights = st.dictionaries(
     st.sampled_from([*NAMES, "n4", "n5"]),
     st.sampled_from([1, 1, 2, 0.3, 0]),
     min_size=1,
@@ -367,8 +404,8 @@
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(
-    partitions(),
-    weighted,
+    valid_maps(),
+    member_weights,
     st.integers(0, 3),
     st.lists(st.sampled_from([0, 0, 1, 9, 100]), min_size=9),
 )
@@ -411,119 +448,148 @@
 def check_loads(
     old: ShardMap, members: dict[str, float], loads: dict[tuple[int, int], int]
 ) -> None:
-    def most(shards: ShardMap) -> float:
-        """Load on the one who has most for its weight, each range's load taken as
-        even.
+    def max_relative_load(shard_map: ShardMap) -> float:
+        """Return the highest load of a member relative to its weight.
+
+        Load is assumed to be uniform over each range of the old map.
         """
-        on: Counter[str] = Counter()
-        for r in shards.ranges:
-            for s in old.overlapping(r.first, r.last):
-                keys = min(r.last, s.last) - max(r.first, s.first) + 1
-                on[r.owner] += keys * Fraction(loads.get((s.first, s.last), 0), s.size)
-        return max(load / Fraction(members[name]) for name, load in on.items())
-
-    done = plan_map(members, old, loads, bits=BITS)
-    assert done.map.owners() <= set(members)
+        load_by_member: Counter[str] = Counter()
+        for new_range in shard_map.ranges:
+            for old_range in old.overlapping(new_range.first, new_range.last):
+                keys = (
+                    min(new_range.last, old_range.last)
+                    - max(new_range.first, old_range.first)
+                    + 1
+                )
+                load_by_member[new_range.owner] += keys * Fraction(
+                    loads.get((old_range.first, old_range.last), 0), old_range.size
+                )
+        return max(
+            load / Fraction(members[name]) for name, load in load_by_member.items()
+        )
+
+    plan = plan_map(members, old, loads, bits=BITS)
+    assert plan.map.owners() <= set(members)
     if old.owners() <= {name for name, weight in members.items() if weight}:
-        # A hot range of a few keys cannot be cut any finer: one key's load and the part
-        # that goes by keys.
-        key = max(
-            (Fraction(load, b - a + 1) for (a, b), load in loads.items()), default=0
+        # Keys are indivisible: allow for the load of one key and for the share of the
+        # weight that depends on the number of keys.
+        key_load = max(
+            (Fraction(load, last - first + 1) for (first, last), load in loads.items()),
+            default=0,
         )
         lightest = min(Fraction(weight) for weight in members.values() if weight)
-        assert most(done.map) <= most(old) + 2 * key / lightest
+        assert (
+            max_relative_load(plan.map)
+            <= max_relative_load(old) + 2 * key_load / lightest
+        )
 
 
 def test_hot_ranges_are_split_and_small_ones_merged() -> None:
     old = checked_map(
-        made(1, (0, 15, "n1"), (16, 23, "n1"), (24, 127, "n2"), (128, 255, "n2")),
+        map_document(
+            1, (0, 15, "n1"), (16, 23, "n1"), (24, 127, "n2"), (128, 255, "n2")
+        ),
         bits=BITS,
     )
-    done = plan_map(
+    plan = plan_map(
         {"n1": 1, "n2": 1},
         old,
         {(0, 15): 90.0, (16, 23): 8.0, (24, 127): 2.0},
         bits=BITS,
     )
-    hot = [r for r in done.map.ranges if r.last <= 15]
-    # 48 of the 98 move, of the densest range; what stays is told apart from now on.
+    hot_ranges = [map_range for map_range in plan.map.ranges if map_range.last <= 15]
+    # 48 of 98 units of load move, from the densest range; the rest of it is split, so
+    # that later loads are reported for each part.
     assert (
-        0 < sum(r.size for r in hot if r.owner == "n2") == done.moved_keys <= 9
-        and len(hot) >= 4
+        0
+        < sum(map_range.size for map_range in hot_ranges if map_range.owner == "n2")
+        == plan.moved_keys
+        <= 9
+        and len(hot_ranges) >= 4
     )
     merged = plan_map({"n1": 3, "n2": 29}, old, bits=BITS)
-    assert [(r.first, r.last) for r in merged.map.ranges] == [
+    assert [(map_range.first, map_range.last) for map_range in merged.map.ranges] == [
         (0, 23),
         (24, 255),
     ] and merged.moved_keys == 0
-    # Neighbours of the one that left take its keys from either side; only the rest
-    # makes a new range.
-    four = checked_map(
-        made(1, (0, 63, "n4"), (64, 127, "n2"), (128, 191, "n3"), (192, 255, "n1")),
+    # The neighbours of the member that left take its keys from either side; only the
+    # rest becomes a new range.
+    four_ranges = checked_map(
+        map_document(
+            1, (0, 63, "n4"), (64, 127, "n2"), (128, 191, "n3"), (192, 255, "n1")
+        ),
         bits=BITS,
     )
-    assert len(plan_map({"n1": 1, "n3": 1, "n4": 1}, four, bits=BITS).map.ranges) == 4
-    # The odd key stays with whoever has it.
-    odd = checked_map(
-        made(1, (0, 84, "n1"), (85, 169, "n2"), (170, 255, "n3")), bits=BITS
+    assert (
+        len(plan_map({"n1": 1, "n3": 1, "n4": 1}, four_ranges, bits=BITS).map.ranges)
+        == 4
+    )
+    # The key that does not divide evenly stays with its owner.
+    odd_sizes = checked_map(
+        map_document(1, (0, 84, "n1"), (85, 169, "n2"), (170, 255, "n3")), bits=BITS
     )
-    assert plan_map(dict.fromkeys(NAMES, 1.0), odd, bits=BITS).moved_keys == 0
+    assert plan_map(dict.fromkeys(NAMES, 1.0), odd_sizes, bits=BITS).moved_keys == 0
 
 
-def test_the_planner_waits_for_members_to_stay() -> None:
+def test_planner_waits_until_membership_changes_are_stable() -> None:
     second = 1_000_000
-    auto = AutoPlanner(PlanDelays())
+    planner = AutoPlanner(PlanDelays())
     owners = {"n1": 1.0, "n2": 1.0}
     assert (
-        auto.members_to_plan_for(owners, 10**9, True, False) is None
-    )  # it has not looked yet
-    auto.observe_members({"n1": 1.0}, 0)
-    assert auto.next_plan_us(owners) == 2 * second
-    assert auto.members_to_plan_for(owners, 2 * second - 1, True, False) is None
+        planner.members_to_plan_for(owners, 10**9, True, False) is None
+    )  # no members observed yet
+    planner.observe_members({"n1": 1.0}, 0)
+    assert planner.next_plan_us(owners) == 2 * second
+    assert planner.members_to_plan_for(owners, 2 * second - 1, True, False) is None
     assert (
-        auto.members_to_plan_for(owners, 2 * second, True, True) is None
-    )  # the guard against mass loss
+        planner.members_to_plan_for(owners, 2 * second, True, True) is None
+    )  # suspended after a mass loss
     assert (
-        auto.members_to_plan_for(owners, 2 * second, False, False) is None
-    )  # another leads
-    assert auto.members_to_plan_for(owners, 2 * second, True, False) == {"n1": 1.0}
-    auto.on_planned(2 * second)
+        planner.members_to_plan_for(owners, 2 * second, False, False) is None
+    )  # another process holds the lease
+    assert planner.members_to_plan_for(owners, 2 * second, True, False) == {"n1": 1.0}
+    planner.on_planned(2 * second)
     owners = {"n1": 1.0}
-    # n3 comes and goes eight times; n4 comes and stays. n3 costs no plan, and does not
-    # hold n4's up.
-    at, plans = 2 * second, 0
+    # n3 joins and leaves eight times; n4 joins and stays. n3 causes no plan, and does not
+    # delay the plan for n4.
+    now, plan_count = 2 * second, 0
     for swing in range(16):
-        at += 4 * second
-        auto.observe_members(
+        now += 4 * second
+        planner.observe_members(
             {"n1": 1.0, "n3": 1.0, "n4": 1.0} if swing % 2 else {"n1": 1.0, "n4": 1.0},
-            at,
+            now,
         )
-        if target := auto.members_to_plan_for(owners, at, True, False):
+        if target := planner.members_to_plan_for(owners, now, True, False):
             assert target == {"n1": 1.0, "n4": 1.0}
-            owners, plans = target, plans + 1
-            auto.on_planned(at)
-    assert plans == 1 and owners == {"n1": 1.0, "n4": 1.0}
-    due = auto.next_plan_us(owners)
+            owners, plan_count = target, plan_count + 1
+            planner.on_planned(now)
+    assert plan_count == 1 and owners == {"n1": 1.0, "n4": 1.0}
+    due_at = planner.next_plan_us(owners)
     assert (
-        due is not None and due - at == 320 * second
-    )  # 10 s doubled at each return, to the most
-    assert auto.members_to_plan_for(owners, due, True, False) == {
+        due_at is not None and due_at - now == 320 * second
+    )  # 10 s, doubled at each return up to the limit
+    assert planner.members_to_plan_for(owners, due_at, True, False) == {
         "n1": 1.0,
         "n3": 1.0,
         "n4": 1.0,
     }
-    auto.observe_members({}, due)
+    planner.observe_members({}, due_at)
     assert (
-        auto.members_to_plan_for(owners, due + 10**9, True, False) is None
-    )  # nobody is left to plan for
+        planner.members_to_plan_for(owners, due_at + 10**9, True, False) is None
+    )  # no members to plan for
 
 
-# -- moves
-# -----------------------------------------------------------------------------------------
+# Migrations.
 
-THERE = ("map 2", "a adopts map 2", "a drained", "map 3", "a adopts map 3")
-LOST = (
-    *THERE,
+MOVE_AND_RETURN_STEPS = (
+    "map 2",
+    "a adopts map 2",
+    "a drained",
+    "map 3",
+    "a adopts map 3",
+)
+LOST_ANSWER_STEPS = (
+    *MOVE_AND_RETURN_STEPS,
     "a asks",
     "arrives: a(1) asks, beat 2, map 3, gave 0-7",
     "a asks",
@@ -532,7 +598,7 @@
     "a adopts map 4",
     "a asks",
 )
-ON = ("ab", "bb", "ab", "ab", "bb")
+LOST_ANSWER_MAPS = ("ab", "bb", "ab", "ab", "bb")
 
 
 @pytest.mark.parametrize(
@@ -556,23 +622,34 @@
             "stale",
             10,
             4000,
-            {"maps": MOVE_THERE_AND_BACK, "asked": {"a": 2, "b": 1}, "past": THERE},
+            {
+                "maps": MOVE_THERE_AND_BACK,
+                "asked": {"a": 2, "b": 1},
+                "past": MOVE_AND_RETURN_STEPS,
+            },
         ),
         (
             "unsaid",
             8,
             4000,
-            {"maps": ON, "asked": {"a": 3, "b": 1}, "past": LOST, "losses": 1},
+            {
+                "maps": LOST_ANSWER_MAPS,
+                "asked": {"a": 3, "b": 1},
+                "past": LOST_ANSWER_STEPS,
+                "losses": 1,
+            },
         ),
     ],
 )
-def test_each_planted_bug_is_found_and_the_core_has_none(
+def test_each_planted_fault_is_found_and_the_unmodified_code_has_none(
     bug: str, depth: int, most: int, model: dict[str, Any]
 ) -> None:
-    broken = explore(ShardModel(**model, bug=bug), 30, most)
-    assert "both act on keys" in broken.violation and len(broken.trace) == depth
-    sound = explore(ShardModel(**model), depth, 10_000)
-    assert sound.violation == "" and (sound.complete or sound.depth == depth)
+    with_fault = explore(ShardModel(**model, bug=bug), 30, most)
+    assert "both act on keys" in with_fault.violation and len(with_fault.trace) == depth
+    without_fault = explore(ShardModel(**model), depth, 10_000)
+    assert without_fault.violation == "" and (
+        without_fault.complete or without_fault.depth == depth
+    )
 
 
 @pytest.mark.parametrize(
@@ -585,9 +662,9 @@
         {"asked": 1, "maps": ("ab", "cb")},
     ],
 )
-def test_small_models_are_searched_to_their_end(model: dict[str, Any]) -> None:
-    found = explore(ShardModel(**{"maps": ("ab", "bb"), **model}), 40, 20_000)
-    assert found.complete and found.violation == "" and found.states > 700
+def test_small_models_are_searched_completely(model: dict[str, Any]) -> None:
+    result = explore(ShardModel(**{"maps": ("ab", "bb"), **model}), 40, 20_000)
+    assert result.complete and result.violation == "" and result.states > 700
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -693,175 +770,216 @@
         assert [n for n in names if members[n].may_act(key, now)] == [at.owner(key)]
 
 
-def pair() -> tuple[MigrationCoordinator, RangeOwnership, Token]:
-    moves, owned, token = (
+def coordinator_and_member() -> tuple[MigrationCoordinator, RangeOwnership, Token]:
+    coordinator, ownership, token = (
         MigrationCoordinator(None, 3, bits=BITS),
         RangeOwnership("n1", bits=BITS),
         Token(3, 1),
     )
-    raw = made(5, (0, 127, "n1"), (128, 255, "n2"))
-    assert moves.submit_map(raw, ["n1", "n2"]) == [] and owned.adopt_map(raw) == []
-    moves.lease_renewed(token, "n1", 1000)
-    owned.on_joined(token, 900)
-    word = owned.next_report()
-    answer = moves.heartbeat(
-        token, word.sent, word.generation, word.digest, word.given_up, 0
+    document = map_document(5, (0, 127, "n1"), (128, 255, "n2"))
+    assert (
+        coordinator.submit_map(document, ["n1", "n2"]) == []
+        and ownership.adopt_map(document) == []
+    )
+    coordinator.lease_renewed(token, "n1", 1000)
+    ownership.on_joined(token, 900)
+    report = ownership.next_report()
+    answer = coordinator.heartbeat(
+        token, report.sent, report.generation, report.digest, report.given_up, 0
     )
-    assert answer.changed and owned.apply_answer(
-        token, word.sent, answer.generation, answer.holds, 900
+    assert answer.changed and ownership.apply_answer(
+        token, report.sent, answer.generation, answer.holds, 900
     )
-    return moves, owned, token
+    return coordinator, ownership, token
 
 
-def test_two_maps_of_one_generation_are_told_apart() -> None:
-    moves, owned, token = pair()
-    held = moves.to_snapshot()
-    same, other = (
-        made(5, (128, 255, "n2"), (0, 127, "n1")),
-        made(5, (0, 128, "n1"), (129, 255, "n2")),
+def test_different_maps_of_one_generation_are_detected() -> None:
+    coordinator, ownership, token = coordinator_and_member()
+    snapshot = coordinator.to_snapshot()
+    same_map, other_map = (
+        map_document(5, (128, 255, "n2"), (0, 127, "n1")),
+        map_document(5, (0, 128, "n1"), (129, 255, "n2")),
+    )
+    assert (
+        coordinator.submit_map(same_map) == [] and ownership.adopt_map(same_map) == []
     )
-    assert moves.submit_map(same) == [] and owned.adopt_map(same) == []
     for faults in (
-        moves.submit_map(other),
-        owned.adopt_map(other),
-        owned.adopt_map(made(4, (0, 255, "n1"))),
+        coordinator.submit_map(other_map),
+        ownership.adopt_map(other_map),
+        ownership.adopt_map(map_document(4, (0, 255, "n1"))),
     ):
-        assert [f.kind for f in faults] == ["stale-generation"]
+        assert [fault.kind for fault in faults] == ["stale-generation"]
     assert (
-        moves.to_snapshot() == held
-        and owned.may_act(127, 0)
-        and not owned.may_act(128, 0)
-    )
-    # A member with the other map is given nothing under it; the service puts its own
-    # above both.
-    stranger = RangeOwnership("n2", bits=BITS)
-    stranger.adopt_map(other)
-    stranger.on_joined(Token(3, 2), 900)
-    moves.lease_renewed(Token(3, 2), "n2", 1000)
-    word = stranger.next_report()
-    answer = moves.heartbeat(
-        Token(3, 2), word.sent, word.generation, word.digest, word.given_up, 0
+        coordinator.to_snapshot() == snapshot
+        and ownership.may_act(127, 0)
+        and not ownership.may_act(128, 0)
+    )
+    # A member with a different map of this generation receives no grants; the service
+    # raises its own generation above both.
+    other_member = RangeOwnership("n2", bits=BITS)
+    other_member.adopt_map(other_map)
+    other_member.on_joined(Token(3, 2), 900)
+    coordinator.lease_renewed(Token(3, 2), "n2", 1000)
+    report = other_member.next_report()
+    answer = coordinator.heartbeat(
+        Token(3, 2), report.sent, report.generation, report.digest, report.given_up, 0
     )
     assert (answer.generation, answer.holds, answer.changed) == (6, (), True)
-    # So it does for one that has seen later maps than a restored copy of the folder
-    # knows.
-    assert moves.heartbeat(token, 50, 9, 1, (), 0).generation == 10
+    # It does the same for a member with a later map than a restored copy of the
+    # service's folder.
+    assert coordinator.heartbeat(token, 50, 9, 1, (), 0).generation == 10
     with pytest.raises(ValueError):
-        moves.heartbeat(token, 51, 1 << 60, 1, (), 0)
+        coordinator.heartbeat(token, 51, 1 << 60, 1, (), 0)
 
 
-def test_a_restart_knows_all_holds_and_a_lost_folder_waits() -> None:
-    moves, _owned, token = pair()
-    again = MigrationCoordinator.from_snapshot(
-        json.loads(json.dumps(moves.to_snapshot())), 4, 2000, bits=BITS
+def test_restart_restores_all_holds_and_a_lost_folder_delays_grants() -> None:
+    coordinator, _ownership, token = coordinator_and_member()
+    restored = MigrationCoordinator.from_snapshot(
+        json.loads(json.dumps(coordinator.to_snapshot())), 4, 2000, bits=BITS
+    )
+    assert (
+        restored.to_snapshot() == coordinator.to_snapshot()
+        and restored.free == coordinator.free
     )
-    assert again.to_snapshot() == moves.to_snapshot() and again.free == moves.free
-    assert again.expire(1999) == [] and again.expire(2000) == [token]
-    told = moves.to_snapshot()
-    for broken in (
+    assert restored.expire(1999) == [] and restored.expire(2000) == [token]
+    snapshot = coordinator.to_snapshot()
+    for invalid_snapshot in (
         {},
-        {**told, "number": "x"},
-        {**told, "holders": told["holders"] * 2},
+        {**snapshot, "number": "x"},
+        {**snapshot, "holders": snapshot["holders"] * 2},
     ):
         with pytest.raises(ValueError):
-            MigrationCoordinator.from_snapshot(broken, 4, 0, bits=BITS)
-    lost = MigrationCoordinator(None, 4, grants_from_us=1000, bits=BITS)
-    lost.submit_map(made(6, (0, 255, "n2")))
-    taker = RangeOwnership("n2", bits=BITS)
-    taker.adopt_map(made(6, (0, 255, "n2")))
-    lost.lease_renewed(Token(4, 1), "n2", 5000)
-    word = taker.next_report()
+            MigrationCoordinator.from_snapshot(invalid_snapshot, 4, 0, bits=BITS)
+    empty_coordinator = MigrationCoordinator(None, 4, grants_from_us=1000, bits=BITS)
+    empty_coordinator.submit_map(map_document(6, (0, 255, "n2")))
+    ownership = RangeOwnership("n2", bits=BITS)
+    ownership.adopt_map(map_document(6, (0, 255, "n2")))
+    empty_coordinator.lease_renewed(Token(4, 1), "n2", 5000)
+    report = ownership.next_report()
     for now, count in ((999, 0), (1000, 1)):
-        answer = lost.heartbeat(
-            Token(4, 1), word.sent + now, word.generation, word.digest, (), now
+        answer = empty_coordinator.heartbeat(
+            Token(4, 1), report.sent + now, report.generation, report.digest, (), now
         )
         assert len(answer.holds) == count
     with pytest.raises(StaleHeartbeatError):
-        lost.heartbeat(Token(4, 1), 0, 6, word.digest, (), 1000)
+        empty_coordinator.heartbeat(Token(4, 1), 0, 6, report.digest, (), 1000)
     with pytest.raises(FencedError):
-        lost.heartbeat(
-            Token(3, 1), 9999, 6, word.digest, (), 1000
-        )  # the former service's incarnation
-    # An older incarnation of a name keeps what it holds until its lease is out, and is
-    # given nothing new.
-    lost.lease_renewed(Token(4, 2), "n2", 9000)
-    lost.lease_renewed(Token(4, 1), "n2", 1)  # a lease once told is not shortened
-    assert lost.expire(4999) == []
-    assert lost.heartbeat(Token(4, 2), 1, 6, word.digest, (), 1001).holds == ()
-    assert lost.ranges_in_migration() == [] and lost.expire(5000) == [Token(4, 1)]
-    lost.lease_renewed(Token(4, 3), "n2", 9000)
-    assert lost.heartbeat(Token(4, 2), 2, 6, word.digest, (), 5000).holds == ()
-    assert len(lost.heartbeat(Token(4, 3), 1, 6, word.digest, (), 5000).holds) == 1
+        empty_coordinator.heartbeat(
+            Token(3, 1), 9999, 6, report.digest, (), 1000
+        )  # an incarnation of the previous service epoch
+    # An older incarnation of a name keeps its holds until its lease expires, and receives
+    # no new ones.
+    empty_coordinator.lease_renewed(Token(4, 2), "n2", 9000)
+    empty_coordinator.lease_renewed(
+        Token(4, 1), "n2", 1
+    )  # a granted lease is not shortened
+    assert empty_coordinator.expire(4999) == []
+    assert (
+        empty_coordinator.heartbeat(Token(4, 2), 1, 6, report.digest, (), 1001).holds
+        == ()
+    )
+    assert empty_coordinator.ranges_in_migration() == [] and empty_coordinator.expire(
+        5000
+    ) == [Token(4, 1)]
+    empty_coordinator.lease_renewed(Token(4, 3), "n2", 9000)
+    assert (
+        empty_coordinator.heartbeat(Token(4, 2), 2, 6, report.digest, (), 5000).holds
+        == ()
+    )
+    assert (
+        len(
+            empty_coordinator.heartbeat(
+                Token(4, 3), 1, 6, report.digest, (), 5000
+            ).holds
+        )
+        == 1
+    )
     with pytest.raises(FencedError):
-        lost.heartbeat(
-            Token(4, 3), 2, 6, word.digest, (), 9000
-        )  # out, though nobody has looked yet
+        empty_coordinator.heartbeat(
+            Token(4, 3), 2, 6, report.digest, (), 9000
+        )  # expired, although `expire` has not run yet
 
 
-def test_a_member_acts_within_its_lease_and_passes_what_is_not_its_own() -> None:
-    _, owned, token = pair()
-    up: set[str] = {"n2"}
+def test_member_acts_within_its_lease_and_forwards_keys_of_other_owners() -> None:
+    _, ownership, token = coordinator_and_member()
+    linked_members: set[str] = {"n2"}
 
-    def go(
-        key: int, passed: int | None = None, now: int = 0, until: int = 500
+    def route_message(
+        key: int,
+        forwarded_generation: int | None = None,
+        now: int = 0,
+        deadline: int = 500,
     ) -> ActLocally | ForwardToOwner | Rejected:
-        return route(owned, key, now, until, passed, {"n1", "n2"}, up.__contains__)
+        return route(
+            ownership,
+            key,
+            now,
+            deadline,
+            forwarded_generation,
+            {"n1", "n2"},
+            linked_members.__contains__,
+        )
 
-    mine = owned.may_act(0, 0)
-    assert mine is not None and go(0) == ActLocally(mine) == go(0, passed=2)
-    assert go(200, now=100) == ForwardToOwner("n2", 5, 400)
-    assert go(200, now=500) == Rejected("late", 1)
-    assert go(200, passed=5) == Rejected("loop", 1) and go(200, passed=4) == Rejected(
-        "generation", 1
-    )
-    up.clear()
-    assert go(200) == Rejected("link out", 1)
+    token_of_hold = ownership.may_act(0, 0)
+    assert token_of_hold is not None and route_message(0) == ActLocally(
+        token_of_hold
+    ) == route_message(0, forwarded_generation=2)
+    assert route_message(200, now=100) == ForwardToOwner("n2", 5, 400)
+    assert route_message(200, now=500) == Rejected("late", 1)
+    assert route_message(200, forwarded_generation=5) == Rejected(
+        "loop", 1
+    ) and route_message(200, forwarded_generation=4) == Rejected("generation", 1)
+    linked_members.clear()
+    assert route_message(200) == Rejected("link out", 1)
     assert (
-        go(0, now=900, until=1000) == Rejected("not begun", 1)
-        and owned.held_ranges(900) == []
+        route_message(0, now=900, deadline=1000) == Rejected("not begun", 1)
+        and ownership.held_ranges(900) == []
     )
-    assert owned.adopt_map(made(6, (0, 63, "n1"), (64, 255, "n9"))) == []
-    assert go(100) == Rejected("unknown owner", 1) and owned.frozen_ranges() == [
-        (64, 127)
-    ]
-    assert owned.may_finish(100, 0) == mine and not owned.may_finish(100, 900)
-    owned.mark_drained([(64, 99)])
+    assert ownership.adopt_map(map_document(6, (0, 63, "n1"), (64, 255, "n9"))) == []
+    assert route_message(100) == Rejected(
+        "unknown owner", 1
+    ) and ownership.frozen_ranges() == [(64, 127)]
+    assert ownership.may_finish(100, 0) == token_of_hold and not ownership.may_finish(
+        100, 900
+    )
+    ownership.mark_drained([(64, 99)])
     assert (
-        owned.next_report().given_up == ((64, 99),)
-        and not owned.may_finish(99, 0)
-        and owned.may_finish(100, 0)
-    )
-    assert owned.adopt_map(made(7, (0, 255, "n1"))) == []
-    assert go(100) == ActLocally(mine) and go(99) == Rejected(
-        "not begun", 1
-    )  # thawed; given up for good
-    assert not owned.apply_answer(Token(9, 9), 99, 7, (), 10**6) and owned.may_act(
-        0, 0
-    )  # not this incarnation's
-    assert owned.apply_answer(token, 99, 7, (), 900) and not owned.may_act(
+        ownership.next_report().given_up == ((64, 99),)
+        and not ownership.may_finish(99, 0)
+        and ownership.may_finish(100, 0)
+    )
+    assert ownership.adopt_map(map_document(7, (0, 255, "n1"))) == []
+    assert route_message(100) == ActLocally(token_of_hold) and route_message(
+        99
+    ) == Rejected("not begun", 1)  # 100 is resumed; 99 was given up permanently
+    assert not ownership.apply_answer(
+        Token(9, 9), 99, 7, (), 10**6
+    ) and ownership.may_act(0, 0)  # another incarnation's answer
+    assert ownership.apply_answer(token, 99, 7, (), 900) and not ownership.may_act(
         0, 0
-    )  # what is not listed is not held
+    )  # keys that are not listed are not held
     assert (
-        not owned.apply_answer(token, 98, 7, (), 10**6)
-        and owned.lease_expires_at_us == 900
+        not ownership.apply_answer(token, 98, 7, (), 10**6)
+        and ownership.lease_expires_at_us == 900
     )
-    # Listed under a map that it does not have: neither begun nor given up until it has.
-    newer = (RangeHold(0, 9, Token(3, 5), 8),)
+    # Holds listed under a map that the member lacks are neither started nor given up
+    # until it has the map.
+    holds_of_newer_map = (RangeHold(0, 9, Token(3, 5), 8),)
     assert (
-        owned.apply_answer(token, 100, 8, newer, 900)
-        and not owned.may_act(5, 0)
-        and owned.next_report().given_up == ()
+        ownership.apply_answer(token, 100, 8, holds_of_newer_map, 900)
+        and not ownership.may_act(5, 0)
+        and ownership.next_report().given_up == ()
     )
     assert (
-        owned.service_generation == 8
-        and owned.adopt_map(made(8, (0, 4, "n1"), (5, 255, "n2"))) == []
-    )
-    assert owned.apply_answer(token, 101, 8, newer, 900) and owned.may_act(
-        4, 0
-    ) == Token(3, 5)
-    assert not owned.may_act(5, 0) and owned.next_report().given_up == ((5, 9),)
-    owned.on_lease_lost()
-    assert not owned.ranges and go(0) == Rejected("not begun", 1)
-    assert route(RangeOwnership("n1"), 0, 0, 1, None, (), up.__contains__) == Rejected(
-        "no map", 1
+        ownership.service_generation == 8
+        and ownership.adopt_map(map_document(8, (0, 4, "n1"), (5, 255, "n2"))) == []
     )
+    assert ownership.apply_answer(
+        token, 101, 8, holds_of_newer_map, 900
+    ) and ownership.may_act(4, 0) == Token(3, 5)
+    assert not ownership.may_act(5, 0) and ownership.next_report().given_up == ((5, 9),)
+    ownership.on_lease_lost()
+    assert not ownership.ranges and route_message(0) == Rejected("not begun", 1)
+    assert route(
+        RangeOwnership("n1"), 0, 0, 1, None, (), linked_members.__contains__
+    ) == Rejected("no map", 1)
