--- a/rainfall/registry/__main__.py
+++ b/rainfall/registry/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m rainfall.registry`: the list service, as one primary process.
+"""Runs the list service as a single process: `python -m rainfall.registry`.
 
-docs/parts.md says what it does, docs/operations.md how it is operated.
+docs/parts.md describes the service, docs/operations.md how to operate it.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 PORT_LIMIT = 65_536
 US_PER_MS = 1_000
 EXIT_STOPPED = 0
-EXIT_DISK_HANGS = 1
+EXIT_WRITE_TIMEOUT = 1
 EXIT_FAULTY = 2
 log = logging.getLogger("rainfall.registry")
 
@@ -46,14 +46,14 @@
 
 
 class StateMissingError(RainfallError):
-    """The state folder is empty, and the command does not say that this is right."""
+    """The state folder is empty and `--new` was not given."""
 
 
 def parse_address(text: str) -> Address:
-    """HOST:PORT of an option.
+    """Parse the HOST:PORT of an option.
 
     Raises:
-        argparse.ArgumentTypeError: The text is something else.
+        argparse.ArgumentTypeError: The text is not HOST:PORT, or the port is out of range.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < PORT_LIMIT:
@@ -62,11 +62,12 @@
 
 
 def configure_logging() -> None:
-    """Log JSON lines on standard error.
+    """Log JSON lines to standard error.
 
-    Each has `event`, `level`, `logger`, `role`, `pid`, `t_ns`, and its own fields.
+    Each line has `event`, `level`, `logger`, `role`, `pid`, `t_ns` (monotonic), and the
+    fields of the event.
     """
-    # Imported here, since it takes long and the other functions do not need it.
+    # Imported here because the import is slow and only this function needs it.
     import structlog
 
     def stamp(
@@ -93,7 +94,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The parser of the command line."""
+    """Build the command-line parser."""
     parser = argparse.ArgumentParser(
         prog="python -m rainfall.registry",
         description="The list service: discovery, watches, notices and writes.",
@@ -114,13 +115,13 @@
         help="HOST:PORT for staff and servers",
     )
     parser.add_argument(
-        "--ports", type=Path, help="write the ports taken to this file (for port 0)"
+        "--ports", type=Path, help="write the bound ports to this file (for port 0)"
     )
     _add_fleet_arguments(parser)
     parser.add_argument(
         "--new",
         action="store_true",
-        help="begin a history where the folder holds none: the first start, or a state that is lost for good",
+        help="initialize an empty state folder: first start, or after permanent loss of the state",
     )
     return parser
 
@@ -129,7 +130,7 @@
     parser.add_argument(
         "--fleet",
         type=parse_address,
-        help="HOST:PORT for members and leases; none without it",
+        help="HOST:PORT for members and leases; without it there is no fleet",
     )
     parser.add_argument(
         "--lease-ms", type=int, default=3_000, help="a member's lease (3000)"
@@ -138,40 +139,40 @@
         "--longest-ms",
         type=int,
         default=10_000,
-        help="the longest lease; a start on a lost folder grants nothing for so long (10000)",
+        help="the longest lease; after a loss of the state nothing is granted for this time (10000)",
     )
     parser.add_argument(
         "--drift",
         type=float,
         default=0.02,
-        help="share by which two clocks run apart (0.02)",
+        help="maximum relative drift between two clocks (0.02)",
     )
     parser.add_argument(
         "--mark",
         type=Path,
-        help="file outside of the state folder, such as under /run, that shows an older copy",
+        help="watermark file outside the state folder, such as under /run, to detect an older copy",
     )
     parser.add_argument(
         "--budgets",
         type=Path,
-        help="file of budgets, TOML or JSON, read at the start and at SIGHUP; with --fleet",
+        help="budget file, TOML or JSON, read at start and on SIGHUP; needs --fleet",
     )
     parser.add_argument(
         "--reserves-known",
         action="store_true",
-        help="no process acts on a reserve that is not known here: a first start, no lost state",
+        help="confirm that no process uses a reserve unknown to this service: first start, no lost state",
     )
     parser.add_argument(
         "--plan-shards",
         action="store_true",
-        help="make a new shard map when members come and go; with --fleet",
+        help="plan a new shard map when members join or leave; needs --fleet",
     )
 
 
 async def reload_budgets(
     fleet_services: FleetServices | None, path: Path | None
 ) -> None:
-    """Read the file of budgets again; with any fault those in force stay."""
+    """Reload the budget file; if it has faults, the budgets in force stay."""
     if fleet_services is None or path is None:
         log.info("nothing to read again")
         return
@@ -182,7 +183,7 @@
     except BudgetConfigError as error:
         _log_rejected_budgets([f"{path}: {fault}" for fault in error.faults])
     except (OSError, QueueFullError) as error:
-        _log_rejected_budgets([str(error) or "too much waits to be written"])
+        _log_rejected_budgets([str(error) or "write queue is full"])
 
 
 def _log_rejected_budgets(reasons: list[str]) -> None:
@@ -191,12 +192,12 @@
 
 
 def available_limits() -> Limits:
-    """The usual limits, with as many connections as descriptors allow.
+    """Return the default limits, with connections capped by the descriptor limit.
 
-    The process's limit of descriptors is raised as far as needed and allowed.
+    Raises the process's soft limit of descriptors as far as needed and allowed.
     """
-    usual = Limits()
-    needed = usual.connections + RESERVED_DESCRIPTORS
+    default_limits = Limits()
+    needed = default_limits.connections + RESERVED_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     descriptors = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
     if soft != resource.RLIM_INFINITY and soft < descriptors:
@@ -204,8 +205,8 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, hard))
         except (OSError, ValueError):
             descriptors = soft
-    limits = limit_by_descriptors(usual, descriptors)
-    if limits.connections < usual.connections:
+    limits = limit_by_descriptors(default_limits, descriptors)
+    if limits.connections < default_limits.connections:
         log.warning(
             "fewer connections than usual",
             extra={"connections": limits.connections, "descriptors": descriptors},
@@ -214,19 +215,19 @@
 
 
 async def serve(args: argparse.Namespace) -> int:
-    """Run the service until a signal stops it; the exit code.
+    """Run the service until SIGTERM or SIGINT, and return the exit code.
 
     Raises:
-        BudgetConfigError: The file of budgets is faulty.
-        LeaseRejectedError: An option of leases is out of its range.
+        BudgetConfigError: The budget file has faults.
+        LeaseRejectedError: A lease option is out of range.
         StateMissingError: The state folder is empty, and `--new` was not given.
-        DamagedStateError: The state cannot be read as it was written.
+        DamagedStateError: The stored state is damaged.
         OSError: A file or an address cannot be opened.
     """
     ttl_us = args.lease_ms * US_PER_MS
     lease_terms = LeaseSettings(args.drift, max_ttl_us=args.longest_ms * US_PER_MS)
     if args.fleet:
-        # Rejects faulty options before anything on disk is touched.
+        # Validates the lease options before anything on disk is touched.
         Roster(LeaseTable(lease_terms), ttl_us)
     budgets = read_budget_file(args.budgets) if args.budgets else None
     service = await _open_service(args.state, args.new)
@@ -245,20 +246,20 @@
     await _wait_for_stop(fleet_services, args.budgets)
     if not await service.stop():
         logging.shutdown()
-        # A thread that waits for a disk that does not answer would keep the process
-        # from ending.
-        os._exit(EXIT_DISK_HANGS)
+        # A thread blocked on a disk that does not respond would keep the process from
+        # exiting.
+        os._exit(EXIT_WRITE_TIMEOUT)
     log.info("stopped", extra={"seq": service.registry.seq})
     return EXIT_STOPPED
 
 
 async def _open_service(state_folder: Path, is_new: bool) -> RegistryServer:
-    """The service with its stored state, which begins if there is none."""
+    """Load the stored state, or initialize it if there is none, and create the service."""
     storage = Storage(state_folder)
     if storage.is_empty() and not is_new:
         raise StateMissingError(
-            f"{state_folder} holds no state: if it is lost, put it back; if it never was"
-            " or cannot be had again, start with --new"
+            f"state folder {state_folder} is empty: restore the state from a backup, or start"
+            " with --new if there never was one or it cannot be restored"
         )
     registry, had_state = storage.load()
     service = RegistryServer(storage, registry, limits=available_limits())
@@ -272,7 +273,7 @@
     service: RegistryServer,
     fleet_services: FleetServices | None,
 ) -> None:
-    """Open all addresses, and write their ports where that was asked for."""
+    """Open all addresses, and write their ports to the `--ports` file if given."""
     ports = [await service.listen(args.listen.host, args.listen.port, False)]
     if fleet_services is None:
         ports.append(await service.listen(args.write.host, args.write.port, True))
@@ -300,7 +301,7 @@
 async def _wait_for_stop(
     fleet_services: FleetServices | None, budgets_path: Path | None
 ) -> None:
-    """Wait for SIGTERM or SIGINT; at each SIGHUP read the budgets again."""
+    """Wait for SIGTERM or SIGINT; reload the budgets on each SIGHUP."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for stop_signal in (signal.SIGTERM, signal.SIGINT):
@@ -316,7 +317,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command; the exit code."""
+    """Run the command and return its exit code."""
     parser = build_parser()
     args = parser.parse_args(argv)
     if not args.fleet and (args.budgets or args.plan_shards or args.reserves_known):
--- a/rainfall/registry/budget_api.py
+++ b/rainfall/registry/budget_api.py
@@ -1,4 +1,8 @@
-"""Budgets from a file and over HTTP, and what operators confirm of lost processes."""
+"""Budget configuration from a file and over HTTP, and operators' confirmations.
+
+An operator confirms that a process has ended, or that every process with a reserve is
+registered with the service.
+"""
 
 from __future__ import annotations
 
@@ -29,37 +33,37 @@
 
 
 class ProcessEndedRequest(Struct):
-    """The token of a process that an operator knows to have ended."""
+    """The body of a confirmation that the process with this token has ended."""
 
     token: TokenPair
 
 
 def parse_budget_list(body: Any) -> list[dict[str, Any]]:
-    """The checked list in `{"budgets": [...]}`.
+    """Validate `{"budgets": [...]}` and return its list.
 
     Raises:
-        BudgetConfigError: With every fault.
+        BudgetConfigError: The body is invalid; lists every fault.
     """
     if not isinstance(body, dict):
         raise BudgetConfigError(["an object that holds budgets"])
-    found = [f"{name}: not known" for name in body if name != "budgets"]
+    unknown_fields = [f"{name}: not known" for name in body if name != "budgets"]
     raw: list[dict[str, Any]] = body.get("budgets", [])
     try:
         if "budgets" not in body:
             raise BudgetConfigError(["budgets: is missing"])
         config.parse_budgets(raw)
     except BudgetConfigError as error:
-        raise BudgetConfigError([*found, *error.faults]) from None
-    if found:
-        raise BudgetConfigError(found)
+        raise BudgetConfigError([*unknown_fields, *error.faults]) from None
+    if unknown_fields:
+        raise BudgetConfigError(unknown_fields)
     return raw
 
 
 def read_budget_file(path: Path) -> list[dict[str, Any]]:
-    """The budgets in a file: JSON if its name ends in `.json`, else TOML.
+    """Read and validate a budget file: JSON if its name ends in `.json`, else TOML.
 
     Raises:
-        BudgetConfigError: With every fault.
+        BudgetConfigError: The content is invalid; lists every fault.
         OSError: The file cannot be read.
     """
     data = path.read_bytes()
@@ -81,18 +85,21 @@
     budgets: BudgetExtension,
     raw: list[dict[str, Any]],
     source: str,
-    match: int | None = None,
+    expected_version: int | None = None,
 ) -> None:
-    """Put checked budgets in force; they are durable when this returns.
+    """Store validated budgets and put them in force.
+
+    Budgets equal to those in force are not stored again. From a file they are, if the
+    last file had others.
 
     Raises:
-        RequestError: 412, `match` is not the version in force.
-        QueueFullError: Too much waits to be written.
+        RequestError: 412, `expected_version` is not the version in force.
+        QueueFullError: The write queue is full.
         OSError: The budgets could not be stored.
     """
 
-    def make(now_us: int) -> list[Row]:
-        if match is not None and match != budgets.version:
+    def make_rows(now_us: int) -> list[Row]:
+        if expected_version is not None and expected_version != budgets.version:
             raise RequestError(412, [f"version {budgets.version} is in force"])
         if (
             raw == budgets.raw_budgets
@@ -102,21 +109,23 @@
             return []
         return budgets.config_rows(now_us, raw, source)
 
-    await fleet.apply_rows(budgets.name, make)
+    await fleet.apply_rows(budgets.name, make_rows)
 
 
 def routes(fleet: FleetCoordinator, budgets: BudgetExtension) -> list[web.RouteDef]:
-    """The write address: the reads, and the changes."""
+    """Return the routes of the write address: the reads and the changes."""
 
     async def put(request: web.Request) -> web.StreamResponse:
         body = await read_json(request, fleet.context.limits)
-        match = parse_version(request.headers.get("If-Match", ""), "If-Match")
+        expected_version = parse_version(
+            request.headers.get("If-Match", ""), "If-Match"
+        )
         try:
             raw = parse_budget_list(body)
         except BudgetConfigError as error:
             raise RequestError(422, error.faults) from None
         before = budgets.version
-        await await_stored(apply_budgets(fleet, budgets, raw, "hand", match))
+        await await_stored(apply_budgets(fleet, budgets, raw, "hand", expected_version))
         return json_response(
             200,
             {"version": budgets.version, "changed": budgets.version != before},
@@ -145,21 +154,25 @@
 
 
 def _check_ended_token(budgets: BudgetExtension, token: Token) -> None:
-    """Raise RequestError if the token's process may not be confirmed to have ended."""
-    shown = token.to_wire()
+    """Raise RequestError unless the token's process may be confirmed to have ended.
+
+    409 while a member is in force under the token, 404 if no account has it.
+    """
+    token_pair = token.to_wire()
     if token in budgets.ledger.names:
         raise RequestError(
-            409, [f"token: a member is in force under {shown}: revoke its lease first"]
+            409,
+            [f"token: a member is in force under {token_pair}: revoke its lease first"],
         )
     all_accounts = budgets.ledger.budget_accounts.values()
     if not any(token in accounts.accounts for accounts in all_accounts):
-        raise RequestError(404, [f"token: nothing is held under {shown}"])
+        raise RequestError(404, [f"token: nothing is held under {token_pair}"])
 
 
 async def _store_confirmation(
     fleet: FleetCoordinator, budgets: BudgetExtension, token: Token | None
 ) -> None:
-    """Store what an operator confirms; see `BudgetExtension.confirm_processes`."""
+    """Store an operator's confirmation; see `BudgetExtension.confirm_processes`."""
 
     def confirm(now_us: int) -> list[Row]:
         return budgets.confirm_processes(now_us, token)
@@ -168,14 +181,18 @@
         return budgets.plan(now_us, True, [])
 
     await await_stored(fleet.apply_rows(budgets.name, confirm))
-    # Where the write of a plan had failed, the rows above are those of that plan.
+    # If the write of an earlier plan failed, the call above has stored that plan again
+    # rather than one with the confirmation, so plan once more.
     await await_stored(fleet.apply_rows(budgets.name, plan_frozen))
 
 
 def read_routes(
     fleet: FleetCoordinator, budgets: BudgetExtension
 ) -> list[web.RouteDef]:
-    """The budgets in force, and who has what of them, at both addresses."""
+    """Return the read route of the budgets in force and the members' shares.
+
+    The fleet's address and the write address both have it.
+    """
 
     async def show(_: web.Request) -> web.StreamResponse:
         now_us = fleet.context.now_us()
--- a/rainfall/registry/budget_extension.py
+++ b/rainfall/registry/budget_extension.py
@@ -1,8 +1,8 @@
 """Budgets in heartbeats: members report demand and held shares, and receive shares.
 
-`budget.ledger` decides how a budget's total is divided and keeps the shares within it.
-This extension stores the ledger's changes before they are sent, keeps the configuration
-with them, and calls the ledger again when something is due.
+`budget.ledger` divides a budget's total among members and keeps the sum of their shares
+within it. This extension stores the ledger's changes and the configuration in
+`fleet.log`, sends a change only once it is stored, and schedules the ledger's plans.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 )
 
 CHECKS_PER_WINDOW = 8
-"""How often in a budget's window the ledger looks for calls that have become free."""
+"""Checks for calls that have become free, in each window of a budget."""
 MIN_CHECK_INTERVAL_US = 50_000
 MAX_CHECK_INTERVAL_US = 1_000_000
 RESTART_VERSION_SHIFT = 20
-"""The budgets' version is at least the epoch times 2 to this power.
+"""The version of the budgets is at least the epoch shifted left by this many bits.
 
-So it never repeats one from a state folder that was lost.
+A version from a lost state folder is therefore never used again.
 """
 UNLIMITED_WINDOW_US = 1 << 62
 US_PER_MS = 1_000
@@ -39,19 +39,19 @@
 
 
 class _ReportedState(NamedTuple):
-    """What a member's last heartbeat said of budgets."""
+    """The budget fields of a member's last heartbeat."""
 
     demand: dict[str, dict[str, int]]
     """Calls needed, by destination and part."""
     held_shares: dict[str, tuple[int, int]]
-    """Calls and number of the share that the member uses, by destination."""
+    """Calls and number of the share in use by the member, by destination."""
 
 
 class BudgetExtension(BaseHeartbeatExtension):
     """The budgets of the fleet.
 
-    `lease_us` is the longest lease there may be. Budgets are put in force by the rows
-    of `config_rows`, and stay in force over restarts, with all that was granted.
+    `lease_us` is the longest possible lease. Committing the rows of `config_rows` puts
+    budgets in force. Budgets and granted shares survive restarts.
     """
 
     name = "budgets"
@@ -60,26 +60,27 @@
         self.lease_us = lease_us
         self.drift = drift
         self.raw_budgets: list[dict[str, Any]] = []
-        """The budgets in force, as they were written."""
+        """The budgets in force, as configured."""
         self.version = 0
         self.source = ""
-        """Where they came from: `file` or `hand`."""
+        """The origin of the budgets in force: `file` or `hand`."""
         self.last_file_budgets: list[dict[str, Any]] | None = None
-        """The budgets last taken from the file.
+        """The budgets last applied from the file.
 
-        At a start the file is only taken if it differs from them.
+        At a start the file is applied only if it differs from them.
         """
         self.ledger = Ledger((), lease_us, drift, 0)
         self._epoch = 0
         self._now_us = 0
         self._next_check_us: int | None = None
         self._last_reports: dict[Token, _ReportedState] = {}
-        """What each member reported last, and the ledger knows.
+        """The last report of each member that the ledger has received.
 
-        Removed where the same report may mean something else now.
+        Removed when the ledger has to receive an unchanged report again, as after a
+        rejoin or a new configuration.
         """
         self._config_pending = False
-        """Whether budgets were put in force, and no plan for them is stored yet."""
+        """Whether the budgets in force have no stored plan yet."""
 
     def epoch_raised(self, epoch: int) -> None:
         """See `BaseHeartbeatExtension`."""
@@ -107,8 +108,8 @@
             [row for row in rows if "budgets" in row],
             state_complete,
         )
-        # A budget whose window grew, or that was not configured for a time, grants
-        # calls only a whole window after this.
+        # A budget whose window grew, or that was temporarily not configured, grants
+        # calls only after a full window from here.
         self.ledger.configure(histories[-1] if histories else (), now_us)
 
     def service_started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
@@ -117,7 +118,7 @@
             self.ledger.member_joined(member.token, member.name, None, now_us)
 
     def find_faults(self, body: Mapping[str, Any]) -> list[str]:
-        """The faults of `needs` and `holds`."""
+        """Return the faults of the heartbeat fields `needs` and `holds`."""
         faults: list[str] = []
         try:
             config.parse_demand(body.get("needs", {}))
@@ -156,7 +157,7 @@
         token: Token,
         body: Mapping[str, Any],
     ) -> HeartbeatResult:
-        """Give the ledger a changed report, and answer with the member's shares."""
+        """Pass a changed report to the ledger, and answer with the member's shares."""
         report = _ReportedState(
             config.parse_demand(body.get("needs", {})),
             config.parse_held_shares(body.get("holds", {})),
@@ -172,7 +173,7 @@
         return HeartbeatResult(changed, waits, lambda: {"shares": self.shares(token)})
 
     def _needs_more(self, token: Token, demand: Mapping[str, dict[str, int]]) -> bool:
-        """Whether a member needs more of any budget than its share."""
+        """Return whether a member's demand exceeds its share of any budget."""
         shares = self.ledger.shares_for(token)
         for destination, parts in demand.items():
             if destination in shares:
@@ -183,7 +184,7 @@
         return False
 
     def shares(self, token: Token) -> dict[str, Any]:
-        """The shares of a member as they are sent, by destination."""
+        """Return a member's shares in wire format, by destination."""
         return {
             destination: {
                 "calls": share.calls,
@@ -207,7 +208,7 @@
         self.ledger.process_ended(token, now_us)
 
     def plan(self, now_us: int, frozen: bool, _members: list[Member]) -> list[Row]:
-        """The next change of the ledger, if there is one; see `HeartbeatExtension`."""
+        """Return the ledger's next change, if any; see `HeartbeatExtension`."""
         self._now_us = now_us
         change = self.ledger.plan(now_us, frozen)
         if change is None:
@@ -218,7 +219,7 @@
         return [change.to_record()]
 
     def _next_check(self, now_us: int) -> int | None:
-        """When time alone may change something; None if only a heartbeat can."""
+        """Return when to plan again without a heartbeat; None if only a heartbeat is needed."""
         due_us = list(self.ledger.presumed_until_us.values())
         for destination, accounts in self.ledger.budget_accounts.items():
             allocation = self.ledger.allocations[destination]
@@ -236,10 +237,10 @@
     def config_rows(
         self, _now_us: int, raw: list[dict[str, Any]], source: str
     ) -> list[Row]:
-        """The rows that put checked budgets in force.
+        """Return the rows that put validated budgets in force.
 
-        A plan whose write failed is written again before them, since it was made for
-        the former budgets.
+        A plan whose write failed comes first, because it was made for the previous
+        budgets.
         """
         rows: list[Row] = []
         if self.ledger.pending is not None:
@@ -249,10 +250,10 @@
         return rows
 
     def confirm_processes(self, now_us: int, token: Token | None) -> list[Row]:
-        """Rows of what an operator confirms of processes.
+        """Apply an operator's confirmation, and return the rows to store.
 
         With a token: its process has ended. With None, after a state folder was lost:
-        every process that has a reserve is known.
+        every process that has a reserve is registered with the ledger.
         """
         if token is None:
             self.ledger.confirm_reserves()
@@ -271,7 +272,9 @@
     def _commit_change(self, row: Row) -> None:
         change = self.ledger.pending
         if change is None or change.number != row["budgets"]:
-            raise ValueError("a change that was not planned")
+            raise ValueError(
+                f"budget change {row['budgets']} is not the pending change"
+            )
         self._log_grants(row)
         self.ledger.commit(change)
         self._config_pending = False
@@ -280,7 +283,7 @@
         budgets = config.parse_budgets(row["config"])
         self._apply_config(row)
         self.ledger.configure(budgets, now_us)
-        # A new budget knows nothing of what members reported before.
+        # The ledger has to receive the reports again for a new budget.
         self._last_reports.clear()
         self._config_pending = True
         self._next_check_us = now_us
@@ -299,7 +302,7 @@
     def abandon(self, row: Row) -> None:
         """Do nothing: the ledger plans the same change again.
 
-        A write that failed may have reached the disk all the same.
+        A write that was reported as failed may still have reached the disk.
         """
 
     def concerned_members(self, row: Row) -> Collection[str] | None:
@@ -320,7 +323,7 @@
             self.last_file_budgets = row.get("file", self.last_file_budgets)
 
     def _log_grants(self, row: Row) -> None:
-        """Log a line for each budget: who is granted what, and why."""
+        """Log the grants and the ended shares of each budget, with the reason."""
         grants: dict[str, list[Any]] = {}
         ends: dict[str, list[Any]] = {}
         for destination, name, _, number, calls, reserve in row["grants"]:
@@ -356,7 +359,7 @@
         }
 
     def state(self, now_us: int) -> dict[str, Any]:
-        """`Ledger.status` by destination, with when each freed call may be used again."""
+        """Return `Ledger.status` by destination, with the end times of cooling calls."""
         status_by_destination = self.ledger.status(now_us)
         for destination, status in status_by_destination.items():
             accounts = self.ledger.budget_accounts[destination]
@@ -368,7 +371,7 @@
         return status_by_destination
 
     def metrics(self, now_us: int) -> dict[str, dict[str, int]]:
-        """The gauges of each budget, by destination."""
+        """Return the gauges of each budget, by destination."""
         return {
             destination: _budget_gauges(status)
             for destination, status in self.ledger.status(now_us).items()
@@ -376,7 +379,7 @@
 
 
 def _budget_gauges(status: Mapping[str, Any]) -> dict[str, int]:
-    """A budget's gauges, by the name that is sent."""
+    """Return a budget's gauges, by exported name."""
     members = status["members"]
     active = [member for member in members if member["state"] == "in"]
     return {
@@ -398,10 +401,10 @@
 def _unchanged_budgets(
     histories: list[tuple[Budget, ...]], drift: float, opening: Collection[str]
 ) -> list[Budget]:
-    """The budgets in force whose window never grew and that were always configured.
+    """Return the budgets in force that were always configured and whose window never grew.
 
-    What was free of them before a start is free after it. Of all others a call may still
-    be in a window that nobody waited for.
+    Their free calls stay free over a restart. Calls of any other budget may still count
+    in a window that has not passed yet.
     """
     if not histories:
         return []
@@ -423,7 +426,7 @@
 def _is_unsettled(
     accounts: BudgetAccounts, allocation: Allocation, now_us: int
 ) -> bool:
-    """Whether time alone may change a member's share.
+    """Return whether a member's share may change without a heartbeat.
 
     Called after each plan for all budgets and members, so it only reads the accounts.
     """
--- a/rainfall/registry/discovery_api.py
+++ b/rainfall/registry/discovery_api.py
@@ -17,11 +17,11 @@
 from rainfall.registry.service_context import ServiceContext
 
 MAX_HOLD_MS = 60_000
-"""How long a watch is held, whatever was asked for."""
+"""The longest time that a watch is held; a longer `hold_ms` is cut to this."""
 
 
 def routes(context: ServiceContext) -> list[web.RouteDef]:
-    """All routes of the discovery address."""
+    """Return all routes of the discovery address."""
 
     async def hosts(request: web.Request) -> web.StreamResponse:
         query = request_schemas.parse_query(request.query, request_schemas.ListQuery)
@@ -41,7 +41,7 @@
         )
         context.notice_commit.add(received)
         context.metrics.notices += len(received)
-        # PROTOCOL demands an answer at once: the caller does not wait for the disk.
+        # PROTOCOL requires an immediate answer, so the write is not awaited.
         return json_response(204)
 
     return [
--- a/rainfall/registry/endpoint_registry.py
+++ b/rainfall/registry/endpoint_registry.py
@@ -4,9 +4,9 @@
 born_ms, health`; an answer is `{"seq", "whole", "hosts"}` with `epoch` beside it. Times
 are milliseconds.
 
-Within an epoch the list's history is known to be continuous; the fence is the highest
-epoch of fencing tokens. They are two numbers because any reader can make the epoch rise,
-at a limited rate, and none can raise the fence.
+Within an epoch the versions of the list are continuous. The fence is the highest epoch
+of fencing tokens. The two numbers are separate because any reader can raise the epoch,
+at a limited rate, while no reader can raise the fence.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 )
 
 MAX_TOMBSTONES = 10_000
-"""Removed entries kept, so that watchers learn of the removal."""
+"""Removed entries kept, so that watchers receive the removal."""
 MAX_CHANGE_IDS = 10_000
-"""Ids of changes kept, so that a repeated change is recognised."""
+"""Ids of changes kept to recognise a repeated change."""
 VERSIONS_PER_MS = 1_000
-"""A new epoch's first version is at least the time in ms times this."""
+"""A new epoch's first version is at least Unix time in ms times this."""
 CLAIM_LIMIT = 1 << 52
-"""Claims from here on are ignored: one of them could use up all versions there are."""
+"""Claims from this value on are ignored: one could exhaust the range of versions."""
 
 
 class VersionClaim(NamedTuple):
-    """A version and an epoch that a reader has seen; 0 where it is not ahead."""
+    """A version and an epoch claimed by a reader; 0 where it is not ahead of the service."""
 
     version: int
     epoch: int
@@ -47,7 +47,7 @@
 
 
 class StoredChangeId(NamedTuple):
-    """What is known of a change with an id: its body's digest, and its version."""
+    """The body digest and the version of a stored change that has an id."""
 
     digest: str
     seq: int
@@ -58,7 +58,7 @@
     """One endpoint, or the tombstone of one."""
 
     fields: dict[str, Any]
-    """As PROTOCOL lists them, health included."""
+    """The fields in PROTOCOL, `health` included."""
     seq: int
     """The version that last changed it."""
 
@@ -70,23 +70,23 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One change as it is stored."""
+    """One change of the list, the epoch or the fence, as stored in `changes.log`."""
 
     seq: int
     epoch: int
     id: str = ""
-    """The id that the change came with, by which a repeat is recognised."""
+    """The client's id of the change, used to recognise a repeat."""
     digest: str = ""
-    """That of the change's body."""
+    """The digest of the change's body."""
     hosts: tuple[dict[str, Any], ...] = ()
-    """The fields of the entries that it sets."""
+    """The fields of each entry that the change sets."""
     base: int = 0
-    """If the change begins an epoch, the epoch's first version."""
+    """The first version of the epoch that the change begins; 0 if it begins none."""
     fence: int = 0
-    """If the change raises the fence, the fence from now on."""
+    """The new fence if the change raises it; else 0."""
 
     def to_row(self) -> dict[str, Any]:
-        """The change as a row of `changes.log`."""
+        """Return the change as a row of `changes.log`."""
         return {
             "seq": self.seq,
             "epoch": self.epoch,
@@ -99,7 +99,7 @@
 
     @staticmethod
     def from_row(raw: dict[str, Any]) -> Change:
-        """The change of a row."""
+        """Return the change of a row of `changes.log`."""
         return Change(
             int(raw["seq"]),
             int(raw["epoch"]),
@@ -113,37 +113,37 @@
 
 @dataclass
 class PendingChanges:
-    """Changes that are checked and not stored yet."""
+    """Changes that are validated but not stored yet."""
 
     seq: int
-    """The version that they reach."""
+    """The version after the pending changes."""
     overlay: dict[str, EndpointEntry] = field(default_factory=dict)
-    """Their entries, by host."""
+    """The entries that the pending changes set, by host."""
     ids: dict[str, StoredChangeId] = field(default_factory=dict)
 
 
 @dataclass
 class EndpointRegistry:
-    """The endpoint list in force, as far as it is stored."""
+    """The stored endpoint list."""
 
     epoch: int = 0
     seq: int = 0
     """The newest version."""
     floor: int = 0
-    """The oldest version from which a reader can be given the changes alone."""
+    """The oldest version from which a reader can receive only the changes."""
     fence: int = 0
     entries: dict[str, EndpointEntry] = field(default_factory=dict)
     ids: OrderedDict[str, StoredChangeId] = field(default_factory=OrderedDict)
 
     def listed_count(self) -> int:
-        """Endpoints in the list, without tombstones."""
+        """Return the number of listed endpoints, without tombstones."""
         return sum(not entry.removed for entry in self.entries.values())
 
     def answer_for(self, since: int | None, epoch: int | None) -> dict[str, Any]:
-        """The answer to a reader that has version `since`; None: it has nothing.
+        """Return the answer to a reader at version `since`; None if it has no list.
 
         The list is complete when `since` is below the floor, ahead of `seq`, or of
-        another epoch; otherwise it has the entries that changed after it.
+        another epoch; otherwise the answer has only the entries that changed after `since`.
         """
         is_other_epoch = epoch is not None and epoch != self.epoch
         entries = self.entries.values()
@@ -161,18 +161,17 @@
         }
 
     def is_up_to_date(self, since: int | None, epoch: int | None) -> bool:
-        """Whether a watch from `since` has to wait.
+        """Return whether a watch from `since` has to wait for a change.
 
-        The same version of another epoch is another list: that reader is answered at
-        once.
+        The same version of another epoch is a different list: that reader is answered
+        immediately.
         """
         return since == self.seq and epoch in (None, self.epoch)
 
     def claim_ahead(self, since: int | None, epoch: int | None) -> VersionClaim | None:
-        """What a reader has seen that this service cannot have sent; None if nothing.
+        """Return the version and epoch of a reader that is ahead; None if it is not.
 
-        It shows that the state is an older copy, or was lost: the reader's history is
-        another one.
+        This service cannot have sent them, so its state is an older copy, or was lost.
         """
         version = since or 0
         if epoch is not None and epoch > self.epoch:
@@ -192,16 +191,16 @@
     def new_epoch(
         self, now_ms: int, past_version: int = 0, past_epoch: int = 0
     ) -> Change:
-        """The change that begins an epoch past a version and an epoch.
+        """Return the change that begins an epoch past a version and an epoch.
 
-        All entries count as changed at its first version. The clock makes that version
-        high; where the clock was set back, the two given numbers decide.
+        All entries count as changed at its first version. That version follows the wall
+        clock; if the clock was set back, the two given numbers are the lower bound.
         """
         base = max(self.seq + 1, past_version + 1, now_ms * VERSIONS_PER_MS)
         return Change(base, max(self.epoch + 1, past_epoch + 1, now_ms), base=base)
 
     def initial_epoch(self, now_ms: int) -> Change:
-        """The change that begins a history where there was none, or it is lost."""
+        """Return the change that initializes an empty registry, also after a loss."""
         first = self.new_epoch(now_ms)
         return Change(
             first.seq,
@@ -211,13 +210,18 @@
         )
 
     def raise_fence(self, above: int) -> Change | int:
-        """The change that raises the fence past `above`; the version in force if it is.
+        """Return the change that raises the fence past `above`.
+
+        Returns the version in force if the fence is past `above` already.
 
         Raises:
-            RequestError: 422, `above` is further ahead than any fence can be.
+            RequestError: 422, `above` exceeds the fence by more than `MAX_EPOCH_JUMP`.
         """
         if above > self.fence + MAX_EPOCH_JUMP:
-            raise RequestError(422, [f"{above} is further ahead than any fence can be"])
+            raise RequestError(
+                422,
+                [f"{above} is further ahead than any fence can be"],
+            )
         if self.fence > above:
             return self.seq
         return Change(self.seq, self.epoch, fence=above + 1)
@@ -225,10 +229,10 @@
     def prepare(
         self, body: Any, digest: str, pending: PendingChanges | None = None
     ) -> Change | int:
-        """Check a change against the list in force and the pending changes.
+        """Validate a change against the list in force and the pending changes.
 
-        Returns the change, which is then pending too; or the version in force, if it
-        alters nothing or repeats a change whose id is kept.
+        Returns the change, and adds it to `pending`. A change that alters nothing, or
+        that repeats one whose id is kept, returns the version it results in.
 
         Raises:
             RequestError: The change is rejected.
@@ -256,11 +260,11 @@
         return change
 
     def is_newer(self, change: Change) -> bool:
-        """Whether a change read from the log is not in the snapshot yet."""
+        """Return whether a change from the log is missing from the snapshot."""
         return change.seq > self.seq or change.fence > self.fence
 
     def commit(self, change: Change) -> None:
-        """Put a stored change in force; changes come in the order of their versions."""
+        """Apply a stored change. Changes must be committed in the order of their versions."""
         self.fence = max(self.fence, change.fence)
         if change.base:
             self.epoch, self.floor = change.epoch, change.base
@@ -287,7 +291,7 @@
             self.floor = max(self.floor, seq)
 
     def snapshot(self) -> dict[str, Any]:
-        """All of it as a plain object for JSON."""
+        """Return the whole registry as a JSON-compatible object."""
         return {
             "epoch": self.epoch,
             "seq": self.seq,
@@ -302,9 +306,9 @@
 
     @staticmethod
     def from_snapshot(raw: dict[str, Any]) -> EndpointRegistry:
-        """The registry of a snapshot.
+        """Return the registry of a snapshot.
 
-        Raises KeyError, TypeError or ValueError if it is none.
+        Raises KeyError, TypeError or ValueError if `raw` is not a valid snapshot.
         """
         registry = EndpointRegistry(
             int(raw["epoch"]),
@@ -326,7 +330,7 @@
 def _altered_hosts(
     operations: list[Operation], visible: Mapping[str, EndpointEntry]
 ) -> tuple[dict[str, Any], ...]:
-    """The fields of the entries that operations alter, in the order of the operations."""
+    """Return the fields of the entries that operations alter, in operation order."""
     updated: dict[str, dict[str, Any]] = {}
     for number, operation in enumerate(operations):
         host = operation.host
@@ -334,7 +338,7 @@
             current: dict[str, Any] | None = updated[host]
         else:
             current = _listed_fields(visible.get(host))
-        # An entry removed by an earlier operation is gone for the later ones.
+        # Later operations of the same change treat a removed entry as absent.
         if current is not None and current["health"] == "removed":
             current = None
         updated[host] = _apply(operation, current, f"ops[{number}]")
@@ -348,10 +352,10 @@
 def _apply(
     operation: Operation, current: dict[str, Any] | None, where: str
 ) -> dict[str, Any]:
-    """The fields of an endpoint after an operation.
+    """Return the fields of an endpoint after an operation.
 
     Raises:
-        RequestError: 404, the operation needs a listed endpoint.
+        RequestError: 404, the operation requires a listed endpoint.
     """
     if isinstance(operation, Register):
         return {
--- a/rainfall/registry/epoch_claims.py
+++ b/rainfall/registry/epoch_claims.py
@@ -1,8 +1,9 @@
-"""Readers that show a version or an epoch past the service's own.
+"""Begins new epochs for readers that are ahead of the service.
 
-Such a reader has seen a history that this service does not have: its state is an older
-copy, or was lost. A new epoch past both histories makes that reader take the complete
-list. Anyone may claim anything, so that claims begin epochs only at a limited rate.
+A reader that reports a version or an epoch past the service's own shows that the
+service's state is an older copy, or was lost. A new epoch past both histories makes that
+reader accept the complete list. Claims are not authenticated, so they begin epochs only
+at a limited rate.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 
 
 class EpochClaims:
-    """Begins epochs past readers' claims. Used from the event loop alone.
+    """Begins epochs past readers' claims, at a limited rate. Not thread-safe.
 
-    `begin_epoch` is given a version and an epoch to go past, and returns once the new
+    `begin_epoch` takes the version and the epoch to exceed, and returns once the new
     epoch is stored.
     """
 
@@ -41,36 +42,36 @@
             limits.epoch_burst, int(limits.epoch_interval_s * 1_000_000)
         )
         self._highest_claim = NO_CLAIM
-        """The highest version and epoch claimed that no epoch has gone past yet."""
+        """The highest claimed version and epoch that no new epoch exceeds yet."""
         self._lock = asyncio.Lock()
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def observe(self, since: int | None, epoch: int | None) -> None:
-        """Begin an epoch if a reader has seen what this service has not.
+        """Begin an epoch if a reader is ahead of this service.
 
-        It is stored before the reader is answered. Past the rate limit it is delayed;
-        the reader receives the complete list meanwhile.
+        The epoch is stored before the reader is answered. Above the rate limit it is
+        delayed, and the reader receives the complete list meanwhile.
         """
         if self.registry.claim_ahead(since, epoch) is None:
             return
         async with self._lock:
             claim = self.registry.claim_ahead(since, epoch)
             if claim is None:
-                return  # An epoch that began meanwhile is past this claim too.
+                return  # An epoch that began meanwhile exceeds this claim.
             self._highest_claim = VersionClaim(
                 max(self._highest_claim.version, claim.version),
                 max(self._highest_claim.epoch, claim.epoch),
             )
-            await self._go_past_claims()
+            await self._begin_claimed_epoch()
 
     def stop(self) -> None:
-        """Begin no delayed epoch any more."""
+        """Cancel delayed epochs."""
         self.stopped = True
         if self._timer is not None:
             self._timer.cancel()
 
-    async def _go_past_claims(self) -> None:
+    async def _begin_claimed_epoch(self) -> None:
         now_us = self.now_us()
         if not self._bucket.try_acquire(now_us):
             self.metrics.epochs_delayed += 1
@@ -86,20 +87,20 @@
                 asyncio.ensure_future(self.begin_epoch(claim.version, claim.epoch))
             )
         except (OSError, QueueFullError):
-            # The writer counts it; the next reader that is ahead tries again.
+            # The writer counts the failure; the next reader that is ahead triggers a retry.
             self._highest_claim = claim
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._task = asyncio.get_running_loop().create_task(self._go_past_delayed())
+        self._task = asyncio.get_running_loop().create_task(self._begin_delayed_epoch())
 
-    async def _go_past_delayed(self) -> None:
+    async def _begin_delayed_epoch(self) -> None:
         async with self._lock:
             claim = self._highest_claim
             is_ahead = (
                 claim.version > self.registry.seq or claim.epoch > self.registry.epoch
             )
             if claim > NO_CLAIM and is_ahead:
-                await self._go_past_claims()
+                await self._begin_claimed_epoch()
             else:
                 self._highest_claim = NO_CLAIM
--- a/rainfall/registry/fleet_api.py
+++ b/rainfall/registry/fleet_api.py
@@ -1,4 +1,4 @@
-"""The fleet's address over HTTP: heartbeats, the watch, and who is a member."""
+"""HTTP routes of the fleet's address: heartbeats, the fleet watch, and the member list."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from rainfall.registry.request_schemas import Version
 
 RESERVE_LIMIT = 10_000
-"""Reserves of one heartbeat: one for each budget there may be."""
+"""Reserves in one heartbeat: at most one for each budget."""
 
 MemberName = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 CallCount = Annotated[int, Meta(ge=0, lt=1 << 40)]
@@ -52,12 +52,12 @@
 ):
     """The body of a heartbeat, without the fields that the extensions read.
 
-    `token` null joins. `run_id` names this run of the process, so that a join whose
-    answer was lost may be sent again. In a join, `previous_token` is the token that the
-    process had before a restart, and `kept_reserves` are the reserves it uses from
-    then, by destination. `known_list` is the [epoch, version] of the member list that
-    the sender has: it is then sent only what changed since. `leaving` gives up the
-    membership.
+    A null `token` joins. `run_id` identifies this run of the process, so that a join
+    whose answer was lost can be retried. In a join, `previous_token` is the token of the
+    process before a restart, and `kept_reserves` are the reserves from before the restart
+    that are still in use, in calls by destination. `known_list` is the [epoch, version]
+    of the sender's member list; the answer then has only later changes. `leaving` ends
+    the membership.
     """
 
     name: MemberName
@@ -76,8 +76,8 @@
 class WatchQuery(Struct, rename={"since": "from"}):
     """The query of a watch.
 
-    With the `name` of a member, only changes that concern it end the wait; without one,
-    every change does.
+    With the `name` of a member, only changes that concern that member end the wait;
+    without a name, every change does.
     """
 
     since: Version
@@ -86,7 +86,7 @@
 
 
 def routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """All routes of the fleet's address, except those that extensions add."""
+    """Return all routes of the fleet's address, except those of extensions."""
     heartbeats = _HeartbeatHandler(fleet)
 
     async def watch(request: web.Request) -> web.StreamResponse:
@@ -101,7 +101,7 @@
 
 
 def read_routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """Members and leases: at the fleet's address and at the write address."""
+    """Return the read routes of members and leases, served at both addresses."""
 
     async def members(_: web.Request) -> web.StreamResponse:
         return json_response(
@@ -112,7 +112,7 @@
 
 
 def operator_routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """The fleet's part of the write address: the reads, and revoking a lease."""
+    """Return the fleet's routes of the write address: the reads, and revoking a lease."""
     return [*read_routes(fleet), *lease_api.operator_routes(fleet)]
 
 
@@ -124,10 +124,11 @@
         self.member_encoder = MemberEncoder()
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """One heartbeat.
+        """Handle one heartbeat.
 
         Raises:
-            RequestError: 400 with every fault, 409 for a lease that is lost, or 507.
+            RequestError: 400 with every fault, 409 if the lease is lost, or 507 if a
+                record could not be stored.
         """
         raw = await read_json(request, self.fleet.context.limits)
         call = self._decode(raw)
@@ -148,7 +149,7 @@
         )
 
     def _decode(self, raw: Any) -> HeartbeatRequest:
-        """The body, checked by this module and by every extension."""
+        """Validate the body, also with every extension, and decode it."""
         faults = schema_faults.find_faults(raw, HeartbeatRequest, "")
         if isinstance(raw, dict):
             for extension in self.fleet.extensions.values():
@@ -196,7 +197,7 @@
     def _member_fields(
         self, call: HeartbeatRequest, grant: LeaseGrant
     ) -> dict[str, Any]:
-        """The answer of a renewal or a join, without the extensions' fields."""
+        """Return the answer's fields for a renewal or a join, without those of extensions."""
         roster = self.fleet.roster
         epoch, since = call.known_list or (None, None)
         complete, members = roster.members_changed_since(since, epoch)
@@ -216,9 +217,9 @@
 def _add_join_claims(
     decision: LeaseGrant | LeaseUnavailable, call: HeartbeatRequest
 ) -> None:
-    """Store what a join says of the process before it with the lease's record.
+    """Add a join's previous token and kept reserves to the record of the lease.
 
-    The extensions need it again after a restart of the service.
+    The extensions receive them again after a restart of the service.
     """
     if call.previous_token is None or not isinstance(decision, LeaseGrant):
         return
@@ -227,7 +228,7 @@
 
 
 async def _watch(fleet: FleetCoordinator, request: web.Request) -> web.StreamResponse:
-    """The fleet's version, once it is past the one that the watcher has."""
+    """Answer with the fleet's version, once it is newer than the watcher's."""
     query = request_schemas.parse_query(request.query, WatchQuery)
     hold_ms = min(query.hold_ms, MAX_HOLD_MS)
     watchers = fleet.watchers
--- a/rainfall/registry/fleet_coordinator.py
+++ b/rainfall/registry/fleet_coordinator.py
@@ -1,8 +1,8 @@
-"""The fleet at the list service: the lease table and the member list on disk and clock.
+"""Connects the lease table, the member list and the extensions to disk and clock.
 
-`lease.LeaseTable` and `member.Roster` decide. This module stores each record they make
-in `fleet.log`, commits it, and only then lets its answer be sent. It lets them and the
-heartbeat extensions act when something is due, and wakes watchers.
+`lease.LeaseTable` and `member.Roster` make the decisions. This module stores each of
+their records in `fleet.log` and commits it before the answer is sent. It also runs their
+timers and those of the heartbeat extensions, and wakes watchers.
 """
 
 from __future__ import annotations
@@ -38,18 +38,19 @@
 from rainfall.registry.storage import DamagedStateError, log_write_failure
 
 PLAN_WAIT_TIMEOUT_S = 1.0
-"""How long a heartbeat waits for the plan that its answer depends on."""
+"""The longest wait of a heartbeat for a plan that its answer depends on."""
 EPOCH_SHIFT = 20
-"""The fleet's version starts at the epoch times 2 to this power."""
+"""The fleet's version starts at the epoch shifted left by this many bits."""
 MS_PER_S = 1_000
 log = logging.getLogger("rainfall.registry")
 
 
 class FleetCoordinator:
-    """The fleet. Call `start` once, before the fleet's address is opened.
+    """The leases, members and extensions of the fleet.
 
-    `watermark_path` is a file outside the state folder, such as under /run, with the
-    number of the last lease record; a log that ends below it is taken for an older copy.
+    Call `start` once, before the fleet's address is opened. `watermark_path` is a file
+    outside the state folder, such as under /run, with the number of the last lease
+    record; a log that ends below that number is treated as an older copy.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
         self.group_commit: GroupCommit[TaggedRows] = GroupCommit(
             self._write_batch, context.limits.queued
         )
-        # Not bounded: there is at most one record for each lease, and one plan.
+        # Not bounded: at most one record for each lease and one plan are queued.
         self.plan_scheduler = PlanScheduler(
             context.now_us,
             self._expired_lease_rows,
@@ -81,21 +82,21 @@
             self._next_us,
         )
         self._announced_version = (0, 0)
-        """The member list's epoch and version that watchers were woken for."""
+        """The epoch and version of the member list that watchers were last woken for."""
         self._announced_epoch = 0
-        """The epoch that the extensions know."""
+        """The epoch last passed to the extensions."""
         self._tasks: set[asyncio.Future[Any]] = set()
 
     @property
     def version(self) -> int:
-        """Grows with every change that some member has to learn of."""
+        """The fleet's version, which grows with every change that concerns a member."""
         return self.watchers.version
 
     async def start(self) -> None:
-        """Read the log, begin an epoch, and store it.
+        """Load the log, begin an epoch, and store it.
 
         Raises:
-            DamagedStateError: The log cannot be read as it was written.
+            DamagedStateError: The log is damaged.
             OSError: The log cannot be read or written.
         """
         loaded = self.fleet_log.load()
@@ -109,7 +110,7 @@
         await asyncio.shield(self.group_commit.add([(LEASE_TABLE, start_record)]))
         self.roster.on_started(now_us)
         self._announce_start(loaded.rows_since.get(LEASE_TABLE, []), now_us)
-        # The version grows over restarts, since epochs do.
+        # Epochs grow over restarts, so the version does too.
         self.watchers.start_at(self.table.epoch << EPOCH_SHIFT)
         self._announced_version = self._list_version()
         await self.context.raise_fence(self.table.epoch - 1)
@@ -128,7 +129,7 @@
         )
 
     def _restore(self, loaded: LoadedFleetLog, now_us: int) -> Record:
-        """Restore the table and the extensions; the record that begins an epoch."""
+        """Restore the table and the extensions, and return the record of the new epoch."""
         if LEASE_TABLE in loaded.snapshots:
             self.table = LeaseTable.from_snapshot(
                 loaded.snapshots[LEASE_TABLE], self.terms
@@ -136,8 +137,8 @@
             self.roster = Roster(self.table, self.ttl_us)
         for row in loaded.rows_since.get(LEASE_TABLE, []):
             self.table.commit(row)
-        # The clock and the list's fence only make a high epoch likely: the tokens that
-        # members have seen raise it past both.
+        # The clock and the list's fence are only a likely lower bound of the epoch:
+        # tokens reported by members raise it further if needed.
         min_epoch = max(
             self.context.registry.fence + 1, self.context.now_ms() // MS_PER_S
         )
@@ -154,7 +155,7 @@
         return record
 
     def _announce_start(self, lease_rows: list[Row], now_us: int) -> None:
-        """Tell the extensions who is a member, and what joins said of restarts."""
+        """Pass the members in force, and resumed members, to the extensions."""
         members = [
             (member, self.table.leases[MEMBER_LEASE_PREFIX + member.name].expires_at_us)
             for member in self.roster.active_members()
@@ -167,12 +168,12 @@
     async def persist_decision(
         self, decide: Callable[[int], LeaseGrant | LeaseUnavailable | Record]
     ) -> LeaseGrant | LeaseUnavailable | Record:
-        """Let the lease table decide; the decision, once its record is committed.
+        """Call `decide` with the time, and return its decision once it is committed.
 
         Raises:
-            LeaseRejectedError: The call is rejected. A record of the token that the
-                client has seen is stored first.
-            QueueFullError: Too much waits to be written.
+            LeaseRejectedError: The call is rejected. Its record, which raises the epoch
+                past the token that the client has seen, is stored first.
+            QueueFullError: The write queue is full.
             OSError: The record could not be stored.
         """
         if self.group_commit.full:
@@ -185,8 +186,8 @@
         record = outcome if isinstance(outcome, dict) else outcome.record
         self._announce_changes()
         if record is not None:
-            # Queued with no await since it was made, so that records are stored in the
-            # order of their numbers.
+            # There is no await between `decide` and here, so that records are stored in
+            # the order of their numbers.
             await asyncio.shield(self.group_commit.add([(LEASE_TABLE, record)]))
         if isinstance(outcome, LeaseRejectedError):
             raise outcome
@@ -195,20 +196,20 @@
     async def handle_heartbeat(
         self, name: str, token: Token, body: dict[str, Any]
     ) -> dict[str, Any]:
-        """Let the extensions handle a heartbeat; their fields of the answer.
+        """Pass a heartbeat to the extensions, and return their fields of the answer.
 
-        An answer that depends on what is not planned or not stored yet waits for it:
-        that is sooner than with the member's next heartbeat.
+        An answer that depends on an unfinished plan waits for the plan to be stored,
+        rather than for the member's next heartbeat.
 
         Raises:
-            LeaseRejectedError: The member's lease is another's.
+            LeaseRejectedError: The lease on the name has another token.
             RequestError: An extension rejects the heartbeat.
-            OSError: What the answer would say could not be stored.
+            OSError: State that the answer depends on could not be stored.
         """
         now_us = self.context.now_us()
         lease = self.table.read(MEMBER_LEASE_PREFIX + name)
         if lease is None or lease.token != token:
-            # Another took its place while the lease's record was written.
+            # Another process replaced the member while the lease's record was written.
             raise LeaseRejectedError(
                 409,
                 [f"token: the lease on {name} is another's"],
@@ -232,14 +233,14 @@
         return fields
 
     async def apply_rows(self, name: str, make: Callable[[int], list[Row]]) -> None:
-        """Make and store rows of an extension, such as a map that an operator sent.
+        """Make and store rows of an extension, such as a shard map from an operator.
 
-        They are made when no plan is in flight.
+        `make` is called with the time, when no plan is in flight.
 
         Raises:
-            QueueFullError: Too much waits to be written.
+            QueueFullError: The write queue is full.
             OSError: The rows could not be stored.
-            Exception: What `make` raises.
+            Exception: Any exception of `make`.
         """
         if self.group_commit.full:
             raise QueueFullError
@@ -250,7 +251,7 @@
             await asyncio.shield(self.plan_scheduler.write_plan(rows))
 
     def frozen_us(self, now_us: int) -> int:
-        """For how long at least nothing is divided anew; 0 if it may be now."""
+        """Return the least remaining time of the rebalancing freeze; 0 if there is none."""
         return max(self.roster.frozen_until_us(now_us) - now_us, 0)
 
     async def _write_batch(self, batch: list[QueuedItem[TaggedRows]]) -> None:
@@ -301,7 +302,7 @@
             log_write_failure("fleet log not written anew", error)
 
     def _commit_lease(self, record: Record) -> None:
-        """Put a stored record in force, and tell the extensions of members."""
+        """Apply a stored lease record, and notify the extensions of member changes."""
         name = str(record.get("name", ""))
         now_us = self.context.now_us()
         before = self.table.read(name)
@@ -325,7 +326,7 @@
     def _announce_join(
         self, name: str, before: Lease | None, after: Lease, now_us: int
     ) -> None:
-        """Tell the extensions of a member, and of the lease that it replaces."""
+        """Notify the extensions of a new member, and of the lease that it replaces."""
         replaced = before.token if before is not None else None
         is_expired = before is not None and now_us >= before.expires_at_us
         for extension in self.extensions.values():
@@ -343,9 +344,9 @@
                 extension.lease_expired(now_us, token)
 
     def _announce_resumed_member(self, record: Record, now_us: int) -> None:
-        """Tell the extensions what a join said of the process before it.
+        """Pass a join's previous token and kept reserves to the extensions.
 
-        This stands beside the lease's own fields in its record.
+        Both are stored in the lease's record, beside its own fields.
         """
         name = str(record.get("name", ""))[len(MEMBER_LEASE_PREFIX) :]
         member = self.roster.members.get(name)
@@ -378,14 +379,14 @@
 
     @contextlib.contextmanager
     def _log_failures(self, part: str) -> Iterator[None]:
-        """Log any error of one part, and go on.
+        """Log and suppress any exception of one part.
 
-        It must not keep the rows of other parts, or the ends of leases, from being
-        committed.
+        A faulty part must not prevent the rows of other parts, or the ends of leases,
+        from being committed.
         """
         try:
             yield
-        except Exception:  # Whatever has failed; see above.
+        except Exception:  # Any failure of the part; see the docstring.
             log.exception("a part of the fleet failed", extra={"part": part})
 
     def _next_us(self) -> int | None:
@@ -415,7 +416,7 @@
         return rows
 
     def _announce_changes(self, rows: TaggedRows | None = None) -> None:
-        """Raise the version if members have something to learn, and wake watchers."""
+        """Raise the version if the member list or rows changed, and wake watchers."""
         list_version = self._list_version()
         has_changes = list_version != self._announced_version
         concerns_all = has_changes
@@ -445,14 +446,14 @@
         self.watchers.stop()
 
     def _raise_table_epoch(self, fence: int) -> None:
-        """Grant tokens past the list's fence, which an operator has raised."""
+        """Raise the epoch of new tokens to the list's fence, raised by an operator."""
         if fence > self.table.epoch:
             record = self.table.observe_token(Token(fence - 1, VERSION_LIMIT - 1))
             if record is not None:
                 self.group_commit.add([(LEASE_TABLE, record)], bounded=False)
 
     def _raise_list_fence(self, fence: int) -> None:
-        """Store the epoch as the list's fence too, for a start without this log."""
+        """Store the epoch as the list's fence too, in case this log is lost."""
 
         async def raise_fence() -> None:
             # The writer counts and logs these errors.
@@ -464,7 +465,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def gauges(self) -> dict[str, int]:
-        """The fleet's gauges, by the name that is sent."""
+        """Return the fleet's gauges, by exported name."""
         states = [member.state for member in self.roster.active_members()]
         return {
             "fleet_epoch": self.table.epoch,
--- a/rainfall/registry/fleet_log.py
+++ b/rainfall/registry/fleet_log.py
@@ -1,8 +1,8 @@
-"""`fleet.log`: records of the lease table and of heartbeat extensions, in their order.
+"""Reads and writes `fleet.log`: the records of the lease table and of the extensions.
 
-A line is either a snapshot of one part, or one of its rows after that. The watermark is
-a file outside the state folder with the number of the last lease record: a log that ends
-below it is an older copy, as after a restore from a backup.
+Each line is a snapshot of one part (the lease table or an extension), or a later row of
+it. The watermark is a file outside the state folder with the number of the last lease
+record: a log that ends below that number is an older copy, for example from a backup.
 """
 
 from __future__ import annotations
@@ -16,24 +16,30 @@
 from rainfall.registry.storage import DamagedStateError, RecordLog, log_write_failure
 
 LEASE_TABLE = "lease"
-"""The part of the lease table's rows."""
+"""The part name of the lease table's rows."""
 COMPACT_AFTER_LINES = 1_000
-"""Lines before the log is compacted, and at least twice as many as it then had."""
+"""Lines before the log is compacted.
+
+It must also have at least twice as many lines as after the last compaction.
+"""
 TaggedRows = list[tuple[str, Row]]
-"""Rows, each with its part: `LEASE_TABLE`, or an extension's name."""
+"""Rows, each with its part name: `LEASE_TABLE`, or an extension's name."""
 
 
 class LoadedFleetLog(NamedTuple):
-    """What the log held at the start, by part."""
+    """The content of the log at the start, by part."""
 
     snapshots: dict[str, Row]
-    """The last snapshot, where there is one."""
+    """The last snapshot, if any."""
     rows_since: dict[str, list[Row]]
-    """The rows after it."""
+    """The rows after the last snapshot."""
 
 
 class FleetLog:
-    """Call `load` once; then `append` and `compact` from one thread at a time."""
+    """The log file with its watermark.
+
+    Call `load` once; then `append` and `compact` from one thread at a time.
+    """
 
     def __init__(
         self, path: Path, files: FileSystem, watermark_path: Path | None
@@ -43,17 +49,17 @@
         self.lines_after_compaction = 0
 
     def load(self) -> LoadedFleetLog:
-        """The parts' snapshots and rows.
+        """Load the snapshots and the rows of all parts.
 
         Raises:
-            DamagedStateError: A line is not one of this file.
+            DamagedStateError: A line is damaged, or has neither a snapshot nor a row.
             OSError: The file cannot be read.
         """
         loaded = LoadedFleetLog({}, {})
         for number, line in enumerate(self.record_log.load(), 1):
             if "of" not in line or not {"snapshot", "row"} & line.keys():
                 raise DamagedStateError(
-                    f"{self.record_log.path.name} line {number} is none of this file"
+                    f"{self.record_log.path.name} line {number} has no snapshot or row"
                 )
             if "snapshot" in line:
                 loaded.snapshots[line["of"]] = line["snapshot"]
@@ -75,11 +81,12 @@
             try:
                 self.watermark_path.write_text(f"{number}\n")
             except OSError as error:
-                # The rows are stored; only an older copy would not be recognised.
+                # The rows are stored. Without the watermark an older copy of the log may go
+                # undetected.
                 log_write_failure("mark not written", error)
 
     def compaction_due(self) -> bool:
-        """Whether the log has grown enough to be compacted."""
+        """Return whether the log has grown enough to be compacted."""
         return self.record_log.row_count >= max(
             COMPACT_AFTER_LINES, 2 * self.lines_after_compaction
         )
@@ -88,9 +95,9 @@
         """Replace all lines by a snapshot of each part.
 
         Raises:
-            OSError: The file is as it was.
+            OSError: The write failed; the file is unchanged.
         """
-        # Set before the write too, so that a failed one is not tried again at once.
+        # Also set before the write, so that a failed write is not retried immediately.
         self.lines_after_compaction = self.record_log.row_count
         self.record_log.rewrite(
             [{"of": part, "snapshot": snapshot} for part, snapshot in parts.items()]
@@ -98,9 +105,9 @@
         self.lines_after_compaction = self.record_log.row_count
 
     def is_current(self, number: int) -> bool:
-        """Whether a log whose last lease record has this number is no older copy.
+        """Return whether a log that ends with this lease record number is current.
 
-        False if the watermark cannot be read, as after a boot: then nobody knows.
+        False if the watermark is higher, or cannot be read, as after a reboot.
         """
         try:
             return self.watermark_path is None or number >= int(
--- a/rainfall/registry/fleet_services.py
+++ b/rainfall/registry/fleet_services.py
@@ -1,4 +1,4 @@
-"""Builds the fleet with its heartbeat extensions, and opens the addresses they serve."""
+"""Creates the fleet with its heartbeat extensions, and opens its addresses."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetServices:
-    """The fleet's parts in a running list service."""
+    """The fleet and its extensions in a running list service."""
 
     fleet: FleetCoordinator
     budgets: BudgetExtension
@@ -27,7 +27,7 @@
     planner: PlannerLease | None
 
     async def listen_write(self, host: str, port: int) -> int:
-        """Open the write address with the parts' routes, and return the port.
+        """Open the write address with the extensions' routes, and return the port.
 
         Raises:
             OSError: The address cannot be opened.
@@ -39,7 +39,7 @@
         return await self._service.listen(host, port, True, extra_routes)
 
     async def listen_fleet(self, host: str, port: int) -> int:
-        """Open the fleet's address, with reads of budgets and map; returns the port.
+        """Open the fleet's address with the extensions' read routes, and return the port.
 
         Raises:
             OSError: The address cannot be opened.
@@ -72,17 +72,17 @@
     Args:
         service: The list service that the fleet belongs to.
         lease_terms: Limits of leases.
-        ttl_us: The term of a member's lease.
-        watermark_path: The file that makes an older copy of the log known.
-        budgets: Checked budgets from the file. They are put in force if they differ
-            from those that were last taken from a file.
+        ttl_us: The duration of a member's lease.
+        watermark_path: The watermark file, which reveals an older copy of the log.
+        budgets: Validated budgets from the file. They are put in force if they differ
+            from the budgets last applied from a file.
         plan_shards: Whether this service plans shard maps.
-        auto_planner: When it does, if not by the usual rules.
-        reserves_known: An operator confirms that no process uses a reserve that this
-            service does not know.
+        auto_planner: Decides when to plan; None for the default delays.
+        reserves_known: An operator confirms that no process uses a reserve that is
+            unknown to this service.
 
     Raises:
-        DamagedStateError: The fleet's log cannot be read as it was written.
+        DamagedStateError: The fleet's log is damaged.
         OSError: The log cannot be read or written.
     """
     planner = PlannerLease(ttl_us) if plan_shards else None
--- a/rainfall/registry/fleet_watch.py
+++ b/rainfall/registry/fleet_watch.py
@@ -1,9 +1,10 @@
-"""Watchers of the fleet, and which of them a change wakes.
+"""Keeps the watches of the fleet, and wakes those that a change concerns.
 
-The version is that of the whole fleet. Changes of the member list and of the shard map
-concern every member; a change of a quota concerns one. A watcher that gives its name is
-woken only by changes that concern it. Every woken member sends a heartbeat at once, so
-watchers are woken in batches: of 1,000, the last half a second after the first.
+There is one version for the whole fleet. A change of the member list or of the shard map
+concerns every member; a change of a share concerns the member that has it. A watcher with
+a name is woken only by changes that concern that member. Every woken member sends a
+heartbeat immediately, so watchers are woken in batches: out of 1,000 watchers the last is
+woken half a second after the first.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 from collections.abc import Collection
 
 WAKE_BATCH_SIZE = 20
-"""Watchers woken at once."""
+"""Watchers woken in one batch."""
 WAKE_INTERVAL_S = 0.01
 """The pause between two batches."""
 
 
 class Watchers:
-    """The watches held now. Used from the event loop alone."""
+    """The watches that are currently held. Not thread-safe."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -26,11 +27,11 @@
         self._last_common_version = 0
         """The version of the last change that concerned all members."""
         self._last_member_versions: dict[str, int] = {}
-        """By name, the versions of later changes that concerned this member."""
+        """The version of the last change after that one that concerned a member, by name."""
         self._waiting: dict[asyncio.Future[None], str] = {}
-        """The watchers' names; empty for a watcher without one."""
+        """The name of each watcher; empty if it gave none."""
         self._wake_queue: dict[asyncio.Future[None], None] = {}
-        """The watchers to be woken, in this order."""
+        """The watchers to wake, in this order."""
         self._timer: asyncio.TimerHandle | None = None
 
     def start_at(self, version: int) -> None:
@@ -39,9 +40,9 @@
         self._last_common_version = version
 
     def is_behind(self, since: int, name: str = "") -> bool:
-        """Whether a watcher that has version `since` need not wait.
+        """Return whether there is a change for a watcher at version `since`.
 
-        A watcher without a name is concerned by every change.
+        Every change concerns a watcher without a name.
         """
         if not name or since > self.version:
             return since != self.version
@@ -49,7 +50,7 @@
         return since < max(self._last_common_version, last_member_version)
 
     def add(self, name: str = "") -> asyncio.Future[None]:
-        """A future that is done at the next change; `remove` it when the wait ends."""
+        """Return a future that completes at the next change; `remove` it after the wait."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting[future] = name
         if self.stopped:
@@ -57,12 +58,12 @@
         return future
 
     def remove(self, future: asyncio.Future[None]) -> None:
-        """Forget a watcher, whether it was woken or not."""
+        """Remove a watcher, woken or not."""
         self._waiting.pop(future, None)
         self._wake_queue.pop(future, None)
 
     def notify(self, concerned: Collection[str] | None) -> None:
-        """Raise the version, and wake those concerned; None: every watcher."""
+        """Raise the version, and wake the concerned members' watchers; None: all watchers."""
         self.version += 1
         if concerned is None:
             self._last_common_version = self.version
@@ -74,7 +75,8 @@
             for future, name in self._waiting.items()
             if not name or concerned is None or name in concerned
         ]
-        # A change of some members: these go before watchers of the whole fleet.
+        # If a change concerns only some members, their watchers are woken before those
+        # that are waiting already and those without a name.
         first: list[asyncio.Future[None]] = []
         if concerned is not None:
             first = [future for future in woken if self._waiting[future]]
@@ -87,7 +89,7 @@
             self._wake_batch()
 
     def stop(self) -> None:
-        """Wake all watchers; later ones are woken as they are added."""
+        """Wake all watchers; any added later are woken immediately."""
         self.stopped = True
         if self._timer is not None:
             self._timer.cancel()
--- a/rainfall/registry/group_commit.py
+++ b/rainfall/registry/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: one task writes all that was queued since its last batch, with one sync.
+"""Group commit: one task writes all items queued since its last batch, with one sync.
 
-No outcome is reported before the batch is stored: not a change, not that a change alters
-nothing, and no rejection, since any of these may rest on a change that waits.
+No outcome is reported before the batch is stored. That includes rejections and changes
+that alter nothing, because they may depend on an earlier change that is not stored yet.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 
 class QueueFullError(RainfallError):
-    """Too much waits to be written."""
+    """The write queue is full, or closed for shutdown."""
 
 
 class OutcomeUnknownError(RainfallError):
-    """The process ends before the disk has answered: the write may be stored, or not."""
+    """The process exits before a write has finished: it may be stored or not."""
 
 
 @dataclass(slots=True)
 class QueuedItem(Generic[T]):
-    """One item that waits, and the future of its outcome.
+    """A queued item, and the future of its outcome.
 
-    The caller may have given up waiting meanwhile.
+    The caller may stop waiting for the outcome at any time.
     """
 
     item: T
@@ -42,20 +42,20 @@
     )
 
     def resolve(self, outcome: Any) -> None:
-        """Set the outcome, or raise it at the caller if it is an error."""
+        """Set the outcome as the future's result, or as its exception if it is one."""
         if self.outcome.done():
             return
         if isinstance(outcome, BaseException):
             self.outcome.set_exception(outcome)
-            # Marks the error as retrieved: the caller may have given up waiting, and
-            # the event loop would log that.
+            # Marks the exception as retrieved: if the caller has stopped waiting, the
+            # event loop would log it.
             self.outcome.exception()
         else:
             self.outcome.set_result(outcome)
 
 
 class GroupCommit(Generic[T]):
-    """Batches items, in the order they came.
+    """Queues items and writes them in batches, in the order in which they were added.
 
     `write_batch` writes a batch and resolves each of its items.
     """
@@ -75,17 +75,17 @@
 
     @property
     def full(self) -> bool:
-        """Whether nothing more is accepted."""
+        """Whether no more bounded items are accepted."""
         return self.closed or len(self.queue) >= self.max_queued
 
     def add(self, item: T, bounded: bool = True) -> asyncio.Future[Any]:
         """Queue an item, and return the future of its outcome.
 
-        The caller awaits it in `asyncio.shield`, so that the item is written even if
-        the caller gives up waiting.
+        The caller awaits the future in `asyncio.shield`, so that the item is written
+        even if the caller is cancelled.
 
         Raises:
-            QueueFullError: Too much waits; not raised unless `bounded`.
+            QueueFullError: The queue is full; never raised if `bounded` is false.
         """
         if bounded and self.full:
             raise QueueFullError
@@ -95,7 +95,7 @@
         return queued.outcome
 
     async def finish(self, within_s: float) -> bool:
-        """Accept no more, and write what waits; False if that takes too long."""
+        """Close the queue and write what is queued; False if that takes over `within_s`."""
         self.closed = True
         self.wakeup.set()
         await asyncio.wait({self.task}, timeout=within_s)
@@ -115,7 +115,7 @@
             try:
                 await self.write_batch(self.batch)
             except Exception as error:
-                # Whatever has failed, the callers must not wait forever.
+                # The callers must not wait forever, whatever the failure.
                 log.exception("a round failed")
                 for queued in self.batch:
                     queued.resolve(error)
@@ -124,18 +124,18 @@
 
 @dataclass(slots=True)
 class ChangeRequest:
-    """A change that waits for its turn."""
+    """A change that is queued to be prepared and stored."""
 
     prepare: Callable[[PendingChanges], Change | int]
-    """Makes the change, given those before it that are not stored yet."""
+    """Makes the change, given the earlier changes that are not stored yet."""
     exclusive: bool = False
-    """Whether it is stored before the next one is prepared: a new epoch, or fence."""
+    """Whether it is written as a batch of its own, as for a new epoch or fence."""
 
 
 class _PreparedChange(NamedTuple):
     queued: QueuedItem[ChangeRequest]
     outcome: Change | int | RequestError
-    """A change to be stored, the version in force, or the reason of a rejection."""
+    """A change to be stored, the version in force, or the rejection."""
 
 
 class ChangeWriter:
@@ -158,10 +158,10 @@
         )
 
     async def submit(self, request: ChangeRequest) -> Change | int:
-        """The change, once it is stored; or the version in force.
+        """Queue a change, and return it once stored; or the version if nothing is altered.
 
         Raises:
-            QueueFullError: Too much waits to be written.
+            QueueFullError: The write queue is full.
             RequestError: The change is rejected.
             OSError: The change could not be stored.
         """
@@ -184,7 +184,7 @@
         await self._store(prepared)
 
     async def _store(self, prepared: list[_PreparedChange]) -> None:
-        """Store the changes, put them in force, and resolve all that was prepared."""
+        """Store and commit the changes, and resolve all prepared requests."""
         changes = [outcome for _, outcome in prepared if isinstance(outcome, Change)]
         if changes:
             try:
@@ -220,9 +220,9 @@
 
 
 def _resolve_after_failure(prepared: list[_PreparedChange], error: OSError) -> None:
-    """Resolve all, with the error from the first lost change on.
+    """Resolve all requests, from the first change that was lost on with the error.
 
-    Every outcome after that change was prepared as if the change were in force.
+    Every later outcome was prepared as if that change were in force.
     """
     depends_on_lost_change = False
     for queued, outcome in prepared:
--- a/rainfall/registry/heartbeat_extension.py
+++ b/rainfall/registry/heartbeat_extension.py
@@ -1,7 +1,7 @@
 """Heartbeat extensions: parts of the fleet that exchange data in members' heartbeats.
 
-Budgets and the shard map are extensions. Each has its own fields in a heartbeat and its
-answer, its own rows in `fleet.log`, and learns who is a member.
+Budgets and the shard map are extensions. Each has its own fields in heartbeats and their
+answers and its own rows in `fleet.log`, and is notified of members that join and leave.
 """
 
 from __future__ import annotations
@@ -19,26 +19,25 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatResult:
-    """What one heartbeat leads to at one extension."""
+    """The result of one heartbeat at one extension."""
 
     plan_soon: bool
-    """Whether `plan` is to be called soon."""
+    """Whether `plan` should be called soon."""
     waits_for_plan: bool
-    """Whether the answer waits until the next plan is stored, or a second is over."""
+    """Whether the answer waits for the next plan to be stored, for at most a second."""
     answer_fields: Callable[[], dict[str, Any]]
     """Makes the extension's fields of the answer to this heartbeat.
 
-    Raises OSError if what the answer would say is not stored: the heartbeat is answered
-    507, and the member sends another.
+    Raises OSError if the state that the answer depends on is not stored: the heartbeat is
+    answered 507, and the member retries.
     """
 
 
 class HeartbeatExtension(Protocol):
-    """What the fleet asks of each extension, from the event loop alone.
+    """The interface of an extension; all methods are called from the event loop.
 
-    Times are microseconds of the service's monotonic clock. Nothing that an extension
-    decides is sent before it is stored: `plan` makes rows, and `commit` changes what is
-    sent.
+    Times are microseconds of the service's monotonic clock. No decision of an extension
+    is sent before it is stored: `plan` makes rows, and only `commit` puts them in force.
     """
 
     name: str
@@ -47,70 +46,70 @@
     def restore(
         self, now_us: int, state_complete: bool, snapshot: Row | None, rows: list[Row]
     ) -> None:
-        """Called once, at the start.
+        """Restore the state from the log; called once, at the start.
 
-        `state_complete` says that the log is as the last process left it. Raises
-        KeyError, TypeError or ValueError if the rows are not the extension's.
+        `state_complete` is false if the log may be an older copy. Raises KeyError,
+        TypeError or ValueError if the rows are not valid rows of this extension.
         """
 
     def find_faults(self, body: Mapping[str, Any]) -> list[str]:
-        """All faults of its fields in a heartbeat, each with its path.
+        """Return all faults of the extension's fields in a heartbeat, with their paths.
 
-        The heartbeat changes nothing if any extension finds a fault.
+        A heartbeat in which any extension finds a fault is rejected without effect.
         """
 
     def member_joined(
         self, now_us: int, name: str, token: Token, replaced_token: Token | None
     ) -> None:
-        """A member is in force from now on.
+        """A member has joined.
 
-        `replaced_token` is the same member's token that this one replaces before its lease has
-        expired; the process that had it does nothing more under it.
+        `replaced_token` is the previous token of the same member, if its lease has not
+        expired; no process acts under that token any more.
         """
 
     def on_heartbeat(
         self, now_us: int, name: str, token: Token, body: Mapping[str, Any]
     ) -> bool:
-        """A member in force has sent a heartbeat; `body` is its checked body.
+        """A member has sent a heartbeat with the validated body `body`.
 
-        Returns whether `plan` is to be called soon.
+        Returns whether `plan` should be called soon.
         """
 
     def answer_fields(self, now_us: int, name: str, token: Token) -> dict[str, Any]:
-        """Its fields of the answer."""
+        """Return the extension's fields of the answer to a heartbeat."""
 
     def lease_expired(self, now_us: int, token: Token) -> None:
-        """The lease has expired on every clock: nothing more is done under the token."""
+        """The lease has expired on every clock: no process acts under the token any more."""
 
     def member_ended(self, now_us: int, token: Token) -> None:
-        """The member itself said that it does nothing more under the token."""
+        """The member has released its lease: it does not act under the token any more."""
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
-        """The rows that are to be stored now.
+        """Return the rows to store now.
 
         Not called again before each row of the last plan was committed or abandoned.
-        `frozen` is set for a time after a start, or after many members were lost:
-        nothing is then divided anew among members, though what makes things safer goes
-        on.
+        `frozen` is true for a time after a start, or after many members were lost: the
+        extension then does not rebalance among members, but still applies changes that
+        only reduce what members may use.
         """
 
     def commit(self, now_us: int, row: Row) -> None:
-        """A row is stored: it is in force from now on, and may be sent."""
+        """Put a stored row in force; it may be sent from now on."""
 
     def abandon(self, row: Row) -> None:
-        """A row could not be stored, and is not in force."""
+        """Discard a row that could not be stored."""
 
     def next_us(self) -> int | None:
-        """When `plan` has something to do without a heartbeat; None: only with one."""
+        """Return when to call `plan` without a heartbeat; None if a heartbeat is needed."""
 
     def snapshot(self) -> Row:
-        """All that is committed."""
+        """Return the committed state, which replaces all rows stored so far."""
 
 
 class BaseHeartbeatExtension(HeartbeatExtension):
-    """An extension that learns more than who is a member.
+    """An extension with further notifications and control over its answers.
 
-    Its further methods have defaults that do nothing.
+    The default methods add nothing.
     """
 
     def handle_heartbeat(
@@ -121,11 +120,11 @@
         token: Token,
         body: Mapping[str, Any],
     ) -> HeartbeatResult:
-        """Handle a heartbeat whose answer has to be that of this very heartbeat.
+        """Handle a heartbeat, and return the result for this heartbeat in particular.
 
-        Called in place of `on_heartbeat` and `answer_fields`. The second argument is
-        when the lease has expired on every clock. May raise RequestError: the heartbeat
-        has renewed the lease, and does nothing else.
+        Called instead of `on_heartbeat` and `answer_fields`. The second argument is the
+        time when the lease has expired on every clock. May raise RequestError; the
+        heartbeat has then only renewed the lease.
         """
         plan_soon = self.on_heartbeat(now_us, name, token, body)
         return HeartbeatResult(
@@ -133,26 +132,26 @@
         )
 
     def on_heartbeat(
-        self, _now_us: int, _name: str, _token: Token, _beat: Mapping[str, Any]
+        self, _now_us: int, _name: str, _token: Token, _body: Mapping[str, Any]
     ) -> bool:
-        """By default nothing is to be planned."""
+        """Return False: by default no plan is needed."""
         return False
 
     def answer_fields(self, _now_us: int, _name: str, _token: Token) -> dict[str, Any]:
-        """By default the answer has no further fields."""
+        """Return no fields by default."""
         return {}
 
     def epoch_raised(self, epoch: int) -> None:
-        """The epoch of tokens granted from now on.
+        """New tokens are granted in this epoch from now on.
 
         Called once before `restore`, and whenever the epoch rises.
         """
 
     def service_started(self, now_us: int, members: list[tuple[Member, int]]) -> None:
-        """Called once, after `restore`.
+        """The service has started; called once, after `restore`.
 
-        Each member in force comes with the time when its lease has expired on every
-        clock, as if it were renewed now.
+        `members` are the members in force, each with the time when its lease has expired
+        on every clock, counted as if it were renewed now.
         """
 
     def member_resumed(
@@ -163,15 +162,16 @@
         previous_token: Token,
         kept_reserves: Mapping[str, int],
     ) -> None:
-        """A member is the process, or its successor, that had `previous_token`.
+        """A member has resumed under a new token in place of `previous_token`.
 
-        Called after `member_joined`, and again after a restart of the service. A
-        successor has taken over the state folder under its lock. `kept_reserves` is
-        what it uses of each reserve from before, by destination.
+        It is the same process, or a successor that has taken over the state folder under
+        its lock. Called after `member_joined`, and again after a restart of the service.
+        `kept_reserves` are the calls of each earlier reserve that stay in use, by
+        destination.
         """
 
     def concerned_members(self, _row: Row) -> Collection[str] | None:
-        """The names of members to whom a committed row says something new; None: all."""
+        """Return the names of the members that a committed row concerns; None: all."""
         return None
 
 
@@ -183,7 +183,7 @@
     token: Token,
     body: Mapping[str, Any],
 ) -> HeartbeatResult:
-    """Let an extension of either kind handle a heartbeat."""
+    """Pass a heartbeat to an extension, whether or not it is a base extension."""
     if isinstance(extension, BaseHeartbeatExtension):
         return extension.handle_heartbeat(now_us, until_us, name, token, body)
     plan_soon = extension.on_heartbeat(now_us, name, token, body)
--- a/rainfall/registry/http_server.py
+++ b/rainfall/registry/http_server.py
@@ -21,9 +21,9 @@
 from rainfall.registry.service_context import ServiceContext
 
 MAX_FAULTS_IN_ANSWER = 1_024
-"""Faults listed in one answer; the others are only counted."""
+"""Faults listed in one answer; further ones are only counted."""
 BACKLOG = 1_024
-"""Connections not yet accepted: a whole fleet may connect at once."""
+"""Pending connections of a listener: a whole fleet may connect at once."""
 CHUNK_BYTES = 256 * 1024
 """Bytes of a long answer that are written at once."""
 MAX_LINE_BYTES = 8 * 1024
@@ -31,11 +31,11 @@
 VERSION_DIGITS = 16
 """Digits of the largest version."""
 BUSY_CLOSE_DELAY_S = 1.0
-"""How long a connection past the bound stays open, so that its answer arrives."""
+"""How long a connection above the limit stays open, so that its peer gets the 503."""
 LINGER_S = 1.0
-"""How long the rest of a request that was rejected is read before the close."""
+"""How long the rest of a rejected request is read before the connection is closed."""
 CLOSE_TIMEOUT_S = 1.0
-"""How long calls may take to end when an address is closed."""
+"""How long requests in progress may take when an address is closed."""
 SERVICE_UNAVAILABLE_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n"
     b"Connection: close\r\n\r\n"
@@ -48,7 +48,7 @@
 def json_response(
     status: int, body: Any = None, headers: dict[str, str] | None = None
 ) -> web.Response:
-    """A complete answer; a body that is not bytes is encoded as JSON."""
+    """Return a complete response; a body other than bytes is encoded as JSON."""
     if body is None:
         data = b""
     elif isinstance(body, bytes):
@@ -64,10 +64,10 @@
 
 
 async def streamed_response(request: web.Request, body: bytes) -> web.StreamResponse:
-    """An answer that may be longer than what one connection may hold unsent.
+    """Return a 200 response whose body may exceed the connection's limit of unsent bytes.
 
-    It is then written in chunks, each once the reader has received those before. So all
-    readers of a list share its bytes.
+    Such a body is written in chunks, each after the reader has received the chunks before
+    it. All readers of a list thus share one encoded body instead of buffering copies.
     """
     unsent_bytes = request.app[CONTEXT_KEY].limits.unsent_bytes
     if len(body) <= unsent_bytes:
@@ -91,11 +91,14 @@
     headers: dict[str, str] | None = None,
     extra_fields: dict[str, Any] | None = None,
 ) -> web.Response:
-    """An error as JSON: the phrase of its status, its faults, and further fields."""
-    shown_faults = faults[:MAX_FAULTS_IN_ANSWER]
-    unshown_count = len(faults) - len(shown_faults)
-    if unshown_count:
-        shown_faults = [*shown_faults, f"and {unshown_count} more"]
+    """Return an error as JSON: the status phrase, the faults, and further fields.
+
+    A 503 gets `Retry-After: 1`.
+    """
+    listed_faults = faults[:MAX_FAULTS_IN_ANSWER]
+    omitted_count = len(faults) - len(listed_faults)
+    if omitted_count:
+        listed_faults = [*listed_faults, f"and {omitted_count} more"]
     headers = dict(headers or {})
     if status == HTTPStatus.SERVICE_UNAVAILABLE:
         headers["Retry-After"] = "1"
@@ -103,40 +106,40 @@
         status,
         {
             "error": HTTPStatus(status).phrase,
-            "faults": shown_faults,
+            "faults": listed_faults,
             **(extra_fields or {}),
         },
         headers,
     )
 
 
-async def await_stored(storing: Awaitable[T], subject: str = "it") -> T:
-    """The result of a call that writes to disk.
+async def await_stored(write: Awaitable[T], subject: str = "it") -> T:
+    """Await a call that writes to disk, and return its result.
 
     Raises:
-        RequestError: 507, the disk rejected the write. `subject` is what was lost.
+        RequestError: 507, the write failed; `subject` names the lost data in the fault.
     """
     try:
-        return await storing
+        return await write
     except OSError as error:
-        why = f"{subject} could not be kept: {error.strerror or error}"
-        raise RequestError(HTTPStatus.INSUFFICIENT_STORAGE, [why]) from None
+        reason = f"{subject} could not be kept: {error.strerror or error}"
+        raise RequestError(HTTPStatus.INSUFFICIENT_STORAGE, [reason]) from None
 
 
 async def read_json(request: web.Request, limits: Limits) -> Any:
-    """The request's JSON value.
+    """Read the request's body as JSON.
 
     Raises:
-        RequestError: The body cannot be read; with every fault of its form.
+        RequestError: The body cannot be read, or is not valid JSON; lists every fault.
     """
     return json_reader.parse_json(await read_body(request, limits))
 
 
 async def read_body(request: web.Request, limits: Limits) -> bytes:
-    """The request's body.
+    """Read the request's body.
 
     Raises:
-        RequestError: 413 past the bound, 400 where the body stops coming.
+        RequestError: 413 if the body is too long, 400 if it takes too long to arrive.
     """
     try:
         if (request.content_length or 0) > limits.body_bytes:
@@ -145,7 +148,9 @@
             return await request.read()
     except TimeoutError:
         raise RequestError(
-            400, ["the body stopped coming"], closes_connection=True
+            400,
+            ["the body stopped coming"],
+            closes_connection=True,
         ) from None
     except web.HTTPRequestEntityTooLarge:
         raise _too_long_error(limits) from None
@@ -158,10 +163,10 @@
 
 
 class LimitedConnection(web.RequestHandler):
-    """One connection, within the limits.
+    """A connection that enforces the service's limits.
 
-    Past the number of connections it is answered 503 at once. One whose peer does not
-    read its answers is aborted.
+    A connection above the limit of connections is answered 503 immediately. A connection
+    whose peer does not read its answers is aborted.
     """
 
     __slots__ = ("aborted", "backpressured", "context", "counted")
@@ -181,10 +186,10 @@
         )
         self.context = context
         self.counted = False
-        """Whether the metric of open connections counts it."""
+        """Whether the metric of open connections includes this connection."""
         self.aborted = False
         self.backpressured = False
-        """The writer waits where too much is unsent; the connection is not aborted."""
+        """Whether the writer waits while too much is unsent, instead of an abort."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection, and set its limits or answer 503."""
@@ -194,11 +199,11 @@
         self.counted = True
         if metrics.connections > limits.connections:
             metrics.busy += 1
-            self.force_close()  # reads nothing from now on
+            self.force_close()  # No request is read from now on.
             transport.write(SERVICE_UNAVAILABLE_RESPONSE)
             transport.write_eof()
-            # Closed at once, what the peer has sent unread would turn into a reset and
-            # eat the answer.
+            # If the socket were closed immediately, unread data of the peer would cause a
+            # reset, and the peer would lose the answer.
             asyncio.get_running_loop().call_later(BUSY_CLOSE_DELAY_S, transport.abort)
             return
         sock = transport.get_extra_info("socket")
@@ -213,9 +218,9 @@
 
     @contextlib.contextmanager
     def write_buffer_limit(self, high_water_bytes: int) -> Iterator[None]:
-        """Within this a writer waits while more than so many bytes are unsent.
+        """Make writers wait, in this context, while more than the given bytes are unsent.
 
-        A reader that takes none of them is disconnected by the kernel
+        A reader that acknowledges none of them is disconnected by the kernel
         (`Limits.send_timeout_s`).
         """
         self.backpressured = True
@@ -231,7 +236,7 @@
             self.transport.set_write_buffer_limits(high=high_water_bytes)
 
     def pause_writing(self) -> None:
-        """Abort a connection with too much unsent.
+        """Abort a connection with too many unsent bytes.
 
         The reader continues from its version on a new connection.
         """
@@ -242,7 +247,7 @@
             self.transport.abort()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Count the connection no more."""
+        """Subtract the connection from the metric of open connections."""
         if self.counted:
             self.counted = False
             self.context.metrics.connections -= 1
@@ -257,7 +262,7 @@
     ) -> web.StreamResponse:
         """Answer a request that could not be read (400) or that failed (500), and close."""
         if request.writer.output_size > 0:
-            raise ConnectionError("an answer has begun already")
+            raise ConnectionError("cannot send an error response: headers already sent")
         if status >= 500:
             log.error("a call failed", exc_info=exc)
         response = error_response(
@@ -271,7 +276,7 @@
 async def _error_middleware(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Answer every error of a handler as JSON, and count it."""
+    """Convert the errors of handlers to JSON responses, and count them."""
     context = request.app[CONTEXT_KEY]
     try:
         _check_head(request, context.limits)
@@ -288,9 +293,10 @@
         response = error_response(503, ["too much waits to be written"])
     except OutcomeUnknownError:
         response = error_response(
-            500, ["nobody knows whether it was kept: ask again with the same id"]
+            500,
+            ["nobody knows whether it was kept: ask again with the same id"],
         )
-    except web.HTTPException as error:  # No such path, or not with this method.
+    except web.HTTPException as error:  # Unknown path, or method not allowed.
         headers = {
             name: value for name, value in error.headers.items() if name == "Allow"
         }
@@ -308,7 +314,9 @@
     )
     if head_bytes > limits.head_bytes:
         raise RequestError(
-            400, [f"headers past {limits.head_bytes} bytes"], closes_connection=True
+            400,
+            [f"headers past {limits.head_bytes} bytes"],
+            closes_connection=True,
         )
 
 
@@ -318,9 +326,9 @@
 def build_app(
     context: ServiceContext, routes: Iterable[web.RouteDef]
 ) -> web.Application:
-    """The application of one address: its routes, and those that every address has.
+    """Return the application of one address.
 
-    These are `/_ready`, `/_vars` and `/metrics`.
+    It has `routes`, and those of every address: `/_ready`, `/_vars` and `/metrics`.
     """
 
     async def ready(_: web.Request) -> web.StreamResponse:
@@ -353,17 +361,17 @@
 
 
 def get_route(path: str, handler: Handler) -> web.RouteDef:
-    """A route for GET alone; aiohttp would answer HEAD as well."""
+    """Return a route for GET only; by default aiohttp answers HEAD too."""
     return web.get(path, handler, allow_head=False)
 
 
 class HttpListener:
-    """One address: the application, its runner, and the listening socket."""
+    """One listening address with its application and runner."""
 
     def __init__(self, context: ServiceContext, routes: Iterable[web.RouteDef]) -> None:
         self.context = context
-        # A watcher that disconnects cancels its handler; a write that a handler asked
-        # for is shielded from that.
+        # A watcher that disconnects cancels its handler. Writes started by a handler
+        # are shielded from the cancellation.
         self.runner = web.AppRunner(
             build_app(context, routes),
             handler_cancellation=True,
@@ -383,20 +391,20 @@
         return int(self.asyncio_server.sockets[0].getsockname()[1])
 
     def stop_accepting(self) -> None:
-        """Accept no more connections; open ones go on."""
+        """Stop accepting connections; open connections stay open."""
         if self.asyncio_server is not None:
             self.asyncio_server.close()
 
     async def close(self) -> None:
-        """Let current calls end within `CLOSE_TIMEOUT_S`, and close all connections."""
+        """Wait up to `CLOSE_TIMEOUT_S` for current requests, and close all connections."""
         await self.runner.cleanup()
 
 
 def parse_version(text: str, name: str) -> int | None:
-    """The version in an If-Match header, quoted or not; None if the header is absent.
+    """Parse the version in an If-Match header, quoted or not; None if it is empty.
 
     Raises:
-        RequestError: The text is not a version.
+        RequestError: 400, the text is not a version; the fault names the header `name`.
     """
     text = text.strip('" ')
     if not text:
@@ -407,5 +415,5 @@
 
 
 def canonical_json(body: Any) -> bytes:
-    """The same bytes for equal bodies."""
+    """Encode a body as JSON with sorted keys: equal bodies give equal bytes."""
     return json.dumps(body, sort_keys=True).encode()
--- a/rainfall/registry/json_reader.py
+++ b/rainfall/registry/json_reader.py
@@ -1,7 +1,7 @@
-"""Reads the JSON of a request, and names every fault of its form.
+"""Strict JSON parser for requests, which reports every fault with its path.
 
-The standard reader takes the last of two equal keys, and NaN. Here such values are
-marked where they stand, and reported together with their paths.
+The standard parser accepts NaN, and keeps the last of two equal keys. This one puts a
+marker in place of each such value, and then reports all markers with their paths.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 
 class _InvalidValue:
-    """Stands in place of a value that is rejected."""
+    """Marks a rejected value in the parsed tree."""
 
     def __init__(self, reason: str) -> None:
         self.reason = reason
 
 
 def parse_json(data: bytes) -> Any:
-    """The JSON value of a body.
+    """Parse a request's body as JSON.
 
     Raises:
-        RequestError: 400 with every repeated key and every number that JSON does not
+        RequestError: 400 with every duplicate key and every number that JSON does not
             allow, each with its path.
     """
     reader = _Reader()
@@ -44,14 +44,15 @@
     except (ValueError, RecursionError) as error:
         raise RequestError(400, [f"not JSON: {error}"]) from None
     if reader.invalid_values:
-        # A value that a repeated key hides has no path.
+        # An invalid value below a duplicate key is replaced with that key, so it has no
+        # path.
         reasons = [invalid.reason for invalid in reader.invalid_values]
         raise RequestError(400, faults or reasons)
     return value
 
 
 class _Reader:
-    """The hooks of the standard reader, and the values that they rejected."""
+    """Hooks for `json.loads`, and the values that they have rejected."""
 
     def __init__(self) -> None:
         self.invalid_values: list[_InvalidValue] = []
@@ -83,7 +84,7 @@
 
 
 def _check_surrogates(data: bytes, value: Any) -> None:
-    r"""Raise UnicodeEncodeError for half of a surrogate pair, written as `\ud...`."""
+    r"""Raise UnicodeEncodeError for an unpaired surrogate, escaped as `\ud...`."""
     if b"\\ud" in data.lower():
         json.dumps(value, ensure_ascii=False, default=str).encode()
 
--- a/rainfall/registry/lease_api.py
+++ b/rainfall/registry/lease_api.py
@@ -1,4 +1,4 @@
-"""Leases over HTTP: acquire, renew and release by name, the reads, and revoking."""
+"""HTTP routes of leases: acquire, renew, release, read and revoke, by name."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 LEASE_PATH = "/v1/leases/{name:.+}"
 
 TokenPair = Annotated[list[Version], Meta(min_length=2, max_length=2)]
-"""A fencing token as it is sent: epoch and number."""
+"""A fencing token in wire format: epoch and number."""
 Milliseconds = Annotated[int, Meta(ge=1, lt=1 << 42)]
 
 LeaseDecision = LeaseGrant | LeaseUnavailable | Record
@@ -44,8 +44,8 @@
 ):
     """The body of an acquire.
 
-    `highest_seen` is the highest token that the client knows of; `previous_token` the
-    one it held before, where it takes up its own lease again.
+    `highest_seen` is the highest token that the client has seen. `previous_token` is the
+    token under which it held the lease before, if it resumes its own lease.
     """
 
     holder: Annotated[str, Meta(min_length=1, max_length=MAX_TEXT_LENGTH)]
@@ -56,14 +56,14 @@
 
 
 class RenewRequest(Struct, rename={"highest_seen": "seen"}):
-    """The body of a renewal, and of a release."""
+    """The body of a renewal or a release."""
 
     token: TokenPair
     highest_seen: TokenPair | None = None
 
 
 class LeaseRequestError(RequestError):
-    """A lease call that was rejected; the answer names the conflicting token."""
+    """A rejected lease request; the answer has the conflicting token."""
 
     def __init__(self, error: LeaseRejectedError) -> None:
         super().__init__(error.status, error.faults)
@@ -74,19 +74,19 @@
 
 
 def token_or_zero(pair: list[int] | None) -> Token:
-    """The token of a request; `ZERO_TOKEN`, which is below all others, if absent."""
+    """Return the token of a request; `ZERO_TOKEN`, the lowest token, if absent."""
     return ZERO_TOKEN if pair is None else Token(*pair)
 
 
 async def persist_decision(
     fleet: FleetCoordinator, decide: Callable[[int], LeaseDecision]
 ) -> LeaseDecision:
-    """Let the lease table decide, and return its decision once it is stored.
+    """Call `decide` with the time, and return its decision once it is stored.
 
     Raises:
-        LeaseRequestError: The table rejects the call.
+        LeaseRequestError: The lease table rejects the request.
         RequestError: 507, the record could not be stored.
-        QueueFullError: Too much waits to be written.
+        QueueFullError: The write queue is full.
     """
     try:
         return await await_stored(fleet.persist_decision(decide))
@@ -95,9 +95,10 @@
 
 
 def unavailable_response(unavailable: LeaseUnavailable) -> web.Response:
-    """409 with `error: held`: the lease cannot be had now.
+    """Return 409 with `error: held`: the lease is not available now.
 
-    The field distinguishes it from `lost`, after which a holder has to stop at once.
+    The value distinguishes this answer from `lost`, after which a holder must stop
+    acting immediately.
     """
     retry_ms = -(-unavailable.retry_after_us // US_PER_MS)
     return error_response(
@@ -109,7 +110,7 @@
 
 
 def routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """The calls of lease holders, at the fleet's address."""
+    """Return the routes of lease holders, at the fleet's address."""
     handlers = _LeaseHandlers(fleet)
     return [
         web.post(f"{LEASE_PATH}/acquire", handlers.acquire),
@@ -119,7 +120,7 @@
 
 
 def read_routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """The leases in force: at the fleet's address and at the write address."""
+    """Return the read routes of leases, served at both addresses."""
     handlers = _LeaseHandlers(fleet)
     return [
         get_route("/v1/leases", handlers.show_all),
@@ -128,12 +129,15 @@
 
 
 def operator_routes(fleet: FleetCoordinator) -> list[web.RouteDef]:
-    """Revoking, at the write address; a member's lease is named `member/NAME`."""
+    """Return the revoke route of the write address.
+
+    A member's lease is named `member/NAME`.
+    """
     return [web.post(f"{LEASE_PATH}/revoke", _LeaseHandlers(fleet).revoke)]
 
 
 class _LeaseHandlers:
-    """The handlers of one address."""
+    """Request handlers of lease routes."""
 
     def __init__(self, fleet: FleetCoordinator) -> None:
         self.fleet = fleet
@@ -222,7 +226,7 @@
 
 
 def _lease_name(request: web.Request) -> str:
-    """The name in the path, which must not be that of a member's lease."""
+    """Return the lease name in the path; raise 403 for a member's lease."""
     name = request.match_info["name"]
     if name.startswith(MEMBER_LEASE_PREFIX):
         raise RequestError(
--- a/rainfall/registry/limits.py
+++ b/rainfall/registry/limits.py
@@ -8,17 +8,17 @@
 from dataclasses import dataclass, replace
 
 RESERVED_DESCRIPTORS = 24
-"""Descriptors used beside connections: standard ones, event loop, listeners, files."""
+"""Descriptors not used for connections: standard streams, event loop, listeners, files."""
 MIN_CONNECTIONS = 8
-"""Connections allowed even where the process has hardly any descriptors."""
+"""Least number of connections, even if the descriptor limit is lower."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the service holds at once.
+    """Limits of the service.
 
-    Past a limit the peer is answered (413, 400, or 503 with `Retry-After: 1`), or its
-    connection is closed.
+    A request or connection over a limit is answered 413, 400, or 503 with
+    `Retry-After: 1`, or its connection is closed.
     """
 
     watchers: int = 10_000
@@ -26,15 +26,15 @@
     connections: int = 20_000
     """Open connections at all addresses."""
     unsent_bytes: int = 4 * 1024 * 1024
-    """Bytes of answers that one connection's peer has not read yet.
+    """Bytes of answers buffered for one connection's peer.
 
-    Past it the connection is aborted. An endpoint list that is longer is written in
+    Above the limit the connection is aborted. A longer endpoint list is written in
     chunks, as its reader receives them.
     """
     send_timeout_s: float = 30.0
     """How long a peer may acknowledge nothing before the kernel ends the connection."""
     queued: int = 10_000
-    """Changes that wait to be written; as many posts of notices, and fleet records."""
+    """Length of each write queue: of changes, of posts of notices, and of fleet records."""
     body_bytes: int = 1024 * 1024
     """Bytes of a request's body."""
     head_bytes: int = 16 * 1024
@@ -44,18 +44,18 @@
     body_timeout_s: float = 10.0
     """How long a request's body may take."""
     shutdown_timeout_s: float = 5.0
-    """How long writes may take that were asked for before SIGTERM."""
+    """How long pending writes may take after SIGTERM."""
     epoch_burst: int = 3
-    """Epochs that readers' claims may begin without a pause."""
+    """Epochs that readers' claims may begin in a burst."""
     epoch_interval_s: float = 60.0
-    """After this time readers' claims may begin one more epoch."""
+    """The interval at which readers' claims may begin one more epoch after a burst."""
 
 
 def limit_by_descriptors(limits: Limits, descriptors: int) -> Limits:
-    """The limits with no more connections than so many descriptors allow.
+    """Return the limits with `connections` capped for a number of descriptors.
 
-    Past the kernel's limit a connection would not be accepted and get no answer; past
-    this limit it is answered 503.
+    Above the descriptor limit a connection would not be accepted and would get no answer;
+    above the limit of connections it is answered 503.
     """
     available = max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS)
     return replace(limits, connections=min(limits.connections, available))
--- a/rainfall/registry/member_encoder.py
+++ b/rainfall/registry/member_encoder.py
@@ -1,7 +1,7 @@
-"""Encodes members for the answers to heartbeats, once for each state of a member.
+"""Encodes members for the answers to heartbeats, and caches the encodings.
 
-A member that joins receives the list of all others, and after a restart of the service
-every member does. Without a cache the cost of that is the square of the fleet's size.
+A member that joins receives the list of all members, and after a restart of the service
+every member does. Without a cache the encoding cost is quadratic in the fleet's size.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from rainfall.member.roster import Member
 
 MAX_CACHED_MEMBERS = 20_000
-"""Names in the cache, twice as many as may hold leases; past it the cache is emptied."""
+"""Names in the cache, twice the limit of leases; above this the cache is cleared."""
 
 
 class _CachedEncoding(NamedTuple):
@@ -23,15 +23,15 @@
 
 
 class MemberEncoder:
-    """Caches the last encoding of each name."""
+    """Encodes members as JSON, and caches the last encoding of each name."""
 
     def __init__(self) -> None:
         self._encodings: dict[str, _CachedEncoding] = {}
 
     def encoded(self, members: Iterable[Member]) -> list[msgspec.Raw]:
-        """JSON of each member, in the same order.
+        """Return the JSON of each member, in the same order.
 
-        A member object is immutable: a new state is a new object.
+        Members are immutable, so an encoding is valid as long as the object is the same.
         """
         if len(self._encodings) > MAX_CACHED_MEMBERS:
             self._encodings.clear()
--- a/rainfall/registry/metrics.py
+++ b/rainfall/registry/metrics.py
@@ -1,6 +1,6 @@
 """The list service's metrics, as JSON (`/_vars`) and as Prometheus text (`/metrics`).
 
-The names and help texts that are sent stand here, in tables; the code has its own names.
+The tables here map the attributes of the code to the exported names and help texts.
 """
 
 from __future__ import annotations
@@ -17,38 +17,38 @@
 
 @dataclass
 class ServiceMetrics:
-    """What the service counts itself, since its start unless it says `now`."""
+    """Counters since the start of the service, and gauges of the current state."""
 
     reads: int = 0
     """Reads of the endpoint list, watches included."""
     watches_held: int = 0
-    """Watches held now, of the list and of the fleet."""
+    """Gauge: open watches of the list and of the fleet."""
     watches_answered: int = 0
     watchers_left: int = 0
     """Watchers that disconnected before their answer."""
     changes: int = 0
     """Changes of the endpoint list that were stored."""
     rejected_calls: int = 0
-    """Calls answered with a status from 400 to 499."""
+    """Requests rejected with a status from 400 to 499."""
     epochs: int = 0
     """Epochs of the endpoint list that were begun."""
     epochs_delayed: int = 0
-    """Epochs that readers' claims asked for too soon after others."""
+    """Epochs for readers' claims that the rate limit delayed."""
     fence_raises: int = 0
     notices: int = 0
     """Notices received."""
     slow_closed: int = 0
     """Connections aborted because their peers did not read the answers."""
     busy: int = 0
-    """Calls and connections answered 503."""
+    """Requests and connections answered 503."""
     connections: int = 0
-    """Connections open now."""
+    """Gauge: open connections."""
     write_failures: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class MetricDefinition:
-    """How one field of `ServiceMetrics` is sent."""
+    """The exported name, help text and type of one field of `ServiceMetrics`."""
 
     attribute: str
     name: str
@@ -100,7 +100,7 @@
     "map_holders": "map holders now",
     "map_moving": "map moving now",
 }
-"""Gauges that are read from the service's state, by the name that is sent."""
+"""Help texts of the gauges read from the service's state, by exported name."""
 
 BUDGET_HELP_TEXTS = {
     "whole": "whole of a budget now",
@@ -116,26 +116,26 @@
     "scarce": "scarce of a budget now",
     "shut": "shut of a budget now",
 }
-"""Gauges of each budget, by the name that is sent."""
+"""Help texts of the gauges of each budget, by exported name."""
 
 
 @dataclass(frozen=True, slots=True)
 class GaugeTable:
-    """The same gauges for several things, which a label tells apart."""
+    """A set of gauges that is exported for each value of a label."""
 
     name: str
     """Key in `/_vars`, and part of the names in `/metrics`."""
     label: str
     help_texts: Mapping[str, str]
     read: Callable[[], dict[str, dict[str, int]]]
-    """The gauges by name, by value of the label."""
+    """Returns the gauges by label value, then by name."""
 
 
 class MetricsCollector(Collector):
     """Collects the service's metrics for Prometheus.
 
-    It has a registry of its own: the client library's global one adds metrics of the
-    process, and would be shared by two services in a test.
+    Uses a registry of its own: the client library's global registry adds process
+    metrics, and two services in one test would share it.
     """
 
     def __init__(
@@ -151,11 +151,11 @@
         self.registry.register(self)
 
     def describe(self) -> Iterator[CounterMetricFamily | GaugeMetricFamily]:
-        """Nothing: the library then does not collect at registration."""
+        """Return nothing, so that the library does not collect at registration."""
         return iter(())
 
     def collect(self) -> Iterator[CounterMetricFamily | GaugeMetricFamily]:
-        """All metrics, in the order of the tables."""
+        """Yield all metrics, in the order of the tables."""
         for definition in SERVICE_METRICS:
             family = GaugeMetricFamily if definition.is_gauge else CounterMetricFamily
             value = getattr(self.metrics, definition.attribute)
@@ -166,12 +166,12 @@
             yield from _table_families(table)
 
     def text(self) -> bytes:
-        """The metrics in Prometheus's text format."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
 def service_variables(metrics: ServiceMetrics) -> dict[str, int]:
-    """The service's own metrics by the names that are sent, for `/_vars`."""
+    """Return the service's counters and gauges by exported name, for `/_vars`."""
     return {
         definition.name: getattr(metrics, definition.attribute)
         for definition in SERVICE_METRICS
--- a/rainfall/registry/planner_lease.py
+++ b/rainfall/registry/planner_lease.py
@@ -1,4 +1,7 @@
-"""The lease `shard-planner`: its holder plans new shard maps as members join and leave."""
+"""Holds the lease `shard-planner`, whose holder plans new shard maps.
+
+Maps are planned as members join and leave.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
 
 PLANNER_LEASE_NAME = "shard-planner"
 RETRY_AFTER_LEASES = 10
-"""After the lease was taken away, the service waits for so many terms of it."""
+"""Lease durations to wait before the service acquires a lost lease again."""
 RENEWALS_PER_TERM = 3
 log = logging.getLogger("rainfall.registry")
 
 
 class PlannerLease:
-    """Holds the lease for this service while nobody else does.
+    """Acquires the lease for this service whenever it is free, and renews it.
 
-    An operator who wants the service to plan nothing for a while acquires the lease,
-    once it is free or was revoked, and renews it.
+    To suspend planning, an operator acquires the lease once it is free or revoked, and
+    renews it.
     """
 
     def __init__(self, ttl_us: int) -> None:
@@ -34,9 +37,9 @@
         self._task: asyncio.Task[None] | None = None
 
     def is_held(self, now_us: int) -> bool:
-        """Whether this service holds the lease.
+        """Return whether this service holds the lease.
 
-        Table and clock are this process's own, so no margin for drift is needed.
+        The lease table uses the clock of this process, so no drift margin is needed.
         """
         if self.fleet is None:
             return False
@@ -51,7 +54,7 @@
     def start(self, fleet: FleetCoordinator) -> None:
         """Acquire the lease, and renew it until the service stops."""
         self.fleet = fleet
-        # The epoch names this run of the service: another run is another holder.
+        # The epoch identifies this run of the service: each run is a separate holder.
         self.holder = f"list service, epoch {fleet.table.epoch}"
         self._task = asyncio.get_running_loop().create_task(self._run(fleet))
         fleet.context.on_stop.append(self._stop)
@@ -68,7 +71,7 @@
     async def renew(self, fleet: FleetCoordinator) -> None:
         """Acquire the lease if it is free, or renew it.
 
-        After it was taken away the service waits, so that another can acquire it.
+        After a loss of the lease the service waits, so that another holder can acquire it.
         """
         if fleet.context.now_us() < self.retry_at_us:
             return
@@ -82,7 +85,7 @@
             self.retry_at_us = fleet.context.now_us() + pause_us
             return
         except (OSError, QueueFullError):
-            return  # Counted and logged where it failed.
+            return  # The writer has counted and logged the failure.
         if not isinstance(decision, LeaseGrant):
             return
         if self.token != decision.token:
--- a/rainfall/registry/request_error.py
+++ b/rainfall/registry/request_error.py
@@ -1,4 +1,4 @@
-"""The error of a call that is not carried out."""
+"""The exception of a rejected request."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class RequestError(RainfallError):
-    """A call that is not carried out.
+    """A request that is rejected, or that failed.
 
-    `status` is the HTTP status of the answer; `faults` name each fault with its path.
-    `closes_connection` says that the rest of the request cannot be skipped, so that no
-    further request can be read. `extra_fields` are further fields of the answer.
+    `status` is the HTTP status of the answer; `faults` has one entry for each fault, with
+    its path. `closes_connection` is set if the rest of the request cannot be skipped, so
+    that no further request can be read. `extra_fields` are added to the answer.
     """
 
     def __init__(
--- a/rainfall/registry/request_schemas.py
+++ b/rainfall/registry/request_schemas.py
@@ -1,4 +1,4 @@
-"""What callers of the list service send, as msgspec types."""
+"""Schemas of requests to the list service, as msgspec types, and their parsers."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from rainfall.registry.schema_faults import decode_as, find_faults
 
 MAX_OPERATIONS = 10_000
-"""Operations of one change; the limit of a body's bytes allows about half as many."""
+"""Operations of one change; the limit of body bytes allows only about half as many."""
 VERSION_LIMIT = 1 << 53
-"""Versions are below this: JSON readers hold integers up to here exactly."""
+"""Versions are below this: JSON parsers represent integers up to 2**53 exactly."""
 T = TypeVar("T")
 
 ShortText = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -40,13 +40,13 @@
 
 
 class Drain(Struct, tag_field="op", tag="drain"):
-    """Let an endpoint finish what it has, and send it nothing new."""
+    """Drain an endpoint: it finishes its current messages and receives no new ones."""
 
     host: ShortText
 
 
 class Remove(Struct, tag_field="op", tag="remove"):
-    """Take an endpoint from the list."""
+    """Remove an endpoint from the list."""
 
     host: ShortText
 
@@ -70,8 +70,8 @@
 class ListQuery(Struct, rename={"since": "from"}):
     """The query of a read of the list.
 
-    `since` and `epoch` are the version that the reader has; `hold_ms` is how long to
-    wait for a newer one.
+    `since` and `epoch` are the reader's version and epoch; `hold_ms` is how long to wait
+    for a newer version.
     """
 
     since: Version | None = None
@@ -80,34 +80,34 @@
 
 
 class NoticesQuery(Struct, rename={"since": "from", "limit": "most"}):
-    """The query of a read of stored notices: from which number on, and how many."""
+    """The query of a read of stored notices: the first number, and how many."""
 
     since: Version = 0
     limit: Annotated[int, Meta(ge=1)] = 1_000
 
 
 class RaiseEpochRequest(Struct):
-    """The body that raises epoch and fence past a number; 0: past those in force."""
+    """The body that raises epoch and fence past a number; 0: past the current ones."""
 
     above: Version = 0
 
 
 class Notice(Struct):
-    """What every notice must have; its other fields are stored as they came."""
+    """The required field of a notice; other fields are stored unchanged."""
 
     id: str
 
 
 class RequestedChange(NamedTuple):
-    """The checked body of a change."""
+    """The validated body of a change."""
 
     operations: list[Operation]
     id: str
-    """Empty if the caller gave none."""
+    """The client's id of the change; empty if it gave none."""
 
 
 def parse_query(query: Mapping[str, str], schema: type[T]) -> T:
-    """A query string as a value of the type `schema`; empty values count as absent.
+    """Parse a query string as the type `schema`; empty values count as absent.
 
     Raises:
         RequestError: 400 with every fault.
@@ -117,7 +117,7 @@
 
 
 def parse_change(body: Any) -> RequestedChange:
-    """The operations and the id of a change.
+    """Parse the operations and the id of a change.
 
     Raises:
         RequestError: 400 with every fault.
@@ -156,10 +156,10 @@
 
 
 def parse_notices(body: bytes) -> list[dict[str, Any]]:
-    """The notices of a post, which has a JSON object on each line.
+    """Parse the notices of a post, one JSON object on each line; skips empty lines.
 
     Raises:
-        RequestError: 400 with every line that cannot be read.
+        RequestError: 400 with every invalid line.
     """
     notices: list[dict[str, Any]] = []
     faults: list[str] = []
--- a/rainfall/registry/schema_faults.py
+++ b/rainfall/registry/schema_faults.py
@@ -1,7 +1,7 @@
-"""Converts plain JSON values to msgspec types, and names every fault with its path.
+"""Converts JSON values to msgspec types, and reports every fault with its path.
 
-msgspec stops at the first fault; here the parts of a value that does not convert are
-converted one by one, and the fault of each is kept.
+msgspec stops at the first fault. For a value that does not convert, this module converts
+its parts separately and collects the faults of each.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class _Part(NamedTuple):
-    """A value within another, the type that it must have, and its path."""
+    """A nested value, its expected type, and its path."""
 
     value: Any
     schema: Any
@@ -28,7 +28,7 @@
 
 
 def decode_as(raw: Any, schema: type[T], strict: bool = True) -> T:
-    """`raw` as a value of the type `schema`.
+    """Convert `raw` to the type `schema`.
 
     Raises:
         RequestError: 400 with every fault.
@@ -40,7 +40,7 @@
 
 
 def find_faults(raw: Any, schema: Any, path: str, strict: bool = True) -> list[str]:
-    """Every fault of `raw` against a msgspec type, each with its path."""
+    """Return every fault of `raw` against a msgspec type, each with its path."""
     try:
         msgspec.convert(raw, schema, strict=strict)
         return []
@@ -51,7 +51,7 @@
 
 
 def _nested_faults(raw: Any, schema: Any, path: str, strict: bool) -> list[str]:
-    """The faults of the parts of `raw`."""
+    """Return the faults of the parts of `raw`."""
     schema = _plain_type(schema)
     if isinstance(schema, type) and issubclass(schema, Struct):
         return _struct_faults(raw, schema, path, strict)
@@ -62,9 +62,9 @@
 
 
 def _plain_type(schema: Any) -> Any:
-    """The type without its bounds, and without None.
+    """Return the type without its constraints and without None.
 
-    `X | None` is the only union among the types of requests.
+    `X | None` is the only union among the request types.
     """
     while typing.get_origin(schema) is Annotated or isinstance(schema, types.UnionType):
         schema = typing.get_args(schema)[0]
@@ -88,7 +88,7 @@
 
 
 def _collection_parts(raw: Any, schema: Any, path: str) -> Iterator[_Part]:
-    """The values of a list or of a map."""
+    """Yield the values of a list or of a dict, with their types and paths."""
     origin = typing.get_origin(schema)
     if origin is list and isinstance(raw, list):
         (item_schema,) = typing.get_args(schema)
--- a/rainfall/registry/server.py
+++ b/rainfall/registry/server.py
@@ -1,4 +1,4 @@
-"""The list service: its state, its addresses, and its shutdown."""
+"""The list service with its addresses, startup and shutdown."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 
 
 class RegistryServer(ServiceContext):
-    """The service with its addresses. Call `listen` for each, then `stop` once."""
+    """The service with its addresses.
+
+    Call `listen` for each address, then `stop` once.
+    """
 
     def __init__(
         self,
@@ -48,9 +51,9 @@
         writable: bool,
         extra_routes: Iterable[web.RouteDef] = (),
     ) -> int:
-        """Open the discovery address, or the write address, and return the port.
+        """Open the write address if `writable`, else the discovery address; return the port.
 
-        `extra_routes` are those of heartbeat extensions.
+        `extra_routes` are the routes of heartbeat extensions.
 
         Raises:
             OSError: The address cannot be opened.
@@ -73,7 +76,7 @@
         """Start the fleet, before the write address is opened.
 
         Raises:
-            DamagedStateError: The fleet's log cannot be read as it was written.
+            DamagedStateError: The fleet's log is damaged.
             OSError: The log cannot be read or written.
         """
         self.fleet = FleetCoordinator(
@@ -106,10 +109,10 @@
         return await listener.open(host, port)
 
     async def stop(self) -> bool:
-        """Accept nothing more, end all watches, finish all writes, and close.
+        """Stop accepting connections, end all watches, finish all writes, and close.
 
-        False if the disk did not finish in time: callers that still wait are then told
-        that the outcome is unknown.
+        Returns False if the writes did not finish in time: waiting callers are then
+        answered that the outcome is unknown.
         """
         for listener in self.listeners:
             listener.stop_accepting()
--- a/rainfall/registry/service_context.py
+++ b/rainfall/registry/service_context.py
@@ -1,6 +1,6 @@
-"""What all addresses of the list service share.
+"""The state that all addresses of the list service share.
 
-That is the endpoint registry and its writer, watches, epochs and the fence, notices,
+It comprises the endpoint registry and its writer, watches, epochs, the fence, notices,
 metrics, and the shutdown.
 """
 
@@ -37,7 +37,10 @@
 from rainfall.registry.storage import Storage, log_write_failure
 
 MAX_CACHED_ANSWER_BYTES = 64 * 1024 * 1024
-"""Encoded answers cached until the next change: seven lists of 44,000 endpoints."""
+"""Bytes of encoded answers cached until the next change.
+
+Room for seven lists of 44,000 endpoints.
+"""
 log = logging.getLogger("rainfall.registry")
 
 
@@ -47,14 +50,14 @@
 
 
 def monotonic_us() -> int:
-    """Microseconds of the process's monotonic clock."""
+    """Monotonic time in microseconds."""
     return time.monotonic_ns() // 1_000
 
 
 class ServiceContext:
-    """The state of the service, and what its addresses ask of it.
+    """The shared state of the service, and the operations on it.
 
-    `now_ms` is the wall clock, which only makes new versions higher than old ones;
+    `now_ms` is the wall clock, used only to prepare new versions higher than old ones;
     `now_us` is a monotonic clock.
     """
 
@@ -74,7 +77,7 @@
         self.metrics = ServiceMetrics()
         self.gauge_tables: list[GaugeTable] = []
         self.gauge_sources: list[Callable[[], dict[str, int]]] = []
-        """Gauges of the parts built on this service, by the name that is sent."""
+        """Functions that return further gauges, by exported name."""
         self.metrics_collector = MetricsCollector(
             self.metrics, self.gauges, self.gauge_tables
         )
@@ -103,7 +106,7 @@
         self._answer_bytes = 0
 
     def encoded_answer(self, since: int | None, epoch: int | None) -> bytes:
-        """The answer to a reader, encoded once for all readers with the same answer."""
+        """Return the encoded answer to a reader, cached for readers of the same version."""
         has_delta = (
             since is not None and self.registry.floor <= since <= self.registry.seq
         )
@@ -111,20 +114,20 @@
         if key not in self._answers:
             answer = msgspec.json.encode(self.registry.answer_for(since, epoch))
             if self._answer_bytes + len(answer) > MAX_CACHED_ANSWER_BYTES:
-                self._forget_answers()
+                self._clear_answer_cache()
             self._answers[key] = answer
             self._answer_bytes += len(answer)
         return self._answers[key]
 
-    def _forget_answers(self) -> None:
+    def _clear_answer_cache(self) -> None:
         self._answers.clear()
         self._answer_bytes = 0
 
     async def hold_watch(self, changed: asyncio.Future[None], hold_ms: int) -> None:
-        """Wait until `changed` is done, or the time is over.
+        """Wait until `changed` completes, or `hold_ms` has passed.
 
-        The caller takes `changed` with no await since it checked that nothing is new,
-        so that no change is missed. A watcher that disconnects is cancelled here.
+        The caller must not await between its check for changes and taking `changed`, or
+        it could miss a change. The disconnect of a watcher cancels the wait.
 
         Raises:
             RequestError: 503, too many watches are held.
@@ -144,7 +147,7 @@
 
     def wake_watchers(self) -> None:
         """End all watches of the endpoint list."""
-        self._forget_answers()
+        self._clear_answer_cache()
         changed = self.list_changed
         self.list_changed = asyncio.get_running_loop().create_future()
         changed.set_result(None)
@@ -173,20 +176,20 @@
         self.metrics.write_failures += 1
 
     async def begin_history(self) -> None:
-        """Begin a history on an empty folder, as an operator asked for.
+        """Initialize an empty state folder, as requested by an operator.
 
         Raises:
-            OSError: It could not be stored.
+            OSError: The initial epoch could not be stored.
         """
         await self.writer.submit(
             ChangeRequest(lambda _: self.registry.initial_epoch(self.now_ms()), True)
         )
 
     async def begin_epoch(self, past_version: int = 0, past_epoch: int = 0) -> None:
-        """Begin an epoch past a version and an epoch; it is stored when this returns.
+        """Begin an epoch past a version and an epoch, and store it.
 
         Raises:
-            OSError: It could not be stored.
+            OSError: The epoch could not be stored.
         """
         await self.writer.submit(
             ChangeRequest(
@@ -198,14 +201,14 @@
         )
 
     async def raise_fence(self, above: int) -> int:
-        """Raise the fence past `above` if it is not, and return the fence once stored.
+        """Raise the fence past `above` unless it is already, store it, and return it.
 
-        Members raise it by the tokens they have seen, and operators; readers of the
-        list never do.
+        The fence is raised for tokens that members have seen, and by operators, but never
+        for readers of the list.
 
         Raises:
-            RequestError: 422, `above` is further ahead than any fence can be.
-            OSError: It could not be stored.
+            RequestError: 422, `above` exceeds the fence by more than `MAX_EPOCH_JUMP`.
+            OSError: The fence could not be stored.
         """
         await self.writer.submit(
             ChangeRequest(lambda _: self.registry.raise_fence(above), True)
@@ -213,24 +216,25 @@
         return self.registry.fence
 
     async def apply_change(
-        self, body: Any, digest: str, match: int | None
+        self, body: Any, digest: str, expected_version: int | None
     ) -> Change | int:
-        """Store a change; returns it, or the version in force where it alters nothing.
+        """Store a change and return it; or return a version if the change alters nothing.
 
-        `digest` is that of the body, `match` the version that must be in force.
+        `digest` is the digest of the body. `expected_version`, unless None, must be the
+        version in force.
 
         Raises:
             RequestError: The change is rejected.
-            QueueFullError: Too much waits to be written.
-            OSError: It could not be stored.
+            QueueFullError: The write queue is full.
+            OSError: The change could not be stored.
         """
 
-        def make(pending: PendingChanges) -> Change | int:
-            if match is not None and match != pending.seq:
+        def prepare(pending: PendingChanges) -> Change | int:
+            if expected_version is not None and expected_version != pending.seq:
                 raise RequestError(412, [f"version {pending.seq} is in force"])
             return self.registry.prepare(body, digest, pending)
 
-        return await self.writer.submit(ChangeRequest(make))
+        return await self.writer.submit(ChangeRequest(prepare))
 
     async def _write_notices(
         self, batch: list[QueuedItem[list[dict[str, Any]]]]
@@ -245,7 +249,7 @@
             log_write_failure("notices not kept", error, count=len(notices))
 
     def gauges(self) -> dict[str, int]:
-        """All gauges that are read from the state, by the name that is sent."""
+        """Return all gauges that are read from the state, by exported name."""
         gauges: dict[str, int] = {}
         for read_gauges in self.gauge_sources:
             gauges.update(read_gauges())
@@ -262,14 +266,14 @@
         }
 
     def snapshot_variables(self) -> dict[str, Any]:
-        """The content of `/_vars`."""
+        """Return the content of `/_vars`."""
         tables = {table.name: table.read() for table in self.gauge_tables}
         return {**self.gauges(), **service_variables(self.metrics), **tables}
 
     async def finish(self) -> bool:
-        """End all watches and write what was asked for.
+        """End all watches and finish the pending writes.
 
-        Returns False if the disk did not finish in time.
+        Returns False if the writes did not finish within `Limits.shutdown_timeout_s`.
         """
         self.stopping = True
         self.epoch_claims.stop()
--- a/rainfall/registry/shard_map_api.py
+++ b/rainfall/registry/shard_map_api.py
@@ -1,4 +1,4 @@
-"""The shard map over HTTP: read, replace, move a range, and who holds what meanwhile."""
+"""HTTP routes of the shard map: read, replace, move a range, and migration status."""
 
 from __future__ import annotations
 
@@ -33,18 +33,19 @@
 async def put_map(
     fleet: FleetCoordinator,
     maps: ShardMapExtension,
-    make: Callable[[], Any],
-    why: str,
-    match: int | None,
+    make_map: Callable[[], Any],
+    reason: str,
+    expected_generation: int | None,
 ) -> bool:
-    """Put the map that `make` returns, as decoded from JSON, in force.
+    """Store the map that `make_map` returns, as decoded from JSON, and put it in force.
 
-    It is durable when this returns; False if it was in force already.
+    `reason` is stored and logged with the map. Returns False if the map was in force
+    already.
 
     Raises:
-        RequestError: 412 where `match` is not the generation in force, 422 with every
-            fault of the map.
-        QueueFullError: Too much waits to be written.
+        RequestError: 412 if `expected_generation` is not the generation in force, 422
+            with every fault of the map.
+        QueueFullError: The write queue is full.
         OSError: The map could not be stored.
     """
     changed = False
@@ -53,23 +54,23 @@
         nonlocal changed
         current = maps.migration.map
         generation = _generation(current)
-        if match is not None and match != generation:
+        if expected_generation is not None and expected_generation != generation:
             raise RequestError(412, [f"generation {generation} is in force"])
         members = {member.name for member in fleet.roster.active_members()}
         new, faults = evaluate_update(
-            make(), members, current, MAX_MOVED_SHARE, KEY_BITS
+            make_map(), members, current, MAX_MOVED_SHARE, KEY_BITS
         )
         if faults:
             raise RequestError(422, [str(fault) for fault in faults])
         changed = new is not None
-        return [] if new is None else [{"put": new.to_wire(), "why": why}]
+        return [] if new is None else [{"put": new.to_wire(), "why": reason}]
 
     await fleet.apply_rows(maps.name, rows)
     return changed
 
 
 def routes(fleet: FleetCoordinator, maps: ShardMapExtension) -> list[web.RouteDef]:
-    """The write address: the reads, and the changes."""
+    """Return the routes of the write address: the reads and the changes."""
 
     async def put(request: web.Request) -> web.StreamResponse:
         try:
@@ -91,10 +92,14 @@
         return await _put(request, moved_map, "moved by hand")
 
     async def _put(
-        request: web.Request, make: Callable[[], Any], why: str
+        request: web.Request, make_map: Callable[[], Any], reason: str
     ) -> web.StreamResponse:
-        match = parse_version(request.headers.get("If-Match", ""), "If-Match")
-        changed = await await_stored(put_map(fleet, maps, make, why, match))
+        expected_generation = parse_version(
+            request.headers.get("If-Match", ""), "If-Match"
+        )
+        changed = await await_stored(
+            put_map(fleet, maps, make_map, reason, expected_generation)
+        )
         generation = _generation(maps.stored_map)
         return json_response(
             200,
@@ -110,7 +115,7 @@
 
 
 def read_routes(fleet: FleetCoordinator, maps: ShardMapExtension) -> list[web.RouteDef]:
-    """The map in force, and its migration: at the fleet's and the write address."""
+    """Return the read routes of the map and its migration, served at both addresses."""
 
     async def show(_: web.Request) -> web.StreamResponse:
         if maps.stored_map is None:
@@ -132,28 +137,28 @@
 def _map_with_moved_range(
     current: ShardMap, first: int, last: int, owner: str
 ) -> dict[str, Any]:
-    """The next generation, in which `owner` has the keys from `first` to `last`."""
-    cells = [(first, last, owner)]
+    """Return the next generation, with the keys from `first` to `last` moved to `owner`."""
+    new_ranges = [(first, last, owner)]
     for part in current.ranges:
         if part.first < first:
-            cells.append((part.first, min(part.last, first - 1), part.owner))
+            new_ranges.append((part.first, min(part.last, first - 1), part.owner))
         if part.last > last:
-            cells.append((max(part.first, last + 1), part.last, part.owner))
+            new_ranges.append((max(part.first, last + 1), part.last, part.owner))
     return {
         "generation": current.generation + 1,
         "ranges": [
             {
-                "from": format_key(cell_first),
-                "to": format_key(cell_last),
-                "owner": cell_owner,
+                "from": format_key(new_first),
+                "to": format_key(new_last),
+                "owner": new_owner,
             }
-            for cell_first, cell_last, cell_owner in sorted(cells)
+            for new_first, new_last, new_owner in sorted(new_ranges)
         ],
     }
 
 
 def _migration_fields(maps: ShardMapExtension, now_us: int) -> dict[str, Any]:
-    """Who holds which ranges, and which of them are to move."""
+    """Return the holders of ranges, and the ranges still to be moved, in wire format."""
     migration = maps.migration
     return {
         "generation": _generation(maps.stored_map),
@@ -188,17 +193,17 @@
 
 
 def _parse_move(call: Any) -> tuple[int, int, str]:
-    """The range and the new owner of a move.
+    """Parse the first key, the last key and the new owner of a move.
 
     Raises:
         RequestError: 400 with every fault.
     """
     if not isinstance(call, dict):
         raise RequestError(400, ["an object with from, to and owner"])
-    ends = parse_key(call.get("from")), parse_key(call.get("to"))
+    keys = parse_key(call.get("from")), parse_key(call.get("to"))
     faults = [
         f"{name}: 16 lower-case hexadecimal digits"
-        for name, key in zip(("from", "to"), ends, strict=True)
+        for name, key in zip(("from", "to"), keys, strict=True)
         if key is None
     ]
     if not isinstance(call.get("owner"), str):
@@ -206,7 +211,7 @@
     faults += [
         f"{name}: not known" for name in sorted(set(call) - {"from", "to", "owner"})
     ]
-    first, last = ends
+    first, last = keys
     if faults or first is None or last is None or first > last:
         raise RequestError(400, faults or ["to: before from"])
     return first, last, call["owner"]
--- a/rainfall/registry/shard_map_extension.py
+++ b/rainfall/registry/shard_map_extension.py
@@ -1,8 +1,8 @@
 """The shard map in heartbeats: members report their map, and receive their ranges.
 
-`shard.migration` decides who holds which range. A hold that it grants in memory is sent
-only once it is stored, with all that it depends on. A map comes into force in `commit`,
-once its row is stored.
+`shard.migration` decides which member holds which range. A hold granted in memory is sent
+only once it is stored together with the state it depends on. A map comes into force in
+`commit`, once its row is stored.
 """
 
 from __future__ import annotations
@@ -42,16 +42,16 @@
 )
 
 MAX_PLANNED_RANGES = 8_192
-"""Ranges of a map that the service plans: written out it fits a request's body."""
+"""Ranges of a planned map, so that its JSON fits the limit of a request's body."""
 REPLAN_INTERVAL_US = 250_000
-"""The least time between two tries of what the planner could not do yet."""
+"""The least interval between two attempts to plan a map."""
 LOGGED_RANGES = 16
-"""Ranges of one member that a log line names."""
+"""Ranges of one member listed in a log line."""
 log = logging.getLogger("rainfall.registry")
 
 
-class _WritingState(NamedTuple):
-    """What the rows of a plan that is being written hold."""
+class _PlanInFlight(NamedTuple):
+    """The content of the plan that is being written."""
 
     changed_tokens: set[Token]
     map: ShardMap | None
@@ -65,7 +65,7 @@
 class ShardMapExtension(BaseHeartbeatExtension):
     """The shard map of the fleet.
 
-    `lease_us` is the longest lease there may be. `is_planner` says whether this process
+    `lease_us` is the longest possible lease. `is_planner` returns whether this process
     holds the lease `shard-planner` at a time; without it the service plans no maps.
     """
 
@@ -83,18 +83,18 @@
         self.auto_planner = auto_planner or AutoPlanner()
         self.migration = MigrationCoordinator(None, 0)
         self.stored_map: ShardMap | None = None
-        """The map in force as it is stored; no other is sent."""
+        """The stored map in force; no other map is sent."""
         self._epoch = 0
         self._next_plan_us: int | None = None
         self._change_count = 0
-        """Changes of holds and maps in memory."""
+        """Number of changes of holds and maps in memory."""
         self._planned_count = 0
-        """How many of them the last plan has."""
+        """How many changes the last plan includes."""
         self._stored_count = 0
-        """How many of them are stored."""
+        """How many changes are stored."""
         self._changed_tokens: set[Token] = set()
-        """Tokens whose holds changed after the last plan."""
-        self._in_flight = _WritingState(set(), None)
+        """Tokens whose holds have changed since the last plan."""
+        self._in_flight = _PlanInFlight(set(), None)
         self._encoded_map = _EncodedMap(None, msgspec.Raw())
 
     def epoch_raised(self, epoch: int) -> None:
@@ -107,7 +107,7 @@
     ) -> None:
         """Restore map and holds; see `HeartbeatExtension`.
 
-        Where the state may be an older copy, nothing is granted for the longest lease.
+        If the state may be an older copy, no range is granted for the longest lease.
         """
         raw: dict[str, Any] = dict(
             snapshot or {"map": None, "number": 0, "holders": []}
@@ -137,7 +137,7 @@
                 self.migration.lease_renewed(member.token, member.name, until_us)
 
     def find_faults(self, body: Mapping[str, Any]) -> list[str]:
-        """The faults of `map`, `digest` and `gave`."""
+        """Return the faults of the heartbeat fields `map`, `digest` and `gave`."""
         if "map" not in body:
             return [
                 f"{name}: without map" for name in ("digest", "gave") if name in body
@@ -191,12 +191,12 @@
         token: Token,
         body: Mapping[str, Any],
     ) -> HeartbeatResult:
-        """Let the migration handle a member's report, and answer with its ranges.
+        """Pass a member's report to the migration, and answer with the member's ranges.
 
-        A member that reports no map takes no part, and is granted nothing.
+        A member that reports no map does not take part in sharding.
 
         Raises:
-            RequestError: 409, a later heartbeat was answered already.
+            RequestError: 409, a later heartbeat was already answered.
         """
         if "map" not in body:
             return HeartbeatResult(False, False, dict)
@@ -209,10 +209,10 @@
                 token, body["sent"], generation, digest, given_up, now_us
             )
         except StaleHeartbeatError:
-            raise _late_heartbeat_error() from None
+            raise _stale_heartbeat_error() from None
         if answer.changed:
             self._mark_changed({token})
-        # The answer depends on the member's own holds and on the map that it names.
+        # The answer depends on the member's own holds and on the map in it.
         depends_on_unstored = (
             token in self._changed_tokens
             or token in self._in_flight.changed_tokens
@@ -228,10 +228,10 @@
     def _answer_fields(
         self, answer: HoldsAnswer, held_map: tuple[int, int], required_count: int
     ) -> dict[str, Any]:
-        """The fields of an answer, once so many changes are stored.
+        """Return the fields of an answer that depends on the first `required_count` changes.
 
         Raises:
-            OSError: They are not.
+            OSError: Not all of those changes are stored.
         """
         if required_count > self._stored_count:
             raise OSError("what holds now is not on disk yet")
@@ -252,7 +252,7 @@
         return fields
 
     def encoded_map(self) -> msgspec.Raw:
-        """The map in force as it is stored and sent, encoded once."""
+        """Return the encoding of the stored map in force, cached until the next map."""
         stored = self.stored_map
         if stored is not None and self._encoded_map.map is not stored:
             encoding = msgspec.Raw(msgspec.json.encode(stored.to_wire()))
@@ -260,7 +260,7 @@
         return self._encoded_map.encoding
 
     def plan(self, now_us: int, frozen: bool, members: list[Member]) -> list[Row]:
-        """Rows of changed holds, and of a new map; see `HeartbeatExtension`."""
+        """Return rows of changed holds and of a new map; see `HeartbeatExtension`."""
         expired = self.migration.expire(now_us)
         if expired:
             self._mark_changed(set(expired))
@@ -269,7 +269,7 @@
         if self._changed_tokens or current is not self.stored_map:
             rows.append(self._holds_row(current))
         self._planned_count = self._change_count
-        self._in_flight = _WritingState(self._changed_tokens, current)
+        self._in_flight = _PlanInFlight(self._changed_tokens, current)
         self._changed_tokens = set()
         self._next_plan_us = self.migration.next_expiry_us()
         if self.is_planner is not None:
@@ -278,7 +278,7 @@
         return rows
 
     def _holds_row(self, current: ShardMap | None) -> Row:
-        """The changed holds, and the map in force if it is not stored yet."""
+        """Return a row of the changed holds, and of the map in force if it is not stored."""
         row: Row = {
             "number": self.migration.last_token_number,
             "holders": [
@@ -292,7 +292,7 @@
     def _plan_map(
         self, now_us: int, frozen: bool, members: list[Member], is_planner: bool
     ) -> list[Row]:
-        """A map for members that have joined or left for good, if one is due."""
+        """Return the row of a new map if one is due for members that joined or left."""
         self.auto_planner.observe_members(
             {member.name: 1.0 for member in members}, now_us
         )
@@ -311,7 +311,7 @@
         if wanted is None:
             return []
         if not owners:
-            # Nobody has keys yet, so new members need not wait for theirs.
+            # No member owns keys yet, so new members need not wait for theirs.
             wanted = {member.name: 1.0 for member in members}
         try:
             planned_map = map_planning.plan_map(
@@ -344,7 +344,7 @@
         return self._next_plan_us
 
     def commit(self, now_us: int, row: Row) -> None:
-        """Put a stored map in force, or let stored holds be sent."""
+        """Put a stored map in force, or make stored holds available to answers."""
         if "put" in row:
             self._commit_map(now_us, row)
         else:
@@ -354,8 +354,8 @@
         new = checked_map(row["put"])
         before = self.migration.map
         if before is not None and new.generation <= before.generation:
-            # A member has reported a later generation meanwhile: the new map goes past
-            # it, and the next plan stores it as it then is.
+            # A member has reported a later generation since the plan: the new map gets
+            # the next generation, and the next plan stores it with that one.
             new = ShardMap(before.generation + 1, new.ranges)
             self.migration.install_map(new)
             self._mark_changed(set())
@@ -375,7 +375,7 @@
 
     def _commit_holds(self, row: Row) -> None:
         planned_map = self._in_flight.map
-        self._in_flight = _WritingState(set(), None)
+        self._in_flight = _PlanInFlight(set(), None)
         self._stored_count = self._planned_count
         if "map" in row:
             self.stored_map = planned_map
@@ -395,16 +395,18 @@
             )
 
     def abandon(self, row: Row) -> None:
-        """Let the next plan store the holds again."""
+        """Include the holds in the next plan again."""
         if "put" not in row:
             self._changed_tokens |= self._in_flight.changed_tokens
-            self._in_flight = _WritingState(set(), None)
+            self._in_flight = _PlanInFlight(set(), None)
 
     def concerned_members(self, row: Row) -> Collection[str] | None:
-        """All members for a map; the owners of free ranges for changed holds."""
+        """Return all members for a map, the owners of free ranges for changed holds."""
         if "put" in row or "map" in row:
             return None
-        return [owner for owner, spans in self.migration.free.items() if spans]
+        return [
+            owner for owner, free_ranges in self.migration.free.items() if free_ranges
+        ]
 
     def _mark_changed(self, tokens: set[Token]) -> None:
         self._change_count += 1
@@ -415,7 +417,7 @@
         return self.migration.to_snapshot()
 
     def gauges(self) -> dict[str, int]:
-        """The map's gauges, by the name that is sent."""
+        """Return the map's gauges, by exported name."""
         holders = self.migration.holders.values()
         gauges = {
             "map_generation": 0,
@@ -442,7 +444,7 @@
     return faults
 
 
-def _late_heartbeat_error() -> RequestError:
+def _stale_heartbeat_error() -> RequestError:
     error = RequestError(
         409, ["sent: a later beat was answered already; nothing was done on this one"]
     )
@@ -451,5 +453,5 @@
 
 
 def _log_plan_error(error: PlanError) -> None:
-    """Without a traceback: the error says which map cannot be planned."""
+    """Log the error without a traceback; its message names the fault of the map."""
     log.error("no map planned", extra={"why": str(error)})
--- a/rainfall/registry/storage.py
+++ b/rainfall/registry/storage.py
@@ -1,7 +1,7 @@
-"""The list service's state folder: a snapshot, the log of changes, and the notices.
+"""The list service's state folder: a snapshot, the change log, and the notices.
 
-All access goes through `journal.files.FileSystem`, so that tests can fail any step.
-docs/parts/registry.md, "On disk", has the format.
+All access goes through `journal.files.FileSystem`, so that tests can inject failures.
+docs/parts/registry.md, "On disk", describes the format.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from rainfall.registry.endpoint_registry import Change, EndpointRegistry
 
 SNAPSHOT_AFTER_LINES = 1_000
-"""Lines of the change log before the snapshot is written again."""
+"""Lines of the change log that trigger a new snapshot."""
 MAX_NOTICES_PER_FILE = 50_000
-"""Lines of one file of notices; the file before it is kept too."""
+"""Lines of one notice file; the previous file is kept too."""
 MAX_CACHED_NOTICES = 10_000
-"""Notices in memory, for operators to read."""
+"""Recent notices kept in memory for reads by operators."""
 CHECKSUM_CHARACTERS = 8
 SYNCS_PER_REPLACEMENT = 2
-"""Syncs of one replaced file: of the file, and of its folder."""
+"""Syncs to replace a file: one of the file, one of its folder."""
 log = logging.getLogger("rainfall.registry")
 
 
@@ -38,25 +38,25 @@
 
     rows: list[dict[str, Any]]
     size_bytes: int
-    """Their length in the file, without a torn last line."""
+    """The length of the complete lines in the file, without a torn last line."""
 
 
 def log_write_failure(event: str, error: OSError, **details: Any) -> None:
-    """Log a write that failed, without a traceback: the error says enough."""
+    """Log a failed write without a traceback: the `OSError` text is sufficient."""
     log.error(event, extra={"why": str(error), **details})
 
 
 def encode_line(raw: dict[str, Any]) -> bytes:
-    """A line of a log: its checksum, a space, and the row as JSON."""
+    """Encode a row as a log line: CRC-32 in hex, a space, and JSON."""
     text = json.dumps(raw, separators=(",", ":")).encode()
     return b"%08x %s\n" % (zlib.crc32(text), text)
 
 
 def decode_lines(data: bytes, name: str) -> DecodedLines:
-    """The complete lines of a log; a torn last line is left out.
+    """Decode the complete lines of the log file `name`; a torn last line is skipped.
 
     Raises:
-        DamagedStateError: A line before the last is damaged. `name` is the file's.
+        DamagedStateError: A line before the last is damaged.
     """
     rows: list[dict[str, Any]] = []
     size_bytes = 0
@@ -68,7 +68,7 @@
         )
         if not is_intact:
             if number == len(parts) - 1:
-                break  # The last line was being written when the process ended.
+                break  # The process ended while it wrote the last line.
             raise DamagedStateError(f"{name} line {number} is damaged")
         rows.append(json.loads(text))
         size_bytes += len(part) + 1
@@ -76,7 +76,7 @@
 
 
 class RecordLog:
-    """One file of lines.
+    """A file of checksummed JSON rows, one on each line.
 
     Call `load` once, then `append`, `clear` and `rewrite`, one at a time.
     """
@@ -90,7 +90,7 @@
         self.row_count = 0
         self.sync_count = 0
         self.has_dirty_tail = False
-        """Whether bytes of a failed append may stand after `size`."""
+        """Whether the file may have bytes of a failed append after `size`."""
 
     def load(self) -> list[dict[str, Any]]:
         """Open the file, cut off a torn last line, and return the rows.
@@ -107,15 +107,15 @@
         self.fd = self.files.open(self.path)
         self.files.truncate(self.fd, self.size)
         if not existed:
-            # A name that is not synced is lost when the power fails.
+            # Without a sync of the folder the new file's name may be lost on power failure.
             self.files.sync_directory(self.path.parent)
         return decoded.rows
 
     def append(self, rows: list[dict[str, Any]]) -> None:
-        """Write rows and sync once.
+        """Append rows and sync once.
 
         Raises:
-            OSError: The log is as it was.
+            OSError: The write failed; the log is unchanged.
         """
         data = b"".join(map(encode_line, rows))
         try:
@@ -134,7 +134,7 @@
         self.row_count += len(rows)
 
     def clear(self) -> None:
-        """Remove all rows, which are stored elsewhere now."""
+        """Remove all rows, after they were stored in a snapshot."""
         self.files.truncate(self.fd, 0)
         self.files.sync(self.fd)
         self.sync_count += 1
@@ -142,10 +142,10 @@
         self.row_count = 0
 
     def rewrite(self, rows: list[dict[str, Any]]) -> None:
-        """Replace all rows by these.
+        """Replace all rows by `rows`.
 
         Raises:
-            OSError: The log is as it was.
+            OSError: The write failed; the log is unchanged.
         """
         data = b"".join(map(encode_line, rows))
         fd = replace_file(self.files, self.path, data)
@@ -160,7 +160,8 @@
     """Write a new file, rename it over the old one, and return its descriptor.
 
     Raises:
-        OSError: The old file is as it was.
+        OSError: The write failed; the old file is unchanged, unless the folder's sync
+            failed after the rename.
     """
     new = path.with_name(path.name + ".new")
     fd = files.open(new, anew=True)
@@ -203,16 +204,16 @@
         )
 
     def is_empty(self) -> bool:
-        """Whether the folder holds no endpoint list. It is not changed."""
+        """Return whether the folder has no endpoint list; changes nothing on disk."""
         log_path = self.change_log.path
         has_changes = log_path.exists() and self.files.size(log_path) > 0
         return not self.snapshot_path.exists() and not has_changes
 
     def load(self) -> tuple[EndpointRegistry, bool]:
-        """The state on disk, and whether there was any.
+        """Load the state on disk, and return it and whether there was any.
 
         Raises:
-            DamagedStateError: A file cannot be read as it was written.
+            DamagedStateError: A file is damaged.
             OSError: A file cannot be read.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -236,23 +237,24 @@
         return registry, had_snapshot or bool(changes)
 
     def append_changes(self, changes: list[Change]) -> None:
-        """Append changes and sync once.
+        """Append changes to the change log and sync once.
 
         Raises:
-            OSError: The log is as it was.
+            OSError: The write failed; the log is unchanged.
         """
         self.change_log.append([change.to_row() for change in changes])
 
     def snapshot_due(self) -> bool:
-        """Whether the change log has grown enough for a snapshot."""
+        """Return whether the change log has grown enough for a snapshot."""
         return self.change_log.row_count >= SNAPSHOT_AFTER_LINES
 
     def write_snapshot(self, registry: EndpointRegistry) -> None:
         """Write the whole state, then clear the change log.
 
         Raises:
-            OSError: The old snapshot and the log are as they were, or the new snapshot
-                stands and the log was not cleared, which does no harm.
+            OSError: Either the old snapshot and the log are unchanged, or the new
+                snapshot is in place and the log was not cleared. The latter is harmless:
+                `load` skips the changes that the snapshot has.
         """
         data = json.dumps(registry.snapshot()).encode()
         fd = replace_file(self.files, self.snapshot_path, data)
@@ -270,10 +272,10 @@
             self.next_notice_number = self.recent_notices[-1]["n"] + 1
 
     def append_notices(self, notices: list[dict[str, Any]], at_ms: int) -> None:
-        """Write notices as they came, numbered, and sync them.
+        """Store notices unchanged, each with a number and the time, and sync once.
 
         Raises:
-            OSError: None of them is stored.
+            OSError: The write failed; none of the notices is stored.
         """
         if self.notice_log.row_count >= MAX_NOTICES_PER_FILE:
             self._begin_notices_file()
@@ -286,7 +288,7 @@
         self.recent_notices.extend(rows)
 
     def _begin_notices_file(self) -> None:
-        """Keep the full file beside a new one, in place of the file before it."""
+        """Begin a new notice file; the full one replaces the previous file."""
         full_log = self.notice_log
         self.files.close(full_log.fd)
         self.files.replace(full_log.path, self.previous_notices_path)
@@ -295,7 +297,7 @@
         self.notice_log.sync_count = full_log.sync_count
 
     def read_notices(self, since: int, limit: int) -> list[dict[str, Any]]:
-        """Recent notices from number `since` on, at most `limit`."""
-        # Copied, since the writer's thread may append meanwhile.
+        """Return recent notices from number `since` on, at most `limit`."""
+        # Copied because the writer's thread may append concurrently.
         recent = list(self.recent_notices)
         return [row for row in recent if row["n"] >= since][:limit]
--- a/rainfall/registry/token_bucket.py
+++ b/rainfall/registry/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: what may happen in a burst, and how often after that."""
+"""A token bucket for rate limits with a burst."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     interval_us: int
     used: int = 0
     refill_started_us: int = 0
-    """When the interval began after which the oldest used token is back."""
+    """Start of the interval at whose end the oldest used token is refilled."""
 
     def wait_us(self, now_us: int) -> int:
-        """How long until there is a token; 0 if there is one now."""
+        """Return the time until a token is available; 0 if one is available now."""
         if self.used:
             elapsed_intervals = (now_us - self.refill_started_us) // self.interval_us
             refilled = min(self.used, elapsed_intervals)
@@ -30,7 +30,7 @@
         return self.refill_started_us + self.interval_us - now_us
 
     def try_acquire(self, now_us: int) -> bool:
-        """Take a token, if there is one."""
+        """Take a token if one is available, and return whether there was one."""
         if self.wait_us(now_us):
             return False
         if not self.used:
--- a/rainfall/registry/write_api.py
+++ b/rainfall/registry/write_api.py
@@ -1,6 +1,6 @@
-"""The write address, for operators and servers: changes, epochs, and stored notices.
+"""HTTP routes of the write address: changes, epochs, and stored notices.
 
-It has all routes of the discovery address too.
+The address serves operators and servers. It also has all routes of the discovery address.
 """
 
 from __future__ import annotations
@@ -22,21 +22,23 @@
 from rainfall.registry.service_context import ServiceContext
 
 DIGEST_CHARACTERS = 32
-"""Characters kept of the digest that recognises a repeated change."""
+"""Hex digits kept of the SHA-256 digest that identifies a repeated change."""
 STORED_SUBJECT = "the change"
 NOTICES_PER_READ = 10_000
-"""Notices in one answer, whatever was asked for."""
+"""Maximum number of notices in one answer; a higher `most` is cut to this."""
 
 
 def routes(context: ServiceContext) -> list[web.RouteDef]:
-    """All routes of the write address, except those of the fleet and its extensions."""
+    """Return all routes of the write address, except those of fleet and extensions."""
 
     async def change(request: web.Request) -> web.StreamResponse:
         body = await read_json(request, context.limits)
-        match = parse_version(request.headers.get("If-Match", ""), "If-Match")
+        expected_version = parse_version(
+            request.headers.get("If-Match", ""), "If-Match"
+        )
         digest = hashlib.sha256(canonical_json(body)).hexdigest()[:DIGEST_CHARACTERS]
         outcome = await await_stored(
-            context.apply_change(body, digest, match), STORED_SUBJECT
+            context.apply_change(body, digest, expected_version), STORED_SUBJECT
         )
         seq = outcome.seq if isinstance(outcome, Change) else outcome
         answer = {
