--- a/rainfall/registry/__main__.py
+++ b/rainfall/registry/__main__.py
@@ -174,7 +174,7 @@
 ) -> None:
     """Reload the budget file; if it has faults, the budgets in force stay."""
     if fleet_services is None or path is None:
-        log.info("nothing to read again")
+        log.info("reload ignored: no budget file")
         return
     try:
         await budget_api.apply_budgets(
@@ -188,7 +188,7 @@
 
 def _log_rejected_budgets(reasons: list[str]) -> None:
     for reason in reasons:
-        log.error("budgets not taken", extra={"why": reason})
+        log.error("budgets rejected", extra={"why": reason})
 
 
 def available_limits() -> Limits:
@@ -208,7 +208,7 @@
     limits = limit_by_descriptors(default_limits, descriptors)
     if limits.connections < default_limits.connections:
         log.warning(
-            "fewer connections than usual",
+            "connection limit reduced to fit descriptors",
             extra={"connections": limits.connections, "descriptors": descriptors},
         )
     return limits
--- a/rainfall/registry/fleet_coordinator.py
+++ b/rainfall/registry/fleet_coordinator.py
@@ -261,7 +261,7 @@
                 await asyncio.to_thread(self.fleet_log.append, rows)
         except OSError as error:
             self.context.metrics.write_failures += 1
-            log_write_failure("fleet not kept", error)
+            log_write_failure("cannot write fleet records", error)
             self._abandon(rows)
             for queued in batch:
                 queued.resolve(error)
@@ -299,7 +299,7 @@
             await asyncio.to_thread(self.fleet_log.compact, parts)
         except OSError as error:
             self.context.metrics.write_failures += 1
-            log_write_failure("fleet log not written anew", error)
+            log_write_failure("cannot compact fleet log", error)
 
     def _commit_lease(self, record: Record) -> None:
         """Apply a stored lease record, and notify the extensions of member changes."""
@@ -387,7 +387,7 @@
         try:
             yield
         except Exception:  # Any failure of the part; see the docstring.
-            log.exception("a part of the fleet failed", extra={"part": part})
+            log.exception("fleet extension or lease table failed", extra={"part": part})
 
     def _next_us(self) -> int | None:
         due = (
--- a/rainfall/registry/fleet_log.py
+++ b/rainfall/registry/fleet_log.py
@@ -83,7 +83,7 @@
             except OSError as error:
                 # The rows are stored. Without the watermark an older copy of the log may go
                 # undetected.
-                log_write_failure("mark not written", error)
+                log_write_failure("cannot write watermark", error)
 
     def compaction_due(self) -> bool:
         """Return whether the log has grown enough to be compacted."""
--- a/rainfall/registry/group_commit.py
+++ b/rainfall/registry/group_commit.py
@@ -116,7 +116,7 @@
                 await self.write_batch(self.batch)
             except Exception as error:
                 # The callers must not wait forever, whatever the failure.
-                log.exception("a round failed")
+                log.exception("cannot write batch")
                 for queued in self.batch:
                     queued.resolve(error)
             self.batch = []
@@ -191,7 +191,7 @@
                 await asyncio.to_thread(self.storage.append_changes, changes)
             except OSError as error:
                 self.on_failed(error)
-                log_write_failure("changes not kept", error)
+                log_write_failure("cannot write changes", error)
                 _resolve_after_failure(prepared, error)
                 return
             for change in changes:
@@ -207,7 +207,7 @@
             await asyncio.to_thread(self.storage.write_snapshot, self.registry)
         except OSError as error:
             self.on_failed(error)
-            log_write_failure("snapshot not written", error)
+            log_write_failure("cannot write snapshot", error)
 
 
 def _prepare(
--- a/rainfall/registry/http_server.py
+++ b/rainfall/registry/http_server.py
@@ -264,7 +264,7 @@
         if request.writer.output_size > 0:
             raise ConnectionError("cannot send an error response: headers already sent")
         if status >= 500:
-            log.error("a call failed", exc_info=exc)
+            log.error("request handler failed", exc_info=exc)
         response = error_response(
             status, [(message or "the call failed").strip().partition("\n")[0]]
         )
--- a/rainfall/registry/server.py
+++ b/rainfall/registry/server.py
@@ -118,6 +118,6 @@
             listener.stop_accepting()
         has_finished = await self.finish()
         if not has_finished:
-            log.error("the disk did not answer before the end")
+            log.error("writes did not finish before the shutdown timeout")
         await asyncio.gather(*(listener.close() for listener in self.listeners))
         return has_finished
--- a/rainfall/registry/service_context.py
+++ b/rainfall/registry/service_context.py
@@ -246,7 +246,7 @@
             await asyncio.to_thread(self.storage.append_notices, notices, self.now_ms())
         except OSError as error:
             self.metrics.write_failures += 1
-            log_write_failure("notices not kept", error, count=len(notices))
+            log_write_failure("cannot write notices", error, count=len(notices))
 
     def gauges(self) -> dict[str, int]:
         """Return all gauges that are read from the state, by exported name."""
--- a/rainfall/registry/shard_map_extension.py
+++ b/rainfall/registry/shard_map_extension.py
@@ -454,4 +454,4 @@
 
 def _log_plan_error(error: PlanError) -> None:
     """Log the error without a traceback; its message names the fault of the map."""
-    log.error("no map planned", extra={"why": str(error)})
+    log.error("cannot plan shard map", extra={"why": str(error)})
