--- a/tests/registry/test_fleet_coordinator.py
+++ b/tests/registry/test_fleet_coordinator.py
@@ -1,5 +1,7 @@
-"""The fleet's shell on a clock by hand: nothing told before it is on disk, riders, old
-copies, operators.
+"""The fleet coordinator with a manual clock: durable answers, extensions, older copies.
+
+No answer may contain state that is not stored. Also covers operators' fence and revoke
+calls.
 """
 
 from __future__ import annotations
@@ -24,26 +26,27 @@
 )
 
 
-class Tally:
-    """A rider: the highest `calls` that each member in force asked for, once it is on
-    disk.
+class TallyExtension:
+    """A heartbeat extension that stores the highest `calls` requested by each member.
+
+    Answers contain the stored value. Notifications are recorded in `events`.
     """
 
     name = "tally"
 
     def __init__(self) -> None:
-        self.asked, self.held, self.heard = (
+        self.requested, self.stored, self.events = (
             dict[str, int](),
             dict[str, int](),
             list[tuple[str, Any]](),
         )
-        self.flying = 0  # rows of a plan that are not on disk yet
+        self.unstored_rows = 0  # rows of a plan that are not stored yet
 
     def restore(self, now_us: int, sure: bool, snapshot: Any, rows: list[Any]) -> None:
-        self.heard.append(("restored", sure))
-        self.held.update(snapshot or {})
+        self.events.append(("restored", sure))
+        self.stored.update(snapshot or {})
         for row in rows:
-            self.held[row["name"]] = row["calls"]
+            self.stored[row["name"]] = row["calls"]
 
     def find_faults(self, beat: Any) -> list[str]:
         return (
@@ -51,78 +54,80 @@
         )
 
     def on_heartbeat(self, now_us: int, name: str, token: Any, beat: Any) -> bool:
-        self.asked[name] = beat.get("calls", 0)
+        self.requested[name] = beat.get("calls", 0)
         return True
 
     def answer_fields(self, now_us: int, name: str, token: Any) -> dict[str, Any]:
-        return {"tally": self.held.get(name, 0)}
+        return {"tally": self.stored.get(name, 0)}
 
-    def __getattr__(self, kind: str) -> Any:  # joined, expired, ended
-        return lambda now_us, *more: self.heard.append((kind, *more))
+    def __getattr__(self, kind: str) -> Any:  # The other notifications.
+        return lambda now_us, *more: self.events.append((kind, *more))
 
     def plan(self, now_us: int, frozen: bool, members: Any) -> list[Any]:
-        if self.flying:
-            self.heard.append(("planned twice", None))
-        names = [m.name for m in members]
+        if self.unstored_rows:
+            self.events.append(("planned twice", None))
+        names = [member.name for member in members]
         rows = [
-            {"name": n, "calls": c}
-            for n, c in self.asked.items()
-            if c > self.held.get(n, 0) and n in names
+            {"name": name, "calls": calls}
+            for name, calls in self.requested.items()
+            if calls > self.stored.get(name, 0) and name in names
         ]
-        self.flying = len(rows)
+        self.unstored_rows = len(rows)
         return rows
 
     def commit(self, now_us: int, row: Any) -> None:
-        self.held[row["name"]] = row["calls"]
-        self.flying = max(self.flying - 1, 0)
+        self.stored[row["name"]] = row["calls"]
+        self.unstored_rows = max(self.unstored_rows - 1, 0)
 
     def abandon(self, row: Any) -> None:
-        self.heard.append(("abandoned", row["calls"]))
-        self.asked.clear()
-        self.flying = max(self.flying - 1, 0)
+        self.events.append(("abandoned", row["calls"]))
+        self.requested.clear()
+        self.unstored_rows = max(self.unstored_rows - 1, 0)
 
     def next_us(self) -> int | None:
         return None
 
     def snapshot(self) -> Any:
-        return dict(self.held)
+        return dict(self.stored)
 
 
-def test_riders_are_told_only_what_is_on_disk_and_hear_of_every_end(
+def test_extensions_answer_only_stored_state_and_are_notified_of_every_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    tally, clock, tokens = Tally(), Clock(), list[Any]()
+    tally, clock, tokens = TallyExtension(), Clock(), list[Any]()
 
-    async def first(run: Run) -> None:
-        assert (await beat(run, "f1"))[0] == 409  # nobody knows what went before
+    async def before_restart(run: Run) -> None:
+        # The state may have been lost, so nothing is granted for the longest lease.
+        assert (await beat(run, "f1"))[0] == 409
         clock.us += 2 * TTL_US
-        status, told = await beat(run, "f1", calls=5)
-        assert status == 200 and told["tally"] == 0  # planned, and not on disk yet
-        tokens.append(told["token"])
-        await until(lambda: tally.held == {"f1": 5})
-        status, told = await beat(run, "f1", tokens[0], calls=7, list=told["list"])
-        assert told["tally"] == 5 and told["members"] == [] and not told["whole"]
+        status, answer = await beat(run, "f1", calls=5)
+        assert status == 200 and answer["tally"] == 0  # planned, but not stored yet
+        tokens.append(answer["token"])
+        await until(lambda: tally.stored == {"f1": 5})
+        status, answer = await beat(run, "f1", tokens[0], calls=7, list=answer["list"])
+        assert answer["tally"] == 5 and answer["members"] == [] and not answer["whole"]
         run.files.failing = True
-        await until(lambda: ("abandoned", 7) in tally.heard)
+        await until(lambda: ("abandoned", 7) in tally.events)
         assert (await beat(run, "f1", tokens[0]))[1]["tally"] == 5
         run.files.failing = False
         run.files.free.clear()
-        for calls in (8, 9):  # the second while the first one's plan is being written
+        for calls in (8, 9):  # the second arrives while the first plan is being written
             await beat(run, "f1", tokens[0], calls=calls)
-            await until(lambda: tally.flying == 1)
+            await until(lambda: tally.unstored_rows == 1)
             await asyncio.sleep(2 * plan_scheduler.PLAN_DELAY_S)
-        decided = asyncio.ensure_future(
+        applied = asyncio.ensure_future(
             run.service.fleet.apply_rows(
-                "tally", lambda _: [] if tally.flying else [{"name": "x", "calls": 1}]
+                "tally",
+                lambda _: [] if tally.unstored_rows else [{"name": "x", "calls": 1}],
             )
         )
         await asyncio.sleep(0.01)
         run.files.free.set()
-        await decided
-        await until(lambda: tally.held == {"f1": 9, "x": 1})
-        assert ("planned twice", None) not in tally.heard
-        status, told = await beat(run, "f1", [1, 2, 3], sent=-1, seen="no", calls="x")
-        assert status == 400 and [f.partition(":")[0] for f in told["faults"]] == [
+        await applied
+        await until(lambda: tally.stored == {"f1": 9, "x": 1})
+        assert ("planned twice", None) not in tally.events
+        status, answer = await beat(run, "f1", [1, 2, 3], sent=-1, seen="no", calls="x")
+        assert status == 400 and [f.partition(":")[0] for f in answer["faults"]] == [
             "token",
             "sent",
             "seen",
@@ -140,42 +145,47 @@
         )[2] == {"version": version}:
             pass
         await until(
-            lambda: ("lease_expired", _of(tokens[2])) in tally.heard
-        )  # woken as it was suspect already
-        status, told = await beat(run, "f1", tokens[2])
-        assert status == 409 and told["error"] == "lost"
+            lambda: ("lease_expired", _token(tokens[2])) in tally.events
+        )  # woken already when the member became suspect
+        status, answer = await beat(run, "f1", tokens[2])
+        assert status == 409 and answer["error"] == "lost"
         monkeypatch.setattr(fleet_log, "COMPACT_AFTER_LINES", 1)
         clock.us += 2 * TTL_US
-        assert (await beat(run, "f2"))[0] == 200  # and the log is written anew
+        assert (await beat(run, "f2"))[0] == 200  # and the log is compacted
         await until(lambda: run.service.fleet.fleet_log.record_log.row_count == 2)
 
-    play(tmp_path, first, clock, lead(tally))
-    one, two, three = map(_of, tokens)
+    play(tmp_path, before_restart, clock, lead(tally))
+    token_1, token_2, token_3 = map(_token, tokens)
     assert [
-        h
-        for h in tally.heard
-        if h[0] in ("member_joined", "member_ended", "lease_expired")
+        event
+        for event in tally.events
+        if event[0] in ("member_joined", "member_ended", "lease_expired")
     ][:5] == [
-        ("member_joined", "f1", one, None),
-        ("member_joined", "f1", two, one),
-        ("member_ended", two),
-        ("member_joined", "f1", three, None),
-        ("lease_expired", three),
+        ("member_joined", "f1", token_1, None),
+        ("member_joined", "f1", token_2, token_1),
+        ("member_ended", token_2),
+        ("member_joined", "f1", token_3, None),
+        ("lease_expired", token_3),
     ]
-    again = Tally()
+    restored = TallyExtension()
 
-    async def second(run: Run) -> None:
-        assert again.heard == [("restored", True)] and again.held == {"f1": 9, "x": 1}
-        assert [m["name"] for m in (await run.ask("/v1/fleet"))[2]["members"]] == ["f2"]
+    async def after_restart(run: Run) -> None:
+        assert restored.events == [("restored", True)] and restored.stored == {
+            "f1": 9,
+            "x": 1,
+        }
+        assert [
+            member["name"] for member in (await run.ask("/v1/fleet"))[2]["members"]
+        ] == ["f2"]
 
-    play(tmp_path, second, clock, lead(again))
+    play(tmp_path, after_restart, clock, lead(restored))
 
 
-def _of(pair: list[int]) -> Any:
+def _token(pair: list[int]) -> Any:
     return fleet_coordinator.Token(*pair)
 
 
-def test_a_grant_that_is_not_kept_is_not_told_and_ends_are_tried_again(
+def test_a_grant_that_is_not_stored_is_not_answered_and_lease_ends_are_retried(
     tmp_path: Path,
 ) -> None:
     clock = Clock()
@@ -186,15 +196,15 @@
         run.files.failing = True
         assert (await acquire(run, "b"))[0] == 507
         assert (await run.ask("/v1/leases/b"))[0] == 404
-        clock.us += TTL_US  # the lease on a is out, and its end cannot be written
+        clock.us += TTL_US  # the lease on a has expired, and its end cannot be written
         await until(lambda: run.service.metrics.write_failures >= 2)
         run.files.failing = False
         await until(lambda: run.service.fleet.table.read("a") is None)
-        status, told = await acquire(run, "b")
-        assert status == 200 and told["token"] > before
-        # Members are joined by beats alone; an operator raises the fence, and revokes.
+        status, answer = await acquire(run, "b")
+        assert status == 200 and answer["token"] > before
+        # Member leases are granted by heartbeats only; operators raise the fence and revoke.
         assert (await acquire(run, "member/f1"))[0] == 403
-        above = told["token"][0] + 10
+        above = answer["token"][0] + 10
         assert (await run.ask("/v1/epoch", {"above": above}))[2]["fence"] == above + 1
         token = (await acquire(run, "c/d"))[1]["token"]
         assert token[0] == above + 1
@@ -206,33 +216,35 @@
     play(tmp_path, test, clock, lead())
 
 
-def test_an_older_copy_is_known_by_the_mark_outside_of_it(tmp_path: Path) -> None:
-    clock, log, mark, top = (
+def test_an_older_copy_is_detected_by_the_watermark_file(tmp_path: Path) -> None:
+    clock, log, watermark_path, top = (
         Clock(),
         tmp_path / "s" / "fleet.log",
         tmp_path / "mark",
         [0, 0],
     )
 
-    async def grants(run: Run) -> None:
+    async def acquire_succeeds(run: Run) -> None:
         clock.us += 2 * TTL_US
-        status, told = await acquire(run, "a")
+        status, answer = await acquire(run, "a")
         nonlocal top
-        assert status == 200 and told["token"] > top
-        top = told["token"]
+        assert status == 200 and answer["token"] > top
+        top = answer["token"]
 
-    async def held(run: Run) -> None:
-        status, told = await acquire(run, "b")
-        assert status == 409 and told["error"] == "held"
+    async def acquire_is_held(run: Run) -> None:
+        status, answer = await acquire(run, "b")
+        assert status == 409 and answer["error"] == "held"
 
-    play(tmp_path / "s", grants, clock, lead(mark=mark))
+    play(tmp_path / "s", acquire_succeeds, clock, lead(mark=watermark_path))
     copy = log.read_bytes()
-    play(tmp_path / "s", grants, clock, lead(mark=mark))
-    at_once = RecordLog(log)
-    count = len(at_once.load())
+    play(tmp_path / "s", acquire_succeeds, clock, lead(mark=watermark_path))
+    full_log = RecordLog(log)
+    full_row_count = len(full_log.load())
     log.write_bytes(copy)
-    play(tmp_path / "s", held, clock, lead(mark=mark))
-    assert len(RecordLog(log).load()) < count  # it was the copy that it started on
+    play(tmp_path / "s", acquire_is_held, clock, lead(mark=watermark_path))
+    assert (
+        len(RecordLog(log).load()) < full_row_count
+    )  # the service has started on the copy
     play(
-        tmp_path / "s", grants, clock, lead(mark=mark)
-    )  # above all before, though the copy never knew them
+        tmp_path / "s", acquire_succeeds, clock, lead(mark=watermark_path)
+    )  # above all earlier tokens, though the copy has no record of them
--- a/tests/registry/test_heartbeat_extensions.py
+++ b/tests/registry/test_heartbeat_extensions.py
@@ -1,5 +1,6 @@
-"""Budgets and the shard map on the real service that is killed, restored, loses its
-folder; and operators.
+"""Budgets and the shard map on a real service, through kills, restores and lost state.
+
+Also covers the operators' calls for both.
 """
 
 from __future__ import annotations
@@ -30,13 +31,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_whatever_comes_shares_stay_within_the_whole_and_keys_have_one_owner(
+def test_random_faults_keep_shares_within_the_total_and_one_owner_for_each_key(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     monkeypatch.setattr(plan_scheduler, "PLAN_DELAY_S", 0.002)
     monkeypatch.setattr(plan_scheduler, "RETRY_DELAY_S", 0.01)
 
-    async def walk() -> None:
+    async def run_schedule() -> None:
         world = World(tmp_path / "s", seed)
         await world.start()
         await world.run.call("PUT", "/v1/budgets", {"budgets": [BUDGET]})
@@ -47,52 +48,53 @@
         assert (await world.run.call("PUT", "/v1/map", world.raw_map(1, ["f1", "f2"])))[
             0
         ] == 200
-        for turn in range(2):
+        for phase in range(2):
             for _ in range(80):
                 await world.step()
-            # the folder is lost, and the wall clock as it was: members have seen more
-            if turn:
+            # the folder is lost and the wall clock has not advanced: members have seen a
+            # higher epoch
+            if phase:
                 await world.stop(kill=True)
                 shutil.rmtree(tmp_path / "s")
                 await world.start()
                 world.wholes.append(100)
                 await world.run.call("PUT", "/v1/budgets", {"budgets": [BUDGET]})
-                seen = max(p.seen.epoch for p in world.all)
+                seen = max(process.seen.epoch for process in world.all)
                 assert world.run.parts.fleet.table.epoch <= seen
                 if (
-                    max(p.seen.epoch for p in world.here) < seen
-                ):  # the operator knows better
+                    max(process.seen.epoch for process in world.here) < seen
+                ):  # the operator raises the fence for the members that are cut off
                     await world.run.call("POST", "/v1/epoch", {"above": seen})
             await world.calm(38)
-            # A lowered whole binds by now. What is safe is also of use: nearly all is
-            # had, by who is there.
+            # A lowered total is in effect by now. Safety must not cost utilisation: the
+            # connected members have nearly all of it.
             del world.wholes[:-1]
             world.check()
-            whole = world.wholes[0]
-            assert sum(p.most() for p in world.all) >= 0.8 * whole - 20, (
-                whole,
-                [p.share for p in world.all],
+            total = world.wholes[0]
+            assert sum(process.most() for process in world.all) >= 0.8 * total - 20, (
+                total,
+                [process.share for process in world.all],
             )
-            if turn:
+            if phase:
                 assert (await world.run.call("GET", "/v1/map"))[0] == 404
-                raw = world.raw_map(1, sorted({p.name for p in world.here}))
+                raw = world.raw_map(1, sorted({process.name for process in world.here}))
                 assert (await world.run.call("PUT", "/v1/map", raw))[0] == 200
                 await world.calm(12)
             acting = union(
                 own.key_range
-                for p in world.here
-                for own in p.owned.held_ranges(p.own())
+                for process in world.here
+                for own in process.owned.held_ranges(process.own())
             )
             assert acting == [(0, TOP)]
         await world.run.service.stop()
 
-    asyncio.run(walk())
+    asyncio.run(run_schedule())
 
 
-def test_budgets_are_taken_whole_or_not_at_all(
+def test_a_budget_change_is_applied_completely_or_rejected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    file, known = tmp_path / "b.toml", {"reserves_known": True}
+    file, options = tmp_path / "b.toml", {"reserves_known": True}
     file.write_text(
         "[[budgets]]\ndestination = '7'\ncalls = 0\nspan_ms = 400\n[[budgets]]\n"
     )
@@ -126,15 +128,15 @@
     play = Play(tmp_path / "s", monkeypatch)
 
     async def test() -> None:
-        f1, f2 = await play.up("f1", "f2", budgets=[BUDGET], **known)
-        calm = await play.run.call("GET", "/v1/budgets")
+        f1, f2 = await play.up("f1", "f2", budgets=[BUDGET], **options)
+        before = await play.run.call("GET", "/v1/budgets")
         status, answer = await play.put(calls=-1, weights={"a/b": 0}, more=1)
         assert status == 422 and len(answer["faults"]) == 4
         assert (await play.put(match=1))[0] == 412
         play.run.files.failing = True
         assert (await play.put(calls=70))[0] == 507
         play.run.files.failing = False
-        assert await play.run.call("GET", "/v1/budgets") == calm
+        assert await play.run.call("GET", "/v1/budgets") == before
         await play.calm(25, f1=80, f2=20)
         assert (f1.most(), f2.most()) == (70, 20) and f1.share["reserve"] == f2.share[
             "reserve"
@@ -147,25 +149,27 @@
         assert (await play.run.call("GET", "/_vars"))[1]["budget"]["7"][
             "set_aside"
         ] == 10
-        # A lowered whole binds at the next beat.
-        version = calm[1]["version"]
+        # A lowered total is in effect from the next heartbeat.
+        version = before[1]["version"]
         assert (await play.put(match=version, calls=40))[1] == {
             "version": version + 1,
             "changed": True,
         }
         await asyncio.gather(f1.beat(play.run), f2.beat(play.run))
         assert f1.most() + f2.most() <= 40
-        # A plan whose write failed, made by the budgets before, is written before those
-        # that come after it.
+        # A plan for the previous budgets whose write failed is written before the new
+        # budgets.
         await play.calm(8)
         await play.put(calls=100)
         await play.calm(8, f1=10, f2=10)
         play.run.files.failing, f2.need = True, 90
-        had = f2.share["number"]
+        old_number = f2.share["number"]
         for _ in range(2):
             await f2.beat(play.run)
             await play.run.settle()
-        assert f2.share["number"] == had  # what is not on disk is not told
+        assert (
+            f2.share["number"] == old_number
+        )  # a share that is not stored is not sent
         number = play.run.parts.budgets.ledger.pending.number
         play.run.files.failing = False
         assert (await play.put(calls=40))[0] == 200
@@ -175,12 +179,13 @@
                 (tmp_path / "s" / "fleet.log").read_bytes(), "log"
             )[0]
         ]
-        at = max(n for n, row in enumerate(rows) if "config" in row)
+        index = max(n for n, row in enumerate(rows) if "config" in row)
         assert (
-            rows[at]["config"][0]["calls"] == 40 and rows[at - 1]["budgets"] == number
+            rows[index]["config"][0]["calls"] == 40
+            and rows[index - 1]["budgets"] == number
         )
-        # Those in force outlive the process. A file counts where it says something new,
-        # or at SIGHUP.
+        # Budgets in force survive a restart. A file is applied at the start if it has
+        # changed since it was last applied, and at SIGHUP.
         await play.again()
         assert play.run.parts.budgets.raw_budgets[0]["calls"] == 40
         await play.world.stop(True)
@@ -190,28 +195,28 @@
         await play.up(budgets=[{**BUDGET, "calls": 90}])
         assert play.run.parts.budgets.raw_budgets[0]["calls"] == 90
         await play.put(calls=80)
-        await command.reload_budgets(play.run.parts, file)  # faulty
+        await command.reload_budgets(play.run.parts, file)  # has faults
         assert play.run.parts.budgets.raw_budgets[0]["calls"] == 80
         file.write_text(json.dumps({"budgets": [{**BUDGET, "calls": 90}]}))
         await command.reload_budgets(play.run.parts, file.rename(tmp_path / "b.json"))
         assert play.run.parts.budgets.raw_budgets[0]["calls"] == 90
-        # An operator's word frees what a process that never comes back keeps.
-        cut = play.world.here.pop(0)
+        # An operator's confirmation frees the share of a process that has ended.
+        ended = play.world.here.pop(0)
         await play.calm(15)
         assert (
             await play.run.call(
                 "POST", "/v1/budgets/ended", {"token": f2.token.to_wire()}
             )
         )[0] == 409
-        play.world.all.remove(cut)
+        play.world.all.remove(ended)
         assert (
             await play.run.call(
-                "POST", "/v1/budgets/ended", {"token": cut.token.to_wire()}
+                "POST", "/v1/budgets/ended", {"token": ended.token.to_wire()}
             )
         )[0] == 200
         await play.calm(6, f2=90)
         assert f2.most() == 75
-        # What a beat asks for is in its own answer, where it can be had.
+        # A heartbeat's own answer has the calls it needs, if they are available.
         play.world.add("f3")
         play.world.here[-1].need = 9
         await play.world.here[-1].beat(play.run)
@@ -222,7 +227,7 @@
 
 
 @pytest.mark.parametrize("before", [False, True])
-def test_a_longer_span_is_waited_for_also_after_a_restart(
+def test_a_longer_window_is_waited_for_also_after_a_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, before: bool
 ) -> None:
     play = Play(tmp_path / "s", monkeypatch)
@@ -231,7 +236,7 @@
         f1, f2 = await play.up("f1", "f2", budgets=[BUDGET], reserves_known=True)
         await play.calm(13)
         assert f1.token != ZERO_TOKEN and not f1.share["number"]
-        await play.again()  # members who have no share yet are known all the same
+        await play.again()  # members without a share are restored too
         await play.calm(22, f1=200, f2=0)
         assert f1.most() > 50
         play.world.clock.us += 200_000
@@ -240,32 +245,32 @@
             await process.beat(play.run)
             await play.run.settle()
             play.world.clock.us += 200_000
-        await play.again()  # nothing is divided for a lease
+        await play.again()  # shares are frozen for a lease after the start
         await play.calm(8)
         assert (
             f1.most() < 20
             and play.run.parts.budgets.metrics(play.world.clock.us)["7"]["free"] > 50
         )
-        # What f1 gave up has cooled by the short span. The log is written anew, before
-        # or after the change.
+        # The calls that f1 gave up have cooled for the short window. The log is compacted
+        # before or after the change.
         if before:
             await play.run.parts.fleet._compact_log()
         await play.put(span_ms=4_000)
         if not before:
             await play.run.parts.fleet._compact_log()
-        at, had = play.world.clock.us, f2.most()
+        changed_at, old_calls = play.world.clock.us, f2.most()
         await play.again()
-        while play.world.clock.us < at + 3_900_000:
+        while play.world.clock.us < changed_at + 3_900_000:
             await play.calm(1, f2=200)
-            assert f2.most() == had
+            assert f2.most() == old_calls
         await play.calm(12)
-        assert f2.most() > had
+        assert f2.most() > old_calls
         await play.run.service.stop()
 
     asyncio.run(test())
 
 
-def test_a_reserve_goes_on_with_its_process_though_the_service_dies_at_each_join(
+def test_a_process_keeps_its_reserve_although_the_service_restarts_at_each_join(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play = Play(tmp_path / "s", monkeypatch)
@@ -289,26 +294,32 @@
 
 
 @pytest.mark.parametrize("copied", [False, True])
-def test_after_a_lost_folder_or_an_older_copy_nobody_new_has_the_reserve_of_who_is_cut_off(
+def test_after_a_lost_folder_or_an_older_copy_reserves_of_cut_off_members_are_not_reused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, copied: bool
 ) -> None:
-    play, mark = Play(tmp_path / "s", monkeypatch), tmp_path / "mark"
+    play, watermark_path = Play(tmp_path / "s", monkeypatch), tmp_path / "mark"
 
     async def test() -> None:
         await play.up(
-            "f1", "f2", budgets=[BUDGET], reserves_known=True, watermark_path=mark
+            "f1",
+            "f2",
+            budgets=[BUDGET],
+            reserves_known=True,
+            watermark_path=watermark_path,
         )
         await play.calm(25, f1=200, f2=200)
         shutil.copytree(tmp_path / "s", tmp_path / "copy")
         play.world.add("f3")
         play.world.add("f4")
         await play.calm(15, f3=200, f4=200)
-        del play.world.here[2:]  # cut off, and they go on by what they have
+        del play.world.here[
+            2:
+        ]  # cut off from the service; they keep using their shares
         await play.world.stop(True)
         shutil.rmtree(tmp_path / "s")
         if copied:
             shutil.copytree(tmp_path / "copy", tmp_path / "s")
-        await play.up("f5", "f6", budgets=[BUDGET], watermark_path=mark)
+        await play.up("f5", "f6", budgets=[BUDGET], watermark_path=watermark_path)
         await play.calm(45, f5=200, f6=200)
         assert [p.share["reserve"] for p in play.world.all] == [5, 5, 5, 5, 0, 0]
         assert sum(p.most() for p in play.world.here) >= 85
@@ -317,7 +328,7 @@
     asyncio.run(test())
 
 
-def test_a_map_is_taken_whole_or_not_at_all_and_a_move_has_one_owner(
+def test_a_map_is_applied_completely_or_rejected_and_moved_keys_have_one_owner(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play = Play(tmp_path / "s", monkeypatch)
@@ -351,7 +362,7 @@
         )
         await play.calm(2)
         assert has(f1) == [(0, TOP // 2)] and has(f2) == [(TOP // 2 + 1, TOP)]
-        # Refused, each with all its faults: the old one is whole and in force.
+        # Rejected maps get all their faults, and the old map stays in force.
         other = raw(3, "f2", "f1")
         other["ranges"][0] |= {"owner": "f9", "to": "7000000000000000"}
         status, answer = await call("PUT", "/v1/map", other)
@@ -374,8 +385,8 @@
         assert (await call("PUT", "/v1/map", raw(4, "f1", "f3")))[0] == 507
         play.run.files.failing = False
         assert (await call("GET", "/v1/map")) == (200, whole)
-        # A second map comes while the first is carried out: each key goes from its
-        # holder to its last owner.
+        # A second map is put in force during the migration to the first: each key moves
+        # from its holder directly to its last owner.
         top = {"from": format_key(TOP // 2 + 1), "to": format_key(TOP)}
         assert (await call("POST", "/v1/map/move", {**top, "owner": "f1"}))[0] == 200
         await f2.beat(play.run, drain=False)
@@ -389,7 +400,7 @@
         assert moves == [{**top, "held_by": "f2", "owner": "f3"}]
         await f3.beat(play.run)
         assert not has(f3)
-        # Given up and given on at once, and only told once it is on disk.
+        # A range is released and granted in one step, and sent only once that is stored.
         play.run.files.failing = True
         for process in (f2, f3, f2, f3):
             assert await process.beat(play.run) == 507 and not has(process)
@@ -402,8 +413,8 @@
             [],
             [(TOP // 2 + 1, TOP)],
         )
-        # A member with another map of this generation is given nothing; the map goes
-        # above both.
+        # A member with a different map of the same generation is granted nothing; the
+        # map gets a higher generation than both.
         f1.owned.apply_map(
             ShardMap(
                 5, tuple(Range(r.first, r.last, "f1") for r in f1.owned.map.ranges)
@@ -438,7 +449,7 @@
             "needs",
             "holds.7",
         ]
-        # Revoked: nobody acts on its keys until its lease is surely out.
+        # After a revoke the keys are not granted until the lease must have expired.
         assert (await call("POST", "/v1/leases/member/f3/revoke", {}))[0] == 200
         play.world.here.remove(f3)
         assert (await call("POST", "/v1/map/move", {**top, "owner": "f2"}))[0] == 200
@@ -446,8 +457,8 @@
         assert not has(f2) and has(f3)
         await play.calm(4)
         assert has(f2) == [(TOP // 2 + 1, TOP)]
-        # Two processes of one name: while the one's beat waits for the disk, the other
-        # takes its place.
+        # Two processes with the same name: while the heartbeat of one waits for the disk,
+        # the other replaces it.
         body = {**f2.body(), "seen": [f2.token.epoch + 3, 0]}
         play.run.files.free.clear()
         waits = [
@@ -459,7 +470,7 @@
                     port=play.run.fleet,
                 )
             )
-        ]  # so that both are written in one round
+        ]  # so that both are written in one batch
         for more in ({}, {"token": None, "shown": f2.token.to_wire(), "run": "other"}):
             await asyncio.sleep(0.02)
             waits.append(
@@ -476,7 +487,7 @@
     asyncio.run(test())
 
 
-def test_the_holder_of_shard_planner_plans_by_itself(
+def test_the_holder_of_the_shard_planner_lease_plans_maps(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play = Play(tmp_path / "s", monkeypatch)
@@ -492,27 +503,25 @@
         table = play.run.parts.fleet.table
         await play.calm(12)
         assert table.read("shard-planner").holder.startswith("list service")
-        # The operator takes it away and keeps it for a while.
+        # The operator revokes the lease and holds it for a while.
         await play.run.call("POST", "/v1/leases/shard-planner/revoke", {})
 
-        async def lease(how: str, **body: Any) -> tuple[int, Any]:
+        async def lease_call(action: str, **body: Any) -> tuple[int, Any]:
             return await play.run.call(
-                "POST", f"/v1/leases/shard-planner/{how}", body, port=play.run.fleet
+                "POST", f"/v1/leases/shard-planner/{action}", body, port=play.run.fleet
             )
 
-        while (await lease("acquire", holder="op", ttl_ms=1000))[0] != 200:
+        while (await lease_call("acquire", holder="op", ttl_ms=1000))[0] != 200:
             await play.calm(1)
         token = table.read("shard-planner").token.to_wire()
         for _ in range(15):
             await play.calm(1)
-            assert (await lease("renew", token=token))[0] == 200
+            assert (await lease_call("renew", token=token))[0] == 200
         assert play.run.parts.maps.stored_map is None
-        await lease("release", token=token)
+        await lease_call("release", token=token)
         while play.world.clock.us < play.run.parts.planner.retry_at_us - 200_000:
             await play.calm(1)
-        play.world.add(
-            "f3"
-        )  # asked for again, the lease lets the service divide among all
+        play.world.add("f3")  # with the lease again, the service plans for all members
         await play.calm(5)
         maps = play.run.parts.maps
         assert maps.stored_map.generation == 1 and maps.stored_map.owners() == {
@@ -524,7 +533,7 @@
         await play.calm(18)
         assert (
             maps.stored_map.generation == 1
-        )  # many lost at once: all stays for a lease
+        )  # many lost at once: the map is frozen for a lease
         await play.calm(8)
         assert maps.stored_map.generation == 2 and maps.stored_map.owners() == {"f1"}
         await play.run.service.stop()
@@ -532,7 +541,7 @@
     asyncio.run(test())
 
 
-def test_a_change_wakes_whom_it_concerns_and_all_only_a_few_at_a_time(
+def test_a_change_wakes_only_the_concerned_watchers_and_all_in_small_batches(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play = Play(tmp_path / "s", monkeypatch)
@@ -550,7 +559,7 @@
         f1 = play.world.here[0]
         f1.need = (
             f1.most() + 3
-        )  # lent from the loose rest, so that nobody else's share changes
+        )  # granted from the free calls, so that no other share changes
         await f1.beat(play.run)
         await play.run.settle()
         done, _ = await asyncio.wait([held[0], held[2]], timeout=5)
@@ -563,18 +572,32 @@
         assert (await asyncio.wait_for(held[1], 5))[0] == 200
         watchers = Watchers()
         monkeypatch.setattr(fleet_watch, "WAKE_BATCH_SIZE", 2)
-        several = [watchers.add(f"f{n}") for n in range(6)]
+        futures = [watchers.add(f"f{n}") for n in range(6)]
         watchers.notify(None)
         watchers.notify({"f5"})
-        assert [f.done() for f in several] == [True, True, False, False, False, False]
-        await until(lambda: any(f.done() for f in several[2:]))
-        assert [f.done() for f in several] == [True, True, True, False, False, True]
+        assert [future.done() for future in futures] == [
+            True,
+            True,
+            False,
+            False,
+            False,
+            False,
+        ]
+        await until(lambda: any(future.done() for future in futures[2:]))
+        assert [future.done() for future in futures] == [
+            True,
+            True,
+            True,
+            False,
+            False,
+            True,
+        ]
         assert (
             watchers.is_behind(1, "f5")
             and not watchers.is_behind(1, "f4")
             and watchers.is_behind(0, "f4")
         )
-        await until(lambda: all(f.done() for f in several))
+        await until(lambda: all(future.done() for future in futures))
         await play.run.service.stop()
 
     asyncio.run(test())
--- a/tests/registry/test_list_service.py
+++ b/tests/registry/test_list_service.py
@@ -1,6 +1,4 @@
-"""The list service: its core against a plain model, its folder through a torn write,
-the real process.
-"""
+"""The endpoint registry against a reference model, torn writes, and the real process."""
 
 from __future__ import annotations
 
@@ -107,7 +105,7 @@
     assert held == model
 
 
-def test_a_repeated_id_is_answered_again_and_another_body_under_it_refused() -> None:
+def test_a_repeated_change_id_gets_the_same_answer_and_409_for_another_body() -> None:
     registry = EndpointRegistry()
     body = {
         "id": "x",
@@ -128,30 +126,30 @@
     assert not isinstance(change, int)
     registry.commit(change)
     assert registry.prepare(body, "d1") == change.seq
-    with pytest.raises(RequestError) as refused:
+    with pytest.raises(RequestError) as rejected:
         registry.prepare({"id": "x", "ops": [{"op": "drain", "host": "s-1"}]}, "d2")
-    assert refused.value.status == 409
+    assert rejected.value.status == 409
 
 
-def test_a_torn_last_line_is_cut_and_damage_before_it_stops_the_start(
+def test_a_torn_last_line_is_truncated_and_earlier_damage_is_an_error(
     tmp_path: Path,
 ) -> None:
-    good = encode_line(
+    line = encode_line(
         {"seq": 1, "epoch": 1, "id": "", "digest": "", "hosts": [], "base": 1}
     )
-    assert decode_lines(good + good[:10], "log")[1] == len(good)
+    assert decode_lines(line + line[:10], "log")[1] == len(line)
     with pytest.raises(DamagedStateError, match="line 1"):
-        decode_lines(good[:5] + b"x" + good[6:] + good, "log")
-    (tmp_path / "changes.log").write_bytes(good + b"00000000 {")
-    registry, had = Storage(tmp_path).load()
+        decode_lines(line[:5] + b"x" + line[6:] + line, "log")
+    (tmp_path / "changes.log").write_bytes(line + b"00000000 {")
+    registry, had_state = Storage(tmp_path).load()
     assert (
-        had
+        had_state
         and registry.seq == 1
-        and (tmp_path / "changes.log").stat().st_size == len(good)
+        and (tmp_path / "changes.log").stat().st_size == len(line)
     )
 
 
-def _ask(
+def _request(
     port: int,
     path: str,
     body: bytes | None = None,
@@ -168,7 +166,7 @@
 
 
 def _start(state: Path, *more: str) -> tuple[Any, ...]:
-    """The process, and the ports it took."""
+    """Start the service on free ports; return the process and its ports."""
     ports = state.parent / "ports"
     ports.unlink(missing_ok=True)
     process = subprocess.Popen(
@@ -184,7 +182,7 @@
             "127.0.0.1:0",
             "--ports",
             str(ports),
-            "--new",  # harmless where there is a state
+            "--new",  # ignored if there is a state
             *more,
         ],
         stderr=subprocess.DEVNULL,
@@ -198,30 +196,32 @@
     raise AssertionError("the list service did not start")
 
 
-def test_the_process_keeps_what_it_told_through_a_kill_and_a_restored_copy(
+def test_answered_changes_survive_a_kill_and_an_older_copy_begins_an_epoch(
     tmp_path: Path,
 ) -> None:
     state = tmp_path / "state"
     process, listen, write = _start(state)
     try:
-        for n in range(3):
+        for number in range(3):
             entry = {
                 "op": "register",
-                "host": f"s-{n}",
+                "host": f"s-{number}",
                 "dial": "127.0.0.1:9",
                 "site": "a",
                 "class": "m",
-                "block": n,
+                "block": number,
                 "share": 1.0,
                 "born_ms": 0,
             }
-            status, made = _ask(
-                write, "/v1/hosts", json.dumps({"id": f"r{n}", "ops": [entry]}).encode()
+            status, stored = _request(
+                write,
+                "/v1/hosts",
+                json.dumps({"id": f"r{number}", "ops": [entry]}).encode(),
             )
-            assert status == 200 and made["changed"]
-            if n == 0:
+            assert status == 200 and stored["changed"]
+            if number == 0:
                 copy = (state / "changes.log").read_bytes()  # an older copy: one entry
-        status, _ = _ask(
+        status, _ = _request(
             write,
             "/v1/hosts",
             b'{"ops":[{"op":"drain","host":"s-0"}]}',
@@ -233,27 +233,35 @@
         process.wait()
     process, listen, write = _start(state)
     try:
-        status, told = _ask(listen, "/discovery/hosts")
-        assert status == 200 and len(told["hosts"]) == 3 and told["seq"] == made["seq"]
+        status, answer = _request(listen, "/discovery/hosts")
+        assert (
+            status == 200
+            and len(answer["hosts"]) == 3
+            and answer["seq"] == stored["seq"]
+        )
     finally:
         process.send_signal(signal.SIGKILL)
         process.wait()
     (state / "changes.log").write_bytes(copy)
     process, listen, write = _start(state)
     try:
-        status, again = _ask(listen, f"/discovery/hosts?from={told['seq']}")
-        # The client is ahead of the copy: a new epoch, its versions above all it held,
-        # and the whole list.
+        status, answer_of_copy = _request(
+            listen, f"/discovery/hosts?from={answer['seq']}"
+        )
+        # The client is ahead of the copy: it gets a new epoch with higher versions than
+        # it has seen, and the complete list.
         assert (
-            again["whole"]
-            and again["epoch"] > told["epoch"]
-            and again["seq"] > told["seq"]
+            answer_of_copy["whole"]
+            and answer_of_copy["epoch"] > answer["epoch"]
+            and answer_of_copy["seq"] > answer["seq"]
         )
-        assert [h["host"] for h in again["hosts"]] == ["s-0"]
-        status, after = _ask(listen, f"/discovery/hosts?from={told['seq'] - 1}")
-        assert after[
+        assert [h["host"] for h in answer_of_copy["hosts"]] == ["s-0"]
+        status, older_answer = _request(
+            listen, f"/discovery/hosts?from={answer['seq'] - 1}"
+        )
+        assert older_answer[
             "whole"
-        ]  # below the new epoch's first version: never a delta of another history
+        ]  # below the new epoch's first version, so a delta would mix two histories
     finally:
         process.send_signal(signal.SIGTERM)
         assert process.wait(timeout=10) == 0
@@ -262,20 +270,23 @@
 FLEET = ("--fleet", "127.0.0.1:0", "--lease-ms", "800", "--longest-ms", "800")
 
 
-def _until(ask: Callable[[], tuple[int, Any]], wanted: int) -> Any:
-    """The answer once its status is `wanted`; any before it must be a 409 that says
-    held.
+def _until(request: Callable[[], tuple[int, Any]], wanted: int) -> Any:
+    """Repeat a request until its status is `wanted`, and return the answer.
+
+    Any other answer must be a 409 with error `held`.
     """
     for _ in range(200):
-        status, told = ask()
+        status, answer = request()
         if status == wanted:
-            return told
-        assert status == 409 and told["error"] == "held" and told["retry_ms"] > 0, told
+            return answer
+        assert status == 409 and answer["error"] == "held" and answer["retry_ms"] > 0, (
+            answer
+        )
         time.sleep(0.02)
-    raise AssertionError(told)
+    raise AssertionError(answer)
 
 
-def test_members_and_leases_are_lost_and_tokens_grow_over_a_kill_and_a_lost_folder(
+def test_leases_expire_and_tokens_grow_over_a_kill_and_a_lost_folder(
     tmp_path: Path,
 ) -> None:
     state, seen = tmp_path / "state", [0, 0]
@@ -290,13 +301,13 @@
             "seen": seen,
             **more,
         }
-        return _ask(fleet, "/v1/fleet/beat", json.dumps(body).encode())
+        return _request(fleet, "/v1/fleet/beat", json.dumps(body).encode())
 
     def acquire(holder: str) -> tuple[int, Any]:
         body = {"holder": holder, "ttl_ms": 800, "seen": seen}
-        return _ask(fleet, "/v1/leases/job/acquire", json.dumps(body).encode())
+        return _request(fleet, "/v1/leases/job/acquire", json.dumps(body).encode())
 
-    def grown(token: list[int]) -> list[int]:
+    def check_growth(token: list[int]) -> list[int]:
         nonlocal seen
         assert token > seen
         seen = token
@@ -304,69 +315,77 @@
 
     process, _, write, fleet = _start(state, *FLEET)
     try:
-        one = grown(_until(lambda: beat("f1", None), 200)["token"])
-        job = grown(acquire("f1")[1]["token"])
-        told = beat("f2", None)[1]
-        two = grown(told["token"])
-        assert [m["name"] for m in told["members"]] == ["f1", "f2"] and told[
-            "ttl_ms"
-        ] == 800
-        # f1 falls silent, as one that is stopped: f2 is woken, f1 is told so, and the
-        # job is granted on.
-        while {m["name"]: m["state"] for m in told["members"]}.get("f1") is not None:
-            version, since = told["version"], time.monotonic()
-            _ask(fleet, f"/v1/fleet/watch?from={version}&hold_ms=100")
+        token_1 = check_growth(_until(lambda: beat("f1", None), 200)["token"])
+        job_token = check_growth(acquire("f1")[1]["token"])
+        answer = beat("f2", None)[1]
+        token_2 = check_growth(answer["token"])
+        assert [member["name"] for member in answer["members"]] == [
+            "f1",
+            "f2",
+        ] and answer["ttl_ms"] == 800
+        # f1 sends no heartbeats: f2 is woken, f1 gets error `lost`, and the lease on job
+        # is granted again.
+        while {member["name"]: member["state"] for member in answer["members"]}.get(
+            "f1"
+        ) is not None:
+            version, since = answer["version"], time.monotonic()
+            _request(fleet, f"/v1/fleet/watch?from={version}&hold_ms=100")
             assert time.monotonic() - since < 5
-            status, told = beat("f2", two)
-            assert status == 200 and told["token"] == two
-        status, lost = beat("f1", one)
+            status, answer = beat("f2", token_2)
+            assert status == 200 and answer["token"] == token_2
+        status, lost = beat("f1", token_1)
         assert status == 409 and lost["error"] == "lost"
         for _ in range(
             200
-            # granted after f1 joined, by however much: it is out by the service's own word
+            # granted some time after f1 joined: wait until the service reports its end
         ):
-            status, told = _ask(write, "/v1/leases/job")
-            if status == 404 or told["left_ms"] == 0:
+            status, answer = _request(write, "/v1/leases/job")
+            if status == 404 or answer["left_ms"] == 0:
                 break
             time.sleep(0.02)
-        assert status == 404 or told["left_ms"] == 0, told
-        status, lost = _ask(
-            fleet, "/v1/leases/job/renew", json.dumps({"token": job}).encode()
+        assert status == 404 or answer["left_ms"] == 0, answer
+        status, lost = _request(
+            fleet, "/v1/leases/job/renew", json.dumps({"token": job_token}).encode()
         )
         assert status == 409 and lost["error"] == "lost", lost
-        job = grown(_until(lambda: acquire("f2"), 200)["token"])
-        assert _ask(write, "/v1/leases")[1]["leases"][0]["token"] == job
+        job_token = check_growth(_until(lambda: acquire("f2"), 200)["token"])
+        assert _request(write, "/v1/leases")[1]["leases"][0]["token"] == job_token
     finally:
         process.send_signal(signal.SIGKILL)
         process.wait()
     process, _, write, fleet = _start(state, *FLEET)
     try:
         assert (
-            beat("f2", two)[0] == 200
-        )  # known to it, so counted as renewed at its start
-        grown(beat("f3", None)[1]["token"])
+            beat("f2", token_2)[0] == 200
+        )  # in the log, so its lease counts as renewed at the start
+        check_growth(beat("f3", None)[1]["token"])
         assert acquire("other")[0] == 409
-        status, told = _ask(write, "/v1/leases/job/revoke", b"{}")
-        assert status == 200 and told["free_in_ms"] > 0
+        status, answer = _request(write, "/v1/leases/job/revoke", b"{}")
+        assert status == 200 and answer["free_in_ms"] > 0
         assert (
-            _ask(fleet, "/v1/leases/job/renew", json.dumps({"token": job}).encode())[0]
+            _request(
+                fleet, "/v1/leases/job/renew", json.dumps({"token": job_token}).encode()
+            )[0]
             == 409
         )
-        grown(_until(lambda: acquire("other"), 200)["token"])
+        check_growth(_until(lambda: acquire("other"), 200)["token"])
     finally:
         process.send_signal(signal.SIGKILL)
         process.wait()
     shutil.rmtree(state)
     process, _, write, fleet = _start(state, *FLEET)
     try:
-        status, told = beat("f2", two)
+        status, answer = beat("f2", token_2)
         assert (
-            status == 409 and told["error"] == "held"
-        )  # it cannot know: f2 runs out what it has
-        seen = [seen[0] + 100, 7]  # as after starts whose clock was ahead
+            status == 409 and answer["error"] == "held"
+        )  # the state is lost: nothing is granted until f2's lease must have expired
+        seen = [
+            seen[0] + 100,
+            7,
+        ]  # as after starts with a clock that was ahead
         assert acquire("x")[1]["error"] == "held"
-        grown(_until(lambda: acquire("x"), 200)["token"])
-        grown(_until(lambda: beat("f2", None), 200)["token"])
+        check_growth(_until(lambda: acquire("x"), 200)["token"])
+        check_growth(_until(lambda: beat("f2", None), 200)["token"])
     finally:
         process.send_signal(signal.SIGTERM)
         assert process.wait(timeout=10) == 0
--- a/tests/registry/test_service_limits.py
+++ b/tests/registry/test_service_limits.py
@@ -1,5 +1,5 @@
-"""The list service past its bounds, with its disk stuck or failing, behind readers'
-histories, at its end.
+"""The list service over its limits, with a blocked or failing disk, behind its readers,
+and at shutdown.
 """
 
 from __future__ import annotations
@@ -22,25 +22,27 @@
 from tests.support.list_service import Clock, Files, Run, play, told, until
 
 
-def test_watches_are_bounded_and_one_that_left_counts_no_more(tmp_path: Path) -> None:
+def test_watches_are_limited_and_a_disconnected_one_is_not_counted(
+    tmp_path: Path,
+) -> None:
     async def test(run: Run) -> None:
-        figures, path = (
+        metrics, path = (
             run.service.metrics,
             f"/discovery/hosts?from={run.service.registry.seq}&hold_ms=60000",
         )
-        _, gone = await asyncio.open_connection("127.0.0.1", run.list)
-        gone.write(f"GET {path} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
-        stays = asyncio.ensure_future(run.ask(path))
-        await until(lambda: figures.watches_held == 2)
+        _, leaving = await asyncio.open_connection("127.0.0.1", run.list)
+        leaving.write(f"GET {path} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+        staying = asyncio.ensure_future(run.ask(path))
+        await until(lambda: metrics.watches_held == 2)
         status, headers, _ = await run.ask(path)
-        assert status == 503 and headers["retry-after"] == "1" and figures.busy == 1
-        gone.close()
-        await until(lambda: figures.watches_held == 1)
-        assert figures.watchers_left == 1 and not stays.done()
+        assert status == 503 and headers["retry-after"] == "1" and metrics.busy == 1
+        leaving.close()
+        await until(lambda: metrics.watches_held == 1)
+        assert metrics.watchers_left == 1 and not staying.done()
         other = asyncio.ensure_future(run.ask(path))
-        await until(lambda: figures.watches_held == 2)
+        await until(lambda: metrics.watches_held == 2)
         await run.change("s-1")
-        for status, _, answer in await asyncio.gather(stays, other):
+        for status, _, answer in await asyncio.gather(staying, other):
             assert (
                 status == 200
                 and [h["host"] for h in answer["hosts"]] == ["s-1"]
@@ -50,7 +52,7 @@
     play(tmp_path, test, watchers=2)
 
 
-def test_connections_are_bounded_and_idle_ones_closed(tmp_path: Path) -> None:
+def test_connections_are_limited_and_idle_ones_are_closed(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         held = [await asyncio.open_connection("127.0.0.1", run.list) for _ in range(2)]
         await until(lambda: run.service.metrics.connections == 2)
@@ -61,7 +63,9 @@
             and run.service.metrics.busy == 1
         )
         for reader, writer in held:
-            assert await asyncio.wait_for(reader.read(), 5) == b""  # idle past its time
+            assert (
+                await asyncio.wait_for(reader.read(), 5) == b""
+            )  # closed after `idle_s`
             writer.close()
         await until(lambda: run.service.metrics.connections == 0)
         assert (await run.ask("/_ready"))[0] == 200
@@ -69,7 +73,9 @@
     play(tmp_path, test, connections=2, idle_s=0.3)
 
 
-def test_a_reader_that_takes_nothing_is_cut_past_its_bytes(tmp_path: Path) -> None:
+def test_a_reader_that_receives_nothing_is_aborted_over_unsent_bytes(
+    tmp_path: Path,
+) -> None:
     async def test(run: Run) -> None:
         assert (await run.change(*(f"s-{n}" for n in range(1000))))[0] == 200
         sock = socket.create_connection(("127.0.0.1", run.list))
@@ -80,16 +86,16 @@
         status, _, answer = await run.ask("/discovery/hosts")
         assert (
             status == 200 and len(answer["hosts"]) == 1000
-        )  # one that reads is told the same list whole
+        )  # a reader that reads gets the complete list
         await until(
             lambda: run.service.metrics.connections == 0
-        )  # its own end never closed
+        )  # although the peer has not closed its end
         sock.close()
 
     play(tmp_path, test, unsent_bytes=256 * 1024)
 
 
-def test_heads_and_bodies_are_bounded(tmp_path: Path) -> None:
+def test_request_heads_and_bodies_are_limited(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         big = b"".join(b"X-%d: %s\r\n" % (n, b"a" * 4000) for n in range(5))
         post = b"POST /v1/hosts HTTP/1.1\r\nHost: r\r\n"
@@ -106,7 +112,10 @@
                 + b" " * 2048
                 + b"\r\n0\r\n\r\n",
             ),
-            (400, post + b"Content-Length: 9\r\n\r\n{"),  # and then nothing
+            (
+                400,
+                post + b"Content-Length: 9\r\n\r\n{",
+            ),  # the rest of the body never arrives
         ):
             reader, writer = await asyncio.open_connection("127.0.0.1", run.write)
             writer.write(data)
@@ -118,7 +127,7 @@
     play(tmp_path, test, body_bytes=1024, body_timeout_s=0.1)
 
 
-def test_changes_that_wait_are_bounded_and_kept_and_answered_at_the_end(
+def test_queued_changes_are_limited_and_are_stored_and_answered_at_shutdown(
     tmp_path: Path,
 ) -> None:
     async def test(run: Run) -> None:
@@ -134,8 +143,8 @@
         status, headers, _ = await run.change("s-3")
         assert status == 503 and headers["retry-after"] == "1"
         stop = asyncio.ensure_future(run.service.stop())
-        assert (await held)[0] == 200  # at once, though the disk stands
-        assert not any(w.done() for w in waiting)
+        assert (await held)[0] == 200  # immediately, although the disk is blocked
+        assert not any(call.done() for call in waiting)
         run.files.free.set()
         assert [status for status, _, _ in await asyncio.gather(*waiting)] == [200] * 3
         assert await stop
@@ -144,7 +153,7 @@
     assert sorted(Storage(tmp_path).load()[0].entries) == ["s-0", "s-1", "s-2"]
 
 
-def test_a_disk_that_never_answers_does_not_hold_up_the_end(tmp_path: Path) -> None:
+def test_a_blocked_disk_does_not_delay_the_shutdown(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         run.files.free.clear()
         waiting = asyncio.ensure_future(run.change("s-0"))
@@ -153,12 +162,12 @@
         status, _, answer = await waiting
         assert (
             status == 500 and "nobody knows" in answer["faults"][0]
-        )  # neither yes nor no
+        )  # the outcome is unknown
 
     play(tmp_path, test, shutdown_timeout_s=0.1)
 
 
-def test_nothing_is_told_of_what_a_failed_sync_lost(tmp_path: Path) -> None:
+def test_no_answer_depends_on_a_change_lost_in_a_failed_sync(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         seq = run.service.registry.seq
         run.files.free.clear()
@@ -175,7 +184,7 @@
         run.files.failing = True
         run.files.free.set()
         assert (await first)[0] == 507
-        # The repeat and the change that alters nothing rest on one that is not kept.
+        # The repeat and the change that alters nothing depend on a change that was lost.
         assert [status for status, _, _ in await asyncio.gather(*waiting)] == [507] * 4
         assert not Storage(tmp_path).load()[0].entries
         run.files.failing = False
@@ -194,10 +203,10 @@
     log.append([{"n": 3}])
     assert RecordLog(tmp_path / "log").load() == [
         {"n": 3}
-    ]  # nothing of the failed ones behind it
+    ]  # no bytes of the failed append after it
 
 
-def test_a_watch_of_the_same_version_in_another_epoch_is_told_the_whole_list_at_once(
+def test_a_watch_of_the_same_version_in_another_epoch_gets_the_complete_list(
     tmp_path: Path,
 ) -> None:
     async def test(run: Run) -> None:
@@ -212,38 +221,42 @@
     play(tmp_path, test)
 
 
-def test_a_history_lost_twice_with_the_clock_set_back_goes_past_what_readers_saw(
+def test_versions_exceed_those_of_readers_after_two_losses_with_the_clock_set_back(
     tmp_path: Path,
 ) -> None:
-    clock, seen = Clock(), dict[str, int]()
+    clock, last_answer = Clock(), dict[str, int]()
 
-    async def first(run: Run) -> None:
+    async def first_start(run: Run) -> None:
         await run.change("s-1")
-        seen.update((await run.ask("/v1/hosts"))[2])
+        last_answer.update((await run.ask("/v1/hosts"))[2])
 
-    async def second(run: Run) -> None:
-        assert (await run.ask("/v1/hosts"))[2]["seq"] < seen[
+    async def start_after_loss(run: Run) -> None:
+        assert (await run.ask("/v1/hosts"))[2]["seq"] < last_answer[
             "seq"
-        ]  # the clock alone went back
+        ]  # the lower clock gives lower versions
         status, _, answer = await run.ask(
-            f"/v1/hosts?from={seen['seq']}&epoch={seen['epoch']}&hold_ms=60000"
+            f"/v1/hosts?from={last_answer['seq']}&epoch={last_answer['epoch']}&hold_ms=60000"
         )
         assert status == 200 and answer["whole"]
-        assert answer["epoch"] > seen["epoch"] and answer["seq"] > seen["seq"]
-        seen.update(answer)
+        assert (
+            answer["epoch"] > last_answer["epoch"]
+            and answer["seq"] > last_answer["seq"]
+        )
+        last_answer.update(answer)
 
-    async def kept(run: Run) -> None:
+    async def restart(run: Run) -> None:
         assert run.had and {
-            k: run.service.registry.answer_for(None, None)[k] for k in ("seq", "epoch")
-        } == {k: seen[k] for k in ("seq", "epoch")}
+            key: run.service.registry.answer_for(None, None)[key]
+            for key in ("seq", "epoch")
+        } == {key: last_answer[key] for key in ("seq", "epoch")}
 
-    for n, step in enumerate((first, second, second)):
-        clock.ms = 1_000_000 - 1_000 * n
-        play(tmp_path / str(n), step, clock)
-    play(tmp_path / "2", kept, clock)  # what was told was on disk
+    for number, step in enumerate((first_start, start_after_loss, start_after_loss)):
+        clock.ms = 1_000_000 - 1_000 * number
+        play(tmp_path / str(number), step, clock)
+    play(tmp_path / "2", restart, clock)  # the answered epoch was stored
 
 
-def test_readers_ahead_lift_the_list_only_so_often_and_never_the_fence(
+def test_readers_ahead_begin_epochs_at_a_limited_rate_and_never_raise_the_fence(
     tmp_path: Path,
 ) -> None:
     clock = Clock()
@@ -258,15 +271,15 @@
             at.append(answer["seq"])
         assert (
             at[0] < at[1] < at[2] == at[3] == at[4]
-        )  # two lifts at once, then the whole list alone
+        )  # two epochs in a burst, then only the complete list
         assert run.service.metrics.epochs_delayed == 2 and now.fence == fence
-        # the time of one more: the claim that was put off is gone past by itself
+        # after the interval one more epoch begins for the delayed claim
         clock.us += 100_000
         await until(lambda: now.seq > claimed)
         for path in (
             f"from={CLAIM_LIMIT}",
             f"epoch={CLAIM_LIMIT}",
-        ):  # no service told that
+        ):  # no service can have sent that
             seq = now.seq
             assert (await run.ask(f"/v1/hosts?{path}&hold_ms=60000"))[2][
                 "whole"
@@ -276,7 +289,7 @@
     play(tmp_path, test, clock, epoch_burst=2, epoch_interval_s=0.1)
 
 
-def test_tokens_and_operators_lift_the_fence_durably(tmp_path: Path) -> None:
+def test_tokens_and_operators_raise_the_fence_durably(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         now = run.service.registry
         fence, seq = now.fence, now.seq
@@ -296,7 +309,7 @@
         status, _, answer = await run.ask(f"/v1/hosts?from={now.seq + 9}")
         assert (
             status == 200 and answer["whole"] and answer["seq"] == now.seq
-        )  # told, though not lifted
+        )  # answered, although no epoch could be stored
         run.files.failing = False
         await run.service.raise_fence(fence + 40)
         run.service.storage.write_snapshot(now)
@@ -307,12 +320,12 @@
     assert Storage(tmp_path).load()[0].fence == 1_051
 
 
-def test_every_fault_of_a_change_is_told_with_its_path() -> None:
+def test_every_fault_of_a_change_is_reported_with_its_path() -> None:
     def faults(body: str) -> list[str]:
-        with pytest.raises(RequestError) as refused:
+        with pytest.raises(RequestError) as rejected:
             request_schemas.parse_change(json_reader.parse_json(body.encode()))
-        assert refused.value.status == 400
-        return refused.value.faults
+        assert rejected.value.status == 400
+        return rejected.value.faults
 
     assert [
         f.partition(":")[0]
@@ -353,7 +366,7 @@
         assert len(faults(broken)) == 1
 
 
-def test_an_unchanged_forwarder_reads_watches_and_posts_here(tmp_path: Path) -> None:
+def test_a_forwarder_client_reads_watches_and_posts_notices(tmp_path: Path) -> None:
     async def test(run: Run) -> None:
         lists: list[Any] = []
         where = Address("127.0.0.1", run.list)
@@ -388,7 +401,7 @@
     play(tmp_path, test)
 
 
-def test_an_empty_folder_starts_only_at_the_operators_word(tmp_path: Path) -> None:
+def test_an_empty_folder_needs_the_option_new(tmp_path: Path) -> None:
     state = tmp_path / "state"
     run = subprocess.run(
         [
