--- a/rainfall/registry/__main__.py
+++ b/rainfall/registry/__main__.py
@@ -39,7 +39,7 @@
 
 
 class Address(NamedTuple):
-    """Where to listen; port 0 lets the system choose one."""
+    """A listening address; with port 0 the system chooses the port."""
 
     host: str
     port: int
--- a/rainfall/registry/budget_extension.py
+++ b/rainfall/registry/budget_extension.py
@@ -219,7 +219,7 @@
         return [change.to_record()]
 
     def _next_check(self, now_us: int) -> int | None:
-        """Return when to plan again without a heartbeat; None if only a heartbeat is needed."""
+        """Return when to plan again without a heartbeat; None if only heartbeats trigger it."""
         due_us = list(self.ledger.presumed_until_us.values())
         for destination, accounts in self.ledger.budget_accounts.items():
             allocation = self.ledger.allocations[destination]
--- a/rainfall/registry/group_commit.py
+++ b/rainfall/registry/group_commit.py
@@ -95,7 +95,7 @@
         return queued.outcome
 
     async def finish(self, within_s: float) -> bool:
-        """Close the queue and write what is queued; False if that takes over `within_s`."""
+        """Close the queue and write what is queued; False if not done in `within_s`."""
         self.closed = True
         self.wakeup.set()
         await asyncio.wait({self.task}, timeout=within_s)
--- a/rainfall/registry/heartbeat_extension.py
+++ b/rainfall/registry/heartbeat_extension.py
@@ -41,7 +41,7 @@
     """
 
     name: str
-    """The part of its rows in `fleet.log`; never changed."""
+    """The part name of its rows in `fleet.log`; stored, so it must never change."""
 
     def restore(
         self, now_us: int, state_complete: bool, snapshot: Row | None, rows: list[Row]
@@ -89,18 +89,18 @@
 
         Not called again before each row of the last plan was committed or abandoned.
         `frozen` is true for a time after a start, or after many members were lost: the
-        extension then does not rebalance among members, but still applies changes that
-        only reduce what members may use.
+        extension then does not rebalance among members, but still plans changes that make
+        the state safer.
         """
 
     def commit(self, now_us: int, row: Row) -> None:
-        """Put a stored row in force; it may be sent from now on."""
+        """Put a stored row in force; its content may be sent from now on."""
 
     def abandon(self, row: Row) -> None:
-        """Discard a row that could not be stored."""
+        """Handle the failed write of a row: the row is not in force."""
 
     def next_us(self) -> int | None:
-        """Return when to call `plan` without a heartbeat; None if a heartbeat is needed."""
+        """Return when `plan` is due without a heartbeat; None if only heartbeats trigger it."""
 
     def snapshot(self) -> Row:
         """Return the committed state, which replaces all rows stored so far."""
