--- a/rainfall/registry/fleet_coordinator.py
+++ b/rainfall/registry/fleet_coordinator.py
@@ -81,9 +81,9 @@
             lambda rows: self.group_commit.add(rows, bounded=False),
             self._next_us,
         )
-        self._announced_version = (0, 0)
+        self._notified_version = (0, 0)
         """The epoch and version of the member list that watchers were last woken for."""
-        self._announced_epoch = 0
+        self._notified_epoch = 0
         """The epoch last passed to the extensions."""
         self._tasks: set[asyncio.Future[Any]] = set()
 
@@ -109,10 +109,10 @@
             ) from None
         await asyncio.shield(self.group_commit.add([(LEASE_TABLE, start_record)]))
         self.roster.on_started(now_us)
-        self._announce_start(loaded.rows_since.get(LEASE_TABLE, []), now_us)
+        self._notify_start(loaded.rows_since.get(LEASE_TABLE, []), now_us)
         # Epochs grow over restarts, so the version does too.
         self.watchers.start_at(self.table.epoch << EPOCH_SHIFT)
-        self._announced_version = self._list_version()
+        self._notified_version = self._list_version()
         await self.context.raise_fence(self.table.epoch - 1)
         self.context.gauge_sources.append(self.gauges)
         self.context.group_commits.append(self.group_commit)
@@ -144,7 +144,7 @@
         )
         is_current = self.fleet_log.is_current(self.table.last_committed)
         record = self.table.start(now_us, is_current, min_epoch)
-        self._announce_epoch(int(record["epoch"]))
+        self._notify_epoch(int(record["epoch"]))
         for name, extension in self.extensions.items():
             extension.restore(
                 now_us,
@@ -154,7 +154,7 @@
             )
         return record
 
-    def _announce_start(self, lease_rows: list[Row], now_us: int) -> None:
+    def _notify_start(self, lease_rows: list[Row], now_us: int) -> None:
         """Pass the members in force, and resumed members, to the extensions."""
         members = [
             (member, self.table.leases[MEMBER_LEASE_PREFIX + member.name].expires_at_us)
@@ -163,7 +163,7 @@
         for extension in self._base_extensions():
             extension.service_started(now_us, members)
         for row in lease_rows:
-            self._announce_resumed_member(row, now_us)
+            self._notify_resumed_member(row, now_us)
 
     async def persist_decision(
         self, decide: Callable[[int], LeaseGrant | LeaseUnavailable | Record]
@@ -184,7 +184,7 @@
         except LeaseRejectedError as error:
             outcome = error
         record = outcome if isinstance(outcome, dict) else outcome.record
-        self._announce_changes()
+        self._notify_watchers()
         if record is not None:
             # There is no await between `decide` and here, so that records are stored in
             # the order of their numbers.
@@ -268,7 +268,7 @@
             self.plan_scheduler.schedule_when_due(RETRY_DELAY_S)
             return
         self._commit(rows)
-        self._announce_changes(rows)
+        self._notify_watchers(rows)
         for queued in batch:
             queued.resolve(None)
         if rows:
@@ -307,7 +307,7 @@
         now_us = self.context.now_us()
         before = self.table.read(name)
         self.roster.commit(record)
-        self._announce_epoch(self.table.epoch)
+        self._notify_epoch(self.table.epoch)
         if self.table.epoch > self.context.registry.fence:
             self._raise_list_fence(self.table.epoch)
         if not name.startswith(MEMBER_LEASE_PREFIX):
@@ -316,14 +316,14 @@
         log.info("lease", extra={"record": record})
         if record["kind"] == "grant" and after is not None:
             member_name = name.removeprefix(MEMBER_LEASE_PREFIX)
-            self._announce_join(member_name, before, after, now_us)
+            self._notify_join(member_name, before, after, now_us)
         elif record["kind"] == "end" and before is not None:
             was_released = record["why"] == "released"
-            self._announce_end(before.token, was_released, now_us)
-        self._announce_resumed_member(record, now_us)
+            self._notify_end(before.token, was_released, now_us)
+        self._notify_resumed_member(record, now_us)
         self.plan_scheduler.schedule_soon()
 
-    def _announce_join(
+    def _notify_join(
         self, name: str, before: Lease | None, after: Lease, now_us: int
     ) -> None:
         """Notify the extensions of a new member, and of the lease that it replaces."""
@@ -336,14 +336,14 @@
                 now_us, name, after.token, None if is_expired else replaced
             )
 
-    def _announce_end(self, token: Token, was_released: bool, now_us: int) -> None:
+    def _notify_end(self, token: Token, was_released: bool, now_us: int) -> None:
         for extension in self.extensions.values():
             if was_released:
                 extension.member_ended(now_us, token)
             else:
                 extension.lease_expired(now_us, token)
 
-    def _announce_resumed_member(self, record: Record, now_us: int) -> None:
+    def _notify_resumed_member(self, record: Record, now_us: int) -> None:
         """Pass a join's previous token and kept reserves to the extensions.
 
         Both are stored in the lease's record, beside its own fields.
@@ -364,9 +364,9 @@
                     record["keeps"],
                 )
 
-    def _announce_epoch(self, epoch: int) -> None:
-        if epoch > self._announced_epoch:
-            self._announced_epoch = epoch
+    def _notify_epoch(self, epoch: int) -> None:
+        if epoch > self._notified_epoch:
+            self._notified_epoch = epoch
             for extension in self._base_extensions():
                 extension.epoch_raised(epoch)
 
@@ -400,7 +400,7 @@
         ends: TaggedRows = [
             (LEASE_TABLE, record) for record in self.roster.tick(self.context.now_us())
         ]
-        self._announce_changes()
+        self._notify_watchers()
         return ends
 
     def _plan_rows(self) -> TaggedRows:
@@ -415,13 +415,13 @@
                 )
         return rows
 
-    def _announce_changes(self, rows: TaggedRows | None = None) -> None:
+    def _notify_watchers(self, rows: TaggedRows | None = None) -> None:
         """Raise the version if the member list or rows changed, and wake watchers."""
         list_version = self._list_version()
-        has_changes = list_version != self._announced_version
+        has_changes = list_version != self._notified_version
         concerns_all = has_changes
         concerned: set[str] = set()
-        self._announced_version = list_version
+        self._notified_version = list_version
         for part, row in rows or ():
             if part == LEASE_TABLE:
                 continue
--- a/rainfall/registry/group_commit.py
+++ b/rainfall/registry/group_commit.py
@@ -158,7 +158,9 @@
         )
 
     async def submit(self, request: ChangeRequest) -> Change | int:
-        """Queue a change, and return it once stored; or the version if nothing is altered.
+        """Queue a change and return it once it is stored.
+
+        Returns the version in force if the change alters nothing.
 
         Raises:
             QueueFullError: The write queue is full.
--- a/rainfall/registry/json_reader.py
+++ b/rainfall/registry/json_reader.py
@@ -44,8 +44,8 @@
     except (ValueError, RecursionError) as error:
         raise RequestError(400, [f"not JSON: {error}"]) from None
     if reader.invalid_values:
-        # An invalid value below a duplicate key is replaced with that key, so it has no
-        # path.
+        # An invalid value below a duplicate key is replaced together with the value of
+        # that key, so it has no path.
         reasons = [invalid.reason for invalid in reader.invalid_values]
         raise RequestError(400, faults or reasons)
     return value
--- a/rainfall/registry/server.py
+++ b/rainfall/registry/server.py
@@ -111,8 +111,8 @@
     async def stop(self) -> bool:
         """Stop accepting connections, end all watches, finish all writes, and close.
 
-        Returns False if the writes did not finish in time: waiting callers are then
-        answered that the outcome is unknown.
+        Returns False if the writes did not finish in time: callers that still
+        wait are then answered that the outcome is unknown.
         """
         for listener in self.listeners:
             listener.stop_accepting()
--- a/rainfall/registry/shard_map_extension.py
+++ b/rainfall/registry/shard_map_extension.py
@@ -212,7 +212,8 @@
             raise _stale_heartbeat_error() from None
         if answer.changed:
             self._mark_changed({token})
-        # The answer depends on the member's own holds and on the map in it.
+        # The answer depends on the member's own holds, and on the map whose generation
+        # it reports.
         depends_on_unstored = (
             token in self._changed_tokens
             or token in self._in_flight.changed_tokens
