--- a/measure/scale/message_watch.py
+++ b/measure/scale/message_watch.py
@@ -22,7 +22,7 @@
 from rainfall.dispatch import Event, MessageClass, MessageReceived, Settings, Tenant
 from rainfall.forwarder.config.loading import Address, Config, EndpointList
 from rainfall.forwarder.engine.engine import Engine
-from rainfall.forwarder.engine.watchdog import COLLECTION_INTERVAL_S
+from rainfall.forwarder.engine.periodic_tasks import COLLECTION_INTERVAL_S
 from rainfall.forwarder.fleet.member import FleetMember
 from rainfall.journal.state import AcceptedMessage
 
@@ -123,7 +123,7 @@
     for turn in range(ROUNDS):
         accept_messages(engine, live + turn * count, count)
         began = time.process_time()
-        engine.watchdog.collect_garbage()
+        engine.periodic_tasks.collect_garbage()
         spent.append(time.process_time() - began)
     return statistics.median(spent)
 
@@ -138,9 +138,9 @@
         member = SimpleNamespace(forwarder=engine)
         FleetMember.unsent_demand(member)  # type: ignore[arg-type]  # counted whole once, at the start
         told = {
-            "ends": seconds_per_run(engine.watchdog.fail_overdue_messages),
+            "ends": seconds_per_run(engine.periodic_tasks.fail_overdue_messages),
             "line": seconds_per_run(
-                lambda: engine.watchdog.log_summary(time.monotonic())
+                lambda: engine.periodic_tasks.log_summary(time.monotonic())
             ),
             "full": seconds_per_run(gc.collect),
             "collector": collector_round_s(engine, live),
--- a/rainfall/forwarder/engine/action_runner.py
+++ b/rainfall/forwarder/engine/action_runner.py
@@ -24,7 +24,7 @@
     log,
 )
 from rainfall.forwarder.engine.event_queue import EventQueue
-from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.outcome_recorder import OutcomeRecorder
 from rainfall.forwarder.message_store import MessageStore, NotificationState
 from rainfall.forwarder.outbound.connection_pool import OutboundCall
 from rainfall.forwarder.units import US_PER_MS
--- a/rainfall/forwarder/engine/engine.py
+++ b/rainfall/forwarder/engine/engine.py
@@ -45,8 +45,9 @@
 from rainfall.forwarder.engine.handover_pause import HandoverPause
 from rainfall.forwarder.engine.intake import Intake
 from rainfall.forwarder.engine.operations import Operations
-from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.outcome_recorder import OutcomeRecorder
 from rainfall.forwarder.engine.ownership import OwnershipTransfer
+from rainfall.forwarder.engine.periodic_tasks import PeriodicTasks
 from rainfall.forwarder.engine.reconfiguration import Reconfiguration, to_active_config
 from rainfall.forwarder.engine.remote_calls import RemoteCall, RemoteCallTracker
 from rainfall.forwarder.engine.restoration import Restoration
@@ -55,7 +56,6 @@
 from rainfall.forwarder.engine.shutdown import Shutdown
 from rainfall.forwarder.engine.sockets import allocate_sockets
 from rainfall.forwarder.engine.startup import Startup
-from rainfall.forwarder.engine.watchdog import Watchdog
 from rainfall.forwarder.handover.journal_lock import JournalLock
 from rainfall.forwarder.handover.messages import HandoverMessage
 from rainfall.forwarder.handover.source import HandoverSource
@@ -363,8 +363,8 @@
         )
 
     def _create_startup(self, started_s: float) -> None:
-        """Create the watchdog, and the component that runs the engine until it ends."""
-        self.watchdog = Watchdog(
+        """Create the periodic tasks, and the component that runs the engine until it ends."""
+        self.periodic_tasks = PeriodicTasks(
             state=self.state,
             clock=self.clock,
             store=self.store,
@@ -390,7 +390,7 @@
             target_engine=self,
             restoration=self.restoration,
             shutdown=self.shutdown,
-            watchdog=self.watchdog,
+            periodic_tasks=self.periodic_tasks,
             run_round=self.run_round,
         )
 
--- a/rainfall/forwarder/engine/engine_state.py
+++ b/rainfall/forwarder/engine/engine_state.py
@@ -27,7 +27,7 @@
 LOG_INTERVAL_US = 10_000_000
 """Minimum time between two log lines about the same ongoing condition."""
 TICK_INTERVAL_S = 0.1
-"""Time between two ticks of the watchdog, and between two retries of a failed commit."""
+"""Time between two ticks of `PeriodicTasks`, and between retries of a failed commit."""
 log = logging.getLogger("rainfall.engine")
 trace_log = logging.getLogger("rainfall.trace")
 """Logs one line per message arrival, attempt and final outcome.
@@ -147,7 +147,7 @@
     """
     event_counts: Counter[str] = field(default_factory=Counter)
     """Number of events of each kind since the last summary line. Every component adds
-    to the counters of its own events; `Watchdog` logs and clears them.
+    to the counters of its own events; `PeriodicTasks` logs and clears them.
     """
     serving: bool = False
     """This process owns the journal, and the clients' socket listens. Set by `Startup`.
--- a/rainfall/forwarder/engine/event_queue.py
+++ b/rainfall/forwarder/engine/event_queue.py
@@ -11,7 +11,7 @@
     Clock,
     EngineState,
 )
-from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.outcome_recorder import OutcomeRecorder
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.units import US_PER_SECOND
--- a/rainfall/forwarder/engine/handover_pause.py
+++ b/rainfall/forwarder/engine/handover_pause.py
@@ -15,7 +15,7 @@
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.engine_state import Clock, EngineState, log
 from rainfall.forwarder.engine.event_queue import EventQueue
-from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.outcome_recorder import OutcomeRecorder
 from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
 from rainfall.forwarder.engine.restoration import Restoration
 from rainfall.forwarder.handover.journal_lock import JournalLock
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -13,7 +13,6 @@
     RejectMessage,
 )
 from rainfall.forwarder.admin.admin_server import Metrics
-from rainfall.forwarder.engine.capacity import CapacityBound, has_memory
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.engine_state import (
     LOG_INTERVAL_US,
@@ -26,7 +25,8 @@
     trace_log,
 )
 from rainfall.forwarder.engine.event_queue import EventQueue
-from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.message_limits import CapacityBound, has_memory
+from rainfall.forwarder.engine.outcome_recorder import OutcomeRecorder
 from rainfall.forwarder.engine.restoration import Restoration
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
--- a/rainfall/forwarder/engine/watchdog.py
+++ b/rainfall/forwarder/engine/periodic_tasks.py
@@ -2,7 +2,7 @@
 
 They are: monitoring the event loop's delay, garbage collection, the summary lines in
 the log, retrying a failed journal write, the fleet member's tick, and failing messages
-that the dispatcher left open past their deadline (`Watchdog.fail_overdue_messages`).
+that the dispatcher left open past their deadline (`PeriodicTasks.fail_overdue_messages`).
 """
 
 from __future__ import annotations
@@ -50,11 +50,11 @@
 PARTIAL_COLLECTION_GENERATION = 1
 """Argument of `gc.collect` for a collection of the two younger generations."""
 OVERDUE_GRACE_US = 120_000
-"""Time past its deadline after which the watchdog fails a message that is still open."""
+"""Time past its deadline after which a message that is still open is failed."""
 BYTES_PER_KB = 1000
 
 
-class Watchdog:
+class PeriodicTasks:
     """Runs the engine's periodic tasks (see the module's docstring).
 
     An open message past its deadline is journaled as failed, its client is notified, and
--- a/rainfall/forwarder/engine/restoration.py
+++ b/rainfall/forwarder/engine/restoration.py
@@ -20,7 +20,7 @@
 from rainfall.forwarder.engine.endpoint_directory import EndpointDirectory
 from rainfall.forwarder.engine.engine_state import Clock, EngineState, log
 from rainfall.forwarder.engine.event_queue import EventQueue
-from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.outcome_recorder import OutcomeRecorder
 from rainfall.forwarder.engine.remote_calls import RemoteCallTracker
 from rainfall.forwarder.handover.messages import HandoverSnapshot
 from rainfall.forwarder.handover.target import HandoverTarget
--- a/rainfall/forwarder/engine/rounds.py
+++ b/rainfall/forwarder/engine/rounds.py
@@ -28,7 +28,7 @@
 )
 from rainfall.forwarder.engine.event_queue import EventQueue
 from rainfall.forwarder.engine.intake import Intake
-from rainfall.forwarder.engine.outcomes import OutcomeRecorder
+from rainfall.forwarder.engine.outcome_recorder import OutcomeRecorder
 from rainfall.forwarder.engine.round_completion import RoundCompletion
 from rainfall.forwarder.message_store import MessageStore
 
--- a/rainfall/forwarder/engine/startup.py
+++ b/rainfall/forwarder/engine/startup.py
@@ -12,9 +12,9 @@
 from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, Notifier
 from rainfall.forwarder.engine.engine_state import TICK_INTERVAL_S, EngineState, log
 from rainfall.forwarder.engine.ownership import answer_from_journal
+from rainfall.forwarder.engine.periodic_tasks import PeriodicTasks
 from rainfall.forwarder.engine.restoration import Restoration
 from rainfall.forwarder.engine.shutdown import Shutdown
-from rainfall.forwarder.engine.watchdog import Watchdog
 from rainfall.forwarder.handover.journal_lock import JournalLock
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.handover.target import HandoverTarget, TargetEngine
@@ -47,7 +47,7 @@
         target_engine: TargetEngine,
         restoration: Restoration,
         shutdown: Shutdown,
-        watchdog: Watchdog,
+        periodic_tasks: PeriodicTasks,
         run_round: Callable[[], None],
     ) -> None:
         self.state, self.store = state, store
@@ -56,7 +56,7 @@
         self.journal_lock, self.handover_source = journal_lock, handover_source
         self.handover_target, self.target_engine = handover_target, target_engine
         self.restoration, self.shutdown = restoration, shutdown
-        self.watchdog, self.run_round = watchdog, run_round
+        self.periodic_tasks, self.run_round = periodic_tasks, run_round
 
     async def run(self) -> bool:
         """Take over the journal if there is a handover, then serve until stopped.
@@ -98,7 +98,7 @@
     async def start_serving(self) -> None:
         """Run a round on the restored state, then listen for clients and a target.
 
-        Returns once this process serves, with the watchdog started.
+        Returns once this process serves, with the periodic tasks started.
         """
         # Needed even if the settings say that lists are pushed: over sockets, discovery
         # sends a list only in response to a request.
@@ -120,7 +120,7 @@
         if self.journal_lock is not None:
             await self.handover_source.listen(self.state.config.state)
         log.info("ready")
-        self.watchdog.tick(time.monotonic())
+        self.periodic_tasks.tick(time.monotonic())
         self.restoration.continue_restoring()
 
     async def settle(self) -> None:
--- a/tests/forwarder/test_capacity.py
+++ b/tests/forwarder/test_capacity.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from rainfall.forwarder.engine.capacity import (
+from rainfall.forwarder.engine.engine import Engine
+from rainfall.forwarder.engine.message_limits import (
     MESSAGE_BYTES,
     MIN_HELD_BYTES,
     CapacityBound,
     has_memory,
     held_message_bytes,
 )
-from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.inbound.server import SubmittedMessage
 from tests.forwarder.test_parts import engine as small_engine
 
--- a/tests/forwarder/test_parts.py
+++ b/tests/forwarder/test_parts.py
@@ -47,7 +47,7 @@
 from rainfall.forwarder.engine.endpoint_directory import MAX_REMOVED_ENDPOINTS
 from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.engine.engine_state import Clock
-from rainfall.forwarder.engine.outcomes import MAX_RECENTLY_FINISHED
+from rainfall.forwarder.engine.outcome_recorder import MAX_RECENTLY_FINISHED
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.http1 import MalformedResponseError, ResponseReader
 from rainfall.forwarder.inbound.client_connection import ClientConnection
@@ -798,7 +798,7 @@
             ring.me = ring
             gone = weakref.ref(ring)
             del ring
-            e.watchdog.tick(time.monotonic())
+            e.periodic_tasks.tick(time.monotonic())
             assert gone() is None
         finally:
             gc.enable()
@@ -815,8 +815,8 @@
         e.store.append_message(taken("m"))
         e.outcomes.record_outcome(AttemptFinished("m", 0, 1, Outcome.REJECTED, 5))
         with caplog.at_level("INFO"):
-            e.watchdog.log_summary(e.watchdog.last_summary_s + 5)
-            e.watchdog.log_summary(e.watchdog.last_summary_s + 5)
+            e.periodic_tasks.log_summary(e.periodic_tasks.last_summary_s + 5)
+            e.periodic_tasks.log_summary(e.periodic_tasks.last_summary_s + 5)
         first, second = caplog.messages
         assert (
             "in 5 s: 1 full; held 1, 1 for destination 7; calls out 0 of 8 slots"
@@ -833,7 +833,7 @@
         )
         caplog.clear()
         with caplog.at_level("INFO"):
-            e.watchdog.log_summary(e.watchdog.last_summary_s + 5)
+            e.periodic_tasks.log_summary(e.periodic_tasks.last_summary_s + 5)
         assert (
             "destination 7: target 1 has 0 out, window 1, wait 5" in caplog.messages[1]
         )
--- a/tests/forwarder/test_regular_work.py
+++ b/tests/forwarder/test_regular_work.py
@@ -23,7 +23,7 @@
     Tenant,
     TimerExpired,
 )
-from rainfall.forwarder.engine import watchdog
+from rainfall.forwarder.engine import periodic_tasks
 from rainfall.journal.state import AcceptedMessage, JournalState
 from tests.forwarder.test_parts import engine, taken
 from tests.support.event_scripts import MS, S, ask, end, sends, settings
@@ -133,10 +133,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     e, rounds = engine(tmp_path), list[int]()
-    monkeypatch.setattr(watchdog, "FULL_COLLECTION_MESSAGES", 2)
+    monkeypatch.setattr(periodic_tasks, "FULL_COLLECTION_MESSAGES", 2)
     monkeypatch.setattr(gc, "collect", rounds.append)
     for number in range(4):
         e.store.append_message(taken(f"m{number}"))
-        e.watchdog.collect_garbage()
+        e.periodic_tasks.collect_garbage()
     assert rounds == [2, 2, 1, 1]
     e.store.close()
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -672,7 +672,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        "rainfall.forwarder.engine.watchdog.SUMMARY_INTERVAL_S", 3600.0
+        "rainfall.forwarder.engine.periodic_tasks.SUMMARY_INTERVAL_S", 3600.0
     )  # the counts start anew with each line
 
     async def scene(site: Site) -> None:
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -18,7 +18,7 @@
     MIN_ROUND_INTERVAL_US,
     TICK_INTERVAL_S,
 )
-from rainfall.forwarder.engine.watchdog import OVERDUE_GRACE_US
+from rainfall.forwarder.engine.periodic_tasks import OVERDUE_GRACE_US
 from rainfall.forwarder.inbound.server import LOOP_CHECK_INTERVAL_S
 from tests.forwarder.test_shutdown_end import rounds_by_hand
 from tests.forwarder.test_shutdown_races import (
@@ -155,7 +155,7 @@
                 message_closed=outcome is Outcome.DELIVERED,
             )
         )
-        engine.watchdog.fail_overdue_messages()
+        engine.periodic_tasks.fail_overdue_messages()
         assert "m" not in engine.store.messages
         owed = engine.store.pending_notifications.get("m")
         assert (owed and owed.state) == (
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -63,7 +63,7 @@
     "forwarder.outbound.connection_pool.MAX_RETRY_AFTERS",
     "forwarder.engine.endpoint_directory.MAX_DESTINATIONS",
     "forwarder.engine.endpoint_directory.MAX_REMOVED_ENDPOINTS",
-    "forwarder.engine.outcomes.MAX_RECENTLY_FINISHED",
+    "forwarder.engine.outcome_recorder.MAX_RECENTLY_FINISHED",
     "forwarder.discovery.notifications.MAX_NOTIFICATIONS_PER_POST",
     "forwarder.fleet.quotas.MAX_SPENT_ENTRIES",
     "forwarder.config.fleet_config.MAX_PEERS",
