--- a/measure/scale/control_config.py
+++ b/measure/scale/control_config.py
@@ -20,7 +20,7 @@
 from measure.scale.target import DESTINATIONS, FORWARDERS, Role
 from rainfall.budget.config import MAX_BUDGETS
 from rainfall.forwarder.config.fleet_config import MAX_PEERS
-from rainfall.forwarder.config.loading import load
+from rainfall.forwarder.config.loading import load_config
 from rainfall.forwarder.config.validation import validate_replacement
 
 ENDPOINTS = (100, 1_000, 10_000, DESTINATIONS)
@@ -84,11 +84,11 @@
         path = folder / "config.json"
         path.write_bytes(text)
         with environment(folder / "state", path) as names:
-            old = load(names)
+            old = load_config(names)
             other = json.dumps(changed(told)).encode()
             return {
                 "bytes": len(text),
-                "load_ms": probe.processor_ms_each(lambda: load(names)),
+                "load_ms": probe.processor_ms_each(lambda: load_config(names)),
                 "examine_ms": probe.processor_ms(
                     lambda: validate_replacement(other, old, names)
                 ),
--- a/measure/scale/control_demand.py
+++ b/measure/scale/control_demand.py
@@ -82,7 +82,7 @@
     """What the module is told after each answered beat, and the lines for what changed."""
     return [
         books.quota_event(d, NOW_US, 0) for d in sorted(books.accounts)
-    ] + books.changes(NOW_US)
+    ] + books.take_changed_metrics(NOW_US)
 
 
 def resident_books_bytes(budgets: int) -> int:
@@ -123,7 +123,10 @@
         "keep_ms": keep_ms,
         "tell_ms": probe.processor_ms_each(lambda: announce_changes(books)),
         "tick_ms": probe.processor_ms_each(
-            lambda: (books.has_grown_demand({}, NOW_US), books.changes(NOW_US))
+            lambda: (
+                books.has_grown_demand({}, NOW_US),
+                books.take_changed_metrics(NOW_US),
+            )
         ),
     }
 
--- a/rainfall/__main__.py
+++ b/rainfall/__main__.py
@@ -11,7 +11,7 @@
 
 from rainfall.forwarder.admin.admin_server import AdminServer
 from rainfall.forwarder.config.errors import ConfigError
-from rainfall.forwarder.config.loading import Config, load, load_replacement
+from rainfall.forwarder.config.loading import Config, load_config, load_replacement
 from rainfall.forwarder.config.validation import RESTART_FIELDS
 from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.handover.journal_lock import JournalLock
@@ -155,7 +155,7 @@
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
     try:
-        config = load()
+        config = load_config()
     except ConfigError as error:
         print(f"rainfall: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIG
--- a/rainfall/dispatch/attempts.py
+++ b/rainfall/dispatch/attempts.py
@@ -68,7 +68,7 @@
     Idle connections that may already be closed at the endpoint are closed first.
     """
     idle_time = _connection_idle(state, endpoint)
-    if idle_time > state.idle_trust > 0:
+    if idle_time > state.idle_timeout_estimate > 0:
         state.actions.append(CloseIdleConnections(endpoint.id))
     since_previous_call = state.now - endpoint.last_attempt_at
     call = Call(endpoint, state.now, idle_time, since_previous_call)
--- a/rainfall/dispatch/capacity.py
+++ b/rainfall/dispatch/capacity.py
@@ -3,7 +3,7 @@
 Capacity does not depend on the message. It is limited by the number of calls in flight,
 concurrency windows, the quota or pace, Retry-After, backoff and slow start.
 
-`state.possibly_open` holds the destinations that may have capacity, not counting the
+`state.possibly_available` holds the destinations that may have capacity, not counting the
 limit on all calls in flight. `state.availability_times` holds the times at which other
 destinations may have capacity again. Times are integer microseconds.
 """
@@ -100,20 +100,20 @@
 
 
 def update_availability(state: DispatcherState, destination: int) -> None:
-    """Update `possibly_open` and `availability_times` for a destination."""
+    """Update `possibly_available` and `availability_times` for a destination."""
     earliest = destination_available_at(state, destination)
     if earliest <= state.now:
-        state.possibly_open.add(destination)
+        state.possibly_available.add(destination)
         return
-    state.possibly_open.discard(destination)
+    state.possibly_available.discard(destination)
     if earliest < NEVER:
         state.availability_times.add(earliest, destination)
 
 
 def mark_due_destinations(state: DispatcherState) -> None:
-    """Add the destinations whose availability time has come to `possibly_open`."""
+    """Add the destinations whose availability time has come to `possibly_available`."""
     if state.availability_times.entries:
-        state.possibly_open |= state.availability_times.pop_due(state.now)
+        state.possibly_available |= state.availability_times.pop_due(state.now)
 
 
 def quota_available_at(state: DispatcherState, destination: int) -> int:
--- a/rainfall/dispatch/idle_connections.py
+++ b/rainfall/dispatch/idle_connections.py
@@ -1,7 +1,8 @@
 """Estimates the endpoints' idle timeout and closes connections that may exceed it.
 
 Endpoints close or drop idle connections without notice. A connection that was idle for
-no longer than `state.idle_trust` is assumed to be open. Times are integer microseconds.
+no longer than `state.idle_timeout_estimate` is assumed to be open. Times are integer
+microseconds.
 """
 
 from __future__ import annotations
@@ -24,17 +25,20 @@
     idle time of its connection. A timeout is always attributed to the endpoint;
     otherwise a slow endpoint would never be detected.
     """
-    was_idle = MIN_IDLE_US < call.connection_idle <= state.idle_trust
+    was_idle = MIN_IDLE_US < call.connection_idle <= state.idle_timeout_estimate
     lost = was_idle and outcome is Outcome.RESET
     if lost:
-        state.idle_trust = call.connection_idle // 2
+        state.idle_timeout_estimate = call.connection_idle // 2
     return lost
 
 
 def extend_idle_timeout_estimate(state: DispatcherState) -> None:
     """Lengthen the estimate after a successful call, up to its upper bound."""
-    longer = state.idle_trust + state.idle_trust // IDLE_TIMEOUT_GROWTH_DIVISOR
-    state.idle_trust = min(state.max_idle_trust, longer)
+    longer = (
+        state.idle_timeout_estimate
+        + state.idle_timeout_estimate // IDLE_TIMEOUT_GROWTH_DIVISOR
+    )
+    state.idle_timeout_estimate = min(state.max_idle_timeout_estimate, longer)
 
 
 def close_stale_connections(state: DispatcherState) -> None:
@@ -44,6 +48,6 @@
     to equal the time since the previous one.
     """
     for call in state.finished_calls:
-        rarely_called = call.since_previous_call > state.idle_trust > 0
+        rarely_called = call.since_previous_call > state.idle_timeout_estimate > 0
         if rarely_called and not call.endpoint.in_flight:
             state.actions.append(CloseIdleConnections(call.endpoint.id))
--- a/rainfall/dispatch/outlier_detection.py
+++ b/rainfall/dispatch/outlier_detection.py
@@ -158,4 +158,4 @@
     endpoint.failure_ratio = CERTAIN_FAILURE_RATIO
     endpoint.last_attempt_at = state.now
     endpoint.next_interval_factor = state.random.random()
-    state.possibly_open.add(endpoint.destination)
+    state.possibly_available.add(endpoint.destination)
--- a/rainfall/dispatch/release.py
+++ b/rainfall/dispatch/release.py
@@ -113,7 +113,7 @@
     """Return the class queues of all destinations to process that have capacity."""
     destinations = state.dirty_destinations
     if state.saturated:
-        destinations = destinations | state.possibly_open
+        destinations = destinations | state.possibly_available
     queues: list[ClassQueue] = []
     for destination in destinations & state.queues.by_destination.keys():
         state.work_count += 1
--- a/rainfall/dispatch/settings_change.py
+++ b/rainfall/dispatch/settings_change.py
@@ -19,9 +19,11 @@
     previous = state.settings
     state.apply_settings(settings)
     if previous.idle_connection_us:
-        state.idle_trust = min(state.idle_trust, state.max_idle_trust)
+        state.idle_timeout_estimate = min(
+            state.idle_timeout_estimate, state.max_idle_timeout_estimate
+        )
     else:
-        state.idle_trust = state.max_idle_trust
+        state.idle_timeout_estimate = state.max_idle_timeout_estimate
     if (settings.tenants, settings.forwarder_count) != (
         previous.tenants,
         previous.forwarder_count,
--- a/rainfall/dispatch/snapshot.py
+++ b/rainfall/dispatch/snapshot.py
@@ -110,7 +110,7 @@
             for call, attempt_ids in calls.values()
         ],
         "purses": state.tenant_quota_used_until,
-        "idle_us": state.idle_trust,
+        "idle_us": state.idle_timeout_estimate,
     }
 
 
@@ -138,9 +138,11 @@
         ]
         _restore_call(state, endpoint_id, values, keys)
     state.tenant_quota_used_until.update(snapshot.get("purses", {}))
-    idle_trust = snapshot.get("idle_us", state.idle_trust)
-    state.idle_trust = min(state.max_idle_trust, idle_trust)
-    state.possibly_open.update(state.queues.by_destination)
+    idle_timeout_estimate = snapshot.get("idle_us", state.idle_timeout_estimate)
+    state.idle_timeout_estimate = min(
+        state.max_idle_timeout_estimate, idle_timeout_estimate
+    )
+    state.possibly_available.update(state.queues.by_destination)
 
 
 def _export(record: object, keys: Mapping[str, str]) -> dict[str, Any]:
--- a/rainfall/dispatch/state.py
+++ b/rainfall/dispatch/state.py
@@ -34,7 +34,7 @@
 """Age after which observations of an idle destination are discarded.
 
 Also the least time between log notes on load shedding, and the upper bound of
-`idle_trust` in small fleets.
+`idle_timeout_estimate` in small fleets.
 """
 MIN_IDLE_US = 200_000
 """A connection that was unused for longer than this counts as idle."""
@@ -67,8 +67,8 @@
     """Factor for the initial even shares of a scope and for their increases."""
     pace_jitter: float = field(init=False)
     """Width of the random variation of a pace interval, as a fraction of it."""
-    max_idle_trust: int = field(init=False)
-    """Upper bound of `idle_trust`."""
+    max_idle_timeout_estimate: int = field(init=False)
+    """Upper bound of `idle_timeout_estimate`."""
 
     # Endpoints
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
@@ -80,7 +80,7 @@
     throttle_scopes: dict[ThrottleScopeKey, ThrottleScope] = field(default_factory=dict)
     disabled_endpoints: set[int] = field(default_factory=set)
     """Ids of endpoints that operators took out of service."""
-    idle_trust: int = field(init=False)
+    idle_timeout_estimate: int = field(init=False)
     """Estimated idle timeout of the endpoints: a connection that was idle for no longer
     is assumed to be open.
     """
@@ -124,7 +124,7 @@
     """
     saturated: bool = False
     """Whether `max_in_flight` calls were in flight at the end of the last round."""
-    possibly_open: set[int] = field(default_factory=set)
+    possibly_available: set[int] = field(default_factory=set)
     """Destinations that may have capacity for a call, not counting the limit on all
     calls in flight. Contains every destination that has capacity, and possibly others.
     """
@@ -172,7 +172,7 @@
 
     def __post_init__(self) -> None:
         self.apply_settings(self.settings)
-        self.idle_trust = self.max_idle_trust
+        self.idle_timeout_estimate = self.max_idle_timeout_estimate
         self.key_sequences_pruned_at = self.now
         self.shedding_logged_at = self.now - STALE_AFTER_US
 
@@ -189,7 +189,7 @@
         self.destination_kinds = {k.name: k for k in settings.destination_kinds}
         self.tenants = {t.name: t for t in settings.tenants}
         large_fleet = settings.forwarder_count > SMALL_FLEET
-        self.max_idle_trust = min(
+        self.max_idle_timeout_estimate = min(
             settings.idle_connection_us, MIN_IDLE_US if large_fleet else STALE_AFTER_US
         )
 
--- a/rainfall/dispatch/waiting.py
+++ b/rainfall/dispatch/waiting.py
@@ -49,7 +49,7 @@
     """
     if message.class_queue is None:
         message.queue_position = state.next_sequence_number()
-        state.possibly_open.add(message.destination)
+        state.possibly_available.add(message.destination)
     enqueue(state, message)
 
 
--- a/rainfall/forwarder/config/loading.py
+++ b/rainfall/forwarder/config/loading.py
@@ -334,14 +334,14 @@
     Raises:
         ConfigError: It is invalid, or lacks a key that the old one has.
     """
-    new = load(environ)
+    new = load_config(environ)
     missing = first_missing_key(*without_toggled_fleet(old.raw, new.raw))
     if missing:
         raise ConfigError(f"bad configuration: {missing} is missing")
     return new
 
 
-def load(environ: Mapping[str, str] = os.environ) -> Config:
+def load_config(environ: Mapping[str, str] = os.environ) -> Config:
     """Load the configuration from the file that LB_CONFIG names.
 
     Values in the environment take precedence over those in the file, except for
--- a/rainfall/forwarder/config/validation.py
+++ b/rainfall/forwarder/config/validation.py
@@ -224,7 +224,7 @@
     Args:
         text: The file's content.
         old: The active configuration.
-        environ: The environment variables, which `loading.load` describes.
+        environ: The environment variables, which `loading.load_config` describes.
     """
     report = ValidationReport()
     try:
--- a/rainfall/forwarder/discovery/endpoint_watch.py
+++ b/rainfall/forwarder/discovery/endpoint_watch.py
@@ -21,12 +21,12 @@
 from rainfall.forwarder.discovery.notifications import (
     LOOP_ALLOWANCE_S,
     MAX_NOTIFICATIONS_PER_POST,
+    NOTIFICATION_BACKOFF_LIMIT_S,
     NOTIFICATION_FIRST_BACKOFF_S,
     NOTIFICATION_MIN_RETRY_S,
     NOTIFICATION_PATH,
+    NOTIFICATION_RESPONSE_TIMEOUT_LIMIT_S,
     NOTIFICATION_RESPONSE_TIMEOUT_S,
-    NOTIFICATION_TOP_BACKOFF_S,
-    NOTIFICATION_TOP_RESPONSE_TIMEOUT_S,
     encode_notifications,
     exponential_delay_s,
     notification_latency_bound_s,
@@ -43,9 +43,9 @@
 
 __all__ = [
     "MAX_NOTIFICATIONS_PER_POST",
+    "NOTIFICATION_BACKOFF_LIMIT_S",
+    "NOTIFICATION_RESPONSE_TIMEOUT_LIMIT_S",
     "NOTIFICATION_RESPONSE_TIMEOUT_S",
-    "NOTIFICATION_TOP_BACKOFF_S",
-    "NOTIFICATION_TOP_RESPONSE_TIMEOUT_S",
     "NO_VERSION",
     "EndpointWatch",
     "HttpClient",
@@ -78,7 +78,7 @@
 """Period after a change of discovery's address in which the watch itself retries a
 failed poll. The list is needed sooner than the dispatcher's retry would fetch it.
 """
-INSIST_RETRY_S = 0.2
+FAST_RETRY_S = 0.2
 """Mean delay of a retry within FAST_RETRY_PERIOD_S."""
 PUSHED_RESPONSE_TIMEOUT_S = 0.2
 """Timeout of a poll that is not held, where lists are pushed: the agent on this machine
@@ -100,7 +100,7 @@
 """A change counts as received this long after discovery has it, so it must be applied
 by then.
 """
-LIST_LATENCY_LIMIT_AFTER_MOVE_S = 4.0
+LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S = 4.0
 """The list of a new address counts as received this long after the SIGHUP that changed
 discovery's address.
 """
@@ -152,7 +152,7 @@
     )
 
 
-def list_latency_bound_after_move_s(pushed: bool) -> float:
+def list_latency_bound_after_address_change_s(pushed: bool) -> float:
     """Return the maximum delay, in seconds, after a change of discovery's address.
 
     The delay runs from the SIGHUP to the engine's round that applies the list of the
@@ -160,7 +160,7 @@
     The worst case is the longer of two: either two requests fail as late as possible,
     or the list arrives late and the held poll after it goes silent at once.
 
-    The result must stay below LIST_LATENCY_LIMIT_AFTER_MOVE_S, with a margin.
+    The result must stay below LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S, with a margin.
 
     Args:
         pushed: Whether lists are pushed.
@@ -168,7 +168,7 @@
     if pushed:
         times = RequestTimes(PUSHED_RESPONSE_TIMEOUT_S, RETRY_JITTER * PUSHED_RETRY_S)
     else:
-        times = RequestTimes(RESPONSE_TIMEOUT_S, RETRY_JITTER * INSIST_RETRY_S)
+        times = RequestTimes(RESPONSE_TIMEOUT_S, RETRY_JITTER * FAST_RETRY_S)
     two_failures_s = 2 * (times.response_timeout_s + times.retry_s)
     silent_watch_s = (
         times.response_timeout_s
@@ -294,7 +294,7 @@
         """Discovery has responded since the last failure, so a poll may be held."""
         self.failures = 0
         """Number of failures in a row."""
-        self.answered = asyncio.Event()
+        self.list_received = asyncio.Event()
         """Set once discovery has responded with the list, or with changes of it."""
         self.task: asyncio.Task[None] | None = None
 
@@ -348,7 +348,7 @@
                 return
             self.confirmed = True
             self.failures = 0
-            self.answered.set()
+            self.list_received.set()
             if (
                 was_confirmed
                 and self.version == previous_version
@@ -430,7 +430,7 @@
         It is random, so that many forwarders do not poll in step, and does not grow
         with the number of failures.
         """
-        mean_s = PUSHED_RETRY_S if self.pushed else INSIST_RETRY_S
+        mean_s = PUSHED_RETRY_S if self.pushed else FAST_RETRY_S
         return self.random.uniform(2 - RETRY_JITTER, RETRY_JITTER) * mean_s
 
 
@@ -448,11 +448,11 @@
         self.wake = asyncio.Event()
         """Set when notifications may be pending."""
         self.paused = False
-        """`pause` was called, and not `kick` since."""
+        """`pause` was called, and not `post_pending` since."""
         self.task: asyncio.Task[None] | None = None
         """Runs `run`."""
 
-    def kick(self) -> None:
+    def post_pending(self) -> None:
         """Post all pending notifications now."""
         self.paused = False
         self.wake.set()
@@ -470,10 +470,10 @@
         self.client = HttpClient(address)
         self.task = None
         if not self.paused:
-            self.kick()
+            self.post_pending()
 
     def pause(self) -> None:
-        """Post nothing until the next `kick`.
+        """Post nothing until the next `post_pending`.
 
         An interrupted post is repeated after that.
         """
@@ -494,7 +494,7 @@
         return exponential_delay_s(
             NOTIFICATION_RESPONSE_TIMEOUT_S,
             max(0, timeouts - 1),
-            NOTIFICATION_TOP_RESPONSE_TIMEOUT_S,
+            NOTIFICATION_RESPONSE_TIMEOUT_LIMIT_S,
         )
 
     def retry_delay_s(self, failures: int) -> float:
@@ -508,12 +508,12 @@
             failures: Number of posts in a row that failed before this one.
         """
         longest_s = exponential_delay_s(
-            NOTIFICATION_FIRST_BACKOFF_S, failures, NOTIFICATION_TOP_BACKOFF_S
+            NOTIFICATION_FIRST_BACKOFF_S, failures, NOTIFICATION_BACKOFF_LIMIT_S
         )
         return self.random.uniform(NOTIFICATION_MIN_RETRY_S, longest_s)
 
     async def run(self) -> None:
-        """After each `kick`, post pending notifications until all are acknowledged."""
+        """After each `post_pending`, post pending notifications until all are acknowledged."""
         failures = 0
         timeouts = 0
         while True:
--- a/rainfall/forwarder/discovery/notifications.py
+++ b/rainfall/forwarder/discovery/notifications.py
@@ -14,15 +14,15 @@
 """Minimum delay after a failed post, to avoid a busy loop of retries."""
 NOTIFICATION_FIRST_BACKOFF_S = 0.1
 """Maximum backoff after the first failed post; doubled by each further failure, up to
-NOTIFICATION_TOP_BACKOFF_S.
+NOTIFICATION_BACKOFF_LIMIT_S.
 """
-NOTIFICATION_TOP_BACKOFF_S = 0.2
+NOTIFICATION_BACKOFF_LIMIT_S = 0.2
 """Upper limit of the maximum backoff."""
 NOTIFICATION_RESPONSE_TIMEOUT_S = 0.1
 """Timeout of a post, which the platform normally answers at once. It doubles with each
-further timeout in a row, up to NOTIFICATION_TOP_RESPONSE_TIMEOUT_S.
+further timeout in a row, up to NOTIFICATION_RESPONSE_TIMEOUT_LIMIT_S.
 """
-NOTIFICATION_TOP_RESPONSE_TIMEOUT_S = 0.8
+NOTIFICATION_RESPONSE_TIMEOUT_LIMIT_S = 0.8
 """Upper limit of the timeout of a post, for a platform that is permanently slow."""
 DOUBLING_LIMIT = 8
 """Maximum number of doublings; every upper limit is reached with fewer."""
--- a/rainfall/forwarder/engine/call_dispatch.py
+++ b/rainfall/forwarder/engine/call_dispatch.py
@@ -41,7 +41,7 @@
 """
 EARLY_TIMEOUT_DIVISOR = 4
 """That margin is also at most this part (1/4) of the time left until the deadline."""
-UNPERSISTED_RETRY_S = 0.25
+JOURNAL_FAILURE_BACKOFF_S = 0.25
 """Backoff if a message's first attempt could not be journaled; doubles per attempt."""
 
 CallStep = CloseIdleConnections | OutboundCall | CancelAttempt
@@ -250,7 +250,7 @@
             if message is None or committed:
                 self.events.post(not_sent)
             else:
-                delay_s = self.unpersisted_retry_s(message, item.attempt)
+                delay_s = self.journal_failure_backoff_s(message, item.attempt)
                 asyncio.get_running_loop().call_later(
                     delay_s, self.events.post, not_sent
                 )
@@ -306,7 +306,9 @@
                     },
                 )
 
-    def unpersisted_retry_s(self, message: AcceptedMessage, attempt: int) -> float:
+    def journal_failure_backoff_s(
+        self, message: AcceptedMessage, attempt: int
+    ) -> float:
         """Return the backoff after an attempt that could not be journaled, in seconds.
 
         Every such attempt counts towards the message's maximum. At a constant interval
@@ -314,7 +316,7 @@
         doubles. It ends at the message's deadline at the latest.
         """
         remaining_s = (message.deadline_us - self.clock()) / US_PER_SECOND
-        return max(0.0, min(UNPERSISTED_RETRY_S * 2.0**attempt, remaining_s))
+        return max(0.0, min(JOURNAL_FAILURE_BACKOFF_S * 2.0**attempt, remaining_s))
 
     def may_send_unrecorded(self, message: AcceptedMessage) -> bool:
         """Return whether an attempt may be sent without a journal record.
--- a/rainfall/forwarder/engine/handover_pause.py
+++ b/rainfall/forwarder/engine/handover_pause.py
@@ -149,7 +149,7 @@
         if self.state.fleet is not None:
             self.state.fleet.resume()
         self.watch.subscribe()
-        self.notifier.kick()
+        self.notifier.post_pending()
         self.events.schedule_round()
         self.run_deferred_requests()
 
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -25,7 +25,7 @@
     trace_log,
 )
 from rainfall.forwarder.engine.event_queue import EventQueue
-from rainfall.forwarder.engine.message_limits import CapacityBound, has_memory
+from rainfall.forwarder.engine.message_limits import CapacityLimit, has_memory
 from rainfall.forwarder.engine.outcome_recorder import OutcomeRecorder
 from rainfall.forwarder.engine.restoration import Restoration
 from rainfall.forwarder.handover.source import HandoverSource
@@ -54,7 +54,7 @@
         self.metrics, self.handover_source = metrics, handover_source
         self.directory, self.events = directory, events
         self.outcomes, self.restoration = outcomes, restoration
-        self.undecided: dict[str, Submission] = {}
+        self.pending_submissions: dict[str, Submission] = {}
         """Submissions for the next round, by message id."""
         self.unacknowledged: set[str] = set()
         """Ids of accepted messages whose journal record is not committed yet."""
@@ -81,7 +81,7 @@
             # A duplicate, which must not be delivered a second time.
             writer.answer(HTTPStatus.ACCEPTED)
             return
-        if acceptance_pending or submitted.id in self.undecided:
+        if acceptance_pending or submitted.id in self.pending_submissions:
             self.answer_unavailable(submitted, writer, "handed in twice at once")
             return
         if self.state.frozen or self.is_full(submitted):
@@ -104,7 +104,7 @@
 
     def admit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
         """Queue a message for the next round."""
-        self.undecided[submitted.id] = Submission(submitted, writer)
+        self.pending_submissions[submitted.id] = Submission(submitted, writer)
         writer.on_disconnect = lambda: self.withdraw(submitted.id)
         self.events.post(
             MessageReceived(
@@ -147,51 +147,51 @@
 
         Logs the limit, at most once per LOG_INTERVAL_US.
         """
-        exceeded = self.exceeded_bound(submitted)
+        exceeded = self.exceeded_limit(submitted)
         if exceeded is None:
             return False
         if self.clock() - self.last_full_log_us > LOG_INTERVAL_US:
             self.last_full_log_us = self.clock()
             log.warning(
                 "full: %d messages held; rejecting new ones, limited by %s",
-                len(self.store.messages) + len(self.undecided),
+                len(self.store.messages) + len(self.pending_submissions),
                 exceeded.value,
             )
         return True
 
-    def exceeded_bound(self, submitted: SubmittedMessage) -> CapacityBound | None:
+    def exceeded_limit(self, submitted: SubmittedMessage) -> CapacityLimit | None:
         """Return the capacity limit that one more message would exceed, if any.
 
         The limits apply to new messages only; no accepted message is ever dropped.
         """
-        message_count = len(self.store.messages) + len(self.undecided)
+        message_count = len(self.store.messages) + len(self.pending_submissions)
         extra_bytes = len(submitted.body) + sum(
-            len(other.message.body) for other in self.undecided.values()
+            len(other.message.body) for other in self.pending_submissions.values()
         )
         config = self.state.config
         if message_count >= config.settings.max_open_messages:
-            return CapacityBound.MESSAGES
+            return CapacityLimit.MESSAGES
         if not has_memory(
             config.memory_mb, message_count + 1, self.store.live_bytes + extra_bytes
         ):
-            return CapacityBound.MEMORY
-        return None if self.store.has_capacity(extra_bytes) else CapacityBound.DISK
+            return CapacityLimit.MEMORY
+        return None if self.store.has_capacity(extra_bytes) else CapacityLimit.DISK
 
     def take_undecided(self) -> dict[str, Submission]:
         """Remove and return all submissions, for the round that starts."""
-        undecided, self.undecided = self.undecided, {}
+        undecided, self.pending_submissions = self.pending_submissions, {}
         return undecided
 
     def requeue(self, submission: Submission) -> None:
         """Put back a submission that a round took but did not handle."""
-        self.undecided[submission.message.id] = submission
+        self.pending_submissions[submission.message.id] = submission
 
     def withdraw(self, message_id: str) -> None:
         """Withdraw a message whose client disconnected before the response.
 
         The client may submit it to another forwarder, so this one must not deliver it.
         """
-        if self.undecided.pop(message_id, None) is not None:
+        if self.pending_submissions.pop(message_id, None) is not None:
             self.events.post(MessageWithdrawn(message_id))
         if message_id in self.unacknowledged:
             # Its record may be written and wait for a sync. Journaling the end now keeps
--- a/rainfall/forwarder/engine/message_limits.py
+++ b/rainfall/forwarder/engine/message_limits.py
@@ -18,13 +18,13 @@
 """Fraction of the memory above BASE_PROCESS_BYTES that open messages may use; the rest
 is for connections and calls.
 """
-MIN_HELD_BYTES = BYTES_PER_MB
+MIN_MESSAGE_MEMORY_BYTES = BYTES_PER_MB
 """Memory that open messages may use even if the process limit is lower than
 BASE_PROCESS_BYTES or hardly above it.
 """
 
 
-class CapacityBound(Enum):
+class CapacityLimit(Enum):
     """A capacity limit; the value is its description in the log."""
 
     MESSAGES = "the number of messages (max_open)"
@@ -32,14 +32,14 @@
     MEMORY = "the memory for held messages (memory_mb)"
 
 
-def held_message_bytes(memory_mb: int) -> int:
+def message_memory_bytes(memory_mb: int) -> int:
     """Return the bytes that open messages may use.
 
     Args:
         memory_mb: Memory limit of the process, in megabytes.
     """
     return max(
-        MIN_HELD_BYTES,
+        MIN_MESSAGE_MEMORY_BYTES,
         int(MESSAGE_MEMORY_FRACTION * (memory_mb * BYTES_PER_MB - BASE_PROCESS_BYTES)),
     )
 
@@ -52,4 +52,4 @@
         messages: Number of open messages, including the one to accept.
         live_bytes: Size of their journal records, including that message's.
     """
-    return messages * MESSAGE_BYTES + live_bytes <= held_message_bytes(memory_mb)
+    return messages * MESSAGE_BYTES + live_bytes <= message_memory_bytes(memory_mb)
--- a/rainfall/forwarder/engine/round_completion.py
+++ b/rainfall/forwarder/engine/round_completion.py
@@ -60,7 +60,7 @@
             elif self.call_dispatch.drop_unsendable(step, committed):
                 self.pool.start(step)
         if self.store.pending_notifications:
-            self.notifier.kick()
+            self.notifier.post_pending()
 
     def cancel_attempt(self, step: CancelAttempt) -> None:
         """Cancel an attempt in the process that has the call in flight."""
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -145,7 +145,7 @@
         """
         if self.store.pending_notifications:
             return False
-        if not self.store.messages and not self.intake.undecided:
+        if not self.store.messages and not self.intake.pending_submissions:
             return True
         return (
             self.state.frozen
@@ -160,7 +160,7 @@
         have to treat it as possibly executed. An unsent one can simply be attempted by
         the next process.
         """
-        if self.intake.undecided or self.events.pending_events:
+        if self.intake.pending_submissions or self.events.pending_events:
             self.run_round()
         self.stop_rounds()
         # Calls of the last round that could not be sent have posted NOT_SENT outcomes,
--- a/rainfall/forwarder/engine/sockets.py
+++ b/rainfall/forwarder/engine/sockets.py
@@ -9,12 +9,12 @@
 from rainfall.forwarder.admin.admin_server import MAX_CONNECTIONS
 from rainfall.forwarder.inbound.server import (
     ACCEPT_BATCH,
-    ACCEPT_LOOP_TURNS,
+    ACCEPT_LOOP_ITERATIONS,
     InboundServer,
 )
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 
-OWN_DESCRIPTORS = 24
+RESERVED_DESCRIPTORS = 24
 """Descriptors for everything but the connections of clients, operators and endpoints.
 
 They are: 3 standard streams; 3 of the event loop; the clients' listener, the listener
@@ -24,7 +24,9 @@
 each with a previous one that is closing; the configuration file while it is read; and a
 few spare ones.
 """
-ADMIN_DESCRIPTORS = 1 + MAX_CONNECTIONS + ACCEPT_LOOP_TURNS * admin_server.ACCEPT_BATCH
+ADMIN_DESCRIPTORS = (
+    1 + MAX_CONNECTIONS + ACCEPT_LOOP_ITERATIONS * admin_server.ACCEPT_BATCH
+)
 """Descriptors of the operators' listener and its connections."""
 MIN_CONNECTIONS = 8
 """Minimum connections to endpoints, and from clients, however low the limit is."""
@@ -50,9 +52,9 @@
     pool.max_connections = max(MIN_CONNECTIONS, sockets // 3)
     others = (
         pool.max_connections
-        + OWN_DESCRIPTORS
+        + RESERVED_DESCRIPTORS
         + ADMIN_DESCRIPTORS
-        + ACCEPT_LOOP_TURNS * ACCEPT_BATCH
+        + ACCEPT_LOOP_ITERATIONS * ACCEPT_BATCH
     )
     server.max_connections = max(
         MIN_CONNECTIONS, sockets // 4, min(sockets // 2, sockets - others)
--- a/rainfall/forwarder/engine/startup.py
+++ b/rainfall/forwarder/engine/startup.py
@@ -18,7 +18,7 @@
 from rainfall.forwarder.handover.journal_lock import JournalLock
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.handover.target import HandoverTarget, TargetEngine
-from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_TURNS
+from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_ITERATIONS
 from rainfall.forwarder.inbound.server import InboundServer
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
@@ -108,7 +108,7 @@
             self.state.fleet.start()
         self.run_round()
         await self.wait_for_commit()
-        self.notifier.kick()
+        self.notifier.post_pending()
         config = self.state.config
         address = config.listen
         await self.server.listen(address.host, address.port, config.inherited_fd)
@@ -138,7 +138,7 @@
         await self.wait_for_commit(FINAL_COMMIT_TIMEOUT_S)
         # Unread responses may be deliveries. These turns of the event loop read and
         # journal them before the connections are closed.
-        for _ in range(SETTLE_LOOP_TURNS):
+        for _ in range(SETTLE_LOOP_ITERATIONS):
             await asyncio.sleep(0)
 
     async def wait_for_commit(self, timeout_s: float | None = None) -> None:
@@ -172,7 +172,7 @@
         """
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
-                await self.watch.answered.wait()
+                await self.watch.list_received.wait()
         except TimeoutError:
             log.info(
                 "no endpoint list within %.1f s; continuing with version %d",
--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -490,7 +490,7 @@
 
     def log_changes(self, now: int) -> None:
         """Log each quota that changed since the last call."""
-        for destination, metrics in self.quotas.changes(now):
+        for destination, metrics in self.quotas.take_changed_metrics(now):
             log.info(
                 "budget of destination %d: %d of %d calls in %d ms by %s for %d ms, reserve %d, used %d:"
                 " %s",
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -500,7 +500,7 @@
         """Return the basis of the present limit: "lease", or "reserve" without one."""
         return "lease" if now_us < account.quota.valid_until_us else "reserve"
 
-    def changes(self, now_us: int) -> list[tuple[int, dict[str, Any]]]:
+    def take_changed_metrics(self, now_us: int) -> list[tuple[int, dict[str, Any]]]:
         """Return destination and metrics of each quota that changed since the last call.
 
         The properties of `LoggedQuota` are compared. The metrics are those of `metrics`.
--- a/rainfall/forwarder/handover/source.py
+++ b/rainfall/forwarder/handover/source.py
@@ -93,10 +93,10 @@
         """Whether the target owns the journal; it never becomes False again."""
         self.pause_completed = True
         """Whether the last pause that was requested of the engine has called back."""
-        self.link: HandoverConnection | None = None
+        self.connection: HandoverConnection | None = None
         """The connection to the current target."""
         self.listener: asyncio.Server | None = None
-        self.timer: asyncio.TimerHandle | None = None
+        self.hold_timer: asyncio.TimerHandle | None = None
         """Runs from the snapshot until the target requests ownership."""
         self.hold_timeout_s = HOLD_TIMEOUT_S
         self.refuse_until_s = 0.0
@@ -129,15 +129,17 @@
         """Stop listening and close the connection to the target."""
         if self.listener is not None:
             self.listener.close()
-        if self.link is not None:
-            self.link.close()
+        if self.connection is not None:
+            self.connection.close()
 
-    def on_message(self, link: HandoverConnection, received: HandoverMessage) -> None:
+    def on_message(
+        self, connection: HandoverConnection, received: HandoverMessage
+    ) -> None:
         """Handle a line from a target (callback of the connection)."""
         if is_snapshot_request(received):
-            self.start_handover(link)
-        elif link is not self.link:
-            link.close()
+            self.start_handover(connection)
+        elif connection is not self.connection:
+            connection.close()
         else:
             self.on_target_message(decode_target_message(received))
 
@@ -146,7 +148,7 @@
         match message:
             case Request.OWNERSHIP:
                 if not self.transferred:
-                    self.stop_timer()
+                    self.stop_hold_timer()
                     self.transferred = True
                     self.engine.transfer_ownership()
             case SubmissionAnswer(number, status, text, headers):
@@ -159,28 +161,30 @@
             case CancelRequest(message_id, attempt):
                 self.engine.cancel_call(message_id, attempt)
 
-    def start_handover(self, link: HandoverConnection) -> None:
+    def start_handover(self, connection: HandoverConnection) -> None:
         """Pause the engine for a target, or refuse the target."""
         # The pause for a target that has disconnected may still be under way. After a
         # target that was too slow, all targets are refused for a while: one that retries
         # immediately would keep the engine paused.
-        busy = self.link is not None or self.transferred or not self.pause_completed
+        busy = (
+            self.connection is not None or self.transferred or not self.pause_completed
+        )
         if busy or time.monotonic() < self.refuse_until_s:
-            self.refuse(link)
+            self.refuse(connection)
             return
-        self.link = link
+        self.connection = connection
         self.pause_completed = False
         self.engine.pause_for_handover(
-            lambda snapshot: self.send_snapshot(link, snapshot)
+            lambda snapshot: self.send_snapshot(connection, snapshot)
         )
 
-    def refuse(self, link: HandoverConnection) -> None:
+    def refuse(self, connection: HandoverConnection) -> None:
         """Send a refusal and close the connection."""
-        link.send_message(Refusal())
-        link.close()
+        connection.send_message(Refusal())
+        connection.close()
 
     def send_snapshot(
-        self, link: HandoverConnection, snapshot: HandoverMessage | None
+        self, connection: HandoverConnection, snapshot: HandoverMessage | None
     ) -> None:
         """Send the snapshot once the engine has paused, and start the hold timer.
 
@@ -188,22 +192,22 @@
         target is refused and the engine resumes.
         """
         self.pause_completed = True
-        if snapshot is None or link is not self.link:
-            if link is self.link:
-                self.link = None
-            self.refuse(link)
+        if snapshot is None or connection is not self.connection:
+            if connection is self.connection:
+                self.connection = None
+            self.refuse(connection)
             self.engine.resume_after_handover()
             return
-        link.send_message(SnapshotReply(snapshot))
-        self.timer = asyncio.get_running_loop().call_later(
+        connection.send_message(SnapshotReply(snapshot))
+        self.hold_timer = asyncio.get_running_loop().call_later(
             self.hold_timeout_s, self.on_hold_timeout
         )
 
-    def stop_timer(self) -> None:
+    def stop_hold_timer(self) -> None:
         """Cancel the hold timer, if it is running."""
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        if self.hold_timer is not None:
+            self.hold_timer.cancel()
+            self.hold_timer = None
 
     def on_hold_timeout(self) -> None:
         """Abort a handover whose target was too slow, and resume serving.
@@ -217,27 +221,27 @@
 
     def abort(self) -> None:
         """Abort the handover, unless the target owns the journal already."""
-        if self.link is not None and not self.transferred:
-            link, self.link = self.link, None
-            self.stop_timer()
-            link.close()
+        if self.connection is not None and not self.transferred:
+            connection, self.connection = self.connection, None
+            self.stop_hold_timer()
+            connection.close()
             log.warning("the new process did not take over; going on")
             # If the pause is still under way, `send_snapshot` resumes the engine.
             if self.pause_completed:
                 self.engine.resume_after_handover()
 
-    def on_disconnect(self, link: HandoverConnection) -> None:
+    def on_disconnect(self, connection: HandoverConnection) -> None:
         """Handle the loss of the current target.
 
         Before the transfer the handover is aborted. After it the operators that wait
         are answered 503, and the engine handles the rest.
         """
-        if link is not self.link:
+        if connection is not self.connection:
             return
         if not self.transferred:
             self.abort()
             return
-        self.link = None
+        self.connection = None
         responders, self.admin_responders = self.admin_responders, {}
         for answer in responders.values():
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
@@ -247,35 +251,35 @@
 
     def confirm_transfer(self) -> None:
         """Confirm to the target that it owns the journal."""
-        if self.link is not None:
-            self.link.send_message(OwnershipConfirmed())
+        if self.connection is not None:
+            self.connection.send_message(OwnershipConfirmed())
 
     def submit(self, submitted: SubmittedMessage, writer: ResponseWriter) -> None:
         """Forward a client's message to the target, which answers it.
 
         Without a target the client is answered 503.
         """
-        if self.link is None:
+        if self.connection is None:
             writer.answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", Retry_After="1")
             return
         self.last_request_number += 1
         number = self.last_request_number
         self.response_writers[number] = (submitted.id, writer)
         writer.on_disconnect = lambda: self.forward_disconnect(number)
-        self.link.send_message(Submission(number, submitted))
+        self.connection.send_message(Submission(number, submitted))
 
     def forward_disconnect(self, number: int) -> None:
         """Report to the target that the client of a forwarded message disconnected."""
         if (
             self.response_writers.pop(number, None) is not None
-            and self.link is not None
+            and self.connection is not None
         ):
-            self.link.send_message(ClientDisconnected(number))
+            self.connection.send_message(ClientDisconnected(number))
 
     def forward_outcome(self, outcome: AttemptFinished) -> None:
         """Report the outcome of a call of this process to the target."""
-        if self.link is not None:
-            self.link.send_message(AttemptOutcome(outcome))
+        if self.connection is not None:
+            self.connection.send_message(AttemptOutcome(outcome))
 
     def take_response_writers(self) -> dict[int, tuple[str, ResponseWriter]]:
         """Return the clients that wait for the target's answer, and clear the record.
@@ -295,8 +299,8 @@
         whole configuration.
         """
         self.engine.reload_inbound_settings()
-        if self.link is not None:
-            self.link.send_message(ReloadRequest())
+        if self.connection is not None:
+            self.connection.send_message(ReloadRequest())
 
     def set_detached(
         self, endpoint: str, detached: bool, answer: AdminResponder
@@ -305,10 +309,10 @@
 
         Without a target the operator is answered 503.
         """
-        if self.link is None:
+        if self.connection is None:
             answer(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
             return
         self.last_request_number += 1
         number = self.last_request_number
         self.admin_responders[number] = answer
-        self.link.send_message(DetachRequest(number, endpoint, detached))
+        self.connection.send_message(DetachRequest(number, endpoint, detached))
--- a/rainfall/forwarder/handover/target.py
+++ b/rainfall/forwarder/handover/target.py
@@ -81,7 +81,7 @@
         """Send the answer to the source, which writes it to the client."""
         self.on_disconnect = None
         self.handover_target.response_writers.pop(self.number, None)
-        self.handover_target.link.send_message(
+        self.handover_target.connection.send_message(
             SubmissionAnswer(self.number, status.value, text, headers)
         )
 
@@ -90,7 +90,7 @@
     """Takes the journal over from the source, then handles what the source forwards."""
 
     def __init__(self) -> None:
-        self.link = HandoverConnection(self.on_message, self.on_disconnect)
+        self.connection = HandoverConnection(self.on_message, self.on_disconnect)
         """The connection to the source."""
         self.snapshot: HandoverMessage = {}
         """The source's snapshot as JSON data; empty until it is received."""
@@ -119,11 +119,11 @@
         try:
             with short_path(folder / SOCKET_NAME) as path:
                 await asyncio.get_running_loop().create_unix_connection(
-                    lambda: self.link, path
+                    lambda: self.connection, path
                 )
         except OSError:
             return False
-        return await self.request(Request.SNAPSHOT, SNAPSHOT_TIMEOUT_S)
+        return await self.send_request(Request.SNAPSHOT, SNAPSHOT_TIMEOUT_S)
 
     async def request_ownership(self) -> bool:
         """Request ownership of the journal.
@@ -135,9 +135,9 @@
         Returns:
             Whether this process owns the journal from now on.
         """
-        return await self.request(Request.OWNERSHIP, None)
+        return await self.send_request(Request.OWNERSHIP, None)
 
-    async def request(self, request: str, timeout_s: float | None) -> bool:
+    async def send_request(self, request: str, timeout_s: float | None) -> bool:
         """Send a request and wait for the reply.
 
         Args:
@@ -151,17 +151,17 @@
         if self.disconnected:
             return False
         self.pending_reply = asyncio.get_running_loop().create_future()
-        self.link.send_message(Request(request))
+        self.connection.send_message(Request(request))
         try:
             async with asyncio.timeout(timeout_s):
                 return await self.pending_reply
         except TimeoutError:
-            self.link.close()
+            self.connection.close()
             return False
 
     def cancel_call(self, message_id: str, attempt: int) -> None:
         """Request that the source cancel a call that it has in flight."""
-        self.link.send_message(CancelRequest(message_id, attempt))
+        self.connection.send_message(CancelRequest(message_id, attempt))
 
     def attach(self, engine: TargetEngine) -> None:
         """Pass the source's messages on to an engine, beginning with the buffered ones.
@@ -171,7 +171,7 @@
         self.engine = engine
         early_messages, self.early_messages = self.early_messages, []
         for line in early_messages:
-            self.on_message(self.link, line)
+            self.on_message(self.connection, line)
         if self.disconnected:
             self.disconnect_clients(engine)
 
@@ -213,7 +213,7 @@
                 engine.set_detached(
                     endpoint,
                     detached,
-                    lambda status, text: self.link.send_message(
+                    lambda status, text: self.connection.send_message(
                         DetachAnswer(number, status.value, text)
                     ),
                 )
@@ -255,7 +255,7 @@
         if await target.request_snapshot(folder):
             return target
         with suppress(OSError):
-            target.link.close()
+            target.connection.close()
         if not waited:
             waited = True
             log.warning(
--- a/rainfall/forwarder/inbound/client_connection.py
+++ b/rainfall/forwarder/inbound/client_connection.py
@@ -38,7 +38,7 @@
 """Minimum time that a new connection is kept open for its first request, even while
 the process drains.
 """
-SETTLE_LOOP_TURNS = 4
+SETTLE_LOOP_ITERATIONS = 4
 """Event loop iterations after which each connection accepted before has its transport
 and the input that it had received by then is read.
 """
@@ -630,7 +630,7 @@
         close_at = loop.time() + grace_s
         self.draining = True
         self.stop_listening()
-        for _ in range(SETTLE_LOOP_TURNS):
+        for _ in range(SETTLE_LOOP_ITERATIONS):
             await asyncio.sleep(0)
         while self.connections or self.accept_tasks:
             now = loop.time()
--- a/rainfall/forwarder/inbound/server.py
+++ b/rainfall/forwarder/inbound/server.py
@@ -79,7 +79,7 @@
 """Length of the kernel's accept queue: hundreds of clients may reconnect at once."""
 ACCEPT_BATCH = 4
 """Maximum number of connections accepted in one iteration of the event loop."""
-ACCEPT_LOOP_TURNS = 4
+ACCEPT_LOOP_ITERATIONS = 4
 """Event loop iterations from accepting a connection until the descriptor of the
 connection that is evicted for it is closed.
 """
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -266,7 +266,7 @@
         A call may be slightly early for its permit, because earlier calls were sent
         later than they were decided. It then waits up to PERMIT_WAIT_US.
         """
-        data = self.render(call)
+        data = self.encode_call(call)
         permit_delay_us = self._record_and_acquire_permit(call)
         if permit_delay_us == PERMIT_GRANTED:
             connection.send_call(call, data)
@@ -311,7 +311,7 @@
         if call.open_items:
             self.connect(call)
 
-    def render(self, call: OutboundCall) -> bytes:
+    def encode_call(self, call: OutboundCall) -> bytes:
         """Return a call's encoded request, with its messages without an outcome."""
         address = self.addresses[call.endpoint]
         host = f"{address.host}:{address.port}"
--- a/tests/compatibility/handovers.py
+++ b/tests/compatibility/handovers.py
@@ -277,21 +277,21 @@
     """What the new process sends when it is sent these lines, what it hears, and what
     it was told to remember."""
     successor = HandoverTarget()
-    successor.link.transport = transport = RecordingTransport()
+    successor.connection.transport = transport = RecordingTransport()
     told = by_word(from_old)
     for word, answer in (("ask", "memory"), ("prepared", "yours")):
-        request = asyncio.create_task(successor.request(word, 60.0))
+        request = asyncio.create_task(successor.send_request(word, 60.0))
         await asyncio.sleep(0)
-        successor.link.data_received(told[answer])
+        successor.connection.data_received(told[answer])
         assert await request
     rest = [line for line in lines(from_old) if line not in told.values()]
     rest = [told[w] for w in ("hand_in", "ended", "rotate", "reload")] + rest
     for line in rest[:1]:
-        successor.link.data_received(line)  # before there is an engine
+        successor.connection.data_received(line)  # before there is an engine
     engine = NewEngine(successor)
     successor.attach(engine)
     for line in [*rest[1:], told["gone"]]:
-        successor.link.data_received(line)
+        successor.connection.data_received(line)
     with fixed_machine() as folder:
         whole = forwarder(folder, successor)
         message, attempt = next(iter(whole.remote_calls))
@@ -302,10 +302,10 @@
 async def refused(from_old: bytes) -> bool:
     """Whether a process that is told no goes on as if nobody served."""
     successor = HandoverTarget()
-    successor.link.transport = RecordingTransport()
-    request = asyncio.create_task(successor.request("ask", 60.0))
+    successor.connection.transport = RecordingTransport()
+    request = asyncio.create_task(successor.send_request("ask", 60.0))
     await asyncio.sleep(0)
-    successor.link.data_received(by_word(from_old)["no"])
+    successor.connection.data_received(by_word(from_old)["no"])
     return not await request
 
 
--- a/tests/compatibility/operators.py
+++ b/tests/compatibility/operators.py
@@ -249,7 +249,7 @@
         data = b""
         for some in (items[:1], items[1:], items):
             opened = {item.id: item for item in some}
-            data += pool.render(
+            data += pool.encode_call(
                 OutboundCall(
                     1, ThrottleScopeKey(7, -1), 0, some, 2_500_000, open_items=opened
                 )
--- a/tests/dispatch/test_queue_order.py
+++ b/tests/dispatch/test_queue_order.py
@@ -105,7 +105,7 @@
     pair.handle(now + MS, [ask("waits", due=130 * S), ask("out", 11, due=140 * S)])
     assert [message_id for message_id, _ in pair.new.state.attempts] == [
         "out"
-    ] and 10 not in pair.new.state.possibly_open
+    ] and 10 not in pair.new.state.possibly_available
     pair.handle(now + 2 * MS, [OutageRestored(1, 10 * S, 40 * S)])
     assert pair.new.state.saturated and not pair.new.in_slow_start(
         pair.new.state.endpoints[1]
@@ -121,7 +121,7 @@
     first = sends(pair.handle(0, [ask("waits", due=30 * S)]))[0]
     pair.handle(MS, [end(first, REJECTED, retry_after_us=20 * S)])
     pair.handle(2 * MS, [ask("out", 11, due=40 * S)])
-    assert pair.new.state.saturated and 10 not in pair.new.state.possibly_open
+    assert pair.new.state.saturated and 10 not in pair.new.state.possibly_available
     scope = {"wait_until": 0, "rest_until": 0, "rest": 0}
     pair.handle(3 * MS, [SnapshotRestored({"places": [[10, -1, scope]]})])
     actions = pair.handle(4 * MS, [AttemptFinished("out", 0, 2, DELIVERED, MS, True)])
--- a/tests/dispatch/test_settings_change.py
+++ b/tests/dispatch/test_settings_change.py
@@ -184,11 +184,15 @@
             )
         ],
     )
-    assert dispatcher.state.idle_trust == dispatcher.state.max_idle_trust == 4 * SECOND
+    assert (
+        dispatcher.state.idle_timeout_estimate
+        == dispatcher.state.max_idle_timeout_estimate
+        == 4 * SECOND
+    )
     dispatcher.handle(
         2, [SettingsChanged(replace(dispatcher.state.settings, idle_connection_us=0))]
     )
-    assert dispatcher.state.idle_trust == 0
+    assert dispatcher.state.idle_timeout_estimate == 0
 
 
 @pytest.mark.parametrize("apart", [False, True])
--- a/tests/forwarder/test_capacity.py
+++ b/tests/forwarder/test_capacity.py
@@ -15,10 +15,10 @@
 from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.engine.message_limits import (
     MESSAGE_BYTES,
-    MIN_HELD_BYTES,
-    CapacityBound,
+    MIN_MESSAGE_MEMORY_BYTES,
+    CapacityLimit,
     has_memory,
-    held_message_bytes,
+    message_memory_bytes,
 )
 from rainfall.forwarder.inbound.server import SubmittedMessage
 from tests.forwarder.test_parts import engine as small_engine
@@ -63,15 +63,15 @@
         answers = [hand_in(engine, f"m{n}", decide=False) for n in range(most + 1)]
         assert answers == [*[None] * most, HTTPStatus.SERVICE_UNAVAILABLE]
         assert any(
-            CapacityBound.MESSAGES.value in r.getMessage() for r in caplog.records
+            CapacityLimit.MESSAGES.value in r.getMessage() for r in caplog.records
         )
 
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("bound", [CapacityBound.MEMORY, CapacityBound.DISK])
+@pytest.mark.parametrize("bound", [CapacityLimit.MEMORY, CapacityLimit.DISK])
 def test_past_a_bound_a_hand_in_is_refused_and_what_was_taken_on_stays(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture, bound: CapacityBound
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, bound: CapacityLimit
 ) -> None:
     async def scene() -> None:
         first = small_engine(tmp_path / "none").config
@@ -79,12 +79,12 @@
             first,
             state=tmp_path / "state",
             settings=replace(first.settings, max_open_messages=10**6, max_in_flight=1),
-            memory_mb=1 if bound is CapacityBound.MEMORY else 10**5,
-            disk_bytes=400_000 if bound is CapacityBound.DISK else 10**9,
+            memory_mb=1 if bound is CapacityLimit.MEMORY else 10**5,
+            disk_bytes=400_000 if bound is CapacityLimit.DISK else 10**9,
         )
         engine = Engine(config)
         engine.pool.start = lambda call: None  # type: ignore[method-assign]
-        most = MIN_HELD_BYTES // MESSAGE_BYTES
+        most = MIN_MESSAGE_MEMORY_BYTES // MESSAGE_BYTES
         answers = [hand_in(engine, f"m{n}") for n in range(most + 1)]
         taken = answers.count(HTTPStatus.ACCEPTED)
         assert 20 <= taken == len(engine.store.messages) <= most
@@ -104,7 +104,7 @@
 
 def test_the_memory_for_held_messages_follows_the_limit() -> None:
     assert (
-        held_message_bytes(16) == MIN_HELD_BYTES
-        and held_message_bytes(64) == 32_000_000
+        message_memory_bytes(16) == MIN_MESSAGE_MEMORY_BYTES
+        and message_memory_bytes(64) == 32_000_000
     )
     assert has_memory(64, 1_000, 30_200_000) and not has_memory(64, 1_001, 30_200_000)
--- a/tests/forwarder/test_client_races.py
+++ b/tests/forwarder/test_client_races.py
@@ -97,7 +97,7 @@
         """A client whose message waits for the next round."""
         client = client or self.client()
         client.say(message(name, cls, **headers))
-        await self.run.until(lambda: name in self.engine.intake.undecided)
+        await self.run.until(lambda: name in self.engine.intake.pending_submissions)
         return client
 
     def sent(self) -> list[str]:
@@ -155,7 +155,7 @@
             how == "half-close"
         ):  # who has only ended its side hears that it may hand the message in again
             assert (await client.answer())[0] == 503 and await client.end() == b""
-        await s.run.until(lambda: not s.engine.intake.undecided)
+        await s.run.until(lambda: not s.engine.intake.pending_submissions)
         second = await s.arrives(again, X_Repeat="again", Idempotency_Key="key-m")
         s.engine.run_round()
         assert (await second.answer())[0] == 202
@@ -211,7 +211,7 @@
         first = await s.arrives("a", cls="turns", X_Session_Key="k")
         second = await s.arrives("b", cls="turns", X_Session_Key="k")
         first.reset()
-        await s.run.until(lambda: list(s.engine.intake.undecided) == ["b"])
+        await s.run.until(lambda: list(s.engine.intake.pending_submissions) == ["b"])
         s.engine.run_round()
         assert (await second.answer())[0] == 202
         await s.delivered("b")
@@ -230,7 +230,7 @@
         elsewhere = Caller(other.port)
         elsewhere.say(message("n", "pay", X_Repeat="again"))
         assert (await elsewhere.answer())[0] == 202
-        await s.run.until(lambda: not s.engine.intake.undecided)
+        await s.run.until(lambda: not s.engine.intake.pending_submissions)
         s.endpoint.held.set()
         await other.until(lambda: not other.engine.store.messages)
         await s.delivered("n")
@@ -323,7 +323,7 @@
             again = s.client()
             again.say(message("m", "pay", X_Repeat="again"))
             if status == 202:
-                await s.run.until(lambda: "m" in s.engine.intake.undecided)
+                await s.run.until(lambda: "m" in s.engine.intake.pending_submissions)
                 s.engine.run_round()
             assert (await again.answer())[0] == status
             again.socket.close()
@@ -451,7 +451,9 @@
         again = s.client()
         again.say(message("m", "pay", X_Repeat="again"))
         assert (await again.answer())[0] == 202
-        assert not s.engine.intake.undecided and list(s.engine.store.messages) == ["m"]
+        assert not s.engine.intake.pending_submissions and list(
+            s.engine.store.messages
+        ) == ["m"]
         assert (
             s.engine.metrics.messages_accepted == 1
         )  # the one of before, and none beside it
@@ -491,13 +493,16 @@
     async def scene(s: Scene) -> None:
         client = s.client()
         client.say(b"".join(message(f"m{n}", "status") for n in range(20)))
-        await s.run.until(lambda: "m0" in s.engine.intake.undecided)
+        await s.run.until(lambda: "m0" in s.engine.intake.pending_submissions)
         client.reset()
         async with asyncio.timeout(PATIENCE):
             while s.engine.server.connections:
                 s.engine.run_round()
                 await asyncio.sleep(0.001)
-        assert list(s.engine.store.messages) == ["m0"] and not s.engine.intake.undecided
+        assert (
+            list(s.engine.store.messages) == ["m0"]
+            and not s.engine.intake.pending_submissions
+        )
         await s.delivered("m0")
 
     play(scene, tmp_path)
@@ -515,7 +520,7 @@
             False,
             True,
         ]
-        assert await client.end() == b"" and not s.engine.intake.undecided
+        assert await client.end() == b"" and not s.engine.intake.pending_submissions
         s.engine.run_round()
         assert not s.engine.store.messages
 
--- a/tests/forwarder/test_descriptor_limits.py
+++ b/tests/forwarder/test_descriptor_limits.py
@@ -19,10 +19,10 @@
 from rainfall.forwarder.config.loading import Address, Config, EndpointList
 from rainfall.forwarder.engine.engine import Engine
 from rainfall.forwarder.engine.engine_state import Clock
-from rainfall.forwarder.engine.sockets import OWN_DESCRIPTORS
+from rainfall.forwarder.engine.sockets import RESERVED_DESCRIPTORS
 from rainfall.forwarder.inbound.server import (
     ACCEPT_BATCH,
-    ACCEPT_LOOP_TURNS,
+    ACCEPT_LOOP_ITERATIONS,
     FIRST_REQUEST_WAIT_US,
     InboundServer,
 )
@@ -102,7 +102,7 @@
         most = await most_held(
             lambda: server.joins == len(clients) and len(server.connections) <= 5
         )
-        assert most - before <= 5 + ACCEPT_LOOP_TURNS * ACCEPT_BATCH
+        assert most - before <= 5 + ACCEPT_LOOP_ITERATIONS * ACCEPT_BATCH
         await server.close()
         for client in clients:
             client.close()
@@ -317,7 +317,10 @@
         last.setblocking(False)
         answer = asyncio.create_task(asyncio.get_running_loop().sock_recv(last, 100))
         most = await most_held(answer.done)
-        assert most - before <= 1 + MAX_CONNECTIONS + ACCEPT_LOOP_TURNS * ADMIN_ACCEPTS
+        assert (
+            most - before
+            <= 1 + MAX_CONNECTIONS + ACCEPT_LOOP_ITERATIONS * ADMIN_ACCEPTS
+        )
         assert answer.result().startswith(b"HTTP/1.1 503")
         admin.close()
         for sock in [last, *callers]:
@@ -337,10 +340,10 @@
 
     async def scene() -> None:
         engine = engine_on(tmp_path, sockets)
-        clients = engine.server.max_connections + ACCEPT_LOOP_TURNS * ACCEPT_BATCH
-        operators = 1 + MAX_CONNECTIONS + ACCEPT_LOOP_TURNS * ADMIN_ACCEPTS
+        clients = engine.server.max_connections + ACCEPT_LOOP_ITERATIONS * ACCEPT_BATCH
+        operators = 1 + MAX_CONNECTIONS + ACCEPT_LOOP_ITERATIONS * ADMIN_ACCEPTS
         assert (
-            clients + engine.pool.max_connections + operators + OWN_DESCRIPTORS
+            clients + engine.pool.max_connections + operators + RESERVED_DESCRIPTORS
             <= sockets
         )
         assert (
@@ -385,7 +388,7 @@
         await node.start()
         try:
             await platform.got(1)
-            assert len(await base_of(node.process.pid)) <= OWN_DESCRIPTORS
+            assert len(await base_of(node.process.pid)) <= RESERVED_DESCRIPTORS
         finally:
             await node.end()
             assert node.listener is not None
--- a/tests/forwarder/test_endpoint_list_deadline.py
+++ b/tests/forwarder/test_endpoint_list_deadline.py
@@ -29,10 +29,10 @@
 from rainfall.forwarder.config.loading import Address, EndpointList
 from rainfall.forwarder.discovery import endpoint_watch
 from rainfall.forwarder.discovery.endpoint_watch import (
-    LIST_LATENCY_LIMIT_AFTER_MOVE_S,
+    LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S,
     LIST_LATENCY_LIMIT_S,
     EndpointWatch,
-    list_latency_bound_after_move_s,
+    list_latency_bound_after_address_change_s,
     list_latency_bound_s,
 )
 from rainfall.forwarder.engine.engine_state import MIN_ROUND_INTERVAL_US
@@ -194,7 +194,8 @@
 ) -> None:
     assert list_latency_bound_s(pushed) <= LIST_LATENCY_LIMIT_S - ROOM_S
     assert (
-        list_latency_bound_after_move_s(pushed) <= LIST_LATENCY_LIMIT_AFTER_MOVE_S - 0.4
+        list_latency_bound_after_address_change_s(pushed)
+        <= LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S - 0.4
     )
     answer = (
         endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
@@ -235,9 +236,7 @@
         watch.random = most  # type: ignore[assignment]
         for watch.failures in range(11):
             assert watch.retry_delay_s() == endpoint_watch.RETRY_JITTER * (
-                endpoint_watch.PUSHED_RETRY_S
-                if pushed
-                else endpoint_watch.INSIST_RETRY_S
+                endpoint_watch.PUSHED_RETRY_S if pushed else endpoint_watch.FAST_RETRY_S
             )
 
     asyncio.run(scene())
@@ -410,8 +409,8 @@
         await rig.until(lambda: not rig.serves())
         assert (
             rig.loop.time() - signal
-            <= list_latency_bound_after_move_s(pushed)
-            <= LIST_LATENCY_LIMIT_AFTER_MOVE_S - 0.4
+            <= list_latency_bound_after_address_change_s(pushed)
+            <= LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S - 0.4
         )
         assert [r.path for r in peers[1].requests][:3] == ["/discovery/hosts"] * 3
         rig.watch.pause()
@@ -444,8 +443,8 @@
         await rig.until(lambda: not rig.serves())
         assert (
             rig.loop.time() - signal
-            <= list_latency_bound_after_move_s(pushed)
-            <= LIST_LATENCY_LIMIT_AFTER_MOVE_S - 0.4
+            <= list_latency_bound_after_address_change_s(pushed)
+            <= LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S - 0.4
         )
         rig.watch.pause()
         for peer in peers:
--- a/tests/forwarder/test_fleet_member.py
+++ b/tests/forwarder/test_fleet_member.py
@@ -605,11 +605,11 @@
 OFF = """
 import asyncio, json, sys, urllib.request
 from rainfall.__main__ import serve
-from rainfall.forwarder.config.loading import load
+from rainfall.forwarder.config.loading import load_config
 from rainfall.forwarder.config.validation import validate_replacement
 
 async def run():
-    config = load()
+    config = load_config()
     serving = asyncio.create_task(serve(config))
     reader = writer = None
     while reader is None:
--- a/tests/forwarder/test_handover_protocol.py
+++ b/tests/forwarder/test_handover_protocol.py
@@ -71,11 +71,11 @@
 
     async def scene() -> None:
         successor, engine = HandoverTarget(), Taker()
-        theirs = await linked(successor.link)
+        theirs = await linked(successor.connection)
         successor.attach(engine)
         theirs.sendall(WORD)
         theirs.close()  # its death; the loop has not come to read yet, ...
-        successor.link.send(
+        successor.connection.send(
             answer=[1, 202, "", {}]
         )  # ... and this write finds the other end gone
         await until(lambda: successor.disconnected)
@@ -104,11 +104,11 @@
 
         giver: Any = Giver()
         predecessor = HandoverSource(giver)
-        predecessor.link, predecessor.transferred = (
+        predecessor.connection, predecessor.transferred = (
             HandoverConnection(predecessor.on_message, predecessor.on_disconnect),
             True,
         )
-        theirs = await linked(predecessor.link)
+        theirs = await linked(predecessor.connection)
         door = Door()
         predecessor.last_request_number, predecessor.response_writers = (
             1,
@@ -140,7 +140,7 @@
 
     async def scene() -> None:
         successor, engine = HandoverTarget(), Taker()
-        theirs = await linked(successor.link)
+        theirs = await linked(successor.connection)
         theirs.sendall(HANDED + WORD)
         theirs.close()
         await until(lambda: successor.disconnected)
@@ -216,12 +216,12 @@
         first, _ = await asks(giver)
         await until(lambda: giver.holds)
         first.close()  # it dies, or waits no longer, while a slow disk still syncs
-        await until(lambda: giver.predecessor.link is None)
+        await until(lambda: giver.predecessor.connection is None)
         _second, said = await asks(giver)
         await until(lambda: said or len(giver.holds) > 1)
         assert said[:1] == [{"no": True}] and len(giver.holds) == 1
         giver.stands()
-        assert giver.resumed == 1 and giver.predecessor.link is None
+        assert giver.resumed == 1 and giver.predecessor.connection is None
         third, heard = await asks(giver)
         await until(lambda: giver.holds)
         giver.stands()
@@ -246,7 +246,7 @@
         first.send(prepared=True)
         await until(lambda: giver.gave)
         first.close()
-        await until(lambda: giver.predecessor.link is None)
+        await until(lambda: giver.predecessor.connection is None)
         _, heard = await asks(giver)
         await until(lambda: heard or giver.holds)
         assert heard[:1] == [{"no": True}] and not giver.holds and giver.gave == 1
@@ -279,7 +279,7 @@
     )  # twice as long as it was waited for
     assert not done
     gate.set()
-    assert await prepared and giver.predecessor.link is not None
+    assert await prepared and giver.predecessor.connection is not None
     giver.predecessor.close()
 
 
@@ -295,18 +295,18 @@
 def test_operators_call_on_its_way_is_answered_when_the_new_process_dies() -> None:
     async def scene() -> None:
         predecessor = HandoverSource(Giver())
-        predecessor.link, predecessor.transferred = (
+        predecessor.connection, predecessor.transferred = (
             HandoverConnection(predecessor.on_message, predecessor.on_disconnect),
             True,
         )
-        theirs = await linked(predecessor.link)
+        theirs = await linked(predecessor.connection)
         said: list[int] = []
         predecessor.set_detached(
             "s1", True, lambda status, text: said.append(int(status))
         )
         assert theirs.recv(1000) == b'{"rotate":[1,"s1",true]}\n' and not said
         theirs.close()
-        await until(lambda: predecessor.link is None)
+        await until(lambda: predecessor.connection is None)
         assert said == [503]
 
     asyncio.run(scene())
--- a/tests/forwarder/test_handover_races.py
+++ b/tests/forwarder/test_handover_races.py
@@ -21,7 +21,7 @@
     Address,
     Config,
     EndpointList,
-    load,
+    load_config,
     parse_endpoint,
 )
 from rainfall.forwarder.engine.engine import Engine
@@ -158,7 +158,7 @@
         for _ in range(8):
             successor = HandoverTarget()
             assert not await successor.request_snapshot(folder)
-            successor.link.close()
+            successor.connection.close()
             engine.run_round()  # what was cut goes again
         assert [m.attempts for m in engine.store.messages.values()] == [
             1
@@ -192,10 +192,10 @@
             _, _said = await asks(giver)
             await until(lambda: giver.holds)
             giver.stands()
-            assert p.timer is not None
-            waited.append(p.timer.when() - asyncio.get_running_loop().time())
+            assert p.hold_timer is not None
+            waited.append(p.hold_timer.when() - asyncio.get_running_loop().time())
             assert hold_s - 1 < waited[-1] <= hold_s
-            p.timer.cancel()
+            p.hold_timer.cancel()
             p.on_hold_timeout()  # as its timer does
             now[0] += hold_s - 0.1
             _, heard = await asks(giver)
@@ -237,8 +237,8 @@
         kept.flush()
         # it is in the journal, and the new process dies before it says so
         kept.release()
-        assert successor.link.transport is not None
-        successor.link.transport.abort()
+        assert successor.connection.transport is not None
+        successor.connection.transport.abort()
         lock.release()
         assert (await first.answer())[0] == 202
         assert (await second.answer())[0] == 503
@@ -283,7 +283,9 @@
         works.clear()
         other.writer.write(message("n", dest=8))
         await until(
-            lambda: "n" in engine.store.messages or "n" in engine.intake.undecided
+            lambda: (
+                "n" in engine.store.messages or "n" in engine.intake.pending_submissions
+            )
         )
         successor = HandoverTarget()
         asked = asyncio.create_task(successor.request_snapshot(folder))
@@ -347,8 +349,8 @@
         ]
         assert successor.early_messages[1]["hand_in"][1]["class_name"] == "fresh"
         answered.cancel()
-        assert successor.link.transport is not None
-        successor.link.transport.abort()
+        assert successor.connection.transport is not None
+        successor.connection.transport.abort()
         assert (
             old.task is not None and await old.task
         )  # it begins again from the journal
@@ -378,9 +380,9 @@
         )
         stays.writer.write(message("m", "pay"))
         goes.writer.write(message("n", "pay"))
-        await until(lambda: {"m", "n"} <= engine.intake.undecided.keys())
+        await until(lambda: {"m", "n"} <= engine.intake.pending_submissions.keys())
         goes.writer.close()
-        await until(lambda: "n" not in engine.intake.undecided)
+        await until(lambda: "n" not in engine.intake.pending_submissions)
         await platform.change("s1", "draining")
         olds.append(new := Old(folder, platform))
         taken = await new.start(successor)
@@ -407,7 +409,7 @@
         assert await successor.request_snapshot(folder)
         client.writer.write(message("n", "pay"))
         other.writer.write(message("m", "pay"))
-        await until(lambda: len(engine.intake.undecided) == 2)
+        await until(lambda: len(engine.intake.pending_submissions) == 2)
         assert await successor.request_ownership()
         await until(lambda: len(successor.early_messages) == 2)
         client.writer.close()  # before the new one has an engine to take it
@@ -445,7 +447,7 @@
             and engine.state.paused_for_handover
         )
         client.writer.write(message("m", "pay"))
-        await until(lambda: "m" in engine.intake.undecided)
+        await until(lambda: "m" in engine.intake.pending_submissions)
         engine.stop()
         assert (
             not engine.state.paused_for_handover
@@ -458,7 +460,7 @@
             not await again.request_snapshot(folder)
             and not JournalLock(folder).try_acquire()
         )
-        again.link.close()
+        again.connection.close()
         assert old.task is not None and not await old.task and len(peer.requests) == 1
 
     play(scene, tmp_path)
@@ -621,7 +623,7 @@
         path.write_text(json.dumps({**told, "settings": classes(fresh={})}))
 
     one = stubbed(monkeypatch, [False], claims)
-    asyncio.run(serve(load()))
+    asyncio.run(serve(load_config()))
     assert "fresh" in {c.name for c in one.made[0].config.settings.classes}
 
 
--- a/tests/forwarder/test_notification_batches.py
+++ b/tests/forwarder/test_notification_batches.py
@@ -63,7 +63,7 @@
         book = Book(*(f"{n:016}" for n in range(3 * MAX_NOTIFICATIONS_PER_POST)))
         posts = notices(peer, book)
         kicked = asyncio.get_running_loop().time()
-        posts.kick()
+        posts.post_pending()
         await book.until(lambda: not book.owed)
         assert (
             asyncio.get_running_loop().time() - kicked
--- a/tests/forwarder/test_notification_races.py
+++ b/tests/forwarder/test_notification_races.py
@@ -16,8 +16,8 @@
 from rainfall.forwarder.config.loading import Address
 from rainfall.forwarder.discovery import endpoint_watch
 from rainfall.forwarder.discovery.endpoint_watch import (
+    NOTIFICATION_RESPONSE_TIMEOUT_LIMIT_S,
     NOTIFICATION_RESPONSE_TIMEOUT_S,
-    NOTIFICATION_TOP_RESPONSE_TIMEOUT_S,
     Notifier,
     notification_latency_bound_s,
 )
@@ -89,7 +89,7 @@
     ] == [1, 1, 2]
     assert (
         Notifier.response_timeout_s(10**6)
-        == NOTIFICATION_TOP_RESPONSE_TIMEOUT_S
+        == NOTIFICATION_RESPONSE_TIMEOUT_LIMIT_S
         > 4 * NOTIFICATION_RESPONSE_TIMEOUT_S
     )
 
@@ -113,12 +113,12 @@
         posts = notices(peer, book)
         loop = asyncio.get_running_loop()
         if kept:
-            posts.kick()
+            posts.post_pending()
             await book.until(lambda: book.done == ["first"])
             book.done.clear()
         book.owed["m"] = PendingNotification("failed", 0)
         kicked = loop.time()
-        posts.kick()
+        posts.post_pending()
         await book.until(lambda: bool(book.done))
         assert loop.time() - kicked <= notification_latency_bound_s() < OVERDUE_S
         assert book.done == ["m"] and [names(r) for r in peer.requests[-2:]] == [
@@ -149,7 +149,7 @@
         peer = await platform_that(add, late, TAKEN)
         book = Book("a")
         posts = notices(peer, book)
-        posts.kick()
+        posts.post_pending()
         await book.until(lambda: bool(book.done))
         assert [names(r) for r in peer.requests] == [["a"], ["a", "b"], ["a", "b"]]
         assert book.done == ["a", "b"]
@@ -163,13 +163,13 @@
     async def scene() -> None:
         def add(request: Request) -> Answer:
             book.owed["b"] = PendingNotification("returned", 5)
-            posts.kick()
+            posts.post_pending()
             return TAKEN
 
         peer = await platform_that(add, TAKEN)
         book = Book("a")
         posts = notices(peer, book)
-        posts.kick()
+        posts.post_pending()
         await book.until(lambda: len(book.done) == 2)
         assert [names(r) for r in peer.requests] == [["a"], ["b"]]
         assert b'"after_ms":5' in peer.requests[1].body
@@ -187,7 +187,7 @@
         old, new = await platform_that(SILENT), await platform_that(TAKEN)
         book = Book("a")
         posts = notices(old, book)
-        posts.kick()
+        posts.post_pending()
         await old.got(1)
         posts.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
         posts.change_address(Address("127.0.0.1", new.port))
@@ -205,7 +205,7 @@
         old, new = await platform_that(SILENT), await platform_that(TAKEN)
         book = Book("a")
         posts = notices(old, book)
-        posts.kick()
+        posts.post_pending()
         await old.got(1)
         posts.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
         posts.pause()
@@ -213,7 +213,7 @@
         assert posts.task is None
         await old.until(lambda: old.closed == 1)
         assert book.done == []
-        posts.kick()  # it goes on
+        posts.post_pending()  # it goes on
         await book.until(lambda: bool(book.done))
         assert [names(r) for r in new.requests] == [["a"]]
         posts.pause()
@@ -235,7 +235,7 @@
         peer = await Peer(handler).start()
         book = Book("a")
         posts = notices(peer, book)
-        posts.kick()
+        posts.post_pending()
         await book.until(lambda: bool(book.done))
         assert book.done == ["a"] and len(peer.requests) <= 6
         posts.pause()
@@ -272,14 +272,14 @@
         monkeypatch.setattr(loop, "create_connection", create, raising=False)
         try:
             resource.setrlimit(resource.RLIMIT_NOFILE, (3, before[1]))
-            posts.kick()
+            posts.post_pending()
             await book.until(lambda: bool(book.done))
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, before)
         assert [number for number, _ in failed] == [24] * 8
         assert (
             loop.time() - failed[-1][1]
-            <= endpoint_watch.NOTIFICATION_TOP_BACKOFF_S + 0.01
+            <= endpoint_watch.NOTIFICATION_BACKOFF_LIMIT_S + 0.01
             < OVERDUE_S
         )
         posts.pause()
--- a/tests/forwarder/test_parts.py
+++ b/tests/forwarder/test_parts.py
@@ -39,7 +39,7 @@
     parse_endpoint,
 )
 from rainfall.forwarder.discovery.endpoint_watch import (
-    NOTIFICATION_TOP_BACKOFF_S,
+    NOTIFICATION_BACKOFF_LIMIT_S,
     WATCH_HOLD_MS,
     EndpointWatch,
     Notifier,
@@ -909,7 +909,9 @@
         ]
         slots = [int(t / 0.01) for t in times]
         assert max(map(slots.count, slots)) <= 12
-    assert all(0 < n.retry_delay_s(10**6) <= NOTIFICATION_TOP_BACKOFF_S for n in fleet)
+    assert all(
+        0 < n.retry_delay_s(10**6) <= NOTIFICATION_BACKOFF_LIMIT_S for n in fleet
+    )
 
 
 def test_pushed_lists_are_asked_for_through_silence_and_refusals_without_the_module() -> (
--- a/tests/forwarder/test_request_forms.py
+++ b/tests/forwarder/test_request_forms.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_TURNS
+from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_ITERATIONS
 from rainfall.forwarder.inbound.server import SubmittedMessage
 from tests.forwarder.test_shutdown_races import Caller, Door, play
 from tests.support.loopback_peers import message
@@ -96,7 +96,7 @@
     """Say it, and let the forwarder read it apart from what comes next."""
     client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     client.say(data)
-    for _ in range(SETTLE_LOOP_TURNS):
+    for _ in range(SETTLE_LOOP_ITERATIONS):
         await asyncio.sleep(0)
 
 
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -657,9 +657,9 @@
         m = AcceptedMessage(
             "m", "pay", 7, e.clock() + 3 * S, None, "acme", b"", attempts=5
         )
-        assert 0.25 <= e.call_dispatch.unpersisted_retry_s(m, 5) <= 3
+        assert 0.25 <= e.call_dispatch.journal_failure_backoff_s(m, 5) <= 3
         m.deadline_us = e.clock() - 1
-        assert e.call_dispatch.unpersisted_retry_s(m, 5) == 0
+        assert e.call_dispatch.journal_failure_backoff_s(m, 5) == 0
         e.store.close()
 
     asyncio.run(scene())
--- a/tests/forwarder/test_shutdown_end.py
+++ b/tests/forwarder/test_shutdown_end.py
@@ -46,7 +46,7 @@
         await rounds_by_hand(run)
         client = Caller(run.port)
         client.say(message("m", "pay", Idempotency_Key=None))
-        await run.until(lambda: bool(engine.intake.undecided))
+        await run.until(lambda: bool(engine.intake.pending_submissions))
         engine.pool.set_endpoints(
             {}
         )  # its target has just left the list, which the module has not read yet
@@ -118,7 +118,7 @@
         clients = [Caller(run.port) for _ in range(3)]
         for number, client in enumerate(clients):
             client.say(message(f"m{number}", cls, Idempotency_Key=None))
-        await run.until(lambda: len(run.engine.intake.undecided) == 3)
+        await run.until(lambda: len(run.engine.intake.pending_submissions) == 3)
         run.engine.run_round()
         for client in clients:
             assert (await client.answer())[0] == 202
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -204,9 +204,9 @@
         client = Caller(run.port)
         await rounds_by_hand(run)
         client.say(message("m", "pay", left=str(left_s), Idempotency_Key=None))
-        await run.until(lambda: "m" in engine.intake.undecided)
+        await run.until(lambda: "m" in engine.intake.pending_submissions)
         engine.server.expected_loop_delay_us = late_us
-        due_us, clock = engine.intake.undecided["m"][0].due_us, engine.clock
+        due_us, clock = engine.intake.pending_submissions["m"][0].due_us, engine.clock
         engine.events.clock = lambda: due_us - int(left_s * S)  # type: ignore[assignment]
         engine.run_round()
         engine.events.clock = clock
--- a/tests/reference/pair.py
+++ b/tests/reference/pair.py
@@ -184,7 +184,7 @@
             lane.first_not_sheddable(now) is not lane.messages.head() for lane in lanes
         )
         seen["shut and not looked at in a jam"] += self.new.state.saturated and any(
-            d not in self.new.state.possibly_open
+            d not in self.new.state.possibly_available
             for d in self.new.state.queues.by_destination
         )
 
