--- a/rainfall/forwarder/engine/endpoint_updates.py
+++ b/rainfall/forwarder/engine/endpoint_updates.py
@@ -58,7 +58,7 @@
         self.directory.apply_endpoint_list(update)
         endpoints = self.directory.endpoints
         log.info(
-            "list %d: %d of %d targets up%s",
+            "endpoint list version %d: %d of %d endpoints up%s",
             update.version,
             sum(endpoint.health == "up" for endpoint in endpoints.values()),
             len(endpoints),
--- a/rainfall/forwarder/engine/intake.py
+++ b/rainfall/forwarder/engine/intake.py
@@ -153,7 +153,7 @@
         if self.clock() - self.last_full_log_us > LOG_INTERVAL_US:
             self.last_full_log_us = self.clock()
             log.warning(
-                "full: %d messages held; rejecting new ones, limited by %s",
+                "full: %d messages held; new ones are turned away by %s",
                 len(self.store.messages) + len(self.pending_submissions),
                 exceeded.value,
             )
--- a/rainfall/forwarder/engine/periodic_tasks.py
+++ b/rainfall/forwarder/engine/periodic_tasks.py
@@ -168,7 +168,9 @@
         if self.events.pending_events and self.overdue_messages():
             self.run_round()
         for message in self.overdue_messages():
-            log.error("message %s was left without an end", message.id)
+            log.error(
+                "message %s is still open past its deadline; failing it", message.id
+            )
             self.metrics.record_finished(self.metrics.faulted, message.class_name)
             self.store.append_notification(
                 message.id, NotificationState.FAILED.value, 0
--- a/rainfall/forwarder/engine/reconfiguration.py
+++ b/rainfall/forwarder/engine/reconfiguration.py
@@ -146,7 +146,7 @@
             self.watch.change_address(new.discovery)
             self.notifier.change_address(new.discovery)
         log.info(
-            "configuration read again: discovery at %s%s",
+            "configuration reloaded: discovery at %s%s",
             new.discovery,
             f"; takes effect at the next start: {', '.join(restart_keys)}"
             if restart_keys
--- a/tests/forwarder/test_descriptor_limits.py
+++ b/tests/forwarder/test_descriptor_limits.py
@@ -281,7 +281,7 @@
             platform.hosts["good"]["health"] = "draining"
             platform.news[platform.seq] = [dict(platform.hosts["good"])]
             await outage.end(silent)
-            await node.until_logged(": list 2: ")
+            await node.until_logged(": endpoint list version 2: ")
             assert (await platform.notice("ends"))["state"] in ("failed", "returned")
             await up(*await asyncio.open_connection("127.0.0.1", node.port))
             figures = await node.figures()
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -166,7 +166,9 @@
 
     with caplog.at_level(logging.ERROR, "rainfall"):
         engine_play(scene, tmp_path)
-    assert not [r for r in caplog.records if "without an end" in r.message]
+    assert not [
+        r for r in caplog.records if "still open past its deadline" in r.message
+    ]
 
 
 def test_each_end_leaves_room_for_a_loop_that_is_late() -> None:
