--- a/rainfall/forwarder/engine/startup.py
+++ b/rainfall/forwarder/engine/startup.py
@@ -12,13 +12,13 @@
 from rainfall.forwarder.discovery.endpoint_watch import EndpointWatch, Notifier
 from rainfall.forwarder.engine.engine_state import TICK_INTERVAL_S, EngineState, log
 from rainfall.forwarder.engine.ownership import answer_from_journal
+from rainfall.forwarder.engine.periodic_tasks import PeriodicTasks
 from rainfall.forwarder.engine.restoration import Restoration
 from rainfall.forwarder.engine.shutdown import Shutdown
-from rainfall.forwarder.engine.watchdog import Watchdog
 from rainfall.forwarder.handover.journal_lock import JournalLock
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.handover.target import HandoverTarget, TargetEngine
-from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_TURNS
+from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_ITERATIONS
 from rainfall.forwarder.inbound.server import InboundServer
 from rainfall.forwarder.message_store import MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
@@ -47,7 +47,7 @@
         target_engine: TargetEngine,
         restoration: Restoration,
         shutdown: Shutdown,
-        watchdog: Watchdog,
+        periodic_tasks: PeriodicTasks,
         run_round: Callable[[], None],
     ) -> None:
         self.state, self.store = state, store
@@ -56,7 +56,7 @@
         self.journal_lock, self.handover_source = journal_lock, handover_source
         self.handover_target, self.target_engine = handover_target, target_engine
         self.restoration, self.shutdown = restoration, shutdown
-        self.watchdog, self.run_round = watchdog, run_round
+        self.periodic_tasks, self.run_round = periodic_tasks, run_round
 
     async def run(self) -> bool:
         """Take over the journal if there is a handover, then serve until stopped.
@@ -98,7 +98,7 @@
     async def start_serving(self) -> None:
         """Run a round on the restored state, then listen for clients and a target.
 
-        Returns once this process serves, with the watchdog started.
+        Returns once this process serves, with the periodic tasks started.
         """
         # Needed even if the settings say that lists are pushed: over sockets, discovery
         # sends a list only in response to a request.
@@ -108,7 +108,7 @@
             self.state.fleet.start()
         self.run_round()
         await self.wait_for_commit()
-        self.notifier.kick()
+        self.notifier.post_pending()
         config = self.state.config
         address = config.listen
         await self.server.listen(address.host, address.port, config.inherited_fd)
@@ -120,7 +120,7 @@
         if self.journal_lock is not None:
             await self.handover_source.listen(self.state.config.state)
         log.info("ready")
-        self.watchdog.tick(time.monotonic())
+        self.periodic_tasks.tick(time.monotonic())
         self.restoration.continue_restoring()
 
     async def settle(self) -> None:
@@ -138,7 +138,7 @@
         await self.wait_for_commit(FINAL_COMMIT_TIMEOUT_S)
         # Unread responses may be deliveries. These turns of the event loop read and
         # journal them before the connections are closed.
-        for _ in range(SETTLE_LOOP_TURNS):
+        for _ in range(SETTLE_LOOP_ITERATIONS):
             await asyncio.sleep(0)
 
     async def wait_for_commit(self, timeout_s: float | None = None) -> None:
@@ -172,7 +172,7 @@
         """
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
-                await self.watch.answered.wait()
+                await self.watch.list_received.wait()
         except TimeoutError:
             log.info(
                 "no endpoint list within %.1f s; continuing with version %d",
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -657,9 +657,9 @@
         m = AcceptedMessage(
             "m", "pay", 7, e.clock() + 3 * S, None, "acme", b"", attempts=5
         )
-        assert 0.25 <= e.call_dispatch.unpersisted_retry_s(m, 5) <= 3
+        assert 0.25 <= e.call_dispatch.journal_failure_backoff_s(m, 5) <= 3
         m.deadline_us = e.clock() - 1
-        assert e.call_dispatch.unpersisted_retry_s(m, 5) == 0
+        assert e.call_dispatch.journal_failure_backoff_s(m, 5) == 0
         e.store.close()
 
     asyncio.run(scene())
@@ -672,7 +672,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        "rainfall.forwarder.engine.watchdog.SUMMARY_INTERVAL_S", 3600.0
+        "rainfall.forwarder.engine.periodic_tasks.SUMMARY_INTERVAL_S", 3600.0
     )  # the counts start anew with each line
 
     async def scene(site: Site) -> None:
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -18,7 +18,7 @@
     MIN_ROUND_INTERVAL_US,
     TICK_INTERVAL_S,
 )
-from rainfall.forwarder.engine.watchdog import OVERDUE_GRACE_US
+from rainfall.forwarder.engine.periodic_tasks import OVERDUE_GRACE_US
 from rainfall.forwarder.inbound.server import LOOP_CHECK_INTERVAL_S
 from tests.forwarder.test_shutdown_end import rounds_by_hand
 from tests.forwarder.test_shutdown_races import (
@@ -155,7 +155,7 @@
                 message_closed=outcome is Outcome.DELIVERED,
             )
         )
-        engine.watchdog.fail_overdue_messages()
+        engine.periodic_tasks.fail_overdue_messages()
         assert "m" not in engine.store.messages
         owed = engine.store.pending_notifications.get("m")
         assert (owed and owed.state) == (
@@ -166,7 +166,9 @@
 
     with caplog.at_level(logging.ERROR, "rainfall"):
         engine_play(scene, tmp_path)
-    assert not [r for r in caplog.records if "without an end" in r.message]
+    assert not [
+        r for r in caplog.records if "still open past its deadline" in r.message
+    ]
 
 
 def test_each_end_leaves_room_for_a_loop_that_is_late() -> None:
@@ -204,9 +206,9 @@
         client = Caller(run.port)
         await rounds_by_hand(run)
         client.say(message("m", "pay", left=str(left_s), Idempotency_Key=None))
-        await run.until(lambda: "m" in engine.intake.undecided)
+        await run.until(lambda: "m" in engine.intake.pending_submissions)
         engine.server.expected_loop_delay_us = late_us
-        due_us, clock = engine.intake.undecided["m"][0].due_us, engine.clock
+        due_us, clock = engine.intake.pending_submissions["m"][0].due_us, engine.clock
         engine.events.clock = lambda: due_us - int(left_s * S)  # type: ignore[assignment]
         engine.run_round()
         engine.events.clock = clock
