--- a/rainfall/lab/__init__.py
+++ b/rainfall/lab/__init__.py
@@ -1,5 +1,6 @@
 """The fleet lab: fault experiments with many forwarders on loopback.
 
-An open-loop load is sent through the fleet while faults are injected, and a verdict says
-what was lost or doubled. See ``python -m rainfall.lab --help`` and ``docs/parts.md``.
+An open-loop load is sent through the fleet while faults are injected. The verdict then
+reports lost and duplicated messages and other breaches. See
+``python -m rainfall.lab --help`` and ``docs/parts.md``.
 """
--- a/rainfall/lab/__main__.py
+++ b/rainfall/lab/__main__.py
@@ -20,11 +20,11 @@
 EXIT_FAULTY = 2
 EXIT_INTERRUPTED = 130
 SHOWN_RESULTS = ("total", "lost", "doubled", "lag_ms", "valid", "breaches")
-"""What of a verdict is printed after a run."""
+"""Keys of the verdict that are printed after a run."""
 
 
 def parse_arguments(argv: list[str]) -> argparse.Namespace:
-    """The options of the command line; exits on faulty ones."""
+    """Parse the command line; exits with code 2 on invalid options."""
     parser = argparse.ArgumentParser(prog="python -m rainfall.lab", description=__doc__)
     subparsers = parser.add_subparsers(dest="command", required=True)
     _add_check_parser(subparsers)
@@ -36,17 +36,18 @@
 
 def _add_check_parser(subparsers: Subparsers) -> None:
     check = subparsers.add_parser(
-        "check", help="check an experiment file and say what it would start"
+        "check",
+        help="check an experiment file and print the size of its fleet and load",
     )
     check.add_argument("experiment", type=Path)
     check.add_argument(
-        "--seed", type=int, help="also list the faults that this seed gives"
+        "--seed", type=int, help="also list the faults generated from this seed"
     )
 
 
 def _add_run_parser(subparsers: Subparsers) -> None:
     run_parser = subparsers.add_parser(
-        "run", help="play an experiment; exit 1 on any breach"
+        "run", help="run an experiment; exit 1 on any breach"
     )
     run_parser.add_argument("experiment", type=Path)
     run_parser.add_argument(
@@ -56,14 +57,16 @@
         help="folder for records, verdict, logs and report",
     )
     run_parser.add_argument(
-        "--seed", type=int, help="the seed of load and faults (default: the file's)"
+        "--seed",
+        type=int,
+        help="seed of the load and the faults (default: the one in the file)",
     )
     run_parser.add_argument("--no-report", action="store_true", help="skip the plots")
 
 
 def _add_sweep_parser(subparsers: Subparsers) -> None:
     sweep_parser = subparsers.add_parser(
-        "sweep", help="play an experiment under many seeds; exit 1 on any breach"
+        "sweep", help="run an experiment with many seeds; exit 1 on any breach"
     )
     sweep_parser.add_argument("experiment", type=Path)
     sweep_parser.add_argument(
@@ -73,52 +76,53 @@
         help="such as 1-100 or 3,7,20-29",
     )
     sweep_parser.add_argument(
-        "--jobs", type=sweep.parse_jobs, default=1, help="runs at a time (default 1)"
+        "--jobs", type=sweep.parse_jobs, default=1, help="runs in parallel (default 1)"
     )
     sweep_parser.add_argument(
         "--out",
         type=Path,
         required=True,
-        help="folder for summary.json and a folder a seed",
+        help="folder for summary.json and one folder for each seed",
     )
     sweep_parser.add_argument(
         "--keep",
         choices=("all", "failures", "none"),
         default="all",
-        help="whose folders stay: of every seed, of those with a breach, of none",
+        help="which run folders to keep: all, those with a breach, or none",
     )
 
 
 def _add_report_parsers(subparsers: Subparsers) -> None:
     report_parser = subparsers.add_parser(
-        "report", help="draw the report of a run again"
+        "report", help="write the report of a finished run again"
     )
     report_parser.add_argument("folder", type=Path)
     path_parser = subparsers.add_parser(
-        "path", help="one message's way across processes, as JSON lines in time order"
+        "path",
+        help="print one message's events in all processes, as JSON lines in time order",
     )
     path_parser.add_argument("folder", type=Path)
     path_parser.add_argument(
-        "key", help="the message's name (its idempotency key), as in verdict.json"
+        "key", help="the message's idempotency key, as in verdict.json"
     )
 
 
 def _fail(text: object, code: int = EXIT_FAULTY) -> int:
-    """Print why the command failed; the exit code."""
+    """Print an error to stderr and return the exit code."""
     print(f"lab: {text}", file=sys.stderr)
     return code
 
 
 def _show_results(args: argparse.Namespace) -> int:
-    """The commands ``report`` and ``path``, which need a run's folder alone."""
+    """Run the command ``report`` or ``path``, which only read the folder of a run."""
     try:
         if args.command == "report":
-            print(report.draw(args.folder))
+            print(report.write_report(args.folder))
         else:
             for line in report.message_path(args.folder, args.key):
                 print(json.dumps(line))
     except (FileNotFoundError, ValueError) as error:
-        return _fail(f"no run in {args.folder}: {error}")
+        return _fail(f"cannot read a run from {args.folder}: {error}")
     return EXIT_CLEAN
 
 
@@ -140,7 +144,7 @@
     return EXIT_CLEAN
 
 
-def _run(experiment: Experiment, seed: int, out: Path, draw: bool) -> int:
+def _run(experiment: Experiment, seed: int, out: Path, with_report: bool) -> int:
     from rainfall.lab.processes import StartError
     from rainfall.lab.runner import LoadError, run
 
@@ -148,28 +152,28 @@
         result = asyncio.run(run(experiment, seed, out))
     except (StartError, LoadError, RuntimeError, TimeoutError, OSError) as error:
         return _fail(
-            f"{error or 'the run took too long'}; every process it started was ended"
+            f"{error or 'the run timed out'}; all processes of the run were stopped"
         )
     except (KeyboardInterrupt, asyncio.CancelledError):
         return _fail(
-            "interrupted; every process it started was ended", EXIT_INTERRUPTED
+            "interrupted; all processes of the run were stopped", EXIT_INTERRUPTED
         )
-    if draw:
-        report.draw(out)
+    if with_report:
+        report.write_report(out)
     print(json.dumps({name: result[name] for name in SHOWN_RESULTS}))
     return EXIT_BREACH if result["breaches"] else EXIT_CLEAN
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command; the exit code."""
+    """Run the command and return its exit code."""
     args = parse_arguments(sys.argv[1:] if argv is None else argv)
     if args.command in ("report", "path"):
         return _show_results(args)
     try:
         experiment = read(args.experiment)
     except ExperimentError as error:
-        for fault in error.faults:
-            _fail(fault)
+        for message in error.errors:
+            _fail(message)
         return EXIT_FAULTY
     if args.command == "check":
         return _check(experiment, args.seed)
--- a/rainfall/lab/checker.py
+++ b/rainfall/lab/checker.py
@@ -1,23 +1,28 @@
-"""What became of every message of a lab run, from the records of both sides.
+"""Determines the outcome of every message of a lab run from the records.
 
-Records are dicts (one JSON line each), all times in ns of one monotonic clock from the
-start of the load:
+Records are dicts, stored as JSON lines. All times are in ns of one monotonic clock,
+counted from the start of the load:
 
-- ``try``: an attempt of the load to send message ``key`` as ``id`` to ``forwarder``:
-  ``due_ns``, ``sent_ns``, ``status`` (the HTTP status, 0 without an answer) and ``cls``;
-- ``call``: a call at endpoint ``endpoint`` of ``destination``: ``key``, ``id``,
+- ``try``: an attempt of the load generator to send message ``key`` with the id ``id`` to
+  ``forwarder``: ``due_ns``, ``sent_ns``, ``status`` (the HTTP status, or 0 if no answer
+  came) and ``cls`` (the class);
+- ``call``: a call received by endpoint ``endpoint`` of ``destination``: ``key``, ``id``,
   ``status``, ``at_ns``;
-- ``notice``: a notice (PROTOCOL, Notices) for ``id`` with ``state``;
-- ``process``: what happened to a process: ``member``, ``did`` (``started``, ``ended``,
-  ``wiped``), ``at_ns``.
+- ``notice``: a notification (PROTOCOL, Notices) for ``id`` with ``state``;
+- ``process``: an event of process ``member``: ``did`` (``started``, ``ended``, or
+  ``wiped`` when its state folder was deleted) and ``at_ns``.
 
 A message is *lost* if a forwarder accepted it (200 or 202), no endpoint answered 200 for
-it, and no notice reported its end. If each forwarder that accepted it lost its state
-folder later, it is *wiped* instead: PROTOCOL demands its end only while the disk lasts.
-It is *doubled* if endpoints answered 200 to one attempt (one ``id``) more than once in a
-class with the effect ``once``. A message that the client sent again without an answer,
-and that was delivered under two ids, is counted as *resent*: PROTOCOL demands nothing
-for the former id.
+it, and no notification reported its final state. If each forwarder that accepted it lost
+its state folder later, it counts as *wiped* instead: PROTOCOL requires a final state only
+as long as the disk survives.
+
+A message is *doubled* if its class has the effect ``once`` and endpoints answered 200 more
+than once to one attempt (one ``id``). A message that the client sent again because no
+answer came, and that was delivered under two ids, counts as *resent*: PROTOCOL requires
+nothing for the earlier id.
+
+A *phantom* is a call for a message that the load never sent.
 """
 
 from __future__ import annotations
@@ -35,10 +40,11 @@
 )
 
 LISTED_KEYS = 20
-"""How many keys of lost or doubled messages a verdict lists."""
+"""How many keys of lost messages, and of doubled ones, a verdict lists."""
 LONGEST_LATENCY_US = 600_000_000
+"""Highest latency that the histograms can record: 10 minutes."""
 LATENCY_DIGITS = 3
-"""Significant digits of a latency."""
+"""Significant decimal digits that the histograms keep."""
 LATENCY_PERCENTILES = (50, 90, 99, 99.9)
 LAG_PERCENTILE = 99
 NS_PER_US = 1_000
@@ -47,7 +53,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """The counts of a class, or of all; their names are those of the verdict."""
+    """The counts for one class or for all; the fields are the keys of the verdict."""
 
     messages: int = 0
     accepted: int = 0
@@ -66,7 +72,7 @@
 
 
 COUNTS = tuple(name for name in Tally.__dataclass_fields__ if name != "latency_ms")
-"""The tally's counts, in the order in which reports show them."""
+"""The counting fields of ``Tally``, in the order in which reports show them."""
 
 
 class Acceptance(NamedTuple):
@@ -79,7 +85,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message, with all that happened to it."""
+    """One message, with the attempts and deliveries found in the records."""
 
     class_name: str
     destination: int
@@ -95,35 +101,41 @@
     number: int = 0
     acceptances: list[Acceptance] = field(default_factory=list)
 
-    def is_noticed(self, noticed: Mapping[str, str]) -> bool:
-        """Whether a notice reported its end."""
-        return any(message_id in noticed for message_id in self.ids)
+    def is_notified(self, notified_states: Mapping[str, str]) -> bool:
+        """Whether a notification reported the final state of any attempt."""
+        return any(message_id in notified_states for message_id in self.ids)
 
-    def lost(self, noticed: Mapping[str, str], wiped: Mapping[str, int]) -> bool:
-        """Whether it was accepted and has no end.
+    def is_lost(
+        self, notified_states: Mapping[str, str], wiped_at_ns: Mapping[str, int]
+    ) -> bool:
+        """Whether the message was accepted and never reached a final state.
 
-        ``noticed`` has the state of each id with a notice, ``wiped`` when a forwarder
-        last lost its state folder.
+        ``notified_states`` maps ids to final states. ``wiped_at_ns`` maps forwarders to
+        the time at which they last lost their state folder.
         """
-        if not self.accepted or self.delivered_at_ns or self.is_noticed(noticed):
+        if (
+            not self.accepted
+            or self.delivered_at_ns
+            or self.is_notified(notified_states)
+        ):
             return False
-        return not self.is_wiped(wiped)
+        return not self.is_wiped(wiped_at_ns)
 
-    def is_wiped(self, wiped: Mapping[str, int]) -> bool:
-        """Whether each forwarder that accepted it lost its state folder later."""
+    def is_wiped(self, wiped_at_ns: Mapping[str, int]) -> bool:
+        """Whether every forwarder that accepted it lost its state folder later."""
         return all(
-            wiped.get(acceptance.forwarder, -1) >= acceptance.at_ns
+            wiped_at_ns.get(acceptance.forwarder, -1) >= acceptance.at_ns
             for acceptance in self.acceptances
         )
 
-    def doubled(self, effect: str) -> bool:
-        """Whether one attempt was executed twice in a class that forbids it."""
+    def is_doubled(self, effect: str) -> bool:
+        """Whether an attempt was executed twice although ``effect`` is ``once``."""
         distinct_ids = set(self.delivered_ids)
         return effect == "once" and len(distinct_ids) < len(self.delivered_ids)
 
 
 def _new_histogram() -> HdrHistogram:
-    """A histogram of microseconds."""
+    """An empty latency histogram, in microseconds."""
     return HdrHistogram(1, LONGEST_LATENCY_US, LATENCY_DIGITS)
 
 
@@ -150,20 +162,20 @@
 
 @dataclass(slots=True)
 class JoinedRecords:
-    """The records of a run, joined by message."""
+    """The records of a run, grouped by message."""
 
     messages: dict[str, Message] = field(default_factory=dict)
-    noticed: dict[str, str] = field(default_factory=dict)
-    wiped: dict[str, int] = field(default_factory=dict)
+    notified_states: dict[str, str] = field(default_factory=dict)
+    wiped_at_ns: dict[str, int] = field(default_factory=dict)
     lags_ns: list[int] = field(default_factory=list)
     phantoms: list[str] = field(default_factory=list)
-    """The ids of calls whose message nobody sent; PROTOCOL voids such a run."""
+    """Ids of calls for messages that were never sent; PROTOCOL voids such a run."""
 
 
 def join_records(
     records: Iterable[Mapping[str, Any]], deadlines_ns: Mapping[str, int]
 ) -> JoinedRecords:
-    """Join the records of a run by message; deadlines are those of the classes."""
+    """Group the records of a run by message; ``deadlines_ns`` is by class."""
     joined = JoinedRecords()
     calls: list[Mapping[str, Any]] = []
     for record in records:
@@ -172,10 +184,10 @@
         elif record["kind"] == "call":
             calls.append(record)
         elif record["kind"] == "notice":
-            joined.noticed[record["id"]] = record["state"]
+            joined.notified_states[record["id"]] = record["state"]
         elif record["kind"] == "process" and record["did"] == "wiped":
-            joined.wiped[record["member"]] = max(
-                record["at_ns"], joined.wiped.get(record["member"], -1)
+            joined.wiped_at_ns[record["member"]] = max(
+                record["at_ns"], joined.wiped_at_ns.get(record["member"], -1)
             )
     _add_calls(joined, calls)
     return joined
@@ -202,7 +214,7 @@
 def _add_attempt(
     joined: JoinedRecords, record: Mapping[str, Any], deadlines_ns: Mapping[str, int]
 ) -> None:
-    # A message that had to wait for the one before in its session was due after that.
+    # A message that waited for its predecessor in the session became due only then.
     ready_ns = record.get("ready_ns", record["due_ns"])
     message = joined.messages.get(record["key"])
     if message is None:
@@ -231,11 +243,11 @@
     deadlines_ns: Mapping[str, int],
     max_lag_ms: float,
 ) -> dict[str, Any]:
-    """The verdict on the messages, ready for JSON.
+    """The verdict on the messages, as a JSON-serializable dict.
 
-    It has a tally for each class and for all, the keys of lost and doubled messages, the
-    load's lag behind its schedule, and ``valid``, which is False if the lag passed
-    ``max_lag_ms``.
+    It holds the counts of each class and the total, the keys of lost and doubled
+    messages, the load's lag behind its schedule, and ``valid``, which is False if the
+    lag exceeded ``max_lag_ms``.
     """
     joined = join_records(records, deadlines_ns)
     tallies: dict[str, _ClassTally] = {}
@@ -272,7 +284,7 @@
 
 
 def _lag_ms(lags_ns: list[int]) -> dict[str, float]:
-    """The load's lag behind its schedule; empty without messages."""
+    """The 99th percentile and maximum of the load's lag; empty without messages."""
     if not lags_ns:
         return {}
     lags_us = _new_histogram()
@@ -285,7 +297,7 @@
 
 
 class _ClassTally:
-    """The tally of one class while messages are added."""
+    """Accumulates the counts and latencies of one class."""
 
     def __init__(self, effect: str) -> None:
         self.effect = effect
@@ -314,7 +326,7 @@
         latency_us = (first_delivery_ns - message.first_sent_ns) // NS_PER_US
         self.latencies_us.record_value(max(1, latency_us))
         counts.unanswered_delivered += not message.accepted
-        if message.doubled(self.effect):
+        if message.is_doubled(self.effect):
             counts.doubled += 1
             self.doubled_keys.append(key)
         counts.resent += self.effect == "once" and len(set(message.delivered_ids)) > 1
@@ -324,9 +336,9 @@
         counts.accepted += 1
         if message.delivered_at_ns:
             return
-        if message.is_noticed(joined.noticed):
+        if message.is_notified(joined.notified_states):
             counts.noticed += 1
-        elif message.lost(joined.noticed, joined.wiped):
+        elif message.is_lost(joined.notified_states, joined.wiped_at_ns):
             counts.lost += 1
             self.lost_keys.append(key)
         else:
@@ -334,5 +346,5 @@
 
 
 def has_breach(result: Mapping[str, Any]) -> bool:
-    """Whether a message was lost or doubled, or an endpoint received one nobody sent."""
+    """Whether a verdict counts a lost, doubled or phantom message."""
     return bool(result["lost"] or result["doubled"] or result["phantoms"])
--- a/rainfall/lab/discovery_relay.py
+++ b/rainfall/lab/discovery_relay.py
@@ -1,9 +1,10 @@
 """A relay between one forwarder and the list service's process.
 
-It forwards HTTP, and replaces each dial in an answer by this forwarder's own proxy:
-PROTOCOL lets ``dial`` vary by forwarder, while the service sends the same to all. It
-changes dials and the answer's length and nothing else, has no state, answers nothing by
-itself, and its connections end with the service's.
+The relay forwards HTTP and replaces each ``dial`` in a response with the address of this
+forwarder's own proxy. PROTOCOL allows ``dial`` to differ between forwarders, but the
+service sends the same list to all. The relay changes only dials and the content length,
+keeps no state and never answers by itself. When either side closes a connection, the
+relay closes the other.
 """
 
 from __future__ import annotations
@@ -20,39 +21,39 @@
 
 HEAD_LIMIT_BYTES = 16384
 BODY_LIMIT_BYTES = 32 * 1024 * 1024
-"""A list of 44,000 endpoints takes 14 MB if it is indented."""
+"""An indented list of 44,000 endpoints takes 14 MB."""
 ENTRY_NAME_FIELDS = {"hosts": "host", "members": "name"}
-"""The lists in answers whose entries have a dial, and the field of an entry's name."""
+"""Lists in responses whose entries have a dial, with the field that names an entry."""
 HEAD_END = b"\r\n\r\n"
 
 
 class RelayedMessage(NamedTuple):
-    """A request or an answer."""
+    """An HTTP request or response."""
 
     lines: list[str]
-    """The lines of its head."""
+    """The start line and the header lines."""
     body: bytes
 
 
-def ignore_notice(_notice: dict[str, Any]) -> None:
-    """Do nothing at a notice."""
+def ignore_notification(_notification: dict[str, Any]) -> None:
+    """Discard a notification; the default of ``on_notification``."""
 
 
 def rewrite_dials(body: bytes, dials: Mapping[str, str]) -> bytes:
-    """An answer's body with the dials of known hosts and members replaced."""
+    """Replace the dials of the hosts and members in ``dials`` in a response body."""
     if b'"dial"' not in body:
         return body
     try:
-        answer = json.loads(body)
+        response = json.loads(body)
     except ValueError:
-        return body  # The forwarder rejects it.
-    if not isinstance(answer, dict):
+        return body  # Forwarded as is: the forwarder rejects invalid JSON.
+    if not isinstance(response, dict):
         return body
     for list_field, name_field in ENTRY_NAME_FIELDS.items():
-        entries = answer.get(list_field)
+        entries = response.get(list_field)
         if isinstance(entries, list):
             _rewrite_entries(entries, name_field, dials)
-    return json.dumps(answer, separators=(",", ":")).encode()
+    return json.dumps(response, separators=(",", ":")).encode()
 
 
 def _rewrite_entries(
@@ -66,11 +67,11 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> RelayedMessage | None:
-    """One HTTP/1.1 message; None if the connection ends before it.
+    """Read one HTTP/1.1 message; None if the connection closes before it starts.
 
     Raises:
-        ValueError: The head or the body is past its limit, or the body is in chunks.
-        asyncio.IncompleteReadError: The connection ends within the message.
+        ValueError: The head or body exceeds its limit, or the body is chunked.
+        asyncio.IncompleteReadError: The connection closes within the message.
     """
     try:
         head = await reader.readuntil(HEAD_END)
@@ -79,7 +80,7 @@
             raise
         return None
     except asyncio.LimitOverrunError:
-        raise ValueError("head too large") from None
+        raise ValueError(f"head is over {HEAD_LIMIT_BYTES} bytes") from None
     lines = head.removesuffix(HEAD_END).decode("latin-1").split("\r\n")
     length = 0
     for line in lines[1:]:
@@ -87,14 +88,14 @@
         if name.strip().lower() == "content-length":
             length = int(value)
         elif name.strip().lower() == "transfer-encoding":
-            raise ValueError("chunks are not passed on")
+            raise ValueError("transfer-encoding is not supported")
     if not 0 <= length <= BODY_LIMIT_BYTES:
-        raise ValueError("body too large")
+        raise ValueError(f"content-length {length} is not 0 to {BODY_LIMIT_BYTES}")
     return RelayedMessage(lines, await reader.readexactly(length))
 
 
 def encode_message(lines: list[str], body: bytes) -> bytes:
-    """A message's bytes, with the length of this body if the head has a length."""
+    """Serialize a message; an existing Content-Length is replaced by that of ``body``."""
     kept = [line for line in lines if not line.lower().startswith("content-length:")]
     if len(kept) < len(lines):
         kept.append(f"Content-Length: {len(body)}")
@@ -103,20 +104,20 @@
 
 @dataclass
 class DiscoveryRelay:
-    """The relay of one forwarder, at ``listen_port``.
+    """The relay of one forwarder, listening on ``listen_port``.
 
-    ``on_notice`` is called with each notice that the service has accepted.
+    ``on_notification`` is called with each notification that the service accepted (2xx).
     """
 
     service_port: int
     dials: Mapping[str, str]
-    on_notice: Callable[[dict[str, Any]], None] = ignore_notice
+    on_notification: Callable[[dict[str, Any]], None] = ignore_notification
     listen_port: int = 0
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
     server: asyncio.Server | None = None
 
     async def start(self) -> Self:
-        """Listen at a port that the system chooses."""
+        """Listen on a port that the kernel chooses."""
         self.server = await asyncio.start_server(
             self._serve, "127.0.0.1", 0, limit=HEAD_LIMIT_BYTES
         )
@@ -124,7 +125,7 @@
         return self
 
     async def stop(self) -> None:
-        """Stop listening, and reset all connections."""
+        """Stop listening and reset all connections."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
@@ -134,28 +135,30 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.writers.add(writer)
-        peer: asyncio.StreamWriter | None = None
-        pending_notices: deque[bytes] = deque()
+        service_writer: asyncio.StreamWriter | None = None
+        pending_notifications: deque[bytes] = deque()
         tasks: list[asyncio.Task[None]] = []
         try:
             async with asyncio.timeout(DIAL_TIMEOUT_S):
-                answers, peer = await asyncio.open_connection(
+                responses, service_writer = await asyncio.open_connection(
                     "127.0.0.1", self.service_port, limit=HEAD_LIMIT_BYTES
                 )
-            self.writers.add(peer)
+            self.writers.add(service_writer)
             tasks = [
                 asyncio.create_task(
-                    self._forward_requests(reader, peer, pending_notices)
+                    self._forward_requests(
+                        reader, service_writer, pending_notifications
+                    )
                 ),
                 asyncio.create_task(
-                    self._forward_answers(answers, writer, pending_notices)
+                    self._forward_responses(responses, writer, pending_notifications)
                 ),
             ]
-            # When one side closes the other is closed too: so the service learns of a
-            # forwarder that has gone, and the forwarder of a service that has ended.
+            # When one side closes, the other is closed too, so that the service detects
+            # a stopped forwarder and the forwarder a stopped service.
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             if tasks[1].done() and tasks[1].exception() is None:
-                # All answers were forwarded: close without a reset.
+                # All responses were forwarded: close without a reset.
                 writer.write_eof()
                 self.writers.discard(writer)
                 writer.close()
@@ -165,7 +168,7 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            for end in [writer] if peer is None else [writer, peer]:
+            for end in [writer] if service_writer is None else [writer, service_writer]:
                 self.writers.discard(end)
                 if not end.is_closing():
                     reset_connection(end)
@@ -173,33 +176,35 @@
     async def _forward_requests(
         self,
         reader: asyncio.StreamReader,
-        peer: asyncio.StreamWriter,
-        pending_notices: deque[bytes],
+        service_writer: asyncio.StreamWriter,
+        pending_notifications: deque[bytes],
     ) -> None:
         while (message := await read_message(reader)) is not None:
-            is_notices = message.lines[0].startswith("POST /v1/notices")
-            pending_notices.append(message.body if is_notices else b"")
-            peer.write(encode_message(message.lines, message.body))
-            await peer.drain()
+            is_notification_post = message.lines[0].startswith("POST /v1/notices")
+            pending_notifications.append(message.body if is_notification_post else b"")
+            service_writer.write(encode_message(message.lines, message.body))
+            await service_writer.drain()
 
-    async def _forward_answers(
+    async def _forward_responses(
         self,
-        answers: asyncio.StreamReader,
+        responses: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        pending_notices: deque[bytes],
+        pending_notifications: deque[bytes],
     ) -> None:
-        while (message := await read_message(answers)) is not None:
-            notices = pending_notices.popleft() if pending_notices else b""
+        while (message := await read_message(responses)) is not None:
+            notifications = (
+                pending_notifications.popleft() if pending_notifications else b""
+            )
             status = message.lines[0].split(" ")[1]
             if status.startswith("2"):
-                self._report_notices(notices)
+                self._report_notifications(notifications)
             body = rewrite_dials(message.body, self.dials)
             writer.write(encode_message(message.lines, body))
             await writer.drain()
 
-    def _report_notices(self, notices: bytes) -> None:
-        for line in notices.splitlines():
+    def _report_notifications(self, notifications: bytes) -> None:
+        for line in notifications.splitlines():
             with contextlib.suppress(ValueError):
-                notice = json.loads(line)
-                if isinstance(notice, dict) and "id" in notice:
-                    self.on_notice(notice)
+                notification = json.loads(line)
+                if isinstance(notification, dict) and "id" in notification:
+                    self.on_notification(notification)
--- a/rainfall/lab/experiment.py
+++ b/rainfall/lab/experiment.py
@@ -1,7 +1,7 @@
-"""The experiment file of the fleet lab: TOML, checked before anything starts.
+"""Parses the TOML experiment file of the fleet lab and validates it before a run.
 
-One ``ExperimentError`` names every fault with its path, such as ``faults[2].at_s``. The
-classes of an experiment are those of ``experiment_model``, exported here too.
+A single ``ExperimentError`` lists every error with its path, such as ``faults[2].at_s``.
+The classes of ``experiment_model`` are re-exported here.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 
 
 def parse(text: str, source: str = "experiment") -> Experiment:
-    """The experiment of a TOML text.
+    """Parse and validate the TOML text of an experiment.
 
     Raises:
-        ExperimentError: With every fault.
+        ExperimentError: The text is invalid; lists every error.
     """
     try:
         document = tomllib.loads(text)
@@ -65,7 +65,7 @@
             "",
             None,
             lambda v: 0 < v <= LONGEST_DURATION_S,
-            f"must be over 0, {LONGEST_DURATION_S} at most",
+            f"must be over 0 and at most {LONGEST_DURATION_S}",
         ),
         settle_s=reader.read(
             document, "settle_s", float, "", 5.0, lambda v: 0 <= v <= LONGEST_SETTLE_S
@@ -83,26 +83,26 @@
         fault_sections.parse_fault(reader, table, f"faults[{index}]", experiment)
         for index, table in enumerate(fault_tables)
     ]
-    nemesis = None
+    random_faults = None
     if "nemesis" in document:
-        nemesis = fault_sections.parse_nemesis(
+        random_faults = fault_sections.parse_random_faults(
             reader, reader.table(document, "nemesis", ""), experiment.duration_s
         )
-    if reader.faults:
-        raise ExperimentError(reader.faults)
+    if reader.errors:
+        raise ExperimentError(reader.errors)
     faults = [fault for fault in parsed_faults if fault is not None]
     faults.sort(key=lambda fault: fault.at_s)
-    return replace(experiment, faults=tuple(faults), nemesis=nemesis)
+    return replace(experiment, faults=tuple(faults), random_faults=random_faults)
 
 
 def read(path: Path) -> Experiment:
-    """The experiment of a file.
+    """Read, parse and validate an experiment file.
 
     Raises:
-        ExperimentError: The file cannot be read, or is faulty.
+        ExperimentError: The file cannot be read or is invalid.
     """
     try:
         return parse(path.read_text(), str(path))
     except (OSError, UnicodeDecodeError) as error:
-        why = error.strerror if isinstance(error, OSError) else error
-        raise ExperimentError([f"{path}: cannot read: {why}"]) from None
+        reason = error.strerror if isinstance(error, OSError) else error
+        raise ExperimentError([f"{path}: cannot read: {reason}"]) from None
--- a/rainfall/lab/experiment_model.py
+++ b/rainfall/lab/experiment_model.py
@@ -1,4 +1,4 @@
-"""The parts of an experiment: fleet, links, load, faults and budgets.
+"""Data classes of an experiment: fleet, links, load, faults and budgets.
 
 Times are seconds from the start of the load, rates are messages a second.
 ``docs/operations.md`` describes the file.
@@ -17,18 +17,18 @@
 KINDS = LINK_KINDS + PROCESS_KINDS + ENDPOINT_KINDS
 EFFECTS = ("once", "repeatable")
 MAX_FORWARDERS = 64
-"""Forwarders of an experiment: each is a process on this machine."""
+"""Most forwarders of an experiment; each is a process on this machine."""
 MAX_PEERS = 32
-"""Forwarders with links among them: the number of links is the square of theirs."""
+"""Most forwarders with links to each other; the links grow with their square."""
 MAX_RATE = 20_000.0
-"""Messages a second."""
+"""Highest load, in messages a second."""
 LIST_SERVICE = "list"
-"""The list service's process, and its discovery address as the end of links."""
+"""Name of the list service's process and, in link names, of its discovery address."""
 FLEET_ADDRESS = "fleet"
-"""The list service's address for heartbeats as the end of links."""
+"""Name of the list service's heartbeat address in link names."""
 NS_PER_S = 1e9
 CLIENT = "client"
-"""The clients' end of links."""
+"""Name of the clients in link names."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,13 +37,13 @@
 
     name: str
     share: float
-    """Its part of the load, relative to the other classes."""
+    """Weight of the class in the load, relative to the other classes."""
     deadline_s: float
-    """How long a message may take until it is delivered."""
+    """Time within which a message must be delivered."""
     effect: str
     """One of ``EFFECTS``: whether an endpoint may execute a message twice."""
     ordered: bool = False
-    """Whether messages have a session's key, and are delivered in the session's order."""
+    """Whether messages carry a session key and are delivered in session order."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,19 +54,19 @@
     classes: tuple[LoadClass, ...]
     answer_timeout_s: float = 0.4
     max_lag_ms: float = 50.0
-    """Past this lag behind its schedule the load makes the run invalid."""
+    """The run is invalid if the load lags further behind its schedule."""
     body_bytes: int = 64
     forwarders: int = 0
-    """How many forwarders, from ``f0`` on, receive messages from clients; 0 for all."""
+    """How many forwarders, starting at ``f0``, receive messages from clients; 0: all."""
     sessions: int = 0
-    """How many sessions there are."""
+    """Number of sessions."""
     sessions_at: str = "home"
-    """Whether a session's clients stay at one forwarder (``home``) or not (``any``)."""
+    """``home``: a session's clients use one forwarder; ``any``: they use all."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One event of the timeline.
+    """One fault of the timeline.
 
     ``target`` names a forwarder, an endpoint or the list service (``f1``, ``e3``,
     ``list``), or is a glob of link names (``f1>e*``, ``*>list``) for link faults;
@@ -82,18 +82,18 @@
     jitter_ms: float = 0.0
     share: float = 1.0
     limit: int = 1
-    """Calls at once that an endpoint with the fault ``limit`` accepts."""
+    """Concurrent calls that an endpoint with the fault ``limit`` accepts."""
     restart: str = ""
-    """``keep`` or ``lose`` its state folder; empty: the process stays ended."""
+    """Restart with the state folder (``keep``) or without (``lose``); empty: no restart."""
     after_s: float = 0.5
-    """The time between the end of a process and its restart."""
+    """Time between the end of a process and its restart."""
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """A destination's limit: ``calls`` in any sliding ``span_ms``, from all forwarders.
+    """A destination's rate limit over all forwarders: ``calls`` in any sliding ``span_ms``.
 
-    With ``enforce`` its endpoints reject calls beyond it, with 429 and a wait.
+    With ``enforce``, the endpoints reject calls over the limit with 429 and a wait time.
     """
 
     destination: int
@@ -103,22 +103,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Nemesis:
-    """Faults drawn from the seed; see ``nemesis``."""
+class RandomFaults:
+    """Settings of the faults drawn from the seed: the table ``[nemesis]``.
+
+    The module ``nemesis`` draws them.
+    """
 
     rate_per_s: float
-    """Faults a second, at most."""
+    """Upper limit of the rate of faults, per second."""
     kinds: tuple[str, ...]
     longest_s: float = 2.0
-    """The longest time that a fault lasts."""
+    """Longest duration of a fault."""
     quiet_s: float = 2.0
-    """How long before the end of the load the last fault is over."""
+    """Time without faults before the end of the load."""
     lose: float = 0.0
-    """The part of a forwarder's restarts that lose its state folder."""
+    """Probability that a forwarder's restart loses its state folder."""
     service_lose: float = 0.0
-    """The same of the list service."""
+    """Probability that the list service's restart loses its state folder."""
     all_at_once: bool = False
-    """Whether every forwarder may be out of use at the same time."""
+    """Whether all forwarders may be unavailable at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,18 +133,18 @@
     endpoints_per_destination: int
     zones: tuple[str, ...]
     slots: int = 8
-    """Calls at once to one endpoint, as the forwarders' settings say."""
+    """Concurrent calls of a forwarder to one endpoint, in the forwarders' settings."""
     durability: str = "process"
     endpoint_rate: float = 200.0
-    """Calls a second that each endpoint is listed with, as its ``share``."""
+    """Calls per second that each endpoint is listed with, as its ``share``."""
     service: bool = False
-    """Whether the list service is ``python -m rainfall.registry``, or a stand-in."""
+    """True: the list service is ``python -m rainfall.registry``; False: a stand-in."""
     service_args: tuple[str, ...] = ()
-    """Further options of its command line, such as ``["--lease-ms", "900"]``."""
+    """Further options of the list service, such as ``["--lease-ms", "900"]``."""
     peers: bool = False
     """Whether each forwarder has a proxied link to each other one."""
     most_connections: int = 0
-    """Proxied connections open at once; 0: as many as the lab's descriptors allow."""
+    """Limit of open proxied connections; 0: as many as the file descriptors allow."""
     parts: Mapping[str, Any] = field(default_factory=dict)
     """Copied into the ``fleet`` object of every forwarder's configuration."""
 
@@ -154,19 +157,19 @@
     seed: int
     duration_s: float
     settle_s: float
-    """How long after the load messages may take until the verdict."""
+    """Time after the load for messages to reach a final state before the verdict."""
     fleet: Fleet
     load: Load
     faults: tuple[Fault, ...] = ()
     budgets: tuple[Budget, ...] = ()
-    nemesis: Nemesis | None = None
+    random_faults: RandomFaults | None = None
 
     def forwarder_names(self) -> list[str]:
         """``f0``, ``f1``, ..."""
         return [f"f{number}" for number in range(self.fleet.forwarders)]
 
     def endpoint_names(self) -> list[str]:
-        """``e0``, ``e1``, ...; those of one destination stand together."""
+        """``e0``, ``e1``, ...; endpoints of one destination have consecutive numbers."""
         destination_count = len(self.fleet.destinations)
         endpoint_count = destination_count * self.fleet.endpoints_per_destination
         return [f"e{number}" for number in range(endpoint_count)]
@@ -181,7 +184,7 @@
     def zone_of(self, member: str) -> str:
         """The zone of a forwarder or an endpoint.
 
-        They are spread over the zones in turn: f0 and e0 are in the first, f1 and e1 in
+        Members are assigned round-robin: f0 and e0 are in the first zone, f1 and e1 in
         the second.
         """
         return self.fleet.zones[int(member[1:]) % len(self.fleet.zones)]
@@ -192,11 +195,11 @@
         return self.fleet.destinations[number // self.fleet.endpoints_per_destination]
 
     def effects(self) -> dict[str, str]:
-        """The effect of each class."""
+        """The effect of each class, by name."""
         return {load_class.name: load_class.effect for load_class in self.load.classes}
 
     def deadlines_ns(self) -> dict[str, int]:
-        """The deadline of each class."""
+        """The deadline of each class in ns, by name."""
         return {
             load_class.name: int(load_class.deadline_s * NS_PER_S)
             for load_class in self.load.classes
@@ -204,10 +207,10 @@
 
 
 def link_names(experiment: Experiment) -> list[str]:
-    """Every link's name.
+    """The names of all links.
 
-    These are ``client>f0``, ``f0>list``, ``f0>e1``; with the list service as a process
-    ``f0>fleet``; with peers ``f0>f1``.
+    Examples: ``client>f0``, ``f0>list`` and ``f0>e1``; ``f0>fleet`` if the list service
+    is a process; ``f0>f1`` if the forwarders are peers.
     """
     names: list[str] = []
     for forwarder in experiment.forwarder_names():
@@ -226,7 +229,7 @@
 
 
 def matching_links(experiment: Experiment, fault: Fault) -> list[str]:
-    """The links of a link fault: by glob, or all those with an end in its zone."""
+    """The links that a link fault affects: by its zone, else by its glob."""
     all_links = link_names(experiment)
     if fault.zone:
         return [name for name in all_links if _touches(experiment, name, fault.zone)]
@@ -234,7 +237,7 @@
 
 
 def _touches(experiment: Experiment, link: str, zone: str) -> bool:
-    """Whether an end of a link is in a zone."""
+    """Whether either end of a link is in a zone."""
     return any(
         end not in (CLIENT, LIST_SERVICE, FLEET_ADDRESS)
         and experiment.zone_of(end) == zone
--- a/rainfall/lab/experiment_sections.py
+++ b/rainfall/lab/experiment_sections.py
@@ -1,4 +1,4 @@
-"""Reads the tables ``[fleet]``, ``[load]`` and ``[[budgets]]`` of an experiment file."""
+"""Parses the tables ``[fleet]``, ``[load]`` and ``[[budgets]]`` of an experiment file."""
 
 from __future__ import annotations
 
@@ -49,19 +49,19 @@
 CLASS_KEYS = frozenset({"name", "share", "deadline_s", "effect", "ordered"})
 BUDGET_KEYS = frozenset({"destination", "calls", "span_ms", "enforce"})
 RESERVED_ARGS = ("--state", "--listen", "--write", "--fleet", "--new")
-"""Options of the list service that the lab sets itself."""
+"""Options of the list service that the lab sets; an experiment may not."""
 DEFAULT_DESTINATIONS = (7,)
 DEFAULT_ZONES = ("a",)
 DURABILITIES = ("process", "power")
 SESSION_PLACES = ("home", "any")
 
-# How many entries a list may have.
+# Most entries of a list.
 DESTINATION_LIMIT = 16
 ZONE_LIMIT = 8
 SERVICE_ARG_LIMIT = 32
 CLASS_LIMIT = 8
 
-# The ranges of values.
+# Ranges of values.
 ENDPOINT_LIMIT = 16
 SLOT_LIMIT = 256
 HIGHEST_ENDPOINT_RATE = 1e6
@@ -79,27 +79,27 @@
 
 
 class _NamedTable(NamedTuple):
-    """A table of a list, with its path for faults."""
+    """A table of a list, with its path for error messages."""
 
     path: str
     table: Mapping[str, Any]
 
 
 def _tables(
-    reader: TableReader, raw: list[Any], path: str, known: frozenset[str]
+    reader: TableReader, entries: list[Any], path: str, known: frozenset[str]
 ) -> Iterator[_NamedTable]:
-    """The tables of a list, each checked for unknown keys."""
-    for index, table in enumerate(raw):
+    """Yield the tables of a list, checked for unknown keys; other entries are errors."""
+    for index, table in enumerate(entries):
         table_path = f"{path}[{index}]"
         if not isinstance(table, Mapping):
-            reader.faults.append(f"{table_path}: a table is wanted")
+            reader.errors.append(f"{table_path}: expected a table")
             continue
         reader.check_unknown_keys(table, known, table_path)
         yield _NamedTable(table_path, table)
 
 
 def parse_fleet(reader: TableReader, table: Mapping[str, Any]) -> Fleet:
-    """The table ``[fleet]``."""
+    """Parse the table ``[fleet]``."""
     reader.check_unknown_keys(table, FLEET_KEYS, "fleet")
     destinations = _destinations(reader, table)
     zones = _zones(reader, table)
@@ -133,7 +133,7 @@
             "fleet",
             "process",
             lambda v: v in DURABILITIES,
-            "is 'process' or 'power'",
+            "must be 'process' or 'power'",
         ),
         endpoint_rate=reader.read(
             table,
@@ -157,8 +157,8 @@
         parts=_parts(reader, reader.table(table, "parts", "fleet.")),
     )
     if fleet.peers and fleet.forwarders > MAX_PEERS:
-        reader.faults.append(
-            f"fleet.peers: {fleet.forwarders} forwarders, where {MAX_PEERS} at most can be linked"
+        reader.errors.append(
+            f"fleet.peers: {fleet.forwarders} forwarders, but at most {MAX_PEERS} can be linked"
         )
     return fleet
 
@@ -178,7 +178,7 @@
         for number in destinations
     ):
         return tuple(destinations)
-    reader.faults.append("fleet.destinations: whole numbers of 0 or more are wanted")
+    reader.errors.append("fleet.destinations: must be integers of 0 or more")
     return DEFAULT_DESTINATIONS
 
 
@@ -192,45 +192,47 @@
         lambda v: 0 < len(v) <= ZONE_LIMIT,
         f"must list 1 to {ZONE_LIMIT}",
     )
-    are_names = all(isinstance(zone, str) and zone.isidentifier() for zone in zones)
-    if are_names and len(set(zones)) == len(zones):
+    are_identifiers = all(
+        isinstance(zone, str) and zone.isidentifier() for zone in zones
+    )
+    if are_identifiers and len(set(zones)) == len(zones):
         return tuple(zones)
-    reader.faults.append("fleet.zones: distinct plain names are wanted")
+    reader.errors.append("fleet.zones: must be distinct identifiers")
     return DEFAULT_ZONES
 
 
 def _service_args(reader: TableReader, table: Mapping[str, Any]) -> tuple[str, ...]:
-    words = reader.read(
+    arguments = reader.read(
         table,
         "service_args",
         list,
         "fleet",
         [],
         lambda v: len(v) <= SERVICE_ARG_LIMIT,
-        f"must list {SERVICE_ARG_LIMIT} at most",
+        f"must list at most {SERVICE_ARG_LIMIT}",
     )
-    for index, word in enumerate(words):
+    for index, argument in enumerate(arguments):
         path = f"fleet.service_args[{index}]"
-        if not isinstance(word, str):
-            reader.faults.append(f"{path}: a str is wanted, not {word!r}")
-        elif word.partition("=")[0] in RESERVED_ARGS:
-            reader.faults.append(f"{path}: {word!r} is the lab's to give")
-    if words and not table.get("service"):
-        reader.faults.append("fleet.service_args: there is no service to give them to")
-    return tuple(word for word in words if isinstance(word, str))
+        if not isinstance(argument, str):
+            reader.errors.append(f"{path}: expected a str, got {argument!r}")
+        elif argument.partition("=")[0] in RESERVED_ARGS:
+            reader.errors.append(f"{path}: {argument!r} is set by the lab")
+    if arguments and not table.get("service"):
+        reader.errors.append("fleet.service_args: requires fleet.service")
+    return tuple(argument for argument in arguments if isinstance(argument, str))
 
 
 def _parts(reader: TableReader, table: Mapping[str, Any]) -> Mapping[str, Any]:
-    """The table ``[fleet.parts]``, whose values must be valid JSON (dates are not)."""
+    """Parse the table ``[fleet.parts]``; its values must fit in JSON (dates do not)."""
     try:
         return dict(json.loads(json.dumps(table, allow_nan=False)))
     except (TypeError, ValueError) as error:
-        reader.faults.append(f"fleet.parts: cannot stand in a configuration: {error}")
+        reader.errors.append(f"fleet.parts: cannot be stored as JSON: {error}")
         return {}
 
 
 def parse_load(reader: TableReader, table: Mapping[str, Any], forwarders: int) -> Load:
-    """The table ``[load]`` of a fleet with so many forwarders."""
+    """Parse the table ``[load]``; ``forwarders`` is the size of the fleet."""
     reader.check_unknown_keys(table, LOAD_KEYS, "load")
     classes = _classes(reader, table)
     load = Load(
@@ -241,7 +243,7 @@
             "load",
             None,
             lambda v: 0 < v <= MAX_RATE,
-            f"must be over 0 and {MAX_RATE:.0f} at most",
+            f"must be over 0 and at most {MAX_RATE:.0f}",
         ),
         classes=tuple(classes),
         answer_timeout_s=reader.read(
@@ -265,7 +267,7 @@
             "load",
             0,
             lambda v: 0 <= v <= forwarders,
-            "is more than the fleet has",
+            "must be 0 to the number of forwarders",
         ),
         sessions=reader.read(
             table, "sessions", int, "load", 0, lambda v: 0 <= v <= SESSION_LIMIT
@@ -277,19 +279,19 @@
             "load",
             "home",
             lambda v: v in SESSION_PLACES,
-            "is 'home' or 'any'",
+            "must be 'home' or 'any'",
         ),
     )
     has_ordered_class = any(load_class.ordered for load_class in classes)
     if has_ordered_class != bool(load.sessions):
-        reader.faults.append(
-            "load.sessions: sessions and classes that are ordered need each other"
+        reader.errors.append(
+            "load.sessions: sessions and ordered classes require each other"
         )
     return load
 
 
 def _classes(reader: TableReader, table: Mapping[str, Any]) -> list[LoadClass]:
-    raw = reader.read(
+    entries = reader.read(
         table,
         "classes",
         list,
@@ -300,10 +302,10 @@
     )
     classes = [
         _load_class(reader, table, path)
-        for path, table in _tables(reader, raw, "load.classes", CLASS_KEYS)
+        for path, table in _tables(reader, entries, "load.classes", CLASS_KEYS)
     ]
     if len({load_class.name for load_class in classes}) != len(classes):
-        reader.faults.append("load.classes: a name is given twice")
+        reader.errors.append("load.classes: duplicate name")
     return classes
 
 
@@ -316,7 +318,7 @@
             path,
             None,
             lambda v: v.isidentifier(),
-            "is no plain name",
+            "must be an identifier",
         ),
         share=reader.read(
             table,
@@ -342,22 +344,22 @@
             path,
             "repeatable",
             lambda v: v in EFFECTS,
-            f"is one of {EFFECTS}",
+            f"must be one of {EFFECTS}",
         ),
         ordered=reader.read(table, "ordered", bool, path, False),
     )
 
 
 def parse_budgets(
-    reader: TableReader, raw: list[Any], destinations: tuple[int, ...]
+    reader: TableReader, entries: list[Any], destinations: tuple[int, ...]
 ) -> tuple[Budget, ...]:
-    """The tables ``[[budgets]]``, each for one of the destinations."""
+    """Parse the tables ``[[budgets]]``; each limits one of ``destinations``."""
     budgets = [
         _budget(reader, table, path, destinations)
-        for path, table in _tables(reader, raw, "budgets", BUDGET_KEYS)
+        for path, table in _tables(reader, entries, "budgets", BUDGET_KEYS)
     ]
     if len({budget.destination for budget in budgets}) != len(budgets):
-        reader.faults.append("budgets: a destination is given twice")
+        reader.errors.append("budgets: duplicate destination")
     return tuple(budgets)
 
 
@@ -375,7 +377,7 @@
             path,
             None,
             lambda v: v in destinations,
-            "is no destination",
+            "is not a destination of the fleet",
         ),
         calls=reader.read(
             table, "calls", int, path, None, lambda v: 1 <= v <= HIGHEST_BUDGET_CALLS
--- a/rainfall/lab/fault_injection.py
+++ b/rainfall/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a run, each at its time, and heals them."""
+"""Injects the faults of a run at their scheduled times and heals them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def inject_faults(testbed: Testbed, faults: Iterable[Fault]) -> None:
-    """Inject all faults; returns when all are over, and ends them if it is cancelled."""
+    """Inject all faults and wait for the last to end; cancellation cancels them all."""
     tasks = [asyncio.create_task(_inject(testbed, fault)) for fault in faults]
     try:
         await asyncio.gather(*tasks)
@@ -90,7 +90,7 @@
         behaviour.failure_ratio = fault.share
     elif fault.kind == "limit":
         behaviour.concurrency_limit = fault.limit
-    else:  # "cold": as after a restart, the first calls are slow.
+    else:  # "cold": calls are slow for a time, as after a restart.
         behaviour.cold_ms = fault.delay_ms
         behaviour.cold_until_ns = testbed.clock() + int(fault.for_s * NS_PER_S)
     if fault.for_s:
--- a/rainfall/lab/fault_proxy.py
+++ b/rainfall/lab/fault_proxy.py
@@ -1,15 +1,17 @@
-"""A fault proxy for one link of the lab: TCP on loopback.
+"""A TCP proxy on loopback that injects faults into one link of the lab.
 
 States of a link (``docs/parts.md``, the fleet lab):
 
 - ``pass``: bytes are forwarded;
-- ``delay``: each chunk is delayed by ``delay_ms`` plus a uniform jitter;
-- ``drop``: open connections and new ones are reset;
-- ``reset``: the next chunk to the peer is forwarded, and then both sides are reset, so
-  that a request may have been executed;
-- ``silence``: connections are accepted and read, nothing is forwarded, and they are
-  reset at the end, as with a machine that was cut off and comes back;
-- ``oneway``: bytes to the peer are forwarded, answers are held until the link heals.
+- ``delay``: each chunk is delayed by ``delay_ms`` plus a uniform jitter of 0 to
+  ``jitter_ms``;
+- ``drop``: open and new connections are reset;
+- ``reset``: the next chunk to the peer is forwarded, then both sides are reset; the
+  peer may have executed the request;
+- ``silence``: connections are accepted and read, but nothing is forwarded; they are
+  reset when the link heals, as after a network partition;
+- ``oneway``: bytes to the peer are forwarded, bytes from the peer are held until the
+  link heals.
 """
 
 from __future__ import annotations
@@ -28,9 +30,9 @@
 CHUNK_BYTES = 65536
 DIAL_TIMEOUT_S = 2.0
 RESERVED_DESCRIPTORS = 256
-"""Descriptors left for logs, pipes and listening sockets."""
+"""File descriptors left for logs, pipes and listening sockets."""
 DESCRIPTORS_PER_CONNECTION = 4
-"""Both ends of a link and, for a stand-in, both of its server."""
+"""The two sockets of the proxy and, with a stand-in as peer, those of its server."""
 FEWEST_CONNECTIONS = 16
 CONNECTION_LIMIT = 100_000
 UNLIMITED_DESCRIPTORS = 1 << 20
@@ -38,7 +40,7 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Close with RST, as when a process dies or a middlebox drops the connection."""
+    """Close with RST, as a dying process or a middlebox does."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
         if sock is not None:
@@ -50,21 +52,21 @@
 
 @dataclass(slots=True)
 class ConnectionLimiter:
-    """The limit on connections open through all links together.
+    """Limits the connections open through all links together.
 
-    Without it the process would run out of descriptors, and its accept loop would log
-    that again and again.
+    Without the limit the process would run out of file descriptors, and its accept loop
+    would log an error repeatedly.
     """
 
     limit: int
     on_first_rejection: Callable[[], None] = lambda: None
-    """Called at the first connection past the limit."""
+    """Called at the first rejected connection."""
     open: int = 0
     peak_open: int = 0
     rejected: int = 0
 
     def try_acquire(self) -> bool:
-        """Count a new connection; False past the limit."""
+        """Count a new connection; False if the limit is reached."""
         if self.open >= self.limit:
             if not self.rejected:
                 self.on_first_rejection()
@@ -75,11 +77,11 @@
         return True
 
     def release(self) -> None:
-        """Count a connection that has ended."""
+        """Count a closed connection."""
         self.open -= 1
 
     def statistics(self) -> dict[str, int]:
-        """The counts as they stand in a verdict."""
+        """The counters for the verdict."""
         return {
             "most": self.limit,
             "most_open": self.peak_open,
@@ -88,9 +90,9 @@
 
 
 def connection_capacity() -> int:
-    """Proxied connections that this process's descriptors allow.
+    """How many proxied connections the file descriptors of this process allow.
 
-    Its limit of descriptors is raised as far as allowed.
+    Raises the soft limit of descriptors to the hard limit.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
@@ -118,7 +120,7 @@
 
 @dataclass
 class ProxyLink:
-    """One proxied link: clients dial ``listen_port``, the peer is at ``host:port``."""
+    """One proxied link: clients connect to ``listen_port``, the peer is ``host:port``."""
 
     name: str
     host: str
@@ -141,7 +143,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> Self:
-        """Listen, at ``listen_port`` if it is not 0."""
+        """Listen on ``listen_port``; 0 lets the kernel choose a port."""
         self.server = await asyncio.start_server(
             self._serve, "127.0.0.1", self.listen_port
         )
@@ -149,7 +151,7 @@
         return self
 
     async def stop(self) -> None:
-        """Stop listening, and reset all connections."""
+        """Stop listening and reset all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.proxied_connections):
@@ -158,13 +160,13 @@
     def set_state(
         self, state: str, delay_ms: float = 0.0, jitter_ms: float = 0.0
     ) -> None:
-        """Change the link's state.
+        """Change the state of the link, also for open connections.
 
         Raises:
             ValueError: The state is unknown.
         """
         if state not in STATES:
-            raise ValueError(f"no proxy state {state!r}")
+            raise ValueError(f"unknown link state {state!r}")
         previous = self.state
         self.state = state
         self.delay_ms = delay_ms
@@ -197,7 +199,7 @@
             TimeoutError,
             asyncio.CancelledError,
         ):
-            # One side has failed, or the lab ends: both sides see a reset.
+            # One side has failed or the lab is stopping: reset both sides.
             connection.reset()
         finally:
             self.proxied_connections.discard(connection)
@@ -211,11 +213,11 @@
             if not await reader.read(CHUNK_BYTES):
                 return
         async with asyncio.timeout(DIAL_TIMEOUT_S):
-            up_reader, connection.peer = await asyncio.open_connection(
+            peer_reader, connection.peer = await asyncio.open_connection(
                 self.host, self.port
             )
         down = asyncio.create_task(
-            self._pump(up_reader, connection.client, connection, up=False)
+            self._pump(peer_reader, connection.client, connection, up=False)
         )
         try:
             await self._pump(reader, connection.peer, connection, up=True)
@@ -243,7 +245,7 @@
         connection: _ProxiedConnection,
         up: bool,
     ) -> bool:
-        """Treat a chunk as the state demands; False if the connection was reset."""
+        """Handle a chunk according to the state; False if the connection was reset."""
         state = self.state
         if state == "silence":
             return True
@@ -267,7 +269,7 @@
         return True
 
     def statistics(self) -> dict[str, object]:
-        """The link's counts as they stand in a verdict."""
+        """The state and counters of the link for the verdict."""
         return {
             "link": self.name,
             "state": self.state,
--- a/rainfall/lab/fault_sections.py
+++ b/rainfall/lab/fault_sections.py
@@ -1,4 +1,4 @@
-"""Reads the tables ``[[faults]]`` and ``[nemesis]`` of an experiment file."""
+"""Parses the tables ``[[faults]]`` and ``[nemesis]`` of an experiment file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     PROCESS_KINDS,
     Experiment,
     Fault,
-    Nemesis,
+    RandomFaults,
     matching_links,
 )
 from rainfall.lab.table_reader import TableReader
@@ -32,7 +32,7 @@
         "after_s",
     }
 )
-NEMESIS_KEYS = frozenset(
+RANDOM_FAULT_KEYS = frozenset(
     {
         "rate_per_s",
         "kinds",
@@ -43,7 +43,7 @@
         "all_at_once",
     }
 )
-NEMESIS_KINDS = PROCESS_KINDS + LINK_KINDS
+RANDOM_FAULT_KINDS = PROCESS_KINDS + LINK_KINDS
 RESTARTS = ("", "keep", "lose")
 LONGEST_FAULT_S = 600
 LONGEST_DELAY_MS = 60_000
@@ -55,9 +55,9 @@
 def parse_fault(
     reader: TableReader, table: Any, path: str, experiment: Experiment
 ) -> Fault | None:
-    """One table of ``[[faults]]``; None, with a fault, if it is no table."""
+    """Parse an entry of ``[[faults]]``; None, with an error added, if it is no table."""
     if not isinstance(table, Mapping):
-        reader.faults.append(f"{path}: a table is wanted")
+        reader.errors.append(f"{path}: expected a table")
         return None
     reader.check_unknown_keys(table, FAULT_KEYS, path)
     fault = _read_fault(reader, table, path, experiment.duration_s)
@@ -75,7 +75,7 @@
         path,
         None,
         lambda v: v in KINDS,
-        f"is none of {', '.join(KINDS)}",
+        f"must be one of {', '.join(KINDS)}",
     )
     at_s = reader.read(
         table,
@@ -84,7 +84,7 @@
         path,
         None,
         lambda v: 0 <= v <= duration_s,
-        "is not within the run",
+        "is outside the run",
     )
 
     def read_time(key: str, default: float, limit: float) -> float:
@@ -109,7 +109,7 @@
             path,
             "",
             lambda v: v in RESTARTS,
-            "is 'keep' or 'lose'",
+            "must be 'keep' or 'lose'",
         ),
         after_s=read_time("after_s", 0.5, LONGEST_FAULT_S),
     )
@@ -118,51 +118,55 @@
 def _check_target(
     reader: TableReader, fault: Fault, path: str, experiment: Experiment
 ) -> None:
-    """Check what a fault affects, and that it has the time that its kind needs."""
+    """Check that a fault's target exists, and that it has the duration its kind needs."""
     if fault.kind in LINK_KINDS:
         _check_link_fault(reader, fault, path, experiment)
     elif fault.kind in PROCESS_KINDS and fault.target not in experiment.process_names():
-        reader.faults.append(f"{path}.target: {fault.target!r} is no forwarder")
+        reader.errors.append(
+            f"{path}.target: {fault.target!r} is not a process of the fleet"
+        )
     elif (
         fault.kind in ENDPOINT_KINDS and fault.target not in experiment.endpoint_names()
     ):
-        reader.faults.append(f"{path}.target: {fault.target!r} is no endpoint")
+        reader.errors.append(f"{path}.target: {fault.target!r} is not an endpoint")
     if fault.kind == "pause" and fault.for_s <= 0:
-        reader.faults.append(f"{path}.for_s: a pause needs a time over 0")
+        reader.errors.append(f"{path}.for_s: a pause needs a duration over 0")
 
 
 def _check_link_fault(
     reader: TableReader, fault: Fault, path: str, experiment: Experiment
 ) -> None:
     if fault.zone and fault.zone not in experiment.fleet.zones:
-        reader.faults.append(f"{path}.zone: no zone {fault.zone!r}")
+        reader.errors.append(f"{path}.zone: unknown zone {fault.zone!r}")
     elif not fault.zone and not matching_links(experiment, fault):
-        reader.faults.append(f"{path}.target: {fault.target!r} names no link")
+        reader.errors.append(f"{path}.target: {fault.target!r} matches no link")
     if fault.for_s <= 0:
-        reader.faults.append(f"{path}.for_s: a link fault needs a time over 0")
+        reader.errors.append(f"{path}.for_s: a link fault needs a duration over 0")
 
 
-def parse_nemesis(
+def parse_random_faults(
     reader: TableReader, table: Mapping[str, Any], duration_s: float
-) -> Nemesis:
-    """The table ``[nemesis]`` of a run of this duration."""
-    reader.check_unknown_keys(table, NEMESIS_KEYS, "nemesis")
+) -> RandomFaults:
+    """Parse the table ``[nemesis]``; ``duration_s`` is that of the load."""
+    reader.check_unknown_keys(table, RANDOM_FAULT_KEYS, "nemesis")
     kinds = reader.read(
         table,
         "kinds",
         list,
         "nemesis",
-        list(NEMESIS_KINDS),
+        list(RANDOM_FAULT_KINDS),
         lambda v: len(v) > 0,
-        "must name a kind",
+        "must list at least one kind",
     )
     for index, kind in enumerate(kinds):
-        if kind not in NEMESIS_KINDS:
-            reader.faults.append(
-                f"nemesis.kinds[{index}]: {kind!r} is none of {', '.join(NEMESIS_KINDS)}"
+        if kind not in RANDOM_FAULT_KINDS:
+            reader.errors.append(
+                f"nemesis.kinds[{index}]: {kind!r} must be one of {', '.join(RANDOM_FAULT_KINDS)}"
             )
-    known_kinds = tuple(dict.fromkeys(kind for kind in kinds if kind in NEMESIS_KINDS))
-    return Nemesis(
+    known_kinds = tuple(
+        dict.fromkeys(kind for kind in kinds if kind in RANDOM_FAULT_KINDS)
+    )
+    return RandomFaults(
         rate_per_s=reader.read(
             table,
             "rate_per_s",
@@ -171,7 +175,7 @@
             None,
             lambda v: 0 < v <= HIGHEST_FAULT_RATE_PER_S,
         ),
-        kinds=known_kinds or NEMESIS_KINDS,
+        kinds=known_kinds or RANDOM_FAULT_KINDS,
         longest_s=reader.read(
             table,
             "longest_s",
--- a/rainfall/lab/forwarder_config.py
+++ b/rainfall/lab/forwarder_config.py
@@ -1,6 +1,6 @@
 """Builds the configuration of a forwarder.
 
-Only this module knows the form of a configuration.
+No other module of the lab depends on the format of a configuration.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 
 US_PER_S = 1e6
 OBJECTIVE_US_PER_DEADLINE_S = 4e5
-"""A class's latency objective is two fifths of its deadline."""
+"""The latency objective of a class is 40 % of its deadline."""
 ATTEMPTS = 6
-"""Attempts that a forwarder may make for one message."""
+"""Most attempts of a forwarder for one message."""
 OPEN_CONNECTIONS = 50
-"""Connections that a forwarder may have to one endpoint."""
+"""Most connections of a forwarder to one endpoint."""
 SEEDS_PER_RUN = 100
-"""Seeds of forwarders between those of one run and the next."""
+"""Distance between the forwarder seeds of consecutive runs."""
 
 
 @dataclass(slots=True)
 class ForwarderAddresses:
-    """Where one forwarder listens, and what it dials, as HOST:PORT.
+    """The addresses, as HOST:PORT, that one forwarder listens on and connects to.
 
-    Everything that it dials is one of its own proxies.
+    It connects only to its own proxies.
     """
 
     listen: str
     discovery: str
     endpoint_dials: Mapping[str, str]
-    """By the endpoint's name."""
+    """By endpoint name."""
     fleet: str = ""
-    """The list service's fleet address; empty if the service is a stand-in."""
+    """The list service's heartbeat address; empty if the service is a stand-in."""
     peer_listen: str = ""
     peer_dials: Mapping[str, str] = field(default_factory=dict)
-    """By the forwarder's name; empty if there are no links between forwarders."""
+    """By forwarder name; empty if there are no links between forwarders."""
 
 
 def host_entries(
     experiment: Experiment, dials: Mapping[str, str]
 ) -> list[dict[str, Any]]:
-    """The endpoints as PROTOCOL "Discovery" lists them, by name and dial."""
+    """The endpoint list as defined in PROTOCOL "Discovery"; ``dials`` is by name."""
     return [
         {
             "host": endpoint,
@@ -60,7 +60,7 @@
 
 
 def settings(experiment: Experiment) -> dict[str, Any]:
-    """The forwarders' settings, as PROTOCOL defines them, for the experiment's classes."""
+    """The forwarders' settings, as defined in PROTOCOL, for the experiment's classes."""
     services = [
         {
             "name": load_class.name,
@@ -105,7 +105,7 @@
 def fleet_section(
     experiment: Experiment, name: str, addresses: ForwarderAddresses
 ) -> dict[str, Any] | None:
-    """The ``fleet`` object; None if the experiment has neither peers nor parts."""
+    """The ``fleet`` object of a configuration; None without peers and parts."""
     if not experiment.fleet.peers and not experiment.fleet.parts:
         return None
     section: dict[str, Any] = {"name": name, "site": experiment.zone_of(name)}
@@ -122,7 +122,7 @@
 def configuration(
     experiment: Experiment, seed: int, number: int, addresses: ForwarderAddresses
 ) -> dict[str, Any]:
-    """The configuration of forwarder ``number``."""
+    """The configuration of the forwarder ``f{number}``."""
     name = f"f{number}"
     config: dict[str, Any] = {
         "name": name,
--- a/rainfall/lab/interrupt.py
+++ b/rainfall/lab/interrupt.py
@@ -1,4 +1,4 @@
-"""Ends a run or a sweep on SIGINT and SIGTERM."""
+"""Cancels a run or a sweep on SIGINT and SIGTERM."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 def cancel_on_first_signal() -> None:
     """Cancel the current task at the first SIGINT or SIGTERM, and ignore later ones.
 
-    A second cancel would interrupt the clean-up that the first one started. This works
-    too where a shell has started the program in the background, with SIGINT ignored.
+    A second cancellation would interrupt the clean-up that the first one started. The
+    handlers also work if a shell started the program in the background with SIGINT
+    ignored.
     """
     task = asyncio.current_task()
     assert task is not None
--- a/rainfall/lab/list_service.py
+++ b/rainfall/lab/list_service.py
@@ -1,6 +1,6 @@
-"""The list service as a process of the lab: ``python -m rainfall.registry``.
+"""Runs the list service, ``python -m rainfall.registry``, as a process of the lab.
 
-Its endpoints are registered at its write address, as operators do.
+The lab registers the endpoints at the service's write address, as an operator would.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 CALL_TIMEOUT_S = 5.0
 SHOWN_CHARACTERS = 300
-"""Characters of an answer that an error shows."""
+"""Longest part of a response body in an error message."""
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
-    """An answer's status and body."""
+class HttpResponse:
+    """Status and body of an HTTP response."""
 
     status: int
     body: bytes
 
 
 async def supported_options() -> frozenset[str]:
-    """The options of the program, as its help lists them."""
+    """The command line options of the list service, taken from its ``--help``."""
     help_process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -52,8 +52,8 @@
 class ListServiceProcess(Process):
     """The list service's process.
 
-    It keeps its ports over restarts. ``hosts`` are registered at each start, which
-    changes nothing if its state folder still lists them.
+    The ports stay the same across restarts. ``hosts`` are registered at each start,
+    which has no effect if the state folder still lists them.
     """
 
     listen_port: int = 0
@@ -66,7 +66,7 @@
     role = "registry"
 
     def command(self) -> Command:
-        """See ``Process``."""
+        """The command line; ``--new`` is added for an empty state folder."""
         arguments = ["-m", "rainfall.registry"]
         arguments += ["--state", str(self.state_folder)]
         arguments += ["--listen", f"127.0.0.1:{self.listen_port}"]
@@ -80,14 +80,14 @@
         return Command([*arguments, *self.extra_args], {})
 
     def ready_port(self) -> int:
-        """The write address."""
+        """The port of the write address."""
         return self.write_port
 
     async def start(self) -> None:
-        """Start the process, and register the endpoints.
+        """Start the process and register the endpoints.
 
         Raises:
-            StartError: It did not come up, or did not accept the endpoints.
+            StartError: The process did not start, or rejected the endpoints.
         """
         await super().start()
         operations = [
@@ -98,7 +98,7 @@
             for host in self.hosts
         ]
         try:
-            answer = await post(self.write_port, "/v1/hosts", {"ops": operations})
+            response = await post(self.write_port, "/v1/hosts", {"ops": operations})
         except (
             OSError,
             TimeoutError,
@@ -106,23 +106,23 @@
             ValueError,
         ) as error:
             raise StartError(
-                f"{self.name} did not take the endpoints: {type(error).__name__}"
+                f"{self.name}: cannot register the endpoints: {type(error).__name__}"
             ) from None
-        if answer.status != HTTPStatus.OK:
-            shown = answer.body[:SHOWN_CHARACTERS]
+        if response.status != HTTPStatus.OK:
+            body_start = response.body[:SHOWN_CHARACTERS]
             raise StartError(
-                f"{self.name} refused the endpoints: {answer.status} {shown!r}"
+                f"{self.name} rejected the endpoints: status {response.status}, body {body_start!r}"
             )
 
 
-async def post(port: int, path: str, body: dict[str, Any]) -> HttpAnswer:
-    """The answer to one call at a loopback port.
+async def post(port: int, path: str, body: dict[str, Any]) -> HttpResponse:
+    """POST a JSON body to a loopback port and return the response.
 
     Raises:
         OSError: The connection failed.
-        TimeoutError: No answer came within ``CALL_TIMEOUT_S``.
-        asyncio.IncompleteReadError: The connection ended within the answer.
-        ValueError: The connection ended, or the answer cannot be read.
+        TimeoutError: No response came within ``CALL_TIMEOUT_S``.
+        asyncio.IncompleteReadError: The connection closed within the response.
+        ValueError: The connection closed without a response, or it is invalid.
     """
     data = json.dumps(body).encode()
     head = f"POST {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n"
@@ -130,9 +130,9 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
             writer.write(head.encode() + data)
-            response = await read_http_message(reader)
-            if response is None:
-                raise ValueError("no answer")
-            return HttpAnswer(int(response.target), response.body)
+            message = await read_http_message(reader)
+            if message is None:
+                raise ValueError("connection closed without a response")
+            return HttpResponse(int(message.target), message.body)
         finally:
             writer.close()
--- a/rainfall/lab/load_generator.py
+++ b/rainfall/lab/load_generator.py
@@ -1,7 +1,7 @@
-"""The load of a lab run: clients that send messages to forwarders, as PROTOCOL says.
+"""The load generator: clients that send messages to forwarders as PROTOCOL defines.
 
-Each message is sent at its planned time, whatever the fleet does. Without an answer it is
-sent to the next forwarder.
+Each message is sent at its planned time, regardless of the state of the fleet. If no
+response comes, it is sent to the next forwarder.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 
 ATTEMPTS_PER_MESSAGE = 2
 BUSY_WAIT_S = 0.01
-"""How long before a send time the load yields instead of sleeping.
+"""For this long before a send time the clock is polled instead of sleeping.
 
-The event loop's timers wake some milliseconds late when others are about.
+Timers of the event loop fire some milliseconds late on a busy machine.
 """
 HEAD_LIMIT_BYTES = 16384
 LOAD_DONE = "done"
-"""What the load process reports at its end."""
+"""The load process sends this over its pipe when it has finished."""
 
 
 class ClientConnection(NamedTuple):
-    """A connection to a forwarder."""
+    """A client's connection to a forwarder."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
 
 class AttemptOutcome(NamedTuple):
-    """An attempt's HTTP status, or 0 and what failed."""
+    """The HTTP status of an attempt, or 0 with the error."""
 
     status: int
     error: str
@@ -49,7 +49,7 @@
 
 @dataclass
 class ConnectionPool:
-    """Idle client connections by forwarder; more are opened when all are in use."""
+    """Idle client connections by forwarder; acquiring opens one if none is idle."""
 
     ports: list[int]
     idle: list[list[ClientConnection]] = field(default_factory=list)
@@ -58,11 +58,11 @@
         self.idle = [[] for _ in self.ports]
 
     async def acquire(self, forwarder: int, limit_s: float) -> ClientConnection:
-        """An idle connection, or a new one.
+        """Return an idle connection, or open a new one.
 
         Raises:
-            OSError: It could not be opened.
-            TimeoutError: It was not open within ``limit_s``.
+            OSError: The connection failed.
+            TimeoutError: The connection was not open within ``limit_s``.
         """
         while self.idle[forwarder]:
             connection = self.idle[forwarder].pop()
@@ -76,7 +76,7 @@
             )
 
     def release(self, forwarder: int, connection: ClientConnection) -> None:
-        """Keep a connection whose answer is complete."""
+        """Return a connection to the pool after a complete response."""
         self.idle[forwarder].append(connection)
 
     def close(self) -> None:
@@ -93,7 +93,7 @@
     body: bytes,
     is_repeat: bool,
 ) -> bytes:
-    """The request of one attempt, whose id is ``message_id``."""
+    """The HTTP request of the attempt ``message_id``."""
     lines = [
         f"POST /{message.class_name} HTTP/1.1",
         "Host: origin.svc",
@@ -112,23 +112,23 @@
 
 
 async def read_status(reader: asyncio.StreamReader) -> int:
-    """The status of the next answer.
+    """Read a response and return its status.
 
     Raises:
-        asyncio.IncompleteReadError: The connection ends first.
-        ValueError: The answer cannot be read.
+        asyncio.IncompleteReadError: The connection closed first.
+        ValueError: The response is invalid.
     """
-    answer = await read_http_message(reader)
-    if answer is None:
+    response = await read_http_message(reader)
+    if response is None:
         raise asyncio.IncompleteReadError(b"", None)
-    return int(answer.target)
+    return int(response.target)
 
 
 @dataclass
 class LoadDriver:
-    """Sends the planned messages, and records each attempt.
+    """Sends the planned messages and records each attempt.
 
-    ``clock`` is in ns from the start of the load.
+    ``clock`` returns the ns since the start of the load.
     """
 
     experiment: Experiment
@@ -142,7 +142,7 @@
         self.body = b"x" * self.experiment.load.body_bytes
 
     async def run(self, planned: list[PlannedMessage]) -> None:
-        """Send every message at its time; returns when all are answered or given up."""
+        """Send every message at its time; return when all are answered or abandoned."""
         tasks: set[asyncio.Task[None]] = set()
         last_of_session: dict[str, asyncio.Task[None]] = {}
         for message in planned:
@@ -159,7 +159,7 @@
             await asyncio.gather(*tasks)
 
     async def _wait_until(self, due_ns: int) -> None:
-        """Wait for a send time: sleep, and yield for the last ``BUSY_WAIT_S``."""
+        """Wait for a send time: sleep, then poll the clock for the last ``BUSY_WAIT_S``."""
         wait_s = (due_ns - self.clock()) / NS_PER_S
         if wait_s > BUSY_WAIT_S:
             await asyncio.sleep(wait_s - BUSY_WAIT_S)
@@ -167,20 +167,23 @@
             await asyncio.sleep(0)
 
     async def send_in_order(
-        self, message: PlannedMessage, before: asyncio.Task[None] | None
+        self, message: PlannedMessage, previous: asyncio.Task[None] | None
     ) -> None:
-        """Send a message of a session once the one before is answered (PROTOCOL).
+        """Send a message once its predecessor in the session is answered (PROTOCOL).
 
-        If it had to wait for that, its deadline counts from the end of the wait.
+        If it has to wait, its deadline counts from the end of the wait.
         """
-        if before is None or before.done():
+        if previous is None or previous.done():
             await self.send(message, message.due_ns)
         else:
-            await asyncio.wait([before])
+            await asyncio.wait([previous])
             await self.send(message, self.clock())
 
     async def send(self, message: PlannedMessage, ready_ns: int) -> None:
-        """Send a message, up to ``ATTEMPTS_PER_MESSAGE`` times until it is answered."""
+        """Send a message until it is answered, at most ``ATTEMPTS_PER_MESSAGE`` times.
+
+        No further attempt follows one that began with at most the answer timeout left.
+        """
         timeout_s = self.experiment.load.answer_timeout_s
         forwarders = self.experiment.load.forwarders or self.experiment.fleet.forwarders
         deadline_ns = ready_ns + self.deadlines_ns[message.class_name]
@@ -242,17 +245,17 @@
 def run_load_process(
     experiment: Experiment, seed: int, ports: list[int], pipe: Any, path: str
 ) -> None:
-    """Run the load; the main function of the load process.
+    """Main function of the load process.
 
-    It plans the messages, sends their number on ``pipe``, receives the start time (in ns
+    Plans the messages, sends their number over ``pipe``, receives the start time (in ns
     of ``time.monotonic_ns``), sends the messages, writes the records to ``path`` as JSON
-    lines, and sends ``LOAD_DONE``. An error is sent as its text.
+    lines, and sends ``LOAD_DONE``. If an error occurs, its text is sent instead.
     """
     try:
         planned = load_plan.plan_messages(experiment, seed)
         pipe.send(len(planned))
         start_ns = int(pipe.recv())
-        # No garbage collection during the load; the process ends after it.
+        # Garbage collection would delay sends, and the process ends after the load anyway.
         gc.freeze()
         gc.disable()
         records: list[dict[str, Any]] = []
@@ -277,5 +280,5 @@
             )
         )
         pipe.send(LOAD_DONE)
-    except Exception as error:  # Whatever it is, the lab ends the run with it.
+    except Exception as error:  # The runner fails the run with this text.
         pipe.send(f"{type(error).__name__}: {error}")
--- a/rainfall/lab/load_plan.py
+++ b/rainfall/lab/load_plan.py
@@ -1,9 +1,10 @@
 """Plans the load of an experiment before it starts.
 
-The load is open loop, so that a slow forwarder cannot slow it. Send times are a Poisson
-process at the experiment's rate; each message's class, destination and first forwarder
-are drawn too. The same seed gives the same messages at the same times. The messages of a
-session go to one destination, each once the one before is answered (``load_generator``).
+The load is open loop: a slow forwarder does not slow it down. Send times are a Poisson
+process at the experiment's rate; the class, destination and first forwarder of each
+message are random. The same seed gives the same messages at the same times. All messages
+of a session go to one destination, and each is sent only after its predecessor was
+answered (``load_generator``).
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from rainfall.lab.experiment_model import NS_PER_S, Experiment
 
 MAX_MESSAGES = 2_000_000
-"""Messages of one run."""
+"""Most messages of one run."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,24 +23,24 @@
     """One message of the load."""
 
     due_ns: int
-    """When the message is to be sent, in ns from the start of the load."""
+    """Planned send time, in ns from the start of the load."""
     key: str
-    """Its idempotency key, the same in every attempt."""
+    """The idempotency key, the same in every attempt."""
     class_name: str
     destination: int
     forwarder: int
     """The index of the forwarder that receives the first attempt."""
     session: str = ""
-    """The session's key; empty in a class without order."""
+    """The session key; empty unless the class is ordered."""
     number: int = 0
-    """Its place in the session, from 0."""
+    """The message's position in the session, from 0."""
 
 
 def plan_messages(experiment: Experiment, seed: int) -> list[PlannedMessage]:
-    """Every message of the run, in the order of send times.
+    """Plan all messages of a run, ordered by send time.
 
     Raises:
-        ValueError: There would be more than ``MAX_MESSAGES``.
+        ValueError: The plan exceeds ``MAX_MESSAGES``.
     """
     rng = random.Random(seed)
     load = experiment.load
@@ -57,10 +58,11 @@
             return planned
         if len(planned) >= MAX_MESSAGES:
             raise ValueError(
-                f"more than {MAX_MESSAGES} messages: lower the rate or the duration"
+                f"over {MAX_MESSAGES} messages: lower the rate or the duration"
             )
         load_class = rng.choices(classes, weights)[0]
-        # Drawn for every message, so that classes with order shift no later draw.
+        # Drawn for ordered classes too, although the values are replaced below, so that an
+        # ordered class omits no draw; the index of its session is one additional draw.
         destination = rng.choice(destinations)
         forwarder = rng.randrange(forwarder_count)
         session = ""
--- a/rainfall/lab/log_records.py
+++ b/rainfall/lab/log_records.py
@@ -1,15 +1,16 @@
-"""Reads records from the processes' JSON logs, after a run.
+"""Converts lines of the processes' JSON logs to records after a run.
 
-A line whose ``event`` is one of the following becomes a record: ``t_ns``
-(CLOCK_MONOTONIC, the same for all processes) becomes ``at_ns`` from the start of the
-load, the process's name ``member``. The other fields:
+A line with one of the events below becomes a record. Its ``t_ns`` (CLOCK_MONOTONIC, the
+same for all processes) becomes ``at_ns``, counted from the start of the load, and the
+name of the process becomes ``member``. The other fields:
 
-- ``sent``: ``message_id`` becomes ``id``, ``target`` (an endpoint) its ``destination``;
+- ``sent``: ``message_id`` becomes ``id``; ``target``, an endpoint, is replaced by its
+  ``destination``;
 - ``acted``: ``lease``, ``token`` ([epoch, number]); ``granted``: ``lease``, ``holder``,
   ``token``;
-- ``owns``: ``from``, ``to``, ``generation``, ``begin_ns`` and ``end_ns`` (the machine's
-  clock; null or absent while the ownership lasts: of several lines with one beginning
-  the last counts, and the end of a process ends what it owned);
+- ``owns``: ``from``, ``to``, ``generation``, ``begin_ns`` and ``end_ns`` (also
+  CLOCK_MONOTONIC; ``end_ns`` is null or absent while the ownership lasts, and a later
+  line with the same ``begin_ns`` may give it; a process owns nothing after its end);
 - ``session``: ``key``, ``step``.
 """
 
@@ -24,16 +25,16 @@
 
 
 class MergedLogs(NamedTuple):
-    """The records of all logs."""
+    """The records of all logs, and the number of invalid lines."""
 
     records: list[dict[str, Any]]
-    """In order of time."""
+    """Ordered by ``at_ns``."""
     unread: int
-    """Lines that should have been records and could not be read."""
+    """Number of lines that mention an event of ``EVENT_KINDS`` but are invalid."""
 
 
 class ProcessLog(NamedTuple):
-    """The text of one log."""
+    """The text of one log file, with the name of its process."""
 
     process: str
     text: str
@@ -65,9 +66,10 @@
     start_ns: int,
     destination: Callable[[str], int],
 ) -> dict[str, Any]:
-    """The record of a log line whose event is one of ``EVENT_KINDS``.
+    """Convert a log line whose event is one of ``EVENT_KINDS`` to a record.
 
-    Raises KeyError, TypeError or ValueError if a field is missing or wrong.
+    ``destination`` maps an endpoint to its destination. Raises KeyError, TypeError or
+    ValueError if a field is missing or invalid.
     """
     kind = line["event"]
     fields: dict[str, Any] = {"kind": kind, "member": str(line.get("process", member))}
@@ -88,16 +90,16 @@
 def merge_logs(
     logs: Iterable[tuple[str, str]], start_ns: int, destination: Callable[[str], int]
 ) -> MergedLogs:
-    """The records of logs, given as pairs of a process's name and its text.
+    """Convert logs, given as pairs of process name and text, to records.
 
-    A process that was killed in the middle of a line leaves one that cannot be read;
-    more than that is a fault of the process.
+    A process that is killed while it writes leaves one incomplete line; more invalid
+    lines are a bug of the process.
     """
     records: list[dict[str, Any]] = []
     unread = 0
     for process, text in logs:
         for raw in text.splitlines():
-            # Most lines are of other kinds, and need not be decoded.
+            # Most lines have other events: skip them without decoding.
             if not any(f'"{kind}"' in raw for kind in EVENT_KINDS):
                 continue
             try:
@@ -111,7 +113,7 @@
 
 
 def read_logs(folder: Path, starts: Mapping[str, int]) -> Iterator[ProcessLog]:
-    """The logs of a run, one at a time; ``starts`` counts each process's starts."""
+    """Yield the logs of a run; ``starts`` has the number of starts by process."""
     for process, count in sorted(starts.items()):
         for start in range(1, count + 1):
             path = folder / "members" / process / f"log-{start}.txt"
--- a/rainfall/lab/nemesis.py
+++ b/rainfall/lab/nemesis.py
@@ -1,16 +1,17 @@
-"""A nemesis: faults drawn from a run's seed.
+"""Generates random faults from the seed of a run (the table ``[nemesis]``).
 
-Its rules:
+Rules:
 
 - the same seed gives the same faults;
-- no two faults affect one process or one link at a time, since the end of one would
-  heal the other;
-- unless ``all_at_once``, at each moment some forwarder is neither stopped nor cut off,
-  the faults of the file counted too;
-- every fault, with the start of a process after it, is over ``quiet_s`` before the load
+- no two faults affect the same process or link at the same time, because the end of
+  one would heal the other;
+- unless ``all_at_once`` is set, at least one forwarder is neither stopped nor cut off
+  at any time; faults listed in the file count too;
+- every fault, including the restart of its process, is over ``quiet_s`` before the load
   ends.
 
-A fault that breaks a rule is dropped and not drawn again, so that the rate is a limit.
+A fault that breaks a rule is discarded and not replaced, so the configured rate is an
+upper limit.
 """
 
 from __future__ import annotations
@@ -26,25 +27,25 @@
     PROCESS_KINDS,
     Experiment,
     Fault,
-    Nemesis,
+    RandomFaults,
     link_names,
     matching_links,
 )
 
 SHORTEST_FAULT_S = 0.1
 RESTART_ALLOWANCE_S = 3.0
-"""How long a started process may take to be ready."""
+"""Time allowed for a started process to become ready."""
 TERMINATION_ALLOWANCE_S = 5.0
-"""How long a process may take to end by SIGTERM."""
+"""Time allowed for a process to end after SIGTERM."""
 DELAY_RANGE_MS = (5, 200)
 JITTER_RANGE_MS = (0, 100)
 LINK_SCOPES = ("one", "one", "out", "in")
-"""One link (twice as likely), all links out of one member, or all to one peer."""
+"""One link (twice as likely), all links from one member, or all links to one."""
 
 
 @dataclass(frozen=True, slots=True)
 class FaultWindow:
-    """What one fault affects, and from when until when."""
+    """The duration of a fault, and the resources that it affects."""
 
     begin_s: float
     end_s: float
@@ -55,7 +56,7 @@
 
 
 def fault_window(experiment: Experiment, fault: Fault) -> FaultWindow:
-    """The window of a fault, with the start of a process after it."""
+    """The window of a fault, including the restart of its process."""
     forwarders = experiment.forwarder_names()
     if fault.kind in PROCESS_KINDS:
         target = frozenset({fault.target})
@@ -85,9 +86,9 @@
 
 
 def _is_cut_off(experiment: Experiment, forwarder: str, links: frozenset[str]) -> bool:
-    """Whether a forwarder has lost its clients or all endpoints with these links.
+    """Whether these links include a forwarder's client link or all its endpoint links.
 
-    It is not cut off without the list service.
+    A forwarder without the list service is not cut off.
     """
     return f"{CLIENT}>{forwarder}" in links or all(
         f"{forwarder}>{endpoint}" in links for endpoint in experiment.endpoint_names()
@@ -96,12 +97,15 @@
 
 def is_allowed(
     experiment: Experiment,
-    nemesis: Nemesis,
+    settings: RandomFaults,
     windows: list[FaultWindow],
     new: FaultWindow,
 ) -> bool:
-    """Whether the rules allow a fault beside those of ``windows``. O(windows)."""
-    if new.end_s > experiment.duration_s - nemesis.quiet_s:
+    """Whether the rules allow the fault ``new`` in addition to ``windows``.
+
+    Linear in the windows, and quadratic in those that overlap the new one.
+    """
+    if new.end_s > experiment.duration_s - settings.quiet_s:
         return False
     overlapping = [
         window
@@ -110,7 +114,7 @@
     ]
     if any(window.resources & new.resources for window in overlapping):
         return False
-    if nemesis.all_at_once or not new.unavailable:
+    if settings.all_at_once or not new.unavailable:
         return True
     return _leaves_a_forwarder(experiment, overlapping, new)
 
@@ -118,14 +122,15 @@
 def _leaves_a_forwarder(
     experiment: Experiment, overlapping: list[FaultWindow], new: FaultWindow
 ) -> bool:
-    """Whether some forwarder is available at each moment of the new window.
+    """Whether some forwarder is available throughout the new window.
 
-    Most forwarders are unavailable when some window begins, so only these moments count.
+    The number of unavailable forwarders only grows when a window begins, so checking
+    these times is enough.
     """
-    later_begins = [
+    later_begins_s = [
         window.begin_s for window in overlapping if window.begin_s > new.begin_s
     ]
-    for at_s in [new.begin_s, *later_begins]:
+    for at_s in [new.begin_s, *later_begins_s]:
         unavailable = set(new.unavailable)
         for window in overlapping:
             if window.begin_s <= at_s < window.end_s:
@@ -136,29 +141,29 @@
 
 
 def fault_timeline(experiment: Experiment, seed: int) -> tuple[Fault, ...]:
-    """The faults of a run in order of time: the file's, and those of its nemesis."""
-    nemesis = experiment.nemesis
-    if nemesis is None:
+    """The faults of a run, ordered by time: those of the file and the random ones."""
+    settings = experiment.random_faults
+    if settings is None:
         return experiment.faults
     rng = random.Random(f"nemesis/{seed}")
     faults = list(experiment.faults)
     windows = [fault_window(experiment, fault) for fault in faults]
-    at_s = rng.expovariate(nemesis.rate_per_s)
-    while at_s < experiment.duration_s - nemesis.quiet_s:
-        fault = _draw_fault(experiment, nemesis, rng, round(at_s, 3))
+    at_s = rng.expovariate(settings.rate_per_s)
+    while at_s < experiment.duration_s - settings.quiet_s:
+        fault = _draw_fault(experiment, settings, rng, round(at_s, 3))
         window = fault_window(experiment, fault)
-        if is_allowed(experiment, nemesis, windows, window):
+        if is_allowed(experiment, settings, windows, window):
             faults.append(fault)
             windows.append(window)
-        at_s += rng.expovariate(nemesis.rate_per_s)
+        at_s += rng.expovariate(settings.rate_per_s)
     return tuple(sorted(faults, key=lambda fault: fault.at_s))
 
 
 def _draw_fault(
-    experiment: Experiment, nemesis: Nemesis, rng: random.Random, at_s: float
+    experiment: Experiment, settings: RandomFaults, rng: random.Random, at_s: float
 ) -> Fault:
-    kind = rng.choice(nemesis.kinds)
-    length_s = round(rng.uniform(SHORTEST_FAULT_S, nemesis.longest_s), 3)
+    kind = rng.choice(settings.kinds)
+    length_s = round(rng.uniform(SHORTEST_FAULT_S, settings.longest_s), 3)
     if kind in LINK_KINDS:
         target = _draw_links(experiment, rng)
         delay_ms = 0.0
@@ -177,18 +182,18 @@
     target = rng.choice(experiment.process_names())
     if kind == "pause":
         return Fault(at_s=at_s, kind=kind, target=target, for_s=length_s)
-    lose = nemesis.service_lose if target == LIST_SERVICE else nemesis.lose
+    lose = settings.service_lose if target == LIST_SERVICE else settings.lose
     restart = "lose" if rng.random() < lose else "keep"
     return Fault(at_s=at_s, kind=kind, target=target, restart=restart, after_s=length_s)
 
 
 def _draw_links(experiment: Experiment, rng: random.Random) -> str:
-    """The glob of one link, of all links out of one member, or of all to one peer."""
+    """Draw a glob for one link, all links from one member, or all links to one."""
     name = rng.choice(link_names(experiment))
-    near, _, far = name.partition(">")
+    source, _, target = name.partition(">")
     scope = rng.choice(LINK_SCOPES)
-    if scope == "out" and near != CLIENT:
-        return f"{near}>*"
+    if scope == "out" and source != CLIENT:
+        return f"{source}>*"
     if scope == "in":
-        return f"*>{far}"
+        return f"*>{target}"
     return name
--- a/rainfall/lab/pids.py
+++ b/rainfall/lab/pids.py
@@ -1,7 +1,7 @@
-"""The ids of all processes that a run started, stored in the run's folder.
+"""Stores the ids of all processes that a run started in the folder of the run.
 
-If a run could not end its processes, others can end exactly these, and none to which the
-kernel has given the same id since.
+If a run fails to stop its processes, they can be killed later by these ids. The start
+time is stored too, so that a process that reuses an id is never killed.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 PID_FILE = "pids.jsonl"
 EXIT_TIMEOUT_S = 5.0
-"""How long processes may take to end after SIGKILL."""
+"""How long to wait for processes to end after SIGKILL."""
 POLL_INTERVAL_S = 0.01
 ENDED_STATES = ("Z", "X")
-"""States of /proc/PID/stat: a zombie, and a dead process."""
+"""States in /proc/PID/stat of a zombie and a dead process."""
 STATE_FIELD = 0
 START_TIME_FIELD = 19
-"""Fields of /proc/PID/stat, counted after the process's name."""
+"""Indexes of fields of /proc/PID/stat, counted after the name of the process."""
 
 
 def start_ticks(pid: int) -> int:
-    """When a process was started, in the kernel's ticks since boot; 0 if it has ended."""
+    """Start time of a process in clock ticks since boot; 0 if it has ended."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -36,15 +36,15 @@
     return int(fields[START_TIME_FIELD])
 
 
-def note(folder: Path, name: str, pid: int) -> None:
-    """Store the id of a process of the run in this folder."""
+def append(folder: Path, name: str, pid: int) -> None:
+    """Append the id and start time of a process to ``PID_FILE`` in a run's folder."""
     entry = {"name": name, "pid": pid, "born": start_ticks(pid)}
     with (folder / PID_FILE).open("a") as file:
         file.write(json.dumps(entry) + "\n")
 
 
 def still_running(folder: Path) -> list[int]:
-    """The ids of a run's processes that have not ended."""
+    """The ids of a run's processes that are still running; invalid lines are skipped."""
     try:
         lines = (folder / PID_FILE).read_text().splitlines()
     except OSError:
@@ -58,10 +58,10 @@
     return running
 
 
-async def end(folder: Path) -> list[int]:
-    """End a run's processes by SIGKILL, and wait for at most ``EXIT_TIMEOUT_S``.
+async def kill_all(folder: Path) -> list[int]:
+    """Kill a run's processes by SIGKILL and wait at most ``EXIT_TIMEOUT_S``.
 
-    Returns the ids of those that had not ended before.
+    Returns the ids of the processes that were still running.
     """
     running = still_running(folder)
     for pid in running:
--- a/rainfall/lab/processes.py
+++ b/rainfall/lab/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a lab run, each started, signalled and ended by its id."""
+"""Starts, signals and stops the processes of a lab run, each by its id."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 READY_CALL_TIMEOUT_S = 1.0
 READY_POLL_S = 0.05
 TERM_TIMEOUT_S = 5.0
-"""The time between SIGTERM and SIGKILL."""
+"""Time between SIGTERM and SIGKILL."""
 SHOWN_CHARACTERS = 300
-"""Characters of a log line that an error shows."""
+"""Longest part of a log line in an error message."""
 ROOT = Path(__file__).resolve().parents[2]
 
 
 class StartError(RainfallError):
-    """A process did not come up; the text names it and its log."""
+    """A process did not start; the message names the process and its log."""
 
 
 class Command(NamedTuple):
-    """How a process is started."""
+    """Command line and environment of a process."""
 
     arguments: list[str]
-    """What follows the interpreter."""
+    """Arguments of the Python interpreter."""
     environment: dict[str, str]
-    """Variables set beside those of the lab."""
+    """Variables added to the environment of the lab."""
 
 
 def ignore_event(_name: str, _event: str, _pid: int) -> None:
-    """Do nothing at a process's events."""
+    """Discard an event; the default of ``on_event``."""
 
 
 def reserve_port(reserved_sockets: list[socket.socket]) -> int:
-    """A port on 127.0.0.1 for a process to listen at.
+    """Reserve a port on 127.0.0.1 for a process.
 
-    Its socket is added to ``reserved_sockets`` and stays bound until the lab's own
-    servers are up, so that the kernel gives none of them the same port.
+    The bound socket is added to ``reserved_sockets``. It stays open until the lab's own
+    servers listen, so that the kernel does not assign them the same port.
     """
     reserved = socket.socket()
     reserved.bind(("127.0.0.1", 0))
@@ -61,16 +61,16 @@
     process: asyncio.subprocess.Process | None = None,
     deadline_s: float = READY_TIMEOUT_S,
 ) -> None:
-    """Wait until a process's address answers /_ready with 200.
+    """Poll ``/_ready`` on a port until it answers 200.
 
     Raises:
-        TimeoutError: It did not within ``deadline_s``.
+        TimeoutError: It did not answer 200 within ``deadline_s``.
         StartError: The process has ended.
     """
     async with asyncio.timeout(deadline_s):
         while True:
             if process is not None and process.returncode is not None:
-                raise StartError(f"ended with {process.returncode}")
+                raise StartError(f"exited with code {process.returncode}")
             with contextlib.suppress(
                 OSError, asyncio.IncompleteReadError, TimeoutError
             ):
@@ -79,40 +79,41 @@
                     writer.write(
                         b"GET /_ready HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n"
                     )
-                    first = await reader.readline()
+                    status_line = await reader.readline()
                     writer.close()
-                if first.split(b" ")[1:2] == [b"200"]:
+                if status_line.split(b" ")[1:2] == [b"200"]:
                     return
             await asyncio.sleep(READY_POLL_S)
 
 
 @dataclass
 class Process:
-    """A process of the lab; its folder has ``state/`` and the log of each start."""
+    """A process of the lab; ``folder`` holds ``state/`` and one log for each start."""
 
     name: str
     folder: Path
     on_event: Callable[[str, str, int], None] = ignore_event
-    """Called with the name, the event and the process's id.
+    """Called with the name, the event and the process id.
 
-    Events are ``started``, ``ended`` (by SIGKILL or SIGTERM) and ``wiped`` (its state).
+    Events are ``started``, ``ended`` (by SIGKILL or SIGTERM) and ``wiped`` (the state
+    folder was deleted).
     """
     process: asyncio.subprocess.Process | None = None
     starts: int = 0
     pids: list[int] = field(default_factory=list)
     log: IO[bytes] | None = None
     fault_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
-    """Held during a fault, so that no second one comes in the middle of a start."""
+    """Held during a fault, so that no other fault interferes with the restart."""
 
     role = "process"
 
     @property
     def state_folder(self) -> Path:
-        """Where the process stores its state."""
+        """The folder in which the process stores its state."""
         return self.folder / "state"
 
     def command(self) -> Command:
-        """How the process is started."""
+        """The command line and environment for a start."""
         raise NotImplementedError
 
     def ready_port(self) -> int:
@@ -120,10 +121,10 @@
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Start the process, and wait until it is ready.
+        """Start the process and wait until it is ready.
 
         Raises:
-            StartError: It ended, or was not ready within ``READY_TIMEOUT_S``.
+            StartError: It exited, or was not ready within ``READY_TIMEOUT_S``.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         command = self.command()
@@ -148,23 +149,23 @@
             await wait_until_ready(self.ready_port(), self.process)
         except (TimeoutError, StartError):
             raise StartError(
-                f"{self.name} did not come up: {_last_line(log_path)} ({log_path})"
+                f"{self.name} did not start: {_last_line(log_path)} ({log_path})"
             ) from None
 
     def alive(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, signal_number: int) -> None:
-        """Send a signal, if the process runs."""
+        """Send a signal if the process is running."""
         if self.alive():
             assert self.process is not None
             self.process.send_signal(signal_number)
 
     async def kill(self) -> None:
-        """End the process by SIGKILL, and wait for its end.
+        """Kill the process by SIGKILL and wait for its exit.
 
-        SIGCONT comes first, so that a paused process ends too.
+        SIGCONT is sent first, so that a paused process ends too.
         """
         if self.process is None:
             return
@@ -176,7 +177,7 @@
             self.on_event(self.name, "ended", self.process.pid)
 
     async def terminate(self) -> None:
-        """SIGTERM, then SIGKILL if it has not ended within ``TERM_TIMEOUT_S``."""
+        """Send SIGTERM, and SIGKILL if the process runs after ``TERM_TIMEOUT_S``."""
         if self.process is None:
             return
         was_alive = self.alive()
@@ -191,7 +192,7 @@
             self.on_event(self.name, "ended", self.process.pid)
 
     async def restart(self, keep_state: bool) -> None:
-        """Start again after an end, with the state folder or without it."""
+        """Kill the process if it is running, delete its state unless kept, and start it."""
         await self.kill()
         if not keep_state:
             shutil.rmtree(self.state_folder, ignore_errors=True)
@@ -199,7 +200,7 @@
         await self.start()
 
     async def end(self) -> None:
-        """End the process for good."""
+        """Kill the process and close its log."""
         await self.kill()
         if self.log is not None:
             self.log.close()
@@ -208,7 +209,7 @@
 
 @dataclass
 class Forwarder(Process):
-    """A forwarder's process; its folder has ``config.json`` too."""
+    """A forwarder; its folder also holds ``config.json``."""
 
     config: dict[str, Any] = field(default_factory=dict)
     admin_port: int = 0
@@ -216,7 +217,7 @@
     role = "forwarder"
 
     def command(self) -> Command:
-        """See ``Process``."""
+        """Write ``config.json``; the command reads it through ``LB_CONFIG``."""
         self.state_folder.mkdir(parents=True, exist_ok=True)
         config_path = self.folder / "config.json"
         config_path.write_text(json.dumps(self.config))
@@ -228,12 +229,12 @@
         return Command(["-m", "rainfall"], environment)
 
     def ready_port(self) -> int:
-        """The operators' address."""
+        """The port of the admin address."""
         return self.admin_port
 
 
 async def end_all(processes: Sequence[Process]) -> None:
-    """End every process that the lab started, each by its own id; never raises."""
+    """Kill every process, each by its own id, ignoring OSError."""
     for process in processes:
         with contextlib.suppress(ProcessLookupError, OSError):
             await process.end()
@@ -241,4 +242,4 @@
 
 def _last_line(log_path: Path) -> str:
     lines = log_path.read_text(errors="replace").strip().splitlines()
-    return lines[-1][:SHOWN_CHARACTERS] if lines else "it wrote no line"
+    return lines[-1][:SHOWN_CHARACTERS] if lines else "empty log"
--- a/rainfall/lab/report.py
+++ b/rainfall/lab/report.py
@@ -1,7 +1,7 @@
-"""The report of a lab run: a picture (PNG) and a page of figures (Markdown).
+"""The report of a lab run: a chart (PNG) and a page of figures (Markdown).
 
-The picture shows outcomes and latency over time, in buckets of 100 ms, with the faults.
-Both are made from the records alone, so that ``report DIR`` can make them again.
+The chart shows outcomes and latency over time, in buckets of 100 ms, with the faults.
+Both are made from the files in the folder alone, so ``report DIR`` can write them again.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 BUCKETS_PER_S = 10
 NS_PER_S = 1e9
 NS_PER_MS = 1e6
-SERIES = ("taken on", "refused", "no answer", "delivered")
+SERIES = ("accepted", "refused", "no answer", "delivered")
 LATENCY_LINES = ((50, "-"), (99, "--"))
-"""Percentiles that are drawn, with their line styles."""
+"""Percentiles in the chart, with their line styles."""
 SHORTEST_DRAWN_FAULT_NS = 50_000_000
-"""A shorter fault is drawn as long as this, so that it can be seen."""
+"""A shorter fault is drawn this long, so that it is visible."""
 FIGURE_SIZE_INCHES = (11, 6.5)
 FIGURE_DPI = 90
 
 
 class LoadedRun(NamedTuple):
-    """The files of a run's folder."""
+    """The records and the verdict of a run."""
 
     records: list[dict[str, Any]]
     result: dict[str, Any]
@@ -40,10 +40,10 @@
 def outcomes_by_bucket(
     records: Iterable[Mapping[str, Any]],
 ) -> dict[str, dict[int, int]]:
-    """Counts by series and bucket.
+    """Counts by series, then by bucket.
 
-    Attempts are counted by their answer, at the time they were sent; deliveries at
-    their own time.
+    Attempts are counted by their response at their send time, deliveries at the time of
+    the call.
     """
     counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in SERIES}
     for record in records:
@@ -57,12 +57,12 @@
 
 def _attempt_series(status: int) -> str:
     if status in ACCEPTED_STATUSES:
-        return "taken on"
+        return "accepted"
     return "refused" if status else "no answer"
 
 
 def latencies_by_bucket(records: Iterable[Mapping[str, Any]]) -> dict[int, list[float]]:
-    """Milliseconds from the first attempt to the first delivery, by the attempt's bucket."""
+    """Latencies in ms from first attempt to first delivery, by the bucket of the attempt."""
     first_sent_ns: dict[str, int] = {}
     delivered_ns: dict[str, int] = {}
     key_of_id: dict[str, str] = {}
@@ -83,10 +83,10 @@
 
 
 def load_run(folder: Path) -> LoadedRun:
-    """The records and the verdict of a run.
+    """Load the records and the verdict of a run.
 
     Raises:
-        FileNotFoundError: The folder holds no run.
+        FileNotFoundError: A file is missing in the folder.
     """
     records = [
         json.loads(line)
@@ -96,11 +96,11 @@
     return LoadedRun(records, json.loads((folder / "verdict.json").read_text()))
 
 
-def draw(folder: Path) -> Path:
-    """Write ``report.png`` and ``report.md`` into a run's folder; the picture's path.
+def write_report(folder: Path) -> Path:
+    """Write ``report.png`` and ``report.md`` to a run's folder; return the PNG's path.
 
     Raises:
-        FileNotFoundError: The folder holds no run.
+        FileNotFoundError: A file is missing in the folder.
     """
     import matplotlib
 
@@ -124,11 +124,11 @@
     latency_axis.set_xlabel("seconds from the start of the load")
     latency_axis.legend(loc="upper right", fontsize=8)
     figure.tight_layout()
-    picture = folder / "report.png"
-    figure.savefig(picture, dpi=FIGURE_DPI)
+    chart_path = folder / "report.png"
+    figure.savefig(chart_path, dpi=FIGURE_DPI)
     plt.close(figure)
     (folder / "report.md").write_text(markdown_page(result))
-    return picture
+    return chart_path
 
 
 def _title(result: Mapping[str, Any]) -> str:
@@ -142,9 +142,9 @@
 
 def _draw_outcomes(axis: Any, records: list[dict[str, Any]]) -> None:
     series = outcomes_by_bucket(records)
-    used = [bucket for counts in series.values() for bucket in counts] or [0]
-    # Buckets without a count are drawn as 0.
-    buckets = range(min(used), max(used) + 1)
+    used_buckets = [bucket for counts in series.values() for bucket in counts] or [0]
+    # Draw empty buckets as 0.
+    buckets = range(min(used_buckets), max(used_buckets) + 1)
     times_s = [bucket / BUCKETS_PER_S for bucket in buckets]
     for name, counts in series.items():
         values = [counts.get(bucket, 0) for bucket in buckets]
@@ -183,7 +183,7 @@
 
 
 def markdown_page(result: Mapping[str, Any]) -> str:
-    """The page of figures of a verdict."""
+    """The figures of a verdict as a Markdown page."""
     names = checker.COUNTS[: checker.COUNTS.index("resent") + 1]
     lines = [
         f"# {result.get('experiment', '')}, seed {result.get('seed', '')}",
@@ -201,9 +201,9 @@
     for destination, budget in sorted(result.get("budgets", {}).items()):
         lines += [
             "",
-            f"destination {destination}: whole {budget['whole']} calls in "
-            f"{budget['span_ms']} ms, worst sliding span "
-            f"{budget['worst']}, over by {budget['over']}, used {budget['used']}, refused for each delivery "
+            f"destination {destination}: limit {budget['whole']} calls in "
+            f"{budget['span_ms']} ms, fullest window "
+            f"{budget['worst']}, over by {budget['over']}, used {budget['used']}, rejected per delivery "
             f"{budget['refused_per_delivery']}",
         ]
     lines += [
@@ -218,10 +218,11 @@
 
 
 def message_path(folder: Path, key: str) -> list[dict[str, Any]]:
-    """What happened to one message in all processes, in order of time.
+    """The events of one message in all processes, ordered by time.
 
-    These are the lab's records of its attempts, calls and notices, and the lines of all
-    forwarders' logs with its ids. Times are ns from the start of the load.
+    These are the lab's records of attempts, calls and notifications of the message, and
+    the log lines of all processes with its ids. Times are in ns from the start of the
+    load.
     """
     records, result = load_run(folder)
     ids = {
@@ -232,7 +233,7 @@
     lines = [
         {"t_ns": record.get("sent_ns", record.get("at_ns")), "process": "lab", **record}
         for record in records
-        # A record of the kind "sent" was made from a log line, which follows below.
+        # Records of the kind "sent" come from log lines, which are added below.
         if record["kind"] != "sent"
         and (record.get("key") == key or record.get("id") in ids)
     ]
@@ -243,7 +244,7 @@
 
 
 def _log_lines(log_path: Path, ids: set[str]) -> Iterator[dict[str, Any]]:
-    """The JSON lines of a log that are about one of the messages."""
+    """Yield the JSON lines of a log whose ``message_id`` is one of ``ids``."""
     for text in log_path.read_text(errors="replace").splitlines():
         if '"message_id"' not in text or not any(
             message_id in text for message_id in ids
--- a/rainfall/lab/runner.py
+++ b/rainfall/lab/runner.py
@@ -1,6 +1,6 @@
-"""Plays an experiment: starts the testbed, the load and the faults, and checks the records.
+"""Runs an experiment: starts the testbed, the load and the faults; checks the records.
 
-Every started process is ended by its id, however the run ends.
+Every started process is stopped by its id, also after an error or an interrupt.
 """
 
 from __future__ import annotations
@@ -36,63 +36,68 @@
 PIPE_POLL_S = 0.02
 LOAD_READY_TIMEOUT_S = 60.0
 LOAD_START_DELAY_NS = 100_000_000
-"""The time between the load's report that it is ready and its start."""
+"""Delay between the ready report of the load process and the start of the load."""
 ANSWER_TIMEOUTS_AFTER_LOAD = 3
 LOAD_SPARE_TIME_S = 30
-"""What the load may take beside its duration, the last fault and the last answers."""
+"""Time allowed on top of the duration, the last fault and the last responses."""
 
 
 class LoadError(RainfallError):
-    """The load process has failed."""
+    """The load process failed."""
 
 
 @dataclass
 class LoadProcess:
-    """The load in a process of its own, so that the proxies cannot delay it."""
+    """The process of the load generator, separate so that the proxies cannot delay it."""
 
     process: BaseProcess
     pipe: Connection
 
     async def receive(self, limit_s: float) -> Any:
-        """The next object that the load sends.
+        """Receive the next object from the load process.
 
-        The pipe is polled: a thread that waits for it could not be cancelled, and would
-        keep an interrupted lab from ending.
+        The pipe is polled, because a thread blocked on it could not be cancelled and
+        would keep an interrupted lab running.
 
         Raises:
-            TimeoutError: Nothing came within ``limit_s``.
+            TimeoutError: Nothing was received within ``limit_s``.
             LoadError: The process has ended.
         """
         async with asyncio.timeout(limit_s):
             while not self.pipe.poll():
                 if not self.process.is_alive() and not self.pipe.poll():
-                    raise LoadError(f"the load ended with {self.process.exitcode}")
+                    raise LoadError(
+                        f"the load process exited with code {self.process.exitcode}"
+                    )
                 await asyncio.sleep(PIPE_POLL_S)
         try:
             return self.pipe.recv()
         except EOFError:
-            raise LoadError("the load ended without a word") from None
+            raise LoadError(
+                "the load process closed its pipe without a report"
+            ) from None
 
     def end(self) -> None:
-        """End the process, if it runs, and wait for its end."""
+        """Kill the process if it is running, and wait for its exit."""
         if self.process.is_alive():
             self.process.kill()
         self.process.join()
 
 
 class ExperimentRun(Testbed):
-    """A testbed with its load, its faults and its verdict."""
+    """A testbed that runs the load and the faults and computes the verdict."""
 
     load_process: LoadProcess | None = None
 
-    async def play(self) -> None:
-        """Run the load and the faults, and wait until all messages have ended.
+    async def execute(self) -> None:
+        """Run the load and the faults, then wait for the final state of all messages.
 
-        Both use CLOCK_MONOTONIC, which is the same for all processes of a machine.
+        The load process and the lab use CLOCK_MONOTONIC, which is the same for all
+        processes of a machine.
 
         Raises:
-            LoadError: The load has failed.
-            TimeoutError: It took too long.
+            LoadError: The load failed.
+            TimeoutError: The load or the faults exceeded the time limit.
         """
         faults = nemesis.fault_timeline(self.experiment, self.seed)
         records_path = self.output_folder / "load.jsonl"
@@ -135,17 +140,17 @@
         process.start()
         child_pipe.close()
         self.load_process = LoadProcess(process, parent_pipe)
-        pids.note(self.output_folder, "load", process.pid or 0)
+        pids.append(self.output_folder, "load", process.pid or 0)
         return self.load_process
 
     def _set_start(self, start_ns: int) -> None:
-        """Set the start of the load, and move the times of earlier records to it."""
+        """Set the start of the load and adjust the times of earlier records."""
         for record in self.records:
             record["at_ns"] += self.start_ns - start_ns
         self.start_ns = start_ns
 
     def _time_limit_s(self, faults: Sequence[Fault]) -> float:
-        """How long load and faults may take."""
+        """Time limit for the load and the faults together."""
         experiment = self.experiment
         last_fault_s = max(
             (fault.at_s + fault.for_s + fault.after_s for fault in faults), default=0.0
@@ -154,13 +159,13 @@
         return max(experiment.duration_s, last_fault_s) + answers_s + LOAD_SPARE_TIME_S
 
     async def _settle(self) -> None:
-        """Wait until every accepted message has ended, or the settle time is over."""
+        """Wait until no message counts as lost, or the settle time is over."""
         limit_ns = self.clock() + int(self.experiment.settle_s * NS_PER_S)
         while self.clock() < limit_ns and self.check_records()["lost"]:
             await asyncio.sleep(SETTLE_POLL_S)
 
     def check_records(self) -> dict[str, Any]:
-        """The verdict on the messages, by the records so far."""
+        """The verdict on the messages, from the records collected so far."""
         experiment = self.experiment
         return checker.verdict(
             self.records,
@@ -170,13 +175,13 @@
         )
 
     async def stop(self) -> None:
-        """End the load, and the testbed."""
+        """Stop the load process and the testbed."""
         if self.load_process is not None:
             self.load_process.end()
         await super().stop()
 
     def write_results(self) -> dict[str, Any]:
-        """Merge the processes' own records, and write all records and the verdict."""
+        """Add the records from the logs, and write all records and the verdict."""
         experiment = self.experiment
         destinations = {
             endpoint: experiment.destination_of(endpoint)
@@ -200,7 +205,7 @@
             **self.statistics(),
         }
         if self.limiter.rejected and not experiment.fleet.most_connections:
-            # The lab ran out of descriptors, which says nothing of the fleet.
+            # The lab ran out of file descriptors: not the fault of the fleet.
             result["valid"] = False
         result["breaches"] = verdicts.breaches(result)
         (self.output_folder / "verdict.json").write_text(json.dumps(result, indent=1))
@@ -208,20 +213,20 @@
 
 
 async def run(experiment: Experiment, seed: int, out: Path) -> dict[str, Any]:
-    """Play an experiment; its verdict. ``out`` is the folder for its files.
+    """Run an experiment, write its files to the folder ``out`` and return the verdict.
 
-    Processes are ended on errors too, and at SIGINT and SIGTERM, which raise
+    All processes are stopped, also after errors and on SIGINT and SIGTERM, which raise
     CancelledError.
 
     Raises:
-        StartError: A process did not come up.
-        LoadError: The load has failed.
-        TimeoutError: The run took too long.
+        StartError: A process did not start.
+        LoadError: The load failed.
+        TimeoutError: The run exceeded its time limit.
     """
     out.mkdir(parents=True, exist_ok=True)
     pid_file = out / pids.PID_FILE
     if pid_file.exists():
-        # The folder is an earlier run's, whose processes' state is not this run's.
+        # The folder holds an earlier run: do not start from the state of its processes.
         shutil.rmtree(out / "members", ignore_errors=True)
         pid_file.unlink()
     sink = structured_logging.configure(out / "lab.jsonl")
@@ -229,7 +234,7 @@
     interrupt.cancel_on_first_signal()
     try:
         await experiment_run.start()
-        await experiment_run.play()
+        await experiment_run.execute()
     finally:
         try:
             await experiment_run.stop()
--- a/rainfall/lab/stand_ins.py
+++ b/rainfall/lab/stand_ins.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what forwarders talk to, written from PROTOCOL.
+"""Stand-ins for the servers that forwarders connect to, following PROTOCOL.
 
-These are endpoints, and the platform's endpoint list with its notices. They run in the
-lab's process, on its clock.
+There is one for endpoints and one for the list service, which serves the endpoint list
+and receives notifications. They run in the process of the lab and use its clock.
 """
 
 from __future__ import annotations
@@ -28,30 +28,30 @@
 
 
 class HttpMessage(NamedTuple):
-    """A request or an answer."""
+    """An HTTP request or response."""
 
     method: str
-    """A request's method, or an answer's version."""
+    """The method of a request, or the HTTP version of a response."""
     target: str
-    """A request's path with its query, or an answer's status."""
+    """The path and query of a request, or the status of a response."""
     headers: dict[str, str]
-    """By lower-case name."""
+    """Values by lower-case name."""
     body: bytes
 
 
 async def read_http_message(reader: asyncio.StreamReader) -> HttpMessage | None:
-    """One HTTP/1.1 message; None if the connection ends before its head is complete.
+    """Read one HTTP/1.1 message; None if the connection closes within the head.
 
     Raises:
-        ValueError: The head or the body is past its limit.
-        asyncio.IncompleteReadError: The connection ends within the body.
+        ValueError: The head or the body exceeds its limit.
+        asyncio.IncompleteReadError: The connection closes within the body.
     """
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
         return None
     except asyncio.LimitOverrunError:
-        raise ValueError("head too large") from None
+        raise ValueError(f"head is over {HEAD_LIMIT_BYTES} bytes") from None
     lines = head.decode("latin-1").split("\r\n")
     method, target, _ = [*lines[0].split(" ", 2), "", ""][:3]
     headers: dict[str, str] = {}
@@ -61,13 +61,13 @@
             headers[name.strip().lower()] = value.strip()
     length = int(headers.get("content-length", "0") or 0)
     if not 0 <= length <= BODY_LIMIT_BYTES:
-        raise ValueError("body too large")
+        raise ValueError(f"content-length {length} is not 0 to {BODY_LIMIT_BYTES}")
     body = await reader.readexactly(length)
     return HttpMessage(method, target, headers, body)
 
 
 def encode_response(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """An answer's bytes; an underscore in a header's name stands for a hyphen."""
+    """Serialize a response; underscores in header names become hyphens."""
     lines = [
         f"HTTP/1.1 {int(status)} X",
         f"Content-Length: {len(body)}",
@@ -77,7 +77,7 @@
 
 
 class HttpServer:
-    """A keep-alive HTTP server on loopback; ``handle`` makes the bytes of each answer."""
+    """A keep-alive HTTP server on loopback; subclasses implement ``handle``."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -85,7 +85,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> Self:
-        """Listen, at ``port`` if it is not 0."""
+        """Listen on ``port``; 0 lets the kernel choose a port."""
         self.server = await asyncio.start_server(
             self._serve, "127.0.0.1", self.port, limit=HEAD_LIMIT_BYTES
         )
@@ -93,14 +93,14 @@
         return self
 
     async def stop(self) -> None:
-        """Stop listening and reset every connection, as when a process ends."""
+        """Stop listening and reset every connection, as a dying process does."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
             reset_connection(writer)
 
     async def handle(self, request: HttpMessage) -> bytes:
-        """The answer to a request."""
+        """The serialized response to a request."""
         raise NotImplementedError
 
     async def _serve(
@@ -117,7 +117,7 @@
             asyncio.IncompleteReadError,
             asyncio.CancelledError,
         ):
-            pass  # The peer has gone, or the lab ends.
+            pass  # The peer disconnected, or the lab is stopping.
         finally:
             self.writers.discard(writer)
             with contextlib.suppress(OSError):
@@ -126,22 +126,22 @@
 
 @dataclass
 class Behaviour:
-    """How an endpoint answers; faults change it."""
+    """How an endpoint responds; faults change these values."""
 
     service_ms: float = 2.0
     slow_ms: float = 0.0
     failure_ratio: float = 0.0
     concurrency_limit: int = 0
-    """Calls at once before 503; 0 for no limit."""
+    """Concurrent calls above this are answered 503; 0: no limit."""
     cold_until_ns: int = 0
     cold_ms: float = 0.0
 
 
 @dataclass
 class SlidingWindowLimiter:
-    """A destination's limit: ``calls`` in any sliding ``span_ns``.
+    """The rate limit of a destination: ``calls`` in any sliding ``span_ns``.
 
-    Its endpoints share it.
+    All endpoints of the destination share one limiter.
     """
 
     calls: int
@@ -149,7 +149,7 @@
     call_times_ns: deque[int] = field(default_factory=deque)
 
     def wait_ns(self, now_ns: int) -> int:
-        """0 if a call is within the limit, and counts for it; else how long to wait."""
+        """Count a call and return 0 if it is within the limit, else the ns to wait."""
         while self.call_times_ns and now_ns - self.call_times_ns[0] >= self.span_ns:
             self.call_times_ns.popleft()
         if len(self.call_times_ns) < self.calls:
@@ -160,7 +160,7 @@
 
 @dataclass
 class Endpoint(HttpServer):
-    """A stand-in for one endpoint."""
+    """A stand-in for one endpoint; passes each call to ``record``."""
 
     name: str = ""
     destination: int = 0
@@ -176,7 +176,7 @@
         self.in_flight = 0
 
     async def handle(self, request: HttpMessage) -> bytes:
-        """Answer a health check or a call, and record the call."""
+        """Answer a health check, or answer and record a call."""
         if request.method == "GET" and request.target == "/alive":
             return encode_response(HTTPStatus.OK)
         if request.method != "POST" or request.target != "/hook":
@@ -224,9 +224,9 @@
 
 @dataclass
 class StandInListService(HttpServer):
-    """A stand-in for the platform's endpoint list and notices, for one forwarder.
+    """A stand-in for the list service, used by one forwarder.
 
-    The dials in its list are that forwarder's proxies.
+    The dials in its endpoint list are the addresses of that forwarder's proxies.
     """
 
     hosts: list[dict[str, Any]] = field(default_factory=list)
@@ -239,9 +239,9 @@
         self.changed = asyncio.Event()
 
     async def handle(self, request: HttpMessage) -> bytes:
-        """Answer a read or a watch of the list, or a post of notices."""
+        """Answer a read or long poll of the list, or store posted notifications."""
         if request.method == "POST" and request.target == "/v1/notices":
-            return self._store_notices(request.body)
+            return self._record_notifications(request.body)
         path, _, query_text = request.target.partition("?")
         if request.method != "GET" or not path.startswith("/discovery/hosts"):
             return encode_response(HTTPStatus.NOT_FOUND)
@@ -261,21 +261,23 @@
         return self._list_response(is_complete=True, hosts=self.hosts)
 
     def _list_response(self, is_complete: bool, hosts: list[dict[str, Any]]) -> bytes:
-        answer = {"seq": self.seq, "whole": is_complete, "hosts": hosts}
-        return encode_response(HTTPStatus.OK, json.dumps(answer).encode())
+        body = {"seq": self.seq, "whole": is_complete, "hosts": hosts}
+        return encode_response(HTTPStatus.OK, json.dumps(body).encode())
 
-    def _store_notices(self, body: bytes) -> bytes:
+    def _record_notifications(self, body: bytes) -> bytes:
         try:
-            notices = [json.loads(line) for line in body.splitlines() if line.strip()]
+            notifications = [
+                json.loads(line) for line in body.splitlines() if line.strip()
+            ]
         except ValueError:
             return encode_response(HTTPStatus.BAD_REQUEST)
-        for notice in notices:
-            if isinstance(notice, dict) and "id" in notice:
+        for notification in notifications:
+            if isinstance(notification, dict) and "id" in notification:
                 self.record(
                     {
                         "kind": "notice",
-                        "id": str(notice["id"]),
-                        "state": str(notice.get("state")),
+                        "id": str(notification["id"]),
+                        "state": str(notification.get("state")),
                         "at_ns": self.clock(),
                     }
                 )
--- a/rainfall/lab/statuses.py
+++ b/rainfall/lab/statuses.py
@@ -1,10 +1,10 @@
-"""The HTTP statuses by which the lab judges answers (PROTOCOL)."""
+"""The HTTP statuses by which the lab classifies responses (PROTOCOL)."""
 
 from __future__ import annotations
 
 DELIVERED_STATUS = 200
-"""An endpoint's answer to a call that it has executed."""
+"""An endpoint's status for an executed call."""
 ACCEPTED_STATUSES = (200, 202)
-"""A forwarder's answers to a message that it accepts."""
+"""A forwarder's statuses for an accepted message."""
 REJECTED_STATUSES = (429, 503)
-"""Answers to a message that was not executed."""
+"""Statuses for a message that was rejected without execution."""
--- a/rainfall/lab/structured_logging.py
+++ b/rainfall/lab/structured_logging.py
@@ -1,4 +1,4 @@
-"""The lab's log: a JSON line for each event, with the time of the monotonic clock."""
+"""The log of the lab: one JSON line for each event, with the monotonic time in ns."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def configure(path: Path) -> IO[str]:
-    """Write the lab's log to ``path``; the caller closes the returned file at the end."""
+    """Append the log of the lab to ``path``; the caller closes the returned file."""
     sink = path.open("a")
     structlog.configure(
         processors=[
@@ -33,5 +33,5 @@
 
 
 def logger(**bound: Any) -> Any:
-    """A logger whose lines have the fields ``bound``."""
+    """A logger that adds the fields ``bound`` to each line."""
     return structlog.get_logger().bind(process="lab", **bound)
--- a/rainfall/lab/sweep.py
+++ b/rainfall/lab/sweep.py
@@ -1,7 +1,7 @@
-"""Plays one experiment with many seeds, each in a process of its own.
+"""Runs one experiment with many seeds, each in a process of its own.
 
-A run's time is limited. It is ended by SIGTERM to its id, and ends its own processes
-then; if it does not, it is ended by SIGKILL, and its processes by the ids in its folder.
+A run that exceeds its time limit gets SIGTERM, on which it stops its own processes. If it
+does not end, it is killed by SIGKILL, and its processes by the ids stored in its folder.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 from rainfall.lab.sweep_summary import RunResult, format_table, summarize
 
 MAX_SEEDS = 10_000
-"""Seeds of one sweep."""
+"""Most seeds of one sweep."""
 MAX_JOBS = 64
-"""Runs at the same time."""
+"""Most parallel runs."""
 TERM_TIMEOUT_S = 15.0
-"""The time between SIGTERM and SIGKILL of a run."""
+"""Time between SIGTERM and SIGKILL of a run."""
 SPARE_TIME_S = 60.0
-"""What a run may take beside its starts, its load and its settling."""
+"""Time allowed for a run on top of its starts, its load and its settling."""
 SHOWN_CHARACTERS = 300
-"""Characters of a log line that a failure shows."""
+"""Longest part of a log line in a failure."""
 EXIT_CODES_WITH_VERDICT = (0, 1)
 EXIT_INTERRUPTED = 130
 
 
 def parse_seeds(text: str) -> list[int]:
-    """The seeds of an option: ``1-3,7`` is 1, 2, 3, 7.
+    """Parse the seeds of an option: ``1-3,7`` gives 1, 2, 3, 7.
 
     Raises:
-        argparse.ArgumentTypeError: The text is something else, or has too many seeds.
+        argparse.ArgumentTypeError: The text is invalid, or has too many seeds.
     """
     seeds: dict[int, None] = {}
     for part in text.split(","):
         seeds |= dict.fromkeys(_parse_seed_range(part))
     if len(seeds) > MAX_SEEDS:
         raise argparse.ArgumentTypeError(
-            f"{len(seeds)} seeds, where {MAX_SEEDS} are the most"
+            f"{len(seeds)} seeds, but at most {MAX_SEEDS} are allowed"
         )
     return list(seeds)
 
@@ -57,22 +57,22 @@
     is_range = first.isdecimal() and (last or first).isdecimal()
     if not is_range or part.endswith("-"):
         raise argparse.ArgumentTypeError(
-            f"{part!r} is no seed and no range such as 1-100"
+            f"{part!r} is neither a seed nor a range such as 1-100"
         )
     begin = int(first)
     end = int(last or first)
     if begin > end or end - begin >= MAX_SEEDS:
         raise argparse.ArgumentTypeError(
-            f"{part!r} is no range of 1 to {MAX_SEEDS} seeds"
+            f"{part!r} is not a range of 1 to {MAX_SEEDS} seeds"
         )
     return range(begin, end + 1)
 
 
 def parse_jobs(text: str) -> int:
-    """The number of jobs of an option.
+    """Parse the number of parallel runs.
 
     Raises:
-        argparse.ArgumentTypeError: It is not 1 to ``MAX_JOBS``.
+        argparse.ArgumentTypeError: The text is not a number from 1 to ``MAX_JOBS``.
     """
     if not text.isdecimal() or not 1 <= int(text) <= MAX_JOBS:
         raise argparse.ArgumentTypeError(f"{text!r} is not 1 to {MAX_JOBS}")
@@ -80,12 +80,12 @@
 
 
 def run_time_limit_s(experiment: Experiment) -> float:
-    """How long a run may take: starts, load, the ends of faults, and settling."""
+    """Time limit of a run: starts, load, faults that outlast the load, and settling."""
     tail_s = max(
         (fault.for_s + fault.after_s for fault in experiment.faults), default=0.0
     )
-    if experiment.nemesis is not None:
-        tail_s = max(tail_s, experiment.nemesis.longest_s)
+    if experiment.random_faults is not None:
+        tail_s = max(tail_s, experiment.random_faults.longest_s)
     starts_s = 2 * READY_TIMEOUT_S
     return (
         starts_s + experiment.duration_s + tail_s + experiment.settle_s + SPARE_TIME_S
@@ -95,14 +95,14 @@
 class _ProcessOutcome(NamedTuple):
     exit_code: int
     failure: str
-    """Why the process was ended; empty if it ended by itself."""
+    """Why the process was stopped; empty if it exited by itself."""
 
 
 class Sweep:
-    """The runs of one sweep.
+    """Runs the seeds of one sweep and collects the results.
 
-    ``path`` is the experiment's file; ``keep`` says whose folders stay: those of
-    ``all`` runs, of ``failures``, or of ``none``.
+    ``path`` is the experiment file. ``keep`` selects the run folders to keep: ``all``,
+    ``failures`` (runs with a breach) or ``none``.
     """
 
     def __init__(
@@ -116,17 +116,17 @@
         self.runs: list[RunResult] = []
 
     async def run_all(self, seeds: list[int], jobs: int) -> None:
-        """Play every seed, ``jobs`` at a time; if cancelled, end the runs under way."""
-        waiting = iter(seeds)
+        """Run every seed, ``jobs`` in parallel; cancellation stops the active runs."""
+        pending_seeds = iter(seeds)
 
         async def worker() -> None:
-            for seed in waiting:
+            for seed in pending_seeds:
                 self.runs.append(await self.run_seed(seed))
 
         workers = [asyncio.create_task(worker()) for _ in range(min(jobs, len(seeds)))]
         try:
-            # When gather is cancelled it returns with the first worker, and the second
-            # cancel below would interrupt the clean-up of the others.
+            # asyncio.gather would return with the first worker if cancelled, and the
+            # cancellation below would interrupt the clean-up of the other workers.
             await asyncio.wait(workers, return_when=asyncio.FIRST_EXCEPTION)
         finally:
             for task in workers:
@@ -136,7 +136,7 @@
             task.result()
 
     def run_arguments(self, seed: int, folder: Path) -> list[str]:
-        """The arguments of a run's process, after the interpreter."""
+        """The interpreter's arguments for the process of a run."""
         return [
             "-m",
             "rainfall.lab",
@@ -150,10 +150,10 @@
         ]
 
     async def run_seed(self, seed: int) -> RunResult:
-        """Play one seed, and keep or remove its folder."""
+        """Run one seed, and keep or delete its folder."""
         folder = self.out / f"seed-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        # It may hold the verdict of an earlier sweep.
+        # An earlier sweep may have left its verdict.
         (folder / "verdict.json").unlink(missing_ok=True)
         started_s = time.monotonic()
         outcome = await self._run_process(seed, folder)
@@ -161,10 +161,10 @@
         result = self.read_result(
             seed, folder, outcome.exit_code, wall_s, outcome.failure
         )
-        is_wanted = self.keep_folders == "all" or (
+        keeps_folder = self.keep_folders == "all" or (
             self.keep_folders == "failures" and result.breaches
         )
-        if not is_wanted:
+        if not keeps_folder:
             shutil.rmtree(folder, ignore_errors=True)
         return result
 
@@ -178,7 +178,7 @@
                     stdin=asyncio.subprocess.DEVNULL,
                     stdout=log,
                     stderr=log,
-                    # A terminal's interrupt goes to the sweep alone.
+                    # A terminal sends SIGINT to the sweep only.
                     start_new_session=True,
                 )
             )
@@ -191,7 +191,7 @@
             except TimeoutError:
                 failure = f"took more than {self.time_limit_s:g} s"
             finally:
-                # The interrupt may come while the process is being started.
+                # Cancellation may arrive while the process is being started.
                 process = await starting
                 await end_run(process, folder)
         return _ProcessOutcome(process.returncode or 0, failure)
@@ -199,7 +199,7 @@
     def read_result(
         self, seed: int, folder: Path, exit_code: int, wall_s: float, failure: str
     ) -> RunResult:
-        """The result of a run; one that did not finish has no verdict."""
+        """Read the result of a run; a run that failed has no verdict."""
         verdict: dict[str, Any] = {}
         with contextlib.suppress(OSError, ValueError):
             verdict = json.loads((folder / "verdict.json").read_text())
@@ -212,7 +212,7 @@
 
 
 async def end_run(process: asyncio.subprocess.Process, folder: Path) -> None:
-    """End a run's process, if it has not ended, and all that it had started."""
+    """Stop the process of a run if it is running, and all processes it started."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGTERM)
@@ -223,7 +223,7 @@
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
             await process.wait()
-    await pids.end(folder)
+    await pids.kill_all(folder)
 
 
 async def _run_seeds(runner: Sweep, seeds: list[int], jobs: int) -> None:
@@ -239,7 +239,7 @@
     out: Path,
     keep: str = "all",
 ) -> int:
-    """Play the seeds, write ``summary.json`` and print the table.
+    """Run the seeds, write ``summary.json`` and print the summary table.
 
     Returns the exit code: 0, 1 after any breach, or 130 after an interrupt.
     """
@@ -254,6 +254,8 @@
     (out / "summary.json").write_text(json.dumps(result, indent=1))
     print(format_table(result))
     if interrupted:
-        print("lab: interrupted; every process it started was ended", file=sys.stderr)
+        print(
+            "lab: interrupted; all processes of the runs were stopped", file=sys.stderr
+        )
         return EXIT_INTERRUPTED
     return int(result["exit"])
--- a/rainfall/lab/sweep_summary.py
+++ b/rainfall/lab/sweep_summary.py
@@ -1,4 +1,4 @@
-"""Summarizes the runs of a sweep, for JSON and as a plain table."""
+"""Summarizes the runs of a sweep as JSON and as a text table."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """The run of one seed.
+    """The result of the run of one seed.
 
-    ``verdict`` is empty if it wrote none; ``breaches`` then says why.
+    If the run wrote no verdict, ``verdict`` is empty and ``breaches`` holds the reason.
     """
 
     seed: int
@@ -35,7 +35,7 @@
 
 
 def _smallest_budget_use(verdict: Mapping[str, Any]) -> Any:
-    """Infinite without a budget; such figures are left out."""
+    """The lowest use of any budget; infinite without a budget, and then left out."""
     budgets = verdict.get("budgets", {}).values()
     return min((budget["used"] for budget in budgets), default=math.inf)
 
@@ -61,7 +61,7 @@
     "sess_doubled": lambda verdict: _value_at(verdict, "sessions", "doubled"),
     "out_of_order": lambda verdict: _value_at(verdict, "sessions", "out_of_order"),
 }
-"""Figures that are added up; all but ``HIGHER_IS_BETTER`` are better if smaller."""
+"""Figures to sum over the runs; lower is better, except for ``HIGHER_IS_BETTER``."""
 HIGHER_IS_BETTER = ("messages", "delivered")
 WORST: dict[str, Figure] = {
     "worst_span": lambda verdict: _largest_budget_figure(verdict, "worst"),
@@ -77,7 +77,7 @@
     ),
     "lag_max_ms": lambda verdict: _value_at(verdict, "lag_ms", "max"),
 }
-"""Figures of which only the worst counts: the greatest, of ``used`` the least."""
+"""Figures of which only the worst is shown: the highest, or for ``used`` the lowest."""
 VERDICT_PARTS = ("budgets", "leases", "shards", "sessions")
 COLUMN_GAP = "  "
 TABLE_TOTALS = (
@@ -96,10 +96,10 @@
 def summarize(
     name: str, seeds: Sequence[int], runs: Sequence[RunResult]
 ) -> dict[str, Any]:
-    """The summary, ready for JSON.
+    """The summary as a JSON-serializable dict.
 
-    It has the figures of each seed, their totals, the worst of each with its seed, and
-    ``exit``, which is 1 after any breach and if a seed was not played.
+    It holds the figures of each seed, their totals, the worst value of each with its
+    seed, and ``exit``, which is 1 if a run had a breach or a seed was not run.
     """
     runs = sorted(runs, key=lambda run: run.seed)
     complete_runs = [run for run in runs if run.verdict]
@@ -138,7 +138,7 @@
 
 
 def _worst_figures(figures: Mapping[int, Mapping[str, Any]]) -> dict[str, Any]:
-    """The worst value of each figure, with the first seed that has it."""
+    """The worst value of each figure, with the lowest seed that has it."""
     worst: dict[str, Any] = {}
     for name in [*COUNTS, *WORST]:
         values = {
@@ -160,7 +160,7 @@
 
 
 def format_table(summary: Mapping[str, Any]) -> str:
-    """A line for each seed, a line of totals and worst figures, and the breaches."""
+    """A table with a line for each seed and the totals, followed by the breaches."""
     rows: list[list[Any]] = [
         ["seed", "exit", "wall_s", *TABLE_TOTALS, *TABLE_WORST, "valid"]
     ]
--- a/rainfall/lab/table_reader.py
+++ b/rainfall/lab/table_reader.py
@@ -1,6 +1,6 @@
-"""Reads checked values from the tables of an experiment file.
+"""Reads and validates values from the tables of an experiment file.
 
-Every fault is collected with its path, instead of stopping at the first.
+All errors are collected with their paths, instead of stopping at the first.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class ExperimentError(RainfallError):
-    """An experiment file is faulty; ``faults`` has 'path: what is wrong' for each fault."""
+    """An experiment file is invalid; ``errors`` has one 'path: reason' for each error."""
 
-    def __init__(self, faults: list[str]) -> None:
-        super().__init__("; ".join(faults))
-        self.faults = faults
+    def __init__(self, errors: list[str]) -> None:
+        super().__init__("; ".join(errors))
+        self.errors = errors
 
 
 class TableReader:
-    """Reads values, and collects the faults.
+    """Reads values and collects errors in ``errors``.
 
-    ``read`` always returns a value of the wanted type, so that reading goes on past a
-    fault.
+    ``read`` always returns a value of the expected type, so that parsing continues after
+    an error.
     """
 
     def __init__(self) -> None:
-        self.faults: list[str] = []
+        self.errors: list[str] = []
 
     def read(
         self,
@@ -41,43 +41,43 @@
         test: Callable[[T], bool] = lambda _: True,
         hint: str = "",
     ) -> T:
-        """The value of a key, checked.
+        """Read and validate the value of a key.
 
         Args:
             table: The table.
-            key: The key in it.
-            kind: The type that the value must have; a whole number counts as a float.
-            path: The table's path, for faults.
-            default: The value if the key is absent; with None it is required.
-            test: What else must hold of the value.
-            hint: What a fault says if ``test`` fails.
+            key: The key in the table.
+            kind: The required type; an int is accepted as a float.
+            path: The path of the table, for error messages.
+            default: The value if the key is absent; None makes the key required.
+            test: A further condition for the value.
+            hint: The error message if ``test`` fails, after the value.
         """
         name = f"{path}.{key}".lstrip(".")
         if key not in table:
             if default is None:
-                self.faults.append(f"{name}: missing")
+                self.errors.append(f"{name}: missing")
             return default if default is not None else kind()
         value = table[key]
         if kind is float and isinstance(value, int) and not isinstance(value, bool):
             value = float(value)
         if not isinstance(value, kind) or isinstance(value, bool) != (kind is bool):
-            self.faults.append(f"{name}: a {kind.__name__} is wanted, not {value!r}")
+            self.errors.append(f"{name}: expected a {kind.__name__}, got {value!r}")
             return default if default is not None else kind()
         if not test(value):
-            self.faults.append(f"{name}: {value!r} {hint or 'is out of range'}")
+            self.errors.append(f"{name}: {value!r} {hint or 'is out of range'}")
         return value
 
     def check_unknown_keys(
         self, table: Mapping[str, Any], known: Set[str], path: str
     ) -> None:
-        """Add a fault for each key that is not known."""
+        """Add an error for each key that is not in ``known``."""
         for key in sorted(set(table) - known):
-            self.faults.append(f"{path}.{key}".lstrip(".") + ": unknown key")
+            self.errors.append(f"{path}.{key}".lstrip(".") + ": unknown key")
 
     def table(self, table: Mapping[str, Any], key: str, path: str) -> Mapping[str, Any]:
-        """The table within a table; empty, with a fault, if it is something else."""
+        """Read a nested table; empty, with an error added, if the value is not a table."""
         value = table.get(key, {})
         if not isinstance(value, Mapping):
-            self.faults.append(f"{path}{key}: a table is wanted")
+            self.errors.append(f"{path}{key}: expected a table")
             return {}
         return value
--- a/rainfall/lab/testbed.py
+++ b/rainfall/lab/testbed.py
@@ -1,7 +1,7 @@
 """The testbed of a run: stand-ins, proxied links, the list service and the forwarders.
 
-The id of every started process is stored on disk, and the process is ended by it however
-the run ends.
+The id of every started process is stored on disk, so that the process can be stopped
+even if the run fails.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 )
 
 SEEDS_PER_RUN = 1_000
-"""Seeds of endpoints between those of one run and the next."""
+"""Distance between the endpoint seeds of consecutive runs."""
 
 
 @dataclass
 class Testbed:
-    """Builds and ends what a run needs, and collects its records.
+    """Starts and stops the processes, servers and links of a run, and collects records.
 
-    Call ``start`` once, then ``stop``, also if ``start`` fails.
+    Call ``start`` once, and ``stop`` afterwards, also if ``start`` failed.
     """
 
     experiment: Experiment
@@ -53,7 +53,7 @@
     links: dict[str, ProxyLink] = field(default_factory=dict)
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
     servers: list[HttpServer | DiscoveryRelay] = field(default_factory=list)
-    """Stand-ins of the list service, or relays to its process."""
+    """Stand-ins for the list service, or relays to its process."""
     forwarders: list[Forwarder] = field(default_factory=list)
     service: ListServiceProcess | None = None
     reserved_sockets: list[socket.socket] = field(default_factory=list)
@@ -65,7 +65,7 @@
         )
 
     def clock(self) -> int:
-        """Nanoseconds from the start of the load."""
+        """Nanoseconds since the start of the load."""
         return time.monotonic_ns() - self.start_ns
 
     def record(self, item: dict[str, Any]) -> None:
@@ -73,7 +73,7 @@
         self.records.append(item)
 
     def process(self, name: str) -> Process:
-        """The process with this name, as faults name it."""
+        """The forwarder or list service that a fault names as its target."""
         if name == LIST_SERVICE and self.service is not None:
             return self.service
         return self.forwarders[int(name[1:])]
@@ -90,30 +90,30 @@
             "proxied connections are refused beyond the bound", most=self.limiter.limit
         )
 
-    def _on_process_event(self, name: str, did: str, pid: int) -> None:
-        if did == "started":
-            pids.note(self.output_folder, name, pid)
+    def _on_process_event(self, name: str, event: str, pid: int) -> None:
+        if event == "started":
+            pids.append(self.output_folder, name, pid)
         self.record(
             {
                 "kind": "process",
                 "member": name,
-                "did": did,
+                "did": event,
                 "pid": pid,
                 "at_ns": self.clock(),
             }
         )
 
     async def start(self) -> None:
-        """Build everything, and start the processes.
+        """Start the stand-ins and links, then the processes.
 
         Raises:
-            StartError: A process did not come up.
+            StartError: A process did not start.
         """
         await self._start_endpoints()
         if self.experiment.fleet.service:
             self.service = await self._build_list_service()
         await self._build_forwarders()
-        # All servers of the lab listen now: the processes may bind their ports.
+        # All servers of the lab are listening: release the ports for the processes.
         for reserved in self.reserved_sockets:
             reserved.close()
         if self.service is not None:
@@ -155,7 +155,7 @@
             self.forwarders.append(forwarder)
 
     async def _start_forwarders(self) -> None:
-        """Start all at once: one after the other takes too long with a large fleet."""
+        """Start all forwarders concurrently; one by one is too slow for a large fleet."""
         tasks = [
             asyncio.create_task(forwarder.start()) for forwarder in self.forwarders
         ]
@@ -175,9 +175,9 @@
             )
 
     async def _build_list_service(self) -> ListServiceProcess:
-        """The list service's process.
+        """Build the process of the list service.
 
-        The dials of its entries are the endpoints' own; relays replace them.
+        Its entries contain the real addresses of the endpoints; relays replace them.
         """
         experiment = self.experiment
         endpoint_addresses = {
@@ -199,7 +199,7 @@
     async def _build_forwarder(
         self, index: int, name: str, listen_port: int, peer_ports: dict[str, int]
     ) -> Forwarder:
-        """A forwarder, with its links started."""
+        """Start the links of a forwarder and build its process."""
         endpoint_dials = {
             endpoint_name: await self._start_link(
                 f"{name}>{endpoint_name}", endpoint.port
@@ -235,7 +235,7 @@
     async def _link_list_service(
         self, name: str, addresses: forwarder_config.ForwarderAddresses
     ) -> None:
-        """Start a forwarder's links to the list service, or to its stand-in."""
+        """Start a forwarder's links to the list service or its stand-in."""
         discovery_link = f"{name}>{LIST_SERVICE}"
         if self.service is None:
             stand_in = StandInListService(
@@ -255,23 +255,23 @@
         addresses.fleet = await self._start_link(f"{name}>{FLEET_ADDRESS}", relay_port)
 
     async def _start_relay(self, port: int, dials: dict[str, str]) -> int:
-        relay = await DiscoveryRelay(port, dials, self._record_notice).start()
+        relay = await DiscoveryRelay(port, dials, self._record_notification).start()
         self.servers.append(relay)
         return relay.listen_port
 
-    def _record_notice(self, notice: dict[str, Any]) -> None:
-        state = str(notice.get("state"))
+    def _record_notification(self, notification: dict[str, Any]) -> None:
+        state = str(notification.get("state"))
         self.record(
             {
                 "kind": "notice",
-                "id": str(notice["id"]),
+                "id": str(notification["id"]),
                 "state": state,
                 "at_ns": self.clock(),
             }
         )
 
     async def _start_link(self, name: str, port: int) -> str:
-        """Start a proxied link to a port; the address where it listens."""
+        """Start a proxied link to a port and return the address it listens on."""
         seed = zlib.crc32(f"{self.seed}/{name}".encode())
         link = ProxyLink(name, "127.0.0.1", port, seed=seed, limiter=self.limiter)
         self.links[name] = await link.start()
@@ -285,7 +285,7 @@
         return processes
 
     async def stop(self) -> None:
-        """End all processes, and stop all servers and links."""
+        """Kill all processes, and stop all servers and links."""
         await end_all(self.processes())
         for reserved in self.reserved_sockets:
             reserved.close()
@@ -298,7 +298,7 @@
             await server.stop()
 
     def statistics(self) -> dict[str, Any]:
-        """Links, connections and process ids as they stand in a verdict."""
+        """Links, connections and process ids for the verdict."""
         return {
             "links": [link.statistics() for link in self.links.values()],
             "connections": self.limiter.statistics(),
--- a/rainfall/lab/verdicts/__init__.py
+++ b/rainfall/lab/verdicts/__init__.py
@@ -1,8 +1,7 @@
-"""Checks the processes' own records of a run, and names the breaches.
+"""Checks the records of a run part by part, and lists the breaches.
 
-Each part's check is a pure function over records (dicts; times in ns from the start of
-the load) in a module of its own; ``check_all`` puts their results together as they stand
-in ``verdict.json``.
+Each check is a pure function over records (dicts; times in ns from the start of the load)
+in a module of its own. ``check_all`` combines the results for ``verdict.json``.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 def check_all(records: Sequence[Record], experiment: Experiment) -> dict[str, Any]:
-    """The results of all checks, by part; those of budgets by destination too."""
+    """The results of all checks by part; those of budgets by destination."""
     end_ns = int(experiment.duration_s * NS_PER_S)
     return {
         "budgets": {
@@ -43,11 +42,11 @@
     ("sessions", "out_of_order"),
     ("sessions", "split"),
 )
-"""Part and name of each count that must be 0."""
+"""Part and key of each count that must be 0."""
 
 
 def breaches(result: Mapping[str, Any]) -> list[str]:
-    """Each breach that a verdict shows, as 'name: count'; empty for a clean run."""
+    """List the breaches in a verdict as 'key: count'; empty for a clean run."""
     found = [
         f"{name}: {result[name]}"
         for name in ("lost", "doubled", "phantoms")
--- a/rainfall/lab/verdicts/budgets.py
+++ b/rainfall/lab/verdicts/budgets.py
@@ -1,6 +1,6 @@
-"""Whether the calls of all forwarders stayed within a destination's limit.
+"""Checks that the calls of all forwarders stayed within a destination's rate limit.
 
-The limit holds in every sliding window of its span.
+The limit applies to every sliding window.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 NS_PER_MS = 1_000_000
 USE_DIGITS = 4
-"""Decimal places of shares of the limit."""
+"""Decimal places of ratios."""
 
 
 class FullestWindow(NamedTuple):
-    """The window with the most calls, and where it first begins."""
+    """The number of calls in the fullest window, and the begin of the first such one."""
 
     calls: int
     begin_ns: int
@@ -25,7 +25,8 @@
 def fullest_window(times_ns: Sequence[int], span_ns: int) -> FullestWindow:
     """The fullest half-open window [t, t + span) over sorted times. O(n).
 
-    It is exact: a fullest window can be moved right until it begins at one of the times.
+    Only windows that begin at one of the times are tried. This is exact, because a
+    fullest window can be moved right until it begins at its first call.
     """
     fullest = FullestWindow(0, 0)
     end = 0
@@ -38,9 +39,9 @@
 
 
 def calls_over_limit(times_ns: Sequence[int], span_ns: int, calls: int) -> int:
-    """How many calls were beyond the limit when they were sent.
+    """How many calls exceeded the limit when they were sent.
 
-    Each has at least ``calls`` others in the window that ends with it.
+    Such a call has at least ``calls`` others in the window that ends with it.
     """
     over = 0
     first = 0
@@ -58,12 +59,12 @@
     span_ms: int,
     end_ns: int,
 ) -> dict[str, Any]:
-    """The result for one destination, for the verdict.
+    """The result for one destination.
 
-    ``over`` is by how many calls the fullest window is past the limit, ``calls_over``
-    how many calls were sent beyond it, ``used`` the part of the limit that was sent from
-    the start of the load to its end, ``used_accepted`` the part that endpoints did not
-    reject.
+    ``over`` is the number of calls by which the fullest window exceeds the limit, and
+    ``calls_over`` the number of calls that exceeded it when sent. ``used`` is the
+    fraction of the limit that was sent during the load, ``used_accepted`` the fraction
+    that endpoints did not reject.
     """
     sent_ns = sorted(
         record["at_ns"]
--- a/rainfall/lab/verdicts/leases.py
+++ b/rainfall/lab/verdicts/leases.py
@@ -1,8 +1,8 @@
-"""Whether two members used a lease at once, or a fencing token went back.
+"""Checks that no two members used a lease at once, and that fencing tokens increase.
 
-A ``granted`` record is the service's: a lease has a holder under a token (a renewal
-grants nothing new). An ``acted`` record is a member's: it did something under a token.
-Tokens are [epoch, number] and compare in that order.
+A ``granted`` record comes from the lease service: ``holder`` got the lease with a fencing
+token (a renewal keeps the token). An ``acted`` record comes from a member that used the
+lease with a token. Tokens are [epoch, number] and compare in that order.
 """
 
 from __future__ import annotations
@@ -16,51 +16,51 @@
 Token = tuple[int, int]
 NO_TOKEN: Token = (-1, -1)
 KIND_ORDER = {"granted": 0, "acted": 1}
-"""Of records with the same time the grants come first."""
+"""Grants sort before uses at the same time."""
 
 
 @dataclass(slots=True)
-class _Lease:
-    """The highest grant of a lease, and the highest token that was used."""
+class _LeaseState:
+    """The highest token of a lease that was granted, and the highest that was used."""
 
     granted: Token = NO_TOKEN
     holder: str = ""
     acted: Token = NO_TOKEN
-    actor: str = ""
+    last_user: str = ""
 
-    def grant_goes_back(self, token: Token, holder: str) -> bool:
-        """Whether a grant does not raise the token; the same grant again may stand."""
+    def is_regression(self, token: Token, holder: str) -> bool:
+        """Whether a grant does not increase the token; repeating a grant is allowed."""
         is_same = token == self.granted and holder == self.holder
         return token <= self.granted and not is_same
 
     def overlaps(self, token: Token, member: str) -> bool:
-        """Whether a member uses a token while the lease is another's."""
+        """Whether a member uses a token while another member has the lease."""
         is_superseded = self.granted > token and self.holder != member
-        is_others = self.granted == token and self.holder != member
-        is_shared = self.acted == token and self.actor != member
-        return is_superseded or is_others or is_shared
+        is_granted_to_other = self.granted == token and self.holder != member
+        is_shared = self.acted == token and self.last_user != member
+        return is_superseded or is_granted_to_other or is_shared
 
 
 def check(records: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
-    """The result for the verdict.
+    """The result of the check.
 
-    ``overlaps`` counts uses by one member while the lease was another's: granted to that
-    one under a higher token, or used by it under the same. ``tokens_back`` counts grants
-    that do not raise the token, and uses of a token below one used before.
+    ``overlaps`` counts uses by a member while another member had the lease: granted with
+    the same or a higher token, or used with the same token. ``tokens_back`` counts
+    grants that do not increase the token, and uses of a token lower than an earlier one.
     """
     ordered = sorted(
         (record for record in records if record["kind"] in KIND_ORDER),
         key=lambda record: (record["at_ns"], KIND_ORDER[record["kind"]]),
     )
-    leases: dict[str, _Lease] = {}
+    leases: dict[str, _LeaseState] = {}
     overlaps: list[dict[str, Any]] = []
     regressions: list[dict[str, Any]] = []
     for record in ordered:
-        lease = leases.setdefault(record["lease"], _Lease())
+        lease = leases.setdefault(record["lease"], _LeaseState())
         epoch, number = record["token"]
         token: Token = (int(epoch), int(number))
         if record["kind"] == "granted":
-            if lease.grant_goes_back(token, record["holder"]):
+            if lease.is_regression(token, record["holder"]):
                 regressions.append(dict(record))
             if token > lease.granted:
                 lease.granted = token
@@ -72,7 +72,7 @@
             regressions.append(dict(record))
         else:
             lease.acted = token
-            lease.actor = record["member"]
+            lease.last_user = record["member"]
     return {
         "seen": len(ordered),
         "leases": len(leases),
--- a/rainfall/lab/verdicts/listing.py
+++ b/rainfall/lab/verdicts/listing.py
@@ -1,6 +1,6 @@
-"""How much of what a check finds is listed in the verdict."""
+"""The limit on records listed in a verdict."""
 
 from __future__ import annotations
 
 LISTED_RECORDS = 20
-"""Records of one kind of breach; the others are only counted."""
+"""Most records listed for one kind of breach; further ones are only counted."""
--- a/rainfall/lab/verdicts/sessions.py
+++ b/rainfall/lab/verdicts/sessions.py
@@ -1,9 +1,9 @@
-"""Whether sessions kept their order, and lost nothing, through migrations.
+"""Checks that sessions keep their order and lose no message during migrations.
 
-From the load's ``try`` records with ``session`` and ``number``, the endpoints' ``call``
-records, and the forwarders' ``session`` records (``key``, ``step``, ``member``,
-``at_ns``), whose steps are those of ``docs/parts.md``: held, offered, frozen, copied,
-committed, tail, done, aborted.
+The check uses the load's ``try`` records with ``session`` and ``number``, the endpoints'
+``call`` records, and the forwarders' ``session`` records (``key``, ``step``, ``member``,
+``at_ns``). ``docs/parts.md`` defines the steps: held, offered, frozen, copied, committed,
+tail, done, aborted.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 
 class SessionPosition(NamedTuple):
-    """A message's place in its session."""
+    """A message's position in its session."""
 
     session: str
     number: int
 
 
 def out_of_order(records: Iterable[Mapping[str, Any]]) -> list[SessionPosition]:
-    """The messages that an endpoint was called for after a later one was delivered.
+    """The messages with a call after a later message of the session was delivered.
 
-    Calls after a message's own delivery do not count. Only attempts that were accepted
-    have an order: PROTOCOL demands nothing for an id without an answer.
+    Calls after the delivery of the message itself do not count. Only accepted attempts
+    are ordered: PROTOCOL requires nothing for an id without an answer.
     """
     positions: dict[str, SessionPosition] = {}
     calls: list[Mapping[str, Any]] = []
@@ -46,34 +46,34 @@
             calls.append(record)
     highest_delivered: dict[str, int] = {}
     delivered: set[SessionPosition] = set()
-    late: dict[SessionPosition, None] = {}
+    overtaken: dict[SessionPosition, None] = {}
     for call in sorted(calls, key=lambda call: call["at_ns"]):
         called = positions.get(call["id"])
         if called is None:
             continue
         highest = highest_delivered.get(called.session, -1)
         if called.number < highest and called not in delivered:
-            late[called] = None
+            overtaken[called] = None
         if call["status"] == DELIVERED_STATUS:
             delivered.add(called)
             highest_delivered[called.session] = max(highest, called.number)
-    return list(late)
+    return list(overtaken)
 
 
 @dataclass(slots=True)
 class MigrationCounts:
-    """How the migrations of sessions ended."""
+    """The number of session migrations by outcome."""
 
     completed: int = 0
     aborted: int = 0
     split: int = 0
     """Migrations that one side completed and the other aborted."""
     unfinished: int = 0
-    """Migrations that were offered, and neither completed nor aborted."""
+    """Migrations that were offered but neither completed nor aborted."""
     longest_pause_ns: int = 0
 
     def add(self, ends: set[str]) -> None:
-        """Count a migration by the steps that ended it."""
+        """Count a migration; ``ends`` holds those of its steps that end a migration."""
         self.completed += "done" in ends
         self.aborted += "aborted" in ends and "done" not in ends
         self.split += ends >= {"done", "aborted"}
@@ -81,9 +81,10 @@
 
 
 def count_migrations(records: Iterable[Mapping[str, Any]]) -> MigrationCounts:
-    """Count migrations; one lasts from ``offered`` to the key's next ``offered``.
+    """Count the migrations; each lasts from ``offered`` to the next ``offered`` of the key.
 
-    Its pause is from ``frozen`` to the first ``committed`` or ``aborted`` after it.
+    The pause of a migration lasts from ``frozen`` to the next ``committed`` or
+    ``aborted``.
     """
     steps = sorted(
         (record for record in records if record["kind"] == "session"),
@@ -116,16 +117,16 @@
     effects: Mapping[str, str],
     deadlines_ns: Mapping[str, int],
 ) -> dict[str, Any]:
-    """The result for the verdict.
+    """The result of the check.
 
-    ``seen`` counts the forwarders' records, ``messages`` the load's messages with a
-    session; lost, doubled and out of order are counted among these.
+    ``seen`` counts the forwarders' records and ``messages`` the load's messages with a
+    session. ``lost``, ``doubled`` and ``out_of_order`` count only such messages.
     """
     joined = checker.join_records(records, deadlines_ns)
     session_messages = [
         message for message in joined.messages.values() if message.session
     ]
-    late = out_of_order(records)
+    overtaken = out_of_order(records)
     migrations = count_migrations(records)
     return {
         "seen": sum(record["kind"] == "session" for record in records),
@@ -136,14 +137,16 @@
         "split": migrations.split,
         "open": migrations.unfinished,
         "lost": sum(
-            message.lost(joined.noticed, joined.wiped) for message in session_messages
+            message.is_lost(joined.notified_states, joined.wiped_at_ns)
+            for message in session_messages
         ),
         "doubled": sum(
-            message.doubled(effects[message.class_name]) for message in session_messages
+            message.is_doubled(effects[message.class_name])
+            for message in session_messages
         ),
-        "out_of_order": len(late),
+        "out_of_order": len(overtaken),
         "out_of_order_records": [
-            f"{session} {number}" for session, number in late[:LISTED_RECORDS]
+            f"{session} {number}" for session, number in overtaken[:LISTED_RECORDS]
         ],
         "longest_pause_ms": migrations.longest_pause_ns / NS_PER_MS,
     }
--- a/rainfall/lab/verdicts/shards.py
+++ b/rainfall/lab/verdicts/shards.py
@@ -1,9 +1,9 @@
-"""Whether any key had two owners at once, and for how long keys had none.
+"""Checks that no key had two owners at once, and measures how long keys had none.
 
-An ``owns`` record: ``member`` acts for every key from ``from`` to ``to`` (16
-hexadecimal digits, inclusive) from ``begin_ns`` to ``end_ns``, which is null while it
-lasts. The keys are cut at every range's ends, so that within one piece all keys have
-the same owners at each moment: the result is exact for all 2**64.
+An ``owns`` record states that ``member`` owns every key from ``from`` to ``to`` (16
+hexadecimal digits, inclusive) from ``begin_ns`` to ``end_ns``, which is null while the
+ownership lasts. The key space is cut at the ends of all ranges, so that all keys of a
+piece have the same owners at any time: the result is exact for all 2**64 keys.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipInterval:
-    """A time in which a member owns a range of keys."""
+    """A period in which a member owns a range of keys."""
 
     member: str
     first: int
@@ -32,7 +32,7 @@
 
 
 class _Ownership(NamedTuple):
-    """What tells ownerships apart; the fields are the first of an interval's."""
+    """The identity of an ownership: the first fields of ``OwnershipInterval``."""
 
     member: str
     first: int
@@ -42,7 +42,7 @@
 
 
 class OwnedKeys(NamedTuple):
-    """Keys that have the same owners at each moment."""
+    """A range of keys that have the same owners at any time."""
 
     first: int
     last: int
@@ -50,7 +50,7 @@
 
 
 class Overlap(NamedTuple):
-    """A time in which keys had two owners."""
+    """A period in which keys had two owners."""
 
     first_owner: OwnershipInterval
     second_owner: OwnershipInterval
@@ -61,10 +61,10 @@
 def ownership_intervals(
     records: Iterable[Mapping[str, Any]], end_ns: int
 ) -> list[OwnershipInterval]:
-    """The ownership intervals of a run that ends at ``end_ns``.
+    """The ownership intervals of a run that ends at ``end_ns``, ordered by begin.
 
-    Of several records with one beginning, one with an end counts. Without an end the
-    interval ends with its process, else with the run.
+    Of several records of one ownership, the first with an end counts. Without an end the
+    interval lasts until the end of its process, or else of the run.
     """
     end_of_ownership: dict[_Ownership, int | None] = {}
     process_ends_ns: dict[str, list[int]] = {}
@@ -100,9 +100,9 @@
 
 
 def split_by_ranges(intervals: list[OwnershipInterval]) -> list[OwnedKeys]:
-    """The key space cut at the ends of all ranges.
+    """Cut the key space at the ends of all ranges.
 
-    Within one piece all keys have the same intervals.
+    All keys of a piece have the same intervals.
     """
     cuts = sorted(
         {0, KEY_COUNT}
@@ -122,12 +122,13 @@
 
 
 def check(records: Iterable[Mapping[str, Any]], end_ns: int) -> dict[str, Any]:
-    """The result for the verdict.
+    """The result of the check.
 
-    ``two_owners`` counts the times in which a piece of the key space had two owners, of
-    ``two_owners_keys`` keys and ``two_owners_longest_ms`` at most. ``unowned_keys`` had
-    no owner at some time between their first owner and the end of the load, for
-    ``unowned_longest_ms`` at most. ``never_owned_keys`` had none at all (0 if no key had
+    ``two_owners`` counts the periods in which a piece of the key space had two owners;
+    ``two_owners_keys`` is the number of keys concerned and ``two_owners_longest_ms`` the
+    longest period. ``unowned_keys`` counts keys without an owner at some time between
+    their first owner and the end of the load, and ``unowned_longest_ms`` is the longest
+    such gap. ``never_owned_keys`` counts keys that never had an owner (0 if no key had
     one).
     """
     intervals = ownership_intervals(records, end_ns)
@@ -179,9 +180,9 @@
 
 
 def _overlaps(intervals: list[OwnershipInterval]) -> list[Overlap]:
-    """Each pair of intervals of different members that share time.
+    """The overlaps between intervals of different members.
 
-    The intervals are in the order of their beginnings.
+    The intervals are ordered by begin.
     """
     overlaps: list[Overlap] = []
     active: list[OwnershipInterval] = []
@@ -196,11 +197,11 @@
 
 
 def _longest_gap_ns(intervals: list[OwnershipInterval], end_ns: int) -> int:
-    """The longest time without an owner between the first one and ``end_ns``."""
-    covered_ns = intervals[0].begin_ns
+    """The longest time without an owner between the first interval and ``end_ns``."""
+    covered_until_ns = intervals[0].begin_ns
     longest_ns = 0
     for interval in intervals:
-        gap_ns = min(interval.begin_ns, end_ns) - covered_ns
+        gap_ns = min(interval.begin_ns, end_ns) - covered_until_ns
         longest_ns = max(longest_ns, gap_ns)
-        covered_ns = max(covered_ns, interval.end_ns)
-    return max(longest_ns, end_ns - covered_ns, 0)
+        covered_until_ns = max(covered_until_ns, interval.end_ns)
+    return max(longest_ns, end_ns - covered_until_ns, 0)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,5 +1,5 @@
-"""The fleet lab: its checker against a simple model, its file check, its proxy, and one
-real small fleet.
+"""Tests the checker against a simple model, the validation of experiment files, the
+fault proxy, and a run of a small fleet with real processes.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 EFFECTS = {"pay": "once", "status": "repeatable"}
 DEADLINES = {"pay": 10**9, "status": 10**9}
 
-# A message: its class, each try's answer and the 200s under that try's id, and a notice
-# or not.
-Try = tuple[int, int]
-Message = tuple[str, list[Try], bool]
-message = st.tuples(
+# A message: its class, its attempts and whether there is a notification. An attempt is
+# the status of the response and the number of deliveries under its id.
+Attempt = tuple[int, int]
+Message = tuple[str, list[Attempt], bool]
+message_strategy = st.tuples(
     st.sampled_from(sorted(EFFECTS)),
     st.lists(
         st.tuples(st.sampled_from([202, 429, 0]), st.integers(0, 2)),
@@ -38,16 +38,16 @@
 
 
 def records(messages: list[Message]) -> list[dict[str, object]]:
-    out: list[dict[str, object]] = []
-    for n, (cls, tries, noticed) in enumerate(messages):
-        for t, (status, delivered) in enumerate(tries):
-            name = f"k{n}.{t}"
-            out.append(
+    result: list[dict[str, object]] = []
+    for message_number, (class_name, attempts, noticed) in enumerate(messages):
+        for attempt_number, (status, deliveries) in enumerate(attempts):
+            message_id = f"k{message_number}.{attempt_number}"
+            result.append(
                 {
                     "kind": "try",
-                    "key": f"k{n}",
-                    "id": name,
-                    "cls": cls,
+                    "key": f"k{message_number}",
+                    "id": message_id,
+                    "cls": class_name,
                     "destination": 7,
                     "forwarder": 0,
                     "due_ns": 0,
@@ -56,38 +56,38 @@
                     "status": status,
                 }
             )
-            out += [
+            result += [
                 {
                     "kind": "call",
-                    "key": f"k{n}",
-                    "id": name,
+                    "key": f"k{message_number}",
+                    "id": message_id,
                     "endpoint": "e0",
                     "destination": 7,
                     "status": 200,
-                    "at_ns": 10 + d,
+                    "at_ns": 10 + repeat,
                 }
-                for d in range(delivered)
+                for repeat in range(deliveries)
             ]
         if noticed:
-            out.append(
+            result.append(
                 {
                     "kind": "notice",
-                    "id": f"k{n}.{len(tries) - 1}",
+                    "id": f"k{message_number}.{len(attempts) - 1}",
                     "state": "failed",
                     "at_ns": 20,
                 }
             )
-    return out
+    return result
 
 
 @settings(derandomize=True, deadline=None, max_examples=120)
-@given(st.lists(message, max_size=30))
+@given(st.lists(message_strategy, max_size=30))
 @example(
     [("pay", [(202, 0)], False), ("pay", [(202, 2)], False)]
-)  # one lost and one doubled, planted
+)  # one message lost, one delivered twice
 @example(
     [("pay", [(0, 1), (202, 1)], False)]
-)  # handed in again after no answer, delivered under both
+)  # sent again after no response, delivered under both ids
 def test_the_checker_agrees_with_a_simple_model(messages: list[Message]) -> None:
     result = checker.verdict(records(messages), EFFECTS, DEADLINES, max_lag_ms=1.0)
     once = [tries for cls, tries, _ in messages if EFFECTS[cls] == "once"]
@@ -114,7 +114,7 @@
     assert result["total"]["accepted"] == len(taken)
 
 
-def test_every_fault_of_a_file_is_told_with_its_path() -> None:
+def test_experiment_errors_are_reported_with_their_paths() -> None:
     text = """
         duration_s = 5
         colour = "red"
@@ -144,20 +144,20 @@
     """
     with pytest.raises(ExperimentError) as caught:
         parse(text)
-    assert caught.value.faults == [
+    assert caught.value.errors == [
         "colour: unknown key",
         "fleet.forwarders: 0 must be 1 to 64",
-        "fleet.service_args[1]: a str is wanted, not 9",
-        "fleet.service_args[2]: '--state=x' is the lab's to give",
-        "fleet.service_args: there is no service to give them to",
-        "load.classes[0].effect: 'twice' is one of ('once', 'repeatable')",
-        "budgets[0].destination: 9 is no destination",
+        "fleet.service_args[1]: expected a str, got 9",
+        "fleet.service_args[2]: '--state=x' is set by the lab",
+        "fleet.service_args: requires fleet.service",
+        "load.classes[0].effect: 'twice' must be one of ('once', 'repeatable')",
+        "budgets[0].destination: 9 is not a destination of the fleet",
         "budgets[0].calls: 0 is out of range",
-        "faults[0].at_s: 9.0 is not within the run",
-        "faults[0].target: 'f7' is no forwarder",
-        "faults[1].target: 'f0>nowhere' names no link",
-        "faults[1].for_s: a link fault needs a time over 0",
-        "nemesis.kinds[1]: 'flood' is none of kill, pause, term, delay, drop, reset, silence, oneway",
+        "faults[0].at_s: 9.0 is outside the run",
+        "faults[0].target: 'f7' is not a process of the fleet",
+        "faults[1].target: 'f0>nowhere' matches no link",
+        "faults[1].for_s: a link fault needs a duration over 0",
+        "nemesis.kinds[1]: 'flood' must be one of kill, pause, term, delay, drop, reset, silence, oneway",
         "nemesis.quiet_s: 5.0 leaves no time for faults",
     ]
     assert cli.main(["check", str(EXPERIMENTS / "missing.toml")]) == 2
@@ -166,7 +166,7 @@
 @pytest.mark.parametrize(
     "path", sorted(EXPERIMENTS.glob("*.toml")), ids=lambda p: p.stem
 )
-def test_the_kept_experiments_are_sound(path: Path) -> None:
+def test_bundled_experiments_are_valid(path: Path) -> None:
     experiment = read(path)
     assert experiment.faults or experiment.budgets
 
@@ -179,30 +179,28 @@
         writer.close()
 
 
-async def through(state: str) -> tuple[bytes | str, bytes | str]:
-    """What a client reads through a link in ``state``, and then once the link has
-    healed.
-    """
+async def exchange_through_link(state: str) -> tuple[bytes | str, bytes | str]:
+    """What a client reads through a link in ``state``, and after the link has healed."""
     peer = await asyncio.start_server(echo, "127.0.0.1", 0)
     link = await ProxyLink(
         "t", "127.0.0.1", peer.sockets[0].getsockname()[1], seed=1
     ).start()
     reader, writer = await asyncio.open_connection("127.0.0.1", link.listen_port)
     link.set_state(state, delay_ms=5)
-    seen: list[bytes | str] = []
+    received: list[bytes | str] = []
     for _ in range(2):
         try:
             writer.write(b"ping")
             async with asyncio.timeout(0.5):
-                seen.append(await reader.readexactly(4))
+                received.append(await reader.readexactly(4))
         except TimeoutError:
-            seen.append("silent")
+            received.append("silent")
         except (OSError, asyncio.IncompleteReadError):
-            seen.append("reset")
+            received.append("reset")
         link.set_state("pass")
     await link.stop()
     peer.close()
-    return seen[0], seen[1]
+    return received[0], received[1]
 
 
 @pytest.mark.parametrize(
@@ -216,14 +214,14 @@
         ("reset", ("reset", "reset")),
     ],
 )
-def test_each_state_of_a_link_does_what_it_says(
+def test_link_state_affects_traffic_until_healed(
     state: str, seen: tuple[object, object]
 ) -> None:
-    assert asyncio.run(through(state)) == seen
+    assert asyncio.run(exchange_through_link(state)) == seen
 
 
-# One session, at home at f0, which stays up: today a session whose forwarder dies may
-# lose its order.
+# There is one session. Its clients use f0, which is not killed, because a session may lose
+# its order if its forwarder dies.
 SMALL = """
 name = "small"
 duration_s = 2
@@ -269,67 +267,77 @@
 """
 
 
-def test_a_small_fleet_with_its_list_service_loses_nothing_through_kills_and_a_cut(
+def test_small_fleet_loses_no_message_during_kills_and_a_partition(
     tmp_path: Path,
 ) -> None:
     (tmp_path / "small.toml").write_text(SMALL)
     out = tmp_path / "out"
-    code = cli.main(
+    exit_code = cli.main(
         ["run", str(tmp_path / "small.toml"), "--out", str(out), "--seed", "3"]
     )
     result = json.loads((out / "verdict.json").read_text())
-    assert (code, result["breaches"], result["lost"], result["doubled"]) == (
+    assert (exit_code, result["breaches"], result["lost"], result["doubled"]) == (
         0,
         [],
         0,
         0,
     )
     assert len(result["pids"]["f1"]) == len(result["pids"]["list"]) == 2, (
-        "both were started again"
+        "f1 and list were not both restarted"
     )
     assert result["total"]["delivered"] > result["total"]["messages"] / 2
     assert result["sessions"]["messages"] and result["sessions"]["keys"] == 1
     records = [
         json.loads(line) for line in (out / "records.jsonl").read_text().splitlines()
     ]
-    assert sorted(r["fault"] for r in records if r["kind"] == "fault") == [
+    assert sorted(
+        record["fault"] for record in records if record["kind"] == "fault"
+    ) == [
         "kill",
         "kill",
         "silence",
     ]
-    did = [
-        (r["member"], r["did"])
-        for r in records
-        if r["kind"] == "process" and r["at_ns"] >= 0
+    process_events = [
+        (record["member"], record["did"])
+        for record in records
+        if record["kind"] == "process" and record["at_ns"] >= 0
     ]
-    assert [did.count((m, d)) for m in ("f0", "f1", "list") for d in ("started", "ended", "wiped")] == [
+    assert [
+        process_events.count((member, event))
+        for member in ("f0", "f1", "list")
+        for event in ("started", "ended", "wiped")
+    ] == [
         0, 1, 0,
         1, 2, 0,
         1, 2, 1,
-    ], "each is ended once more by the lab, after the settling"  # fmt: skip
-    sent = [r["id"] for r in records if r["kind"] == "sent"]
+    ], "the lab ends each process once more after settling"  # fmt: skip
+    sent = [record["id"] for record in records if record["kind"] == "sent"]
     assert result["budgets"]["7"]["seen"] == len(sent) >= result["total"]["delivered"]
-    assert {r["id"] for r in records if r["kind"] == "call"} <= set(sent), (
-        "each call left a forwarder"
-    )
+    assert {record["id"] for record in records if record["kind"] == "call"} <= set(
+        sent
+    ), "a call without a sent record"
     config = json.loads((out / "members" / "f0" / "config.json").read_text())
     assert config["fleet"]["lease_ms"] == 900 and list(config["fleet"]["peers"]) == [
         "f1"
     ]
     assert pids.still_running(out) == []
     assert (out / "report.png").stat().st_size > 0
-    delivered = next(r for r in records if r["kind"] == "call" and r["status"] == 200)
+    delivered = next(
+        record
+        for record in records
+        if record["kind"] == "call" and record["status"] == 200
+    )
     events = [
-        (w["process"], w.get("event", w.get("kind")))
-        for w in report.message_path(out, delivered["key"])
+        (entry["process"], entry.get("event", entry.get("kind")))
+        for entry in report.message_path(out, delivered["key"])
     ]
     assert ("lab", "try") in events and ("lab", "call") in events
     assert {"arrived", "sent", "ended"} <= {
-        e for p, e in events if p.startswith("f")
+        event_name for process, event_name in events if process.startswith("f")
     }, events
 
 
-def test_a_call_that_nobody_handed_in_voids_the_run() -> None:
+def test_phantom_call_is_a_breach() -> None:
     call = {
         "kind": "call",
         "key": "",
