--- a/tests/lab/test_verdicts.py
+++ b/tests/lab/test_verdicts.py
@@ -1,6 +1,6 @@
-"""The lab's verdicts on the parts: each check against a slow model or planted breaches;
-the nemesis' rules; sweeps that breach, hang and are interrupted; the list relay and the
-bound on connections.
+"""Tests the verdicts on the parts against slow models and injected breaches; the rules of
+random faults; sweeps with breaches, timeouts and interrupts; the discovery relay and the
+limit on connections.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from rainfall.lab.verdicts import sessions as sessions_check
 
 Records = list[dict[str, Any]]
-steady = settings(derandomize=True, deadline=None, max_examples=150)
+deterministic = settings(derandomize=True, deadline=None, max_examples=150)
 TEXT = """
 duration_s = 20
 [fleet]
@@ -64,7 +64,7 @@
 MS = 1_000_000
 
 
-@steady
+@deterministic
 @given(st.lists(st.integers(0, 40), max_size=30), st.integers(1, 12), st.integers(1, 4))
 def test_the_worst_sliding_span_is_exact(
     times: list[int], span: int, calls: int
@@ -82,7 +82,7 @@
     assert budgets.calls_over_limit(times, span, calls) == over
 
 
-stretch = st.tuples(
+ownership_strategy = st.tuples(
     st.sampled_from("abc"),
     st.integers(0, 7),
     st.integers(0, 7),
@@ -91,8 +91,8 @@
 )
 
 
-@steady
-@given(st.lists(stretch, min_size=1, max_size=7))
+@deterministic
+@given(st.lists(ownership_strategy, min_size=1, max_size=7))
 def test_owners_of_keys_agree_with_a_bitmap(
     told: list[tuple[str, int, int, int, int]],
 ) -> None:
@@ -137,64 +137,76 @@
     assert found["never_owned_keys"] == ((1 << 64) - len(claimed) if claimed else 0)
 
 
-def clean() -> Records:
-    """Two forwarders, everything in order: what every planted breach below starts
-    from.
-    """
-    made: Records = []
-    for n in range(6):
-        key, at, cls = f"k{n}", n * 400 * MS, "feed" if n < 4 else "pay"
-        where = {"session": "s", "number": n} if cls == "feed" else {}
-        made += [
-            {"kind": "try", "key": key, "id": f"{key}.0", "cls": cls, "destination": 7, "forwarder": n % 2,
-             "due_ns": at, "sent_ns": at, "answer_ns": at + MS, "status": 202, **where},
-            {"kind": "sent", "member": f"f{n % 2}", "destination": 7, "id": f"{key}.0", "at_ns": at + 2 * MS},
+def breach_free_records() -> Records:
+    """Records of two forwarders without a breach; each breach case modifies them."""
+    records: Records = []
+    for number in range(6):
+        key, at_ns, class_name = (
+            f"k{number}",
+            number * 400 * MS,
+            "feed" if number < 4 else "pay",
+        )
+        session_fields = (
+            {"session": "s", "number": number} if class_name == "feed" else {}
+        )
+        records += [
+            {"kind": "try", "key": key, "id": f"{key}.0", "cls": class_name, "destination": 7,
+             "forwarder": number % 2, "due_ns": at_ns, "sent_ns": at_ns, "answer_ns": at_ns + MS,
+             "status": 202, **session_fields},
+            {"kind": "sent", "member": f"f{number % 2}", "destination": 7, "id": f"{key}.0",
+             "at_ns": at_ns + 2 * MS},
             {"kind": "call", "key": key, "id": f"{key}.0", "destination": 7, "status": 200,
-             "at_ns": at + 3 * MS},
+             "at_ns": at_ns + 3 * MS},
         ]  # fmt: skip
-    for n, member in enumerate(("f0", "f1")):
-        at, token, key = n * 1000 * MS, [1, n + 1], "0000000000000007"
-        made += [
-            {"kind": "granted", "lease": "planner", "holder": member, "token": token, "at_ns": at},
-            {"kind": "acted", "member": member, "lease": "planner", "token": token, "at_ns": at},
-            {"kind": "acted", "member": member, "lease": "planner", "token": token, "at_ns": at + 900 * MS},
-            {"kind": "owns", "member": member, "from": key, "to": key, "generation": n,
-             "begin_ns": at, "end_ns": at + 1000 * MS, "at_ns": at},
+    for number, member in enumerate(("f0", "f1")):
+        at_ns, token, key = number * 1000 * MS, [1, number + 1], "0000000000000007"
+        records += [
+            {"kind": "granted", "lease": "planner", "holder": member, "token": token, "at_ns": at_ns},
+            {"kind": "acted", "member": member, "lease": "planner", "token": token, "at_ns": at_ns},
+            {"kind": "acted", "member": member, "lease": "planner", "token": token,
+             "at_ns": at_ns + 900 * MS},
+            {"kind": "owns", "member": member, "from": key, "to": key, "generation": number,
+             "begin_ns": at_ns, "end_ns": at_ns + 1000 * MS, "at_ns": at_ns},
         ]  # fmt: skip
-    for step, at in (
+    for step, at_ns in (
         ("offered", 10),
         ("frozen", 20),
         ("copied", 25),
         ("committed", 32),
         ("done", 40),
     ):
-        made.append(
+        records.append(
             {
                 "kind": "session",
                 "key": "s",
                 "step": step,
                 "member": "f0",
-                "at_ns": at * MS,
+                "at_ns": at_ns * MS,
             }
         )
-    return made
+    return records
 
 
-def judged(records: Records) -> dict[str, Any]:
-    exp = parse(TEXT)
-    effects = {c.name: c.effect for c in exp.load.classes}
-    deadlines = {c.name: int(c.deadline_s * 1e9) for c in exp.load.classes}
+def compute_verdict(records: Records) -> dict[str, Any]:
+    experiment = parse(TEXT)
+    effects = {
+        load_class.name: load_class.effect for load_class in experiment.load.classes
+    }
+    deadlines = {
+        load_class.name: int(load_class.deadline_s * 1e9)
+        for load_class in experiment.load.classes
+    }
     return checker.verdict(records, effects, deadlines, 1.0) | verdicts.check_all(
-        records, exp
+        records, experiment
     )
 
 
-def change(records: Records, kind: str, number: int, **new: Any) -> None:
-    [r for r in records if r["kind"] == kind][number].update(new)
+def update_record(records: Records, kind: str, number: int, **new: Any) -> None:
+    [record for record in records if record["kind"] == kind][number].update(new)
 
 
-def test_clean_records_show_no_breach_and_their_figures() -> None:
-    result = judged(clean())
+def test_breach_free_records_give_expected_figures() -> None:
+    result = compute_verdict(breach_free_records())
     assert verdicts.breaches(result) == []
     assert (result["budgets"]["7"]["worst"], result["budgets"]["7"]["used"]) == (3, 0.1)
     assert [result[part]["seen"] for part in ("leases", "shards", "sessions")] == [
@@ -206,101 +218,118 @@
         1,
         12,
     )
-    empty = judged([])
+    empty = compute_verdict([])
     assert (
         verdicts.breaches(empty) == []
         and empty["budgets"]["7"]["seen"] == empty["leases"]["seen"] == 0
     )
 
 
-def plants() -> list[tuple[str, str, Any]]:
-    """What each planted breach is found as, and how it is planted."""
+def breach_cases() -> list[tuple[str, str, Any]]:
+    """Name of each injected breach, its entry in the verdict, and the function that injects
+    it.
+    """
 
     def add(**record: Any) -> Any:
         return lambda records: records.append(record)
 
     def edit(kind: str, number: int, **new: Any) -> Any:
-        return lambda records: change(records, kind, number, **new)
+        return lambda records: update_record(records, kind, number, **new)
 
     def drop(kind: str, number: int) -> Any:
         return lambda records: records.remove(
-            [r for r in records if r["kind"] == kind][number]
+            [record for record in records if record["kind"] == kind][number]
         )
 
     acted = {"kind": "acted", "lease": "planner"}
     return [
-        ("a fourth call in a span", "budgets.7.over: 1", edit("sent", 3, at_ns=1001 * MS)),
-        ("a stopped holder acts on", "leases.overlaps: 1",
+        ("four calls in a span with limit 3", "budgets.7.over: 1", edit("sent", 3, at_ns=1001 * MS)),
+        ("former holder still uses a lease", "leases.overlaps: 1",
          add(**acted, member="f0", token=[1, 1], at_ns=1000 * MS)),
-        ("one acts under another's grant", "leases.overlaps: 1",
-         lambda r: (drop("acted", 0)(r), change(r, "acted", 0, member="f1"))),
-        ("two act under one token", "leases.overlaps: 1",
-         lambda r: r.extend([{**acted, "member": m, "token": [9, 9], "at_ns": 9000 * MS + n}
-                             for n, m in enumerate(("f1", "f2"))])),
-        ("a token acted on goes back", "leases.tokens_back: 1",
+        ("member uses a token of another member", "leases.overlaps: 1",
+         lambda records: (drop("acted", 0)(records), update_record(records, "acted", 0, member="f1"))),
+        ("two members use one token", "leases.overlaps: 1",
+         lambda records: records.extend(
+             [{**acted, "member": member, "token": [9, 9], "at_ns": 9000 * MS + number}
+              for number, member in enumerate(("f1", "f2"))])),
+        ("lower token is used", "leases.tokens_back: 1",
          add(**acted, member="f1", token=[1, 1], at_ns=2500 * MS)),
-        ("a grant goes back", "leases.tokens_back: 1",
+        ("lower token is granted", "leases.tokens_back: 1",
          add(kind="granted", lease="planner", holder="f0", token=[0, 9], at_ns=1500 * MS)),
-        ("a grant is given twice", "leases.tokens_back: 1",
+        ("one token is granted to two members", "leases.tokens_back: 1",
          add(kind="granted", lease="planner", holder="f0", token=[1, 2], at_ns=2500 * MS)),
-        ("the new owner begins early", "shards.two_owners: 1", edit("owns", 1, begin_ns=999 * MS)),
-        ("a message of a session is lost", "sessions.lost: 1", drop("call", 3)),
-        ("a message of a session goes twice", "sessions.doubled: 1",
+        ("new owner begins before the old one ends", "shards.two_owners: 1",
+         edit("owns", 1, begin_ns=999 * MS)),
+        ("session message is lost", "sessions.lost: 1", drop("call", 3)),
+        ("session message is delivered twice", "sessions.doubled: 1",
          add(kind="call", key="k1", id="k1.0", destination=7, status=200, at_ns=450 * MS)),
-        ("a later one overtakes", "sessions.out_of_order: 1", edit("call", 0, at_ns=500 * MS)),
-        ("a later one overtakes a try", "sessions.out_of_order: 1",
-         lambda r: (change(r, "call", 0, at_ns=500 * MS, status=500), change(r, "try", 0, status=202),
-                    r.append({"kind": "notice", "id": "k0.0", "state": "failed", "at_ns": 501 * MS}))),
-        ("a hand-over ends both ways", "sessions.split: 1",
+        ("later session message is delivered first", "sessions.out_of_order: 1",
+         edit("call", 0, at_ns=500 * MS)),
+        ("later session message overtakes a failed call", "sessions.out_of_order: 1",
+         lambda records: (update_record(records, "call", 0, at_ns=500 * MS, status=500),
+                          update_record(records, "try", 0, status=202),
+                          records.append({"kind": "notice", "id": "k0.0", "state": "failed",
+                                          "at_ns": 501 * MS}))),
+        ("migration is both done and aborted", "sessions.split: 1",
          add(kind="session", key="s", step="aborted", member="f1", at_ns=41 * MS)),
-        ("a message is lost", "lost: 1", drop("call", 5)),
+        ("message is lost", "lost: 1", drop("call", 5)),
     ]  # fmt: skip
 
 
 @pytest.mark.parametrize(
-    ("name", "found", "plant"), plants(), ids=[p[0] for p in plants()]
+    ("name", "found", "plant"), breach_cases(), ids=[p[0] for p in breach_cases()]
 )
-def test_each_planted_breach_is_found(name: str, found: str, plant: Any) -> None:
-    records = clean()
+def test_injected_breach_is_detected(name: str, found: str, plant: Any) -> None:
+    records = breach_free_records()
     plant(records)
-    assert found in verdicts.breaches(judged(records))
+    assert found in verdicts.breaches(compute_verdict(records))
 
 
-def test_what_a_lost_folder_took_is_wiped_and_an_open_owner_ends_with_its_process() -> (
-    None
-):
-    records = clean()
-    records.remove(next(r for r in records if r["kind"] == "call" and r["key"] == "k5"))
-    change(records, "owns", 0, end_ns=None)
+def test_lost_state_counts_as_wiped_and_process_end_ends_ownership() -> None:
+    records = breach_free_records()
+    records.remove(
+        next(
+            record
+            for record in records
+            if record["kind"] == "call" and record["key"] == "k5"
+        )
+    )
+    update_record(records, "owns", 0, end_ns=None)
     assert {"lost: 1", "shards.two_owners: 1"} <= set(
-        verdicts.breaches(judged(records))
+        verdicts.breaches(compute_verdict(records))
     )
-    for did, member, at in (("ended", "f0", 1000), ("wiped", "f1", 2001)):
+    for event, member, at_ms in (("ended", "f0", 1000), ("wiped", "f1", 2001)):
         records.append(
-            {"kind": "process", "member": member, "did": did, "at_ns": at * MS}
+            {"kind": "process", "member": member, "did": event, "at_ns": at_ms * MS}
         )
-    assert verdicts.breaches(judged(records)) == []
-    records[-1]["at_ns"] = 2000 * MS  # before it was taken on: it is owed its end
-    assert verdicts.breaches(judged(records)) == ["lost: 1"]
-
-
-def test_a_hand_in_without_an_answer_has_no_place_in_its_order() -> None:
-    records = clean()
-    change(records, "call", 0, at_ns=500 * MS)
-    first = records[0]
-    records.append({**first, "id": "k0.1"})
-    first["status"] = 0
-    assert "sessions.out_of_order: 1" not in verdicts.breaches(judged(records))
-    records = (
-        clean()
-    )  # and one that comes again after its delivery is a copy, not out of order
+    assert verdicts.breaches(compute_verdict(records)) == []
+    # The state was lost before the message was accepted: a final state is required.
+    records[-1]["at_ns"] = 2000 * MS
+    assert verdicts.breaches(compute_verdict(records)) == ["lost: 1"]
+
+
+def test_unanswered_attempt_and_duplicate_call_are_not_out_of_order() -> None:
+    records = breach_free_records()
+    update_record(records, "call", 0, at_ns=500 * MS)
+    first_attempt = records[0]
+    records.append({**first_attempt, "id": "k0.1"})
+    first_attempt["status"] = 0
+    assert "sessions.out_of_order: 1" not in verdicts.breaches(compute_verdict(records))
+    # A call after the delivery of its own message is a duplicate, not out of order.
+    records = breach_free_records()
     records.append(
-        {**next(r for r in records if r["kind"] == "call"), "at_ns": 900 * MS}
+        {
+            **next(record for record in records if record["kind"] == "call"),
+            "at_ns": 900 * MS,
+        }
     )
-    assert verdicts.breaches(judged(records)) == ["doubled: 1", "sessions.doubled: 1"]
+    assert verdicts.breaches(compute_verdict(records)) == [
+        "doubled: 1",
+        "sessions.doubled: 1",
+    ]
 
 
-@steady
+@deterministic
 @given(st.lists(st.integers(0, 9), max_size=25), st.integers(1, 4))
 def test_an_endpoints_limit_lets_through_what_fits_and_tells_the_wait(
     gaps: list[int], calls: int
@@ -322,17 +351,17 @@
             taken.append(now)
 
 
-def test_a_process_of_a_reused_id_is_left_alone(tmp_path: Path) -> None:
-    pids.note(tmp_path, "us", os.getpid())
+def test_process_with_reused_id_is_not_listed_as_running(tmp_path: Path) -> None:
+    pids.append(tmp_path, "us", os.getpid())
     assert pids.still_running(tmp_path) == [os.getpid()]
-    told = json.loads((tmp_path / pids.PID_FILE).read_text())
+    entry = json.loads((tmp_path / pids.PID_FILE).read_text())
     (tmp_path / pids.PID_FILE).write_text(
-        json.dumps({**told, "born": told["born"] - 1}) + "\nnot json\n"
+        json.dumps({**entry, "born": entry["born"] - 1}) + "\nnot json\n"
     )
     assert pids.still_running(tmp_path) == []
 
 
-def test_records_come_from_log_lines_and_torn_ones_are_counted() -> None:
+def test_log_lines_become_records_and_invalid_lines_are_counted() -> None:
     lines: list[dict[str, Any]] = [
         {"event": "sent", "process": "f0", "message_id": "m.0", "target": "e1", "t_ns": 107},
         {"event": "acted", "process": "f0", "lease": "x", "token": [3, 17], "t_ns": 105},
@@ -344,13 +373,15 @@
         {"event": "arrived", "message_id": "sent", "t_ns": 111},
     ]  # fmt: skip
     text = "\n".join([*map(json.dumps, lines), '{"event": "sent", "mess'])
-    got, unread = log_records.merge_logs([("list", text)], 100, {"e1": 7}.__getitem__)
-    assert unread == 2, "one of an unknown endpoint, one torn"
-    assert [(r["kind"], r["member"], r["at_ns"]) for r in got] == [
+    records, unread = log_records.merge_logs(
+        [("list", text)], 100, {"e1": 7}.__getitem__
+    )
+    assert unread == 2, "one line has an unknown endpoint, one is truncated"
+    assert [(record["kind"], record["member"], record["at_ns"]) for record in records] == [
         ("owns", "f1", 3), ("granted", "list", 4), ("acted", "f0", 5), ("sent", "f0", 7), ("session", "f1", 9)
     ]  # fmt: skip
-    assert (got[0]["begin_ns"], got[0]["end_ns"]) == (3, None)
-    assert got[3] == {
+    assert (records[0]["begin_ns"], records[0]["end_ns"]) == (3, None)
+    assert records[3] == {
         "kind": "sent",
         "member": "f0",
         "destination": 7,
@@ -396,78 +427,102 @@
         assert len(stopped) < exp.fleet.forwarders, "some forwarder always runs"
 
 
-def test_a_nemesis_reaches_every_kind_and_the_service() -> None:
-    exp = parse(TEXT)
-    drawn = [f for seed in range(30) for f in nemesis.fault_timeline(exp, seed)]
-    assert {f.kind for f in drawn} == {"kill", "pause", "term", *LINK_KINDS}
-    assert {f.restart for f in drawn} == {"", "keep", "lose"}
-    assert LIST_SERVICE in {f.target for f in drawn} and any(
-        f.target.startswith("f0>f") for f in drawn
+def test_random_faults_cover_every_kind_and_the_list_service() -> None:
+    experiment = parse(TEXT)
+    faults = [
+        fault
+        for seed in range(30)
+        for fault in nemesis.fault_timeline(experiment, seed)
+    ]
+    assert {fault.kind for fault in faults} == {"kill", "pause", "term", *LINK_KINDS}
+    assert {fault.restart for fault in faults} == {"", "keep", "lose"}
+    assert LIST_SERVICE in {fault.target for fault in faults} and any(
+        fault.target.startswith("f0>f") for fault in faults
+    )
+    assert nemesis.fault_timeline(experiment, 1) != nemesis.fault_timeline(
+        experiment, 2
     )
-    assert nemesis.fault_timeline(exp, 1) != nemesis.fault_timeline(exp, 2)
 
 
-def test_a_session_hands_each_in_once_the_one_before_has_its_answer() -> None:
-    exp = parse(TEXT)
-    planned = [p for p in plan_messages(exp, 5) if p.session]
-    for session in {p.session for p in planned}:
-        own = [p for p in planned if p.session == session]
-        assert [p.number for p in own] == list(range(len(own))) and len(
-            {p.forwarder for p in own}
-        ) == 1
-    log: list[tuple[str, int, int]] = []
-    told: Records = []
-
-    class Slow(load_generator.LoadDriver):
+def test_session_message_is_sent_after_its_predecessor_is_answered() -> None:
+    experiment = parse(TEXT)
+    planned = [message for message in plan_messages(experiment, 5) if message.session]
+    for session in {message.session for message in planned}:
+        session_messages = [
+            message for message in planned if message.session == session
+        ]
+        assert [message.number for message in session_messages] == list(
+            range(len(session_messages))
+        ) and len({message.forwarder for message in session_messages}) == 1
+    attempt_events: list[tuple[str, int, int]] = []
+    records: Records = []
+
+    class SlowDriver(load_generator.LoadDriver):
         async def _attempt(
-            self, n: int, data: bytes, timeout: float
+            self, forwarder: int, request: bytes, timeout: float
         ) -> tuple[int, str]:
             session, number = (
-                data.split(b"X-Session-Key: ")[1].split(b"\r\n")[0].decode(),
-                len(log),
+                request.split(b"X-Session-Key: ")[1].split(b"\r\n")[0].decode(),
+                len(attempt_events),
             )
-            log.append((session, 1, number))
+            attempt_events.append((session, 1, number))
             await asyncio.sleep(0.003)
-            log.append((session, -1, number))
+            attempt_events.append((session, -1, number))
             return 202, ""
 
-    base = planned[0]
-    quick = [
-        PlannedMessage(n, f"k{n}", base.class_name, 7, 0, f"s{n % 2}", n // 2)
-        for n in range(8)
+    first_message = planned[0]
+    planned_quickly = [
+        PlannedMessage(
+            number,
+            f"k{number}",
+            first_message.class_name,
+            7,
+            0,
+            f"s{number % 2}",
+            number // 2,
+        )
+        for number in range(8)
     ]
-    begin = time.monotonic_ns()
+    begin_ns = time.monotonic_ns()
     asyncio.run(
-        Slow(
-            exp,
+        SlowDriver(
+            experiment,
             load_generator.ConnectionPool([0]),
-            told.append,
-            lambda: time.monotonic_ns() - begin,
-        ).run(quick)
+            records.append,
+            lambda: time.monotonic_ns() - begin_ns,
+        ).run(planned_quickly)
     )
     for session in ("s0", "s1"):
-        assert [step for s, step, _ in log if s == session] == [1, -1] * 4, (
-            "never two out at once"
+        assert [
+            change
+            for event_session, change, _ in attempt_events
+            if event_session == session
+        ] == [1, -1] * 4, "two messages of a session were in flight"
+        session_messages = [
+            record for record in records if record["session"] == session
+        ]
+        assert [record["number"] for record in session_messages] == [0, 1, 2, 3]
+        assert all(
+            later["ready_ns"] >= earlier["answer_ns"]
+            for earlier, later in itertools.pairwise(session_messages)
         )
-        own = [r for r in told if r["session"] == session]
-        assert [r["number"] for r in own] == [0, 1, 2, 3]
-        assert all(b["ready_ns"] >= a["answer_ns"] for a, b in itertools.pairwise(own))
-    joined = checker.join_records(
-        told, {"feed": 0, "pay": 0}
-    )  # waiting for its turn is no lag, and costs no time
-    assert joined.lags_ns == [r["sent_ns"] - r["ready_ns"] for r in told]
-    assert [m.deadline_ns for m in joined.messages.values()] == [
-        r["ready_ns"] for r in told
+    # Waiting for the predecessor is no lag and does not shorten the deadline.
+    joined = checker.join_records(records, {"feed": 0, "pay": 0})
+    assert joined.lags_ns == [
+        record["sent_ns"] - record["ready_ns"] for record in records
     ]
+    assert [
+        joined_message.deadline_ns for joined_message in joined.messages.values()
+    ] == [record["ready_ns"] for record in records]
 
 
-async def through_a_relay() -> tuple[dict[str, Any], Records, bytes]:
-    noticed: Records = []
-    listing = await StandInListService(
+async def exchange_through_relay() -> tuple[dict[str, Any], Records, bytes]:
+    notifications: Records = []
+    list_service = await StandInListService(
         hosts=[{"host": "e0", "dial": "h:1"}, {"host": "e9", "dial": "h:9"}]
     ).start()
     relay = await DiscoveryRelay(
-        listing.port, {"e0": "127.0.0.1:5"}, noticed.append
+        list_service.port, {"e0": "127.0.0.1:5"}, notifications.append
     ).start()
     reader, writer = await asyncio.open_connection("127.0.0.1", relay.listen_port)
     writer.write(b"POST /v1/notices HTTP/1.1\r\nContent-Length: 29\r\n\r\n")
@@ -481,70 +536,74 @@
         .split("Content-Length: ")[1]
         .split("\r")[0]
     )
-    told = json.loads(await reader.readexactly(length))
-    await listing.stop()
+    endpoint_list = json.loads(await reader.readexactly(length))
+    await list_service.stop()
     async with asyncio.timeout(2):
         try:
-            rest = await reader.read(1)
+            trailing_bytes = await reader.read(1)
         except ConnectionError:
-            rest = b""
+            trailing_bytes = b""
     await relay.stop()
-    return told, noticed, rest
+    return endpoint_list, notifications, trailing_bytes
 
 
-def test_a_relay_tells_each_forwarder_its_own_dials_and_ends_with_the_service() -> None:
-    told, noticed, rest = asyncio.run(through_a_relay())
-    assert {h["host"]: h["dial"] for h in told["hosts"]} == {
+def test_relay_rewrites_dials_and_closes_with_the_service() -> None:
+    endpoint_list, notifications, trailing_bytes = asyncio.run(exchange_through_relay())
+    assert {host["host"]: host["dial"] for host in endpoint_list["hosts"]} == {
         "e0": "127.0.0.1:5",
         "e9": "h:9",
     }
-    assert noticed == [{"id": "m.0", "state": "failed"}]
-    assert rest == b"", "its connection ended with the service's"
+    assert notifications == [{"id": "m.0", "state": "failed"}]
+    assert trailing_bytes == b"", (
+        "the relay kept the connection open after the service closed"
+    )
 
 
-async def past_the_gate() -> tuple[list[bytes], list[int], ConnectionLimiter]:
-    lines: list[int] = []
-    gate = ConnectionLimiter(2, lambda: lines.append(1))
-    listing = await StandInListService().start()
+async def open_connections_over_limit() -> tuple[
+    list[bytes], list[int], ConnectionLimiter
+]:
+    rejections: list[int] = []
+    limiter = ConnectionLimiter(2, lambda: rejections.append(1))
+    list_service = await StandInListService().start()
     links = [
         await ProxyLink(
-            f"l{n}", "127.0.0.1", listing.port, seed=n, limiter=gate
+            f"l{number}", "127.0.0.1", list_service.port, seed=number, limiter=limiter
         ).start()
-        for n in range(2)
+        for number in range(2)
     ]
-    seen, open_ends = [], []
-    for n in range(5):
-        if n == 4:  # one of those open leaves: there is room again
-            open_ends[0].close()
+    received, writers = [], []
+    for number in range(5):
+        if number == 4:  # closing an open connection frees a place
+            writers[0].close()
             async with asyncio.timeout(5):
-                while gate.open == 2:
+                while limiter.open == 2:
                     await asyncio.sleep(0.005)
         reader, writer = await asyncio.open_connection(
-            "127.0.0.1", links[n % 2].listen_port
+            "127.0.0.1", links[number % 2].listen_port
         )
-        open_ends.append(writer)
+        writers.append(writer)
         try:
             writer.write(b"GET /discovery/hosts HTTP/1.1\r\n\r\n")
-            seen.append(await reader.read(12))
+            received.append(await reader.read(12))
         except ConnectionError:
-            seen.append(b"reset")
-    for server in (*links, listing):
+            received.append(b"reset")
+    for server in (*links, list_service):
         await server.stop()
-    return seen, lines, gate
+    return received, rejections, limiter
 
 
-def test_connections_past_the_bound_are_refused_with_a_count_and_one_line() -> None:
-    seen, lines, gate = asyncio.run(past_the_gate())
-    answered = b"HTTP/1.1 200"
-    assert seen == [answered, answered, b"reset", b"reset", answered]
-    assert (lines, gate.statistics()) == (
+def test_connections_over_limit_are_reset_and_reported_once() -> None:
+    received, rejections, limiter = asyncio.run(open_connections_over_limit())
+    status_line = b"HTTP/1.1 200"
+    assert received == [status_line, status_line, b"reset", b"reset", status_line]
+    assert (rejections, limiter.statistics()) == (
         [1],
         {"most": 2, "most_open": 2, "refused": 2},
     )
 
 
-# A run of a sweep, played by a stand-in: what it writes and how it ends hangs on its
-# seed.
+# Script that stands in for the process of a run. Seed 1 has no breach, seed 2 has one, and
+# seeds from 3 on ignore SIGTERM and hang with a child process.
 RUN = """
 import json, os, signal, subprocess, sys, time
 from pathlib import Path
@@ -553,7 +612,7 @@
 if seed >= 3:
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"], start_new_session=True)
-    pids.note(out, "f0", child.pid)
+    pids.append(out, "f0", child.pid)
     time.sleep(60)
 found = ["lost: 1"] if seed == 2 else []
 over = {"7": {"worst": 3 + seed, "over": seed - 1, "used": 1 / seed, "refused_per_delivery": None}}
@@ -564,7 +623,7 @@
 
 
 @pytest.fixture
-def played(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+def sweep_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     (tmp_path / "e.toml").write_text(TEXT)
     monkeypatch.setattr(
         sweep.Sweep,
@@ -575,9 +634,9 @@
     return tmp_path
 
 
-def swept(folder: Path, seeds: str, *more: str) -> tuple[int, dict[str, Any]]:
+def run_sweep(folder: Path, seeds: str, *options: str) -> tuple[int, dict[str, Any]]:
     out = folder / "out"
-    told = [
+    arguments = [
         "sweep",
         str(folder / "e.toml"),
         "--seeds",
@@ -586,86 +645,92 @@
         "2",
         "--out",
         str(out),
-        *more,
+        *options,
     ]
-    return cli.main(told), json.loads((out / "summary.json").read_text())
+    return cli.main(arguments), json.loads((out / "summary.json").read_text())
 
 
-def test_a_sweep_tells_breaches_by_seed_and_keeps_what_it_is_told(played: Path) -> None:
-    assert swept(played, "1")[0] == 0
-    code, told = swept(played, "1-2", "--keep", "failures")
+def test_sweep_reports_breaches_by_seed_and_keeps_selected_folders(
+    sweep_folder: Path,
+) -> None:
+    assert run_sweep(sweep_folder, "1")[0] == 0
+    exit_code, summary = run_sweep(sweep_folder, "1-2", "--keep", "failures")
     assert (
-        code,
-        told["breached"],
-        told["totals"]["lost"],
-        told["totals"]["messages"],
+        exit_code,
+        summary["breached"],
+        summary["totals"]["lost"],
+        summary["totals"]["messages"],
     ) == (1, [2], 1, 6)
     assert (
-        told["worst"]["worst_span"] == {"value": 5, "seed": 2}
-        and told["worst"]["used"]["value"] == 0.5
+        summary["worst"]["worst_span"] == {"value": 5, "seed": 2}
+        and summary["worst"]["used"]["value"] == 0.5
     )
-    assert [p.name for p in sorted((played / "out").glob("seed-*"))] == ["seed-2"]
-    for bad in ("x", "3-1", "1-", "", "1-99999", "-3"):
-        with pytest.raises(SystemExit) as caught:
+    assert [path.name for path in sorted((sweep_folder / "out").glob("seed-*"))] == [
+        "seed-2"
+    ]
+    for invalid_seeds in ("x", "3-1", "1-", "", "1-99999", "-3"):
+        with pytest.raises(SystemExit) as exit_info:
             cli.main(
                 [
                     "sweep",
-                    str(played / "e.toml"),
-                    f"--seeds={bad}",
+                    str(sweep_folder / "e.toml"),
+                    f"--seeds={invalid_seeds}",
                     "--out",
-                    str(played),
+                    str(sweep_folder),
                 ]
             )
-        assert caught.value.code == 2
+        assert exit_info.value.code == 2
 
 
-def hanging(folder: Path) -> bool:
-    """Whether the run of seed 3 has come as far as to note what it started."""
+def is_hanging(folder: Path) -> bool:
+    """Whether the run of seed 3 has stored the id of its child process."""
     return bool(pids.still_running(folder / "out" / "seed-3"))
 
 
-def test_a_run_past_its_time_is_ended_with_all_it_started(
-    played: Path, monkeypatch: pytest.MonkeyPatch
+def test_timed_out_run_is_stopped_with_its_processes(
+    sweep_folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(sweep, "run_time_limit_s", lambda experiment: 3.0)
-    code, told = swept(played, "3")
-    assert (code, told["runs"][0]["breaches"]) == (1, ["took more than 3 s"])
-    assert (played / "out" / "seed-3" / pids.PID_FILE).exists(), (
-        "it had started something"
+    exit_code, summary = run_sweep(sweep_folder, "3")
+    assert (exit_code, summary["runs"][0]["breaches"]) == (1, ["took more than 3 s"])
+    assert (sweep_folder / "out" / "seed-3" / pids.PID_FILE).exists(), (
+        "the run started no child process"
     )
-    assert pids.still_running(played / "out" / "seed-3") == []
+    assert pids.still_running(sweep_folder / "out" / "seed-3") == []
 
 
-def test_an_interrupted_sweep_ends_all_that_was_started(
-    played: Path, monkeypatch: pytest.MonkeyPatch
+def test_interrupted_sweep_stops_all_processes(
+    sweep_folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The second interrupt comes in the middle of the ending."""
-    signals: list[int] = []
+    """A second interrupt arrives while the sweep stops its runs."""
+    sent_signals: list[int] = []
 
-    def interrupt() -> None:
-        while not hanging(played):
+    def interrupt_when_hanging() -> None:
+        while not is_hanging(sweep_folder):
             time.sleep(0.01)
-        signals.append(1)
+        sent_signals.append(1)
         os.kill(os.getpid(), signal.SIGINT)
 
-    ending = sweep.end_run
+    original_end_run = sweep.end_run
 
-    async def interrupted(process: asyncio.subprocess.Process, folder: Path) -> None:
-        if signals and folder.name == "seed-3":
+    async def end_run_with_interrupt(
+        process: asyncio.subprocess.Process, folder: Path
+    ) -> None:
+        if sent_signals and folder.name == "seed-3":
             os.kill(os.getpid(), signal.SIGINT)
             await asyncio.sleep(0.02)
-        await ending(process, folder)
+        await original_end_run(process, folder)
 
-    monkeypatch.setattr(sweep, "end_run", interrupted)
-    thread = threading.Thread(target=interrupt)
+    monkeypatch.setattr(sweep, "end_run", end_run_with_interrupt)
+    thread = threading.Thread(target=interrupt_when_hanging)
     thread.start()
-    code, told = swept(played, "3,1")
+    exit_code, summary = run_sweep(sweep_folder, "3,1")
     thread.join()
-    assert code == 130 and 3 in told["not_played"]
-    assert pids.still_running(played / "out" / "seed-3") == []
+    assert exit_code == 130 and 3 in summary["not_played"]
+    assert pids.still_running(sweep_folder / "out" / "seed-3") == []
 
 
-def test_hand_overs_are_told_apart_by_their_offers() -> None:
+def test_migrations_of_a_key_are_separated_by_their_offers() -> None:
     steps = [
         "offered",
         "frozen",
@@ -679,16 +744,16 @@
         "offered",
     ]
     records = [
-        {"kind": "session", "key": "s", "step": s, "at_ns": n * MS}
-        for n, s in enumerate(steps)
+        {"kind": "session", "key": "s", "step": step, "at_ns": number * MS}
+        for number, step in enumerate(steps)
     ]
-    moves = sessions_check.count_migrations(records)
+    counts = sessions_check.count_migrations(records)
     assert (
-        moves.completed,
-        moves.aborted,
-        moves.split,
-        moves.unfinished,
-        moves.longest_pause_ns,
+        counts.completed,
+        counts.aborted,
+        counts.split,
+        counts.unfinished,
+        counts.longest_pause_ns,
     ) == (
         1,
         1,
@@ -698,7 +763,7 @@
     )
 
 
-def test_a_lease_told_again_is_no_breach() -> None:
+def test_repeated_grant_is_not_a_breach() -> None:
     granted = {"kind": "granted", "lease": "x", "holder": "f0", "token": [1, 1]}
-    found = leases.check([{**granted, "at_ns": n} for n in range(3)])
-    assert (found["seen"], found["overlaps"], found["tokens_back"]) == (3, 0, 0)
+    result = leases.check([{**granted, "at_ns": at_ns} for at_ns in range(3)])
+    assert (result["seen"], result["overlaps"], result["tokens_back"]) == (3, 0, 0)
