--- a/rainfall/lab/checker.py
+++ b/rainfall/lab/checker.py
@@ -15,7 +15,7 @@
 A message is *lost* if a forwarder accepted it (200 or 202), no endpoint answered 200 for
 it, and no notification reported its final state. If each forwarder that accepted it lost
 its state folder later, it counts as *wiped* instead: PROTOCOL requires a final state only
-as long as the disk survives.
+while the disk survives.
 
 A message is *doubled* if its class has the effect ``once`` and endpoints answered 200 more
 than once to one attempt (one ``id``). A message that the client sent again because no
--- a/rainfall/lab/log_records.py
+++ b/rainfall/lab/log_records.py
@@ -10,7 +10,7 @@
   ``token``;
 - ``owns``: ``from``, ``to``, ``generation``, ``begin_ns`` and ``end_ns`` (also
   CLOCK_MONOTONIC; ``end_ns`` is null or absent while the ownership lasts, and a later
-  line with the same ``begin_ns`` may give it; a process owns nothing after its end);
+  line with the same ``begin_ns`` may hold the end; ownership also ends with the process);
 - ``session``: ``key``, ``step``.
 """
 
--- a/rainfall/lab/sweep.py
+++ b/rainfall/lab/sweep.py
@@ -1,7 +1,8 @@
 """Runs one experiment with many seeds, each in a process of its own.
 
-A run that exceeds its time limit gets SIGTERM, on which it stops its own processes. If it
-does not end, it is killed by SIGKILL, and its processes by the ids stored in its folder.
+A run that exceeds its time limit is sent SIGTERM and then stops its own processes. If the
+run does not end, it is killed by SIGKILL, and its processes by the ids stored in its
+folder.
 """
 
 from __future__ import annotations
--- a/rainfall/lab/verdicts/shards.py
+++ b/rainfall/lab/verdicts/shards.py
@@ -64,7 +64,7 @@
     """The ownership intervals of a run that ends at ``end_ns``, ordered by begin.
 
     Of several records of one ownership, the first with an end counts. Without an end the
-    interval lasts until the end of its process, or else of the run.
+    interval lasts until its process ends, or until the run ends if no process end follows.
     """
     end_of_ownership: dict[_Ownership, int | None] = {}
     process_ends_ns: dict[str, list[int]] = {}
