--- a/measure/scale/__main__.py
+++ b/measure/scale/__main__.py
@@ -2,8 +2,8 @@
 
     python -m measure.scale [--list | --merge FILE | NAME...]
 
-Run from the root of the repository. Without a name all are run, one after another; the
-results of each are stored as soon as it is done.
+Run from the root of the repository. Without a name all measurements run, one after
+another; the results of each are stored as soon as it ends.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
 
 
 def discover_measurements() -> dict[str, Measurement]:
-    """All measurements of this package's modules, by name."""
+    """Return all measurements of this package's modules, by name.
+
+    Raises ValueError if two have the same name.
+    """
     found: dict[str, Measurement] = {}
     for module in pkgutil.iter_modules(scale.__path__):
         if module.name.startswith("__"):
@@ -30,19 +33,21 @@
         loaded = importlib.import_module(f"{scale.__name__}.{module.name}")
         for measurement in getattr(loaded, "MEASUREMENTS", ()):
             if measurement.name in found:
-                raise ValueError(f"two measurements are called {measurement.name}")
+                raise ValueError(f"duplicate measurement name: {measurement.name}")
             found[measurement.name] = measurement
     return found
 
 
 def print_series(series: Series) -> None:
-    """Print each point, and the fitted growth."""
+    """Print each point of a series, and the fitted growth."""
     print(
         f"  {series.name}, {series.value_unit} against {series.size_unit} ({series.role}):"
     )
     for point in series.points:
-        least, most = min(point.values), max(point.values)
-        print(f"    {point.size:>12,g}: {point.median:.4g} ({least:.4g} to {most:.4g})")
+        lowest, highest = min(point.values), max(point.values)
+        print(
+            f"    {point.size:>12,g}: {point.median:.4g} ({lowest:.4g} to {highest:.4g})"
+        )
     print(
         f"    {fit(series).describe(series)}; bound: {series.bound or 'not said'}",
         flush=True,
@@ -62,22 +67,23 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run the command."""
+    """Run the command with these arguments, by default those of the process."""
     parser = argparse.ArgumentParser(prog="python -m measure.scale")
     parser.add_argument(
-        "names", nargs="*", metavar="NAME", help="what to run; all where none is named"
-    )
-    parser.add_argument(
-        "--list", action="store_true", help="name the measurements there are"
+        "names", nargs="*", metavar="NAME", help="measurements to run; all by default"
     )
+    parser.add_argument("--list", action="store_true", help="list the measurements")
     parser.add_argument(
         "--merge",
         type=Path,
         metavar="FILE",
-        help="take over the entries of another file",
+        help="merge the entries of another results file",
     )
     parser.add_argument(
-        "--results", type=Path, default=results.RESULTS, help="where figures are kept"
+        "--results",
+        type=Path,
+        default=results.RESULTS,
+        help="file that stores the results",
     )
     options = parser.parse_args(arguments)
     if options.merge:
--- a/measure/scale/control_config.py
+++ b/measure/scale/control_config.py
@@ -1,5 +1,7 @@
-"""A forwarder's configuration: its bytes, the time to read and examine it, the loop's
-pause at a SIGHUP.
+"""Measures the cost of a forwarder's configuration file against its size.
+
+Measured are the bytes of the file, the processor time to load it and to validate a
+replacement, and the time for which a reload (SIGHUP) blocks the event loop.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from measure.scale import control_fixtures as worlds
+from measure.scale import control_fixtures as fixtures
 from measure.scale import process_probe as probe
 from measure.scale.growth import grow
 from measure.scale.results import Measurement, Progress, Series
@@ -37,69 +39,82 @@
 
 @contextlib.contextmanager
 def environment(folder: Path, path: Path) -> Iterator[dict[str, str]]:
-    """What names the file and the state folder, for this process, while it lasts."""
-    names = {"LB_CONFIG": str(path), "LB_STATE": str(folder)}
+    """Set the variables of the file and the state folder in this process's environment.
+
+    Yields the variables; the former environment is restored at the end.
+    """
+    variables = {"LB_CONFIG": str(path), "LB_STATE": str(folder)}
     before = dict(os.environ)
-    os.environ.update(names)
+    os.environ.update(variables)
     try:
-        yield names
+        yield variables
     finally:
         os.environ.clear()
         os.environ.update(before)
 
 
-def changed(told: Mapping[str, Any]) -> dict[str, Any]:
-    """The same file with another deadline and, where it has budgets, another whole of
-    each.
+def changed_document(document: Mapping[str, Any]) -> dict[str, Any]:
+    """Copy a configuration with a longer deadline and larger budgets.
+
+    The first service's deadline grows by 1 s, each budget by 540 calls.
     """
-    made = json.loads(json.dumps(told))
-    made["settings"]["services"][0]["deadline_us"] += 1_000_000
-    for budget in made.get("fleet", {}).get("budgets", []):
+    copy = json.loads(json.dumps(document))
+    copy["settings"]["services"][0]["deadline_us"] += 1_000_000
+    for budget in copy.get("fleet", {}).get("budgets", []):
         budget["calls"] += 540
-    return dict(made)
+    return dict(copy)
+
 
+async def apply_ms(folder: Path, path: Path, document: Mapping[str, Any]) -> float:
+    """Measure the processor time (ms) of one reload.
 
-async def apply_ms(folder: Path, path: Path, told: Mapping[str, Any]) -> float:
-    """One turn of the loop: a SIGHUP's way from the signal until the settings are in
-    force.
+    The reload takes one turn of the event loop, from the signal until the settings
+    are applied.
     """
-    engine = worlds.engine(folder, told)
+    engine = fixtures.engine(folder, document)
     engine.restore_state()
     engine.run_round()
     if engine.fleet is not None:
         engine.fleet.write_state(engine.fleet.quotas.records())
         engine.fleet.publish_quotas()
-    path.write_text(json.dumps(changed(told)))
-    ms = probe.processor_ms(engine.reload)
+    path.write_text(json.dumps(changed_document(document)))
+    reload_ms = probe.processor_ms(engine.reload)
     assert (
         engine.metrics.configs_accepted == 1 and not engine.metrics.configs_rejected
-    ), "the file was not taken"
-    return ms
+    ), "reload: the configuration file was not accepted"
+    return reload_ms
 
 
-def measure_file(told: Mapping[str, Any]) -> dict[str, float]:
-    text = json.dumps(told).encode()
+def measure_file(document: Mapping[str, Any]) -> dict[str, float]:
+    """Measure one file: its bytes, and the time to load, validate and apply it."""
+    text = json.dumps(document).encode()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         path = folder / "config.json"
         path.write_bytes(text)
-        with environment(folder / "state", path) as names:
-            old = load_config(names)
-            other = json.dumps(changed(told)).encode()
+        with environment(folder / "state", path) as variables:
+            config = load_config(variables)
+            replacement = json.dumps(changed_document(document)).encode()
             return {
                 "bytes": len(text),
-                "load_ms": probe.processor_ms_each(lambda: load_config(names)),
+                "load_ms": probe.processor_ms_each(lambda: load_config(variables)),
                 "examine_ms": probe.processor_ms(
-                    lambda: validate_replacement(other, old, names)
+                    lambda: validate_replacement(replacement, config, variables)
                 ),
-                "apply_ms": asyncio.run(apply_ms(folder / "state", path, told)),
+                "apply_ms": asyncio.run(apply_ms(folder / "state", path, document)),
             }
 
 
 def sizes_series(
-    name: str, unit: str, sizes: Iterable[int], made: Any, progress: Progress
+    name: str, unit: str, sizes: Iterable[int], make_document: Any, progress: Progress
 ) -> Iterable[Series]:
-    growth = grow(sizes, lambda size: measure_file(made(size)), progress, REPEATS)
+    """Yield one series for each measured value, over files of the given sizes.
+
+    `unit` names what the size counts; `make_document` builds the file of one size.
+    """
+    growth = grow(
+        sizes, lambda size: measure_file(make_document(size)), progress, REPEATS
+    )
     for key, value_unit in UNITS.items():
         yield Series(
             f"config_{name}_{key}",
@@ -112,27 +127,34 @@
 
 
 def endpoints_series(progress: Progress) -> Iterable[Series]:
+    """Measure the file against the number of endpoints that it lists."""
     yield from sizes_series(
-        "endpoints", "endpoints in the file", ENDPOINTS, worlds.configuration, progress
+        "endpoints",
+        "endpoints in the file",
+        ENDPOINTS,
+        fixtures.configuration,
+        progress,
     )
 
 
 def budgets_series(progress: Progress) -> Iterable[Series]:
+    """Measure the file against the number of its budgets, with 100 endpoints."""
     yield from sizes_series(
         "budgets",
         "budgets in the file",
         BUDGETS,
-        lambda size: worlds.configuration(100, worlds.fleet_section(budgets=size)),
+        lambda size: fixtures.configuration(100, fixtures.fleet_section(budgets=size)),
         progress,
     )
 
 
 def peers_series(progress: Progress) -> Iterable[Series]:
+    """Measure the file against the number of its peers, with 100 endpoints."""
     yield from sizes_series(
         "peers",
         "peers in the file",
         PEERS,
-        lambda size: worlds.configuration(100, worlds.fleet_section(peers=size)),
+        lambda size: fixtures.configuration(100, fixtures.fleet_section(peers=size)),
         progress,
     )
 
--- a/measure/scale/control_demand.py
+++ b/measure/scale/control_demand.py
@@ -1,5 +1,7 @@
-"""Budgets at a forwarder: its part of a beat and of the answer, its purses and demand
-books, its file.
+"""Measures the cost of budgets at a forwarder.
+
+Measured are the part of a heartbeat and of its answer that concerns budgets, the quotas
+and the demand that a forwarder keeps in memory, and its state file.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 
 import msgspec
 
-from measure.scale import control_fixtures as worlds
+from measure.scale import control_fixtures as fixtures
 from measure.scale import process_probe as probe
 from measure.scale.growth import grow, run_isolated
 from measure.scale.results import Measurement, Progress, Series
@@ -25,9 +27,9 @@
 BUDGET_COUNTS = (10, 100, 1_000, 10_000, DESTINATIONS)
 DESTINATION_COUNTS = (10, 100, 300, MAX_BUDGETS)
 REPEATS = 3
-NOW_US = 1_000 * worlds.SECOND_US
-VALID_US = NOW_US + worlds.LEASE_US
-TOKEN = worlds.token(0)
+NOW_US = 1_000 * fixtures.SECOND_US
+VALID_US = NOW_US + fixtures.LEASE_US
+TOKEN = fixtures.token(0)
 UNITS = {
     "beat_bytes": "bytes",
     "answer_bytes": "bytes",
@@ -42,115 +44,130 @@
 
 
 def encoded_answer(budgets: int) -> bytes:
-    """The answer to a beat, with a share of each budget."""
-    told = {
+    """Encode the answer to a heartbeat, with a share of each of `budgets` budgets."""
+    answer = {
         "token": TOKEN.to_wire(),
         "ttl_ms": 3_000,
         "sent": 1,
         "version": 1,
         "list": [1, 1],
-        "shares": {str(n): worlds.share() for n in range(budgets)},
+        "shares": {str(n): fixtures.share() for n in range(budgets)},
     }
-    return msgspec.json.encode(told)
+    return msgspec.json.encode(answer)
 
 
-def heartbeat_part(books: FleetQuotas) -> bytes:
-    """A beat's part on budgets: what is needed and what is held."""
-    told = {"needs": books.needs({}, NOW_US), "holds": books.held_shares(TOKEN)}
-    return json.dumps(told, separators=(",", ":")).encode()
+def heartbeat_part(quotas: FleetQuotas) -> bytes:
+    """Encode a heartbeat's part on budgets: the demand and the shares held."""
+    fields = {"needs": quotas.needs({}, NOW_US), "holds": quotas.held_shares(TOKEN)}
+    return json.dumps(fields, separators=(",", ":")).encode()
 
 
-def apply_answer(books: FleetQuotas, data: bytes) -> None:
-    """The answer's way into the books."""
+def apply_answer(quotas: FleetQuotas, data: bytes) -> None:
+    """Decode an answer and apply its shares to the quotas."""
     shares = msgspec.json.decode(data, type=HeartbeatResponse).shares
-    books.apply_shares(
+    quotas.apply_shares(
         TOKEN,
-        {int(d): msgspec.structs.asdict(s) for d, s in shares.items()},
+        {
+            int(destination): msgspec.structs.asdict(share)
+            for destination, share in shares.items()
+        },
         VALID_US,
         NOW_US,
     )
 
 
-def books_with_shares(budgets: int) -> FleetQuotas:
-    made = FleetQuotas((), worlds.DRIFT, {}, 0)
-    apply_answer(made, encoded_answer(budgets))
-    made.persisted = True
-    return made
+def quotas_with_shares(budgets: int) -> FleetQuotas:
+    """Build quotas that hold a share of each of `budgets` budgets."""
+    new_quotas = FleetQuotas((), fixtures.DRIFT, {}, 0)
+    apply_answer(new_quotas, encoded_answer(budgets))
+    new_quotas.persisted = True
+    return new_quotas
+
 
+def announce_changes(quotas: FleetQuotas) -> list[Any]:
+    """Collect quota events and changed metrics, as after each answered heartbeat.
 
-def announce_changes(books: FleetQuotas) -> list[Any]:
-    """What the module is told after each answered beat, and the lines for what changed."""
+    The dispatcher receives one event for each budget.
+    """
     return [
-        books.quota_event(d, NOW_US, 0) for d in sorted(books.accounts)
-    ] + books.take_changed_metrics(NOW_US)
+        quotas.quota_event(destination, NOW_US, 0)
+        for destination in sorted(quotas.accounts)
+    ] + quotas.take_changed_metrics(NOW_US)
+
 
+def resident_quotas_bytes(budgets: int) -> int:
+    """Measure the memory that the quotas of `budgets` budgets occupy.
 
-def resident_books_bytes(budgets: int) -> int:
-    """In a process of its own: memory that the books of so many budgets keep."""
+    Runs in a process of its own.
+    """
     data = encoded_answer(budgets)
     before = probe.resident_bytes()
-    books = FleetQuotas((), worlds.DRIFT, {}, 0)
-    apply_answer(books, data)
-    announce_changes(books)
+    quotas = FleetQuotas((), fixtures.DRIFT, {}, 0)
+    apply_answer(quotas, data)
+    announce_changes(quotas)
     return probe.resident_bytes() - before
 
 
-def measure_books(budgets: int) -> dict[str, float]:
-    """All budgets named in each beat and answer, one call wanted of each in the running
-    span.
+def measure_quotas(budgets: int) -> dict[str, float]:
+    """Measure heartbeats and answers that name all `budgets` budgets.
+
+    In the current span one call of each budget is requested.
     """
-    books, data = books_with_shares(budgets), encoded_answer(budgets)
-    books.demand.clear()
+    quotas, data = quotas_with_shares(budgets), encoded_answer(budgets)
+    quotas.demand.clear()
     for destination in range(budgets):
-        books.record_demand(destination, "status/acme", NOW_US)
-    announce_changes(books)
+        quotas.record_demand(destination, "status/acme", NOW_US)
+    announce_changes(quotas)
     with tempfile.TemporaryDirectory() as folder:
-        keep = StateFile(Path(folder), synced=False)
-        file_bytes = len(keep.encode(TOKEN, books.records())[1])
+        state_file = StateFile(Path(folder), synced=False)
+        file_bytes = len(state_file.encode(TOKEN, quotas.records())[1])
 
-        def kept() -> None:
-            keep.last_written = b""  # as after a beat that changed any share
-            keep.write(*keep.encode(TOKEN, books.records()))
+        def write_state() -> None:
+            state_file.last_written = b""  # forces a write, as after a changed share
+            state_file.write(*state_file.encode(TOKEN, quotas.records()))
 
-        keep_ms = probe.processor_ms_each(kept)
+        keep_ms = probe.processor_ms_each(write_state)
     return {
-        "beat_bytes": len(heartbeat_part(books)),
+        "beat_bytes": len(heartbeat_part(quotas)),
         "answer_bytes": len(data),
         "file_bytes": file_bytes,
-        "purse_bytes": run_isolated(resident_books_bytes, budgets),
-        "ask_ms": probe.processor_ms_each(lambda: heartbeat_part(books)),
-        "answer_ms": probe.processor_ms_each(lambda: apply_answer(books, data)),
+        "purse_bytes": run_isolated(resident_quotas_bytes, budgets),
+        "ask_ms": probe.processor_ms_each(lambda: heartbeat_part(quotas)),
+        "answer_ms": probe.processor_ms_each(lambda: apply_answer(quotas, data)),
         "keep_ms": keep_ms,
-        "tell_ms": probe.processor_ms_each(lambda: announce_changes(books)),
+        "tell_ms": probe.processor_ms_each(lambda: announce_changes(quotas)),
         "tick_ms": probe.processor_ms_each(
             lambda: (
-                books.has_grown_demand({}, NOW_US),
-                books.take_changed_metrics(NOW_US),
+                quotas.has_grown_demand({}, NOW_US),
+                quotas.take_changed_metrics(NOW_US),
             )
         ),
     }
 
 
 def measure_demand(destinations: int) -> dict[str, float]:
-    """Demand of destinations without any budget here: counted and told all the same, up
-    to a bound.
+    """Measure the demand for destinations without a budget at this forwarder.
+
+    Such demand is counted and reported like any other, up to a maximum of
+    destinations.
     """
-    books = FleetQuotas((), worlds.DRIFT, {}, 0)
+    quotas = FleetQuotas((), fixtures.DRIFT, {}, 0)
 
-    def one_each() -> None:
+    def record_each() -> None:
         for destination in range(destinations):
-            books.record_demand(destination, "status/acme", NOW_US)
+            quotas.record_demand(destination, "status/acme", NOW_US)
 
-    wanted_ms = probe.processor_ms_each(one_each)
+    wanted_ms = probe.processor_ms_each(record_each)
     return {
         "wanted_ms": wanted_ms,
-        "ask_ms": probe.processor_ms_each(lambda: heartbeat_part(books)),
-        "beat_bytes": len(heartbeat_part(books)),
+        "ask_ms": probe.processor_ms_each(lambda: heartbeat_part(quotas)),
+        "beat_bytes": len(heartbeat_part(quotas)),
     }
 
 
-def books_series(progress: Progress) -> Iterable[Series]:
-    growth = grow(BUDGET_COUNTS, measure_books, progress, REPEATS)
+def quotas_series(progress: Progress) -> Iterable[Series]:
+    """Measure quotas against the number of budgets."""
+    growth = grow(BUDGET_COUNTS, measure_quotas, progress, REPEATS)
     for key, unit in UNITS.items():
         yield Series(
             f"books_{key}",
@@ -163,6 +180,7 @@
 
 
 def demand_series(progress: Progress) -> Iterable[Series]:
+    """Measure demand against the number of destinations without a budget."""
     growth = grow(DESTINATION_COUNTS, measure_demand, progress, REPEATS)
     for key, unit in (
         ("wanted_ms", UNITS["ask_ms"]),
@@ -183,7 +201,7 @@
     Measurement(
         "control_books",
         "a forwarder's budgets, all of them named in each beat",
-        books_series,
+        quotas_series,
     ),
     Measurement(
         "control_demand",
--- a/measure/scale/control_division.py
+++ b/measure/scale/control_division.py
@@ -1,5 +1,6 @@
-"""Budgets at the list service: one division, a plan, a member's beat, against members
-and against budgets.
+"""Measures the cost of budgets at the list service, against members and budgets.
+
+Measured are one division, a plan, a member's heartbeat and the shares in its answer.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 import random
 from collections.abc import Iterable
 
-from measure.scale import control_fixtures as worlds
+from measure.scale import control_fixtures as fixtures
 from measure.scale import process_probe as probe
 from measure.scale.growth import Growth, grow, run_isolated
 from measure.scale.results import Measurement, Progress, Series
@@ -27,10 +28,10 @@
 
 
 def needs(members: int, seed: int) -> dict[int, dict[str, int]]:
-    """A third of the members has work, in two parts."""
-    chance = random.Random(seed)
+    """Generate the demand of each member: every third one has some, in two classes."""
+    generator = random.Random(seed)
     return {
-        n: {"gold": chance.randrange(50), "free": chance.randrange(50)}
+        n: {"gold": generator.randrange(50), "free": generator.randrange(50)}
         if n % 3 == 0
         else {}
         for n in range(members)
@@ -38,13 +39,13 @@
 
 
 def measure_division(members: int) -> dict[str, float]:
-    """One division of one budget alone."""
-    wanted, floors = needs(members, members), dict.fromkeys(range(members), 1)
+    """Measure one division of a single budget among `members` members."""
+    demand, floors = needs(members, members), dict.fromkeys(range(members), 1)
     return {
         "ms": probe.processor_ms_each(
             lambda: divide(
                 members * CALLS_PER_MEMBER,
-                wanted,
+                demand,
                 {"gold": 3},
                 floors,
                 1,
@@ -56,84 +57,101 @@
 
 
 def build_ledger(members: int, budgets: int) -> Ledger:
-    """All in force, nothing granted yet."""
-    named = parse_budgets(
+    """Build a ledger with all members and budgets in force and nothing granted yet."""
+    parsed_budgets = parse_budgets(
         [
-            worlds.budget(n, members * CALLS_PER_MEMBER, members, 1)
+            fixtures.budget(n, members * CALLS_PER_MEMBER, members, 1)
             for n in range(budgets)
         ]
     )
-    made = Ledger(named, worlds.LEASE_US, worlds.DRIFT, 0, sure=True)
+    ledger = Ledger(parsed_budgets, fixtures.LEASE_US, fixtures.DRIFT, 0, sure=True)
     for n in range(members):
-        made.member_joined(worlds.token(n), worlds.member(n), None, 0)
-    return made
-
-
-def settle(made: Ledger, now_us: int) -> int:
-    """Plan, take and acknowledge until nothing is due; the moment it then is."""
-    while (change := made.plan(now_us)) is not None:
-        made.commit(change)
-        for token in list(made.names):
-            told = made.shares_for(token)
-            made.heartbeat(
-                token, {}, {d: (s.calls, s.number) for d, s in told.items()}, now_us
+        ledger.member_joined(fixtures.token(n), fixtures.member(n), None, 0)
+    return ledger
+
+
+def settle(ledger: Ledger, now_us: int) -> int:
+    """Plan, commit and acknowledge until no change is due; return that time (us)."""
+    while (change := ledger.plan(now_us)) is not None:
+        ledger.commit(change)
+        for token in list(ledger.names):
+            shares = ledger.shares_for(token)
+            ledger.heartbeat(
+                token,
+                {},
+                {
+                    destination: (share.calls, share.number)
+                    for destination, share in shares.items()
+                },
+                now_us,
             )
-        now_us += worlds.SECOND_US
+        now_us += fixtures.SECOND_US
     return now_us
 
 
 def ledger_bytes(members: int, budgets: int) -> int:
-    """In a process of its own: memory that a ledger at rest keeps."""
+    """Measure the memory that a settled ledger occupies.
+
+    Runs in a process of its own.
+    """
     before = probe.resident_bytes()
-    made = build_ledger(members, budgets)
-    settle(made, 0)
+    ledger = build_ledger(members, budgets)
+    settle(ledger, 0)
     return probe.resident_bytes() - before
 
 
-def service_rest_ms(made: Ledger, now_us: int) -> float:
-    """A plan at rest as the list service makes it: it also looks for when something
-    falls due next.
+def service_rest_ms(ledger: Ledger, now_us: int) -> float:
+    """Measure a plan without changes as the list service makes it.
+
+    The service also computes when the next change falls due.
     """
-    rider = BudgetExtension(worlds.LEASE_US, worlds.DRIFT)
-    rider.ledger = made
-    return probe.processor_ms_each(lambda: rider.plan(now_us, False, []))
+    extension = BudgetExtension(fixtures.LEASE_US, fixtures.DRIFT)
+    extension.ledger = ledger
+    return probe.processor_ms_each(lambda: extension.plan(now_us, False, []))
 
 
 def measure_ledger(members: int, budgets: int) -> dict[str, float]:
-    """At rest: a plan that finds nothing due, a beat that says nothing new, its answer.
+    """Measure a settled ledger: a plan and a heartbeat without changes, and its answer.
 
-    Then a plan after a member's need changed in one budget; and the memory.
+    Measured as well are a plan after one member's demand changed in one budget, and
+    the memory.
     """
-    made = build_ledger(members, budgets)
-    now_us = settle(made, 0)
-    token = worlds.token(0)
-    holds = {d: (s.calls, s.number) for d, s in made.shares_for(token).items()}
-    rest_ms = probe.processor_ms_each(lambda: made.plan(now_us))
-    service_ms = service_rest_ms(made, now_us)
-    beat_ms = probe.processor_ms_each(lambda: made.heartbeat(token, {}, holds, now_us))
-    told_ms = probe.processor_ms_each(lambda: made.shares_for(token))
-    clock = itertools.count(now_us + 2 * worlds.SECOND_US, 2 * worlds.SECOND_US)
-    work = itertools.cycle((200, 100))
-
-    def stirred() -> None:
+    ledger = build_ledger(members, budgets)
+    now_us = settle(ledger, 0)
+    token = fixtures.token(0)
+    holds = {
+        destination: (share.calls, share.number)
+        for destination, share in ledger.shares_for(token).items()
+    }
+    rest_ms = probe.processor_ms_each(lambda: ledger.plan(now_us))
+    service_ms = service_rest_ms(ledger, now_us)
+    beat_ms = probe.processor_ms_each(
+        lambda: ledger.heartbeat(token, {}, holds, now_us)
+    )
+    shares_ms = probe.processor_ms_each(lambda: ledger.shares_for(token))
+    clock = itertools.count(now_us + 2 * fixtures.SECOND_US, 2 * fixtures.SECOND_US)
+    demand = itertools.cycle((200, 100))
+
+    def change_need() -> None:
         at_us = next(clock)
-        made.heartbeat(token, {"0": {"gold": next(work)}}, {}, at_us)
-        change = made.plan(at_us)
+        ledger.heartbeat(token, {"0": {"gold": next(demand)}}, {}, at_us)
+        change = ledger.plan(at_us)
         if change is not None:
-            made.commit(change)
+            ledger.commit(change)
 
-    stirred_ms = probe.processor_ms(stirred)
+    changed_ms = probe.processor_ms(change_need)
     return {
         "rest_ms": rest_ms,
         "service_rest_ms": service_ms,
         "beat_ms": beat_ms,
-        "told_ms": told_ms,
-        "stirred_ms": stirred_ms,
+        "told_ms": shares_ms,
+        "stirred_ms": changed_ms,
         "kept_bytes": run_isolated(ledger_bytes, members, budgets),
     }
 
 
 def series(prefix: str, size_unit: str, growth: Growth) -> Iterable[Series]:
+    """Yield one series for each measured value of a growth."""
     for key in growth.points:
         unit = "bytes" if key.endswith("_bytes") else MS
         yield Series(
@@ -147,17 +165,20 @@
 
 
 def division_series(progress: Progress) -> Iterable[Series]:
+    """Measure one division against the number of members."""
     yield from series(
         "division", "members", grow(MEMBERS, measure_division, progress, REPEATS)
     )
 
 
 def members_series(progress: Progress) -> Iterable[Series]:
+    """Measure the ledger of one budget against the number of members."""
     growth = grow(MEMBERS, lambda size: measure_ledger(size, 1), progress, 3)
     yield from series("ledger_members", "members", growth)
 
 
 def budgets_series(progress: Progress) -> Iterable[Series]:
+    """Measure the ledger of `FEW_MEMBERS` members against the number of budgets."""
     growth = grow(
         BUDGETS,
         lambda size: measure_ledger(FEW_MEMBERS, size),
--- a/measure/scale/control_fixtures.py
+++ b/measure/scale/control_fixtures.py
@@ -1,4 +1,7 @@
-"""Lists, budgets, configurations and forwarders of any size, the same at each run."""
+"""Builds lists, budgets, configurations and forwarders of any size.
+
+The same sizes give the same data at each run.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 LEASE_US = 3 * SECOND_US
 DRIFT = 0.02
 DISK_BYTES = 1 << 30
-"""Room enough for any list, so that no write is left out."""
+"""Enough for any list, so that no write is skipped for lack of space."""
 SETTINGS: dict[str, Any] = {
     "allowed": {
         "conn_idle_us": 5_000_000,
@@ -64,12 +67,12 @@
 
 
 def dial(number: int) -> str:
-    """A private address of its own for each endpoint or member."""
+    """Return a private address that is unique to an endpoint or member."""
     return f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080"
 
 
 def endpoint(number: int, health: str = "up") -> dict[str, Any]:
-    """One entry of the list: a destination of its own for each."""
+    """Build one entry of the list; each has a destination of its own."""
     return {
         "host": f"endpoint-{number}.zone-{number % ZONES}",
         "dial": dial(number),
@@ -83,7 +86,7 @@
 
 
 def registry(count: int) -> EndpointRegistry:
-    """A list service's state with so many endpoints, one change each."""
+    """Build the list service's state with `count` endpoints, each changed once."""
     registry = EndpointRegistry(epoch=1, seq=count)
     changes = {
         "epoch": 1,
@@ -97,31 +100,33 @@
 
 
 def roster(count: int, now_us: int = 0) -> Roster:
-    """A roster of so many members, joined and in force."""
+    """Build a roster of `count` members, all joined and alive."""
     table = LeaseTable(LeaseSettings(DRIFT))
     table.commit(table.start(now_us, sure=True, min_epoch=1))
     roster = Roster(table, LEASE_US)
     roster.on_started(now_us)
-    opened_us = now_us + 2 * table.longest_ttl_us
+    joinable_us = now_us + 2 * table.longest_ttl_us
     for number in range(count):
         zone = f"zone-{number % ZONES}"
         grant = roster.join(
-            opened_us, member(number), zone, dial(number), f"run-{number:x}"
+            joinable_us, member(number), zone, dial(number), f"run-{number:x}"
         )
         roster.commit(grant.record)  # type: ignore[arg-type]
     return roster
 
 
 def member(number: int) -> str:
+    """Return the name of a member."""
     return f"forwarder-{number}"
 
 
 def token(number: int) -> Token:
+    """Return the fencing token of a member."""
     return Token(1_764_000_000, number + 1)
 
 
 def budget(number: int, calls: int, members: int, reserve: int = 0) -> dict[str, Any]:
-    """One budget as the list service's file has it."""
+    """Build one budget as in the list service's file of budgets."""
     return {
         "destination": str(number),
         "calls": calls,
@@ -132,7 +137,7 @@
 
 
 def share(calls: int = 7, number: int = 12) -> dict[str, int]:
-    """A share of one budget as the answer to a beat tells it."""
+    """Build a share of one budget as in the answer to a heartbeat."""
     return {
         "calls": calls,
         "number": number,
@@ -144,15 +149,15 @@
 
 
 def fleet_section(budgets: int = 0, peers: int = 0) -> dict[str, Any]:
-    """The `fleet` object of a forwarder's configuration."""
-    made: dict[str, Any] = {
+    """Build the `fleet` object of a forwarder's configuration."""
+    section: dict[str, Any] = {
         "service": "127.0.0.1:9",
         "site": "zone-0",
         "lease_ms": LEASE_US // 1_000,
         "drift": DRIFT,
     }
     if budgets:
-        made["budgets"] = [
+        section["budgets"] = [
             {
                 "destination": n,
                 "span_ms": 1_000,
@@ -163,15 +168,15 @@
             for n in range(budgets)
         ]
     if peers:
-        made["listen"] = "127.0.0.1:9"
-        made["peers"] = {member(n): dial(n) for n in range(peers)}
-    return made
+        section["listen"] = "127.0.0.1:9"
+        section["peers"] = {member(n): dial(n) for n in range(peers)}
+    return section
 
 
 def configuration(
     endpoints: int = 0, fleet: Mapping[str, Any] | None = None
 ) -> dict[str, Any]:
-    """A forwarder's whole file."""
+    """Build a forwarder's whole configuration file."""
     document: dict[str, Any] = {
         "name": member(0),
         "listen": "127.0.0.1:9",
@@ -188,20 +193,21 @@
     return document if fleet is None else document | {"fleet": dict(fleet)}
 
 
-def config(folder: Path, told: Mapping[str, Any] | None = None) -> Config:
-    """That file, read."""
-    return parse_config(dict(told or configuration()), {"LB_STATE": str(folder)})
+def config(folder: Path, document: Mapping[str, Any] | None = None) -> Config:
+    """Parse a configuration, by default an empty one."""
+    return parse_config(dict(document or configuration()), {"LB_STATE": str(folder)})
+
 
+def engine(folder: Path, document: Mapping[str, Any] | None = None) -> Engine:
+    """Build a forwarder without connections, with a journal that has enough space.
 
-def engine(folder: Path, told: Mapping[str, Any] | None = None) -> Engine:
-    """A forwarder without any connection, in a running loop, with a journal that has
-    room.
+    Needs a running event loop.
     """
-    return Engine(config(folder, told))
+    return Engine(config(folder, document))
 
 
 def whole_list(count: int) -> bytes:
-    """What a reader of the whole list is answered."""
+    """Encode the answer to a request for the whole list."""
     return json.dumps(
         {
             "seq": count,
@@ -214,7 +220,7 @@
 
 
 def changed_entry(count: int, number: int, health: str) -> EndpointList:
-    """News of one endpoint of so many, as read from the wire."""
+    """Build the parsed answer that carries the change of one of `count` endpoints."""
     return parse_endpoint_list(
         {
             "seq": count + 1,
--- a/measure/scale/control_list.py
+++ b/measure/scale/control_list.py
@@ -1,5 +1,7 @@
-"""The list of endpoints: what it weighs, what a forwarder pays to read and to follow
-it, what the list service pays to tell it.
+"""Measures the cost of the list of endpoints against its length.
+
+Measured are the bytes of the list, the time and memory that a forwarder needs to read
+it and to apply changes, and the time that the list service needs to send it.
 """
 
 from __future__ import annotations
@@ -14,7 +16,7 @@
 
 import msgspec
 
-from measure.scale import control_fixtures as worlds
+from measure.scale import control_fixtures as fixtures
 from measure.scale import process_probe as probe
 from measure.scale.growth import grow, run_isolated, sizes_by
 from measure.scale.results import Measurement, Progress, Series
@@ -43,33 +45,38 @@
 """Three endpoints for each destination."""
 REPEATS = 5
 READ_BYTES = 256 * 1024
-"""What the loop reads from a socket at a time."""
+"""The most that the event loop reads from a socket at once."""
 
 
 def read_from_wire(body: bytes) -> bytes:
-    """The body of an answer as the forwarder collects it, piece by piece."""
+    """Read the body of a response in pieces, as the forwarder reads it from a socket.
+
+    Raises MalformedResponseError if the response is incomplete.
+    """
     reader = ResponseReader(MAX_LIST_BYTES)
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-    for at in range(0, len(answer), READ_BYTES):
-        reader.feed(answer[at : at + READ_BYTES])
+    for offset in range(0, len(answer), READ_BYTES):
+        reader.feed(answer[offset : offset + READ_BYTES])
     if not reader.complete:
-        raise MalformedResponseError("not whole")
+        raise MalformedResponseError("list response is incomplete")
     return reader.body
 
 
 def parse_list(body: bytes) -> EndpointList:
-    """What `Watch.follow` makes of an answer."""
+    """Read and parse a response as `EndpointWatch` does."""
     return parse_endpoint_list(json.loads(read_from_wire(body)))
 
 
 def measure_follower(path: str) -> dict[str, float]:
-    """In a process of its own: a forwarder that knows no endpoint reads a whole list
-    from a file and takes it, then hears of single changes.
+    """Measure a forwarder that reads a whole list and then single changes.
+
+    The forwarder starts without endpoints and reads the list from the file `path`.
+    Runs in a process of its own.
     """
     body = Path(path).read_bytes()
 
-    async def scene(folder: Path) -> dict[str, float]:
-        engine = worlds.engine(folder)
+    async def run(folder: Path) -> dict[str, float]:
+        engine = fixtures.engine(folder)
         engine.run_round()
         before = probe.resident_bytes()
         probe.reset_peak()
@@ -78,7 +85,7 @@
         take_ms = probe.processor_ms(lambda: engine.on_endpoint_list(found.pop()))
         peak = probe.peak_bytes() - before
         kept = probe.resident_bytes() - before
-        known = {
+        found_shares = {
             "reachable": reachable_share(engine),
             "recovered": recovered_share(engine, folder),
         }
@@ -89,17 +96,19 @@
             "peak_bytes": peak,
             "kept_bytes": kept,
             "sweep_ms": sweep_ms,
-            **known,
+            **found_shares,
             **measure_change(engine),
         }
 
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(scene(Path(folder)))
+        return asyncio.run(run(Path(folder)))
 
 
 def reachable_share(engine: Engine) -> float:
-    """The share of the listed endpoints that the module and the engine know by the same
-    number: all others are held back when a message is sent to them.
+    """Return the share of the listed endpoints that can be called.
+
+    For these the dispatcher and the engine use the same number; messages to all
+    others are held.
     """
     targets = engine.dispatcher.state.endpoints.values()
     names = {engine.endpoint_names.get(t.id) for t in targets if t.serving}
@@ -107,35 +116,40 @@
 
 
 def recovered_share(engine: Engine, folder: Path) -> float:
-    """The share of the listed endpoints that a start after a kill finds in the journal."""
-    return len(MessageStore(folder, worlds.DISK_BYTES, write=False).hosts) / len(
+    """Return the share of the listed endpoints that a restart finds in the journal."""
+    return len(MessageStore(folder, fixtures.DISK_BYTES, write=False).hosts) / len(
         engine.endpoints
     )
 
 
 def measure_change(engine: Engine) -> dict[str, float]:
-    """One changed entry, from the parsed answer on: the turn of the loop it takes, the
-    bytes it journals.
+    """Measure the change of one entry: processor time (ms) and bytes journaled.
+
+    The time is that of the loop's turn from the parsed answer on.
     """
     count, written = len(engine.endpoints), engine.store.metrics()["bytes"]
-    news = changes(count)
+    updates = changes(count)
     rounds = 4
-    ms = [
-        probe.processor_ms(lambda: engine.on_endpoint_list(next(news)))
+    spent_ms = [
+        probe.processor_ms(lambda: engine.on_endpoint_list(next(updates)))
         for _ in range(rounds)
     ]
     journaled = engine.store.metrics()["bytes"] - written
-    return {"change_ms": sum(ms) / rounds, "change_journal_bytes": journaled / rounds}
+    return {
+        "change_ms": sum(spent_ms) / rounds,
+        "change_journal_bytes": journaled / rounds,
+    }
 
 
 def changes(count: int) -> Iterator[EndpointList]:
-    """News of the middle endpoint, draining and back, without end."""
+    """Yield changes of the middle endpoint, draining and up in turn, without end."""
     for health in itertools.cycle(("draining", "up")):
-        yield worlds.changed_entry(count, count // 2, health)
+        yield fixtures.changed_entry(count, count // 2, health)
 
 
 def measure_read(size: int) -> dict[str, float]:
-    body = worlds.whole_list(size)
+    """Measure the bytes of a whole list, and a forwarder that reads it."""
+    body = fixtures.whole_list(size)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "list.json")
         path.write_bytes(body)
@@ -143,9 +157,9 @@
 
 
 def entries(count: int) -> tuple[EndpointEntry, ...]:
-    """The whole list as the module hears it."""
+    """Build the whole list as the entries that the dispatcher receives."""
     listed = parse_endpoint_list(
-        {"seq": 1, "whole": True, "hosts": [worlds.endpoint(n) for n in range(count)]}
+        {"seq": 1, "whole": True, "hosts": [fixtures.endpoint(n) for n in range(count)]}
     )
     return tuple(
         host.to_entry(number) for number, host in enumerate(listed.endpoints, 1)
@@ -153,9 +167,9 @@
 
 
 def measure_dispatcher(size: int) -> dict[str, float]:
-    """The module alone: a round with the whole list, and one with a single change."""
+    """Measure the dispatcher alone, in a round with the whole list and with one change."""
     with tempfile.TemporaryDirectory() as folder:
-        dispatcher = Dispatcher(worlds.config(Path(folder)).settings, 1, 0)
+        dispatcher = Dispatcher(fixtures.config(Path(folder)).settings, 1, 0)
     whole = EndpointListChanged(EndpointListKind.SNAPSHOT, entries(size))
     one = EndpointListChanged(
         EndpointListKind.CHANGES, whole.entries[size // 2 : size // 2 + 1]
@@ -168,48 +182,48 @@
 
 
 def measure_service(size: int) -> dict[str, float]:
-    """The list service's own work: the whole list, and from a change that was asked for
-    to its answer.
-    """
-    registry = worlds.registry(size)
+    """Measure the list service: encoding the whole list, one change, and its answer."""
+    registry = fixtures.registry(size)
     whole_ms = probe.processor_ms_each(
         lambda: msgspec.json.encode(registry.answer_for(None, None))
     )
     shares = itertools.cycle((100.0, 200.0))
 
     def change() -> None:
-        op = {
+        operation = {
             "op": "share",
-            "host": worlds.endpoint(size // 2)["host"],
+            "host": fixtures.endpoint(size // 2)["host"],
             "share": next(shares),
         }
-        registry.commit(registry.prepare({"ops": [op]}, ""))  # type: ignore[arg-type]
+        registry.commit(registry.prepare({"ops": [operation]}, ""))  # type: ignore[arg-type]
 
     change_ms = probe.processor_ms_each(change)
-    tell_ms = probe.processor_ms_each(lambda: change_for_watcher(registry))
+    answer_ms = probe.processor_ms_each(lambda: change_for_watcher(registry))
     return {
         "whole_ms": whole_ms,
         "change_ms": change_ms,
-        "tell_ms": tell_ms,
+        "tell_ms": answer_ms,
         "tell_bytes": len(change_for_watcher(registry)),
     }
 
 
 def change_for_watcher(registry: EndpointRegistry) -> bytes:
-    """What a watcher who knows all but the last change is answered; made once for all
-    who know the same.
+    """Encode the answer to a watcher that lacks only the last change.
+
+    The service encodes it once for all watchers at the same version.
     """
     return msgspec.json.encode(registry.answer_for(registry.seq - 1, registry.epoch))
 
 
 async def list_arrives(count: int) -> bool:
-    """Whether a forwarder's own client gets the whole list from the real service over a
-    loopback socket.
+    """Return whether a client receives the whole list over a loopback socket.
+
+    Client and list service are the program's own.
     """
     with tempfile.TemporaryDirectory() as folder:
-        disk = Storage(Path(folder))
-        disk.load()
-        service = RegistryServer(disk, worlds.registry(count))
+        storage = Storage(Path(folder))
+        storage.load()
+        service = RegistryServer(storage, fixtures.registry(count))
         port = await service.listen("127.0.0.1", 0, False)
         client = HttpClient(Address("127.0.0.1", port))
         try:
@@ -227,10 +241,12 @@
 
 
 def measure_arrival(size: int) -> dict[str, float]:
+    """Measure whether the whole list arrives: 1.0 or 0.0."""
     return {"arrived": float(asyncio.run(list_arrives(size)))}
 
 
 def read_series(progress: Progress) -> Iterable[Series]:
+    """Measure a forwarder's reading of the list against the number of endpoints."""
     growth = grow(SIZES, measure_read, progress, REPEATS)
 
     def series(name: str, key: str, unit: str) -> Series:
@@ -256,6 +272,7 @@
 
 
 def dispatcher_series(progress: Progress) -> Iterable[Series]:
+    """Measure the dispatcher's part against the number of endpoints."""
     growth = grow(SIZES, measure_dispatcher, progress, REPEATS)
     for key in ("whole_ms", "change_ms"):
         yield Series(
@@ -269,6 +286,7 @@
 
 
 def service_series(progress: Progress) -> Iterable[Series]:
+    """Measure the list service's work against the number of endpoints."""
     growth = grow(SIZES, measure_service, progress, REPEATS)
 
     def series(name: str, key: str, unit: str) -> Series:
@@ -288,6 +306,7 @@
 
 
 def arrival_series(progress: Progress) -> Iterable[Series]:
+    """Measure the arrival of whole lists of up to `LARGEST_LIST` endpoints."""
     growth = grow([*sizes_by(11_000, 2, LARGEST_LIST)], measure_arrival, progress, 3)
     yield Series(
         "list_arrives",
--- a/measure/scale/control_members.py
+++ b/measure/scale/control_members.py
@@ -1,5 +1,7 @@
-"""Leases and members at the list service: beats, the tick, the list of members, the
-log, a restart.
+"""Measures the cost of leases and members at the list service.
+
+Measured are heartbeats, the periodic tick, the list of members, the log and a restart,
+against the number of members.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 
 import msgspec
 
-from measure.scale import control_fixtures as worlds
+from measure.scale import control_fixtures as fixtures
 from measure.scale import process_probe as probe
 from measure.scale.growth import grow
 from measure.scale.results import Measurement, Progress, Series
@@ -25,7 +27,7 @@
 
 SIZES = (30, 100, 300, FORWARDERS, 1_000)
 REPEATS = 5
-LATER_US = 4 * worlds.LEASE_US
+LATER_US = 4 * fixtures.LEASE_US
 UNITS = {
     "beat_ms": "ms of processor time",
     "tick_ms": "ms of processor time",
@@ -43,35 +45,38 @@
 
 
 def open_fleet_log(folder: Path) -> FleetLog:
-    made = FleetLog(folder / "fleet.log", LocalFileSystem(), None)
-    made.load()
-    return made
+    """Open the list service's log in a folder and load it."""
+    log = FleetLog(folder / "fleet.log", LocalFileSystem(), None)
+    log.load()
+    return log
 
 
 def recover(folder: Path) -> Roster:
-    """What a start of the list service does with the log before its first grant."""
-    kept, found = FleetLog(folder / "fleet.log", LocalFileSystem(), None).load()
-    table = LeaseTable.from_snapshot(kept[LEASE_TABLE], LeaseSettings(worlds.DRIFT))
-    for row in found.get(LEASE_TABLE, []):
+    """Rebuild the roster from the log, as the list service does at its start."""
+    snapshot, records = FleetLog(folder / "fleet.log", LocalFileSystem(), None).load()
+    table = LeaseTable.from_snapshot(
+        snapshot[LEASE_TABLE], LeaseSettings(fixtures.DRIFT)
+    )
+    for row in records.get(LEASE_TABLE, []):
         table.commit(row)
     table.commit(table.start(0, sure=True))
-    made = Roster(table, worlds.LEASE_US)
-    made.on_started(0)
-    return made
+    roster = Roster(table, fixtures.LEASE_US)
+    roster.on_started(0)
+    return roster
 
 
 def join_record(members: int) -> dict[str, Any]:
-    """The record of one more join."""
-    made = worlds.roster(members).join(
-        LATER_US, "one-more", "zone-0", worlds.dial(0), "run-0"
+    """Build the record of one more join to a roster of `members` members."""
+    grant = fixtures.roster(members).join(
+        LATER_US, "one-more", "zone-0", fixtures.dial(0), "run-0"
     )
-    assert made.record is not None
-    return made.record
+    assert grant.record is not None
+    return grant.record
 
 
 def measure_log(members: int) -> dict[str, float]:
-    """The log of all joins, written anew, and read at a start."""
-    roster = worlds.roster(members)
+    """Measure the log of all joins: appending, compaction and recovery."""
+    roster = fixtures.roster(members)
     with tempfile.TemporaryDirectory() as folder:
         log = open_fleet_log(Path(folder))
         log.append([(LEASE_TABLE, join_record(members))])
@@ -80,8 +85,8 @@
             lambda: log.compact({LEASE_TABLE: roster.table.snapshot()})
         )
         recover_ms = probe.processor_ms_each(lambda: recover(Path(folder)))
-        found = recover(Path(folder))
-        assert len(found.active_members()) == members
+        recovered = recover(Path(folder))
+        assert len(recovered.active_members()) == members
         return {
             "join_log_bytes": join_bytes,
             "log_bytes": log.record_log.size,
@@ -91,12 +96,12 @@
 
 
 def measure_members(members: int) -> dict[str, float]:
-    """A beat, the service's look at who is late, and the list that members are told."""
-    roster = worlds.roster(members)
-    name = worlds.member(members // 2)
+    """Measure a heartbeat, the check for expired leases, and the list of members."""
+    roster = fixtures.roster(members)
+    name = fixtures.member(members // 2)
     token = roster.members[name].token
-    now_us = roster.table.read(f"member/{name}").expires_at_us - worlds.LEASE_US // 2  # type: ignore[union-attr]
-    made = roster.heartbeat(now_us, name, token)
+    now_us = roster.table.read(f"member/{name}").expires_at_us - fixtures.LEASE_US // 2  # type: ignore[union-attr]
+    grant = roster.heartbeat(now_us, name, token)
     since = roster.version - 1
     whole, change = (
         roster.changes_since(None, None),
@@ -116,12 +121,13 @@
             lambda: msgspec.json.encode(roster.changes_since(since, roster.epoch))
         ),
         "told_change_bytes": len(msgspec.json.encode(change)),
-        "beat_log_bytes": 0 if made.record is None else len(json.dumps(made.record)),
+        "beat_log_bytes": 0 if grant.record is None else len(json.dumps(grant.record)),
         **measure_log(members),
     }
 
 
 def members_series(progress: Progress) -> Iterable[Series]:
+    """Measure leases, members and the log against the number of members."""
     growth = grow(SIZES, measure_members, progress, REPEATS)
     for key, unit in UNITS.items():
         yield Series(
--- a/measure/scale/control_shards.py
+++ b/measure/scale/control_shards.py
@@ -1,5 +1,7 @@
-"""The shard map: its bytes, its check, plans, the keys that move when members come and
-go, what is told.
+"""Measures the cost of the shard map.
+
+Measured are its bytes, its validation, its plans, the keys that move when members join
+or leave, and the ranges that a member receives with each heartbeat.
 """
 
 from __future__ import annotations
@@ -9,7 +11,7 @@
 
 import msgspec
 
-from measure.scale import control_fixtures as worlds
+from measure.scale import control_fixtures as fixtures
 from measure.scale import process_probe as probe
 from measure.scale.growth import Growth, grow
 from measure.scale.results import Measurement, Progress, Series
@@ -28,67 +30,72 @@
 
 
 def measure_check(ranges: int) -> dict[str, float]:
-    """A sound map of so many ranges at the target's owners."""
-    raw = map_document(shuffled_ranges(ranges, random.Random(ranges)), FORWARDERS)
+    """Measure the validation of a sound map of `ranges` ranges and all owners."""
+    document = map_document(shuffled_ranges(ranges, random.Random(ranges)), FORWARDERS)
     names = {f"n{n}" for n in range(FORWARDERS)}
     return {
-        "check_ms": probe.processor_ms_each(lambda: map_faults(raw, names)),
-        "map_bytes": len(msgspec.json.encode(raw)),
+        "check_ms": probe.processor_ms_each(lambda: map_faults(document, names)),
+        "map_bytes": len(msgspec.json.encode(document)),
     }
 
 
 def even_map(members: int) -> ShardMap:
-    return plan_map({worlds.member(n): 1.0 for n in range(members)}).map
+    """Plan a map for `members` members of equal weight."""
+    return plan_map({fixtures.member(n): 1.0 for n in range(members)}).map
 
 
-def told_bytes(shards: ShardMap, name: str) -> int:
-    """A member's own ranges in the answer to each of its beats."""
-    own = [
+def owned_ranges_bytes(shards: ShardMap, name: str) -> int:
+    """Return the bytes of a member's own ranges in the answer to each heartbeat."""
+    owned = [
         {
             "keys": format_range(r.first, r.last),
-            "token": worlds.token(1).to_wire(),
+            "token": fixtures.token(1).to_wire(),
             "begun": shards.generation,
         }
         for r in shards.ranges
         if r.owner == name
     ]
-    return len(msgspec.json.encode({"map": shards.generation, "ranges": own}))
+    return len(msgspec.json.encode({"map": shards.generation, "ranges": owned}))
 
 
 def measure_move(members: int, joined: int, left: int) -> dict[str, float]:
-    """Some join, or some leave in order of their names, all in one plan."""
+    """Measure one plan after `joined` members join and the first `left` ones leave.
+
+    Moved keys are given as a part of all keys; `above_least` is the part beyond the
+    minimum.
+    """
     base = even_map(members)
-    after = {worlds.member(n): 1.0 for n in range(left, members + joined)}
-    found = []
-    ms = probe.processor_ms(lambda: found.append(plan_map(after, base)))
-    made = found[0]
+    after = {fixtures.member(n): 1.0 for n in range(left, members + joined)}
+    plans = []
+    spent_ms = probe.processor_ms(lambda: plans.append(plan_map(after, base)))
+    plan = plans[0]
     return {
-        "ms": ms,
-        "moved": made.moved_keys / KEY_SPACE,
-        "above_least": (made.moved_keys - made.min_moved_keys) / KEY_SPACE,
-        "ranges": len(made.map.ranges),
-        "map_bytes": len(msgspec.json.encode(made.map.to_wire())),
+        "ms": spent_ms,
+        "moved": plan.moved_keys / KEY_SPACE,
+        "above_least": (plan.moved_keys - plan.min_moved_keys) / KEY_SPACE,
+        "ranges": len(plan.map.ranges),
+        "map_bytes": len(msgspec.json.encode(plan.map.to_wire())),
     }
 
 
 def measure_owners(owners: int) -> dict[str, float]:
-    """A first plan, one join and one leave."""
+    """Measure a first plan, one join and one leave."""
     base = even_map(owners)
-    one = {
+    values = {
         "plan_ms": probe.processor_ms_each(lambda: even_map(owners)),
-        "told_bytes": told_bytes(base, worlds.member(owners // 2)),
+        "told_bytes": owned_ranges_bytes(base, fixtures.member(owners // 2)),
         "map_bytes": len(msgspec.json.encode(base.to_wire())),
     }
     for what, joined, left in (("join", 1, 0), ("leave", 0, 1)):
-        one |= {
+        values |= {
             f"{what}_{key}": value
             for key, value in measure_move(owners, joined, left).items()
         }
-    return one
+    return values
 
 
 def measure_group(group: int) -> dict[str, float]:
-    """So many of the target's forwarders join, or leave, at once."""
+    """Measure `group` of the target's forwarders that join, or leave, at once."""
     return {
         f"{what}_{key}": value
         for what, joined, left in (("join", group, 0), ("leave", 0, group))
@@ -97,12 +104,14 @@
 
 
 def unit(key: str) -> str:
+    """Return the unit of a measured value, from the end of its key."""
     return {"ms": MS, "bytes": "bytes", "ranges": "ranges"}.get(
         key.rpartition("_")[2], "part of all keys"
     )
 
 
 def series(prefix: str, size_unit: str, growth: Growth) -> Iterable[Series]:
+    """Yield one series for each measured value of a growth."""
     for key in growth.points:
         yield Series(
             f"{prefix}_{key}",
@@ -115,18 +124,21 @@
 
 
 def check_series(progress: Progress) -> Iterable[Series]:
+    """Measure the validation of a map against its ranges."""
     yield from series(
         "shard_ranges", "ranges", grow(RANGES, measure_check, progress, REPEATS)
     )
 
 
 def owners_series(progress: Progress) -> Iterable[Series]:
+    """Measure plans against the number of owners."""
     yield from series(
         "shard_owners", "owners", grow(OWNERS, measure_owners, progress, REPEATS)
     )
 
 
 def groups_series(progress: Progress) -> Iterable[Series]:
+    """Measure plans against the number of members that join or leave at once."""
     yield from series(
         "shard_group",
         "forwarders at once",
--- a/measure/scale/failures.py
+++ b/measure/scale/failures.py
@@ -1,4 +1,4 @@
-"""What each failure of the target costs, and what the control plane then has to do."""
+"""Defines the target's failures, their cost and the control plane's part in them."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
     name: str
     forwarders: int
-    """How many have failed at once."""
+    """Number of forwarders that have failed at once."""
     remaining_service: str
-    """Who serves meanwhile, and what does not work."""
+    """Which forwarders serve during the failure, and what does not work."""
     control: tuple[tuple[str, str], ...]
     """The label and the series of each value of the control plane."""
     held_back_per_s: float = 0.0
-    """Messages a second that are accepted and cannot be delivered meanwhile."""
+    """Messages a second that are accepted but cannot be delivered during the failure."""
     duration_s: float = 0.0
     """How long the failure lasts."""
 
 
 SPLIT = f"split: 50% of the members cut off for {target.SPLIT_S:.0f} s"
-"""How the names of the series of such a split begin."""
+"""The beginning of the names of a split's series."""
 FAILURES = (
     Failure(
         "two machines of a day, at once",
@@ -105,17 +105,20 @@
 
 
 def lost_per_s(failure: Failure) -> float:
-    """Messages a second of the failed forwarders, until clients use others."""
+    """Return the messages a second of the failed forwarders.
+
+    They are lost until clients use other forwarders.
+    """
     return failure.forwarders * target.FORWARDER_PER_S
 
 
 def others_per_s(failure: Failure) -> float:
-    """Messages a second of each other forwarder, if clients are spread evenly."""
+    """Return the messages a second of each other forwarder, if load is even."""
     return target.MESSAGES_PER_S / (target.FORWARDERS - failure.forwarders)
 
 
 def held_messages(failure: Failure) -> float:
-    """Accepted messages that nobody can send meanwhile."""
+    """Return the accepted messages that cannot be sent during the failure."""
     return (
         failure.forwarders * target.FORWARDER_BACKLOG
         + failure.held_back_per_s * failure.duration_s
@@ -125,5 +128,5 @@
 def control_figures(
     failure: Failure, entries: dict[str, Entry]
 ) -> list[tuple[str, LocatedSeries | None]]:
-    """The label and the series of each value of the control plane."""
+    """Return the label and the series of each control plane value."""
     return [(label, find_series(entries, series)) for label, series in failure.control]
--- a/measure/scale/fit.py
+++ b/measure/scale/fit.py
@@ -18,7 +18,7 @@
 MAX_SHAPE_RESIDUAL = 0.15
 """The same for the shapes that grow."""
 MIN_SIZES = 4
-"""Sizes that a growing shape needs: two would fit any."""
+"""Sizes that a growing shape needs; two points would fit any shape."""
 
 
 class Shape(Enum):
@@ -71,17 +71,16 @@
     """None if no shape fits."""
     line: Line
     slope: Spread
-    """A step of the value for a step of the shape's term; for `CONSTANT` the value
-    itself.
+    """Increase of the value for each unit of the shape's term; the value if `CONSTANT`.
     """
     residual: float
     """Root mean square of the relative residuals of the best shape."""
     repeats: tuple[Line, ...]
     """The same shape fitted to each repeat alone."""
     last_exponent: float
-    """Of the power law through the last two medians."""
+    """Exponent of the power law through the last two medians."""
     points: tuple[Point, ...]
-    """By rising size."""
+    """The points, by rising size."""
 
     @property
     def last(self) -> Point:
@@ -94,11 +93,11 @@
         return self.shape is not None
 
     def at(self, size: float) -> Spread:
-        """The value at another size.
+        """Estimate the value at another size.
 
-        If no shape fits, it is interpolated between the sizes around it. Past the
-        largest size the power law of the last two is extended, or the last value if the
-        power law falls.
+        If no shape fits, the value is interpolated between the measured sizes.
+        Beyond the largest size the power law through the last two points is
+        extended, or the last value is kept if the power law falls.
         """
         if self.shape is None and self.points[0].size <= size <= self.last.size:
             return between(self.points, size)
@@ -112,7 +111,7 @@
         return Spread(middle, min(middle, *values), max(middle, *values))
 
     def describe(self, series: Series) -> str:
-        """The slope with its spread and the shape, in words."""
+        """Describe the slope with its spread and the shape."""
         if self.shape is None:
             return f"shape not plain (last step ~ size^{self.last_exponent:.2f})"
         step = f" {series.value_unit}"
@@ -123,7 +122,7 @@
 
 
 def between(points: Sequence[Point], size: float) -> Spread:
-    """On the lines from point to point."""
+    """Interpolate linearly between the points around a size."""
     after = next(n for n, point in enumerate(points) if point.size >= size)
     above = points[after]
     below = points[max(0, after - 1)]
@@ -138,14 +137,14 @@
 
 
 def value_of(shape: Shape, line: Line, size: float) -> float:
-    """The value of a shape with these parameters."""
+    """Return the value of a shape with these parameters."""
     if shape is Shape.CONSTANT:
         return line.base
     return line.base + line.slope * TERMS[shape](size)
 
 
 def weighted_line(terms: Sequence[float], values: Sequence[float]) -> Line:
-    """Least squares with residuals relative to the values."""
+    """Fit a line by least squares, with residuals relative to the values."""
     weights = [1 / value**2 if value else 1.0 for value in values]
     whole = sum(weights)
     mean_term = sum(w * t for w, t in zip(weights, terms, strict=True)) / whole
@@ -160,7 +159,7 @@
 
 
 def fit_line(shape: Shape, sizes: Sequence[float], values: Sequence[float]) -> Line:
-    """The parameters with which a shape fits best."""
+    """Return the parameters with which a shape fits best."""
     if shape is Shape.CONSTANT:
         return Line(weighted_line([0.0] * len(values), values).base, 0.0)
     return weighted_line([TERMS[shape](size) for size in sizes], values)
@@ -169,7 +168,7 @@
 def residual(
     shape: Shape, line: Line, sizes: Sequence[float], values: Sequence[float]
 ) -> float:
-    """Root mean square of the relative residuals."""
+    """Return the root mean square of the relative residuals."""
     squares = [
         ((value_of(shape, line, size) - value) / (value or 1.0)) ** 2
         for size, value in zip(sizes, values, strict=True)
@@ -178,7 +177,10 @@
 
 
 def last_exponent(points: Sequence[Point]) -> float:
-    """Of the power law through the last two medians; 1 where there is none."""
+    """Return the exponent of the power law through the last two medians.
+
+    1 if there is no such law.
+    """
     if len(points) < 2:
         return 1.0
     before, last = points[-2], points[-1]
--- a/measure/scale/growth.py
+++ b/measure/scale/growth.py
@@ -1,6 +1,6 @@
-"""Runs a measurement at rising sizes, up to the largest wanted or a limit.
+"""Runs a measurement at rising sizes, up to the largest one or a limit.
 
-The limits are the time that a size may take, and the machine's memory.
+The limits are the time that a size takes, and the machine's memory.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 Result = TypeVar("Result")
 
 MEMORY_SHARE = 0.5
-"""The part of the machine's memory that one run may take, as expected."""
+"""Part of the machine's memory that one run is allowed to use, by estimate."""
 POINT_S = 60.0
-"""How long all repeats at one size may take, as expected."""
+"""Seconds that all repeats at one size are allowed to take, by estimate."""
 
 
-def sizes_by(first: int, factor: float, most: int) -> list[int]:
-    """From `first` up by `factor`; the last is `most`."""
+def sizes_by(first: int, factor: float, largest: int) -> list[int]:
+    """Return sizes from `first` up by `factor`; the last one is `largest`."""
     sizes, size = [], float(first)
-    while size < most:
+    while size < largest:
         sizes.append(round(size))
         size *= factor
-    return [*sizes, most]
+    return [*sizes, largest]
 
 
 @dataclass(slots=True)
@@ -39,12 +39,15 @@
     bound: str = "largest size wanted"
 
     def points_of(self, name: str) -> tuple[Point, ...]:
-        """The points of a value."""
+        """Return the points of a value."""
         return tuple(self.points[name])
 
 
 def expected_s(took: float, took_before: float, factor: float) -> float:
-    """How long the next size may take; only what has grown is multiplied."""
+    """Estimate the seconds of the next size.
+
+    Only the increase since the previous size is multiplied by the factor.
+    """
     if not took_before:
         return took
     return took + max(0.0, took - took_before) * factor
@@ -58,10 +61,10 @@
     point_s: float = POINT_S,
     memory: Callable[[Mapping[str, float]], float] | None = None,
 ) -> Growth:
-    """Measure each size `repeats` times.
+    """Measure each size `repeats` times, until a limit is expected to be exceeded.
 
-    `measure` returns values by name; `memory` returns from these how many bytes the run
-    took, where that can come near the limit.
+    `measure` returns values by name; `memory` computes the bytes of a run from
+    them, where they may come near the limit.
     """
     growth = Growth()
     before = 0
--- a/measure/scale/hollow_fleet.py
+++ b/measure/scale/hollow_fleet.py
@@ -1,5 +1,6 @@
-"""A whole fleet of hollow members: processes of some hundred each, beside one list
-service process.
+"""Runs a whole fleet of hollow members against one list service process.
+
+The members are spread over processes of up to `MEMBERS_PER_PROCESS` each.
 """
 
 from __future__ import annotations
@@ -33,34 +34,37 @@
 from measure.scale.service_process import ListService, host_entry
 
 MEMBERS_PER_PROCESS = 180
-"""Members of one process at most: more would wait for each other's turns."""
+"""Most members of one process: more would delay each other on its event loop."""
 CONNECTIONS_PER_MEMBER = 3
-"""Of a member: beats, the fleet's watch, the list's."""
+"""A member's connections: heartbeats, the fleet's watch and the list's watch."""
 SPARE_DESCRIPTORS = 200
 IDLE_CALLS = 2
-"""Calls in a span that a member at rest needs of each budget."""
+"""Calls in a span that an idle member needs of each budget."""
 HOST_COUNT = 20
 SETTLED_S = 2.5
-"""Shares that have not changed for so long rest: over two windows, by which what was
-given up moves.
+"""Shares are settled once they have not changed for this long.
+
+Released shares move within two windows, and this is longer.
 """
 WAIT_TIMEOUT_S = 90.0
 POLL_INTERVAL_S = 0.2
 
 
 class FleetTimeoutError(Exception):
-    """What was waited for did not come; the text says what."""
+    """The fleet cannot start, or a condition was not met in time."""
 
 
 def allow_descriptors(members: int) -> None:
-    """Raise this process's limit, which all that it starts inherit, as far as the fleet
-    needs it.
+    """Raise this process's limit of file descriptors as far as the fleet needs.
+
+    Processes that are started later inherit the limit. Raises FleetTimeoutError if
+    the hard limit is too low.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = members * CONNECTIONS_PER_MEMBER + SPARE_DESCRIPTORS
     if hard != resource.RLIM_INFINITY and hard < needed:
         raise FleetTimeoutError(
-            f"{members} members need {needed} descriptors of the service, and the limit is {hard}"
+            f"{members} members need {needed} file descriptors in the list service, the hard limit is {hard}"
         )
     if soft != resource.RLIM_INFINITY and soft < needed:
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
@@ -68,7 +72,7 @@
 
 @dataclass(slots=True)
 class Totals:
-    """Of all processes of members together, at a moment."""
+    """Sums over all processes of members, at one moment."""
 
     at_s: float
     members: dict[str, MemberReport] = field(default_factory=dict)
@@ -77,9 +81,10 @@
     processor_s: float = 0.0
     resident_bytes: int = 0
     samples: list[list[Sample]] = field(default_factory=list)
-    """Of each process."""
+    """The samples of each process."""
 
     def add(self, report: Report) -> None:
+        """Add the report of one process."""
         self.members |= {member.name: member for member in report.members}
         for call in Call:
             self.calls[call] += report.calls.get(call, 0)
@@ -89,18 +94,20 @@
         self.samples.append(report.samples)
 
     def alive(self) -> int:
+        """Return how many members are alive."""
         return sum(member.alive for member in self.members.values())
 
     def lost(self) -> int:
+        """Return how often members have lost their leases."""
         return sum(member.lost for member in self.members.values())
 
     def changed_ns(self) -> int:
-        """When a share of any member last changed."""
+        """Return when a share of any member last changed (monotonic ns)."""
         return max((member.changed_ns for member in self.members.values()), default=0)
 
 
 class Worker:
-    """One process of members."""
+    """A process that runs members; commands and answers are JSON lines."""
 
     def __init__(self, setup: Setup) -> None:
         command = [sys.executable, "-m", "measure.scale.hollow_process"]
@@ -115,19 +122,22 @@
         self.write(setup)
 
     def write(self, message: msgspec.Struct) -> None:
+        """Send one command."""
         assert self.process.stdin is not None
         self.process.stdin.write(msgspec.json.encode(message) + b"\n")
         self.process.stdin.flush()
 
     def answer(self) -> bytes:
+        """Read one answer. Raises FleetTimeoutError if the process has ended."""
         assert self.process.stdout is not None
         if not (line := self.process.stdout.readline()):
             raise FleetTimeoutError(
-                f"a process of members ended with {self.process.wait()}"
+                f"member process ended with status {self.process.wait()}"
             )
         return line
 
     def close(self) -> None:
+        """End the process; it is killed if it does not end within 5 s."""
         assert self.process.stdin is not None
         self.process.stdin.close()
         try:
@@ -138,7 +148,10 @@
 
 
 class HollowFleet:
-    """`members` of them with `budgets` budgets, `wanted` of which each needs calls of."""
+    """A fleet of `members` hollow members and a list service with `budgets` budgets.
+
+    Each member needs calls of the first `wanted` budgets; of all if None.
+    """
 
     def __init__(
         self, folder: Path, members: int, budgets: int = 3, wanted: int | None = None
@@ -160,6 +173,7 @@
             self.workers[number % len(self.workers)].names.add(name)
 
     def close(self) -> None:
+        """End all processes."""
         for worker in self.workers:
             worker.close()
         self.service.close()
@@ -169,27 +183,31 @@
     def send_command(
         self, make: Callable[[list[str]], Command], names: Iterable[str]
     ) -> None:
-        """One command to every process that has some of these members; all begin at
-        once.
+        """Send one command to every process that runs some of these members.
+
+        All processes receive it before the first answer is read.
         """
-        wanted = set(names)
-        addressed = [worker for worker in self.workers if worker.names & wanted]
+        selected = set(names)
+        addressed = [worker for worker in self.workers if worker.names & selected]
         for worker in addressed:
-            worker.write(make(sorted(worker.names & wanted)))
+            worker.write(make(sorted(worker.names & selected)))
         for worker in addressed:
             msgspec.json.decode(worker.answer(), type=Done)
 
     def start(self, names: Iterable[str]) -> None:
-        self.send_command(lambda some: Start(some, "zone-0", self.needs), names)
+        """Start members."""
+        self.send_command(lambda selected: Start(selected, "zone-0", self.needs), names)
 
     def kill(self, names: Iterable[str]) -> None:
+        """Kill members, as by SIGKILL."""
         self.send_command(Kill, names)
 
     def set_need(self, names: Iterable[str], destination: int, calls: int) -> None:
-        self.send_command(lambda some: SetNeed(some, destination, calls), names)
+        """Set how many calls of a destination these members need."""
+        self.send_command(lambda selected: SetNeed(selected, destination, calls), names)
 
     def totals(self, destination: int = 0) -> Totals:
-        """As it stands now; samples are those since the last time."""
+        """Return the current totals, with the samples since the last report."""
         for worker in self.workers:
             worker.write(ReportRequest(destination))
         totals = Totals(time.monotonic())
@@ -197,19 +215,19 @@
             totals.add(msgspec.json.decode(worker.answer(), type=Report))
         return totals
 
-    # Waiting
+    # Waiting for a condition
 
     def wait_until(
         self,
         description: str,
         condition: Callable[[Totals], bool],
-        patience_s: float = WAIT_TIMEOUT_S,
+        timeout_s: float = WAIT_TIMEOUT_S,
     ) -> Totals:
-        """The totals once they are so, with the samples of all the time until then.
+        """Poll the totals until the condition holds, and return them.
 
-        Raises Stuck.
+        They include the samples of the whole time. Raises FleetTimeoutError.
         """
-        end = time.monotonic() + patience_s
+        end = time.monotonic() + timeout_s
         samples: list[list[Sample]] = [[] for _ in self.workers]
         while True:
             totals = self.totals()
@@ -220,18 +238,21 @@
                 return totals
             if time.monotonic() > end:
                 raise FleetTimeoutError(
-                    f"{description}: not within {patience_s:g} s; {totals.alive()} members are alive, leases"
-                    f" were lost {totals.lost()} times"
+                    f"{description}: not met within {timeout_s:g} s; {totals.alive()} members are alive,"
+                    f" leases were lost {totals.lost()} times"
                 )
             time.sleep(POLL_INTERVAL_S)
 
     def wait_until_settled(self) -> Totals:
-        """All are alive, all have their shares, and none has changed for a while."""
+        """Wait until all members are alive and their shares no longer change."""
 
         def settled(totals: Totals) -> bool:
             members = totals.members.values()
-            rested_s = time.monotonic() - totals.changed_ns() / 1e9
-            return all(m.alive and m.whole_ns for m in members) and rested_s > SETTLED_S
+            unchanged_s = time.monotonic() - totals.changed_ns() / 1e9
+            return (
+                all(member.alive and member.whole_ns for member in members)
+                and unchanged_s > SETTLED_S
+            )
 
         return self.wait_until("shares at rest", settled)
 
@@ -240,7 +261,7 @@
 def running_fleet(
     members: int, budgets: int = 3, wanted: int | None = None
 ) -> Iterator[HollowFleet]:
-    """A fleet that has settled."""
+    """Start a fleet, yield it once it has settled, and end it."""
     with TemporaryDirectory(prefix="hollow-fleet-") as folder:
         fleet = HollowFleet(Path(folder), members, budgets, wanted)
         try:
--- a/measure/scale/hollow_member.py
+++ b/measure/scale/hollow_member.py
@@ -1,9 +1,9 @@
-"""A forwarder's control part without its message path: lease, beats, watches, purses
-and the list's watch are the program's own classes on real sockets; the engine's place
-is taken by `HollowDesk`.
+"""A forwarder's control part without its message path.
 
-What is left out: messages, the dispatcher, the journal, clients and endpoints. Needs
-are stated by messages that wait for ever.
+Lease, heartbeats, watches, quotas and the list's watch are the program's own classes on
+real sockets; `HollowEngine` takes the place of the engine. Messages, the dispatcher,
+the journal, clients and endpoints are left out. Demand comes from messages that wait
+forever.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Call(StrEnum):
-    """What a member asks the list service for."""
+    """The kinds of requests that a member sends to the list service."""
 
     BEAT = "beat"
     WATCH = "watch"
@@ -51,14 +51,16 @@
 
 
 def call_of(request: bytes) -> Call:
-    """Which call the bytes of a request are."""
+    """Return the kind of a request from its bytes."""
     path = request.split(b" ", 2)[1].partition(b"?")[0]
     return PATHS[path]
 
 
-class CountedChannel(HttpConnection):
-    """A connection to the list service that counts calls and bytes of HTTP, both ways,
-    of all members of this process.
+class CountingConnection(HttpConnection):
+    """A connection to the list service that counts calls and bytes.
+
+    The counts are those of all members of this process; bytes of HTTP are counted
+    in both directions.
     """
 
     calls: ClassVar[Counter[Call]] = Counter()
@@ -67,30 +69,31 @@
     opened: ClassVar[int] = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        CountedChannel.opened += 1
+        """Count the connection."""
+        CountingConnection.opened += 1
         super().connection_made(transport)
 
     async def exchange(self, data: bytes, until: float) -> ResponseReader:
+        """Count the request and send it."""
         self.call = call_of(data)
         self.calls[self.call] += 1
         self.sent[self.call] += len(data)
         return await super().exchange(data, until)
 
     def data_received(self, data: bytes) -> None:
+        """Count the bytes received and pass them on."""
         self.received[self.call] += len(data)
         super().data_received(data)
 
 
 def count_calls() -> None:
-    """From here on each new connection of this process to the list service is a counted
-    one.
-    """
-    vars(endpoint_watch)["HttpConnection"] = CountedChannel
+    """Count the calls of each connection to the list service opened from now on."""
+    vars(endpoint_watch)["HttpConnection"] = CountingConnection
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingMessage:
-    """As much of a held message as needs are counted by."""
+    """The part of a held message that demand is computed from."""
 
     id: str
     cls: MessageClass
@@ -98,11 +101,12 @@
 
 @dataclass(slots=True)
 class HollowQueues:
-    """Messages that wait, by destination and id."""
+    """Waiting messages, by destination and id."""
 
     by_destination: dict[int, dict[str, WaitingMessage]] = field(default_factory=dict)
 
     def count_by_demand(self) -> dict[int, Counter[DemandKey]]:
+        """Count the waiting messages by destination and demand key."""
         return {
             destination: Counter(
                 DemandKey(message.cls.name, None) for message in queue.values()
@@ -113,21 +117,29 @@
 
 @dataclass(slots=True)
 class HollowState:
+    """The part of the dispatcher's state that the fleet part reads."""
+
     queues: HollowQueues = field(default_factory=HollowQueues)
 
 
 @dataclass(slots=True)
 class HollowDispatcher:
+    """The part of the dispatcher that the fleet part reads."""
+
     state: HollowState = field(default_factory=HollowState)
 
 
 @dataclass(slots=True)
 class HollowStore:
+    """A message store that holds no message."""
+
     messages: dict[str, Any] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class HollowConfig:
+    """The part of the configuration that the fleet part reads."""
+
     listen: Address
     state: Path
     power: bool = False
@@ -135,44 +147,45 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareInForce:
-    """A share as the message path was last told of it; times are monotonic ns."""
+    """A share as the message path last received it; times are monotonic ns."""
 
     calls: int
     whole: int
     whole_ns: int
-    """When it was told of this whole."""
+    """When the message path received this whole."""
 
 
 class HollowEngine:
-    """As much of the engine's desk as its fleet part uses.
+    """The part of the engine that the fleet part uses.
 
-    Events end here; shares are remembered.
+    Events are not processed further; the last share of each destination is stored.
     """
 
     def __init__(self, config: HollowConfig) -> None:
         self.config, self.clock = config, Clock()
         self.dispatcher, self.store = HollowDispatcher(), HollowStore()
-        self.acted: dict[int, ShareInForce] = {}
+        self.shares_in_force: dict[int, ShareInForce] = {}
         self.changed_ns = 0
         self.fleet: FleetMember | None = None
 
     def post(self, event: Event) -> None:
+        """Store the share of a quota event; other events are ignored."""
         if not isinstance(event, QuotaChanged) or self.fleet is None:
             return
         share = self.fleet.quotas.accounts[event.destination].quota.share
-        before = self.acted.get(event.destination)
+        before = self.shares_in_force.get(event.destination)
         if before is None or (before.calls, before.whole) != (event.calls, share.whole):
             self.changed_ns = time.monotonic_ns()
             known = before is not None and before.whole == share.whole
             whole_ns = (
                 before.whole_ns if before is not None and known else self.changed_ns
             )
-            self.acted[event.destination] = ShareInForce(
+            self.shares_in_force[event.destination] = ShareInForce(
                 event.calls, share.whole, whole_ns
             )
 
-    def wait_for(self, destination: int, calls: int) -> None:
-        """So many messages wait for the destination from now on."""
+    def set_waiting_messages(self, destination: int, calls: int) -> None:
+        """Let `calls` messages wait for a destination from now on."""
         message_class = MessageClass(WAITING_CLASS, 1_000_000, 1_000_000)
         self.dispatcher.state.queues.by_destination[destination] = {
             str(n): WaitingMessage(str(n), message_class) for n in range(calls)
@@ -181,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceAddresses:
-    """Where the list service is reached by members."""
+    """The list service's addresses for members."""
 
     fleet: Address
     discovery: Address
@@ -190,8 +203,9 @@
 class HollowMember:
     """One member.
 
-    `start` on the running loop; `tick` ten times a second; `kill` as by SIGKILL, after
-    which another one may be made on the same folder.
+    `start` needs a running event loop; `tick` is called ten times a second; `kill`
+    has the effect of SIGKILL, after which another member can start on the same
+    folder.
     """
 
     def __init__(
@@ -206,7 +220,7 @@
         self.random = random.Random(name)
         self.engine = HollowEngine(HollowConfig(Address("127.0.0.1", 1), folder))
         for destination, calls in needs.items():
-            self.engine.wait_for(destination, calls)
+            self.engine.set_waiting_messages(destination, calls)
         config = fleet_config.parse_fleet(
             {"service": str(service.fleet), "site": site}, name
         )
@@ -214,28 +228,32 @@
             config, cast(ForwarderContext, self.engine)
         )
         self.watch = EndpointWatch(
-            service.discovery, NO_VERSION, self.listed, self.random.getrandbits(32)
+            service.discovery, NO_VERSION, self.on_list, self.random.getrandbits(32)
         )
         self.list_version, self.listed_ns = NO_VERSION, 0
         self.retry: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Start the heartbeats and subscribe to the list."""
         self.fleet.start()
         self.watch.subscribe()
 
     def tick(self) -> None:
+        """Run the fleet part's periodic work."""
         self.fleet.tick()
 
     def kill(self) -> None:
-        """Connections end, nothing is said and nothing is written."""
+        """Close the connections without sending or writing anything."""
         if self.retry is not None:
             self.retry.cancel()
         self.fleet.heartbeats.stop()
         self.watch.pause()
 
-    def listed(self, host_list: EndpointList | None) -> None:
-        """A list came, or could not be had: then it is asked for again, as the
-        dispatcher would have it.
+    def on_list(self, host_list: EndpointList | None) -> None:
+        """Store a received list's version, or retry after a failure (None).
+
+        The retry is delayed at random, up to `MAX_POLL_RETRY_US`, as by the
+        dispatcher.
         """
         if host_list is None:
             wait_s = self.random.random() * MAX_POLL_RETRY_US / 1e6
--- a/measure/scale/hollow_peaks.py
+++ b/measure/scale/hollow_peaks.py
@@ -1,4 +1,4 @@
-"""The peaks of a fleet's traffic, from the samples of its processes."""
+"""Computes the peaks of a fleet's traffic from the samples of its processes."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Peaks:
-    """The highest counts of all processes together, in a second.
+    """The highest counts within one second, over all processes together.
 
-    `opened` counts connections, and `opened_tenth` those in a tenth of a second.
+    `opened` counts connections, `opened_tenth` those within a tenth of a second.
     """
 
     beats: int
@@ -26,10 +26,10 @@
 
 
 def peaks(processes: Sequence[Sequence[Sample]]) -> Peaks:
-    """The peaks of the samples of each process, which are in the order of their times.
+    """Compute the peaks; the samples of each process are in the order of their times.
 
-    A count stands until the next sample, so a peak is off by at most one sample of each
-    process.
+    A count holds until the next sample, so a peak is off by at most one sample of
+    each process.
     """
     return Peaks(
         peak_within(processes, lambda sample: sample.beats, SECOND_NS),
@@ -44,7 +44,7 @@
     count: Callable[[Sample], int],
     window_ns: int,
 ) -> int:
-    """The highest growth of a count within a window."""
+    """Return the highest increase of a count within a window."""
     sampled = [samples for samples in processes if samples]
     if not sampled:
         return 0
@@ -64,6 +64,6 @@
 def value_at(
     samples: Sequence[Sample], count: Callable[[Sample], int], at_ns: int
 ) -> int:
-    """The count of the last sample at or before a time."""
+    """Return the count of the last sample at or before a time."""
     index = bisect_right(samples, at_ns, key=lambda sample: sample.at_ns)
     return count(samples[max(0, index - 1)])
--- a/measure/scale/hollow_process.py
+++ b/measure/scale/hollow_process.py
@@ -1,7 +1,8 @@
-"""One process of hollow members, told what to do by JSON lines at its standard input.
+"""Runs the hollow members of one process, by JSON commands at standard input.
 
-Run by `hollow_fleet`, as `python -m measure.scale.hollow_process`. The first line is a
-`Setup`, each later one a command; each is answered by one line at standard output.
+Started by `hollow_fleet`, as `python -m measure.scale.hollow_process`. The first line
+is a `Setup`, each later one a command; each command is answered by one line at standard
+output.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 from measure.scale.hollow_member import (
     Call,
-    CountedChannel,
+    CountingConnection,
     HollowMember,
     ServiceAddresses,
     count_calls,
@@ -27,17 +28,18 @@
 from rainfall.lease.types import holder_validity_us
 
 TICK_S = 0.1
-"""Between two ticks of one member."""
+"""Seconds between two ticks of one member."""
 TICK_GROUPS = 10
-"""Members tick in so many groups, one after another, as processes of their own would
-not in step.
+"""Number of groups of members that tick one after another.
+
+Forwarders in processes of their own would not tick in step either.
 """
 SAMPLE_S = 0.1
-MOST_SAMPLES = 6_000
+MAX_SAMPLES = 6_000
 
 
 class Setup(Struct):
-    """What all members of this process have in common."""
+    """Settings that all members of this process share."""
 
     fleet_port: int
     discovery_port: int
@@ -45,7 +47,7 @@
 
 
 class Start(Struct, tag=True):
-    """Members to start, each with its needs by destination."""
+    """Starts members, each with its demand by destination."""
 
     names: list[str]
     site: str
@@ -53,11 +55,13 @@
 
 
 class Kill(Struct, tag=True):
+    """Kills members."""
+
     names: list[str]
 
 
 class SetNeed(Struct, tag=True):
-    """Members that need so many calls of a destination from now on."""
+    """Sets how many calls of a destination these members need."""
 
     names: list[str]
     destination: int
@@ -65,7 +69,7 @@
 
 
 class ReportRequest(Struct, tag=True):
-    """For a report; `destination` is the one whose shares are told."""
+    """Requests a report with the shares of one destination."""
 
     destination: int
 
@@ -74,7 +78,7 @@
 
 
 class Sample(Struct, array_like=True):
-    """Counts since the process began, at a moment (monotonic ns)."""
+    """Counts since the process started, at one moment (monotonic ns)."""
 
     at_ns: int
     beats: int
@@ -84,9 +88,9 @@
 
 
 class MemberReport(Struct, array_like=True):
-    """One member; times in monotonic ns, 0 for never.
+    """The state of one member; times are monotonic ns, 0 for never.
 
-    `calls`, `whole`, `whole_ns` are of one destination.
+    `calls`, `whole` and `whole_ns` belong to the requested destination.
     """
 
     name: str
@@ -100,13 +104,11 @@
     list_version: int
     listed_ns: int
     renewed_us: int
-    """When its lease in force was asked for, by the clock that leases go by; 0 without
-    one.
-    """
+    """When the current lease was requested, on the leases' clock; 0 without a lease."""
 
 
 class Report(Struct):
-    """Of all members of this process; what is counted, is counted since its start."""
+    """The state of all members of this process, and counts since its start."""
 
     members: list[MemberReport]
     calls: dict[Call, int]
@@ -119,13 +121,13 @@
 
 
 class Done(Struct):
-    """A command was carried out."""
+    """The answer to a command without a report."""
 
     ok: bool = True
 
 
 class HollowProcess:
-    """The members of this process, on the running loop."""
+    """The members of this process, on the running event loop."""
 
     def __init__(self, setup: Setup) -> None:
         self.service = ServiceAddresses(
@@ -138,6 +140,7 @@
         self.samples: list[Sample] = []
 
     def execute(self, command: Command) -> Done | Report:
+        """Execute one command and return its answer."""
         match command:
             case Start():
                 for name in command.names:
@@ -147,7 +150,7 @@
                     self.members.pop(name).kill()
             case SetNeed():
                 for name in command.names:
-                    self.members[name].engine.wait_for(
+                    self.members[name].engine.set_waiting_messages(
                         command.destination, command.calls
                     )
             case ReportRequest():
@@ -155,6 +158,7 @@
         return Done()
 
     def start(self, name: str, command: Start) -> None:
+        """Start one member on a folder of its own."""
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
         self.joined_ns.pop(name, None)
@@ -164,11 +168,12 @@
         member.start()
 
     def close(self) -> None:
+        """Kill all members."""
         for member in self.members.values():
             member.kill()
 
     async def tick(self) -> None:
-        """Each member ten times a second, a group at a time."""
+        """Tick each member ten times a second, one group at a time."""
         turn = 0
         while True:
             began = time.monotonic()
@@ -182,46 +187,52 @@
             )
 
     async def sample(self) -> None:
+        """Record a sample every `SAMPLE_S`; the last `MAX_SAMPLES` are kept."""
         while True:
             now_ns = time.monotonic_ns()
             alive = [name for name, member in self.members.items() if is_alive(member)]
             for name in alive:
                 self.joined_ns.setdefault(name, now_ns)
-            traffic = sum(CountedChannel.sent.values()) + sum(
-                CountedChannel.received.values()
+            traffic = sum(CountingConnection.sent.values()) + sum(
+                CountingConnection.received.values()
+            )
+            beats, opened = (
+                CountingConnection.calls[Call.BEAT],
+                CountingConnection.opened,
             )
-            beats, opened = CountedChannel.calls[Call.BEAT], CountedChannel.opened
             self.samples.append(Sample(now_ns, beats, traffic, opened, len(alive)))
-            del self.samples[:-MOST_SAMPLES]
+            del self.samples[:-MAX_SAMPLES]
             await asyncio.sleep(SAMPLE_S)
 
     def report(self, destination: int) -> Report:
+        """Report on all members, with the samples since the last report."""
         members = [
             self.member_report(member, destination) for member in self.members.values()
         ]
         samples, self.samples = self.samples, []
         return Report(
             members,
-            dict(CountedChannel.calls),
-            dict(CountedChannel.sent),
-            dict(CountedChannel.received),
-            CountedChannel.opened,
+            dict(CountingConnection.calls),
+            dict(CountingConnection.sent),
+            dict(CountingConnection.received),
+            CountingConnection.opened,
             time.process_time(),
             resident_bytes(),
             samples,
         )
 
     def member_report(self, member: HollowMember, destination: int) -> MemberReport:
-        acted = member.engine.acted.get(destination)
+        """Report on one member, with its share of a destination."""
+        share_in_force = member.engine.shares_in_force.get(destination)
         return MemberReport(
             member.name,
             is_alive(member),
             member.fleet.heartbeat_counts["lost"],
             self.joined_ns.get(member.name, 0),
             member.engine.changed_ns,
-            acted.calls if acted else 0,
-            acted.whole if acted else 0,
-            acted.whole_ns if acted else 0,
+            share_in_force.calls if share_in_force else 0,
+            share_in_force.whole if share_in_force else 0,
+            share_in_force.whole_ns if share_in_force else 0,
             member.list_version,
             member.listed_ns,
             renewed_us(member),
@@ -229,11 +240,12 @@
 
 
 def is_alive(member: HollowMember) -> bool:
-    """Whether it holds a lease and the service answered its last beat."""
+    """Return whether a member holds a lease and its last heartbeat was answered."""
     return member.fleet.holder.token is not None and member.fleet.heartbeats.reachable
 
 
 def renewed_us(member: HollowMember) -> int:
+    """Return when a member requested its current lease (us); 0 without a lease."""
     holder = member.fleet.holder
     if holder.token is None:
         return 0
@@ -241,6 +253,7 @@
 
 
 async def serve() -> None:
+    """Execute commands from standard input until it ends."""
     loop = asyncio.get_running_loop()
     commands = asyncio.StreamReader(limit=1 << 24)
     await loop.connect_read_pipe(
@@ -259,9 +272,10 @@
 
 
 def main() -> None:
+    """Run the process."""
     logging.disable(
         logging.ERROR
-    )  # a line for each share of each member would be what is measured
+    )  # a log line for each share of each member would dominate the measurement
     count_calls()
     asyncio.run(serve())
 
--- a/measure/scale/journal_growth.py
+++ b/measure/scale/journal_growth.py
@@ -1,5 +1,6 @@
-"""What the journal writes, keeps in memory and reads against live messages and listed
-endpoints.
+"""Measures what the journal writes, keeps in memory and reads.
+
+The sizes are numbers of live messages and of listed endpoints.
 """
 
 from __future__ import annotations
@@ -31,11 +32,12 @@
 MESSAGE_CLASS = MessageClass("free", 1_000_000, 3_600_000_000)
 HOST = "s-5be2a07c"
 MESSAGES_PER_FLUSH = 3
-"""Messages in a round, where one after another passes through."""
+"""Messages of one round while messages pass through the journal."""
 LIST_CHANGES = 10
 
 
 def accepted_message(number: int) -> AcceptedMessage:
+    """Build a message; numbers go over all destinations in turn."""
     name = f"{number:016x}"
     return AcceptedMessage(
         name,
@@ -49,13 +51,14 @@
 
 
 def open_store(folder: Path) -> MessageStore:
+    """Open a message store in a folder."""
     store = MessageStore(folder, DISK_BYTES)
     store.use_rules(DeliveryRules(8, (MESSAGE_CLASS,)))
     return store
 
 
 def filled_store(folder: Path, live: int) -> MessageStore:
-    """A journal with so many live messages, each tried once."""
+    """Write a journal with `live` live messages, each tried once."""
     store = open_store(folder)
     for number in range(live):
         message = accepted_message(number)
@@ -69,7 +72,7 @@
 
 
 def measure_checkpoint(live: int) -> Mapping[str, float]:
-    """One rewriting of all that lives, and reading it again."""
+    """Measure one compaction of all live messages, and reading the result."""
     with tempfile.TemporaryDirectory() as name:
         store = filled_store(Path(name), live)
         gc.collect()
@@ -90,7 +93,10 @@
 
 
 def measure_recovery(folder: str) -> Mapping[str, float]:
-    """Reading a journal at a start."""
+    """Measure the reading of a journal at a start.
+
+    Raises RuntimeError if it is damaged or empty.
+    """
     began = time.process_time()
     store = MessageStore(Path(folder), DISK_BYTES, write=False)
     spent = time.process_time() - began
@@ -110,6 +116,7 @@
 
 
 def checkpoint_series(progress: Progress) -> Iterator[Series]:
+    """Measure compaction and recovery against live messages."""
     growth = grow(
         LIVE,
         lambda live: run_isolated(measure_checkpoint, live),
@@ -129,8 +136,9 @@
 
 
 def measure_passing(live: int) -> Mapping[str, float]:
-    """Messages pass through beside live ones, from one rewriting until the next but
-    one.
+    """Measure messages that pass through while `live` others stay.
+
+    The measurement lasts for two compactions of the journal.
     """
     with tempfile.TemporaryDirectory() as name:
         store = filled_store(Path(name), live)
@@ -155,6 +163,7 @@
 
 
 def passing_series(progress: Progress) -> Iterator[Series]:
+    """Measure messages that pass through against live messages."""
     growth = grow(LIVE, lambda live: run_isolated(measure_passing, live), progress)
     for name, title, unit in (
         ("bytes", "bytes written a message, rewriting included", "byte"),
@@ -171,7 +180,7 @@
 
 
 def endpoint(number: int) -> dict[str, object]:
-    """An endpoint as discovery tells it."""
+    """Build an endpoint as discovery delivers it."""
     return {
         "host": f"s-{number:08x}",
         "dial": "10.1.2.3:8080",
@@ -185,8 +194,8 @@
 
 
 def measure_list_changes(endpoints: int) -> Mapping[str, float]:
-    """Changes of the list, each of one endpoint."""
-    hosts = {str(told["host"]): told for told in map(endpoint, range(endpoints))}
+    """Measure changes of the list, each of one endpoint."""
+    hosts = {str(entry["host"]): entry for entry in map(endpoint, range(endpoints))}
     changed = next(iter(hosts))
     with tempfile.TemporaryDirectory() as name:
         store = open_store(Path(name))
@@ -210,6 +219,7 @@
 
 
 def list_series(progress: Progress) -> Iterator[Series]:
+    """Measure changes of the list against listed endpoints."""
     growth = grow(
         ENDPOINTS,
         lambda endpoints: run_isolated(measure_list_changes, endpoints),
--- a/measure/scale/journal_ready.py
+++ b/measure/scale/journal_ready.py
@@ -1,4 +1,4 @@
-"""The time until a started forwarder is ready, against live messages in its journal."""
+"""Measures the time until a started forwarder is ready, against live messages."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 READY_TIMEOUT_S = 120.0
 REMAINING_US = 300_000_000
 DESTINATIONS = 100
-MOST_ATTEMPTS = 1_000_000
+MAX_ATTEMPTS = 1_000_000
 
 
 def fill_journal(folder: Path, live: int, destinations: range) -> None:
-    """Write a journal with so many live messages, for the destinations in turn."""
+    """Write a journal with `live` live messages, for the destinations in turn."""
     store = MessageStore(folder, DISK_MB * 1_000_000)
     settings = parse_settings(SETTINGS)
-    store.use_rules(DeliveryRules(MOST_ATTEMPTS, settings.classes))
+    store.use_rules(DeliveryRules(MAX_ATTEMPTS, settings.classes))
     deadline_us = int(time.time() * 1e6) + REMAINING_US
     for number in range(live):
         store.append_message(
@@ -53,7 +53,7 @@
 
 
 async def measure_start(live: int) -> Mapping[str, float]:
-    """Start the program once; seconds by the wall and of the processor."""
+    """Start the program once; return wall and processor seconds until it is ready."""
     platform = Platform()
     await platform.start()
     platform.host("s1", 1, block=1_000)
@@ -72,12 +72,12 @@
 
 
 def run_start(live: int) -> Mapping[str, float]:
-    """The same, from a process of its own."""
+    """Run `measure_start`; called in a process of its own."""
     return asyncio.run(measure_start(live))
 
 
 def series(progress: Progress) -> Iterator[Series]:
-    """The series of all sizes."""
+    """Measure the start against live messages in the journal."""
     growth = grow(LIVE, lambda live: run_isolated(run_start, live), progress)
     for name, title in (
         ("ready", "time until ready"),
--- a/measure/scale/memory.py
+++ b/measure/scale/memory.py
@@ -1,4 +1,4 @@
-"""The memory and the processor time of processes."""
+"""Reads the memory and the processor time of processes from /proc."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def resident_bytes(process: str = "self") -> int:
-    """What a process has in memory now; of this one where none is named."""
+    """Return a process's resident memory; by default that of this process."""
     return int(Path(f"/proc/{process}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def peak_bytes() -> int:
-    """The most that was in memory at any time.
+    """Return the peak of this process's resident memory.
 
-    `ru_maxrss` would count the process that started this one.
+    `ru_maxrss` would include the process that started this one.
     """
     lines = Path("/proc/self/status").read_text().splitlines()
     return next(
@@ -26,6 +26,6 @@
 
 
 def processor_s(process: int) -> float:
-    """User and system time of a process until now, in seconds."""
+    """Return the user and system time of a process until now, in seconds."""
     fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
--- a/measure/scale/message_decisions.py
+++ b/measure/scale/message_decisions.py
@@ -1,5 +1,7 @@
-"""What decisions cost against the messages held, the calls out and the messages
-recalled after a restart.
+"""Measures the processor time of the dispatcher's decisions.
+
+The sizes are numbers of messages held, of calls in flight and of messages restored
+after a restart.
 """
 
 from __future__ import annotations
@@ -19,51 +21,52 @@
 from measure.scale.results import Measurement, Progress, Series
 from measure.scale.target import Role
 
-MOST_HELD = 1_000_000
-HELD = sizes_by(250, 4, MOST_HELD)
+MAX_HELD = 1_000_000
+HELD = sizes_by(250, 4, MAX_HELD)
 HELD_POINT_S = 400.0
-"""What all repeats at one size may be expected to take, in seconds."""
+"""Expected seconds of all repeats at one size, at most."""
 CALLS_OUT = (1, 5, 50, 500, 2_000)
 WARM_US, MEASURED_US = 1_100 * MILLISECOND_US, SECOND_US
-LEAST_WARM_US, LEAST_US = 120 * MILLISECOND_US, 500 * MILLISECOND_US
-"""Simulated time before and while it is measured, and how much of it there is where
-that is cut short.
+MIN_WARM_US, MIN_MEASURED_US = 120 * MILLISECOND_US, 500 * MILLISECOND_US
+"""Simulated time to warm up and to measure, and its minimum where it is cut short.
 """
 WARM_PROCESSOR_S, PROCESSOR_S = 2.0, 6.0
-"""What the stretches before and while it is measured may take before they are cut
-short.
+"""Processor seconds after which warming up and measuring are cut short.
 """
 BATCH = 100
-"""Messages of before a restart that the engine tells the dispatcher of in one round,
-...
+"""Restored messages that the engine passes to the dispatcher in one round.
 """
 RECALL_US = 10 * MILLISECOND_US
-"""... and how far apart such rounds are."""
+"""Simulated time between two such rounds."""
 
 HELD_PATTERNS: dict[str, Collection[int]] = {
     "one": range(1),
     "3.2%": range(target.DOWN_DESTINATIONS),
     "all": range(target.DESTINATIONS),
 }
-"""The destinations that are down, in each of which messages are held."""
+"""Destinations that are down, by pattern; messages are held for each of them."""
 
 
 def measure_decisions(
     held: int, down: Collection[int], keyed: bool
 ) -> Mapping[str, float]:
-    """Fresh traffic beside messages that are held for destinations that are down."""
+    """Measure fresh traffic while messages are held for destinations that are down.
+
+    Raises RuntimeError if a held message is rejected or fails.
+    """
     traffic = Traffic(target.DESTINATIONS, down)
     traffic.hold(held, keyed)
     gc.collect()
     memory = resident_bytes()
-    traffic.run(WARM_US, WARM_PROCESSOR_S, LEAST_WARM_US)
-    spent = traffic.run(MEASURED_US, PROCESSOR_S, LEAST_US)
+    traffic.run(WARM_US, WARM_PROCESSOR_S, MIN_WARM_US)
+    spent = traffic.run(MEASURED_US, PROCESSOR_S, MIN_MEASURED_US)
     if traffic.outcomes:
-        raise RuntimeError(f"held messages were given up: {traffic.outcomes}")
+        raise RuntimeError(f"held messages were rejected or failed: {traffic.outcomes}")
     return {"event": spent.event_us, "core": spent.core_share, "memory": float(memory)}
 
 
 def held_series(pattern: str, keyed: bool, progress: Progress) -> Iterator[Series]:
+    """Measure decisions against messages held, in one pattern of destinations."""
     growth = grow(
         HELD,
         lambda held: run_isolated(
@@ -90,16 +93,17 @@
 
 
 def measure_calls(out: int) -> Mapping[str, float]:
-    """Fresh traffic beside calls that stay out."""
+    """Measure fresh traffic while `out` calls stay in flight."""
     silent = range(out)
     traffic = Traffic(target.DESTINATIONS, silent=silent)
     traffic.run_round([traffic.arrival(destination) for destination in silent])
-    traffic.run(WARM_US, WARM_PROCESSOR_S, LEAST_WARM_US)
-    spent = traffic.run(MEASURED_US, PROCESSOR_S, LEAST_US)
+    traffic.run(WARM_US, WARM_PROCESSOR_S, MIN_WARM_US)
+    spent = traffic.run(MEASURED_US, PROCESSOR_S, MIN_MEASURED_US)
     return {"event": spent.event_us, "core": spent.core_share}
 
 
 def calls_series(progress: Progress) -> Iterator[Series]:
+    """Measure decisions against calls in flight."""
     growth = grow(CALLS_OUT, lambda out: run_isolated(measure_calls, out), progress)
     for name, title, unit in (
         ("event", "processor time an event", "us"),
@@ -116,13 +120,16 @@
 
 
 def measure_recall(messages: int, down: Collection[int]) -> Mapping[str, float]:
-    """Messages of before a restart, told in batches as the engine does."""
+    """Measure messages restored after a restart, in the engine's batches of `BATCH`."""
     traffic = Traffic(target.DESTINATIONS, down)
-    piles = sorted(down)
+    down_destinations = sorted(down)
     spent = ProcessorUsage()
     for first in range(0, messages, BATCH):
         numbers = range(first, min(messages, first + BATCH))
-        batch = [traffic.restored_message(piles[n % len(piles)]) for n in numbers]
+        batch = [
+            traffic.restored_message(down_destinations[n % len(down_destinations)])
+            for n in numbers
+        ]
         traffic.now_us += RECALL_US
         traffic.run_round([*batch, *traffic.due_events()], spent)
     return {
@@ -132,6 +139,7 @@
 
 
 def recall_series(pattern: str, progress: Progress) -> Iterator[Series]:
+    """Measure the restoring of messages, in one pattern of destinations."""
     growth = grow(
         HELD,
         lambda held: run_isolated(measure_recall, held, HELD_PATTERNS[pattern]),
@@ -152,6 +160,7 @@
 
 
 def held_measurement(label: str, pattern: str, keyed: bool = False) -> Measurement:
+    """Build the measurement of decisions for one pattern of destinations."""
     what = f"{pattern} of the destinations{', with order keys' * keyed}"
     return Measurement(
         f"message-held-{label}",
@@ -161,6 +170,7 @@
 
 
 def recall_measurement(label: str, pattern: str) -> Measurement:
+    """Build the measurement of restoring for one pattern of destinations."""
     return Measurement(
         f"message-recalled-{label}",
         f"messages recalled after a restart, held in {pattern} of the destinations",
--- a/measure/scale/message_list.py
+++ b/measure/scale/message_list.py
@@ -1,4 +1,4 @@
-"""What listed endpoints cost a dispatcher: in memory, at a change, and at each event."""
+"""Measures the dispatcher's cost of listed endpoints: memory, changes and events."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def measure_list(endpoints: int) -> Mapping[str, float]:
-    """Run traffic, then change the list."""
+    """Run traffic, then change the list; return times and memory."""
     traffic = Traffic(endpoints)
     gc.collect()
     memory = resident_bytes()
@@ -52,7 +52,7 @@
 
 
 def series(progress: Progress) -> Iterator[Series]:
-    """The series of all sizes."""
+    """Measure the dispatcher against listed endpoints."""
     growth = grow(
         ENDPOINTS, lambda endpoints: run_isolated(measure_list, endpoints), progress
     )
--- a/measure/scale/message_load.py
+++ b/measure/scale/message_load.py
@@ -1,6 +1,8 @@
-"""Load for one forwarder on loopback: clients that hand messages in at a steady rate,
-and endpoints that take every call. Each runs in a process of its own, so that the
-forwarder's processor time is its own alone.
+"""Generates load for one forwarder on loopback.
+
+Clients submit messages at a steady rate and endpoints accept every call. Clients and
+endpoints run in processes of their own, so that the forwarder's processor time is
+measured alone.
 """
 
 from __future__ import annotations
@@ -21,18 +23,21 @@
 
 
 class Endpoint(asyncio.Protocol):
-    """Answers each request with 200 as soon as its head is there; bodies have no empty
-    line.
+    """Answers each request with 200 once its head has arrived.
+
+    Request bodies contain no empty line.
     """
 
     def __init__(self, delivered: Synchronized[int]) -> None:
         self.delivered, self.tail = delivered, b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Count the complete heads and answer each of them."""
         text = self.tail + data
         calls = text.count(HEAD_END)
         self.tail = text[-3:] if not text.endswith(HEAD_END) else b""
@@ -42,19 +47,19 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection; it is idle until it hands a message in, and again from the answer
-    on.
-    """
+    """One connection, idle until it submits a message and again after the answer."""
 
     def __init__(self, idle: deque[Client], accepted: Synchronized[int]) -> None:
         self.idle, self.accepted = idle, accepted
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport and become idle."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.idle.append(self)
 
     def data_received(self, data: bytes) -> None:
+        """Count an acceptance (202) and become idle after the answer."""
         if data.startswith(b"HTTP/1.1 202"):
             self.accepted.value += 1
         if HEAD_END in data:
@@ -62,6 +67,7 @@
 
 
 def request(number: int, destinations: int) -> bytes:
+    """Encode the request that submits a message; destinations are used in turn."""
     head = (
         f"POST /status HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: m{number}\r\nX-Account: acme\r\n"
         f"X-Time-Left: 50\r\nIdempotency-Key: key-m{number}\r\nContent-Length: {len(BODY)}\r\n"
@@ -73,7 +79,7 @@
 def serve_endpoints(
     ports: Connection, count: int, delivered: Synchronized[int]
 ) -> None:
-    """Serve so many endpoints until the process is ended; their ports are told first."""
+    """Serve `count` endpoints until the process ends; their ports are sent first."""
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
@@ -90,8 +96,9 @@
 def submit_messages(
     port: int, per_s: float, destinations: int, accepted: Synchronized[int]
 ) -> None:
-    """Hand messages in at the rate until the process is ended; what no connection is
-    idle for is left out.
+    """Submit messages at a rate until the process ends.
+
+    Messages that are due while no connection is idle are skipped.
     """
 
     async def drive() -> None:
@@ -114,6 +121,7 @@
 
 
 def start_process(function: object, *arguments: object) -> BaseProcess:
+    """Start a function in a new daemon process."""
     context = multiprocessing.get_context("spawn")
     process = context.Process(target=function, args=arguments, daemon=True)  # type: ignore[arg-type]
     process.start()
--- a/measure/scale/message_rate.py
+++ b/measure/scale/message_rate.py
@@ -1,5 +1,6 @@
-"""What one forwarder process takes on and delivers: the real program on sockets, at
-rising rates.
+"""Measures the messages that one forwarder process accepts and delivers.
+
+The real program runs on sockets, at rising rates.
 """
 
 from __future__ import annotations
@@ -24,14 +25,15 @@
 
 RATES = (50, 100, 200, 400, 800, 1_600, 3_200)
 DESTINATIONS = 8
-SOUND_BESIDE_HELD = 30
-"""Sound destinations beside the one that is down: that has 3.2% of the load, as in the
-target.
+REACHABLE_BESIDE_HELD = 30
+"""Reachable destinations beside the one that is down.
+
+The latter receives 3.2% of the load, as in the target.
 """
 HELD = (100, 400, 1_600, 6_400, 25_600)
 HELD_PER_S = 400
 CLOSED_PORT = 1
-"""Nobody listens there."""
+"""A port without a listener."""
 LATENCY_OBJECTIVE_US = 360_000_000
 OUTAGE = {
     "fall_us": 2_000_000,
@@ -39,14 +41,15 @@
     "warm_after_us": 2_000_000,
     "overload_factor": 1.5,
 }
-"""By which calls to an endpoint that is down take turns."""
+"""Settings that limit the calls to an endpoint that is down."""
 SLOTS = 256
 WARM_S, MEASURED_S = 2.0, 4.0
 
 
 def relax_limits(node: Node) -> None:
-    """Let neither slots, sockets, attempts nor time bound what the forwarder holds and
-    does.
+    """Raise a forwarder's limits of slots, sockets, disk and time.
+
+    None of them then bounds what it holds and does.
     """
     path = node.folder / "config.json"
     config: dict[str, Any] = json.loads(path.read_text())
@@ -64,23 +67,23 @@
 async def measure_forwarder(
     per_s: int, held: int, destinations: int
 ) -> Mapping[str, float]:
-    """Load at a rate; what the forwarder did in the measured stretch.
+    """Measure a forwarder under load at a rate, after `WARM_S`, for `MEASURED_S`.
 
-    With `held`, so many messages of before its start are held for one destination more,
-    which is down and has its part of the load too.
+    With `held`, that many messages from before its start are held for one more
+    destination, which is down and receives its part of the load too.
     """
     context = multiprocessing.get_context("spawn")
-    taken, delivered = context.Value("q", 0), context.Value("q", 0)
-    here, there = context.Pipe()
+    accepted, delivered = context.Value("q", 0), context.Value("q", 0)
+    receiver, sender = context.Pipe()
     started = [
         message_load.start_process(
-            message_load.serve_endpoints, there, destinations, delivered
+            message_load.serve_endpoints, sender, destinations, delivered
         )
     ]
     try:
         platform = Platform()
         await platform.start()
-        for destination, port in enumerate(await asyncio.to_thread(here.recv)):
+        for destination, port in enumerate(await asyncio.to_thread(receiver.recv)):
             platform.host(f"s{destination}", port, block=destination)
             platform.hosts[f"s{destination}"]["share"] = 1e6
         if held:
@@ -96,17 +99,17 @@
                 )
             await node.start()
             try:
-                load = (node.port, per_s, destinations + bool(held), taken)
+                load = (node.port, per_s, destinations + bool(held), accepted)
                 started.append(
                     message_load.start_process(message_load.submit_messages, *load)
                 )
                 await asyncio.sleep(WARM_S)
-                counts = taken.value, delivered.value
+                counts = accepted.value, delivered.value
                 spent, began = processor_s(node.process.pid), time.monotonic()
                 await asyncio.sleep(MEASURED_S)
-                took = time.monotonic() - began
+                elapsed_s = time.monotonic() - began
                 spent = processor_s(node.process.pid) - spent
-                counts = taken.value - counts[0], delivered.value - counts[1]
+                counts = accepted.value - counts[0], delivered.value - counts[1]
             finally:
                 await node.end()
                 await cancel_tasks()
@@ -114,22 +117,24 @@
         for process in started:
             process.kill()
     return {
-        "taken": counts[0] / took,
-        "delivered": counts[1] / took,
+        "taken": counts[0] / elapsed_s,
+        "delivered": counts[1] / elapsed_s,
         "message": spent / max(1, counts[1]) * 1e6,
-        "core": spent / took,
+        "core": spent / elapsed_s,
         "core_rate": counts[1] / max(spent, 1 / TICKS_PER_S),
     }
 
 
-def run_forward(per_s: int, held: int, destinations: int) -> Mapping[str, float]:
+def run_forwarder(per_s: int, held: int, destinations: int) -> Mapping[str, float]:
+    """Run `measure_forwarder`; called in a process of its own."""
     return asyncio.run(measure_forwarder(per_s, held, destinations))
 
 
 def series(progress: Progress) -> Iterator[Series]:
+    """Measure a forwarder against the rate offered."""
     growth = grow(
         RATES,
-        lambda per_s: run_isolated(run_forward, per_s, 0, DESTINATIONS),
+        lambda per_s: run_isolated(run_forwarder, per_s, 0, DESTINATIONS),
         progress,
         point_s=120.0,
     )
@@ -151,9 +156,12 @@
 
 
 def held_series(progress: Progress) -> Iterator[Series]:
+    """Measure a forwarder against messages held for one destination."""
     growth = grow(
         HELD,
-        lambda held: run_isolated(run_forward, HELD_PER_S, held, SOUND_BESIDE_HELD),
+        lambda held: run_isolated(
+            run_forwarder, HELD_PER_S, held, REACHABLE_BESIDE_HELD
+        ),
         progress,
         point_s=240.0,
     )
--- a/measure/scale/message_traffic.py
+++ b/measure/scale/message_traffic.py
@@ -1,9 +1,8 @@
-"""A simulated forwarder's day for `choice.Dispatcher`: messages arrive, calls end,
-timers come due.
+"""Simulates the traffic of a forwarder for `Dispatcher`.
 
-Only public events go in and actions come out, so that it runs on any way the dispatcher
-keeps its books. Time is simulated (integer microseconds); the processor time of
-`handle` alone is counted.
+Messages arrive, calls end and timers expire. Only public events and actions are used,
+so that any implementation of the dispatcher can be measured. Time is simulated (integer
+microseconds); only the processor time of `handle` is counted.
 """
 
 from __future__ import annotations
@@ -39,9 +38,9 @@
 MILLISECOND_US = 1_000
 SECOND_US = 1_000_000
 ROUND_US = MILLISECOND_US
-"""Rounds are so far apart: what the event loop gathers in one turn."""
+"""Simulated time between two rounds; one stands for a turn of the event loop."""
 CALL_US = 20 * MILLISECOND_US
-"""How long a call to a sound endpoint takes."""
+"""How long a call to a reachable endpoint takes."""
 REFUSED_US = MILLISECOND_US
 """How long a call to an endpoint that is down takes."""
 SLOTS = 4_096
@@ -51,13 +50,13 @@
 ORDERED = MessageClass(
     "ordered", SECOND_US, HOUR_US, ordered=True, late_priority_weight=1.0
 )
-"""Neither gives way to fresh messages nor runs out of time while it is measured."""
+"""Messages of both classes neither yield to fresh ones nor expire while measured."""
 KEY_MESSAGES = 10
 """Messages that share an order key."""
 
 
 def settings() -> Settings:
-    """A forwarder's settings in the target's fleet."""
+    """Build the settings of a forwarder in the target's fleet."""
     return Settings(
         max_in_flight=SLOTS,
         classes=(UNORDERED, ORDERED),
@@ -77,7 +76,7 @@
 
 @dataclass(slots=True)
 class ProcessorUsage:
-    """What a stretch of simulated time took."""
+    """The processor time of a stretch of simulated time."""
 
     processor_s: float = 0.0
     simulated_us: int = 0
@@ -85,20 +84,21 @@
 
     @property
     def event_us(self) -> float:
-        """Processor time an event."""
+        """Processor time of one event."""
         return self.processor_s / max(1, self.events) * SECOND_US
 
     @property
     def core_share(self) -> float:
-        """Cores that the simulated time would keep busy."""
+        """Cores that traffic at the simulated pace keeps busy."""
         return self.processor_s / (self.simulated_us / SECOND_US)
 
 
 class Traffic:
-    """One dispatcher with an endpoint for each destination, numbered alike from 0.
+    """One dispatcher with an endpoint for each destination, both numbered from 0.
 
-    Calls to `down` destinations are refused, those to `silent` ones never end. Of fresh
-    messages the target's share is for those that are down, or all where none is sound.
+    Calls to `down` destinations are refused, those to `silent` ones never end. The
+    target's share of fresh messages goes to destinations that are down; all of them
+    do if no destination is reachable.
     """
 
     def __init__(
@@ -109,8 +109,8 @@
         seed: int = 0,
     ) -> None:
         self.down, self.silent = sorted(down), frozenset(silent)
-        apart = frozenset(down) | self.silent
-        self.sound = [n for n in range(destinations) if n not in apart]
+        excluded = frozenset(down) | self.silent
+        self.sound = [n for n in range(destinations) if n not in excluded]
         self.refusing = frozenset(down)
         self.random = random.Random(seed)
         self.now_us = SECOND_US
@@ -120,40 +120,50 @@
         self.order = itertools.count()
         self.names = itertools.count()
         self.outcomes: dict[str, int] = {}
-        """How many messages were given up, by what was decided."""
+        """Number of messages rejected or failed, by reason."""
         entries = tuple(EndpointEntry(n, n) for n in range(destinations))
         self.run_round([EndpointListChanged(EndpointListKind.SNAPSHOT, entries)])
 
     def arrival(
         self, destination: int, keyed: bool = False, age_us: int = 0
     ) -> MessageReceived:
+        """Build the arrival of a new message that is `age_us` old.
+
+        With `keyed`, `KEY_MESSAGES` messages in a row share an order key.
+        """
         number = next(self.names)
-        cls = ORDERED if keyed else UNORDERED
+        message_class = ORDERED if keyed else UNORDERED
         key = f"{destination}/{number // KEY_MESSAGES}" if keyed else None
         return MessageReceived(
-            f"{number:016x}", destination, cls.name, self.now_us + HOUR_US - age_us, key
+            f"{number:016x}",
+            destination,
+            message_class.name,
+            self.now_us + HOUR_US - age_us,
+            key,
         )
 
     def restored_message(self, destination: int) -> MessageRestored:
+        """Build the event of a message restored after a restart."""
         number = next(self.names)
         return MessageRestored(
             f"{number:016x}", destination, UNORDERED.name, self.now_us + HOUR_US
         )
 
     def hold(self, messages: int, keyed: bool = False) -> None:
-        """Let messages for the destinations that are down arrive in one round, all past
-        their aim.
+        """Let messages for destinations that are down arrive in one round.
+
+        All of them are past their latency objective.
         """
-        where = itertools.cycle(self.down)
+        destinations = itertools.cycle(self.down)
         self.run_round(
-            self.arrival(next(where), keyed, 2 * UNORDERED.latency_objective_us)
+            self.arrival(next(destinations), keyed, 2 * UNORDERED.latency_objective_us)
             for _ in range(messages)
         )
 
     def run_round(
         self, events: Iterable[Event], usage: ProcessorUsage | None = None
     ) -> None:
-        """One round: hand the events over and do what is decided."""
+        """Pass the events of one round to the dispatcher and execute its actions."""
         began = time.process_time()
         actions = self.dispatcher.handle(self.now_us, events)
         if usage is not None:
@@ -177,35 +187,41 @@
                     )
 
     def send(self, action: SendMessage) -> None:
+        """Start a call; its end is scheduled, unless the endpoint is silent."""
         attempt = self.attempts.get(action.message_id, 0)
         self.attempts[action.message_id] = attempt + 1
         if action.endpoint in self.silent:
             return
         refused = action.endpoint in self.refusing
-        outcome, took = (
+        outcome, duration_us = (
             (Outcome.NO_CONNECTION, REFUSED_US)
             if refused
             else (Outcome.DELIVERED, CALL_US)
         )
         self.schedule(
-            took,
-            AttemptFinished(action.message_id, attempt, action.endpoint, outcome, took),
+            duration_us,
+            AttemptFinished(
+                action.message_id, attempt, action.endpoint, outcome, duration_us
+            ),
         )
         if not refused:
             del self.attempts[action.message_id]
 
     def fresh_destination(self) -> int:
+        """Choose the destination of a fresh message."""
         down = not self.sound or (
             self.down and self.random.random() < target.DOWN_SHARE
         )
         return self.random.choice(self.down if down else self.sound)
 
     def schedule(self, delay_us: int, event: Event) -> None:
+        """Schedule an event after a delay."""
         heapq.heappush(
             self.pending_events, (self.now_us + delay_us, next(self.order), event)
         )
 
     def due_events(self) -> list[Event]:
+        """Remove and return the events that are due."""
         events = []
         while self.pending_events and self.pending_events[0][0] <= self.now_us:
             events.append(heapq.heappop(self.pending_events)[2])
@@ -215,17 +231,17 @@
         self,
         simulated_us: int,
         processor_s: float,
-        least_us: int,
+        min_simulated_us: int,
         per_s: float = target.FORWARDER_PER_S,
     ) -> ProcessorUsage:
-        """Fresh messages, `per_s` of them, for `simulated_us`.
+        """Run fresh messages at `per_s` for `simulated_us`.
 
-        Where that takes over `processor_s` of processor time it ends sooner, after
-        `least_us` at the earliest.
+        The run ends early once it has used `processor_s` of processor time, but
+        not before `min_simulated_us`.
         """
         usage, began, arrived = ProcessorUsage(), self.now_us, 0
         while usage.simulated_us < simulated_us and (
-            usage.processor_s < processor_s or usage.simulated_us < least_us
+            usage.processor_s < processor_s or usage.simulated_us < min_simulated_us
         ):
             self.now_us += ROUND_US
             usage.simulated_us = self.now_us - began
--- a/measure/scale/message_watch.py
+++ b/measure/scale/message_watch.py
@@ -1,6 +1,7 @@
-"""What a forwarder's regular work costs against the messages it holds: the watch over
-their ends, the line that sums up, rounds of the collector, and the demand that a beat
-tells.
+"""Measures a forwarder's periodic work against the messages that it holds.
+
+Measured are the check for overdue messages, the log's summary line, rounds of the
+garbage collector, and the demand that a heartbeat reports.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 from rainfall.journal.state import AcceptedMessage
 
 LIVE = sizes_by(250, 4, 1_000_000)
-NOWHERE = Address("127.0.0.1", 9)
+UNUSED_ADDRESS = Address("127.0.0.1", 9)
 LIFETIME_US = 3_600_000_000
 CLASSES = tuple(
     MessageClass(name, 900_000_000, LIFETIME_US) for name in ("reminder", "receipt")
@@ -38,13 +39,13 @@
 )
 BODY = b"x" * 200
 BATCH = 1_000
-"""Messages taken on in one round."""
+"""Messages accepted in one round."""
 ROUNDS = 5
-"""Regular rounds of the collector that are timed; the median counts."""
+"""Number of timed rounds of the collector; the median is used."""
 POINT_S = 240.0
-"""Seconds that all repeats at one size may be expected to take."""
+"""Expected seconds of all repeats at one size, at most."""
 MIN_MEASURED_S = 0.02
-"""Each kind of work is repeated until it has taken this long, and divided."""
+"""Each kind of work is repeated for at least this long, and averaged."""
 WORK = {
     "ends": ("watch over messages' ends", Role.MESSAGE_PATH),
     "line": ("line that sums up", Role.MESSAGE_PATH),
@@ -55,13 +56,24 @@
 
 
 def filled_engine(folder: Path, live: int) -> Engine:
-    """A forwarder that holds so many messages, spread over destinations that have no
-    target.
+    """Build a forwarder that holds `live` messages.
+
+    They are spread over destinations without an endpoint.
     """
     known = EndpointList(1, True, ())
     engine = Engine(
         Config(
-            "n", NOWHERE, NOWHERE, folder, 1, 1 << 20, 256, 10**12, known, SETTINGS, ()
+            "n",
+            UNUSED_ADDRESS,
+            UNUSED_ADDRESS,
+            folder,
+            1,
+            1 << 20,
+            256,
+            10**12,
+            known,
+            SETTINGS,
+            (),
         )
     )
     accept_messages(engine, 0, live)
@@ -69,21 +81,21 @@
 
 
 def accept_messages(engine: Engine, first: int, count: int) -> None:
-    """So many more messages, in rounds."""
+    """Accept `count` more messages, in rounds."""
     now = engine.clock()
     for start in range(first, first + count, BATCH):
         arrivals: list[Event] = []
         for number in range(start, min(first + count, start + BATCH)):
-            taken = message(number, now)
-            engine.store.append_message(taken)
+            accepted = message(number, now)
+            engine.store.append_message(accepted)
             arrivals.append(
                 MessageReceived(
-                    taken.id,
-                    taken.destination,
-                    taken.class_name,
-                    taken.deadline_us,
+                    accepted.id,
+                    accepted.destination,
+                    accepted.class_name,
+                    accepted.deadline_us,
                     None,
-                    taken.tenant,
+                    accepted.tenant,
                 )
             )
         engine.store.flush()
@@ -91,6 +103,7 @@
 
 
 def message(number: int, now_us: int) -> AcceptedMessage:
+    """Build a message; deadlines are spread over half a lifetime."""
     name = f"{number:016x}"
     due_us = now_us + LIFETIME_US // 2 + number * 7_919 % (LIFETIME_US // 2)
     return AcceptedMessage(
@@ -105,7 +118,7 @@
 
 
 def seconds_per_run(work: Callable[[], object]) -> float:
-    """Processor time of one run."""
+    """Return the mean processor time of one run."""
     runs, spent = 0, 0.0
     while spent < MIN_MEASURED_S:
         began = time.process_time()
@@ -116,8 +129,9 @@
 
 
 def collector_round_s(engine: Engine, live: int) -> float:
-    """Processor time of a round of the collector that comes after the traffic between
-    two.
+    """Return the processor time of a collector's round after usual traffic.
+
+    The traffic is that of one collection interval at the target's rate.
     """
     count, spent = round(COLLECTION_INTERVAL_S * target.FORWARDER_PER_S), []
     for turn in range(ROUNDS):
@@ -129,15 +143,15 @@
 
 
 def measure_upkeep(live: int) -> Mapping[str, float]:
-    """Each kind of regular work beside so many messages."""
+    """Measure each kind of periodic work while `live` messages are held."""
     logging.disable(logging.CRITICAL)
     gc.collect()
     gc.freeze()  # as the program does once it has started
     with tempfile.TemporaryDirectory() as name:
         engine = filled_engine(Path(name), live)
         member = SimpleNamespace(forwarder=engine)
-        FleetMember.unsent_demand(member)  # type: ignore[arg-type]  # counted whole once, at the start
-        told = {
+        FleetMember.unsent_demand(member)  # type: ignore[arg-type]  # the first count goes over all messages
+        values = {
             "ends": seconds_per_run(engine.periodic_tasks.fail_overdue_messages),
             "line": seconds_per_run(
                 lambda: engine.periodic_tasks.log_summary(time.monotonic())
@@ -148,10 +162,11 @@
             "memory": float(resident_bytes()),
         }
         engine.store.close()
-    return told
+    return values
 
 
 def series(progress: Progress) -> Iterator[Series]:
+    """Measure the periodic work against live messages."""
     growth = grow(
         LIVE,
         lambda live: run_isolated(measure_upkeep, live),
--- a/measure/scale/needs.py
+++ b/measure/scale/needs.py
@@ -1,5 +1,7 @@
-"""What each role needs at the target's size: which series says it, what is allowed, and
-what carries it.
+"""Defines the needs of messages at the target's size, and evaluates any need.
+
+A need names the series it is computed from, its allowance, and the mechanism that meets
+it.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 
 
 class Kind(StrEnum):
-    """What is needed."""
+    """The kind of resource that is needed."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -29,7 +31,7 @@
 
 
 class Source(StrEnum):
-    """Where an allowance comes from."""
+    """The origin of an allowance."""
 
     STATED = "stated"
     ASSUMED = "assumed"
@@ -38,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """One need: the sum of series at a size, times a rate."""
+    """One need: the sum of series at a size, times a factor."""
 
     role: Role
     kind: Kind
@@ -49,57 +51,60 @@
     source: Source
     unit: str
     mechanism: str
-    """What carries it at that size, or `MISSING`."""
+    """The mechanism that meets the need at that size, or `MISSING`."""
     factor: float = 1.0
-    """From a value of the series to the need: a rate, or a change of unit."""
+    """Converts the sum of the series to the need: a rate, or a change of unit."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeriesUse:
-    """A series in a need, with its fit."""
+    """A series that a need uses, with its fit."""
 
-    found: LocatedSeries
+    located: LocatedSeries
     fit: Fit
 
     def past_range(self, size: float) -> float:
-        """How many times the largest measured size."""
-        return size / self.found.series.range[1]
+        """Return a size as a multiple of the largest measured one."""
+        return size / self.located.series.range[1]
 
 
 @dataclass(frozen=True, slots=True)
 class NeedResult:
-    """A need as far as it was measured."""
+    """The value of a need, as far as it was measured."""
 
     need: Need
     uses: tuple[SeriesUse, ...]
     value: Spread | None
-    """None where a series was not measured."""
+    """None if a series was not measured."""
 
     @property
     def ratio(self) -> float | None:
+        """The need as a part of its allowance; None if it was not measured."""
         return self.value.middle / self.need.allowance if self.value else None
 
 
 def evaluate_need(need: Need, entries: dict[str, Entry]) -> NeedResult:
+    """Compute a need from the stored results."""
     located = [find_series(entries, name) for name in need.series]
     uses = tuple(SeriesUse(one, fit(one.series)) for one in located if one is not None)
     if not uses or len(uses) < len(located):
         return NeedResult(need, uses, None)
-    spans = [use.fit.at(need.size) for use in uses]
-    middle = sum(span.middle for span in spans) * need.factor
-    lowest = sum(span.lowest for span in spans) * need.factor
-    highest = sum(span.highest for span in spans) * need.factor
+    spreads = [use.fit.at(need.size) for use in uses]
+    middle = sum(spread.middle for spread in spreads) * need.factor
+    lowest = sum(spread.lowest for spread in spreads) * need.factor
+    highest = sum(spread.highest for spread in spreads) * need.factor
     return NeedResult(need, uses, Spread(middle, lowest, highest))
 
 
 HELD = float(target.FORWARDER_BACKLOG)
 TICKS_PER_S = 1 / TICK_INTERVAL_S
-"""How often the forwarder looks for messages past their time."""
+"""How often a second the forwarder checks for overdue messages."""
 US = 1e-6
 MS = 1e-3
 
 
 def dispatcher(title: str, pattern: str) -> tuple[str]:
+    """Return the name of a dispatcher's series, for a pattern of held messages."""
     return (f"dispatcher: {title}, held in {pattern} of the destinations",)
 
 
@@ -125,7 +130,7 @@
         ),
         message_rate.HELD[
             -1
-        ],  # past it the process is busy all the time, and its cores grow no more
+        ],  # beyond it the process is always busy, so its cores no longer grow
         target.FORWARDER_CORES,
         Source.ASSUMED,
         "core",
--- a/measure/scale/needs_control.py
+++ b/measure/scale/needs_control.py
@@ -1,5 +1,6 @@
-"""What control needs at the target's size: members, budgets, list service,
-configuration, shard map.
+"""Defines the needs of the control plane at the target's size.
+
+They concern members, budgets, list service, configuration and shard map.
 """
 
 from __future__ import annotations
@@ -14,8 +15,7 @@
 FLEET = float(target.FORWARDERS)
 ENDPOINTS = float(target.DESTINATIONS)
 REAL_FORWARDERS = 20.0
-"""Real forwarders that run beside hollow members; each one's need is not of their
-number.
+"""Real forwarders that run beside hollow members; the need of one is independent of it.
 """
 DAY_S = 86_400.0
 BUDGETS = float(target.DESTINATIONS)
@@ -28,8 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequiredShare:
-    """A share that has to be 1 at every size: of less, something is lost and not merely
-    slow.
+    """A share that has to be 1 at every size.
+
+    A lower share means that something is lost, not merely slow.
     """
 
     name: str
@@ -294,7 +295,7 @@
         "byte",
         "one record",
     ),
-    # Files of configuration, and what the service keeps of budgets
+    # Configuration files, and the budgets in the service's memory
     Need(
         Role.CONFIGURATION,
         Kind.TIME,
--- a/measure/scale/page.py
+++ b/measure/scale/page.py
@@ -1,10 +1,9 @@
-"""Writes the tables of `docs/CAPACITY.md` from the kept results, each between its
-markers.
+"""Writes the tables of `docs/CAPACITY.md` from the stored results.
 
     python -m measure.scale.page [--check]
 
-With `--check` nothing is written; the exit status says whether the page has what the
-results give.
+Each table stands between its markers. With `--check` nothing is written; the exit
+status is 1 if the page differs from the results.
 """
 
 from __future__ import annotations
@@ -45,7 +44,7 @@
 
 
 def format_number(value: float) -> str:
-    """A figure with three digits, and the letter of its size."""
+    """Format a figure with three digits and a metric prefix."""
     for factor, letter in ((1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k")):
         if abs(value) >= factor * 0.9995:
             return f"{value / factor:.3g} {letter}"
@@ -53,7 +52,7 @@
 
 
 def format_quantity(value: float, unit: str) -> str:
-    """A figure with its unit; bytes in their short form, as in 5 MB/s."""
+    """Format a figure with its unit; bytes are shortened, as in 5 MB/s."""
     text = format_number(value)
     if not unit.startswith("byte"):
         return f"{text} {unit}"
@@ -62,18 +61,18 @@
 
 
 def format_spread(span: Spread) -> str:
+    """Format the range of a value's repeats."""
     return f"{format_number(span.lowest)} to {format_number(span.highest)}"
 
 
-def markdown_table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    lines = [heads, ["---"] * len(heads), *rows]
+def markdown_table(headers: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Format a table in Markdown."""
+    lines = [headers, ["---"] * len(headers), *rows]
     return "".join(f"| {' | '.join(line)} |\n" for line in lines)
 
 
 def format_grounds(found: NeedResult) -> str:
-    """How far the need lies past what was measured, and whether the shape there was
-    seen.
-    """
+    """Describe how far a need lies beyond the measured range, and the fitted shapes."""
     if found.value is None:
         return NOT_MEASURED
     past = max(use.past_range(found.need.size) for use in found.uses)
@@ -84,15 +83,17 @@
 
 
 def shape_name(use: SeriesUse) -> str:
+    """Return the name of the fitted shape."""
     return use.fit.shape.value if use.fit.shape is not None else "not plain"
 
 
 def format_allowance(need: Need) -> str:
+    """Format an allowance with its source."""
     return f"{format_quantity(need.allowance, need.unit)} ({need.source})"
 
 
 def ordered_results(entries: dict[str, Entry]) -> list[NeedResult]:
-    """The largest ratio first; what was not measured last."""
+    """Evaluate all needs, by falling ratio; those that were not measured come last."""
     answers = [evaluate_need(need, entries) for need in NEEDS]
     return sorted(
         answers, key=lambda found: -(found.ratio if found.ratio is not None else -1.0)
@@ -100,6 +101,7 @@
 
 
 def ratios_table(entries: dict[str, Entry]) -> str:
+    """Build the table of all needs by their ratio to the allowance."""
     rows = []
     for found in ordered_results(entries):
         need, value = found.need, found.value
@@ -121,7 +123,7 @@
 
 
 def roles_table(entries: dict[str, Entry]) -> str:
-    """The largest ratio of each role and kind."""
+    """Build the table of the largest ratio of each role and kind."""
     answers = [found for found in ordered_results(entries) if found.value is not None]
 
     def cell(role: Role, kind: Kind) -> str:
@@ -141,7 +143,7 @@
 
 
 def slopes_table(entries: dict[str, Entry]) -> str:
-    """Every series that a need rests on: its growth, and the run it is from."""
+    """Build the table of every series that a need uses: its growth and its run."""
     used = sorted({name for need in NEEDS for name in need.series})
     rows = []
     for name in used:
@@ -173,8 +175,10 @@
 
 
 def required_shares_table(entries: dict[str, Entry]) -> str:
-    """Shares that have to be 1: the largest size measured where they are, and what they
-    are at the target.
+    """Build the table of the shares that have to be 1.
+
+    It gives the largest measured size at which a share is 1, and the share at the
+    target's size.
     """
     rows = []
     for required in REQUIRED_SHARES:
@@ -202,7 +206,7 @@
 
 
 def others_cores(failure: Failure, entries: dict[str, Entry]) -> str:
-    """What each other forwarder's core then does with messages."""
+    """Format the load of each other forwarder and the cores that it takes."""
     found = find_series(entries, RATE_SERIES)
     if found is None:
         return NOT_MEASURED
@@ -212,8 +216,9 @@
 
 
 def control_figure(label: str, found: LocatedSeries | None) -> str:
-    """A figure of control at the target's forwarders, or where it was measured if that
-    is fewer.
+    """Format a control figure at the target's number of forwarders.
+
+    If fewer were measured, the figure is that of the largest measured number.
     """
     if found is None:
         return f"{label}: {NOT_MEASURED}"
@@ -223,6 +228,7 @@
 
 
 def control_text(failure: Failure, entries: dict[str, Entry]) -> str:
+    """Format the control figures of a failure."""
     figures = control_figures(failure, entries)
     return (
         "; ".join(control_figure(label, found) for label, found in figures)
@@ -231,6 +237,7 @@
 
 
 def failures_table(entries: dict[str, Entry]) -> str:
+    """Build the table of failures."""
     rows = []
     for failure in FAILURES:
         lost = lost_per_s(failure)
@@ -249,7 +256,7 @@
                 failure.remaining_service,
             )
         )
-    heads = (
+    headers = (
         "failure",
         "peak cost",
         "each other forwarder",
@@ -257,7 +264,7 @@
         "control",
         "who goes on",
     )
-    return markdown_table(heads, rows)
+    return markdown_table(headers, rows)
 
 
 TABLES: dict[str, Callable[[dict[str, Entry]], str]] = {
@@ -270,7 +277,7 @@
 
 
 def fill_tables(text: str, entries: dict[str, Entry]) -> str:
-    """The page with every table as the results give it."""
+    """Return the page with every table built from the results."""
     return BLOCK.sub(
         lambda block: (
             block[1] + "\n" + TABLES[block["name"]](entries) + "\n" + block[3]
@@ -280,11 +287,12 @@
 
 
 def main(arguments: Sequence[str]) -> int:
+    """Write or check the page; return the exit status."""
     text = PAGE.read_text()
-    made = fill_tables(text, results.load_entries())
+    new_text = fill_tables(text, results.load_entries())
     if "--check" in arguments:
-        return int(made != text)
-    PAGE.write_text(made)
+        return int(new_text != text)
+    PAGE.write_text(new_text)
     return 0
 
 
--- a/measure/scale/process_probe.py
+++ b/measure/scale/process_probe.py
@@ -1,6 +1,7 @@
-"""What an action costs this process: processor time, memory, and lines of the program.
+"""Measures the cost of an action in this process.
 
-Processor time is measured since the machine may have other work.
+Measured are processor time, memory and executed lines of the program. Processor time is
+used because the machine may have other work.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 BYTES_PER_KIB = 1024
 STATUS_PATH = Path("/proc/self/status")
 RESET_PEAK = "5"
-"""What is written to /proc/self/clear_refs to reset the peak of memory."""
+"""The value that resets the peak of memory when written to /proc/self/clear_refs."""
 PROGRAM_PATH_PART = f"{Path('rainfall')}/"
 
 
@@ -40,7 +41,7 @@
 
 
 def processor_ms(action: Callable[[], Any], freeze: bool = True) -> float:
-    """Milliseconds of processor time of an action that is run once.
+    """Return the processor time (ms) of an action that is run once.
 
     Without `freeze` the garbage collector visits existing objects too.
     """
@@ -53,7 +54,7 @@
 def processor_ms_each(
     action: Callable[[], Any], least_ms: float = MIN_MEASURED_MS
 ) -> float:
-    """Milliseconds of processor time of an action that is repeated for `least_ms`."""
+    """Return the processor time (ms) of one run, repeated for at least `least_ms`."""
     rounds = 1
     while True:
         with frozen_collector():
@@ -67,18 +68,18 @@
 
 
 def resident_bytes() -> int:
-    """Resident memory of this process."""
+    """Return this process's resident memory, after a garbage collection."""
     gc.collect()
     return _status_bytes("VmRSS")
 
 
 def peak_bytes() -> int:
-    """The peak of resident memory since the start, or since `reset_peak`."""
+    """Return the peak of resident memory since the start or the last `reset_peak`."""
     return _status_bytes("VmHWM")
 
 
 def reset_peak() -> None:
-    """Let `peak_bytes` count from now on."""
+    """Reset the peak that `peak_bytes` returns."""
     Path("/proc/self/clear_refs").write_text(RESET_PEAK)
 
 
@@ -86,11 +87,11 @@
     for line in STATUS_PATH.read_text().splitlines():
         if line.startswith(f"{name}:"):
             return int(line.split()[1]) * BYTES_PER_KIB
-    raise OSError(f"{STATUS_PATH} does not tell {name}")
+    raise OSError(f"{STATUS_PATH} has no field {name}")
 
 
 def count_lines(action: Callable[[], Any]) -> int:
-    """Lines of the program that an action runs, each time it runs them.
+    """Count the lines of the program that an action executes, repetitions included.
 
     The count is the same on every machine.
     """
--- a/measure/scale/results.py
+++ b/measure/scale/results.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 RESULTS = Path(__file__).resolve().parent / "results.json"
 MEASURED_PATHS = ("rainfall", "measure", f":!{RESULTS.relative_to(ROOT)}")
-"""What a result depends on."""
+"""The paths that a result depends on."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One figure at rising sizes."""
+    """The values of one figure at rising sizes."""
 
     name: str
     role: Role
@@ -53,27 +53,29 @@
 
     def __post_init__(self) -> None:
         if not self.points or not all(point.values for point in self.points):
-            raise ValueError(f"series {self.name}: a point without a value")
+            raise ValueError(
+                f"series {self.name}: no points, or a point without a value"
+            )
 
     @property
     def range(self) -> tuple[float, float]:
-        """The least and the largest size."""
+        """The smallest and the largest size."""
         sizes = [point.size for point in self.points]
         return min(sizes), max(sizes)
 
     @property
     def repeats(self) -> int:
-        """How many values every point has."""
+        """The number of values that every point has."""
         return min(len(point.values) for point in self.points)
 
 
 Progress = Callable[[str], None]
-"""Told a line whenever some of a long measurement is done."""
+"""Called with a line of text after each step of a long measurement."""
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """Something that can be run by its name."""
+    """A measurement that is run by its name."""
 
     name: str
     summary: str
@@ -82,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where figures come from."""
+    """The run that produced results."""
 
     commit: str
     """Short hash; with `+` if the program or the measurements differed from it."""
@@ -103,14 +105,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LocatedSeries:
-    """A series of the file, with the run it is from."""
+    """A series of the results file, with the run that produced it."""
 
     series: Series
     origin: Origin
 
 
 def run_git(*arguments: str) -> str:
-    """The output of a git command in the repository."""
+    """Return the output of a git command in the repository."""
     done = subprocess.run(
         ["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True
     )
@@ -118,12 +120,12 @@
 
 
 def memory_bytes() -> int:
-    """The machine's memory."""
+    """Return the size of the machine's memory."""
     return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
 
 
 def machine() -> str:
-    """The machine in a few words, without its name."""
+    """Describe the machine without its host name."""
     gibibytes = round(memory_bytes() / 2**30)
     return (
         f"{os.cpu_count()} cores, {gibibytes} GiB, {platform.system()}, "
@@ -132,7 +134,7 @@
 
 
 def origin(command: str) -> Origin:
-    """The origin of results of this tree, now."""
+    """Return the origin of results that this tree produces now."""
     changed = "+" if run_git("status", "--porcelain", "--", *MEASURED_PATHS) else ""
     now = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
     return Origin(
@@ -141,7 +143,7 @@
 
 
 def decode_entry(document: dict[str, Any]) -> Entry:
-    """The entry of its document in the file."""
+    """Decode an entry from its document in the results file."""
     series = tuple(
         Series(
             series_document["name"],
@@ -174,7 +176,7 @@
 
 
 def encode_entry(entry: Entry) -> str:
-    """The text of an entry in the file.
+    """Encode an entry for the results file.
 
     Each series is one line, so that git can merge changes of the file.
     """
@@ -197,7 +199,7 @@
 
 
 def load_entries(path: Path = RESULTS) -> dict[str, Entry]:
-    """All entries of the file by their measurement; empty if there is no file."""
+    """Load all entries of the file by measurement; empty if there is no file."""
     if not path.exists():
         return {}
     entries = [
@@ -221,7 +223,7 @@
 
 
 def find_series(entries: dict[str, Entry], series: str) -> LocatedSeries | None:
-    """The series of that name, from any measurement; None if it was not run."""
+    """Return the series of that name, or None if it was not measured."""
     for entry in entries.values():
         for one in entry.series:
             if one.name == series:
--- a/measure/scale/service_failures.py
+++ b/measure/scale/service_failures.py
@@ -1,9 +1,9 @@
-"""What failures of the target's kinds come to in a whole fleet of hollow members: a
-zone gone at once, the restarts of a day, the list service killed and started again.
+"""Measures the target's kinds of failures in a whole fleet of hollow members.
 
-Seconds are wall times of a shared machine. A day's restarts are played in half a
-minute, so over two thousand times as dense as they come; what one of them costs is the
-figure, not how often they come.
+The failures are: a zone lost at once, a day's restarts, and the list service killed and
+started again. Seconds are wall times of a shared machine. The restarts of a day take
+place within half a minute, over two thousand times as densely as in operation; the
+result is the cost of one restart, not their frequency.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from measure.scale.service_members import (
     IDLE_S,
     SeriesBuilder,
-    heartbeats_beyond_idle,
+    extra_heartbeats,
     measure_idle_stretches,
     take_snapshot,
 )
@@ -29,30 +29,31 @@
 REPEATS = 3
 RESTART_EVERY_S = 0.5
 OUTAGES_S = (0.0, 5.0)
-"""How long the service stays away: as soon as it can be up again, and longer than a
-lease.
+"""Seconds until the service is started again: at once, and longer than a lease.
 """
 JOINED_S = 60.0
 
 
-def zone_size(members: int) -> int:
+def zone_member_count(members: int) -> int:
+    """Return how many of the members a zone has."""
     return members * target.ZONE_FORWARDERS // target.FORWARDERS
 
 
 def boot_us() -> int:
-    """The clock that members' leases go by."""
+    """Return the time of the clock that members' leases use, in microseconds."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
 
 
-def add_peaks(figures: SeriesBuilder, what: str, size: int, found: Peaks) -> None:
-    figures.add(f"{what}: beats", size, found.beats)
-    figures.add(f"{what}: bytes", size, found.bytes)
-    figures.add(f"{what}: connections", size, found.opened)
-    figures.add(f"{what}: connections in a tenth", size, found.opened_tenth)
+def add_peaks(figures: SeriesBuilder, label: str, size: int, found: Peaks) -> None:
+    """Add the peaks of traffic to the figures."""
+    figures.add(f"{label}: beats", size, found.beats)
+    figures.add(f"{label}: bytes", size, found.bytes)
+    figures.add(f"{label}: connections", size, found.opened)
+    figures.add(f"{label}: connections in a tenth", size, found.opened_tenth)
 
 
-def joined(fleet: HollowFleet, samples: Totals, later: Totals) -> Totals:
-    """The later totals with the samples of both."""
+def merge_samples(fleet: HollowFleet, samples: Totals, later: Totals) -> Totals:
+    """Return the later totals with the samples of both."""
     for gathered, new in zip(samples.samples, later.samples, strict=True):
         gathered.extend(new)
     later.samples = samples.samples
@@ -60,10 +61,11 @@
 
 
 def lose_zone(fleet: HollowFleet, size: int, figures: SeriesBuilder) -> None:
-    """A sixth of the members is gone at once; then its processes come back with their
-    folders.
-    """
-    zone, others = fleet.names[: zone_size(size)], fleet.names[zone_size(size) :]
+    """Kill a sixth of the members at once, then start them again with their folders."""
+    zone, others = (
+        fleet.names[: zone_member_count(size)],
+        fleet.names[zone_member_count(size) :],
+    )
     lost_before = fleet.totals().lost()
     began, began_ns = time.monotonic(), time.monotonic_ns()
     fleet.kill(zone)
@@ -78,24 +80,28 @@
     settled = fleet.wait_until_settled()
     figures.add("zone: share seconds", size, (settled.changed_ns() - began_ns) / 1e9)
     figures.add("zone: others' leases lost", size, settled.lost() - lost_before)
-    found = peaks(joined(fleet, joined(fleet, ended, moved), settled).samples)
+    found = peaks(
+        merge_samples(fleet, merge_samples(fleet, ended, moved), settled).samples
+    )
     add_peaks(figures, "zone", size, found)
     began = time.monotonic()
     fleet.start(zone)
-    back = fleet.wait_until("the zone's return", lambda totals: totals.alive() == size)
+    returned = fleet.wait_until(
+        "the zone's return", lambda totals: totals.alive() == size
+    )
     figures.add("zone: return seconds", size, time.monotonic() - began)
     add_peaks(
         figures,
         "zone's return",
         size,
-        peaks(joined(fleet, back, fleet.wait_until_settled()).samples),
+        peaks(merge_samples(fleet, returned, fleet.wait_until_settled()).samples),
     )
 
 
 def restart_members(
     fleet: HollowFleet, size: int, count: int, figures: SeriesBuilder
 ) -> None:
-    """Members are killed and started again with their folders, one after another."""
+    """Kill and restart members with their folders, one after another."""
     before, began = take_snapshot(fleet), time.monotonic()
     fleet.totals()
     started_ns: dict[str, int] = {}
@@ -112,18 +118,18 @@
         figures.add(
             "restart: seconds", size, (settled.members[name].joined_ns - at_ns) / 1e9
         )
-    extra = heartbeats_beyond_idle(before.totals, after.totals, figures, size)
+    extra = extra_heartbeats(before.totals, after.totals, figures, size)
     figures.add("restart: beats", size, extra / count)
     spent_bytes = sum(
         after.totals.bytes[call] - before.totals.bytes[call] for call in Call
     )
     took_s = after.totals.at_s - before.totals.at_s
-    at_rest = (
+    idle_bytes = (
         sum(median_rest(figures, size, f"{call} bytes") for call in Call)
         * size
         * took_s
     )
-    figures.add("restart: bytes", size, (spent_bytes - at_rest) / count)
+    figures.add("restart: bytes", size, (spent_bytes - idle_bytes) / count)
     figures.add(
         "restart: syncs", size, (after.service.syncs - before.service.syncs) / count
     )
@@ -136,6 +142,7 @@
 
 
 def median_rest(figures: SeriesBuilder, size: int, name: str) -> float:
+    """Return the median of a figure that was measured at rest."""
     values = sorted(figures.values[name][size])
     return values[len(values) // 2]
 
@@ -143,26 +150,28 @@
 def restart_service(
     fleet: HollowFleet, size: int, away_s: float, figures: SeriesBuilder
 ) -> None:
-    """The service is killed; until each member has renewed its lease at the new
-    process.
-    """
-    what = "service restart" if not away_s else f"service away {away_s:g} s"
+    """Kill the service, start it again, and wait until all leases are renewed."""
+    label = "service restart" if not away_s else f"service away {away_s:g} s"
     lost_before = fleet.totals().lost()
     fleet.service.kill()
     time.sleep(away_s)
     began, began_us = time.monotonic(), boot_us()
     fleet.service.start()
-    figures.add(f"{what}: seconds until it listens", size, time.monotonic() - began)
+    figures.add(f"{label}: seconds until it listens", size, time.monotonic() - began)
     renewed = fleet.wait_until(
         "all leases",
-        lambda totals: all(m.renewed_us > began_us for m in totals.members.values()),
+        lambda totals: all(
+            member.renewed_us > began_us for member in totals.members.values()
+        ),
     )
-    figures.add(f"{what}: seconds until all renewed", size, time.monotonic() - began)
-    figures.add(f"{what}: service core seconds", size, fleet.service.processor_s())
+    figures.add(f"{label}: seconds until all renewed", size, time.monotonic() - began)
+    figures.add(f"{label}: service core seconds", size, fleet.service.processor_s())
     time.sleep(IDLE_S)
     settled = fleet.wait_until_settled()
-    figures.add(f"{what}: leases lost", size, settled.lost() - lost_before)
-    add_peaks(figures, what, size, peaks(joined(fleet, renewed, settled).samples))
+    figures.add(f"{label}: leases lost", size, settled.lost() - lost_before)
+    add_peaks(
+        figures, label, size, peaks(merge_samples(fleet, renewed, settled).samples)
+    )
 
 
 UNITS = (
@@ -175,11 +184,12 @@
 
 
 def unit_of(name: str) -> str:
-    """The unit by the figure's name; syncs where none of the others is in it."""
+    """Return the unit, from a word in the figure's name; `sync` if there is none."""
     return next((unit for word, unit in UNITS if word in name), "sync")
 
 
 def series_of(figures: SeriesBuilder, names: Callable[[str], bool]) -> Iterator[Series]:
+    """Yield the series of the figures whose names the filter accepts."""
     for name in filter(names, figures.values):
         title, unit = f"failure: {name}", unit_of(name)
         yield Series(
@@ -193,16 +203,20 @@
 
 
 def measure_zone(progress: Progress) -> Iterator[Series]:
+    """Measure the loss and the return of a zone."""
     figures = SeriesBuilder()
     for size in SIZES:
         with running_fleet(size) as fleet:
             for _ in range(REPEATS):
                 lose_zone(fleet, size, figures)
-        progress(f"{size} members, {zone_size(size)} of them lost {REPEATS} times")
+        progress(
+            f"{size} members, {zone_member_count(size)} of them lost {REPEATS} times"
+        )
     yield from series_of(figures, lambda name: True)
 
 
 def measure_restarts(progress: Progress) -> Iterator[Series]:
+    """Measure the restarts of one day."""
     figures = SeriesBuilder()
     size = target.FORWARDERS
     with running_fleet(size) as fleet:
@@ -213,6 +227,7 @@
 
 
 def measure_service(progress: Progress) -> Iterator[Series]:
+    """Measure restarts of the list service, after each outage of `OUTAGES_S`."""
     figures = SeriesBuilder()
     for size in SIZES:
         with running_fleet(size) as fleet:
--- a/measure/scale/service_forwarders.py
+++ b/measure/scale/service_forwarders.py
@@ -1,9 +1,9 @@
-"""Real forwarders beside hollow members: what a hollow member leaves out of a
-forwarder's control part.
+"""Measures real forwarders beside hollow members.
 
-The control part of a real one is the difference between forwarders that are members and
-the same ones that are not, both at rest and without messages. Processor time and memory
-are read from the processes.
+The result shows what a hollow member leaves out of a forwarder's control part. That
+part is the difference between forwarders that are members and the same ones that are
+not, both at rest and without messages. Processor time and memory are read from the
+processes.
 """
 
 from __future__ import annotations
@@ -37,8 +37,9 @@
 
 
 class Forwarder:
-    """One process of the real program on a folder of its own; `fleet` is its
-    configuration's object.
+    """A process of the real program on a folder of its own.
+
+    With `fleet`, the configuration makes it a member of the list service's fleet.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
             )
 
     def figures(self) -> dict[str, Any]:
-        """The operators' figures. Raises OSError while it starts."""
+        """Fetch the content of `/_vars`. Raises OSError while the process starts."""
         with urlopen(f"http://127.0.0.1:{self.admin_port}/_vars", timeout=5) as answer:
             return dict(json.load(answer))
 
@@ -85,29 +86,34 @@
         return memory.resident_bytes(str(self.process.pid))
 
     def close(self) -> None:
+        """Kill the process."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
 
 def is_ready(forwarder: Forwarder, fleet: bool) -> bool:
+    """Return whether a forwarder answers and, with `fleet`, is a live member."""
     try:
-        told = forwarder.figures()
+        variables = forwarder.figures()
     except OSError:
         return False
-    return not fleet or told["fleet"]["state"] == "alive"
+    return not fleet or variables["fleet"]["state"] == "alive"
 
 
 @contextmanager
 def running_forwarders(
     folder: Path, service: ListService, fleet: bool
 ) -> Iterator[list[Forwarder]]:
-    """Real ones, all ready and, with `fleet`, all members."""
+    """Start real forwarders, yield them once all are ready, and kill them.
+
+    With `fleet`, all are members. Raises RuntimeError after `START_TIMEOUT_S`.
+    """
     forwarders: list[Forwarder] = []
     try:
         for number in range(FORWARDERS):
-            place = folder / f"forwarder-{fleet}-{number}"
-            forwarders.append(Forwarder(place, number, service, fleet))
+            state_folder = folder / f"forwarder-{fleet}-{number}"
+            forwarders.append(Forwarder(state_folder, number, service, fleet))
         until = time.monotonic() + START_TIMEOUT_S
         while not all(is_ready(forwarder, fleet) for forwarder in forwarders):
             if time.monotonic() > until:
@@ -123,35 +129,37 @@
 def measure_idle_forwarders(
     forwarders: list[Forwarder], fleet: bool, figures: SeriesBuilder
 ) -> None:
-    """A stretch at rest; figures of one of them, in the mean."""
-    what = "member" if fleet else "alone"
+    """Measure a stretch at rest; figures are the mean of one forwarder."""
+    label = "member" if fleet else "alone"
     count = len(forwarders)
     began = time.monotonic()
-    spent = [forwarder.processor_s() for forwarder in forwarders]
+    spent_before = [forwarder.processor_s() for forwarder in forwarders]
     beats = sum(f.figures()["fleet"]["beats"] for f in forwarders) if fleet else 0
     time.sleep(STRETCH_S)
-    after = [forwarder.processor_s() for forwarder in forwarders]
+    spent_after = [forwarder.processor_s() for forwarder in forwarders]
     took_s = time.monotonic() - began
     figures.add(
-        f"{what}: part of a core at rest",
+        f"{label}: part of a core at rest",
         count,
-        (sum(after) - sum(spent)) / took_s / count,
+        (sum(spent_after) - sum(spent_before)) / took_s / count,
     )
     figures.add(
-        f"{what}: memory", count, sum(f.resident_bytes() for f in forwarders) / count
+        f"{label}: memory", count, sum(f.resident_bytes() for f in forwarders) / count
     )
     if fleet:
         more = sum(f.figures()["fleet"]["beats"] for f in forwarders) - beats
-        figures.add(f"{what}: beats a second", count, more / took_s / count)
+        figures.add(f"{label}: beats a second", count, more / took_s / count)
 
 
 def unit_of(name: str) -> str:
+    """Return the unit, from the figure's name."""
     return (
         "byte" if name.endswith("memory") else "beat/s" if "beats" in name else "core"
     )
 
 
 def measure_forwarders(progress: Progress) -> Iterator[Series]:
+    """Measure forwarders as members and alone, and the hollow members beside them."""
     figures, hollow = SeriesBuilder(), SeriesBuilder()
     with TemporaryDirectory(prefix="real-forwarders-") as name:
         fleet = HollowFleet(Path(name), HOLLOW_MEMBERS)
--- a/measure/scale/service_members.py
+++ b/measure/scale/service_members.py
@@ -1,10 +1,12 @@
-"""What a fleet's control costs at rest and until the last member acts on a change,
-against the number of members and of budgets: hollow members on real sockets, the real
-list service process.
+"""Measures the control traffic of a fleet of hollow members.
 
-Processor time is read from the processes, so it holds on a shared machine; the seconds
-until a member acts are wall times and grow with whatever else the machine does. Repeats
-of a size are stretches of one fleet's life.
+Measured are the cost at rest and the time until the last member applies a change,
+against the number of members and of budgets. Members use real sockets and the list
+service is the real process.
+
+Processor time is read from the processes, so it is valid on a shared machine; the
+seconds until a member applies a change are wall times and grow with other load on the
+machine. Repeats of a size are stretches of one fleet's life.
 """
 
 from __future__ import annotations
@@ -31,16 +33,18 @@
 
 @dataclass(slots=True)
 class SeriesBuilder:
-    """Values of each figure, by size."""
+    """Collects the values of each figure, by size."""
 
     values: dict[str, dict[int, list[float]]] = field(
         default_factory=lambda: defaultdict(dict)
     )
 
     def add(self, name: str, size: int, value: float) -> None:
+        """Add one value."""
         self.values[name].setdefault(size, []).append(value)
 
     def points(self, name: str) -> tuple[Point, ...]:
+        """Return the points of a figure."""
         return tuple(
             Point(size, tuple(values)) for size, values in self.values[name].items()
         )
@@ -48,18 +52,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
-    """All that is counted, at one moment."""
+    """All counts of the fleet and the service, at one moment."""
 
     totals: Totals
     service: ServiceUsage
 
 
 def take_snapshot(fleet: HollowFleet) -> FleetSnapshot:
+    """Take a snapshot of a fleet."""
     return FleetSnapshot(fleet.totals(), fleet.service.usage())
 
 
 def bytes_per_s(before: FleetSnapshot, after: FleetSnapshot, call: Call) -> float:
-    """Both ways, of all members together."""
+    """Return the bytes a second of one kind of call, in both directions.
+
+    The bytes are those of all members together.
+    """
     more = after.totals.bytes[call] - before.totals.bytes[call]
     return more / (after.totals.at_s - before.totals.at_s)
 
@@ -67,10 +75,10 @@
 def measure_idle_stretches(
     fleet: HollowFleet, size: int, figures: SeriesBuilder
 ) -> None:
-    """Stretches in which nothing changes.
+    """Measure stretches in which nothing changes.
 
-    The fleet's watches are counted over all of them together: they are held for longer
-    than one stretch, and those woken together come back together.
+    The fleet's watches are counted over all stretches together: a watch is held for
+    longer than one stretch, and watches that are answered together return together.
     """
     before = take_snapshot(fleet)
     for _ in range(REPEATS):
@@ -82,7 +90,7 @@
 
 
 def measure_idle(fleet: HollowFleet, size: int, figures: SeriesBuilder) -> None:
-    """A stretch in which nothing changes."""
+    """Measure one stretch in which nothing changes."""
     before = take_snapshot(fleet)
     time.sleep(IDLE_S)
     after = take_snapshot(fleet)
@@ -102,20 +110,21 @@
     figures.add("leases lost", size, after.totals.lost())
 
 
-def heartbeats_beyond_idle(
+def extra_heartbeats(
     before: Totals, after: Totals, figures: SeriesBuilder, size: int
 ) -> float:
-    """Beats between two moments beyond those that are sent at rest."""
-    rests = figures.values["beats"][size]
-    expected = sum(rests) / len(rests) * (after.at_s - before.at_s)
+    """Return the heartbeats between two moments beyond those sent at rest."""
+    idle_rates = figures.values["beats"][size]
+    expected = sum(idle_rates) / len(idle_rates) * (after.at_s - before.at_s)
     return after.calls[Call.BEAT] - before.calls[Call.BEAT] - expected
 
 
 def change_needs(
     fleet: HollowFleet, size: int, turn: int, figures: SeriesBuilder
 ) -> None:
-    """Another tenth of the members needs more of one budget than its share: until the
-    last share moved.
+    """Let another tenth of the members need more of one budget than their share.
+
+    Measures the time until the last share has moved.
     """
     part = size // 10
     before = fleet.totals()
@@ -128,20 +137,20 @@
     )
     after = fleet.wait_until_settled()
     figures.add("needs seconds", size, (after.changed_ns() - began_ns) / 1e9)
-    figures.add(
-        "needs beats", size, heartbeats_beyond_idle(before, after, figures, size)
-    )
+    figures.add("needs beats", size, extra_heartbeats(before, after, figures, size))
 
 
 def change_list(
     fleet: HollowFleet, size: int, figures: SeriesBuilder, health: str
 ) -> None:
-    """A host drains or comes up again: until the last member has that list."""
+    """Set a host's health and measure the time until the last member has the list."""
     before, began_ns = fleet.totals(), time.monotonic_ns()
     version = fleet.service.change_hosts([host_entry(0, health)])
     after = fleet.wait_until(
         "the list's new version",
-        lambda totals: all(m.list_version >= version for m in totals.members.values()),
+        lambda totals: all(
+            report.list_version >= version for report in totals.members.values()
+        ),
     )
     last_ns = max(member.listed_ns for member in after.members.values())
     figures.add("list seconds", size, (last_ns - began_ns) / 1e9)
@@ -152,23 +161,22 @@
 def change_budgets(
     fleet: HollowFleet, size: int, whole: int, figures: SeriesBuilder
 ) -> None:
-    """The file of budgets has another whole: until the last member was told of it."""
+    """Change a budget's total and measure the time until all members receive it."""
     fleet.service.write_budgets(fleet.budgets, whole)
     before, began_ns = fleet.totals(), time.monotonic_ns()
     fleet.service.reload()
-    told = fleet.wait_until(
+    received = fleet.wait_until(
         "the new whole",
-        lambda totals: all(m.whole == whole for m in totals.members.values()),
+        lambda totals: all(report.whole == whole for report in totals.members.values()),
     )
-    last_ns = max(member.whole_ns for member in told.members.values())
+    last_ns = max(member.whole_ns for member in received.members.values())
     figures.add("budget seconds", size, (last_ns - began_ns) / 1e9)
     after = fleet.wait_until_settled()
-    figures.add(
-        "budget beats", size, heartbeats_beyond_idle(before, after, figures, size)
-    )
+    figures.add("budget beats", size, extra_heartbeats(before, after, figures, size))
 
 
 def measure_size(size: int, figures: SeriesBuilder) -> None:
+    """Measure a fleet of one size, at rest and under changes."""
     with running_fleet(size) as fleet:
         measure_idle_stretches(fleet, size, figures)
         for turn in range(REPEATS):
@@ -255,6 +263,7 @@
 def series_of(
     figures: SeriesBuilder, size_unit: str, ending: str = ""
 ) -> Iterator[Series]:
+    """Yield the series of all figures; `ending` is appended to their titles."""
     for name in figures.values:
         title, role, unit = SERIES[name]
         yield Series(
@@ -268,6 +277,7 @@
 
 
 def progress_line(figures: SeriesBuilder, size: int) -> str:
+    """Return a line with the medians of the figures at one size."""
     medians = (
         f"{name} {Point(size, tuple(by_size[size])).median:.4g}"
         for name, by_size in figures.values.items()
@@ -279,6 +289,7 @@
 def measure_members(
     progress: Progress, sizes: Iterable[int] = MEMBERS
 ) -> Iterator[Series]:
+    """Measure fleets of rising numbers of members."""
     figures = SeriesBuilder()
     for size in sizes:
         measure_size(size, figures)
@@ -287,17 +298,17 @@
 
 
 def measure_budgets(progress: Progress, wanted: int | None = None) -> Iterator[Series]:
-    """At rest, against the budgets there are.
+    """Measure a fleet at rest against the number of budgets.
 
-    `wanted`: how many of them each member needs; all if None.
+    `wanted` is how many of them each member needs; all if None.
     """
     figures = SeriesBuilder()
     for size in BUDGETS:
         with running_fleet(BUDGET_MEMBERS, size, wanted) as fleet:
             measure_idle_stretches(fleet, size, figures)
         progress(progress_line(figures, size))
-    what = "all wanted" if wanted is None else f"{wanted} wanted"
-    yield from series_of(figures, "budget", f", {BUDGET_MEMBERS} members, {what}")
+    title = "all wanted" if wanted is None else f"{wanted} wanted"
+    yield from series_of(figures, "budget", f", {BUDGET_MEMBERS} members, {title}")
 
 
 MEASUREMENTS = (
--- a/measure/scale/service_partition.py
+++ b/measure/scale/service_partition.py
@@ -1,7 +1,8 @@
-"""Two regions that lose each other for an hour, on an injected clock: the cores of the
-list service and of its members, without sockets, disk or real time. Calls take no time;
-one that is lost is waited for as long as a forwarder waits. What is counted is counted
-exactly; nothing here is a wall time.
+"""Simulates two regions that lose each other for an hour, on an injected clock.
+
+The logic of the list service and of its members runs without sockets, disk or real
+time. Calls take no time; after a lost call a member waits as long as a forwarder waits.
+Counts are exact; no result is a wall time.
 """
 
 from __future__ import annotations
@@ -32,20 +33,23 @@
 PLAN_US = 50_000
 CHECK_US = SECOND_US
 SETTLED_US = 20 * SECOND_US
-"""Given to a fleet to come to rest, before the split and after it."""
+"""Time in which a fleet settles, before the split and after it."""
 LONG_US = round(target.SPLIT_S) * SECOND_US
 SHORT_US = 30 * SECOND_US
 PARTS = (0.5, 0.6)
-"""Of the members that are cut off: as many as stay, and more, so that the guard against
-mass loss stops divisions.
+"""Parts of the members that are cut off.
+
+Half leaves as many as it cuts off; with more, the guard against mass loss stops
+divisions.
 """
 LONG_MEMBERS, SHORT_MEMBERS = 54, target.FORWARDERS
 SEEDS = (1, 2)
 
 
 class ServiceCore:
-    """Leases, members and budgets of the list service; each record counts as written at
-    once.
+    """Leases, members and budgets of the list service.
+
+    Each record is treated as written at once.
     """
 
     def __init__(self, members: int) -> None:
@@ -56,7 +60,7 @@
         self.roster.on_started(0)
         self.budgets.epoch_raised(self.table.epoch)
         self.budgets.restore(0, True, None, [])
-        raw = [
+        budget_documents = [
             {
                 "destination": DESTINATION,
                 "calls": CALLS_PER_MEMBER * members,
@@ -65,13 +69,13 @@
                 "members_max": 2 * members,
             }
         ]
-        for row in self.budgets.config_rows(0, raw, "file"):
+        for row in self.budgets.config_rows(0, budget_documents, "file"):
             self.budgets.commit(0, row)
         for row in self.budgets.confirm_processes(0, None):
             self.budgets.commit(0, row)
 
     def commit(self, record: Record, now_us: int) -> None:
-        """Take a record, and tell the budgets what it means to them."""
+        """Apply a record and pass its effects on to the budgets."""
         name = str(record.get("name", ""))
         before = self.table.read(name)
         self.roster.commit(record)
@@ -86,33 +90,33 @@
     def handle_request(
         self, now_us: int, member: MemberCore
     ) -> LeaseGrant | LeaseUnavailable:
-        """A beat or a join. Raises Refused."""
-        ask = member.request
-        if ask.token is None:
-            made = self.roster.join(
+        """Handle a heartbeat or a join. Raises LeaseRejectedError."""
+        request = member.request
+        if request.token is None:
+            outcome = self.roster.join(
                 now_us,
                 member.name,
                 "zone-0",
                 "h:1",
                 member.name,
-                member.shown,
-                ask.highest_seen,
+                member.resume_token,
+                request.highest_seen,
             )
         else:
-            made = self.roster.heartbeat(
-                now_us, member.name, ask.token, ask.highest_seen
+            outcome = self.roster.heartbeat(
+                now_us, member.name, request.token, request.highest_seen
             )
-        if made.record is not None:
-            self.commit(made.record, now_us)
-            if member.shown != ZERO_TOKEN and isinstance(made, LeaseGrant):
-                keeps = member.books.known_reserves()
+        if outcome.record is not None:
+            self.commit(outcome.record, now_us)
+            if member.resume_token != ZERO_TOKEN and isinstance(outcome, LeaseGrant):
+                reserves = member.quotas.known_reserves()
                 self.budgets.member_resumed(
-                    now_us, member.name, made.token, member.shown, keeps
+                    now_us, member.name, outcome.token, member.resume_token, reserves
                 )
-        return made
+        return outcome
 
     def plan(self, now_us: int) -> None:
-        """Ends of leases, then the next change of shares."""
+        """End expired leases, then commit the next change of shares."""
         for record in self.roster.tick(now_us):
             self.commit(record, now_us)
         frozen = self.roster.frozen_until_us(now_us) > now_us
@@ -121,75 +125,84 @@
 
 
 class MemberCore:
-    """One member's lease and purses."""
+    """One member's lease and quotas."""
 
-    def __init__(self, name: str, chance: random.Random) -> None:
+    def __init__(self, name: str, generator: random.Random) -> None:
         self.name = name
-        self.holder = LeaseHolder(TTL_US, DRIFT, chance.random)
-        self.books = FleetQuotas((), DRIFT, {}, 0)
-        self.books.persisted = True
-        self.shown = ZERO_TOKEN
+        self.holder = LeaseHolder(TTL_US, DRIFT, generator.random)
+        self.quotas = FleetQuotas((), DRIFT, {}, 0)
+        self.quotas.persisted = True
+        self.resume_token = ZERO_TOKEN
         self.cut_off = False
 
     def begin_request(self, now_us: int) -> None:
+        """Start a heartbeat or a join."""
         self.request = self.holder.start_request(now_us)
 
     def limit(self, now_us: int) -> int:
-        """Calls in a span that it may send now."""
+        """Return how many calls in a span the member may send now."""
         return sum(
-            account.quota.limit(now_us) for account in self.books.accounts.values()
+            account.quota.limit(now_us) for account in self.quotas.accounts.values()
         )
 
     def on_answer(
         self, now_us: int, token: Token, shares: dict[int, dict[str, int]]
     ) -> bool:
-        """Whether a share shrank, so that the next beat is due at once."""
+        """Apply a granted lease and its shares.
+
+        Returns whether a share shrank, so that the next heartbeat is due at
+        once.
+        """
         self.holder.on_granted(now_us, self.request.number, token, TTL_US)
-        return self.books.apply_shares(
+        return self.quotas.apply_shares(
             token, shares, self.holder.valid_until_us, now_us
         )
 
     def lease_lost(self, now_us: int, seen: Token) -> None:
+        """Drop the rejected lease and its shares.
+
+        The next join presents the old token to resume.
+        """
         assert self.request.token is not None
-        self.shown = self.request.token
+        self.resume_token = self.request.token
         self.holder.on_rejected(now_us, self.request.number, seen)
-        self.books.on_lease_lost(now_us)
+        self.quotas.on_lease_lost(now_us)
 
 
 @dataclass(slots=True)
 class Counts:
-    """What is counted over a time."""
+    """Counts over a stretch of time."""
 
     joins: Counter[int] = field(default_factory=Counter)
-    """By tenth of a second."""
+    """Number of joins in each tenth of a second."""
     calls: int = 0
     unanswered: int = 0
-    refused: int = 0
+    rejected: int = 0
     highest_limit_share: float = 0.0
-    """The greatest sum of all members' limits, as a part of the whole."""
+    """The highest sum of all members' limits, as a part of the budget's total."""
 
 
 class PartitionedFleet:
     """Members and service on one clock."""
 
     def __init__(self, members: int, seed: int) -> None:
-        chance = random.Random(seed)
+        generator = random.Random(seed)
         self.now_us, self.whole = 0, CALLS_PER_MEMBER * members
         self.service = ServiceCore(members)
         self.members = [
-            MemberCore(f"member-{number}", chance) for number in range(members)
+            MemberCore(f"member-{number}", generator) for number in range(members)
         ]
         self.counts = Counts()
         self.last_share_change_us = 0
         self.limits: dict[str, int] = {}
         self.schedule = [
-            (chance.randrange(SECOND_US), number) for number in range(members)
+            (generator.randrange(SECOND_US), number) for number in range(members)
         ]
         heapq.heapify(self.schedule)
         self.plan_us, self.check_us = PLAN_US, CHECK_US
 
     def run(self, for_us: int) -> None:
-        """Play so long."""
+        """Advance the clock by `for_us`."""
         until_us = self.now_us + for_us
         while self.now_us < until_us:
             self.now_us = min(
@@ -203,18 +216,18 @@
                 self.check_us += CHECK_US
             while self.schedule[0][0] <= self.now_us:
                 _, number = heapq.heappop(self.schedule)
-                again_us = self.send_heartbeat(self.members[number])
-                heapq.heappush(self.schedule, (max(again_us, self.now_us + 1), number))
+                next_us = self.send_heartbeat(self.members[number])
+                heapq.heappush(self.schedule, (max(next_us, self.now_us + 1), number))
 
     def check(self) -> None:
-        """No span is given out twice."""
+        """Record the highest sum of limits; above 1 a span is granted twice."""
         total = sum(member.limit(self.now_us) for member in self.members)
         self.counts.highest_limit_share = max(
             self.counts.highest_limit_share, total / self.whole
         )
 
     def send_heartbeat(self, member: MemberCore) -> int:
-        """One call; when the next one is due."""
+        """Send one heartbeat or join; return when the next one is due (us)."""
         self.counts.calls += 1
         member.begin_request(self.now_us)
         if member.cut_off:
@@ -223,20 +236,20 @@
             member.holder.on_no_answer(waited_us)
             return member.holder.next_renewal_us
         try:
-            made = self.service.handle_request(self.now_us, member)
+            outcome = self.service.handle_request(self.now_us, member)
         except LeaseRejectedError as error:
-            self.counts.refused += 1
+            self.counts.rejected += 1
             member.lease_lost(self.now_us, error.conflicting_token)
             return member.holder.next_renewal_us
-        if isinstance(made, LeaseUnavailable):
+        if isinstance(outcome, LeaseUnavailable):
             member.holder.on_unavailable(
-                self.now_us, member.request.number, made.retry_after_us
+                self.now_us, member.request.number, outcome.retry_after_us
             )
             return member.holder.next_renewal_us
         if member.request.token is None:
             self.counts.joins[self.now_us // (SECOND_US // 10)] += 1
         shrank = member.on_answer(
-            self.now_us, made.token, self.shares(member, made.token)
+            self.now_us, outcome.token, self.shares(member, outcome.token)
         )
         self.note_limit(member)
         return (
@@ -244,63 +257,77 @@
         )
 
     def shares(self, member: MemberCore, token: Token) -> dict[int, dict[str, int]]:
-        said = {"needs": {DESTINATION: NEED}, "holds": member.books.held_shares(token)}
-        heard = self.service.budgets.handle_heartbeat(
-            self.now_us, self.now_us + TTL_US, member.name, token, said
+        """Pass a heartbeat's fields to the budgets; return the shares of the answer."""
+        fields = {
+            "needs": {DESTINATION: NEED},
+            "holds": member.quotas.held_shares(token),
+        }
+        response = self.service.budgets.handle_heartbeat(
+            self.now_us, self.now_us + TTL_US, member.name, token, fields
         )
         return {
             int(destination): share
-            for destination, share in heard.answer_fields()["shares"].items()
+            for destination, share in response.answer_fields()["shares"].items()
         }
 
     def note_limit(self, member: MemberCore) -> None:
+        """Record the time if a member's limit has changed."""
         limit = member.limit(self.now_us)
         if self.limits.get(member.name) != limit:
             self.limits[member.name], self.last_share_change_us = limit, self.now_us
 
 
 def measure_partition(
-    members: int, part: float, for_us: int, seed: int, figures: SeriesBuilder, what: str
+    members: int,
+    part: float,
+    for_us: int,
+    seed: int,
+    figures: SeriesBuilder,
+    label: str,
 ) -> None:
-    """Come to rest, lose a part of the members for so long, and come to rest again."""
+    """Cut off a part of the members for `for_us`, then reconnect them.
+
+    The fleet settles before the cut and after it.
+    """
     fleet = PartitionedFleet(members, seed)
     fleet.run(SETTLED_US)
-    cut = fleet.members[: round(members * part)]
+    cut_members = fleet.members[: round(members * part)]
     began_us, fleet.counts = fleet.now_us, Counts()
-    for member in cut:
+    for member in cut_members:
         member.cut_off = True
     fleet.run(for_us)
-    there = [member for member in fleet.members if not member.cut_off]
-    calls = sum(member.limit(fleet.now_us) for member in there)
+    connected = [member for member in fleet.members if not member.cut_off]
+    calls = sum(member.limit(fleet.now_us) for member in connected)
     moved_s = (fleet.last_share_change_us - began_us) / SECOND_US
-    figures.add(f"{what}: seconds until the last share moved", members, moved_s)
+    figures.add(f"{label}: seconds until the last share moved", members, moved_s)
     figures.add(
-        f"{what}: part of the whole that the others have", members, calls / fleet.whole
+        f"{label}: part of the whole that the others have", members, calls / fleet.whole
     )
     unanswered = fleet.counts.unanswered * SECOND_US / for_us
-    figures.add(f"{what}: calls a second that nobody answers", members, unanswered)
+    figures.add(f"{label}: calls a second that nobody answers", members, unanswered)
     healed_us = fleet.now_us
-    for member in cut:
+    for member in cut_members:
         member.cut_off = False
     fleet.run(SETTLED_US)
     joins = fleet.counts.joins
     joined_s = max(joins, default=0) / 10 - healed_us / SECOND_US
-    figures.add(f"{what}: seconds from the heal to the last join", members, joined_s)
+    figures.add(f"{label}: seconds from the heal to the last join", members, joined_s)
     figures.add(
-        f"{what}: most joins in a tenth of a second",
+        f"{label}: most joins in a tenth of a second",
         members,
         max(joins.values(), default=0),
     )
     moved_s = (fleet.last_share_change_us - healed_us) / SECOND_US
-    figures.add(f"{what}: seconds from the heal to the last share", members, moved_s)
+    figures.add(f"{label}: seconds from the heal to the last share", members, moved_s)
     figures.add(
-        f"{what}: most calls allowed, part of the whole",
+        f"{label}: most calls allowed, part of the whole",
         members,
         fleet.counts.highest_limit_share,
     )
 
 
 def unit_of(name: str) -> str:
+    """Return the unit, from the figure's name."""
     if ": seconds" in name:
         return "s"
     return (
@@ -309,13 +336,14 @@
 
 
 def measure_split(progress: Progress) -> Iterator[Series]:
+    """Measure splits of each part, long ones and short ones."""
     figures = SeriesBuilder()
     for part in PARTS:
         for members, for_us in ((LONG_MEMBERS, LONG_US), (SHORT_MEMBERS, SHORT_US)):
-            what = f"{part:.0%} of the members cut off for {for_us // SECOND_US} s"
+            label = f"{part:.0%} of the members cut off for {for_us // SECOND_US} s"
             for seed in SEEDS if members == SHORT_MEMBERS else SEEDS[:1]:
-                measure_partition(members, part, for_us, seed, figures, what)
-            progress(f"{members} members, {what}")
+                measure_partition(members, part, for_us, seed, figures, label)
+            progress(f"{members} members, {label}")
     for name in figures.values:
         yield Series(
             f"split: {name}",
