--- a/measure/scale/service_process.py
+++ b/measure/scale/service_process.py
@@ -1,4 +1,4 @@
-"""The list service as a process of its own, its calls and its usage."""
+"""Runs the list service as a process, calls it and reads its resource usage."""
 
 from __future__ import annotations
 
@@ -19,10 +19,9 @@
 LEASE_MS = 3_000
 SPAN_MS = 1_000
 CALLS_PER_MEMBER = 50
-"""A budget's calls for each member: more than all members need together."""
+"""Calls of a budget for each member; the total exceeds what all members need."""
 RESERVES_PER_MEMBER = 2
-"""Processes with a reserve for each member, so that a restart without a state folder
-gets one too.
+"""Reserves for each member: a restart without a state folder needs another one.
 """
 START_TIMEOUT_S = 20.0
 START_POLL_S = 0.02
@@ -33,25 +32,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceUsage:
-    """What the service has used from its start until `at_s`."""
+    """Resources that the service used from its start until `at_s`."""
 
     at_s: float
     processor_s: float
     syncs: int
 
     def core_share(self, before: ServiceUsage) -> float:
-        """The part of a core that was used since an earlier moment."""
+        """Return the part of a core used since an earlier moment."""
         return (self.processor_s - before.processor_s) / (self.at_s - before.at_s)
 
     def syncs_per_s(self, before: ServiceUsage) -> float:
-        """Syncs a second since an earlier moment."""
+        """Return the syncs a second since an earlier moment."""
         return (self.syncs - before.syncs) / (self.at_s - before.at_s)
 
 
 class ListService:
-    """The process. Call `start` once and again after `kill`, and `close` at the end.
+    """The process of the list service.
 
-    Its ports stay the same over restarts.
+    `start` starts it, also after `kill`; `close` ends it. The ports stay the same
+    over restarts.
     """
 
     def __init__(self, folder: Path, members: int, budgets: int) -> None:
@@ -62,7 +62,7 @@
         self.write_budgets(budgets, CALLS_PER_MEMBER * members)
 
     def write_budgets(self, budgets: int, calls: int) -> None:
-        """Write the file of budgets; the first has so many calls, all others the usual."""
+        """Write the budgets: `calls` for the first, the default for all others."""
         wholes = [calls] + [CALLS_PER_MEMBER * self.members] * (budgets - 1)
         documents = [
             {
@@ -79,7 +79,11 @@
         new_file.replace(self.folder / "budgets.json")
 
     def start(self) -> None:
-        """Start the program and wait until its addresses are open."""
+        """Start the program and wait until it listens.
+
+        Raises RuntimeError if it ends, or does not listen within
+        `START_TIMEOUT_S`.
+        """
         ports_file = self.folder / "ports"
         ports_file.unlink(missing_ok=True)
         ports = self.listen_port, self.write_port, self.fleet_port
@@ -111,37 +115,38 @@
         until = time.monotonic() + START_TIMEOUT_S
         while not ports_file.exists() or not ports_file.read_text().endswith("\n"):
             if time.monotonic() > until or self.process.poll() is not None:
-                raise RuntimeError(
-                    f"the list service did not start: {self.last_lines()}"
-                )
+                raise RuntimeError(f"list service failed to start: {self.last_lines()}")
             time.sleep(START_POLL_S)
         self.listen_port, self.write_port, self.fleet_port = map(
             int, ports_file.read_text().split()
         )
 
     def last_lines(self) -> str:
-        """The end of the log."""
+        """Return the end of the log."""
         return (self.folder / "service.log").read_text()[-SHOWN_LOG_CHARACTERS:]
 
     def kill(self) -> None:
-        """End the process by SIGKILL."""
+        """Kill the process (SIGKILL)."""
         assert self.process is not None
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
     def close(self) -> None:
-        """End the process, if it runs."""
+        """Terminate the process if it runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.terminate()
             self.process.wait()
 
     def reload(self) -> None:
-        """Let the service read its budgets again."""
+        """Make the service read its budgets again (SIGHUP)."""
         assert self.process is not None
         self.process.send_signal(signal.SIGHUP)
 
     def call(self, port: int, method: str, path: str, body: Any = None) -> Any:
-        """The answer to one call; RuntimeError if its status is not 200."""
+        """Return the JSON answer to one call.
+
+        Raises RuntimeError if the status is not 200.
+        """
         connection = http.client.HTTPConnection(
             "127.0.0.1", port, timeout=CALL_TIMEOUT_S
         )
@@ -158,33 +163,33 @@
         return json.loads(text)
 
     def change_hosts(self, operations: list[Mapping[str, Any]]) -> int:
-        """Change entries of the list; the version that has them."""
+        """Change entries of the list; return the version that contains them."""
         return int(
             self.call(self.write_port, "POST", "/v1/hosts", {"ops": operations})["seq"]
         )
 
     def variables(self) -> dict[str, Any]:
-        """The content of `/_vars`."""
+        """Return the content of `/_vars`."""
         return dict(self.call(self.write_port, "GET", "/_vars"))
 
     def usage(self) -> ServiceUsage:
-        """The usage until now."""
+        """Return the resources used until now."""
         syncs = int(self.variables()["fleet_syncs"])
         return ServiceUsage(time.monotonic(), self.processor_s(), syncs)
 
     def processor_s(self) -> float:
-        """User and system time of the process; the kernel counts it in steps of 10 ms."""
+        """Return the process's user and system time, in the kernel's steps of 10 ms."""
         assert self.process is not None
         return memory.processor_s(self.process.pid)
 
     def resident_bytes(self) -> int:
-        """Resident memory of the process."""
+        """Return the resident memory of the process."""
         assert self.process is not None
         return memory.resident_bytes(str(self.process.pid))
 
 
 def host_entry(number: int, health: str = "up") -> dict[str, Any]:
-    """The operation that lists a host, or changes it."""
+    """Build the operation that registers a host or changes it."""
     return {
         "op": "register",
         "host": f"host-{number}",
--- a/measure/scale/target.py
+++ b/measure/scale/target.py
@@ -1,4 +1,4 @@
-"""The size the program is meant to reach, and what it may spend there.
+"""Defines the size that the program is designed for, and its allowances at that size.
 
 The first part was stated by the operators, the second follows from it, the last is
 assumed, with the reason. Nothing here is measured.
@@ -10,7 +10,7 @@
 
 
 class Role(StrEnum):
-    """Whose need a figure is."""
+    """The part of the system that a need or a series belongs to."""
 
     MESSAGE_PATH = "message path"
     JOURNAL = "journal and backlog"
@@ -28,7 +28,7 @@
 FORWARDERS = 540
 """Forwarders of the whole fleet."""
 MESSAGES_PER_S = 540_000
-"""Messages that all forwarders take on in a second."""
+"""Messages that all forwarders accept in a second."""
 DESTINATIONS = 44_000
 """Destinations that messages go to."""
 DOWN_SHARE = 0.032
@@ -56,16 +56,16 @@
 RESTARTS_PER_DAY = 65
 """Machines that are restarted or replaced on an ordinary day."""
 ZONE_FORWARDERS = 90
-"""Forwarders that a zone takes with it when it fails."""
+"""Forwarders that fail with a zone."""
 SPLIT_S = 3600.0
-"""Seconds for which regions lose each other now and then."""
+"""Seconds of an occasional split between the regions."""
 
 # Follows from what was stated
 
 FORWARDER_PER_S = MESSAGES_PER_S / FORWARDERS
-"""Messages a second that one forwarder takes on."""
+"""Messages a second that one forwarder accepts."""
 FORWARDER_BACKLOG = round(BACKLOG / FORWARDERS)
-"""Messages that one forwarder holds, if the backlog lies evenly."""
+"""Messages that one forwarder holds, if the backlog is spread evenly."""
 DOWN_DESTINATIONS = round(DESTINATIONS * DOWN_SHARE)
 """Destinations that are down at any time."""
 
@@ -97,36 +97,34 @@
 whatever they hold.
 """
 RESTORED_S = 60.0
-"""Seconds from ready until all that was held is decided on again, assumed: the
-operators did not say.
+"""Seconds from ready until all held messages are restored, assumed: the operators
+stated no value.
 """
 PAUSE_S = 0.1
-"""Seconds that the loop may stand still, assumed: `docs/parts.md` names a tenth of a
-second as the most.
+"""Seconds that the event loop may block, assumed: `docs/parts.md` names a tenth of a
+second as the maximum.
 """
 CALLS_IN_FLIGHT = 500
-"""Calls that a forwarder has out, assumed: its messages a second at half a second a
-call.
+"""Calls that a forwarder has in flight, assumed: its messages a second at half a second
+a call.
 """
 LIST_CHANGES_PER_S = 1.0
 """Changes of the list a second, assumed: each of the 44,000 endpoints is drained and
 returns once a day.
 """
 RECORD_BYTES = 2**21
-"""The longest record that the journal reads again (`journal.format.MOST_RECORD`)."""
+"""The longest record that the journal can read (`journal.format.MAX_RECORD_BYTES`)."""
 JOURNAL_BYTES_PER_S = 100 * 10**6
-"""Bytes a second to disk, assumed: what an ordinary disk writes steadily."""
+"""Bytes a second to disk, assumed: the steady rate of an ordinary disk."""
 SHARES_MOVED_S = 4.0
-"""Seconds until a need has its share, assumed: as long as a change of configuration may
-take.
+"""Seconds until a changed need has its share, assumed: as for a change of configuration.
 """
 RACK_FORWARDERS = 20
-"""Forwarders that a rack or switch takes with it, assumed: the operators did not
-say.
+"""Forwarders that fail with a rack or switch, assumed: the operators stated no value.
 """
 RESTARTS_AT_ONCE = 1
-"""Forwarders of the day's restarts that are away at once, assumed: they are replaced
-one after another.
+"""Forwarders that restart at the same time, assumed: they are replaced one after
+another.
 """
 CROSSING_SHARE = 0.5
 """Part of the messages for destinations in the other region, assumed: no region is
--- a/tests/measure/test_control_growth.py
+++ b/tests/measure/test_control_growth.py
@@ -1,5 +1,6 @@
-"""Growth of the control parts by counted work: bytes told, lines run, entries made. No
-clock.
+"""Growth of the control parts, by bytes, executed lines and entries.
+
+No clock is read.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from measure.scale import control_config as files
 from measure.scale import control_demand as demand
 from measure.scale import control_division as division
-from measure.scale import control_fixtures as worlds
+from measure.scale import control_fixtures as fixtures
 from measure.scale import control_list as lists
 from measure.scale import control_members as members
 from measure.scale import control_shards as shards
@@ -29,20 +30,21 @@
 from rainfall.lease.fencing_token import Token
 from rainfall.shard.map_planning import plan_map
 
-NEARLY = 1.1
-"""Over the size's own factor: bases and digits of larger numbers."""
+TOLERANCE = 1.1
+"""Factor beyond the size's own, for fixed parts and for digits of larger numbers."""
 BEAT_BYTES, ANSWER_BYTES = 45, 90
-"""For each budget named, with destinations of up to five digits."""
+"""Bytes for each budget named, with destinations of up to five digits."""
 SMALL, LARGE = 200, 2_000
 
 
 def grows_at_most(
     count: Callable[[int], float], power: float, small: int = SMALL, large: int = LARGE
 ) -> None:
-    """Whether the count grows no faster than the size to the `power` (0: not at
-    all).
+    """Assert that the count grows no faster than the size to the `power`.
+
+    A power of 0 means no growth.
     """
-    assert 0 < count(large) <= NEARLY * (large / small) ** power * count(small)
+    assert 0 < count(large) <= TOLERANCE * (large / small) ** power * count(small)
 
 
 def test_every_measurement_of_control_is_found_and_named_once() -> None:
@@ -56,8 +58,8 @@
 
 def test_a_watcher_is_told_one_changed_entry_whatever_the_list_holds() -> None:
     def told(count: int) -> bytes:
-        registry = worlds.registry(count)
-        op = {"op": "share", "host": worlds.endpoint(7)["host"], "share": 5.0}
+        registry = fixtures.registry(count)
+        op = {"op": "share", "host": fixtures.endpoint(7)["host"], "share": 5.0}
         registry.commit(registry.prepare({"ops": [op]}, ""))  # type: ignore[arg-type]
         return lists.change_for_watcher(registry)
 
@@ -69,34 +71,36 @@
     None
 ):
     def change(count: int) -> int:
-        registry = worlds.registry(count)
-        op = {"op": "drain", "host": worlds.endpoint(7)["host"]}
+        registry = fixtures.registry(count)
+        op = {"op": "drain", "host": fixtures.endpoint(7)["host"]}
         return count_lines(lambda: registry.commit(registry.prepare({"ops": [op]}, "")))  # type: ignore[arg-type]
 
     assert change(SMALL) == change(LARGE)
 
 
 def test_a_whole_list_costs_a_forwarder_so_much_an_endpoint() -> None:
-    grows_at_most(lambda count: len(worlds.whole_list(count)), 1)
+    grows_at_most(lambda count: len(fixtures.whole_list(count)), 1)
     grows_at_most(
-        lambda count: count_lines(lambda: lists.parse_list(worlds.whole_list(count))), 1
+        lambda count: count_lines(lambda: lists.parse_list(fixtures.whole_list(count))),
+        1,
     )
 
 
 def test_one_changed_entry_costs_a_forwarder_no_more_than_the_list_grows(
     tmp_path: Path,
 ) -> None:
-    """Not better than that today: the whole list is journaled, and each turn goes
-    through all targets.
+    """The bound is linear because the whole list is journaled.
+
+    Each turn also goes through all endpoints.
     """
 
     async def follow(size: int) -> tuple[int, float]:
-        engine = worlds.engine(tmp_path / str(size), worlds.configuration(size))
+        engine = fixtures.engine(tmp_path / str(size), fixtures.configuration(size))
         engine.restore_state()
         engine.run_round()
         written = engine.store.metrics()["bytes"]
         lines = count_lines(
-            lambda: engine.on_endpoint_list(worlds.changed_entry(size, 7, "draining"))
+            lambda: engine.on_endpoint_list(fixtures.changed_entry(size, 7, "draining"))
         )
         return lines, engine.store.metrics()["bytes"] - written
 
@@ -111,10 +115,10 @@
     None
 ):
     def named(budgets: int) -> FleetQuotas:
-        books = demand.books_with_shares(budgets)
+        quotas = demand.quotas_with_shares(budgets)
         for destination in range(budgets):
-            books.record_demand(destination, "status/acme", demand.NOW_US)
-        return books
+            quotas.record_demand(destination, "status/acme", demand.NOW_US)
+        return quotas
 
     assert len(demand.heartbeat_part(named(1_000))) <= 1_000 * BEAT_BYTES
     assert len(demand.encoded_answer(1_000)) <= 1_000 * ANSWER_BYTES
@@ -129,10 +133,10 @@
 
 def test_demand_without_budgets_is_told_of_so_many_destinations_at_most() -> None:
     def told(destinations: int) -> int:
-        books = FleetQuotas((), worlds.DRIFT, {}, 0)
+        quotas = FleetQuotas((), fixtures.DRIFT, {}, 0)
         for destination in range(destinations):
-            books.record_demand(destination, "status", demand.NOW_US)
-        return len(books.needs({}, demand.NOW_US))
+            quotas.record_demand(destination, "status", demand.NOW_US)
+        return len(quotas.needs({}, demand.NOW_US))
 
     assert (told(MAX_BUDGETS), told(2 * MAX_BUDGETS)) == (MAX_BUDGETS, MAX_BUDGETS)
 
@@ -154,7 +158,7 @@
     def at_rest(count: int, budgets: int) -> tuple[int, int]:
         ledger = division.build_ledger(count, budgets)
         now_us = division.settle(ledger, 0)
-        token: Token = worlds.token(0)
+        token: Token = fixtures.token(0)
         return count_lines(lambda: ledger.plan(now_us)), count_lines(
             lambda: ledger.heartbeat(token, {}, {}, now_us)
         )
@@ -170,11 +174,11 @@
 
 def test_a_beat_looks_at_its_own_member_alone_and_writes_nothing() -> None:
     def beat(count: int) -> int:
-        roster = worlds.roster(count)
-        member = roster.members[worlds.member(7)]
+        roster = fixtures.roster(count)
+        member = roster.members[fixtures.member(7)]
         now_us = (
             roster.table.leases["member/" + member.name].expires_at_us
-            - worlds.LEASE_US // 2
+            - fixtures.LEASE_US // 2
         )
         made = roster.heartbeat(now_us, member.name, member.token)
         assert made.record is None  # type: ignore[union-attr]
@@ -185,7 +189,7 @@
 
 def test_one_more_member_is_told_and_logged_by_itself() -> None:
     def told(count: int) -> int:
-        roster = worlds.roster(count)
+        roster = fixtures.roster(count)
         return len(
             msgspec.json.encode(roster.changes_since(roster.version - 1, roster.epoch))
         )
@@ -201,7 +205,7 @@
         folder = tmp_path / str(count)
         folder.mkdir()
         log = members.open_fleet_log(folder)
-        log.compact({members.LEASE_TABLE: worlds.roster(count).table.snapshot()})
+        log.compact({members.LEASE_TABLE: fixtures.roster(count).table.snapshot()})
         return count_lines(lambda: members.recover(folder))
 
     grows_at_most(lines, 1, 30, 300)
@@ -220,7 +224,9 @@
 
 def test_a_beat_tells_a_member_its_own_ranges_whoever_else_there_is() -> None:
     grows_at_most(
-        lambda count: shards.told_bytes(shards.even_map(count), worlds.member(7)),
+        lambda count: shards.owned_ranges_bytes(
+            shards.even_map(count), fixtures.member(7)
+        ),
         0,
         30,
         FORWARDERS,
@@ -230,7 +236,7 @@
 def test_a_plan_grows_with_its_owners_no_faster_than_they_do() -> None:
     def lines(count: int) -> int:
         base = shards.even_map(count)
-        after = {worlds.member(n): 1.0 for n in range(count + 1)}
+        after = {fixtures.member(n): 1.0 for n in range(count + 1)}
         return count_lines(lambda: plan_map(after, base))
 
     grows_at_most(lines, 1, 30, 300)
@@ -243,8 +249,8 @@
     tmp_path: Path,
 ) -> None:
     def lines(budgets: int, peers: int) -> int:
-        told = worlds.configuration(10, worlds.fleet_section(budgets, peers))
-        return count_lines(lambda: worlds.config(tmp_path, told))
+        told = fixtures.configuration(10, fixtures.fleet_section(budgets, peers))
+        return count_lines(lambda: fixtures.config(tmp_path, told))
 
     grows_at_most(lambda peers: lines(0, peers), 1, 20, 200)
     grows_at_most(lambda budgets: lines(budgets, 0), 2, 20, 200)
@@ -252,6 +258,6 @@
 
 def test_an_apply_is_taken_whole_by_the_measurement(tmp_path: Path) -> None:
     found = files.measure_file(
-        worlds.configuration(10, worlds.fleet_section(budgets=5))
+        fixtures.configuration(10, fixtures.fleet_section(budgets=5))
     )
     assert found["bytes"] > 0 < found["apply_ms"]
--- a/tests/measure/test_hollow_members.py
+++ b/tests/measure/test_hollow_members.py
@@ -1,5 +1,6 @@
-"""Growth of the list service with its members, by counted work: no clock is read for a
-verdict.
+"""Growth of the list service with its members, by counted work.
+
+No verdict depends on a clock.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 from measure.scale.hollow_member import (
     Call,
-    CountedChannel,
+    CountingConnection,
     HollowMember,
     ServiceAddresses,
 )
@@ -42,29 +43,29 @@
 SECOND_US = 1_000_000
 LEASE_US = 3 * SECOND_US
 AFTER_START_US = 100 * SECOND_US
-"""The longest lease of a history that nobody knows is over."""
-A_BUDGET_BYTES = 115
-"""Of a beat with its answer, for each budget there is; without any it takes the
-rest.
+"""By then the longest lease of an unknown history has expired."""
+BYTES_PER_BUDGET = 115
+"""Bytes of a heartbeat with its answer for each budget, beyond `BARE_BEAT_BYTES`.
 """
 BARE_BEAT_BYTES = 200
-CALLS_AN_ACCOUNT = 60
+CALLS_PER_ACCOUNT = 60
 """Function calls of a plan at rest, for each member and budget."""
-CALLS_A_SNAPSHOT = 9
-"""And of a snapshot of all budgets."""
-CALLS_A_BUDGET, CALLS_A_BEAT = 7, 14
-"""And of a beat as the one before it, for each budget, and for itself."""
-PATIENCE_S = 20.0
+SNAPSHOT_CALLS_PER_ACCOUNT = 9
+"""Function calls of a snapshot of all budgets, for each member and budget."""
+BEAT_CALLS_PER_BUDGET, CALLS_PER_BEAT = 7, 14
+"""Function calls of an unchanged heartbeat: for each budget, and in addition."""
+TIMEOUT_S = 20.0
 
 
 async def service_process(
     folder: Path, descriptors: int
 ) -> tuple[asyncio.subprocess.Process, int]:
-    """A list service with a hard limit of descriptors, and the port of its fleet
-    address.
+    """Start a list service with a hard limit of file descriptors.
+
+    Returns its process and the port of its fleet address.
     """
     address = "127.0.0.1:0"
-    words = [
+    arguments = [
         "--state",
         folder / "state",
         "--listen",
@@ -81,14 +82,14 @@
         sys.executable,
         "-m",
         "rainfall.registry",
-        *map(str, words),
+        *map(str, arguments),
         cwd=ROOT,
         stderr=asyncio.subprocess.DEVNULL,
         preexec_fn=lambda: resource.setrlimit(
             resource.RLIMIT_NOFILE, (descriptors, descriptors)
         ),
     )
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not (folder / "ports").exists() or not (folder / "ports").read_text():
             await asyncio.sleep(0.02)
     return process, int((folder / "ports").read_text().split()[2])
@@ -101,7 +102,7 @@
     async def run() -> list[bytes]:
         process, port = await service_process(tmp_path, descriptors)
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 links = [
                     await asyncio.open_connection("127.0.0.1", port)
                     for _ in range(descriptors)
@@ -119,15 +120,16 @@
 
 
 class BudgetFleet:
-    """Members and the service's budgets without I/O, by an injected clock, until all
-    shares rest.
+    """Members and the service's budgets without I/O, on an injected clock.
+
+    At construction they run until all shares have settled.
     """
 
     def __init__(self, members: int, budgets: int) -> None:
         self.service, self.now_us = BudgetExtension(LEASE_US, 0.02), 10 * SECOND_US
         self.service.epoch_raised(1)
         self.service.restore(0, True, None, [])
-        raw = [
+        budget_documents = [
             {
                 "destination": str(number),
                 "calls": 50 * members,
@@ -137,7 +139,7 @@
             }
             for number in range(budgets)
         ]
-        self.commit(self.service.config_rows(0, raw, "file"))
+        self.commit(self.service.config_rows(0, budget_documents, "file"))
         self.commit(self.service.confirm_processes(0, None))
         self.needs = {str(number): {"order": 2} for number in range(budgets)}
         self.members = {
@@ -154,14 +156,14 @@
             self.service.commit(self.now_us, row)
 
     def turn(self) -> None:
-        """A beat of each member, and a plan after them."""
+        """Send a heartbeat of each member, then plan."""
         self.now_us += SECOND_US
         for token in self.members:
             self.beat(token)
         self.commit(self.service.plan(self.now_us, False, []))
 
     def beat(self, token: Token) -> int:
-        """Bytes of one beat's body and of the budgets in its answer."""
+        """Return the bytes of one heartbeat's body and of the budgets in its answer."""
         books, holder = self.members[token], LeaseHolder(LEASE_US, 0.02, lambda: 0.5)
         holder.token = holder.highest_seen = token
         config = fleet_config.parse_fleet(
@@ -191,7 +193,7 @@
 
 
 def function_calls(work: Callable[[], Any]) -> int:
-    """Python functions that are called in it."""
+    """Count the calls of Python functions during some work."""
     calls = 0
 
     def count(_: Any, event: str, __: Any) -> None:
@@ -213,7 +215,7 @@
         for fleet in [BudgetFleet(members, budgets)]
     }
     for (_, budgets), size in sizes.items():
-        assert size <= BARE_BEAT_BYTES + A_BUDGET_BYTES * budgets
+        assert size <= BARE_BEAT_BYTES + BYTES_PER_BUDGET * budgets
     assert abs(sizes[40, 10] - sizes[4, 10]) <= 10 * 4, "digits of numbers, no more"
 
 
@@ -221,10 +223,10 @@
     for members, budgets in ((10, 3), (40, 3), (10, 30)):
         fleet = BudgetFleet(members, budgets)
         calls = function_calls(partial(fleet.service.plan, fleet.now_us + 1, False, []))
-        assert calls <= CALLS_AN_ACCOUNT * members * budgets
+        assert calls <= CALLS_PER_ACCOUNT * members * budgets
         assert (
             function_calls(fleet.service.snapshot)
-            <= CALLS_A_SNAPSHOT * members * budgets
+            <= SNAPSHOT_CALLS_PER_ACCOUNT * members * budgets
         )
 
 
@@ -232,32 +234,35 @@
     for budgets in (10, 100):
         fleet = BudgetFleet(4, budgets)
         token = Token(1, 1)
-        said = {"needs": fleet.needs, "holds": fleet.members[token].held_shares(token)}
-        hear = partial(
+        fields = {
+            "needs": fleet.needs,
+            "holds": fleet.members[token].held_shares(token),
+        }
+        send_heartbeat = partial(
             fleet.service.handle_heartbeat,
             fleet.now_us,
             fleet.now_us + LEASE_US,
             "member-1",
             token,
         )
-        assert not hear(said).plan_soon
-        again = function_calls(partial(hear, said))
-        assert again <= CALLS_A_BUDGET * budgets + CALLS_A_BEAT, again
-        raw = [
+        assert not send_heartbeat(fields).plan_soon
+        again = function_calls(partial(send_heartbeat, fields))
+        assert again <= BEAT_CALLS_PER_BUDGET * budgets + CALLS_PER_BEAT, again
+        budget_documents = [
             *fleet.service.raw_budgets,
             {**fleet.service.raw_budgets[0], "destination": "new"},
         ]
-        fleet.commit(fleet.service.config_rows(fleet.now_us, raw, "file"))
-        assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan_soon
+        fleet.commit(fleet.service.config_rows(fleet.now_us, budget_documents, "file"))
+        assert send_heartbeat({**fields, "needs": {**fleet.needs, "new": 5}}).plan_soon
         fleet.commit(
             fleet.service.config_rows(
                 fleet.now_us, fleet.service.raw_budgets[:-1], "file"
             )
         )
-        fleet.commit(fleet.service.config_rows(fleet.now_us, raw, "file"))
-        assert hear({**said, "needs": {**fleet.needs, "new": 5}}).plan_soon, (
-            "the budget that came back hears it"
-        )
+        fleet.commit(fleet.service.config_rows(fleet.now_us, budget_documents, "file"))
+        assert send_heartbeat(
+            {**fields, "needs": {**fleet.needs, "new": 5}}
+        ).plan_soon, "the budget that came back hears it"
         assert (
             fleet.service.ledger.budget_accounts["new"].accounts[token].total_demand()
             == 5
@@ -332,9 +337,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = Clock()
-    monkeypatch.setattr(endpoint_watch, "HttpConnection", CountedChannel)
+    monkeypatch.setattr(endpoint_watch, "HttpConnection", CountingConnection)
     for counted in ("calls", "sent", "received"):
-        monkeypatch.setattr(CountedChannel, counted, Counter())
+        monkeypatch.setattr(CountingConnection, counted, Counter())
 
     async def run(service: Run) -> None:
         clock.us += AFTER_START_US
@@ -350,9 +355,15 @@
             assert waiting == {7: Counter({"order": 3})}
         finally:
             member.kill()
-        assert CountedChannel.calls[Call.BEAT] == member.fleet.heartbeat_counts["beats"]
+        assert (
+            CountingConnection.calls[Call.BEAT]
+            == member.fleet.heartbeat_counts["beats"]
+        )
         for call in (Call.BEAT, Call.LIST):
-            assert CountedChannel.sent[call] > 0 and CountedChannel.received[call] > 0
+            assert (
+                CountingConnection.sent[call] > 0
+                and CountingConnection.received[call] > 0
+            )
 
     play(tmp_path, run, clock, lead())
 
--- a/tests/measure/test_journal_growth.py
+++ b/tests/measure/test_journal_growth.py
@@ -1,6 +1,4 @@
-"""What `docs/CAPACITY.md` says of the journal's growth, held by bytes and records that
-are counted.
-"""
+"""Checks the journal's growth as `docs/CAPACITY.md` states it, by bytes and records."""
 
 from pathlib import Path
 
@@ -12,12 +10,12 @@
 from rainfall.journal.format import MAX_RECORD_BYTES, scan
 
 FEW, MANY = 500, 4_000
-NEAR = 0.05  # of the bytes: names and numbers grow by a digit
+TOLERANCE = 0.05  # part of the bytes: names and numbers grow by a digit
 
 
 def test_a_message_costs_as_many_bytes_beside_many_live_ones_as_beside_few() -> None:
     few, many = (journal_growth.measure_passing(live)["bytes"] for live in (FEW, MANY))
-    assert many == pytest.approx(few, rel=NEAR)
+    assert many == pytest.approx(few, rel=TOLERANCE)
 
 
 def test_a_checkpoint_has_a_record_for_each_live_message_and_little_beside(
@@ -31,7 +29,7 @@
         sizes[live] = store.size
         store.close()
         beside[live] = len(list(scan(store.path.read_bytes()).frames)) - live
-    assert sizes[MANY] == pytest.approx(sizes[FEW] * MANY / FEW, rel=NEAR)
+    assert sizes[MANY] == pytest.approx(sizes[FEW] * MANY / FEW, rel=TOLERANCE)
     assert beside[MANY] == beside[FEW] < 10
 
 
@@ -46,12 +44,13 @@
         journal_growth.measure_list_changes(endpoints)["bytes"]
         for endpoints in (FEW, MANY)
     )
-    assert many == pytest.approx(few, rel=NEAR)
+    assert many == pytest.approx(few, rel=TOLERANCE)
 
 
 def test_a_list_within_the_longest_record_is_read_again(tmp_path: Path) -> None:
     hosts = {
-        str(told["host"]): told for told in map(journal_growth.endpoint, range(10_000))
+        str(entry["host"]): entry
+        for entry in map(journal_growth.endpoint, range(10_000))
     }
     store = journal_growth.open_store(tmp_path)
     store.append_endpoint_list(1, hosts, journal_growth.NOW_US, "127.0.0.1:1")
--- a/tests/measure/test_scale_frame.py
+++ b/tests/measure/test_scale_frame.py
@@ -1,5 +1,6 @@
-"""The frame of `measure.scale`: shapes are told apart, and runs replace only their own
-entry.
+"""Checks fits, limits, needs and the results file of `measure.scale`.
+
+Fitted shapes are distinguished, and a run replaces only its own entry.
 """
 
 from collections.abc import Callable
@@ -55,7 +56,9 @@
     few = fit(series(lambda n: 2 * n, sizes=SIZES[:2]))
     assert few.shape is None
     assert "not plain" in few.describe(series(lambda n: 2 * n))
-    assert few.at(10_000).middle == pytest.approx(20_000)  # the last step goes on
+    assert few.at(10_000).middle == pytest.approx(
+        20_000
+    )  # extended from the last two points
 
 
 def test_growth_stops_at_its_bounds() -> None:
@@ -75,7 +78,7 @@
     assert len(held.points_of("bytes")) == 1 and held.bound.startswith("memory: size 2")
     assert expected_s(15.5, 15.0, 10.0) == pytest.approx(
         20.5
-    )  # what every size takes does not grow
+    )  # the part that every size takes does not grow
     late = grow((1, 2), lambda n: {"one": 1.0}, told.append, repeats=1, point_s=0.0)
     assert late.bound.startswith("time: size 2")
 
