--- a/measure/scale/control_fixtures.py
+++ b/measure/scale/control_fixtures.py
@@ -194,7 +194,7 @@
 
 
 def config(folder: Path, document: Mapping[str, Any] | None = None) -> Config:
-    """Parse a configuration, by default an empty one."""
+    """Parse a configuration, by default one without endpoints."""
     return parse_config(dict(document or configuration()), {"LB_STATE": str(folder)})
 
 
--- a/measure/scale/control_list.py
+++ b/measure/scale/control_list.py
@@ -167,7 +167,7 @@
 
 
 def measure_dispatcher(size: int) -> dict[str, float]:
-    """Measure the dispatcher alone, in a round with the whole list and with one change."""
+    """Measure a dispatcher's round with the whole list, and one with one change."""
     with tempfile.TemporaryDirectory() as folder:
         dispatcher = Dispatcher(fixtures.config(Path(folder)).settings, 1, 0)
     whole = EndpointListChanged(EndpointListKind.SNAPSHOT, entries(size))
--- a/measure/scale/failures.py
+++ b/measure/scale/failures.py
@@ -20,7 +20,7 @@
     control: tuple[tuple[str, str], ...]
     """The label and the series of each value of the control plane."""
     held_back_per_s: float = 0.0
-    """Messages a second that are accepted but cannot be delivered during the failure."""
+    """Messages a second that are accepted but not deliverable during the failure."""
     duration_s: float = 0.0
     """How long the failure lasts."""
 
@@ -107,7 +107,7 @@
 def lost_per_s(failure: Failure) -> float:
     """Return the messages a second of the failed forwarders.
 
-    They are lost until clients use other forwarders.
+    The rate applies until clients use other forwarders.
     """
     return failure.forwarders * target.FORWARDER_PER_S
 
--- a/measure/scale/hollow_fleet.py
+++ b/measure/scale/hollow_fleet.py
@@ -51,7 +51,7 @@
 
 
 class FleetTimeoutError(Exception):
-    """The fleet cannot start, or a condition was not met in time."""
+    """A fleet failed to start, lost a process, or missed a condition's deadline."""
 
 
 def allow_descriptors(members: int) -> None:
--- a/measure/scale/needs_control.py
+++ b/measure/scale/needs_control.py
@@ -15,7 +15,7 @@
 FLEET = float(target.FORWARDERS)
 ENDPOINTS = float(target.DESTINATIONS)
 REAL_FORWARDERS = 20.0
-"""Real forwarders that run beside hollow members; the need of one is independent of it.
+"""Real forwarders that run beside hollow members; one's need is independent of them.
 """
 DAY_S = 86_400.0
 BUDGETS = float(target.DESTINATIONS)
--- a/measure/scale/target.py
+++ b/measure/scale/target.py
@@ -117,7 +117,8 @@
 JOURNAL_BYTES_PER_S = 100 * 10**6
 """Bytes a second to disk, assumed: the steady rate of an ordinary disk."""
 SHARES_MOVED_S = 4.0
-"""Seconds until a changed need has its share, assumed: as for a change of configuration.
+"""Seconds until a changed need has its share, assumed: as long as a change of
+configuration.
 """
 RACK_FORWARDERS = 20
 """Forwarders that fail with a rack or switch, assumed: the operators stated no value.
--- a/tests/measure/test_control_growth.py
+++ b/tests/measure/test_control_growth.py
@@ -47,7 +47,7 @@
     assert 0 < count(large) <= TOLERANCE * (large / small) ** power * count(small)
 
 
-def test_every_measurement_of_control_is_found_and_named_once() -> None:
+def test_every_control_measurement_is_discovered() -> None:
     found = discover_measurements()
     for module in (lists, division, demand, members, shards, files):
         assert all(found[m.name] is m for m in module.MEASUREMENTS)
@@ -56,20 +56,18 @@
 # The list of endpoints
 
 
-def test_a_watcher_is_told_one_changed_entry_whatever_the_list_holds() -> None:
-    def told(count: int) -> bytes:
+def test_watcher_receives_one_changed_entry_at_any_list_size() -> None:
+    def answer(count: int) -> bytes:
         registry = fixtures.registry(count)
         op = {"op": "share", "host": fixtures.endpoint(7)["host"], "share": 5.0}
         registry.commit(registry.prepare({"ops": [op]}, ""))  # type: ignore[arg-type]
         return lists.change_for_watcher(registry)
 
-    assert len(parse_endpoint_list(json.loads(told(LARGE))).endpoints) == 1
-    grows_at_most(lambda count: len(told(count)), 0)
+    assert len(parse_endpoint_list(json.loads(answer(LARGE))).endpoints) == 1
+    grows_at_most(lambda count: len(answer(count)), 0)
 
 
-def test_a_change_of_the_list_is_checked_and_taken_without_a_look_at_the_others() -> (
-    None
-):
+def test_list_change_is_validated_without_visiting_other_entries() -> None:
     def change(count: int) -> int:
         registry = fixtures.registry(count)
         op = {"op": "drain", "host": fixtures.endpoint(7)["host"]}
@@ -78,7 +76,7 @@
     assert change(SMALL) == change(LARGE)
 
 
-def test_a_whole_list_costs_a_forwarder_so_much_an_endpoint() -> None:
+def test_whole_list_costs_a_forwarder_at_most_linear_work() -> None:
     grows_at_most(lambda count: len(fixtures.whole_list(count)), 1)
     grows_at_most(
         lambda count: count_lines(lambda: lists.parse_list(fixtures.whole_list(count))),
@@ -86,7 +84,7 @@
     )
 
 
-def test_one_changed_entry_costs_a_forwarder_no_more_than_the_list_grows(
+def test_one_changed_entry_costs_a_forwarder_at_most_linear_work(
     tmp_path: Path,
 ) -> None:
     """The bound is linear because the whole list is journaled.
@@ -111,9 +109,7 @@
 # Budgets
 
 
-def test_each_budget_named_adds_a_fixed_number_of_bytes_to_a_beat_and_its_answer() -> (
-    None
-):
+def test_each_budget_adds_bounded_bytes_to_a_heartbeat_and_its_answer() -> None:
     def named(budgets: int) -> FleetQuotas:
         quotas = demand.quotas_with_shares(budgets)
         for destination in range(budgets):
@@ -131,17 +127,22 @@
     )
 
 
-def test_demand_without_budgets_is_told_of_so_many_destinations_at_most() -> None:
-    def told(destinations: int) -> int:
+def test_demand_without_budgets_is_reported_for_a_limited_number_of_destinations() -> (
+    None
+):
+    def reported(destinations: int) -> int:
         quotas = FleetQuotas((), fixtures.DRIFT, {}, 0)
         for destination in range(destinations):
             quotas.record_demand(destination, "status", demand.NOW_US)
         return len(quotas.needs({}, demand.NOW_US))
 
-    assert (told(MAX_BUDGETS), told(2 * MAX_BUDGETS)) == (MAX_BUDGETS, MAX_BUDGETS)
+    assert (reported(MAX_BUDGETS), reported(2 * MAX_BUDGETS)) == (
+        MAX_BUDGETS,
+        MAX_BUDGETS,
+    )
 
 
-def test_one_division_looks_at_each_member_a_fixed_number_of_times() -> None:
+def test_division_grows_at_most_linearly_with_members() -> None:
     def lines(count: int) -> int:
         needs = division.needs(count, 1)
         floors = dict.fromkeys(needs, 1)
@@ -152,9 +153,7 @@
     grows_at_most(lines, 1, 30, FORWARDERS)
 
 
-def test_a_plan_at_rest_and_a_beat_grow_with_budgets_and_members_no_faster_than_these() -> (
-    None
-):
+def test_settled_plan_and_heartbeat_grow_at_most_linearly() -> None:
     def at_rest(count: int, budgets: int) -> tuple[int, int]:
         ledger = division.build_ledger(count, budgets)
         now_us = division.settle(ledger, 0)
@@ -172,7 +171,7 @@
 # Leases and members
 
 
-def test_a_beat_looks_at_its_own_member_alone_and_writes_nothing() -> None:
+def test_heartbeat_visits_only_its_own_member_and_writes_nothing() -> None:
     def beat(count: int) -> int:
         roster = fixtures.roster(count)
         member = roster.members[fixtures.member(7)]
@@ -180,27 +179,27 @@
             roster.table.leases["member/" + member.name].expires_at_us
             - fixtures.LEASE_US // 2
         )
-        made = roster.heartbeat(now_us, member.name, member.token)
-        assert made.record is None  # type: ignore[union-attr]
+        grant = roster.heartbeat(now_us, member.name, member.token)
+        assert grant.record is None  # type: ignore[union-attr]
         return count_lines(lambda: roster.heartbeat(now_us, member.name, member.token))
 
     assert beat(30) == beat(FORWARDERS)
 
 
-def test_one_more_member_is_told_and_logged_by_itself() -> None:
-    def told(count: int) -> int:
+def test_joining_member_is_sent_and_logged_alone() -> None:
+    def change_bytes(count: int) -> int:
         roster = fixtures.roster(count)
         return len(
             msgspec.json.encode(roster.changes_since(roster.version - 1, roster.epoch))
         )
 
-    grows_at_most(told, 0, 30, FORWARDERS)
+    grows_at_most(change_bytes, 0, 30, FORWARDERS)
     grows_at_most(
         lambda count: len(json.dumps(members.join_record(count))), 0, 30, FORWARDERS
     )
 
 
-def test_a_start_reads_so_much_a_member(tmp_path: Path) -> None:
+def test_recovery_grows_at_most_linearly_with_members(tmp_path: Path) -> None:
     def lines(count: int) -> int:
         folder = tmp_path / str(count)
         folder.mkdir()
@@ -214,7 +213,7 @@
 # The shard map
 
 
-def test_members_that_come_or_go_move_their_own_part_alone() -> None:
+def test_joining_or_leaving_members_move_only_their_own_keys() -> None:
     for joined, left in ((1, 0), (0, 1), (ZONE_FORWARDERS, 0), (0, ZONE_FORWARDERS)):
         found = shards.measure_move(FORWARDERS - joined, joined, left)
         assert found["above_least"] == 0
@@ -222,7 +221,7 @@
         assert found["ranges"] <= 2 * FORWARDERS
 
 
-def test_a_beat_tells_a_member_its_own_ranges_whoever_else_there_is() -> None:
+def test_heartbeat_answer_has_only_the_members_own_ranges() -> None:
     grows_at_most(
         lambda count: shards.owned_ranges_bytes(
             shards.even_map(count), fixtures.member(7)
@@ -233,7 +232,7 @@
     )
 
 
-def test_a_plan_grows_with_its_owners_no_faster_than_they_do() -> None:
+def test_shard_plan_grows_at_most_linearly_with_owners() -> None:
     def lines(count: int) -> int:
         base = shards.even_map(count)
         after = {fixtures.member(n): 1.0 for n in range(count + 1)}
@@ -245,18 +244,18 @@
 # The configuration
 
 
-def test_a_file_is_read_in_lines_that_grow_with_its_budgets_and_peers(
+def test_configuration_parsing_is_bounded_by_budgets_and_peers(
     tmp_path: Path,
 ) -> None:
     def lines(budgets: int, peers: int) -> int:
-        told = fixtures.configuration(10, fixtures.fleet_section(budgets, peers))
-        return count_lines(lambda: fixtures.config(tmp_path, told))
+        document = fixtures.configuration(10, fixtures.fleet_section(budgets, peers))
+        return count_lines(lambda: fixtures.config(tmp_path, document))
 
     grows_at_most(lambda peers: lines(0, peers), 1, 20, 200)
     grows_at_most(lambda budgets: lines(budgets, 0), 2, 20, 200)
 
 
-def test_an_apply_is_taken_whole_by_the_measurement(tmp_path: Path) -> None:
+def test_measured_reload_is_accepted(tmp_path: Path) -> None:
     found = files.measure_file(
         fixtures.configuration(10, fixtures.fleet_section(budgets=5))
     )
--- a/tests/measure/test_hollow_members.py
+++ b/tests/measure/test_hollow_members.py
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("descriptors", [96])
-def test_with_few_descriptors_whoever_finds_no_place_is_answered(
+def test_connections_beyond_the_descriptor_limit_get_503(
     tmp_path: Path, descriptors: int
 ) -> None:
     async def run() -> list[bytes]:
@@ -114,9 +114,9 @@
             process.kill()
             await process.wait()
 
-    told = [line.split()[1] for line in asyncio.run(run())]
-    assert set(told) == {b"200", b"503"}
-    assert told.count(b"503") < descriptors // 2
+    statuses = [line.split()[1] for line in asyncio.run(run())]
+    assert set(statuses) == {b"200", b"503"}
+    assert statuses.count(b"503") < descriptors // 2
 
 
 class BudgetFleet:
@@ -177,19 +177,19 @@
             self.needs,
             {"list": [1, 1], "holds": books.held_shares(token)},
         )
-        heard = self.service.handle_heartbeat(
+        response = self.service.handle_heartbeat(
             self.now_us,
             self.now_us + LEASE_US,
             config.name,
             token,
             msgspec.json.decode(sent),
         )
-        told = heard.answer_fields()
+        answer = response.answer_fields()
         shares = {
-            int(destination): share for destination, share in told["shares"].items()
+            int(destination): share for destination, share in answer["shares"].items()
         }
         books.apply_shares(token, shares, self.now_us + LEASE_US, self.now_us)
-        return len(sent) + len(msgspec.json.encode(told))
+        return len(sent) + len(msgspec.json.encode(answer))
 
 
 def function_calls(work: Callable[[], Any]) -> int:
@@ -208,7 +208,7 @@
     return calls
 
 
-def test_a_beat_grows_with_the_budgets_there_are_and_not_with_the_members() -> None:
+def test_heartbeat_size_grows_with_budgets_but_not_with_members() -> None:
     sizes = {
         (members, budgets): fleet.beat(Token(1, 1))
         for members, budgets in ((4, 1), (4, 10), (4, 100), (40, 10))
@@ -216,10 +216,10 @@
     }
     for (_, budgets), size in sizes.items():
         assert size <= BARE_BEAT_BYTES + BYTES_PER_BUDGET * budgets
-    assert abs(sizes[40, 10] - sizes[4, 10]) <= 10 * 4, "digits of numbers, no more"
+    assert abs(sizes[40, 10] - sizes[4, 10]) <= 10 * 4, "only digits of numbers differ"
 
 
-def test_a_plan_at_rest_looks_at_each_account_and_reports_nothing() -> None:
+def test_settled_plan_cost_is_bounded_by_the_number_of_accounts() -> None:
     for members, budgets in ((10, 3), (40, 3), (10, 30)):
         fleet = BudgetFleet(members, budgets)
         calls = function_calls(partial(fleet.service.plan, fleet.now_us + 1, False, []))
@@ -230,7 +230,7 @@
         )
 
 
-def test_a_beat_that_says_nothing_new_does_not_go_through_the_budgets_again() -> None:
+def test_unchanged_heartbeat_does_not_process_budgets_again() -> None:
     for budgets in (10, 100):
         fleet = BudgetFleet(4, budgets)
         token = Token(1, 1)
@@ -262,16 +262,14 @@
         fleet.commit(fleet.service.config_rows(fleet.now_us, budget_documents, "file"))
         assert send_heartbeat(
             {**fields, "needs": {**fleet.needs, "new": 5}}
-        ).plan_soon, "the budget that came back hears it"
+        ).plan_soon, "the budget that was added again receives the demand"
         assert (
             fleet.service.ledger.budget_accounts["new"].accounts[token].total_demand()
             == 5
         )
 
 
-def test_a_new_configuration_of_budgets_concerns_every_member_and_a_share_its_own() -> (
-    None
-):
+def test_budget_configuration_concerns_all_members_and_a_share_only_its_own() -> None:
     service = BudgetFleet(4, 1).service
     longer = [{**service.raw_budgets[0], "span_ms": 2_000}]
     rows = service.config_rows(0, longer, "file")
@@ -282,24 +280,24 @@
     }
 
 
-def test_one_change_tells_one_entry_to_one_watcher_at_any_size() -> None:
+def test_one_change_sends_one_entry_to_one_watcher_at_any_size() -> None:
     for members in (10, 300):
         table = LeaseTable(LeaseSettings())
         roster = Roster(table, LEASE_US)
         table.commit(table.start(0, True))
         roster.on_started(0)
         for number in range(members):
-            made = roster.join(
+            grant = roster.join(
                 AFTER_START_US, f"member-{number}", "zone-0", "h:1", f"run-{number}"
             )
-            assert isinstance(made, LeaseGrant) and made.record is not None
-            roster.commit(made.record)
+            assert isinstance(grant, LeaseGrant) and grant.record is not None
+            roster.commit(grant.record)
         before, epoch = roster.version, roster.epoch
         roster.commit(
             roster.leave(AFTER_START_US, "member-7", roster.members["member-7"].token)
         )
-        whole, told = roster.members_changed_since(before, epoch)
-        assert not whole and [member.name for member in told] == ["member-7"]
+        whole, changed = roster.members_changed_since(before, epoch)
+        assert not whole and [member.name for member in changed] == ["member-7"]
         assert roster.members_changed_since(roster.version, epoch) == (False, [])
         watchers = Watchers()
         watchers.start_at(1)
@@ -307,25 +305,27 @@
         names = [f"member-{number}" for number in range(members)]
         assert [name for name in names if watchers.is_behind(1, name)] == ["member-7"]
         assert watchers.is_behind(1), (
-            "one that names no member is woken by every change"
+            "a watcher that names no member is notified of every change"
         )
 
 
-def test_members_that_join_are_told_of_all_but_each_is_encoded_once(
+def test_joining_members_receive_all_members_but_each_is_encoded_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, members, encoded = Clock(), 30, list[str]()
-    told_of = Member.to_wire
+    original_to_wire = Member.to_wire
     monkeypatch.setattr(
-        Member, "to_wire", lambda member: encoded.append(member.name) or told_of(member)
+        Member,
+        "to_wire",
+        lambda member: encoded.append(member.name) or original_to_wire(member),
     )
 
     async def run(service: Run) -> None:
         clock.us += AFTER_START_US
         for number in range(members):
-            status, told = await beat(service, f"member-{number}")
-            assert status == 200 and told["whole"]
-            assert [member["name"] for member in told["members"]] == sorted(
+            status, answer = await beat(service, f"member-{number}")
+            assert status == 200 and answer["whole"]
+            assert [member["name"] for member in answer["members"]] == sorted(
                 f"member-{known}" for known in range(number + 1)
             )
         assert len(encoded) == members
@@ -333,7 +333,7 @@
     play(tmp_path, run, clock, lead())
 
 
-def test_a_hollow_member_joins_by_the_forwarders_own_code_and_its_calls_are_counted(
+def test_hollow_member_joins_by_the_forwarders_code_and_calls_are_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = Clock()
@@ -368,7 +368,7 @@
     play(tmp_path, run, clock, lead())
 
 
-def test_peaks_are_of_all_processes_together() -> None:
+def test_peaks_sum_over_all_processes() -> None:
     def samples(first_ns: int, beats: list[int]) -> list[Sample]:
         return [
             Sample(first_ns + number * STEP_NS, count, 0, count, 1)
@@ -378,5 +378,5 @@
     quiet, burst = [0] * 10 + [5] * 20, [0] * 10 + [40] * 20
     found = peaks([samples(0, quiet), samples(STEP_NS // 2, burst)])
     assert found.beats == 45 and found.opened == 45 and found.bytes == 0
-    assert found.opened_tenth in (40, 45), "off by a sample at most"
+    assert found.opened_tenth in (40, 45), "a peak is off by at most one sample"
     assert peaks([]).beats == 0
--- a/tests/measure/test_journal_growth.py
+++ b/tests/measure/test_journal_growth.py
@@ -13,12 +13,12 @@
 TOLERANCE = 0.05  # part of the bytes: names and numbers grow by a digit
 
 
-def test_a_message_costs_as_many_bytes_beside_many_live_ones_as_beside_few() -> None:
+def test_bytes_per_message_do_not_depend_on_live_messages() -> None:
     few, many = (journal_growth.measure_passing(live)["bytes"] for live in (FEW, MANY))
     assert many == pytest.approx(few, rel=TOLERANCE)
 
 
-def test_a_checkpoint_has_a_record_for_each_live_message_and_little_beside(
+def test_checkpoint_has_one_record_per_live_message_and_a_fixed_rest(
     tmp_path: Path,
 ) -> None:
     sizes: dict[int, int] = {}
@@ -33,13 +33,13 @@
     assert beside[MANY] == beside[FEW] < 10
 
 
-def test_a_rewriting_waits_until_three_times_what_lives_was_written() -> None:
+def test_compaction_adds_at_most_a_third_to_the_bytes_written() -> None:
     written = journal_growth.measure_passing(MANY)["bytes"]
     alone = journal_growth.measure_passing(1)["bytes"]
     assert written <= alone * 4 / 3
 
 
-def test_a_change_of_the_list_writes_one_endpoint_and_not_the_list() -> None:
+def test_list_change_writes_one_endpoint_and_not_the_list() -> None:
     few, many = (
         journal_growth.measure_list_changes(endpoints)["bytes"]
         for endpoints in (FEW, MANY)
@@ -47,7 +47,7 @@
     assert many == pytest.approx(few, rel=TOLERANCE)
 
 
-def test_a_list_within_the_longest_record_is_read_again(tmp_path: Path) -> None:
+def test_list_within_the_longest_record_is_recovered(tmp_path: Path) -> None:
     hosts = {
         str(entry["host"]): entry
         for entry in map(journal_growth.endpoint, range(10_000))
@@ -60,7 +60,7 @@
     assert again.hosts == hosts and not again.report.damaged
 
 
-def test_simulated_traffic_keeps_every_held_message() -> None:
+def test_simulated_traffic_neither_rejects_nor_fails_held_messages() -> None:
     traffic = Traffic(100, down=range(3))
     traffic.hold(600)
     spent = traffic.run(SECOND_US // 2, 60.0, SECOND_US // 2)
--- a/tests/measure/test_scale_frame.py
+++ b/tests/measure/test_scale_frame.py
@@ -41,7 +41,7 @@
         (Shape.QUADRATIC, lambda n: 10 + n * n / 100),
     ],
 )
-def test_fit_tells_shapes_apart(shape: Shape, of: Callable[[float], float]) -> None:
+def test_fit_distinguishes_shapes(shape: Shape, of: Callable[[float], float]) -> None:
     found = fit(series(of))
     assert found.shape is shape
     at_target = found.at(1_000_000)
@@ -50,7 +50,7 @@
     assert found.slope.lowest < found.slope.middle < found.slope.highest
 
 
-def test_fit_names_no_shape_where_none_is_plain() -> None:
+def test_fit_has_no_shape_if_none_fits() -> None:
     steps = dict(zip(SIZES, (1.0, 50.0, 55.0, 4_000.0), strict=True))
     assert fit(series(steps.__getitem__)).shape is None
     few = fit(series(lambda n: 2 * n, sizes=SIZES[:2]))
@@ -62,16 +62,16 @@
 
 
 def test_growth_stops_at_its_bounds() -> None:
-    told: list[str] = []
+    lines: list[str] = []
     whole = grow(
-        sizes_by(10, 10, 500), lambda n: {"twice": 2.0 * n}, told.append, repeats=2
+        sizes_by(10, 10, 500), lambda n: {"twice": 2.0 * n}, lines.append, repeats=2
     )
     assert [point.size for point in whole.points_of("twice")] == [10, 100, 500]
-    assert whole.bound == "largest size wanted" and len(told) == 3
+    assert whole.bound == "largest size wanted" and len(lines) == 3
     held = grow(
         (1, 2, 3),
         lambda n: {"bytes": 1e15},
-        told.append,
+        lines.append,
         repeats=1,
         memory=lambda run: run["bytes"],
     )
@@ -79,11 +79,11 @@
     assert expected_s(15.5, 15.0, 10.0) == pytest.approx(
         20.5
     )  # the part that every size takes does not grow
-    late = grow((1, 2), lambda n: {"one": 1.0}, told.append, repeats=1, point_s=0.0)
+    late = grow((1, 2), lambda n: {"one": 1.0}, lines.append, repeats=1, point_s=0.0)
     assert late.bound.startswith("time: size 2")
 
 
-def test_a_run_replaces_only_its_own_entry(tmp_path: Path) -> None:
+def test_run_replaces_only_its_own_entry(tmp_path: Path) -> None:
     path = tmp_path / "results.json"
     first, other = (
         Entry(name, ORIGIN, (series(float, name),)) for name in ("first", "other")
@@ -96,7 +96,9 @@
     assert found and found.series == other.series[0] and found.origin == ORIGIN
 
 
-def test_measurements_are_found_and_named(capsys: pytest.CaptureFixture[str]) -> None:
+def test_measurements_are_discovered_and_listed(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     main(["--list"])
     listed = capsys.readouterr().out.splitlines()
     assert [line.split(":")[0] for line in listed] == list(discover_measurements())
@@ -139,12 +141,12 @@
     assert evaluate_need(need, {}).ratio is None  # not measured is no ratio
 
 
-def test_a_shape_that_is_not_plain_is_read_between_its_points() -> None:
+def test_value_without_a_shape_is_interpolated() -> None:
     steps = dict(zip(SIZES, (1.0, 50.0, 55.0, 4_000.0), strict=True))
     assert fit(series(steps.__getitem__)).at(5_500).middle == pytest.approx(52.5)
 
 
-def test_what_falls_is_not_taken_to_fall_on() -> None:
+def test_falling_series_is_not_extrapolated_downwards() -> None:
     falling = dict(zip(SIZES, (9.0, 8.0, 4.0, 2.0), strict=True))
     found = fit(series(falling.__getitem__))
     assert found.shape is None and found.at(10_000_000).middle == pytest.approx(2.0)
