--- a/tests/forwarder/test_parts.py
+++ b/tests/forwarder/test_parts.py
@@ -1,5 +1,5 @@
-"""Parts of the real forwarder that the whole program cannot be brought to show at
-will.
+"""Tests of single forwarder components in situations that are hard to force in the
+running program.
 """
 
 from __future__ import annotations
@@ -31,7 +31,9 @@
     RecordOutage,
     SendMessage,
 )
-from rainfall.dispatch.endpoint_list import MAX_REMOVED_ENDPOINTS as MOST_TARGETS_GONE
+from rainfall.dispatch.endpoint_list import (
+    MAX_REMOVED_ENDPOINTS as MAX_REMOVED_DISPATCHER_ENDPOINTS,
+)
 from rainfall.forwarder.config.loading import (
     Address,
     Config,
@@ -83,7 +85,7 @@
     )
 
 
-def test_store_gives_back_what_it_was_told_also_after_compacting(
+def test_store_reads_back_its_records_before_and_after_compaction(
     tmp_path: Path,
 ) -> None:
     store = MessageStore(tmp_path, 3_000_000)
@@ -103,31 +105,37 @@
     store.append_outage("s1", 5, -1)
     for _ in range(2):
         store.flush()
-        back = MessageStore(tmp_path, 3_000_000)
-        assert list(back.messages) == ["a", "b"] and back.messages == store.messages
+        restored = MessageStore(tmp_path, 3_000_000)
+        assert (
+            list(restored.messages) == ["a", "b"]
+            and restored.messages == store.messages
+        )
         assert (a.attempts, a.executed_at_us, a.executed_on, a.in_flight) == (
             2,
             50,
             "s1",
             {1: (60, "s2")},
         )
-        assert (back.messages["b"].attempts, back.messages["b"].executed_at_us) == (
+        assert (
+            restored.messages["b"].attempts,
+            restored.messages["b"].executed_at_us,
+        ) == (
             1,
             -1,
         )
-        assert back.pending_notifications == {
+        assert restored.pending_notifications == {
             "d": PendingNotification("returned", 500)
-        } and back.outages == {"s1": (5, -1)}
-        assert (back.seq, back.source, back.hosts) == (
+        } and restored.outages == {"s1": (5, -1)}
+        assert (restored.seq, restored.source, restored.hosts) == (
             41,
             "127.0.0.1:8500",
             store.hosts,
         )
-        assert back.live_bytes == store.live_bytes
+        assert restored.live_bytes == store.live_bytes
         assert store.compact()
 
 
-def test_store_bounds_its_files_under_steady_traffic(tmp_path: Path) -> None:
+def test_journal_size_stays_below_limit_under_steady_traffic(tmp_path: Path) -> None:
     store = MessageStore(tmp_path, 1_000_000)
     for n in range(4000):
         store.append_message(taken(f"m{n}", 2000))
@@ -138,7 +146,7 @@
     assert MessageStore(tmp_path, 1_000_000).messages == {}
 
 
-def test_a_bit_gone_wrong_costs_its_record_only(tmp_path: Path) -> None:
+def test_flipped_bit_loses_only_its_own_record(tmp_path: Path) -> None:
     store = MessageStore(tmp_path, 1_000_000)
     for name in "abcd":
         store.append_message(taken(name))
@@ -149,8 +157,12 @@
     assert list(MessageStore(tmp_path, 1_000_000).messages) == ["a", "b", "d"]
 
 
-def pool(ends: list[AttemptFinished], idle_us: int = 5_000_000) -> ConnectionPool:
-    return ConnectionPool(Clock(), ends.append, ("x0", "x1"), idle_us, 1_000_000, 10)
+def pool(
+    finished_attempts: list[AttemptFinished], idle_us: int = 5_000_000
+) -> ConnectionPool:
+    return ConnectionPool(
+        Clock(), finished_attempts.append, ("x0", "x1"), idle_us, 1_000_000, 10
+    )
 
 
 def call(clock: Clock, name: str, left_us: int = 5_000_000) -> OutboundCall:
@@ -159,90 +171,96 @@
     )
 
 
-def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> (
-    None
-):
+def test_call_waiting_for_connection_is_not_sent_to_removed_endpoint() -> None:
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished_attempts: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        p.start(call(Clock(), "m"))
-        p.set_endpoints({})
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        connection_pool.start(call(Clock(), "m"))
+        connection_pool.set_endpoints({})
         await peer.until(lambda: peer.closed == 1)
-        assert not peer.requests and [e.outcome for e in ends] == [Outcome.NOT_SENT]
-        assert p.in_flight == 0
+        assert not peer.requests and [e.outcome for e in finished_attempts] == [
+            Outcome.NOT_SENT
+        ]
+        assert connection_pool.in_flight == 0
 
     asyncio.run(scene())
 
 
-def test_send_that_waits_for_its_connection_heeds_a_wait_told_meanwhile() -> None:
+def test_call_waiting_for_connection_respects_retry_after() -> None:
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished_attempts: list[AttemptFinished] = []
         peer = await Peer(
             always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)
         ).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        p.start(call(Clock(), "a"))
-        while not ends:
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        connection_pool.start(call(Clock(), "a"))
+        while not finished_attempts:
             await asyncio.sleep(0.005)
-        assert ends[0].retry_after_us == 60_000_000
-        p.close_idle(1)
-        p.start(call(Clock(), "b"))
-        while len(ends) < 2:
+        assert finished_attempts[0].retry_after_us == 60_000_000
+        connection_pool.close_idle(1)
+        connection_pool.start(call(Clock(), "b"))
+        while len(finished_attempts) < 2:
             await asyncio.sleep(0.005)
-        assert ends[1].outcome is Outcome.NOT_SENT and len(peer.requests) == 1
-        p.close()
+        assert (
+            finished_attempts[1].outcome is Outcome.NOT_SENT and len(peer.requests) == 1
+        )
+        connection_pool.close()
 
     asyncio.run(scene())
 
 
-def test_targets_replaced_for_months_do_not_pile_up() -> None:
-    d = Dispatcher(parse_settings(SETTINGS), 1, 0)
-    replaced = 512  # at once
-    for first in range(0, 4 * MOST_TARGETS_GONE, replaced):
-        newest = tuple(
-            EndpointEntry(n, 7, kind="plain") for n in range(first, first + replaced)
+def test_removed_endpoints_stay_bounded_when_all_are_replaced_repeatedly() -> None:
+    dispatcher = Dispatcher(parse_settings(SETTINGS), 1, 0)
+    endpoint_count = 512  # replaced by each snapshot
+    for first in range(0, 4 * MAX_REMOVED_DISPATCHER_ENDPOINTS, endpoint_count):
+        new_endpoints = tuple(
+            EndpointEntry(n, 7, kind="plain")
+            for n in range(first, first + endpoint_count)
+        )
+        dispatcher.handle(
+            first, [EndpointListChanged(EndpointListKind.SNAPSHOT, new_endpoints)]
         )
-        d.handle(first, [EndpointListChanged(EndpointListKind.SNAPSHOT, newest)])
         assert (
-            len(d.state.endpoints) <= MOST_TARGETS_GONE + replaced
-            and first in d.state.endpoints
+            len(dispatcher.state.endpoints)
+            <= MAX_REMOVED_DISPATCHER_ENDPOINTS + endpoint_count
+            and first in dispatcher.state.endpoints
         )
 
 
-def test_idle_connection_is_closed_before_its_target_would() -> None:
-    """The module closes some by itself; the pool must close what it leaves."""
+def test_pool_closes_connection_at_idle_timeout() -> None:
+    """The dispatcher closes some idle connections; the pool closes the others."""
 
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished_attempts: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
-        p = pool(ends, 1_000_000)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        p.start(call(Clock(), "m"))
+        connection_pool = pool(finished_attempts, 1_000_000)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        connection_pool.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
         assert (
-            [e.outcome for e in ends] == [Outcome.DELIVERED]
-            and not p.idle
-            and not p.sweeping
+            [e.outcome for e in finished_attempts] == [Outcome.DELIVERED]
+            and not connection_pool.idle
+            and not connection_pool.sweeping
         )
 
     asyncio.run(scene())
 
 
-class HalfWritten(asyncio.Transport):
-    """A transport whose peer takes no more."""
+class UnfinishedWriteTransport(asyncio.Transport):
+    """A transport whose write buffer never empties."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.ends = socket.socketpair()
+        self.sockets = socket.socketpair()
 
     def write(self, data: object) -> None:
         pass
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        return self.ends[0]
+        return self.sockets[0]
 
     def get_write_buffer_size(self) -> int:
         return 1
@@ -259,62 +277,72 @@
         pass
 
 
-def test_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
+def test_connection_lost_before_request_is_written_counts_as_not_executed() -> None:
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", 9)})
+        finished_attempts: list[AttemptFinished] = []
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
-            connection = EndpointConnection(p, Address("127.0.0.1", 9))
-            connection.connection_made(HalfWritten())
-            p.keep_idle(connection, 1)
-            p.start(call(Clock(), "m"))
+            connection = EndpointConnection(connection_pool, Address("127.0.0.1", 9))
+            connection.connection_made(UnfinishedWriteTransport())
+            connection_pool.keep_idle(connection, 1)
+            connection_pool.start(call(Clock(), "m"))
             if drained:
                 connection.resume_writing()
             connection.connection_lost(None)
-        assert [e.outcome for e in ends] == [Outcome.NO_CONNECTION, Outcome.RESET]
-        p.idle.clear()
+        assert [e.outcome for e in finished_attempts] == [
+            Outcome.NO_CONNECTION,
+            Outcome.RESET,
+        ]
+        connection_pool.idle.clear()
 
     asyncio.run(scene())
 
 
-def test_time_out_closes_its_connection_and_frees_its_call() -> None:
+def test_timeout_closes_connection_and_releases_call() -> None:
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished_attempts: list[AttemptFinished] = []
         peer = await Peer(hang).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        p.start(call(Clock(), "m", 150_000))
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        connection_pool.start(call(Clock(), "m", 150_000))
         await peer.got(1)
-        assert p.in_flight == 1 and not ends
-        while not ends:
+        assert connection_pool.in_flight == 1 and not finished_attempts
+        while not finished_attempts:
             await asyncio.sleep(0.01)
-        assert ends[0].outcome is Outcome.TIMED_OUT and not ends[0].message_closed
-        while p.connections:
+        assert (
+            finished_attempts[0].outcome is Outcome.TIMED_OUT
+            and not finished_attempts[0].message_closed
+        )
+        while connection_pool.connections:
             await asyncio.sleep(0.01)
-        assert p.in_flight == 0 and not p.calls and not p.idle
-        p.start(call(Clock(), "n"))
+        assert (
+            connection_pool.in_flight == 0
+            and not connection_pool.calls
+            and not connection_pool.idle
+        )
+        connection_pool.start(call(Clock(), "n"))
         await peer.got(2)
-        p.cancel("n", 0)
-        assert ends[1].outcome is Outcome.CANCELED
-        p.close()
+        connection_pool.cancel("n", 0)
+        assert finished_attempts[1].outcome is Outcome.CANCELED
+        connection_pool.close()
 
     asyncio.run(scene())
 
 
-def test_shared_call_is_given_up_as_a_whole_with_its_connection() -> None:
-    """One message used to be given up while the call stayed open for the others: what
-    came for these later did not count, and the next of a key went out while the target
-    still had the one before.
+def test_canceling_one_message_cancels_batch_call_and_closes_connection() -> None:
+    """Guards against canceling one message while the call stays open for the others:
+    later results for these were ignored, and the next message of a key was sent while
+    the endpoint still processed the previous one.
     """
 
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished_attempts: list[AttemptFinished] = []
         peer = await Peer(hang).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         now = Clock()()
-        p.start(
+        connection_pool.start(
             OutboundCall(
                 1,
                 (7, -1),
@@ -327,34 +355,32 @@
         )
         request = (await peer.got(1))[0]
         assert float(request.headers["x-time-left"]) <= 10
-        p.cancel("short", 0)
-        assert {(e.message_id, e.outcome) for e in ends} == {
+        connection_pool.cancel("short", 0)
+        assert {(e.message_id, e.outcome) for e in finished_attempts} == {
             ("long", Outcome.CANCELED),
             ("short", Outcome.CANCELED),
         }
-        while p.connections:
+        while connection_pool.connections:
             await asyncio.sleep(0.005)
-        assert p.in_flight == 0 and not p.calls
-        p.close()
+        assert connection_pool.in_flight == 0 and not connection_pool.calls
+        connection_pool.close()
 
     asyncio.run(scene())
 
 
-def test_shared_call_ends_for_all_with_the_first_of_its_messages_to_run_out_of_time() -> (
-    None
-):
-    """It used to stay out for the others. An endpoint that hung may answer when the
-    platform holds the first to be over: what it said of the others counted here, and
-    for nobody else.
+def test_batch_call_times_out_at_earliest_message_timeout() -> None:
+    """Guards against a call that stays open for its other messages after the first
+    timeout. A hung endpoint may respond once the platform considers the first message
+    finished: its results for the others then counted in the forwarder only.
     """
 
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished_attempts: list[AttemptFinished] = []
         peer = await Peer(hang).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         now = Clock()()
-        p.start(
+        connection_pool.start(
             OutboundCall(
                 1,
                 (7, -1),
@@ -369,140 +395,144 @@
         request = (await peer.got(1))[0]
         assert float(request.headers["x-time-left"]) <= 0.3
         async with asyncio.timeout(10):
-            while not ends:
+            while not finished_attempts:
                 await asyncio.sleep(0.005)
-        assert [(e.message_id, e.outcome) for e in ends] == [
+        assert [(e.message_id, e.outcome) for e in finished_attempts] == [
             (name, Outcome.TIMED_OUT) for name in ("long", "short", "later")
         ]
-        assert p.in_flight == 0 and not p.calls
-        while p.connections:
+        assert connection_pool.in_flight == 0 and not connection_pool.calls
+        while connection_pool.connections:
             await asyncio.sleep(0.005)
-        p.close()
+        connection_pool.close()
 
     asyncio.run(scene())
 
 
-def test_connections_are_used_again_and_closed_on_demand() -> None:
+def test_connections_are_reused_and_closed_on_request() -> None:
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished_attempts: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         for n in range(3):
-            p.start(call(Clock(), f"m{n}"))
-            while len(ends) <= n:
+            connection_pool.start(call(Clock(), f"m{n}"))
+            while len(finished_attempts) <= n:
                 await asyncio.sleep(0.005)
         assert len({r.writer for r in peer.requests}) == 1
-        p.close_idle(1)
+        connection_pool.close_idle(1)
         await peer.until(lambda: peer.closed == 1)
-        p.close()
+        connection_pool.close()
 
     asyncio.run(scene())
 
 
-def test_client_gone_before_its_answer_withdraws_the_message() -> None:
+def test_client_disconnect_before_answer_calls_on_disconnect() -> None:
     async def scene() -> None:
-        came: asyncio.Queue[SubmittedMessage] = asyncio.Queue()
-        gone = asyncio.Event()
+        submitted_messages: asyncio.Queue[SubmittedMessage] = asyncio.Queue()
+        disconnected = asyncio.Event()
 
-        def hand_in(handed: SubmittedMessage, door: ClientConnection) -> None:
-            door.on_disconnect = gone.set
-            came.put_nowait(handed)
+        def on_message(
+            submitted: SubmittedMessage, connection: ClientConnection
+        ) -> None:
+            connection.on_disconnect = disconnected.set
+            submitted_messages.put_nowait(submitted)
 
-        server = InboundServer(parse_settings(SETTINGS), Clock(), 10, hand_in)
+        server = InboundServer(parse_settings(SETTINGS), Clock(), 10, on_message)
         await server.listen("127.0.0.1", 0)
         assert server.listener is not None
         port = server.listener.sockets[0].getsockname()[1]
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(message("m"))
-        assert (await came.get()).id == "m" and not gone.is_set()
+        assert (await submitted_messages.get()).id == "m" and not disconnected.is_set()
         writer.close()
         async with asyncio.timeout(20):
-            await gone.wait()
+            await disconnected.wait()
         await server.close()
 
     asyncio.run(scene())
 
 
-def test_too_many_clients_cost_the_one_idle_longest() -> None:
+def test_client_limit_closes_longest_idle_connection() -> None:
     async def scene() -> None:
         server = InboundServer(
-            parse_settings(SETTINGS), Clock(), 2, lambda handed, door: None
+            parse_settings(SETTINGS), Clock(), 2, lambda submitted, connection: None
         )
         await server.listen("127.0.0.1", 0)
         assert server.listener is not None
         port = server.listener.sockets[0].getsockname()[1]
-        first, *others = [
+        oldest_client, *newer_clients = [
             await asyncio.open_connection("127.0.0.1", port) for _ in range(3)
         ]
         async with asyncio.timeout(20):
-            assert await first[0].read() == b""
-        others[1][1].write(b"GET /up HTTP/1.1\r\n\r\n")
+            assert await oldest_client[0].read() == b""
+        newer_clients[1][1].write(b"GET /up HTTP/1.1\r\n\r\n")
         async with asyncio.timeout(20):
-            assert (await others[1][0].readline()).startswith(b"HTTP/1.1 200")
+            assert (await newer_clients[1][0].readline()).startswith(b"HTTP/1.1 200")
         await server.close()
 
     asyncio.run(scene())
 
 
-def test_more_than_was_asked_for_spoils_the_connection_and_not_the_answer() -> None:
-    """A second answer behind a good one used to overwrite it; unread, it was taken for
-    the next call's.
+def test_extra_bytes_after_response_close_connection_and_keep_response() -> None:
+    """Guards against a second response that overwrites the first one, or that is left
+    unread and taken as the response to the next call.
     """
-    good = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-    copy = b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
-    for more in (copy, b"\0\1noise\r\n"):
-
-        async def scene(more: bytes = more) -> None:
-            ends: list[AttemptFinished] = []
-            peer = await Peer(always(good + more, OK)).start()
-            p = pool(ends)
-            p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-            p.start(call(Clock(), "m"))
+    first_response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+    second_response = (
+        b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
+    )
+    for extra_bytes in (second_response, b"\0\1noise\r\n"):
+
+        async def scene(extra_bytes: bytes = extra_bytes) -> None:
+            finished_attempts: list[AttemptFinished] = []
+            peer = await Peer(always(first_response + extra_bytes, OK)).start()
+            connection_pool = pool(finished_attempts)
+            connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+            connection_pool.start(call(Clock(), "m"))
             await peer.until(lambda: peer.closed == 1)
-            p.start(call(Clock(), "n"))
-            while len(ends) < 2:
+            connection_pool.start(call(Clock(), "n"))
+            while len(finished_attempts) < 2:
                 await asyncio.sleep(0.005)
-            assert [e.outcome for e in ends] == [Outcome.DELIVERED] * 2 and ends[
-                0
-            ].retry_after_us == 0
+            assert [e.outcome for e in finished_attempts] == [
+                Outcome.DELIVERED
+            ] * 2 and finished_attempts[0].retry_after_us == 0
             assert len({r.writer for r in peer.requests}) == 2
-            p.close()
+            connection_pool.close()
 
         asyncio.run(scene())
 
 
-def test_idle_connection_with_something_unread_is_not_used() -> None:
+def test_idle_connection_with_unread_bytes_is_not_reused() -> None:
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished_attempts: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        p.start(call(Clock(), "m"))
-        while not ends:
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        connection_pool.start(call(Clock(), "m"))
+        while not finished_attempts:
             await asyncio.sleep(0.005)
-        connection = p.idle[1][0]
+        connection = connection_pool.idle[1][0]
         assert connection.transport is not None
-        connection.transport.pause_reading()  # as if it had come this very moment
+        connection.transport.pause_reading()  # the bytes stay unread, as if they had just arrived
         peer.requests[0].writer.write(
             b"HTTP/1.1 500 Not yours\r\nContent-Length: 0\r\n\r\n"
         )
         await peer.requests[0].writer.drain()
         while connection.is_reusable():
             await asyncio.sleep(0.005)
-        p.start(call(Clock(), "n"))
-        while len(ends) < 2:
+        connection_pool.start(call(Clock(), "n"))
+        while len(finished_attempts) < 2:
             await asyncio.sleep(0.005)
-        assert [e.outcome for e in ends] == [Outcome.DELIVERED] * 2
-        p.close()
+        assert [e.outcome for e in finished_attempts] == [Outcome.DELIVERED] * 2
+        connection_pool.close()
 
     asyncio.run(scene())
 
 
-def test_reports_and_waits_that_are_no_numbers_count_as_not_told() -> None:
+def test_malformed_load_reports_and_waits_are_ignored() -> None:
     reader = ResponseReader()
     reader.complete, reader.status = True, 429
-    p = pool([])
+    connection_pool = pool([])
     for wait in ("nan", "inf", "-5", "1e9", "9" * 40, "", "x", "1_0"):
         reader.headers = {"x-ratelimit-wait-ms": wait}
         assert parse_retry_after_us(reader) == 0
@@ -516,15 +546,15 @@
         "\xff",
     ):
         reader.headers = {"x-backend-load": report}
-        assert p.read_load_report(reader) is None
+        assert connection_pool.read_load_report(reader) is None
     reader.headers = {"x-backend-load": "x0=0.4, x1=25", "x-ratelimit-wait-ms": "12.5"}
     assert (
-        p.read_load_report(reader) == LoadReport(0.4, 25.0)
+        connection_pool.read_load_report(reader) == LoadReport(0.4, 25.0)
         and parse_retry_after_us(reader) == 12_500
     )
 
 
-def test_answers_ahead_are_left_out_and_an_end_may_stand_for_a_length() -> None:
+def test_interim_responses_are_skipped_and_eof_ends_response_without_length() -> None:
     for data in (
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\n",
         b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
@@ -543,32 +573,34 @@
         ResponseReader().feed(b"HTTP/1.1 100 Continue\r\n\r\n" * 5000)
 
 
-def test_batch_answer_nested_without_end_is_spoilt_and_frees_its_call() -> None:
+def test_deeply_nested_batch_response_is_unreadable_and_releases_call() -> None:
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
-        deep = b"[" * 60_000
-        peer = await Peer(always(Answer(200, body=deep))).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        two = call(Clock(), "a")
-        two.items.append(CallItem("b", 0, None, b"x", two.items[0].timeout_at_us))
-        p.start(two)
-        while len(ends) < 2:
+        finished_attempts: list[AttemptFinished] = []
+        nested_body = b"[" * 60_000
+        peer = await Peer(always(Answer(200, body=nested_body))).start()
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        batch_call = call(Clock(), "a")
+        batch_call.items.append(
+            CallItem("b", 0, None, b"x", batch_call.items[0].timeout_at_us)
+        )
+        connection_pool.start(batch_call)
+        while len(finished_attempts) < 2:
             await asyncio.sleep(0.005)
         assert (
-            {e.outcome for e in ends} == {Outcome.UNREADABLE}
-            and p.in_flight == 0
-            and not p.calls
+            {e.outcome for e in finished_attempts} == {Outcome.UNREADABLE}
+            and connection_pool.in_flight == 0
+            and not connection_pool.calls
         )
-        p.close()
+        connection_pool.close()
 
     asyncio.run(scene())
 
 
-def test_silent_flood_does_not_push_out_who_comes_with_requests() -> None:
+def test_flood_of_silent_clients_does_not_evict_active_client() -> None:
     async def scene() -> None:
         server = InboundServer(
-            parse_settings(SETTINGS), Clock(), 5, lambda handed, door: None
+            parse_settings(SETTINGS), Clock(), 5, lambda submitted, connection: None
         )
         await server.listen("127.0.0.1", 0)
         assert server.listener is not None
@@ -579,27 +611,27 @@
             async with asyncio.timeout(20):
                 assert (await reader.readline()).startswith(b"HTTP/1.1 200")
                 await reader.readuntil(b"up\n")
-            silent = [
+            silent_clients = [
                 await asyncio.open_connection("127.0.0.1", port) for _ in range(40)
             ]
             async with asyncio.timeout(20):
-                for r, _ in silent[:-5]:
-                    assert await r.read() == b""
+                for silent_reader, _ in silent_clients[:-5]:
+                    assert await silent_reader.read() == b""
         await server.close()
 
     asyncio.run(scene())
 
 
-def test_broken_connections_are_weak_signs_of_an_outage() -> None:
-    """Two resets running used to make a sound target cold for seconds; refused
-    connections still do.
+def test_inconclusive_resets_do_not_record_outage() -> None:
+    """Guards against two resets in a row that mark a healthy endpoint as down for
+    seconds. Refused connections still mark it.
     """
-    for outcome, weak, marked in (
+    for outcome, is_inconclusive, outage_expected in (
         (Outcome.RESET, True, False),
         (Outcome.NO_CONNECTION, False, True),
     ):
-        d = Dispatcher(parse_settings(SETTINGS), 1, 0)
-        d.handle(
+        dispatcher = Dispatcher(parse_settings(SETTINGS), 1, 0)
+        dispatcher.handle(
             0,
             [
                 EndpointListChanged(
@@ -607,56 +639,65 @@
                 )
             ],
         )
-        seen: list[Action] = []
+        actions: list[Action] = []
         now = 0
         for n in range(3):
             now += 50_000
-            sent = d.handle(
+            send_actions = dispatcher.handle(
                 now, [MessageReceived(f"m{n}", 7, "status", now + 9_000_000)]
             )
-            assert (n and marked) or any(isinstance(a, SendMessage) for a in sent)
+            assert (n and outage_expected) or any(
+                isinstance(a, SendMessage) for a in send_actions
+            )
             now += 20_000
-            seen += d.handle(
+            actions += dispatcher.handle(
                 now,
                 [
-                    AttemptFinished(f"m{n}", 0, 1, outcome, 20_000, inconclusive=weak),
+                    AttemptFinished(
+                        f"m{n}", 0, 1, outcome, 20_000, inconclusive=is_inconclusive
+                    ),
                     MessageWithdrawn(f"m{n}"),
                 ],
             )
-        assert any(isinstance(a, RecordOutage) for a in seen) is marked
+        assert any(isinstance(a, RecordOutage) for a in actions) is outage_expected
 
 
-def test_how_long_idle_connections_hold_is_learned_and_tried_again() -> None:
-    p = pool([])
+def test_trusted_idle_age_is_learned_and_probed_again() -> None:
+    connection_pool = pool([])
     for _ in range(5):
-        p.record_staleness(900_000, True)
-        p.record_staleness(9_000, False)
-    assert not p.is_age_trusted(800_000) and p.is_age_trusted(9_000)
+        connection_pool.record_staleness(900_000, True)
+        connection_pool.record_staleness(9_000, False)
+    assert not connection_pool.is_age_trusted(
+        800_000
+    ) and connection_pool.is_age_trusted(9_000)
     for _ in range(100):
-        p.is_age_trusted(800_000)
-    assert p.is_age_trusted(800_000)
+        connection_pool.is_age_trusted(800_000)
+    assert connection_pool.is_age_trusted(800_000)
 
 
-def test_target_that_moved_keeps_no_connection_to_its_old_address() -> None:
+def test_moved_endpoint_keeps_no_connection_to_old_address() -> None:
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
-        free = asyncio.Event()
+        finished_attempts: list[AttemptFinished] = []
+        release_response = asyncio.Event()
 
-        async def late(request: object) -> Answer:
-            await free.wait()
+        async def respond_late(request: object) -> Answer:
+            await release_response.wait()
             return OK
 
-        old, new = await Peer(late).start(), await Peer(always(OK)).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", old.port)})
-        p.start(call(Clock(), "m"))
-        await old.got(1)
-        p.set_endpoints({1: Address("127.0.0.1", new.port)})
-        free.set()
-        await old.until(lambda: old.closed == 1)
-        p.start(call(Clock(), "n"))
-        await new.got(1)
-        p.close()
+        old_peer, new_peer = (
+            await Peer(respond_late).start(),
+            await Peer(always(OK)).start(),
+        )
+        connection_pool = pool(finished_attempts)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", old_peer.port)})
+        connection_pool.start(call(Clock(), "m"))
+        await old_peer.got(1)
+        connection_pool.set_endpoints({1: Address("127.0.0.1", new_peer.port)})
+        release_response.set()
+        await old_peer.until(lambda: old_peer.closed == 1)
+        connection_pool.start(call(Clock(), "n"))
+        await new_peer.got(1)
+        connection_pool.close()
 
     asyncio.run(scene())
 
@@ -686,209 +727,237 @@
     )
 
 
-def test_fault_in_a_decision_costs_its_event_only(
+def test_exception_in_dispatcher_loses_only_its_event(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The other events of its round used to be dropped: ends among them, and with these
-    their slots.
+    """Guards against dropping the other events of the round: with a dropped
+    `AttemptFinished` its slot was never released.
     """
 
     async def scene() -> None:
-        e = engine(tmp_path)
+        engine_under_test = engine(tmp_path)
         started: list[OutboundCall] = []
-        monkeypatch.setattr(e.pool, "start", started.append)
-        e.run_round()
+        monkeypatch.setattr(engine_under_test.pool, "start", started.append)
+        engine_under_test.run_round()
         for n in range(3):
-            e.store.append_message(taken(f"m{n}"))
-            e.post(MessageRestored(f"m{n}", 7, "order", 10**16))
-        e.run_round()
-        assert e.dispatcher.state.calls_in_flight == len(started) > 0
-        sent = started[0].items[0].id
-        whole = Dispatcher.change_endpoint_list
-
-        def faulty(d: Dispatcher, event: EndpointListChanged) -> None:
+            engine_under_test.store.append_message(taken(f"m{n}"))
+            engine_under_test.post(MessageRestored(f"m{n}", 7, "order", 10**16))
+        engine_under_test.run_round()
+        assert engine_under_test.dispatcher.state.calls_in_flight == len(started) > 0
+        sent_id = started[0].items[0].id
+        original = Dispatcher.change_endpoint_list
+
+        def raise_error(d: Dispatcher, event: EndpointListChanged) -> None:
             raise RuntimeError("a fault")
 
-        monkeypatch.setattr(Dispatcher, "change_endpoint_list", faulty)
-        out = e.dispatcher.state.calls_in_flight
-        e.post(EndpointListChanged(EndpointListKind.CHANGES))
-        e.post(
+        monkeypatch.setattr(Dispatcher, "change_endpoint_list", raise_error)
+        calls_before = engine_under_test.dispatcher.state.calls_in_flight
+        engine_under_test.post(EndpointListChanged(EndpointListKind.CHANGES))
+        engine_under_test.post(
             AttemptFinished(
-                sent, 0, started[0].endpoint, Outcome.DELIVERED, 5, message_closed=True
+                sent_id,
+                0,
+                started[0].endpoint,
+                Outcome.DELIVERED,
+                5,
+                message_closed=True,
             )
         )
-        e.run_round()
-        monkeypatch.setattr(Dispatcher, "change_endpoint_list", whole)
-        assert e.dispatcher.state.calls_in_flight == out and len(e.pending_events) == 1
-        e.run_round()
-        assert sent not in e.store.messages and sent not in e.dispatcher.state.messages
+        engine_under_test.run_round()
+        monkeypatch.setattr(Dispatcher, "change_endpoint_list", original)
+        assert (
+            engine_under_test.dispatcher.state.calls_in_flight == calls_before
+            and len(engine_under_test.pending_events) == 1
+        )
+        engine_under_test.run_round()
+        assert (
+            sent_id not in engine_under_test.store.messages
+            and sent_id not in engine_under_test.dispatcher.state.messages
+        )
         assert (
-            e.dispatcher.state.calls_in_flight
+            engine_under_test.dispatcher.state.calls_in_flight
             == sum(len(c.items) > 0 for c in started) - 1
         )
-        e.store.close()
+        engine_under_test.store.close()
 
     asyncio.run(scene())
 
 
-def test_once_only_messages_share_no_call_with_those_that_may_be_repeated(
+def test_at_most_once_and_repeatable_messages_are_not_batched_together(
     tmp_path: Path,
 ) -> None:
-    """They are waited for till their end, the others are not, and a call is given up as
-    a whole.
+    """A call is canceled as a whole: at-most-once messages wait for their response,
+    repeatable ones may be canceled.
     """
 
     async def scene() -> None:
-        e = engine(tmp_path)
-        e.batch_sizes[""] = e.batch_sizes["None"] = 20
+        engine_under_test = engine(tmp_path)
+        engine_under_test.batch_sizes[""] = engine_under_test.batch_sizes["None"] = 20
         calls: list[Any] = []
         forming: dict[tuple[int, bool], OutboundCall] = {}
         for n, name in enumerate(["status", "pay", "order", "pay"]):
-            e.store.append_message(
+            engine_under_test.store.append_message(
                 AcceptedMessage(f"m{n}", name, 7, 10**16, None, None, b"")
             )
-            e.add_to_call(SendMessage(f"m{n}", 1, 10**6), 0, forming, calls)
+            engine_under_test.add_to_call(
+                SendMessage(f"m{n}", 1, 10**6), 0, forming, calls
+            )
         assert [[item.id for item in c.items] for c in calls] == [
             ["m0", "m2"],
             ["m1", "m3"],
         ]
-        e.store.close()
+        engine_under_test.store.close()
 
     asyncio.run(scene())
 
 
-def test_names_and_ids_are_forgotten_in_time(tmp_path: Path) -> None:
+def test_endpoint_ids_and_finished_messages_are_bounded(tmp_path: Path) -> None:
     async def scene() -> None:
-        e = engine(tmp_path)
+        engine_under_test = engine(tmp_path)
         for n in range(3000):
-            e.endpoint_id(f"gone{n}")
-            e.remember_finished(f"m{n}", "delivered")
+            engine_under_test.endpoint_id(f"gone{n}")
+            engine_under_test.remember_finished(f"m{n}", "delivered")
         assert (
-            len(e.endpoint_ids)
-            == len(e.endpoint_names)
-            <= MAX_REMOVED_ENDPOINTS + len(e.endpoints) + 1
+            len(engine_under_test.endpoint_ids)
+            == len(engine_under_test.endpoint_names)
+            <= MAX_REMOVED_ENDPOINTS + len(engine_under_test.endpoints) + 1
         )
         assert (
-            len(e.recently_finished) == MAX_RECENTLY_FINISHED
-            and "m2999" in e.recently_finished
+            len(engine_under_test.recently_finished) == MAX_RECENTLY_FINISHED
+            and "m2999" in engine_under_test.recently_finished
         )
-        e.add_to_call(
+        engine_under_test.add_to_call(
             SendMessage("m0", 1, 5), 0, {}, []
-        )  # of a target and a message that are forgotten
-        e.store.append_message(taken("m"))
-        e.add_to_call(SendMessage("m", 10**6, 5), 0, {}, [])
-        assert e.store.messages["m"].attempts == 1
-        e.store.close()
+        )  # message and endpoint were both evicted
+        engine_under_test.store.append_message(taken("m"))
+        engine_under_test.add_to_call(SendMessage("m", 10**6, 5), 0, {}, [])
+        assert engine_under_test.store.messages["m"].attempts == 1
+        engine_under_test.store.close()
 
     asyncio.run(scene())
 
 
-def test_closed_connections_do_not_wait_for_the_rare_full_round_of_the_collector(
+def test_periodic_tick_collects_reference_cycles(
     tmp_path: Path,
 ) -> None:
-    class Ring:
-        me: object = None
+    class CyclicObject:
+        itself: object = None
 
     async def scene() -> None:
-        e = engine(tmp_path)
+        engine_under_test = engine(tmp_path)
         gc.collect()
         gc.disable()
         try:
-            ring = Ring()
-            ring.me = ring
-            gone = weakref.ref(ring)
-            del ring
-            e.periodic_tasks.tick(time.monotonic())
-            assert gone() is None
+            cyclic = CyclicObject()
+            cyclic.itself = cyclic
+            reference = weakref.ref(cyclic)
+            del cyclic
+            engine_under_test.periodic_tasks.tick(time.monotonic())
+            assert reference() is None
         finally:
             gc.enable()
-        e.store.close()
+        engine_under_test.store.close()
 
     asyncio.run(scene())
 
 
-def test_a_line_sums_up_what_was_done_and_starts_anew(
+def test_summary_line_reports_counts_and_resets_them(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scene() -> None:
-        e = engine(tmp_path)
-        e.store.append_message(taken("m"))
-        e.outcomes.record_outcome(AttemptFinished("m", 0, 1, Outcome.REJECTED, 5))
+        engine_under_test = engine(tmp_path)
+        engine_under_test.store.append_message(taken("m"))
+        engine_under_test.outcomes.record_outcome(
+            AttemptFinished("m", 0, 1, Outcome.REJECTED, 5)
+        )
         with caplog.at_level("INFO"):
-            e.periodic_tasks.log_summary(e.periodic_tasks.last_summary_s + 5)
-            e.periodic_tasks.log_summary(e.periodic_tasks.last_summary_s + 5)
+            engine_under_test.periodic_tasks.log_summary(
+                engine_under_test.periodic_tasks.last_summary_s + 5
+            )
+            engine_under_test.periodic_tasks.log_summary(
+                engine_under_test.periodic_tasks.last_summary_s + 5
+            )
         first, second = caplog.messages
         assert (
             "in 5 s: 1 full; held 1, 1 for destination 7; calls out 0 of 8 slots"
             in first
         )
         assert "in 5 s: nothing; held 1" in second
-        now = e.clock()
-        e.dispatcher.handle(
+        now = engine_under_test.clock()
+        engine_under_test.dispatcher.handle(
             now,
             [EndpointListChanged(EndpointListKind.SNAPSHOT, (EndpointEntry(1, 7),))],
         )
-        e.dispatcher.state.endpoints[1].throttle_scope.retry_after_until = (
-            now + 60_000_000
-        )
+        engine_under_test.dispatcher.state.endpoints[
+            1
+        ].throttle_scope.retry_after_until = now + 60_000_000
         caplog.clear()
         with caplog.at_level("INFO"):
-            e.periodic_tasks.log_summary(e.periodic_tasks.last_summary_s + 5)
+            engine_under_test.periodic_tasks.log_summary(
+                engine_under_test.periodic_tasks.last_summary_s + 5
+            )
         assert (
             "destination 7: target 1 has 0 out, window 1, wait 5" in caplog.messages[1]
         )
-        e.store.close()
+        engine_under_test.store.close()
 
     asyncio.run(scene())
 
 
-def test_nothing_is_taken_out_before_the_journal_is_this_process_s(
+def test_endpoint_cannot_be_detached_before_journal_is_owned(
     tmp_path: Path,
 ) -> None:
-    """A process that is still taking over has read the journal, and must not write
-    it.
-    """
+    """During a takeover a process has read the journal but must not write to it yet."""
 
     async def scene() -> None:
-        e = engine(tmp_path)
-        e.store.release()
-        said: list[int] = []
-        e.set_detached("s1", True, lambda status, text: said.append(status.value))
-        assert said == [503] and not e.store.detached
+        engine_under_test = engine(tmp_path)
+        engine_under_test.store.release()
+        statuses: list[int] = []
+        engine_under_test.set_detached(
+            "s1", True, lambda status, text: statuses.append(status.value)
+        )
+        assert statuses == [503] and not engine_under_test.store.detached
 
     asyncio.run(scene())
 
 
-def test_journal_of_before_the_rules_is_read_under_those_in_force(
+def test_journal_record_without_rules_uses_current_class_rules(
     tmp_path: Path,
 ) -> None:
-    line = ["taken", "m", "order", 7, 1 << 60, None, None, 0, -1, "", [], None]
-    payload = json.dumps(line).encode() + b"\nhello"
+    record = ["taken", "m", "order", 7, 1 << 60, None, None, 0, -1, "", [], None]
+    payload = json.dumps(record).encode() + b"\nhello"
     (tmp_path / "journal").write_bytes(
         V1_FRAME.pack(len(payload), zlib.crc32(payload)) + payload
     )
 
     async def scene() -> None:
-        e = engine(tmp_path)
-        m = e.store.messages["m"]
-        recalled = next(x for x in e.pending_events if isinstance(x, MessageRestored))
+        engine_under_test = engine(tmp_path)
+        message_on_disk = engine_under_test.store.messages["m"]
+        restored_event = next(
+            x
+            for x in engine_under_test.pending_events
+            if isinstance(x, MessageRestored)
+        )
+        assert (
+            restored_event.message_class
+            == engine_under_test.store.class_of(message_on_disk)
+            == engine_under_test.config.settings.classes[0]
+        )
+        engine_under_test.store.flush()
+        engine_under_test.store.compact()
+        engine_under_test.store.close()
+        reopened_store = MessageStore(tmp_path, 3_000_000)
         assert (
-            recalled.message_class
-            == e.store.class_of(m)
-            == e.config.settings.classes[0]
+            reopened_store.class_of(reopened_store.messages["m"])
+            == engine_under_test.config.settings.classes[0]
         )
-        e.store.flush()
-        e.store.compact()
-        e.store.close()
-        again = MessageStore(tmp_path, 3_000_000)
-        assert again.class_of(again.messages["m"]) == e.config.settings.classes[0]
-        again.close()
+        reopened_store.close()
 
     asyncio.run(scene())
 
 
-class Book:
-    """Owes nothing."""
+class NoPendingNotifications:
+    """A notification source with nothing pending."""
 
     def pending_notifications(self) -> dict[str, PendingNotification]:
         return {}
@@ -897,35 +966,38 @@
         raise AssertionError("nothing was posted")
 
 
-def test_notices_that_40_could_not_post_are_not_posted_again_in_step() -> None:
-    """The pauses were the same for all: those that failed at once met again at each
-    further try.
+def test_notification_retries_of_40_forwarders_are_spread_out() -> None:
+    """Guards against equal backoffs: forwarders whose notifications failed at the same
+    time all retried at the same times.
     """
-    fleet = [Notifier(Address("127.0.0.1", 1), Book(), seed) for seed in range(40)]
-    times = [0.0] * 40
+    notifiers = [
+        Notifier(Address("127.0.0.1", 1), NoPendingNotifications(), seed)
+        for seed in range(40)
+    ]
+    retry_times_s = [0.0] * 40
     for failures in range(6):
-        times = [
-            t + n.retry_delay_s(failures) for t, n in zip(times, fleet, strict=True)
+        retry_times_s = [
+            retry_time_s + notifier.retry_delay_s(failures)
+            for retry_time_s, notifier in zip(retry_times_s, notifiers, strict=True)
         ]
-        slots = [int(t / 0.01) for t in times]
+        slots = [int(retry_time_s / 0.01) for retry_time_s in retry_times_s]
         assert max(map(slots.count, slots)) <= 12
     assert all(
-        0 < n.retry_delay_s(10**6) <= NOTIFICATION_BACKOFF_LIMIT_S for n in fleet
+        0 < notifier.retry_delay_s(10**6) <= NOTIFICATION_BACKOFF_LIMIT_S
+        for notifier in notifiers
     )
 
 
-def test_pushed_lists_are_asked_for_through_silence_and_refusals_without_the_module() -> (
-    None
-):
-    """What the agent has binds as soon as it speaks again; the pauses of the module
-    were seconds by then.
+def test_pushed_list_watch_retries_and_reports_no_failure() -> None:
+    """The agent's list takes effect as soon as the agent responds again. The
+    dispatcher's own backoff had grown to seconds by then.
     """
 
     async def main() -> None:
-        asked: list[str] = []
-        told: list[EndpointList | None] = []
+        queries: list[str] = []
+        received_lists: list[EndpointList | None] = []
 
-        def listing(seq: int, health: str) -> Answer:
+        def list_response(seq: int, health: str) -> Answer:
             return Answer(
                 200,
                 body=json.dumps(
@@ -949,65 +1021,70 @@
             )
 
         answers = [
-            listing(1, "up"),
+            list_response(1, "up"),
             None,
             Answer(503),
             Answer(503),
             None,
-            listing(2, "draining"),
+            list_response(2, "draining"),
         ]
 
         async def agent(request: Any) -> Answer | None:
-            asked.append(request.path.partition("?")[2])
-            if len(asked) > len(answers):
+            queries.append(request.path.partition("?")[2])
+            if len(queries) > len(answers):
                 await hang(request)
             return (
-                answers[len(asked) - 1]
-                if answers[len(asked) - 1]
+                answers[len(queries) - 1]
+                if answers[len(queries) - 1]
                 else await hang(request)
             )
 
         peer = await Peer(agent).start()
         watch = EndpointWatch(
-            Address("127.0.0.1", peer.port), 0, told.append, 1, pushed=True
+            Address("127.0.0.1", peer.port), 0, received_lists.append, 1, pushed=True
         )
-        watch.client.request, ask = (
-            (lambda m, p, wait: ask(m, p, min(wait, 0.2))),
+        watch.client.request, original_request = (
+            (lambda method, path, wait: original_request(method, path, min(wait, 0.2))),
             watch.client.request,
         )  # type: ignore
         watch.subscribe()
         await peer.got(7)
         watch.pause()
-        held = f"from=1&hold_ms={WATCH_HOLD_MS}"
-        assert asked == [
+        long_poll_query = f"from=1&hold_ms={WATCH_HOLD_MS}"
+        assert queries == [
             "from=0&hold_ms=0",
-            held,
+            long_poll_query,
             *["from=1&hold_ms=0"] * 4,
             f"from=2&hold_ms={WATCH_HOLD_MS}",
         ]
-        assert [t and t.endpoints[0].health for t in told] == [
+        assert [
+            received and received.endpoints[0].health for received in received_lists
+        ] == [
             "up",
             "draining",
-        ]  # no failure reached the module
+        ]  # no failure was reported to the callback
 
     asyncio.run(main())
 
 
-def test_a_refused_handover_socket_does_not_keep_it_from_serving(
+def test_handover_source_runs_without_socket_if_it_is_refused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        async def refused(*args: Any, **more: Any) -> None:
+        async def raise_not_implemented(*args: Any, **options: Any) -> None:
             raise OSError(38, "Function not implemented")
 
         monkeypatch.setattr(
-            asyncio.get_running_loop(), "create_unix_server", refused, raising=False
+            asyncio.get_running_loop(),
+            "create_unix_server",
+            raise_not_implemented,
+            raising=False,
         )
         engine: Any = None
-        predecessor = HandoverSource(engine)
-        await predecessor.listen(tmp_path)
-        assert predecessor.listener is None
-        predecessor.close()
+        handover_source = HandoverSource(engine)
+        await handover_source.listen(tmp_path)
+        assert handover_source.listener is None
+        handover_source.close()
 
     asyncio.run(main())
     assert "no handover" in caplog.text
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -1,5 +1,5 @@
-"""A restart, an end and a record, each crossing what it can: forced, and not left to
-chance.
+"""Races between restarts, final answers, journal records and calls, forced by the tests
+rather than left to chance.
 """
 
 from __future__ import annotations
@@ -58,124 +58,160 @@
 from tests.support.memory_disk import Hands
 
 OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
-ONE = (EndpointEntry(1, 10, "north", "plain"),)
-MANY = 20
+ENDPOINT_LIST = (EndpointEntry(1, 10, "north", "plain"),)
+MESSAGE_COUNT = 20
 Final = RejectMessage | FailMessage
 
 
-# What a restart finds untried
+# Messages restored by a restart
 
 
-def go_on(
-    d: Dispatcher, now: int, out: list[SendMessage], until: int
+def run_until(
+    dispatcher: Dispatcher, now: int, open_calls: list[SendMessage], until: int
 ) -> tuple[list[str], list[Final]]:
-    """Calls are answered in 20 ms. Returns what was sent and what was given up, in its
-    order.
+    """Runs the dispatcher until `until`; every call is answered after 20 ms.
+
+    Returns the ids of the sent messages and the final actions, each in order.
     """
-    sent: list[str] = [s.message_id for s in out]
-    given: list[Final] = []
+    sent_ids: list[str] = [send.message_id for send in open_calls]
+    final_actions: list[Final] = []
     while now < until:
         now += 20 * MS
-        last = {s.message_id: d.state.messages[s.message_id].attempts - 1 for s in out}
-        actions = d.handle(
+        last_attempts = {
+            send.message_id: dispatcher.state.messages[send.message_id].attempts - 1
+            for send in open_calls
+        }
+        actions = dispatcher.handle(
             now,
-            [end(s, OK, last[s.message_id], 20 * MS) for s in out]
+            [
+                end(send, OK, last_attempts[send.message_id], 20 * MS)
+                for send in open_calls
+            ]
             or [TimerExpired("look")],
         )
-        out = sends(actions)
-        sent += [s.message_id for s in out]
-        given += finals(actions)
-    return sent, given
+        open_calls = sends(actions)
+        sent_ids += [send.message_id for send in open_calls]
+        final_actions += finals(actions)
+    return sent_ids, final_actions
 
 
 @pytest.mark.parametrize("balancers", [2, 300])
-def test_what_a_restart_finds_untried_has_its_call_though_fresh_ones_near_their_aims(
+def test_restored_unattempted_messages_are_sent_despite_urgent_new_ones(
     balancers: int,
 ) -> None:
-    """Late by the restart, it used to make way in a jam with over half of its time
-    left: given up untried.
+    """Guards against dropping restored messages under overload: the restart made them
+    late, and they were given up unattempted with over half of their time left.
     """
     now = 50 * S
-    d = Dispatcher(settings(forwarder_count=balancers), 7, now)
-    told = [
-        MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS) for n in range(MANY)
-    ]  # 2.8 of 6 s are gone
-    out = sends(
-        d.handle(now, [EndpointListChanged(EndpointListKind.CACHED, ONE), *told])
+    dispatcher = Dispatcher(settings(forwarder_count=balancers), 7, now)
+    restored = [
+        MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS)
+        for n in range(MESSAGE_COUNT)
+    ]  # 2.8 of 6 s have passed
+    first_sends = sends(
+        dispatcher.handle(
+            now,
+            [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
+        )
+    )
+    dispatcher.handle(
+        now + 20 * MS, [end(first_sends[0], FULL, retry_after_us=900 * MS)]
     )
-    d.handle(now + 20 * MS, [end(out[0], FULL, retry_after_us=900 * MS)])
     fresh = [
         ask(f"new{n}", due=now + 5200 * MS) for n in range(4)
-    ]  # and near their aim of 2 s
-    assert not finals(d.handle(now + 40 * MS, fresh))
-    sent, given = go_on(d, now + 40 * MS, [], now + 3200 * MS)
-    assert {out[0].message_id, *sent} == {m.message_id for m in (*told, *fresh)}
+    ]  # close to their latency target of 2 s
+    assert not finals(dispatcher.handle(now + 40 * MS, fresh))
+    sent_ids, final_actions = run_until(dispatcher, now + 40 * MS, [], now + 3200 * MS)
+    assert {first_sends[0].message_id, *sent_ids} == {
+        event.message_id for event in (*restored, *fresh)
+    }
     assert all(
-        a.message_id == out[0].message_id for a in given
-    )  # that one had its call
+        action.message_id == first_sends[0].message_id for action in final_actions
+    )  # this message was called once
 
 
-def test_what_was_tried_before_the_restart_makes_way_as_ever() -> None:
+def test_restored_attempted_messages_are_dropped_under_overload() -> None:
     now = 50 * S
-    d = Dispatcher(settings(), 7, now)
-    told = [
+    dispatcher = Dispatcher(settings(), 7, now)
+    restored = [
         MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS, attempts=1)
-        for n in range(MANY)
+        for n in range(MESSAGE_COUNT)
     ]
-    out = sends(
-        d.handle(now, [EndpointListChanged(EndpointListKind.CACHED, ONE), *told])
+    first_sends = sends(
+        dispatcher.handle(
+            now,
+            [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
+        )
+    )
+    dispatcher.handle(
+        now + 20 * MS, [end(first_sends[0], FULL, 1, retry_after_us=2 * S)]
     )
-    d.handle(now + 20 * MS, [end(out[0], FULL, 1, retry_after_us=2 * S)])
-    d.handle(now + 40 * MS, [ask(f"new{n}", due=now + 5200 * MS) for n in range(4)])
-    _, given = go_on(d, now + 40 * MS, [], now + 1500 * MS)
-    assert {(type(a), a.reason) for a in given} == {
+    dispatcher.handle(
+        now + 40 * MS, [ask(f"new{n}", due=now + 5200 * MS) for n in range(4)]
+    )
+    _, final_actions = run_until(dispatcher, now + 40 * MS, [], now + 1500 * MS)
+    assert {(type(action), action.reason) for action in final_actions} == {
         (RejectMessage, "makes way for fresh ones")
     }
-    assert len(given) == MANY
+    assert len(final_actions) == MESSAGE_COUNT
 
 
-def test_what_a_restart_finds_is_not_taken_for_a_burst_beyond_its_tenant_s_share() -> (
-    None
-):
-    """It came over seconds. Counted as come at once, it went behind all others, and was
-    given up untried.
+def test_restored_messages_do_not_count_as_burst_over_tenant_quota() -> None:
+    """Guards against counting restored messages as one burst. They had arrived over
+    seconds; as a burst they went behind all others and were given up unattempted.
     """
     now = 50 * S
-    d = Dispatcher(settings(forwarder_count=1), 7, now)
-    told = [
+    dispatcher = Dispatcher(settings(forwarder_count=1), 7, now)
+    restored = [
         MessageRestored(f"old{n}", 10, "safe", now + 2 * S, tenant="small")
-        for n in range(MANY)
+        for n in range(MESSAGE_COUNT)
     ]
-    out = sends(
-        d.handle(now, [EndpointListChanged(EndpointListKind.CACHED, ONE), *told])
+    first_sends = sends(
+        dispatcher.handle(
+            now,
+            [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
+        )
     )
-    assert not any(m.over_quota for m in d.state.messages.values())
-    later = [ask(f"new{n}", due=now + 6 * S, tenant="big") for n in range(MANY)]
-    actions = d.handle(now + 20 * MS, [end(out[0], OK, took=20 * MS), *later])
-    sent, given = go_on(d, now + 20 * MS, sends(actions), now + 2 * S)
-    first = [out[0].message_id, *sent][:MANY]
-    assert not given and sorted(first) == sorted(m.message_id for m in told)
-    spent = d.handle(
+    assert not any(message.over_quota for message in dispatcher.state.messages.values())
+    later = [
+        ask(f"new{n}", due=now + 6 * S, tenant="big") for n in range(MESSAGE_COUNT)
+    ]
+    actions = dispatcher.handle(
+        now + 20 * MS, [end(first_sends[0], OK, took=20 * MS), *later]
+    )
+    sent_ids, final_actions = run_until(
+        dispatcher, now + 20 * MS, sends(actions), now + 2 * S
+    )
+    first_ids = [first_sends[0].message_id, *sent_ids][:MESSAGE_COUNT]
+    assert not final_actions and sorted(first_ids) == sorted(
+        message.message_id for message in restored
+    )
+    later_actions = dispatcher.handle(
         now + 2 * S,
-        [ask(f"more{n}", 99, due=now + 9 * S, tenant="small") for n in range(MANY)],
+        [
+            ask(f"more{n}", 99, due=now + 9 * S, tenant="small")
+            for n in range(MESSAGE_COUNT)
+        ],
     )
-    assert not finals(spent) and any(
-        m.over_quota for m in d.state.messages.values()
-    )  # what comes now counts
+    assert not finals(later_actions) and any(
+        message.over_quota for message in dispatcher.state.messages.values()
+    )  # messages that arrive now count as a burst
 
 
 # The engine in this process, over real sockets
 
 
 class Site:
-    """Two destinations, discovery and one engine that can be killed at a moment that a
-    test picks.
+    """Two destinations, a discovery agent, and one engine that the test can kill at any
+    point.
     """
 
-    def __init__(self, folder: Path, power: bool = False, **first: object) -> None:
+    def __init__(
+        self, folder: Path, power: bool = False, **class_changes: object
+    ) -> None:
         self.folder, self.power, self.port = folder, power, free_port()
-        self.platform, self.sides = Platform(), [Peer(hang), Peer(always(Answer(200)))]
-        classes = [{**s, **first} for s in SETTINGS["services"]]
+        self.platform, self.peers = Platform(), [Peer(hang), Peer(always(Answer(200)))]
+        classes = [{**service, **class_changes} for service in SETTINGS["services"]]
         classes += [{**classes[-1], "name": "single", "by_arrival": True}]
         self.settings = {
             **SETTINGS,
@@ -187,15 +223,17 @@
     async def start(self) -> Engine:
         if not self.platform.port:
             await self.platform.start()
-            for block, peer in enumerate(self.sides, 7):
+            for destination, peer in enumerate(self.peers, 7):
                 await peer.start()
-                self.platform.host(f"s{block}", peer.port, block)
-        hosts = tuple(parse_endpoint(h) for h in self.platform.hosts.values())
-        where = [Address("127.0.0.1", port) for port in (self.port, self.platform.port)]
-        self.engine = e = Engine(
+                self.platform.host(f"s{destination}", peer.port, destination)
+        hosts = tuple(parse_endpoint(host) for host in self.platform.hosts.values())
+        addresses = [
+            Address("127.0.0.1", port) for port in (self.port, self.platform.port)
+        ]
+        self.engine = engine = Engine(
             Config(
                 "n",
-                *where,
+                *addresses,
                 self.folder,
                 1,
                 192,
@@ -207,69 +245,75 @@
                 power=self.power,
             )
         )
-        self.task = asyncio.create_task(e.run())
-        await self.until(lambda: e.serving)
-        return e
+        self.task = asyncio.create_task(engine.run())
+        await self.until(lambda: engine.serving)
+        return engine
 
-    async def until(self, test: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not test():
+            while not condition():
                 await asyncio.sleep(0.002)
 
     async def kill(self) -> None:
-        """As SIGKILL: what is out is cut, and from here on nothing is written or
-        told.
+        """Simulates SIGKILL: open calls are cut, and from here on nothing is written to
+        the journal or sent.
         """
-        e = self.engine
-        assert e is not None
-        e.state.closed = e.frozen = True
-        e.store.release()
+        engine = self.engine
+        assert engine is not None
+        engine.state.closed = engine.frozen = True
+        engine.store.release()
         self.task.cancel()
-        e.watch.pause()
-        e.notifier.pause()
-        e.pool.close()
-        e.server.listener and e.server.listener.close()
-        for connection in list(e.server.connections):
+        engine.watch.pause()
+        engine.notifier.pause()
+        engine.pool.close()
+        engine.server.listener and engine.server.listener.close()
+        for connection in list(engine.server.connections):
             if connection.transport is not None:
                 connection.transport.abort()
         await asyncio.wait({self.task})
 
-    async def hand_in(self, name: str, cls: str, dest: int = 7, **more: Any) -> int:
+    async def hand_in(self, name: str, cls: str, dest: int = 7, **headers: Any) -> int:
         client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
-        status, _ = await client.hand_in(name, cls, dest=dest, **more)
+        status, _ = await client.hand_in(name, cls, dest=dest, **headers)
         client.writer.close()
         return status
 
-    def came(self, name: str) -> bool:
+    def has_arrived(self, name: str) -> bool:
         return any(
-            r.headers["x-correlation-id"] == name
-            for p in self.sides
-            for r in p.requests
+            request.headers["x-correlation-id"] == name
+            for peer in self.peers
+            for request in peer.requests
         )
 
-    async def passes(self, name: str) -> None:
-        """A message of another key went all the way: what could go before it had its
-        chance.
+    async def deliver_with_other_key(self, name: str) -> None:
+        """Hands in a message of another key and waits until it arrives, by which time
+        every message that may be sent earlier has been sent.
         """
         assert await self.hand_in(name, "turns", 8, X_Session_Key=name) == 202
-        await self.until(lambda: self.came(name))
-
-    def time_is_up(self, name: str) -> None:
-        """The message's deadline is now, and its call's time-out as well."""
-        e = self.engine
-        assert e is not None
-        now = e.clock()
-        e.dispatcher.state.messages[name].move_deadline(now)
-        e.store.move_deadline(e.store.messages[name], now)
-        for call in [c for (message, _), c in e.pool.calls.items() if message == name]:
+        await self.until(lambda: self.has_arrived(name))
+
+    def expire(self, name: str) -> None:
+        """Expires the deadline of the message and the timeout of its call."""
+        engine = self.engine
+        assert engine is not None
+        now = engine.clock()
+        engine.dispatcher.state.messages[name].move_deadline(now)
+        engine.store.move_deadline(engine.store.messages[name], now)
+        for call in [
+            open_call
+            for (message_id, _), open_call in engine.pool.calls.items()
+            if message_id == name
+        ]:
             call.open_items[name].timeout_at_us = now - 1
-            e.pool.on_timeout(call)
-        e.post(
+            engine.pool.on_timeout(call)
+        engine.post(
             EndpointListChanged(EndpointListKind.CHANGES, ())
-        )  # looks at all that is held
+        )  # makes the dispatcher check all held messages
 
-    def told(self, name: str) -> list[str]:
-        return [n["state"] for n in self.platform.notices if n["id"] == name]
+    def notified_states(self, name: str) -> list[str]:
+        return [
+            notice["state"] for notice in self.platform.notices if notice["id"] == name
+        ]
 
 
 def play(scene: Callable[[Site], Awaitable[None]], site: Site) -> None:
@@ -288,57 +332,61 @@
     return state
 
 
-# Each record against what it precedes
+# Journal records precede the actions that depend on them
 
 
 @pytest.mark.parametrize("power", [False, True])
-def test_each_record_is_in_the_file_before_what_it_precedes_leaves(
+def test_each_record_is_written_before_the_action_it_covers(
     tmp_path: Path, power: bool
 ) -> None:
-    """Killed at any moment after an answer, a call or a notice, a start finds what they
-    promise.
+    """A process killed right after an answer, a call or a notification leaves the
+    matching record in the journal for the next start.
     """
 
     async def scene(site: Site) -> None:
-        seen: list[tuple[str, bool]] = []
+        recorded: list[tuple[str, bool]] = []
 
-        async def side(request: Request) -> Answer:
+        async def endpoint(request: Request) -> Answer:
             name = request.headers["x-correlation-id"]
-            m = on_disk(tmp_path).messages.get(name)
-            seen.append(("call", m is not None and bool(m.in_flight)))
+            stored = on_disk(tmp_path).messages.get(name)
+            recorded.append(("call", stored is not None and bool(stored.in_flight)))
             return Answer(500)
 
         async def discovery(request: Request) -> Answer | bytes | None:
             if request.path == "/v1/notices":
-                told = [json.loads(line)["id"] for line in request.body.splitlines()]
-                owed = on_disk(tmp_path).pending_notifications
-                seen.append(("notice", all(name in owed for name in told)))
+                notified_ids = [
+                    json.loads(line)["id"] for line in request.body.splitlines()
+                ]
+                pending = on_disk(tmp_path).pending_notifications
+                recorded.append(
+                    ("notice", all(name in pending for name in notified_ids))
+                )
             return await site.platform.answer(request)
 
-        site.sides[0].handler, site.platform.handler = side, discovery
+        site.peers[0].handler, site.platform.handler = endpoint, discovery
         await site.start()
         assert await site.hand_in("m", "pay") == 202
         state = on_disk(tmp_path)
         assert (
             "m" in state.messages
             or "m" in state.pending_notifications
-            or site.told("m")
+            or site.notified_states("m")
         )
-        await site.until(lambda: bool(site.told("m")))
-        assert site.told("m") == ["failed"] and seen[0] == ("call", True)
-        assert {("notice", True)} == set(seen[1:])
+        await site.until(lambda: bool(site.notified_states("m")))
+        assert site.notified_states("m") == ["failed"] and recorded[0] == ("call", True)
+        assert {("notice", True)} == set(recorded[1:])
 
     play(scene, Site(tmp_path, power))
 
 
-def test_an_answer_whose_record_is_being_synced_has_not_left(tmp_path: Path) -> None:
-    """Under `power`: neither the 202 nor the call, until the disk has said yes."""
+def test_answer_and_call_wait_for_sync_of_record(tmp_path: Path) -> None:
+    """With `power`, neither the 202 nor the call is sent before the sync succeeds."""
 
     async def scene(site: Site) -> None:
-        e = await site.start()
-        e.store.log.worker, real = (
+        site_engine = await site.start()
+        site_engine.store.log.worker, sync_worker = (
             (lambda job, done: jobs.append((job, done))),
-            e.store.log.worker,
+            site_engine.store.log.worker,
         )
         jobs: list[tuple[Callable[[], None], Callable[[OSError | None], None]]] = []
         answer = asyncio.create_task(site.hand_in("m", "pay", 8))
@@ -346,94 +394,101 @@
         assert (
             "m" in on_disk(tmp_path).messages
             and not answer.done()
-            and not site.came("m")
+            and not site.has_arrived("m")
         )
-        e.store.log.worker = real
+        site_engine.store.log.worker = sync_worker
         job, done = jobs[0]
         job()
         done(None)
         assert await answer == 202
-        await site.until(lambda: site.came("m"))
+        await site.until(lambda: site.has_arrived("m"))
 
     play(scene, Site(tmp_path, power=True))
 
 
-def test_a_disk_that_fills_refuses_what_comes_and_loses_nothing_of_what_it_held(
+def test_full_disk_rejects_new_messages_and_keeps_held_ones(
     tmp_path: Path,
 ) -> None:
     async def scene(site: Site) -> None:
-        e = await site.start()
+        site_engine = await site.start()
         assert await site.hand_in("held", "turns", X_Session_Key="k") == 202
-        await site.until(lambda: site.came("held"))
+        await site.until(lambda: site.has_arrived("held"))
 
-        def full(fd: int, data: memoryview, at: int) -> int:
+        def raise_no_space(fd: int, data: memoryview, at: int) -> int:
             raise OSError(errno.ENOSPC, "no space left")
 
-        e.store.files.write = full  # type: ignore[method-assign]
+        site_engine.store.files.write = raise_no_space  # type: ignore[method-assign]
         assert (
             await site.hand_in("more", "status", 8) == 503
-        )  # there was room at the door
-        assert e.store.failed and not site.came("more")
-        assert await site.hand_in("other", "pay", 8) == 503 and not site.came("other")
+        )  # the capacity limits were not reached
+        assert site_engine.store.failed and not site.has_arrived("more")
+        assert await site.hand_in("other", "pay", 8) == 503 and not site.has_arrived(
+            "other"
+        )
         await site.kill()
-        e = await site.start()
-        assert [*e.store.messages] == ["held"] and e.store.messages[
+        site_engine = await site.start()
+        assert [*site_engine.store.messages] == ["held"] and site_engine.store.messages[
             "held"
         ].executed_at_us >= 0
-        site.sides[0].handler = always(Answer(200))
-        await site.until(lambda: not e.store.messages)
+        site.peers[0].handler = always(Answer(200))
+        await site.until(lambda: not site_engine.store.messages)
 
     play(scene, Site(tmp_path))
 
 
-# What an end crosses
+# Final answers that race with calls
 
 
-def test_no_end_is_given_while_a_call_is_out_so_none_can_cross_its_200() -> None:
+def test_no_final_answer_while_call_is_open() -> None:
     due = 6 * S
     for cls in ("safe", "keyed", "once"):
-        d = Dispatcher(settings(), 7, 0)
+        dispatcher = Dispatcher(settings(), 7, 0)
         send = sends(
-            d.handle(
+            dispatcher.handle(
                 0,
                 [
-                    EndpointListChanged(EndpointListKind.CACHED, ONE),
+                    EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST),
                     ask(cls, cls=cls, due=due),
                 ],
             )
         )[0]
         assert not finals(
-            d.handle(due + S, [TimerExpired("look")])
-        )  # the pool's own time-out ends it
+            dispatcher.handle(due + S, [TimerExpired("look")])
+        )  # the connection pool's timeout ends the call
         assert (
-            not finals(d.handle(due + S, [end(send, OK, took=6 * S)]))
-            and cls not in d.state.messages
+            not finals(dispatcher.handle(due + S, [end(send, OK, took=6 * S)]))
+            and cls not in dispatcher.state.messages
         )
 
 
-def test_a_delivery_in_the_round_of_its_deadline_is_a_delivery(tmp_path: Path) -> None:
-    """The 200 and the time that is up are read in one round, in either order."""
+def test_delivery_in_the_round_of_its_deadline_counts(tmp_path: Path) -> None:
+    """The 200 and the deadline are handled in one round, in either order."""
 
     async def scene(site: Site) -> None:
-        e = await site.start()
-        for name, late in (("before", False), ("after", True)):
+        site_engine = await site.start()
+        for name, answered_last in (("before", False), ("after", True)):
             assert await site.hand_in(name, "pay", left="50") == 202
-            await site.until(lambda name=name: site.came(name))  # type: ignore[misc]
-            m = e.dispatcher.state.messages[name]
-            now = e.clock()
-            m.deadline = now - 1
-            e.store.move_deadline(e.store.messages[name], m.deadline)
+            await site.until(lambda name=name: site.has_arrived(name))  # type: ignore[misc]
+            message = site_engine.dispatcher.state.messages[name]
+            now = site_engine.clock()
+            message.deadline = now - 1
+            site_engine.store.move_deadline(
+                site_engine.store.messages[name], message.deadline
+            )
             answered = AttemptFinished(
-                name, 0, e.endpoint_ids["s7"], OK, 5, message_closed=True
+                name, 0, site_engine.endpoint_ids["s7"], OK, 5, message_closed=True
             )
-            e.events.pending_events += (
+            site_engine.events.pending_events += (
                 [TimerExpired("look"), answered]
-                if late
+                if answered_last
                 else [answered, TimerExpired("look")]
             )
-            e.run_round()
-            assert name not in e.store.messages and not e.store.pending_notifications
-        assert e.metrics.fulfilled["pay"] == 2 and not site.platform.notices
+            site_engine.run_round()
+            assert (
+                name not in site_engine.store.messages
+                and not site_engine.store.pending_notifications
+            )
+        assert site_engine.metrics.fulfilled["pay"] == 2 and not site.platform.notices
 
     play(scene, Site(tmp_path))
 
@@ -445,21 +500,21 @@
         "failed",
         "refused",
         "timed out",
-        "cut off",
-        "owed at a kill",
-        "its 204 lost",
+        "killed during call",
+        "notification pending at kill",
+        "notification response lost",
     ],
 )
-def test_a_key_waits_for_the_end_of_the_one_before_by_whatever_way(
+def test_key_is_blocked_until_previous_message_is_finished(
     tmp_path: Path, way: str
 ) -> None:
-    """The second may go as soon as the first is over, and goes to another destination,
-    whose way is free.
+    """The second message may be sent once the first is finished. It goes to another
+    destination, where nothing else delays it.
     """
-    gate, lost = asyncio.Event(), [way == "its 204 lost"]
+    gate, lose_response = asyncio.Event(), [way == "notification response lost"]
 
-    async def side(request: Request) -> Answer | None:
-        if way in ("delivered", "cut off"):
+    async def endpoint(request: Request) -> Answer | None:
+        if way in ("delivered", "killed during call"):
             await gate.wait()
             return Answer(200)
         if way == "timed out":
@@ -471,245 +526,315 @@
     async def scene(site: Site) -> None:
         async def discovery(request: Request) -> Answer | bytes | None:
             answer = await site.platform.answer(request)
-            if request.path == "/v1/notices" and lost[0] and site.platform.notices:
+            if (
+                request.path == "/v1/notices"
+                and lose_response[0]
+                and site.platform.notices
+            ):
                 await gate.wait()
-                lost[0] = False
-                return None  # it has the notice, and its answer is lost
+                lose_response[0] = False
+                return None  # the agent stores the notification, but its 204 is lost
             return answer
 
-        site.sides[0].handler, site.platform.handler = side, discovery
-        site.platform.accepts = way in ("delivered", "cut off", "its 204 lost")
+        site.peers[0].handler, site.platform.handler = endpoint, discovery
+        site.platform.accepts = way in (
+            "delivered",
+            "killed during call",
+            "notification response lost",
+        )
         await site.start()
         cls = (
             "turns"
-            if way in ("refused", "timed out", "cut off", "delivered")
+            if way in ("refused", "timed out", "killed during call", "delivered")
             else "single"
         )
         assert await site.hand_in("first", cls, X_Session_Key="k") == 202
         assert await site.hand_in("second", "turns", 8, X_Session_Key="k") == 202
-        await site.until(lambda: site.came("first"))
-        if way == "cut off":
+        await site.until(lambda: site.has_arrived("first"))
+        if way == "killed during call":
             await site.kill()
             await site.start()
             await site.until(
                 lambda: (
                     sum(
-                        r.headers["x-correlation-id"] == "first"
-                        for r in site.sides[0].requests
+                        received.headers["x-correlation-id"] == "first"
+                        for received in site.peers[0].requests
                     )
                     == 2
                 )
             )
-        elif way == "its 204 lost":
-            await site.until(lambda: bool(site.told("first")))
+        elif way == "notification response lost":
+            await site.until(lambda: bool(site.notified_states("first")))
         elif way != "delivered":
             if way in ("refused", "timed out"):
-                site.time_is_up("first")
+                site.expire("first")
             await site.until(
                 lambda: bool(site.engine and site.engine.store.pending_notifications)
             )
-        if way == "owed at a kill":
+        if way == "notification pending at kill":
             await site.kill()
             await site.start()
-        await site.passes("free")
-        assert not site.came("second")
+        await site.deliver_with_other_key("free")
+        assert not site.has_arrived("second")
         gate.set()
         site.platform.accepts = True
-        await site.until(lambda: site.came("second"))
-        ends = {"delivered": 0, "cut off": 0, "its 204 lost": 2}.get(way, 1)
+        await site.until(lambda: site.has_arrived("second"))
+        notification_count = {
+            "delivered": 0,
+            "killed during call": 0,
+            "notification response lost": 2,
+        }.get(way, 1)
         state = "returned" if way in ("refused", "timed out") else "failed"
-        assert len(site.told("first")) == ends and set(site.told("first")) <= {state}
+        assert len(site.notified_states("first")) == notification_count and set(
+            site.notified_states("first")
+        ) <= {state}
 
     play(scene, Site(tmp_path))
 
 
-def test_a_key_rests_after_a_call_that_was_cut_by_a_kill(tmp_path: Path) -> None:
-    """It may still run: the next of its key leaves a rest later than the start, and the
-    same one as well.
+def test_key_backs_off_after_call_interrupted_by_kill(tmp_path: Path) -> None:
+    """The cut call may still be running: after the start, the next message of the key and
+    a retry of the same message both wait for the key backoff.
     """
 
     async def scene(site: Site) -> None:
         await site.start()
         assert await site.hand_in("first", "single", X_Session_Key="k") == 202
         assert await site.hand_in("second", "turns", 8, X_Session_Key="k") == 202
-        await site.until(lambda: site.came("first"))
+        await site.until(lambda: site.has_arrived("first"))
         await site.kill()
-        e = await site.start()
-        began = e.events.last_round_us  # no round of the new process was earlier
-        site.engine = e
-        line = e.dispatcher.state.key_sequences["k"]
-        assert line.backoff_until >= e.dispatcher.state.now - 10 * S
-        await site.until(lambda: site.came("second"))
-        assert site.told("first") == ["failed"] and len(site.sides[0].requests) == 1
-        assert e.clock() >= line.backoff_until and began > 0
+        site_engine = await site.start()
+        first_round_us = (
+            site_engine.events.last_round_us
+        )  # earlier rounds were in the old process
+        site.engine = site_engine
+        sequence = site_engine.dispatcher.state.key_sequences["k"]
+        assert sequence.backoff_until >= site_engine.dispatcher.state.now - 10 * S
+        await site.until(lambda: site.has_arrived("second"))
+        assert (
+            site.notified_states("first") == ["failed"]
+            and len(site.peers[0].requests) == 1
+        )
+        assert site_engine.clock() >= sequence.backoff_until and first_round_us > 0
 
     play(scene, Site(tmp_path))
 
 
-# A message taken back
+# Withdrawn messages
 
 
-def test_what_is_taken_back_after_its_end_frees_its_key(
+def test_message_withdrawn_after_its_final_answer_releases_key(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Given up while its record was synced, and its client gone meanwhile: nobody is
-    told of an end, so nothing may go on waiting for that to arrive. Its key used to
-    stand still until the next start.
+    """Guards against a key that stays blocked until the next start. The message is given
+    up while its record is being synced, and its client disconnects meanwhile: no
+    notification is sent, so the key must not wait for one.
     """
-    hands = Hands()
+    sync_jobs = Hands()
 
     async def scene() -> None:
-        e = power_engine(tmp_path, hands, monkeypatch)
-        while hands.work():
+        engine_under_test = power_engine(tmp_path, sync_jobs, monkeypatch)
+        while sync_jobs.work():
             pass
-        e.known_destinations.add(7)  # with no endpoint yet
-        door, other = Door(), Door()
-        e.submit(
+        engine_under_test.known_destinations.add(7)  # a destination without endpoints
+        first_client, second_client = RecordingClient(), RecordingClient()
+        engine_under_test.submit(
             SubmittedMessage(
-                "first", "turns", 7, e.clock() + 10**7, None, "k", "acme", False, b""
+                "first",
+                "turns",
+                7,
+                engine_under_test.clock() + 10**7,
+                None,
+                "k",
+                "acme",
+                False,
+                b"",
             ),
-            door,
+            first_client,
+        )
+        engine_under_test.run_round()  # accepted; the record is not synced yet
+        engine_under_test.dispatcher.state.messages["first"].move_deadline(
+            engine_under_test.clock()
         )
-        e.run_round()  # held; its record is on its way to the disk
-        e.dispatcher.state.messages["first"].move_deadline(e.clock())
-        e.post(
+        engine_under_test.post(
             EndpointListChanged(EndpointListKind.CHANGES, ())
-        )  # looks at all that is held
-        e.run_round()
+        )  # makes the dispatcher check all held messages
+        engine_under_test.run_round()
         assert (
-            "first" in e.store.pending_notifications and door.on_disconnect is not None
+            "first" in engine_under_test.store.pending_notifications
+            and first_client.on_disconnect is not None
         )
-        door.on_disconnect()
-        while hands.work():
+        first_client.on_disconnect()
+        while sync_jobs.work():
             pass
-        e.run_round()
+        engine_under_test.run_round()
         assert (
-            not e.store.pending_notifications
-            and not door.said
-            and not e.dispatcher.state.pending_notifications
+            not engine_under_test.store.pending_notifications
+            and not first_client.statuses
+            and not engine_under_test.dispatcher.state.pending_notifications
         )
-        e.submit(
+        engine_under_test.submit(
             SubmittedMessage(
-                "second", "turns", 7, e.clock() + 10**7, None, "k", "acme", False, b""
+                "second",
+                "turns",
+                7,
+                engine_under_test.clock() + 10**7,
+                None,
+                "k",
+                "acme",
+                False,
+                b"",
             ),
-            other,
+            second_client,
         )
-        e.run_round()
-        assert not e.dispatcher.state.key_sequences["k"].pending_notifications
-        while hands.work():
+        engine_under_test.run_round()
+        assert not engine_under_test.dispatcher.state.key_sequences[
+            "k"
+        ].pending_notifications
+        while sync_jobs.work():
             pass
-        e.store.release()
+        engine_under_test.store.release()
 
     asyncio.run(scene())
 
 
-class Door:
+class RecordingClient:
     def __init__(self) -> None:
         self.on_disconnect: Callable[[], None] | None = None
-        self.said: list[int] = []
+        self.statuses: list[int] = []
 
     def answer(self, status: int, text: str = "", **headers: str) -> None:
-        self.said.append(int(status))
+        self.statuses.append(int(status))
 
 
-def test_a_disk_that_stays_full_does_not_use_up_attempts_that_make_no_call(
+def test_retries_back_off_while_journal_is_full(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each try that could not leave for want of its record counts as an attempt. At a
-    steady pace all were spent in a second and a half, and what had never been called
-    was given up.
+    """Guards against retrying at a constant rate while the journal is full. A call that
+    is not sent because its record cannot be written counts as an attempt: all attempts
+    were used up in 1.5 s, and messages were given up without any call.
     """
 
     async def scene() -> None:
-        e = engine(tmp_path)
-        e.run_round()
-        m = AcceptedMessage("m", "pay", 7, e.clock() + 40 * S, None, "acme", b"")
-        e.store.append_message(m)
-        e.store.flush()
-        e.post(MessageRestored("m", 7, "pay", m.deadline_us))
-        e.store.log.max_bytes = e.store.size  # nothing more fits
-        pauses: list[float] = []
+        engine_under_test = engine(tmp_path)
+        engine_under_test.run_round()
+        message = AcceptedMessage(
+            "m", "pay", 7, engine_under_test.clock() + 40 * S, None, "acme", b""
+        )
+        engine_under_test.store.append_message(message)
+        engine_under_test.store.flush()
+        engine_under_test.post(MessageRestored("m", 7, "pay", message.deadline_us))
+        engine_under_test.store.log.max_bytes = (
+            engine_under_test.store.size
+        )  # the journal is full
+        delays_s: list[float] = []
         posted: list[Event] = []
         loop = asyncio.get_running_loop()
 
-        def later(delay: float, call: Callable[..., None], *args: Any) -> Any:
+        def record_delay(delay: float, call: Callable[..., None], *args: Any) -> Any:
             if args and isinstance(args[0], AttemptFinished):
-                pauses.append(delay)
+                delays_s.append(delay)
                 posted.append(args[0])
 
         for _ in range(6):
             with monkeypatch.context() as patched:
-                patched.setattr(loop, "call_later", later)
-                e.run_round()
-            e.events.pending_events += posted
+                patched.setattr(loop, "call_later", record_delay)
+                engine_under_test.run_round()
+            engine_under_test.events.pending_events += posted
             posted.clear()
-        assert len(pauses) == 6 and sum(pauses[:5]) >= 7
-        assert all(a < b for a, b in itertools.pairwise(pauses))
-        e.store.log.max_bytes = 3_000_000
-        e.store.close()
+        assert len(delays_s) == 6 and sum(delays_s[:5]) >= 7
+        assert all(earlier < later for earlier, later in itertools.pairwise(delays_s))
+        engine_under_test.store.log.max_bytes = 3_000_000
+        engine_under_test.store.close()
 
     asyncio.run(scene())
 
 
-def test_no_pause_for_want_of_a_record_outlasts_its_message(tmp_path: Path) -> None:
+def test_journal_failure_backoff_ends_before_deadline(tmp_path: Path) -> None:
     async def scene() -> None:
-        e = engine(tmp_path)
-        m = AcceptedMessage(
-            "m", "pay", 7, e.clock() + 3 * S, None, "acme", b"", attempts=5
+        engine_under_test = engine(tmp_path)
+        message = AcceptedMessage(
+            "m",
+            "pay",
+            7,
+            engine_under_test.clock() + 3 * S,
+            None,
+            "acme",
+            b"",
+            attempts=5,
+        )
+        assert (
+            0.25
+            <= engine_under_test.call_dispatch.journal_failure_backoff_s(message, 5)
+            <= 3
         )
-        assert 0.25 <= e.call_dispatch.journal_failure_backoff_s(m, 5) <= 3
-        m.deadline_us = e.clock() - 1
-        assert e.call_dispatch.journal_failure_backoff_s(m, 5) == 0
-        e.store.close()
+        message.deadline_us = engine_under_test.clock() - 1
+        assert (
+            engine_under_test.call_dispatch.journal_failure_backoff_s(message, 5) == 0
+        )
+        engine_under_test.store.close()
 
     asyncio.run(scene())
 
 
-# Given up untried
+# Messages given up unattempted
 
 
-def test_what_is_given_up_untried_is_counted_and_logged_with_its_cause(
+def test_unattempted_failures_are_counted_and_logged_with_cause(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
         "rainfall.forwarder.engine.periodic_tasks.SUMMARY_INTERVAL_S", 3600.0
-    )  # the counts start anew with each line
+    )  # each summary line resets the counts
 
     async def scene(site: Site) -> None:
-        site.sides[0].handler = always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}))
-        e = await site.start()
+        site.peers[0].handler = always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}))
+        site_engine = await site.start()
         with caplog.at_level(logging.INFO, "rainfall.trace"):
             assert await site.hand_in("tried", "status", left="50") == 202
-            await site.until(lambda: site.came("tried"))
+            await site.until(lambda: site.has_arrived("tried"))
             assert await site.hand_in("untried", "status") == 202
-            site.time_is_up("untried")
-            await site.until(lambda: bool(site.told("untried")))
-        lines = [r for r in caplog.records if r.getMessage() == "given up untried"]
-        assert [(r.__dict__["message_id"], r.__dict__["cause"]) for r in lines] == [
-            ("untried", "no call could end in time")
+            site.expire("untried")
+            await site.until(lambda: bool(site.notified_states("untried")))
+        records = [
+            record
+            for record in caplog.records
+            if record.getMessage() == "given up untried"
         ]
+        assert [
+            (record.__dict__["message_id"], record.__dict__["cause"])
+            for record in records
+        ] == [("untried", "no call could end in time")]
         assert (
-            e.state.event_counts["untried: no call could end in time"] == 1
-            and e.state.event_counts["returned"] == 1
+            site_engine.state.event_counts["untried: no call could end in time"] == 1
+            and site_engine.state.event_counts["returned"] == 1
         )
-        assert e.metrics.throttled["status"] == 1  # the figures mean what they did
+        assert (
+            site_engine.metrics.throttled["status"] == 1
+        )  # the metric still counts unattempted messages
 
     play(scene, Site(tmp_path))
 
 
-def test_attempts_that_made_no_call_leave_a_message_untried(tmp_path: Path) -> None:
+def test_unsent_attempts_leave_message_unattempted(tmp_path: Path) -> None:
     async def scene() -> None:
-        e = engine(tmp_path)
-        for name, how in (("a", Outcome.NOT_SENT), ("b", FULL)):
-            m = AcceptedMessage(name, "status", 7, e.clock() + 10 * S, None, None, b"")
-            e.store.append_message(m)
-            e.store.append_attempt(m, 0, 5, "s1")
-            e.pending_events.append(AttemptFinished(name, 0, 1, how, 5))
-        e.run_round()
+        engine_under_test = engine(tmp_path)
+        for name, outcome in (("a", Outcome.NOT_SENT), ("b", FULL)):
+            message = AcceptedMessage(
+                name, "status", 7, engine_under_test.clock() + 10 * S, None, None, b""
+            )
+            engine_under_test.store.append_message(message)
+            engine_under_test.store.append_attempt(message, 0, 5, "s1")
+            engine_under_test.pending_events.append(
+                AttemptFinished(name, 0, 1, outcome, 5)
+            )
+        engine_under_test.run_round()
         for name in "ab":
-            e.count_unattempted(FailMessage(name, "cause"), e.clock())
-        assert e.state.event_counts["untried: cause"] == 1
-        e.store.close()
+            engine_under_test.count_unattempted(
+                FailMessage(name, "cause"), engine_under_test.clock()
+            )
+        assert engine_under_test.state.event_counts["untried: cause"] == 1
+        engine_under_test.store.close()
 
     asyncio.run(scene())
 
@@ -717,12 +842,18 @@
 # SIGTERM
 
 
-@pytest.mark.parametrize("answer, told", [(Answer(200), []), (Answer(500), ["failed"])])
-def test_an_answer_after_the_freeze_is_in_the_journal_that_the_next_start_reads(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answer: Answer, told: list[str]
+@pytest.mark.parametrize(
+    "answer, expected_states", [(Answer(200), []), (Answer(500), ["failed"])]
+)
+def test_response_after_freeze_is_recorded_for_next_start(
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    answer: Answer,
+    expected_states: list[str],
 ) -> None:
-    """Nothing new is sent any more, and what is out still ends: delivered is over, and
-    what may have run is ended by the next process and not sent again.
+    """After the freeze no new call is sent, but open calls still finish: a delivery is
+    recorded as finished, and a message that may have been executed is failed by the
+    next process and not sent again.
     """
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.ACCEPT_PERIOD_S", 0.0)
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.FREEZE_AFTER_S", 0.0)
@@ -731,157 +862,178 @@
     async def scene(site: Site) -> None:
         gate = asyncio.Event()
 
-        async def side(request: Request) -> Answer:
+        async def endpoint(request: Request) -> Answer:
             await gate.wait()
             return answer
 
-        site.sides[0].handler = side
-        e = await site.start()
+        site.peers[0].handler = endpoint
+        site_engine = await site.start()
         assert await site.hand_in("m", "pay") == 202
-        await site.until(lambda: site.came("m"))
-        e.stop()
-        await site.until(lambda: e.frozen)
+        await site.until(lambda: site.has_arrived("m"))
+        site_engine.stop()
+        await site.until(lambda: site_engine.frozen)
         gate.set()
         async with asyncio.timeout(PATIENCE):
             await site.task
         state = on_disk(tmp_path)
         assert (
             state.closed_cleanly
-            and bool(state.messages) is bool(told)
-            and not any(m.in_flight for m in state.messages.values())
+            and bool(state.messages) is bool(expected_states)
+            and not any(message.in_flight for message in state.messages.values())
         )
-        e = await site.start()
+        site_engine = await site.start()
         await site.until(
             lambda: (
-                site.told("m") == told
-                and not e.store.messages
-                and not e.store.pending_notifications
+                site.notified_states("m") == expected_states
+                and not site_engine.store.messages
+                and not site_engine.store.pending_notifications
             )
         )
-        assert len(site.sides[0].requests) == 1
+        assert len(site.peers[0].requests) == 1
 
     play(scene, Site(tmp_path))
 
 
-def test_a_call_whose_dial_is_out_at_the_exit_is_sent_by_the_next_start(
+def test_call_still_connecting_at_exit_is_sent_by_next_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has surely not run. Left open in the journal it counted as one that may have,
-    and a once-only message was failed with no call; a dial that came up in the last
-    moments was even used.
+    """Guards against leaving the attempt open in the journal. It was never sent, but
+    counted as possibly executed, so an at-most-once message failed without a call. A
+    connection that was established just before the exit was even used.
     """
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.ACCEPT_PERIOD_S", 0.0)
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.FREEZE_AFTER_S", 0.0)
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.EXIT_AFTER_S", 0.0)
 
     async def scene(site: Site) -> None:
-        e = await site.start()
+        site_engine = await site.start()
         loop = asyncio.get_running_loop()
-        dial, gate, begun = loop.create_connection, asyncio.Event(), asyncio.Event()
+        create_connection, release_dial, dial_started = (
+            loop.create_connection,
+            asyncio.Event(),
+            asyncio.Event(),
+        )
 
-        async def held(protocol: Any, where: str, port: int, **more: Any) -> Any:
-            if port == site.sides[1].port and not gate.is_set():
-                begun.set()
-                await gate.wait()
-            return await dial(protocol, where, port, **more)
+        async def delayed_create_connection(
+            protocol: Any, host: str, port: int, **options: Any
+        ) -> Any:
+            if port == site.peers[1].port and not release_dial.is_set():
+                dial_started.set()
+                await release_dial.wait()
+            return await create_connection(protocol, host, port, **options)
 
-        monkeypatch.setattr(loop, "create_connection", held)
-        ended = e.server.close
+        monkeypatch.setattr(loop, "create_connection", delayed_create_connection)
+        server_close = site_engine.server.close
 
         async def close(
             patience_s: float,
-        ) -> None:  # the last thing that a process does
-            gate.set()
+        ) -> None:  # the last step of a shutdown
+            release_dial.set()
             await asyncio.sleep(
                 0.05
-            )  # for the dial to come up, if it may: nothing is asserted on it
-            await ended(patience_s)
+            )  # lets the connection come up if it can; nothing is asserted on it
+            await server_close(patience_s)
 
-        monkeypatch.setattr(e.server, "close", close)
+        monkeypatch.setattr(site_engine.server, "close", close)
         assert await site.hand_in("m", "pay", 8) == 202
-        await begun.wait()
-        e.stop()
+        await dial_started.wait()
+        site_engine.stop()
         async with asyncio.timeout(PATIENCE):
             await site.task
-        assert not site.came("m")
-        m = on_disk(tmp_path).messages["m"]
-        assert m.attempts == 1 and not m.in_flight and m.executed_at_us < 0
+        assert not site.has_arrived("m")
+        stored = on_disk(tmp_path).messages["m"]
+        assert (
+            stored.attempts == 1 and not stored.in_flight and stored.executed_at_us < 0
+        )
         await site.start()
-        await site.until(lambda: site.came("m"))
-        assert not site.told("m") and len(site.sides[1].requests) == 1
+        await site.until(lambda: site.has_arrived("m"))
+        assert not site.notified_states("m") and len(site.peers[1].requests) == 1
 
     play(scene, Site(tmp_path))
 
 
-def test_a_call_whose_record_is_synced_after_the_end_does_not_leave(
+def test_call_whose_record_is_synced_after_shutdown_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hands = Hands()
+    sync_jobs = Hands()
 
     async def scene() -> None:
-        e = power_engine(tmp_path, hands, monkeypatch)
+        engine_under_test = power_engine(tmp_path, sync_jobs, monkeypatch)
         started: list[object] = []
-        monkeypatch.setattr(e.pool, "start", started.append)
-        e.on_endpoint_list(
+        monkeypatch.setattr(engine_under_test.pool, "start", started.append)
+        engine_under_test.on_endpoint_list(
             EndpointList(
                 2,
                 True,
                 tuple(engine(tmp_path / "other").config.known_endpoints.endpoints),
             )
         )
-        while hands.work():
+        while sync_jobs.work():
             pass
-        door = Door()
-        e.submit(
+        client = RecordingClient()
+        engine_under_test.submit(
             SubmittedMessage(
-                "m", "pay", 7, e.clock() + 10**7, None, None, "acme", False, b""
+                "m",
+                "pay",
+                7,
+                engine_under_test.clock() + 10**7,
+                None,
+                None,
+                "acme",
+                False,
+                b"",
             ),
-            door,
+            client,
         )
-        e.run_round()
-        e.frozen = e.state.closed = True
-        while hands.work():
+        engine_under_test.run_round()
+        engine_under_test.frozen = engine_under_test.state.closed = True
+        while sync_jobs.work():
             pass
-        assert door.said == [202] and not started
-        m = e.store.messages["m"]
-        assert m.attempts == 1 and not m.in_flight and m.executed_at_us < 0
-        e.store.release()
+        assert client.statuses == [202] and not started
+        message = engine_under_test.store.messages["m"]
+        assert (
+            message.attempts == 1
+            and not message.in_flight
+            and message.executed_at_us < 0
+        )
+        engine_under_test.store.release()
 
     asyncio.run(scene())
 
 
-def test_an_end_that_the_engine_gives_itself_holds_its_key_until_it_is_told(
+def test_engine_failed_message_blocks_key_until_notified(
     tmp_path: Path,
 ) -> None:
-    """Its watch ends what is past its time with no end. A late 200 came then, and the
-    next of the key went while the notice was still on its way.
+    """The engine itself fails a message that is past its deadline without a final
+    answer. Guards against a late 200 that then released the key while the notification
+    was still being sent.
     """
-    gate = asyncio.Event()
+    release_response = asyncio.Event()
 
-    async def side(request: Request) -> Answer:
-        await gate.wait()
+    async def endpoint(request: Request) -> Answer:
+        await release_response.wait()
         return Answer(200)
 
     async def scene(site: Site) -> None:
-        site.sides[0].handler = side
+        site.peers[0].handler = endpoint
         site.platform.accepts = False
-        e = await site.start()
+        site_engine = await site.start()
         assert await site.hand_in("first", "turns", X_Session_Key="k") == 202
-        await site.until(lambda: site.came("first"))
-        e.store.move_deadline(
-            e.store.messages["first"], 1
-        )  # as if its end had been forgotten
-        await site.until(lambda: "first" in e.store.pending_notifications)
+        await site.until(lambda: site.has_arrived("first"))
+        site_engine.store.move_deadline(
+            site_engine.store.messages["first"], 1
+        )  # as if the dispatcher had missed the deadline
+        await site.until(lambda: "first" in site_engine.store.pending_notifications)
         assert await site.hand_in("second", "turns", 8, X_Session_Key="k") == 202
-        gate.set()
-        await site.until(lambda: not e.pool.in_flight)
-        await site.passes("free")
-        assert not site.came("second")
+        release_response.set()
+        await site.until(lambda: not site_engine.pool.in_flight)
+        await site.deliver_with_other_key("free")
+        assert not site.has_arrived("second")
         await site.until(
-            lambda: e.metrics.messages_finished == 2
-        )  # the late 200 counts for nothing
+            lambda: site_engine.metrics.messages_finished == 2
+        )  # the late 200 is ignored
         site.platform.accepts = True
-        await site.until(lambda: site.came("second"))
-        assert site.told("first") == ["failed"]
+        await site.until(lambda: site.has_arrived("second"))
+        assert site.notified_states("first") == ["failed"]
 
     play(scene, Site(tmp_path))
--- a/tests/forwarder/test_settings_isolation.py
+++ b/tests/forwarder/test_settings_isolation.py
@@ -1,6 +1,5 @@
-"""Settings come from one configuration each: nothing is shared by two engines in one
-process, and nothing of those before a SIGHUP is left, but for messages that were taken
-on under them.
+"""Each engine uses the settings of its own configuration: two engines in one process
+share none, and after a SIGHUP only messages accepted under the old settings keep them.
 """
 
 from __future__ import annotations
@@ -49,14 +48,14 @@
     hang,
 )
 
-SECOND = 1_000_000
-BARE: dict[str, Any] = {
+SECOND_US = 1_000_000
+REQUIRED_SETTINGS: dict[str, Any] = {
     "family_info": {"slots": 4},
     "services": [
         {
             "name": name,
-            "aim_us": 2 * SECOND,
-            "deadline_us": 60 * SECOND,
+            "aim_us": 2 * SECOND_US,
+            "deadline_us": 60 * SECOND_US,
             "effect": effect,
         }
         for name, effect in (
@@ -66,15 +65,20 @@
         )
     ],
 }
-"""None of the optional keys."""
+"""Settings without any optional key."""
 
 
 def services(**effects: str) -> dict[str, Any]:
-    """Settings whose classes have these effects."""
-    base = {k: v for k, v in SETTINGS["services"][0].items() if k != "name"}
+    """Returns settings with one class per name, with the given effect."""
+    defaults = {
+        key: value for key, value in SETTINGS["services"][0].items() if key != "name"
+    }
     return {
         **SETTINGS,
-        "services": [{**base, "name": n, "effect": e} for n, e in effects.items()],
+        "services": [
+            {**defaults, "name": name, "effect": effect}
+            for name, effect in effects.items()
+        ],
     }
 
 
@@ -82,12 +86,12 @@
 
 
 class Site:
-    """An engine of this process with a platform of its own."""
+    """An engine in this process with its own discovery agent."""
 
-    def __init__(self, folder: Path, facts: dict[str, Any]) -> None:
-        self.folder, self.facts, self.platform, self.port = (
+    def __init__(self, folder: Path, settings: dict[str, Any]) -> None:
+        self.folder, self.settings, self.platform, self.port = (
             folder,
-            facts,
+            settings,
             Platform(),
             free_port(),
         )
@@ -99,47 +103,47 @@
                 "listen": f"127.0.0.1:{self.port}",
                 "discovery": f"127.0.0.1:{self.platform.port}",
                 "known": self.platform.listing(),
-                "settings": self.facts,
+                "settings": self.settings,
                 **changes,
             },
             {"LB_STATE": str(self.folder)},
         )
 
-    def begin(self) -> None:
+    def start(self) -> None:
         self.engine = Engine(self.config())
         self.run = asyncio.get_running_loop().create_task(self.engine.run())
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         async with asyncio.timeout(PATIENCE):
             while not self.engine.is_ready():
                 await asyncio.sleep(0.01)
 
-    async def hand_in(self, name: str, cls: str, **more: Any) -> int:
+    async def hand_in(self, name: str, cls: str, **headers: Any) -> int:
         client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
         try:
-            return (await client.hand_in(name, cls, **more))[0]
+            return (await client.hand_in(name, cls, **headers))[0]
         finally:
             client.writer.close()
 
-    async def until(self, test: Callable[[Engine], bool]) -> None:
+    async def until(self, condition: Callable[[Engine], bool]) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not test(self.engine):
+            while not condition(self.engine):
                 await asyncio.sleep(0.01)
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         self.engine.state.stopped.set()
         async with asyncio.timeout(PATIENCE):
             await self.run
 
 
-def together(
+def run_two_sites(
     scene: Callable[[Site, Site], Awaitable[None]],
     folder: Path,
-    one: dict[str, Any],
-    other: dict[str, Any],
+    settings: dict[str, Any],
+    other_settings: dict[str, Any],
 ) -> None:
     async def run() -> None:
-        sites = [Site(folder / "one", one), Site(folder / "other", other)]
+        sites = [Site(folder / "one", settings), Site(folder / "other", other_settings)]
         for site in sites:
             await site.platform.start()
         try:
@@ -147,26 +151,26 @@
         finally:
             for site in sites:
                 if hasattr(site, "engine"):
-                    await site.end()
+                    await site.stop()
 
     asyncio.run(run())
 
 
-def test_one_class_name_has_another_effect_at_each_of_two_engines(
+def test_engines_use_their_own_effect_for_the_same_class_name(
     tmp_path: Path,
 ) -> None:
     async def scene(one: Site, other: Site) -> None:
         answers = (Answer(500), OK)
-        first = await target(one.platform, always(*answers))
-        second = await target(other.platform, always(*answers))
+        peer = await target(one.platform, always(*answers))
+        other_peer = await target(other.platform, always(*answers))
         for site in (one, other):
-            site.begin()
-            await site.ready()
+            site.start()
+            await site.wait_ready()
         for site in (one, other):
             assert await site.hand_in("m", "order") == 202
         assert (await other.platform.notice("m"))["state"] == "failed"
-        await one.until(lambda e: e.metrics.fulfilled["order"] == 1)
-        assert (len(first.requests), len(second.requests)) == (2, 1)
+        await one.until(lambda engine: engine.metrics.fulfilled["order"] == 1)
+        assert (len(peer.requests), len(other_peer.requests)) == (2, 1)
         assert not one.platform.notices and other.engine.metrics.faulted["order"] == 1
         assert (
             await one.hand_in("n", "pay") == 404
@@ -175,7 +179,7 @@
         assert set(one.engine.metrics.fulfilled) == {"order", "status"}
         assert set(other.engine.metrics.fulfilled) == {"order", "pay"}
 
-    together(
+    run_two_sites(
         scene,
         tmp_path,
         services(order="repeatable", status="repeatable"),
@@ -183,7 +187,7 @@
     )
 
 
-def test_other_settings_for_one_engine_leave_the_other_as_it_was(
+def test_new_settings_of_one_engine_do_not_affect_the_other(
     tmp_path: Path,
 ) -> None:
     async def scene(one: Site, other: Site) -> None:
@@ -192,9 +196,9 @@
             for site in (one, other)
         ]
         for site in (one, other):
-            site.begin()
-            await site.ready()
-        was = (
+            site.start()
+            await site.wait_ready()
+        before = (
             other.engine.dispatcher.state.settings,
             other.engine.server.settings,
             dict(other.engine.batch_sizes),
@@ -203,16 +207,16 @@
             other.engine.store.rules,
         )
         allowed = {**SETTINGS["allowed"], "conn_idle_us": 9_000_000, "max_open": 1}
-        new = {
+        new_settings = {
             **services(order="once", pay="once"),
             "allowed": allowed,
             "host_types": ["lots"],
             "family_info": {"slots": 1, "kind_batch": [9]},
             "telemetry": {"fields": []},
         }
-        one.engine.config = one.config(settings=new)
+        one.engine.config = one.config(settings=new_settings)
         one.engine.reconfiguration.apply_settings(one.engine.config)
-        assert was == (
+        assert before == (
             other.engine.dispatcher.state.settings,
             other.engine.server.settings,
             other.engine.batch_sizes,
@@ -228,136 +232,161 @@
             await one.hand_in("m", "order") == await other.hand_in("m", "order") == 202
         )
         assert (await one.platform.notice("m"))["state"] == "failed"
-        await other.until(lambda e: e.metrics.fulfilled["order"] == 1)
-        assert [len(p.requests) for p in peers] == [1, 2]
+        await other.until(lambda engine: engine.metrics.fulfilled["order"] == 1)
+        assert [len(peer.requests) for peer in peers] == [1, 2]
         assert await other.hand_in("n", "pay") == 404
 
-    together(
+    run_two_sites(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
     )
 
 
-# Instances on one wire
+# Instances in one wire host
+
 
+def run_instances(settings_by_id: dict[str, dict[str, Any]]) -> list[dict[str, Any]]:
+    """Runs the instances for 2 s of simulated time and returns all their actions.
 
-def played(names: dict[str, dict[str, Any]]) -> list[dict[str, Any]]:
-    """All that these instances do over some seconds, where each call's end hangs on its
-    names alone.
+    The outcome of each call depends only on the forwarder id, the message id and the
+    attempt number.
     """
-    host, done, line = WireHost(), [], []
-    for name, told in sorted(names.items()):
-        n = len(name)
-        kinds = told["host_types"]
-        table = [
+    host, actions, inbox = WireHost(), [], []
+    for name, settings in sorted(settings_by_id.items()):
+        number = len(name)
+        kinds = settings["host_types"]
+        elements = [
             {
-                "target": 10 * n + k,
-                "belongs_to": 5 + k % 2,
-                "kind": kinds[k % len(kinds)],
-                "hall": told["zones"][0],
+                "target": 10 * number + index,
+                "belongs_to": 5 + index % 2,
+                "kind": kinds[index % len(kinds)],
+                "hall": settings["zones"][0],
                 "readiness": "SERVING",
                 "power_hint": 20.0,
             }
-            for k in range(4)
+            for index in range(4)
         ]
-        line += [
-            {"type": "TABLE", "buffer": n, "elements": table},
-            {"type": "UP", "forwarder_id": name, "entropy": len(name), "facts": told},
+        inbox += [
+            {"type": "TABLE", "buffer": number, "elements": elements},
+            {
+                "type": "UP",
+                "forwarder_id": name,
+                "entropy": len(name),
+                "facts": settings,
+            },
             {
                 "type": "MEMBERS",
                 "forwarder_id": name,
                 "how": "FULL",
                 "epoch": 1,
-                "buffer": n,
+                "buffer": number,
             },
         ]
-    ends: dict[int, list[dict[str, Any]]] = {}
-    tries: dict[tuple[str, str], int] = {}
+    outcomes: dict[int, list[dict[str, Any]]] = {}
+    attempts: dict[tuple[str, str], int] = {}
     for step in range(400):
         now = 5000 * step
-        line += ends.pop(step, [])
-        for name, told in sorted(names.items()):
-            cls = told["services"][step // 2 % len(told["services"])]["name"]
+        inbox += outcomes.pop(step, [])
+        for name, settings in sorted(settings_by_id.items()):
+            class_name = settings["services"][step // 2 % len(settings["services"])][
+                "name"
+            ]
             if step % 2 == 0 and step < 300:
-                line.append(
+                inbox.append(
                     {
                         "type": "ASK",
                         "forwarder_id": name,
                         "msg_id": f"m{step}",
                         "dest": 5 + step % 4 // 2,
-                        "class": cls,
+                        "class": class_name,
                         "route_key": f"k{step % 6}",
                         "due_us": now + 900_000,
                     }
                 )
-            line.append({"type": "DEADLINE_HIT", "forwarder_id": name, "token": "look"})
-        acts = json.loads(
-            host.handle_line(json.dumps({"clock_us": now, "inbox": line}))
+            inbox.append(
+                {"type": "DEADLINE_HIT", "forwarder_id": name, "token": "look"}
+            )
+        new_actions = json.loads(
+            host.handle_line(json.dumps({"clock_us": now, "inbox": inbox}))
         )["do"]
-        line = []
-        done += acts
-        for a in acts:
-            assert a["type"] != "INTERNAL_ERROR", a
-            if a["type"] == "ISSUE":
-                name, m = a["forwarder_id"], a["msg_id"]
-                n = tries[name, m] = tries.get((name, m), -1) + 1
-                luck = (int(m[1:]) * 7 + 3 * n + len(name)) % 11
-                result = "Failed" if luck < 3 else "QueueFull" if luck < 5 else "Ok"
-                end = {
+        inbox = []
+        actions += new_actions
+        for action in new_actions:
+            assert action["type"] != "INTERNAL_ERROR", action
+            if action["type"] == "ISSUE":
+                name, message_id = action["forwarder_id"], action["msg_id"]
+                number = attempts[name, message_id] = (
+                    attempts.get((name, message_id), -1) + 1
+                )
+                outcome_code = (int(message_id[1:]) * 7 + 3 * number + len(name)) % 11
+                result = (
+                    "Failed"
+                    if outcome_code < 3
+                    else "QueueFull"
+                    if outcome_code < 5
+                    else "Ok"
+                )
+                outcome = {
                     "type": "CLOSED_ATTEMPT",
                     "forwarder_id": name,
-                    "msg_id": m,
-                    "try": n,
-                    "target": a["target"],
+                    "msg_id": message_id,
+                    "try": number,
+                    "target": action["target"],
                     "result": result,
-                    "lag_us": 5000 * (3 + luck),
-                    "closed": luck >= 5,
-                    "wait_ms": 40 * (luck == 4),
+                    "lag_us": 5000 * (3 + outcome_code),
+                    "closed": outcome_code >= 5,
+                    "wait_ms": 40 * (outcome_code == 4),
                 }
-                if told_reports(names[name]):
-                    end["telemetry"] = [0.5, 30.0]
-                ends.setdefault(step + 3 + luck, []).append(end)
-    return done
+                if has_load_reports(settings_by_id[name]):
+                    outcome["telemetry"] = [0.5, 30.0]
+                outcomes.setdefault(step + 3 + outcome_code, []).append(outcome)
+    return actions
 
 
-def told_reports(told: dict[str, Any]) -> bool:
-    return bool(told["telemetry"]["fields"])
+def has_load_reports(settings: dict[str, Any]) -> bool:
+    return bool(settings["telemetry"]["fields"])
 
 
-def test_instances_of_two_deployments_in_one_process_act_as_alone() -> None:
+def test_instances_in_one_wire_host_act_as_in_separate_hosts() -> None:
     one, other = (
-        facts(f)
-        for f in SITES
-        if f.name in ("nakuru-clinic-supplies", "turku-ferry-freight")
+        facts(site)
+        for site in SITES
+        if site.name in ("nakuru-clinic-supplies", "turku-ferry-freight")
     )
-    for told in (
+    for settings in (
         one,
         other,
-    ):  # and one name for a class in both, with another effect in each
-        told["services"][0]["name"] = "order"
+    ):  # the same class name in both, with different settings
+        settings["services"][0]["name"] = "order"
     assert one["services"][0]["effect"] != other["services"][0]["effect"] or (
         one["services"][0]["deadline_us"] != other["services"][0]["deadline_us"]
     )
-    names = {"forwarder/a": one, "forwarder/bb": other}
-    both = played(names)
-    for name, told in names.items():
-        alone = played({name: told})
-        mine = [a for a in both if a["forwarder_id"] == name]
-        assert mine == alone
-        assert {a["type"] for a in mine} >= {"ISSUE", "ARM"} and len(mine) > 200
+    settings_by_id = {"forwarder/a": one, "forwarder/bb": other}
+    actions_of_both = run_instances(settings_by_id)
+    for name, settings in settings_by_id.items():
+        actions_alone = run_instances({name: settings})
+        own_actions = [
+            action for action in actions_of_both if action["forwarder_id"] == name
+        ]
+        assert own_actions == actions_alone
+        assert {action["type"] for action in own_actions} >= {"ISSUE", "ARM"} and len(
+            own_actions
+        ) > 200
 
 
-def up(name: str, told: dict[str, Any]) -> dict[str, Any]:
-    return {"type": "UP", "forwarder_id": name, "entropy": 1, "facts": told}
+def up_event(name: str, settings: dict[str, Any]) -> dict[str, Any]:
+    return {"type": "UP", "forwarder_id": name, "entropy": 1, "facts": settings}
 
 
-def test_an_instance_that_cannot_come_up_again_leaves_none_of_before() -> None:
-    """The one that ended used to go on under its name, with the settings that had been
-    replaced.
+def test_instance_that_fails_to_restart_is_removed() -> None:
+    """Guards against the previous instance that kept running under the same id with its
+    old settings.
     """
     host = WireHost()
-    host.handle_line(json.dumps({"clock_us": 0, "inbox": [up("f", BARE)]}))
-    bad = {**BARE, "family_info": {"slots": 0}}
-    ask = {
+    host.handle_line(
+        json.dumps({"clock_us": 0, "inbox": [up_event("f", REQUIRED_SETTINGS)]})
+    )
+    invalid = {**REQUIRED_SETTINGS, "family_info": {"slots": 0}}
+    ask_event = {
         "type": "ASK",
         "forwarder_id": "f",
         "msg_id": "m",
@@ -365,45 +394,57 @@
         "class": "gone",
         "due_us": 9,
     }
-    done = json.loads(
-        host.handle_line(json.dumps({"clock_us": 1, "inbox": [up("f", bad), ask]}))
+    actions = json.loads(
+        host.handle_line(
+            json.dumps({"clock_us": 1, "inbox": [up_event("f", invalid), ask_event]})
+        )
     )["do"]
-    assert [a["type"] for a in done] == ["INTERNAL_ERROR"]
+    assert [action["type"] for action in actions] == ["INTERNAL_ERROR"]
 
 
-# The file
+# The configuration file
 
 
-def test_settings_with_none_of_the_optional_keys_promise_nothing(
+def test_missing_optional_settings_allow_nothing(
     tmp_path: Path,
 ) -> None:
-    """What is not told is neither allowed nor known: a keyed message goes again
-    nowhere, as nothing says for how long and by whom its repeats are dropped.
+    """A missing key grants nothing: a keyed message is never repeated, because the
+    settings do not say how long and by which endpoints repeats are deduplicated.
     """
-    s = parse_settings(BARE)
-    assert [(c.idempotency, c.idempotency_window_us, c.ordered) for c in s.classes] == [
+    settings = parse_settings(REQUIRED_SETTINGS)
+    assert [
+        (
+            message_class.idempotency,
+            message_class.idempotency_window_us,
+            message_class.ordered,
+        )
+        for message_class in settings.classes
+    ] == [
         (Idempotency.ALWAYS, 0, False),
         (Idempotency.WITH_KEY, 0, False),
         (Idempotency.AT_MOST_ONCE, 0, False),
     ]
-    assert all(c.idempotency_scope is IdempotencyScope.ENDPOINT for c in s.classes)
+    assert all(
+        message_class.idempotency_scope is IdempotencyScope.ENDPOINT
+        for message_class in settings.classes
+    )
     assert not (
-        s.allow_parallel_attempts
-        or s.allow_cancel
-        or s.allow_health_checks
-        or s.send_retry_after
-        or s.subscribe_endpoint_list
-        or s.endpoint_weights_known
-        or s.late_weight_halves
-        or s.tenants
-        or s.destination_kinds
-        or s.zone_costs
+        settings.allow_parallel_attempts
+        or settings.allow_cancel
+        or settings.allow_health_checks
+        or settings.send_retry_after
+        or settings.subscribe_endpoint_list
+        or settings.endpoint_weights_known
+        or settings.late_weight_halves
+        or settings.tenants
+        or settings.destination_kinds
+        or settings.zone_costs
     )
     assert (
-        s.forwarder_count,
-        s.rejection_cost,
-        s.key_backoff_us,
-        s.idle_connection_us,
+        settings.forwarder_count,
+        settings.rejection_cost,
+        settings.key_backoff_us,
+        settings.idle_connection_us,
     ) == (
         1,
         0.0,
@@ -417,10 +458,15 @@
             for n in range(3)
         ]
         node = Node(folder, platform)
-        told = json.loads((folder / "config.json").read_text())
-        keep = ("name", "listen", "discovery")
+        config = json.loads((folder / "config.json").read_text())
+        kept_keys = ("name", "listen", "discovery")
         (folder / "config.json").write_text(
-            json.dumps({**{k: told[k] for k in keep}, "settings": BARE})
+            json.dumps(
+                {
+                    **{key: config[key] for key in kept_keys},
+                    "settings": REQUIRED_SETTINGS,
+                }
+            )
         )
         folder_nodes[-1].append(node)
         await node.start()
@@ -431,8 +477,10 @@
             == (await platform.notice("m2"))["state"]
             == "failed"
         )
-        await node.shows(lambda f: f["fulfilled"] == {"free": 1, "keyed": 0, "once": 0})
-        assert [len(p.requests) for p in peers] == [2, 1, 1]
+        await node.shows(
+            lambda figures: figures["fulfilled"] == {"free": 1, "keyed": 0, "once": 0}
+        )
+        assert [len(peer.requests) for peer in peers] == [2, 1, 1]
 
     play(scene, tmp_path)
 
@@ -448,25 +496,25 @@
         (None, ()),
     ],
 )
-def test_answers_hold_reports_only_where_the_settings_say_so(
+def test_load_reports_are_read_only_if_configured(
     telemetry: Any, fields: tuple[str, ...]
 ) -> None:
-    told = {
+    config = {
         "name": "n",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
         "settings": {**SETTINGS, "telemetry": telemetry},
     }
-    assert parse_config(told, {"LB_STATE": "/state"}).report_fields == fields
+    assert parse_config(config, {"LB_STATE": "/state"}).report_fields == fields
 
 
-def without(told: dict[str, Any], *path: str) -> dict[str, Any]:
-    made = copy.deepcopy(told)
-    inner = made
+def without_key(config: dict[str, Any], *path: str) -> dict[str, Any]:
+    changed = copy.deepcopy(config)
+    inner = changed
     for part in path[:-1]:
         inner = inner[int(part) if isinstance(inner, list) else part]
     del inner[path[-1]]
-    return made
+    return changed
 
 
 @pytest.mark.parametrize(
@@ -482,13 +530,13 @@
         (("settings", "prices", "waste"), False),
     ],
 )
-def test_a_new_file_may_leave_out_what_the_page_calls_optional_and_nothing_else(
+def test_replacement_config_may_omit_only_optional_keys(
     path: tuple[str, ...], valid: bool, tmp_path: Path
 ) -> None:
-    """A class that no longer keeps its order used to cost the whole file, and with it a
-    move of discovery.
+    """Guards against rejecting the whole file, including a new discovery address, when a
+    class no longer sets `by_arrival`.
     """
-    told = {
+    raw_config = {
         "name": "n",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
@@ -502,250 +550,267 @@
         },
     }
     env = {"LB_STATE": "/state", "LB_CONFIG": str(tmp_path / "config.json")}
-    old = parse_config(told, env)
-    new = without(told, *path)
-    (tmp_path / "config.json").write_text(json.dumps(new))
-    assert validate_replacement(json.dumps(new).encode(), old, env).valid is valid
+    old_config = parse_config(raw_config, env)
+    new_raw_config = without_key(raw_config, *path)
+    (tmp_path / "config.json").write_text(json.dumps(new_raw_config))
+    assert (
+        validate_replacement(json.dumps(new_raw_config).encode(), old_config, env).valid
+        is valid
+    )
     if not valid:
         with pytest.raises(ConfigError, match=f"{path[-1]} is missing"):
-            load_replacement(old, env)
+            load_replacement(old_config, env)
         return
-    s = load_replacement(old, env).settings
-    assert s.classes[0].ordered is (path[-1] != "by_arrival")
-    assert s.key_backoff_us == (0 if path[-1] == "key_rest_us" else 5000)
+    settings = load_replacement(old_config, env).settings
+    assert settings.classes[0].ordered is (path[-1] != "by_arrival")
+    assert settings.key_backoff_us == (0 if path[-1] == "key_rest_us" else 5000)
 
 
 # SIGHUP
 
 
-def test_new_messages_go_by_the_new_settings_and_open_ones_by_the_old(
+def test_open_messages_keep_their_settings_after_sighup(
     tmp_path: Path,
 ) -> None:
-    """One name, and at SIGHUP another effect, order and deadline; also once both have
-    seen a restart.
+    """A SIGHUP changes the effect, order and deadline of a class under the same name.
+    Also checked after a restart.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        go_on = asyncio.Event()
+        release_responses = asyncio.Event()
 
-        async def held(request: Request) -> Answer:
-            await go_on.wait()
+        async def respond_after_release(request: Request) -> Answer:
+            await release_responses.wait()
             return (
                 Answer(500)
                 if request.headers["x-correlation-id"].startswith("old")
                 else OK
             )
 
-        peer = await target(platform, held)
-        other = await target(platform, always(Answer(500), OK), "s2", block=8)
-        third = await target(platform, hang, "s3", block=9)
+        first_peer = await target(platform, respond_after_release)
+        second_peer = await target(platform, always(Answer(500), OK), "s2", block=8)
+        third_peer = await target(platform, hang, "s3", block=9)
         node = await node_on(folder, platform)
         assert (await node.hand_in("old", "pay"))[0] == 202
-        await peer.got(1)
+        await first_peer.got(1)
         await hang_up(
             node,
             settings=classes(
                 pay={
                     "effect": "by_key",
                     "key_scope": "all",
-                    "window_us": 30 * SECOND,
+                    "window_us": 30 * SECOND_US,
                     "by_arrival": True,
-                    "deadline_us": 20 * SECOND,
+                    "deadline_us": 20 * SECOND_US,
                 }
             ),
         )
         assert (await node.hand_in("long", "pay", left="50", dest=8))[
             0
-        ] == 400  # over twice its deadline
+        ] == 400  # more than twice the deadline of the class
         assert (
             await node.hand_in("bare", "pay", left="20", dest=8, Idempotency_Key=None)
         )[0] == 400
         assert (await node.hand_in("new", "pay", left="20", dest=8))[0] == 202
-        calls = await other.got(2)
-        assert [r.headers["x-correlation-id"] for r in calls] == ["new", "new"]
-        go_on.set()
+        calls = await second_peer.got(2)
+        assert [request.headers["x-correlation-id"] for request in calls] == [
+            "new",
+            "new",
+        ]
+        release_responses.set()
         assert (await platform.notice("old"))["state"] == "failed"
-        assert len(peer.requests) == 1
+        assert len(first_peer.requests) == 1
         assert (await node.hand_in("cut", "pay", left="40", dest=9))[0] == 202
-        await third.got(1)
+        await third_peer.got(1)
         await hang_up(node, settings=SETTINGS)
         await node.restart()
-        assert [r.headers["x-correlation-id"] for r in await third.got(2)] == [
+        assert [
+            request.headers["x-correlation-id"] for request in await third_peer.got(2)
+        ] == [
             "cut",
             "cut",
         ]
-        other.handler = always(Answer(500))
+        second_peer.handler = always(Answer(500))
         assert (await node.hand_in("last", "pay", dest=8))[0] == 202
         assert (await platform.notice("last"))["state"] == "failed"
 
     play(scene, tmp_path)
 
 
-def test_batches_and_limits_are_those_of_the_newest_settings(tmp_path: Path) -> None:
+def test_batch_sizes_and_limits_follow_newest_settings(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        go_on = asyncio.Event()
+        release_responses = asyncio.Event()
 
-        async def held(request: Request) -> Answer:
-            await go_on.wait()
+        async def respond_after_release(request: Request) -> Answer:
+            await release_responses.wait()
             if request.path == "/hook":
                 return OK
             ids = [item["id"] for item in json.loads(request.body)]
             return Answer(
                 200,
-                body=json.dumps([{"id": m, "state": "accepted"} for m in ids]).encode(),
+                body=json.dumps(
+                    [{"id": message_id, "state": "accepted"} for message_id in ids]
+                ).encode(),
             )
 
-        peer = await target(platform, held, kind="lots")
+        peer = await target(platform, respond_after_release, kind="lots")
         node = Node(folder, platform)
         folder_nodes[-1].append(node)
 
-        def told(batch: int, **allowed: int) -> dict[str, Any]:
-            patient = [{**c, "aim_us": 20 * SECOND} for c in SETTINGS["services"]]
+        def settings_with(batch_size: int, **allowed: int) -> dict[str, Any]:
+            slow_services = [
+                {**service, "aim_us": 20 * SECOND_US}
+                for service in SETTINGS["services"]
+            ]
             return {
                 **SETTINGS,
-                "services": patient,
+                "services": slow_services,
                 "allowed": {**SETTINGS["allowed"], **allowed},
                 "family_info": {
                     **SETTINGS["family_info"],
                     "slots": 1,
-                    "kind_batch": [1, batch],
+                    "kind_batch": [1, batch_size],
                 },
             }
 
         async def calls(prefix: str) -> list[str]:
-            """The first leaves alone, and what waits for it as the settings have it."""
-            go_on.clear()
+            """Hands in three messages and returns the paths of the calls: the first is sent
+            alone, the others wait and are batched according to the settings.
+            """
+            release_responses.clear()
             peer.requests.clear()
             for n in range(3):
                 assert (await node.hand_in(f"{prefix}{n}"))[0] == 202
             await peer.got(1)
-            go_on.set()
-            await node.shows(lambda f: f["open_requests"] == 0)
-            return [r.path for r in peer.requests]
+            release_responses.set()
+            await node.shows(lambda figures: figures["open_requests"] == 0)
+            return [request.path for request in peer.requests]
 
-        configure(node, settings=told(1))
+        configure(node, settings=settings_with(1))
         await node.start()
         assert await calls("a") == ["/hook"] * 3
-        await hang_up(node, settings=told(5))
+        await hang_up(node, settings=settings_with(5))
         assert await calls("b") == ["/hook", "/hook/batch"]
-        await hang_up(node, settings=told(1))
+        await hang_up(node, settings=settings_with(1))
         assert await calls("c") == ["/hook"] * 3
-        await hang_up(node, settings=told(1, max_open=3))
-        go_on.clear()
+        await hang_up(node, settings=settings_with(1, max_open=3))
+        release_responses.clear()
         assert [(await node.hand_in(f"d{n}"))[0] for n in range(2)] == [202, 202]
         assert (await node.hand_in("over"))[0] in (429, 503)
-        await hang_up(node, settings=told(1, max_open=9))
+        await hang_up(node, settings=settings_with(1, max_open=9))
         assert (await node.hand_in("fits"))[0] == 202
 
     play(scene, tmp_path)
 
 
-def test_reports_are_read_by_the_newest_fields(tmp_path: Path) -> None:
+def test_load_report_fields_follow_newest_settings(tmp_path: Path) -> None:
     async def scene(one: Site, other: Site) -> None:
         await target(
             one.platform, always(Answer(200, {"X-Backend-Load": "x0=0.5,x1=70"}))
         )
-        one.begin()
-        await one.ready()
-        ends: list[AttemptFinished] = []
-        book = one.engine.outcomes.record_outcome
-        one.engine.outcomes.record_outcome = lambda e: (ends.append(e), book(e))[1]  # type: ignore[method-assign]
+        one.start()
+        await one.wait_ready()
+        events: list[AttemptFinished] = []
+        record = one.engine.outcomes.record_outcome
+        one.engine.outcomes.record_outcome = lambda e: (events.append(e), record(e))[1]  # type: ignore[method-assign]
         for n, fields in enumerate((["x0", "x1"], [], ["x0", "x1"])):
             one.engine.reconfiguration.apply_settings(
-                one.config(settings={**one.facts, "telemetry": {"fields": fields}})
+                one.config(settings={**one.settings, "telemetry": {"fields": fields}})
             )
             assert await one.hand_in(f"m{n}", "order") == 202
             await one.until(lambda e, n=n: e.metrics.fulfilled["order"] == n + 1)
-        told = LoadReport(0.5, 70.0)
-        assert [e.load_report for e in ends] == [told, None, told]
+        report = LoadReport(0.5, 70.0)
+        assert [e.load_report for e in events] == [report, None, report]
 
-    together(
+    run_two_sites(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
     )
 
 
-def test_a_wait_at_the_last_gate_outlasts_settings_that_part_or_join_routes(
+def test_retry_after_survives_change_of_throttle_scope(
     tmp_path: Path,
 ) -> None:
     async def scene(one: Site, other: Site) -> None:
         await target(one.platform, always(OK))
         await target(one.platform, always(OK), "s2")
         await target(one.platform, always(OK), "s3", block=8)
-        one.begin()
-        await one.ready()
-        e = one.engine
-        n1, n2, n3 = (e.endpoint_id(f"s{n}") for n in (1, 2, 3))
-        e.pool.set_retry_after((7, -1), 1 << 60)
-        family = one.facts["family_info"]
-        e.reconfiguration.apply_settings(
+        one.start()
+        await one.wait_ready()
+        engine = one.engine
+        first, second, third = (engine.endpoint_id(f"s{n}") for n in (1, 2, 3))
+        engine.pool.set_retry_after((7, -1), 1 << 60)
+        family_info = one.settings["family_info"]
+        engine.reconfiguration.apply_settings(
             one.config(
                 settings={
-                    **one.facts,
-                    "family_info": {**family, "routes_apart": [True, False]},
+                    **one.settings,
+                    "family_info": {**family_info, "routes_apart": [True, False]},
                 }
             )
         )
         assert (
-            e.pool.retry_after_until[7, n1]
-            == e.pool.retry_after_until[7, n2]
+            engine.pool.retry_after_until[7, first]
+            == engine.pool.retry_after_until[7, second]
             == 1 << 60
-            and (8, n3) not in e.pool.retry_after_until
+            and (8, third) not in engine.pool.retry_after_until
         )
-        e.pool.set_retry_after((8, n3), 1 << 61)
-        e.reconfiguration.apply_settings(one.config())
+        engine.pool.set_retry_after((8, third), 1 << 61)
+        engine.reconfiguration.apply_settings(one.config())
         assert (
-            e.pool.retry_after_until[8, -1] == 1 << 61
-            and e.pool.retry_after_until[7, -1] == 1 << 60
+            engine.pool.retry_after_until[8, -1] == 1 << 61
+            and engine.pool.retry_after_until[7, -1] == 1 << 60
         )
 
-    together(
+    run_two_sites(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
     )
 
 
-def waiting_message(folder: Path, told: dict[str, Any], *hosts: dict[str, Any]) -> None:
-    """A journal in which a message waits, with the list of before."""
+def store_waiting_message(
+    folder: Path, raw_settings: dict[str, Any], *hosts: dict[str, Any]
+) -> None:
+    """Writes a journal with one waiting message and an earlier endpoint list."""
     store = MessageStore(folder, 3_000_000)
-    s = parse_settings(told)
-    store.use_rules(DeliveryRules(s.max_attempts, s.classes))
-    store.append_endpoint_list(1, {h["host"]: h for h in hosts}, 0, "")
+    settings = parse_settings(raw_settings)
+    store.use_rules(DeliveryRules(settings.max_attempts, settings.classes))
+    store.append_endpoint_list(1, {host["host"]: host for host in hosts}, 0, "")
     store.append_message(
         AcceptedMessage("m", "order", 7, 1 << 60, "key", None, b"body")
     )
     store.close()
 
 
-def test_sighup_while_a_start_waits_for_the_list_sends_nothing_by_that_of_before(
+def test_sighup_before_first_endpoint_list_sends_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The reading used to play a round at once, so that what the journal held went to a
-    drained target.
+    """Guards against a reload that runs a round at once and sends messages from the
+    journal to a draining endpoint.
     """
 
     async def scene(one: Site, other: Site) -> None:
         monkeypatch.setattr(startup, "FIRST_LIST_TIMEOUT_S", PATIENCE)
-        drained = await target(one.platform, always(OK))
-        waiting_message(one.folder, one.facts, *one.platform.hosts.values())
-        fresh = await target(one.platform, always(OK), "s2")
+        draining_peer = await target(one.platform, always(OK))
+        store_waiting_message(one.folder, one.settings, *one.platform.hosts.values())
+        new_peer = await target(one.platform, always(OK), "s2")
         one.platform.hosts["s1"]["health"], one.platform.seq = "draining", 2
-        gate, answer = asyncio.Event(), one.platform.answer
+        release_answers, platform_answer = asyncio.Event(), one.platform.answer
 
-        async def held(request: Request) -> Answer | bytes | None:
-            await gate.wait()
-            return await answer(request)
+        async def answer_after_release(request: Request) -> Answer | bytes | None:
+            await release_answers.wait()
+            return await platform_answer(request)
 
-        one.platform.handler = held
-        one.begin()
+        one.platform.handler = answer_after_release
+        one.start()
         await one.platform.got(1)
-        told = {
+        config = {
             **one.engine.config.raw,
             "known": None,
             "settings": {
-                **one.facts,
+                **one.settings,
                 "allowed": {**SETTINGS["allowed"], "max_open": 7},
             },
         }
-        (tmp_path / "config.json").write_text(json.dumps(told))
+        (tmp_path / "config.json").write_text(json.dumps(config))
         monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
         monkeypatch.setenv("LB_STATE", str(one.folder))
         one.engine.reload()
@@ -759,29 +824,29 @@
                 not one.engine.dispatcher.state.attempts
                 and not one.engine.pool.in_flight
             )
-        gate.set()
-        await fresh.got(1)
+        release_answers.set()
+        await new_peer.got(1)
         assert (
-            not drained.requests
+            not draining_peer.requests
             and one.engine.dispatcher.state.settings.max_open_messages == 7
         )
 
-    together(
+    run_two_sites(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
     )
 
 
-def test_sighup_in_the_last_moment_of_an_engine_opens_nothing_anew(
+def test_sighup_after_stop_starts_no_watch(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A watch that moved after the engine's end would have gone on beside that of the
-    engine after it.
+    """Guards against a watch that moves after the engine stopped and keeps running next
+    to the watch of the next engine.
     """
 
     async def scene(one: Site, other: Site) -> None:
-        one.begin()
-        await one.ready()
-        await one.end()
+        one.start()
+        await one.wait_ready()
+        await one.stop()
         (tmp_path / "config.json").write_text(
             json.dumps(
                 {
@@ -796,24 +861,24 @@
         one.engine.reload()
         assert (
             one.engine.config.discovery.port == other.platform.port
-        )  # for the engine after it
+        )  # used by the next engine
         assert one.engine.watch.task is None and one.engine.notifier.task is None
 
-    together(
+    run_two_sites(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
     )
 
 
-def test_what_waits_for_a_start_is_told_and_not_taken_for_in_force(
+def test_settings_that_need_a_restart_are_logged_and_not_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Another format of the log used to count as in force, though only a start brings
-    it.
+    """Guards against treating a changed log format as in effect: it only takes effect at
+    a start.
     """
 
     async def scene(one: Site, other: Site) -> None:
-        one.begin()
-        await one.ready()
+        one.start()
+        await one.wait_ready()
         (tmp_path / "config.json").write_text(
             json.dumps(
                 {
@@ -833,33 +898,34 @@
             "takes effect at the next start: admin_addr, log_format"
         )
 
-    together(
+    run_two_sites(
         scene, tmp_path, services(order="repeatable"), services(order="repeatable")
     )
 
 
-def test_sighup_before_the_journal_is_free_is_read_once_it_is(tmp_path: Path) -> None:
-    """A process that waits for the one before it has read its configuration already: a
-    SIGHUP that moves discovery meanwhile used to be ignored, and it began at the old
-    address.
+def test_sighup_before_journal_lock_is_applied_once_it_is_acquired(
+    tmp_path: Path,
+) -> None:
+    """Guards against ignoring a SIGHUP while the process waits for its predecessor. It
+    has read its configuration by then, and started with the old discovery address.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
-        moved = Platform()
-        await moved.start()
-        moved.hosts = platform.hosts
+        new_platform = Platform()
+        await new_platform.start()
+        new_platform.hosts = platform.hosts
         lock = JournalLock(folder / "state")
         assert lock.try_acquire()
         node = Node(folder, platform)
         folder_nodes[-1].append(node)
         await node.spawn()
         await node.until_logged("waiting")
-        configure(node, discovery=f"127.0.0.1:{moved.port}")
+        configure(node, discovery=f"127.0.0.1:{new_platform.port}")
         node.process.send_signal(signal.SIGHUP)
         lock.release()
         await node.until_ready()
-        await moved.got(1)
+        await new_platform.got(1)
         assert (await node.figures())["cfg_accepted"] == 1
 
     play(scene, tmp_path)
