--- a/tests/forwarder/test_call_races.py
+++ b/tests/forwarder/test_call_races.py
@@ -53,18 +53,18 @@
         self.open_sockets: list[socket.socket] = [self.listener]
 
     def accept(self) -> socket.socket:
-        side, _ = self.listener.accept()
-        side.settimeout(PATIENCE)
-        self.open_sockets.append(side)
-        return side
+        endpoint_socket, _ = self.listener.accept()
+        endpoint_socket.settimeout(PATIENCE)
+        self.open_sockets.append(endpoint_socket)
+        return endpoint_socket
 
     def has_waiting_connection(self) -> bool:
         """Returns whether a connection is waiting to be accepted."""
         return readable(self.listener)
 
     def close(self) -> None:
-        for side in self.open_sockets:
-            side.close()
+        for endpoint_socket in self.open_sockets:
+            endpoint_socket.close()
 
 
 @pytest.fixture
@@ -74,26 +74,30 @@
     target.close()
 
 
-def readable(side: socket.socket, patience_s: float = 0) -> bool:
-    return bool(select.select([side], [], [], patience_s)[0])
+def readable(endpoint_socket: socket.socket, patience_s: float = 0) -> bool:
+    return bool(select.select([endpoint_socket], [], [], patience_s)[0])
 
 
-def is_closed_by_forwarder(side: socket.socket, patience_s: float = 1.0) -> bool:
+def is_closed_by_forwarder(
+    endpoint_socket: socket.socket, patience_s: float = 1.0
+) -> bool:
     """Returns whether the forwarder has closed its side of the connection.
 
     Blocks the event loop meanwhile, so a close that is only scheduled does not count.
     """
-    if not readable(side, patience_s):
+    if not readable(endpoint_socket, patience_s):
         return False
     try:
-        return side.recv(1, socket.MSG_PEEK) == b""
+        return endpoint_socket.recv(1, socket.MSG_PEEK) == b""
     except ConnectionResetError:
         return True
 
 
-def send_reset(side: socket.socket) -> None:
-    side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    side.close()
+def send_reset(endpoint_socket: socket.socket) -> None:
+    endpoint_socket.setsockopt(
+        socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+    )
+    endpoint_socket.close()
 
 
 def wait_readable(connection: EndpointConnection) -> None:
@@ -104,16 +108,16 @@
     assert poll.poll(PATIENCE * 1000)
 
 
-def read_request(side: socket.socket) -> bytes:
+def read_request(endpoint_socket: socket.socket) -> bytes:
     """Reads one whole request and returns its head."""
     data = b""
     while b"\r\n\r\n" not in data:
-        data += (chunk := side.recv(1 << 16))
+        data += (chunk := endpoint_socket.recv(1 << 16))
         assert chunk
     head, _, body = data.partition(b"\r\n\r\n")
     body_bytes = int(head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0])
     while len(body) < body_bytes:
-        body += (chunk := side.recv(1 << 20))
+        body += (chunk := endpoint_socket.recv(1 << 20))
         assert chunk
     return head
 
@@ -170,19 +174,19 @@
         call = self.call(*names, body=body, left_us=left_us)
         self.pool.start(call)
         await until(lambda: call.connection is not None)
-        side = self.target.accept()
-        read_request(side)
-        return call, side
+        endpoint_socket = self.target.accept()
+        read_request(endpoint_socket)
+        return call, endpoint_socket
 
     async def open_idle_connections(self, count: int = 1) -> list[socket.socket]:
         """Opens `count` idle connections, each of which has carried one call."""
         calls = [await self.start_call(f"before-{n}") for n in range(count)]
-        for _, side in calls:
-            side.sendall(OK)
+        for _, endpoint_socket in calls:
+            endpoint_socket.sendall(OK)
         await until(lambda: len(self.pool.idle.get(1, [])) == count)
         assert self.outcomes() == [Outcome.DELIVERED] * count
         self.finished_attempts.clear()
-        return [side for _, side in calls]
+        return [endpoint_socket for _, endpoint_socket in calls]
 
     def only_connection(self) -> EndpointConnection:
         (connection,) = self.pool.connections
@@ -310,7 +314,7 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "partial line"])
-def test_connection_lost_while_established_carries_no_call(
+def test_connection_lost_during_connect_carries_no_call(
     how: str, target: Target, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An endpoint at its connection limit accepts and closes at once. A close that is
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -511,11 +511,14 @@
     """The second message may be sent once the first is finished. It goes to another
     destination, where nothing else delays it.
     """
-    gate, lose_response = asyncio.Event(), [way == "notification response lost"]
+    release_response, lose_response = (
+        asyncio.Event(),
+        [way == "notification response lost"],
+    )
 
     async def endpoint(request: Request) -> Answer | None:
         if way in ("delivered", "killed during call"):
-            await gate.wait()
+            await release_response.wait()
             return Answer(200)
         if way == "timed out":
             await hang(request)
@@ -531,7 +534,7 @@
                 and lose_response[0]
                 and site.platform.notices
             ):
-                await gate.wait()
+                await release_response.wait()
                 lose_response[0] = False
                 return None  # the agent stores the notification, but its 204 is lost
             return answer
@@ -576,7 +579,7 @@
             await site.start()
         await site.deliver_with_other_key("free")
         assert not site.has_arrived("second")
-        gate.set()
+        release_response.set()
         site.platform.accepts = True
         await site.until(lambda: site.has_arrived("second"))
         notification_count = {
@@ -604,7 +607,7 @@
         await site.until(lambda: site.has_arrived("first"))
         await site.kill()
         site_engine = await site.start()
-        first_round_us = (
+        last_round_us = (
             site_engine.events.last_round_us
         )  # earlier rounds were in the old process
         site.engine = site_engine
@@ -615,7 +618,7 @@
             site.notified_states("first") == ["failed"]
             and len(site.peers[0].requests) == 1
         )
-        assert site_engine.clock() >= sequence.backoff_until and first_round_us > 0
+        assert site_engine.clock() >= sequence.backoff_until and last_round_us > 0
 
     play(scene, Site(tmp_path))
 
