--- a/tests/forwarder/test_config_validation.py
+++ b/tests/forwarder/test_config_validation.py
@@ -1,4 +1,4 @@
-"""A configuration is looked at whole, with no effect."""
+"""Validation reports every fault of a configuration and has no effect."""
 
 from __future__ import annotations
 
@@ -31,29 +31,30 @@
 }
 
 
-def force() -> Config:
+def config_in_force() -> Config:
     return parse_config(copy.deepcopy(FILE), ENV)
 
 
-def changed(change: Callable[[Any], object]) -> bytes:
-    made = copy.deepcopy(FILE)
-    change(made)
-    return json.dumps(made).encode()
+def changed_file(change: Callable[[Any], object]) -> bytes:
+    config = copy.deepcopy(FILE)
+    change(config)
+    return json.dumps(config).encode()
 
 
 def faults(text: bytes) -> dict[str, str]:
     return {
-        f["path"]: f["fault"] for f in validate_replacement(text, force(), ENV).faults
+        fault["path"]: fault["fault"]
+        for fault in validate_replacement(text, config_in_force(), ENV).faults
     }
 
 
 def test_the_file_in_force_is_valid_and_changes_nothing() -> None:
-    verdict = validate_replacement(json.dumps(FILE).encode(), force(), ENV)
-    assert verdict.valid and verdict.config == force()
+    verdict = validate_replacement(json.dumps(FILE).encode(), config_in_force(), ENV)
+    assert verdict.valid and verdict.config == config_in_force()
     assert not verdict.changes and not verdict.warnings and not verdict.needs_restart
 
 
-def test_all_faults_are_told_at_once_with_their_paths() -> None:
+def test_all_faults_are_reported_at_once_with_their_paths() -> None:
     def spoil(c: Any) -> None:
         del c["settings"]["allowed"]["max_open"]
         c["settings"]["services"][1]["deadline_us"] = 0
@@ -61,7 +62,7 @@
         c["limits"]["sockets"] = "many"
         c["settings"]["balancers"] = float("nan")
 
-    assert faults(changed(spoil)) == {
+    assert faults(changed_file(spoil)) == {
         "settings.allowed.max_open": "missing",
         "settings.services[1].deadline_us": "not over 0",
         "settings.services[3].name": "'order' stands there twice",
@@ -86,11 +87,11 @@
     ],
 )
 def test_each_bad_value_is_a_fault(change: Callable[[Any], object], path: str) -> None:
-    found = faults(changed(change))
+    found = faults(changed_file(change))
     assert found.get(path)
 
 
-def test_doubled_keys_and_numbers_without_end_are_faults() -> None:
+def test_duplicate_keys_and_infinite_numbers_are_faults() -> None:
     text = (
         json.dumps(FILE)
         .replace('"balancers": 1', '"balancers": 1, "balancers": 2')
@@ -107,8 +108,8 @@
     "text",
     [b"", b"  ", b"{", b'{"name": "n0"', b"\xff\xfe", b"[1]", b"3", b"[" * 100_000],
 )
-def test_what_is_no_configuration_at_all_is_unreadable(text: bytes) -> None:
-    verdict = validate_replacement(text, force(), ENV)
+def test_file_that_is_no_json_object_is_unreadable(text: bytes) -> None:
+    verdict = validate_replacement(text, config_in_force(), ENV)
     assert (
         verdict.parse_error
         and not verdict.valid
@@ -116,14 +117,14 @@
     )
 
 
-def test_changes_warnings_and_what_waits_for_a_start_are_told() -> None:
+def test_changes_warnings_and_keys_that_need_a_restart_are_reported() -> None:
     def change(c: Any) -> None:
         c["settings"]["services"][0]["aim_us"] += 1
         c["settings"]["services"][3] = {**c["settings"]["services"][3], "name": "fee"}
         c.update(listen="127.0.0.1:3001", durability="power", colour="red")
         c["limits"]["shoes"] = 2
 
-    verdict = validate_replacement(changed(change), force(), ENV)
+    verdict = validate_replacement(changed_file(change), config_in_force(), ENV)
     assert verdict.valid and verdict.needs_restart == ["listen", "durability"]
     assert verdict.warnings == [
         f"{k}: not known to this version" for k in ("colour", "limits.shoes")
@@ -139,13 +140,13 @@
     ]
 
 
-def test_paths_are_general_without_their_places() -> None:
+def test_generalized_path_has_no_list_indexes() -> None:
     assert (
         generalize_path("a.b[12].c[0]") == "a.b[].c[]" and generalize_path("a") == "a"
     )
 
 
-def test_a_digest_goes_by_what_is_run_and_not_by_how_it_is_written() -> None:
+def test_digest_ignores_key_order_and_instance_specific_keys() -> None:
     other = {key: FILE[key] for key in reversed(FILE)}
     other |= {
         "name": "n1",
@@ -154,11 +155,15 @@
         "known": None,
         "admin_addr": "x:1",
     }
-    assert config_digest(other) == config_digest(FILE) == config_digest(force().raw)
+    assert (
+        config_digest(other)
+        == config_digest(FILE)
+        == config_digest(config_in_force().raw)
+    )
     assert config_digest({**FILE, "discovery": "127.0.0.1:8501"}) != config_digest(FILE)
 
 
-def test_a_fleet_can_be_asked_who_runs_what(tmp_path: Path) -> None:
+def test_admin_address_reports_the_configuration_in_force(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         node = await node_on(folder, platform)
 
@@ -182,7 +187,7 @@
         assert await in_force() == second
         await hang_up(
             node, settings=classes(fresh={}), durability="power"
-        )  # waits for a start
+        )  # takes effect at the next start
         assert (await in_force())["digest"] == second["digest"]
         await hang_up(node, settings=SETTINGS, durability="process")
         assert (await in_force())["digest"] == first["digest"]
@@ -191,7 +196,7 @@
     play(scene, tmp_path)
 
 
-def test_a_check_over_the_wire_has_no_effect(tmp_path: Path) -> None:
+def test_check_at_the_admin_address_has_no_effect(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -204,10 +209,10 @@
             "changes": [],
             "restart": [],
         }
-        told = json.loads(good)
-        told["settings"]["services"][0]["deadline_us"] = -5
+        invalid = json.loads(good)
+        invalid["settings"]["services"][0]["deadline_us"] = -5
         large = {
-            **told,
+            **invalid,
             "known": {"seq": 1, "whole": True, "hosts": [platform.hosts["s1"]] * 600},
         }
         status, text = await node.operate(
--- a/tests/forwarder/test_descriptor_limits.py
+++ b/tests/forwarder/test_descriptor_limits.py
@@ -1,5 +1,5 @@
-"""Descriptors: what a flood of clients may hold at most, and what the others keep for
-themselves.
+"""File descriptors: how many a flood of clients may hold at most, and how many stay
+reserved for calls, discovery, the journal and the admin address.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 )
 
 
-def held() -> int:
+def open_descriptors() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
@@ -52,13 +52,15 @@
     return int(listener.sockets[0].getsockname()[1])
 
 
-async def most_held(until: Callable[[], bool]) -> int:
-    """The greatest number of descriptors in any turn of the loop until then."""
-    most = held()
+async def max_open_descriptors(condition: Callable[[], bool]) -> int:
+    """The greatest number of open descriptors in any loop iteration until the condition
+    holds.
+    """
+    most = open_descriptors()
     async with asyncio.timeout(PATIENCE):
-        while not until():
+        while not condition():
             await asyncio.sleep(0)
-            most = max(most, held())
+            most = max(most, open_descriptors())
     return most
 
 
@@ -71,20 +73,19 @@
         b"GET /no HTTP/1.1\r\nConnection: close\r\n\r\n",
     ],
 )
-def test_a_burst_of_connections_stays_within_the_bound_in_every_turn(
+def test_burst_of_connections_stays_within_the_limit_in_every_loop_iteration(
     says: bytes,
 ) -> None:
-    """Many accepts fall into one turn of the loop, and a connection that makes room
-    keeps its descriptor until the next: each newcomer needs one of its own to go. Those
-    count as well that were refused and are read on for a while, and those that are
-    closing.
+    """Many accepts fall into one loop iteration, and an evicted connection keeps its
+    descriptor until the next one: each new connection evicts one of its own. Rejected
+    connections that are still read for a while and closing ones count too.
     """
 
     class Counting(InboundServer):
-        joins = 0
+        added = 0
 
         def add_connection(self, connection: object) -> None:
-            self.joins += 1
+            self.added += 1
             super().add_connection(connection)  # type: ignore[arg-type]
 
     async def scene() -> None:
@@ -98,9 +99,9 @@
         ]
         for client in clients:
             client.sendall(says)
-        before = held()
-        most = await most_held(
-            lambda: server.joins == len(clients) and len(server.connections) <= 5
+        before = open_descriptors()
+        most = await max_open_descriptors(
+            lambda: server.added == len(clients) and len(server.connections) <= 5
         )
         assert most - before <= 5 + ACCEPT_LOOP_ITERATIONS * ACCEPT_BATCH
         await server.close()
@@ -111,12 +112,12 @@
 
 
 @pytest.mark.parametrize("others", [0, 1])
-def test_half_requests_that_fill_the_door_make_room_for_who_comes_with_whole_ones(
+def test_incomplete_requests_are_evicted_for_complete_ones(
     others: int,
 ) -> None:
-    """All but those that had an answer before stand half read. `/up` is asked on new
-    connections: it is answered, those go that never got to a whole request, and who was
-    there before stays.
+    """All connections but those that had an answer before hold an incomplete request.
+    `/up` is answered on new connections: those that never completed a request are
+    evicted, and those that were served before stay.
     """
 
     async def scene() -> None:
@@ -126,37 +127,34 @@
         )
         await server.listen("127.0.0.1", 0)
         port = port_of(server.listener)
-        before = [
+        served = [
             await asyncio.open_connection("127.0.0.1", port) for _ in range(others)
         ]
-        for streams in before:
-            await up(*streams)
-        halves = [
+        for streams in served:
+            await check_up(*streams)
+        incomplete = [
             await asyncio.open_connection("127.0.0.1", port) for _ in range(5 - others)
         ]
-        for _, writer in halves:
+        for _, writer in incomplete:
             writer.write(b"POST /order HTTP/1.1\r\nX-")
         async with asyncio.timeout(PATIENCE):
             while sum(
                 c.incomplete_request is not None for c in server.connections
-            ) < len(halves):
+            ) < len(incomplete):
                 await asyncio.sleep(0.001)
         now[0] += FIRST_REQUEST_WAIT_US
-        for _ in halves:
-            await up(*await asyncio.open_connection("127.0.0.1", port))
-        for streams in before:
-            await up(*streams)
+        for _ in incomplete:
+            await check_up(*await asyncio.open_connection("127.0.0.1", port))
+        for streams in served:
+            await check_up(*streams)
         await server.close()
 
     asyncio.run(scene())
 
 
-def test_connections_that_rest_after_an_answer_push_out_nobody_who_was_not_read_yet() -> (
-    None
-):
-    """The door is full of connections that were served and rest. A client comes and
-    asks in the same moment, and more come behind it before its request can have been
-    read.
+def test_unread_connection_is_not_evicted_while_idle_ones_fill_the_limit() -> None:
+    """Idle connections that were served fill the limit. A client connects and sends its
+    request at once, and 100 more connect before its request can be read.
     """
 
     async def scene() -> None:
@@ -168,9 +166,9 @@
         )
         await server.listen("127.0.0.1", 0)
         port = port_of(server.listener)
-        resting = [await asyncio.open_connection("127.0.0.1", port) for _ in range(64)]
-        for streams in resting:
-            await up(*streams)
+        idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(64)]
+        for streams in idle:
+            await check_up(*streams)
         client = socket.create_connection(("127.0.0.1", port))
         client.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(100)]
@@ -185,7 +183,7 @@
     asyncio.run(scene())
 
 
-async def up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def check_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
     async with asyncio.timeout(PATIENCE):
         first = await reader.readline()
@@ -193,7 +191,7 @@
         await reader.readuntil(b"up\n")
 
 
-IDLERS = (
+IDLE_CLIENT_BYTES = (
     b"",
     b"\r\n",
     b"POST /order HTTP/1.1\r\nX-",
@@ -202,67 +200,67 @@
 
 
 class Flood:
-    """Connections that say nothing, blank lines, half a request, or were served once
-    and rest. They stay until they are closed, and come anew each time that the test
-    says so.
+    """Connections that send nothing, blank lines or an incomplete request, or that are
+    idle after one answer. They stay open until they are closed; `fill` adds more.
     """
 
     def __init__(self, port: int) -> None:
-        self.port, self.socks = port, list[socket.socket]()
+        self.port, self.sockets = port, list[socket.socket]()
 
-    def fill(self, many: int) -> None:
-        for n in range(many):
+    def fill(self, count: int) -> None:
+        for n in range(count):
             sock = socket.create_connection(("127.0.0.1", self.port))
-            sock.sendall(IDLERS[n % len(IDLERS)])
-            self.socks.append(sock)
+            sock.sendall(IDLE_CLIENT_BYTES[n % len(IDLE_CLIENT_BYTES)])
+            self.sockets.append(sock)
 
     def end(self) -> None:
-        for sock in self.socks:
+        for sock in self.sockets:
             sock.close()
 
 
 class Outage:
-    """The agent of discovery goes and comes back, by its process or by its silence."""
+    """An outage of the discovery agent: its process is gone, or it does not answer."""
 
     def __init__(self, platform: Platform) -> None:
-        self.platform, self.back = platform, asyncio.Event()
+        self.platform, self.returned = platform, asyncio.Event()
 
     async def begin(self, silent: bool) -> None:
         if silent:
             answer = self.platform.handler
 
-            async def held(request: Request) -> Answer | bytes | None:
-                await self.back.wait()
+            async def answer_after_return(request: Request) -> Answer | bytes | None:
+                await self.returned.wait()
                 return await answer(request)
 
-            self.platform.handler = held
+            self.platform.handler = answer_after_return
         else:
             self.platform.server.close()
         for request in self.platform.requests:
             request.writer.transport.abort()
 
     async def end(self, silent: bool) -> None:
-        self.back.set()
+        self.returned.set()
         if not silent:
             await self.platform.start()
 
 
 @pytest.mark.parametrize("silent", [False, True])
-def test_idle_clients_take_no_descriptor_of_discovery_notices_journal_and_calls(
+def test_idle_clients_leave_descriptors_for_discovery_notifications_journal_and_calls(
     silent: bool, tmp_path: Path
 ) -> None:
-    """The process may hold just what its configuration says, the door is full and stays
-    so, discovery is down. `/up`, hand-ins, calls and a new journal file go on; the list
-    and the notices are had again on the return.
+    """The process is limited to the descriptors of its configuration, clients fill the
+    connection limit all the time, and discovery is down. `/up`, submissions, calls and a
+    journal rewrite still work; the endpoint list and the notifications resume when
+    discovery returns.
     """
 
     async def scene() -> None:
         platform = Platform()
         await platform.start()
         peer = await Peer(always(OK)).start()
-        spoilt = await Peer(always(Answer(500))).start()
+        failing_peer = await Peer(always(Answer(500))).start()
         platform.host("good", peer.port)
-        platform.host("bad", spoilt.port, block=8)
+        platform.host("bad", failing_peer.port, block=8)
         node = await Node(tmp_path, platform, max_open=1000).start()
         resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (256, 256))
         outage, flood = Outage(platform), Flood(node.port)
@@ -270,12 +268,12 @@
             await outage.begin(silent)
             for n in range(12):
                 flood.fill(150)
-                await up(*await asyncio.open_connection("127.0.0.1", node.port))
+                await check_up(*await asyncio.open_connection("127.0.0.1", node.port))
                 flood.fill(50)
                 assert (await node.hand_in(f"m{n}", body=60_000 * b"a"))[0] == 202
                 await peer.got(n + 1)
             assert (await node.hand_in("ends", "status", left="1", dest=8))[0] == 202
-            await spoilt.got(1)
+            await failing_peer.got(1)
             flood.fill(150)
             platform.seq += 1
             platform.hosts["good"]["health"] = "draining"
@@ -283,7 +281,7 @@
             await outage.end(silent)
             await node.until_logged(": endpoint list version 2: ")
             assert (await platform.notice("ends"))["state"] in ("failed", "returned")
-            await up(*await asyncio.open_connection("127.0.0.1", node.port))
+            await check_up(*await asyncio.open_connection("127.0.0.1", node.port))
             figures = await node.figures()
             assert (
                 figures["journal"]["rewrites"] > 0 and not figures["journal"]["faults"]
@@ -299,43 +297,43 @@
     asyncio.run(scene())
 
 
-def test_a_burst_at_the_operators_address_stays_within_its_bound_in_every_turn() -> (
+def test_burst_at_the_admin_address_stays_within_its_limit_in_every_loop_iteration() -> (
     None
 ):
-    """It holds few descriptors, and those of its own: else operators' calls would take
-    the others'.
+    """The admin address has a small share of descriptors of its own: without a bound its
+    connections would take those of the other shares.
     """
 
     async def scene() -> None:
         admin = AdminServer()
         port = free_port()
         await admin.listen(Address("127.0.0.1", port))
-        callers = [socket.create_connection(("127.0.0.1", port)) for _ in range(60)]
-        before = held()
+        clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(60)]
+        before = open_descriptors()
         last = socket.create_connection(("127.0.0.1", port))
         last.sendall(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
         last.setblocking(False)
         answer = asyncio.create_task(asyncio.get_running_loop().sock_recv(last, 100))
-        most = await most_held(answer.done)
+        most = await max_open_descriptors(answer.done)
         assert (
             most - before
             <= 1 + MAX_CONNECTIONS + ACCEPT_LOOP_ITERATIONS * ADMIN_ACCEPTS
         )
         assert answer.result().startswith(b"HTTP/1.1 503")
         admin.close()
-        for sock in [last, *callers]:
+        for sock in [last, *clients]:
             sock.close()
 
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize("sockets", [*range(256, 1025, 32)])
-def test_the_shares_leave_what_all_others_hold_and_a_third_for_requests(
+def test_descriptor_shares_fit_the_limit_and_leave_a_third_for_requests(
     sockets: int, tmp_path: Path
 ) -> None:
-    """The sum that stands beside the constants: clients and those that come while room
-    is made, calls, the operators' address, and one descriptor each of everything else,
-    all at once.
+    """The sum that is given beside the constants: clients and those that connect while
+    others are evicted, calls, the admin address, and one descriptor for each other use,
+    all at the same time.
     """
 
     async def scene() -> None:
@@ -354,7 +352,7 @@
     asyncio.run(scene())
 
 
-def test_the_shares_go_by_the_limit_of_the_process_where_that_is_lower(
+def test_descriptor_shares_follow_a_lower_process_limit(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
@@ -373,11 +371,11 @@
     asyncio.run(scene())
 
 
-async def base_of(pid: int) -> list[str]:
+async def open_files(pid: int) -> list[str]:
     return [os.readlink(f"/proc/{pid}/fd/{n}") for n in os.listdir(f"/proc/{pid}/fd")]
 
 
-def test_a_process_at_rest_holds_no_more_than_is_counted_as_its_own(
+def test_idle_process_holds_at_most_the_reserved_descriptors(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
@@ -388,7 +386,7 @@
         await node.start()
         try:
             await platform.got(1)
-            assert len(await base_of(node.process.pid)) <= RESERVED_DESCRIPTORS
+            assert len(await open_files(node.process.pid)) <= RESERVED_DESCRIPTORS
         finally:
             await node.end()
             assert node.listener is not None
@@ -416,18 +414,20 @@
     )
 
 
-class FewFiles(LocalFileSystem):
-    """A system that has no descriptor left for another file, while the test says so."""
+class DescriptorLimitedFileSystem(LocalFileSystem):
+    """A file system whose `open` or directory sync fails with EMFILE while `failing`
+    names it.
+    """
 
-    out = ""
+    failing = ""
 
     def open(self, path: Path, anew: bool = False) -> int:
-        if self.out == "open":
+        if self.failing == "open":
             raise OSError(errno.EMFILE, "Too many open files")
         return super().open(path, anew)
 
     def sync_directory(self, path: Path) -> None:
-        if self.out == "folder":
+        if self.failing == "folder":
             raise OSError(errno.EMFILE, "Too many open files")
         super().sync_directory(path)
 
@@ -435,15 +435,14 @@
 @pytest.mark.parametrize(
     ("power", "fails_at"), [(False, "open"), (True, "open"), (True, "folder")]
 )
-def test_a_new_journal_file_that_gets_no_descriptor_costs_no_message(
+def test_journal_rewrite_without_a_free_descriptor_loses_no_message(
     power: bool, fails_at: str, tmp_path: Path
 ) -> None:
-    """The two events: the journal has grown so far that it is written anew, and the
-    process has no descriptor. What was taken on stays, also over a kill in that moment;
-    nothing new is promised that is not kept; and once there is a descriptor again, all
-    is as before.
+    """The journal has grown so far that it is rewritten, and the process has no descriptor
+    left. Accepted messages stay, also over a kill at that moment; no message is accepted
+    that is not stored; and once a descriptor is free again, the store works as before.
     """
-    files, jobs = FewFiles(), list[Callable[[], None]]()
+    files, jobs = DescriptorLimitedFileSystem(), list[Callable[[], None]]()
 
     def worker(job: Callable[[], None], done: Callable[[OSError | None], None]) -> None:
         def run() -> None:
@@ -456,36 +455,36 @@
 
         jobs.append(run)
 
-    def work() -> None:
+    def run_jobs() -> None:
         while jobs:
             jobs.pop(0)()
 
     store = MessageStore(
         tmp_path, 3_000_000, worker=worker if power else None, files=files
     )
-    work()
-    promised: list[str] = []
+    run_jobs()
+    committed: list[str] = []
     for n in range(20):
         name = f"m{n}"
         store.append_message(
             AcceptedMessage(name, "order", 7, 10**16, f"k{n}", "acme", b"a" * 20_000)
         )
-        store.commit(lambda ok, name=name: promised.append(name) if ok else None)  # type: ignore[misc]
-        work()
+        store.commit(lambda ok, name=name: committed.append(name) if ok else None)  # type: ignore[misc]
+        run_jobs()
         if (
-            name not in promised or 1 < n < 19
-        ):  # so that the file grows and what it holds does not
+            name not in committed or 1 < n < 19
+        ):  # so that the file grows while the live messages do not
             store.append_finished(name)
-        files.out = fails_at
+        files.failing = fails_at
     assert store.failed and not store.has_capacity(10)
-    kept = [name for name in promised if name in store.messages]
-    assert kept[:2] == ["m0", "m1"]
-    killed = MessageStore(tmp_path, 3_000_000, write=False, files=LocalFileSystem())
-    assert set(kept) <= killed.messages.keys() and not killed.report.damaged
-    files.out = ""
+    live = [name for name in committed if name in store.messages]
+    assert live[:2] == ["m0", "m1"]
+    after_kill = MessageStore(tmp_path, 3_000_000, write=False, files=LocalFileSystem())
+    assert set(live) <= after_kill.messages.keys() and not after_kill.report.damaged
+    files.failing = ""
     store.log.retry_at = 0
     store.log.retry_after_failure()
-    work()
+    run_jobs()
     assert not store.failed and store.has_capacity(10)
     store.close()
-    assert list(MessageStore(tmp_path, 3_000_000).messages) == kept
+    assert list(MessageStore(tmp_path, 3_000_000).messages) == live
--- a/tests/forwarder/test_endpoint_list_deadline.py
+++ b/tests/forwarder/test_endpoint_list_deadline.py
@@ -1,6 +1,6 @@
-"""A change to the list binds 6 s after discovery had it, and 4 s after SIGHUP: the sum
-of the longest way by the constants, and the watch with the module on a clock that the
-test moves.
+"""A change to the endpoint list takes effect within 6 s of its arrival at discovery, and
+within 4 s of SIGHUP: checked as the sum of the constants on the longest path, and with
+the watch and the dispatcher on virtual time.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 from rainfall.wirehost import parse_settings
 from tests.support.loopback_peers import SETTINGS, Answer, Peer, Request
 
-ROOM_S = 0.5  # that the longest way leaves
+ROOM_S = 0.5  # margin that the longest path leaves under the limit
 SECOND = 1_000_000
-REAL_S = 0.006  # what was written to a loopback socket has surely come by then
+REAL_S = 0.006  # real wait within which loopback data arrives
 
 
-class Jumps(selectors.DefaultSelector):
-    """Waits on sockets as ever, but where nothing comes it lets the loop's clock jump
-    to its next timer.
+class VirtualTimeSelector(selectors.DefaultSelector):
+    """Selector that waits `REAL_S` for sockets and, if none is ready, advances the virtual
+    clock to the loop's next timer.
     """
 
     now = 0.0
@@ -59,12 +59,12 @@
 
 
 def in_virtual_time(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """On a clock of the loop's own: seconds of waiting pass at once, and a busy machine
-    takes none.
+    """Run the scene on a virtual loop clock: waits take almost no real time, and a busy
+    machine adds none to the virtual time.
     """
-    jumps = Jumps()
-    loop = asyncio.SelectorEventLoop(jumps)
-    loop.time = lambda: jumps.now  # type: ignore[method-assign]
+    selector = VirtualTimeSelector()
+    loop = asyncio.SelectorEventLoop(selector)
+    loop.time = lambda: selector.now  # type: ignore[method-assign]
     with (
         pytest.MonkeyPatch.context() as patch,
         asyncio.Runner(loop_factory=lambda: loop) as runner,
@@ -74,19 +74,19 @@
 
 
 class Rig:
-    """The watch and the module as the engine joins them: rounds, timers, and the list
-    in the module.
+    """The watch and the dispatcher, connected as the engine connects them: rounds, timers
+    and endpoint list events.
     """
 
-    def __init__(self, where: Address, pushed: bool, seed: int) -> None:
+    def __init__(self, address: Address, pushed: bool, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
-        known = replace(
+        dispatch_settings = replace(
             parse_settings(
                 {**SETTINGS, "discovery": "pushed" if pushed else "on_request"}
             )
         )
-        self.dispatcher = Dispatcher(known, seed, self.now())
-        self.watch = EndpointWatch(where, 0, self.listed, seed, pushed=pushed)
+        self.dispatcher = Dispatcher(dispatch_settings, seed, self.now())
+        self.watch = EndpointWatch(address, 0, self.listed, seed, pushed=pushed)
         self.events: list[Event] = []
         self.changed = asyncio.Event()
         self.watch.subscribe()
@@ -111,23 +111,30 @@
             elif isinstance(action, SubscribeEndpointList):
                 self.watch.subscribe()
 
-    def listed(self, told: EndpointList | None) -> None:
-        if told is None:
+    def listed(self, endpoint_list: EndpointList | None) -> None:
+        if endpoint_list is None:
             self.post(EndpointListChanged(EndpointListKind.FAILED))
             return
-        kind = EndpointListKind.SNAPSHOT if told.complete else EndpointListKind.CHANGES
+        kind = (
+            EndpointListKind.SNAPSHOT
+            if endpoint_list.complete
+            else EndpointListKind.CHANGES
+        )
         self.events.append(
-            EndpointListChanged(kind, tuple(h.to_entry(1) for h in told.endpoints))
+            EndpointListChanged(
+                kind,
+                tuple(endpoint.to_entry(1) for endpoint in endpoint_list.endpoints),
+            )
         )
         self.round()
         self.changed.set()
 
     def serves(self) -> bool:
-        """Whether the module still sends to the one endpoint that there is."""
+        """Whether the dispatcher still sends to the only endpoint."""
         return bool(self.dispatcher.state.serving_endpoints)
 
-    async def until(self, test: Callable[[], bool]) -> None:
-        while not test():
+    async def until(self, condition: Callable[[], bool]) -> None:
+        while not condition():
             self.changed.clear()
             await self.changed.wait()
 
@@ -155,13 +162,13 @@
 
 
 SILENT = b""
-HALF = b'HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{"seq": 2, '
+PARTIAL_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{"seq": 2, '
 
 
 class Agent:
-    """Discovery's agent: answers `left` in turn, then what it has. A watch is held for
-    its time and silence is an answer of no bytes; a call's answer comes as late as it
-    may where `slow`.
+    """Discovery's agent: gives the answers in `left` in turn, then its current list. It
+    holds a watch for the requested time; `SILENT` is an answer of no bytes; `slow`
+    delays other answers by that many seconds.
     """
 
     def __init__(self) -> None:
@@ -189,7 +196,7 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_the_longest_way_stays_under_the_time_from_which_a_change_binds(
+def test_longest_path_of_a_list_change_stays_under_its_limit(
     pushed: bool,
 ) -> None:
     assert list_latency_bound_s(pushed) <= LIST_LATENCY_LIMIT_S - ROOM_S
@@ -197,43 +204,50 @@
         list_latency_bound_after_address_change_s(pushed)
         <= LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S - 0.4
     )
-    answer = (
+    response_timeout_s = (
         endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
         if pushed
         else endpoint_watch.RESPONSE_TIMEOUT_S
     )
-    held = endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S
-    pause = (
+    watch_timeout_s = endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S
+    max_pause_s = (
         endpoint_watch.RETRY_JITTER * endpoint_watch.PUSHED_RETRY_S
         if pushed
         else MAX_POLL_RETRY_US / SECOND
     )
-    assert list_latency_bound_s(pushed) >= held + 3 * (pause + answer)
-    # A watch continues only where the next call comes within 200 ms, and counts for 2 s
-    # after its wait.
+    assert list_latency_bound_s(pushed) >= watch_timeout_s + 3 * (
+        max_pause_s + response_timeout_s
+    )
+    # A watch continues only if the next call arrives within 200 ms, and counts for 2 s
+    # after its hold time.
     assert endpoint_watch.MIN_WATCH_INTERVAL_S <= 0.1
     assert endpoint_watch.WATCH_HOLD_MS / 1000 + 2.0 <= LIST_LATENCY_LIMIT_S
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_how_long_each_call_may_take_is_what_the_sum_counts(pushed: bool) -> None:
+def test_call_timeouts_and_pauses_match_the_latency_bound(pushed: bool) -> None:
     async def scene() -> None:
-        watch = EndpointWatch(Address("127.0.0.1", 1), 5, lambda told: None, 1, pushed)
-        answer = (
+        watch = EndpointWatch(
+            Address("127.0.0.1", 1), 5, lambda endpoint_list: None, 1, pushed
+        )
+        response_timeout_s = (
             endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
             if pushed
             else endpoint_watch.RESPONSE_TIMEOUT_S
         )
-        assert watch.next_request() == ("/discovery/hosts?from=5&hold_ms=0", answer)
+        assert watch.next_request() == (
+            "/discovery/hosts?from=5&hold_ms=0",
+            response_timeout_s,
+        )
         watch.confirmed = True
         assert watch.next_request() == (
             f"/discovery/hosts?from=5&hold_ms={endpoint_watch.WATCH_HOLD_MS}",
             endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S,
         )
         watch.version = endpoint_watch.NO_VERSION
-        assert watch.next_request() == ("/discovery/hosts", answer)
-        most = SimpleNamespace(uniform=lambda a, b: b)
-        watch.random = most  # type: ignore[assignment]
+        assert watch.next_request() == ("/discovery/hosts", response_timeout_s)
+        largest_draw = SimpleNamespace(uniform=lambda a, b: b)
+        watch.random = largest_draw  # type: ignore[assignment]
         for watch.failures in range(11):
             assert watch.retry_delay_s() == endpoint_watch.RETRY_JITTER * (
                 endpoint_watch.PUSHED_RETRY_S if pushed else endpoint_watch.FAST_RETRY_S
@@ -243,29 +257,36 @@
 
 
 @pytest.mark.parametrize("failures", range(11))
-def test_the_modules_pause_is_the_same_at_any_number_of_failures(failures: int) -> None:
-    """It doubled, from 0.5 to 4 s and as much again by chance: over the 6 s on its
-    own.
+def test_poll_retry_pause_does_not_grow_with_failures(failures: int) -> None:
+    """Guards against exponential backoff here: from 0.5 to 4 s, doubled again by jitter,
+    the pause alone exceeded the 6 s.
     """
     for seed in range(20):
-        known = parse_settings(SETTINGS)
-        dispatcher, now = Dispatcher(known, seed, 0), 0
+        dispatch_settings = parse_settings(SETTINGS)
+        dispatcher, now = Dispatcher(dispatch_settings, seed, 0), 0
         assert any(
-            isinstance(a, SubscribeEndpointList) for a in dispatcher.handle(0, [])
+            isinstance(action, SubscribeEndpointList)
+            for action in dispatcher.handle(0, [])
         )
         for _ in range(failures + 1):
-            failed = now
+            failed_at = now
             actions = dispatcher.handle(
                 now, [EndpointListChanged(EndpointListKind.FAILED)]
             )
-            while not any(isinstance(a, SubscribeEndpointList) for a in actions):
-                now += next(a.delay_us for a in actions if isinstance(a, SetTimer))
+            while not any(
+                isinstance(action, SubscribeEndpointList) for action in actions
+            ):
+                now += next(
+                    action.delay_us
+                    for action in actions
+                    if isinstance(action, SetTimer)
+                )
                 actions = dispatcher.handle(now, [TimerExpired("look")])
-            assert MIN_POLL_RETRY_US <= now - failed < MAX_POLL_RETRY_US
+            assert MIN_POLL_RETRY_US <= now - failed_at < MAX_POLL_RETRY_US
 
 
 class Longest(Random):
-    """Draws the longest of what may be drawn."""
+    """Random source that always draws the largest value."""
 
     def uniform(self, a: float, b: float) -> float:
         return b
@@ -277,16 +298,16 @@
 @pytest.mark.parametrize("failures", [0, 1, 2, 3, 5, 10])
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("last", ["status", "half", "cut", "stale", "garbage"])
-def test_a_change_reaches_the_module_in_time_on_the_longest_way(
+def test_list_change_reaches_the_dispatcher_in_time_on_the_longest_path(
     pushed: bool, failures: int, last: str
 ) -> None:
-    """So many failures, then one good answer; the watch after it goes silent, and
-    discovery gets the drain in that moment. The next call is silent, the one after is
-    spoilt, the last is as late as it may.
+    """After `failures` failed calls comes one good answer; the next watch goes silent, and
+    discovery receives the drain at that moment. The next call is silent, the one after
+    gets the faulty answer `last`, and the final one is nearly as late as its timeout.
     """
-    spoilt: dict[str, Answer | bytes | None] = {
+    faulty: dict[str, Answer | bytes | None] = {
         "status": Answer(503),
-        "half": HALF,
+        "half": PARTIAL_RESPONSE,
         "cut": None,
         "stale": listing(0, None, whole=False),
         "garbage": Answer(200, body=b"{"),
@@ -295,7 +316,7 @@
     async def scene() -> None:
         agent = Agent()
         agent.left = [listing(1, "up"), *[SILENT] * failures]
-        if failures:  # the answer before the watch goes silent again
+        if failures:  # the good answer before the watch goes silent again
             agent.left.append(listing(1, None, whole=False))
         peer = await Peer(agent).start()
         rig = Rig(Address("127.0.0.1", peer.port), pushed, 3)
@@ -305,19 +326,19 @@
         agent.silent.clear()
         agent.left = [SILENT]
         await agent.silent.wait()
-        had = rig.loop.time()  # the held watch is dead, and now the drain comes
+        drained_at = rig.loop.time()  # the drain arrives while the watch is silent
         agent.health, agent.seq = "draining", 2
-        agent.left = [SILENT, spoilt[last]]
+        agent.left = [SILENT, faulty[last]]
         agent.slow = 0.95 * (
             endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
             if pushed
             else endpoint_watch.RESPONSE_TIMEOUT_S
         )
         await rig.until(lambda: not rig.serves())
-        took = rig.loop.time() - had
+        latency_s = rig.loop.time() - drained_at
         assert (
             endpoint_watch.WATCH_HOLD_MS / 1000
-            < took
+            < latency_s
             <= list_latency_bound_s(pushed)
             <= LIST_LATENCY_LIMIT_S - ROOM_S
         )
@@ -329,11 +350,11 @@
 
 @pytest.mark.parametrize("silent", [0.1, 1.0, 1.7, 2.1, 3.0, 20.0])
 @pytest.mark.parametrize("pushed", [False, True])
-def test_an_agent_that_was_silent_is_heard_at_once_on_its_return(
+def test_list_of_a_returning_agent_arrives_within_two_calls_and_a_pause(
     pushed: bool, silent: float
 ) -> None:
-    """However many calls it left unanswered, what it has then is heard within a call, a
-    pause, a call.
+    """However many calls the agent left unanswered, its list arrives within one call, one
+    pause and one more call.
     """
 
     async def scene() -> None:
@@ -346,9 +367,9 @@
         await agent.silent.wait()
         await asyncio.sleep(silent)
         agent.health, agent.seq, agent.left = "draining", 2, []
-        back = rig.loop.time()
+        returned_at = rig.loop.time()
         await rig.until(lambda: not rig.serves())
-        answer, pause = (
+        response_timeout_s, max_pause_s = (
             (
                 endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S,
                 endpoint_watch.RETRY_JITTER * endpoint_watch.PUSHED_RETRY_S,
@@ -356,13 +377,15 @@
             if pushed
             else (endpoint_watch.RESPONSE_TIMEOUT_S, MAX_POLL_RETRY_US / SECOND)
         )
-        held = max(
+        watch_rest_s = max(
             0.0,
             endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S - silent,
         )
         assert (
-            rig.loop.time() - back
-            <= max(held, answer) + pause + endpoint_watch.ROUND_ALLOWANCE_S
+            rig.loop.time() - returned_at
+            <= max(watch_rest_s, response_timeout_s)
+            + max_pause_s
+            + endpoint_watch.ROUND_ALLOWANCE_S
         )
         rig.watch.pause()
         peer.server.close()
@@ -376,16 +399,16 @@
     [
         (SILENT, SILENT),
         (SILENT, Answer(503)),
-        (HALF, Answer(200, body=b"[")),
-        (None, HALF),
+        (PARTIAL_RESPONSE, Answer(200, body=b"[")),
+        (None, PARTIAL_RESPONSE),
         (listing(3, None, whole=False), SILENT),
     ],
 )
-def test_after_sighup_the_new_address_is_heard_in_time(
+def test_after_sighup_list_of_the_new_address_arrives_in_time(
     pushed: bool, first: Answer | bytes | None, second: Answer | bytes | None
 ) -> None:
-    """Two calls there that fail as late as they may; the module may be pausing after
-    failures of before.
+    """Two calls to the new address fail; the dispatcher may still be in its pause after
+    earlier failures.
     """
 
     async def scene() -> None:
@@ -404,11 +427,11 @@
             if pushed
             else endpoint_watch.RESPONSE_TIMEOUT_S
         )
-        signal = rig.loop.time()
+        signalled_at = rig.loop.time()
         rig.watch.change_address(Address("127.0.0.1", peers[1].port))
         await rig.until(lambda: not rig.serves())
         assert (
-            rig.loop.time() - signal
+            rig.loop.time() - signalled_at
             <= list_latency_bound_after_address_change_s(pushed)
             <= LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S - 0.4
         )
@@ -421,7 +444,7 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_after_sighup_a_watch_that_goes_silent_at_once_is_found_out_in_time(
+def test_after_sighup_a_silent_watch_is_detected_in_time(
     pushed: bool,
 ) -> None:
     async def scene() -> None:
@@ -436,13 +459,13 @@
             if pushed
             else endpoint_watch.RESPONSE_TIMEOUT_S
         )
-        signal = rig.loop.time()
+        signalled_at = rig.loop.time()
         rig.watch.change_address(Address("127.0.0.1", peers[1].port))
         await new.silent.wait()
         new.health, new.seq = "draining", 2
         await rig.until(lambda: not rig.serves())
         assert (
-            rig.loop.time() - signal
+            rig.loop.time() - signalled_at
             <= list_latency_bound_after_address_change_s(pushed)
             <= LIST_LATENCY_LIMIT_AFTER_ADDRESS_CHANGE_S - 0.4
         )
--- a/tests/forwarder/test_handover.py
+++ b/tests/forwarder/test_handover.py
@@ -1,4 +1,4 @@
-"""A new version under load: two real processes on one folder and one listening
+"""Handover under load: two real processes that share a state folder and a listening
 socket.
 """
 
@@ -31,30 +31,35 @@
     message,
 )
 
-LONG = {"aim_us": 30_000_000}
-"""No call times out before its test is over, however slow the machine: a second one is
-no plain new try.
+LONG_AIM = {"aim_us": 30_000_000}
+"""Class settings under which no call times out during a test, however slow the machine:
+a second call is then never a plain retry.
 """
 
 
-async def first_on(
-    folder: Path, platform: Platform, patient: bool = False, **more: Any
+async def start_first(
+    folder: Path, platform: Platform, long_aim: bool = False, **node_options: Any
 ) -> Node:
-    node = Node(folder, platform, **more)
-    if patient:
-        configure(node, settings=classes(order=LONG, status=LONG, turns=LONG, pay=LONG))
+    node = Node(folder, platform, **node_options)
+    if long_aim:
+        configure(
+            node,
+            settings=classes(
+                order=LONG_AIM, status=LONG_AIM, turns=LONG_AIM, pay=LONG_AIM
+            ),
+        )
     node.hold_listener()
     folder_nodes[-1].append(node)
     return await node.start()
 
 
-async def second(node: Node) -> Node:
-    other = await node.beside()
-    folder_nodes[-1].append(other)
-    return await other.until_ready()
+async def start_second(node: Node) -> Node:
+    new = await node.beside()
+    folder_nodes[-1].append(new)
+    return await new.until_ready()
 
 
-def gated(gate: asyncio.Event, answer: Answer = OK) -> Any:
+def answer_after(gate: asyncio.Event, answer: Answer = OK) -> Any:
     async def handler(request: Any) -> Answer:
         await gate.wait()
         return answer
@@ -62,74 +67,81 @@
     return handler
 
 
-def ids(peer: Peer) -> list[str]:
+def message_ids(peer: Peer) -> list[str]:
     return [r.headers["x-correlation-id"] for r in peer.requests]
 
 
-def test_calls_out_and_what_is_held_go_on_over_both_and_nobody_is_turned_away(
+def test_handover_continues_calls_and_held_messages_and_rejects_no_request(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         gate = asyncio.Event()
-        slow = await target(platform, gated(gate))
-        other = await target(platform, always(OK), "s2", block=8)
-        old = await first_on(folder, platform, patient=True)
-        kept, half = await old.client(), await old.client()
-        assert (await kept.hand_in("out", "turns", X_Session_Key="k"))[0] == 202
-        assert (await kept.hand_in("pay", "pay"))[0] == 202
-        await slow.got(1)
-        assert (await kept.hand_in("next", "turns", dest=8, X_Session_Key="k"))[
+        gated_peer = await target(platform, answer_after(gate))
+        fast_peer = await target(platform, always(OK), "s2", block=8)
+        old = await start_first(folder, platform, long_aim=True)
+        client, partial_client = await old.client(), await old.client()
+        assert (await client.hand_in("out", "turns", X_Session_Key="k"))[0] == 202
+        assert (await client.hand_in("pay", "pay"))[0] == 202
+        await gated_peer.got(1)
+        assert (await client.hand_in("next", "turns", dest=8, X_Session_Key="k"))[
             0
         ] == 202
-        assert (await half.hand_in("before", "status", dest=8))[0] == 202
-        new = await second(old)
-        whole = message("half", "status", dest=8)
-        half.writer.write(
-            whole[:-3]
-        )  # a request in pieces, over a connection of the old process
+        assert (await partial_client.hand_in("before", "status", dest=8))[0] == 202
+        new = await start_second(old)
+        request = message("half", "status", dest=8)
+        partial_client.writer.write(
+            request[:-3]
+        )  # a request in two parts, over a connection of the old process
         assert (await new.operate("GET", "/_ready"))[0] == 200
-        status, headers = await kept.hand_in(
+        status, headers = await client.hand_in(
             "later", "status", dest=8
         )  # over the old connection
         assert status == 202 and headers["connection"] == "close"
         assert (await new.hand_in("fresh", "status", dest=8))[0] == 202
-        half.writer.write(whole[-3:])
-        assert (await half.answer())[0] == 202
-        await other.got(4)
-        # All but the one whose key is still out:
-        assert sorted(ids(other)) == ["before", "fresh", "half", "later"]
+        partial_client.writer.write(request[-3:])
+        assert (await partial_client.answer())[0] == 202
+        await fast_peer.got(4)
+        # All but "next", as the first message of its key is still in flight:
+        assert sorted(message_ids(fast_peer)) == ["before", "fresh", "half", "later"]
         gate.set()
-        f = await new.shows(lambda f: f["open_requests"] == 0)
-        assert sum(f["fulfilled"].values()) >= 6 and not any(f["faulted"].values())
-        assert sorted(ids(slow)) == ["out", "pay"] and ids(other)[-1] == "next"
+        figures = await new.shows(lambda figures: figures["open_requests"] == 0)
+        assert sum(figures["fulfilled"].values()) >= 6 and not any(
+            figures["faulted"].values()
+        )
+        assert (
+            sorted(message_ids(gated_peer)) == ["out", "pay"]
+            and message_ids(fast_peer)[-1] == "next"
+        )
         assert await old.end(signal.SIGTERM) == 0
         assert await new.end(signal.SIGTERM) == 0
         assert (
             old.listener is not None
-        )  # never shut down: the platform's own still takes connections
+        )  # never shut down: the shared listener still accepts connections
         socket.create_connection(old.listener.getsockname(), timeout=PATIENCE).close()
         assert not platform.notices
 
     play(scene, tmp_path)
 
 
-def test_waits_detached_targets_and_owed_ends_hold_over_both(tmp_path: Path) -> None:
+def test_throttling_detached_endpoints_and_pending_notifications_survive_handover(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         gate = asyncio.Event()
-        told = await target(
-            platform, gated(gate, Answer(429, {"X-RateLimit-Wait-Ms": "40000"}))
+        late_throttled = await target(
+            platform, answer_after(gate, Answer(429, {"X-RateLimit-Wait-Ms": "40000"}))
         )
-        early = await target(
+        early_throttled = await target(
             platform,
             always(Answer(429, {"X-RateLimit-Wait-Ms": "40000"})),
             "s2",
             block=8,
         )
-        out = await target(platform, always(OK), "s3", block=9)
-        free = await target(platform, always(OK), "s4", block=9)
+        detached = await target(platform, always(OK), "s3", block=9)
+        attached = await target(platform, always(OK), "s4", block=9)
         await target(platform, always(Answer(500)), "s5", block=10)
         platform.accepts = False
-        old = await first_on(folder, platform, patient=True)
+        old = await start_first(folder, platform, long_aim=True)
         assert (await old.hand_in("owed", "pay", dest=10))[0] == 202
         await platform.until(
             lambda: any(r.path == "/v1/notices" for r in platform.requests)
@@ -138,92 +150,95 @@
         assert (await old.hand_in("a"))[0] == 202 and (await old.hand_in("b", dest=8))[
             0
         ] == 202
-        await told.got(1)
-        await early.got(1)
+        await late_throttled.got(1)
+        await early_throttled.got(1)
         await old.shows(lambda f: f["open_requests"] == 2)
-        new = await second(old)
-        # a wait told over a call that the old process had out binds the new one
+        new = await start_second(old)
+        # a 429 wait that answers a call of the old process also binds the new one
         gate.set()
         old.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(PATIENCE):
             await old.process.wait()
-        for n in range(4):
-            assert (await new.hand_in(f"c{n}", dest=9))[0] == 202
+        for number in range(4):
+            assert (await new.hand_in(f"c{number}", dest=9))[0] == 202
             assert (
-                (await new.hand_in(f"d{n}"))[0]
-                == (await new.hand_in(f"e{n}", dest=8))[0]
+                (await new.hand_in(f"d{number}"))[0]
+                == (await new.hand_in(f"e{number}", dest=8))[0]
                 == 202
             )
-            await free.got(n + 1)
-        assert len(told.requests) == len(early.requests) == 1 and not out.requests
+            await attached.got(number + 1)
+        assert (
+            len(late_throttled.requests) == len(early_throttled.requests) == 1
+            and not detached.requests
+        )
         platform.accepts = True
         assert (await platform.notice("owed"))["state"] == "failed"
-        before = (await new.figures())["out_of_rotation"]
+        detached_before = (await new.figures())["out_of_rotation"]
         assert (await new.operate("POST", "/_endpoints/attach", b"s3"))[0] == 200
-        assert (await new.figures())["out_of_rotation"] == before - 1
+        assert (await new.figures())["out_of_rotation"] == detached_before - 1
 
     play(scene, tmp_path)
 
 
-def test_operators_may_still_call_the_old_process(tmp_path: Path) -> None:
+def test_old_process_serves_admin_requests_after_handover(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, hang)
-        old = await first_on(folder, platform)
-        new = await second(old)
+        old = await start_first(folder, platform)
+        new = await start_second(old)
         assert (await old.operate("POST", "/_endpoints/detach", b"s1"))[0] == 200
         assert (await old.operate("POST", "/_endpoints/detach", b"nobody"))[0] == 404
         assert (await new.figures())["out_of_rotation"] == 1
-        third = await second(new)  # as often as it is needed
+        third = await start_second(new)  # handovers may follow each other
         assert (await third.figures())["out_of_rotation"] == 1
 
     play(scene, tmp_path)
 
 
-def test_a_new_configuration_signalled_to_the_old_process_reaches_the_new_one(
+def test_sighup_at_old_process_reloads_configuration_of_new_process(
     tmp_path: Path,
 ) -> None:
-    """It was lost: who had sent the signal saw neither a yes nor a no anywhere."""
+    """Guards against a lost signal: neither process accepted or rejected the new file."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, hang)
-        old = await first_on(folder, platform)
+        old = await start_first(folder, platform)
         assert (await old.hand_in("out"))[0] == 202
-        new = await second(old)
+        new = await start_second(old)
         configure(old, settings=classes(fresh={"deadline_us": 9_000_000}))
         old.process.send_signal(signal.SIGHUP)
-        f = await new.shows(lambda f: f["cfg_accepted"] == 1)
-        assert f["fulfilled"]["fresh"] == 0
+        figures = await new.shows(lambda figures: figures["cfg_accepted"] == 1)
+        assert figures["fulfilled"]["fresh"] == 0
         (folder / "config.json").write_text("{")
         old.process.send_signal(signal.SIGHUP)
-        await new.shows(lambda f: f["cfg_invalid"] == 1)
+        await new.shows(lambda figures: figures["cfg_invalid"] == 1)
 
     play(scene, tmp_path)
 
 
-def test_what_the_old_process_had_out_when_it_died_goes_again(tmp_path: Path) -> None:
+def test_calls_of_killed_old_process_are_retried(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        gone = await target(platform, hang)
-        old = await first_on(folder, platform, patient=True)
+        peer = await target(platform, hang)
+        old = await start_first(folder, platform, long_aim=True)
         assert (await old.hand_in("m", "status"))[0] == 202
-        await gone.got(1)
-        await second(old)
-        assert len(gone.requests) == 1  # not while it is out
+        await peer.got(1)
+        await start_second(old)
+        assert len(peer.requests) == 1  # no retry while the call is in flight
         old.process.send_signal(signal.SIGKILL)
-        await gone.got(2)
-        assert ids(gone) == ["m", "m"]
+        await peer.got(2)
+        assert message_ids(peer) == ["m", "m"]
 
     play(scene, tmp_path)
 
 
-def test_payment_cut_with_the_old_process_fails_and_never_goes_again(
+def test_payment_call_cut_by_kill_of_old_process_fails_without_retry(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
-        old = await first_on(folder, platform)
+        old = await start_first(folder, platform)
         assert (await old.hand_in("pay", "pay"))[0] == 202
         await peer.got(1)
-        await second(old)
+        await start_second(old)
         await old.end(signal.SIGKILL)
         assert (await platform.notice("pay"))["state"] == "failed"
         assert len(peer.requests) == 1
@@ -231,7 +246,7 @@
     play(scene, tmp_path)
 
 
-HALFWAY = """
+INTERRUPTED_TARGET = """
 import asyncio, os, sys
 from pathlib import Path
 from rainfall.forwarder.handover.target import HandoverTarget
@@ -248,52 +263,54 @@
 
 
 @pytest.mark.parametrize("silent", [False, True])
-def test_new_process_that_dies_or_hangs_half_way_leaves_the_old_one_going_on(
+def test_old_process_resumes_when_new_process_dies_or_hangs_before_transfer(
     tmp_path: Path, silent: bool
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
-        old = await first_on(folder, platform)
+        old = await start_first(folder, platform)
         assert (await old.hand_in("a", "status"))[0] == 202
         await peer.got(1)
-        half = await asyncio.create_subprocess_exec(
+        interrupted = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
-            HALFWAY,
+            INTERRUPTED_TARGET,
             str(folder / "state"),
             cwd=ROOT,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        assert half.stdin is not None and half.stdout is not None
-        assert await half.stdout.read(5) == b"asked"
+        assert interrupted.stdin is not None and interrupted.stdout is not None
+        assert await interrupted.stdout.read(5) == b"asked"
         peer.handler = always(OK)
         client = await old.client()
-        client.writer.write(message("b", "status"))  # comes while all stands still
+        client.writer.write(
+            message("b", "status")
+        )  # arrives while the engine is paused
         if not silent:
-            half.stdin.write(b"x")
-            await half.wait()
+            interrupted.stdin.write(b"x")
+            await interrupted.wait()
         assert (await client.answer())[0] == 202
         await old.until_logged("going on")
         assert (await old.operate("GET", "/_ready"))[0] == 200
-        await peer.until(lambda: "b" in ids(peer))
-        half.stdin.close()
-        await half.wait()
+        await peer.until(lambda: "b" in message_ids(peer))
+        interrupted.stdin.close()
+        await interrupted.wait()
         assert not JournalLock(
             folder / "state"
-        ).try_acquire()  # it is still the one that writes
-        await second(old)  # and the next one may ask again
+        ).try_acquire()  # the old process still owns the journal
+        await start_second(old)  # and a later handover succeeds
 
     play(scene, tmp_path)
 
 
-def test_old_process_starts_again_from_the_journal_when_the_new_one_dies_after(
+def test_old_process_restarts_from_journal_when_new_process_dies_after_transfer(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
-        old = await first_on(folder, platform)
-        new = await second(old)
+        old = await start_first(folder, platform)
+        new = await start_second(old)
         assert (await new.hand_in("m", "status"))[0] == 202
         await peer.got(1)
         peer.handler = always(OK)
@@ -301,24 +318,24 @@
         await new.end(signal.SIGKILL)
         await old.until_ready()
         await peer.got(2)
-        assert ids(peer) == ["m", "m"]
+        assert message_ids(peer) == ["m", "m"]
         assert (await old.hand_in("n", "status"))[0] == 202
-        await peer.until(lambda: "n" in ids(peer))
+        await peer.until(lambda: "n" in message_ids(peer))
         assert (await old.operate("GET", "/_ready"))[0] == 200
 
     play(scene, tmp_path)
 
 
-def test_old_process_that_dies_before_it_answers_leaves_its_journal(
+def test_new_process_takes_journal_when_stopped_old_process_is_killed(
     tmp_path: Path,
 ) -> None:
-    """One that does nothing, neither answers nor ends, keeps the journal: the new one
-    waits for its death.
+    """A stopped process neither answers nor exits and keeps the journal lock: the new
+    process waits until the old one is killed.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
-        old = await first_on(folder, platform)
+        old = await start_first(folder, platform)
         assert (await old.hand_in("m", "status"))[0] == 202
         await peer.got(1)
         old.process.send_signal(signal.SIGSTOP)
@@ -331,12 +348,12 @@
         old.process.send_signal(signal.SIGKILL)
         await new.until_ready()
         await peer.got(2)
-        assert ids(peer) == ["m", "m"]
+        assert message_ids(peer) == ["m", "m"]
 
     play(scene, tmp_path)
 
 
-def test_without_an_inherited_socket_the_new_process_opens_its_own(
+def test_new_process_without_inherited_socket_opens_its_own(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
@@ -344,7 +361,7 @@
         old = Node(folder, platform)
         folder_nodes[-1].append(old)
         await old.start()
-        new = await second(old)
+        new = await start_second(old)
         assert (await new.hand_in("m"))[0] == 202
         await peer.got(1)
         await new.shows(lambda f: f["fulfilled"]["order"] == 1)
@@ -353,7 +370,9 @@
 
 
 @pytest.mark.parametrize("fd", ["x", "999", "-1", "2"])
-def test_bad_inherited_descriptor_is_told_plainly(tmp_path: Path, fd: str) -> None:
+def test_invalid_inherited_descriptor_is_reported_without_traceback(
+    tmp_path: Path, fd: str
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         node = Node(folder, platform)
         env = {
@@ -363,7 +382,7 @@
             "LB_INHERITED_FD": fd,
             "LB_ADMIN_ADDR": f"127.0.0.1:{free_port()}",
         }
-        done = await asyncio.create_subprocess_exec(
+        process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "rainfall",
@@ -371,12 +390,12 @@
             env=env,
             stderr=asyncio.subprocess.PIPE,
         )
-        assert done.stderr is not None
-        text = (await done.stderr.read()).decode()
+        assert process.stderr is not None
+        stderr = (await process.stderr.read()).decode()
         assert (
-            await done.wait() in (1, 2)
-            and "rainfall: " in text
-            and "Traceback" not in text
+            await process.wait() in (1, 2)
+            and "rainfall: " in stderr
+            and "Traceback" not in stderr
         )
         assert node.folder == folder
 
--- a/tests/forwarder/test_handover_protocol.py
+++ b/tests/forwarder/test_handover_protocol.py
@@ -1,5 +1,5 @@
-"""Crossings in the talk of two processes at a hand-over: the link, the lock, who asks
-and who is gone.
+"""Races in the protocol between the two processes of a handover: the connection, the
+journal lock, snapshot requests and the death of either process.
 """
 
 from __future__ import annotations
@@ -16,162 +16,158 @@
 from rainfall.forwarder.handover.source import HandoverSource
 from rainfall.forwarder.handover.target import HandoverTarget
 
-WORD = b'{"ended":["m",0,1,"delivered",5,true,0,null,false]}\n'
+ATTEMPT_LINE = b'{"ended":["m",0,1,"delivered",5,true,0,null,false]}\n'
 
 
-async def until(test: Any) -> None:
-    """Let the loop go on until it is so; bounded, and nothing hangs on how long it
-    takes.
+async def until(condition: Any) -> None:
+    """Run the event loop until the condition holds, for at most 20 s; no assertion
+    depends on the time taken.
     """
     async with asyncio.timeout(20):
-        while not test():
+        while not condition():
             await asyncio.sleep(0.001)
 
 
-async def linked(link: HandoverConnection) -> socket.socket:
-    """One end is the program's link, the other the test's bare socket."""
+async def connect_to_socket(connection: HandoverConnection) -> socket.socket:
+    """Connect a handover connection to a socket pair; returns the test's bare socket."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
     ours.setblocking(False)
-    await asyncio.get_running_loop().create_connection(lambda: link, sock=ours)
+    await asyncio.get_running_loop().create_connection(lambda: connection, sock=ours)
     return theirs
 
 
-class Taker:
-    """An engine that takes over and writes down what it is told."""
+class TargetEngine:
+    """Stands for the engine of the new process; records the calls made to it."""
 
     def __init__(self) -> None:
-        self.told: list[Any] = []
-        self.doors: dict[str, Any] = {}
-        self.left: list[str] = []
+        self.received: list[Any] = []
+        self.response_writers: dict[str, Any] = {}
+        self.disconnected: list[str] = []
 
-    def submit(self, handed: Any, door: Any) -> None:
-        self.told.append(handed.id)
-        self.doors[handed.id] = door
-        door.on_disconnect = lambda: self.left.append(handed.id)
+    def submit(self, message: Any, response_writer: Any) -> None:
+        self.received.append(message.id)
+        self.response_writers[message.id] = response_writer
+        response_writer.on_disconnect = lambda: self.disconnected.append(message.id)
 
     def remote_attempt_finished(self, event: AttemptFinished) -> None:
-        self.told.append((event.message_id, event.outcome))
+        self.received.append((event.message_id, event.outcome))
 
-    def set_detached(self, name: str, out: bool, answer: Any) -> None:
-        self.told.append((name, out))
+    def set_detached(self, name: str, detached: bool, answer: Any) -> None:
+        self.received.append((name, detached))
 
     def reload(self) -> None:
-        self.told.append("reload")
+        self.received.append("reload")
 
     def source_lost(self) -> None:
-        self.told.append("alone")
+        self.received.append("alone")
 
 
-def test_outcome_told_right_before_the_old_process_died_is_read_though_a_write_to_it_fails() -> (
-    None
-):
-    """A failed write used to end the link before its last lines were read: a payment
-    delivered had failed.
+def test_outcome_sent_before_old_process_died_is_read_although_a_write_fails() -> None:
+    """Guards against a failed write that closes the connection before its last lines are
+    read: a delivered payment was reported as failed.
     """
 
     async def scene() -> None:
-        successor, engine = HandoverTarget(), Taker()
-        theirs = await linked(successor.connection)
-        successor.attach(engine)
-        theirs.sendall(WORD)
-        theirs.close()  # its death; the loop has not come to read yet, ...
-        successor.connection.send(
+        target, engine = HandoverTarget(), TargetEngine()
+        theirs = await connect_to_socket(target.connection)
+        target.attach(engine)
+        theirs.sendall(ATTEMPT_LINE)
+        theirs.close()  # the old process dies before the loop reads its line
+        target.connection.send(
             answer=[1, 202, "", {}]
-        )  # ... and this write finds the other end gone
-        await until(lambda: successor.disconnected)
-        assert engine.told == [("m", Outcome.DELIVERED), "alone"]
+        )  # and this write fails, as the other end is closed
+        await until(lambda: target.disconnected)
+        assert engine.received == [("m", Outcome.DELIVERED), "alone"]
 
     asyncio.run(scene())
 
 
-def test_answer_sent_right_before_the_new_process_died_reaches_the_client() -> None:
+def test_answer_sent_before_new_process_died_reaches_the_client() -> None:
     async def scene() -> None:
-        class Giver:
-            bereft_with: Any = None
+        class Engine:
+            writers_at_loss: Any = None
 
             def target_lost(self) -> None:
-                self.bereft_with = dict(predecessor.response_writers)
+                self.writers_at_loss = dict(source.response_writers)
 
             def reload_inbound_settings(self) -> None:
                 pass
 
-        class Door:
+        class Writer:
             on_disconnect: Any = None
-            said: list[int] = []
+            statuses: list[int] = []
 
             def answer(self, status: int, text: str = "", **headers: str) -> None:
-                self.said.append(int(status))
+                self.statuses.append(int(status))
 
-        giver: Any = Giver()
-        predecessor = HandoverSource(giver)
-        predecessor.connection, predecessor.transferred = (
-            HandoverConnection(predecessor.on_message, predecessor.on_disconnect),
+        engine: Any = Engine()
+        source = HandoverSource(engine)
+        source.connection, source.transferred = (
+            HandoverConnection(source.on_message, source.on_disconnect),
             True,
         )
-        theirs = await linked(predecessor.connection)
-        door = Door()
-        predecessor.last_request_number, predecessor.response_writers = (
+        theirs = await connect_to_socket(source.connection)
+        writer = Writer()
+        source.last_request_number, source.response_writers = (
             1,
-            {1: ("m", door)},
+            {1: ("m", writer)},
         )
         theirs.sendall(
             b'{"answer":[1,202,"",{}]}\n{"answ'
-        )  # the last line cut in half by its death
+        )  # the last line is cut off by the death of the new process
         theirs.close()
-        predecessor.reload()
-        await until(lambda: giver.bereft_with is not None)
-        assert door.said == [202] and giver.bereft_with == {}
+        source.reload()
+        await until(lambda: engine.writers_at_loss is not None)
+        assert writer.statuses == [202] and engine.writers_at_loss == {}
 
     asyncio.run(scene())
 
 
-HANDED = (
+SUBMISSION_LINE = (
     b'{"hand_in":[1,{"id":"m","class_name":"pay","destination":7,"due_us":9,"key":null,'
     b'"order_key":null,"tenant":"acme","resent":false,"body":""}]}\n'
 )
 
 
-def test_request_told_before_the_engine_was_there_is_withdrawn_when_the_old_process_dies() -> (
-    None
-):
-    """The new process hears the list before it serves: what was told meanwhile was
-    taken on for nobody.
+def test_early_request_is_cancelled_when_old_process_dies() -> None:
+    """Guards against messages accepted for clients that are gone: the new process receives
+    the endpoint list before it serves, and requests forwarded meanwhile are queued.
     """
 
     async def scene() -> None:
-        successor, engine = HandoverTarget(), Taker()
-        theirs = await linked(successor.connection)
-        theirs.sendall(HANDED + WORD)
+        target, engine = HandoverTarget(), TargetEngine()
+        theirs = await connect_to_socket(target.connection)
+        theirs.sendall(SUBMISSION_LINE + ATTEMPT_LINE)
         theirs.close()
-        await until(lambda: successor.disconnected)
-        successor.attach(engine)
-        assert engine.told == ["m", ("m", Outcome.DELIVERED), "alone"]
-        assert engine.left == ["m"] and not successor.response_writers
+        await until(lambda: target.disconnected)
+        target.attach(engine)
+        assert engine.received == ["m", ("m", Outcome.DELIVERED), "alone"]
+        assert engine.disconnected == ["m"] and not target.response_writers
 
     asyncio.run(scene())
 
 
-class Giver:
-    """An engine that serves, and stands still when the test says so."""
+class SourceEngine:
+    """Stands for the old process's engine; `enter_pause` begins a requested pause."""
 
     def __init__(self) -> None:
-        self.holds: list[Any] = []
-        self.held = self.resumed = self.gave = 0
-        self.predecessor = HandoverSource(self)
+        self.pause_callbacks: list[Any] = []
+        self.pauses = self.resumed = self.transfers = 0
+        self.source = HandoverSource(self)
 
-    def pause_for_handover(self, then: Any) -> None:
-        self.holds.append(then)
+    def pause_for_handover(self, on_paused: Any) -> None:
+        self.pause_callbacks.append(on_paused)
 
-    def stands(self) -> None:
-        self.held += 1
-        self.holds.pop(0)({"module": {}})
+    def enter_pause(self) -> None:
+        self.pauses += 1
+        self.pause_callbacks.pop(0)({"module": {}})
 
     def resume_after_handover(self) -> None:
         self.resumed += 1
 
     def transfer_ownership(self) -> None:
-        self.gave += 1
-        self.predecessor.confirm_transfer()
+        self.transfers += 1
+        self.source.confirm_transfer()
 
     def target_lost(self) -> None:
         pass
@@ -183,131 +179,143 @@
         pass
 
 
-async def asks(giver: Giver) -> tuple[HandoverConnection, list[Any]]:
-    """Another process comes and asks; what it is told goes into the list."""
-    said: list[Any] = []
-    mine, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
-    mine.setblocking(False)
-    theirs.setblocking(False)
+async def connect_target(engine: SourceEngine) -> tuple[HandoverConnection, list[Any]]:
+    """Connect a second process that requests the snapshot; returns its connection and the
+    list of lines that it receives, with `"gone"` on disconnect.
+    """
+    received: list[Any] = []
+    source_socket, target_socket = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
+    source_socket.setblocking(False)
+    target_socket.setblocking(False)
     loop = asyncio.get_running_loop()
-    other = HandoverConnection(
-        lambda link, line: said.append(line), lambda link: said.append("gone")
+    target = HandoverConnection(
+        lambda connection, line: received.append(line),
+        lambda connection: received.append("gone"),
     )
     await loop.create_connection(
         lambda: HandoverConnection(
-            giver.predecessor.on_message, giver.predecessor.on_disconnect
+            engine.source.on_message, engine.source.on_disconnect
         ),
-        sock=mine,
+        sock=source_socket,
     )
-    await loop.create_connection(lambda: other, sock=theirs)
-    other.send(ask=True)
-    return other, said
+    await loop.create_connection(lambda: target, sock=target_socket)
+    target.send(ask=True)
+    return target, received
 
 
-def test_one_that_asks_while_the_engine_stills_for_another_that_has_gone_is_refused() -> (
+def test_snapshot_request_is_refused_while_engine_pauses_for_a_disconnected_target() -> (
     None
 ):
-    """The first one's end let the engine go on, with the second told what it knew: both
-    would have sent.
+    """Guards against two sending processes: the first target's disconnect resumed the
+    engine while the second target received the snapshot.
     """
 
     async def scene() -> None:
-        giver = Giver()
-        first, _ = await asks(giver)
-        await until(lambda: giver.holds)
-        first.close()  # it dies, or waits no longer, while a slow disk still syncs
-        await until(lambda: giver.predecessor.connection is None)
-        _second, said = await asks(giver)
-        await until(lambda: said or len(giver.holds) > 1)
-        assert said[:1] == [{"no": True}] and len(giver.holds) == 1
-        giver.stands()
-        assert giver.resumed == 1 and giver.predecessor.connection is None
-        third, heard = await asks(giver)
-        await until(lambda: giver.holds)
-        giver.stands()
-        await until(lambda: heard)
-        assert "memory" in heard[0] and giver.resumed == 1
+        engine = SourceEngine()
+        first, _ = await connect_target(engine)
+        await until(lambda: engine.pause_callbacks)
+        first.close()  # it dies or times out while a slow disk still syncs
+        await until(lambda: engine.source.connection is None)
+        _second, second_received = await connect_target(engine)
+        await until(lambda: second_received or len(engine.pause_callbacks) > 1)
+        assert (
+            second_received[:1] == [{"no": True}] and len(engine.pause_callbacks) == 1
+        )
+        engine.enter_pause()
+        assert engine.resumed == 1 and engine.source.connection is None
+        third, third_received = await connect_target(engine)
+        await until(lambda: engine.pause_callbacks)
+        engine.enter_pause()
+        await until(lambda: third_received)
+        assert "memory" in third_received[0] and engine.resumed == 1
         third.send(prepared=True)
-        await until(lambda: giver.gave)
+        await until(lambda: engine.transfers)
 
     asyncio.run(scene())
 
 
-def test_process_that_has_given_all_away_gives_nothing_a_second_time() -> None:
-    """The new one goes, and the next asks before the old one has begun again from the
-    journal.
+def test_snapshot_request_is_refused_after_ownership_was_transferred() -> None:
+    """The new process dies, and another requests the snapshot before the old one has
+    restarted from the journal.
     """
 
     async def scene() -> None:
-        giver = Giver()
-        first, _said = await asks(giver)
-        await until(lambda: giver.holds)
-        giver.stands()
+        engine = SourceEngine()
+        first, _received = await connect_target(engine)
+        await until(lambda: engine.pause_callbacks)
+        engine.enter_pause()
         first.send(prepared=True)
-        await until(lambda: giver.gave)
+        await until(lambda: engine.transfers)
         first.close()
-        await until(lambda: giver.predecessor.connection is None)
-        _, heard = await asks(giver)
-        await until(lambda: heard or giver.holds)
-        assert heard[:1] == [{"no": True}] and not giver.holds and giver.gave == 1
+        await until(lambda: engine.source.connection is None)
+        _, received = await connect_target(engine)
+        await until(lambda: received or engine.pause_callbacks)
+        assert (
+            received[:1] == [{"no": True}]
+            and not engine.pause_callbacks
+            and engine.transfers == 1
+        )
 
     asyncio.run(scene())
 
 
-async def late_yes(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def delay_transfer(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("rainfall.forwarder.handover.target.SNAPSHOT_TIMEOUT_S", 0.2)
-    giver = Giver()
+    engine = SourceEngine()
     gate = asyncio.Event()
-    give = giver.transfer_ownership
+    transfer = engine.transfer_ownership
 
-    async def late() -> None:
+    async def transfer_late() -> None:
         await gate.wait()
-        give()
+        transfer()
 
     tasks: list[asyncio.Task[None]] = []
-    giver.transfer_ownership = lambda: tasks.append(asyncio.create_task(late()))  # type: ignore[method-assign]
-    await giver.predecessor.listen(folder)
-    successor = HandoverTarget()
-    asked = asyncio.create_task(successor.request_snapshot(folder))
-    await until(lambda: giver.holds)
-    giver.stands()
-    assert await asked
-    prepared = asyncio.create_task(successor.request_ownership())
+    engine.transfer_ownership = lambda: tasks.append(
+        asyncio.create_task(transfer_late())
+    )  # type: ignore[method-assign]
+    await engine.source.listen(folder)
+    target = HandoverTarget()
+    snapshot_request = asyncio.create_task(target.request_snapshot(folder))
+    await until(lambda: engine.pause_callbacks)
+    engine.enter_pause()
+    assert await snapshot_request
+    ownership_request = asyncio.create_task(target.request_ownership())
     await until(lambda: tasks)
     done, _ = await asyncio.wait(
-        {prepared}, timeout=0.4
-    )  # twice as long as it was waited for
+        {ownership_request}, timeout=0.4
+    )  # twice the snapshot timeout
     assert not done
     gate.set()
-    assert await prepared and giver.predecessor.connection is not None
-    giver.predecessor.close()
+    assert await ownership_request and engine.source.connection is not None
+    engine.source.close()
 
 
-def test_yes_of_an_old_process_that_is_slow_to_give_is_waited_for(
+def test_ownership_request_waits_for_a_slow_old_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It used to be given up after 2 s, in which the old one may have given: both then
-    began anew, and the old one could take all back.
+    """Guards against a timeout of 2 s on the ownership request, during which the old
+    process may have transferred ownership: both then restarted, and the old one could
+    take everything back.
     """
-    asyncio.run(late_yes(tmp_path, monkeypatch))
+    asyncio.run(delay_transfer(tmp_path, monkeypatch))
 
 
-def test_operators_call_on_its_way_is_answered_when_the_new_process_dies() -> None:
+def test_forwarded_admin_request_is_answered_when_new_process_dies() -> None:
     async def scene() -> None:
-        predecessor = HandoverSource(Giver())
-        predecessor.connection, predecessor.transferred = (
-            HandoverConnection(predecessor.on_message, predecessor.on_disconnect),
+        source = HandoverSource(SourceEngine())
+        source.connection, source.transferred = (
+            HandoverConnection(source.on_message, source.on_disconnect),
             True,
         )
-        theirs = await linked(predecessor.connection)
-        said: list[int] = []
-        predecessor.set_detached(
-            "s1", True, lambda status, text: said.append(int(status))
+        theirs = await connect_to_socket(source.connection)
+        statuses: list[int] = []
+        source.set_detached(
+            "s1", True, lambda status, text: statuses.append(int(status))
         )
-        assert theirs.recv(1000) == b'{"rotate":[1,"s1",true]}\n' and not said
+        assert theirs.recv(1000) == b'{"rotate":[1,"s1",true]}\n' and not statuses
         theirs.close()
-        await until(lambda: predecessor.connection is None)
-        assert said == [503]
+        await until(lambda: source.connection is None)
+        assert statuses == [503]
 
     asyncio.run(scene())
 
--- a/tests/forwarder/test_handover_races.py
+++ b/tests/forwarder/test_handover_races.py
@@ -1,5 +1,5 @@
-"""Crossings at a hand-over: each of two events that meet in one moment, in the order
-that a test forces.
+"""Races at a handover: each test forces the order of two events that occur at the same
+moment.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from rainfall.forwarder.message_store import AcceptedMessage, MessageStore
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 from rainfall.wirehost import parse_settings
-from tests.forwarder.test_handover_protocol import Giver, asks, until
+from tests.forwarder.test_handover_protocol import SourceEngine, connect_target, until
 from tests.forwarder.test_operations import classes
 from tests.support.loopback_peers import (
     OK,
@@ -45,15 +45,17 @@
 from tests.support.memory_disk import Hands
 
 
-class Old:
-    """An engine that serves on loopback sockets, as the program starts it."""
+class LoopbackEngine:
+    """An engine that serves on loopback sockets, started as the program starts it."""
 
-    def __init__(self, folder: Path, platform: Platform, **more: Any) -> None:
+    def __init__(self, folder: Path, platform: Platform, **config_options: Any) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        listing = platform.listing()
-        known = EndpointList(
-            listing["seq"], True, tuple(parse_endpoint(raw) for raw in listing["hosts"])
+        endpoint_list = platform.listing()
+        known_endpoints = EndpointList(
+            endpoint_list["seq"],
+            True,
+            tuple(parse_endpoint(raw) for raw in endpoint_list["hosts"]),
         )
         listen, discovery = (
             Address("127.0.0.1", self.port),
@@ -68,19 +70,19 @@
             192,
             256,
             3_000_000,
-            known,
+            known_endpoints,
             parse_settings(SETTINGS),
             ("x0", "x1"),
             inherited_fd=self.listener.fileno(),
-            **more,
+            **config_options,
         )
         self.lock = JournalLock(folder)
         self.task: asyncio.Task[bool] | None = None
 
-    async def start(self, successor: HandoverTarget | None = None) -> Engine:
-        if successor is None:
+    async def start(self, handover_target: HandoverTarget | None = None) -> Engine:
+        if handover_target is None:
             assert self.lock.try_acquire()
-        self.engine = Engine(self.config, self.lock, successor)
+        self.engine = Engine(self.config, self.lock, handover_target)
         self.task = asyncio.create_task(self.engine.run())
         await until(lambda: self.engine.serving)
         return self.engine
@@ -99,16 +101,17 @@
 
 
 def play(
-    scene: Callable[[Platform, Path, list[Old]], Awaitable[None]], folder: Path
+    scene: Callable[[Platform, Path, list[LoopbackEngine]], Awaitable[None]],
+    folder: Path,
 ) -> None:
     async def run() -> None:
         platform = Platform()
         await platform.start()
-        olds: list[Old] = []
+        engines: list[LoopbackEngine] = []
         try:
-            await scene(platform, folder, olds)
+            await scene(platform, folder, engines)
         finally:
-            for old in reversed(olds):
+            for old in reversed(engines):
                 await old.end()
 
     asyncio.run(run())
@@ -122,7 +125,7 @@
     return peer
 
 
-def gated(gate: asyncio.Event, answer: Answer = OK) -> Any:
+def answer_after(gate: asyncio.Event, answer: Answer = OK) -> Any:
     async def handler(request: Any) -> Answer:
         await gate.wait()
         return answer
@@ -130,40 +133,45 @@
     return handler
 
 
-def test_new_process_that_asks_while_the_disk_fails_costs_no_attempt(
+def test_snapshot_requests_while_the_disk_fails_cost_no_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It asks every 50 ms: each time what was being dialed was cut, until the message
-    had no attempt left.
+    """Guards against lost attempts: the new process requests a snapshot every 50 ms, and
+    each request cut the connection attempts in progress until the message had no
+    attempt left.
     """
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
         peer = await target(platform, always(OK))
-        olds.append(old := Old(folder, platform))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
-        gate, dialed = asyncio.Event(), asyncio.Event()
+        dial_gate, dialed = asyncio.Event(), asyncio.Event()
         dial = ConnectionPool.dial
 
-        async def slow(pool: ConnectionPool, call: Any, where: Address) -> None:
+        async def dial_slowly(
+            pool: ConnectionPool, call: Any, address: Address
+        ) -> None:
             dialed.set()
-            await gate.wait()
-            await dial(pool, call, where)
+            await dial_gate.wait()
+            await dial(pool, call, address)
 
-        monkeypatch.setattr(ConnectionPool, "dial", slow)
+        monkeypatch.setattr(ConnectionPool, "dial", dial_slowly)
         client = await old.client()
         assert (await client.hand_in("m", "pay"))[0] == 202
         await dialed.wait()
         engine.store.log.failed, engine.store.log.retry_at = True, float("inf")
         watch = engine.watch.task
         for _ in range(8):
-            successor = HandoverTarget()
-            assert not await successor.request_snapshot(folder)
-            successor.connection.close()
-            engine.run_round()  # what was cut goes again
+            handover_target = HandoverTarget()
+            assert not await handover_target.request_snapshot(folder)
+            handover_target.connection.close()
+            engine.run_round()  # starts calls that were cut again
         assert [m.attempts for m in engine.store.messages.values()] == [
             1
         ] and engine.watch.task is watch
-        gate.set()
+        dial_gate.set()
         await peer.got(1)
         await until(lambda: not engine.store.messages)
         assert len(peer.requests) == 1 and not engine.store.pending_notifications
@@ -171,12 +179,12 @@
     play(scene, tmp_path)
 
 
-def test_old_process_serves_between_two_tries_of_a_new_one_that_is_too_slow(
+def test_old_process_serves_between_two_handover_attempts_of_a_slow_new_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A new one that takes long to read the journal asked again after 50 ms, and the
-    old one stood still nearly all the time; and as each try had the same time, none
-    came to its end.
+    """Guards against an old process that is paused nearly all the time: a new process that
+    reads the journal slowly requested again after 50 ms, and as each try had the same
+    time limit, none succeeded.
     """
     now = [100.0]
     monkeypatch.setattr(
@@ -185,265 +193,286 @@
     )
 
     async def scene() -> None:
-        giver = Giver()
-        p = giver.predecessor
-        waited: list[float] = []
+        engine = SourceEngine()
+        source = engine.source
+        hold_times: list[float] = []
         for hold_s in (1.5, 3.0, 3.0):
-            _, _said = await asks(giver)
-            await until(lambda: giver.holds)
-            giver.stands()
-            assert p.hold_timer is not None
-            waited.append(p.hold_timer.when() - asyncio.get_running_loop().time())
-            assert hold_s - 1 < waited[-1] <= hold_s
-            p.hold_timer.cancel()
-            p.on_hold_timeout()  # as its timer does
+            _, _received = await connect_target(engine)
+            await until(lambda: engine.pause_callbacks)
+            engine.enter_pause()
+            assert source.hold_timer is not None
+            hold_times.append(
+                source.hold_timer.when() - asyncio.get_running_loop().time()
+            )
+            assert hold_s - 1 < hold_times[-1] <= hold_s
+            source.hold_timer.cancel()
+            source.on_hold_timeout()  # as the timer would
             now[0] += hold_s - 0.1
-            _, heard = await asks(giver)
-            await until(lambda heard=heard: heard or giver.holds)
-            assert heard[:1] == [{"no": True}] and not giver.holds
+            _, received = await connect_target(engine)
+            await until(lambda received=received: received or engine.pause_callbacks)
+            assert received[:1] == [{"no": True}] and not engine.pause_callbacks
             now[0] += 0.1
-        assert giver.resumed == 3
+        assert engine.resumed == 3
 
     asyncio.run(scene())
 
 
-def test_clients_of_an_ending_old_process_are_answered_when_the_new_one_dies(
+def test_clients_of_stopping_old_process_are_answered_when_new_process_dies(
     tmp_path: Path,
 ) -> None:
-    """Nobody answered them: the old process had given all away, and ended with their
-    connections open.
+    """Guards against clients without an answer: the old process had transferred ownership
+    and exited with their connections open.
     """
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
         await target(platform, always(OK))
-        olds.append(old := Old(folder, platform))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         first, second = await old.client(), await old.client()
-        successor = HandoverTarget()  # the new process, as far as the test lets it come
+        handover_target = HandoverTarget()  # stands for the new process
         assert (
-            await successor.request_snapshot(folder)
-            and await successor.request_ownership()
+            await handover_target.request_snapshot(folder)
+            and await handover_target.request_ownership()
         )
         engine.stop()
         for client, name in ((first, "taken"), (second, "lost")):
             client.writer.write(message(name, "pay"))
-        await until(lambda: len(successor.early_messages) == 2)
+        await until(lambda: len(handover_target.early_messages) == 2)
         lock = JournalLock(folder)
         assert lock.try_acquire()
-        kept = MessageStore(folder, 3_000_000)
-        kept.append_message(
+        store = MessageStore(folder, 3_000_000)
+        store.append_message(
             AcceptedMessage("taken", "pay", 7, 10**16, None, "acme", b"")
         )
-        kept.flush()
-        # it is in the journal, and the new process dies before it says so
-        kept.release()
-        assert successor.connection.transport is not None
-        successor.connection.transport.abort()
+        store.flush()
+        # "taken" is in the journal, and the new process dies before it confirms this
+        store.release()
+        assert handover_target.connection.transport is not None
+        handover_target.connection.transport.abort()
         lock.release()
         assert (await first.answer())[0] == 202
         assert (await second.answer())[0] == 503
         assert (
             old.task is not None and not await old.task
-        )  # it ends, and does not begin anew
+        )  # the old process exits and does not restart
 
     play(scene, tmp_path)
 
 
-def test_wait_told_while_the_old_process_syncs_its_last_round_binds_the_new_one(
+def test_throttling_wait_received_during_last_sync_of_old_process_binds_new_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Under `power`. The outcome was journaled, but its wait and what it taught of the
-    target reached neither process's module: the new one called again at once.
+    """With durability `power`. Guards against a lost throttling wait: the outcome was
+    journaled, but its wait and its effect on the endpoint's state reached neither
+    process's dispatcher, and the new process called again at once.
     """
     hands = Hands()
     monkeypatch.setattr(
         "rainfall.forwarder.engine.engine.create_sync_thread", lambda: hands
     )
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
-        gate, works = asyncio.Event(), asyncio.Event()
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
+        gate, disk_runs = asyncio.Event(), asyncio.Event()
 
         async def pump() -> None:
             while True:
-                await works.wait()
+                await disk_runs.wait()
                 hands.work()
                 await asyncio.sleep(0)
 
         pumping = asyncio.create_task(pump())
-        works.set()
+        disk_runs.set()
         peer = await target(
-            platform, gated(gate, Answer(429, {"X-RateLimit-Wait-Ms": "40000"}))
+            platform, answer_after(gate, Answer(429, {"X-RateLimit-Wait-Ms": "40000"}))
         )
-        await target(platform, gated(asyncio.Event()), "s2", block=8)
-        olds.append(old := Old(folder, platform, power=True))
+        await target(platform, answer_after(asyncio.Event()), "s2", block=8)
+        engines.append(old := LoopbackEngine(folder, platform, power=True))
         engine = await old.start()
         client, other = await old.client(), await old.client()
         assert (await client.hand_in("m"))[0] == 202
         await peer.got(1)
-        works.clear()
+        disk_runs.clear()
         other.writer.write(message("n", dest=8))
         await until(
             lambda: (
                 "n" in engine.store.messages or "n" in engine.intake.pending_submissions
             )
         )
-        successor = HandoverTarget()
-        asked = asyncio.create_task(successor.request_snapshot(folder))
+        handover_target = HandoverTarget()
+        snapshot_request = asyncio.create_task(handover_target.request_snapshot(folder))
         await until(lambda: engine.state.paused_for_handover)
-        gate.set()  # the answer comes while the disk syncs
+        gate.set()  # the 429 arrives during the sync
         await until(lambda: ("m", 0) not in engine.pool.calls)
-        works.set()
-        assert await asked and (await other.answer())[0] == 202
-        olds.append(new := Old(folder, platform, power=True))
-        taken = await new.start(successor)
-        await until(lambda: not [name for name, _ in taken.remote_calls if name == "m"])
-        taken.run_round()
-        place = taken.dispatcher.state.throttle_scopes[(7, -1)]
+        disk_runs.set()
+        assert await snapshot_request and (await other.answer())[0] == 202
+        engines.append(new := LoopbackEngine(folder, platform, power=True))
+        new_engine = await new.start(handover_target)
+        await until(
+            lambda: not [name for name, _ in new_engine.remote_calls if name == "m"]
+        )
+        new_engine.run_round()
+        throttle_scope = new_engine.dispatcher.state.throttle_scopes[(7, -1)]
         assert (
-            place.retry_after_until > taken.clock()
-            and taken.dispatcher.state.messages["m"].in_flight == 0
+            throttle_scope.retry_after_until > new_engine.clock()
+            and new_engine.dispatcher.state.messages["m"].in_flight == 0
         )
-        assert len(peer.requests) == 1 and taken.store.messages["m"].attempts == 1
-        works.clear()
+        assert len(peer.requests) == 1 and new_engine.store.messages["m"].attempts == 1
+        disk_runs.clear()
         while hands.work():
             pass
-        works.set()
-        for each in reversed(olds):
-            await each.end()
-        olds.clear()
+        disk_runs.set()
+        for running in reversed(engines):
+            await running.end()
+        engines.clear()
         pumping.cancel()
 
     play(scene, tmp_path)
 
 
-def test_new_class_is_known_at_the_old_process_s_door_after_sighup(
+def test_old_process_accepts_a_new_class_on_open_connections_after_sighup(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its kept connections are asked once more each; a class of the new file was
-    answered 404 there.
+    """Guards against a 404 for a class of the new file: each persistent connection of the
+    old process serves one more request after the handover.
     """
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
         await target(platform, always(OK))
-        olds.append(old := Old(folder, platform))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         client = await old.client()
         assert (await client.hand_in("before", "status"))[0] == 202
         await until(lambda: not engine.store.messages)
-        successor = HandoverTarget()
+        handover_target = HandoverTarget()
         assert (
-            await successor.request_snapshot(folder)
-            and await successor.request_ownership()
+            await handover_target.request_snapshot(folder)
+            and await handover_target.request_ownership()
         )
-        told = replace(engine.config, settings=parse_settings(classes(fresh={})))
+        new_config = replace(engine.config, settings=parse_settings(classes(fresh={})))
         monkeypatch.setattr(
-            "rainfall.forwarder.engine.ownership.load_replacement", lambda config: told
+            "rainfall.forwarder.engine.ownership.load_replacement",
+            lambda config: new_config,
         )
         engine.reload()
         client.writer.write(message("m", "fresh"))
-        answered = asyncio.create_task(client.answer())
-        await until(lambda: len(successor.early_messages) == 2 or answered.done())
-        assert [next(iter(line)) for line in successor.early_messages] == [
+        answer = asyncio.create_task(client.answer())
+        await until(lambda: len(handover_target.early_messages) == 2 or answer.done())
+        assert [next(iter(line)) for line in handover_target.early_messages] == [
             "reload",
             "hand_in",
         ]
-        assert successor.early_messages[1]["hand_in"][1]["class_name"] == "fresh"
-        answered.cancel()
-        assert successor.connection.transport is not None
-        successor.connection.transport.abort()
+        assert handover_target.early_messages[1]["hand_in"][1]["class_name"] == "fresh"
+        answer.cancel()
+        assert handover_target.connection.transport is not None
+        handover_target.connection.transport.abort()
         assert (
             old.task is not None and await old.task
-        )  # it begins again from the journal
+        )  # the old process restarts from the journal
 
     play(scene, tmp_path)
 
 
-def test_what_comes_while_all_stands_still_goes_on_at_the_new_process(
+def test_events_during_handover_pause_take_effect_at_the_new_process(
     tmp_path: Path,
 ) -> None:
-    """Between hold and give: a request, one whose client leaves, and a drain that the
-    old one never heard.
+    """Between pause and transfer arrive a request, another request whose client
+    disconnects, and a drain that the old process does not receive.
     """
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
-        drained, up = (
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
+        draining_peer, up_peer = (
             await target(platform, always(OK)),
             await target(platform, always(OK), "s2"),
         )
-        olds.append(old := Old(folder, platform))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
-        stays, goes = await old.client(), await old.client()
-        successor = HandoverTarget()
+        staying_client, leaving_client = await old.client(), await old.client()
+        handover_target = HandoverTarget()
         assert (
-            await successor.request_snapshot(folder)
+            await handover_target.request_snapshot(folder)
             and engine.state.paused_for_handover
         )
-        stays.writer.write(message("m", "pay"))
-        goes.writer.write(message("n", "pay"))
+        staying_client.writer.write(message("m", "pay"))
+        leaving_client.writer.write(message("n", "pay"))
         await until(lambda: {"m", "n"} <= engine.intake.pending_submissions.keys())
-        goes.writer.close()
+        leaving_client.writer.close()
         await until(lambda: "n" not in engine.intake.pending_submissions)
         await platform.change("s1", "draining")
-        olds.append(new := Old(folder, platform))
-        taken = await new.start(successor)
-        status, headers = await stays.answer()
+        engines.append(new := LoopbackEngine(folder, platform))
+        new_engine = await new.start(handover_target)
+        status, headers = await staying_client.answer()
         assert status == 202 and headers["connection"] == "close"
-        await up.got(1)
-        await until(lambda: not taken.store.messages)
-        assert not drained.requests and [
-            r.headers["x-correlation-id"] for r in up.requests
+        await up_peer.got(1)
+        await until(lambda: not new_engine.store.messages)
+        assert not draining_peer.requests and [
+            r.headers["x-correlation-id"] for r in up_peer.requests
         ] == ["m"]
 
     play(scene, tmp_path)
 
 
-def test_client_that_leaves_in_the_turn_of_the_give_has_handed_nothing_over(
+def test_message_of_client_that_disconnects_during_transfer_is_dropped(
     tmp_path: Path,
 ) -> None:
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
         peer = await target(platform, always(OK))
-        olds.append(old := Old(folder, platform))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         client, other = await old.client(), await old.client()
-        successor = HandoverTarget()
-        assert await successor.request_snapshot(folder)
+        handover_target = HandoverTarget()
+        assert await handover_target.request_snapshot(folder)
         client.writer.write(message("n", "pay"))
         other.writer.write(message("m", "pay"))
         await until(lambda: len(engine.intake.pending_submissions) == 2)
-        assert await successor.request_ownership()
-        await until(lambda: len(successor.early_messages) == 2)
-        client.writer.close()  # before the new one has an engine to take it
-        await until(lambda: len(successor.early_messages) == 3)
-        olds.append(new := Old(folder, platform))
+        assert await handover_target.request_ownership()
+        await until(lambda: len(handover_target.early_messages) == 2)
+        client.writer.close()  # before the new process has an engine
+        await until(lambda: len(handover_target.early_messages) == 3)
+        engines.append(new := LoopbackEngine(folder, platform))
         new.lock.try_acquire()
-        taken = new.engine = Engine(new.config, new.lock, None)
-        successor.attach(taken)
-        taken.run_round()
-        assert list(taken.store.messages) == ["m"] and (await other.answer())[0] == 202
-        taken.store.close()
+        new_engine = new.engine = Engine(new.config, new.lock, None)
+        handover_target.attach(new_engine)
+        new_engine.run_round()
+        assert (
+            list(new_engine.store.messages) == ["m"]
+            and (await other.answer())[0] == 202
+        )
+        new_engine.store.close()
         assert not peer.requests
-        olds.remove(new)
+        engines.remove(new)
         new.lock.release()
         new.listener.close()
 
     play(scene, tmp_path)
 
 
-def test_sigterm_at_the_old_process_while_it_stands_still_ends_the_talk(
+def test_sigterm_at_paused_old_process_aborts_the_handover(
     tmp_path: Path,
 ) -> None:
-    """It goes on as if not asked, answers, and refuses who asks again; the new one
-    waits for its journal.
+    """The old process resumes as if no snapshot had been requested, answers its clients and
+    refuses further snapshot requests; the new process waits for the journal.
     """
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
         peer = await target(platform, always(OK))
-        olds.append(old := Old(folder, platform))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         client = await old.client()
-        successor = HandoverTarget()
+        handover_target = HandoverTarget()
         assert (
-            await successor.request_snapshot(folder)
+            await handover_target.request_snapshot(folder)
             and engine.state.paused_for_handover
         )
         client.writer.write(message("m", "pay"))
@@ -451,163 +480,171 @@
         engine.stop()
         assert (
             not engine.state.paused_for_handover
-            and not await successor.request_ownership()
+            and not await handover_target.request_ownership()
         )
         assert (await client.answer())[0] == 202
         await peer.got(1)
-        again = HandoverTarget()
+        second_target = HandoverTarget()
         assert (
-            not await again.request_snapshot(folder)
+            not await second_target.request_snapshot(folder)
             and not JournalLock(folder).try_acquire()
         )
-        again.connection.close()
+        second_target.connection.close()
         assert old.task is not None and not await old.task and len(peer.requests) == 1
 
     play(scene, tmp_path)
 
 
-def test_repeat_window_of_a_call_out_at_the_old_process_counts_from_its_first_byte(
+def test_idempotency_window_of_a_call_of_the_old_process_counts_from_its_first_byte(
     tmp_path: Path,
 ) -> None:
-    """Told late and as cut, it may have run when it was sent, and not when the
-    hand-over was.
+    """Guards against a window that counts from the handover: a call that is reported late
+    and as cut may have executed when it was sent.
     """
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
-        peer = await target(platform, gated(asyncio.Event()))
-        olds.append(old := Old(folder, platform))
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
+        peer = await target(platform, answer_after(asyncio.Event()))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         assert (await (await old.client()).hand_in("m"))[0] == 202
         await peer.got(1)
         sent_at = engine.store.messages["m"].in_flight[0][0]
-        successor = HandoverTarget()
-        assert await successor.request_snapshot(folder)
-        olds.append(new := Old(folder, platform))
-        taken = await new.start(successor)
-        assert taken.remote_calls[("m", 0)][1] == sent_at
-        assert taken.dispatcher.state.attempts[("m", 0)].call.sent_at == sent_at
-        engine.handover_source.close()  # as its death does
-        await peer.got(2)  # its window holds still
+        handover_target = HandoverTarget()
+        assert await handover_target.request_snapshot(folder)
+        engines.append(new := LoopbackEngine(folder, platform))
+        new_engine = await new.start(handover_target)
+        assert new_engine.remote_calls[("m", 0)][1] == sent_at
+        assert new_engine.dispatcher.state.attempts[("m", 0)].call.sent_at == sent_at
+        engine.handover_source.close()  # as the death of the old process does
+        await peer.got(2)  # the idempotency window is still open
         assert (
-            taken.dispatcher.state.messages["m"].executed_at
-            == taken.store.messages["m"].executed_at_us
+            new_engine.dispatcher.state.messages["m"].executed_at
+            == new_engine.store.messages["m"].executed_at_us
             == sent_at
         )
 
     play(scene, tmp_path)
 
 
-def test_operators_call_during_the_hold_takes_effect_at_the_new_process(
+def test_admin_request_during_handover_pause_takes_effect_at_the_new_process(
     tmp_path: Path,
 ) -> None:
-    """It was told to the new one before that counted itself as serving, and turned away
-    with 503.
+    """Guards against a 503: the request was forwarded to the new process before that
+    process was in its serving state.
     """
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
         await target(platform, always(OK))
-        olds.append(old := Old(folder, platform))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
-        successor = HandoverTarget()
+        handover_target = HandoverTarget()
         assert (
-            await successor.request_snapshot(folder)
+            await handover_target.request_snapshot(folder)
             and engine.state.paused_for_handover
         )
-        said: list[int] = []
-        engine.set_detached("s1", True, lambda status, text: said.append(int(status)))
-        assert not said
-        olds.append(new := Old(folder, platform))
-        taken = await new.start(successor)
-        await until(lambda: said)
-        assert said == [200] and list(taken.store.detached) == ["s1"]
+        statuses: list[int] = []
+        engine.set_detached(
+            "s1", True, lambda status, text: statuses.append(int(status))
+        )
+        assert not statuses
+        engines.append(new := LoopbackEngine(folder, platform))
+        new_engine = await new.start(handover_target)
+        await until(lambda: statuses)
+        assert statuses == [200] and list(new_engine.store.detached) == ["s1"]
 
     play(scene, tmp_path)
 
 
-def test_sigterm_at_both_waits_at_the_new_one_for_what_the_old_one_has_out(
+def test_sigterm_at_both_processes_makes_the_new_one_wait_for_calls_of_the_old_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The new one had no call of its own out and ended: the old one's outcome had
-    nobody to be told to.
+    """Guards against a lost outcome: the new process had no call of its own in flight and
+    exited before the old process reported the outcome of its call.
     """
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.ACCEPT_PERIOD_S", 0.05)
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.FREEZE_AFTER_S", 0.05)
     monkeypatch.setattr("rainfall.forwarder.engine.shutdown.EXIT_AFTER_S", 15.0)
 
-    async def scene(platform: Platform, folder: Path, olds: list[Old]) -> None:
+    async def scene(
+        platform: Platform, folder: Path, engines: list[LoopbackEngine]
+    ) -> None:
         gate = asyncio.Event()
-        peer = await target(platform, gated(gate))
-        olds.append(old := Old(folder, platform))
+        peer = await target(platform, answer_after(gate))
+        engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         assert (await (await old.client()).hand_in("m", "pay"))[0] == 202
         await peer.got(1)
-        successor = HandoverTarget()
-        assert await successor.request_snapshot(folder)
-        olds.append(new := Old(folder, platform))
-        taken = await new.start(successor)
-        taken.stop()
+        handover_target = HandoverTarget()
+        assert await handover_target.request_snapshot(folder)
+        engines.append(new := LoopbackEngine(folder, platform))
+        new_engine = await new.start(handover_target)
+        new_engine.stop()
         engine.stop()
-        await until(lambda: taken.frozen)
+        await until(lambda: new_engine.frozen)
         await asyncio.sleep(
             0.2
-        )  # some steps of its stopping; right code waits here however long it is
+        )  # several steps of the shutdown; correct code waits here for any length of time
         gate.set()
         assert new.task is not None and not await new.task
         assert not MessageStore(
             folder, 3_000_000, write=False
-        ).messages  # delivered, and known to be
+        ).messages  # delivered and recorded as finished
 
     play(scene, tmp_path)
 
 
-class Stub:
-    """Stands for the engine: what the program does with signals and the file around
-    it.
+class StubEngine:
+    """Stands for the engine; records the calls that the program makes on signals and
+    restarts.
     """
 
-    made: list[Stub]
-    ends: list[bool]
+    instances: list[StubEngine]
+    restarts: list[bool]
 
     def __init__(self, config: Any, lock: Any, successor: Any) -> None:
-        self.config, self.heard = config, list[str]()
-        self.made.append(self)
+        self.config, self.calls = config, list[str]()
+        self.instances.append(self)
 
-    def respond_for_previous(self, before: Any) -> None:
+    def respond_for_previous(self, previous: Any) -> None:
         pass
 
     def respond_from_journal(self) -> None:
-        self.heard.append("answered")
+        self.calls.append("answered")
 
     def stop(self) -> None:
-        self.heard.append("stop")
+        self.calls.append("stop")
 
     def reload(self) -> None:
-        self.heard.append("reload")
+        self.calls.append("reload")
 
     async def run(self) -> bool:
-        return self.ends.pop(0)
+        return self.restarts.pop(0)
 
 
-def stubbed(
-    monkeypatch: pytest.MonkeyPatch, ends: list[bool], claims: Any
-) -> type[Stub]:
-    class One(Stub):
-        made: list[Stub] = []
+def stub_engine(
+    monkeypatch: pytest.MonkeyPatch, restarts: list[bool], claim_journal: Any
+) -> type[StubEngine]:
+    class Recorded(StubEngine):
+        instances: list[StubEngine] = []
 
-    One.ends = ends
-    monkeypatch.setattr("rainfall.__main__.Engine", One)
-    monkeypatch.setattr("rainfall.__main__.claim_journal", claims)
-    return One
+    Recorded.restarts = restarts
+    monkeypatch.setattr("rainfall.__main__.Engine", Recorded)
+    monkeypatch.setattr("rainfall.__main__.claim_journal", claim_journal)
+    return Recorded
 
 
-def test_file_changed_while_the_new_process_waits_for_the_journal_is_what_it_serves_by(
+def test_configuration_changed_while_new_process_waits_for_the_journal_is_used(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """SIGHUP went to the old process, after the new one had read its file: the settings
-    were lost with it.
+    """Guards against lost settings: SIGHUP went to the old process after the new one had
+    read its configuration file.
     """
     path = tmp_path / "config.json"
-    told = {
+    file = {
         "name": "n0",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
@@ -615,33 +652,33 @@
         "limits": {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
         "known": {"seq": 1, "whole": True, "hosts": []},
     }
-    path.write_text(json.dumps({**told, "settings": SETTINGS}))
+    path.write_text(json.dumps({**file, "settings": SETTINGS}))
     monkeypatch.setenv("LB_CONFIG", str(path))
     monkeypatch.setenv("LB_STATE", str(tmp_path))
 
-    async def claims(lock: Any, folder: Path) -> None:
-        path.write_text(json.dumps({**told, "settings": classes(fresh={})}))
+    async def claim_journal(lock: Any, folder: Path) -> None:
+        path.write_text(json.dumps({**file, "settings": classes(fresh={})}))
 
-    one = stubbed(monkeypatch, [False], claims)
+    stub = stub_engine(monkeypatch, [False], claim_journal)
     asyncio.run(serve(load_config()))
-    assert "fresh" in {c.name for c in one.made[0].config.settings.classes}
+    assert "fresh" in {c.name for c in stub.instances[0].config.settings.classes}
 
 
-def test_sigterm_while_a_process_waits_to_begin_again_ends_it(
+def test_sigterm_while_a_process_waits_to_restart_ends_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was told to the engine that had ended, and the process served on until
-    SIGKILL.
+    """Guards against a process that serves until SIGKILL: the signal reached the engine
+    that had already ended.
     """
-    waits: list[int] = []
+    claims: list[int] = []
 
-    async def claims(lock: Any, folder: Path) -> None:
-        waits.append(1)
-        if len(waits) == 2:
+    async def claim_journal(lock: Any, folder: Path) -> None:
+        claims.append(1)
+        if len(claims) == 2:
             signal.raise_signal(signal.SIGTERM)
             await asyncio.sleep(0.2)
 
-    one = stubbed(monkeypatch, [True, False], claims)
+    stub = stub_engine(monkeypatch, [True, False], claim_journal)
     asyncio.run(
         serve(
             Config(
@@ -659,4 +696,4 @@
             )
         )
     )
-    assert len(one.made) == 1 and one.made[0].heard == ["answered"]
+    assert len(stub.instances) == 1 and stub.instances[0].calls == ["answered"]
--- a/tests/forwarder/test_kills.py
+++ b/tests/forwarder/test_kills.py
@@ -1,5 +1,5 @@
-"""The real program, killed again and again, with real clients, endpoints and list on
-loopback.
+"""The real program under repeated kills, with clients, endpoints and discovery on
+loopback; restoring messages at start; a full disk.
 """
 
 from __future__ import annotations
@@ -48,20 +48,22 @@
 
 
 class Endpoint:
-    """Answers by a seeded chance, and keeps what each message got."""
+    """Answers 503, hangs or answers 200 by a seeded random draw, or always 200 while
+    `healthy`; records the status that each message got, 0 for a hung call.
+    """
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.kind = True
+        self.healthy = True
         self.calls: list[tuple[str, int]] = []
 
     async def __call__(self, request: Request) -> Answer | None:
         name = request.headers["x-correlation-id"]
-        chance = 1.0 if self.kind else self.random.random()
-        status = 503 if chance < 0.2 else 0 if chance < 0.35 else 200
+        draw = 1.0 if self.healthy else self.random.random()
+        status = 503 if draw < 0.2 else 0 if draw < 0.35 else 200
         self.calls.append((name, status))
         if not status:
-            await asyncio.sleep(3600)  # cut by the next kill
+            await asyncio.sleep(3600)  # the next kill cuts the call
         return Answer(status)
 
 
@@ -71,73 +73,81 @@
 
 
 @pytest.mark.parametrize("level", ["process", "power"])
-def test_each_accepted_message_has_its_end_and_no_forbidden_copy(
+def test_each_accepted_message_is_finished_and_none_is_wrongly_repeated(
     tmp_path: Path, level: str
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        chance = random.Random(11)
-        end = Endpoint(12)
-        await target(platform, end)
-        await target(platform, end, "s2")
+        random_source = random.Random(11)
+        endpoint = Endpoint(12)
+        await target(platform, endpoint)
+        await target(platform, endpoint, "s2")
         node = Node(folder, platform, max_open=400)
         configure(node, durability=level)
         await node.start()
         accepted: dict[str, str] = {}
-        handed: dict[str, list[str]] = {"A": [], "B": []}
+        accepted_by_key: dict[str, list[str]] = {"A": [], "B": []}
         try:
-            for turn in range(ROUNDS):
-                end.kind = False
-                killer, last = None, chance.randint(6, EACH - 2)
+            for round_number in range(ROUNDS):
+                endpoint.healthy = False
+                killer, kill_at = None, random_source.randint(6, EACH - 2)
                 for n in range(EACH):
-                    if n == last:  # while the next ones are being handed in
+                    if n == kill_at:  # while further messages are submitted
                         killer = asyncio.create_task(node.end())
-                    name, cls = (
-                        f"{turn}-{n}",
-                        chance.choice(("pay", "order", "status", "turns")),
+                    name, class_name = (
+                        f"{round_number}-{n}",
+                        random_source.choice(("pay", "order", "status", "turns")),
                     )
-                    key = chance.choice("AB") if cls == "turns" else None
-                    more = {"X_Session_Key": key} if key else {}
+                    key = random_source.choice("AB") if class_name == "turns" else None
+                    headers = {"X_Session_Key": key} if key else {}
                     try:
-                        status, _ = await node.hand_in(name, cls, **more)
+                        status, _ = await node.hand_in(name, class_name, **headers)
                     except (OSError, asyncio.IncompleteReadError):
-                        # killed before its answer: nobody was promised anything
+                        # killed before its answer: the message was not accepted
                         continue
                     if status == 202:
-                        accepted[name] = cls
+                        accepted[name] = class_name
                         if key:
-                            handed[key].append(name)
+                            accepted_by_key[key].append(name)
                 assert killer is not None
                 await killer
-                end.kind = True
+                endpoint.healthy = True
                 await node.start()
 
-            def ends() -> set[str]:
-                delivered = {n for n, s in end.calls if s == 200}
+            def finished_ids() -> set[str]:
+                delivered = {n for n, s in endpoint.calls if s == 200}
                 return delivered | {x["id"] for x in platform.notices}
 
             async with asyncio.timeout(PATIENCE):
-                while not set(accepted) <= ends():
+                while not set(accepted) <= finished_ids():
                     await asyncio.sleep(0.02)
             await node.shows(lambda v: v["open_requests"] == 0)
         finally:
             await node.end()
         assert len(accepted) >= ROUNDS * 4 and len(set(accepted.values())) == 4
-        ran = Counter(name for name, status in end.calls if status != 503)
-        doubled = [n for n, cls in accepted.items() if cls == "pay" and ran[n] > 1]
-        assert not doubled
-        for key, names in handed.items():
-            seen = [n for n, status in end.calls if n in names and status != 503]
-            first = [n for k, n in enumerate(seen) if n not in seen[:k]]
-            assert first == sorted(first, key=names.index), key
+        executions = Counter(name for name, status in endpoint.calls if status != 503)
+        repeated_payments = [
+            n
+            for n, class_name in accepted.items()
+            if class_name == "pay" and executions[n] > 1
+        ]
+        assert not repeated_payments
+        for key, names in accepted_by_key.items():
+            executed = [
+                n for n, status in endpoint.calls if n in names and status != 503
+            ]
+            first_executions = [
+                n for k, n in enumerate(executed) if n not in executed[:k]
+            ]
+            assert first_executions == sorted(first_executions, key=names.index), key
             assert all(
-                n in seen[k - 1 : k + 1] or n not in seen[:k]
-                for k, n in enumerate(seen)
+                n in executed[k - 1 : k + 1] or n not in executed[:k]
+                for k, n in enumerate(executed)
             ), key
         states: dict[str, set[str]] = {}
         for x in platform.notices:
             states.setdefault(x["id"], set()).add(x["state"])
         assert all(len(s) == 1 for s in states.values())
-        done = subprocess.run(
+        check = subprocess.run(
             [
                 sys.executable,
                 "-m",
@@ -151,13 +161,14 @@
             timeout=60,
         )
         assert (
-            done.returncode == 0 and " 0 messages held, 0 ends not told" in done.stdout
+            check.returncode == 0
+            and " 0 messages held, 0 ends not told" in check.stdout
         )
 
     play(scene, tmp_path)
 
 
-def test_power_is_shown_and_counted_and_operators_hear_yes(tmp_path: Path) -> None:
+def test_power_durability_is_reported_and_syncs_are_counted(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = Node(folder, platform)
@@ -170,7 +181,7 @@
                 200,
                 "detached\n",
             )
-            beside = await asyncio.create_subprocess_exec(
+            check = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "rainfall.journal",
@@ -179,15 +190,17 @@
                 cwd=ROOT,
                 stdout=asyncio.subprocess.PIPE,
             )
-            said, _ = await beside.communicate()
+            output, _ = await check.communicate()
             assert (
-                beside.returncode == 0 and b"level power" in said and b"whole" in said
+                check.returncode == 0
+                and b"level power" in output
+                and b"whole" in output
             )
-            shown = (await node.figures())["journal"]
+            journal_figures = (await node.figures())["journal"]
             assert (
-                shown["level"] == "power"
-                and shown["syncs"] >= 6
-                and not shown["failed"]
+                journal_figures["level"] == "power"
+                and journal_figures["syncs"] >= 6
+                and not journal_figures["failed"]
             )
         finally:
             assert await node.end(signal.SIGTERM) == 0
@@ -195,7 +208,7 @@
     play(scene, tmp_path)
 
 
-def test_upgrade_under_power_carries_what_is_held(tmp_path: Path) -> None:
+def test_handover_with_power_durability_keeps_open_messages(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         old = Node(folder, platform)
@@ -219,10 +232,10 @@
     play(scene, tmp_path)
 
 
-def test_a_newer_journal_and_a_folder_that_cannot_be_used_end_the_start_in_one_line(
+def test_newer_journal_or_unusable_folder_ends_the_start_with_one_error_line(
     tmp_path: Path,
 ) -> None:
-    newer = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode()
+    newer_header = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode()
     config = {
         "name": "n",
         "listen": "127.0.0.1:1",
@@ -237,7 +250,7 @@
         else:
             state.mkdir()
         if case == "newer":
-            (state / "journal").write_bytes(newer)
+            (state / "journal").write_bytes(newer_header)
         elif case == "a folder":
             (state / "journal").mkdir()
         env = {
@@ -245,7 +258,7 @@
             "LB_CONFIG": str(tmp_path / "config.json"),
             "LB_STATE": str(state),
         }
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "rainfall"],
             cwd=ROOT,
             env=env,
@@ -253,25 +266,31 @@
             text=True,
             timeout=60,
         )
-        said = [
+        error_lines = [
             line
-            for line in done.stderr.splitlines()
+            for line in process.stderr.splitlines()
             if line.startswith("rainfall: cannot serve: ")
         ]
         assert (
-            done.returncode == 1 and len(said) == 1 and "Traceback" not in done.stderr
-        ), done.stderr
-    assert (tmp_path / "newer/journal").read_bytes() == newer
+            process.returncode == 1
+            and len(error_lines) == 1
+            and "Traceback" not in process.stderr
+        ), process.stderr
+    assert (tmp_path / "newer/journal").read_bytes() == newer_header
 
 
-# Service returns in order
+# Restoring messages at start
 
 
-def filled(folder: Path, overdue: int, live: int, key: str | None = None) -> None:
-    """A journal with messages whose time is up, behind others that have time left."""
+def write_journal(
+    folder: Path, overdue: int, live: int, key: str | None = None
+) -> None:
+    """Write a journal with `overdue` messages past their deadline behind `live` ones."""
     store = MessageStore(folder, 3_000_000)
-    made = parse_settings(SETTINGS)
-    store.use_rules(DeliveryRules(made.max_attempts, made.classes))
+    forwarder_settings = parse_settings(SETTINGS)
+    store.use_rules(
+        DeliveryRules(forwarder_settings.max_attempts, forwarder_settings.classes)
+    )
     for n in range(live):
         store.append_message(
             AcceptedMessage(
@@ -292,73 +311,84 @@
     store.close()
 
 
-def test_the_overdue_are_told_first_and_in_batches(tmp_path: Path) -> None:
-    filled(tmp_path, overdue=150, live=150)
+def test_overdue_messages_are_restored_first_and_in_batches(tmp_path: Path) -> None:
+    write_journal(tmp_path, overdue=150, live=150)
 
     async def scene() -> None:
-        e = engine(tmp_path)
+        tested_engine = engine(tmp_path)
         first = [
-            x.message_id for x in e.pending_events if isinstance(x, MessageRestored)
+            x.message_id
+            for x in tested_engine.pending_events
+            if isinstance(x, MessageRestored)
         ]
         assert len(first) == RESTORE_BATCH and all(
             name.startswith("late") for name in first
         )
-        assert len(e.restoration.backlog) == 200 and len(e.store.messages) == 300
-        e.pending_events.clear()
-        e.restoration.restore_messages(RESTORE_BATCH)
+        assert (
+            len(tested_engine.restoration.backlog) == 200
+            and len(tested_engine.store.messages) == 300
+        )
+        tested_engine.pending_events.clear()
+        tested_engine.restoration.restore_messages(RESTORE_BATCH)
         second = [
-            x.message_id for x in e.pending_events if isinstance(x, MessageRestored)
+            x.message_id
+            for x in tested_engine.pending_events
+            if isinstance(x, MessageRestored)
         ]
         assert [name[:4] for name in second] == ["late"] * 50 + ["live"] * 50
-        e.store.close()
+        tested_engine.store.close()
 
     asyncio.run(scene())
 
 
-def test_old_messages_of_a_key_go_before_a_fresh_one(
+def test_restored_messages_of_a_key_go_before_a_new_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Told to the module after the fresh one, they would be overtaken by it."""
+    """Guards against a new message overtaking restored ones: it must not reach the
+    dispatcher before them.
+    """
     monkeypatch.setattr("rainfall.forwarder.engine.restoration.RESTORE_BATCH", 5)
-    filled(tmp_path, overdue=5, live=3, key="K")
+    write_journal(tmp_path, overdue=5, live=3, key="K")
 
-    class Door:
+    class Writer:
         on_disconnect = None
 
         def answer(self, status: object, text: str = "", **headers: str) -> None: ...
 
     async def scene() -> None:
-        e = engine(tmp_path)
-        assert [x.ordering_key for x in e.restoration.backlog.values()] == ["K"] * 3
-        e.submit(
+        tested_engine = engine(tmp_path)
+        assert [x.ordering_key for x in tested_engine.restoration.backlog.values()] == [
+            "K"
+        ] * 3
+        tested_engine.submit(
             SubmittedMessage(
                 "fresh", "turns", 7, 10**16, None, "K", "acme", False, b""
             ),
-            Door(),
+            Writer(),
         )
         names = [
             x.message_id
-            for x in e.pending_events
+            for x in tested_engine.pending_events
             if isinstance(x, MessageRestored | MessageReceived)
         ]
         assert (
             names[-4:] == ["live0", "live1", "live2", "fresh"]
-            and not e.restoration.backlog
+            and not tested_engine.restoration.backlog
         )
-        e.store.close()
+        tested_engine.store.close()
 
     asyncio.run(scene())
 
 
-def test_ready_comes_before_the_old_work_is_done(tmp_path: Path) -> None:
-    """A thousand overdue messages, and a discovery that takes no notices: a fresh
-    message is delivered.
+def test_process_is_ready_before_all_messages_are_restored(tmp_path: Path) -> None:
+    """With a thousand overdue messages, and a platform that accepts no notifications, a
+    new message is delivered.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         (folder / "state").mkdir()
-        filled(folder / "state", overdue=1000, live=20)
+        write_journal(folder / "state", overdue=1000, live=20)
         platform.accepts = False
         node = await node_on(folder, platform, max_open=3000)
         assert (await node.hand_in("fresh"))[0] == 202
@@ -400,29 +430,29 @@
     )
 
 
-def test_a_client_that_leaves_during_the_sync_has_handed_nothing_over(
+def test_message_of_client_that_disconnects_during_the_sync_is_dropped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It may hand the message in elsewhere: sent on from here too, it would go
-    twice.
+    """Guards against a double delivery: the client may submit the message to another
+    forwarder.
     """
     from tests.support.memory_disk import Hands
 
     hands = Hands()
 
-    class Door:
+    class Writer:
         def __init__(self) -> None:
             self.on_disconnect = None
-            self.said: list[int] = []
+            self.statuses: list[int] = []
 
         def answer(self, status: int, text: str = "", **headers: str) -> None:
-            self.said.append(int(status))
+            self.statuses.append(int(status))
 
     async def scene() -> None:
-        e = power_engine(tmp_path, hands, monkeypatch)
-        started: list[object] = []
-        monkeypatch.setattr(e.pool, "start", started.append)
-        e.on_endpoint_list(
+        tested_engine = power_engine(tmp_path, hands, monkeypatch)
+        started_calls: list[object] = []
+        monkeypatch.setattr(tested_engine.pool, "start", started_calls.append)
+        tested_engine.on_endpoint_list(
             EndpointList(
                 2,
                 True,
@@ -431,36 +461,54 @@
         )
         while hands.work():
             pass
-        doors = {name: Door() for name in ("stays", "goes")}
-        for name, door in doors.items():
-            e.submit(
+        writers = {name: Writer() for name in ("stays", "goes")}
+        for name, writer in writers.items():
+            tested_engine.submit(
                 SubmittedMessage(
-                    name, "pay", 7, e.clock() + 10**7, None, None, "acme", False, b""
+                    name,
+                    "pay",
+                    7,
+                    tested_engine.clock() + 10**7,
+                    None,
+                    None,
+                    "acme",
+                    False,
+                    b"",
                 ),
-                door,
+                writer,
             )
-        e.run_round()
-        assert not started and not any(d.said for d in doors.values())
-        assert doors["goes"].on_disconnect is not None
-        doors["goes"].on_disconnect()
-        again = Door()
-        e.submit(
+        tested_engine.run_round()
+        assert not started_calls and not any(
+            each_writer.statuses for each_writer in writers.values()
+        )
+        assert writers["goes"].on_disconnect is not None
+        writers["goes"].on_disconnect()
+        second_writer = Writer()
+        tested_engine.submit(
             SubmittedMessage(
-                "stays", "pay", 7, e.clock() + 10**7, None, None, "acme", False, b""
+                "stays",
+                "pay",
+                7,
+                tested_engine.clock() + 10**7,
+                None,
+                None,
+                "acme",
+                False,
+                b"",
             ),
-            again,
+            second_writer,
         )
-        assert again.said == [503]  # not before it is known to be kept
+        assert second_writer.statuses == [503]  # not accepted before the sync ends
         while hands.work():
             pass
-        assert doors["stays"].said == [202] and doors["goes"].said == []
-        assert [item.id for call in started for item in call.items] == ["stays"]  # type: ignore[attr-defined]
-        assert list(e.store.messages) == ["stays"]
-        e.run_round()
-        assert "goes" not in e.dispatcher.state.messages
+        assert writers["stays"].statuses == [202] and writers["goes"].statuses == []
+        assert [item.id for call in started_calls for item in call.items] == ["stays"]  # type: ignore[attr-defined]
+        assert list(tested_engine.store.messages) == ["stays"]
+        tested_engine.run_round()
+        assert "goes" not in tested_engine.dispatcher.state.messages
         while hands.work():
             pass
-        e.store.release()
+        tested_engine.store.release()
 
     asyncio.run(scene())
 
@@ -469,63 +517,77 @@
     "cls, leaves",
     [("pay", False), ("order", False), ("turns", False), ("status", True)],
 )
-def test_what_a_restart_could_double_does_not_leave_without_its_record(
+def test_unrepeatable_call_is_not_sent_without_its_journal_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cls: str, leaves: bool
 ) -> None:
-    """On a full disk a once-only call used to leave without its record: killed then, it
-    went twice.
+    """Guards against an at-most-once call that is sent without its record on a full disk:
+    after a kill it was sent twice.
     """
 
     async def scene() -> None:
-        e = engine(tmp_path)
-        started: list[OutboundCall] = []
-        monkeypatch.setattr(e.pool, "start", started.append)
-        e.run_round()
+        tested_engine = engine(tmp_path)
+        started_calls: list[OutboundCall] = []
+        monkeypatch.setattr(tested_engine.pool, "start", started_calls.append)
+        tested_engine.run_round()
         key = "K" if cls == "turns" else None
-        e.store.append_message(
-            AcceptedMessage("m", cls, 7, e.clock() + 10**8, None, "acme", b"", key)
+        tested_engine.store.append_message(
+            AcceptedMessage(
+                "m", cls, 7, tested_engine.clock() + 10**8, None, "acme", b"", key
+            )
+        )
+        tested_engine.store.flush()
+        tested_engine.post(
+            MessageRestored("m", 7, cls, tested_engine.clock() + 10**8, key)
         )
-        e.store.flush()
-        e.post(MessageRestored("m", 7, cls, e.clock() + 10**8, key))
-        e.store.log.max_bytes = e.store.size  # nothing more fits
-        e.run_round()
-        assert [item.id for call in started for item in call.items] == ["m"] * leaves
-        assert e.store.failed and not e.store.has_capacity(1)
-        e.store.log.max_bytes = 3_000_000
-        e.store.log.retry_at = 0
-        e.store.log.retry_after_failure()
-        assert not e.store.failed and e.store.has_capacity(1)
-        e.store.close()
+        tested_engine.store.log.max_bytes = tested_engine.store.size  # disk full
+        tested_engine.run_round()
+        assert [item.id for call in started_calls for item in call.items] == [
+            "m"
+        ] * leaves
+        assert tested_engine.store.failed and not tested_engine.store.has_capacity(1)
+        tested_engine.store.log.max_bytes = 3_000_000
+        tested_engine.store.log.retry_at = 0
+        tested_engine.store.log.retry_after_failure()
+        assert not tested_engine.store.failed and tested_engine.store.has_capacity(1)
+        tested_engine.store.close()
 
     asyncio.run(scene())
 
 
-def test_a_message_that_cannot_be_written_is_not_accepted(tmp_path: Path) -> None:
-    class Door:
+def test_message_that_cannot_be_journaled_is_rejected(tmp_path: Path) -> None:
+    class Writer:
         on_disconnect = None
-        said: list[int] = []
+        statuses: list[int] = []
 
         def answer(self, status: int, text: str = "", **headers: str) -> None:
-            self.said.append(int(status))
+            self.statuses.append(int(status))
 
     async def scene() -> None:
-        e = engine(tmp_path)
-        e.run_round()
-        e.submit(
+        tested_engine = engine(tmp_path)
+        tested_engine.run_round()
+        tested_engine.submit(
             SubmittedMessage(
-                "m", "status", 7, e.clock() + 10**7, None, None, "acme", False, b""
+                "m",
+                "status",
+                7,
+                tested_engine.clock() + 10**7,
+                None,
+                None,
+                "acme",
+                False,
+                b"",
             ),
-            Door(),
+            Writer(),
         )
-        e.store.log.max_bytes = e.store.size
-        e.run_round()
+        tested_engine.store.log.max_bytes = tested_engine.store.size
+        tested_engine.run_round()
         assert (
-            Door.said == [503]
-            and not e.store.messages
-            and e.metrics.throttled["status"] == 1
+            Writer.statuses == [503]
+            and not tested_engine.store.messages
+            and tested_engine.metrics.throttled["status"] == 1
         )
-        e.run_round()
-        assert not e.dispatcher.state.messages
-        e.store.close()
+        tested_engine.run_round()
+        assert not tested_engine.dispatcher.state.messages
+        tested_engine.store.close()
 
     asyncio.run(scene())
--- a/tests/forwarder/test_notification_races.py
+++ b/tests/forwarder/test_notification_races.py
@@ -1,5 +1,5 @@
-"""Two events that cross at a notice: its answer lost, late or from another connection,
-a move, a stop, and a 200 of the call that was given up.
+"""Races around a notification: its answer is lost, late or on another connection, the
+address changes, the process stops, or the call that timed out is answered 200.
 """
 
 from __future__ import annotations
@@ -26,42 +26,44 @@
 from tests.forwarder.test_program import node_on, play, target
 from tests.support.loopback_peers import OK, PATIENCE, Answer, Peer, Platform, Request
 
-OVERDUE_S = 0.3  # after its message's time a notice is late
+OVERDUE_S = 0.3  # latest time of a notification after the message's deadline
 SILENT = b""
 TAKEN = Answer(204)
 Step = Answer | bytes | None
 
 
-class Book:
-    """What is owed, and what was acknowledged."""
+class PendingNotifications:
+    """Stands for the message store: pending and acknowledged notifications."""
 
-    def __init__(self, *names: str) -> None:
-        self.owed = {name: PendingNotification("failed", 0) for name in names}
-        self.done: list[str] = []
+    def __init__(self, *ids: str) -> None:
+        self.pending = {name: PendingNotification("failed", 0) for name in ids}
+        self.acknowledged: list[str] = []
         self.changed = asyncio.Event()
 
     def pending_notifications(self) -> dict[str, PendingNotification]:
-        return dict(self.owed)
+        return dict(self.pending)
 
-    def acknowledge_notifications(self, names: list[str]) -> None:
-        for name in names:
-            self.owed.pop(name, None)
-        self.done += names
+    def acknowledge_notifications(self, ids: list[str]) -> None:
+        for name in ids:
+            self.pending.pop(name, None)
+        self.acknowledged += ids
         self.changed.set()
 
-    async def until(self, test: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not test():
+            while not condition():
                 self.changed.clear()
                 await self.changed.wait()
 
 
-def names(request: Request) -> list[str]:
+def posted_ids(request: Request) -> list[str]:
     return [json.loads(line)["id"] for line in request.body.splitlines()]
 
 
-async def platform_that(*steps: Step | Callable[[Request], Step]) -> Peer:
-    """Answers in turn, whatever connection asks; the last for ever."""
+async def scripted_platform(*steps: Step | Callable[[Request], Step]) -> Peer:
+    """Start a platform that gives the answers in turn, on any connection, and repeats the
+    last one.
+    """
     left = list(steps)
 
     async def handler(request: Request) -> Step:
@@ -71,16 +73,15 @@
     return await Peer(handler).start()
 
 
-def notices(peer: Peer, book: Book) -> Notifier:
-    made = Notifier(Address("127.0.0.1", peer.port), book, 1)
-    made.random = Longest(1)
-    return made
+def create_notifier(peer: Peer, store: PendingNotifications) -> Notifier:
+    notifier = Notifier(Address("127.0.0.1", peer.port), store, 1)
+    notifier.random = Longest(1)
+    return notifier
 
 
-def test_a_post_that_falls_silent_leaves_time_for_another() -> None:
-    """From the constants: one silent post and one that ended in an error stay under
-    what is overdue, also with the loop's own time; a platform that is slow all the time
-    is waited for ever longer.
+def test_silent_post_leaves_time_for_another() -> None:
+    """By the constants, one silent post and one that failed stay under the overdue limit,
+    the loop's own time included; the timeout grows for a platform that is always slow.
     """
     assert notification_latency_bound_s() <= OVERDUE_S - 0.05
     assert [
@@ -99,133 +100,140 @@
     [SILENT, b"HTTP/1.1 204 No", None, Answer(503), Answer(200), b"nonsense\r\n"],
 )
 @pytest.mark.parametrize("kept", [True, False])
-def test_a_notice_whose_204_is_lost_is_posted_again_before_it_is_overdue(
+def test_notification_with_a_lost_204_is_posted_again_before_it_is_overdue(
     lost: Step, kept: bool
 ) -> None:
-    """On a kept connection or a new one: silent, half a first line, ended, refused,
-    spoilt. A silent post was waited for for 2.5 s.
+    """On a persistent or a new connection the answer is silence, a partial status line, a
+    closed connection, an unexpected status or garbage. Guards against a timeout of 2.5 s
+    for a silent post.
     """
 
     async def scene() -> None:
         steps = [TAKEN, lost] if kept else [lost]
-        peer = await platform_that(*steps, TAKEN)
-        book = Book(*["first"] if kept else [])
-        posts = notices(peer, book)
+        peer = await scripted_platform(*steps, TAKEN)
+        store = PendingNotifications(*["first"] if kept else [])
+        notifier = create_notifier(peer, store)
         loop = asyncio.get_running_loop()
         if kept:
-            posts.post_pending()
-            await book.until(lambda: book.done == ["first"])
-            book.done.clear()
-        book.owed["m"] = PendingNotification("failed", 0)
-        kicked = loop.time()
-        posts.post_pending()
-        await book.until(lambda: bool(book.done))
-        assert loop.time() - kicked <= notification_latency_bound_s() < OVERDUE_S
-        assert book.done == ["m"] and [names(r) for r in peer.requests[-2:]] == [
+            notifier.post_pending()
+            await store.until(lambda: store.acknowledged == ["first"])
+            store.acknowledged.clear()
+        store.pending["m"] = PendingNotification("failed", 0)
+        started_at = loop.time()
+        notifier.post_pending()
+        await store.until(lambda: bool(store.acknowledged))
+        assert loop.time() - started_at <= notification_latency_bound_s() < OVERDUE_S
+        assert store.acknowledged == ["m"] and [
+            posted_ids(r) for r in peer.requests[-2:]
+        ] == [
             ["m"],
             ["m"],
         ]
         if not isinstance(lost, Answer):
             assert peer.requests[-1].writer is not peer.requests[-2].writer
-        posts.pause()
+        notifier.pause()
 
     in_virtual_time(scene)
 
 
-def test_the_late_204_of_a_silent_connection_acknowledges_no_other_post() -> None:
-    """The first post's answer comes while the second, which tells one more end, is
-    out.
+def test_late_204_of_a_silent_connection_acknowledges_no_other_post() -> None:
+    """The first post's answer arrives while the second post, with one more notification,
+    is in flight.
     """
 
     async def scene() -> None:
-        def late(request: Request) -> bytes:
+        def answer_first_post(request: Request) -> bytes:
             peer.requests[0].writer.write(b"HTTP/1.1 204 X\r\n\r\n")
             return SILENT
 
-        def add(request: Request) -> bytes:
-            book.owed["b"] = PendingNotification("failed", 0)
+        def add_notification(request: Request) -> bytes:
+            store.pending["b"] = PendingNotification("failed", 0)
             return SILENT
 
-        peer = await platform_that(add, late, TAKEN)
-        book = Book("a")
-        posts = notices(peer, book)
-        posts.post_pending()
-        await book.until(lambda: bool(book.done))
-        assert [names(r) for r in peer.requests] == [["a"], ["a", "b"], ["a", "b"]]
-        assert book.done == ["a", "b"]
+        peer = await scripted_platform(add_notification, answer_first_post, TAKEN)
+        store = PendingNotifications("a")
+        notifier = create_notifier(peer, store)
+        notifier.post_pending()
+        await store.until(lambda: bool(store.acknowledged))
+        assert [posted_ids(r) for r in peer.requests] == [["a"], ["a", "b"], ["a", "b"]]
+        assert store.acknowledged == ["a", "b"]
         assert len({r.writer for r in peer.requests}) == 3
-        posts.pause()
+        notifier.pause()
 
     in_virtual_time(scene)
 
 
-def test_what_is_owed_while_a_post_is_out_is_not_acknowledged_with_it() -> None:
+def test_notification_added_during_a_post_is_not_acknowledged_with_it() -> None:
     async def scene() -> None:
-        def add(request: Request) -> Answer:
-            book.owed["b"] = PendingNotification("returned", 5)
-            posts.post_pending()
+        def add_notification(request: Request) -> Answer:
+            store.pending["b"] = PendingNotification("returned", 5)
+            notifier.post_pending()
             return TAKEN
 
-        peer = await platform_that(add, TAKEN)
-        book = Book("a")
-        posts = notices(peer, book)
-        posts.post_pending()
-        await book.until(lambda: len(book.done) == 2)
-        assert [names(r) for r in peer.requests] == [["a"], ["b"]]
+        peer = await scripted_platform(add_notification, TAKEN)
+        store = PendingNotifications("a")
+        notifier = create_notifier(peer, store)
+        notifier.post_pending()
+        await store.until(lambda: len(store.acknowledged) == 2)
+        assert [posted_ids(r) for r in peer.requests] == [["a"], ["b"]]
         assert b'"after_ms":5' in peer.requests[1].body
-        posts.pause()
+        notifier.pause()
 
     in_virtual_time(scene)
 
 
-def test_a_move_in_the_turn_of_the_204_posts_again_at_the_new_address() -> None:
-    """The answer is here, the post has not been woken, and SIGHUP moves it: a notice
-    twice does no harm.
+def test_address_change_right_after_the_204_posts_again_at_the_new_address() -> None:
+    """The answer has arrived, the post's task has not resumed, and SIGHUP changes the
+    address: a duplicate notification does no harm.
     """
 
     async def scene() -> None:
-        old, new = await platform_that(SILENT), await platform_that(TAKEN)
-        book = Book("a")
-        posts = notices(old, book)
-        posts.post_pending()
+        old, new = await scripted_platform(SILENT), await scripted_platform(TAKEN)
+        store = PendingNotifications("a")
+        notifier = create_notifier(old, store)
+        notifier.post_pending()
         await old.got(1)
-        posts.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
-        posts.change_address(Address("127.0.0.1", new.port))
-        await book.until(lambda: bool(book.done))
-        assert book.done == ["a"] and [names(r) for r in new.requests] == [["a"]]
-        posts.pause()
+        notifier.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
+        notifier.change_address(Address("127.0.0.1", new.port))
+        await store.until(lambda: bool(store.acknowledged))
+        assert store.acknowledged == ["a"] and [
+            posted_ids(r) for r in new.requests
+        ] == [["a"]]
+        notifier.pause()
 
     in_virtual_time(scene)
 
 
-def test_a_204_in_the_turn_of_a_pause_is_not_booked_and_no_sighup_posts_anew() -> None:
-    """What is held or ended writes no more: the journal may be another's by then."""
+def test_204_right_before_a_pause_is_not_acknowledged_and_sighup_does_not_post() -> (
+    None
+):
+    """A paused or stopped process writes nothing: another may own the journal by then."""
 
     async def scene() -> None:
-        old, new = await platform_that(SILENT), await platform_that(TAKEN)
-        book = Book("a")
-        posts = notices(old, book)
-        posts.post_pending()
+        old, new = await scripted_platform(SILENT), await scripted_platform(TAKEN)
+        store = PendingNotifications("a")
+        notifier = create_notifier(old, store)
+        notifier.post_pending()
         await old.got(1)
-        posts.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
-        posts.pause()
-        posts.change_address(Address("127.0.0.1", new.port))
-        assert posts.task is None
+        notifier.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
+        notifier.pause()
+        notifier.change_address(Address("127.0.0.1", new.port))
+        assert notifier.task is None
         await old.until(lambda: old.closed == 1)
-        assert book.done == []
-        posts.post_pending()  # it goes on
-        await book.until(lambda: bool(book.done))
-        assert [names(r) for r in new.requests] == [["a"]]
-        posts.pause()
+        assert store.acknowledged == []
+        notifier.post_pending()  # resumes posting
+        await store.until(lambda: bool(store.acknowledged))
+        assert [posted_ids(r) for r in new.requests] == [["a"]]
+        notifier.pause()
 
     in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("slow_s", [0.15, 0.35, 0.7])
-def test_a_platform_that_is_slow_all_the_time_is_heard_in_the_end(
+def test_notification_to_a_slow_platform_is_acknowledged_eventually(
     slow_s: float,
 ) -> None:
-    """A patience that does not grow would post for ever, and hear no answer."""
+    """Guards against a fixed timeout, under which the post is repeated without end."""
 
     async def scene() -> None:
         async def handler(request: Request) -> Answer:
@@ -233,67 +241,67 @@
             return TAKEN
 
         peer = await Peer(handler).start()
-        book = Book("a")
-        posts = notices(peer, book)
-        posts.post_pending()
-        await book.until(lambda: bool(book.done))
-        assert book.done == ["a"] and len(peer.requests) <= 6
-        posts.pause()
+        store = PendingNotifications("a")
+        notifier = create_notifier(peer, store)
+        notifier.post_pending()
+        await store.until(lambda: bool(store.acknowledged))
+        assert store.acknowledged == ["a"] and len(peer.requests) <= 6
+        notifier.pause()
 
     in_virtual_time(scene)
 
 
-def test_a_post_with_no_descriptor_left_is_made_again_soon(
+def test_post_without_a_free_descriptor_is_retried_soon(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Idle clients hold them all; room is made, and the next post is there within the
-    longest pause.
+    """The process has no free descriptor; once one is free, the next post is made within
+    the longest backoff.
     """
 
     async def scene() -> None:
-        peer = await platform_that(TAKEN)
-        book = Book("a")
-        posts = notices(peer, book)
+        peer = await scripted_platform(TAKEN)
+        store = PendingNotifications("a")
+        notifier = create_notifier(peer, store)
         loop, before = (
             asyncio.get_running_loop(),
             resource.getrlimit(resource.RLIMIT_NOFILE),
         )
-        dial, failed = loop.create_connection, []
+        dial, failures = loop.create_connection, []
 
-        async def create(*args: Any, **more: Any) -> Any:
+        async def create(*args: Any, **options: Any) -> Any:
             try:
-                return await dial(*args, **more)
+                return await dial(*args, **options)
             except OSError as error:
-                failed.append((error.errno, loop.time()))
-                if len(failed) == 8:
+                failures.append((error.errno, loop.time()))
+                if len(failures) == 8:
                     resource.setrlimit(resource.RLIMIT_NOFILE, before)
                 raise
 
         monkeypatch.setattr(loop, "create_connection", create, raising=False)
         try:
             resource.setrlimit(resource.RLIMIT_NOFILE, (3, before[1]))
-            posts.post_pending()
-            await book.until(lambda: bool(book.done))
+            notifier.post_pending()
+            await store.until(lambda: bool(store.acknowledged))
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, before)
-        assert [number for number, _ in failed] == [24] * 8
+        assert [error_number for error_number, _ in failures] == [24] * 8
         assert (
-            loop.time() - failed[-1][1]
+            loop.time() - failures[-1][1]
             <= endpoint_watch.NOTIFICATION_BACKOFF_LIMIT_S + 0.01
             < OVERDUE_S
         )
-        posts.pause()
+        notifier.pause()
 
     in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("post", ["taken", "silent", "ended"])
-def test_a_200_that_comes_after_its_message_was_given_up_makes_no_second_end(
+def test_200_after_the_deadline_notification_makes_no_second_final_answer(
     tmp_path: Path, post: str
 ) -> None:
-    """A once-only message's time is up and its notice is posted; in that moment its
-    endpoint answers 200. The notice is its end, it is sent no more, and the connection
-    carries no other call.
+    """The deadline of an at-most-once message has passed and its notification is posted; at
+    that moment its endpoint answers 200. The notification is the final answer, the
+    message is not sent again, and the connection carries no other call.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -305,11 +313,11 @@
             return OK
 
         peer = await target(platform, late)
-        inner = platform.handler
+        platform_handler = platform.handler
 
-        async def noticed(request: Request) -> Answer | bytes | None:
+        async def handle(request: Request) -> Answer | bytes | None:
             if request.path != "/v1/notices":
-                return await inner(request)
+                return await platform_handler(request)
             first = not posted.is_set()
             if first:
                 posted.set()
@@ -318,13 +326,13 @@
                 )
                 if post != "taken":
                     return SILENT if post == "silent" else None
-            return await inner(request)
+            return await platform_handler(request)
 
-        platform.handler = noticed
+        platform.handler = handle
         node = await node_on(folder, platform)
         assert (await node.hand_in("first", "pay"))[
             0
-        ] == 202  # a connection is kept from the second call on
+        ] == 202  # the connection is reused from the second call on
         await node.shows(lambda f: f["fulfilled"]["pay"] == 1)
         assert (await node.hand_in("late", "pay", left="0.6"))[0] == 202
         assert (await platform.notice("late"))["state"] == "failed"
@@ -344,47 +352,47 @@
         await peer.got(4)
         assert [n["id"] for n in platform.notices] == [
             "late"
-        ]  # what was acknowledged is kept as such
+        ]  # a restart keeps the acknowledgement
 
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("lost", [SILENT, None])
-def test_a_key_waits_for_the_notice_that_is_answered_and_not_for_the_one_that_was_lost(
+def test_key_waits_until_the_repeated_notification_is_acknowledged(
     tmp_path: Path, lost: bytes | None
 ) -> None:
-    """The first of a key ends by a notice whose 204 is lost: it is over once the second
-    post is answered.
+    """The first message of a key ends with a notification whose 204 is lost: it is
+    finished once the second post is answered.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        answered, gate = asyncio.Event(), asyncio.Event()
+        second_post, gate = asyncio.Event(), asyncio.Event()
 
         async def endpoint(request: Request) -> Answer:
             return Answer(500) if request.headers["x-correlation-id"] == "one" else OK
 
         peer = await target(platform, endpoint)
-        inner, posts = platform.handler, []
+        platform_handler, posts = platform.handler, []
 
-        async def noticed(request: Request) -> Answer | bytes | None:
+        async def handle(request: Request) -> Answer | bytes | None:
             if request.path != "/v1/notices":
-                return await inner(request)
+                return await platform_handler(request)
             posts.append(request)
             if len(posts) == 1:
                 return lost
-            if not answered.is_set():
-                answered.set()
+            if not second_post.is_set():
+                second_post.set()
                 return SILENT
             await gate.wait()
-            return await inner(request)
+            return await platform_handler(request)
 
-        platform.handler = noticed
+        platform.handler = handle
         node = await node_on(folder, platform, max_attempts=1)
         keyed = {"X_Session_Key": "k"}
         assert (await node.hand_in("one", "turns", **keyed))[0] == 202
         assert (await node.hand_in("two", "turns", **keyed))[0] == 202
         async with asyncio.timeout(PATIENCE):
-            await answered.wait()
+            await second_post.wait()
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["one"]
         gate.set()
         await peer.got(2)
--- a/tests/forwarder/test_operations.py
+++ b/tests/forwarder/test_operations.py
@@ -1,5 +1,5 @@
-"""What operators do day to day, on the real program: the second address, figures,
-settings at SIGHUP.
+"""Routine operations on the real program: the admin address, metrics and settings
+reloaded by SIGHUP.
 """
 
 from __future__ import annotations
@@ -32,22 +32,24 @@
 
 def classes(**changes: dict[str, Any] | None) -> dict[str, Any]:
     """The settings with some classes changed, added or (None) dropped."""
-    kept = {c["name"]: c for c in SETTINGS["services"]}
+    services = {c["name"]: c for c in SETTINGS["services"]}
     for name, change in changes.items():
         if change is None:
-            del kept[name]
+            del services[name]
         else:
-            kept[name] = {
+            services[name] = {
                 **SETTINGS["services"][0],
-                **kept.get(name, {}),
+                **services.get(name, {}),
                 "name": name,
                 **change,
             }
-    return {**SETTINGS, "services": list(kept.values())}
+    return {**SETTINGS, "services": list(services.values())}
 
 
 async def hang_up(node: Node, key: str = "cfg_accepted", **changes: Any) -> None:
-    """SIGHUP on a changed file, until the figures show that it was read."""
+    """Write the changes to the configuration file, send SIGHUP and wait until the figure
+    `key` has grown.
+    """
     before = (await node.figures())[key]
     if changes:
         configure(node, **changes)
@@ -55,7 +57,7 @@
     await node.shows(lambda f: f[key] > before)
 
 
-def test_each_end_is_counted_once_and_what_was_taken_is_ended_or_open(
+def test_each_message_is_counted_once_as_finished_or_open(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
@@ -69,7 +71,7 @@
         assert first["registry_entries"] == 3 and first["out_of_rotation"] == 0
         for n in range(3):
             assert (await node.hand_in(f"good{n}"))[0] == 202
-        assert (await node.hand_in("good0"))[0] == 202  # a copy is no second message
+        assert (await node.hand_in("good0"))[0] == 202  # a copy is no new message
         assert (await node.hand_in("bad", "pay", dest=8))[0] == 202
         assert (await node.hand_in("spent", "status", dest=8))[0] == 202
         assert (await node.hand_in("stays", "order", dest=9))[0] == 202
@@ -79,7 +81,7 @@
         assert f["fulfilled"] == {**zero, "order": 3}
         assert f["faulted"] == {**zero, "pay": 1}
         assert f["throttled"] == {**zero, "status": 3}
-        await node.restart()  # counts start with the process; what is open goes on
+        await node.restart()  # counts start at zero; open messages stay
         f = await node.shows(lambda f: f["relayed"] == 1)
         assert (
             f["open_requests"] == 1
@@ -89,7 +91,7 @@
     play(scene, tmp_path)
 
 
-def test_operators_hear_a_no_for_what_is_not_a_call(tmp_path: Path) -> None:
+def test_invalid_admin_requests_are_rejected(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -112,14 +114,14 @@
     play(scene, tmp_path)
 
 
-def test_callers_who_sit_still_push_out_only_each_other(tmp_path: Path) -> None:
+def test_idle_admin_connections_evict_only_each_other(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = await node_on(folder, platform)
-        held = [
+        idle = [
             await asyncio.open_connection("127.0.0.1", node.admin) for _ in range(40)
         ]
-        for _, writer in held:
+        for _, writer in idle:
             writer.write(
                 b"POST /_endpoints/detach HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"
             )
@@ -127,20 +129,20 @@
         assert (await node.hand_in("m"))[0] == 202
         async with asyncio.timeout(
             PATIENCE
-        ):  # none is held for ever, and the newest hear why
-            assert (await held[-1][0].read()).startswith(b"HTTP/1.1 408")
-            for reader, _ in held:
+        ):  # every connection is closed in time; the newest gets a 408
+            assert (await idle[-1][0].read()).startswith(b"HTTP/1.1 408")
+            for reader, _ in idle:
                 try:
                     await reader.read()
                 except ConnectionError:
                     pass
-        for _, writer in held:
+        for _, writer in idle:
             writer.close()
 
     play(scene, tmp_path)
 
 
-def test_not_ready_while_leaving_at_either_address(tmp_path: Path) -> None:
+def test_stopping_process_is_not_ready_at_either_address(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
@@ -158,7 +160,9 @@
     play(scene, tmp_path)
 
 
-def test_bad_operators_address_is_one_line(tmp_path: Path) -> None:
+def test_invalid_admin_address_ends_the_start_with_one_error_line(
+    tmp_path: Path,
+) -> None:
     (tmp_path / "config.json").write_text(
         json.dumps(
             {
@@ -175,7 +179,7 @@
         "LB_STATE": str(tmp_path),
         "LB_ADMIN_ADDR": "here",
     }
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "rainfall"],
         cwd=ROOT,
         env=env,
@@ -184,9 +188,9 @@
         timeout=60,
     )
     assert (
-        done.returncode == 2
-        and len(done.stderr.splitlines()) == 1
-        and "'here'" in done.stderr
+        process.returncode == 2
+        and len(process.stderr.splitlines()) == 1
+        and "'here'" in process.stderr
     )
 
 
@@ -194,26 +198,26 @@
 def test_open_messages_keep_a_class_that_is_dropped_or_changed(
     tmp_path: Path, restart: bool
 ) -> None:
-    """A payment must not go twice though its class may be repeated now, nor a status
-    lack its class.
+    """Guards against a payment that is sent twice because its class has become repeatable,
+    and against an open `status` message whose class is gone.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        pays = await target(platform, hang)
-        other = await target(platform, hang, "s2", block=8)
+        pay_peer = await target(platform, hang)
+        status_peer = await target(platform, hang, "s2", block=8)
         node = await node_on(folder, platform)
         assert (await node.hand_in("pay", "pay"))[0] == 202
         assert (await node.hand_in("status", "status", dest=8))[0] == 202
-        await pays.got(1)
-        await other.got(1)
+        await pay_peer.got(1)
+        await status_peer.got(1)
         assert (await node.hand_in("n", "fresh"))[0] == 404
         await hang_up(
             node, settings=classes(pay={"effect": "repeatable"}, status=None, fresh={})
         )
         assert (await node.hand_in("n", "fresh"))[0] == 202
         assert (await node.hand_in("o", "status"))[0] == 404
-        f = await node.figures()
-        assert f["fulfilled"] == {
+        figures = await node.figures()
+        assert figures["fulfilled"] == {
             "order": 0,
             "status": 0,
             "turns": 0,
@@ -221,31 +225,35 @@
             "fresh": 0,
         }
         if restart:
-            pays.handler = other.handler = always(OK)
+            pay_peer.handler = status_peer.handler = always(OK)
             await node.restart()
-            await other.got(2)  # the status goes again under its old class
+            await status_peer.got(2)  # retried under its old class
         else:
-            other.handler = always(OK)
-            for peer in (pays, other):
+            status_peer.handler = always(OK)
+            for peer in (pay_peer, status_peer):
                 for request in list(peer.requests):
                     request.writer.transport.abort()
-            await other.got(2)
+            await status_peer.got(2)
         assert (await platform.notice("pay"))["state"] == "failed"
-        assert [r.headers["x-correlation-id"] for r in pays.requests].count("pay") == 1
+        assert [r.headers["x-correlation-id"] for r in pay_peer.requests].count(
+            "pay"
+        ) == 1
         assert (await node.hand_in("p", "pay", dest=8))[
             0
-        ] == 202  # and a new one has the new effect
+        ] == 202  # a new message gets the new effect
 
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_open_messages_keep_the_attempts_they_came_with(
+def test_open_messages_keep_the_attempt_limit_they_were_accepted_with(
     tmp_path: Path, restart: bool
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        wait = always(Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), Answer(500))
-        peer = await target(platform, wait)
+        throttle_then_fail = always(
+            Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), Answer(500)
+        )
+        peer = await target(platform, throttle_then_fail)
         node = await node_on(folder, platform, max_attempts=2)
         assert (await node.hand_in("m", "status"))[0] == 202
         await peer.got(1)
@@ -264,55 +272,60 @@
     play(scene, tmp_path)
 
 
-def broken(node: Node) -> list[str]:
-    whole = json.loads((node.folder / "config.json").read_text())
-    text = json.dumps(whole)
+def broken_files(node: Node) -> list[str]:
+    config = json.loads((node.folder / "config.json").read_text())
+    text = json.dumps(config)
 
     def settings(**changes: Any) -> str:
-        return json.dumps({**whole, "settings": {**whole["settings"], **changes}})
+        return json.dumps({**config, "settings": {**config["settings"], **changes}})
 
-    some = whole["settings"]["services"]
-    allowed = whole["settings"]["allowed"]
+    services = config["settings"]["services"]
+    allowed = config["settings"]["allowed"]
     return [
         "",
         text[: len(text) // 2],
-        json.dumps({k: v for k, v in whole.items() if k != "settings"}),
-        json.dumps({k: v for k, v in whole.items() if k != "limits"}),
+        json.dumps({k: v for k, v in config.items() if k != "settings"}),
+        json.dumps({k: v for k, v in config.items() if k != "limits"}),
         settings(allowed={k: v for k, v in allowed.items() if k != "max_attempts"}),
         settings(allowed={**allowed, "max_attempts": 0}),
         settings(allowed={**allowed, "max_attempts": -3}),
-        settings(services=[{**some[0], "name": "new", "deadline_us": 0}, *some[1:]]),
         settings(
-            services=[{k: v for k, v in some[0].items() if k != "aim_us"}, *some[1:]]
+            services=[{**services[0], "name": "new", "deadline_us": 0}, *services[1:]]
+        ),
+        settings(
+            services=[
+                {k: v for k, v in services[0].items() if k != "aim_us"},
+                *services[1:],
+            ]
         ),
-        settings(services=[{**some[0], "aim_us": "1"}]),
+        settings(services=[{**services[0], "aim_us": "1"}]),
     ]
 
 
 def test_broken_files_change_nothing_and_are_counted(tmp_path: Path) -> None:
-    """None of what they hold may take hold, and a default must not stand in for a
-    key.
+    """No value of a broken file takes effect, and a missing key is not replaced by a
+    default.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
-        files = broken(node)
+        files = broken_files(node)
         for n, text in enumerate(files):
             (folder / "config.json").write_text(text)
             await hang_up(node, "cfg_invalid")
             assert (await node.hand_in(f"new{n}", "new"))[0] == 404
             assert (await node.hand_in(f"m{n}"))[0] == 202
         await peer.got(len(files))
-        f = await node.figures()
-        assert (f["cfg_accepted"], f["cfg_invalid"]) == (0, len(files))
+        figures = await node.figures()
+        assert (figures["cfg_accepted"], figures["cfg_invalid"]) == (0, len(files))
 
     play(scene, tmp_path)
 
 
-async def relist(platform: Platform, name: str, health: str) -> None:
-    """Discovery's own word on an endpoint, until the forwarder has asked for what comes
-    after it.
+async def change_health(platform: Platform, name: str, health: str) -> None:
+    """Change an endpoint's health at discovery and wait until the forwarder requests the
+    next version.
     """
     await platform.change(name, health)
     await platform.until(
@@ -321,19 +334,19 @@
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_detached_endpoint_gets_nothing_until_put_back_whatever_discovery_says(
+def test_detached_endpoint_gets_no_call_until_attached_whatever_discovery_reports(
     tmp_path: Path, restart: bool
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         first = await target(platform, always(OK))
         other = await target(platform, always(OK), "s2")
         node = await node_on(folder, platform)
-        for _ in range(2):  # two calls out need one back
+        for _ in range(2):  # detaching twice needs only one attach
             assert (await node.operate("POST", "/_endpoints/detach", b"s1\n"))[0] == 200
         if restart:
             await node.restart()
         for health in ("draining", "up", "removed", "up"):
-            await relist(platform, "s1", health)
+            await change_health(platform, "s1", health)
         assert (await node.figures())["out_of_rotation"] == 1
         for n in range(8):
             assert (await node.hand_in(f"m{n}"))[0] == 202
--- a/tests/forwarder/test_regular_work.py
+++ b/tests/forwarder/test_regular_work.py
@@ -1,6 +1,6 @@
-"""What the forwarder does regularly (its watch over ends, the line that sums up, the
-demand of a beat, the collector) finds all that a walk over every message finds, and
-does not grow with the messages held.
+"""Periodic tasks (the overdue check, the summary line, the demand in a heartbeat, the
+garbage collector) find all that a scan of every message finds, and their cost does not
+grow with the number of messages held.
 """
 
 from __future__ import annotations
@@ -32,40 +32,44 @@
 TENANTS = (Tenant("city", 0), Tenant("county", 0))
 
 
-def live(name: str, destination: int, due_us: int) -> AcceptedMessage:
+def accepted(name: str, destination: int, due_us: int) -> AcceptedMessage:
     return AcceptedMessage(name, "notice", destination, due_us, None, None, b"")
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_deadlines_and_counts_are_those_of_a_walk_over_all(seed: int) -> None:
-    draw, state = Random(seed), JournalState()
+def test_deadlines_and_counts_match_a_full_scan(seed: int) -> None:
+    random, state = Random(seed), JournalState()
     for step in range(600):
-        kind = draw.randrange(5)
-        if kind < 3 or not state.messages:  # also of a name that lives already
+        kind = random.randrange(5)
+        if kind < 3 or not state.messages:  # may reuse the id of a live message
             state._add_message(
-                live(
-                    f"m{draw.randrange(200)}", draw.randrange(4), draw.randrange(2 * S)
+                accepted(
+                    f"m{random.randrange(200)}",
+                    random.randrange(4),
+                    random.randrange(2 * S),
                 )
             )
         elif kind == 3:
-            state.remove_message(draw.choice(list(state.messages)))
+            state.remove_message(random.choice(list(state.messages)))
         else:
-            m = state.messages[draw.choice(list(state.messages))]
-            state.move_deadline(m, draw.randrange(2 * S))
+            stored = state.messages[random.choice(list(state.messages))]
+            state.move_deadline(stored, random.randrange(2 * S))
         if step % 100 == 99:
-            state.shift_times(draw.randrange(-S, S))
-        at = draw.randrange(-S, 3 * S)
-        assert sorted(state.live_index.with_deadline_before(at)) == sorted(
-            m.id for m in state.messages.values() if m.deadline_us < at
+            state.shift_times(random.randrange(-S, S))
+        time_us = random.randrange(-S, 3 * S)
+        assert sorted(state.live_index.with_deadline_before(time_us)) == sorted(
+            stored.id
+            for stored in state.messages.values()
+            if stored.deadline_us < time_us
         )
         assert state.live_index.by_destination == Counter(
-            m.destination for m in state.messages.values()
+            stored.destination for stored in state.messages.values()
         )
 
 
-def test_messages_given_away_are_in_no_index() -> None:
+def test_discarded_messages_are_in_no_index() -> None:
     state = JournalState()
-    state._add_message(live("m", 7, 5))
+    state._add_message(accepted("m", 7, 5))
     state.forget_messages()
     assert (
         not state.messages
@@ -74,13 +78,13 @@
     )
 
 
-def test_the_watch_over_ends_visits_only_what_is_due() -> None:
+def test_overdue_check_visits_only_due_messages() -> None:
     visited = []
     for held in (100, 100_000):
         state = JournalState()
         for number in range(held):
-            state._add_message(live(f"m{number}", 7, 10 * S + number * MS))
-        state._add_message(live("late", 7, 2 * MS))
+            state._add_message(accepted(f"m{number}", 7, 10 * S + number * MS))
+        state._add_message(accepted("late", 7, 2 * MS))
         for _ in range(10):
             assert state.live_index.with_deadline_before(5 * S) == ["late"]
         visited.append(state.live_index.entries_visited)
@@ -88,55 +92,55 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_demand_is_that_of_a_walk_over_all_held(seed: int) -> None:
-    draw, now = Random(seed), 10 * S
+def test_demand_matches_a_full_scan(seed: int) -> None:
+    random, now = Random(seed), 10 * S
     dispatcher = Dispatcher(settings(max_in_flight=3, tenants=TENANTS), seed, now)
     actions = dispatcher.handle(
         now, [EndpointListChanged(EndpointListKind.CACHED, TARGETS)]
     )
     dispatcher.state.queues.count_by_demand()
-    out: list[SendMessage] = []
+    in_flight: list[SendMessage] = []
     for number in range(300):
-        now += draw.randrange(30) * MS
+        now += random.randrange(30) * MS
         events: list[Event] = [TimerExpired("look")]
-        if draw.random() < 0.7:
-            tenant = draw.choice(("city", "county", None))
+        if random.random() < 0.7:
+            tenant = random.choice(("city", "county", None))
             events.append(
                 ask(
                     f"m{number}",
-                    dest=draw.choice((10, 11)),
-                    cls=draw.choice(("safe", "keyed")),
-                    due=now + draw.randrange(200, 4000) * MS,
+                    dest=random.choice((10, 11)),
+                    cls=random.choice(("safe", "keyed")),
+                    due=now + random.randrange(200, 4000) * MS,
                     tenant=tenant,
                 )
             )
-        elif out:
-            send = out.pop(draw.randrange(len(out)))
+        elif in_flight:
+            send = in_flight.pop(random.randrange(len(in_flight)))
             attempt = dispatcher.state.messages[send.message_id].attempts - 1
-            outcome = draw.choice(
+            outcome = random.choice(
                 (Outcome.DELIVERED, Outcome.REJECTED, Outcome.NOT_SENT)
             )
             events.append(end(send, outcome, attempt, 5 * MS))
         actions = dispatcher.handle(now, events)
-        out += sends(actions)
-        walked = {
+        in_flight += sends(actions)
+        scanned = {
             destination: Counter(
-                (m.message_class.name, m.tenant) for m in pile.values()
+                (m.message_class.name, m.tenant) for m in queue.values()
             )
-            for destination, pile in dispatcher.state.queues.by_destination.items()
+            for destination, queue in dispatcher.state.queues.by_destination.items()
         }
-        assert dispatcher.state.queues.count_by_demand() == walked
+        assert dispatcher.state.queues.count_by_demand() == scanned
     assert dispatcher.state.last_sequence_number > 150
 
 
-def test_past_a_bound_of_messages_the_collector_looks_through_what_is_new_alone(
+def test_above_a_message_count_only_young_generations_are_collected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    e, rounds = engine(tmp_path), list[int]()
+    tested_engine, generations = engine(tmp_path), list[int]()
     monkeypatch.setattr(periodic_tasks, "FULL_COLLECTION_MESSAGES", 2)
-    monkeypatch.setattr(gc, "collect", rounds.append)
+    monkeypatch.setattr(gc, "collect", generations.append)
     for number in range(4):
-        e.store.append_message(taken(f"m{number}"))
-        e.periodic_tasks.collect_garbage()
-    assert rounds == [2, 2, 1, 1]
-    e.store.close()
+        tested_engine.store.append_message(taken(f"m{number}"))
+        tested_engine.periodic_tasks.collect_garbage()
+    assert generations == [2, 2, 1, 1]
+    tested_engine.store.close()
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -1,5 +1,5 @@
-"""A loop that stands still, as other processes share its core: what it reads and what
-is due meanwhile.
+"""An event loop that stalls because other processes share its core: requests that
+arrive and deadlines that pass during the stall.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 MS = 1_000
 S = 1_000_000
-BEAT_US = int(LOOP_CHECK_INTERVAL_S * S)
-OWED_US = (
+LOOP_CHECK_INTERVAL_US = int(LOOP_CHECK_INTERVAL_S * S)
+FINAL_ANSWER_LIMIT_US = (
     300 * MS
-)  # after its time a message must have been delivered or ended (PROTOCOL)
+)  # latest delivery or final answer after the deadline (PROTOCOL)
 
 
-class HandClock:
-    """Stands where a test puts it."""
+class ManualClock:
+    """Clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = 1_000 * S
@@ -49,22 +49,24 @@
         return self.now
 
 
-def by_hand(door: Door) -> HandClock:
-    """Its clock and its beats are the test's from now on; it has just looked."""
-    clock = HandClock()
+def take_control(door: Door) -> ManualClock:
+    """Give the test control of the server's clock and loop checks, as of a check just
+    made.
+    """
+    clock = ManualClock()
     server = door.server
     assert server.loop_check_timer is not None
     server.loop_check_timer.cancel()
     server.clock, server.loop_check_due_us, server.loop_delay_us = (
         clock,
-        clock.now + BEAT_US,
+        clock.now + LOOP_CHECK_INTERVAL_US,
         0,
     )
     return clock
 
 
-def look(door: Door) -> None:
-    """One beat, and no other behind it."""
+def check_loop_once(door: Door) -> None:
+    """Run one loop check that measures a delay, and cancel the next one."""
     assert not door.handed
     door.server.check_loop_delay()
     assert door.server.loop_delay_us and door.server.loop_check_timer is not None
@@ -72,35 +74,39 @@
 
 
 @pytest.mark.parametrize("new", [True, False])
-def test_time_left_counts_from_when_the_request_came_and_not_from_when_it_was_read(
+def test_time_left_counts_from_arrival_and_not_from_reading(
     new: bool,
 ) -> None:
-    """Its end was due by so much later here than at its client, and the time for its
-    notice was gone.
+    """Guards against a deadline that is later here than at the client, with no time left
+    for the notification.
     """
 
     async def scene(door: Door) -> None:
-        rested = await door.resting()
-        clock = by_hand(door)
-        sent = clock.now
-        client = Caller(door.port) if new else rested
+        idle_client = await door.resting()
+        clock = take_control(door)
+        sent_at = clock.now
+        client = Caller(door.port) if new else idle_client
         client.say(message("m", left="0.500"))
-        clock.now += 200 * MS  # in one turn of the loop
-        # the look comes behind the accept in its turn, and before the turn that reads
+        clock.now += 200 * MS  # in one loop iteration
+        # the check runs after the accept in its iteration, and before the one that reads
         if new:
-            asyncio.get_running_loop().call_later(0, look, door)
+            asyncio.get_running_loop().call_later(0, check_loop_once, door)
         await door.until(lambda: bool(door.handed))
-        assert 0 <= door.handed[0][0].due_us - (sent + 500 * MS) <= BEAT_US
+        assert (
+            0
+            <= door.handed[0][0].due_us - (sent_at + 500 * MS)
+            <= LOOP_CHECK_INTERVAL_US
+        )
         door.handed[0][1].answer(HTTPStatus.ACCEPTED)
 
     play(scene)
 
 
-def test_a_loop_that_is_in_time_takes_nothing_off() -> None:
+def test_loop_without_delay_does_not_shorten_time_left() -> None:
     async def scene(door: Door) -> None:
         client = await door.resting()
-        clock = by_hand(door)
-        clock.now += BEAT_US
+        clock = take_control(door)
+        clock.now += LOOP_CHECK_INTERVAL_US
         client.say(message("m", left="0.500"))
         await door.until(lambda: bool(door.handed))
         assert door.handed[0][0].due_us == clock.now + 500 * MS
@@ -109,12 +115,12 @@
     play(scene)
 
 
-def test_a_process_that_begins_to_listen_is_not_late() -> None:
-    """Its start took 10 s, and that is no lateness of the loop."""
+def test_time_before_listening_is_no_loop_delay() -> None:
+    """A start that took 10 s does not count as loop delay."""
 
     async def scene() -> None:
         door = Door()
-        door.server.clock = clock = HandClock()
+        door.server.clock = clock = ManualClock()
         door.server.loop_check_due_us = clock.now - 10 * S
         await door.open()
         assert door.server.loop_delay_us == door.server.expected_loop_delay_us == 0
@@ -124,11 +130,11 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.DELIVERED, Outcome.TIMED_OUT])
-def test_end_that_waits_for_its_round_goes_before_the_watch_for_overdue_messages(
+def test_queued_outcome_is_processed_before_the_overdue_check(
     tmp_path: Path, outcome: Outcome, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The loop stood still past the message's time; its call's end is read, and its
-    round comes next.
+    """The loop stalled past the message's deadline; the call's outcome has been read and
+    is processed in the next round.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -140,11 +146,11 @@
         assert (await client.answer())[0] == 202
         await peer.got(1)
         await rounds_by_hand(run)
-        m = engine.store.messages["m"]
-        past = engine.dispatcher.state.messages["m"].deadline = (
+        stored = engine.store.messages["m"]
+        past_deadline = engine.dispatcher.state.messages["m"].deadline = (
             engine.clock() - OVERDUE_GRACE_US - S
         )
-        engine.store.move_deadline(m, past)
+        engine.store.move_deadline(stored, past_deadline)
         engine.post(
             AttemptFinished(
                 "m",
@@ -157,8 +163,8 @@
         )
         engine.periodic_tasks.fail_overdue_messages()
         assert "m" not in engine.store.messages
-        owed = engine.store.pending_notifications.get("m")
-        assert (owed and owed.state) == (
+        notification = engine.store.pending_notifications.get("m")
+        assert (notification and notification.state) == (
             None if outcome is Outcome.DELIVERED else "returned"
         )
         client.socket.close()
@@ -167,22 +173,28 @@
     with caplog.at_level(logging.ERROR, "rainfall"):
         engine_play(scene, tmp_path)
     assert not [
-        r for r in caplog.records if "still open past its deadline" in r.message
+        record
+        for record in caplog.records
+        if "still open past its deadline" in record.message
     ]
 
 
-def test_each_end_leaves_room_for_a_loop_that_is_late() -> None:
-    """300 ms after its time a message must have its end. From the constants alone: a
-    held one is given up LOOK_US before its time at the latest, one whose call is out at
-    its time, and one that both have left by the watch; then its notice goes out in one
-    round. So late may the loop be in all before that is missed.
+def test_each_way_to_end_a_message_tolerates_loop_delay() -> None:
+    """A message must have its final answer 300 ms after its deadline. By the constants: a
+    held message is given up MIN_WAKEUP_INTERVAL_US before its deadline at the latest,
+    one with a call in flight at its deadline, and one that both missed by the overdue
+    check; its notification then goes out in one round. The rest of the 300 ms is the
+    total delay of the loop that is tolerated.
     """
     rounds = (
         MIN_ROUND_INTERVAL_US + 2 * MS
-    )  # the call's timer and a turn to read what lies there
-    assert OWED_US - (rounds - MIN_WAKEUP_INTERVAL_US) >= 330 * MS
-    assert OWED_US - rounds >= 290 * MS
-    assert OWED_US - (OVERDUE_GRACE_US + int(TICK_INTERVAL_S * S) + rounds) >= 70 * MS
+    )  # the call's timer, and an iteration to read buffered data
+    assert FINAL_ANSWER_LIMIT_US - (rounds - MIN_WAKEUP_INTERVAL_US) >= 330 * MS
+    assert FINAL_ANSWER_LIMIT_US - rounds >= 290 * MS
+    assert (
+        FINAL_ANSWER_LIMIT_US - (OVERDUE_GRACE_US + int(TICK_INTERVAL_S * S) + rounds)
+        >= 70 * MS
+    )
 
 
 @pytest.mark.parametrize(
@@ -194,7 +206,7 @@
         (900 * MS, 0.4, 100 * MS),
     ],
 )
-def test_a_call_ends_sooner_by_as_much_as_the_loop_is_late(
+def test_call_timeout_is_earlier_by_the_loop_delay(
     tmp_path: Path, late_us: int, left_s: float, sooner_us: int
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
