--- a/tests/forwarder/test_descriptor_limits.py
+++ b/tests/forwarder/test_descriptor_limits.py
@@ -90,7 +90,10 @@
 
     async def scene() -> None:
         server = Counting(
-            parse_settings(SETTINGS), Clock(), 5, lambda handed, door: None
+            parse_settings(SETTINGS),
+            Clock(),
+            5,
+            lambda submitted, response_writer: None,
         )
         await server.listen("127.0.0.1", 0)
         clients = [
@@ -123,7 +126,10 @@
     async def scene() -> None:
         now = [1_000_000_000]
         server = InboundServer(
-            parse_settings(SETTINGS), lambda: now[0], 5, lambda handed, door: None
+            parse_settings(SETTINGS),
+            lambda: now[0],
+            5,
+            lambda submitted, response_writer: None,
         )
         await server.listen("127.0.0.1", 0)
         port = port_of(server.listener)
@@ -162,7 +168,7 @@
             parse_settings(SETTINGS),
             lambda: 1_000_000_000,
             64,
-            lambda handed, door: None,
+            lambda submitted, response_writer: None,
         )
         await server.listen("127.0.0.1", 0)
         port = port_of(server.listener)
@@ -174,8 +180,10 @@
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(100)]
         async with asyncio.timeout(PATIENCE):
             client.setblocking(False)
-            first = await asyncio.get_running_loop().sock_recv(client, 100)
-        assert first.startswith(b"HTTP/1.1 200"), first or "closed without an answer"
+            response = await asyncio.get_running_loop().sock_recv(client, 100)
+        assert response.startswith(b"HTTP/1.1 200"), (
+            response or "closed without an answer"
+        )
         await server.close()
         for sock in [client, *silent]:
             sock.close()
@@ -186,8 +194,10 @@
 async def check_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
     async with asyncio.timeout(PATIENCE):
-        first = await reader.readline()
-        assert first.startswith(b"HTTP/1.1 200"), first or "closed without an answer"
+        status_line = await reader.readline()
+        assert status_line.startswith(b"HTTP/1.1 200"), (
+            status_line or "closed without an answer"
+        )
         await reader.readuntil(b"up\n")
 
 
@@ -446,12 +456,12 @@
 
     def worker(job: Callable[[], None], done: Callable[[OSError | None], None]) -> None:
         def run() -> None:
-            failed = None
+            failure = None
             try:
                 job()
             except OSError as error:
-                failed = error
-            done(failed)
+                failure = error
+            done(failure)
 
         jobs.append(run)
 
--- a/tests/forwarder/test_handover_protocol.py
+++ b/tests/forwarder/test_handover_protocol.py
@@ -318,6 +318,3 @@
         assert statuses == [503]
 
     asyncio.run(scene())
-
-
-# Real engines in this process: the old one, and a new one or the test in its place
--- a/tests/forwarder/test_handover_races.py
+++ b/tests/forwarder/test_handover_races.py
@@ -183,8 +183,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against an old process that is paused nearly all the time: a new process that
-    reads the journal slowly requested again after 50 ms, and as each try had the same
-    time limit, none succeeded.
+    reads the journal slowly repeated its request after 50 ms, and as each try had the
+    same time limit, none succeeded.
     """
     now = [100.0]
     monkeypatch.setattr(
--- a/tests/forwarder/test_notification_races.py
+++ b/tests/forwarder/test_notification_races.py
@@ -233,7 +233,9 @@
 def test_notification_to_a_slow_platform_is_acknowledged_eventually(
     slow_s: float,
 ) -> None:
-    """Guards against a fixed timeout, under which the post is repeated without end."""
+    """Guards against a timeout that does not grow: the post would be repeated forever and
+    never be answered in time.
+    """
 
     async def scene() -> None:
         async def handler(request: Request) -> Answer:
