--- a/tests/forwarder/test_endpoint_list_races.py
+++ b/tests/forwarder/test_endpoint_list_races.py
@@ -1,6 +1,6 @@
-"""Two events that cross at the list: a watch that goes silent against each other step,
-late answers, versions that go back, answers that end with their connection, and no
-descriptor left for the dial.
+"""Races of the endpoint list: a watch that goes silent against every other step, late
+responses, versions that go back, responses that end with their connection, and no
+descriptor left for a dial.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     always,
 )
 
-SILENT = b""  # nothing is written, and the connection stays
+SILENT = b""  # writes nothing and keeps the connection open
 
 
 def listing(
@@ -63,53 +63,57 @@
     return json.dumps({"seq": seq, "whole": whole, "hosts": entries}).encode()
 
 
-def answer(body: bytes) -> bytes:
+def ok_response(body: bytes) -> bytes:
     return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-UP = answer(listing(1, ("s1", "up")))
-DRAINED = answer(listing(2, ("s1", "draining"), whole=False))
+UP = ok_response(listing(1, ("s1", "up")))
+DRAINED = ok_response(listing(2, ("s1", "draining"), whole=False))
 HALF = DRAINED[: len(DRAINED) // 2]
 
 
-class Heard:
-    """What a watch told; it is asked to go on after a failure, as the module does."""
+class WatchRecorder:
+    """Records what a watch reports, and subscribes again after a failure as the
+    dispatcher does.
+    """
 
     def __init__(
         self, where: Peer, seq: int = NO_VERSION, pushed: bool = False
     ) -> None:
-        self.all: list[EndpointList | None] = []
+        self.received: list[EndpointList | None] = []
         self.news = asyncio.Event()
         self.watch = EndpointWatch(
-            Address("127.0.0.1", where.port), seq, self.listed, 1, pushed
+            Address("127.0.0.1", where.port), seq, self.on_list, 1, pushed
         )
         self.watch.subscribe()
 
-    def listed(self, told: EndpointList | None) -> None:
-        self.all.append(told)
+    def on_list(self, endpoint_list: EndpointList | None) -> None:
+        self.received.append(endpoint_list)
         self.news.set()
-        if told is None:
+        if endpoint_list is None:
             self.watch.subscribe()
 
     @property
-    def told(self) -> list[tuple[int, dict[str, str]]]:
-        """Without failures, and what changed nothing."""
+    def changes(self) -> list[tuple[int, dict[str, str]]]:
+        """Versions and healths received, without failures and without lists that change
+        nothing.
+        """
         return [
             (t.version, {h.name: h.health for h in t.endpoints})
-            for t in self.all
+            for t in self.received
             if t and t.endpoints
         ]
 
-    async def until(self, test: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not test():
+            while not condition():
                 self.news.clear()
                 await self.news.wait()
 
 
 def scripted(*answers: bytes | Callable[[Request], bytes | None] | None) -> Handler:
-    """These in turn, whatever connection asks; then watches are held until they are
-    given up.
+    """Return a handler that gives these responses in turn, on whatever connection a
+    request comes. After the last one, requests stay unanswered until their timeout.
     """
     left = list(answers)
 
@@ -122,7 +126,7 @@
     return handler
 
 
-def held(version: int) -> str:
+def watch_query(version: int) -> str:
     return f"?from={version}&hold_ms={WATCH_HOLD_MS}"
 
 
@@ -133,154 +137,162 @@
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("after", [0, 1, 3])
 @pytest.mark.parametrize("cut", [SILENT, HALF, DRAINED[:9], DRAINED[:-1]])
-def test_silence_right_after_an_answer_or_half_of_one_opens_the_watch_anew(
+def test_watch_reopens_when_a_response_stalls_or_does_not_come(
     cut: bytes, after: int, pushed: bool
 ) -> None:
-    """In its first second or later: the call after it comes on a connection of its own,
-    from the version before, and what the silent one says then is nobody's answer.
+    """The response stops in the watch's first second or later. The next request is sent
+    on a new connection with the last known version, and a late response on the silent
+    connection is ignored.
     """
 
     async def scene() -> None:
         def late(request: Request) -> bytes:
-            silent.requests[-2].writer.write(answer(listing(9, ("s9", "up"))))
+            silent.requests[-2].writer.write(ok_response(listing(9, ("s9", "up"))))
             return DRAINED
 
-        quiet = answer(listing(1, whole=False))
-        silent = await Peer(scripted(UP, *[quiet] * after, cut, late)).start()
-        heard = Heard(silent, pushed=pushed)
-        await heard.until(lambda: len(heard.told) == 2)
-        assert heard.told == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
+        unchanged = ok_response(listing(1, whole=False))
+        silent = await Peer(scripted(UP, *[unchanged] * after, cut, late)).start()
+        recorder = WatchRecorder(silent, pushed=pushed)
+        await recorder.until(lambda: len(recorder.changes) == 2)
+        assert recorder.changes == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
         watch, fresh = (
             silent.requests[-2:]
             if len(silent.requests) == after + 3
             else silent.requests[-3:-1]
         )
-        assert watch.path.endswith(held(1)) and fresh.path.endswith("from=1&hold_ms=0")
+        assert watch.path.endswith(watch_query(1)) and fresh.path.endswith(
+            "from=1&hold_ms=0"
+        )
         assert watch.writer is not fresh.writer
         await silent.until(lambda: silent.closed >= 1)
-        await silent.got(after + 4)  # the watch goes on on the fresh one
+        await silent.got(after + 4)  # the watch continues on the new connection
         assert silent.requests[after + 3].writer is fresh.writer
-        assert heard.told[2:] == []
-        heard.watch.pause()
+        assert recorder.changes[2:] == []
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
-def test_an_answer_that_came_in_the_turn_of_sighups_move_is_not_of_the_new_address() -> (
-    None
-):
-    """The bytes are here, the watch has not been woken yet, and then the signal moves
-    it.
+def test_old_address_response_in_the_iteration_of_a_move_is_discarded() -> None:
+    """The response bytes have arrived and the watch has not been woken yet when the
+    signal changes the address.
     """
 
     async def scene() -> None:
-        old = await Peer(scripted(UP, answer(listing(2, ("s1", "draining"))))).start()
-        new = await Peer(scripted(answer(listing(0, ("s2", "up"))))).start()
-        heard = Heard(old)
-        channel_end, ends = HttpConnection.finish_response, []
-
-        def end(channel: HttpConnection, error: Exception | None) -> None:
-            channel_end(channel, error)
-            ends.append(channel)
-            if len(ends) == 2:
-                heard.watch.change_address(Address("127.0.0.1", new.port))
-
-        HttpConnection.finish_response = end  # type: ignore[method-assign]
+        old = await Peer(
+            scripted(UP, ok_response(listing(2, ("s1", "draining"))))
+        ).start()
+        new = await Peer(scripted(ok_response(listing(0, ("s2", "up"))))).start()
+        recorder = WatchRecorder(old)
+        finish_response, finished = HttpConnection.finish_response, []
+
+        def finish_and_move(
+            connection: HttpConnection, error: Exception | None
+        ) -> None:
+            finish_response(connection, error)
+            finished.append(connection)
+            if len(finished) == 2:
+                recorder.watch.change_address(Address("127.0.0.1", new.port))
+
+        HttpConnection.finish_response = finish_and_move  # type: ignore[method-assign]
         try:
-            await heard.until(lambda: len(heard.told) == 2)
+            await recorder.until(lambda: len(recorder.changes) == 2)
             await new.got(2)
         finally:
-            HttpConnection.finish_response = channel_end  # type: ignore[method-assign]
-        assert heard.told == [(1, {"s1": "up"}), (0, {"s2": "up"})]
-        assert paths(new)[0] == "" and heard.watch.version == 0
-        heard.watch.pause()
+            HttpConnection.finish_response = finish_response  # type: ignore[method-assign]
+        assert recorder.changes == [(1, {"s1": "up"}), (0, {"s2": "up"})]
+        assert paths(new)[0] == "" and recorder.watch.version == 0
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("first", [SILENT, HALF, None])
-def test_silence_during_sighups_move_at_both_addresses(first: bytes | None) -> None:
-    """The old watch is silent, the first call at the new address is too, and the old
-    one speaks late.
+def test_address_change_succeeds_when_both_addresses_are_silent_at_first(
+    first: bytes | None,
+) -> None:
+    """The old watch is silent, so is the first request at the new address, and the old
+    address responds late.
     """
 
     async def scene() -> None:
         def late(request: Request) -> bytes:
             old.requests[1].writer.write(DRAINED)
-            return answer(listing(0, ("s2", "up")))
+            return ok_response(listing(0, ("s2", "up")))
 
         old = await Peer(scripted(UP, SILENT)).start()
         new = await Peer(scripted(first, late)).start()
-        heard = Heard(old)
+        recorder = WatchRecorder(old)
         await old.got(2)
-        heard.watch.change_address(Address("127.0.0.1", new.port))
-        await heard.until(lambda: len(heard.told) == 2)
-        assert heard.told == [(1, {"s1": "up"}), (0, {"s2": "up"})]
-        assert None not in heard.all  # the module's pause is not waited out
+        recorder.watch.change_address(Address("127.0.0.1", new.port))
+        await recorder.until(lambda: len(recorder.changes) == 2)
+        assert recorder.changes == [(1, {"s1": "up"}), (0, {"s2": "up"})]
+        assert (
+            None not in recorder.received
+        )  # the dispatcher's pause after failures does not apply
         assert (
             paths(new)[:2] == ["", ""]
             and new.requests[0].writer is not new.requests[1].writer
         )
-        heard.watch.pause()
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
-def test_a_watch_that_ended_in_a_stop_tells_nothing_and_no_sighup_begins_it_anew() -> (
-    None
-):
-    """An answer has come in the turn of the pause; then the configuration names another
-    address.
+def test_paused_watch_reports_nothing_and_is_not_restarted_by_sighup() -> None:
+    """A response arrives in the loop iteration of the pause; then the configuration
+    names another address.
     """
 
     async def scene() -> None:
         old = await Peer(scripted(UP, SILENT)).start()
         new = await Peer(always(UP)).start()
-        heard = Heard(old)
+        recorder = WatchRecorder(old)
         await old.got(2)
-        assert heard.watch.client.connection.response is not None
-        heard.watch.client.connection.data_received(
-            answer(listing(2, ("s1", "draining")))
+        assert recorder.watch.client.connection.response is not None
+        recorder.watch.client.connection.data_received(
+            ok_response(listing(2, ("s1", "draining")))
         )
-        heard.watch.pause()
-        heard.watch.change_address(Address("127.0.0.1", new.port))
-        assert heard.watch.task is None
+        recorder.watch.pause()
+        recorder.watch.change_address(Address("127.0.0.1", new.port))
+        assert recorder.watch.task is None
         await old.until(lambda: old.closed == 1)
-        assert heard.told == [(1, {"s1": "up"})]
-        # the new process is gone: this one goes on, where it was told to
-        heard.watch.subscribe()
-        await heard.until(lambda: len(heard.told) == 2)
+        assert recorder.changes == [(1, {"s1": "up"})]
+        # the new process is gone: this one resumes at the configured address
+        recorder.watch.subscribe()
+        await recorder.until(lambda: len(recorder.changes) == 2)
         assert paths(new)[0] == ""
-        heard.watch.pause()
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
-def test_a_stop_and_its_taking_back_in_one_turn_leave_the_fresh_watch_its_connection() -> (
-    None
-):
-    """The call that was cancelled ends after the fresh one began, and closes no
-    connection but its own.
+def test_pause_and_subscribe_in_one_iteration_keep_the_new_connection() -> None:
+    """The cancelled request ends after the new one began, and closes no connection but
+    its own.
     """
 
     async def scene() -> None:
         peer = await Peer(scripted(UP, SILENT, DRAINED)).start()
-        heard = Heard(peer)
+        recorder = WatchRecorder(peer)
         await peer.got(2)
-        heard.watch.pause()
-        heard.watch.subscribe()
-        await heard.until(lambda: len(heard.told) == 2)
-        assert heard.told[1] == (2, {"s1": "draining"}) and None not in heard.all
+        recorder.watch.pause()
+        recorder.watch.subscribe()
+        await recorder.until(lambda: len(recorder.changes) == 2)
+        assert (
+            recorder.changes[1] == (2, {"s1": "draining"})
+            and None not in recorder.received
+        )
         assert peer.requests[2].writer is not peer.requests[1].writer
-        heard.watch.pause()
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_dial_that_does_not_come_up_is_made_again(pushed: bool) -> None:
-    """The machine takes no connection (its backlog is full) while the fresh watch
-    dials; then it does.
+def test_dial_that_times_out_is_repeated(pushed: bool) -> None:
+    """The machine accepts no connection (its backlog is full) while the new watch
+    dials; later it does.
     """
 
     async def scene() -> None:
@@ -292,17 +304,17 @@
             filler.connect_ex(where)
         peer = Peer(scripted(UP))
         peer.port = where[1]
-        heard = Heard(peer, seq=1, pushed=pushed)
+        recorder = WatchRecorder(peer, seq=1, pushed=pushed)
         async with asyncio.timeout(PATIENCE):
-            while heard.watch.failures < 2:
+            while recorder.watch.failures < 2:
                 await asyncio.sleep(0.1)
-        assert heard.told == []
+        assert recorder.changes == []
         for filler in fillers:
             filler.close()
         server = await asyncio.start_server(peer.serve, sock=listener)
-        await heard.until(lambda: bool(heard.told))
+        await recorder.until(lambda: bool(recorder.changes))
         assert paths(peer)[0] == "?from=1&hold_ms=0"
-        heard.watch.pause()
+        recorder.watch.pause()
         server.close()
 
     in_virtual_time(scene)
@@ -311,87 +323,89 @@
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("hosts", [(), (("s1", "up"),)])
 @pytest.mark.parametrize("watched", [False, True])
-def test_changes_of_a_version_that_went_back_are_not_built_on(
+def test_changes_with_an_older_version_are_not_applied(
     watched: bool, hosts: tuple[tuple[str, str], ...], pushed: bool
 ) -> None:
-    """Discovery was restored: what came after is gone there, and changes to it say
-    nothing of our list.
+    """Discovery was restored from an older version. Later versions are lost there, so
+    its changes do not apply to the list held here.
     """
 
     async def scene() -> None:
-        ours = answer(listing(43, ("s1", "draining"), ("s2", "up")))
-        back = answer(listing(41, *hosts, whole=False))
+        newer = ok_response(listing(43, ("s1", "draining"), ("s2", "up")))
+        older_changes = ok_response(listing(41, *hosts, whole=False))
         steps = (
-            [ours, answer(listing(43, whole=False)), back] if watched else [ours, back]
+            [newer, ok_response(listing(43, whole=False)), older_changes]
+            if watched
+            else [newer, older_changes]
         )
         peer = await Peer(
-            scripted(*steps, answer(listing(41, ("s1", "draining"))))
+            scripted(*steps, ok_response(listing(41, ("s1", "draining"))))
         ).start()
-        heard = Heard(peer, pushed=pushed)
+        recorder = WatchRecorder(peer, pushed=pushed)
         await peer.got(len(steps) + 2)
-        assert heard.told == [
+        assert recorder.changes == [
             (43, {"s1": "draining", "s2": "up"}),
             (41, {"s1": "draining"}),
         ]
-        assert paths(peer)[len(steps) :] == ["", held(41)]
-        heard.watch.pause()
+        assert paths(peer)[len(steps) :] == ["", watch_query(41)]
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
-def test_a_whole_list_of_a_version_that_went_back_is_what_there_is_now() -> None:
+def test_whole_list_with_an_older_version_replaces_the_list() -> None:
     async def scene() -> None:
         peer = await Peer(
             scripted(
-                answer(listing(43, ("s1", "up"), ("s2", "up"))),
-                answer(listing(5, ("s1", "up"))),
+                ok_response(listing(43, ("s1", "up"), ("s2", "up"))),
+                ok_response(listing(5, ("s1", "up"))),
             )
         ).start()
-        heard = Heard(peer)
+        recorder = WatchRecorder(peer)
         await peer.got(3)
-        assert heard.told == [(43, {"s1": "up", "s2": "up"}), (5, {"s1": "up"})]
-        assert paths(peer) == ["", held(43), held(5)]
-        heard.watch.pause()
+        assert recorder.changes == [(43, {"s1": "up", "s2": "up"}), (5, {"s1": "up"})]
+        assert paths(peer) == ["", watch_query(43), watch_query(5)]
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
-def test_changes_in_place_of_the_whole_list_are_refused() -> None:
-    """What the list of before held and the new one does not would stay in it."""
+def test_changes_in_place_of_the_whole_list_are_rejected() -> None:
+    """Endpoints of the previous list that the new one lacks would stay listed."""
 
     async def scene() -> None:
         peer = await Peer(
-            scripted(answer(listing(7, ("s1", "up"), whole=False)), UP)
+            scripted(ok_response(listing(7, ("s1", "up"), whole=False)), UP)
         ).start()
-        heard = Heard(peer)
+        recorder = WatchRecorder(peer)
         await peer.got(3)
-        assert heard.told == [(1, {"s1": "up"})] and paths(peer)[:2] == ["", ""]
-        heard.watch.pause()
+        assert recorder.changes == [(1, {"s1": "up"})] and paths(peer)[:2] == ["", ""]
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
-def test_a_list_that_cannot_be_booked_is_asked_for_again() -> None:
-    """Whatever is wrong with it, the asking went on before only where the answer could
-    not be read.
+def test_list_that_fails_to_apply_is_requested_again() -> None:
+    """Requests used to continue only after responses that could not be parsed, not
+    after lists that failed to apply.
     """
 
     async def scene() -> None:
         peer = await Peer(scripted(UP, DRAINED, DRAINED)).start()
-        heard = Heard(peer)
-        listed, raised = heard.watch.on_list, []
+        recorder = WatchRecorder(peer)
+        on_list, raised = recorder.watch.on_list, []
 
-        def once(told: EndpointList | None) -> None:
-            if told is not None and told.version == 2 and not raised:
-                raised.append(told)
+        def raise_once(endpoint_list: EndpointList | None) -> None:
+            if endpoint_list is not None and endpoint_list.version == 2 and not raised:
+                raised.append(endpoint_list)
                 raise ValueError("bad entry")
-            listed(told)
+            on_list(endpoint_list)
 
-        heard.watch.on_list = once
+        recorder.watch.on_list = raise_once
         await peer.got(4)
-        assert heard.told == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
-        assert paths(peer)[1:3] == [held(1), "?from=1&hold_ms=0"]
-        heard.watch.pause()
+        assert recorder.changes == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
+        assert paths(peer)[1:3] == [watch_query(1), "?from=1&hold_ms=0"]
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
@@ -419,7 +433,7 @@
 @pytest.mark.parametrize(
     "bytes_, last",
     [
-        (answer(INDENTED), False),
+        (ok_response(INDENTED), False),
         (chunked(BODY, 1), False),
         (chunked(INDENTED, 7), False),
         (CLOSES, False),
@@ -430,11 +444,11 @@
         (b"HTTP/1.0 200 OK\r\n\r\n" + INDENTED, True),
     ],
 )
-def test_each_form_of_an_answer_is_heard_also_where_the_connection_ends_with_it(
+def test_each_response_format_is_parsed_also_at_the_end_of_a_connection(
     bytes_: bytes, last: bool
 ) -> None:
-    """Indented, chunked, told to be the last, and with no length but the connection's
-    end.
+    """Indented, chunked, announced as the connection's last, and delimited only by the
+    connection's end.
     """
 
     async def scene() -> None:
@@ -443,16 +457,16 @@
             return None if last else b""
 
         peer = await Peer(scripted(UP, write)).start()
-        heard = Heard(peer)
+        recorder = WatchRecorder(peer)
         await peer.got(3)
         assert (
-            heard.told == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
-            and None not in heard.all
+            recorder.changes == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
+            and None not in recorder.received
         )
-        assert paths(peer)[2] == held(2)
+        assert paths(peer)[2] == watch_query(2)
         closes = last or bytes_ is CLOSES
         assert (peer.requests[2].writer is not peer.requests[1].writer) is closes
-        heard.watch.pause()
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
@@ -461,11 +475,11 @@
     "cut",
     [DRAINED[:-1], HALF, DRAINED[:5], chunked(BODY, 9)[:-7], ENDED[:-9], ENDED[:40]],
 )
-def test_a_list_cut_off_by_its_connections_end_is_asked_for_again_and_not_believed(
+def test_list_truncated_by_its_connections_end_is_discarded_and_requested_again(
     cut: bytes,
 ) -> None:
-    """The call is made once more on another connection; where that is cut off too, it
-    has failed.
+    """The request is repeated once on another connection; if that response is cut off
+    too, it has failed.
     """
 
     async def scene() -> None:
@@ -473,22 +487,22 @@
             request.writer.write(cut)
 
         peer = await Peer(scripted(UP, write, write, DRAINED)).start()
-        heard = Heard(peer)
-        await heard.until(lambda: len(heard.told) == 2)
-        assert heard.told == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
-        assert set(paths(peer)[1:4]) <= {held(1), "?from=1&hold_ms=0"}
-        heard.watch.pause()
+        recorder = WatchRecorder(peer)
+        await recorder.until(lambda: len(recorder.changes) == 2)
+        assert recorder.changes == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
+        assert set(paths(peer)[1:4]) <= {watch_query(1), "?from=1&hold_ms=0"}
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
-def test_bytes_that_nobody_asked_for_do_not_begin_the_next_answer() -> None:
-    """Half of a second answer comes between two calls, the rest of it with the next
-    answer.
+def test_unsolicited_bytes_are_not_part_of_the_next_response() -> None:
+    """Half of an unsolicited response arrives between two requests, the rest of it with
+    the next response.
     """
 
     async def scene() -> None:
-        stray = answer(b"stray")
+        stray = ok_response(b"stray")
 
         def second(request: Request) -> bytes:
             peer.requests[0].writer.write(stray[20:])
@@ -512,7 +526,7 @@
 
 
 @pytest.mark.parametrize("how", ["cancelled", "given up"])
-def test_the_late_answer_of_a_call_that_is_not_waited_for_is_not_the_next_calls(
+def test_late_response_to_an_abandoned_request_is_not_used_for_the_next(
     how: str,
 ) -> None:
     async def scene() -> None:
@@ -543,7 +557,7 @@
     in_virtual_time(scene)
 
 
-def test_a_dial_given_up_takes_no_answer_of_the_call_before() -> None:
+def test_dial_timeout_does_not_return_the_previous_response() -> None:
     async def scene() -> None:
         peer = await Peer(always(Answer(200, {"Connection": "close"}, b"old"))).start()
         client = HttpClient(Address("127.0.0.1", peer.port))
@@ -563,8 +577,10 @@
     in_virtual_time(scene)
 
 
-def test_an_answer_that_came_while_the_loop_stood_still_is_in_time() -> None:
-    """The time is up and the answer is here, both seen in the same turn of the loop."""
+def test_response_that_arrived_while_the_loop_was_blocked_is_in_time() -> None:
+    """The timeout expires and the response arrives, and the loop sees both in the same
+    iteration.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
     go, sent = threading.Event(), threading.Event()
 
@@ -582,12 +598,12 @@
         task = asyncio.create_task(client.request("GET", "/a", 0.3))
         while client.connection.response is None:
             await asyncio.sleep(0)
-        until = time.monotonic() + 0.35
+        deadline = time.monotonic() + 0.35
         go.set()
         assert sent.wait(PATIENCE)
         time.sleep(
-            max(0.0, until - time.monotonic())
-        )  # the loop stands still past the call's time
+            max(0.0, deadline - time.monotonic())
+        )  # blocks the loop past the request's timeout
         assert (await task).status == 200
         client.close()
 
@@ -599,15 +615,17 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_dial_with_no_descriptor_left_is_made_again_soon(
+def test_dial_without_free_descriptors_is_repeated_soon(
     pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Idle clients hold them all when discovery's connection has to be made anew."""
+    """Idle clients hold all descriptors when the connection to discovery has to be
+    reopened.
+    """
 
     async def scene() -> None:
         peer = await Peer(scripted(UP, None, DRAINED)).start()
-        heard = Heard(peer, pushed=pushed)
-        before = resource.getrlimit(resource.RLIMIT_NOFILE)
+        recorder = WatchRecorder(peer, pushed=pushed)
+        old_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
         failed: list[OSError] = []
         dial = asyncio.get_running_loop().create_connection
 
@@ -616,8 +634,8 @@
                 return await dial(*args, **more)
             except OSError as error:
                 failed.append(error)
-                if len(failed) == 3:  # room is made
-                    resource.setrlimit(resource.RLIMIT_NOFILE, before)
+                if len(failed) == 3:  # descriptors become available
+                    resource.setrlimit(resource.RLIMIT_NOFILE, old_limit)
                 raise
 
         monkeypatch.setattr(
@@ -625,99 +643,97 @@
         )
         await peer.got(1)
         try:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (3, before[1]))
-            await heard.until(lambda: len(heard.told) == 2)
+            resource.setrlimit(resource.RLIMIT_NOFILE, (3, old_limit[1]))
+            await recorder.until(lambda: len(recorder.changes) == 2)
         finally:
-            resource.setrlimit(resource.RLIMIT_NOFILE, before)
+            resource.setrlimit(resource.RLIMIT_NOFILE, old_limit)
         assert [error.errno for error in failed] == [24] * 3
-        assert heard.told[1] == (2, {"s1": "draining"})
-        heard.watch.pause()
+        assert recorder.changes[1] == (2, {"s1": "draining"})
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
-def test_a_silent_connections_descriptor_goes_to_the_one_after_it_and_to_no_client() -> (
-    None
-):
-    """Discovery says nothing, and whatever descriptor comes free is taken at once by
-    clients that rest.
+def test_descriptor_of_a_silent_connection_is_reused_by_the_next_connection() -> None:
+    """Discovery does not respond, and idle clients take every descriptor that becomes
+    free at once.
     """
 
     async def scene() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         client = HttpClient(Address("127.0.0.1", listener.getsockname()[1]))
-        resting: list[int] = []
-        before = resource.getrlimit(resource.RLIMIT_NOFILE)
+        idle_descriptors: list[int] = []
+        old_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
 
-        def flood() -> None:
+        def take_free_descriptors() -> None:
             with contextlib.suppress(OSError):
                 while True:
-                    resting.append(os.open(os.devnull, os.O_RDONLY))
+                    idle_descriptors.append(os.open(os.devnull, os.O_RDONLY))
 
         try:
-            most = max(map(int, os.listdir("/proc/self/fd"))) + 3
-            resource.setrlimit(resource.RLIMIT_NOFILE, (most, before[1]))
+            limit = max(map(int, os.listdir("/proc/self/fd"))) + 3
+            resource.setrlimit(resource.RLIMIT_NOFILE, (limit, old_limit[1]))
             for _ in range(4):
                 with pytest.raises(TimeoutError):
                     await client.request("GET", "/discovery/hosts", 0.1)
                 for _ in range(3):
                     await asyncio.sleep(0)
-                flood()
-            assert resting
+                take_free_descriptors()
+            assert idle_descriptors
         finally:
-            for number in resting:
+            for number in idle_descriptors:
                 os.close(number)
-            resource.setrlimit(resource.RLIMIT_NOFILE, before)
+            resource.setrlimit(resource.RLIMIT_NOFILE, old_limit)
         client.close()
         listener.close()
 
     in_virtual_time(scene)
 
 
-def test_an_answer_of_no_use_costs_no_connection() -> None:
-    """An error status, garbage and a version that went back: the next call goes on the
-    same one.
+def test_unusable_response_keeps_the_connection() -> None:
+    """After an error status, garbage or a version that went back, the next request
+    reuses the connection.
     """
 
     async def scene() -> None:
         steps = [
             b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
-            answer(b"{"),
-            answer(listing(0, whole=False)),
-            answer(listing(2, ("s1", "draining"))),
+            ok_response(b"{"),
+            ok_response(listing(0, whole=False)),
+            ok_response(listing(2, ("s1", "draining"))),
         ]
         peer = await Peer(scripted(UP, *steps)).start()
-        heard = Heard(peer)
+        recorder = WatchRecorder(peer)
         await peer.got(6)
-        assert heard.told[-1] == (2, {"s1": "draining"})
+        assert recorder.changes[-1] == (2, {"s1": "draining"})
         assert len({r.writer for r in peer.requests}) == 1
-        heard.watch.pause()
+        recorder.watch.pause()
 
     in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("rests", [True, False])
 @pytest.mark.parametrize("form", ["changes", "whole"])
-def test_a_target_removed_and_added_again_at_another_address_gets_its_calls_there(
+def test_endpoint_readded_at_another_address_gets_its_calls_there(
     tmp_path: Path, form: str, rests: bool
 ) -> None:
-    """Within one answer; the connection to the old address rests, or has its call out.
-    Whose the address is by now nobody knows.
+    """Both changes come in one response; the connection to the old address is idle or
+    has a call in flight. The old address may belong to another host by now.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         gate = asyncio.Event()
 
-        async def second(request: Request) -> Answer:
+        async def respond(request: Request) -> Answer:
             if request.headers["x-correlation-id"] == "before":
                 await gate.wait()
             return OK
 
-        old = await target(platform, second)
+        old = await target(platform, respond)
         node = await node_on(folder, platform)
         assert (await node.hand_in("first"))[
             0
-        ] == 202  # a connection is kept from the second call on
+        ] == 202  # the connection stays open after the first call
         await node.shows(lambda f: sum(f["fulfilled"].values()) == 1)
         assert (await node.hand_in("before"))[0] == 202
         await old.got(2)
@@ -735,15 +751,15 @@
             dict(platform.hosts["s1"]),
         ]
         if form == "whole":
-            inner = platform.handler
+            original_handler = platform.handler
 
-            async def whole(request: Request) -> Answer | bytes | None:
-                told = await inner(request)
+            async def send_whole_list(request: Request) -> Answer | bytes | None:
+                response = await original_handler(request)
                 if request.path.startswith("/discovery/hosts?from=1&"):
                     return Answer(200, body=json.dumps(platform.listing()).encode())
-                return told
+                return response
 
-            platform.handler = whole
+            platform.handler = send_whole_list
         await platform.note()
         await platform.until(
             lambda: any("from=2&" in r.path for r in platform.requests)
@@ -762,11 +778,11 @@
     play(scene, tmp_path)
 
 
-def test_a_stop_does_not_wait_for_a_silent_watch_or_a_silent_post(
+def test_shutdown_does_not_wait_for_a_silent_watch_or_notification(
     tmp_path: Path,
 ) -> None:
-    """The watch and the notice are out and unanswered; SIGTERM, then SIGHUP with
-    another address.
+    """The watch and the notification are in flight and unanswered; SIGTERM, then SIGHUP
+    with another address.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -774,12 +790,12 @@
         node = await node_on(folder, platform)
         silent = asyncio.Event()
 
-        async def quiet(request: Request) -> bytes:
+        async def stay_silent(request: Request) -> bytes:
             if request.path == "/v1/notices":
                 silent.set()
             return SILENT
 
-        platform.handler = quiet
+        platform.handler = stay_silent
         assert (await node.hand_in("m", "pay"))[0] == 202
         async with asyncio.timeout(PATIENCE):
             await silent.wait()
--- a/tests/forwarder/test_fleet_member.py
+++ b/tests/forwarder/test_fleet_member.py
@@ -1,6 +1,4 @@
-"""The forwarder as a member of a fleet: the real program beside a scripted fleet
-address.
-"""
+"""Runs the real forwarder program as a fleet member against a scripted fleet service."""
 
 from __future__ import annotations
 
@@ -65,8 +63,8 @@
 
 
 class Service(Peer):
-    """The list service's fleet address, as far as one member sees it: it does what a
-    test tells it.
+    """The list service's fleet address as one member sees it. Tests script its
+    responses.
     """
 
     def __init__(self) -> None:
@@ -74,9 +72,9 @@
         self.token, self.ttl_ms, self.version = [3, 17], 900, 1
         self.shares: dict[str, dict[str, int]] = {}
         self.silent = self.lost = self.held = False
-        self.beats: list[dict[str, Any]] = []
+        self.heartbeats: list[dict[str, Any]] = []
 
-    async def share(self, calls: int, number: int) -> None:
+    async def assign_share(self, calls: int, number: int) -> None:
         self.shares["7"] = {
             "calls": calls,
             "number": number,
@@ -96,7 +94,7 @@
                 await self.changed.wait_for(lambda: self.version != seen)
             return Answer(200, body=json.dumps({"version": self.version}).encode())
         beat = json.loads(request.body)
-        self.beats.append(beat)
+        self.heartbeats.append(beat)
         await self.note()
         if self.lost and beat["token"] is not None:
             return Answer(
@@ -126,13 +124,15 @@
             ).encode(),
         )
 
-    async def beat(
-        self, test: Callable[[dict[str, Any]], bool], since: int = -1
+    async def until_heartbeat(
+        self, condition: Callable[[dict[str, Any]], bool], since: int = -1
     ) -> dict[str, Any]:
-        """The first beat from now on, or since so many, that is so."""
-        first = len(self.beats) if since < 0 else since
-        await self.until(lambda: any(test(b) for b in self.beats[first:]))
-        return next(b for b in self.beats[first:] if test(b))
+        """Return the first heartbeat that satisfies `condition`, from now on or from
+        index `since` on.
+        """
+        first = len(self.heartbeats) if since < 0 else since
+        await self.until(lambda: any(condition(b) for b in self.heartbeats[first:]))
+        return next(b for b in self.heartbeats[first:] if condition(b))
 
 
 Scene = Callable[[Platform, Service, Path], Awaitable[None]]
@@ -146,7 +146,7 @@
         platform.host("s1", (await Peer(always(OK)).start()).port)
         asyncio.get_running_loop().set_exception_handler(
             lambda loop, context: None
-        )  # peers that are cut off
+        )  # ignores errors of peers whose connections are cut
         try:
             await scene(platform, service, folder)
         finally:
@@ -186,13 +186,15 @@
 
 def configure(node: Node, **changes: Any) -> dict[str, Any]:
     path = node.folder / "config.json"
-    told = {**json.loads(path.read_text()), **changes}
-    path.write_text(json.dumps(told))
-    return told
+    config = {**json.loads(path.read_text()), **changes}
+    path.write_text(json.dumps(config))
+    return config
 
 
-def left_ns(*logs: list[str]) -> list[int]:
-    """When each call's first byte left, by the processes' own lines."""
+def sent_times_ns(*logs: list[str]) -> list[int]:
+    """Return the times in ns at which calls sent their first byte, from the processes'
+    own log lines.
+    """
     lines = [
         json.loads(line) for log in logs for line in log if '"event": "sent"' in line
     ]
@@ -200,7 +202,7 @@
     return sorted(line["t_ns"] for line in lines)
 
 
-def left_ids(*logs: list[str]) -> list[str]:
+def sent_ids(*logs: list[str]) -> list[str]:
     return [
         json.loads(line)["message_id"]
         for log in logs
@@ -209,15 +211,15 @@
     ]
 
 
-def worst(times: list[int], span_ms: int = SPAN_MS) -> int:
+def max_calls_in_window(times: list[int], span_ms: int = SPAN_MS) -> int:
     return max(
         (sum(t <= u < t + span_ms * 1_000_000 for u in times) for t in times), default=0
     )
 
 
-async def until(test: Callable[[], bool]) -> None:
+async def until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(PATIENCE):
-        while not test():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
@@ -227,51 +229,58 @@
     return node
 
 
-def state(node: Node, **wanted: Any) -> Awaitable[dict[str, Any]]:
+def wait_for_fleet_state(node: Node, **wanted: Any) -> Awaitable[dict[str, Any]]:
     return node.shows(
         lambda v: all(v["fleet"][key] == value for key, value in wanted.items())
     )
 
 
-async def hand_in(node: Node, names: str, count: int) -> None:
+async def hand_in(node: Node, prefix: str, count: int) -> None:
     client = await node.client()
     for n in range(count):
-        assert (await client.hand_in(f"{names}{n}", "status", left="9"))[0] == 202
+        assert (await client.hand_in(f"{prefix}{n}", "status", left="9"))[0] == 202
     client.writer.close()
 
 
-def test_calls_keep_within_the_share_and_without_the_service_within_the_reserve(
+def test_calls_stay_within_the_share_and_within_the_reserve_without_the_service(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, service: Service, folder: Path) -> None:
-        await service.share(20, 5)
+        await service.assign_share(20, 5)
         node = await ready(member(folder, platform, service))
-        await service.until(lambda: bool(service.beats))
-        joined = service.beats[0]
+        await service.until(lambda: bool(service.heartbeats))
+        joined = service.heartbeats[0]
         assert (joined["name"], joined["site"], joined["token"]) == ("n0", "a", None)
         assert "shown" not in joined
-        held = await service.beat(lambda b: b.get("holds") == {"7": [20, 5]})
-        assert held["token"] == service.token and held["run"] == joined["run"]
+        acknowledged = await service.until_heartbeat(
+            lambda b: b.get("holds") == {"7": [20, 5]}
+        )
+        assert (
+            acknowledged["token"] == service.token
+            and acknowledged["run"] == joined["run"]
+        )
         await hand_in(node, "a", 45)
-        await until(lambda: len(left_ns(node.log)) == 45)
-        times = left_ns(node.log)
-        assert worst(times) == 20, "all of it is used, and no more"
+        await until(lambda: len(sent_times_ns(node.log)) == 45)
+        times = sent_times_ns(node.log)
+        assert max_calls_in_window(times) == 20, "the whole share is used, and no more"
         service.silent = True
-        told = await node.shows(lambda v: v["fleet"]["budgets"]["7"]["by"] == "reserve")
+        variables = await node.shows(
+            lambda v: v["fleet"]["budgets"]["7"]["by"] == "reserve"
+        )
         assert (
-            told["fleet"]["valid_for_ms"] == 0
-            and not told["fleet"]["service"]["answers"]
+            variables["fleet"]["valid_for_ms"] == 0
+            and not variables["fleet"]["service"]["answers"]
         )
-        before = len(left_ns(node.log))
+        before = len(sent_times_ns(node.log))
         await hand_in(node, "b", 3)
-        await until(lambda: len(left_ns(node.log)) == before + 3)
-        assert worst(left_ns(node.log)[before:]) == 1
-        whys = [
+        await until(lambda: len(sent_times_ns(node.log)) == before + 3)
+        assert max_calls_in_window(sent_times_ns(node.log)[before:]) == 1
+        reasons = [
             json.loads(line)["why"]
             for line in node.log
             if "budget of destination" in line
         ]
-        assert whys == [
+        assert reasons == [
             "the configuration's reserve",
             "share 5 of the service",
             "the lease is out",
@@ -280,83 +289,84 @@
     play(scene, tmp_path)
 
 
-def test_stopped_past_its_lease_it_sends_nothing_beyond_the_reserve_and_joins_anew(
+def test_member_paused_past_its_lease_sends_only_the_reserve_and_rejoins(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, service: Service, folder: Path) -> None:
-        await service.share(20, 5)
+        await service.assign_share(20, 5)
         node = await ready(member(folder, platform, service))
-        await state(node, state="alive")
+        await wait_for_fleet_state(node, state="alive")
         await hand_in(node, "a", 45)
-        await until(lambda: len(left_ns(node.log)) >= 25)
+        await until(lambda: len(sent_times_ns(node.log)) >= 25)
         os.kill(node.process.pid, signal.SIGSTOP)
         service.lost = service.held = True
         await asyncio.sleep(service.ttl_ms / 1000)
-        before = len(left_ns(node.log))
+        before = len(sent_times_ns(node.log))
         os.kill(node.process.pid, signal.SIGCONT)
-        again = await service.beat(lambda b: b["token"] is None)
-        assert (again["shown"], again["seen"], again["keeps"]) == (
+        rejoined = await service.until_heartbeat(lambda b: b["token"] is None)
+        assert (rejoined["shown"], rejoined["seen"], rejoined["keeps"]) == (
             [3, 18],
             [3, 90],
             {"7": 1},
         )
-        assert "holds" not in again
-        told = (await state(node, state="held", lost=1, token=None))["fleet"][
-            "budgets"
-        ]["7"]
-        assert (told["by"], told["share"], told["why"]) == (
+        assert "holds" not in rejoined
+        budget = (await wait_for_fleet_state(node, state="held", lost=1, token=None))[
+            "fleet"
+        ]["budgets"]["7"]
+        assert (budget["by"], budget["share"], budget["why"]) == (
             "reserve",
             1,
             "the lease was lost",
         )
-        await until(lambda: len(left_ns(node.log)) >= before + 2)
-        assert worst(left_ns(node.log)[before:]) == 1, (
-            "only the reserve, from the first moment on"
+        await until(lambda: len(sent_times_ns(node.log)) >= before + 2)
+        assert max_calls_in_window(sent_times_ns(node.log)[before:]) == 1, (
+            "only the reserve is used, from the first call on"
         )
         service.held, service.lost, service.token = False, False, [3, 91]
-        await state(node, state="alive", token=[3, 92])
-        await until(lambda: len(left_ns(node.log)) == 45)
-        assert worst(left_ns(node.log)) <= 20
+        await wait_for_fleet_state(node, state="alive", token=[3, 92])
+        await until(lambda: len(sent_times_ns(node.log)) == 45)
+        assert max_calls_in_window(sent_times_ns(node.log)) <= 20
 
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("sign", [signal.SIGTERM, signal.SIGKILL])
-def test_a_restart_shows_its_token_and_spends_no_span_twice(
+def test_restart_presents_the_old_token_and_does_not_exceed_the_window(
     tmp_path: Path, sign: int
 ) -> None:
     async def scene(platform: Platform, service: Service, folder: Path) -> None:
-        await service.share(6, 5)
+        await service.assign_share(6, 5)
         (folder / "state").mkdir()
         (folder / "state" / "fleet.json").write_text(
             "{"
-        )  # cannot be read: counts as none
+        )  # cannot be parsed: treated as missing
         node = await ready(member(folder, platform, service))
         await hand_in(node, "a", 9)
-        await until(lambda: len(left_ns(node.log)) >= 7)
-        token, since = service.token, len(service.beats)
+        await until(lambda: len(sent_times_ns(node.log)) >= 7)
+        token, since = service.token, len(service.heartbeats)
         await node.end(sign)
         logs, node.log = [node.log], []
-        kept = folder / "state" / "fleet.json"
-        assert ("closed_us" in kept.read_text()) is (sign == signal.SIGTERM), (
-            "what was spent"
+        state_path = folder / "state" / "fleet.json"
+        assert ("closed_us" in state_path.read_text()) is (sign == signal.SIGTERM), (
+            "the spent calls are recorded"
         )
         await ready(node)
-        assert "closed_us" not in kept.read_text(), (
-            "from its first call on it counts anew"
+        assert "closed_us" not in state_path.read_text(), (
+            "the record of spent calls is dropped before the first call"
         )
-        joined = await service.beat(lambda b: b["token"] is None, since)
+        joined = await service.until_heartbeat(lambda b: b["token"] is None, since)
         assert joined["shown"] == token and joined["keeps"] == {"7": 1}
         await hand_in(node, "b", 9)
-        await until(lambda: len(set(left_ids(*logs, node.log))) == 18)
-        assert worst(left_ns(*logs, node.log)) == 6
+        await until(lambda: len(set(sent_ids(*logs, node.log))) == 18)
+        assert max_calls_in_window(sent_times_ns(*logs, node.log)) == 6
 
     play(scene, tmp_path)
 
 
-def test_a_successor_goes_by_what_was_kept(tmp_path: Path) -> None:
-    """Kept in order: what is left of the span goes at once. After a crash or another
-    boot a window passes. What cannot be written lets nothing leave.
+def test_next_process_resumes_quotas_from_the_state_file(tmp_path: Path) -> None:
+    """After an orderly end, the next process sends what is left of the window at once.
+    After a crash or a reboot it waits for one full window. While the state file cannot
+    be written, nothing is sent.
     """
     share = {
         "calls": 6,
@@ -366,81 +376,95 @@
         "reserve": 1,
         "slack_ms": None,
     }
-    reserves, window_us, at = [BudgetReserve(7, 1, 400_000, 100)], 413_371, 10_000_000
-
-    def after(books: FleetQuotas, token: Token) -> list[int]:
-        books.persisted = True
-        books.apply_shares(token, {7: share}, at + 900_000, at)
-        return [books.acquire_permit(7, at) for _ in range(7)]
-
-    first = FleetQuotas(reserves, 0.02, {}, at - 500_000)
-    assert first.acquire_permit(7, at) == -1, "not kept yet"
-    assert first.quota_event(7, at, 0).used == ()
-    assert after(first, Token(3, 1)) == [0] * 6 + [window_us]
-    at += 100_000
-    crashed, disk = first.records(), FaultyFiles()
-    spent = first.quota_event(7, at, 0)
-    keep = StateFile(tmp_path, True, disk)
+    reserves, window_us, now_us = (
+        [BudgetReserve(7, 1, 400_000, 100)],
+        413_371,
+        10_000_000,
+    )
+
+    def waits_with_lease(quotas: FleetQuotas, token: Token) -> list[int]:
+        quotas.persisted = True
+        quotas.apply_shares(token, {7: share}, now_us + 900_000, now_us)
+        return [quotas.acquire_permit(7, now_us) for _ in range(7)]
+
+    first = FleetQuotas(reserves, 0.02, {}, now_us - 500_000)
+    assert first.acquire_permit(7, now_us) == -1, "the state is not persisted yet"
+    assert first.quota_event(7, now_us, 0).used == ()
+    assert waits_with_lease(first, Token(3, 1)) == [0] * 6 + [window_us]
+    now_us += 100_000
+    records_at_crash, disk = first.records(), FaultyFiles()
+    event_before_end = first.quota_event(7, now_us, 0)
+    state_file = StateFile(tmp_path, True, disk)
     for records, boot, waits in (
-        (crashed, "", [window_us] * 7),
-        (first.close(at), "", [313_371] * 7),
-        (first.close(at), "another", [window_us] * 7),
+        (records_at_crash, "", [window_us] * 7),
+        (first.close(now_us), "", [313_371] * 7),
+        (first.close(now_us), "another", [window_us] * 7),
     ):
-        assert keep.write(*keep.encode(Token(3, 1), records)) is None and disk.synced
+        assert (
+            state_file.write(*state_file.encode(Token(3, 1), records)) is None
+            and disk.synced
+        )
         if boot:
-            keep.path.write_text(keep.path.read_text().replace(this_boot(), boot))
-        token, kept = StateFile(tmp_path, False).read()
-        second = FleetQuotas(reserves, 0.02, kept, at)
+            state_file.path.write_text(
+                state_file.path.read_text().replace(this_boot(), boot)
+            )
+        token, stored_records = StateFile(tmp_path, False).read()
+        second = FleetQuotas(reserves, 0.02, stored_records, now_us)
         assert (
             token == Token(3, 1)
             and second.known_reserves() == {"7": 1}
             and second.held_shares(token) == {"7": [1, 5]}
         )
-        told = second.quota_event(7, at, 5)
-        assert (told.calls, told.reserve_calls) == (0, 0), (
-            "not kept: the module holds too"
+        event = second.quota_event(7, now_us, 5)
+        assert (event.calls, event.reserve_calls) == (0, 0), (
+            "not persisted: the dispatcher sends nothing either"
         )
-        assert told.used == (
-            ((at + 5, UNKNOWN_PERIOD_CALLS),)
+        assert event.used == (
+            ((now_us + 5, UNKNOWN_PERIOD_CALLS),)
             if waits[0] == window_us
-            else ((at - 99_995, 1),) * 6
+            else ((now_us - 99_995, 1),) * 6
         )
-        assert after(second, Token(3, 2)) == waits
-    assert spent.used == () and spent.calls == 6
+        assert waits_with_lease(second, Token(3, 2)) == waits
+    assert event_before_end.used == () and event_before_end.calls == 6
     disk.fails = True
     assert (
-        isinstance(keep.write(*keep.encode(Token(3, 9), {})), OSError)
+        isinstance(state_file.write(*state_file.encode(Token(3, 9), {})), OSError)
         and StateFile(tmp_path, False).read()[1]
     )
-    number, data = keep.encode(Token(3, 3), {})
+    number, data = state_file.encode(Token(3, 3), {})
     disk.fails = False
-    assert keep.write(number + 1, b"{}") is None and keep.write(number, data) is None
-    assert keep.path.read_bytes() == b"{}", (
-        "an older one does not take a newer one's place"
+    assert (
+        state_file.write(number + 1, b"{}") is None
+        and state_file.write(number, data) is None
+    )
+    assert state_file.path.read_bytes() == b"{}", (
+        "an older write does not replace a newer one"
     )
-    second.configure([BudgetReserve(7, 0, 400_000, 100)], at)
+    second.configure([BudgetReserve(7, 0, 400_000, 100)], now_us)
     assert (
-        second.quota_event(7, at, 0).reserve_calls == 0
-        and second.configure([], at) == []
-    ), "the service told it last"
-    second.apply_shares(Token(3, 2), {}, at + 900_000, at)
-    assert second.configure([], at) == [7], "now nobody names it"
-    third = FleetQuotas(reserves, 0.02, {}, at - 500_000)
+        second.quota_event(7, now_us, 0).reserve_calls == 0
+        and second.configure([], now_us) == []
+    ), "the last shares of the service still name destination 7"
+    second.apply_shares(Token(3, 2), {}, now_us + 900_000, now_us)
+    assert second.configure([], now_us) == [7], (
+        "neither the configuration nor the service names it"
+    )
+    third = FleetQuotas(reserves, 0.02, {}, now_us - 500_000)
     third.persisted = (
-        third.apply_shares(Token(3, 4), {7: share}, at + 900_000, at) is False
+        third.apply_shares(Token(3, 4), {7: share}, now_us + 900_000, now_us) is False
     )
-    assert [third.acquire_permit(7, at) for _ in range(4)] == [0] * 4
-    third.on_call_sent(7, at, at + 5_000)
+    assert [third.acquire_permit(7, now_us) for _ in range(4)] == [0] * 4
+    third.on_call_sent(7, now_us, now_us + 5_000)
     third.on_call_sent(
-        7, at, at + 5_001
-    )  # stopped between the yes and the write: it counts from here
-    assert [third.acquire_permit(7, at + 5_001) == 0 for _ in range(3)] == [
+        7, now_us, now_us + 5_001
+    )  # paused between the permit and the write: counted from the write
+    assert [third.acquire_permit(7, now_us + 5_001) == 0 for _ in range(3)] == [
         True,
         False,
         False,
     ]
-    many = merge_spent([[n, n, 1] for n in range(10)], 4)
-    assert many == [[0, 2, 3], [3, 5, 3], [6, 8, 3], [9, 9, 1]]
+    merged = merge_spent([[n, n, 1] for n in range(10)], 4)
+    assert merged == [[0, 2, 3], [3, 5, 3], [6, 8, 3], [9, 9, 1]]
 
 
 class FaultyFiles(LocalFileSystem):
@@ -452,67 +476,73 @@
         self.synced = True
 
 
-def test_a_new_process_that_takes_over_goes_on_with_the_span_and_shows_the_token(
+def test_handover_process_continues_the_window_and_presents_the_token(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, service: Service, folder: Path) -> None:
-        await service.share(6, 5)
+        await service.assign_share(6, 5)
         old = await ready(member(folder, platform, service))
-        await state(old, state="alive")
+        await wait_for_fleet_state(old, state="alive")
         await hand_in(old, "a", 20)
-        await until(lambda: len(left_ns(old.log)) >= 8)
+        await until(lambda: len(sent_times_ns(old.log)) >= 8)
         token = service.token
-        since = len(service.beats)
+        since = len(service.heartbeats)
         new = await old.beside()
         nodes.append(new)
-        joined = await service.beat(lambda b: b["token"] is None, since)
+        joined = await service.until_heartbeat(lambda b: b["token"] is None, since)
         assert joined["shown"] == token
-        await until(lambda: len(left_ns(old.log, new.log)) == 20)
-        assert worst(left_ns(old.log, new.log)) <= 6
+        await until(lambda: len(sent_times_ns(old.log, new.log)) == 20)
+        assert max_calls_in_window(sent_times_ns(old.log, new.log)) <= 6
         assert not [
             b
-            for b in service.beats[service.beats.index(joined) :]
+            for b in service.heartbeats[service.heartbeats.index(joined) :]
             if b["run"] != joined["run"]
         ]
 
     play(scene, tmp_path)
 
 
-def test_changes_are_heard_and_answered_at_once(tmp_path: Path) -> None:
-    """A third of this lease is more than the test's patience: no beat here waited for
-    it.
+def test_changed_shares_and_needs_are_exchanged_before_the_next_interval(
+    tmp_path: Path,
+) -> None:
+    """A third of this lease is longer than the test's timeout, so no heartbeat here was
+    sent by the regular interval.
     """
 
     async def scene(platform: Platform, service: Service, folder: Path) -> None:
         service.ttl_ms = 120_000
-        await service.share(20, 5)
+        await service.assign_share(20, 5)
         node = await ready(member(folder, platform, service))
         await service.until(
-            lambda: len(service.beats) == 2
-        )  # the first one's pause was the configuration's
-        await service.share(7, 6)  # less: heard by the watch, and acknowledged
-        await service.beat(lambda b: b.get("holds") == {"7": [7, 6]})
-        since = len(service.beats)
+            lambda: len(service.heartbeats) == 2
+        )  # the interval after the first heartbeat is the configuration's
+        await service.assign_share(
+            7, 6
+        )  # fewer calls: received by the watch, and acknowledged
+        await service.until_heartbeat(lambda b: b.get("holds") == {"7": [7, 6]})
+        since = len(service.heartbeats)
         await hand_in(node, "a", 45)
-        needed = await service.beat(
+        needed = await service.until_heartbeat(
             lambda b: sum(b["needs"].get("7", {}).values()) > 7, since
         )
         assert set(needed["needs"]["7"]) == {"status/acme"} and needed["list"] == [3, 1]
         service.lost = service.held = True
-        await service.share(
+        await service.assign_share(
             9, 7
-        )  # the lease is good for a minute and more, but it was revoked
-        lost = (await state(node, lost=1, token=None))["fleet"]["budgets"]["7"]
+        )  # the lease is valid for over a minute, but it was revoked
+        lost = (await wait_for_fleet_state(node, lost=1, token=None))["fleet"][
+            "budgets"
+        ]["7"]
         assert (lost["by"], lost["share"], lost["valid_for_ms"]) == ("reserve", 1, 0)
         await node.end()
-        assert worst(left_ns(node.log)) <= 7
+        assert max_calls_in_window(sent_times_ns(node.log)) <= 7
 
     play(scene, tmp_path)
 
 
-async def check(node: Node, told: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+async def check(node: Node, config: dict[str, Any]) -> tuple[int, dict[str, Any]]:
     status, text = await node.operate(
-        "POST", "/_config/check", json.dumps(told).encode()
+        "POST", "/_config/check", json.dumps(config).encode()
     )
     return status, json.loads(text)
 
@@ -543,17 +573,17 @@
 ]
 
 
-def test_a_fleet_that_cannot_hold_is_told_whole_and_changes_nothing(
+def test_invalid_fleet_config_reports_every_fault_and_changes_nothing(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, service: Service, folder: Path) -> None:
-        await service.share(20, 5)
+        await service.assign_share(20, 5)
         node = member(folder, platform, service)
         good = configure(node)
         configure(node, fleet=BAD)
         await node.spawn()
         assert await node.end(signal.SIGCONT) == 2 and len(node.log) == 1, (
-            "one plain line"
+            "a single log line"
         )
         assert [node.log[0].index(f"{path}: ") for path in FAULTS] == sorted(
             node.log[0].index(f"{path}: ") for path in FAULTS
@@ -562,8 +592,8 @@
         node.log = []
         await ready(node)
         await node.shows(lambda v: v["fleet"]["budgets"]["7"]["by"] == "lease")
-        status, told = await check(node, {**good, "fleet": BAD})
-        assert status == 422 and {f["path"] for f in told["faults"]} >= set(FAULTS)
+        status, report = await check(node, {**good, "fleet": BAD})
+        assert status == 422 and {f["path"] for f in report["faults"]} >= set(FAULTS)
         before = (await node.figures())["fleet"]["budgets"]["7"]
         configure(node, fleet=BAD)
         node.process.send_signal(signal.SIGHUP)
@@ -573,30 +603,40 @@
         after = (await node.figures())["fleet"]["budgets"]["7"]
         assert {**after, "valid_for_ms": 0} == {**before, "valid_for_ms": 0}
         for change in ({"fleet": None}, {"fleet": {**good["fleet"], "site": "b"}}):
-            status, told = await check(node, {**good, **change})
-            assert (status, told["restart"]) == (
+            status, report = await check(node, {**good, **change})
+            assert (status, report["restart"]) == (
                 200,
                 ["fleet.site" if change["fleet"] else "fleet"],
             )
-        other = Service()  # the service moves, the reserve falls, the site has to wait
-        await other.start()
-        other.token, other.shares = service.token, service.shares
-        fleet = {**good["fleet"], "service": f"127.0.0.1:{other.port}", "site": "b"}
+        new_service = (
+            Service()
+        )  # new service address and lower reserve; the site needs a restart
+        await new_service.start()
+        new_service.token, new_service.shares = service.token, service.shares
+        fleet = {
+            **good["fleet"],
+            "service": f"127.0.0.1:{new_service.port}",
+            "site": "b",
+        }
         configure(
             node, fleet={**fleet, "budgets": [{**fleet["budgets"][0], "reserve": 0}]}
         )
         node.process.send_signal(signal.SIGHUP)
-        assert (await other.beat(lambda b: True))["site"] == "a"
+        assert (await new_service.until_heartbeat(lambda b: True))["site"] == "a"
         await node.until_logged("takes effect at the next start: fleet.site")
-        told = await node.shows(lambda v: v["fleet"]["budgets"]["7"]["reserve"] == 0)
-        assert told["fleet"]["service"]["address"] == f"127.0.0.1:{other.port}"
-        await service.share(20, 5)  # a watch that was still held there would ask again
-        asked, since = len(service.requests), len(other.beats)
-        await other.until(lambda: len(other.beats) > since + 2)
-        assert len(service.requests) == asked, "the old address is not asked any more"
-        told = (await node.figures())["fleet"]["budgets"]["7"]
-        assert (told["share"], told["reserve"]) == (20, 0), (
-            "the lower of the service's and its own"
+        report = await node.shows(lambda v: v["fleet"]["budgets"]["7"]["reserve"] == 0)
+        assert report["fleet"]["service"]["address"] == f"127.0.0.1:{new_service.port}"
+        await service.assign_share(
+            20, 5
+        )  # a watch still open there would send another request
+        request_count, since = len(service.requests), len(new_service.heartbeats)
+        await new_service.until(lambda: len(new_service.heartbeats) > since + 2)
+        assert len(service.requests) == request_count, (
+            "the old address receives no more requests"
+        )
+        report = (await node.figures())["fleet"]["budgets"]["7"]
+        assert (report["share"], report["reserve"]) == (20, 0), (
+            "the lower of the service's reserve and its own"
         )
 
     play(scene, tmp_path)
@@ -631,7 +671,7 @@
 """
 
 
-def test_off_nothing_of_it_is_imported(tmp_path: Path) -> None:
+def test_fleet_modules_are_not_imported_without_fleet_config(tmp_path: Path) -> None:
     async def scene(platform: Platform, service: Service, folder: Path) -> None:
         node = Node(folder, platform)
         env = {
@@ -650,47 +690,47 @@
 
 
 @pytest.mark.parametrize("idle", [False, True])
-def test_the_last_gate_stands_right_before_the_first_byte(idle: bool) -> None:
-    """Also on a new connection, and for one that is held for a moment. None counts as
-    sent that was not.
+def test_permit_is_acquired_right_before_the_first_byte(idle: bool) -> None:
+    """Also on a new connection, and for a call that has to wait briefly for its permit.
+    A call that was not sent is not counted as sent.
     """
 
     async def scene() -> None:
-        ends: list[AttemptFinished] = []
+        finished: list[AttemptFinished] = []
         peer = await Peer(always(OK)).start()
-        p = pool(ends)
-        p.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        told: list[str] = []
-        p.on_call_sent = lambda c: told.extend(c.open_items)
+        call_pool = pool(finished)
+        call_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
+        sent: list[str] = []
+        call_pool.on_call_sent = lambda c: sent.extend(c.open_items)
         if idle:
-            p.start(call(Clock(), "first"))
-            await until(lambda: len(ends) == 1)
-        asked: list[int] = []
-        answers = [-1, 8_000, 8_000, 0, connection_pool.PERMIT_WAIT_US + 1]
-
-        def leaves(c: OutboundCall) -> int:
-            asked.append(len(peer.requests))
-            return answers[len(asked) - 1]
-
-        p.acquire_permit = leaves
-        for name, asks in (("barred", 1), ("held", 4), ("late", 5)):
-            p.start(call(Clock(), name))
-            await until(lambda n=name: any(e.message_id == n for e in ends))
-            assert len(asked) == asks
-        assert [(e.message_id, e.outcome) for e in ends[-3:]] == [
+            call_pool.start(call(Clock(), "first"))
+            await until(lambda: len(finished) == 1)
+        permit_requests: list[int] = []
+        permits = [-1, 8_000, 8_000, 0, connection_pool.PERMIT_WAIT_US + 1]
+
+        def acquire_permit(c: OutboundCall) -> int:
+            permit_requests.append(len(peer.requests))
+            return permits[len(permit_requests) - 1]
+
+        call_pool.acquire_permit = acquire_permit
+        for name, expected_requests in (("barred", 1), ("held", 4), ("late", 5)):
+            call_pool.start(call(Clock(), name))
+            await until(lambda n=name: any(e.message_id == n for e in finished))
+            assert len(permit_requests) == expected_requests
+        assert [(e.message_id, e.outcome) for e in finished[-3:]] == [
             ("barred", Outcome.NOT_SENT),
             ("held", Outcome.DELIVERED),
             ("late", Outcome.NOT_SENT),
         ]
-        assert told == ["first"] * idle + ["held"] and len(peer.requests) == 1 + idle
-        assert len(p.connections) == 1, "the connection is kept"
-        p.close()
+        assert sent == ["first"] * idle + ["held"] and len(peer.requests) == 1 + idle
+        assert len(call_pool.connections) == 1, "the connection is reused"
+        call_pool.close()
 
     asyncio.run(scene())
 
 
-def test_a_share_paces_gives_up_and_tells_when_to_come_back() -> None:
-    d = Dispatcher(
+def test_share_limits_sending_and_sets_retry_after() -> None:
+    dispatcher = Dispatcher(
         script(
             max_in_flight=50,
             send_retry_after=True,
@@ -702,8 +742,8 @@
     )
     slow = EndpointEntry(
         1, 10, "north", "plain", weight=0.001
-    )  # a pace of one call in a quarter of an hour
-    d.handle(
+    )  # a pace of one call in 15 minutes
+    dispatcher.handle(
         0,
         [
             EndpointListChanged(EndpointListKind.SNAPSHOT, (slow,)),
@@ -711,11 +751,11 @@
         ],
     )
 
-    armed: list[int] = []
+    timers_us: list[int] = []
 
     def sent(now: int, *events: Event) -> list[str]:
-        actions = d.handle(now, events)
-        armed.extend(now + a.delay_us for a in actions if isinstance(a, SetTimer))
+        actions = dispatcher.handle(now, events)
+        timers_us.extend(now + a.delay_us for a in actions if isinstance(a, SetTimer))
         return [a.message_id for a in actions if isinstance(a, SendMessage)]
 
     def delivered(now: int, name: str) -> list[str]:
@@ -726,7 +766,7 @@
     ) == ["m0"]
     assert delivered(10_000, "m0") == ["m1", "m2"]
     assert delivered(20_000, "m1") == delivered(20_000, "m2") == []
-    refused = d.handle(
+    reject_actions = dispatcher.handle(
         30_000,
         [
             MessageReceived("short", 10, "safe", S),
@@ -735,24 +775,30 @@
     )
     assert [
         (a.message_id, a.retry_after_us)
-        for a in refused
+        for a in reject_actions
         if isinstance(a, RejectMessage)
     ] == [("short", 1_970_000)]
     now = 30_000
-    while not (went := sent(now := min(at for at in armed if at > now))):
-        assert now <= 2 * S, "it wakes by itself when there is room"
-    assert went == ["m3"] and 2 * S <= now <= 2 * S + 1
+    while not (
+        sent_ids_on_timer := sent(now := min(at for at in timers_us if at > now))
+    ):
+        assert now <= 2 * S, "a timer wakes it when the window allows a call"
+    assert sent_ids_on_timer == ["m3"] and 2 * S <= now <= 2 * S + 1
     assert sent(now, QuotaChanged(10, 0, 2 * S, 3 * S, 0)) == []
-    hopes = d.handle(now, [MessageReceived("hopes", 10, "safe", 3 * S)])
-    assert not [a for a in hopes if isinstance(a, RejectMessage)], (
-        "another share may be told"
+    later_actions = dispatcher.handle(
+        now, [MessageReceived("hopes", 10, "safe", 3 * S)]
+    )
+    assert not [a for a in later_actions if isinstance(a, RejectMessage)], (
+        "another share may be assigned in time"
     )
     assert delivered(now + 20_000, "m3") == []
-    assert sent(now + 30_000, QuotaChanged(10, 0, 0, 0, 0)) != [], "no share any more"
+    assert sent(now + 30_000, QuotaChanged(10, 0, 0, 0, 0)) != [], (
+        "no share limits the destination any more"
+    )
 
 
 class Slow:
-    """The same by counting every call that was ever made."""
+    """Reference implementation of a quota that counts every call ever made."""
 
     def __init__(self) -> None:
         self.made: list[int] = []
--- a/tests/forwarder/test_silent_watches.py
+++ b/tests/forwarder/test_silent_watches.py
@@ -1,4 +1,4 @@
-"""Watches that fall silent late, while they are held, and lists that come whole and
+"""Watches that go silent late, while they are held, and lists that come whole and
 indented.
 """
 
@@ -29,8 +29,8 @@
 
 
 class SilentLater(Agent):
-    """All watches that are open when `fall_silent` is called stay without an answer.
-    What it tells is indented, and the whole list each time where `whole`.
+    """Gives no response to the requests that are open when `fall_silent` is called. Its
+    responses are indented, and always the whole list if `whole`.
     """
 
     def __init__(self, whole: bool) -> None:
@@ -50,20 +50,20 @@
         if number in self.dead:
             return SILENT
         assert isinstance(answer, Answer)
-        told = json.loads(answer.body)
-        if self.whole and not told["whole"]:
-            told = {
-                **told,
+        listed = json.loads(answer.body)
+        if self.whole and not listed["whole"]:
+            listed = {
+                **listed,
                 "whole": True,
                 "hosts": json.loads(listing(self.seq, self.health).body)["hosts"],
             }
-        return Answer(200, body=json.dumps(told, indent=4).encode())
+        return Answer(200, body=json.dumps(listed, indent=4).encode())
 
 
 @pytest.mark.parametrize("into_hold", [0.0, 0.7, 1.4])
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_watch_that_falls_silent_after_13_s_costs_no_more_than_one_that_does_at_once(
+def test_list_latency_stays_bounded_when_a_watch_goes_silent_after_13_s(
     pushed: bool, whole: bool, into_hold: float
 ) -> None:
     async def scene() -> None:
@@ -76,10 +76,10 @@
         assert rig.serves() and agent.open
         agent.fall_silent()
         agent.health, agent.seq = "draining", 2
-        fell = rig.loop.time()
+        silent_since = rig.loop.time()
         await rig.until(lambda: not rig.serves())
         assert (
-            rig.loop.time() - fell
+            rig.loop.time() - silent_since
             <= list_latency_bound_s(pushed)
             <= LIST_LATENCY_LIMIT_S - ROOM_S
         )
