--- a/tests/forwarder/test_program.py
+++ b/tests/forwarder/test_program.py
@@ -1,5 +1,5 @@
-"""The real program over loopback sockets: every promise to clients, targets and the
-platform.
+"""Runs the real program over loopback sockets and checks its guarantees to clients,
+endpoints and the platform.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
     return peer
 
 
-def test_delivers_unchanged_and_owes_nothing(tmp_path: Path) -> None:
+def test_message_is_delivered_unchanged_without_a_notice(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -92,7 +92,7 @@
     play(scene, tmp_path)
 
 
-def test_refused_in_its_round_is_429_with_a_time_and_never_taken(
+def test_rejected_message_is_answered_429_with_retry_after_and_not_sent(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
@@ -107,9 +107,9 @@
     play(scene, tmp_path)
 
 
-def test_what_is_given_up_ends_at_once_by_one_notice(tmp_path: Path) -> None:
-    """The message has 50 s left: a notice within the test's patience was not held back
-    to its deadline.
+def test_failed_message_gets_one_notice_at_once(tmp_path: Path) -> None:
+    """The message has 50 s left, so a notice within the test's timeout was not delayed
+    until its deadline.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -118,51 +118,51 @@
         assert (await node.hand_in("once", "pay"))[0] == 202
         assert (await platform.notice("once"))["state"] == "failed"
         assert (await node.hand_in("spent", "status"))[0] == 202
-        told = await platform.notice("spent")
-        assert told["state"] == "returned" and told["after_ms"] > 0
+        notice = await platform.notice("spent")
+        assert notice["state"] == "returned" and notice["after_ms"] > 0
         assert [n["id"] for n in platform.notices] == ["once", "spent"]
 
     play(scene, tmp_path)
 
 
-def test_drained_target_gets_nothing_more_also_after_a_restart_with_an_old_list(
+def test_drained_endpoint_gets_no_messages_also_after_a_restart_with_an_old_list(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        one = await target(platform, always(OK))
-        two = await target(platform, always(OK), "s2")
+        drained = await target(platform, always(OK))
+        other = await target(platform, always(OK), "s2")
         node = await node_on(folder, platform, known=platform.listing())
         await platform.got(1)
         await platform.change("s1", "draining")
         await platform.until(
             lambda: any("from=2" in r.path for r in platform.requests)
-        )  # it was told
-        before = len(one.requests)
+        )  # the drain was received
+        before = len(drained.requests)
         for n in range(8):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
-        await two.got(8)
+        await other.got(8)
         platform.garbage = (
             10**6
-        )  # discovery is of no help: what the journal tells must do
+        )  # discovery sends garbage: the journal has to supply the list
         await node.restart()
         for n in range(8, 16):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
-        await two.got(16)
-        assert len(one.requests) == before
+        await other.got(16)
+        assert len(drained.requests) == before
 
     play(scene, tmp_path)
 
 
-def test_list_is_followed_also_where_the_settings_say_that_it_is_pushed(
+def test_endpoint_list_is_watched_also_with_pushed_discovery(
     tmp_path: Path,
 ) -> None:
-    """It used to be asked for only where they say 'on_request': drains were never heard
-    of.
+    """The list used to be requested only with 'on_request', so drains were missed with
+    'pushed'.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        one = await target(platform, always(OK))
-        two = await target(platform, always(OK), "s2")
+        drained = await target(platform, always(OK))
+        other = await target(platform, always(OK), "s2")
         node = Node(folder, platform)
         folder_nodes[-1].append(node)
         configure(node, settings={**SETTINGS, "discovery": "pushed"})
@@ -173,19 +173,19 @@
         await platform.change("s1", "draining")
         await platform.until(
             lambda: any("from=2&" in r.path for r in platform.requests)
-        )  # it was told
-        before = len(one.requests)
+        )  # the drain was received
+        before = len(drained.requests)
         for n in range(4):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
-        await two.got(4)
-        assert len(one.requests) == before
+        await other.got(4)
+        assert len(drained.requests) == before
 
     play(scene, tmp_path)
 
 
-def test_watch_waits_also_on_version_0(tmp_path: Path) -> None:
-    """Version 0 used to stand for none: the whole list was asked for again and again,
-    at full speed.
+def test_watch_holds_its_request_also_at_version_0(tmp_path: Path) -> None:
+    """Version 0 used to be treated as no version, so the whole list was requested in a
+    busy loop.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -211,12 +211,14 @@
             f"from=0&hold_ms={WATCH_HOLD_MS}",
             f"from=1&hold_ms={WATCH_HOLD_MS}",
         ]
-        assert len(paths) < 10  # one more for each hold that ends
+        assert len(paths) < 10  # one more for each hold timeout
 
     play(scene, tmp_path)
 
 
-def test_refused_connection_never_ran_and_a_broken_one_may_have(tmp_path: Path) -> None:
+def test_refused_connection_has_not_executed_and_a_broken_one_may_have(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         port = free_port()
         platform.host("s1", port)
@@ -242,7 +244,9 @@
         b"HTTP/1.1 500 No\r\nContent-Length: 3000000000\r\n\r\nxxxx",
     ],
 )
-def test_garbage_from_a_target_is_an_outcome(tmp_path: Path, garbage: bytes) -> None:
+def test_garbage_response_is_a_failed_attempt_and_the_message_is_retried(
+    tmp_path: Path, garbage: bytes
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(garbage, OK))
         node = await node_on(folder, platform)
@@ -263,18 +267,18 @@
         b"HTTP/1.1 504 No\r\nContent-Length: 9\r\n\r\nabc",
     ],
 )
-def test_spoilt_answer_may_have_run_whatever_its_first_line_says(
+def test_invalid_response_may_have_executed_whatever_its_status_line_says(
     tmp_path: Path, garbage: bytes
 ) -> None:
-    """A once-only message must fail then: its status used to be believed, and it was
-    sent again.
+    """A message that must not be repeated has to fail then: the status line used to be
+    trusted, and the message was sent again.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        async def spoil(request: Any) -> bytes:
+        async def send_garbage(request: Any) -> bytes:
             return garbage
 
-        peer = await target(platform, spoil)
+        peer = await target(platform, send_garbage)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "pay"))[0] == 202
         assert (await platform.notice("m"))["state"] == "failed"
@@ -296,17 +300,17 @@
     ],
 )
 @pytest.mark.parametrize("stays_open", [False, True])
-def test_first_line_with_200_is_a_delivery_though_the_rest_is_spoilt(
+def test_status_line_200_is_a_delivery_though_the_rest_is_invalid(
     tmp_path: Path, rest: bytes, stays_open: bool
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        async def cut(request: Any) -> None:
+        async def send_partly(request: Any) -> None:
             request.writer.write(b"HTTP/1.1 200 OK\r\n" + rest)
             if stays_open:
                 await request.writer.drain()
                 await request.peer.until(lambda: len(request.peer.requests) > 1)
 
-        peer = await target(platform, cut)
+        peer = await target(platform, send_partly)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "status"))[0] == 202
         await peer.got(1)
@@ -316,16 +320,16 @@
         assert (await node.hand_in("n", "status"))[0] == 202
         await peer.got(2)
         assert peer.requests[0].writer is not peer.requests[1].writer
-        assert (
-            await node.end(signal.SIGTERM) == 0
-        )  # at once, as nothing is held any more
+        assert await node.end(signal.SIGTERM) == 0  # at once, as no message is held
         assert any("stopped: 0 messages" in line for line in node.log)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["m", "n"]
 
     play(scene, tmp_path)
 
 
-def test_expired_spent_and_over_slots_each_as_told(tmp_path: Path) -> None:
+def test_statuses_410_503_over_slots_and_504_have_their_outcomes(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(
             platform, always(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK)
@@ -348,7 +352,9 @@
     play(scene, tmp_path)
 
 
-def test_a_told_wait_binds_all_messages_of_the_destination(tmp_path: Path) -> None:
+def test_rate_limit_wait_applies_to_all_messages_of_the_destination(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         times: list[float] = []
 
@@ -369,15 +375,15 @@
     play(scene, tmp_path)
 
 
-def test_messages_of_one_round_travel_together_and_each_has_its_own_end(
+def test_messages_of_one_round_are_batched_and_each_has_its_own_outcome(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        free = asyncio.Event()
+        gate = asyncio.Event()
 
         async def handler(request: Any) -> Answer:
             if request.path == "/hook":
-                await free.wait()
+                await gate.wait()
                 return OK
             items = json.loads(request.body)
             states = {"b": "accepted", "c": "fault", "d": "expired", "e": "no_more"}
@@ -396,7 +402,7 @@
             assert (await node.hand_in(name, "pay", body=b"\0\xff" + name.encode()))[
                 0
             ] == 202
-        free.set()
+        gate.set()
         call = (await peer.got(2))[1]
         assert call.path == "/hook/batch"
         items = {x["id"]: x for x in json.loads(call.body)}
@@ -487,7 +493,9 @@
 ]
 
 
-def test_bad_requests_have_plain_answers_and_harm_nobody(tmp_path: Path) -> None:
+def test_bad_requests_get_error_statuses_and_do_not_affect_good_ones(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -512,7 +520,7 @@
     play(scene, tmp_path)
 
 
-def test_full_buffer_turns_away_at_the_door(tmp_path: Path) -> None:
+def test_full_buffer_rejects_messages_with_503(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, hang)
         node = await node_on(folder, platform, max_open=1)
@@ -523,22 +531,22 @@
     play(scene, tmp_path)
 
 
-def test_folder_stays_within_its_limit(tmp_path: Path) -> None:
-    """Large bodies fill the journal before the buffer: new work is refused, the folder
-    never overflows.
+def test_state_folder_stays_below_its_size_limit(tmp_path: Path) -> None:
+    """Large bodies fill the journal before the message buffer: new messages are
+    rejected and the folder stays below its size limit.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform, disk_mb=1)
-        seen = set()
+        statuses = set()
         for n in range(40):
             status, _ = await node.hand_in(f"m{n}", "status", body=b"x" * 60_000)
-            seen.add(status)
+            statuses.add(status)
             assert (
                 sum(f.stat().st_size for f in (folder / "state").iterdir()) < 1_000_000
             )
-        assert seen == {202, 503}
+        assert statuses == {202, 503}
         peer.handler = always(OK)
         await node.restart()
         await peer.got(3)
@@ -562,7 +570,9 @@
     play(scene, tmp_path)
 
 
-def test_sigterm_goes_on_answering_and_leaves_the_journal_whole(tmp_path: Path) -> None:
+def test_messages_after_sigterm_are_accepted_and_kept_in_the_journal(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
@@ -576,7 +586,7 @@
             await asyncio.sleep(0.01)
         assert (await node.hand_in("c", "status"))[
             0
-        ] == 202  # a new connection is still served
+        ] == 202  # new connections are still served
         assert await node.end(signal.SIGTERM) == 0
         peer.handler = always(OK)
         await node.start()
@@ -600,14 +610,16 @@
         json.dumps({"settings": SETTINGS, "listen": "here", "name": "n"}),
     ],
 )
-def test_bad_configuration_is_one_line(tmp_path: Path, config: str | None) -> None:
+def test_bad_configuration_prints_one_line_and_exits_with_2(
+    tmp_path: Path, config: str | None
+) -> None:
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {
         "LB_STATE": str(tmp_path)
     }
     if config is not None:
         (tmp_path / "config.json").write_text(config)
         env["LB_CONFIG"] = str(tmp_path / "config.json")
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "rainfall"],
         cwd=ROOT,
         env=env,
@@ -615,19 +627,19 @@
         text=True,
         timeout=60,
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
-    assert done.stderr.startswith("rainfall: ")
+    assert process.returncode == 2 and len(process.stderr.splitlines()) == 1
+    assert process.stderr.startswith("rainfall: ")
 
 
 def configure(node: Node, **changes: Any) -> None:
-    """Replace the configuration, as the platform does before SIGHUP."""
+    """Replace the configuration file, as the platform does before SIGHUP."""
     path = node.folder / "config.json"
-    new = node.folder / "config.new"
-    new.write_text(json.dumps({**json.loads(path.read_text()), **changes}))
-    new.replace(path)
+    new_path = node.folder / "config.new"
+    new_path.write_text(json.dumps({**json.loads(path.read_text()), **changes}))
+    new_path.replace(path)
 
 
-def test_new_configuration_moves_watch_and_owed_ends_and_loses_nothing(
+def test_new_configuration_moves_watch_and_pending_notifications(
     tmp_path: Path,
 ) -> None:
     """SIGHUP used to end the process. The new address counts its versions anew, and
@@ -647,22 +659,24 @@
         )
         moved, last = Platform(), Platform()
         moved.accepts = False
-        for new in (moved, last):
-            await new.start()
-            new.hosts = {
+        for new_platform in (moved, last):
+            await new_platform.start()
+            new_platform.hosts = {
                 k: dict(v, health="draining") for k, v in platform.hosts.items()
             }
         second = await target(last, hang, "s2", block=7)
-        for new in (moved, last):  # several in a row
-            configure(node, discovery=f"127.0.0.1:{new.port}")
+        for new_platform in (moved, last):  # several address changes in a row
+            configure(node, discovery=f"127.0.0.1:{new_platform.port}")
             node.process.send_signal(signal.SIGHUP)
-            await new.got(1)
+            await new_platform.got(1)
         assert (await last.notice("owed"))["state"] == "failed"
         await last.until(lambda: any("from=1&" in r.path for r in last.requests))
-        await platform.change("s1", "up")  # the held watch would be answered now
+        await platform.change(
+            "s1", "up"
+        )  # a watch still open there would get a response now
         await platform.until(
             lambda: platform.closed >= 2
-        )  # but it and a kept connection were let go
+        )  # but its connection and the idle one were closed
         assert (await node.hand_in("held", "status"))[0] == 202
         await second.got(1)
         assert len(peer.requests) == 1
@@ -691,10 +705,10 @@
             json.dumps({"settings": SETTINGS, "discovery": "nowhere"}),
         ):
             (folder / "config.json").write_text(text)
-            seen = len(node.log)
+            log_length = len(node.log)
             node.process.send_signal(signal.SIGHUP)
             while not any(
-                "old configuration is kept" in line for line in node.log[seen:]
+                "old configuration is kept" in line for line in node.log[log_length:]
             ):
                 await asyncio.sleep(0.01)
         assert (await node.hand_in("m"))[0] == 202
@@ -703,12 +717,10 @@
     play(scene, tmp_path)
 
 
-def test_first_call_at_a_new_address_that_fails_is_repeated_at_once(
+def test_failed_first_list_request_at_a_new_address_is_repeated_at_once(
     tmp_path: Path,
 ) -> None:
-    """The module pauses ever longer after failures; after a move there is no time for
-    that.
-    """
+    """The backoff after failures must not apply to the first requests at a new address."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
@@ -724,7 +736,7 @@
     play(scene, tmp_path)
 
 
-def test_copy_of_a_message_that_had_its_end_is_not_taken_on_again(
+def test_copy_of_a_delivered_message_is_not_sent_again(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
@@ -745,20 +757,20 @@
     play(scene, tmp_path)
 
 
-def test_nothing_of_before_is_sent_on_until_the_list_of_now_is_known(
+def test_journaled_messages_are_not_sent_before_the_current_list_is_known(
     tmp_path: Path,
 ) -> None:
-    """A start used to play its first round on the list of before: what had been drained
-    while no process was here got the messages that the journal held.
+    """The first round after a start used to run on the stored list, so endpoints
+    drained while no process ran received messages from the journal.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         answers: list[Answer | None] = [Answer(503)]
 
-        async def until_told(request: Any) -> Answer | None:
+        async def respond(request: Any) -> Answer | None:
             return answers[-1]
 
-        old = await target(platform, until_told)
+        old = await target(platform, respond)
         node = await node_on(folder, platform, known=platform.listing())
         assert (await node.hand_in("m", "status"))[0] == 202
         await old.got(1)
--- a/tests/forwarder/test_program_restart.py
+++ b/tests/forwarder/test_program_restart.py
@@ -1,5 +1,5 @@
-"""The program through restarts: what was out, spent, owed or held before, and what
-comes of it.
+"""Restarts of the real program: what happens to calls in flight, spent attempts,
+pending notifications and held messages.
 """
 
 from __future__ import annotations
@@ -16,9 +16,11 @@
 
 
 @pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
-def test_call_cut_by_a_restart_may_have_run(tmp_path: Path, sign: int) -> None:
-    """A keyed message goes again under its key, one that may not be repeated never
-    does.
+def test_call_interrupted_by_a_restart_may_have_executed(
+    tmp_path: Path, sign: int
+) -> None:
+    """A message with an idempotency key is sent again under its key; one that must not
+    be repeated fails.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -36,10 +38,11 @@
         peer.handler = other.handler = always(OK)
         await node.restart(sign)
         assert (await platform.notice("first"))["state"] == "failed"
-        again = (await other.got(2))[1]
-        assert again.headers["x-correlation-id"] == "keyed"
+        second_call = (await other.got(2))[1]
+        assert second_call.headers["x-correlation-id"] == "keyed"
         assert (
-            again.headers["idempotency-key"] == "key-keyed" and again.body == b"hello"
+            second_call.headers["idempotency-key"] == "key-keyed"
+            and second_call.body == b"hello"
         )
         assert len(peer.requests) == 1
 
@@ -47,11 +50,11 @@
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_one_session_key_goes_one_by_one_also_across_a_restart(
+def test_messages_of_a_session_key_are_sent_in_order_also_across_a_restart(
     tmp_path: Path, restart: bool
 ) -> None:
-    """The key was not read from the request: a later message overtook an earlier one of
-    its key.
+    """The session key used to be ignored, so a later message could overtake an earlier
+    one of its key.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -87,24 +90,24 @@
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_a_key_goes_on_only_when_the_notice_of_the_one_before_is_answered(
+def test_session_key_waits_for_the_answered_notice_of_its_failed_message(
     tmp_path: Path, restart: bool
 ) -> None:
-    """The next of the key used to leave together with the notice, and could overtake
-    it.
+    """The next message of the key used to be sent together with the notice, and could
+    overtake it.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         platform.accepts = False
         early: list[str] = []
 
-        async def note(request: Any) -> Answer:
+        async def record_early(request: Any) -> Answer:
             if not platform.accepts:
                 early.append(request.headers["x-correlation-id"])
             return OK
 
         first = await target(platform, always(Answer(504)))
-        other = await target(platform, note, "s2", block=8)
+        other = await target(platform, record_early, "s2", block=8)
         node = await node_on(folder, platform, max_attempts=2)
         assert (await node.hand_in("a", "turns", X_Session_Key="k"))[0] == 202
         assert (await node.hand_in("b", "turns", dest=8, X_Session_Key="k"))[0] == 202
@@ -124,7 +127,7 @@
     play(scene, tmp_path)
 
 
-def test_attempts_spent_before_a_restart_stay_spent(tmp_path: Path) -> None:
+def test_attempts_before_a_restart_count_against_max_attempts(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform, max_attempts=2)
@@ -139,7 +142,7 @@
     play(scene, tmp_path)
 
 
-def test_owed_end_outlasts_the_process_until_the_platform_has_it(
+def test_pending_notification_survives_restarts_until_the_platform_accepts_it(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
@@ -164,7 +167,9 @@
     play(scene, tmp_path)
 
 
-def test_message_whose_time_passed_while_down_gets_its_notice(tmp_path: Path) -> None:
+def test_message_that_expires_while_the_process_is_down_gets_its_notice(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
@@ -179,7 +184,7 @@
     play(scene, tmp_path)
 
 
-def test_torn_tail_is_cut(tmp_path: Path) -> None:
+def test_torn_tail_of_the_journal_is_truncated(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
@@ -193,7 +198,7 @@
         assert (await peer.got(2))[1].headers["x-correlation-id"] == "m"
         assert any("torn tail" in line for line in node.log)
         peer.handler = (
-            hang  # and what is written after the cut can be read at the start after it
+            hang  # records written after the truncation are read at the next start
         )
         assert (await node.hand_in("n", "status"))[0] == 202
         await peer.got(3)
--- a/tests/forwarder/test_shutdown_end.py
+++ b/tests/forwarder/test_shutdown_end.py
@@ -1,5 +1,5 @@
-"""What ends in the last moments of a process, and what the process after it makes of
-that.
+"""Events in the last moments of a process, and what the next process restores from its
+journal.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 
 
 async def rounds_by_hand(run: Running) -> None:
-    """From here on the rounds are the test's to make."""
+    """Disable scheduled rounds; from here on the test runs them."""
     run.engine.events.schedule_round = lambda: None  # type: ignore[method-assign]
     await run.until(lambda: not run.engine.round_scheduled)
 
 
-def test_call_that_comes_back_unsent_in_the_freeze_is_booked_as_unsent(
+def test_call_unsent_in_the_freeze_is_recorded_as_not_sent(
     tmp_path: Path,
 ) -> None:
-    """The freeze decides for the last time. A call of that round that cannot leave
-    comes back at once, to an engine that makes no round any more: left open in the
-    journal, its message may have run, and one that must not run twice was given up with
-    no call.
+    """The freeze runs the last round. A call of that round that cannot be sent finishes
+    at once, when the engine runs no more rounds. Left in flight in the journal, it
+    counted as possibly executed, and a message that must not be repeated was failed
+    without any call.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -49,7 +49,7 @@
         await run.until(lambda: bool(engine.intake.pending_submissions))
         engine.pool.set_endpoints(
             {}
-        )  # its target has just left the list, which the module has not read yet
+        )  # the endpoint has just been removed; the dispatcher has no update yet
         run.told_to_stop(shutdown.FREEZE_AFTER_S)
         engine.shutdown.advance_shutdown()
         assert (await client.answer())[0] == 202
@@ -59,22 +59,22 @@
         )
         client.socket.close()
         await run.end()
-        kept = on_disk(folder).messages["m"]
-        assert not peer.requests and (kept.attempts, kept.in_flight) == (1, {})
-        again = await Running(folder, platform).ready()
+        stored = on_disk(folder).messages["m"]
+        assert not peer.requests and (stored.attempts, stored.in_flight) == (1, {})
+        next_run = await Running(folder, platform).ready()
         await peer.got(1)
         assert (
             peer.requests[0].headers["x-correlation-id"] == "m" and not platform.notices
         )
-        await again.end()
+        await next_run.end()
 
     engine_play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("cls", ["status", "pay"])
-def test_answer_that_lies_unread_at_the_end_is_booked(tmp_path: Path, cls: str) -> None:
-    """Cut with its connection, a delivery was sent again by the next process, or ended
-    there as failed.
+def test_unread_response_at_the_end_is_recorded(tmp_path: Path, cls: str) -> None:
+    """When the response was dropped with its connection, the next process sent a
+    delivered message again, or reported it as failed.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -85,29 +85,29 @@
         assert (await client.answer())[0] == 202
         await peer.got(1)
         client.socket.close()
-        answer_at_once(peer)
-        await run.end()  # in the turn in which the answer came
+        write_response_to_socket(peer)
+        await run.end()  # in the loop iteration in which the response arrived
         assert (
             not run.engine.store.messages and not run.engine.store.pending_notifications
         )
-        again = await Running(folder, platform).ready()
+        next_run = await Running(folder, platform).ready()
         assert (
-            not again.engine.store.messages
+            not next_run.engine.store.messages
             and not platform.notices
             and len(peer.requests) == 1
         )
-        await again.end()
+        await next_run.end()
 
     engine_play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("cls", ["status", "pay"])
 @pytest.mark.parametrize("half", [True, False])
-def test_shared_call_that_is_out_at_the_end_costs_none_of_its_messages(
+def test_batch_in_flight_at_the_end_loses_none_of_its_messages(
     tmp_path: Path, cls: str, half: bool
 ) -> None:
-    """With nothing or half of its answer there. The next process sends them again, or
-    ends each.
+    """None or half of the batch's response has arrived. The next process sends the
+    messages again, or reports each as failed.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -126,12 +126,12 @@
         await peer.got(1)
         assert peer.requests[0].path == "/hook/batch"
         if half:
-            whole = json.dumps(
+            body = json.dumps(
                 [{"id": f"m{n}", "state": "accepted"} for n in range(3)]
             ).encode()
             peer.requests[0].writer.write(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Backend-Load: x0=0.4"
-                b",x1=25\r\n\r\n%b" % (len(whole), whole[:-1])
+                b",x1=25\r\n\r\n%b" % (len(body), body[:-1])
             )
             await run.until(
                 lambda: any(c.response_started for c in run.engine.pool.calls.values())
@@ -140,7 +140,7 @@
         run.engine.shutdown.advance_shutdown()
         await run.end()
         peer.handler = always(Answer(500))
-        again = await Running(folder, platform).ready()
+        next_run = await Running(folder, platform).ready()
         names = {f"m{n}" for n in range(3)}
         if cls == "pay":
             for name in names:
@@ -159,14 +159,14 @@
                     | {r.headers.get("x-correlation-id", "") for r in peer.requests[1:]}
                 )
             )
-        await again.end()
+        await next_run.end()
 
     engine_play(scene, tmp_path)
 
 
-def answer_at_once(peer: Peer) -> None:
-    """Past the peer's own buffers: the bytes lie at the forwarder's socket when this
-    returns.
+def write_response_to_socket(peer: Peer) -> None:
+    """Write the response past the peer's own buffers: the bytes are in the forwarder's
+    socket buffer when the function returns.
     """
     sock = peer.requests[0].writer.get_extra_info("socket")
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
