--- a/tests/forwarder/test_bad_clients.py
+++ b/tests/forwarder/test_bad_clients.py
@@ -1,5 +1,5 @@
-"""Bad input at the door: an error or a close in time, bounded memory, and nothing of it
-taken on.
+"""Bad input from clients gets an error or a close in time, uses bounded memory, and
+none of it is accepted as a message.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 import pytest
 
-from rainfall.forwarder.inbound import server as door
+from rainfall.forwarder.inbound import server as inbound_server
 from rainfall.forwarder.inbound.client_connection import ClientConnection
 from rainfall.forwarder.inbound.server import (
     MAX_UNREAD_BYTES,
@@ -38,29 +38,34 @@
     message,
 )
 
-OWED_US = 3_000_000  # TERMS, Connections: an error or a close within 3 s of connecting
-SWEEP_US = int(door.SWEEP_INTERVAL_S * 1_000_000)
-LINGER_US = int(door.LINGER_S * 1_000_000)
+RESPONSE_DEADLINE_US = (
+    3_000_000  # TERMS, Connections: an error or a close is due within 3 s of connecting
+)
+SWEEP_US = int(inbound_server.SWEEP_INTERVAL_S * 1_000_000)
+LINGER_US = int(inbound_server.LINGER_S * 1_000_000)
 Scene = Callable[["Door"], Awaitable[None]]
 
 
 class Door(InboundServer):
-    """A server whose clock stands until the test moves it, and that sweeps when the
-    test says so.
+    """An inbound server whose clock only the test advances, and that sweeps only when
+    the test calls `sweep`.
     """
 
-    def __init__(self, most: int = 100) -> None:
-        self.now, self.taken, self.joins = 1_000_000_000, [], 0
+    def __init__(self, max_connections: int = 100) -> None:
+        self.now, self.accepted_ids, self.joins = 1_000_000_000, [], 0
         super().__init__(
-            parse_settings(SETTINGS), lambda: self.now, most, self.adopt_socket
+            parse_settings(SETTINGS),
+            lambda: self.now,
+            max_connections,
+            self.adopt_socket,
         )
         self.settled = asyncio.Event()
 
-    taken: list[str]
+    accepted_ids: list[str]
 
-    def adopt_socket(self, handed: SubmittedMessage, asker: ResponseWriter) -> None:
-        self.taken.append(handed.id)
-        asker.answer(HTTPStatus.ACCEPTED)
+    def adopt_socket(self, handed: SubmittedMessage, responder: ResponseWriter) -> None:
+        self.accepted_ids.append(handed.id)
+        responder.answer(HTTPStatus.ACCEPTED)
 
     def port(self) -> int:
         assert self.listener is not None
@@ -69,42 +74,44 @@
     async def connect(
         self,
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
-        """A client, and the door's side of its connection."""
-        known = set(self.connections)
+        """Open a client connection; also returns the server's side of it."""
+        before = set(self.connections)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port())
-        await self.until(lambda: bool(self.connections - known))
-        return reader, writer, next(iter(self.connections - known))
+        await self.until(lambda: bool(self.connections - before))
+        return reader, writer, next(iter(self.connections - before))
 
-    async def until(self, test: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not test():
+            while not condition():
                 await asyncio.sleep(0.001)
 
-    async def say(
-        self, writer: asyncio.StreamWriter, side: ClientConnection, data: bytes
+    async def send_and_wait_until_read(
+        self, writer: asyncio.StreamWriter, connection: ClientConnection, data: bytes
     ) -> None:
-        """Send, and wait until it was read."""
-        seen = side.raw_bytes
+        """Send bytes and wait until the server has read them."""
+        seen = connection.raw_bytes
         writer.write(data)
         await self.until(
             lambda: (
-                side.raw_bytes != seen
-                or side.request_count > 0
-                or side.discarding_input
+                connection.raw_bytes != seen
+                or connection.request_count > 0
+                or connection.discarding_input
             )
         )
 
-    def told(self, side: ClientConnection) -> bool:
+    def is_rejected(self, connection: ClientConnection) -> bool:
         """Whether the peer was given an error or a close."""
-        return side.discarding_input or not side.is_open()
+        return connection.discarding_input or not connection.is_open()
 
 
-def play(scene: Scene, monkeypatch: pytest.MonkeyPatch, most: int = 100) -> None:
+def play(
+    scene: Scene, monkeypatch: pytest.MonkeyPatch, max_connections: int = 100
+) -> None:
     async def run() -> None:
         monkeypatch.setattr(
-            door, "SWEEP_INTERVAL_S", 3600.0
-        )  # by itself it never sweeps
-        server = Door(most)
+            inbound_server, "SWEEP_INTERVAL_S", 3600.0
+        )  # disables the periodic sweep
+        server = Door(max_connections)
         await server.listen("127.0.0.1", 0)
         try:
             await scene(server)
@@ -114,23 +121,22 @@
     asyncio.run(run())
 
 
-def test_each_longest_way_to_an_error_or_a_close_fits_into_what_is_owed() -> None:
-    """The sums that stand beside the constants, with a fifth of a second for a loop
-    that is late.
-    """
-    room = OWED_US - 200_000
-    assert room >= door.SILENT_CONNECTION_US + SWEEP_US
-    assert room >= door.STALLED_REQUEST_US + SWEEP_US
+def test_time_limits_sum_up_to_less_than_the_response_deadline() -> None:
+    """The sums stated beside the constants, with 0.2 s of margin for a late event loop."""
+    limit_us = RESPONSE_DEADLINE_US - 200_000
+    assert limit_us >= inbound_server.SILENT_CONNECTION_US + SWEEP_US
+    assert limit_us >= inbound_server.STALLED_REQUEST_US + SWEEP_US
     assert (
-        room
-        >= door.SILENT_CONNECTION_US
+        limit_us
+        >= inbound_server.SILENT_CONNECTION_US
         + SWEEP_US
-        + door.STALLED_FIRST_REQUEST_US
+        + inbound_server.STALLED_FIRST_REQUEST_US
         + SWEEP_US
     )
     assert (
-        door.STALLED_REQUEST_US + SWEEP_US + LINGER_US + SWEEP_US <= OWED_US
-    )  # the end of its connection, too
+        inbound_server.STALLED_REQUEST_US + SWEEP_US + LINGER_US + SWEEP_US
+        <= RESPONSE_DEADLINE_US
+    )  # includes the end of the connection
 
 
 HEAD = b"POST /order HTTP/1.1\r\nHost: x\r\n"
@@ -150,81 +156,89 @@
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-", b"b"),
     ],
 )
-def test_a_first_request_that_stands_half_read_has_its_error_within_3_s_of_connecting(
+def test_incomplete_first_request_gets_an_error_within_3_s_of_connecting(
     says: bytes, goes_on: bytes, begins_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It begins as late as a silent connection may, goes on byte by byte, and each
-    sweep comes just short of a limit: the clock for its error runs from connecting.
+    """The request begins as late as a silent connection may and continues byte by byte,
+    and each sweep runs just before a limit: the deadline for its error counts from
+    connecting.
     """
 
     async def scene(server: Door) -> None:
-        _, writer, side = await server.connect()
+        _, writer, connection = await server.connect()
         start = server.now
         begin, sweep = start + begins_us, start + SWEEP_US - 1
-        while not server.told(side):
+        while not server.is_rejected(connection):
             if begin <= sweep:
                 server.now, begin = begin, sweep + 1
-                await server.say(writer, side, goes_on if side.raw_bytes else says)
+                await server.send_and_wait_until_read(
+                    writer, connection, goes_on if connection.raw_bytes else says
+                )
                 if not goes_on:
-                    begin = start + 10 * OWED_US
+                    begin = start + 10 * RESPONSE_DEADLINE_US
             else:
                 server.now = sweep
                 server.sweep()
                 sweep += SWEEP_US
-            assert server.now - start <= OWED_US - 200_000, (
+            assert server.now - start <= RESPONSE_DEADLINE_US - 200_000, (
                 "neither an error nor a close"
             )
-        assert not server.taken
+        assert not server.accepted_ids
         writer.close()
 
     play(scene, monkeypatch)
 
 
-def test_a_client_that_asks_without_end_and_reads_nothing_is_let_go_before_its_answers_pile_up(
+def test_client_that_reads_no_responses_is_closed_at_a_bound_of_unread_bytes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each request is answered, and none of the answers is taken: what waits for it
-    stays bounded, and its connection ends.
+    """Each request is answered and the client reads none of the responses: the unread
+    bytes stay bounded, and the connection is closed.
     """
 
     async def scene(server: Door) -> None:
-        kept = await server.connect()
+        other = await server.connect()
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_connect(sock, ("127.0.0.1", server.port()))
             await server.until(lambda: len(server.connections) == 2)
-            side = next(iter(server.connections - {kept[2]}))
-            most = 0
+            connection = next(iter(server.connections - {other[2]}))
+            max_unread = 0
             async with asyncio.timeout(PATIENCE):
-                asked = 1000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n"
-                while side.transport is not None and most < 64 * MAX_UNREAD_BYTES:
+                requests = 1000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n"
+                while (
+                    connection.transport is not None
+                    and max_unread < 64 * MAX_UNREAD_BYTES
+                ):
                     with suppress(ConnectionError, TimeoutError):
-                        await asyncio.wait_for(loop.sock_sendall(sock, asked), 0.1)
-                    if side.transport is not None:
-                        most = max(most, side.transport.get_write_buffer_size())
-        assert most <= 2 * MAX_UNREAD_BYTES
-        assert kept[2].is_open()
+                        await asyncio.wait_for(loop.sock_sendall(sock, requests), 0.1)
+                    if connection.transport is not None:
+                        max_unread = max(
+                            max_unread, connection.transport.get_write_buffer_size()
+                        )
+        assert max_unread <= 2 * MAX_UNREAD_BYTES
+        assert other[2].is_open()
 
     play(scene, monkeypatch)
 
 
-def test_who_reads_late_still_has_all_its_answers(
+def test_client_that_reads_late_gets_all_responses_in_order(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Some requests at once, as no client should send them: each has its answer, in
-    order.
+    """The client sends 40 requests at once, as no client should: each has its response,
+    in order.
     """
 
     async def scene(server: Door) -> None:
         reader, writer, _ = await server.connect()
         writer.write(b"".join(message(f"m{n}") for n in range(40)))
-        await server.until(lambda: len(server.taken) == 40)
+        await server.until(lambda: len(server.accepted_ids) == 40)
         async with asyncio.timeout(PATIENCE):
             for _ in range(40):
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
-        assert server.taken == [f"m{n}" for n in range(40)]
+        assert server.accepted_ids == [f"m{n}" for n in range(40)]
         writer.close()
 
     play(scene, monkeypatch)
@@ -242,7 +256,7 @@
     account: bytes = b"acme",
     dest: bytes = b"dest=7",
 ) -> bytes:
-    """A message that is whole but for what a test spoils."""
+    """Return a message that is complete except for what a test makes invalid."""
     return (
         line
         + b"\r\n"
@@ -258,7 +272,7 @@
     )
 
 
-SPOILT = {
+INVALID_REQUESTS = {
     "both lengths": post(FIVE + CHUNKED, ONE_CHUNK),
     "both lengths the other way": post(CHUNKED + FIVE, ONE_CHUNK),
     "two lengths": post(FIVE + FIVE),
@@ -337,7 +351,7 @@
 }
 
 
-WRONG = {
+REJECTED_REQUESTS = {
     "two tenants": post(b"X-Account: acme\r\n" + FIVE, account=b"other"),
     "two destinations": post(FIVE, dest=b"dest=7;dest=8"),
     "an absolute form": post(FIVE, line=b"POST http://origin.svc/order HTTP/1.1"),
@@ -355,61 +369,70 @@
 
 
 @pytest.mark.parametrize("in_pieces", [False, True])
-def test_what_is_spoilt_has_an_error_at_once_and_nothing_of_it_or_behind_it_is_taken_on(
+def test_invalid_request_gets_an_error_and_nothing_after_it_is_accepted(
     in_pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whole and in two pieces that are read apart; behind each stands a good message
-    that only who reads it wrong would see. What was refused so ends its connection.
+    """Sent at once and in two pieces that are read apart; each is followed by a good
+    message that only a parser that misreads the request would find. A request rejected
+    like this ends its connection.
     """
 
     async def scene(server: Door) -> None:
-        passed = {}
-        for name, data in SPOILT.items():
-            reader, writer, side = await server.connect()
+        not_rejected = {}
+        for name, data in INVALID_REQUESTS.items():
+            reader, writer, connection = await server.connect()
             if in_pieces:
                 half = data.find(b"HTTP/") + 3 or 1
                 writer.write(data[:half])
                 await server.until(
-                    lambda side=side: side.raw_bytes > 0 or side.discarding_input
+                    lambda connection=connection: (
+                        connection.raw_bytes > 0 or connection.discarding_input
+                    )
                 )  # type: ignore[misc]
                 data = data[half:]
             writer.write(data + message("behind"))
             if (first := await first_line(reader)) and first[9:10] not in (b"4", b"5"):
-                passed[name] = first
-                side.abort()
-            await server.until(lambda side=side: server.told(side))  # type: ignore[misc]
+                not_rejected[name] = first
+                connection.abort()
+            await server.until(
+                lambda connection=connection: server.is_rejected(connection)
+            )  # type: ignore[misc]
             writer.close()
-        assert not passed and not server.taken, f"{passed}, taken on: {server.taken}"
+        assert not not_rejected and not server.accepted_ids, (
+            f"{not_rejected}, accepted: {server.accepted_ids}"
+        )
         server.now += LINGER_US
         server.sweep()
         await server.until(lambda: not server.connections)
 
-    play(scene, monkeypatch, most=1000)
+    play(scene, monkeypatch, max_connections=1000)
 
 
-def test_what_is_whole_and_wrong_has_an_error_at_once_and_is_not_taken_on(
+def test_complete_but_wrong_request_gets_an_error_and_is_not_accepted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Where such a request ends is beyond doubt: its connection may go on, and a good
-    message behind it is one of its own.
+    """The end of such a request is unambiguous, so its connection may stay open, and a
+    good message after it is a separate one.
     """
 
     async def scene(server: Door) -> None:
-        passed = {}
-        for name, data in WRONG.items():
+        not_rejected = {}
+        for name, data in REJECTED_REQUESTS.items():
             reader, writer, _ = await server.connect()
             writer.write(data)
             if (first := await first_line(reader))[9:10] != b"4":
-                passed[name] = first
+                not_rejected[name] = first
             writer.close()
-        assert not passed and not server.taken, f"{passed}, taken on: {server.taken}"
+        assert not not_rejected and not server.accepted_ids, (
+            f"{not_rejected}, accepted: {server.accepted_ids}"
+        )
 
-    play(scene, monkeypatch, most=1000)
+    play(scene, monkeypatch, max_connections=1000)
 
 
 async def first_line(reader: asyncio.StreamReader) -> bytes:
-    """Empty where the connection was closed: behind one that goes on sending, by a
-    reset.
+    """Return the first line of the response. It is empty if the connection was closed,
+    or reset because the client kept sending.
     """
     with suppress(ConnectionError):
         async with asyncio.timeout(PATIENCE):
@@ -417,23 +440,23 @@
     return b""
 
 
-class Holding(Door):
-    """A door at which messages wait for their answer until the test gives it."""
+class HoldingServer(Door):
+    """A `Door` at which messages wait until the test answers them."""
 
-    def adopt_socket(self, handed: SubmittedMessage, asker: ResponseWriter) -> None:
-        self.taken.append(handed.id)
-        self.askers.append(asker)
+    def adopt_socket(self, handed: SubmittedMessage, responder: ResponseWriter) -> None:
+        self.accepted_ids.append(handed.id)
+        self.responders.append(responder)
 
-    askers: list[ResponseWriter]
+    responders: list[ResponseWriter]
 
 
 def play_holding(
-    scene: Callable[[Holding], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+    scene: Callable[[HoldingServer], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def run() -> None:
-        monkeypatch.setattr(door, "SWEEP_INTERVAL_S", 3600.0)
-        server = Holding()
-        server.askers = []
+        monkeypatch.setattr(inbound_server, "SWEEP_INTERVAL_S", 3600.0)
+        server = HoldingServer()
+        server.responders = []
         await server.listen("127.0.0.1", 0)
         try:
             await scene(server)
@@ -443,28 +466,30 @@
     asyncio.run(run())
 
 
-def test_what_stands_behind_a_spoilt_request_is_not_read_and_what_stands_before_it_has_its_answer(
+def test_message_before_an_invalid_request_is_answered_and_one_after_it_is_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The spoilt one is read while the message before it waits for its answer: the
-    answers come in order.
+    """The invalid request is read while the message before it waits for its response:
+    the responses come in order.
     """
 
-    async def scene(server: Holding) -> None:
-        reader, writer, side = await server.connect()
+    async def scene(server: HoldingServer) -> None:
+        reader, writer, connection = await server.connect()
         writer.write(
             message("before") + post(FIVE + CHUNKED, ONE_CHUNK) + message("behind")
         )
-        await server.until(lambda: side.discarding_input)
+        await server.until(lambda: connection.discarding_input)
         writer.write(message("later"))
-        await server.until(lambda: side.raw_bytes > 0)
-        assert server.taken == ["before"] and side.active_request is not None
-        server.askers[0].answer(HTTPStatus.ACCEPTED)
+        await server.until(lambda: connection.raw_bytes > 0)
+        assert (
+            server.accepted_ids == ["before"] and connection.active_request is not None
+        )
+        server.responders[0].answer(HTTPStatus.ACCEPTED)
         async with asyncio.timeout(PATIENCE):
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 400")
-            await reader.read()  # it ends its side at once
-        assert server.taken == ["before"] and side.is_open()
+            await reader.read()  # the server ends its side at once
+        assert server.accepted_ids == ["before"] and connection.is_open()
         server.now += LINGER_US
         server.sweep()
         await server.until(lambda: not server.connections)
@@ -473,17 +498,17 @@
     play_holding(scene, monkeypatch)
 
 
-def test_requests_ahead_are_few_however_many_come_in_one_piece(
+def test_queue_of_pipelined_requests_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One message waits for its answer, and behind it as many requests as one read can
+    """One message waits for its response, followed by as many requests as one read can
     hold.
     """
 
-    async def scene(server: Holding) -> None:
-        reader, writer, side = await server.connect()
+    async def scene(server: HoldingServer) -> None:
+        reader, writer, connection = await server.connect()
         writer.write(message("first"))
-        await server.until(lambda: len(server.taken) == 1)
+        await server.until(lambda: len(server.accepted_ids) == 1)
         most = 0
 
         class Watched(deque):  # type: ignore[type-arg]
@@ -492,21 +517,24 @@
                 super().append(request)
                 most = max(most, len(self))
 
-        side.queued_requests = Watched()
+        connection.queued_requests = Watched()
         writer.write(20_000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n")
         await server.until(
             lambda: (
                 most > 0
                 and (
-                    side.discarding_input
-                    or not side.is_open()
-                    or (side.transport is not None and not side.transport.is_reading())
+                    connection.discarding_input
+                    or not connection.is_open()
+                    or (
+                        connection.transport is not None
+                        and not connection.transport.is_reading()
+                    )
                 )
             )
         )
         assert most <= 100
-        assert server.taken == ["first"] and side.is_open()
-        server.askers[0].answer(HTTPStatus.ACCEPTED)
+        assert server.accepted_ids == ["first"] and connection.is_open()
+        server.responders[0].answer(HTTPStatus.ACCEPTED)
         async with asyncio.timeout(PATIENCE):
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 404")
@@ -515,50 +543,50 @@
     play_holding(scene, monkeypatch)
 
 
-def test_who_goes_on_sending_behind_its_error_is_read_for_so_many_bytes_and_so_long_only(
+def test_bytes_after_an_error_are_discarded_up_to_a_byte_and_time_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing of it is kept; the clock stands for the one that sends much, and moves
-    for the slow one.
+    """None of the bytes are kept. The clock stands still for the fast sender, and
+    advances for the slow one.
     """
 
     async def scene(server: Door) -> None:
-        reader, writer, much = await server.connect()
-        other, drips, slow = await server.connect()
-        for w in (writer, drips):
+        reader, writer, fast = await server.connect()
+        other, slow_writer, slow = await server.connect()
+        for w in (writer, slow_writer):
             w.write(b"\x16\x03\x01 no request\r\n\r\n")
-        await server.until(lambda: much.close_at_us > 0 and slow.close_at_us > 0)
+        await server.until(lambda: fast.close_at_us > 0 and slow.close_at_us > 0)
         sent = 0
         with suppress(ConnectionError):
-            while much.is_open():
+            while fast.is_open():
                 writer.write(65536 * b"a")
                 sent += 65536
                 await writer.drain()
                 await asyncio.sleep(0)
                 assert sent < 60_000_000
-        assert much.incomplete_request is None and not much.queued_requests
+        assert fast.incomplete_request is None and not fast.queued_requests
         start = server.now
         while slow.is_open():
-            drips.write(b"a")
+            slow_writer.write(b"a")
             server.now += SWEEP_US
             server.sweep()
             assert server.now - start <= LINGER_US + SWEEP_US
         writer.close()
-        drips.close()
+        slow_writer.close()
         del reader, other
 
     play(scene, monkeypatch)
 
 
-def test_peers_that_send_much_and_go_leave_nothing_behind(
+def test_clients_that_send_much_and_disconnect_leave_no_state(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each sends a large piece of something and goes in the same moment, some by a
+    """Each client sends a large amount and disconnects at once, every other one by a
     reset.
     """
 
     async def scene(server: Door) -> None:
-        kept = await server.connect()
+        other = await server.connect()
         kinds = [
             60_000 * b"GET /no HTTP/1.1\r\nHost: x\r\n\r\n",
             1_000_000 * b"\0",
@@ -568,7 +596,7 @@
             500_000 * b"\r\n",
         ]
         for n, data in enumerate(2 * kinds):
-            _, writer, side = await server.connect()
+            _, writer, connection = await server.connect()
             if n % 2:
                 assert isinstance(
                     sock := writer.get_extra_info("socket"), TransportSocket
@@ -578,9 +606,11 @@
                 )
             writer.write(data)
             writer.transport.abort() if n % 2 else writer.close()
-            await server.until(lambda side=side: side.transport is None)  # type: ignore[misc]
-            assert not side.queued_requests and side.parser is None
-        assert not server.taken and server.connections == {kept[2]}
+            await server.until(
+                lambda connection=connection: connection.transport is None
+            )  # type: ignore[misc]
+            assert not connection.queued_requests and connection.parser is None
+        assert not server.accepted_ids and server.connections == {other[2]}
 
     play(scene, monkeypatch)
 
@@ -590,12 +620,12 @@
     return int(text.partition("VmHWM:")[2].split()[0])
 
 
-def test_what_many_bad_clients_send_at_once_costs_little_memory_and_others_are_served(
+def test_many_bad_clients_use_bounded_memory_and_good_ones_are_served(
     tmp_path: Path,
 ) -> None:
-    """The process stands still while each bad client sends as much as the system takes;
-    then it goes on, and all of it lies there at once. Good clients come in the middle
-    and behind them.
+    """The process is stopped while each bad client sends as much as the kernel buffers;
+    then it continues with all of the bytes readable at once. Good clients connect
+    during the stop and after it.
     """
 
     async def scene() -> None:
@@ -604,8 +634,8 @@
         peer = await Peer(always(OK)).start()
         platform.host("t", peer.port)
         node = await Node(tmp_path, platform, max_open=1000).start()
-        pid, bad = node.process.pid, list[socket.socket]()
-        ends = [
+        pid, bad_sockets = node.process.pid, list[socket.socket]()
+        beginnings = [
             HEAD + b"X-",
             post(b"Content-Length: 60000000\r\n"),
             post(CHUNKED),
@@ -621,17 +651,19 @@
                 sock = socket.create_connection(("127.0.0.1", node.port))
                 sock.setblocking(False)
                 with suppress(BlockingIOError):
-                    begin, more = ends[n // 2 % 5], filler[n // 2 % 5]
+                    begin, more = beginnings[n // 2 % 5], filler[n // 2 % 5]
                     ahead = message(f"ahead{n}", "status") if n % 2 else b""
                     sock.sendall(ahead + begin + 1_000_000 // len(more) * more)
-                bad.append(sock)
-            good = [
+                bad_sockets.append(sock)
+            good_requests = [
                 asyncio.create_task(node.hand_in(f"good{n}", "status"))
                 for n in range(20)
             ]
             os.kill(pid, signal.SIGCONT)
             async with asyncio.timeout(PATIENCE):
-                assert {status for status, _ in await asyncio.gather(*good)} <= {
+                assert {
+                    status for status, _ in await asyncio.gather(*good_requests)
+                } <= {
                     202,
                     429,
                     503,
@@ -639,7 +671,7 @@
             assert (await node.hand_in("last", "status"))[0] == 202
             assert peak_kb(pid) - before < 16 * 1024
         finally:
-            for sock in bad:
+            for sock in bad_sockets:
                 sock.close()
             await node.end()
 
@@ -650,11 +682,11 @@
     "says",
     [b"", b"P", b"\r\n", HEAD, HEAD + FIVE + b"\r\nhel", HEAD + CHUNKED + b"\r\n1"],
 )
-def test_half_a_request_with_its_end_behind_it_is_closed_at_once(
+def test_incomplete_request_followed_by_eof_is_closed_at_once(
     says: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the client's side comes before its request's, so nothing more can
-    come. The clock stands.
+    """The client's side ends before its request is complete, so no more bytes can come.
+    The clock does not advance.
     """
 
     async def scene(server: Door) -> None:
@@ -664,7 +696,7 @@
         async with asyncio.timeout(PATIENCE):
             assert await reader.read() == b""
         await server.until(lambda: not server.connections)
-        assert not server.taken
+        assert not server.accepted_ids
         writer.close()
 
     play(scene, monkeypatch)
--- a/tests/forwarder/test_client_races.py
+++ b/tests/forwarder/test_client_races.py
@@ -1,8 +1,8 @@
-"""Crossings of what clients do (leave, half-close, come again) with a message's steps,
-forced over loopback.
+"""Races between client actions (closing, half-closing, repeating a message) and the
+steps of a message, forced over loopback.
 
-Rounds are the test's to make, and so is the journal's sync where there is one: what a
-client does stands before, between or behind them.
+The tests run the rounds, and the journal's sync where there is one, so that a client's
+action comes before, between or after them.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Endpoint:
-    """Answers each call once it is told to."""
+    """Answers each call once `held` is set."""
 
     def __init__(self) -> None:
         self.held, self.answers = asyncio.Event(), OK
@@ -42,7 +42,7 @@
 
 
 class Sync:
-    """The journal's worker: its jobs wait until they are let go."""
+    """Stands for the journal's sync thread; its jobs wait until `go` runs them."""
 
     def __init__(self) -> None:
         self.jobs: list[
@@ -64,9 +64,9 @@
             done(None)
 
 
-class Scene:
-    """A forwarder in the test's loop, with its endpoint. It makes no round by
-    itself.
+class ForwarderSetup:
+    """A forwarder in the test's event loop, with its endpoint. It runs no rounds by
+    itself once `gate` is called.
     """
 
     def __init__(
@@ -94,7 +94,9 @@
         cls: str = "order",
         **headers: str,
     ) -> Caller:
-        """A client whose message waits for the next round."""
+        """Send a message and return its client once the message waits for the next
+        round.
+        """
         client = client or self.client()
         client.say(message(name, cls, **headers))
         await self.run.until(lambda: name in self.engine.intake.pending_submissions)
@@ -104,7 +106,9 @@
         return [r.headers["x-correlation-id"] for r in self.peer.requests]
 
     async def delivered(self, *names: str) -> None:
-        """All these, once, and nothing else, to the end."""
+        """Run rounds until no message is held; check that exactly these were
+        delivered, each once.
+        """
         self.endpoint.held.set()
         async with asyncio.timeout(PATIENCE):
             while self.engine.store.messages:
@@ -113,23 +117,27 @@
         assert sorted(self.sent()) == sorted(names)
 
 
-def play(scene: Callable[[Scene], Awaitable[None]], folder: Path, **more: Any) -> None:
+def play(
+    scene: Callable[[ForwarderSetup], Awaitable[None]], folder: Path, **more: Any
+) -> None:
     async def run() -> None:
         platform, endpoint = Platform(), Endpoint()
         await platform.start()
         peer = await target(platform, endpoint.handle)
-        s = Scene(
+        setup = ForwarderSetup(
             platform, endpoint, peer, await Running(folder, platform, **more).ready()
         )
-        s.gate()
-        await scene(s)
-        await s.run.end()
+        setup.gate()
+        await scene(setup)
+        await setup.run.end()
 
     asyncio.run(run())
 
 
 def leave(client: Caller, how: str) -> None:
-    """By a close, by a reset, or by ending its own side alone."""
+    """End the connection by a close, a reset, or a shutdown of the client's sending
+    side.
+    """
     if how == "reset":
         client.reset()
     elif how == "half-close":
@@ -138,102 +146,104 @@
         client.socket.close()
 
 
-HOWS = ["close", "reset", "half-close"]
+DISCONNECTS = ["close", "reset", "half-close"]
 
 
-@pytest.mark.parametrize("how", HOWS)
+@pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("again", ["m", "n"])
-def test_message_whose_client_leaves_before_its_round_is_not_ours(
+def test_message_is_withdrawn_if_its_client_disconnects_before_its_round(
     tmp_path: Path, how: str, again: str
 ) -> None:
-    """And is taken on when it comes again at once, under the same or a new id."""
+    """The message is accepted when the client sends it again at once, under the same or
+    a new id.
+    """
 
-    async def scene(s: Scene) -> None:
-        client = await s.arrives("m")
+    async def scene(setup: ForwarderSetup) -> None:
+        client = await setup.arrives("m")
         leave(client, how)
-        if (
-            how == "half-close"
-        ):  # who has only ended its side hears that it may hand the message in again
+        if how == "half-close":  # a half-closed client gets 503 and may retry
             assert (await client.answer())[0] == 503 and await client.end() == b""
-        await s.run.until(lambda: not s.engine.intake.pending_submissions)
-        second = await s.arrives(again, X_Repeat="again", Idempotency_Key="key-m")
-        s.engine.run_round()
+        await setup.run.until(lambda: not setup.engine.intake.pending_submissions)
+        second = await setup.arrives(again, X_Repeat="again", Idempotency_Key="key-m")
+        setup.engine.run_round()
         assert (await second.answer())[0] == 202
         assert (
-            list(s.engine.store.messages)
-            == list(s.engine.dispatcher.state.messages)
+            list(setup.engine.store.messages)
+            == list(setup.engine.dispatcher.state.messages)
             == [again]
         )
-        await s.delivered(again)
+        await setup.delivered(again)
 
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_message_whose_client_leaves_in_the_turn_of_its_answer_is_ours(
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_message_is_kept_if_its_client_disconnects_as_it_is_answered(
     tmp_path: Path, how: str
 ) -> None:
-    """The round comes before the loop reads that the client has gone."""
+    """The round runs before the loop reads that the client has disconnected."""
 
-    async def scene(s: Scene) -> None:
-        client = await s.arrives("m", cls="status")
+    async def scene(setup: ForwarderSetup) -> None:
+        client = await setup.arrives("m", cls="status")
         leave(client, how)
-        s.engine.run_round()
-        assert list(s.engine.store.messages) == ["m"]
+        setup.engine.run_round()
+        assert list(setup.engine.store.messages) == ["m"]
         if how == "half-close":
             assert (await client.answer())[0] == 202 and await client.end() == b""
-        await s.run.until(lambda: not s.engine.server.connections)
-        await s.delivered("m")
+        await setup.run.until(lambda: not setup.engine.server.connections)
+        await setup.delivered("m")
 
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_message_whose_client_leaves_after_its_answer_is_ours(
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_message_is_kept_if_its_client_disconnects_after_its_response(
     tmp_path: Path, how: str
 ) -> None:
-    async def scene(s: Scene) -> None:
-        client = await s.arrives("m")
-        s.engine.run_round()
+    async def scene(setup: ForwarderSetup) -> None:
+        client = await setup.arrives("m")
+        setup.engine.run_round()
         assert (await client.answer())[0] == 202
-        await s.peer.got(1)
+        await setup.peer.got(1)
         leave(client, how)
-        await s.run.until(lambda: not s.engine.server.connections)
-        await s.delivered("m")
+        await setup.run.until(lambda: not setup.engine.server.connections)
+        await setup.delivered("m")
 
     play(scene, tmp_path)
 
 
-def test_message_withdrawn_before_its_round_holds_up_none_of_its_key(
+def test_withdrawn_message_does_not_block_its_session_key(
     tmp_path: Path,
 ) -> None:
-    async def scene(s: Scene) -> None:
-        first = await s.arrives("a", cls="turns", X_Session_Key="k")
-        second = await s.arrives("b", cls="turns", X_Session_Key="k")
+    async def scene(setup: ForwarderSetup) -> None:
+        first = await setup.arrives("a", cls="turns", X_Session_Key="k")
+        second = await setup.arrives("b", cls="turns", X_Session_Key="k")
         first.reset()
-        await s.run.until(lambda: list(s.engine.intake.pending_submissions) == ["b"])
-        s.engine.run_round()
+        await setup.run.until(
+            lambda: list(setup.engine.intake.pending_submissions) == ["b"]
+        )
+        setup.engine.run_round()
         assert (await second.answer())[0] == 202
-        await s.delivered("b")
+        await setup.delivered("b")
 
     play(scene, tmp_path)
 
 
-def test_message_left_here_and_handed_in_elsewhere_is_sent_from_there_alone(
+def test_message_withdrawn_here_and_sent_to_another_forwarder_is_delivered_once(
     tmp_path: Path,
 ) -> None:
-    async def scene(s: Scene) -> None:
+    async def scene(setup: ForwarderSetup) -> None:
         (tmp_path / "other").mkdir()
-        other = await Running(tmp_path / "other", s.platform).ready()
-        client = await s.arrives("m", cls="pay")
+        other = await Running(tmp_path / "other", setup.platform).ready()
+        client = await setup.arrives("m", cls="pay")
         client.socket.close()
         elsewhere = Caller(other.port)
         elsewhere.say(message("n", "pay", X_Repeat="again"))
         assert (await elsewhere.answer())[0] == 202
-        await s.run.until(lambda: not s.engine.intake.pending_submissions)
-        s.endpoint.held.set()
+        await setup.run.until(lambda: not setup.engine.intake.pending_submissions)
+        setup.endpoint.held.set()
         await other.until(lambda: not other.engine.store.messages)
-        await s.delivered("n")
+        await setup.delivered("n")
         await other.end()
 
     play(scene, tmp_path)
@@ -242,7 +252,7 @@
 # Half-closes and repeats while a record waits for its sync
 
 
-def powered(monkeypatch: pytest.MonkeyPatch) -> Sync:
+def use_held_sync(monkeypatch: pytest.MonkeyPatch) -> Sync:
     sync = Sync()
     monkeypatch.setattr(
         "rainfall.forwarder.engine.engine.create_sync_thread", lambda: sync
@@ -250,144 +260,151 @@
     return sync
 
 
-def kept(folder: Path) -> list[str]:
-    """What a process would find that started now."""
+def restored_ids(folder: Path) -> list[str]:
+    """Return the ids that a process started now would restore."""
     return list(MessageStore(folder, 3_000_000, write=False).messages)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_message_whose_client_leaves_while_its_record_is_synced_is_gone_before_it_is_refused(
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_message_withdrawn_during_its_sync_is_removed_before_the_rejection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """A process killed just then must not find it again, as its client may have handed
-    it in elsewhere.
+    """A process killed at this moment must not restore the message, as its client may
+    have sent it to another forwarder.
     """
-    sync = powered(monkeypatch)
+    sync = use_held_sync(monkeypatch)
 
-    async def scene(s: Scene) -> None:
-        client = await s.arrives("m", cls="pay")
+    async def scene(setup: ForwarderSetup) -> None:
+        client = await setup.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.run_round()
-        assert kept(tmp_path) == ["m"] and "m" in s.engine.intake.unacknowledged
+        setup.engine.run_round()
+        assert (
+            restored_ids(tmp_path) == ["m"]
+            and "m" in setup.engine.intake.unacknowledged
+        )
         leave(client, how)
         if how == "half-close":
             assert (await client.answer())[0] == 503 and await client.end() == b""
-        await s.run.until(lambda: not s.engine.intake.unacknowledged)
-        assert kept(tmp_path) == []
+        await setup.run.until(lambda: not setup.engine.intake.unacknowledged)
+        assert restored_ids(tmp_path) == []
         sync.holding = False
         sync.go()
-        again = await s.arrives("n", cls="pay", X_Repeat="again")
-        s.engine.run_round()
-        assert (await again.answer())[0] == 202
-        await s.delivered("n")
+        repeat = await setup.arrives("n", cls="pay", X_Repeat="again")
+        setup.engine.run_round()
+        assert (await repeat.answer())[0] == 202
+        await setup.delivered("n")
 
     play(scene, tmp_path, power=True)
 
 
-def test_same_id_while_its_record_is_synced_is_refused_and_the_first_taken_on(
+def test_same_id_during_the_sync_is_rejected_and_the_first_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sync = powered(monkeypatch)
+    sync = use_held_sync(monkeypatch)
 
-    async def scene(s: Scene) -> None:
-        first = await s.arrives("m", cls="pay")
+    async def scene(setup: ForwarderSetup) -> None:
+        first = await setup.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.run_round()
-        again = s.client()
-        again.say(message("m", "pay", X_Repeat="again"))
-        assert (await again.answer())[0] == 503
-        again.socket.close()
+        setup.engine.run_round()
+        repeat = setup.client()
+        repeat.say(message("m", "pay", X_Repeat="again"))
+        assert (await repeat.answer())[0] == 503
+        repeat.socket.close()
         sync.holding = False
         sync.go()
         assert (await first.answer())[0] == 202
-        await s.delivered("m")
+        await setup.delivered("m")
 
     play(scene, tmp_path, power=True)
 
 
-def test_same_id_while_the_first_is_taken_back_is_refused_and_taken_on_later(
+def test_same_id_during_a_withdrawal_is_rejected_and_accepted_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It used to be answered as taken on, by the record of the first that was about to
-    go.
+    """The repeated message used to be answered 202 because of the first one's record,
+    which was about to be removed.
     """
-    sync = powered(monkeypatch)
+    sync = use_held_sync(monkeypatch)
 
-    async def scene(s: Scene) -> None:
-        first = await s.arrives("m", cls="pay")
+    async def scene(setup: ForwarderSetup) -> None:
+        first = await setup.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.run_round()
+        setup.engine.run_round()
         first.reset()
-        await s.run.until(lambda: not s.engine.intake.unacknowledged)
+        await setup.run.until(lambda: not setup.engine.intake.unacknowledged)
         for status in (503, 202):
-            again = s.client()
-            again.say(message("m", "pay", X_Repeat="again"))
+            repeat = setup.client()
+            repeat.say(message("m", "pay", X_Repeat="again"))
             if status == 202:
-                await s.run.until(lambda: "m" in s.engine.intake.pending_submissions)
-                s.engine.run_round()
-            assert (await again.answer())[0] == status
-            again.socket.close()
+                await setup.run.until(
+                    lambda: "m" in setup.engine.intake.pending_submissions
+                )
+                setup.engine.run_round()
+            assert (await repeat.answer())[0] == status
+            repeat.socket.close()
             sync.holding = False
             sync.go()
-        await s.delivered("m")
+        await setup.delivered("m")
 
     play(scene, tmp_path, power=True)
 
 
 @pytest.mark.parametrize("step", ["freeze", "exit"])
-def test_call_whose_record_is_synced_after_the_freeze_is_left_to_the_next_process(
+def test_call_synced_after_the_freeze_is_sent_by_the_next_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
-    sync = powered(monkeypatch)
+    sync = use_held_sync(monkeypatch)
     monkeypatch.setattr(
         "rainfall.forwarder.engine.startup.FINAL_COMMIT_TIMEOUT_S", PATIENCE
     )
 
-    async def scene(s: Scene) -> None:
-        client = await s.arrives("m", cls="pay")
+    async def scene(setup: ForwarderSetup) -> None:
+        client = await setup.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.run_round()
+        setup.engine.run_round()
         ending = None
         if step == "freeze":
-            s.run.told_to_stop(shutdown.FREEZE_AFTER_S)
-            s.engine.shutdown.advance_shutdown()
+            setup.run.told_to_stop(shutdown.FREEZE_AFTER_S)
+            setup.engine.shutdown.advance_shutdown()
         else:
-            waiting = len(s.engine.store.log.waiters)
-            ending = asyncio.create_task(s.run.end())
-            await s.run.until(lambda: len(s.engine.store.log.waiters) > waiting)
+            waiting = len(setup.engine.store.log.waiters)
+            ending = asyncio.create_task(setup.run.end())
+            await setup.run.until(lambda: len(setup.engine.store.log.waiters) > waiting)
         sync.holding = False
         sync.go()
         assert (await client.answer())[0] == 202
-        assert s.engine.pool.in_flight == 0 and not s.engine.pool.dial_tasks
+        assert setup.engine.pool.in_flight == 0 and not setup.engine.pool.dial_tasks
         client.socket.close()
-        await (ending or s.run.end())
-        assert not s.peer.requests and s.engine.store.messages["m"].in_flight == {}
-        s.run = await Running(tmp_path, s.platform).ready()
-        await s.peer.got(1)
-        s.endpoint.held.set()
-        await s.run.until(lambda: not s.run.engine.store.messages)
-        assert s.sent() == ["m"] and not s.platform.notices
+        await (ending or setup.run.end())
+        assert (
+            not setup.peer.requests and setup.engine.store.messages["m"].in_flight == {}
+        )
+        setup.run = await Running(tmp_path, setup.platform).ready()
+        await setup.peer.got(1)
+        setup.endpoint.held.set()
+        await setup.run.until(lambda: not setup.run.engine.store.messages)
+        assert setup.sent() == ["m"] and not setup.platform.notices
 
     play(scene, tmp_path, power=True)
 
 
-def test_message_whose_record_cannot_be_synced_till_the_end_is_refused_and_gone(
+def test_message_not_synced_by_the_end_is_rejected_and_removed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sync = powered(monkeypatch)
+    sync = use_held_sync(monkeypatch)
 
-    async def scene(s: Scene) -> None:
-        client = await s.arrives("m", cls="pay")
+    async def scene(setup: ForwarderSetup) -> None:
+        client = await setup.arrives("m", cls="pay")
         sync.holding = True
-        s.engine.run_round()
-        s.run.told_to_stop(shutdown.FREEZE_AFTER_S)
-        ending = asyncio.create_task(s.run.end())
+        setup.engine.run_round()
+        setup.run.told_to_stop(shutdown.FREEZE_AFTER_S)
+        ending = asyncio.create_task(setup.run.end())
         assert (await client.answer())[0] == 503 and await client.end() == b""
         client.socket.close()
         await ending
-        assert kept(tmp_path) == [] and not s.peer.requests
-        s.run = await Running(tmp_path, s.platform).ready()
-        sync.jobs.clear()  # the process is gone
+        assert restored_ids(tmp_path) == [] and not setup.peer.requests
+        setup.run = await Running(tmp_path, setup.platform).ready()
+        sync.jobs.clear()  # the process has ended
 
     play(scene, tmp_path, power=True)
 
@@ -395,122 +412,122 @@
 # Repeats
 
 
-def test_same_id_before_the_first_is_decided_is_refused_and_the_first_goes_on(
+def test_same_id_before_the_first_is_accepted_is_rejected(
     tmp_path: Path,
 ) -> None:
-    async def scene(s: Scene) -> None:
-        first = await s.arrives("m")
-        again = s.client()
-        again.say(message("m", X_Repeat="again"))
-        assert (await again.answer())[0] == 503
-        again.reset()  # whoever was refused takes nothing with it
-        await s.run.until(lambda: len(s.engine.server.connections) == 1)
-        s.engine.run_round()
+    async def scene(setup: ForwarderSetup) -> None:
+        first = await setup.arrives("m")
+        repeat = setup.client()
+        repeat.say(message("m", X_Repeat="again"))
+        assert (await repeat.answer())[0] == 503
+        repeat.reset()  # the reset of the rejected client does not withdraw the first
+        await setup.run.until(lambda: len(setup.engine.server.connections) == 1)
+        setup.engine.run_round()
         assert (await first.answer())[0] == 202
-        await s.delivered("m")
+        await setup.delivered("m")
 
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("cls", ["order", "status", "pay"])
-def test_same_id_after_the_first_is_taken_on_sent_and_delivered_is_answered_and_not_sent(
+def test_same_id_after_acceptance_is_answered_and_not_sent_again(
     tmp_path: Path, cls: str
 ) -> None:
-    async def scene(s: Scene) -> None:
-        async def again() -> None:
-            client = s.client()
+    async def scene(setup: ForwarderSetup) -> None:
+        async def send_again() -> None:
+            client = setup.client()
             client.say(message("m", cls, X_Repeat="again"))
             assert (await client.answer())[0] == 202
             client.socket.close()
-            s.engine.run_round()
+            setup.engine.run_round()
 
-        first = await s.arrives("m", cls=cls)
-        s.engine.run_round()
+        first = await setup.arrives("m", cls=cls)
+        setup.engine.run_round()
         assert (await first.answer())[0] == 202
-        await again()  # journaled
-        await s.peer.got(1)
-        await again()  # sent, and out
-        await s.delivered("m")
-        await again()  # delivered
-        await s.delivered("m")
+        await send_again()  # journaled
+        await setup.peer.got(1)
+        await send_again()  # sent, in flight
+        await setup.delivered("m")
+        await send_again()  # delivered
+        await setup.delivered("m")
 
     play(scene, tmp_path)
 
 
-def test_same_id_after_a_restart_is_ours_while_it_is_held(tmp_path: Path) -> None:
-    async def scene(s: Scene) -> None:
-        first = await s.arrives("m", cls="pay")
-        s.engine.call_dispatch.add_to_call = lambda *parts: None  # type: ignore[method-assign]
-        s.engine.run_round()
+def test_same_id_after_a_restart_is_answered_while_the_message_is_held(
+    tmp_path: Path,
+) -> None:
+    async def scene(setup: ForwarderSetup) -> None:
+        first = await setup.arrives("m", cls="pay")
+        setup.engine.call_dispatch.add_to_call = lambda *parts: None  # type: ignore[method-assign]
+        setup.engine.run_round()
         assert (await first.answer())[0] == 202
-        await s.run.end()
-        s.run = await Running(tmp_path, s.platform).ready()
-        s.engine = s.run.engine
-        await s.peer.got(1)
-        s.gate()
-        again = s.client()
-        again.say(message("m", "pay", X_Repeat="again"))
-        assert (await again.answer())[0] == 202
-        assert not s.engine.intake.pending_submissions and list(
-            s.engine.store.messages
+        await setup.run.end()
+        setup.run = await Running(tmp_path, setup.platform).ready()
+        setup.engine = setup.run.engine
+        await setup.peer.got(1)
+        setup.gate()
+        repeat = setup.client()
+        repeat.say(message("m", "pay", X_Repeat="again"))
+        assert (await repeat.answer())[0] == 202
+        assert not setup.engine.intake.pending_submissions and list(
+            setup.engine.store.messages
         ) == ["m"]
-        assert (
-            s.engine.metrics.messages_accepted == 1
-        )  # the one of before, and none beside it
-        await s.delivered("m")
+        assert setup.engine.metrics.messages_accepted == 1  # only the restored one
+        await setup.delivered("m")
 
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("moment", ["arrived", "journaled", "delivered"])
-def test_repeat_under_a_new_id_is_a_message_of_its_own_at_each_moment(
+def test_repeat_under_a_new_id_is_a_separate_message_at_each_moment(
     tmp_path: Path, moment: str
 ) -> None:
-    async def scene(s: Scene) -> None:
-        first = await s.arrives("m")
+    async def scene(setup: ForwarderSetup) -> None:
+        first = await setup.arrives("m")
         if moment != "arrived":
-            s.engine.run_round()
+            setup.engine.run_round()
             assert (await first.answer())[0] == 202
         if moment == "delivered":
-            await s.delivered("m")
-        second = await s.arrives("n", X_Repeat="again", Idempotency_Key="key-m")
-        s.engine.run_round()
+            await setup.delivered("m")
+        second = await setup.arrives("n", X_Repeat="again", Idempotency_Key="key-m")
+        setup.engine.run_round()
         assert (await second.answer())[0] == 202
-        await s.delivered("m", "n")
-        assert {r.headers["idempotency-key"] for r in s.peer.requests} == {"key-m"}
+        await setup.delivered("m", "n")
+        assert {r.headers["idempotency-key"] for r in setup.peer.requests} == {"key-m"}
 
     play(scene, tmp_path)
 
 
-# Who sends much and goes
+# Clients that send many requests and disconnect
 
 
-def test_client_that_sends_many_and_is_gone_has_few_of_them_taken_on(
+def test_requests_of_a_disconnected_client_are_not_accepted_after_the_first(
     tmp_path: Path,
 ) -> None:
-    """From the answer on that cannot be written, none is taken in."""
+    """Once a response cannot be written, no further request is accepted."""
 
-    async def scene(s: Scene) -> None:
-        client = s.client()
+    async def scene(setup: ForwarderSetup) -> None:
+        client = setup.client()
         client.say(b"".join(message(f"m{n}", "status") for n in range(20)))
-        await s.run.until(lambda: "m0" in s.engine.intake.pending_submissions)
+        await setup.run.until(lambda: "m0" in setup.engine.intake.pending_submissions)
         client.reset()
         async with asyncio.timeout(PATIENCE):
-            while s.engine.server.connections:
-                s.engine.run_round()
+            while setup.engine.server.connections:
+                setup.engine.run_round()
                 await asyncio.sleep(0.001)
         assert (
-            list(s.engine.store.messages) == ["m0"]
-            and not s.engine.intake.pending_submissions
+            list(setup.engine.store.messages) == ["m0"]
+            and not setup.engine.intake.pending_submissions
         )
-        await s.delivered("m0")
+        await setup.delivered("m0")
 
     play(scene, tmp_path)
 
 
-def test_client_that_half_closes_behind_several_hears_of_each(tmp_path: Path) -> None:
-    async def scene(s: Scene) -> None:
-        client = s.client()
+def test_half_closed_client_gets_a_response_to_each_request(tmp_path: Path) -> None:
+    async def scene(setup: ForwarderSetup) -> None:
+        client = setup.client()
         client.say(message("a") + message("b") + message("c"))
         client.socket.shutdown(socket.SHUT_WR)
         answers = [await client.answer() for _ in range(3)]
@@ -520,33 +537,35 @@
             False,
             True,
         ]
-        assert await client.end() == b"" and not s.engine.intake.pending_submissions
-        s.engine.run_round()
-        assert not s.engine.store.messages
+        assert await client.end() == b"" and not setup.engine.intake.pending_submissions
+        setup.engine.run_round()
+        assert not setup.engine.store.messages
 
     play(scene, tmp_path)
 
 
-def test_much_that_cannot_be_read_behind_a_message_leaves_that_its_answer(
+def test_message_followed_by_much_garbage_still_gets_its_response(
     tmp_path: Path,
 ) -> None:
-    """The connection used to be closed over the answer that was still to come."""
+    """The connection used to be closed before the response that was still due."""
 
-    async def scene(s: Scene) -> None:
-        client = await s.arrives("m")
-        rest = asyncio.create_task(
+    async def scene(setup: ForwarderSetup) -> None:
+        client = await setup.arrives("m")
+        sending = asyncio.create_task(
             asyncio.get_running_loop().sock_sendall(
                 client.socket, b"\0" * (LINGER_BYTES + LINGER_BYTES // 2)
             )
         )
-        (held,) = s.engine.server.connections
-        await s.run.until(
-            lambda: held.transport is None or not held.transport.is_reading()
+        (connection,) = setup.engine.server.connections
+        await setup.run.until(
+            lambda: (
+                connection.transport is None or not connection.transport.is_reading()
+            )
         )
-        s.engine.run_round()
+        setup.engine.run_round()
         assert [(await client.answer())[0] for _ in range(2)] == [202, 400]
         async with asyncio.timeout(PATIENCE):
-            await rest
-        await s.delivered("m")
+            await sending
+        await setup.delivered("m")
 
     play(scene, tmp_path)
--- a/tests/forwarder/test_shutdown_races.py
+++ b/tests/forwarder/test_shutdown_races.py
@@ -1,6 +1,6 @@
-"""Crossings of a shutdown with what clients send, forced over loopback: the clients'
-sockets are written to and reset between two turns of the loop, so that the system has
-it and the forwarder has not read it.
+"""Races between a shutdown and what clients send, forced over loopback: the tests write
+to and reset the clients' sockets between two loop iterations, so that the kernel has
+the data and the forwarder has not read it.
 """
 
 from __future__ import annotations
@@ -51,8 +51,8 @@
 
 
 class Caller:
-    """A client's socket: what it says is in the forwarder's buffer at once, with no
-    turn between.
+    """A client's socket. The bytes it sends are in the forwarder's socket buffer at
+    once, without a loop iteration between.
     """
 
     def __init__(self, port: int) -> None:
@@ -74,10 +74,10 @@
             return await asyncio.get_running_loop().sock_recv(self.socket, 65536)
 
     async def answer(self) -> tuple[int, str]:
-        """The next answer's status and head."""
+        """Return the next response's status and head."""
         while b"\r\n\r\n" not in self.said:
             data = await self.more()
-            assert data, "ended with no answer"
+            assert data, "connection ended without a response"
             self.said += data
         head, _, rest = self.said.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
@@ -92,7 +92,9 @@
         return int(lines[0].split()[1]), head.decode()
 
     async def end(self) -> bytes:
-        """All that still comes up to the end, which is no reset."""
+        """Return all further bytes up to the end of the connection, which must not be
+        a reset.
+        """
         rest = self.said
         while data := await self.more():
             rest += data
@@ -100,7 +102,7 @@
 
 
 class Door:
-    """A listener whose messages wait until a test answers them."""
+    """An inbound server whose messages wait until a test answers them."""
 
     def __init__(self, most: int = 20) -> None:
         self.server = InboundServer(
@@ -110,11 +112,13 @@
         self.came = asyncio.Event()
         self.at_once: HTTPStatus | None = None
 
-    def hand_in(self, handed: SubmittedMessage, door: ResponseWriter) -> None:
-        self.handed.append((handed, door))
+    def hand_in(
+        self, handed: SubmittedMessage, response_writer: ResponseWriter
+    ) -> None:
+        self.handed.append((handed, response_writer))
         self.came.set()
         if self.at_once is not None:
-            door.answer(self.at_once)
+            response_writer.answer(self.at_once)
 
     async def open(self) -> Door:
         await self.server.listen("127.0.0.1", 0)
@@ -128,21 +132,21 @@
                 await asyncio.sleep(0.001)
 
     async def resting(self) -> Caller:
-        """A client that has had an answer and stays."""
+        """Return a client that has had a response and keeps its connection open."""
         client = Caller(self.port)
         client.say(UP)
         assert (await client.answer())[0] in (200, 503)
         return client
 
     async def busy(self, name: str = "m") -> Caller:
-        """A client whose message has come and is not answered."""
+        """Return a client whose message has arrived and is not answered."""
         client, before = Caller(self.port), len(self.handed)
         client.say(message(name))
         await self.until(lambda: len(self.handed) > before)
         return client
 
     def of(self, client: Caller) -> ClientConnection:
-        """The forwarder's end of a client's connection."""
+        """Return the forwarder's end of a client's connection."""
         name = client.socket.getsockname()
         return next(
             c
@@ -157,131 +161,133 @@
 
 def play(scene: Callable[[Door], Awaitable[None]], most: int = 20) -> None:
     async def run() -> None:
-        door = await Door(most).open()
-        await scene(door)
-        await door.server.close()
-        assert not door.server.accept_tasks
+        harness = await Door(most).open()
+        await scene(harness)
+        await harness.server.close()
+        assert not harness.server.accept_tasks
 
     asyncio.run(run())
 
 
-# A resting connection is let go
+# Closing of idle connections
 
 
-def test_request_that_waits_unread_when_its_connection_is_let_go_is_answered() -> None:
-    async def scene(door: Door) -> None:
-        client = await door.resting()
-        door.at_once = HTTPStatus.ACCEPTED
+def test_unread_request_is_answered_when_drain_closes_its_connection() -> None:
+    async def scene(harness: Door) -> None:
+        client = await harness.resting()
+        harness.at_once = HTTPStatus.ACCEPTED
         client.say(message("m"))
-        door.server.drain()
+        harness.server.drain()
         status, head = await client.answer()
-        assert (status, [h.id for h, _ in door.handed]) == (202, ["m"])
+        assert (status, [h.id for h, _ in harness.handed]) == (202, ["m"])
         assert "Connection: close" in head and await client.end() == b""
 
     play(scene)
 
 
-def test_request_that_waits_unread_when_an_idle_connection_is_swept_is_answered(
+def test_unread_request_is_answered_when_idle_connections_are_swept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(door: Door) -> None:
-        client, other = await door.resting(), await door.resting()
-        door.at_once = HTTPStatus.ACCEPTED
+    async def scene(harness: Door) -> None:
+        client, other = await harness.resting(), await harness.resting()
+        harness.at_once = HTTPStatus.ACCEPTED
         monkeypatch.setattr(server_file, "IDLE_CONNECTION_US", 0)
         client.say(message("m"))
-        door.server.sweep()
+        harness.server.sweep()
         monkeypatch.undo()
         assert (await client.answer())[
             0
-        ] == 202  # it came in time, and its connection goes on
+        ] == 202  # it came in time, and its connection stays open
         client.say(message("n"))
         assert (await client.answer())[0] == 202
-        assert await other.end() == b""  # nothing had come on this one
-        assert [h.id for h, _ in door.handed] == ["m", "n"]
+        assert await other.end() == b""  # no request had come on this connection
+        assert [h.id for h, _ in harness.handed] == ["m", "n"]
 
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["drain", "sweep"])
-def test_request_after_the_shutdown_is_discarded_and_resets_nothing(
+def test_request_after_the_socket_shutdown_is_discarded_without_a_reset(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene(door: Door) -> None:
-        client = await door.resting()
+    async def scene(harness: Door) -> None:
+        client = await harness.resting()
         monkeypatch.setattr(server_file, "IDLE_CONNECTION_US", 0)
-        getattr(door.server, how)()
+        getattr(harness.server, how)()
         client.say(message("m"))
         assert await client.end() == b""
-        client.say(message("n") * 20)  # more, after it has read the end
-        held = door.of(client)
-        await door.until(
-            lambda: held.raw_bytes == len(message("m")) * 21
-        )  # read, and thrown away
+        client.say(
+            message("n") * 20
+        )  # more bytes, after the client has read the connection's end
+        connection = harness.of(client)
+        await harness.until(
+            lambda: connection.raw_bytes == len(message("m")) * 21
+        )  # read and discarded
         assert (
-            not door.handed
+            not harness.handed
             and client.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         )
         client.socket.close()
-        await door.gone()
+        await harness.gone()
 
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["draining", "handed_over"])
-def test_written_answer_outlives_what_came_behind_its_request(how: str) -> None:
-    async def scene(door: Door) -> None:
-        client = await door.busy()
-        setattr(door.server, how, True)
-        client.say(message("crossed"))  # unread when the answer ends the connection
-        door.handed[0][1].answer(HTTPStatus.ACCEPTED)
+def test_response_arrives_though_another_request_follows_unread(how: str) -> None:
+    async def scene(harness: Door) -> None:
+        client = await harness.busy()
+        setattr(harness.server, how, True)
+        client.say(message("crossed"))  # unread when the response ends the connection
+        harness.handed[0][1].answer(HTTPStatus.ACCEPTED)
         status, head = await client.answer()
         assert status == 202 and "Connection: close" in head
         assert await client.end() == b""
-        held = door.of(client)
-        await door.until(lambda: held.raw_bytes == len(message("crossed")))
-        assert [h.id for h, _ in door.handed] == ["m"]
+        connection = harness.of(client)
+        await harness.until(lambda: connection.raw_bytes == len(message("crossed")))
+        assert [h.id for h, _ in harness.handed] == ["m"]
 
     play(scene)
 
 
-def test_client_that_resets_in_the_instant_of_the_shutdown_stops_no_other() -> None:
-    async def scene(door: Door) -> None:
-        client, other = await door.resting(), await door.resting()
-        held = door.of(client)
+def test_reset_during_the_socket_shutdown_does_not_affect_other_clients() -> None:
+    async def scene(harness: Door) -> None:
+        client, other = await harness.resting(), await harness.resting()
+        connection = harness.of(client)
         client.reset()
-        held.finish()  # the shutdown of a socket that was reset fails
-        door.server.drain()
+        connection.finish()  # shutting down a socket that was reset raises an error
+        harness.server.drain()
         assert await other.end() == b""
         other.socket.close()
-        await door.gone()
+        await harness.gone()
 
     play(scene)
 
 
-def test_new_connection_is_not_let_go_before_its_first_request(
+def test_new_connection_is_kept_until_its_first_request_or_grace_period(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(door: Door) -> None:
-        client, silent = Caller(door.port), Caller(door.port)
-        await door.until(lambda: len(door.server.connections) == 2)
-        door.server.drain()
-        door.at_once = HTTPStatus.ACCEPTED
+    async def scene(harness: Door) -> None:
+        client, silent = Caller(harness.port), Caller(harness.port)
+        await harness.until(lambda: len(harness.server.connections) == 2)
+        harness.server.drain()
+        harness.at_once = HTTPStatus.ACCEPTED
         client.say(message("m"))
         assert (await client.answer())[0] == 202 and await client.end() == b""
         monkeypatch.setattr(client_connection, "FIRST_REQUEST_GRACE_US", 0)
-        door.server.drain()
-        assert await silent.end() == b""  # though not for ever
+        harness.server.drain()
+        assert await silent.end() == b""  # closed when the grace period has expired
 
     play(scene)
 
 
-# Requests behind an answer that ends the connection
+# Requests after a response that ends the connection
 
 
-def test_two_requests_that_came_whole_before_the_end_are_both_answered() -> None:
-    async def scene(door: Door) -> None:
-        door.server.draining, door.at_once = True, HTTPStatus.ACCEPTED
-        client = Caller(door.port)
+def test_two_complete_requests_before_the_end_are_both_answered() -> None:
+    async def scene(harness: Door) -> None:
+        harness.server.draining, harness.at_once = True, HTTPStatus.ACCEPTED
+        client = Caller(harness.port)
         client.say(message("a") + message("b"))
         first, second = await client.answer(), await client.answer()
         assert (first[0], second[0]) == (202, 202)
@@ -292,41 +298,41 @@
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-def test_request_behind_one_that_ends_the_connection_is_not_taken_in(
+def test_request_after_a_connection_close_request_is_not_accepted(
     at_once: bool,
 ) -> None:
-    async def scene(door: Door) -> None:
-        client = Caller(door.port)
+    async def scene(harness: Door) -> None:
+        client = Caller(harness.port)
         if at_once:
-            door.at_once = HTTPStatus.ACCEPTED
+            harness.at_once = HTTPStatus.ACCEPTED
         client.say(message("a", Connection="close") + message("b"))
-        await door.until(lambda: bool(door.handed))
+        await harness.until(lambda: bool(harness.handed))
         if not at_once:
-            door.handed[0][1].answer(HTTPStatus.ACCEPTED)
+            harness.handed[0][1].answer(HTTPStatus.ACCEPTED)
         assert (await client.answer())[0] == 202
-        assert await client.end() == b"" and [h.id for h, _ in door.handed] == ["a"]
+        assert await client.end() == b"" and [h.id for h, _ in harness.handed] == ["a"]
 
     play(scene)
 
 
-def test_request_on_a_connection_whose_answer_could_not_be_written_is_not_taken_in() -> (
-    None
-):
-    """The transport is closing, and the loop has not said so yet."""
+def test_request_after_a_failed_response_write_is_not_accepted() -> None:
+    """The transport is closing, and the loop has not reported the lost connection yet."""
 
-    async def scene(door: Door) -> None:
-        client = Caller(door.port)
-        door.handed.clear()
+    async def scene(harness: Door) -> None:
+        client = Caller(harness.port)
+        harness.handed.clear()
         client.say(message("a") + message("b"))
-        await door.until(lambda: bool(door.handed))
-        held = door.of(client)
-        assert [r.headers["x-correlation-id"] for r in held.queued_requests] == ["b"]
+        await harness.until(lambda: bool(harness.handed))
+        connection = harness.of(client)
+        assert [r.headers["x-correlation-id"] for r in connection.queued_requests] == [
+            "b"
+        ]
         client.reset()
-        door.handed[0][1].answer(HTTPStatus.ACCEPTED)  # the write fails
-        assert held.transport is not None and held.transport.is_closing()
-        held.process_next()
-        assert [h.id for h, _ in door.handed] == ["a"]
-        await door.gone()
+        harness.handed[0][1].answer(HTTPStatus.ACCEPTED)  # the write fails
+        assert connection.transport is not None and connection.transport.is_closing()
+        connection.process_next()
+        assert [h.id for h, _ in harness.handed] == ["a"]
+        await harness.gone()
 
     play(scene)
 
@@ -335,32 +341,32 @@
 
 
 @pytest.mark.parametrize("how", ["hand_over", "stop_listening"])
-def test_connection_accepted_in_the_turn_in_which_the_listener_closes_is_served(
+def test_connection_accepted_as_the_listener_closes_is_served(
     how: str,
 ) -> None:
-    async def scene(door: Door) -> None:
-        door.at_once = HTTPStatus.ACCEPTED
-        client = Caller(door.port)
+    async def scene(harness: Door) -> None:
+        harness.at_once = HTTPStatus.ACCEPTED
+        client = Caller(harness.port)
         client.say(message("m"))
-        # Due in the turn in which the loop accepts the connection, and run behind that.
-        asyncio.get_running_loop().call_later(0, getattr(door.server, how))
+        # Runs in the loop iteration that accepts the connection, after the accept.
+        asyncio.get_running_loop().call_later(0, getattr(harness.server, how))
         assert (await client.answer())[0] == 202
-        assert door.server.listener is None
+        assert harness.server.listener is None
         with pytest.raises(ConnectionRefusedError):
-            Caller(door.port)
+            Caller(harness.port)
 
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["hand_over", "close"])
 def test_connection_in_the_backlog_when_the_listener_closes_is_served(how: str) -> None:
-    async def scene(door: Door) -> None:
-        door.at_once = HTTPStatus.SERVICE_UNAVAILABLE
-        asking, silent = Caller(door.port), Caller(door.port)
+    async def scene(harness: Door) -> None:
+        harness.at_once = HTTPStatus.SERVICE_UNAVAILABLE
+        asking, silent = Caller(harness.port), Caller(harness.port)
         asking.say(message("m"))
         ending: Any = getattr(
-            door.server, how
-        )()  # no turn has passed: none is accepted
+            harness.server, how
+        )()  # no loop iteration has run: none is accepted
         if ending is not None:
             ending = asyncio.create_task(ending)
         assert (await asking.answer())[0] == 503
@@ -368,7 +374,7 @@
             c.transport.get_extra_info("socket").getsockopt(
                 socket.IPPROTO_TCP, socket.TCP_NODELAY
             )
-            for c in door.server.connections
+            for c in harness.server.connections
             if c.transport is not None
         ]
         assert nodelay and all(nodelay)
@@ -380,12 +386,12 @@
     play(scene)
 
 
-def test_what_the_system_holds_back_is_nothing() -> None:
-    """Small writes leave at once: none is lost with a connection that is reset."""
+def test_tcp_nodelay_is_set_on_client_connections() -> None:
+    """Small writes are sent at once, so none is lost with a connection that is reset."""
 
-    async def scene(door: Door) -> None:
-        client = await door.resting()
-        transport = door.of(client).transport
+    async def scene(harness: Door) -> None:
+        client = await harness.resting()
+        transport = harness.of(client).transport
         assert transport is not None
         assert transport.get_extra_info("socket").getsockopt(
             socket.IPPROTO_TCP, socket.TCP_NODELAY
@@ -394,75 +400,75 @@
     play(scene)
 
 
-def test_at_the_end_whole_and_half_requests_are_refused_and_silent_clients_let_go() -> (
-    None
-):
-    async def scene(door: Door) -> None:
-        left: list[str] = []
+def test_close_answers_open_requests_503_and_closes_silent_connections() -> None:
+    async def scene(harness: Door) -> None:
+        disconnected: list[str] = []
         busy, resting, silent, half = (
-            await door.busy(),
-            await door.resting(),
-            Caller(door.port),
-            Caller(door.port),
+            await harness.busy(),
+            await harness.resting(),
+            Caller(harness.port),
+            Caller(harness.port),
         )
-        door.handed[0][1].on_disconnect = lambda: left.append("m")
+        harness.handed[0][1].on_disconnect = lambda: disconnected.append("m")
         half.say(HALF)
-        await door.until(
+        await harness.until(
             lambda: (
-                len(door.server.connections) == 4
+                len(harness.server.connections) == 4
                 and any(
-                    c.incomplete_request is not None for c in door.server.connections
+                    c.incomplete_request is not None for c in harness.server.connections
                 )
             )
         )
-        ending = asyncio.create_task(door.server.close())
+        ending = asyncio.create_task(harness.server.close())
         for client in (busy, half):
             status, head = await client.answer()
             assert status == 503 and "Connection: close" in head
             assert await client.end() == b""
-        assert left == ["m"]  # it was told to whoever held it before the refusal left
+        assert disconnected == [
+            "m"
+        ]  # the holder of the message was notified before the 503 was sent
         assert await resting.end() == await silent.end() == b""
-        half.say(
-            message("half")[-3:]
-        )  # its rest crosses the refusal, and resets nothing
+        half.say(message("half")[-3:])  # its rest crosses the 503, and causes no reset
         for client in (busy, resting, silent, half):
             client.socket.close()
         await ending
-        assert [h.id for h, _ in door.handed] == ["m"] and not door.server.connections
+        assert [h.id for h, _ in harness.handed] == [
+            "m"
+        ] and not harness.server.connections
 
     play(scene)
 
 
-def test_request_read_whole_behind_a_busy_one_is_refused_at_the_end_too() -> None:
-    async def scene(door: Door) -> None:
-        client = Caller(door.port)
+def test_close_answers_a_queued_request_503_too() -> None:
+    async def scene(harness: Door) -> None:
+        client = Caller(harness.port)
         client.say(message("a") + message("b"))
-        await door.until(lambda: bool(door.handed))
-        ending = asyncio.create_task(door.server.close())
+        await harness.until(lambda: bool(harness.handed))
+        ending = asyncio.create_task(harness.server.close())
         assert [(await client.answer())[0] for _ in range(2)] == [503, 503]
-        assert await client.end() == b"" and [h.id for h, _ in door.handed] == ["a"]
+        assert await client.end() == b"" and [h.id for h, _ in harness.handed] == ["a"]
         await ending
 
     play(scene)
 
 
-def test_answer_that_comes_while_the_process_ends_goes_before_a_refusal() -> None:
-    """A message that another process has taken on: its 202 is under way."""
+def test_response_given_during_close_is_sent_instead_of_503() -> None:
+    """Another process has accepted the message, and its 202 is on the way."""
 
-    async def scene(door: Door) -> None:
-        client = await door.busy()
-        held, looked_at = door.of(client), asyncio.Event()
-        end = held.shut_down
+    async def scene(harness: Door) -> None:
+        client = await harness.busy()
+        connection, shut_down_called = harness.of(client), asyncio.Event()
+        original_shut_down = connection.shut_down
 
-        def looked(at_once: bool) -> None:
-            end(at_once)
-            looked_at.set()
+        def recording_shut_down(at_once: bool) -> None:
+            original_shut_down(at_once)
+            shut_down_called.set()
 
-        held.shut_down = looked  # type: ignore[method-assign]
-        ending = asyncio.create_task(door.server.close(PATIENCE))
+        connection.shut_down = recording_shut_down  # type: ignore[method-assign]
+        ending = asyncio.create_task(harness.server.close(PATIENCE))
         async with asyncio.timeout(PATIENCE):
-            await looked_at.wait()
-        door.handed[0][1].answer(HTTPStatus.ACCEPTED)
+            await shut_down_called.wait()
+        harness.handed[0][1].answer(HTTPStatus.ACCEPTED)
         assert (await client.answer())[0] == 202 and await client.end() == b""
         client.socket.close()
         await ending
@@ -470,44 +476,46 @@
     play(scene)
 
 
-def test_clients_that_never_let_go_do_not_keep_the_process() -> None:
-    async def scene(door: Door) -> None:
-        clients = [await door.resting(), await door.busy()]
-        held = list(door.server.connections)
+def test_close_ends_though_clients_keep_their_connections_open() -> None:
+    async def scene(harness: Door) -> None:
+        clients = [await harness.resting(), await harness.busy()]
+        connections = list(harness.server.connections)
         async with asyncio.timeout(PATIENCE):
-            await door.server.close()
-        await door.until(lambda: all(c.transport is None for c in held))
+            await harness.server.close()
+        await harness.until(lambda: all(c.transport is None for c in connections))
         del clients
 
     play(scene)
 
 
-def test_lingering_ends_though_the_client_says_more_and_more(
+def test_lingering_ends_though_the_client_keeps_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(door: Door) -> None:
+    async def scene(harness: Door) -> None:
         monkeypatch.setattr(server_file, "LINGER_S", 0.001)
-        client = await door.resting()
-        door.server.drain()
+        client = await harness.resting()
+        harness.server.drain()
         assert await client.end() == b""
         async with asyncio.timeout(PATIENCE):
             with pytest.raises(ConnectionError):
                 while True:
                     client.say(UP)
                     await asyncio.sleep(0.01)
-        await door.gone()
+        await harness.gone()
 
     play(scene)
 
 
-def test_lingering_connections_make_room_first() -> None:
-    async def scene(door: Door) -> None:
-        lingering, resting = await door.resting(), await door.resting()
-        door.of(lingering).finish()
-        ended = door.of(lingering)
-        door.of(resting).last_used_us = 0  # idle for longer
-        another = await door.resting()
-        await door.until(lambda: ended not in door.server.connections)
+def test_lingering_connections_are_evicted_first() -> None:
+    async def scene(harness: Door) -> None:
+        lingering, resting = await harness.resting(), await harness.resting()
+        harness.of(lingering).finish()
+        lingering_connection = harness.of(lingering)
+        harness.of(resting).last_used_us = 0  # idle for longer
+        another = await harness.resting()
+        await harness.until(
+            lambda: lingering_connection not in harness.server.connections
+        )
         for client in (resting, another):
             client.say(UP)
             assert (await client.answer())[0] == 200
@@ -541,9 +549,7 @@
 
 
 class Running:
-    """An engine in the test's own loop, so that a test can put its steps where it wants
-    them.
-    """
+    """An engine in the test's own loop, so that a test decides when its steps run."""
 
     def __init__(self, folder: Path, platform: Platform, **more: Any) -> None:
         self.engine = engine(folder, platform, **more)
@@ -562,7 +568,9 @@
                 await asyncio.sleep(0.001)
 
     def told_to_stop(self, ago_s: float) -> None:
-        """SIGTERM was so long ago; its next step is the test's to make."""
+        """Set the state as if SIGTERM came `ago_s` seconds ago; the test runs the next
+        shutdown step.
+        """
         self.engine.state.shutdown_started_s = asyncio.get_running_loop().time() - ago_s
         self.engine.server.draining = True
 
@@ -589,10 +597,10 @@
     return peer
 
 
-def test_message_that_comes_in_the_turn_of_the_end_is_answered(tmp_path: Path) -> None:
-    """Behind the last step, and before the process goes on to its end, the loop may
-    still run a client's turn. What came then was taken in, never decided on, and
-    cut.
+def test_message_after_the_last_shutdown_step_is_answered_503(tmp_path: Path) -> None:
+    """After the last shutdown step and before the process exits, the loop may still
+    read a client's request. Such a message used to be accepted, never processed, and
+    cut off without a response.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -623,7 +631,9 @@
     engine_play(scene, tmp_path)
 
 
-def test_engine_with_nothing_held_refuses_what_crosses_its_end(tmp_path: Path) -> None:
+def test_engine_without_messages_answers_503_to_requests_at_its_end(
+    tmp_path: Path,
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         run = await Running(folder, platform).ready()
@@ -650,25 +660,26 @@
 
 
 @pytest.mark.parametrize("step", ["freeze", "exit"])
-def test_call_whose_connection_comes_up_after_the_freeze_never_leaves_and_is_tried_by_the_next(
+def test_call_connected_after_the_freeze_is_sent_by_the_next_process_only(
     tmp_path: Path, step: str
 ) -> None:
-    """Sent a moment before the end, or left in the journal as out, it may have run: a
-    message that must not run twice was then given up with no call.
+    """A call sent just before the end, or left in the journal as in flight, counts as
+    possibly executed: a message that must not be repeated was then failed without any
+    call.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         run = await Running(folder, platform).ready()
-        up, dialing = asyncio.Event(), asyncio.Event()
+        may_connect, dialing = asyncio.Event(), asyncio.Event()
         dial = run.engine.pool.dial
 
-        async def late(*args: Any) -> None:
+        async def dial_late(*args: Any) -> None:
             dialing.set()
-            await up.wait()
+            await may_connect.wait()
             await dial(*args)
 
-        run.engine.pool.dial = late  # type: ignore[method-assign]
+        run.engine.pool.dial = dial_late  # type: ignore[method-assign]
         client = Caller(run.port)
         client.say(message("m", "pay", Idempotency_Key=None))
         assert (await client.answer())[0] == 202
@@ -677,25 +688,25 @@
         if step == "freeze":
             run.told_to_stop(shutdown.FREEZE_AFTER_S)
             run.engine.shutdown.advance_shutdown()
-            up.set()
+            may_connect.set()
             await asyncio.wait(set(run.engine.pool.dial_tasks), timeout=PATIENCE)
         client.socket.close()
         dials = set(run.engine.pool.dial_tasks)
         await run.end()
-        for task in dials:  # the process is gone, and its dials with it
+        for task in dials:  # the process has ended, and its dials with it
             task.cancel()
         assert not peer.requests
-        again = await Running(folder, platform).ready()
+        next_run = await Running(folder, platform).ready()
         await peer.got(1)
         assert (
             peer.requests[0].headers["x-correlation-id"] == "m" and not platform.notices
         )
-        await again.end()
+        await next_run.end()
 
     engine_play(scene, tmp_path)
 
 
-def test_longest_way_from_sigterm_to_the_end_leaves_room_before_sigkill() -> None:
+def test_longest_shutdown_ends_before_sigkill() -> None:
     """SIGKILL may come 3.7 s after SIGTERM."""
     longest = (
         shutdown.EXIT_AFTER_S
@@ -711,26 +722,28 @@
     )
 
 
-def test_patience_at_the_end_fits_before_sigkill_at_every_step(tmp_path: Path) -> None:
+def test_client_grace_at_the_end_fits_before_sigkill_at_every_step(
+    tmp_path: Path,
+) -> None:
     async def scene() -> None:
-        e = engine(tmp_path, Platform())
+        test_engine = engine(tmp_path, Platform())
         now = asyncio.get_running_loop().time()
-        for passed in (1.0, 2.8, 3.0, 3.3, 3.5):
-            e.state.shutdown_started_s = now - passed
+        for elapsed_s in (1.0, 2.8, 3.0, 3.3, 3.5):
+            test_engine.state.shutdown_started_s = now - elapsed_s
             assert (
                 CLOSE_GRACE_S
-                <= e.shutdown.client_grace_s()
-                <= max(CLOSE_GRACE_S, shutdown.EXIT_AFTER_S + CLOSE_GRACE_S - passed)
+                <= test_engine.shutdown.client_grace_s()
+                <= max(CLOSE_GRACE_S, shutdown.EXIT_AFTER_S + CLOSE_GRACE_S - elapsed_s)
                 + 1e-6
             )
-        e.state.shutdown_started_s = now - 1.0
-        assert e.shutdown.client_grace_s() == shutdown.CLIENT_CLOSE_S
-        e.store.close()
+        test_engine.state.shutdown_started_s = now - 1.0
+        assert test_engine.shutdown.client_grace_s() == shutdown.CLIENT_CLOSE_S
+        test_engine.store.close()
 
     asyncio.run(scene())
 
 
-def test_client_that_rests_until_the_end_sees_no_reset_and_its_crossing_request_goes_nowhere(
+def test_idle_client_sees_no_reset_at_the_end_and_its_late_request_is_discarded(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
@@ -748,10 +761,10 @@
         resting.socket.close()
         await run.end()
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["held"]
-        again = await Running(folder, platform).ready()
+        next_run = await Running(folder, platform).ready()
         await peer.got(2)
         assert {r.headers["x-correlation-id"] for r in peer.requests} == {"held"}
-        await again.end()
+        await next_run.end()
         assert not caplog.messages
 
     with caplog.at_level(logging.ERROR):
