--- a/tests/compatibility/forwarders.py
+++ b/tests/compatibility/forwarders.py
@@ -1,4 +1,4 @@
-"""Forwarders that are built whole but neither listen nor call, for these tests."""
+"""Builds complete forwarders that neither listen nor make calls, for the compatibility tests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def told_config(**more: object) -> dict[str, object]:
-    """The text of a configuration, decoded."""
+    """Returns a decoded configuration, with the given keys added or replaced."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:1",
@@ -51,7 +51,7 @@
 def forwarder(
     folder: Path, successor: HandoverTarget | None = None, **more: object
 ) -> Engine:
-    """One that is not started, and decides nothing. Needs a running loop."""
+    """Builds an engine that is not started and runs no dispatch round. Needs a running loop."""
     engine = Engine(config(folder, **more), None, successor)
-    engine.round_scheduled = True  # as if a round were due: none is put before the loop
+    engine.round_scheduled = True  # a round counts as pending: none is scheduled
     return engine
--- a/tests/compatibility/frames.py
+++ b/tests/compatibility/frames.py
@@ -1,4 +1,6 @@
-"""Every frame between forwarders and every record of a session."""
+"""Every frame type between forwarders and every session record type, and session
+configurations.
+"""
 
 from __future__ import annotations
 
@@ -156,7 +158,7 @@
     "all_bytes",
     "drift",
 ]
-"""The keys of the configuration."""
+"""The keys of `limits` in a session configuration."""
 NUMBERS = {
     "offer_us": 200_001,
     "calls_us": 300_001,
@@ -203,7 +205,7 @@
     )
     | {"strange": 1},
 ]
-"""Configurations of sessions; most have faults."""
+"""Session configurations; most are invalid."""
 
 
 def limits_table(limits: Limits) -> dict[str, object]:
@@ -244,7 +246,7 @@
 
 
 def read_table(raw: object) -> list[object]:
-    """What a configuration is read as, or its faults."""
+    """Returns the parsed configuration, or the errors reported for it."""
     try:
         return ["read", table_of(parse_config(raw))]
     except SessionConfigError as error:
@@ -252,9 +254,12 @@
 
 
 def packed(records: list[AnyRecord]) -> bytes:
-    """Each behind its length, as the frames are."""
+    """Encodes records, each preceded by its length as frames are."""
     data = [encode_record(record) for record in records]
-    return b"".join(len(one).to_bytes(LENGTH_PREFIX_BYTES, "big") + one for one in data)
+    return b"".join(
+        len(record_bytes).to_bytes(LENGTH_PREFIX_BYTES, "big") + record_bytes
+        for record_bytes in data
+    )
 
 
 def unpacked(data: bytes) -> list[AnyRecord]:
--- a/tests/compatibility/handovers.py
+++ b/tests/compatibility/handovers.py
@@ -1,4 +1,4 @@
-"""The lines between two processes at a handover, and what a dispatcher remembers."""
+"""The lines that two processes exchange during a handover, and dispatcher snapshots."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests.support.random_worlds import World
 
 SEED, ROUNDS = 39, 23
-"""A world whose dispatcher then has every kind of thing to remember."""
+"""Seed and rounds after which the dispatcher has an entry in every part of its snapshot."""
 FAR_US = 1 << 60
 ENDED = (
     AttemptFinished("m1", 0, 1, Outcome.DELIVERED, 1500, message_closed=True),
@@ -49,7 +49,7 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """Keeps what is written to it."""
+    """Records the bytes written to it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -64,7 +64,7 @@
 
 
 class Client:
-    """A client whose request is passed on; it notes its answer."""
+    """A client whose request is forwarded to the other process; it records its answer."""
 
     def __init__(self, name: str, notes: list[object]) -> None:
         self.name, self.notes = name, notes
@@ -75,7 +75,7 @@
 
 
 class OldEngine:
-    """The engine of the process that serves: notes what the link asks of it."""
+    """The engine of the serving process; it records the calls that the handover source makes."""
 
     def __init__(self, memory: HandoverMessage) -> None:
         self.memory = memory
@@ -105,7 +105,7 @@
 
 
 class NewEngine:
-    """The engine of the process that takes over: notes what it hears."""
+    """The engine of the process that takes over; it records the calls it receives."""
 
     def __init__(self, successor: HandoverTarget) -> None:
         self.successor = successor
@@ -133,48 +133,50 @@
         self.notes.append("alone")
 
 
-def handed_table(h: SubmittedMessage) -> dict[str, object]:
+def handed_table(message: SubmittedMessage) -> dict[str, object]:
     return {
-        "id": h.id,
-        "class": h.class_name,
-        "destination": h.destination,
-        "due": h.due_us,
-        "key": h.key,
-        "order key": h.order_key,
-        "tenant": h.tenant,
-        "resent": h.resent,
-        "body": h.body.decode("latin-1"),
+        "id": message.id,
+        "class": message.class_name,
+        "destination": message.destination,
+        "due": message.due_us,
+        "key": message.key,
+        "order key": message.order_key,
+        "tenant": message.tenant,
+        "resent": message.resent,
+        "body": message.body.decode("latin-1"),
     }
 
 
-def ended_table(e: AttemptFinished) -> dict[str, object]:
-    report = e.load_report
+def ended_table(event: AttemptFinished) -> dict[str, object]:
+    report = event.load_report
     return {
-        "message": e.message_id,
-        "attempt": e.attempt,
-        "target": e.endpoint,
-        "outcome": e.outcome.value,
-        "took": e.duration_us,
-        "closed": e.message_closed,
-        "wait": e.retry_after_us,
+        "message": event.message_id,
+        "attempt": event.attempt,
+        "target": event.endpoint,
+        "outcome": event.outcome.value,
+        "took": event.duration_us,
+        "closed": event.message_closed,
+        "wait": event.retry_after_us,
         "report": None
         if report is None
         else [report.remaining_share, report.limit_per_s],
-        "weak": e.inconclusive,
+        "weak": event.inconclusive,
     }
 
 
-def action_table(a: Action) -> dict[str, object]:
-    if isinstance(a, RecordOutage):  # the simulator's wire has none
+def action_table(action: Action) -> dict[str, object]:
+    if isinstance(
+        action, RecordOutage
+    ):  # the simulator's wire format has no such action
         return {
             "type": "outage",
-            "target": a.endpoint,
-            "times": [a.started_at_us, a.recovered_at_us],
+            "target": action.endpoint,
+            "times": [action.started_at_us, action.recovered_at_us],
         }
-    return encode_action("n0", a)
+    return encode_action("n0", action)
 
 
-# What a dispatcher remembers
+# Dispatcher snapshots
 
 
 def played() -> World:
@@ -194,7 +196,10 @@
 
 
 def restored(memory: dict[str, object]) -> dict[str, object]:
-    """What a new dispatcher does that is told all, and what it remembers then."""
+    """Restores the messages and a snapshot in a new dispatcher.
+
+    Returns its actions, its calls in flight and its own snapshot afterwards.
+    """
     world = played()
     out = calls_out(world)
     dispatcher = Dispatcher(world.s, SEED, world.now)
@@ -208,7 +213,7 @@
 
 
 async def held() -> HandoverMessage:
-    """What a forwarder with such a dispatcher tells its successor."""
+    """Returns the snapshot that a forwarder with such a dispatcher sends to its successor."""
     with fixed_machine() as folder:
         engine = forwarder(folder)
         world = played()
@@ -229,7 +234,7 @@
         return line
 
 
-# The lines
+# Handover lines
 
 
 def lines(data: bytes) -> list[bytes]:
@@ -237,7 +242,7 @@
 
 
 def by_word(data: bytes) -> dict[str, bytes]:
-    """The first line of each kind."""
+    """Returns the first line of each type, by the word that names the type."""
     found: dict[str, bytes] = {}
     for line in lines(data):
         found.setdefault(next(iter(json.loads(line))), line)
@@ -247,55 +252,61 @@
 async def old_side(
     memory: HandoverMessage, from_new: bytes
 ) -> tuple[bytes, list[object]]:
-    """What the old process sends when it is sent these lines, and what it does."""
+    """Feeds the new process's lines to the source; returns its output and the engine calls."""
     engine = OldEngine(memory)
-    predecessor, notes, told = engine.predecessor, engine.notes, by_word(from_new)
+    predecessor, notes, lines_by_word = (
+        engine.predecessor,
+        engine.notes,
+        by_word(from_new),
+    )
     link = HandoverConnection(predecessor.on_message, predecessor.on_disconnect)
     link.transport = transport = RecordingTransport()
-    other = HandoverConnection(predecessor.on_message, predecessor.on_disconnect)
-    other.transport = refused = RecordingTransport()
-    link.data_received(told["ask"])
-    other.data_received(told["ask"])
-    link.data_received(told["prepared"])
+    second_link = HandoverConnection(predecessor.on_message, predecessor.on_disconnect)
+    second_link.transport = second_transport = RecordingTransport()
+    link.data_received(lines_by_word["ask"])
+    second_link.data_received(lines_by_word["ask"])
+    link.data_received(lines_by_word["prepared"])
     clients = [Client(handed.id, notes) for handed in HANDED]
     for handed, client in zip(HANDED, clients, strict=True):
         predecessor.submit(handed, client)
-    leave = clients[1].on_disconnect
-    assert leave is not None
-    leave()
+    on_disconnect = clients[1].on_disconnect
+    assert on_disconnect is not None
+    on_disconnect()
     for event in ENDED:
         predecessor.forward_outcome(event)
     rotate_client = Client("operator", notes)
     predecessor.set_detached("h1", True, rotate_client.answer)
     predecessor.reload()
-    for word in ("answer", "rotated", "cancel"):
-        link.data_received(told[word])
-    return transport.sent + refused.sent, notes
+    for line_type in ("answer", "rotated", "cancel"):
+        link.data_received(lines_by_word[line_type])
+    return transport.sent + second_transport.sent, notes
 
 
 async def new_side(from_old: bytes) -> tuple[bytes, list[object], HandoverMessage]:
-    """What the new process sends when it is sent these lines, what it hears, and what
-    it was told to remember."""
+    """Feeds the old process's lines to the target.
+
+    Returns its output, the engine calls and the snapshot it received.
+    """
     successor = HandoverTarget()
     successor.connection.transport = transport = RecordingTransport()
-    told = by_word(from_old)
-    for word, answer in (("ask", "memory"), ("prepared", "yours")):
-        request = asyncio.create_task(successor.send_request(word, 60.0))
+    lines_by_word = by_word(from_old)
+    for request_type, answer in (("ask", "memory"), ("prepared", "yours")):
+        request = asyncio.create_task(successor.send_request(request_type, 60.0))
         await asyncio.sleep(0)
-        successor.connection.data_received(told[answer])
+        successor.connection.data_received(lines_by_word[answer])
         assert await request
-    rest = [line for line in lines(from_old) if line not in told.values()]
-    rest = [told[w] for w in ("hand_in", "ended", "rotate", "reload")] + rest
+    rest = [line for line in lines(from_old) if line not in lines_by_word.values()]
+    rest = [lines_by_word[w] for w in ("hand_in", "ended", "rotate", "reload")] + rest
     for line in rest[:1]:
-        successor.connection.data_received(line)  # before there is an engine
+        successor.connection.data_received(line)  # arrives before an engine is attached
     engine = NewEngine(successor)
     successor.attach(engine)
-    for line in [*rest[1:], told["gone"]]:
+    for line in [*rest[1:], lines_by_word["gone"]]:
         successor.connection.data_received(line)
     with fixed_machine() as folder:
-        whole = forwarder(folder, successor)
-        message, attempt = next(iter(whole.remote_calls))
-        whole.complete_round(True, {}, [CancelAttempt(message, attempt)])
+        engine_with_calls = forwarder(folder, successor)
+        message, attempt = next(iter(engine_with_calls.remote_calls))
+        engine_with_calls.complete_round(True, {}, [CancelAttempt(message, attempt)])
     return transport.sent, engine.notes, successor.snapshot
 
 
@@ -335,11 +346,11 @@
 
 
 async def talk() -> References:
-    """Both sides, each answering the other's lines."""
+    """Runs both sides, each on the output of the other, and returns the references."""
     memory = await held()
-    asking = b'{"ask":true}\n{"prepared":true}\n'
-    rest = b'{"answer":[1,202,"",{}]}\n{"rotated":[3,200,""]}\n{"cancel":["m",0]}\n'
-    from_old, _ = await old_side(memory, asking + rest)
+    requests = b'{"ask":true}\n{"prepared":true}\n'
+    answers = b'{"answer":[1,202,"",{}]}\n{"rotated":[3,200,""]}\n{"cancel":["m",0]}\n'
+    from_old, _ = await old_side(memory, requests + answers)
     from_new, new_notes, _ = await new_side(from_old)
     from_old, old_notes = await old_side(memory, from_new)
     return {
--- a/tests/compatibility/journals.py
+++ b/tests/compatibility/journals.py
@@ -1,4 +1,4 @@
-"""Journal folders of both versions, and what recovery reads from them."""
+"""Journals of versions 1 and 2, and the state that recovery reads from them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 SECOND = 1_000_000
 BASE_US = 1_700_000_000 * SECOND
-"""What the monotonic clock lacks to Unix time; all recorded times are earlier."""
+"""Unix time minus the monotonic clock, in microseconds; all recorded times are earlier."""
 START_US = 1_600_000_000 * SECOND
 DUE_US = START_US + 50 * SECOND
 MOST_BYTES = 3_000_000
@@ -69,7 +69,7 @@
     "worth": 1.5,
     "late_worth": 0.25,
 }
-# Every record kind of version 1, also without the fields that were added to it later.
+# Every record type of version 1, with and without the fields that were added to it later.
 OLD_LINES: list[tuple[list[object], bytes]] = [
     (["rules", 0, 4, [OLD_CLASS, {**OLD_CLASS, "name": "b", "unheard": 1}]], b""),
     (["rules", 1, 5, [OLD_CLASS]], b""),
@@ -117,7 +117,7 @@
 
 @contextlib.contextmanager
 def fixed_machine() -> Iterator[Path]:
-    """A folder on a machine whose boot id and random numbers are always the same."""
+    """Yields an empty state folder, with a fixed boot id and fixed random bits."""
     with TemporaryDirectory() as name:
         boot_before, recovery.BOOT_ID_FILE = (
             recovery.BOOT_ID_FILE,
@@ -168,7 +168,7 @@
 
 
 def fill(store: MessageStore) -> None:
-    """Append every kind of record that a forwarder writes, in a fixed order."""
+    """Appends every record type that a forwarder writes, in a fixed order."""
     store.use_rules(DeliveryRules(6, CLASSES))
     store.append_endpoint_list(3, hosts(9), START_US, "127.0.0.1:9")
     store.append_endpoint_list(
@@ -212,25 +212,25 @@
 
 
 def written() -> References:
-    """The journal after a run of the program, after a checkpoint, and after its end."""
+    """Returns the journal after a run, after a checkpoint, after a close and after a reopening."""
     with fixed_machine() as folder:
         store = opened(folder)
         fill(store)
-        made: References = {"journal-2": journal_of(folder)}
+        references: References = {"journal-2": journal_of(folder)}
         store.compact()
-        made["journal-2-checkpoint"] = journal_of(folder)
+        references["journal-2-checkpoint"] = journal_of(folder)
         store.append_detached("h3", True)
         store.close()
-        made["journal-2-closed"] = journal_of(folder)
+        references["journal-2-closed"] = journal_of(folder)
         store = opened(folder)
         store.append_detached("h4", True)
         store.flush()
-        made["journal-2-again"] = journal_of(folder)
-    return made
+        references["journal-2-again"] = journal_of(folder)
+    return references
 
 
 def written_synced() -> References:
-    """The journal under the level that outlasts the machine."""
+    """Returns the journal written at the durability level that survives a power loss."""
     with fixed_machine() as folder:
         worker = Hands()
         store = opened(folder, worker=worker)
@@ -242,7 +242,7 @@
 
 
 def written_long_list() -> References:
-    """A list of so many hosts that its record is compressed."""
+    """Returns a journal with a list of 600 hosts, enough that its record is compressed."""
     with fixed_machine() as folder:
         store = opened(folder)
         store.append_endpoint_list(5, hosts(600), START_US, "127.0.0.1:9")
@@ -251,7 +251,7 @@
 
 
 def old_journal() -> References:
-    """Version 1, which this program reads only."""
+    """Returns a version 1 journal, a format that the program reads but no longer writes."""
     data = b""
     for line, body in OLD_LINES:
         payload = json.dumps(line, separators=(",", ":")).encode() + b"\n" + body
@@ -260,48 +260,48 @@
 
 
 def spoilt(data: bytes) -> bytes:
-    """With one attempt's record damaged."""
+    """Returns the journal with one attempt record damaged."""
     return data.replace(b'["a","flying",1', b'["a","flying",2', 1)
 
 
 def rewritten(data: bytes) -> References:
-    """What a start of this program makes of a journal of version 1."""
+    """Returns the version 2 journal that a start of the program writes from a version 1 one."""
     with fixed_machine() as folder:
         (folder / "journal").write_bytes(data)
         opened(folder)
         return {"journal-1-as-2": journal_of(folder)}
 
 
-def message_table(m: AcceptedMessage) -> dict[str, object]:
+def message_table(message: AcceptedMessage) -> dict[str, object]:
     return {
-        "id": m.id,
-        "class": m.class_name,
-        "destination": m.destination,
-        "due": m.deadline_us,
-        "key": m.idempotency_key,
-        "tenant": m.tenant,
-        "body": m.body.decode("latin-1"),
-        "order key": m.order_key,
-        "attempts": m.attempts,
-        "ran at": m.executed_at_us,
-        "ran on": m.executed_on,
-        "out": [[number, at, host] for number, (at, host) in m.in_flight.items()],
-        "rules": m.rules_number,
-        "doubt": m.in_doubt,
+        "id": message.id,
+        "class": message.class_name,
+        "destination": message.destination,
+        "due": message.deadline_us,
+        "key": message.idempotency_key,
+        "tenant": message.tenant,
+        "body": message.body.decode("latin-1"),
+        "order key": message.order_key,
+        "attempts": message.attempts,
+        "ran at": message.executed_at_us,
+        "ran on": message.executed_on,
+        "out": [[number, at, host] for number, (at, host) in message.in_flight.items()],
+        "rules": message.rules_number,
+        "doubt": message.in_doubt,
     }
 
 
-def class_table(c: MessageClass) -> dict[str, object]:
+def class_table(message_class: MessageClass) -> dict[str, object]:
     return {
-        "name": c.name,
-        "aim": c.latency_objective_us,
-        "deadline": c.deadline_us,
-        "effect": c.idempotency.value,
-        "scope": c.idempotency_scope.value,
-        "window": c.idempotency_window_us,
-        "in order": c.ordered,
-        "worth": c.priority_weight,
-        "late worth": c.late_priority_weight,
+        "name": message_class.name,
+        "aim": message_class.latency_objective_us,
+        "deadline": message_class.deadline_us,
+        "effect": message_class.idempotency.value,
+        "scope": message_class.idempotency_scope.value,
+        "window": message_class.idempotency_window_us,
+        "in order": message_class.ordered,
+        "worth": message_class.priority_weight,
+        "late worth": message_class.late_priority_weight,
     }
 
 
@@ -313,48 +313,53 @@
     }
 
 
-def report_table(r: RecoveryReport) -> dict[str, object]:
+def report_table(report: RecoveryReport) -> dict[str, object]:
     return {
-        "version": r.version,
-        "records": r.records,
-        "gaps": [list(gap) for gap in r.gaps],
-        "head damaged": r.head_damaged,
-        "torn": r.torn,
-        "unknown": r.unknown,
-        "doubted": r.doubted,
-        "ended": r.ended,
-        "lost": r.lost,
-        "another boot": r.another_boot,
-        "shifted": r.shifted_us,
-        "generation": r.generation,
-        "number": r.number,
-        "salt": r.salt,
-        "power": r.power,
+        "version": report.version,
+        "records": report.records,
+        "gaps": [list(gap) for gap in report.gaps],
+        "head damaged": report.head_damaged,
+        "torn": report.torn,
+        "unknown": report.unknown,
+        "doubted": report.doubted,
+        "ended": report.ended,
+        "lost": report.lost,
+        "another boot": report.another_boot,
+        "shifted": report.shifted_us,
+        "generation": report.generation,
+        "number": report.number,
+        "salt": report.salt,
+        "power": report.power,
     }
 
 
-def state_table(s: JournalState) -> dict[str, object]:
+def state_table(state: JournalState) -> dict[str, object]:
     return {
-        "messages": [message_table(m) for m in s.messages.values()],
+        "messages": [message_table(message) for message in state.messages.values()],
         "owed": {
-            name: owed_table(end) for name, end in s.pending_notifications.items()
+            name: owed_table(notification)
+            for name, notification in state.pending_notifications.items()
         },
-        "outages": {name: list(times) for name, times in s.outages.items()},
-        "hosts": s.hosts,
-        "detached": list(s.detached),
+        "outages": {name: list(times) for name, times in state.outages.items()},
+        "hosts": state.hosts,
+        "detached": list(state.detached),
         "rules": [
-            [number, rules.attempts, [class_table(c) for c in rules.classes]]
-            for number, rules in s.rules.items()
+            [
+                number,
+                rules.attempts,
+                [class_table(message_class) for message_class in rules.classes],
+            ]
+            for number, rules in state.rules.items()
         ],
-        "current rules": s.current_rules_number,
-        "list": [s.seq, s.source],
-        "clock": list(s.clock or ()),
-        "closed": s.closed_cleanly,
+        "current rules": state.current_rules_number,
+        "list": [state.seq, state.source],
+        "clock": list(state.clock or ()),
+        "closed": state.closed_cleanly,
     }
 
 
 def recovered(data: bytes) -> dict[str, object]:
-    """What a start of the program reads from a journal."""
+    """Returns the state and the recovery report that a start of the program reads."""
     with fixed_machine() as folder:
         (folder / "journal").write_bytes(data)
         store = opened(folder, write=False)
@@ -362,8 +367,8 @@
 
 
 def tool_output(data: bytes) -> list[object]:
-    """What the journal's tool prints of a folder."""
-    made: list[object] = []
+    """Runs the journal tool on a folder; returns each call with its exit code and output."""
+    results: list[object] = []
     with fixed_machine() as folder:
         (folder / "journal").write_bytes(data)
         for words in (["check"], ["show"], ["show", "--bodies"]):
@@ -371,8 +376,8 @@
             with contextlib.redirect_stdout(printed):
                 code = journal_tool([*words, str(folder)])
             logging.disable(logging.NOTSET)
-            made.append([*words, code, printed.getvalue()])
-    return made
+            results.append([*words, code, printed.getvalue()])
+    return results
 
 
 def payloads(data: bytes) -> list[str]:
@@ -395,7 +400,7 @@
     "journal-2:torn": lambda data: recovered(data[:-3]),
     "journal-2:damaged": lambda data: recovered(spoilt(data)),
 }
-"""What is recovered from which recorded file."""
+"""Reads by name: a recorded journal, or a damaged copy of one (`journal:damage`)."""
 TOOL = ("journal-1", "journal-2", "journal-2-checkpoint")
 
 
--- a/tests/compatibility/make.py
+++ b/tests/compatibility/make.py
@@ -1,6 +1,6 @@
-"""Make the reference data anew: `python -m tests.compatibility.make`.
+"""Regenerates the reference data: `python -m tests.compatibility.make`.
 
-Right only where a stored or sent form was meant to change.
+Run it only after an intended change of a stored or sent format.
 """
 
 from __future__ import annotations
--- a/tests/compatibility/members.py
+++ b/tests/compatibility/members.py
@@ -1,4 +1,4 @@
-"""A forwarder as a member of the fleet: heartbeats, the file for its successor."""
+"""A forwarder's fleet heartbeats, and the state file that it leaves for its successor."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 @dataclass
 class MachineClock:
-    """The clock that a member's lease goes by."""
+    """The monotonic clock of a member's lease, in microseconds, set by the test."""
 
     now_us: int = START_US
 
 
 @contextlib.contextmanager
 def fixed_member() -> Iterator[tuple[Path, MachineClock]]:
-    """A folder, on a machine whose clock stands still until it is moved."""
+    """Yields a state folder and a clock that advances only when the test sets it."""
     clock = MachineClock()
     with (
         fixed_machine() as folder,
@@ -58,7 +58,7 @@
 
 
 class ScriptedClient(HttpClient):
-    """Answers each call with the next of its answers and notes what was asked."""
+    """Answers each request with the next scripted answer and records the requests."""
 
     def __init__(self) -> None:
         super().__init__(Address("127.0.0.1", 9))
@@ -77,7 +77,7 @@
 
 
 def granted(sent: int, token: list[int], shares: dict[str, object]) -> bytes:
-    told = {
+    answer = {
         "token": token,
         "ttl_ms": 3000,
         "sent": sent,
@@ -88,7 +88,7 @@
         "members": MEMBERS,
         "shares": shares,
     }
-    return json.dumps(told).encode()
+    return json.dumps(answer).encode()
 
 
 def fewer(calls: int, number: int) -> dict[str, object]:
@@ -104,13 +104,13 @@
     (503, b""),
     (200, granted(7, [3, 91], SHARES)),
 ]
-"""To a member that waits for its name, joins, renews, loses its lease, and joins."""
+"""Heartbeat answers: name still held, join, renewal, lease lost, join, unavailable, renewal."""
 
 
 def share_table(event: QuotaChanged) -> list[object]:
-    spent = [list(entry) for entry in event.used]
-    numbers: list[object] = [event.destination, event.calls, event.window_us]
-    return [*numbers, event.expires_at_us, event.reserve_calls, spent]
+    used = [list(entry) for entry in event.used]
+    limits: list[object] = [event.destination, event.calls, event.window_us]
+    return [*limits, event.expires_at_us, event.reserve_calls, used]
 
 
 def books_table(books: FleetQuotas, now_us: int) -> dict[str, object]:
@@ -131,12 +131,12 @@
 
 
 async def beaten() -> References:
-    """Each heartbeat with its answer, the figures after it, and the files."""
+    """Returns each heartbeat with its answer and the metrics after it, and the state files."""
     with fixed_member() as (folder, clock):
         fleet, client = fleet_of(folder), ScriptedClient()
         fleet.write_state(fleet.quotas.records())
         files: References = {"fleet-file-start": (folder / "fleet.json").read_bytes()}
-        rounds: list[object] = []
+        heartbeats: list[object] = []
         for number, answer in enumerate(ANSWERS):
             client.answers.append(answer)
             fleet.record_demand(7, "order", "acme")
@@ -146,7 +146,7 @@
             for _ in range(3):
                 clock.now_us += 1_000
                 fleet.quotas.acquire_permit(7, clock.now_us)
-            rounds.append(
+            heartbeats.append(
                 [client.asked[-1], answer[1].decode(), fleet.metrics_report()]
             )
             if number == 2:
@@ -154,38 +154,42 @@
                 files[name] = (folder / "fleet.json").read_bytes()
         fleet.pause()
         files["fleet-file-closed"] = (folder / "fleet.json").read_bytes()
-        return files | {"heartbeats": rounds}
+        return files | {"heartbeats": heartbeats}
 
 
 FILES = ("fleet-file-start", "fleet-file-standing", "fleet-file-closed")
 
 
 async def taken_up(data: bytes) -> dict[str, object]:
-    """What a member goes by that finds this file, and its first heartbeat."""
+    """Returns the quotas that a member restores from a state file, and its first heartbeat."""
     with fixed_member() as (folder, clock):
         (folder / "fleet.json").write_bytes(data)
         clock.now_us += 7_000_000
         fleet, client = fleet_of(folder), ScriptedClient()
         table = books_table(fleet.quotas, clock.now_us)
         fleet.quotas.persisted = True
-        leaves = [fleet.quotas.acquire_permit(7, clock.now_us) for _ in range(6)]
+        permits = [fleet.quotas.acquire_permit(7, clock.now_us) for _ in range(6)]
         client.answers.append((503, b""))
         await fleet.send_heartbeat(client)
-        shown = [fleet.previous_token.epoch, fleet.previous_token.number]
-        more = {"shown": shown, "leaves": leaves, "beat": client.asked[-1][2]}
-        return table | more
+        previous_token = [fleet.previous_token.epoch, fleet.previous_token.number]
+        results = {
+            "shown": previous_token,
+            "leaves": permits,
+            "beat": client.asked[-1][2],
+        }
+        return table | results
 
 
 def many_records() -> QuotaRecords:
-    """So many that their file is compressed."""
+    """Returns 700 records, enough that their state file is compressed."""
     record = {"form": 1, "token": [3, 17], "number": 6, "reserve": 5, "whole": 100}
     return {n: {**record, "span_us": 500_000, "slack_us": 5_000} for n in range(700)}
 
 
 def long_file() -> bytes:
     with fixed_member() as (folder, _):
-        keep = StateFile(folder, False)
-        keep.write(*keep.encode(Token(3, 17), many_records()))
+        state_file = StateFile(folder, False)
+        state_file.write(*state_file.encode(Token(3, 17), many_records()))
         return (folder / "fleet.json").read_bytes()
 
 
@@ -196,12 +200,12 @@
 
 
 async def made_async() -> References:
-    made = await beaten()
+    references = await beaten()
     for name in FILES:
-        data = made[name]
+        data = references[name]
         assert isinstance(data, bytes)
-        made[f"{name}-read"] = await taken_up(data)
-    return made | {"fleet-file-long": long_file()}
+        references[f"{name}-read"] = await taken_up(data)
+    return references | {"fleet-file-long": long_file()}
 
 
 def made() -> References:
--- a/tests/compatibility/operators.py
+++ b/tests/compatibility/operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls of a forwarder, its log lines, and its HTTP beside them."""
+"""A forwarder's admin answers, log lines, HTTP messages and parsed settings."""
 
 from __future__ import annotations
 
@@ -33,18 +33,21 @@
 from tests.support.loopback_peers import SETTINGS
 
 MASKED = ("t_ns", "pid")
-"""Fields of a log line that differ from run to run."""
+"""Log line fields that vary between runs."""
 
 
-# Operators' calls
+# Admin calls
 
 
 def changed(*changes: tuple[str, object], **more: object) -> bytes:
-    """The configuration in force with other values at some paths; None drops a key."""
-    told = copy.deepcopy(told_config(**{"fleet": FLEET, **more}))
+    """Returns the encoded configuration with the values at some paths replaced.
+
+    A path separates its keys by `/`; None removes the key.
+    """
+    config = copy.deepcopy(told_config(**{"fleet": FLEET, **more}))
     for path, value in changes:
-        *outer, last = [int(w) if w.isdigit() else w for w in path.split("/")]
-        inner: object = told
+        *outer, last = [int(key) if key.isdigit() else key for key in path.split("/")]
+        inner: object = config
         for word in outer:
             assert isinstance(inner, dict | list)
             inner = inner[word]  # type: ignore[index]
@@ -52,7 +55,7 @@
         inner[last] = value  # type: ignore[index]
         if value is None:
             del inner[last]  # type: ignore[arg-type]
-    return json.dumps(told).encode()
+    return json.dumps(config).encode()
 
 
 BUDGET = {"destination": 7, "span_ms": 0, "calls": 5, "members": 4, "reserve": 5}
@@ -88,11 +91,11 @@
     b"",
     b"[]",
 ]
-"""Configurations that operators ask about; most have faults."""
+"""Bodies for /_config/check; most are invalid."""
 
 
 async def operators_calls() -> References:
-    """Answers to operators, and the keys of the figures."""
+    """Returns the admin calls with their answers, and the types of the metrics by key."""
     calls: list[object] = []
     admin, figures = AdminServer(), dict[str, object]()
 
@@ -102,8 +105,8 @@
                 figures.update(json.loads(text))
                 text = ""
             elif path == "/_config" and status is HTTPStatus.OK:
-                told = json.loads(text)
-                text = json.dumps({**told, "since": len(told["since"])})
+                answer = json.loads(text)
+                text = json.dumps({**answer, "since": len(answer["since"])})
             calls.append([method, path, body.decode(), status.value, text])
 
         admin.handle(method, path, body, answered)
@@ -140,7 +143,7 @@
 
 @contextlib.contextmanager
 def json_log(install_log: Callable[[], None]) -> Iterator[io.StringIO]:
-    """What is logged meanwhile, as it would come on standard error."""
+    """Yields the text logged in the meantime, as it would appear on standard error."""
     root, trace = logging.getLogger(), logging.getLogger("rainfall.trace")
     before, levels = root.handlers[:], (root.level, trace.level)
     root.handlers[:] = []
@@ -156,7 +159,7 @@
 
 
 def log_lines(text: str) -> list[dict[str, object]]:
-    """Lines as printed, without what differs from run to run."""
+    """Returns the decoded lines, with varying fields masked and journal lines left out."""
     lines: list[dict[str, object]] = [json.loads(line) for line in text.splitlines()]
     for line in lines:
         line |= {name: None for name in MASKED if name in line}
@@ -164,7 +167,7 @@
 
 
 async def message_lines() -> list[object]:
-    """The lines of a message's life, and of the fleet."""
+    """Returns the log lines of a message, from submission to its end, and of a fleet member."""
     with json_log(lambda: install_json_logging("n0")) as printed:
         with fixed_machine() as folder:
             engine = forwarder(folder, fleet=FLEET)
@@ -191,15 +194,15 @@
 
 
 async def registry_lines() -> list[object]:
-    """Each kind of line of the list service, with its keys."""
+    """Returns the event, level and keys of each type of list service log line."""
     with json_log(install_registry_log) as printed:
         await registries.written()
     lines = log_lines(printed.getvalue())
-    kinds = {json.dumps([x["event"], x["level"], sorted(x)]) for x in lines}
+    kinds = {json.dumps([line["event"], line["level"], sorted(line)]) for line in lines}
     return [json.loads(kind) for kind in sorted(kinds)]
 
 
-# What clients, targets and discovery are sent
+# Requests of clients, to endpoints and to discovery
 
 
 REQUEST = {
@@ -218,27 +221,29 @@
 
 
 def asked_of_clients() -> list[object]:
-    """How requests are read, and what is said of those at fault."""
+    """Returns each client request as parsed, or the error reported for it."""
     requests = [Request(5, "POST", f"/{name}", True, REQUEST) for name in CLASSES]
     for name in REQUEST:
         headers = {key: value for key, value in REQUEST.items() if key != name}
         requests.append(Request(5, "POST", "/order", True, headers))
         requests.append(Request(5, "POST", "/turns", True, headers | {name: "\x01"}))
     requests += [Request(5, "GET", "/order"), Request(5, "POST", "/odd")]
-    made: list[object] = []
+    results: list[object] = []
     for request in requests:
         try:
-            made.append(handed_table(parse_message(request, parse_settings(SETTINGS))))
+            results.append(
+                handed_table(parse_message(request, parse_settings(SETTINGS)))
+            )
         except BadRequestError as error:
-            made.append([str(part) for part in error.args])
-    return made
+            results.append([str(part) for part in error.args])
+    return results
 
 
 CLASSES = ("order", "status", "turns", "pay")
 
 
 async def sent_to_targets() -> bytes:
-    """A call of one message, one of several, and a post of notices."""
+    """Returns two single calls, a batch call and a post of notifications, as sent."""
     with fixed_machine() as folder:
         pool = forwarder(folder).pool
         pool.clock = lambda: 0
@@ -247,11 +252,16 @@
             CallItem("m2", 1, None, b"x", 0),
         ]
         data = b""
-        for some in (items[:1], items[1:], items):
-            opened = {item.id: item for item in some}
+        for call_items in (items[:1], items[1:], items):
+            opened = {item.id: item for item in call_items}
             data += pool.encode_call(
                 OutboundCall(
-                    1, ThrottleScopeKey(7, -1), 0, some, 2_500_000, open_items=opened
+                    1,
+                    ThrottleScopeKey(7, -1),
+                    0,
+                    call_items,
+                    2_500_000,
+                    open_items=opened,
                 )
             )
         names, body = encode_notifications(OWED)
@@ -297,40 +307,41 @@
 }
 
 
-def settings_table(s: Settings) -> dict[str, object]:
+def settings_table(settings: Settings) -> dict[str, object]:
     return {
-        "slots": s.max_in_flight,
-        "classes": [class_table(c) for c in s.classes],
+        "slots": settings.max_in_flight,
+        "classes": [class_table(message_class) for message_class in settings.classes],
         "kinds": [
-            [k.name, k.max_batch_size, k.endpoint_scoped] for k in s.destination_kinds
+            [kind.name, kind.max_batch_size, kind.endpoint_scoped]
+            for kind in settings.destination_kinds
         ],
-        "tenants": [[t.name, t.quota_per_s] for t in s.tenants],
-        "zone fees": dict(s.zone_costs),
-        "balancers": s.forwarder_count,
-        "most open": s.max_open_messages,
-        "most attempts": s.max_attempts,
+        "tenants": [[tenant.name, tenant.quota_per_s] for tenant in settings.tenants],
+        "zone fees": dict(settings.zone_costs),
+        "balancers": settings.forwarder_count,
+        "most open": settings.max_open_messages,
+        "most attempts": settings.max_attempts,
         "may": [
-            s.allow_parallel_attempts,
-            s.allow_cancel,
-            s.allow_health_checks,
-            s.send_retry_after,
+            settings.allow_parallel_attempts,
+            settings.allow_cancel,
+            settings.allow_health_checks,
+            settings.send_retry_after,
         ],
-        "most retry after": s.max_retry_after_us,
-        "subscribe": s.subscribe_endpoint_list,
-        "weights told": s.endpoint_weights_known,
-        "prices": [s.rejection_cost, s.over_quota_weight],
-        "late halves": s.late_weight_halves,
-        "graces": [s.answer_grace_us, s.drain_grace_us],
-        "ask within": s.poll_within_us,
+        "most retry after": settings.max_retry_after_us,
+        "subscribe": settings.subscribe_endpoint_list,
+        "weights told": settings.endpoint_weights_known,
+        "prices": [settings.rejection_cost, settings.over_quota_weight],
+        "late halves": settings.late_weight_halves,
+        "graces": [settings.answer_grace_us, settings.drain_grace_us],
+        "ask within": settings.poll_within_us,
         "overload": [
-            s.overload_factor,
-            s.overload_window_us,
-            s.cold_capacity_share,
-            s.warm_up_us,
+            settings.overload_factor,
+            settings.overload_window_us,
+            settings.cold_capacity_share,
+            settings.warm_up_us,
         ],
-        "key rest": s.key_backoff_us,
-        "connections": [s.connect_timeout_us, s.idle_connection_us],
-        "ends told": s.notifications_acknowledged,
+        "key rest": settings.key_backoff_us,
+        "connections": [settings.connect_timeout_us, settings.idle_connection_us],
+        "ends told": settings.notifications_acknowledged,
     }
 
 
--- a/tests/compatibility/references.py
+++ b/tests/compatibility/references.py
@@ -1,4 +1,4 @@
-"""Read and write the reference data: JSON values and bytes, in the folder `data`."""
+"""Reads and writes the reference data in the folder `data`: JSON values and bytes."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 LINE_LENGTH = 100
 
 Value = bytes | list[object] | dict[str, object]
-"""Bytes as they are stored or sent, or what a decoded form of them says."""
+"""Bytes as stored or sent, or a decoded form as a JSON value."""
 References = dict[str, Value]
 
 
 def escaped(data: bytes) -> str:
-    """Bytes as ASCII text. Line ends in the text stand for nothing."""
+    """Returns bytes as escaped ASCII text, broken into lines of LINE_LENGTH characters.
+
+    The line ends are not part of the data: `unescaped` removes them.
+    """
     text = data.decode("latin-1").encode("unicode_escape").decode()
     lines = (text[at : at + LINE_LENGTH] for at in range(0, len(text), LINE_LENGTH))
     return "\n".join(lines) + "\n"
@@ -36,7 +39,7 @@
 
 
 def kept_value(name: str) -> Value:
-    """The recorded reference of a name, whichever form it has."""
+    """Returns the reference recorded under a name: bytes from a .txt file, else a JSON value."""
     if (DATA / f"{name}.txt").exists():
         return kept_bytes(name)
     value: list[object] | dict[str, object] = json.loads(
@@ -46,6 +49,6 @@
 
 
 def as_read(value: object) -> object:
-    """A value as it comes back from JSON, for comparison with a recorded one."""
+    """Returns a value after a JSON round trip, for comparison with a recorded one."""
     decoded: object = json.loads(json.dumps(value))
     return decoded
--- a/tests/compatibility/registries.py
+++ b/tests/compatibility/registries.py
@@ -1,4 +1,4 @@
-"""The list service on a clock by hand: its calls with their answers, and its folder."""
+"""The list service on a manual clock: its calls with their answers, and its stored files."""
 
 from __future__ import annotations
 
@@ -54,14 +54,20 @@
 
 
 def host(name: str, **more: object) -> dict[str, object]:
-    """The registration of a host."""
-    told = {"op": "register", "host": name, "dial": "h:1", "site": "a", "class": "m"}
-    return told | {"block": 7, "share": 1.5, "born_ms": 9} | more
+    """Returns a register operation for a host."""
+    operation = {
+        "op": "register",
+        "host": name,
+        "dial": "h:1",
+        "site": "a",
+        "class": "m",
+    }
+    return operation | {"block": 7, "share": 1.5, "born_ms": 9} | more
 
 
 @dataclass
 class Run:
-    """A service in this process, and its calls until now."""
+    """A list service in this process, and the calls made so far with their answers."""
 
     service: RegistryServer
     parts: FleetServices
@@ -72,24 +78,32 @@
     async def call(
         self, door: str, method: str, path: str, body: object = None, match: str = ""
     ) -> dict[str, object]:
-        """One call, noted with its answer, which is returned decoded."""
-        told = b"" if body is None else body
-        data = told if isinstance(told, bytes) else json.dumps(told).encode()
+        """Makes and records one call; returns the decoded answer, or {} if it is not an object."""
+        body_or_empty = b"" if body is None else body
+        data = (
+            body_or_empty
+            if isinstance(body_or_empty, bytes)
+            else json.dumps(body_or_empty).encode()
+        )
         reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[door])
         head = f"{method} {path} HTTP/1.1\r\nHost: r\r\nContent-Length: {len(data)}"
         writer.write(f"{head}\r\nIf-Match: {match}\r\n\r\n".encode() + data)
-        first, headers, answer = await read_message(reader)
+        status_line, headers, answer = await read_message(reader)
         writer.close()
-        kept = [headers.get(name) for name in ("content-type", "etag", "retry-after")]
-        asked = [door, method, path, data.decode(), match]
-        self.calls.append([asked, int(first.split()[1]), kept, answer.decode()])
+        kept_headers = [
+            headers.get(name) for name in ("content-type", "etag", "retry-after")
+        ]
+        request = [door, method, path, data.decode(), match]
+        self.calls.append(
+            [request, int(status_line.split()[1]), kept_headers, answer.decode()]
+        )
         await self.settle()
-        found = json.loads(answer) if answer.startswith(b"{") else {}
-        assert isinstance(found, dict)
-        return found
+        decoded = json.loads(answer) if answer.startswith(b"{") else {}
+        assert isinstance(decoded, dict)
+        return decoded
 
     async def settle(self) -> None:
-        """Until all that is due is planned and written."""
+        """Waits until everything that is due is planned and written."""
         for _ in range(2):
             self.parts.fleet.plan_scheduler.schedule_soon(0)
             await asyncio.wait(
@@ -103,7 +117,7 @@
         sent: int = 1,
         more: dict[str, object] | None = None,
     ) -> dict[str, object]:
-        """A member's heartbeat; the clock moves on first."""
+        """Advances the clock by 100 ms and sends a member's heartbeat."""
         self.clock.now_us += 100_000
         body = {"name": name, "site": "a", "dial": f"{name}:1", "token": token}
         body |= {"sent": sent, "run": f"{name}-1", **(more or {})}
@@ -138,9 +152,9 @@
 
 
 async def play(run: Run) -> None:
-    """Every call of the service, also with faults."""
+    """Makes every call of the service, including invalid ones."""
     await play_list(run)
-    await run.beat("f1")  # nobody knows what went before
+    await run.beat("f1")  # earlier grants are not known yet
     run.clock.now_us += 2 * LEASE_US
     await run.call("write", "PUT", "/v1/budgets", {"budgets": [WRONG], "more": 1})
     await run.call("write", "PUT", "/v1/budgets", {"budgets": [BUDGET]})
@@ -186,34 +200,38 @@
 
 async def play_beats(run: Run) -> None:
     await run.call("fleet", "POST", "/v1/fleet/beat", {"name": "", "token": [1]})
-    wrong: dict[str, object] = {"needs": {"7": {"x": -1}}, "holds": {"7": [1]}}
-    await run.beat("f1", more=wrong | {"map": -1, "gave": ["x"]})
+    invalid_report: dict[str, object] = {"needs": {"7": {"x": -1}}, "holds": {"7": [1]}}
+    await run.beat("f1", more=invalid_report | {"map": -1, "gave": ["x"]})
     needs: dict[str, object] = {"needs": {"7": {"order/acme": 40, "pay": 2}}}
     f1 = (await run.beat("f1", more=needs))["token"]
     shown: dict[str, object] = {"shown": [1, 1], "keeps": {"7": 5}, "seen": [1, 1]}
     f2 = (await run.beat("f2", more={"needs": {"7": 9}} | shown))["token"]
-    noted = len(run.calls)
-    for sent in range(2, 10):  # nothing is divided for a whole lease after a start
+    call_count = len(run.calls)
+    for sent in range(
+        2, 10
+    ):  # no quota is granted for one lease duration after a start
         await run.beat("f1", f1, sent, needs)
         await run.beat("f2", f2, sent, {"needs": {"7": 9}})
-    del run.calls[noted:]
+    del run.calls[call_count:]
     await run.call("write", "PUT", "/v1/map", OVERLAP)
     await run.call("write", "PUT", "/v1/map", HALVES, "0")
     await run.call("write", "PUT", "/v1/map", HALVES, "7")
     await run.beat("f1", f1, 12, needs | {"map": 0})
     digest = format_key(checked_map(HALVES).digest())
-    has: dict[str, object] = {"map": 1, "digest": digest}
-    told = await run.beat("f1", f1, 13, needs | has)
-    await run.beat("f2", f2, 12, {"needs": {"7": 9}} | has)
-    shares = told["shares"]
+    map_report: dict[str, object] = {"map": 1, "digest": digest}
+    answer = await run.beat("f1", f1, 13, needs | map_report)
+    await run.beat("f2", f2, 12, {"needs": {"7": 9}} | map_report)
+    shares = answer["shares"]
     assert isinstance(shares, dict)
     holds = {"7": [shares["7"]["calls"], shares["7"]["number"]]}
-    await run.beat("f1", f1, 14, {"holds": holds, "list": told["list"]} | has)
+    await run.beat("f1", f1, 14, {"holds": holds, "list": answer["list"]} | map_report)
     await run.call("write", "POST", "/v1/map/move", {"from": "x", "strange": 1})
     await run.call("write", "POST", "/v1/map/move", MOVE)
-    gave: dict[str, object] = {"gave": [f"{MOVE['from']}-{MOVE['to']}"]}
-    await run.beat("f1", f1, 15, gave | {"map": 2, "digest": "0" * 16})
-    await run.beat("f1", f1, 15, has)  # sent before
+    given_up: dict[str, object] = {"gave": [f"{MOVE['from']}-{MOVE['to']}"]}
+    await run.beat("f1", f1, 15, given_up | {"map": 2, "digest": "0" * 16})
+    await run.beat(
+        "f1", f1, 15, map_report
+    )  # an outdated heartbeat: its number was already used
     f3 = (await run.beat("f3"))["token"]
     await run.beat("f3", f3, 2, {"leave": True})
     await run.beat("f3", f3, 3)
@@ -223,32 +241,36 @@
 
 
 async def play_leases(run: Run) -> None:
-    ask: dict[str, object] = {"holder": "p1", "ttl_ms": 900, "note": {"k": "v"}}
-    told = await run.call("fleet", "POST", "/v1/leases/work/a/acquire", ask)
-    token = {"token": told["token"]}
-    other = ask | {"holder": "p2"}
-    await run.call("fleet", "POST", "/v1/leases/work/a/acquire", other)
+    acquire_body: dict[str, object] = {
+        "holder": "p1",
+        "ttl_ms": 900,
+        "note": {"k": "v"},
+    }
+    answer = await run.call("fleet", "POST", "/v1/leases/work/a/acquire", acquire_body)
+    token = {"token": answer["token"]}
+    other_holder = acquire_body | {"holder": "p2"}
+    await run.call("fleet", "POST", "/v1/leases/work/a/acquire", other_holder)
     await run.call("fleet", "POST", "/v1/leases/work/a/renew", token)
     await run.call("fleet", "POST", "/v1/leases/work/a/renew", {"token": [1, 1]})
-    told = await run.call("fleet", "POST", "/v1/leases/work/b/acquire", ask)
-    token = {"token": told["token"]}
+    answer = await run.call("fleet", "POST", "/v1/leases/work/b/acquire", acquire_body)
+    token = {"token": answer["token"]}
     await run.call("fleet", "POST", "/v1/leases/work/b/release", token)
     await run.call("fleet", "POST", "/v1/leases/work/b/release", token)
-    await run.call("fleet", "POST", "/v1/leases/work/c/acquire", ask)
+    await run.call("fleet", "POST", "/v1/leases/work/c/acquire", acquire_body)
     await run.call("write", "POST", "/v1/leases/work/c/revoke", {})
     await run.call("write", "POST", "/v1/leases/work/d/revoke", {})
-    await run.call("fleet", "POST", "/v1/leases/member/f1/acquire", ask)
-    bad = {"holder": "", "ttl_ms": 0, "note": {"k": 1}, "seen": [1]}
-    await run.call("fleet", "POST", "/v1/leases/work/a/acquire", bad)
+    await run.call("fleet", "POST", "/v1/leases/member/f1/acquire", acquire_body)
+    invalid_body = {"holder": "", "ttl_ms": 0, "note": {"k": 1}, "seen": [1]}
+    await run.call("fleet", "POST", "/v1/leases/work/a/acquire", invalid_body)
 
 
 def folder_of(folder: Path) -> References:
-    """The files of a folder, by name."""
+    """Returns the contents of a folder's files, by name."""
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
 
 
 def keys_of(value: object) -> object:
-    """Which keys figures have, and of which kind each value is."""
+    """Returns metrics with each value replaced by the name of its type."""
     if isinstance(value, dict):
         return {key: keys_of(inner) for key, inner in value.items()}
     if isinstance(value, list):
@@ -257,12 +279,12 @@
 
 
 def masked(metrics: str) -> str:
-    """The text of metrics without the values of samples."""
+    """Returns a metrics text with the sample values masked."""
     return re.sub(r"(?m)^([^#].*) [0-9.e+]+$", r"\1 #", metrics)
 
 
 async def written() -> References:
-    """All calls, the figures after them, the folder with logs, and with snapshots."""
+    """Returns all calls, the metrics after them, and the files before and after a snapshot."""
     with TemporaryDirectory() as name:
         folder = Path(name)
         async with running(folder) as run:
@@ -276,26 +298,29 @@
                 f"registry-log-{file}": data for file, data in folder_of(folder).items()
             }
             fleet = run.parts.fleet
-            riders = {
-                name: rider.snapshot() for name, rider in fleet.extensions.items()
+            extensions = {
+                name: extension.snapshot()
+                for name, extension in fleet.extensions.items()
             }
             run.service.storage.write_snapshot(run.service.registry)
-            fleet.fleet_log.compact({LEASE_TABLE: fleet.table.snapshot(), **riders})
+            fleet.fleet_log.compact({LEASE_TABLE: fleet.table.snapshot(), **extensions})
             parts |= {
                 f"registry-snapshot-{file}": data
                 for file, data in folder_of(folder).items()
             }
-        shown: list[object] = [last[2], *masked(last[3]).splitlines()]
-        told: dict[str, object] = {name: keys_of(v) for name, v in figures.items()}
+        metrics_answer: list[object] = [last[2], *masked(last[3]).splitlines()]
+        metric_keys: dict[str, object] = {
+            name: keys_of(v) for name, v in figures.items()
+        }
         return parts | {
             "registry-calls": calls,
-            "registry-vars": told,
-            "registry-metrics": shown,
+            "registry-vars": metric_keys,
+            "registry-metrics": metrics_answer,
         }
 
 
 async def taken_up(files: dict[str, bytes]) -> list[object]:
-    """What a service that starts on these files tells, and how it goes on."""
+    """Starts a service on these files; returns its calls, reads first and then heartbeats."""
     with TemporaryDirectory() as name:
         folder = Path(name)
         for file, data in files.items():
@@ -312,7 +337,7 @@
 
 
 def stored(made: References, kind: str) -> dict[str, bytes]:
-    """The recorded files of one kind of folder, `log` or `snapshot`."""
+    """Returns the recorded files of one kind of folder, `log` or `snapshot`, by file name."""
     found: dict[str, bytes] = {}
     for name in FILES:
         data = made.get(f"registry-{kind}-{name}")
--- a/tests/compatibility/shards.py
+++ b/tests/compatibility/shards.py
@@ -1,4 +1,4 @@
-"""Shard map files: as the tool plans and checks them, and their digests."""
+"""Shard map files: the shard tool's output on them, and their digests."""
 
 from __future__ import annotations
 
@@ -43,33 +43,37 @@
 
 
 def tool_calls(folder: Path) -> list[object]:
-    """What the tool prints, and its exit codes."""
+    """Runs the shard tool; returns each call with its exit code, stdout and stderr."""
     (folder / "members").write_text('["n1", "n2", "n3"]')
     (folder / "fewer").write_text('["n1", "n2"]')
     (folder / "bad").write_text(json.dumps(BAD))
     (folder / "flipped").write_text(json.dumps(FLIPPED))
-    made: list[object] = []
+    results: list[object] = []
     for call in CALLS:
         words = [
-            str(folder / word) if word.islower() and word.isalpha() and n > 0 else word
-            for n, word in enumerate(call.split())
+            str(folder / word)
+            if word.islower() and word.isalpha() and position > 0
+            else word
+            for position, word in enumerate(call.split())
         ]
         out, err = io.StringIO(), io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             code = shard_tool(words)
         printed = [text.getvalue().replace(f"{folder}/", "") for text in (out, err)]
-        made.append([call, code, *printed])
-    return made
+        results.append([call, code, *printed])
+    return results
 
 
 def digests(files: dict[str, bytes]) -> list[object]:
-    """Each map as it is read: generation, digest, who owns some keys."""
-    told: list[object] = []
+    """Returns the name, generation, digest and 16 evenly spaced keys' owners of each map."""
+    tables: list[object] = []
     for name, data in files.items():
-        read = checked_map(decode_json(data))
-        owners = [read.owner(key << 60) for key in range(16)]
-        told.append([name, read.generation, format_key(read.digest()), owners])
-    return told
+        shard_map = checked_map(decode_json(data))
+        owners = [shard_map.owner(key << 60) for key in range(16)]
+        tables.append(
+            [name, shard_map.generation, format_key(shard_map.digest()), owners]
+        )
+    return tables
 
 
 FILES = ("first", "second", "loaded")
--- a/tests/compatibility/test_journals.py
+++ b/tests/compatibility/test_journals.py
@@ -1,4 +1,6 @@
-"""Recorded journals are recovered as before, and written byte for byte as before."""
+"""Checks that recorded journals are recovered with the recorded values and that the same
+operations write the recorded bytes.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +14,19 @@
 
 
 @pytest.mark.parametrize("name", journals.READ)
-def test_a_recorded_journal_is_recovered_value_by_value(name: str) -> None:
+def test_recorded_journal_is_recovered_with_the_recorded_values(name: str) -> None:
     data = kept_bytes(name.partition(":")[0])
     expected = kept_value(f"{name.replace(':', '-')}-read")
     assert as_read(journals.READ[name](data)) == expected
 
 
-def test_the_same_operations_give_the_same_journal() -> None:
+def test_same_operations_write_the_recorded_journal() -> None:
     for name, data in {**journals.written(), **journals.written_synced()}.items():
         assert data == kept_bytes(name), name
 
 
-def test_a_long_list_is_read_and_written_compressed() -> None:
-    """Of the compressed record the contents count: the bytes are zlib's."""
+def test_long_endpoint_list_is_read_and_written_compressed() -> None:
+    """Compares the decompressed records: the compressed bytes depend on the zlib version."""
     data = kept_bytes("journal-2-long-list")
     read, again = JournalState(), JournalState()
     for payload in journals.payloads(data):
@@ -51,13 +53,13 @@
     assert again.hosts == read.hosts
 
 
-def test_a_journal_of_version_1_is_written_anew_as_version_2() -> None:
+def test_version_1_journal_is_rewritten_as_version_2() -> None:
     fresh = journals.rewritten(kept_bytes("journal-1"))
     assert fresh["journal-1-as-2"] == kept_bytes("journal-1-as-2")
 
 
 @pytest.mark.parametrize("name", journals.TOOL)
-def test_the_journal_tool_prints_the_same(name: str) -> None:
+def test_journal_tool_prints_the_recorded_output(name: str) -> None:
     shown = journals.tool_output(kept_bytes(name))
     assert as_read(shown) == kept_value(f"{name}-shown")
 
@@ -66,11 +68,11 @@
     return sorted(path.name for path in folder.iterdir())
 
 
-def test_files_in_the_state_folder_keep_their_names() -> None:
+def test_state_folder_file_names_are_unchanged() -> None:
     with journals.fixed_machine() as folder:
         journals.fill(journals.opened(folder))
         assert names_in(folder) == ["journal"]
-        (folder / "journal.new").touch()  # what an interrupted checkpoint left
+        (folder / "journal.new").touch()  # left over by an interrupted checkpoint
         (folder / "journal").write_bytes(journals.spoilt(kept_bytes("journal-2")))
         journals.opened(folder)
         assert names_in(folder) == ["journal", "journal.damaged"]
--- a/tests/compatibility/test_members.py
+++ b/tests/compatibility/test_members.py
@@ -1,4 +1,6 @@
-"""Heartbeats, the successor's file, peer frames and session records are as recorded."""
+"""Checks heartbeats, the fleet state file, peer frames and session records against
+recorded data.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +16,13 @@
 from tests.compatibility.references import as_read, kept_bytes, kept_value
 
 
-def test_heartbeats_and_the_successor_s_file_are_the_recorded_ones() -> None:
+def test_heartbeats_and_fleet_state_file_equal_the_recorded_ones() -> None:
     for name, value in asyncio.run(members.beaten()).items():
         found = value if isinstance(value, bytes) else as_read(value)
         assert found == kept_value(name), name
 
 
-def test_the_recorded_heartbeats_say_all_that_a_heartbeat_can() -> None:
+def test_recorded_heartbeats_cover_every_key() -> None:
     rounds = kept_value("heartbeats")
     keys: set[str] = set()
     for row in rounds:
@@ -43,12 +45,12 @@
 
 
 @pytest.mark.parametrize("name", members.FILES)
-def test_a_recorded_file_is_taken_up(name: str) -> None:
+def test_recorded_fleet_state_file_is_restored(name: str) -> None:
     found = asyncio.run(members.taken_up(kept_bytes(name)))
     assert as_read(found) == kept_value(f"{name}-read")
 
 
-def test_a_long_file_is_compressed_and_read() -> None:
+def test_long_fleet_state_file_is_compressed_and_read() -> None:
     kept = kept_bytes("fleet-file-long")
     assert zlib.decompress(members.long_file()) == zlib.decompress(kept)
     token, records = members.read_file(kept)
@@ -56,18 +58,20 @@
     assert records == members.many_records()
 
 
-def test_frames_are_sent_and_heard_as_recorded() -> None:
+def test_peer_frames_are_encoded_and_decoded_as_recorded() -> None:
     assert frames.sent() == kept_bytes("peer-frames")
     assert frames.heard(kept_bytes("peer-frames")) == frames.FRAMES
     assert {type(frame) for frame in frames.FRAMES} == set(AnyFrame.__args__)
 
 
-def test_session_records_are_written_and_read_as_recorded() -> None:
+def test_session_records_are_encoded_and_decoded_as_recorded() -> None:
     assert frames.packed(frames.RECORDS) == kept_bytes("session-records")
     assert frames.unpacked(kept_bytes("session-records")) == frames.RECORDS
     assert {type(record) for record in frames.RECORDS} == set(AnyRecord.__args__)
 
 
-def test_tables_of_sites_are_read_and_their_faults_named_as_recorded() -> None:
+def test_session_configurations_are_parsed_and_their_errors_reported_as_recorded() -> (
+    None
+):
     found = [frames.read_table(raw) for raw in frames.TABLES]
     assert as_read(found) == kept_value("session-tables")
--- a/tests/compatibility/test_operators.py
+++ b/tests/compatibility/test_operators.py
@@ -1,4 +1,6 @@
-"""Answers to operators, log lines, HTTP and the simulator's wire are as recorded."""
+"""Checks admin answers, log lines, HTTP messages and the simulator's wire format against
+recorded data.
+"""
 
 from __future__ import annotations
 
@@ -11,40 +13,42 @@
 from tests.compatibility.references import as_read, kept_bytes, kept_value
 
 
-def test_operators_are_answered_and_figures_have_the_keys_as_recorded() -> None:
+def test_admin_answers_and_metric_keys_equal_the_recorded_ones() -> None:
     for name, value in asyncio.run(operators.operators_calls()).items():
         assert as_read(value) == kept_value(name), name
 
 
-def test_log_lines_of_a_forwarder_are_the_recorded_ones() -> None:
-    """The loggers bear the package's present name; their parts are as recorded."""
+def test_forwarder_log_lines_equal_the_recorded_ones() -> None:
+    """The recorded logger names start with the former package name, which is replaced before
+    the comparison.
+    """
     found = asyncio.run(operators.message_lines())
     text = json.dumps(kept_value("log-forwarder"))
     text = text.replace('"logger": "lemonshunt.', '"logger": "rainfall.')
     assert as_read(found) == json.loads(text)
 
 
-def test_log_lines_of_the_list_service_have_the_recorded_keys() -> None:
+def test_list_service_log_lines_have_the_recorded_keys() -> None:
     found = asyncio.run(operators.registry_lines())
     assert as_read(found) == kept_value("log-registry")
 
 
-def test_requests_are_read_and_sent_as_recorded() -> None:
+def test_client_requests_are_parsed_and_endpoint_requests_encoded_as_recorded() -> None:
     assert as_read(operators.asked_of_clients()) == kept_value("requests-read")
     assert asyncio.run(operators.sent_to_targets()) == kept_bytes("requests-sent")
 
 
-def test_settings_are_read_from_the_configuration_s_facts_as_recorded() -> None:
+def test_settings_are_parsed_from_the_configuration_as_recorded() -> None:
     assert as_read(operators.settings_read()) == kept_value("settings-read")
 
 
-def test_the_recorded_input_has_the_recorded_output() -> None:
+def test_recorded_wire_input_gives_the_recorded_output() -> None:
     text = kept_bytes("wire-input").decode()
     assert wires.output(text).encode() == kept_bytes("wire-output")
     assert as_read(wires.actions()) == kept_value("wire-actions")
 
 
-def test_every_kind_of_event_and_action_is_recorded() -> None:
+def test_recorded_wire_covers_every_event_and_action_type() -> None:
     sent = kept_bytes("wire-input").decode()
     assert wires.types_in(sent, "inbox") == {
         "TABLE",
--- a/tests/compatibility/test_registries.py
+++ b/tests/compatibility/test_registries.py
@@ -1,4 +1,4 @@
-"""The list service answers, and writes and reads its folder, as recorded."""
+"""Checks the list service's answers and stored files, and shard maps, against recorded data."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.compatibility.references import References, as_read, kept_bytes, kept_value
 
 
-def test_every_call_has_the_recorded_answer_and_leaves_the_recorded_folder() -> None:
+def test_list_service_answers_and_stored_files_equal_the_recorded_ones() -> None:
     for name, value in asyncio.run(registries.written()).items():
         found = value if isinstance(value, bytes) else as_read(value)
         assert found == kept_value(name), name
 
 
 @pytest.mark.parametrize("kind", ["log", "snapshot"])
-def test_a_recorded_folder_is_taken_up(kind: str) -> None:
+def test_list_service_starts_from_the_recorded_files(kind: str) -> None:
     files: References = {
         name: kept_bytes(name)
         for name in (f"registry-{kind}-{file}" for file in registries.FILES)
@@ -27,7 +27,7 @@
     assert as_read(found) == kept_value(f"registry-{kind}-read")
 
 
-def test_shard_maps_are_planned_checked_and_read_as_recorded() -> None:
+def test_shard_maps_are_planned_validated_and_read_as_recorded() -> None:
     for name, value in shards.made().items():
         found = value if isinstance(value, bytes) else as_read(value)
         assert found == kept_value(name), name
--- a/tests/compatibility/wires.py
+++ b/tests/compatibility/wires.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: input lines with their output lines."""
+"""Input and output lines of the simulator's wire format."""
 
 from __future__ import annotations
 
@@ -36,7 +36,9 @@
     "Ignored",
 ]
 TIMES_US = (*[1_000] * 6, 90_000, 500_000, 8_000_000)
-"""How long attempts take; the last are silent until they are abandoned."""
+"""Durations of attempts, in microseconds; attempts of the longest get no result before they
+are canceled.
+"""
 ACTIONS: list[Action] = [
     SendMessage("m1", 5, 700),
     RejectMessage("m1", 300, "late"),
@@ -59,8 +61,8 @@
 
 
 def up(name: str) -> list[Event]:
-    told: Event = {"type": "UP", "forwarder_id": name, "entropy": 7, "facts": facts()}
-    return [told, listed(name, "SAVED")]
+    event: Event = {"type": "UP", "forwarder_id": name, "entropy": 7, "facts": facts()}
+    return [event, listed(name, "SAVED")]
 
 
 def listed(name: str, how: str, buffer: int = 0) -> Event:
@@ -83,11 +85,11 @@
     return [serving, *up(NAMES[0]), *up(NAMES[1]), bad, {"type": "NEVER_HEARD"}]
 
 
-def odd_events(r: Random, number: int) -> list[Event]:
-    """What lists, clients and probes do now and then."""
-    name = r.choice(NAMES)
+def odd_events(random: Random, number: int) -> list[Event]:
+    """Returns occasional events: list changes, client disconnects, health checks, restarts."""
+    name = random.choice(NAMES)
     checked: Event = {"type": "CHECK_RESULT", "forwarder_id": name, "target": 5}
-    some: list[list[Event]] = [
+    choices: list[list[Event]] = [
         [table(1, "SERVING", "DRAINING", "DELETED"), listed(name, "INCREMENTAL", 1)],
         [table(2, "SERVING", "SERVING", "SERVING"), listed(name, "FULL", 2)],
         [{"type": "MEMBERS", "forwarder_id": name, "how": "FAILED"}],
@@ -96,54 +98,64 @@
         [{"type": "DEADLINE_HIT", "forwarder_id": name, "token": "look"}],
         [{"type": "DOWN", "forwarder_id": name}, *up(name)],
     ]
-    return r.choice(some) if r.random() < 0.4 else []
+    return random.choice(choices) if random.random() < 0.4 else []
 
 
 def input_lines() -> list[str]:
-    """What a simulator might send, in answer to what it is sent."""
-    r, host, now, number = Random(SEED), WireHost(), 0, 0
-    out: list[tuple[int, Event]] = []
-    tries: dict[str, int] = {}
+    """Returns a simulator's input lines; each depends on the output for the lines before."""
+    random, host, now, number = Random(SEED), WireHost(), 0, 0
+    pending: list[tuple[int, Event]] = []
+    attempt_numbers: dict[str, int] = {}
     lines: list[str] = []
     for turn in range(ROUNDS):
-        inbox = first_events() if not turn else odd_events(r, number)
-        for _ in range(r.randrange(5)):
+        inbox = first_events() if not turn else odd_events(random, number)
+        for _ in range(random.randrange(5)):
             number += 1
-            sort = r.choice(("order", "status", "turns", "pay"))
-            life = r.choice((30_000, 400_000, 9_000_000))
-            asked: Event = {"type": "ASK", "forwarder_id": r.choice(NAMES)}
-            asked |= {"msg_id": f"m{number}", "dest": r.choice((57, 57, 58))}
-            asked |= {"class": sort, "due_us": now + life, "account": "acme"}
-            inbox.append(asked | {"route_key": "k" if sort == "turns" else None})
-        inbox += [event for at, event in out if at <= now]
-        out = [(at, event) for at, event in out if at > now]
+            class_name = random.choice(("order", "status", "turns", "pay"))
+            lifetime_us = random.choice((30_000, 400_000, 9_000_000))
+            ask_event: Event = {"type": "ASK", "forwarder_id": random.choice(NAMES)}
+            ask_event |= {"msg_id": f"m{number}", "dest": random.choice((57, 57, 58))}
+            ask_event |= {
+                "class": class_name,
+                "due_us": now + lifetime_us,
+                "account": "acme",
+            }
+            inbox.append(
+                ask_event | {"route_key": "k" if class_name == "turns" else None}
+            )
+        inbox += [event for at, event in pending if at <= now]
+        pending = [(at, event) for at, event in pending if at > now]
         lines.append(json.dumps({"clock_us": now, "inbox": inbox}))
-        for done in json.loads(host.handle_line(lines[-1]))["do"]:
-            if done["type"] == "ISSUE":
-                out.append(ended(r, now, done, tries))
-            elif done["type"] == "ABANDON":
-                out = [(at, e | canceled(e, done)) for at, e in out]
-        now += r.choice((1_000, 20_000, 60_000, 300_000))
+        for action in json.loads(host.handle_line(lines[-1]))["do"]:
+            if action["type"] == "ISSUE":
+                pending.append(ended(random, now, action, attempt_numbers))
+            elif action["type"] == "ABANDON":
+                pending = [
+                    (at, queued | canceled(queued, action)) for at, queued in pending
+                ]
+        now += random.choice((1_000, 20_000, 60_000, 300_000))
     return lines
 
 
 def ended(
-    r: Random, now: int, issued: Event, tries: dict[str, int]
+    random: Random, now: int, issued: Event, attempt_numbers: dict[str, int]
 ) -> tuple[int, Event]:
-    """When and how an attempt ends."""
-    result, took = r.choice(RESULTS), r.choice(TIMES_US)
-    name = f"{issued['forwarder_id']} {issued['msg_id']}"
-    number = tries[name] = tries.get(name, -1) + 1
+    """Returns the time at which an issued attempt ends, and its result event."""
+    result, took_us = random.choice(RESULTS), random.choice(TIMES_US)
+    attempt_key = f"{issued['forwarder_id']} {issued['msg_id']}"
+    number = attempt_numbers[attempt_key] = attempt_numbers.get(attempt_key, -1) + 1
     event: Event = {"type": "CLOSED_ATTEMPT", "forwarder_id": issued["forwarder_id"]}
     event |= {"msg_id": issued["msg_id"], "try": number, "target": issued["target"]}
-    event |= {"result": result, "lag_us": took, "closed": result == "Ok"}
-    wait_ms = r.choice((0, 40.5)) if result == "QueueFull" else 0
-    return now + took, event | {"wait_ms": wait_ms, "telemetry": [0.5, 99.0]}
+    event |= {"result": result, "lag_us": took_us, "closed": result == "Ok"}
+    wait_ms = random.choice((0, 40.5)) if result == "QueueFull" else 0
+    return now + took_us, event | {"wait_ms": wait_ms, "telemetry": [0.5, 99.0]}
 
 
-def canceled(event: Event, done: Event) -> Event:
-    same = all(event[key] == done[key] for key in ("forwarder_id", "msg_id", "try"))
-    return {"result": "Canceled", "closed": False} if same else {}
+def canceled(event: Event, action: Event) -> Event:
+    matches = all(
+        event[key] == action[key] for key in ("forwarder_id", "msg_id", "try")
+    )
+    return {"result": "Canceled", "closed": False} if matches else {}
 
 
 def output(text: str) -> str:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,3 @@
-"""What holds for every run of these tests."""
+"""Pytest configuration of all tests."""
 
 pytest_plugins = ("tests.support.known_red",)
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several tests share: peers on loopback, simulated worlds, plugins."""
+"""Shared test support: loopback peers, simulated worlds and pytest plugins."""
--- a/tests/support/event_scripts.py
+++ b/tests/support/event_scripts.py
@@ -1,5 +1,5 @@
-"""Event scripts for the tests, and a checker of the rules that knows nothing of the
-module's insides.
+"""Events and settings for dispatcher tests, and a random script that checks the delivery rules
+from the outside, without access to the dispatcher's state.
 """
 
 from __future__ import annotations
@@ -143,7 +143,7 @@
 
 
 class Script:
-    """Drives a dispatcher with random legal events, and asserts the rules on every
+    """Drives a dispatcher with random valid events and asserts the delivery rules on every
     action.
     """
 
@@ -169,15 +169,15 @@
         self.step([EndpointListChanged(EndpointListKind.CACHED, ENTRIES)])
 
     def place(self, target: int) -> tuple[int, int]:
-        e = self.entries[target]
-        apart = e.kind in self.kinds and self.kinds[e.kind].endpoint_scoped
-        return (e.destination, target if apart else -1)
+        entry = self.entries[target]
+        apart = entry.kind in self.kinds and self.kinds[entry.kind].endpoint_scoped
+        return (entry.destination, target if apart else -1)
 
     def ask(self) -> MessageReceived:
         cls = self.r.choice(self.s.classes)
         name = f"m{len(self.asked)}"
         key = f"k{self.r.randrange(4)}" if cls.ordered else None
-        life = self.r.choice(
+        time_left_us = self.r.choice(
             [cls.deadline_us, self.r.randrange(-5 * MS, cls.deadline_us)]
         )
         tenant = self.r.choice(["big", "small", "stranger", None])
@@ -185,7 +185,7 @@
             name,
             self.r.choice([10, 11, 12, 99]),
             cls.name,
-            self.now + life,
+            self.now + time_left_us,
             key,
             tenant,
         )
@@ -194,44 +194,46 @@
             self.taken[key].append(name)
         return event
 
-    def finish(self, a: dict[str, Any], outcome: Outcome) -> AttemptFinished:
-        self.out.remove(a)
-        a["outcome"] = outcome
-        m = self.asked[a["message"]]
-        wait = (
+    def finish(self, attempt: dict[str, Any], outcome: Outcome) -> AttemptFinished:
+        self.out.remove(attempt)
+        attempt["outcome"] = outcome
+        message = self.asked[attempt["message"]]
+        retry_after_us = (
             self.r.choice([0, 0, 200 * MS, 900 * MS])
             if outcome is Outcome.REJECTED
             else 0
         )
-        if wait:
-            place = self.place(a["target"])
-            self.waits[place] = max(self.waits[place], self.now + wait)
-        if m.ordering_key and outcome in (
+        if retry_after_us:
+            place = self.place(attempt["target"])
+            self.waits[place] = max(self.waits[place], self.now + retry_after_us)
+        if message.ordering_key and outcome in (
             Outcome.TIMED_OUT,
             Outcome.RESET,
             Outcome.CANCELED,
         ):
-            self.rests[m.ordering_key] = max(
-                self.rests[m.ordering_key], self.now + self.s.key_backoff_us
+            self.rests[message.ordering_key] = max(
+                self.rests[message.ordering_key], self.now + self.s.key_backoff_us
             )
-        if outcome is Outcome.DELIVERED and m.message_id in self.open:
-            self.close(m.message_id)
+        if outcome is Outcome.DELIVERED and message.message_id in self.open:
+            self.close(message.message_id)
             self.delivered += 1
         limit = self.r.choice([0.0, 3.0, 20.0])
-        told = LoadReport(self.r.random(), limit) if self.r.random() < 0.5 else None
+        load_report = (
+            LoadReport(self.r.random(), limit) if self.r.random() < 0.5 else None
+        )
         return AttemptFinished(
-            m.message_id,
-            a["attempt"],
-            a["target"],
+            message.message_id,
+            attempt["attempt"],
+            attempt["target"],
             outcome,
-            self.now - a["at"],
-            message_closed=m.message_id in self.over,
-            retry_after_us=wait,
-            load_report=told,
+            self.now - attempt["at"],
+            message_closed=message.message_id in self.over,
+            retry_after_us=retry_after_us,
+            load_report=load_report,
         )
 
     def close(self, name: str) -> None:
-        assert name in self.open, f"{name} ended twice"
+        assert name in self.open, f"{name}: two final answers"
         del self.open[name]
         self.over[name] = self.now
 
@@ -240,19 +242,23 @@
         events: list[Event] = []
         while self.r.random() < rate:
             events.append(self.ask())
-        for a in list(self.out):
-            if self.now >= a["until"]:
-                events.append(self.finish(a, Outcome.TIMED_OUT))
+        for attempt in list(self.out):
+            if self.now >= attempt["until"]:
+                events.append(self.finish(attempt, Outcome.TIMED_OUT))
             elif self.r.random() < 0.03:
                 luck = self.r.random()
                 outcome = Outcome.DELIVERED if luck < 0.5 else mood
                 if luck > 0.9:
                     outcome = self.r.choice(
-                        [o for o in Outcome if o is not Outcome.CANCELED]
+                        [
+                            other_outcome
+                            for other_outcome in Outcome
+                            if other_outcome is not Outcome.CANCELED
+                        ]
                     )
-                events.append(self.finish(a, outcome))
+                events.append(self.finish(attempt, outcome))
         if self.r.random() < 0.01:
-            t = self.r.choice(list(self.entries))
+            endpoint = self.r.choice(list(self.entries))
             state = self.r.choice(
                 [
                     EndpointState.SERVING,
@@ -260,118 +266,147 @@
                     EndpointState.REMOVED,
                 ]
             )
-            old = self.entries[t]
+            old = self.entries[endpoint]
             events.append(
                 EndpointListChanged(
                     EndpointListKind.CHANGES,
-                    (EndpointEntry(t, old.destination, old.zone, old.kind, state),),
+                    (
+                        EndpointEntry(
+                            endpoint, old.destination, old.zone, old.kind, state
+                        ),
+                    ),
                 )
             )
             if state is EndpointState.SERVING:
-                self.left_at.pop(t, None)
+                self.left_at.pop(endpoint, None)
             else:
-                self.left_at.setdefault(t, self.now)
+                self.left_at.setdefault(endpoint, self.now)
         if self.r.random() < 0.002:
             events.append(EndpointListChanged(EndpointListKind.SNAPSHOT, ()))
-            for t in self.entries:
-                self.left_at.setdefault(t, self.now)
+            for endpoint in self.entries:
+                self.left_at.setdefault(endpoint, self.now)
         if self.open and self.r.random() < 0.005:
             name = self.r.choice(list(self.open))
             self.close(name)
             events.append(MessageWithdrawn(name))
             if self.r.random() < 0.3:
                 events.append(MessageWithdrawn(name))
-        due = [t for t in self.timers if t[0] <= self.now]
-        self.timers = [t for t in self.timers if t[0] > self.now]
+        due = [endpoint for endpoint in self.timers if endpoint[0] <= self.now]
+        self.timers = [endpoint for endpoint in self.timers if endpoint[0] > self.now]
         events.extend(TimerExpired(token) for _, token in due)
         if events:
             self.step(events)
-        for name, m in self.open.items():
-            assert self.now <= max(m.deadline_us, 0) + self.s.answer_grace_us, (
-                f"{name} not answered in time"
+        for name, message in self.open.items():
+            assert self.now <= max(message.deadline_us, 0) + self.s.answer_grace_us, (
+                f"{name}: no final answer within the deadline and answer_grace_us"
             )
 
     def step(self, events: list[Event]) -> None:
         actions = self.d.handle(self.now, events)
         self.log.append((self.now, tuple(actions)))
-        for a in actions:
-            if isinstance(a, SendMessage):
-                self.check_send(a)
-            elif isinstance(a, RejectMessage):
-                self.check_refuse(a)
-                self.close(a.message_id)
+        for action in actions:
+            if isinstance(action, SendMessage):
+                self.check_send(action)
+            elif isinstance(action, RejectMessage):
+                self.check_refuse(action)
+                self.close(action.message_id)
                 self.refused += 1
-            elif isinstance(a, FailMessage):
-                self.close(a.message_id)
+            elif isinstance(action, FailMessage):
+                self.close(action.message_id)
                 self.failed += 1
-            elif isinstance(a, SetTimer):
-                assert a.delay_us > 0 and 1 <= len(a.token) <= 64
-                self.timers.append((self.now + a.delay_us, a.token))
+            elif isinstance(action, SetTimer):
+                assert action.delay_us > 0 and 1 <= len(action.token) <= 64
+                self.timers.append((self.now + action.delay_us, action.token))
 
     def ran(self, name: str) -> list[dict[str, Any]]:
         return [a for a in self.attempts[name] if a["outcome"] not in NEVER_EXECUTED]
 
-    def check_refuse(self, a: RejectMessage) -> None:
-        cls = self.classes[self.asked[a.message_id].class_name]
+    def check_refuse(self, action: RejectMessage) -> None:
+        cls = self.classes[self.asked[action.message_id].class_name]
         if cls.idempotency is Idempotency.AT_MOST_ONCE:
-            assert not self.ran(a.message_id), "refused, though it may have run"
+            assert not self.ran(action.message_id), (
+                "rejected although it may have been executed"
+            )
         if (
             cls.idempotency is Idempotency.WITH_KEY
             and cls.idempotency_scope is not IdempotencyScope.ALL
         ):
-            assert not self.ran(a.message_id), (
-                "refused, though a repeat elsewhere would take effect"
+            assert not self.ran(action.message_id), (
+                "rejected although a retry elsewhere would be executed again"
             )
 
-    def check_send(self, a: SendMessage) -> None:
-        assert a.message_id in self.open, "sent after its end"
-        m = self.asked[a.message_id]
-        cls, entry = self.classes[m.class_name], self.entries[a.endpoint]
-        assert entry.destination == m.destination
-        told = self.left_at.get(a.endpoint)
-        assert told is None or self.now <= told + self.s.drain_grace_us, (
-            "sent to a drained target"
+    def check_send(self, action: SendMessage) -> None:
+        assert action.message_id in self.open, "sent after its final answer"
+        message = self.asked[action.message_id]
+        cls, entry = self.classes[message.class_name], self.entries[action.endpoint]
+        assert entry.destination == message.destination
+        left_at = self.left_at.get(action.endpoint)
+        assert left_at is None or self.now <= left_at + self.s.drain_grace_us, (
+            "sent to a drained endpoint after drain_grace_us"
+        )
+        assert self.now >= self.waits[self.place(action.endpoint)], (
+            "sent before the endpoint's retry-after time"
         )
-        assert self.now >= self.waits[self.place(a.endpoint)], "sent inside a wait"
-        before = self.attempts[a.message_id]
+        before = self.attempts[action.message_id]
         if not self.s.allow_parallel_attempts:
-            assert all(x["outcome"] is not None for x in before), "two attempts at once"
-        ran = self.ran(a.message_id)
+            assert all(attempt["outcome"] is not None for attempt in before), (
+                "two attempts in flight at once"
+            )
+        ran = self.ran(action.message_id)
         if ran and cls.idempotency is Idempotency.AT_MOST_ONCE:
-            raise AssertionError("sent twice")
+            raise AssertionError(
+                "at-most-once message sent again after it may have been executed"
+            )
         if ran and cls.idempotency is Idempotency.WITH_KEY:
             assert self.now <= ran[0]["at"] + cls.idempotency_window_us, (
-                "outside its window"
+                "retried after its idempotency window"
             )
             if cls.idempotency_scope is IdempotencyScope.ZONE:
                 assert entry.zone == self.entries[ran[0]["target"]].zone, (
-                    "outside its scope"
+                    "retried outside its idempotency scope"
                 )
-        if m.ordering_key:
-            mine = self.taken[m.ordering_key].index(m.message_id)
-            for name in self.taken[m.ordering_key][:mine]:
-                assert name in self.over, "out of order"
-                assert all(x["outcome"] is not None for x in self.attempts[name]), (
-                    "an earlier attempt is out"
+        if message.ordering_key:
+            position = self.taken[message.ordering_key].index(message.message_id)
+            for name in self.taken[message.ordering_key][:position]:
+                assert name in self.over, (
+                    "sent before an earlier message of its ordering key ended"
                 )
-            others = [n for n in self.taken[m.ordering_key][:mine] if self.attempts[n]]
-            if others and not before:
-                assert self.now >= self.rests[m.ordering_key], "the key still rests"
-        assert a.timeout_us > 0 and self.now + a.timeout_us <= m.deadline_us
-        x = {
-            "message": a.message_id,
+                assert all(
+                    attempt["outcome"] is not None for attempt in self.attempts[name]
+                ), "an attempt of an earlier message is in flight"
+            attempted_before = [
+                earlier_name
+                for earlier_name in self.taken[message.ordering_key][:position]
+                if self.attempts[earlier_name]
+            ]
+            if attempted_before and not before:
+                assert self.now >= self.rests[message.ordering_key], (
+                    "sent within the backoff of its ordering key"
+                )
+        assert (
+            action.timeout_us > 0
+            and self.now + action.timeout_us <= message.deadline_us
+        )
+        attempt = {
+            "message": action.message_id,
             "attempt": len(before),
-            "target": a.endpoint,
+            "target": action.endpoint,
             "at": self.now,
-            "until": self.now + a.timeout_us,
+            "until": self.now + action.timeout_us,
             "outcome": None,
         }
-        before.append(x)
-        self.out.append(x)
+        before.append(attempt)
+        self.out.append(attempt)
         assert len(before) <= self.s.max_attempts
         assert (
-            len({(y["target"], y["at"]) for y in self.out}) <= self.s.max_in_flight
-        ), "more calls than slots"
+            len(
+                {
+                    (open_attempt["target"], open_attempt["at"])
+                    for open_attempt in self.out
+                }
+            )
+            <= self.s.max_in_flight
+        ), "more calls in flight than max_in_flight"
         self.sent += 1
 
     def run(self, rounds: int) -> None:
--- a/tests/support/fleet_service_scenes.py
+++ b/tests/support/fleet_service_scenes.py
@@ -1,7 +1,6 @@
-"""Members, an operator and a clock for the tests of budgets and the shard map on the
-real service: members that lose answers, are cut off, die and come back. What may be
-done at any moment is counted here anew, from the answers that arrived and from the
-clocks.
+"""Members, an operator and a clock for tests of budgets and the shard map on the real
+service. Members lose answers, are partitioned, die and restart. The calls and key ranges
+permitted at any moment are computed here independently, from received answers and the clocks.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
 
 
 class Whole(Run):
-    """A service with all its parts on a clock by hand."""
+    """A list service with all its fleet services on a manual clock."""
 
     async def up(self, **more: Any) -> Whole:
         if not self.had:
@@ -69,7 +68,7 @@
         return status, answer
 
     async def settle(self) -> None:
-        """Let all that is due by the clock be planned and written."""
+        """Waits until everything that is due is planned and written."""
         for _ in range(2):
             self.parts.fleet.plan_scheduler.schedule_soon(0)
             await asyncio.wait(
@@ -78,8 +77,9 @@
 
 
 class Process:
-    """A member as the pages say it behaves: it sends all that it may, and acts on all
-    keys that it may.
+    """A member that behaves as documented and uses all permitted calls and all its key ranges.
+
+    `rate` is the speed of its clock relative to the service's.
     """
 
     def __init__(
@@ -88,7 +88,9 @@
         self.name, self.rate, self.clock = name, rate, clock
         self.run = f"{name}-{next(RUNS)}"
         self.token, self.shown = ZERO_TOKEN, before.known() if before else ZERO_TOKEN
-        self.seen: Token = before.seen if before else ZERO_TOKEN  # its folder keeps it
+        self.seen: Token = (
+            before.seen if before else ZERO_TOKEN
+        )  # stored in its state folder
         self.share: dict[str, Any] = {
             "calls": 0,
             "number": 0,
@@ -97,7 +99,7 @@
         self.until = 0
         self.idle = self.own() + reuse_window_us(
             SPAN, SLACK, DRIFT
-        )  # what was sent before it is not known
+        )  # calls sent before the start are not known
         self.sent: list[tuple[int, int, int]] = []
         self.owned = RangeOwnership(name)
         self.need = 0
@@ -109,9 +111,7 @@
         return self.token if self.token != ZERO_TOKEN else self.shown
 
     def most(self) -> int:
-        """Calls in a span that it may act on at this moment, or could if it were
-        running.
-        """
+        """Returns the calls per span that it may make now, or could make if it were running."""
         return int(
             self.share["calls"] if self.own() < self.until else self.share["reserve"]
         )
@@ -123,25 +123,25 @@
             self.sent.append((self.clock.us, now, count))
 
     def body(self) -> dict[str, Any]:
-        word = self.owned.next_report()
-        joins = self.token == ZERO_TOKEN
+        report = self.owned.next_report()
+        is_join = self.token == ZERO_TOKEN
         return {
             "name": self.name,
             "site": "a",
             "dial": "h:1",
             "run": self.run,
-            "sent": word.sent,
-            "token": None if joins else self.token.to_wire(),
+            "sent": report.sent,
+            "token": None if is_join else self.token.to_wire(),
             "seen": self.seen.to_wire(),
             **(
                 {"shown": self.shown.to_wire(), "keeps": {"7": self.share["reserve"]}}
-                if joins and self.shown != ZERO_TOKEN
+                if is_join and self.shown != ZERO_TOKEN
                 else {}
             ),
             "needs": {"7": self.need},
-            "map": word.generation,
-            "digest": format_key(word.digest),
-            "gave": [format_range(*span) for span in word.given_up],
+            "map": report.generation,
+            "digest": format_key(report.digest),
+            "gave": [format_range(*span) for span in report.given_up],
             "holds": {"7": [self.share["calls"], self.share["number"]]}
             if self.share["number"]
             else {},
@@ -166,23 +166,23 @@
         ), answer
         if status != 200:
             return
-        token, until_own = (
+        token, valid_until_us = (
             Token.from_wire(answer["token"]),
             asked + int(answer["ttl_ms"] * 1_000 * (1 - DRIFT)),
         )
         if token != self.token:
             self.token = token
             self.run += "+"
-            self.owned.on_joined(token, until_own)
+            self.owned.on_joined(token, valid_until_us)
         self.seen = max(
             self.seen,
             token,
             Token(answer["list"][0], 0),
-            *(Token.from_wire(r["token"]) for r in answer["ranges"]),
+            *(Token.from_wire(range_["token"]) for range_ in answer["ranges"]),
         )
         if "7" in answer["shares"]:
             assert answer["shares"]["7"]["number"] >= self.share["number"]
-            self.share, self.until = answer["shares"]["7"], until_own
+            self.share, self.until = answer["shares"]["7"], valid_until_us
         if "shards" in answer:
             assert not self.owned.adopt_map(answer["shards"])
         self.owned.apply_answer(
@@ -191,34 +191,38 @@
             answer["map"],
             [
                 RangeHold(
-                    *parse_range(r["keys"]), Token.from_wire(r["token"]), r["begun"]
+                    *parse_range(range_["keys"]),
+                    Token.from_wire(range_["token"]),
+                    range_["begun"],
                 )
-                for r in answer["ranges"]
+                for range_ in answer["ranges"]
             ],
-            until_own,
+            valid_until_us,
         )
 
 
 class World:
-    """Processes and a service, moved by a seed; every step is checked."""
+    """Processes and a service driven by a seed; the invariants are checked at every step."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.rng, self.folder, self.clock = random.Random(seed), folder, Clock()
-        self.wholes = [
-            100
-        ]  # in force since what a larger one granted had surely run out
-        self.all: list[Process] = []  # that may run, cut off or not
-        self.here: list[Process] = []  # those that beat
-        self.gone: list[tuple[int, int, int]] = []  # what ended processes sent
+        self.wholes = [100]  # budgets whose grants may still be in use
+        self.all: list[
+            Process
+        ] = []  # processes that may be running, partitioned or not
+        self.here: list[Process] = []  # processes that send heartbeats
+        self.gone: list[
+            tuple[int, int, int]
+        ] = []  # calls sent by processes that have ended
         self.fence: set[tuple[int, int, Token]] = (
             set()
-        )  # what a resource that is guarded by key has seen
+        )  # tokens seen by a resource that is fenced by key range
 
     async def start(self) -> None:
         self.run = await Whole(self.folder, Limits(), self.clock).up()
 
     async def stop(self, kill: bool) -> None:
-        self.run.files.failing = kill  # what waits is not written then
+        self.run.files.failing = kill  # pending writes then fail
         await self.run.service.stop()
 
     def add(self, name: str, before: Process | None = None) -> None:
@@ -300,14 +304,14 @@
         if dice < 0.04:
             self.add(
                 (old := rng.choice(self.here)).name, old
-            )  # restarted, with its folder
+            )  # restarted with its state folder
         elif dice < 0.07 and len(self.here) > 2:
             cut = self.here.pop(
                 rng.randrange(len(self.here))
-            )  # cut off, and goes on by what it has
+            )  # partitioned; continues with the quota and ranges it holds
             self.add(
                 cut.name
-            )  # and another process of its name is started without its folder
+            )  # another process of the same name starts without the state folder
         elif dice < 0.17:
             await self.operate()
         elif dice < 0.21:
@@ -330,7 +334,7 @@
         await self.run.settle()
 
     async def calm(self, steps: int) -> None:
-        """All that beat want more than there is; nothing else happens."""
+        """Runs steps without faults in which every connected process demands more than the budget."""
         self.run.files.failing = False
         for _ in range(steps):
             self.clock.us += 100_000
@@ -343,7 +347,7 @@
 
 
 class Play:
-    """A service and processes by hand, past the waits of a start."""
+    """A service and processes driven by a test, with short planning delays."""
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(plan_scheduler, "PLAN_DELAY_S", 0.002)
@@ -360,7 +364,7 @@
         return world.here
 
     async def calm(self, steps: int = 15, **needs: int) -> None:
-        """So many tenths of a second, with a beat of each in every one."""
+        """Advances by `steps` tenths of a second, with one heartbeat of each process in each."""
         for _ in range(steps):
             self.world.clock.us += 100_000
             for process in self.world.here:
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,12 +1,12 @@
-"""Pytest plugin: passes over the known red tests, and prints exactly these.
+"""Pytest plugin: reports known failing tests as expected failures and prints them.
 
-KNOWN-RED.txt at the root lists them, one line each, three at most:
+KNOWN-RED.txt at the root lists the known failing tests, one per line, at most three:
 
-    tests/test_x.py::test_y | command and seed | what was seen | issue 26
+    tests/test_x.py::test_y | command and seed | observed failure | issue 26
 
-The run fails on a listed test that is green or skipped, on one that was not run where
-nothing was selected, and, before any is run, on a list that cannot be read. An absent
-or empty file changes nothing.
+The run fails if a listed test passes or is skipped, and, unless the run is limited to some
+of the tests, if a listed test was not run. It ends before any test if the list cannot be
+parsed. A missing or empty file has no effect.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     "failedfirst",
     "collectonly",
 )
-"""Options by which a run is not of all tests."""
+"""Options that limit a run to some of the tests."""
 
 
 @dataclass(frozen=True)
@@ -41,9 +41,9 @@
 
     test: str
     command: str
-    """How it is run to fail, with its seed."""
+    """The command and seed that reproduce the failure."""
     seen: str
-    """What was seen."""
+    """The observed failure."""
     issue: str
 
     def __str__(self) -> str:
@@ -51,18 +51,18 @@
 
 
 class KnownRedListError(Exception):
-    """The list is not what it has to be; the text is one line."""
+    """The list is malformed; the message is one line."""
 
 
 def is_entry(parts: list[str]) -> bool:
-    """Whether the parts of a line are a test, a command, what was seen and an issue."""
+    """Returns whether a line's parts are a test, a command, an observed failure and an issue."""
     if len(parts) != 4 or not all(parts):
         return False
     return bool(TEST.fullmatch(parts[0]) and ISSUE.fullmatch(parts[3]))
 
 
 def read(path: Path) -> dict[str, Known]:
-    """The list, by test. Raises KnownRedListError."""
+    """Reads the list and returns its entries by test. Raises KnownRedListError."""
     text = path.read_text() if path.is_file() else ""
     known: dict[str, Known] = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -71,7 +71,7 @@
         parts = [part.strip() for part in line.rsplit(" | ", 3)]
         if not is_entry(parts):
             raise KnownRedListError(
-                f"{path.name}:{number}: not 'test | command and seed | what was seen | "
+                f"{path.name}:{number}: not 'test | command and seed | observed failure | "
                 f"issue': {line.strip()[:200]}"
             )
         if parts[0] in known:
@@ -85,14 +85,16 @@
 
 
 class KnownRed:
-    """In every process that runs tests it judges the listed ones; in the one that
-    reports, it sums up.
+    """Evaluates the listed tests.
+
+    Each worker process replaces the outcomes of listed tests; the reporting process
+    collects them, sets the exit status and prints the summary.
     """
 
     def __init__(self, known: dict[str, Known], whole: bool) -> None:
         self.known, self.whole = known, whole
         self.red: set[str] = set()
-        """Already red in the process that runs it."""
+        """Listed tests that have already failed in this process."""
         self.ran: dict[str, str] = {}
         self.faults: list[str] = []
 
@@ -116,8 +118,8 @@
         return report
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        if (judged := getattr(report, "known_red", None)) is not None:
-            self.ran.setdefault(report.nodeid, judged)
+        if (outcome := getattr(report, "known_red", None)) is not None:
+            self.ran.setdefault(report.nodeid, outcome)
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
@@ -143,14 +145,14 @@
     def pytest_terminal_summary(
         self, terminalreporter: pytest.TerminalReporter
     ) -> None:
-        passed_over = [
+        expected_failures = [
             entry for test, entry in self.known.items() if self.ran.get(test) == "red"
         ]
-        if passed_over:
+        if expected_failures:
             terminalreporter.section(
-                f"known red, passed over: {len(passed_over)}", red=True
+                f"known red, passed over: {len(expected_failures)}", red=True
             )
-            for entry in passed_over:
+            for entry in expected_failures:
                 terminalreporter.write_line(str(entry))
         if self.faults:
             terminalreporter.section(f"{LIST} does not hold", red=True)
--- a/tests/support/list_service.py
+++ b/tests/support/list_service.py
@@ -1,4 +1,4 @@
-"""The list service in the test's own process, with a disk that can fail, and calls to it."""
+"""Runs the list service in the test's process, with a disk that can fail, and calls it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Files(LocalFileSystem):
-    """A disk that can be made to wait, or to fail."""
+    """A file system whose syncs can be delayed and whose syncs and truncations can fail."""
 
     def __init__(self) -> None:
         self.free, self.failing, self.uncut = threading.Event(), False, False
@@ -42,7 +42,7 @@
 
 
 class Run:
-    """A service in this process, its two ports, and calls to it."""
+    """A service in this process with its list, write and fleet ports, and calls to it."""
 
     def __init__(self, folder: Path, bounds: Limits, clock: Clock) -> None:
         self.files, self.clock = Files(), clock
@@ -79,10 +79,10 @@
     def change(
         self, *hosts: str, key: str = ""
     ) -> Awaitable[tuple[int, dict[str, str], Any]]:
-        ops = [
+        operations = [
             {
                 "op": "register",
-                "host": h,
+                "host": host,
                 "dial": "h:1",
                 "site": "a",
                 "class": "m",
@@ -90,17 +90,17 @@
                 "share": 1.0,
                 "born_ms": 0,
             }
-            for h in hosts
+            for host in hosts
         ]
-        return self.ask("/v1/hosts", {"id": key, "ops": ops})
+        return self.ask("/v1/hosts", {"id": key, "ops": operations})
 
 
 async def told(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], Any]:
     async with asyncio.timeout(5):
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {
-            k.lower(): v.strip()
-            for k, _, v in (line.partition(":") for line in head[1:] if line)
+            name.lower(): value.strip()
+            for name, _, value in (line.partition(":") for line in head[1:] if line)
         }
         body = await reader.readexactly(int(headers.get("content-length", 0)))
     return int(head[0].split()[1]), headers, json.loads(body or b"null")
@@ -131,21 +131,21 @@
 
 
 def lead(*riders: Any, mark: Path | None = None) -> Any:
-    async def led(service: RegistryServer) -> None:
+    async def start_fleet(service: RegistryServer) -> None:
         await service.start_fleet(
             LeaseSettings(0.02, 1_000, TTL_US), TTL_US, riders, mark
         )
 
-    return led
+    return start_fleet
 
 
 async def beat(run: Run, name: str, token: Any = None, **more: Any) -> tuple[int, Any]:
     body = {"name": name, "site": "a", "dial": "h:1", "token": token, "sent": 1, **more}
-    status, _, told = await run.ask("/v1/fleet/beat", body, run.fleet)
-    return status, told
+    status, _, answer = await run.ask("/v1/fleet/beat", body, run.fleet)
+    return status, answer
 
 
 async def acquire(run: Run, name: str, **more: Any) -> tuple[int, Any]:
     body = {"holder": "h", "ttl_ms": 100, **more}
-    status, _, told = await run.ask(f"/v1/leases/{name}/acquire", body, run.fleet)
-    return status, told
+    status, _, answer = await run.ask(f"/v1/leases/{name}/acquire", body, run.fleet)
+    return status, answer
--- a/tests/support/loopback_peers.py
+++ b/tests/support/loopback_peers.py
@@ -1,5 +1,5 @@
-"""Loopback peers for the tests: targets, discovery and clients that do just what a test
-tells them.
+"""Scripted loopback peers for the tests: endpoints, discovery, clients, and the real program
+as a subprocess.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 from tests.support.paths import ROOT
 
-# seconds that a test waits for an event before it fails; nothing asserts on speed
+# seconds that a test waits for an event before it fails; no test asserts on speed
 PATIENCE = 20.0
 
 
@@ -44,8 +44,8 @@
 ) -> tuple[str, dict[str, str], bytes]:
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {
-        k.lower(): v.strip()
-        for k, _, v in (line.partition(":") for line in head[1:] if line)
+        name.lower(): value.strip()
+        for name, _, value in (line.partition(":") for line in head[1:] if line)
     }
     return (
         head[0],
@@ -58,8 +58,8 @@
 
 
 class Peer:
-    """An HTTP server. Its handler answers, gives raw bytes, or None to end the
-    connection unanswered.
+    """An HTTP server. Its handler returns an answer, raw bytes to send, or None to close the
+    connection without an answer.
     """
 
     def __init__(self, handler: Handler) -> None:
@@ -91,8 +91,8 @@
     ) -> None:
         try:
             while True:
-                first, headers, body = await read_message(reader)
-                method, path, _ = first.split(" ", 2)
+                request_line, headers, body = await read_message(reader)
+                method, path, _ = request_line.split(" ", 2)
                 request = Request(method, path, headers, body, self, writer)
                 self.requests.append(request)
                 await self.note()
@@ -117,7 +117,7 @@
 
 
 def always(*answers: Answer | bytes | None) -> Handler:
-    """These answers in turn, the last for ever."""
+    """Returns a handler that gives these answers in turn and then repeats the last one."""
     left = list(answers)
 
     async def handler(request: Request) -> Answer | bytes | None:
@@ -134,7 +134,7 @@
 
 
 class Platform(Peer):
-    """Discovery and the place for notices."""
+    """Serves discovery (the endpoint list) and accepts notifications."""
 
     def __init__(self) -> None:
         super().__init__(self.answer)
@@ -194,7 +194,9 @@
         except TimeoutError:
             pass
         hosts = [
-            h for seq in range(since + 1, self.seq + 1) for h in self.news.get(seq, [])
+            host
+            for seq in range(since + 1, self.seq + 1)
+            for host in self.news.get(seq, [])
         ]
         return Answer(
             200,
@@ -268,7 +270,7 @@
 
 
 class Node:
-    """The real program, on its folder."""
+    """The real program as a subprocess, with its configuration and state in a folder."""
 
     def __init__(
         self,
@@ -301,15 +303,13 @@
         self.listener: socket.socket | None = None
 
     def hold_listener(self) -> None:
-        """The platform holds the clients' listening socket, and every process inherits
+        """Opens the clients' listening socket in the test; every process started later inherits
         it.
         """
         self.listener = socket.create_server(("127.0.0.1", self.port))
 
     async def beside(self) -> Node:
-        """The program once more, on the same folder, with another operators'
-        address.
-        """
+        """Starts a second process on the same folder, with another admin address."""
         other = copy.copy(self)
         other.admin, other.log = free_port(), []
         await other.spawn()
@@ -374,13 +374,13 @@
     async def operate(
         self, method: str, path: str, body: bytes = b""
     ) -> tuple[int, str]:
-        """One call at the operators' address."""
+        """Makes one call at the admin address; returns the status and the body."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
         writer.write(head.encode() + body)
         async with asyncio.timeout(PATIENCE):
             first, _, text = await read_message(reader)
-            assert await reader.read() == b""  # one call a connection
+            assert await reader.read() == b""  # one call per connection
         writer.close()
         return int(first.split(" ")[1]), text.decode()
 
@@ -390,7 +390,7 @@
         return dict(json.loads(text))
 
     async def shows(self, test: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """The figures, once they are so."""
+        """Waits until the metrics satisfy `test`, and returns them."""
         async with asyncio.timeout(PATIENCE):
             while not test(figures := await self.figures()):
                 await asyncio.sleep(0.01)
--- a/tests/support/memory_disk.py
+++ b/tests/support/memory_disk.py
@@ -1,5 +1,5 @@
-"""A disk in memory that keeps what a real one must and loses, on request, all that it
-may.
+"""An in-memory disk that keeps what a real one guarantees and, on request, loses everything
+that a real one may lose.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 
 class Died(BaseException):
-    """The process is gone in the middle of a call; no handler of its own runs."""
+    """The process dies in the middle of a call; it is a BaseException so that no handler runs."""
 
 
 class Inode:
     def __init__(self) -> None:
         self.data, self.synced = bytearray(), b""
-        self.writes: list[tuple[int, bytes]] = []  # since the last sync
+        self.writes: list[tuple[int, bytes]] = []  # writes since the last sync
 
     def put(self, at: int, piece: bytes) -> None:
         if len(self.data) < at:
@@ -27,8 +27,10 @@
 
 
 class Disk:
-    """Files in memory. `fuse` calls from now the process dies; a write may then be
-    torn.
+    """Files in memory.
+
+    The process dies after `fuse` further calls (never if -1), and a write at that moment may
+    be torn. `room` is the capacity in bytes; with `bad_sync`, every sync fails.
     """
 
     def __init__(self, seed: int = 0) -> None:
@@ -37,7 +39,7 @@
         self.synced_names: dict[str, Inode] = {}
         self.renames: list[
             dict[str, Inode]
-        ] = []  # the folder after each change since its last sync
+        ] = []  # directory contents after each change since the last sync
         self.open_files: dict[int, Inode] = {}
         self.fuse = -1
         self.room = 1 << 40
@@ -53,7 +55,7 @@
     def changed(self) -> None:
         self.renames.append(dict(self.names))
 
-    # What the journal asks for
+    # File operations that the journal uses
 
     def read(self, path: Path) -> bytes:
         if path.name not in self.names:
@@ -79,7 +81,8 @@
 
     def used(self) -> int:
         return sum(
-            len(i.data) for i in {id(i): i for i in self.names.values()}.values()
+            len(inode.data)
+            for inode in {id(inode): inode for inode in self.names.values()}.values()
         )
 
     def write(self, fd: int, data: memoryview, at: int) -> int:
@@ -107,7 +110,7 @@
         self.step()
         self.syncs += 1
         inode = self.open_files[fd]
-        if self.bad_sync:  # as Linux does: the pages count as clean from now on
+        if self.bad_sync:  # as on Linux: the pages count as clean after a failed sync
             inode.writes = []
             raise OSError(errno.EIO, "bad disk")
         inode.synced, inode.writes = bytes(inode.data), []
@@ -136,15 +139,15 @@
             raise OSError(errno.EIO, "bad disk")
         self.synced_names, self.renames = dict(self.names), []
 
-    # What befalls it
+    # Faults
 
     def killed(self) -> None:
-        """The process is gone; all that it wrote stands."""
+        """Ends the process; everything that it wrote is kept."""
         self.open_files, self.fuse = {}, -1
 
     def power_lost(self) -> None:
-        """Of what was not synced any part may be gone; changes of the folder go in
-        their order.
+        """Loses any part of the unsynced data. Directory changes are lost from the last one
+        backwards.
         """
         self.killed()
         states = [self.synced_names, *self.renames]
@@ -160,7 +163,9 @@
                 elif keep != "none":
                     data.extend(bytes(max(0, at - len(data))))
                     data[at : at + len(piece)] = piece
-                elif self.random.random() < 0.3:  # its size is known, its bytes are not
+                elif (
+                    self.random.random() < 0.3
+                ):  # its size was stored, its bytes were not
                     data.extend(bytes(max(0, at + len(piece) - len(data))))
             inode.data, inode.synced, inode.writes = data, bytes(data), []
         self.synced_names, self.renames = dict(self.names), []
@@ -173,7 +178,7 @@
 
 
 class Hands:
-    """Does the jobs of the sync thread when a test says so."""
+    """Runs the sync thread's jobs one at a time, when a test calls `work`."""
 
     def __init__(self) -> None:
         self.jobs: list[
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,6 +1,6 @@
-"""Where the repository's files are."""
+"""Paths of the repository."""
 
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-"""The root of the repository."""
+"""The repository's root folder."""
--- a/tests/support/random_worlds.py
+++ b/tests/support/random_worlds.py
@@ -1,8 +1,8 @@
-"""Worlds drawn from a seed that play a dispatcher for a while: clients, targets, lists,
-operators, restarts.
+"""Randomized simulations of a dispatcher's environment, derived from a seed: clients,
+endpoints, endpoint lists, operators and restarts.
 
-`python -m tests.support.random_worlds > tests/replay.json` records anew: right only where behaviour
-was meant to change.
+`python -m tests.support.random_worlds > tests/replay.json` records the reference data again.
+Run it only after an intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 SEEDS = range(2, 46)
 ROUNDS = 300
 ASKED = 20
-"""Rounds between two looks at what the dispatcher remembers and says of its targets."""
+"""Rounds between two digests of the dispatcher's snapshot and of its endpoints' health."""
 MOODS = (
     *[o for o in Outcome if o is not Outcome.CANCELED],
     *[Outcome.DELIVERED] * 9,
@@ -67,7 +67,7 @@
 
 @dataclass
 class Told:
-    """What the host knows of a message."""
+    """The host's record of an open message."""
 
     event: MessageReceived
     cls: MessageClass
@@ -88,7 +88,7 @@
 
 
 class World:
-    """What happens follows from the seed and from what the dispatcher does."""
+    """A dispatcher's environment, determined by the seed and by the dispatcher's actions."""
 
     def __init__(
         self, seed: int, make: Callable[[Settings, int, int], Dispatcher]
@@ -199,15 +199,18 @@
         )
 
     def play(self, rounds: int) -> Iterator[tuple[int, list[Event], list[Action]]]:
-        for n in range(rounds):
+        for round_number in range(rounds):
             events, self.next = self.next + self.happened(), []
             actions = self.d.handle(self.now, events)
             yield self.now, events, actions
             self.carry_out(actions)
-            if n % 100 == 60:
+            if round_number % 100 == 60:
                 self.hand_over() if self.luck(0.5) else self.restart()
             step = self.pick(MS, 5 * MS, 20 * MS, 60 * MS, 60 * MS)
-            first = min([o.ends for o in self.out] + [max(self.timer, self.now + MS)])
+            first = min(
+                [attempt.ends for attempt in self.out]
+                + [max(self.timer, self.now + MS)]
+            )
             if not self.out and self.luck(0.01):
                 step = self.pick(2 * S, 40 * S)
             elif self.luck(0.3) and first > self.now:
@@ -218,8 +221,8 @@
         events: list[Event] = []
         while self.luck(self.busy):
             events.append(self.arrival())
-        for o in [o for o in self.out if o.ends <= self.now]:
-            events.append(self.end(o))
+        for attempt in [attempt for attempt in self.out if attempt.ends <= self.now]:
+            events.append(self.end(attempt))
         if self.timer and self.timer <= self.now:
             events.append(TimerExpired("look"))
         if self.luck(0.06):
@@ -238,7 +241,7 @@
     def arrival(self) -> MessageReceived:
         cls = self.pick(*self.s.classes)
         self.asked += 1
-        life = (
+        time_left_us = (
             cls.deadline_us
             if self.luck(0.8)
             else self.r.randrange(-5 * MS, cls.deadline_us)
@@ -247,7 +250,7 @@
             f"m{self.asked}",
             10 + int(6 * self.r.random() ** 2),
             cls.name,
-            self.now + life,
+            self.now + time_left_us,
             self.pick("k", "l", None),
             self.pick("big", "small", "free", "other", None),
         )
@@ -256,40 +259,42 @@
         self.open[event.message_id] = Told(event, cls, self.s.max_attempts)
         return event
 
-    def end(self, o: Out) -> AttemptFinished:
-        self.out.remove(o)
-        outcome = o.outcome
+    def end(self, attempt: Out) -> AttemptFinished:
+        self.out.remove(attempt)
+        outcome = attempt.outcome
         closed = (
             outcome is Outcome.DELIVERED
-            or o.message not in self.open
+            or attempt.message not in self.open
             or self.luck(0.02)
         )
-        wait = self.pick(0, 0, 400 * MS, 3 * S) if outcome is Outcome.REJECTED else 0
-        limit = self.limits.get(o.target, 0.0)
-        told = LoadReport(self.r.random(), limit) if self.luck(0.3) else None
-        m = self.open.get(o.message)
-        if m is not None and outcome not in NEVER_EXECUTED and m.ran_at < 0:
-            m.ran_at, m.ran_on = o.sent, o.target
+        retry_after_us = (
+            self.pick(0, 0, 400 * MS, 3 * S) if outcome is Outcome.REJECTED else 0
+        )
+        limit = self.limits.get(attempt.target, 0.0)
+        load_report = LoadReport(self.r.random(), limit) if self.luck(0.3) else None
+        message = self.open.get(attempt.message)
+        if message is not None and outcome not in NEVER_EXECUTED and message.ran_at < 0:
+            message.ran_at, message.ran_on = attempt.sent, attempt.target
         if closed:
-            self.open.pop(o.message, None)
+            self.open.pop(attempt.message, None)
         return AttemptFinished(
-            o.message,
-            o.attempt,
-            o.target,
+            attempt.message,
+            attempt.attempt,
+            attempt.target,
             outcome,
-            self.now - o.sent,
+            self.now - attempt.sent,
             closed,
-            wait,
-            told,
+            retry_after_us,
+            load_report,
             self.luck(0.1),
         )
 
     def odd(self) -> list[Event]:
-        """What clients, the list and operators do now and then."""
+        """Returns rare events of clients, the endpoint list, operators and unknown senders."""
         target = self.pick(*self.entries)
         entry = self.entries[target]
-        what = int(self.r.random() * 12)
-        if what == 0:
+        choice = int(self.r.random() * 12)
+        if choice == 0:
             state = self.pick(*EndpointState, EndpointState.SERVING)
             moved = replace(
                 entry,
@@ -302,42 +307,42 @@
             return [
                 EndpointListChanged(EndpointListKind.CHANGES, (self.entries[target],))
             ]
-        if what == 1:
-            left = tuple(e for e in self.entries.values() if self.luck(0.9))
+        if choice == 1:
+            left = tuple(listed for listed in self.entries.values() if self.luck(0.9))
             return [EndpointListChanged(EndpointListKind.SNAPSHOT, left)]
-        if what == 2:
+        if choice == 2:
             self.entries = {
-                n: replace(e, state=EndpointState.SERVING)
-                for n, e in self.entries.items()
+                n: replace(listed, state=EndpointState.SERVING)
+                for n, listed in self.entries.items()
             }
             return [
                 EndpointListChanged(
                     EndpointListKind.SNAPSHOT, tuple(self.entries.values())
                 )
             ]
-        if what == 3:
+        if choice == 3:
             return [
                 EndpointListChanged(EndpointListKind.FAILED)
                 for _ in range(self.pick(1, 3))
             ]
-        if what == 4 and self.open:
-            gone = self.open.pop(self.pick(*self.open)).event.message_id
-            return [MessageWithdrawn(gone), MessageWithdrawn(gone)]
-        if what == 5:
+        if choice == 4 and self.open:
+            withdrawn = self.open.pop(self.pick(*self.open)).event.message_id
+            return [MessageWithdrawn(withdrawn), MessageWithdrawn(withdrawn)]
+        if choice == 5:
             self.detached.add(target)
             return [EndpointDisabled(target)]
-        if what in (6, 7, 8):
-            back = self.pick(target, *sorted(self.detached))
-            self.detached.discard(back)
-            return [EndpointEnabled(back)]
-        if what == 9:
+        if choice in (6, 7, 8):
+            enabled = self.pick(target, *sorted(self.detached))
+            self.detached.discard(enabled)
+            return [EndpointEnabled(enabled)]
+        if choice == 9:
             self.s = replace(
                 self.settings(), max_open_messages=self.s.max_open_messages
             )
             return [SettingsChanged(self.s)]
         if (
-            what == 10 and self.seed % 4 == 0
-        ):  # a list that replaces its targets again and again
+            choice == 10 and self.seed % 4 == 0
+        ):  # a list that repeatedly replaces its endpoints
             fresh = {
                 n: EndpointEntry(n, 12, "north", self.pick("ways", "plain"))
                 for n in range(self.asked * 1000, self.asked * 1000 + 150)
@@ -358,115 +363,129 @@
 
     def carry_out(self, actions: list[Action]) -> None:
         ends: dict[int, tuple[Outcome, int]] = {}
-        for a in actions:
+        for action in actions:
             if (
-                isinstance(a, SendMessage) and a.message_id in self.open
-            ):  # not so where too little was remembered
-                m = self.open[a.message_id]
-                if a.endpoint not in ends:
-                    mood = self.moods.get(a.endpoint, Outcome.DELIVERED)
+                isinstance(action, SendMessage) and action.message_id in self.open
+            ):  # false for messages that a truncated snapshot lost
+                message = self.open[action.message_id]
+                if action.endpoint not in ends:
+                    mood = self.moods.get(action.endpoint, Outcome.DELIVERED)
                     slow = self.luck(0.1) or mood is Outcome.TIMED_OUT
                     took = (
                         self.r.randrange(2 * S)
                         if slow
                         else self.r.randrange(MS, 100 * MS)
                     )
-                    ends[a.endpoint] = (
+                    ends[action.endpoint] = (
                         mood if self.luck(0.8) else Outcome.DELIVERED,
                         took,
                     )
-                    if self.luck(0.04):  # its connection is lost and tells nothing
-                        ends[a.endpoint] = (Outcome.TIMED_OUT, 0)
-                outcome, took = ends[a.endpoint]
-                if outcome is Outcome.TIMED_OUT or took >= a.timeout_us:
-                    outcome, took = Outcome.TIMED_OUT, a.timeout_us
+                    if self.luck(0.04):  # its connection is lost without an error
+                        ends[action.endpoint] = (Outcome.TIMED_OUT, 0)
+                outcome, took = ends[action.endpoint]
+                if outcome is Outcome.TIMED_OUT or took >= action.timeout_us:
+                    outcome, took = Outcome.TIMED_OUT, action.timeout_us
                 self.out.append(
                     Out(
-                        a.message_id,
-                        m.attempts,
-                        a.endpoint,
+                        action.message_id,
+                        message.attempts,
+                        action.endpoint,
                         self.now,
                         outcome,
                         self.now + took,
                     )
                 )
-                m.attempts += 1
-            elif isinstance(a, RejectMessage | FailMessage):
-                over = self.open.pop(a.message_id, None)
+                message.attempts += 1
+            elif isinstance(action, RejectMessage | FailMessage):
+                finished = self.open.pop(action.message_id, None)
                 if (
-                    over
+                    finished
                     and self.s.notifications_acknowledged
-                    and over.event.ordering_key
-                    and over.cls.ordered
+                    and finished.event.ordering_key
+                    and finished.cls.ordered
                 ):
-                    self.owed.append((a.message_id, over.event.ordering_key))
-            elif isinstance(a, SetTimer):
-                self.timer = self.now + a.delay_us
-            elif isinstance(a, CancelAttempt):
+                    self.owed.append((action.message_id, finished.event.ordering_key))
+            elif isinstance(action, SetTimer):
+                self.timer = self.now + action.delay_us
+            elif isinstance(action, CancelAttempt):
                 out = [
-                    o
-                    for o in self.out
-                    if (o.message, o.attempt) == (a.message_id, a.attempt)
+                    attempt
+                    for attempt in self.out
+                    if (attempt.message, attempt.attempt)
+                    == (action.message_id, action.attempt)
                 ]
                 assert (
-                    out or a.message_id not in self.open
-                )  # sent though over: see above
-                for o in out:
-                    o.outcome, o.ends = (
+                    out or action.message_id not in self.open
+                )  # sent after its end: see SendMessage above
+                for attempt in out:
+                    attempt.outcome, attempt.ends = (
                         Outcome.CANCELED,
                         self.now + self.pick(0, 100 * MS),
                     )
-            elif isinstance(a, RecordOutage):
-                self.outages[a.endpoint] = (a.started_at_us, a.recovered_at_us)
+            elif isinstance(action, RecordOutage):
+                self.outages[action.endpoint] = (
+                    action.started_at_us,
+                    action.recovered_at_us,
+                )
 
     def recalled(self, cut_off: set[str]) -> Iterator[Event]:
         yield EndpointListChanged(
             EndpointListKind.SNAPSHOT,
-            tuple(e for e in self.entries.values() if self.luck(0.9)),
+            tuple(event for event in self.entries.values() if self.luck(0.9)),
         )
         yield from map(EndpointDisabled, sorted(self.detached))
-        for name, m in self.open.items():
-            e = m.event
-            cls, most = self.pick(m.cls, None), self.pick(m.most, 0)
+        for name, message in self.open.items():
+            event = message.event
+            cls, most = self.pick(message.cls, None), self.pick(message.most, 0)
             yield MessageRestored(
                 name,
-                e.destination,
-                e.class_name,
-                e.deadline_us,
-                e.ordering_key,
-                e.tenant,
-                m.attempts,
-                m.ran_at,
-                m.ran_on,
+                event.destination,
+                event.class_name,
+                event.deadline_us,
+                event.ordering_key,
+                event.tenant,
+                message.attempts,
+                message.ran_at,
+                message.ran_on,
                 name in cut_off,
                 cls,
                 most,
             )
         yield MessageRestored("old", 10, "unheard of", self.now + S)
         yield from (NotificationPending(name, key) for name, key in self.owed)
-        yield from (OutageRestored(n, *o) for n, o in self.outages.items() if o[0] >= 0)
+        yield from (
+            OutageRestored(endpoint, *outage)
+            for endpoint, outage in self.outages.items()
+            if outage[0] >= 0
+        )
 
     def restart(self) -> None:
-        """Killed: what was out may have run."""
-        for o in self.out:
-            m = self.open.get(o.message)
-            if m is not None and m.ran_at < 0:
-                m.ran_at, m.ran_on = o.sent, o.target
-        cut, self.out = {o.message for o in self.out}, []
+        """Kills the process and starts another; messages in flight may have been executed."""
+        for attempt in self.out:
+            message = self.open.get(attempt.message)
+            if message is not None and message.ran_at < 0:
+                message.ran_at, message.ran_on = attempt.sent, attempt.target
+        cut, self.out = {attempt.message for attempt in self.out}, []
         self.d, self.timer = self.make(self.s, self.seed + self.now, self.now), 0
         self.next = list(self.recalled(cut))
 
     def hand_over(self) -> None:
-        """Another process goes on; calls stay out, and some that it is told nothing
-        of.
+        """Hands over to another dispatcher. Calls stay in flight, except about a tenth that the
+        new dispatcher is not told about.
         """
-        out = {(o.message, o.attempt) for o in self.out if self.luck(0.9)}
-        memory = json.loads(json.dumps(self.d.snapshot(out)))
+        known_attempts = {
+            (attempt.message, attempt.attempt) for attempt in self.out if self.luck(0.9)
+        }
+        snapshot = json.loads(json.dumps(self.d.snapshot(known_attempts)))
         if self.luck(0.2):
-            del memory[self.pick(*memory)]
+            del snapshot[self.pick(*snapshot)]
         self.d, self.timer = self.make(self.s, self.seed + self.now, self.now), 0
-        self.next = [*self.recalled(set()), SnapshotRestored(memory)]
-        self.out = [o for o in self.out if (o.message, o.attempt) in out]
+        self.next = [*self.recalled(set()), SnapshotRestored(snapshot)]
+        self.out = [
+            attempt
+            for attempt in self.out
+            if (attempt.message, attempt.attempt) in known_attempts
+        ]
 
 
 KINDS = ("plain", "lots", "ways", "ways", "other")
@@ -478,50 +497,65 @@
     events: list[Event]
     actions: list[Action]
     digest: str
-    """Of all until then."""
+    """SHA-256 over all rounds up to this one."""
 
 
 def play(
     seed: int, make: Callable[[Settings, int, int], Dispatcher] = Dispatcher
 ) -> Iterator[Round]:
-    """Every action of one world with its time, and now and then what its dispatcher
-    remembers and says.
+    """Yields the rounds of one world.
+
+    The digest covers each round's time and actions and, every ASKED rounds, the dispatcher's
+    snapshot and its endpoints' health.
     """
-    world, sum_of_all = World(seed, make), hashlib.sha256()
-    for n, (now, events, actions) in enumerate(world.play(ROUNDS)):
-        sum_of_all.update(
+    world, digest = World(seed, make), hashlib.sha256()
+    for round_number, (now, events, actions) in enumerate(world.play(ROUNDS)):
+        digest.update(
             f"{now} {world.d.state.events_applied} {recorded_text(actions)}\n".encode()
         )
-        if n % ASKED == ASKED - 1:
-            d = world.d
+        if round_number % ASKED == ASKED - 1:
+            dispatcher = world.d
             serving = [
-                t for targets in d.state.serving_endpoints.values() for t in targets
+                endpoint
+                for endpoints in dispatcher.state.serving_endpoints.values()
+                for endpoint in endpoints
             ]
-            said = [
-                (t.id, d.is_avoided(t.id), d.in_slow_start(t), d.ramp_interval(t))
-                for t in serving
+            endpoint_health = [
+                (
+                    endpoint.id,
+                    dispatcher.is_avoided(endpoint.id),
+                    dispatcher.in_slow_start(endpoint),
+                    dispatcher.ramp_interval(endpoint),
+                )
+                for endpoint in serving
             ]
-            kept = d.snapshot({(o.message, o.attempt) for o in world.out})
-            drawn = hashlib.sha256(repr(d.state.random.getstate()).encode()).hexdigest()
-            sum_of_all.update(
-                f"{said} {kept} {d.state.calls_in_flight} {drawn}\n".encode()
+            snapshot = dispatcher.snapshot(
+                {(attempt.message, attempt.attempt) for attempt in world.out}
+            )
+            random_state = hashlib.sha256(
+                repr(dispatcher.state.random.getstate()).encode()
+            ).hexdigest()
+            digest.update(
+                f"{endpoint_health} {snapshot} {dispatcher.state.calls_in_flight} {random_state}\n".encode()
             )
-        yield Round(now, events, actions, sum_of_all.hexdigest())
+        yield Round(now, events, actions, digest.hexdigest())
 
 
 def record(
     seed: int, make: Callable[[Settings, int, int], Dispatcher] = Dispatcher
 ) -> dict[str, Any]:
-    """What is kept of one world: the first digits of each round's digest, the last
-    whole, actions by kind.
+    """Returns the reference data of one world: the first four digits of each round's digest,
+    the complete last digest, and the number of actions by type.
     """
     rounds = list(play(seed, make))
-    kinds = Counter(recorded_name(a) for r in rounds for a in r.actions)
+    kinds = Counter(
+        recorded_name(action) for round_ in rounds for action in round_.actions
+    )
     return {
         "seed": seed,
         "sha256": rounds[-1].digest,
         "actions": dict(sorted(kinds.items())),
-        "rounds": "".join(r.digest[:4] for r in rounds),
+        "rounds": "".join(round_.digest[:4] for round_ in rounds),
     }
 
 
--- a/tests/support/recorded_names.py
+++ b/tests/support/recorded_names.py
@@ -1,4 +1,4 @@
-"""The names under which replay.json has recorded actions: its digests are over their text."""
+"""Action and field names as recorded in replay.json, whose digests cover the actions' text."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
         },
     ),
 }
-"""Each action's recorded name, and its fields in recorded order with their names."""
+"""Recorded name of each action type, and its fields in recorded order with recorded names."""
 
 
 def recorded_name(action: Action) -> str:
-    """The name under which an action's kind is counted."""
+    """Returns the recorded name of an action's type, under which replay.json counts it."""
     return ACTIONS[type(action)][0]
 
 
 def recorded_text(actions: Iterable[Action]) -> str:
-    """The text that a list of actions was recorded as."""
+    """Returns the text of a list of actions in recorded names, as the digests cover it."""
     texts = []
     for action in actions:
         name, keys = ACTIONS[type(action)]
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of dispatchers against one destination that goes down and returns cold, by an
+"""Simulates a fleet of dispatchers and one destination that goes down and returns cold, on an
 injected clock.
 """
 
@@ -36,7 +36,7 @@
 
 MS, S = 1_000, 1_000_000
 ITEM_WEIGHT = (
-    0.23  # of each further message of a call: the most that the given sites name
+    0.23  # of each further message of a call: the largest value of the given sites
 )
 FALL_US, WARM_US, COLD_FROM, FACTOR = 3 * S, 11 * S, 0.14, 2.5
 DESTINATION = 10
@@ -44,37 +44,37 @@
 
 @dataclass(frozen=True)
 class Play:
-    """One play; all else is drawn from the seed."""
+    """Parameters of one simulation; everything else is drawn from the seed."""
 
     forwarders: int
     n: float
-    """Calls in FALL_US that the settings allow at the very return."""
+    """Calls in FALL_US that the settings permit at the moment of recovery."""
     seed: int = 1
     every_us: int = 2 * S
-    """Each forwarder gets a message so often in the mean."""
+    """Mean interval between arrivals at one forwarder."""
     burst: int = 1
-    """So many messages come together."""
+    """Messages that arrive together."""
     batch: int = 1
     endpoints: int = 1
     apart: bool = False
     hangs: bool = False
     outage_us: int = 40 * S
     told: float = 1.0
-    """The weight told, as a multiple of the true capacity; 0 where none is told."""
+    """The endpoint weight, as a multiple of the true capacity; 0 if weights are not known."""
     restart: float = 0.0
-    """This part of the forwarders restarts, in the outage's last second."""
+    """Share of the forwarders that restart, in the last second of the outage."""
     restart_late: bool = False
-    """They restart 2 s after the return instead."""
+    """Restarts happen 2 to 3 s after recovery instead."""
     late_list: bool = False
-    """Half of the forwarders learn of the destination only around its return."""
+    """Half of the forwarders receive the endpoint list only within 3 s of the recovery."""
 
     @property
     def capacity(self) -> float:
-        """Calls a second."""
+        """The warm capacity in calls per second."""
         return self.n / (FACTOR * COLD_FROM * FALL_US / S)
 
     def allowed(self, since_us: int) -> float:
-        """N, so long after the return."""
+        """Returns the calls in FALL_US permitted at a time after recovery."""
         share = min(1.0, COLD_FROM + (1 - COLD_FROM) * since_us / WARM_US)
         return FACTOR * share * self.capacity * FALL_US / S
 
@@ -86,18 +86,22 @@
 @dataclass
 class Verdict:
     count: float = 0.0
-    """The greatest count against its bound, and that bound."""
+    """Calls of informed forwarders in FALL_US where they are largest relative to `limit`.
+
+    A forwarder is informed if it had a failed call in the outage. A call of several messages
+    counts by weight.
+    """
     limit: float = 1.0
     calls: int = 0
-    """From the return until warm."""
+    """Calls from recovery until the destination is warm."""
     found_us: int = -1
-    """From the return until the first call of a forwarder that had met the outage."""
+    """Time from recovery to the first call of an informed forwarder; -1 if there is none."""
     delivered: int = 0
     whole: float = 0.0
-    """The same of the calls of all forwarders, as a part of its bound."""
+    """The largest ratio of the calls of all forwarders in FALL_US to their limit."""
     pushed: bool = False
-    """Some span was over its bound with more than two thirds from forwarders that had
-    learned.
+    """Whether some span exceeded its limit with over two thirds of the calls from informed
+    forwarders.
     """
 
     @property
@@ -112,16 +116,14 @@
     timer: int = -1
     version: int = 0
     learned: set[int] = field(default_factory=set)
-    """Endpoints (or -1, the destination) of which it was told a failure in the
-    outage.
-    """
+    """Endpoints (or -1, the destination) on which a call of it failed in the outage."""
     outages: dict[int, tuple[int, int]] = field(default_factory=dict)
     open: dict[str, MessageReceived] = field(default_factory=dict)
     attempts: Counter[str] = field(default_factory=Counter)
 
 
 class Fleet:
-    """Events by time: arrivals, ends of calls, timers, restarts."""
+    """Processes events in time order: arrivals, ends of calls, timers, restarts."""
 
     def __init__(self, play: Play) -> None:
         self.p, self.r = play, Random(play.seed)
@@ -130,9 +132,7 @@
         self.heap: list[tuple[int, int, str, int, object]] = []
         self.count = 0
         self.seen: list[tuple[int, int, float, bool]] = []
-        """(when, unit, weight, whether its forwarder had learned) of each call that
-        reached it since.
-        """
+        """(time, unit, weight, whether its forwarder was informed) of each call since recovery."""
         self.delivered = 0
         settings = self.settings()
         self.fleet = [
@@ -157,21 +157,21 @@
                 self.put(at, "restart", f.number, None)
 
     def settings(self) -> Settings:
-        p = self.p
+        play = self.p
         return Settings(
             max_in_flight=8,
             classes=(
                 MessageClass("safe", S, 5 * S),
                 MessageClass("long", 4 * S, 16 * S),
             ),
-            destination_kinds=(DestinationKind("kind", p.batch, p.apart),),
-            forwarder_count=p.forwarders,
+            destination_kinds=(DestinationKind("kind", play.batch, play.apart),),
+            forwarder_count=play.forwarders,
             max_open_messages=200,
             max_attempts=8,
             allow_cancel=True,
             send_retry_after=True,
             max_retry_after_us=3 * S,
-            endpoint_weights_known=p.told > 0,
+            endpoint_weights_known=play.told > 0,
             overload_factor=FACTOR,
             overload_window_us=FALL_US,
             cold_capacity_share=COLD_FROM,
@@ -193,11 +193,11 @@
     def run(self) -> Verdict:
         until = self.returns + WARM_US
         while self.heap and self.heap[0][0] <= until:
-            now, _, what, number, more = heappop(self.heap)
-            f = self.fleet[number]
-            match what:
+            now, _, event_kind, number, details = heappop(self.heap)
+            forwarder = self.fleet[number]
+            match event_kind:
                 case "ask":
-                    self.handle(f, now, self.arrivals(f, now))
+                    self.handle(forwarder, now, self.arrivals(forwarder, now))
                     self.put(
                         now + 1 + int(self.r.expovariate(1 / self.p.every_us)),
                         "ask",
@@ -206,7 +206,7 @@
                     )
                 case "list":
                     self.handle(
-                        f,
+                        forwarder,
                         now,
                         [
                             EndpointListChanged(
@@ -214,16 +214,16 @@
                             )
                         ],
                     )
-                    for place in (
-                        f.d.state.throttle_scopes.values()
-                    ):  # as after hours of successes: the pace bounds little
-                        place.even_shares = float(self.p.forwarders)
-                case "timer" if more == f.version:
-                    self.handle(f, now, [TimerExpired("look")])
-                case "end" if isinstance(more, tuple) and more[0] is f.d:
-                    self.end(f, now, more[1], more[2])
+                    for scope in (
+                        forwarder.d.state.throttle_scopes.values()
+                    ):  # as after hours of successes, when pacing has little effect
+                        scope.even_shares = float(self.p.forwarders)
+                case "timer" if details == forwarder.version:
+                    self.handle(forwarder, now, [TimerExpired("look")])
+                case "end" if isinstance(details, tuple) and details[0] is forwarder.d:
+                    self.end(forwarder, now, details[1], details[2])
                 case "restart":
-                    self.restart(f, now)
+                    self.restart(forwarder, now)
         return self.verdict()
 
     def arrivals(self, f: Forwarder, now: int) -> list[Event]:
@@ -244,30 +244,33 @@
 
     def handle(self, f: Forwarder, now: int, events: list[Event]) -> None:
         calls: dict[int, list[SendMessage]] = {}
-        for a in f.d.handle(now, events):
-            match a:
+        for action in f.d.handle(now, events):
+            match action:
                 case SendMessage():
-                    whole = calls.get(a.endpoint)
-                    if whole is None or len(whole) >= self.p.batch:
-                        whole = calls[a.endpoint] = []
+                    call = calls.get(action.endpoint)
+                    if call is None or len(call) >= self.p.batch:
+                        call = calls[action.endpoint] = []
                         self.put(now, "sent", f.number, None)
-                        self.begin(f, now, a.endpoint, whole)
-                    whole.append(a)
+                        self.begin(f, now, action.endpoint, call)
+                    call.append(action)
                 case RejectMessage() | FailMessage():
-                    f.open.pop(a.message_id, None)
+                    f.open.pop(action.message_id, None)
                 case SetTimer():
                     f.version += 1
-                    self.put(now + a.delay_us, "timer", f.number, f.version)
+                    self.put(now + action.delay_us, "timer", f.number, f.version)
                 case RecordOutage():
-                    f.outages[a.endpoint] = (a.started_at_us, a.recovered_at_us)
+                    f.outages[action.endpoint] = (
+                        action.started_at_us,
+                        action.recovered_at_us,
+                    )
                 case _:
                     pass
 
     def begin(
         self, f: Forwarder, now: int, target: int, whole: list[SendMessage]
     ) -> None:
-        """What becomes of a call follows from when it is sent; its messages join until
-        the round ends.
+        """Schedules the end of a call. Its outcome depends on the time at which it is sent;
+        messages are added to it until the round ends.
         """
         up = not self.down <= now < self.returns
         if up:
@@ -288,44 +291,49 @@
         )
 
     def end(self, f: Forwarder, now: int, call: tuple, _: object) -> None:  # type: ignore[type-arg]
-        if len(call) == 2:  # the round is over: so many joined
-            whole, n = call
-            at, unit, _w, knew = self.seen[n]
-            self.seen[n] = (at, unit, 1 + ITEM_WEIGHT * (len(whole) - 1), knew)
+        if len(call) == 2:  # the round is over: the call has all its messages
+            messages, index = call
+            sent_at, unit, _weight, informed = self.seen[index]
+            self.seen[index] = (
+                sent_at,
+                unit,
+                1 + ITEM_WEIGHT * (len(messages) - 1),
+                informed,
+            )
             return
-        whole, outcome, sent, took = call
+        messages, outcome, sent, took = call
         if took < 0:
-            longest = min(a.timeout_us for a in whole)
+            longest = min(message.timeout_us for message in messages)
             self.put(
                 sent + longest,
                 "end",
                 f.number,
-                (f.d, (whole, outcome, sent, longest), None),
+                (f.d, (messages, outcome, sent, longest), None),
             )
             return
         events: list[Event] = []
-        for a in whole:
+        for message in messages:
             closed = outcome is Outcome.DELIVERED
             if closed:
-                f.open.pop(a.message_id, None)
+                f.open.pop(message.message_id, None)
                 self.delivered += now >= self.returns
             events.append(
                 AttemptFinished(
-                    a.message_id,
-                    f.attempts[a.message_id],
-                    a.endpoint,
+                    message.message_id,
+                    f.attempts[message.message_id],
+                    message.endpoint,
                     outcome,
                     took,
                     closed,
                 )
             )
-            f.attempts[a.message_id] += 1
+            f.attempts[message.message_id] += 1
         if outcome is not Outcome.DELIVERED:
-            f.learned.add(whole[0].endpoint if self.p.apart else -1)
+            f.learned.add(messages[0].endpoint if self.p.apart else -1)
         self.handle(f, now, events)
 
     def restart(self, f: Forwarder, now: int) -> None:
-        """Killed; the calls that were out are lost, what was told by Outage is kept."""
+        """Kills and restarts a forwarder: calls in flight are lost, recorded outages are kept."""
         f.d, f.version = (
             Dispatcher(self.settings(), self.r.randrange(1 << 30), now),
             f.version + 1,
@@ -350,22 +358,38 @@
     def verdict(self) -> Verdict:
         best = Verdict(calls=len(self.seen), delivered=self.delivered)
         best.found_us = min(
-            (at - self.returns for at, _, _, knew in self.seen if knew), default=-1
+            (
+                sent_at - self.returns
+                for sent_at, _, _, informed in self.seen
+                if informed
+            ),
+            default=-1,
         )
         for unit in {unit for _, unit, _, _ in self.seen}:
-            calls = [(at, w, knew) for at, u, w, knew in self.seen if u == unit]
-            times, sums, known = [at for at, _, _ in calls], [0.0], [0.0]
-            for _, w, knew in calls:
-                sums.append(sums[-1] + w)
-                known.append(known[-1] + w * knew)
-            for n, at in enumerate(times):
-                first = bisect_right(times, at - FALL_US)
-                count, whole = known[n + 1] - known[first], sums[n + 1] - sums[first]
-                limit = bound(self.p.allowed(at - self.returns))
+            calls = [
+                (sent_at, weight, informed)
+                for sent_at, call_unit, weight, informed in self.seen
+                if call_unit == unit
+            ]
+            times, sums, informed_sums = (
+                [sent_at for sent_at, _, _ in calls],
+                [0.0],
+                [0.0],
+            )
+            for _, weight, informed in calls:
+                sums.append(sums[-1] + weight)
+                informed_sums.append(informed_sums[-1] + weight * informed)
+            for index, sent_at in enumerate(times):
+                first = bisect_right(times, sent_at - FALL_US)
+                count, total = (
+                    informed_sums[index + 1] - informed_sums[first],
+                    sums[index + 1] - sums[first],
+                )
+                limit = bound(self.p.allowed(sent_at - self.returns))
                 if count / limit > best.part:
                     best.count, best.limit = count, limit
-                best.whole = max(best.whole, whole / limit)
-                best.pushed |= whole > limit and count > whole * 2 / 3
+                best.whole = max(best.whole, total / limit)
+                best.pushed |= total > limit and count > total * 2 / 3
         return best
 
 
@@ -374,7 +398,7 @@
 
 
 def every(forwarders: int) -> int:
-    """Each forwarder holds messages for it nearly always."""
+    """Returns an arrival interval at which each forwarder almost always has messages queued."""
     return max(500 * MS, forwarders * 40 * MS)
 
 
@@ -386,7 +410,7 @@
 
 
 def thin(forwarders: int, n: float, seed: int) -> Play:
-    """Messages come as the destination can take them when warm, eight tenths of it."""
+    """Returns a simulation whose messages arrive at 80% of the warm capacity."""
     play = Play(forwarders, n, seed, outage_us=10 * S, hangs=True)
     return replace(play, every_us=int(forwarders * S / (0.8 * play.capacity)))
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,6 +1,6 @@
-"""No list of processes, servers, destinations or records is cut below 1,024 entries,
-and the lists of the largest fleet (540 forwarders, 44,000 destinations, 10,000 budgets)
-are taken whole.
+"""Checks that no list of processes, servers, destinations or records is limited to fewer
+than 1,024 entries, and that the lists of the largest fleet (540 forwarders, 44,000
+destinations, 10,000 budgets) are accepted completely.
 """
 
 from __future__ import annotations
@@ -83,18 +83,18 @@
     "registry.member_encoder.MAX_CACHED_MEMBERS",
     "dispatch.message_queues.MAX_SPARE_DESTINATION_QUEUES",
 }
-TEXT = "bytes or characters, no list"
-NUMBER = "a time or a number that is told, no list"
-ONE = "of one connection, call or target, whatever the fleet's size"
+TEXT = "bytes or characters, not a list"
+NUMBER = "a time or a number that is received, not a list"
+ONE = "of one connection, call or endpoint, independent of the fleet's size"
 EXEMPT = {
     "budget.account.MAX_UNACKNOWLEDGED_GRANTS": (
-        "grants to one process not acknowledged; older ones count as one"
+        "unacknowledged grants to one process; older ones are merged into one"
     ),
     "budget.config.MAX_PARTS": "weights of one destination's classes and tenants",
     "budget.fair_share.MAX_CREDIT": NUMBER,
-    "budget.demand.MAX_PARTS": "parts of one destination's need told apart; the others count as one",
+    "budget.demand.MAX_PARTS": "separate parts of one destination's demand; the others are merged into one",
     "dispatch.endpoint_list.MAX_POLL_RETRY_US": NUMBER,
-    "journal.__main__.MAX_NAMED": "names on one printed line; the report has them all",
+    "journal.__main__.MAX_NAMED": "names on one printed line; the report contains all of them",
     "journal.format.MAX_FRAME_NUMBER": NUMBER,
     "journal.format.MAX_V1_RECORD_BYTES": TEXT,
     "journal.format.MAX_RECORD_BYTES": TEXT,
@@ -103,16 +103,16 @@
     "lab.experiment_model.MAX_PEERS": "real processes on the one machine of a trial",
     "lab.experiment_model.MAX_RATE": NUMBER,
     "lab.sweep.MAX_JOBS": "trials at once on one machine",
-    "lease.holder.MAX_PENDING_REQUESTS": "renewals of one lease under way; later answers are of no use",
+    "lease.holder.MAX_PENDING_REQUESTS": "renewals of one lease in flight; later answers are of no use",
     "lease.types.MAX_EPOCH_JUMP": NUMBER,
     "lease.types.MAX_NOTE_ENTRIES": "entries of one lease's note",
     "lease.types.MAX_TEXT_LENGTH": TEXT,
     "member.roster.MAX_NAME_LENGTH": TEXT,
     "forwarder.admin.admin_server.BACKLOG": (
-        "operators, who hold descriptors of the forwarder's: 16 of them at a time"
+        "admin connections, which use the forwarder's descriptors: 16 at a time"
     ),
     "forwarder.admin.admin_server.MAX_BODY_BYTES": TEXT,
-    "forwarder.admin.admin_server.MAX_CONNECTIONS": "operators, who hold descriptors of the forwarder's",
+    "forwarder.admin.admin_server.MAX_CONNECTIONS": "admin connections, which use descriptors",
     "forwarder.admin.admin_server.MAX_CONFIG_BYTES": TEXT,
     "forwarder.admin.admin_server.MAX_HEADER_BYTES": TEXT,
     "forwarder.outbound.responses.MAX_LIMIT_PER_S": NUMBER,
@@ -131,13 +131,13 @@
     "forwarder.outbound.idle_connections.MAX_IDLE_PER_ENDPOINT": ONE,
     "forwarder.handover.connection.MAX_LINE_BYTES": TEXT,
     "forwarder.handover.connection.MAX_SOCKET_PATH_BYTES": TEXT,
-    "forwarder.config.validation.MAX_DEPTH": "objects within each other",
+    "forwarder.config.validation.MAX_DEPTH": "nesting of objects",
     "forwarder.inbound.server.MAX_UNREAD_BYTES": TEXT,
     "registry.budget_extension.MAX_CHECK_INTERVAL_US": NUMBER,
     "registry.service_context.MAX_CACHED_ANSWER_BYTES": TEXT,
     "registry.discovery_api.MAX_HOLD_MS": NUMBER,
     "registry.http_server.MAX_LINE_BYTES": TEXT,
-    "session.session_directory.MAX_HOPS": "forwarders that one message may go through",
+    "session.session_directory.MAX_HOPS": "forwarders that one message may pass through",
     "shard.map_validation.MAX_MOVED_SHARE": NUMBER,
     "shard.shard_map.MAX_INTEGER_DIGITS": TEXT,
     "shard.shard_map.MAX_GENERATION": NUMBER,
@@ -145,7 +145,7 @@
     "shard.plan_cells.MAX_PIECES": "pieces that one range is split into at once",
 }
 ALSO = {"session.messages.ITEM_LIMIT", "registry.storage.MAX_CACHED_NOTICES"}
-"""Bounds of lists by other names than the usual."""
+"""Bounds whose names do not follow the pattern that `constants` searches for."""
 
 
 def sources() -> Iterator[tuple[str, ast.Module]]:
@@ -155,14 +155,14 @@
 
 
 def constants() -> Iterator[str]:
-    """The named bounds, by the module that defines them."""
+    """Yields the named bounds, each as `module.NAME`."""
     for module, tree in sources():
         for node in tree.body:
             names = [
-                n.id
+                node_name.id
                 for target in getattr(node, "targets", [])
-                for n in ast.walk(target)
-                if isinstance(n, ast.Name)
+                for node_name in ast.walk(target)
+                if isinstance(node_name, ast.Name)
             ]
             yield from (
                 f"{module}.{name}"
@@ -173,44 +173,50 @@
             )
 
 
-def test_each_named_bound_is_of_a_list_and_not_below_1024_or_exempt_for_a_reason() -> (
-    None
-):
+def test_each_named_list_bound_is_at_least_1024_or_exempt_with_a_reason() -> None:
     assert set(constants()) == LISTS | set(EXEMPT) and not LISTS & set(EXEMPT)
     found = {}
-    for full in LISTS:
-        module, _, name = full.rpartition(".")
-        found[full] = getattr(importlib.import_module(f"rainfall.{module}"), name)
-    assert {full: most for full, most in found.items() if most < LEAST} == {}
+    for qualified_name in LISTS:
+        module, _, name = qualified_name.rpartition(".")
+        found[qualified_name] = getattr(
+            importlib.import_module(f"rainfall.{module}"), name
+        )
+    assert {
+        qualified_name: bound
+        for qualified_name, bound in found.items()
+        if bound < LEAST
+    } == {}
     bounds = Limits()
     assert min(bounds.watchers, bounds.connections, bounds.queued) >= LEAST
 
 
-def test_no_smaller_bound_is_hidden_in_a_call() -> None:
-    """Lengths and backlogs that stand as plain numbers, and lists cut off at one."""
+def test_no_literal_list_bound_is_below_1024() -> None:
+    """Finds literal numbers from 17 to 1,023 passed as a length or backlog, or compared with
+    `len()`.
+    """
     found = []
     for module, tree in sources():
         for node in ast.walk(tree):
-            given: list[ast.expr | None] = []
+            limits: list[ast.expr | None] = []
             if isinstance(node, ast.Call):
-                given = [
-                    k.value
-                    for k in node.keywords
-                    if k.arg in ("maxlen", "backlog", "maxsize")
+                limits = [
+                    keyword.value
+                    for keyword in node.keywords
+                    if keyword.arg in ("maxlen", "backlog", "maxsize")
                 ]
                 if isinstance(node.func, ast.Attribute) and node.func.attr == "listen":
-                    given += node.args
+                    limits += node.args
             elif (
                 isinstance(node, ast.Compare)
                 and isinstance(node.left, ast.Call)
                 and getattr(node.left.func, "id", "") == "len"
                 and isinstance(node.ops[0], ast.Gt | ast.GtE)
             ):
-                given = [*node.comparators]
+                limits = [*node.comparators]
             numbers = [
-                v.value
-                for v in given
-                if isinstance(v, ast.Constant) and isinstance(v.value, int)
+                value.value
+                for value in limits
+                if isinstance(value, ast.Constant) and isinstance(value.value, int)
             ]
             found += [
                 f"{module}: {ast.unparse(node)}"
@@ -222,7 +228,7 @@
     ] == []
 
 
-# The configuration's file and a beat
+# The configuration file and heartbeats
 
 
 def fleet(budgets: int, peers: int) -> dict[str, Any]:
@@ -238,14 +244,14 @@
 
 
 @pytest.mark.parametrize("budgets, peers", [(LEAST, LEAST), (MAX_BUDGETS, 10_000)])
-def test_a_file_with_so_many_budgets_and_peers_is_taken(
+def test_configuration_with_many_budgets_and_peers_is_accepted(
     budgets: int, peers: int
 ) -> None:
-    told = parse_fleet(fleet(budgets, peers), "f")
-    assert len(told.budgets) == budgets and len(told.peers) == peers
+    parsed = parse_fleet(fleet(budgets, peers), "f")
+    assert len(parsed.budgets) == budgets and len(parsed.peers) == peers
 
 
-def test_a_file_with_so_many_faults_is_told_of_1024(tmp_path: Path) -> None:
+def test_configuration_with_many_faults_reports_up_to_the_limit(tmp_path: Path) -> None:
     file = {
         "name": "f",
         "listen": "127.0.0.1:9",
@@ -266,78 +272,78 @@
     assert len({fault["path"] for fault in found}) == MAX_REPORTED
 
 
-def test_demand_is_counted_for_as_many_destinations_as_the_service_takes() -> None:
-    books = FleetQuotas((), 0.0, {}, 0)
+def test_demand_is_recorded_for_as_many_destinations_as_the_service_accepts() -> None:
+    quotas = FleetQuotas((), 0.0, {}, 0)
     for destination in range(ENDPOINTS):
-        books.record_demand(destination, "order/a-tenant", 10)
-    told = books.needs(
+        quotas.record_demand(destination, "order/a-tenant", 10)
+    needs = quotas.needs(
         {ENDPOINTS + n: {"pay/another-tenant": 1} for n in range(10)}, 20
     )
-    assert len(told) == MAX_BUDGETS and parse_demand(told)
-    assert len(books.demand) == MAX_BUDGETS
+    assert len(needs) == MAX_BUDGETS and parse_demand(needs)
+    assert len(quotas.demand) == MAX_BUDGETS
 
 
-def test_a_beat_stays_within_the_service_s_body_by_merging_parts() -> None:
-    named = parse_fleet(fleet(MAX_BUDGETS, 0), "f").budgets
-    books = FleetQuotas(named, 0.0, {}, 0)
+def test_heartbeat_merges_demand_parts_to_stay_within_the_body_limit() -> None:
+    budgets = parse_fleet(fleet(MAX_BUDGETS, 0), "f").budgets
+    quotas = FleetQuotas(budgets, 0.0, {}, 0)
     for destination in range(MAX_BUDGETS):
         for tenant in range(20):
-            books.record_demand(destination, f"a-class-of-messages/tenant-{tenant}", 10)
-    told = books.needs({}, 20)
-    assert len(told) == MAX_BUDGETS and {
-        sum(parts.values()) for parts in told.values()
+            quotas.record_demand(
+                destination, f"a-class-of-messages/tenant-{tenant}", 10
+            )
+    needs = quotas.needs({}, 20)
+    assert len(needs) == MAX_BUDGETS and {
+        sum(parts.values()) for parts in needs.values()
     } == {20}
-    holds = {str(d): [10**6, 10**6] for d in range(MAX_BUDGETS)}
-    assert len(json.dumps({"needs": told, "holds": holds})) < Limits().body_bytes
+    holds = {str(budget): [10**6, 10**6] for budget in range(MAX_BUDGETS)}
+    assert len(json.dumps({"needs": needs, "holds": holds})) < Limits().body_bytes
 
 
-def test_parts_that_wait_past_those_told_apart_count_as_one_and_none_is_left_out() -> (
-    None
-):
-    wants = DemandTracker(1_000)
+def test_demand_parts_beyond_the_limit_are_merged_without_loss() -> None:
+    demand = DemandTracker(1_000)
     for n in range(100):
-        wants.record_calls(10, f"come-{n}")
-    needs = wants.demand_by_part(20, {f"waits-{n}": 1 for n in range(100)})
+        demand.record_calls(10, f"come-{n}")
+    needs = demand.demand_by_part(20, {f"waits-{n}": 1 for n in range(100)})
     assert len(needs) <= MAX_PARTS and sum(needs.values()) == 200
 
 
-def test_what_a_successor_needs_of_10000_budgets_takes_a_small_part_of_the_disk(
+def test_state_file_of_10000_budgets_is_small(
     tmp_path: Path,
 ) -> None:
-    books = FleetQuotas(parse_fleet(fleet(MAX_BUDGETS, 0), "f").budgets, 0.0, {}, 0)
-    for account in books.accounts.values():
+    quotas = FleetQuotas(parse_fleet(fleet(MAX_BUDGETS, 0), "f").budgets, 0.0, {}, 0)
+    for account in quotas.accounts.values():
         for at in range(50):
             account.quota.window.add(10**12 + 1_000 * at, 1)
-    keep = StateFile(tmp_path, False)
-    records = books.close(10**12 + 10**5)
-    assert keep.write(*keep.encode(Token(3, 4), records)) is None
-    assert keep.path.stat().st_size < 300_000
-    token, kept = StateFile(tmp_path, False).read()
-    assert token == Token(3, 4) and kept == records
+    state_file = StateFile(tmp_path, False)
+    records = quotas.close(10**12 + 10**5)
+    assert state_file.write(*state_file.encode(Token(3, 4), records)) is None
+    assert state_file.path.stat().st_size < 300_000
+    token, read_records = StateFile(tmp_path, False).read()
+    assert token == Token(3, 4) and read_records == records
 
 
 # Members and messages
 
 
-def test_a_whole_fleet_that_is_lost_is_told_of() -> None:
+def test_loss_of_a_whole_fleet_is_reported() -> None:
     table = LeaseTable(LeaseSettings(0.02, 1_000, 1_000_000))
     table.commit(table.start(0, True))
     roster = Roster(table, 1_000_000)
     roster.on_started(0)
     names = [f"forwarder-{n:05}" for n in range(MOST_MEMBERS_GONE + 10)]
     for name in names:
-        made = roster.join(2_000_000, name, "a", "h:1")
-        assert isinstance(made, LeaseGrant)
-        roster.commit(made.record)
+        grant = roster.join(2_000_000, name, "a", "h:1")
+        assert isinstance(grant, LeaseGrant)
+        roster.commit(grant.record)
     for record in roster.tick(10_000_000):
         roster.commit(record)
-    gone = [m for m in roster.members.values() if m.state == "lost"]
-    assert len(gone) == MOST_MEMBERS_GONE >= LEAST and roster.active_members() == []
+    lost = [m for m in roster.members.values() if m.state == "lost"]
+    assert len(lost) == MOST_MEMBERS_GONE >= LEAST and roster.active_members() == []
     since = roster.changes_since(roster.oldest_known_version, roster.epoch)
     assert not since["whole"] and len(since["members"]) == MOST_MEMBERS_GONE
 
 
-def test_lost_messages_are_named() -> None:
+def test_lost_messages_are_listed_up_to_the_limit() -> None:
     state = JournalState()
     state.mark_in_doubt()
     for n in range(MAX_LOST_MESSAGES + 1):
@@ -386,61 +392,62 @@
     )
 
 
-def known_by(e: Engine, told: EndpointList) -> None:
-    """Each target that was told goes by one number, that leads back to its name."""
-    entries = e.to_entries(told)
-    e.apply_endpoint_list(told)
+def known_by(forwarder: Engine, endpoint_list: EndpointList) -> None:
+    """Applies the list and asserts that each endpoint has one number, mapped back to its name."""
+    entries = forwarder.to_entries(endpoint_list)
+    forwarder.apply_endpoint_list(endpoint_list)
     hosts: dict[int, ListedEndpoint] = {
-        entry.endpoint: h for entry, h in zip(entries, told.endpoints, strict=True)
+        entry.endpoint: listed
+        for entry, listed in zip(entries, endpoint_list.endpoints, strict=True)
     }
-    assert len(hosts) == len(told.endpoints) and {
-        n: e.endpoint_names.get(n) for n in hosts
-    } == {n: h.name for n, h in hosts.items()}
-    assert all(e.endpoint_ids[h.name] == n for n, h in hosts.items())
+    assert len(hosts) == len(endpoint_list.endpoints) and {
+        n: forwarder.endpoint_names.get(n) for n in hosts
+    } == {n: listed.name for n, listed in hosts.items()}
+    assert all(forwarder.endpoint_ids[listed.name] == n for n, listed in hosts.items())
 
 
-def test_a_first_list_of_44000_endpoints_goes_by_one_number_each(
+def test_first_list_of_44000_endpoints_gets_one_number_each(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
-        e = engine(tmp_path)
-        known_by(e, listing(range(ENDPOINTS)))
-        assert len(e.known_destinations) == ENDPOINTS
-        known_by(e, listing(range(ENDPOINTS)))
-        assert len(e.known_destinations) == ENDPOINTS
-        e.store.close()
+        forwarder = engine(tmp_path)
+        known_by(forwarder, listing(range(ENDPOINTS)))
+        assert len(forwarder.known_destinations) == ENDPOINTS
+        known_by(forwarder, listing(range(ENDPOINTS)))
+        assert len(forwarder.known_destinations) == ENDPOINTS
+        forwarder.store.close()
 
     asyncio.run(scene())
 
 
-def test_endpoints_that_left_are_remembered_and_forgotten_in_time(
+def test_removed_endpoints_keep_their_numbers_up_to_the_limit(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
-        e = engine(tmp_path)
-        known_by(e, listing(range(LEAST * 2)))
-        before = dict(e.endpoint_ids)
-        e.apply_endpoint_list(listing(range(LEAST * 2), "removed", whole=False))
-        assert not e.endpoints and e.endpoint_ids == before
-        known_by(e, listing(range(LEAST * 2)))
-        assert e.endpoint_ids == before  # they came back, and are who they were
+        forwarder = engine(tmp_path)
+        known_by(forwarder, listing(range(LEAST * 2)))
+        before = dict(forwarder.endpoint_ids)
+        forwarder.apply_endpoint_list(listing(range(LEAST * 2), "removed", whole=False))
+        assert not forwarder.endpoints and forwarder.endpoint_ids == before
+        known_by(forwarder, listing(range(LEAST * 2)))
+        assert forwarder.endpoint_ids == before  # they returned and keep their numbers
         for n in range(3 * MAX_REMOVED_ENDPOINTS):
-            e.endpoint_id(f"gone{n}")
+            forwarder.endpoint_id(f"gone{n}")
             assert (
-                len(e.endpoint_ids)
-                == len(e.endpoint_names)
-                <= len(e.endpoints) + MAX_REMOVED_ENDPOINTS + 1
+                len(forwarder.endpoint_ids)
+                == len(forwarder.endpoint_names)
+                <= len(forwarder.endpoints) + MAX_REMOVED_ENDPOINTS + 1
             )
         assert (
-            before.items() <= e.endpoint_ids.items()
-            and f"gone{3 * MAX_REMOVED_ENDPOINTS - LEAST}" in e.endpoint_ids
+            before.items() <= forwarder.endpoint_ids.items()
+            and f"gone{3 * MAX_REMOVED_ENDPOINTS - LEAST}" in forwarder.endpoint_ids
         )
-        e.store.close()
+        forwarder.store.close()
 
     asyncio.run(scene())
 
 
-def test_a_list_of_44000_endpoints_outlasts_a_restart_on_a_small_disk(
+def test_list_of_44000_endpoints_survives_a_restart_on_a_small_disk(
     tmp_path: Path,
 ) -> None:
     store = MessageStore(tmp_path, 3_000_000)
@@ -455,7 +462,7 @@
         store.flush()
     assert (
         not store.failed and store.log.rewrites <= 2
-    )  # not each round writes the list anew
+    )  # the list is not written again in each round
     back = MessageStore(tmp_path, 3_000_000)
     assert (back.hosts, back.seq, back.source) == (
         hosts,
@@ -467,13 +474,15 @@
     )
 
 
-def test_a_change_of_a_large_list_is_written_alone(tmp_path: Path) -> None:
+def test_change_of_a_large_list_is_written_without_the_rest_of_the_list(
+    tmp_path: Path,
+) -> None:
     store = MessageStore(tmp_path, 3_000_000)
     hosts = {h["host"]: h for h in map(endpoint, range(4_000))}
     store.append_endpoint_list(7, hosts, 0, "127.0.0.1:1")
     store.flush()
     before = store.log.bytes_written
-    for n in range(100):  # one drained, one gone, one new
+    for n in range(100):  # one drained, one removed, one added
         hosts.pop(endpoint(n)["host"])
         hosts.update(
             (h["host"], h)
@@ -486,7 +495,7 @@
     assert (back.hosts, back.seq) == (hosts, 107) and not back.report.damaged
 
 
-def test_a_change_whose_list_was_lost_leaves_no_version_to_go_on_from(
+def test_list_change_after_a_damaged_one_leaves_no_valid_version(
     tmp_path: Path,
 ) -> None:
     store = MessageStore(tmp_path, 3_000_000)
@@ -504,16 +513,16 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2, 4])
-def test_a_list_of_44000_endpoints_is_taken_whole_over_a_socket(
+def test_list_of_44000_endpoints_is_received_completely_over_a_socket(
     indent: int | None,
 ) -> None:
     async def scene() -> None:
-        told = {
+        listing_ = {
             "seq": 1,
             "whole": True,
             "hosts": [endpoint(n) for n in range(ENDPOINTS)],
         }
-        body = json.dumps(told, indent=indent).encode()
+        body = json.dumps(listing_, indent=indent).encode()
         assert len(body) > ENDPOINTS * 190 and len(body) < MAX_LIST_BYTES
         peer = await Peer(always(Answer(200, body=body))).start()
         client = HttpClient(Address("127.0.0.1", peer.port))
@@ -524,10 +533,10 @@
     asyncio.run(scene())
 
 
-def test_the_list_service_tells_44000_endpoints_whole_and_holds_few_of_their_bytes(
+def test_list_service_sends_44000_endpoints_completely_with_a_bounded_buffer(
     tmp_path: Path,
 ) -> None:
-    held = 1024 * 1024
+    buffer_limit = 1024 * 1024
 
     async def test(run: Run) -> None:
         for first in range(0, ENDPOINTS, 4_000):
@@ -539,20 +548,20 @@
         answer = await client.request("GET", "/discovery/hosts", PATIENCE)
         assert (
             len(parse_endpoint_list(json.loads(answer.body)).endpoints) == ENDPOINTS
-            and len(answer.body) > held
+            and len(answer.body) > buffer_limit
         )
         client.close()
-        taken, most = await slowly(run.list)
+        bytes_read, largest_buffer = await slowly(run.list)
         assert (
-            taken > len(answer.body)
-            and 0 < most <= held
+            bytes_read > len(answer.body)
+            and 0 < largest_buffer <= buffer_limit
             and run.service.metrics.slow_closed == 0
         )
 
-    play(tmp_path, test, unsent_bytes=held)
+    play(tmp_path, test, unsent_bytes=buffer_limit)
 
 
-def test_kept_answers_are_bounded_by_their_bytes(
+def test_cached_answers_are_bounded_in_bytes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service_context, "MAX_CACHED_ANSWER_BYTES", 20_000)
@@ -560,46 +569,50 @@
     async def test(run: Run) -> None:
         versions = []
         for n in range(10):
-            ops = [{"op": "register", **endpoint(10 * n + m)} for m in range(10)]
-            versions.append((await run.ask("/v1/hosts", {"ops": ops}))[2]["seq"])
+            operations = [
+                {"op": "register", **endpoint(10 * n + offset)} for offset in range(10)
+            ]
+            versions.append((await run.ask("/v1/hosts", {"ops": operations}))[2]["seq"])
         for version in versions:
             assert (await run.ask(f"/discovery/hosts?from={version - 1}"))[2][
                 "seq"
             ] == versions[-1]
-            kept = [
-                a
-                for h in gc.get_objects()
-                if isinstance(h, service_context.ServiceContext)
-                for a in h._answers.values()
+            cached = [
+                answer
+                for context in gc.get_objects()
+                if isinstance(context, service_context.ServiceContext)
+                for answer in context._answers.values()
             ]
-            assert kept and sum(map(len, kept)) <= 20_000
+            assert cached and sum(map(len, cached)) <= 20_000
 
     play(tmp_path, test)
 
 
 async def slowly(port: int) -> tuple[int, int]:
-    """Bytes that a reader with a small window took of the list, and the most that the
-    service held for it.
+    """Reads the list with a small receive window.
+
+    Returns the bytes read and the largest write buffer of the service's open connections.
     """
-    loop, taken, most = asyncio.get_running_loop(), 0, 0
-    ask = b"GET /discovery/hosts HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n"
+    loop, bytes_read, largest_buffer = asyncio.get_running_loop(), 0, 0
+    request = b"GET /discovery/hosts HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n"
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         sock.setblocking(False)
         await loop.sock_connect(sock, ("127.0.0.1", port))
-        await loop.sock_sendall(sock, ask)
-        taken += len(await loop.sock_recv(sock, 1))
+        await loop.sock_sendall(sock, request)
+        bytes_read += len(await loop.sock_recv(sock, 1))
         open_here = [
-            c
-            for c in gc.get_objects()
-            if isinstance(c, LimitedConnection) and c.transport is not None
+            connection
+            for connection in gc.get_objects()
+            if isinstance(connection, LimitedConnection)
+            and connection.transport is not None
         ]
         while data := await loop.sock_recv(sock, 64 * 1024):
-            taken += len(data)
+            bytes_read += len(data)
             sizes = [
-                c.transport.get_write_buffer_size()
-                for c in open_here
-                if c.transport is not None
+                connection.transport.get_write_buffer_size()
+                for connection in open_here
+                if connection.transport is not None
             ]
-            most = max([most, *sizes])
-    return taken, most
+            largest_buffer = max([largest_buffer, *sizes])
+    return bytes_read, largest_buffer
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The plugin that passes over the listed red tests, on a small project of its own."""
+"""Tests the plugin for known failing tests on a small generated project."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
 
 @pytest.fixture(autouse=True)
 def bare(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No plugin but those named: each run inside a run loads them anew."""
+    """Disables plugin autoloading: each inner run loads only the plugins that it names."""
     monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")
 
 
 def project(folder: Path, *listed: str, keep: str = "good|red") -> Path:
-    """A project whose tests are those that the pattern names, with this list."""
+    """Creates a project with the tests that match the pattern `keep`, and the given list."""
     (folder / "checks").mkdir()
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = checks\n")
     head, *tests = re.split(
@@ -74,13 +74,13 @@
 
 
 def run(pytester: pytest.Pytester, *args: str) -> tuple[int, str]:
-    """The exit code, and what was printed."""
+    """Runs the project's tests in this process; returns the exit code and the output."""
     done = pytester.runpytest_inprocess(*PLUGINS, *args)
     return int(done.ret), done.stdout.str() + done.stderr.str()
 
 
 def spread(folder: Path) -> tuple[int, str]:
-    """The same over two processes."""
+    """Runs the project's tests in two processes; returns the exit code and the output."""
     env = {k: v for k, v in os.environ.items() if not k.startswith("PYTEST_XDIST")}
     done = subprocess.run(
         [sys.executable, "-m", "pytest", *PLUGINS, "-p", "xdist", "-n", "2"],
@@ -94,7 +94,7 @@
 
 
 def section(text: str, title: str) -> list[str]:
-    """The lines below a title of the summary, up to the next."""
+    """Returns the non-blank lines of the summary section with this title."""
     found = re.search(
         rf"^[=_ ]*{title}.*?$\n(.*?)(?=^[=_]{{3}}|^\d+ (?:passed|failed|xfailed)|\Z)",
         text,
@@ -103,7 +103,7 @@
     return [line for line in found[1].splitlines() if line] if found else []
 
 
-def test_the_listed_red_test_is_passed_over_and_printed(
+def test_listed_failing_test_is_an_expected_failure_and_is_printed(
     pytester: pytest.Pytester,
 ) -> None:
     project(pytester.path, entry("test_red"))
@@ -113,17 +113,17 @@
     assert "1 passed, 1 xfailed" in text
 
 
-def test_any_other_red_fails_the_run(pytester: pytest.Pytester) -> None:
+def test_unlisted_failing_test_fails_the_run(pytester: pytest.Pytester) -> None:
     project(pytester.path, entry("test_red"), keep="red|other_red")
     code, text = run(pytester)
     assert code == 1 and "1 failed, 1 xfailed" in text and "assert 3 == 4" in text
     assert section(text, "known red, passed over: 1") == [entry("test_red")]
 
 
-def test_a_listed_test_that_is_green_fails_the_run(pytester: pytest.Pytester) -> None:
+def test_listed_test_that_passes_fails_the_run(pytester: pytest.Pytester) -> None:
     project(pytester.path, entry("test_red"), entry("test_good"))
-    for part in ((), ("-k", "good or red"), ("checks/test_some.py",)):
-        code, text = run(pytester, *part)
+    for selection in ((), ("-k", "good or red"), ("checks/test_some.py",)):
+        code, text = run(pytester, *selection)
         assert code == 1 and "1 failed, 1 xfailed" in text
         assert section(text, f"{LIST} does not hold") == [
             "checks/test_some.py::test_good: listed, and green: strike it from the list"
@@ -131,7 +131,7 @@
         assert section(text, "known red, passed over: 1") == [entry("test_red")]
 
 
-def test_all_of_it_holds_where_the_tests_are_spread_over_processes(
+def test_listed_tests_are_evaluated_across_processes(
     tmp_path: Path,
 ) -> None:
     folder = project(tmp_path, entry("test_red"), keep="good|red|other_red")
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("test", ["test_skipped", "test_expected"])
-def test_a_listed_test_that_is_skipped_or_expected_to_fail_fails_the_run(
+def test_listed_test_that_is_skipped_or_marked_xfail_fails_the_run(
     pytester: pytest.Pytester, test: str
 ) -> None:
     project(pytester.path, entry(test), keep=test.removeprefix("test_"))
@@ -171,7 +171,7 @@
     ]
 
 
-def test_a_listed_test_that_is_not_there_fails_a_whole_run(
+def test_listed_test_that_does_not_exist_fails_a_complete_run(
     pytester: pytest.Pytester,
 ) -> None:
     project(pytester.path, entry("test_gone"), keep="good")
@@ -180,15 +180,15 @@
     assert section(text, f"{LIST} does not hold") == [
         "checks/test_some.py::test_gone: listed, and not run"
     ]
-    for part in (
+    for selection in (
         ("checks/test_some.py::test_good",),
         ("-k", "good"),
-    ):  # a part need not hold it
-        code, text = run(pytester, *part)
+    ):  # a limited run need not include the listed test
+        code, text = run(pytester, *selection)
         assert code == 0 and not section(text, f"{LIST} does not hold")
 
 
-def test_a_fault_in_setting_up_is_red_too_and_so_is_what_it_leaves(
+def test_listed_setup_error_and_teardown_error_after_a_failure_are_expected(
     pytester: pytest.Pytester,
 ) -> None:
     listed = [entry("test_set_up"), entry("test_red_and_left")]
@@ -198,7 +198,7 @@
     assert section(text, "known red, passed over: 2") == listed
 
 
-def test_an_error_in_tearing_down_a_green_test_fails_the_run(
+def test_teardown_error_of_a_listed_passing_test_fails_the_run(
     pytester: pytest.Pytester,
 ) -> None:
     project(pytester.path, entry("test_left"), keep="left")
@@ -209,7 +209,7 @@
     ]
 
 
-def test_one_case_of_several_is_listed_by_its_own_name(
+def test_parametrized_case_is_listed_by_its_own_id(
     pytester: pytest.Pytester,
 ) -> None:
     folder = project(pytester.path, entry("TestIn::test_each[a | b]"), keep="In")
@@ -220,13 +220,13 @@
     assert code == 1 and "1 failed, 1 passed" in text
 
 
-def test_without_a_list_nothing_is_passed_over(pytester: pytest.Pytester) -> None:
+def test_missing_or_empty_list_has_no_effect(pytester: pytest.Pytester) -> None:
     folder = project(pytester.path)
-    for text_of_list in ("", "\n  \n", None):
-        if text_of_list is None:
+    for list_text in ("", "\n  \n", None):
+        if list_text is None:
             (folder / LIST).unlink()
         else:
-            (folder / LIST).write_text(text_of_list)
+            (folder / LIST).write_text(list_text)
         code, text = run(pytester)
         assert code == 1 and "1 failed, 1 passed" in text and "known red" not in text
 
@@ -248,7 +248,7 @@
         [entry(f"test_{n}") for n in "abcd"],
     ],
 )
-def test_a_list_that_cannot_be_read_ends_the_run_before_it_begins(
+def test_malformed_list_ends_the_run_before_any_test(
     pytester: pytest.Pytester, lines: list[str]
 ) -> None:
     folder = project(pytester.path, *lines)
@@ -258,6 +258,6 @@
     assert code == 4 and "passed" not in text and LIST in text, text
 
 
-def test_this_suite_runs_with_the_plugin(request: pytest.FixtureRequest) -> None:
+def test_suite_runs_with_the_plugin(request: pytest.FixtureRequest) -> None:
     assert request.config.pluginmanager.has_plugin("tests.support.known_red")
     assert len(read(ROOT / LIST)) <= 3
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -1,6 +1,4 @@
-"""What the module's readers were promised: its size, its head, and a README that
-runs.
-"""
+"""Checks limits on the size of decision modules, and the README's example and test command."""
 
 import ast
 import contextlib
@@ -11,13 +9,13 @@
 from tests.support.paths import ROOT
 
 
-def test_policy_names_every_decision_module_and_each_stays_short() -> None:
-    """No module outgrows 300 lines of code and text, no function a screen and a
-    half.
+def test_policy_lists_every_decision_module_and_sizes_stay_within_limits() -> None:
+    """A module has at most 300 non-blank lines, a function at most 50 lines, a line at most
+    110 characters.
     """
     parts = {
-        str(p.relative_to(ROOT)): p.read_text()
-        for p in sorted((ROOT / "rainfall/dispatch").rglob("*.py"))
+        str(path.relative_to(ROOT)): path.read_text()
+        for path in sorted((ROOT / "rainfall/dispatch").rglob("*.py"))
     }
     assert tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"] == list(
         parts
@@ -52,6 +50,6 @@
     assert out.getvalue() == "send m1 to endpoint 1\nstill to do: []\n"
 
 
-def test_readme_names_the_test_command() -> None:
+def test_readme_contains_the_test_command() -> None:
     assert "./run-tests" in (ROOT / "README.md").read_text()
     assert "./run-tests" in (ROOT / ".ci/run").read_text()
