--- a/tests/reference/__init__.py
+++ b/tests/reference/__init__.py
@@ -1,10 +1,10 @@
-"""The decisions as they were before held messages were kept in order: what
-tests/dispatch/test_reference_replay.py compares with.
+"""Reference implementation of the dispatcher, from before queued messages were kept sorted;
+tests/dispatch/test_reference_replay.py compares rainfall/dispatch with it.
 
-A copy of the decisions as of f6f3573, in the names of that time, with only the imports
-rewritten. Here every event visits and sorts the whole pile of its destination, so what
-is given up and what goes next can be read off. A rule that changes in rainfall/dispatch
-on purpose is changed here by the same commit.
+It is a copy of the decision modules as of f6f3573 with the names of that time; only the
+imports were rewritten. Every event scans and sorts the whole queue (pile) of its destination,
+so the code states directly which message is dropped and which is sent next. A commit that
+intentionally changes a rule in rainfall/dispatch changes it here as well.
 """
 
 from tests.reference.dispatcher import Dispatcher
--- a/tests/reference/books.py
+++ b/tests/reference/books.py
@@ -1,5 +1,5 @@
-"""What one dispatcher knows, and the plain questions that its decisions ask of it.
-Never draws or acts.
+"""The state of one dispatcher, and queries on it that the decisions use. Nothing here draws
+random numbers or emits actions.
 """
 
 from __future__ import annotations
@@ -29,81 +29,84 @@
 )
 
 SECOND = 1_000_000  # us
-NEVER = 1 << 62  # us; a gate that only an event can open
-FORGET_US = 30 * SECOND  # idle destinations are forgotten after this
-LOOK_US = 40_000  # least time between two looks at a destination where nothing happened
-# forwarders; where more share the targets, what all do at once adds up: connections,
-# returns
+NEVER = 1 << 62  # us; a time for sends that only an event can permit
+FORGET_US = 30 * SECOND  # state of idle destinations is discarded after this
+LOOK_US = 40_000  # least time between two checks of a destination without events
+# forwarders; with more of them, simultaneous actions on shared endpoints add up: connections,
+# calls after a recovery
 FEW = 8
-# D_multiplier of the paper: a class's aim is taken for this many usual calls (the seed)
+# D_multiplier of the paper: a class's latency objective counts as this many expected calls;
+# one of them is the seed of the estimate
 AIM_PER_CALL = 10
 EASE_US = (
     2 * SECOND
-)  # half-life by which an expected call eases back to its seed while nothing is out
-SHARE_START = 1.0  # even shares of a limit that each of very many takes at first
-# over the number of forwarders: so many times more where few tell each more of the
-# limit
+)  # half-life with which an expected call decays to its seed while no call is in flight
+SHARE_START = (
+    1.0  # initial even shares of a limit that a forwarder uses in a very large fleet
+)
+# divided by the number of forwarders: relative surplus of the shares, as in a small fleet
+# each forwarder learns more about the limit
 SHARE_ROOM = 3.0
-IDLE_LEAST_US = 200_000  # a connection without use for longer counts as idle
-# what the protocol grants each limit on sockets: a repeat may be on its way for so long
+IDLE_LEAST_US = 200_000  # a connection that is unused for longer counts as idle
+# the protocol's tolerance for time limits over sockets: a retry may be in transit for so long
 WIRE_US = 50_000
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Books:
-    """Times are integer microseconds of the caller's clock; `now` is that of the
-    round.
+    """State of one dispatcher. Times are integer microseconds of the caller's clock; `now` is
+    the time of the round.
     """
 
     now: int
     random: Random
     s: Settings
-    # What follows from the settings
+    # Derived from the settings
     classes: dict[str, MessageClass] = field(init=False)
     kinds: dict[str, DestinationKind] = field(init=False)
     tenants: dict[str, Tenant] = field(init=False)
     least_time: int = field(init=False)
     room: float = field(init=False)
     apart: float = field(init=False)
-    """How much of a pace is left to chance: many that begin at once must not meet again
-    and again.
+    """Relative jitter of the interval between calls, so that forwarders that start together
+    do not stay in step.
     """
     idle_top: int = field(init=False)
-    # The targets
+    # Endpoints (targets)
     targets: dict[int, Target] = field(default_factory=dict)
     by_destination: dict[int, list[Target]] = field(default_factory=dict)
-    """Those that serve by the list and by the operators' word."""
+    """Endpoints that serve according to the list and are not disabled by an operator."""
     places: dict[tuple[int, int], Place] = field(default_factory=dict)
     detached: set[int] = field(default_factory=set)
-    # The messages
+    # Messages
     messages: dict[str, Message] = field(default_factory=dict)
     held: Held = field(default_factory=Held)
     attempts: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     lines: dict[str, Line] = field(default_factory=dict)
     owed: dict[str, str] = field(default_factory=dict)
-    """The order key of each message whose final answer is still on its way."""
+    """Ordering key of each message whose final answer is not acknowledged yet."""
     purses: dict[str, int] = field(default_factory=dict)
     shares: dict[int, Quota] = field(default_factory=dict)
-    """By destination, where one was told."""
+    """Quotas by destination, for destinations that have one."""
     taken: int = 0
     cleared_at: int = field(init=False)
     shed_at: int = field(init=False)
-    # The calls
+    # Calls
     calls_out: int = 0
     idle_us: int = field(init=False)
-    """How long an idle connection is trusted."""
+    """Idle time after which a connection is closed rather than used."""
     jammed: bool = False
     agenda: Agenda = field(default_factory=Agenda)
     armed: int = -1
-    # The round
+    # Current round
     absorbed: int = 0
     actions: list[Action] = field(default_factory=list)
     looks: set[int] = field(default_factory=set)
-    """The destinations to look at."""
+    """Destinations to check in this round."""
     came_back: list[Call] = field(default_factory=list)
     round_calls: dict[int, Call] = field(default_factory=dict)
     usual: dict[tuple[int, int], float] = field(default_factory=dict)
-    """What `soonest` worked out; holds until the next event or send."""
+    """Cache of `soonest`; valid until the next event or send."""
 
     def __post_init__(self) -> None:
         self.adopt(self.s)
@@ -111,8 +114,8 @@
         self.cleared_at, self.shed_at = self.now, self.now - FORGET_US
 
     def adopt(self, settings: Settings) -> None:
-        """Settings and all that follows from them. What a message was taken on under
-        stays with it.
+        """Applies settings and recomputes derived values. A message that is already accepted
+        keeps its class settings.
         """
         self.s = settings
         self.classes = {c.name: c for c in settings.classes}
@@ -132,7 +135,7 @@
         return self.places.setdefault(whose, Place(destination, 1.0, shares=share))
 
     def usable(self, m: Message) -> list[Target]:
-        """Serving targets of the message's destination within its key's scope."""
+        """Returns the serving endpoints of the destination within the idempotency scope."""
         targets = self.by_destination.get(m.destination, [])
         if (
             m.ran_at < 0
@@ -140,7 +143,9 @@
             or m.cls.idempotency_scope is IdempotencyScope.ALL
         ):
             return targets
-        first = self.targets.get(m.ran_on)  # of before a restart, it may be gone
+        first = self.targets.get(
+            m.ran_on
+        )  # from before a restart; it may have been removed
         return [
             t
             for t in targets
@@ -153,14 +158,14 @@
         ]
 
     def may_repeat(self, m: Message) -> bool:
-        """Rule 2: whether a further attempt is allowed at all."""
+        """Rule 2: returns whether another attempt is allowed."""
         free = m.ran_at < 0 or self.now < self.repeat_by(m)
         return free and m.attempts < min(m.most, self.s.max_attempts)
 
     def repeat_by(self, m: Message, sent_at: int = -NEVER) -> int:
-        """Until when a message that may have run, or may by a call sent then, can be
-        sent again: its target counts a key's window from when the first call came,
-        which is no sooner than that was sent.
+        """Returns the time until which a message can be retried once it may have been executed,
+        either already or by a call sent at `sent_at`. The endpoint's idempotency window starts
+        when the first call arrives, which is no earlier than that call was sent.
         """
         if m.cls.idempotency is not Idempotency.WITH_KEY:
             return NEVER if m.cls.idempotency is Idempotency.ALWAYS else -NEVER
@@ -171,8 +176,8 @@
         )
 
     def expected(self, place: Place, cls: MessageClass) -> float:
-        """The expected call: decayed mean, seeded from the class aim, easing back while
-        nothing is out.
+        """Returns the expected call duration in microseconds: a decayed mean, seeded from the
+        class's latency objective, that decays to the seed while no call is in flight.
         """
         seed = cls.latency_objective_us / AIM_PER_CALL
         if place.mean_at < 0:
@@ -184,8 +189,8 @@
         )
 
     def soonest(self, m: Message) -> float:
-        """The shortest expected call among the message's targets; worked out once for
-        all that share them.
+        """Returns the shortest expected call among the message's endpoints. The result is cached
+        for messages with the same endpoints.
         """
         usable = self.usable(m)
         if usable is not self.by_destination.get(m.destination):
@@ -193,7 +198,7 @@
         whose = (
             m.destination,
             m.cls.latency_objective_us,
-        )  # two classes of one name may be open, one of before a SIGHUP
+        )  # two classes of one name may have open messages, one from before a SIGHUP
         known = self.usual.get(whose)
         if known is None:
             known = min((self.expected(t.place, m.cls) for t in usable), default=0.0)
@@ -201,5 +206,5 @@
         return known
 
     def drop_at(self, m: Message) -> int:
-        """When the message's time left falls below its shortest expected call."""
+        """Returns when the message's remaining time falls below its shortest expected call."""
         return m.due - max(int(self.soonest(m)), LOOK_US)
--- a/tests/reference/crowd.py
+++ b/tests/reference/crowd.py
@@ -1,6 +1,4 @@
-"""Worlds with long piles: bursts, shares of a whole, equal deadlines, jams, leaps of
-the clock.
-"""
+"""Random worlds with long queues: bursts, quotas, equal deadlines, saturation and clock jumps."""
 
 from __future__ import annotations
 
@@ -18,7 +16,7 @@
 from tests.support.random_worlds import MS, S, World
 
 GRAIN = 10 * MS
-"""Deadlines and times of rounds fall on the same marks in half of the worlds: many are
+"""In half of the worlds, deadlines and round times are multiples of this, so that many are
 equal.
 """
 
--- a/tests/reference/dispatcher.py
+++ b/tests/reference/dispatcher.py
@@ -1,9 +1,9 @@
-"""One round of decisions, read top to bottom. Types, events and actions:
-rainfall/interface.py.
+"""One round of decisions, top to bottom. Types, events and actions are those of
+rainfall/dispatch (rainfall/interface.py when this copy was made).
 
-The ordinary path: held messages leave by groups of near deadlines, shortest expected
-call first in each; what cannot finish in time is refused unsent; a window that grows
-with success bounds each destination.
+Usually, queued messages are sent in groups of similar deadlines, shortest expected call first
+in a group; a message that cannot finish in time is rejected unsent; a window that grows with
+successes limits the calls to each destination.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 
 
 class Dispatcher(Books):
-    """Decides for one forwarder. Feed it every event; carry out, in order, the actions
-    it returns.
+    """Makes the decisions of one forwarder. Pass it every event, and carry out the returned
+    actions in order.
 
-    Where a decision raises, `actions` holds what was decided until then, and `absorbed`
-    how many events of the round were read, the one at fault included.
+    If a decision raises, `actions` holds the actions decided before, and `absorbed` the number
+    of events read in the round, including the one that raised.
     """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
@@ -53,7 +53,7 @@
             self.agenda.add(now, routes.THE_LIST)
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """Absorb the events of one round, then decide once."""
+        """Applies the events of one round, then decides once and returns the actions."""
         self.now, self.actions, self.round_calls = now, [], {}
         self.looks = self.agenda.due(now)
         self.came_back = []
@@ -76,9 +76,7 @@
         return self.actions
 
     def absorb(self, event: Event) -> None:
-        """Book one event. Of what is not known, or needs no booking, nothing is
-        made.
-        """
+        """Applies one event. An unknown event, or one that changes no state, is ignored."""
         match event:
             case MessageReceived():
                 giving.arrived(self, event)
@@ -109,10 +107,10 @@
                 giving.told(self, event.message_id)
 
     def listed(self, event: EndpointListChanged) -> None:
-        """Follow the list of targets."""
+        """Applies a change of the endpoint list."""
         routes.listed(self, event)
 
-    # What the process around it asks; nothing is decided by these.
+    # Queries of the surrounding process; they decide nothing.
 
     def cold(self, t: Target) -> bool:
         return health.cold(self, t)
--- a/tests/reference/giving.py
+++ b/tests/reference/giving.py
@@ -1,5 +1,5 @@
-"""Messages taken on, given up and over, and whose turn it is in their keys. All final
-answers are here.
+"""Accepts, drops and ends messages, and determines the next message of an ordering key. All
+final answers are given here.
 """
 
 from __future__ import annotations
@@ -21,23 +21,24 @@
 from tests.reference.limits import over_share
 from tests.reference.state import Line, Message
 
-# usual calls after which one is held to be lost where some later ones have been
-# delivered
+# expected calls after which a call counts as lost, if PASSED later ones have been delivered
 STALL_CALLS = 8
-STALL_US = 600_000  # and this at least
-PASSED = 3  # so many later ones: a single one may just have been quick
+STALL_US = 600_000  # microseconds; minimum for the same
+PASSED = 3  # later calls delivered; a single one may just have been quick
 LEAST_AWAY_US = (
-    SECOND  # a refused client always hears when to come back, and not at once
+    SECOND  # minimum retry-after, so that rejected clients do not return at once
 )
-BUFFER_MARK = 0.85  # share of the buffer above which the largest pile is cut
-# share of its time; in a large fleet what was taken on and handed back sooner is priced
+BUFFER_MARK = 0.85  # share of max_open_messages above which the largest queue is shed
+# share of a message's time for which it is kept; in a large fleet a message that is accepted
+# and handed back earlier has a cost
 KEEP_LEAST = 0.7
-# where fresh ones near their aims, one in their pile with less worth left is given up
+# a message whose remaining value is below this share is dropped if newer ones in its queue
+# approach their latency objectives
 LATE_LEAST = 0.6
 
 
 def arrived(b: Books, event: MessageReceived) -> None:
-    """Take a message. One of an unknown class is failed: its effect is not known."""
+    """Accepts a message. One of an unknown class fails, as its idempotency is not known."""
     cls = b.classes.get(event.class_name)
     if cls is None:
         b.actions.append(FailMessage(event.message_id, "unknown class"))
@@ -46,9 +47,7 @@
 
 
 def recalled(b: Books, event: MessageRestored) -> None:
-    """Go on with a message of before a restart: what it may do depends on what it did
-    till then.
-    """
+    """Restores a message from before a restart, with the attempts made until then."""
     cls = event.message_class or b.classes.get(event.class_name)
     if cls is None:
         b.actions.append(FailMessage(event.message_id, "unknown class"))
@@ -95,9 +94,7 @@
 
 
 def over(b: Books, m: Message) -> None:
-    """A message has ended: nothing more goes out for it, and its key turns to the
-    next.
-    """
+    """Ends a message: nothing more is sent for it, and its ordering key advances."""
     del b.messages[m.id]
     b.held.remove(m)
     if m.key is not None:
@@ -106,24 +103,20 @@
 
 
 def next_in(b: Books, line: Line) -> None:
-    """The key's turn may have come to its next message, perhaps for another
-    destination.
-    """
+    """Schedules a check of the key's next message, which may have another destination."""
     if line.queue and not line.out and not line.owed:
         b.looks.add(line.queue[0].destination)
         b.agenda.add(max(b.now, line.rest_until), line.queue[0].destination)
 
 
 def owe(b: Books, name: str, key: str) -> None:
-    """Rule 6: until its final answer has arrived, a message is not over for those
-    behind it.
-    """
+    """Rule 6: a message blocks later ones of its key until its final answer is acknowledged."""
     b.owed[name] = key
     b.lines.setdefault(key, Line()).owed.add(name)
 
 
 def told(b: Books, name: str) -> None:
-    """The final answer has arrived."""
+    """Records that the final answer of a message is acknowledged."""
     if name in b.owed:
         line = b.lines[b.owed.pop(name)]
         line.owed.discard(name)
@@ -131,9 +124,9 @@
 
 
 def answer(b: Books, m: Message, cause: str) -> None:
-    """The only place that gives final answers. Refuse where a new try does no harm,
-    else fail. A keyed one that may have run does none while its client comes back
-    within the window.
+    """Gives a final answer; no other function does. Rejects the message if the client can
+    safely retry it, else fails it. A keyed message that may have been executed is safe while
+    the client retries within the idempotency window.
     """
     wait = retry_after(b, m)
     safe = (
@@ -153,8 +146,8 @@
 
 
 def retry_after(b: Books, m: Message) -> int:
-    """How long the client should stay away: until the destination's wait or rest is
-    over.
+    """Returns the client's retry-after in microseconds: until the destination's retry-after or
+    backoff is over.
     """
     ends = [max(t.place.wait_until, t.place.rest_until) for t in b.usable(m)]
     opens = next_call(b, m.destination)
@@ -164,18 +157,19 @@
 
 
 def next_call(b: Books, destination: int) -> int:
-    """When the share of a destination lets the next call go: now where it has none,
-    NEVER where it is not known, as another may be told at any moment.
+    """Returns when the destination's quota permits the next call: now if there is no quota,
+    NEVER if the time is not known, as a new quota may arrive at any moment.
     """
     share = b.shares.get(destination)
     return b.now if share is None else share.available_at(b.now)
 
 
 def recall(b: Books) -> None:
-    """A call that stays silent while later ones to the same target are answered has
-    lost its connection, and not its target: its messages need not wait for the
-    time-out, and it says nothing of health. Those that may not be sent again fail by
-    this, so their aim must have passed as well.
+    """Cancels calls that got no answer although later ones to the same endpoint did.
+
+    Such a call lost its connection while the endpoint works: its messages need not wait for
+    the timeout, and it is no sign of the endpoint's health. A message that may not be retried
+    fails by the cancellation, so its latency objective must have passed as well.
     """
     if not b.s.allow_cancel:
         return
@@ -194,9 +188,9 @@
 
 
 def drop(b: Books) -> None:
-    """The unsent drop: a held message whose time left is below its expected call is
-    answered now. In a pile that moves too slowly for its fresh ones it gives way to
-    them before: else all end late.
+    """Drops messages that are not sent: a queued message whose remaining time is below its
+    expected call gets its final answer now. In a queue that is too slow for its newer messages,
+    older ones are dropped earlier, as otherwise all would be late.
     """
     if b.now - b.cleared_at >= SECOND:
         b.cleared_at = b.now
@@ -231,16 +225,16 @@
 
 
 def age(m: Message, now: int) -> int:
-    """How much of its time has passed, also where it came to another forwarder
-    first.
+    """Returns how much of the message's time has passed, including the time at another
+    forwarder.
     """
     return m.cls.deadline_us - (m.due - now)
 
 
 def fades_at(m: Message, late_halves: bool) -> float:
-    """When less than `LATE_LEAST` of its worth is left, and it may be given up for
-    that. What a start found untried lost its time to the restart: it has its first call
-    before.
+    """Returns when less than `LATE_LEAST` of the message's value is left, so that it may be
+    dropped. A message restored without an attempt lost its time to the restart, and is not
+    dropped for this before its first call.
     """
     if m.before and not m.attempts:
         return m.due
@@ -258,9 +252,9 @@
 
 
 def shed(b: Books) -> None:
-    """One jammed destination must not fill the buffer: of the largest pile, what came
-    in this round is turned away at the door. What was taken on stays: its client would
-    hear of its end only by a notice.
+    """Sheds load so that one saturated destination does not fill the buffer: of the largest
+    queue, messages that arrived in this round are rejected. Messages accepted earlier stay,
+    as their clients would learn of the end only by a notification.
     """
     worst = max(b.held.piles, key=lambda d: (len(b.held.piles[d]), d))
     pile = [
--- a/tests/reference/health.py
+++ b/tests/reference/health.py
@@ -1,5 +1,5 @@
-"""Rule 4: which targets are in an outage or back from one and cold, and how far apart
-their calls are.
+"""Rule 4: which endpoints are in an outage or cold after one, and the interval between calls
+to them.
 """
 
 from __future__ import annotations
@@ -10,42 +10,38 @@
 from tests.reference.books import FEW, SECOND, Books
 from tests.reference.state import Target
 
-# failing share above which a target is in an outage: two failures running, or most
-# calls
+# failing share above which an endpoint is in an outage: two consecutive failures, or most calls
 FAIL_MARK = 0.5
-# failing share above which once-only messages hold off: more than one failure tells
+# failing share above which at-most-once messages are held back: reached by more than one failure
 SURE_MARK = 0.56
-# part of the cold budget that is used in the mean where it is large; the rest is slack
+# share of a large cold budget that is used on average; the rest is slack
 BUDGET_PART = 0.8
-SLACK_CALLS = (
-    4.0  # and calls in fall_us that are made at most in the mean where it is small
-)
-# times the root of the budget, and as many calls beside: what is borne beyond it as
-# chance
+SLACK_CALLS = 4.0  # maximum average calls in fall_us with a small budget
+# random excess over the budget that is tolerated: this many times its square root plus this
+# many calls
 CHANCE = 2.0
-# standard deviations of all forwarders' calls in fall_us that have to stay within that
+# standard deviations of all forwarders' calls in fall_us that must stay within that bound
 SIGMAS = 3.5
-# each turn is that much longer or shorter, by chance: forwarders must not meet again
-# and again
+# relative jitter of each turn (interval between calls), so that forwarders do not stay in step
 SPREAD = 0.5
-ROUGH = 1.5  # a weight may be up to half too high (WIRE, weight_source)
-# the least budget, in calls, where nothing is told: under it one call may be too much
+ROUGH = 1.5  # a weight may be up to 50% too high (WIRE, weight_source)
+# minimum budget, in calls, of an endpoint without a known limit: below it one call may exceed it
 UNTOLD_CALLS = 1.0
-# such a call weighs at most that part of our even share: two may meet in fall_us by
-# SPREAD
+# a batch call weighs at most the bound's even share divided by this: by SPREAD, two calls of
+# one forwarder may fall into fall_us
 JOIN_PART = 2
-# of a call is "a little weight" (WIRE, rule 4): what each further message of it counts
+# weight of each further message of a call: "a little weight" (WIRE, rule 4)
 ITEM_WEIGHT = 0.25
 
 
 def in_outage(t: Target) -> bool:
-    """Whether the signs of an outage were seen and no call has succeeded since."""
+    """Returns whether an outage was detected and no call has succeeded since."""
     return t.outage_at >= 0 and t.back_at < 0
 
 
 def cold(b: Books, t: Target) -> bool:
-    """Whether the target is in an outage, or back from one and not yet surely warm: it
-    may have come back by half of fall_us later than was taken.
+    """Returns whether the endpoint is in an outage, or recovered and possibly not yet warm: it
+    may have recovered up to half of fall_us later than assumed.
     """
     return t.outage_at >= 0 and (
         t.back_at < 0
@@ -54,23 +50,23 @@
 
 
 def avoids(b: Books, target: int) -> bool:
-    """Whether a target gets nothing now, or nothing while another of its destination is
-    sound.
+    """Returns whether an endpoint gets no calls now, or none while another endpoint of its
+    destination is healthy.
     """
     t = b.targets.get(target)
     return t is None or not t.serving or target in b.detached or in_outage(t)
 
 
 def turn(b: Books, t: Target) -> float:
-    """Rule 4: the time between our calls to a cold target. All forwarders may hold
-    messages for it.
+    """Rule 4: returns the interval between this forwarder's calls to a cold endpoint, assuming
+    that all forwarders have messages for it.
     """
     return b.s.overload_window_us * sharing(b, t) / calls(b, t)
 
 
 def sharing(b: Books, t: Target) -> int:
-    """How many turns the budget is parted among: of all forwarders, at all that shares
-    its limit.
+    """Returns the number of turns that share the budget: forwarders times endpoints that share
+    the limit.
     """
     return b.s.forwarder_count * (
         1 if t.apart else max(1, len(b.by_destination.get(t.destination, ())))
@@ -78,8 +74,8 @@
 
 
 def budget(b: Books, t: Target) -> tuple[float, float]:
-    """Calls in fall_us that the destination bears now from all forwarders: by what is
-    told, and at least.
+    """Returns the calls of all forwarders in fall_us that the destination can take now: by the
+    reported limit or weight, and a lower estimate.
     """
     warm = (b.now - t.back_at) / max(1, b.s.warm_up_us) if t.back_at >= 0 else 0.0
     share = b.s.cold_capacity_share + (1 - b.s.cold_capacity_share) * min(1.0, warm)
@@ -92,15 +88,16 @@
 
 
 def bound(b: Books, t: Target) -> float:
-    """The budget and what is borne beyond it as chance."""
+    """Returns the lower budget plus the tolerated random excess."""
     least = budget(b, t)[1]
     return least + CHANCE * math.sqrt(least) + CHANCE
 
 
 def calls(b: Books, t: Target) -> float:
-    """Calls of all forwarders in fall_us, in the mean, so that chance hardly takes them
-    over the bound. Where each makes less than one their number varies like any rare
-    event's; the more each makes, the less, as its turns are drawn around a mean.
+    """Returns the average calls of all forwarders in fall_us that rarely exceed the bound.
+
+    If each forwarder makes less than one call, their number varies like that of any rare
+    event. The more calls each makes, the less it varies, as turns are drawn around a mean.
     """
     most, own, each = bound(b, t), sharing(b, t) / 6, SPREAD * SPREAD / 3
     rare, even = within(most, 0.0, 1.0), within(most, own, each)
@@ -108,7 +105,7 @@
 
 
 def within(most: float, fixed: float, grows: float) -> float:
-    """The mean m with m + SIGMAS * root(fixed + grows * m) = most; 0 where there is
+    """Returns the mean m with m + SIGMAS * sqrt(fixed + grows * m) = most, or 0 if there is
     none.
     """
     half = most + SIGMAS**2 * grows / 2
@@ -116,13 +113,13 @@
 
 
 def weight(messages: int) -> float:
-    """What a call of so many messages counts."""
+    """Returns the weight of a call with this many messages."""
     return 1 + ITEM_WEIGHT * (messages - 1)
 
 
 def may_join(b: Books, t: Target, joined: int) -> bool:
-    """Whether one more message may travel in a call to a cold target: its turns are as
-    much further apart, but some such calls of each forwarder may meet in fall_us.
+    """Returns whether one more message may join a call to a cold endpoint. Its next turn is
+    later in proportion, but several such calls of a forwarder may fall into fall_us.
     """
     return t.back_at >= 0 and JOIN_PART * sharing(b, t) * weight(joined + 1) <= bound(
         b, t
@@ -130,15 +127,15 @@
 
 
 def drawn(b: Books) -> float:
-    """How many turns after this call the next may go."""
+    """Draws how many turns after this call the next one may be sent."""
     return b.random.uniform(1 - SPREAD, 1 + SPREAD)
 
 
 def watch_outage(b: Books, target: Target, outcome: Outcome) -> None:
-    """Rule 4: from the signs of an outage until warm again, calls to the target take
-    turns. When it came back lies between the last call that failed and this one: half
-    way, but where turns are long not earlier than half of fall_us ago, as those who
-    hear first would otherwise hold it to be warm.
+    """Rule 4: from the detection of an outage until the endpoint is warm, calls to it take
+    turns. The recovery lies between the last failed call and this one, and is assumed half
+    way between them. If turns are long it is assumed no earlier than half of fall_us ago, as
+    the first forwarders to notice would otherwise treat the endpoint as warm.
     """
     if outcome is Outcome.DELIVERED:
         target.well_at = b.now
@@ -147,8 +144,8 @@
                 (b.now + target.failed_at) // 2, b.now - b.s.overload_window_us // 2
             )
             warming(b, target, max(target.outage_at, back_at))
-            # What shares a limit mostly shares its outages: the others need not each be
-            # tried first.
+            # Endpoints that share a limit usually share outages: the others need no
+            # successful call of their own first.
             for t in b.by_destination.get(target.destination, ()):
                 if t.place is target.place and in_outage(t):
                     warming(b, t, max(t.outage_at, target.back_at))
@@ -159,9 +156,7 @@
         if not cold(b, target):
             b.actions.append(LogNote(f"target {target.id} in outage: {outcome.value}"))
             target.outage_at = b.now
-            target.spread = (
-                b.random.random()
-            )  # from the middle of a turn: many may have learned at once
+            target.spread = b.random.random()  # many may have noticed at the same time
             if outcome is not Outcome.REJECTED:
                 doubt(b, target)
         if target.back_at >= 0 or target.outage_at == b.now:
@@ -170,9 +165,9 @@
 
 
 def doubt(b: Books, target: Target) -> None:
-    """Outages mostly take all that share a limit. Where many forwarders share it, those
-    that have not answered since the call that failed are held to be out as well: what
-    all send over to them adds up.
+    """Outages usually affect all endpoints that share a limit. If many forwarders share them,
+    endpoints without a success since the failed call are treated as in an outage as well,
+    because the calls that all forwarders would shift to them add up.
     """
     for t in b.by_destination.get(target.destination, ()):
         if (
@@ -193,9 +188,10 @@
 
 
 def recalled_outage(b: Books, event: OutageRestored) -> None:
-    """An outage of before a restart goes on; one of a target that the list no longer
-    names is left out. When the last call went is not known: many that restart at once
-    must not call in step a turn later.
+    """Restores an outage from before a restart, unless the endpoint is no longer listed.
+
+    The time of the last call is not known, so the next is drawn at random: forwarders that
+    restart together must not call in step a turn later.
     """
     t = b.targets.get(event.endpoint)
     if t is not None:
--- a/tests/reference/learning.py
+++ b/tests/reference/learning.py
@@ -1,5 +1,5 @@
-"""What an outcome books (slot, message, key) and what it teaches of its target (times,
-window, failing).
+"""Applies an attempt's outcome to the slot, message and key, and updates the estimates of the
+endpoint (durations, window, failing share).
 """
 
 from __future__ import annotations
@@ -11,33 +11,34 @@
 from tests.reference.limits import cap, pace
 from tests.reference.state import Call, Message
 
-# weight of the newest call in the expected call: about the last ten calls count
+# weight of the newest call in the expected call duration: about the last ten calls count
 MEAN_STEP = 0.2
-FAIL_STEP = 0.35  # weight of the newest call in a target's failing share
-# its most, after a gap of some EASE_US: where we call seldom one failure is sign enough
+FAIL_STEP = 0.35  # weight of the newest call in an endpoint's failing share
+# maximum of that weight, after a gap of several EASE_US: with rare calls, one failure suffices
 NEWS_TOP = 0.55
-# weight of a refusal or a weak sign in it: five running are no chance, nor a limit
+# the same for a rejection or an inconclusive outcome: five in a row are neither chance nor a
+# rate limit
 FULL_STEP = 0.15
-REST_US = 150_000  # first rest after a refusal without a wait
-# each further refusal makes the rest so much longer: many come back thinly, and once
-# each
+REST_US = 150_000  # first backoff after a rejection without retry-after
+# backoff multiplier of each further rejection, so that the retries of many forwarders are sparse
 REST_TIMES = 4
-# longest rest with few forwarders: an outage must not outlive itself by more
+# longest backoff with few forwarders: it bounds the delay after the end of an outage
 REST_TOP_US = 1_500_000
-SHARE_CUT = 0.7  # by a refusal above the limit, our assumed share of it shrinks to this
-SHARE_LEAST = 0.1  # even shares: it does not shrink further
-SHARE_GROW = 0.05  # and by a success with much of the limit left, it grows by this many
-MUCH_LEFT = 0.4  # share of a limit that counts as much
-# with many forwarders rests are longer, by up to this much: each retry meets all
-# others'
+SHARE_CUT = 0.7  # factor by which a rejection reduces the assumed share of a limit
+SHARE_LEAST = 0.1  # even shares; lower bound of the assumed share
+SHARE_GROW = (
+    0.05  # even shares by which a success with much of the limit left increases it
+)
+MUCH_LEFT = 0.4  # remaining share of a limit that counts as much
+# maximum factor by which backoffs are longer with many forwarders, whose retries add up
 CROWD_TOP = 10
-# a call that goes well lengthens by this part how long idle connections are trusted
+# a success extends the idle time of connections by one part in this many
 IDLE_GROW = 64
 
 
 def ended(b: Books, event: AttemptFinished) -> None:
-    """Book an outcome: the slot, the message, its key, and once for each call its
-    target and place.
+    """Applies an outcome to the slot, the message and its key, and once per call to the
+    endpoint and its rate limit scope (place).
     """
     attempt = b.attempts.pop((event.message_id, event.attempt), None)
     if attempt is None:
@@ -75,17 +76,17 @@
 
 
 def told(b: Books, call: Call, event: AttemptFinished) -> None:
-    """What the target said itself: a wait, and how much of its limit is left."""
+    """Applies what the endpoint reported: a retry-after, and how much of its limit is left."""
     place = call.target.place
     place.wait_until = max(place.wait_until, b.now + event.retry_after_us)
     if (
         event.retry_after_us and b.s.forwarder_count > FEW
-    ):  # a wait ends for all at once
+    ):  # a retry-after ends for all forwarders at once
         place.rest_until = place.wait_until + int(
             b.random.random() * event.retry_after_us
         )
     if event.load_report is not None:
-        if not place.limit:  # a limit that is told needs no room for error
+        if not place.limit:  # a reported limit needs no margin for error
             place.shares = min(1.0, place.shares)
         place.limit, place.left = (
             event.load_report.limit_per_s,
@@ -94,9 +95,9 @@
 
 
 def idle_lost(b: Books, call: Call, outcome: Outcome) -> bool:
-    """Whether a call failed on an idle connection: it tells of that and not of its
-    target. A time-out is the target's own: a slow one would else never be seen to be
-    slow, and cost all their connections.
+    """Returns whether a call failed because its connection was idle, which is no sign of the
+    endpoint's health. A timeout counts against the endpoint: a slow one would otherwise never
+    be detected, and all its connections would be closed.
     """
     lost = IDLE_LEAST_US < call.idle <= b.idle_us and outcome is Outcome.RESET
     if lost:
@@ -105,17 +106,17 @@
 
 
 def judge(b: Books, call: Call, m: Message, event: AttemptFinished) -> None:
-    """Learn from one call: expected call, window, pace, and whether the target is in an
-    outage.
+    """Updates from one call the expected duration, the window, the pace and whether the
+    endpoint is in an outage.
     """
     target, place, outcome = call.target, call.target.place, event.outcome
     if (
         outcome is Outcome.TIMED_OUT and event.duration_us < m.cls.latency_objective_us
     ) or idle_lost(b, call, outcome):
-        # neither late messages nor dead connections must make a sound target look hung
+        # messages sent late and dead connections must not make a healthy endpoint look unresponsive
         return
-    # A call that was passed by others until its time-out was lost alone: its target
-    # does answer.
+    # A call that timed out while later ones were delivered was lost alone: the endpoint
+    # answers.
     weak = event.inconclusive or (outcome is Outcome.TIMED_OUT and call.passed > 0)
     cut = (
         call.sent_at > place.cut_at
@@ -146,15 +147,15 @@
     )
     if outcome is Outcome.REJECTED and pace(
         b, target
-    ):  # the share follows, also down to an outage's
+    ):  # the assumed share adapts instead, also to the capacity in an outage
         failing = min(failing, max(FAIL_MARK, target.failing))
     target.failing = failing
     watch_outage(b, target, outcome)
 
 
 def delivered(b: Books, call: Call) -> None:
-    """A success: the window and the share grow, and calls sent before it have been
-    passed.
+    """Applies a success: the window and the share grow, and calls sent earlier count it as a
+    later delivery.
     """
     place = call.target.place
     for other in {id(a.call): a.call for a in b.attempts.values()}.values():
--- a/tests/reference/limits.py
+++ b/tests/reference/limits.py
@@ -1,4 +1,4 @@
-"""How much may go out now: slots, windows, the pace by our share of a limit, and a
+"""Limits on sending: slots, windows, the pace by this forwarder's share of a limit, and a
 tenant's share.
 """
 
@@ -8,27 +8,25 @@
 from tests.reference.health import cold, may_join, turn
 from tests.reference.state import Place, Target
 
-# share of the slots that one destination may hold: the design's three quarters
+# share of the slots that one destination may use: three quarters by design
 HEALTHY_CAP = 0.75
-SICK_CAP = 0.5  # and while it fails or is slow: the design's half
-SLOW_TIMES = 4  # times its seed: an expected call above this counts as slow
-BURST_US = 700_000  # the pace lets through at once what it earns in this time
-PURSE_US = 2 * SECOND  # a tenant may run ahead of its share by this much
-PURSE_LEAST = (
-    4.0  # messages, and by these at least: our part of a share may be far under one
-)
+SICK_CAP = 0.5  # the same while it fails or is slow: half by design
+SLOW_TIMES = 4  # an expected call above this many times its seed counts as slow
+BURST_US = 700_000  # burst that the pace permits, as the calls of this time
+PURSE_US = 2 * SECOND  # time by which a tenant may exceed its share
+PURSE_LEAST = 4.0  # minimum for the same, in messages: this forwarder's part of a share may be far below one
 
 
 def spend(now: int, spent_until: int, each: float, ahead: float) -> int:
-    """When the next one may go, where each takes its time and what was saved counts
-    some time back.
+    """Returns when the next item may be sent, if each takes the time `each` and unused time
+    accumulates up to `ahead`.
     """
     return int(max(spent_until, now - max(0.0, ahead - each)) + each)
 
 
 def over_share(b: Books, name: str | None) -> bool:
-    """Whether a tenant has spent our part of its share; what goes beyond is worth
-    little.
+    """Returns whether a tenant has used up this forwarder's part of its share; messages beyond
+    it have little value.
     """
     tenant = b.tenants.get(name or "")
     if tenant is None or not tenant.quota_per_s or b.s.over_quota_weight >= 1:
@@ -43,9 +41,9 @@
 
 
 def pace(b: Books, t: Target) -> float:
-    """The time between our calls by which the limit holds for all forwarders together.
-    An even share of a told limit may be one call in a minute: what is left of it tells
-    more, so none lapses for that.
+    """Returns the interval between this forwarder's calls that keeps all forwarders together
+    within the limit. An even share of a reported limit may be one call per minute; the reported
+    remainder is more precise, so the interval is capped and no message expires because of it.
     """
     limit, share = (
         t.place.limit or (t.weight if b.s.endpoint_weights_known else 0.0),
@@ -58,7 +56,7 @@
 
 
 def paced(b: Books, t: Target) -> None:
-    """Book one call against the pace, or against the share that stands in its place."""
+    """Counts one call against the pace, or against the quota that replaces it."""
     if (share := b.shares.get(t.destination)) is not None:
         share.record_call(b.now)
         return
@@ -67,8 +65,8 @@
 
 
 def cap(b: Books, place: Place) -> float:
-    """The window's top: three quarters of the slots, half while failing or slow, never
-    under one.
+    """Returns the window's maximum: three quarters of the slots, half while failing or slow, at
+    least one.
     """
     sick = place.mean > SLOW_TIMES * place.seed > 0 or any(
         cold(b, t) and t.place is place
@@ -78,8 +76,8 @@
 
 
 def room_at(b: Books, t: Target) -> int:
-    """The gate's part that is the same for every message: slots, window, pace, rest,
-    turn.
+    """Returns when the limits that are the same for every message permit a call: slots, window,
+    pace, backoff, turn.
     """
     call, place = b.round_calls.get(t.id), t.place
     joins = call is not None and call.joined < t.batch
@@ -99,5 +97,5 @@
 
 
 def has_room(b: Books, destination: int) -> bool:
-    """Whether any message could go to a destination now."""
+    """Returns whether any message could be sent to a destination now."""
     return any(room_at(b, t) <= b.now for t in b.by_destination.get(destination, ()))
--- a/tests/reference/memory.py
+++ b/tests/reference/memory.py
@@ -1,4 +1,4 @@
-"""What a process that takes over is told, and how it goes on from that."""
+"""Creates the snapshot for a process that takes over, and restores it there."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 def memory(b: Books, out: Set[tuple[str, int]]) -> dict[str, Any]:
-    """What a process that takes over must know beside the messages; the attempts `out`
-    are on their way. Numbers of targets are as they are here.
+    """Returns the snapshot: the state that a process that takes over needs besides the
+    messages. The attempts `out` are in flight. Endpoints keep their numbers.
     """
     calls: dict[int, tuple[Call, list[tuple[str, int]]]] = {}
     for named, attempt in b.attempts.items():
@@ -47,11 +47,13 @@
 
 
 def remember(b: Books, told: Mapping[str, Any]) -> None:
-    """Go on where the process before stopped. What it does not tell, or of what is
-    gone, is left out.
+    """Restores a snapshot. Missing parts, and entries of removed endpoints or messages, are
+    skipped.
     """
     for number, destination, kind, known in told.get("targets", []):
-        if number not in b.targets:  # gone from the list, perhaps with a call still out
+        if (
+            number not in b.targets
+        ):  # removed from the list, perhaps with a call in flight
             apart = b.kinds.get(kind, DestinationKind(kind)).endpoint_scoped
             b.targets[number] = Target(
                 number,
@@ -71,8 +73,8 @@
             b.places[destination, number].shares = min(
                 b.places[destination, number].shares, float(b.s.forwarder_count)
             )
-        # routes stand apart now, or no longer: a wait that was told binds whatever it
-        # may be of
+        # the scope of a rate limit has changed between destination and endpoint: a reported
+        # retry-after applies to every scope that it may concern
         else:
             for whose, place in b.places.items():
                 if whose[0] == destination and -1 in (number, whose[1]):
@@ -95,7 +97,7 @@
 def still_out(
     b: Books, number: int, known: Mapping[str, Any], names: list[tuple[str, int]]
 ) -> None:
-    """A call of the process before takes its slot here until its outcomes are told."""
+    """Restores a call of the previous process; it uses a slot until its outcomes arrive."""
     target = b.targets.get(number)
     if target is None or not names:
         return
--- a/tests/reference/order.py
+++ b/tests/reference/order.py
@@ -1,6 +1,4 @@
-"""Which message goes next and where: the group rule, the one gate, the best target, the
-send.
-"""
+"""Selects the next message and its endpoint: group rule, send conditions, best endpoint, send."""
 
 from __future__ import annotations
 
@@ -14,24 +12,22 @@
 from tests.reference.limits import has_room, paced, room_at
 from tests.reference.state import Attempt, Call, Message, Place, Target
 
-GROUP_RANGE = (
-    0.4  # Gr, share of the least time left: the paper's value; larger was no better
-)
+GROUP_RANGE = 0.4  # Gr, share of the least remaining time: the paper's value; larger ones were no better
 TIMEOUT_CALLS = (
-    6  # expected calls that an attempt may take, and its class's aim at least
+    6  # expected calls that an attempt may take; at least its class's latency objective
 )
-# after a time-out the next attempt may take so many times as long: the work may be long
+# factor for the next attempt's timeout after a timeout: the work may take long
 RETRY_TIMES = 2
 
 
 def release(b: Books) -> None:
-    """Release once: in the group rule's order, each to the best target whose gate is
-    open.
+    """Sends messages once, in the group rule's order, each to the best endpoint that the gate
+    permits.
     """
     if b.calls_out < b.s.max_in_flight:
         shut: set[int] = (
             set()
-        )  # within a round a destination only closes, and each pile may be long
+        )  # within a round a destination can only become unavailable, and queues may be long
         for m in order(b):
             if m.destination in shut:
                 continue
@@ -46,8 +42,8 @@
 
 
 def appoint(b: Books, destination: int) -> None:
-    """When to look again at a destination where messages stay, whatever happens till
-    then.
+    """Schedules the next check of a destination with queued messages, in case no event causes
+    an earlier one.
     """
     now, pile = b.now, b.held.piles[destination].values()
     first_drop = min(b.drop_at(m) for m in pile)
@@ -72,9 +68,9 @@
 
 
 def order(b: Books) -> Iterator[Message]:
-    """The group rule: the least time left and all within Gr of it first; in a group the
-    shortest call. Messages that have no open target, and whole destinations of these,
-    are skipped.
+    """The group rule: yields first the messages whose remaining time is within Gr of the least
+    one, and in a group the shortest expected call first. Destinations without an available
+    endpoint are skipped.
     """
     looks = sorted(
         d
@@ -98,7 +94,7 @@
 
 
 def gate(b: Books, m: Message, t: Target) -> bool:
-    """The one gate that every send passes. Each line keeps a rule or a bound."""
+    """Returns whether a message may be sent to an endpoint now. Every send is checked here."""
     if not b.may_repeat(m):
         return False
     if m.key is not None:
@@ -112,8 +108,8 @@
 
 
 def preference(b: Books, m: Message, t: Target) -> tuple[float, ...]:
-    """Which open target is best: a sound one, a call already forming, a cheap one, a
-    quiet one.
+    """Returns the sort key of an available endpoint, the best first: healthy, with a call that
+    is being assembled, cheap, little loaded.
     """
     fee = b.s.zone_costs.get(t.zone, 0.0) if t.apart else 0.0
     return (
@@ -128,13 +124,13 @@
 
 
 def send(b: Books, m: Message, t: Target) -> None:
-    """Send, and book what it takes."""
+    """Sends a message and records the resources that it uses."""
     call = b.round_calls.get(t.id)
     if call is None or call.joined >= t.batch:
         call = begin(b, m, t)
     t.tried_at = b.now
     call.joined, call.messages = call.joined + 1, call.messages + 1
-    if call.joined > 1:  # what it weighs more is made good by the time until the next
+    if call.joined > 1:  # the additional weight lengthens the time until the next call
         t.spread *= weight(call.joined) / weight(call.joined - 1)
     if m.key is not None:
         b.lines[m.key].out += 1
@@ -146,7 +142,7 @@
 
 
 def begin(b: Books, m: Message, t: Target) -> Call:
-    """Begin a call: its connection, its slot and its part of the pace."""
+    """Begins a call: reserves its connection, its slot and its part of the pace."""
     place, idle = t.place, 0 if t.out or t.idle_at < 0 else b.now - t.idle_at
     if idle > b.idle_us > 0:
         b.actions.append(CloseIdleConnections(t.id))
@@ -162,9 +158,8 @@
 
 
 def timeout(b: Books, m: Message, place: Place) -> int:
-    """How long an attempt may take. One after which there is no other is waited for
-    till its end: of a once-only message, or one that outlasts the window in which its
-    key is known.
+    """Returns an attempt's timeout. It extends to the deadline if no other attempt can follow:
+    for an at-most-once message, or if the timeout would exceed the idempotency window.
     """
     left = m.due - b.now
     patience = max(
--- a/tests/reference/pair.py
+++ b/tests/reference/pair.py
@@ -1,5 +1,5 @@
-"""A dispatcher and its plain reference, given the same events: every round must come
-out the same.
+"""Runs the dispatcher and the reference on the same events and asserts equal results in every
+round.
 """
 
 from __future__ import annotations
@@ -26,17 +26,15 @@
 
 
 def whole(actions: Iterable[Action]) -> list[tuple[Any, ...]]:
-    """Actions with all their fields, also those that do not count when they are
-    compared.
-    """
+    """Returns the actions with all their fields, including those excluded from comparison."""
     return [
         (type(a).__name__, *(getattr(a, f.name) for f in fields(a))) for a in actions
     ]
 
 
 class Pair:
-    """What a world asks of a dispatcher is answered by both alike; `seen` counts what
-    was reached.
+    """Stands in for a dispatcher in a world and requires equal answers of both. `seen` counts
+    the situations that were reached.
     """
 
     def __init__(
@@ -64,7 +62,7 @@
         return actions
 
     def compare(self) -> None:
-        """What the next rounds depend on."""
+        """Asserts that the state on which later rounds depend is equal."""
         new, plain = self.new, self.plain
         assert new.state.random.getstate() == plain.random.getstate()
         assert (
@@ -188,7 +186,7 @@
             for d in self.new.state.queues.by_destination
         )
 
-    # What the world asks
+    # Queries of the world
 
     def snapshot(self, out: Set[tuple[str, int]]) -> dict[str, Any]:
         told = self.new.snapshot(out)
--- a/tests/reference/routes.py
+++ b/tests/reference/routes.py
@@ -1,6 +1,4 @@
-"""Which targets there are: by the list, by the operators' word, and by other
-settings.
-"""
+"""Maintains the set of endpoints from the endpoint list, operators' calls and settings."""
 
 from __future__ import annotations
 
@@ -18,16 +16,16 @@
 from tests.reference.state import Target
 
 ASK_LEAST_US, ASK_MOST_US = 200_000, 400_000
-"""Between a call for the list that failed and the next, by chance between both. It does
-not grow with the failures: whatever the number, a change binds 6 s after discovery had
-it. The sum is in net/discovery.py.
+"""Bounds of the random delay after a failed request for the list. It does not grow with the
+number of failures: a change must take effect within 6 s of reaching discovery. When this copy
+was made, net/discovery.py had the calculation.
 """
-THE_LIST = -1  # stands among the destinations' appointments for asking for the list
-MOST_GONE = 8_192  # as in the module now; 200 when the copy was made
+THE_LIST = -1  # agenda entry, in place of a destination, for requesting the list
+MOST_GONE = 8_192  # as in rainfall/dispatch now; 200 when this copy was made
 
 
 def listed(b: Books, event: EndpointListChanged) -> None:
-    """Follow the list. A drained or gone target gets nothing new from this round on."""
+    """Applies the list. A drained or removed endpoint gets no new calls from this round on."""
     if event.kind is EndpointListKind.FAILED:
         b.agenda.add(b.now + b.random.randrange(ASK_LEAST_US, ASK_MOST_US), THE_LIST)
         return
@@ -59,7 +57,7 @@
     ]
     for t in gone[
         : max(0, len(gone) - MOST_GONE)
-    ]:  # replaced targets must not pile up over months
+    ]:  # replaced endpoints must not accumulate over months
         del b.targets[t.id]
         if t.apart:
             b.places.pop((t.destination, t.id), None)
@@ -67,7 +65,7 @@
 
 
 def sort_targets(b: Books) -> None:
-    """Only those that serve by the list and by the operators' word get anything."""
+    """Regroups the endpoints that serve by the list and are not disabled by an operator."""
     b.by_destination = {}
     for target in b.targets.values():
         if target.serving and target.id not in b.detached:
@@ -81,8 +79,9 @@
 
 
 def attached(b: Books, target: int) -> None:
-    """Back from a restart: nothing of before holds, and a route's window grows from one
-    call. Turns start slowly only where it was seen in an outage before (rule 4).
+    """Enables an endpoint, which may have restarted: earlier estimates no longer apply, and the
+    window of an endpoint with its own limit grows from one call. Calls start slowly only if
+    it was in an outage before (rule 4).
     """
     if target not in b.detached:
         return
@@ -99,14 +98,14 @@
     t.failing, t.idle_at = 0.0, -1
     t.spread = (
         b.random.random() if cold(b, t) else 1.0
-    )  # it comes back to all forwarders at once
+    )  # it becomes available to all forwarders at once
     if t.apart:
         t.place.window, t.place.mean, t.place.mean_at, t.place.rest = 1.0, 0.0, -1, 0
 
 
 def retuned(b: Books, settings: Settings) -> None:
-    """Other settings hold. What was worked out by those before binds no more; what a
-    target told does.
+    """Applies new settings. Values derived from the old ones are dropped; values that an endpoint
+    reported are kept.
     """
     old = b.s
     b.adopt(settings)
--- a/tests/reference/state.py
+++ b/tests/reference/state.py
@@ -1,4 +1,4 @@
-"""Plain records of what one dispatcher has observed. Nothing here chooses or tunes."""
+"""Plain records of what one dispatcher has observed. Nothing here makes decisions."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from rainfall.dispatch import MessageClass
 
-# What a process that takes over is told of each record; the rest is in the journal or
-# counted anew.
+# Fields of each record that a snapshot contains; the others are in the journal or are computed
+# again.
 TARGET_KEPT = (
     "failing",
     "failed_at",
@@ -60,21 +60,21 @@
     key: str | None
     over_share: bool
     most: int
-    """Attempts that it was taken on with."""
+    """Maximum attempts that applied when it was accepted."""
     attempts: int = 0
     out: int = 0
     ran_at: int = -1
-    """When the first attempt that may have run was sent; -1 while none may have."""
+    """When the first attempt that may have been executed was sent; -1 if there is none."""
     ran_on: int = -1
-    """Its target."""
+    """The endpoint of that attempt."""
     waited: int = 0
-    """How long the attempt that timed out last was waited for."""
+    """Duration of the last attempt that timed out."""
     avoid: int = -1
-    """The target that last failed it."""
+    """The endpoint of its last failed attempt."""
     keep_until: int = 0
-    """While it has surely not run, it does not give way to fresher ones before."""
+    """Not dropped in favour of newer messages before this time, unless it may have been executed."""
     before: bool = False
-    """A process before took it on."""
+    """Whether a previous process accepted it."""
 
 
 @dataclass(slots=True)
@@ -86,18 +86,18 @@
     place: Place
     kind: str = ""
     batch: int = 1
-    """Messages in one call at most."""
+    """Maximum messages per call."""
     apart: bool = False
-    """A route of its own."""
+    """Whether limits apply to this endpoint alone rather than to its destination."""
     serving: bool = True
     out: int = 0
     failing: float = 0.0
-    """Decayed share of its calls that failed."""
+    """Decayed share of failed calls."""
     tried_at: int = -(1 << 40)
     idle_at: int = -1
-    """When a call to it last ended and left a connection; -1 where none is kept."""
+    """When a call to it last ended and left a connection; -1 if there is none."""
     outage_at: int = -1
-    """When the signs of an outage were seen; -1 while there are none."""
+    """When an outage was detected; -1 if there is none."""
     back_at: int = -1
     """When the first call succeeded after the outage; -1 while it lasts."""
     failed_at: int = -1
@@ -105,53 +105,53 @@
     well_at: int = -1
     """When a call to it last succeeded."""
     spread: float = 1.0
-    """How many turns after the last call the next may go while it is cold."""
+    """Turns between the last call and the next one while it is cold."""
 
 
 @dataclass(slots=True)
 class Place:
-    """What shares a limit, a wait and a pace: a destination, or one route where routes
-    are apart.
+    """The scope of a limit, a retry-after and a pace: a destination, or one endpoint if its
+    limits apply to it alone.
     """
 
     destination: int
     window: float
     mean: float = 0.0
-    """Expected call, in microseconds."""
+    """Expected call duration in microseconds."""
     seed: float = 0.0
     mean_at: int = -1
-    """When it was last learned; -1 before anything was seen."""
+    """When `mean` was last updated; -1 before the first call."""
     out: int = 0
     wait_until: int = 0
-    """End of the wait it told."""
+    """End of the reported retry-after."""
     rest_until: int = 0
-    """End of the rest we chose."""
+    """End of the backoff chosen by this forwarder."""
     rest: int = 0
     cut_at: int = -1
     limit: float = 0.0
     left: float = 1.0
     shares: float = 1.0
-    """How many even shares of its limit we take."""
+    """Number of even shares of its limit that this forwarder uses."""
     pace_at: int = 0
-    """When our share of its limit has room for the next call."""
+    """When this forwarder's share of the limit permits the next call."""
 
 
 @dataclass(slots=True)
 class Call:
-    """One call out: messages released in one round to one target."""
+    """One call in flight: messages sent in one round to one endpoint."""
 
     target: Target
     sent_at: int
     idle: int = 0
-    """How long the connection that it may have taken had been without use."""
+    """How long the connection that it may have used had been idle."""
     gap: int = 0
-    """How long after the call before to the same target."""
+    """Time since the previous call to the same endpoint."""
     messages: int = 0
-    """Those whose outcome is still owed."""
+    """Number of messages without an outcome."""
     joined: int = 0
     judged: bool = False
     passed: int = 0
-    """How many calls to the same target that were sent later have been delivered."""
+    """Number of later calls to the same endpoint that have been delivered."""
 
 
 @dataclass(slots=True)
@@ -163,20 +163,18 @@
 
 @dataclass(slots=True)
 class Line:
-    """The messages of one key, in the order they were taken, and what still blocks the
-    key.
-    """
+    """The messages of one ordering key, in order of acceptance, and what blocks the key."""
 
     queue: deque[Message] = field(default_factory=deque)
     out: int = 0
     rest_until: int = 0
     owed: set[str] = field(default_factory=set)
-    """Those with a final answer that is still on its way."""
+    """Messages whose final answer is not acknowledged yet."""
 
 
 @dataclass(slots=True)
 class Held:
-    """The messages held, by destination and the number under which they were taken."""
+    """The queued messages, by destination and by number of acceptance."""
 
     piles: dict[int, dict[int, Message]] = field(default_factory=dict)
 
@@ -192,19 +190,19 @@
 
 @dataclass(slots=True)
 class Agenda:
-    """When to look at which destination again, earliest first."""
+    """Times of the next check of each destination, earliest first."""
 
     entries: list[tuple[int, int]] = field(default_factory=list)
     earliest: dict[int, int] = field(default_factory=dict)
 
     def add(self, at: int, destination: int) -> None:
-        """Look at a destination at a given time, if not sooner."""
+        """Schedules a check of a destination, unless an earlier one is scheduled."""
         if destination not in self.earliest or at < self.earliest[destination]:
             self.earliest[destination] = at
             heappush(self.entries, (at, destination))
 
     def due(self, now: int) -> set[int]:
-        """Take off and return the destinations whose time has come."""
+        """Removes and returns the destinations whose check is due."""
         found: set[int] = set()
         while self.entries and self.entries[0][0] <= now:
             _, destination = heappop(self.entries)
--- a/tests/support/event_scripts.py
+++ b/tests/support/event_scripts.py
@@ -258,7 +258,7 @@
                     )
                 events.append(self.finish(attempt, outcome))
         if self.r.random() < 0.01:
-            endpoint = self.r.choice(list(self.entries))
+            t = self.r.choice(list(self.entries))
             state = self.r.choice(
                 [
                     EndpointState.SERVING,
@@ -266,33 +266,29 @@
                     EndpointState.REMOVED,
                 ]
             )
-            old = self.entries[endpoint]
+            old = self.entries[t]
             events.append(
                 EndpointListChanged(
                     EndpointListKind.CHANGES,
-                    (
-                        EndpointEntry(
-                            endpoint, old.destination, old.zone, old.kind, state
-                        ),
-                    ),
+                    (EndpointEntry(t, old.destination, old.zone, old.kind, state),),
                 )
             )
             if state is EndpointState.SERVING:
-                self.left_at.pop(endpoint, None)
+                self.left_at.pop(t, None)
             else:
-                self.left_at.setdefault(endpoint, self.now)
+                self.left_at.setdefault(t, self.now)
         if self.r.random() < 0.002:
             events.append(EndpointListChanged(EndpointListKind.SNAPSHOT, ()))
-            for endpoint in self.entries:
-                self.left_at.setdefault(endpoint, self.now)
+            for t in self.entries:
+                self.left_at.setdefault(t, self.now)
         if self.open and self.r.random() < 0.005:
             name = self.r.choice(list(self.open))
             self.close(name)
             events.append(MessageWithdrawn(name))
             if self.r.random() < 0.3:
                 events.append(MessageWithdrawn(name))
-        due = [endpoint for endpoint in self.timers if endpoint[0] <= self.now]
-        self.timers = [endpoint for endpoint in self.timers if endpoint[0] > self.now]
+        due = [t for t in self.timers if t[0] <= self.now]
+        self.timers = [t for t in self.timers if t[0] > self.now]
         events.extend(TimerExpired(token) for _, token in due)
         if events:
             self.step(events)
--- a/tests/support/fleet_service_scenes.py
+++ b/tests/support/fleet_service_scenes.py
@@ -237,20 +237,27 @@
         now = self.clock.us
         for process in self.all:
             process.send()
-        seats = sum(p.share["reserve"] > 0 for p in self.all)
-        sum_ = sum(p.most() for p in self.all) + max(0, 4 - seats) * 5
-        assert sum_ <= max(self.wholes), (now, sum_)
-        spent = [*self.gone, *(s for p in self.all for s in p.sent)]
-        assert sum(n for at, _, n in spent if at > now - SPAN) <= max(self.wholes), now
+        reserve_holders = sum(member.share["reserve"] > 0 for member in self.all)
+        permitted = (
+            sum(member.most() for member in self.all) + max(0, 4 - reserve_holders) * 5
+        )
+        assert permitted <= max(self.wholes), (now, permitted)
+        sent_calls = [
+            *self.gone,
+            *(sent_call for member in self.all for sent_call in member.sent),
+        ]
+        assert sum(index for at, _, index in sent_calls if at > now - SPAN) <= max(
+            self.wholes
+        ), now
         acting = [
-            (*own.key_range, own.hold.token)
-            for p in self.all
-            for own in p.owned.held_ranges(p.own())
+            (*owned.key_range, owned.hold.token)
+            for member in self.all
+            for owned in member.owned.held_ranges(member.own())
         ]
         assert not any(
             a <= last and first <= b
-            for n, (a, b, _) in enumerate(acting)
-            for first, last, _ in acting[:n]
+            for index, (a, b, _) in enumerate(acting)
+            for first, last, _ in acting[:index]
         ), (now, acting)
         assert not any(
             a <= last and first <= b and token < other
@@ -300,24 +307,24 @@
         rng, run = self.rng, self.run
         self.clock.us += rng.choice((0, 20_000, 80_000, 150_000))
         self.check()
-        dice = rng.random()
-        if dice < 0.04:
+        draw = rng.random()
+        if draw < 0.04:
             self.add(
-                (old := rng.choice(self.here)).name, old
+                (restarted := rng.choice(self.here)).name, restarted
             )  # restarted with its state folder
-        elif dice < 0.07 and len(self.here) > 2:
-            cut = self.here.pop(
+        elif draw < 0.07 and len(self.here) > 2:
+            partitioned = self.here.pop(
                 rng.randrange(len(self.here))
             )  # partitioned; continues with the quota and ranges it holds
             self.add(
-                cut.name
+                partitioned.name
             )  # another process of the same name starts without the state folder
-        elif dice < 0.17:
+        elif draw < 0.17:
             await self.operate()
-        elif dice < 0.21:
+        elif draw < 0.21:
             run.files.failing = True
-        elif dice < 0.24 or (run.files.failing and dice < 0.5):
-            if run.files.failing and dice < 0.37:
+        elif draw < 0.24 or (run.files.failing and draw < 0.5):
+            if run.files.failing and draw < 0.37:
                 run.files.failing = False
             else:
                 await self.stop(kill=rng.random() < 0.7)
--- a/tests/support/random_worlds.py
+++ b/tests/support/random_worlds.py
@@ -431,19 +431,19 @@
     def recalled(self, cut_off: set[str]) -> Iterator[Event]:
         yield EndpointListChanged(
             EndpointListKind.SNAPSHOT,
-            tuple(event for event in self.entries.values() if self.luck(0.9)),
+            tuple(e for e in self.entries.values() if self.luck(0.9)),
         )
         yield from map(EndpointDisabled, sorted(self.detached))
         for name, message in self.open.items():
-            event = message.event
+            e = message.event
             cls, most = self.pick(message.cls, None), self.pick(message.most, 0)
             yield MessageRestored(
                 name,
-                event.destination,
-                event.class_name,
-                event.deadline_us,
-                event.ordering_key,
-                event.tenant,
+                e.destination,
+                e.class_name,
+                e.deadline_us,
+                e.ordering_key,
+                e.tenant,
                 message.attempts,
                 message.ran_at,
                 message.ran_on,
@@ -471,7 +471,7 @@
 
     def hand_over(self) -> None:
         """Hands over to another dispatcher. Calls stay in flight, except about a tenth that the
-        new dispatcher is not told about.
+        snapshot omits and that get no outcome.
         """
         known_attempts = {
             (attempt.message, attempt.attempt) for attempt in self.out if self.luck(0.9)
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -226,40 +226,48 @@
                     self.restart(forwarder, now)
         return self.verdict()
 
-    def arrivals(self, f: Forwarder, now: int) -> list[Event]:
+    def arrivals(self, forwarder: Forwarder, now: int) -> list[Event]:
         events: list[Event] = []
         for _ in range(self.p.burst):
             self.count += 1
-            name, life = (
+            name, time_left_us = (
                 (f"m{self.count}", 5 * S)
                 if self.r.random() < 0.5
                 else (f"l{self.count}", 16 * S)
             )
             event = MessageReceived(
-                name, DESTINATION, "safe" if life == 5 * S else "long", now + life
+                name,
+                DESTINATION,
+                "safe" if time_left_us == 5 * S else "long",
+                now + time_left_us,
             )
-            f.open[name] = event
+            forwarder.open[name] = event
             events.append(event)
         return events
 
-    def handle(self, f: Forwarder, now: int, events: list[Event]) -> None:
+    def handle(self, forwarder: Forwarder, now: int, events: list[Event]) -> None:
         calls: dict[int, list[SendMessage]] = {}
-        for action in f.d.handle(now, events):
+        for action in forwarder.d.handle(now, events):
             match action:
                 case SendMessage():
                     call = calls.get(action.endpoint)
                     if call is None or len(call) >= self.p.batch:
                         call = calls[action.endpoint] = []
-                        self.put(now, "sent", f.number, None)
-                        self.begin(f, now, action.endpoint, call)
+                        self.put(now, "sent", forwarder.number, None)
+                        self.begin(forwarder, now, action.endpoint, call)
                     call.append(action)
                 case RejectMessage() | FailMessage():
-                    f.open.pop(action.message_id, None)
+                    forwarder.open.pop(action.message_id, None)
                 case SetTimer():
-                    f.version += 1
-                    self.put(now + action.delay_us, "timer", f.number, f.version)
+                    forwarder.version += 1
+                    self.put(
+                        now + action.delay_us,
+                        "timer",
+                        forwarder.number,
+                        forwarder.version,
+                    )
                 case RecordOutage():
-                    f.outages[action.endpoint] = (
+                    forwarder.outages[action.endpoint] = (
                         action.started_at_us,
                         action.recovered_at_us,
                     )
@@ -267,7 +275,7 @@
                     pass
 
     def begin(
-        self, f: Forwarder, now: int, target: int, whole: list[SendMessage]
+        self, forwarder: Forwarder, now: int, target: int, messages: list[SendMessage]
     ) -> None:
         """Schedules the end of a call. Its outcome depends on the time at which it is sent;
         messages are added to it until the round ends.
@@ -281,16 +289,21 @@
             took, outcome = 20 * MS, Outcome.NO_CONNECTION
         if now >= self.returns:
             unit = target if self.p.apart else -1
-            self.seen.append((now, unit, 0.0, unit in f.learned))
-            self.put(now, "end", f.number, (f.d, (whole, len(self.seen) - 1), None))
+            self.seen.append((now, unit, 0.0, unit in forwarder.learned))
+            self.put(
+                now,
+                "end",
+                forwarder.number,
+                (forwarder.d, (messages, len(self.seen) - 1), None),
+            )
         self.put(
             now + max(took, 1),
             "end",
-            f.number,
-            (f.d, (whole, outcome, now, took), None),
+            forwarder.number,
+            (forwarder.d, (messages, outcome, now, took), None),
         )
 
-    def end(self, f: Forwarder, now: int, call: tuple, _: object) -> None:  # type: ignore[type-arg]
+    def end(self, forwarder: Forwarder, now: int, call: tuple, _: object) -> None:  # type: ignore[type-arg]
         if len(call) == 2:  # the round is over: the call has all its messages
             messages, index = call
             sent_at, unit, _weight, informed = self.seen[index]
@@ -307,51 +320,58 @@
             self.put(
                 sent + longest,
                 "end",
-                f.number,
-                (f.d, (messages, outcome, sent, longest), None),
+                forwarder.number,
+                (forwarder.d, (messages, outcome, sent, longest), None),
             )
             return
         events: list[Event] = []
         for message in messages:
             closed = outcome is Outcome.DELIVERED
             if closed:
-                f.open.pop(message.message_id, None)
+                forwarder.open.pop(message.message_id, None)
                 self.delivered += now >= self.returns
             events.append(
                 AttemptFinished(
                     message.message_id,
-                    f.attempts[message.message_id],
+                    forwarder.attempts[message.message_id],
                     message.endpoint,
                     outcome,
                     took,
                     closed,
                 )
             )
-            f.attempts[message.message_id] += 1
+            forwarder.attempts[message.message_id] += 1
         if outcome is not Outcome.DELIVERED:
-            f.learned.add(messages[0].endpoint if self.p.apart else -1)
-        self.handle(f, now, events)
+            forwarder.learned.add(messages[0].endpoint if self.p.apart else -1)
+        self.handle(forwarder, now, events)
 
-    def restart(self, f: Forwarder, now: int) -> None:
+    def restart(self, forwarder: Forwarder, now: int) -> None:
         """Kills and restarts a forwarder: calls in flight are lost, recorded outages are kept."""
-        f.d, f.version = (
+        forwarder.d, forwarder.version = (
             Dispatcher(self.settings(), self.r.randrange(1 << 30), now),
-            f.version + 1,
+            forwarder.version + 1,
         )
-        f.attempts = Counter()
+        forwarder.attempts = Counter()
         self.handle(
-            f,
+            forwarder,
             now,
             [
                 EndpointListChanged(EndpointListKind.SNAPSHOT, self.entries()),
                 *(
                     MessageRestored(
-                        m.message_id, m.destination, m.class_name, m.deadline_us
+                        message.message_id,
+                        message.destination,
+                        message.class_name,
+                        message.deadline_us,
                     )
-                    for m in f.open.values()
-                    if m.deadline_us > now
+                    for message in forwarder.open.values()
+                    if message.deadline_us > now
+                ),
+                *(
+                    OutageRestored(endpoint, *outage)
+                    for endpoint, outage in forwarder.outages.items()
+                    if outage[0] >= 0
                 ),
-                *(OutageRestored(n, *o) for n, o in f.outages.items() if o[0] >= 0),
             ],
         )
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -42,7 +42,7 @@
 from rainfall.lease.fencing_token import Token
 from rainfall.lease.table import LeaseTable
 from rainfall.lease.types import LeaseSettings
-from rainfall.member.roster import MAX_DEPARTED_MEMBERS as MOST_MEMBERS_GONE
+from rainfall.member.roster import MAX_DEPARTED_MEMBERS as DEPARTED_LIMIT
 from rainfall.member.roster import LeaseGrant, Roster
 from rainfall.registry import service_context
 from rainfall.registry.http_server import LimitedConnection
@@ -52,7 +52,7 @@
 from tests.support.loopback_peers import PATIENCE, SETTINGS, Answer, Peer, always
 from tests.support.paths import ROOT
 
-LEAST = 1_024
+MIN_LIST_BOUND = 1_024
 ENDPOINTS = 44_000
 LISTS = {
     "budget.config.MAX_BUDGETS",
@@ -112,7 +112,9 @@
         "admin connections, which use the forwarder's descriptors: 16 at a time"
     ),
     "forwarder.admin.admin_server.MAX_BODY_BYTES": TEXT,
-    "forwarder.admin.admin_server.MAX_CONNECTIONS": "admin connections, which use descriptors",
+    "forwarder.admin.admin_server.MAX_CONNECTIONS": (
+        "admin connections, which use the forwarder's descriptors"
+    ),
     "forwarder.admin.admin_server.MAX_CONFIG_BYTES": TEXT,
     "forwarder.admin.admin_server.MAX_HEADER_BYTES": TEXT,
     "forwarder.outbound.responses.MAX_LIMIT_PER_S": NUMBER,
@@ -144,7 +146,10 @@
     "shard.migration.MAX_GENERATION_LEAD": NUMBER,
     "shard.plan_cells.MAX_PIECES": "pieces that one range is split into at once",
 }
-ALSO = {"session.messages.ITEM_LIMIT", "registry.storage.MAX_CACHED_NOTICES"}
+OTHER_LIST_BOUNDS = {
+    "session.messages.ITEM_LIMIT",
+    "registry.storage.MAX_CACHED_NOTICES",
+}
 """Bounds whose names do not follow the pattern that `constants` searches for."""
 
 
@@ -167,7 +172,7 @@
             yield from (
                 f"{module}.{name}"
                 for name in names
-                if f"{module}.{name}" in ALSO
+                if f"{module}.{name}" in OTHER_LIST_BOUNDS
                 or "BACKLOG" in name
                 or {"MOST", "MAX"} & set(name.split("_"))
             )
@@ -184,10 +189,10 @@
     assert {
         qualified_name: bound
         for qualified_name, bound in found.items()
-        if bound < LEAST
+        if bound < MIN_LIST_BOUND
     } == {}
     bounds = Limits()
-    assert min(bounds.watchers, bounds.connections, bounds.queued) >= LEAST
+    assert min(bounds.watchers, bounds.connections, bounds.queued) >= MIN_LIST_BOUND
 
 
 def test_no_literal_list_bound_is_below_1024() -> None:
@@ -221,7 +226,7 @@
             found += [
                 f"{module}: {ast.unparse(node)}"
                 for number in numbers
-                if 16 < number < LEAST
+                if 16 < number < MIN_LIST_BOUND
             ]
     assert [
         line for line in found if not re.search(r"len\((key|text|order_key)\)", line)
@@ -243,7 +248,9 @@
     }
 
 
-@pytest.mark.parametrize("budgets, peers", [(LEAST, LEAST), (MAX_BUDGETS, 10_000)])
+@pytest.mark.parametrize(
+    "budgets, peers", [(MIN_LIST_BOUND, MIN_LIST_BOUND), (MAX_BUDGETS, 10_000)]
+)
 def test_configuration_with_many_budgets_and_peers_is_accepted(
     budgets: int, peers: int
 ) -> None:
@@ -267,7 +274,7 @@
     found = validate_replacement(
         json.dumps({**file, "fleet": bad}).encode(), old, {"LB_STATE": str(tmp_path)}
     ).faults
-    assert len(found) == MAX_REPORTED >= LEAST
+    assert len(found) == MAX_REPORTED >= MIN_LIST_BOUND
     assert {tuple(fault) for fault in found} == {("path", "fault")}
     assert len({fault["path"] for fault in found}) == MAX_REPORTED
 
@@ -330,7 +337,7 @@
     table.commit(table.start(0, True))
     roster = Roster(table, 1_000_000)
     roster.on_started(0)
-    names = [f"forwarder-{n:05}" for n in range(MOST_MEMBERS_GONE + 10)]
+    names = [f"forwarder-{n:05}" for n in range(DEPARTED_LIMIT + 10)]
     for name in names:
         grant = roster.join(2_000_000, name, "a", "h:1")
         assert isinstance(grant, LeaseGrant)
@@ -338,9 +345,11 @@
     for record in roster.tick(10_000_000):
         roster.commit(record)
     lost = [m for m in roster.members.values() if m.state == "lost"]
-    assert len(lost) == MOST_MEMBERS_GONE >= LEAST and roster.active_members() == []
+    assert (
+        len(lost) == DEPARTED_LIMIT >= MIN_LIST_BOUND and roster.active_members() == []
+    )
     since = roster.changes_since(roster.oldest_known_version, roster.epoch)
-    assert not since["whole"] and len(since["members"]) == MOST_MEMBERS_GONE
+    assert not since["whole"] and len(since["members"]) == DEPARTED_LIMIT
 
 
 def test_lost_messages_are_listed_up_to_the_limit() -> None:
@@ -348,7 +357,7 @@
     state.mark_in_doubt()
     for n in range(MAX_LOST_MESSAGES + 1):
         state.apply_record(json.dumps(["a", f"m{n}", 0, 1, "s1"]).encode())
-    assert len(state.lost_messages) == MAX_LOST_MESSAGES >= LEAST
+    assert len(state.lost_messages) == MAX_LOST_MESSAGES >= MIN_LIST_BOUND
 
 
 # Endpoints
@@ -392,7 +401,7 @@
     )
 
 
-def known_by(forwarder: Engine, endpoint_list: EndpointList) -> None:
+def apply_and_check_numbers(forwarder: Engine, endpoint_list: EndpointList) -> None:
     """Applies the list and asserts that each endpoint has one number, mapped back to its name."""
     entries = forwarder.to_entries(endpoint_list)
     forwarder.apply_endpoint_list(endpoint_list)
@@ -411,9 +420,9 @@
 ) -> None:
     async def scene() -> None:
         forwarder = engine(tmp_path)
-        known_by(forwarder, listing(range(ENDPOINTS)))
+        apply_and_check_numbers(forwarder, listing(range(ENDPOINTS)))
         assert len(forwarder.known_destinations) == ENDPOINTS
-        known_by(forwarder, listing(range(ENDPOINTS)))
+        apply_and_check_numbers(forwarder, listing(range(ENDPOINTS)))
         assert len(forwarder.known_destinations) == ENDPOINTS
         forwarder.store.close()
 
@@ -425,11 +434,13 @@
 ) -> None:
     async def scene() -> None:
         forwarder = engine(tmp_path)
-        known_by(forwarder, listing(range(LEAST * 2)))
+        apply_and_check_numbers(forwarder, listing(range(MIN_LIST_BOUND * 2)))
         before = dict(forwarder.endpoint_ids)
-        forwarder.apply_endpoint_list(listing(range(LEAST * 2), "removed", whole=False))
+        forwarder.apply_endpoint_list(
+            listing(range(MIN_LIST_BOUND * 2), "removed", whole=False)
+        )
         assert not forwarder.endpoints and forwarder.endpoint_ids == before
-        known_by(forwarder, listing(range(LEAST * 2)))
+        apply_and_check_numbers(forwarder, listing(range(MIN_LIST_BOUND * 2)))
         assert forwarder.endpoint_ids == before  # they returned and keep their numbers
         for n in range(3 * MAX_REMOVED_ENDPOINTS):
             forwarder.endpoint_id(f"gone{n}")
@@ -440,7 +451,8 @@
             )
         assert (
             before.items() <= forwarder.endpoint_ids.items()
-            and f"gone{3 * MAX_REMOVED_ENDPOINTS - LEAST}" in forwarder.endpoint_ids
+            and f"gone{3 * MAX_REMOVED_ENDPOINTS - MIN_LIST_BOUND}"
+            in forwarder.endpoint_ids
         )
         forwarder.store.close()
 
@@ -551,7 +563,7 @@
             and len(answer.body) > buffer_limit
         )
         client.close()
-        bytes_read, largest_buffer = await slowly(run.list)
+        bytes_read, largest_buffer = await read_list_slowly(run.list)
         assert (
             bytes_read > len(answer.body)
             and 0 < largest_buffer <= buffer_limit
@@ -588,7 +600,7 @@
     play(tmp_path, test)
 
 
-async def slowly(port: int) -> tuple[int, int]:
+async def read_list_slowly(port: int) -> tuple[int, int]:
     """Reads the list with a small receive window.
 
     Returns the bytes read and the largest write buffer of the service's open connections.
