--- a/measure/cold_fleet.py
+++ b/measure/cold_fleet.py
@@ -1,10 +1,10 @@
-"""How near simulated fleets come to the limit of a destination that warms up.
+"""Measures how close simulated fleets come to the limit of a destination that warms up.
 
     python -m measure.cold_fleet [SEEDS] [FORWARDERS...] [SCENES...]
 
-Run from the root of the repository. Prints a line for each scene, number of forwarders
-and N, which is the number of calls that the destination allows at its return, in the
-time that the settings name.
+Run from the root of the repository. Prints one line for each scene, number of forwarders
+and N. N is the number of calls, in the time that the settings give, that a destination
+allows when it comes back after an outage.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from tests.support.simulated_fleet import SCENES, Play, Verdict, played
 
 EARLY_CALL_COUNTS = (0.3, 1.0, 4.0, 30.0)
-"""The values of N."""
+"""The values of N: calls that a returning destination allows."""
 DEFAULT_SEEDS = 10
 DEFAULT_FLEETS = (1, 2, 4, 30, 200)
 PROCESSES = 2
@@ -26,40 +26,46 @@
 
 
 class Row(NamedTuple):
-    """A line of the result, with the runs that it sums up."""
+    """One printed line and the runs that it summarises."""
 
     title: str
     verdicts: list[Future[Verdict]]
 
 
-def plays(
+def scene_runs(
     forwarders: int, early_calls: float, scene: str, seeds: int
 ) -> Iterator[Play]:
-    """The runs of one line."""
+    """The runs of one printed line, one per seed."""
     for seed in range(1, seeds + 1):
         yield SCENES[scene](forwarders, early_calls, seed)
 
 
 def format_verdicts(verdicts: list[Verdict]) -> str:
-    """The worst run, how many were over the limit, and figures of all."""
+    """Format one line of results.
+
+    The line has the worst run's count and limit, the number of runs over the limit, the
+    median time until the first call after the outage, and the mean number of deliveries.
+    """
     worst = max(verdicts, key=lambda verdict: verdict.part)
     over = sum(verdict.part > 1 for verdict in verdicts)
-    found_s = [
+    first_call_s = [
         verdict.found_us / US_PER_S for verdict in verdicts if verdict.found_us >= 0
     ]
-    first = f"{statistics.median(found_s):5.1f} s" if found_s else "  never"
+    first_call = (
+        f"{statistics.median(first_call_s):5.1f} s" if first_call_s else "  never"
+    )
     pushed = sum(verdict.pushed for verdict in verdicts)
-    largest_whole = max(verdict.whole for verdict in verdicts)
+    largest_fleet_part = max(verdict.whole for verdict in verdicts)
     delivered = statistics.fmean(verdict.delivered for verdict in verdicts)
     return (
         f"{worst.count:6.1f} / {worst.limit:6.1f} = {worst.part:4.2f}  over {over:3d} of "
-        f"{len(verdicts)}  pushed {pushed:3d}  all {largest_whole:5.2f}  "
-        f"first {first}  delivered {delivered:7.1f}"
+        f"{len(verdicts)}  pushed {pushed:3d}  fleet {largest_fleet_part:5.2f}  "
+        f"first call {first_call}  delivered {delivered:7.1f}"
     )
 
 
 def run_scenes(seeds: int, fleets: Sequence[int], scenes: Sequence[str]) -> None:
-    """Run all scenes, and print a line for each as soon as it is complete."""
+    """Run all scenes in parallel, and print each line in order once its runs are complete."""
     with ProcessPoolExecutor(PROCESSES) as pool:
         rows: list[Row] = []
         for scene in scenes:
@@ -70,7 +76,7 @@
                     )
                     verdicts = [
                         pool.submit(played, play)
-                        for play in plays(forwarders, early_calls, scene, seeds)
+                        for play in scene_runs(forwarders, early_calls, scene, seeds)
                     ]
                     rows.append(Row(title, verdicts))
         for row in rows:
@@ -79,7 +85,7 @@
 
 
 def main() -> None:
-    """Read the command line, and run."""
+    """Parse the command line, and run the scenes."""
     scenes = [argument for argument in sys.argv[1:] if argument in SCENES]
     numbers = [int(argument) for argument in sys.argv[1:] if argument.isdigit()]
     run_scenes(
--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -1,14 +1,14 @@
-"""What a changed demand costs a list service with 200 members and 3 budgets.
+"""Measures the cost of a change in demand for a list service with 200 members, 3 budgets.
 
     python -m measure.fleet_service [REPEATS] [MEMBERS]
 
-Run from the root of the repository. Each member has a connection for heartbeats and one
-for its watch. A tenth of the members needs twelve times as much of one budget as before:
-the shares of all others shrink, their calls become free a window later, and are granted
-anew. Prints how long it takes until the last share was sent, and what it costs. It is run
-with watches that give the member's name, which wake for its own changes alone, and with
-watches that do not. Times by the wall hold for a machine without other work; the
-service's part of a core is its processor time.
+Run from the root of the repository. Each member has one connection for heartbeats and one
+for its watch. A tenth of the members raise their demand for one budget twelvefold. The
+shares of all other members shrink, and their calls are granted again one window later.
+Prints the time until the last share is sent, and the cost of the change. The measurement
+runs twice: with watches that give the member's name, which wake only for the member's own
+changes, and with watches without a name. Wall-clock times are valid only on an otherwise
+idle machine; the service's fraction of a core is computed from its processor time.
 """
 
 from __future__ import annotations
@@ -37,37 +37,37 @@
 DRIFT = 0.02
 BUDGETS = 3
 CALLS_PER_MEMBER = 50
-"""A budget's calls for each member: more than all members need together."""
+"""Calls of a budget per member, more than the members' total demand."""
 RESERVE = 5
 STEADY_S = 4.0
-"""How long costs are counted without a change."""
+"""Duration of the measurement before the change."""
 CHANGE_S = 5.0
-"""How long costs are counted after the change."""
+"""Duration of the measurement after the change."""
 BUSY_CALLS = 120
 IDLE_CALLS = 10
-"""Calls that a member needs in a span."""
-BUSY_PART = 10
-"""One member in so many becomes busy."""
+"""Demand of an idle member, in calls per span; `BUSY_CALLS` is that of a busy one."""
+BUSY_EVERY = 10
+"""One in this many members becomes busy."""
 SETTLE_TIMEOUT_S = 60.0
-"""How long shares may take until they stop changing."""
+"""Maximum time until the shares stop changing."""
 SETTLED_AFTER_S = 2.5
-"""Shares that have not changed for so long count as settled."""
+"""Shares count as settled after this time without a change."""
 POLL_INTERVAL_S = 0.1
 CONNECTIONS = 2
-"""Connections of a member."""
+"""Connections per member."""
 RESERVED_DESCRIPTORS = 100
-"""Descriptors of either process beside these connections."""
+"""Descriptors that each process needs besides the members' connections."""
 DEFAULT_REPEATS = 5
 DEFAULT_MEMBERS = 200
 MS_PER_S = 1000
 
 
 class MeasurementError(RainfallError):
-    """The run cannot be completed; the text says why."""
+    """A run cannot be completed; the message gives the reason."""
 
 
 class Usage(NamedTuple):
-    """What the fleet has used until a moment, or between two."""
+    """Totals of the fleet's traffic and the service's work, or a difference of two totals."""
 
     heartbeats: int
     heartbeat_bytes: int
@@ -77,7 +77,7 @@
     processor_s: float
 
     def since(self, earlier: Usage) -> Usage:
-        """The usage after an earlier moment."""
+        """The usage since an earlier reading."""
         return Usage(
             self.heartbeats - earlier.heartbeats,
             self.heartbeat_bytes - earlier.heartbeat_bytes,
@@ -90,25 +90,25 @@
 
 @dataclass
 class Traffic:
-    """The calls of one kind, from all members."""
+    """Counts the calls of one kind from all members."""
 
     calls: int = 0
     call_bytes: int = 0
-    """Bytes of requests and answers."""
+    """Bytes of requests and responses."""
 
 
 class Answer(NamedTuple):
-    """An answer's status and decoded body."""
+    """The status and the decoded JSON body of a response."""
 
     status: int
     body: Any
 
 
 def allow_descriptors(count: int) -> None:
-    """Raise this process's limit of descriptors, which the service inherits.
+    """Raise this process's descriptor limit, which the service inherits.
 
     Raises:
-        MeasurementError: The limit is too low for so many members.
+        MeasurementError: The hard limit is too low for `count` members.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = count * CONNECTIONS + RESERVED_DESCRIPTORS
@@ -116,13 +116,13 @@
         return
     if hard != resource.RLIM_INFINITY and hard < needed:
         raise MeasurementError(
-            f"{count} members need {needed} descriptors, and the limit is {hard}"
+            f"{count} members need {needed} descriptors, the hard limit is {hard}"
         )
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, needed), hard))
 
 
 class HttpConnection:
-    """A connection that is opened at its first call and kept."""
+    """An HTTP connection that is opened at the first call and kept open."""
 
     def __init__(self, port: int, traffic: Traffic) -> None:
         self.port = port
@@ -130,7 +130,7 @@
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def call(self, method: str, path: str, body: Any = None) -> Answer:
-        """The answer to one call."""
+        """Send one request, with a JSON body if given, and return the response."""
         if self.streams is None:
             self.streams = await asyncio.open_connection("127.0.0.1", self.port)
         reader, writer = self.streams
@@ -154,10 +154,10 @@
 
 
 class SimulatedMember:
-    """A member that only exchanges heartbeats.
+    """A member that exchanges heartbeats with the service and makes no calls.
 
-    It sends one three times in a lease's term, and at once after a wake-up, with a new
-    demand, and to acknowledge a share.
+    It sends three heartbeats per lease term, and an immediate one when its watch returns,
+    when its demand changes, and when a changed share has to be acknowledged.
     """
 
     def __init__(
@@ -183,10 +183,10 @@
         self.changed_s = 0.0
         """When one of its shares last changed."""
         self.lost = 0
-        """How often its lease expired before it was renewed."""
+        """Number of times the lease expired before its renewal."""
 
     async def run(self) -> None:
-        """Send heartbeats, until it is cancelled."""
+        """Send heartbeats until the task is cancelled."""
         watching: asyncio.Task[None] | None = None
         while True:
             answer = await self._send_heartbeat()
@@ -231,21 +231,21 @@
     def _read_answer(self, body: Any) -> None:
         if self.shares != body["shares"]:
             self.changed_s = time.perf_counter()
-            self.wakeup.set()  # The next heartbeat acknowledges them at once.
+            self.wakeup.set()  # Acknowledge the new shares without delay.
         self.token = body["token"]
         self.list = body["list"]
         self.version = body["version"]
         self.shares = body["shares"]
 
     def rejoin(self) -> None:
-        """Join as a new member with the next heartbeat, since the lease is lost."""
+        """Discard the lost lease, so that the next heartbeat joins as a new member."""
         self.token = None
         self.list = None
         self.shares = {}
         self.lost += 1
 
     async def watch_changes(self) -> None:
-        """Wait for a change, and wake up."""
+        """Wait until the service reports a change, then trigger a heartbeat."""
         name = self.name if self.named else ""
         path = f"/v1/fleet/watch?from={self.version}&hold_ms=30000&name={name}"
         await self.watch_connection.call("GET", path)
@@ -253,16 +253,16 @@
 
 
 async def wait_until_settled(
-    members: list[SimulatedMember], tasks: list[asyncio.Task[None]], for_s: float
+    members: list[SimulatedMember], tasks: list[asyncio.Task[None]], unchanged_s: float
 ) -> None:
-    """Wait until all members have shares, and none has changed for so long.
+    """Wait until all members have shares, and none has changed for `unchanged_s` seconds.
 
     Raises:
-        MeasurementError: That took more than `SETTLE_TIMEOUT_S`.
-        Exception: What a member's task failed with.
+        MeasurementError: The shares do not settle within `SETTLE_TIMEOUT_S`.
+        Exception: A member's task failed with this error.
     """
     deadline_s = time.perf_counter() + SETTLE_TIMEOUT_S
-    while not _are_settled(members, for_s):
+    while not _are_settled(members, unchanged_s):
         for task in tasks:
             if task.done():
                 task.result()
@@ -270,21 +270,21 @@
             with_shares = sum(bool(member.shares) for member in members)
             lost = sum(member.lost for member in members)
             raise MeasurementError(
-                f"after {SETTLE_TIMEOUT_S:g} s {with_shares} of {len(members)} members"
-                f" have shares, and leases were lost {lost} times"
+                f"shares not settled within {SETTLE_TIMEOUT_S:g} s: {with_shares} of {len(members)} members"
+                f" have shares, {lost} leases lost"
             )
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _are_settled(members: list[SimulatedMember], for_s: float) -> bool:
+def _are_settled(members: list[SimulatedMember], unchanged_s: float) -> bool:
     if not all(member.shares for member in members):
         return False
     last_change_s = max(member.changed_s for member in members)
-    return time.perf_counter() - last_change_s >= for_s
+    return time.perf_counter() - last_change_s >= unchanged_s
 
 
 async def measure_fleet(count: int, named: bool, folder: Path) -> dict[str, float]:
-    """Run a service with so many members once; the results by title."""
+    """Run a service with `count` members once, and return the results by title."""
     service = start_service(count, folder)
     try:
         ports_path = folder / "ports"
@@ -298,7 +298,7 @@
 
 
 def start_service(count: int, folder: Path) -> subprocess.Popen[bytes]:
-    """Start the list service with budgets for so many members."""
+    """Start the list service with budgets for `count` members."""
     budgets = [
         {
             "destination": str(number),
@@ -343,7 +343,7 @@
 async def measure_change(
     count: int, named: bool, port: int, service_pid: int
 ) -> dict[str, float]:
-    """Let members join, measure without a change and after one."""
+    """Let the members join, and measure before and after the change in demand."""
     heartbeats = Traffic()
     watches = Traffic()
     members = [
@@ -370,7 +370,7 @@
     steady = (await usage()).since(before)
     before = await usage()
     began_s = time.perf_counter()
-    busy = members[: count // BUSY_PART]
+    busy = members[: count // BUSY_EVERY]
     for member in busy:
         member.needs = {**member.needs, "0": BUSY_CALLS}
         member.wakeup.set()
@@ -382,30 +382,30 @@
     last_change_s = max(member.changed_s for member in members)
     steady_bytes = steady.heartbeat_bytes + steady.watch_bytes
     return {
-        "ms until the last share was told": (last_change_s - began_s) * MS_PER_S,
-        "part of those who asked that got all": served / len(busy),
-        "members whose share changed": sum(
+        "time until the last share was sent, ms": (last_change_s - began_s) * MS_PER_S,
+        "fraction of busy members whose demand was met": served / len(busy),
+        "members with a changed share": sum(
             member.changed_s > began_s for member in members
         ),
         "leases lost": sum(member.lost for member in members),
-        "syncs of the change": change.syncs,
-        "beats of the change": change.heartbeats
+        "syncs for the change": change.syncs,
+        "extra heartbeats for the change": change.heartbeats
         - steady.heartbeats * CHANGE_S / STEADY_S,
-        "watches answered in the change": change.watches,
-        "at rest: beats a second": steady.heartbeats / STEADY_S,
-        "at rest: bytes a second": steady_bytes / STEADY_S,
-        "at rest: bytes of a beat and its answer": steady.heartbeat_bytes
+        "watches answered during the change": change.watches,
+        "steady: heartbeats per second": steady.heartbeats / STEADY_S,
+        "steady: bytes per second": steady_bytes / STEADY_S,
+        "steady: bytes of a heartbeat and its response": steady.heartbeat_bytes
         / steady.heartbeats,
-        "at rest: syncs a second": steady.syncs / STEADY_S,
-        "at rest: part of one core": steady.processor_s / STEADY_S,
-        "during the change: part of one core": change.processor_s / CHANGE_S,
+        "steady: syncs per second": steady.syncs / STEADY_S,
+        "steady: fraction of one core": steady.processor_s / STEADY_S,
+        "during the change: fraction of one core": change.processor_s / CHANGE_S,
     }
 
 
 async def run_all(repeats: int, count: int) -> None:
-    """Run all repeats with both kinds of watches, and print the results."""
+    """Run all repeats with both kinds of watch, and print the results."""
     allow_descriptors(count)
-    kinds = {"watches that name their member": True, "watches that do not": False}
+    kinds = {"watches with the member's name": True, "watches without a name": False}
     for kind, named in kinds.items():
         runs: list[dict[str, float]] = []
         for repeat in range(repeats):
@@ -426,7 +426,7 @@
 
 
 def main() -> None:
-    """Read the command line, and run."""
+    """Parse the command line, and run the measurement."""
     arguments = [int(argument) for argument in sys.argv[1:]]
     repeats = arguments[0] if arguments else DEFAULT_REPEATS
     members = arguments[1] if len(arguments) > 1 else DEFAULT_MEMBERS
--- a/measure/import_time.py
+++ b/measure/import_time.py
@@ -1,11 +1,12 @@
-"""How long the forwarder takes to import: a former tree against this one.
+"""Compares the import time of the forwarder between a former tree and this one.
 
     python -m measure.import_time [--old REV] [--old-package NAME] [--pairs N]
 
-Run from the root of the repository. The former tree is written from git into a temporary
-folder; its package may have had another name (`lemonshunt` until the rename). The two
-are imported in turn. Times are ms by the wall and of the processor, which other work on
-the machine affects less: medians, and the quartiles of the pairs' differences.
+Run from the root of the repository. The former tree is extracted from git into a temporary
+folder; its package may have another name (`lemonshunt` until the rename). The two trees
+are imported alternately. Prints wall-clock and processor times in ms, as medians and the
+quartiles of the differences within pairs. Processor time is less affected by other work
+on the machine.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
     "__main__": "__main__",
     "forwarder.engine.engine": "net.engine",
 }
-"""Modules in this tree, and the same in former trees; without the package."""
+"""Maps each module of this tree to its former name, both without the package."""
 DEFAULT_PAIRS = 11
 NS_PER_MS = 1e6
 CODE = """
@@ -56,7 +57,7 @@
 
 
 class ImportCost(NamedTuple):
-    """What one import took, and what it imported."""
+    """The times of one import, and the number of modules that it loaded."""
 
     wall_ms: float
     cpu_ms: float
@@ -65,23 +66,23 @@
 
 
 def import_once(tree: Tree) -> ImportCost:
-    """Import a tree's module in a new process."""
+    """Import a tree's module in a new process, and return the cost."""
     code = CODE.format(module=f"{tree.package}.{tree.module}", package=tree.package)
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code],
         cwd=tree.folder,
         check=True,
         capture_output=True,
         text=True,
     )
-    wall_ns, cpu_ns, modules, own_modules = map(int, done.stdout.split())
+    wall_ns, cpu_ns, modules, own_modules = map(int, process.stdout.split())
     return ImportCost(wall_ns / NS_PER_MS, cpu_ns / NS_PER_MS, modules, own_modules)
 
 
 def compare(old: Tree, new: Tree, pairs: int) -> dict[str, object]:
-    """The costs of both trees' imports, ready for JSON."""
+    """Import both trees in `pairs` alternating pairs; the costs as a JSON-compatible dict."""
     for tree in (old, new):
-        # As the build does.
+        # The build compiles the sources, so measure with bytecode present.
         compileall.compile_dir(tree.folder / tree.package, quiet=2)
     old_costs: list[ImportCost] = []
     new_costs: list[ImportCost] = []
@@ -107,33 +108,35 @@
 
 
 def _difference(old_ms: list[float], new_ms: list[float]) -> dict[str, object]:
-    by_pair = [new - old for old, new in zip(old_ms, new_ms, strict=True)]
-    low, middle, high = statistics.quantiles(by_pair, n=4)
+    differences_ms = [new - old for old, new in zip(old_ms, new_ms, strict=True)]
+    lower_quartile, median, upper_quartile = statistics.quantiles(differences_ms, n=4)
     return {
         "old": round(statistics.median(old_ms), 2),
         "new": round(statistics.median(new_ms), 2),
-        "difference": round(middle, 2),
-        "quartiles": [round(low, 2), round(high, 2)],
+        "difference": round(median, 2),
+        "quartiles": [round(lower_quartile, 2), round(upper_quartile, 2)],
     }
 
 
 def extract_tree(commit: str, package: str, folder: Path) -> None:
-    """Write the package of a commit into a folder."""
-    packed = subprocess.run(
+    """Extract the package at a commit into a folder."""
+    archive_bytes = subprocess.run(
         ["git", "archive", commit, package], cwd=ROOT, check=True, capture_output=True
     ).stdout
-    with tarfile.open(fileobj=BytesIO(packed)) as archive:
+    with tarfile.open(fileobj=BytesIO(archive_bytes)) as archive:
         archive.extractall(folder, filter="data")
 
 
 def main() -> int:
-    """Run the command; the exit code."""
+    """Parse the command line, run the comparison, and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--old", default=FORMER_COMMIT, help="the commit to compare with"
     )
     parser.add_argument(
-        "--old-package", default=FORMER_PACKAGE, help="the package's name there"
+        "--old-package",
+        default=FORMER_PACKAGE,
+        help="the package's name at that commit",
     )
     parser.add_argument("--pairs", type=int, default=DEFAULT_PAIRS)
     args = parser.parse_args()
--- a/measure/journal_cost.py
+++ b/measure/journal_cost.py
@@ -1,10 +1,10 @@
-"""What a message costs in the journal: the former journal against this one, in pairs.
+"""Compares the cost of a message between the former journal and this one, in pairs.
 
     python -m measure.journal_cost [REPEATS]
 
-Run from the root of the repository. The former journal comes from the repository's
-history. Each message is accepted, attempted and finished; some are attempted twice, some
-are returned with a notification.
+Run from the root of the repository. The former journal is loaded from the repository's
+history. Each message is accepted, attempted and finished; some are attempted twice, and
+some are returned with a notification. Prints processor time and bytes per message.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 DESTINATIONS = 12
 ORDER_KEYS = 50
 ORDERED_EVERY = 4
-"""One message in so many is of the class with order."""
+"""One in this many messages belongs to the ordered class."""
 REPEATED_EVERY = 5
-"""One message in so many is attempted twice."""
+"""One in this many messages is attempted twice."""
 RETURNED_EVERY = 17
-"""One message in so many is returned with a notification."""
+"""One in this many messages is returned with a notification."""
 ATTEMPTS = 8
 DEFAULT_REPEATS = 9
 REPEAT_LIMIT = 50
@@ -53,18 +53,18 @@
     "append_notification": "owe",
     "append_acknowledgement": "told",
 }
-"""Methods of the present store, and their names at `OLD_COMMIT`."""
+"""Maps methods of the current store to their names at `OLD_COMMIT`."""
 
 
 class MessageCost(NamedTuple):
-    """What one message costs."""
+    """The average cost of one message."""
 
     processor_us: float
     written_bytes: float
 
 
 def old_store() -> Any:
-    """The module of the former store, under the present names."""
+    """Load the former store's module, with aliases under the current names."""
     for name in ("lemonshunt", "lemonshunt.interface", "old_store"):
         sys.modules[name] = types.ModuleType(name)
     interface, module = sys.modules["lemonshunt.interface"], sys.modules["old_store"]
@@ -73,17 +73,17 @@
     run_old_source("lemonshunt/net/store.py", module)
     for name, former in FORMER_NAMES.items():
         setattr(module.Store, name, getattr(module.Store, former))
-    present = {
+    aliases = {
         "MessageStore": module.Store,
         "DeliveryRules": module.Rules,
         "AcceptedMessage": module.Taken,
     }
-    vars(module).update(present)
+    vars(module).update(aliases)
     return module
 
 
 def run_old_source(path: str, module: types.ModuleType) -> None:
-    """Run the text of a file at `OLD_COMMIT` in a module."""
+    """Execute a file as of `OLD_COMMIT` in a module's namespace."""
     text = subprocess.run(
         ["git", "show", f"{OLD_COMMIT}:{path}"],
         cwd=ROOT,
@@ -95,7 +95,7 @@
 
 
 def classes_of(store_module: Any) -> tuple[Any, ...]:
-    """A class without order and one with order, in the types of a store's version."""
+    """One unordered and one ordered message class, of the types that the store expects."""
     old = sys.modules.get("lemonshunt.interface")
     if old is not None and store_module is sys.modules["old_store"]:
         return (
@@ -113,10 +113,10 @@
 
 
 def written_bytes_counter(store_module: Any, store: Any) -> Callable[[], int]:
-    """A function that tells how many bytes a store has written."""
+    """Return a function that reports the number of bytes a store has written."""
     if hasattr(store, "log"):
         return lambda: int(store.log.bytes_written)
-    # The former store writes by os.write alone, and counts nothing itself.
+    # The former store has no byte counter and writes only through os.write.
     written = 0
     write = store_module.os.write
 
@@ -131,8 +131,8 @@
     return lambda: written
 
 
-def run_history(store_module: Any) -> MessageCost:
-    """Write the history of `MESSAGES` messages."""
+def journal_messages(store_module: Any) -> MessageCost:
+    """Journal the whole life of `MESSAGES` messages, and return the average cost."""
     with tempfile.TemporaryDirectory() as folder:
         store = store_module.MessageStore(Path(folder), DISK_LIMIT_BYTES)
         written_bytes = written_bytes_counter(store_module, store)
@@ -172,7 +172,7 @@
 
 
 def _finish(store: Any, message: Any) -> None:
-    """Write what follows the first attempt of a message."""
+    """Append the records that follow a message's first attempt."""
     number = int(message.id, 16)
     if number % REPEATED_EVERY == 0:
         store.append_outcome(message, 0, False)
@@ -193,22 +193,24 @@
     for repeat in range(repeats):
         names = list(stores) if repeat % 2 else list(reversed(stores))
         for name in names:
-            costs[name].append(run_history(stores[name]))
+            costs[name].append(journal_messages(stores[name]))
     for name, runs in costs.items():
         print(
             format_row(
-                f"{name}: processor time a message, us",
+                f"{name}: processor time per message, us",
                 [run.processor_us for run in runs],
             )
         )
         print(
-            format_row(f"{name}: bytes a message", [run.written_bytes for run in runs])
+            format_row(
+                f"{name}: bytes per message", [run.written_bytes for run in runs]
+            )
         )
     differences_us = [
         now.processor_us - before.processor_us
         for before, now in zip(costs["before"], costs["now"], strict=True)
     ]
-    print(format_row("now less before, us, by pairs", differences_us))
+    print(format_row("now minus before, us, within pairs", differences_us))
 
 
 if __name__ == "__main__":
--- a/measure/lab_load.py
+++ b/measure/lab_load.py
@@ -1,11 +1,11 @@
-"""Up to which rate the lab's load keeps its schedule.
+"""Finds the highest rate at which the lab's load generator keeps its schedule.
 
     python -m measure.lab_load [REPEATS]
 
-Run from the root of the repository. Prints the 99th percentile and the largest lag of a
-send behind its planned time, at rising rates, with 3 and with 30 forwarders and without
-faults. Proxies and stand-ins share the lab's process, so that a lag is the lab's own
-limit, not the fleet's.
+Run from the root of the repository. Prints the 99th percentile and the maximum of the lag
+of sends behind their planned times, at rising rates, with 3 and with 30 forwarders and
+without faults. Proxies and stand-ins run in the lab's process, so the lag shows the limit
+of the lab, not of the fleet.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 RATES = (250, 500, 1000, 2000, 4000, 8000)
 """Messages a second."""
 SINGLE_RUN_RATES = RATES[3:]
-"""The rates of a command that asks for one repeat."""
+"""The rates that are run when the command line sets one repeat."""
 LAG_LIMIT_MS = 1.0
 SEED = 1
 DEFAULT_REPEATS = 3
@@ -47,15 +47,15 @@
 
 
 class LoadResult(NamedTuple):
-    """The load's lag in a run, and what was delivered."""
+    """The lag of the load in one run, and the fraction of messages delivered."""
 
     p99_lag_ms: float
-    longest_lag_ms: float
-    delivered_share: float
+    max_lag_ms: float
+    delivered_fraction: float
 
 
 def run_once(forwarders: int, rate: float) -> LoadResult:
-    """Play the experiment."""
+    """Run the experiment once at a rate in messages per second."""
     experiment = parse(
         EXPERIMENT.format(forwarders=forwarders, rate=rate, lag_ms=LAG_LIMIT_MS)
     )
@@ -81,19 +81,19 @@
             print(format_row(f"{title}, lag p99 ms", p99_lags_ms))
             print(
                 format_row(
-                    f"{title}, lag max ms", [result.longest_lag_ms for result in runs]
+                    f"{title}, lag max ms", [result.max_lag_ms for result in runs]
                 )
             )
             print(
                 format_row(
-                    f"{title}, share delivered",
-                    [result.delivered_share for result in runs],
+                    f"{title}, fraction delivered",
+                    [result.delivered_fraction for result in runs],
                 )
             )
             if statistics.median(p99_lags_ms) <= LAG_LIMIT_MS:
                 highest_rate = rate
         print(
-            f"{forwarders} forwarders: the largest rate whose median p99 lag is within "
+            f"{forwarders} forwarders: highest rate with a median p99 lag of at most "
             f"{LAG_LIMIT_MS:g} ms: {highest_rate:g}/s"
         )
 
--- a/measure/lab_proxy.py
+++ b/measure/lab_proxy.py
@@ -1,9 +1,9 @@
-"""What the lab's fault proxy adds to the time of one call.
+"""Measures the latency that the lab's fault proxy adds to a call.
 
     python -m measure.lab_proxy [REPEATS]
 
-Run from the root of the repository. Calls go straight to a stand-in endpoint, and
-through a proxy in the state `pass`, each on its own connection in the same run.
+Run from the root of the repository. Each run makes calls directly to a stand-in endpoint
+and calls through a proxy in the state `pass`, each kind on its own connection.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from rainfall.lab.stand_ins import Behaviour, Endpoint
 
 CALLS = 400
-"""Calls of each kind in a run."""
+"""Calls per run, direct and proxied each."""
 DEFAULT_REPEATS = 5
 NS_PER_US = 1_000
 REQUEST = (
@@ -29,7 +29,7 @@
 
 
 async def call_times_us(port: int) -> list[float]:
-    """Microseconds of each of `CALLS` calls on one connection."""
+    """Make `CALLS` calls on one connection, and return the latency of each."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     times_us = []
     for _ in range(CALLS):
@@ -42,16 +42,16 @@
 
 
 class CallTimes(NamedTuple):
-    """The median and the 90th percentile of a kind of call."""
+    """The median and the 90th percentile of call latencies."""
 
     median_us: float
     p90_us: float
 
 
 class ProxyCost(NamedTuple):
-    """The times of calls without the proxy and with it."""
+    """The latencies of calls without and with the proxy."""
 
-    straight: CallTimes
+    direct: CallTimes
     proxied: CallTimes
 
 
@@ -61,28 +61,28 @@
 
 
 async def run_once() -> ProxyCost:
-    """Make all calls of a run."""
+    """Start an endpoint and a proxy, and make all calls of one run."""
     endpoint = await Endpoint(name="e0", behaviour=Behaviour(service_ms=0.0)).start()
     link = await ProxyLink("m", "127.0.0.1", endpoint.port, seed=1).start()
-    straight_us = await call_times_us(endpoint.port)
+    direct_us = await call_times_us(endpoint.port)
     proxied_us = await call_times_us(link.listen_port)
     await link.stop()
     await endpoint.stop()
     await cancel_tasks()
-    return ProxyCost(_call_times(straight_us), _call_times(proxied_us))
+    return ProxyCost(_call_times(direct_us), _call_times(proxied_us))
 
 
 def main() -> None:
     """Run the repeats, and print the results."""
     repeats = repeats_argument(DEFAULT_REPEATS)
     runs = [asyncio.run(run_once()) for _ in range(repeats)]
-    straight = [run.straight for run in runs]
+    direct = [run.direct for run in runs]
     proxied = [run.proxied for run in runs]
-    print(format_row("straight, median us", [times.median_us for times in straight]))
-    print(format_row("straight, p90 us", [times.p90_us for times in straight]))
+    print(format_row("direct, median us", [times.median_us for times in direct]))
+    print(format_row("direct, p90 us", [times.p90_us for times in direct]))
     print(format_row("proxied, median us", [times.median_us for times in proxied]))
     print(format_row("proxied, p90 us", [times.p90_us for times in proxied]))
-    added_us = [run.proxied.median_us - run.straight.median_us for run in runs]
+    added_us = [run.proxied.median_us - run.direct.median_us for run in runs]
     print(format_row("added by the proxy, median us", added_us))
 
 
--- a/measure/paths.py
+++ b/measure/paths.py
@@ -1,4 +1,4 @@
-"""Where the repository's files are."""
+"""Paths in the repository that the measurements use."""
 
 from pathlib import Path
 
--- a/measure/power_cost.py
+++ b/measure/power_cost.py
@@ -1,10 +1,10 @@
-"""What the durability `power` costs, compared with `process`.
+"""Measures the cost of the durability `power`, compared with `process`.
 
     python -m measure.power_cost [REPEATS]
 
-Run from the root of the repository. Prints the time to the 202 and the syncs and bytes
-of a message, at several rates, both durabilities in turn. The state folder is in TMPDIR,
-whose disk decides the result.
+Run from the root of the repository. Prints the time until the 202 response and the syncs
+and journal bytes per message, at several rates, for both durabilities alternately. The
+state folder is in TMPDIR; the result depends on the disk that holds it.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 DURATION_S = 2.0
 CLIENTS = 16
 OPEN_MESSAGES = 2000
-"""Messages that the forwarder accepts at once."""
+"""Limit of unfinished messages in the forwarder."""
 UNPACED_SHARE = 1e5
-"""An endpoint's share that keeps pacing out of the measurement."""
+"""A share of the endpoint so large that pacing does not affect the result."""
 DEFAULT_REPEATS = 3
 REPEAT_LIMIT = 20
 MS_PER_S = 1000
 
 
 class MessageCost(NamedTuple):
-    """What one message costs."""
+    """The cost of one message."""
 
     accept_ms: float
-    """Median time to the 202."""
+    """Median time until the 202 response."""
     syncs: float
     journal_bytes: float
 
 
 async def run_once(durability: str, rate: int) -> MessageCost:
-    """Send messages at a rate for `DURATION_S`."""
+    """Send `rate` messages per second for `DURATION_S`, and return the cost of one."""
     platform = Platform()
     await platform.start()
     peer = await Peer(always(OK)).start()
@@ -102,12 +102,16 @@
         for durability, runs in costs.items():
             title = f"{rate}/s, {durability}"
             print(
-                format_row(f"{title}: ms to the 202", [run.accept_ms for run in runs])
+                format_row(
+                    f"{title}: time to the 202, ms", [run.accept_ms for run in runs]
+                )
+            )
+            print(
+                format_row(f"{title}: syncs per message", [run.syncs for run in runs])
             )
-            print(format_row(f"{title}: syncs a message", [run.syncs for run in runs]))
             print(
                 format_row(
-                    f"{title}: bytes a message", [run.journal_bytes for run in runs]
+                    f"{title}: bytes per message", [run.journal_bytes for run in runs]
                 )
             )
 
--- a/measure/queue_cost.py
+++ b/measure/queue_cost.py
@@ -1,12 +1,16 @@
-"""What waiting messages cost: the former dispatcher (tests/reference) against this one.
+"""Compares the cost of waiting messages in the former dispatcher and in this one.
 
     python -m measure.queue_cost [LARGEST]
 
-Run from the root of the repository. The former dispatcher sorted all waiting messages of
-a destination at each event. Prints the entries visited for an event by the number of
-waiting messages, the last of which is LARGEST (1,000,000); the processor time of an event
-in both, in turn; the memory of a waiting message; and the time of the round in which a
-destination's queue may be sent. An event is an outcome or an arrival at one destination.
+Run from the root of the repository. The former dispatcher, which is kept in
+tests/reference, sorts all waiting messages of a destination at each event. An event is an
+outcome or an arrival at one destination. Prints:
+
+- the queue entries visited per event, by queue length; the longest queue has LARGEST
+  messages (default 1,000,000)
+- the processor time per event in both dispatchers, measured alternately
+- the memory per waiting message
+- the processor time of the round in which a full queue becomes sendable
 """
 
 from __future__ import annotations
@@ -56,14 +60,14 @@
     KEYED_CLASS,
 )
 MESSAGES_PER_ROUND = 1000
-"""Messages accepted in one round while a queue is filled."""
+"""Messages accepted per round while a queue is filled."""
 EVENTS = 200
-"""Events of one measurement."""
+"""Events per measurement."""
 REPEATS = 5
 WARM_UP_EVENTS = 10
 DEFAULT_LARGEST = 1_000_000
 TIMED_SIZES = (0, 100, 1000, 3000)
-OPENED_SIZES = (3000, 100_000)
+RELEASED_SIZES = (3000, 100_000)
 MEMORY_SIZE = 10_000
 US_PER_S = 1e6
 MS_PER_S = 1e3
@@ -72,14 +76,17 @@
 
 
 class SimulatedDestination:
-    """One destination with two endpoints, and the messages that wait for it."""
+    """A dispatcher with one destination, two endpoints and a queue of waiting messages."""
 
     def __init__(
-        self, make: DispatcherFactory, held: int, own_keys: bool = False
+        self,
+        make_dispatcher: DispatcherFactory,
+        queued: int,
+        distinct_keys: bool = False,
     ) -> None:
         self.now_us = 0
         self.message_count = 0
-        self.distinct_keys = own_keys
+        self.distinct_keys = distinct_keys
         settings = Settings(
             max_in_flight=4,
             classes=CLASSES,
@@ -88,7 +95,7 @@
             over_quota_weight=0.5,
             max_attempts=4,
         )
-        self.dispatcher = make(settings, 1, 0)
+        self.dispatcher = make_dispatcher(settings, 1, 0)
         self.dispatcher.handle(
             0,
             [
@@ -98,27 +105,27 @@
                 )
             ],
         )
-        # A quota of 0 calls: all messages wait.
+        # With a quota of 0 calls, all messages stay in the queue.
         self.dispatcher.handle(
             0, [QuotaChanged(DESTINATION, 0, 1000 * SECOND_US, 1 << 50, 0)]
         )
-        self.waiting: deque[Event] = deque()
-        while self.message_count < held:
+        self.pending_events: deque[Event] = deque()
+        while self.message_count < queued:
             self.now_us += 1000
             self.dispatcher.handle(
                 self.now_us,
                 [
                     self.arrival()
-                    for _ in range(min(MESSAGES_PER_ROUND, held - self.message_count))
+                    for _ in range(min(MESSAGES_PER_ROUND, queued - self.message_count))
                 ],
             )
 
     def arrival(self) -> MessageReceived:
-        """A new message."""
+        """Create the event of the next message, with its own key if `distinct_keys` is set."""
         self.message_count += 1
         number = self.message_count
         name = "notice" if self.distinct_keys else CLASSES[number % 2].name
-        # 7919 is a prime: deadlines are spread, and not in the order of arrivals.
+        # The prime 7919 spreads the deadlines, so that they differ from arrival order.
         deadline_us = self.now_us + (3600 + number * 7919 % 3000) * SECOND_US
         return MessageReceived(
             f"message {number}",
@@ -130,24 +137,26 @@
         )
 
     def messages(self) -> Any:
-        """All waiting messages; the reference has them in the dispatcher itself."""
-        holder: Any = getattr(self.dispatcher, "state", self.dispatcher)
-        return holder.messages
+        """All waiting messages; the reference dispatcher has no separate state object."""
+        state: Any = getattr(self.dispatcher, "state", self.dispatcher)
+        return state.messages
 
-    def open_all(self) -> float:
-        """Remove the quota; the processor seconds of that round."""
+    def remove_quota(self) -> float:
+        """Remove the quota, and return the processor seconds of that round."""
         return self.run_round(QuotaChanged(DESTINATION, 0, 0, 0, 0))
 
     def serve(self, events: int) -> float:
-        """Run so many rounds of one event; the processor seconds of an event."""
+        """Run `events` rounds of one event each, and return the processor seconds per event."""
         total_s = 0.0
         for _ in range(events):
-            event = self.waiting.popleft() if self.waiting else self.arrival()
+            event = (
+                self.pending_events.popleft() if self.pending_events else self.arrival()
+            )
             total_s += self.run_round(event)
         return total_s / events
 
     def run_round(self, event: Event) -> float:
-        """Handle one event; its processor seconds."""
+        """Handle one event, queue the events that it causes, and return the processor seconds."""
         self.now_us += 5_000
         began_s = time.process_time()
         actions = self.dispatcher.handle(self.now_us, [event])
@@ -162,38 +171,39 @@
                     20_000,
                     True,
                 )
-                self.waiting += [finished, self.arrival()]
+                self.pending_events += [finished, self.arrival()]
         return spent_s
 
 
 def print_visited(sizes: Sequence[int]) -> None:
-    """Print the entries visited for an event, for each number of waiting messages."""
-    print("entries visited for an event:")
-    for held in sizes:
-        destination = SimulatedDestination(Dispatcher, held)
-        destination.open_all()
+    """Print the queue entries visited per event, for each queue length."""
+    print("queue entries visited per event:")
+    for queued in sizes:
+        destination = SimulatedDestination(Dispatcher, queued)
+        destination.remove_quota()
         destination.serve(WARM_UP_EVENTS)
         before = destination.dispatcher.state.work_count
         spent_s = destination.serve(EVENTS)
         visited = (destination.dispatcher.state.work_count - before) / EVENTS
-        print(f"  {held:>9,} held: {visited:.1f}, {spent_s * US_PER_S:.0f} us")
+        print(f"  {queued:>9,} waiting: {visited:.1f}, {spent_s * US_PER_S:.0f} us")
 
 
 def print_times(turn: int) -> None:
-    """Print the times of events, with so many events of each dispatcher in turn.
+    """Print the processor time per event, alternating dispatchers every `turn` events.
 
-    In short turns the processor's caches hold what the former one has visited.
+    With short turns, the processor's caches hold the entries that the former dispatcher
+    visited.
     """
     print(
-        f"processor time for an event, old and new in turns of {turn} events, median of {REPEATS}:"
+        f"processor time per event, old and new in turns of {turn} events, median of {REPEATS}:"
     )
-    for held in TIMED_SIZES:
+    for queued in TIMED_SIZES:
         old_us: list[float] = []
         new_us: list[float] = []
         for _ in range(REPEATS):
-            old = _warm_destination(reference.Dispatcher, held)
-            new = _warm_destination(Dispatcher, held)
-            turns = (EVENTS if held else 20 * EVENTS) // turn
+            old = _warm_destination(reference.Dispatcher, queued)
+            new = _warm_destination(Dispatcher, queued)
+            turns = (EVENTS if queued else 20 * EVENTS) // turn
             old_s = 0.0
             new_s = 0.0
             for _ in range(turns):
@@ -204,52 +214,60 @@
         old_median = statistics.median(old_us)
         new_median = statistics.median(new_us)
         print(
-            f"  {held:>9,} held: {old_median:.0f} us, {new_median:.0f} us: "
-            f"{old_median / new_median:.2f} times "
+            f"  {queued:>9,} waiting: {old_median:.0f} us, {new_median:.0f} us: "
+            f"ratio {old_median / new_median:.2f} "
             f"(old {min(old_us):.0f}-{max(old_us):.0f}, "
             f"new {min(new_us):.0f}-{max(new_us):.0f})"
         )
 
 
-def _warm_destination(make: DispatcherFactory, held: int) -> SimulatedDestination:
-    destination = SimulatedDestination(make, held)
-    destination.open_all()
+def _warm_destination(
+    make_dispatcher: DispatcherFactory, queued: int
+) -> SimulatedDestination:
+    destination = SimulatedDestination(make_dispatcher, queued)
+    destination.remove_quota()
     destination.serve(WARM_UP_EVENTS)
     return destination
 
 
-def print_memory(held: int) -> None:
-    """Print the memory of a waiting message, among so many."""
-    print(f"memory of a held message, {held:,} held, without its event (old, new):")
+def print_memory(queued: int) -> None:
+    """Print the memory per waiting message in a queue of `queued` messages."""
+    print(
+        f"memory per waiting message, {queued:,} waiting, without its event (old, new):"
+    )
     for keyed in (False, True):
         sizes = []
-        for make in (reference.Dispatcher, Dispatcher):
+        for make_dispatcher in (reference.Dispatcher, Dispatcher):
             tracemalloc.start()
-            destination = SimulatedDestination(make, held, keyed)
-            sizes.append(tracemalloc.get_traced_memory()[0] / held)
+            destination = SimulatedDestination(make_dispatcher, queued, keyed)
+            sizes.append(tracemalloc.get_traced_memory()[0] / queued)
             tracemalloc.stop()
-            assert len(destination.messages()) == held
-        name = "each in a key of its own" if keyed else "without keys"
+            assert len(destination.messages()) == queued
+        name = "distinct keys" if keyed else "without keys"
         print(f"  {name}: {sizes[0]:.0f}, {sizes[1]:.0f} bytes")
 
 
-def print_opening(sizes: Sequence[int]) -> None:
-    """Print the time of the round in which a queue of each size may be sent."""
-    print("processor time of the round in which a full pile opens (old, new):")
-    for held in sizes:
-        old_ms = SimulatedDestination(reference.Dispatcher, held).open_all() * MS_PER_S
-        new_ms = SimulatedDestination(Dispatcher, held).open_all() * MS_PER_S
-        print(f"  {held:>9,} held: {old_ms:.2f} ms, {new_ms:.2f} ms")
+def print_release(sizes: Sequence[int]) -> None:
+    """Print the time of the round in which a queue of each length becomes sendable."""
+    print(
+        "processor time of the round in which a full queue becomes sendable (old, new):"
+    )
+    for queued in sizes:
+        old_ms = (
+            SimulatedDestination(reference.Dispatcher, queued).remove_quota() * MS_PER_S
+        )
+        new_ms = SimulatedDestination(Dispatcher, queued).remove_quota() * MS_PER_S
+        print(f"  {queued:>9,} waiting: {old_ms:.2f} ms, {new_ms:.2f} ms")
 
 
 def main() -> None:
-    """Run all, and print the results."""
-    largest = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_LARGEST
+    """Run all measurements, and print the results."""
+    largest_queue = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_LARGEST
     print_times(1)
     print_times(EVENTS)
     print_memory(MEMORY_SIZE)
-    print_opening(OPENED_SIZES)
-    print_visited((100, 10_000, largest))
+    print_release(RELEASED_SIZES)
+    print_visited((100, 10_000, largest_queue))
 
 
 if __name__ == "__main__":
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -1,11 +1,12 @@
-"""How soon a forwarder works again after a start on a full state folder.
+"""Measures how long a forwarder takes to recover when it starts on a full state folder.
 
     python -m measure.recovery_time [REPEATS]
 
-Run from the root of the repository. The program is started on folders with many live
-messages, and with much history behind few. Prints the time until it is ready, until it
-delivers a new message to another destination, and the time that the journal reports for
-its recovery. On a full folder the new message is sent until it is accepted.
+Run from the root of the repository. The program starts on folders with many live messages,
+and on folders with few live messages and a long history of finished ones. Prints the time
+until the program is ready, the time until it delivers a new message to another destination,
+and the recovery time that the journal reports. On a full folder, the new message is
+submitted repeatedly until it is accepted.
 """
 
 from __future__ import annotations
@@ -38,9 +39,9 @@
 US_PER_S = 1e6
 MESSAGES_PER_FLUSH = 100
 OPEN_MESSAGES = 20_000
-"""Messages that the forwarder accepts at once."""
+"""Limit of unfinished messages in the forwarder."""
 UNPACED_SHARE = 1e5
-"""An endpoint's share that keeps pacing out of the measurement."""
+"""A share of the endpoint so large that pacing does not affect the result."""
 SEND_ATTEMPTS = 1000
 SEND_INTERVAL_S = 0.01
 DEFAULT_REPEATS = 5
@@ -49,24 +50,24 @@
 
 
 class FolderContent(NamedTuple):
-    """What a state folder holds at the start."""
+    """The content of a state folder before the start."""
 
     live: int
-    """Messages that are not finished, as far as the folder's limit allows."""
+    """Number of unfinished messages, capped by the folder's size limit."""
     history: int
-    """Finished messages whose records are still in the journal."""
+    """Number of finished messages whose records are still in the journal."""
     overdue: bool
-    """Whether the deadlines of the live messages are over."""
+    """Whether the deadlines of the live messages have passed."""
 
 
 class RecoveryTimes(NamedTuple):
-    """What one start took."""
+    """The times of one start."""
 
     ready_ms: float
     first_delivery_ms: float
     journal_ms: float
     live: int
-    """Live messages that were in the folder."""
+    """Number of live messages in the folder."""
 
 
 CASES = (
@@ -86,7 +87,7 @@
 
 
 def fill_folder(folder: Path, content: FolderContent) -> int:
-    """Fill a state folder; how many live messages it holds."""
+    """Fill a state folder, and return its number of live messages."""
     store = MessageStore(folder, DISK_LIMIT_BYTES)
     settings = parse_settings(SETTINGS)
     store.use_rules(DeliveryRules(settings.max_attempts, settings.classes))
@@ -108,7 +109,7 @@
 
 
 async def run_once(content: FolderContent) -> RecoveryTimes:
-    """Start the program once on a folder with this content."""
+    """Start the program once on a folder with the given content, and return the times."""
     platform = Platform()
     await platform.start()
     peer = await Peer(always(OK)).start()
@@ -152,17 +153,19 @@
     for content in CASES:
         runs = [asyncio.run(run_once(content)) for _ in range(repeats)]
         overdue = ", all overdue" if content.overdue else ""
-        title = f"{runs[0].live} live{overdue}, {content.history} past"
-        print(format_row(f"{title}: ready, ms", [run.ready_ms for run in runs]))
+        title = f"{runs[0].live} live{overdue}, {content.history} finished"
+        print(
+            format_row(f"{title}: time until ready, ms", [run.ready_ms for run in runs])
+        )
         print(
             format_row(
-                f"{title}: first fresh delivery, ms",
+                f"{title}: time until the new message is delivered, ms",
                 [run.first_delivery_ms for run in runs],
             )
         )
         print(
             format_row(
-                f"{title}: reading the journal, ms", [run.journal_ms for run in runs]
+                f"{title}: journal recovery, ms", [run.journal_ms for run in runs]
             )
         )
 
--- a/measure/registry_writes.py
+++ b/measure/registry_writes.py
@@ -1,9 +1,9 @@
-"""What changes, watches and heartbeats cost the list service.
+"""Measures the cost of changes, watches and heartbeats in the list service.
 
     python -m measure.registry_writes [REPEATS]
 
-Run from the root of the repository. Prints the syncs of a change with 200 writers at
-once and with one at a time, the time until 200 watches are answered after a change, and
+Run from the root of the repository. Prints the syncs per change with 200 concurrent writers
+and with one writer at a time, the time until 200 watches are answered after a change, and
 the cost of the heartbeats of 200 members, each on its own connection.
 """
 
@@ -24,20 +24,20 @@
 from rainfall.registry.storage import Storage
 
 WRITERS = 200
-"""Writers, watches, and members."""
+"""Number of writers, of watches and of members."""
 HEARTBEAT_ROUNDS = 20
 DEFAULT_REPEATS = 5
 MS_PER_S = 1000
 FIRST_WATCHED_HOST = 10_000_000
-"""The number of the first host that a change for watches registers."""
+"""Host number of the first change that wakes watches, above all other host numbers."""
 LEASE_TTL_US = 60_000_000
 START_WAIT_US = 62_000_000
-"""The time after a start on an empty folder before leases are granted."""
+"""Time that the service waits after a start on an empty folder before it grants leases."""
 POLL_INTERVAL_S = 0.001
 
 
 class HeartbeatExchange(NamedTuple):
-    """An answer, and the bytes of the request and of the answer."""
+    """A decoded response, with the sizes of request and response in bytes."""
 
     answer: Any
     sent_bytes: int
@@ -45,18 +45,18 @@
 
 
 class MembersCost(NamedTuple):
-    """What members cost the service."""
+    """The cost of the members of a fleet."""
 
     join_ms: float
-    """Until all have joined at once."""
+    """Time until all members have joined, with concurrent requests."""
     heartbeats_per_s: float
     request_bytes: float
-    """Of one heartbeat."""
+    """Average size of a heartbeat's request."""
     answer_bytes: float
 
 
 def change_body(number: int) -> bytes:
-    """The body of a change that registers one host."""
+    """The JSON body of a change that registers one host."""
     operation = {
         "op": "register",
         "host": f"s-{number}",
@@ -71,7 +71,7 @@
 
 
 async def send_request(port: int, head: str, data: bytes = b"") -> bytes:
-    """The whole answer to a request on a new connection."""
+    """Send a request on a new connection, and return the raw response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(
         f"{head}\r\nHost: r\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n".encode()
@@ -83,15 +83,15 @@
 
 
 async def syncs_per_change(
-    service: RegistryServer, port: int, together: bool, first: int
+    service: RegistryServer, port: int, concurrent: bool, first: int
 ) -> float:
-    """Syncs of a change when `WRITERS` changes come at once, or one after another."""
+    """Syncs per change for `WRITERS` changes, sent concurrently or one after another."""
     before = service.storage.sync_count
     calls = [
         send_request(port, "POST /v1/hosts HTTP/1.1", change_body(first + index))
         for index in range(WRITERS)
     ]
-    if together:
+    if concurrent:
         await asyncio.gather(*calls)
     else:
         for call in calls:
@@ -102,7 +102,7 @@
 async def wake_ms(
     service: RegistryServer, listen: int, write: int, host_number: int
 ) -> float:
-    """Milliseconds from a change until `WRITERS` watches have been answered."""
+    """Milliseconds from a change until all `WRITERS` watches have been answered."""
     seq = service.registry.seq
     watches = [
         asyncio.ensure_future(
@@ -123,7 +123,7 @@
 async def send_heartbeat(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, body: dict[str, Any]
 ) -> HeartbeatExchange:
-    """Send a heartbeat on an open connection."""
+    """Send a heartbeat on an open connection, and read the response."""
     data = json.dumps(body).encode()
     sent = (
         f"POST /v1/fleet/beat HTTP/1.1\r\nHost: r\r\nContent-Length: {len(data)}\r\n\r\n".encode()
@@ -141,7 +141,7 @@
 
 
 async def measure_members(folder: Path, rounds: int) -> MembersCost:
-    """Let `WRITERS` members join, and send so many rounds of heartbeats."""
+    """Let `WRITERS` members join, and send `rounds` heartbeats from each."""
     storage = Storage(folder)
     registry, _ = storage.load()
     clock_lead_us = 0
@@ -200,9 +200,9 @@
 
 
 async def measure_all(repeats: int) -> dict[str, list[float]]:
-    """The values of all repeats, by title."""
-    grouped: list[float] = []
-    alone: list[float] = []
+    """Run all repeats, and return the values of each result by title."""
+    concurrent_syncs: list[float] = []
+    sequential_syncs: list[float] = []
     wakes_ms: list[float] = []
     with tempfile.TemporaryDirectory() as folder:
         storage = Storage(Path(folder))
@@ -213,9 +213,11 @@
         write = await service.listen("127.0.0.1", 0, True)
         for repeat in range(repeats):
             first = 2 * repeat * WRITERS
-            grouped.append(await syncs_per_change(service, write, True, first))
+            concurrent_syncs.append(await syncs_per_change(service, write, True, first))
             first += WRITERS
-            alone.append(await syncs_per_change(service, write, False, first))
+            sequential_syncs.append(
+                await syncs_per_change(service, write, False, first)
+            )
             host_number = FIRST_WATCHED_HOST + repeat
             wakes_ms.append(await wake_ms(service, listen, write, host_number))
         await service.stop()
@@ -224,17 +226,17 @@
         with tempfile.TemporaryDirectory() as folder:
             members.append(await measure_members(Path(folder), HEARTBEAT_ROUNDS))
     return {
-        "ms until 200 members have joined": [cost.join_ms for cost in members],
-        "beats a second, 200 connections, client in the same process": [
+        "time until 200 members have joined, ms": [cost.join_ms for cost in members],
+        "heartbeats per second, 200 connections, client in the same process": [
             cost.heartbeats_per_s for cost in members
         ],
-        "bytes of a beat": [cost.request_bytes for cost in members],
-        "bytes of its answer, members told as changes": [
+        "bytes of a heartbeat request": [cost.request_bytes for cost in members],
+        "bytes of its response, members sent as changes": [
             cost.answer_bytes for cost in members
         ],
-        "syncs a change, 200 at once": grouped,
-        "syncs a change, one at a time": alone,
-        "ms until 200 watches are told": wakes_ms,
+        "syncs per change, 200 concurrent": concurrent_syncs,
+        "syncs per change, one at a time": sequential_syncs,
+        "time until 200 watches are answered, ms": wakes_ms,
     }
 
 
--- a/measure/shard_check.py
+++ b/measure/shard_check.py
@@ -1,11 +1,11 @@
-"""What the validation of a shard map costs, and how many keys new maps move.
+"""Measures the cost of shard map validation, and how many keys new maps move.
 
     python -m measure.shard_check [RANGES]
 
-Run from the root of the repository. The time to validate a map of 100,000 ranges is
-printed as a multiple of the time to sort them in the same run, for a valid map and for
-one with a fault at every second range. The keys that move when a member joins or leaves
-are compared with the fewest possible.
+Run from the root of the repository. Prints the time to validate a map of RANGES ranges
+(default 100,000) as a multiple of the time to sort the ranges in the same run, for a valid
+map and for one with a fault at every second range. Compares the number of keys that move
+when a member joins or leaves with the minimum possible.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def shuffled_ranges(count: int, rng: random.Random) -> list[tuple[int, int]]:
-    """So many ranges that fill the key space, in random order."""
+    """`count` ranges that cover the key space, in random order, as (first, last) keys."""
     cuts: list[int] = []
     while len(cuts) < count - 1:
         cuts = sorted(
@@ -52,7 +52,7 @@
 
 
 def map_document(ranges: list[tuple[int, int]], owners: int) -> dict[str, Any]:
-    """A map as decoded from JSON, with its ranges spread over so many owners."""
+    """A map as decoded from JSON, with its ranges spread over `owners` owners."""
     return {
         "generation": 7,
         "ranges": [
@@ -67,18 +67,18 @@
 
 
 def seconds_of(action: Callable[[], Any]) -> float:
-    """How long an action takes."""
+    """The wall-clock seconds that an action takes, after a garbage collection."""
     gc.collect()
     began_s = time.perf_counter()
     action()
     return time.perf_counter() - began_s
 
 
-def print_check_times(count: int) -> None:
-    """Print the times for maps of so many ranges."""
+def print_validation_times(count: int) -> None:
+    """Print the validation and decoding times for maps of `count` ranges."""
     rng = random.Random(1)
     ranges = shuffled_ranges(count, rng)
-    sound = map_document(ranges, OWNERS)
+    valid = map_document(ranges, OWNERS)
     faulty = map_document(
         [
             (first, min(KEY_SPACE - 1, last + 1)) if index % 2 else (first, last)
@@ -86,15 +86,17 @@
         ],
         OWNERS,
     )
-    text = json.dumps(sound).encode()
+    text = json.dumps(valid).encode()
     entries = [(first, last, index) for index, (first, last) in enumerate(ranges)]
     names = {f"n{number}" for number in range(OWNERS)}
-    assert not map_faults(sound, names) and len(map_faults(faulty, names)) > count // 3
+    assert not map_faults(valid, names) and len(map_faults(faulty, names)) > count // 3
     actions: dict[str, Callable[[], Any]] = {
-        "check of a sound map": lambda: map_faults(sound, names),
-        "check with a fault at every second range": lambda: map_faults(faulty, names),
-        "strict reading of the JSON alone": lambda: decode_json(text),
-        "json.loads of it, for comparison": lambda: json.loads(text),
+        "validation of a valid map": lambda: map_faults(valid, names),
+        "validation with a fault at every second range": lambda: map_faults(
+            faulty, names
+        ),
+        "strict JSON decoding only": lambda: decode_json(text),
+        "json.loads of the same text, for comparison": lambda: json.loads(text),
     }
     multiples: dict[str, list[float]] = {name: [] for name in actions}
     sorts_ms: list[float] = []
@@ -116,7 +118,7 @@
 
 
 def owned_sizes(shards: ShardMap) -> dict[str, int]:
-    """The number of keys of each owner."""
+    """The number of keys that each owner has."""
     sizes: dict[str, int] = {}
     for part in shards.ranges:
         sizes[part.owner] = sizes.get(part.owner, 0) + part.size
@@ -124,7 +126,7 @@
 
 
 def moved_keys(old: ShardMap, new: ShardMap) -> int:
-    """The keys whose owner differs, counted here and not taken from the plan."""
+    """The number of keys whose owner differs, computed independently of the plan."""
     return sum(
         min(before.last, after.last) - max(before.first, after.first) + 1
         for before in old.ranges
@@ -133,8 +135,8 @@
     )
 
 
-def fewest_moved_keys(old: ShardMap, new: ShardMap) -> int:
-    """The fewest keys that have to move for the sizes of the new map."""
+def min_moved_keys(old: ShardMap, new: ShardMap) -> int:
+    """The minimum number of keys that must move to reach the new map's sizes."""
     old_sizes = owned_sizes(old)
     new_sizes = owned_sizes(new)
     return sum(
@@ -143,7 +145,7 @@
 
 
 def print_moves(count: int) -> None:
-    """Print what a join and a leave move in a fleet of this size."""
+    """Print how many keys a join and a leave move in a fleet of `count` members."""
     names = [f"n{number}" for number in range(count)]
     base = plan_map(dict.fromkeys(names, 1.0)).map
     middle = count // 2
@@ -159,16 +161,16 @@
         moved = moved_keys(base, new)
         print(
             f"{count} members, a {change}: {moved / KEY_SPACE:.4%} of the keys move, "
-            f"{moved - fewest_moved_keys(base, new)} keys more than the fewest; "
-            f"parts differ by {max(sizes) - min(sizes)} keys; "
+            f"{moved - min_moved_keys(base, new)} keys more than the minimum; "
+            f"owners differ by up to {max(sizes) - min(sizes)} keys; "
             f"{len(base.ranges)} ranges become {len(new.ranges)}; {took_ms:.0f} ms"
         )
 
 
 def print_churn(count: int, changes: int, most_ranges: int) -> None:
-    """Print what the limit on ranges costs while members join and leave at random.
+    """Print the cost of a limit on ranges while members join and leave at random.
 
-    The cost is the keys moved beyond the fewest possible.
+    The cost is the number of keys moved beyond the minimum possible.
     """
     rng = random.Random(2)
     next_number = count
@@ -190,14 +192,14 @@
     print(
         f"{count} members, {changes} changes, at most {most_ranges} ranges: "
         f"{len(current.ranges)} ranges at the end, "
-        f"{extra_keys / total_keys:.3%} of what moved was past the fewest, "
-        f"largest part {max(sizes) * len(sizes) / KEY_SPACE:.3f} of the even one"
+        f"{extra_keys / total_keys:.3%} of the moved keys were beyond the minimum, "
+        f"largest owner has {max(sizes) * len(sizes) / KEY_SPACE:.3f} times an even part"
     )
 
 
 def main() -> None:
-    """Run all, and print the results."""
-    print_check_times(int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_RANGES)
+    """Run all measurements, and print the results."""
+    print_validation_times(int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_RANGES)
     for members in FLEET_SIZES:
         print_moves(members)
     for range_limit in CHURN_RANGE_LIMITS:
