--- a/measure/mixed_builds.py
+++ b/measure/mixed_builds.py
@@ -1,22 +1,22 @@
-"""Runs two builds of the program with each other, on real processes over loopback.
+"""Tests two builds of the program together, as real processes over loopback.
 
     python -m measure.mixed_builds OLD NEW
 
 Run from the root of the repository; OLD and NEW are the roots of two checkouts. Each
-scenario runs both ways round:
-
-- state: one build accepts messages and is killed, the end of its journal is torn, the
-  other build recovers the folder, and the first one takes it over again. The outcome has
-  to equal that of the first build alone.
-- handover: a build hands over to the other under load, and that one back again. Each
-  accepted message has to be delivered exactly once.
-- fleet: forwarders of both builds at the list service of one of them. After a restart of
-  every process as the other build, the endpoints and the epoch are as before, and the
-  shares never exceed the budget.
-- frames: a process of each build decodes and encodes again the peer frames and the session
+scenario runs twice, the second time with the builds swapped:
+
+- state: the first build accepts messages and is killed, and the end of its journal is
+  truncated. The second build recovers the folder, and then the first build recovers it
+  again. The outcome must equal that of the first build alone.
+- handover: the first build hands over to the second under load, and the second back to
+  the first. Each accepted message must be delivered exactly once.
+- fleet: forwarders of both builds use the list service of one of them. After every process
+  is restarted as the other build, the endpoints and the epoch must be as before. The
+  shares must never exceed the budget.
+- frames: a process of each build decodes and re-encodes the peer frames and the session
   records of the other.
 
-Prints a line for each run and exits with 1 if one of them failed.
+Prints a line for each run, and exits with 1 if any run failed.
 """
 
 from __future__ import annotations
@@ -38,55 +38,58 @@
 from typing import Any, ClassVar, NamedTuple
 
 TIMEOUT_S = 25.0
-"""How long an expected event may take."""
+"""Maximum time to wait for an expected condition or a response."""
 POLL_INTERVAL_S = 0.02
 LOAD_PER_S = 150
 LOAD_CLIENTS = 6
 LOAD_BEFORE_HANDOVER_S = 1.0
 TORN_BYTES = 3
-"""Bytes that the journal's last record lacks, as after a write that was cut short."""
+"""Bytes cut from the end of the journal, as after an incomplete write."""
 RETRY_AFTER_MS = 2500
 BUDGET_CALLS = 100
 SPAN_MS = 400
 MAX_MEMBERS = 10
 RESERVE = 1
-"""Calls in a span that each member of `MAX_MEMBERS` may make without a share."""
+"""Calls per span that each of `MAX_MEMBERS` members may make without a share."""
 LEASE_MS = 900
 SETTLED_AFTER_S = 2.0
-"""Shares that have not changed for so long count as settled."""
+"""Shares count as settled after this time without a change."""
 ACCEPTED = 202
 
 
 class MixedBuildsError(Exception):
-    """A run did not do what it has to; the text says what was seen."""
+    """A run violated an expectation; the message gives the observed values."""
 
 
 def require(condition: bool, text: str) -> None:
-    """Fail the run with a text where a condition does not hold.
+    """Fail the run with `text` if a condition is false.
 
     Raises:
-        MixedBuildsError: It does not hold.
+        MixedBuildsError: The condition is false.
     """
     if not condition:
         raise MixedBuildsError(text)
 
 
-async def wait_for(what: str, condition: Callable[[], Awaitable[bool]]) -> None:
-    """Wait until a condition holds.
+async def wait_for(description: str, condition: Callable[[], Awaitable[bool]]) -> None:
+    """Poll a condition until it is true.
 
     Raises:
-        MixedBuildsError: It did not within `TIMEOUT_S`.
+        MixedBuildsError: The condition is still false after `TIMEOUT_S`; the message names
+            the condition by `description`.
     """
     try:
         async with asyncio.timeout(TIMEOUT_S):
             while not await condition():
                 await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError:
-        raise MixedBuildsError(f"not within {TIMEOUT_S:g} s: {what}") from None
+        raise MixedBuildsError(
+            f"timeout after {TIMEOUT_S:g} s, waited for: {description}"
+        ) from None
 
 
 def free_port() -> int:
-    """A port of the loopback that is free now."""
+    """A loopback port that is currently free."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
@@ -111,7 +114,7 @@
 async def read_http(
     reader: asyncio.StreamReader,
 ) -> tuple[str, dict[str, str], bytes]:
-    """A request or response: its first line, its headers in lower case, its body."""
+    """Read a request or response: first line, headers with lower-case names, and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {
         name.lower(): value.strip()
@@ -124,7 +127,7 @@
 async def call_http(
     port: int, method: str, path: str, body: Any = None, headers: str = ""
 ) -> Response:
-    """One call on a connection of its own; a body is sent as JSON."""
+    """Make one call on a new connection, with `body` encoded as JSON."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     data = b"" if body is None else json.dumps(body).encode()
     head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers}"
@@ -138,7 +141,7 @@
 
 
 class HttpStandIn:
-    """An HTTP server on the loopback that a scenario plays a part with."""
+    """An HTTP server on loopback that replaces a peer of the program in a scenario."""
 
     port = 0
 
@@ -148,7 +151,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def respond(self, request: Request) -> bytes:
-        """The whole response to a request."""
+        """Return the complete response to a request, as bytes."""
         raise NotImplementedError
 
     async def _serve(
@@ -164,21 +167,21 @@
 
 
 def response(status: int, body: bytes = b"", headers: str = "") -> bytes:
-    """The bytes of a response."""
+    """Encode an HTTP response."""
     head = f"HTTP/1.1 {status} X\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 class Endpoint(HttpStandIn):
-    """Notes the messages that it gets; its answer can be changed."""
+    """An endpoint that records the messages it receives; its response can be changed."""
 
     def __init__(self, answer: bytes | None = None) -> None:
         self.received: list[str] = []
         self.answer = answer
-        """None: the call hangs."""
+        """The response to each call; None leaves the call unanswered."""
 
     async def respond(self, request: Request) -> bytes:
-        """Note the message; the answer is the one in force now."""
+        """Record the message's name, and return the current response."""
         self.received.append(request.headers["x-correlation-id"])
         if self.answer is None:
             await asyncio.sleep(3600)
@@ -186,16 +189,16 @@
 
 
 class Platform(HttpStandIn):
-    """Discovery with a fixed list, and the address for notifications."""
+    """Discovery with a fixed endpoint list, and the receiver of notifications."""
 
     def __init__(self, endpoints: dict[int, Endpoint]) -> None:
         self.endpoints = endpoints
         self.accepts_notifications = True
         self.notifications: dict[str, str] = {}
-        """The state of each message's end."""
+        """The notified final state, by message name."""
 
     def listing(self) -> dict[str, Any]:
-        """The whole endpoint list."""
+        """The complete endpoint list, in discovery's format."""
         hosts = [
             host_entry(f"s{destination}", endpoint.port, destination)
             for destination, endpoint in self.endpoints.items()
@@ -203,7 +206,7 @@
         return {"seq": 1, "whole": True, "hosts": hosts}
 
     async def respond(self, request: Request) -> bytes:
-        """Take notifications, or answer with the list; watches are held for a while."""
+        """Record notifications, or return the list; a watch returns empty after its hold."""
         if request.path == "/v1/notices":
             if not self.accepts_notifications:
                 return response(503)
@@ -217,7 +220,7 @@
 
 
 def host_entry(name: str, port: int, destination: int) -> dict[str, Any]:
-    """An endpoint as discovery lists it."""
+    """An endpoint list entry in discovery's format."""
     return {
         "host": name,
         "dial": f"127.0.0.1:{port}",
@@ -230,14 +233,14 @@
     }
 
 
-def message_class(name: str, effect: str, **more: Any) -> dict[str, Any]:
-    """A class whose calls time out late, so that a slow machine causes no retry."""
+def message_class(name: str, effect: str, **extra: Any) -> dict[str, Any]:
+    """A message class with timeouts so long that a slow machine causes no retry."""
     return {
         "name": name,
         "aim_us": 30_000_000,
         "deadline_us": 60_000_000,
         "effect": effect,
-        **more,
+        **extra,
     }
 
 
@@ -273,10 +276,10 @@
 }
 
 
-def message_bytes(name: str, cls: str, destination: int) -> bytes:
-    """The request of a client that hands in a message."""
+def message_bytes(name: str, class_name: str, destination: int) -> bytes:
+    """The HTTP request with which a client hands in a message."""
     lines = [
-        f"POST /{cls} HTTP/1.1",
+        f"POST /{class_name} HTTP/1.1",
         "Host: origin.svc",
         f"X-Correlation-Id: {name}",
         "X-Account: acme",
@@ -284,17 +287,17 @@
         f"Idempotency-Key: key-{name}",
         f"X-Addressing: dest={destination}",
     ]
-    if cls == "turns":
+    if class_name == "turns":
         lines.append("X-Session-Key: k")
     return "\r\n".join([*lines, "Content-Length: 5"]).encode() + b"\r\n\r\nhello"
 
 
 @dataclass
 class Process:
-    """A running process of one build; its log is kept."""
+    """A process of one build, with its recorded log."""
 
     running: ClassVar[list[asyncio.subprocess.Process]] = []
-    """Every process that was started, so that a failed run leaves none behind."""
+    """All started processes, so that they can be killed after a failed run."""
 
     build: Path
     module: str
@@ -304,7 +307,7 @@
     log: list[str] = field(default_factory=list)
 
     async def start(self) -> None:
-        """Start it, and wait until it logs that it is ready."""
+        """Start the process, and wait until it logs that it is ready."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -320,7 +323,10 @@
         await wait_for(f"{self.module} is ready", self._is_ready)
 
     async def _is_ready(self) -> bool:
-        require(self.process.returncode is None, f"ended early: {self.log[-5:]}")
+        require(
+            self.process.returncode is None,
+            f"exited before it was ready, last log lines: {self.log[-5:]}",
+        )
         return any(line.rstrip().endswith(": ready") for line in self.log) or any(
             '"event": "ready"' in line for line in self.log
         )
@@ -331,7 +337,7 @@
             self.log.append(line.decode())
 
     async def stop(self, stop_signal: signal.Signals = signal.SIGTERM) -> None:
-        """End it with a signal."""
+        """End the process with a signal, and check that its log has no traceback."""
         if self.process.returncode is None:
             self.process.send_signal(stop_signal)
         async with asyncio.timeout(TIMEOUT_S):
@@ -342,10 +348,10 @@
 
 
 class Forwarder:
-    """A forwarder's folder and addresses; a process of either build runs on them."""
+    """The folder and addresses of a forwarder, which processes of both builds can use."""
 
     def __init__(
-        self, folder: Path, discovery_port: int, known: dict[str, Any], **more: Any
+        self, folder: Path, discovery_port: int, known: dict[str, Any], **extra: Any
     ) -> None:
         folder.mkdir(exist_ok=True)
         (folder / "state").mkdir(exist_ok=True)
@@ -360,19 +366,19 @@
             "limits": {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
             "known": known,
             "settings": SETTINGS,
-            **more,
+            **extra,
         }
         (folder / "config.json").write_text(json.dumps(config))
 
     async def start(self, build: Path) -> ForwarderProcess:
-        """Start a process of a build, and wait until it is ready."""
+        """Start a process of the given build, and wait until it is ready."""
         process = ForwarderProcess(self, build)
         await process.start()
         return process
 
 
 class ForwarderProcess(Process):
-    """One process on a forwarder's folder, with an address for operators of its own."""
+    """One process that uses a forwarder's folder, with its own operators' address."""
 
     def __init__(self, forwarder: Forwarder, build: Path) -> None:
         self.admin_port = free_port()
@@ -386,19 +392,19 @@
         super().__init__(build, "rainfall", [], environment, (descriptor,))
 
     async def figures(self) -> dict[str, Any]:
-        """What the operators' address shows."""
+        """The variables that the operators' address returns."""
         answer = await call_http(self.admin_port, "GET", "/_vars")
         return dict(json.loads(answer.body))
 
     async def has_open(self, count: int) -> bool:
-        """Whether so many accepted messages have no end yet."""
+        """Whether exactly `count` accepted messages are unfinished."""
         return bool((await self.figures())["open_requests"] == count)
 
 
-async def submit(port: int, name: str, cls: str, destination: int) -> Response:
-    """Hand in one message on a connection of its own."""
+async def submit(port: int, name: str, class_name: str, destination: int) -> Response:
+    """Hand in one message on a new connection, and return the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(message_bytes(name, cls, destination))
+    writer.write(message_bytes(name, class_name, destination))
     try:
         async with asyncio.timeout(TIMEOUT_S):
             first, headers, body = await read_http(reader)
@@ -407,62 +413,74 @@
     return Response(int(first.split(" ")[1]), headers, body)
 
 
-async def accept(port: int, name: str, cls: str, destination: int) -> None:
-    """Hand in a message that has to be accepted."""
-    status = (await submit(port, name, cls, destination)).status
-    require(status == ACCEPTED, f"{name}: {status} in place of {ACCEPTED}")
+async def accept(port: int, name: str, class_name: str, destination: int) -> None:
+    """Hand in a message, and require that it is accepted."""
+    status = (await submit(port, name, class_name, destination)).status
+    require(status == ACCEPTED, f"{name}: status {status}, expected {ACCEPTED}")
 
 
-# State that one build wrote and the other recovers
+# Recovery of state that the other build wrote
 
-LIVE, DELIVERED, HANGING, HANGING_TOO, FAILING = 7, 8, 9, 11, 10
+LIVE, DELIVERED, HANGING, HANGING_RETRYABLE, FAILING = 7, 8, 9, 11, 10
 RETRY_LATER = response(429, headers=f"X-RateLimit-Wait-Ms: {RETRY_AFTER_MS}\r\n")
 
 
 async def write_state(
     process: ForwarderProcess, port: int, endpoints: dict[int, Endpoint]
 ) -> None:
-    """Leave live, keyed, ordered, ended, owed and called messages in the journal."""
+    """Put messages in each state into the journal.
+
+    The states are: live, keyed, ordered, finished, notification pending, call in progress.
+    """
     await accept(port, "owed", "pay", FAILING)
     await accept(port, "done", "order", DELIVERED)
-    for name, cls in (("live", "status"), ("keyed", "order"), ("turn1", "turns")):
-        await accept(port, name, cls, LIVE)
+    for name, class_name in (
+        ("live", "status"),
+        ("keyed", "order"),
+        ("turn1", "turns"),
+    ):
+        await accept(port, name, class_name, LIVE)
     await accept(port, "turn2", "turns", LIVE)
     await accept(port, "called", "pay", HANGING)
-    await accept(port, "again", "status", HANGING_TOO)
+    await accept(port, "again", "status", HANGING_RETRYABLE)
 
     async def all_called() -> bool:
-        called = (LIVE, HANGING, HANGING_TOO)
+        called = (LIVE, HANGING, HANGING_RETRYABLE)
         return all(endpoints[destination].received for destination in called)
 
-    await wait_for("calls are out", all_called)
+    await wait_for("calls have reached the endpoints", all_called)
     require(await process.has_open(6), f"{(await process.figures())['open_requests']}")
 
 
 def outcome_of(endpoints: dict[int, Endpoint], platform: Platform) -> dict[str, Any]:
-    """Which messages the endpoints got how often, and how the others ended."""
+    """How often each endpoint received each message, and the notified final states."""
     received = {
         str(destination): dict(sorted(Counter(endpoint.received).items()))
         for destination, endpoint in endpoints.items()
-        if destination != LIVE  # Calls before the wait was told are a race.
+        if destination
+        != LIVE  # The number of calls before the retry delay is received varies.
+    }
+    was_received = {
+        name: endpoints[LIVE].received.count(name) > 0 for name in ("live", "keyed")
     }
-    last = {n: endpoints[LIVE].received.count(n) > 0 for n in ("live", "keyed")}
-    order = [n for n in endpoints[LIVE].received if n in ("turn1", "turn2")][-2:]
+    order = [name for name in endpoints[LIVE].received if name in ("turn1", "turn2")][
+        -2:
+    ]
     return {
         "received": received,
-        "live": last,
+        "live": was_received,
         "order": order,
         "notified": dict(sorted(platform.notifications.items())),
     }
 
 
-async def play_state(first: Path, second: Path, folder: Path) -> dict[str, Any]:
-    """Write state with a build, recover it with another, and go back to the first."""
+async def recover_state(first: Path, second: Path, folder: Path) -> dict[str, Any]:
+    """Write state with one build, recover it with the other, then again with the first."""
     endpoints = {
         LIVE: Endpoint(RETRY_LATER),
         DELIVERED: Endpoint(response(200)),
         HANGING: Endpoint(None),
-        HANGING_TOO: Endpoint(None),
+        HANGING_RETRYABLE: Endpoint(None),
         FAILING: Endpoint(response(500)),
     }
     platform = Platform(endpoints)
@@ -476,49 +494,52 @@
     journal = forwarder.folder / "state" / "journal"
     os.truncate(journal, journal.stat().st_size - TORN_BYTES)
     platform.accepts_notifications = True
-    for destination in (LIVE, HANGING, HANGING_TOO):
+    for destination in (LIVE, HANGING, HANGING_RETRYABLE):
         endpoints[destination].answer = response(200)
     process = await forwarder.start(second)
     recovered = (await process.figures())["journal"]["recovered"]
-    await wait_for("all messages end", lambda: process.has_open(0))
+    await wait_for("all messages are finished", lambda: process.has_open(0))
     repeated = await submit(forwarder.port, "done", "order", DELIVERED)
 
     async def notified() -> bool:
         return {"owed", "called"} <= set(platform.notifications)
 
-    await wait_for("owed notifications are sent", notified)
+    await wait_for("pending notifications are sent", notified)
     await process.stop(signal.SIGTERM)
     process = await forwarder.start(first)
-    again = (await process.figures())["journal"]["recovered"]
+    recovered_again = (await process.figures())["journal"]["recovered"]
     repeated_again = await submit(forwarder.port, "keyed", "order", LIVE)
-    await wait_for("nothing is left open", lambda: process.has_open(0))
+    await wait_for("no message is unfinished", lambda: process.has_open(0))
     await process.stop(signal.SIGTERM)
     counted = ("torn", "gaps", "missing", "lost", "doubted", "skipped")
     return {
         "recovered": {name: recovered[name] for name in counted},
-        "recovered again": {name: again[name] for name in counted},
+        "recovered again": {name: recovered_again[name] for name in counted},
         "repeated": [repeated.status, repeated_again.status],
         **outcome_of(endpoints, platform),
     }
 
 
 async def run_state(first: Path, second: Path, folder: Path) -> str:
-    """Compare the outcome over two builds with that of the first build alone."""
+    """Require the same outcome of recovery across builds as in the first build alone."""
     for name in ("mixed", "alone"):
         (folder / name).mkdir()
-    mixed = await play_state(first, second, folder / "mixed")
-    alone = await play_state(first, first, folder / "alone")
-    require(mixed == alone, f"mixed {mixed}, alone {alone}")
-    require(mixed["recovered"]["torn"] > 0, f"no torn tail: {mixed['recovered']}")
+    mixed = await recover_state(first, second, folder / "mixed")
+    alone = await recover_state(first, first, folder / "alone")
+    require(mixed == alone, f"outcomes differ: mixed {mixed}, alone {alone}")
+    require(
+        mixed["recovered"]["torn"] > 0,
+        f"recovery found no torn record: {mixed['recovered']}",
+    )
     return json.dumps(mixed)
 
 
-# A handover under load
+# Handover under load
 
 
 @dataclass
 class Load:
-    """Clients that hand in messages at a steady rate on connections that they keep."""
+    """Clients that hand in messages at a constant rate over persistent connections."""
 
     port: int
     statuses: dict[str, int] = field(default_factory=dict)
@@ -526,7 +547,7 @@
     running: bool = True
 
     async def run(self) -> None:
-        """Hand in messages until `running` is false."""
+        """Run all clients until `running` is false."""
         async with asyncio.TaskGroup() as group:
             for client in range(LOAD_CLIENTS):
                 group.create_task(self._run_client(client))
@@ -536,11 +557,11 @@
         number = 0
         while self.running:
             number += 1
-            cls = ("status", "pay", "order")[number % 3]
+            class_name = ("status", "pay", "order")[number % 3]
             name = f"c{client}-{number}"
             if streams is None:
                 streams = await asyncio.open_connection("127.0.0.1", self.port)
-            if not await self._send(streams, name, cls):
+            if not await self._send(streams, name, class_name):
                 streams[1].close()
                 streams = None
             await asyncio.sleep(LOAD_CLIENTS / LOAD_PER_S)
@@ -549,11 +570,11 @@
         self,
         streams: tuple[asyncio.StreamReader, asyncio.StreamWriter],
         name: str,
-        cls: str,
+        class_name: str,
     ) -> bool:
-        """Hand in a message; whether the connection may be used again."""
+        """Hand in a message, and return whether the connection can be reused."""
         reader, writer = streams
-        writer.write(message_bytes(name, cls, DELIVERED))
+        writer.write(message_bytes(name, class_name, DELIVERED))
         try:
             async with asyncio.timeout(TIMEOUT_S):
                 first, headers, _ = await read_http(reader)
@@ -565,7 +586,7 @@
 
 
 async def run_handover(first: Path, second: Path, folder: Path) -> str:
-    """Hand over from one build to the other and back, under load."""
+    """Hand over from the first build to the second and back, under load."""
     endpoint = Endpoint(response(200))
     await endpoint.start()
     platform = Platform({DELIVERED: endpoint})
@@ -583,35 +604,40 @@
     await asyncio.sleep(LOAD_BEFORE_HANDOVER_S)
     load.running = False
     await task
-    await wait_for("all messages end", lambda: process.has_open(0))
+    await wait_for("all messages are finished", lambda: process.has_open(0))
     await process.stop(signal.SIGTERM)
-    return judge_load(load, Counter(endpoint.received), platform)
+    return check_load(load, Counter(endpoint.received), platform)
 
 
-def judge_load(load: Load, received: Counter[str], platform: Platform) -> str:
-    """Check that each accepted message was delivered once, and nothing else was."""
+def check_load(load: Load, received: Counter[str], platform: Platform) -> str:
+    """Summarise the load, and require that each accepted message is delivered once.
+
+    Raises:
+        MixedBuildsError: A message is lost, duplicated, unanswered, notified, or delivered
+            although rejected, or none was accepted; the message has the counts.
+    """
     accepted = [name for name, status in load.statuses.items() if status == ACCEPTED]
     lost = [name for name in accepted if not received[name]]
-    doubled = [name for name, count in received.items() if count > 1]
+    duplicated = [name for name, count in received.items() if count > 1]
     rejected = set(load.statuses) - set(accepted)
-    delivered_though_rejected = rejected & set(received)
+    delivered_but_rejected = rejected & set(received)
     text = (
         f"{len(accepted)} accepted, {len(rejected)} rejected, "
-        f"{len(load.unanswered)} unanswered, {len(lost)} lost, {len(doubled)} doubled, "
-        f"{len(delivered_though_rejected)} rejected and delivered, "
+        f"{len(load.unanswered)} unanswered, {len(lost)} lost, {len(duplicated)} duplicated, "
+        f"{len(delivered_but_rejected)} rejected and delivered, "
         f"{len(platform.notifications)} notified"
     )
     require(bool(accepted), text)
-    bad = [*lost, *doubled, *delivered_though_rejected, *platform.notifications]
-    require(not bad and not load.unanswered, f"{text}: {bad[:5]}")
+    violations = [*lost, *duplicated, *delivered_but_rejected, *platform.notifications]
+    require(not violations and not load.unanswered, f"{text}: {violations[:5]}")
     return text
 
 
-# Forwarders of both builds at one list service
+# Fleet of both builds with one list service
 
 
 class ListService:
-    """A list service's folder; a process of either build runs on it."""
+    """The folder and ports of a list service, which processes of both builds can use."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir()
@@ -627,7 +653,7 @@
         (folder / "b.json").write_text(json.dumps({"budgets": [budget]}))
 
     async def start(self, build: Path, is_new: bool) -> Process:
-        """Start a process of a build, and wait until it is ready."""
+        """Start a process of the given build, and wait until it is ready."""
         listen, write, fleet = (f"127.0.0.1:{port}" for port in self.ports)
         arguments = [
             *("--state", f"{self.folder}/state", "--listen", listen),
@@ -640,37 +666,46 @@
         return process
 
     async def listing(self) -> list[dict[str, Any]]:
-        """The endpoints on the list."""
+        """The entries of the service's endpoint list."""
         answer = await call_http(self.ports[0], "GET", "/discovery/hosts")
-        require(answer.status == 200, f"the list: {answer.status} {answer.body!r}")
+        require(
+            answer.status == 200,
+            f"endpoint list: status {answer.status}, body {answer.body!r}",
+        )
         return list(json.loads(answer.body)["hosts"])
 
     async def epoch(self) -> int:
-        """The number of histories that the service counts."""
+        """The epoch of the service's change history."""
         answer = await call_http(self.ports[0], "GET", "/_vars")
         return int(json.loads(answer.body)["epoch"])
 
 
-async def shares_of(members: list[ForwarderProcess]) -> list[int]:
-    """The calls that each member may make in a span, by its own figures."""
+async def reported_shares(members: list[ForwarderProcess]) -> list[int]:
+    """The calls per span that each member reports for itself; 0 without a leased share."""
     figures = [await member.figures() for member in members]
     budgets = [figure["fleet"]["budgets"][str(DELIVERED)] for figure in figures]
-    return [int(b["share"]) if b["by"] == "lease" else 0 for b in budgets]
+    return [
+        int(budget["share"]) if budget["by"] == "lease" else 0 for budget in budgets
+    ]
 
 
 async def wait_for_shares(members: list[ForwarderProcess]) -> list[int]:
-    """Wait until all members have shares that no longer change; the shares, sorted.
+    """Wait until all members have shares that no longer change, and return them sorted.
 
     Raises:
-        MixedBuildsError: Together they exceed the budget, or they do not settle.
+        MixedBuildsError: The sum of the shares exceeds the budget, or the shares do not
+            settle within `TIMEOUT_S`.
     """
     shares: list[int] = []
     settled_at = time.monotonic() + SETTLED_AFTER_S
 
     async def are_settled() -> bool:
         nonlocal settled_at
-        latest = await shares_of(members)
-        require(sum(latest) <= BUDGET_CALLS, f"shares {latest} of {BUDGET_CALLS}")
+        latest = await reported_shares(members)
+        require(
+            sum(latest) <= BUDGET_CALLS,
+            f"shares {latest} exceed the budget of {BUDGET_CALLS}",
+        )
         if latest != shares or not min(latest):
             shares[:] = latest
             settled_at = time.monotonic() + SETTLED_AFTER_S
@@ -684,7 +719,7 @@
 async def running_fleet(
     service: ListService, forwarders: list[Forwarder], builds: list[Path], new: bool
 ) -> AsyncIterator[list[ForwarderProcess]]:
-    """The service as the first build, a forwarder as each of the others."""
+    """Run the service with the first build, and one forwarder with each of the others."""
     process = await service.start(builds[0], new)
     members = [
         await forwarder.start(build)
@@ -698,9 +733,9 @@
 
 
 async def run_fleet(first: Path, second: Path, folder: Path) -> str:
-    """Run a mixed fleet, then every process of it as the other build.
+    """Run a mixed fleet, then restart every process of it as the other build.
 
-    Shares depend on the demand of the moment, so they are only bounded.
+    The shares depend on the current demand, so only their sum is checked.
     """
     endpoint = Endpoint(response(200))
     await endpoint.start()
@@ -721,7 +756,7 @@
     ]
     expected: list[str] = []
     settled: list[list[int]] = []
-    seen = []
+    lists_and_epochs = []
     for turn, builds in enumerate(([first, first, second], [second, second, first])):
         async with running_fleet(service, forwarders, builds, not turn) as members:
             if not turn:
@@ -729,24 +764,26 @@
             shares = await wait_for_shares(members)
             await deliver(forwarders, endpoint, expected, turn)
             settled.append(shares)
-            seen.append((await service.listing(), await service.epoch()))
-    require(seen[0] == seen[1], f"{seen}")
+            lists_and_epochs.append((await service.listing(), await service.epoch()))
+    require(lists_and_epochs[0] == lists_and_epochs[1], f"{lists_and_epochs}")
     return f"{len(expected)} delivered once, shares {settled} of {BUDGET_CALLS}"
 
 
 async def register(port: int, endpoint_port: int) -> None:
-    """Put the endpoint on the service's list."""
+    """Register the endpoint with the list service."""
     entry = host_entry("s8", endpoint_port, DELIVERED)
     del entry["health"]
     change = {"id": "c1", "ops": [{"op": "register", **entry}]}
     answer = await call_http(port, "POST", "/v1/hosts", change)
-    require(answer.status == 200, f"register: {answer.status} {answer.body!r}")
+    require(
+        answer.status == 200, f"register: status {answer.status}, body {answer.body!r}"
+    )
 
 
 async def deliver(
     forwarders: list[Forwarder], endpoint: Endpoint, expected: list[str], turn: int
 ) -> None:
-    """Hand in messages at each forwarder, and wait until all are delivered once."""
+    """Hand in messages at each forwarder, and require that each is delivered once."""
     for forwarder in forwarders:
         for number in range(20):
             name = f"{forwarder.folder.name}-{turn}-{number}"
@@ -757,10 +794,13 @@
         return set(endpoint.received) >= set(expected)
 
     await wait_for("all messages are delivered", all_received)
-    require(sorted(endpoint.received) == sorted(expected), "a message came twice")
+    require(
+        sorted(endpoint.received) == sorted(expected),
+        "a message was delivered more than once",
+    )
 
 
-# Frames between forwarders, and session records
+# Peer frames and session records
 
 FRAME_PROGRAM = """
 import socket, sys
@@ -804,7 +844,7 @@
 
 
 async def run_frames(first: Path, second: Path, _folder: Path) -> str:
-    """Let a process of each build decode what the other one encodes."""
+    """Require that each build decodes the frames and records that the other encodes."""
 
     async def start(build: Path, *arguments: str) -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
@@ -821,7 +861,10 @@
     async with asyncio.timeout(TIMEOUT_S):
         outputs = [(await each.communicate())[0].decode() for each in (server, client)]
     codes = [server.returncode, client.returncode]
-    require(codes == [0, 0] and outputs[0] == outputs[1], f"{codes} {outputs}")
+    require(
+        codes == [0, 0] and outputs[0] == outputs[1],
+        f"exit codes {codes}, outputs {outputs}",
+    )
     return outputs[0].strip() + ", both ways"
 
 
@@ -834,7 +877,7 @@
 
 
 async def end_all(processes: list[asyncio.subprocess.Process]) -> None:
-    """Kill the processes that still run, and empty the list."""
+    """Kill the processes that are still running, and empty the list."""
     while processes:
         process = processes.pop()
         if process.returncode is None:
@@ -843,7 +886,7 @@
 
 
 async def run_all(old: Path, new: Path) -> int:
-    """Run every scenario both ways round; the number that failed."""
+    """Run every scenario in both orders of builds; the number of failed runs."""
     failed = 0
     asyncio.get_running_loop().set_exception_handler(lambda _loop, _context: None)
     for title, scenario in SCENARIOS.items():
@@ -865,7 +908,7 @@
 
 
 def main() -> None:
-    """Read the command line, and run."""
+    """Parse the command line, run the scenarios, and exit with their result."""
     if len(sys.argv) != 3:
         sys.exit("usage: python -m measure.mixed_builds OLD NEW")
     old, new = (Path(argument).resolve() for argument in sys.argv[1:])
