--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -310,8 +310,9 @@
 
     Returns:
         The fraction of the budget that is used; the ms until both have nine tenths of
-        their shares; the ms from the failure until the survivor has the failed member's
-        share; the upper bound of that time in ms; and the calls in the fullest window.
+        their shares; the ms from the failure until the survivor has nine tenths of the
+        calls that both had; the upper bound of that time in ms; and the calls in the
+        fullest window.
     """
     budget = Budget("7", 100, SECOND_US, reserve, 10)
     fleet = SimulatedFleet(10, budget, seed)
--- a/measure/cold_fleet.py
+++ b/measure/cold_fleet.py
@@ -44,22 +44,24 @@
     """Format one line of results.
 
     The line has the worst run's count and limit, the number of runs over the limit, the
-    median time until the first call after the outage, and the mean number of deliveries.
+    number of runs with `Verdict.pushed`, the largest ratio of the whole fleet's calls to
+    their limit, the median time from the destination's return to the first call of a
+    forwarder that had met the outage, and the mean number of deliveries.
     """
     worst = max(verdicts, key=lambda verdict: verdict.part)
-    over = sum(verdict.part > 1 for verdict in verdicts)
+    runs_over_limit = sum(verdict.part > 1 for verdict in verdicts)
     first_call_s = [
         verdict.found_us / US_PER_S for verdict in verdicts if verdict.found_us >= 0
     ]
     first_call = (
         f"{statistics.median(first_call_s):5.1f} s" if first_call_s else "  never"
     )
-    pushed = sum(verdict.pushed for verdict in verdicts)
+    pushed_runs = sum(verdict.pushed for verdict in verdicts)
     largest_fleet_part = max(verdict.whole for verdict in verdicts)
     delivered = statistics.fmean(verdict.delivered for verdict in verdicts)
     return (
-        f"{worst.count:6.1f} / {worst.limit:6.1f} = {worst.part:4.2f}  over {over:3d} of "
-        f"{len(verdicts)}  pushed {pushed:3d}  fleet {largest_fleet_part:5.2f}  "
+        f"{worst.count:6.1f} / {worst.limit:6.1f} = {worst.part:4.2f}  over {runs_over_limit:3d} of "
+        f"{len(verdicts)}  pushed {pushed_runs:3d}  fleet {largest_fleet_part:5.2f}  "
         f"first call {first_call}  delivered {delivered:7.1f}"
     )
 
--- a/measure/fleet_service.py
+++ b/measure/fleet_service.py
@@ -97,7 +97,7 @@
     """Bytes of requests and responses."""
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """The status and the decoded JSON body of a response."""
 
     status: int
@@ -129,7 +129,7 @@
         self.traffic = traffic
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def call(self, method: str, path: str, body: Any = None) -> Answer:
+    async def call(self, method: str, path: str, body: Any = None) -> Response:
         """Send one request, with a JSON body if given, and return the response."""
         if self.streams is None:
             self.streams = await asyncio.open_connection("127.0.0.1", self.port)
@@ -146,11 +146,11 @@
             for line in head.split(b"\r\n")
             if line.lower().startswith(b"content-length:")
         )
-        answer_body = await reader.readexactly(length)
+        response_body = await reader.readexactly(length)
         self.traffic.calls += 1
         self.traffic.call_bytes += len(sent) + len(head) + length
         status = int(head.split(b" ", 2)[1])
-        return Answer(status, json.loads(answer_body or b"null"))
+        return Response(status, json.loads(response_body or b"null"))
 
 
 class SimulatedMember:
@@ -189,18 +189,18 @@
         """Send heartbeats until the task is cancelled."""
         watching: asyncio.Task[None] | None = None
         while True:
-            answer = await self._send_heartbeat()
-            if answer.status == HTTPStatus.CONFLICT:
-                if answer.body["error"] == "held":
-                    await asyncio.sleep(answer.body["retry_ms"] / MS_PER_S)
+            response = await self._send_heartbeat()
+            if response.status == HTTPStatus.CONFLICT:
+                if response.body["error"] == "held":
+                    await asyncio.sleep(response.body["retry_ms"] / MS_PER_S)
                 else:
                     self.rejoin()
                 continue
-            if answer.status != HTTPStatus.OK:
+            if response.status != HTTPStatus.OK:
                 raise MeasurementError(
-                    f"{self.name}: status {answer.status}: {answer.body}"
+                    f"{self.name}: status {response.status}: {response.body}"
                 )
-            self._read_answer(answer.body)
+            self._read_response(response.body)
             if watching is None or watching.done():
                 if watching is not None:
                     watching.result()
@@ -210,7 +210,7 @@
                 await asyncio.wait_for(self.wakeup.wait(), interval_s)
             self.wakeup.clear()
 
-    async def _send_heartbeat(self) -> Answer:
+    async def _send_heartbeat(self) -> Response:
         self.sent += 1
         body = {
             "name": self.name,
@@ -228,7 +228,7 @@
         }
         return await self.heartbeat_connection.call("POST", "/v1/fleet/beat", body)
 
-    def _read_answer(self, body: Any) -> None:
+    def _read_response(self, body: Any) -> None:
         if self.shares != body["shares"]:
             self.changed_s = time.perf_counter()
             self.wakeup.set()  # Acknowledge the new shares without delay.
--- a/measure/mixed_builds.py
+++ b/measure/mixed_builds.py
@@ -511,10 +511,10 @@
     repeated_again = await submit(forwarder.port, "keyed", "order", LIVE)
     await wait_for("no message is unfinished", lambda: process.has_open(0))
     await process.stop(signal.SIGTERM)
-    counted = ("torn", "gaps", "missing", "lost", "doubted", "skipped")
+    counters = ("torn", "gaps", "missing", "lost", "doubted", "skipped")
     return {
-        "recovered": {name: recovered[name] for name in counted},
-        "recovered again": {name: recovered_again[name] for name in counted},
+        "recovered": {name: recovered[name] for name in counters},
+        "recovered again": {name: recovered_again[name] for name in counters},
         "repeated": [repeated.status, repeated_again.status],
         **outcome_of(endpoints, platform),
     }
--- a/measure/registry_writes.py
+++ b/measure/registry_writes.py
@@ -39,7 +39,7 @@
 class HeartbeatExchange(NamedTuple):
     """A decoded response, with the sizes of request and response in bytes."""
 
-    answer: Any
+    response: Any
     sent_bytes: int
     received_bytes: int
 
@@ -52,7 +52,7 @@
     heartbeats_per_s: float
     request_bytes: float
     """Average size of a heartbeat's request."""
-    answer_bytes: float
+    response_bytes: float
 
 
 def change_body(number: int) -> bytes:
@@ -77,9 +77,9 @@
         f"{head}\r\nHost: r\r\nContent-Length: {len(data)}\r\nConnection: close\r\n\r\n".encode()
         + data
     )
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    return answer
+    return response
 
 
 async def syncs_per_change(
@@ -136,8 +136,8 @@
         for line in head.split(b"\r\n")
         if line.lower().startswith(b"content-length:")
     )
-    answer = json.loads(await reader.readexactly(length))
-    return HeartbeatExchange(answer, len(sent), len(head) + length)
+    response = json.loads(await reader.readexactly(length))
+    return HeartbeatExchange(response, len(sent), len(head) + length)
 
 
 async def measure_members(folder: Path, rounds: int) -> MembersCost:
@@ -180,13 +180,13 @@
     joins = await send_all()
     join_ms = (time.perf_counter() - began_s) * MS_PER_S
     for body, join in zip(bodies, joins, strict=True):
-        body.update(token=join.answer["token"], list=join.answer["list"])
+        body.update(token=join.response["token"], list=join.response["list"])
     sent_bytes = 0
     received_bytes = 0
     began_s = time.perf_counter()
     for _ in range(rounds):
         for body, exchange in zip(bodies, await send_all(), strict=True):
-            body["list"] = exchange.answer["list"]
+            body["list"] = exchange.response["list"]
             sent_bytes += exchange.sent_bytes
             received_bytes += exchange.received_bytes
     took_s = time.perf_counter() - began_s
@@ -232,7 +232,7 @@
         ],
         "bytes of a heartbeat request": [cost.request_bytes for cost in members],
         "bytes of its response, members sent as changes": [
-            cost.answer_bytes for cost in members
+            cost.response_bytes for cost in members
         ],
         "syncs per change, 200 concurrent": concurrent_syncs,
         "syncs per change, one at a time": sequential_syncs,
