--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -106,7 +106,7 @@
             self.freeze()
         if elapsed_s >= EXIT_AFTER_S or self.is_drained():
             log.info(
-                "stopped: %d messages and %d pending notifications stay in the journal",
+                "stopped: %d messages and %d owed ends stay in the journal",
                 len(self.store.messages),
                 len(self.store.pending_notifications),
             )
--- a/tests/forwarder/test_endpoint_list_races.py
+++ b/tests/forwarder/test_endpoint_list_races.py
@@ -804,9 +804,7 @@
         configure(node, discovery="127.0.0.1:1")
         node.process.send_signal(signal.SIGHUP)
         assert await node.end(signal.SIGTERM) == 0
-        assert any(
-            "1 pending notifications stay in the journal" in line for line in node.log
-        )
+        assert any("1 owed ends stay in the journal" in line for line in node.log)
         platform.handler = platform.answer
         configure(node, discovery=f"127.0.0.1:{platform.port}")
         await node.start()
