--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -163,7 +163,9 @@
         self.rng, self.now_us, self.budget = random.Random(seed), 0, budget
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.sequence = itertools.count()
-        self.ledger = Ledger([budget], int(LEASE_US * (1 + DRIFT)), DRIFT, 0, sure=True)
+        self.ledger = Ledger(
+            [budget], int(LEASE_US * (1 + DRIFT)), DRIFT, 0, history_complete=True
+        )
         self.leases: dict[Token, int] = {}
         self.sent: list[tuple[int, int]] = []
         self.wire_bytes = self.record_count = self.disk_bytes = self.plan_count = 0
@@ -231,7 +233,7 @@
                             "calls": share.calls,
                             "number": share.number,
                             "reserve": share.reserve,
-                            "whole": share.whole,
+                            "whole": share.total,
                             "span_ms": share.span_us // 1000,
                             "slack_ms": share.slack_us // 1000,
                         }
--- a/measure/scale/control_division.py
+++ b/measure/scale/control_division.py
@@ -64,7 +64,9 @@
             for n in range(budgets)
         ]
     )
-    ledger = Ledger(parsed_budgets, fixtures.LEASE_US, fixtures.DRIFT, 0, sure=True)
+    ledger = Ledger(
+        parsed_budgets, fixtures.LEASE_US, fixtures.DRIFT, 0, history_complete=True
+    )
     for n in range(members):
         ledger.member_joined(fixtures.token(n), fixtures.member(n), None, 0)
     return ledger
--- a/measure/scale/control_fixtures.py
+++ b/measure/scale/control_fixtures.py
@@ -102,7 +102,7 @@
 def roster(count: int, now_us: int = 0) -> Roster:
     """Build a roster of `count` members, all joined and alive."""
     table = LeaseTable(LeaseSettings(DRIFT))
-    table.commit(table.start(now_us, sure=True, min_epoch=1))
+    table.commit(table.start(now_us, history_complete=True, min_epoch=1))
     roster = Roster(table, LEASE_US)
     roster.on_started(now_us)
     joinable_us = now_us + 2 * table.longest_ttl_us
--- a/measure/scale/control_members.py
+++ b/measure/scale/control_members.py
@@ -59,7 +59,7 @@
     )
     for row in records.get(LEASE_TABLE, []):
         table.commit(row)
-    table.commit(table.start(0, sure=True))
+    table.commit(table.start(0, history_complete=True))
     roster = Roster(table, fixtures.LEASE_US)
     roster.on_started(0)
     return roster
--- a/measure/scale/hollow_member.py
+++ b/measure/scale/hollow_member.py
@@ -174,14 +174,14 @@
             return
         share = self.fleet.quotas.accounts[event.destination].quota.share
         before = self.shares_in_force.get(event.destination)
-        if before is None or (before.calls, before.whole) != (event.calls, share.whole):
+        if before is None or (before.calls, before.whole) != (event.calls, share.total):
             self.changed_ns = time.monotonic_ns()
-            known = before is not None and before.whole == share.whole
+            known = before is not None and before.whole == share.total
             whole_ns = (
                 before.whole_ns if before is not None and known else self.changed_ns
             )
             self.shares_in_force[event.destination] = ShareInForce(
-                event.calls, share.whole, whole_ns
+                event.calls, share.total, whole_ns
             )
 
     def set_waiting_messages(self, destination: int, calls: int) -> None:
--- a/rainfall/budget/config.py
+++ b/rainfall/budget/config.py
@@ -107,9 +107,9 @@
         reserve=entry.get("reserve", 0),
         members_max=entry["members_max"],
         weights=dict(entry.get("weights", {})),
-        least=entry.get("least", DEFAULT_BUDGET.least),
-        change=entry.get("change", DEFAULT_BUDGET.change),
-        loose=entry.get("loose", DEFAULT_BUDGET.loose),
+        min_calls=entry.get("least", DEFAULT_BUDGET.min_calls),
+        min_gain_fraction=entry.get("change", DEFAULT_BUDGET.min_gain_fraction),
+        unassigned_fraction=entry.get("loose", DEFAULT_BUDGET.unassigned_fraction),
         pause_us=_time_us(entry, "pause_ms", DEFAULT_BUDGET.pause_us),
         slack_us=_time_us(entry, "slack_ms", DEFAULT_BUDGET.slack_us),
     )
--- a/rainfall/budget/fair_share.py
+++ b/rainfall/budget/fair_share.py
@@ -121,19 +121,19 @@
 
 def divide(
     total: int,
-    needs: Mapping[K, Mapping[str, int]],
+    demand: Mapping[K, Mapping[str, int]],
     weights: Mapping[str, int],
     floors: Mapping[K, int],
-    least: int,
+    min_calls: int,
     credit: Mapping[K, int],
     loose: int = 0,
 ) -> Division[K]:
-    """Divide `total` calls among the members of `needs`.
+    """Divide `total` calls among the members of `demand`.
 
     The steps, in this order:
 
     1. Each member gets its floor.
-    2. Each member with demand gets `least` calls, or its demand if lower. If there are
+    2. Each member with demand gets `min_calls` calls, or its demand if lower. If there are
        too few calls, members get them in turn, by `credit`.
     3. The rest goes to the parts of demand by weight, up to their demand; the members
        of a part share its calls evenly.
@@ -141,31 +141,31 @@
 
     Args:
         total: Calls to divide.
-        needs: Calls wanted in a span, by member and part of demand. Ties go by the
+        demand: Calls wanted in a span, by member and part of demand. Ties go by the
             order of members.
         weights: Weights of classes and tenants.
         floors: Each member's reserve.
-        least: Calls for each member with demand, in step 2.
+        min_calls: Calls for each member with demand, in step 2.
         credit: The credit of the previous division, in millionths of a call.
         loose: Most calls beyond all demand that stay unassigned.
 
     Raises:
         ValueError: The sum of the floors exceeds the total.
     """
-    demand_by_key = {key: sum(parts.values()) for key, parts in needs.items()}
-    floor_by_key = {key: floors.get(key, 0) for key in needs}
+    demand_by_key = {key: sum(parts.values()) for key, parts in demand.items()}
+    floor_by_key = {key: floors.get(key, 0) for key in demand}
     first_claims = [
         Claim(
             key,
             1,
             floor_by_key[key],
-            max(floor_by_key[key], min(least, demand_by_key[key])),
+            max(floor_by_key[key], min(min_calls, demand_by_key[key])),
         )
-        for key in needs
+        for key in demand
     ]
     base_shares, rounding_credit = water_fill(total, first_claims, credit)
     shares = dict(base_shares)
-    claims_by_part = _claims_by_part(needs, weights, base_shares, shares)
+    claims_by_part = _claims_by_part(demand, weights, base_shares, shares)
     # The calls left in `shares` are beyond their member's demand and belong to no part.
     part_total = total - sum(shares.values())
     calls_by_part = _divide_between_parts(part_total, claims_by_part, weights)
@@ -175,12 +175,12 @@
             shares[key] += calls
         for key, millionths in filling.credit_by_key.items():
             rounding_credit[key] = rounding_credit.get(key, 0) + millionths
-    unassigned = _spread_headroom(total, shares, needs, loose)
+    unassigned = _spread_headroom(total, shares, demand, loose)
     return Division(
         shares,
         unassigned,
-        _carried_credit(needs, demand_by_key, credit, rounding_credit),
-        any(demand_by_key[key] and not shares[key] for key in needs),
+        _carried_credit(demand, demand_by_key, credit, rounding_credit),
+        any(demand_by_key[key] and not shares[key] for key in demand),
     )
 
 
--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -129,7 +129,7 @@
         max_lease_us: The longest time to live of a lease.
         drift: Fraction by which the rates of two clocks may differ.
         now_us: The present time.
-        sure: Whether the folder is known to be complete. If it was lost or may be an
+        history_complete: Whether the folder is known to be complete. If it was lost or may be an
             older copy, nothing is granted until every lease and window that may be
             missing from it is over, and no process gets a first reserve until an
             operator confirms that all holders of reserves are known.
@@ -141,16 +141,18 @@
         max_lease_us: int,
         drift: float,
         now_us: int,
-        sure: bool = False,
+        history_complete: bool = False,
     ) -> None:
         self.max_lease_us = max_lease_us
         self.drift = drift
-        unknown_lease_us = 0 if sure else widen_for_drift(max_lease_us, drift)
+        unknown_lease_us = (
+            0 if history_complete else widen_for_drift(max_lease_us, drift)
+        )
         self.grants_from_us = now_us + unknown_lease_us
-        self.sure = sure
-        self.opened = sure
+        self.history_complete = history_complete
+        self.opened = history_complete
         """Whether grants of all budgets have begun."""
-        self.new_reserves_blocked = not sure
+        self.new_reserves_blocked = not history_complete
         self.persisted = True
         """Whether `opened` and `new_reserves_blocked` are on disk."""
         self.budget_accounts: dict[str, BudgetAccounts] = {}
@@ -182,7 +184,7 @@
             accounts.deconfigured = destination not in configured
 
     def _add_budget(self, budget: Budget) -> BudgetAccounts:
-        unknown_window_us = 0 if self.sure else budget.window_us(self.drift)
+        unknown_window_us = 0 if self.history_complete else budget.window_us(self.drift)
         grants_from_us = self.grants_from_us + unknown_window_us
         accounts = BudgetAccounts(budget, self.drift, grants_from_us)
         accounts.new_reserves_blocked = self.new_reserves_blocked
@@ -208,7 +210,7 @@
         name: str,
         follows: Token | None,
         now_us: int,
-        keeps: Mapping[str, int] | None = None,
+        kept_reserves: Mapping[str, int] | None = None,
     ) -> None:
         """Add a process that is active under this token.
 
@@ -220,7 +222,7 @@
             follows: The former token of the process, or the token of the process whose
                 folder it took over under lock; None without either.
             now_us: The present time.
-            keeps: The reserves that it holds from `follows`, by destination.
+            kept_reserves: The reserves that it holds from `follows`, by destination.
         """
         self.names[token] = name
         self.presumed_until_us.pop(token, None)
@@ -229,7 +231,7 @@
             account = accounts.accounts.setdefault(token, MemberAccount(name, token))
             if predecessor_token is not None:
                 predecessor = accounts.accounts.get(predecessor_token)
-                kept_reserve = (keeps or {}).get(destination, 0)
+                kept_reserve = (kept_reserves or {}).get(destination, 0)
                 accounts.transfer_reserve(account, predecessor, kept_reserve, now_us)
         if predecessor_token is not None:
             self.names.pop(predecessor_token, None)
@@ -237,16 +239,16 @@
     def heartbeat(
         self,
         token: Token,
-        needs: Mapping[str, Mapping[str, int]],
-        holds: Mapping[str, HeldShare],
+        demand: Mapping[str, Mapping[str, int]],
+        held_shares: Mapping[str, HeldShare],
         now_us: int,
     ) -> bool:
         """Process a heartbeat: store the demand and acknowledge the held shares.
 
         Args:
             token: The process's token.
-            needs: Calls wanted in a span, by destination and part.
-            holds: The newest share that the process holds, by destination.
+            demand: Calls wanted in a span, by destination and part.
+            held_shares: The newest share that the process holds, by destination.
             now_us: The present time.
 
         Returns:
@@ -257,9 +259,9 @@
         self.presumed_until_us.pop(token, None)
         for destination, accounts in self.budget_accounts.items():
             account = accounts.accounts[token]
-            accounts.set_demand(account, needs.get(destination, {}))
-            if destination in holds:
-                calls, number = holds[destination]
+            accounts.set_demand(account, demand.get(destination, {}))
+            if destination in held_shares:
+                calls, number = held_shares[destination]
                 accounts.acknowledge(account, calls, number, now_us)
         return True
 
--- a/rainfall/budget/member_quota.py
+++ b/rainfall/budget/member_quota.py
@@ -139,7 +139,7 @@
             "token": share.token.to_wire(),
             "number": share.number,
             "reserve": share.reserve,
-            "whole": share.whole,
+            "whole": share.total,
             "span_us": share.span_us,
             "slack_us": share.slack_us,
         }
@@ -205,7 +205,7 @@
         number=number,
         calls=reserve,
         reserve=reserve,
-        whole=int(record["whole"]),
+        total=int(record["whole"]),
         span_us=int(record["span_us"]),
         slack_us=int(record["slack_us"]),
     )
--- a/rainfall/budget/model.py
+++ b/rainfall/budget/model.py
@@ -89,8 +89,8 @@
             span,
             reserve,
             seats or members,
-            change=0.0,
-            loose=0.0,
+            min_gain_fraction=0.0,
+            unassigned_fraction=0.0,
             pause_us=0,
             slack_us=0,
         )
@@ -122,7 +122,11 @@
     def start(self) -> ModelState:
         """All members have joined, and the first holds all calls that can be granted."""
         ledger = Ledger(
-            [self.budget], self.service_lease_ticks, self.drift, 0, sure=True
+            [self.budget],
+            self.service_lease_ticks,
+            self.drift,
+            0,
+            history_complete=True,
         )
         ledger = self._with_mutation(ledger)
         state = ModelState(
@@ -348,7 +352,7 @@
             state.now,
             disk,
             [],
-            sure=not self.lost,
+            history_complete=not self.lost,
         )
         if self.bug == "lost folder grants at once":
             ledger.opened, ledger.budget_accounts["d"].grants_from_us = True, state.now
--- a/rainfall/budget/persistence.py
+++ b/rainfall/budget/persistence.py
@@ -68,9 +68,9 @@
     lease_us: int,
     drift: float,
     now_us: int,
-    snap: Mapping[str, Any] | None,
+    stored_snapshot: Mapping[str, Any] | None,
     lines: Iterable[Mapping[str, Any]],
-    sure: bool = True,
+    history_complete: bool = True,
 ) -> Ledger:
     """Restore a ledger after a start; call `member_joined` for each member next.
 
@@ -83,20 +83,20 @@
         lease_us: The longest time to live of a lease.
         drift: Fraction by which the rates of two clocks may differ.
         now_us: The present time.
-        snap: The snapshot; None without one.
+        stored_snapshot: The snapshot; None without one.
         lines: The records of changes; those up to the snapshot are skipped.
-        sure: Whether these are the newest records. If they may be an older copy, or
+        history_complete: Whether these are the newest records. If they may be an older copy, or
             there are none, nothing is granted for a lease and a window.
 
     Raises:
         KeyError, TypeError, ValueError: The records cannot be decoded.
     """
     changes = [Change.from_record(line) for line in lines]
-    sure = sure and _was_opened(snap, changes)
-    ledger = Ledger(budgets, lease_us, drift, now_us, sure)
-    ends = _restore_snapshot(ledger, snap, now_us)
-    ledger.number = int(snap["number"]) if snap else 0
-    blocked = bool(snap["shut"]) if snap else False
+    history_complete = history_complete and _was_opened(stored_snapshot, changes)
+    ledger = Ledger(budgets, lease_us, drift, now_us, history_complete)
+    ends = _restore_snapshot(ledger, stored_snapshot, now_us)
+    ledger.number = int(stored_snapshot["number"]) if stored_snapshot else 0
+    blocked = bool(stored_snapshot["shut"]) if stored_snapshot else False
     for change in changes:
         if change.number <= ledger.number:
             continue  # Contained in the snapshot, or written twice.
@@ -106,7 +106,7 @@
     for end in ends:
         _apply_end(ledger, end, now_us)
     _presume_members_active(ledger, now_us + widen_for_drift(lease_us, drift))
-    ledger.new_reserves_blocked = blocked or not sure
+    ledger.new_reserves_blocked = blocked or not history_complete
     for accounts in ledger.budget_accounts.values():
         accounts.new_reserves_blocked = ledger.new_reserves_blocked
     _complete_accounts(ledger)
--- a/rainfall/budget/rebalancing.py
+++ b/rainfall/budget/rebalancing.py
@@ -74,7 +74,7 @@
     accounts.inputs_changed = False
     allocation.evaluated_at_us = now_us
     if reason is RebalanceReason.DEMAND:
-        min_gain = max(1, accounts.budget.change * accounts.budget.calls)
+        min_gain = max(1, accounts.budget.min_gain_fraction * accounts.budget.calls)
         if _demand_gain(members, division.shares) < min_gain:
             return
     if reason is RebalanceReason.TOTAL_LOWERED:
@@ -187,9 +187,9 @@
         {account.token: account.demand for account in members},
         budget.weights,
         floors,
-        budget.least,
+        budget.min_calls,
         allocation.credit,
-        int(budget.loose * budget.calls),
+        int(budget.unassigned_fraction * budget.calls),
     )
 
 
--- a/rainfall/budget/types.py
+++ b/rainfall/budget/types.py
@@ -58,11 +58,11 @@
     members_max: int = 1
     weights: Mapping[str, int] = field(default_factory=dict)
     """Weights of classes and tenants; an unset weight is 1."""
-    least: int = 1
+    min_calls: int = 1
     """Calls that a member with demand gets at least, or its demand, if calls suffice."""
-    change: float = 0.05
+    min_gain_fraction: float = 0.05
     """Fraction of the total that a division for changed demand must serve in addition."""
-    loose: float = 0.05
+    unassigned_fraction: float = 0.05
     """Fraction of the total that is left unassigned, to be lent to bursts, if not wanted."""
     pause_us: int = 1_000_000
     """Minimum time between divisions; shorter if a member with demand has no share."""
@@ -85,7 +85,7 @@
     """Most calls in any sliding span while the lease is valid; includes the reserve."""
     reserve: int
     """Most calls in any sliding span without a valid lease."""
-    whole: int
+    total: int
     """The budget's total."""
     span_us: int
     slack_us: int
--- a/rainfall/forwarder/fleet/quotas.py
+++ b/rainfall/forwarder/fleet/quotas.py
@@ -484,7 +484,7 @@
             quota = account.quota
             quota.window.drop_expired(now_us)
             metrics[str(destination)] = {
-                "whole": quota.share.whole,
+                "whole": quota.share.total,
                 "span_ms": quota.share.span_us // US_PER_MS,
                 "share": quota.limit(now_us),
                 "used": quota.window.call_count,
@@ -513,7 +513,7 @@
                 self.authority(account, now_us),
                 share.calls,
                 share.reserve,
-                share.whole,
+                share.total,
                 share.span_us,
             )
             if current == account.last_logged:
--- a/rainfall/lease/model.py
+++ b/rainfall/lease/model.py
@@ -67,9 +67,9 @@
 class TableWithoutEpochRaise(LeaseTable):
     """Mutation: a token of another history does not raise the epoch."""
 
-    def observe_token(self, seen: Token) -> Record | None:
+    def observe_token(self, highest_seen: Token) -> Record | None:
         """Ignore the token."""
-        del seen
+        del highest_seen
         return None
 
 
@@ -115,7 +115,7 @@
         bug: One of `MUTATIONS`, or none.
         wall: Each start passes a higher `min_epoch`, as by a wall clock; otherwise
             `min_epoch` is 0.
-        unnoticed: A start with an older copy of the folder counts as `sure`.
+        unnoticed: A start with an older copy of the folder counts as `history_complete`.
         asks: Most requests of each holder.
         starts: Most starts of the service.
         copies: Most messages that may be duplicated.
--- a/rainfall/lease/table.py
+++ b/rainfall/lease/table.py
@@ -125,12 +125,12 @@
         self._started_at_us = 0
         self._grants_from_us = 0
 
-    def start(self, now_us: int, sure: bool, min_epoch: int = 0) -> Record:
+    def start(self, now_us: int, history_complete: bool, min_epoch: int = 0) -> Record:
         """Begin an epoch; no lease is granted or renewed until its record is committed.
 
         Args:
             now_us: The present time.
-            sure: Whether the folder is complete, as the last process left it; a torn
+            history_complete: Whether the folder is complete, as the last process left it; a torn
                 last line is allowed. If it is not, all known leases are dropped, and
                 the first grant waits for the longest lease to expire.
             min_epoch: Lower limit of the new epoch: a wall clock in seconds, or a
@@ -138,7 +138,9 @@
         """
         self._now_us = now_us
         self._started_at_us = now_us
-        self.history_uncertain = self.history_uncertain or not sure or not self.epoch
+        self.history_uncertain = (
+            self.history_uncertain or not history_complete or not self.epoch
+        )
         self.longest_ttl_us = max(
             self.longest_ttl_us if self.history_uncertain else 0,
             self.settings.max_ttl_us,
@@ -156,7 +158,7 @@
         self._start_record = record["n"]
         return record
 
-    def observe_token(self, seen: Token) -> Record | None:
+    def observe_token(self, highest_seen: Token) -> Record | None:
         """Process a token that a client has seen.
 
         If it is above every token that this service issued, the service's epoch is
@@ -169,16 +171,16 @@
             LeaseRejectedError: 422, the token's epoch is more than `MAX_EPOCH_JUMP`
                 above the service's.
         """
-        if seen <= self._highest_issued:
+        if highest_seen <= self._highest_issued:
             return None
-        if seen.epoch > self._highest_issued.epoch + MAX_EPOCH_JUMP:
+        if highest_seen.epoch > self._highest_issued.epoch + MAX_EPOCH_JUMP:
             fault = (
-                f"seen: epoch {seen.epoch} is too far above this service's epoch"
+                f"seen: epoch {highest_seen.epoch} is too far above this service's epoch"
                 f" {self._highest_issued.epoch}: if it is valid, raise the service's minimum epoch"
             )
             raise LeaseRejectedError(UNPROCESSABLE, [fault])
         self._delay_grants()
-        self._raise_epoch(seen.epoch)
+        self._raise_epoch(highest_seen.epoch)
         return self._new_record(RecordKind.EPOCH, epoch=self._highest_issued.epoch)
 
     def _delay_grants(self) -> None:
@@ -197,8 +199,8 @@
         name: str,
         holder: str,
         ttl_us: int,
-        seen: Token = ZERO_TOKEN,
-        shown: Token = ZERO_TOKEN,
+        highest_seen: Token = ZERO_TOKEN,
+        presented_token: Token = ZERO_TOKEN,
         note: Mapping[str, str] | None = None,
     ) -> LeaseGrant | LeaseUnavailable:
         """Acquire a lease.
@@ -207,11 +209,11 @@
             now_us: The present time.
             name: The name to lease.
             holder: Identifies one run of one process. A repeated request of the same
-                holder renews its lease; a new lease is granted if `seen` shows that the
+                holder renews its lease; a new lease is granted if `highest_seen` shows that the
                 holder has seen the lease's token and so no longer uses it.
             ttl_us: How long the lease lasts after each renewal.
-            seen: The highest token that the caller has seen.
-            shown: The token of the lease in force, presented by its process after a
+            highest_seen: The highest token that the caller has seen.
+            presented_token: The token of the lease in force, presented by its process after a
                 restart: the lease is then granted again at once.
             note: Stored with the lease for its readers.
 
@@ -222,15 +224,15 @@
         if faults := request_faults(self.settings, name, holder, ttl_us, note):
             raise LeaseRejectedError(BAD_REQUEST, faults)
         now_us = self._advance_clock(now_us)
-        epoch_record = self.observe_token(seen)
+        epoch_record = self.observe_token(highest_seen)
         if unavailable := self._blocked_grant(now_us, name, epoch_record):
             return unavailable
         lease = self.leases.get(name)
         if lease is not None and now_us < lease.expires_at_us:
             same = lease.holder == holder and not lease.revoked
-            if same and seen < lease.token:
+            if same and highest_seen < lease.token:
                 return self._renew_lease(now_us, lease, epoch_record)
-            if not same and (shown != lease.token or lease.revoked):
+            if not same and (presented_token != lease.token or lease.revoked):
                 wait_us = lease.expires_at_us - now_us
                 return LeaseUnavailable(wait_us, f"{name} is held", epoch_record)
         if lease is None:
@@ -269,7 +271,7 @@
         return LeaseGrant(name, self._highest_issued, ttl_us, record)
 
     def renew(
-        self, now_us: int, name: str, token: Token, seen: Token = ZERO_TOKEN
+        self, now_us: int, name: str, token: Token, highest_seen: Token = ZERO_TOKEN
     ) -> LeaseGrant | LeaseUnavailable:
         """Renew a lease for its whole time to live.
 
@@ -282,7 +284,7 @@
                 being written.
         """
         now_us = self._advance_clock(now_us)
-        epoch_record = self.observe_token(max(seen, token))
+        epoch_record = self.observe_token(max(highest_seen, token))
         if not self.started or (
             self.history_uncertain and self._time_until_grants_us(now_us)
         ):
--- a/rainfall/member/roster.py
+++ b/rainfall/member/roster.py
@@ -205,8 +205,8 @@
         site: str,
         dial: str,
         run: str = "",
-        shown: Token = ZERO_TOKEN,
-        seen: Token = ZERO_TOKEN,
+        presented_token: Token = ZERO_TOKEN,
+        highest_seen: Token = ZERO_TOKEN,
     ) -> LeaseGrant | LeaseUnavailable:
         """Acquire the lease of a member; its token identifies the incarnation.
 
@@ -220,8 +220,8 @@
             run: Unique id of this run of the process; may be empty. A join that is
                 repeated with the same id, because its answer was lost, returns the same
                 token.
-            shown: The token of the lease in force, if the process has it.
-            seen: The highest token that the process has seen.
+            presented_token: The token of the lease in force, if the process has it.
+            highest_seen: The highest token that the process has seen.
 
         Raises:
             LeaseRejectedError: 400 for an invalid request, 422 for too many leases.
@@ -237,8 +237,8 @@
             MEMBER_LEASE_PREFIX + name,
             holder,
             self.ttl_us,
-            seen,
-            shown,
+            highest_seen,
+            presented_token,
             {"site": site, "dial": dial},
         )
         if isinstance(answer, LeaseGrant) and self._is_current(name, answer.token):
--- a/rainfall/registry/budget_extension.py
+++ b/rainfall/registry/budget_extension.py
@@ -190,7 +190,7 @@
                 "calls": share.calls,
                 "number": share.number,
                 "reserve": share.reserve,
-                "whole": share.whole,
+                "whole": share.total,
                 "span_ms": share.span_us // US_PER_MS,
                 "slack_ms": share.slack_us // US_PER_MS,
             }
--- a/tests/budget/test_budget.py
+++ b/tests/budget/test_budget.py
@@ -159,7 +159,11 @@
         self.suspended, self.tokens_by_quota = [], {}
         self.token_count, self.epoch, self.leases, self.names_by_token = 0, 1, {}, {}
         self.ledger = Ledger(
-            [self.budget(whole)], self.scaled_ttl(1 + DRIFT), DRIFT, 0, sure=True
+            [self.budget(whole)],
+            self.scaled_ttl(1 + DRIFT),
+            DRIFT,
+            0,
+            history_complete=True,
         )
         self.snapshot, self.lines = None, []
         self.processes = {
@@ -342,7 +346,7 @@
             at,
             self.snapshot,
             self.lines,
-            sure=not lost,
+            history_complete=not lost,
         )
         for token in self.leases:
             self.leases[token] = at + self.scaled_ttl(1 + DRIFT)
@@ -438,7 +442,7 @@
                 SPAN,
                 reserve,
                 members_max,
-                loose=0.0,
+                unassigned_fraction=0.0,
                 pause_us=0,
                 slack_us=SLACK,
             )
@@ -446,7 +450,7 @@
         TTL,
         DRIFT,
         0,
-        sure=sure,
+        history_complete=sure,
     )
     tokens, quotas = (
         [Token(1, 1), Token(1, 2)],
@@ -548,7 +552,13 @@
     copy["books"]["d"]["accounts"][0][4] = [[1, 1, 0]]
     copy["books"]["d"]["accounts"][0][2] = 0
     restored = restore(
-        [ledger.budget_accounts["d"].budget], TTL, DRIFT, 0, copy, [], sure=False
+        [ledger.budget_accounts["d"].budget],
+        TTL,
+        DRIFT,
+        0,
+        copy,
+        [],
+        history_complete=False,
     )
     assert (
         restored.budget_accounts["d"].committed_calls() == 1
@@ -628,7 +638,9 @@
     """Nothing is granted for a lease and a window; a restart within them starts the wait
     again. No new reserve is granted until an operator confirms the reserves.
     """
-    budgets = [Budget("d", 6, SPAN, 1, 3, loose=0.0, pause_us=0, slack_us=SLACK)]
+    budgets = [
+        Budget("d", 6, SPAN, 1, 3, unassigned_fraction=0.0, pause_us=0, slack_us=SLACK)
+    ]
     first = restore(budgets, TTL, DRIFT, 0, None, [])
     first.lease_expired(Token(1, 1), 0)
     again = restore(
--- a/tests/lease/test_lease.py
+++ b/tests/lease/test_lease.py
@@ -271,7 +271,7 @@
         "note.site",
     ]
     with pytest.raises(LeaseRejectedError) as raised:
-        table.acquire(OUT, "x", "A", 8, seen=Token(1 << 40, 1))
+        table.acquire(OUT, "x", "A", 8, highest_seen=Token(1 << 40, 1))
     assert raised.value.status == 422 and "epoch 1099511627776" in str(raised.value)
     assert table.snapshot() == before and table._highest_issued == Token(1, 1)
 
--- a/tests/member/test_roster.py
+++ b/tests/member/test_roster.py
@@ -180,7 +180,7 @@
             isinstance(other, LeaseUnavailable)
             and other.retry_after_us == 41 + OUT - 42
         )
-    again = fleet.join(43, "f1", run="two", shown=first.token)
+    again = fleet.join(43, "f1", run="two", presented_token=first.token)
     assert isinstance(again, LeaseGrant) and again.token > first.token
     with pytest.raises(LeaseRejectedError) as raised:
         fleet.roster.heartbeat(44, "f1", first.token)
