--- a/rainfall/forwarder/engine/ownership.py
+++ b/rainfall/forwarder/engine/ownership.py
@@ -60,7 +60,7 @@
         self.handover_source.confirm_transfer()
         events = self.events.take_events()
         undecided = self.intake.take_undecided()
-        self.store.forget_messages()
+        self.store.clear_messages()
         self.pool.retire()
         for event in events:
             self.events.post(event)
--- a/rainfall/forwarder/fleet/state_file.py
+++ b/rainfall/forwarder/fleet/state_file.py
@@ -143,7 +143,7 @@
             return
         self.last_written = b""
         new_path = self.path.with_suffix(".new")
-        fd = self.files.open(new_path, anew=True)
+        fd = self.files.open(new_path, truncate=True)
         try:
             write_all(self.files, fd, data, 0)
             if self.synced:
--- a/rainfall/journal/__main__.py
+++ b/rainfall/journal/__main__.py
@@ -27,7 +27,7 @@
 EXIT_DAMAGED = 1
 EXIT_UNUSABLE = 2
 """The arguments are invalid, or the journal is missing or cannot be opened."""
-MAX_NAMED = 20
+MAX_LISTED_IDS = 20
 """Maximum number of message ids on one printed line."""
 REREAD_DELAY_S = 0.2
 """Delay before the second read: longer than a write that is in progress."""
@@ -67,8 +67,10 @@
 
 def _count_messages_in_doubt(state: JournalState, report: RecoveryReport) -> None:
     in_doubt = [message for message in state.messages.values() if message.in_doubt]
-    report.ended = sum(message.order_key is not None for message in in_doubt)
-    report.doubted = len(in_doubt) - report.ended
+    report.ordered_messages_failed = sum(
+        message.order_key is not None for message in in_doubt
+    )
+    report.messages_in_doubt = len(in_doubt) - report.ordered_messages_failed
 
 
 def check(location: Path) -> int:
@@ -127,18 +129,18 @@
         lines.append(
             f"accepted but lost: {len(report.lost)} messages: {_join_ids(report.lost)}"
         )
-    if report.doubted or report.ended:
+    if report.messages_in_doubt or report.ordered_messages_failed:
         names = [message.id for message in state.messages.values() if message.in_doubt]
         lines.append(
             f"in doubt, as an attempt or outcome may be lost: {len(names)} messages "
-            f"({report.ended} ordered, failed at the next start): {_join_ids(names)}"
+            f"({report.ordered_messages_failed} ordered, failed at the next start): {_join_ids(names)}"
         )
     return lines
 
 
 def _join_ids(names: list[str]) -> str:
-    more = ", ..." if len(names) > MAX_NAMED else ""
-    return ", ".join(names[:MAX_NAMED]) + more
+    more = ", ..." if len(names) > MAX_LISTED_IDS else ""
+    return ", ".join(names[:MAX_LISTED_IDS]) + more
 
 
 def show(location: Path, bodies: bool) -> int:
--- a/rainfall/journal/files.py
+++ b/rainfall/journal/files.py
@@ -22,10 +22,10 @@
     def size(self, path: Path) -> int:
         """Return a file's size in bytes."""
 
-    def open(self, path: Path, anew: bool = False) -> int:
+    def open(self, path: Path, truncate: bool = False) -> int:
         """Open a file for reading and writing, creating it if it does not exist.
 
-        `anew` truncates the file. Returns the descriptor.
+        `truncate` truncates the file. Returns the descriptor.
         """
 
     def write(self, fd: int, data: memoryview, offset: int) -> int:
@@ -64,9 +64,9 @@
         """Return a file's size in bytes."""
         return path.stat().st_size
 
-    def open(self, path: Path, anew: bool = False) -> int:
+    def open(self, path: Path, truncate: bool = False) -> int:
         """Open a file for reading and writing, creating it if it does not exist."""
-        flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | (os.O_TRUNC if anew else 0)
+        flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | (os.O_TRUNC if truncate else 0)
         return os.open(path, flags, FILE_MODE)
 
     def write(self, fd: int, data: memoryview, offset: int) -> int:
--- a/rainfall/journal/recovery.py
+++ b/rainfall/journal/recovery.py
@@ -56,9 +56,9 @@
     """Bytes at the end that belong to a write that was never completed."""
     unknown: int = 0
     """Records of a form that this program does not support."""
-    doubted: int = 0
+    messages_in_doubt: int = 0
     """Messages to which an attempt that may have been executed was added."""
-    ended: int = 0
+    ordered_messages_failed: int = 0
     """Messages with an order key that were ended as failed."""
     lost: list[str] = field(default_factory=list)
     """Ids of accepted messages whose own records cannot be read."""
@@ -78,7 +78,9 @@
     @property
     def changed(self) -> bool:
         """Whether recovery has made the state differ from the file."""
-        return bool(self.doubted or self.ended or self.shifted_us)
+        return bool(
+            self.messages_in_doubt or self.ordered_messages_failed or self.shifted_us
+        )
 
     @property
     def damaged(self) -> bool:
@@ -104,8 +106,8 @@
             "head_damaged": self.head_damaged,
             "torn": self.torn,
             "unknown": self.unknown,
-            "doubted": self.doubted,
-            "ended": self.ended,
+            "doubted": self.messages_in_doubt,
+            "ended": self.ordered_messages_failed,
             "another_boot": self.another_boot,
             "shifted_us": self.shifted_us,
             "took_ms": round(self.took_ms, 1),
@@ -146,10 +148,10 @@
         parts = []
         if self.another_boot:
             parts.append("the machine has rebooted since it was written")
-        if self.doubted or self.ended:
+        if self.messages_in_doubt or self.ordered_messages_failed:
             parts.append(
-                f"{self.doubted} messages in doubt, "
-                f"{self.ended} ordered messages in doubt ended as failed"
+                f"{self.messages_in_doubt} messages in doubt, "
+                f"{self.ordered_messages_failed} ordered messages in doubt ended as failed"
             )
         if self.lost:
             parts.append(f"{len(self.lost)} messages lost")
@@ -180,7 +182,7 @@
             # leaves no others in doubt.
             state.damaged = True
         else:
-            state.mark_in_doubt()
+            state.mark_all_in_doubt()
 
 
 def _is_within_checkpoint(gap: Gap, checkpoint_frames: int) -> bool:
@@ -270,8 +272,8 @@
         )
     state.clock = now
     resolved = state.resolve_doubts()
-    report.doubted = resolved.with_assumed_attempt
-    report.ended = resolved.ended
+    report.messages_in_doubt = resolved.with_assumed_attempt
+    report.ordered_messages_failed = resolved.ended
     report.lost = list(state.lost_messages)
     report.took_ms = (time.monotonic() - began_s) * MS_PER_S
     return report
@@ -288,7 +290,7 @@
         stored.boot_id and now.boot_id and stored.boot_id != now.boot_id
     )
     if report.another_boot and not state.closed_cleanly and not report.power:
-        state.mark_in_doubt()
+        state.mark_all_in_doubt()
 
 
 def _adjust_to_clock(
--- a/rainfall/journal/state.py
+++ b/rainfall/journal/state.py
@@ -129,7 +129,7 @@
     def _log_unknown_record(error: Exception) -> None:
         log.error("journal: skipping a record of unknown form: %r", error)
 
-    def mark_in_doubt(self) -> None:
+    def mark_all_in_doubt(self) -> None:
         """Mark all current messages as in doubt, because records are missing here.
 
         The missing records may be attempts or outcomes of these messages.
@@ -201,7 +201,7 @@
         self.live_index.change_deadline(message.id, message.deadline_us, deadline_us)
         message.deadline_us = deadline_us
 
-    def forget_messages(self) -> None:
+    def clear_messages(self) -> None:
         """Remove all messages, because another process has taken ownership of them."""
         self.messages.clear()
         self.live_index.clear()
--- a/rainfall/journal/writer.py
+++ b/rainfall/journal/writer.py
@@ -295,7 +295,7 @@
                 raise OSError(
                     errno.ENOSPC, "old and new file together exceed the limit on disk"
                 )
-            fd = self.files.open(self.new_path, anew=True)
+            fd = self.files.open(self.new_path, truncate=True)
             write_all(self.files, fd, data, 0)
             if self.worker is None:
                 self.files.replace(self.new_path, self.path)
--- a/rainfall/registry/storage.py
+++ b/rainfall/registry/storage.py
@@ -164,7 +164,7 @@
             failed after the rename.
     """
     new = path.with_name(path.name + ".new")
-    fd = files.open(new, anew=True)
+    fd = files.open(new, truncate=True)
     try:
         write_all(files, fd, data, 0)
         files.sync(fd)
--- a/tests/forwarder/test_descriptor_limits.py
+++ b/tests/forwarder/test_descriptor_limits.py
@@ -431,10 +431,10 @@
 
     failing = ""
 
-    def open(self, path: Path, anew: bool = False) -> int:
+    def open(self, path: Path, truncate: bool = False) -> int:
         if self.failing == "open":
             raise OSError(errno.EMFILE, "Too many open files")
-        return super().open(path, anew)
+        return super().open(path, truncate)
 
     def sync_directory(self, path: Path) -> None:
         if self.failing == "folder":
--- a/tests/forwarder/test_regular_work.py
+++ b/tests/forwarder/test_regular_work.py
@@ -70,7 +70,7 @@
 def test_discarded_messages_are_in_no_index() -> None:
     state = JournalState()
     state._add_message(accepted("m", 7, 5))
-    state.forget_messages()
+    state.clear_messages()
     assert (
         not state.messages
         and not state.live_index.with_deadline_before(S)
--- a/tests/journal/test_recovery.py
+++ b/tests/journal/test_recovery.py
@@ -268,7 +268,7 @@
     assert (
         recovered_again.comparable_contents() == contents
         and not recovered_again.report.damaged
-        and not recovered_again.report.doubted
+        and not recovered_again.report.messages_in_doubt
     )
 
 
@@ -581,7 +581,10 @@
         recovered.pending_notifications == {"t": PendingNotification("failed", 0, "K")}
         and "t" not in recovered.messages
     )
-    assert (recovered.report.doubted, recovered.report.ended) == (2, 1)
+    assert (
+        recovered.report.messages_in_doubt,
+        recovered.report.ordered_messages_failed,
+    ) == (2, 1)
 
 
 @pytest.mark.parametrize("by_s", [-3600, 3600])
@@ -632,7 +635,10 @@
             "rainfall.forwarder.message_store.this_boot", lambda: "boot 2"
         )
         recovered = opened(disk, Hands() if power else None, base=10**15 - SECOND_US)
-        assert recovered.report.another_boot and recovered.report.doubted == doubted
+        assert (
+            recovered.report.another_boot
+            and recovered.report.messages_in_doubt == doubted
+        )
         assert bool(recovered.messages["a"].in_flight) is bool(doubted)
 
 
--- a/tests/support/memory_disk.py
+++ b/tests/support/memory_disk.py
@@ -65,7 +65,7 @@
     def size(self, path: Path) -> int:
         return len(self.read(path))
 
-    def open(self, path: Path, anew: bool = False) -> int:
+    def open(self, path: Path, truncate: bool = False) -> int:
         self.step()
         if path.name not in self.names:
             if self.used() >= self.room:
@@ -73,7 +73,7 @@
             self.names[path.name] = Inode()
             self.changed()
         inode = self.names[path.name]
-        if anew:
+        if truncate:
             inode.data, inode.synced, inode.writes = bytearray(), b"", []
         fd = max(self.open_files, default=2) + 1
         self.open_files[fd] = inode
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -94,7 +94,7 @@
     "budget.fair_share.MAX_CREDIT": NUMBER,
     "budget.demand.MAX_PARTS": "separate parts of one destination's demand; the others are merged into one",
     "dispatch.endpoint_list.MAX_POLL_RETRY_US": NUMBER,
-    "journal.__main__.MAX_NAMED": "names on one printed line; the report contains all of them",
+    "journal.__main__.MAX_LISTED_IDS": "names on one printed line; the report contains all of them",
     "journal.format.MAX_FRAME_NUMBER": NUMBER,
     "journal.format.MAX_V1_RECORD_BYTES": TEXT,
     "journal.format.MAX_RECORD_BYTES": TEXT,
@@ -354,7 +354,7 @@
 
 def test_lost_messages_are_listed_up_to_the_limit() -> None:
     state = JournalState()
-    state.mark_in_doubt()
+    state.mark_all_in_doubt()
     for n in range(MAX_LOST_MESSAGES + 1):
         state.apply_record(json.dumps(["a", f"m{n}", 0, 1, "s1"]).encode())
     assert len(state.lost_messages) == MAX_LOST_MESSAGES >= MIN_LIST_BOUND
