--- a/rainfall/budget/model.py
+++ b/rainfall/budget/model.py
@@ -445,7 +445,7 @@
 
     # -- invariants
 
-    def broken(self, state: ModelState) -> str:
+    def violation(self, state: ModelState) -> str:
         """The violated invariant: calls sent, or allowed by quotas, stay within the total."""
         whole, reserve = self.budget.calls, self.budget.reserve
         recent = sum(
--- a/rainfall/lease/model.py
+++ b/rainfall/lease/model.py
@@ -415,7 +415,7 @@
 
     # -- invariants
 
-    def broken(self, state: ModelState) -> str:
+    def violation(self, state: ModelState) -> str:
         """The violated invariant: tokens increase, and one holder at most may act.
 
         The latter is checked by the leases' validity alone, without the guard.
--- a/rainfall/model_checker/search.py
+++ b/rainfall/model_checker/search.py
@@ -32,7 +32,7 @@
         It leaves out names, history and absolute times.
         """
 
-    def broken(self, state: StateType) -> str:
+    def violation(self, state: StateType) -> str:
         """Return the invariant that is violated in a state; empty where all hold."""
 
 
@@ -73,7 +73,7 @@
 ) -> SearchResult:
     """Visit the states within `depth` steps, until a violation or `max_states` states."""
     first = model.start()
-    if violation := model.broken(first):
+    if violation := model.violation(first):
         return SearchResult(1, 0, False, violation)
     origins = [_Origin(-1, "")]
     seen = {model.key(first)}
@@ -89,7 +89,7 @@
             seen.add(key)
             number = len(origins)
             origins.append(_Origin(current.number, step))
-            if violation := model.broken(after):
+            if violation := model.violation(after):
                 trace = _trace(origins, number)
                 return SearchResult(len(seen), current.depth, False, violation, trace)
             if len(seen) >= max_states:
--- a/rainfall/session/model_liveness.py
+++ b/rainfall/session/model_liveness.py
@@ -63,7 +63,7 @@
             state.events_left["gone"],
         )
 
-    def broken(self, state: ModelState) -> str:
+    def violation(self, state: ModelState) -> str:
         """Return the invariant that is violated in a state; empty where all hold."""
         return safety_violation(state) or self._settling_violation(state)
 
--- a/rainfall/shard/model.py
+++ b/rainfall/shard/model.py
@@ -455,7 +455,7 @@
 
     # Invariants.
 
-    def broken(self, state: ModelState) -> str:
+    def violation(self, state: ModelState) -> str:
         """Return a violated invariant; empty if none.
 
         At most one member acts on a key, and the service counts each key exactly once, as
--- a/tests/model_checker/test_search.py
+++ b/tests/model_checker/test_search.py
@@ -15,7 +15,7 @@
 State = tuple[tuple[str, str], str]
 
 
-class TwoAtOneDoor:
+class CriticalSectionModel:
     """Two processes that check a flag before they enter a critical section.
 
     Unless `locked`, the check does not set the flag, so both may enter.
@@ -47,30 +47,30 @@
     def key(self, state: State) -> Hashable:
         return state
 
-    def broken(self, state: State) -> str:
+    def violation(self, state: State) -> str:
         return "two inside" if state[0] == ("in", "in") else ""
 
 
 def test_search_returns_shortest_trace_to_violation() -> None:
-    result = explore(TwoAtOneDoor(), 20)
+    result = explore(CriticalSectionModel(), 20)
     assert result.violation == "two inside"
     assert len(result.trace) == 4 and sorted(result.trace[:2]) == ["0 looks", "1 looks"]
 
 
 def test_search_without_violation_reports_extent() -> None:
-    complete = explore(TwoAtOneDoor(locked=True), 20)
+    complete = explore(CriticalSectionModel(locked=True), 20)
     assert (complete.violation, complete.complete, complete.states) == (
         "",
         True,
         5,
     )  # both out; one has looked; one is in
-    bounded_by_depth = explore(TwoAtOneDoor(locked=True), 1)
+    bounded_by_depth = explore(CriticalSectionModel(locked=True), 1)
     assert (
         bounded_by_depth.complete,
         bounded_by_depth.depth,
         bounded_by_depth.states,
     ) == (False, 1, 3)
-    bounded_by_states = explore(TwoAtOneDoor(locked=True), 20, max_states=2)
+    bounded_by_states = explore(CriticalSectionModel(locked=True), 20, max_states=2)
     assert not bounded_by_states.complete and bounded_by_states.states == 2
 
 
@@ -96,6 +96,9 @@
 def test_command_prints_violation_and_returns_exit_status(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    assert main(["tests.model_checker.test_search:TwoAtOneDoor", "--depth", "9"]) == 1
+    assert (
+        main(["tests.model_checker.test_search:CriticalSectionModel", "--depth", "9"])
+        == 1
+    )
     assert "violated: two inside" in capsys.readouterr().out
     assert main(["tests.model_checker.test_search:Nothing"]) == 2
