--- a/rainfall/dispatch/expiry.py
+++ b/rainfall/dispatch/expiry.py
@@ -1,9 +1,9 @@
-"""Gives up waiting messages that will not be delivered in time.
+"""Drops queued messages that cannot be delivered in time.
 
-A message whose remaining time is shorter than its expected call gets its final answer
-at once (the drop of unsent messages in PAPER). In a congested queue, messages that have
-lost much of their weight are shed in favor of newer ones; otherwise all messages would
-be late. Times are integer microseconds.
+A message with less time left than its call is expected to take gets its final answer
+at once (PAPER, drop of unsent messages). In a congested queue, messages that have lost
+enough of their weight (`ClassQueue.sheddable_after`) are shed in favor of newer ones;
+otherwise all messages would be late. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 def drop_undeliverable(state: DispatcherState) -> None:
-    """Give up waiting messages of the dirty destinations.
+    """Drop queued messages of the destinations that are processed in this round.
 
-    Given up are messages that have too little time left for a call, are shed in a
-    congested queue, or may not have another attempt.
+    A message is dropped if it has too little time left for a call, is shed in a congested
+    queue, or may not have another attempt.
     """
     by_destination = state.queues.by_destination
     for destination in sorted(state.dirty_destinations & by_destination.keys()):
@@ -39,11 +39,13 @@
 ) -> None:
     permit_at = quota_available_at(state, destination)
     if permit_at >= NEVER:
-        # A new quota may arrive at any time, so that only the deadline counts.
+        # No permit is due, but a new quota may arrive at any time: messages are kept
+        # until their own drop time.
         permit_at = state.now
     class_queues = queue.class_queues.values()
     may_shed = any(
-        state.now > q.sheddable_at(q.messages.head().deadline) for q in class_queues
+        state.now > candidate.sheddable_at(candidate.messages.head().deadline)
+        for candidate in class_queues
     )
     congested = may_shed and is_congested(state, queue)
     dropped = [
@@ -67,9 +69,9 @@
 def _messages_to_drop(
     state: DispatcherState, queue: ClassQueue, permit_at: int, congested: bool
 ) -> Iterator[Message]:
-    """Yield the messages of a class queue that are given up now, by deadline.
+    """Yield the messages of a class queue to drop now, in the order of their deadlines.
 
-    They are all at the front of the queue.
+    All of them are at the front of the queue.
     """
     for message in queue.messages:
         state.work_count += 1
@@ -81,16 +83,16 @@
 
 
 def drop_time(state: DispatcherState, message: Message) -> int:
-    """Return when the remaining time falls below the message's shortest expected call.
+    """Return the time from which too little time is left for a message's shortest call.
 
-    The call is taken to last at least `MIN_WAKEUP_INTERVAL_US`.
+    The call is assumed to take at least `MIN_WAKEUP_INTERVAL_US`.
     """
     call = int(shortest_expected_latency(state, message))
     return message.deadline - max(call, MIN_WAKEUP_INTERVAL_US)
 
 
 def age(message: Message, now: int) -> int:
-    """Return the time since the message was accepted, including at other forwarders."""
+    """Return the time since a message was first accepted, by this or another forwarder."""
     return message.message_class.deadline_us - (message.deadline - now)
 
 
@@ -103,7 +105,9 @@
     state.work_count += len(queue.class_queues)
     for class_queue in queue.class_queues.values():
         objective = class_queue.message_class.latency_objective_us
-        youngest = class_queue.first_younger(state.now, objective)
-        if youngest is not None and objective / 2 < age(youngest, state.now):
+        oldest_in_time = class_queue.first_younger(state.now, objective)
+        if oldest_in_time is not None and objective / 2 < age(
+            oldest_in_time, state.now
+        ):
             return True
     return False
--- a/rainfall/dispatch/slow_start.py
+++ b/rainfall/dispatch/slow_start.py
@@ -21,8 +21,8 @@
 MEAN_BUDGET_SHARE = 0.8
 """Fraction of a large budget that is used on average; the rest is slack."""
 MIN_MEAN_CALLS_CAP = 4.0
-"""The upper bound of the average number of calls per overload window is at least this,
-however small the budget is.
+"""Lowest value of the cap on the mean number of calls per overload window; applies to
+small budgets.
 """
 TOLERANCE_FACTOR = 2.0
 """The tolerated excess over a budget b is this factor times (sqrt(b) + 1) calls."""
@@ -31,8 +31,8 @@
 the budget and the tolerated excess.
 """
 INTERVAL_JITTER = 0.5
-"""Maximum random change of an interval in either direction, as a fraction of it. It
-keeps forwarders that call at the same time from doing so repeatedly.
+"""Maximum random change of an interval in either direction, as a fraction of it.
+Forwarders that call at the same time once are thereby unlikely to do so repeatedly.
 """
 WEIGHT_UNCERTAINTY = 1.5
 """Factor by which a weight in the endpoint list may be too high (WIRE,
@@ -45,9 +45,8 @@
 outage even if the settings say 0.
 """
 BATCH_BUDGET_DIVISOR = 2
-"""A call with several messages may weigh at most one part in this many of the
-forwarder's even share of the budget, because two calls may fall into one window due to
-the jitter.
+"""The weight of a call with several messages is at most the forwarder's even share of
+the budget, divided by this number: the jitter may move two calls into one window.
 """
 FURTHER_MESSAGE_WEIGHT = 0.25
 """Weight of each message in a call after the first, which has weight 1 (WIRE, safe
@@ -133,12 +132,12 @@
 
 
 def mean_calls(state: DispatcherState, endpoint: Endpoint) -> float:
-    """Return the mean number of all forwarders' calls per window that is safe.
+    """Return the highest safe mean of the number of calls per window by all forwarders.
 
     With this mean the number of calls exceeds `call_limit` only with low probability.
     If each forwarder makes less than one call per window, the number has a Poisson
     distribution. If each makes more, the number varies less, as the intervals are drawn
-    around a mean. The larger of both results applies.
+    around a mean. The larger of the two results applies.
     """
     limit = call_limit(state, endpoint)
     # A call that falls into the window with probability f has the variance f * (1 - f),
--- a/rainfall/forwarder/engine/call_dispatch.py
+++ b/rainfall/forwarder/engine/call_dispatch.py
@@ -40,7 +40,7 @@
 delayed event loop.
 """
 EARLY_TIMEOUT_DIVISOR = 4
-"""That margin is also at most this part (1/4) of the time left until the deadline."""
+"""The early timeout is also at most the time left until the deadline divided by this."""
 JOURNAL_FAILURE_BACKOFF_S = 0.25
 """Backoff if a message's first attempt could not be journaled; doubles per attempt."""
 
@@ -82,14 +82,14 @@
         Args:
             action: The attempt to make.
             now: Start of the round, in microseconds of the engine's clock.
-            open_calls: The round's last call for each endpoint and for each value of
-                "waits until the deadline"; modified.
+            open_calls: The round's last call, by endpoint and by whether its attempts
+                wait until their message's deadline; modified.
             steps: The round's steps; a new call is appended.
         """
         message = self.store.messages.get(action.message_id)
         if message is None:
-            # Only possible after an exception in the dispatcher. The outcome makes it
-            # release the concurrency slot of the attempt.
+            # The message can be missing only after an exception in the dispatcher. The
+            # outcome makes the dispatcher release the attempt's concurrency slot.
             self.post_not_sent(action, 0, message_closed=True)
             return
         endpoint_name = self.directory.names.get(action.endpoint, "")
@@ -153,10 +153,10 @@
     ) -> None:
         """Append the journal record that precedes the commit of the round.
 
-        With the level `power` that is the record of the attempt, because it has to be
-        synced before the call starts. With `process` it is a placeholder, the outcome
-        "not executed": `record_attempts` journals the attempt later, and the
-        placeholder shows in time whether the disk has space for that.
+        With the level `power` the attempt itself is recorded, because the record has to
+        be synced before the call starts. With `process` the outcome "not executed" is
+        recorded as a placeholder: `record_attempts` journals the attempt later, and a
+        disk without space for its record already fails on the placeholder.
         """
         if self.state.config.power:
             self.store.append_attempt(message, attempt, now, endpoint_name)
@@ -214,9 +214,10 @@
         - The message was withdrawn during the commit.
         - Shutdown has frozen the engine, or, with the level `power`, a Retry-After was
           received during the sync.
-        - The commit failed, and a restart must not repeat the attempt. This outcome is
-          delayed by a backoff: reported at once, it would make the dispatcher retry
-          in a tight loop for as long as the disk fails.
+        - The commit failed, and the message is one that a restart must not send again
+          (`may_send_unrecorded`). This outcome is delayed by a backoff: reported at once,
+          it would make the dispatcher retry in a tight loop for as long as the disk
+          fails.
 
         Args:
             call: The call; its items are replaced.
@@ -260,9 +261,9 @@
     def record_attempts(self, call: OutboundCall) -> bool:
         """Journal a call's attempts right before its first byte is sent.
 
-        Not earlier, so that if the process is killed while the connection is being
-        established, the journal shows that the call was never executed. With the level
-        `power` the attempts are journaled already.
+        They are not journaled earlier, so that if the process is killed while the
+        connection is being established, the journal shows that the call was never
+        executed. With the level `power` they are journaled already.
 
         Returns:
             Whether the call may be sent.
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -110,7 +110,7 @@
                 len(self.store.messages),
                 len(self.store.pending_notifications),
             )
-            # Now rather than in `Startup.settle`: a message submitted before
+            # Rounds stop now rather than in `Startup.settle`: a message submitted before
             # `Startup.run` resumes would be queued for a round that never runs.
             self.stop_rounds()
             self.signal_stopped()
@@ -167,7 +167,7 @@
         # which no further round journals.
         self.events.record_pending_outcomes()
         self.store.flush()
-        # Repeated in `Startup.settle`, for a shutdown that ends without a freeze.
+        # `Startup.settle` repeats the call, for a shutdown that ends without a freeze.
         self.pool.fail_unconnected_calls()
 
     def stop_rounds(self) -> None:
@@ -181,8 +181,8 @@
     def client_grace_s(self) -> float:
         """Return how long clients may take to disconnect at the end, in seconds.
 
-        CLIENT_CLOSE_S if there is time, otherwise what is left until EXIT_AFTER_S plus
-        CLOSE_GRACE_S, but at least CLOSE_GRACE_S.
+        The result is CLIENT_CLOSE_S, or the time left until CLOSE_GRACE_S after
+        EXIT_AFTER_S if that is less; but never less than CLOSE_GRACE_S.
         """
         remaining_s = (
             self.state.shutdown_started_s
--- a/rainfall/forwarder/outbound/connection_pool.py
+++ b/rainfall/forwarder/outbound/connection_pool.py
@@ -1,4 +1,4 @@
-"""Sends calls to endpoints on a pool of connections, each with one call at a time.
+"""Sends calls to endpoints on pooled connections; a connection has one call at a time.
 
 Nothing is retried here: the dispatcher decides on further attempts.
 """
@@ -52,7 +52,7 @@
 MIN_TIME_LEFT_MS = 1
 """Minimum X-Time-Left of a call."""
 TIMEOUT_MARGIN_S = 0.001
-"""Added to a timer's delay: it may fire this much early by the dispatcher's clock."""
+"""Added to a timer's delay, as timers may fire early by the dispatcher's clock."""
 MAX_RETRY_AFTERS = 2048
 """Number of stored Retry-After entries above which expired ones are removed. Some
 hundred endpoints may each have one.
@@ -118,7 +118,7 @@
         """Calls in flight, by message id and attempt number."""
         self.record_attempts: Callable[[OutboundCall], bool] | None = None
         """Called once a call's connection is established, to journal the call's
-        attempts before its first byte. Returns whether they were.
+        attempts before its first byte. Returns whether the call may be sent.
         """
         self.acquire_permit: Callable[[OutboundCall], int] | None = None
         """Called right before a call's first byte. Returns PERMIT_GRANTED if the call
@@ -263,8 +263,9 @@
     def launch(self, call: OutboundCall, connection: EndpointConnection) -> None:
         """Write a call if its permit is granted, directly after the permit.
 
-        A call may be slightly early for its permit, because earlier calls were sent
-        later than they were decided. It then waits up to PERMIT_WAIT_US.
+        The permit may become available slightly later than the dispatcher expected,
+        because earlier calls were sent later than planned. The call then waits for up to
+        PERMIT_WAIT_US.
         """
         data = self.encode_call(call)
         permit_delay_us = self._record_and_acquire_permit(call)
@@ -341,8 +342,8 @@
     def arm_timeout(self, call: OutboundCall) -> None:
         """Set a call's timer for the earliest timeout of its open messages.
 
-        The call then ends for all of them. If it stayed in flight for the others, its
-        response could no longer count for the message that has timed out.
+        The timeout of one message ends the call for all of them. If the call stayed in
+        flight for the others, its response could no longer count for that message.
         """
         self._cancel_timer(call)
         if call.open_items:
@@ -373,14 +374,15 @@
     def defer_for_unread_input(
         self, call: OutboundCall, resume: Callable[[], None]
     ) -> bool:
-        """Whether abandoning a call must wait, because its response may be unread.
+        """Return whether the caller must not abandon a call now.
 
         If the event loop was busy, the socket may hold a response that was not read.
         The next loop iteration reads it, since it handles sockets before timers. After
         that `resume` is called, even if there is unread input again.
 
         Returns:
-            True if the call has ended, or ends with that input or in `resume`.
+            True if the call has ended already, if its unread input or the end of its
+            connection ends it, or if `resume` is scheduled.
         """
         if not call.open_items or call.connection is None:
             return not call.open_items
@@ -404,8 +406,8 @@
     ) -> None:
         """End a call without its response, for all its open messages.
 
-        All of them are in flight as long as the connection is open. It is closed here,
-        so that a late response is not taken for that of the next call.
+        The connection is closed, which ends the call for each of its messages: a late
+        response must not be taken for the response to the next call.
 
         Args:
             call: The call to end.
@@ -424,7 +426,7 @@
             return Outcome.DELIVERED
         if call.connection is not None and call.written:
             return outcome
-        # The dial has not timed out yet, which is no evidence against the endpoint.
+        # A dial that is still within its own timeout is no evidence against the endpoint.
         if call.connection is None and self.clock() < call.dial_timeout_at_us:
             return Outcome.NOT_SENT
         return Outcome.NO_CONNECTION
@@ -441,7 +443,7 @@
         )
 
     def on_response_started(self, call: OutboundCall) -> None:
-        """Set a timer for the rest of a response, which occupies a slot until then."""
+        """Limit the time for the rest of a response, as its call occupies a slot."""
         if not call.response_started:
             call.response_started = True
             asyncio.get_running_loop().call_later(
@@ -596,7 +598,7 @@
 
     def fail_unconnected_calls(self) -> None:
         """End each call that has no connection yet as not sent."""
-        for call in {id(c): c for c in self.calls.values()}.values():
+        for call in {id(carrier): carrier for carrier in self.calls.values()}.values():
             if call.connection is None:
                 self.finish(call, AttemptResult(Outcome.NOT_SENT))
 
