--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -84,7 +84,7 @@
 
 
 class ForwarderContext(Protocol):
-    """What a member needs of its forwarder."""
+    """The parts of a forwarder that its fleet member uses."""
 
     config: Config
     dispatcher: Dispatcher
@@ -177,8 +177,8 @@
     async def persist_quotas(self) -> None:
         """Write the state file without blocking the event loop on a sync.
 
-        A share must be on disk, where it binds a successor too, before this process
-        acknowledges it to the service.
+        A share must be on disk before this process acknowledges it to the service, so
+        that a successor keeps to the share as well.
         """
         encoded = self.state_file.encode(self._successor_token(), self.quotas.records())
         if self.state_file.synced:
@@ -329,15 +329,16 @@
     def _extra_fields(self, lease_request: LeaseRequest) -> dict[str, Any]:
         """Return the heartbeat's fields that only a renewal or only a join has."""
         if lease_request.token is not None:
-            # `list` is the member list known here: the service answers with the changes
-            # since. `holds` acknowledges the shares that are on disk.
+            # `list` is the epoch and version of the last member list received: the
+            # service answers with the changes since. `holds` acknowledges the shares that
+            # are on disk.
             holds: dict[str, list[int]] = {}
             if self.quotas.persisted:
                 holds = self.quotas.held_shares(lease_request.token)
             return {"list": self.member_list, "holds": holds}
         if self.previous_token == ZERO_TOKEN:
             return {}
-        # Joins after an earlier lease, of this process or of the previous one.
+        # This join follows an earlier lease, of this process or of the previous one.
         return {
             "shown": self.previous_token.to_wire(),
             "keeps": self.quotas.known_reserves(),
@@ -423,8 +424,8 @@
         if refusal.error != LOST_ERROR or lease_request.token is None:
             self._wait_after_refusal(now, lease_request, refusal)
             return
-        # The next join presents the lost token, not to get the name sooner, but so that
-        # the service does not count its reserve twice.
+        # The next join presents the lost token, so that the service does not count its
+        # reserve twice. The name does not become available sooner.
         self.previous_token = lease_request.token
         self.holder.on_rejected(
             now,
@@ -528,8 +529,8 @@
 
 
 def demand_key(class_name: str, tenant: str | None) -> str:
-    """Return the part of demand that a message belongs to, as heartbeats name it.
+    """Return the key under which heartbeats report a message in the demand.
 
-    "CLASS/TENANT", or "CLASS" for a message without a tenant.
+    The key is "CLASS/TENANT", or "CLASS" for a message without a tenant.
     """
     return f"{class_name}/{tenant}" if tenant else class_name
--- a/rainfall/forwarder/handover/source.py
+++ b/rainfall/forwarder/handover/source.py
@@ -1,8 +1,8 @@
 """The source of a handover: the process that serves until the target takes over.
 
 The target requests a snapshot, for which the engine pauses, and then the ownership of
-the journal. After the transfer the source is a proxy: it keeps the connections that it
-has, and passes messages and answers on between them and the target.
+the journal. After the transfer the source is a proxy: it keeps its open connections, and
+forwards their messages to the target and the target's answers to them.
 """
 
 from __future__ import annotations
@@ -43,9 +43,8 @@
 from rainfall.forwarder.inbound.server import ResponseWriter, SubmittedMessage
 
 HOLD_TIMEOUT_S = 1.5
-"""How long the engine stays paused at first for a target that reads the journal.
-
-Clients wait meanwhile.
+"""Initial hold timeout: how long the engine stays paused while a target reads the
+journal. Clients wait during the pause.
 """
 MAX_HOLD_TIMEOUT_S = 3.0
 """The hold timeout doubles after each target that exceeds it, up to this: a target has
@@ -55,7 +54,7 @@
 
 
 class SourceEngine(Protocol):
-    """What the handover needs of the engine that serves."""
+    """The methods of the engine that the source calls."""
 
     def pause_for_handover(
         self, on_paused: Callable[[HandoverMessage | None], None]
@@ -92,7 +91,7 @@
         self.transferred = False
         """Whether the target owns the journal; it never becomes False again."""
         self.pause_completed = True
-        """Whether the last pause that was requested of the engine has called back."""
+        """Whether the engine has called `on_paused` for the last pause requested."""
         self.connection: HandoverConnection | None = None
         """The connection to the current target."""
         self.listener: asyncio.Server | None = None
@@ -103,7 +102,7 @@
         """By `time.monotonic`; targets are refused until then."""
         self.last_request_number = 0
         self.response_writers: dict[int, tuple[str, ResponseWriter]] = {}
-        """Message id and client of each forwarded message, by request number."""
+        """Message id and response writer of each forwarded message, by request number."""
         self.admin_responders: dict[int, AdminResponder] = {}
         """Operators whose request was forwarded, by request number."""
 
@@ -234,7 +233,7 @@
         """Handle the loss of the current target.
 
         Before the transfer the handover is aborted. After it the operators that wait
-        are answered 503, and the engine handles the rest.
+        are answered 503, and `SourceEngine.target_lost` is called for everything else.
         """
         if connection is not self.connection:
             return
--- a/rainfall/forwarder/inbound/client_connection.py
+++ b/rainfall/forwarder/inbound/client_connection.py
@@ -39,8 +39,8 @@
 the process drains.
 """
 SETTLE_LOOP_ITERATIONS = 4
-"""Event loop iterations after which each connection accepted before has its transport
-and the input that it had received by then is read.
+"""Event loop iterations to wait for before the connections are closed at the end: by
+then each accepted connection has a transport, and the input received so far is read.
 """
 CLOSE_GRACE_S = 0.1
 """Minimum time that clients have to read their responses and to close the connection
@@ -61,8 +61,8 @@
         "x-repeat",
     )
 )
-"""Headers that must not be repeated: a reader that uses the other value would read a
-different message. The request is rejected, and later ones are still read.
+"""Headers that must not be repeated: another HTTP parser may use another of the values,
+and so a different message. The request is rejected, and later ones are still read.
 """
 FRAMING_HEADERS = frozenset(("host", "transfer-encoding", "content-length"))
 """Headers that must not be repeated. After a repetition all further input of the
@@ -129,8 +129,8 @@
         self.server.connections.discard(self)
         self.queued_requests.clear()
         self.notify_disconnect()
-        # Both refer back to this object: clearing them breaks the reference cycles, so
-        # that the object is freed without the garbage collector.
+        # The parser and the transport refer to this object: clearing them breaks the
+        # reference cycles, so that the object is freed without the garbage collector.
         self.parser = None
         self.transport = None
 
@@ -192,8 +192,8 @@
         if self.close_at_us:
             self.transport.close()
         else:
-            # A response to a request before the rejected one is not written yet, and a
-            # close would reset it.
+            # An earlier request has no response yet; closing the socket with unread
+            # input would reset the connection, and the response would be lost.
             self.transport.pause_reading()
 
     def _check_raw_bytes(self) -> None:
@@ -269,7 +269,7 @@
         lower_name = name.decode("latin-1").lower()
         if lower_name in headers:
             repeated_header_error = BadRequestError(
-                HTTPStatus.BAD_REQUEST, f"{lower_name} stands twice"
+                HTTPStatus.BAD_REQUEST, f"{lower_name} is repeated"
             )
             if lower_name in FRAMING_HEADERS:
                 raise repeated_header_error
@@ -302,7 +302,8 @@
         version = parser.get_http_version()
         if version not in HTTP_VERSIONS:
             raise BadRequestError(
-                HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here"
+                HTTPStatus.HTTP_VERSION_NOT_SUPPORTED,
+                "only HTTP/1.0 and HTTP/1.1 are supported",
             )
         transfer_encoding = headers.get("transfer-encoding")
         if transfer_encoding is not None and (
@@ -311,11 +312,11 @@
             or version == "1.0"
         ):
             raise BadRequestError(
-                HTTPStatus.NOT_IMPLEMENTED, "no such Transfer-Encoding"
+                HTTPStatus.NOT_IMPLEMENTED, "this Transfer-Encoding is not supported"
             )
         if parser.should_upgrade():
             raise BadRequestError(
-                HTTPStatus.NOT_IMPLEMENTED, "no other protocol is spoken here"
+                HTTPStatus.NOT_IMPLEMENTED, "protocol upgrades are not supported"
             )
         length = headers.get("content-length", "0")
         if length.isdigit() and int(length) > MAX_BODY_BYTES:
@@ -397,9 +398,9 @@
     def _stays_open_after(self, request: Request) -> bool:
         """Whether the connection stays open after the response to this request.
 
-        While the connection is to be closed, the complete requests in the queue are
-        still answered, and only the last response has Connection: close: a client reads
-        nothing after that.
+        Before the server closes the connection, it answers the complete requests in the
+        queue. Only the last response has Connection: close, because a client reads no
+        response after that one.
         """
         closes_connections = (
             self.server.draining or self.server.handed_over or self.peer_closed
@@ -427,7 +428,7 @@
             return  # All input is read, and the event loop closes the transport.
         try:
             self.transport.write_eof()
-        except OSError:  # Reset by the client; the event loop has not noticed yet.
+        except OSError:  # Reset by the client, not yet reported by the event loop.
             self.transport.abort()
             return
         self.server.close_later(self)
@@ -530,7 +531,7 @@
         self.listener: asyncio.Server | None = None
         """Accepts connections; None before `listen` and after `stop_listening`."""
         self.accept_tasks: set[asyncio.Task[None]] = set()
-        """Create the connections of sockets accepted while the listener closes."""
+        """Tasks that create connections for sockets accepted while the listener closes."""
 
     def arrival_time_us(self) -> int:
         """Return the earliest time at which the input being read can have arrived."""
@@ -571,7 +572,7 @@
         self.stop_listening()
 
     def stop_listening(self) -> None:
-        """Accept no further connections than those in the backlog.
+        """Stop accepting connections, except for those in the backlog.
 
         A connection that asyncio accepted in this loop iteration has no transport yet,
         and would be dropped silently if the listener closed before it has one. So the
@@ -588,8 +589,8 @@
     def accept_remaining(self, listener: asyncio.Server) -> None:
         """Accept the connections in the backlog, then close the listener.
 
-        The clients of those are connected already, and closing the listener would reset
-        them.
+        The clients of the connections in the backlog are connected already, and closing
+        the listener would reset their connections.
         """
         loop = asyncio.get_running_loop()
         for sock in listener.sockets:
