--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -91,9 +91,9 @@
     grants: tuple[MemberGrant, ...]
     ends: tuple[AccountEnd, ...]
     opened: bool = True
-    """Whether grants of all budgets have begun."""
+    """Whether granting has begun, after `grants_from_us` of every budget had passed."""
     new_reserves_blocked: bool = False
-    """Whether no process gets a first reserve."""
+    """Whether a process without a reserve cannot get one."""
 
     def to_record(self) -> dict[str, Any]:
         """The form on disk, for JSON."""
@@ -149,7 +149,7 @@
         self.grants_from_us = now_us + unknown_lease_us
         self.sure = sure
         self.opened = sure
-        """Whether grants of all budgets have begun."""
+        """Whether granting has begun, after `grants_from_us` of every budget had passed."""
         self.new_reserves_blocked = not sure
         self.persisted = True
         """Whether `opened` and `new_reserves_blocked` are on disk."""
@@ -158,7 +158,7 @@
         self.names: dict[Token, str] = {}
         """Names of the active processes."""
         self.presumed_until_us: dict[Token, int] = {}
-        """When the leases expire of restored processes without a message since the start."""
+        """Lease expiry of each restored process that has sent no message since the start."""
         self.number = 0
         self.pending: Change | None = None
         self.configure(budgets, now_us)
@@ -245,7 +245,8 @@
 
         Args:
             token: The process's token.
-            needs: Calls wanted in a span, by destination and part.
+            needs: Calls wanted in a span, by destination and by part of the demand: a
+                class, or a class and a tenant.
             holds: The newest share that the process holds, by destination.
             now_us: The present time.
 
@@ -303,7 +304,7 @@
 
         Args:
             now_us: The present time.
-            frozen: No budget is divided and no new share is granted; ends, moved
+            frozen: No budget is rebalanced and no new share is granted; ends, moved
                 reserves and `opened` are still written.
         """
         if self.pending is not None:
@@ -335,7 +336,7 @@
         return self.pending
 
     def _open(self, now_us: int) -> None:
-        """Begin grants once the start wait of every budget is over."""
+        """Allow grants once `grants_from_us` of every budget has passed."""
         if not self.opened and all(
             now_us >= accounts.grants_from_us
             for accounts in self.budget_accounts.values()
@@ -443,6 +444,7 @@
         # The reserve that was moved to this account is now on disk.
         account.persisted = True
     elif not grant.number and not account.acknowledged_number:
+        # Number 0: a reserve that was moved from a predecessor's account.
         account.grants.insert(0, grant)
     elif grant.number > account.newest_number():
         account.add_grant(grant)
--- a/rainfall/journal/writer.py
+++ b/rainfall/journal/writer.py
@@ -30,7 +30,7 @@
 REWRITE_GROWTH_FACTOR = 4
 """A file is compacted when it exceeds this multiple of its live bytes."""
 RESERVED_BYTES = 128 * 1024
-"""Reserved for the small records that follow an accepted message."""
+"""Space that new messages leave free for the small records that follow them."""
 SALT_BITS = 32
 REWRITE_RETRY_S = 0.5
 """Delay between attempts to write a new file after a failure."""
@@ -106,6 +106,7 @@
         self.damaged_bytes = 0
         """Size of the damaged file that is kept for operators; 0: none."""
         self.writing = False
+        """Whether the file may be written: `begin` was called, and `release` was not."""
         self.pending: list[bytes] = []
         """Buffered records that are not yet written."""
         self.appended = 0
@@ -213,7 +214,9 @@
         size_after = self._size_after_flush()
         if self._is_rewrite_due(size_after):
             if self.worker_busy:
-                return  # The records must wait for the worker in either case.
+                # The worker must be idle before a new file can be started, and records that
+                # are written now would not be synced before either.
+                return
             if not self.failed and self._rewrite_pending():
                 return
         if size_after + self.damaged_bytes > self.max_bytes:
@@ -383,7 +386,7 @@
                 self.persisted = position
                 del self.pending[:covered_records]
             else:
-                # Once replaced, the old file has no directory entry.
+                # If it was replaced, the old file has no directory entry and cannot be used.
                 self.incomplete |= replaced
                 self.abandon_rewrite(new_file.fd, error)
                 if self.incomplete:
--- a/rainfall/lease/table.py
+++ b/rainfall/lease/table.py
@@ -112,7 +112,7 @@
         self.epoch = 0
         self.last_committed = 0
         self.history_uncertain = True
-        """Whether the stored history may be incomplete, with nothing granted since."""
+        """Whether the stored history may be incomplete; the next grant clears it."""
         self.longest_ttl_us = 0
         """The longest time to live that a missing record may have granted."""
         self.started = False
@@ -121,9 +121,11 @@
         self._pending_writes: dict[str, int] = {}
         """Number of the record that is being written, by name."""
         self._start_record = 0
+        """Number of the record of this process's start."""
         self._now_us = 0
         self._started_at_us = 0
         self._grants_from_us = 0
+        """No lease is granted before this time."""
 
     def start(self, now_us: int, sure: bool, min_epoch: int = 0) -> Record:
         """Begin an epoch; no lease is granted or renewed until its record is committed.
@@ -207,8 +209,9 @@
             now_us: The present time.
             name: The name to lease.
             holder: Identifies one run of one process. A repeated request of the same
-                holder renews its lease; a new lease is granted if `seen` shows that the
-                holder has seen the lease's token and so no longer uses it.
+                holder renews its lease if `seen` is below the lease's token: the answer
+                with the token may have been lost. Otherwise the holder counts as having
+                received the token and given it up, and a new lease is granted.
             ttl_us: How long the lease lasts after each renewal.
             seen: The highest token that the caller has seen.
             shown: The token of the lease in force, presented by its process after a
@@ -227,10 +230,10 @@
             return unavailable
         lease = self.leases.get(name)
         if lease is not None and now_us < lease.expires_at_us:
-            same = lease.holder == holder and not lease.revoked
-            if same and seen < lease.token:
+            is_own_lease = lease.holder == holder and not lease.revoked
+            if is_own_lease and seen < lease.token:
                 return self._renew_lease(now_us, lease, epoch_record)
-            if not same and (shown != lease.token or lease.revoked):
+            if not is_own_lease and (shown != lease.token or lease.revoked):
                 wait_us = lease.expires_at_us - now_us
                 return LeaseUnavailable(wait_us, f"{name} is held", epoch_record)
         if lease is None:
--- a/rainfall/member/roster.py
+++ b/rainfall/member/roster.py
@@ -27,14 +27,14 @@
 
 MEMBER_LEASE_PREFIX = "member/"
 MAX_NAME_LENGTH = 180
-"""Most characters of a name, a site, a dial address and a run id."""
+"""Maximum length of a name, a site, a dial address and a run id, in characters."""
 MAX_DEPARTED_MEMBERS = 8_192
-"""Most lost or left members that stay in the list for readers: a whole fleet.
+"""Maximum number of lost or left members kept in the list for readers.
 
-Each takes about 350 bytes.
+The limit has room for a whole fleet; each member takes about 350 bytes.
 """
 MASS_LOSS_MIN_MEMBERS = 2
-"""Fewer lost members are not a mass loss, however small the fleet."""
+"""A loss of fewer members than this is not a mass loss, however small the fleet."""
 
 
 class MemberState(StrEnum):
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class DivisionFreeze:
-    """Freezes divisions of the fleet's work until the fleet is stable.
+    """Stops the fleet's work from being divided anew until the fleet is stable.
 
     The fleet is stable once members have renewed for a whole lease since the start or
     the last mass loss, with no gap between renewals longer than a lease.
@@ -97,10 +97,10 @@
     lease_us: int
     """The time until a lease has expired on every clock."""
     stable_since_us: int | None = None
-    """The first renewal without a gap since; None before it."""
+    """When the current series of renewals without a gap began; None if there is none."""
     last_renewal_us: int = 0
     recent_losses: dict[str, int] = field(default_factory=dict)
-    """When each member lost within the last whole lease was lost, oldest first."""
+    """Time of each loss within the last whole lease, by member, oldest first."""
 
     def record_renewal(self, now_us: int) -> None:
         """Record that a member renewed its lease."""
@@ -159,7 +159,7 @@
         mass_loss_fraction: float = 0.5,
     ) -> None:
         faults = [
-            f"{path}: a share above 0, below 1"
+            f"{path}: must be above 0 and below 1"
             for path, fraction in (
                 ("late", suspect_fraction),
                 ("at_once", mass_loss_fraction),
