--- a/rainfall/model_checker/search.py
+++ b/rainfall/model_checker/search.py
@@ -53,7 +53,7 @@
 
 
 class _Origin(NamedTuple):
-    """The first step that reached a state; traces are rebuilt from one entry a state."""
+    """How a state was first reached; the trace is rebuilt by following predecessors."""
 
     predecessor: int
     """Number of the preceding state; -1 for the initial state."""
--- a/rainfall/peer/links.py
+++ b/rainfall/peer/links.py
@@ -1,8 +1,8 @@
 """The state machine of one link between two forwarders, without I/O.
 
 A link is one connection. Both sides send `Hello` first. A hello with an older lease token
-than the highest one seen of that peer is rejected; this fences off a process that was
-suspended, or a second process of the same name. When the link ends, the outcome of each
+than the highest one seen of that peer is rejected; the rejection fences off a process that
+was suspended, or a second process of the same name. When the link ends, the outcome of each
 forwarded message without an answer is `unknown`: the peer may have accepted the message,
 so its client gets no answer.
 """
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameReceived:
-    """Deliver a frame from the peer to the forwarder."""
+    """Pass a frame that the peer sent to the local forwarder."""
 
     frame: msgspec.Struct
 
--- a/rainfall/registry/endpoint_registry.py
+++ b/rainfall/registry/endpoint_registry.py
@@ -33,7 +33,9 @@
 VERSIONS_PER_MS = 1_000
 """A new epoch's first version is at least Unix time in ms times this."""
 CLAIM_LIMIT = 1 << 52
-"""Claims from this value on are ignored: one could exhaust the range of versions."""
+"""Versions and epochs claimed by a reader are ignored if they are not below this limit:
+a single claim could otherwise exhaust the range of versions.
+"""
 
 
 class VersionClaim(NamedTuple):
@@ -191,7 +193,7 @@
     def new_epoch(
         self, now_ms: int, past_version: int = 0, past_epoch: int = 0
     ) -> Change:
-        """Return the change that begins an epoch past a version and an epoch.
+        """Return the change that begins a new epoch above the given version and epoch.
 
         All entries count as changed at its first version. That version follows the wall
         clock; if the clock was set back, the two given numbers are the lower bound.
@@ -200,7 +202,7 @@
         return Change(base, max(self.epoch + 1, past_epoch + 1, now_ms), base=base)
 
     def initial_epoch(self, now_ms: int) -> Change:
-        """Return the change that initializes an empty registry, also after a loss."""
+        """Return the change that initializes an empty registry, new or after data loss."""
         first = self.new_epoch(now_ms)
         return Change(
             first.seq,
@@ -220,7 +222,7 @@
         if above > self.fence + MAX_EPOCH_JUMP:
             raise RequestError(
                 422,
-                [f"{above} is further ahead than any fence can be"],
+                [f"{above} is too far above the fence {self.fence}"],
             )
         if self.fence > above:
             return self.seq
--- a/rainfall/registry/fleet_coordinator.py
+++ b/rainfall/registry/fleet_coordinator.py
@@ -48,7 +48,7 @@
 class FleetCoordinator:
     """The leases, members and extensions of the fleet.
 
-    Call `start` once, before the fleet's address is opened. `watermark_path` is a file
+    Call `start` once, before the service listens at the fleet's address. `watermark_path` is a file
     outside the state folder, such as under /run, with the number of the last lease
     record; a log that ends below that number is treated as an older copy.
     """
@@ -155,7 +155,7 @@
         return record
 
     def _notify_start(self, lease_rows: list[Row], now_us: int) -> None:
-        """Pass the members in force, and resumed members, to the extensions."""
+        """Pass the active members, and resumed members, to the extensions."""
         members = [
             (member, self.table.leases[MEMBER_LEASE_PREFIX + member.name].expires_at_us)
             for member in self.roster.active_members()
@@ -198,8 +198,8 @@
     ) -> dict[str, Any]:
         """Pass a heartbeat to the extensions, and return their fields of the answer.
 
-        An answer that depends on an unfinished plan waits for the plan to be stored,
-        rather than for the member's next heartbeat.
+        An answer that depends on an unfinished plan is delayed until the plan is stored;
+        otherwise the member would receive the plan's result only one heartbeat later.
 
         Raises:
             LeaseRejectedError: The lease on the name has another token.
@@ -212,7 +212,7 @@
             # Another process replaced the member while the lease's record was written.
             raise LeaseRejectedError(
                 409,
-                [f"token: the lease on {name} is another's"],
+                [f"token: the lease on {name} has another token"],
                 lease.token if lease else token,
             )
         results = [
@@ -379,7 +379,7 @@
 
     @contextlib.contextmanager
     def _log_failures(self, part: str) -> Iterator[None]:
-        """Log and suppress any exception of one part.
+        """Log and suppress any exception of a part: the lease table or an extension.
 
         A faulty part must not prevent the rows of other parts, or the ends of leases,
         from being committed.
@@ -446,7 +446,7 @@
         self.watchers.stop()
 
     def _raise_table_epoch(self, fence: int) -> None:
-        """Raise the epoch of new tokens to the list's fence, raised by an operator."""
+        """Raise the epoch of new tokens to the list's fence after an operator raised it."""
         if fence > self.table.epoch:
             record = self.table.observe_token(Token(fence - 1, VERSION_LIMIT - 1))
             if record is not None:
--- a/rainfall/session/migration_source.py
+++ b/rainfall/session/migration_source.py
@@ -1,4 +1,4 @@
-"""The source's side of one migration.
+"""The source's side of the migration of one session.
 
 docs/parts/session.md has a table of every pair of state and event.
 """
@@ -47,11 +47,11 @@
     decided_by_arbiter: bool = False
     """Whether the arbiter's verdict has decided the session's owner."""
     verdict_requested: bool = False
-    """Whether a committed source has, perhaps before a restart, requested a verdict.
+    """Whether the source may have requested a verdict after its commit.
 
-    The request may reach the arbiter late, so only its verdict counts from then on: the
-    source neither releases the session nor commits it to another lease of the target
-    without a verdict.
+    A restarted source cannot exclude an earlier request. A request may reach the arbiter
+    late, so only the arbiter's verdict counts from then on: the source neither releases
+    the session nor commits it to another lease of the target without a verdict.
     """
     ownerless: bool = False
     """Whether the owner was still undecided when the session's messages expired.
@@ -62,7 +62,7 @@
     """Whether the target has reported that it has activated the session."""
     copy_parts: tuple[w.CopyPart, ...] = ()
     target_lease_token: w.LeaseToken | None = None
-    """The target's lease in its last report that the copy is stored."""
+    """The target's lease token in its last `CopyStored`; None before the first."""
 
     def handle_event(self, event: object, now_us: int) -> Actions:
         """Return the actions for an event; an event without a handler is ignored."""
@@ -131,7 +131,7 @@
         return (s.Freeze(),)
 
     def close_calls(self, _event: object, now_us: int) -> Actions:
-        """Close the calls in flight once the session is frozen for `calls_us`."""
+        """Close the calls in flight once the session has been frozen for `calls_us`."""
         frozen_us = now_us - self.state_entered_at_us
         rejected = self._reject_overdue(now_us)
         if self.pending_record is None and frozen_us >= self.limits.calls_us:
@@ -180,7 +180,7 @@
     # After the seal: the target may have a copy.
 
     def record_persisted(self, event: s.RecordPersisted, now_us: int) -> Actions:
-        """Take the step that depends on a record, which is on disk now."""
+        """Continue the migration after the pending record was written to disk."""
         if event.record != self.pending_record:
             return ()
         self.pending_record = None
@@ -260,10 +260,11 @@
         return self._send_commit()
 
     def _cede(self) -> Actions:
-        question = s.AskArbiter(
+        """Request that the arbiter assign the session to the target."""
+        verdict_request = s.AskArbiter(
             self.migration_id, "giver", self.target, committed=True, cede=True
         )
-        return (question,)
+        return (verdict_request,)
 
     def request_abort(self, event: object, now_us: int) -> Actions:
         """Request that the target refuse the session, unless the commit may be on disk."""
@@ -353,8 +354,10 @@
         if committed and self.decided_by_arbiter:
             return resent
         self.verdict_requested = committed
-        question = s.AskArbiter(self.migration_id, "giver", self.target, committed)
-        return *resent, question
+        verdict_request = s.AskArbiter(
+            self.migration_id, "giver", self.target, committed
+        )
+        return *resent, verdict_request
 
     def expire(self, event: object, now_us: int) -> Actions:
         """Finish a migration whose owner is undecided after all its messages have expired.
--- a/rainfall/shard/migration.py
+++ b/rainfall/shard/migration.py
@@ -1,8 +1,9 @@
 """The service's side of a migration: tracks which member holds which keys.
 
 A key is either held by one incarnation of one member, or free. Only two events free a
-key: its holder reports that it has given the key up (under a map newer than the one under
-which the hold began), or the holder's lease has expired on every clock. Only a free key
+key: its holder reports that it has given the key up, or the holder's lease has expired on
+every clock. The report counts only if the holder gave the key up under a newer map than
+the one that was in force when the key was granted. Only a free key
 is granted to its owner in the map in force, under a new fencing token, and only in the
 answer to a heartbeat that reports the same map. A new map changes no hold.
 
@@ -45,7 +46,7 @@
 The limit prevents a heartbeat from exhausting the generations.
 """
 NO_OWNER = ""
-"""The owner of free keys while there is no map, and the holder of free keys."""
+"""Stands for the owner of a key if there is no map, and for the holder of a free key."""
 
 
 class FencedError(RainfallError):
@@ -146,7 +147,8 @@
     grants_from_us: int = 0
     """No keys are granted before this time.
 
-    Set if holds may be unknown: the longest lease, extended for clock drift, from now.
+    If holds may be unknown after a restart, the longest lease, extended for clock drift,
+    has to pass from the restart to this time.
     """
     last_token_number: int = 0
     """The number of the last token granted."""
@@ -190,7 +192,7 @@
         self._release(free)
 
     def _raise_generation(self, generation: int) -> None:
-        """Raise the map in force above a generation that this service never issued.
+        """Raise the generation of the map in force above one that was never issued here.
 
         A member has such a map if the service's folder was lost or restored from a copy.
         """
