--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -389,7 +389,7 @@
                 account.persisted = True
 
     def shares_for(self, token: Token) -> dict[str, Share]:
-        """The shares to send to a member, by destination; valid as long as its lease.
+        """The shares to send to a member, by destination; valid as long as the member's lease.
 
         A share whose budget is missing from the result is no longer renewed.
         """
--- a/rainfall/dispatch/expiry.py
+++ b/rainfall/dispatch/expiry.py
@@ -20,7 +20,7 @@
 from rainfall.dispatch.times import NEVER
 
 MIN_WAKEUP_INTERVAL_US = 40_000
-"""Least time until a destination is processed again without an event."""
+"""Minimum time until a destination is processed again without an event."""
 
 
 def drop_undeliverable(state: DispatcherState) -> None:
--- a/rainfall/forwarder/engine/shutdown.py
+++ b/rainfall/forwarder/engine/shutdown.py
@@ -51,7 +51,7 @@
 CLOSE_GRACE_S for the clients.
 """
 CLIENT_CLOSE_S = 0.5
-"""Time for clients to read responses and disconnect, if EXIT_AFTER_S is not near."""
+"""Time for clients to read responses and disconnect; less if EXIT_AFTER_S is near."""
 SHUTDOWN_STEP_S = 0.05
 """Interval of the checks whether the engine can stop."""
 
--- a/rainfall/forwarder/fleet/member.py
+++ b/rainfall/forwarder/fleet/member.py
@@ -54,7 +54,7 @@
 if that is longer.
 """
 STATE_WRITE_RETRY_S = 1.0
-"""Least time from a failed write of the state file to the next attempt."""
+"""Minimum time from a failed write of the state file to the next attempt."""
 REPEAT_LOG_INTERVAL_S = 10.0
 """Interval of the log lines while the service is unreachable."""
 ERROR_BODY_BYTES = 300
--- a/rainfall/forwarder/handover/source.py
+++ b/rainfall/forwarder/handover/source.py
@@ -281,12 +281,12 @@
             self.connection.send_message(AttemptOutcome(outcome))
 
     def take_response_writers(self) -> dict[int, tuple[str, ResponseWriter]]:
-        """Return the clients that wait for the target's answer, and clear the record.
+        """Return `response_writers`, whose clients wait for the target, and clear it.
 
-        The caller has to answer them.
+        The caller has to answer the clients.
 
         Returns:
-            Message id and client, by request number.
+            Message id and response writer, by request number.
         """
         writers, self.response_writers = self.response_writers, {}
         return writers
--- a/rainfall/registry/endpoint_registry.py
+++ b/rainfall/registry/endpoint_registry.py
@@ -142,7 +142,7 @@
         return sum(not entry.removed for entry in self.entries.values())
 
     def answer_for(self, since: int | None, epoch: int | None) -> dict[str, Any]:
-        """Return the answer to a reader at version `since`; None if it has no list.
+        """Return the answer to a reader; `since` is its version, None if it has no list.
 
         The list is complete when `since` is below the floor, ahead of `seq`, or of
         another epoch; otherwise the answer has only the entries that changed after `since`.
--- a/rainfall/registry/fleet_coordinator.py
+++ b/rainfall/registry/fleet_coordinator.py
@@ -48,9 +48,9 @@
 class FleetCoordinator:
     """The leases, members and extensions of the fleet.
 
-    Call `start` once, before the service listens at the fleet's address. `watermark_path` is a file
-    outside the state folder, such as under /run, with the number of the last lease
-    record; a log that ends below that number is treated as an older copy.
+    Call `start` once, before the service listens at the fleet's address. `watermark_path`
+    is a file outside the state folder, such as under /run, with the number of the last
+    lease record; a log that ends below that number is treated as an older copy.
     """
 
     def __init__(
--- a/rainfall/session/migration_source.py
+++ b/rainfall/session/migration_source.py
@@ -309,7 +309,7 @@
         return self._write(w.ReleasedRecord(self.migration_id))
 
     def apply_verdict(self, event: s.Verdict, now_us: int) -> Actions:
-        """Apply the arbiter's verdict, unless one was applied or a write is pending."""
+        """Apply a verdict, unless a write is pending or a committed source already has one."""
         if self.pending_record is not None or event.ruling == "wait":
             return ()
         committed = self.state is MigrationState.COMMITTED
--- a/rainfall/shard/migration.py
+++ b/rainfall/shard/migration.py
@@ -3,9 +3,9 @@
 A key is either held by one incarnation of one member, or free. Only two events free a
 key: its holder reports that it has given the key up, or the holder's lease has expired on
 every clock. The report counts only if the holder gave the key up under a newer map than
-the one that was in force when the key was granted. Only a free key
-is granted to its owner in the map in force, under a new fencing token, and only in the
-answer to a heartbeat that reports the same map. A new map changes no hold.
+the one that was in force when the key was granted. Only a free key is granted to its owner
+in the map in force, under a new fencing token, and only in the answer to a heartbeat that
+reports the same map. A new map changes no hold.
 
 All times are microseconds of the service's clock.
 """
@@ -147,8 +147,8 @@
     grants_from_us: int = 0
     """No keys are granted before this time.
 
-    If holds may be unknown after a restart, the longest lease, extended for clock drift,
-    has to pass from the restart to this time.
+    If holds may be unknown after a restart, it is the time of the restart plus the longest
+    lease, extended for clock drift.
     """
     last_token_number: int = 0
     """The number of the last token granted."""
@@ -192,9 +192,10 @@
         self._release(free)
 
     def _raise_generation(self, generation: int) -> None:
-        """Raise the generation of the map in force above one that was never issued here.
+        """Raise the generation of the map in force above one that a member reports.
 
-        A member has such a map if the service's folder was lost or restored from a copy.
+        The service never issued the reported map, so its folder was lost or restored from
+        a copy.
         """
         if self.map is not None and generation < MAX_GENERATION:
             self.install_map(ShardMap(generation + 1, self.map.ranges, self.bits))
