--- a/rainfall/registry/fleet_coordinator.py
+++ b/rainfall/registry/fleet_coordinator.py
@@ -57,17 +57,17 @@
         self,
         context: ServiceContext,
         path: Path,
-        terms: LeaseSettings,
+        lease_settings: LeaseSettings,
         ttl_us: int,
         extensions: Iterable[HeartbeatExtension] = (),
         watermark_path: Path | None = None,
     ) -> None:
         self.context = context
         self.ttl_us = ttl_us
-        self.terms = terms
+        self.lease_settings = lease_settings
         self.fleet_log = FleetLog(path, context.storage.files, watermark_path)
         self.extensions = {extension.name: extension for extension in extensions}
-        self.table = LeaseTable(terms)
+        self.table = LeaseTable(lease_settings)
         self.roster = Roster(self.table, ttl_us)
         self.watchers = Watchers()
         self.group_commit: GroupCommit[TaggedRows] = GroupCommit(
@@ -132,7 +132,7 @@
         """Restore the table and the extensions, and return the record of the new epoch."""
         if LEASE_TABLE in loaded.snapshots:
             self.table = LeaseTable.from_snapshot(
-                loaded.snapshots[LEASE_TABLE], self.terms
+                loaded.snapshots[LEASE_TABLE], self.lease_settings
             )
             self.roster = Roster(self.table, self.ttl_us)
         for row in loaded.rows_since.get(LEASE_TABLE, []):
