--- a/rainfall/budget/ledger.py
+++ b/rainfall/budget/ledger.py
@@ -91,9 +91,9 @@
     grants: tuple[MemberGrant, ...]
     ends: tuple[AccountEnd, ...]
     opened: bool = True
-    """Whether grants of all budgets have begun."""
+    """Whether granting has begun, after `grants_from_us` of every budget had passed."""
     new_reserves_blocked: bool = False
-    """Whether no process gets a first reserve."""
+    """Whether a process without a reserve cannot get one."""
 
     def to_record(self) -> dict[str, Any]:
         """The form on disk, for JSON."""
@@ -151,7 +151,7 @@
         self.grants_from_us = now_us + unknown_lease_us
         self.history_complete = history_complete
         self.opened = history_complete
-        """Whether grants of all budgets have begun."""
+        """Whether granting has begun, after `grants_from_us` of every budget had passed."""
         self.new_reserves_blocked = not history_complete
         self.persisted = True
         """Whether `opened` and `new_reserves_blocked` are on disk."""
@@ -160,7 +160,7 @@
         self.names: dict[Token, str] = {}
         """Names of the active processes."""
         self.presumed_until_us: dict[Token, int] = {}
-        """When the leases expire of restored processes without a message since the start."""
+        """Lease expiry of each restored process that has sent no message since the start."""
         self.number = 0
         self.pending: Change | None = None
         self.configure(budgets, now_us)
@@ -247,7 +247,8 @@
 
         Args:
             token: The process's token.
-            demand: Calls wanted in a span, by destination and part.
+            demand: Calls wanted in a span, by destination and by part of the demand: a
+                class, or a class and a tenant.
             held_shares: The newest share that the process holds, by destination.
             now_us: The present time.
 
@@ -305,7 +306,7 @@
 
         Args:
             now_us: The present time.
-            frozen: No budget is divided and no new share is granted; ends, moved
+            frozen: No budget is rebalanced and no new share is granted; ends, moved
                 reserves and `opened` are still written.
         """
         if self.pending is not None:
@@ -337,7 +338,7 @@
         return self.pending
 
     def _open(self, now_us: int) -> None:
-        """Begin grants once the start wait of every budget is over."""
+        """Allow grants once `grants_from_us` of every budget has passed."""
         if not self.opened and all(
             now_us >= accounts.grants_from_us
             for accounts in self.budget_accounts.values()
@@ -390,7 +391,7 @@
                 account.persisted = True
 
     def shares_for(self, token: Token) -> dict[str, Share]:
-        """The shares to send to a member, by destination; valid as long as its lease.
+        """The shares to send to a member, by destination; valid as long as the member's lease.
 
         A share whose budget is missing from the result is no longer renewed.
         """
@@ -445,6 +446,7 @@
         # The reserve that was moved to this account is now on disk.
         account.persisted = True
     elif not grant.number and not account.acknowledged_number:
+        # Number 0: a reserve that was moved from a predecessor's account.
         account.grants.insert(0, grant)
     elif grant.number > account.newest_number():
         account.add_grant(grant)
