--- a/measure/cold_fleet.py
+++ b/measure/cold_fleet.py
@@ -15,7 +15,7 @@
 from concurrent.futures import Future, ProcessPoolExecutor
 from typing import NamedTuple
 
-from tests.support.simulated_fleet import SCENES, Play, Verdict, played
+from tests.support.simulated_fleet import SCENES, Scenario, Verdict, simulate
 
 EARLY_CALL_COUNTS = (0.3, 1.0, 4.0, 30.0)
 """The values of N: calls that a returning destination allows."""
@@ -34,7 +34,7 @@
 
 def scene_runs(
     forwarders: int, early_calls: float, scene: str, seeds: int
-) -> Iterator[Play]:
+) -> Iterator[Scenario]:
     """The runs of one printed line, one per seed."""
     for seed in range(1, seeds + 1):
         yield SCENES[scene](forwarders, early_calls, seed)
@@ -48,19 +48,21 @@
     their limit, the median time from the destination's return to the first call of a
     forwarder that had met the outage, and the mean number of deliveries.
     """
-    worst = max(verdicts, key=lambda verdict: verdict.part)
-    runs_over_limit = sum(verdict.part > 1 for verdict in verdicts)
+    worst = max(verdicts, key=lambda verdict: verdict.limit_ratio)
+    runs_over_limit = sum(verdict.limit_ratio > 1 for verdict in verdicts)
     first_call_s = [
-        verdict.found_us / US_PER_S for verdict in verdicts if verdict.found_us >= 0
+        verdict.first_call_us / US_PER_S
+        for verdict in verdicts
+        if verdict.first_call_us >= 0
     ]
     first_call = (
         f"{statistics.median(first_call_s):5.1f} s" if first_call_s else "  never"
     )
     pushed_runs = sum(verdict.pushed for verdict in verdicts)
-    largest_fleet_part = max(verdict.whole for verdict in verdicts)
+    largest_fleet_part = max(verdict.fleet_ratio for verdict in verdicts)
     delivered = statistics.fmean(verdict.delivered for verdict in verdicts)
     return (
-        f"{worst.count:6.1f} / {worst.limit:6.1f} = {worst.part:4.2f}  over {runs_over_limit:3d} of "
+        f"{worst.count:6.1f} / {worst.limit:6.1f} = {worst.limit_ratio:4.2f}  over {runs_over_limit:3d} of "
         f"{len(verdicts)}  pushed {pushed_runs:3d}  fleet {largest_fleet_part:5.2f}  "
         f"first call {first_call}  delivered {delivered:7.1f}"
     )
@@ -77,7 +79,7 @@
                         f"{scene:14} {forwarders:3d} forwarders, N {early_calls:4.1f}:"
                     )
                     verdicts = [
-                        pool.submit(played, play)
+                        pool.submit(simulate, play)
                         for play in scene_runs(forwarders, early_calls, scene, seeds)
                     ]
                     rows.append(Row(title, verdicts))
--- a/tests/compatibility/handovers.py
+++ b/tests/compatibility/handovers.py
@@ -187,12 +187,12 @@
 
 
 def calls_out(world: World) -> set[tuple[str, int]]:
-    return {(out.message, out.attempt) for out in world.out}
+    return {(out.message, out.attempt) for out in world.in_flight}
 
 
 def remembered() -> dict[str, object]:
     world = played()
-    return world.d.snapshot(calls_out(world))
+    return world.dispatcher.snapshot(calls_out(world))
 
 
 def restored(memory: dict[str, object]) -> dict[str, object]:
@@ -203,7 +203,7 @@
     world = played()
     out = calls_out(world)
     dispatcher = Dispatcher(world.s, SEED, world.now)
-    events = [*world.recalled(set()), SnapshotRestored(memory)]
+    events = [*world.restore_events(set()), SnapshotRestored(memory)]
     actions = dispatcher.handle(world.now, events)
     return {
         "actions": [action_table(a) for a in actions],
@@ -217,7 +217,7 @@
     with fixed_machine() as folder:
         engine = forwarder(folder)
         world = played()
-        engine.dispatcher = world.d
+        engine.dispatcher = world.dispatcher
         engine.endpoint_ids, engine.last_endpoint_id = {"h1": 1, "h2": 2, "gone": 3}, 3
         engine.recently_finished.update({"m90": None, "m91": None})
         engine.pool.retry_after_until = {
@@ -226,7 +226,7 @@
             ThrottleScopeKey(12, 1): 5,
         }
         item = CallItem("", 0, None, b"", 0)
-        for out in world.out:
+        for out in world.in_flight:
             call = OutboundCall(out.target, ThrottleScopeKey(0, -1), out.sent, [item])
             engine.pool.calls[out.message, out.attempt] = call
         line = engine.handover_snapshot()
--- a/tests/dispatch/test_decisions.py
+++ b/tests/dispatch/test_decisions.py
@@ -31,12 +31,12 @@
 from tests.support.event_scripts import (
     MS,
     S,
-    ask,
-    end,
+    attempt_finished,
     finals,
-    sends,
+    message_received,
+    send_actions,
     settings,
-    started,
+    started_dispatcher,
 )
 
 DELIVERED, REJECTED, TIMED_OUT, FAILED = (
@@ -61,23 +61,27 @@
 
 
 def test_groups_are_sent_by_deadline_and_within_one_by_shortest_latency() -> None:
-    dispatcher = started(max_in_flight=1)
-    in_flight = sends(dispatcher.handle(0, [ask("warm", 11)]))[0]
+    dispatcher = started_dispatcher(max_in_flight=1)
+    in_flight = send_actions(dispatcher.handle(0, [message_received("warm", 11)]))[0]
     # Raises the expected latency of destination 11.
-    dispatcher.handle(900 * MS, [end(in_flight, DELIVERED, took=900 * MS)])
-    in_flight = sends(dispatcher.handle(901 * MS, [ask("busy")]))[0]
+    dispatcher.handle(
+        900 * MS, [attempt_finished(in_flight, DELIVERED, duration_us=900 * MS)]
+    )
+    in_flight = send_actions(dispatcher.handle(901 * MS, [message_received("busy")]))[0]
     dispatcher.handle(
         902 * MS,
         [
-            ask("long", 11, due=6 * S),
-            ask("short", 12, due=7 * S),
-            ask("far", 12, due=30 * S),
+            message_received("long", 11, deadline_us=6 * S),
+            message_received("short", 12, deadline_us=7 * S),
+            message_received("far", 12, deadline_us=30 * S),
         ],
     )
     sent_ids = []
     for n in range(3):
-        send = sends(
-            dispatcher.handle(903 * MS + n, [end(in_flight, DELIVERED, took=MS)])
+        send = send_actions(
+            dispatcher.handle(
+                903 * MS + n, [attempt_finished(in_flight, DELIVERED, duration_us=MS)]
+            )
         )[0]
         sent_ids.append(send.message_id)
         in_flight = send
@@ -85,47 +89,55 @@
 
 
 def test_concurrency_window_starts_at_one_and_grows_with_success() -> None:
-    dispatcher = started(ONE_ENDPOINT)
-    messages = [ask(f"m{n}") for n in range(9)]
-    sent = sends(dispatcher.handle(0, messages))
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    messages = [message_received(f"m{n}") for n in range(9)]
+    sent = send_actions(dispatcher.handle(0, messages))
     assert len(sent) == 1
-    sent = sends(dispatcher.handle(100 * MS, [end(sent[0], DELIVERED)]))
+    sent = send_actions(
+        dispatcher.handle(100 * MS, [attempt_finished(sent[0], DELIVERED)])
+    )
     assert len(sent) == 2
 
 
 def test_window_is_capped_below_all_slots_and_shrinks_on_rejection() -> None:
-    dispatcher = started(ONE_ENDPOINT)
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
     in_flight, peak, now = (
-        sends(dispatcher.handle(0, [ask(f"m{n}") for n in range(60)])),
+        send_actions(
+            dispatcher.handle(0, [message_received(f"m{n}") for n in range(60)])
+        ),
         0,
         0,
     )
     while len(in_flight) < 6 and now < 3 * S:
         now += 100 * MS
-        in_flight = in_flight[1:] + sends(
-            dispatcher.handle(now, [end(in_flight[0], DELIVERED)])
+        in_flight = in_flight[1:] + send_actions(
+            dispatcher.handle(now, [attempt_finished(in_flight[0], DELIVERED)])
         )
         peak = max(peak, len(in_flight))
     assert peak == 6  # three quarters of the 8 calls allowed in flight
-    dispatcher.handle(now + MS, [end(in_flight[0], REJECTED)])
-    sent_after_rejection = sends(
-        dispatcher.handle(now + 2 * S, [end(send, DELIVERED) for send in in_flight[1:]])
+    dispatcher.handle(now + MS, [attempt_finished(in_flight[0], REJECTED)])
+    sent_after_rejection = send_actions(
+        dispatcher.handle(
+            now + 2 * S, [attempt_finished(send, DELIVERED) for send in in_flight[1:]]
+        )
     )
     assert len(sent_after_rejection) <= 6
 
 
 def test_message_with_too_little_time_is_rejected_with_a_retry_after() -> None:
-    dispatcher = started(ONE_ENDPOINT)
-    send = sends(dispatcher.handle(0, [ask("a")]))[0]
-    dispatcher.handle(10 * MS, [end(send, REJECTED, retry_after_us=3 * S)])
-    actions = dispatcher.handle(20 * MS, [ask("b", due=150 * MS)])
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    send = send_actions(dispatcher.handle(0, [message_received("a")]))[0]
+    dispatcher.handle(10 * MS, [attempt_finished(send, REJECTED, retry_after_us=3 * S)])
+    actions = dispatcher.handle(20 * MS, [message_received("b", deadline_us=150 * MS)])
     assert finals(actions) == [RejectMessage("b", 2990 * MS)]
 
 
 def test_no_call_is_sent_before_the_retry_after_ends() -> None:
-    dispatcher = started(ONE_ENDPOINT)
-    send = sends(dispatcher.handle(0, [ask("a")]))[0]
-    dispatcher.handle(10 * MS, [end(send, REJECTED, retry_after_us=900 * MS)])
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    send = send_actions(dispatcher.handle(0, [message_received("a")]))[0]
+    dispatcher.handle(
+        10 * MS, [attempt_finished(send, REJECTED, retry_after_us=900 * MS)]
+    )
     send_times = [
         now
         for now, action in run_timer_rounds(dispatcher, 20 * MS, 2 * S)
@@ -135,16 +147,18 @@
 
 
 def test_retry_after_of_one_scoped_endpoint_leaves_the_other_open() -> None:
-    dispatcher = started()
-    first = sends(dispatcher.handle(0, [ask("a", 12)]))[0]
-    retries = sends(
-        dispatcher.handle(10 * MS, [end(first, REJECTED, retry_after_us=2 * S)])
+    dispatcher = started_dispatcher()
+    first = send_actions(dispatcher.handle(0, [message_received("a", 12)]))[0]
+    retries = send_actions(
+        dispatcher.handle(
+            10 * MS, [attempt_finished(first, REJECTED, retry_after_us=2 * S)]
+        )
     )
     assert retries and retries[0].endpoint != first.endpoint
 
 
 def test_draining_endpoint_and_empty_list_get_no_calls() -> None:
-    dispatcher = started(ONE_ENDPOINT)
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
     dispatcher.handle(
         0,
         [
@@ -154,34 +168,55 @@
             )
         ],
     )
-    assert not sends(dispatcher.handle(1, [ask("a", due=500 * MS)]))
+    assert not send_actions(
+        dispatcher.handle(1, [message_received("a", deadline_us=500 * MS)])
+    )
     rejections = [
         (now, action)
         for now, action in run_timer_rounds(dispatcher, 20 * MS, S)
         if isinstance(action, RejectMessage)
     ]
     assert rejections and rejections[0][0] <= 500 * MS
-    dispatcher = started()
+    dispatcher = started_dispatcher()
     dispatcher.handle(0, [EndpointListChanged(EndpointListKind.SNAPSHOT, ())])
-    assert not sends(dispatcher.handle(1, [ask("b"), ask("c", 11), ask("d", 12)]))
+    assert not send_actions(
+        dispatcher.handle(
+            1,
+            [
+                message_received("b"),
+                message_received("c", 11),
+                message_received("d", 12),
+            ],
+        )
+    )
 
 
 @pytest.mark.parametrize(
     "outcome", [FAILED, TIMED_OUT, Outcome.RESET, Outcome.CANCELED]
 )
 def test_at_most_once_message_is_failed_if_it_may_have_run(outcome: Outcome) -> None:
-    dispatcher = started(ONE_ENDPOINT)
-    send = sends(dispatcher.handle(0, [ask("a", cls="once", due=8 * S)]))[0]
-    assert finals(dispatcher.handle(50 * MS, [end(send, outcome)])) == [
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    send = send_actions(
+        dispatcher.handle(
+            0, [message_received("a", class_name="once", deadline_us=8 * S)]
+        )
+    )[0]
+    assert finals(dispatcher.handle(50 * MS, [attempt_finished(send, outcome)])) == [
         FailMessage("a")
     ]
 
 
 @pytest.mark.parametrize("outcome", [REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT])
 def test_at_most_once_message_is_sent_again_if_it_never_ran(outcome: Outcome) -> None:
-    dispatcher = started(ONE_ENDPOINT)
-    send = sends(dispatcher.handle(0, [ask("a", cls="once", due=8 * S)]))[0]
-    sent_at_once = sends(dispatcher.handle(50 * MS, [end(send, outcome)]))
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    send = send_actions(
+        dispatcher.handle(
+            0, [message_received("a", class_name="once", deadline_us=8 * S)]
+        )
+    )[0]
+    sent_at_once = send_actions(
+        dispatcher.handle(50 * MS, [attempt_finished(send, outcome)])
+    )
     assert sent_at_once or [
         action
         for _, action in run_timer_rounds(dispatcher, 60 * MS, 4 * S)
@@ -190,8 +225,12 @@
 
 
 def test_keyed_message_is_retried_only_within_scope_and_window() -> None:
-    dispatcher = started()
-    send = sends(dispatcher.handle(0, [ask("a", cls="zoned", due=10 * S)]))[0]
+    dispatcher = started_dispatcher()
+    send = send_actions(
+        dispatcher.handle(
+            0, [message_received("a", class_name="zoned", deadline_us=10 * S)]
+        )
+    )[0]
     dispatcher.handle(
         5,
         [
@@ -201,7 +240,7 @@
             )
         ],
     )
-    dispatcher.handle(50 * MS, [end(send, FAILED)])
+    dispatcher.handle(50 * MS, [attempt_finished(send, FAILED)])
     later_actions = [
         action for _, action in run_timer_rounds(dispatcher, 60 * MS, 4 * S)
     ]
@@ -210,13 +249,17 @@
 
 
 def test_messages_of_a_key_go_one_by_one_and_wait_after_a_timeout() -> None:
-    dispatcher = started()
-    first = ask("a", 10, "turns", 9 * S, ordering_key="k")
-    second = ask("b", 11, "turns", 9 * S, ordering_key="k")
-    sent = sends(dispatcher.handle(0, [first, second]))
+    dispatcher = started_dispatcher()
+    first = message_received("a", 10, "turns", 9 * S, ordering_key="k")
+    second = message_received("b", 11, "turns", 9 * S, ordering_key="k")
+    sent = send_actions(dispatcher.handle(0, [first, second]))
     assert [send.message_id for send in sent] == ["a"]
     dispatcher.handle(
-        2 * S, [end(sent[0], TIMED_OUT, took=2 * S), MessageWithdrawn("a")]
+        2 * S,
+        [
+            attempt_finished(sent[0], TIMED_OUT, duration_us=2 * S),
+            MessageWithdrawn("a"),
+        ],
     )
     send_times = [
         now
@@ -227,14 +270,14 @@
 
 
 def test_key_waits_until_the_former_final_answer_is_acknowledged() -> None:
-    dispatcher = started(notifications_acknowledged=True)
+    dispatcher = started_dispatcher(notifications_acknowledged=True)
     dispatcher.handle(
         0,
         [
             NotificationPending("z", "l"),
-            ask("a", 10, "turns", 20 * MS, ordering_key="k"),
-            ask("b", 11, "turns", 9 * S, ordering_key="k"),
-            ask("c", 12, "turns", 9 * S, ordering_key="l"),
+            message_received("a", 10, "turns", 20 * MS, ordering_key="k"),
+            message_received("b", 11, "turns", 9 * S, ordering_key="k"),
+            message_received("c", 12, "turns", 9 * S, ordering_key="l"),
         ],
     )
     assert not [
@@ -244,7 +287,7 @@
     ]
     assert [
         send.message_id
-        for send in sends(
+        for send in send_actions(
             dispatcher.handle(
                 S,
                 [
@@ -256,7 +299,9 @@
     ] == ["b"]
     assert [
         send.message_id
-        for send in sends(dispatcher.handle(S + MS, [NotificationAcknowledged("z")]))
+        for send in send_actions(
+            dispatcher.handle(S + MS, [NotificationAcknowledged("z")])
+        )
     ] == ["c"]
     assert not dispatcher.state.pending_notifications
 
@@ -265,11 +310,13 @@
     """One message that took long put its endpoint into slow start for the whole
     warm-up time (seen in i93776c).
     """
-    dispatcher = started(ONE_ENDPOINT)
-    sent = sends(dispatcher.handle(0, [ask("a")]))
-    dispatcher.handle(100 * MS, [end(sent[0], DELIVERED)])
-    sent = sends(dispatcher.handle(200 * MS, [ask("b")]))
-    actions = dispatcher.handle(2200 * MS, [end(sent[0], TIMED_OUT, took=2 * S)])
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    sent = send_actions(dispatcher.handle(0, [message_received("a")]))
+    dispatcher.handle(100 * MS, [attempt_finished(sent[0], DELIVERED)])
+    sent = send_actions(dispatcher.handle(200 * MS, [message_received("b")]))
+    actions = dispatcher.handle(
+        2200 * MS, [attempt_finished(sent[0], TIMED_OUT, duration_us=2 * S)]
+    )
     assert not [action for action in actions if isinstance(action, LogNote)]
 
 
@@ -277,15 +324,17 @@
     """Messages sent with little time left timed out early and made a healthy endpoint
     look hung (seen in i93776c).
     """
-    dispatcher = started(ONE_ENDPOINT)
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
     for number in range(6):
-        sent = sends(
+        sent = send_actions(
             dispatcher.handle(
-                number * S, [ask(f"m{number}", due=number * S + 300 * MS)]
+                number * S,
+                [message_received(f"m{number}", deadline_us=number * S + 300 * MS)],
             )
         )
         actions = dispatcher.handle(
-            number * S + 300 * MS, [end(sent[0], TIMED_OUT, took=300 * MS)]
+            number * S + 300 * MS,
+            [attempt_finished(sent[0], TIMED_OUT, duration_us=300 * MS)],
         )
         assert not [action for action in actions if isinstance(action, LogNote)]
 
@@ -295,24 +344,28 @@
     were rejected (seen in i93776c). Accepted messages stay: they used to be given up for
     new ones, which has a price in a large fleet and cost 0.03 here.
     """
-    dispatcher = started(max_open_messages=20)
+    dispatcher = started_dispatcher(max_open_messages=20)
     dispatcher.handle(
         0, [MessageRestored(f"r{n}", 10, "safe", 6 * S) for n in range(2)]
     )
-    dispatcher.handle(0, [ask(f"a{n}", due=6 * S) for n in range(13)] + [ask("b", 12)])
-    new_messages = [ask(f"n{n}", due=6 * S) for n in range(4)]
+    dispatcher.handle(
+        0,
+        [message_received(f"a{n}", deadline_us=6 * S) for n in range(13)]
+        + [message_received("b", 12)],
+    )
+    new_messages = [message_received(f"n{n}", deadline_us=6 * S) for n in range(4)]
     actions = dispatcher.handle(
         MS,
         [
             *new_messages,
-            ask("c", 12),
-            ask("d", 12),
+            message_received("c", 12),
+            message_received("d", 12),
             MessageRestored("r2", 10, "safe", 6 * S),
         ],
     )
     rejected_ids = {action.message_id for action in finals(actions)}
     assert rejected_ids == {"n0", "n1", "n2", "n3"}
-    assert not finals(dispatcher.handle(2 * MS, [ask("e", 12)])), (
+    assert not finals(dispatcher.handle(2 * MS, [message_received("e", 12)])), (
         "no message for the longest queue was received in this round"
     )
 
@@ -325,20 +378,28 @@
     up a message before seven tenths of its time has a price if it has not run, and none
     if it may have run.
     """
-    dispatcher = started(ONE_ENDPOINT, forwarder_count=forwarder_count)
-    first_send = sends(dispatcher.handle(0, [ask("ran"), ask("old")]))[0]
-    dispatcher.handle(MS, [end(first_send, TIMED_OUT, took=MS)])
+    dispatcher = started_dispatcher(ONE_ENDPOINT, forwarder_count=forwarder_count)
+    first_send = send_actions(
+        dispatcher.handle(0, [message_received("ran"), message_received("old")])
+    )[0]
+    dispatcher.handle(MS, [attempt_finished(first_send, TIMED_OUT, duration_us=MS)])
     answered_at_ms: dict[str, int] = {}
     for round_number in range(1, 60):
         now = round_number * 100 * MS
         actions = dispatcher.handle(
-            now, [ask(f"m{round_number}", due=now + 6 * S), TimerExpired("look")]
+            now,
+            [
+                message_received(f"m{round_number}", deadline_us=now + 6 * S),
+                TimerExpired("look"),
+            ],
         )
         answered_at_ms.update(
             {action.message_id: now // MS for action in finals(actions)}
         )
-        for send in sends(actions):
-            dispatcher.handle(now + MS, [end(send, REJECTED, retry_after_us=20 * S)])
+        for send in send_actions(actions):
+            dispatcher.handle(
+                now + MS, [attempt_finished(send, REJECTED, retry_after_us=20 * S)]
+            )
     assert answered_at_ms["old"] >= max(earliest_ms, 3_000) and (
         earliest_ms or answered_at_ms["old"] < 4_200
     )
@@ -346,23 +407,25 @@
 
 
 def test_calls_are_paced_to_the_share_of_a_reported_limit() -> None:
-    dispatcher = started(ONE_ENDPOINT)
-    sent = sends(dispatcher.handle(0, [ask("a")]))
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    sent = send_actions(dispatcher.handle(0, [message_received("a")]))
     dispatcher.handle(
-        100 * MS, [end(sent[0], DELIVERED, load_report=LoadReport(0.1, 2.0))]
+        100 * MS,
+        [attempt_finished(sent[0], DELIVERED, load_report=LoadReport(0.1, 2.0))],
     )
     sent_count = 0
     for round_number in range(1, 200):
-        sent = sends(
+        sent = send_actions(
             dispatcher.handle(
-                100 * MS + round_number * 20 * MS, [ask(f"m{round_number}", due=60 * S)]
+                100 * MS + round_number * 20 * MS,
+                [message_received(f"m{round_number}", deadline_us=60 * S)],
             )
         )
         sent_count += len(sent)
         for send in sent:
             dispatcher.handle(
                 100 * MS + round_number * 20 * MS + MS,
-                [end(send, DELIVERED, load_report=LoadReport(0.1, 2.0))],
+                [attempt_finished(send, DELIVERED, load_report=LoadReport(0.1, 2.0))],
             )
     assert 3 <= sent_count <= 8  # half of 2 calls a second, for 4 s
 
@@ -408,20 +471,22 @@
 
 
 def test_unknown_names_and_repeated_events_are_handled() -> None:
-    dispatcher = started()
-    assert finals(dispatcher.handle(0, [ask("due", due=-5)])) == [
+    dispatcher = started_dispatcher()
+    assert finals(dispatcher.handle(0, [message_received("due", deadline_us=-5)])) == [
         RejectMessage("due", S)
     ]
-    assert finals(dispatcher.handle(0, [ask("stranger", cls="no such class")])) == [
-        FailMessage("stranger")
-    ]
-    assert not sends(dispatcher.handle(0, [ask("nowhere", 99, due=300 * MS)]))
+    assert finals(
+        dispatcher.handle(0, [message_received("stranger", class_name="no such class")])
+    ) == [FailMessage("stranger")]
+    assert not send_actions(
+        dispatcher.handle(0, [message_received("nowhere", 99, deadline_us=300 * MS)])
+    )
     assert [
         action
         for _, action in run_timer_rounds(dispatcher, MS, 400 * MS)
         if isinstance(action, RejectMessage)
     ]
-    send = sends(dispatcher.handle(S, [ask("a")]))[0]
+    send = send_actions(dispatcher.handle(S, [message_received("a")]))[0]
     dispatcher.handle(
         S,
         [
@@ -430,13 +495,15 @@
             TimerExpired("unheard of"),
         ],
     )
-    assert not finals(dispatcher.handle(S, [end(send, TIMED_OUT, message_closed=True)]))
-    dispatcher.handle(S, [end(send, DELIVERED)])
+    assert not finals(
+        dispatcher.handle(S, [attempt_finished(send, TIMED_OUT, message_closed=True)])
+    )
+    dispatcher.handle(S, [attempt_finished(send, DELIVERED)])
     assert dispatcher.handle(2 * S, []) == []
 
 
 def test_restored_message_keeps_its_attempts_and_key_scope() -> None:
-    dispatcher = started(ONE_ENDPOINT)
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
     actions = dispatcher.handle(
         MS,
         [
@@ -445,8 +512,8 @@
             )
         ],
     )
-    assert not sends(actions) and finals(actions) == [FailMessage("once")]
-    send = sends(
+    assert not send_actions(actions) and finals(actions) == [FailMessage("once")]
+    send = send_actions(
         dispatcher.handle(
             S,
             [
@@ -457,10 +524,10 @@
         )
     )[0]
     # The endpoint recognizes its key for 3 s from the first attempt.
-    actions = dispatcher.handle(3 * S, [end(send, FAILED, attempt=2)])
-    assert not sends(actions) and [action.message_id for action in finals(actions)] == [
-        "k"
-    ]
+    actions = dispatcher.handle(3 * S, [attempt_finished(send, FAILED, attempt=2)])
+    assert not send_actions(actions) and [
+        action.message_id for action in finals(actions)
+    ] == ["k"]
     actions = dispatcher.handle(
         8 * S,
         [
@@ -476,21 +543,23 @@
         ],
     )
     # Its first endpoint is gone, and only endpoints in the same zone recognize the key.
-    assert not sends(actions)
+    assert not send_actions(actions)
 
 
 def test_key_backs_off_after_a_restart_interrupted_its_attempt() -> None:
-    dispatcher = started(ONE_ENDPOINT)
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
     actions = dispatcher.handle(
         0,
         [
             MessageRestored("a", 10, "turns", 8 * S, "k", None, 6, 0, 1, True),
-            ask("b", cls="turns", due=8 * S, ordering_key="k"),
+            message_received(
+                "b", class_name="turns", deadline_us=8 * S, ordering_key="k"
+            ),
         ],
     )
-    assert [action.message_id for action in finals(actions)] == ["a"] and not sends(
-        actions
-    )
+    assert [action.message_id for action in finals(actions)] == [
+        "a"
+    ] and not send_actions(actions)
     send_times = [
         now
         for now, action in run_timer_rounds(dispatcher, 20 * MS, 2 * S)
@@ -500,29 +569,35 @@
 
 
 def test_outage_is_recorded_and_limits_calls_when_restored() -> None:
-    dispatcher = started(ONE_ENDPOINT, endpoint_weights_known=True)
+    dispatcher = started_dispatcher(ONE_ENDPOINT, endpoint_weights_known=True)
     now, recorded = 0, []
-    in_flight = sends(
-        dispatcher.handle(0, [ask(f"m{n}", due=60 * S) for n in range(3)])
+    in_flight = send_actions(
+        dispatcher.handle(
+            0, [message_received(f"m{n}", deadline_us=60 * S) for n in range(3)]
+        )
     )
     for _ in range(40):
         now += 100 * MS
         actions = dispatcher.handle(
             now,
-            [end(send, FAILED, attempt=0) for send in in_flight]
+            [attempt_finished(send, FAILED, attempt=0) for send in in_flight]
             + [TimerExpired("look")],
         )
         recorded += [action for action in actions if isinstance(action, RecordOutage)]
         in_flight = [
             send
-            for send in sends(actions)
+            for send in send_actions(actions)
             if send.message_id not in {former.message_id for former in in_flight}
         ]
     assert recorded and recorded[0].endpoint == 1 and recorded[0].recovered_at_us == -1
-    dispatcher = started(ONE_ENDPOINT)
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
     dispatcher.handle(S, [OutageRestored(1, 0)])
     assert dispatcher.in_slow_start(dispatcher.state.endpoints[1])
-    sent_count = len(sends(dispatcher.handle(S, [ask(f"n{n}") for n in range(5)])))
+    sent_count = len(
+        send_actions(
+            dispatcher.handle(S, [message_received(f"n{n}") for n in range(5)])
+        )
+    )
     assert (
         sent_count
         + sum(
@@ -537,18 +612,24 @@
     """Such a call used to stay in flight until its timeout, which then counted as an
     outage of its endpoint.
     """
-    dispatcher = started(ONE_ENDPOINT, allow_cancel=True)
-    first = sends(dispatcher.handle(0, [ask(f"m{n}") for n in range(30)]))[0]
-    silent, other = sends(dispatcher.handle(100 * MS, [end(first, DELIVERED)]))
+    dispatcher = started_dispatcher(ONE_ENDPOINT, allow_cancel=True)
+    first = send_actions(
+        dispatcher.handle(0, [message_received(f"m{n}") for n in range(30)])
+    )[0]
+    silent, other = send_actions(
+        dispatcher.handle(100 * MS, [attempt_finished(first, DELIVERED)])
+    )
     now, cancels = 100 * MS, []
     while not cancels and now < 5 * S:
         now += 100 * MS
-        actions = dispatcher.handle(now, [end(other, DELIVERED)])
+        actions = dispatcher.handle(now, [attempt_finished(other, DELIVERED)])
         cancels = [action for action in actions if isinstance(action, CancelAttempt)]
         if not cancels:
-            other = sends(actions)[0]
+            other = send_actions(actions)[0]
     assert cancels == [CancelAttempt(silent.message_id, 0)] and 600 * MS < now <= 2 * S
-    actions_after_cancel = dispatcher.handle(now + MS, [end(silent, Outcome.CANCELED)])
+    actions_after_cancel = dispatcher.handle(
+        now + MS, [attempt_finished(silent, Outcome.CANCELED)]
+    )
     assert (
         silent.message_id in dispatcher.state.messages
         and not dispatcher.in_slow_start(dispatcher.state.endpoints[1])
@@ -562,17 +643,25 @@
 
 @pytest.mark.parametrize("passed", [True, False])
 def test_timeout_of_an_overtaken_call_is_a_weak_failure_sign(passed: bool) -> None:
-    dispatcher = started(ONE_ENDPOINT)
-    first = sends(dispatcher.handle(0, [ask(f"m{n}", due=60 * S) for n in range(30)]))[
-        0
-    ]
-    silent, other = sends(dispatcher.handle(100 * MS, [end(first, DELIVERED)]))
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    first = send_actions(
+        dispatcher.handle(
+            0, [message_received(f"m{n}", deadline_us=60 * S) for n in range(30)]
+        )
+    )[0]
+    silent, other = send_actions(
+        dispatcher.handle(100 * MS, [attempt_finished(first, DELIVERED)])
+    )
     now = 200 * MS
     if passed:
-        other = sends(dispatcher.handle(now, [end(other, DELIVERED)]))[0]
-        dispatcher.handle(now + 100 * MS, [end(other, DELIVERED)])
+        other = send_actions(
+            dispatcher.handle(now, [attempt_finished(other, DELIVERED)])
+        )[0]
+        dispatcher.handle(now + 100 * MS, [attempt_finished(other, DELIVERED)])
     window = dispatcher.state.endpoints[1].throttle_scope.concurrency_window
-    dispatcher.handle(6 * S, [end(silent, TIMED_OUT, took=5900 * MS)])
+    dispatcher.handle(
+        6 * S, [attempt_finished(silent, TIMED_OUT, duration_us=5900 * MS)]
+    )
     assert (dispatcher.state.endpoints[1].failure_ratio < 0.3) is passed and (
         dispatcher.state.endpoints[1].throttle_scope.concurrency_window >= window
     ) is passed
@@ -582,12 +671,17 @@
     """Every attempt of a message that takes long to execute used to time out after the
     same time, until the deadline had passed.
     """
-    dispatcher = started(ONE_ENDPOINT)
-    first = sends(dispatcher.handle(0, [ask("a", due=30 * S, cls="safe")]))[0]
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    first = send_actions(
+        dispatcher.handle(
+            0, [message_received("a", deadline_us=30 * S, class_name="safe")]
+        )
+    )[0]
     timeout_actions = dispatcher.handle(
-        first.timeout_us, [end(first, TIMED_OUT, took=first.timeout_us)]
+        first.timeout_us,
+        [attempt_finished(first, TIMED_OUT, duration_us=first.timeout_us)],
     )
-    retries = sends(timeout_actions) or [
+    retries = send_actions(timeout_actions) or [
         action
         for _, action in run_timer_rounds(dispatcher, first.timeout_us + MS, 9 * S)
         if isinstance(action, SendMessage)
@@ -606,7 +700,7 @@
         EndpointEntry(1, 10, "north", "plain"),
         EndpointEntry(2, 10, "north", "plain"),
     )
-    dispatcher = started(endpoints)
+    dispatcher = started_dispatcher(endpoints)
     if sick:
         dispatcher.handle(0, [OutageRestored(1, 0)])
     dispatcher.state.endpoints[1].failure_ratio = 0.4
@@ -623,9 +717,13 @@
     )
     dispatcher.handle(2, [EndpointListChanged(EndpointListKind.SNAPSHOT, endpoints)])
     for number in range(20):
-        sent = sends(dispatcher.handle(number * S + 3, [ask(f"m{number}", due=60 * S)]))
+        sent = send_actions(
+            dispatcher.handle(
+                number * S + 3, [message_received(f"m{number}", deadline_us=60 * S)]
+            )
+        )
         assert [send.endpoint for send in sent] == [2]
-        dispatcher.handle(number * S + 100 * MS, [end(sent[0], DELIVERED)])
+        dispatcher.handle(number * S + 100 * MS, [attempt_finished(sent[0], DELIVERED)])
     actions = dispatcher.handle(21 * S, [EndpointEnabled(1)])
     assert (RecordOutage(1, 0, 21 * S) if sick else RecordOutage(1, -1, -1)) in actions
     assert (
@@ -636,32 +734,37 @@
     dispatcher.handle(22 * S, [EndpointDisabled(2)])
     assert [
         send.endpoint
-        for send in sends(dispatcher.handle(29 * S, [ask("late", due=60 * S)]))
+        for send in send_actions(
+            dispatcher.handle(29 * S, [message_received("late", deadline_us=60 * S)])
+        )
     ] == [1]
 
 
 def test_enabled_scoped_endpoint_starts_with_a_window_of_one() -> None:
-    dispatcher = started((EndpointEntry(4, 12, "north", "ways"),))
-    sent = sends(dispatcher.handle(0, [ask("a", 12)]))
+    dispatcher = started_dispatcher((EndpointEntry(4, 12, "north", "ways"),))
+    sent = send_actions(dispatcher.handle(0, [message_received("a", 12)]))
     for round_number in range(1, 5):
-        new_messages = [ask(f"m{round_number}-{number}", 12) for number in range(3)]
-        sent = sends(
+        new_messages = [
+            message_received(f"m{round_number}-{number}", 12) for number in range(3)
+        ]
+        sent = send_actions(
             dispatcher.handle(
                 round_number * 50 * MS,
-                [*(end(send, DELIVERED) for send in sent), *new_messages],
+                [*(attempt_finished(send, DELIVERED) for send in sent), *new_messages],
             )
         )
     assert dispatcher.state.endpoints[4].throttle_scope.concurrency_window > 2
     dispatcher.handle(
         300 * MS,
-        [end(send, DELIVERED) for send in sent]
+        [attempt_finished(send, DELIVERED) for send in sent]
         + [EndpointDisabled(4), EndpointEnabled(4)],
     )
     assert (
         len(
-            sends(
+            send_actions(
                 dispatcher.handle(
-                    301 * MS, [ask(f"late{number}", 12) for number in range(3)]
+                    301 * MS,
+                    [message_received(f"late{number}", 12) for number in range(3)],
                 )
             )
         )
@@ -670,7 +773,7 @@
 
 
 def test_enabling_an_endpoint_never_disabled_changes_nothing() -> None:
-    dispatcher = started(ONE_ENDPOINT)
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
     assert not any(
         isinstance(action, RecordOutage)
         for action in dispatcher.handle(0, [EndpointEnabled(1)])
@@ -682,25 +785,32 @@
     """Such calls used to stay in flight until the deadline, and a few of them held every
     slot.
     """
-    dispatcher = started(ONE_ENDPOINT, allow_cancel=True)
-    now, first_sent = 0, sends(dispatcher.handle(0, [ask("first")]))
+    dispatcher = started_dispatcher(ONE_ENDPOINT, allow_cancel=True)
+    now, first_sent = 0, send_actions(dispatcher.handle(0, [message_received("first")]))
     # The concurrency window grows to two calls.
-    dispatcher.handle(MS, [end(first_sent[0], DELIVERED)])
-    stalled = sends(dispatcher.handle(2 * MS, [ask("pay", cls="once", due=60 * S)]))[0]
+    dispatcher.handle(MS, [attempt_finished(first_sent[0], DELIVERED)])
+    stalled = send_actions(
+        dispatcher.handle(
+            2 * MS, [message_received("pay", class_name="once", deadline_us=60 * S)]
+        )
+    )[0]
     assert stalled.message_id == "pay"
     cancels: list[CancelAttempt] = []
     while not cancels and now < 20 * S:
         now += 100 * MS
-        sent = sends(dispatcher.handle(now, [ask(f"m{now}", due=60 * S)]))
+        sent = send_actions(
+            dispatcher.handle(now, [message_received(f"m{now}", deadline_us=60 * S)])
+        )
         actions = dispatcher.handle(
-            now + 50 * MS, [end(send, DELIVERED, took=50 * MS) for send in sent]
+            now + 50 * MS,
+            [attempt_finished(send, DELIVERED, duration_us=50 * MS) for send in sent],
         )
         cancels = [action for action in actions if isinstance(action, CancelAttempt)]
     assert [cancel.message_id for cancel in cancels] == [
         "pay"
     ] and now >= CLASSES_BY_NAME["once"].latency_objective_us
     assert finals(
-        dispatcher.handle(now + 60 * MS, [end(stalled, Outcome.CANCELED)])
+        dispatcher.handle(now + 60 * MS, [attempt_finished(stalled, Outcome.CANCELED)])
     ) == [FailMessage("pay")]
 
 
@@ -708,11 +818,11 @@
     """Sent by deadline from a queue that moves too slowly, every message went out with
     little of its weight left.
     """
-    dispatcher = started(ONE_ENDPOINT)
-    sent = sends(dispatcher.handle(0, [ask("out")]))
-    dispatcher.handle(0, [end(sent[0], REJECTED, retry_after_us=60 * S)])
-    dispatcher.handle(0, [ask("old", due=6 * S)])
-    dispatcher.handle(3_700 * MS, [ask("fresh", due=9_700 * MS)])
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    sent = send_actions(dispatcher.handle(0, [message_received("out")]))
+    dispatcher.handle(0, [attempt_finished(sent[0], REJECTED, retry_after_us=60 * S)])
+    dispatcher.handle(0, [message_received("old", deadline_us=6 * S)])
+    dispatcher.handle(3_700 * MS, [message_received("fresh", deadline_us=9_700 * MS)])
     rejections = [
         (now, action.message_id)
         for now, action in run_timer_rounds(dispatcher, 3_700 * MS, 5_700 * MS)
@@ -724,7 +834,7 @@
 
 
 def test_late_messages_are_kept_while_no_fresh_one_waits() -> None:
-    dispatcher = started(ONE_ENDPOINT)
-    sent = sends(dispatcher.handle(0, [ask("out")]))
-    dispatcher.handle(0, [end(sent[0], REJECTED, retry_after_us=60 * S)])
+    dispatcher = started_dispatcher(ONE_ENDPOINT)
+    sent = send_actions(dispatcher.handle(0, [message_received("out")]))
+    dispatcher.handle(0, [attempt_finished(sent[0], REJECTED, retry_after_us=60 * S)])
     assert not finals(dispatcher.handle(4_900 * MS, [TimerExpired("look")]))
--- a/tests/dispatch/test_idempotency_window.py
+++ b/tests/dispatch/test_idempotency_window.py
@@ -54,12 +54,12 @@
 from tests.support.event_scripts import (
     MS,
     S,
-    ask,
-    end,
+    attempt_finished,
     finals,
-    sends,
+    message_received,
+    send_actions,
     settings,
-    started,
+    started_dispatcher,
 )
 from tests.support.loopback_peers import (
     OK,
@@ -95,10 +95,15 @@
     dispatcher: Dispatcher, ended_at: int, outcome: Outcome = FAILED
 ) -> list[Action]:
     """Send a keyed message at 0 and end its call with `outcome`; the actions then."""
-    send = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    send = send_actions(
+        dispatcher.handle(
+            0, [message_received("m", class_name="keyed", deadline_us=20 * S)]
+        )
+    )[0]
     # Inconclusive, so that no outage delays a retry.
     return dispatcher.handle(
-        ended_at, [end(send, outcome, took=ended_at, inconclusive=True)]
+        ended_at,
+        [attempt_finished(send, outcome, duration_us=ended_at, inconclusive=True)],
     )
 
 
@@ -120,44 +125,58 @@
 def test_retry_is_sent_only_with_transit_time_left_in_the_window(
     ended_at: int, retried: bool, how: Outcome
 ) -> None:
-    dispatcher = started(ONE_ENDPOINT, **short_window_settings())
+    dispatcher = started_dispatcher(ONE_ENDPOINT, **short_window_settings())
     actions = fail_first_call(dispatcher, ended_at, how)
-    assert bool(sends(actions)) is retried
+    assert bool(send_actions(actions)) is retried
     assert finals(actions) == ([] if retried else [FailMessage("m")])
 
 
 def test_window_runs_from_the_first_call_that_may_have_run() -> None:
-    dispatcher = started(ONE_ENDPOINT, **short_window_settings())
-    first = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    dispatcher = started_dispatcher(ONE_ENDPOINT, **short_window_settings())
+    first = send_actions(
+        dispatcher.handle(
+            0, [message_received("m", class_name="keyed", deadline_us=20 * S)]
+        )
+    )[0]
     # The first call was never executed.
-    second = sends(
+    second = send_actions(
         dispatcher.handle(
-            400 * MS, [end(first, Outcome.NO_CONNECTION, inconclusive=True)]
+            400 * MS,
+            [attempt_finished(first, Outcome.NO_CONNECTION, inconclusive=True)],
         )
     )[0]
     # The second, sent at 0.4 s, may have been: the window runs from there.
-    third = sends(
-        dispatcher.handle(800 * MS, [end(second, FAILED, 1, inconclusive=True)])
+    third = send_actions(
+        dispatcher.handle(
+            800 * MS, [attempt_finished(second, FAILED, 1, inconclusive=True)]
+        )
     )
     assert third
     assert not finals(dispatcher.handle(1300 * MS, [TimerExpired("look")]))
     # A window of the third call would last until 1.8 s.
     actions = dispatcher.handle(
-        1350 * MS, [end(third[0], FAILED, 2, inconclusive=True)]
+        1350 * MS, [attempt_finished(third[0], FAILED, 2, inconclusive=True)]
     )
-    assert not sends(actions) and finals(actions) == [FailMessage("m")]
+    assert not send_actions(actions) and finals(actions) == [FailMessage("m")]
 
 
 def test_keyed_message_past_its_window_is_failed_and_not_rejected() -> None:
     """After a rejection the client would send it under a new id, and it would run a
     second time.
     """
-    dispatcher = started(ONE_ENDPOINT, **short_window_settings())
-    send = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    dispatcher = started_dispatcher(ONE_ENDPOINT, **short_window_settings())
+    send = send_actions(
+        dispatcher.handle(
+            0, [message_received("m", class_name="keyed", deadline_us=20 * S)]
+        )
+    )[0]
     # No endpoint is left for a retry.
     dispatcher.handle(
         100 * MS,
-        [end(send, FAILED), EndpointListChanged(EndpointListKind.SNAPSHOT, ())],
+        [
+            attempt_finished(send, FAILED),
+            EndpointListChanged(EndpointListKind.SNAPSHOT, ()),
+        ],
     )
     final_answers = [
         answer
@@ -181,7 +200,9 @@
     """A message whose attempts were used up early may be rejected only where the client
     sends it again within the window.
     """
-    dispatcher = started(ONE_ENDPOINT, max_attempts=1, **short_window_settings(window))
+    dispatcher = started_dispatcher(
+        ONE_ENDPOINT, max_attempts=1, **short_window_settings(window)
+    )
     assert [
         type(answer) for answer in finals(fail_first_call(dispatcher, 300 * MS))
     ] == [answer_type]
@@ -191,7 +212,7 @@
 def test_message_with_a_scoped_key_is_failed_once_it_may_have_run(
     scope: IdempotencyScope,
 ) -> None:
-    dispatcher = started(
+    dispatcher = started_dispatcher(
         ONE_ENDPOINT, max_attempts=1, **short_window_settings(10 * S, scope)
     )
     assert finals(fail_first_call(dispatcher, 300 * MS)) == [FailMessage("m")]
@@ -224,7 +245,7 @@
             ),
         ],
     )
-    assert bool(sends(actions)) is retried and finals(actions) == (
+    assert bool(send_actions(actions)) is retried and finals(actions) == (
         [] if retried else [FailMessage("m")]
     )
 
@@ -233,8 +254,12 @@
 def test_call_in_flight_at_a_handover_keeps_its_send_time(
     ended_at: int, retried: bool
 ) -> None:
-    former = started(ONE_ENDPOINT, **short_window_settings())
-    send = sends(former.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    former = started_dispatcher(ONE_ENDPOINT, **short_window_settings())
+    send = send_actions(
+        former.handle(
+            0, [message_received("m", class_name="keyed", deadline_us=20 * S)]
+        )
+    )[0]
     snapshot = json.loads(json.dumps(former.snapshot({("m", 0)})))
     successor = Dispatcher(settings(**short_window_settings()), 8, 500 * MS)
     events = [
@@ -243,9 +268,11 @@
         SnapshotRestored(snapshot),
     ]
     # The call is still in flight in the former process.
-    assert not sends(successor.handle(500 * MS, events))
-    actions = successor.handle(ended_at, [end(send, Outcome.RESET, took=ended_at)])
-    assert bool(sends(actions)) is retried and finals(actions) == (
+    assert not send_actions(successor.handle(500 * MS, events))
+    actions = successor.handle(
+        ended_at, [attempt_finished(send, Outcome.RESET, duration_us=ended_at)]
+    )
+    assert bool(send_actions(actions)) is retried and finals(actions) == (
         [] if retried else [FailMessage("m")]
     )
 
@@ -378,25 +405,36 @@
     """If it were canceled as soon as later calls are answered, the message could not be
     sent again: its latency objective has to pass first.
     """
-    dispatcher = started(
+    dispatcher = started_dispatcher(
         ONE_ENDPOINT, allow_cancel=True, **short_window_settings(window)
     )
     # The concurrency window grows to two calls.
     dispatcher.handle(
-        MS, [end(sends(dispatcher.handle(0, [ask("first")]))[0], Outcome.DELIVERED)]
+        MS,
+        [
+            attempt_finished(
+                send_actions(dispatcher.handle(0, [message_received("first")]))[0],
+                Outcome.DELIVERED,
+            )
+        ],
     )
     assert (
-        sends(dispatcher.handle(2 * MS, [ask("m", cls="keyed", due=60 * S)]))[
-            0
-        ].message_id
+        send_actions(
+            dispatcher.handle(
+                2 * MS, [message_received("m", class_name="keyed", deadline_us=60 * S)]
+            )
+        )[0].message_id
         == "m"
     )
     now, cancels = 0, []
     while not cancels and now < 30 * S:
         now += 100 * MS
-        actions = dispatcher.handle(now, [ask(f"m{now}", due=60 * S)])
+        actions = dispatcher.handle(
+            now, [message_received(f"m{now}", deadline_us=60 * S)]
+        )
         outcomes = [
-            end(send, Outcome.DELIVERED, took=50 * MS) for send in sends(actions)
+            attempt_finished(send, Outcome.DELIVERED, duration_us=50 * MS)
+            for send in send_actions(actions)
         ]
         actions += dispatcher.handle(now + 50 * MS, outcomes)
         cancels = [action for action in actions if isinstance(action, CancelAttempt)]
@@ -410,8 +448,12 @@
     """After a timeout at its latency objective of 2 s the message could not be sent
     again, and would fail for that reason alone.
     """
-    dispatcher = started(ONE_ENDPOINT, **short_window_settings(window))
-    send = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=20 * S)]))[0]
+    dispatcher = started_dispatcher(ONE_ENDPOINT, **short_window_settings(window))
+    send = send_actions(
+        dispatcher.handle(
+            0, [message_received("m", class_name="keyed", deadline_us=20 * S)]
+        )
+    )[0]
     assert (send.timeout_us == 20 * S) is until_deadline and send.timeout_us >= 2 * S
 
 
--- a/tests/dispatch/test_long_queues.py
+++ b/tests/dispatch/test_long_queues.py
@@ -33,10 +33,10 @@
     ENTRIES,
     MS,
     S,
-    ask,
-    end,
+    attempt_finished,
     finals,
-    sends,
+    message_received,
+    send_actions,
     settings,
 )
 
@@ -84,7 +84,9 @@
     message_id: str, number: int, destination: int = 10
 ) -> MessageReceived:
     """A message due in one to two hours; deadlines do not follow the numbers."""
-    return ask(message_id, destination, "long", HOUR + (100 + number * 7919 % 3000) * S)
+    return message_received(
+        message_id, destination, "long", HOUR + (100 + number * 7919 % 3000) * S
+    )
 
 
 def dispatcher_with_queue(queue_size: int, **changes: object) -> Dispatcher:
@@ -110,18 +112,23 @@
         0,
         [
             CLOSE_DESTINATION,
-            *(ask(f"m{number}", cls="safe", due=6 * S) for number in range(10_000)),
+            *(
+                message_received(f"m{number}", class_name="safe", deadline_us=6 * S)
+                for number in range(10_000)
+            ),
         ],
     )
     if late:
         assert len(finals(pair.handle(6 * S, []))) == 10_000
         return
     for number in range(4):
-        for send in sends(pair.handle((number + 1) * 50 * MS, [OPEN_DESTINATION])):
+        for send in send_actions(
+            pair.handle((number + 1) * 50 * MS, [OPEN_DESTINATION])
+        ):
             pair.handle(
                 (number + 1) * 50 * MS + MS,
                 [
-                    end(
+                    attempt_finished(
                         send,
                         REJECTED if number % 2 else DELIVERED,
                         retry_after_us=number * 5 * MS,
@@ -139,14 +146,21 @@
             0,
             [
                 CLOSE_DESTINATION,
-                *(ask(f"m{n}", cls="long", due=2 * HOUR) for n in range(queue_size)),
+                *(
+                    message_received(f"m{n}", class_name="long", deadline_us=2 * HOUR)
+                    for n in range(queue_size)
+                ),
             ],
         )
         dispatcher.handle(MS, [OPEN_DESTINATION])
         # The messages have lost much of their weight, and none may be shed yet.
         now = 90 * 60 * S
         counts.append(
-            count_work(dispatcher, now, ask("new", cls="long", due=now + HOUR))
+            count_work(
+                dispatcher,
+                now,
+                message_received("new", class_name="long", deadline_us=now + HOUR),
+            )
         )
     assert counts[1] <= counts[0] + 4
 
@@ -154,11 +168,11 @@
 def test_changing_expected_latency_matches_the_reference() -> None:
     """Each outcome changes which messages are given up and which class goes first."""
     pair, rng = make_pair(max_attempts=4), Random(5)
-    in_flight = sends(
+    in_flight = send_actions(
         pair.handle(
             0,
             [
-                ask(
+                message_received(
                     f"m{number}",
                     10 + number % 3,
                     ("safe", "keyed", "once")[number % 3],
@@ -181,7 +195,7 @@
         if finished is not None:
             outcome = rng.choice((DELIVERED, DELIVERED, TIMED_OUT, FAILED))
             events = [
-                end(
+                attempt_finished(
                     finished,
                     outcome,
                     attempts[finished.message_id] - 1,
@@ -190,7 +204,7 @@
             ]
         actions = pair.handle(now, events)
         given_up += len(finals(actions))
-        for send in sends(actions):
+        for send in send_actions(actions):
             in_flight.append(send)
             attempts[send.message_id] = attempts.get(send.message_id, 0) + 1
     assert given_up > 100 and max(attempts.values()) > 1
@@ -262,7 +276,7 @@
             for number in range(closed)
         ],
     )
-    in_flight = sends(
+    in_flight = send_actions(
         dispatcher.handle(
             0,
             [
@@ -281,7 +295,7 @@
     )
     dispatcher.handle(S, [])
     assert dispatcher.state.saturated and len(in_flight) == 4
-    return dispatcher, end(in_flight[0], DELIVERED)
+    return dispatcher, attempt_finished(in_flight[0], DELIVERED)
 
 
 def test_saturated_dispatcher_visits_open_destinations_not_messages() -> None:
@@ -302,7 +316,7 @@
     pair.handle(
         0,
         [
-            ask(
+            message_received(
                 f"m{number}",
                 10 + number % 3,
                 ("safe", "keyed", "once", "zoned")[number % 4],
@@ -319,7 +333,7 @@
         now += 10 * MS
         outcomes = (
             [
-                end(
+                attempt_finished(
                     in_flight[0],
                     DELIVERED if now % 70 else REJECTED,
                     attempts.get(in_flight[0].message_id, 0),
@@ -332,7 +346,7 @@
             attempts[in_flight[0].message_id] = (
                 attempts.get(in_flight[0].message_id, 0) + 1
             )
-        in_flight = in_flight[1:] + sends(pair.handle(now, outcomes))
+        in_flight = in_flight[1:] + send_actions(pair.handle(now, outcomes))
         saturated_rounds += pair.new.state.saturated
     assert saturated_rounds > 100
 
@@ -340,7 +354,7 @@
 def test_messages_over_quota_go_last_and_match_the_reference() -> None:
     pair = make_pair()
     messages = [
-        ask(
+        message_received(
             f"m{number}",
             10,
             "safe",
@@ -349,14 +363,14 @@
         )
         for number in range(200)
     ]
-    sent = sends(pair.handle(0, messages))
+    sent = send_actions(pair.handle(0, messages))
     over_quota: list[bool] = []
     for number in range(1, 150):
-        events = [end(send, DELIVERED) for send in sent]
+        events = [attempt_finished(send, DELIVERED) for send in sent]
         over_quota += [
             pair.new.state.messages[send.message_id].over_quota for send in sent
         ]
-        sent = sends(pair.handle(number * 40 * MS, events))
+        sent = send_actions(pair.handle(number * 40 * MS, events))
     assert sum(over_quota) > 5 and over_quota == sorted(over_quota)
 
 
@@ -365,7 +379,12 @@
     dispatcher.handle(
         0,
         [
-            ask(f"m{number}", cls="turns", due=2 * HOUR - number * MS, ordering_key="k")
+            message_received(
+                f"m{number}",
+                class_name="turns",
+                deadline_us=2 * HOUR - number * MS,
+                ordering_key="k",
+            )
             for number in range(10_000)
         ],
     )
@@ -399,7 +418,7 @@
     pair.handle(
         0,
         [
-            ask(
+            message_received(
                 f"m{number}",
                 10 + number % 2,
                 "turns",
@@ -418,14 +437,14 @@
         if in_flight:
             send, attempt = in_flight.pop(0)
             events.append(
-                end(
+                attempt_finished(
                     send,
                     rng.choice((DELIVERED, DELIVERED, TIMED_OUT, REJECTED)),
                     attempt,
                 )
             )
         actions = pair.handle(number * 30 * MS, events)
-        for send in sends(actions):
+        for send in send_actions(actions):
             in_flight.append((send, attempts.setdefault(send.message_id, 0)))
             attempts[send.message_id] += 1
         if rng.random() < 0.5:
@@ -450,7 +469,12 @@
         [
             CLOSE_DESTINATION,
             *(
-                ask(f"m{n}", cls="turns", due=2 * HOUR, ordering_key=f"k{n}")
+                message_received(
+                    f"m{n}",
+                    class_name="turns",
+                    deadline_us=2 * HOUR,
+                    ordering_key=f"k{n}",
+                )
                 for n in range(5_000)
             ),
         ],
@@ -471,7 +495,7 @@
         [
             CLOSE_DESTINATION,
             *(
-                ask(
+                message_received(
                     f"m{number}",
                     10 + number % 3,
                     class_names[number % 4],
@@ -494,7 +518,7 @@
     for number in range(240):
         now, events = (
             number * 25 * MS,
-            [end(send, (DELIVERED, FAILED)[number % 2]) for send in sent],
+            [attempt_finished(send, (DELIVERED, FAILED)[number % 2]) for send in sent],
         )
         other_events: list[Event] = {
             20: [
@@ -518,8 +542,8 @@
                 )
             ],
         }.get(number, [])
-        other_events += [ask(f"n{number}", 10, "safe", now + 2 * S)]
-        sent = sends(pair.handle(now, [*events, *other_events]))
+        other_events += [message_received(f"n{number}", 10, "safe", now + 2 * S)]
+        sent = send_actions(pair.handle(now, [*events, *other_events]))
     pair.compare_whole()
 
 
@@ -528,7 +552,7 @@
     former.handle(
         0,
         [
-            ask(
+            message_received(
                 f"m{number}", 10 + number % 3, "long", HOUR + number * S, tenant="small"
             )
             for number in range(900)
@@ -552,13 +576,13 @@
         )
         for number, message in enumerate(former.state.messages.values())
     ]
-    sent = sends(pair.handle(S, [*restored, SnapshotRestored(snapshot)]))
+    sent = send_actions(pair.handle(S, [*restored, SnapshotRestored(snapshot)]))
     for number in range(1, 60):
-        sent = sends(
+        sent = send_actions(
             pair.handle(
                 S + number * 50 * MS,
                 [
-                    end(
+                    attempt_finished(
                         send,
                         DELIVERED,
                         pair.new.state.messages[send.message_id].attempts - 1,
@@ -582,7 +606,7 @@
     pair.handle(
         0,
         [
-            ask(
+            message_received(
                 f"m{n}",
                 10 + n % 3,
                 ("safe", "keyed", "turns", "long")[n % 4],
@@ -606,10 +630,10 @@
     dispatcher = make_dispatcher(max_in_flight=100, allow_cancel=True)
     entries = tuple(EndpointEntry(1000 + n, 1000 + n) for n in range(50))
     dispatcher.handle(0, [EndpointListChanged(EndpointListKind.CHANGES, entries)])
-    sent = sends(
+    sent = send_actions(
         dispatcher.handle(0, [long_message(f"m{n}", n, 1000 + n) for n in range(50)])
     )
-    dispatcher.handle(50 * MS, [end(sent[0], DELIVERED)])
+    dispatcher.handle(50 * MS, [attempt_finished(sent[0], DELIVERED)])
     assert [
         len(endpoint.calls)
         for endpoint in dispatcher.state.endpoints.values()
@@ -673,8 +697,12 @@
     dispatcher = make_dispatcher(
         classes=(replace(settings().classes[1], idempotency_window_us=window * S),)
     )
-    send = sends(dispatcher.handle(0, [ask("m", cls="keyed", due=6 * S)]))[0]
-    dispatcher.handle(MS, [end(send, FAILED), CLOSE_DESTINATION])
+    send = send_actions(
+        dispatcher.handle(
+            0, [message_received("m", class_name="keyed", deadline_us=6 * S)]
+        )
+    )[0]
+    dispatcher.handle(MS, [attempt_finished(send, FAILED), CLOSE_DESTINATION])
     assert len(dispatcher.state.retry_expirations.entries) == waits
     assert (
         len(finals(dispatcher.handle(5 * S, [QuotaChanged(10, 1, S, 9 * S, 1)])))
@@ -690,7 +718,9 @@
         [
             CLOSE_DESTINATION,
             *(
-                ask(f"m{n}", cls=cls, due=6 * S + n, ordering_key=f"k{n}")
+                message_received(
+                    f"m{n}", class_name=cls, deadline_us=6 * S + n, ordering_key=f"k{n}"
+                )
                 for n in range(5)
             ),
         ],
@@ -704,7 +734,8 @@
     ] == ["m3"]
     dispatcher.state.messages["m0"].move_deadline(7 * S)
     assert [
-        send.message_id for send in sends(dispatcher.handle(3 * S, [OPEN_DESTINATION]))
+        send.message_id
+        for send in send_actions(dispatcher.handle(3 * S, [OPEN_DESTINATION]))
     ] == ["m1"]
 
 
--- a/tests/dispatch/test_many_forwarders.py
+++ b/tests/dispatch/test_many_forwarders.py
@@ -27,7 +27,15 @@
 from rainfall.dispatch.latency import expected_latency
 from rainfall.dispatch.queues import Message
 from rainfall.dispatch.state import DispatcherState
-from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
+from tests.support.event_scripts import (
+    MS,
+    S,
+    attempt_finished,
+    finals,
+    message_received,
+    send_actions,
+    settings,
+)
 
 DELIVERED, REJECTED, TIMED_OUT, FAILED = (
     Outcome.DELIVERED,
@@ -70,7 +78,8 @@
     for index, dispatcher in enumerate(make_fleet(forwarder_count)):
         start = index * 7 * MS % (2 * S)
         actions = dispatcher.handle(
-            start, [ask(f"m{number}", due=60 * S) for number in range(3)]
+            start,
+            [message_received(f"m{number}", deadline_us=60 * S) for number in range(3)],
         )
         attempts: dict[str, int] = {}
         now = start
@@ -83,7 +92,9 @@
                     number = attempts.get(action.message_id, 0)
                     attempts[action.message_id] = number + 1
                     events.append(
-                        end(action, outcome, number, 5 * MS, **outcome_fields)
+                        attempt_finished(
+                            action, outcome, number, 5 * MS, **outcome_fields
+                        )
                     )
                 elif isinstance(action, SetTimer):
                     timer_at = now + action.delay_us
@@ -111,16 +122,18 @@
         for index, dispatcher in enumerate(forwarders):
             events = [TimerExpired("look"), *pending[index]]
             if rng.random() < arrivals_per_step:
-                events.append(ask(f"m{index}-{now}", due=now + 5 * S))
+                events.append(
+                    message_received(f"m{index}-{now}", deadline_us=now + 5 * S)
+                )
             pending[index] = []
-            for send in sends(dispatcher.handle(now, events)):
+            for send in send_actions(dispatcher.handle(now, events)):
                 recent_calls = [at for at in recent_calls if at > now - S] + [now]
                 attempt = attempts[send.message_id] = (
                     attempts.get(send.message_id, -1) + 1
                 )
                 delivered += len(recent_calls) <= limit_per_s
                 pending[index].append(
-                    end(
+                    attempt_finished(
                         send,
                         DELIVERED if len(recent_calls) <= limit_per_s else REJECTED,
                         attempt,
@@ -184,10 +197,14 @@
 def test_retry_after_does_not_end_for_all_forwarders_at_once() -> None:
     retry_times = []
     for dispatcher in make_fleet(60):
-        send = sends(dispatcher.handle(0, [ask("a", due=60 * S)]))[0]
-        actions = dispatcher.handle(5 * MS, [end(send, REJECTED, retry_after_us=4 * S)])
+        send = send_actions(
+            dispatcher.handle(0, [message_received("a", deadline_us=60 * S)])
+        )[0]
+        actions = dispatcher.handle(
+            5 * MS, [attempt_finished(send, REJECTED, retry_after_us=4 * S)]
+        )
         now = 5 * MS
-        while not sends(actions):
+        while not send_actions(actions):
             now += 20 * MS
             actions = dispatcher.handle(now, [TimerExpired("look")])
         retry_times.append(now)
@@ -202,15 +219,18 @@
     """
     dispatcher = make_fleet(number, endpoint_weights_known=False)[0]
     report = LoadReport(0.9, 10.0)
-    send = sends(dispatcher.handle(0, [ask("a")]))[0]
-    dispatcher.handle(100 * MS, [end(send, DELIVERED, load_report=report)])
-    send = sends(dispatcher.handle(200 * MS, [ask("b")]))[0]
-    dispatcher.handle(300 * MS, [end(send, DELIVERED, load_report=report)])
-    actions, now = dispatcher.handle(400 * MS, [ask("c", due=6 * S)]), 400 * MS
-    while not sends(actions) and now < 4 * S:
+    send = send_actions(dispatcher.handle(0, [message_received("a")]))[0]
+    dispatcher.handle(100 * MS, [attempt_finished(send, DELIVERED, load_report=report)])
+    send = send_actions(dispatcher.handle(200 * MS, [message_received("b")]))[0]
+    dispatcher.handle(300 * MS, [attempt_finished(send, DELIVERED, load_report=report)])
+    actions, now = (
+        dispatcher.handle(400 * MS, [message_received("c", deadline_us=6 * S)]),
+        400 * MS,
+    )
+    while not send_actions(actions) and now < 4 * S:
         now += 20 * MS
         actions = dispatcher.handle(now, [TimerExpired("look")])
-    assert sends(actions)
+    assert send_actions(actions)
 
 
 @pytest.mark.parametrize("number", [1, 3, 60, 300])
@@ -219,19 +239,31 @@
     each: all messages used to count as over the quota.
     """
     dispatcher = make_fleet(number, endpoint_weights_known=False)[0]
-    first = sends(dispatcher.handle(0, [ask("first", tenant="small")]))[0]
+    first = send_actions(
+        dispatcher.handle(0, [message_received("first", tenant="small")])
+    )[0]
     dispatcher.handle(
-        MS, [ask(f"flood{n}", tenant="small", due=3 * S) for n in range(12)]
+        MS,
+        [
+            message_received(f"flood{n}", tenant="small", deadline_us=3 * S)
+            for n in range(12)
+        ],
     )
     dispatcher.handle(
-        2 * MS, [ask(f"fair{n}", tenant="big", due=6 * S) for n in range(3)]
+        2 * MS,
+        [
+            message_received(f"fair{n}", tenant="big", deadline_us=6 * S)
+            for n in range(3)
+        ],
     )
     in_flight = [first]
     sent_ids: list[str] = []
     now = 100 * MS
     while len(sent_ids) < 15 and now < 2 * S:
-        in_flight = sends(
-            dispatcher.handle(now, [end(send, DELIVERED) for send in in_flight])
+        in_flight = send_actions(
+            dispatcher.handle(
+                now, [attempt_finished(send, DELIVERED) for send in in_flight]
+            )
         )
         sent_ids += [send.message_id for send in in_flight]
         now += 20 * MS
@@ -246,23 +278,34 @@
     dispatcher = make_fleet(
         number, idle_connection_us=5 * S, endpoint_weights_known=False
     )[0]
-    send = sends(dispatcher.handle(0, [ask("a")]))[0]
-    dispatcher.handle(100 * MS, [end(send, DELIVERED)])
-    send = sends(dispatcher.handle(3 * S, [ask("b", due=9 * S)]))[0]
-    actions = dispatcher.handle(3100 * MS, [end(send, DELIVERED)])
+    send = send_actions(dispatcher.handle(0, [message_received("a")]))[0]
+    dispatcher.handle(100 * MS, [attempt_finished(send, DELIVERED)])
+    send = send_actions(
+        dispatcher.handle(3 * S, [message_received("b", deadline_us=9 * S)])
+    )[0]
+    actions = dispatcher.handle(3100 * MS, [attempt_finished(send, DELIVERED)])
     assert (CloseIdleConnections(1) in actions) is closed
 
 
 def test_reset_idle_connection_is_no_outage_and_is_not_reused() -> None:
     dispatcher = make_fleet(2, idle_connection_us=5 * S)[0]
-    send = sends(dispatcher.handle(0, [ask("a")]))[0]
-    dispatcher.handle(100 * MS, [end(send, DELIVERED)])
-    send = sends(dispatcher.handle(2 * S, [ask("b", due=9 * S)]))[0]
-    retry_actions = dispatcher.handle(2100 * MS, [end(send, Outcome.RESET)])
+    send = send_actions(dispatcher.handle(0, [message_received("a")]))[0]
+    dispatcher.handle(100 * MS, [attempt_finished(send, DELIVERED)])
+    send = send_actions(
+        dispatcher.handle(2 * S, [message_received("b", deadline_us=9 * S)])
+    )[0]
+    retry_actions = dispatcher.handle(
+        2100 * MS, [attempt_finished(send, Outcome.RESET)]
+    )
     assert not [action for action in retry_actions if isinstance(action, LogNote)]
-    dispatcher.handle(2200 * MS, [end(sends(retry_actions)[0], DELIVERED, attempt=1)])
-    actions = dispatcher.handle(4 * S, [ask("c", due=9 * S)])
-    assert actions.index(CloseIdleConnections(1)) < actions.index(sends(actions)[0])
+    dispatcher.handle(
+        2200 * MS,
+        [attempt_finished(send_actions(retry_actions)[0], DELIVERED, attempt=1)],
+    )
+    actions = dispatcher.handle(4 * S, [message_received("c", deadline_us=9 * S)])
+    assert actions.index(CloseIdleConnections(1)) < actions.index(
+        send_actions(actions)[0]
+    )
 
 
 def test_event_visits_only_messages_of_its_destination(
@@ -275,7 +318,12 @@
     dispatcher = Dispatcher(settings(max_in_flight=4000), 1, 0)
     dispatcher.handle(0, [EndpointListChanged(EndpointListKind.CACHED, entries)])
     dispatcher.handle(
-        0, [ask(f"m{n}-{k}", n, due=60 * S) for n in range(2000) for k in range(3)]
+        0,
+        [
+            message_received(f"m{n}-{k}", n, deadline_us=60 * S)
+            for n in range(2000)
+            for k in range(3)
+        ],
     )
     visited: list[int] = []
     drop_time = expiry.drop_time
@@ -286,26 +334,30 @@
 
     monkeypatch.setattr(expiry, "drop_time", counting_drop_time)
     monkeypatch.setattr(release, "drop_time", counting_drop_time)
-    dispatcher.handle(MS, [ask("new", 7, due=60 * S)])
+    dispatcher.handle(MS, [message_received("new", 7, deadline_us=60 * S)])
     assert set(visited) == {7} and len(visited) < 10
 
 
 @pytest.mark.parametrize("limit", [0.0, 1e-9, 1e12])
 def test_extreme_reported_limits_do_not_stop_calls(limit: float) -> None:
     dispatcher = make_fleet(3)[0]
-    send = sends(dispatcher.handle(0, [ask("a")]))[0]
+    send = send_actions(dispatcher.handle(0, [message_received("a")]))[0]
     dispatcher.handle(
-        100 * MS, [end(send, DELIVERED, load_report=LoadReport(0.0, limit))]
+        100 * MS,
+        [attempt_finished(send, DELIVERED, load_report=LoadReport(0.0, limit))],
     )
-    send = sends(dispatcher.handle(200 * MS, [ask("b")]))[0]
+    send = send_actions(dispatcher.handle(200 * MS, [message_received("b")]))[0]
     dispatcher.handle(
-        300 * MS, [end(send, DELIVERED, load_report=LoadReport(0.0, 0.0))]
+        300 * MS, [attempt_finished(send, DELIVERED, load_report=LoadReport(0.0, 0.0))]
     )
-    actions, now = dispatcher.handle(400 * MS, [ask("c", due=6 * S)]), 400 * MS
-    while not sends(actions) and not finals(actions) and now < 7 * S:
+    actions, now = (
+        dispatcher.handle(400 * MS, [message_received("c", deadline_us=6 * S)]),
+        400 * MS,
+    )
+    while not send_actions(actions) and not finals(actions) and now < 7 * S:
         now += 20 * MS
         actions = dispatcher.handle(now, [TimerExpired("look")])
-    assert sends(actions)
+    assert send_actions(actions)
 
 
 def test_scoped_endpoints_together_leave_a_quarter_of_the_slots() -> None:
@@ -322,14 +374,16 @@
             )
         ],
     )
-    in_flight = sends(
-        dispatcher.handle(0, [ask(f"m{n}", 12, due=60 * S) for n in range(90)])
+    in_flight = send_actions(
+        dispatcher.handle(
+            0, [message_received(f"m{n}", 12, deadline_us=60 * S) for n in range(90)]
+        )
     )
     peak = now = 0
     while now < 2 * S:
         now += 100 * MS
-        in_flight = in_flight[1:] + sends(
-            dispatcher.handle(now, [end(in_flight[0], DELIVERED)])
+        in_flight = in_flight[1:] + send_actions(
+            dispatcher.handle(now, [attempt_finished(in_flight[0], DELIVERED)])
         )
         peak = max(peak, len(in_flight))
     assert peak == 6  # three quarters of the 8 calls allowed in flight
@@ -340,11 +394,17 @@
     closed early, and a slow endpoint was never seen to be slow.
     """
     dispatcher = make_fleet(2, idle_connection_us=5 * S)[0]
-    send = sends(dispatcher.handle(0, [ask("a")]))[0]
-    dispatcher.handle(100 * MS, [end(send, DELIVERED)])
-    send = sends(dispatcher.handle(2 * S, [ask("b", due=9 * S)]))[0]
+    send = send_actions(dispatcher.handle(0, [message_received("a")]))[0]
+    dispatcher.handle(100 * MS, [attempt_finished(send, DELIVERED)])
+    send = send_actions(
+        dispatcher.handle(2 * S, [message_received("b", deadline_us=9 * S)])
+    )[0]
     dispatcher.handle(
-        4 * S, [end(send, Outcome.TIMED_OUT, took=2 * S), MessageWithdrawn("b")]
+        4 * S,
+        [
+            attempt_finished(send, Outcome.TIMED_OUT, duration_us=2 * S),
+            MessageWithdrawn("b"),
+        ],
     )
     assert (
         dispatcher.state.endpoints[1].failure_ratio > 0
@@ -355,8 +415,8 @@
         )
         > 400 * MS
     )
-    actions = dispatcher.handle(6 * S, [ask("c", due=15 * S)])
-    assert sends(actions) and CloseIdleConnections(1) not in actions
+    actions = dispatcher.handle(6 * S, [message_received("c", deadline_us=15 * S)])
+    assert send_actions(actions) and CloseIdleConnections(1) not in actions
 
 
 def test_rejections_of_a_paced_endpoint_shrink_its_share_only() -> None:
@@ -365,15 +425,17 @@
     """
     dispatcher, now = make_fleet(40)[0], 0
     for number in range(9):
-        actions = dispatcher.handle(now, [ask(f"m{number}", due=now + 60 * S)])
-        while not sends(actions):
+        actions = dispatcher.handle(
+            now, [message_received(f"m{number}", deadline_us=now + 60 * S)]
+        )
+        while not send_actions(actions):
             now += 50 * MS
             actions = dispatcher.handle(now, [TimerExpired("look")])
-        send = sends(actions)[0]
+        send = send_actions(actions)[0]
         dispatcher.handle(
             now,
             [
-                end(
+                attempt_finished(
                     send,
                     REJECTED,
                     dispatcher.state.messages[send.message_id].attempts - 1,
@@ -393,17 +455,25 @@
     dispatcher = make_fleet(40)[0]
     sent = []
     for number, now in enumerate((0, 5 * S)):
-        sent += sends(dispatcher.handle(now, [ask(f"m{number}", due=60 * S)]))
+        sent += send_actions(
+            dispatcher.handle(now, [message_received(f"m{number}", deadline_us=60 * S)])
+        )
         dispatcher.handle(
             now + MS,
-            [end(sent[-1], Outcome.NO_CONNECTION), MessageWithdrawn(f"m{number}")],
+            [
+                attempt_finished(sent[-1], Outcome.NO_CONNECTION),
+                MessageWithdrawn(f"m{number}"),
+            ],
         )
     assert dispatcher.in_slow_start(dispatcher.state.endpoints[1])
-    actions, now = dispatcher.handle(6 * S, [ask("back", due=60 * S)]), 6 * S
-    while not sends(actions):
+    actions, now = (
+        dispatcher.handle(6 * S, [message_received("back", deadline_us=60 * S)]),
+        6 * S,
+    )
+    while not send_actions(actions):
         now += 50 * MS
         actions = dispatcher.handle(now, [TimerExpired("look")])
-    dispatcher.handle(now, [end(sends(actions)[0], DELIVERED)])
+    dispatcher.handle(now, [attempt_finished(send_actions(actions)[0], DELIVERED)])
     # Half way back to the last failure is too early for a ramp that all forwarders
     # follow: the recovery is dated at most half an overload window back.
     assert (
@@ -435,13 +505,15 @@
     now = 0
     for number in range(8):
         now += 4 * S
-        for send in sends(
-            dispatcher.handle(now, [ask(f"m{number}", due=now + 60 * S)])
+        for send in send_actions(
+            dispatcher.handle(
+                now, [message_received(f"m{number}", deadline_us=now + 60 * S)]
+            )
         ):
             dispatcher.handle(
                 now + MS,
                 [
-                    end(send, Outcome.NO_CONNECTION),
+                    attempt_finished(send, Outcome.NO_CONNECTION),
                     MessageWithdrawn(send.message_id),
                 ],
             )
@@ -449,12 +521,12 @@
         dispatcher.in_slow_start(endpoint) and endpoint.recovered_at < 0
         for endpoint in dispatcher.state.endpoints.values()
     )
-    dispatcher.handle(now, [ask("back", due=now + 60 * S)])
+    dispatcher.handle(now, [message_received("back", deadline_us=now + 60 * S)])
     actions: list[Action] = []
-    while not sends(actions):
+    while not send_actions(actions):
         now += 50 * MS
         actions = dispatcher.handle(now, [TimerExpired("look")])
-    dispatcher.handle(now, [end(sends(actions)[0], DELIVERED)])
+    dispatcher.handle(now, [attempt_finished(send_actions(actions)[0], DELIVERED)])
     assert all(
         0 <= endpoint.recovered_at <= now
         for endpoint in dispatcher.state.endpoints.values()
--- a/tests/dispatch/test_queue_order.py
+++ b/tests/dispatch/test_queue_order.py
@@ -21,7 +21,15 @@
     TimerExpired,
 )
 from tests.reference.pair import Pair
-from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
+from tests.support.event_scripts import (
+    MS,
+    S,
+    attempt_finished,
+    finals,
+    message_received,
+    send_actions,
+    settings,
+)
 
 DELIVERED, REJECTED, TIMED_OUT, FAILED = (
     Outcome.DELIVERED,
@@ -61,11 +69,13 @@
             0,
             [
                 close_destination(),
-                ask("slow", due=2 * S),
-                ask("new", cls="quick", due=due),
+                message_received("slow", deadline_us=2 * S),
+                message_received("new", class_name="quick", deadline_us=due),
             ],
         )
-        assert sends(pair.handle(0, [open_destination()]))[0].message_id == first_id
+        assert (
+            send_actions(pair.handle(0, [open_destination()]))[0].message_id == first_id
+        )
 
 
 def test_spare_class_queue_follows_changed_settings() -> None:
@@ -74,9 +84,13 @@
     """
     for late_halves in (False, True):
         pair = make_pair()
-        send = sends(pair.handle(0, [ask("first")]))[0]
+        send = send_actions(pair.handle(0, [message_received("first")]))[0]
         pair.handle(
-            MS, [end(send, REJECTED, retry_after_us=60 * S), MessageWithdrawn("first")]
+            MS,
+            [
+                attempt_finished(send, REJECTED, retry_after_us=60 * S),
+                MessageWithdrawn("first"),
+            ],
         )
         pair.handle(
             2 * MS,
@@ -86,8 +100,8 @@
                 )
             ],
         )
-        pair.handle(3 * MS, [ask("old", due=6 * S)])
-        pair.handle(2_900 * MS, [ask("fresh", due=8_900 * MS)])
+        pair.handle(3 * MS, [message_received("old", deadline_us=6 * S)])
+        pair.handle(2_900 * MS, [message_received("fresh", deadline_us=8_900 * MS)])
         answer_times_ms = [
             now_ms
             for now_ms in range(3_000, 6_000, 20)
@@ -102,7 +116,13 @@
         100 * S,
     )
     pair.handle(now, [OutageRestored(1, 80 * S)])
-    pair.handle(now + MS, [ask("waits", due=130 * S), ask("out", 11, due=140 * S)])
+    pair.handle(
+        now + MS,
+        [
+            message_received("waits", deadline_us=130 * S),
+            message_received("out", 11, deadline_us=140 * S),
+        ],
+    )
     assert [message_id for message_id, _ in pair.new.state.attempts] == [
         "out"
     ] and 10 not in pair.new.state.possibly_available
@@ -113,19 +133,21 @@
     actions = pair.handle(
         now + 3 * MS, [AttemptFinished("out", 0, 2, DELIVERED, MS, True)]
     )
-    assert [send.message_id for send in sends(actions)] == ["waits"]
+    assert [send.message_id for send in send_actions(actions)] == ["waits"]
 
 
 def test_restored_snapshot_opens_a_destination_while_saturated() -> None:
     pair = make_pair(TWO_DESTINATIONS, max_in_flight=1)
-    first = sends(pair.handle(0, [ask("waits", due=30 * S)]))[0]
-    pair.handle(MS, [end(first, REJECTED, retry_after_us=20 * S)])
-    pair.handle(2 * MS, [ask("out", 11, due=40 * S)])
+    first = send_actions(
+        pair.handle(0, [message_received("waits", deadline_us=30 * S)])
+    )[0]
+    pair.handle(MS, [attempt_finished(first, REJECTED, retry_after_us=20 * S)])
+    pair.handle(2 * MS, [message_received("out", 11, deadline_us=40 * S)])
     assert pair.new.state.saturated and 10 not in pair.new.state.possibly_available
     scope = {"wait_until": 0, "rest_until": 0, "rest": 0}
     pair.handle(3 * MS, [SnapshotRestored({"places": [[10, -1, scope]]})])
     actions = pair.handle(4 * MS, [AttemptFinished("out", 0, 2, DELIVERED, MS, True)])
-    assert [send.message_id for send in sends(actions)] == ["waits"]
+    assert [send.message_id for send in send_actions(actions)] == ["waits"]
 
 
 def test_message_returns_from_an_endpoint_of_another_destination() -> None:
@@ -145,7 +167,7 @@
     actions = pair.handle(
         2 * MS, [AttemptFinished("moved", 0, 1, Outcome.NO_CONNECTION, MS)]
     )
-    assert [(send.message_id, send.endpoint) for send in sends(actions)] == [
+    assert [(send.message_id, send.endpoint) for send in send_actions(actions)] == [
         ("moved", 2)
     ]
 
@@ -153,21 +175,27 @@
 def test_messages_bound_to_different_endpoints_do_not_block_each_other() -> None:
     pair = make_pair(SCOPED_ENDPOINTS)
     message_ids = [f"m{number}" for number in range(2)]
-    in_flight = sends(
+    in_flight = send_actions(
         pair.handle(
-            0, [ask(message_id, 12, "zoned", 9 * S) for message_id in message_ids]
+            0,
+            [
+                message_received(message_id, 12, "zoned", 9 * S)
+                for message_id in message_ids
+            ],
         )
     )
     assert {send.endpoint for send in in_flight} == {4, 5}
     first, other = sorted(in_flight, key=lambda send: send.message_id)
-    pair.handle(20 * MS, [end(first, FAILED), end(other, FAILED)])
-    pair.handle(30 * MS, [ask("full", 12, "safe", 1 * S)])
+    pair.handle(
+        20 * MS, [attempt_finished(first, FAILED), attempt_finished(other, FAILED)]
+    )
+    pair.handle(30 * MS, [message_received("full", 12, "safe", 1 * S)])
     send_counts: Counter[str] = Counter()
     for number in range(40, 1_500, 10):
         actions = pair.handle(number * MS, [TimerExpired("look")])
-        for send in sends(actions):
+        for send in send_actions(actions):
             send_counts[send.message_id] += 1
-            rejection = end(
+            rejection = attempt_finished(
                 send,
                 REJECTED,
                 pair.new.state.messages[send.message_id].attempts - 1,
@@ -193,17 +221,24 @@
         nonlocal now
         for _ in range(call_count):
             now += MS
-            send = sends(pair.handle(now, [ask(f"at {now}", destination, due=60 * S)]))[
-                0
-            ]
-            pair.handle(now, [end(send, DELIVERED, took=MS)])
+            send = send_actions(
+                pair.handle(
+                    now,
+                    [message_received(f"at {now}", destination, deadline_us=60 * S)],
+                )
+            )[0]
+            pair.handle(now, [attempt_finished(send, DELIVERED, duration_us=MS)])
 
     deliver(10, 5)
     deliver(11, 5)
     now += MS
     silent = [
-        *sends(pair.handle(now, [ask("first", 10, due=60 * S)])),
-        *sends(pair.handle(now, [ask("second", 11, due=60 * S)])),
+        *send_actions(
+            pair.handle(now, [message_received("first", 10, deadline_us=60 * S)])
+        ),
+        *send_actions(
+            pair.handle(now, [message_received("second", 11, deadline_us=60 * S)])
+        ),
     ]
     assert [send.message_id for send in silent] == ["first", "second"]
     deliver(11, 3)
@@ -241,24 +276,46 @@
             SnapshotRestored(snapshot),
         ],
     )
-    assert not sends(actions) and not sends(pair.handle(S, []))
+    assert not send_actions(actions) and not send_actions(pair.handle(S, []))
     actions_later = pair.handle(
         2 * S, [AttemptFinished("second", 0, 2, Outcome.NO_CONNECTION, S)]
     )
-    assert [send.message_id for send in sends(actions_later)] == ["first"]
+    assert [send.message_id for send in send_actions(actions_later)] == ["first"]
 
 
 def test_shedding_counts_all_rounds_at_the_same_time_as_one() -> None:
     pair = make_pair(max_open_messages=10)
-    pair.handle(0, [close_destination(), *(ask(f"m{n}", due=60 * S) for n in range(6))])
-    pair.handle(S, [ask("n0", due=60 * S), ask("n1", due=50 * S)])
+    pair.handle(
+        0,
+        [
+            close_destination(),
+            *(message_received(f"m{n}", deadline_us=60 * S) for n in range(6)),
+        ],
+    )
+    pair.handle(
+        S,
+        [
+            message_received("n0", deadline_us=60 * S),
+            message_received("n1", deadline_us=50 * S),
+        ],
+    )
     assert [
         action.message_id
         for action in finals(
-            pair.handle(S, [ask("n2", due=40 * S), MessageWithdrawn("m1")])
+            pair.handle(
+                S, [message_received("n2", deadline_us=40 * S), MessageWithdrawn("m1")]
+            )
         )
     ] == []
-    rejections = finals(pair.handle(S, [ask("n3", due=30 * S), ask("n4", due=20 * S)]))
+    rejections = finals(
+        pair.handle(
+            S,
+            [
+                message_received("n3", deadline_us=30 * S),
+                message_received("n4", deadline_us=20 * S),
+            ],
+        )
+    )
     assert [action.message_id for action in rejections] == ["n0"]
 
 
@@ -273,7 +330,7 @@
             [
                 close_destination(),
                 SettingsChanged(replace(pair.new.state.settings, classes=class_copies)),
-                ask(f"m{number}", due=60 * S),
+                message_received(f"m{number}", deadline_us=60 * S),
             ],
         )
     assert [
@@ -296,8 +353,13 @@
         MS,
         [
             close_destination(11),
-            *(ask(f"m{n}", 11, cls="odder", due=9 * S + n) for n in range(2)),
+            *(
+                message_received(f"m{n}", 11, class_name="odder", deadline_us=9 * S + n)
+                for n in range(2)
+            ),
         ],
     )
-    actions = pair.handle(S, [close_destination(), ask("alone", due=1_500 * MS)])
+    actions = pair.handle(
+        S, [close_destination(), message_received("alone", deadline_us=1_500 * MS)]
+    )
     assert [action.reason for action in finals(actions)] == ["makes way for fresh ones"]
--- a/tests/dispatch/test_restored_and_ordered.py
+++ b/tests/dispatch/test_restored_and_ordered.py
@@ -19,7 +19,15 @@
     SendMessage,
     TimerExpired,
 )
-from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
+from tests.support.event_scripts import (
+    MS,
+    S,
+    attempt_finished,
+    finals,
+    message_received,
+    send_actions,
+    settings,
+)
 
 DELIVERED, REJECTED = Outcome.DELIVERED, Outcome.REJECTED
 ONE_ENDPOINT = (EndpointEntry(1, 10, "north", "plain"),)
@@ -56,7 +64,7 @@
         )
 
     def carry_out(self, actions: list[Action]) -> None:
-        for send in sends(actions):
+        for send in send_actions(actions):
             self.tried_ids.add(send.message_id)
             is_over_rate = self.tokens < 1
             self.tokens -= not is_over_rate
@@ -81,7 +89,7 @@
             send.message_id for _, send, _, outcome in finished if outcome is DELIVERED
         }
         outcomes = [
-            end(send, outcome, attempt, 5 * MS)
+            attempt_finished(send, outcome, attempt, 5 * MS)
             for _, send, attempt, outcome in finished
         ]
         self.carry_out(
@@ -109,7 +117,7 @@
         received_at |= dict.fromkeys(new_ids, simulation.now + STEP)
         simulation.step(
             [
-                ask(message_id, due=simulation.now + STEP + 6 * S)
+                message_received(message_id, deadline_us=simulation.now + STEP + 6 * S)
                 for message_id in new_ids
             ]
         )
@@ -144,11 +152,20 @@
             ).add(message_id)
             former_ids.add(message_id)
             simulation.step(
-                [ask(message_id, cls="turns", due=deadline, ordering_key=key)]
+                [
+                    message_received(
+                        message_id,
+                        class_name="turns",
+                        deadline_us=deadline,
+                        ordering_key=key,
+                    )
+                ]
             )
         elif draw < 8:
             other_ids.add(message_id)
-            simulation.step([ask(message_id, cls="keyed", due=deadline)])
+            simulation.step(
+                [message_received(message_id, class_name="keyed", deadline_us=deadline)]
+            )
         else:
             simulation.step([])
     answered = simulation.answered_at.keys()
--- a/tests/dispatch/test_slow_start.py
+++ b/tests/dispatch/test_slow_start.py
@@ -23,8 +23,15 @@
     TimerExpired,
     slow_start,
 )
-from tests.support.event_scripts import MS, S, ask, end, sends, settings
-from tests.support.simulated_fleet import SCENES, played
+from tests.support.event_scripts import (
+    MS,
+    S,
+    attempt_finished,
+    message_received,
+    send_actions,
+    settings,
+)
+from tests.support.simulated_fleet import SCENES, simulate
 
 DELIVERED, FAILED = Outcome.DELIVERED, Outcome.FAILED
 PLAIN_SCENES = [scene for scene in SCENES if scene not in ("untold", "batch")]
@@ -60,8 +67,8 @@
 def test_small_fleet_keeps_to_the_call_limit(
     scene: str, forwarders: int, cold_budget: float, seed: int
 ) -> None:
-    verdict = played(SCENES[scene](forwarders, cold_budget, seed))
-    assert verdict.part <= 1 and not verdict.pushed, verdict
+    verdict = simulate(SCENES[scene](forwarders, cold_budget, seed))
+    assert verdict.limit_ratio <= 1 and not verdict.pushed, verdict
 
 
 @pytest.mark.parametrize(
@@ -79,8 +86,8 @@
 def test_thirty_forwarders_keep_to_the_call_limit(
     scene: str, cold_budget: float, seed: int
 ) -> None:
-    verdict = played(SCENES[scene](30, cold_budget, seed))
-    assert verdict.part <= 1 and not verdict.pushed, verdict
+    verdict = simulate(SCENES[scene](30, cold_budget, seed))
+    assert verdict.limit_ratio <= 1 and not verdict.pushed, verdict
 
 
 @pytest.mark.parametrize("forwarders, cold_budget", [(2, 1.0), (4, 4.0)])
@@ -91,19 +98,19 @@
     play = SCENES[scene](
         forwarders, cold_budget if scene == "batch" else max(1.0, cold_budget), 1
     )
-    verdict = played(play)
-    assert verdict.part <= 1 and not verdict.pushed, verdict
+    verdict = simulate(play)
+    assert verdict.limit_ratio <= 1 and not verdict.pushed, verdict
 
 
 def test_two_hundred_forwarders_keep_to_the_call_limit() -> None:
-    verdict = played(replace(SCENES["shared"](200, 1.0, 1), every_us=16 * S))
-    assert verdict.part <= 1 and not verdict.pushed, verdict
+    verdict = simulate(replace(SCENES["shared"](200, 1.0, 1), every_us=16 * S))
+    assert verdict.limit_ratio <= 1 and not verdict.pushed, verdict
 
 
 def test_fleet_calls_a_recovered_endpoint_soon() -> None:
     """The ramp intervals are long for each forwarder, not for the fleet as a whole."""
     delays_us = [
-        played(SCENES["short"](30, 4.0, seed)).found_us for seed in range(1, 4)
+        simulate(SCENES["short"](30, 4.0, seed)).first_call_us for seed in range(1, 4)
     ]
     assert min(delays_us) >= 0 and statistics.median(delays_us) <= 4 * S
 
@@ -180,7 +187,9 @@
     first_calls = []
     for seed in range(40):
         dispatcher = make_dispatcher(seed, forwarder_count=40)
-        dispatcher.handle(0, [OutageRestored(1, 0), ask("a", due=100 * S)])
+        dispatcher.handle(
+            0, [OutageRestored(1, 0), message_received("a", deadline_us=100 * S)]
+        )
         endpoint = dispatcher.state.endpoints[1]
         first_calls.append(
             (
@@ -203,10 +212,19 @@
     interval_factors = []
     for seed in range(40):
         dispatcher = make_dispatcher(seed, forwarder_count=40)
-        sent = sends(dispatcher.handle(3 * S, [ask("a", due=100 * S)]))
-        sent = sends(dispatcher.handle(3 * S + MS, [end(sent[0], FAILED, took=MS)]))
+        sent = send_actions(
+            dispatcher.handle(3 * S, [message_received("a", deadline_us=100 * S)])
+        )
+        sent = send_actions(
+            dispatcher.handle(
+                3 * S + MS, [attempt_finished(sent[0], FAILED, duration_us=MS)]
+            )
+        )
         dispatcher.handle(
-            3 * S + 2 * MS, [end(sent[0], FAILED, attempt=1, took=MS)] if sent else []
+            3 * S + 2 * MS,
+            [attempt_finished(sent[0], FAILED, attempt=1, duration_us=MS)]
+            if sent
+            else [],
         )
         assert dispatcher.is_avoided(1)
         interval_factors.append(dispatcher.state.endpoints[1].next_interval_factor)
@@ -228,9 +246,13 @@
     sent: list[SendMessage] = []
     while not sent:
         now += S
-        sent = sends(dispatcher.handle(now, [ask(f"m{now}", due=now + 9 * S)]))
+        sent = send_actions(
+            dispatcher.handle(
+                now, [message_received(f"m{now}", deadline_us=now + 9 * S)]
+            )
+        )
     assert now > 30 * S
-    dispatcher.handle(now + MS, [end(sent[0], DELIVERED, took=MS)])
+    dispatcher.handle(now + MS, [attempt_finished(sent[0], DELIVERED, duration_us=MS)])
     assert endpoint.recovered_at >= now + MS - 750 * MS
     dispatcher.handle(now + 10 * S, [])
     assert dispatcher.in_slow_start(endpoint), (
@@ -252,9 +274,23 @@
     weight of a call.
     """
     dispatcher = warming_dispatcher(forwarder_count=30, weight=40.0)
-    assert len(sends(dispatcher.handle(S, [ask(f"m{n}") for n in range(9)]))) == 1
+    assert (
+        len(
+            send_actions(
+                dispatcher.handle(S, [message_received(f"m{n}") for n in range(9)])
+            )
+        )
+        == 1
+    )
     dispatcher = warming_dispatcher(forwarder_count=1, weight=40.0)
-    assert len(sends(dispatcher.handle(S, [ask(f"m{n}") for n in range(9)]))) == 4
+    assert (
+        len(
+            send_actions(
+                dispatcher.handle(S, [message_received(f"m{n}") for n in range(9)])
+            )
+        )
+        == 4
+    )
 
 
 def test_weight_of_joined_messages_lengthens_the_next_interval() -> None:
@@ -262,8 +298,8 @@
         warming_dispatcher(forwarder_count=1, weight=40.0),
         warming_dispatcher(forwarder_count=1, weight=40.0),
     )
-    single.handle(S, [ask("m0")])
-    batch.handle(S, [ask(f"m{n}") for n in range(4)])
+    single.handle(S, [message_received("m0")])
+    batch.handle(S, [message_received(f"m{n}") for n in range(4)])
     assert (
         batch.state.endpoints[1].next_interval_factor >= 0.5 * slow_start.call_weight(4)
         and slow_start.call_weight(4) == 1.75
@@ -281,8 +317,10 @@
     dispatcher = make_dispatcher(
         endpoint_count=2, forwarder_count=forwarder_count, weight=400.0
     )
-    send = sends(dispatcher.handle(3 * S, [ask("m", due=30 * S)]))[0]
-    actions = dispatcher.handle(4 * S, [end(send, FAILED, took=S)])
+    send = send_actions(
+        dispatcher.handle(3 * S, [message_received("m", deadline_us=30 * S)])
+    )[0]
+    actions = dispatcher.handle(4 * S, [attempt_finished(send, FAILED, duration_us=S)])
     assert (
         dispatcher.is_avoided(send.endpoint)
         and dispatcher.is_avoided(3 - send.endpoint) is not stays_available
@@ -290,17 +328,21 @@
     assert {
         action.endpoint for action in actions if isinstance(action, RecordOutage)
     } == ({send.endpoint} if stays_available else {1, 2})
-    assert not stays_available or sends(actions)
+    assert not stays_available or send_actions(actions)
 
 
 def test_endpoint_that_answered_since_is_not_in_the_shared_outage() -> None:
     dispatcher = make_dispatcher(endpoint_count=2, forwarder_count=40, weight=400.0)
     dispatcher.state.endpoints[1].throttle_scope.concurrency_window = 6.0
-    first = sends(dispatcher.handle(3 * S, [ask("m0", due=30 * S)]))[0]
-    second = sends(dispatcher.handle(3 * S + 1, [ask("m1", due=30 * S)]))[0]
+    first = send_actions(
+        dispatcher.handle(3 * S, [message_received("m0", deadline_us=30 * S)])
+    )[0]
+    second = send_actions(
+        dispatcher.handle(3 * S + 1, [message_received("m1", deadline_us=30 * S)])
+    )[0]
     assert first.endpoint != second.endpoint
-    dispatcher.handle(3 * S + MS, [end(first, DELIVERED, took=MS)])
-    dispatcher.handle(4 * S, [end(second, FAILED, took=S)])
+    dispatcher.handle(3 * S + MS, [attempt_finished(first, DELIVERED, duration_us=MS)])
+    dispatcher.handle(4 * S, [attempt_finished(second, FAILED, duration_us=S)])
     assert dispatcher.is_avoided(second.endpoint) and not dispatcher.is_avoided(
         first.endpoint
     )
@@ -308,12 +350,16 @@
 
 def test_endpoints_that_share_a_limit_warm_up_together() -> None:
     dispatcher = make_dispatcher(endpoint_count=2, forwarder_count=40, weight=4.0)
-    send = sends(dispatcher.handle(3 * S, [ask("m", due=90 * S)]))[0]
+    send = send_actions(
+        dispatcher.handle(3 * S, [message_received("m", deadline_us=90 * S)])
+    )[0]
     now = 4 * S
-    dispatcher.handle(now, [end(send, FAILED, took=S)])
-    while not (retries := sends(dispatcher.handle(now, [TimerExpired("look")]))):
+    dispatcher.handle(now, [attempt_finished(send, FAILED, duration_us=S)])
+    while not (retries := send_actions(dispatcher.handle(now, [TimerExpired("look")]))):
         now += 100 * MS
-    dispatcher.handle(now + MS, [end(retries[0], DELIVERED, attempt=1, took=MS)])
+    dispatcher.handle(
+        now + MS, [attempt_finished(retries[0], DELIVERED, attempt=1, duration_us=MS)]
+    )
     assert all(
         dispatcher.in_slow_start(endpoint) and not dispatcher.is_avoided(endpoint.id)
         for endpoint in dispatcher.state.endpoints.values()
--- a/tests/forwarder/test_regular_work.py
+++ b/tests/forwarder/test_regular_work.py
@@ -26,7 +26,14 @@
 from rainfall.forwarder.engine import periodic_tasks
 from rainfall.journal.state import AcceptedMessage, JournalState
 from tests.forwarder.test_parts import engine, taken
-from tests.support.event_scripts import MS, S, ask, end, sends, settings
+from tests.support.event_scripts import (
+    MS,
+    S,
+    attempt_finished,
+    message_received,
+    send_actions,
+    settings,
+)
 
 TARGETS = (EndpointEntry(1, 10), EndpointEntry(2, 11))
 TENANTS = (Tenant("city", 0), Tenant("county", 0))
@@ -106,11 +113,11 @@
         if random.random() < 0.7:
             tenant = random.choice(("city", "county", None))
             events.append(
-                ask(
+                message_received(
                     f"m{number}",
                     dest=random.choice((10, 11)),
-                    cls=random.choice(("safe", "keyed")),
-                    due=now + random.randrange(200, 4000) * MS,
+                    class_name=random.choice(("safe", "keyed")),
+                    deadline_us=now + random.randrange(200, 4000) * MS,
                     tenant=tenant,
                 )
             )
@@ -120,9 +127,9 @@
             outcome = random.choice(
                 (Outcome.DELIVERED, Outcome.REJECTED, Outcome.NOT_SENT)
             )
-            events.append(end(send, outcome, attempt, 5 * MS))
+            events.append(attempt_finished(send, outcome, attempt, 5 * MS))
         actions = dispatcher.handle(now, events)
-        in_flight += sends(actions)
+        in_flight += send_actions(actions)
         scanned = {
             destination: Counter(
                 (m.message_class.name, m.tenant) for m in queue.values()
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -42,7 +42,15 @@
 from rainfall.wirehost import parse_settings as read_settings
 from tests.forwarder.test_kills import power_engine
 from tests.forwarder.test_parts import engine
-from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
+from tests.support.event_scripts import (
+    MS,
+    S,
+    attempt_finished,
+    finals,
+    message_received,
+    send_actions,
+    settings,
+)
 from tests.support.loopback_peers import (
     PATIENCE,
     SETTINGS,
@@ -84,12 +92,12 @@
         actions = dispatcher.handle(
             now,
             [
-                end(send, OK, last_attempts[send.message_id], 20 * MS)
+                attempt_finished(send, OK, last_attempts[send.message_id], 20 * MS)
                 for send in open_calls
             ]
             or [TimerExpired("look")],
         )
-        open_calls = sends(actions)
+        open_calls = send_actions(actions)
         sent_ids += [send.message_id for send in open_calls]
         final_actions += finals(actions)
     return sent_ids, final_actions
@@ -108,17 +116,17 @@
         MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS)
         for n in range(MESSAGE_COUNT)
     ]  # 2.8 of 6 s have passed
-    first_sends = sends(
+    first_sends = send_actions(
         dispatcher.handle(
             now,
             [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
         )
     )
     dispatcher.handle(
-        now + 20 * MS, [end(first_sends[0], FULL, retry_after_us=900 * MS)]
+        now + 20 * MS, [attempt_finished(first_sends[0], FULL, retry_after_us=900 * MS)]
     )
     fresh = [
-        ask(f"new{n}", due=now + 5200 * MS) for n in range(4)
+        message_received(f"new{n}", deadline_us=now + 5200 * MS) for n in range(4)
     ]  # close to their latency target of 2 s
     assert not finals(dispatcher.handle(now + 40 * MS, fresh))
     sent_ids, final_actions = run_until(dispatcher, now + 40 * MS, [], now + 3200 * MS)
@@ -137,17 +145,18 @@
         MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS, attempts=1)
         for n in range(MESSAGE_COUNT)
     ]
-    first_sends = sends(
+    first_sends = send_actions(
         dispatcher.handle(
             now,
             [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
         )
     )
     dispatcher.handle(
-        now + 20 * MS, [end(first_sends[0], FULL, 1, retry_after_us=2 * S)]
+        now + 20 * MS, [attempt_finished(first_sends[0], FULL, 1, retry_after_us=2 * S)]
     )
     dispatcher.handle(
-        now + 40 * MS, [ask(f"new{n}", due=now + 5200 * MS) for n in range(4)]
+        now + 40 * MS,
+        [message_received(f"new{n}", deadline_us=now + 5200 * MS) for n in range(4)],
     )
     _, final_actions = run_until(dispatcher, now + 40 * MS, [], now + 1500 * MS)
     assert {(type(action), action.reason) for action in final_actions} == {
@@ -166,7 +175,7 @@
         MessageRestored(f"old{n}", 10, "safe", now + 2 * S, tenant="small")
         for n in range(MESSAGE_COUNT)
     ]
-    first_sends = sends(
+    first_sends = send_actions(
         dispatcher.handle(
             now,
             [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
@@ -174,13 +183,15 @@
     )
     assert not any(message.over_quota for message in dispatcher.state.messages.values())
     later = [
-        ask(f"new{n}", due=now + 6 * S, tenant="big") for n in range(MESSAGE_COUNT)
+        message_received(f"new{n}", deadline_us=now + 6 * S, tenant="big")
+        for n in range(MESSAGE_COUNT)
     ]
     actions = dispatcher.handle(
-        now + 20 * MS, [end(first_sends[0], OK, took=20 * MS), *later]
+        now + 20 * MS,
+        [attempt_finished(first_sends[0], OK, duration_us=20 * MS), *later],
     )
     sent_ids, final_actions = run_until(
-        dispatcher, now + 20 * MS, sends(actions), now + 2 * S
+        dispatcher, now + 20 * MS, send_actions(actions), now + 2 * S
     )
     first_ids = [first_sends[0].message_id, *sent_ids][:MESSAGE_COUNT]
     assert not final_actions and sorted(first_ids) == sorted(
@@ -189,7 +200,7 @@
     later_actions = dispatcher.handle(
         now + 2 * S,
         [
-            ask(f"more{n}", 99, due=now + 9 * S, tenant="small")
+            message_received(f"more{n}", 99, deadline_us=now + 9 * S, tenant="small")
             for n in range(MESSAGE_COUNT)
         ],
     )
@@ -443,12 +454,12 @@
     due = 6 * S
     for cls in ("safe", "keyed", "once"):
         dispatcher = Dispatcher(settings(), 7, 0)
-        send = sends(
+        send = send_actions(
             dispatcher.handle(
                 0,
                 [
                     EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST),
-                    ask(cls, cls=cls, due=due),
+                    message_received(cls, class_name=cls, deadline_us=due),
                 ],
             )
         )[0]
@@ -456,7 +467,11 @@
             dispatcher.handle(due + S, [TimerExpired("look")])
         )  # the connection pool's timeout ends the call
         assert (
-            not finals(dispatcher.handle(due + S, [end(send, OK, took=6 * S)]))
+            not finals(
+                dispatcher.handle(
+                    due + S, [attempt_finished(send, OK, duration_us=6 * S)]
+                )
+            )
             and cls not in dispatcher.state.messages
         )
 
--- a/tests/support/event_scripts.py
+++ b/tests/support/event_scripts.py
@@ -103,13 +103,15 @@
 )
 
 
-def started(entries: tuple[EndpointEntry, ...] = ENTRIES, **changes: Any) -> Dispatcher:
+def started_dispatcher(
+    entries: tuple[EndpointEntry, ...] = ENTRIES, **changes: Any
+) -> Dispatcher:
     d = Dispatcher(settings(**changes), 7, 0)
     d.handle(0, [EndpointListChanged(EndpointListKind.CACHED, entries)])
     return d
 
 
-def sends(actions: list[Action]) -> list[SendMessage]:
+def send_actions(actions: list[Action]) -> list[SendMessage]:
     return [a for a in actions if isinstance(a, SendMessage)]
 
 
@@ -117,17 +119,21 @@
     return [a for a in actions if isinstance(a, RejectMessage | FailMessage)]
 
 
-def ask(
-    name: str, dest: int = 10, cls: str = "safe", due: int = 6 * S, **more: Any
+def message_received(
+    name: str,
+    dest: int = 10,
+    class_name: str = "safe",
+    deadline_us: int = 6 * S,
+    **more: Any,
 ) -> MessageReceived:
-    return MessageReceived(name, dest, cls, due, **more)
+    return MessageReceived(name, dest, class_name, deadline_us, **more)
 
 
-def end(
+def attempt_finished(
     send: SendMessage,
     outcome: Outcome,
     attempt: int = 0,
-    took: int = 100 * MS,
+    duration_us: int = 100 * MS,
     **more: Any,
 ) -> AttemptFinished:
     closed = more.pop("message_closed", outcome is Outcome.DELIVERED)
@@ -136,7 +142,7 @@
         attempt,
         send.endpoint,
         outcome,
-        took,
+        duration_us,
         message_closed=closed,
         **more,
     )
--- a/tests/support/random_worlds.py
+++ b/tests/support/random_worlds.py
@@ -96,7 +96,7 @@
         self.seed, self.make, self.r = seed, make, Random(seed)
         self.now = self.r.randrange(100 * S)
         self.s = self.settings()
-        self.d = make(self.s, seed, self.now)
+        self.dispatcher = make(self.s, seed, self.now)
         self.busy, self.full = self.pick(0.1, 0.4, 0.7), self.pick(0.0, 0.0, 0.9)
         self.entries = {
             n: EndpointEntry(
@@ -113,7 +113,7 @@
         )
         self.limits = {n: self.pick(0.0, 0.0, 9.0, 99.0) for n in self.entries}
         self.open: dict[str, Told] = {}
-        self.out: list[Out] = []
+        self.in_flight: list[Out] = []
         self.timer = 0
         self.detached: set[int] = set()
         self.outages: dict[int, tuple[int, int]] = {}
@@ -201,17 +201,17 @@
     def play(self, rounds: int) -> Iterator[tuple[int, list[Event], list[Action]]]:
         for round_number in range(rounds):
             events, self.next = self.next + self.happened(), []
-            actions = self.d.handle(self.now, events)
+            actions = self.dispatcher.handle(self.now, events)
             yield self.now, events, actions
             self.carry_out(actions)
             if round_number % 100 == 60:
                 self.hand_over() if self.luck(0.5) else self.restart()
             step = self.pick(MS, 5 * MS, 20 * MS, 60 * MS, 60 * MS)
             first = min(
-                [attempt.ends for attempt in self.out]
+                [attempt.ends for attempt in self.in_flight]
                 + [max(self.timer, self.now + MS)]
             )
-            if not self.out and self.luck(0.01):
+            if not self.in_flight and self.luck(0.01):
                 step = self.pick(2 * S, 40 * S)
             elif self.luck(0.3) and first > self.now:
                 step = min(first - self.now, 4 * S)
@@ -221,7 +221,9 @@
         events: list[Event] = []
         while self.luck(self.busy):
             events.append(self.arrival())
-        for attempt in [attempt for attempt in self.out if attempt.ends <= self.now]:
+        for attempt in [
+            attempt for attempt in self.in_flight if attempt.ends <= self.now
+        ]:
             events.append(self.end(attempt))
         if self.timer and self.timer <= self.now:
             events.append(TimerExpired("look"))
@@ -260,7 +262,7 @@
         return event
 
     def end(self, attempt: Out) -> AttemptFinished:
-        self.out.remove(attempt)
+        self.in_flight.remove(attempt)
         outcome = attempt.outcome
         closed = (
             outcome is Outcome.DELIVERED
@@ -385,7 +387,7 @@
                 outcome, took = ends[action.endpoint]
                 if outcome is Outcome.TIMED_OUT or took >= action.timeout_us:
                     outcome, took = Outcome.TIMED_OUT, action.timeout_us
-                self.out.append(
+                self.in_flight.append(
                     Out(
                         action.message_id,
                         message.attempts,
@@ -410,7 +412,7 @@
             elif isinstance(action, CancelAttempt):
                 out = [
                     attempt
-                    for attempt in self.out
+                    for attempt in self.in_flight
                     if (attempt.message, attempt.attempt)
                     == (action.message_id, action.attempt)
                 ]
@@ -428,7 +430,7 @@
                     action.recovered_at_us,
                 )
 
-    def recalled(self, cut_off: set[str]) -> Iterator[Event]:
+    def restore_events(self, cut_off: set[str]) -> Iterator[Event]:
         yield EndpointListChanged(
             EndpointListKind.SNAPSHOT,
             tuple(e for e in self.entries.values() if self.luck(0.9)),
@@ -461,29 +463,37 @@
 
     def restart(self) -> None:
         """Kills the process and starts another; messages in flight may have been executed."""
-        for attempt in self.out:
+        for attempt in self.in_flight:
             message = self.open.get(attempt.message)
             if message is not None and message.ran_at < 0:
                 message.ran_at, message.ran_on = attempt.sent, attempt.target
-        cut, self.out = {attempt.message for attempt in self.out}, []
-        self.d, self.timer = self.make(self.s, self.seed + self.now, self.now), 0
-        self.next = list(self.recalled(cut))
+        cut, self.in_flight = {attempt.message for attempt in self.in_flight}, []
+        self.dispatcher, self.timer = (
+            self.make(self.s, self.seed + self.now, self.now),
+            0,
+        )
+        self.next = list(self.restore_events(cut))
 
     def hand_over(self) -> None:
         """Hands over to another dispatcher. Calls stay in flight, except about a tenth that the
         snapshot omits and that get no outcome.
         """
         known_attempts = {
-            (attempt.message, attempt.attempt) for attempt in self.out if self.luck(0.9)
+            (attempt.message, attempt.attempt)
+            for attempt in self.in_flight
+            if self.luck(0.9)
         }
-        snapshot = json.loads(json.dumps(self.d.snapshot(known_attempts)))
+        snapshot = json.loads(json.dumps(self.dispatcher.snapshot(known_attempts)))
         if self.luck(0.2):
             del snapshot[self.pick(*snapshot)]
-        self.d, self.timer = self.make(self.s, self.seed + self.now, self.now), 0
-        self.next = [*self.recalled(set()), SnapshotRestored(snapshot)]
-        self.out = [
+        self.dispatcher, self.timer = (
+            self.make(self.s, self.seed + self.now, self.now),
+            0,
+        )
+        self.next = [*self.restore_events(set()), SnapshotRestored(snapshot)]
+        self.in_flight = [
             attempt
-            for attempt in self.out
+            for attempt in self.in_flight
             if (attempt.message, attempt.attempt) in known_attempts
         ]
 
@@ -511,10 +521,10 @@
     world, digest = World(seed, make), hashlib.sha256()
     for round_number, (now, events, actions) in enumerate(world.play(ROUNDS)):
         digest.update(
-            f"{now} {world.d.state.events_applied} {recorded_text(actions)}\n".encode()
+            f"{now} {world.dispatcher.state.events_applied} {recorded_text(actions)}\n".encode()
         )
         if round_number % ASKED == ASKED - 1:
-            dispatcher = world.d
+            dispatcher = world.dispatcher
             serving = [
                 endpoint
                 for endpoints in dispatcher.state.serving_endpoints.values()
@@ -530,7 +540,7 @@
                 for endpoint in serving
             ]
             snapshot = dispatcher.snapshot(
-                {(attempt.message, attempt.attempt) for attempt in world.out}
+                {(attempt.message, attempt.attempt) for attempt in world.in_flight}
             )
             random_state = hashlib.sha256(
                 repr(dispatcher.state.random.getstate()).encode()
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class Play:
+class Scenario:
     """Parameters of one simulation; everything else is drawn from the seed."""
 
     forwarders: int
@@ -59,7 +59,7 @@
     apart: bool = False
     hangs: bool = False
     outage_us: int = 40 * S
-    told: float = 1.0
+    weight_factor: float = 1.0
     """The endpoint weight, as a multiple of the true capacity; 0 if weights are not known."""
     restart: float = 0.0
     """Share of the forwarders that restart, in the last second of the outage."""
@@ -94,10 +94,10 @@
     limit: float = 1.0
     calls: int = 0
     """Calls from recovery until the destination is warm."""
-    found_us: int = -1
+    first_call_us: int = -1
     """Time from recovery to the first call of an informed forwarder; -1 if there is none."""
     delivered: int = 0
-    whole: float = 0.0
+    fleet_ratio: float = 0.0
     """The largest ratio of the calls of all forwarders in FALL_US to their limit."""
     pushed: bool = False
     """Whether some span exceeded its limit with over two thirds of the calls from informed
@@ -105,7 +105,7 @@
     """
 
     @property
-    def part(self) -> float:
+    def limit_ratio(self) -> float:
         return self.count / self.limit
 
 
@@ -125,7 +125,7 @@
 class Fleet:
     """Processes events in time order: arrivals, ends of calls, timers, restarts."""
 
-    def __init__(self, play: Play) -> None:
+    def __init__(self, play: Scenario) -> None:
         self.p, self.r = play, Random(play.seed)
         self.returns = self.r.randrange(8 * S, 8 * S + 2 * S) + play.outage_us
         self.down = self.returns - play.outage_us
@@ -171,7 +171,7 @@
             allow_cancel=True,
             send_retry_after=True,
             max_retry_after_us=3 * S,
-            endpoint_weights_known=play.told > 0,
+            endpoint_weights_known=play.weight_factor > 0,
             overload_factor=FACTOR,
             overload_window_us=FALL_US,
             cold_capacity_share=COLD_FROM,
@@ -180,7 +180,7 @@
         )
 
     def entries(self) -> tuple[EndpointEntry, ...]:
-        weight = self.p.capacity * self.p.told if self.p.told else 1.0
+        weight = self.p.capacity * self.p.weight_factor if self.p.weight_factor else 1.0
         return tuple(
             EndpointEntry(n, DESTINATION, "", "kind", weight=weight)
             for n in range(self.p.endpoints)
@@ -377,7 +377,7 @@
 
     def verdict(self) -> Verdict:
         best = Verdict(calls=len(self.seen), delivered=self.delivered)
-        best.found_us = min(
+        best.first_call_us = min(
             (
                 sent_at - self.returns
                 for sent_at, _, _, informed in self.seen
@@ -406,14 +406,14 @@
                     sums[index + 1] - sums[first],
                 )
                 limit = bound(self.p.allowed(sent_at - self.returns))
-                if count / limit > best.part:
+                if count / limit > best.limit_ratio:
                     best.count, best.limit = count, limit
-                best.whole = max(best.whole, total / limit)
+                best.fleet_ratio = max(best.fleet_ratio, total / limit)
                 best.pushed |= total > limit and count > total * 2 / 3
         return best
 
 
-def played(play: Play) -> Verdict:
+def simulate(play: Scenario) -> Verdict:
     return Fleet(play).run()
 
 
@@ -422,20 +422,20 @@
     return max(500 * MS, forwarders * 40 * MS)
 
 
-def scene(times: int = 1, **more: object) -> Callable[[int, float, int], Play]:
-    def play(forwarders: int, n: float, seed: int) -> Play:
-        return Play(forwarders, n, seed, times * every(forwarders), **more)  # type: ignore[arg-type]
+def scene(times: int = 1, **more: object) -> Callable[[int, float, int], Scenario]:
+    def play(forwarders: int, n: float, seed: int) -> Scenario:
+        return Scenario(forwarders, n, seed, times * every(forwarders), **more)  # type: ignore[arg-type]
 
     return play
 
 
-def thin(forwarders: int, n: float, seed: int) -> Play:
+def thin(forwarders: int, n: float, seed: int) -> Scenario:
     """Returns a simulation whose messages arrive at 80% of the warm capacity."""
-    play = Play(forwarders, n, seed, outage_us=10 * S, hangs=True)
+    play = Scenario(forwarders, n, seed, outage_us=10 * S, hangs=True)
     return replace(play, every_us=int(forwarders * S / (0.8 * play.capacity)))
 
 
-SCENES: dict[str, Callable[[int, float, int], Play]] = {
+SCENES: dict[str, Callable[[int, float, int], Scenario]] = {
     "long": scene(outage_us=25 * S),
     "short": scene(outage_us=6 * S),
     "hangs": scene(outage_us=10 * S, hangs=True),
@@ -446,6 +446,6 @@
     "restart": scene(outage_us=15 * S, restart=0.7),
     "restart-late": scene(outage_us=15 * S, restart=0.7, restart_late=True),
     "late-list": scene(outage_us=15 * S, late_list=True),
-    "rough": scene(outage_us=15 * S, told=1.5),
-    "untold": scene(outage_us=15 * S, told=0.0),
+    "rough": scene(outage_us=15 * S, weight_factor=1.5),
+    "untold": scene(outage_us=15 * S, weight_factor=0.0),
 }
