--- a/measure/power_cost.py
+++ b/measure/power_cost.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from measure.reporting import cancel_tasks, format_row, repeats_argument
-from tests.support.loopback_peers import OK, Node, Peer, Platform, always
+from tests.support.loopback_peers import OK, Node, Peer, Platform, answer_in_turn
 
 RATES = (20, 100, 400)
 """Messages a second."""
@@ -47,7 +47,7 @@
     """Send `rate` messages per second for `DURATION_S`, and return the cost of one."""
     platform = Platform()
     await platform.start()
-    peer = await Peer(always(OK)).start()
+    peer = await Peer(answer_in_turn(OK)).start()
     platform.host("s1", peer.port)
     platform.hosts["s1"]["share"] = UNPACED_SHARE
     with tempfile.TemporaryDirectory() as name:
@@ -77,7 +77,7 @@
             tasks.append(asyncio.create_task(send(number)))
             await asyncio.sleep(1 / rate)
         await asyncio.gather(*tasks)
-        await node.shows(lambda variables: variables["open_requests"] == 0)
+        await node.wait_for_metrics(lambda variables: variables["open_requests"] == 0)
         after = (await node.figures())["journal"]
         for client in clients:
             client.writer.close()
--- a/measure/recovery_time.py
+++ b/measure/recovery_time.py
@@ -25,7 +25,14 @@
     MessageStore,
 )
 from rainfall.wirehost import parse_settings
-from tests.support.loopback_peers import OK, SETTINGS, Node, Peer, Platform, always
+from tests.support.loopback_peers import (
+    OK,
+    SETTINGS,
+    Node,
+    Peer,
+    Platform,
+    answer_in_turn,
+)
 
 FULL_FOLDER_MESSAGES = 100_000
 """More messages than the folder's limit allows."""
@@ -112,7 +119,7 @@
     """Start the program once on a folder with the given content, and return the times."""
     platform = Platform()
     await platform.start()
-    peer = await Peer(always(OK)).start()
+    peer = await Peer(answer_in_turn(OK)).start()
     platform.host("s1", peer.port)
     platform.host("s2", peer.port, block=OTHER_DESTINATION)
     platform.hosts["s1"]["share"] = UNPACED_SHARE
--- a/tests/compatibility/journals.py
+++ b/tests/compatibility/journals.py
@@ -27,7 +27,7 @@
     PendingNotification,
 )
 from tests.compatibility.references import References
-from tests.support.memory_disk import Hands
+from tests.support.memory_disk import ManualSyncWorker
 
 SECOND = 1_000_000
 BASE_US = 1_700_000_000 * SECOND
@@ -134,7 +134,7 @@
 
 
 def opened(
-    folder: Path, write: bool = True, worker: Hands | None = None
+    folder: Path, write: bool = True, worker: ManualSyncWorker | None = None
 ) -> MessageStore:
     return MessageStore(folder, MOST_BYTES, write, base_us=BASE_US, worker=worker)
 
@@ -232,7 +232,7 @@
 def written_synced() -> References:
     """Returns the journal written at the durability level that survives a power loss."""
     with fixed_machine() as folder:
-        worker = Hands()
+        worker = ManualSyncWorker()
         store = opened(folder, worker=worker)
         fill(store)
         store.commit(lambda ok: None)
--- a/tests/dispatch/test_idempotency_window.py
+++ b/tests/dispatch/test_idempotency_window.py
@@ -68,7 +68,7 @@
     Answer,
     Peer,
     Platform,
-    always,
+    answer_in_turn,
 )
 from tests.support.memory_disk import Disk
 
@@ -319,7 +319,7 @@
     async def run_scenario() -> None:
         platform = Platform()
         await platform.start()
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         platform.host("s1", peer.port)
         config = engine_config(tmp_path, platform, window)
         store = MessageStore(tmp_path, 3_000_000)
@@ -337,7 +337,7 @@
         engine = Engine(config)
         engine_run = asyncio.create_task(engine.run())
         if retried:
-            call = (await peer.got(1))[0]
+            call = (await peer.wait_for_requests(1))[0]
             assert call.headers["idempotency-key"] == "key-m"
         else:
             assert (await platform.notice("m"))["state"] == "failed"
@@ -532,7 +532,7 @@
 
     async def run_scenario() -> None:
         finished: list[AttemptFinished] = []
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         clock, connect_allowed = ManualClock(), asyncio.Event()
         pool = ConnectionPool(clock, finished.append, (), 60 * S, 1_500 * MS, 10)
         pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
@@ -565,7 +565,7 @@
 def test_retry_delayed_by_its_permit_past_the_window_is_not_sent() -> None:
     async def run_scenario() -> None:
         finished: list[AttemptFinished] = []
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         clock = ManualClock()
         pool = ConnectionPool(clock, finished.append, (), 60 * S, 1_500 * MS, 10)
         pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
@@ -604,7 +604,7 @@
         pool = ConnectionPool(clock, finished.append, (), 60 * S, 1_500 * MS, 10)
         pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         pool.start(retry_call(clock, 20 * MS))
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         clock.now += S
         # Past the time at which the pool checks the call; a lower bound, so no race.
         await asyncio.sleep(0.2)
--- a/tests/forwarder/test_bad_clients.py
+++ b/tests/forwarder/test_bad_clients.py
@@ -34,7 +34,7 @@
     Node,
     Peer,
     Platform,
-    always,
+    answer_in_turn,
     message,
 )
 
@@ -631,7 +631,7 @@
     async def scene() -> None:
         platform = Platform()
         await platform.start()
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         platform.host("t", peer.port)
         node = await Node(tmp_path, platform, max_open=1000).start()
         pid, bad_sockets = node.process.pid, list[socket.socket]()
--- a/tests/forwarder/test_client_races.py
+++ b/tests/forwarder/test_client_races.py
@@ -204,7 +204,7 @@
         client = await setup.arrives("m")
         setup.engine.run_round()
         assert (await client.answer())[0] == 202
-        await setup.peer.got(1)
+        await setup.peer.wait_for_requests(1)
         leave(client, how)
         await setup.run.until(lambda: not setup.engine.server.connections)
         await setup.delivered("m")
@@ -380,7 +380,7 @@
             not setup.peer.requests and setup.engine.store.messages["m"].in_flight == {}
         )
         setup.run = await Running(tmp_path, setup.platform).ready()
-        await setup.peer.got(1)
+        await setup.peer.wait_for_requests(1)
         setup.endpoint.held.set()
         await setup.run.until(lambda: not setup.run.engine.store.messages)
         assert setup.sent() == ["m"] and not setup.platform.notices
@@ -445,7 +445,7 @@
         setup.engine.run_round()
         assert (await first.answer())[0] == 202
         await send_again()  # journaled
-        await setup.peer.got(1)
+        await setup.peer.wait_for_requests(1)
         await send_again()  # sent, in flight
         await setup.delivered("m")
         await send_again()  # delivered
@@ -465,7 +465,7 @@
         await setup.run.end()
         setup.run = await Running(tmp_path, setup.platform).ready()
         setup.engine = setup.run.engine
-        await setup.peer.got(1)
+        await setup.peer.wait_for_requests(1)
         setup.gate()
         repeat = setup.client()
         repeat.say(message("m", "pay", X_Repeat="again"))
--- a/tests/forwarder/test_config_validation.py
+++ b/tests/forwarder/test_config_validation.py
@@ -18,7 +18,7 @@
 )
 from tests.forwarder.test_operations import classes, hang_up
 from tests.forwarder.test_program import node_on, play, target
-from tests.support.loopback_peers import OK, SETTINGS, Platform, always
+from tests.support.loopback_peers import OK, SETTINGS, Platform, answer_in_turn
 
 ENV = {"LB_STATE": "/state"}
 FILE: dict[str, Any] = {
@@ -198,7 +198,7 @@
 
 def test_check_at_the_admin_address_has_no_effect(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         good = (folder / "config.json").read_bytes()
         status, text = await node.operate("POST", "/_config/check", good)
--- a/tests/forwarder/test_deployments.py
+++ b/tests/forwarder/test_deployments.py
@@ -394,7 +394,9 @@
                     **tenant_header(folder),
                 )
             )[0] == 202
-        await node.shows(lambda f: f["fulfilled"] == dict.fromkeys(time_left, 1))
+        await node.wait_for_metrics(
+            lambda f: f["fulfilled"] == dict.fromkeys(time_left, 1)
+        )
         assert {name for r in peer.requests for name in message_ids(r)} == {
             f"m-{n}" for n in time_left
         }
@@ -449,12 +451,12 @@
             if c["effect"] == "unsafe":
                 assert (await platform.notice(f"m-{c['name']}"))["state"] == "failed"
             else:
-                calls = await peers[c["name"]].got(2)
+                calls = await peers[c["name"]].wait_for_requests(2)
                 assert {r.headers["idempotency-key"] for r in calls} == {
                     f"key-m-{c['name']}"
                 }
         retried = [c["name"] for c in classes if c["effect"] != "unsafe"]
-        await node.shows(
+        await node.wait_for_metrics(
             lambda f: all(
                 f["fulfilled"][name] == (name in retried) for name in f["fulfilled"]
             )
@@ -503,8 +505,8 @@
                         **tenant_header(folder),
                     )
                 )[0] == 202
-                await peers[n].got(warm + 1)
-                await node.shows(
+                await peers[n].wait_for_requests(warm + 1)
+                await node.wait_for_metrics(
                     lambda f, c=c, warm=warm: f["fulfilled"][c["name"]] == warm + 1
                 )
             for name, key in (("first", "k"), ("second", "k"), ("third", "l")):
@@ -520,12 +522,12 @@
                 )[0] == 202
             received = [
                 r.headers["x-correlation-id"]
-                for r in await peers[n].got(6 if c.get("in_order") else 7)
+                for r in await peers[n].wait_for_requests(6 if c.get("in_order") else 7)
             ]
             release[n].set()
             if c.get("in_order"):
                 assert sorted(received[4:]) == [f"first-{n}", f"third-{n}"]
-                assert (await peers[n].got(7))[6].headers[
+                assert (await peers[n].wait_for_requests(7))[6].headers[
                     "x-correlation-id"
                 ] == f"second-{n}"
             else:
--- a/tests/forwarder/test_descriptor_limits.py
+++ b/tests/forwarder/test_descriptor_limits.py
@@ -38,7 +38,7 @@
     Peer,
     Platform,
     Request,
-    always,
+    answer_in_turn,
     free_port,
 )
 
@@ -267,8 +267,8 @@
     async def scene() -> None:
         platform = Platform()
         await platform.start()
-        peer = await Peer(always(OK)).start()
-        failing_peer = await Peer(always(Answer(500))).start()
+        peer = await Peer(answer_in_turn(OK)).start()
+        failing_peer = await Peer(answer_in_turn(Answer(500))).start()
         platform.host("good", peer.port)
         platform.host("bad", failing_peer.port, block=8)
         node = await Node(tmp_path, platform, max_open=1000).start()
@@ -281,9 +281,9 @@
                 await check_up(*await asyncio.open_connection("127.0.0.1", node.port))
                 flood.fill(50)
                 assert (await node.hand_in(f"m{n}", body=60_000 * b"a"))[0] == 202
-                await peer.got(n + 1)
+                await peer.wait_for_requests(n + 1)
             assert (await node.hand_in("ends", "status", left="1", dest=8))[0] == 202
-            await failing_peer.got(1)
+            await failing_peer.wait_for_requests(1)
             flood.fill(150)
             platform.seq += 1
             platform.hosts["good"]["health"] = "draining"
@@ -395,7 +395,7 @@
         node.hold_listener()
         await node.start()
         try:
-            await platform.got(1)
+            await platform.wait_for_requests(1)
             assert len(await open_files(node.process.pid)) <= RESERVED_DESCRIPTORS
         finally:
             await node.end()
--- a/tests/forwarder/test_endpoint_list_races.py
+++ b/tests/forwarder/test_endpoint_list_races.py
@@ -38,7 +38,7 @@
     Peer,
     Platform,
     Request,
-    always,
+    answer_in_turn,
 )
 
 SILENT = b""  # writes nothing and keeps the connection open
@@ -165,7 +165,9 @@
         )
         assert watch.writer is not fresh.writer
         await silent.until(lambda: silent.closed >= 1)
-        await silent.got(after + 4)  # the watch continues on the new connection
+        await silent.wait_for_requests(
+            after + 4
+        )  # the watch continues on the new connection
         assert silent.requests[after + 3].writer is fresh.writer
         assert recorder.changes[2:] == []
         recorder.watch.pause()
@@ -197,7 +199,7 @@
         HttpConnection.finish_response = finish_and_move  # type: ignore[method-assign]
         try:
             await recorder.until(lambda: len(recorder.changes) == 2)
-            await new.got(2)
+            await new.wait_for_requests(2)
         finally:
             HttpConnection.finish_response = finish_response  # type: ignore[method-assign]
         assert recorder.changes == [(1, {"s1": "up"}), (0, {"s2": "up"})]
@@ -223,7 +225,7 @@
         old = await Peer(scripted(UP, SILENT)).start()
         new = await Peer(scripted(first, late)).start()
         recorder = WatchRecorder(old)
-        await old.got(2)
+        await old.wait_for_requests(2)
         recorder.watch.change_address(Address("127.0.0.1", new.port))
         await recorder.until(lambda: len(recorder.changes) == 2)
         assert recorder.changes == [(1, {"s1": "up"}), (0, {"s2": "up"})]
@@ -246,9 +248,9 @@
 
     async def scene() -> None:
         old = await Peer(scripted(UP, SILENT)).start()
-        new = await Peer(always(UP)).start()
+        new = await Peer(answer_in_turn(UP)).start()
         recorder = WatchRecorder(old)
-        await old.got(2)
+        await old.wait_for_requests(2)
         assert recorder.watch.client.connection.response is not None
         recorder.watch.client.connection.data_received(
             ok_response(listing(2, ("s1", "draining")))
@@ -275,7 +277,7 @@
     async def scene() -> None:
         peer = await Peer(scripted(UP, SILENT, DRAINED)).start()
         recorder = WatchRecorder(peer)
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         recorder.watch.pause()
         recorder.watch.subscribe()
         await recorder.until(lambda: len(recorder.changes) == 2)
@@ -342,7 +344,7 @@
             scripted(*steps, ok_response(listing(41, ("s1", "draining"))))
         ).start()
         recorder = WatchRecorder(peer, pushed=pushed)
-        await peer.got(len(steps) + 2)
+        await peer.wait_for_requests(len(steps) + 2)
         assert recorder.changes == [
             (43, {"s1": "draining", "s2": "up"}),
             (41, {"s1": "draining"}),
@@ -362,7 +364,7 @@
             )
         ).start()
         recorder = WatchRecorder(peer)
-        await peer.got(3)
+        await peer.wait_for_requests(3)
         assert recorder.changes == [(43, {"s1": "up", "s2": "up"}), (5, {"s1": "up"})]
         assert paths(peer) == ["", watch_query(43), watch_query(5)]
         recorder.watch.pause()
@@ -378,7 +380,7 @@
             scripted(ok_response(listing(7, ("s1", "up"), whole=False)), UP)
         ).start()
         recorder = WatchRecorder(peer)
-        await peer.got(3)
+        await peer.wait_for_requests(3)
         assert recorder.changes == [(1, {"s1": "up"})] and paths(peer)[:2] == ["", ""]
         recorder.watch.pause()
 
@@ -402,7 +404,7 @@
             on_list(endpoint_list)
 
         recorder.watch.on_list = raise_once
-        await peer.got(4)
+        await peer.wait_for_requests(4)
         assert recorder.changes == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
         assert paths(peer)[1:3] == [watch_query(1), "?from=1&hold_ms=0"]
         recorder.watch.pause()
@@ -458,7 +460,7 @@
 
         peer = await Peer(scripted(UP, write)).start()
         recorder = WatchRecorder(peer)
-        await peer.got(3)
+        await peer.wait_for_requests(3)
         assert (
             recorder.changes == [(1, {"s1": "up"}), (2, {"s1": "draining"})]
             and None not in recorder.received
@@ -539,7 +541,7 @@
         await client.request("GET", "/first", PATIENCE)
         if how == "cancelled":
             task = asyncio.create_task(client.request("GET", "/a", PATIENCE))
-            await peer.got(2)
+            await peer.wait_for_requests(2)
             client.connection.data_received(HALF)
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
@@ -559,7 +561,9 @@
 
 def test_dial_timeout_does_not_return_the_previous_response() -> None:
     async def scene() -> None:
-        peer = await Peer(always(Answer(200, {"Connection": "close"}, b"old"))).start()
+        peer = await Peer(
+            answer_in_turn(Answer(200, {"Connection": "close"}, b"old"))
+        ).start()
         client = HttpClient(Address("127.0.0.1", peer.port))
         assert (await client.request("GET", "/a", PATIENCE)).body == b"old"
         peer.server.close()
@@ -641,7 +645,7 @@
         monkeypatch.setattr(
             asyncio.get_running_loop(), "create_connection", create, raising=False
         )
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         try:
             resource.setrlimit(resource.RLIMIT_NOFILE, (3, old_limit[1]))
             await recorder.until(lambda: len(recorder.changes) == 2)
@@ -704,7 +708,7 @@
         ]
         peer = await Peer(scripted(UP, *steps)).start()
         recorder = WatchRecorder(peer)
-        await peer.got(6)
+        await peer.wait_for_requests(6)
         assert recorder.changes[-1] == (2, {"s1": "draining"})
         assert len({r.writer for r in peer.requests}) == 1
         recorder.watch.pause()
@@ -734,13 +738,13 @@
         assert (await node.hand_in("first"))[
             0
         ] == 202  # the connection stays open after the first call
-        await node.shows(lambda f: sum(f["fulfilled"].values()) == 1)
+        await node.wait_for_metrics(lambda f: sum(f["fulfilled"].values()) == 1)
         assert (await node.hand_in("before"))[0] == 202
-        await old.got(2)
+        await old.wait_for_requests(2)
         if rests:
             gate.set()
-            await node.shows(lambda f: sum(f["fulfilled"].values()) == 2)
-        new = await target(platform, always(OK))
+            await node.wait_for_metrics(lambda f: sum(f["fulfilled"].values()) == 2)
+        new = await target(platform, answer_in_turn(OK))
         platform.seq = 2
         platform.news[2] = [
             {
@@ -765,9 +769,11 @@
             lambda: any("from=2&" in r.path for r in platform.requests)
         )
         gate.set()
-        await node.shows(lambda f: sum(f["fulfilled"].values()) == 2)
+        await node.wait_for_metrics(lambda f: sum(f["fulfilled"].values()) == 2)
         assert (await node.hand_in("after"))[0] == 202
-        assert [r.headers["x-correlation-id"] for r in await new.got(1)] == ["after"]
+        assert [
+            r.headers["x-correlation-id"] for r in await new.wait_for_requests(1)
+        ] == ["after"]
         await old.until(
             lambda: (
                 old.closed >= 1 and old.closed == len({r.writer for r in old.requests})
@@ -786,7 +792,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(Answer(500)))
+        await target(platform, answer_in_turn(Answer(500)))
         node = await node_on(folder, platform)
         silent = asyncio.Event()
 
--- a/tests/forwarder/test_fleet_member.py
+++ b/tests/forwarder/test_fleet_member.py
@@ -56,7 +56,7 @@
     Peer,
     Platform,
     Request,
-    always,
+    answer_in_turn,
 )
 
 SPAN_MS = 400
@@ -143,7 +143,7 @@
         platform, service = Platform(), Service()
         await platform.start()
         await service.start()
-        platform.host("s1", (await Peer(always(OK)).start()).port)
+        platform.host("s1", (await Peer(answer_in_turn(OK)).start()).port)
         asyncio.get_running_loop().set_exception_handler(
             lambda loop, context: None
         )  # ignores errors of peers whose connections are cut
@@ -230,7 +230,7 @@
 
 
 def wait_for_fleet_state(node: Node, **wanted: Any) -> Awaitable[dict[str, Any]]:
-    return node.shows(
+    return node.wait_for_metrics(
         lambda v: all(v["fleet"][key] == value for key, value in wanted.items())
     )
 
@@ -264,7 +264,7 @@
         times = sent_times_ns(node.log)
         assert max_calls_in_window(times) == 20, "the whole share is used, and no more"
         service.silent = True
-        variables = await node.shows(
+        variables = await node.wait_for_metrics(
             lambda v: v["fleet"]["budgets"]["7"]["by"] == "reserve"
         )
         assert (
@@ -487,7 +487,7 @@
         await until(lambda: len(sent_times_ns(old.log)) >= 8)
         token = service.token
         since = len(service.heartbeats)
-        new = await old.beside()
+        new = await old.start_second_process()
         nodes.append(new)
         joined = await service.until_heartbeat(lambda b: b["token"] is None, since)
         assert joined["shown"] == token
@@ -591,7 +591,9 @@
         configure(node, fleet=good["fleet"])
         node.log = []
         await ready(node)
-        await node.shows(lambda v: v["fleet"]["budgets"]["7"]["by"] == "lease")
+        await node.wait_for_metrics(
+            lambda v: v["fleet"]["budgets"]["7"]["by"] == "lease"
+        )
         status, report = await check(node, {**good, "fleet": BAD})
         assert status == 422 and {f["path"] for f in report["faults"]} >= set(FAULTS)
         before = (await node.figures())["fleet"]["budgets"]["7"]
@@ -624,7 +626,9 @@
         node.process.send_signal(signal.SIGHUP)
         assert (await new_service.until_heartbeat(lambda b: True))["site"] == "a"
         await node.until_logged("takes effect at the next start: fleet.site")
-        report = await node.shows(lambda v: v["fleet"]["budgets"]["7"]["reserve"] == 0)
+        report = await node.wait_for_metrics(
+            lambda v: v["fleet"]["budgets"]["7"]["reserve"] == 0
+        )
         assert report["fleet"]["service"]["address"] == f"127.0.0.1:{new_service.port}"
         await service.assign_share(
             20, 5
@@ -697,7 +701,7 @@
 
     async def scene() -> None:
         finished: list[AttemptFinished] = []
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         call_pool = pool(finished)
         call_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         sent: list[str] = []
--- a/tests/forwarder/test_handover.py
+++ b/tests/forwarder/test_handover.py
@@ -25,7 +25,7 @@
     Node,
     Peer,
     Platform,
-    always,
+    answer_in_turn,
     free_port,
     hang,
     message,
@@ -54,7 +54,7 @@
 
 
 async def start_second(node: Node) -> Node:
-    new = await node.beside()
+    new = await node.start_second_process()
     folder_nodes[-1].append(new)
     return await new.until_ready()
 
@@ -77,12 +77,12 @@
     async def scene(platform: Platform, folder: Path) -> None:
         gate = asyncio.Event()
         gated_peer = await target(platform, answer_after(gate))
-        fast_peer = await target(platform, always(OK), "s2", block=8)
+        fast_peer = await target(platform, answer_in_turn(OK), "s2", block=8)
         old = await start_first(folder, platform, long_aim=True)
         client, partial_client = await old.client(), await old.client()
         assert (await client.hand_in("out", "turns", X_Session_Key="k"))[0] == 202
         assert (await client.hand_in("pay", "pay"))[0] == 202
-        await gated_peer.got(1)
+        await gated_peer.wait_for_requests(1)
         assert (await client.hand_in("next", "turns", dest=8, X_Session_Key="k"))[
             0
         ] == 202
@@ -100,11 +100,13 @@
         assert (await new.hand_in("fresh", "status", dest=8))[0] == 202
         partial_client.writer.write(request[-3:])
         assert (await partial_client.answer())[0] == 202
-        await fast_peer.got(4)
+        await fast_peer.wait_for_requests(4)
         # All but "next", as the first message of its key is still in flight:
         assert sorted(message_ids(fast_peer)) == ["before", "fresh", "half", "later"]
         gate.set()
-        figures = await new.shows(lambda figures: figures["open_requests"] == 0)
+        figures = await new.wait_for_metrics(
+            lambda figures: figures["open_requests"] == 0
+        )
         assert sum(figures["fulfilled"].values()) >= 6 and not any(
             figures["faulted"].values()
         )
@@ -133,13 +135,13 @@
         )
         early_throttled = await target(
             platform,
-            always(Answer(429, {"X-RateLimit-Wait-Ms": "40000"})),
+            answer_in_turn(Answer(429, {"X-RateLimit-Wait-Ms": "40000"})),
             "s2",
             block=8,
         )
-        detached = await target(platform, always(OK), "s3", block=9)
-        attached = await target(platform, always(OK), "s4", block=9)
-        await target(platform, always(Answer(500)), "s5", block=10)
+        detached = await target(platform, answer_in_turn(OK), "s3", block=9)
+        attached = await target(platform, answer_in_turn(OK), "s4", block=9)
+        await target(platform, answer_in_turn(Answer(500)), "s5", block=10)
         platform.accepts = False
         old = await start_first(folder, platform, long_aim=True)
         assert (await old.hand_in("owed", "pay", dest=10))[0] == 202
@@ -150,9 +152,9 @@
         assert (await old.hand_in("a"))[0] == 202 and (await old.hand_in("b", dest=8))[
             0
         ] == 202
-        await late_throttled.got(1)
-        await early_throttled.got(1)
-        await old.shows(lambda f: f["open_requests"] == 2)
+        await late_throttled.wait_for_requests(1)
+        await early_throttled.wait_for_requests(1)
+        await old.wait_for_metrics(lambda f: f["open_requests"] == 2)
         new = await start_second(old)
         # a 429 wait that answers a call of the old process also binds the new one
         gate.set()
@@ -166,7 +168,7 @@
                 == (await new.hand_in(f"e{number}", dest=8))[0]
                 == 202
             )
-            await attached.got(number + 1)
+            await attached.wait_for_requests(number + 1)
         assert (
             len(late_throttled.requests) == len(early_throttled.requests) == 1
             and not detached.requests
@@ -206,11 +208,13 @@
         new = await start_second(old)
         configure(old, settings=classes(fresh={"deadline_us": 9_000_000}))
         old.process.send_signal(signal.SIGHUP)
-        figures = await new.shows(lambda figures: figures["cfg_accepted"] == 1)
+        figures = await new.wait_for_metrics(
+            lambda figures: figures["cfg_accepted"] == 1
+        )
         assert figures["fulfilled"]["fresh"] == 0
         (folder / "config.json").write_text("{")
         old.process.send_signal(signal.SIGHUP)
-        await new.shows(lambda figures: figures["cfg_invalid"] == 1)
+        await new.wait_for_metrics(lambda figures: figures["cfg_invalid"] == 1)
 
     play(scene, tmp_path)
 
@@ -220,11 +224,11 @@
         peer = await target(platform, hang)
         old = await start_first(folder, platform, long_aim=True)
         assert (await old.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         await start_second(old)
         assert len(peer.requests) == 1  # no retry while the call is in flight
         old.process.send_signal(signal.SIGKILL)
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert message_ids(peer) == ["m", "m"]
 
     play(scene, tmp_path)
@@ -237,7 +241,7 @@
         peer = await target(platform, hang)
         old = await start_first(folder, platform)
         assert (await old.hand_in("pay", "pay"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         await start_second(old)
         await old.end(signal.SIGKILL)
         assert (await platform.notice("pay"))["state"] == "failed"
@@ -270,7 +274,7 @@
         peer = await target(platform, hang)
         old = await start_first(folder, platform)
         assert (await old.hand_in("a", "status"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         interrupted = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
@@ -282,7 +286,7 @@
         )
         assert interrupted.stdin is not None and interrupted.stdout is not None
         assert await interrupted.stdout.read(5) == b"asked"
-        peer.handler = always(OK)
+        peer.handler = answer_in_turn(OK)
         client = await old.client()
         client.writer.write(
             message("b", "status")
@@ -312,12 +316,12 @@
         old = await start_first(folder, platform)
         new = await start_second(old)
         assert (await new.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
-        peer.handler = always(OK)
+        await peer.wait_for_requests(1)
+        peer.handler = answer_in_turn(OK)
         old.ready.clear()
         await new.end(signal.SIGKILL)
         await old.until_ready()
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert message_ids(peer) == ["m", "m"]
         assert (await old.hand_in("n", "status"))[0] == 202
         await peer.until(lambda: "n" in message_ids(peer))
@@ -337,17 +341,17 @@
         peer = await target(platform, hang)
         old = await start_first(folder, platform)
         assert (await old.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         old.process.send_signal(signal.SIGSTOP)
-        new = await old.beside()
+        new = await old.start_second_process()
         folder_nodes[-1].append(new)
         await new.until_logged("waiting")
         assert (await new.operate("GET", "/_ready"))[0] == 503
         assert (await new.operate("GET", "/_vars"))[0] == 503
-        peer.handler = always(OK)
+        peer.handler = answer_in_turn(OK)
         old.process.send_signal(signal.SIGKILL)
         await new.until_ready()
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert message_ids(peer) == ["m", "m"]
 
     play(scene, tmp_path)
@@ -357,14 +361,14 @@
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         old = Node(folder, platform)
         folder_nodes[-1].append(old)
         await old.start()
         new = await start_second(old)
         assert (await new.hand_in("m"))[0] == 202
-        await peer.got(1)
-        await new.shows(lambda f: f["fulfilled"]["order"] == 1)
+        await peer.wait_for_requests(1)
+        await new.wait_for_metrics(lambda f: f["fulfilled"]["order"] == 1)
 
     play(scene, tmp_path)
 
--- a/tests/forwarder/test_handover_races.py
+++ b/tests/forwarder/test_handover_races.py
@@ -39,10 +39,10 @@
     Client,
     Peer,
     Platform,
-    always,
+    answer_in_turn,
     message,
 )
-from tests.support.memory_disk import Hands
+from tests.support.memory_disk import ManualSyncWorker
 
 
 class LoopbackEngine:
@@ -144,7 +144,7 @@
     async def scene(
         platform: Platform, folder: Path, engines: list[LoopbackEngine]
     ) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         dial_gate, dialed = asyncio.Event(), asyncio.Event()
@@ -172,7 +172,7 @@
             1
         ] and engine.watch.task is watch
         dial_gate.set()
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         await until(lambda: not engine.store.messages)
         assert len(peer.requests) == 1 and not engine.store.pending_notifications
 
@@ -227,7 +227,7 @@
     async def scene(
         platform: Platform, folder: Path, engines: list[LoopbackEngine]
     ) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         first, second = await old.client(), await old.client()
@@ -268,7 +268,7 @@
     journaled, but its wait and its effect on the endpoint's state reached neither
     process's dispatcher, and the new process called again at once.
     """
-    hands = Hands()
+    hands = ManualSyncWorker()
     monkeypatch.setattr(
         "rainfall.forwarder.engine.engine.create_sync_thread", lambda: hands
     )
@@ -294,7 +294,7 @@
         engine = await old.start()
         client, other = await old.client(), await old.client()
         assert (await client.hand_in("m"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         disk_runs.clear()
         other.writer.write(message("n", dest=8))
         await until(
@@ -343,7 +343,7 @@
     async def scene(
         platform: Platform, folder: Path, engines: list[LoopbackEngine]
     ) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         client = await old.client()
@@ -389,8 +389,8 @@
         platform: Platform, folder: Path, engines: list[LoopbackEngine]
     ) -> None:
         draining_peer, up_peer = (
-            await target(platform, always(OK)),
-            await target(platform, always(OK), "s2"),
+            await target(platform, answer_in_turn(OK)),
+            await target(platform, answer_in_turn(OK), "s2"),
         )
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
@@ -410,7 +410,7 @@
         new_engine = await new.start(handover_target)
         status, headers = await staying_client.answer()
         assert status == 202 and headers["connection"] == "close"
-        await up_peer.got(1)
+        await up_peer.wait_for_requests(1)
         await until(lambda: not new_engine.store.messages)
         assert not draining_peer.requests and [
             r.headers["x-correlation-id"] for r in up_peer.requests
@@ -425,7 +425,7 @@
     async def scene(
         platform: Platform, folder: Path, engines: list[LoopbackEngine]
     ) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         client, other = await old.client(), await old.client()
@@ -466,7 +466,7 @@
     async def scene(
         platform: Platform, folder: Path, engines: list[LoopbackEngine]
     ) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         client = await old.client()
@@ -483,7 +483,7 @@
             and not await handover_target.request_ownership()
         )
         assert (await client.answer())[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         second_target = HandoverTarget()
         assert (
             not await second_target.request_snapshot(folder)
@@ -509,7 +509,7 @@
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         assert (await (await old.client()).hand_in("m"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         sent_at = engine.store.messages["m"].in_flight[0][0]
         handover_target = HandoverTarget()
         assert await handover_target.request_snapshot(folder)
@@ -518,7 +518,7 @@
         assert new_engine.remote_calls[("m", 0)][1] == sent_at
         assert new_engine.dispatcher.state.attempts[("m", 0)].call.sent_at == sent_at
         engine.handover_source.close()  # as the death of the old process does
-        await peer.got(2)  # the idempotency window is still open
+        await peer.wait_for_requests(2)  # the idempotency window is still open
         assert (
             new_engine.dispatcher.state.messages["m"].executed_at
             == new_engine.store.messages["m"].executed_at_us
@@ -538,7 +538,7 @@
     async def scene(
         platform: Platform, folder: Path, engines: list[LoopbackEngine]
     ) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         handover_target = HandoverTarget()
@@ -577,7 +577,7 @@
         engines.append(old := LoopbackEngine(folder, platform))
         engine = await old.start()
         assert (await (await old.client()).hand_in("m", "pay"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         handover_target = HandoverTarget()
         assert await handover_target.request_snapshot(folder)
         engines.append(new := LoopbackEngine(folder, platform))
--- a/tests/forwarder/test_kills.py
+++ b/tests/forwarder/test_kills.py
@@ -40,7 +40,7 @@
     Node,
     Platform,
     Request,
-    always,
+    answer_in_turn,
     hang,
 )
 
@@ -120,7 +120,7 @@
             async with asyncio.timeout(PATIENCE):
                 while not set(accepted) <= finished_ids():
                     await asyncio.sleep(0.02)
-            await node.shows(lambda v: v["open_requests"] == 0)
+            await node.wait_for_metrics(lambda v: v["open_requests"] == 0)
         finally:
             await node.end()
         assert len(accepted) >= ROUNDS * 4 and len(set(accepted.values())) == 4
@@ -170,7 +170,7 @@
 
 def test_power_durability_is_reported_and_syncs_are_counted(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         node = Node(folder, platform)
         configure(node, durability="power")
         await node.start()
@@ -218,12 +218,12 @@
         new: Node | None = None
         try:
             assert (await old.hand_in("a", "status"))[0] == 202
-            await peer.got(1)
-            new = await (await old.beside()).until_ready()
+            await peer.wait_for_requests(1)
+            new = await (await old.start_second_process()).until_ready()
             assert (await old.hand_in("b", "status"))[0] == 202
-            peer.handler = always(OK)
+            peer.handler = answer_in_turn(OK)
             assert await old.end(signal.SIGTERM) == 0
-            await new.shows(lambda v: v["open_requests"] == 0)
+            await new.wait_for_metrics(lambda v: v["open_requests"] == 0)
         finally:
             await old.end()
             if new is not None:
@@ -386,7 +386,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         (folder / "state").mkdir()
         write_journal(folder / "state", overdue=1000, live=20)
         platform.accepts = False
@@ -397,7 +397,7 @@
         )
         platform.accepts = True
         await platform.until(lambda: len({n["id"] for n in platform.notices}) == 1000)
-        await node.shows(lambda v: v["open_requests"] == 0)
+        await node.wait_for_metrics(lambda v: v["open_requests"] == 0)
         assert {r.headers["x-correlation-id"] for r in peer.requests} == {"fresh"} | {
             f"live{n}" for n in range(20)
         }
@@ -436,9 +436,9 @@
     """Guards against a double delivery: the client may submit the message to another
     forwarder.
     """
-    from tests.support.memory_disk import Hands
+    from tests.support.memory_disk import ManualSyncWorker
 
-    hands = Hands()
+    hands = ManualSyncWorker()
 
     class Writer:
         def __init__(self) -> None:
--- a/tests/forwarder/test_notification_races.py
+++ b/tests/forwarder/test_notification_races.py
@@ -192,7 +192,7 @@
         store = PendingNotifications("a")
         notifier = create_notifier(old, store)
         notifier.post_pending()
-        await old.got(1)
+        await old.wait_for_requests(1)
         notifier.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
         notifier.change_address(Address("127.0.0.1", new.port))
         await store.until(lambda: bool(store.acknowledged))
@@ -214,7 +214,7 @@
         store = PendingNotifications("a")
         notifier = create_notifier(old, store)
         notifier.post_pending()
-        await old.got(1)
+        await old.wait_for_requests(1)
         notifier.client.connection.data_received(b"HTTP/1.1 204 X\r\n\r\n")
         notifier.pause()
         notifier.change_address(Address("127.0.0.1", new.port))
@@ -335,12 +335,12 @@
         assert (await node.hand_in("first", "pay"))[
             0
         ] == 202  # the connection is reused from the second call on
-        await node.shows(lambda f: f["fulfilled"]["pay"] == 1)
+        await node.wait_for_metrics(lambda f: f["fulfilled"]["pay"] == 1)
         assert (await node.hand_in("late", "pay", left="0.6"))[0] == 202
         assert (await platform.notice("late"))["state"] == "failed"
-        await node.shows(lambda f: f["open_requests"] == 0)
+        await node.wait_for_metrics(lambda f: f["open_requests"] == 0)
         assert (await node.hand_in("next", "pay"))[0] == 202
-        figures = await node.shows(lambda f: f["fulfilled"]["pay"] == 2)
+        figures = await node.wait_for_metrics(lambda f: f["fulfilled"]["pay"] == 2)
         assert figures["faulted"]["pay"] == 1
         assert [r.headers["x-correlation-id"] for r in peer.requests] == [
             "first",
@@ -351,7 +351,7 @@
         assert [n["id"] for n in platform.notices] == ["late"]
         await node.restart()
         assert (await node.hand_in("after", "pay"))[0] == 202
-        await peer.got(4)
+        await peer.wait_for_requests(4)
         assert [n["id"] for n in platform.notices] == [
             "late"
         ]  # a restart keeps the acknowledgement
@@ -397,7 +397,7 @@
             await second_post.wait()
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["one"]
         gate.set()
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["one", "two"]
         assert [n["id"] for n in platform.notices if n["id"] != "one"] == []
 
--- a/tests/forwarder/test_operations.py
+++ b/tests/forwarder/test_operations.py
@@ -24,7 +24,7 @@
     Answer,
     Node,
     Platform,
-    always,
+    answer_in_turn,
     free_port,
     hang,
 )
@@ -54,15 +54,15 @@
     if changes:
         configure(node, **changes)
     node.process.send_signal(signal.SIGHUP)
-    await node.shows(lambda f: f[key] > before)
+    await node.wait_for_metrics(lambda f: f[key] > before)
 
 
 def test_each_message_is_counted_once_as_finished_or_open(
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
-        await target(platform, always(Answer(500)), "s2", block=8)
+        await target(platform, answer_in_turn(OK))
+        await target(platform, answer_in_turn(Answer(500)), "s2", block=8)
         await target(platform, hang, "s3", block=9)
         node = await node_on(folder, platform)
         zero = {"order": 0, "status": 0, "turns": 0, "pay": 0}
@@ -77,12 +77,14 @@
         assert (await node.hand_in("stays", "order", dest=9))[0] == 202
         assert (await node.hand_in("late", "status", left="0.010"))[0] == 429
         assert (await node.hand_in("lost", "status", dest=77))[0] == 503
-        f = await node.shows(lambda f: f["open_requests"] == 1 and f["relayed"] == 11)
+        f = await node.wait_for_metrics(
+            lambda f: f["open_requests"] == 1 and f["relayed"] == 11
+        )
         assert f["fulfilled"] == {**zero, "order": 3}
         assert f["faulted"] == {**zero, "pay": 1}
         assert f["throttled"] == {**zero, "status": 3}
         await node.restart()  # counts start at zero; open messages stay
-        f = await node.shows(lambda f: f["relayed"] == 1)
+        f = await node.wait_for_metrics(lambda f: f["relayed"] == 1)
         assert (
             f["open_requests"] == 1
             and f["fulfilled"] == f["faulted"] == f["throttled"] == zero
@@ -93,7 +95,7 @@
 
 def test_invalid_admin_requests_are_rejected(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         assert (await node.operate("GET", "/_ready"))[0] == 200
         assert (await node.operate("POST", "/_ready"))[0] == 405
@@ -116,7 +118,7 @@
 
 def test_idle_admin_connections_evict_only_each_other(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         idle = [
             await asyncio.open_connection("127.0.0.1", node.admin) for _ in range(40)
@@ -147,7 +149,7 @@
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         node.process.send_signal(signal.SIGTERM)
         while not any("stopping" in line for line in node.log):
             await asyncio.sleep(0.01)
@@ -208,8 +210,8 @@
         node = await node_on(folder, platform)
         assert (await node.hand_in("pay", "pay"))[0] == 202
         assert (await node.hand_in("status", "status", dest=8))[0] == 202
-        await pay_peer.got(1)
-        await status_peer.got(1)
+        await pay_peer.wait_for_requests(1)
+        await status_peer.wait_for_requests(1)
         assert (await node.hand_in("n", "fresh"))[0] == 404
         await hang_up(
             node, settings=classes(pay={"effect": "repeatable"}, status=None, fresh={})
@@ -225,15 +227,15 @@
             "fresh": 0,
         }
         if restart:
-            pay_peer.handler = status_peer.handler = always(OK)
+            pay_peer.handler = status_peer.handler = answer_in_turn(OK)
             await node.restart()
-            await status_peer.got(2)  # retried under its old class
+            await status_peer.wait_for_requests(2)  # retried under its old class
         else:
-            status_peer.handler = always(OK)
+            status_peer.handler = answer_in_turn(OK)
             for peer in (pay_peer, status_peer):
                 for request in list(peer.requests):
                     request.writer.transport.abort()
-            await status_peer.got(2)
+            await status_peer.wait_for_requests(2)
         assert (await platform.notice("pay"))["state"] == "failed"
         assert [r.headers["x-correlation-id"] for r in pay_peer.requests].count(
             "pay"
@@ -250,13 +252,13 @@
     tmp_path: Path, restart: bool
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        throttle_then_fail = always(
+        throttle_then_fail = answer_in_turn(
             Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), Answer(500)
         )
         peer = await target(platform, throttle_then_fail)
         node = await node_on(folder, platform, max_attempts=2)
         assert (await node.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         await hang_up(
             node,
             settings={
@@ -308,7 +310,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         files = broken_files(node)
         for n, text in enumerate(files):
@@ -316,7 +318,7 @@
             await hang_up(node, "cfg_invalid")
             assert (await node.hand_in(f"new{n}", "new"))[0] == 404
             assert (await node.hand_in(f"m{n}"))[0] == 202
-        await peer.got(len(files))
+        await peer.wait_for_requests(len(files))
         figures = await node.figures()
         assert (figures["cfg_accepted"], figures["cfg_invalid"]) == (0, len(files))
 
@@ -338,8 +340,8 @@
     tmp_path: Path, restart: bool
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        first = await target(platform, always(OK))
-        other = await target(platform, always(OK), "s2")
+        first = await target(platform, answer_in_turn(OK))
+        other = await target(platform, answer_in_turn(OK), "s2")
         node = await node_on(folder, platform)
         for _ in range(2):  # detaching twice needs only one attach
             assert (await node.operate("POST", "/_endpoints/detach", b"s1\n"))[0] == 200
@@ -350,12 +352,12 @@
         assert (await node.figures())["out_of_rotation"] == 1
         for n in range(8):
             assert (await node.hand_in(f"m{n}"))[0] == 202
-            await other.got(n + 1)
+            await other.wait_for_requests(n + 1)
         assert not first.requests
         assert (await node.operate("POST", "/_endpoints/attach", b"s1"))[0] == 200
         assert (await node.operate("POST", "/_endpoints/detach", b"s2"))[0] == 200
         assert (await node.hand_in("back"))[0] == 202
-        await first.got(1)
+        await first.wait_for_requests(1)
         assert (await node.figures())["out_of_rotation"] == 1
         await node.restart()
         assert (await node.operate("POST", "/_endpoints/attach", b"s2"))[0] == 200
@@ -366,14 +368,14 @@
 
 def test_detached_endpoint_keeps_no_connection(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        first = await target(platform, always(OK))
+        first = await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         assert (await node.hand_in("a"))[0] == 202
-        await node.shows(lambda f: f["fulfilled"]["order"] == 1)
+        await node.wait_for_metrics(lambda f: f["fulfilled"]["order"] == 1)
         assert (await node.operate("POST", "/_endpoints/detach", b"s1"))[0] == 200
         await first.until(lambda: first.closed == 1)
         assert (await node.operate("POST", "/_endpoints/attach", b"s1"))[0] == 200
         assert (await node.hand_in("b"))[0] == 202
-        await first.got(2)
+        await first.wait_for_requests(2)
 
     play(scene, tmp_path)
--- a/tests/forwarder/test_parts.py
+++ b/tests/forwarder/test_parts.py
@@ -73,7 +73,7 @@
     SETTINGS,
     Answer,
     Peer,
-    always,
+    answer_in_turn,
     hang,
     message,
 )
@@ -174,7 +174,7 @@
 def test_call_waiting_for_connection_is_not_sent_to_removed_endpoint() -> None:
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         connection_pool = pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         connection_pool.start(call(Clock(), "m"))
@@ -192,7 +192,7 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         peer = await Peer(
-            always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)
+            answer_in_turn(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)
         ).start()
         connection_pool = pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
@@ -235,7 +235,7 @@
 
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         connection_pool = pool(finished_attempts, 1_000_000)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         connection_pool.start(call(Clock(), "m"))
@@ -306,7 +306,7 @@
         connection_pool = pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         connection_pool.start(call(Clock(), "m", 150_000))
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert connection_pool.in_flight == 1 and not finished_attempts
         while not finished_attempts:
             await asyncio.sleep(0.01)
@@ -322,7 +322,7 @@
             and not connection_pool.idle
         )
         connection_pool.start(call(Clock(), "n"))
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         connection_pool.cancel("n", 0)
         assert finished_attempts[1].outcome is Outcome.CANCELED
         connection_pool.close()
@@ -353,7 +353,7 @@
                 ],
             )
         )
-        request = (await peer.got(1))[0]
+        request = (await peer.wait_for_requests(1))[0]
         assert float(request.headers["x-time-left"]) <= 10
         connection_pool.cancel("short", 0)
         assert {(e.message_id, e.outcome) for e in finished_attempts} == {
@@ -392,7 +392,7 @@
                 ],
             )
         )
-        request = (await peer.got(1))[0]
+        request = (await peer.wait_for_requests(1))[0]
         assert float(request.headers["x-time-left"]) <= 0.3
         async with asyncio.timeout(10):
             while not finished_attempts:
@@ -411,7 +411,7 @@
 def test_connections_are_reused_and_closed_on_request() -> None:
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         connection_pool = pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         for n in range(3):
@@ -485,7 +485,7 @@
 
         async def scene(extra_bytes: bytes = extra_bytes) -> None:
             finished_attempts: list[AttemptFinished] = []
-            peer = await Peer(always(first_response + extra_bytes, OK)).start()
+            peer = await Peer(answer_in_turn(first_response + extra_bytes, OK)).start()
             connection_pool = pool(finished_attempts)
             connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
             connection_pool.start(call(Clock(), "m"))
@@ -505,7 +505,7 @@
 def test_idle_connection_with_unread_bytes_is_not_reused() -> None:
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
-        peer = await Peer(always(OK)).start()
+        peer = await Peer(answer_in_turn(OK)).start()
         connection_pool = pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         connection_pool.start(call(Clock(), "m"))
@@ -577,7 +577,7 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         nested_body = b"[" * 60_000
-        peer = await Peer(always(Answer(200, body=nested_body))).start()
+        peer = await Peer(answer_in_turn(Answer(200, body=nested_body))).start()
         connection_pool = pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         batch_call = call(Clock(), "a")
@@ -686,17 +686,17 @@
 
         old_peer, new_peer = (
             await Peer(respond_late).start(),
-            await Peer(always(OK)).start(),
+            await Peer(answer_in_turn(OK)).start(),
         )
         connection_pool = pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", old_peer.port)})
         connection_pool.start(call(Clock(), "m"))
-        await old_peer.got(1)
+        await old_peer.wait_for_requests(1)
         connection_pool.set_endpoints({1: Address("127.0.0.1", new_peer.port)})
         release_response.set()
         await old_peer.until(lambda: old_peer.closed == 1)
         connection_pool.start(call(Clock(), "n"))
-        await new_peer.got(1)
+        await new_peer.wait_for_requests(1)
         connection_pool.close()
 
     asyncio.run(scene())
@@ -1048,7 +1048,7 @@
             watch.client.request,
         )  # type: ignore
         watch.subscribe()
-        await peer.got(7)
+        await peer.wait_for_requests(7)
         watch.pause()
         long_poll_query = f"from=1&hold_ms={WATCH_HOLD_MS}"
         assert queries == [
--- a/tests/forwarder/test_program.py
+++ b/tests/forwarder/test_program.py
@@ -27,7 +27,7 @@
     Node,
     Peer,
     Platform,
-    always,
+    answer_in_turn,
     free_port,
     hang,
     message,
@@ -72,11 +72,11 @@
 
 def test_message_is_delivered_unchanged_without_a_notice(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         body = bytes(range(256)) * 8
         assert (await node.hand_in("a1", body=body))[0] == 202
-        call = (await peer.got(1))[0]
+        call = (await peer.wait_for_requests(1))[0]
         assert (call.method, call.path, call.body) == ("POST", "/hook", body)
         assert (
             call.headers["x-correlation-id"] == "a1"
@@ -84,7 +84,7 @@
         )
         assert 0 < float(call.headers["x-time-left"]) <= 50
         assert (await node.hand_in("a2", "pay"))[0] == 202
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         await asyncio.sleep(0)
         assert await node.end(signal.SIGTERM) == 0
         assert not platform.notices
@@ -96,12 +96,12 @@
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         status, headers = await node.hand_in("late", left="0.010")
         assert status == 429 and float(headers["retry-after"]) > 0
         assert (await node.hand_in("good"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["good"]
 
     play(scene, tmp_path)
@@ -113,7 +113,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(Answer(500)))
+        await target(platform, answer_in_turn(Answer(500)))
         node = await node_on(folder, platform)
         assert (await node.hand_in("once", "pay"))[0] == 202
         assert (await platform.notice("once"))["state"] == "failed"
@@ -129,10 +129,10 @@
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        drained = await target(platform, always(OK))
-        other = await target(platform, always(OK), "s2")
+        drained = await target(platform, answer_in_turn(OK))
+        other = await target(platform, answer_in_turn(OK), "s2")
         node = await node_on(folder, platform, known=platform.listing())
-        await platform.got(1)
+        await platform.wait_for_requests(1)
         await platform.change("s1", "draining")
         await platform.until(
             lambda: any("from=2" in r.path for r in platform.requests)
@@ -140,14 +140,14 @@
         before = len(drained.requests)
         for n in range(8):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
-        await other.got(8)
+        await other.wait_for_requests(8)
         platform.garbage = (
             10**6
         )  # discovery sends garbage: the journal has to supply the list
         await node.restart()
         for n in range(8, 16):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
-        await other.got(16)
+        await other.wait_for_requests(16)
         assert len(drained.requests) == before
 
     play(scene, tmp_path)
@@ -161,8 +161,8 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        drained = await target(platform, always(OK))
-        other = await target(platform, always(OK), "s2")
+        drained = await target(platform, answer_in_turn(OK))
+        other = await target(platform, answer_in_turn(OK), "s2")
         node = Node(folder, platform)
         folder_nodes[-1].append(node)
         configure(node, settings={**SETTINGS, "discovery": "pushed"})
@@ -177,7 +177,7 @@
         before = len(drained.requests)
         for n in range(4):
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
-        await other.got(4)
+        await other.wait_for_requests(4)
         assert len(drained.requests) == before
 
     play(scene, tmp_path)
@@ -190,7 +190,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         platform.seq = 0
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         await platform.until(
             lambda: any("from=0&" in r.path for r in platform.requests)
@@ -222,7 +222,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         port = free_port()
         platform.host("s1", port)
-        breaks = await target(platform, always(None), "s2", block=8)
+        breaks = await target(platform, answer_in_turn(None), "s2", block=8)
         node = await node_on(folder, platform)
         assert (await node.hand_in("broke", "pay", dest=8))[0] == 202
         assert (await platform.notice("broke"))["state"] == "failed"
@@ -248,12 +248,12 @@
     tmp_path: Path, garbage: bytes
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(garbage, OK))
+        peer = await target(platform, answer_in_turn(garbage, OK))
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "order"))[0] == 202
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert (await node.hand_in("n", "order"))[0] == 202
-        await peer.got(3)
+        await peer.wait_for_requests(3)
 
     play(scene, tmp_path)
 
@@ -313,12 +313,12 @@
         peer = await target(platform, send_partly)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         if not stays_open:
             await peer.until(lambda: peer.closed == 1)
-        peer.handler = always(OK)
+        peer.handler = answer_in_turn(OK)
         assert (await node.hand_in("n", "status"))[0] == 202
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert peer.requests[0].writer is not peer.requests[1].writer
         assert await node.end(signal.SIGTERM) == 0  # at once, as no message is held
         assert any("stopped: 0 messages" in line for line in node.log)
@@ -332,19 +332,20 @@
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(
-            platform, always(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK)
+            platform,
+            answer_in_turn(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK),
         )
         node = await node_on(folder, platform)
         assert (await node.hand_in("expired", "pay"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert (await node.hand_in("slots", "pay"))[0] == 202
-        await peer.got(3)
+        await peer.wait_for_requests(3)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == [
             "expired",
             "slots",
             "slots",
         ]
-        peer.handler = always(Answer(504))
+        peer.handler = answer_in_turn(Answer(504))
         assert (await node.hand_in("spent", "status", left="3"))[0] == 202
         assert (await platform.notice("spent"))["state"] == "returned"
         assert not [n for n in platform.notices if n["id"] != "spent"]
@@ -367,9 +368,9 @@
         peer = await target(platform, handler)
         node = await node_on(folder, platform)
         assert (await node.hand_in("a", "status"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert (await node.hand_in("b", "status"))[0] == 202
-        await peer.got(3)
+        await peer.wait_for_requests(3)
         assert times[1] - times[0] >= 0.69
 
     play(scene, tmp_path)
@@ -397,13 +398,13 @@
         peer = await target(platform, handler, kind="lots")
         node = await node_on(folder, platform)
         assert (await node.hand_in("a", "pay"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         for name in "bcd":
             assert (await node.hand_in(name, "pay", body=b"\0\xff" + name.encode()))[
                 0
             ] == 202
         gate.set()
-        call = (await peer.got(2))[1]
+        call = (await peer.wait_for_requests(2))[1]
         assert call.path == "/hook/batch"
         items = {x["id"]: x for x in json.loads(call.body)}
         assert set(items) == {"b", "c", "d"}
@@ -497,7 +498,7 @@
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         for data, status in BAD:
             client = await node.client()
@@ -512,7 +513,9 @@
         client = await node.client()
         client.writer.write(message("p1") + message("p2", body=b"x" * 65_536))
         assert [(await client.answer())[0], (await client.answer())[0]] == [202, 202]
-        assert {r.headers["x-correlation-id"] for r in await peer.got(2)} == {
+        assert {
+            r.headers["x-correlation-id"] for r in await peer.wait_for_requests(2)
+        } == {
             "p1",
             "p2",
         }
@@ -547,16 +550,16 @@
                 sum(f.stat().st_size for f in (folder / "state").iterdir()) < 1_000_000
             )
         assert statuses == {202, 503}
-        peer.handler = always(OK)
+        peer.handler = answer_in_turn(OK)
         await node.restart()
-        await peer.got(3)
+        await peer.wait_for_requests(3)
 
     play(scene, tmp_path)
 
 
 def test_garbage_and_silence_of_discovery_are_retried(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         known = platform.listing()
         platform.garbage = 2
         node = await node_on(
@@ -564,7 +567,7 @@
         )
         while (await node.hand_in("m"))[0] != 202:
             await asyncio.sleep(0.05)
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert sum("cannot fetch the endpoint list" in line for line in node.log) == 2
 
     play(scene, tmp_path)
@@ -578,7 +581,7 @@
         node = await node_on(folder, platform)
         old = await node.client()
         assert (await old.hand_in("a", "status"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         node.process.send_signal(signal.SIGTERM)
         status, _headers = await old.hand_in("b", "status")
         assert status == 202
@@ -588,7 +591,7 @@
             0
         ] == 202  # new connections are still served
         assert await node.end(signal.SIGTERM) == 0
-        peer.handler = always(OK)
+        peer.handler = answer_in_turn(OK)
         await node.start()
         await peer.until(
             lambda: (
@@ -647,7 +650,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(Answer(500)))
+        peer = await target(platform, answer_in_turn(Answer(500)))
         platform.seq, platform.accepts = 40, False
         node = await node_on(folder, platform)
         assert (await node.hand_in("owed", "pay"))[0] == 202
@@ -668,7 +671,7 @@
         for new_platform in (moved, last):  # several address changes in a row
             configure(node, discovery=f"127.0.0.1:{new_platform.port}")
             node.process.send_signal(signal.SIGHUP)
-            await new_platform.got(1)
+            await new_platform.wait_for_requests(1)
         assert (await last.notice("owed"))["state"] == "failed"
         await last.until(lambda: any("from=1&" in r.path for r in last.requests))
         await platform.change(
@@ -678,15 +681,17 @@
             lambda: platform.closed >= 2
         )  # but its connection and the idle one were closed
         assert (await node.hand_in("held", "status"))[0] == 202
-        await second.got(1)
+        await second.wait_for_requests(1)
         assert len(peer.requests) == 1
         node.process.send_signal(signal.SIGTERM)
         node.process.send_signal(signal.SIGHUP)
         assert await node.end(signal.SIGTERM) == 0
-        second.handler = always(OK)
+        second.handler = answer_in_turn(OK)
         before = len(platform.requests)
         await node.start()
-        assert [r.headers["x-correlation-id"] for r in await second.got(2)] == [
+        assert [
+            r.headers["x-correlation-id"] for r in await second.wait_for_requests(2)
+        ] == [
             "held",
             "held",
         ]
@@ -697,7 +702,7 @@
 
 def test_bad_new_configuration_keeps_the_old_one(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         for text in (
             "{",
@@ -712,7 +717,7 @@
             ):
                 await asyncio.sleep(0.01)
         assert (await node.hand_in("m"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
 
     play(scene, tmp_path)
 
@@ -723,7 +728,7 @@
     """The backoff after failures must not apply to the first requests at a new address."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         moved = Platform()
         await moved.start()
@@ -740,15 +745,17 @@
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         node = await node_on(folder, platform)
         assert (await node.hand_in("m"))[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert (await node.hand_in("n"))[0] == 202
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert (await node.hand_in("m", body=b"another"))[0] == 202
         assert (await node.hand_in("o"))[0] == 202
-        assert [r.headers["x-correlation-id"] for r in await peer.got(3)] == [
+        assert [
+            r.headers["x-correlation-id"] for r in await peer.wait_for_requests(3)
+        ] == [
             "m",
             "n",
             "o",
@@ -773,16 +780,16 @@
         old = await target(platform, respond)
         node = await node_on(folder, platform, known=platform.listing())
         assert (await node.hand_in("m", "status"))[0] == 202
-        await old.got(1)
+        await old.wait_for_requests(1)
         await node.end()
         answers.append(OK)
-        new = await target(platform, always(OK), "s2")
+        new = await target(platform, answer_in_turn(OK), "s2")
         platform.seq += 1
         platform.news[platform.seq] = [dict(platform.hosts["s2"])]
         await platform.change("s1", "draining")
         before = len(old.requests)
         await node.start()
-        await new.got(1)
+        await new.wait_for_requests(1)
         assert len(old.requests) == before
 
     play(scene, tmp_path)
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -59,11 +59,11 @@
     Peer,
     Platform,
     Request,
-    always,
+    answer_in_turn,
     free_port,
     hang,
 )
-from tests.support.memory_disk import Hands
+from tests.support.memory_disk import ManualSyncWorker
 
 OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
 ENDPOINT_LIST = (EndpointEntry(1, 10, "north", "plain"),)
@@ -221,7 +221,10 @@
         self, folder: Path, power: bool = False, **class_changes: object
     ) -> None:
         self.folder, self.power, self.port = folder, power, free_port()
-        self.platform, self.peers = Platform(), [Peer(hang), Peer(always(Answer(200)))]
+        self.platform, self.peers = (
+            Platform(),
+            [Peer(hang), Peer(answer_in_turn(Answer(200)))],
+        )
         classes = [{**service, **class_changes} for service in SETTINGS["services"]]
         classes += [{**classes[-1], "name": "single", "by_arrival": True}]
         self.settings = {
@@ -441,7 +444,7 @@
         assert [*site_engine.store.messages] == ["held"] and site_engine.store.messages[
             "held"
         ].executed_at_us >= 0
-        site.peers[0].handler = always(Answer(200))
+        site.peers[0].handler = answer_in_turn(Answer(200))
         await site.until(lambda: not site_engine.store.messages)
 
     play(scene, Site(tmp_path))
@@ -648,7 +651,7 @@
     given up while its record is being synced, and its client disconnects meanwhile: no
     notification is sent, so the key must not wait for one.
     """
-    sync_jobs = Hands()
+    sync_jobs = ManualSyncWorker()
 
     async def scene() -> None:
         engine_under_test = power_engine(tmp_path, sync_jobs, monkeypatch)
@@ -806,7 +809,9 @@
     )  # each summary line resets the counts
 
     async def scene(site: Site) -> None:
-        site.peers[0].handler = always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}))
+        site.peers[0].handler = answer_in_turn(
+            Answer(429, {"X-RateLimit-Wait-Ms": "60000"})
+        )
         site_engine = await site.start()
         with caplog.at_level(logging.INFO, "rainfall.trace"):
             assert await site.hand_in("tried", "status", left="50") == 202
@@ -973,7 +978,7 @@
 def test_call_whose_record_is_synced_after_shutdown_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sync_jobs = Hands()
+    sync_jobs = ManualSyncWorker()
 
     async def scene() -> None:
         engine_under_test = power_engine(tmp_path, sync_jobs, monkeypatch)
--- a/tests/forwarder/test_settings_isolation.py
+++ b/tests/forwarder/test_settings_isolation.py
@@ -43,7 +43,7 @@
     Node,
     Platform,
     Request,
-    always,
+    answer_in_turn,
     free_port,
     hang,
 )
@@ -161,8 +161,8 @@
 ) -> None:
     async def scene(one: Site, other: Site) -> None:
         answers = (Answer(500), OK)
-        peer = await target(one.platform, always(*answers))
-        other_peer = await target(other.platform, always(*answers))
+        peer = await target(one.platform, answer_in_turn(*answers))
+        other_peer = await target(other.platform, answer_in_turn(*answers))
         for site in (one, other):
             site.start()
             await site.wait_ready()
@@ -192,7 +192,7 @@
 ) -> None:
     async def scene(one: Site, other: Site) -> None:
         peers = [
-            await target(site.platform, always(Answer(500), OK))
+            await target(site.platform, answer_in_turn(Answer(500), OK))
             for site in (one, other)
         ]
         for site in (one, other):
@@ -454,7 +454,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peers = [
-            await target(platform, always(Answer(500), OK), f"s{n}", block=n)
+            await target(platform, answer_in_turn(Answer(500), OK), f"s{n}", block=n)
             for n in range(3)
         ]
         node = Node(folder, platform)
@@ -477,7 +477,7 @@
             == (await platform.notice("m2"))["state"]
             == "failed"
         )
-        await node.shows(
+        await node.wait_for_metrics(
             lambda figures: figures["fulfilled"] == {"free": 1, "keyed": 0, "once": 0}
         )
         assert [len(peer.requests) for peer in peers] == [2, 1, 1]
@@ -588,11 +588,13 @@
             )
 
         first_peer = await target(platform, respond_after_release)
-        second_peer = await target(platform, always(Answer(500), OK), "s2", block=8)
+        second_peer = await target(
+            platform, answer_in_turn(Answer(500), OK), "s2", block=8
+        )
         third_peer = await target(platform, hang, "s3", block=9)
         node = await node_on(folder, platform)
         assert (await node.hand_in("old", "pay"))[0] == 202
-        await first_peer.got(1)
+        await first_peer.wait_for_requests(1)
         await hang_up(
             node,
             settings=classes(
@@ -612,7 +614,7 @@
             await node.hand_in("bare", "pay", left="20", dest=8, Idempotency_Key=None)
         )[0] == 400
         assert (await node.hand_in("new", "pay", left="20", dest=8))[0] == 202
-        calls = await second_peer.got(2)
+        calls = await second_peer.wait_for_requests(2)
         assert [request.headers["x-correlation-id"] for request in calls] == [
             "new",
             "new",
@@ -621,16 +623,17 @@
         assert (await platform.notice("old"))["state"] == "failed"
         assert len(first_peer.requests) == 1
         assert (await node.hand_in("cut", "pay", left="40", dest=9))[0] == 202
-        await third_peer.got(1)
+        await third_peer.wait_for_requests(1)
         await hang_up(node, settings=SETTINGS)
         await node.restart()
         assert [
-            request.headers["x-correlation-id"] for request in await third_peer.got(2)
+            request.headers["x-correlation-id"]
+            for request in await third_peer.wait_for_requests(2)
         ] == [
             "cut",
             "cut",
         ]
-        second_peer.handler = always(Answer(500))
+        second_peer.handler = answer_in_turn(Answer(500))
         assert (await node.hand_in("last", "pay", dest=8))[0] == 202
         assert (await platform.notice("last"))["state"] == "failed"
 
@@ -682,9 +685,9 @@
             peer.requests.clear()
             for n in range(3):
                 assert (await node.hand_in(f"{prefix}{n}"))[0] == 202
-            await peer.got(1)
+            await peer.wait_for_requests(1)
             release_responses.set()
-            await node.shows(lambda figures: figures["open_requests"] == 0)
+            await node.wait_for_metrics(lambda figures: figures["open_requests"] == 0)
             return [request.path for request in peer.requests]
 
         configure(node, settings=settings_with(1))
@@ -707,7 +710,8 @@
 def test_load_report_fields_follow_newest_settings(tmp_path: Path) -> None:
     async def scene(one: Site, other: Site) -> None:
         await target(
-            one.platform, always(Answer(200, {"X-Backend-Load": "x0=0.5,x1=70"}))
+            one.platform,
+            answer_in_turn(Answer(200, {"X-Backend-Load": "x0=0.5,x1=70"})),
         )
         one.start()
         await one.wait_ready()
@@ -732,9 +736,9 @@
     tmp_path: Path,
 ) -> None:
     async def scene(one: Site, other: Site) -> None:
-        await target(one.platform, always(OK))
-        await target(one.platform, always(OK), "s2")
-        await target(one.platform, always(OK), "s3", block=8)
+        await target(one.platform, answer_in_turn(OK))
+        await target(one.platform, answer_in_turn(OK), "s2")
+        await target(one.platform, answer_in_turn(OK), "s3", block=8)
         one.start()
         await one.wait_ready()
         engine = one.engine
@@ -790,9 +794,9 @@
 
     async def scene(one: Site, other: Site) -> None:
         monkeypatch.setattr(startup, "FIRST_LIST_TIMEOUT_S", PATIENCE)
-        draining_peer = await target(one.platform, always(OK))
+        draining_peer = await target(one.platform, answer_in_turn(OK))
         store_waiting_message(one.folder, one.settings, *one.platform.hosts.values())
-        new_peer = await target(one.platform, always(OK), "s2")
+        new_peer = await target(one.platform, answer_in_turn(OK), "s2")
         one.platform.hosts["s1"]["health"], one.platform.seq = "draining", 2
         release_answers, platform_answer = asyncio.Event(), one.platform.answer
 
@@ -802,7 +806,7 @@
 
         one.platform.handler = answer_after_release
         one.start()
-        await one.platform.got(1)
+        await one.platform.wait_for_requests(1)
         config = {
             **one.engine.config.raw,
             "known": None,
@@ -826,7 +830,7 @@
                 and not one.engine.pool.in_flight
             )
         release_answers.set()
-        await new_peer.got(1)
+        await new_peer.wait_for_requests(1)
         assert (
             not draining_peer.requests
             and one.engine.dispatcher.state.settings.max_open_messages == 7
@@ -912,7 +916,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         new_platform = Platform()
         await new_platform.start()
         new_platform.hosts = platform.hosts
@@ -926,7 +930,7 @@
         node.process.send_signal(signal.SIGHUP)
         lock.release()
         await node.until_ready()
-        await new_platform.got(1)
+        await new_platform.wait_for_requests(1)
         assert (await node.figures())["cfg_accepted"] == 1
 
     play(scene, tmp_path)
--- a/tests/forwarder/test_shutdown_end.py
+++ b/tests/forwarder/test_shutdown_end.py
@@ -18,7 +18,7 @@
     Answer,
     Peer,
     Platform,
-    always,
+    answer_in_turn,
     hang,
     message,
 )
@@ -40,7 +40,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         run = await Running(folder, platform).ready()
         engine = run.engine
         await rounds_by_hand(run)
@@ -62,7 +62,7 @@
         stored = on_disk(folder).messages["m"]
         assert not peer.requests and (stored.attempts, stored.in_flight) == (1, {})
         next_run = await Running(folder, platform).ready()
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert (
             peer.requests[0].headers["x-correlation-id"] == "m" and not platform.notices
         )
@@ -83,7 +83,7 @@
         client = Caller(run.port)
         client.say(message("m", cls, Idempotency_Key=None))
         assert (await client.answer())[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         client.socket.close()
         write_response_to_socket(peer)
         await run.end()  # in the loop iteration in which the response arrived
@@ -123,7 +123,7 @@
         for client in clients:
             assert (await client.answer())[0] == 202
             client.socket.close()
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert peer.requests[0].path == "/hook/batch"
         if half:
             body = json.dumps(
@@ -139,7 +139,7 @@
         run.told_to_stop(shutdown.EXIT_AFTER_S)
         run.engine.shutdown.advance_shutdown()
         await run.end()
-        peer.handler = always(Answer(500))
+        peer.handler = answer_in_turn(Answer(500))
         next_run = await Running(folder, platform).ready()
         names = {f"m{n}" for n in range(3)}
         if cls == "pay":
--- a/tests/forwarder/test_shutdown_races.py
+++ b/tests/forwarder/test_shutdown_races.py
@@ -41,7 +41,7 @@
     SETTINGS,
     Peer,
     Platform,
-    always,
+    answer_in_turn,
     hang,
     message,
 )
@@ -604,7 +604,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         run = await Running(folder, platform).ready()
         answers: list[HTTPStatus] = []
 
@@ -635,7 +635,7 @@
     tmp_path: Path,
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         run = await Running(folder, platform).ready()
         resting, unaccepted = Caller(run.port), None
         resting.say(UP)
@@ -669,7 +669,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         run = await Running(folder, platform).ready()
         may_connect, dialing = asyncio.Event(), asyncio.Event()
         dial = run.engine.pool.dial
@@ -697,7 +697,7 @@
             task.cancel()
         assert not peer.requests
         next_run = await Running(folder, platform).ready()
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert (
             peer.requests[0].headers["x-correlation-id"] == "m" and not platform.notices
         )
@@ -753,7 +753,7 @@
         for client, data in ((resting, UP), (busy, message("held", "status"))):
             client.say(data)
             assert (await client.answer())[0] in (200, 202)
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         run.told_to_stop(1.0)
         run.engine.shutdown.advance_shutdown()
         resting.say(message("crossed"))  # after the shutdown
@@ -762,7 +762,7 @@
         await run.end()
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["held"]
         next_run = await Running(folder, platform).ready()
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert {r.headers["x-correlation-id"] for r in peer.requests} == {"held"}
         await next_run.end()
         assert not caplog.messages
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -144,7 +144,7 @@
         client = Caller(run.port)
         client.say(message("m", "status"))
         assert (await client.answer())[0] == 202
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         await rounds_by_hand(run)
         stored = engine.store.messages["m"]
         past_deadline = engine.dispatcher.state.messages["m"].deadline = (
--- a/tests/forwarder/test_startup_time.py
+++ b/tests/forwarder/test_startup_time.py
@@ -141,7 +141,7 @@
             await platform.until(
                 lambda: any(r.path == "/v1/notices" for r in platform.requests)
             )
-            await peer.got(1)
+            await peer.wait_for_requests(1)
             assert not release_responses.is_set()
             release_responses.set()  # agent and endpoint respond from here on
             flood.burst(150)
@@ -149,7 +149,7 @@
             await platform.until(
                 lambda: overdue_ids <= {n["id"] for n in platform.notices}
             )
-            await peer.got(100)
+            await peer.wait_for_requests(100)
         finally:
             release_responses.set()
             flood.end()
--- a/tests/journal/test_recovery.py
+++ b/tests/journal/test_recovery.py
@@ -22,7 +22,7 @@
 from rainfall.journal import recovery
 from rainfall.journal.recovery import UnusableJournalError, read_journal
 from tests.journal.test_journal import HEADER, VERSION_1_FILE, f
-from tests.support.memory_disk import Died, Disk, Hands
+from tests.support.memory_disk import Died, Disk, ManualSyncWorker
 
 FOLDER = Path("/state")
 SECOND_US = 1_000_000
@@ -49,7 +49,7 @@
 
 def opened(
     disk: Disk,
-    sync_worker: Hands | None = None,
+    sync_worker: ManualSyncWorker | None = None,
     max_bytes: int = 200_000,
     **options: int,
 ) -> MessageStore:
@@ -86,7 +86,7 @@
     def __init__(self, seed: int, power: bool) -> None:
         self.random = random.Random(seed)
         self.disk = Disk(seed)
-        self.sync_worker = Hands() if power else None
+        self.sync_worker = ManualSyncWorker() if power else None
         self.power = power
         self.expected: dict[str, ExpectedMessage] = {}
         self.accepted_by_key: dict[str, list[str]] = {}
@@ -242,7 +242,7 @@
             assert self.detached <= set(recovered.detached)
 
     def recovered(self) -> MessageStore:
-        sync_worker = Hands() if self.power else None
+        sync_worker = ManualSyncWorker() if self.power else None
         recovered = opened(self.disk, sync_worker)
         while sync_worker is not None and sync_worker.work():
             pass
@@ -339,7 +339,7 @@
     for power in (False, True):
         for fuse in range(14):
             disk = Disk(fuse)
-            sync_worker = Hands() if power else None
+            sync_worker = ManualSyncWorker() if power else None
             store = opened(disk, sync_worker)
             for index in range(5):
                 store.append_message(taken(f"m{index}"))
@@ -351,7 +351,9 @@
             run_until_death(store.compact, sync_worker)
             disk.power_lost() if power else disk.killed()
             assert (
-                opened(disk, Hands() if power else None).comparable_contents()
+                opened(
+                    disk, ManualSyncWorker() if power else None
+                ).comparable_contents()
                 == contents
             )
     for fuse in range(10):
@@ -382,7 +384,7 @@
     return inode
 
 
-def run_until_death(call, sync_worker: Hands | None) -> None:  # type: ignore[no-untyped-def]
+def run_until_death(call, sync_worker: ManualSyncWorker | None) -> None:  # type: ignore[no-untyped-def]
     try:
         call()
         while sync_worker is not None and sync_worker.work():
@@ -392,7 +394,7 @@
 
 
 def test_no_commit_is_confirmed_before_the_directory_is_synced() -> None:
-    disk, sync_worker = Disk(), Hands()
+    disk, sync_worker = Disk(), ManualSyncWorker()
     store = opened(disk, sync_worker)
     results: list[bool] = []
     store.append_message(taken("a"))
@@ -412,7 +414,7 @@
 
 
 def test_one_sync_confirms_all_waiting_commits_and_none_early() -> None:
-    disk, sync_worker = Disk(), Hands()
+    disk, sync_worker = Disk(), ManualSyncWorker()
     store = opened(disk, sync_worker)
     while sync_worker.work():
         pass
@@ -434,7 +436,7 @@
     """Linux marks the pages clean after a failed sync, so a second sync succeeds
     although the bytes are not on the disk.
     """
-    disk, sync_worker = Disk(), Hands()
+    disk, sync_worker = Disk(), ManualSyncWorker()
     store = opened(disk, sync_worker)
     while sync_worker.work():
         pass
@@ -455,11 +457,11 @@
         pass
     assert results == [False, True] and store.has_capacity(10)
     disk.power_lost()
-    assert list(opened(disk, Hands()).messages) == ["a", "b"]
+    assert list(opened(disk, ManualSyncWorker()).messages) == ["a", "b"]
 
 
 def test_a_notification_is_not_sent_before_its_sync_with_level_power() -> None:
-    disk, sync_worker = Disk(), Hands()
+    disk, sync_worker = Disk(), ManualSyncWorker()
     store = opened(disk, sync_worker)
     store.append_message(taken("a"))
     store.commit(lambda persisted: None)
@@ -619,7 +621,7 @@
         monkeypatch.setattr(
             "rainfall.forwarder.message_store.this_boot", lambda: "boot 1"
         )
-        disk, sync_worker = Disk(), Hands() if power else None
+        disk, sync_worker = Disk(), ManualSyncWorker() if power else None
         store = opened(disk, sync_worker)
         store.append_message(taken("a"))
         store.commit(lambda persisted: None)
@@ -631,7 +633,9 @@
         monkeypatch.setattr(
             "rainfall.forwarder.message_store.this_boot", lambda: "boot 2"
         )
-        recovered = opened(disk, Hands() if power else None, base=10**15 - SECOND_US)
+        recovered = opened(
+            disk, ManualSyncWorker() if power else None, base=10**15 - SECOND_US
+        )
         assert recovered.report.another_boot and recovered.report.doubted == doubted
         assert bool(recovered.messages["a"].in_flight) is bool(doubted)
 
--- a/tests/measure/test_hollow_members.py
+++ b/tests/measure/test_hollow_members.py
@@ -37,7 +37,14 @@
 from rainfall.member.roster import Member, Roster
 from rainfall.registry.budget_extension import BudgetExtension
 from rainfall.registry.fleet_watch import Watchers
-from tests.support.list_service import Clock, Run, beat, lead, play, until
+from tests.support.list_service import (
+    Clock,
+    RunningService,
+    beat,
+    run_service,
+    until,
+    with_fleet,
+)
 from tests.support.paths import ROOT
 
 SECOND_US = 1_000_000
@@ -320,7 +327,7 @@
         lambda member: encoded.append(member.name) or original_to_wire(member),
     )
 
-    async def run(service: Run) -> None:
+    async def run(service: RunningService) -> None:
         clock.us += AFTER_START_US
         for number in range(members):
             status, answer = await beat(service, f"member-{number}")
@@ -330,7 +337,7 @@
             )
         assert len(encoded) == members
 
-    play(tmp_path, run, clock, lead())
+    run_service(tmp_path, run, clock, with_fleet())
 
 
 def test_hollow_member_joins_by_the_forwarders_code_and_calls_are_counted(
@@ -341,7 +348,7 @@
     for counted in ("calls", "sent", "received"):
         monkeypatch.setattr(CountingConnection, counted, Counter())
 
-    async def run(service: Run) -> None:
+    async def run(service: RunningService) -> None:
         clock.us += AFTER_START_US
         addresses = ServiceAddresses(
             Address("127.0.0.1", service.fleet), Address("127.0.0.1", service.list)
@@ -365,7 +372,7 @@
                 and CountingConnection.received[call] > 0
             )
 
-    play(tmp_path, run, clock, lead())
+    run_service(tmp_path, run, clock, with_fleet())
 
 
 def test_peaks_sum_over_all_processes() -> None:
--- a/tests/registry/test_fleet_coordinator.py
+++ b/tests/registry/test_fleet_coordinator.py
@@ -17,12 +17,12 @@
 from tests.support.list_service import (
     TTL_US,
     Clock,
-    Run,
+    RunningService,
     acquire,
     beat,
-    lead,
-    play,
+    run_service,
     until,
+    with_fleet,
 )
 
 
@@ -96,7 +96,7 @@
 ) -> None:
     tally, clock, tokens = TallyExtension(), Clock(), list[Any]()
 
-    async def before_restart(run: Run) -> None:
+    async def before_restart(run: RunningService) -> None:
         # The state may have been lost, so nothing is granted for the longest lease.
         assert (await beat(run, "f1"))[0] == 409
         clock.us += 2 * TTL_US
@@ -110,7 +110,7 @@
         await until(lambda: ("abandoned", 7) in tally.events)
         assert (await beat(run, "f1", tokens[0]))[1]["tally"] == 5
         run.files.failing = False
-        run.files.free.clear()
+        run.files.unblocked.clear()
         for calls in (8, 9):  # the second arrives while the first plan is being written
             await beat(run, "f1", tokens[0], calls=calls)
             await until(lambda: tally.unstored_rows == 1)
@@ -122,7 +122,7 @@
             )
         )
         await asyncio.sleep(0.01)
-        run.files.free.set()
+        run.files.unblocked.set()
         await applied
         await until(lambda: tally.stored == {"f1": 9, "x": 1})
         assert ("planned twice", None) not in tally.events
@@ -139,7 +139,7 @@
         version = run.service.fleet.version
         clock.us += 2 * TTL_US
         while (
-            await run.ask(
+            await run.request(
                 f"/v1/fleet/watch?from={version}&hold_ms=9000", port=run.fleet
             )
         )[2] == {"version": version}:
@@ -154,7 +154,7 @@
         assert (await beat(run, "f2"))[0] == 200  # and the log is compacted
         await until(lambda: run.service.fleet.fleet_log.record_log.row_count == 2)
 
-    play(tmp_path, before_restart, clock, lead(tally))
+    run_service(tmp_path, before_restart, clock, with_fleet(tally))
     token_1, token_2, token_3 = map(_token, tokens)
     assert [
         event
@@ -169,16 +169,16 @@
     ]
     restored = TallyExtension()
 
-    async def after_restart(run: Run) -> None:
+    async def after_restart(run: RunningService) -> None:
         assert restored.events == [("restored", True)] and restored.stored == {
             "f1": 9,
             "x": 1,
         }
         assert [
-            member["name"] for member in (await run.ask("/v1/fleet"))[2]["members"]
+            member["name"] for member in (await run.request("/v1/fleet"))[2]["members"]
         ] == ["f2"]
 
-    play(tmp_path, after_restart, clock, lead(restored))
+    run_service(tmp_path, after_restart, clock, with_fleet(restored))
 
 
 def _token(pair: list[int]) -> Any:
@@ -190,12 +190,12 @@
 ) -> None:
     clock = Clock()
 
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         clock.us += 2 * TTL_US
         before = (await acquire(run, "a"))[1]["token"]
         run.files.failing = True
         assert (await acquire(run, "b"))[0] == 507
-        assert (await run.ask("/v1/leases/b"))[0] == 404
+        assert (await run.request("/v1/leases/b"))[0] == 404
         clock.us += TTL_US  # the lease on a has expired, and its end cannot be written
         await until(lambda: run.service.metrics.write_failures >= 2)
         run.files.failing = False
@@ -205,15 +205,17 @@
         # Member leases are granted by heartbeats only; operators raise the fence and revoke.
         assert (await acquire(run, "member/f1"))[0] == 403
         above = answer["token"][0] + 10
-        assert (await run.ask("/v1/epoch", {"above": above}))[2]["fence"] == above + 1
+        assert (await run.request("/v1/epoch", {"above": above}))[2][
+            "fence"
+        ] == above + 1
         token = (await acquire(run, "c/d"))[1]["token"]
         assert token[0] == above + 1
-        assert (await run.ask("/v1/leases/c/d/revoke", {}))[0] == 200
-        assert (await run.ask("/v1/leases/c/d/renew", {"token": token}, run.fleet))[
+        assert (await run.request("/v1/leases/c/d/revoke", {}))[0] == 200
+        assert (await run.request("/v1/leases/c/d/renew", {"token": token}, run.fleet))[
             0
         ] == 409
 
-    play(tmp_path, test, clock, lead())
+    run_service(tmp_path, test, clock, with_fleet())
 
 
 def test_an_older_copy_is_detected_by_the_watermark_file(tmp_path: Path) -> None:
@@ -224,27 +226,45 @@
         [0, 0],
     )
 
-    async def acquire_succeeds(run: Run) -> None:
+    async def acquire_succeeds(run: RunningService) -> None:
         clock.us += 2 * TTL_US
         status, answer = await acquire(run, "a")
         nonlocal top
         assert status == 200 and answer["token"] > top
         top = answer["token"]
 
-    async def acquire_is_held(run: Run) -> None:
+    async def acquire_is_held(run: RunningService) -> None:
         status, answer = await acquire(run, "b")
         assert status == 409 and answer["error"] == "held"
 
-    play(tmp_path / "s", acquire_succeeds, clock, lead(mark=watermark_path))
+    run_service(
+        tmp_path / "s",
+        acquire_succeeds,
+        clock,
+        with_fleet(watermark_path=watermark_path),
+    )
     copy = log.read_bytes()
-    play(tmp_path / "s", acquire_succeeds, clock, lead(mark=watermark_path))
+    run_service(
+        tmp_path / "s",
+        acquire_succeeds,
+        clock,
+        with_fleet(watermark_path=watermark_path),
+    )
     full_log = RecordLog(log)
     full_row_count = len(full_log.load())
     log.write_bytes(copy)
-    play(tmp_path / "s", acquire_is_held, clock, lead(mark=watermark_path))
+    run_service(
+        tmp_path / "s",
+        acquire_is_held,
+        clock,
+        with_fleet(watermark_path=watermark_path),
+    )
     assert (
         len(RecordLog(log).load()) < full_row_count
     )  # the service has started on the copy
-    play(
-        tmp_path / "s", acquire_succeeds, clock, lead(mark=watermark_path)
+    run_service(
+        tmp_path / "s",
+        acquire_succeeds,
+        clock,
+        with_fleet(watermark_path=watermark_path),
     )  # above all earlier tokens, though the copy has no record of them
--- a/tests/registry/test_heartbeat_extensions.py
+++ b/tests/registry/test_heartbeat_extensions.py
@@ -26,7 +26,13 @@
 from rainfall.shard.auto_planner import AutoPlanner, PlanDelays
 from rainfall.shard.key_ranges import union
 from rainfall.shard.shard_map import Range, ShardMap, format_key
-from tests.support.fleet_service_scenes import BUDGET, TOP, Play, Process, World
+from tests.support.fleet_service_scenes import (
+    BUDGET,
+    TOP,
+    FleetScenario,
+    Process,
+    World,
+)
 from tests.support.list_service import until
 
 
@@ -57,7 +63,7 @@
                 await world.stop(kill=True)
                 shutil.rmtree(tmp_path / "s")
                 await world.start()
-                world.wholes.append(100)
+                world.totals.append(100)
                 await world.run.call("PUT", "/v1/budgets", {"budgets": [BUDGET]})
                 seen = max(process.seen.epoch for process in world.all)
                 assert world.run.parts.fleet.table.epoch <= seen
@@ -68,9 +74,9 @@
             await world.calm(38)
             # A lowered total is in effect by now. Safety must not cost utilisation: the
             # connected members have nearly all of it.
-            del world.wholes[:-1]
+            del world.totals[:-1]
             world.check()
-            total = world.wholes[0]
+            total = world.totals[0]
             assert sum(process.most() for process in world.all) >= 0.8 * total - 20, (
                 total,
                 [process.share for process in world.all],
@@ -125,7 +131,7 @@
         )
         for name in names
     ]
-    play = Play(tmp_path / "s", monkeypatch)
+    play = FleetScenario(tmp_path / "s", monkeypatch)
 
     async def test() -> None:
         f1, f2 = await play.up("f1", "f2", budgets=[BUDGET], **options)
@@ -230,7 +236,7 @@
 def test_a_longer_window_is_waited_for_also_after_a_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, before: bool
 ) -> None:
-    play = Play(tmp_path / "s", monkeypatch)
+    play = FleetScenario(tmp_path / "s", monkeypatch)
 
     async def test() -> None:
         f1, f2 = await play.up("f1", "f2", budgets=[BUDGET], reserves_known=True)
@@ -273,7 +279,7 @@
 def test_a_process_keeps_its_reserve_although_the_service_restarts_at_each_join(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    play = Play(tmp_path / "s", monkeypatch)
+    play = FleetScenario(tmp_path / "s", monkeypatch)
     monkeypatch.setattr(fleet_coordinator, "PLAN_WAIT_TIMEOUT_S", 0.02)
 
     async def test() -> None:
@@ -297,7 +303,7 @@
 def test_after_a_lost_folder_or_an_older_copy_reserves_of_cut_off_members_are_not_reused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, copied: bool
 ) -> None:
-    play, watermark_path = Play(tmp_path / "s", monkeypatch), tmp_path / "mark"
+    play, watermark_path = FleetScenario(tmp_path / "s", monkeypatch), tmp_path / "mark"
 
     async def test() -> None:
         await play.up(
@@ -331,7 +337,7 @@
 def test_a_map_is_applied_completely_or_rejected_and_moved_keys_have_one_owner(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    play = Play(tmp_path / "s", monkeypatch)
+    play = FleetScenario(tmp_path / "s", monkeypatch)
 
     def raw(generation: int, *owners: str) -> dict[str, Any]:
         cuts = [n * (TOP + 1) // len(owners) for n in range(len(owners) + 1)]
@@ -460,7 +466,7 @@
         # Two processes with the same name: while the heartbeat of one waits for the disk,
         # the other replaces it.
         body = {**f2.body(), "seen": [f2.token.epoch + 3, 0]}
-        play.run.files.free.clear()
+        play.run.files.unblocked.clear()
         waits = [
             asyncio.ensure_future(
                 call(
@@ -479,7 +485,7 @@
                 )
             )
         await asyncio.sleep(0.02)
-        play.run.files.free.set()
+        play.run.files.unblocked.set()
         _, (status, answer), (after, _) = await asyncio.gather(*waits)
         assert (status, answer.get("error"), after) == (409, "lost", 200)
         await play.run.service.stop()
@@ -490,7 +496,7 @@
 def test_the_holder_of_the_shard_planner_lease_plans_maps(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    play = Play(tmp_path / "s", monkeypatch)
+    play = FleetScenario(tmp_path / "s", monkeypatch)
     auto = AutoPlanner(
         PlanDelays(
             leave_delay_us=500_000, join_delay_us=800_000, plan_interval_us=1_000_000
@@ -544,7 +550,7 @@
 def test_a_change_wakes_only_the_concerned_watchers_and_all_in_small_batches(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    play = Play(tmp_path / "s", monkeypatch)
+    play = FleetScenario(tmp_path / "s", monkeypatch)
 
     async def test() -> None:
         await play.up("f1", "f2", budgets=[BUDGET], reserves_known=True)
--- a/tests/registry/test_service_limits.py
+++ b/tests/registry/test_service_limits.py
@@ -19,27 +19,34 @@
 from rainfall.registry.endpoint_registry import CLAIM_LIMIT
 from rainfall.registry.request_error import RequestError
 from rainfall.registry.storage import RecordLog, Storage
-from tests.support.list_service import Clock, Files, Run, play, told, until
+from tests.support.list_service import (
+    Clock,
+    FaultyFileSystem,
+    RunningService,
+    read_response,
+    run_service,
+    until,
+)
 
 
 def test_watches_are_limited_and_a_disconnected_one_is_not_counted(
     tmp_path: Path,
 ) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         metrics, path = (
             run.service.metrics,
             f"/discovery/hosts?from={run.service.registry.seq}&hold_ms=60000",
         )
         _, leaving = await asyncio.open_connection("127.0.0.1", run.list)
         leaving.write(f"GET {path} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
-        staying = asyncio.ensure_future(run.ask(path))
+        staying = asyncio.ensure_future(run.request(path))
         await until(lambda: metrics.watches_held == 2)
-        status, headers, _ = await run.ask(path)
+        status, headers, _ = await run.request(path)
         assert status == 503 and headers["retry-after"] == "1" and metrics.busy == 1
         leaving.close()
         await until(lambda: metrics.watches_held == 1)
         assert metrics.watchers_left == 1 and not staying.done()
-        other = asyncio.ensure_future(run.ask(path))
+        other = asyncio.ensure_future(run.request(path))
         await until(lambda: metrics.watches_held == 2)
         await run.change("s-1")
         for status, _, answer in await asyncio.gather(staying, other):
@@ -49,14 +56,14 @@
                 and not answer["whole"]
             )
 
-    play(tmp_path, test, watchers=2)
+    run_service(tmp_path, test, watchers=2)
 
 
 def test_connections_are_limited_and_idle_ones_are_closed(tmp_path: Path) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         held = [await asyncio.open_connection("127.0.0.1", run.list) for _ in range(2)]
         await until(lambda: run.service.metrics.connections == 2)
-        status, headers, _ = await run.ask("/_ready")
+        status, headers, _ = await run.request("/_ready")
         assert (
             status == 503
             and headers["retry-after"] == "1"
@@ -68,22 +75,22 @@
             )  # closed after `idle_s`
             writer.close()
         await until(lambda: run.service.metrics.connections == 0)
-        assert (await run.ask("/_ready"))[0] == 200
+        assert (await run.request("/_ready"))[0] == 200
 
-    play(tmp_path, test, connections=2, idle_s=0.3)
+    run_service(tmp_path, test, connections=2, idle_s=0.3)
 
 
 def test_a_reader_that_receives_nothing_is_aborted_over_unsent_bytes(
     tmp_path: Path,
 ) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         assert (await run.change(*(f"s-{n}" for n in range(1000))))[0] == 200
         sock = socket.create_connection(("127.0.0.1", run.list))
         sock.sendall(
             b"GET /discovery/hosts HTTP/1.1\r\nHost: r\r\n\r\n" * 200
         )  # 25 MB of answers
         await until(lambda: run.service.metrics.slow_closed == 1)
-        status, _, answer = await run.ask("/discovery/hosts")
+        status, _, answer = await run.request("/discovery/hosts")
         assert (
             status == 200 and len(answer["hosts"]) == 1000
         )  # a reader that reads gets the complete list
@@ -92,11 +99,11 @@
         )  # although the peer has not closed its end
         sock.close()
 
-    play(tmp_path, test, unsent_bytes=256 * 1024)
+    run_service(tmp_path, test, unsent_bytes=256 * 1024)
 
 
 def test_request_heads_and_bodies_are_limited(tmp_path: Path) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         big = b"".join(b"X-%d: %s\r\n" % (n, b"a" * 4000) for n in range(5))
         post = b"POST /v1/hosts HTTP/1.1\r\nHost: r\r\n"
         for status, data in (
@@ -119,23 +126,23 @@
         ):
             reader, writer = await asyncio.open_connection("127.0.0.1", run.write)
             writer.write(data)
-            answer = await told(reader)
+            answer = await read_response(reader)
             assert answer[0] == status and answer[2]["faults"], data[:40]
             assert await asyncio.wait_for(reader.read(), 5) == b""  # closed
             writer.close()
 
-    play(tmp_path, test, body_bytes=1024, body_timeout_s=0.1)
+    run_service(tmp_path, test, body_bytes=1024, body_timeout_s=0.1)
 
 
 def test_queued_changes_are_limited_and_are_stored_and_answered_at_shutdown(
     tmp_path: Path,
 ) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         held = asyncio.ensure_future(
-            run.ask(f"/v1/hosts?from={run.service.registry.seq}&hold_ms=60000")
+            run.request(f"/v1/hosts?from={run.service.registry.seq}&hold_ms=60000")
         )
         await until(lambda: run.service.metrics.watches_held == 1)
-        run.files.free.clear()
+        run.files.unblocked.clear()
         waiting = [asyncio.ensure_future(run.change("s-0"))]
         await until(lambda: len(run.service.writer.group_commit.batch) == 1)
         waiting += [asyncio.ensure_future(run.change(f"s-{n}")) for n in (1, 2)]
@@ -145,17 +152,17 @@
         stop = asyncio.ensure_future(run.service.stop())
         assert (await held)[0] == 200  # immediately, although the disk is blocked
         assert not any(call.done() for call in waiting)
-        run.files.free.set()
+        run.files.unblocked.set()
         assert [status for status, _, _ in await asyncio.gather(*waiting)] == [200] * 3
         assert await stop
 
-    play(tmp_path, test, queued=2)
+    run_service(tmp_path, test, queued=2)
     assert sorted(Storage(tmp_path).load()[0].entries) == ["s-0", "s-1", "s-2"]
 
 
 def test_a_blocked_disk_does_not_delay_the_shutdown(tmp_path: Path) -> None:
-    async def test(run: Run) -> None:
-        run.files.free.clear()
+    async def test(run: RunningService) -> None:
+        run.files.unblocked.clear()
         waiting = asyncio.ensure_future(run.change("s-0"))
         await until(lambda: len(run.service.writer.group_commit.batch) == 1)
         assert not await run.service.stop()
@@ -164,42 +171,42 @@
             status == 500 and "nobody knows" in answer["faults"][0]
         )  # the outcome is unknown
 
-    play(tmp_path, test, shutdown_timeout_s=0.1)
+    run_service(tmp_path, test, shutdown_timeout_s=0.1)
 
 
 def test_no_answer_depends_on_a_change_lost_in_a_failed_sync(tmp_path: Path) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         seq = run.service.registry.seq
-        run.files.free.clear()
+        run.files.unblocked.clear()
         first = asyncio.ensure_future(run.change("s-9"))
         await until(lambda: len(run.service.writer.group_commit.batch) == 1)
         calls = [
             run.change("s-0", key="k"),
             run.change("s-0", key="k"),
             run.change("s-0"),
-            run.ask("/v1/hosts", {"ops": [{"op": "drain", "host": "s-0"}]}),
+            run.request("/v1/hosts", {"ops": [{"op": "drain", "host": "s-0"}]}),
         ]
         waiting = [asyncio.ensure_future(call) for call in calls]
         await until(lambda: len(run.service.writer.group_commit.queue) == 4)
         run.files.failing = True
-        run.files.free.set()
+        run.files.unblocked.set()
         assert (await first)[0] == 507
         # The repeat and the change that alters nothing depend on a change that was lost.
         assert [status for status, _, _ in await asyncio.gather(*waiting)] == [507] * 4
         assert not Storage(tmp_path).load()[0].entries
         run.files.failing = False
-        assert (await run.ask("/v1/hosts"))[2]["seq"] == seq
+        assert (await run.request("/v1/hosts"))[2]["seq"] == seq
         assert (await run.change("s-1"))[2]["seq"] == seq + 1
 
-    play(tmp_path, test)
+    run_service(tmp_path, test)
     assert list(Storage(tmp_path).load()[0].entries) == ["s-1"]
-    files = Files()
+    files = FaultyFileSystem()
     log = RecordLog(tmp_path / "log", files)
     log.load()
-    files.failing = files.uncut = True
+    files.failing = files.fail_truncate = True
     with pytest.raises(OSError):
         log.append([{"n": 1}, {"n": 2}])
-    files.failing = files.uncut = False
+    files.failing = files.fail_truncate = False
     log.append([{"n": 3}])
     assert RecordLog(tmp_path / "log").load() == [
         {"n": 3}
@@ -209,16 +216,16 @@
 def test_a_watch_of_the_same_version_in_another_epoch_gets_the_complete_list(
     tmp_path: Path,
 ) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         await run.change("s-1")
         now = run.service.registry
         for epoch in (now.epoch - 1, now.epoch + 5):
             path = f"/v1/hosts?from={now.seq}&epoch={epoch}&hold_ms=60000"
-            _, _, answer = await asyncio.wait_for(run.ask(path), 5)
+            _, _, answer = await asyncio.wait_for(run.request(path), 5)
             assert answer["whole"] and len(answer["hosts"]) == 1
             assert answer["epoch"] > epoch
 
-    play(tmp_path, test)
+    run_service(tmp_path, test)
 
 
 def test_versions_exceed_those_of_readers_after_two_losses_with_the_clock_set_back(
@@ -226,15 +233,15 @@
 ) -> None:
     clock, last_answer = Clock(), dict[str, int]()
 
-    async def first_start(run: Run) -> None:
+    async def first_start(run: RunningService) -> None:
         await run.change("s-1")
-        last_answer.update((await run.ask("/v1/hosts"))[2])
+        last_answer.update((await run.request("/v1/hosts"))[2])
 
-    async def start_after_loss(run: Run) -> None:
-        assert (await run.ask("/v1/hosts"))[2]["seq"] < last_answer[
+    async def start_after_loss(run: RunningService) -> None:
+        assert (await run.request("/v1/hosts"))[2]["seq"] < last_answer[
             "seq"
         ]  # the lower clock gives lower versions
-        status, _, answer = await run.ask(
+        status, _, answer = await run.request(
             f"/v1/hosts?from={last_answer['seq']}&epoch={last_answer['epoch']}&hold_ms=60000"
         )
         assert status == 200 and answer["whole"]
@@ -244,7 +251,7 @@
         )
         last_answer.update(answer)
 
-    async def restart(run: Run) -> None:
+    async def restart(run: RunningService) -> None:
         assert run.had and {
             key: run.service.registry.answer_for(None, None)[key]
             for key in ("seq", "epoch")
@@ -252,8 +259,8 @@
 
     for number, step in enumerate((first_start, start_after_loss, start_after_loss)):
         clock.ms = 1_000_000 - 1_000 * number
-        play(tmp_path / str(number), step, clock)
-    play(tmp_path / "2", restart, clock)  # the answered epoch was stored
+        run_service(tmp_path / str(number), step, clock)
+    run_service(tmp_path / "2", restart, clock)  # the answered epoch was stored
 
 
 def test_readers_ahead_begin_epochs_at_a_limited_rate_and_never_raise_the_fence(
@@ -261,12 +268,14 @@
 ) -> None:
     clock = Clock()
 
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         now, fence = run.service.registry, run.service.registry.fence
         at = [now.seq]
         for _ in range(4):
             claimed = now.seq + 10
-            _, _, answer = await run.ask(f"/v1/hosts?from={claimed}&epoch={now.epoch}")
+            _, _, answer = await run.request(
+                f"/v1/hosts?from={claimed}&epoch={now.epoch}"
+            )
             assert answer["whole"]
             at.append(answer["seq"])
         assert (
@@ -281,16 +290,16 @@
             f"epoch={CLAIM_LIMIT}",
         ):  # no service can have sent that
             seq = now.seq
-            assert (await run.ask(f"/v1/hosts?{path}&hold_ms=60000"))[2][
+            assert (await run.request(f"/v1/hosts?{path}&hold_ms=60000"))[2][
                 "whole"
             ] and now.seq == seq
         assert now.fence == fence
 
-    play(tmp_path, test, clock, epoch_burst=2, epoch_interval_s=0.1)
+    run_service(tmp_path, test, clock, epoch_burst=2, epoch_interval_s=0.1)
 
 
 def test_tokens_and_operators_raise_the_fence_durably(tmp_path: Path) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         now = run.service.registry
         fence, seq = now.fence, now.seq
         assert (
@@ -300,13 +309,13 @@
         assert await run.service.raise_fence(fence + 7) == fence + 8 and now.seq == seq
         with pytest.raises(RequestError):
             await run.service.raise_fence(1 << 60)
-        status, _, answer = await run.ask("/v1/epoch", {"above": fence + 20})
+        status, _, answer = await run.request("/v1/epoch", {"above": fence + 20})
         assert status == 200 and answer["fence"] == fence + 21 and answer["seq"] > seq
         run.files.failing = True
         with pytest.raises(OSError):
             await run.service.raise_fence(fence + 30)
         assert now.fence == fence + 21
-        status, _, answer = await run.ask(f"/v1/hosts?from={now.seq + 9}")
+        status, _, answer = await run.request(f"/v1/hosts?from={now.seq + 9}")
         assert (
             status == 200 and answer["whole"] and answer["seq"] == now.seq
         )  # answered, although no epoch could be stored
@@ -316,7 +325,7 @@
         assert Storage(tmp_path).load()[0].fence == fence + 41
         await run.service.raise_fence(fence + 50)
 
-    play(tmp_path, test)
+    run_service(tmp_path, test)
     assert Storage(tmp_path).load()[0].fence == 1_051
 
 
@@ -367,7 +376,7 @@
 
 
 def test_a_forwarder_client_reads_watches_and_posts_notices(tmp_path: Path) -> None:
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         lists: list[Any] = []
         where = Address("127.0.0.1", run.list)
         watch = EndpointWatch(where, -1, lists.append, 1)
@@ -387,7 +396,7 @@
             ).status == status
         client.close()
         await until(lambda: run.service.storage.next_notice_number == 2)
-        rows = (await run.ask("/v1/notices?from=1"))[2]
+        rows = (await run.request("/v1/notices?from=1"))[2]
         assert rows["next"] == 2 and [r["notice"]["id"] for r in rows["notices"]] == [
             "b"
         ]
@@ -398,7 +407,7 @@
         assert f"\nlemonshunt_registry_listed {float(1)}\n" in text
         writer.close()
 
-    play(tmp_path, test)
+    run_service(tmp_path, test)
 
 
 def test_an_empty_folder_needs_the_option_new(tmp_path: Path) -> None:
--- a/tests/support/fleet_service_scenes.py
+++ b/tests/support/fleet_service_scenes.py
@@ -23,7 +23,7 @@
 from rainfall.shard.migration import RangeHold
 from rainfall.shard.ownership import RangeOwnership
 from rainfall.shard.shard_map import format_key, format_range, parse_range
-from tests.support.list_service import Clock, Run, told
+from tests.support.list_service import Clock, RunningService, read_response
 
 TTL, DRIFT, SPAN, SLACK = 1_000_000, 0.02, 400_000, 5_000
 TOP = (1 << 64) - 1
@@ -38,10 +38,10 @@
 }
 
 
-class Whole(Run):
+class FleetServiceRun(RunningService):
     """A list service with all its fleet services on a manual clock."""
 
-    async def up(self, **more: Any) -> Whole:
+    async def up(self, **more: Any) -> FleetServiceRun:
         if not self.had:
             await self.service.begin_history()
         self.parts = await start_fleet_services(
@@ -62,7 +62,7 @@
             + data
         )
         try:
-            status, _, answer = await told(reader)
+            status, _, answer = await read_response(reader)
         finally:
             writer.close()
         return status, answer
@@ -147,7 +147,9 @@
             else {},
         }
 
-    async def beat(self, run: Whole, lost: bool = False, drain: bool = True) -> int:
+    async def beat(
+        self, run: FleetServiceRun, lost: bool = False, drain: bool = True
+    ) -> int:
         if drain:
             self.owned.mark_drained(self.owned.frozen_ranges())
         asked, body = self.own(), self.body()
@@ -206,7 +208,7 @@
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.rng, self.folder, self.clock = random.Random(seed), folder, Clock()
-        self.wholes = [100]  # budgets whose grants may still be in use
+        self.totals = [100]  # budgets whose grants may still be in use
         self.all: list[
             Process
         ] = []  # processes that may be running, partitioned or not
@@ -219,7 +221,7 @@
         )  # tokens seen by a resource that is fenced by key range
 
     async def start(self) -> None:
-        self.run = await Whole(self.folder, Limits(), self.clock).up()
+        self.run = await FleetServiceRun(self.folder, Limits(), self.clock).up()
 
     async def stop(self, kill: bool) -> None:
         self.run.files.failing = kill  # pending writes then fail
@@ -241,13 +243,13 @@
         permitted = (
             sum(member.most() for member in self.all) + max(0, 4 - reserve_holders) * 5
         )
-        assert permitted <= max(self.wholes), (now, permitted)
+        assert permitted <= max(self.totals), (now, permitted)
         sent_calls = [
             *self.gone,
             *(sent_call for member in self.all for sent_call in member.sent),
         ]
         assert sum(index for at, _, index in sent_calls if at > now - SPAN) <= max(
-            self.wholes
+            self.totals
         ), now
         acting = [
             (*owned.key_range, owned.hold.token)
@@ -285,7 +287,7 @@
                 "PUT", "/v1/budgets", {"budgets": [{**BUDGET, "calls": calls}]}
             )
             if status == 200:
-                self.wholes.append(calls)
+                self.totals.append(calls)
         else:
             first = self.rng.randrange(16) << 60
             status, answer = await self.run.call(
@@ -353,7 +355,7 @@
             await self.run.settle()
 
 
-class Play:
+class FleetScenario:
     """A service and processes driven by a test, with short planning delays."""
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -363,9 +365,9 @@
 
     async def up(self, *names: str, **more: Any) -> list[Process]:
         world = self.world
-        self.run = world.run = await Whole(world.folder, Limits(), world.clock).up(
-            **more
-        )
+        self.run = world.run = await FleetServiceRun(
+            world.folder, Limits(), world.clock
+        ).up(**more)
         for name in names:
             world.add(name)
         return world.here
--- a/tests/support/list_service.py
+++ b/tests/support/list_service.py
@@ -18,20 +18,24 @@
 TTL_US = 200_000
 
 
-class Files(LocalFileSystem):
+class FaultyFileSystem(LocalFileSystem):
     """A file system whose syncs can be delayed and whose syncs and truncations can fail."""
 
     def __init__(self) -> None:
-        self.free, self.failing, self.uncut = threading.Event(), False, False
-        self.free.set()
+        self.unblocked, self.failing, self.fail_truncate = (
+            threading.Event(),
+            False,
+            False,
+        )
+        self.unblocked.set()
 
     def truncate(self, fd: int, size: int) -> None:
-        if self.uncut:
+        if self.fail_truncate:
             raise OSError(5, "Input/output error")
         super().truncate(fd, size)
 
     def sync(self, fd: int) -> None:
-        self.free.wait(10)
+        self.unblocked.wait(10)
         if self.failing:
             raise OSError(28, "No space left on device")
         super().sync(fd)
@@ -41,11 +45,11 @@
     ms, us = 1_000_000, 0
 
 
-class Run:
+class RunningService:
     """A service in this process with its list, write and fleet ports, and calls to it."""
 
     def __init__(self, folder: Path, bounds: Limits, clock: Clock) -> None:
-        self.files, self.clock = Files(), clock
+        self.files, self.clock = FaultyFileSystem(), clock
         disk = Storage(folder, self.files)
         registry, self.had = disk.load()
         self.service = RegistryServer(
@@ -54,7 +58,7 @@
 
     async def open(
         self, lead: Callable[[RegistryServer], Awaitable[Any]] | None
-    ) -> Run:
+    ) -> RunningService:
         if not self.had:
             await self.service.begin_history()
         if lead is not None:
@@ -64,7 +68,7 @@
         self.write = await self.service.listen("127.0.0.1", 0, True)
         return self
 
-    async def ask(
+    async def request(
         self, path: str, body: Any = None, port: int = 0
     ) -> tuple[int, dict[str, str], Any]:
         reader, writer = await asyncio.open_connection("127.0.0.1", port or self.write)
@@ -72,7 +76,7 @@
         head = f"{'POST' if data else 'GET'} {path} HTTP/1.1\r\nHost: r\r\n"
         writer.write(f"{head}Content-Length: {len(data)}\r\n\r\n".encode() + data)
         try:
-            return await told(reader)
+            return await read_response(reader)
         finally:
             writer.close()
 
@@ -92,10 +96,12 @@
             }
             for host in hosts
         ]
-        return self.ask("/v1/hosts", {"id": key, "ops": operations})
+        return self.request("/v1/hosts", {"id": key, "ops": operations})
 
 
-async def told(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], Any]:
+async def read_response(
+    reader: asyncio.StreamReader,
+) -> tuple[int, dict[str, str], Any]:
     async with asyncio.timeout(5):
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {
@@ -112,40 +118,44 @@
             await asyncio.sleep(0.005)
 
 
-def play(
+def run_service(
     folder: Path,
-    test: Callable[[Run], Awaitable[None]],
+    test: Callable[[RunningService], Awaitable[None]],
     clock: Clock | None = None,
     lead: Callable[[RegistryServer], Awaitable[Any]] | None = None,
     **bounds: Any,
 ) -> None:
     async def whole() -> None:
-        run = await Run(folder, Limits(**bounds), clock or Clock()).open(lead)
+        run = await RunningService(folder, Limits(**bounds), clock or Clock()).open(
+            lead
+        )
         try:
             await test(run)
         finally:
-            run.files.free.set()
+            run.files.unblocked.set()
             await run.service.stop()
 
     asyncio.run(whole())
 
 
-def lead(*riders: Any, mark: Path | None = None) -> Any:
+def with_fleet(*extensions: Any, watermark_path: Path | None = None) -> Any:
     async def start_fleet(service: RegistryServer) -> None:
         await service.start_fleet(
-            LeaseSettings(0.02, 1_000, TTL_US), TTL_US, riders, mark
+            LeaseSettings(0.02, 1_000, TTL_US), TTL_US, extensions, watermark_path
         )
 
     return start_fleet
 
 
-async def beat(run: Run, name: str, token: Any = None, **more: Any) -> tuple[int, Any]:
+async def beat(
+    run: RunningService, name: str, token: Any = None, **more: Any
+) -> tuple[int, Any]:
     body = {"name": name, "site": "a", "dial": "h:1", "token": token, "sent": 1, **more}
-    status, _, answer = await run.ask("/v1/fleet/beat", body, run.fleet)
+    status, _, answer = await run.request("/v1/fleet/beat", body, run.fleet)
     return status, answer
 
 
-async def acquire(run: Run, name: str, **more: Any) -> tuple[int, Any]:
+async def acquire(run: RunningService, name: str, **more: Any) -> tuple[int, Any]:
     body = {"holder": "h", "ttl_ms": 100, **more}
-    status, _, answer = await run.ask(f"/v1/leases/{name}/acquire", body, run.fleet)
+    status, _, answer = await run.request(f"/v1/leases/{name}/acquire", body, run.fleet)
     return status, answer
--- a/tests/support/loopback_peers.py
+++ b/tests/support/loopback_peers.py
@@ -82,7 +82,7 @@
         async with asyncio.timeout(PATIENCE), self.changed:
             await self.changed.wait_for(test)
 
-    async def got(self, count: int) -> list[Request]:
+    async def wait_for_requests(self, count: int) -> list[Request]:
         await self.until(lambda: len(self.requests) >= count)
         return self.requests
 
@@ -116,7 +116,7 @@
             await self.note()
 
 
-def always(*answers: Answer | bytes | None) -> Handler:
+def answer_in_turn(*answers: Answer | bytes | None) -> Handler:
     """Returns a handler that gives these answers in turn and then repeats the last one."""
     left = list(answers)
 
@@ -308,7 +308,7 @@
         """
         self.listener = socket.create_server(("127.0.0.1", self.port))
 
-    async def beside(self) -> Node:
+    async def start_second_process(self) -> Node:
         """Starts a second process on the same folder, with another admin address."""
         other = copy.copy(self)
         other.admin, other.log = free_port(), []
@@ -389,7 +389,9 @@
         assert status == 200
         return dict(json.loads(text))
 
-    async def shows(self, test: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+    async def wait_for_metrics(
+        self, test: Callable[[dict[str, Any]], bool]
+    ) -> dict[str, Any]:
         """Waits until the metrics satisfy `test`, and returns them."""
         async with asyncio.timeout(PATIENCE):
             while not test(figures := await self.figures()):
--- a/tests/support/memory_disk.py
+++ b/tests/support/memory_disk.py
@@ -177,7 +177,7 @@
             data[bit // 8] ^= 1 << bit % 8
 
 
-class Hands:
+class ManualSyncWorker:
     """Runs the sync thread's jobs one at a time, when a test calls `work`."""
 
     def __init__(self) -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -48,8 +48,14 @@
 from rainfall.registry.http_server import LimitedConnection
 from rainfall.registry.limits import Limits
 from rainfall.wirehost import parse_settings
-from tests.support.list_service import Run, play
-from tests.support.loopback_peers import PATIENCE, SETTINGS, Answer, Peer, always
+from tests.support.list_service import RunningService, run_service
+from tests.support.loopback_peers import (
+    PATIENCE,
+    SETTINGS,
+    Answer,
+    Peer,
+    answer_in_turn,
+)
 from tests.support.paths import ROOT
 
 MIN_LIST_BOUND = 1_024
@@ -536,7 +542,7 @@
         }
         body = json.dumps(listing_, indent=indent).encode()
         assert len(body) > ENDPOINTS * 190 and len(body) < MAX_LIST_BYTES
-        peer = await Peer(always(Answer(200, body=body))).start()
+        peer = await Peer(answer_in_turn(Answer(200, body=body))).start()
         client = HttpClient(Address("127.0.0.1", peer.port))
         answer = await client.request("GET", "/discovery/hosts", 20.0)
         assert len(parse_endpoint_list(json.loads(answer.body)).endpoints) == ENDPOINTS
@@ -550,12 +556,12 @@
 ) -> None:
     buffer_limit = 1024 * 1024
 
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         for first in range(0, ENDPOINTS, 4_000):
             ops = [
                 {"op": "register", **endpoint(n)} for n in range(first, first + 4_000)
             ]
-            assert (await run.ask("/v1/hosts", {"ops": ops}))[0] == 200
+            assert (await run.request("/v1/hosts", {"ops": ops}))[0] == 200
         client = HttpClient(Address("127.0.0.1", run.list))
         answer = await client.request("GET", "/discovery/hosts", PATIENCE)
         assert (
@@ -570,7 +576,7 @@
             and run.service.metrics.slow_closed == 0
         )
 
-    play(tmp_path, test, unsent_bytes=buffer_limit)
+    run_service(tmp_path, test, unsent_bytes=buffer_limit)
 
 
 def test_cached_answers_are_bounded_in_bytes(
@@ -578,15 +584,17 @@
 ) -> None:
     monkeypatch.setattr(service_context, "MAX_CACHED_ANSWER_BYTES", 20_000)
 
-    async def test(run: Run) -> None:
+    async def test(run: RunningService) -> None:
         versions = []
         for n in range(10):
             operations = [
                 {"op": "register", **endpoint(10 * n + offset)} for offset in range(10)
             ]
-            versions.append((await run.ask("/v1/hosts", {"ops": operations}))[2]["seq"])
+            versions.append(
+                (await run.request("/v1/hosts", {"ops": operations}))[2]["seq"]
+            )
         for version in versions:
-            assert (await run.ask(f"/discovery/hosts?from={version - 1}"))[2][
+            assert (await run.request(f"/discovery/hosts?from={version - 1}"))[2][
                 "seq"
             ] == versions[-1]
             cached = [
@@ -597,7 +605,7 @@
             ]
             assert cached and sum(map(len, cached)) <= 20_000
 
-    play(tmp_path, test)
+    run_service(tmp_path, test)
 
 
 async def read_list_slowly(port: int) -> tuple[int, int]:
