--- a/tests/dispatch/test_idempotency_window.py
+++ b/tests/dispatch/test_idempotency_window.py
@@ -50,7 +50,7 @@
     OutboundCall,
 )
 from rainfall.wirehost import parse_settings as read_settings
-from tests.journal.test_recovery import opened, taken
+from tests.journal.test_recovery import accepted_message, open_store
 from tests.support.event_scripts import (
     MS,
     S,
@@ -356,15 +356,15 @@
     0.4 s longer.
     """
     disk = Disk()
-    store = opened(disk)
-    store.append_message(taken("a"))
+    store = open_store(disk)
+    store.append_message(accepted_message("a"))
     store.append_attempt(store.messages["a"], 0, 5 * S, "s1")
     store.flush()
     assert store.clock is not None
     base_us = store.clock[0]
     for slew_us in (-400 * MS, 400 * MS):
         disk.killed()
-        reopened = opened(disk, base=base_us + slew_us)
+        reopened = open_store(disk, base=base_us + slew_us)
         assert (
             reopened.clock is not None
             and reopened.clock[0] == base_us
--- a/tests/forwarder/test_capacity.py
+++ b/tests/forwarder/test_capacity.py
@@ -21,7 +21,7 @@
     message_memory_bytes,
 )
 from rainfall.forwarder.inbound.server import SubmittedMessage
-from tests.forwarder.test_parts import engine as small_engine
+from tests.forwarder.test_parts import make_engine as small_engine
 
 SECOND_US = 1_000_000
 
--- a/tests/forwarder/test_client_races.py
+++ b/tests/forwarder/test_client_races.py
@@ -18,7 +18,7 @@
 from rainfall.forwarder.engine import shutdown
 from rainfall.forwarder.inbound.client_connection import LINGER_BYTES
 from rainfall.forwarder.message_store import MessageStore
-from tests.forwarder.test_shutdown_races import Caller, Running, target
+from tests.forwarder.test_shutdown_races import ClientSocket, RunningEngine, target
 from tests.support.loopback_peers import (
     OK,
     PATIENCE,
@@ -70,7 +70,7 @@
     """
 
     def __init__(
-        self, platform: Platform, endpoint: Endpoint, peer: Peer, run: Running
+        self, platform: Platform, endpoint: Endpoint, peer: Peer, run: RunningEngine
     ) -> None:
         self.platform, self.endpoint, self.peer, self.run = (
             platform,
@@ -84,21 +84,21 @@
         self.engine.events.schedule_round = lambda: None  # type: ignore[method-assign]
         self.engine.round_scheduled = True
 
-    def client(self) -> Caller:
-        return Caller(self.run.port)
+    def client(self) -> ClientSocket:
+        return ClientSocket(self.run.port)
 
     async def arrives(
         self,
         name: str,
-        client: Caller | None = None,
+        client: ClientSocket | None = None,
         cls: str = "order",
         **headers: str,
-    ) -> Caller:
+    ) -> ClientSocket:
         """Send a message and return its client once the message waits for the next
         round.
         """
         client = client or self.client()
-        client.say(message(name, cls, **headers))
+        client.send(message(name, cls, **headers))
         await self.run.until(lambda: name in self.engine.intake.pending_submissions)
         return client
 
@@ -125,7 +125,10 @@
         await platform.start()
         peer = await target(platform, endpoint.handle)
         setup = ForwarderSetup(
-            platform, endpoint, peer, await Running(folder, platform, **more).ready()
+            platform,
+            endpoint,
+            peer,
+            await RunningEngine(folder, platform, **more).ready(),
         )
         setup.gate()
         await scene(setup)
@@ -134,7 +137,7 @@
     asyncio.run(run())
 
 
-def leave(client: Caller, how: str) -> None:
+def leave(client: ClientSocket, how: str) -> None:
     """End the connection by a close, a reset, or a shutdown of the client's sending
     side.
     """
@@ -162,7 +165,9 @@
         client = await setup.arrives("m")
         leave(client, how)
         if how == "half-close":  # a half-closed client gets 503 and may retry
-            assert (await client.answer())[0] == 503 and await client.end() == b""
+            assert (await client.answer())[
+                0
+            ] == 503 and await client.read_to_end() == b""
         await setup.run.until(lambda: not setup.engine.intake.pending_submissions)
         second = await setup.arrives(again, X_Repeat="again", Idempotency_Key="key-m")
         setup.engine.run_round()
@@ -189,7 +194,9 @@
         setup.engine.run_round()
         assert list(setup.engine.store.messages) == ["m"]
         if how == "half-close":
-            assert (await client.answer())[0] == 202 and await client.end() == b""
+            assert (await client.answer())[
+                0
+            ] == 202 and await client.read_to_end() == b""
         await setup.run.until(lambda: not setup.engine.server.connections)
         await setup.delivered("m")
 
@@ -234,11 +241,11 @@
 ) -> None:
     async def scene(setup: ForwarderSetup) -> None:
         (tmp_path / "other").mkdir()
-        other = await Running(tmp_path / "other", setup.platform).ready()
+        other = await RunningEngine(tmp_path / "other", setup.platform).ready()
         client = await setup.arrives("m", cls="pay")
         client.socket.close()
-        elsewhere = Caller(other.port)
-        elsewhere.say(message("n", "pay", X_Repeat="again"))
+        elsewhere = ClientSocket(other.port)
+        elsewhere.send(message("n", "pay", X_Repeat="again"))
         assert (await elsewhere.answer())[0] == 202
         await setup.run.until(lambda: not setup.engine.intake.pending_submissions)
         setup.endpoint.held.set()
@@ -284,7 +291,9 @@
         )
         leave(client, how)
         if how == "half-close":
-            assert (await client.answer())[0] == 503 and await client.end() == b""
+            assert (await client.answer())[
+                0
+            ] == 503 and await client.read_to_end() == b""
         await setup.run.until(lambda: not setup.engine.intake.unacknowledged)
         assert restored_ids(tmp_path) == []
         sync.holding = False
@@ -307,7 +316,7 @@
         sync.holding = True
         setup.engine.run_round()
         repeat = setup.client()
-        repeat.say(message("m", "pay", X_Repeat="again"))
+        repeat.send(message("m", "pay", X_Repeat="again"))
         assert (await repeat.answer())[0] == 503
         repeat.socket.close()
         sync.holding = False
@@ -334,7 +343,7 @@
         await setup.run.until(lambda: not setup.engine.intake.unacknowledged)
         for status in (503, 202):
             repeat = setup.client()
-            repeat.say(message("m", "pay", X_Repeat="again"))
+            repeat.send(message("m", "pay", X_Repeat="again"))
             if status == 202:
                 await setup.run.until(
                     lambda: "m" in setup.engine.intake.pending_submissions
@@ -364,7 +373,7 @@
         setup.engine.run_round()
         ending = None
         if step == "freeze":
-            setup.run.told_to_stop(shutdown.FREEZE_AFTER_S)
+            setup.run.begin_shutdown(shutdown.FREEZE_AFTER_S)
             setup.engine.shutdown.advance_shutdown()
         else:
             waiting = len(setup.engine.store.log.waiters)
@@ -379,7 +388,7 @@
         assert (
             not setup.peer.requests and setup.engine.store.messages["m"].in_flight == {}
         )
-        setup.run = await Running(tmp_path, setup.platform).ready()
+        setup.run = await RunningEngine(tmp_path, setup.platform).ready()
         await setup.peer.wait_for_requests(1)
         setup.endpoint.held.set()
         await setup.run.until(lambda: not setup.run.engine.store.messages)
@@ -397,13 +406,13 @@
         client = await setup.arrives("m", cls="pay")
         sync.holding = True
         setup.engine.run_round()
-        setup.run.told_to_stop(shutdown.FREEZE_AFTER_S)
+        setup.run.begin_shutdown(shutdown.FREEZE_AFTER_S)
         ending = asyncio.create_task(setup.run.end())
-        assert (await client.answer())[0] == 503 and await client.end() == b""
+        assert (await client.answer())[0] == 503 and await client.read_to_end() == b""
         client.socket.close()
         await ending
         assert restored_ids(tmp_path) == [] and not setup.peer.requests
-        setup.run = await Running(tmp_path, setup.platform).ready()
+        setup.run = await RunningEngine(tmp_path, setup.platform).ready()
         sync.jobs.clear()  # the process has ended
 
     play(scene, tmp_path, power=True)
@@ -418,7 +427,7 @@
     async def scene(setup: ForwarderSetup) -> None:
         first = await setup.arrives("m")
         repeat = setup.client()
-        repeat.say(message("m", X_Repeat="again"))
+        repeat.send(message("m", X_Repeat="again"))
         assert (await repeat.answer())[0] == 503
         repeat.reset()  # the reset of the rejected client does not withdraw the first
         await setup.run.until(lambda: len(setup.engine.server.connections) == 1)
@@ -436,7 +445,7 @@
     async def scene(setup: ForwarderSetup) -> None:
         async def send_again() -> None:
             client = setup.client()
-            client.say(message("m", cls, X_Repeat="again"))
+            client.send(message("m", cls, X_Repeat="again"))
             assert (await client.answer())[0] == 202
             client.socket.close()
             setup.engine.run_round()
@@ -463,12 +472,12 @@
         setup.engine.run_round()
         assert (await first.answer())[0] == 202
         await setup.run.end()
-        setup.run = await Running(tmp_path, setup.platform).ready()
+        setup.run = await RunningEngine(tmp_path, setup.platform).ready()
         setup.engine = setup.run.engine
         await setup.peer.wait_for_requests(1)
         setup.gate()
         repeat = setup.client()
-        repeat.say(message("m", "pay", X_Repeat="again"))
+        repeat.send(message("m", "pay", X_Repeat="again"))
         assert (await repeat.answer())[0] == 202
         assert not setup.engine.intake.pending_submissions and list(
             setup.engine.store.messages
@@ -509,7 +518,7 @@
 
     async def scene(setup: ForwarderSetup) -> None:
         client = setup.client()
-        client.say(b"".join(message(f"m{n}", "status") for n in range(20)))
+        client.send(b"".join(message(f"m{n}", "status") for n in range(20)))
         await setup.run.until(lambda: "m0" in setup.engine.intake.pending_submissions)
         client.reset()
         async with asyncio.timeout(PATIENCE):
@@ -528,7 +537,7 @@
 def test_half_closed_client_gets_a_response_to_each_request(tmp_path: Path) -> None:
     async def scene(setup: ForwarderSetup) -> None:
         client = setup.client()
-        client.say(message("a") + message("b") + message("c"))
+        client.send(message("a") + message("b") + message("c"))
         client.socket.shutdown(socket.SHUT_WR)
         answers = [await client.answer() for _ in range(3)]
         assert [status for status, _ in answers] == [503, 503, 503]
@@ -537,7 +546,10 @@
             False,
             True,
         ]
-        assert await client.end() == b"" and not setup.engine.intake.pending_submissions
+        assert (
+            await client.read_to_end() == b""
+            and not setup.engine.intake.pending_submissions
+        )
         setup.engine.run_round()
         assert not setup.engine.store.messages
 
--- a/tests/forwarder/test_config_validation.py
+++ b/tests/forwarder/test_config_validation.py
@@ -16,7 +16,7 @@
     generalize_path,
     validate_replacement,
 )
-from tests.forwarder.test_operations import classes, hang_up
+from tests.forwarder.test_operations import reload_by_sighup, settings_with_classes
 from tests.forwarder.test_program import node_on, play, target
 from tests.support.loopback_peers import OK, SETTINGS, Platform, answer_in_turn
 
@@ -173,23 +173,23 @@
             return dict(json.loads(text))
 
         assert (await in_force())["origin"] == "start"
-        await hang_up(node, durability="process")
+        await reload_by_sighup(node, durability="process")
         first = await in_force()
         assert (
             first["origin"] == "SIGHUP"
             and len(first["digest"]) == 64
             and first["since"]
         )
-        await hang_up(node, settings=classes(fresh={}))
+        await reload_by_sighup(node, settings=settings_with_classes(fresh={}))
         second = await in_force()
         assert second["origin"] == "SIGHUP" and second["digest"] != first["digest"]
-        await hang_up(node, "cfg_invalid", settings=3)
+        await reload_by_sighup(node, "cfg_invalid", settings=3)
         assert await in_force() == second
-        await hang_up(
-            node, settings=classes(fresh={}), durability="power"
+        await reload_by_sighup(
+            node, settings=settings_with_classes(fresh={}), durability="power"
         )  # takes effect at the next start
         assert (await in_force())["digest"] == second["digest"]
-        await hang_up(node, settings=SETTINGS, durability="process")
+        await reload_by_sighup(node, settings=SETTINGS, durability="process")
         assert (await in_force())["digest"] == first["digest"]
         assert (await node.operate("POST", "/_config"))[0] == 405
 
--- a/tests/forwarder/test_deployments.py
+++ b/tests/forwarder/test_deployments.py
@@ -14,7 +14,7 @@
 
 from rainfall.dispatch import Idempotency, IdempotencyScope
 from rainfall.forwarder.config.loading import Config, parse_config
-from tests.forwarder.test_program import configure, folder_nodes, play, target
+from tests.forwarder.test_program import configure, play, started_nodes, target
 from tests.support.loopback_peers import OK, ROOT, Answer, Node, Platform, Request
 
 SITES = sorted(path.parent for path in (ROOT / "deploy/sites").glob("*/*.toml"))
@@ -58,7 +58,7 @@
     return translated
 
 
-def facts(folder: Path) -> dict[str, Any]:
+def deployment_settings(folder: Path) -> dict[str, Any]:
     """The settings that an instance of the deployment in `folder` receives."""
     deployment, wire = (
         site_file(folder),
@@ -165,7 +165,7 @@
             "name": "n0",
             "listen": "127.0.0.1:3000",
             "discovery": "127.0.0.1:8500",
-            "settings": facts(folder),
+            "settings": deployment_settings(folder),
         },
         {"LB_STATE": "/state"},
     )
@@ -337,8 +337,8 @@
 async def start_node(folder: Path, state: Path, platform: Platform) -> Node:
     """Start the program with the settings of the deployment in `folder`."""
     node = Node(state, platform)
-    configure(node, settings=facts(folder))
-    folder_nodes[-1].append(node)
+    configure(node, settings=deployment_settings(folder))
+    started_nodes[-1].append(node)
     return await node.start()
 
 
--- a/tests/forwarder/test_endpoint_list_deadline.py
+++ b/tests/forwarder/test_endpoint_list_deadline.py
@@ -73,7 +73,7 @@
         runner.run(scene())
 
 
-class Rig:
+class WatchAndDispatcher:
     """The watch and the dispatcher, connected as the engine connects them: rounds, timers
     and endpoint list events.
     """
@@ -129,7 +129,7 @@
         self.round()
         self.changed.set()
 
-    def serves(self) -> bool:
+    def sends_to_endpoint(self) -> bool:
         """Whether the dispatcher still sends to the only endpoint."""
         return bool(self.dispatcher.state.serving_endpoints)
 
@@ -139,7 +139,7 @@
             await self.changed.wait()
 
 
-def listing(seq: int, health: str | None, whole: bool = True) -> Answer:
+def listing(seq: int, health: str | None, complete: bool = True) -> Answer:
     hosts = (
         []
         if health is None
@@ -157,7 +157,7 @@
         ]
     )
     return Answer(
-        200, body=json.dumps({"seq": seq, "whole": whole, "hosts": hosts}).encode()
+        200, body=json.dumps({"seq": seq, "whole": complete, "hosts": hosts}).encode()
     )
 
 
@@ -189,7 +189,7 @@
             hold_ms = int(request.path.partition("hold_ms=")[2])
             if since == self.seq:
                 await asyncio.sleep(hold_ms / 1000)
-                return listing(self.seq, None, whole=False)
+                return listing(self.seq, None, complete=False)
         if self.slow:
             await asyncio.sleep(self.slow)
         return listing(self.seq, self.health)
@@ -285,7 +285,7 @@
             assert MIN_POLL_RETRY_US <= now - failed_at < MAX_POLL_RETRY_US
 
 
-class Longest(Random):
+class LargestDraw(Random):
     """Random source that always draws the largest value."""
 
     def uniform(self, a: float, b: float) -> float:
@@ -309,7 +309,7 @@
         "status": Answer(503),
         "half": PARTIAL_RESPONSE,
         "cut": None,
-        "stale": listing(0, None, whole=False),
+        "stale": listing(0, None, complete=False),
         "garbage": Answer(200, body=b"{"),
     }
 
@@ -317,11 +317,11 @@
         agent = Agent()
         agent.left = [listing(1, "up"), *[SILENT] * failures]
         if failures:  # the good answer before the watch goes silent again
-            agent.left.append(listing(1, None, whole=False))
+            agent.left.append(listing(1, None, complete=False))
         peer = await Peer(agent).start()
-        rig = Rig(Address("127.0.0.1", peer.port), pushed, 3)
-        rig.watch.random = rig.dispatcher.state.random = Longest(3)
-        await rig.until(lambda: rig.serves() and not agent.left)
+        rig = WatchAndDispatcher(Address("127.0.0.1", peer.port), pushed, 3)
+        rig.watch.random = rig.dispatcher.state.random = LargestDraw(3)
+        await rig.until(lambda: rig.sends_to_endpoint() and not agent.left)
         assert rig.watch.failures == 0
         agent.silent.clear()
         agent.left = [SILENT]
@@ -334,7 +334,7 @@
             if pushed
             else endpoint_watch.RESPONSE_TIMEOUT_S
         )
-        await rig.until(lambda: not rig.serves())
+        await rig.until(lambda: not rig.sends_to_endpoint())
         latency_s = rig.loop.time() - drained_at
         assert (
             endpoint_watch.WATCH_HOLD_MS / 1000
@@ -360,15 +360,15 @@
     async def scene() -> None:
         agent = Agent()
         peer = await Peer(agent).start()
-        rig = Rig(Address("127.0.0.1", peer.port), pushed, 3)
-        rig.watch.random = rig.dispatcher.state.random = Longest(3)
-        await rig.until(rig.serves)
+        rig = WatchAndDispatcher(Address("127.0.0.1", peer.port), pushed, 3)
+        rig.watch.random = rig.dispatcher.state.random = LargestDraw(3)
+        await rig.until(rig.sends_to_endpoint)
         agent.left = [SILENT] * 10_000
         await agent.silent.wait()
         await asyncio.sleep(silent)
         agent.health, agent.seq, agent.left = "draining", 2, []
         returned_at = rig.loop.time()
-        await rig.until(lambda: not rig.serves())
+        await rig.until(lambda: not rig.sends_to_endpoint())
         response_timeout_s, max_pause_s = (
             (
                 endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S,
@@ -401,7 +401,7 @@
         (SILENT, Answer(503)),
         (PARTIAL_RESPONSE, Answer(200, body=b"[")),
         (None, PARTIAL_RESPONSE),
-        (listing(3, None, whole=False), SILENT),
+        (listing(3, None, complete=False), SILENT),
     ],
 )
 def test_after_sighup_list_of_the_new_address_arrives_in_time(
@@ -415,8 +415,8 @@
         old, new = Agent(), Agent()
         old.left = [listing(1, "up"), *[SILENT] * 10_000]
         peers = [await Peer(agent).start() for agent in (old, new)]
-        rig = Rig(Address("127.0.0.1", peers[0].port), pushed, 3)
-        rig.watch.random = rig.dispatcher.state.random = Longest(3)
+        rig = WatchAndDispatcher(Address("127.0.0.1", peers[0].port), pushed, 3)
+        rig.watch.random = rig.dispatcher.state.random = LargestDraw(3)
         await old.silent.wait()
         await asyncio.sleep(
             endpoint_watch.WATCH_HOLD_MS / 1000 + endpoint_watch.WATCH_GRACE_S + 0.05
@@ -429,7 +429,7 @@
         )
         signalled_at = rig.loop.time()
         rig.watch.change_address(Address("127.0.0.1", peers[1].port))
-        await rig.until(lambda: not rig.serves())
+        await rig.until(lambda: not rig.sends_to_endpoint())
         assert (
             rig.loop.time() - signalled_at
             <= list_latency_bound_after_address_change_s(pushed)
@@ -450,9 +450,9 @@
     async def scene() -> None:
         old, new = Agent(), Agent()
         peers = [await Peer(agent).start() for agent in (old, new)]
-        rig = Rig(Address("127.0.0.1", peers[0].port), pushed, 3)
-        rig.watch.random = rig.dispatcher.state.random = Longest(3)
-        await rig.until(rig.serves)
+        rig = WatchAndDispatcher(Address("127.0.0.1", peers[0].port), pushed, 3)
+        rig.watch.random = rig.dispatcher.state.random = LargestDraw(3)
+        await rig.until(rig.sends_to_endpoint)
         new.left = [listing(1, "up"), SILENT]
         new.slow = 0.95 * (
             endpoint_watch.PUSHED_RESPONSE_TIMEOUT_S
@@ -463,7 +463,7 @@
         rig.watch.change_address(Address("127.0.0.1", peers[1].port))
         await new.silent.wait()
         new.health, new.seq = "draining", 2
-        await rig.until(lambda: not rig.serves())
+        await rig.until(lambda: not rig.sends_to_endpoint())
         assert (
             rig.loop.time() - signalled_at
             <= list_latency_bound_after_address_change_s(pushed)
--- a/tests/forwarder/test_fleet_member.py
+++ b/tests/forwarder/test_fleet_member.py
@@ -44,7 +44,7 @@
 from rainfall.journal.files import LocalFileSystem
 from rainfall.journal.recovery import this_boot
 from rainfall.lease.fencing_token import Token
-from tests.forwarder.test_parts import call, pool
+from tests.forwarder.test_parts import make_call, make_connection_pool
 from tests.support.event_scripts import S
 from tests.support.event_scripts import settings as script
 from tests.support.loopback_peers import (
@@ -702,12 +702,12 @@
     async def scene() -> None:
         finished: list[AttemptFinished] = []
         peer = await Peer(answer_in_turn(OK)).start()
-        call_pool = pool(finished)
+        call_pool = make_connection_pool(finished)
         call_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         sent: list[str] = []
         call_pool.on_call_sent = lambda c: sent.extend(c.open_items)
         if idle:
-            call_pool.start(call(Clock(), "first"))
+            call_pool.start(make_call(Clock(), "first"))
             await until(lambda: len(finished) == 1)
         permit_requests: list[int] = []
         permits = [-1, 8_000, 8_000, 0, connection_pool.PERMIT_WAIT_US + 1]
@@ -718,7 +718,7 @@
 
         call_pool.acquire_permit = acquire_permit
         for name, expected_requests in (("barred", 1), ("held", 4), ("late", 5)):
-            call_pool.start(call(Clock(), name))
+            call_pool.start(make_call(Clock(), name))
             await until(lambda n=name: any(e.message_id == n for e in finished))
             assert len(permit_requests) == expected_requests
         assert [(e.message_id, e.outcome) for e in finished[-3:]] == [
--- a/tests/forwarder/test_handover.py
+++ b/tests/forwarder/test_handover.py
@@ -15,8 +15,8 @@
 import pytest
 
 from rainfall.forwarder.handover.journal_lock import JournalLock
-from tests.forwarder.test_operations import classes
-from tests.forwarder.test_program import configure, folder_nodes, play, target
+from tests.forwarder.test_operations import settings_with_classes
+from tests.forwarder.test_program import configure, play, started_nodes, target
 from tests.support.loopback_peers import (
     OK,
     PATIENCE,
@@ -44,18 +44,18 @@
     if long_aim:
         configure(
             node,
-            settings=classes(
+            settings=settings_with_classes(
                 order=LONG_AIM, status=LONG_AIM, turns=LONG_AIM, pay=LONG_AIM
             ),
         )
     node.hold_listener()
-    folder_nodes[-1].append(node)
+    started_nodes[-1].append(node)
     return await node.start()
 
 
 async def start_second(node: Node) -> Node:
     new = await node.start_second_process()
-    folder_nodes[-1].append(new)
+    started_nodes[-1].append(new)
     return await new.until_ready()
 
 
@@ -206,7 +206,7 @@
         old = await start_first(folder, platform)
         assert (await old.hand_in("out"))[0] == 202
         new = await start_second(old)
-        configure(old, settings=classes(fresh={"deadline_us": 9_000_000}))
+        configure(old, settings=settings_with_classes(fresh={"deadline_us": 9_000_000}))
         old.process.send_signal(signal.SIGHUP)
         figures = await new.wait_for_metrics(
             lambda figures: figures["cfg_accepted"] == 1
@@ -344,7 +344,7 @@
         await peer.wait_for_requests(1)
         old.process.send_signal(signal.SIGSTOP)
         new = await old.start_second_process()
-        folder_nodes[-1].append(new)
+        started_nodes[-1].append(new)
         await new.until_logged("waiting")
         assert (await new.operate("GET", "/_ready"))[0] == 503
         assert (await new.operate("GET", "/_vars"))[0] == 503
@@ -363,7 +363,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, answer_in_turn(OK))
         old = Node(folder, platform)
-        folder_nodes[-1].append(old)
+        started_nodes[-1].append(old)
         await old.start()
         new = await start_second(old)
         assert (await new.hand_in("m"))[0] == 202
--- a/tests/forwarder/test_handover_races.py
+++ b/tests/forwarder/test_handover_races.py
@@ -31,7 +31,7 @@
 from rainfall.forwarder.outbound.connection_pool import ConnectionPool
 from rainfall.wirehost import parse_settings
 from tests.forwarder.test_handover_protocol import SourceEngine, connect_target, until
-from tests.forwarder.test_operations import classes
+from tests.forwarder.test_operations import settings_with_classes
 from tests.support.loopback_peers import (
     OK,
     SETTINGS,
@@ -354,7 +354,9 @@
             await handover_target.request_snapshot(folder)
             and await handover_target.request_ownership()
         )
-        new_config = replace(engine.config, settings=parse_settings(classes(fresh={})))
+        new_config = replace(
+            engine.config, settings=parse_settings(settings_with_classes(fresh={}))
+        )
         monkeypatch.setattr(
             "rainfall.forwarder.engine.ownership.load_replacement",
             lambda config: new_config,
@@ -657,7 +659,9 @@
     monkeypatch.setenv("LB_STATE", str(tmp_path))
 
     async def claim_journal(lock: Any, folder: Path) -> None:
-        path.write_text(json.dumps({**file, "settings": classes(fresh={})}))
+        path.write_text(
+            json.dumps({**file, "settings": settings_with_classes(fresh={})})
+        )
 
     stub = stub_engine(monkeypatch, [False], claim_journal)
     asyncio.run(serve(load_config()))
--- a/tests/forwarder/test_idle_client_races.py
+++ b/tests/forwarder/test_idle_client_races.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rainfall.forwarder.inbound.client_connection import ClientConnection
-from tests.forwarder.test_shutdown_races import Door, play
+from tests.forwarder.test_shutdown_races import ServerHarness, play
 from tests.support.loopback_peers import message
 
 
@@ -17,20 +17,20 @@
     its socket buffer: the close resets the connection.
     """
 
-    async def scene(door: Door) -> None:
-        first, second = await door.resting(), await door.resting()
-        door.at_once = HTTPStatus.ACCEPTED
+    async def scene(door: ServerHarness) -> None:
+        first, second = await door.idle_client(), await door.idle_client()
+        door.immediate_status = HTTPStatus.ACCEPTED
         if not read:
-            first.say(message("m"))
+            first.send(message("m"))
         door.server.add_connection(
             ClientConnection(door.server)
         )  # exceeds the limit by one
         if read:
-            assert await first.more() == b""
-            second.say(message("m"))
+            assert await first.receive() == b""
+            second.send(message("m"))
             assert (await second.answer())[0] == 202
         else:
             assert (await first.answer())[0] == 202
-            assert await second.more() == b""
+            assert await second.receive() == b""
 
     play(scene, most=2)
--- a/tests/forwarder/test_kill_after_accept.py
+++ b/tests/forwarder/test_kill_after_accept.py
@@ -12,7 +12,7 @@
 import pytest
 
 from rainfall.forwarder.engine.engine import Engine
-from tests.forwarder.test_restart_races import Site, on_disk, play
+from tests.forwarder.test_restart_races import Site, play, read_journal_state
 from tests.support.loopback_peers import Answer
 
 
@@ -45,7 +45,7 @@
         await site.kill()
         assert (
             not site.has_arrived("m")
-            and on_disk(tmp_path).messages["m"].in_flight == {}
+            and read_journal_state(tmp_path).messages["m"].in_flight == {}
         )
         await site.start()
         await site.until(lambda: site.has_arrived("m"))
@@ -63,7 +63,9 @@
         attempt_recorded: list[bool] = []
 
         async def endpoint(request: Any) -> Answer:
-            attempt_recorded.append(0 in on_disk(tmp_path).messages["m"].in_flight)
+            attempt_recorded.append(
+                0 in read_journal_state(tmp_path).messages["m"].in_flight
+            )
             return Answer(200)
 
         site.peers[1].handler = endpoint
--- a/tests/forwarder/test_kills.py
+++ b/tests/forwarder/test_kills.py
@@ -29,7 +29,7 @@
 from rainfall.forwarder.outbound.connection_pool import OutboundCall
 from rainfall.journal import format as f
 from rainfall.wirehost import parse_settings
-from tests.forwarder.test_parts import engine
+from tests.forwarder.test_parts import make_engine
 from tests.forwarder.test_program import node_on, play, target
 from tests.support.loopback_peers import (
     OK,
@@ -315,7 +315,7 @@
     write_journal(tmp_path, overdue=150, live=150)
 
     async def scene() -> None:
-        tested_engine = engine(tmp_path)
+        tested_engine = make_engine(tmp_path)
         first = [
             x.message_id
             for x in tested_engine.pending_events
@@ -356,7 +356,7 @@
         def answer(self, status: object, text: str = "", **headers: str) -> None: ...
 
     async def scene() -> None:
-        tested_engine = engine(tmp_path)
+        tested_engine = make_engine(tmp_path)
         assert [x.ordering_key for x in tested_engine.restoration.backlog.values()] == [
             "K"
         ] * 3
@@ -456,7 +456,7 @@
             EndpointList(
                 2,
                 True,
-                tuple(engine(tmp_path / "other").config.known_endpoints.endpoints),
+                tuple(make_engine(tmp_path / "other").config.known_endpoints.endpoints),
             )
         )
         while hands.work():
@@ -525,7 +525,7 @@
     """
 
     async def scene() -> None:
-        tested_engine = engine(tmp_path)
+        tested_engine = make_engine(tmp_path)
         started_calls: list[OutboundCall] = []
         monkeypatch.setattr(tested_engine.pool, "start", started_calls.append)
         tested_engine.run_round()
@@ -563,7 +563,7 @@
             self.statuses.append(int(status))
 
     async def scene() -> None:
-        tested_engine = engine(tmp_path)
+        tested_engine = make_engine(tmp_path)
         tested_engine.run_round()
         tested_engine.submit(
             SubmittedMessage(
--- a/tests/forwarder/test_notification_races.py
+++ b/tests/forwarder/test_notification_races.py
@@ -22,7 +22,7 @@
     notification_latency_bound_s,
 )
 from rainfall.forwarder.message_store import PendingNotification
-from tests.forwarder.test_endpoint_list_deadline import Longest, in_virtual_time
+from tests.forwarder.test_endpoint_list_deadline import LargestDraw, in_virtual_time
 from tests.forwarder.test_program import node_on, play, target
 from tests.support.loopback_peers import OK, PATIENCE, Answer, Peer, Platform, Request
 
@@ -75,7 +75,7 @@
 
 def create_notifier(peer: Peer, store: PendingNotifications) -> Notifier:
     notifier = Notifier(Address("127.0.0.1", peer.port), store, 1)
-    notifier.random = Longest(1)
+    notifier.random = LargestDraw(1)
     return notifier
 
 
--- a/tests/forwarder/test_operations.py
+++ b/tests/forwarder/test_operations.py
@@ -30,7 +30,7 @@
 )
 
 
-def classes(**changes: dict[str, Any] | None) -> dict[str, Any]:
+def settings_with_classes(**changes: dict[str, Any] | None) -> dict[str, Any]:
     """The settings with some classes changed, added or (None) dropped."""
     services = {c["name"]: c for c in SETTINGS["services"]}
     for name, change in changes.items():
@@ -46,7 +46,9 @@
     return {**SETTINGS, "services": list(services.values())}
 
 
-async def hang_up(node: Node, key: str = "cfg_accepted", **changes: Any) -> None:
+async def reload_by_sighup(
+    node: Node, key: str = "cfg_accepted", **changes: Any
+) -> None:
     """Write the changes to the configuration file, send SIGHUP and wait until the figure
     `key` has grown.
     """
@@ -213,8 +215,11 @@
         await pay_peer.wait_for_requests(1)
         await status_peer.wait_for_requests(1)
         assert (await node.hand_in("n", "fresh"))[0] == 404
-        await hang_up(
-            node, settings=classes(pay={"effect": "repeatable"}, status=None, fresh={})
+        await reload_by_sighup(
+            node,
+            settings=settings_with_classes(
+                pay={"effect": "repeatable"}, status=None, fresh={}
+            ),
         )
         assert (await node.hand_in("n", "fresh"))[0] == 202
         assert (await node.hand_in("o", "status"))[0] == 404
@@ -259,7 +264,7 @@
         node = await node_on(folder, platform, max_attempts=2)
         assert (await node.hand_in("m", "status"))[0] == 202
         await peer.wait_for_requests(1)
-        await hang_up(
+        await reload_by_sighup(
             node,
             settings={
                 **SETTINGS,
@@ -315,7 +320,7 @@
         files = broken_files(node)
         for n, text in enumerate(files):
             (folder / "config.json").write_text(text)
-            await hang_up(node, "cfg_invalid")
+            await reload_by_sighup(node, "cfg_invalid")
             assert (await node.hand_in(f"new{n}", "new"))[0] == 404
             assert (await node.hand_in(f"m{n}"))[0] == 202
         await peer.wait_for_requests(len(files))
--- a/tests/forwarder/test_parts.py
+++ b/tests/forwarder/test_parts.py
@@ -79,7 +79,7 @@
 )
 
 
-def taken(name: str, size: int = 100) -> AcceptedMessage:
+def accepted_message(name: str, size: int = 100) -> AcceptedMessage:
     return AcceptedMessage(
         name, "order", 7, 10**15, f"k-{name}", "acme", b"\n\0" * (size // 2)
     )
@@ -90,7 +90,7 @@
 ) -> None:
     store = MessageStore(tmp_path, 3_000_000)
     for name in "abcd":
-        store.append_message(taken(name))
+        store.append_message(accepted_message(name))
     a, b = store.messages["a"], store.messages["b"]
     store.append_attempt(a, 0, 50, "s1")
     store.append_outcome(a, 0, True)
@@ -138,7 +138,7 @@
 def test_journal_size_stays_below_limit_under_steady_traffic(tmp_path: Path) -> None:
     store = MessageStore(tmp_path, 1_000_000)
     for n in range(4000):
-        store.append_message(taken(f"m{n}", 2000))
+        store.append_message(accepted_message(f"m{n}", 2000))
         store.flush()
         store.append_finished(f"m{n}")
         store.flush()
@@ -149,7 +149,7 @@
 def test_flipped_bit_loses_only_its_own_record(tmp_path: Path) -> None:
     store = MessageStore(tmp_path, 1_000_000)
     for name in "abcd":
-        store.append_message(taken(name))
+        store.append_message(accepted_message(name))
     store.flush()
     data = bytearray((tmp_path / "journal").read_bytes())
     data[data.index(b'"k-c"') + 1] ^= 1
@@ -157,7 +157,7 @@
     assert list(MessageStore(tmp_path, 1_000_000).messages) == ["a", "b", "d"]
 
 
-def pool(
+def make_connection_pool(
     finished_attempts: list[AttemptFinished], idle_us: int = 5_000_000
 ) -> ConnectionPool:
     return ConnectionPool(
@@ -165,7 +165,7 @@
     )
 
 
-def call(clock: Clock, name: str, left_us: int = 5_000_000) -> OutboundCall:
+def make_call(clock: Clock, name: str, left_us: int = 5_000_000) -> OutboundCall:
     return OutboundCall(
         1, (7, -1), clock(), [CallItem(name, 0, None, b"x", clock() + left_us)]
     )
@@ -175,9 +175,9 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         peer = await Peer(answer_in_turn(OK)).start()
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        connection_pool.start(call(Clock(), "m"))
+        connection_pool.start(make_call(Clock(), "m"))
         connection_pool.set_endpoints({})
         await peer.until(lambda: peer.closed == 1)
         assert not peer.requests and [e.outcome for e in finished_attempts] == [
@@ -194,14 +194,14 @@
         peer = await Peer(
             answer_in_turn(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)
         ).start()
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        connection_pool.start(call(Clock(), "a"))
+        connection_pool.start(make_call(Clock(), "a"))
         while not finished_attempts:
             await asyncio.sleep(0.005)
         assert finished_attempts[0].retry_after_us == 60_000_000
         connection_pool.close_idle(1)
-        connection_pool.start(call(Clock(), "b"))
+        connection_pool.start(make_call(Clock(), "b"))
         while len(finished_attempts) < 2:
             await asyncio.sleep(0.005)
         assert (
@@ -236,9 +236,9 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         peer = await Peer(answer_in_turn(OK)).start()
-        connection_pool = pool(finished_attempts, 1_000_000)
+        connection_pool = make_connection_pool(finished_attempts, 1_000_000)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        connection_pool.start(call(Clock(), "m"))
+        connection_pool.start(make_call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
         assert (
             [e.outcome for e in finished_attempts] == [Outcome.DELIVERED]
@@ -280,13 +280,13 @@
 def test_connection_lost_before_request_is_written_counts_as_not_executed() -> None:
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
             connection = EndpointConnection(connection_pool, Address("127.0.0.1", 9))
             connection.connection_made(UnfinishedWriteTransport())
             connection_pool.keep_idle(connection, 1)
-            connection_pool.start(call(Clock(), "m"))
+            connection_pool.start(make_call(Clock(), "m"))
             if drained:
                 connection.resume_writing()
             connection.connection_lost(None)
@@ -303,9 +303,9 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         peer = await Peer(hang).start()
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        connection_pool.start(call(Clock(), "m", 150_000))
+        connection_pool.start(make_call(Clock(), "m", 150_000))
         await peer.wait_for_requests(1)
         assert connection_pool.in_flight == 1 and not finished_attempts
         while not finished_attempts:
@@ -321,7 +321,7 @@
             and not connection_pool.calls
             and not connection_pool.idle
         )
-        connection_pool.start(call(Clock(), "n"))
+        connection_pool.start(make_call(Clock(), "n"))
         await peer.wait_for_requests(2)
         connection_pool.cancel("n", 0)
         assert finished_attempts[1].outcome is Outcome.CANCELED
@@ -339,7 +339,7 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         peer = await Peer(hang).start()
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         now = Clock()()
         connection_pool.start(
@@ -377,7 +377,7 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         peer = await Peer(hang).start()
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         now = Clock()()
         connection_pool.start(
@@ -412,10 +412,10 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         peer = await Peer(answer_in_turn(OK)).start()
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
         for n in range(3):
-            connection_pool.start(call(Clock(), f"m{n}"))
+            connection_pool.start(make_call(Clock(), f"m{n}"))
             while len(finished_attempts) <= n:
                 await asyncio.sleep(0.005)
         assert len({r.writer for r in peer.requests}) == 1
@@ -486,11 +486,11 @@
         async def scene(extra_bytes: bytes = extra_bytes) -> None:
             finished_attempts: list[AttemptFinished] = []
             peer = await Peer(answer_in_turn(first_response + extra_bytes, OK)).start()
-            connection_pool = pool(finished_attempts)
+            connection_pool = make_connection_pool(finished_attempts)
             connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
-            connection_pool.start(call(Clock(), "m"))
+            connection_pool.start(make_call(Clock(), "m"))
             await peer.until(lambda: peer.closed == 1)
-            connection_pool.start(call(Clock(), "n"))
+            connection_pool.start(make_call(Clock(), "n"))
             while len(finished_attempts) < 2:
                 await asyncio.sleep(0.005)
             assert [e.outcome for e in finished_attempts] == [
@@ -506,9 +506,9 @@
     async def scene() -> None:
         finished_attempts: list[AttemptFinished] = []
         peer = await Peer(answer_in_turn(OK)).start()
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        connection_pool.start(call(Clock(), "m"))
+        connection_pool.start(make_call(Clock(), "m"))
         while not finished_attempts:
             await asyncio.sleep(0.005)
         connection = connection_pool.idle[1][0]
@@ -520,7 +520,7 @@
         await peer.requests[0].writer.drain()
         while connection.is_reusable():
             await asyncio.sleep(0.005)
-        connection_pool.start(call(Clock(), "n"))
+        connection_pool.start(make_call(Clock(), "n"))
         while len(finished_attempts) < 2:
             await asyncio.sleep(0.005)
         assert [e.outcome for e in finished_attempts] == [Outcome.DELIVERED] * 2
@@ -532,7 +532,7 @@
 def test_malformed_load_reports_and_waits_are_ignored() -> None:
     reader = ResponseReader()
     reader.complete, reader.status = True, 429
-    connection_pool = pool([])
+    connection_pool = make_connection_pool([])
     for wait in ("nan", "inf", "-5", "1e9", "9" * 40, "", "x", "1_0"):
         reader.headers = {"x-ratelimit-wait-ms": wait}
         assert parse_retry_after_us(reader) == 0
@@ -578,9 +578,9 @@
         finished_attempts: list[AttemptFinished] = []
         nested_body = b"[" * 60_000
         peer = await Peer(answer_in_turn(Answer(200, body=nested_body))).start()
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", peer.port)})
-        batch_call = call(Clock(), "a")
+        batch_call = make_call(Clock(), "a")
         batch_call.items.append(
             CallItem("b", 0, None, b"x", batch_call.items[0].timeout_at_us)
         )
@@ -663,7 +663,7 @@
 
 
 def test_trusted_idle_age_is_learned_and_probed_again() -> None:
-    connection_pool = pool([])
+    connection_pool = make_connection_pool([])
     for _ in range(5):
         connection_pool.record_staleness(900_000, True)
         connection_pool.record_staleness(9_000, False)
@@ -688,21 +688,21 @@
             await Peer(respond_late).start(),
             await Peer(answer_in_turn(OK)).start(),
         )
-        connection_pool = pool(finished_attempts)
+        connection_pool = make_connection_pool(finished_attempts)
         connection_pool.set_endpoints({1: Address("127.0.0.1", old_peer.port)})
-        connection_pool.start(call(Clock(), "m"))
+        connection_pool.start(make_call(Clock(), "m"))
         await old_peer.wait_for_requests(1)
         connection_pool.set_endpoints({1: Address("127.0.0.1", new_peer.port)})
         release_response.set()
         await old_peer.until(lambda: old_peer.closed == 1)
-        connection_pool.start(call(Clock(), "n"))
+        connection_pool.start(make_call(Clock(), "n"))
         await new_peer.wait_for_requests(1)
         connection_pool.close()
 
     asyncio.run(scene())
 
 
-def engine(folder: Path) -> Engine:
+def make_engine(folder: Path) -> Engine:
     listen = Address("127.0.0.1", 9)
     hosts = tuple(
         parse_endpoint(
@@ -735,12 +735,12 @@
     """
 
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         started: list[OutboundCall] = []
         monkeypatch.setattr(engine_under_test.pool, "start", started.append)
         engine_under_test.run_round()
         for n in range(3):
-            engine_under_test.store.append_message(taken(f"m{n}"))
+            engine_under_test.store.append_message(accepted_message(f"m{n}"))
             engine_under_test.post(MessageRestored(f"m{n}", 7, "order", 10**16))
         engine_under_test.run_round()
         assert engine_under_test.dispatcher.state.calls_in_flight == len(started) > 0
@@ -791,7 +791,7 @@
     """
 
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         engine_under_test.batch_sizes[""] = engine_under_test.batch_sizes["None"] = 20
         calls: list[Any] = []
         forming: dict[tuple[int, bool], OutboundCall] = {}
@@ -813,7 +813,7 @@
 
 def test_endpoint_ids_and_finished_messages_are_bounded(tmp_path: Path) -> None:
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         for n in range(3000):
             engine_under_test.endpoint_id(f"gone{n}")
             engine_under_test.remember_finished(f"m{n}", "delivered")
@@ -829,7 +829,7 @@
         engine_under_test.add_to_call(
             SendMessage("m0", 1, 5), 0, {}, []
         )  # message and endpoint were both evicted
-        engine_under_test.store.append_message(taken("m"))
+        engine_under_test.store.append_message(accepted_message("m"))
         engine_under_test.add_to_call(SendMessage("m", 10**6, 5), 0, {}, [])
         assert engine_under_test.store.messages["m"].attempts == 1
         engine_under_test.store.close()
@@ -844,7 +844,7 @@
         itself: object = None
 
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         gc.collect()
         gc.disable()
         try:
@@ -865,8 +865,8 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
-        engine_under_test.store.append_message(taken("m"))
+        engine_under_test = make_engine(tmp_path)
+        engine_under_test.store.append_message(accepted_message("m"))
         engine_under_test.outcomes.record_outcome(
             AttemptFinished("m", 0, 1, Outcome.REJECTED, 5)
         )
@@ -910,7 +910,7 @@
     """During a takeover a process has read the journal but must not write to it yet."""
 
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         engine_under_test.store.release()
         statuses: list[int] = []
         engine_under_test.set_detached(
@@ -931,7 +931,7 @@
     )
 
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         message_on_disk = engine_under_test.store.messages["m"]
         restored_event = next(
             x
--- a/tests/forwarder/test_program.py
+++ b/tests/forwarder/test_program.py
@@ -41,24 +41,24 @@
         platform = Platform()
         await platform.start()
         nodes: list[Node] = []
-        folder_nodes.append(nodes)
+        started_nodes.append(nodes)
         try:
             await scene(platform, folder)
         finally:
             for node in nodes:
                 await node.end()
-            folder_nodes.pop()
+            started_nodes.pop()
 
     asyncio.run(run())
 
 
-folder_nodes: list[list[Node]] = []
+started_nodes: list[list[Node]] = []
 
 
 async def node_on(folder: Path, platform: Platform, **more: Any) -> Node:
     node = Node(folder, platform, **more)
     await node.start()
-    folder_nodes[-1].append(node)
+    started_nodes[-1].append(node)
     return node
 
 
@@ -164,7 +164,7 @@
         drained = await target(platform, answer_in_turn(OK))
         other = await target(platform, answer_in_turn(OK), "s2")
         node = Node(folder, platform)
-        folder_nodes[-1].append(node)
+        started_nodes[-1].append(node)
         configure(node, settings={**SETTINGS, "discovery": "pushed"})
         await node.start()
         await platform.until(
--- a/tests/forwarder/test_regular_work.py
+++ b/tests/forwarder/test_regular_work.py
@@ -25,7 +25,7 @@
 )
 from rainfall.forwarder.engine import periodic_tasks
 from rainfall.journal.state import AcceptedMessage, JournalState
-from tests.forwarder.test_parts import engine, taken
+from tests.forwarder.test_parts import accepted_message, make_engine
 from tests.support.event_scripts import (
     MS,
     S,
@@ -143,11 +143,11 @@
 def test_above_a_message_count_only_young_generations_are_collected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    tested_engine, generations = engine(tmp_path), list[int]()
+    tested_engine, generations = make_engine(tmp_path), list[int]()
     monkeypatch.setattr(periodic_tasks, "FULL_COLLECTION_MESSAGES", 2)
     monkeypatch.setattr(gc, "collect", generations.append)
     for number in range(4):
-        tested_engine.store.append_message(taken(f"m{number}"))
+        tested_engine.store.append_message(accepted_message(f"m{number}"))
         tested_engine.periodic_tasks.collect_garbage()
     assert generations == [2, 2, 1, 1]
     tested_engine.store.close()
--- a/tests/forwarder/test_request_forms.py
+++ b/tests/forwarder/test_request_forms.py
@@ -12,7 +12,7 @@
 
 from rainfall.forwarder.inbound.client_connection import SETTLE_LOOP_ITERATIONS
 from rainfall.forwarder.inbound.server import SubmittedMessage
-from tests.forwarder.test_shutdown_races import Caller, Door, play
+from tests.forwarder.test_shutdown_races import ClientSocket, ServerHarness, play
 from tests.support.loopback_peers import message
 
 BODY = b"POST /order\r\n\r\n\0\xff\r\n"  # any bytes, also ones that look like a request
@@ -92,24 +92,24 @@
     ) == ("m", "order", 7, "key-m", "acme", BODY)
 
 
-async def send_apart(client: Caller, data: bytes) -> None:
+async def send_apart(client: ClientSocket, data: bytes) -> None:
     """Send the bytes and let the forwarder read them apart from the next ones."""
     client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    client.say(data)
+    client.send(data)
     for _ in range(SETTLE_LOOP_ITERATIONS):
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("form", FORMS)
 def test_each_form_is_parsed_as_the_same_message(form: str) -> None:
-    async def scene(harness: Door) -> None:
-        harness.at_once = HTTPStatus.ACCEPTED
-        client = await harness.resting()
+    async def scene(harness: ServerHarness) -> None:
+        harness.immediate_status = HTTPStatus.ACCEPTED
+        client = await harness.idle_client()
         for _ in range(2):  # the connection is reused
-            client.say(FORMS[form])
+            client.send(FORMS[form])
             assert (await client.answer())[0] == 202
-        assert len(harness.handed) == 2 and all(
-            is_expected_message(handed) for handed, _ in harness.handed
+        assert len(harness.submitted) == 2 and all(
+            is_expected_message(handed) for handed, _ in harness.submitted
         )
 
     play(scene)
@@ -119,30 +119,33 @@
 def test_each_split_of_a_request_is_parsed_as_the_same_message(form: str) -> None:
     """The two pieces are read apart; nothing is accepted before the last byte."""
 
-    async def scene(harness: Door) -> None:
-        harness.at_once = HTTPStatus.ACCEPTED
-        client, data = await harness.resting(), FORMS[form]
+    async def scene(harness: ServerHarness) -> None:
+        harness.immediate_status = HTTPStatus.ACCEPTED
+        client, data = await harness.idle_client(), FORMS[form]
         for split_at in range(1, len(data)):
             await send_apart(client, data[:split_at])
-            assert not harness.handed, split_at
-            client.say(data[split_at:])
+            assert not harness.submitted, split_at
+            client.send(data[split_at:])
             assert (await client.answer())[0] == 202, split_at
-            assert is_expected_message(harness.handed.pop()[0]) and not harness.handed
+            assert (
+                is_expected_message(harness.submitted.pop()[0])
+                and not harness.submitted
+            )
 
     play(scene)
 
 
 @pytest.mark.parametrize("form", ["plain", "chunks"])
 def test_request_sent_byte_by_byte_is_parsed_as_the_same_message(form: str) -> None:
-    async def scene(harness: Door) -> None:
-        harness.at_once = HTTPStatus.ACCEPTED
-        client, data = Caller(harness.port), FORMS[form]
+    async def scene(harness: ServerHarness) -> None:
+        harness.immediate_status = HTTPStatus.ACCEPTED
+        client, data = ClientSocket(harness.port), FORMS[form]
         for place in range(len(data) - 1):
             await send_apart(client, data[place : place + 1])
-        assert not harness.handed
-        client.say(data[-1:])
+        assert not harness.submitted
+        client.send(data[-1:])
         assert (await client.answer())[0] == 202 and is_expected_message(
-            harness.handed[0][0]
+            harness.submitted[0][0]
         )
 
     play(scene)
@@ -155,32 +158,34 @@
     then its connection ends.
     """
 
-    async def scene(harness: Door) -> None:
-        harness.at_once = HTTPStatus.ACCEPTED
-        client = await harness.resting()
+    async def scene(harness: ServerHarness) -> None:
+        harness.immediate_status = HTTPStatus.ACCEPTED
+        client = await harness.idle_client()
         await send_apart(client, PLAIN[:place])
         harness.server.draining = True
         getattr(harness.server, step)()
         await send_apart(client, PLAIN[place:-1])
         getattr(harness.server, step)()
-        client.say(PLAIN[-1:])
+        client.send(PLAIN[-1:])
         status, text = await client.answer()
         assert (
-            status == 202 and "Connection: close" in text and await client.end() == b""
+            status == 202
+            and "Connection: close" in text
+            and await client.read_to_end() == b""
         )
-        assert is_expected_message(harness.handed[0][0])
+        assert is_expected_message(harness.submitted[0][0])
 
     play(scene)
 
 
 @pytest.mark.parametrize("left", ["0", "0.000", "0.001", "-0", "-0.5", "-100000"])
 def test_message_with_no_time_left_is_valid_and_due_at_once(left: str) -> None:
-    async def scene(harness: Door) -> None:
-        client = await harness.resting()
-        client.say(message("m", left=left))
-        await harness.until(lambda: bool(harness.handed))
-        assert harness.handed[0][0].due_us <= harness.server.clock() + 1_000
-        harness.handed[0][1].answer(HTTPStatus.TOO_MANY_REQUESTS)
+    async def scene(harness: ServerHarness) -> None:
+        client = await harness.idle_client()
+        client.send(message("m", left=left))
+        await harness.until(lambda: bool(harness.submitted))
+        assert harness.submitted[0][0].due_us <= harness.server.clock() + 1_000
+        harness.submitted[0][1].answer(HTTPStatus.TOO_MANY_REQUESTS)
         assert (await client.answer())[0] == 429
 
     play(scene)
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -41,7 +41,7 @@
 from rainfall.journal.state import AcceptedMessage, JournalState
 from rainfall.wirehost import parse_settings as read_settings
 from tests.forwarder.test_kills import power_engine
-from tests.forwarder.test_parts import engine
+from tests.forwarder.test_parts import make_engine
 from tests.support.event_scripts import (
     MS,
     S,
@@ -340,7 +340,7 @@
     asyncio.run(run())
 
 
-def on_disk(folder: Path) -> JournalState:
+def read_journal_state(folder: Path) -> JournalState:
     state, report = read_journal((folder / "journal").read_bytes())
     assert not report.damaged
     return state
@@ -362,7 +362,7 @@
 
         async def endpoint(request: Request) -> Answer:
             name = request.headers["x-correlation-id"]
-            stored = on_disk(tmp_path).messages.get(name)
+            stored = read_journal_state(tmp_path).messages.get(name)
             recorded.append(("call", stored is not None and bool(stored.in_flight)))
             return Answer(500)
 
@@ -371,7 +371,7 @@
                 notified_ids = [
                     json.loads(line)["id"] for line in request.body.splitlines()
                 ]
-                pending = on_disk(tmp_path).pending_notifications
+                pending = read_journal_state(tmp_path).pending_notifications
                 recorded.append(
                     ("notice", all(name in pending for name in notified_ids))
                 )
@@ -380,7 +380,7 @@
         site.peers[0].handler, site.platform.handler = endpoint, discovery
         await site.start()
         assert await site.hand_in("m", "pay") == 202
-        state = on_disk(tmp_path)
+        state = read_journal_state(tmp_path)
         assert (
             "m" in state.messages
             or "m" in state.pending_notifications
@@ -406,7 +406,7 @@
         answer = asyncio.create_task(site.hand_in("m", "pay", 8))
         await site.until(lambda: bool(jobs))
         assert (
-            "m" in on_disk(tmp_path).messages
+            "m" in read_journal_state(tmp_path).messages
             and not answer.done()
             and not site.has_arrived("m")
         )
@@ -737,7 +737,7 @@
     """
 
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         engine_under_test.run_round()
         message = AcceptedMessage(
             "m", "pay", 7, engine_under_test.clock() + 40 * S, None, "acme", b""
@@ -773,7 +773,7 @@
 
 def test_journal_failure_backoff_ends_before_deadline(tmp_path: Path) -> None:
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         message = AcceptedMessage(
             "m",
             "pay",
@@ -841,7 +841,7 @@
 
 def test_unsent_attempts_leave_message_unattempted(tmp_path: Path) -> None:
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         for name, outcome in (("a", Outcome.NOT_SENT), ("b", FULL)):
             message = AcceptedMessage(
                 name, "status", 7, engine_under_test.clock() + 10 * S, None, None, b""
@@ -898,7 +898,7 @@
         gate.set()
         async with asyncio.timeout(PATIENCE):
             await site.task
-        state = on_disk(tmp_path)
+        state = read_journal_state(tmp_path)
         assert (
             state.closed_cleanly
             and bool(state.messages) is bool(expected_states)
@@ -964,7 +964,7 @@
         async with asyncio.timeout(PATIENCE):
             await site.task
         assert not site.has_arrived("m")
-        stored = on_disk(tmp_path).messages["m"]
+        stored = read_journal_state(tmp_path).messages["m"]
         assert (
             stored.attempts == 1 and not stored.in_flight and stored.executed_at_us < 0
         )
@@ -988,7 +988,7 @@
             EndpointList(
                 2,
                 True,
-                tuple(engine(tmp_path / "other").config.known_endpoints.endpoints),
+                tuple(make_engine(tmp_path / "other").config.known_endpoints.endpoints),
             )
         )
         while sync_jobs.work():
--- a/tests/forwarder/test_settings_isolation.py
+++ b/tests/forwarder/test_settings_isolation.py
@@ -31,9 +31,9 @@
     MessageStore,
 )
 from rainfall.wirehost import WireHost, parse_settings
-from tests.forwarder.test_deployments import SITES, facts
-from tests.forwarder.test_operations import classes, hang_up
-from tests.forwarder.test_program import configure, folder_nodes, node_on, play, target
+from tests.forwarder.test_deployments import SITES, deployment_settings
+from tests.forwarder.test_operations import reload_by_sighup, settings_with_classes
+from tests.forwarder.test_program import configure, node_on, play, started_nodes, target
 from tests.support.loopback_peers import (
     OK,
     PATIENCE,
@@ -348,7 +348,7 @@
 
 def test_instances_in_one_wire_host_act_as_in_separate_hosts() -> None:
     one, other = (
-        facts(site)
+        deployment_settings(site)
         for site in SITES
         if site.name in ("nakuru-clinic-supplies", "turku-ferry-freight")
     )
@@ -468,7 +468,7 @@
                 }
             )
         )
-        folder_nodes[-1].append(node)
+        started_nodes[-1].append(node)
         await node.start()
         for n, name in enumerate(("free", "keyed", "once")):
             assert (await node.hand_in(f"m{n}", name, dest=n))[0] == 202
@@ -595,9 +595,9 @@
         node = await node_on(folder, platform)
         assert (await node.hand_in("old", "pay"))[0] == 202
         await first_peer.wait_for_requests(1)
-        await hang_up(
+        await reload_by_sighup(
             node,
-            settings=classes(
+            settings=settings_with_classes(
                 pay={
                     "effect": "by_key",
                     "key_scope": "all",
@@ -624,7 +624,7 @@
         assert len(first_peer.requests) == 1
         assert (await node.hand_in("cut", "pay", left="40", dest=9))[0] == 202
         await third_peer.wait_for_requests(1)
-        await hang_up(node, settings=SETTINGS)
+        await reload_by_sighup(node, settings=SETTINGS)
         await node.restart()
         assert [
             request.headers["x-correlation-id"]
@@ -658,7 +658,7 @@
 
         peer = await target(platform, respond_after_release, kind="lots")
         node = Node(folder, platform)
-        folder_nodes[-1].append(node)
+        started_nodes[-1].append(node)
 
         def settings_with(batch_size: int, **allowed: int) -> dict[str, Any]:
             slow_services = [
@@ -693,15 +693,15 @@
         configure(node, settings=settings_with(1))
         await node.start()
         assert await calls("a") == ["/hook"] * 3
-        await hang_up(node, settings=settings_with(5))
+        await reload_by_sighup(node, settings=settings_with(5))
         assert await calls("b") == ["/hook", "/hook/batch"]
-        await hang_up(node, settings=settings_with(1))
+        await reload_by_sighup(node, settings=settings_with(1))
         assert await calls("c") == ["/hook"] * 3
-        await hang_up(node, settings=settings_with(1, max_open=3))
+        await reload_by_sighup(node, settings=settings_with(1, max_open=3))
         release_responses.clear()
         assert [(await node.hand_in(f"d{n}"))[0] for n in range(2)] == [202, 202]
         assert (await node.hand_in("over"))[0] in (429, 503)
-        await hang_up(node, settings=settings_with(1, max_open=9))
+        await reload_by_sighup(node, settings=settings_with(1, max_open=9))
         assert (await node.hand_in("fits"))[0] == 202
 
     play(scene, tmp_path)
@@ -923,7 +923,7 @@
         lock = JournalLock(folder / "state")
         assert lock.try_acquire()
         node = Node(folder, platform)
-        folder_nodes[-1].append(node)
+        started_nodes[-1].append(node)
         await node.spawn()
         await node.until_logged("waiting")
         configure(node, discovery=f"127.0.0.1:{new_platform.port}")
--- a/tests/forwarder/test_shutdown_end.py
+++ b/tests/forwarder/test_shutdown_end.py
@@ -11,8 +11,13 @@
 import pytest
 
 from rainfall.forwarder.engine import shutdown
-from tests.forwarder.test_restart_races import on_disk
-from tests.forwarder.test_shutdown_races import Caller, Running, engine_play, target
+from tests.forwarder.test_restart_races import read_journal_state
+from tests.forwarder.test_shutdown_races import (
+    ClientSocket,
+    RunningEngine,
+    run_engine_scene,
+    target,
+)
 from tests.support.loopback_peers import (
     OK,
     Answer,
@@ -24,7 +29,7 @@
 )
 
 
-async def rounds_by_hand(run: Running) -> None:
+async def disable_scheduled_rounds(run: RunningEngine) -> None:
     """Disable scheduled rounds; from here on the test runs them."""
     run.engine.events.schedule_round = lambda: None  # type: ignore[method-assign]
     await run.until(lambda: not run.engine.round_scheduled)
@@ -41,16 +46,16 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, answer_in_turn(OK))
-        run = await Running(folder, platform).ready()
+        run = await RunningEngine(folder, platform).ready()
         engine = run.engine
-        await rounds_by_hand(run)
-        client = Caller(run.port)
-        client.say(message("m", "pay", Idempotency_Key=None))
+        await disable_scheduled_rounds(run)
+        client = ClientSocket(run.port)
+        client.send(message("m", "pay", Idempotency_Key=None))
         await run.until(lambda: bool(engine.intake.pending_submissions))
         engine.pool.set_endpoints(
             {}
         )  # the endpoint has just been removed; the dispatcher has no update yet
-        run.told_to_stop(shutdown.FREEZE_AFTER_S)
+        run.begin_shutdown(shutdown.FREEZE_AFTER_S)
         engine.shutdown.advance_shutdown()
         assert (await client.answer())[0] == 202
         assert (
@@ -59,16 +64,16 @@
         )
         client.socket.close()
         await run.end()
-        stored = on_disk(folder).messages["m"]
+        stored = read_journal_state(folder).messages["m"]
         assert not peer.requests and (stored.attempts, stored.in_flight) == (1, {})
-        next_run = await Running(folder, platform).ready()
+        next_run = await RunningEngine(folder, platform).ready()
         await peer.wait_for_requests(1)
         assert (
             peer.requests[0].headers["x-correlation-id"] == "m" and not platform.notices
         )
         await next_run.end()
 
-    engine_play(scene, tmp_path)
+    run_engine_scene(scene, tmp_path)
 
 
 @pytest.mark.parametrize("cls", ["status", "pay"])
@@ -79,9 +84,9 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
-        run = await Running(folder, platform).ready()
-        client = Caller(run.port)
-        client.say(message("m", cls, Idempotency_Key=None))
+        run = await RunningEngine(folder, platform).ready()
+        client = ClientSocket(run.port)
+        client.send(message("m", cls, Idempotency_Key=None))
         assert (await client.answer())[0] == 202
         await peer.wait_for_requests(1)
         client.socket.close()
@@ -90,7 +95,7 @@
         assert (
             not run.engine.store.messages and not run.engine.store.pending_notifications
         )
-        next_run = await Running(folder, platform).ready()
+        next_run = await RunningEngine(folder, platform).ready()
         assert (
             not next_run.engine.store.messages
             and not platform.notices
@@ -98,7 +103,7 @@
         )
         await next_run.end()
 
-    engine_play(scene, tmp_path)
+    run_engine_scene(scene, tmp_path)
 
 
 @pytest.mark.parametrize("cls", ["status", "pay"])
@@ -113,11 +118,11 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await Peer(hang).start()
         platform.host("s1", peer.port, kind="lots")
-        run = await Running(folder, platform).ready()
-        await rounds_by_hand(run)
-        clients = [Caller(run.port) for _ in range(3)]
+        run = await RunningEngine(folder, platform).ready()
+        await disable_scheduled_rounds(run)
+        clients = [ClientSocket(run.port) for _ in range(3)]
         for number, client in enumerate(clients):
-            client.say(message(f"m{number}", cls, Idempotency_Key=None))
+            client.send(message(f"m{number}", cls, Idempotency_Key=None))
         await run.until(lambda: len(run.engine.intake.pending_submissions) == 3)
         run.engine.run_round()
         for client in clients:
@@ -136,11 +141,11 @@
             await run.until(
                 lambda: any(c.response_started for c in run.engine.pool.calls.values())
             )
-        run.told_to_stop(shutdown.EXIT_AFTER_S)
+        run.begin_shutdown(shutdown.EXIT_AFTER_S)
         run.engine.shutdown.advance_shutdown()
         await run.end()
         peer.handler = answer_in_turn(Answer(500))
-        next_run = await Running(folder, platform).ready()
+        next_run = await RunningEngine(folder, platform).ready()
         names = {f"m{n}" for n in range(3)}
         if cls == "pay":
             for name in names:
@@ -161,7 +166,7 @@
             )
         await next_run.end()
 
-    engine_play(scene, tmp_path)
+    run_engine_scene(scene, tmp_path)
 
 
 def write_response_to_socket(peer: Peer) -> None:
--- a/tests/forwarder/test_shutdown_races.py
+++ b/tests/forwarder/test_shutdown_races.py
@@ -50,7 +50,7 @@
 HALF = message("half")[:-3]
 
 
-class Caller:
+class ClientSocket:
     """A client's socket. The bytes it sends are in the forwarder's socket buffer at
     once, without a loop iteration between.
     """
@@ -58,9 +58,9 @@
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port))
         self.socket.setblocking(False)
-        self.said = b""
+        self.unparsed = b""
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         assert self.socket.send(data) == len(data)
 
     def reset(self) -> None:
@@ -69,17 +69,17 @@
         )
         self.socket.close()
 
-    async def more(self) -> bytes:
+    async def receive(self) -> bytes:
         async with asyncio.timeout(PATIENCE):
             return await asyncio.get_running_loop().sock_recv(self.socket, 65536)
 
     async def answer(self) -> tuple[int, str]:
         """Return the next response's status and head."""
-        while b"\r\n\r\n" not in self.said:
-            data = await self.more()
+        while b"\r\n\r\n" not in self.unparsed:
+            data = await self.receive()
             assert data, "connection ended without a response"
-            self.said += data
-        head, _, rest = self.said.partition(b"\r\n\r\n")
+            self.unparsed += data
+        head, _, rest = self.unparsed.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         length = next(
             int(line.split(":")[1])
@@ -87,40 +87,40 @@
             if line.startswith("Content-Length")
         )
         while len(rest) < length:
-            rest += await self.more()
-        self.said = rest[length:]
+            rest += await self.receive()
+        self.unparsed = rest[length:]
         return int(lines[0].split()[1]), head.decode()
 
-    async def end(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """Return all further bytes up to the end of the connection, which must not be
         a reset.
         """
-        rest = self.said
-        while data := await self.more():
+        rest = self.unparsed
+        while data := await self.receive():
             rest += data
         return rest
 
 
-class Door:
+class ServerHarness:
     """An inbound server whose messages wait until a test answers them."""
 
     def __init__(self, most: int = 20) -> None:
         self.server = InboundServer(
             parse_settings(SETTINGS), Clock(), most, self.hand_in
         )
-        self.handed: list[tuple[SubmittedMessage, ResponseWriter]] = []
+        self.submitted: list[tuple[SubmittedMessage, ResponseWriter]] = []
         self.came = asyncio.Event()
-        self.at_once: HTTPStatus | None = None
+        self.immediate_status: HTTPStatus | None = None
 
     def hand_in(
         self, handed: SubmittedMessage, response_writer: ResponseWriter
     ) -> None:
-        self.handed.append((handed, response_writer))
+        self.submitted.append((handed, response_writer))
         self.came.set()
-        if self.at_once is not None:
-            response_writer.answer(self.at_once)
+        if self.immediate_status is not None:
+            response_writer.answer(self.immediate_status)
 
-    async def open(self) -> Door:
+    async def open(self) -> ServerHarness:
         await self.server.listen("127.0.0.1", 0)
         assert self.server.listener is not None
         self.port = int(self.server.listener.sockets[0].getsockname()[1])
@@ -131,21 +131,21 @@
             while not test():
                 await asyncio.sleep(0.001)
 
-    async def resting(self) -> Caller:
+    async def idle_client(self) -> ClientSocket:
         """Return a client that has had a response and keeps its connection open."""
-        client = Caller(self.port)
-        client.say(UP)
+        client = ClientSocket(self.port)
+        client.send(UP)
         assert (await client.answer())[0] in (200, 503)
         return client
 
-    async def busy(self, name: str = "m") -> Caller:
+    async def waiting_client(self, name: str = "m") -> ClientSocket:
         """Return a client whose message has arrived and is not answered."""
-        client, before = Caller(self.port), len(self.handed)
-        client.say(message(name))
-        await self.until(lambda: len(self.handed) > before)
+        client, before = ClientSocket(self.port), len(self.submitted)
+        client.send(message(name))
+        await self.until(lambda: len(self.submitted) > before)
         return client
 
-    def of(self, client: Caller) -> ClientConnection:
+    def connection_of(self, client: ClientSocket) -> ClientConnection:
         """Return the forwarder's end of a client's connection."""
         name = client.socket.getsockname()
         return next(
@@ -155,13 +155,13 @@
             and c.transport.get_extra_info("peername") == name
         )
 
-    async def gone(self) -> None:
+    async def until_no_connections(self) -> None:
         await self.until(lambda: not self.server.connections)
 
 
-def play(scene: Callable[[Door], Awaitable[None]], most: int = 20) -> None:
+def play(scene: Callable[[ServerHarness], Awaitable[None]], most: int = 20) -> None:
     async def run() -> None:
-        harness = await Door(most).open()
+        harness = await ServerHarness(most).open()
         await scene(harness)
         await harness.server.close()
         assert not harness.server.accept_tasks
@@ -173,14 +173,14 @@
 
 
 def test_unread_request_is_answered_when_drain_closes_its_connection() -> None:
-    async def scene(harness: Door) -> None:
-        client = await harness.resting()
-        harness.at_once = HTTPStatus.ACCEPTED
-        client.say(message("m"))
+    async def scene(harness: ServerHarness) -> None:
+        client = await harness.idle_client()
+        harness.immediate_status = HTTPStatus.ACCEPTED
+        client.send(message("m"))
         harness.server.drain()
         status, head = await client.answer()
-        assert (status, [h.id for h, _ in harness.handed]) == (202, ["m"])
-        assert "Connection: close" in head and await client.end() == b""
+        assert (status, [h.id for h, _ in harness.submitted]) == (202, ["m"])
+        assert "Connection: close" in head and await client.read_to_end() == b""
 
     play(scene)
 
@@ -188,20 +188,22 @@
 def test_unread_request_is_answered_when_idle_connections_are_swept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(harness: Door) -> None:
-        client, other = await harness.resting(), await harness.resting()
-        harness.at_once = HTTPStatus.ACCEPTED
+    async def scene(harness: ServerHarness) -> None:
+        client, other = await harness.idle_client(), await harness.idle_client()
+        harness.immediate_status = HTTPStatus.ACCEPTED
         monkeypatch.setattr(server_file, "IDLE_CONNECTION_US", 0)
-        client.say(message("m"))
+        client.send(message("m"))
         harness.server.sweep()
         monkeypatch.undo()
         assert (await client.answer())[
             0
         ] == 202  # it came in time, and its connection stays open
-        client.say(message("n"))
+        client.send(message("n"))
         assert (await client.answer())[0] == 202
-        assert await other.end() == b""  # no request had come on this connection
-        assert [h.id for h, _ in harness.handed] == ["m", "n"]
+        assert (
+            await other.read_to_end() == b""
+        )  # no request had come on this connection
+        assert [h.id for h, _ in harness.submitted] == ["m", "n"]
 
     play(scene)
 
@@ -210,56 +212,56 @@
 def test_request_after_the_socket_shutdown_is_discarded_without_a_reset(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene(harness: Door) -> None:
-        client = await harness.resting()
+    async def scene(harness: ServerHarness) -> None:
+        client = await harness.idle_client()
         monkeypatch.setattr(server_file, "IDLE_CONNECTION_US", 0)
         getattr(harness.server, how)()
-        client.say(message("m"))
-        assert await client.end() == b""
-        client.say(
+        client.send(message("m"))
+        assert await client.read_to_end() == b""
+        client.send(
             message("n") * 20
         )  # more bytes, after the client has read the connection's end
-        connection = harness.of(client)
+        connection = harness.connection_of(client)
         await harness.until(
             lambda: connection.raw_bytes == len(message("m")) * 21
         )  # read and discarded
         assert (
-            not harness.handed
+            not harness.submitted
             and client.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         )
         client.socket.close()
-        await harness.gone()
+        await harness.until_no_connections()
 
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["draining", "handed_over"])
 def test_response_arrives_though_another_request_follows_unread(how: str) -> None:
-    async def scene(harness: Door) -> None:
-        client = await harness.busy()
+    async def scene(harness: ServerHarness) -> None:
+        client = await harness.waiting_client()
         setattr(harness.server, how, True)
-        client.say(message("crossed"))  # unread when the response ends the connection
-        harness.handed[0][1].answer(HTTPStatus.ACCEPTED)
+        client.send(message("crossed"))  # unread when the response ends the connection
+        harness.submitted[0][1].answer(HTTPStatus.ACCEPTED)
         status, head = await client.answer()
         assert status == 202 and "Connection: close" in head
-        assert await client.end() == b""
-        connection = harness.of(client)
+        assert await client.read_to_end() == b""
+        connection = harness.connection_of(client)
         await harness.until(lambda: connection.raw_bytes == len(message("crossed")))
-        assert [h.id for h, _ in harness.handed] == ["m"]
+        assert [h.id for h, _ in harness.submitted] == ["m"]
 
     play(scene)
 
 
 def test_reset_during_the_socket_shutdown_does_not_affect_other_clients() -> None:
-    async def scene(harness: Door) -> None:
-        client, other = await harness.resting(), await harness.resting()
-        connection = harness.of(client)
+    async def scene(harness: ServerHarness) -> None:
+        client, other = await harness.idle_client(), await harness.idle_client()
+        connection = harness.connection_of(client)
         client.reset()
         connection.finish()  # shutting down a socket that was reset raises an error
         harness.server.drain()
-        assert await other.end() == b""
+        assert await other.read_to_end() == b""
         other.socket.close()
-        await harness.gone()
+        await harness.until_no_connections()
 
     play(scene)
 
@@ -267,16 +269,18 @@
 def test_new_connection_is_kept_until_its_first_request_or_grace_period(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(harness: Door) -> None:
-        client, silent = Caller(harness.port), Caller(harness.port)
+    async def scene(harness: ServerHarness) -> None:
+        client, silent = ClientSocket(harness.port), ClientSocket(harness.port)
         await harness.until(lambda: len(harness.server.connections) == 2)
         harness.server.drain()
-        harness.at_once = HTTPStatus.ACCEPTED
-        client.say(message("m"))
-        assert (await client.answer())[0] == 202 and await client.end() == b""
+        harness.immediate_status = HTTPStatus.ACCEPTED
+        client.send(message("m"))
+        assert (await client.answer())[0] == 202 and await client.read_to_end() == b""
         monkeypatch.setattr(client_connection, "FIRST_REQUEST_GRACE_US", 0)
         harness.server.drain()
-        assert await silent.end() == b""  # closed when the grace period has expired
+        assert (
+            await silent.read_to_end() == b""
+        )  # closed when the grace period has expired
 
     play(scene)
 
@@ -285,14 +289,14 @@
 
 
 def test_two_complete_requests_before_the_end_are_both_answered() -> None:
-    async def scene(harness: Door) -> None:
-        harness.server.draining, harness.at_once = True, HTTPStatus.ACCEPTED
-        client = Caller(harness.port)
-        client.say(message("a") + message("b"))
+    async def scene(harness: ServerHarness) -> None:
+        harness.server.draining, harness.immediate_status = True, HTTPStatus.ACCEPTED
+        client = ClientSocket(harness.port)
+        client.send(message("a") + message("b"))
         first, second = await client.answer(), await client.answer()
         assert (first[0], second[0]) == (202, 202)
         assert "Connection: close" not in first[1] and "Connection: close" in second[1]
-        assert await client.end() == b""
+        assert await client.read_to_end() == b""
 
     play(scene)
 
@@ -301,16 +305,18 @@
 def test_request_after_a_connection_close_request_is_not_accepted(
     at_once: bool,
 ) -> None:
-    async def scene(harness: Door) -> None:
-        client = Caller(harness.port)
+    async def scene(harness: ServerHarness) -> None:
+        client = ClientSocket(harness.port)
         if at_once:
-            harness.at_once = HTTPStatus.ACCEPTED
-        client.say(message("a", Connection="close") + message("b"))
-        await harness.until(lambda: bool(harness.handed))
+            harness.immediate_status = HTTPStatus.ACCEPTED
+        client.send(message("a", Connection="close") + message("b"))
+        await harness.until(lambda: bool(harness.submitted))
         if not at_once:
-            harness.handed[0][1].answer(HTTPStatus.ACCEPTED)
+            harness.submitted[0][1].answer(HTTPStatus.ACCEPTED)
         assert (await client.answer())[0] == 202
-        assert await client.end() == b"" and [h.id for h, _ in harness.handed] == ["a"]
+        assert await client.read_to_end() == b"" and [
+            h.id for h, _ in harness.submitted
+        ] == ["a"]
 
     play(scene)
 
@@ -318,21 +324,21 @@
 def test_request_after_a_failed_response_write_is_not_accepted() -> None:
     """The transport is closing, and the loop has not reported the lost connection yet."""
 
-    async def scene(harness: Door) -> None:
-        client = Caller(harness.port)
-        harness.handed.clear()
-        client.say(message("a") + message("b"))
-        await harness.until(lambda: bool(harness.handed))
-        connection = harness.of(client)
+    async def scene(harness: ServerHarness) -> None:
+        client = ClientSocket(harness.port)
+        harness.submitted.clear()
+        client.send(message("a") + message("b"))
+        await harness.until(lambda: bool(harness.submitted))
+        connection = harness.connection_of(client)
         assert [r.headers["x-correlation-id"] for r in connection.queued_requests] == [
             "b"
         ]
         client.reset()
-        harness.handed[0][1].answer(HTTPStatus.ACCEPTED)  # the write fails
+        harness.submitted[0][1].answer(HTTPStatus.ACCEPTED)  # the write fails
         assert connection.transport is not None and connection.transport.is_closing()
         connection.process_next()
-        assert [h.id for h, _ in harness.handed] == ["a"]
-        await harness.gone()
+        assert [h.id for h, _ in harness.submitted] == ["a"]
+        await harness.until_no_connections()
 
     play(scene)
 
@@ -344,26 +350,26 @@
 def test_connection_accepted_as_the_listener_closes_is_served(
     how: str,
 ) -> None:
-    async def scene(harness: Door) -> None:
-        harness.at_once = HTTPStatus.ACCEPTED
-        client = Caller(harness.port)
-        client.say(message("m"))
+    async def scene(harness: ServerHarness) -> None:
+        harness.immediate_status = HTTPStatus.ACCEPTED
+        client = ClientSocket(harness.port)
+        client.send(message("m"))
         # Runs in the loop iteration that accepts the connection, after the accept.
         asyncio.get_running_loop().call_later(0, getattr(harness.server, how))
         assert (await client.answer())[0] == 202
         assert harness.server.listener is None
         with pytest.raises(ConnectionRefusedError):
-            Caller(harness.port)
+            ClientSocket(harness.port)
 
     play(scene)
 
 
 @pytest.mark.parametrize("how", ["hand_over", "close"])
 def test_connection_in_the_backlog_when_the_listener_closes_is_served(how: str) -> None:
-    async def scene(harness: Door) -> None:
-        harness.at_once = HTTPStatus.SERVICE_UNAVAILABLE
-        asking, silent = Caller(harness.port), Caller(harness.port)
-        asking.say(message("m"))
+    async def scene(harness: ServerHarness) -> None:
+        harness.immediate_status = HTTPStatus.SERVICE_UNAVAILABLE
+        asking, silent = ClientSocket(harness.port), ClientSocket(harness.port)
+        asking.send(message("m"))
         ending: Any = getattr(
             harness.server, how
         )()  # no loop iteration has run: none is accepted
@@ -378,9 +384,9 @@
             if c.transport is not None
         ]
         assert nodelay and all(nodelay)
-        assert await asking.end() == b""
+        assert await asking.read_to_end() == b""
         if ending is not None:
-            assert await silent.end() == b""
+            assert await silent.read_to_end() == b""
             await ending
 
     play(scene)
@@ -389,9 +395,9 @@
 def test_tcp_nodelay_is_set_on_client_connections() -> None:
     """Small writes are sent at once, so none is lost with a connection that is reset."""
 
-    async def scene(harness: Door) -> None:
-        client = await harness.resting()
-        transport = harness.of(client).transport
+    async def scene(harness: ServerHarness) -> None:
+        client = await harness.idle_client()
+        transport = harness.connection_of(client).transport
         assert transport is not None
         assert transport.get_extra_info("socket").getsockopt(
             socket.IPPROTO_TCP, socket.TCP_NODELAY
@@ -401,16 +407,16 @@
 
 
 def test_close_answers_open_requests_503_and_closes_silent_connections() -> None:
-    async def scene(harness: Door) -> None:
+    async def scene(harness: ServerHarness) -> None:
         disconnected: list[str] = []
         busy, resting, silent, half = (
-            await harness.busy(),
-            await harness.resting(),
-            Caller(harness.port),
-            Caller(harness.port),
+            await harness.waiting_client(),
+            await harness.idle_client(),
+            ClientSocket(harness.port),
+            ClientSocket(harness.port),
         )
-        harness.handed[0][1].on_disconnect = lambda: disconnected.append("m")
-        half.say(HALF)
+        harness.submitted[0][1].on_disconnect = lambda: disconnected.append("m")
+        half.send(HALF)
         await harness.until(
             lambda: (
                 len(harness.server.connections) == 4
@@ -423,16 +429,16 @@
         for client in (busy, half):
             status, head = await client.answer()
             assert status == 503 and "Connection: close" in head
-            assert await client.end() == b""
+            assert await client.read_to_end() == b""
         assert disconnected == [
             "m"
         ]  # the holder of the message was notified before the 503 was sent
-        assert await resting.end() == await silent.end() == b""
-        half.say(message("half")[-3:])  # its rest crosses the 503, and causes no reset
+        assert await resting.read_to_end() == await silent.read_to_end() == b""
+        half.send(message("half")[-3:])  # its rest crosses the 503, and causes no reset
         for client in (busy, resting, silent, half):
             client.socket.close()
         await ending
-        assert [h.id for h, _ in harness.handed] == [
+        assert [h.id for h, _ in harness.submitted] == [
             "m"
         ] and not harness.server.connections
 
@@ -440,13 +446,15 @@
 
 
 def test_close_answers_a_queued_request_503_too() -> None:
-    async def scene(harness: Door) -> None:
-        client = Caller(harness.port)
-        client.say(message("a") + message("b"))
-        await harness.until(lambda: bool(harness.handed))
+    async def scene(harness: ServerHarness) -> None:
+        client = ClientSocket(harness.port)
+        client.send(message("a") + message("b"))
+        await harness.until(lambda: bool(harness.submitted))
         ending = asyncio.create_task(harness.server.close())
         assert [(await client.answer())[0] for _ in range(2)] == [503, 503]
-        assert await client.end() == b"" and [h.id for h, _ in harness.handed] == ["a"]
+        assert await client.read_to_end() == b"" and [
+            h.id for h, _ in harness.submitted
+        ] == ["a"]
         await ending
 
     play(scene)
@@ -455,9 +463,9 @@
 def test_response_given_during_close_is_sent_instead_of_503() -> None:
     """Another process has accepted the message, and its 202 is on the way."""
 
-    async def scene(harness: Door) -> None:
-        client = await harness.busy()
-        connection, shut_down_called = harness.of(client), asyncio.Event()
+    async def scene(harness: ServerHarness) -> None:
+        client = await harness.waiting_client()
+        connection, shut_down_called = harness.connection_of(client), asyncio.Event()
         original_shut_down = connection.shut_down
 
         def recording_shut_down(at_once: bool) -> None:
@@ -468,8 +476,8 @@
         ending = asyncio.create_task(harness.server.close(PATIENCE))
         async with asyncio.timeout(PATIENCE):
             await shut_down_called.wait()
-        harness.handed[0][1].answer(HTTPStatus.ACCEPTED)
-        assert (await client.answer())[0] == 202 and await client.end() == b""
+        harness.submitted[0][1].answer(HTTPStatus.ACCEPTED)
+        assert (await client.answer())[0] == 202 and await client.read_to_end() == b""
         client.socket.close()
         await ending
 
@@ -477,8 +485,8 @@
 
 
 def test_close_ends_though_clients_keep_their_connections_open() -> None:
-    async def scene(harness: Door) -> None:
-        clients = [await harness.resting(), await harness.busy()]
+    async def scene(harness: ServerHarness) -> None:
+        clients = [await harness.idle_client(), await harness.waiting_client()]
         connections = list(harness.server.connections)
         async with asyncio.timeout(PATIENCE):
             await harness.server.close()
@@ -491,33 +499,33 @@
 def test_lingering_ends_though_the_client_keeps_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene(harness: Door) -> None:
+    async def scene(harness: ServerHarness) -> None:
         monkeypatch.setattr(server_file, "LINGER_S", 0.001)
-        client = await harness.resting()
+        client = await harness.idle_client()
         harness.server.drain()
-        assert await client.end() == b""
+        assert await client.read_to_end() == b""
         async with asyncio.timeout(PATIENCE):
             with pytest.raises(ConnectionError):
                 while True:
-                    client.say(UP)
+                    client.send(UP)
                     await asyncio.sleep(0.01)
-        await harness.gone()
+        await harness.until_no_connections()
 
     play(scene)
 
 
 def test_lingering_connections_are_evicted_first() -> None:
-    async def scene(harness: Door) -> None:
-        lingering, resting = await harness.resting(), await harness.resting()
-        harness.of(lingering).finish()
-        lingering_connection = harness.of(lingering)
-        harness.of(resting).last_used_us = 0  # idle for longer
-        another = await harness.resting()
+    async def scene(harness: ServerHarness) -> None:
+        lingering, resting = await harness.idle_client(), await harness.idle_client()
+        harness.connection_of(lingering).finish()
+        lingering_connection = harness.connection_of(lingering)
+        harness.connection_of(resting).last_used_us = 0  # idle for longer
+        another = await harness.idle_client()
         await harness.until(
             lambda: lingering_connection not in harness.server.connections
         )
         for client in (resting, another):
-            client.say(UP)
+            client.send(UP)
             assert (await client.answer())[0] == 200
 
     play(scene, most=2)
@@ -548,14 +556,14 @@
     return Engine(replace(config, **more))
 
 
-class Running:
+class RunningEngine:
     """An engine in the test's own loop, so that a test decides when its steps run."""
 
     def __init__(self, folder: Path, platform: Platform, **more: Any) -> None:
         self.engine = engine(folder, platform, **more)
         self.task = asyncio.create_task(self.engine.run())
 
-    async def ready(self) -> Running:
+    async def ready(self) -> RunningEngine:
         await self.until(lambda: self.engine.serving)
         assert self.engine.server.listener is not None
         self.port = int(self.engine.server.listener.sockets[0].getsockname()[1])
@@ -567,7 +575,7 @@
                 assert not self.task.done() or test(), self.task
                 await asyncio.sleep(0.001)
 
-    def told_to_stop(self, ago_s: float) -> None:
+    def begin_shutdown(self, ago_s: float) -> None:
         """Set the state as if SIGTERM came `ago_s` seconds ago; the test runs the next
         shutdown step.
         """
@@ -580,7 +588,7 @@
             assert await self.task is False
 
 
-def engine_play(
+def run_engine_scene(
     scene: Callable[[Platform, Path], Awaitable[None]], folder: Path
 ) -> None:
     async def run() -> None:
@@ -605,7 +613,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, answer_in_turn(OK))
-        run = await Running(folder, platform).ready()
+        run = await RunningEngine(folder, platform).ready()
         answers: list[HTTPStatus] = []
 
         class Waiting:
@@ -616,7 +624,7 @@
             ) -> None:
                 answers.append(status)
 
-        run.told_to_stop(1.0)
+        run.begin_shutdown(1.0)
         run.engine.shutdown.advance_shutdown()
         assert run.engine.state.stopped.is_set()
         due = run.engine.clock() + 10_000_000
@@ -628,7 +636,7 @@
         await run.end()
         assert not peer.requests
 
-    engine_play(scene, tmp_path)
+    run_engine_scene(scene, tmp_path)
 
 
 def test_engine_without_messages_answers_503_to_requests_at_its_end(
@@ -636,27 +644,27 @@
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, answer_in_turn(OK))
-        run = await Running(folder, platform).ready()
-        resting, unaccepted = Caller(run.port), None
-        resting.say(UP)
+        run = await RunningEngine(folder, platform).ready()
+        resting, unaccepted = ClientSocket(run.port), None
+        resting.send(UP)
         assert (await resting.answer())[0] == 200
-        run.told_to_stop(1.0)
-        resting.say(message("a"))
-        unaccepted = Caller(run.port)
-        unaccepted.say(message("b"))
+        run.begin_shutdown(1.0)
+        resting.send(message("a"))
+        unaccepted = ClientSocket(run.port)
+        unaccepted.send(message("b"))
         run.engine.shutdown.advance_shutdown()
         for client in (resting, unaccepted):
             status, head = await client.answer()
             assert (
                 status == 503
                 and "Connection: close" in head
-                and await client.end() == b""
+                and await client.read_to_end() == b""
             )
             client.socket.close()
         await run.end()
         assert not peer.requests and not run.engine.server.connections
 
-    engine_play(scene, tmp_path)
+    run_engine_scene(scene, tmp_path)
 
 
 @pytest.mark.parametrize("step", ["freeze", "exit"])
@@ -670,7 +678,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, answer_in_turn(OK))
-        run = await Running(folder, platform).ready()
+        run = await RunningEngine(folder, platform).ready()
         may_connect, dialing = asyncio.Event(), asyncio.Event()
         dial = run.engine.pool.dial
 
@@ -680,13 +688,13 @@
             await dial(*args)
 
         run.engine.pool.dial = dial_late  # type: ignore[method-assign]
-        client = Caller(run.port)
-        client.say(message("m", "pay", Idempotency_Key=None))
+        client = ClientSocket(run.port)
+        client.send(message("m", "pay", Idempotency_Key=None))
         assert (await client.answer())[0] == 202
         async with asyncio.timeout(PATIENCE):
             await dialing.wait()
         if step == "freeze":
-            run.told_to_stop(shutdown.FREEZE_AFTER_S)
+            run.begin_shutdown(shutdown.FREEZE_AFTER_S)
             run.engine.shutdown.advance_shutdown()
             may_connect.set()
             await asyncio.wait(set(run.engine.pool.dial_tasks), timeout=PATIENCE)
@@ -696,14 +704,14 @@
         for task in dials:  # the process has ended, and its dials with it
             task.cancel()
         assert not peer.requests
-        next_run = await Running(folder, platform).ready()
+        next_run = await RunningEngine(folder, platform).ready()
         await peer.wait_for_requests(1)
         assert (
             peer.requests[0].headers["x-correlation-id"] == "m" and not platform.notices
         )
         await next_run.end()
 
-    engine_play(scene, tmp_path)
+    run_engine_scene(scene, tmp_path)
 
 
 def test_longest_shutdown_ends_before_sigkill() -> None:
@@ -748,24 +756,24 @@
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
-        run = await Running(folder, platform).ready()
-        resting, busy = Caller(run.port), Caller(run.port)
+        run = await RunningEngine(folder, platform).ready()
+        resting, busy = ClientSocket(run.port), ClientSocket(run.port)
         for client, data in ((resting, UP), (busy, message("held", "status"))):
-            client.say(data)
+            client.send(data)
             assert (await client.answer())[0] in (200, 202)
         await peer.wait_for_requests(1)
-        run.told_to_stop(1.0)
+        run.begin_shutdown(1.0)
         run.engine.shutdown.advance_shutdown()
-        resting.say(message("crossed"))  # after the shutdown
-        assert await resting.end() == await busy.end() == b""
+        resting.send(message("crossed"))  # after the shutdown
+        assert await resting.read_to_end() == await busy.read_to_end() == b""
         resting.socket.close()
         await run.end()
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["held"]
-        next_run = await Running(folder, platform).ready()
+        next_run = await RunningEngine(folder, platform).ready()
         await peer.wait_for_requests(2)
         assert {r.headers["x-correlation-id"] for r in peer.requests} == {"held"}
         await next_run.end()
         assert not caplog.messages
 
     with caplog.at_level(logging.ERROR):
-        engine_play(scene, tmp_path)
+        run_engine_scene(scene, tmp_path)
--- a/tests/forwarder/test_silent_watches.py
+++ b/tests/forwarder/test_silent_watches.py
@@ -18,8 +18,8 @@
     ROOM_S,
     SILENT,
     Agent,
-    Longest,
-    Rig,
+    LargestDraw,
+    WatchAndDispatcher,
     in_virtual_time,
     listing,
 )
@@ -69,15 +69,15 @@
     async def scene() -> None:
         agent = SilentLater(whole)
         peer = await Peer(agent).start()
-        rig = Rig(Address("127.0.0.1", peer.port), pushed, 3)
-        rig.watch.random = rig.dispatcher.state.random = Longest(3)
-        await rig.until(rig.serves)
+        rig = WatchAndDispatcher(Address("127.0.0.1", peer.port), pushed, 3)
+        rig.watch.random = rig.dispatcher.state.random = LargestDraw(3)
+        await rig.until(rig.sends_to_endpoint)
         await asyncio.sleep(LATE_S + into_hold)
-        assert rig.serves() and agent.open
+        assert rig.sends_to_endpoint() and agent.open
         agent.fall_silent()
         agent.health, agent.seq = "draining", 2
         silent_since = rig.loop.time()
-        await rig.until(lambda: not rig.serves())
+        await rig.until(lambda: not rig.sends_to_endpoint())
         assert (
             rig.loop.time() - silent_since
             <= list_latency_bound_s(pushed)
--- a/tests/forwarder/test_stalled_event_loop.py
+++ b/tests/forwarder/test_stalled_event_loop.py
@@ -20,13 +20,13 @@
 )
 from rainfall.forwarder.engine.periodic_tasks import OVERDUE_GRACE_US
 from rainfall.forwarder.inbound.server import LOOP_CHECK_INTERVAL_S
-from tests.forwarder.test_shutdown_end import rounds_by_hand
+from tests.forwarder.test_shutdown_end import disable_scheduled_rounds
 from tests.forwarder.test_shutdown_races import (
-    Caller,
-    Door,
-    Running,
-    engine_play,
+    ClientSocket,
+    RunningEngine,
+    ServerHarness,
     play,
+    run_engine_scene,
     target,
 )
 from tests.support.loopback_peers import Platform, hang, message
@@ -49,7 +49,7 @@
         return self.now
 
 
-def take_control(door: Door) -> ManualClock:
+def take_control(door: ServerHarness) -> ManualClock:
     """Give the test control of the server's clock and loop checks, as of a check just
     made.
     """
@@ -65,9 +65,9 @@
     return clock
 
 
-def check_loop_once(door: Door) -> None:
+def check_loop_once(door: ServerHarness) -> None:
     """Run one loop check that measures a delay, and cancel the next one."""
-    assert not door.handed
+    assert not door.submitted
     door.server.check_loop_delay()
     assert door.server.loop_delay_us and door.server.loop_check_timer is not None
     door.server.loop_check_timer.cancel()
@@ -81,36 +81,36 @@
     for the notification.
     """
 
-    async def scene(door: Door) -> None:
-        idle_client = await door.resting()
+    async def scene(door: ServerHarness) -> None:
+        idle_client = await door.idle_client()
         clock = take_control(door)
         sent_at = clock.now
-        client = Caller(door.port) if new else idle_client
-        client.say(message("m", left="0.500"))
+        client = ClientSocket(door.port) if new else idle_client
+        client.send(message("m", left="0.500"))
         clock.now += 200 * MS  # in one loop iteration
         # the check runs after the accept in its iteration, and before the one that reads
         if new:
             asyncio.get_running_loop().call_later(0, check_loop_once, door)
-        await door.until(lambda: bool(door.handed))
+        await door.until(lambda: bool(door.submitted))
         assert (
             0
-            <= door.handed[0][0].due_us - (sent_at + 500 * MS)
+            <= door.submitted[0][0].due_us - (sent_at + 500 * MS)
             <= LOOP_CHECK_INTERVAL_US
         )
-        door.handed[0][1].answer(HTTPStatus.ACCEPTED)
+        door.submitted[0][1].answer(HTTPStatus.ACCEPTED)
 
     play(scene)
 
 
 def test_loop_without_delay_does_not_shorten_time_left() -> None:
-    async def scene(door: Door) -> None:
-        client = await door.resting()
+    async def scene(door: ServerHarness) -> None:
+        client = await door.idle_client()
         clock = take_control(door)
         clock.now += LOOP_CHECK_INTERVAL_US
-        client.say(message("m", left="0.500"))
-        await door.until(lambda: bool(door.handed))
-        assert door.handed[0][0].due_us == clock.now + 500 * MS
-        door.handed[0][1].answer(HTTPStatus.ACCEPTED)
+        client.send(message("m", left="0.500"))
+        await door.until(lambda: bool(door.submitted))
+        assert door.submitted[0][0].due_us == clock.now + 500 * MS
+        door.submitted[0][1].answer(HTTPStatus.ACCEPTED)
 
     play(scene)
 
@@ -119,7 +119,7 @@
     """A start that took 10 s does not count as loop delay."""
 
     async def scene() -> None:
-        door = Door()
+        door = ServerHarness()
         door.server.clock = clock = ManualClock()
         door.server.loop_check_due_us = clock.now - 10 * S
         await door.open()
@@ -139,13 +139,13 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
-        run = await Running(folder, platform).ready()
+        run = await RunningEngine(folder, platform).ready()
         engine = run.engine
-        client = Caller(run.port)
-        client.say(message("m", "status"))
+        client = ClientSocket(run.port)
+        client.send(message("m", "status"))
         assert (await client.answer())[0] == 202
         await peer.wait_for_requests(1)
-        await rounds_by_hand(run)
+        await disable_scheduled_rounds(run)
         stored = engine.store.messages["m"]
         past_deadline = engine.dispatcher.state.messages["m"].deadline = (
             engine.clock() - OVERDUE_GRACE_US - S
@@ -171,7 +171,7 @@
         await run.end()
 
     with caplog.at_level(logging.ERROR, "rainfall"):
-        engine_play(scene, tmp_path)
+        run_engine_scene(scene, tmp_path)
     assert not [
         record
         for record in caplog.records
@@ -211,13 +211,13 @@
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
-        run = await Running(folder, platform).ready()
+        run = await RunningEngine(folder, platform).ready()
         engine = run.engine
         assert engine.server.loop_check_timer is not None
         engine.server.loop_check_timer.cancel()
-        client = Caller(run.port)
-        await rounds_by_hand(run)
-        client.say(message("m", "pay", left=str(left_s), Idempotency_Key=None))
+        client = ClientSocket(run.port)
+        await disable_scheduled_rounds(run)
+        client.send(message("m", "pay", left=str(left_s), Idempotency_Key=None))
         await run.until(lambda: "m" in engine.intake.pending_submissions)
         engine.server.expected_loop_delay_us = late_us
         due_us, clock = engine.intake.pending_submissions["m"][0].due_us, engine.clock
@@ -229,4 +229,4 @@
         await run.end()
         assert len(peer.requests) <= 1
 
-    engine_play(scene, tmp_path)
+    run_engine_scene(scene, tmp_path)
--- a/tests/journal/test_recovery.py
+++ b/tests/journal/test_recovery.py
@@ -39,7 +39,7 @@
     monkeypatch.setattr("rainfall.forwarder.message_store.this_boot", lambda: "boot 1")
 
 
-def taken(
+def accepted_message(
     name: str, class_name: str = "pay", order_key: str | None = None, size: int = 20
 ) -> AcceptedMessage:
     return AcceptedMessage(
@@ -47,7 +47,7 @@
     )
 
 
-def opened(
+def open_store(
     disk: Disk,
     sync_worker: ManualSyncWorker | None = None,
     max_bytes: int = 200_000,
@@ -92,7 +92,7 @@
         self.accepted_by_key: dict[str, list[str]] = {}
         self.detached: set[str] = set()
         self.message_count = 0
-        self.store = opened(self.disk, self.sync_worker)
+        self.store = open_store(self.disk, self.sync_worker)
 
     def commit_entries(
         self, entries: list[ExpectedMessage], attempt: int = -1, end: bool = False
@@ -144,7 +144,7 @@
             self.message_count += 1
             class_name = self.random.choice(("status", "pay", "turn"))
             order_key = self.random.choice("AB") if class_name == "turn" else None
-            message = taken(
+            message = accepted_message(
                 f"m{self.message_count}",
                 class_name,
                 order_key,
@@ -243,7 +243,7 @@
 
     def recovered(self) -> MessageStore:
         sync_worker = ManualSyncWorker() if self.power else None
-        recovered = opened(self.disk, sync_worker)
+        recovered = open_store(self.disk, sync_worker)
         while sync_worker is not None and sync_worker.work():
             pass
         return recovered
@@ -340,9 +340,9 @@
         for fuse in range(14):
             disk = Disk(fuse)
             sync_worker = ManualSyncWorker() if power else None
-            store = opened(disk, sync_worker)
+            store = open_store(disk, sync_worker)
             for index in range(5):
-                store.append_message(taken(f"m{index}"))
+                store.append_message(accepted_message(f"m{index}"))
             store.append_attempt(store.messages["m1"], 0, 5, "s1")
             store.commit(lambda persisted: None)
             while sync_worker is not None and sync_worker.work():
@@ -351,7 +351,7 @@
             run_until_death(store.compact, sync_worker)
             disk.power_lost() if power else disk.killed()
             assert (
-                opened(
+                open_store(
                     disk, ManualSyncWorker() if power else None
                 ).comparable_contents()
                 == contents
@@ -363,13 +363,13 @@
         )
         inode.synced = bytes(inode.data)
         disk.fuse = fuse
-        run_until_death(lambda disk=disk: opened(disk), None)
+        run_until_death(lambda disk=disk: open_store(disk), None)
         disk.killed()
-        recovered = opened(disk)
+        recovered = open_store(disk)
         assert (
             list(recovered.messages) == ["b"] and recovered.messages["b"].attempts == 1
         )
-        recovered_again = opened(disk)
+        recovered_again = open_store(disk)
         assert (
             recovered_again.report.version == 2
             and recovered_again.comparable_contents() == recovered.comparable_contents()
@@ -395,9 +395,9 @@
 
 def test_no_commit_is_confirmed_before_the_directory_is_synced() -> None:
     disk, sync_worker = Disk(), ManualSyncWorker()
-    store = opened(disk, sync_worker)
+    store = open_store(disk, sync_worker)
     results: list[bool] = []
-    store.append_message(taken("a"))
+    store.append_message(accepted_message("a"))
     store.commit(results.append)
     job, done = sync_worker.jobs.pop(0)
     sync_folder, disk.sync_directory = disk.sync_directory, lambda path: None  # type: ignore[method-assign]
@@ -415,13 +415,13 @@
 
 def test_one_sync_confirms_all_waiting_commits_and_none_early() -> None:
     disk, sync_worker = Disk(), ManualSyncWorker()
-    store = opened(disk, sync_worker)
+    store = open_store(disk, sync_worker)
     while sync_worker.work():
         pass
     results: list[int] = []
     before = disk.syncs
     for index in range(5):
-        store.append_message(taken(f"m{index}"))
+        store.append_message(accepted_message(f"m{index}"))
         store.commit(lambda persisted, index=index: results.append(index))  # type: ignore[misc]
     assert not results and len(sync_worker.jobs) == 1
     sync_worker.work()
@@ -437,18 +437,18 @@
     although the bytes are not on the disk.
     """
     disk, sync_worker = Disk(), ManualSyncWorker()
-    store = opened(disk, sync_worker)
+    store = open_store(disk, sync_worker)
     while sync_worker.work():
         pass
     results: list[bool] = []
-    store.append_message(taken("a"))
+    store.append_message(accepted_message("a"))
     store.commit(results.append)
     disk.bad_sync = True
     assert sum(sync_worker.work() for _ in range(10)) < 10  # retries are delayed
     assert results == [False] and not store.has_capacity(10) and store.log.incomplete
     disk.bad_sync = False
     store.log.retry_at = 0
-    store.append_message(taken("b"))
+    store.append_message(accepted_message("b"))
     store.commit(results.append)
     while sync_worker.work():
         pass
@@ -457,13 +457,13 @@
         pass
     assert results == [False, True] and store.has_capacity(10)
     disk.power_lost()
-    assert list(opened(disk, ManualSyncWorker()).messages) == ["a", "b"]
+    assert list(open_store(disk, ManualSyncWorker()).messages) == ["a", "b"]
 
 
 def test_a_notification_is_not_sent_before_its_sync_with_level_power() -> None:
     disk, sync_worker = Disk(), ManualSyncWorker()
-    store = opened(disk, sync_worker)
-    store.append_message(taken("a"))
+    store = open_store(disk, sync_worker)
+    store.append_message(accepted_message("a"))
     store.commit(lambda persisted: None)
     while sync_worker.work():
         pass
@@ -477,8 +477,8 @@
 
 def test_a_full_disk_at_startup_keeps_messages_and_rejects_new_ones() -> None:
     disk = Disk()
-    store = opened(disk)
-    store.append_message(taken("a"))
+    store = open_store(disk)
+    store.append_message(accepted_message("a"))
     store.flush()
     disk.killed()
     disk.flip("journal")
@@ -499,17 +499,17 @@
 
 def test_a_partial_write_on_a_full_disk_leaves_a_readable_file() -> None:
     disk = Disk()
-    store = opened(disk)
-    store.append_message(taken("a"))
+    store = open_store(disk)
+    store.append_message(accepted_message("a"))
     store.flush()
     disk.room = disk.used() + 10
     results: list[bool] = []
-    store.append_message(taken("b"))
+    store.append_message(accepted_message("b"))
     store.commit(results.append)
     assert results == [False] and store.failed
     disk.killed()
     disk.room = 1 << 40
-    recovered = opened(disk)
+    recovered = open_store(disk)
     assert list(recovered.messages) == ["a"] and not recovered.report.damaged
 
 
@@ -518,32 +518,32 @@
     client was told to send the message elsewhere.
     """
     disk = Disk()
-    store = opened(disk)
+    store = open_store(disk)
     store.flush()
     before = disk.used()
-    store.append_message(taken("a"))
+    store.append_message(accepted_message("a"))
     store.flush()
     disk.room = disk.used() + (disk.used() - before) + 10
     results: list[bool] = []
-    store.append_message(taken("b"))
-    store.append_message(taken("c"))
+    store.append_message(accepted_message("b"))
+    store.append_message(accepted_message("c"))
     store.commit(results.append)
     assert results == [False]
     disk.killed()
-    assert list(opened(disk).messages) == ["a"]
+    assert list(open_store(disk).messages) == ["a"]
 
 
 def test_a_damaged_file_is_kept_only_if_it_fits() -> None:
     for max_bytes, kept in ((400_000, True), (136_000, False)):
         disk = Disk()
-        store = opened(disk, max_bytes=max_bytes)
-        store.append_message(taken("a", size=4000))
+        store = open_store(disk, max_bytes=max_bytes)
+        store.append_message(accepted_message("a", size=4000))
         store.flush()
         disk.killed()
         data = disk.names["journal"].data
         data[len(data) // 2] ^= 1
         damaged_data = bytes(data)
-        recovered = opened(disk, max_bytes=max_bytes)
+        recovered = open_store(disk, max_bytes=max_bytes)
         assert recovered.report.gaps and ("journal.damaged" in disk.names) is kept
         if kept:
             assert disk.read(
@@ -560,20 +560,20 @@
 def test_a_message_whose_attempt_may_be_in_a_gap_is_not_sent_again() -> None:
     """The damaged record holds the attempt of an at-most-once message."""
     disk = Disk()
-    store = opened(disk)
+    store = open_store(disk)
     for name, class_name, order_key in (
         ("p", "pay", None),
         ("s", "status", None),
         ("t", "turn", "K"),
     ):
-        store.append_message(taken(name, class_name, order_key))
+        store.append_message(accepted_message(name, class_name, order_key))
     store.append_attempt(store.messages["p"], 0, 5, "hidden")
-    store.append_message(taken("later"))
+    store.append_message(accepted_message("later"))
     store.flush()
     disk.killed()
     data = disk.names["journal"].data
     data[data.index(b"hidden")] ^= 1
-    recovered = opened(disk)
+    recovered = open_store(disk)
     assert (
         recovered.messages["p"].in_flight
         and recovered.messages["s"].in_flight
@@ -589,13 +589,13 @@
 @pytest.mark.parametrize("by_s", [-3600, 3600])
 def test_stored_times_follow_a_clock_that_was_set(by_s: int) -> None:
     disk = Disk()
-    store = opened(disk)
-    store.append_message(taken("a"))
+    store = open_store(disk)
+    store.append_message(accepted_message("a"))
     store.append_attempt(store.messages["a"], 0, 10**15 - 5, "s1")
     store.append_outage("s1", 10**14, -1)
     store.flush()
     disk.killed()
-    recovered = opened(disk, base=by_s * SECOND_US)
+    recovered = open_store(disk, base=by_s * SECOND_US)
     message = recovered.messages["a"]
     assert (
         message.deadline_us == 10**15 + by_s * SECOND_US
@@ -603,7 +603,7 @@
     )
     assert recovered.outages == {"s1": (10**14 + by_s * SECOND_US, -1)}
     disk.killed()  # a second recovery must not shift the times again
-    recovered_again = opened(disk, base=by_s * SECOND_US)
+    recovered_again = open_store(disk, base=by_s * SECOND_US)
     assert (
         recovered_again.messages["a"].deadline_us == message.deadline_us
         and not recovered_again.report.shifted_us
@@ -622,8 +622,8 @@
             "rainfall.forwarder.message_store.this_boot", lambda: "boot 1"
         )
         disk, sync_worker = Disk(), ManualSyncWorker() if power else None
-        store = opened(disk, sync_worker)
-        store.append_message(taken("a"))
+        store = open_store(disk, sync_worker)
+        store.append_message(accepted_message("a"))
         store.commit(lambda persisted: None)
         while sync_worker is not None and sync_worker.work():
             pass
@@ -633,7 +633,7 @@
         monkeypatch.setattr(
             "rainfall.forwarder.message_store.this_boot", lambda: "boot 2"
         )
-        recovered = opened(
+        recovered = open_store(
             disk, ManualSyncWorker() if power else None, base=10**15 - SECOND_US
         )
         assert recovered.report.another_boot and recovered.report.doubted == doubted
@@ -647,13 +647,13 @@
     stay for a day.
     """
     disk = Disk()
-    store = opened(disk)
-    store.append_message(taken("a"))
+    store = open_store(disk)
+    store.append_message(accepted_message("a"))
     store.flush()
     disk.killed()
     monkeypatch.setattr("rainfall.forwarder.message_store.this_boot", lambda: "boot 2")
     monkeypatch.setattr(recovery.time, "monotonic_ns", lambda: 0)
-    recovered = opened(disk, base=10**15 - 86_400 * SECOND_US)
+    recovered = open_store(disk, base=10**15 - 86_400 * SECOND_US)
     assert (
         recovered.messages["a"].deadline_us
         <= 10**15 - 86_400 * SECOND_US + 10 * SECOND_US
@@ -665,16 +665,16 @@
     newer_file = f.FileHeader(f.VERSION + 1, 0, 1, 1, 0).encode() + b"whatever"
     disk.names["journal"] = inode_with(newer_file)
     with pytest.raises(UnusableJournalError):
-        opened(disk)
+        open_store(disk)
     assert disk.read(FOLDER / "journal") == newer_file
 
 
 def test_a_concurrent_reader_sees_only_complete_records() -> None:
     disk = Disk()
-    store = opened(disk)
+    store = open_store(disk)
     matches = []
     for index in range(300):
-        store.append_message(taken(f"m{index}", size=2000))
+        store.append_message(accepted_message(f"m{index}", size=2000))
         store.append_finished(f"m{index - 3}")
         store.flush()
         read_state, report = read_journal(disk.read(FOLDER / "journal"))
@@ -685,8 +685,8 @@
 
 def test_repeated_end_and_acknowledgement_records_have_no_further_effect() -> None:
     disk = Disk()
-    store = opened(disk)
-    store.append_message(taken("a"))
+    store = open_store(disk)
+    store.append_message(accepted_message("a"))
     store.append_notification("a", "failed", 0)
     store.append_notification("a", "failed", 0)
     store.append_acknowledgement("a")
@@ -694,7 +694,7 @@
     store.append_finished("a")
     store.flush()
     disk.killed()
-    recovered = opened(disk)
+    recovered = open_store(disk)
     assert (
         not recovered.messages
         and not recovered.pending_notifications
