--- a/measure/budget_division.py
+++ b/measure/budget_division.py
@@ -256,7 +256,7 @@
             self.plan_count,
         )
 
-    def fullest_span(self) -> int:
+    def max_calls_in_span(self) -> int:
         """The largest number of calls in any sliding window of one budget span."""
         first = largest = 0
         for index, (sent_at_us, _) in enumerate(self.sent):
@@ -347,7 +347,7 @@
         grant_ms,
         takeover_ms,
         takeover_bound_ms,
-        fleet.fullest_span(),
+        fleet.max_calls_in_span(),
     )
 
 
@@ -383,7 +383,7 @@
         heartbeats / seconds,
         wire_bytes / seconds,
         plan_seconds / plans * 1000,
-        fleet.fullest_span() / (members * 10),
+        fleet.max_calls_in_span() / (members * 10),
     )
 
 
--- a/tests/budget/test_budget.py
+++ b/tests/budget/test_budget.py
@@ -823,4 +823,6 @@
     for member in fleet.members:
         member.set_arrivals(5)
     fleet.run(20_000_000)
-    assert {n for _, n in fleet.sent} == set(range(7)) and fleet.fullest_span() <= 2
+    assert {n for _, n in fleet.sent} == set(
+        range(7)
+    ) and fleet.max_calls_in_span() <= 2
