--- a/tests/forwarder/test_kills.py
+++ b/tests/forwarder/test_kills.py
@@ -29,7 +29,7 @@
 from rainfall.forwarder.outbound.connection_pool import OutboundCall
 from rainfall.journal import format as f
 from rainfall.wirehost import parse_settings
-from tests.forwarder.test_parts import engine
+from tests.forwarder.test_parts import make_engine
 from tests.forwarder.test_program import node_on, play, target
 from tests.support.loopback_peers import (
     OK,
@@ -40,7 +40,7 @@
     Node,
     Platform,
     Request,
-    always,
+    answer_in_turn,
     hang,
 )
 
@@ -120,7 +120,7 @@
             async with asyncio.timeout(PATIENCE):
                 while not set(accepted) <= finished_ids():
                     await asyncio.sleep(0.02)
-            await node.shows(lambda v: v["open_requests"] == 0)
+            await node.wait_for_metrics(lambda v: v["open_requests"] == 0)
         finally:
             await node.end()
         assert len(accepted) >= ROUNDS * 4 and len(set(accepted.values())) == 4
@@ -170,7 +170,7 @@
 
 def test_power_durability_is_reported_and_syncs_are_counted(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
+        await target(platform, answer_in_turn(OK))
         node = Node(folder, platform)
         configure(node, durability="power")
         await node.start()
@@ -218,12 +218,12 @@
         new: Node | None = None
         try:
             assert (await old.hand_in("a", "status"))[0] == 202
-            await peer.got(1)
-            new = await (await old.beside()).until_ready()
+            await peer.wait_for_requests(1)
+            new = await (await old.start_second_process()).until_ready()
             assert (await old.hand_in("b", "status"))[0] == 202
-            peer.handler = always(OK)
+            peer.handler = answer_in_turn(OK)
             assert await old.end(signal.SIGTERM) == 0
-            await new.shows(lambda v: v["open_requests"] == 0)
+            await new.wait_for_metrics(lambda v: v["open_requests"] == 0)
         finally:
             await old.end()
             if new is not None:
@@ -315,7 +315,7 @@
     write_journal(tmp_path, overdue=150, live=150)
 
     async def scene() -> None:
-        tested_engine = engine(tmp_path)
+        tested_engine = make_engine(tmp_path)
         first = [
             x.message_id
             for x in tested_engine.pending_events
@@ -356,7 +356,7 @@
         def answer(self, status: object, text: str = "", **headers: str) -> None: ...
 
     async def scene() -> None:
-        tested_engine = engine(tmp_path)
+        tested_engine = make_engine(tmp_path)
         assert [x.ordering_key for x in tested_engine.restoration.backlog.values()] == [
             "K"
         ] * 3
@@ -386,7 +386,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await target(platform, answer_in_turn(OK))
         (folder / "state").mkdir()
         write_journal(folder / "state", overdue=1000, live=20)
         platform.accepts = False
@@ -397,7 +397,7 @@
         )
         platform.accepts = True
         await platform.until(lambda: len({n["id"] for n in platform.notices}) == 1000)
-        await node.shows(lambda v: v["open_requests"] == 0)
+        await node.wait_for_metrics(lambda v: v["open_requests"] == 0)
         assert {r.headers["x-correlation-id"] for r in peer.requests} == {"fresh"} | {
             f"live{n}" for n in range(20)
         }
@@ -436,9 +436,9 @@
     """Guards against a double delivery: the client may submit the message to another
     forwarder.
     """
-    from tests.support.memory_disk import Hands
+    from tests.support.memory_disk import ManualSyncWorker
 
-    hands = Hands()
+    hands = ManualSyncWorker()
 
     class Writer:
         def __init__(self) -> None:
@@ -456,7 +456,7 @@
             EndpointList(
                 2,
                 True,
-                tuple(engine(tmp_path / "other").config.known_endpoints.endpoints),
+                tuple(make_engine(tmp_path / "other").config.known_endpoints.endpoints),
             )
         )
         while hands.work():
@@ -525,7 +525,7 @@
     """
 
     async def scene() -> None:
-        tested_engine = engine(tmp_path)
+        tested_engine = make_engine(tmp_path)
         started_calls: list[OutboundCall] = []
         monkeypatch.setattr(tested_engine.pool, "start", started_calls.append)
         tested_engine.run_round()
@@ -563,7 +563,7 @@
             self.statuses.append(int(status))
 
     async def scene() -> None:
-        tested_engine = engine(tmp_path)
+        tested_engine = make_engine(tmp_path)
         tested_engine.run_round()
         tested_engine.submit(
             SubmittedMessage(
--- a/tests/forwarder/test_restart_races.py
+++ b/tests/forwarder/test_restart_races.py
@@ -41,8 +41,16 @@
 from rainfall.journal.state import AcceptedMessage, JournalState
 from rainfall.wirehost import parse_settings as read_settings
 from tests.forwarder.test_kills import power_engine
-from tests.forwarder.test_parts import engine
-from tests.support.event_scripts import MS, S, ask, end, finals, sends, settings
+from tests.forwarder.test_parts import make_engine
+from tests.support.event_scripts import (
+    MS,
+    S,
+    attempt_finished,
+    finals,
+    message_received,
+    send_actions,
+    settings,
+)
 from tests.support.loopback_peers import (
     PATIENCE,
     SETTINGS,
@@ -51,11 +59,11 @@
     Peer,
     Platform,
     Request,
-    always,
+    answer_in_turn,
     free_port,
     hang,
 )
-from tests.support.memory_disk import Hands
+from tests.support.memory_disk import ManualSyncWorker
 
 OK, FULL = Outcome.DELIVERED, Outcome.REJECTED
 ENDPOINT_LIST = (EndpointEntry(1, 10, "north", "plain"),)
@@ -84,12 +92,12 @@
         actions = dispatcher.handle(
             now,
             [
-                end(send, OK, last_attempts[send.message_id], 20 * MS)
+                attempt_finished(send, OK, last_attempts[send.message_id], 20 * MS)
                 for send in open_calls
             ]
             or [TimerExpired("look")],
         )
-        open_calls = sends(actions)
+        open_calls = send_actions(actions)
         sent_ids += [send.message_id for send in open_calls]
         final_actions += finals(actions)
     return sent_ids, final_actions
@@ -108,17 +116,17 @@
         MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS)
         for n in range(MESSAGE_COUNT)
     ]  # 2.8 of 6 s have passed
-    first_sends = sends(
+    first_sends = send_actions(
         dispatcher.handle(
             now,
             [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
         )
     )
     dispatcher.handle(
-        now + 20 * MS, [end(first_sends[0], FULL, retry_after_us=900 * MS)]
+        now + 20 * MS, [attempt_finished(first_sends[0], FULL, retry_after_us=900 * MS)]
     )
     fresh = [
-        ask(f"new{n}", due=now + 5200 * MS) for n in range(4)
+        message_received(f"new{n}", deadline_us=now + 5200 * MS) for n in range(4)
     ]  # close to their latency target of 2 s
     assert not finals(dispatcher.handle(now + 40 * MS, fresh))
     sent_ids, final_actions = run_until(dispatcher, now + 40 * MS, [], now + 3200 * MS)
@@ -137,17 +145,18 @@
         MessageRestored(f"old{n}", 10, "safe", now + 3200 * MS, attempts=1)
         for n in range(MESSAGE_COUNT)
     ]
-    first_sends = sends(
+    first_sends = send_actions(
         dispatcher.handle(
             now,
             [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
         )
     )
     dispatcher.handle(
-        now + 20 * MS, [end(first_sends[0], FULL, 1, retry_after_us=2 * S)]
+        now + 20 * MS, [attempt_finished(first_sends[0], FULL, 1, retry_after_us=2 * S)]
     )
     dispatcher.handle(
-        now + 40 * MS, [ask(f"new{n}", due=now + 5200 * MS) for n in range(4)]
+        now + 40 * MS,
+        [message_received(f"new{n}", deadline_us=now + 5200 * MS) for n in range(4)],
     )
     _, final_actions = run_until(dispatcher, now + 40 * MS, [], now + 1500 * MS)
     assert {(type(action), action.reason) for action in final_actions} == {
@@ -166,7 +175,7 @@
         MessageRestored(f"old{n}", 10, "safe", now + 2 * S, tenant="small")
         for n in range(MESSAGE_COUNT)
     ]
-    first_sends = sends(
+    first_sends = send_actions(
         dispatcher.handle(
             now,
             [EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST), *restored],
@@ -174,13 +183,15 @@
     )
     assert not any(message.over_quota for message in dispatcher.state.messages.values())
     later = [
-        ask(f"new{n}", due=now + 6 * S, tenant="big") for n in range(MESSAGE_COUNT)
+        message_received(f"new{n}", deadline_us=now + 6 * S, tenant="big")
+        for n in range(MESSAGE_COUNT)
     ]
     actions = dispatcher.handle(
-        now + 20 * MS, [end(first_sends[0], OK, took=20 * MS), *later]
+        now + 20 * MS,
+        [attempt_finished(first_sends[0], OK, duration_us=20 * MS), *later],
     )
     sent_ids, final_actions = run_until(
-        dispatcher, now + 20 * MS, sends(actions), now + 2 * S
+        dispatcher, now + 20 * MS, send_actions(actions), now + 2 * S
     )
     first_ids = [first_sends[0].message_id, *sent_ids][:MESSAGE_COUNT]
     assert not final_actions and sorted(first_ids) == sorted(
@@ -189,7 +200,7 @@
     later_actions = dispatcher.handle(
         now + 2 * S,
         [
-            ask(f"more{n}", 99, due=now + 9 * S, tenant="small")
+            message_received(f"more{n}", 99, deadline_us=now + 9 * S, tenant="small")
             for n in range(MESSAGE_COUNT)
         ],
     )
@@ -210,7 +221,10 @@
         self, folder: Path, power: bool = False, **class_changes: object
     ) -> None:
         self.folder, self.power, self.port = folder, power, free_port()
-        self.platform, self.peers = Platform(), [Peer(hang), Peer(always(Answer(200)))]
+        self.platform, self.peers = (
+            Platform(),
+            [Peer(hang), Peer(answer_in_turn(Answer(200)))],
+        )
         classes = [{**service, **class_changes} for service in SETTINGS["services"]]
         classes += [{**classes[-1], "name": "single", "by_arrival": True}]
         self.settings = {
@@ -326,7 +340,7 @@
     asyncio.run(run())
 
 
-def on_disk(folder: Path) -> JournalState:
+def read_journal_state(folder: Path) -> JournalState:
     state, report = read_journal((folder / "journal").read_bytes())
     assert not report.damaged
     return state
@@ -348,7 +362,7 @@
 
         async def endpoint(request: Request) -> Answer:
             name = request.headers["x-correlation-id"]
-            stored = on_disk(tmp_path).messages.get(name)
+            stored = read_journal_state(tmp_path).messages.get(name)
             recorded.append(("call", stored is not None and bool(stored.in_flight)))
             return Answer(500)
 
@@ -357,7 +371,7 @@
                 notified_ids = [
                     json.loads(line)["id"] for line in request.body.splitlines()
                 ]
-                pending = on_disk(tmp_path).pending_notifications
+                pending = read_journal_state(tmp_path).pending_notifications
                 recorded.append(
                     ("notice", all(name in pending for name in notified_ids))
                 )
@@ -366,7 +380,7 @@
         site.peers[0].handler, site.platform.handler = endpoint, discovery
         await site.start()
         assert await site.hand_in("m", "pay") == 202
-        state = on_disk(tmp_path)
+        state = read_journal_state(tmp_path)
         assert (
             "m" in state.messages
             or "m" in state.pending_notifications
@@ -392,7 +406,7 @@
         answer = asyncio.create_task(site.hand_in("m", "pay", 8))
         await site.until(lambda: bool(jobs))
         assert (
-            "m" in on_disk(tmp_path).messages
+            "m" in read_journal_state(tmp_path).messages
             and not answer.done()
             and not site.has_arrived("m")
         )
@@ -430,7 +444,7 @@
         assert [*site_engine.store.messages] == ["held"] and site_engine.store.messages[
             "held"
         ].executed_at_us >= 0
-        site.peers[0].handler = always(Answer(200))
+        site.peers[0].handler = answer_in_turn(Answer(200))
         await site.until(lambda: not site_engine.store.messages)
 
     play(scene, Site(tmp_path))
@@ -443,12 +457,12 @@
     due = 6 * S
     for cls in ("safe", "keyed", "once"):
         dispatcher = Dispatcher(settings(), 7, 0)
-        send = sends(
+        send = send_actions(
             dispatcher.handle(
                 0,
                 [
                     EndpointListChanged(EndpointListKind.CACHED, ENDPOINT_LIST),
-                    ask(cls, cls=cls, due=due),
+                    message_received(cls, class_name=cls, deadline_us=due),
                 ],
             )
         )[0]
@@ -456,7 +470,11 @@
             dispatcher.handle(due + S, [TimerExpired("look")])
         )  # the connection pool's timeout ends the call
         assert (
-            not finals(dispatcher.handle(due + S, [end(send, OK, took=6 * S)]))
+            not finals(
+                dispatcher.handle(
+                    due + S, [attempt_finished(send, OK, duration_us=6 * S)]
+                )
+            )
             and cls not in dispatcher.state.messages
         )
 
@@ -633,7 +651,7 @@
     given up while its record is being synced, and its client disconnects meanwhile: no
     notification is sent, so the key must not wait for one.
     """
-    sync_jobs = Hands()
+    sync_jobs = ManualSyncWorker()
 
     async def scene() -> None:
         engine_under_test = power_engine(tmp_path, sync_jobs, monkeypatch)
@@ -719,7 +737,7 @@
     """
 
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         engine_under_test.run_round()
         message = AcceptedMessage(
             "m", "pay", 7, engine_under_test.clock() + 40 * S, None, "acme", b""
@@ -755,7 +773,7 @@
 
 def test_journal_failure_backoff_ends_before_deadline(tmp_path: Path) -> None:
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         message = AcceptedMessage(
             "m",
             "pay",
@@ -791,7 +809,9 @@
     )  # each summary line resets the counts
 
     async def scene(site: Site) -> None:
-        site.peers[0].handler = always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}))
+        site.peers[0].handler = answer_in_turn(
+            Answer(429, {"X-RateLimit-Wait-Ms": "60000"})
+        )
         site_engine = await site.start()
         with caplog.at_level(logging.INFO, "rainfall.trace"):
             assert await site.hand_in("tried", "status", left="50") == 202
@@ -821,7 +841,7 @@
 
 def test_unsent_attempts_leave_message_unattempted(tmp_path: Path) -> None:
     async def scene() -> None:
-        engine_under_test = engine(tmp_path)
+        engine_under_test = make_engine(tmp_path)
         for name, outcome in (("a", Outcome.NOT_SENT), ("b", FULL)):
             message = AcceptedMessage(
                 name, "status", 7, engine_under_test.clock() + 10 * S, None, None, b""
@@ -878,7 +898,7 @@
         gate.set()
         async with asyncio.timeout(PATIENCE):
             await site.task
-        state = on_disk(tmp_path)
+        state = read_journal_state(tmp_path)
         assert (
             state.closed_cleanly
             and bool(state.messages) is bool(expected_states)
@@ -944,7 +964,7 @@
         async with asyncio.timeout(PATIENCE):
             await site.task
         assert not site.has_arrived("m")
-        stored = on_disk(tmp_path).messages["m"]
+        stored = read_journal_state(tmp_path).messages["m"]
         assert (
             stored.attempts == 1 and not stored.in_flight and stored.executed_at_us < 0
         )
@@ -958,7 +978,7 @@
 def test_call_whose_record_is_synced_after_shutdown_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sync_jobs = Hands()
+    sync_jobs = ManualSyncWorker()
 
     async def scene() -> None:
         engine_under_test = power_engine(tmp_path, sync_jobs, monkeypatch)
@@ -968,7 +988,7 @@
             EndpointList(
                 2,
                 True,
-                tuple(engine(tmp_path / "other").config.known_endpoints.endpoints),
+                tuple(make_engine(tmp_path / "other").config.known_endpoints.endpoints),
             )
         )
         while sync_jobs.work():
